--- /dev/null
+++ b/crates/coldstart/src/admission_tests.rs
@@ -0,0 +1,60 @@
+//! The warming admission, by its figures.
+
+use super::*;
+
+const MS: i64 = 1_000;
+
+#[test]
+fn the_bound_doubles_by_the_round_and_opens() {
+    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Micros(0));
+    assert!(a.admit(Micros(0), 15).is_ok());
+    let wait = a.admit(Micros(0), 16).expect_err("over the bound");
+    assert!(wait >= COME_BACK[0] && wait <= COME_BACK[1], "{wait:?}");
+    (0..16).for_each(|_| a.served(Micros(50 * MS)));
+    assert!(a.admit(Micros(MS), 31).is_ok() && a.admit(Micros(MS), 32).is_err());
+    (0..96).for_each(|_| a.served(Micros(50 * MS)));
+    assert!(a.over() && a.admit(Micros(2 * MS), 5_000).is_ok());
+    assert_eq!(a.refused(), 2);
+}
+
+#[test]
+fn what_pushes_back_cuts_the_bound_and_never_to_nothing() {
+    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Micros(0));
+    a.pushed_back();
+    assert!((a.bound() - 11.2).abs() < 1e-9);
+    (0..100).for_each(|_| a.pushed_back());
+    assert!(a.admit(Micros(0), 0).is_ok(), "one in hand is always taken");
+    assert!(a.admit(Micros(0), 1).is_err());
+}
+
+#[test]
+fn time_ends_the_warm_up_for_good_and_zero_is_off() {
+    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Micros(0));
+    assert!(a.admit(Micros(4_999 * MS), 500).is_err());
+    assert!(a.admit(Micros(5_000 * MS), 500).is_ok());
+    assert!(a.over() && a.admit(Micros(0), 500).is_ok(), "a clock that steps back does not begin it anew");
+    let off = AdmissionTerms { warm_ms: 0.0, ..AdmissionTerms::default() };
+    assert!(WarmAdmission::new(off, 1, Micros(0)).admit(Micros(0), 500).is_ok());
+}
+
+/// Clients that are refused together come back spread out, and the same seed gives the same advice.
+#[test]
+fn advice_is_spread() {
+    let waits = |seed| -> Vec<i64> {
+        let mut a = WarmAdmission::new(AdmissionTerms::default(), seed, Micros(0));
+        (0..50).map(|_| a.admit(Micros(0), 40).expect_err("over").0).collect()
+    };
+    let mut seen = waits(7);
+    assert_eq!(seen, waits(7));
+    seen.sort_unstable();
+    seen.dedup();
+    assert!(seen.len() > 40, "{} distinct waits of 50", seen.len());
+}
+
+#[test]
+fn figures_out_of_range_are_named() {
+    let bad = AdmissionTerms { open_at: 3.0, ..AdmissionTerms::default() };
+    assert!(bad.check().unwrap_err().starts_with("open_at"));
+    assert!(AdmissionTerms { first: 0.0, ..AdmissionTerms::default() }.check().is_err());
+    assert!(AdmissionTerms::default().check().is_ok());
+}
