--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use sprucelink_admin::{serve, Bite, Done, Limits, Operations, Refused};
-use sprucelink_figures::Figures;
+use sprucelink_metrics::Figures;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
--- a/crates/fleetrig/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use serde_json::{json, Value};
-use sprucelink_points::disk::DiskSeam;
+use sprucelink_failpoints::disk::DiskSeam;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -48,7 +48,7 @@
     if !plan.plant_at.is_empty() && plan.plant_at != plan.name {
         plan.plant.clear();
     }
-    let faults = sprucelink_points::begin(&plan.folder)?;
+    let faults = sprucelink_failpoints::begin(&plan.folder)?;
     println!("version {}, clock off by {} ms", plan.version, plan.clock_offset_ms);
     store(&plan.folder, faults.disk);
     let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -72,7 +72,7 @@
 }
 
 /// A store of eight bytes a start, three writes of which pass a faulty disk.
-fn store(folder: &Path, fault: sprucelink_points::file::Disk) {
+fn store(folder: &Path, fault: sprucelink_failpoints::file::Disk) {
     let path = folder.join("store");
     let held = std::fs::metadata(&path).map_or(0, |m| m.len());
     println!("store held {held} bytes");
@@ -92,7 +92,7 @@
 
 fn leave(plan: &Plan, ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
-    sprucelink_points::hit("standin.permit");
+    sprucelink_failpoints::hit("standin.permit");
     println!("beyond the point");
     if !plan.next.is_empty() {
         let _ = std::fs::write(plan.folder.join("next-version"), &plan.next);
--- a/crates/fleetrig/src/bin/sprucelink-fleet.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -1,24 +1,24 @@
-//! `sprucelink-fleet`: carries out scenarios of many processes of the program failing together, and gives the
+//! `sprucelink-cluster-harness`: carries out scenarios of many processes of the program failing together, and gives the
 //! figures as a table and the course as a chart.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 use lexopt::prelude::*;
-use sprucelink_checker::Verdict;
-use sprucelink_fleetrig::history;
-use sprucelink_fleetrig::report::{chart, Report, Series, BUCKET};
-use sprucelink_fleetrig::run::{self, Outcome, Program, Views};
-use sprucelink_fleetrig::scenario::Scenario;
+use sprucelink_cluster_harness::history;
+use sprucelink_cluster_harness::report::{chart, Report, Series, BUCKET};
+use sprucelink_cluster_harness::run::{self, Outcome, Program, Views};
+use sprucelink_cluster_harness::scenario::Scenario;
+use sprucelink_history_checker::Verdict;
 use std::path::{Path, PathBuf};
 
 const USAGE: &str = "\
-usage: sprucelink-fleet run SCENARIO.json5 [--cold-start FILE] [--pair FILE] [--managers N] [--rate R]
+usage: sprucelink-cluster-harness run SCENARIO.json5 [--cold-start FILE] [--pair FILE] [--managers N] [--rate R]
                         [--seed N] [--repeat N] [--out DIR] [--format csv|json] [--program PATH]
                         [--keep-logs DIR] [--share none|ration|parts|all]
                         [--failover on|off] [--arg ARG]...
                         [--history DIR]
-       sprucelink-fleet check SCENARIO.json5...
-       sprucelink-fleet judge SCENARIO.json5 HISTORY.jsonl...
+       sprucelink-cluster-harness check SCENARIO.json5...
+       sprucelink-cluster-harness judge SCENARIO.json5 HISTORY.jsonl...
 
 run    Starts the managers, stand-ins and clients of a scenario, does its steps, and prints one line of figures.
        --cold-start FILE  managers run with these settings of the cold start
@@ -195,7 +195,7 @@
         Ok(true) => {}
         Ok(false) => std::process::exit(3),
         Err(e) => {
-            eprintln!("sprucelink-fleet: {e}");
+            eprintln!("sprucelink-cluster-harness: {e}");
             std::process::exit(1);
         }
     }
@@ -222,7 +222,7 @@
     for file in files {
         let lines = history::read(file).unwrap_or_else(|e| bad(&e));
         println!("{}: {} lines", file.display(), lines.len());
-        passed &= tell(&sprucelink_checker::check(&lines, terms));
+        passed &= tell(&sprucelink_history_checker::check(&lines, terms));
     }
     if !passed {
         std::process::exit(3);
@@ -230,7 +230,7 @@
 }
 
 fn bad(why: &str) -> ! {
-    eprintln!("sprucelink-fleet: {why}");
+    eprintln!("sprucelink-cluster-harness: {why}");
     std::process::exit(2)
 }
 
--- a/crates/fleetrig/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -14,7 +14,7 @@
 use crate::history::Recorder;
 use crate::ledger::{manager_of, Ledger};
 use crate::runtime;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::event::Event;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
--- a/crates/fleetrig/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -2,7 +2,7 @@
 //! file has a bound; what would go beyond it is not written and the run fails for it, since a judgement of half a
 //! history is none.
 
-use sprucelink_checker::event::{Event, Line};
+use sprucelink_history_checker::event::{Event, Line};
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -99,7 +99,7 @@
 pub fn read(path: &PathBuf) -> Result<Vec<Line>, String> {
     let named = |e: String| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-    sprucelink_checker::read::lines(text.lines()).map_err(named)
+    sprucelink_history_checker::read::lines(text.lines()).map_err(named)
 }
 
 #[cfg(test)]
--- a/crates/fleetrig/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`procs::Fleet`]: processes started, signalled and restarted by their own ids only;
 //! - [`client`]: open-loop clients of the platform's front;
 //! - [`subscribers`]: stand-in subscribers of the fleet's journal, over many managers;
-//! - [`history`]: what processes did, as a file that `sprucelink-checker` judges;
+//! - [`history`]: what processes did, as a file that `sprucelink-history-checker` judges;
 //! - [`scenario`] says what a run does, [`run`] carries it out, [`report`] gives its table and chart.
 //!
 //! A run is bounded in time and in everything it counts, and ends every process it started.
--- a/crates/fleetrig/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -6,7 +6,7 @@
 use crate::counted::Tally;
 use crate::history::Recorder;
 use crate::runtime;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::event::Event;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/fleetrig/src/middle/mod.rs
+++ b/crates/cluster-harness/src/middle/mod.rs
@@ -23,7 +23,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/fleetrig/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -6,8 +6,8 @@
 use crate::runtime;
 use crate::scenario::Call;
 use serde_json::Value;
-use sprucelink_checker::cursor::Cursor;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::cursor::Cursor;
+use sprucelink_history_checker::event::Event;
 
 impl Rig<'_> {
     /// Makes a call; it is not waited for.
--- a/crates/fleetrig/src/run/life.rs
+++ b/crates/cluster-harness/src/run/life.rs
@@ -2,7 +2,7 @@
 
 use super::{Life, Rig, Seat};
 use crate::procs::Ended;
-use sprucelink_checker::event::{Cause, Event, NEXT_VERSION};
+use sprucelink_history_checker::event::{Cause, Event, NEXT_VERSION};
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
--- a/crates/fleetrig/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -201,7 +201,7 @@
 
 /// A folder of the rig's own for configurations and logs, under the system's folder for such.
 pub fn scratch(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("sprucelink-fleet-{}-{name}", std::process::id()))
+    std::env::temp_dir().join(format!("sprucelink-cluster-harness-{}-{name}", std::process::id()))
 }
 
 /// Removes a folder of [`scratch`], whatever became of it.
--- a/crates/fleetrig/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Sent;
 use crate::report::{Outcomes, Report};
 use crate::scenario::{Scenario, Watch, HALLS};
-use sprucelink_checker::Verdict;
+use sprucelink_history_checker::Verdict;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -54,7 +54,7 @@
         }
         let path = dir.join(history::NAME);
         if let Some(terms) = &scenario.check {
-            let verdict = sprucelink_checker::check(&history::read(&path)?, terms);
+            let verdict = sprucelink_history_checker::check(&history::read(&path)?, terms);
             self.report.violations = Some(verdict.violations().count());
             self.verdict = Some(verdict);
         }
--- a/crates/fleetrig/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -4,8 +4,8 @@
 use crate::procs::{Ended, Tail};
 use crate::scenario::{GROUPS, HALLS};
 use crate::template::Values;
-use sprucelink_checker::event::{Cause, Event};
-use sprucelink_points::file::{self, Disk, FaultFile};
+use sprucelink_failpoints::file::{self, Disk, FaultFile};
+use sprucelink_history_checker::event::{Cause, Event};
 use std::path::Path;
 
 /// The file in a process's folder that names the version its supervisor is to start next.
--- a/crates/fleetrig/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -12,7 +12,7 @@
 use crate::procs::{self, Fleet, Row};
 use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, HALLS};
 use crate::subscribers::Subscribers;
-use sprucelink_checker::event::{Event, Party};
+use sprucelink_history_checker::event::{Event, Party};
 use sprucelink_membership::terms::Settings as Membership;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/fleetrig/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -8,7 +8,7 @@
 use nix::sys::signal::Signal;
 use rand::{Rng as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::event::Event;
 use std::time::{Duration, Instant};
 
 /// Letters of an act's words that a history keeps.
--- a/crates/fleetrig/src/run/strikes.rs
+++ b/crates/cluster-harness/src/run/strikes.rs
@@ -3,8 +3,8 @@
 use super::{Life, Rig};
 use crate::scenario::{Act, Blow, Scenario, Strike, Who};
 use nix::sys::signal::Signal;
-use sprucelink_checker::event::Event;
-use sprucelink_points::file::Points;
+use sprucelink_failpoints::file::Points;
+use sprucelink_history_checker::event::Event;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -61,7 +61,7 @@
             let wanted = !self.procs[i].unbound.is_empty() || self.strikes.awaits(i);
             let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
             for line in tail.news() {
-                if let Some(point) = line.trim().strip_prefix(sprucelink_points::LINE) {
+                if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::LINE) {
                     self.at_point(i, point)?;
                 } else {
                     self.find_ports(i, &line);
--- a/crates/fleetrig/src/run/ways.rs
+++ b/crates/cluster-harness/src/run/ways.rs
@@ -3,7 +3,7 @@
 use super::Rig;
 use crate::middle::Rule;
 use crate::scenario::{New, Sides, HALLS};
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::event::Event;
 
 impl Rig<'_> {
     /// The ways between two parties: `engines` are those of all zones.
--- a/crates/fleetrig/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use sprucelink_points::file::Disk;
-use sprucelink_stable::within;
+use sprucelink_failpoints::file::Disk;
+use sprucelink_stable_hash::within;
 use std::collections::BTreeMap;
 
 /// A step happens so many times at most.
--- a/crates/fleetrig/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -7,8 +7,8 @@
 };
 use crate::procs::MOST_MANAGERS;
 use crate::template;
-use sprucelink_points::file::{FaultFile, Points};
-use sprucelink_stable::within;
+use sprucelink_failpoints::file::{FaultFile, Points};
+use sprucelink_stable_hash::within;
 
 /// Steps at most, strikes, ports, files of each manager, further arguments, acts of one strike.
 const MOST_STEPS: usize = 200;
--- a/crates/fleetrig/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::ledger::DRAIN_GRACE;
 use serde::Deserialize;
-use sprucelink_checker::terms::Terms;
+use sprucelink_history_checker::terms::Terms;
 use std::collections::BTreeMap;
 
 /// Engines of a run at most, those that come later included.
--- a/crates/fleetrig/src/subscribers/marks.rs
+++ b/crates/cluster-harness/src/subscribers/marks.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Marks;
 use serde_json::Value;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::event::Event;
 use std::collections::BTreeMap;
 
 /// Releases that a subscriber remembers at most; further ones it does not know.
--- a/crates/fleetrig/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -13,7 +13,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use reader::Reader;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::event::Event;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/fleetrig/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
-use sprucelink_checker::cursor::Cursor;
-use sprucelink_checker::event::Event;
+use sprucelink_history_checker::cursor::Cursor;
+use sprucelink_history_checker::event::Event;
 use std::time::Duration;
 
 /// The name of an event that stands for all records up to its id.
--- a/crates/fleetrig/tests/planted.rs
+++ b/crates/cluster-harness/tests/planted.rs
@@ -1,17 +1,23 @@
 //! The rig on a stand-in for managers: its faults do what they say, a run without a broken rule passes, and one with a
 //! rule broken by a planted fault fails for that rule.
-use sprucelink_checker::event::{Cause, Event, Line};
-use sprucelink_checker::invariants::{acknowledged, agreement, budget, halt, order, schema, uncommitted};
-use sprucelink_fleetrig::history;
-use sprucelink_fleetrig::run::{self, Outcome, Program};
-use sprucelink_fleetrig::scenario::Scenario;
+use sprucelink_cluster_harness::history;
+use sprucelink_cluster_harness::run::{self, Outcome, Program};
+use sprucelink_cluster_harness::scenario::Scenario;
+use sprucelink_history_checker::event::{Cause, Event, Line};
+use sprucelink_history_checker::invariants::{
+    acknowledged, agreement, budget, halt, order, schema, uncommitted,
+};
 use std::path::Path;
 
 /// The stand-in, built beside the rig: `cargo test` builds examples.
 fn program(dir: &Path) -> Program {
-    let fleet = Path::new(env!("CARGO_BIN_EXE_sprucelink-fleet"));
+    let fleet = Path::new(env!("CARGO_BIN_EXE_sprucelink-cluster-harness"));
     let path = fleet.with_file_name("examples").join("standin");
-    assert!(path.exists(), "{} is not there: cargo build -p sprucelink-fleetrig --examples", path.display());
+    assert!(
+        path.exists(),
+        "{} is not there: cargo build -p sprucelink-cluster-harness --examples",
+        path.display()
+    );
     Program { path, args: Vec::new(), dir: dir.to_owned() }
 }
 
--- a/crates/council/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -1,7 +1,7 @@
 //! Runs many seeds of the simulator: `seeds PLAN FROM COUNT [THREADS]`, with PLAN one of honest, liar, liars, leader,
 //! and a number of members behind a colon (`honest:5`). Prints what failed, and sums. Exit status 1 on a violation.
 
-use sprucelink_council::sim::{Plan, Report, World};
+use sprucelink_consensus::sim::{Plan, Report, World};
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/council/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -28,7 +28,7 @@
 //! all that can answer are in probation, else after [`Timing::patience`]). Then one disk that forgot is still made up for, whatever it
 //! forgot; two that forgot the same record are not, unless a witness on a third disk gives them away.
 //!
-//! Bounds are in [`limits`]; `docs/design/council.md` weighs the options.
+//! Bounds are in [`limits`]; `docs/design/consensus.md` weighs the options.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/council/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -8,8 +8,8 @@
 use crate::{Config, Council, Frame, MemberId, Micros, ProposalId, ProposeError};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use sprucelink_ledger::faults::{FaultDisk, Faults};
-use sprucelink_ledger::{Ledger, LedgerError};
+use sprucelink_wal::faults::{FaultDisk, Faults};
+use sprucelink_wal::{Ledger, LedgerError};
 use std::collections::VecDeque;
 
 /// Most frames that wait at a stopped process, as in its sockets' buffers; further ones are lost.
--- a/crates/council/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -4,7 +4,7 @@
 use crate::settings::Restored;
 use crate::wire;
 use prost::Message as _;
-use sprucelink_ledger as ledger;
+use sprucelink_wal as ledger;
 use std::fmt;
 
 /// The ledger's records are whole, and yet not the council's: another version's, or a fault in a program.
--- a/crates/council/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_council::limits::MAX_FRAME_BYTES;
-use sprucelink_council::wire::{envelope::Body, Envelope, Hello, RaftMessage, Welcome};
-use sprucelink_council::{Config, Council, Decoder, Frame, FrameError, MemberId, Restored, Timing};
+use sprucelink_consensus::limits::MAX_FRAME_BYTES;
+use sprucelink_consensus::wire::{envelope::Body, Envelope, Hello, RaftMessage, Welcome};
+use sprucelink_consensus::{Config, Council, Decoder, Frame, FrameError, MemberId, Restored, Timing};
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -63,7 +63,7 @@
         reject_hint: figures.5,
         entries: entries
             .into_iter()
-            .map(|(index, term, kind, data)| sprucelink_council::wire::Entry { index, term, kind, data })
+            .map(|(index, term, kind, data)| sprucelink_consensus::wire::Entry { index, term, kind, data })
             .collect(),
         ..RaftMessage::default()
     })
--- a/crates/council/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -2,10 +2,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_council::sim::{Plan, Recorder, World, SECOND};
-use sprucelink_council::vouch::{Answer, Probation};
-use sprucelink_council::wire::{envelope::Body, Boot, Envelope, Hello};
-use sprucelink_council::{
+use sprucelink_consensus::sim::{Plan, Recorder, World, SECOND};
+use sprucelink_consensus::vouch::{Answer, Probation};
+use sprucelink_consensus::wire::{envelope::Body, Boot, Envelope, Hello};
+use sprucelink_consensus::{
     Alarm, Change, ChangeKind, Config, Frame, MemberError, MemberId, Members, ProposalId, ProposeError,
     Repeats, Role, SettingsError, SnapshotError, Timing, Verdict,
 };
@@ -119,7 +119,7 @@
     (world, leader, others[0], others[1])
 }
 
-fn council(world: &mut World<Recorder>, id: MemberId) -> &mut sprucelink_council::Council {
+fn council(world: &mut World<Recorder>, id: MemberId) -> &mut sprucelink_consensus::Council {
     world.host_mut(id).council.as_mut().unwrap()
 }
 
@@ -129,7 +129,7 @@
     let (mut world, leader, teller, restarted) = calm();
     let now = world.now() + world.host(leader).offset;
     let council = council(&mut world, leader);
-    let matched = |council: &sprucelink_council::Council| {
+    let matched = |council: &sprucelink_consensus::Council| {
         council.progress().into_iter().find(|(id, _)| *id == restarted).map(|(_, index)| index)
     };
     assert!(matched(council).unwrap() > 1);
--- a/crates/council/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -1,6 +1,6 @@
 //! Seeded runs of whole councils in virtual time. CI holds a few hundred seeds; `examples/seeds.rs` runs as many as wanted.
 
-use sprucelink_council::sim::{Plan, Plant, Report, Trouble, World, MS, SECOND};
+use sprucelink_consensus::sim::{Plan, Plant, Report, Trouble, World, MS, SECOND};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
--- a/crates/outage/src/known.rs
+++ b/crates/cordon/src/known.rs
@@ -1,6 +1,6 @@
 //! The ids ever listed, as 64-bit hashes in bounded memory.
 
-use sprucelink_stable::stable_hash;
+use sprucelink_stable_hash::stable_hash;
 use std::collections::BTreeMap;
 
 /// An id's hash: the house's, the same on every machine and release, for it goes from process to process. Of
--- a/crates/outage/src/lib.rs
+++ b/crates/cordon/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`Limits`]: every bound, with what happens at it.
 //!
 //! Nothing here does input or output, reads a clock or knows who called: time is an argument, Unix time in
-//! microseconds. docs/design/outage.md holds the rules in one place.
+//! microseconds. docs/design/cordon.md holds the rules in one place.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/outage/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! Bounds, and what happens at each.
 
-use sprucelink_outage::{
+use sprucelink_cordon::{
     By, Change, Hold, Limits, Micros, Outages, Refused, Target, LEASE_MOST, TARGET_MOST, WHY_MOST,
 };
 
--- a/crates/outage/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_outage::{Ban, By, Change, Hold, Limits, Micros, Outages, Target, Word, TOMBSTONE_KEPT};
+use sprucelink_cordon::{Ban, By, Change, Hold, Limits, Micros, Outages, Target, Word, TOMBSTONE_KEPT};
 
 const S: i64 = 1_000_000;
 const NOW: Micros = Micros(1_700_000_000 * S);
--- a/crates/outage/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_outage::{By, Change, Hold, Limits, Manager, Micros, Outages, Refused, Target};
+use sprucelink_cordon::{By, Change, Hold, Limits, Manager, Micros, Outages, Refused, Target};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
--- a/crates/points/src/lib.rs
+++ b/crates/failpoints/src/lib.rs
@@ -2,7 +2,7 @@
 //! told by a file in the process's folder, `faults.json5` ([`file::FaultFile`]), which the rig writes before the start.
 //!
 //! A point is a place where a crash is worst: a vote decided and not yet on disk, a permit sent and not yet
-//! acknowledged. The program marks it by `sprucelink_points::hit("council.vote.unsynced")`. Armed, that writes the line
+//! acknowledged. The program marks it by `sprucelink_failpoints::hit("council.vote.unsynced")`. Armed, that writes the line
 //! `point council.vote.unsynced` to standard error, flushes, and waits for a bounded time, so that whoever reads the
 //! line strikes exactly there. Built without the feature `hits` it is an empty function, and [`arm`] refuses: a release
 //! build cannot be made to wait.
@@ -61,7 +61,9 @@
     #[cfg(not(feature = "hits"))]
     match points.arm.is_empty() {
         true => Ok(()),
-        false => Err("this build has no points: build with the feature `hits` of sprucelink-points".into()),
+        false => {
+            Err("this build has no points: build with the feature `hits` of sprucelink-failpoints".into())
+        }
     }
 }
 
@@ -86,7 +88,7 @@
     if cfg!(not(feature = "hits")) {
         return match path.exists() {
             true => Err(named(
-                "this build takes no faults: build with the feature `hits` of sprucelink-points".into(),
+                "this build takes no faults: build with the feature `hits` of sprucelink-failpoints".into(),
             )),
             false => Ok(file::FaultFile::default()),
         };
--- a/crates/checker/tests/can_fail.rs
+++ b/crates/history-checker/tests/can_fail.rs
@@ -4,12 +4,12 @@
 use common::{good, terms};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use sprucelink_checker::cursor::Cursor;
-use sprucelink_checker::event::{Cause, Event, Line, NEXT_VERSION};
-use sprucelink_checker::invariants::{
+use sprucelink_history_checker::cursor::Cursor;
+use sprucelink_history_checker::event::{Cause, Event, Line, NEXT_VERSION};
+use sprucelink_history_checker::invariants::{
     self, acknowledged, agreement, budget, halt, order, schema, uncommitted,
 };
-use sprucelink_checker::{check, Verdict};
+use sprucelink_history_checker::{check, Verdict};
 
 const CASES: u32 = 200;
 
@@ -225,7 +225,8 @@
     };
     let judge = |rows: &[String]| -> Verdict {
         let rows: Vec<String> = rows.iter().enumerate().map(|(i, r)| line(i as u64 * 1_000_000, r)).collect();
-        let history = sprucelink_checker::read::lines(rows.iter().map(String::as_str)).expect("a history");
+        let history =
+            sprucelink_history_checker::read::lines(rows.iter().map(String::as_str)).expect("a history");
         check(&history, &terms())
     };
     let broken =
--- a/crates/checker/tests/common/mod.rs
+++ b/crates/history-checker/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Good histories, made from a list of choices so that what fails shrinks to few of them.
-use sprucelink_checker::cursor::Cursor;
-use sprucelink_checker::event::{Cause, Event, Line, Party, NEXT_VERSION};
-use sprucelink_checker::terms::{Budget, Kind, Terms};
+use sprucelink_history_checker::cursor::Cursor;
+use sprucelink_history_checker::event::{Cause, Event, Line, Party, NEXT_VERSION};
+use sprucelink_history_checker::terms::{Budget, Kind, Terms};
 
 const MANAGERS: usize = 4;
 const ENGINES: usize = 3;
--- a/crates/handover/examples/cost.rs
+++ b/crates/hot-restart/examples/cost.rs
@@ -1,9 +1,9 @@
-//! What the handover costs: `cargo run --release -p sprucelink-handover --example cost -- /dev/shm`.
+//! What the handover costs: `cargo run --release -p sprucelink-hot-restart --example cost -- /dev/shm`.
 //!
 //! Medians of many runs, for a content as it is on most days (80 engines, 3 bans) and for one at its bounds.
 
-use sprucelink_handover::*;
-use sprucelink_outage::{Hold, Limits, Outages, Target};
+use sprucelink_cordon::{Hold, Limits, Outages, Target};
+use sprucelink_hot_restart::*;
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/handover/src/book.rs
+++ b/crates/hot-restart/src/book.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::Refusal;
 use crate::content::{Handover, Phase, Process};
-use sprucelink_outage::Micros;
+use sprucelink_cordon::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A process whose file has not changed for so long counts as dead: six times the pace at which it writes. Longer,
--- a/crates/handover/src/content.rs
+++ b/crates/hot-restart/src/content.rs
@@ -1,6 +1,6 @@
 //! What a process tells its successor.
 
-use sprucelink_outage::{Ban, Micros};
+use sprucelink_cordon::{Ban, Micros};
 use std::fmt;
 
 /// Longest name, address or build, in bytes.
@@ -103,9 +103,9 @@
 /// What the rest of the program puts into the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Content {
-    /// Every cause's last word ([`sprucelink_outage::Outages::export`]).
+    /// Every cause's last word ([`sprucelink_cordon::Outages::export`]).
     pub bans: Vec<Ban>,
-    /// Hashes of the ids ever listed ([`sprucelink_outage::Outages::export_ids`]): as many as fit are written.
+    /// Hashes of the ids ever listed ([`sprucelink_cordon::Outages::export_ids`]): as many as fit are written.
     pub ids: Vec<u64>,
     /// Counts under the ration, oldest first ([`crate::Tally::ration`]).
     pub ration: Vec<RationBucket>,
--- a/crates/handover/src/keeper.rs
+++ b/crates/hot-restart/src/keeper.rs
@@ -6,7 +6,7 @@
 use crate::folder::Folder;
 use crate::names::FileName;
 use crate::phases::{Stand, Upgrade};
-use sprucelink_outage::Micros;
+use sprucelink_cordon::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::{fmt, io};
 
@@ -46,7 +46,7 @@
 /// Why the own file was not written; the one before is there unchanged.
 #[derive(Debug)]
 pub enum WriteFailed {
-    /// The content does not fit: more bans than [`sprucelink_outage::Limits`] lets in.
+    /// The content does not fit: more bans than [`sprucelink_cordon::Limits`] lets in.
     TooLarge(Refusal),
     /// The folder refused it.
     Folder(io::Error),
--- a/crates/handover/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -16,7 +16,7 @@
 //! The acting half is thin: a [`Folder`], the real one ([`DiskFolder`]), one with faults for tests
 //! ([`FaultyFolder`]), and the [`Keeper`], which reads and writes when the deciding half says so.
 //!
-//! Times are Unix microseconds. docs/design/handover.md holds the rules in one place, docs/operators/handover.md what
+//! Times are Unix microseconds. docs/design/hot-restart.md holds the rules in one place, docs/operators/hot-restart.md what
 //! to log and what to do.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -43,5 +43,5 @@
 pub use keeper::{Keeper, Looked, WriteFailed, Written, LOOK, REFRESH};
 pub use names::{FileName, LISTED_MOST};
 pub use phases::{Stand, Upgrade, IDLE_FOR, IDLE_WAIT, ROOM_WAIT, STILL_COMING};
-pub use sprucelink_outage::Micros;
+pub use sprucelink_cordon::Micros;
 pub use tally::Tally;
--- a/crates/handover/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -6,7 +6,7 @@
     ColdBucket, ColdSends, Content, Handover, Instance, Phase, Process, RationBucket, BUCKETS_MOST,
     COLD_MOST, NAME_MOST, ROOM_MOST,
 };
-use sprucelink_outage::{Ban, By, Micros, Target, Word};
+use sprucelink_cordon::{Ban, By, Micros, Target, Word};
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct File {
--- a/crates/handover/src/names.rs
+++ b/crates/hot-restart/src/names.rs
@@ -5,8 +5,8 @@
 //! the same pid: where a process is the first of its machine, each start has the same.
 
 use crate::content::{Instance, Process};
-use sprucelink_outage::Micros;
-use sprucelink_stable::stable_hash;
+use sprucelink_cordon::Micros;
+use sprucelink_stable_hash::stable_hash;
 
 /// Entries of the folder that one listing goes through. A private folder holds a dozen; beyond this one the listing
 /// ends, and a file that was not reached is not seen.
--- a/crates/handover/src/phases.rs
+++ b/crates/hot-restart/src/phases.rs
@@ -13,7 +13,7 @@
 
 use crate::book::Other;
 use crate::content::{Phase, Process, ROOM_MOST};
-use sprucelink_outage::Micros;
+use sprucelink_cordon::Micros;
 
 /// A newcomer that could serve waits so long for the others to make room; then it serves without. They read files
 /// every 100 ms, so one that has not answered in a second is busy or stuck, and an upgrade must not hang on it.
@@ -35,7 +35,7 @@
     /// Since when.
     pub since: Micros,
     /// Whether it accepts new connections from the listening socket that it shares. Whether this manager quiesces
-    /// ([`sprucelink_outage::Manager`]) is asked besides.
+    /// ([`sprucelink_cordon::Manager`]) is asked besides.
     pub accepts: bool,
     /// Whether it has come to serve: the answer to a health check, which never falls back to no.
     pub yes: bool,
--- a/crates/handover/src/tally.rs
+++ b/crates/hot-restart/src/tally.rs
@@ -1,7 +1,7 @@
 //! Counts of the last seconds, in buckets, for the successor.
 
 use crate::content::{ColdBucket, ColdSends, RationBucket, BUCKET, BUCKETS_MOST, COLD_MOST};
-use sprucelink_outage::Micros;
+use sprucelink_cordon::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What this process did within the windows of the rules: further attempts and requests taken under the ration, and
--- a/crates/handover/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_handover::*;
-use sprucelink_outage::{By, Hold, Limits, Outages, Target, TARGET_MOST, WHY_MOST};
+use sprucelink_cordon::{By, Hold, Limits, Outages, Target, TARGET_MOST, WHY_MOST};
+use sprucelink_hot_restart::*;
 
 fn me() -> Instance {
     Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() }
@@ -23,21 +23,21 @@
     }
 }
 
-fn ban() -> impl Strategy<Value = sprucelink_outage::Ban> {
+fn ban() -> impl Strategy<Value = sprucelink_cordon::Ban> {
     let target = prop_oneof![Just(Target::Manager), "[a-z0-9é-]{1,40}".prop_map(Target::Engine)];
     let word =
-        (any::<bool>(), 0..=sprucelink_outage::VERSION_MOST, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
+        (any::<bool>(), 0..=sprucelink_cordon::VERSION_MOST, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
     (target, prop::option::of(any::<u64>()), word).prop_map(
         |(target, permit, (out, version, until, at, why))| {
             let fleet = permit.is_some() && out;
-            let word = sprucelink_outage::Word {
+            let word = sprucelink_cordon::Word {
                 version,
                 out,
                 until: fleet.then_some(Micros(until)),
                 at: Micros(at),
                 why,
             };
-            sprucelink_outage::Ban {
+            sprucelink_cordon::Ban {
                 target,
                 by: permit.map_or(By::Operator, |permit| By::Fleet { permit }),
                 word,
@@ -180,8 +180,8 @@
 #[test]
 fn a_ban_that_no_call_could_make_is_named() {
     let word =
-        sprucelink_outage::Word { version: 1, out: true, until: None, at: Micros(1), why: String::new() };
-    let ban = |id: &str| sprucelink_outage::Ban {
+        sprucelink_cordon::Word { version: 1, out: true, until: None, at: Micros(1), why: String::new() };
+    let ban = |id: &str| sprucelink_cordon::Ban {
         target: Target::Engine(id.into()),
         by: By::Operator,
         word: word.clone(),
--- a/crates/handover/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Processes of one manager in virtual time, over one folder: starts, kills, SIGTERM at the newcomer's yes, calls by
 //! the operator, processes that stand still, writes and reads that fail. What must hold is checked every 10 ms.
 
-use sprucelink_handover::*;
-use sprucelink_outage::{By, Hold, Limits, Outages, Target};
+use sprucelink_cordon::{By, Hold, Limits, Outages, Target};
+use sprucelink_hot_restart::*;
 
 pub const MS: i64 = 1_000;
 const TICK: i64 = 10 * MS;
--- a/crates/handover/tests/disk.rs
+++ b/crates/hot-restart/tests/disk.rs
@@ -1,6 +1,6 @@
 //! The real folder, and keepers on it.
 
-use sprucelink_handover::*;
+use sprucelink_hot_restart::*;
 use std::fs;
 use std::os::unix::fs::{symlink, PermissionsExt};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/handover/tests/phases.rs
+++ b/crates/hot-restart/tests/phases.rs
@@ -1,6 +1,6 @@
 //! The phases of two processes by hand: who accepts, who spends what, and who dies when.
 
-use sprucelink_handover::*;
+use sprucelink_hot_restart::*;
 use std::slice::from_ref;
 
 const MS: i64 = 1_000;
--- a/crates/handover/tests/world.rs
+++ b/crates/hot-restart/tests/world.rs
@@ -4,7 +4,7 @@
 use common::{Event, World, ENGINES, MS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_handover::{Fault, FileName, Folder, Phase};
+use sprucelink_hot_restart::{Fault, FileName, Folder, Phase};
 
 fn in_order() -> impl Strategy<Value = Event> {
     let call = (any::<u8>(), 0..ENGINES.len() as u8, any::<bool>());
@@ -106,19 +106,25 @@
 #[test]
 fn a_cut_file_is_refused_and_the_next_one_read() {
     let w = World::new();
-    let me = sprucelink_handover::Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
+    let me = sprucelink_hot_restart::Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
     let open = |folder| {
-        sprucelink_handover::Keeper::open(folder, me.clone(), "t", 8, sprucelink_handover::Micros(w.now))
+        sprucelink_hot_restart::Keeper::open(
+            folder,
+            me.clone(),
+            "t",
+            8,
+            sprucelink_hot_restart::Micros(w.now),
+        )
     };
     let foreign = "sprucelink.00000001.9-5.handover";
     w.folder.lay(foreign, b"another's");
     let (writer, reader) = (w.folder.handle(), w.folder.handle());
     let (mut elder, _) = open(writer.clone());
-    let at = |ms: i64| sprucelink_handover::Micros(w.now + ms * MS);
+    let at = |ms: i64| sprucelink_hot_restart::Micros(w.now + ms * MS);
     writer.fail_next(Fault::TornFile(40));
     elder.step(at(0), false, true);
     elder.write(at(0), Default::default()).expect("it hears nothing of it");
-    let mut newcomer = sprucelink_handover::Keeper::open(reader, me.clone(), "t", 9, at(1)).0;
+    let mut newcomer = sprucelink_hot_restart::Keeper::open(reader, me.clone(), "t", 9, at(1)).0;
     let name = w.folder.names().into_iter().find(|n| n != foreign).expect("the elder's");
     assert!(FileName::parse(&name).is_some());
     assert_eq!(newcomer.look(at(100)).refused.len(), 0, "told at the start, not again");
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,7 +1,7 @@
 //! What members tell of themselves and of engines: a small summary with a version. Of two summaries of one member
 //! the one of its later life, and in one life of the higher version, counts; late and repeated ones change nothing.
 
-use sprucelink_stable::stable_hash;
+use sprucelink_stable_hash::stable_hash;
 use std::collections::BTreeMap;
 
 /// Engines in one list of a summary at most.
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -20,7 +20,7 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sprucelink_stable::stable_hash;
+use sprucelink_stable_hash::stable_hash;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/membership/src/terms.rs
+++ b/crates/membership/src/terms.rs
@@ -1,7 +1,7 @@
 //! Settings of the membership: a JSON5 file of the operator's, such as `deploy/membership.json5`.
 
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 use std::net::SocketAddr;
 
 /// Longest name, zone and region, in bytes: a datagram's updates stay small.
--- a/crates/figures/benches/update.rs
+++ b/crates/metrics/benches/update.rs
@@ -1,7 +1,7 @@
-//! What an update of the figures costs, and a rendering. `cargo bench -p sprucelink-figures`.
+//! What an update of the figures costs, and a rendering. `cargo bench -p sprucelink-metrics`.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use sprucelink_figures::Figures;
+use sprucelink_metrics::Figures;
 
 fn figures(c: &mut Criterion) {
     let classes: Vec<String> = (0..8).map(|n| format!("class-{n}")).collect();
--- a/crates/figures/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -15,13 +15,13 @@
 //! gauges handed out by name may be updated from any thread; the next rendering shows them.
 //!
 //! ```
-//! # use sprucelink_figures::Figures;
+//! # use sprucelink_metrics::Figures;
 //! let figures = Figures::new(&["lane-rate".into()])?;
 //! let taken = figures.take(0);
 //! figures.forwarded();
 //! taken.succeeded();
 //! assert!(figures.render().contains("edge.results.lane-rate.succeeded=1\n"));
-//! # Ok::<(), sprucelink_figures::Unfit>(())
+//! # Ok::<(), sprucelink_metrics::Unfit>(())
 //! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/shapes/benches/shape.rs
+++ b/crates/query-fingerprint/benches/shape.rs
@@ -1,8 +1,8 @@
-//! What a statement's shape costs on a hit and on a miss. `cargo bench -p sprucelink-shapes`.
+//! What a statement's shape costs on a hit and on a miss. `cargo bench -p sprucelink-query-fingerprint`.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use sprucelink_shapes::cache::Bounds;
-use sprucelink_shapes::known::Shapes;
+use sprucelink_query_fingerprint::cache::Bounds;
+use sprucelink_query_fingerprint::known::Shapes;
 
 const LOOK_UP: &str = "SELECT price FROM rates_17.lanes WHERE tag = '3f9c'";
 const REPORT: &str = "SELECT l.day, count(*) AS n, max(p.price) FROM sales_3.orders AS l JOIN rates_8.prices p ON p.item = l.id \
--- a/crates/shapes/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -1,9 +1,9 @@
 //! The corpus: every statement has the facts it says, a disguise changes nothing, and no two shapes collide.
 
 use proptest::prelude::*;
-use sprucelink_shapes::facts::{named, read, Facts, Kind};
-use sprucelink_shapes::lex::{token, tokens};
-use sprucelink_shapes::normal::{Normaliser, MOST_TEXT};
+use sprucelink_query_fingerprint::facts::{named, read, Facts, Kind};
+use sprucelink_query_fingerprint::lex::{token, tokens};
+use sprucelink_query_fingerprint::normal::{Normaliser, MOST_TEXT};
 use std::collections::BTreeMap;
 
 const KINDS: [(&str, Kind); 9] = [
@@ -141,7 +141,7 @@
                     out.push_str(if blank.starts_with(['-', '/']) { " " } else { "" });
                     out.push_str(blank);
                 }
-                let word = t.kind == sprucelink_shapes::lex::Kind::Word && raw.is_ascii();
+                let word = t.kind == sprucelink_query_fingerprint::lex::Kind::Word && raw.is_ascii();
                 out.push_str(&if word && upper { raw.to_ascii_uppercase() } else { raw.to_owned() });
             }
             (text, out)
@@ -168,7 +168,7 @@
         if f.whole {
             let mut lexed = Vec::new();
             tokens(&other, 10_000, &mut lexed);
-            for set in named(&other, &lexed).iter().filter_map(|(s, _)| sprucelink_shapes::facts::data_set(s)) {
+            for set in named(&other, &lexed).iter().filter_map(|(s, _)| sprucelink_query_fingerprint::facts::data_set(s)) {
                 prop_assert!(f.data_sets.contains(&set), "{set}: {other}");
             }
         }
--- a/crates/compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -1,11 +1,11 @@
-//! What a judgement costs: `cargo run --release -p sprucelink-compat --example measure`. Each figure is the least of
+//! What a judgement costs: `cargo run --release -p sprucelink-schema-compat --example measure`. Each figure is the least of
 //! several runs; the machine's other load shows in the rest.
 #![forbid(unsafe_code)]
 
-use sprucelink_compat::check::{check, Directions};
-use sprucelink_compat::rules::Direction;
-use sprucelink_compat::sample::sample;
-use sprucelink_compat::{Op, Outcome, Registry, Schema, Translation, Uses};
+use sprucelink_schema_compat::check::{check, Directions};
+use sprucelink_schema_compat::rules::Direction;
+use sprucelink_schema_compat::sample::sample;
+use sprucelink_schema_compat::{Op, Outcome, Registry, Schema, Translation, Uses};
 use std::time::{Duration, Instant};
 
 const VERSIONS: u32 = 64;
--- a/crates/compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -4,7 +4,7 @@
 
 macro_rules! rules {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// A rule. Its name is stable: logs, settings and operators speak of it by name (`docs/operators/compat.md`).
+        /// A rule. Its name is stable: logs, settings and operators speak of it by name (`docs/operators/schema-compat.md`).
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
         pub enum Rule { $($(#[$doc])* $variant,)* }
 
--- a/crates/compat/tests/common/mod.rs
+++ b/crates/schema-compat/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod edits;
 pub mod oracle;
 
-use sprucelink_compat::check::history;
-use sprucelink_compat::{check_findings, Directions, Finding, Schema, Uses};
+use sprucelink_schema_compat::check::history;
+use sprucelink_schema_compat::{check_findings, Directions, Finding, Schema, Uses};
 
 pub fn schema(body: &str) -> Schema {
     let full = if body.trim_start().starts_with("syntax") {
--- a/crates/compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{corpus, schema, Case};
-use sprucelink_compat::check::worst;
-use sprucelink_compat::rules::Severity;
-use sprucelink_compat::{check_findings, Directions, Finding, Rule, Uses};
+use sprucelink_schema_compat::check::worst;
+use sprucelink_schema_compat::rules::Severity;
+use sprucelink_schema_compat::{check_findings, Directions, Finding, Rule, Uses};
 use std::sync::LazyLock;
 
 fn verdict(findings: &[Finding]) -> &'static str {
@@ -72,7 +72,7 @@
 
 #[test]
 fn bounds_of_schemas_are_errors() {
-    use sprucelink_compat::Schema;
+    use sprucelink_schema_compat::Schema;
     let failed = |text: &str| Schema::from_text(text).map(|_| ()).unwrap_err().to_string();
     let fields: String = (1..=5000).map(|n| format!("int32 f{n} = {n};\n")).collect();
     assert!(failed(&format!("syntax = \"proto3\"; message R {{ {fields} }}")).contains("5000 fields"));
@@ -97,7 +97,7 @@
 
 #[test]
 fn declarations_beside_the_schema_say_what_options_say() {
-    use sprucelink_compat::Declared;
+    use sprucelink_schema_compat::Declared;
     let old = schema("message R { int32 a = 1; int32 b = 2; E e = 3; } enum E { Z = 0; }");
     let new = schema("message S { int32 z = 4; E e = 3; } enum E { Z = 0; ONE = 1; }");
     let text = str::to_string;
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_report_says_it_in_text_and_json() {
-    use sprucelink_compat::explain;
+    use sprucelink_schema_compat::explain;
     let text = |body: &str| format!("syntax = \"proto3\"; package t; message R {{ {body} }}");
     let (old, new) = (text("int32 a = 1; int32 b = 2;"), text("int64 a = 1; int32 b = 2; int32 c = 3;"));
     let report = explain(&old, &new, &Uses::all()).unwrap();
--- a/crates/compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{schema, uses};
-use sprucelink_compat::bounds::LEASE_MARGIN_MS;
-use sprucelink_compat::registry::Prepared;
-use sprucelink_compat::{Op, Outcome, Registry, Schema};
+use sprucelink_schema_compat::bounds::LEASE_MARGIN_MS;
+use sprucelink_schema_compat::registry::Prepared;
+use sprucelink_schema_compat::{Op, Outcome, Registry, Schema};
 use std::collections::{HashMap, HashSet};
 
 /// One step of time, in ms: a lease is one, its margin another.
@@ -156,7 +156,7 @@
         }
     }
 
-    fn body(&self, digest: sprucelink_compat::Digest) -> u32 {
+    fn body(&self, digest: sprucelink_schema_compat::Digest) -> u32 {
         1 + self.schemas.iter().position(|schema| schema.digest() == digest).unwrap() as u32
     }
 
--- a/crates/compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -8,10 +8,10 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use prost::Message as _;
 use prost_reflect::DynamicMessage;
-use sprucelink_compat::check::worst;
-use sprucelink_compat::rules::{Direction, Severity};
-use sprucelink_compat::sample::sample;
-use sprucelink_compat::{check_findings, Directions, Finding, Rule, Schema, Translation, Uses};
+use sprucelink_schema_compat::check::worst;
+use sprucelink_schema_compat::rules::{Direction, Severity};
+use sprucelink_schema_compat::sample::sample;
+use sprucelink_schema_compat::{check_findings, Directions, Finding, Rule, Schema, Translation, Uses};
 use std::collections::BTreeMap;
 
 fn runner(cases: u32) -> TestRunner {
--- a/crates/compat/tests/registry.rs
+++ b/crates/schema-compat/tests/registry.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{schema, uses};
-use sprucelink_compat::bounds::{LEASE_MARGIN_MS, MAX_SUBSCRIBERS, MAX_VERSIONS, MIN_LEASE_MS};
-use sprucelink_compat::registry::{NotAccepted, Refusal};
-use sprucelink_compat::{Declared, Op, Outcome, Registry, Rule, Schema};
+use sprucelink_schema_compat::bounds::{LEASE_MARGIN_MS, MAX_SUBSCRIBERS, MAX_VERSIONS, MIN_LEASE_MS};
+use sprucelink_schema_compat::registry::{NotAccepted, Refusal};
+use sprucelink_schema_compat::{Declared, Op, Outcome, Registry, Rule, Schema};
 
 const LEASE: u64 = 10_000;
 
--- a/crates/compat/tests/translate.rs
+++ b/crates/schema-compat/tests/translate.rs
@@ -4,8 +4,8 @@
 
 use common::schema;
 use prost_reflect::{DynamicMessage, MapKey, Value};
-use sprucelink_compat::rules::Direction;
-use sprucelink_compat::{check, Directions, Schema, Translation, Uses, Verdict};
+use sprucelink_schema_compat::rules::Direction;
+use sprucelink_schema_compat::{check, Directions, Schema, Translation, Uses, Verdict};
 use std::collections::HashMap;
 
 fn record(schema: &Schema, name: &str, fields: &[(&str, Value)]) -> DynamicMessage {
--- a/crates/coldstart/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 
 /// Latency taken for the mean before an answer tells, and the weight of one answer in it.
 const FIRST_LATENCY: Micros = Micros(200_000);
--- a/crates/coldstart/src/backoff.rs
+++ b/crates/startup/src/backoff.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 
 /// The figures of a backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/coldstart/src/dials.rs
+++ b/crates/startup/src/dials.rs
@@ -9,7 +9,7 @@
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::{stable_hash, unit, within};
+use sprucelink_stable_hash::{stable_hash, unit, within};
 
 /// The figures of dials.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/coldstart/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -13,7 +13,7 @@
 //! parts of one budget for the whole fleet.
 
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 
 /// The figures of the ramp. The decision module carries it out (`Settings::cold_ramp`).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/coldstart/src/held.rs
+++ b/crates/startup/src/held.rs
@@ -16,7 +16,7 @@
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 use std::collections::BTreeMap;
 
 /// Engines kept at most; of lists beyond that the rest is taken as told. Twice the largest fleet planned for.
--- a/crates/coldstart/src/lists.rs
+++ b/crates/startup/src/lists.rs
@@ -24,7 +24,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 
 /// Longest first wait and rest, in milliseconds: half the drain grace of 500 ms, so that a manager that
 /// learns of a drain at the end of a rest still stops sending within the grace.
--- a/crates/coldstart/src/ready.rs
+++ b/crates/startup/src/ready.rs
@@ -7,7 +7,7 @@
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 
 /// The figures of readiness.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/ledger/examples/figures.rs
+++ b/crates/wal/examples/figures.rs
@@ -2,8 +2,8 @@
 //! `figures FOLDER [APPENDS]`; both do the same work in turn, and the ratio is what counts.
 
 use redb::{Database, Durability, TableDefinition};
-use sprucelink_ledger::folder::Folder;
-use sprucelink_ledger::{Entry, Ledger, Write};
+use sprucelink_wal::folder::Folder;
+use sprucelink_wal::{Entry, Ledger, Write};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/ledger/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -1,9 +1,9 @@
 //! The store against its disk's faults, and as a state machine against a plain model.
 
 use proptest::prelude::*;
-use sprucelink_ledger::faults::{FaultDisk, Faults};
-use sprucelink_ledger::folder::Folder;
-use sprucelink_ledger::{Base, Disk, Entry, Ledger, LedgerError, Restored, Write};
+use sprucelink_wal::faults::{FaultDisk, Faults};
+use sprucelink_wal::folder::Folder;
+use sprucelink_wal::{Base, Disk, Entry, Ledger, LedgerError, Restored, Write};
 
 fn write(seq: u64, first: u64, count: u64) -> Write {
     let entries = (first..first + count)
--- a/crates/locality/src/terms.rs
+++ b/crates/zone-failover/src/terms.rs
@@ -1,7 +1,7 @@
 //! Settings of the failover: a JSON5 file of the operator's, such as `deploy/failover.json5`.
 
 use serde::{Deserialize, Serialize};
-use sprucelink_stable::within;
+use sprucelink_stable_hash::within;
 use std::collections::BTreeMap;
 
 /// Zones that may be named in regions.
--- a/src/core/feed.rs
+++ b/src/core/feed.rs
@@ -11,7 +11,7 @@
 use hyper::header::{ACCEPT, CONNECTION, HOST};
 use hyper::Request;
 use hyper_util::rt::TokioIo;
-use sprucelink_coldstart::lists::ListCalls;
+use sprucelink_startup::lists::ListCalls;
 use std::error::Error;
 use std::future::Future;
 use std::rc::Rc;
--- a/src/core/following.rs
+++ b/src/core/following.rs
@@ -3,8 +3,8 @@
 //!
 //! A call goes through [`Phase`]s, each with a bound on how long it may last with nothing heard.
 
-use sprucelink_coldstart::lists::{Ended, ListCalls};
 use sprucelink_policy::interface::Micros;
+use sprucelink_startup::lists::{Ended, ListCalls};
 
 /// First and longest rest between two calls. What the feed holds counts as told whether it is
 /// connected or not, and a drain must be heeded within 500 ms: no rest may come near that.
--- a/src/core/following_tests.rs
+++ b/src/core/following_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
-use sprucelink_coldstart::lists::ListTerms;
+use sprucelink_startup::lists::ListTerms;
 
 /// What a feed does with one call, each step so many microseconds after the one before.
 #[derive(Clone, Debug)]
--- a/src/core/outages.rs
+++ b/src/core/outages.rs
@@ -1,12 +1,12 @@
 //! Engines that are taken out by hand, and what the deciding part hears of it: the list, with those engines draining
-//! whatever the list says. `sprucelink_outage` decides what is out; here it is put between the list and the module,
+//! whatever the list says. `sprucelink_cordon` decides what is out; here it is put between the list and the module,
 //! so that a ban takes the way that every drain takes.
 
 use super::facade::Order;
 use super::now;
 use super::requests::{Core, Inner};
 use crate::proto::events::{ListEvent, Member, Phase};
-use sprucelink_outage::{Ban, Change, Hold, Merged, Refused, Target};
+use sprucelink_cordon::{Ban, Change, Hold, Merged, Refused, Target};
 use std::rc::Rc;
 use tracing::{info, warn};
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// An id that was never listed.
-    pub fn put_back(self: &Rc<Self>, id: &str, by: sprucelink_outage::By) -> Result<Change, Refused> {
+    pub fn put_back(self: &Rc<Self>, id: &str, by: sprucelink_cordon::By) -> Result<Change, Refused> {
         let mut inner = self.inner.borrow_mut();
         let change = inner.outages.uncordon(now(), &Target::Engine(id.to_owned()), by)?;
         info!(engine = %id, "engine {id} is put back by {by}: {change:?}");
--- a/src/core/zones.rs
+++ b/src/core/zones.rs
@@ -1,15 +1,15 @@
 //! What the failover between zones is told by the core, and what it tells the module: sums over the module's own beliefs
-//! of engines, and over what other managers see. It adds up; `sprucelink_locality` decides.
+//! of engines, and over what other managers see. It adds up; `sprucelink_zone_failover` decides.
 
 use super::facade::{News, Order};
 use super::now;
 use super::requests::{Core, Inner};
-use sprucelink_locality::silence::{self, Heard, Silences, Voice};
-use sprucelink_locality::terms::Terms;
-use sprucelink_locality::{Locality, Plan, Seen};
 use sprucelink_membership::facts::{self, Facts};
 use sprucelink_policy::brain::view::EngineView;
 use sprucelink_policy::interface::Micros;
+use sprucelink_zone_failover::silence::{self, Heard, Silences, Voice};
+use sprucelink_zone_failover::terms::Terms;
+use sprucelink_zone_failover::{Locality, Plan, Seen};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
--- a/src/main.rs
+++ b/src/main.rs
@@ -37,7 +37,7 @@
     });
     let recorder = tools::recorder(files.capture.as_deref(), files.recorder.as_deref())?;
     let cold_start = files.cold_start.as_ref().map(|path| {
-        let set = sprucelink_coldstart::settings::ColdStart::parse(&text(path)?);
+        let set = sprucelink_startup::settings::ColdStart::parse(&text(path)?);
         set.map_err(|e| format!("{path}: {e}"))
     });
     let membership = files.membership.as_ref().map(|path| {
@@ -45,7 +45,7 @@
         set.map_err(|e| format!("{path}: {e}"))
     });
     let failover = files.failover.as_ref().map(|path| {
-        let set = sprucelink_locality::terms::Terms::parse(&text(path)?);
+        let set = sprucelink_zone_failover::terms::Terms::parse(&text(path)?);
         set.map_err(|e| format!("{path}: {e}"))
     });
     let operators = config.operator.map(|address| address.to_string());
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -2,8 +2,8 @@
 //! name of its schema; and whether a text holds one statement.
 
 use super::Malformed;
-use sprucelink_shapes::facts::data_set;
-use sprucelink_shapes::lex::{self, Kind};
+use sprucelink_query_fingerprint::facts::data_set;
+use sprucelink_query_fingerprint::lex::{self, Kind};
 
 /// What a word in a statement is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -4,8 +4,8 @@
 use super::upgrade::Upgrade;
 use crate::core::requests::Core;
 use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
-use sprucelink_figures::Counter;
-use sprucelink_outage::{By, Change, Hold, Refused as Unfit};
+use sprucelink_cordon::{By, Change, Hold, Refused as Unfit};
+use sprucelink_metrics::Counter;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/run/upgrade.rs
+++ b/src/run/upgrade.rs
@@ -1,12 +1,14 @@
 //! Upgrades: a second process beside the first, on the same listening socket, counting with it as one workload
-//! manager. `sprucelink_handover` decides who takes connections and what each may spend, and keeps the files by which
+//! manager. `sprucelink_hot_restart` decides who takes connections and what each may spend, and keeps the files by which
 //! the two know of each other; here its word is carried out.
 
 use crate::core::now;
 use crate::core::requests::Core;
 use crate::front::Front;
-use sprucelink_handover::{adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally};
-use sprucelink_handover::{Age, LOOK};
+use sprucelink_hot_restart::{
+    adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
+};
+use sprucelink_hot_restart::{Age, LOOK};
 use sprucelink_policy::interface::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -2,7 +2,7 @@
 //! ready, and its settings are checked.
 mod support;
 
-use sprucelink_fleetrig::lists::{ListService, Mood};
+use sprucelink_cluster_harness::lists::{ListService, Mood};
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/tests/fleet_history.rs
+++ b/tests/fleet_history.rs
@@ -1,9 +1,9 @@
 //! The rig's history of processes of the program itself: what reached engines and list services, who was out and why.
-use sprucelink_checker::event::{Cause, Event};
-use sprucelink_checker::invariants::budget;
-use sprucelink_fleetrig::history;
-use sprucelink_fleetrig::run::{self, Program};
-use sprucelink_fleetrig::scenario::Scenario;
+use sprucelink_cluster_harness::history;
+use sprucelink_cluster_harness::run::{self, Program};
+use sprucelink_cluster_harness::scenario::Scenario;
+use sprucelink_history_checker::event::{Cause, Event};
+use sprucelink_history_checker::invariants::budget;
 
 /// Managers restarted by the rig and an engine drained by the list are outages that the fleet did not permit, however
 /// small the budget; commands name their manager, and an engine that is used all along is never out.
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -1,11 +1,11 @@
 //! The fleet rig on the real program: managers started together against its counting stand-ins, and the hard
 //! cases of a cold start. Processes are few here; docs/measurements/cold-start.md has them at 50 to 200.
-use sprucelink_fleetrig::engines::CountingEngine;
-use sprucelink_fleetrig::lists::ListService;
-use sprucelink_fleetrig::procs::{self, Fleet};
-use sprucelink_fleetrig::report::Report;
-use sprucelink_fleetrig::run::{self, Outcome, Program};
-use sprucelink_fleetrig::scenario::Scenario;
+use sprucelink_cluster_harness::engines::CountingEngine;
+use sprucelink_cluster_harness::lists::ListService;
+use sprucelink_cluster_harness::procs::{self, Fleet};
+use sprucelink_cluster_harness::report::Report;
+use sprucelink_cluster_harness::run::{self, Outcome, Program};
+use sprucelink_cluster_harness::scenario::Scenario;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
@@ -29,7 +29,7 @@
     for i in 0..3 {
         let at = fleet.serving(i).expect("an address");
         assert!(
-            sprucelink_fleetrig::ask_once(at, 0x100 + i as u64).expect("an answer"),
+            sprucelink_cluster_harness::ask_once(at, 0x100 + i as u64).expect("an answer"),
             "manager {i} served"
         );
     }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,8 +1,8 @@
 //! The view of the fleet that managers keep themselves: several processes of the program, with faults between them.
 //! The protocol runs five times as fast as by default. What virtual time shows better is in
 //! `crates/membership/tests/model.rs`; docs/measurements/membership.md has the figures at 10 to 1,000.
-use sprucelink_fleetrig::run::{self, Outcome, Program};
-use sprucelink_fleetrig::scenario::Scenario;
+use sprucelink_cluster_harness::run::{self, Outcome, Program};
+use sprucelink_cluster_harness::scenario::Scenario;
 
 /// A period of 200 ms: a crash is known within some seconds, and a busy machine still answers in time.
 const FAST: &str = "protocol: { period_ms: 200, timeout_ms: 80, gossip_ms: 50, rejoin_ms: 500 }";
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -1,8 +1,8 @@
 //! Failover between zones: several processes of the program, managers and engines in three zones, with faults between
-//! them by the rig's middle. What the rule says in every case is tested in `crates/locality`; here it is seen to hold
+//! them by the rig's middle. What the rule says in every case is tested in `crates/zone-failover`; here it is seen to hold
 //! for processes and sockets.
-use sprucelink_fleetrig::run::{self, Outcome, Program};
-use sprucelink_fleetrig::scenario::Scenario;
+use sprucelink_cluster_harness::run::{self, Outcome, Program};
+use sprucelink_cluster_harness::scenario::Scenario;
 
 const ON: &str = "failover: { enabled: true, ramp_ms: 4000, regions: { north: ['hall-a', 'hall-b'] } }";
 
