--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -105,7 +105,7 @@
     /// told late go by that alone until they are.
     ToldLateOfARestart,
     /// As settled, and within the first second each manager starts a second process, which knows of no other and goes
-    /// by the managers told (`src/run/upgrade.rs`, `turn`). Up to half a second later the first is told that parts are
+    /// by the managers told (`src/run/hot_restart_driver.rs`, `turn`). Up to half a second later the first is told that parts are
     /// halved, and goes on with the sessions it has. Four seconds in, half of the second processes die; what the first
     /// is told then comes a cold span later (`part` there).
     Upgrade,
--- a/src/bin/sprucelink-simhost.rs
+++ b/src/bin/sprucelink-simhost.rs
@@ -4,7 +4,7 @@
 //! output; it decides nothing. With `--capture DIR` it records each instance's module into a folder of its own
 //! below DIR.
 
-use sprucelink::wire::{parse_line, print_action, Line, PoolEntry, WireError};
+use sprucelink::simulator::codec::{parse_line, print_action, Line, PoolEntry, WireError};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as Capture;
 use sprucelink_policy::Policy;
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,13 +1,13 @@
 //! Attempts: each leaves once, is called off at most once, and has its one end.
 
+use super::buffer_pool::Pool;
+use super::engine_connection::{Link, Owner, Terms, Withdrawn};
 use super::engines::link_for;
 use super::facade::{End, News, Order};
-use super::gate::Leaving;
-use super::links::{Link, Owner, Terms, Withdrawn};
 use super::now;
-use super::pool::Pool;
-use super::requests::{Core, Final, Inner};
-use super::results::{ResultSet, MOST_RESULT, PAGE};
+use super::request_table::{Core, Final, Inner};
+use super::result_buffer::{ResultSet, MOST_RESULT, PAGE};
+use super::send_guard::Leaving;
 use crate::proto::resp::{self, Answer, Stats, Word};
 use crate::proto::Malformed;
 use sprucelink_policy::Micros;
--- a/src/core/outages.rs
+++ b/src/core/cordons.rs
@@ -4,7 +4,7 @@
 
 use super::facade::Order;
 use super::now;
-use super::requests::{Core, Inner};
+use super::request_table::{Core, Inner};
 use crate::proto::events::{ListEvent, Member, Phase};
 use sprucelink_cordon::{Ban, Change, Hold, Merged, Refused, Target};
 use std::rc::Rc;
--- a/src/core/feed.rs
+++ b/src/core/endpoint_client.rs
@@ -1,8 +1,8 @@
 //! Follows the control feed: one HTTP/1.1 call at a time, which goes on where the last one left off. When to call and
-//! when to give up, [`super::following`] decides.
+//! when to give up, [`super::endpoint_watch`] decides.
 
-use super::following::Following;
-use super::requests::Core;
+use super::endpoint_watch::Following;
+use super::request_table::Core;
 use super::{now, span};
 use crate::proto::{events, sse, Malformed};
 use http_body_util::{BodyExt, Empty};
--- a/src/core/following.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,5 +1,5 @@
 //! When the control feed is called, when a call is given up, and what is asked for anew: the deciding half of its
-//! follower ([`super::feed`] is the acting one). It reads no clock and draws no numbers of its own.
+//! follower ([`super::endpoint_client`] is the acting one). It reads no clock and draws no numbers of its own.
 //!
 //! A call goes through [`Phase`]s, each with a bound on how long it may last with nothing heard.
 
@@ -181,5 +181,5 @@
 }
 
 #[cfg(test)]
-#[path = "following_tests.rs"]
+#[path = "endpoint_watch_tests.rs"]
 mod tests;
--- a/src/core/links.rs
+++ b/src/core/engine_connection.rs
@@ -1,7 +1,7 @@
 //! Connections to engines. A link carries many attempts; it belongs to an engine's id, not to its
 //! address, for addresses are used again. What breaks a link ends each attempt on it once.
 
-use super::pool::{read_into, Buf, Pool, SIZE};
+use super::buffer_pool::{read_into, Buf, Pool, SIZE};
 use super::{now, span};
 use crate::proto::{resp, Malformed};
 use socket2::SockRef;
--- a/src/core/engines.rs
+++ b/src/core/engines.rs
@@ -1,10 +1,10 @@
 //! Engines as the control feed names them, and their links: which are there, which are let go.
 
 use super::attempts::{Out, UNDO_LANDS};
+use super::engine_connection::{self, Link, Withdrawn};
 use super::facade::{End, News, Order};
-use super::links::{self, Link, Withdrawn};
 use super::now;
-use super::requests::{Core, Inner};
+use super::request_table::{Core, Inner};
 use crate::proto::events::{ListEvent, Member, Phase};
 use sprucelink_policy::Micros;
 use sprucelink_startup::dials::DialStager;
@@ -291,6 +291,6 @@
         link.dial_at(dials.dial_at(now(), &e.id));
     }
     e.links.push(Rc::clone(&link));
-    tokio::task::spawn_local(links::run(Rc::clone(core), Rc::clone(&link)));
+    tokio::task::spawn_local(engine_connection::run(Rc::clone(core), Rc::clone(&link)));
     Ok(link)
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -2,19 +2,19 @@
 //! of buffers and the connections to engines. Nothing here knows what clients speak.
 
 pub mod attempts;
+pub mod buffer_pool;
+mod cordons;
+pub mod endpoint_client;
+pub mod endpoint_watch;
+pub mod engine_connection;
 pub mod engines;
 pub mod facade;
-pub mod feed;
-pub mod following;
-mod gate;
-pub mod links;
-mod outages;
-mod past;
-pub mod pool;
-pub mod requests;
-pub mod results;
-mod shared;
-pub mod zones;
+mod gossip_facts;
+mod recent_requests;
+pub mod request_table;
+pub mod result_buffer;
+mod send_guard;
+pub mod zone_routing;
 
 use sprucelink_policy::Micros;
 use std::sync::OnceLock;
--- a/src/core/requests.rs
+++ b/src/core/request_table.rs
@@ -2,15 +2,15 @@
 //! took it, and every attempt its one end.
 
 use super::attempts::{Out, UNDO_LEAVES};
+use super::buffer_pool::{Buf, Pool, SIZE};
+use super::engine_connection::{Terms, Withdrawn};
 use super::engines::Engine;
 use super::facade::{Asked, End, Facade, News, Order};
-use super::gate::Gate;
-use super::links::{Terms, Withdrawn};
-use super::past::Past;
-use super::pool::{Buf, Pool, SIZE};
-use super::results::ResultSet;
-use super::shared::Shared;
-use super::zones::Failover;
+use super::gossip_facts::Shared;
+use super::recent_requests::Past;
+use super::result_buffer::ResultSet;
+use super::send_guard::Gate;
+use super::zone_routing::Failover;
 use super::{now, span};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{Limits as OutageLimits, Outages};
--- a/src/core/requests/leaving_tests.rs
+++ b/src/core/request_table/leaving_tests.rs
@@ -1,10 +1,10 @@
 //! Attempts that were chosen and have not left when things change: they wait for a connection, or behind a peer that
 //! takes nothing.
 
-use super::super::results::ResultSet;
+use super::super::result_buffer::ResultSet;
 use super::tests::{core, core_with, local, request, Nobody};
 use super::*;
-use crate::core::links::{self, Link};
+use crate::core::engine_connection::{self, Link};
 use crate::proto::events::{ListEvent, Member, Phase};
 use crate::proto::resp;
 use std::time::Duration;
@@ -203,7 +203,7 @@
         };
         (0..1_000).for_each(send);
         let nobody = Rc::new(Nobody(pool.clone(), *core.terms()));
-        tokio::task::spawn_local(links::run(nobody, Rc::clone(&link)));
+        tokio::task::spawn_local(engine_connection::run(nobody, Rc::clone(&link)));
         let (_peer, _) = listeners[0].accept().await.expect("a link");
         let mut before = u64::MAX;
         while before != link.written() {
@@ -302,7 +302,7 @@
         let (core, _engines) = core().await;
         let nobody = Rc::new(Nobody(Pool::new(4), Terms { dial: Micros(600_000_000), ..*core.terms() }));
         let link = Link::new(0, address);
-        let dial = tokio::task::spawn_local(links::run(nobody, Rc::clone(&link)));
+        let dial = tokio::task::spawn_local(engine_connection::run(nobody, Rc::clone(&link)));
         tokio::task::yield_now().await;
         assert!(!dial.is_finished());
         link.close();
--- a/src/core/requests/tests.rs
+++ b/src/core/request_table/tests.rs
@@ -1,8 +1,8 @@
 //! The table of requests under what goes wrong around it.
 
-use super::super::past::{MOST_PAST, PAST};
+use super::super::recent_requests::{MOST_PAST, PAST};
 use super::*;
-use crate::core::links::{Link, Owner, Withdrawn};
+use crate::core::engine_connection::{Link, Owner, Withdrawn};
 use crate::proto::events::{ListEvent, Member, Phase};
 use sprucelink_policy::*;
 use std::time::Duration;
@@ -298,7 +298,7 @@
         assert_eq!(link.withdraw(0), Withdrawn::Whole);
         assert_eq!(link.withdraw(2), Withdrawn::Whole);
         let nobody = Rc::new(Nobody(pool.clone(), *core.terms()));
-        tokio::task::spawn_local(crate::core::links::run(nobody, Rc::clone(&link)));
+        tokio::task::spawn_local(crate::core::engine_connection::run(nobody, Rc::clone(&link)));
         let (mut peer, _) = listeners[0].accept().await.expect("a link");
         // More than the peer's and this side's kernel buffers hold: it reads nothing yet.
         (4..1_000).for_each(send);
--- a/src/core/results.rs
+++ b/src/core/result_buffer.rs
@@ -1,6 +1,6 @@
 //! Results: the pages of an answer, kept until its client has the last row.
 
-use super::pool::{Buf, Pool};
+use super::buffer_pool::{Buf, Pool};
 
 /// Longest page.
 pub(super) const PAGE: usize = 6_000;
--- a/src/core/gate.rs
+++ b/src/core/send_guard.rs
@@ -162,5 +162,5 @@
 }
 
 #[cfg(test)]
-#[path = "gate_tests.rs"]
+#[path = "send_guard_tests.rs"]
 mod tests;
--- a/src/core/zones.rs
+++ b/src/core/zone_routing.rs
@@ -3,7 +3,7 @@
 
 use super::facade::{News, Order};
 use super::now;
-use super::requests::{Core, Inner};
+use super::request_table::{Core, Inner};
 use sprucelink_membership::facts::{self, Facts};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::Micros;
--- a/src/front/answer.rs
+++ b/src/front/answer.rs
@@ -1,8 +1,8 @@
 //! Final answers as clients see them.
 
 use super::wire::Wire;
-use crate::core::requests::Cause;
-use crate::core::results::ResultSet;
+use crate::core::request_table::Cause;
+use crate::core::result_buffer::ResultSet;
 use crate::proto::pg::{self, Fault};
 use sprucelink_policy::Micros;
 use std::io;
--- a/src/front/seats.rs
+++ b/src/front/connection_slots.rs
@@ -333,5 +333,5 @@
 }
 
 #[cfg(test)]
-#[path = "seats_tests.rs"]
+#[path = "connection_slots_tests.rs"]
 mod tests;
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -2,20 +2,20 @@
 //! few functions; they differ in what they speak beyond a simple query.
 
 pub mod answer;
+pub mod connection_slots;
 pub mod extended;
-pub mod seats;
 pub mod session;
 pub mod socket;
 pub mod wire;
 
+use crate::core::buffer_pool::Buf;
 use crate::core::facade::Asked;
-use crate::core::pool::Buf;
-use crate::core::requests::{Core, Request, Ticket, MOST_STATEMENT};
+use crate::core::request_table::{Core, Request, Ticket, MOST_STATEMENT};
 use crate::core::{now, span};
 use crate::proto::fields::Fields;
 use crate::proto::pg::{self, Fault, Opening};
 use crate::proto::tables;
-use seats::{Errand, Lobby, Seat, Seats, Standby, Stay};
+use connection_slots::{Errand, Lobby, Seat, Seats, Standby, Stay};
 use session::Cancel;
 use socket::Socket;
 use sprucelink_policy::Micros;
--- a/src/front/session.rs
+++ b/src/front/session.rs
@@ -1,11 +1,11 @@
 //! One client's session: start-up, simple queries, and what both fronts share in answering them.
 
+use super::connection_slots::Seat;
 use super::extended::{self, Names};
-use super::seats::Seat;
 use super::wire::{Overrun, Wire};
 use super::{answer, late, too_many, Counted, Front};
-use crate::core::pool::SIZE;
-use crate::core::requests::{Final, Ticket};
+use crate::core::buffer_pool::SIZE;
+use crate::core::request_table::{Final, Ticket};
 use crate::proto::pg::{self, Fault, Message};
 use crate::proto::{
     fields::{self, Fields},
@@ -384,7 +384,7 @@
         &mut self,
         wire: &mut Wire<S>,
         mut ticket: Ticket,
-    ) -> io::Result<Option<Result<crate::core::results::ResultSet, Fault>>> {
+    ) -> io::Result<Option<Result<crate::core::result_buffer::ResultSet, Fault>>> {
         let cancel = Rc::clone(&self.cancel);
         let extended = self.front.setup.extended;
         loop {
--- a/src/front/wire.rs
+++ b/src/front/wire.rs
@@ -4,8 +4,8 @@
 //! still sent. So what is read ahead is kept up to a bound, and beyond that thrown away, only to learn of the end; the
 //! session is then overrun, and ends behind what it holds whole.
 
+use crate::core::buffer_pool::{Buf, Pool, SIZE};
 use crate::core::now;
-use crate::core::pool::{Buf, Pool, SIZE};
 use sprucelink_policy::Micros;
 use std::cell::Cell;
 use std::collections::VecDeque;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //! which queries are admitted, at which priority level and to which engine they go, and what is
 //! done when an attempt ends badly; and it carries that out on sockets.
 //!
-//! The decision module and its vocabulary are a crate of their own, `sprucelink-policy`. [`wire`] is the
+//! The decision module and its vocabulary are a crate of their own, `sprucelink-policy`. [`simulator`] is the
 //! codec of the simulator's adapter, [`proto`] what is spoken on sockets, [`core`] what is kept in
 //! memory, [`front`] what clients connect to, [`run`] start and stop.
 
@@ -10,7 +10,7 @@
 pub mod front;
 pub mod proto;
 pub mod run;
-pub mod wire;
+pub mod simulator;
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,8 +1,8 @@
 //! The workload manager's program: `sprucelink help` says how to call it.
 
-use sprucelink::run::args::{self, Command, Files};
+use sprucelink::run::cli::{self, Command, Files};
 use sprucelink::run::serve::Start;
-use sprucelink::run::{config, inherit, logging, operator, serve, tools};
+use sprucelink::run::{commands, config, logging, operator, serve, socket_activation};
 use sprucelink_settings::Environment;
 
 fn text(path: &str) -> Result<String, String> {
@@ -33,7 +33,7 @@
         })?;
         Ok::<_, String>(read)
     });
-    let recorder = tools::recorder(files.capture.as_deref(), files.recorder.as_deref())?;
+    let recorder = commands::recorder(files.capture.as_deref(), files.recorder.as_deref())?;
     let cold_start = files.cold_start.as_ref().map(|path| {
         let set = sprucelink_startup::settings::ColdStart::parse(&text(path)?);
         set.map_err(|e| format!("{path}: {e}"))
@@ -47,7 +47,7 @@
         set.map_err(|e| format!("{path}: {e}"))
     });
     let operators = config.operator.map(|address| address.to_string());
-    let inherited = config.inherited.map(inherit::listener).transpose()?;
+    let inherited = config.inherited.map(socket_activation::listener).transpose()?;
     Ok(Start {
         config,
         operators,
@@ -65,7 +65,7 @@
     let unusable = |e: String| (e, 2);
     match command {
         Command::Version => println!("sprucelink {}", env!("CARGO_PKG_VERSION")),
-        Command::Help(of) => print!("{}", args::usage(of)),
+        Command::Help(of) => print!("{}", cli::usage(of)),
         Command::Check(files) => {
             let start = read(&files).map_err(unusable)?;
             let c = start.config;
@@ -114,22 +114,22 @@
             logging::start(files.logging);
             serve::serve(start, files, read_config).map_err(|e| (e, 1))?;
         }
-        Command::Replay(ask) => return tools::replay(&ask).map_err(unusable),
+        Command::Replay(ask) => return commands::replay(&ask).map_err(unusable),
         Command::Explain { file, question, json } => {
-            return tools::explain_why(&file, &question, json).map_err(unusable)
+            return commands::explain_why(&file, &question, json).map_err(unusable)
         }
-        Command::Show { file, json } => return tools::show(&file, json).map_err(unusable),
-        Command::Cut(ask) => return tools::cut_out(&ask).map_err(unusable),
-        Command::Shape { statement, json } => tools::shape(&statement, json),
-        Command::Members { address, json } => tools::members(address, json).map_err(|e| (e, 1))?,
-        Command::Verify { files, json } => return tools::verify(&files, json).map_err(unusable),
+        Command::Show { file, json } => return commands::show(&file, json).map_err(unusable),
+        Command::Cut(ask) => return commands::cut_out(&ask).map_err(unusable),
+        Command::Shape { statement, json } => commands::shape(&statement, json),
+        Command::Members { address, json } => commands::members(address, json).map_err(|e| (e, 1))?,
+        Command::Verify { files, json } => return commands::verify(&files, json).map_err(unusable),
     }
     Ok(0)
 }
 
 fn main() {
-    let command = args::parse(std::env::args_os().skip(1));
-    let command = command.map_err(|e| (format!("{e}\n\n{}", args::usage(None)), 2));
+    let command = cli::parse(std::env::args_os().skip(1));
+    let command = command.map_err(|e| (format!("{e}\n\n{}", cli::usage(None)), 2));
     match command.and_then(run) {
         Ok(0) => {}
         Ok(status) => std::process::exit(status),
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' address: what their calls do in this program. `sprucelink_admin` speaks HTTP and holds callers to
 //! their bounds.
 
-use super::upgrade::Upgrade;
-use crate::core::requests::Core;
+use super::hot_restart_driver::Upgrade;
+use crate::core::request_table::Core;
 use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
 use sprucelink_cordon::{By, Change, Hold, Refused as Unfit};
 use sprucelink_metrics::Counter;
--- a/src/run/upgrade.rs
+++ b/src/run/hot_restart_driver.rs
@@ -3,7 +3,7 @@
 //! the two know of each other; here its word is carried out.
 
 use crate::core::now;
-use crate::core::requests::Core;
+use crate::core::request_table::Core;
 use crate::front::Front;
 use sprucelink_hot_restart::{
     adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
--- a/src/run/members.rs
+++ b/src/run/membership_driver.rs
@@ -1,8 +1,8 @@
 //! The acting half of the membership: a UDP socket, a clock, and what the core tells and is told. What is decided is
 //! decided in `sprucelink_membership`. Never on the platform.
 
-use crate::core::requests::Core;
-use crate::core::zones::Observer;
+use crate::core::request_table::Core;
+use crate::core::zone_routing::Observer;
 use crate::core::{now, span};
 use sprucelink_membership::codec::{self, MOST_DATAGRAM};
 use sprucelink_membership::pool::{self, Ration};
--- a/src/run/mod.rs
+++ b/src/run/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod acme;
 pub mod admin;
-pub mod args;
+pub mod cli;
+pub mod commands;
 pub mod config;
-pub mod inherit;
+pub mod hot_restart_driver;
 pub mod logging;
-pub mod members;
+pub mod membership_driver;
 pub mod operator;
 pub mod serve;
-pub mod tools;
-pub mod upgrade;
+pub mod socket_activation;
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -2,14 +2,14 @@
 
 use super::acme;
 use super::admin::{self, Desk};
-use super::args::Files;
+use super::cli::Files;
 use super::config::Config;
-use super::members::{self, Told};
+use super::hot_restart_driver::Upgrade;
+use super::membership_driver::{self, Told};
 use super::operator::Operator;
-use super::upgrade::Upgrade;
-use crate::core::pool::Pool;
-use crate::core::requests::Core;
-use crate::core::{feed, now, span};
+use crate::core::buffer_pool::Pool;
+use crate::core::request_table::Core;
+use crate::core::{endpoint_client, now, span};
 use crate::front::{Front, Setup};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
@@ -169,12 +169,12 @@
         core.failover(&terms, home, zones);
     }
     let member = match membership.filter(|m| m.enabled) {
-        Some(set) => Some(members::keep(Rc::clone(&core), set, &config.name, seed, told).await?),
+        Some(set) => Some(membership_driver::keep(Rc::clone(&core), set, &config.name, seed, told).await?),
         None => None,
     };
     let mut ticking = spawn_local(Rc::clone(&core).run());
     let (moved, address) = watch::channel(config.feed);
-    spawn_local(feed::follow(Rc::clone(&core), address, calls));
+    spawn_local(endpoint_client::follow(Rc::clone(&core), address, calls));
     spawn_local(reload(hup, files, reread, moved));
     let shared = inherited.is_some();
     let listener = match inherited {
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,5 +1,5 @@
 //! The wire: what is read, what is written, what is malformed, and the adapter on a transcript.
-use sprucelink::wire::{parse_line, print_action, Line};
+use sprucelink::simulator::codec::{parse_line, print_action, Line};
 use sprucelink_policy::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
