--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use sprucelink_admin::{serve, Bite, Done, Limits, Operations, Refused};
-use sprucelink_metrics::Figures;
+use sprucelink_metrics::Metrics;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -21,7 +21,7 @@
 /// Engines `s-1` and `s-2`, figures, and what a real program may do wrong.
 struct Program {
     out: RefCell<BTreeSet<String>>,
-    figures: Figures,
+    figures: Metrics,
     /// So many bytes of figures besides the real ones.
     padding: usize,
 }
@@ -68,7 +68,7 @@
             socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
             let listener = socket.listen(1024).unwrap();
             sender.send(listener.local_addr().unwrap()).unwrap();
-            let figures = Figures::new(&["lane-rate".into()]).unwrap();
+            let figures = Metrics::new(&["lane-rate".into()]).unwrap();
             let program = Rc::new(Program { out: RefCell::default(), figures, padding });
             serve(listener, program, limits).await;
         };
--- a/crates/metrics/benches/update.rs
+++ b/crates/metrics/benches/update.rs
@@ -2,11 +2,11 @@
 #![allow(missing_docs, reason = "the macros of criterion generate functions without documentation")]
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use sprucelink_metrics::Figures;
+use sprucelink_metrics::Metrics;
 
 fn figures(c: &mut Criterion) {
     let classes: Vec<String> = (0..8).map(|n| format!("class-{n}")).collect();
-    let figures = Figures::new(&classes).expect("eight plain names");
+    let figures = Metrics::new(&classes).expect("eight plain names");
     let counter = figures.counter("bench.counter").expect("a plain name");
     let mut group = c.benchmark_group("figures");
     group.bench_function("one attempt forwarded", |b| b.iter(|| figures.forwarded()));
--- a/crates/metrics/src/ledger.rs
+++ b/crates/metrics/src/ledger.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A request was taken; see [`crate::Figures::take`].
+    /// A request was taken; see [`crate::Metrics::take`].
     pub fn take(&self, class: usize) -> Taken {
         let known = self.accounts.get(class);
         let account = Rc::clone(known.unwrap_or(&self.none));
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,7 @@
 //! The figures of the running program: one bounded registry of counters and gauges, a ledger of requests, and the
 //! platform's text form, one line a figure: `edge.results.CLASS.succeeded=812`.
 //!
-//! [`Figures`] is made once, from the names of the classes. The serving path calls its methods and ends its requests by
+//! [`Metrics`] is made once, from the names of the classes. The serving path calls its methods and ends its requests by
 //! a guard ([`Taken`]), so that `outstanding` is always what was taken less what has ended. Other subsystems are handed
 //! a [`Counter`] or a [`Gauge`] by name; without figures they are handed [`Counter::noop`].
 //!
@@ -11,7 +11,7 @@
 //! here); `prometheus-client` and `prometheus` (both render their own text form, hide the values behind it, and count
 //! gauges and labels that the platform's form does not know).
 //!
-//! [`Figures`] itself, the guards and the rendering belong to one thread (`Rc`, no lock): the serving loop's. Counters and
+//! [`Metrics`] itself, the guards and the rendering belong to one thread (`Rc`, no lock): the serving loop's. Counters and
 //! gauges handed out by name may be updated from any thread; the next rendering shows them.
 //!
 //! ```
@@ -39,7 +39,7 @@
 
 /// The figures of one process. They start at zero with it; nothing sets them back.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     registry: RefCell<Registry>,
     ledger: Ledger,
     forwards: Value,
@@ -48,10 +48,10 @@
     ejected: Value,
 }
 
-impl Figures {
-    /// Figures for these classes, in the order by which [`Figures::take`] knows them. An error names what is wrong:
+impl Metrics {
+    /// Figures for these classes, in the order by which [`Metrics::take`] knows them. An error names what is wrong:
     /// more than [`MOST_CLASSES`], a name twice, or one that would break a line (see [`Unfit`]).
-    pub fn new(classes: &[String]) -> Result<Figures, Unfit> {
+    pub fn new(classes: &[String]) -> Result<Metrics, Unfit> {
         if classes.len() > MOST_CLASSES {
             return Err(Unfit::Classes(classes.len()));
         }
@@ -73,7 +73,7 @@
         };
         let (forwards, outstanding) = (level("forwards")?, level("outstanding")?);
         let (discovered, ejected) = (level("discovered")?, level("ejected")?);
-        Ok(Figures { registry: RefCell::new(registry), ledger, forwards, outstanding, discovered, ejected })
+        Ok(Metrics { registry: RefCell::new(registry), ledger, forwards, outstanding, discovered, ejected })
     }
 
     /// A request of this class was taken. The guard counts how it ends; dropped without a word it counts as aborted. A
@@ -114,7 +114,7 @@
         self.registry.borrow_mut().counter(name)
     }
 
-    /// The gauge of this name, as [`Figures::counter`]. It is rendered as an unsigned integer: fractions are cut off,
+    /// The gauge of this name, as [`Metrics::counter`]. It is rendered as an unsigned integer: fractions are cut off,
     /// what is negative or not a number is shown as 0.
     pub fn gauge(&self, name: &str) -> Result<Gauge, Unfit> {
         self.registry.borrow_mut().gauge(name)
@@ -137,7 +137,7 @@
 
     #[test]
     fn every_figure_is_there_from_the_start_and_in_the_platforms_form() {
-        let figures = Figures::new(&names(&["lane-rate", "tariff-load"])).unwrap();
+        let figures = Metrics::new(&names(&["lane-rate", "tariff-load"])).unwrap();
         let zeros = "edge.abandoned=0\nedge.discovered=0\nedge.ejected=0\nedge.forwards=0\nedge.outstanding=0\n\
                      edge.results.lane-rate.aborted=0\nedge.results.lane-rate.declined=0\n\
                      edge.results.lane-rate.succeeded=0\nedge.results.tariff-load.aborted=0\n\
@@ -174,10 +174,10 @@
     #[test]
     fn classes_that_would_break_the_form_are_refused_at_the_start() {
         let many: Vec<String> = (0..=MOST_CLASSES).map(|n| format!("c{n}")).collect();
-        assert_eq!(Figures::new(&many).unwrap_err(), Unfit::Classes(MOST_CLASSES + 1));
-        assert!(Figures::new(&many[1..]).is_ok());
-        assert!(matches!(Figures::new(&names(&["a", "a"])), Err(Unfit::Own(_))));
-        assert!(matches!(Figures::new(&names(&["a=1\nb"])), Err(Unfit::Shape(_))));
-        assert_eq!(Figures::new(&names(&[""])).unwrap_err(), Unfit::Empty);
+        assert_eq!(Metrics::new(&many).unwrap_err(), Unfit::Classes(MOST_CLASSES + 1));
+        assert!(Metrics::new(&many[1..]).is_ok());
+        assert!(matches!(Metrics::new(&names(&["a", "a"])), Err(Unfit::Own(_))));
+        assert!(matches!(Metrics::new(&names(&["a=1\nb"])), Err(Unfit::Shape(_))));
+        assert_eq!(Metrics::new(&names(&[""])).unwrap_err(), Unfit::Empty);
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,13 +1,13 @@
 //! Attempts: each leaves once, is called off at most once, and has its one end.
 
-use super::buffer_pool::Pool;
-use super::engine_connection::{Link, Owner, Terms, Withdrawn};
+use super::buffer_pool::BufferPool;
+use super::engine_connection::{ConnectionLimits, ConnectionOwner, EngineConnection, Withdrawal};
 use super::engines::link_for;
-use super::facade::{End, News, Order};
+use super::facade::{AttemptOutcome, PolicyCommand, PolicyEvent};
 use super::now;
-use super::request_table::{Core, Final, Inner};
+use super::request_table::{Core, RequestTable, Response};
 use super::result_buffer::{ResultSet, MOST_RESULT, PAGE};
-use super::send_guard::Leaving;
+use super::send_guard::OutgoingAttempt;
 use crate::proto::resp::{self, Answer, Stats, Word};
 use crate::proto::Malformed;
 use sprucelink_policy::Micros;
@@ -21,9 +21,9 @@
 /// Between two looks at whether an undo has left.
 pub(super) const UNDO_LEAVES: Micros = Micros(1_000);
 
-pub(super) struct Out {
+pub(super) struct InFlightAttempt {
     pub(super) attempt: u32,
-    pub(super) link: Rc<Link>,
+    pub(super) link: Rc<EngineConnection>,
     pub(super) sent: Micros,
     pub(super) result: ResultSet,
     pub(super) bill: Option<(f64, f64)>,
@@ -32,17 +32,17 @@
     /// Where its undo ends in the link's stream, and since when that was seen to have left.
     pub(super) undone: Option<(u64, Option<Micros>)>,
     /// As what it ends once that has landed.
-    pub(super) ends: End,
+    pub(super) ends: AttemptOutcome,
 }
 
-impl Owner for Core {
-    fn pool(&self) -> &Pool {
+impl ConnectionOwner for Core {
+    fn pool(&self) -> &BufferPool {
         self.pool()
     }
-    fn terms(&self) -> &Terms {
+    fn terms(&self) -> &ConnectionLimits {
         self.terms()
     }
-    fn may_leave(self: &Rc<Self>, link: &Link, id: u64, attempt: u32) -> bool {
+    fn may_leave(self: &Rc<Self>, link: &EngineConnection, id: u64, attempt: u32) -> bool {
         let fit = self.inner.borrow_mut().clear(link, id, attempt);
         if !fit {
             // Its end is told with the next tick.
@@ -53,13 +53,13 @@
     fn on_forwarded(&self, attempts: u64) {
         (0..attempts).for_each(|_| self.figures().forwarded());
     }
-    fn on_link_up(self: &Rc<Self>, link: &Link) {
+    fn on_link_up(self: &Rc<Self>, link: &EngineConnection) {
         self.linked();
         self.inner.borrow_mut().reached(link.engine, true);
     }
     /// An engine answered. Only what is said of an attempt on this link is read: second copies, and answers
     /// under ids that never were here, are passed over whatever they hold.
-    fn on_answer(self: &Rc<Self>, link: &Link, parts: &[&[u8]]) -> Result<(), Malformed> {
+    fn on_answer(self: &Rc<Self>, link: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed> {
         let text = parts.first().and_then(|id| std::str::from_utf8(id).ok()).filter(|t| t.len() == 16);
         let id = text.and_then(|t| u64::from_str_radix(t, 16).ok());
         let id = id.ok_or_else(|| Malformed::field("id", "is not 16 hex digits"))?;
@@ -82,7 +82,7 @@
     }
 
     /// A link has ended; `ours` if this side gave up on it.
-    fn on_link_down(self: &Rc<Self>, link: &Rc<Link>, why: &str, ours: bool) {
+    fn on_link_down(self: &Rc<Self>, link: &Rc<EngineConnection>, why: &str, ours: bool) {
         let mut inner = self.inner.borrow_mut();
         if !why.is_empty() {
             let (number, out) = (link.engine, link.riders());
@@ -100,15 +100,15 @@
     }
 }
 
-impl Inner {
-    pub(super) fn send(&mut self, core: &Rc<Core>, id: u64, engine: usize) -> Vec<Order> {
+impl RequestTable {
+    pub(super) fn send(&mut self, core: &Rc<Core>, id: u64, engine: usize) -> Vec<PolicyCommand> {
         let Some(entry) = self.open.get_mut(&id) else { return Vec::new() };
         let attempt = entry.sends;
         entry.sends += 1;
         // Guards the one final answer: nothing is sent on after it, whoever asks for it.
         if entry.answer.is_none() {
             error!(request = format!("{id:016x}"), "a send for a request that is over was dropped");
-            return self.tell_end(id, attempt, End::NotRun, Micros(0), None, Stats::default());
+            return self.tell_end(id, attempt, AttemptOutcome::NotRun, Micros(0), None, Stats::default());
         }
         self.tally.attempts += 1;
         if let Some(shared) = &mut self.shared {
@@ -120,7 +120,7 @@
         let dials = self.cold.as_mut().map(|c| &mut c.dials);
         let link = match self.engines.get_mut(engine) {
             Some(e) => link_for(e, dials, core, id, engine, links < core.terms().most_links),
-            None => Err(End::Unreachable),
+            None => Err(AttemptOutcome::Unreachable),
         };
         let Some(entry) = self.open.get_mut(&id) else { return Vec::new() };
         let link = match link {
@@ -138,10 +138,10 @@
         let name = format!("{id:016x}");
         let parts = [b"do", name.as_bytes(), fields.as_bytes(), &entry.statement[..]];
         if !link.send(core.pool(), id, attempt, &parts) {
-            return self.tell_end(id, attempt, End::NotRun, Micros(0), None, Stats::default());
+            return self.tell_end(id, attempt, AttemptOutcome::NotRun, Micros(0), None, Stats::default());
         }
         let (result, stats) = (ResultSet::default(), Stats::default());
-        entry.out = Some(Out {
+        entry.out = Some(InFlightAttempt {
             attempt,
             link,
             sent: now(),
@@ -150,18 +150,20 @@
             stats,
             served: false,
             undone: None,
-            ends: End::Undone,
+            ends: AttemptOutcome::Undone,
         });
         Vec::new()
     }
 
     /// The one place by which an attempt leaves: whether it may, just before its first byte. One that may not is
     /// withdrawn, and ends as one that never ran. One without an owner is withdrawn, and that is all.
-    fn clear(&mut self, link: &Link, id: u64, attempt: u32) -> bool {
+    fn clear(&mut self, link: &EngineConnection, id: u64, attempt: u32) -> bool {
         let (at, spare) = (now(), self.spare());
         let entry = self.open.get_mut(&id);
         let owner = entry.and_then(|e| {
-            let here = |o: &&Out| o.attempt == attempt && std::ptr::eq(&*o.link, link) && o.undone.is_none();
+            let here = |o: &&InFlightAttempt| {
+                o.attempt == attempt && std::ptr::eq(&*o.link, link) && o.undone.is_none()
+            };
             let _ = e.out.as_ref().filter(here)?;
             Some(e)
         });
@@ -169,7 +171,7 @@
             link.withdraw(id);
             return false;
         };
-        let leaving = Leaving {
+        let leaving = OutgoingAttempt {
             open: entry.answer.is_some(),
             deadline: entry.deadline,
             class: entry.class_number,
@@ -183,7 +185,7 @@
         };
         link.withdraw(id);
         if let Some(out) = &mut entry.out {
-            (out.ends, out.undone) = (End::NotRun, Some((0, Some(at - UNDO_LANDS))));
+            (out.ends, out.undone) = (AttemptOutcome::NotRun, Some((0, Some(at - UNDO_LANDS))));
         }
         self.landing.insert((at, id, attempt));
         debug!(request = format!("{id:016x}"), number = link.engine, attempt, "attempt held back: {why:?}");
@@ -195,16 +197,18 @@
         &mut self,
         id: u64,
         attempt: u32,
-        end: End,
+        end: AttemptOutcome,
         latency: Micros,
         bill: Option<(f64, f64)>,
         stats: Stats,
-    ) -> Vec<Order> {
+    ) -> Vec<PolicyCommand> {
         let Some(entry) = self.open.get_mut(&id) else { return Vec::new() };
         entry.last = Some(end);
-        let complete = end == End::Served || entry.answer.is_none();
-        let news = News::Ended { id: (id, attempt), end, latency, complete, bill, stats };
-        if let Some(cold) = self.cold.as_mut().filter(|_| matches!(end, End::Overload | End::Crashed)) {
+        let complete = end == AttemptOutcome::Served || entry.answer.is_none();
+        let news = PolicyEvent::Ended { id: (id, attempt), end, latency, complete, bill, stats };
+        if let Some(cold) =
+            self.cold.as_mut().filter(|_| matches!(end, AttemptOutcome::Overload | AttemptOutcome::Crashed))
+        {
             cold.admission.pushed_back();
         }
         let orders = self.facade.report(now(), news);
@@ -213,9 +217,9 @@
     }
 
     /// Ends the attempt that is out, as `end`.
-    pub(super) fn end(&mut self, id: u64, end: End) -> Vec<Order> {
+    pub(super) fn end(&mut self, id: u64, end: AttemptOutcome) -> Vec<PolicyCommand> {
         let Some(out) = self.open.get_mut(&id).and_then(|e| e.out.take()) else { return Vec::new() };
-        out.link.release(id, end != End::Served);
+        out.link.release(id, end != AttemptOutcome::Served);
         let latency = now() - out.sent;
         if let Some(e) = self.open.get(&id) {
             let ms = latency.0 / 1000;
@@ -237,8 +241,8 @@
         }
         let orders = self.tell_end(id, out.attempt, end, latency, out.bill, out.stats);
         // One that was given up before has nobody to answer.
-        if end == End::Served && self.open.get(&id).is_some_and(|e| e.answer.is_some()) {
-            let more = self.settle(id, Final::Served(out.result));
+        if end == AttemptOutcome::Served && self.open.get(&id).is_some_and(|e| e.answer.is_some()) {
+            let more = self.settle(id, Response::Served(out.result));
             return orders.into_iter().chain(more).collect();
         }
         orders
@@ -247,12 +251,12 @@
     /// Takes the attempt back that has not left yet: of a request that is over, nothing is sent on. Its end is
     /// told with the next tick. Where a part of it has left, its link is given up, for nothing else keeps the
     /// rest back; what that ends.
-    pub(super) fn withdraw(&mut self, id: u64) -> Vec<Order> {
+    pub(super) fn withdraw(&mut self, id: u64) -> Vec<PolicyCommand> {
         let Some(entry) = self.open.get_mut(&id) else { return Vec::new() };
         let Some(out) = &mut entry.out else { return Vec::new() };
         match out.link.withdraw(id) {
-            Withdrawn::Late => return Vec::new(),
-            Withdrawn::InPart => {
+            Withdrawal::Late => return Vec::new(),
+            Withdrawal::InPart => {
                 let link = Rc::clone(&out.link);
                 warn!(
                     number = link.engine,
@@ -260,10 +264,10 @@
                 );
                 return self.close_link(&link, true);
             }
-            Withdrawn::Whole => {}
+            Withdrawal::Whole => {}
         }
         // Nothing has to land: it never left.
-        (out.ends, out.undone) = (End::NotRun, Some((0, Some(now() - UNDO_LANDS))));
+        (out.ends, out.undone) = (AttemptOutcome::NotRun, Some((0, Some(now() - UNDO_LANDS))));
         self.landing.insert((now(), id, out.attempt));
         Vec::new()
     }
@@ -273,8 +277,8 @@
     pub(super) fn undo(&mut self, core: &Rc<Core>, id: u64, attempt: u32) -> bool {
         let out = self.open.get_mut(&id).and_then(|e| e.out.as_mut());
         let Some(out) = out.filter(|o| o.attempt == attempt && o.undone.is_none()) else { return false };
-        if out.link.withdraw(id) == Withdrawn::Whole {
-            (out.ends, out.undone) = (End::NotRun, Some((0, Some(now() - UNDO_LANDS))));
+        if out.link.withdraw(id) == Withdrawal::Whole {
+            (out.ends, out.undone) = (AttemptOutcome::NotRun, Some((0, Some(now() - UNDO_LANDS))));
             return true;
         }
         let (word, name): (&[u8], _) = (if out.served { b"forget" } else { b"undo" }, format!("{id:016x}"));
@@ -288,7 +292,7 @@
     /// or for a turn on the processor, is overtaken by the next attempt.
     pub(super) fn land(&mut self, core: &Rc<Core>, id: u64, attempt: u32) {
         let out = self.open.get_mut(&id).and_then(|e| e.out.as_mut()).filter(|o| o.attempt == attempt);
-        let Some(Out { undone: Some((place, left)), link, ends, .. }) = out else { return };
+        let Some(InFlightAttempt { undone: Some((place, left)), link, ends, .. }) = out else { return };
         let ends = *ends;
         let wait = match *left {
             Some(at) => at + UNDO_LANDS - now(),
@@ -308,17 +312,17 @@
 
     pub(super) fn answered(
         &mut self,
-        pool: &Pool,
+        pool: &BufferPool,
         id: u64,
         attempt: u32,
         a: &Answer,
-    ) -> Result<Vec<Order>, Malformed> {
+    ) -> Result<Vec<PolicyCommand>, Malformed> {
         let name = format!("{id:016x}");
         let out = self.open.get_mut(&id).and_then(|e| e.out.as_mut()).filter(|o| o.attempt == attempt);
         let Some(out) = out else { return Ok(Vec::new()) };
         let page = match a.word {
             Word::Update { how, num } => {
-                let note = how.map(|how| self.facade.report(now(), News::Note(id, attempt, how, num)));
+                let note = how.map(|how| self.facade.report(now(), PolicyEvent::Note(id, attempt, how, num)));
                 return Ok(note.unwrap_or_default());
             }
             Word::Green => return Ok(Vec::new()),
@@ -327,9 +331,9 @@
             Word::Overload | Word::Crashed | Word::Nobody => {
                 out.stats = a.stats;
                 let end = match a.word {
-                    Word::Overload => End::Overload,
-                    Word::Nobody => End::NotRun,
-                    _ => End::Crashed,
+                    Word::Overload => AttemptOutcome::Overload,
+                    Word::Nobody => AttemptOutcome::NotRun,
+                    _ => AttemptOutcome::Crashed,
                 };
                 return Ok(self.end(id, end));
             }
@@ -364,9 +368,9 @@
         }
         if !out.result.put(pool, page, a.body) {
             out.link.command(pool, &[b"forget", name.as_bytes()]);
-            return Ok(self.end(id, End::Cut));
+            return Ok(self.end(id, AttemptOutcome::Cut));
         }
         let whole = out.result.pages.iter().all(Option::is_some);
-        Ok(if whole { self.end(id, End::Served) } else { Vec::new() })
+        Ok(if whole { self.end(id, AttemptOutcome::Served) } else { Vec::new() })
     }
 }
--- a/src/core/buffer_pool.rs
+++ b/src/core/buffer_pool.rs
@@ -18,7 +18,7 @@
 const FIRST_READ: usize = 2_048;
 
 #[derive(Debug)]
-struct Inner {
+struct RequestTable {
     free: RefCell<Vec<Vec<u8>>>,
     out: Cell<usize>,
     most: usize,
@@ -26,22 +26,22 @@
 
 /// A pool of buffers.
 #[derive(Clone, Debug)]
-pub struct Pool(Rc<Inner>);
+pub struct BufferPool(Rc<RequestTable>);
 
 /// A buffer that goes back to its pool when dropped. Writers keep within [`SIZE`].
 #[derive(Debug)]
-pub struct Buf {
+pub struct Buffer {
     bytes: Vec<u8>,
-    pool: Rc<Inner>,
+    pool: Rc<RequestTable>,
 }
 
-impl Pool {
+impl BufferPool {
     /// A pool that hands out at most so many buffers at a time.
-    pub fn new(most: usize) -> Pool {
-        Pool(Rc::new(Inner { free: RefCell::new(Vec::new()), out: Cell::new(0), most }))
+    pub fn new(most: usize) -> BufferPool {
+        BufferPool(Rc::new(RequestTable { free: RefCell::new(Vec::new()), out: Cell::new(0), most }))
     }
     /// An empty buffer, or `None` when all are out.
-    pub fn get(&self) -> Option<Buf> {
+    pub fn get(&self) -> Option<Buffer> {
         if self.0.out.get() >= self.0.most {
             return None;
         }
@@ -50,10 +50,10 @@
     /// An empty buffer, also when all are out: for what cannot be put off, such as an attempt's undo, an
     /// error to a client or bytes that have come. Each link and each session has two at most, so their
     /// numbers bound it; it counts like any other, so that new work is refused meanwhile.
-    pub fn must(&self) -> Buf {
+    pub fn must(&self) -> Buffer {
         self.0.out.set(self.0.out.get() + 1);
         let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| Vec::with_capacity(SIZE));
-        Buf { bytes, pool: Rc::clone(&self.0) }
+        Buffer { bytes, pool: Rc::clone(&self.0) }
     }
     /// Buffers that may be out at a time.
     pub fn most(&self) -> usize {
@@ -65,14 +65,14 @@
     }
 }
 
-impl Buf {
+impl Buffer {
     /// Whether so many bytes more fit.
     pub fn has_room(&self, n: usize) -> bool {
         self.bytes.len() + n <= SIZE
     }
 }
 
-impl Drop for Buf {
+impl Drop for Buffer {
     fn drop(&mut self) {
         self.pool.out.set(self.pool.out.get() - 1);
         let mut bytes = std::mem::take(&mut self.bytes);
@@ -84,13 +84,13 @@
     }
 }
 
-impl Deref for Buf {
+impl Deref for Buffer {
     type Target = Vec<u8>;
     fn deref(&self) -> &Vec<u8> {
         &self.bytes
     }
 }
-impl DerefMut for Buf {
+impl DerefMut for Buffer {
     fn deref_mut(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
@@ -103,9 +103,9 @@
 /// # Errors
 /// Those of the stream; and a full buffer is one: who pauses there never learns of the stream's end.
 pub async fn read_into<S: AsyncRead + Unpin>(
-    pool: &Pool,
+    pool: &BufferPool,
     stream: &mut S,
-    held: &mut Option<Buf>,
+    held: &mut Option<Buffer>,
 ) -> io::Result<usize> {
     if let Some(buf) = held {
         let room = SIZE.saturating_sub(buf.len());
--- a/src/core/cordons.rs
+++ b/src/core/cordons.rs
@@ -2,9 +2,9 @@
 //! whatever the list says. `sprucelink_cordon` decides what is out; here it is put between the list and the module,
 //! so that a ban takes the way that every drain takes.
 
-use super::facade::Order;
+use super::facade::PolicyCommand;
 use super::now;
-use super::request_table::{Core, Inner};
+use super::request_table::{Core, RequestTable};
 use crate::proto::events::{ListEvent, Member, Phase};
 use sprucelink_cordon::{Ban, Change, Hold, Merged, Refused, Target};
 use std::rc::Rc;
@@ -89,7 +89,7 @@
     }
 }
 
-impl Inner {
+impl RequestTable {
     /// Notes what a list says of engines, for calls that name them.
     pub(super) fn note_listed(&mut self, list: &ListEvent) {
         for member in &list.members {
@@ -122,7 +122,7 @@
             return;
         };
         let list = ListEvent { n: self.last_event, revision: 0, complete: false, members: vec![told] };
-        let orders: Vec<Order> = self.on_members(&list, false);
+        let orders: Vec<PolicyCommand> = self.on_members(&list, false);
         self.work(core, orders);
         core.wake.notify_one();
     }
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -1,7 +1,7 @@
 //! Follows the control feed: one HTTP/1.1 call at a time, which goes on where the last one left off. When to call and
 //! when to give up, [`super::endpoint_watch`] decides.
 
-use super::endpoint_watch::Following;
+use super::endpoint_watch::EndpointWatch;
 use super::request_table::Core;
 use super::{now, span};
 use crate::proto::{events, sse, Malformed};
@@ -28,7 +28,7 @@
 /// once and the call to the old one dropped, whatever it still had to say. With the cold start's
 /// schedule (`calls`), calls wait for their turn in it, and rests are its own.
 pub async fn follow(core: Rc<Core>, mut address: watch::Receiver<Option<String>>, calls: Option<ListCalls>) {
-    let mut following = Following::new(calls, now());
+    let mut following = EndpointWatch::new(calls, now());
     loop {
         let at = address.borrow_and_update().clone();
         tokio::select! {
@@ -41,7 +41,7 @@
 }
 
 /// A rest and the call after it.
-async fn turn(core: &Rc<Core>, at: Option<&str>, following: &mut Following) {
+async fn turn(core: &Rc<Core>, at: Option<&str>, following: &mut EndpointWatch) {
     let Some(at) = at else { return std::future::pending().await };
     sleep(span(following.patience(now()))).await;
     following.begins(now());
@@ -56,7 +56,7 @@
 
 /// A step of a call, within the follower's patience.
 async fn within<T, E: Error>(
-    following: &Following,
+    following: &EndpointWatch,
     step: impl Future<Output = Result<T, E>>,
 ) -> Result<T, String> {
     match timeout(span(following.patience(now())), step).await {
@@ -72,7 +72,7 @@
 }
 
 /// Calls the feed and takes its events until the answer ends; an error says why it ended otherwise.
-async fn call(core: &Rc<Core>, at: &str, following: &mut Following) -> Result<(), String> {
+async fn call(core: &Rc<Core>, at: &str, following: &mut EndpointWatch) -> Result<(), String> {
     let stream = within(following, TcpStream::connect(at)).await?;
     following.connected(now());
     let mut client = http1::Builder::new();
@@ -120,7 +120,7 @@
 
 /// Takes one event; an error where it is to be asked for anew. Its number is the one that the next call goes on from,
 /// and only where it has none the one that its data tells.
-fn take(core: &Rc<Core>, event: &sse::Sent, following: &mut Following) -> Result<(), String> {
+fn take(core: &Rc<Core>, event: &sse::Sent, following: &mut EndpointWatch) -> Result<(), String> {
     let last = core.last_event();
     match events::parse(&event.data) {
         Ok(Some(mut list)) => {
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -52,7 +52,7 @@
 
 /// The follower's state. With the cold start's schedule, first calls wait for their turn in it, and rests are its own.
 #[derive(Clone, Debug)]
-pub struct Following {
+pub struct EndpointWatch {
     phase: Phase,
     calls: Option<ListCalls>,
     rest: Micros,
@@ -63,12 +63,12 @@
     nameless: u32,
 }
 
-impl Following {
+impl EndpointWatch {
     /// A follower that starts now.
-    pub fn new(calls: Option<ListCalls>, now: Micros) -> Following {
+    pub fn new(calls: Option<ListCalls>, now: Micros) -> EndpointWatch {
         let first = calls.as_ref().and_then(ListCalls::due).unwrap_or(now);
         let phase = Phase::Resting(first, first - now);
-        Following { phase, calls, rest: REST[0], refused: false, unread: (0, 0), nameless: 0 }
+        EndpointWatch { phase, calls, rest: REST[0], refused: false, unread: (0, 0), nameless: 0 }
     }
 
     /// How much longer the follower bears it if nothing happens: then it has to call, if it rests, or else to give
--- a/src/core/endpoint_watch_tests.rs
+++ b/src/core/endpoint_watch_tests.rs
@@ -30,7 +30,7 @@
 }
 
 /// Goes on to what the feed does after `span`, or to the end of the follower's patience; `false` for that.
-fn step(f: &Following, now: &mut Micros, span: i64) -> bool {
+fn step(f: &EndpointWatch, now: &mut Micros, span: i64) -> bool {
     let patience = f.patience(*now);
     let comes = Micros(span) <= patience;
     *now = *now + if comes { Micros(span) } else { patience };
@@ -45,7 +45,7 @@
 }
 
 /// Plays one call from its begin.
-fn play(f: &mut Following, now: &mut Micros, a: &Answer) -> Went {
+fn play(f: &mut EndpointWatch, now: &mut Micros, a: &Answer) -> Went {
     let mut steps = 0;
     let mut moves = || {
         steps += 1;
@@ -97,7 +97,7 @@
     let run = { runner }.run(&feeds, |(answers, scheduled, seed)| {
         let mut now = Micros(1_000_000_000_000);
         let calls = scheduled.then(|| ListCalls::new(ListTerms::default(), 300, seed, now));
-        let mut f = Following::new(calls, now);
+        let mut f = EndpointWatch::new(calls, now);
         prop_assert!(f.patience(now) <= Micros(200_000), "the first call is within the window");
         let mut rest = REST[0];
         for a in &answers {
@@ -134,7 +134,7 @@
 /// called again only after a whole second, while what it held counted as told.
 #[test]
 fn rests_grow_only_while_nobody_answers_and_stay_far_under_the_drain_grace() {
-    let (mut f, mut now) = (Following::new(None, Micros(0)), Micros(0));
+    let (mut f, mut now) = (EndpointWatch::new(None, Micros(0)), Micros(0));
     let mut call = |status: Option<u16>| {
         f.begins(now);
         if let Some(status) = status {
@@ -155,7 +155,7 @@
 /// there spoilt.
 #[test]
 fn an_event_that_cannot_be_read_is_asked_for_anew_three_times() {
-    let mut f = Following::new(None, Micros(0));
+    let mut f = EndpointWatch::new(None, Micros(0));
     for event in [Some(7), Some(8), None, Some(7)] {
         let asked: Vec<bool> = (0..5).map(|_| f.unreadable(event)).collect();
         assert_eq!(asked, [true, true, true, false, false], "{event:?}");
@@ -175,8 +175,8 @@
 
 /// From the last that a silent watch told until a call is answered, if these calls come to nothing before.
 fn until_heeded(calls: &[Dumb]) -> Micros {
-    let (mut f, mut now) = (Following::new(None, Micros(0)), Micros(0));
-    let wait = |f: &Following, now: &mut Micros| *now = *now + f.patience(*now);
+    let (mut f, mut now) = (EndpointWatch::new(None, Micros(0)), Micros(0));
+    let wait = |f: &EndpointWatch, now: &mut Micros| *now = *now + f.patience(*now);
     f.begins(Micros(0));
     f.connected(Micros(0));
     f.answered(200, Micros(0)).expect("answered");
@@ -224,7 +224,7 @@
 /// comment each second keeps it, also while a long event comes in parts.
 #[test]
 fn an_answer_must_bring_something_whole_now_and_then() {
-    let (mut f, mut now) = (Following::new(None, Micros(0)), Micros(0));
+    let (mut f, mut now) = (EndpointWatch::new(None, Micros(0)), Micros(0));
     f.begins(now);
     f.connected(now);
     f.answered(200, now).expect("answered");
@@ -246,7 +246,7 @@
 #[test]
 fn a_clock_that_is_set_back_makes_nothing_last_longer() {
     let late = Micros(10_000_000_000);
-    let mut f = Following::new(None, late);
+    let mut f = EndpointWatch::new(None, late);
     let early = late - Micros(3_600_000_000);
     assert_eq!(f.patience(early), Micros(0));
     f.begins(late);
@@ -261,7 +261,7 @@
 /// Guards against two bad events that start each other's count anew: then neither is ever passed over.
 #[test]
 fn events_with_and_without_a_number_are_counted_apart() {
-    let mut f = Following::new(None, Micros(0));
+    let mut f = EndpointWatch::new(None, Micros(0));
     let asked: Vec<(bool, bool)> = (0..5).map(|_| (f.unreadable(None), f.unreadable(Some(7)))).collect();
     assert_eq!(asked, [(true, true), (true, true), (true, true), (false, false), (false, false)]);
     f.progressed();
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -1,7 +1,7 @@
 //! Connections to engines. A link carries many attempts; it belongs to an engine's id, not to its
 //! address, for addresses are used again. What breaks a link ends each attempt on it once.
 
-use super::buffer_pool::{read_into, Buf, Pool, SIZE};
+use super::buffer_pool::{read_into, Buffer, BufferPool, SIZE};
 use super::{now, span};
 use crate::proto::{resp, Malformed};
 use socket2::SockRef;
@@ -36,7 +36,7 @@
 
 /// What the settings say of connections.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ConnectionLimits {
     /// Attempts that one connection carries at a time.
     pub streams: usize,
     /// A connection that is not up by then has failed.
@@ -80,7 +80,7 @@
 
 /// What became of an attempt that is not to leave any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withdrawn {
+pub enum Withdrawal {
     /// No byte of it has left, and none will.
     Whole,
     /// A part of it has left: only the link's end keeps the rest back.
@@ -91,13 +91,13 @@
 
 /// One connection to an engine.
 #[derive(Debug)]
-pub struct Link {
+pub struct EngineConnection {
     /// The engine, by number.
     pub engine: usize,
     address: SocketAddr,
     state: Cell<State>,
     stale: Cell<bool>,
-    queue: RefCell<VecDeque<Buf>>,
+    queue: RefCell<VecDeque<Buffer>>,
     queued: Cell<u64>,
     written: Cell<u64>,
     /// Bytes that the writer has taken off the queue.
@@ -114,10 +114,10 @@
     wake: Notify,
 }
 
-impl Link {
+impl EngineConnection {
     /// A link that is about to be dialled.
-    pub fn new(engine: usize, address: SocketAddr) -> Rc<Link> {
-        Rc::new(Link {
+    pub fn new(engine: usize, address: SocketAddr) -> Rc<EngineConnection> {
+        Rc::new(EngineConnection {
             engine,
             address,
             state: Cell::new(State::Dialing),
@@ -138,7 +138,7 @@
 
     /// Whether request `id` may go out on it. Not where it was called off before: a late answer to
     /// the old attempt could not be told from one to the new.
-    pub fn takes(&self, id: u64, terms: &Terms) -> bool {
+    pub fn takes(&self, id: u64, terms: &ConnectionLimits) -> bool {
         let riders = self.riders.borrow();
         let quiet = |r: &Rider| now() - r.sent.max(self.heard.get()) > Micros(terms.notes.0 * NOTES_MISSED);
         // Guards against machines that vanished: their connections stay open and silent.
@@ -184,13 +184,13 @@
 
     /// Queues a command on an attempt that is out; on a dead link there is none any more. Guards the
     /// rule on second copies: an undo that found no buffer was never said, and the next attempt left.
-    pub fn command(&self, pool: &Pool, parts: &[&[u8]]) {
+    pub fn command(&self, pool: &BufferPool, parts: &[&[u8]]) {
         if self.state.get() != State::Dead {
             self.put(parts, || Some(pool.must()));
         }
     }
 
-    fn put(&self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buf>) -> bool {
+    fn put(&self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buffer>) -> bool {
         let size = 16 + parts.iter().map(|p| p.len() + 16).sum::<usize>();
         let mut queue = self.queue.borrow_mut();
         if !queue.back().is_some_and(|b| b.has_room(size)) {
@@ -222,7 +222,7 @@
     }
 
     /// Queues the command that sends an attempt.
-    pub fn send(&self, pool: &Pool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
+    pub fn send(&self, pool: &BufferPool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
         let start = self.queued.get();
         let queued = self.put(parts, || pool.get());
         if queued {
@@ -241,21 +241,21 @@
 
     /// Takes the command that sends a request's attempt back, if it has not left: its bytes are passed over.
     /// Guards the one final answer: a connection that comes up late would send on what was answered long ago.
-    pub fn withdraw(&self, id: u64) -> Withdrawn {
+    pub fn withdraw(&self, id: u64) -> Withdrawal {
         if self.riders.borrow().get(&id).is_some_and(|r| r.withdrawn) {
-            return Withdrawn::Whole;
+            return Withdrawal::Whole;
         }
         if !self.unsent(id) {
-            return Withdrawn::Late;
+            return Withdrawal::Late;
         }
         let mut riders = self.riders.borrow_mut();
         let Some(rider) = riders.get_mut(&id).filter(|r| r.start >= self.written.get()) else {
-            return Withdrawn::InPart;
+            return Withdrawal::InPart;
         };
         rider.withdrawn = true;
         self.withdrawn.borrow_mut().insert(rider.start, rider.end);
         self.unsent.borrow_mut().retain(|u| u.end != rider.end);
-        Withdrawn::Whole
+        Withdrawal::Whole
     }
 
     /// The attempts of which some has still to leave: their requests.
@@ -332,31 +332,31 @@
         riders.into_iter().map(|(id, r)| (id, r.attempt, r.withdrawn || r.end > written)).collect()
     }
 
-    fn idle(&self, terms: &Terms) -> bool {
+    fn idle(&self, terms: &ConnectionLimits) -> bool {
         let rest = Micros((terms.idle.0 as f64 * IDLE_SHARE) as i64);
         self.riders.borrow().is_empty() && (self.stale.get() || now() - self.heard.get() > rest)
     }
 }
 
 /// Who a link's attempts belong to.
-pub trait Owner: 'static {
+pub trait ConnectionOwner: 'static {
     /// The pool of buffers.
-    fn pool(&self) -> &Pool;
+    fn pool(&self) -> &BufferPool;
     /// What the settings say of connections.
-    fn terms(&self) -> &Terms;
+    fn terms(&self) -> &ConnectionLimits;
     /// An engine answered; an error spoils the link.
-    fn on_answer(self: &Rc<Self>, link: &Link, parts: &[&[u8]]) -> Result<(), Malformed>;
+    fn on_answer(self: &Rc<Self>, link: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed>;
     /// A link has ended; `ours` if this side gave up on it.
-    fn on_link_down(self: &Rc<Self>, link: &Rc<Link>, why: &str, ours: bool);
+    fn on_link_down(self: &Rc<Self>, link: &Rc<EngineConnection>, why: &str, ours: bool);
     /// Whether an attempt may leave, asked just before its first byte; with a no it has been withdrawn. Guards every
     /// rule on what is sent: between the choice and this moment lie dials, slow peers and turns on the processor.
-    fn may_leave(self: &Rc<Self>, _link: &Link, _id: u64, _attempt: u32) -> bool {
+    fn may_leave(self: &Rc<Self>, _link: &EngineConnection, _id: u64, _attempt: u32) -> bool {
         true
     }
     /// So many attempts have been written whole.
     fn on_forwarded(&self, _attempts: u64) {}
     /// A link has come up.
-    fn on_link_up(self: &Rc<Self>, _link: &Link) {}
+    fn on_link_up(self: &Rc<Self>, _link: &EngineConnection) {}
 }
 
 /// Why a link ended: in words, and whether this side gave up on it.
@@ -372,7 +372,7 @@
 }
 
 /// Dials a link and serves it until it ends.
-pub async fn run<O: Owner>(core: Rc<O>, link: Rc<Link>) {
+pub async fn run<O: ConnectionOwner>(core: Rc<O>, link: Rc<EngineConnection>) {
     let wait = link.dial_at.get() - now();
     if wait > Micros(0) {
         tokio::time::sleep(span(wait)).await;
@@ -391,7 +391,7 @@
     core.on_link_down(&link, &why.0, why.1);
 }
 
-async fn serve<O: Owner>(core: &Rc<O>, link: &Link, stream: TcpStream) -> Why {
+async fn serve<O: ConnectionOwner>(core: &Rc<O>, link: &EngineConnection, stream: TcpStream) -> Why {
     if let Err(e) = stream.set_nodelay(true) {
         return theirs(e);
     }
@@ -408,9 +408,9 @@
 
 /// Writes what is queued. What leaves next is looked up before each write, never held over a wait: it may be
 /// withdrawn meanwhile.
-async fn write<O: Owner>(core: &Rc<O>, link: &Link, writer: OwnedWriteHalf) -> Why {
+async fn write<O: ConnectionOwner>(core: &Rc<O>, link: &EngineConnection, writer: OwnedWriteHalf) -> Why {
     // The buffer in hand, and where its first byte stands in the stream.
-    let mut hand: Option<(Buf, u64)> = None;
+    let mut hand: Option<(Buffer, u64)> = None;
     loop {
         if link.state.get() == State::Dead {
             return theirs("closed here");
@@ -464,7 +464,7 @@
 }
 
 /// Whether all attempts that begin in this part of the stream may leave; those that may not are withdrawn.
-fn cleared<O: Owner>(core: &Rc<O>, link: &Link, mut at: u64, to: u64) -> bool {
+fn cleared<O: ConnectionOwner>(core: &Rc<O>, link: &EngineConnection, mut at: u64, to: u64) -> bool {
     let mut all = true;
     while let Some(u) = link.next_start(at, to) {
         all &= core.may_leave(link, u.id, u.attempt);
@@ -473,7 +473,7 @@
     all
 }
 
-async fn read<O: Owner>(core: &Rc<O>, link: &Link, mut reader: OwnedReadHalf) -> Why {
+async fn read<O: ConnectionOwner>(core: &Rc<O>, link: &EngineConnection, mut reader: OwnedReadHalf) -> Why {
     let mut held = None;
     // Since when an answer is here in part.
     let mut begun = None;
--- a/src/core/engines.rs
+++ b/src/core/engines.rs
@@ -1,10 +1,10 @@
 //! Engines as the control feed names them, and their links: which are there, which are let go.
 
-use super::attempts::{Out, UNDO_LANDS};
-use super::engine_connection::{self, Link, Withdrawn};
-use super::facade::{End, News, Order};
+use super::attempts::{InFlightAttempt, UNDO_LANDS};
+use super::engine_connection::{self, EngineConnection, Withdrawal};
+use super::facade::{AttemptOutcome, PolicyCommand, PolicyEvent};
 use super::now;
-use super::request_table::{Core, Inner};
+use super::request_table::{Core, RequestTable};
 use crate::proto::events::{ListEvent, Member, Phase};
 use sprucelink_policy::Micros;
 use sprucelink_startup::dials::DialStager;
@@ -20,7 +20,7 @@
     pub(super) id: String,
     pub(super) address: Option<SocketAddr>,
     pub(super) since: i64,
-    pub(super) links: Vec<Rc<Link>>,
+    pub(super) links: Vec<Rc<EngineConnection>>,
     /// Since when the list has it no more.
     pub(super) gone: Option<Micros>,
     /// When it last said anything.
@@ -79,7 +79,7 @@
     list.members = rest.into_iter().rev().collect();
 }
 
-impl Inner {
+impl RequestTable {
     /// What an event tells that is new, and its number as the last where it counts on from there.
     ///
     /// Under a number that was passed already there is news in two cases. Its revision is above all that were told: then
@@ -134,10 +134,10 @@
     }
 
     /// Takes in what a list says of engines; what follows from it.
-    pub(super) fn on_members(&mut self, list: &ListEvent, remembered: bool) -> Vec<Order> {
+    pub(super) fn on_members(&mut self, list: &ListEvent, remembered: bool) -> Vec<PolicyCommand> {
         let masked = self.masked(list);
         let heard = masked.as_ref().unwrap_or(list);
-        let mut orders = self.facade.report(now(), News::List(heard, remembered));
+        let mut orders = self.facade.report(now(), PolicyEvent::List(heard, remembered));
         for (member, told) in heard.members.iter().zip(&list.members) {
             let i = self.facade.engine(&member.id);
             let most = self.engines.len().max(i + 1);
@@ -176,14 +176,14 @@
 
     /// Takes back what has not begun to leave for an engine, and gives up its dials: none of it ever ran, so it is
     /// moved elsewhere at no cost to its class's rule.
-    fn recall(&mut self, engine: usize) -> Vec<Order> {
+    fn recall(&mut self, engine: usize) -> Vec<PolicyCommand> {
         let mut orders = Vec::new();
         for link in self.engines[engine].links.clone() {
             for id in link.waiting() {
-                let here = |o: &Out| Rc::ptr_eq(&o.link, &link);
+                let here = |o: &InFlightAttempt| Rc::ptr_eq(&o.link, &link);
                 let out = self.open.get(&id).and_then(|e| e.out.as_ref());
-                if out.is_some_and(here) && link.withdraw(id) == Withdrawn::Whole {
-                    orders.extend(self.end(id, End::NotRun));
+                if out.is_some_and(here) && link.withdraw(id) == Withdrawal::Whole {
+                    orders.extend(self.end(id, AttemptOutcome::NotRun));
                 }
             }
             if link.dialing() {
@@ -240,7 +240,7 @@
     /// Ends a link and every attempt on it, each once. What was never written never ran. One break is
     /// one fault of its engine, however many were out; where this side closes, what was out counts as out
     /// until the close has landed, for the next attempt would overtake it.
-    pub(super) fn close_link(&mut self, link: &Rc<Link>, ours: bool) -> Vec<Order> {
+    pub(super) fn close_link(&mut self, link: &Rc<EngineConnection>, ours: bool) -> Vec<PolicyCommand> {
         if let Some(engine) = self.engines.get_mut(link.engine) {
             engine.links.retain(|l| !Rc::ptr_eq(l, link));
         }
@@ -250,10 +250,10 @@
             let out = out.filter(|o| o.attempt == attempt && Rc::ptr_eq(&o.link, link));
             let Some(out) = out else { continue };
             let end = match unwritten {
-                true if dialing => End::Unreachable,
-                true => End::NotRun,
-                false if std::mem::replace(&mut blamed, true) => End::Cut,
-                false => End::Broken,
+                true if dialing => AttemptOutcome::Unreachable,
+                true => AttemptOutcome::NotRun,
+                false if std::mem::replace(&mut blamed, true) => AttemptOutcome::Cut,
+                false => AttemptOutcome::Broken,
             };
             if ours && !unwritten {
                 out.ends = end;
@@ -275,17 +275,17 @@
     id: u64,
     engine: usize,
     more: bool,
-) -> Result<Rc<Link>, End> {
+) -> Result<Rc<EngineConnection>, AttemptOutcome> {
     let open = e.links.iter().filter(|l| l.takes(id, core.terms()));
     if let Some(link) = open.max_by_key(|l| (!l.dialing(), l.riders())) {
         return Ok(Rc::clone(link));
     }
-    let address = e.address.ok_or(End::Unreachable)?;
+    let address = e.address.ok_or(AttemptOutcome::Unreachable)?;
     // Descriptors are kept back for both sides: neither may take the other's.
     if e.links.len() >= core.terms().most || !more {
-        return Err(End::NotRun);
+        return Err(AttemptOutcome::NotRun);
     }
-    let link = Link::new(engine, address);
+    let link = EngineConnection::new(engine, address);
     if let Some(dials) = dials {
         // Guards the engines against managers that start together and dial in step.
         link.dial_at(dials.dial_at(now(), &e.id));
--- a/src/core/facade.rs
+++ b/src/core/facade.rs
@@ -12,7 +12,7 @@
 
 /// A request as the core hands it to the module.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestSpec {
     /// Its id.
     pub id: u64,
     /// Its class, by number.
@@ -31,7 +31,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Served, with all its pages here.
     Served,
     /// The engine answered with an error, or lost a page.
@@ -53,31 +53,31 @@
     NotRun,
 }
 
-impl End {
+impl AttemptOutcome {
     /// Whether it is proven that no engine ran any of it.
     pub fn never_ran(self) -> bool {
         Outcome::from(self).never_ran()
     }
 }
 
-impl From<End> for Outcome {
-    fn from(end: End) -> Outcome {
+impl From<AttemptOutcome> for Outcome {
+    fn from(end: AttemptOutcome) -> Outcome {
         match end {
-            End::Served => Outcome::Delivered,
-            End::Crashed => Outcome::Error,
-            End::Overload => Outcome::Shed,
-            End::Expired => Outcome::Expired,
-            End::Unreachable => Outcome::DialFailed,
-            End::Broken => Outcome::Dropped,
-            End::Undone | End::Cut => Outcome::Revoked,
-            End::NotRun => Outcome::Unused,
+            AttemptOutcome::Served => Outcome::Delivered,
+            AttemptOutcome::Crashed => Outcome::Error,
+            AttemptOutcome::Overload => Outcome::Shed,
+            AttemptOutcome::Expired => Outcome::Expired,
+            AttemptOutcome::Unreachable => Outcome::DialFailed,
+            AttemptOutcome::Broken => Outcome::Dropped,
+            AttemptOutcome::Undone | AttemptOutcome::Cut => Outcome::Revoked,
+            AttemptOutcome::NotRun => Outcome::Unused,
         }
     }
 }
 
 /// News for the module.
 #[derive(Debug)]
-pub enum News<'a> {
+pub enum PolicyEvent<'a> {
     /// A change of the list of engines; the first list of a life may be old.
     List(&'a ListEvent, bool),
     /// A note on an attempt that is out.
@@ -87,7 +87,7 @@
         /// The request and the attempt's number.
         id: (u64, u32),
         /// How.
-        end: End,
+        end: AttemptOutcome,
         /// Time since it was sent.
         latency: Micros,
         /// The request is over, by this or before.
@@ -107,7 +107,7 @@
 
 /// What the module wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum PolicyCommand {
     /// Memory and priority of a request's next send, and the priority of what is out.
     Terms(u64, Option<f64>, u8),
     /// Send a request to an engine.
@@ -123,7 +123,7 @@
 }
 
 /// The decision module and what it needs to be spoken to.
-pub struct Facade {
+pub struct PolicyDriver {
     brain: Policy,
     engines: BTreeMap<String, u32>,
     /// Numbers of engines that were forgotten.
@@ -145,11 +145,17 @@
     names.iter().position(|n| n == name).unwrap_or(0) as u32
 }
 
-impl Facade {
+impl PolicyDriver {
     /// A module that starts now.
-    pub fn new(set: Settings, seed: u64, zones: Vec<String>, kinds: Vec<String>, now: Micros) -> Facade {
+    pub fn new(
+        set: Settings,
+        seed: u64,
+        zones: Vec<String>,
+        kinds: Vec<String>,
+        now: Micros,
+    ) -> PolicyDriver {
         let brain = Policy::new(set, seed, now);
-        Facade {
+        PolicyDriver {
             brain,
             engines: BTreeMap::new(),
             free: Vec::new(),
@@ -224,7 +230,7 @@
     }
 
     /// A request came in.
-    pub fn pick(&mut self, now: Micros, a: &Asked) -> Vec<Order> {
+    pub fn pick(&mut self, now: Micros, a: &RequestSpec) -> Vec<PolicyCommand> {
         let event = Event::Arrived(Arrival {
             id: RequestId(a.id),
             class: ClassId(a.class),
@@ -239,9 +245,9 @@
     }
 
     /// Something happened.
-    pub fn report(&mut self, now: Micros, news: News) -> Vec<Order> {
+    pub fn report(&mut self, now: Micros, news: PolicyEvent) -> Vec<PolicyCommand> {
         let event = match news {
-            News::List(list, remembered) => {
+            PolicyEvent::List(list, remembered) => {
                 let kind = match (remembered, list.complete) {
                     (true, true) => ListKind::Remembered,
                     (false, true) => ListKind::Whole,
@@ -261,7 +267,7 @@
                 });
                 Event::List { kind, entries: entries.collect() }
             }
-            News::Note(id, attempt, how, num) => {
+            PolicyEvent::Note(id, attempt, how, num) => {
                 let note = match how {
                     How::SoFar => Note::Progress(num),
                     How::Lacking => Note::Spills(num),
@@ -270,7 +276,7 @@
                 };
                 Event::Noted { id: RequestId(id), attempt, note }
             }
-            News::Ended { id: (id, attempt), end, latency, complete, bill, stats } => Event::Ended {
+            PolicyEvent::Ended { id: (id, attempt), end, latency, complete, bill, stats } => Event::Ended {
                 id: RequestId(id),
                 attempt,
                 outcome: end.into(),
@@ -285,15 +291,15 @@
                     disks: stats.x1,
                 },
             },
-            News::GivenUp(id) => Event::GivenUp { id: RequestId(id) },
-            News::Zones(weights) => Event::Zones(weights),
-            News::Fleet(gateways, spare) => Event::Fleet { gateways, spare },
+            PolicyEvent::GivenUp(id) => Event::GivenUp { id: RequestId(id) },
+            PolicyEvent::Zones(weights) => Event::Zones(weights),
+            PolicyEvent::Fleet(gateways, spare) => Event::Fleet { gateways, spare },
         };
         self.give(now, event)
     }
 
     /// Gives the module every timer that is due.
-    pub fn tick(&mut self, now: Micros) -> Vec<Order> {
+    pub fn tick(&mut self, now: Micros) -> Vec<PolicyCommand> {
         let mut orders = Vec::new();
         while self.due().is_some_and(|t| t <= now) {
             let Some(std::cmp::Reverse((_, token))) = self.timers.pop() else { break };
@@ -307,7 +313,7 @@
         self.timers.peek().map(|t| t.0 .0)
     }
 
-    fn give(&mut self, now: Micros, event: Event) -> Vec<Order> {
+    fn give(&mut self, now: Micros, event: Event) -> Vec<PolicyCommand> {
         if let Some(recorder) = &mut self.recorder {
             let engines = || self.engines.iter().map(|(id, n)| (id.as_str(), *n)).collect();
             recorder.asked(now, &self.brain, &event, engines);
@@ -322,17 +328,19 @@
         let mut orders = Vec::new();
         for action in self.out.drain(..) {
             match action {
-                Action::Send { id, engine, .. } => orders.push(Order::Send(id.0, engine.0 as usize)),
-                Action::Terms { id, grant_mb, level } => orders.push(Order::Terms(id.0, grant_mb, level.0)),
-                Action::Cancel { id, attempt } => orders.push(Order::Undo(id.0, attempt)),
+                Action::Send { id, engine, .. } => orders.push(PolicyCommand::Send(id.0, engine.0 as usize)),
+                Action::Terms { id, grant_mb, level } => {
+                    orders.push(PolicyCommand::Terms(id.0, grant_mb, level.0))
+                }
+                Action::Cancel { id, attempt } => orders.push(PolicyCommand::Undo(id.0, attempt)),
                 Action::Refuse { id, retry_after } => {
-                    orders.push(Order::Refuse(id.0, retry_after.unwrap_or_default()));
+                    orders.push(PolicyCommand::Refuse(id.0, retry_after.unwrap_or_default()));
                 }
                 Action::Fail { id, retry_after } => {
-                    orders.push(Order::Fail(id.0, retry_after.unwrap_or_default()));
+                    orders.push(PolicyCommand::Fail(id.0, retry_after.unwrap_or_default()));
                 }
                 Action::Timer { delay, token } => self.timers.push(std::cmp::Reverse((now + delay, token))),
-                Action::Log(text) => orders.push(Order::Log(text)),
+                Action::Log(text) => orders.push(PolicyCommand::Log(text)),
                 // The list comes by itself, neither probes nor peers are spoken to, and nobody listens to reasons here.
                 Action::Watch | Action::Probe { .. } | Action::Tell { .. } | Action::Why(_) => {}
             }
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -13,7 +13,7 @@
 const MOST_ENGINES: usize = 256;
 
 /// The counts.
-pub(super) struct Shared {
+pub(super) struct GossipFacts {
     /// The ration's span, the cold budget's, and how long an engine is cold.
     spans: [Micros; 3],
     taken: VecDeque<Micros>,
@@ -29,10 +29,10 @@
     queue.push_back(one);
 }
 
-impl Shared {
+impl GossipFacts {
     /// Nothing counted yet: the ration's span, that of cold budgets, and how long an engine is cold.
-    pub(super) fn new(ration: Micros, cold: Micros, cold_for: Micros) -> Shared {
-        Shared {
+    pub(super) fn new(ration: Micros, cold: Micros, cold_for: Micros) -> GossipFacts {
+        GossipFacts {
             spans: [ration, cold, cold_for],
             taken: VecDeque::new(),
             further: VecDeque::new(),
@@ -99,7 +99,7 @@
     #[test]
     fn what_is_old_counts_no_more() {
         let s = |t: i64| Micros(t * 1_000_000);
-        let mut shared = Shared::new(s(5), s(2), s(15));
+        let mut shared = GossipFacts::new(s(5), s(2), s(15));
         shared.took(s(0));
         shared.took(s(4));
         shared.sent(s(1), true, ("e", 1), 40.0);
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -12,12 +12,12 @@
 /// again with another statement once the first has ended: its answer could be taken for the other's, by
 /// engines and clients alike. The same again is a client whose connection broke.
 #[derive(Default)]
-pub(super) struct Past {
+pub(super) struct RecentRequests {
     pub(super) marks: BTreeMap<u64, u64>,
     pub(super) order: VecDeque<(Micros, u64)>,
 }
 
-impl Past {
+impl RecentRequests {
     /// Notes an id; false if another statement had it.
     pub(super) fn note(&mut self, id: u64, statement: &[u8], at: Micros) -> bool {
         let old = |o: &(Micros, u64), n: usize| at - o.0 > PAST || n >= MOST_PAST;
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,21 +1,21 @@
 //! The table of requests: every request taken gets its one final answer here, whichever front
 //! took it, and every attempt its one end.
 
-use super::attempts::{Out, UNDO_LEAVES};
-use super::buffer_pool::{Buf, Pool, SIZE};
-use super::engine_connection::{Terms, Withdrawn};
+use super::attempts::{InFlightAttempt, UNDO_LEAVES};
+use super::buffer_pool::{Buffer, BufferPool, SIZE};
+use super::engine_connection::{ConnectionLimits, Withdrawal};
 use super::engines::Engine;
-use super::facade::{Asked, End, Facade, News, Order};
-use super::gossip_facts::Shared;
-use super::recent_requests::Past;
+use super::facade::{AttemptOutcome, PolicyCommand, PolicyDriver, PolicyEvent, RequestSpec};
+use super::gossip_facts::GossipFacts;
+use super::recent_requests::RecentRequests;
 use super::result_buffer::ResultSet;
-use super::send_guard::Gate;
-use super::zone_routing::Failover;
+use super::send_guard::SendGuard;
+use super::zone_routing::ZoneRouting;
 use super::{now, span};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{Limits as OutageLimits, Outages};
 use sprucelink_membership::facts::Facts;
-use sprucelink_metrics::{Figures, Taken};
+use sprucelink_metrics::{Metrics, Taken};
 use sprucelink_policy::{Micros, Settings};
 use sprucelink_startup::admission::WarmAdmission;
 use sprucelink_startup::dials::DialStager;
@@ -38,7 +38,7 @@
 const COME_BACK_LEAST: Micros = Micros(100_000);
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum RejectReason {
     /// There is more to do than can be done in time.
     Busy,
     /// Its time ran out.
@@ -53,34 +53,34 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Final {
+pub enum Response {
     /// Served.
     Served(ResultSet),
     /// Refused: a repeat does no harm.
-    Refused(Cause, Micros),
+    Refused(RejectReason, Micros),
     /// Failed: it may have run.
-    Failed(Cause, Micros),
+    Failed(RejectReason, Micros),
 }
 
 /// What a front asks for.
 #[derive(Debug)]
 pub struct Request {
     /// What the module is told.
-    pub asked: Asked,
+    pub asked: RequestSpec,
     /// The class, by name.
     pub class: String,
     /// The idempotency key.
     pub once: Option<String>,
     /// The statement.
-    pub statement: Buf,
+    pub statement: Buffer,
 }
 
-pub(super) struct Entry {
+pub(super) struct PendingRequest {
     pub(super) class: String,
     /// The class, by number.
     pub(super) class_number: usize,
     pub(super) once: Option<String>,
-    pub(super) statement: Buf,
+    pub(super) statement: Buffer,
     pub(super) taken: Micros,
     /// The client's estimate, or 0.
     pub(super) cost_ms: f64,
@@ -88,18 +88,18 @@
     pub(super) grant_mb: Option<f64>,
     pub(super) level: u8,
     pub(super) sends: u32,
-    pub(super) out: Option<Out>,
-    pub(super) last: Option<End>,
+    pub(super) out: Option<InFlightAttempt>,
+    pub(super) last: Option<AttemptOutcome>,
     /// When the first attempt that may have run was sent.
     pub(super) may_have_run: Option<Micros>,
-    pub(super) answer: Option<oneshot::Sender<Final>>,
+    pub(super) answer: Option<oneshot::Sender<Response>>,
     /// In the figures, until it has ended.
     pub(super) counted: Option<Taken>,
 }
 
 /// What became of requests since the last line of figures.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct RequestCounters {
     pub(super) taken: u32,
     pub(super) served: u32,
     pub(super) refused: u32,
@@ -108,30 +108,30 @@
     pub(super) attempts: u32,
 }
 
-pub(super) struct Inner {
-    pub(super) facade: Facade,
-    pub(super) tally: Tally,
+pub(super) struct RequestTable {
+    pub(super) facade: PolicyDriver,
+    pub(super) tally: RequestCounters,
     pub(super) next_figures: Micros,
-    pub(super) open: BTreeMap<u64, Entry>,
+    pub(super) open: BTreeMap<u64, PendingRequest>,
     pub(super) deadlines: BTreeSet<(Micros, u64)>,
     /// Attempts called off whose undo is on its way, by when it has landed.
     pub(super) landing: BTreeSet<(Micros, u64, u32)>,
     /// What an attempt must still be fit for when it leaves.
-    pub(super) gate: Gate,
+    pub(super) gate: SendGuard,
     pub(super) engines: Vec<Engine>,
     pub(super) last_event: u64,
     /// The highest revision of the list that was told; it outlives the engines that it named.
     pub(super) revision: u64,
     /// An engine is remembered for so long after it has gone: no request is open for longer.
     pub(super) keep: Micros,
-    pub(super) past: Past,
+    pub(super) past: RecentRequests,
     pub(super) seed: u64,
     /// Events that the recorder had lost when that was last said.
     pub(super) capture_lost: u64,
     /// The cold start's dials and readiness, where it is on.
-    pub(super) cold: Option<Cold>,
+    pub(super) cold: Option<StartupControl>,
     /// What is told to other managers, where they keep a view of the fleet.
-    pub(super) shared: Option<Shared>,
+    pub(super) shared: Option<GossipFacts>,
     /// Managers of the fleet, and what the others leave of their further attempts.
     fleet: (u32, f64),
     /// Processes of this manager.
@@ -139,12 +139,12 @@
     /// What is out here, and why.
     pub(super) outages: Outages,
     /// Failover between zones, where it is on.
-    pub(super) failover: Option<Failover>,
+    pub(super) failover: Option<ZoneRouting>,
 }
 
 /// What the cold start decides in the core: when new connections may be dialled, what is taken in hand while it
 /// warms, what a list may change of the one held, and when it is ready.
-pub(super) struct Cold {
+pub(super) struct StartupControl {
     pub(super) dials: DialStager,
     pub(super) admission: WarmAdmission,
     pub(super) held: HeldList,
@@ -153,36 +153,36 @@
 
 /// The core: what both fronts stand on.
 pub struct Core {
-    pub(super) inner: RefCell<Inner>,
-    pool: Pool,
-    terms: Terms,
+    pub(super) inner: RefCell<RequestTable>,
+    pool: BufferPool,
+    terms: ConnectionLimits,
     pub(super) wake: Notify,
-    figures: Figures,
+    figures: Metrics,
 }
 
 /// A request that was taken. Dropped before its answer, it is given up.
-pub struct Ticket {
+pub struct RequestHandle {
     core: Rc<Core>,
     id: u64,
-    answer: oneshot::Receiver<Final>,
+    answer: oneshot::Receiver<Response>,
     /// Its client is told so: it counts among the failed.
     cancelled: bool,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// Its client has called it off, and hears that as its answer.
     pub fn cancel(mut self) {
         self.cancelled = true;
     }
 
     /// The final answer.
-    pub async fn wait(&mut self) -> Final {
+    pub async fn wait(&mut self) -> Response {
         // The sender lives in the table until it is used: it cannot be lost before.
-        (&mut self.answer).await.unwrap_or(Final::Failed(Cause::Lost, COME_BACK_LEAST))
+        (&mut self.answer).await.unwrap_or(Response::Failed(RejectReason::Lost, COME_BACK_LEAST))
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.core.give_up(self.id, self.cancelled);
     }
@@ -194,18 +194,18 @@
         set: Settings,
         seed: u64,
         names: [Vec<String>; 2],
-        terms: Terms,
-        pool: Pool,
-        figures: Figures,
+        terms: ConnectionLimits,
+        pool: BufferPool,
+        figures: Metrics,
     ) -> Rc<Core> {
         let [zones, kinds] = names;
         let keep = set.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let fleet = (set.gateways, set.spare);
-        let gate = Gate::new(&set);
-        let facade = Facade::new(set, seed, zones, kinds, now());
+        let gate = SendGuard::new(&set);
+        let facade = PolicyDriver::new(set, seed, zones, kinds, now());
         let (open, deadlines, landing) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-        let (tally, next_figures) = (Tally::default(), now() + FIGURES);
-        let inner = Inner {
+        let (tally, next_figures) = (RequestCounters::default(), now() + FIGURES);
+        let inner = RequestTable {
             facade,
             tally,
             next_figures,
@@ -217,7 +217,7 @@
             last_event: 0,
             revision: 0,
             keep,
-            past: Past::default(),
+            past: RecentRequests::default(),
             seed,
             capture_lost: 0,
             cold: None,
@@ -234,7 +234,7 @@
     /// To be called before the first list, so that what is held is known from the start.
     pub fn cold_start(&self, set: &ColdStart, name: &str) {
         let mut inner = self.inner.borrow_mut();
-        let mut cold = Cold {
+        let mut cold = StartupControl {
             dials: DialStager::new(set.dials, name, now()),
             admission: WarmAdmission::new(set.admission, inner.seed, now()),
             held: HeldList::new(set.held),
@@ -286,7 +286,7 @@
     /// From now on this manager counts what it tells others: over the ration's span, that of cold budgets, and for
     /// engines cold for so long.
     pub fn share(&self, ration: Micros, cold: Micros, cold_for: Micros) {
-        self.inner.borrow_mut().shared = Some(Shared::new(ration, cold, cold_for));
+        self.inner.borrow_mut().shared = Some(GossipFacts::new(ration, cold, cold_for));
     }
 
     /// What it tells others as of now; `None` where nothing is counted.
@@ -312,22 +312,22 @@
     fn tell_fleet(self: &Rc<Self>) {
         let mut inner = self.inner.borrow_mut();
         let (gateways, spare) = inner.fleet;
-        let news = News::Fleet(gateways.saturating_mul(inner.parts), spare);
+        let news = PolicyEvent::Fleet(gateways.saturating_mul(inner.parts), spare);
         let orders = inner.facade.report(now(), news);
         inner.work(self, orders);
         self.wake.notify_one();
     }
 
     /// The pool of buffers.
-    pub fn pool(&self) -> &Pool {
+    pub fn pool(&self) -> &BufferPool {
         &self.pool
     }
     /// The figures: what is counted here, and what others count beside it.
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &Metrics {
         &self.figures
     }
     /// What the settings say of connections.
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &ConnectionLimits {
         &self.terms
     }
     /// Requests that are open.
@@ -365,7 +365,7 @@
     }
 
     /// Takes a request. `None` if its id is open, or was another statement's not long ago.
-    pub fn take(self: &Rc<Self>, mut request: Request) -> Option<Ticket> {
+    pub fn take(self: &Rc<Self>, mut request: Request) -> Option<RequestHandle> {
         let mut inner = self.inner.borrow_mut();
         let (id, at) = (request.asked.id, now());
         if inner.open.contains_key(&id) || !inner.past.note(id, &request.statement, at) {
@@ -376,7 +376,7 @@
         request.asked.left = deadline - at;
         inner.gate.took(at);
         inner.deadlines.insert((deadline, id));
-        let entry = Entry {
+        let entry = PendingRequest {
             class: request.class,
             class_number: request.asked.class,
             once: request.once,
@@ -404,12 +404,12 @@
         let closed = inner.gate.closed(at).then_some(COME_BACK_LEAST);
         let over = closed.or_else(|| inner.cold.as_mut().and_then(|c| c.admission.admit(at, in_hand).err()));
         let orders = match over {
-            Some(wait) => vec![Order::Refuse(id, wait)],
+            Some(wait) => vec![PolicyCommand::Refuse(id, wait)],
             None => inner.facade.pick(at, &request.asked),
         };
         inner.work(self, orders);
         self.wake.notify_one();
-        Some(Ticket { core: Rc::clone(self), id, answer, cancelled: false })
+        Some(RequestHandle { core: Rc::clone(self), id, answer, cancelled: false })
     }
 
     fn give_up(self: &Rc<Self>, id: u64, answered: bool) {
@@ -420,7 +420,7 @@
             entry.counted.take().into_iter().for_each(end);
             inner.tally.given_up += 1;
             let mut orders = inner.withdraw(id);
-            orders.extend(inner.facade.report(now(), News::GivenUp(id)));
+            orders.extend(inner.facade.report(now(), PolicyEvent::GivenUp(id)));
             inner.work(self, orders);
             inner.tidy(id);
         }
@@ -440,14 +440,14 @@
             inner.open.iter().filter(|(_, e)| e.answer.is_some()).map(|(id, _)| *id).collect();
         for id in &open {
             let Some(entry) = inner.open.get(id) else { continue };
-            let unsent = entry.out.as_ref().is_some_and(|o| o.link.withdraw(*id) == Withdrawn::Whole);
+            let unsent = entry.out.as_ref().is_some_and(|o| o.link.withdraw(*id) == Withdrawal::Whole);
             let answer = match entry.sends {
-                0 => Final::Refused(Cause::Busy, COME_BACK_LEAST),
-                1 if unsent => Final::Refused(Cause::Busy, COME_BACK_LEAST),
-                _ => Final::Failed(Cause::Busy, COME_BACK_LEAST),
+                0 => Response::Refused(RejectReason::Busy, COME_BACK_LEAST),
+                1 if unsent => Response::Refused(RejectReason::Busy, COME_BACK_LEAST),
+                _ => Response::Failed(RejectReason::Busy, COME_BACK_LEAST),
             };
             let mut orders = inner.settle(*id, answer);
-            orders.extend(inner.facade.report(now(), News::GivenUp(*id)));
+            orders.extend(inner.facade.report(now(), PolicyEvent::GivenUp(*id)));
             inner.work(self, orders);
         }
         open.len()
@@ -517,7 +517,7 @@
     }
 }
 
-impl Inner {
+impl RequestTable {
     /// Further attempts that the others of the fleet leave to this manager.
     pub(super) fn spare(&self) -> f64 {
         self.fleet.1
@@ -537,11 +537,11 @@
     }
 
     /// Carries orders out, and those that follow from them.
-    pub(super) fn work(&mut self, core: &Rc<Core>, orders: Vec<Order>) {
+    pub(super) fn work(&mut self, core: &Rc<Core>, orders: Vec<PolicyCommand>) {
         let mut queue = VecDeque::from(orders);
         while let Some(order) = queue.pop_front() {
             match order {
-                Order::Terms(id, grant_mb, level) => {
+                PolicyCommand::Terms(id, grant_mb, level) => {
                     let Some(entry) = self.open.get_mut(&id) else { continue };
                     if let Some(out) = entry.out.as_ref().filter(|o| !o.served && entry.level != level) {
                         let (id, n) = (format!("{id:016x}"), level.to_string());
@@ -549,19 +549,19 @@
                     }
                     (entry.grant_mb, entry.level) = (grant_mb, level);
                 }
-                Order::Send(id, engine) => queue.extend(self.send(core, id, engine)),
-                Order::Undo(id, attempt) => {
+                PolicyCommand::Send(id, engine) => queue.extend(self.send(core, id, engine)),
+                PolicyCommand::Undo(id, attempt) => {
                     if self.undo(core, id, attempt) {
                         self.landing.insert((now() + UNDO_LEAVES, id, attempt));
                         core.wake.notify_one();
                     }
                 }
-                Order::Refuse(id, wait) => queue.extend(self.refuse(id, wait)),
-                Order::Fail(id, wait) => {
+                PolicyCommand::Refuse(id, wait) => queue.extend(self.refuse(id, wait)),
+                PolicyCommand::Fail(id, wait) => {
                     let cause = self.cause(id);
-                    queue.extend(self.settle(id, Final::Failed(cause, wait.max(COME_BACK_LEAST))));
+                    queue.extend(self.settle(id, Response::Failed(cause, wait.max(COME_BACK_LEAST))));
                 }
-                Order::Log(text) => info!(from = "module", "{text}"),
+                PolicyCommand::Log(text) => info!(from = "module", "{text}"),
             }
         }
         if self.landing.first().is_some_and(|l| l.0 <= now()) {
@@ -569,46 +569,46 @@
         }
     }
 
-    fn refuse(&mut self, id: u64, wait: Micros) -> Vec<Order> {
+    fn refuse(&mut self, id: u64, wait: Micros) -> Vec<PolicyCommand> {
         let Some(entry) = self.open.get(&id) else { return Vec::new() };
         let late = entry.deadline - now() < NO_TIME;
-        let cause = if late { Cause::Deadline } else { Cause::Busy };
-        self.settle(id, Final::Refused(cause, wait.max(COME_BACK_LEAST)))
+        let cause = if late { RejectReason::Deadline } else { RejectReason::Busy };
+        self.settle(id, Response::Refused(cause, wait.max(COME_BACK_LEAST)))
     }
 
-    fn cause(&self, id: u64) -> Cause {
-        let Some(entry) = self.open.get(&id) else { return Cause::Busy };
+    fn cause(&self, id: u64) -> RejectReason {
+        let Some(entry) = self.open.get(&id) else { return RejectReason::Busy };
         match entry.last {
-            _ if entry.deadline - now() < NO_TIME => Cause::Deadline,
-            Some(End::Crashed) => Cause::Engine,
-            Some(End::Broken | End::Cut) => Cause::Lost,
-            Some(End::Unreachable) => Cause::Unreachable,
-            Some(End::Expired) => Cause::Deadline,
-            _ => Cause::Busy,
+            _ if entry.deadline - now() < NO_TIME => RejectReason::Deadline,
+            Some(AttemptOutcome::Crashed) => RejectReason::Engine,
+            Some(AttemptOutcome::Broken | AttemptOutcome::Cut) => RejectReason::Lost,
+            Some(AttemptOutcome::Unreachable) => RejectReason::Unreachable,
+            Some(AttemptOutcome::Expired) => RejectReason::Deadline,
+            _ => RejectReason::Busy,
         }
     }
 
     /// The one place from which a final answer leaves. A second one has nowhere to go. What has not left for an
     /// engine by then never will.
-    pub(super) fn settle(&mut self, id: u64, answer: Final) -> Vec<Order> {
+    pub(super) fn settle(&mut self, id: u64, answer: Response) -> Vec<PolicyCommand> {
         let orders = self.withdraw(id);
         let Some(entry) = self.open.get_mut(&id) else { return orders };
         match entry.answer.take() {
             Some(sender) => {
                 let counted = entry.counted.take().into_iter();
                 match answer {
-                    Final::Served(_) => {
+                    Response::Served(_) => {
                         counted.for_each(Taken::succeeded);
                         self.tally.served += 1;
                         if let Some(cold) = &mut self.cold {
                             cold.admission.served(now() - entry.taken);
                         }
                     }
-                    Final::Refused(..) => {
+                    Response::Refused(..) => {
                         counted.for_each(Taken::declined);
                         self.tally.refused += 1;
                     }
-                    Final::Failed(..) => {
+                    Response::Failed(..) => {
                         counted.for_each(Taken::aborted);
                         self.tally.failed += 1;
                     }
@@ -637,12 +637,12 @@
         let out = self.open.get(&id).and_then(|e| e.out.as_ref()).map(|o| o.attempt);
         if let Some(attempt) = out {
             self.undo(core, id, attempt);
-            let orders = self.end(id, End::Expired);
+            let orders = self.end(id, AttemptOutcome::Expired);
             self.work(core, orders);
         }
         if self.open.get(&id).is_some_and(|e| e.answer.is_some()) {
-            let mut orders = self.settle(id, Final::Failed(Cause::Deadline, COME_BACK_LEAST));
-            orders.extend(self.facade.report(now(), News::GivenUp(id)));
+            let mut orders = self.settle(id, Response::Failed(RejectReason::Deadline, COME_BACK_LEAST));
+            orders.extend(self.facade.report(now(), PolicyEvent::GivenUp(id)));
             self.work(core, orders);
         }
     }
--- a/src/core/request_table/leaving_tests.rs
+++ b/src/core/request_table/leaving_tests.rs
@@ -4,7 +4,7 @@
 use super::super::result_buffer::ResultSet;
 use super::tests::{core, core_with, local, request, Nobody};
 use super::*;
-use crate::core::engine_connection::{self, Link};
+use crate::core::engine_connection::{self, EngineConnection};
 use crate::proto::events::{ListEvent, Member, Phase};
 use crate::proto::resp;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     panic!("it never came");
 }
 
-fn link_of(core: &Core, id: u64) -> Option<Rc<Link>> {
+fn link_of(core: &Core, id: u64) -> Option<Rc<EngineConnection>> {
     let inner = core.inner.borrow();
     inner.open.get(&id).and_then(|e| e.out.as_ref()).map(|o| Rc::clone(&o.link))
 }
@@ -169,7 +169,7 @@
             }
         }
         peer.write_all(SERVED).await.expect("written");
-        assert!(matches!(ticket.wait().await, Final::Served(ResultSet { .. })));
+        assert!(matches!(ticket.wait().await, Response::Served(ResultSet { .. })));
     });
 }
 
@@ -183,7 +183,7 @@
         let mut inner = core.inner.borrow_mut();
         assert!(inner.undo(&core, 1, 0));
         inner.land(&core, 1, 0);
-        assert_eq!(inner.open[&1].last, Some(End::NotRun));
+        assert_eq!(inner.open[&1].last, Some(AttemptOutcome::NotRun));
         assert!(inner.open[&1].may_have_run.is_none());
     });
 }
@@ -194,8 +194,8 @@
 fn a_command_that_left_in_part_never_ran() {
     local(async {
         let (core, listeners) = core().await;
-        let pool = Pool::new(4_000);
-        let link = Link::new(0, listeners[0].local_addr().expect("an address"));
+        let pool = BufferPool::new(4_000);
+        let link = EngineConnection::new(0, listeners[0].local_addr().expect("an address"));
         let body = vec![b'x'; 60_000];
         let send = |id: u64| {
             let name = format!("{id:016x}");
@@ -263,7 +263,7 @@
             assert!(peer.read_buf(&mut got).await.expect("read") > 0);
         }
         peer.write_all(SERVED).await.expect("written");
-        assert!(matches!(first.wait().await, Final::Served(_)));
+        assert!(matches!(first.wait().await, Response::Served(_)));
         // Requests until one is on that link: the module draws engines by chance.
         let mut tickets = Vec::new();
         let mut closing = Some(peer);
@@ -300,8 +300,11 @@
             assert!(filler.len() < 16);
         }
         let (core, _engines) = core().await;
-        let nobody = Rc::new(Nobody(Pool::new(4), Terms { dial: Micros(600_000_000), ..*core.terms() }));
-        let link = Link::new(0, address);
+        let nobody = Rc::new(Nobody(
+            BufferPool::new(4),
+            ConnectionLimits { dial: Micros(600_000_000), ..*core.terms() },
+        ));
+        let link = EngineConnection::new(0, address);
         let dial = tokio::task::spawn_local(engine_connection::run(nobody, Rc::clone(&link)));
         tokio::task::yield_now().await;
         assert!(!dial.is_finished());
--- a/src/core/request_table/tests.rs
+++ b/src/core/request_table/tests.rs
@@ -2,7 +2,7 @@
 
 use super::super::recent_requests::{MOST_PAST, PAST};
 use super::*;
-use crate::core::engine_connection::{Link, Owner, Withdrawn};
+use crate::core::engine_connection::{ConnectionOwner, EngineConnection, Withdrawal};
 use crate::proto::events::{ListEvent, Member, Phase};
 use sprucelink_policy::*;
 use std::time::Duration;
@@ -28,8 +28,8 @@
     Settings { classes: vec![class], kind_cores, cancel, max_attempts, ..Settings::default() }
 }
 
-fn figures() -> Figures {
-    Figures::new(&["c".into()]).expect("figures")
+fn figures() -> Metrics {
+    Metrics::new(&["c".into()]).expect("figures")
 }
 
 /// A core with two engines that accept connections and say nothing.
@@ -46,8 +46,15 @@
     cores: f64,
 ) -> (Rc<Core>, Vec<TcpListener>) {
     let dial = Micros(5_000_000);
-    let terms = Terms { streams, dial, idle: Micros(15_000_000), notes: Micros(0), most: 4, most_links: 8 };
-    let pool = Pool::new(2 * streams);
+    let terms = ConnectionLimits {
+        streams,
+        dial,
+        idle: Micros(15_000_000),
+        notes: Micros(0),
+        most: 4,
+        most_links: 8,
+    };
+    let pool = BufferPool::new(2 * streams);
     let set = Settings { kind_cores: vec![cores], ..settings() };
     let core = Core::new(set, 7, [Vec::new(), Vec::new()], terms, pool, figures());
     let mut members = Vec::new();
@@ -62,24 +69,24 @@
 }
 
 /// Who links belong to that carry what no table knows: all of it may leave.
-pub(super) struct Nobody(pub(super) Pool, pub(super) Terms);
+pub(super) struct Nobody(pub(super) BufferPool, pub(super) ConnectionLimits);
 
-impl Owner for Nobody {
-    fn pool(&self) -> &Pool {
+impl ConnectionOwner for Nobody {
+    fn pool(&self) -> &BufferPool {
         &self.0
     }
-    fn terms(&self) -> &Terms {
+    fn terms(&self) -> &ConnectionLimits {
         &self.1
     }
-    fn on_answer(self: &Rc<Self>, _: &Link, _: &[&[u8]]) -> Result<(), crate::proto::Malformed> {
+    fn on_answer(self: &Rc<Self>, _: &EngineConnection, _: &[&[u8]]) -> Result<(), crate::proto::Malformed> {
         Ok(())
     }
-    fn on_link_down(self: &Rc<Self>, _: &Rc<Link>, _: &str, _: bool) {}
+    fn on_link_down(self: &Rc<Self>, _: &Rc<EngineConnection>, _: &str, _: bool) {}
 }
 
 pub(super) fn request(core: &Core, id: u64) -> Request {
     let (cost_ms, left) = (Some(1.0), Micros(20_000_000));
-    let asked = Asked { id, class: 0, tenant: 0, tables: 1, left, cost_ms, memory_mb: None };
+    let asked = RequestSpec { id, class: 0, tenant: 0, tables: 1, left, cost_ms, memory_mb: None };
     let statement = core.pool().get().expect("a buffer");
     Request { asked, class: "c".into(), once: None, statement }
 }
@@ -128,7 +135,7 @@
     local(async {
         let (core, _engines) = core().await;
         let _ticket = core.take(request(&core, 1)).expect("taken");
-        let stuck = Link::new(0, "127.0.0.1:9".parse().expect("an address"));
+        let stuck = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         let (attempt, place) = {
             let mut inner = core.inner.borrow_mut();
             let out = inner.open.get_mut(&1).and_then(|e| e.out.as_mut()).expect("out");
@@ -193,14 +200,14 @@
         assert!(core.take(request(&core, 1)).is_none(), "an open id is not taken twice");
         {
             let mut inner = core.inner.borrow_mut();
-            drop(inner.settle(1, Final::Refused(Cause::Busy, Micros(5))));
-            drop(inner.settle(1, Final::Failed(Cause::Lost, Micros(5))));
+            drop(inner.settle(1, Response::Refused(RejectReason::Busy, Micros(5))));
+            drop(inner.settle(1, Response::Failed(RejectReason::Lost, Micros(5))));
         }
-        assert!(matches!(ticket.wait().await, Final::Refused(Cause::Busy, _)));
+        assert!(matches!(ticket.wait().await, Response::Refused(RejectReason::Busy, _)));
         let mut other = request(&core, 1);
         other.statement.extend_from_slice(b"SELECT 2");
         assert!(core.take(other).is_none(), "nor one that was another statement's");
-        let (mut past, late) = (Past::default(), Micros(PAST.0 + 1));
+        let (mut past, late) = (RecentRequests::default(), Micros(PAST.0 + 1));
         assert!(past.note(1, b"a", Micros(0)) && past.note(1, b"a", PAST), "its client's second try");
         assert!(!past.note(1, b"b", PAST) && past.note(1, b"b", late));
         (2..2 * MOST_PAST as u64).for_each(|id| assert!(past.note(id, b"", late)));
@@ -213,7 +220,7 @@
 fn a_link_does_not_carry_a_request_again_that_was_undone_on_it() {
     local(async {
         let (core, _engines) = core().await;
-        let link = Link::new(0, "127.0.0.1:9".parse().expect("an address"));
+        let link = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         assert!(link.send(core.pool(), 5, 0, &[b"do"]));
         link.release(5, true);
         assert!(!link.takes(5, core.terms()) && link.takes(6, core.terms()));
@@ -253,9 +260,9 @@
 fn a_link_that_owes_notes_takes_nothing_new() {
     local(async {
         let (core, _engines) = core().await;
-        let link = Link::new(0, "127.0.0.1:9".parse().expect("an address"));
+        let link = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         assert!(link.send(core.pool(), 5, 0, &[b"do"]));
-        let noting = Terms { notes: Micros(1_000), ..*core.terms() };
+        let noting = ConnectionLimits { notes: Micros(1_000), ..*core.terms() };
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert!(!link.takes(6, &noting), "three notes are missing");
         assert!(link.takes(6, core.terms()), "where there are no notes none is missed");
@@ -267,10 +274,10 @@
 /// Guards the memory limit: an empty pool means no, and what comes back is used again.
 #[test]
 fn the_pool_has_a_bound_and_a_send_without_a_buffer_never_ran() {
-    let pool = Pool::new(1);
+    let pool = BufferPool::new(1);
     let held = pool.get().expect("the only one");
     assert!(pool.get().is_none());
-    let link = Link::new(0, "127.0.0.1:9".parse().expect("an address"));
+    let link = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
     assert!(!link.send(&pool, 1, 0, &[b"do"]) && link.riders() == 0);
     // An undo is said all the same: unsaid, its attempt would run on beside the next one.
     link.command(&pool, &[b"undo"]);
@@ -287,16 +294,16 @@
 fn what_is_withdrawn_never_leaves_and_what_stands_by_it_does() {
     local(async {
         let (core, listeners) = core().await;
-        let link = Link::new(0, listeners[0].local_addr().expect("an address"));
+        let link = EngineConnection::new(0, listeners[0].local_addr().expect("an address"));
         let body = vec![b'x'; 60_000];
-        let pool = Pool::new(4_000);
+        let pool = BufferPool::new(4_000);
         let send = |id: u64| {
             let name = format!("{id:016x}");
             assert!(link.send(&pool, id, 0, &[b"do", name.as_bytes(), b"-", &body]));
         };
         (0..4).for_each(send);
-        assert_eq!(link.withdraw(0), Withdrawn::Whole);
-        assert_eq!(link.withdraw(2), Withdrawn::Whole);
+        assert_eq!(link.withdraw(0), Withdrawal::Whole);
+        assert_eq!(link.withdraw(2), Withdrawal::Whole);
         let nobody = Rc::new(Nobody(pool.clone(), *core.terms()));
         tokio::task::spawn_local(crate::core::engine_connection::run(nobody, Rc::clone(&link)));
         let (mut peer, _) = listeners[0].accept().await.expect("a link");
@@ -311,10 +318,10 @@
         assert!(cut.len() > 2, "the peer holds all of it");
         let of = |id: &u64| link.withdraw(*id);
         let first = of(&cut[0]);
-        assert!(matches!(first, Withdrawn::InPart | Withdrawn::Whole));
+        assert!(matches!(first, Withdrawal::InPart | Withdrawal::Whole));
         let gone: Vec<u64> = cut[1..].iter().copied().filter(|id| id % 2 == 0).collect();
-        assert!(gone.iter().map(of).all(|w| w == Withdrawn::Whole));
-        assert_eq!(link.withdraw(3), Withdrawn::Late);
+        assert!(gone.iter().map(of).all(|w| w == Withdrawal::Whole));
+        assert_eq!(link.withdraw(3), Withdrawal::Late);
         let (mut got, mut ids) = (Vec::new(), Vec::new());
         while ids.last() != Some(&999) {
             let n = tokio::io::AsyncReadExt::read_buf(&mut peer, &mut got).await.expect("read");
@@ -328,7 +335,7 @@
             }
         }
         let kept = |id: &u64| {
-            ![0, 2].contains(id) && !gone.contains(id) && (*id != cut[0] || first == Withdrawn::InPart)
+            ![0, 2].contains(id) && !gone.contains(id) && (*id != cut[0] || first == Withdrawal::InPart)
         };
         assert_eq!(ids, (0..1_000).filter(kept).collect::<Vec<_>>());
     });
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -1,6 +1,6 @@
 //! Results: the pages of an answer, kept until its client has the last row.
 
-use super::buffer_pool::{Buf, Pool};
+use super::buffer_pool::{Buffer, BufferPool};
 
 /// Longest page.
 pub(super) const PAGE: usize = 6_000;
@@ -10,13 +10,13 @@
 /// A result: its pages one behind the other in as few buffers as hold them, in the order they came.
 #[derive(Debug, Default)]
 pub struct ResultSet {
-    bufs: Vec<Buf>,
+    bufs: Vec<Buffer>,
     /// By page: its buffer, and where it begins and ends there.
     pub(super) pages: Vec<Option<(usize, usize, usize)>>,
 }
 
 impl ResultSet {
-    pub(super) fn put(&mut self, pool: &Pool, page: usize, body: &[u8]) -> bool {
+    pub(super) fn put(&mut self, pool: &BufferPool, page: usize, body: &[u8]) -> bool {
         if !self.bufs.last().is_some_and(|buf| buf.has_room(body.len())) {
             let Some(buf) = pool.get() else { return false };
             self.bufs.push(buf);
@@ -54,7 +54,7 @@
 
     #[test]
     fn rows_come_back_in_order_over_pages_and_buffers() {
-        let pool = Pool::new(3);
+        let pool = BufferPool::new(3);
         let mut set = ResultSet { bufs: Vec::new(), pages: vec![None; 13] };
         for page in (0..13).rev() {
             assert!(set.put(&pool, page, format!("{page}\ta\n{page}\tb\n").as_bytes()));
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -14,7 +14,7 @@
 
 /// Why an attempt may not leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unfit {
+pub(super) enum SendRejection {
     /// Its request has its final answer, or its client has gone.
     Over,
     /// Its client's time is over, or this process ends before.
@@ -29,7 +29,7 @@
 
 /// An attempt that is about to leave, as things stand at this moment.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Leaving {
+pub(super) struct OutgoingAttempt {
     /// Its request has no final answer, and its client is present.
     pub(super) open: bool,
     /// When its client stops waiting.
@@ -77,7 +77,7 @@
 
 /// The rules on what is sent, and what they count.
 #[derive(Debug)]
-pub(super) struct Gate {
+pub(super) struct SendGuard {
     classes: Vec<(Effect, Micros)>,
     budget: Option<AttemptBudget>,
     taken: Slots,
@@ -86,11 +86,11 @@
     ends_by: Option<Micros>,
 }
 
-impl Gate {
-    pub(super) fn new(set: &Settings) -> Gate {
+impl SendGuard {
+    pub(super) fn new(set: &Settings) -> SendGuard {
         let span = set.attempt_budget.as_ref().map_or(Micros(0), |b| b.span);
         let slots = || Slots { span, counts: VecDeque::new() };
-        Gate {
+        SendGuard {
             classes: set.classes.iter().map(|c| (c.effect, c.repeat_window)).collect(),
             budget: set.attempt_budget,
             taken: slots(),
@@ -132,15 +132,15 @@
     ///
     /// # Errors
     /// The first rule that it would break.
-    pub(super) fn check(&self, now: Micros, spare: f64, a: &Leaving) -> Result<(), Unfit> {
+    pub(super) fn check(&self, now: Micros, spare: f64, a: &OutgoingAttempt) -> Result<(), SendRejection> {
         if !a.open {
-            return Err(Unfit::Over);
+            return Err(SendRejection::Over);
         }
         if now >= self.answer_by(a.deadline) {
-            return Err(Unfit::Late);
+            return Err(SendRejection::Late);
         }
         if !a.engine_ready {
-            return Err(Unfit::Engine);
+            return Err(SendRejection::Engine);
         }
         let repeats = match (self.classes.get(a.class), a.may_have_run) {
             (Some((Effect::Unsafe, _)), Some(_)) => false,
@@ -148,14 +148,14 @@
             _ => true,
         };
         if !repeats {
-            return Err(Unfit::Repeat);
+            return Err(SendRejection::Repeat);
         }
         let within = |b: &AttemptBudget| {
             let allowed = b.free + b.share * self.taken.sum(now, false) as f64 + spare;
             (self.further.sum(now, true) + 1) as f64 <= allowed
         };
         if a.further && !self.budget.as_ref().is_none_or(within) {
-            return Err(Unfit::Ration);
+            return Err(SendRejection::Ration);
         }
         Ok(())
     }
--- a/src/core/send_guard_tests.rs
+++ b/src/core/send_guard_tests.rs
@@ -26,12 +26,12 @@
     Micros(t * 1_000)
 }
 
-fn gate(budget: Option<AttemptBudget>) -> Gate {
+fn gate(budget: Option<AttemptBudget>) -> SendGuard {
     let classes = vec![class(Effect::Safe, 0), class(Effect::Keyed, 400), class(Effect::Unsafe, 9_000)];
-    Gate::new(&Settings { classes, attempt_budget: budget, ..Settings::default() })
+    SendGuard::new(&Settings { classes, attempt_budget: budget, ..Settings::default() })
 }
 
-const FIRST: Leaving = Leaving {
+const FIRST: OutgoingAttempt = OutgoingAttempt {
     open: true,
     deadline: Micros(2_000_000),
     class: 0,
@@ -44,25 +44,28 @@
 fn a_request_that_is_over_or_late_and_an_engine_that_drains_get_nothing() {
     let gate = gate(None);
     assert_eq!(gate.check(ms(1), 0.0, &FIRST), Ok(()));
-    assert_eq!(gate.check(ms(1), 0.0, &Leaving { open: false, ..FIRST }), Err(Unfit::Over));
+    assert_eq!(gate.check(ms(1), 0.0, &OutgoingAttempt { open: false, ..FIRST }), Err(SendRejection::Over));
     assert_eq!(gate.check(ms(1_999), 0.0, &FIRST), Ok(()));
-    assert_eq!(gate.check(ms(2_000), 0.0, &FIRST), Err(Unfit::Late));
-    assert_eq!(gate.check(ms(1), 0.0, &Leaving { engine_ready: false, ..FIRST }), Err(Unfit::Engine));
+    assert_eq!(gate.check(ms(2_000), 0.0, &FIRST), Err(SendRejection::Late));
+    assert_eq!(
+        gate.check(ms(1), 0.0, &OutgoingAttempt { engine_ready: false, ..FIRST }),
+        Err(SendRejection::Engine)
+    );
 }
 
 #[test]
 fn a_repeat_leaves_within_its_window_and_what_is_unsafe_never() {
     let gate = gate(None);
-    let again = Leaving { further: true, may_have_run: Some(ms(100)), ..FIRST };
+    let again = OutgoingAttempt { further: true, may_have_run: Some(ms(100)), ..FIRST };
     assert_eq!(gate.check(ms(1_000), 0.0, &again), Ok(()), "a safe class has no window");
-    let keyed = Leaving { class: 1, ..again };
+    let keyed = OutgoingAttempt { class: 1, ..again };
     assert_eq!(gate.check(ms(499), 0.0, &keyed), Ok(()));
-    assert_eq!(gate.check(ms(500), 0.0, &keyed), Err(Unfit::Repeat));
-    let never_ran = Leaving { may_have_run: None, ..keyed };
+    assert_eq!(gate.check(ms(500), 0.0, &keyed), Err(SendRejection::Repeat));
+    let never_ran = OutgoingAttempt { may_have_run: None, ..keyed };
     assert_eq!(gate.check(ms(1_500), 0.0, &never_ran), Ok(()));
-    let one_way = Leaving { class: 2, ..again };
-    assert_eq!(gate.check(ms(101), 0.0, &one_way), Err(Unfit::Repeat));
-    assert_eq!(gate.check(ms(101), 0.0, &Leaving { may_have_run: None, ..one_way }), Ok(()));
+    let one_way = OutgoingAttempt { class: 2, ..again };
+    assert_eq!(gate.check(ms(101), 0.0, &one_way), Err(SendRejection::Repeat));
+    assert_eq!(gate.check(ms(101), 0.0, &OutgoingAttempt { may_have_run: None, ..one_way }), Ok(()));
 }
 
 #[test]
@@ -72,7 +75,7 @@
     gate.ends_by(ms(700));
     assert_eq!((gate.answer_by(ms(500)), gate.answer_by(ms(900))), (ms(500), ms(700)));
     assert_eq!(gate.check(ms(699), 0.0, &FIRST), Ok(()));
-    assert_eq!(gate.check(ms(700), 0.0, &FIRST), Err(Unfit::Late));
+    assert_eq!(gate.check(ms(700), 0.0, &FIRST), Err(SendRejection::Late));
     assert!(!gate.closed(ms(699)) && gate.closed(ms(700)));
 }
 
@@ -90,7 +93,7 @@
                 gate.took(now);
                 taken.push(now);
             }
-            let further = Leaving { further: true, deadline: now + ms(1), ..FIRST };
+            let further = OutgoingAttempt { further: true, deadline: now + ms(1), ..FIRST };
             if gate.check(now, 0.0, &further).is_err() {
                 continue;
             }
@@ -113,7 +116,7 @@
 fn the_ration_is_used_and_its_counts_stay_bounded() {
     let budget = AttemptBudget { span: ms(5_000), free: 3.0, share: 0.1 };
     let mut gate = gate(Some(budget));
-    let further = Leaving { further: true, deadline: Micros(i64::MAX), ..FIRST };
+    let further = OutgoingAttempt { further: true, deadline: Micros(i64::MAX), ..FIRST };
     let mut left = 0;
     for t in 0..60_000 {
         gate.took(ms(t));
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -1,14 +1,14 @@
 //! What the failover between zones is told by the core, and what it tells the module: sums over the module's own beliefs
 //! of engines, and over what other managers see. It adds up; `sprucelink_zone_failover` decides.
 
-use super::facade::{News, Order};
+use super::facade::{PolicyCommand, PolicyEvent};
 use super::now;
-use super::request_table::{Core, Inner};
+use super::request_table::{Core, RequestTable};
 use sprucelink_membership::facts::{self, Facts};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::Micros;
 use sprucelink_zone_failover::silence::{self, Heard, Silences, Voice};
-use sprucelink_zone_failover::terms::Terms;
+use sprucelink_zone_failover::terms::Terms as FailoverTerms;
 use sprucelink_zone_failover::{Locality, Plan, Seen};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -30,9 +30,9 @@
 }
 
 /// The failover, where it is on.
-pub(super) struct Failover {
+pub(super) struct ZoneRouting {
     locality: Locality,
-    terms: Terms,
+    terms: FailoverTerms,
     zones: Vec<String>,
     observers: Vec<Observer>,
     silences: Silences,
@@ -42,9 +42,9 @@
 
 impl Core {
     /// Switches the failover on: this manager's own zone by number, and the zones' names.
-    pub fn failover(&self, terms: &Terms, home: Option<u32>, zones: Vec<String>) {
+    pub fn failover(&self, terms: &FailoverTerms, home: Option<u32>, zones: Vec<String>) {
         let home = home.map(|z| (z, terms.region(&zones, z as usize)));
-        self.inner.borrow_mut().failover = Some(Failover {
+        self.inner.borrow_mut().failover = Some(ZoneRouting {
             locality: Locality::new(terms.clone(), home),
             terms: terms.clone(),
             zones,
@@ -71,7 +71,7 @@
     }
 }
 
-impl Inner {
+impl RequestTable {
     /// An engine's id as managers name it to each other.
     fn shared_name(&self, e: &EngineView) -> Option<u64> {
         self.engines.get(e.engine as usize).map(|known| facts::named(&known.id))
@@ -96,7 +96,7 @@
         self.facade.beliefs().iter().filter(silent).filter_map(|e| self.shared_name(e)).collect()
     }
 
-    fn judge_zones(&mut self) -> Vec<Order> {
+    fn judge_zones(&mut self) -> Vec<PolicyCommand> {
         let due = self.failover.as_ref().is_some_and(|f| now() >= f.next);
         let Some(mut failover) = due.then(|| self.failover.take()).flatten() else { return Vec::new() };
         failover.next = now() + EVERY;
@@ -114,11 +114,11 @@
             failover.told.clone_from(w);
         }
         self.failover = Some(failover);
-        weights.map(|w| self.facade.report(now(), News::Zones(w))).unwrap_or_default()
+        weights.map(|w| self.facade.report(now(), PolicyEvent::Zones(w))).unwrap_or_default()
     }
 
     /// Sums by zone: the module's beliefs, and what the others tell.
-    fn seen(&self, f: &Failover, beliefs: &[EngineView], heard: &[Heard]) -> Vec<Seen> {
+    fn seen(&self, f: &ZoneRouting, beliefs: &[EngineView], heard: &[Heard]) -> Vec<Seen> {
         let mut zones: BTreeMap<u32, Seen> = BTreeMap::new();
         let mut engines: BTreeMap<u32, BTreeSet<u64>> = BTreeMap::new();
         for z in 0..f.zones.len() as u32 {
@@ -157,7 +157,7 @@
 }
 
 /// Says each verdict with its reasons, zones by name.
-fn say(f: &Failover, plan: &Plan) {
+fn say(f: &ZoneRouting, plan: &Plan) {
     for news in &plan.news {
         let named = news.strip_prefix("zone ").and_then(|rest| {
             let (number, rest) = rest.split_once([' ', ','])?;
--- a/src/front/answer.rs
+++ b/src/front/answer.rs
@@ -1,7 +1,7 @@
 //! Final answers as clients see them.
 
 use super::wire::Wire;
-use crate::core::request_table::Cause;
+use crate::core::request_table::RejectReason;
 use crate::core::result_buffer::ResultSet;
 use crate::proto::pg::{self, Fault};
 use sprucelink_policy::Micros;
@@ -18,25 +18,25 @@
 
 /// A refusal: a repeat does no harm. On the platform only class 53 says so; the second front
 /// tells a deadline from a jam.
-pub fn refused(cause: Cause, wait: Micros, extended: bool) -> Fault {
+pub fn refused(cause: RejectReason, wait: Micros, extended: bool) -> Fault {
     let fault = match cause {
-        Cause::Deadline if extended => {
+        RejectReason::Deadline if extended => {
             Fault::new("57014", "canceled: its time ran out; a repeat does no harm")
         }
-        Cause::Deadline => Fault::new("53000", "refused: its time ran out; a repeat does no harm"),
+        RejectReason::Deadline => Fault::new("53000", "refused: its time ran out; a repeat does no harm"),
         _ => Fault::new("53400", "refused: there is more to do than can be done in time"),
     };
     come_back(fault, wait)
 }
 
 /// A failure, by its cause.
-pub fn failed(cause: Cause, wait: Micros) -> Fault {
+pub fn failed(cause: RejectReason, wait: Micros) -> Fault {
     let (code, message) = match cause {
-        Cause::Deadline => ("57014", "canceled: its time ran out; it may have run"),
-        Cause::Engine => ("58000", "the engine failed; it may have run"),
-        Cause::Lost => ("08006", "the connection to the engine broke; it may have run"),
-        Cause::Unreachable => ("08001", "no engine could be reached"),
-        Cause::Busy => ("40003", "given up; it may have run"),
+        RejectReason::Deadline => ("57014", "canceled: its time ran out; it may have run"),
+        RejectReason::Engine => ("58000", "the engine failed; it may have run"),
+        RejectReason::Lost => ("08006", "the connection to the engine broke; it may have run"),
+        RejectReason::Unreachable => ("08001", "no engine could be reached"),
+        RejectReason::Busy => ("40003", "given up; it may have run"),
     };
     come_back(Fault::new(code, message), wait)
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -8,9 +8,9 @@
 pub mod socket;
 pub mod wire;
 
-use crate::core::buffer_pool::Buf;
-use crate::core::facade::Asked;
-use crate::core::request_table::{Core, Request, Ticket, MOST_STATEMENT};
+use crate::core::buffer_pool::Buffer;
+use crate::core::facade::RequestSpec;
+use crate::core::request_table::{Core, Request, RequestHandle, MOST_STATEMENT};
 use crate::core::{now, span};
 use crate::proto::fields::Fields;
 use crate::proto::pg::{self, Fault, Opening};
@@ -477,7 +477,7 @@
         arrived: Micros,
         own_timeout: Option<u64>,
         cancelled: bool,
-    ) -> Result<Ticket, Fault> {
+    ) -> Result<RequestHandle, Fault> {
         let setup = &self.setup;
         let kind = f.kind.as_deref().or(setup.default_class.as_deref());
         let kind = kind.ok_or_else(|| missing("kind", "the statement's comment must name a class"))?;
@@ -508,7 +508,7 @@
             _ => None,
         };
         let timeout = f.timeout_ms.or(own_timeout).map_or(of_class.deadline, |ms| Micros(ms as i64 * 1000));
-        let asked = Asked {
+        let asked = RequestSpec {
             id,
             class,
             tenant,
@@ -528,7 +528,7 @@
             .ok_or_else(|| Fault::new("42710", format!("field req: {id:016x} was given to a request before")))
     }
 
-    fn keep(&self, statement: &str) -> Result<Buf, Fault> {
+    fn keep(&self, statement: &str) -> Result<Buffer, Fault> {
         if statement.len() > MOST_STATEMENT {
             return Err(Fault::new("54000", format!("a statement holds at most {MOST_STATEMENT} bytes")));
         }
--- a/src/front/session.rs
+++ b/src/front/session.rs
@@ -5,7 +5,7 @@
 use super::wire::{Overrun, Wire};
 use super::{answer, late, too_many, Counted, Front};
 use crate::core::buffer_pool::SIZE;
-use crate::core::request_table::{Final, Ticket};
+use crate::core::request_table::{RequestHandle, Response};
 use crate::proto::pg::{self, Fault, Message};
 use crate::proto::{
     fields::{self, Fields},
@@ -383,7 +383,7 @@
     pub(super) async fn wait<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         wire: &mut Wire<S>,
-        mut ticket: Ticket,
+        mut ticket: RequestHandle,
     ) -> io::Result<Option<Result<crate::core::result_buffer::ResultSet, Fault>>> {
         let cancel = Rc::clone(&self.cancel);
         let extended = self.front.setup.extended;
@@ -391,9 +391,9 @@
             tokio::select! {
                 biased;
                 f = ticket.wait() => return Ok(Some(match f {
-                    Final::Served(result) => Ok(result),
-                    Final::Refused(cause, wait) => Err(answer::refused(cause, wait, extended)),
-                    Final::Failed(cause, wait) => Err(answer::failed(cause, wait)),
+                    Response::Served(result) => Ok(result),
+                    Response::Refused(cause, wait) => Err(answer::refused(cause, wait, extended)),
+                    Response::Failed(cause, wait) => Err(answer::failed(cause, wait)),
                 })),
                 () = cancel.asked() => {
                     cancel.take();
--- a/src/front/wire.rs
+++ b/src/front/wire.rs
@@ -4,7 +4,7 @@
 //! still sent. So what is read ahead is kept up to a bound, and beyond that thrown away, only to learn of the end; the
 //! session is then overrun, and ends behind what it holds whole.
 
-use crate::core::buffer_pool::{Buf, Pool, SIZE};
+use crate::core::buffer_pool::{Buffer, BufferPool, SIZE};
 use crate::core::now;
 use sprucelink_policy::Micros;
 use std::cell::Cell;
@@ -73,7 +73,7 @@
 
 /// A buffer of what was read ahead, and how much of it has moved on.
 struct Kept {
-    buf: Buf,
+    buf: Buffer,
     moved: usize,
     of: Rc<Ahead>,
 }
@@ -85,7 +85,7 @@
 }
 
 /// Appends as much as fits; the rest.
-fn append<'a>(buf: &mut Buf, bytes: &'a [u8]) -> &'a [u8] {
+fn append<'a>(buf: &mut Buffer, bytes: &'a [u8]) -> &'a [u8] {
     let (fits, rest) = bytes.split_at(bytes.len().min(SIZE.saturating_sub(buf.len())));
     buf.extend_from_slice(fits);
     rest
@@ -95,8 +95,8 @@
 pub struct Wire<S> {
     /// The connection.
     pub stream: S,
-    pool: Pool,
-    input: Option<Buf>,
+    pool: BufferPool,
+    input: Option<Buffer>,
     /// Bytes at the input's front that are consumed.
     consumed: usize,
     /// Read behind the input, in order.
@@ -108,13 +108,13 @@
     ended: bool,
     /// Bytes read since the others had their turn.
     read: usize,
-    output: Option<Buf>,
+    output: Option<Buffer>,
     arrived: Micros,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
     /// A connection from which nothing was read, and what may be read ahead on it.
-    pub fn new(stream: S, pool: Pool, may: Rc<Ahead>) -> Wire<S> {
+    pub fn new(stream: S, pool: BufferPool, may: Rc<Ahead>) -> Wire<S> {
         Wire {
             stream,
             pool,
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -2,7 +2,7 @@
 //! reads into types, the settings as the adapter's; here they become limits, terms and names.
 
 use super::admin;
-use crate::core::engine_connection::Terms;
+use crate::core::engine_connection::ConnectionLimits as Terms;
 use crate::front::{Class, Setup};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Micros, Settings};
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -7,7 +7,7 @@
 use super::hot_restart_driver::Upgrade;
 use super::membership_driver::{self, Told};
 use super::operator::Operator;
-use crate::core::buffer_pool::Pool;
+use crate::core::buffer_pool::BufferPool;
 use crate::core::request_table::Core;
 use crate::core::{endpoint_client, now, span};
 use crate::front::{Front, Setup};
@@ -15,7 +15,7 @@
 use sprucelink_capture::settings::Settings;
 use sprucelink_hot_restart::Spans;
 use sprucelink_membership::terms::Settings as Membership;
-use sprucelink_metrics::Figures;
+use sprucelink_metrics::Metrics;
 use sprucelink_policy::Micros;
 use sprucelink_startup::lists::ListCalls;
 use sprucelink_startup::settings::ColdStart;
@@ -138,8 +138,9 @@
     };
     settings.cold_ramp = cold_start.and_then(|c| c.first_load.ramp());
     let classes: Vec<String> = config.setup.classes.iter().map(|c| c.name.clone()).collect();
-    let figures = Figures::new(&classes).map_err(|e| format!("figures: {e}"))?;
-    let core = Core::new(settings, seed, config.names, config.terms, Pool::new(config.buffers), figures);
+    let figures = Metrics::new(&classes).map_err(|e| format!("figures: {e}"))?;
+    let core =
+        Core::new(settings, seed, config.names, config.terms, BufferPool::new(config.buffers), figures);
     if let Some(cold) = &cold_start {
         // Before the first list: what is held is known from the start.
         core.cold_start(cold, &config.name);
