--- a/src/front/answer.rs
+++ b/src/front/answer.rs
@@ -4,21 +4,21 @@
 use crate::core::request_table::RejectReason;
 use crate::core::result_buffer::ResultSet;
 use crate::proto::pg::{self, Fault};
-use sprucelink_policy::Micros;
+use sprucelink_time::TimeDelta;
 use std::io;
 use tokio::io::{AsyncRead, AsyncWrite};
 
 pub use crate::proto::resp::COLUMNS;
 
 /// Advice to come back: the hint for people, the detail for programs.
-fn come_back(fault: Fault, wait: Micros) -> Fault {
-    let ms = wait.0.saturating_add(999) / 1000;
+fn come_back(fault: Fault, wait: TimeDelta) -> Fault {
+    let ms = wait.as_micros().saturating_add(999) / 1000;
     Fault { detail: Some(format!("retry_after_ms={ms}")), ..fault }.hint(format!("Come back in {ms} ms."))
 }
 
 /// A refusal: a repeat does no harm. On the platform only class 53 says so; the second front
 /// tells a deadline from a jam.
-pub fn refused(cause: RejectReason, wait: Micros, extended: bool) -> Fault {
+pub fn refused(cause: RejectReason, wait: TimeDelta, extended: bool) -> Fault {
     let fault = match cause {
         RejectReason::Deadline if extended => {
             Fault::new("57014", "canceled: its time ran out; a repeat does no harm")
@@ -30,7 +30,7 @@
 }
 
 /// A failure, by its cause.
-pub fn failed(cause: RejectReason, wait: Micros) -> Fault {
+pub fn failed(cause: RejectReason, wait: TimeDelta) -> Fault {
     let (code, message) = match cause {
         RejectReason::Deadline => ("57014", "canceled: its time ran out; it may have run"),
         RejectReason::Engine => ("58000", "the engine failed; it may have run"),
@@ -48,7 +48,7 @@
 
 /// No buffer is free.
 pub fn no_buffer() -> Fault {
-    come_back(Fault::new("53200", "refused: no buffer is free"), Micros(1_000_000))
+    come_back(Fault::new("53200", "refused: no buffer is free"), TimeDelta::from_millis(1_000))
 }
 
 /// Writes rows from a place on, at most so many (0: all): how many, and the place where it stopped
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -6,7 +6,7 @@
 //! bounded, and so are the descriptors that clients hold.
 
 use crate::core::now;
-use sprucelink_policy::Micros;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 
 /// A newcomer has so long to say something before it may have to go: its first packet is under way. So have a session
 /// that has asked nothing yet, and one that has begun a message: most come whole at once.
-const GRACE: Micros = Micros(50_000);
+const GRACE: TimeDelta = TimeDelta::from_millis(50);
 
 /// What a connection is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct Place {
     standing: Cell<Standing>,
-    since: Cell<Micros>,
+    since: Cell<Timestamp>,
     /// Its session has had a request taken.
     asked: Cell<bool>,
     told: Cell<bool>,
@@ -141,7 +141,7 @@
     }
 
     /// How long until the next of those who have asked nothing may have to go; `None` where there are none.
-    pub fn grace(&self) -> Option<Micros> {
+    pub fn grace(&self) -> Option<TimeDelta> {
         let places = self.places.borrow();
         let may = |p: &&Rc<Place>| match p.standing.get() {
             _ if p.told.get() => false,
@@ -154,7 +154,7 @@
             .filter(may)
             .map(|p| p.since.get() + GRACE - now())
             .min()
-            .map(|left| left.max(Micros(0)))
+            .map(|left| left.max(TimeDelta::ZERO))
     }
 
     /// Seats of those who were not told to go.
@@ -165,7 +165,7 @@
 
 impl Seats {
     /// Tells sessions to go that have been idle for so long, and connections that have been silent for so long.
-    pub fn let_go(&self, idle: Micros) {
+    pub fn let_go(&self, idle: TimeDelta) {
         for place in self.places.borrow().values() {
             // A message that was begun is answered first: the end comes with it.
             let busy = matches!(place.standing.get(), Standing::Busy | Standing::Begun);
--- a/src/front/connection_slots_tests.rs
+++ b/src/front/connection_slots_tests.rs
@@ -9,7 +9,7 @@
     let seats = Seats::new(4, 8, true);
     let taken: Vec<Seat> = (0..4).map(|_| seats.take(true).expect("a seat")).collect();
     assert!(seats.take(true).is_none(), "all have only just come");
-    let at = |i: usize, ago: i64| taken[i].place.since.set(now() - Micros(ago));
+    let at = |i: usize, ago: i64| taken[i].place.since.set(now() - TimeDelta::from_micros(ago));
     taken[0].busy(true);
     taken[1].busy(false);
     taken[2].busy(false);
@@ -60,7 +60,7 @@
     taken[1].asked();
     taken[1].begun();
     taken[2].begun();
-    let at = |i: usize, ago: i64| taken[i].place.since.set(now() - Micros(ago));
+    let at = |i: usize, ago: i64| taken[i].place.since.set(now() - TimeDelta::from_micros(ago));
     [(0, 9_000_000), (1, 8_000_000), (2, 1_000_000), (3, 60_000)].into_iter().for_each(|(i, ago)| at(i, ago));
     let mut newcomers = Vec::new();
     for gone in [2, 3, 0, 1] {
@@ -82,12 +82,12 @@
     let taken: Vec<Seat> = (0..2).map(|_| seats.take(false).expect("a seat")).collect();
     taken[0].busy(false);
     taken[0].asked();
-    taken[1].place.since.set(now() - Micros(20_000));
+    taken[1].place.since.set(now() - TimeDelta::from_millis(20));
     assert!(seats.take(false).is_none());
     let left = seats.grace().expect("one is silent");
-    assert!((Micros(0)..=Micros(30_000)).contains(&left), "{left:?}");
-    taken[1].place.since.set(now() - Micros(60_000));
-    assert_eq!(seats.grace(), Some(Micros(0)));
+    assert!((TimeDelta::ZERO..=TimeDelta::from_millis(30)).contains(&left), "{left:?}");
+    taken[1].place.since.set(now() - TimeDelta::from_millis(60));
+    assert_eq!(seats.grace(), Some(TimeDelta::ZERO));
     let seat = seats.take(true).filter(|_| taken[1].told() && !taken[0].told()).expect("the silent one's");
     taken[1].busy(true);
     seat.busy(true);
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -18,7 +18,7 @@
 use connection_slots::{Errand, Lobby, Seat, Seats, Standby, Stay};
 use session::Cancel;
 use socket::Socket;
-use sprucelink_policy::Micros;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -37,7 +37,7 @@
 /// For the TLS handshake, which takes some round trips and a signature.
 const HANDSHAKE: Duration = Duration::from_secs(10);
 /// A newcomer waits so long for a seat of somebody who has asked nothing, before one goes who was served.
-const SEAT_WAIT: Micros = Micros(500_000);
+const SEAT_WAIT: TimeDelta = TimeDelta::from_millis(500);
 /// How long the end of a connection with a last word may take, and with nothing coming.
 const PARTING: Drain = Drain { whole: Duration::from_secs(4), quiet: Duration::from_millis(500) };
 /// The same where many end at a time: what crosses the close comes within 50 ms.
@@ -53,7 +53,7 @@
 const BREATH: Duration = Duration::from_millis(20);
 
 /// Accepts that fail are logged so often at most.
-const SAY_EVERY: Micros = Micros(5_000_000);
+const SAY_EVERY: TimeDelta = TimeDelta::from_millis(5_000);
 
 /// What a front knows of a class.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     /// Its requests carry an idempotency key.
     pub keyed: bool,
     /// How long its clients wait when they do not say.
-    pub deadline: Micros,
+    pub deadline: TimeDelta,
 }
 
 /// What a front is set up with.
@@ -231,7 +231,7 @@
 
     /// Lets go of sessions that have had nothing open for so long, and of the others with their next answer: the end
     /// comes with it, before their clients can ask again.
-    pub fn let_go(&self, idle: Micros) {
+    pub fn let_go(&self, idle: TimeDelta) {
         self.leaving.set(true);
         self.seats.let_go(idle);
     }
@@ -308,7 +308,7 @@
                 return None;
             }
             let (grace, left) = (self.seats.grace(), until - now());
-            if left <= Micros(0) || grace.is_none() && !self.seats.is_crowded() {
+            if left <= TimeDelta::ZERO || grace.is_none() && !self.seats.is_crowded() {
                 return self.seats.take(true);
             }
             tokio::select! {
@@ -474,7 +474,7 @@
         &self,
         f: &Fields,
         statement: &str,
-        arrived: Micros,
+        arrived: Timestamp,
         own_timeout: Option<u64>,
         cancelled: bool,
     ) -> Result<RequestHandle, Fault> {
@@ -507,7 +507,10 @@
             None if of_class.keyed => Some(format!("{:016x}{:016x}", self.core.draw(), self.core.draw())),
             _ => None,
         };
-        let timeout = f.timeout_ms.or(own_timeout).map_or(of_class.deadline, |ms| Micros(ms as i64 * 1000));
+        let timeout = f
+            .timeout_ms
+            .or(own_timeout)
+            .map_or(of_class.deadline, |ms| TimeDelta::from_micros(ms as i64 * 1000));
         let asked = RequestSpec {
             id,
             class,
--- a/src/front/wire.rs
+++ b/src/front/wire.rs
@@ -6,7 +6,7 @@
 
 use crate::core::buffer_pool::{Buffer, BufferPool, SIZE};
 use crate::core::now;
-use sprucelink_policy::Micros;
+use sprucelink_time::Timestamp;
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -109,7 +109,7 @@
     /// Bytes read since the others had their turn.
     read: usize,
     output: Option<Buffer>,
-    arrived: Micros,
+    arrived: Timestamp,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
@@ -135,7 +135,7 @@
         self.input.as_ref().map_or(&[], |buf| &buf[self.consumed..])
     }
     /// When the last came that was kept.
-    pub fn arrived(&self) -> Micros {
+    pub fn arrived(&self) -> Timestamp {
         self.arrived
     }
     /// Consumes so many bytes of the input.
