--- a/src/front/answer.rs
+++ b/src/front/answer.rs
@@ -1,6 +1,6 @@
 //! Final answers as clients see them.
 
-use super::wire::Wire;
+use super::client_connection::ClientConnection;
 use crate::core::request_table::RejectReason;
 use crate::core::result_buffer::ResultSet;
 use crate::proto::pg::{self, Fault};
@@ -54,7 +54,7 @@
 /// Writes rows from a place on, at most so many (0: all): how many, and the place where it stopped
 /// if rows are left.
 pub async fn rows<S: AsyncRead + AsyncWrite + Unpin>(
-    wire: &mut Wire<S>,
+    wire: &mut ClientConnection<S>,
     result: &ResultSet,
     mut place: (usize, usize),
     most: u32,
@@ -64,7 +64,7 @@
         if most > 0 && sent == u64::from(most) {
             return Ok((sent, Some(place)));
         }
-        wire.make_room(pg::data_row_size(line)).await?;
+        wire.reserve_output(pg::data_row_size(line)).await?;
         pg::data_row(wire.output(), line);
         (sent, place) = (sent + 1, next);
     }
--- a/src/front/wire.rs
+++ b/src/front/client_connection.rs
@@ -20,67 +20,67 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 /// A client that takes none of what it is sent for so long is let go: its answer holds memory.
-const STUCK: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes read at a time, off the stack: most messages are shorter.
-const PIECE: usize = 8 * 1024;
+const READ_CHUNK_BYTES: usize = 8 * 1024;
 /// Bytes that a client may have read before the others get their turn. Guards them against floods.
-const TURN: usize = 128 * 1024;
+const MAX_BYTES_PER_TURN: usize = 128 * 1024;
 /// Bytes thrown away behind open requests before a session is ended at once, and what is open with it. Guards the
 /// process against clients that write for ever.
-const MOST_THROWN: usize = 16 << 20;
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 /// Read and thrown away behind a last word, at most, in pieces of so much; for how long in all, and for
 /// how long with nothing coming. Closing on unread input would send a reset, which may overtake the last
 /// word where a client writes before it reads; but no client is read for ever.
-const DRAIN_MOST: usize = 64 << 20;
-const DRAIN_PIECE: usize = 32 * 1024;
+const MAX_LINGER_BYTES: usize = 64 << 20;
+const LINGER_CHUNK_BYTES: usize = 32 * 1024;
 /// The bounds on time of a drain.
 #[derive(Clone, Copy, Debug)]
-pub struct Drain {
+pub struct LingerTimeouts {
     /// In all.
-    pub whole: Duration,
+    pub total: Duration,
     /// With nothing coming.
-    pub quiet: Duration,
+    pub idle: Duration,
 }
 
 /// What the sessions of a front may read ahead, beyond one buffer each.
 #[derive(Debug)]
-pub struct Ahead {
+pub struct ReadAheadBudget {
     /// Buffers that a session may hold.
-    most: usize,
+    max_buffers: usize,
     /// Buffers left to all of them.
-    left: Cell<usize>,
+    free_buffers: Cell<usize>,
 }
 
-impl Ahead {
+impl ReadAheadBudget {
     /// So many buffers a session, and in all.
-    pub fn new(most: usize, in_all: usize) -> Rc<Ahead> {
-        Rc::new(Ahead { most, left: Cell::new(in_all) })
+    pub fn new(max_buffers: usize, in_all: usize) -> Rc<ReadAheadBudget> {
+        Rc::new(ReadAheadBudget { max_buffers, free_buffers: Cell::new(in_all) })
     }
     /// Bytes that a session may hold.
-    pub fn bound(&self) -> usize {
-        SIZE * (1 + self.most)
+    pub fn max_buffered(&self) -> usize {
+        SIZE * (1 + self.max_buffers)
     }
 }
 
 /// Which bound a session has overrun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Overrun {
+pub enum ReadAheadOverrun {
     /// Its own.
-    Own,
+    Session,
     /// That of all sessions, or of the pool.
-    All,
+    Shared,
 }
 
-/// A buffer of what was read ahead, and how much of it has moved on.
-struct Kept {
+/// A buffer of what was read ahead, and how much of it has promoted on.
+struct ReadAheadBuffer {
     buf: Buffer,
-    moved: usize,
-    of: Rc<Ahead>,
+    promoted: usize,
+    budget: Rc<ReadAheadBudget>,
 }
 
-impl Drop for Kept {
+impl Drop for ReadAheadBuffer {
     fn drop(&mut self) {
-        self.of.left.set(self.of.left.get() + 1);
+        self.budget.free_buffers.set(self.budget.free_buffers.get() + 1);
     }
 }
 
@@ -92,7 +92,7 @@
 }
 
 /// A stream and what was read from it, and is to be written to it.
-pub struct Wire<S> {
+pub struct ClientConnection<S> {
     /// The connection.
     pub stream: S,
     pool: BufferPool,
@@ -100,32 +100,32 @@
     /// Bytes at the input's front that are consumed.
     consumed: usize,
     /// Read behind the input, in order.
-    ahead: VecDeque<Kept>,
-    may: Rc<Ahead>,
-    overrun: Option<Overrun>,
-    thrown: usize,
+    read_ahead: VecDeque<ReadAheadBuffer>,
+    budget: Rc<ReadAheadBudget>,
+    overrun: Option<ReadAheadOverrun>,
+    discarded_bytes: usize,
     /// The stream's end was read, or its error.
-    ended: bool,
+    is_at_end: bool,
     /// Bytes read since the others had their turn.
-    read: usize,
+    bytes_this_turn: usize,
     output: Option<Buffer>,
     arrived: Timestamp,
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
     /// A connection from which nothing was read, and what may be read ahead on it.
-    pub fn new(stream: S, pool: BufferPool, may: Rc<Ahead>) -> Wire<S> {
-        Wire {
+    pub fn new(stream: S, pool: BufferPool, budget: Rc<ReadAheadBudget>) -> ClientConnection<S> {
+        ClientConnection {
             stream,
             pool,
             input: None,
             consumed: 0,
-            ahead: VecDeque::new(),
-            may,
+            read_ahead: VecDeque::new(),
+            budget,
             overrun: None,
-            thrown: 0,
-            ended: false,
-            read: 0,
+            discarded_bytes: 0,
+            is_at_end: false,
+            bytes_this_turn: 0,
             output: None,
             arrived: now(),
         }
@@ -146,7 +146,7 @@
         }
     }
     /// Appends as much as fits to the input; the rest.
-    fn extend<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+    fn extend_input<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let input = self.input.get_or_insert_with(|| self.pool.must());
         if !input.has_room(bytes.len()) {
             input.drain(..std::mem::take(&mut self.consumed));
@@ -154,38 +154,38 @@
         append(input, bytes)
     }
     /// Moves what was read ahead behind the input, as far as it fits; whether any was.
-    pub fn gather(&mut self) -> bool {
+    pub fn promote_read_ahead(&mut self) -> bool {
         let mut any = false;
-        while let Some(mut kept) = self.ahead.pop_front() {
-            let rest = self.extend(&kept.buf[kept.moved..]).len();
-            any |= kept.buf.len() - rest > kept.moved;
+        while let Some(mut kept) = self.read_ahead.pop_front() {
+            let rest = self.extend_input(&kept.buf[kept.promoted..]).len();
+            any |= kept.buf.len() - rest > kept.promoted;
             if rest > 0 {
-                kept.moved = kept.buf.len() - rest;
-                self.ahead.push_front(kept);
+                kept.promoted = kept.buf.len() - rest;
+                self.read_ahead.push_front(kept);
                 break;
             }
         }
         any
     }
     /// Whether bytes were thrown away, and over which bound. What is held was read before them.
-    pub fn overrun(&self) -> Option<Overrun> {
+    pub fn overrun(&self) -> Option<ReadAheadOverrun> {
         self.overrun
     }
     /// Bytes that may be held at a time.
-    pub fn bound(&self) -> usize {
-        self.may.bound()
+    pub fn max_buffered(&self) -> usize {
+        self.budget.max_buffered()
     }
     /// Whether more was thrown away than any session may send behind its open requests.
-    pub fn floods(&self) -> bool {
-        self.thrown > MOST_THROWN
+    pub fn is_flooding(&self) -> bool {
+        self.discarded_bytes > MAX_DISCARDED_BYTES
     }
     /// Reads what there is and fits the input; 0 at the end of the stream.
     ///
     /// # Errors
     /// Those of the connection, which has ended then; and a full input is one.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        self.turn().await;
-        poll_fn(|cx| match self.room() {
+        self.yield_if_due().await;
+        poll_fn(|cx| match self.input_room() {
             0 => Poll::Ready(Err(io::Error::new(io::ErrorKind::StorageFull, "the input is full"))),
             room => self.poll_read(cx, room),
         })
@@ -196,103 +196,103 @@
     ///
     /// # Errors
     /// Those of the connection, which has ended then.
-    pub async fn read_on(&mut self) -> io::Result<usize> {
-        self.turn().await;
-        poll_fn(|cx| self.poll_read(cx, PIECE)).await
+    pub async fn read_ahead(&mut self) -> io::Result<usize> {
+        self.yield_if_due().await;
+        poll_fn(|cx| self.poll_read(cx, READ_CHUNK_BYTES)).await
     }
-    /// Reads on to the last byte that is there, as while a request is open; whether the stream has ended, or floods.
+    /// Reads on to the last byte that is there, as while a request is open; whether the stream has is_at_end, or floods.
     ///
     /// # Errors
     /// Those of the connection, which has ended then.
-    pub async fn catch_up(&mut self) -> io::Result<bool> {
-        while !self.ended && !self.floods() {
-            self.turn().await;
+    pub async fn read_available(&mut self) -> io::Result<bool> {
+        while !self.is_at_end && !self.is_flooding() {
+            self.yield_if_due().await;
             // Guards against a task out of budget, to which every stream says that nothing is there.
             consume_budget().await;
-            match poll_fn(|cx| Poll::Ready(self.poll_read(cx, PIECE))).await {
+            match poll_fn(|cx| Poll::Ready(self.poll_read(cx, READ_CHUNK_BYTES))).await {
                 Poll::Ready(read) => drop(read?),
                 Poll::Pending => return Ok(false),
             }
         }
         Ok(true)
     }
-    /// Whether the stream is known to have ended: reads what is there already and fits the input, without waiting.
+    /// Whether the stream is known to have is_at_end: reads what is there already and fits the input, without waiting.
     ///
     /// # Errors
     /// Those of the connection, which has ended then.
-    pub async fn look(&mut self) -> io::Result<bool> {
-        while !self.ended && self.overrun.is_none() && self.room() > 0 {
-            match poll_fn(|cx| Poll::Ready(self.poll_read(cx, self.room()))).await {
+    pub async fn probe_end(&mut self) -> io::Result<bool> {
+        while !self.is_at_end && self.overrun.is_none() && self.input_room() > 0 {
+            match poll_fn(|cx| Poll::Ready(self.poll_read(cx, self.input_room()))).await {
                 Poll::Ready(read) => drop(read?),
                 Poll::Pending => break,
             }
         }
-        Ok(self.ended)
+        Ok(self.is_at_end)
     }
     /// Bytes that fit the input, where nothing was read ahead of it.
-    fn room(&self) -> usize {
-        if self.ahead.is_empty() {
+    fn input_room(&self) -> usize {
+        if self.read_ahead.is_empty() {
             SIZE.saturating_sub(self.input().len())
         } else {
             0
         }
     }
     /// Gives the others their turn, if it is due.
-    async fn turn(&mut self) {
-        if self.read >= TURN {
-            self.read = 0;
+    async fn yield_if_due(&mut self) {
+        if self.bytes_this_turn >= MAX_BYTES_PER_TURN {
+            self.bytes_this_turn = 0;
             yield_now().await;
         }
     }
-    fn poll_read(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<io::Result<usize>> {
-        if self.ended {
+    fn poll_read(&mut self, cx: &mut Context<'_>, max_bytes: usize) -> Poll<io::Result<usize>> {
+        if self.is_at_end {
             return Poll::Ready(Ok(0));
         }
-        let mut piece = [0; PIECE];
-        let mut read = ReadBuf::new(&mut piece[..most.min(PIECE)]);
+        let mut piece = [0; READ_CHUNK_BYTES];
+        let mut read = ReadBuf::new(&mut piece[..max_bytes.min(READ_CHUNK_BYTES)]);
         let done = ready!(Pin::new(&mut self.stream).poll_read(cx, &mut read));
         let n = read.filled().len();
-        self.ended = done.is_err() || n == 0;
+        self.is_at_end = done.is_err() || n == 0;
         done?;
-        self.read += n;
-        self.keep(read.filled());
+        self.bytes_this_turn += n;
+        self.store(read.filled());
         Poll::Ready(Ok(n))
     }
     /// Keeps what was read, within the bounds. Behind the first byte that was not kept none is: a message must not be
     /// put together of what stood apart.
-    fn keep(&mut self, mut bytes: &[u8]) {
+    fn store(&mut self, mut bytes: &[u8]) {
         if bytes.is_empty() || self.overrun.is_some() {
-            self.thrown += bytes.len();
+            self.discarded_bytes += bytes.len();
             return;
         }
         self.arrived = now();
-        if self.ahead.is_empty() {
-            bytes = self.extend(bytes);
+        if self.read_ahead.is_empty() {
+            bytes = self.extend_input(bytes);
         }
         while !bytes.is_empty() {
-            if let Some(kept) = self.ahead.back_mut().filter(|k| k.buf.has_room(1)) {
+            if let Some(kept) = self.read_ahead.back_mut().filter(|k| k.buf.has_room(1)) {
                 bytes = append(&mut kept.buf, bytes);
                 continue;
             }
-            match self.further() {
-                Ok(kept) => self.ahead.push_back(kept),
+            match self.allocate_read_ahead() {
+                Ok(kept) => self.read_ahead.push_back(kept),
                 Err(overrun) => {
                     self.overrun = Some(overrun);
-                    self.thrown += bytes.len();
+                    self.discarded_bytes += bytes.len();
                     return;
                 }
             }
         }
     }
     /// One buffer more to read ahead into.
-    fn further(&self) -> Result<Kept, Overrun> {
-        if self.ahead.len() >= self.may.most {
-            return Err(Overrun::Own);
+    fn allocate_read_ahead(&self) -> Result<ReadAheadBuffer, ReadAheadOverrun> {
+        if self.read_ahead.len() >= self.budget.max_buffers {
+            return Err(ReadAheadOverrun::Session);
         }
-        let left = self.may.left.get().checked_sub(1).ok_or(Overrun::All)?;
-        let buf = self.pool.get().ok_or(Overrun::All)?;
-        self.may.left.set(left);
-        Ok(Kept { buf, moved: 0, of: Rc::clone(&self.may) })
+        let left = self.budget.free_buffers.get().checked_sub(1).ok_or(ReadAheadOverrun::Shared)?;
+        let buf = self.pool.get().ok_or(ReadAheadOverrun::Shared)?;
+        self.budget.free_buffers.set(left);
+        Ok(ReadAheadBuffer { buf, promoted: 0, budget: Rc::clone(&self.budget) })
     }
     /// What is to be written.
     pub fn output(&mut self) -> &mut Vec<u8> {
@@ -302,33 +302,33 @@
     /// not have its next request taken.
     ///
     /// # Errors
-    /// Those of the connection; and a client that takes nothing for [`STUCK`].
+    /// Those of the connection; and a client that takes nothing for [`WRITE_TIMEOUT`].
     pub async fn flush(&mut self) -> io::Result<()> {
         let Some(output) = self.output.take() else { return Ok(()) };
-        let (mut rest, mut by) = (&output[..], Instant::now() + STUCK);
+        let (mut rest, mut by) = (&output[..], Instant::now() + WRITE_TIMEOUT);
         while !rest.is_empty() {
-            self.turn().await;
+            self.yield_if_due().await;
             match timeout_at(by, poll_fn(|cx| self.poll_write(cx, rest))).await?? {
                 Some(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Some(n) => (rest, by) = (&rest[n..], Instant::now() + STUCK),
+                Some(n) => (rest, by) = (&rest[n..], Instant::now() + WRITE_TIMEOUT),
                 None => {}
             }
         }
-        timeout(STUCK, self.stream.flush()).await?
+        timeout(WRITE_TIMEOUT, self.stream.flush()).await?
     }
     /// Writes some, or reads what is there where nothing can be written.
     fn poll_write(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<Option<usize>>> {
         if let Poll::Ready(written) = Pin::new(&mut self.stream).poll_write(cx, bytes) {
             return Poll::Ready(written.map(Some));
         }
-        if self.ended || self.floods() {
+        if self.is_at_end || self.is_flooding() {
             return Poll::Pending;
         }
-        ready!(self.poll_read(cx, PIECE))?;
+        ready!(self.poll_read(cx, READ_CHUNK_BYTES))?;
         Poll::Ready(Ok(None))
     }
     /// Makes room for so many bytes more, by writing if need be.
-    pub async fn make_room(&mut self, n: usize) -> io::Result<()> {
+    pub async fn reserve_output(&mut self, n: usize) -> io::Result<()> {
         if self.output.as_ref().is_none_or(|buf| buf.has_room(n)) {
             return Ok(());
         }
@@ -336,15 +336,15 @@
     }
     /// Ends the connection so that its last word arrives: half-closes it and throws away what the
     /// client still sends, within bounds.
-    pub async fn part(mut self, within: Drain) {
-        (self.input, self.ahead) = (None, VecDeque::new());
+    pub async fn close(mut self, linger: LingerTimeouts) {
+        (self.input, self.read_ahead) = (None, VecDeque::new());
         drop(
-            timeout(within.whole, async {
+            timeout(linger.total, async {
                 // An error here is the end of the connection: nobody is left to tell.
                 self.stream.shutdown().await?;
-                let (mut bytes, mut left) = (vec![0; DRAIN_PIECE], DRAIN_MOST);
-                while left > 0 && !self.ended {
-                    match timeout(within.quiet, self.stream.read(&mut bytes)).await?? {
+                let (mut bytes, mut left) = (vec![0; LINGER_CHUNK_BYTES], MAX_LINGER_BYTES);
+                while left > 0 && !self.is_at_end {
+                    match timeout(linger.idle, self.stream.read(&mut bytes)).await?? {
                         0 => break,
                         n => left = left.saturating_sub(n),
                     }
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -1,8 +1,8 @@
 //! Who is connected to a front, and who has to go when it is full: first those that have said nothing
 //! of a session, then sessions that have asked nothing yet, then the one that has been idle for longest.
-//! Newcomers are turned away only when nobody can go. Of the last, only who has said what it wants takes the place. Guards against clients that connect and stay: they would keep the others out.
+//! Newcomers are turned away only when nobody can go. Of the last, only who has said what it wants takes the state. Guards against clients that connect and stay: they would keep the others out.
 //!
-//! Each connection holds one place, from its accept to its close: a [`Seat`], or a place in the [`Lobby`]. Both are
+//! Each connection holds one state, from its accept to its close: a [`ConnectionSlot`], or a state in the [`SessionlessConnections`]. Both are
 //! bounded, and so are the descriptors that clients hold.
 
 use crate::core::now;
@@ -14,321 +14,331 @@
 use tokio::sync::Notify;
 
 /// A newcomer has so long to say something before it may have to go: its first packet is under way. So have a session
-/// that has asked nothing yet, and one that has begun a message: most come whole at once.
-const GRACE: TimeDelta = TimeDelta::from_millis(50);
+/// that has asked nothing yet, and one that has begun a message: max_slots come whole at once.
+const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
 /// What a connection is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum SlotActivity {
     /// No session yet.
-    Silent,
+    Handshaking,
     /// A session with no open request.
     Idle,
     /// A session whose next message is here in part.
-    Begun,
+    ReceivingMessage,
     /// A session whose request is open.
-    Busy,
+    Executing,
 }
 
 /// One connection's seat.
 #[derive(Debug)]
-struct Place {
-    standing: Cell<Standing>,
+struct SlotState {
+    activity: Cell<SlotActivity>,
     since: Cell<Timestamp>,
     /// Its session has had a request taken.
-    asked: Cell<bool>,
-    told: Cell<bool>,
-    leave: Notify,
+    has_requested: Cell<bool>,
+    is_evicted: Cell<bool>,
+    evicted: Notify,
 }
 
-impl Place {
-    fn new() -> Place {
-        Place {
-            standing: Cell::new(Standing::Silent),
+impl SlotState {
+    fn new() -> SlotState {
+        SlotState {
+            activity: Cell::new(SlotActivity::Handshaking),
             since: Cell::new(now()),
-            asked: Cell::new(false),
-            told: Cell::new(false),
-            leave: Notify::new(),
+            has_requested: Cell::new(false),
+            is_evicted: Cell::new(false),
+            evicted: Notify::new(),
         }
     }
 
     /// Tells who is there to go.
-    fn tell(&self) {
-        self.told.set(true);
-        self.leave.notify_one();
+    fn evict(&self) {
+        self.is_evicted.set(true);
+        self.evicted.notify_one();
     }
 }
 
-/// The seats of a front.
+/// The slots of a front.
 #[derive(Debug)]
-pub struct Seats {
-    places: RefCell<BTreeMap<u64, Rc<Place>>>,
+pub struct ConnectionSlots {
+    states: RefCell<BTreeMap<u64, Rc<SlotState>>>,
     next: Cell<u64>,
-    most: usize,
+    max_slots: usize,
     /// Of those told to go, so many may still be there besides: what they had begun is ended first.
-    most_leaving: usize,
+    max_evicted: usize,
     /// A seat has become free.
-    freed: Notify,
+    released: Notify,
     /// Idle sessions hold nothing that their clients would miss.
-    idle_may_go: bool,
+    may_evict_idle: bool,
 }
 
 /// A seat that is taken; it is free again when this is dropped.
 #[derive(Debug)]
-pub struct Seat {
-    seats: Rc<Seats>,
+pub struct ConnectionSlot {
+    slots: Rc<ConnectionSlots>,
     number: u64,
-    place: Rc<Place>,
+    state: Rc<SlotState>,
 }
 
-impl Seats {
-    /// So many seats, and besides so many of those who have been told to go and are still there.
-    pub fn new(most: usize, most_leaving: usize, idle_may_go: bool) -> Rc<Seats> {
-        let (places, next, freed) = (RefCell::default(), Cell::new(0), Notify::new());
-        Rc::new(Seats { places, next, most, most_leaving, freed, idle_may_go })
+impl ConnectionSlots {
+    /// So many slots, and besides so many of those who have been told to go and are still there.
+    pub fn new(max_slots: usize, max_evicted: usize, may_evict_idle: bool) -> Rc<ConnectionSlots> {
+        let (states, next, released) = (RefCell::default(), Cell::new(0), Notify::new());
+        Rc::new(ConnectionSlots { states, next, max_slots, max_evicted, released, may_evict_idle })
     }
 
     /// A seat for a newcomer, if need be of one that is told to go; `None` where nobody can, or where too many of
     /// those told are still there. For who has not said yet what it wants, no session goes that was served.
-    pub fn take(self: &Rc<Self>, wants_session: bool) -> Option<Seat> {
+    pub fn acquire(self: &Rc<Self>, may_evict_served: bool) -> Option<ConnectionSlot> {
         // Guards the descriptors: who was told may have begun a request, and goes only behind its answer.
-        if self.is_crowded() {
+        if self.is_at_hard_limit() {
             return None;
         }
-        if self.staying() >= self.most && !self.make_room(wants_session) {
+        if self.retained() >= self.max_slots && !self.evict_one(may_evict_served) {
             return None;
         }
-        let mut places = self.places.borrow_mut();
+        let mut states = self.states.borrow_mut();
         let number = self.next.get();
         self.next.set(number + 1);
-        let place = Rc::new(Place::new());
-        places.insert(number, Rc::clone(&place));
-        Some(Seat { seats: Rc::clone(self), number, place })
+        let state = Rc::new(SlotState::new());
+        states.insert(number, Rc::clone(&state));
+        Some(ConnectionSlot { slots: Rc::clone(self), number, state })
     }
 
     /// Whether as many are still there who were told to go as may be.
-    pub fn is_crowded(&self) -> bool {
-        self.taken() >= self.most.saturating_add(self.most_leaving)
+    pub fn is_at_hard_limit(&self) -> bool {
+        self.occupied() >= self.max_slots.saturating_add(self.max_evicted)
     }
 
     /// Returns when a seat becomes free from now on.
-    pub fn freed(&self) -> Notified<'_> {
-        self.freed.notified()
+    pub fn released(&self) -> Notified<'_> {
+        self.released.notified()
     }
 
     /// Tells the one to go that can best; false where nobody can. Sessions that were served go only if `served` do.
-    pub fn make_room(&self, served: bool) -> bool {
-        let places = self.places.borrow();
-        let fresh = |p: &Place| now() - p.since.get() <= GRACE;
-        let may = |p: &&Rc<Place>| match p.standing.get() {
-            _ if p.told.get() => false,
-            Standing::Silent => !fresh(p),
-            Standing::Idle | Standing::Begun if !self.idle_may_go => false,
-            Standing::Idle if p.asked.get() => served,
-            Standing::Idle => !fresh(p),
-            Standing::Begun => !fresh(p) && (served || !p.asked.get()),
-            Standing::Busy => false,
+    pub fn evict_one(&self, may_evict_served: bool) -> bool {
+        let states = self.states.borrow();
+        let fresh = |p: &SlotState| now() - p.since.get() <= EVICTION_GRACE;
+        let may = |p: &&Rc<SlotState>| match p.activity.get() {
+            _ if p.is_evicted.get() => false,
+            SlotActivity::Handshaking => !fresh(p),
+            SlotActivity::Idle | SlotActivity::ReceivingMessage if !self.may_evict_idle => false,
+            SlotActivity::Idle if p.has_requested.get() => may_evict_served,
+            SlotActivity::Idle => !fresh(p),
+            SlotActivity::ReceivingMessage => !fresh(p) && (may_evict_served || !p.has_requested.get()),
+            SlotActivity::Executing => false,
         };
         // Guards clients that were served: those that only connect and stay go before them.
-        let rank = |p: &Place| match p.standing.get() {
-            Standing::Silent => 0,
-            Standing::Idle | Standing::Begun if !p.asked.get() => 1,
-            Standing::Idle => 2,
-            Standing::Begun | Standing::Busy => 3,
+        let rank = |p: &SlotState| match p.activity.get() {
+            SlotActivity::Handshaking => 0,
+            SlotActivity::Idle | SlotActivity::ReceivingMessage if !p.has_requested.get() => 1,
+            SlotActivity::Idle => 2,
+            SlotActivity::ReceivingMessage | SlotActivity::Executing => 3,
         };
-        let goes = places.values().filter(may).min_by_key(|p| (rank(p), p.since.get()));
-        goes.inspect(|p| p.tell()).is_some()
+        let goes = states.values().filter(may).min_by_key(|p| (rank(p), p.since.get()));
+        goes.inspect(|p| p.evict()).is_some()
     }
 
     /// How long until the next of those who have asked nothing may have to go; `None` where there are none.
-    pub fn grace(&self) -> Option<TimeDelta> {
-        let places = self.places.borrow();
-        let may = |p: &&Rc<Place>| match p.standing.get() {
-            _ if p.told.get() => false,
-            Standing::Silent => true,
-            Standing::Idle | Standing::Begun => self.idle_may_go && !p.asked.get(),
-            Standing::Busy => false,
+    pub fn time_until_evictable(&self) -> Option<TimeDelta> {
+        let states = self.states.borrow();
+        let may = |p: &&Rc<SlotState>| match p.activity.get() {
+            _ if p.is_evicted.get() => false,
+            SlotActivity::Handshaking => true,
+            SlotActivity::Idle | SlotActivity::ReceivingMessage => {
+                self.may_evict_idle && !p.has_requested.get()
+            }
+            SlotActivity::Executing => false,
         };
-        places
+        states
             .values()
             .filter(may)
-            .map(|p| p.since.get() + GRACE - now())
+            .map(|p| p.since.get() + EVICTION_GRACE - now())
             .min()
             .map(|left| left.max(TimeDelta::ZERO))
     }
 
-    /// Seats of those who were not told to go.
-    fn staying(&self) -> usize {
-        self.places.borrow().values().filter(|p| !p.told.get()).count()
+    /// ConnectionSlots of those who were not told to go.
+    fn retained(&self) -> usize {
+        self.states.borrow().values().filter(|p| !p.is_evicted.get()).count()
     }
 }
 
-impl Seats {
+impl ConnectionSlots {
     /// Tells sessions to go that have been idle for so long, and connections that have been silent for so long.
-    pub fn let_go(&self, idle: TimeDelta) {
-        for place in self.places.borrow().values() {
+    pub fn evict_idle(&self, idle: TimeDelta) {
+        for state in self.states.borrow().values() {
             // A message that was begun is answered first: the end comes with it.
-            let busy = matches!(place.standing.get(), Standing::Busy | Standing::Begun);
-            if !busy && now() - place.since.get() >= idle && !place.told.replace(true) {
-                place.leave.notify_one();
+            let busy =
+                matches!(state.activity.get(), SlotActivity::Executing | SlotActivity::ReceivingMessage);
+            if !busy && now() - state.since.get() >= idle && !state.is_evicted.replace(true) {
+                state.evicted.notify_one();
             }
         }
     }
 
-    /// Seats that are taken.
-    pub fn taken(&self) -> usize {
-        self.places.borrow().len()
+    /// ConnectionSlots that are taken.
+    pub fn occupied(&self) -> usize {
+        self.states.borrow().len()
     }
 }
 
-impl Seat {
+impl ConnectionSlot {
     /// The session has an open request, or has none.
-    pub fn busy(&self, busy: bool) {
-        self.stands(if busy { Standing::Busy } else { Standing::Idle });
+    pub fn set_executing(&self, is_executing: bool) {
+        self.set_activity(if is_executing { SlotActivity::Executing } else { SlotActivity::Idle });
     }
     /// A request of the session was taken.
-    pub fn asked(&self) {
-        self.place.asked.set(true);
+    pub fn record_request(&self) {
+        self.state.has_requested.set(true);
     }
     /// The session's next message is here in part.
-    pub fn begun(&self) {
-        self.stands(Standing::Begun);
+    pub fn set_receiving(&self) {
+        self.set_activity(SlotActivity::ReceivingMessage);
     }
-    fn stands(&self, standing: Standing) {
-        if self.place.standing.replace(standing) != standing {
-            self.place.since.set(now());
+    fn set_activity(&self, activity: SlotActivity) {
+        if self.state.activity.replace(activity) != activity {
+            self.state.since.set(now());
         }
     }
     /// Whether it was told to go. A request that came first is answered first.
-    pub fn told(&self) -> bool {
-        self.place.told.get()
+    pub fn is_evicted(&self) -> bool {
+        self.state.is_evicted.get()
     }
     /// Returns when it is told to go.
-    pub async fn leave(&self) {
-        self.place.leave.notified().await;
+    pub async fn evicted(&self) {
+        self.state.evicted.notified().await;
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.seats.places.borrow_mut().remove(&self.number);
-        self.seats.freed.notify_waiters();
+        self.slots.states.borrow_mut().remove(&self.number);
+        self.slots.released.notify_waiters();
     }
 }
 
-/// What a connection without a seat is about. Where the lobby is full, those that are parting go first.
+/// What a connection without a seat is about. Where the owner is full, those that are parting go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Errand {
+pub enum SessionlessPhase {
     /// It is being ended: what it still gets is its last word.
-    Parting,
+    Closing,
     /// It has not said what it wants, or waits for a seat.
-    Coming,
+    Handshaking,
 }
 
 /// Where connections stand that have no seat: newcomers whose first packet may be a cancel, which needs none, and those
-/// that are being ended with a last word. When it is full, one of them is closed, of each errand the one that has been
+/// that are being ended with a last word. When it is full, one of them is closed, of each phase the one that has been
 /// there for longest.
 #[derive(Debug)]
-pub struct Lobby {
-    places: RefCell<BTreeMap<u64, Rc<Guest>>>,
+pub struct SessionlessConnections {
+    states: RefCell<BTreeMap<u64, Rc<SessionlessState>>>,
     next: Cell<u64>,
-    most: usize,
+    max_slots: usize,
 }
 
-/// Who is in the lobby.
+/// Who is in the owner.
 #[derive(Debug)]
-struct Guest {
-    errand: Cell<Errand>,
-    told: Cell<bool>,
-    leave: Notify,
+struct SessionlessState {
+    phase: Cell<SessionlessPhase>,
+    is_evicted: Cell<bool>,
+    evicted: Notify,
 }
 
-/// A place in the lobby; it is free again when this is dropped.
+/// A state in the owner; it is free again when this is dropped.
 #[derive(Debug)]
-pub struct Standby {
-    lobby: Rc<Lobby>,
+pub struct SessionlessConnection {
+    owner: Rc<SessionlessConnections>,
     number: u64,
-    guest: Rc<Guest>,
+    state: Rc<SessionlessState>,
 }
 
-impl Lobby {
-    /// So many places, one at least.
-    pub fn new(most: usize) -> Rc<Lobby> {
-        Rc::new(Lobby { places: RefCell::default(), next: Cell::new(0), most: most.max(1) })
+impl SessionlessConnections {
+    /// So many states, one at least.
+    pub fn new(max_slots: usize) -> Rc<SessionlessConnections> {
+        Rc::new(SessionlessConnections {
+            states: RefCell::default(),
+            next: Cell::new(0),
+            max_slots: max_slots.max(1),
+        })
     }
 
-    /// A place, if need be another's; where its own errand is the first to go, it is told so at once.
-    pub fn enter(self: &Rc<Self>, errand: Errand) -> Standby {
+    /// A state, if need be another's; where its own phase is the first to go, it is told so at once.
+    pub fn enter(self: &Rc<Self>, phase: SessionlessPhase) -> SessionlessConnection {
         let number = self.next.get();
         self.next.set(number + 1);
-        let guest =
-            Rc::new(Guest { errand: Cell::new(errand), told: Cell::new(false), leave: Notify::new() });
-        self.places.borrow_mut().insert(number, Rc::clone(&guest));
-        if self.places.borrow().len() > self.most {
-            self.displace();
+        let state = Rc::new(SessionlessState {
+            phase: Cell::new(phase),
+            is_evicted: Cell::new(false),
+            evicted: Notify::new(),
+        });
+        self.states.borrow_mut().insert(number, Rc::clone(&state));
+        if self.states.borrow().len() > self.max_slots {
+            self.evict_one();
         }
-        Standby { lobby: Rc::clone(self), number, guest }
+        SessionlessConnection { owner: Rc::clone(self), number, state }
     }
 
     /// Whether one more can come without another's going.
     pub fn has_room(&self) -> bool {
-        self.places.borrow().len() < self.most
+        self.states.borrow().len() < self.max_slots
     }
 
     /// Tells the one to go that can best; false where nobody is.
-    pub fn displace(&self) -> bool {
-        let mut places = self.places.borrow_mut();
-        let goes = places.iter().min_by_key(|(number, guest)| (guest.errand.get(), **number));
-        let Some(guest) = goes.map(|g| *g.0).and_then(|number| places.remove(&number)) else { return false };
-        guest.told.set(true);
-        guest.leave.notify_one();
+    pub fn evict_one(&self) -> bool {
+        let mut states = self.states.borrow_mut();
+        let goes = states.iter().min_by_key(|(number, state)| (state.phase.get(), **number));
+        let Some(state) = goes.map(|g| *g.0).and_then(|number| states.remove(&number)) else { return false };
+        state.is_evicted.set(true);
+        state.evicted.notify_one();
         true
     }
 }
 
-impl Standby {
+impl SessionlessConnection {
     /// Its connection is being ended from now on.
-    pub fn parts(&self) {
-        self.guest.errand.set(Errand::Parting);
+    pub fn set_closing(&self) {
+        self.state.phase.set(SessionlessPhase::Closing);
     }
     /// Whether it was told to go: its connection is closed in this turn.
-    pub fn told(&self) -> bool {
-        self.guest.told.get()
+    pub fn is_evicted(&self) -> bool {
+        self.state.is_evicted.get()
     }
     /// Returns when it is told to go, or was before.
-    pub async fn leave(&self) {
-        if !self.told() {
-            self.guest.leave.notified().await;
+    pub async fn evicted(&self) {
+        if !self.is_evicted() {
+            self.state.evicted.notified().await;
         }
     }
 }
 
-impl Drop for Standby {
+impl Drop for SessionlessConnection {
     fn drop(&mut self) {
-        self.lobby.places.borrow_mut().remove(&self.number);
+        self.owner.states.borrow_mut().remove(&self.number);
     }
 }
 
 /// What a connection holds: one of the two, at any time.
 #[derive(Debug)]
-pub enum Stay {
+pub enum ConnectionGuard {
     /// A seat.
-    Seat(Seat),
-    /// A place in the lobby.
-    Lobby(Standby),
+    Slot(ConnectionSlot),
+    /// A state in the owner.
+    Sessionless(SessionlessConnection),
 }
 
-impl Stay {
+impl ConnectionGuard {
     /// Returns when it is told to go.
-    pub async fn leave(&self) {
+    pub async fn evicted(&self) {
         match self {
-            Stay::Seat(seat) => seat.leave().await,
-            Stay::Lobby(place) => place.leave().await,
+            ConnectionGuard::Slot(seat) => seat.evicted().await,
+            ConnectionGuard::Sessionless(state) => state.evicted().await,
         }
     }
     /// Whether it has no seat.
-    pub fn in_lobby(&self) -> bool {
-        matches!(self, Stay::Lobby(_))
+    pub fn is_sessionless(&self) -> bool {
+        matches!(self, ConnectionGuard::Sessionless(_))
     }
 }
 
--- a/src/front/extended.rs
+++ b/src/front/extended.rs
@@ -6,8 +6,8 @@
 //! transactions, so portals last until they are closed, replaced or their session ends.
 
 use super::answer;
+use super::client_connection::ClientConnection;
 use super::session::Session;
-use super::wire::Wire;
 use crate::core::now;
 use crate::core::request_table::MOST_STATEMENT;
 use crate::core::result_buffer::ResultSet;
@@ -22,16 +22,16 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 
 /// Bytes of statements and portals that a session may hold.
-const MOST_HELD: usize = 256 * 1024;
+const MAX_OBJECT_BYTES: usize = 256 * 1024;
 /// Statements and portals that a session may hold, each.
-const MOST_NAMES: usize = 256;
+const MAX_OBJECTS: usize = 256;
 /// Portals of a session whose rows wait to be fetched: each keeps a result in memory.
-const MOST_SUSPENDED: usize = 4;
+const MAX_SUSPENDED_PORTALS: usize = 4;
 /// Parameters of a statement: a client that wants more has lost count.
-const MOST_PARAMS: usize = 1_000;
+const MAX_PARAMETERS: usize = 1_000;
 
 /// Statements that are not supported, by their first word.
-const UNSUPPORTED: [&str; 25] = [
+const UNSUPPORTED_STATEMENTS: [&str; 25] = [
     "abort",
     "begin",
     "close",
@@ -59,31 +59,31 @@
     "vacuum",
 ];
 /// Settings that a client may set and that change nothing here.
-const HARMLESS: [&str; 3] = ["application_name", "client_min_messages", "extra_float_digits"];
+const IGNORED_SETTINGS: [&str; 3] = ["application_name", "client_min_messages", "extra_float_digits"];
 
 /// What a statement is to this front.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Sort {
+enum StatementKind {
     /// Nothing to do.
     Empty,
     /// `SET`: answered here; the statement time-out, if it is that.
     Set(Option<Option<u64>>),
     /// For an engine.
-    Request,
+    Query,
 }
 
 /// A prepared statement.
-struct Prepared {
+struct PreparedStatement {
     pairs: Vec<(String, String)>,
     statement: String,
     types: Vec<u32>,
-    sort: Sort,
+    kind: StatementKind,
     /// The key written into the text has served one request: later ones get their own.
     key_spent: Cell<bool>,
 }
 
 /// Where a portal stands.
-enum Stage {
+enum PortalState {
     Ready,
     Suspended(ResultSet, (usize, usize)),
     Done,
@@ -91,17 +91,17 @@
 
 /// A portal: a statement with its values.
 struct Portal {
-    prepared: Rc<Prepared>,
+    prepared: Rc<PreparedStatement>,
     pairs: Vec<(String, Option<String>)>,
     statement: String,
     formats: Vec<u16>,
-    stage: Stage,
+    state: PortalState,
 }
 
 /// What a session of the second front holds.
 #[derive(Default)]
-pub struct Names {
-    statements: BTreeMap<String, Rc<Prepared>>,
+pub struct SessionObjects {
+    statements: BTreeMap<String, Rc<PreparedStatement>>,
     portals: BTreeMap<String, Portal>,
     /// In milliseconds; none: the class's.
     pub(super) statement_timeout: Option<u64>,
@@ -146,9 +146,9 @@
 }
 
 /// What a statement is; an error for what is not supported.
-fn sort(statement: &str) -> Result<Sort, Fault> {
+fn classify(statement: &str) -> Result<StatementKind, Fault> {
     if tables::is_empty(statement) {
-        return Ok(Sort::Empty);
+        return Ok(StatementKind::Empty);
     }
     tables::single(statement).map_err(|e| Fault::new("0A000", e.0))?;
     let (mut rest, mut words) = (statement, Vec::new());
@@ -165,25 +165,25 @@
         let name = 1 + usize::from(word(1) == "session" && !["=", "to"].contains(&word(2).as_str()));
         if ["=", "to"].contains(&word(name + 1).as_str()) && words.len() > name + 2 {
             if word(name) == "statement_timeout" && words.len() == name + 3 {
-                return Ok(Sort::Set(Some(timeout_value(words[name + 2])?)));
+                return Ok(StatementKind::Set(Some(timeout_value(words[name + 2])?)));
             }
-            if HARMLESS.contains(&word(name).as_str()) {
-                return Ok(Sort::Set(None));
+            if IGNORED_SETTINGS.contains(&word(name).as_str()) {
+                return Ok(StatementKind::Set(None));
             }
         }
     }
-    if UNSUPPORTED.contains(&word(0).as_str()) {
+    if UNSUPPORTED_STATEMENTS.contains(&word(0).as_str()) {
         let why = format!(
             "{} is not supported: there are no transactions, cursors or COPY",
             word(0).to_uppercase()
         );
         return Err(Fault::new("0A000", why));
     }
-    Ok(Sort::Request)
+    Ok(StatementKind::Query)
 }
 
-impl Prepared {
-    fn new(sql: &str, mut types: Vec<u32>) -> Result<Prepared, Fault> {
+impl PreparedStatement {
+    fn new(sql: &str, mut types: Vec<u32>) -> Result<PreparedStatement, Fault> {
         let (comment, statement) = fields::part(sql).map_err(Fault::from)?;
         let pairs: Vec<(String, String)> =
             fields::pairs(comment).map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
@@ -193,13 +193,19 @@
         let in_fields = pairs.iter().filter_map(|p| p.1.strip_prefix('$'));
         let in_fields = in_fields.map(|n| n.parse::<usize>().unwrap_or(usize::MAX)).max().unwrap_or(0);
         let count = literal::count(statement).max(in_fields).max(types.len());
-        if count > MOST_PARAMS {
-            return Err(Fault::new("54000", format!("a statement has at most {MOST_PARAMS} parameters")));
+        if count > MAX_PARAMETERS {
+            return Err(Fault::new("54000", format!("a statement has at most {MAX_PARAMETERS} parameters")));
         }
         types.resize(count, 0);
         types.iter_mut().filter(|t| **t == 0).for_each(|t| *t = pg::TEXT);
-        let sort = sort(statement)?;
-        Ok(Prepared { pairs, statement: statement.to_owned(), types, sort, key_spent: Cell::new(false) })
+        let kind = classify(statement)?;
+        Ok(PreparedStatement {
+            pairs,
+            statement: statement.to_owned(),
+            types,
+            kind,
+            key_spent: Cell::new(false),
+        })
     }
 
     fn size(&self) -> usize {
@@ -231,8 +237,13 @@
         }
         let statement = literal::expand(&self.statement, &params, MOST_STATEMENT)?;
         let pairs: Vec<_> = self.pairs.iter().map(|(n, v)| (n.clone(), bound(v, &params))).collect();
-        let portal =
-            Portal { prepared: Rc::clone(self), pairs, statement, formats: results, stage: Stage::Ready };
+        let portal = Portal {
+            prepared: Rc::clone(self),
+            pairs,
+            statement,
+            formats: results,
+            state: PortalState::Ready,
+        };
         portal.fields()?;
         Ok(portal)
     }
@@ -268,10 +279,10 @@
     format!("{head:?}")
 }
 
-impl Names {
+impl SessionObjects {
     /// Nothing yet, in a session with this time-out.
-    pub(super) fn new(statement_timeout: Option<u64>) -> Names {
-        Names { statement_timeout, ..Names::default() }
+    pub(super) fn new(statement_timeout: Option<u64>) -> SessionObjects {
+        SessionObjects { statement_timeout, ..SessionObjects::default() }
     }
 
     fn held(&self) -> usize {
@@ -280,7 +291,7 @@
     }
 
     fn room(&self, names: usize, more: usize) -> Result<(), Fault> {
-        if names >= MOST_NAMES || self.held() + more > MOST_HELD {
+        if names >= MAX_OBJECTS || self.held() + more > MAX_OBJECT_BYTES {
             let fault = Fault::new("53200", "this session holds too many statements and portals");
             return Err(fault.hint("Close some, or use the unnamed ones."));
         }
@@ -292,13 +303,13 @@
             return Err(Fault::new("42P05", format!("statement {} exists already", short(name))));
         }
         self.statements.remove(name);
-        let prepared = Prepared::new(sql, types)?;
+        let prepared = PreparedStatement::new(sql, types)?;
         self.room(self.statements.len(), prepared.size())?;
         self.statements.insert(name.to_owned(), Rc::new(prepared));
         Ok(())
     }
 
-    fn statement(&self, name: &str) -> Result<&Rc<Prepared>, Fault> {
+    fn statement(&self, name: &str) -> Result<&Rc<PreparedStatement>, Fault> {
         self.statements
             .get(name)
             .ok_or_else(|| Fault::new("26000", format!("there is no statement {}", short(name))))
@@ -327,18 +338,18 @@
     }
 
     fn describe(&self, out: &mut Vec<u8>, kind: Kind, name: &str) -> Result<(), Fault> {
-        let (sort, formats) = match kind {
+        let (kind, formats) = match kind {
             Kind::Statement => {
                 let s = self.statement(name)?;
                 pg::parameter_description(out, &s.types);
-                (&s.sort, &[][..])
+                (&s.kind, &[][..])
             }
             Kind::Portal => {
                 let p = self.portal(name)?;
-                (&p.prepared.sort, &p.formats[..])
+                (&p.prepared.kind, &p.formats[..])
             }
         };
-        if *sort == Sort::Request {
+        if *kind == StatementKind::Query {
             pg::row_description(out, answer::COLUMNS, formats);
         } else {
             pg::bare(out, pg::NO_DATA);
@@ -348,7 +359,7 @@
 }
 
 /// What a message leaves to do.
-pub enum Todo {
+pub enum ExtendedAction {
     /// Nothing.
     Done,
     /// Run this portal, for at most so many rows.
@@ -357,34 +368,34 @@
 
 impl Session<'_> {
     /// Takes a message of an extended query; what needs an engine is left to do.
-    pub(super) fn extended(&mut self, out: &mut Vec<u8>, message: Message) -> Result<Todo, Fault> {
-        let names = &mut self.names;
+    pub(super) fn extended(&mut self, out: &mut Vec<u8>, message: Message) -> Result<ExtendedAction, Fault> {
+        let objects = &mut self.objects;
         match message {
             Message::Parse { name, sql, types } => {
-                names.parse(name, sql, types)?;
+                objects.parse(name, sql, types)?;
                 pg::bare(out, pg::PARSE_COMPLETE);
             }
             Message::Bind { portal, statement, formats, values, results } => {
-                let bound = names.statement(statement)?.bind(&formats, &values, results)?;
-                names.bind(portal, bound)?;
+                let bound = objects.statement(statement)?.bind(&formats, &values, results)?;
+                objects.bind(portal, bound)?;
                 pg::bare(out, pg::BIND_COMPLETE);
             }
-            Message::Describe(kind, name) => names.describe(out, kind, name)?,
+            Message::Describe(kind, name) => objects.describe(out, kind, name)?,
             Message::Close(kind, name) => {
                 match kind {
                     // Its portals go with it, as the protocol says.
                     Kind::Statement => {
-                        if let Some(closed) = names.statements.remove(name) {
-                            names.portals.retain(|_, p| !Rc::ptr_eq(&p.prepared, &closed));
+                        if let Some(closed) = objects.statements.remove(name) {
+                            objects.portals.retain(|_, p| !Rc::ptr_eq(&p.prepared, &closed));
                         }
                     }
-                    Kind::Portal => drop(names.portals.remove(name)),
+                    Kind::Portal => drop(objects.portals.remove(name)),
                 }
                 pg::bare(out, pg::CLOSE_COMPLETE);
             }
             Message::Execute { portal, rows } => {
-                names.portal(portal)?;
-                return Ok(Todo::Execute(portal.to_owned(), rows));
+                objects.portal(portal)?;
+                return Ok(ExtendedAction::Execute(portal.to_owned(), rows));
             }
             Message::Copy => return Err(Fault::new("0A000", "COPY is not supported")),
             Message::FunctionCall => return Err(Fault::new("0A000", "function calls are not supported")),
@@ -393,46 +404,46 @@
             }
             Message::Query(_) | Message::Flush | Message::Sync | Message::Terminate => {}
         }
-        Ok(Todo::Done)
+        Ok(ExtendedAction::Done)
     }
 
     /// Answers an Execute; false where the client has gone.
     pub(super) async fn execute<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
-        wire: &mut Wire<S>,
+        wire: &mut ClientConnection<S>,
         name: &str,
         most: u32,
     ) -> io::Result<Result<bool, Fault>> {
-        let Some(portal) = self.names.portals.get_mut(name) else { return Ok(Ok(true)) };
-        match &portal.prepared.sort {
-            Sort::Empty => {
+        let Some(portal) = self.objects.portals.get_mut(name) else { return Ok(Ok(true)) };
+        match &portal.prepared.kind {
+            StatementKind::Empty => {
                 pg::bare(wire.output(), pg::EMPTY_QUERY);
                 return Ok(Ok(true));
             }
-            Sort::Set(timeout) => {
+            StatementKind::Set(timeout) => {
                 if let Some(timeout) = timeout {
-                    self.names.statement_timeout = *timeout;
+                    self.objects.statement_timeout = *timeout;
                 }
                 pg::command_complete(wire.output(), "SET");
                 return Ok(Ok(true));
             }
-            Sort::Request => {}
+            StatementKind::Query => {}
         }
         let cancelled = self.cancel.take();
-        let (result, place) = match std::mem::replace(&mut portal.stage, Stage::Done) {
+        let (result, place) = match std::mem::replace(&mut portal.state, PortalState::Done) {
             // One that came earlier in the batch ends the batch here.
-            stage @ Stage::Suspended(..) if cancelled => {
-                portal.stage = stage;
+            state @ PortalState::Suspended(..) if cancelled => {
+                portal.state = state;
                 return Ok(Err(answer::cancelled()));
             }
-            Stage::Suspended(result, place) => (result, place),
-            Stage::Done => {
+            PortalState::Suspended(result, place) => (result, place),
+            PortalState::Done => {
                 pg::command_complete(wire.output(), "SELECT 0");
                 return Ok(Ok(true));
             }
-            Stage::Ready => {
+            PortalState::Ready => {
                 // Until it is served it may be executed again: a repeat of what was refused.
-                portal.stage = Stage::Ready;
+                portal.state = PortalState::Ready;
                 let f = match portal.fields() {
                     Ok(f) => f,
                     Err(fault) => return Ok(Err(fault)),
@@ -440,16 +451,16 @@
                 // A client that says how long it waits counts from its sending; else the time
                 // runs from the start of this one, whatever stood before it in the batch.
                 let from = if f.timeout_ms.is_some() { wire.arrived() } else { now() };
-                if wire.catch_up().await? {
-                    return Ok(Ok(self.left(wire)));
+                if wire.read_available().await? {
+                    return Ok(Ok(self.end_for_departed_client(wire)));
                 }
-                let own = self.names.statement_timeout;
-                let ticket = self.front.take(&f, &portal.statement, from, own, cancelled);
-                let ticket = match ticket {
-                    Ok(ticket) => ticket,
+                let own = self.objects.statement_timeout;
+                let request = self.front.submit(&f, &portal.statement, from, own, cancelled);
+                let request = match request {
+                    Ok(request) => request,
                     Err(fault) => return Ok(Err(fault)),
                 };
-                match self.wait(wire, ticket).await? {
+                match self.wait_for_response(wire, request).await? {
                     None => return Ok(Ok(false)),
                     Some(Err(fault)) => return Ok(Err(fault)),
                     Some(Ok(result)) => (result, (0, 0)),
@@ -457,23 +468,23 @@
             }
         };
         let (n, left) = answer::rows(wire, &result, place, most).await?;
-        wire.make_room(64).await?;
+        wire.reserve_output(64).await?;
         match left {
             None => pg::command_complete(wire.output(), &format!("SELECT {n}")),
             Some(_) => pg::bare(wire.output(), pg::PORTAL_SUSPENDED),
         }
-        let suspended = |p: &Portal| matches!(p.stage, Stage::Suspended(..));
-        let others = self.names.portals.values().filter(|p| suspended(p)).count();
-        if let Some(portal) = self.names.portals.get_mut(name) {
+        let suspended = |p: &Portal| matches!(p.state, PortalState::Suspended(..));
+        let others = self.objects.portals.values().filter(|p| suspended(p)).count();
+        if let Some(portal) = self.objects.portals.get_mut(name) {
             portal.prepared.key_spent.set(true);
-            portal.stage = match left {
-                Some(place) if others < MOST_SUSPENDED => Stage::Suspended(result, place),
+            portal.state = match left {
+                Some(place) if others < MAX_SUSPENDED_PORTALS => PortalState::Suspended(result, place),
                 Some(_) => {
                     let fault = Fault::new("53200", "too many portals of this session wait to be fetched");
-                    portal.stage = Stage::Done;
+                    portal.state = PortalState::Done;
                     return Ok(Err(fault.hint("Close some, or fetch all rows at once.")));
                 }
-                None => Stage::Done,
+                None => PortalState::Done,
             };
         }
         Ok(Ok(true))
@@ -481,20 +492,20 @@
 
     /// A simple query of the second front that needs no engine; `None` for one that does.
     pub(super) fn simple_here(&mut self, out: &mut Vec<u8>, statement: &str) -> Result<Option<()>, Fault> {
-        self.names.simple();
-        match sort(statement)? {
-            Sort::Set(timeout) => {
+        self.objects.simple();
+        match classify(statement)? {
+            StatementKind::Set(timeout) => {
                 if let Some(timeout) = timeout {
-                    self.names.statement_timeout = timeout;
+                    self.objects.statement_timeout = timeout;
                 }
                 pg::command_complete(out, "SET");
                 Ok(Some(()))
             }
-            Sort::Empty => {
+            StatementKind::Empty => {
                 pg::bare(out, pg::EMPTY_QUERY);
                 Ok(Some(()))
             }
-            Sort::Request => Ok(None),
+            StatementKind::Query => Ok(None),
         }
     }
 }
--- a/src/run/acme.rs
+++ b/src/run/acme.rs
@@ -164,7 +164,7 @@
 fn install(front: &Front, held: &Held, what: &str) {
     match held.acceptor() {
         Ok(acceptor) => {
-            front.certify(acceptor);
+            front.set_certificate(acceptor);
             info!("{what}, good until {}", held.until);
         }
         Err(e) => error!("certificate unusable: {e}"),
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -3,7 +3,7 @@
 
 use super::admin;
 use crate::core::engine_connection::ConnectionLimits as Terms;
-use crate::front::{Class, Setup};
+use crate::front::{ClassConfig, FrontConfig};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Micros, Settings};
 use sprucelink_settings::{Environment, Error, Platform, Profile, Word};
@@ -100,7 +100,7 @@
     /// Connections to engines.
     pub terms: Terms,
     /// What the fronts know.
-    pub setup: Setup,
+    pub setup: FrontConfig,
     /// Buffers that the memory limit leaves room for.
     pub buffers: usize,
 }
@@ -113,7 +113,7 @@
     pub fn keep_back(&mut self, more: usize) -> Result<(), usize> {
         self.shares = Shares::of(self.sockets, self.shares.kept + more)?;
         self.terms.most_links = self.shares.links;
-        self.setup.most_sessions = self.shares.sessions;
+        self.setup.max_sessions = self.shares.sessions;
         Ok(())
     }
 }
@@ -127,10 +127,10 @@
     let set = told.settings.settings();
     let limits = &told.settings.limits;
     let names = |list: &[Word]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
-    let class = |(p, c): (&Profile, &ClassSettings)| Class {
+    let class = |(p, c): (&Profile, &ClassSettings)| ClassConfig {
         name: p.name.0.clone(),
-        keyed: c.effect == Effect::Keyed,
-        deadline: c.deadline,
+        has_idempotency_key: c.effect == Effect::Keyed,
+        default_timeout: c.deadline,
     };
     let operator = told.operator.or(environment.operator);
     let sockets = told.limits.sockets.0.map_or(SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
@@ -163,12 +163,12 @@
             most: (sockets / 32).max(2),
             most_links: shares.links,
         },
-        setup: Setup {
+        setup: FrontConfig {
             classes: told.settings.profiles.iter().zip(&set.classes).map(class).collect(),
             tenants: told.settings.customers.iter().map(|c| c.name.0.clone()).collect(),
-            most_sessions: shares.sessions,
-            most_leaving: shares.leaving,
-            most_lobby: shares.lobby,
+            max_sessions: shares.sessions,
+            max_evicted: shares.leaving,
+            max_sessionless: shares.lobby,
             extended: false,
             require_tls: false,
             default_class: None,
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -114,9 +114,9 @@
         // for the first alone.
         let relieved = matches!(stand.phase, Phase::Accompanied | Phase::Leaving);
         self.part(if relieved { stand.parts } else { 1 });
-        front.accept(stand.accepts);
+        front.set_accepting(stand.accepts);
         if let Some(idle) = stand.let_go {
-            front.let_go(idle);
+            front.drain_sessions(idle);
         }
         if self.keeper.borrow().due(now()) {
             // Said there; it is tried again in its time.
--- a/src/run/operator.rs
+++ b/src/run/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: it sets up the second front, which is off without it.
 
 use super::acme::{self, Acme};
-use crate::front::Setup;
+use crate::front::FrontConfig;
 use serde_json::Value;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     /// Where clients of the second front connect.
     pub listen: String,
     /// What that front is set up with.
-    pub setup: Setup,
+    pub setup: FrontConfig,
     /// Where its certificates come from.
     pub acme: Option<Acme>,
 }
@@ -26,7 +26,7 @@
 impl Operator {
     /// Descriptors that the second front holds at most: its listener, its connections, and what its certificates need.
     pub fn descriptors(&self) -> usize {
-        1 + self.setup.most_connections() + self.acme.as_ref().map_or(0, |_| acme::DESCRIPTORS)
+        1 + self.setup.max_connections() + self.acme.as_ref().map_or(0, |_| acme::DESCRIPTORS)
     }
 }
 
@@ -43,7 +43,7 @@
 const MOST_SECONDS: f64 = 366.0 * 86_400.0;
 
 /// Reads an operator's file; `platform` is the set-up of the platform's front.
-pub fn parse(text: &str, platform: &Setup) -> Result<Operator, String> {
+pub fn parse(text: &str, platform: &FrontConfig) -> Result<Operator, String> {
     let json: Value = serde_json::from_str(text).map_err(|e| format!("operator's file: {e}"))?;
     known("", &json, &NAMES)?;
     let listen = address(&json, "listen")?;
@@ -54,8 +54,8 @@
     };
     let default_class = name("default_class", &|s| platform.classes.iter().any(|c| c.name == s))?;
     let default_tenant = name("default_tenant", &|s| platform.tenants.iter().any(|t| t == s))?;
-    let most_sessions = match &json["max_sessions"] {
-        Value::Null => SESSIONS.min(platform.most_sessions / SESSIONS_PART).max(1),
+    let max_sessions = match &json["max_sessions"] {
+        Value::Null => SESSIONS.min(platform.max_sessions / SESSIONS_PART).max(1),
         n => match n.as_u64() {
             Some(n @ 1..=256) => n as usize,
             _ => return Err("operator's file: max_sessions: is no number from 1 to 256".into()),
@@ -71,11 +71,11 @@
         None if json["tls"].is_null() => acme.is_some(),
         _ => return Err("operator's file: tls: is neither allowed nor required, or acme is missing".into()),
     };
-    let setup = Setup {
+    let setup = FrontConfig {
         require_tls,
-        most_sessions,
-        most_leaving: LEAVING,
-        most_lobby: LOBBY,
+        max_sessions,
+        max_evicted: LEAVING,
+        max_sessionless: LOBBY,
         extended: true,
         default_class,
         default_tenant,
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -10,7 +10,7 @@
 use crate::core::buffer_pool::BufferPool;
 use crate::core::request_table::Core;
 use crate::core::{endpoint_client, now, span};
-use crate::front::{Front, Setup};
+use crate::front::{Front, FrontConfig};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
 use sprucelink_hot_restart::Spans;
@@ -189,7 +189,7 @@
     }
     let mut fronts = vec![open("serving", &core, listener, config.setup)?];
     // Until it has come to serve, what comes is left to the process before.
-    fronts[0].0.accept(!shared);
+    fronts[0].0.set_accepting(!shared);
     desk.ready();
     if let Some(upgrade) = &upgrade {
         upgrade.can_serve();
@@ -239,7 +239,7 @@
                 warn!(ended, "stopping: {ended} given up, for the time is over");
             }
         }
-        let open = |f: &Opened| f.0.busy() > 0 || f.0.parting() > 0;
+        let open = |f: &Opened| f.0.open_requests() > 0 || f.0.closing_connections() > 0;
         quiet = if fronts.iter().any(open) { 0 } else { quiet + 1 };
     }
     if let Some(member) = member {
@@ -258,10 +258,10 @@
 }
 
 /// Opens a front: it and the task that takes its connections.
-fn open(what: &str, core: &Rc<Core>, listener: TcpListener, setup: Setup) -> Result<Opened, String> {
+fn open(what: &str, core: &Rc<Core>, listener: TcpListener, setup: FrontConfig) -> Result<Opened, String> {
     let at = listener.local_addr().map_err(|e| format!("{what}: {e}"))?;
     let front = Front::new(Rc::clone(core), setup);
-    let accepting = spawn_local(Rc::clone(&front).listen(listener));
+    let accepting = spawn_local(Rc::clone(&front).accept_connections(listener));
     info!("{what} on {at}");
     Ok((front, accepting))
 }
