--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -4,6 +4,7 @@
 
 pub mod calls;
 pub mod confined;
+pub mod golden;
 pub mod paced;
 
 use command_fds::{CommandFdExt, FdMapping};
@@ -315,7 +316,7 @@
 static DIRS: AtomicU64 = AtomicU64::new(0);
 
 /// The program's file: this build's, or another that is measured against it.
-fn program() -> std::ffi::OsString {
+pub fn program() -> std::ffi::OsString {
     std::env::var_os("SPRUCELINK_PROGRAM").unwrap_or_else(|| env!("CARGO_BIN_EXE_sprucelink").into())
 }
 
