--- a/crates/policy/benches/event.rs
+++ b/crates/policy/benches/event.rs
@@ -6,16 +6,16 @@
 use sprucelink_policy::*;
 
 /// A module with so many engines and `open` requests, each sent, all half loaded.
-fn module(engines: u32, open: u64) -> (Policy, Micros) {
+fn module(engines: u32, open: u64) -> (Policy, Timestamp) {
     let class = |threads: f64| ClassSettings {
         worth: 1.0,
         late_worth: 0.3,
-        aim: Micros::from_secs(1.2),
+        aim: TimeDelta::from_secs_f64(1.2),
         aim_stretch: 2.0,
-        deadline: Micros::from_secs(6.0),
+        deadline: TimeDelta::from_secs_f64(6.0),
         effect: Effect::Safe,
         group: DedupGroup::All,
-        repeat_window: Micros(0),
+        repeat_window: TimeDelta::ZERO,
         in_turn: false,
         threads,
         load: false,
@@ -33,13 +33,13 @@
         cancel: true,
         max_attempts: 6,
         fall_multiple: 2.5,
-        fall_span: Micros::from_secs(2.0),
+        fall_span: TimeDelta::from_secs_f64(2.0),
         start_share: 0.3,
-        cold_for: Micros::from_secs(15.0),
-        attempt_budget: Some(AttemptBudget { span: Micros::from_secs(5.0), free: 3.0, share: 0.1 }),
+        cold_for: TimeDelta::from_secs_f64(15.0),
+        attempt_budget: Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 3.0, share: 0.1 }),
         ..Settings::default()
     };
-    let mut now = Micros::from_secs(1_000.0);
+    let mut now = Timestamp::from_secs_f64(1_000.0);
     let (mut brain, mut out) = (Policy::new(set, 7, now), Vec::new());
     let entry = |n| {
         let (engine, state) = (EngineId(n), EngineState::Ready);
@@ -51,7 +51,7 @@
         &mut out,
     );
     for id in 0..open {
-        now = now + Micros(1_000);
+        now = now + TimeDelta::from_micros(1_000);
         brain.handle(now, arrival(id), &mut out);
     }
     (brain, now)
@@ -63,7 +63,7 @@
         class: ClassId(usize::from(id.is_multiple_of(6))),
         tenant: 0,
         tables: id % 30,
-        time_left: Micros::from_secs(6.0),
+        time_left: TimeDelta::from_secs_f64(6.0),
         cost: Some(0.25),
         memory_mb: Some(200.0),
         key: None,
@@ -81,7 +81,7 @@
         // Four requests open an engine, as on a busy day, and no more than a front has sessions for.
         let (brain, now) = module(engines, u64::from(engines * 4).min(640));
         let saved = rmp_serde::to_vec_named(&brain).expect("saved");
-        let later = now + Micros(1_000);
+        let later = now + TimeDelta::from_micros(1_000);
         let mut out = Vec::new();
         group.bench_function(BenchmarkId::new("arrived and ended", engines), |b| {
             let mut brain = copy(&saved);
@@ -94,7 +94,7 @@
                     id: RequestId(id),
                     attempt: 0,
                     outcome: Outcome::Delivered,
-                    latency: Micros(200_000),
+                    latency: TimeDelta::from_micros(200_000),
                     complete: true,
                     bill: Some(Bill { work: 0.25, memory_mb: 180.0 }),
                     report: Report { in_hand: Some(6.0), ..Report::default() },
--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -14,7 +14,7 @@
 // ---- Constants -------------------------------------------------------------------------------
 
 /// Interval between two settings of the tolls (design page: 1 s).
-const INTERVAL: Micros = Micros(1_000_000);
+const INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Share of the new price in the implemented one (design page, paper eq. 7).
 const ALPHA: f64 = 0.1;
 /// Share of a fresh interval or outcome in the smoothed rate and wait; a few outcomes decide (ours).
@@ -32,9 +32,9 @@
 /// Engine priorities, 0 to 3 (design page).
 const LEVELS: usize = 4;
 /// Between two looks at all that is open, microseconds: short against every deadline.
-const TICK: Micros = Micros(20_000);
+const TICK: TimeDelta = TimeDelta::from_micros(20_000);
 /// An answer goes out this long before the client stops waiting: two looks and a batch.
-const ANSWER_MARGIN: Micros = Micros(50_000);
+const ANSWER_MARGIN: TimeDelta = TimeDelta::from_micros(50_000);
 /// Threads a core up to which a level may fill an engine: above one, as part of the work waits for disks.
 const FILL: [f64; LEVELS] = [1.5, 1.7, 1.9, 2.1];
 /// Own threads may pass the even part of what fills the engines by so many roots of this share.
@@ -42,7 +42,7 @@
 /// A report weighs at least this where it, not this gateway's share, says whether an engine has room.
 const HEARD: f64 = 0.8;
 /// A report older than this is outweighed by an attempt that is overdue.
-const OLD_NEWS: Micros = Micros(1_000_000);
+const OLD_NEWS: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Notes missed after which an attempt's engine counts as mute; so many mute ones tell of a zone cut off.
 const NOTES_MISSED: f64 = 1.5;
 const MUTE: usize = 2;
@@ -66,8 +66,8 @@
 const TENANT_BURST: f64 = 6.0;
 /// Engines a query of several threads chooses among at least; its wait for probes, and for others if held.
 const PROBE_SAMPLES: usize = 2;
-const PROBE_WAIT: Micros = Micros(15_000);
-const PROBE_GAP: Micros = Micros(500_000);
+const PROBE_WAIT: TimeDelta = TimeDelta::from_micros(15_000);
+const PROBE_GAP: TimeDelta = TimeDelta::from_micros(500_000);
 /// A report weighs less than this when it is too old to spare a probe.
 const PROBE_STALE: f64 = 0.7;
 /// Worth spent on probes, as a share of all that is asked for.
@@ -105,11 +105,11 @@
 /// An attempt unheard of for this many times its expected latency is lost.
 const LOST: f64 = 5.0;
 /// An engine silent for this long with most attempts overdue takes work and answers none.
-const SILENCE: Micros = Micros(700_000);
+const SILENCE: TimeDelta = TimeDelta::from_micros(700_000);
 /// Gap between two queries of the trickle to a distrusted engine.
-const TRICKLE: Micros = Micros(1_000_000);
+const TRICKLE: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// First rest after a failed connection; doubles up to eight times this.
-const DOWN_REST: Micros = Micros(500_000);
+const DOWN_REST: TimeDelta = TimeDelta::from_micros(500_000);
 /// So many errors end a request: what two engines cannot do is most likely its own fault.
 const MOST_ERRORS: u32 = 2;
 /// An attempt is redone when what is left would take this many times a fresh one.
@@ -155,12 +155,12 @@
 /// A distrusted engine is trusted again below this share of a bound, so that verdicts do not flap.
 const RELENT: f64 = 0.5;
 /// Rest of an engine that turned a query away as full.
-const FULL_REST: Micros = Micros(100_000);
+const FULL_REST: TimeDelta = TimeDelta::from_micros(100_000);
 
 impl Policy {
     /// A gateway that starts now and knows its settings only.
-    pub fn new(set: Settings, seed: u64, now: Micros) -> Policy {
-        let mean = |c: &ClassSettings| (c.aim.secs() * c.threads * FIRST_MEAN).max(1e-3);
+    pub fn new(set: Settings, seed: u64, now: Timestamp) -> Policy {
+        let mean = |c: &ClassSettings| (c.aim.as_secs_f64() * c.threads * FIRST_MEAN).max(1e-3);
         let (bias, ratio, pace, grant, need_scatter) = (1.0, 1.0, FIRST_PACE, FIRST_GRANT, NEED_SCATTER);
         let first = || ClassBook { bias, ratio, pace, grant, need_scatter, ..Default::default() };
         let book = |c: &ClassSettings| ClassBook { mean: mean(c), ..first() };
@@ -181,7 +181,7 @@
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.armed, true) {
             out.push(Action::Timer { delay: TICK, token: 0 });
@@ -231,7 +231,7 @@
 
     /// Worth lost per second of waiting: worth over deadline.
     fn delta(&self, class: usize) -> f64 {
-        self.set.classes[class].worth / self.set.classes[class].deadline.secs().max(1e-3)
+        self.set.classes[class].worth / self.set.classes[class].deadline.as_secs_f64().max(1e-3)
     }
 
     /// Sets every price anew (paper eq. 6 and 7).
@@ -241,7 +241,7 @@
         self.outcomes = 0;
         for book in &mut self.classes {
             for l in &mut book.levels {
-                l.rate += SMOOTH * (f64::from(l.admitted) / INTERVAL.secs() - l.rate);
+                l.rate += SMOOTH * (f64::from(l.admitted) / INTERVAL.as_secs_f64() - l.rate);
                 l.admitted = 0;
                 // Departure: a level unheard of loses half its wait only as others are heard.
                 l.wait *= if l.fresh { 1.0 } else { UNHEARD.powf(evidence) };
@@ -301,13 +301,13 @@
     /// give up long before the class says.
     fn aim(&self, r: &Request) -> f64 {
         let c = &self.set.classes[r.class];
-        let wanted = c.aim.secs() + c.aim_stretch * r.cost * self.classes[r.class].bias / c.threads;
-        wanted.min((r.deadline - r.arrived - ANSWER_MARGIN).secs())
+        let wanted = c.aim.as_secs_f64() + c.aim_stretch * r.cost * self.classes[r.class].bias / c.threads;
+        wanted.min((r.deadline - r.arrived - ANSWER_MARGIN).as_secs_f64())
     }
 
     /// What an answer `in_all` seconds after the arrival earns.
     fn step_worth(&self, r: &Request, in_all: f64) -> f64 {
-        let gone = in_all > (r.deadline - r.arrived).secs();
+        let gone = in_all > (r.deadline - r.arrived).as_secs_f64();
         let late_worth = if gone { 0.0 } else { self.set.classes[r.class].late_worth };
         r.worth * if in_all * PRUDENCE > self.aim(r) { late_worth } else { 1.0 }
     }
@@ -316,12 +316,12 @@
     /// wanted time only the late worth is left, as the paper's footnote 8 allows for steps.
     fn worth_at(&self, r: &Request, in_all: f64) -> f64 {
         let c = &self.set.classes[r.class];
-        self.step_worth(r, in_all) - r.worth / c.deadline.secs().max(1e-3) * in_all
+        self.step_worth(r, in_all) - r.worth / c.deadline.as_secs_f64().max(1e-3) * in_all
     }
 
     fn on_arrival(&mut self, a: Arrival, out: &mut Vec<Action>) {
         let class = a.class.0;
-        self.taken.add(self.now, self.set.attempt_budget.map_or(Micros(0), |b| b.span));
+        self.taken.add(self.now, self.set.attempt_budget.map_or(TimeDelta::ZERO, |b| b.span));
         if class >= self.classes.len() {
             return out.push(Action::Fail { id: a.id, retry_after: None });
         }
@@ -356,7 +356,7 @@
         let Some(r) = self.requests.get(&id) else { return };
         let picked = self.pick(r, false, dice);
         let idle = picked.is_some_and(|e| self.utilisation(e.0 as usize) < LOW_UTIL);
-        let free = (self.own < self.core_share() || idle) && tau <= (r.deadline - self.now).secs();
+        let free = (self.own < self.core_share() || idle) && tau <= (r.deadline - self.now).as_secs_f64();
         let (enters, place) = (free || self.worth_at(r, tau) - toll >= 0.0, place(r));
         self.why_priced(id, (tau, toll, free, enters), out);
         if enters {
@@ -427,7 +427,7 @@
     /// Share of its capacity that an engine has by now: from the start share up, evenly.
     fn warmth(&self, e: &Engine) -> f64 {
         let Some(started) = e.started else { return 1.0 };
-        let age = (self.now - started).secs() / self.set.cold_for.secs().max(1e-3);
+        let age = (self.now - started).as_secs_f64() / self.set.cold_for.as_secs_f64().max(1e-3);
         1.0 - (1.0 - self.set.start_share) * (1.0 - age.clamp(0.0, 1.0))
     }
 
@@ -438,13 +438,13 @@
 
     /// The same in the mean: as reported of late, else as far as own load can tell.
     fn usual(&self) -> f64 {
-        let trust = (-(self.now - self.fleet_heard).secs() / (2.0 * FADE)).exp();
+        let trust = (-(self.now - self.fleet_heard).as_secs_f64() / (2.0 * FADE)).exp();
         self.fleet * trust + self.equal() * self.sees() * (1.0 - trust)
     }
 
     /// How much the last report still tells of an engine.
     fn trust(&self, e: &Engine) -> f64 {
-        e.heard.map_or(0.0, |t| (-(self.now - t).secs() / FADE).exp())
+        e.heard.map_or(0.0, |t| (-(self.now - t).as_secs_f64() / FADE).exp())
     }
 
     /// Threads on an engine: own, and others' by report. Departure: a report fades into the mean as it ages,
@@ -485,7 +485,7 @@
         let zone = self.zones.get(&e.zone).filter(|z| z.cut);
         let trickle = light
             && e.flying == 0
-            && self.now >= e.next_trickle.max(zone.map_or(Micros(0), |z| z.next_trickle));
+            && self.now >= e.next_trickle.max(zone.map_or(Timestamp::ZERO, |z| z.next_trickle));
         self.now >= e.down_until && (!e.distrusted || trickle)
     }
 
@@ -570,7 +570,7 @@
         let e = &mut self.engines[a.engine.0 as usize];
         e.last_word = self.now;
         self.zones.entry(e.zone).or_default().word(self.now);
-        let (age, expected) = ((self.now - a.sent).secs(), a.expected);
+        let (age, expected) = ((self.now - a.sent).as_secs_f64(), a.expected);
         let (class, r) = (r.class, &*r);
         match (note, r.memory) {
             (Note::Spills(missing), Some(need)) => {
@@ -582,7 +582,8 @@
                 let left = age * (1.0 - done) / done.max(0.01);
                 let r = &self.requests[&id];
                 let fresh = expected.max(self.now_time(class, r.cost));
-                let pays = left > REDO_GAIN * fresh && (self.now - r.arrived).secs() + left > self.aim(r);
+                let pays =
+                    left > REDO_GAIN * fresh && (self.now - r.arrived).as_secs_f64() + left > self.aim(r);
                 if pays && self.may_repeat(r) && self.within_attempt_budget() {
                     self.cancel(id, out);
                 }
@@ -622,10 +623,10 @@
     fn went_down(&mut self, i: usize) {
         let (now, e) = (self.now, &mut self.engines[i]);
         if now >= e.down_until {
-            e.down_until = now + Micros(DOWN_REST.0 << e.failures.min(3));
+            e.down_until = now + TimeDelta::from_micros(DOWN_REST.as_micros() << e.failures.min(3));
             e.failures += 1;
         }
-        if e.failures >= 2 && self.set.cold_for > Micros(0) {
+        if e.failures >= 2 && self.set.cold_for > TimeDelta::ZERO {
             e.started = Some(now);
         }
     }
@@ -649,13 +650,13 @@
         }
         r.errors += u32::from(outcome == Outcome::Error);
         r.answered |= complete;
-        let (key, answered, in_all) = (r.key.clone(), r.answered, (self.now - r.arrived).secs());
+        let (key, answered, in_all) = (r.key.clone(), r.answered, (self.now - r.arrived).as_secs_f64());
         let e = &mut self.engines[i];
         e.threads -= threads;
         self.own -= threads;
         e.flying -= 1;
-        self.thread_time += threads * latency.secs();
-        self.query_time += latency.secs();
+        self.thread_time += threads * latency.as_secs_f64();
+        self.query_time += latency.as_secs_f64();
         if matches!(outcome, Outcome::Expired | Outcome::Dropped | Outcome::Revoked) {
             if let Some(line) = key.and_then(|k| self.keys.get_mut(&k)) {
                 line.rests_until = self.now + self.set.order_settle;
@@ -677,7 +678,7 @@
                     need.filter(|n| *n > 0.0).into_iter().for_each(|n| learn_need(book, n.ln()));
                 }
                 // The lower quarter of the ratios: what a query takes when little stands in its way.
-                let seen = latency.secs() * threads / cost.max(1e-6);
+                let seen = latency.as_secs_f64() * threads / cost.max(1e-6);
                 book.pace += PACE_STEP * (seen.min(PACE_MOST) - book.pace);
                 book.ratio *= if seen > book.ratio { RATIO_UP } else { RATIO_DOWN };
                 book.grant = (book.grant - GRANT_DECAY).max(GRANT_LEAST);
@@ -686,7 +687,7 @@
                 let e = &mut self.engines[i];
                 (e.last_word, e.failures, e.silent) = (self.now, 0, false);
                 if !load {
-                    learn_slowness(e, latency.secs() / a.expected);
+                    learn_slowness(e, latency.as_secs_f64() / a.expected);
                 }
             }
             Outcome::Expired => self.learn_wait(class, level, in_all),
@@ -743,7 +744,7 @@
         for r in self.requests.values().filter(|r| r.out.is_some()) {
             above[..=r.level].iter_mut().for_each(|t| *t += self.set.classes[r.class].threads);
         }
-        let weight = (TICK.secs() * self.core_share() / CALM).min(1.0);
+        let weight = (TICK.as_secs_f64() * self.core_share() / CALM).min(1.0);
         self.above.iter_mut().zip(above).for_each(|(old, new)| *old += weight * (new - *old));
         self.judge_engines(out);
         self.review(out);
@@ -763,10 +764,10 @@
             if self.now + ANSWER_MARGIN >= r.deadline || r.out.is_none() && !self.may_repeat(r) {
                 self.answer(id, out);
             } else if let Some(a) = &r.out {
-                let age = (self.now - a.sent).secs();
+                let age = (self.now - a.sent).as_secs_f64();
                 let doubted = self.engines[a.engine.0 as usize].distrusted && age > OVERDUE * a.expected;
-                let stuck = doubted || (self.now - a.heard).secs() > LOST * a.expected;
-                let gone = (self.now - r.arrived).secs() / self.aim(r);
+                let stuck = doubted || (self.now - a.heard).as_secs_f64() > LOST * a.expected;
+                let gone = (self.now - r.arrived).as_secs_f64() / self.aim(r);
                 let need = URGENT.iter().filter(|part| gone * sees > **part && gone < 1.0).count();
                 if stuck && self.may_repeat(r) && self.within_attempt_budget() {
                     self.cancel(id, out);
@@ -777,7 +778,7 @@
                     out.extend(self.requests.get(&id).map(|r| self.terms(id, r)));
                 }
             } else {
-                let left = (self.now - r.arrived).secs() + self.now_time(r.class, r.cost);
+                let left = (self.now - r.arrived).as_secs_f64() + self.now_time(r.class, r.cost);
                 let late = left * PRUDENCE > self.aim(r);
                 let toll = if late { self.cheapest(r.class, r.cost).2 } else { 0.0 };
                 // The free-core pass holds for what waits for its turn, too: late is better than never.
@@ -802,14 +803,14 @@
     /// was expected, whatever the cause. May catch one with nothing but bad plans; the trickle lets it back.
     fn judge_engines(&mut self, out: &mut Vec<Action>) {
         self.engines.iter_mut().for_each(|e| e.overdue = 0);
-        let unheard_for = NOTES_MISSED * self.set.progress_pace.secs();
+        let unheard_for = NOTES_MISSED * self.set.progress_pace.as_secs_f64();
         for r in self.requests.values_mut() {
             let Some(a) = &mut r.out else { continue };
             let e = &mut self.engines[a.engine.0 as usize];
-            if unheard_for > 0.0 && (self.now - a.heard).secs() > unheard_for {
+            if unheard_for > 0.0 && (self.now - a.heard).as_secs_f64() > unheard_for {
                 self.zones.entry(e.zone).or_default().missed(a, MUTE);
             }
-            let ratio = (self.now - a.sent).secs() / a.expected;
+            let ratio = (self.now - a.sent).as_secs_f64() / a.expected;
             e.overdue += u32::from(ratio > OVERDUE);
             if ratio > a.overdue {
                 a.overdue *= 2.0;
@@ -878,17 +879,18 @@
         // Few estimates tell little of a class, most often too little: a gateway that just started counts in
         // some of all of the wanted time on all threads.
         let first = if self.now - self.born < self.set.cold_for { FIRST_CHARGES } else { 0.0 };
-        let (samples, most) = (f64::from(book.samples.max(1)), c.aim.secs() * c.threads);
+        let (samples, most) = (f64::from(book.samples.max(1)), c.aim.as_secs_f64() * c.threads);
         (book.mean * samples + most * first) / (samples + first) * book.bias.max(1.0)
     }
 
     /// This gateway's even part of what a cold engine may be sent in one span.
     fn cold_budget(&self, e: &Engine) -> f64 {
-        let share = self.set.fall_multiple * self.warmth(e) * self.set.fall_span.secs();
+        let share = self.set.fall_multiple * self.warmth(e) * self.set.fall_span.as_secs_f64();
         // A gateway that just started has forgotten its sends: half counts as spent, or what the ramp says.
         let age = self.now - self.born;
         let step = if age < self.set.fall_span { 0.5 } else { 1.0 };
-        let newborn = self.set.cold_ramp.map_or(step, |(from, over)| (from + age.secs() / over).min(1.0));
+        let newborn =
+            self.set.cold_ramp.map_or(step, |(from, over)| (from + age.as_secs_f64() / over).min(1.0));
         share * e.cores * COLD_CAPACITY * newborn / f64::from(self.set.gateways)
     }
 
@@ -963,7 +965,7 @@
         self.zones.entry(e.zone).or_default().next_trickle = self.now + TRICKLE;
         let Some(r) = self.requests.get_mut(&id) else { return false };
         if r.attempts > 0 {
-            self.extra.add(self.now, self.set.attempt_budget.map_or(Micros(0), |b| b.span + TICK));
+            self.extra.add(self.now, self.set.attempt_budget.map_or(TimeDelta::ZERO, |b| b.span + TICK));
         }
         let number = r.attempts;
         r.attempts += 1;
@@ -991,9 +993,9 @@
             Effect::Keyed => !touched || c.group == DedupGroup::All,
             Effect::Unsafe => !touched,
         };
-        let wait = Micros::from_secs(self.classes[r.class].levels[r.level].wait.max(self.jam()));
+        let wait = TimeDelta::from_secs_f64(self.classes[r.class].levels[r.level].wait.max(self.jam()));
         let most = self.set.max_retry_after;
-        let retry_after = Some(if most > Micros(0) { wait.min(most) } else { wait });
+        let retry_after = Some(if most > TimeDelta::ZERO { wait.min(most) } else { wait });
         let (refuse, fail) = (Action::Refuse { id, retry_after }, Action::Fail { id, retry_after });
         out.push(if harmless { refuse } else { fail });
         self.finish(id, out);
@@ -1022,7 +1024,7 @@
 
 impl ZoneBook {
     /// An engine there said something.
-    fn word(&mut self, now: Micros) {
+    fn word(&mut self, now: Timestamp) {
         self.heard = now;
         self.cut = false;
         self.mute.clear();
--- a/crates/policy/src/brain/view.rs
+++ b/crates/policy/src/brain/view.rs
@@ -63,7 +63,7 @@
     /// Which.
     pub id: RequestId,
     /// When its client gives up.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Attempts so far.
     pub attempts: u32,
     /// The attempt that is out, and where.
@@ -170,7 +170,7 @@
             others: e.others,
             waiting: e.waiting,
             full: e.full,
-            report_age: e.heard.map(|t| (self.now - t).secs()),
+            report_age: e.heard.map(|t| (self.now - t).as_secs_f64()),
             trust_in_report: self.trust(e),
             usual: self.usual() * e.cores * self.warmth(e) * self.let_in(e),
             load: self.load(e),
@@ -181,7 +181,7 @@
             silent: e.silent,
             overdue: e.overdue,
             distrusted: e.distrusted,
-            rests: (e.down_until - self.now).secs().max(0.0),
+            rests: (e.down_until - self.now).as_secs_f64().max(0.0),
             cold: (e.spent(self.now, self.set.fall_span), self.cold_budget(e)),
         })
     }
@@ -261,12 +261,12 @@
     /// Tells why a request is answered without being served.
     pub(super) fn why_answered(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
-        let in_all = (self.now - r.arrived).secs() + self.now_time(r.class, r.cost);
+        let in_all = (self.now - r.arrived).as_secs_f64() + self.now_time(r.class, r.cost);
         out.push(Action::Why(Box::new(Reason::Answered {
             id,
             attempts: r.attempts,
             errors: r.errors,
-            left: (r.deadline - self.now).secs(),
+            left: (r.deadline - self.now).as_secs_f64(),
             may_repeat: self.may_repeat(r),
             budget: self.within_attempt_budget(),
             in_all,
@@ -284,9 +284,9 @@
             id,
             attempt: a.number,
             engine: a.engine,
-            age: (self.now - a.sent).secs(),
+            age: (self.now - a.sent).as_secs_f64(),
             expected: a.expected,
-            unheard: (self.now - a.heard).secs(),
+            unheard: (self.now - a.heard).as_secs_f64(),
             distrusted: self.engines[a.engine.0 as usize].distrusted,
             answered: r.answered,
         })));
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -48,17 +48,17 @@
     /// Share of the worth that a late answer still earns.
     pub late_worth: f64,
     /// Wanted time, before the stretch for its own work.
-    pub aim: Micros,
+    pub aim: TimeDelta,
     /// The wanted time grows by this times the request's work over its threads.
     pub aim_stretch: f64,
     /// How long a client waits in all.
-    pub deadline: Micros,
+    pub deadline: TimeDelta,
     /// What a repeat may do.
     pub effect: Effect,
     /// For keyed classes: where repeats are discarded.
     pub group: DedupGroup,
     /// For keyed classes: how long repeats are discarded.
-    pub repeat_window: Micros,
+    pub repeat_window: TimeDelta,
     /// Requests with one key run one at a time, in order.
     pub in_turn: bool,
     /// Threads that a query of the class runs on.
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct AttemptBudget {
     /// Length of the sliding window.
-    pub span: Micros,
+    pub span: TimeDelta,
     /// Further attempts allowed in any case.
     pub free: f64,
     /// Further attempts allowed for each request taken.
@@ -142,7 +142,7 @@
     /// Priority levels are heeded.
     pub priorities: bool,
     /// Time between progress notes; zero where there are none.
-    pub progress_pace: Micros,
+    pub progress_pace: TimeDelta,
     /// Answers tell the work and memory a query needed.
     pub tells_cost: bool,
     /// Attempts can be cancelled.
@@ -154,24 +154,24 @@
     /// Clients are told when to come back.
     pub retry_after: bool,
     /// Longest such advice.
-    pub max_retry_after: Micros,
+    pub max_retry_after: TimeDelta,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// Sends to a draining engine must end within this.
-    pub drain_grace: Micros,
+    pub drain_grace: TimeDelta,
     /// A cold engine falls when sent more than this multiple of its capacity.
     pub fall_multiple: f64,
     /// For this long.
-    pub fall_span: Micros,
+    pub fall_span: TimeDelta,
     /// Share of its capacity that an engine starts with.
     pub start_share: f64,
     /// An engine is warm after this at the latest.
-    pub cold_for: Micros,
+    pub cold_for: TimeDelta,
     /// A gateway that just started uses this share of its part of a cold engine's budget, rising evenly to all
     /// of it in so many seconds; `None`: half of it for one `fall_span`.
     pub cold_ramp: Option<(f64, f64)>,
     /// How long a key rests after an attempt that may still run.
-    pub order_settle: Micros,
+    pub order_settle: TimeDelta,
     /// The further-attempt budget, if one is set.
     pub attempt_budget: Option<AttemptBudget>,
     /// Further attempts that others leave to this gateway over its own budget, where the fleet spends together.
@@ -187,7 +187,7 @@
     /// Price of one new connection for each query.
     pub handshake_price: f64,
     /// A connection that carries nothing is closed after this.
-    pub idle: Micros,
+    pub idle: TimeDelta,
 }
 
 impl Settings {
@@ -214,29 +214,29 @@
             grants: false,
             memory_short: MemoryShort::Waits,
             priorities: false,
-            progress_pace: Micros(0),
+            progress_pace: TimeDelta::ZERO,
             tells_cost: false,
             cancel: false,
             probes: false,
             peers: false,
             retry_after: false,
-            max_retry_after: Micros(0),
+            max_retry_after: TimeDelta::ZERO,
             max_attempts: 1,
-            drain_grace: Micros(0),
+            drain_grace: TimeDelta::ZERO,
             fall_multiple: 1.0,
-            fall_span: Micros(0),
+            fall_span: TimeDelta::ZERO,
             start_share: 1.0,
-            cold_for: Micros(0),
+            cold_for: TimeDelta::ZERO,
             cold_ramp: None,
             spare: 0.0,
             zone_weights: Vec::new(),
-            order_settle: Micros(0),
+            order_settle: TimeDelta::ZERO,
             attempt_budget: None,
             probe_price: 0.0,
             zone: None,
             cross_zone_price: 0.0,
             handshake_price: 0.0,
-            idle: Micros(0),
+            idle: TimeDelta::ZERO,
         }
     }
 }
@@ -266,7 +266,7 @@
     /// Its state.
     pub state: EngineState,
     /// When it last started, if that was lately.
-    pub since: Option<Micros>,
+    pub since: Option<Timestamp>,
 }
 
 /// What kind of list came.
@@ -359,7 +359,7 @@
     /// The group of tables it reads or writes.
     pub tables: u64,
     /// How long its client still waits.
-    pub time_left: Micros,
+    pub time_left: TimeDelta,
     /// Estimated work in thread-seconds.
     pub cost: Option<f64>,
     /// Estimated memory in MB.
@@ -403,7 +403,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        latency: Micros,
+        latency: TimeDelta,
         /// The request is finished.
         complete: bool,
         /// What it needed, where told.
@@ -457,7 +457,7 @@
         /// The request.
         id: RequestId,
         /// Time-out; until the client gives up if absent.
-        timeout: Option<Micros>,
+        timeout: Option<TimeDelta>,
         /// The engine.
         engine: EngineId,
     },
@@ -482,19 +482,19 @@
         /// The request.
         id: RequestId,
         /// When to come back, if that is said.
-        retry_after: Option<Micros>,
+        retry_after: Option<TimeDelta>,
     },
     /// Final: failed, nothing assured.
     Fail {
         /// The request.
         id: RequestId,
         /// When to come back, if that is said.
-        retry_after: Option<Micros>,
+        retry_after: Option<TimeDelta>,
     },
     /// Set a timer.
     Timer {
         /// From now.
-        delay: Micros,
+        delay: TimeDelta,
         /// Comes back with the event.
         token: u64,
     },
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -11,16 +11,16 @@
 pub struct Policy {
     pub(crate) set: Settings,
     pub(crate) rng: Seeded,
-    pub(crate) now: Micros,
-    pub(crate) born: Micros,
+    pub(crate) now: Timestamp,
+    pub(crate) born: Timestamp,
     /// By level: work held in the line; own threads in flight there and above, smoothed.
     pub(crate) held: [f64; 4],
     pub(crate) above: [f64; 4],
     pub(crate) outcomes: u32,
     pub(crate) armed: bool,
     pub(crate) seq: u64,
-    pub(crate) next_tolls: Micros,
-    pub(crate) ask_again: Option<Micros>,
+    pub(crate) next_tolls: Timestamp,
+    pub(crate) ask_again: Option<Timestamp>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) zones: BTreeMap<u32, ZoneBook>,
     /// Own threads in flight; told cores of the engines that take work.
@@ -28,7 +28,7 @@
     pub(crate) cores: f64,
     /// Threads a core of other gateways, by reports of late, and when the last came.
     pub(crate) fleet: f64,
-    pub(crate) fleet_heard: Micros,
+    pub(crate) fleet_heard: Timestamp,
     /// Threads and queries that ran, each times how long: a report counts queries, of whatever threads.
     pub(crate) thread_time: f64,
     pub(crate) query_time: f64,
@@ -90,23 +90,23 @@
     pub(crate) kind: u32,
     pub(crate) cell: u32,
     pub(crate) cores: f64,
-    pub(crate) started: Option<Micros>,
+    pub(crate) started: Option<Timestamp>,
     /// Own threads and attempts in flight.
     pub(crate) threads: f64,
     pub(crate) flying: u32,
     /// Threads that others had there by the last report, and when it came.
     pub(crate) others: f64,
-    pub(crate) heard: Option<Micros>,
+    pub(crate) heard: Option<Timestamp>,
     pub(crate) waiting: f64,
     /// The last report told of busy cores only, nearly all of them.
     pub(crate) full: bool,
     /// Own threads of late, to set against reports that lag.
     pub(crate) smooth_threads: f64,
-    pub(crate) last_word: Micros,
+    pub(crate) last_word: Timestamp,
     /// When it was last sent something.
-    pub(crate) last_sent: Option<Micros>,
-    pub(crate) next_trickle: Micros,
-    pub(crate) down_until: Micros,
+    pub(crate) last_sent: Option<Timestamp>,
+    pub(crate) next_trickle: Timestamp,
+    pub(crate) down_until: Timestamp,
     pub(crate) failures: u32,
     pub(crate) slow: f64,
     pub(crate) slow_samples: u32,
@@ -118,8 +118,8 @@
     pub(crate) distrusted: bool,
     /// This gateway's draw for the cold budget, and when it draws again.
     pub(crate) lot: f64,
-    pub(crate) next_lot: Micros,
-    pub(crate) charges: VecDeque<(Micros, f64)>,
+    pub(crate) next_lot: Timestamp,
+    pub(crate) charges: VecDeque<(Timestamp, f64)>,
     pub(crate) warm: VecDeque<u64>,
 }
 
@@ -128,22 +128,22 @@
 #[serde(default)]
 pub(crate) struct ZoneBook {
     /// When an engine there last said anything.
-    pub(crate) heard: Micros,
+    pub(crate) heard: Timestamp,
     /// Engines that kept silent on what was sent there since.
     pub(crate) mute: BTreeSet<u32>,
     /// All of it is taken to be cut off.
     pub(crate) cut: bool,
     /// The next query of its trickle.
-    pub(crate) next_trickle: Micros,
+    pub(crate) next_trickle: Timestamp,
 }
 
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
     pub(crate) number: u32,
-    pub(crate) sent: Micros,
+    pub(crate) sent: Timestamp,
     /// When something was last heard of it.
-    pub(crate) heard: Micros,
+    pub(crate) heard: Timestamp,
     pub(crate) expected: f64,
     pub(crate) cancelled: bool,
     /// Next multiple of the expected latency at which being overdue counts as an outcome.
@@ -154,8 +154,8 @@
 pub(crate) struct Request {
     pub(crate) class: usize,
     pub(crate) seq: u64,
-    pub(crate) arrived: Micros,
-    pub(crate) deadline: Micros,
+    pub(crate) arrived: Timestamp,
+    pub(crate) deadline: Timestamp,
     pub(crate) worth: f64,
     pub(crate) cost: f64,
     pub(crate) memory: Option<f64>,
@@ -166,14 +166,14 @@
     /// Attempts that ended with an engine's error.
     pub(crate) errors: u32,
     /// The first attempt that may have run: when, and where.
-    pub(crate) may_have_run: Option<(Micros, EngineId)>,
+    pub(crate) may_have_run: Option<(Timestamp, EngineId)>,
     pub(crate) out: Option<Attempt>,
     pub(crate) last: Option<EngineId>,
     /// Until when it waits for probes it asked for.
-    pub(crate) probes_due: Micros,
+    pub(crate) probes_due: Timestamp,
     /// The engines it chooses among, all if empty, and when they were drawn.
     pub(crate) few: Vec<usize>,
-    pub(crate) drawn: Micros,
+    pub(crate) drawn: Timestamp,
     pub(crate) answered: bool,
 }
 
@@ -181,12 +181,12 @@
 #[serde(default)]
 pub(crate) struct KeyLine {
     pub(crate) turns: VecDeque<RequestId>,
-    pub(crate) rests_until: Micros,
+    pub(crate) rests_until: Timestamp,
 }
 
 impl Engine {
     /// Books a send.
-    pub(crate) fn took(&mut self, now: Micros, threads: f64, charge: f64, tables: u64) {
+    pub(crate) fn took(&mut self, now: Timestamp, threads: f64, charge: f64, tables: u64) {
         if self.flying == 0 {
             self.last_word = now;
         }
@@ -198,7 +198,7 @@
         self.warm.push_back(tables);
     }
     /// Forgets charges older than `span` and all but the last `groups` groups.
-    pub(crate) fn forget(&mut self, now: Micros, span: Micros, groups: usize) {
+    pub(crate) fn forget(&mut self, now: Timestamp, span: TimeDelta, groups: usize) {
         while self.charges.front().is_some_and(|c| now - c.0 > span) {
             self.charges.pop_front();
         }
@@ -207,19 +207,19 @@
         }
     }
     /// Work charged in the last `span`.
-    pub(crate) fn spent(&self, now: Micros, span: Micros) -> f64 {
+    pub(crate) fn spent(&self, now: Timestamp, span: TimeDelta) -> f64 {
         self.charges.iter().rev().take_while(|c| now - c.0 <= span).map(|c| c.1).sum()
     }
 }
 
 impl Attempt {
-    pub(crate) fn new(engine: EngineId, number: u32, now: Micros, expected: f64, overdue: f64) -> Attempt {
+    pub(crate) fn new(engine: EngineId, number: u32, now: Timestamp, expected: f64, overdue: f64) -> Attempt {
         Attempt { engine, number, sent: now, heard: now, expected, cancelled: false, overdue }
     }
 }
 
 impl Request {
-    pub(crate) fn new(a: &Arrival, seq: u64, now: Micros, cost: f64) -> Request {
+    pub(crate) fn new(a: &Arrival, seq: u64, now: Timestamp, cost: f64) -> Request {
         Request {
             class: a.class.0,
             seq,
@@ -238,7 +238,7 @@
             last: None,
             probes_due: now,
             few: Vec::new(),
-            drawn: Micros(0),
+            drawn: Timestamp::ZERO,
             answered: false,
         }
     }
@@ -266,13 +266,13 @@
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Bucket {
     level: f64,
-    at: Micros,
+    at: Timestamp,
 }
 
 impl Bucket {
     /// Takes one out, if one is in; it fills at `rate` a second up to `depth`.
-    pub(crate) fn take(&mut self, now: Micros, rate: f64, depth: f64) -> bool {
-        self.level = (self.level + (now - self.at).secs() * rate).min(depth);
+    pub(crate) fn take(&mut self, now: Timestamp, rate: f64, depth: f64) -> bool {
+        self.level = (self.level + (now - self.at).as_secs_f64() * rate).min(depth);
         self.at = now;
         let within = self.level >= 1.0;
         if within {
@@ -284,18 +284,18 @@
 
 /// Times of what happened of late, kept for one window.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Window(VecDeque<Micros>);
+pub(crate) struct Window(VecDeque<Timestamp>);
 
 impl Window {
     /// Adds one at `now` and forgets what is older than `span`.
-    pub(crate) fn add(&mut self, now: Micros, span: Micros) {
+    pub(crate) fn add(&mut self, now: Timestamp, span: TimeDelta) {
         self.0.push_back(now);
         while self.0.front().is_some_and(|t| now - *t > span) {
             self.0.pop_front();
         }
     }
     /// How many lie after `from`.
-    pub(crate) fn after(&self, from: Micros) -> usize {
+    pub(crate) fn after(&self, from: Timestamp) -> usize {
         self.0.iter().rev().take_while(|t| **t > from).count()
     }
 }
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -14,10 +14,10 @@
 /// Cores of the engine, and the share of them at which an engine's capacity is counted (the bench's page: 85% busy).
 const CORES: f64 = 12.0;
 const CAPACITY: f64 = 0.85;
-const TICK: Micros = Micros(20_000);
+const TICK: TimeDelta = TimeDelta::from_micros(20_000);
 /// Between a send and its answer: short, so that room is always free.
-const ANSWERED_IN: Micros = Micros(40_000);
-const START: Micros = Micros(1_000_000_000);
+const ANSWERED_IN: TimeDelta = TimeDelta::from_micros(40_000);
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 /// A class as the site draws it: share of the requests, mean work in thread-seconds, its scatter, threads, wanted time.
 struct Kind {
@@ -38,13 +38,13 @@
 
 fn settings(gateways: u32) -> Settings {
     let one = |k: &Kind| ClassSettings {
-        aim: Micros::from_secs(k.aim),
+        aim: TimeDelta::from_secs_f64(k.aim),
         aim_stretch: 2.0,
-        deadline: Micros::from_secs(25.0),
+        deadline: TimeDelta::from_secs_f64(25.0),
         late_worth: 0.5,
         threads: k.threads,
         group: DedupGroup::All,
-        repeat_window: Micros::from_secs(15.0),
+        repeat_window: TimeDelta::from_secs_f64(15.0),
         ..class(k.effect)
     };
     Settings {
@@ -57,10 +57,10 @@
         cancel: true,
         max_attempts: 6,
         fall_multiple: 2.5,
-        fall_span: Micros::from_secs(2.0),
+        fall_span: TimeDelta::from_secs_f64(2.0),
         start_share: 0.3,
-        cold_for: Micros::from_secs(15.0),
-        attempt_budget: Some(AttemptBudget { span: Micros::from_secs(5.0), free: 3.0, share: 0.1 }),
+        cold_for: TimeDelta::from_secs_f64(15.0),
+        attempt_budget: Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 3.0, share: 0.1 }),
         ..Settings::default()
     }
 }
@@ -121,9 +121,9 @@
 ];
 
 /// Latest moment at which a manager is told late, after the start.
-const LATEST: Micros = Micros(3_000_000);
+const LATEST: TimeDelta = TimeDelta::from_micros(3_000_000);
 /// How long an engine that is restarted refuses connections.
-const DOWN_FOR: Micros = Micros(1_000_000);
+const DOWN_FOR: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 /// What befalls one process, at its time.
 #[derive(Clone, Copy)]
@@ -147,18 +147,18 @@
     next: u64,
     class_of: Vec<usize>,
     cost_of: Vec<f64>,
-    out: VecDeque<(Micros, RequestId, u32, Outcome)>,
+    out: VecDeque<(Timestamp, RequestId, u32, Outcome)>,
     /// Requests that were never sent, and of each whether it is one.
     waiting: usize,
     untried: Vec<bool>,
-    acts: VecDeque<(Micros, Act)>,
+    acts: VecDeque<(Timestamp, Act)>,
 }
 
 /// The engine under test; another stands in for the warm ones before it.
 const COLD: EngineId = EngineId(1);
 
 impl Process {
-    fn new(set: &Settings, seed: u64, now: Micros) -> Process {
+    fn new(set: &Settings, seed: u64, now: Timestamp) -> Process {
         let brain = Policy::new(set.clone(), seed, now);
         let (next, class_of, cost_of, out) = (0, Vec::new(), Vec::new(), VecDeque::new());
         let (dice, lives, acts) = (Dice(seed ^ 0x5151), true, VecDeque::new());
@@ -166,7 +166,7 @@
     }
 
     /// Takes an event; adds the classes of what goes out to the cold engine. An engine that is down refuses.
-    fn give(&mut self, now: Micros, event: Event, down: bool, went: &mut Vec<usize>) {
+    fn give(&mut self, now: Timestamp, event: Event, down: bool, went: &mut Vec<usize>) {
         let mut out = Vec::new();
         self.brain.handle(now, event, &mut out);
         for action in out {
@@ -194,7 +194,7 @@
     }
 
     /// One request of a class drawn; `low` is what estimates say of the work that it takes.
-    fn arrive(&mut self, now: Micros, low: f64, down: bool, went: &mut Vec<usize>) {
+    fn arrive(&mut self, now: Timestamp, low: f64, down: bool, went: &mut Vec<usize>) {
         let class = self.dice.class();
         let cost = self.dice.work(&KINDS[class]);
         let id = RequestId(self.next);
@@ -208,7 +208,7 @@
             class: ClassId(class),
             tenant: 0,
             tables: id.0 % 7,
-            time_left: Micros::from_secs(25.0),
+            time_left: TimeDelta::from_secs_f64(25.0),
             cost: Some(cost * low),
             memory_mb: None,
             key: None,
@@ -217,7 +217,7 @@
     }
 
     /// Answers what is due, from an engine that is idle.
-    fn answers(&mut self, now: Micros, down: bool, went: &mut Vec<usize>) {
+    fn answers(&mut self, now: Timestamp, down: bool, went: &mut Vec<usize>) {
         while let Some((_, id, attempt, outcome)) = self.out.front().copied().filter(|o| o.0 <= now) {
             self.out.pop_front();
             let work = self.cost_of[id.0 as usize];
@@ -236,7 +236,7 @@
     }
 
     /// One look at all: answers that are due, new requests until something of every class waits, the module's timer.
-    fn look(&mut self, now: Micros, low: f64, down: bool, went: &mut Vec<usize>) {
+    fn look(&mut self, now: Timestamp, low: f64, down: bool, went: &mut Vec<usize>) {
         self.answers(now, down, went);
         // A process that knows no engine for them refuses at once; it is not asked for ever.
         for _ in self.waiting..12 {
@@ -263,17 +263,20 @@
     state: State,
     i: usize,
     gateways: u32,
-    since: Micros,
+    since: Timestamp,
     dice: &mut Dice,
-) -> [VecDeque<(Micros, Act)>; 2] {
-    let mut after = |least: f64, most: f64| since + Micros::from_secs(least + (most - least) * dice.unit());
+) -> [VecDeque<(Timestamp, Act)>; 2] {
+    let mut after =
+        |least: f64, most: f64| since + TimeDelta::from_secs_f64(least + (most - least) * dice.unit());
     let told = (since, Act::Told);
     let (first, second) = match state {
         State::Settled | State::NewlyStarted => (vec![told], vec![]),
-        State::Mixed if i % 10 < 7 => (vec![told, (since + Micros(1_000_000), Act::Restart)], vec![]),
+        State::Mixed if i % 10 < 7 => {
+            (vec![told, (since + TimeDelta::from_micros(1_000_000), Act::Restart)], vec![])
+        }
         State::Mixed => (vec![told], vec![]),
         State::ToldLate | State::ToldLateOfARestart if i % 2 == 1 => {
-            (vec![(after(0.5, LATEST.secs()), Act::Told)], vec![])
+            (vec![(after(0.5, LATEST.as_secs_f64()), Act::Told)], vec![])
         }
         State::ToldLate | State::ToldLateOfARestart => (vec![told], vec![]),
         State::Upgrade => {
@@ -281,9 +284,9 @@
             let (mut first, mut second) =
                 (vec![told, (start + seen, Act::Parts(2 * gateways))], vec![(start, Act::Start)]);
             if i % 2 == 1 {
-                let dies = since + Micros(4_000_000);
+                let dies = since + TimeDelta::from_micros(4_000_000);
                 second.push((dies, Act::Die));
-                first.push((dies + seen + Micros(2_000_000), Act::Parts(gateways)));
+                first.push((dies + seen + TimeDelta::from_micros(2_000_000), Act::Parts(gateways)));
             }
             (first, second)
         }
@@ -297,7 +300,7 @@
     let seed = seed << 32;
     let mut all: Vec<Process> =
         (0..gateways).map(|i| Process::new(&set, seed + 77 + u64::from(i), START)).collect();
-    let entry = |engine: EngineId, since: Option<Micros>| EngineEntry {
+    let entry = |engine: EngineId, since: Option<Timestamp>| EngineEntry {
         engine,
         zone: 0,
         kind: 0,
@@ -344,7 +347,7 @@
         KINDS.iter().map(|k| k.share * k.mean).sum::<f64>() / KINDS.iter().map(|k| k.share).sum::<f64>();
     // Work that went out in each look, in requests of mean work.
     let mut sends: Vec<f64> = Vec::new();
-    while now < since + Micros::from_secs(secs) {
+    while now < since + TimeDelta::from_secs_f64(secs) {
         let mut went = Vec::new();
         for (i, p) in all.iter_mut().enumerate() {
             while let Some((_, act)) = p.acts.front().copied().filter(|a| a.0 <= now) {
@@ -369,21 +372,22 @@
         sends.push(went.iter().map(|c| KINDS[*c].mean / mean_work).sum());
         now = now + TICK;
     }
-    let bears = |at: Micros| {
-        let warmth = set.start_share + (1.0 - set.start_share) * (at.secs() / set.cold_for.secs()).min(1.0);
-        set.fall_multiple * warmth * CORES * CAPACITY * set.fall_span.secs() / mean_work
+    let bears = |at: TimeDelta| {
+        let warmth = set.start_share
+            + (1.0 - set.start_share) * (at.as_secs_f64() / set.cold_for.as_secs_f64()).min(1.0);
+        set.fall_multiple * warmth * CORES * CAPACITY * set.fall_span.as_secs_f64() / mean_work
     };
-    let looks = (set.fall_span.0 / TICK.0) as usize;
+    let looks = (set.fall_span.as_micros() / TICK.as_micros()) as usize;
     let late = matches!(state, State::ToldLate | State::ToldLateOfARestart);
-    let all_told = if late { LATEST } else { Micros(0) };
+    let all_told = if late { LATEST } else { TimeDelta::ZERO };
     let (mut sums, mut spans) = (Sums { worst: 0.0, most: 0.0, n: 0.0, at: 0.0, mean: 0.0 }, 0.0);
     for (i, span) in sends.windows(looks).enumerate() {
-        let (from, sum) = (Micros(i as i64 * TICK.0), span.iter().sum::<f64>());
+        let (from, sum) = (TimeDelta::from_micros(i as i64 * TICK.as_micros()), span.iter().sum::<f64>());
         // What it bears at the span's begin: the least of it.
         let n = bears(from);
         let against = sum / (n + 2.0 * n.sqrt() + 2.0);
         if against > sums.worst {
-            (sums.worst, sums.most, sums.n, sums.at) = (against, sum, n, from.secs());
+            (sums.worst, sums.most, sums.n, sums.at) = (against, sum, n, from.as_secs_f64());
         }
         if from >= all_told {
             sums.mean += sum / n;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 pub struct Bench {
     pub brain: Policy,
-    pub now: Micros,
+    pub now: Timestamp,
     /// How long clients wait, seconds.
     pub patience: f64,
     next: u64,
@@ -16,12 +16,12 @@
     ClassSettings {
         worth: 1.0,
         late_worth: 0.0,
-        aim: Micros::from_secs(1.0),
+        aim: TimeDelta::from_secs_f64(1.0),
         aim_stretch: 2.0,
-        deadline: Micros::from_secs(5.0),
+        deadline: TimeDelta::from_secs_f64(5.0),
         effect,
         group: DedupGroup::Cell,
-        repeat_window: Micros::from_secs(2.0),
+        repeat_window: TimeDelta::from_secs_f64(2.0),
         in_turn: false,
         threads: 1.0,
         load: false,
@@ -38,9 +38,9 @@
         cancel: true,
         max_attempts: 4,
         fall_multiple: 2.0,
-        fall_span: Micros::from_secs(1.0),
+        fall_span: TimeDelta::from_secs_f64(1.0),
         start_share: 0.3,
-        cold_for: Micros::from_secs(10.0),
+        cold_for: TimeDelta::from_secs_f64(10.0),
         ..Settings::default()
     }
 }
@@ -62,7 +62,7 @@
         Bench::seeded(settings, 11, engines)
     }
     pub fn seeded(settings: Settings, seed: u64, engines: u32) -> Bench {
-        let now = Micros::from_secs(100.0);
+        let now = Timestamp::from_secs_f64(100.0);
         let mut bench = Bench { brain: Policy::new(settings, seed, now), now, patience: 5.0, next: 0 };
         bench.list(ListKind::Remembered, (0..engines).map(entry).collect());
         bench
@@ -83,7 +83,7 @@
             class: ClassId(class),
             tenant: 0,
             tables: 1,
-            time_left: Micros::from_secs(self.patience),
+            time_left: TimeDelta::from_secs_f64(self.patience),
             cost: Some(cost),
             memory_mb: Some(100.0),
             key: key.map(str::to_owned),
@@ -92,13 +92,13 @@
     }
     pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let complete = outcome == Outcome::Delivered;
-        let (latency, report) = (Micros::from_secs(0.1), Report::default());
+        let (latency, report) = (TimeDelta::from_secs_f64(0.1), Report::default());
         self.give(Event::Ended { id, attempt, outcome, latency, complete, bill: None, report })
     }
     /// A served answer whose report tells of so many queries in hand.
     pub fn served(&mut self, id: RequestId, in_hand: f64) -> Vec<Action> {
         let report = Report { in_hand: Some(in_hand), ..Report::default() };
-        let (latency, attempt, outcome) = (Micros::from_secs(0.1), 0, Outcome::Delivered);
+        let (latency, attempt, outcome) = (TimeDelta::from_secs_f64(0.1), 0, Outcome::Delivered);
         self.give(Event::Ended { id, attempt, outcome, latency, complete: true, bill: None, report })
     }
     /// A few light queries come and are served, without news of load.
@@ -115,10 +115,10 @@
     }
     /// Lets time pass in steps of the module's own timer.
     pub fn pass(&mut self, secs: f64) -> Vec<Action> {
-        let until = self.now + Micros::from_secs(secs);
+        let until = self.now + TimeDelta::from_secs_f64(secs);
         let mut out = Vec::new();
         while self.now < until {
-            self.now = self.now + Micros(20_000);
+            self.now = self.now + TimeDelta::from_micros(20_000);
             out.extend(self.give(Event::Timer { token: 0 }));
         }
         out
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -8,7 +8,7 @@
     for _ in 0..n {
         let (id, out) = b.arrive(0, 0.1, None);
         let to = sent(&out)[0].1;
-        b.now = b.now + Micros(10_000);
+        b.now = b.now + TimeDelta::from_micros(10_000);
         if to == EngineId(engine) {
             hits += 1;
             b.end(id, 0, outcome);
@@ -67,10 +67,10 @@
         let outcome = if to == EngineId(0) { Outcome::DialFailed } else { Outcome::Delivered };
         b.end(id, 0, outcome);
         last = if to == EngineId(0) { Some(b.now) } else { last };
-        b.now = b.now + Micros(5_000);
+        b.now = b.now + TimeDelta::from_micros(5_000);
     }
     let last = last.expect("it was tried once at least");
-    assert!(b.now - last > Micros(100_000), "no send within its rest");
+    assert!(b.now - last > TimeDelta::from_micros(100_000), "no send within its rest");
 }
 
 #[test]
@@ -132,7 +132,7 @@
         let (id, sends) = b.arrive(0, 0.05, None);
         out = sends;
         b.end(id, 0, Outcome::Error);
-        b.now = b.now + Micros(10_000);
+        b.now = b.now + TimeDelta::from_micros(10_000);
     }
     assert_eq!(sent(&out).len(), 1);
 }
@@ -205,7 +205,7 @@
         b.arrive(0, 0.2, None);
     }
     let id = RequestId(5000);
-    let time_left = Micros::from_secs(0.3);
+    let time_left = TimeDelta::from_secs_f64(0.3);
     let (class, cost, key) = (ClassId(0), Some(0.2), None);
     let a = Arrival { id, class, tenant: 0, tables: 1, time_left, cost, memory_mb: None, key };
     let out = b.give(Event::Arrived(a));
@@ -284,8 +284,8 @@
 
 /// A zone of three engines (0 to 2) that says nothing and another (3 to 5) that serves: the queries of 0.1 s
 /// that come for `secs`, one every 50 ms, and where they go.
-fn with_a_mute_zone(b: &mut Bench, secs: f64) -> Vec<(Micros, u32)> {
-    let (mut went, end) = (Vec::new(), b.now + Micros::from_secs(secs));
+fn with_a_mute_zone(b: &mut Bench, secs: f64) -> Vec<(Timestamp, u32)> {
+    let (mut went, end) = (Vec::new(), b.now + TimeDelta::from_secs_f64(secs));
     while b.now < end {
         let mut out = b.arrive(0, 0.1, None).1;
         out.extend(b.pass(0.06));
@@ -307,19 +307,19 @@
 #[test]
 fn two_mute_engines_and_no_word_tell_of_a_zone_cut_off() {
     let mut set = settings(vec![class(Effect::Unsafe)]);
-    (set.gateways, set.reports_load, set.progress_pace) = (100, true, Micros::from_secs(0.4));
+    (set.gateways, set.reports_load, set.progress_pace) = (100, true, TimeDelta::from_secs_f64(0.4));
     let mut b = Bench::new(Settings { kind_cores: vec![800.0], ..set }, 0);
     let zoned = |n: u32| EngineEntry { zone: n / 3, ..entry(n) };
     b.list(ListKind::Remembered, (0..6).map(zoned).collect());
     let went = with_a_mute_zone(&mut b, 3.0);
     let start = went[0].0;
-    let mute = |from: f64| went.iter().filter(|w| w.1 < 3 && (w.0 - start).secs() >= from).count();
+    let mute = |from: f64| went.iter().filter(|w| w.1 < 3 && (w.0 - start).as_secs_f64() >= from).count();
     assert!(mute(0.0) >= 2, "two attempts told of it");
     assert!(mute(1.5) <= 2, "{} after it was known, one a second in the whole zone", mute(1.5));
     let distrusted = |b: &Bench| (0..3).filter(|n| b.brain.engine(EngineId(*n)).unwrap().distrusted).count();
     assert_eq!(distrusted(&b), 3, "the one that got nothing, too");
     // One that is back, by the list, is enough to try the zone again.
-    b.now = b.now + Micros(20_000);
+    b.now = b.now + TimeDelta::from_micros(20_000);
     let since = Some(b.now);
     b.list(ListKind::Changes, vec![EngineEntry { since, ..zoned(0) }]);
     b.pass(0.02);
@@ -337,7 +337,7 @@
         went.push(sent(&out)[0].1 .0);
         let home = went.last().is_some_and(|n| n % 2 == 0);
         b.served(id, if home { in_hand } else { 0.0 });
-        b.now = b.now + Micros(1_000);
+        b.now = b.now + TimeDelta::from_micros(1_000);
     }
     let home = went.iter().filter(|n| **n % 2 == 0).count();
     went.sort_unstable();
@@ -350,7 +350,7 @@
 #[test]
 fn the_draw_weighs_what_other_zones_and_new_connections_cost() {
     let told = settings(vec![class(Effect::Safe)]);
-    let told = Settings { zone: Some(0), idle: Micros::from_secs(15.0), ..told };
+    let told = Settings { zone: Some(0), idle: TimeDelta::from_secs_f64(15.0), ..told };
     let (home, engines) = spread(told.clone(), 0.0);
     assert!((70..130).contains(&home) && engines == 20, "no price: {home} at home on {engines}");
     let crossing = Settings { cross_zone_price: 0.04, ..told.clone() };
@@ -398,7 +398,7 @@
 #[test]
 fn a_tenant_within_its_share_keeps_its_worth_when_requests_come_in_bunches() {
     let tenants = vec![TenantSettings { quota_per_s: 100.0 }];
-    let long = Micros::from_secs(60.0);
+    let long = TimeDelta::from_secs_f64(60.0);
     let patient = ClassSettings { aim: long, deadline: long, ..class(Effect::Safe) };
     let set =
         Settings { gateways: 200, tenants, over_share_worth: 0.0, cancel: false, ..settings(vec![patient]) };
@@ -440,8 +440,8 @@
                 Action::Terms { grant_mb, .. } => *grant_mb,
                 _ => None,
             }));
-            b.now = b.now + Micros::from_secs(0.1);
-            let (latency, report) = (Micros::from_secs(0.1), Report::default());
+            b.now = b.now + TimeDelta::from_secs_f64(0.1);
+            let (latency, report) = (TimeDelta::from_secs_f64(0.1), Report::default());
             let bill = Some(Bill { work: 0.05, memory_mb: told });
             let (attempt, outcome, complete) = (0, Outcome::Delivered, true);
             b.give(Event::Ended { id, attempt, outcome, latency, complete, bill, report });
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -22,24 +22,24 @@
     class: usize,
     key: Option<String>,
     order: u64,
-    due: Micros,
+    due: Timestamp,
     attempts: u32,
     out: Option<(u32, EngineId)>,
-    sent_at: Micros,
+    sent_at: Timestamp,
     /// The first attempt that may have run: when it was sent, and where.
-    first: Option<(Micros, EngineId)>,
+    first: Option<(Timestamp, EngineId)>,
     finals: u32,
-    done_at: Option<Micros>,
+    done_at: Option<Timestamp>,
 }
 
 struct World {
     set: Settings,
     list: Vec<EngineEntry>,
     seen: BTreeMap<RequestId, Seen>,
-    rests: BTreeMap<String, Micros>,
-    taken: Vec<Micros>,
-    extra: Vec<Micros>,
-    cold: Vec<(Micros, EngineId, f64)>,
+    rests: BTreeMap<String, Timestamp>,
+    taken: Vec<Timestamp>,
+    extra: Vec<Timestamp>,
+    cold: Vec<(Timestamp, EngineId, f64)>,
     sends: usize,
     /// Sends of keyed requests of which an attempt may have run.
     repeats: usize,
@@ -48,7 +48,7 @@
 const COSTS: [f64; 3] = [0.2, 0.8, 0.5];
 
 impl World {
-    fn check(&mut self, now: Micros, actions: &[Action]) {
+    fn check(&mut self, now: Timestamp, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { id, engine, .. } => self.check_send(now, *id, *engine),
@@ -68,7 +68,7 @@
         }
     }
 
-    fn check_send(&mut self, now: Micros, id: RequestId, engine: EngineId) {
+    fn check_send(&mut self, now: Timestamp, id: RequestId, engine: EngineId) {
         self.sends += 1;
         let r = &self.seen[&id];
         let c = &self.set.classes[r.class];
@@ -105,7 +105,7 @@
         if r.attempts > 0 {
             self.extra.push(now);
             if let Some(b) = self.set.attempt_budget {
-                let within = |v: &[Micros]| v.iter().filter(|t| now - **t < b.span).count() as f64;
+                let within = |v: &[Timestamp]| v.iter().filter(|t| now - **t < b.span).count() as f64;
                 let allowed = b.free + b.share * within(&self.taken);
                 assert!(within(&self.extra) <= allowed, "further attempts keep to their budget");
             }
@@ -114,8 +114,9 @@
             let (span, full) = (self.set.fall_span, self.set.kind_cores[e.kind as usize] * 0.85);
             self.cold.push((now, engine, COSTS[r.class]));
             let recent = self.cold.iter().filter(|c| c.1 == engine && now - c.0 < span);
-            let grown = (now - since).secs() / self.set.cold_for.secs() * (1.0 - self.set.start_share);
-            let able = (self.set.start_share + grown) * full * span.secs();
+            let grown =
+                (now - since).as_secs_f64() / self.set.cold_for.as_secs_f64() * (1.0 - self.set.start_share);
+            let able = (self.set.start_share + grown) * full * span.as_secs_f64();
             let pushed: f64 = recent.map(|c| c.2).sum();
             // One of many gateways keeps to its part of it, or to one query where that is less.
             let part = self.set.fall_multiple * able / f64::from(self.set.gateways);
@@ -134,16 +135,17 @@
     let in_turn = ClassSettings { in_turn: dice.one_in(2), group, threads: 2.0, ..class(effect) };
     let bound = ClassSettings { kinds: Some(vec![1]), threads: 2.0, late_worth: 0.4, ..class(Effect::Safe) };
     let mut set = settings(vec![class(Effect::Safe), bound, in_turn]);
-    set.order_settle = Micros::from_secs(0.3 * dice.below(3) as f64);
+    set.order_settle = TimeDelta::from_secs_f64(0.3 * dice.below(3) as f64);
     set.cancel = dice.one_in(2);
     set.gateways = [1, 1, 2, 250][dice.below(4) as usize];
     set.max_attempts = [3, 4, 6][dice.below(3) as usize];
     (set.probes, set.reports_load, set.grants) = (dice.one_in(2), dice.one_in(2), dice.one_in(2));
     // Gateways have unlike shares of the traffic.
     let most = [2, 4, 9][dice.below(3) as usize];
-    set.progress_pace = Micros::from_secs(0.5);
+    set.progress_pace = TimeDelta::from_secs_f64(0.5);
     if dice.one_in(2) {
-        set.attempt_budget = Some(AttemptBudget { span: Micros::from_secs(2.0), free: 2.0, share: 0.1 });
+        set.attempt_budget =
+            Some(AttemptBudget { span: TimeDelta::from_secs_f64(2.0), free: 2.0, share: 0.1 });
     }
     let mut b = Bench::new(set.clone(), 0);
     b.pass(1.5);
@@ -162,7 +164,7 @@
                 w.taken.push(b.now);
                 // The request is known to the checks before the module may act on it.
                 let id = RequestId(w.seen.len() as u64 + 1);
-                let due = b.now + Micros::from_secs(5.0);
+                let due = b.now + TimeDelta::from_secs_f64(5.0);
                 let order = id.0;
                 w.seen.insert(id, Seen { class, key: key.clone(), order, due, ..Seen::default() });
                 let (given, out) = b.arrive(class, COSTS[class], key.as_deref());
@@ -234,7 +236,7 @@
             let out = b.give(Event::Probed { engine: EngineId(dice.below(6) as u32), outcome, report });
             w.check(b.now, &out);
         }
-        b.now = b.now + Micros(20_000);
+        b.now = b.now + TimeDelta::from_micros(20_000);
         let out = b.give(Event::Timer { token: 0 });
         w.check(b.now, &out);
     }
@@ -255,7 +257,7 @@
 /// repeats of what may have run.
 fn badly(seed: u64, effect: Effect, group: DedupGroup, window: f64) -> (usize, usize) {
     let mut dice = Dice(seed);
-    let repeat_window = Micros::from_secs(window);
+    let repeat_window = TimeDelta::from_secs_f64(window);
     let set = settings(vec![ClassSettings { group, repeat_window, ..class(effect) }]);
     let mut b = Bench::new(set.clone(), 0);
     b.pass(1.5);
@@ -269,7 +271,7 @@
         if step < 300 && dice.one_in(4) {
             w.taken.push(b.now);
             let id = RequestId(w.seen.len() as u64 + 1);
-            let due = b.now + Micros::from_secs(5.0);
+            let due = b.now + TimeDelta::from_secs_f64(5.0);
             w.seen.insert(id, Seen { order: id.0, due, ..Seen::default() });
             let out = b.arrive(0, 0.05, None).1;
             w.check(b.now, &out);
@@ -291,7 +293,7 @@
             let out = b.end(id, attempt, outcome);
             w.check(now, &out);
         }
-        b.now = b.now + Micros(20_000);
+        b.now = b.now + TimeDelta::from_micros(20_000);
         let out = b.give(Event::Timer { token: 0 });
         w.check(b.now, &out);
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -44,7 +44,7 @@
     let first = sent(&out)[0].1;
     let out = b.end(id, 0, Outcome::Error);
     assert_eq!(sent(&out), vec![(id, first)], "each engine is a cell of its own here");
-    b.now = b.now + Micros::from_secs(2.5);
+    b.now = b.now + TimeDelta::from_secs_f64(2.5);
     let out = b.end(id, 1, Outcome::Error);
     assert!(sent(&out).is_empty() && failed(&out, id), "past the window no repeat is known for one");
 }
@@ -124,7 +124,7 @@
 fn requests_of_one_key_run_in_turn_and_the_key_rests() {
     let in_turn = ClassSettings { in_turn: true, ..class(Effect::Unsafe) };
     let mut set = settings(vec![in_turn]);
-    set.order_settle = Micros::from_secs(0.5);
+    set.order_settle = TimeDelta::from_secs_f64(0.5);
     let mut b = Bench::new(set, 3);
     let (first, out) = b.arrive(0, 0.1, Some("t/a"));
     assert_eq!(sent(&out).len(), 1);
@@ -164,7 +164,7 @@
 #[test]
 fn further_attempts_keep_to_their_budget() {
     let mut set = settings(vec![class(Effect::Safe)]);
-    set.attempt_budget = Some(AttemptBudget { span: Micros::from_secs(5.0), free: 2.0, share: 0.1 });
+    set.attempt_budget = Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 2.0, share: 0.1 });
     let mut b = Bench::new(set, 4);
     let mut again = 0;
     for _ in 0..10 {
@@ -183,7 +183,7 @@
     let mut all: Vec<Bench> = (0..n).map(|i| Bench::seeded(set.clone(), u64::from(i), 0)).collect();
     all.iter_mut().for_each(|b| drop(b.pass(2.0)));
     let start = all[0].now;
-    let mut sends: Vec<Micros> = Vec::new();
+    let mut sends: Vec<Timestamp> = Vec::new();
     for b in &mut all {
         b.list(ListKind::Whole, vec![EngineEntry { since: Some(start), ..entry(0) }]);
     }
@@ -199,8 +199,9 @@
     }
     // At its start it does three tenths of eight cores, 85% busy; twice that for one second is too much.
     let able = 0.3 * 8.0 * 0.85;
-    let most = (0..150).map(|k| start + Micros(20_000 * k)).map(|from| {
-        sends.iter().filter(|t| **t >= from && **t < from + Micros(1_000_000)).count() as f64 * cost
+    let most = (0..150).map(|k| start + TimeDelta::from_micros(20_000 * k)).map(|from| {
+        sends.iter().filter(|t| **t >= from && **t < from + TimeDelta::from_micros(1_000_000)).count() as f64
+            * cost
     });
     let most = most.fold(0.0, f64::max);
     assert!(most < 2.0 * able, "{most} thread-seconds within one second");
@@ -211,14 +212,15 @@
 /// Keyed and in turn at once, as gulf-bend's loads: the repeat waits for the key's rest, and the next for its turn.
 #[test]
 fn keyed_requests_in_turn_repeat_before_the_next_of_the_key() {
-    let window = Micros::from_secs(12.0);
+    let window = TimeDelta::from_secs_f64(12.0);
     let load = ClassSettings {
         in_turn: true,
         group: DedupGroup::All,
         repeat_window: window,
         ..class(Effect::Keyed)
     };
-    let set = Settings { order_settle: Micros::from_secs(0.3), max_attempts: 3, ..settings(vec![load]) };
+    let set =
+        Settings { order_settle: TimeDelta::from_secs_f64(0.3), max_attempts: 3, ..settings(vec![load]) };
     let mut b = Bench::new(set, 3);
     let (first, _) = b.arrive(0, 0.1, Some("t/a"));
     let (second, out) = b.arrive(0, 0.1, Some("t/a"));
@@ -274,8 +276,8 @@
 /// would only keep its client from coming back.
 #[test]
 fn what_may_not_go_out_again_is_answered_at_once_with_advice() {
-    let calm = ClassSettings { aim: Micros::from_secs(20.0), ..class(Effect::Keyed) };
-    let set = Settings { max_retry_after: Micros::from_secs(2.0), ..settings(vec![calm]) };
+    let calm = ClassSettings { aim: TimeDelta::from_secs_f64(20.0), ..class(Effect::Keyed) };
+    let set = Settings { max_retry_after: TimeDelta::from_secs_f64(2.0), ..settings(vec![calm]) };
     let mut b = Bench::new(set, 1);
     let (id, out) = b.arrive(0, 0.1, None);
     assert_eq!(sent(&out).len(), 1);
@@ -286,6 +288,6 @@
     assert!(!failed(&early, id), "its window of 2 s is open still");
     let out = b.pass(0.2);
     assert!(failed(&out, id), "held past its window");
-    let told = |a: &Action| matches!(a, Action::Fail { retry_after: Some(t), .. } if t.secs() <= 2.0);
+    let told = |a: &Action| matches!(a, Action::Fail { retry_after: Some(t), .. } if t.as_secs_f64() <= 2.0);
     assert!(out.iter().any(told), "no word of when to come back: {out:?}");
 }
--- a/crates/policy/tests/tolls.rs
+++ b/crates/policy/tests/tolls.rs
@@ -5,7 +5,7 @@
 
 /// Ten queries of half a second each go out at the lowest level; one comes back after 0.98 s.
 fn one_interval() -> Bench {
-    let calm = ClassSettings { aim: Micros::from_secs(10.0), ..class(Effect::Safe) };
+    let calm = ClassSettings { aim: TimeDelta::from_secs_f64(10.0), ..class(Effect::Safe) };
     let mut b = Bench::new(settings(vec![calm]), 1);
     let ids: Vec<RequestId> = (0..10).map(|_| b.arrive(0, 0.5, None).0).collect();
     b.pass(0.98);
