--- a/src/bin/sprucelink-simhost.rs
+++ b/src/bin/sprucelink-simhost.rs
@@ -8,7 +8,7 @@
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as Capture;
 use sprucelink_policy::Policy;
-use sprucelink_policy::{Action, EngineId, Event, ListKind, Micros};
+use sprucelink_policy::{Action, EngineId, Event, ListKind, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -41,7 +41,7 @@
 
 #[derive(Default)]
 struct Host {
-    now: Micros,
+    now: Timestamp,
     batch: String,
     instances: BTreeMap<String, Instance>,
     pools: BTreeMap<usize, Vec<PoolEntry>>,
--- a/src/run/cli.rs
+++ b/src/run/cli.rs
@@ -5,7 +5,7 @@
 use sprucelink_capture::explain::Question;
 use sprucelink_capture::replay::Treatment;
 use sprucelink_capture::rules::Rule;
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use std::ffi::OsString;
 use std::path::PathBuf;
 
@@ -97,10 +97,10 @@
 
 impl When {
     /// The moment, for a capture that begins at `start`.
-    pub fn at(self, start: Micros) -> Micros {
+    pub fn at(self, start: Timestamp) -> Timestamp {
         match self {
-            When::Unix(s) => Micros::from_secs(s),
-            When::After(s) => start + Micros::from_secs(s),
+            When::Unix(s) => Timestamp::from_secs_f64(s),
+            When::After(s) => start + TimeDelta::from_secs_f64(s),
         }
     }
 }
--- a/src/run/commands.rs
+++ b/src/run/commands.rs
@@ -7,8 +7,8 @@
 use sprucelink_capture::reader::{self, End, Segment};
 use sprucelink_capture::replay::{self, told_kind, Divergence, Outcome, Play};
 use sprucelink_capture::rules::Checker;
-use sprucelink_policy::Micros;
 use sprucelink_policy::Policy;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_query_fingerprint::cache::Bounds;
 use sprucelink_query_fingerprint::known::Shapes;
 use std::collections::BTreeMap;
@@ -61,13 +61,13 @@
         Ok(all)
     }
 
-    fn start(&self) -> Micros {
-        self.segments.first().map_or(Micros(0), |s| s.at)
+    fn start(&self) -> Timestamp {
+        self.segments.first().map_or(Timestamp::ZERO, |s| s.at)
     }
 }
 
-fn stamp(at: Micros) -> String {
-    format!("{}.{:06}", at.0.div_euclid(1_000_000), at.0.rem_euclid(1_000_000))
+fn stamp(at: Timestamp) -> String {
+    format!("{}.{:06}", at.as_micros().div_euclid(1_000_000), at.as_micros().rem_euclid(1_000_000))
 }
 
 /// Prints to standard output; where nobody reads any more there is nothing left to say.
@@ -111,7 +111,7 @@
     let changes = |m: &mut Policy| change(&ask.set, m);
     let play = Play { treatment: ask.treatment, until, explain: false, change: &changes };
     let mut total = Outcome::default();
-    let (mut first, mut parted, mut span) = (None::<(u64, Divergence)>, 0, Micros(0));
+    let (mut first, mut parted, mut span) = (None::<(u64, Divergence)>, 0, TimeDelta::ZERO);
     let began = std::time::Instant::now();
     let mut digests = Vec::new();
     for time in 0..ask.times {
@@ -147,7 +147,7 @@
             "segments_differ": parted, "by_kind": total.by_kind, "first": first.as_ref().map(|f| &f.1),
             "digest": format!("{:016x}", digests[0]), "times": ask.times, "alike": alike,
             "panicked": total.panicked.as_ref().map(|p| &p.1), "treatment": ask.treatment,
-            "span_s": span.secs(), "took_s": took, "other_build": differs,
+            "span_s": span.as_secs_f64(), "took_s": took, "other_build": differs,
         })
         .to_string());
         return Ok(i32::from(!same));
@@ -156,16 +156,16 @@
         "{} events in {} segments over {:.3} s, replayed {} times at {:.0} times real time; answers {:016x}",
         total.events,
         segments.len(),
-        span.secs(),
+        span.as_secs_f64(),
         ask.times,
-        span.secs() / took.max(1e-9),
+        span.as_secs_f64() / took.max(1e-9),
         digests[0]
     ));
     if let Some((segment, d)) = &first {
         say(&format!(
             "diverged in segment {segment} at record {}, {}:\n  event    {}\n  expected {}\n  got      {}",
             d.record,
-            stamp(Micros(d.at_us)),
+            stamp(Timestamp::from_micros(d.at_us)),
             d.event,
             d.expected,
             d.got
@@ -206,7 +206,7 @@
         if as_json {
             say(&json!({"at_us": line.at_us, "text": line.text, "data": line.data}).to_string());
         } else {
-            say(&format!("{} {}", stamp(Micros(line.at_us)), line.text));
+            say(&format!("{} {}", stamp(Timestamp::from_micros(line.at_us)), line.text));
         }
     };
     match explain(&capture.segments, &question, &mut print)? {
@@ -231,8 +231,8 @@
         if as_json {
             all.push(json!({
                 "file": s.file, "offset": s.offset, "segment": s.head.segment, "format": s.head.format,
-                "build": s.head.build, "module": format!("{:08x}", s.head.module), "from_us": s.at.0,
-                "until_us": s.until().0, "records": s.records.len(), "events": kinds, "engines": s.engines.len(),
+                "build": s.head.build, "module": format!("{:08x}", s.head.module), "from_us": s.at.as_micros(),
+                "until_us": s.until().as_micros(), "records": s.records.len(), "events": kinds, "engines": s.engines.len(),
                 "state_bytes": s.state.len(), "lost_before": s.head.lost_before, "lost_after": lost, "end": end,
                 "holds": s.head.holds, "note": s.head.note, "other_build": s.differs(),
             }));
@@ -249,7 +249,7 @@
             s.offset,
             stamp(s.at),
             stamp(s.until()),
-            (s.until() - s.at).secs(),
+            (s.until() - s.at).as_secs_f64(),
             s.records.len(),
             by.join(", "),
             s.state.len(),
@@ -278,7 +278,7 @@
     let capture = Capture::read(&ask.file)?;
     let around = ask.around.at(capture.start());
     let holds = if ask.holds.is_empty() { Checker::service() } else { ask.holds.clone() };
-    let (before, after) = (Micros::from_secs(ask.before), Micros::from_secs(ask.after));
+    let (before, after) = (TimeDelta::from_secs_f64(ask.before), TimeDelta::from_secs_f64(ask.after));
     let case = cut::cut(&capture.segments, &Cut { around, before, after, holds, note: ask.note.clone() })?;
     let bytes = reader::write(&case)?;
     if let Some(dir) = ask.out.parent() {
@@ -304,7 +304,7 @@
     }
     say(&format!("{}: {}", file.display(), if breaches.is_empty() { "holds" } else { "broken" }));
     for b in breaches {
-        say(&format!("  {} {}: {}", stamp(Micros(b.at_us)), b.rule, b.why));
+        say(&format!("  {} {}: {}", stamp(Timestamp::from_micros(b.at_us)), b.rule, b.why));
     }
 }
 
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -5,7 +5,7 @@
 use crate::core::engine_connection::ConnectionLimits as Terms;
 use crate::front::{Class, Setup};
 use crate::proto::events::{self, ListEvent};
-use sprucelink_policy::{ClassSettings, Effect, Micros, Settings};
+use sprucelink_policy::{ClassSettings, Effect, Settings, TimeDelta};
 use sprucelink_settings::{Environment, Error, Platform, Profile, Word};
 use std::net::SocketAddr;
 
@@ -157,8 +157,8 @@
         shares,
         terms: Terms {
             streams: limits.max_streams.or(32.0).max(1.0) as usize,
-            dial: Micros::from_secs(limits.connect_timeout.or(1.0)),
-            idle: Micros::from_secs(limits.conn_idle.or(15.0)),
+            dial: TimeDelta::from_secs_f64(limits.connect_timeout.or(1.0)),
+            idle: TimeDelta::from_secs_f64(limits.conn_idle.or(15.0)),
             notes: set.progress_pace,
             most: (sockets / 32).max(2),
             most_links: shares.links,
--- a/src/run/config_tests.rs
+++ b/src/run/config_tests.rs
@@ -7,7 +7,10 @@
 #[test]
 fn what_is_not_told_has_the_programs_defaults() {
     let c = parse(&format!("{{{LEAST}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((c.terms.streams, c.terms.dial, c.terms.idle), (32, Micros(1_000_000), Micros(15_000_000)));
+    assert_eq!(
+        (c.terms.streams, c.terms.dial, c.terms.idle),
+        (32, TimeDelta::from_micros(1_000_000), TimeDelta::from_micros(15_000_000))
+    );
     assert_eq!((c.buffers, c.terms.most, c.setup.most_sessions, c.terms.most_links), (1_536, 32, 610, 366));
     let most = r#""limits":{"memory_mb":18446744073709551615,"sockets":18446744073709551615}"#;
     let c = parse(&format!("{{{LEAST},{most}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -9,7 +9,7 @@
     adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
 };
 use sprucelink_hot_restart::{Age, LOOK};
-use sprucelink_policy::Micros;
+use sprucelink_policy::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     can_serve: Cell<bool>,
     term: Cell<bool>,
     /// The parts that the core was told of, and since when fewer would do.
-    told: Cell<(u32, Option<Micros>)>,
+    told: Cell<(u32, Option<Timestamp>)>,
     stand: RefCell<Option<(Phase, u32, bool)>>,
     /// The others that lived at the last look, by process id.
     living: RefCell<BTreeSet<u32>>,
@@ -98,7 +98,7 @@
         loop {
             self.turn(&front);
             tokio::select! {
-                () = sleep(Duration::from_micros(LOOK.0 as u64)) => {}
+                () = sleep(Duration::from_micros(LOOK.as_micros() as u64)) => {}
                 () = self.look.notified() => {}
             }
         }
@@ -144,7 +144,7 @@
             if read.phase == Phase::Gone {
                 self.ended.borrow_mut().insert(pid);
             }
-            let age = (now() - read.written_at).secs();
+            let age = (now() - read.written_at).as_secs_f64();
             let adopted = adopt(now(), self.spans, read);
             let (bans, ids, cold) = (adopted.bans.len(), adopted.ids.len(), adopted.cold.len());
             let further: u32 = adopted.further.iter().map(|f| f.1).sum();
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -56,7 +56,7 @@
 impl FormatTime for UnixTime {
     fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
         let at = crate::core::now();
-        write!(w, "{}.{:03}", at.0 / 1_000_000, at.0 / 1000 % 1000)
+        write!(w, "{}.{:03}", at.as_micros() / 1_000_000, at.as_millis() % 1000)
     }
 }
 
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -8,7 +8,7 @@
 use sprucelink_membership::pool::{self, Ration};
 use sprucelink_membership::swim::{Me, Swim, What};
 use sprucelink_membership::terms::Settings;
-use sprucelink_policy::{AttemptBudget, Micros};
+use sprucelink_policy::{AttemptBudget, TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,9 +22,9 @@
 /// Least rest between two turns of the clock.
 const LEAST_REST: Duration = Duration::from_millis(2);
 /// Span of the counts where no ration is told: the protocol's.
-const RATION_SPAN: Micros = Micros(5_000_000);
+const RATION_SPAN: TimeDelta = TimeDelta::from_micros(5_000_000);
 /// Between two lines of figures.
-const FIGURES: Micros = Micros(60_000_000);
+const FIGURES: TimeDelta = TimeDelta::from_micros(60_000_000);
 /// Members over which summaries come more rarely, and by how much for each.
 const CROWD: usize = 100;
 const CROWD_MS: f64 = 10.0;
@@ -39,9 +39,9 @@
     /// The rule on further attempts.
     pub ration: Option<AttemptBudget>,
     /// The span of cold budgets.
-    pub cold_span: Micros,
+    pub cold_span: TimeDelta,
     /// How long an engine is cold.
-    pub cold_for: Micros,
+    pub cold_for: TimeDelta,
 }
 
 /// Opens the socket and keeps the view from then on, in a task of its own: a call to it tells others that this
@@ -62,7 +62,7 @@
     let address = set.advertise.as_ref().and_then(|a| a.parse().ok()).unwrap_or(at);
     let name = if name.is_empty() { address.to_string() } else { name.chars().take(32).collect() };
     // Two lives of one name differ by their start; the clock's milliseconds tell them apart.
-    let life = (now().0 / 1_000).max(1) as u64;
+    let life = (now().as_millis()).max(1) as u64;
     let me = Me { name, life, address, zone: set.zone.clone(), region: set.region.clone() };
     let seeds = set.seeds.iter().filter_map(|s| s.parse().ok()).collect();
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
@@ -106,8 +106,8 @@
     told: Told,
     swim: Swim,
     socket: UdpSocket,
-    next_facts: Micros,
-    next_figures: Micros,
+    next_facts: Timestamp,
+    next_figures: Timestamp,
     complaints: u32,
     applied: Option<(u32, f64)>,
 }
@@ -171,7 +171,7 @@
         }
         let size = self.swim.size();
         let crowd = CROWD_MS * size.saturating_sub(CROWD) as f64;
-        self.next_facts = now() + Micros::from_secs((self.set.share.every_ms + crowd) / 1e3);
+        self.next_facts = now() + TimeDelta::from_secs_f64((self.set.share.every_ms + crowd) / 1e3);
         if let Some(facts) = self.core.facts() {
             self.swim.set_facts(facts);
         }
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -16,7 +16,7 @@
 use sprucelink_hot_restart::Spans;
 use sprucelink_membership::terms::Settings as Membership;
 use sprucelink_metrics::Metrics;
-use sprucelink_policy::Micros;
+use sprucelink_policy::TimeDelta;
 use sprucelink_startup::lists::ListCalls;
 use sprucelink_startup::settings::ColdStart;
 use sprucelink_zone_failover::terms::Terms as FailoverTerms;
@@ -122,7 +122,7 @@
     let hup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("signals: {e}"))?;
-    let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(Micros(0));
+    let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(TimeDelta::ZERO);
     let fleet = config.settings.gateways;
     let seed = config.seed;
     let mut settings = config.settings;
@@ -133,7 +133,7 @@
         cold_for: settings.cold_for,
     };
     let spans = Spans {
-        ration: settings.attempt_budget.as_ref().map_or(Micros(0), |b| b.span),
+        ration: settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span),
         cold: settings.fall_span,
     };
     settings.cold_ramp = cold_start.and_then(|c| c.first_load.ramp());
@@ -162,7 +162,7 @@
     core.passed_event(config.known.0);
     let calls = cold_start.map(|c| ListCalls::new(c.lists, fleet, seed, now()));
     if let Some(calls) = &calls {
-        let window = calls.window().secs();
+        let window = calls.window().as_secs_f64();
         info!(window, fleet, "cold start: first call for lists within {window:.3} s, of {fleet} managers");
     }
     if let Some(terms) = failover.filter(|f| f.enabled) {
@@ -221,7 +221,7 @@
     let stop = Instant::now() + STILL_COMING + longest;
     let mut last_words = Some(stop - LAST_WORDS);
     // What is read from now on and could not end before is not sent on.
-    core.ends_by(now() + Micros((STILL_COMING + longest - LAST_WORDS).as_micros() as i64));
+    core.ends_by(now() + TimeDelta::from_micros((STILL_COMING + longest - LAST_WORDS).as_micros() as i64));
     sleep(STILL_COMING).await;
     // The timer may have fired before the sockets were asked, where this program had no turn meanwhile.
     sleep(LOOK).await;
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub enum Line {
     /// A batch begins: the time and the batch's number.
-    Clock(Micros, String),
+    Clock(Timestamp, String),
     /// A batch ends.
     Commit,
     /// A numbered list begins: its number and how many entries follow.
@@ -140,7 +140,9 @@
     let f = Fields { line, parts: line.split('\t').collect() };
     let who = || f.text(1, "who").map(str::to_owned);
     let parsed = match f.parts[0] {
-        "CLOCK" => Line::Clock(Micros::from_secs(f.need_num(1, "moment")?), f.text(2, "n")?.to_owned()),
+        "CLOCK" => {
+            Line::Clock(Timestamp::from_secs_f64(f.need_num(1, "moment")?), f.text(2, "n")?.to_owned())
+        }
         "COMMIT" => Line::Commit,
         "POOL" => Line::Pool(f.need_int(1, "page")? as usize, f.need_int(2, "elements")? as usize),
         "ENGINE" => Line::Entry(PoolEntry {
@@ -156,7 +158,7 @@
                     Some("gone") => EngineState::Gone,
                     _ => EngineState::Ready,
                 },
-                since: f.num(7, "since")?.filter(|s| *s > 0.0).map(Micros::from_secs),
+                since: f.num(7, "since")?.filter(|s| *s > 0.0).map(Timestamp::from_secs_f64),
             },
         }),
         "INIT" => Line::Init(who()?, f.need_int(2, "randomSeed")?, Box::new(parse_settings(&f)?)),
@@ -178,7 +180,7 @@
                 id: f.id(2)?,
                 tenant: f.int(3, "billing")?.unwrap_or(0) as usize,
                 tables: f.int(5, "sourceSet")?.unwrap_or(0),
-                time_left: Micros::from_secs(f.need_num(6, "timeLeft")?),
+                time_left: TimeDelta::from_secs_f64(f.need_num(6, "timeLeft")?),
                 class: ClassId(f.need_int(7, "profile")? as usize),
                 cost: f.num(8, "expected")?.filter(|c| *c > 0.0),
                 key: f.opt(9).map(str::to_owned),
@@ -204,7 +206,7 @@
                 id: f.id(2)?,
                 attempt: f.need_int(3, "attempt")? as u32,
                 outcome: f.outcome(5)?,
-                latency: Micros::from_secs(f.num(6, "lag")?.unwrap_or(0.0)),
+                latency: TimeDelta::from_secs_f64(f.num(6, "lag")?.unwrap_or(0.0)),
                 complete: f.flag(7, "complete")?,
                 bill: f
                     .int(8, "bill")?
@@ -236,9 +238,9 @@
     told.map(|t| t.settings()).map_err(|e| f.err(&e.path, &e.why))
 }
 
-fn secs(out: &mut String, t: Micros) {
-    let us = t.0.unsigned_abs();
-    let sign = if t.0 < 0 { "-" } else { "" };
+fn secs(out: &mut String, t: TimeDelta) {
+    let us = t.as_micros().unsigned_abs();
+    let sign = if t.as_micros() < 0 { "-" } else { "" };
     let _ = write!(out, "{sign}{}.{:06}", us / 1_000_000, us % 1_000_000);
 }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -18,7 +18,10 @@
         panic!()
     };
     assert_eq!((a.id, a.class, a.tenant, a.tables), (RequestId(255), ClassId(2), 1, 7));
-    assert_eq!((a.time_left, a.cost, a.memory_mb), (Micros(2_500_000), Some(0.25), Some(384.0)));
+    assert_eq!(
+        (a.time_left, a.cost, a.memory_mb),
+        (TimeDelta::from_micros(2_500_000), Some(0.25), Some(384.0))
+    );
     assert_eq!(a.key.as_deref(), Some("t/k"));
     let Event::Arrived(a) = event("INCOMING\trouter_0\t00000000000000ff\t-\t0\t7\t2.5\t0\t-\t-\t0\t0") else {
         panic!()
@@ -27,7 +30,7 @@
 
     let line = "ENDED\trouter_0\t00000000000000ff\t0\te:1\tdelivered\t0.0185\t1\t69728\trif:7,x0:0.4,new:3";
     let Event::Ended { outcome, latency, complete, bill, report, .. } = event(line) else { panic!() };
-    assert_eq!((outcome, latency, complete), (Outcome::Delivered, Micros(18_500), true));
+    assert_eq!((outcome, latency, complete), (Outcome::Delivered, TimeDelta::from_micros(18_500), true));
     let bill = bill.expect("a bill was told");
     assert_eq!((bill.work, bill.memory_mb), (0.017, 384.0));
     assert_eq!((report.in_hand, report.memory, report.busy), (Some(7.0), Some(0.4), None));
@@ -104,14 +107,14 @@
         print_action(&mut out, "router_0", a, |_| "e:1");
         out
     };
-    let send = Action::Send { id, timeout: Some(Micros(80_000)), engine: EngineId(0) };
+    let send = Action::Send { id, timeout: Some(TimeDelta::from_micros(80_000)), engine: EngineId(0) };
     assert_eq!(write(&send), "SEND\trouter_0\t00000000000000ff\t0.080000\te:1\n");
     let terms = Action::Terms { id, grant_mb: None, level: Level(3) };
     assert_eq!(write(&terms), "TUNE\trouter_0\t00000000000000ff\t0\t3\n");
     assert_eq!(write(&Action::Cancel { id, attempt: 1 }), "CALL_OFF\trouter_0\t00000000000000ff\t1\n");
     assert_eq!(write(&Action::Refuse { id, retry_after: None }), "DECLINE\trouter_0\t00000000000000ff\t0\n");
     assert_eq!(write(&Action::Fail { id, retry_after: None }), "END_FAILED\trouter_0\t00000000000000ff\n");
-    let timer = Action::Timer { delay: Micros(20_000), token: 3 };
+    let timer = Action::Timer { delay: TimeDelta::from_micros(20_000), token: 3 };
     assert_eq!(write(&timer), "REMIND\trouter_0\t0.020000\t3\n");
     assert_eq!(write(&Action::Probe { engine: EngineId(0) }), "TOUCH\trouter_0\te:1\n");
     assert_eq!(write(&Action::Tell { message: vec![1, 255] }), "PUBLISH\trouter_0\tall\t01ff\n");
