--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -10,27 +10,27 @@
 use super::send_guard::OutgoingAttempt;
 use crate::proto::resp::{self, Answer, Stats, Word};
 use crate::proto::Malformed;
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use std::rc::Rc;
 use tracing::{debug, error, warn};
 
 /// An attempt called off counts as out for so much longer once its undo has left: that must reach its
 /// engine before the next attempt reaches another. Paths differ by under 2 ms, and by more when a
 /// machine is busy.
-pub(super) const UNDO_LANDS: Micros = Micros(10_000);
+pub(super) const UNDO_LANDS: TimeDelta = TimeDelta::from_micros(10_000);
 /// Between two looks at whether an undo has left.
-pub(super) const UNDO_LEAVES: Micros = Micros(1_000);
+pub(super) const UNDO_LEAVES: TimeDelta = TimeDelta::from_micros(1_000);
 
 pub(super) struct InFlightAttempt {
     pub(super) attempt: u32,
     pub(super) link: Rc<EngineConnection>,
-    pub(super) sent: Micros,
+    pub(super) sent: Timestamp,
     pub(super) result: ResultSet,
     pub(super) bill: Option<(f64, f64)>,
     pub(super) stats: Stats,
     pub(super) served: bool,
     /// Where its undo ends in the link's stream, and since when that was seen to have left.
-    pub(super) undone: Option<(u64, Option<Micros>)>,
+    pub(super) undone: Option<(u64, Option<Timestamp>)>,
     /// As what it ends once that has landed.
     pub(super) ends: AttemptOutcome,
 }
@@ -108,7 +108,14 @@
         // Guards the one final answer: nothing is sent on after it, whoever asks for it.
         if entry.answer.is_none() {
             error!(request = format!("{id:016x}"), "a send for a request that is over was dropped");
-            return self.tell_end(id, attempt, AttemptOutcome::NotRun, Micros(0), None, Stats::default());
+            return self.tell_end(
+                id,
+                attempt,
+                AttemptOutcome::NotRun,
+                TimeDelta::ZERO,
+                None,
+                Stats::default(),
+            );
         }
         self.tally.attempts += 1;
         if let Some(shared) = &mut self.shared {
@@ -125,9 +132,9 @@
         let Some(entry) = self.open.get_mut(&id) else { return Vec::new() };
         let link = match link {
             Ok(link) => link,
-            Err(end) => return self.tell_end(id, attempt, end, Micros(0), None, Stats::default()),
+            Err(end) => return self.tell_end(id, attempt, end, TimeDelta::ZERO, None, Stats::default()),
         };
-        let mut fields = format!("class={},wait={}", entry.class, (left.0 / 1000).max(1));
+        let mut fields = format!("class={},wait={}", entry.class, left.as_millis().max(1));
         if let Some(key) = &entry.once {
             fields.push_str(&format!(",once={key}"));
         }
@@ -138,7 +145,14 @@
         let name = format!("{id:016x}");
         let parts = [b"do", name.as_bytes(), fields.as_bytes(), &entry.statement[..]];
         if !link.send(core.pool(), id, attempt, &parts) {
-            return self.tell_end(id, attempt, AttemptOutcome::NotRun, Micros(0), None, Stats::default());
+            return self.tell_end(
+                id,
+                attempt,
+                AttemptOutcome::NotRun,
+                TimeDelta::ZERO,
+                None,
+                Stats::default(),
+            );
         }
         let (result, stats) = (ResultSet::default(), Stats::default());
         entry.out = Some(InFlightAttempt {
@@ -198,7 +212,7 @@
         id: u64,
         attempt: u32,
         end: AttemptOutcome,
-        latency: Micros,
+        latency: TimeDelta,
         bill: Option<(f64, f64)>,
         stats: Stats,
     ) -> Vec<PolicyCommand> {
@@ -222,14 +236,14 @@
         out.link.release(id, end != AttemptOutcome::Served);
         let latency = now() - out.sent;
         if let Some(e) = self.open.get(&id) {
-            let ms = latency.0 / 1000;
+            let ms = latency.as_millis();
             debug!(
                 request = format!("{id:016x}"),
                 number = out.link.engine,
                 attempt = out.attempt,
                 class = e.class,
                 level = e.level,
-                left_ms = (e.deadline - now()).0 / 1000,
+                left_ms = (e.deadline - now()).as_millis(),
                 answered = e.answer.is_none(),
                 inflight = out.stats.inflight,
                 ms,
@@ -302,7 +316,7 @@
             }
             None => UNDO_LEAVES,
         };
-        if wait > Micros(0) {
+        if wait > TimeDelta::ZERO {
             self.landing.insert((now() + wait, id, attempt));
             return;
         }
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -3,22 +3,22 @@
 //!
 //! A call goes through [`Phase`]s, each with a bound on how long it may last with nothing heard.
 
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::lists::{Ended, ListCalls};
 
 /// First and longest rest between two calls. What the feed holds counts as told whether it is
 /// connected or not, and a drain must be heeded within 500 ms: no rest may come near that.
-pub const REST: [Micros; 2] = [Micros(20_000), Micros(250_000)];
+pub const REST: [TimeDelta; 2] = [TimeDelta::from_micros(20_000), TimeDelta::from_micros(250_000)];
 /// A comment comes each second: a feed silent for this long is dead.
-pub const SILENCE: Micros = Micros(2_500_000);
+pub const SILENCE: TimeDelta = TimeDelta::from_micros(2_500_000);
 /// Of an answer that keeps coming, a whole event or comment has to come at least so often: bytes alone may trickle for
 /// ever. Longer than [`SILENCE`], for a long list on a busy machine comes in parts.
-pub const WHOLE: Micros = Micros(4_000_000);
+pub const WHOLE: TimeDelta = TimeDelta::from_micros(4_000_000);
 /// For the head of an answer, where the call before was answered: the feed answers at once. After one that was not
 /// answered it is [`SILENCE`], so that a slow feed is reached all the same.
-pub const ANSWER: Micros = Micros(1_500_000);
+pub const ANSWER: TimeDelta = TimeDelta::from_micros(1_500_000);
 /// For a connection to the feed.
-pub const DIAL: Micros = Micros(500_000);
+pub const DIAL: TimeDelta = TimeDelta::from_micros(500_000);
 /// An event that cannot be read is asked for anew so many times before it is passed over: what spoilt it
 /// on the way may not come again, and what it told would be lost.
 pub const ANEW: u32 = 3;
@@ -27,17 +27,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// The next call begins then, after a rest of so long.
-    Resting(Micros, Micros),
+    Resting(Timestamp, TimeDelta),
     /// A connection is being made since then.
-    Dialling(Micros),
+    Dialling(Timestamp),
     /// The call is made, and nothing was answered since then.
-    Asking(Micros),
+    Asking(Timestamp),
     /// It was answered.
     Reading {
         /// When the last byte came.
-        heard: Micros,
+        heard: Timestamp,
         /// When the last event or comment was whole.
-        whole: Micros,
+        whole: Timestamp,
     },
 }
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rest {
     /// How long it lasts.
-    pub span: Micros,
+    pub span: TimeDelta,
     /// The service said that it would not serve now: the rest is the schedule's for that.
     pub refused: bool,
 }
@@ -55,7 +55,7 @@
 pub struct EndpointWatch {
     phase: Phase,
     calls: Option<ListCalls>,
-    rest: Micros,
+    rest: TimeDelta,
     refused: bool,
     /// The numbered event that could not be read last, and how often that was.
     unread: (u64, u32),
@@ -65,7 +65,7 @@
 
 impl EndpointWatch {
     /// A follower that starts now.
-    pub fn new(calls: Option<ListCalls>, now: Micros) -> EndpointWatch {
+    pub fn new(calls: Option<ListCalls>, now: Timestamp) -> EndpointWatch {
         let first = calls.as_ref().and_then(ListCalls::due).unwrap_or(now);
         let phase = Phase::Resting(first, first - now);
         EndpointWatch { phase, calls, rest: REST[0], refused: false, unread: (0, 0), nameless: 0 }
@@ -73,7 +73,7 @@
 
     /// How much longer the follower bears it if nothing happens: then it has to call, if it rests, or else to give
     /// its call up. Zero where that is overdue, and never longer than the phase's bound, should the clock be set back.
-    pub fn patience(&self, now: Micros) -> Micros {
+    pub fn patience(&self, now: Timestamp) -> TimeDelta {
         let (until, most) = match self.phase {
             Phase::Resting(until, rest) => (until, rest),
             Phase::Dialling(since) => (since + DIAL, DIAL),
@@ -81,7 +81,7 @@
             Phase::Asking(since) => (since + SILENCE, SILENCE),
             Phase::Reading { heard, whole } => ((heard + SILENCE).min(whole + WHOLE), SILENCE),
         };
-        (until - now).min(most).max(Micros(0))
+        (until - now).min(most).max(TimeDelta::ZERO)
     }
 
     /// Why the call is given up when its patience has run out.
@@ -93,7 +93,7 @@
     }
 
     /// A call begins.
-    pub fn begins(&mut self, now: Micros) {
+    pub fn begins(&mut self, now: Timestamp) {
         if let Some(calls) = &mut self.calls {
             calls.start(now);
         }
@@ -101,7 +101,7 @@
     }
 
     /// The connection is up and the call is made.
-    pub fn connected(&mut self, now: Micros) {
+    pub fn connected(&mut self, now: Timestamp) {
         self.phase = Phase::Asking(now);
     }
 
@@ -110,7 +110,7 @@
     /// # Errors
     /// Where the call is over by it: only 200 brings events. 429 (too many requests) and 503 (unavailable) say
     /// that the service would not serve now (RFC 6585, 4; RFC 9110, 15.6.4).
-    pub fn answered(&mut self, status: u16, now: Micros) -> Result<(), String> {
+    pub fn answered(&mut self, status: u16, now: Timestamp) -> Result<(), String> {
         self.refused = matches!(status, 429 | 503);
         if status != 200 {
             return Err(format!("field status is not 200: {status}"));
@@ -120,7 +120,7 @@
     }
 
     /// Something of an answer came; `complete` if an event or a comment is whole by it.
-    pub fn heard(&mut self, complete: bool, now: Micros) {
+    pub fn heard(&mut self, complete: bool, now: Timestamp) {
         if let Phase::Reading { heard, whole } = &mut self.phase {
             *heard = now;
             if complete {
@@ -153,9 +153,9 @@
 
     /// The call is over, however it was. The rests grow with calls that were not answered, and start anew with one
     /// that was, whether it brought an event or not: a feed may end its answers as it likes.
-    pub fn ended(&mut self, now: Micros) -> Rest {
+    pub fn ended(&mut self, now: Timestamp) -> Rest {
         let answered = matches!(self.phase, Phase::Reading { .. });
-        self.rest = if answered { REST[0] } else { Micros(self.rest.0 * 2).min(REST[1]) };
+        self.rest = if answered { REST[0] } else { (self.rest + self.rest).min(REST[1]) };
         let mut rest = Rest { span: self.rest, refused: false };
         if let Some(calls) = &mut self.calls {
             let how = match (self.refused, answered) {
@@ -170,13 +170,13 @@
     }
 
     /// The feed has moved: it is called at once, whatever was under way, and the old one tells nothing more.
-    pub fn moved(&mut self, now: Micros) {
+    pub fn moved(&mut self, now: Timestamp) {
         if !matches!(self.phase, Phase::Resting(..)) {
             if let Some(calls) = &mut self.calls {
                 calls.ended(now, Ended::Answered);
             }
         }
-        (self.phase, self.rest) = (Phase::Resting(now, Micros(0)), REST[0]);
+        (self.phase, self.rest) = (Phase::Resting(now, TimeDelta::ZERO), REST[0]);
     }
 }
 
--- a/src/core/endpoint_watch_tests.rs
+++ b/src/core/endpoint_watch_tests.rs
@@ -16,8 +16,8 @@
 }
 
 /// Spans on both sides of a bound.
-fn around(bound: Micros) -> impl Strategy<Value = i64> {
-    prop_oneof![4 => 0..bound.0 / 10, 1 => bound.0 - 2..bound.0 + 2, 1 => Just(i64::MAX / 4)]
+fn around(bound: TimeDelta) -> impl Strategy<Value = i64> {
+    prop_oneof![4 => 0..bound.as_micros() / 10, 1 => bound.as_micros() - 2..bound.as_micros() + 2, 1 => Just(i64::MAX / 4)]
 }
 
 fn answer() -> impl Strategy<Value = Answer> {
@@ -30,10 +30,10 @@
 }
 
 /// Goes on to what the feed does after `span`, or to the end of the follower's patience; `false` for that.
-fn step(f: &EndpointWatch, now: &mut Micros, span: i64) -> bool {
+fn step(f: &EndpointWatch, now: &mut Timestamp, span: i64) -> bool {
     let patience = f.patience(*now);
-    let comes = Micros(span) <= patience;
-    *now = *now + if comes { Micros(span) } else { patience };
+    let comes = TimeDelta::from_micros(span) <= patience;
+    *now = *now + if comes { TimeDelta::from_micros(span) } else { patience };
     comes
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// Plays one call from its begin.
-fn play(f: &mut EndpointWatch, now: &mut Micros, a: &Answer) -> Went {
+fn play(f: &mut EndpointWatch, now: &mut Timestamp, a: &Answer) -> Went {
     let mut steps = 0;
     let mut moves = || {
         steps += 1;
@@ -95,32 +95,35 @@
     });
     let feeds = (proptest::collection::vec(answer(), 1..40), any::<bool>(), any::<u64>());
     let run = { runner }.run(&feeds, |(answers, scheduled, seed)| {
-        let mut now = Micros(1_000_000_000_000);
+        let mut now = Timestamp::from_micros(1_000_000_000_000);
         let calls = scheduled.then(|| ListCalls::new(ListTerms::default(), 300, seed, now));
         let mut f = EndpointWatch::new(calls, now);
-        prop_assert!(f.patience(now) <= Micros(200_000), "the first call is within the window");
+        prop_assert!(
+            f.patience(now) <= TimeDelta::from_micros(200_000),
+            "the first call is within the window"
+        );
         let mut rest = REST[0];
         for a in &answers {
             now = now + f.patience(now);
-            prop_assert_eq!(f.patience(now), Micros(0));
+            prop_assert_eq!(f.patience(now), TimeDelta::ZERO);
             let began = now;
             let went = play(&mut f, &mut now, a);
             if went == Went::Moved {
                 f.moved(now);
-                prop_assert_eq!(f.patience(now), Micros(0), "a feed that moved is called at once");
+                prop_assert_eq!(f.patience(now), TimeDelta::ZERO, "a feed that moved is called at once");
                 rest = REST[0];
                 continue;
             }
-            let longest = DIAL.0 + SILENCE.0 * (a.says.len() as i64 + 2);
-            prop_assert!((now - began).0 <= longest, "a call ends by itself");
+            let longest = DIAL.as_micros() + SILENCE.as_micros() * (a.says.len() as i64 + 2);
+            prop_assert!((now - began).as_micros() <= longest, "a call ends by itself");
             let r = f.ended(now);
             prop_assert_eq!(r.span, f.patience(now), "the rest is what it says");
             let refused = matches!(went, Went::Over(Some(429 | 503)));
             prop_assert_eq!(r.refused, refused && scheduled);
             if !r.refused {
-                prop_assert!(r.span <= Micros(250_000), "{:?}", r);
+                prop_assert!(r.span <= TimeDelta::from_micros(250_000), "{:?}", r);
             }
-            rest = if went == Went::Over(Some(200)) { REST[0] } else { Micros(rest.0 * 2).min(REST[1]) };
+            rest = if went == Went::Over(Some(200)) { REST[0] } else { (rest + rest).min(REST[1]) };
             if !scheduled {
                 prop_assert_eq!(r.span, rest, "rests double while nobody answers, and start anew after");
             }
@@ -134,7 +137,7 @@
 /// called again only after a whole second, while what it held counted as told.
 #[test]
 fn rests_grow_only_while_nobody_answers_and_stay_far_under_the_drain_grace() {
-    let (mut f, mut now) = (EndpointWatch::new(None, Micros(0)), Micros(0));
+    let (mut f, mut now) = (EndpointWatch::new(None, Timestamp::ZERO), Timestamp::ZERO);
     let mut call = |status: Option<u16>| {
         f.begins(now);
         if let Some(status) = status {
@@ -143,7 +146,7 @@
         }
         let rest = f.ended(now).span;
         now = now + rest;
-        rest.0 / 1_000
+        rest.as_millis()
     };
     assert!((0..20).all(|_| call(Some(200)) == 20));
     let rests: Vec<i64> = (0..6).map(|i| call([None, Some(500), Some(503)][i % 3])).collect();
@@ -155,7 +158,7 @@
 /// there spoilt.
 #[test]
 fn an_event_that_cannot_be_read_is_asked_for_anew_three_times() {
-    let mut f = EndpointWatch::new(None, Micros(0));
+    let mut f = EndpointWatch::new(None, Timestamp::ZERO);
     for event in [Some(7), Some(8), None, Some(7)] {
         let asked: Vec<bool> = (0..5).map(|_| f.unreadable(event)).collect();
         assert_eq!(asked, [true, true, true, false, false], "{event:?}");
@@ -174,12 +177,12 @@
 }
 
 /// From the last that a silent watch told until a call is answered, if these calls come to nothing before.
-fn until_heeded(calls: &[Dumb]) -> Micros {
-    let (mut f, mut now) = (EndpointWatch::new(None, Micros(0)), Micros(0));
-    let wait = |f: &EndpointWatch, now: &mut Micros| *now = *now + f.patience(*now);
-    f.begins(Micros(0));
-    f.connected(Micros(0));
-    f.answered(200, Micros(0)).expect("answered");
+fn until_heeded(calls: &[Dumb]) -> TimeDelta {
+    let (mut f, mut now) = (EndpointWatch::new(None, Timestamp::ZERO), Timestamp::ZERO);
+    let wait = |f: &EndpointWatch, now: &mut Timestamp| *now = *now + f.patience(*now);
+    f.begins(Timestamp::ZERO);
+    f.connected(Timestamp::ZERO);
+    f.answered(200, Timestamp::ZERO).expect("answered");
     wait(&f, &mut now);
     for call in calls {
         f.ended(now);
@@ -205,7 +208,7 @@
 #[test]
 fn a_silent_watch_is_heard_again_before_what_it_had_to_tell_counts_as_told() {
     use Dumb::{Headless, Undialled, Wordless};
-    let ms = |calls: &[Dumb]| until_heeded(calls).0 / 1_000;
+    let ms = |calls: &[Dumb]| until_heeded(calls).as_millis();
     assert_eq!(ms(&[]), 2_520);
     assert_eq!((ms(&[Undialled]), ms(&[Headless]), ms(&[Wordless])), (3_060, 4_060, 5_040));
     for calls in [
@@ -224,19 +227,19 @@
 /// comment each second keeps it, also while a long event comes in parts.
 #[test]
 fn an_answer_must_bring_something_whole_now_and_then() {
-    let (mut f, mut now) = (EndpointWatch::new(None, Micros(0)), Micros(0));
+    let (mut f, mut now) = (EndpointWatch::new(None, Timestamp::ZERO), Timestamp::ZERO);
     f.begins(now);
     f.connected(now);
     f.answered(200, now).expect("answered");
     for i in 1..=40 {
-        now = now + Micros(500_000);
-        assert!(f.patience(now - Micros(1)) > Micros(0), "half second {i}");
+        now = now + TimeDelta::from_micros(500_000);
+        assert!(f.patience(now - TimeDelta::from_micros(1)) > TimeDelta::ZERO, "half second {i}");
         f.heard(i % 7 == 0, now);
     }
     let trickles = (1..100).take_while(|_| {
-        now = now + Micros(500_000);
+        now = now + TimeDelta::from_micros(500_000);
         f.heard(false, now);
-        f.patience(now) > Micros(0)
+        f.patience(now) > TimeDelta::ZERO
     });
     assert_eq!(trickles.count(), 2, "at the third 4 s are over since the 35th half second");
     assert_eq!(f.impatience(), "silent");
@@ -245,10 +248,10 @@
 /// Guards the rule on drains: a clock set back by an hour kept the feed from being called for that hour.
 #[test]
 fn a_clock_that_is_set_back_makes_nothing_last_longer() {
-    let late = Micros(10_000_000_000);
+    let late = Timestamp::from_micros(10_000_000_000);
     let mut f = EndpointWatch::new(None, late);
-    let early = late - Micros(3_600_000_000);
-    assert_eq!(f.patience(early), Micros(0));
+    let early = late - TimeDelta::from_micros(3_600_000_000);
+    assert_eq!(f.patience(early), TimeDelta::ZERO);
     f.begins(late);
     assert_eq!(f.patience(early), DIAL);
     f.connected(late);
@@ -261,7 +264,7 @@
 /// Guards against two bad events that start each other's count anew: then neither is ever passed over.
 #[test]
 fn events_with_and_without_a_number_are_counted_apart() {
-    let mut f = EndpointWatch::new(None, Micros(0));
+    let mut f = EndpointWatch::new(None, Timestamp::ZERO);
     let asked: Vec<(bool, bool)> = (0..5).map(|_| (f.unreadable(None), f.unreadable(Some(7)))).collect();
     assert_eq!(asked, [(true, true), (true, true), (true, true), (false, false), (false, false)]);
     f.progressed();
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -5,7 +5,7 @@
 use super::{now, span};
 use crate::proto::{resp, Malformed};
 use socket2::SockRef;
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -25,7 +25,7 @@
 const STALL: Duration = Duration::from_millis(500);
 /// An answer must be whole so long after its first byte, however it grows: all that is out on the link waits behind
 /// it, and one that grows by a byte now and then would hold it for ever.
-const WHOLE: Micros = Micros(2_000_000);
+const WHOLE: TimeDelta = TimeDelta::from_micros(2_000_000);
 /// Share of the idle time after which this side closes: engines close at the whole of it, and a
 /// request that crosses their close would count as one that may have run.
 const IDLE_SHARE: f64 = 0.8;
@@ -40,11 +40,11 @@
     /// Attempts that one connection carries at a time.
     pub streams: usize,
     /// A connection that is not up by then has failed.
-    pub dial: Micros,
+    pub dial: TimeDelta,
     /// An idle connection is closed after this.
-    pub idle: Micros,
+    pub idle: TimeDelta,
     /// Time between notes on an attempt; zero where there are none.
-    pub notes: Micros,
+    pub notes: TimeDelta,
     /// Connections to one engine at a time.
     pub most: usize,
     /// Connections to all engines at a time.
@@ -64,7 +64,7 @@
     attempt: u32,
     start: u64,
     end: u64,
-    sent: Micros,
+    sent: Timestamp,
     /// It was taken back before its first byte.
     withdrawn: bool,
 }
@@ -108,9 +108,9 @@
     /// The commands that send attempts, of those that have not left whole, in the stream's order.
     unsent: RefCell<VecDeque<Unsent>>,
     undone: RefCell<BTreeSet<u64>>,
-    heard: Cell<Micros>,
+    heard: Cell<Timestamp>,
     /// Not dialled before this: the cold start's slot.
-    dial_at: Cell<Micros>,
+    dial_at: Cell<Timestamp>,
     wake: Notify,
 }
 
@@ -131,7 +131,7 @@
             unsent: RefCell::default(),
             undone: RefCell::default(),
             heard: Cell::new(now()),
-            dial_at: Cell::new(Micros(0)),
+            dial_at: Cell::new(Timestamp::ZERO),
             wake: Notify::new(),
         })
     }
@@ -140,9 +140,12 @@
     /// the old attempt could not be told from one to the new.
     pub fn takes(&self, id: u64, terms: &ConnectionLimits) -> bool {
         let riders = self.riders.borrow();
-        let quiet = |r: &Rider| now() - r.sent.max(self.heard.get()) > Micros(terms.notes.0 * NOTES_MISSED);
+        let quiet = |r: &Rider| {
+            now() - r.sent.max(self.heard.get())
+                > TimeDelta::from_micros(terms.notes.as_micros() * NOTES_MISSED)
+        };
         // Guards against machines that vanished: their connections stay open and silent.
-        let silent = terms.notes > Micros(0) && riders.values().any(quiet);
+        let silent = terms.notes > TimeDelta::ZERO && riders.values().any(quiet);
         self.state.get() != State::Dead
             && !self.stale.get()
             && !silent
@@ -151,7 +154,7 @@
     }
 
     /// It is not to be dialled before `at`; what is sent on it meanwhile waits for the connection.
-    pub fn dial_at(&self, at: Micros) {
+    pub fn dial_at(&self, at: Timestamp) {
         self.dial_at.set(at);
     }
 
@@ -333,7 +336,7 @@
     }
 
     fn idle(&self, terms: &ConnectionLimits) -> bool {
-        let rest = Micros((terms.idle.0 as f64 * IDLE_SHARE) as i64);
+        let rest = TimeDelta::from_micros((terms.idle.as_micros() as f64 * IDLE_SHARE) as i64);
         self.riders.borrow().is_empty() && (self.stale.get() || now() - self.heard.get() > rest)
     }
 }
@@ -374,7 +377,7 @@
 /// Dials a link and serves it until it ends.
 pub async fn run<O: ConnectionOwner>(core: Rc<O>, link: Rc<EngineConnection>) {
     let wait = link.dial_at.get() - now();
-    if wait > Micros(0) {
+    if wait > TimeDelta::ZERO {
         tokio::time::sleep(span(wait)).await;
     }
     // A dial that is not wanted any more gives its descriptor back at once.
@@ -478,7 +481,7 @@
     // Since when an answer is here in part.
     let mut begun = None;
     loop {
-        let whole_by = begun.map(|since: Micros| since + WHOLE);
+        let whole_by = begun.map(|since: Timestamp| since + WHOLE);
         let patience = whole_by.map_or(LOOK, |by| STALL.min(span(by - now())));
         match timeout(patience, read_into(core.pool(), &mut reader, &mut held)).await {
             Ok(Ok(0)) => return theirs("closed by the engine"),
--- a/src/core/engines.rs
+++ b/src/core/engines.rs
@@ -6,7 +6,7 @@
 use super::now;
 use super::request_table::{Core, RequestTable};
 use crate::proto::events::{ListEvent, Member, Phase};
-use sprucelink_policy::Micros;
+use sprucelink_policy::Timestamp;
 use sprucelink_startup::dials::DialStager;
 use sprucelink_startup::held::Says;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,9 +22,9 @@
     pub(super) since: i64,
     pub(super) links: Vec<Rc<EngineConnection>>,
     /// Since when the list has it no more.
-    pub(super) gone: Option<Micros>,
+    pub(super) gone: Option<Timestamp>,
     /// When it last said anything.
-    pub(super) word: Option<Micros>,
+    pub(super) word: Option<Timestamp>,
     /// What the list said of it last, whatever was made of that.
     pub(super) told: Option<Member>,
     /// The list held has it ready, and nobody has taken it out: attempts may leave for it.
--- a/src/core/facade.rs
+++ b/src/core/facade.rs
@@ -22,7 +22,7 @@
     /// The group of tables it reads or writes.
     pub tables: u64,
     /// How long its client still waits.
-    pub left: Micros,
+    pub left: TimeDelta,
     /// Estimated work in milliseconds on one core.
     pub cost_ms: Option<f64>,
     /// Estimated memory in MB.
@@ -89,7 +89,7 @@
         /// How.
         end: AttemptOutcome,
         /// Time since it was sent.
-        latency: Micros,
+        latency: TimeDelta,
         /// The request is over, by this or before.
         complete: bool,
         /// Work in milliseconds and memory in MB that it needed.
@@ -115,9 +115,9 @@
     /// Call an attempt off.
     Undo(u64, u32),
     /// Final: refused; when to come back.
-    Refuse(u64, Micros),
+    Refuse(u64, TimeDelta),
     /// Final: failed; when to come back.
-    Fail(u64, Micros),
+    Fail(u64, TimeDelta),
     /// A line for the people on call.
     Log(String),
 }
@@ -131,14 +131,14 @@
     next: u32,
     zones: Vec<String>,
     kinds: Vec<String>,
-    timers: BinaryHeap<std::cmp::Reverse<(Micros, u64)>>,
+    timers: BinaryHeap<std::cmp::Reverse<(Timestamp, u64)>>,
     out: Vec<Action>,
     recorder: Option<Recorder>,
     /// Numbers given and taken back that the recorder has not heard of yet.
     numbered: Vec<(String, u32, bool)>,
     /// When engines started: as told, in Unix milliseconds, and on this process's clock as of the first time it was
     /// told, so that the same start stays the same whatever the system's clock does. By number, as long as that holds.
-    starts: BTreeMap<u32, (i64, Micros)>,
+    starts: BTreeMap<u32, (i64, Timestamp)>,
 }
 
 fn place(names: &[String], name: &str) -> u32 {
@@ -152,7 +152,7 @@
         seed: u64,
         zones: Vec<String>,
         kinds: Vec<String>,
-        now: Micros,
+        now: Timestamp,
     ) -> PolicyDriver {
         let brain = Policy::new(set, seed, now);
         PolicyDriver {
@@ -212,14 +212,14 @@
     }
 
     /// When an engine started that the list says started late: `told` in Unix milliseconds, 0 where it did not.
-    fn started(&mut self, id: &str, told: i64) -> Option<Micros> {
+    fn started(&mut self, id: &str, told: i64) -> Option<Timestamp> {
         let number = self.engine(id) as u32;
         if told <= 0 {
             self.starts.remove(&number);
             return None;
         }
         let known = self.starts.get(&number).filter(|s| s.0 == told).map(|s| s.1);
-        let at = known.unwrap_or_else(|| from_unix(Micros(told.saturating_mul(1_000))));
+        let at = known.unwrap_or_else(|| from_unix(Timestamp::from_millis(told)));
         self.starts.insert(number, (told, at));
         Some(at)
     }
@@ -230,7 +230,7 @@
     }
 
     /// A request came in.
-    pub fn pick(&mut self, now: Micros, a: &RequestSpec) -> Vec<PolicyCommand> {
+    pub fn pick(&mut self, now: Timestamp, a: &RequestSpec) -> Vec<PolicyCommand> {
         let event = Event::Arrived(Arrival {
             id: RequestId(a.id),
             class: ClassId(a.class),
@@ -245,7 +245,7 @@
     }
 
     /// Something happened.
-    pub fn report(&mut self, now: Micros, news: PolicyEvent) -> Vec<PolicyCommand> {
+    pub fn report(&mut self, now: Timestamp, news: PolicyEvent) -> Vec<PolicyCommand> {
         let event = match news {
             PolicyEvent::List(list, remembered) => {
                 let kind = match (remembered, list.complete) {
@@ -299,7 +299,7 @@
     }
 
     /// Gives the module every timer that is due.
-    pub fn tick(&mut self, now: Micros) -> Vec<PolicyCommand> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<PolicyCommand> {
         let mut orders = Vec::new();
         while self.due().is_some_and(|t| t <= now) {
             let Some(std::cmp::Reverse((_, token))) = self.timers.pop() else { break };
@@ -309,11 +309,11 @@
     }
 
     /// When `tick` wants to be called next.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.timers.peek().map(|t| t.0 .0)
     }
 
-    fn give(&mut self, now: Micros, event: Event) -> Vec<PolicyCommand> {
+    fn give(&mut self, now: Timestamp, event: Event) -> Vec<PolicyCommand> {
         if let Some(recorder) = &mut self.recorder {
             let engines = || self.engines.iter().map(|(id, n)| (id.as_str(), *n)).collect();
             recorder.asked(now, &self.brain, &event, engines);
--- a/src/core/facade_tests.rs
+++ b/src/core/facade_tests.rs
@@ -5,7 +5,7 @@
 /// Guards engines against a start that moves with the clock: a later one would make a warm engine cold again.
 #[test]
 fn the_same_start_told_again_is_the_same_moment() {
-    let mut facade = PolicyDriver::new(Settings::default(), 1, Vec::new(), Vec::new(), Micros(0));
+    let mut facade = PolicyDriver::new(Settings::default(), 1, Vec::new(), Vec::new(), Timestamp::ZERO);
     let first = facade.started("e", 1_700_000_000_000).expect("a start");
     std::thread::sleep(std::time::Duration::from_millis(2));
     assert_eq!(facade.started("e", 1_700_000_000_000), Some(first));
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -2,24 +2,24 @@
 //! made of late, engines it cannot reach, work it sent to cold engines. It counts; `sprucelink_membership` decides.
 
 use sprucelink_membership::facts::{named, Facts};
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Events of one count kept at most: older ones go first.
 const MOST: usize = 20_000;
 /// An engine to which a connection failed counts as out of reach for so long, unless one comes up.
-const UNREACHED: Micros = Micros(10_000_000);
+const UNREACHED: TimeDelta = TimeDelta::from_micros(10_000_000);
 /// Engines of which is noted at most that they are out of reach.
 const MOST_ENGINES: usize = 256;
 
 /// The counts.
 pub(super) struct GossipFacts {
     /// The ration's span, the cold budget's, and how long an engine is cold.
-    spans: [Micros; 3],
-    taken: VecDeque<Micros>,
-    further: VecDeque<Micros>,
-    cold: VecDeque<(Micros, u64, f64)>,
-    unreached: BTreeMap<u64, Micros>,
+    spans: [TimeDelta; 3],
+    taken: VecDeque<Timestamp>,
+    further: VecDeque<Timestamp>,
+    cold: VecDeque<(Timestamp, u64, f64)>,
+    unreached: BTreeMap<u64, Timestamp>,
 }
 
 fn push<T>(queue: &mut VecDeque<T>, one: T) {
@@ -31,7 +31,7 @@
 
 impl GossipFacts {
     /// Nothing counted yet: the ration's span, that of cold budgets, and how long an engine is cold.
-    pub(super) fn new(ration: Micros, cold: Micros, cold_for: Micros) -> GossipFacts {
+    pub(super) fn new(ration: TimeDelta, cold: TimeDelta, cold_for: TimeDelta) -> GossipFacts {
         GossipFacts {
             spans: [ration, cold, cold_for],
             taken: VecDeque::new(),
@@ -42,23 +42,23 @@
     }
 
     /// A request was taken.
-    pub(super) fn took(&mut self, now: Micros) {
+    pub(super) fn took(&mut self, now: Timestamp) {
         push(&mut self.taken, now);
     }
 
     /// An attempt went out: whether a further one, to which engine (its id, and its start in Unix milliseconds or 0),
     /// of how many milliseconds' work.
-    pub(super) fn sent(&mut self, now: Micros, further: bool, engine: (&str, i64), ms: f64) {
+    pub(super) fn sent(&mut self, now: Timestamp, further: bool, engine: (&str, i64), ms: f64) {
         if further {
             push(&mut self.further, now);
         }
-        if engine.1 > 0 && now - Micros(engine.1.saturating_mul(1_000)) < self.spans[2] {
+        if engine.1 > 0 && now - Timestamp::from_millis(engine.1) < self.spans[2] {
             push(&mut self.cold, (now, named(engine.0), ms));
         }
     }
 
     /// A connection to an engine failed, or came up.
-    pub(super) fn reached(&mut self, now: Micros, engine: &str, up: bool) {
+    pub(super) fn reached(&mut self, now: Timestamp, engine: &str, up: bool) {
         if up {
             self.unreached.remove(&named(engine));
         } else if self.unreached.len() < MOST_ENGINES {
@@ -68,9 +68,9 @@
 
     /// The summary as of now, with engines that keep silent besides those that no connection came up to; its version
     /// is the membership's to give.
-    pub(super) fn facts(&mut self, now: Micros, silent: Vec<u64>) -> Facts {
+    pub(super) fn facts(&mut self, now: Timestamp, silent: Vec<u64>) -> Facts {
         let [ration, cold, _] = self.spans;
-        let old = |q: &mut VecDeque<Micros>| {
+        let old = |q: &mut VecDeque<Timestamp>| {
             while q.front().is_some_and(|t| now - *t > ration) {
                 q.pop_front();
             }
@@ -98,8 +98,9 @@
 
     #[test]
     fn what_is_old_counts_no_more() {
-        let s = |t: i64| Micros(t * 1_000_000);
-        let mut shared = GossipFacts::new(s(5), s(2), s(15));
+        let s = |t: i64| Timestamp::from_micros(t * 1_000_000);
+        let span = |t: i64| TimeDelta::from_micros(t * 1_000_000);
+        let mut shared = GossipFacts::new(span(5), span(2), span(15));
         shared.took(s(0));
         shared.took(s(4));
         shared.sent(s(1), true, ("e", 1), 40.0);
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -1,11 +1,11 @@
 //! Ids of requests taken of late.
 
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 
 /// Ids of requests are known for so long, and so many of them at most.
-pub(super) const PAST: Micros = Micros(30_000_000);
+pub(super) const PAST: TimeDelta = TimeDelta::from_micros(30_000_000);
 pub(super) const MOST_PAST: usize = 20_000;
 
 /// Ids of requests taken of late, each with a mark of its statement. Guards against an id that comes
@@ -14,13 +14,13 @@
 #[derive(Default)]
 pub(super) struct RecentRequests {
     pub(super) marks: BTreeMap<u64, u64>,
-    pub(super) order: VecDeque<(Micros, u64)>,
+    pub(super) order: VecDeque<(Timestamp, u64)>,
 }
 
 impl RecentRequests {
     /// Notes an id; false if another statement had it.
-    pub(super) fn note(&mut self, id: u64, statement: &[u8], at: Micros) -> bool {
-        let old = |o: &(Micros, u64), n: usize| at - o.0 > PAST || n >= MOST_PAST;
+    pub(super) fn note(&mut self, id: u64, statement: &[u8], at: Timestamp) -> bool {
+        let old = |o: &(Timestamp, u64), n: usize| at - o.0 > PAST || n >= MOST_PAST;
         while self.order.front().is_some_and(|o| old(o, self.order.len())) {
             if let Some((_, gone)) = self.order.pop_front() {
                 self.marks.remove(&gone);
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -16,7 +16,7 @@
 use sprucelink_cordon::{Limits as OutageLimits, Outages};
 use sprucelink_membership::facts::Facts;
 use sprucelink_metrics::{Metrics, Taken};
-use sprucelink_policy::{Micros, Settings};
+use sprucelink_policy::{Settings, TimeDelta, Timestamp};
 use sprucelink_startup::admission::WarmAdmission;
 use sprucelink_startup::dials::DialStager;
 use sprucelink_startup::held::HeldList;
@@ -31,11 +31,11 @@
 /// Longest statement; its command fits a buffer.
 pub const MOST_STATEMENT: usize = SIZE - 2_048;
 /// Before its deadline by less than this a refusal is one for lack of time.
-const NO_TIME: Micros = Micros(60_000);
+const NO_TIME: TimeDelta = TimeDelta::from_micros(60_000);
 /// Between two lines of figures.
-const FIGURES: Micros = Micros(10_000_000);
+const FIGURES: TimeDelta = TimeDelta::from_micros(10_000_000);
 /// Advice to come back is never shorter: a client that returns at once meets the same jam.
-const COME_BACK_LEAST: Micros = Micros(100_000);
+const COME_BACK_LEAST: TimeDelta = TimeDelta::from_micros(100_000);
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
@@ -57,9 +57,9 @@
     /// Served.
     Served(ResultSet),
     /// Refused: a repeat does no harm.
-    Refused(RejectReason, Micros),
+    Refused(RejectReason, TimeDelta),
     /// Failed: it may have run.
-    Failed(RejectReason, Micros),
+    Failed(RejectReason, TimeDelta),
 }
 
 /// What a front asks for.
@@ -81,17 +81,17 @@
     pub(super) class_number: usize,
     pub(super) once: Option<String>,
     pub(super) statement: Buffer,
-    pub(super) taken: Micros,
+    pub(super) taken: Timestamp,
     /// The client's estimate, or 0.
     pub(super) cost_ms: f64,
-    pub(super) deadline: Micros,
+    pub(super) deadline: Timestamp,
     pub(super) grant_mb: Option<f64>,
     pub(super) level: u8,
     pub(super) sends: u32,
     pub(super) out: Option<InFlightAttempt>,
     pub(super) last: Option<AttemptOutcome>,
     /// When the first attempt that may have run was sent.
-    pub(super) may_have_run: Option<Micros>,
+    pub(super) may_have_run: Option<Timestamp>,
     pub(super) answer: Option<oneshot::Sender<Response>>,
     /// In the figures, until it has ended.
     pub(super) counted: Option<Taken>,
@@ -111,11 +111,11 @@
 pub(super) struct RequestTable {
     pub(super) facade: PolicyDriver,
     pub(super) tally: RequestCounters,
-    pub(super) next_figures: Micros,
+    pub(super) next_figures: Timestamp,
     pub(super) open: BTreeMap<u64, PendingRequest>,
-    pub(super) deadlines: BTreeSet<(Micros, u64)>,
+    pub(super) deadlines: BTreeSet<(Timestamp, u64)>,
     /// Attempts called off whose undo is on its way, by when it has landed.
-    pub(super) landing: BTreeSet<(Micros, u64, u32)>,
+    pub(super) landing: BTreeSet<(Timestamp, u64, u32)>,
     /// What an attempt must still be fit for when it leaves.
     pub(super) gate: SendGuard,
     pub(super) engines: Vec<Engine>,
@@ -123,7 +123,7 @@
     /// The highest revision of the list that was told; it outlives the engines that it named.
     pub(super) revision: u64,
     /// An engine is remembered for so long after it has gone: no request is open for longer.
-    pub(super) keep: Micros,
+    pub(super) keep: TimeDelta,
     pub(super) past: RecentRequests,
     pub(super) seed: u64,
     /// Events that the recorder had lost when that was last said.
@@ -261,11 +261,11 @@
     }
 
     /// Says once, when it is so, that this manager is ready; when to look again.
-    fn look_ready(&self) -> Option<Micros> {
+    fn look_ready(&self) -> Option<Timestamp> {
         let mut inner = self.inner.borrow_mut();
         let cold = inner.cold.as_mut()?;
         if let Some(r) = cold.ready.look(now()) {
-            let (after, staged) = (r.after.secs(), cold.dials.staged());
+            let (after, staged) = (r.after.as_secs_f64(), cold.dials.staged());
             let turned_away = cold.admission.refused();
             info!(
                 after,
@@ -285,7 +285,7 @@
 
     /// From now on this manager counts what it tells others: over the ration's span, that of cold budgets, and for
     /// engines cold for so long.
-    pub fn share(&self, ration: Micros, cold: Micros, cold_for: Micros) {
+    pub fn share(&self, ration: TimeDelta, cold: TimeDelta, cold_for: TimeDelta) {
         self.inner.borrow_mut().shared = Some(GossipFacts::new(ration, cold, cold_for));
     }
 
@@ -347,7 +347,7 @@
     pub fn draw(&self) -> u64 {
         let mut inner = self.inner.borrow_mut();
         inner.seed = inner.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = inner.seed ^ (now().0 as u64).rotate_left(32);
+        let mut z = inner.seed ^ (now().as_micros() as u64).rotate_left(32);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
@@ -428,7 +428,7 @@
 
     /// This process ends: what comes from now on is answered by then, whatever its client would wait for, and
     /// nothing leaves for an engine later.
-    pub fn ends_by(&self, by: Micros) {
+    pub fn ends_by(&self, by: Timestamp) {
         self.inner.borrow_mut().gate.ends_by(by);
     }
 
@@ -479,7 +479,7 @@
             if let Some(c) = inner.facade.recorded().filter(|c| c.lost > inner.capture_lost) {
                 let lost = c.lost - inner.capture_lost;
                 inner.capture_lost = c.lost;
-                warn!(lost, "capture: {lost} events lost in {} s", FIGURES.0 / 1_000_000);
+                warn!(lost, "capture: {lost} events lost in {} s", FIGURES.as_micros() / 1_000_000);
             }
             let t = std::mem::take(&mut inner.tally);
             let (open, out) = (inner.open.len(), self.pool.out());
@@ -529,7 +529,7 @@
         shared.reached(now(), &e.id, up);
     }
 
-    fn due(&self) -> Option<Micros> {
+    fn due(&self) -> Option<Timestamp> {
         let zones = self.failover.as_ref().map(|f| f.next);
         let deadline = self.deadlines.first().map(|d| d.0);
         let landing = self.landing.first().map(|l| l.0);
@@ -569,7 +569,7 @@
         }
     }
 
-    fn refuse(&mut self, id: u64, wait: Micros) -> Vec<PolicyCommand> {
+    fn refuse(&mut self, id: u64, wait: TimeDelta) -> Vec<PolicyCommand> {
         let Some(entry) = self.open.get(&id) else { return Vec::new() };
         let late = entry.deadline - now() < NO_TIME;
         let cause = if late { RejectReason::Deadline } else { RejectReason::Busy };
--- a/src/core/request_table/leaving_tests.rs
+++ b/src/core/request_table/leaving_tests.rs
@@ -116,7 +116,7 @@
         let first = link_of(&core, 1).expect("out");
         assert!(first.dialing() && first.waiting() == [1]);
         let address = listeners[first.engine].local_addr().expect("an address").to_string();
-        let started = (crate::core::unix().0 / 1_000).max(1);
+        let started = (crate::core::unix().as_millis()).max(1);
         let anew = vec![member(&format!("s-{}", first.engine + 1), address, Phase::Ready, started)];
         core.on_list(&ListEvent { n: 2, revision: 0, complete: false, members: anew }, false);
         let next = link_of(&core, 1).expect("out again");
@@ -302,7 +302,7 @@
         let (core, _engines) = core().await;
         let nobody = Rc::new(Nobody(
             BufferPool::new(4),
-            ConnectionLimits { dial: Micros(600_000_000), ..*core.terms() },
+            ConnectionLimits { dial: TimeDelta::from_micros(600_000_000), ..*core.terms() },
         ));
         let link = EngineConnection::new(0, address);
         let dial = tokio::task::spawn_local(engine_connection::run(nobody, Rc::clone(&link)));
--- a/src/core/request_table/tests.rs
+++ b/src/core/request_table/tests.rs
@@ -12,12 +12,12 @@
     let class = ClassSettings {
         worth: 1.0,
         late_worth: 0.5,
-        aim: Micros(1_000),
+        aim: TimeDelta::from_micros(1_000),
         aim_stretch: 0.0,
-        deadline: Micros(20_000_000),
+        deadline: TimeDelta::from_micros(20_000_000),
         effect: Effect::Safe,
         group: DedupGroup::All,
-        repeat_window: Micros(0),
+        repeat_window: TimeDelta::ZERO,
         in_turn: false,
         threads: 1.0,
         load: false,
@@ -45,12 +45,12 @@
     streams: usize,
     cores: f64,
 ) -> (Rc<Core>, Vec<TcpListener>) {
-    let dial = Micros(5_000_000);
+    let dial = TimeDelta::from_micros(5_000_000);
     let terms = ConnectionLimits {
         streams,
         dial,
-        idle: Micros(15_000_000),
-        notes: Micros(0),
+        idle: TimeDelta::from_micros(15_000_000),
+        notes: TimeDelta::ZERO,
         most: 4,
         most_links: 8,
     };
@@ -85,7 +85,7 @@
 }
 
 pub(super) fn request(core: &Core, id: u64) -> Request {
-    let (cost_ms, left) = (Some(1.0), Micros(20_000_000));
+    let (cost_ms, left) = (Some(1.0), TimeDelta::from_micros(20_000_000));
     let asked = RequestSpec { id, class: 0, tenant: 0, tables: 1, left, cost_ms, memory_mb: None };
     let statement = core.pool().get().expect("a buffer");
     Request { asked, class: "c".into(), once: None, statement }
@@ -164,7 +164,7 @@
 fn engines_that_are_gone_make_room_for_new_ones() {
     local(async {
         let (core, engines) = core().await;
-        core.inner.borrow_mut().keep = Micros(0);
+        core.inner.borrow_mut().keep = TimeDelta::ZERO;
         let address = engines[0].local_addr().expect("an address").to_string();
         let member = |id: u64, phase: Phase| Member {
             id: format!("e-{id}"),
@@ -200,16 +200,20 @@
         assert!(core.take(request(&core, 1)).is_none(), "an open id is not taken twice");
         {
             let mut inner = core.inner.borrow_mut();
-            drop(inner.settle(1, Response::Refused(RejectReason::Busy, Micros(5))));
-            drop(inner.settle(1, Response::Failed(RejectReason::Lost, Micros(5))));
+            drop(inner.settle(1, Response::Refused(RejectReason::Busy, TimeDelta::from_micros(5))));
+            drop(inner.settle(1, Response::Failed(RejectReason::Lost, TimeDelta::from_micros(5))));
         }
         assert!(matches!(ticket.wait().await, Response::Refused(RejectReason::Busy, _)));
         let mut other = request(&core, 1);
         other.statement.extend_from_slice(b"SELECT 2");
         assert!(core.take(other).is_none(), "nor one that was another statement's");
-        let (mut past, late) = (RecentRequests::default(), Micros(PAST.0 + 1));
-        assert!(past.note(1, b"a", Micros(0)) && past.note(1, b"a", PAST), "its client's second try");
-        assert!(!past.note(1, b"b", PAST) && past.note(1, b"b", late));
+        let (mut past, late) =
+            (RecentRequests::default(), Timestamp::ZERO + PAST + TimeDelta::from_micros(1));
+        assert!(
+            past.note(1, b"a", Timestamp::ZERO) && past.note(1, b"a", Timestamp::ZERO + PAST),
+            "its client's second try"
+        );
+        assert!(!past.note(1, b"b", Timestamp::ZERO + PAST) && past.note(1, b"b", late));
         (2..2 * MOST_PAST as u64).for_each(|id| assert!(past.note(id, b"", late)));
         assert!(past.order.len() <= MOST_PAST && past.marks.len() <= MOST_PAST);
     });
@@ -262,7 +266,7 @@
         let (core, _engines) = core().await;
         let link = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         assert!(link.send(core.pool(), 5, 0, &[b"do"]));
-        let noting = ConnectionLimits { notes: Micros(1_000), ..*core.terms() };
+        let noting = ConnectionLimits { notes: TimeDelta::from_micros(1_000), ..*core.terms() };
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert!(!link.takes(6, &noting), "three notes are missing");
         assert!(link.takes(6, core.terms()), "where there are no notes none is missed");
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -5,11 +5,11 @@
 //!
 //! This is no second decision: what the module would have refused at this moment does not leave, and nothing else.
 
-use sprucelink_policy::{AttemptBudget, Effect, Micros, Settings};
+use sprucelink_policy::{AttemptBudget, Effect, Settings, TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
 /// Time is counted in slots of so much, and in so many at most; longer spans have wider slots.
-const SLOT: Micros = Micros(20_000);
+const SLOT: TimeDelta = TimeDelta::from_micros(20_000);
 const MOST_SLOTS: i64 = 1_024;
 
 /// Why an attempt may not leave.
@@ -33,13 +33,13 @@
     /// Its request has no final answer, and its client is present.
     pub(super) open: bool,
     /// When its client stops waiting.
-    pub(super) deadline: Micros,
+    pub(super) deadline: Timestamp,
     /// Its class, by number.
     pub(super) class: usize,
     /// Attempts were chosen before it.
     pub(super) further: bool,
     /// When the first attempt that may have run was sent.
-    pub(super) may_have_run: Option<Micros>,
+    pub(super) may_have_run: Option<Timestamp>,
     /// The list held has its engine ready, and nobody has taken it out.
     pub(super) engine_ready: bool,
 }
@@ -47,18 +47,18 @@
 /// Events in the last span, by slot.
 #[derive(Debug, Default)]
 struct Slots {
-    span: Micros,
+    span: TimeDelta,
     counts: VecDeque<(i64, u32)>,
 }
 
 impl Slots {
     fn width(&self) -> i64 {
-        SLOT.0.max(self.span.0 / MOST_SLOTS)
+        SLOT.as_micros().max(self.span.as_micros() / MOST_SLOTS)
     }
 
-    fn add(&mut self, now: Micros) {
-        let slot = now.0.div_euclid(self.width());
-        let old = slot - self.span.0 / self.width() - 1;
+    fn add(&mut self, now: Timestamp) {
+        let slot = now.as_micros().div_euclid(self.width());
+        let old = slot - self.span.as_micros() / self.width() - 1;
         while self.counts.front().is_some_and(|c| c.0 < old) {
             self.counts.pop_front();
         }
@@ -69,8 +69,8 @@
     }
 
     /// Events of the span before `now`: of the slot that its begin cuts, all or none.
-    fn sum(&self, now: Micros, with_cut: bool) -> u64 {
-        let first = (now - self.span).0.div_euclid(self.width()) + i64::from(!with_cut);
+    fn sum(&self, now: Timestamp, with_cut: bool) -> u64 {
+        let first = (now - self.span).as_micros().div_euclid(self.width()) + i64::from(!with_cut);
         self.counts.iter().filter(|c| c.0 >= first).map(|c| u64::from(c.1)).sum()
     }
 }
@@ -78,17 +78,17 @@
 /// The rules on what is sent, and what they count.
 #[derive(Debug)]
 pub(super) struct SendGuard {
-    classes: Vec<(Effect, Micros)>,
+    classes: Vec<(Effect, TimeDelta)>,
     budget: Option<AttemptBudget>,
     taken: Slots,
     further: Slots,
     /// This process gives its last answers then.
-    ends_by: Option<Micros>,
+    ends_by: Option<Timestamp>,
 }
 
 impl SendGuard {
     pub(super) fn new(set: &Settings) -> SendGuard {
-        let span = set.attempt_budget.as_ref().map_or(Micros(0), |b| b.span);
+        let span = set.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span);
         let slots = || Slots { span, counts: VecDeque::new() };
         SendGuard {
             classes: set.classes.iter().map(|c| (c.effect, c.repeat_window)).collect(),
@@ -100,29 +100,29 @@
     }
 
     /// From now on this process ends: its last answers go out by then.
-    pub(super) fn ends_by(&mut self, by: Micros) {
+    pub(super) fn ends_by(&mut self, by: Timestamp) {
         self.ends_by = Some(by);
     }
 
     /// When a request that comes now has to be answered at the latest, if its client waits until `deadline`.
-    pub(super) fn answer_by(&self, deadline: Micros) -> Micros {
+    pub(super) fn answer_by(&self, deadline: Timestamp) -> Timestamp {
         self.ends_by.map_or(deadline, |by| by.min(deadline))
     }
 
     /// Whether the last answers have gone out: what is still read is turned away.
-    pub(super) fn closed(&self, now: Micros) -> bool {
+    pub(super) fn closed(&self, now: Timestamp) -> bool {
         self.ends_by.is_some_and(|by| now >= by)
     }
 
     /// A request was taken.
-    pub(super) fn took(&mut self, now: Micros) {
+    pub(super) fn took(&mut self, now: Timestamp) {
         if self.budget.is_some() {
             self.taken.add(now);
         }
     }
 
     /// An attempt's first byte leaves.
-    pub(super) fn left(&mut self, now: Micros, further: bool) {
+    pub(super) fn left(&mut self, now: Timestamp, further: bool) {
         if further && self.budget.is_some() {
             self.further.add(now);
         }
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// The first rule that it would break.
-    pub(super) fn check(&self, now: Micros, spare: f64, a: &OutgoingAttempt) -> Result<(), SendRejection> {
+    pub(super) fn check(&self, now: Timestamp, spare: f64, a: &OutgoingAttempt) -> Result<(), SendRejection> {
         if !a.open {
             return Err(SendRejection::Over);
         }
--- a/src/core/send_guard_tests.rs
+++ b/src/core/send_guard_tests.rs
@@ -22,8 +22,12 @@
     }
 }
 
-fn ms(t: i64) -> Micros {
-    Micros(t * 1_000)
+fn ms(t: i64) -> TimeDelta {
+    TimeDelta::from_millis(t)
+}
+
+fn at(t: i64) -> Timestamp {
+    Timestamp::from_millis(t)
 }
 
 fn gate(budget: Option<AttemptBudget>) -> SendGuard {
@@ -33,7 +37,7 @@
 
 const FIRST: OutgoingAttempt = OutgoingAttempt {
     open: true,
-    deadline: Micros(2_000_000),
+    deadline: Timestamp::from_micros(2_000_000),
     class: 0,
     further: false,
     may_have_run: None,
@@ -43,12 +47,12 @@
 #[test]
 fn a_request_that_is_over_or_late_and_an_engine_that_drains_get_nothing() {
     let gate = gate(None);
-    assert_eq!(gate.check(ms(1), 0.0, &FIRST), Ok(()));
-    assert_eq!(gate.check(ms(1), 0.0, &OutgoingAttempt { open: false, ..FIRST }), Err(SendRejection::Over));
-    assert_eq!(gate.check(ms(1_999), 0.0, &FIRST), Ok(()));
-    assert_eq!(gate.check(ms(2_000), 0.0, &FIRST), Err(SendRejection::Late));
+    assert_eq!(gate.check(at(1), 0.0, &FIRST), Ok(()));
+    assert_eq!(gate.check(at(1), 0.0, &OutgoingAttempt { open: false, ..FIRST }), Err(SendRejection::Over));
+    assert_eq!(gate.check(at(1_999), 0.0, &FIRST), Ok(()));
+    assert_eq!(gate.check(at(2_000), 0.0, &FIRST), Err(SendRejection::Late));
     assert_eq!(
-        gate.check(ms(1), 0.0, &OutgoingAttempt { engine_ready: false, ..FIRST }),
+        gate.check(at(1), 0.0, &OutgoingAttempt { engine_ready: false, ..FIRST }),
         Err(SendRejection::Engine)
     );
 }
@@ -56,27 +60,27 @@
 #[test]
 fn a_repeat_leaves_within_its_window_and_what_is_unsafe_never() {
     let gate = gate(None);
-    let again = OutgoingAttempt { further: true, may_have_run: Some(ms(100)), ..FIRST };
-    assert_eq!(gate.check(ms(1_000), 0.0, &again), Ok(()), "a safe class has no window");
+    let again = OutgoingAttempt { further: true, may_have_run: Some(at(100)), ..FIRST };
+    assert_eq!(gate.check(at(1_000), 0.0, &again), Ok(()), "a safe class has no window");
     let keyed = OutgoingAttempt { class: 1, ..again };
-    assert_eq!(gate.check(ms(499), 0.0, &keyed), Ok(()));
-    assert_eq!(gate.check(ms(500), 0.0, &keyed), Err(SendRejection::Repeat));
+    assert_eq!(gate.check(at(499), 0.0, &keyed), Ok(()));
+    assert_eq!(gate.check(at(500), 0.0, &keyed), Err(SendRejection::Repeat));
     let never_ran = OutgoingAttempt { may_have_run: None, ..keyed };
-    assert_eq!(gate.check(ms(1_500), 0.0, &never_ran), Ok(()));
+    assert_eq!(gate.check(at(1_500), 0.0, &never_ran), Ok(()));
     let one_way = OutgoingAttempt { class: 2, ..again };
-    assert_eq!(gate.check(ms(101), 0.0, &one_way), Err(SendRejection::Repeat));
-    assert_eq!(gate.check(ms(101), 0.0, &OutgoingAttempt { may_have_run: None, ..one_way }), Ok(()));
+    assert_eq!(gate.check(at(101), 0.0, &one_way), Err(SendRejection::Repeat));
+    assert_eq!(gate.check(at(101), 0.0, &OutgoingAttempt { may_have_run: None, ..one_way }), Ok(()));
 }
 
 #[test]
 fn a_process_that_ends_sends_nothing_that_could_not_end_before() {
     let mut gate = gate(None);
-    assert!(!gate.closed(ms(5_000)));
-    gate.ends_by(ms(700));
-    assert_eq!((gate.answer_by(ms(500)), gate.answer_by(ms(900))), (ms(500), ms(700)));
-    assert_eq!(gate.check(ms(699), 0.0, &FIRST), Ok(()));
-    assert_eq!(gate.check(ms(700), 0.0, &FIRST), Err(SendRejection::Late));
-    assert!(!gate.closed(ms(699)) && gate.closed(ms(700)));
+    assert!(!gate.closed(at(5_000)));
+    gate.ends_by(at(700));
+    assert_eq!((gate.answer_by(at(500)), gate.answer_by(at(900))), (at(500), at(700)));
+    assert_eq!(gate.check(at(699), 0.0, &FIRST), Ok(()));
+    assert_eq!(gate.check(at(700), 0.0, &FIRST), Err(SendRejection::Late));
+    assert!(!gate.closed(at(699)) && gate.closed(at(700)));
 }
 
 /// Whatever is taken and chosen when, and however late it leaves: no further attempt leaves that is over the ration of the
@@ -86,7 +90,7 @@
     fn holds(steps: Vec<(u8, bool)>) -> TestResult {
         let budget = AttemptBudget { span: ms(1_000), free: 3.0, share: 0.1 };
         let mut gate = gate(Some(budget));
-        let (mut now, mut taken, mut left) = (ms(50_000), Vec::new(), Vec::<Micros>::new());
+        let (mut now, mut taken, mut left) = (at(50_000), Vec::new(), Vec::<Timestamp>::new());
         for (rest, request) in steps {
             now = now + ms(i64::from(rest) / 2);
             if request {
@@ -101,7 +105,7 @@
             left.push(now);
             // The rule counts at each of them, itself included.
             let from = now - budget.span;
-            let of = |all: &[Micros]| all.iter().filter(|t| **t > from).count() as f64;
+            let of = |all: &[Timestamp]| all.iter().filter(|t| **t > from).count() as f64;
             if of(&left) > budget.free + budget.share * of(&taken) + 1e-9 {
                 return TestResult::failed();
             }
@@ -116,17 +120,17 @@
 fn the_ration_is_used_and_its_counts_stay_bounded() {
     let budget = AttemptBudget { span: ms(5_000), free: 3.0, share: 0.1 };
     let mut gate = gate(Some(budget));
-    let further = OutgoingAttempt { further: true, deadline: Micros(i64::MAX), ..FIRST };
+    let further = OutgoingAttempt { further: true, deadline: Timestamp::MAX, ..FIRST };
     let mut left = 0;
     for t in 0..60_000 {
-        gate.took(ms(t));
-        if gate.check(ms(t), 0.0, &further).is_ok() {
-            gate.left(ms(t), true);
+        gate.took(at(t));
+        if gate.check(at(t), 0.0, &further).is_ok() {
+            gate.left(at(t), true);
             left += 1;
         }
     }
     // A tenth of 60,000 and a free one now and then.
     assert!((5_800..=6_100).contains(&left), "{left}");
     assert!(gate.taken.counts.len() as i64 <= MOST_SLOTS && gate.further.counts.len() as i64 <= MOST_SLOTS);
-    assert_eq!(gate.check(ms(60_000), 1e9, &further), Ok(()), "others leave some");
+    assert_eq!(gate.check(at(60_000), 1e9, &further), Ok(()), "others leave some");
 }
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -6,7 +6,7 @@
 use super::request_table::{Core, RequestTable};
 use sprucelink_membership::facts::{self, Facts};
 use sprucelink_policy::diagnostics::EngineView;
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_zone_failover::silence::{self, Heard, Silences, Voice};
 use sprucelink_zone_failover::terms::Terms as FailoverTerms;
 use sprucelink_zone_failover::{Locality, Plan, Seen};
@@ -15,7 +15,7 @@
 use tracing::{debug, info, warn};
 
 /// Between two judgements.
-const EVERY: Micros = Micros(100_000);
+const EVERY: TimeDelta = TimeDelta::from_micros(100_000);
 /// A weight that moved by less is not told to the module.
 const MOVED: f64 = 0.01;
 
@@ -36,7 +36,7 @@
     zones: Vec<String>,
     observers: Vec<Observer>,
     silences: Silences,
-    pub(super) next: Micros,
+    pub(super) next: Timestamp,
     told: Vec<f64>,
 }
 
