--- a/crates/cordon/src/causes.rs
+++ b/crates/cordon/src/causes.rs
@@ -2,7 +2,7 @@
 
 use crate::target::By;
 use crate::word::Word;
-use crate::Micros;
+use crate::Timestamp;
 use std::collections::BTreeMap;
 
 /// One cause's last word, and whether its lease is known to have ended. A lapsed word is kept unchanged until it has
@@ -14,7 +14,7 @@
 }
 
 impl Cause {
-    pub(crate) fn new(now: Micros, word: Word) -> Cause {
+    pub(crate) fn new(now: Timestamp, word: Word) -> Cause {
         Cause { lapsed: word.until.is_some_and(|until| until <= now), word }
     }
 
@@ -23,7 +23,7 @@
     }
 
     /// Since when it holds no longer, by the clock of who called.
-    pub(crate) fn spent_at(&self) -> Micros {
+    pub(crate) fn spent_at(&self) -> Timestamp {
         self.word.until.unwrap_or(self.word.at).max(self.word.at)
     }
 }
--- a/crates/cordon/src/lib.rs
+++ b/crates/cordon/src/lib.rs
@@ -30,6 +30,6 @@
 pub use manager::Manager;
 pub use merge::{Merged, Moved};
 pub use outages::{Out, Outages};
-pub use sprucelink_policy::Micros;
+pub use sprucelink_time::{TimeDelta, Timestamp};
 pub use target::{By, Change, Hold, Refused, Target, TARGET_MOST};
 pub use word::{Ban, Word};
--- a/crates/cordon/src/limits.rs
+++ b/crates/cordon/src/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds of what is kept, and what happens at each.
 
-use crate::Micros;
+use crate::TimeDelta;
 
 /// Longest reason kept with a ban, in bytes. A longer one is cut at a character's end, not refused: an operator in
 /// a hurry gets the ban, and the log line gets the beginning.
@@ -8,11 +8,11 @@
 
 /// The word of a cause that no longer holds is kept for so long after its call. It is there to beat an older ban in
 /// another process, and two processes live side by side for some seconds, in an upgrade that hangs for minutes.
-pub const TOMBSTONE_KEPT: Micros = Micros(600_000_000);
+pub const TOMBSTONE_KEPT: TimeDelta = TimeDelta::from_micros(600_000_000);
 
 /// Longest lease of the fleet's, counted from the call. A permit is for one engine's restart; what is longer is a
 /// wrong unit (milliseconds for microseconds), and would hold the engine out for good.
-pub const LEASE_MOST: Micros = Micros(86_400_000_000);
+pub const LEASE_MOST: TimeDelta = TimeDelta::from_micros(86_400_000_000);
 
 /// Highest version that is believed. Versions are Unix microseconds, some 2^51 today; what is higher is damage, and
 /// taking it would leave no room for a newer call.
--- a/crates/cordon/src/manager.rs
+++ b/crates/cordon/src/manager.rs
@@ -1,6 +1,6 @@
 //! The state of this workload manager: serving, quiescing, out.
 
-use crate::Micros;
+use crate::Timestamp;
 
 /// Whether this workload manager takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,12 +10,12 @@
     /// It takes no new connections and answers what it has.
     Quiescing {
         /// Since when.
-        since: Micros,
+        since: Timestamp,
     },
     /// It takes no new connections and has nothing in hand.
     Out {
         /// Since when it has nothing in hand.
-        since: Micros,
+        since: Timestamp,
     },
 }
 
@@ -26,7 +26,7 @@
     }
 
     /// The state once a cause holds it out or none does: a further cause changes nothing of what runs.
-    pub(crate) fn held(self, now: Micros, out: bool) -> Manager {
+    pub(crate) fn held(self, now: Timestamp, out: bool) -> Manager {
         match (self, out) {
             (_, false) => Manager::Serving,
             (Manager::Serving, true) => Manager::Quiescing { since: now },
@@ -36,7 +36,7 @@
 
     /// The state once so many requests and sessions are in hand. One that is out can have something in hand again:
     /// what a connection accepted before the call brings only now.
-    pub(crate) fn in_hand(self, now: Micros, n: usize) -> Manager {
+    pub(crate) fn in_hand(self, now: Timestamp, n: usize) -> Manager {
         match (self, n) {
             (Manager::Quiescing { .. }, 0) => Manager::Out { since: now },
             (Manager::Out { since }, 1..) => Manager::Quiescing { since },
@@ -51,7 +51,7 @@
 
     #[test]
     fn it_quiesces_until_it_has_nothing_in_hand_and_serves_from_the_call_back() {
-        let t = Micros;
+        let t = Timestamp::from_micros;
         let state = Manager::Serving.in_hand(t(1), 0);
         assert!(state.accepts(), "an idle manager is not out");
         let state = state.held(t(2), true).held(t(3), true).in_hand(t(4), 5);
--- a/crates/cordon/src/merge.rs
+++ b/crates/cordon/src/merge.rs
@@ -5,7 +5,7 @@
 use crate::outages::Outages;
 use crate::target::{By, Change, Target};
 use crate::word::Ban;
-use crate::Micros;
+use crate::Timestamp;
 use std::collections::BTreeMap;
 
 /// A target that went out or came back without a call here.
@@ -31,7 +31,7 @@
 impl Outages {
     /// Ends leases that have run out, and forgets words of causes that have held nothing for
     /// [`TOMBSTONE_KEPT`]. To be called once a second or so, and before figures are told.
-    pub fn expire(&mut self, now: Micros) -> Vec<Moved> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<Moved> {
         let (mut ended, mut aged) = (Vec::new(), Vec::new());
         for (target, causes) in self.all() {
             for (by, cause) in &causes.0 {
@@ -71,7 +71,7 @@
     /// Takes another process's words: of two on the same target by the same cause the greater holds
     /// ([`crate::Word`]). As long as no bound bites it is the same whatever the order of merges, and taking one twice
     /// changes nothing. Ids of bans count as ever listed.
-    pub fn import(&mut self, now: Micros, bans: &[Ban]) -> Merged {
+    pub fn import(&mut self, now: Timestamp, bans: &[Ban]) -> Merged {
         let (mut merged, mut before) = (Merged::default(), BTreeMap::new());
         for Ban { target, by, word } in bans.iter().filter(|ban| {
             let good = ban.check().is_ok();
@@ -141,7 +141,7 @@
         while over(self) {
             let Some((_, target, by)) = spent.next() else { return };
             // A target whose spent words alone go changes nothing of what is out: the time plays no part.
-            self.forget(Micros(0), &target, by);
+            self.forget(Timestamp::ZERO, &target, by);
             self.counters.tombstones_forgotten += 1;
         }
     }
--- a/crates/cordon/src/outages.rs
+++ b/crates/cordon/src/outages.rs
@@ -7,7 +7,7 @@
 use crate::manager::Manager;
 use crate::target::{By, Change, Hold, Refused, Target};
 use crate::word::{reason, Word};
-use crate::Micros;
+use crate::Timestamp;
 use std::collections::BTreeMap;
 
 /// One cause that holds a target out.
@@ -18,9 +18,9 @@
     /// Whose cause.
     pub by: By,
     /// When its last call came.
-    pub at: Micros,
+    pub at: Timestamp,
     /// The end of its lease, for the fleet's.
-    pub until: Option<Micros>,
+    pub until: Option<Timestamp>,
     /// The reason given.
     pub why: &'a str,
 }
@@ -81,7 +81,13 @@
 
     /// A call out. `Ok` is a yes, also where the target was out already; what the reason holds beyond
     /// [`crate::WHY_MOST`] bytes is cut.
-    pub fn cordon(&mut self, now: Micros, target: &Target, hold: Hold, why: &str) -> Result<Change, Refused> {
+    pub fn cordon(
+        &mut self,
+        now: Timestamp,
+        target: &Target,
+        hold: Hold,
+        why: &str,
+    ) -> Result<Change, Refused> {
         let by = hold.by();
         self.may_call(target)
             .and_then(|()| hold.check(now))
@@ -102,7 +108,7 @@
 
     /// A call back: this cause holds the target no longer, however many calls out there were. It is remembered even
     /// where nothing was out, for [`crate::TOMBSTONE_KEPT`]: another process may hold an older ban.
-    pub fn uncordon(&mut self, now: Micros, target: &Target, by: By) -> Result<Change, Refused> {
+    pub fn uncordon(&mut self, now: Timestamp, target: &Target, by: By) -> Result<Change, Refused> {
         self.may_call(target).inspect_err(|refused| self.count(*refused))?;
         let was_out = self.causes(target).is_some_and(|c| c.held_by().is_some());
         let version = self.next_version(now);
@@ -137,8 +143,8 @@
     }
 
     /// This call's version: never under the clock, always over what was seen.
-    fn next_version(&mut self, now: Micros) -> u64 {
-        self.high = self.high.saturating_add(1).max(u64::try_from(now.0).unwrap_or(0));
+    fn next_version(&mut self, now: Timestamp) -> u64 {
+        self.high = self.high.saturating_add(1).max(u64::try_from(now.as_micros()).unwrap_or(0));
         self.high
     }
 
@@ -175,7 +181,7 @@
     }
 
     /// So many connections and requests are in hand at this manager: where it quiesces, none means that it is out.
-    pub fn in_hand(&mut self, now: Micros, n: usize) {
+    pub fn in_hand(&mut self, now: Timestamp, n: usize) {
         self.manager = self.manager.in_hand(now, n);
     }
 
@@ -213,7 +219,7 @@
     }
 
     /// Sets a cause's word, whatever it was before.
-    pub(crate) fn put(&mut self, now: Micros, target: &Target, by: By, cause: Cause) {
+    pub(crate) fn put(&mut self, now: Timestamp, target: &Target, by: By, cause: Cause) {
         let (bytes, holds) = (bytes(target), cause.holds());
         let before = self.causes_mut(target).0.insert(by, cause);
         if let Some(before) = before {
@@ -224,7 +230,7 @@
     }
 
     /// Forgets a cause's word.
-    pub(crate) fn forget(&mut self, now: Micros, target: &Target, by: By) {
+    pub(crate) fn forget(&mut self, now: Timestamp, target: &Target, by: By) {
         let causes = self.causes_mut(target);
         if let Some(cause) = causes.0.remove(&by) {
             self.load(cause.holds()).take(bytes(target));
@@ -246,7 +252,7 @@
     }
 
     /// What follows from a target's causes.
-    pub(crate) fn settle(&mut self, now: Micros, target: &Target) {
+    pub(crate) fn settle(&mut self, now: Timestamp, target: &Target) {
         let out = self.causes(target).is_some_and(|c| c.held_by().is_some());
         match target {
             Target::Manager => self.manager = self.manager.held(now, out),
--- a/crates/cordon/src/target.rs
+++ b/crates/cordon/src/target.rs
@@ -1,7 +1,7 @@
 //! What a call names, who calls, and what is answered.
 
 use crate::limits::LEASE_MOST;
-use crate::Micros;
+use crate::Timestamp;
 use std::fmt;
 
 /// Longest id of an engine, in bytes: lists name engines by some dozen characters, and ids are kept and written to a
@@ -75,7 +75,7 @@
         /// The permit's number.
         permit: u64,
         /// When the lease ends; a later call with the same permit gives it a new end.
-        until: Micros,
+        until: Timestamp,
     },
 }
 
@@ -89,14 +89,14 @@
     }
 
     /// When it ends by itself.
-    pub fn until(self) -> Option<Micros> {
+    pub fn until(self) -> Option<Timestamp> {
         match self {
             Hold::Operator => None,
             Hold::Fleet { until, .. } => Some(until),
         }
     }
 
-    pub(crate) fn check(self, now: Micros) -> Result<(), Refused> {
+    pub(crate) fn check(self, now: Timestamp) -> Result<(), Refused> {
         match self.until() {
             Some(until) if until <= now || until - now > LEASE_MOST => Err(Refused::BadLease),
             _ => Ok(()),
--- a/crates/cordon/src/word.rs
+++ b/crates/cordon/src/word.rs
@@ -2,7 +2,7 @@
 
 use crate::limits::{VERSION_MOST, WHY_MOST};
 use crate::target::{By, Refused, Target};
-use crate::Micros;
+use crate::Timestamp;
 
 /// The last call of one cause on one target.
 ///
@@ -21,9 +21,9 @@
     /// Whether it takes the target out; else it calls it back.
     pub out: bool,
     /// For the fleet's bans: the end of the lease.
-    pub until: Option<Micros>,
+    pub until: Option<Timestamp>,
     /// When the call came.
-    pub at: Micros,
+    pub at: Timestamp,
     /// The reason given: at most [`WHY_MOST`] bytes, no control characters.
     pub why: String,
 }
@@ -85,7 +85,8 @@
 
     #[test]
     fn what_is_wrong_with_a_ban_is_named() {
-        let word = Word { version: 7, out: true, until: None, at: Micros(7), why: "swap".into() };
+        let word =
+            Word { version: 7, out: true, until: None, at: Timestamp::from_micros(7), why: "swap".into() };
         let good = Ban { target: Target::Engine("e".into()), by: By::Operator, word };
         assert_eq!(good.check(), Ok(()));
         let bad = |change: fn(&mut Ban)| {
@@ -98,6 +99,6 @@
         assert!(bad(|b| b.word.version = VERSION_MOST + 1).starts_with("version"));
         assert!(bad(|b| b.word.why = "x".repeat(WHY_MOST + 1)).starts_with("why"));
         assert!(bad(|b| b.by = By::Fleet { permit: 1 }).starts_with("until"));
-        assert!(bad(|b| b.word.until = Some(Micros(9))).starts_with("until"));
+        assert!(bad(|b| b.word.until = Some(Timestamp::from_micros(9))).starts_with("until"));
     }
 }
--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -1,10 +1,11 @@
 //! Bounds, and what happens at each.
 
 use sprucelink_cordon::{
-    By, Change, Hold, Limits, Micros, Outages, Refused, Target, LEASE_MOST, TARGET_MOST, WHY_MOST,
+    By, Change, Hold, Limits, Outages, Refused, Target, TimeDelta, Timestamp, LEASE_MOST, TARGET_MOST,
+    WHY_MOST,
 };
 
-const NOW: Micros = Micros(1_700_000_000_000_000);
+const NOW: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
 
 fn engine(id: &str) -> Target {
     Target::Engine(id.into())
@@ -44,7 +45,7 @@
     let mut o = small();
     for (n, id) in ["a", "b", "c"].iter().enumerate() {
         o.listed(id);
-        o.uncordon(NOW + Micros(n as i64), &engine(id), By::Operator).expect("yes");
+        o.uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), By::Operator).expect("yes");
     }
     let left: Vec<Target> = o.export().into_iter().map(|b| b.target).collect();
     assert_eq!(left, [engine("b"), engine("c")]);
@@ -81,7 +82,10 @@
     let lease = |until| Hold::Fleet { permit: 1, until };
     let most = NOW + LEASE_MOST;
     assert_eq!(o.cordon(NOW, &engine("e"), lease(NOW), ""), Err(Refused::BadLease));
-    assert_eq!(o.cordon(NOW, &engine("e"), lease(most + Micros(1)), ""), Err(Refused::BadLease));
+    assert_eq!(
+        o.cordon(NOW, &engine("e"), lease(most + TimeDelta::from_micros(1)), ""),
+        Err(Refused::BadLease)
+    );
     assert_eq!(o.cordon(NOW, &engine("e"), lease(most), &"w".repeat(500)), Ok(Change::Out));
     let why = o.out().find(|out| out.target == engine("e")).expect("out").why.len();
     assert_eq!(why, WHY_MOST);
@@ -95,7 +99,7 @@
     let mut o = Outages::new(Limits::default());
     o.listed("e");
     assert_eq!(o.cordon(NOW, &engine("e"), Hold::Operator, "swap"), Ok(Change::Out));
-    let permit = Hold::Fleet { permit: 3, until: NOW + Micros(1_000) };
+    let permit = Hold::Fleet { permit: 3, until: NOW + TimeDelta::from_micros(1_000) };
     assert_eq!(o.cordon(NOW, &engine("e"), permit, "release"), Ok(Change::AlreadyOut));
     assert_eq!(o.cordon(NOW, &engine("e"), Hold::Operator, "swap"), Ok(Change::AlreadyOut));
     o.unlisted("e");
--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -2,10 +2,12 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_cordon::{Ban, By, Change, Hold, Limits, Micros, Outages, Target, Word, TOMBSTONE_KEPT};
+use sprucelink_cordon::{
+    Ban, By, Change, Hold, Limits, Outages, Target, TimeDelta, Timestamp, Word, TOMBSTONE_KEPT,
+};
 
 const S: i64 = 1_000_000;
-const NOW: Micros = Micros(1_700_000_000 * S);
+const NOW: Timestamp = Timestamp::from_micros(1_700_000_000 * S);
 
 /// Words as they may come: few targets, causes, versions and leases, so that ties of every kind are among them.
 fn ban() -> impl Strategy<Value = Ban> {
@@ -18,8 +20,8 @@
                 word: Word {
                     version,
                     out,
-                    until: (fleet && out).then_some(Micros(NOW.0 + lease * S)),
-                    at: Micros(NOW.0 - at),
+                    until: (fleet && out).then_some(Timestamp::from_micros(NOW.as_micros() + lease * S)),
+                    at: Timestamp::from_micros(NOW.as_micros() - at),
                     why: if out { format!("why {why}") } else { String::new() },
                 },
             }
@@ -76,7 +78,7 @@
                 let file = two[usize::from(!*at)].export();
                 two[usize::from(*at)].import(NOW, &file);
             }
-            let now = Micros(NOW.0 + n as i64 * 10 - if set_back { back * 5 } else { 0 });
+            let now = Timestamp::from_micros(NOW.as_micros() + n as i64 * 10 - if set_back { back * 5 } else { 0 });
             let target = Target::Engine(format!("s-{on}"));
             let here = &mut two[usize::from(*at)];
             if *out {
@@ -116,7 +118,7 @@
 fn a_newer_call_back_beats_an_older_ban_that_was_never_seen_here() {
     let (mut elder, mut newcomer) = (one(&["e"]), one(&["e"]));
     elder.cordon(NOW, &engine("e"), Hold::Operator, "swap").expect("yes");
-    let back = newcomer.uncordon(Micros(NOW.0 + 5), &engine("e"), By::Operator);
+    let back = newcomer.uncordon(Timestamp::from_micros(NOW.as_micros() + 5), &engine("e"), By::Operator);
     assert_eq!(back, Ok(Change::NotOut));
     let merged = newcomer.import(NOW, &elder.export());
     assert!(merged.moved.is_empty() && !newcomer.is_out("e"));
@@ -130,7 +132,7 @@
     let mut o = one(&["e"]);
     o.cordon(NOW, &engine("e"), Hold::Operator, "").expect("yes");
     let file = o.export();
-    let earlier = Micros(NOW.0 - 3_600 * S);
+    let earlier = Timestamp::from_micros(NOW.as_micros() - 3_600 * S);
     assert_eq!(o.uncordon(earlier, &engine("e"), By::Operator), Ok(Change::Back));
     o.import(earlier, &file);
     assert!(!o.is_out("e"));
@@ -155,9 +157,9 @@
     o.uncordon(NOW, &engine("e"), By::Operator).expect("yes");
     o.expire(NOW + TOMBSTONE_KEPT);
     assert_eq!(o.sizes(), (1, 1, 2));
-    o.expire(NOW + TOMBSTONE_KEPT + Micros(1));
+    o.expire(NOW + TOMBSTONE_KEPT + TimeDelta::from_micros(1));
     assert_eq!(o.sizes(), (1, 0, 2));
-    o.expire(NOW + Micros(1_000_000 * S));
+    o.expire(NOW + TimeDelta::from_micros(1_000_000 * S));
     assert!(o.is_out("f"));
 }
 
@@ -165,13 +167,13 @@
 #[test]
 fn a_lapsed_lease_beats_an_older_and_longer_one() {
     let (mut a, mut b) = (one(&["e"]), one(&["e"]));
-    let lease = |s: i64| Hold::Fleet { permit: 7, until: Micros(NOW.0 + s * S) };
+    let lease = |s: i64| Hold::Fleet { permit: 7, until: Timestamp::from_micros(NOW.as_micros() + s * S) };
     a.cordon(NOW, &engine("e"), lease(60), "").expect("yes");
-    b.cordon(Micros(NOW.0 + 1), &engine("e"), lease(5), "").expect("yes");
-    b.expire(Micros(NOW.0 + 6 * S));
+    b.cordon(Timestamp::from_micros(NOW.as_micros() + 1), &engine("e"), lease(5), "").expect("yes");
+    b.expire(Timestamp::from_micros(NOW.as_micros() + 6 * S));
     assert!(!b.is_out("e"));
-    b.import(Micros(NOW.0 + 6 * S), &a.export());
+    b.import(Timestamp::from_micros(NOW.as_micros() + 6 * S), &a.export());
     assert!(!b.is_out("e"), "the shorter lease was the newer word");
-    a.import(Micros(NOW.0 + 6 * S), &b.export());
+    a.import(Timestamp::from_micros(NOW.as_micros() + 6 * S), &b.export());
     assert!(!a.is_out("e"));
 }
--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_cordon::{By, Change, Hold, Limits, Manager, Micros, Outages, Refused, Target};
+use sprucelink_cordon::{By, Change, Hold, Limits, Manager, Outages, Refused, Target, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
         let mut now = 1_700_000_000_000_000_i64;
         for s in steps {
             now += TICK;
-            let t = Micros(now);
+            let t = Timestamp::from_micros(now);
             match s {
                 Step::Listed(i) => {
                     real.listed(&format!("s-{i}"));
@@ -100,7 +100,7 @@
                     let until = now + i64::from(lease) * TICK;
                     let hold = match by(permit) {
                         By::Operator => Hold::Operator,
-                        By::Fleet { permit } => Hold::Fleet { permit, until: Micros(until) },
+                        By::Fleet { permit } => Hold::Fleet { permit, until: Timestamp::from_micros(until) },
                     };
                     let was = !paper.causes(i).is_empty();
                     let want = if !paper.known(i) {
@@ -170,8 +170,8 @@
                 if i == 0 {
                     let want = match (out, paper.quiet_since, paper.idle_since) {
                         (false, ..) => Manager::Serving,
-                        (true, _, Some(since)) => Manager::Out { since: Micros(since) },
-                        (true, since, None) => Manager::Quiescing { since: Micros(since.unwrap_or(0)) },
+                        (true, _, Some(since)) => Manager::Out { since: Timestamp::from_micros(since) },
+                        (true, since, None) => Manager::Quiescing { since: Timestamp::from_micros(since.unwrap_or(0)) },
                     };
                     prop_assert_eq!(real.manager(), want);
                 } else {
--- a/crates/hot-restart/examples/cost.rs
+++ b/crates/hot-restart/examples/cost.rs
@@ -21,7 +21,7 @@
     took[RUNS / 2]
 }
 
-fn outages(engines: usize, bans: usize, now: Micros) -> Outages {
+fn outages(engines: usize, bans: usize, now: Timestamp) -> Outages {
     let mut o = Outages::new(Limits::default());
     for i in 0..engines {
         o.listed(&format!("s-{i:08x}"));
@@ -33,7 +33,7 @@
     o
 }
 
-fn content(o: &Outages, t: &Tally, now: Micros) -> Content {
+fn content(o: &Outages, t: &Tally, now: Timestamp) -> Content {
     Content {
         bans: o.export(),
         ids: o.export_ids(usize::MAX),
@@ -47,13 +47,13 @@
     let root = std::env::args().nth(1).unwrap_or_else(|| "/dev/shm".into());
     let dir = std::path::Path::new(&root).join(format!("sprucelink-cost-{}", std::process::id()));
     std::fs::create_dir(&dir).expect("a folder");
-    let now = Micros(1_700_000_000_000_000);
-    let at = |i: i64| Micros(now.0 + i * 1_000);
+    let now = Timestamp::from_micros(1_700_000_000_000_000);
+    let at = |i: i64| Timestamp::from_micros(now.as_micros() + i * 1_000);
     for (what, engines, bans, cold) in [("usual", 80, 3, 8), ("at its bounds", 16_384, 1_024, COLD_MOST)] {
         let folder = DiskFolder::new(&dir);
         let me = Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
         let o = outages(engines, bans, now);
-        let mut tally = Tally::new(Micros(5_000_000), Micros(4_000_000));
+        let mut tally = Tally::new(TimeDelta::from_micros(5_000_000), TimeDelta::from_micros(4_000_000));
         for ms in (0..5_000).step_by(10) {
             tally.taken(at(ms - 5_000));
             tally.cold_send(at(ms - 5_000), &format!("s-{:08x}", ms as usize / 10 % cold), 40);
--- a/crates/hot-restart/src/adopt.rs
+++ b/crates/hot-restart/src/adopt.rs
@@ -1,19 +1,20 @@
 //! What of a file that was read is still of use.
 
 use crate::content::{Handover, Process, BUCKET};
-use sprucelink_cordon::{Ban, Micros};
+use sprucelink_cordon::Ban;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 /// A file from so far ahead of the reader's clock is of a clock that was set back since. What is less comes of
 /// the order in which a clock is read and a file written.
-pub const CLOCK_SLACK: Micros = Micros(1_000_000);
+pub const CLOCK_SLACK: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 /// Windows of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spans {
     /// Of the ration of further attempts.
-    pub ration: Micros,
+    pub ration: TimeDelta,
     /// Of the budget of cold engines.
-    pub cold: Micros,
+    pub cold: TimeDelta,
 }
 
 /// How old a file is.
@@ -33,7 +34,7 @@
     /// The engine's id.
     pub engine: String,
     /// When, at the latest.
-    pub at: Micros,
+    pub at: Timestamp,
     /// In milliseconds of one thread.
     pub work_ms: u32,
 }
@@ -52,29 +53,29 @@
     /// For [`sprucelink_cordon::Outages::import_ids`]: all of them.
     pub ids: Vec<u64>,
     /// Further attempts within the ration's window: when, at the latest, and how many.
-    pub further: Vec<(Micros, u32)>,
+    pub further: Vec<(Timestamp, u32)>,
     /// Requests taken within it: when, at the earliest, and how many. None of a file from the future: they widen the
     /// ration, and nothing is known of when they came.
-    pub taken: Vec<(Micros, u32)>,
+    pub taken: Vec<(Timestamp, u32)>,
     /// Sends to cold engines within their window.
     pub cold: Vec<ColdSend>,
 }
 
 /// What to use of a file at `now`. Whatever is not known exactly is taken as the rules have it worst: what spends a
 /// budget as late as it can have been, what widens one as early.
-pub fn adopt(now: Micros, spans: Spans, read: Handover) -> Adopted {
-    let ahead = (read.written_at - now).max(Micros(0));
+pub fn adopt(now: Timestamp, spans: Spans, read: Handover) -> Adopted {
+    let ahead = (read.written_at - now).max(TimeDelta::ZERO);
     let longest = spans.ration.max(spans.cold);
     let age = match ahead {
         ahead if ahead > CLOCK_SLACK => Age::Future,
         _ if now - read.written_at > longest => Age::Old,
         _ => Age::Fresh,
     };
-    let latest = |at: Micros| (at - ahead + BUCKET).min(now);
+    let latest = |at: Timestamp| (at - ahead + BUCKET).min(now);
     let content = read.content;
     let further = content.ration.iter().map(|b| (latest(b.at), b.further));
     let taken = content.ration.iter().map(|b| (b.at, b.taken)).filter(|_| age != Age::Future);
-    let within = |at: Micros, span: Micros| at > now - span;
+    let within = |at: Timestamp, span: TimeDelta| at > now - span;
     let cold = content.cold.iter().flat_map(|sends| {
         let send = |at, work_ms| ColdSend { engine: sends.engine.clone(), at, work_ms };
         sends.buckets.iter().map(move |b| send(latest(b.at), b.work_ms))
@@ -96,16 +97,16 @@
     use crate::content::{ColdBucket, ColdSends, Content, Instance, Phase, RationBucket};
 
     const S: i64 = 1_000_000;
-    const SPANS: Spans = Spans { ration: Micros(5 * S), cold: Micros(2 * S) };
-    const WRITTEN: Micros = Micros(100 * S);
+    const SPANS: Spans = Spans { ration: TimeDelta::from_micros(5 * S), cold: TimeDelta::from_micros(2 * S) };
+    const WRITTEN: Timestamp = Timestamp::from_micros(100 * S);
 
     fn file() -> Handover {
-        let at = |s: f64| Micros(WRITTEN.0 - (s * S as f64) as i64);
+        let at = |s: f64| Timestamp::from_micros(WRITTEN.as_micros() - (s * S as f64) as i64);
         let ration = [4.0, 1.5, 0.25].map(|s| RationBucket { at: at(s), further: 2, taken: 30 });
         let buckets = [1.5, 0.25].map(|s| ColdBucket { at: at(s), work_ms: 400 }).to_vec();
         Handover {
             instance: Instance { name: "n".into(), listen: "l".into() },
-            process: Process { generation: 1, started: Micros(0), pid: 1 },
+            process: Process { generation: 1, started: Timestamp::ZERO, pid: 1 },
             build: String::new(),
             written_at: WRITTEN,
             seq: 1,
@@ -121,7 +122,7 @@
         }
     }
 
-    fn used(now: Micros) -> (Age, usize, usize, usize) {
+    fn used(now: Timestamp) -> (Age, usize, usize, usize) {
         let a = adopt(now, SPANS, file());
         assert_eq!(a.ids, [1, 2, 3], "ids are of use at any age");
         assert!(a.further.iter().chain(&a.taken).all(|(at, _)| *at <= now));
@@ -131,7 +132,7 @@
 
     #[test]
     fn counts_leave_with_their_windows() {
-        let after = |s: f64| Micros(WRITTEN.0 + (s * S as f64) as i64);
+        let after = |s: f64| Timestamp::from_micros(WRITTEN.as_micros() + (s * S as f64) as i64);
         assert_eq!(used(after(0.0)), (Age::Fresh, 3, 3, 2));
         // A bucket of 4 s ago may hold an attempt of 3.75 s ago; what was taken may be 4 s old.
         assert_eq!(used(after(1.1)), (Age::Fresh, 3, 2, 1));
@@ -143,7 +144,7 @@
 
     #[test]
     fn a_file_from_the_future_spends_and_widens_nothing() {
-        let before = |s: f64| Micros(WRITTEN.0 - (s * S as f64) as i64);
+        let before = |s: f64| Timestamp::from_micros(WRITTEN.as_micros() - (s * S as f64) as i64);
         assert_eq!(
             used(before(0.5)),
             (Age::Fresh, 3, 2, 2),
--- a/crates/hot-restart/src/book.rs
+++ b/crates/hot-restart/src/book.rs
@@ -2,19 +2,19 @@
 
 use crate::codec::Refusal;
 use crate::content::{Handover, Phase, Process};
-use sprucelink_cordon::Micros;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A process whose file has not changed for so long counts as dead: six times the pace at which it writes. Longer,
 /// and connections wait where a newcomer was killed; shorter, and a process that gets no core for a second counts as
 /// dead while it lives.
-pub const DEAD_AFTER: Micros = Micros(1_500_000);
+pub const DEAD_AFTER: TimeDelta = TimeDelta::from_micros(1_500_000);
 /// A dead process's file is kept for so long, and until what it holds stands in this process's own file. One that was
 /// only stopped comes back within it, most likely; if it comes back later it writes its file anew.
-pub const DEAD_KEPT: Micros = Micros(10_000_000);
+pub const DEAD_KEPT: TimeDelta = TimeDelta::from_micros(10_000_000);
 /// A damaged file, or one that its writer died over, is kept for so long unchanged: time to look at it, and no time
 /// to fill a folder that counts as memory.
-pub const DAMAGED_KEPT: Micros = Micros(60_000_000);
+pub const DAMAGED_KEPT: TimeDelta = TimeDelta::from_micros(60_000_000);
 /// Files of one manager that are looked at, the youngest processes' first; the others are left alone. An upgrade has
 /// two.
 pub const FILES_MOST: usize = 16;
@@ -37,12 +37,12 @@
     Of {
         other: Other,
         /// When it was last known to have been written, by this process's clock.
-        changed: Micros,
+        changed: Timestamp,
         /// What it holds stands in this process's own file.
         covered: bool,
     },
     /// Not whole, or a file that its writer died over.
-    Scrap { since: Micros },
+    Scrap { since: Timestamp },
     /// Whole, and not for this build or this manager: not this process's to remove.
     Foreign,
 }
@@ -55,7 +55,7 @@
 
 impl Book {
     /// A file was read and is not as it was at the last look.
-    pub fn read(&mut self, now: Micros, name: &str, read: &Result<Handover, Refusal>) {
+    pub fn read(&mut self, now: Timestamp, name: &str, read: &Result<Handover, Refusal>) {
         let what = match read {
             Ok(h) => {
                 let other = Other { process: h.process, phase: h.phase, room_for: h.room_for.clone() };
@@ -71,7 +71,7 @@
     }
 
     /// A file that is being written was seen, or one that its writer died over.
-    pub fn temp(&mut self, now: Micros, name: &str) {
+    pub fn temp(&mut self, now: Timestamp, name: &str) {
         self.files.entry(name.to_owned()).or_insert(What::Scrap { since: now });
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// The other processes that live.
-    pub fn living(&self, now: Micros) -> Vec<Other> {
+    pub fn living(&self, now: Timestamp) -> Vec<Other> {
         let living = self.files.values().filter_map(|what| match what {
             What::Of { other, changed, .. } if other.phase != Phase::Gone && now - *changed <= DEAD_AFTER => {
                 Some(other.clone())
@@ -107,7 +107,7 @@
     }
 
     /// Files that may be removed now, at most [`REMOVALS_MOST`].
-    pub fn removable(&self, now: Micros) -> Vec<String> {
+    pub fn removable(&self, now: Timestamp) -> Vec<String> {
         let may = |what: &What| match what {
             What::Of { covered: false, .. } | What::Foreign => false,
             What::Of { other, changed, .. } => other.phase == Phase::Gone || now - *changed > DEAD_KEPT,
@@ -128,12 +128,12 @@
     fn file(pid: u32, written_at: i64, phase: Phase) -> Result<Handover, Refusal> {
         Ok(Handover {
             instance: Instance { name: "n".into(), listen: "l".into() },
-            process: Process { generation: u64::from(pid), started: Micros(0), pid },
+            process: Process { generation: u64::from(pid), started: Timestamp::ZERO, pid },
             build: String::new(),
-            written_at: Micros(written_at),
+            written_at: Timestamp::from_micros(written_at),
             seq: 0,
             phase,
-            phase_since: Micros(0),
+            phase_since: Timestamp::ZERO,
             room_for: Vec::new(),
             content: Content::default(),
         })
@@ -142,14 +142,14 @@
     #[test]
     fn a_process_lives_as_long_as_its_file_changes_and_its_file_goes_once_it_is_covered() {
         let mut b = Book::default();
-        b.read(Micros(100 * S), "a", &file(1, 100 * S, Phase::Serving));
-        assert_eq!(b.living(Micros(100 * S) + DEAD_AFTER).len(), 1);
-        let late = Micros(100 * S) + DEAD_AFTER + Micros(1);
+        b.read(Timestamp::from_micros(100 * S), "a", &file(1, 100 * S, Phase::Serving));
+        assert_eq!(b.living(Timestamp::from_micros(100 * S) + DEAD_AFTER).len(), 1);
+        let late = Timestamp::from_micros(100 * S) + DEAD_AFTER + TimeDelta::from_micros(1);
         assert!(b.living(late).is_empty());
-        let much_later = Micros(200 * S);
+        let much_later = Timestamp::from_micros(200 * S);
         assert!(b.removable(much_later).is_empty(), "not covered");
         b.wrote();
-        assert!(b.removable(Micros(100 * S) + DEAD_KEPT).is_empty());
+        assert!(b.removable(Timestamp::from_micros(100 * S) + DEAD_KEPT).is_empty());
         assert_eq!(b.removable(much_later), ["a"]);
         // One that was stopped and goes on.
         b.read(much_later, "a", &file(1, 200 * S, Phase::Serving));
@@ -166,21 +166,21 @@
     #[test]
     fn a_file_from_the_future_does_not_live_for_ever() {
         let mut b = Book::default();
-        b.read(Micros(100 * S), "a", &file(1, 9_000 * S, Phase::Serving));
-        assert_eq!(b.living(Micros(100 * S)).len(), 1);
-        assert!(b.living(Micros(102 * S)).is_empty());
+        b.read(Timestamp::from_micros(100 * S), "a", &file(1, 9_000 * S, Phase::Serving));
+        assert_eq!(b.living(Timestamp::from_micros(100 * S)).len(), 1);
+        assert!(b.living(Timestamp::from_micros(102 * S)).is_empty());
     }
 
     #[test]
     fn damaged_files_go_after_their_time_and_foreign_ones_never() {
         let mut b = Book::default();
         let names = ["1", "2", "3", "4", "5", "6"];
-        names.iter().for_each(|name| b.read(Micros(0), name, &Err(Refusal::Damaged("cut"))));
-        b.read(Micros(0), "7", &Err(Refusal::FromTheFuture { format: 9 }));
-        b.temp(Micros(0), "8");
-        b.temp(Micros(50 * S), "8");
-        assert!(b.removable(DAMAGED_KEPT).is_empty());
-        let after = DAMAGED_KEPT + Micros(1);
+        names.iter().for_each(|name| b.read(Timestamp::ZERO, name, &Err(Refusal::Damaged("cut"))));
+        b.read(Timestamp::ZERO, "7", &Err(Refusal::FromTheFuture { format: 9 }));
+        b.temp(Timestamp::ZERO, "8");
+        b.temp(Timestamp::from_micros(50 * S), "8");
+        assert!(b.removable(Timestamp::ZERO + DAMAGED_KEPT).is_empty());
+        let after = Timestamp::ZERO + DAMAGED_KEPT + TimeDelta::from_micros(1);
         assert_eq!(b.removable(after), names[..REMOVALS_MOST], "a few at a time");
         b.listed(&["7", "8"].map(str::to_owned).into());
         assert_eq!(b.removable(after), ["8"]);
@@ -189,9 +189,9 @@
     #[test]
     fn a_living_process_whose_file_cannot_be_read_once_lives_on() {
         let mut b = Book::default();
-        b.read(Micros(0), "a", &file(1, 0, Phase::Serving));
-        b.read(Micros(S), "a", &Err(Refusal::Damaged("cut")));
-        assert_eq!(b.living(Micros(S)).len(), 1);
-        assert!(b.living(Micros(2 * S)).is_empty());
+        b.read(Timestamp::ZERO, "a", &file(1, 0, Phase::Serving));
+        b.read(Timestamp::from_micros(S), "a", &Err(Refusal::Damaged("cut")));
+        assert_eq!(b.living(Timestamp::from_micros(S)).len(), 1);
+        assert!(b.living(Timestamp::from_micros(2 * S)).is_empty());
     }
 }
--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -148,7 +148,7 @@
 mod tests {
     use super::*;
     use crate::content::{Content, Phase, Process};
-    use sprucelink_cordon::Micros;
+    use sprucelink_time::Timestamp;
 
     fn me() -> Instance {
         Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() }
@@ -167,12 +167,12 @@
     fn whole_files_that_will_not_do_are_told_apart() {
         let small = |name: &str, generation| Handover {
             instance: Instance { name: name.into(), ..me() },
-            process: Process { generation, started: Micros(1), pid: 2 },
+            process: Process { generation, started: Timestamp::from_micros(1), pid: 2 },
             build: "test".into(),
-            written_at: Micros(3),
+            written_at: Timestamp::from_micros(3),
             seq: 4,
             phase: Phase::Serving,
-            phase_since: Micros(3),
+            phase_since: Timestamp::from_micros(3),
             room_for: Vec::new(),
             content: Content::default(),
         };
--- a/crates/hot-restart/src/content.rs
+++ b/crates/hot-restart/src/content.rs
@@ -1,13 +1,14 @@
 //! What a process tells its successor.
 
-use sprucelink_cordon::{Ban, Micros};
+use sprucelink_cordon::Ban;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::fmt;
 
 /// Longest name, address or build, in bytes.
 pub const NAME_MOST: usize = 256;
 /// Length of a bucket of counts. An edge of 250 ms is a twentieth of the ration's 5 s: what it rounds away is less
 /// than the attempt that the ration leaves unspent anyway.
-pub const BUCKET: Micros = Micros(250_000);
+pub const BUCKET: TimeDelta = TimeDelta::from_micros(250_000);
 /// Most buckets of one count: 16 s of them, more than any window of the rules.
 pub const BUCKETS_MOST: usize = 64;
 /// Most processes that room is made for: more than one only where upgrades overlap.
@@ -31,7 +32,7 @@
     /// One more than the highest that it found in the folder when it started; 1 where it found none.
     pub generation: u64,
     /// When it started. With the pid it tells a process from an earlier one with the same pid.
-    pub started: Micros,
+    pub started: Timestamp,
     /// Its process id.
     pub pid: u32,
 }
@@ -75,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RationBucket {
     /// The bucket's beginning.
-    pub at: Micros,
+    pub at: Timestamp,
     /// Attempts beyond a request's first.
     pub further: u32,
     /// Requests taken.
@@ -86,7 +87,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdBucket {
     /// The bucket's beginning.
-    pub at: Micros,
+    pub at: Timestamp,
     /// Work charged to the engine's cold budget, in milliseconds of one thread.
     pub work_ms: u32,
 }
@@ -125,13 +126,13 @@
     /// The program's version, for log lines.
     pub build: String,
     /// When it was written.
-    pub written_at: Micros,
+    pub written_at: Timestamp,
     /// Counts the writes of the process.
     pub seq: u64,
     /// Where the process stands.
     pub phase: Phase,
     /// Since when.
-    pub phase_since: Micros,
+    pub phase_since: Timestamp,
     /// The processes that it has made room for, oldest first: it spends no more than its part beside them.
     pub room_for: Vec<Process>,
     /// What the rest of the program has to tell.
--- a/crates/hot-restart/src/keeper.rs
+++ b/crates/hot-restart/src/keeper.rs
@@ -6,15 +6,15 @@
 use crate::folder::Folder;
 use crate::names::FileName;
 use crate::phases::{Stand, Upgrade};
-use sprucelink_cordon::Micros;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::{fmt, io};
 
 /// The others' files are looked at so often: a ban that the other process said yes to binds here within the drain's
 /// grace of 500 ms, with room for a look that comes late.
-pub const LOOK: Micros = Micros(100_000);
+pub const LOOK: TimeDelta = TimeDelta::from_micros(100_000);
 /// The own file is written so often, and at once with each ban and each change of the phase.
-pub const REFRESH: Micros = Micros(250_000);
+pub const REFRESH: TimeDelta = TimeDelta::from_micros(250_000);
 
 /// Bytes that tell one version of a file from the next: its head, with the checksum.
 type Head = [u8; 16];
@@ -79,7 +79,7 @@
     /// Of each file what it was at the last look, and whether it would do.
     heads: BTreeMap<String, (Head, bool)>,
     /// The last attempt to write: when, and the phase and room that it told.
-    tried: Option<(Micros, Phase, Vec<Process>)>,
+    tried: Option<(Timestamp, Phase, Vec<Process>)>,
     /// Whether a file that said that this process serves was written, or could not be.
     told: bool,
     seq: u64,
@@ -87,7 +87,7 @@
 
 impl<F: Folder> Keeper<F> {
     /// A process that starts now, with a first look at the folder: what it found there is to be adopted.
-    pub fn open(folder: F, instance: Instance, build: &str, pid: u32, now: Micros) -> (Keeper<F>, Looked) {
+    pub fn open(folder: F, instance: Instance, build: &str, pid: u32, now: Timestamp) -> (Keeper<F>, Looked) {
         let process = Process { generation: 1, started: now, pid };
         let mut upgrade = Upgrade::new(process, now);
         let mut keeper = Keeper {
@@ -121,7 +121,7 @@
     }
 
     /// The other processes of this manager that live, as of the last look.
-    pub fn living(&self, now: Micros) -> Vec<Other> {
+    pub fn living(&self, now: Timestamp) -> Vec<Other> {
         self.book.living(now)
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Reads the others' files.
-    pub fn look(&mut self, now: Micros) -> Looked {
+    pub fn look(&mut self, now: Timestamp) -> Looked {
         let mut looked = Looked::default();
         let names = match self.folder.list() {
             Ok(names) => names,
@@ -170,7 +170,13 @@
         looked
     }
 
-    fn look_at(&mut self, now: Micros, parsed: FileName, name: &str, looked: &mut Looked) -> io::Result<()> {
+    fn look_at(
+        &mut self,
+        now: Timestamp,
+        parsed: FileName,
+        name: &str,
+        looked: &mut Looked,
+    ) -> io::Result<()> {
         let bytes = self.folder.read(name, FILE_MOST)?;
         let mut head = Head::default();
         head.iter_mut().zip(&bytes).for_each(|(to, from)| *to = *from);
@@ -203,14 +209,14 @@
     }
 
     /// Goes on to where the files, SIGTERM and this process's own state have it.
-    pub fn step(&mut self, now: Micros, term: bool, can_serve: bool) -> &Stand {
+    pub fn step(&mut self, now: Timestamp, term: bool, can_serve: bool) -> &Stand {
         self.stand = self.upgrade.step(now, &self.living(now), term, can_serve);
         &self.stand
     }
 
     /// Whether the own file is to be written: its time has come, or something in it has changed that the other process
     /// waits for. A write that failed is tried again in its time.
-    pub fn due(&self, now: Micros) -> bool {
+    pub fn due(&self, now: Timestamp) -> bool {
         let told = |phase, room: &[Process]| phase == self.stand.phase && room == self.stand.room_for;
         match &self.tried {
             None => true,
@@ -220,7 +226,7 @@
 
     /// Writes the own file, and then removes what dead processes left. What an operator waits for is on record once
     /// this is `Ok`; otherwise it holds in this process alone, and the caller says so or takes it back.
-    pub fn write(&mut self, now: Micros, content: Content) -> Result<Written, WriteFailed> {
+    pub fn write(&mut self, now: Timestamp, content: Content) -> Result<Written, WriteFailed> {
         let Stand { phase, since, room_for, yes, .. } = self.stand.clone();
         self.tried = Some((now, phase, room_for.clone()));
         self.told |= yes;
@@ -246,7 +252,7 @@
 
     /// The last word of a process that ends: the file stays for whoever comes next, and says that nobody writes it
     /// any more. Whoever adopts it removes it.
-    pub fn leave(&mut self, now: Micros, content: Content) -> Result<Written, WriteFailed> {
+    pub fn leave(&mut self, now: Timestamp, content: Content) -> Result<Written, WriteFailed> {
         self.upgrade.gone(now);
         (self.stand.phase, self.stand.since, self.stand.accepts) = (Phase::Gone, now, false);
         self.write(now, content)
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -41,5 +41,5 @@
 pub use keeper::{Keeper, Looked, WriteFailed, Written, LOOK, REFRESH};
 pub use names::{FileName, LISTED_MOST};
 pub use phases::{Stand, Upgrade, IDLE_FOR, IDLE_WAIT, ROOM_WAIT, STILL_COMING};
-pub use sprucelink_cordon::Micros;
+pub use sprucelink_time::{TimeDelta, Timestamp};
 pub use tally::Tally;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -6,7 +6,8 @@
     ColdBucket, ColdSends, Content, Handover, Instance, Phase, Process, RationBucket, BUCKETS_MOST,
     COLD_MOST, NAME_MOST, ROOM_MOST,
 };
-use sprucelink_cordon::{Ban, By, Micros, Target, Word};
+use sprucelink_cordon::{Ban, By, Target, Word};
+use sprucelink_time::Timestamp;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct File {
@@ -96,13 +97,13 @@
 
 impl From<Process> for ProcessMessage {
     fn from(p: Process) -> ProcessMessage {
-        ProcessMessage { generation: p.generation, started: p.started.0, pid: p.pid }
+        ProcessMessage { generation: p.generation, started: p.started.as_micros(), pid: p.pid }
     }
 }
 
 impl From<ProcessMessage> for Process {
     fn from(p: ProcessMessage) -> Process {
-        Process { generation: p.generation, started: Micros(p.started), pid: p.pid }
+        Process { generation: p.generation, started: Timestamp::from_micros(p.started), pid: p.pid }
     }
 }
 
@@ -119,8 +120,8 @@
             },
             version: ban.word.version,
             out: ban.word.out,
-            until: ban.word.until.map(|t| t.0),
-            at: ban.word.at.0,
+            until: ban.word.until.map(|t| t.as_micros()),
+            at: ban.word.at.as_micros(),
             why: ban.word.why.clone(),
         }
     }
@@ -134,8 +135,8 @@
             word: Word {
                 version: ban.version,
                 out: ban.out,
-                until: ban.until.map(Micros),
-                at: Micros(ban.at),
+                until: ban.until.map(Timestamp::from_micros),
+                at: Timestamp::from_micros(ban.at),
                 why: ban.why,
             },
         }
@@ -145,11 +146,14 @@
 impl From<&Handover> for File {
     fn from(h: &Handover) -> File {
         let c = &h.content;
-        let ration =
-            c.ration.iter().map(|b| RationMessage { at: b.at.0, further: b.further, taken: b.taken });
+        let ration = c.ration.iter().map(|b| RationMessage {
+            at: b.at.as_micros(),
+            further: b.further,
+            taken: b.taken,
+        });
         let cold = c.cold.iter().map(|sends| ColdMessage {
             engine: sends.engine.clone(),
-            at: sends.buckets.iter().map(|b| b.at.0).collect(),
+            at: sends.buckets.iter().map(|b| b.at.as_micros()).collect(),
             work_ms: sends.buckets.iter().map(|b| b.work_ms).collect(),
         });
         File {
@@ -157,10 +161,10 @@
             listen: h.instance.listen.clone(),
             process: Some(h.process.into()),
             build: h.build.clone(),
-            written_at: h.written_at.0,
+            written_at: h.written_at.as_micros(),
             seq: h.seq,
             phase: PHASES.iter().position(|p| *p == h.phase).unwrap_or(0) as u32,
-            phase_since: h.phase_since.0,
+            phase_since: h.phase_since.as_micros(),
             room_for: h.room_for.iter().copied().map(ProcessMessage::from).collect(),
             bans: c.bans.iter().map(BanMessage::from).collect(),
             ids: c.ids.clone(),
@@ -202,20 +206,22 @@
             must(sends.at.len() <= BUCKETS_MOST, "cold.at: at most 64 buckets")?;
             must(sends.at.len() == sends.work_ms.len(), "cold: as many times as works")?;
             let buckets = sends.at.iter().zip(&sends.work_ms);
-            let buckets = buckets.map(|(at, work_ms)| ColdBucket { at: Micros(*at), work_ms: *work_ms });
+            let buckets = buckets
+                .map(|(at, work_ms)| ColdBucket { at: Timestamp::from_micros(*at), work_ms: *work_ms });
             cold.push(ColdSends { buckets: buckets.collect(), engine: sends.engine });
         }
         let ration = f.ration.iter();
-        let ration =
-            ration.map(|b| RationBucket { at: Micros(b.at), further: b.further, taken: b.taken }).collect();
+        let ration = ration
+            .map(|b| RationBucket { at: Timestamp::from_micros(b.at), further: b.further, taken: b.taken })
+            .collect();
         Ok(Handover {
             instance: Instance { name: f.name, listen: f.listen },
             process: process.into(),
             build: f.build,
-            written_at: Micros(f.written_at),
+            written_at: Timestamp::from_micros(f.written_at),
             seq: f.seq,
             phase: *phase,
-            phase_since: Micros(f.phase_since),
+            phase_since: Timestamp::from_micros(f.phase_since),
             room_for: f.room_for.into_iter().map(Process::from).collect(),
             content: Content { bans, ids: f.ids, ration, cold, last_event: f.last_event },
         })
--- a/crates/hot-restart/src/names.rs
+++ b/crates/hot-restart/src/names.rs
@@ -5,8 +5,8 @@
 //! the same pid: where a process is the first of its machine, each start has the same.
 
 use crate::content::{Instance, Process};
-use sprucelink_cordon::Micros;
 use sprucelink_stable_hash::stable_hash;
+use sprucelink_time::Timestamp;
 
 /// Entries of the folder that one listing goes through. A private folder holds a dozen; beyond this one the listing
 /// ends, and a file that was not reached is not seen.
@@ -25,7 +25,7 @@
     /// The process's id.
     pub pid: u32,
     /// When the process started.
-    pub started: Micros,
+    pub started: Timestamp,
     /// It is a file still being written, or one that its writer died over.
     pub temp: bool,
 }
@@ -46,8 +46,12 @@
         let (instance, process) = name.strip_prefix(HEAD)?.strip_suffix(TAIL)?.split_once('.')?;
         let (pid, started) = process.split_once('-')?;
         let instance = u32::from_str_radix(instance, 16).ok()?;
-        let parsed =
-            FileName { instance, pid: pid.parse().ok()?, started: Micros(started.parse().ok()?), temp };
+        let parsed = FileName {
+            instance,
+            pid: pid.parse().ok()?,
+            started: Timestamp::from_micros(started.parse().ok()?),
+            temp,
+        };
         // Guards against a second spelling of a name ("+7", "007"): a name is what this crate writes, or none.
         let written = format!("{parsed}{}", if temp { TEMP } else { "" });
         (written == format!("{name}{}", if temp { TEMP } else { "" })).then_some(parsed)
@@ -62,7 +66,7 @@
 impl std::fmt::Display for FileName {
     /// The name of the whole file.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{HEAD}{:08x}.{}-{}{TAIL}", self.instance, self.pid, self.started.0)
+        write!(f, "{HEAD}{:08x}.{}-{}{TAIL}", self.instance, self.pid, self.started.as_micros())
     }
 }
 
@@ -73,7 +77,8 @@
     #[test]
     fn names_are_read_as_written_and_nothing_else_is() {
         let instance = Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
-        let process = Process { generation: 9, started: Micros(1_700_000_000_000_000), pid: 7 };
+        let process =
+            Process { generation: 9, started: Timestamp::from_micros(1_700_000_000_000_000), pid: 7 };
         let of = FileName::of(&instance, &process);
         let name = of.to_string();
         assert!(name.ends_with(".7-1700000000000000.handover"), "{name}");
--- a/crates/hot-restart/src/phases.rs
+++ b/crates/hot-restart/src/phases.rs
@@ -13,19 +13,19 @@
 
 use crate::book::Other;
 use crate::content::{Phase, Process, ROOM_MOST};
-use sprucelink_cordon::Micros;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 /// A newcomer that could serve waits so long for the others to make room; then it serves without. They read files
 /// every 100 ms, so one that has not answered in a second is busy or stuck, and an upgrade must not hang on it.
-pub const ROOM_WAIT: Micros = Micros(1_000_000);
+pub const ROOM_WAIT: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// After SIGTERM with no younger process that serves, new connections are taken for so long: they still come.
-pub const STILL_COMING: Micros = Micros(700_000);
+pub const STILL_COMING: TimeDelta = TimeDelta::from_micros(700_000);
 /// In the first while after SIGTERM only sessions that have been idle for so long are let go: a client that was just
 /// answered may be writing its next request, which a close would cross.
-pub const IDLE_FOR: Micros = Micros(100_000);
+pub const IDLE_FOR: TimeDelta = TimeDelta::from_micros(100_000);
 /// After so long from SIGTERM any idle session is let go at once: what comes after [`STILL_COMING`] may be cut off
 /// by SIGKILL.
-pub const IDLE_WAIT: Micros = Micros(500_000);
+pub const IDLE_WAIT: TimeDelta = TimeDelta::from_micros(500_000);
 
 /// Where a process stands, and what it may do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// The phase.
     pub phase: Phase,
     /// Since when.
-    pub since: Micros,
+    pub since: Timestamp,
     /// Whether it accepts new connections from the listening socket that it shares. Whether this manager quiesces
     /// ([`sprucelink_cordon::Manager`]) is asked besides.
     pub accepts: bool,
@@ -46,7 +46,7 @@
     /// Whether it came to serve only because others did not make room within [`ROOM_WAIT`].
     pub without_room: bool,
     /// Sessions with no open request that have been idle for so long are to be closed; `None`: none are.
-    pub let_go: Option<Micros>,
+    pub let_go: Option<TimeDelta>,
     /// The processes that it makes room for, oldest first, to be told in its file: each of them counts in `parts`.
     pub room_for: Vec<Process>,
 }
@@ -56,16 +56,16 @@
 pub struct Upgrade {
     me: Process,
     phase: Phase,
-    since: Micros,
-    ready_since: Option<Micros>,
-    term_at: Option<Micros>,
+    since: Timestamp,
+    ready_since: Option<Timestamp>,
+    term_at: Option<Timestamp>,
     served: bool,
     without_room: bool,
 }
 
 impl Upgrade {
     /// A process that starts now.
-    pub fn new(me: Process, now: Micros) -> Upgrade {
+    pub fn new(me: Process, now: Timestamp) -> Upgrade {
         Upgrade {
             me,
             phase: Phase::Starting,
@@ -79,7 +79,7 @@
 
     /// Takes in where the others stand (as their files were last read), whether SIGTERM has come, and whether this
     /// process could serve. To be called after each look at the files, at SIGTERM and when it becomes able to serve.
-    pub fn step(&mut self, now: Micros, others: &[Other], term: bool, can_serve: bool) -> Stand {
+    pub fn step(&mut self, now: Timestamp, others: &[Other], term: bool, can_serve: bool) -> Stand {
         if term && self.term_at.is_none() {
             self.term_at = Some(now);
         }
@@ -110,11 +110,11 @@
     }
 
     /// It has ended: the phase of its last file.
-    pub fn gone(&mut self, now: Micros) {
+    pub fn gone(&mut self, now: Timestamp) {
         (self.phase, self.since) = (Phase::Gone, now);
     }
 
-    fn next(&mut self, now: Micros, accompanied: bool, made_room: bool, can_serve: bool) -> Phase {
+    fn next(&mut self, now: Timestamp, accompanied: bool, made_room: bool, can_serve: bool) -> Phase {
         if self.phase == Phase::Gone {
             return Phase::Gone;
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    fn accepts(&self, now: Micros, relieved: bool) -> bool {
+    fn accepts(&self, now: Timestamp, relieved: bool) -> bool {
         match (self.phase, self.term_at) {
             (Phase::Serving, _) => true,
             (Phase::Accompanied, _) => !relieved,
@@ -150,13 +150,13 @@
         }
     }
 
-    fn let_go(&self, now: Micros, relieved: bool) -> Option<Micros> {
+    fn let_go(&self, now: Timestamp, relieved: bool) -> Option<TimeDelta> {
         let at = self.term_at.filter(|_| self.phase == Phase::Leaving)?;
         let since = now - at;
         // Alone, it still takes what comes, on open sessions, too.
         if !relieved && since < STILL_COMING {
             return None;
         }
-        Some(if since < IDLE_WAIT { IDLE_FOR } else { Micros(0) })
+        Some(if since < IDLE_WAIT { IDLE_FOR } else { TimeDelta::ZERO })
     }
 }
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -12,13 +12,17 @@
 fn handover(content: Content) -> Handover {
     Handover {
         instance: me(),
-        process: Process { generation: 4, started: Micros(1_700_000_000_000_000), pid: 77 },
+        process: Process { generation: 4, started: Timestamp::from_micros(1_700_000_000_000_000), pid: 77 },
         build: "sprucelink 0.1.0".into(),
-        written_at: Micros(1_700_000_009_000_000),
+        written_at: Timestamp::from_micros(1_700_000_009_000_000),
         seq: 36,
         phase: Phase::Accompanied,
-        phase_since: Micros(1_700_000_008_000_000),
-        room_for: vec![Process { generation: 5, started: Micros(1_700_000_008_500_000), pid: 78 }],
+        phase_since: Timestamp::from_micros(1_700_000_008_000_000),
+        room_for: vec![Process {
+            generation: 5,
+            started: Timestamp::from_micros(1_700_000_008_500_000),
+            pid: 78,
+        }],
         content,
     }
 }
@@ -33,8 +37,8 @@
             let word = sprucelink_cordon::Word {
                 version,
                 out,
-                until: fleet.then_some(Micros(until)),
-                at: Micros(at),
+                until: fleet.then_some(Timestamp::from_micros(until)),
+                at: Timestamp::from_micros(at),
                 why,
             };
             sprucelink_cordon::Ban {
@@ -48,12 +52,12 @@
 
 fn content() -> impl Strategy<Value = Content> {
     let ration = (any::<i64>(), any::<u32>(), any::<u32>()).prop_map(|(at, further, taken)| RationBucket {
-        at: Micros(at),
+        at: Timestamp::from_micros(at),
         further,
         taken,
     });
-    let bucket =
-        (any::<i64>(), any::<u32>()).prop_map(|(at, work_ms)| ColdBucket { at: Micros(at), work_ms });
+    let bucket = (any::<i64>(), any::<u32>())
+        .prop_map(|(at, work_ms)| ColdBucket { at: Timestamp::from_micros(at), work_ms });
     let cold = ("[a-z]{0,20}", prop::collection::vec(bucket, 0..BUCKETS_MOST))
         .prop_map(|(engine, buckets)| ColdSends { engine, buckets });
     (
@@ -134,22 +138,23 @@
 #[test]
 fn the_fullest_content_fits() {
     let limits = Limits::default();
-    let now = Micros(1_700_000_000_000_000);
+    let now = Timestamp::from_micros(1_700_000_000_000_000);
     let mut o = Outages::new(limits);
     let permits = (u64::MAX - limits.bans as u64..).take(limits.bans);
     let id_bytes = limits.ban_bytes / limits.bans;
     for (i, permit) in permits.enumerate() {
         let id = format!("{i:0id_bytes$}");
         o.listed(&id);
-        let hold = Hold::Fleet { permit, until: now + Micros(1) };
+        let hold = Hold::Fleet { permit, until: now + TimeDelta::from_micros(1) };
         o.cordon(now, &Target::Engine(id), hold, &"w".repeat(WHY_MOST)).expect("within the bounds");
     }
     // The leases end: as many words that hold nothing as are kept, and then as many bans again.
-    o.expire(now + Micros(2));
+    o.expire(now + TimeDelta::from_micros(2));
     for i in 0..limits.bans {
-        let hold = Hold::Fleet { permit: u64::MAX, until: now + Micros(80_000_000_000) };
+        let hold = Hold::Fleet { permit: u64::MAX, until: now + TimeDelta::from_micros(80_000_000_000) };
         let target = Target::Engine(format!("{i:0id_bytes$}"));
-        o.cordon(now + Micros(3), &target, hold, &"w".repeat(WHY_MOST)).expect("within the bounds");
+        o.cordon(now + TimeDelta::from_micros(3), &target, hold, &"w".repeat(WHY_MOST))
+            .expect("within the bounds");
     }
     (0..limits.ids).for_each(|i| o.listed(&format!("s-{i}")));
     assert_eq!(o.sizes(), (limits.bans, limits.tombstones, limits.ids));
@@ -179,8 +184,13 @@
 /// A whole file with a ban that no call could make is refused, by field and rule: nothing of it is taken.
 #[test]
 fn a_ban_that_no_call_could_make_is_named() {
-    let word =
-        sprucelink_cordon::Word { version: 1, out: true, until: None, at: Micros(1), why: String::new() };
+    let word = sprucelink_cordon::Word {
+        version: 1,
+        out: true,
+        until: None,
+        at: Timestamp::from_micros(1),
+        why: String::new(),
+    };
     let ban = |id: &str| sprucelink_cordon::Ban {
         target: Target::Engine(id.into()),
         by: By::Operator,
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -7,7 +7,8 @@
 pub const MS: i64 = 1_000;
 const TICK: i64 = 10 * MS;
 pub const ENGINES: [&str; 3] = ["s-1", "s-2", "s-3"];
-const SPANS: Spans = Spans { ration: Micros(5_000 * MS), cold: Micros(2_000 * MS) };
+const SPANS: Spans =
+    Spans { ration: TimeDelta::from_micros(5_000 * MS), cold: TimeDelta::from_micros(2_000 * MS) };
 
 #[derive(Clone, Debug)]
 pub enum Event {
@@ -43,7 +44,7 @@
         }
     }
 
-    fn take(&mut self, now: Micros, looked: Looked) {
+    fn take(&mut self, now: Timestamp, looked: Looked) {
         for read in looked.read {
             let adopted = adopt(now, SPANS, read);
             self.outages.import_ids(&adopted.ids);
@@ -53,7 +54,7 @@
 
     /// Looks, steps and writes; `false`: the writer died over it.
     fn act(&mut self, now: i64) -> bool {
-        let t = Micros(now);
+        let t = Timestamp::from_micros(now);
         let looked = self.keeper.look(t);
         self.take(t, looked);
         self.keeper.step(t, self.term_at.is_some_and(|at| at <= now), now >= self.serves_at);
@@ -61,7 +62,7 @@
     }
 
     /// Whether it was written; `None`: it failed and the process lives.
-    fn write(&mut self, t: Micros) -> Option<bool> {
+    fn write(&mut self, t: Timestamp) -> Option<bool> {
         match self.keeper.write(t, self.content()) {
             Ok(_) => Some(true),
             Err(WriteFailed::Folder(e)) if e.kind() == std::io::ErrorKind::Interrupted => Some(false),
@@ -105,7 +106,7 @@
         let folder = self.folder.handle();
         let me = Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
         // The same pid for all: each is the first process of its machine.
-        let (keeper, looked) = Keeper::open(folder.clone(), me, "test", 7, Micros(self.now));
+        let (keeper, looked) = Keeper::open(folder.clone(), me, "test", 7, Timestamp::from_micros(self.now));
         let mut proc = Proc {
             keeper,
             folder,
@@ -118,7 +119,7 @@
             dead: false,
         };
         ENGINES.iter().for_each(|id| proc.outages.listed(id));
-        proc.take(Micros(self.now), looked);
+        proc.take(Timestamp::from_micros(self.now), looked);
         self.procs.push(proc);
     }
 
@@ -163,11 +164,11 @@
         let Some(p) = self.pick(n).filter(|p| p.frozen_until <= now) else { return };
         let target = Target::Engine(ENGINES[engine].into());
         if out {
-            p.outages.cordon(Micros(now), &target, Hold::Operator, "").expect("listed");
+            p.outages.cordon(Timestamp::from_micros(now), &target, Hold::Operator, "").expect("listed");
         } else {
-            p.outages.uncordon(Micros(now), &target, By::Operator).expect("listed");
+            p.outages.uncordon(Timestamp::from_micros(now), &target, By::Operator).expect("listed");
         }
-        match p.write(Micros(now)) {
+        match p.write(Timestamp::from_micros(now)) {
             Some(true) => self.promises[engine] = Some((now, out)),
             // It died before its yes: what was promised before still holds.
             Some(false) => p.dead = true,
@@ -191,7 +192,7 @@
         for p in self.procs.iter_mut().filter(|p| !p.dead && p.frozen_until <= now) {
             // SIGTERM is seen at once; all else in step with the looks.
             let termed = p.term_at == Some(now);
-            if !termed && (now - p.born) % LOOK.0 != 0 && p.frozen_until != now {
+            if !termed && (now - p.born) % LOOK.as_micros() != 0 && p.frozen_until != now {
                 continue;
             }
             let said = p.keeper.says_yes();
@@ -206,7 +207,8 @@
             if let Some(at) = p.term_at.filter(|at| now - at > 2_500 * MS) {
                 if p.born / TICK % 2 == 0 {
                     let content = p.content();
-                    p.dead = p.keeper.leave(Micros(now), content).is_ok() || now - at > 5_700 * MS;
+                    p.dead =
+                        p.keeper.leave(Timestamp::from_micros(now), content).is_ok() || now - at > 5_700 * MS;
                 } else {
                     p.dead = now - at > 5_700 * MS;
                 }
@@ -224,14 +226,14 @@
     fn check(&mut self) {
         let now = self.now;
         let awake = |p: &&Proc| !p.dead && p.frozen_until <= now;
-        let settled = LOOK.0 + 2 * TICK;
+        let settled = LOOK.as_micros() + 2 * TICK;
         for p in self.procs.iter().filter(awake).filter(|p| now - p.troubled > settled) {
             for (id, promise) in ENGINES.iter().zip(&self.promises) {
                 let Some((at, out)) = promise.filter(|(at, _)| now - at > settled) else { continue };
                 assert_eq!(p.outages.is_out(id), out, "{id} told {} ms ago", (now - at) / MS);
             }
             let waits = now - p.serves_at.max(p.born).max(p.troubled);
-            if p.term_at.is_none() && waits > ROOM_WAIT.0 + settled {
+            if p.term_at.is_none() && waits > ROOM_WAIT.as_micros() + settled {
                 assert!(p.keeper.says_yes(), "a newcomer is held up");
             }
         }
@@ -246,6 +248,10 @@
             self.dark_since = None;
         }
         let since = *self.dark_since.get_or_insert(now);
-        assert!(now - since <= DEAD_AFTER.0 + 2 * settled, "nobody accepts for {} ms", (now - since) / MS);
+        assert!(
+            now - since <= DEAD_AFTER.as_micros() + 2 * settled,
+            "nobody accepts for {} ms",
+            (now - since) / MS
+        );
     }
 }
--- a/crates/hot-restart/tests/disk.rs
+++ b/crates/hot-restart/tests/disk.rs
@@ -9,11 +9,11 @@
     Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() }
 }
 
-fn t(ms: i64) -> Micros {
-    Micros(1_700_000_000_000_000 + ms * 1_000)
+fn t(ms: i64) -> Timestamp {
+    Timestamp::from_micros(1_700_000_000_000_000 + ms * 1_000)
 }
 
-fn open(folder: &DiskFolder, pid: u32, at: Micros) -> (Keeper<DiskFolder>, Looked) {
+fn open(folder: &DiskFolder, pid: u32, at: Timestamp) -> (Keeper<DiskFolder>, Looked) {
     Keeper::open(folder.clone(), me(), "test", pid, at)
 }
 
@@ -35,7 +35,7 @@
     let mode = fs::metadata(dir.path().join(name(&elder))).expect("there").permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
     // The clock is set back by an hour between the two starts: the newcomer is the younger one all the same.
-    let back = |ms| t(ms) - Micros(3_600_000_000);
+    let back = |ms| t(ms) - TimeDelta::from_micros(3_600_000_000);
     let (mut newcomer, looked) = open(&folder, 40, back(100));
     assert_eq!((looked.read.len(), looked.read[0].content.last_event), (1, 9));
     assert_eq!((newcomer.process().generation, newcomer.process() > elder.process()), (2, true));
--- a/crates/hot-restart/tests/phases.rs
+++ b/crates/hot-restart/tests/phases.rs
@@ -5,12 +5,12 @@
 
 const MS: i64 = 1_000;
 
-fn t(ms: i64) -> Micros {
-    Micros(1_700_000_000_000_000 + ms * MS)
+fn t(ms: i64) -> Timestamp {
+    Timestamp::from_micros(1_700_000_000_000_000 + ms * MS)
 }
 
 fn process(generation: u64) -> Process {
-    Process { generation, started: Micros(generation as i64), pid: 7 }
+    Process { generation, started: Timestamp::from_micros(generation as i64), pid: 7 }
 }
 
 /// What another's file tells, from where it stands.
@@ -37,7 +37,7 @@
     let stand = p.step(t(1_000), &[], true, true);
     assert_eq!((stand.phase, stand.accepts, stand.let_go), (Phase::Leaving, true, None));
     let stand = p.step(t(1_000) + STILL_COMING, &[], true, true);
-    assert_eq!((stand.accepts, stand.let_go, stand.yes), (false, Some(Micros(0)), true));
+    assert_eq!((stand.accepts, stand.let_go, stand.yes), (false, Some(TimeDelta::ZERO), true));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let e = elder.step(t(650), &[told(process(2), &n)], true, true);
     assert_eq!((e.phase, e.accepts, e.let_go), (Phase::Leaving, false, Some(IDLE_FOR)));
     let e = elder.step(t(650) + IDLE_WAIT, &[told(process(2), &n)], true, true);
-    assert_eq!(e.let_go, Some(Micros(0)));
+    assert_eq!(e.let_go, Some(TimeDelta::ZERO));
     let n = newcomer.step(t(1_300), &[told(process(1), &e)], false, true);
     assert_eq!((n.phase, n.parts), (Phase::Serving, 2), "an elder that leaves still spends");
     elder.gone(t(2_000));
@@ -119,7 +119,7 @@
 
 #[test]
 fn two_that_start_at_once_go_one_after_the_other() {
-    let same = |started| Process { generation: 1, started: Micros(started), pid: 7 };
+    let same = |started| Process { generation: 1, started: Timestamp::from_micros(started), pid: 7 };
     let (mut a, mut b) = (Upgrade::new(same(1), t(0)), Upgrade::new(same(2), t(0)));
     let fresh = |process| Other { process, phase: Phase::Starting, room_for: Vec::new() };
     let first = a.step(t(10), &[fresh(same(2))], false, true);
--- a/crates/hot-restart/tests/world.rs
+++ b/crates/hot-restart/tests/world.rs
@@ -113,14 +113,14 @@
             me.clone(),
             "t",
             8,
-            sprucelink_hot_restart::Micros(w.now),
+            sprucelink_hot_restart::Timestamp::from_micros(w.now),
         )
     };
     let foreign = "sprucelink.00000001.9-5.handover";
     w.folder.lay(foreign, b"another's");
     let (writer, reader) = (w.folder.handle(), w.folder.handle());
     let (mut elder, _) = open(writer.clone());
-    let at = |ms: i64| sprucelink_hot_restart::Micros(w.now + ms * MS);
+    let at = |ms: i64| sprucelink_hot_restart::Timestamp::from_micros(w.now + ms * MS);
     writer.fail_next(Fault::TornFile(40));
     elder.step(at(0), false, true);
     elder.write(at(0), Default::default()).expect("it hears nothing of it");
--- a/crates/membership/examples/model.rs
+++ b/crates/membership/examples/model.rs
@@ -6,7 +6,7 @@
 use common::{Net, S};
 use sprucelink_membership::swim::What;
 use sprucelink_membership::terms::Protocol;
-use sprucelink_membership::Micros;
+use sprucelink_membership::TimeDelta;
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
     sorted
@@ -27,8 +27,8 @@
         let mut net = Net::new(n, Protocol::default(), 1);
         let settled = net.settle(300).unwrap_or(f64::NAN);
         let (bytes, messages, begun) = (net.bytes, net.messages, net.now);
-        net.run(net.now + Micros(60 * S));
-        let span = (net.now - begun).secs() * n as f64;
+        net.run(net.now + TimeDelta::from_micros(60 * S));
+        let span = (net.now - begun).as_secs_f64() * n as f64;
         let (bytes, messages) = ((net.bytes - bytes) as f64 / span, (net.messages - messages) as f64 / span);
         // Crashes, one at a time.
         let crashes = 20.min(n / 2);
@@ -36,10 +36,10 @@
         for k in 0..crashes {
             let (i, at) = (n - 1 - k, net.now);
             net.crash(i);
-            net.run(net.now + Micros(40 * S));
+            net.run(net.now + TimeDelta::from_micros(40 * S));
             let told = net.told(&format!("n{i}"), What::Died, at);
-            first.extend(told.iter().min().map(|t| (*t - at).secs()));
-            all.extend(told.iter().max().map(|t| (*t - at).secs()));
+            first.extend(told.iter().min().map(|t| (*t - at).as_secs_f64()));
+            all.extend(told.iter().max().map(|t| (*t - at).as_secs_f64()));
             net.start(i);
             net.settle(60);
         }
@@ -48,13 +48,13 @@
         // One in ten lost.
         net.loss = 0.1;
         let since = net.now;
-        net.run(net.now + Micros(quiet * S));
+        net.run(net.now + TimeDelta::from_micros(quiet * S));
         let (dead, suspected) = (net.count(What::Died, since), net.count(What::Suspected, since));
         net.loss = 0.0;
         net.settle(60);
         // Two thirds and one third apart for a minute.
         net.parted = Some((0..n).map(|i| i >= n * 2 / 3).collect());
-        net.run(net.now + Micros(60 * S));
+        net.run(net.now + TimeDelta::from_micros(60 * S));
         net.parted = None;
         let heal = net.settle(300).unwrap_or(f64::NAN);
         println!(
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,4 +19,4 @@
 pub mod swim;
 pub mod terms;
 
-pub use sprucelink_policy::Micros;
+pub use sprucelink_time::{TimeDelta, Timestamp};
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -16,7 +16,7 @@
 use crate::codec::{self, Kind, Member, Message, State, Update, MOST_DATAGRAM};
 use crate::facts::{Board, Facts};
 use crate::terms::Protocol;
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -40,7 +40,7 @@
 const LAST_CALLS: u32 = 5;
 const CALL_GAP: f64 = 1.2;
 /// Rounds of news also go to the dead for so long, so that one wrongly taken for dead hears of it and refutes.
-const TELL_DEAD: Micros = Micros(30_000_000);
+const TELL_DEAD: TimeDelta = TimeDelta::from_micros(30_000_000);
 
 /// This member.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// When.
-    pub at: Micros,
+    pub at: Timestamp,
     /// Who.
     pub name: String,
     /// What.
@@ -112,9 +112,9 @@
 
 #[derive(Clone, Debug)]
 struct Suspicion {
-    began: Micros,
-    least: Micros,
-    most: Micros,
+    began: Timestamp,
+    least: TimeDelta,
+    most: TimeDelta,
     wanted: u32,
     by: BTreeSet<String>,
     calls: u32,
@@ -122,25 +122,25 @@
 
 impl Suspicion {
     /// When it ends: at its most while one alone suspects, at its least once enough others have confirmed.
-    fn ends(&self) -> Micros {
+    fn ends(&self) -> Timestamp {
         let confirmed = (self.by.len().saturating_sub(1) as f64).min(f64::from(self.wanted));
         let share =
             if self.wanted == 0 { 1.0 } else { (confirmed + 1.0).ln() / f64::from(self.wanted + 1).ln() };
-        let span = self.most.secs() - (self.most.secs() - self.least.secs()) * share;
-        self.began + Micros::from_secs(span.max(self.least.secs()))
+        let span = self.most.as_secs_f64() - (self.most.as_secs_f64() - self.least.as_secs_f64()) * share;
+        self.began + TimeDelta::from_secs_f64(span.max(self.least.as_secs_f64()))
     }
 
     /// When the suspect is called once more before it ends; none once all calls were made.
-    fn next_call(&self, gap: Micros) -> Option<Micros> {
+    fn next_call(&self, gap: TimeDelta) -> Option<Timestamp> {
         let left = LAST_CALLS.checked_sub(self.calls).filter(|left| *left > 0)?;
-        Some(self.ends() - Micros(gap.0 * i64::from(left)))
+        Some(self.ends() - TimeDelta::from_micros(gap.as_micros() * i64::from(left)))
     }
 }
 
 #[derive(Clone, Debug)]
 struct Held {
     member: Member,
-    since: Micros,
+    since: Timestamp,
     suspicion: Option<Suspicion>,
 }
 
@@ -155,8 +155,8 @@
     target: String,
     life: u64,
     seq: u32,
-    ask_at: Micros,
-    ends: Micros,
+    ask_at: Timestamp,
+    ends: Timestamp,
     asked: u32,
     nacks: u32,
     acked: bool,
@@ -166,7 +166,7 @@
 struct Relay {
     origin: SocketAddr,
     seq: u32,
-    until: Micros,
+    until: Timestamp,
 }
 
 /// News that is still to be spread: member's news before summaries, then what was sent least.
@@ -190,14 +190,14 @@
     relays: BTreeMap<u32, Relay>,
     seq: u32,
     health: u32,
-    ticked: Micros,
-    next_probe: Micros,
-    next_gossip: Micros,
-    next_rejoin: Micros,
+    ticked: Timestamp,
+    next_probe: Timestamp,
+    next_gossip: Timestamp,
+    next_rejoin: Timestamp,
     /// Whether the next comparison goes to a seed or to the dead.
     outward: bool,
     views: f64,
-    views_filled: Micros,
+    views_filled: Timestamp,
     left: bool,
     superseded: bool,
     out: Vec<(SocketAddr, Message)>,
@@ -207,7 +207,7 @@
 
 impl Swim {
     /// A member that starts now and knows its seeds only; it asks them at the first tick.
-    pub fn new(me: Me, seeds: Vec<SocketAddr>, terms: Protocol, seed: u64, now: Micros) -> Swim {
+    pub fn new(me: Me, seeds: Vec<SocketAddr>, terms: Protocol, seed: u64, now: Timestamp) -> Swim {
         let seeds = seeds.into_iter().filter(|s| *s != me.address).collect();
         let mut swim = Swim {
             me,
@@ -299,7 +299,7 @@
     }
 
     /// When [`Swim::tick`] wants to be called next at the latest.
-    pub fn due(&self) -> Micros {
+    pub fn due(&self) -> Timestamp {
         let probe = self.probe.as_ref().filter(|p| !p.acked && p.asked == 0).map(|p| p.ask_at);
         let relay = self.relays.values().map(|r| r.until).min();
         let gap = self.ms(self.terms.timeout_ms * CALL_GAP);
@@ -332,9 +332,9 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Micros) {
+    pub fn tick(&mut self, now: Timestamp) {
         let gap = now - std::mem::replace(&mut self.ticked, now);
-        if gap.secs() > STOPPED * self.terms.period_ms / 1e3 {
+        if gap.as_secs_f64() > STOPPED * self.terms.period_ms / 1e3 {
             self.was_stopped(now, gap);
         }
         if self.left || self.superseded {
@@ -364,7 +364,7 @@
     }
 
     /// A message came.
-    pub fn receive(&mut self, now: Micros, message: Message) {
+    pub fn receive(&mut self, now: Timestamp, message: Message) {
         self.counters.received += 1;
         let (name, life, address) = message.from;
         if name == self.me.name {
@@ -430,14 +430,14 @@
         Member { name, life, incarnation: self.incarnation, state, address, zone, region }
     }
 
-    fn supersede(&mut self, now: Micros, life: u64) {
+    fn supersede(&mut self, now: Timestamp, life: u64) {
         if life > self.me.life && !self.superseded {
             self.superseded = true;
             self.change(now, self.me.name.clone(), What::Superseded, String::new());
         }
     }
 
-    fn change(&mut self, at: Micros, name: String, what: What, by: String) {
+    fn change(&mut self, at: Timestamp, name: String, what: What, by: String) {
         if self.changes.len() >= MOST_CHANGES {
             self.changes.pop_front();
         }
@@ -449,7 +449,7 @@
     }
 
     /// A word on a member came.
-    fn hear(&mut self, now: Micros, m: Member, by: String) {
+    fn hear(&mut self, now: Timestamp, m: Member, by: String) {
         if m.name == self.me.name {
             self.hear_of_me(now, &m);
             return;
@@ -510,7 +510,7 @@
         }
     }
 
-    fn bring_in(&mut self, now: Micros, m: Member, by: String, what: What) {
+    fn bring_in(&mut self, now: Timestamp, m: Member, by: String, what: What) {
         self.board.forget(&m.name);
         let suspect = m.state == State::Suspect;
         let alive = Member { state: State::Alive, ..m.clone() };
@@ -523,7 +523,7 @@
         }
     }
 
-    fn suspect(&mut self, now: Micros, m: Member, by: String) {
+    fn suspect(&mut self, now: Timestamp, m: Member, by: String) {
         let size = self.size() as f64;
         let least = self.terms.suspicion_least * size.max(10.0).log10() * self.terms.period_ms;
         // With too few others to confirm it a suspicion could only last its most.
@@ -541,7 +541,7 @@
         self.spread_news(told, by);
     }
 
-    fn end(&mut self, now: Micros, m: Member, by: String) {
+    fn end(&mut self, now: Timestamp, m: Member, by: String) {
         let Some(held) = self.members.get_mut(&m.name) else { return };
         (held.member.state, held.member.incarnation, held.since) = (m.state, m.incarnation, now);
         held.suspicion = None;
@@ -554,7 +554,7 @@
     }
 
     /// A word on this member itself: what is not so is refuted by a higher incarnation.
-    fn hear_of_me(&mut self, now: Micros, m: &Member) {
+    fn hear_of_me(&mut self, now: Timestamp, m: &Member) {
         self.supersede(now, m.life);
         let wrong = m.state != State::Alive && m.life == self.me.life && m.incarnation >= self.incarnation;
         if wrong && !self.left {
@@ -575,7 +575,7 @@
     }
 
     /// Puts suspicions that are about to end to the suspects themselves.
-    fn last_calls(&mut self, now: Micros) {
+    fn last_calls(&mut self, now: Timestamp) {
         let gap = self.ms(self.terms.timeout_ms * CALL_GAP);
         let mut calls = Vec::new();
         for h in self.members.values_mut() {
@@ -592,7 +592,7 @@
         }
     }
 
-    fn end_suspicions(&mut self, now: Micros) {
+    fn end_suspicions(&mut self, now: Timestamp) {
         let over = |h: &&Held| h.suspicion.as_ref().is_some_and(|s| s.ends() <= now);
         let ended: Vec<Member> = self.members.values().filter(over).map(|h| h.member.clone()).collect();
         for m in ended {
@@ -601,23 +601,23 @@
         }
     }
 
-    fn forget(&mut self, now: Micros) {
-        let keep = Micros::from_secs(self.terms.keep_dead_s);
+    fn forget(&mut self, now: Timestamp) {
+        let keep = TimeDelta::from_secs_f64(self.terms.keep_dead_s);
         self.members.retain(|_, h| h.here() || now - h.since <= keep);
     }
 
     // ---- Probes ------------------------------------------------------------------------------
 
-    fn ms(&self, ms: f64) -> Micros {
-        Micros::from_secs(ms / 1e3)
+    fn ms(&self, ms: f64) -> TimeDelta {
+        TimeDelta::from_secs_f64(ms / 1e3)
     }
 
-    fn scaled(&self, ms: f64) -> Micros {
+    fn scaled(&self, ms: f64) -> TimeDelta {
         self.ms(ms * f64::from(1 + self.health))
     }
 
-    fn spread(&mut self, ms: f64) -> Micros {
-        Micros::from_secs(ms / 1e3 * self.rng.gen::<f64>())
+    fn spread(&mut self, ms: f64) -> TimeDelta {
+        TimeDelta::from_secs_f64(ms / 1e3 * self.rng.gen::<f64>())
     }
 
     fn worse(&mut self, by: u32) {
@@ -629,7 +629,7 @@
         self.seq
     }
 
-    fn probe_on(&mut self, now: Micros) {
+    fn probe_on(&mut self, now: Timestamp) {
         if let Some(p) = &self.probe {
             if !p.acked && p.asked == 0 && now >= p.ask_at && now < p.ends {
                 self.ask_others();
@@ -664,7 +664,7 @@
     }
 
     /// The last probe's verdict.
-    fn conclude(&mut self, now: Micros) {
+    fn conclude(&mut self, now: Timestamp) {
         let Some(p) = self.probe.take() else { return };
         if p.acked {
             self.health = self.health.saturating_sub(1);
@@ -718,7 +718,7 @@
         }
     }
 
-    fn relay_on(&mut self, now: Micros) {
+    fn relay_on(&mut self, now: Timestamp) {
         let late: Vec<u32> = self.relays.iter().filter(|(_, r)| r.until <= now).map(|(s, _)| *s).collect();
         for seq in late {
             if let Some(relay) = self.relays.remove(&seq) {
@@ -740,7 +740,7 @@
         None
     }
 
-    fn was_stopped(&mut self, now: Micros, gap: Micros) {
+    fn was_stopped(&mut self, now: Timestamp, gap: TimeDelta) {
         self.counters.stopped += 1;
         self.probe = None;
         self.relays.clear();
@@ -833,8 +833,8 @@
         self.send_with(to, Kind::Digest(digest, count, answered), vec![mine]);
     }
 
-    fn may_send_view(&mut self, now: Micros) -> bool {
-        let gained = (now - self.views_filled).secs().max(0.0) * VIEWS_A_SECOND;
+    fn may_send_view(&mut self, now: Timestamp) -> bool {
+        let gained = (now - self.views_filled).as_secs_f64().max(0.0) * VIEWS_A_SECOND;
         (self.views, self.views_filled) = ((self.views + gained).min(VIEWS_A_SECOND), now);
         let may = self.views >= 1.0;
         self.views -= f64::from(u8::from(may));
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use sprucelink_membership::codec::{self, Message};
 use sprucelink_membership::swim::{Change, Me, Swim, What};
 use sprucelink_membership::terms::Protocol;
-use sprucelink_membership::Micros;
+use sprucelink_membership::{TimeDelta, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 pub struct Net {
     pub terms: Protocol,
     pub nodes: Vec<Option<Swim>>,
-    pub now: Micros,
+    pub now: Timestamp,
     pub loss: f64,
     pub delay: [i64; 2],
     /// Share lost on one way: from, to, share.
@@ -46,7 +46,7 @@
     pub bytes: u64,
     pub messages: u64,
     pub changes: Vec<(usize, Change)>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, Due)>>,
     flying: BTreeMap<u64, Message>,
     waiting: Vec<Vec<Message>>,
     rng: ChaCha8Rng,
@@ -59,7 +59,7 @@
         let mut net = Net {
             terms,
             nodes: (0..n).map(|_| None).collect(),
-            now: Micros(0),
+            now: Timestamp::ZERO,
             loss: 0.0,
             delay: [500, 2_000],
             one_way: Vec::new(),
@@ -82,7 +82,7 @@
 
     /// Starts member `i`, or a new process under its name.
     pub fn start(&mut self, i: usize) {
-        let life = 1_000 + (self.now.0 / 1_000) as u64;
+        let life = 1_000 + (self.now.as_micros() / 1_000) as u64;
         let (name, zone) = (format!("n{i}"), format!("hall-{}", if i.is_multiple_of(2) { "a" } else { "b" }));
         let me = Me { name, life, address: address(i), zone, region: "north".into() };
         let seeds = (0..3).map(address).collect();
@@ -96,7 +96,7 @@
         self.nodes[i] = None;
     }
 
-    fn push(&mut self, at: Micros, due: Due) {
+    fn push(&mut self, at: Timestamp, due: Due) {
         self.count += 1;
         self.queue.push(Reverse((at, self.count, due)));
     }
@@ -121,12 +121,12 @@
                 self.count += 1;
                 let key = self.count;
                 self.flying.insert(key, message);
-                let at = Micros(self.now.0 + flight);
+                let at = Timestamp::from_micros(self.now.as_micros() + flight);
                 self.push(at, Due::Message(key, j));
             }
         }
         if let Some(due) = self.nodes[i].as_ref().map(Swim::due) {
-            let at = due.max(Micros(self.now.0 + 1_000));
+            let at = due.max(Timestamp::from_micros(self.now.as_micros() + 1_000));
             self.push(at, Due::Tick(i));
         }
     }
@@ -143,7 +143,7 @@
     }
 
     /// Time passes, up to `until`.
-    pub fn run(&mut self, until: Micros) {
+    pub fn run(&mut self, until: Timestamp) {
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
             if *at > until {
                 break;
@@ -196,21 +196,21 @@
         let begun = self.now;
         for _ in 0..most * 10 {
             if self.agree() {
-                return Some((self.now - begun).secs());
+                return Some((self.now - begun).as_secs_f64());
             }
-            self.run(self.now + Micros(S / 10));
+            self.run(self.now + TimeDelta::from_micros(S / 10));
         }
         None
     }
 
     /// How many told that something happened to member `name` after a time.
-    pub fn told(&self, name: &str, what: What, since: Micros) -> Vec<Micros> {
+    pub fn told(&self, name: &str, what: What, since: Timestamp) -> Vec<Timestamp> {
         let of = |c: &&(usize, Change)| c.1.name == name && c.1.what == what && c.1.at >= since;
         self.changes.iter().filter(of).map(|c| c.1.at).collect()
     }
 
     /// Deaths and suspicions told of members that were alive at the time: by `what`.
-    pub fn count(&self, what: What, since: Micros) -> usize {
+    pub fn count(&self, what: What, since: Timestamp) -> usize {
         self.changes.iter().filter(|c| c.1.what == what && c.1.at >= since).count()
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -6,7 +6,7 @@
 use sprucelink_membership::facts::Facts;
 use sprucelink_membership::swim::What;
 use sprucelink_membership::terms::Protocol;
-use sprucelink_membership::Micros;
+use sprucelink_membership::{TimeDelta, Timestamp};
 
 fn settled(n: usize, seed: u64) -> Net {
     let mut net = Net::new(n, Protocol::default(), seed);
@@ -15,8 +15,8 @@
     net
 }
 
-fn after(net: &Net, s: i64) -> Micros {
-    net.now + Micros(s * S)
+fn after(net: &Net, s: i64) -> Timestamp {
+    net.now + TimeDelta::from_micros(s * S)
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let mut net = Net::new(110, Protocol::default(), 2);
     let took = net.settle(60).expect("a hundred more at once settle, too");
     assert!(took < 30.0, "{took} s");
-    assert_eq!(net.count(What::Died, Micros(0)), 0);
+    assert_eq!(net.count(What::Died, Timestamp::ZERO), 0);
 }
 
 /// A crash is told of by all within the suspicion's time and some rounds of news.
@@ -213,7 +213,7 @@
     let go = || {
         let mut net = Net::new(15, Protocol::default(), 77);
         net.loss = 0.2;
-        net.run(Micros(60 * S));
+        net.run(Timestamp::from_micros(60 * S));
         (net.bytes, net.messages, net.changes.len())
     };
     assert_eq!(go(), go());
