--- a/crates/settings/src/told.rs
+++ b/crates/settings/src/told.rs
@@ -238,7 +238,7 @@
             cold_for: rules.cold.span(),
             order_settle: rules.order_settle.span(),
             attempt_budget: rules.ratio_span.0.map(|span| AttemptBudget {
-                span: Micros::from_secs(span),
+                span: TimeDelta::from_secs_f64(span),
                 free: rules.free_resends.or(0.0),
                 share: rules.budget_share.or(0.0),
             }),
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -4,7 +4,7 @@
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{self, Deserializer, MapAccess, Unexpected, Visitor};
 use serde::Deserialize;
-use sprucelink_policy::Micros;
+use sprucelink_time::TimeDelta;
 use std::fmt;
 use std::marker::PhantomData;
 
@@ -28,8 +28,8 @@
         self.0.unwrap_or(absent)
     }
     /// The number of seconds as a span; zero where it is absent.
-    pub fn span(self) -> Micros {
-        Micros::from_secs(self.or(0.0))
+    pub fn span(self) -> TimeDelta {
+        TimeDelta::from_secs_f64(self.or(0.0))
     }
 }
 
--- a/crates/settings/tests/customers.rs
+++ b/crates/settings/tests/customers.rs
@@ -2,7 +2,7 @@
 //! nothing of one configuration is left in the next.
 
 use serde_json::{json, Value};
-use sprucelink_policy::{DedupGroup, Effect, Micros};
+use sprucelink_policy::{DedupGroup, Effect, TimeDelta};
 use sprucelink_settings::{pairs, Platform};
 
 fn read(settings: &Value) -> Platform<Value> {
@@ -40,7 +40,7 @@
     let groups: Vec<DedupGroup> = set.classes.iter().map(|c| c.group).collect();
     use DedupGroup::{All, Cell, Zone};
     assert_eq!(groups, [All, Zone, Cell, All, All, Cell], "what is not known is the narrowest");
-    let windows: Vec<i64> = set.classes.iter().map(|c| c.repeat_window.0).collect();
+    let windows: Vec<i64> = set.classes.iter().map(|c| c.repeat_window.as_micros()).collect();
     // Shorter than the deadline, none, longer: as told.
     assert_eq!(windows, [0, 0, 1_000_000, 5_000_000, 30_000_000, 1_000_000]);
     let names: Vec<&str> = told.profiles.iter().map(|p| p.name.0.as_str()).collect();
@@ -51,9 +51,9 @@
     assert_eq!(quotas, [f64::MAX, 0.0, 0.5]);
     assert_eq!(told.zones.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
     // Limits at their ends are limits, and not absent ones.
-    assert_eq!((set.idle, set.drain_grace), (Micros(0), Micros(0)));
+    assert_eq!((set.idle, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
     let ration = set.attempt_budget.expect("told");
-    assert_eq!((ration.span, ration.free, ration.share), (Micros(0), 0.0, 0.0));
+    assert_eq!((ration.span, ration.free, ration.share), (TimeDelta::ZERO, 0.0, 0.0));
 }
 
 /// A site that has none of what others have: no tenants, zones, limits or hints.
@@ -63,7 +63,7 @@
         read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []})).settings.settings();
     assert!(set.tenants.is_empty() && set.attempt_budget.is_none() && set.zone.is_none());
     assert_eq!((set.classes.len(), set.classes[0].effect, set.gateways), (1, Effect::Unsafe, 1));
-    assert_eq!((set.max_attempts, set.classes[0].repeat_window), (1, Micros(0)));
+    assert_eq!((set.max_attempts, set.classes[0].repeat_window), (1, TimeDelta::ZERO));
     assert!(set.classes[0].zones.is_none() && set.classes[0].kinds.is_none());
 }
 
--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -11,18 +11,18 @@
 //! hand drain at the mean latency seen, jittered by half either way so that clients refused together do not
 //! return together.
 
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 use sprucelink_stable_hash::within;
 
 /// Latency taken for the mean before an answer tells, and the weight of one answer in it.
-const FIRST_LATENCY: Micros = Micros(200_000);
+const FIRST_LATENCY: TimeDelta = TimeDelta::from_millis(200);
 const LATENCY_STEP: f64 = 0.2;
 /// Bounds of the advice to come back: under the first a client meets the same moment, over the second the
 /// warm-up has moved on.
-const COME_BACK: [Micros; 2] = [Micros(100_000), Micros(2_000_000)];
+const COME_BACK: [TimeDelta; 2] = [TimeDelta::from_millis(100), TimeDelta::from_millis(2_000)];
 /// The bound never falls under this: one request in hand at least finds out whether things are better.
 const LEAST: f64 = 1.0;
 
@@ -64,7 +64,7 @@
 pub struct WarmAdmission {
     terms: AdmissionTerms,
     rng: ChaCha8Rng,
-    until: Micros,
+    until: Timestamp,
     bound: f64,
     latency: f64,
     over: bool,
@@ -73,12 +73,12 @@
 
 impl WarmAdmission {
     /// The admission of a manager that starts now; `seed` for the jitter of its advice.
-    pub fn new(terms: AdmissionTerms, seed: u64, now: Micros) -> WarmAdmission {
+    pub fn new(terms: AdmissionTerms, seed: u64, now: Timestamp) -> WarmAdmission {
         WarmAdmission {
-            until: now + Micros::from_secs(terms.warm_ms / 1_000.0),
+            until: now + TimeDelta::from_secs_f64(terms.warm_ms / 1_000.0),
             rng: ChaCha8Rng::seed_from_u64(seed ^ 0xad31_5510),
             bound: terms.first,
-            latency: FIRST_LATENCY.secs(),
+            latency: FIRST_LATENCY.as_secs_f64(),
             over: terms.warm_ms <= 0.0,
             refused: 0,
             terms,
@@ -86,7 +86,7 @@
     }
 
     /// A request came while `in_hand` others are open: `Ok` if it may be taken, else when to come back.
-    pub fn admit(&mut self, now: Micros, in_hand: usize) -> Result<(), Micros> {
+    pub fn admit(&mut self, now: Timestamp, in_hand: usize) -> Result<(), TimeDelta> {
         self.over |= now >= self.until;
         if self.over || (in_hand as f64) < self.bound {
             return Ok(());
@@ -94,12 +94,12 @@
         self.refused += 1;
         let rounds = in_hand as f64 / self.bound;
         let wait = self.latency * rounds * self.rng.gen_range(0.5..=1.5);
-        Err(Micros::from_secs(wait).max(COME_BACK[0]).min(COME_BACK[1]))
+        Err(TimeDelta::from_secs_f64(wait).max(COME_BACK[0]).min(COME_BACK[1]))
     }
 
     /// A request was served `latency` after it came.
-    pub fn served(&mut self, latency: Micros) {
-        self.latency += LATENCY_STEP * (latency.secs().max(0.0) - self.latency);
+    pub fn served(&mut self, latency: TimeDelta) {
+        self.latency += LATENCY_STEP * (latency.as_secs_f64().max(0.0) - self.latency);
         self.bound = (self.bound + self.terms.gain).min(self.terms.open_at);
         self.over |= self.bound >= self.terms.open_at;
     }
--- a/crates/startup/src/admission_tests.rs
+++ b/crates/startup/src/admission_tests.rs
@@ -6,43 +6,48 @@
 
 #[test]
 fn the_bound_doubles_by_the_round_and_opens() {
-    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Micros(0));
-    assert!(a.admit(Micros(0), 15).is_ok());
-    let wait = a.admit(Micros(0), 16).expect_err("over the bound");
+    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Timestamp::ZERO);
+    assert!(a.admit(Timestamp::ZERO, 15).is_ok());
+    let wait = a.admit(Timestamp::ZERO, 16).expect_err("over the bound");
     assert!(wait >= COME_BACK[0] && wait <= COME_BACK[1], "{wait:?}");
-    (0..16).for_each(|_| a.served(Micros(50 * MS)));
-    assert!(a.admit(Micros(MS), 31).is_ok() && a.admit(Micros(MS), 32).is_err());
-    (0..96).for_each(|_| a.served(Micros(50 * MS)));
-    assert!(a.over() && a.admit(Micros(2 * MS), 5_000).is_ok());
+    (0..16).for_each(|_| a.served(TimeDelta::from_micros(50 * MS)));
+    assert!(
+        a.admit(Timestamp::from_micros(MS), 31).is_ok() && a.admit(Timestamp::from_micros(MS), 32).is_err()
+    );
+    (0..96).for_each(|_| a.served(TimeDelta::from_micros(50 * MS)));
+    assert!(a.over() && a.admit(Timestamp::from_micros(2 * MS), 5_000).is_ok());
     assert_eq!(a.refused(), 2);
 }
 
 #[test]
 fn what_pushes_back_cuts_the_bound_and_never_to_nothing() {
-    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Micros(0));
+    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Timestamp::ZERO);
     a.pushed_back();
     assert!((a.bound() - 11.2).abs() < 1e-9);
     (0..100).for_each(|_| a.pushed_back());
-    assert!(a.admit(Micros(0), 0).is_ok(), "one in hand is always taken");
-    assert!(a.admit(Micros(0), 1).is_err());
+    assert!(a.admit(Timestamp::ZERO, 0).is_ok(), "one in hand is always taken");
+    assert!(a.admit(Timestamp::ZERO, 1).is_err());
 }
 
 #[test]
 fn time_ends_the_warm_up_for_good_and_zero_is_off() {
-    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Micros(0));
-    assert!(a.admit(Micros(4_999 * MS), 500).is_err());
-    assert!(a.admit(Micros(5_000 * MS), 500).is_ok());
-    assert!(a.over() && a.admit(Micros(0), 500).is_ok(), "a clock that steps back does not begin it anew");
+    let mut a = WarmAdmission::new(AdmissionTerms::default(), 1, Timestamp::ZERO);
+    assert!(a.admit(Timestamp::from_micros(4_999 * MS), 500).is_err());
+    assert!(a.admit(Timestamp::from_micros(5_000 * MS), 500).is_ok());
+    assert!(
+        a.over() && a.admit(Timestamp::ZERO, 500).is_ok(),
+        "a clock that steps back does not begin it anew"
+    );
     let off = AdmissionTerms { warm_ms: 0.0, ..AdmissionTerms::default() };
-    assert!(WarmAdmission::new(off, 1, Micros(0)).admit(Micros(0), 500).is_ok());
+    assert!(WarmAdmission::new(off, 1, Timestamp::ZERO).admit(Timestamp::ZERO, 500).is_ok());
 }
 
 /// Clients that are refused together come back spread out, and the same seed gives the same advice.
 #[test]
 fn advice_is_spread() {
     let waits = |seed| -> Vec<i64> {
-        let mut a = WarmAdmission::new(AdmissionTerms::default(), seed, Micros(0));
-        (0..50).map(|_| a.admit(Micros(0), 40).expect_err("over").0).collect()
+        let mut a = WarmAdmission::new(AdmissionTerms::default(), seed, Timestamp::ZERO);
+        (0..50).map(|_| a.admit(Timestamp::ZERO, 40).expect_err("over").as_micros()).collect()
     };
     let mut seen = waits(7);
     assert_eq!(seen, waits(7));
--- a/crates/startup/src/backoff.rs
+++ b/crates/startup/src/backoff.rs
@@ -2,7 +2,7 @@
 //! a first rest, multiplied after each failure up to a longest, each rest spread by a share either way
 //! so that clients that failed together do not come back together.
 
-use crate::Micros;
+use crate::TimeDelta;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -56,13 +56,13 @@
     }
 
     /// One more failure: the rest to take before the next try, jittered, never under a millisecond.
-    pub fn fail(&mut self, rng: &mut ChaCha8Rng) -> Micros {
+    pub fn fail(&mut self, rng: &mut ChaCha8Rng) -> TimeDelta {
         let spread =
             if self.terms.jitter > 0.0 { rng.gen_range(-self.terms.jitter..=self.terms.jitter) } else { 0.0 };
         let rest_ms = (self.current_ms * (1.0 + spread)).max(1.0);
         self.current_ms = (self.current_ms * self.terms.multiplier).min(self.terms.max_ms);
         self.failures = self.failures.saturating_add(1);
-        Micros((rest_ms * 1_000.0) as i64)
+        TimeDelta::from_micros((rest_ms * 1_000.0) as i64)
     }
 
     /// A success: the next failure starts from the first rest again.
@@ -83,20 +83,22 @@
         let mut b = Backoff::new(BackoffTerms::GRPC);
         let mut plain = 1_000.0;
         for _ in 0..20 {
-            let rest = b.fail(&mut rng).0 as f64 / 1_000.0;
+            let rest = b.fail(&mut rng).as_micros() as f64 / 1_000.0;
             assert!(rest >= plain * 0.8 - 1e-6 && rest <= plain * 1.2 + 1e-6, "{rest} against {plain}");
             plain = (plain * 1.6).min(120_000.0);
         }
         assert_eq!(b.failures(), 20);
         b.succeed();
-        let rest = b.fail(&mut rng).0 as f64 / 1_000.0;
+        let rest = b.fail(&mut rng).as_micros() as f64 / 1_000.0;
         assert!((800.0..=1_200.0).contains(&rest));
     }
 
     #[test]
     fn jitter_parts_clients_that_failed_together() {
         let rests: Vec<i64> = (0..50)
-            .map(|seed| Backoff::new(BackoffTerms::GRPC).fail(&mut ChaCha8Rng::seed_from_u64(seed)).0)
+            .map(|seed| {
+                Backoff::new(BackoffTerms::GRPC).fail(&mut ChaCha8Rng::seed_from_u64(seed)).as_micros()
+            })
             .collect();
         let mut distinct = rests.clone();
         distinct.sort_unstable();
--- a/crates/startup/src/dials.rs
+++ b/crates/startup/src/dials.rs
@@ -7,7 +7,7 @@
 //! the stage and those of one manager spread over its engines. After the warm-up, and at all times, a
 //! bucket bounds new connections a second; a dial never waits longer than one stage and one token.
 
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use sprucelink_stable_hash::{stable_hash, unit, within};
 
@@ -46,15 +46,15 @@
 pub struct DialStager {
     terms: DialTerms,
     manager: Vec<u8>,
-    born: Micros,
+    born: Timestamp,
     /// The generic cell rate algorithm's theoretical arrival time: the bucket as one instant.
-    tat: Micros,
+    tat: Timestamp,
     staged: u64,
 }
 
 impl DialStager {
     /// The dials of manager `name`, started now.
-    pub fn new(terms: DialTerms, name: &str, now: Micros) -> DialStager {
+    pub fn new(terms: DialTerms, name: &str, now: Timestamp) -> DialStager {
         DialStager { terms, manager: name.as_bytes().to_vec(), born: now, tat: now, staged: 0 }
     }
 
@@ -66,19 +66,20 @@
     /// A new connection to `engine` is wanted now: when it may be dialled. Its place in the budget is taken
     /// (the generic cell rate algorithm: a bucket of `burst` at `rate`); while dials are wanted no faster
     /// than the rate, the time is `now` or later by at most one stage and one dial's share of a second.
-    pub fn dial_at(&mut self, now: Micros, engine: &str) -> Micros {
-        let stage = Micros::from_secs(self.terms.stage_ms / 1_000.0);
+    pub fn dial_at(&mut self, now: Timestamp, engine: &str) -> Timestamp {
+        let stage = TimeDelta::from_secs_f64(self.terms.stage_ms / 1_000.0);
         let mut at = now;
-        if stage.0 > 0 && now - self.born < Micros::from_secs(self.terms.warm_ms / 1_000.0) {
+        if stage > TimeDelta::ZERO && now - self.born < TimeDelta::from_secs_f64(self.terms.warm_ms / 1_000.0)
+        {
             // The next point of this slot, stage by stage from the start.
-            let offset = Micros((self.slot(engine) * stage.0 as f64) as i64);
-            let since = (now - self.born - offset).0;
-            let stages = if since <= 0 { 0 } else { (since + stage.0 - 1) / stage.0 };
-            at = self.born + offset + Micros(stages * stage.0);
+            let offset = TimeDelta::from_micros((self.slot(engine) * stage.as_micros() as f64) as i64);
+            let since = (now - self.born - offset).as_micros();
+            let stages = if since <= 0 { 0 } else { (since + stage.as_micros() - 1) / stage.as_micros() };
+            at = self.born + offset + TimeDelta::from_micros(stages * stage.as_micros());
             self.staged += u64::from(at > now);
         }
-        let every = Micros::from_secs(1.0 / self.terms.rate);
-        let tolerance = Micros::from_secs((self.terms.burst - 1.0) / self.terms.rate);
+        let every = TimeDelta::from_secs_f64(1.0 / self.terms.rate);
+        let tolerance = TimeDelta::from_secs_f64((self.terms.burst - 1.0) / self.terms.rate);
         at = at.max(self.tat - tolerance);
         self.tat = self.tat.max(at) + every;
         at
@@ -100,10 +101,10 @@
     fn first_dials_of_many_managers_to_one_engine_spread_over_the_stage() {
         let mut tenths = [0u32; 10];
         for m in 0..1000 {
-            let mut dials = DialStager::new(DialTerms::default(), &format!("n{m}"), Micros(0));
-            let at = dials.dial_at(Micros(0), "s-00c41f7a");
-            assert!((0..=100 * MS).contains(&at.0), "{at:?}");
-            tenths[((at.0 / (10 * MS)) as usize).min(9)] += 1;
+            let mut dials = DialStager::new(DialTerms::default(), &format!("n{m}"), Timestamp::ZERO);
+            let at = dials.dial_at(Timestamp::ZERO, "s-00c41f7a");
+            assert!((0..=100 * MS).contains(&at.as_micros()), "{at:?}");
+            tenths[((at.as_micros() / (10 * MS)) as usize).min(9)] += 1;
         }
         assert!(tenths.iter().all(|n| (60..=140).contains(n)), "{tenths:?}");
     }
@@ -111,36 +112,36 @@
     #[test]
     fn no_dial_waits_longer_than_a_stage_and_a_token() {
         let terms = DialTerms::default();
-        let mut dials = DialStager::new(terms, "n1", Micros(0));
-        let mut now = Micros(0);
+        let mut dials = DialStager::new(terms, "n1", Timestamp::ZERO);
+        let mut now = Timestamp::ZERO;
         // 40 dials a second, under the rate of 50.
         for i in 0..500 {
             let at = dials.dial_at(now, &format!("s-{i}"));
             assert!(at >= now);
-            assert!((at - now).0 <= 100 * MS + 20 * MS + 1, "dial {i} waits {:?}", at - now);
-            now = now + Micros(25 * MS);
+            assert!((at - now).as_micros() <= 100 * MS + 20 * MS + 1, "dial {i} waits {:?}", at - now);
+            now = now + TimeDelta::from_micros(25 * MS);
         }
     }
 
     #[test]
     fn after_the_warm_up_only_the_budget_holds_a_dial() {
         let terms = DialTerms { warm_ms: 1_000.0, ..DialTerms::default() };
-        let mut dials = DialStager::new(terms, "n1", Micros(0));
-        let late = Micros(2_000 * MS);
+        let mut dials = DialStager::new(terms, "n1", Timestamp::ZERO);
+        let late = Timestamp::from_micros(2_000 * MS);
         assert_eq!(dials.dial_at(late, "s-1"), late);
         // A burst of 16, then 50 a second.
         for i in 1..16 {
             assert_eq!(dials.dial_at(late, &format!("s-{}", i + 1)), late);
         }
         let next = dials.dial_at(late, "s-99");
-        assert!((next - late).0 >= 19 * MS && (next - late).0 <= 21 * MS, "{next:?}");
+        assert!((next - late).as_micros() >= 19 * MS && (next - late).as_micros() <= 21 * MS, "{next:?}");
     }
 
     #[test]
     fn a_stage_of_zero_stages_nothing() {
         let terms = DialTerms { stage_ms: 0.0, ..DialTerms::default() };
-        let mut dials = DialStager::new(terms, "n1", Micros(0));
-        assert_eq!(dials.dial_at(Micros(5), "s-1"), Micros(5));
+        let mut dials = DialStager::new(terms, "n1", Timestamp::ZERO);
+        assert_eq!(dials.dial_at(Timestamp::from_micros(5), "s-1"), Timestamp::from_micros(5));
         assert_eq!(dials.staged(), 0);
     }
 }
--- a/crates/startup/src/held.rs
+++ b/crates/startup/src/held.rs
@@ -14,7 +14,7 @@
 //!
 //! Only ids, states and start times are kept: [`MOST_HELD`] of them at most.
 
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use sprucelink_stable_hash::within;
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
     revision: u64,
     known: BTreeMap<String, Says>,
     /// Since when older whole lists come with nothing newer between.
-    older_since: Option<Micros>,
+    older_since: Option<Timestamp>,
 }
 
 impl HeldList {
@@ -91,7 +91,7 @@
 
     /// An event came: its revision, whether it claims to be whole, and what it says of each engine. What is
     /// taken is noted as held.
-    pub fn judge(&mut self, now: Micros, revision: u64, whole: bool, says: &[(&str, Says)]) -> Verdict {
+    pub fn judge(&mut self, now: Timestamp, revision: u64, whole: bool, says: &[(&str, Says)]) -> Verdict {
         let mut most: BTreeMap<&str, (usize, Says)> = BTreeMap::new();
         let mut contradicted = 0;
         for (place, (id, said)) in says.iter().enumerate() {
@@ -106,7 +106,7 @@
         let mut older = revision < self.revision && self.terms.older_for_ms > 0.0;
         if older && whole {
             let since = *self.older_since.get_or_insert(now);
-            if now - since >= Micros::from_secs(self.terms.older_for_ms / 1_000.0) {
+            if now - since >= TimeDelta::from_secs_f64(self.terms.older_for_ms / 1_000.0) {
                 // Its numbering began anew: from here on it is the list.
                 older = false;
             }
@@ -153,7 +153,7 @@
 
     fn held() -> HeldList {
         let mut held = HeldList::new(HeldTerms::default());
-        let v = held.judge(Micros(0), 7, true, &[("a", Ready), ("b", Ready), ("c", Gone)]);
+        let v = held.judge(Timestamp::ZERO, 7, true, &[("a", Ready), ("b", Ready), ("c", Gone)]);
         assert_eq!((v.take.len(), v.whole, v.older), (3, true, false));
         held
     }
@@ -161,12 +161,13 @@
     #[test]
     fn an_older_list_drains_but_brings_nothing_back_and_ends_nothing_it_does_not_name() {
         let mut held = held();
-        let v = held.judge(Micros(S), 5, true, &[("a", Draining), ("c", Ready), ("old", Ready)]);
+        let v =
+            held.judge(Timestamp::from_micros(S), 5, true, &[("a", Draining), ("c", Ready), ("old", Ready)]);
         assert_eq!(v.take, [0], "the drain alone");
         assert!(v.older && !v.whole, "b, which it does not name, stays");
-        let v = held.judge(Micros(S), 6, false, &[("a", Ready)]);
+        let v = held.judge(Timestamp::from_micros(S), 6, false, &[("a", Ready)]);
         assert!(v.take.is_empty(), "nor does a second old event undo the drain");
-        let v = held.judge(Micros(S), 8, false, &[("a", Ready)]);
+        let v = held.judge(Timestamp::from_micros(S), 8, false, &[("a", Ready)]);
         assert_eq!(v.take, [0], "a newer one may");
     }
 
@@ -174,34 +175,42 @@
     fn an_older_list_that_stays_is_believed() {
         let mut held = held();
         let list = [("x", Ready)];
-        assert!(held.judge(Micros(S), 1, true, &list).take.is_empty());
-        assert!(held.judge(Micros(2 * S), 1, true, &list).take.is_empty());
-        let v = held.judge(Micros(3 * S), 1, true, &list);
+        assert!(held.judge(Timestamp::from_micros(S), 1, true, &list).take.is_empty());
+        assert!(held.judge(Timestamp::from_micros(2 * S), 1, true, &list).take.is_empty());
+        let v = held.judge(Timestamp::from_micros(3 * S), 1, true, &list);
         assert!(!v.older && v.whole && v.take == [0]);
         assert_eq!(held.revision(), 1, "its numbering counts from here");
-        assert!(!held.judge(Micros(3 * S), 2, false, &[("y", Ready)]).older);
+        assert!(!held.judge(Timestamp::from_micros(3 * S), 2, false, &[("y", Ready)]).older);
     }
 
     #[test]
     fn something_newer_between_takes_the_clock_of_the_older_back() {
         let mut held = held();
-        assert!(held.judge(Micros(S), 1, true, &[("x", Ready)]).older);
-        assert!(!held.judge(Micros(2 * S), 9, true, &[("a", Ready)]).older);
-        assert!(held.judge(Micros(3 * S + S / 2), 1, true, &[("x", Ready)]).older, "counted from here again");
+        assert!(held.judge(Timestamp::from_micros(S), 1, true, &[("x", Ready)]).older);
+        assert!(!held.judge(Timestamp::from_micros(2 * S), 9, true, &[("a", Ready)]).older);
+        assert!(
+            held.judge(Timestamp::from_micros(3 * S + S / 2), 1, true, &[("x", Ready)]).older,
+            "counted from here again"
+        );
     }
 
     #[test]
     fn of_two_words_on_one_engine_the_cautious_one_counts() {
         let mut held = held();
-        let v = held.judge(Micros(S), 8, false, &[("a", Draining), ("b", Ready), ("a", Ready), ("b", Gone)]);
+        let v = held.judge(
+            Timestamp::from_micros(S),
+            8,
+            false,
+            &[("a", Draining), ("b", Ready), ("a", Ready), ("b", Gone)],
+        );
         assert_eq!((v.take, v.contradicted), (vec![0, 3], 2));
     }
 
     #[test]
     fn off_it_takes_all_in_any_order_of_revisions() {
         let mut held = HeldList::new(HeldTerms { older_for_ms: 0.0 });
-        held.judge(Micros(0), 7, true, &[("a", Draining)]);
-        let v = held.judge(Micros(0), 3, true, &[("a", Ready)]);
+        held.judge(Timestamp::ZERO, 7, true, &[("a", Draining)]);
+        let v = held.judge(Timestamp::ZERO, 3, true, &[("a", Ready)]);
         assert!(v.whole && v.take == [0]);
     }
 
@@ -222,7 +231,7 @@
                     .map(|(id, (_, said))| (id.as_str(), [Ready, Draining, Gone][usize::from(*said) % 3]))
                     .collect();
                 let before = held.known.clone();
-                let v = held.judge(Micros(t as i64), u64::from(*revision), *whole, &says);
+                let v = held.judge(Timestamp::from_micros(t as i64), u64::from(*revision), *whole, &says);
                 let heeded = says.iter().all(|(id, said)| {
                     let was = before.get(*id);
                     let now = held.known.get(*id);
@@ -241,7 +250,7 @@
         for n in 0..3 {
             let ids: Vec<String> = (0..MOST_HELD).map(|i| format!("{n}-{i}")).collect();
             let says: Vec<(&str, Says)> = ids.iter().map(|i| (i.as_str(), Gone)).collect();
-            held.judge(Micros(0), n + 1, false, &says);
+            held.judge(Timestamp::ZERO, n + 1, false, &says);
             assert!(held.known.len() <= MOST_HELD);
         }
     }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -22,4 +22,4 @@
 pub mod ready;
 pub mod settings;
 
-pub use sprucelink_policy::Micros;
+pub use sprucelink_time::{TimeDelta, Timestamp};
--- a/crates/startup/src/lists.rs
+++ b/crates/startup/src/lists.rs
@@ -20,7 +20,7 @@
 //! answered, for logs and counters.
 
 use crate::backoff::{Backoff, BackoffTerms};
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -102,20 +102,20 @@
     terms: ListTerms,
     fleet: f64,
     rng: ChaCha8Rng,
-    next: Micros,
+    next: Timestamp,
     tokens: f64,
-    filled: Micros,
+    filled: Timestamp,
     failed: Backoff,
     refused: Backoff,
     calling: bool,
-    answered: Option<Micros>,
-    born: Micros,
+    answered: Option<Timestamp>,
+    born: Timestamp,
     calls: u64,
 }
 
 impl ListCalls {
     /// The schedule of a manager that starts now, in a fleet of `fleet` managers as told (at least 1).
-    pub fn new(terms: ListTerms, fleet: u32, seed: u64, now: Micros) -> ListCalls {
+    pub fn new(terms: ListTerms, fleet: u32, seed: u64, now: Timestamp) -> ListCalls {
         let mut calls = ListCalls {
             terms,
             fleet: f64::from(fleet.max(1)),
@@ -136,33 +136,33 @@
     }
 
     /// The window over which the fleet's first calls spread: the fleet's size at its rate, within bounds.
-    pub fn window(&self) -> Micros {
+    pub fn window(&self) -> TimeDelta {
         let seconds = (self.fleet / self.terms.fleet_rate).min(self.terms.window_most_ms / 1_000.0);
-        Micros::from_secs(seconds)
+        TimeDelta::from_secs_f64(seconds)
     }
 
-    fn full_jitter(&mut self, span: Micros) -> Micros {
-        if span.0 <= 0 {
-            return Micros(0);
+    fn full_jitter(&mut self, span: TimeDelta) -> TimeDelta {
+        if span <= TimeDelta::ZERO {
+            return TimeDelta::ZERO;
         }
-        Micros(self.rng.gen_range(0..=span.0))
+        TimeDelta::from_micros(self.rng.gen_range(0..=span.as_micros()))
     }
 
-    fn fill(&mut self, now: Micros) {
+    fn fill(&mut self, now: Timestamp) {
         let rate = self.terms.fleet_rate / self.fleet;
-        let gained = (now - self.filled).secs().max(0.0) * rate;
+        let gained = (now - self.filled).as_secs_f64().max(0.0) * rate;
         self.tokens = (self.tokens + gained).min(self.terms.burst);
         self.filled = self.filled.max(now);
     }
 
     /// When the next call may start; while one is under way, none.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn due(&self) -> Option<Timestamp> {
         (!self.calling).then_some(self.next)
     }
 
     /// Starts a call if one is due: `true` if it may go now. It takes a token, or goes without one where the
     /// budget would hold it past its bound (the drain rule comes first).
-    pub fn start(&mut self, now: Micros) -> bool {
+    pub fn start(&mut self, now: Timestamp) -> bool {
         if self.calling || now < self.next {
             return false;
         }
@@ -174,16 +174,16 @@
     }
 
     /// A call has ended so: when the next may start.
-    pub fn ended(&mut self, now: Micros, how: Ended) -> Micros {
+    pub fn ended(&mut self, now: Timestamp, how: Ended) -> Timestamp {
         self.calling = false;
         self.fill(now);
-        let most = Micros::from_secs(self.terms.rest_most_ms / 1_000.0);
+        let most = TimeDelta::from_secs_f64(self.terms.rest_most_ms / 1_000.0);
         let rest = match how {
             Ended::Answered => {
                 self.answered = Some(now);
                 self.failed.succeed();
                 self.refused.succeed();
-                let least = Micros::from_secs(self.terms.again_least_ms / 1_000.0);
+                let least = TimeDelta::from_secs_f64(self.terms.again_least_ms / 1_000.0);
                 // Full jitter over the fleet's window, so that an end that all met at once (a restart of
                 // the service) is not answered by all at once; then the budget.
                 let spread = self.window().min(most);
@@ -198,16 +198,16 @@
     }
 
     /// How long until a token is whole again.
-    fn budget_wait(&self) -> Micros {
+    fn budget_wait(&self) -> TimeDelta {
         if self.tokens >= 1.0 {
-            return Micros(0);
+            return TimeDelta::ZERO;
         }
         let rate = self.terms.fleet_rate / self.fleet;
-        Micros::from_secs((1.0 - self.tokens) / rate)
+        TimeDelta::from_secs_f64((1.0 - self.tokens) / rate)
     }
 
     /// Since when no call was answered, as a span: since the start if none was.
-    pub fn unanswered_for(&self, now: Micros) -> Micros {
+    pub fn unanswered_for(&self, now: Timestamp) -> TimeDelta {
         now - self.answered.unwrap_or(self.born)
     }
 
@@ -231,33 +231,34 @@
     #[test]
     fn first_calls_of_a_fleet_spread_over_its_window() {
         let terms = ListTerms::default();
-        let starts: Vec<i64> =
-            (0..300).map(|m| ListCalls::new(terms, 300, m, Micros(0)).due().unwrap().0).collect();
+        let starts: Vec<i64> = (0..300)
+            .map(|m| ListCalls::new(terms, 300, m, Timestamp::ZERO).due().unwrap().as_micros())
+            .collect();
         // 300 managers at 200 calls a second: over 1.5 s, bounded to 200 ms for drains.
         assert!(starts.iter().all(|t| (0..=S / 5).contains(t)));
         let mut per_tenth = [0; 10];
         starts.iter().for_each(|t| per_tenth[((t * 50 / S) as usize).min(9)] += 1);
         assert!(per_tenth.iter().all(|n| *n <= 50), "{per_tenth:?}");
         // Alone, a manager calls at once.
-        assert_eq!(ListCalls::new(terms, 1, 5, Micros(0)).window(), Micros(5_000));
+        assert_eq!(ListCalls::new(terms, 1, 5, Timestamp::ZERO).window(), TimeDelta::from_micros(5_000));
     }
 
     #[test]
     fn refusals_back_off_and_an_answer_brings_the_next_call_soon() {
-        let mut calls = ListCalls::new(ListTerms::default(), 100, 3, Micros(0));
+        let mut calls = ListCalls::new(ListTerms::default(), 100, 3, Timestamp::ZERO);
         let mut now = calls.due().unwrap();
         let mut rests = Vec::new();
         for _ in 0..5 {
             assert!(calls.start(now));
             let next = calls.ended(now, Ended::Refused);
-            rests.push((next - now).0);
+            rests.push((next - now).as_micros());
             now = next;
         }
         assert!(rests.windows(2).all(|w| w[1] > w[0]), "{rests:?}");
         assert!(rests[0] >= 800_000, "{rests:?}");
         assert!(calls.start(now));
         let next = calls.ended(now, Ended::Answered);
-        assert!((next - now).0 <= S / 4, "after an answer the next call is at most 250 ms away");
+        assert!((next - now).as_micros() <= S / 4, "after an answer the next call is at most 250 ms away");
         assert_eq!(calls.misses(), 0);
     }
 
@@ -265,13 +266,13 @@
     fn no_rest_after_a_failure_passes_the_drain_bound_whatever_the_budget() {
         // A budget of one call a second for a fleet of 1,000: a manager's part is one in 1,000 s.
         let terms = ListTerms { fleet_rate: 1.0, ..ListTerms::default() };
-        let mut calls = ListCalls::new(terms, 1_000, 9, Micros(0));
+        let mut calls = ListCalls::new(terms, 1_000, 9, Timestamp::ZERO);
         let mut now = calls.due().unwrap();
         for i in 0..50 {
             assert!(calls.start(now), "call {i}");
             let how = if i % 2 == 0 { Ended::Failed } else { Ended::Answered };
             let next = calls.ended(now, how);
-            assert!((next - now).0 <= S / 4, "rest {} at call {i}", (next - now).0);
+            assert!((next - now).as_micros() <= S / 4, "rest {} at call {i}", (next - now).as_micros());
             now = next;
         }
     }
@@ -280,10 +281,10 @@
     fn the_budget_holds_the_fleet_to_its_rate_where_the_bound_allows() {
         // 10 managers at 50 calls a second: each may call 5 times a second; the feed ends answers at once.
         let terms = ListTerms { fleet_rate: 50.0, burst: 1.0, ..ListTerms::default() };
-        let mut calls = ListCalls::new(terms, 10, 1, Micros(0));
+        let mut calls = ListCalls::new(terms, 10, 1, Timestamp::ZERO);
         let mut now = calls.due().unwrap();
         let first = now;
-        while now < first + Micros(10 * S) {
+        while now < first + TimeDelta::from_micros(10 * S) {
             assert!(calls.start(now));
             now = calls.ended(now, Ended::Answered);
         }
@@ -293,7 +294,7 @@
 
     #[test]
     fn one_call_at_a_time() {
-        let mut calls = ListCalls::new(ListTerms::default(), 1, 1, Micros(0));
+        let mut calls = ListCalls::new(ListTerms::default(), 1, 1, Timestamp::ZERO);
         let now = calls.due().unwrap();
         assert!(calls.start(now));
         assert!(!calls.start(now));
--- a/crates/startup/src/ready.rs
+++ b/crates/startup/src/ready.rs
@@ -5,7 +5,7 @@
 //! keep a manager out of service: the list it was started with is the last one held); and either one
 //! connection to an engine is up or `link_wait_ms` has passed. It is said once, with its reasons.
 
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use sprucelink_stable_hash::within;
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
     /// When, since the start.
-    pub after: Micros,
+    pub after: TimeDelta,
     /// The feed had answered; else its wait ran out.
     pub feed: bool,
     /// A connection to an engine was up; else its wait ran out.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Readiness {
     terms: ReadyTerms,
-    born: Micros,
+    born: Timestamp,
     engines: usize,
     feed: bool,
     link: bool,
@@ -59,7 +59,7 @@
 
 impl Readiness {
     /// A manager that starts now.
-    pub fn new(terms: ReadyTerms, now: Micros) -> Readiness {
+    pub fn new(terms: ReadyTerms, now: Timestamp) -> Readiness {
         Readiness { terms, born: now, engines: 0, feed: false, link: false, ready: None }
     }
 
@@ -79,13 +79,13 @@
     }
 
     /// Looks whether it is ready now: `Some` once, at the moment it becomes so.
-    pub fn look(&mut self, now: Micros) -> Option<Ready> {
+    pub fn look(&mut self, now: Timestamp) -> Option<Ready> {
         if self.ready.is_some() {
             return None;
         }
         let age = now - self.born;
-        let feed = self.feed || age >= Micros::from_secs(self.terms.feed_wait_ms / 1_000.0);
-        let link = self.link || age >= Micros::from_secs(self.terms.link_wait_ms / 1_000.0);
+        let feed = self.feed || age >= TimeDelta::from_secs_f64(self.terms.feed_wait_ms / 1_000.0);
+        let link = self.link || age >= TimeDelta::from_secs_f64(self.terms.link_wait_ms / 1_000.0);
         if self.engines == 0 || !feed || !link {
             return None;
         }
@@ -99,7 +99,7 @@
     }
 
     /// When it should look again at the latest, if it is not ready: the next wait that runs out.
-    pub fn next_look(&self) -> Option<Micros> {
+    pub fn next_look(&self) -> Option<Timestamp> {
         if self.ready.is_some() {
             return None;
         }
@@ -107,7 +107,7 @@
         waits
             .iter()
             .filter(|(done, _)| !done)
-            .map(|(_, ms)| self.born + Micros::from_secs(ms / 1_000.0))
+            .map(|(_, ms)| self.born + TimeDelta::from_secs_f64(ms / 1_000.0))
             .min()
     }
 }
@@ -120,33 +120,36 @@
 
     #[test]
     fn ready_once_with_a_list_a_feed_and_a_link() {
-        let mut r = Readiness::new(ReadyTerms::default(), Micros(0));
+        let mut r = Readiness::new(ReadyTerms::default(), Timestamp::ZERO);
         r.listed(8);
-        assert_eq!(r.look(Micros(100)), None);
+        assert_eq!(r.look(Timestamp::from_micros(100)), None);
         r.fed();
         r.linked();
-        let ready = r.look(Micros(200)).expect("ready");
-        assert_eq!((ready.after, ready.feed, ready.link, ready.engines), (Micros(200), true, true, 8));
-        assert_eq!(r.look(Micros(300)), None, "said once");
+        let ready = r.look(Timestamp::from_micros(200)).expect("ready");
+        assert_eq!(
+            (ready.after, ready.feed, ready.link, ready.engines),
+            (TimeDelta::from_micros(200), true, true, 8)
+        );
+        assert_eq!(r.look(Timestamp::from_micros(300)), None, "said once");
         assert!(r.is_ready());
     }
 
     #[test]
     fn a_feed_that_is_down_keeps_nobody_out_for_longer_than_its_wait() {
-        let mut r = Readiness::new(ReadyTerms::default(), Micros(0));
+        let mut r = Readiness::new(ReadyTerms::default(), Timestamp::ZERO);
         r.listed(3);
         r.linked();
-        assert_eq!(r.next_look(), Some(Micros(2 * S)));
-        assert_eq!(r.look(Micros(2 * S - 1)), None);
-        let ready = r.look(Micros(2 * S)).expect("ready by the wait");
+        assert_eq!(r.next_look(), Some(Timestamp::from_micros(2 * S)));
+        assert_eq!(r.look(Timestamp::from_micros(2 * S - 1)), None);
+        let ready = r.look(Timestamp::from_micros(2 * S)).expect("ready by the wait");
         assert!(!ready.feed && ready.link);
     }
 
     #[test]
     fn without_a_list_nothing_is_ready() {
-        let mut r = Readiness::new(ReadyTerms::default(), Micros(0));
+        let mut r = Readiness::new(ReadyTerms::default(), Timestamp::ZERO);
         r.fed();
         r.linked();
-        assert_eq!(r.look(Micros(60 * S)), None);
+        assert_eq!(r.look(Timestamp::from_micros(60 * S)), None);
     }
 }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod terms;
 pub mod verdict;
 
-pub use sprucelink_policy::Micros;
+pub use sprucelink_time::{TimeDelta, Timestamp};
 
 use plan::{shares, Room};
 use std::collections::BTreeMap;
@@ -90,7 +90,7 @@
     }
 
     /// Judges all zones by what is seen now, and says what goes where.
-    pub fn judge(&mut self, now: Micros, seen: &[Seen]) -> Plan {
+    pub fn judge(&mut self, now: Timestamp, seen: &[Seen]) -> Plan {
         let seen = &seen[..seen.len().min(MOST_ZONES)];
         let mut news = Vec::new();
         for s in seen {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn room(&self, now: Micros, s: &Seen) -> Room {
+    fn room(&self, now: Timestamp, s: &Seen) -> Room {
         let zone = self.zones.get(&s.zone);
         let factor = zone.map_or(1.0, |z| z.factor(now, &self.terms));
         let known = zone.map_or(s.listed, |z| z.known().max(s.listed));
@@ -155,8 +155,8 @@
 
     const MS: i64 = 1_000;
 
-    fn at(ms: i64) -> Micros {
-        Micros(ms * MS)
+    fn at(ms: i64) -> Timestamp {
+        Timestamp::from_micros(ms * MS)
     }
 
     fn zone(zone: u32, region: u32) -> Seen {
--- a/crates/zone-failover/src/silence.rs
+++ b/crates/zone-failover/src/silence.rs
@@ -3,14 +3,14 @@
 //! An attempt that nobody answers is called off, and with it goes the sign of silence: forgotten each time, a zone that is
 //! silent as a whole would look unknown, not lost. So a silence counts until anybody in its zone has spoken since.
 
-use crate::Micros;
+use crate::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// An engine whose last word is younger has been heard of late; one whose is older, with attempts overdue, keeps silent.
-const LATE: Micros = Micros(2_000_000);
-const SILENT: Micros = Micros(300_000);
+const LATE: TimeDelta = TimeDelta::from_millis(2_000);
+const SILENT: TimeDelta = TimeDelta::from_millis(300);
 /// A silence counts until anybody in the zone speaks, for this long at most.
-const REMEMBERED: Micros = Micros(30_000_000);
+const REMEMBERED: TimeDelta = TimeDelta::from_millis(30_000);
 
 /// What is known of an engine's answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// Its zone, by number.
     pub zone: u32,
     /// When it last said anything; none if it never did.
-    pub word: Option<Micros>,
+    pub word: Option<Timestamp>,
     /// It takes work and answers none, or no connection to it comes up.
     pub dumb: bool,
     /// Attempts there are overdue.
@@ -39,8 +39,8 @@
 }
 
 /// What an engine is now, apart from what is remembered.
-pub fn heard(now: Micros, v: &Voice) -> Heard {
-    let young = |most: Micros| v.word.is_some_and(|t| now - t < most);
+pub fn heard(now: Timestamp, v: &Voice) -> Heard {
+    let young = |most: TimeDelta| v.word.is_some_and(|t| now - t < most);
     if v.dumb || v.overdue && !young(SILENT) {
         Heard::Silent
     } else if young(LATE) {
@@ -52,7 +52,7 @@
 
 /// The silences that are remembered: as many as there are engines at most.
 #[derive(Clone, Debug, Default)]
-pub struct Silences(BTreeMap<u32, (u32, Micros)>);
+pub struct Silences(BTreeMap<u32, (u32, Timestamp)>);
 
 impl Silences {
     /// Whether an engine's silence is remembered.
@@ -61,8 +61,8 @@
     }
 
     /// What every engine is, in the order given, with the silences that are remembered; new ones are noted.
-    pub fn judge(&mut self, now: Micros, voices: &[Voice]) -> Vec<Heard> {
-        let mut spoke: BTreeMap<u32, Micros> = BTreeMap::new();
+    pub fn judge(&mut self, now: Timestamp, voices: &[Voice]) -> Vec<Heard> {
+        let mut spoke: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for (zone, t) in voices.iter().filter_map(|v| Some((v.zone, v.word?))) {
             let last = spoke.entry(zone).or_insert(t);
             *last = t.max(*last);
@@ -89,8 +89,8 @@
 mod tests {
     use super::*;
 
-    fn at(ms: i64) -> Micros {
-        Micros(ms * 1_000)
+    fn at(ms: i64) -> Timestamp {
+        Timestamp::from_micros(ms * 1_000)
     }
 
     fn voice(engine: u32, zone: u32, word: Option<i64>, overdue: bool) -> Voice {
--- a/crates/zone-failover/src/verdict.rs
+++ b/crates/zone-failover/src/verdict.rs
@@ -6,12 +6,12 @@
 //! has held for a while, and a zone that was lost again soon after it came back has to stay back for longer each time.
 
 use crate::terms::Terms;
-use crate::{Micros, Seen};
+use crate::{Seen, TimeDelta, Timestamp};
 
 /// A zone's capacity is remembered as the most of the last such span.
-const REMEMBER: Micros = Micros(120_000_000);
+const REMEMBER: TimeDelta = TimeDelta::from_millis(120_000);
 /// Lost again within this after its return, a zone flaps: its next return takes twice as long.
-const SOON: Micros = Micros(60_000_000);
+const SOON: TimeDelta = TimeDelta::from_millis(60_000);
 /// Seconds over which a zone's load is smoothed.
 const SMOOTH: f64 = 3.0;
 /// Share of its requests at which a returning zone begins.
@@ -68,15 +68,15 @@
 pub struct Zone {
     verdict: Verdict,
     /// Since when the evidence has been of the other kind than the verdict.
-    against: Option<Micros>,
+    against: Option<Timestamp>,
     /// Since when the verdict has stood.
-    since: Micros,
-    returned: Option<Micros>,
+    since: Timestamp,
+    returned: Option<Timestamp>,
     flaps: u32,
     known: f64,
-    known_at: Micros,
+    known_at: Timestamp,
     load: f64,
-    load_at: Option<Micros>,
+    load_at: Option<Timestamp>,
 }
 
 impl Zone {
@@ -85,11 +85,11 @@
         Zone {
             verdict: Verdict::Up,
             against: None,
-            since: Micros(0),
+            since: Timestamp::ZERO,
             returned: None,
             flaps: 0,
             known: listed,
-            known_at: Micros(0),
+            known_at: Timestamp::ZERO,
             load: 0.0,
             load_at: None,
         }
@@ -110,38 +110,38 @@
         self.load
     }
 
-    fn smooth(&mut self, now: Micros, load: f64) {
-        let gone = self.load_at.map_or(f64::INFINITY, |t| (now - t).secs().max(0.0));
+    fn smooth(&mut self, now: Timestamp, load: f64) {
+        let gone = self.load_at.map_or(f64::INFINITY, |t| (now - t).as_secs_f64().max(0.0));
         self.load += (1.0 - (-gone / SMOOTH).exp()) * (load - self.load);
         self.load_at = Some(now);
     }
 
     /// Whether it has not been named for so long that nothing of it is to be remembered.
-    pub fn forgotten(&self, now: Micros) -> bool {
+    pub fn forgotten(&self, now: Timestamp) -> bool {
         now - self.known_at > REMEMBER
     }
 
     /// Share of its sound capacity that counts: none while it is lost, rising once it is back.
-    pub fn factor(&self, now: Micros, terms: &Terms) -> f64 {
+    pub fn factor(&self, now: Timestamp, terms: &Terms) -> f64 {
         match self.verdict {
             Verdict::Up => 1.0,
             Verdict::Lost => 0.0,
             Verdict::Returning if terms.ramp_ms <= 0.0 => 1.0,
             Verdict::Returning => {
-                let gone = (now - self.since).secs() * 1e3 / terms.ramp_ms;
+                let gone = (now - self.since).as_secs_f64() * 1e3 / terms.ramp_ms;
                 (FIRST_SHARE + (1.0 - FIRST_SHARE) * gone).clamp(FIRST_SHARE, 1.0)
             }
         }
     }
 
     /// How long evidence must be absent before the zone is back.
-    fn back_after(&self, terms: &Terms) -> Micros {
+    fn back_after(&self, terms: &Terms) -> TimeDelta {
         let doubled = terms.back_ms * f64::from(2u32.saturating_pow(self.flaps.min(16)));
-        Micros::from_secs(doubled.min(terms.back_most_ms) / 1e3)
+        TimeDelta::from_secs_f64(doubled.min(terms.back_most_ms) / 1e3)
     }
 
     /// Judges it by what is seen now: in words what has changed, with the reasons.
-    pub fn judge(&mut self, now: Micros, terms: &Terms, s: &Seen) -> Option<String> {
+    pub fn judge(&mut self, now: Timestamp, terms: &Terms, s: &Seen) -> Option<String> {
         if s.listed >= self.known || now - self.known_at > REMEMBER {
             (self.known, self.known_at) = (s.listed, now);
         }
@@ -154,7 +154,7 @@
             return self.warmed(now, terms);
         }
         let since = *self.against.get_or_insert(now);
-        let wait = if out { Micros::from_secs(terms.hold_ms / 1e3) } else { self.back_after(terms) };
+        let wait = if out { TimeDelta::from_secs_f64(terms.hold_ms / 1e3) } else { self.back_after(terms) };
         if now - since < wait {
             return None;
         }
@@ -170,7 +170,7 @@
         Some(format!("returns: {heard} engines heard, {sound:.1} of {:.1} cores sound", self.known))
     }
 
-    fn warmed(&mut self, now: Micros, terms: &Terms) -> Option<String> {
+    fn warmed(&mut self, now: Timestamp, terms: &Terms) -> Option<String> {
         if self.verdict != Verdict::Returning || self.factor(now, terms) < 1.0 {
             return None;
         }
