--- /dev/null
+++ b/src/front/accept.rs
@@ -0,0 +1,99 @@
+//! The accept loop of a front, which keeps the number of open descriptors within its bound.
+
+use super::Front;
+use crate::core::now;
+use sprucelink_time::{TimeDelta, Timestamp};
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tracing::warn;
+
+/// Pause after an accept that failed, for want of descriptors for example.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Minimum time between two log lines about failed accepts.
+const ACCEPT_LOG_INTERVAL: TimeDelta = TimeDelta::from_millis(5_000);
+
+/// Counts a connection of the front until its descriptor is closed.
+pub(super) struct OpenConnection(Rc<Front>);
+
+impl OpenConnection {
+    fn new(front: &Rc<Front>) -> OpenConnection {
+        front.open_connections.set(front.open_connections.get() + 1);
+        OpenConnection(Rc::clone(front))
+    }
+}
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
+        self.0.descriptor_released.notify_one();
+    }
+}
+
+impl Front {
+    /// Accepts connections until the front is closed, and then those that are in the listener's queue already.
+    pub async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
+        let mut last_logged = None;
+        loop {
+            let state_changed = self.state_changed.notified();
+            let is_paused = self.is_paused.get();
+            let has_room = is_paused || self.open_connections.get() < self.config.max_connections();
+            if !has_room {
+                // One of those without a slot has to go before the next connection is accepted.
+                self.sessionless.evict_one();
+            }
+            tokio::select! {
+                biased;
+                accepted = listener.accept(), if has_room && !is_paused => match accepted {
+                    Ok((stream, _)) => self.spawn_connection(stream).await,
+                    Err(error) if is_aborted_by_client(&error) => {}
+                    Err(error) => {
+                        log_accept_error(&mut last_logged, &error);
+                        if self.is_closing.get() {
+                            return;
+                        }
+                        self.free_descriptors().await;
+                    }
+                },
+                () = self.descriptor_released.notified(), if !has_room => {}
+                () = std::future::ready(()), if has_room && self.is_closing.get() => return,
+                () = state_changed => {}
+            }
+        }
+    }
+
+    async fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
+        let open_connection = OpenConnection::new(self);
+        let connection = Rc::clone(self).handle_connection(stream, open_connection);
+        drop(tokio::task::spawn_local(connection));
+        if self.open_connections.get() >= self.config.max_sessions {
+            // The connection that is evicted for this one has its turn before the next is accepted.
+            tokio::task::yield_now().await;
+        }
+    }
+
+    /// Evicts a connection after an accept has failed. The process has fewer descriptors than it was configured for,
+    /// and those of clients are all that can be closed.
+    async fn free_descriptors(&self) {
+        // The connections that were accepted last have a turn first.
+        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+        self.sessionless.evict_one();
+        if !self.slots.evict_one(false) && self.slots.time_until_evictable().is_none() {
+            self.slots.evict_one(true);
+        }
+    }
+}
+
+/// Whether an accept failed because the client had gone before it.
+fn is_aborted_by_client(error: &io::Error) -> bool {
+    use io::ErrorKind::{ConnectionAborted, ConnectionReset, Interrupted};
+    matches!(error.kind(), ConnectionAborted | ConnectionReset | Interrupted)
+}
+
+fn log_accept_error(last_logged: &mut Option<Timestamp>, error: &io::Error) {
+    if last_logged.is_none_or(|at| now() - at > ACCEPT_LOG_INTERVAL) {
+        *last_logged = Some(now());
+        warn!("accept failed: {error}");
+    }
+}
--- /dev/null
+++ b/src/front/client_connection/input.rs
@@ -0,0 +1,144 @@
+//! Reading from a client.
+
+use super::{ClientConnection, ReadAheadOverrun};
+use crate::core::buffer_pool::SIZE;
+use crate::core::now;
+use std::future::poll_fn;
+use std::io;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::task::{coop::consume_budget, yield_now};
+
+/// Bytes of one read, into a buffer on the stack; most messages are shorter.
+pub(super) const READ_CHUNK_BYTES: usize = 8 * 1024;
+/// Bytes that are read for one client before other tasks have a turn, so that a flood does not hold them up.
+const MAX_BYTES_PER_TURN: usize = 128 * 1024;
+/// Bytes that may be discarded behind open requests. Beyond it the session is ended together with its open request:
+/// a client that never stops writing would keep it for ever.
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
+
+impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
+    /// Whether more bytes were discarded than any session may send behind its open requests.
+    pub fn is_flooding(&self) -> bool {
+        self.discarded_bytes > MAX_DISCARDED_BYTES
+    }
+
+    /// Reads what is available and fits the input; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// Those of the stream, which has ended then; and `StorageFull` if the input is full.
+    pub async fn fill(&mut self) -> io::Result<usize> {
+        self.yield_if_due().await;
+        poll_fn(|context| match self.input_room() {
+            0 => Poll::Ready(Err(io::Error::new(io::ErrorKind::StorageFull, "the input is full"))),
+            room => self.poll_read(context, room),
+        })
+        .await
+    }
+
+    /// Reads on while a request is open; 0 at the end of the stream. What exceeds the read-ahead bounds is discarded,
+    /// so that the end of the stream is seen whatever stands before it.
+    ///
+    /// # Errors
+    /// Those of the stream, which has ended then.
+    pub async fn read_ahead(&mut self) -> io::Result<usize> {
+        self.yield_if_due().await;
+        poll_fn(|context| self.poll_read(context, READ_CHUNK_BYTES)).await
+    }
+
+    /// Reads ahead all bytes that are available, without waiting for more; whether the stream has ended, or floods.
+    ///
+    /// # Errors
+    /// Those of the stream, which has ended then.
+    pub async fn read_available(&mut self) -> io::Result<bool> {
+        while !self.is_at_end && !self.is_flooding() {
+            self.yield_if_due().await;
+            // A task without budget would be told that no bytes are available, whatever the stream holds.
+            consume_budget().await;
+            match poll_fn(|context| Poll::Ready(self.poll_read(context, READ_CHUNK_BYTES))).await {
+                Poll::Ready(read) => drop(read?),
+                Poll::Pending => return Ok(false),
+            }
+        }
+        Ok(true)
+    }
+
+    /// Reads what is available and fits the input, without waiting; whether the stream is known to have ended.
+    ///
+    /// # Errors
+    /// Those of the stream, which has ended then.
+    pub async fn probe_end(&mut self) -> io::Result<bool> {
+        while !self.is_at_end && self.overrun.is_none() && self.input_room() > 0 {
+            match poll_fn(|context| Poll::Ready(self.poll_read(context, self.input_room()))).await {
+                Poll::Ready(read) => drop(read?),
+                Poll::Pending => break,
+            }
+        }
+        Ok(self.is_at_end)
+    }
+
+    /// Bytes that fit the input; none while bytes that were read ahead are to follow it.
+    fn input_room(&self) -> usize {
+        if self.read_ahead.is_empty() {
+            SIZE.saturating_sub(self.input().len())
+        } else {
+            0
+        }
+    }
+
+    /// Yields to other tasks when this connection has read its part.
+    pub(super) async fn yield_if_due(&mut self) {
+        if self.bytes_this_turn >= MAX_BYTES_PER_TURN {
+            self.bytes_this_turn = 0;
+            yield_now().await;
+        }
+    }
+
+    pub(super) fn poll_read(
+        &mut self,
+        context: &mut Context<'_>,
+        max_bytes: usize,
+    ) -> Poll<io::Result<usize>> {
+        if self.is_at_end {
+            return Poll::Ready(Ok(0));
+        }
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let mut read = ReadBuf::new(&mut chunk[..max_bytes.min(READ_CHUNK_BYTES)]);
+        let result = ready!(Pin::new(&mut self.stream).poll_read(context, &mut read));
+        let count = read.filled().len();
+        self.is_at_end = result.is_err() || count == 0;
+        result?;
+        self.bytes_this_turn += count;
+        self.store(read.filled());
+        Poll::Ready(Ok(count))
+    }
+
+    /// Stores what was read, within the bounds. Once a byte was discarded all later ones are: a message must not be put
+    /// together from parts that were not adjacent.
+    fn store(&mut self, mut bytes: &[u8]) {
+        if bytes.is_empty() || self.overrun.is_some() {
+            self.discarded_bytes += bytes.len();
+            return;
+        }
+        self.arrived = now();
+        if self.read_ahead.is_empty() {
+            bytes = self.extend_input(bytes);
+        }
+        while !bytes.is_empty() {
+            if let Some(last) = self.read_ahead.back_mut().filter(|buffer| buffer.has_room()) {
+                bytes = last.append(bytes);
+                continue;
+            }
+            match self.budget.allocate(&self.pool, self.read_ahead.len()) {
+                Ok(buffer) => self.read_ahead.push_back(buffer),
+                Err(overrun) => return self.discard(bytes, overrun),
+            }
+        }
+    }
+
+    fn discard(&mut self, bytes: &[u8], overrun: ReadAheadOverrun) {
+        self.overrun = Some(overrun);
+        self.discarded_bytes += bytes.len();
+    }
+}
--- /dev/null
+++ b/src/front/client_connection/mod.rs
@@ -0,0 +1,117 @@
+//! A client's connection with its buffers, which are taken from the pool only while they hold bytes.
+//!
+//! Reading never pauses while a request is open or an answer is written: the end of the stream, which cancels the
+//! request, may stand behind what the client still sent. What is read ahead is kept up to a bound. Beyond it bytes are
+//! discarded, only to see the end of the stream; the session then ends behind the messages that it holds completely.
+
+mod input;
+mod output;
+
+use super::read_ahead::{append, ReadAheadBudget, ReadAheadBuffer, ReadAheadOverrun};
+use crate::core::buffer_pool::{Buffer, BufferPool};
+use crate::core::now;
+use sprucelink_time::Timestamp;
+use std::collections::VecDeque;
+use std::rc::Rc;
+use tokio::io::{AsyncRead, AsyncWrite};
+
+pub use output::LingerTimeouts;
+
+/// A stream, what was read from it, and what is to be written to it.
+pub struct ClientConnection<S> {
+    stream: S,
+    pool: BufferPool,
+    input: Option<Buffer>,
+    /// Bytes at the front of `input` that are consumed.
+    consumed: usize,
+    /// What was read behind `input`, in order.
+    read_ahead: VecDeque<ReadAheadBuffer>,
+    budget: Rc<ReadAheadBudget>,
+    overrun: Option<ReadAheadOverrun>,
+    discarded_bytes: usize,
+    /// The end of the stream was read, or an error of it.
+    is_at_end: bool,
+    /// Bytes that were read since other tasks last had a turn.
+    bytes_this_turn: usize,
+    output: Option<Buffer>,
+    arrived: Timestamp,
+}
+
+impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
+    /// A connection from which nothing was read.
+    pub fn new(stream: S, pool: BufferPool, budget: Rc<ReadAheadBudget>) -> ClientConnection<S> {
+        ClientConnection {
+            stream,
+            pool,
+            input: None,
+            consumed: 0,
+            read_ahead: VecDeque::new(),
+            budget,
+            overrun: None,
+            discarded_bytes: 0,
+            is_at_end: false,
+            bytes_this_turn: 0,
+            output: None,
+            arrived: now(),
+        }
+    }
+
+    /// The stream without its buffers.
+    pub fn into_stream(self) -> S {
+        self.stream
+    }
+
+    /// What was read and not consumed, as far as it is in the input buffer.
+    pub fn input(&self) -> &[u8] {
+        self.input.as_ref().map_or(&[], |buffer| &buffer[self.consumed..])
+    }
+
+    /// When the last bytes that were kept arrived.
+    pub fn arrived(&self) -> Timestamp {
+        self.arrived
+    }
+
+    /// Consumes `count` bytes of the input.
+    pub fn consume(&mut self, count: usize) {
+        self.consumed += count;
+        if self.input().is_empty() {
+            self.input = None;
+            self.consumed = 0;
+        }
+    }
+
+    /// Moves what was read ahead to the input, as far as it fits; whether any did.
+    pub fn promote_read_ahead(&mut self) -> bool {
+        let mut any = false;
+        while let Some(mut ahead) = self.read_ahead.pop_front() {
+            let rest = self.extend_input(ahead.pending()).len();
+            let promoted = ahead.buffer.len() - rest;
+            any |= promoted > ahead.promoted;
+            if rest > 0 {
+                ahead.promoted = promoted;
+                self.read_ahead.push_front(ahead);
+                break;
+            }
+        }
+        any
+    }
+
+    /// Which bound was exceeded, if bytes were discarded. All bytes that are held were read before those.
+    pub fn overrun(&self) -> Option<ReadAheadOverrun> {
+        self.overrun
+    }
+
+    /// Maximum number of bytes that are held.
+    pub fn max_buffered(&self) -> usize {
+        self.budget.max_buffered()
+    }
+
+    /// Appends as much as fits to the input and returns the rest.
+    fn extend_input<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let input = self.input.get_or_insert_with(|| self.pool.must());
+        if !input.has_room(bytes.len()) {
+            input.drain(..std::mem::take(&mut self.consumed));
+        }
+        append(input, bytes)
+    }
+}
--- /dev/null
+++ b/src/front/client_connection/output.rs
@@ -0,0 +1,103 @@
+//! Writing to a client, and the end of its connection.
+
+use super::input::READ_CHUNK_BYTES;
+use super::ClientConnection;
+use std::future::poll_fn;
+use std::io;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::time::{timeout, timeout_at, Instant};
+
+/// A client that accepts no bytes for this long is disconnected: its answer holds memory.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes that are read and discarded after the final message, so that no client is read for ever.
+const MAX_LINGER_BYTES: usize = 64 << 20;
+/// Bytes of one read while lingering.
+const LINGER_CHUNK_BYTES: usize = 32 * 1024;
+
+/// How long a connection lingers after its final message. A socket that is closed with unread input sends a reset,
+/// which may destroy the message where the client writes before it reads.
+#[derive(Clone, Copy, Debug)]
+pub struct LingerTimeouts {
+    /// Maximum time in all.
+    pub total: Duration,
+    /// Maximum time without any input.
+    pub idle: Duration,
+}
+
+impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
+    /// The buffer of what is to be written.
+    pub fn output(&mut self) -> &mut Vec<u8> {
+        self.output.get_or_insert_with(|| self.pool.must())
+    }
+
+    /// Writes all output, and reads ahead while that has to wait: a client that has gone meanwhile must not have its
+    /// next request admitted.
+    ///
+    /// # Errors
+    /// Those of the stream; and a client that accepts no bytes for 10 s.
+    pub async fn flush(&mut self) -> io::Result<()> {
+        let Some(output) = self.output.take() else { return Ok(()) };
+        let mut rest = &output[..];
+        let mut deadline = Instant::now() + WRITE_TIMEOUT;
+        while !rest.is_empty() {
+            self.yield_if_due().await;
+            match timeout_at(deadline, poll_fn(|context| self.poll_write(context, rest))).await?? {
+                Some(0) => return Err(io::ErrorKind::WriteZero.into()),
+                Some(written) => {
+                    rest = &rest[written..];
+                    deadline = Instant::now() + WRITE_TIMEOUT;
+                }
+                None => {}
+            }
+        }
+        timeout(WRITE_TIMEOUT, self.stream.flush()).await?
+    }
+
+    /// Makes room for `count` more bytes of output, by a flush if need be.
+    ///
+    /// # Errors
+    /// As [`ClientConnection::flush`].
+    pub async fn reserve_output(&mut self, count: usize) -> io::Result<()> {
+        if self.output.as_ref().is_none_or(|buffer| buffer.has_room(count)) {
+            return Ok(());
+        }
+        self.flush().await
+    }
+
+    /// Closes the connection so that its final message arrives: closes the writing half, and discards what the client
+    /// still sends, within bounds.
+    pub async fn close(mut self, linger: LingerTimeouts) {
+        self.input = None;
+        self.read_ahead.clear();
+        // An error means that the connection has ended, and an elapsed timeout that it ends now.
+        drop(timeout(linger.total, self.linger(linger.idle)).await);
+    }
+
+    async fn linger(&mut self, max_idle: Duration) -> io::Result<()> {
+        self.stream.shutdown().await?;
+        let mut chunk = vec![0; LINGER_CHUNK_BYTES];
+        let mut remaining = MAX_LINGER_BYTES;
+        while remaining > 0 && !self.is_at_end {
+            match timeout(max_idle, self.stream.read(&mut chunk)).await?? {
+                0 => break,
+                count => remaining = remaining.saturating_sub(count),
+            }
+        }
+        Ok(())
+    }
+
+    /// Writes some bytes (`Some`), or reads what is available where none can be written (`None`).
+    fn poll_write(&mut self, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<Option<usize>>> {
+        if let Poll::Ready(written) = Pin::new(&mut self.stream).poll_write(context, bytes) {
+            return Poll::Ready(written.map(Some));
+        }
+        if self.is_at_end || self.is_flooding() {
+            return Poll::Pending;
+        }
+        ready!(self.poll_read(context, READ_CHUNK_BYTES))?;
+        Poll::Ready(Ok(None))
+    }
+}
--- /dev/null
+++ b/src/front/client_error.rs
@@ -0,0 +1,87 @@
+//! The errors that the fronts send to clients, with their SQLSTATEs (PostgreSQL, appendix A).
+
+use super::read_ahead::ReadAheadOverrun;
+use crate::core::request_table::RejectReason;
+use crate::proto::pg::Fault;
+use sprucelink_time::TimeDelta;
+use std::time::Duration;
+
+/// Characters of a client's text that messages show.
+const MAX_SHOWN_CHARACTERS: usize = 64;
+
+/// Adds when to retry: the hint for people, the detail for programs.
+fn with_retry_after(error: Fault, retry_after: TimeDelta) -> Fault {
+    let millis = retry_after.as_micros().saturating_add(999) / 1000;
+    let error = Fault { detail: Some(format!("retry_after_ms={millis}")), ..error };
+    error.hint(format!("Come back in {millis} ms."))
+}
+
+/// A request that was rejected before it ran, so that a retry does no harm. On the platform's front all rejections are of
+/// class 53; the `extended` front tells an expired deadline from overload.
+pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> Fault {
+    let error = match reason {
+        RejectReason::Deadline if extended => {
+            Fault::new("57014", "canceled: its time ran out; a repeat does no harm")
+        }
+        RejectReason::Deadline => Fault::new("53000", "refused: its time ran out; a repeat does no harm"),
+        _ => Fault::new("53400", "refused: there is more to do than can be done in time"),
+    };
+    with_retry_after(error, retry_after)
+}
+
+/// A request that failed and may have run.
+pub(super) fn failed(reason: RejectReason, retry_after: TimeDelta) -> Fault {
+    let (code, message) = match reason {
+        RejectReason::Deadline => ("57014", "canceled: its time ran out; it may have run"),
+        RejectReason::Engine => ("58000", "the engine failed; it may have run"),
+        RejectReason::Lost => ("08006", "the connection to the engine broke; it may have run"),
+        RejectReason::Unreachable => ("08001", "no engine could be reached"),
+        RejectReason::Busy => ("40003", "given up; it may have run"),
+    };
+    with_retry_after(Fault::new(code, message), retry_after)
+}
+
+/// A request that its client cancelled.
+pub(super) fn cancelled() -> Fault {
+    Fault::new("57014", "canceled at the client's request")
+}
+
+/// The buffer pool is exhausted.
+pub(super) fn no_buffer() -> Fault {
+    let error = Fault::new("53200", "refused: no buffer is free");
+    with_retry_after(error, TimeDelta::from_millis(1_000))
+}
+
+/// All slots are in use, and no connection can be evicted.
+pub(super) fn too_many_sessions() -> Fault {
+    with_retry_after(Fault::new("53300", "too many sessions"), TimeDelta::from_millis(1_000))
+}
+
+/// A message or packet of which only a part arrived in time.
+pub(super) fn incomplete_in_time(field: &str, limit: Duration) -> Fault {
+    Fault::new("08P01", format!("field {field} did not come whole within {} ms", limit.as_millis()))
+}
+
+/// A request's field that is missing or wrong.
+pub(super) fn invalid_field(field: &str, reason: &str) -> Fault {
+    let example = "/* kind=CLASS,timeout=MILLISECONDS */ SELECT ...";
+    Fault::new("08P01", format!("field {field} {reason}")).hint(format!("Write {example}"))
+}
+
+/// The final error of a session whose client sent more behind an open request than may be held. SQLSTATE 54000, a
+/// limit of this program, where it is the session's own bound: the same input fails again. 53200, out of memory, where
+/// all sessions together hold too much: it may succeed later.
+pub(super) fn read_ahead_overrun(overrun: ReadAheadOverrun, max_bytes: usize) -> Fault {
+    let (code, excess) = match overrun {
+        ReadAheadOverrun::Session => ("54000", format!("more than {max_bytes} bytes")),
+        ReadAheadOverrun::Shared => ("53200", "more than there is room for in all sessions".to_owned()),
+    };
+    let message = format!("{excess} came behind an open request: what came behind them was not read");
+    Fault::new(code, message).hint("Wait for answers before writing more, and connect again.")
+}
+
+/// A client's text as messages show it: in quotes, and not longer than a line.
+pub(super) fn quoted(text: &str) -> String {
+    let shown: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
+    format!("{shown:?}")
+}
--- /dev/null
+++ b/src/front/connection.rs
@@ -0,0 +1,193 @@
+//! One client's connection from accept to close: start-up, TLS, the slot for its session, and the final error.
+
+use super::accept::OpenConnection;
+use super::client_connection::{ClientConnection, LingerTimeouts};
+use super::client_error::too_many_sessions;
+use super::connection_slots::ConnectionSlot;
+use super::count_guard::CountGuard;
+use super::session;
+use super::sessionless::{ConnectionGuard, SessionlessConnection, SessionlessPhase};
+use super::startup::{SessionStart, StartupOutcome};
+use super::Front;
+use crate::core::{now, span};
+use crate::proto::pg::{self, Fault};
+use sprucelink_time::TimeDelta;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+use tokio_rustls::server::TlsStream;
+use tokio_rustls::TlsAcceptor;
+
+/// Maximum duration of the TLS handshake, which takes some round trips and a signature.
+const TLS_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a new connection waits for the slot of one that has sent no request, before a session that has is evicted.
+const SLOT_WAIT: TimeDelta = TimeDelta::from_millis(500);
+/// How long a connection lingers after its final message.
+const LINGER: LingerTimeouts =
+    LingerTimeouts { total: Duration::from_secs(4), idle: Duration::from_millis(500) };
+/// The same where many connections are closed at a time: what the client sent before it saw the end arrives within
+/// 50 ms.
+const SHORT_LINGER: LingerTimeouts =
+    LingerTimeouts { total: Duration::from_millis(200), idle: Duration::from_millis(50) };
+/// A final message that cannot be written in this time is dropped.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl Front {
+    /// Serves a connection to its end.
+    pub(super) async fn handle_connection(self: Rc<Self>, stream: TcpStream, _open: OpenConnection) {
+        // An error here means that the client has gone.
+        let Ok(socket) = super::socket::Socket::new(stream) else { return };
+        let mut connection = self.buffered(socket);
+        // A CancelRequest needs no slot, and must get through when all are in use: so the first packet of a connection
+        // is read even if there is no slot for it.
+        let slot = self.slots.acquire(false);
+        let guard =
+            slot.map_or_else(|| self.enter_sessionless(SessionlessPhase::Handshaking), ConnectionGuard::Slot);
+        match self.start(&mut connection, &guard, false).await {
+            StartupOutcome::StartTls(acceptor) => {
+                let Some(stream) = accept_tls(&acceptor, connection.into_stream(), &guard).await else {
+                    return;
+                };
+                let mut connection = self.buffered(stream);
+                let outcome = self.start(&mut connection, &guard, true).await;
+                self.finish_startup(connection, outcome, guard).await;
+            }
+            outcome => self.finish_startup(connection, outcome, guard).await,
+        }
+    }
+
+    /// Runs the session that was started, or closes the connection.
+    async fn finish_startup<S: AsyncRead + AsyncWrite + Unpin>(
+        self: &Rc<Self>,
+        connection: ClientConnection<S>,
+        outcome: StartupOutcome,
+        guard: ConnectionGuard,
+    ) {
+        match outcome {
+            StartupOutcome::Session(start) => self.run_session(connection, start, guard).await,
+            StartupOutcome::Close(error) => self.close_connection(connection, error, guard).await,
+            // TLS inside of TLS is never agreed to.
+            StartupOutcome::StartTls(_) => {}
+        }
+    }
+
+    fn buffered<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: S) -> ClientConnection<S> {
+        ClientConnection::new(stream, self.core.pool().clone(), Rc::clone(&self.read_ahead))
+    }
+
+    /// Counts a connection among those without a slot.
+    fn enter_sessionless(&self, phase: SessionlessPhase) -> ConnectionGuard {
+        self.descriptor_released.notify_one();
+        ConnectionGuard::Sessionless(self.sessionless.enter(phase))
+    }
+
+    async fn run_session<S: AsyncRead + AsyncWrite + Unpin>(
+        self: &Rc<Self>,
+        mut connection: ClientConnection<S>,
+        start: SessionStart,
+        guard: ConnectionGuard,
+    ) {
+        let slot = match guard {
+            ConnectionGuard::Slot(slot) => slot,
+            ConnectionGuard::Sessionless(sessionless) => match self.acquire_slot(&sessionless).await {
+                Some(slot) => slot,
+                None => {
+                    let guard = ConnectionGuard::Sessionless(sessionless);
+                    return self.close_connection(connection, Some(too_many_sessions()), guard).await;
+                }
+            },
+        };
+        // An error here is one of the connection, which has ended.
+        if let Ok(error) = session::serve(Rc::clone(self), &mut connection, start, &slot).await {
+            self.close_connection(connection, error, ConnectionGuard::Slot(slot)).await;
+        }
+    }
+
+    /// Acquires a slot for a connection that asked for a session; `None` if there is none. A session that has sent
+    /// requests is evicted for it only if no other connection can be, or after [`SLOT_WAIT`].
+    async fn acquire_slot(&self, sessionless: &SessionlessConnection) -> Option<ConnectionSlot> {
+        let deadline = now() + SLOT_WAIT;
+        loop {
+            let released = self.slots.released();
+            if let Some(slot) = self.slots.acquire(false) {
+                return Some(slot);
+            }
+            if sessionless.is_evicted() {
+                return None;
+            }
+            let evictable_in = self.slots.time_until_evictable();
+            let remaining = deadline - now();
+            let is_hopeless = evictable_in.is_none() && !self.slots.is_at_hard_limit();
+            if remaining <= TimeDelta::ZERO || is_hopeless {
+                return self.slots.acquire(true);
+            }
+            let wait = evictable_in.map_or(remaining, |evictable_in| evictable_in.min(remaining));
+            tokio::select! {
+                () = tokio::time::sleep(span(wait)) => {}
+                () = released => {}
+                () = sessionless.evicted() => {}
+            }
+        }
+    }
+
+    /// Closes a connection, after a final error if there is one.
+    async fn close_connection<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        mut connection: ClientConnection<S>,
+        error: Option<Fault>,
+        guard: ConnectionGuard,
+    ) {
+        if let Some(error) = error {
+            pg::error(connection.output(), &error.fatal());
+        }
+        let _closing = CountGuard::new(&self.closing_connections);
+        let (guard, linger) = self.guard_for_closing(guard);
+        let close = async {
+            if matches!(timeout(FINAL_WRITE_TIMEOUT, connection.flush()).await, Ok(Ok(()))) {
+                connection.close(linger).await;
+            }
+        };
+        match guard {
+            ConnectionGuard::Sessionless(sessionless) => tokio::select! {
+                // The write is tried once in any case: most final messages fit the socket's buffer.
+                biased;
+                () = close => {}
+                () = sessionless.evicted() => {}
+            },
+            ConnectionGuard::Slot(_slot) => close.await,
+        }
+    }
+
+    /// What a connection holds while it is closed, and how long it may linger. Its slot is released at once if there
+    /// is room among the connections without one, where it can be evicted; else it keeps the slot for a shorter time.
+    fn guard_for_closing(&self, guard: ConnectionGuard) -> (ConnectionGuard, LingerTimeouts) {
+        match guard {
+            // No new connection needs its descriptor any more.
+            guard if self.is_closing.get() => (guard, LINGER),
+            ConnectionGuard::Sessionless(sessionless) => {
+                sessionless.set_closing();
+                (ConnectionGuard::Sessionless(sessionless), LINGER)
+            }
+            ConnectionGuard::Slot(slot) if self.sessionless.has_room() => {
+                drop(slot);
+                (self.enter_sessionless(SessionlessPhase::Closing), LINGER)
+            }
+            slot => (slot, SHORT_LINGER),
+        }
+    }
+}
+
+/// The server's side of a TLS handshake; `None` if it fails, takes too long, or the connection is evicted.
+async fn accept_tls<S: AsyncRead + AsyncWrite + Unpin>(
+    acceptor: &TlsAcceptor,
+    stream: S,
+    guard: &ConnectionGuard,
+) -> Option<TlsStream<S>> {
+    tokio::select! {
+        biased;
+        accepted = timeout(TLS_HANDSHAKE_TIMEOUT, acceptor.accept(stream)) => accepted.ok()?.ok(),
+        () = guard.evicted() => None,
+    }
+}
--- /dev/null
+++ b/src/front/extended/objects.rs
@@ -0,0 +1,224 @@
+//! What a session keeps between its messages: prepared statements, portals, and its time-out.
+
+use super::prepared::{Portal, PortalState, PreparedStatement};
+use super::statement_kind::{classify, Setting, StatementKind};
+use crate::core::result_buffer::ResultSet;
+use crate::front::client_error::quoted;
+use crate::front::result_rows::{RowPosition, COLUMNS};
+use crate::proto::pg::{self, Fault, Kind, Message};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Maximum number of bytes of a session's statements and portals.
+const MAX_BYTES: usize = 256 * 1024;
+/// Maximum number of a session's statements, and of its portals.
+const MAX_OBJECTS: usize = 256;
+/// Maximum number of a session's suspended portals, each of which keeps a result in memory.
+const MAX_SUSPENDED_PORTALS: usize = 4;
+
+/// What is left to do for a message of the extended query protocol.
+pub enum ExtendedAction {
+    /// Nothing.
+    None,
+    /// Run a portal.
+    Execute {
+        /// The portal's name.
+        portal: String,
+        /// Maximum number of rows to send; 0: all.
+        max_rows: u32,
+    },
+}
+
+/// What a session keeps between its messages.
+#[derive(Default)]
+pub(crate) struct SessionObjects {
+    statements: BTreeMap<String, Rc<PreparedStatement>>,
+    pub(crate) portals: BTreeMap<String, Portal>,
+    /// Time-out of requests that have none, in milliseconds; `None`: that of the request's class.
+    pub(crate) statement_timeout_ms: Option<u64>,
+}
+
+impl SessionObjects {
+    /// No statements and portals.
+    pub(crate) fn new(statement_timeout_ms: Option<u64>) -> SessionObjects {
+        SessionObjects { statement_timeout_ms, ..SessionObjects::default() }
+    }
+
+    /// Handles a message of the extended query protocol, and answers it in `reply`; what needs an engine is left to do.
+    ///
+    /// # Errors
+    /// What the client is told.
+    pub(crate) fn handle_message(
+        &mut self,
+        reply: &mut Vec<u8>,
+        message: Message,
+    ) -> Result<ExtendedAction, Fault> {
+        match message {
+            Message::Parse { name, sql, types } => {
+                self.parse(name, sql, types)?;
+                pg::bare(reply, pg::PARSE_COMPLETE);
+            }
+            Message::Bind { portal, statement, formats, values, results } => {
+                let bound = self.statement(statement)?.bind(&formats, &values, results)?;
+                self.add_portal(portal, bound)?;
+                pg::bare(reply, pg::BIND_COMPLETE);
+            }
+            Message::Describe(Kind::Statement, name) => self.describe_statement(reply, name)?,
+            Message::Describe(Kind::Portal, name) => self.describe_portal(reply, name)?,
+            Message::Close(kind, name) => {
+                self.close(kind, name);
+                pg::bare(reply, pg::CLOSE_COMPLETE);
+            }
+            Message::Execute { portal, rows } => {
+                self.portal(portal)?;
+                return Ok(ExtendedAction::Execute { portal: portal.to_owned(), max_rows: rows });
+            }
+            Message::Copy => return Err(Fault::new("0A000", "COPY is not supported")),
+            Message::FunctionCall => return Err(Fault::new("0A000", "function calls are not supported")),
+            Message::Password => {
+                return Err(Fault::new("08P01", "field type is out of place: no password was asked for"))
+            }
+            Message::Query(_) | Message::Flush | Message::Sync | Message::Terminate => {}
+        }
+        Ok(ExtendedAction::None)
+    }
+
+    /// Answers a simple query that needs no engine; false for one that does. As the protocol demands it, a simple query
+    /// closes the unnamed statement and portal.
+    ///
+    /// # Errors
+    /// For a statement that is not supported.
+    pub(crate) fn answer_simple_query(
+        &mut self,
+        reply: &mut Vec<u8>,
+        statement: &str,
+    ) -> Result<bool, Fault> {
+        self.statements.remove("");
+        self.portals.remove("");
+        match classify(statement)? {
+            StatementKind::Set(setting) => {
+                self.apply(setting);
+                pg::command_complete(reply, "SET");
+                Ok(true)
+            }
+            StatementKind::Empty => {
+                pg::bare(reply, pg::EMPTY_QUERY);
+                Ok(true)
+            }
+            StatementKind::Query => Ok(false),
+        }
+    }
+
+    /// Applies a `SET`.
+    pub(crate) fn apply(&mut self, setting: Setting) {
+        match setting {
+            Setting::Ignored => {}
+            Setting::StatementTimeout(timeout_ms) => self.statement_timeout_ms = timeout_ms,
+        }
+    }
+
+    /// A portal was served, and the row at `next` is the first that was not sent.
+    ///
+    /// # Errors
+    /// Where too many portals are suspended already; the rows that are left are lost.
+    pub(crate) fn finish_execution(
+        &mut self,
+        name: &str,
+        result: ResultSet,
+        next: Option<RowPosition>,
+    ) -> Result<(), Fault> {
+        let is_suspended = |portal: &&Portal| matches!(portal.state, PortalState::Suspended { .. });
+        let suspended = self.portals.values().filter(is_suspended).count();
+        let Some(portal) = self.portals.get_mut(name) else { return Ok(()) };
+        portal.prepared.set_key_spent();
+        portal.state = match next {
+            Some(next) if suspended < MAX_SUSPENDED_PORTALS => PortalState::Suspended { result, next },
+            Some(_) => {
+                portal.state = PortalState::Completed;
+                let error = Fault::new("53200", "too many portals of this session wait to be fetched");
+                return Err(error.hint("Close some, or fetch all rows at once."));
+            }
+            None => PortalState::Completed,
+        };
+        Ok(())
+    }
+
+    fn parse(&mut self, name: &str, sql: &str, types: Vec<u32>) -> Result<(), Fault> {
+        if !name.is_empty() && self.statements.contains_key(name) {
+            return Err(Fault::new("42P05", format!("statement {} exists already", quoted(name))));
+        }
+        self.statements.remove(name);
+        let prepared = PreparedStatement::new(sql, types)?;
+        self.check_limits(self.statements.len(), prepared.size())?;
+        self.statements.insert(name.to_owned(), Rc::new(prepared));
+        Ok(())
+    }
+
+    fn add_portal(&mut self, name: &str, portal: Portal) -> Result<(), Fault> {
+        if !name.is_empty() && self.portals.contains_key(name) {
+            return Err(Fault::new("42P03", format!("portal {} exists already", quoted(name))));
+        }
+        self.portals.remove(name);
+        self.check_limits(self.portals.len(), portal.size())?;
+        self.portals.insert(name.to_owned(), portal);
+        Ok(())
+    }
+
+    /// Checks that one more object of `added_bytes` fits the limits.
+    fn check_limits(&self, count: usize, added_bytes: usize) -> Result<(), Fault> {
+        if count < MAX_OBJECTS && self.total_bytes() + added_bytes <= MAX_BYTES {
+            return Ok(());
+        }
+        let error = Fault::new("53200", "this session holds too many statements and portals");
+        Err(error.hint("Close some, or use the unnamed ones."))
+    }
+
+    fn total_bytes(&self) -> usize {
+        let statements = self.statements.values().map(|prepared| prepared.size());
+        statements.chain(self.portals.values().map(Portal::size)).sum()
+    }
+
+    fn statement(&self, name: &str) -> Result<&Rc<PreparedStatement>, Fault> {
+        let unknown = || Fault::new("26000", format!("there is no statement {}", quoted(name)));
+        self.statements.get(name).ok_or_else(unknown)
+    }
+
+    fn portal(&self, name: &str) -> Result<&Portal, Fault> {
+        let unknown = || Fault::new("34000", format!("there is no portal {}", quoted(name)));
+        self.portals.get(name).ok_or_else(unknown)
+    }
+
+    fn describe_statement(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), Fault> {
+        let prepared = self.statement(name)?;
+        pg::parameter_description(reply, &prepared.types);
+        describe_result(reply, prepared.kind, &[]);
+        Ok(())
+    }
+
+    fn describe_portal(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), Fault> {
+        let portal = self.portal(name)?;
+        describe_result(reply, portal.prepared.kind, &portal.formats);
+        Ok(())
+    }
+
+    /// Closes a statement with all of its portals, or a portal. It is no error if there is none.
+    fn close(&mut self, kind: Kind, name: &str) {
+        match kind {
+            Kind::Statement => {
+                if let Some(closed) = self.statements.remove(name) {
+                    self.portals.retain(|_, portal| !Rc::ptr_eq(&portal.prepared, &closed));
+                }
+            }
+            Kind::Portal => drop(self.portals.remove(name)),
+        }
+    }
+}
+
+/// RowDescription of a statement that has a result, else NoData.
+fn describe_result(reply: &mut Vec<u8>, kind: StatementKind, formats: &[u16]) {
+    if kind == StatementKind::Query {
+        pg::row_description(reply, COLUMNS, formats);
+    } else {
+        pg::bare(reply, pg::NO_DATA);
+    }
+}
--- /dev/null
+++ b/src/front/extended/statement_kind.rs
@@ -0,0 +1,123 @@
+//! What a statement is to the `extended` front, by its first words.
+
+use super::statement_timeout;
+use crate::proto::pg::Fault;
+use crate::proto::tables::{self, token, Token};
+
+/// First words of the statements that are not supported.
+const UNSUPPORTED_STATEMENTS: [&str; 25] = [
+    "abort",
+    "begin",
+    "close",
+    "commit",
+    "copy",
+    "deallocate",
+    "declare",
+    "discard",
+    "end",
+    "execute",
+    "fetch",
+    "listen",
+    "lock",
+    "move",
+    "notify",
+    "prepare",
+    "release",
+    "reset",
+    "rollback",
+    "savepoint",
+    "set",
+    "show",
+    "start",
+    "unlisten",
+    "vacuum",
+];
+/// Settings that clients may set and that have no effect.
+const IGNORED_SETTINGS: [&str; 3] = ["application_name", "client_min_messages", "extra_float_digits"];
+/// What may stand between a setting's name and its value.
+const ASSIGNMENTS: [&str; 2] = ["=", "to"];
+/// Tokens of a statement that are looked at; no `SET` that is supported has more.
+const MAX_TOKENS: usize = 8;
+
+/// What a statement is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum StatementKind {
+    /// It holds nothing but white space and comments.
+    Empty,
+    /// A `SET` that is answered without an engine.
+    Set(Setting),
+    /// A request for an engine.
+    Query,
+}
+
+/// The effect of a `SET`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Setting {
+    /// None.
+    Ignored,
+    /// The session's time-out in milliseconds from now on; `None`: that of each request's class.
+    StatementTimeout(Option<u64>),
+}
+
+/// What a statement is.
+///
+/// # Errors
+/// For one that is not supported, and for more than one.
+pub(super) fn classify(statement: &str) -> Result<StatementKind, Fault> {
+    if tables::is_empty(statement) {
+        return Ok(StatementKind::Empty);
+    }
+    tables::single(statement).map_err(|several| Fault::new("0A000", several.to_string()))?;
+    let tokens = first_tokens(statement);
+    if let Some(setting) = parse_set(&tokens)? {
+        return Ok(StatementKind::Set(setting));
+    }
+    let first = lower_case(&tokens, 0);
+    if UNSUPPORTED_STATEMENTS.contains(&first.as_str()) {
+        let first = first.to_uppercase();
+        let message = format!("{first} is not supported: there are no transactions, cursors or COPY");
+        return Err(Fault::new("0A000", message));
+    }
+    Ok(StatementKind::Query)
+}
+
+/// The first tokens that are neither white space, nor comments, nor semicolons.
+fn first_tokens(statement: &str) -> Vec<&str> {
+    let mut rest = statement;
+    let mut tokens = Vec::new();
+    while let Some((kind, length)) = token(rest) {
+        let (head, tail) = rest.split_at(length.min(rest.len()));
+        let is_comment = kind == Token::Opaque && (head.starts_with("--") || head.starts_with("/*"));
+        if kind != Token::Space && !is_comment && head != ";" && tokens.len() < MAX_TOKENS {
+            tokens.push(head);
+        }
+        rest = tail;
+    }
+    tokens
+}
+
+fn lower_case(tokens: &[&str], index: usize) -> String {
+    tokens.get(index).map_or(String::new(), |token| token.to_ascii_lowercase())
+}
+
+/// The effect of `SET [SESSION] name { = | TO } value`; `None` for a setting that is not supported, or another
+/// statement.
+fn parse_set(tokens: &[&str]) -> Result<Option<Setting>, Fault> {
+    if lower_case(tokens, 0) != "set" {
+        return Ok(None);
+    }
+    let is_assignment = |index: usize| ASSIGNMENTS.contains(&lower_case(tokens, index).as_str());
+    // `SET session = ...` sets a setting of that name.
+    let has_scope = lower_case(tokens, 1) == "session" && !is_assignment(2);
+    let name_index = if has_scope { 2 } else { 1 };
+    let value_index = name_index + 2;
+    if !is_assignment(name_index + 1) || tokens.len() <= value_index {
+        return Ok(None);
+    }
+    let name = lower_case(tokens, name_index);
+    if name == statement_timeout::NAME && tokens.len() == value_index + 1 {
+        let timeout = statement_timeout::parse(tokens[value_index])?;
+        return Ok(Some(Setting::StatementTimeout(timeout)));
+    }
+    Ok(IGNORED_SETTINGS.contains(&name.as_str()).then_some(Setting::Ignored))
+}
--- /dev/null
+++ b/src/front/read_ahead.rs
@@ -0,0 +1,93 @@
+//! Buffers for what clients send while their request is open, with a bound for each session and one for all.
+
+use crate::core::buffer_pool::{Buffer, BufferPool, SIZE};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// How much the sessions of a front may read ahead, beyond one buffer each.
+#[derive(Debug)]
+pub struct ReadAheadBudget {
+    /// Maximum number of buffers of one session.
+    max_buffers: usize,
+    /// Buffers that are left for all sessions.
+    free_buffers: Cell<usize>,
+}
+
+/// Which bound a session has exceeded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadAheadOverrun {
+    /// Its own.
+    Session,
+    /// That of all sessions, or of the buffer pool.
+    Shared,
+}
+
+/// A buffer of bytes that were read ahead; dropping it returns it to the budget.
+pub(super) struct ReadAheadBuffer {
+    pub(super) buffer: Buffer,
+    /// Bytes at its front that have moved on to the input.
+    pub(super) promoted: usize,
+    budget: Rc<ReadAheadBudget>,
+}
+
+impl ReadAheadBudget {
+    /// `max_buffers` for one session, `total_buffers` for all of them.
+    pub fn new(max_buffers: usize, total_buffers: usize) -> Rc<ReadAheadBudget> {
+        Rc::new(ReadAheadBudget { max_buffers, free_buffers: Cell::new(total_buffers) })
+    }
+
+    /// Maximum number of bytes that a session holds, its input buffer included.
+    pub fn max_buffered(&self) -> usize {
+        SIZE * (1 + self.max_buffers)
+    }
+
+    /// One more buffer for a session that holds `held_buffers`.
+    ///
+    /// # Errors
+    /// Which bound is exceeded by it.
+    pub(super) fn allocate(
+        self: &Rc<Self>,
+        pool: &BufferPool,
+        held_buffers: usize,
+    ) -> Result<ReadAheadBuffer, ReadAheadOverrun> {
+        if held_buffers >= self.max_buffers {
+            return Err(ReadAheadOverrun::Session);
+        }
+        let free_buffers = self.free_buffers.get().checked_sub(1).ok_or(ReadAheadOverrun::Shared)?;
+        let buffer = pool.get().ok_or(ReadAheadOverrun::Shared)?;
+        self.free_buffers.set(free_buffers);
+        Ok(ReadAheadBuffer { buffer, promoted: 0, budget: Rc::clone(self) })
+    }
+}
+
+impl ReadAheadBuffer {
+    /// Appends as much as fits and returns the rest.
+    pub(super) fn append<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        append(&mut self.buffer, bytes)
+    }
+
+    /// Whether one more byte fits.
+    pub(super) fn has_room(&self) -> bool {
+        self.buffer.has_room(1)
+    }
+
+    /// The bytes that have not moved on to the input.
+    pub(super) fn pending(&self) -> &[u8] {
+        &self.buffer[self.promoted..]
+    }
+}
+
+impl Drop for ReadAheadBuffer {
+    fn drop(&mut self) {
+        let free_buffers = self.budget.free_buffers.get();
+        self.budget.free_buffers.set(free_buffers + 1);
+    }
+}
+
+/// Appends as much as fits and returns the rest.
+pub(super) fn append<'a>(buffer: &mut Buffer, bytes: &'a [u8]) -> &'a [u8] {
+    let room = SIZE.saturating_sub(buffer.len());
+    let (fitting, rest) = bytes.split_at(bytes.len().min(room));
+    buffer.extend_from_slice(fitting);
+    rest
+}
--- /dev/null
+++ b/src/front/request.rs
@@ -0,0 +1,113 @@
+//! From a statement and its fields to a request of the core.
+
+use super::client_error::{cancelled, invalid_field, no_buffer};
+use super::config::ClassConfig;
+use super::Front;
+use crate::core::buffer_pool::Buffer;
+use crate::core::facade::RequestSpec;
+use crate::core::now;
+use crate::core::request_table::{Request, RequestHandle, MOST_STATEMENT};
+use crate::proto::fields::Fields;
+use crate::proto::pg::Fault;
+use crate::proto::tables;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// A statement that a session submits.
+pub(super) struct Submission<'a> {
+    /// The fields of its comment.
+    pub(super) fields: &'a Fields,
+    /// Its text without them.
+    pub(super) statement: &'a str,
+    /// When its time-out begins.
+    pub(super) started: Timestamp,
+    /// The session's time-out in milliseconds, if it has one.
+    pub(super) session_timeout_ms: Option<u64>,
+    /// Its client cancelled it before it was submitted.
+    pub(super) is_cancelled: bool,
+}
+
+impl Front {
+    /// Submits a statement to the core.
+    ///
+    /// # Errors
+    /// What the client is told: of a field that is missing or wrong, of its own cancel, of a statement that is too long,
+    /// of a want of buffers, or of a request id that is in use.
+    pub(super) fn submit(&self, submission: Submission<'_>) -> Result<RequestHandle, Fault> {
+        let Submission { fields, statement, started, session_timeout_ms, is_cancelled } = submission;
+        let class = self.class_index(fields)?;
+        let class_config = &self.config.classes[class];
+        let tenant = self.tenant_index(fields)?;
+        let id = self.request_id(fields)?;
+        let idempotency_key = self.idempotency_key(fields, class_config)?;
+        let timeout = match fields.timeout_ms.or(session_timeout_ms) {
+            Some(millis) => TimeDelta::from_micros(millis as i64 * 1000),
+            None => class_config.default_timeout,
+        };
+        let spec = RequestSpec {
+            id,
+            class,
+            tenant,
+            tables: tables::group(statement),
+            left: started + timeout - now(),
+            cost_ms: fields.ms,
+            memory_mb: fields.heap_mb,
+        };
+        if is_cancelled {
+            self.core.figures().take(class).aborted();
+            return Err(cancelled());
+        }
+        let statement =
+            self.copy_statement(statement).inspect_err(|_| self.core.figures().take(class).declined())?;
+        let request =
+            Request { asked: spec, class: class_config.name.clone(), once: idempotency_key, statement };
+        let handle = self.core.take(request);
+        handle
+            .ok_or_else(|| Fault::new("42710", format!("field req: {id:016x} was given to a request before")))
+    }
+
+    fn class_index(&self, fields: &Fields) -> Result<usize, Fault> {
+        let name = fields.kind.as_deref().or(self.config.default_class.as_deref());
+        let name = name.ok_or_else(|| invalid_field("kind", "the statement's comment must name a class"))?;
+        let index = self.config.classes.iter().position(|class| class.name == name);
+        index.ok_or_else(|| invalid_field("kind", "names no class that is configured"))
+    }
+
+    fn tenant_index(&self, fields: &Fields) -> Result<usize, Fault> {
+        let name = fields.owner.as_deref().or(self.config.default_tenant.as_deref());
+        let Some(name) = name else { return Ok(0) };
+        let index = self.config.tenants.iter().position(|tenant| tenant == name);
+        index.ok_or_else(|| invalid_field("owner", "names no tenant that is configured"))
+    }
+
+    /// The request's id: the client's on the platform's front, a generated one on the `extended` front.
+    fn request_id(&self, fields: &Fields) -> Result<u64, Fault> {
+        if self.config.extended {
+            return Ok(self.core.draw());
+        }
+        fields.req.ok_or_else(|| invalid_field("req", "is missing"))
+    }
+
+    /// The idempotency key, for classes that carry one. Without one the platform's clients are rejected, since a
+    /// client's retry could not be told from a new request and would run twice; the `extended` front generates one.
+    fn idempotency_key(&self, fields: &Fields, class: &ClassConfig) -> Result<Option<String>, Fault> {
+        if !class.has_idempotency_key {
+            return Ok(None);
+        }
+        match &fields.opkey {
+            Some(key) => Ok(Some(key.clone())),
+            None if self.config.extended => {
+                Ok(Some(format!("{:016x}{:016x}", self.core.draw(), self.core.draw())))
+            }
+            None => Err(invalid_field("opkey", "is missing: the class carries a key")),
+        }
+    }
+
+    fn copy_statement(&self, statement: &str) -> Result<Buffer, Fault> {
+        if statement.len() > MOST_STATEMENT {
+            return Err(Fault::new("54000", format!("a statement holds at most {MOST_STATEMENT} bytes")));
+        }
+        let mut buffer = self.core.pool().get().ok_or_else(no_buffer)?;
+        buffer.extend_from_slice(statement.as_bytes());
+        Ok(buffer)
+    }
+}
--- /dev/null
+++ b/src/front/result_rows.rs
@@ -0,0 +1,45 @@
+//! Rows of a result as DataRow messages.
+
+use super::client_connection::ClientConnection;
+use crate::core::result_buffer::ResultSet;
+use crate::proto::pg;
+use std::io;
+use tokio::io::{AsyncRead, AsyncWrite};
+
+pub(super) use crate::proto::resp::COLUMNS;
+
+/// Position of a row: the page, and the byte in it.
+pub(super) type RowPosition = (usize, usize);
+/// Position of the first row.
+pub(super) const FIRST_ROW: RowPosition = (0, 0);
+
+/// The rows of one answer.
+pub(super) struct WrittenRows {
+    /// How many were written.
+    pub(super) count: u64,
+    /// Position of the first that was not written, if any is left.
+    pub(super) next: Option<RowPosition>,
+}
+
+/// Writes rows from `position` on, at most `max_rows` of them (0: all).
+///
+/// # Errors
+/// Those of the connection.
+pub(super) async fn write_rows<S: AsyncRead + AsyncWrite + Unpin>(
+    connection: &mut ClientConnection<S>,
+    result: &ResultSet,
+    mut position: RowPosition,
+    max_rows: u32,
+) -> io::Result<WrittenRows> {
+    let mut count = 0;
+    while let Some((line, next)) = result.row(position) {
+        if max_rows > 0 && count == u64::from(max_rows) {
+            return Ok(WrittenRows { count, next: Some(position) });
+        }
+        connection.reserve_output(pg::data_row_size(line)).await?;
+        pg::data_row(connection.output(), line);
+        count += 1;
+        position = next;
+    }
+    Ok(WrittenRows { count, next: None })
+}
--- /dev/null
+++ b/src/front/session/execute.rs
@@ -0,0 +1,90 @@
+//! Execute messages: running a portal, with a row limit if there is one.
+
+use super::error::MessageError;
+use super::state::{session_ended, Session};
+use crate::core::now;
+use crate::core::result_buffer::ResultSet;
+use crate::front::client_connection::ClientConnection;
+use crate::front::client_error::cancelled;
+use crate::front::extended::prepared::PortalState;
+use crate::front::extended::statement_kind::StatementKind;
+use crate::front::request::Submission;
+use crate::front::result_rows::{write_rows, RowPosition, FIRST_ROW};
+use crate::proto::pg;
+use tokio::io::{AsyncRead, AsyncWrite};
+
+/// Room in the output for CommandComplete or PortalSuspended.
+const COMPLETION_BYTES: usize = 64;
+
+impl Session<'_> {
+    /// Answers an Execute message.
+    pub(super) async fn execute<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+        name: &str,
+        max_rows: u32,
+    ) -> Result<(), MessageError> {
+        let Some(portal) = self.objects.portals.get(name) else { return Ok(()) };
+        match portal.prepared.kind {
+            StatementKind::Empty => {
+                pg::bare(connection.output(), pg::EMPTY_QUERY);
+                return Ok(());
+            }
+            StatementKind::Set(setting) => {
+                self.objects.apply(setting);
+                pg::command_complete(connection.output(), "SET");
+                return Ok(());
+            }
+            StatementKind::Query => {}
+        }
+        let is_cancelled = self.cancel.take();
+        let Some((result, position)) = self.result_of(connection, name, is_cancelled).await? else {
+            pg::command_complete(connection.output(), "SELECT 0");
+            return Ok(());
+        };
+        let written = write_rows(connection, &result, position, max_rows).await?;
+        connection.reserve_output(COMPLETION_BYTES).await?;
+        match written.next {
+            None => pg::command_complete(connection.output(), &format!("SELECT {}", written.count)),
+            Some(_) => pg::bare(connection.output(), pg::PORTAL_SUSPENDED),
+        }
+        self.objects.finish_execution(name, result, written.next)?;
+        Ok(())
+    }
+
+    /// A portal's result and the position of the next row to send, from an engine where the portal has not been run;
+    /// `None` if all rows have been sent.
+    async fn result_of<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+        name: &str,
+        is_cancelled: bool,
+    ) -> Result<Option<(ResultSet, RowPosition)>, MessageError> {
+        let Some(portal) = self.objects.portals.get_mut(name) else { return Ok(None) };
+        if is_cancelled && matches!(portal.state, PortalState::Suspended { .. }) {
+            // The CancelRequest arrived earlier in the batch: it ends the batch here.
+            return Err(cancelled().into());
+        }
+        match portal.take_state() {
+            PortalState::Completed => return Ok(None),
+            PortalState::Suspended { result, next } => return Ok(Some((result, next))),
+            PortalState::Ready => {}
+        }
+        let fields = portal.fields()?;
+        // A time-out in the fields counts from when the client sent the message. Any other counts from the start of
+        // this execution, whatever stood before it in the batch.
+        let started = if fields.timeout_ms.is_some() { connection.arrived() } else { now() };
+        if connection.read_available().await? {
+            return Err(session_ended(connection));
+        }
+        let request = self.front.submit(Submission {
+            fields: &fields,
+            statement: &portal.statement,
+            started,
+            session_timeout_ms: self.objects.statement_timeout_ms,
+            is_cancelled,
+        })?;
+        let result = self.wait_for_response(connection, request).await?;
+        Ok(Some((result, FIRST_ROW)))
+    }
+}
--- /dev/null
+++ b/src/front/session/input.rs
@@ -0,0 +1,93 @@
+//! How a session waits for its next message.
+
+use super::state::{Session, SessionFlow};
+use crate::front::client_connection::ClientConnection;
+use crate::front::client_error::{incomplete_in_time, read_ahead_overrun, too_many_sessions};
+use crate::proto::pg::Fault;
+use std::io;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::task::coop::consume_budget;
+use tokio::time::{sleep_until, Instant};
+
+/// A message must be complete this long after its first byte. The platform requires an answer within 3 s.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+
+impl Session<'_> {
+    /// Provides more input: what was read ahead, or else what the client sends next.
+    pub(super) async fn await_input<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+    ) -> io::Result<SessionFlow> {
+        if connection.promote_read_ahead() {
+            return Ok(SessionFlow::Continue);
+        }
+        if let Some(overrun) = connection.overrun() {
+            let error = read_ahead_overrun(overrun, connection.max_buffered());
+            return Ok(SessionFlow::End(Some(error)));
+        }
+        connection.flush().await?;
+        if connection.input().is_empty() {
+            self.slot.set_executing(false);
+            self.partial_since = None;
+            let has_answered = std::mem::take(&mut self.has_answered);
+            // No request is open here, and the client may send the next one to another connection.
+            if self.slot.is_evicted() || has_answered && self.front.end_after_answer.get() {
+                return Ok(SessionFlow::End(None));
+            }
+        } else {
+            self.slot.set_receiving();
+            self.partial_since.get_or_insert_with(Instant::now);
+        }
+        self.wait_for_input(connection).await
+    }
+
+    async fn wait_for_input<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+    ) -> io::Result<SessionFlow> {
+        let deadline = self.partial_since.map(|since| since + MESSAGE_TIMEOUT);
+        let state_changed = self.front.state_changed.notified();
+        let ends_now = self.front.is_closing.get() && connection.input().is_empty();
+        tokio::select! {
+            // Input that is available is read before anything else is looked at: it was accepted, and is owed an
+            // answer, also where the process had no turn for so long that it is to stop, or the slot evicted, by now.
+            biased;
+            read = connection.fill() => {
+                Ok(if read? > 0 { SessionFlow::Continue } else { SessionFlow::End(None) })
+            }
+            () = std::future::ready(()), if ends_now => Ok(self.end_for_stop()),
+            () = state_changed => Ok(SessionFlow::Continue),
+            // An incomplete message does not keep an evicted connection's slot.
+            () = self.slot.evicted(), if deadline.is_some() => {
+                Ok(SessionFlow::End(Some(too_many_sessions())))
+            }
+            () = self.slot.evicted() => Ok(SessionFlow::Continue),
+            () = self.cancel.requested() => self.handle_early_cancel(connection).await,
+            () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
+                Ok(SessionFlow::End(Some(incomplete_in_time("length", MESSAGE_TIMEOUT))))
+            }
+        }
+    }
+
+    /// The end of an idle session where the process stops. Clients of the platform's front expect no message.
+    fn end_for_stop(&self) -> SessionFlow {
+        let error = Fault::new("57P01", "the server is stopping").hint("Connect again.");
+        SessionFlow::End(self.front.config.extended.then_some(error))
+    }
+
+    /// Handles a CancelRequest while no request is open. The request it is for may have been sent before it and be
+    /// still unread: what is available is read first. If there is nothing, the CancelRequest is for no request, and
+    /// must not cancel the next one.
+    async fn handle_early_cancel<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        connection: &mut ClientConnection<S>,
+    ) -> io::Result<SessionFlow> {
+        consume_budget().await;
+        let held = connection.input().len();
+        if !connection.probe_end().await? && connection.input().len() == held {
+            self.cancel.take();
+        }
+        Ok(SessionFlow::Continue)
+    }
+}
--- /dev/null
+++ b/src/front/session/mod.rs
@@ -0,0 +1,232 @@
+//! One client's session: the greeting, the message loop, simple queries, and the execution of portals.
+
+mod error;
+mod execute;
+mod input;
+mod simple_query;
+mod state;
+
+use super::cancel_signal::CancelSignal;
+use super::client_connection::ClientConnection;
+use super::connection_slots::ConnectionSlot;
+use super::count_guard::CountGuard;
+use super::extended::objects::ExtendedAction;
+use super::extended::statement_timeout::timeout_of_startup;
+use super::startup::SessionStart;
+use super::Front;
+use crate::core::buffer_pool::SIZE;
+use crate::proto::pg::{self, Fault, Message};
+use error::MessageError;
+use state::{Session, SessionFlow, CONTROL_MESSAGE_BYTES};
+use std::io;
+use std::rc::Rc;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::task::coop::consume_budget;
+
+/// Start-up parameters with this prefix are protocol options, none of which is known here.
+const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
+/// What the session tells of the server at its start.
+const SERVER_PARAMETERS: [(&str, &str); 7] = [
+    ("server_version", "15.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("standard_conforming_strings", "on"),
+    ("integer_datetimes", "on"),
+    ("DateStyle", "ISO, MDY"),
+    ("TimeZone", "UTC"),
+];
+
+/// What is left to do for a message.
+enum MessageAction {
+    /// Nothing.
+    None,
+    /// Answer a simple query.
+    Query(String),
+    /// End a batch.
+    Sync,
+    /// Write what is held back.
+    Flush,
+    /// The rest of a message of the extended query protocol.
+    Extended(ExtendedAction),
+}
+
+/// What the input holds next.
+enum NextMessage {
+    /// A message of so many bytes, and what is left to do for it.
+    Complete { action: Result<MessageAction, Fault>, length: usize },
+    /// A part of a message, or nothing.
+    Incomplete,
+    /// The end of the session.
+    End(Option<Fault>),
+}
+
+/// Removes a session's cancel signal when the session ends.
+struct SessionRegistration<'a> {
+    front: &'a Front,
+    process_id: u32,
+}
+
+impl Drop for SessionRegistration<'_> {
+    fn drop(&mut self) {
+        self.front.sessions.borrow_mut().remove(&self.process_id);
+    }
+}
+
+/// Serves a session to its end, and returns its final error, if there is one. Once its slot is evicted it ends as soon
+/// as no request is open.
+///
+/// # Errors
+/// Those of the connection.
+pub(super) async fn serve<S: AsyncRead + AsyncWrite + Unpin>(
+    front: Rc<Front>,
+    connection: &mut ClientConnection<S>,
+    start: SessionStart,
+    slot: &ConnectionSlot,
+) -> io::Result<Option<Fault>> {
+    let process_id = front.core.draw() as u32 >> 1;
+    let secret = front.core.draw() as u32;
+    let cancel = CancelSignal::new(secret);
+    front.sessions.borrow_mut().insert(process_id, Rc::clone(&cancel));
+    let _registration = SessionRegistration { front: &front, process_id };
+    let statement_timeout_ms = if front.config.extended {
+        match timeout_of_startup(&start.parameters) {
+            Ok(timeout) => timeout,
+            Err(error) => return Ok(Some(error)),
+        }
+    } else {
+        None
+    };
+    slot.set_executing(false);
+    greet(connection.output(), &start, process_id, secret);
+    connection.flush().await?;
+    let mut session = Session::new(Rc::clone(&front), cancel, slot, statement_timeout_ms);
+    loop {
+        // A client that writes many short messages at once is read without waiting: others have their turn.
+        consume_budget().await;
+        match session.handle_message(connection).await? {
+            SessionFlow::Continue => {}
+            SessionFlow::End(error) => return Ok(error),
+        }
+    }
+}
+
+/// The messages from the start of a session to its first ReadyForQuery.
+fn greet(output: &mut Vec<u8>, start: &SessionStart, process_id: u32, secret: u32) {
+    let names = start.parameters.iter().map(|(name, _)| name.as_str());
+    let unknown_options: Vec<&str> = names.filter(|name| name.starts_with(PROTOCOL_OPTION_PREFIX)).collect();
+    if start.minor > 0 || !unknown_options.is_empty() {
+        pg::negotiate_version(output, &unknown_options);
+    }
+    pg::authentication_ok(output);
+    for (name, value) in SERVER_PARAMETERS {
+        pg::parameter_status(output, name, value);
+    }
+    pg::backend_key(output, process_id, secret);
+    pg::ready(output);
+}
+
+impl Session<'_> {
+    /// Handles one message, or waits for more input.
+    async fn handle_message<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+    ) -> io::Result<SessionFlow> {
+        let mut reply = std::mem::take(&mut self.scratch);
+        let next = self.parse_next(connection.input(), &mut reply);
+        let (action, length) = match next {
+            NextMessage::Complete { action, length } => (action, length),
+            NextMessage::Incomplete => {
+                self.scratch = reply;
+                return self.await_input(connection).await;
+            }
+            NextMessage::End(error) => return Ok(SessionFlow::End(error)),
+        };
+        self.partial_since = None;
+        self.slot.set_executing(true);
+        let is_simple = pg::is_simple_query(connection.input());
+        connection.consume(length);
+        if !reply.is_empty() {
+            connection.reserve_output(reply.len()).await?;
+            connection.output().append(&mut reply);
+        }
+        self.scratch = reply;
+        // Counted until the answer is written: a stop of the process waits for it.
+        let front = Rc::clone(&self.front);
+        let _open_request = CountGuard::new(&front.open_requests);
+        match self.perform(connection, action).await {
+            Ok(()) => {}
+            Err(MessageError::SessionEnded(error)) => return Ok(SessionFlow::End(error)),
+            Err(MessageError::Connection(error)) => return Err(error),
+            Err(MessageError::Rejected(error)) => {
+                connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
+                pg::error(connection.output(), &error);
+                // After an error in a batch the protocol skips all messages up to the next Sync.
+                self.skips_to_sync |= !is_simple;
+            }
+        }
+        if is_simple && !self.skips_to_sync {
+            self.write_ready(connection).await?;
+            self.has_answered = true;
+        }
+        Ok(SessionFlow::Continue)
+    }
+
+    /// Reads the next message of `input`. What needs neither an engine nor the connection is done and answered in
+    /// `reply`.
+    fn parse_next(&mut self, input: &[u8], reply: &mut Vec<u8>) -> NextMessage {
+        let (message, length) = match pg::read_message(input, SIZE) {
+            Ok(Some(read)) => read,
+            Ok(None) => return NextMessage::Incomplete,
+            Err((_, Some(length))) if self.skips_to_sync => {
+                return NextMessage::Complete { action: Ok(MessageAction::None), length };
+            }
+            Err((malformed, Some(length))) => {
+                return NextMessage::Complete { action: Err(malformed.into()), length };
+            }
+            Err((malformed, None)) => return NextMessage::End(Some(malformed.into())),
+        };
+        let action = match message {
+            Message::Terminate => return NextMessage::End(None),
+            Message::Sync => Ok(MessageAction::Sync),
+            Message::Flush => Ok(MessageAction::Flush),
+            _ if self.skips_to_sync => Ok(MessageAction::None),
+            Message::Query(text) => Ok(MessageAction::Query(text.to_owned())),
+            message if self.front.config.extended => {
+                self.objects.handle_message(reply, message).map(MessageAction::Extended)
+            }
+            _ => Err(Fault::new("0A000", "only simple queries are spoken here")),
+        };
+        NextMessage::Complete { action, length }
+    }
+
+    async fn perform<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+        action: Result<MessageAction, Fault>,
+    ) -> Result<(), MessageError> {
+        match action? {
+            MessageAction::None | MessageAction::Extended(ExtendedAction::None) => {}
+            MessageAction::Sync => {
+                self.skips_to_sync = false;
+                self.write_ready(connection).await?;
+            }
+            MessageAction::Flush => connection.flush().await?,
+            MessageAction::Query(text) => self.answer_simple_query(connection, &text).await?,
+            MessageAction::Extended(ExtendedAction::Execute { portal, max_rows }) => {
+                self.execute(connection, &portal, max_rows).await?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Writes all output, with ReadyForQuery at its end. A CancelRequest that arrived before is for what this ends.
+    async fn write_ready<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        connection: &mut ClientConnection<S>,
+    ) -> io::Result<()> {
+        pg::ready(connection.output());
+        connection.flush().await?;
+        self.cancel.take();
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/front/session/simple_query.rs
@@ -0,0 +1,67 @@
+//! Simple queries (PostgreSQL, "Message Flow", "Simple Query").
+
+use super::error::MessageError;
+use super::state::{session_ended, Session, CONTROL_MESSAGE_BYTES};
+use crate::front::client_connection::ClientConnection;
+use crate::front::request::Submission;
+use crate::front::result_rows::{write_rows, COLUMNS, FIRST_ROW};
+use crate::proto::fields::{self, Fields};
+use crate::proto::pg::{self, Fault};
+use crate::proto::tables;
+use tokio::io::{AsyncRead, AsyncWrite};
+
+impl Session<'_> {
+    /// Answers a simple query, up to its ReadyForQuery.
+    pub(super) async fn answer_simple_query<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+        text: &str,
+    ) -> Result<(), MessageError> {
+        let Some((fields, statement)) = self.read_simple_query(connection, text)? else {
+            return Ok(());
+        };
+        let started = connection.arrived();
+        if connection.read_available().await? {
+            return Err(session_ended(connection));
+        }
+        let request = self.front.submit(Submission {
+            fields: &fields,
+            statement,
+            started,
+            session_timeout_ms: self.objects.statement_timeout_ms,
+            is_cancelled: self.cancel.take(),
+        })?;
+        self.slot.record_request();
+        let result = self.wait_for_response(connection, request).await?;
+        connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
+        pg::row_description(connection.output(), COLUMNS, &[]);
+        let written = write_rows(connection, &result, FIRST_ROW, 0).await?;
+        connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
+        pg::command_complete(connection.output(), &format!("SELECT {}", written.count));
+        Ok(())
+    }
+
+    /// The fields and the statement of a simple query; `None` for one that needs no engine and is answered.
+    fn read_simple_query<'t, S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+        text: &'t str,
+    ) -> Result<Option<(Fields, &'t str)>, Fault> {
+        let (fields, statement) = fields::split(text).map_err(Fault::from)?;
+        if self.front.config.extended && self.objects.answer_simple_query(connection.output(), statement)? {
+            return Ok(None);
+        }
+        // The platform's health check is an empty text. A comment with no statement behind it is a request that was
+        // cut, and must not pass for one.
+        if text.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
+            pg::bare(connection.output(), pg::EMPTY_QUERY);
+            return Ok(None);
+        }
+        if tables::is_empty(statement) {
+            return Err(Fault::new("08P01", "field query holds no statement behind its comment"));
+        }
+        // One request is one statement: it gets one answer, and an engine runs it as a whole.
+        tables::single(statement).map_err(|several| Fault::new("0A000", several.to_string()))?;
+        Ok(Some((fields, statement)))
+    }
+}
--- /dev/null
+++ b/src/front/session/state.rs
@@ -0,0 +1,110 @@
+//! What a session knows, and how it waits for the response to a request.
+
+use super::error::MessageError;
+use crate::core::request_table::{RequestHandle, Response};
+use crate::core::result_buffer::ResultSet;
+use crate::front::cancel_signal::CancelSignal;
+use crate::front::client_connection::ClientConnection;
+use crate::front::client_error::{cancelled, failed, read_ahead_overrun, rejected};
+use crate::front::connection_slots::ConnectionSlot;
+use crate::front::extended::objects::SessionObjects;
+use crate::front::Front;
+use crate::proto::pg::Fault;
+use std::rc::Rc;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::time::Instant;
+
+/// Room in the output for a message that is not a row: an error, or a description.
+pub(super) const CONTROL_MESSAGE_BYTES: usize = 4096;
+
+/// State of a session.
+pub(super) struct Session<'a> {
+    pub(super) front: Rc<Front>,
+    pub(super) cancel: Rc<CancelSignal>,
+    pub(super) slot: &'a ConnectionSlot,
+    /// Since when the input has held a part of a message.
+    pub(super) partial_since: Option<Instant>,
+    /// Messages are skipped up to the next Sync.
+    pub(super) skips_to_sync: bool,
+    /// Prepared statements and portals, and the session's settings.
+    pub(super) objects: SessionObjects,
+    /// Holds the reply to a message until there is room for it in the output.
+    pub(super) scratch: Vec<u8>,
+    /// An answer was written since the input was last empty.
+    pub(super) has_answered: bool,
+}
+
+/// Whether a session goes on.
+pub(super) enum SessionFlow {
+    /// It does.
+    Continue,
+    /// It ends, after an error if there is one.
+    End(Option<Fault>),
+}
+
+impl<'a> Session<'a> {
+    /// A session that has not received a message.
+    pub(super) fn new(
+        front: Rc<Front>,
+        cancel: Rc<CancelSignal>,
+        slot: &'a ConnectionSlot,
+        statement_timeout_ms: Option<u64>,
+    ) -> Session<'a> {
+        Session {
+            front,
+            cancel,
+            slot,
+            partial_since: None,
+            skips_to_sync: false,
+            objects: SessionObjects::new(statement_timeout_ms),
+            scratch: Vec::new(),
+            has_answered: false,
+        }
+    }
+
+    /// Waits for a request's response, its client's cancel, or the end of the connection. Input is read ahead all the
+    /// while, since the end may stand behind anything. A client that floods is disconnected with an error.
+    ///
+    /// # Errors
+    /// The response, where it is not a result; and the end of the session.
+    pub(super) async fn wait_for_response<S: AsyncRead + AsyncWrite + Unpin>(
+        &mut self,
+        connection: &mut ClientConnection<S>,
+        mut request: RequestHandle,
+    ) -> Result<ResultSet, MessageError> {
+        let extended = self.front.config.extended;
+        loop {
+            tokio::select! {
+                biased;
+                response = request.wait() => return match response {
+                    Response::Served(result) => Ok(result),
+                    Response::Refused(reason, retry_after) => Err(rejected(reason, retry_after, extended).into()),
+                    Response::Failed(reason, retry_after) => Err(failed(reason, retry_after).into()),
+                },
+                () = self.cancel.requested() => {
+                    self.cancel.take();
+                    request.cancel();
+                    return Err(cancelled().into());
+                }
+                read = connection.read_ahead() => {
+                    if read? == 0 {
+                        return Err(MessageError::SessionEnded(None));
+                    }
+                    if connection.is_flooding() {
+                        request.cancel();
+                        return Err(session_ended(connection));
+                    }
+                }
+            }
+        }
+    }
+}
+
+/// The end of a session whose client has gone, or floods and is told so. What it still sent is not admitted.
+pub(super) fn session_ended<S: AsyncRead + AsyncWrite + Unpin>(
+    connection: &ClientConnection<S>,
+) -> MessageError {
+    let overrun = connection.overrun().filter(|_| connection.is_flooding());
+    let error = overrun.map(|overrun| read_ahead_overrun(overrun, connection.max_buffered()));
+    MessageError::SessionEnded(error)
+}
--- /dev/null
+++ b/src/front/sessionless.rs
@@ -0,0 +1,138 @@
+//! Connections without a session slot: new ones, whose first packet may be a CancelRequest that needs none, and those
+//! that are being closed with a final error.
+//!
+//! When their number exceeds its maximum one of them is closed: first those that are being closed anyway, and among
+//! equals the oldest.
+
+use super::connection_slots::ConnectionSlot;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// What a connection without a slot is doing. The order is the order of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum SessionlessPhase {
+    /// It is being closed; its final error may still be on its way.
+    Closing,
+    /// It has not sent its start-up packet, or waits for a slot.
+    Handshaking,
+}
+
+/// The connections without a slot.
+#[derive(Debug)]
+pub struct SessionlessConnections {
+    states: RefCell<BTreeMap<u64, Rc<SessionlessState>>>,
+    next_number: Cell<u64>,
+    max_connections: usize,
+}
+
+#[derive(Debug)]
+struct SessionlessState {
+    phase: Cell<SessionlessPhase>,
+    is_evicted: Cell<bool>,
+    evicted: Notify,
+}
+
+/// One connection's entry; dropping it removes it.
+#[derive(Debug)]
+pub struct SessionlessConnection {
+    connections: Rc<SessionlessConnections>,
+    number: u64,
+    state: Rc<SessionlessState>,
+}
+
+impl SessionlessConnections {
+    /// Room for `max_connections`, at least one.
+    pub fn new(max_connections: usize) -> Rc<SessionlessConnections> {
+        Rc::new(SessionlessConnections {
+            states: RefCell::default(),
+            next_number: Cell::new(0),
+            max_connections: max_connections.max(1),
+        })
+    }
+
+    /// Adds a connection, evicting one if need be, which may be the new one.
+    pub fn enter(self: &Rc<Self>, phase: SessionlessPhase) -> SessionlessConnection {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let state = Rc::new(SessionlessState {
+            phase: Cell::new(phase),
+            is_evicted: Cell::new(false),
+            evicted: Notify::new(),
+        });
+        self.states.borrow_mut().insert(number, Rc::clone(&state));
+        if self.states.borrow().len() > self.max_connections {
+            self.evict_one();
+        }
+        SessionlessConnection { connections: Rc::clone(self), number, state }
+    }
+
+    /// Whether one more can enter without an eviction.
+    pub fn has_room(&self) -> bool {
+        self.states.borrow().len() < self.max_connections
+    }
+
+    /// Evicts the best candidate; false if there is no connection.
+    pub fn evict_one(&self) -> bool {
+        let mut states = self.states.borrow_mut();
+        let candidate = states.iter().min_by_key(|(number, state)| (state.phase.get(), **number));
+        let Some(number) = candidate.map(|(number, _)| *number) else { return false };
+        let Some(state) = states.remove(&number) else { return false };
+        state.is_evicted.set(true);
+        state.evicted.notify_one();
+        true
+    }
+}
+
+impl SessionlessConnection {
+    /// The connection is being closed from now on.
+    pub fn set_closing(&self) {
+        self.state.phase.set(SessionlessPhase::Closing);
+    }
+
+    /// Whether the connection has been evicted; it is closed at once.
+    pub fn is_evicted(&self) -> bool {
+        self.state.is_evicted.get()
+    }
+
+    /// Completes when the connection is evicted, or has been.
+    pub async fn evicted(&self) {
+        if !self.is_evicted() {
+            self.state.evicted.notified().await;
+        }
+    }
+}
+
+impl Drop for SessionlessConnection {
+    fn drop(&mut self) {
+        self.connections.states.borrow_mut().remove(&self.number);
+    }
+}
+
+/// What counts a connection against its limit: at any time one of the two.
+#[derive(Debug)]
+pub enum ConnectionGuard {
+    /// A slot for a session.
+    Slot(ConnectionSlot),
+    /// An entry among the connections without a slot.
+    Sessionless(SessionlessConnection),
+}
+
+impl ConnectionGuard {
+    /// Completes when the connection is evicted.
+    pub async fn evicted(&self) {
+        match self {
+            ConnectionGuard::Slot(slot) => slot.evicted().await,
+            ConnectionGuard::Sessionless(sessionless) => sessionless.evicted().await,
+        }
+    }
+
+    /// Whether the connection has no slot.
+    pub fn is_sessionless(&self) -> bool {
+        matches!(self, ConnectionGuard::Sessionless(_))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/front/startup.rs
@@ -0,0 +1,143 @@
+//! The packets before a session: SSLRequest, GSSENCRequest, CancelRequest and StartupMessage (PostgreSQL, "Message
+//! Flow", "Start-up").
+
+use super::client_connection::ClientConnection;
+use super::client_error::{incomplete_in_time, too_many_sessions};
+use super::sessionless::ConnectionGuard;
+use super::Front;
+use crate::proto::pg::{self, Fault, Opening};
+use std::io;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::time::timeout;
+use tokio_rustls::TlsAcceptor;
+
+/// A connection that has not started a session in this time is closed. The platform requires an answer within 3 s.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Answer to an SSLRequest that is agreed to.
+const ENCRYPTION_ACCEPTED: u8 = b'S';
+/// Answer to a request for an encryption that is not offered.
+const ENCRYPTION_REFUSED: u8 = b'N';
+
+/// A StartupMessage.
+pub struct SessionStart {
+    /// The minor version of the protocol that the client asks for.
+    pub minor: u16,
+    /// Names and values of the parameters.
+    pub parameters: Vec<(String, String)>,
+}
+
+/// What follows the packets before a session.
+pub(super) enum StartupOutcome {
+    /// A session.
+    Session(SessionStart),
+    /// A TLS handshake.
+    StartTls(TlsAcceptor),
+    /// The end of the connection, after an error if there is one.
+    Close(Option<Fault>),
+}
+
+impl StartupOutcome {
+    fn reject(error: Fault) -> StartupOutcome {
+        StartupOutcome::Close(Some(error))
+    }
+}
+
+impl Front {
+    /// Reads the packets before a session, until the time-out or the connection's eviction.
+    pub(super) async fn start<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        connection: &mut ClientConnection<S>,
+        guard: &ConnectionGuard,
+        is_encrypted: bool,
+    ) -> StartupOutcome {
+        let rejection = || guard.is_sessionless().then(too_many_sessions);
+        tokio::select! {
+            biased;
+            outcome = timeout(STARTUP_TIMEOUT, self.read_startup(connection, is_encrypted)) => match outcome {
+                Ok(Ok(outcome)) => outcome,
+                Ok(Err(_)) => StartupOutcome::Close(None),
+                Err(_) => {
+                    let timed_out = || incomplete_in_time("start-up packet", STARTUP_TIMEOUT);
+                    StartupOutcome::Close(Some(rejection().unwrap_or_else(timed_out)))
+                }
+            },
+            () = guard.evicted() => StartupOutcome::Close(rejection()),
+        }
+    }
+
+    async fn read_startup<S: AsyncRead + AsyncWrite + Unpin>(
+        &self,
+        connection: &mut ClientConnection<S>,
+        is_encrypted: bool,
+    ) -> io::Result<StartupOutcome> {
+        loop {
+            let opening = match pg::read_opening(connection.input()) {
+                Ok(Some((opening, length))) => {
+                    connection.consume(length);
+                    opening
+                }
+                Ok(None) => {
+                    if connection.fill().await? == 0 {
+                        return Ok(StartupOutcome::Close(None));
+                    }
+                    continue;
+                }
+                Err(malformed) => return Ok(StartupOutcome::reject(malformed.into())),
+            };
+            let acceptor = self.tls.borrow().clone();
+            match (opening, acceptor) {
+                (Opening::Ssl, Some(acceptor)) if !is_encrypted => {
+                    return agree_to_tls(connection, acceptor).await;
+                }
+                (Opening::Ssl | Opening::Gssenc, _) => {
+                    connection.output().push(ENCRYPTION_REFUSED);
+                    connection.flush().await?;
+                }
+                (Opening::Cancel { session, secret }, _) => {
+                    self.request_cancel(session, secret);
+                    return Ok(StartupOutcome::Close(None));
+                }
+                (Opening::Startup { .. }, acceptor) if self.config.require_tls && !is_encrypted => {
+                    return Ok(StartupOutcome::reject(tls_required(acceptor.is_some())));
+                }
+                (Opening::Startup { minor, parameters }, _) => {
+                    return Ok(StartupOutcome::Session(SessionStart { minor, parameters }));
+                }
+            }
+        }
+    }
+
+    /// Handles a CancelRequest. The client gets no answer, whether the session exists or not.
+    fn request_cancel(&self, session: u32, secret: u32) {
+        if let Some(cancel) = self.sessions.borrow().get(&session) {
+            cancel.request(secret);
+        }
+    }
+}
+
+/// Agrees to an SSLRequest. Bytes that arrive before the handshake are not accepted: an attacker could have injected
+/// them, and they would be read as if they had been encrypted.
+async fn agree_to_tls<S: AsyncRead + AsyncWrite + Unpin>(
+    connection: &mut ClientConnection<S>,
+    acceptor: TlsAcceptor,
+) -> io::Result<StartupOutcome> {
+    if !connection.input().is_empty() {
+        let error = Fault::new("08P01", "field SSLRequest: data came behind it");
+        return Ok(StartupOutcome::reject(error));
+    }
+    connection.output().push(ENCRYPTION_ACCEPTED);
+    connection.flush().await?;
+    if !connection.input().is_empty() {
+        return Ok(StartupOutcome::Close(None));
+    }
+    Ok(StartupOutcome::StartTls(acceptor))
+}
+
+fn tls_required(has_certificate: bool) -> Fault {
+    if has_certificate {
+        Fault::new("28000", "sessions must use TLS").hint("Set sslmode=require.")
+    } else {
+        Fault::new("57P03", "there is no certificate yet").hint("Come back in 5000 ms.")
+    }
+}
--- a/src/proto/pg.rs
+++ b/src/proto/pg.rs
@@ -135,6 +135,11 @@
     Ok(Some((message, len + 1)))
 }
 
+/// Whether the message at the front of `bytes` is a simple query.
+pub fn is_simple_query(bytes: &[u8]) -> bool {
+    bytes.first() == Some(&b'Q')
+}
+
 fn body_of(tag: u8, body: &[u8]) -> Result<Message<'_>, Malformed> {
     let mut c = Cursor(body);
     let message = match tag {
