--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -2,6 +2,7 @@
 //! and a number of members behind a colon (`honest:5`). Prints what failed, and sums. Exit status 1 on a violation.
 
 use sprucelink_consensus::sim::{Plan, Report, World};
+use sprucelink_consensus::TimeDelta;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,7 +23,7 @@
 #[derive(Default)]
 struct Sums {
     failed: Vec<(u64, String)>,
-    elections: Vec<u64>,
+    elections: Vec<TimeDelta>,
     outcomes: [u64; 3],
     strokes: u64,
     replaced: u64,
@@ -76,7 +77,7 @@
     let mut sums = sums.into_inner().unwrap_or_else(|held| held.into_inner());
     sums.elections.sort_unstable();
     let share =
-        |of: usize| sums.elections.get(sums.elections.len() * of / 1000).map_or(0, |time| time / 1000);
+        |of: usize| sums.elections.get(sums.elections.len() * of / 1000).map_or(0, |time| time.as_millis());
     println!("{count} seeds, {} violations", sums.failed.len());
     println!(
         "proposals committed {}, lost {}, unknown {}",
@@ -91,7 +92,7 @@
         share(900),
         share(990),
         share(999),
-        sums.elections.last().map_or(0, |time| time / 1000)
+        sums.elections.last().map_or(0, |time| time.as_millis())
     );
     ExitCode::from(u8::from(!sums.failed.is_empty()))
 }
--- a/crates/consensus/src/commands.rs
+++ b/crates/consensus/src/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::convert;
 use crate::council::{Council, Fault, Phase};
-use crate::ids::{MemberId, Micros, ProposalId};
+use crate::ids::{MemberId, ProposalId};
 use crate::limits::{MAX_PROPOSAL_BYTES, MAX_SNAPSHOT_BYTES, PROMOTE_LAG};
 use crate::members::{Change, ChangeKind, Members};
 use crate::ready::{Alarm, Role};
@@ -10,6 +10,7 @@
 use crate::wire::{self, envelope::Body};
 use prost::Message as _;
 use raft::StateRole;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::fmt;
 
 /// Why a proposal was not taken. None of it went anywhere.
@@ -300,8 +301,8 @@
     }
 
     /// For how long this member has led, by its own clock. A hint, and no lease: another may lead by now.
-    pub fn leader_since(&self, now: Micros) -> Option<Micros> {
-        self.leading_since.map(|since| now.saturating_sub(since))
+    pub fn leader_since(&self, now: Timestamp) -> Option<TimeDelta> {
+        self.leading_since.map(|since| (now - since).max(TimeDelta::ZERO))
     }
 
     /// This member's name.
--- a/crates/consensus/src/council.rs
+++ b/crates/consensus/src/council.rs
@@ -3,7 +3,7 @@
 use crate::convert;
 use crate::digests::Digests;
 use crate::guard::{self, Check};
-use crate::ids::{MemberId, Micros, ProposalId};
+use crate::ids::{MemberId, ProposalId};
 use crate::limits::{BUSY_BATCHES, MAX_ALARMS, MAX_COUNT, MAX_FRAMES_WAITING, MAX_TICKS_AT_ONCE};
 use crate::members::Members;
 use crate::mirror::Mirror;
@@ -18,6 +18,7 @@
 use raft::{ProgressState, RawNode, StateRole};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
@@ -73,7 +74,7 @@
 #[derive(Debug)]
 pub(crate) enum Phase {
     /// Started, and not yet vouched for.
-    Probation { probation: Probation, next_hello: Micros },
+    Probation { probation: Probation, next_hello: Timestamp },
     /// Takes part.
     Established,
     /// Found to have lost what it acknowledged.
@@ -105,8 +106,8 @@
     /// Number of the last batch handed out.
     pub(crate) writes: u64,
     pub(crate) flights: VecDeque<Flight>,
-    pub(crate) now: Micros,
-    pub(crate) last_tick: Micros,
+    pub(crate) now: Timestamp,
+    pub(crate) last_tick: Timestamp,
     /// Frames to send at once, and those to send behind the next batch.
     pub(crate) waiting: Vec<(MemberId, Body)>,
     pub(crate) after: Vec<(MemberId, Body)>,
@@ -118,13 +119,13 @@
     pub(crate) applied: u64,
     /// An entry that is applied, whose snapshot is not on disk yet.
     pub(crate) apply_due: u64,
-    pub(crate) leading_since: Option<Micros>,
+    pub(crate) leading_since: Option<Timestamp>,
     pub(crate) role: Option<RoleChange>,
     pub(crate) base_due: bool,
     pub(crate) state_due: bool,
-    pub(crate) witness_due: Micros,
+    pub(crate) witness_due: Timestamp,
     pub(crate) snapshot_asked: bool,
-    snapshots_sent: BTreeMap<u64, Micros>,
+    snapshots_sent: BTreeMap<u64, Timestamp>,
 }
 
 impl fmt::Debug for Council {
@@ -143,7 +144,7 @@
     ///
     /// # Errors
     /// Settings out of range, or a store that does not fit together.
-    pub fn new(config: Config, restored: Restored, seed: u64, now: Micros) -> Result<Self, StartError> {
+    pub fn new(config: Config, restored: Restored, seed: u64, now: Timestamp) -> Result<Self, StartError> {
         config.check().map_err(StartError::Settings)?;
         let held = restored.witness();
         let state = restored.state.clone();
@@ -220,7 +221,7 @@
 
     /// Tells the time. To be called at least every tick; a longer gap counts as a stop of the process, and a
     /// leader that was stopped for as long as an election takes steps down at once.
-    pub fn tick(&mut self, now: Micros) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.pass(now);
         self.proposals.tick(now, &mut self.outcomes);
         match &mut self.phase {
@@ -240,21 +241,22 @@
     }
 
     /// Takes note of the time; a leader that was stopped steps down before it does anything else.
-    fn pass(&mut self, now: Micros) {
-        let stopped = now.saturating_sub(self.last_tick) >= self.timing.pause();
+    fn pass(&mut self, now: Timestamp) {
+        let stopped = now - self.last_tick >= self.timing.pause();
         if stopped && self.raw.raft.state == StateRole::Leader {
             let term = self.raw.raft.term;
             self.raw.raft.become_follower(term, 0);
-            self.alarm(Alarm::Stopped { for_micros: now - self.last_tick });
+            self.alarm(Alarm::Stopped { paused_for: now - self.last_tick });
             self.last_tick = now;
         }
         self.now = self.now.max(now);
     }
 
-    fn raft_ticks(&mut self, now: Micros) {
-        let due = now.saturating_sub(self.last_tick) / self.timing.tick;
+    fn raft_ticks(&mut self, now: Timestamp) {
+        let tick = self.timing.tick.as_micros();
+        let due = ((now - self.last_tick).as_micros() / tick).max(0);
         let ticks = due.min(MAX_TICKS_AT_ONCE);
-        self.last_tick = if due > ticks { now } else { self.last_tick + due * self.timing.tick };
+        self.last_tick = if due > ticks { now } else { self.last_tick + TimeDelta::from_micros(due * tick) };
         let (shortest, longest) = (self.timing.election_ticks as usize, self.longest());
         for _ in 0..ticks {
             if self.may_campaign() {
@@ -285,7 +287,7 @@
         self.drawn.2
     }
 
-    fn retry_snapshots(&mut self, now: Micros) {
+    fn retry_snapshots(&mut self, now: Timestamp) {
         if self.raw.raft.state != StateRole::Leader {
             self.snapshots_sent.clear();
             return;
@@ -301,7 +303,7 @@
         self.snapshots_sent.retain(|id, _| sending.contains(id));
         for id in sending {
             let since = *self.snapshots_sent.entry(id).or_insert(now);
-            if now.saturating_sub(since) >= self.timing.snapshot_retry {
+            if now - since >= self.timing.snapshot_retry {
                 self.snapshots_sent.remove(&id);
                 self.raw.report_snapshot(id, raft::SnapshotStatus::Failure);
             }
@@ -339,7 +341,7 @@
 
     /// Takes a frame that came on the connection of `from`. A frame that is not for this member, or not by `from`, or
     /// of a start of it that is over, is dropped.
-    pub fn step(&mut self, now: Micros, from: MemberId, frame: Frame) {
+    pub fn step(&mut self, now: Timestamp, from: MemberId, frame: Frame) {
         self.pass(now);
         let envelope = frame.0;
         if envelope.from != from.raw() || envelope.to != self.me.raw() || from == self.me {
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -1,10 +1,7 @@
-//! Names of members and proposals, and the unit of time.
+//! Names of members and proposals.
 
 use std::fmt;
 
-/// A time or a duration in microseconds. Times count from any fixed point of the caller's; only differences matter.
-pub type Micros = u64;
-
 /// A member of the council: a node, and which of its incarnations.
 ///
 /// An incarnation is one store. A node whose store was lost, replaced or quarantined comes back under a higher
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -60,10 +60,11 @@
 pub use commands::{MemberError, ProposeError, SnapshotError};
 pub use council::{Council, Fault, StartError};
 pub use frame::{Decoder, Frame, FrameError};
-pub use ids::{MemberId, Micros, ProposalId};
+pub use ids::{MemberId, ProposalId};
 pub use members::{Change, ChangeKind, Members};
 pub use proposals::{Outcome, Unknown};
 pub use ready::{Alarm, Batch, Entry, Ready, Role, RoleChange, Snapshot};
 pub use repeats::{Repeats, RepeatsError, Verdict};
 pub use settings::{Config, Restored, SettingsError, Timing};
+pub use sprucelink_time::{TimeDelta, Timestamp};
 pub use wire::Witness;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -76,7 +76,7 @@
 
 /// Most ticks made up for at once. After a longer gap the rest is let go: the time was the process's own, and what
 /// others said meanwhile still waits to be read.
-pub const MAX_TICKS_AT_ONCE: u64 = 3;
+pub const MAX_TICKS_AT_ONCE: i64 = 3;
 
 /// Highest term and index taken from a message: beyond it somebody has lost its mind, and sums could overflow.
 pub const MAX_COUNT: u64 = 1 << 48;
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -1,7 +1,8 @@
 //! A member's own proposals until it is known what became of them.
 
-use crate::ids::{Micros, ProposalId};
+use crate::ids::ProposalId;
 use crate::limits::MAX_PROPOSALS_IN_HAND;
+use sprucelink_time::Timestamp;
 use std::collections::BTreeMap;
 
 /// What became of a proposal.
@@ -44,7 +45,7 @@
 #[derive(Debug)]
 struct Pending {
     term: u64,
-    until: Micros,
+    until: Timestamp,
 }
 
 /// The proposals in hand, at most [`MAX_PROPOSALS_IN_HAND`].
@@ -62,7 +63,7 @@
         self.pending.contains_key(&id)
     }
 
-    pub fn put(&mut self, id: ProposalId, term: u64, until: Micros) {
+    pub fn put(&mut self, id: ProposalId, term: u64, until: Timestamp) {
         self.pending.insert(id, Pending { term, until });
     }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Outcome>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Outcome>) {
         self.drain(
             |_, pending| pending.until <= now,
             |id| Outcome::Unknown { id, why: Unknown::TimedOut },
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -3,7 +3,7 @@
 use crate::convert;
 use crate::council::{Council, Fault, Phase};
 use crate::frame::VERSION;
-use crate::ids::{MemberId, Micros, ProposalId};
+use crate::ids::{MemberId, ProposalId};
 use crate::limits::{MAX_BATCHES_IN_FLIGHT, SNAPSHOT_EVERY_BYTES};
 use crate::members::Members;
 use crate::proposals::{Outcome, Unknown};
@@ -12,6 +12,7 @@
 use prost::Message as _;
 use raft::eraftpb;
 use raft::StateRole;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 /// A committed record.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -103,7 +104,7 @@
     /// This leader was not ticked for long, and stepped down.
     Stopped {
         /// For how long.
-        for_micros: Micros,
+        paused_for: TimeDelta,
     },
     /// Answers of members in probation had to count at the start: two disks that forgot the same go unseen.
     Relaxed,
@@ -349,7 +350,7 @@
     }
 
     /// The batch of this number, and all before it, are on disk.
-    pub fn persisted(&mut self, now: Micros, number: u64) {
+    pub fn persisted(&mut self, now: Timestamp, number: u64) {
         self.now = self.now.max(now);
         let mut raft_number = 0;
         while self.flights.front().is_some_and(|flight| flight.batch <= number) {
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,20 +1,18 @@
 //! What a member is started with: its name, its times with their ranges, and what its disk gave back.
 
-use crate::ids::{MemberId, Micros};
+use crate::ids::MemberId;
 use crate::limits::{MAX_VOTERS, MIN_VOTERS};
 use crate::ready::Snapshot;
 use crate::wire;
+use sprucelink_time::TimeDelta;
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// One millisecond.
-const MS: Micros = 1000;
-
 /// The council's times. Nothing about agreement depends on them, only how soon it comes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
     /// One tick: 10 to 200 ms (50 ms).
-    pub tick: Micros,
+    pub tick: TimeDelta,
     /// A leader's heartbeat, in ticks: 1 to 10 (2).
     pub heartbeat_ticks: u32,
     /// Shortest time without a leader's word before an election, in ticks: 5 to 100 (10), and at least three heartbeats,
@@ -23,16 +21,16 @@
     /// How much longer it may be, drawn from the seed, in ticks: 5 to 100 (10).
     pub spread_ticks: u32,
     /// How often a member that has started asks the others: 20 ms to 10 s (100 ms).
-    pub hello_every: Micros,
+    pub hello_every: TimeDelta,
     /// How long it waits for a majority of established members before answers from members in probation will do:
     /// 1 s to 10 min (10 s).
-    pub patience: Micros,
+    pub patience: TimeDelta,
     /// After so long an undecided proposal is given up as unknown: 100 ms to 60 s (2 s).
-    pub proposal_timeout: Micros,
+    pub proposal_timeout: TimeDelta,
     /// A snapshot that was sent and not answered for so long is sent again: 500 ms to 60 s (2 s).
-    pub snapshot_retry: Micros,
+    pub snapshot_retry: TimeDelta,
     /// What was seen of the peers goes to disk by itself, if nothing else does, this often: 500 ms to 10 min (5 s).
-    pub witness_every: Micros,
+    pub witness_every: TimeDelta,
     /// Entries since the last snapshot that make a new one due: 16 to 16384 (4096).
     pub snapshot_every: u64,
 }
@@ -40,15 +38,15 @@
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            tick: 50 * MS,
+            tick: TimeDelta::from_millis(50),
             heartbeat_ticks: 2,
             election_ticks: 10,
             spread_ticks: 10,
-            hello_every: 100 * MS,
-            patience: 10_000 * MS,
-            proposal_timeout: 2_000 * MS,
-            snapshot_retry: 2_000 * MS,
-            witness_every: 5_000 * MS,
+            hello_every: TimeDelta::from_millis(100),
+            patience: TimeDelta::from_millis(10_000),
+            proposal_timeout: TimeDelta::from_millis(2_000),
+            snapshot_retry: TimeDelta::from_millis(2_000),
+            witness_every: TimeDelta::from_millis(5_000),
             snapshot_every: 4096,
         }
     }
@@ -60,31 +58,36 @@
     /// # Errors
     /// The first setting out of its range, with the range.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let within = |what, value: u64, range: RangeInclusive<u64>| {
+        let within = |what, value: i64, range: RangeInclusive<i64>| {
             if range.contains(&value) {
                 return Ok(());
             }
             Err(SettingsError::OutOfRange { what, value, low: *range.start(), high: *range.end() })
         };
-        within("tick", self.tick, 10 * MS..=200 * MS)?;
+        let within_millis = |what, value: TimeDelta, range: RangeInclusive<i64>| {
+            let micros = |millis| TimeDelta::from_millis(millis).as_micros();
+            within(what, value.as_micros(), micros(*range.start())..=micros(*range.end()))
+        };
+        within_millis("tick", self.tick, 10..=200)?;
         within("heartbeat_ticks", self.heartbeat_ticks.into(), 1..=10)?;
         within(
             "election_ticks",
             self.election_ticks.into(),
-            (3 * u64::from(self.heartbeat_ticks)).max(5)..=100,
+            (3 * i64::from(self.heartbeat_ticks)).max(5)..=100,
         )?;
         within("spread_ticks", self.spread_ticks.into(), 5..=100)?;
-        within("hello_every", self.hello_every, 20 * MS..=10_000 * MS)?;
-        within("patience", self.patience, 1_000 * MS..=600_000 * MS)?;
-        within("proposal_timeout", self.proposal_timeout, 100 * MS..=60_000 * MS)?;
-        within("snapshot_retry", self.snapshot_retry, 500 * MS..=60_000 * MS)?;
-        within("witness_every", self.witness_every, 500 * MS..=600_000 * MS)?;
-        within("snapshot_every", self.snapshot_every, 16..=16_384)
+        within_millis("hello_every", self.hello_every, 20..=10_000)?;
+        within_millis("patience", self.patience, 1_000..=600_000)?;
+        within_millis("proposal_timeout", self.proposal_timeout, 100..=60_000)?;
+        within_millis("snapshot_retry", self.snapshot_retry, 500..=60_000)?;
+        within_millis("witness_every", self.witness_every, 500..=600_000)?;
+        let snapshot_every = i64::try_from(self.snapshot_every).unwrap_or(i64::MAX);
+        within("snapshot_every", snapshot_every, 16..=16_384)
     }
 
     /// A leader that was not ticked for so long was stopped, and steps down when it wakes.
-    pub(crate) fn pause(&self) -> Micros {
-        self.tick * Micros::from(self.election_ticks)
+    pub(crate) fn pause(&self) -> TimeDelta {
+        TimeDelta::from_micros(self.tick.as_micros() * i64::from(self.election_ticks))
     }
 }
 
@@ -134,11 +137,11 @@
         /// The setting's name.
         what: &'static str,
         /// What it was set to.
-        value: u64,
+        value: i64,
         /// Lowest allowed.
-        low: u64,
+        low: i64,
         /// Highest allowed.
-        high: u64,
+        high: i64,
     },
     /// Nodes and incarnations count from 1.
     Name,
--- a/crates/consensus/src/sim/check.rs
+++ b/crates/consensus/src/sim/check.rs
@@ -5,7 +5,7 @@
 use crate::frame::Frame;
 use crate::ready::{Alarm, Entry, Role, RoleChange};
 use crate::wire::envelope::Body;
-use crate::{Council, MemberId, Micros, Outcome, ProposalId};
+use crate::{Council, MemberId, Outcome, ProposalId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -13,21 +13,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// When.
-    pub at: Micros,
+    pub at: Timestamp,
     /// What.
     pub what: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3} s: {}", self.at as f64 / 1e6, self.what)
+        write!(f, "{:.3} s: {}", self.at.as_secs_f64(), self.what)
     }
 }
 
 /// What is known of the run so far. The first violation stays.
 #[derive(Debug, Default)]
 pub struct Checker {
-    now: Micros,
+    now: Timestamp,
     /// The first thing that must not be.
     pub violation: Option<Violation>,
     leaders: BTreeMap<u64, MemberId>,
@@ -49,7 +49,7 @@
 }
 
 impl Checker {
-    pub(crate) fn at(&mut self, now: Micros) {
+    pub(crate) fn at(&mut self, now: Timestamp) {
         self.now = now;
     }
 
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -1,11 +1,11 @@
 //! One process with its disk: the acting half, as it will stand in the program, in virtual time.
 
 use super::check::Checker;
-use super::{App, Plan, Plant, MS};
+use super::{draw_span, App, Plan, Plant};
 use crate::ready::{Alarm, Batch, Ready, Role, Snapshot};
 use crate::store;
 use crate::wire::envelope::Body;
-use crate::{Config, Council, Frame, MemberId, Micros, ProposalId, ProposeError};
+use crate::{Config, Council, Frame, MemberId, ProposalId, ProposeError, TimeDelta, Timestamp};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use sprucelink_wal::faults::{FaultDisk, Faults};
@@ -39,9 +39,9 @@
     /// Its part, as last told.
     pub role: Option<Role>,
     /// How far its clock is off.
-    pub offset: Micros,
+    pub offset: TimeDelta,
     /// Longest time of a sync now.
-    pub sync: Micros,
+    pub sync: TimeDelta,
     /// Whether the disk is full now.
     pub full: bool,
     /// Whether the disk's syncs lie now.
@@ -49,7 +49,7 @@
     /// Whether the disk has lied.
     pub lied: bool,
     /// When the next write is on disk, when one is under way.
-    pub sync_due: Option<Micros>,
+    pub sync_due: Option<Timestamp>,
     seed: u64,
 }
 
@@ -78,7 +78,7 @@
             starts: 0,
             damaged: None,
             role: None,
-            offset: rng.gen_range(0..3_600_000) * MS,
+            offset: TimeDelta::from_millis(rng.gen_range(0..3_600_000)),
             sync: plan.sync,
             full: false,
             lying: false,
@@ -103,7 +103,7 @@
         self.damaged.is_some() || self.role == Some(Role::Quarantined)
     }
 
-    pub(crate) fn start(&mut self, now: Micros, start: &Start, app: A) {
+    pub(crate) fn start(&mut self, now: Timestamp, start: &Start, app: A) {
         let Some(mut disk) = self.disk.take() else { return };
         disk.faults = Faults { lying: self.lying, ..Faults::default() };
         let copy = disk.clone();
@@ -156,14 +156,14 @@
         (self.installing, self.sync_due, self.stopped) = (None, None, false);
     }
 
-    pub(crate) fn tick(&mut self, now: Micros) {
+    pub(crate) fn tick(&mut self, now: Timestamp) {
         let local = now + self.offset;
         if let Some(council) = self.council.as_mut().filter(|_| !self.stopped) {
             council.tick(local);
         }
     }
 
-    pub(crate) fn deliver(&mut self, now: Micros, from: MemberId, mut frame: Frame, plan: &Plan) {
+    pub(crate) fn deliver(&mut self, now: Timestamp, from: MemberId, mut frame: Frame, plan: &Plan) {
         let Some(council) = &mut self.council else { return };
         if self.stopped {
             if self.inbox.len() < MAX_INBOX {
@@ -180,7 +180,7 @@
     }
 
     /// The process runs on; whether it first looks at the clock or at its sockets is up to the seed.
-    pub(crate) fn wake(&mut self, now: Micros, rng: &mut ChaCha8Rng, plan: &Plan) {
+    pub(crate) fn wake(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
         self.stopped = false;
         if rng.gen() {
             self.tick(now);
@@ -197,7 +197,7 @@
     }
 
     /// The write under way is done, or refused. False when the process can't go on.
-    pub(crate) fn synced(&mut self, now: Micros, plan: &Plan, out: &mut Vec<Frame>) -> bool {
+    pub(crate) fn synced(&mut self, now: Timestamp, plan: &Plan, out: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
         let (Some(ledger), Some(batch)) = (&mut self.ledger, self.writing.front()) else { return true };
         ledger.disk_mut().faults = Faults { full: self.full, lying: self.lying, ..Faults::default() };
@@ -225,7 +225,7 @@
         true
     }
 
-    fn on_disk(&mut self, now: Micros, number: u64, out: &mut Vec<Frame>) {
+    fn on_disk(&mut self, now: Timestamp, number: u64, out: &mut Vec<Frame>) {
         if let Some((_, snapshot)) = self.installing.take_if(|(after, _)| *after <= number) {
             self.app.install(&snapshot.data);
             self.applied = snapshot.index;
@@ -244,7 +244,7 @@
     /// Does all that the member wants done; frames that may go out are left in `out`.
     pub(crate) fn work(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         plan: &Plan,
         rng: &mut ChaCha8Rng,
         check: &mut Checker,
@@ -257,12 +257,16 @@
             self.act(now, plan, ready, check, out);
         }
         if !self.writing.is_empty() && self.sync_due.is_none() {
-            let time = if self.full { 50 * MS } else { rng.gen_range(0..=self.sync) };
-            self.sync_due = Some(now + time + 1);
+            let time = if self.full {
+                TimeDelta::from_millis(50)
+            } else {
+                draw_span(rng, TimeDelta::ZERO, self.sync)
+            };
+            self.sync_due = Some(now + time + TimeDelta::from_micros(1));
         }
     }
 
-    fn act(&mut self, now: Micros, plan: &Plan, ready: Ready, check: &mut Checker, out: &mut Vec<Frame>) {
+    fn act(&mut self, now: Timestamp, plan: &Plan, ready: Ready, check: &mut Checker, out: &mut Vec<Frame>) {
         let early = plan.has(Plant::AckBeforeSync);
         let written = ready.persist.as_ref().map(|batch| batch.number);
         self.writing.extend(ready.persist);
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -27,17 +27,13 @@
 
 use crate::ready::Entry;
 use crate::settings::Timing;
-use crate::Micros;
-
-/// One millisecond in [`Micros`].
-pub const MS: Micros = 1000;
-/// One second in [`Micros`].
-pub const SECOND: Micros = 1000 * MS;
+use rand::Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 /// What applies records at a host.
 pub trait App {
     /// Applies a record, in order.
-    fn apply(&mut self, now: Micros, entry: &Entry);
+    fn apply(&mut self, now: Timestamp, entry: &Entry);
     /// The whole state, for a snapshot.
     fn snapshot(&self) -> Vec<u8>;
     /// Takes a snapshot's state instead of its own; empty bytes are the state at the beginning.
@@ -69,13 +65,13 @@
     /// Founders, 3 to 7.
     pub members: u32,
     /// How long things are broken.
-    pub trouble: Micros,
+    pub trouble: TimeDelta,
     /// How long the council then has to come together.
-    pub calm: Micros,
+    pub calm: TimeDelta,
     /// Time between proposals, on average.
-    pub propose_every: Micros,
+    pub propose_every: TimeDelta,
     /// Time between the nemesis' strokes, on average; 0 for none.
-    pub strike_every: Micros,
+    pub strike_every: TimeDelta,
     /// Which troubles it may choose from.
     pub troubles: Vec<Trouble>,
     /// How many members' disks may lie, one after another; each lies at most once in its life.
@@ -87,9 +83,9 @@
     /// Share of messages that come twice, in thousandths.
     pub twice: u32,
     /// Longest time that a message takes; the shortest is a tenth of a millisecond.
-    pub delay: Micros,
+    pub delay: TimeDelta,
     /// Longest time of a sync in quiet times.
-    pub sync: Micros,
+    pub sync: TimeDelta,
     /// The council's times.
     pub timing: Timing,
     /// Faults put in on purpose.
@@ -108,19 +104,30 @@
     fn default() -> Self {
         Plan {
             members: 5,
-            trouble: 20 * SECOND,
-            calm: 20 * SECOND,
-            propose_every: 50 * MS,
-            strike_every: 800 * MS,
+            trouble: TimeDelta::from_whole_secs(20),
+            calm: TimeDelta::from_whole_secs(20),
+            propose_every: TimeDelta::from_millis(50),
+            strike_every: TimeDelta::from_millis(800),
             troubles: Trouble::ALL.to_vec(),
             liars: 0,
             down: u32::MAX,
             loss: 20,
             twice: 20,
-            delay: 20 * MS,
-            sync: 5 * MS,
+            delay: TimeDelta::from_millis(20),
+            sync: TimeDelta::from_millis(5),
             timing: Timing { snapshot_every: 64, ..Timing::default() },
             plants: Vec::new(),
         }
     }
 }
+
+/// A span drawn evenly between two bounds, both included.
+fn draw_span(rng: &mut impl Rng, shortest: TimeDelta, longest: TimeDelta) -> TimeDelta {
+    TimeDelta::from_micros(rng.gen_range(shortest.as_micros()..=longest.as_micros()))
+}
+
+/// A span drawn evenly between half and one and a half times an average.
+fn draw_around(rng: &mut impl Rng, average: TimeDelta) -> TimeDelta {
+    let micros = average.as_micros();
+    draw_span(rng, TimeDelta::from_micros(micros / 2), TimeDelta::from_micros(micros * 3 / 2))
+}
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -1,8 +1,8 @@
 //! What breaks, when, and for how long.
 
 use super::world::World;
-use super::{App, Plan, MS};
-use crate::{MemberId, Micros};
+use super::{draw_span, App, Plan};
+use crate::{MemberId, TimeDelta, Timestamp};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -82,9 +82,10 @@
     }
 
     /// Makes one trouble, if it may; gives what ends it and when.
-    pub(crate) fn strike<A: App>(&mut self, world: &mut World<A>) -> Vec<(Micros, Undo)> {
+    pub(crate) fn strike<A: App>(&mut self, world: &mut World<A>) -> Vec<(Timestamp, Undo)> {
         let now = world.now();
-        let lasting = now + world.rng.gen_range(50 * MS..=3_000 * MS);
+        let lasting =
+            now + draw_span(&mut world.rng, TimeDelta::from_millis(50), TimeDelta::from_millis(3_000));
         let running: Vec<MemberId> =
             world.hosts.values().filter(|h| h.is_up() && !h.stopped).map(|h| h.id).collect();
         let away = world.hosts.values().filter(|h| !h.is_out() && !h.is_established()).count() as u32;
@@ -94,7 +95,9 @@
         self.strokes += 1;
         let downs = |world: &mut World<A>, ids: Vec<MemberId>| {
             let torn = world.rng.gen();
-            let back = |world: &mut World<A>| now + world.rng.gen_range(10 * MS..=2_000 * MS);
+            let back = |world: &mut World<A>| {
+                now + draw_span(&mut world.rng, TimeDelta::from_millis(10), TimeDelta::from_millis(2_000))
+            };
             ids.into_iter()
                 .map(|id| {
                     world.crash(id, torn);
@@ -151,7 +154,7 @@
                 vec![(lasting, Undo::Slow(target.node))]
             }
             Trouble::SlowSync => {
-                world.host_mut(target).sync = 1_000 * MS;
+                world.host_mut(target).sync = TimeDelta::from_millis(1_000);
                 vec![(lasting, Undo::Disk(target))]
             }
             Trouble::Full => {
@@ -171,7 +174,12 @@
         }
     }
 
-    fn cut<A: App>(&self, world: &mut World<A>, cuts: Vec<(u32, u32)>, until: Micros) -> Vec<(Micros, Undo)> {
+    fn cut<A: App>(
+        &self,
+        world: &mut World<A>,
+        cuts: Vec<(u32, u32)>,
+        until: Timestamp,
+    ) -> Vec<(Timestamp, Undo)> {
         world.net.cut.extend(&cuts);
         vec![(until, Undo::Cuts(cuts))]
     }
--- a/crates/consensus/src/sim/net.rs
+++ b/crates/consensus/src/sim/net.rs
@@ -1,13 +1,18 @@
 //! The network: every message takes its own time, so they overtake each other; some are lost, some come twice, and links
 //! may be cut, each way by itself.
 
-use super::{Plan, MS};
+use super::Plan;
 use crate::frame::{Decoder, Frame};
-use crate::{MemberId, Micros};
+use crate::{MemberId, TimeDelta, Timestamp};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
+/// Shortest time that a message takes.
+const MIN_DELAY: TimeDelta = TimeDelta::from_micros(100);
+/// Least longest time that a message takes.
+const MIN_LONGEST_DELAY: TimeDelta = TimeDelta::from_micros(200);
+
 /// The links and their troubles.
 #[derive(Debug, Default)]
 pub struct Net {
@@ -17,7 +22,7 @@
     pub slow: BTreeSet<u32>,
     loss: u32,
     twice: u32,
-    delay: Micros,
+    delay: TimeDelta,
     /// Messages handed over so far.
     pub sent: u64,
     /// Bytes handed over so far, as frames; counted for one message in sixteen, times sixteen.
@@ -26,7 +31,7 @@
 
 impl Net {
     pub(crate) fn new(plan: &Plan) -> Self {
-        Net { loss: plan.loss, twice: plan.twice, delay: plan.delay.max(MS / 5), ..Net::default() }
+        Net { loss: plan.loss, twice: plan.twice, delay: plan.delay.max(MIN_LONGEST_DELAY), ..Net::default() }
     }
 
     /// When copies of a message arrive, if any do.
@@ -35,15 +40,19 @@
         rng: &mut ChaCha8Rng,
         from: MemberId,
         to: MemberId,
-        now: Micros,
-    ) -> Vec<Micros> {
+        now: Timestamp,
+    ) -> Vec<Timestamp> {
         self.sent += 1;
         if self.cut.contains(&(from.node, to.node)) || rng.gen_range(0..1000) < self.loss {
             return Vec::new();
         }
         let copies = 1 + usize::from(rng.gen_range(0..1000) < self.twice);
         let slow = if self.slow.contains(&from.node) || self.slow.contains(&to.node) { 10 } else { 1 };
-        (0..copies).map(|_| now + rng.gen_range(MS / 10..=self.delay) * slow).collect()
+        let mut delay = || {
+            let micros = rng.gen_range(MIN_DELAY.as_micros()..=self.delay.as_micros());
+            TimeDelta::from_micros(micros * slow)
+        };
+        (0..copies).map(|_| now + delay()).collect()
     }
 
     /// One message in sixteen goes through bytes, in two pieces.
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -2,11 +2,11 @@
 //! lead, step by step through whoever leads. Where none can lead, says who is gone for good.
 
 use super::world::World;
-use super::{App, SECOND};
-use crate::{MemberId, Micros};
+use super::App;
+use crate::{MemberId, TimeDelta, Timestamp};
 
 /// With no leader for so long the operator says who is gone.
-const STUCK: Micros = 8 * SECOND;
+const STUCK: TimeDelta = TimeDelta::from_whole_secs(8);
 
 /// Wishes not yet fulfilled.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
     hand_over: Option<MemberId>,
     /// Members whose stores are no more.
     gone: Vec<MemberId>,
-    led: Micros,
+    led: Timestamp,
     /// Members replaced so far.
     pub replaced: u64,
 }
--- a/crates/consensus/src/sim/plans.rs
+++ b/crates/consensus/src/sim/plans.rs
@@ -1,7 +1,7 @@
 //! Named plans: what CI and the long runs go through.
 
-use super::{Plan, Trouble, MS, SECOND};
-use crate::Micros;
+use super::{Plan, Trouble};
+use crate::TimeDelta;
 
 impl Plan {
     /// Everything breaks but disks keep what they promised; any number may be down at once.
@@ -22,7 +22,7 @@
     pub fn liars(members: u32) -> Plan {
         let spare = (members - 1) / 2;
         let mut plan = Plan { liars: spare, down: spare, ..Plan::one_liar(members) };
-        plan.timing.patience = 600 * SECOND;
+        plan.timing.patience = TimeDelta::from_whole_secs(600);
         plan
     }
 
@@ -30,20 +30,21 @@
     pub fn leader_dies(members: u32) -> Plan {
         Plan {
             members,
-            trouble: 120 * SECOND,
-            strike_every: 6 * SECOND,
+            trouble: TimeDelta::from_whole_secs(120),
+            strike_every: TimeDelta::from_whole_secs(6),
             troubles: vec![Trouble::CrashLeader],
             loss: 0,
             twice: 0,
-            delay: MS,
+            delay: TimeDelta::from_millis(1),
             ..Plan::default()
         }
     }
 
     /// Shorter, for many seeds in little time.
-    pub fn shorter(mut self, trouble: Micros) -> Plan {
-        (self.trouble, self.calm) = (trouble, 10 * SECOND);
-        self.propose_every = 80 * MS;
+    pub fn shorter(mut self, trouble: TimeDelta) -> Plan {
+        self.trouble = trouble;
+        self.calm = TimeDelta::from_whole_secs(10);
+        self.propose_every = TimeDelta::from_millis(80);
         self
     }
 }
--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -3,7 +3,7 @@
 use super::App;
 use crate::ready::Entry;
 use crate::repeats::{Repeats, Verdict};
-use crate::{Micros, ProposalId};
+use crate::{ProposalId, Timestamp};
 use std::collections::BTreeMap;
 
 /// Applies records by writing them down.
@@ -32,7 +32,7 @@
 }
 
 impl App for Recorder {
-    fn apply(&mut self, _now: Micros, entry: &Entry) {
+    fn apply(&mut self, _now: Timestamp, entry: &Entry) {
         let verdict = self.repeats.first(entry.id);
         if verdict != Verdict::First && !self.careless {
             return;
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -4,8 +4,8 @@
 use super::host::Host;
 use super::recorder::Recorder;
 use super::world::World;
-use super::{App, Plan, Plant, SECOND};
-use crate::{MemberId, Micros};
+use super::{App, Plan, Plant};
+use crate::{MemberId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// What a run came to.
@@ -14,7 +14,7 @@
     /// The first thing that must not be, if there was one.
     pub violation: Option<Violation>,
     /// Times from a leader's death to the next leader, where the world was otherwise whole.
-    pub elections: Vec<Micros>,
+    pub elections: Vec<TimeDelta>,
     /// Proposals told committed, lost, unknown.
     pub outcomes: [u64; 3],
     /// Troubles made.
@@ -40,13 +40,14 @@
     pub fn run(plan: Plan, seed: u64) -> Report {
         let careless = plan.has(Plant::RepeatsApplied);
         let mut world = World::new(plan, seed, move |_| Recorder::new(careless));
-        let (trouble, calm) = (world.plan.trouble, world.plan.calm);
-        world.run_until(trouble);
+        let healed_at = Timestamp::ZERO + world.plan.trouble;
+        let quiet_at = healed_at + world.plan.calm;
+        world.run_until(healed_at);
         world.heal();
-        world.run_until(trouble + calm);
+        world.run_until(quiet_at);
         // Without new proposals everybody comes to the same end.
         world.proposing = false;
-        world.run_until(trouble + calm + 3 * SECOND);
+        world.run_until(quiet_at + TimeDelta::from_whole_secs(3));
         world.judge();
         world.report()
     }
--- a/crates/consensus/src/sim/world.rs
+++ b/crates/consensus/src/sim/world.rs
@@ -6,19 +6,25 @@
 use super::net::Net;
 use super::operator::Operator;
 use super::recorder::Recorder;
-use super::{App, Plan, Plant, MS, SECOND};
+use super::{draw_around, draw_span, App, Plan, Plant};
 use crate::frame::Frame;
 use crate::ready::Role;
-use crate::{MemberId, Micros, ProposalId};
+use crate::{MemberId, ProposalId, TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 /// How often the operator looks.
-const OPERATOR_EVERY: Micros = 200 * MS;
-/// How often a host is ticked, before jitter.
-const TICK_EVERY: Micros = 50 * MS;
+const OPERATOR_EVERY: TimeDelta = TimeDelta::from_millis(200);
+/// How often a host is ticked, on average.
+const TICK_EVERY: TimeDelta = TimeDelta::from_millis(50);
+/// Shortest time between two ticks of a host.
+const MIN_TICK: TimeDelta = TimeDelta::from_millis(45);
+/// Longest time between two ticks of a host.
+const MAX_TICK: TimeDelta = TimeDelta::from_millis(55);
+/// When the nemesis strikes first.
+const FIRST_STRIKE: TimeDelta = TimeDelta::from_whole_secs(1);
 /// Bytes of a proposal, at most.
 const PROPOSAL: usize = 64;
 
@@ -33,7 +39,7 @@
     Operate,
 }
 
-struct Timed(Micros, u64, Event);
+struct Timed(Timestamp, u64, Event);
 
 impl PartialEq for Timed {
     fn eq(&self, other: &Self) -> bool {
@@ -69,15 +75,15 @@
     contacts: BTreeMap<u32, Vec<MemberId>>,
     queue: BinaryHeap<Reverse<Timed>>,
     events: u64,
-    now: Micros,
+    now: Timestamp,
     next_proposal: u64,
     broken: bool,
     /// Whether the seed proposes.
     pub proposing: bool,
     /// When a leader died, for the times of elections.
-    leaderless: Option<Micros>,
+    leaderless: Option<Timestamp>,
     pub(crate) unavailable: bool,
-    pub(crate) elections: Vec<Micros>,
+    pub(crate) elections: Vec<TimeDelta>,
     make: Box<dyn Fn(MemberId) -> A + Send>,
 }
 
@@ -97,10 +103,10 @@
             contacts: BTreeMap::new(),
             queue: BinaryHeap::new(),
             events: 0,
-            now: 0,
+            now: Timestamp::ZERO,
             next_proposal: 0,
-            broken: plan.strike_every > 0,
-            proposing: plan.propose_every > 0,
+            broken: plan.strike_every > TimeDelta::ZERO,
+            proposing: plan.propose_every > TimeDelta::ZERO,
             leaderless: None,
             unavailable: false,
             elections: Vec::new(),
@@ -109,14 +115,14 @@
             plan,
         };
         founders.iter().for_each(|&id| world.start(id));
-        world.push(0, Event::Propose);
-        world.push(OPERATOR_EVERY, Event::Operate);
-        world.push(SECOND, Event::Strike);
+        world.push(Timestamp::ZERO, Event::Propose);
+        world.push(Timestamp::ZERO + OPERATOR_EVERY, Event::Operate);
+        world.push(Timestamp::ZERO + FIRST_STRIKE, Event::Strike);
         world
     }
 
     /// The time.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
@@ -137,7 +143,7 @@
         self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
     }
 
-    fn push(&mut self, at: Micros, event: Event) {
+    fn push(&mut self, at: Timestamp, event: Event) {
         self.events += 1;
         self.queue.push(Reverse(Timed(at, self.events, event)));
     }
@@ -154,7 +160,7 @@
             return;
         }
         host.start(now, &start, app);
-        let jitter = self.rng.gen_range(1..=TICK_EVERY);
+        let jitter = draw_span(&mut self.rng, TimeDelta::from_micros(1), TICK_EVERY);
         let starts = self.host(id).starts;
         self.push(now + jitter, Event::Tick(id, starts));
         self.work(id);
@@ -237,7 +243,7 @@
     }
 
     /// Runs to a time, or to the first violation.
-    pub fn run_until(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Timestamp) {
         while self.check.violation.is_none() && self.queue.peek().is_some_and(|Reverse(next)| next.0 <= end) {
             let Some(Reverse(Timed(at, _, event))) = self.queue.pop() else { break };
             self.now = at;
@@ -256,8 +262,8 @@
                 }
                 self.host_mut(id).tick(now);
                 self.work(id);
-                let jitter = self.rng.gen_range(0..=TICK_EVERY / 5);
-                self.push(now + TICK_EVERY * 9 / 10 + jitter, Event::Tick(id, starts));
+                let next = now + draw_span(&mut self.rng, MIN_TICK, MAX_TICK);
+                self.push(next, Event::Tick(id, starts));
             }
             Event::Frame(frame) => {
                 let (from, to) = (frame.from(), frame.to());
@@ -274,7 +280,7 @@
                     return;
                 }
                 if self.host(id).stopped {
-                    return self.push(now + 10 * MS, Event::Synced(id, starts));
+                    return self.push(now + TimeDelta::from_millis(10), Event::Synced(id, starts));
                 }
                 let mut out = Vec::new();
                 let goes_on = match self.hosts.get_mut(&id.node) {
@@ -286,7 +292,7 @@
                     self.work(id);
                 } else {
                     self.crash(id, true);
-                    self.push(now + 100 * MS, Event::Undo(Undo::Restart(id)));
+                    self.push(now + TimeDelta::from_millis(100), Event::Undo(Undo::Restart(id)));
                 }
             }
             Event::Propose if !self.proposing => {}
@@ -294,7 +300,7 @@
                 let bytes = vec![self.rng.gen(); self.rng.gen_range(0..PROPOSAL)];
                 self.propose(bytes);
                 let every = self.plan.propose_every;
-                let next = now + self.rng.gen_range(every / 2..=every * 3 / 2);
+                let next = now + draw_around(&mut self.rng, every);
                 self.push(next, Event::Propose);
             }
             Event::Strike => self.strike(),
@@ -310,14 +316,14 @@
 
     fn strike(&mut self) {
         let every = self.plan.strike_every;
-        if !self.broken || every == 0 {
+        if !self.broken || every == TimeDelta::ZERO {
             return;
         }
         let Some(mut nemesis) = self.nemesis.take() else { return };
         let undos = nemesis.strike(self);
         self.nemesis = Some(nemesis);
         undos.into_iter().for_each(|(at, undo)| self.push(at, Event::Undo(undo)));
-        let next = self.now + self.rng.gen_range(every / 2..=every * 3 / 2);
+        let next = self.now + draw_around(&mut self.rng, every);
         self.push(next, Event::Strike);
     }
 
@@ -347,7 +353,8 @@
             Undo::CrashLiar(id) if self.held(id).is_some_and(|host| host.lying) => {
                 self.crash(id, true);
                 self.host_mut(id).lying = false;
-                let back = self.now + self.rng.gen_range(10 * MS..=SECOND);
+                let back = self.now
+                    + draw_span(&mut self.rng, TimeDelta::from_millis(10), TimeDelta::from_whole_secs(1));
                 self.push(back, Event::Undo(Undo::Restart(id)));
             }
             Undo::CrashLiar(_) => {}
--- a/crates/consensus/src/vouch.rs
+++ b/crates/consensus/src/vouch.rs
@@ -8,9 +8,10 @@
 //! itself have forgotten; that is so for members that are established, since they went through the same, and
 //! why their answers alone count as a rule.
 
-use crate::ids::{MemberId, Micros};
+use crate::ids::MemberId;
 use crate::limits::MAX_STRANGERS;
 use crate::members::Members;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One member's answer.
@@ -60,8 +61,8 @@
 #[derive(Debug, Clone)]
 pub struct Probation {
     me: MemberId,
-    since: Micros,
-    patience: Micros,
+    since: Timestamp,
+    patience: TimeDelta,
     own: (u64, Members),
     answers: BTreeMap<MemberId, Answer>,
     /// Members outside the list that spoke to this one: they may know a newer list.
@@ -70,7 +71,7 @@
 
 impl Probation {
     /// Begins; `own` is who is in as the own disk says, or whom to ask.
-    pub fn new(me: MemberId, own: (u64, Members), now: Micros, patience: Micros) -> Self {
+    pub fn new(me: MemberId, own: (u64, Members), now: Timestamp, patience: TimeDelta) -> Self {
         Probation { me, since: now, patience, own, answers: BTreeMap::new(), strangers: BTreeSet::new() }
     }
 
@@ -137,8 +138,8 @@
     }
 
     /// Whether enough was heard, and with which floors the member goes on.
-    pub fn outcome(&self, now: Micros) -> Option<Vouched> {
-        let patient = now.saturating_sub(self.since) < self.patience;
+    pub fn outcome(&self, now: Timestamp) -> Option<Vouched> {
+        let patient = now - self.since < self.patience;
         let others = self.others(self.list());
         let need = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
         let answers = || others.iter().filter_map(|other| self.answers.get(other));
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -4,7 +4,9 @@
 use proptest::test_runner::RngSeed;
 use sprucelink_consensus::limits::MAX_FRAME_BYTES;
 use sprucelink_consensus::wire::{envelope::Body, Envelope, Hello, RaftMessage, Welcome};
-use sprucelink_consensus::{Config, Council, Decoder, Frame, FrameError, MemberId, Restored, Timing};
+use sprucelink_consensus::{
+    Config, Council, Decoder, Frame, FrameError, MemberId, Restored, Timestamp, Timing,
+};
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -23,7 +25,7 @@
 fn established() -> Council {
     let founders = vec![member(1), member(2), member(3)];
     let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-    let mut council = Council::new(config, Restored::default(), 1, 0).unwrap();
+    let mut council = Council::new(config, Restored::default(), 1, Timestamp::ZERO).unwrap();
     assert!(council.trust_disk());
     settle(&mut council);
     council
@@ -33,7 +35,7 @@
     for _ in 0..100 {
         let Some(ready) = council.ready() else { return };
         if let Some(batch) = ready.persist {
-            council.persisted(0, batch.number);
+            council.persisted(Timestamp::ZERO, batch.number);
         }
         council.applied(ready.through, None);
     }
@@ -125,7 +127,7 @@
     fn a_member_stands_lies(messages in proptest::collection::vec((2u32..5, raft_message()), 1..40)) {
         let mut council = established();
         for (at, (from, message)) in messages.into_iter().enumerate() {
-            let now = at as u64 * 20_000;
+            let now = Timestamp::from_millis(at as i64 * 20);
             council.step(now, member(from), frame(from, 1, Body::Raft(message)));
             settle(&mut council);
             council.tick(now);
@@ -138,7 +140,7 @@
     fn probation_stands_lies(figures in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
         let founders = vec![member(1), member(2), member(3)];
         let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-        let mut council = Council::new(config, Restored::default(), 1, 0).unwrap();
+        let mut council = Council::new(config, Restored::default(), 1, Timestamp::ZERO).unwrap();
         let nonce = council.ready().unwrap().send_now.iter().find_map(|frame| match &frame.0.body {
             Some(Body::Hello(hello)) => Some(hello.nonce),
             _ => None,
@@ -147,7 +149,7 @@
             let your_boot = if accepted { 1 } else { boot };
             let nonce = nonce.unwrap();
             let welcome = Welcome { nonce, your_boot, term, last_term, last_index, established, accepted, ..Welcome::default() };
-            council.step(at as u64, member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::Welcome(welcome)));
+            council.step(Timestamp::from_micros(at as i64), member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::Welcome(welcome)));
             settle(&mut council);
         }
     }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_consensus::sim::{Plan, Recorder, World, SECOND};
+use sprucelink_consensus::sim::{Plan, Recorder, World};
 use sprucelink_consensus::vouch::{Answer, Probation};
 use sprucelink_consensus::wire::{envelope::Body, Boot, Envelope, Hello};
 use sprucelink_consensus::{
     Alarm, Change, ChangeKind, Config, Frame, MemberError, MemberId, Members, ProposalId, ProposeError,
-    Repeats, Role, SettingsError, SnapshotError, Timing, Verdict,
+    Repeats, Role, SettingsError, SnapshotError, TimeDelta, Timestamp, Timing, Verdict,
 };
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
 }
 
 fn probation() -> Probation {
-    Probation::new(member(1), (1, list(1..=5)), 0, 10 * SECOND)
+    Probation::new(member(1), (1, list(1..=5)), Timestamp::ZERO, TimeDelta::from_whole_secs(10))
 }
 
 #[test]
@@ -35,15 +35,19 @@
     assert_eq!(probation.asked(), [2, 3, 4, 5].map(member));
     probation.answer(member(2), answer(7, (6, 40), true));
     probation.answer(member(3), answer(9, (5, 90), true));
-    assert_eq!(probation.outcome(SECOND), None, "two of four others are no majority");
+    assert_eq!(probation.outcome(Timestamp::from_whole_secs(1)), None, "two of four others are no majority");
     probation.answer(member(9), answer(20, (20, 20), true));
-    assert_eq!(probation.outcome(SECOND), None, "a stranger's answer counts for nothing");
+    assert_eq!(
+        probation.outcome(Timestamp::from_whole_secs(1)),
+        None,
+        "a stranger's answer counts for nothing"
+    );
     probation.answer(member(4), answer(8, (6, 30), true));
-    let vouched = probation.outcome(SECOND).unwrap();
+    let vouched = probation.outcome(Timestamp::from_whole_secs(1)).unwrap();
     assert!(!vouched.relaxed);
     assert_eq!((vouched.floors.vote, vouched.floors.log()), (9, (6, 40)));
     probation.forget(member(4));
-    assert_eq!(probation.outcome(SECOND), None, "who starts anew has said nothing");
+    assert_eq!(probation.outcome(Timestamp::from_whole_secs(1)), None, "who starts anew has said nothing");
 }
 
 #[test]
@@ -53,10 +57,10 @@
         probation.answer(member(node), answer(3, (3, 3), node == 2));
     }
     // One established, one unheard: no three can come, so nothing is waited for.
-    assert!(probation.outcome(0).is_some_and(|vouched| vouched.relaxed));
+    assert!(probation.outcome(Timestamp::ZERO).is_some_and(|vouched| vouched.relaxed));
     probation.answer(member(3), answer(3, (3, 3), true));
-    assert_eq!(probation.outcome(9 * SECOND), None, "the fifth may be established");
-    assert!(probation.outcome(10 * SECOND).is_some_and(|vouched| vouched.relaxed));
+    assert_eq!(probation.outcome(Timestamp::from_whole_secs(9)), None, "the fifth may be established");
+    assert!(probation.outcome(Timestamp::from_whole_secs(10)).is_some_and(|vouched| vouched.relaxed));
 }
 
 #[test]
@@ -64,16 +68,16 @@
     let mut probation = probation();
     let newer = |last| Answer { members: (50, list(1..=3)), ..answer(4, last, true) };
     probation.answer(member(2), newer((4, 60)));
-    assert_eq!(probation.outcome(0), None);
+    assert_eq!(probation.outcome(Timestamp::ZERO), None);
     let told = Answer { floors: vec![(member(2), (4, 99))], ..newer((4, 61)) };
     probation.answer(member(3), told);
     assert_eq!(
-        probation.outcome(0).unwrap().floors.log(),
+        probation.outcome(Timestamp::ZERO).unwrap().floors.log(),
         (4, 99),
         "what 2 told 3, though 2 has forgotten it since"
     );
     probation.gone(member(2));
-    let vouched = probation.outcome(0).unwrap();
+    let vouched = probation.outcome(Timestamp::ZERO).unwrap();
     assert!(vouched.relaxed);
     assert_eq!(vouched.floors.log(), (4, 61));
 }
@@ -109,11 +113,12 @@
 
 /// A council of three in which all is well, two seconds on.
 fn calm() -> (World<Recorder>, MemberId, MemberId, MemberId) {
-    let mut world = World::new(Plan { strike_every: 0, ..Plan::honest(3) }, 5, |_| Recorder::default());
-    world.run_until(3 * SECOND);
+    let mut world =
+        World::new(Plan { strike_every: TimeDelta::ZERO, ..Plan::honest(3) }, 5, |_| Recorder::default());
+    world.run_until(Timestamp::from_whole_secs(3));
     world.heal();
     world.proposing = false;
-    world.run_until(4 * SECOND);
+    world.run_until(Timestamp::from_whole_secs(4));
     let leader = world.leader().unwrap();
     let others: Vec<MemberId> = (1..=3).map(member).filter(|&other| other != leader).collect();
     (world, leader, others[0], others[1])
@@ -148,9 +153,9 @@
     let (mut world, leader, ..) = calm();
     let offset = world.host(leader).offset;
     let council = council(&mut world, leader);
-    council.tick(offset + 4 * SECOND);
+    council.tick(Timestamp::ZERO + offset + TimeDelta::from_whole_secs(4));
     assert_eq!(council.leader(), Some(leader));
-    council.tick(offset + 9 * SECOND);
+    council.tick(Timestamp::ZERO + offset + TimeDelta::from_whole_secs(9));
     assert_eq!(council.leader(), None);
     let ready = council.ready().unwrap();
     assert!(ready.alarms.iter().any(|alarm| matches!(alarm, Alarm::Stopped { .. })));
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -1,6 +1,7 @@
 //! Seeded runs of whole councils in virtual time. CI holds a few hundred seeds; `examples/seeds.rs` runs as many as wanted.
 
-use sprucelink_consensus::sim::{Plan, Plant, Report, Trouble, World, MS, SECOND};
+use sprucelink_consensus::sim::{Plan, Plant, Report, Trouble, World};
+use sprucelink_consensus::TimeDelta;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
@@ -50,26 +51,26 @@
 
 #[test]
 fn honest_disks_through_everything() {
-    hold(Plan::honest(3).shorter(6 * SECOND), 0..40);
-    hold(Plan::honest(5).shorter(6 * SECOND), 0..40);
-    hold(Plan::honest(7).shorter(6 * SECOND), 0..10);
+    hold(Plan::honest(3).shorter(TimeDelta::from_whole_secs(6)), 0..40);
+    hold(Plan::honest(5).shorter(TimeDelta::from_whole_secs(6)), 0..40);
+    hold(Plan::honest(7).shorter(TimeDelta::from_whole_secs(6)), 0..10);
 }
 
 #[test]
 fn one_disk_that_forgets_whatever_restarts() {
-    hold(Plan::one_liar(3).shorter(6 * SECOND), 0..60);
-    hold(Plan::one_liar(5).shorter(6 * SECOND), 0..30);
+    hold(Plan::one_liar(3).shorter(TimeDelta::from_whole_secs(6)), 0..60);
+    hold(Plan::one_liar(5).shorter(TimeDelta::from_whole_secs(6)), 0..30);
 }
 
 #[test]
 fn as_many_forgetful_disks_as_a_council_can_spare() {
-    hold(Plan::liars(5).shorter(6 * SECOND), 0..30);
+    hold(Plan::liars(5).shorter(TimeDelta::from_whole_secs(6)), 0..30);
 }
 
 /// The same seed gives the same run, to the last message.
 #[test]
 fn a_seed_replays() {
-    let run = || World::run(Plan::one_liar(5).shorter(6 * SECOND), 77);
+    let run = || World::run(Plan::one_liar(5).shorter(TimeDelta::from_whole_secs(6)), 77);
     let (one, two) = (run(), run());
     assert_eq!(
         (one.messages, one.bytes, one.outcomes, &one.elections, &one.alarms, one.last),
@@ -80,10 +81,10 @@
 /// A leader's death in a council that is otherwise whole: another leads within 2 s.
 #[test]
 fn another_leads_in_time() {
-    let all = runs(&Plan::leader_dies(5).shorter(60 * SECOND), 0..4, false);
-    let times: Vec<u64> = all.iter().flat_map(|(_, report)| report.elections.iter().copied()).collect();
+    let all = runs(&Plan::leader_dies(5).shorter(TimeDelta::from_whole_secs(60)), 0..4, false);
+    let times: Vec<TimeDelta> = all.iter().flat_map(|(_, report)| report.elections.iter().copied()).collect();
     assert!(times.len() >= 20, "only {} elections", times.len());
-    assert!(times.iter().all(|&time| time < 2 * SECOND), "{times:?}");
+    assert!(times.iter().all(|&time| time < TimeDelta::from_whole_secs(2)), "{times:?}");
 }
 
 /// A short plan with crashes only, thick enough for a planted fault to bite.
@@ -97,9 +98,9 @@
             Trouble::Split,
             Trouble::Deaf,
         ],
-        strike_every: 400 * MS,
-        sync: 20 * MS,
-        ..Plan::honest(members).shorter(8 * SECOND)
+        strike_every: TimeDelta::from_millis(400),
+        sync: TimeDelta::from_millis(20),
+        ..Plan::honest(members).shorter(TimeDelta::from_whole_secs(8))
     }
 }
 
@@ -115,14 +116,14 @@
 
 #[test]
 fn a_forgetful_disk_without_check_and_floors_is_caught() {
-    let mut plan = Plan::one_liar(3).shorter(8 * SECOND);
+    let mut plan = Plan::one_liar(3).shorter(TimeDelta::from_whole_secs(8));
     plan.plants = vec![Plant::TrustDisk];
     caught(plan, 400, "");
 }
 
 #[test]
 fn repeats_that_are_applied_are_caught() {
-    let mut plan = Plan::honest(3).shorter(4 * SECOND);
+    let mut plan = Plan::honest(3).shorter(TimeDelta::from_whole_secs(4));
     (plan.plants, plan.twice) = (vec![Plant::RepeatsApplied], 200);
     caught(plan, 40, "times");
 }
@@ -132,6 +133,7 @@
     // The late copy must find the member that led leading anew, in a later term.
     let mut plan = crashing(3, &[Plant::AnyTermProposals]);
     plan.troubles = vec![Trouble::Transfer, Trouble::Transfer, Trouble::Slow, Trouble::Deaf];
-    (plan.delay, plan.twice, plan.loss, plan.propose_every) = (100 * MS, 500, 0, 15 * MS);
+    (plan.delay, plan.twice, plan.loss, plan.propose_every) =
+        (TimeDelta::from_millis(100), 500, 0, TimeDelta::from_millis(15));
     caught(plan, 200, "lost");
 }
