--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -8,8 +8,7 @@
 use crate::{Config, Council, Frame, MemberId, ProposalId, ProposeError, TimeDelta, Timestamp};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use sprucelink_wal::faults::{FaultDisk, Faults};
-use sprucelink_wal::{Ledger, LedgerError};
+use sprucelink_wal::{FaultDisk, Faults, Wal, WalError};
 use std::collections::VecDeque;
 
 /// Most frames that wait at a stopped process, as in its sockets' buffers; further ones are lost.
@@ -23,7 +22,7 @@
     pub app: A,
     /// The member, while the process is up.
     pub council: Option<Council>,
-    ledger: Option<Ledger<FaultDisk>>,
+    wal: Option<Wal<FaultDisk>>,
     disk: Option<FaultDisk>,
     /// Stopped as by SIGSTOP: nothing is done, and frames wait.
     pub stopped: bool,
@@ -35,7 +34,7 @@
     /// How often it was started.
     pub starts: u64,
     /// Why the store would not open: the member is out for good.
-    pub damaged: Option<LedgerError>,
+    pub damaged: Option<WalError>,
     /// Its part, as last told.
     pub role: Option<Role>,
     /// How far its clock is off.
@@ -67,7 +66,7 @@
             id,
             app,
             council: None,
-            ledger: None,
+            wal: None,
             disk: Some(FaultDisk::new(seed)),
             stopped: false,
             inbox: Vec::new(),
@@ -105,9 +104,9 @@
 
     pub(crate) fn start(&mut self, now: Timestamp, start: &Start, app: A) {
         let Some(mut disk) = self.disk.take() else { return };
-        disk.faults = Faults { lying: self.lying, ..Faults::default() };
+        disk.faults = Faults { lying_sync: self.lying, ..Faults::default() };
         let copy = disk.clone();
-        let (ledger, restored) = match Ledger::open(disk) {
+        let (wal, restored) = match Wal::open(disk) {
             Ok(opened) => opened,
             Err(error) => {
                 self.damaged = Some(error);
@@ -123,7 +122,7 @@
             contacts: start.contacts.to_vec(),
             timing: start.plan.timing.clone(),
         };
-        let restored = store::restored(restored).expect("the ledger holds what was written");
+        let restored = store::restored(restored).expect("the wal holds what was written");
         self.applied = restored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         if let Some(snapshot) = &restored.snapshot {
             self.app.install(&snapshot.data);
@@ -133,20 +132,20 @@
         if start.plan.has(Plant::TrustDisk) {
             council.trust_disk();
         }
-        (self.council, self.ledger) = (Some(council), Some(ledger));
+        (self.council, self.wal) = (Some(council), Some(wal));
     }
 
     /// The process dies, with the machine's memory: what no sync covered may be lost.
     pub(crate) fn crash(&mut self, torn: bool) {
-        let Some(mut ledger) = self.ledger.take() else { return };
+        let Some(mut wal) = self.wal.take() else { return };
         if torn {
             if let Some(batch) = self.writing.front() {
-                ledger.disk_mut().faults = Faults { failing_sync: true, torn, ..Faults::default() };
-                let _ = ledger.write(&store::to_write(batch));
+                wal.disk_mut().faults = Faults { failing_sync: true, torn_writes: torn, ..Faults::default() };
+                let _ = wal.write(&store::to_write(batch));
             }
         }
-        let mut disk = ledger.into_disk();
-        disk.faults = Faults { lying: self.lying, torn, ..Faults::default() };
+        let mut disk = wal.into_disk();
+        disk.faults = Faults { lying_sync: self.lying, torn_writes: torn, ..Faults::default() };
         disk.crash();
         self.disk = Some(disk);
         self.council = None;
@@ -199,8 +198,8 @@
     /// The write under way is done, or refused. False when the process can't go on.
     pub(crate) fn synced(&mut self, now: Timestamp, plan: &Plan, out: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
-        let (Some(ledger), Some(batch)) = (&mut self.ledger, self.writing.front()) else { return true };
-        ledger.disk_mut().faults = Faults { full: self.full, lying: self.lying, ..Faults::default() };
+        let (Some(wal), Some(batch)) = (&mut self.wal, self.writing.front()) else { return true };
+        wal.disk_mut().faults = Faults { disk_full: self.full, lying_sync: self.lying, ..Faults::default() };
         self.lied |= self.lying;
         let mut write = store::to_write(batch);
         if plan.has(Plant::VoteNotKept) {
@@ -214,9 +213,9 @@
                 .min(state.term);
             write.state = prost::Message::encode_to_vec(&state);
         }
-        match ledger.write(&write) {
+        match wal.write(&write) {
             Ok(()) => {}
-            Err(LedgerError::Refused(_)) => return true,
+            Err(WalError::Refused(_)) => return true,
             Err(_) => return false,
         }
         let number = batch.number;
@@ -319,8 +318,8 @@
     /// Something of the disk turns bad: a bit in the newest generation, at a place that the seed chooses.
     pub fn rot(&mut self) {
         if let Some(disk) = &mut self.disk {
-            if let Some(name) = disk.newest() {
-                disk.turn_bit(&name, u64::MAX);
+            if let Some(name) = disk.newest_segment() {
+                disk.flip_bit(&name, u64::MAX);
             }
         }
     }
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -1,6 +1,6 @@
 //! A seeded simulator of a council in virtual time: network, disks and processes with faults, and a checker.
 //!
-//! One seed replays a whole run. The world ([`World`]) holds hosts, each a [`crate::Council`] over a ledger on a disk with
+//! One seed replays a whole run. The world ([`World`]) holds hosts, each a [`crate::Council`] over a write-ahead log on a disk with
 //! faults and an [`App`] that applies records; a [`Nemesis`] breaks things by its plan; a [`Checker`] looks at what hosts
 //! did after each step, and ends the run at the first thing that must not be. Other crates' simulators build on it with an
 //! [`App`] and commands of their own ([`World::run_until`], [`World::host_mut`], [`World::propose`]).
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -4,7 +4,7 @@
 use crate::settings::Restored;
 use crate::wire;
 use prost::Message as _;
-use sprucelink_wal as ledger;
+use sprucelink_wal as wal;
 use std::fmt;
 
 /// The ledger's records are whole, and yet not the council's: another version's, or a fault in a program.
@@ -20,8 +20,8 @@
 impl std::error::Error for NotOurs {}
 
 /// A batch in the ledger's terms.
-pub fn to_write(batch: &Batch) -> ledger::Write {
-    let base = batch.snapshot.as_ref().map(|snapshot| ledger::Base {
+pub fn to_write(batch: &Batch) -> wal::WriteBatch {
+    let snapshot = batch.snapshot.as_ref().map(|snapshot| wal::Snapshot {
         index: snapshot.index,
         term: snapshot.term,
         data: snapshot.to_wire().encode_to_vec(),
@@ -30,12 +30,12 @@
         let mut data = Vec::with_capacity(entry.data.len() + 1);
         data.push(u8::from(entry.kind != 0));
         data.extend_from_slice(&entry.data);
-        ledger::Entry { index: entry.index, term: entry.term, data }
+        wal::Entry { index: entry.index, term: entry.term, data }
     };
-    ledger::Write {
-        seq: batch.number,
+    wal::WriteBatch {
+        sequence: batch.number,
         state: batch.state.encode_to_vec(),
-        base,
+        snapshot,
         entries: batch.entries.iter().map(entry).collect(),
     }
 }
@@ -44,9 +44,9 @@
 ///
 /// # Errors
 /// When it does not hold a council's state.
-pub fn restored(from: ledger::Restored) -> Result<Restored, NotOurs> {
+pub fn restored(from: wal::Recovered) -> Result<Restored, NotOurs> {
     let state = wire::State::decode(from.state.as_slice()).map_err(|_| NotOurs("state"))?;
-    let snapshot = match from.base {
+    let snapshot = match from.snapshot {
         None => None,
         Some(base) => Some(
             wire::Snapshot::decode(base.data.as_slice())
@@ -56,11 +56,11 @@
                 .ok_or(NotOurs("snapshot"))?,
         ),
     };
-    let entry = |entry: ledger::Entry| {
+    let entry = |entry: wal::Entry| {
         let (kind, data) =
             entry.data.split_first().filter(|(kind, _)| **kind <= 1).ok_or(NotOurs("entry"))?;
         Ok(wire::Entry { index: entry.index, term: entry.term, kind: u32::from(*kind), data: data.to_vec() })
     };
     let entries = from.entries.into_iter().map(entry).collect::<Result<_, NotOurs>>()?;
-    Ok(Restored { writes: from.seq, state, snapshot, entries })
+    Ok(Restored { writes: from.sequence, state, snapshot, entries })
 }
--- a/crates/wal/build.rs
+++ b/crates/wal/build.rs
@@ -1,8 +1,8 @@
-//! Compiles the store's protobuf description without an outside compiler.
+//! Compiles the protobuf description of the records without an outside compiler.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("cargo:rerun-if-changed=proto/ledger.proto");
-    let files = protox::compile(["ledger.proto"], ["proto"])?;
+    println!("cargo:rerun-if-changed=proto/wal.proto");
+    let files = protox::compile(["wal.proto"], ["proto"])?;
     prost_build::Config::new().compile_fds(files)?;
     Ok(())
 }
--- a/crates/wal/src/directory_disk.rs
+++ b/crates/wal/src/directory_disk.rs
@@ -1,88 +1,81 @@
-//! A real folder as the ledger's disk.
+//! A directory of the file system as the log's disk.
 
 use crate::disk::{Disk, DiskError};
 use crate::limits::MAX_FILES;
 use std::fs::{self, File, OpenOptions};
-use std::io::{self, Write};
+use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// The folder, and the one file that is being appended to, kept open.
+/// A directory, with the file that was last appended to kept open.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DirectoryDisk {
     path: PathBuf,
-    open: Option<(String, File)>,
+    open_file: Option<(String, File)>,
 }
 
-impl Folder {
-    /// Takes the folder, making it if it is not there.
+impl DirectoryDisk {
+    /// Opens a directory and creates it if it does not exist.
+    ///
+    /// # Errors
+    /// When the directory cannot be created.
     pub fn open(path: &Path) -> Result<Self, DiskError> {
-        fs::create_dir_all(path).map_err(told)?;
-        Ok(Folder { path: path.to_owned(), open: None })
+        fs::create_dir_all(path)?;
+        Ok(DirectoryDisk { path: path.to_owned(), open_file: None })
     }
 
-    fn handle(&mut self, name: &str) -> Result<&mut File, DiskError> {
-        if self.open.as_ref().is_none_or(|(held, _)| held != name) {
-            let file = OpenOptions::new().append(true).open(self.path.join(name)).map_err(told)?;
-            self.open = Some((name.to_owned(), file));
+    fn writable_file(&mut self, name: &str) -> Result<&mut File, DiskError> {
+        if self.open_file.as_ref().is_none_or(|(open_name, _)| open_name != name) {
+            let file = OpenOptions::new().append(true).open(self.path.join(name))?;
+            self.open_file = Some((name.to_owned(), file));
         }
-        match &mut self.open {
+        match &mut self.open_file {
             Some((_, file)) => Ok(file),
             None => Err(DiskError::Missing),
         }
     }
 }
 
-fn told(error: io::Error) -> DiskError {
-    match error.kind() {
-        io::ErrorKind::NotFound => DiskError::Missing,
-        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
-            DiskError::NoSpace
-        }
-        _ => DiskError::Io(error.to_string()),
-    }
-}
-
-impl Disk for Folder {
+impl Disk for DirectoryDisk {
     fn list(&self) -> Result<Vec<String>, DiskError> {
         let mut names = Vec::new();
-        for entry in fs::read_dir(&self.path).map_err(told)?.take(MAX_FILES + 1) {
-            names.push(entry.map_err(told)?.file_name().to_string_lossy().into_owned());
+        for entry in fs::read_dir(&self.path)?.take(MAX_FILES + 1) {
+            names.push(entry?.file_name().to_string_lossy().into_owned());
         }
         Ok(names)
     }
 
     fn read(&self, name: &str) -> Result<Vec<u8>, DiskError> {
-        fs::read(self.path.join(name)).map_err(told)
+        Ok(fs::read(self.path.join(name))?)
     }
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
-        File::create(self.path.join(name)).map_err(told)?;
+        File::create(self.path.join(name))?;
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        self.handle(name)?.write_all(bytes).map_err(told)
+        Ok(self.writable_file(name)?.write_all(bytes)?)
     }
 
-    fn truncate(&mut self, name: &str, len: u64) -> Result<(), DiskError> {
-        self.handle(name)?.set_len(len).map_err(told)
+    fn truncate(&mut self, name: &str, length: u64) -> Result<(), DiskError> {
+        Ok(self.writable_file(name)?.set_len(length)?)
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
-        self.handle(name)?.sync_data().map_err(told)
+        Ok(self.writable_file(name)?.sync_data()?)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        self.open = None;
-        fs::rename(self.path.join(from), self.path.join(to)).map_err(told)
+        self.open_file = None;
+        Ok(fs::rename(self.path.join(from), self.path.join(to))?)
     }
 
     fn remove(&mut self, name: &str) -> Result<(), DiskError> {
-        self.open = None;
-        fs::remove_file(self.path.join(name)).map_err(told)
+        self.open_file = None;
+        Ok(fs::remove_file(self.path.join(name))?)
     }
 
-    fn sync_folder(&mut self) -> Result<(), DiskError> {
-        File::open(&self.path).and_then(|folder| folder.sync_all()).map_err(told)
+    fn sync_directory(&mut self) -> Result<(), DiskError> {
+        Ok(File::open(&self.path)?.sync_all()?)
     }
 }
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -1,51 +1,55 @@
-//! The seam between the store and the files: every file operation that the ledger needs, and no more.
+//! The file operations that the log needs: the seam at which tests and simulators inject faults.
 
-use std::fmt;
+use std::io;
+use std::sync::Arc;
 
-/// Why a file operation did not happen.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Why a file operation failed.
+#[derive(Debug, Clone, thiserror::Error)]
 pub enum DiskError {
-    /// No room, or the write was refused; part of it may be in the file.
+    /// No space is left, or the write was refused; part of the bytes may be in the file.
+    #[error("no space left")]
     NoSpace,
-    /// No such file.
+    /// The file does not exist.
+    #[error("no such file")]
     Missing,
-    /// Any other failure, in the operating system's words.
-    Io(String),
+    /// Any other failure.
+    #[error("input or output failed")]
+    Io(#[source] Arc<io::Error>),
 }
 
-impl fmt::Display for DiskError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DiskError::NoSpace => write!(f, "no space left"),
-            DiskError::Missing => write!(f, "no such file"),
-            DiskError::Io(text) => write!(f, "{text}"),
+impl From<io::Error> for DiskError {
+    fn from(error: io::Error) -> Self {
+        match error.kind() {
+            io::ErrorKind::NotFound => DiskError::Missing,
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
+                DiskError::NoSpace
+            }
+            _ => DiskError::Io(Arc::new(error)),
         }
     }
 }
 
-impl std::error::Error for DiskError {}
-
-/// The file operations of one folder. Names are plain file names of the ledger's own making.
+/// The file operations of one directory. Names are plain file names chosen by the log.
 ///
-/// Contract as on a POSIX file system: bytes appended last through a crash only after [`Disk::sync`] of the file,
-/// a file's name (created, renamed, removed) only after [`Disk::sync_folder`].
+/// The contract is that of a POSIX file system: appended bytes survive a crash only after [`Disk::sync`] of the file, a
+/// file's name (created, renamed, removed) only after [`Disk::sync_directory`].
 pub trait Disk {
-    /// Names of all files, in any order.
+    /// The names of all files, in any order.
     fn list(&self) -> Result<Vec<String>, DiskError>;
     /// All bytes of a file.
     fn read(&self, name: &str) -> Result<Vec<u8>, DiskError>;
-    /// Makes an empty file; one of that name is emptied.
+    /// Creates an empty file; an existing file of that name is emptied.
     fn create(&mut self, name: &str) -> Result<(), DiskError>;
-    /// Adds bytes at the end. After an error part of them may be there.
+    /// Appends bytes. After an error part of them may be in the file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError>;
-    /// Cuts the file to `len` bytes.
-    fn truncate(&mut self, name: &str, len: u64) -> Result<(), DiskError>;
-    /// Makes what was appended and cut last through a crash. After an error nothing is known of what lasts.
+    /// Truncates a file to `length` bytes.
+    fn truncate(&mut self, name: &str, length: u64) -> Result<(), DiskError>;
+    /// Makes appended and truncated bytes survive a crash. After an error it is unknown what survives.
     fn sync(&mut self, name: &str) -> Result<(), DiskError>;
-    /// Renames, replacing a file of the new name.
+    /// Renames a file; an existing file of the new name is replaced.
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<(), DiskError>;
-    /// Makes created, renamed and removed names last through a crash.
-    fn sync_folder(&mut self) -> Result<(), DiskError>;
+    /// Makes created, renamed and removed names survive a crash.
+    fn sync_directory(&mut self) -> Result<(), DiskError>;
 }
--- a/crates/wal/src/fault_disk.rs
+++ b/crates/wal/src/fault_disk.rs
@@ -1,111 +1,146 @@
-//! A disk in memory whose faults come from a seed: for simulators and tests.
+//! An in-memory disk whose faults are drawn from a seed, for simulators and tests.
 //!
-//! What it models: bytes and names that no sync has covered may be lost at a crash, in part or whole; a sync that
-//! lies answers well and covers nothing; an append can be refused with part of it written; a bit can turn. Slow
-//! syncs are the simulator's matter: it holds back the word that a write is on disk.
+//! What it models: bytes and names that no sync has covered can be lost at a crash, partly or as a whole; a lying sync
+//! succeeds and covers nothing; an append can fail with part of it written; a bit can flip. Slow syncs are
+//! the simulator's part: it delays the report that a batch is on disk.
 
 use crate::disk::{Disk, DiskError};
+use crate::segment;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
+use std::io;
+
+/// Size of the disk sector that may stay empty in a torn tail, bytes.
+const SECTOR_BYTES: usize = 512;
+
+/// Names one file, whatever it is renamed to.
+type FileId = u64;
 
 #[derive(Debug, Clone, Default)]
 struct File {
-    now: Vec<u8>,
-    lasting: Vec<u8>,
+    /// What a read returns.
+    content: Vec<u8>,
+    /// What survives a crash.
+    synced: Vec<u8>,
 }
 
-/// Which faults are on. All off is an honest disk whose unsynced bytes are lost whole at a crash.
+/// Which faults are on. With all off, the disk is correct and loses all unsynced bytes at a crash.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Syncs answer well and make nothing last, until this is off again and a sync comes.
-    pub lying: bool,
-    /// Appends are refused, with part of the bytes written.
-    pub full: bool,
+    /// Syncs succeed and make nothing durable, until this is off again and another sync is called.
+    pub lying_sync: bool,
+    /// Appends fail with part of the bytes written.
+    pub disk_full: bool,
     /// Syncs fail.
     pub failing_sync: bool,
-    /// At a crash some of what no sync covered is there after all, the last append torn in the middle.
-    pub torn: bool,
+    /// At a crash part of the unsynced bytes survives; the last append may be torn in the middle.
+    pub torn_writes: bool,
 }
 
-/// The disk. A crash is [`FaultDisk::crash`]; what a restarted process finds is the disk after it.
+/// The disk. After [`FaultDisk::crash`] it holds what a restarted process finds.
 #[derive(Debug, Clone)]
 pub struct FaultDisk {
-    files: BTreeMap<u64, File>,
-    names: BTreeMap<String, u64>,
-    lasting: BTreeMap<String, u64>,
-    next: u64,
+    files: BTreeMap<FileId, File>,
+    names: BTreeMap<String, FileId>,
+    synced_names: BTreeMap<String, FileId>,
+    last_file_id: FileId,
     rng: ChaCha8Rng,
-    /// Faults from here on.
+    /// The faults from here on.
     pub faults: Faults,
-    /// Syncs that lied so far.
-    pub lies: u64,
-    /// Syncs of files that were asked for.
-    pub syncs: u64,
+    /// Number of syncs that lied.
+    pub lied_syncs: u64,
+    /// Number of file syncs that were called.
+    pub file_syncs: u64,
 }
 
 impl FaultDisk {
-    /// An empty, honest disk.
+    /// An empty disk without faults.
     pub fn new(seed: u64) -> Self {
         FaultDisk {
             files: BTreeMap::new(),
             names: BTreeMap::new(),
-            lasting: BTreeMap::new(),
-            next: 0,
+            synced_names: BTreeMap::new(),
+            last_file_id: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             faults: Faults::default(),
-            lies: 0,
-            syncs: 0,
+            lied_syncs: 0,
+            file_syncs: 0,
         }
     }
 
-    /// The process or machine goes down: what no honest sync covered is lost, or torn.
+    /// The process or the machine crashes: what no true sync covered is lost or torn.
     pub fn crash(&mut self) {
-        let torn = self.faults.torn;
-        if torn && !self.faults.lying && self.rng.gen_bool(0.5) {
-            // Names may have reached the disk before anybody asked for it.
-            self.lasting.clone_from(&self.names);
+        let torn_writes = self.faults.torn_writes;
+        if torn_writes && !self.faults.lying_sync && self.rng.gen_bool(0.5) {
+            // Names may have reached the disk before any sync was called.
+            self.synced_names.clone_from(&self.names);
         }
-        self.names.clone_from(&self.lasting);
+        self.names.clone_from(&self.synced_names);
         for file in self.files.values_mut() {
-            let mut after = file.lasting.clone();
-            if torn && file.now.len() > after.len() && file.now.starts_with(&after) {
-                let kept = self.rng.gen_range(after.len()..file.now.len());
-                after.extend_from_slice(&file.now[after.len()..kept]);
-                if kept > file.lasting.len() && self.rng.gen_bool(0.3) {
-                    // A sector of the torn tail that never got its bytes.
-                    let from = self.rng.gen_range(file.lasting.len()..kept);
-                    after[from..].iter_mut().take(512).for_each(|byte| *byte = 0);
-                }
+            let mut survived = file.synced.clone();
+            if torn_writes {
+                extend_with_torn_tail(&mut survived, &file.content, &mut self.rng);
             }
-            file.now.clone_from(&after);
-            file.lasting = after;
+            file.content.clone_from(&survived);
+            file.synced = survived;
         }
-        let held: Vec<u64> = self.names.values().copied().collect();
-        self.files.retain(|id, _| held.contains(id));
+        self.drop_unnamed_files();
     }
 
-    /// Turns one bit of a file at a place chosen by the seed, below `limit` bytes. False when there is none.
-    pub fn turn_bit(&mut self, name: &str, limit: u64) -> bool {
+    /// Flips one bit of a file below `limit` bytes, at a place drawn from the seed. False when there is no such byte.
+    pub fn flip_bit(&mut self, name: &str, limit: u64) -> bool {
         let Some(file) = self.names.get(name).and_then(|id| self.files.get_mut(id)) else { return false };
-        let limit = file.lasting.len().min(usize::try_from(limit).unwrap_or(usize::MAX));
+        let limit = file.synced.len().min(usize::try_from(limit).unwrap_or(usize::MAX));
         if limit == 0 {
             return false;
         }
-        let (at, bit) = (self.rng.gen_range(0..limit), self.rng.gen_range(0..8));
-        file.lasting[at] ^= 1 << bit;
-        file.now.clone_from(&file.lasting);
+        let offset = self.rng.gen_range(0..limit);
+        let bit = self.rng.gen_range(0..8);
+        file.synced[offset] ^= 1 << bit;
+        file.content.clone_from(&file.synced);
         true
     }
 
-    /// The name of the newest generation, if there is one.
-    pub fn newest(&self) -> Option<String> {
-        self.names.keys().rfind(|name| name.starts_with("gen-")).cloned()
+    /// The name of the newest segment, if there is one.
+    pub fn newest_segment(&self) -> Option<String> {
+        self.names.keys().rfind(|name| name.starts_with(segment::PREFIX)).cloned()
     }
 
-    fn file(&mut self, name: &str) -> Result<&mut File, DiskError> {
+    fn file_mut(&mut self, name: &str) -> Result<&mut File, DiskError> {
         self.names.get(name).and_then(|id| self.files.get_mut(id)).ok_or(DiskError::Missing)
     }
+
+    fn drop_unnamed_files(&mut self) {
+        let named: Vec<FileId> = self.names.values().copied().collect();
+        self.files.retain(|id, _| named.contains(id));
+    }
+
+    /// Whether a sync goes on to make things durable: false when it lies.
+    fn begin_sync(&mut self) -> Result<bool, DiskError> {
+        if self.faults.failing_sync {
+            return Err(io::Error::other("injected sync failure").into());
+        }
+        if self.faults.lying_sync {
+            self.lied_syncs += 1;
+            return Ok(false);
+        }
+        Ok(true)
+    }
+}
+
+/// Adds part of the unsynced bytes of `content` to the `survived` ones; a sector of them may have stayed empty.
+fn extend_with_torn_tail(survived: &mut Vec<u8>, content: &[u8], rng: &mut ChaCha8Rng) {
+    let synced_length = survived.len();
+    if content.len() <= synced_length || !content.starts_with(survived) {
+        return;
+    }
+    let torn_length = rng.gen_range(synced_length..content.len());
+    survived.extend_from_slice(&content[synced_length..torn_length]);
+    if torn_length > synced_length && rng.gen_bool(0.3) {
+        let hole = rng.gen_range(synced_length..torn_length);
+        survived[hole..].iter_mut().take(SECTOR_BYTES).for_each(|byte| *byte = 0);
+    }
 }
 
 impl Disk for FaultDisk {
@@ -115,42 +150,37 @@
 
     fn read(&self, name: &str) -> Result<Vec<u8>, DiskError> {
         let file = self.names.get(name).and_then(|id| self.files.get(id)).ok_or(DiskError::Missing)?;
-        Ok(file.now.clone())
+        Ok(file.content.clone())
     }
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
-        self.next += 1;
-        self.files.insert(self.next, File::default());
-        self.names.insert(name.to_owned(), self.next);
+        self.last_file_id += 1;
+        self.files.insert(self.last_file_id, File::default());
+        self.names.insert(name.to_owned(), self.last_file_id);
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        let part = if self.faults.full { self.rng.gen_range(0..=bytes.len() / 2) } else { bytes.len() };
-        let full = self.faults.full;
-        self.file(name)?.now.extend_from_slice(&bytes[..part]);
-        if full {
+        let disk_full = self.faults.disk_full;
+        let written = if disk_full { self.rng.gen_range(0..=bytes.len() / 2) } else { bytes.len() };
+        self.file_mut(name)?.content.extend_from_slice(&bytes[..written]);
+        if disk_full {
             return Err(DiskError::NoSpace);
         }
         Ok(())
     }
 
-    fn truncate(&mut self, name: &str, len: u64) -> Result<(), DiskError> {
-        self.file(name)?.now.truncate(usize::try_from(len).unwrap_or(usize::MAX));
+    fn truncate(&mut self, name: &str, length: u64) -> Result<(), DiskError> {
+        self.file_mut(name)?.content.truncate(usize::try_from(length).unwrap_or(usize::MAX));
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
-        self.syncs += 1;
-        if self.faults.failing_sync {
-            return Err(DiskError::Io("input/output error".to_owned()));
-        }
-        if self.faults.lying {
-            self.lies += 1;
-            return Ok(());
+        self.file_syncs += 1;
+        if self.begin_sync()? {
+            let file = self.file_mut(name)?;
+            file.synced.clone_from(&file.content);
         }
-        let file = self.file(name)?;
-        file.lasting.clone_from(&file.now);
         Ok(())
     }
 
@@ -164,17 +194,11 @@
         self.names.remove(name).map(|_| ()).ok_or(DiskError::Missing)
     }
 
-    fn sync_folder(&mut self) -> Result<(), DiskError> {
-        if self.faults.failing_sync {
-            return Err(DiskError::Io("input/output error".to_owned()));
-        }
-        if self.faults.lying {
-            self.lies += 1;
-            return Ok(());
+    fn sync_directory(&mut self) -> Result<(), DiskError> {
+        if self.begin_sync()? {
+            self.synced_names.clone_from(&self.names);
+            self.drop_unnamed_files();
         }
-        self.lasting.clone_from(&self.names);
-        let held: Vec<u64> = self.names.values().copied().collect();
-        self.files.retain(|id, _| held.contains(id));
         Ok(())
     }
 }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,28 +1,39 @@
-//! The council's store: a checked append-only log that a member writes before any word of it goes out.
+//! The write-ahead log of a consensus member: an append-only, checksummed log that is synced before the member sends
+//! any message that rests on it.
 //!
-//! One folder holds one *generation* file at a time. Each [`Write`] is one record in it: a header with a magic word,
-//! length, sequence number, the checksum of the record before and its own (CRC-32), then the write in protobuf. A
-//! record is synced before the next is begun, so a crash can tear the last record and no other. A write with a
-//! snapshot begins a new generation: written aside, synced, renamed into place, the old one removed. The rename
-//! is the one switch; there is no list of files that could be at odds with the folder.
+//! # On-disk format
 //!
-//! What [`Ledger::open`] promises: the writes come back in order, up to the last good record. A torn tail is cut and
-//! told ([`Restored::cut`]); whether a cut write had been acknowledged only the member's peers can know, which is why every
-//! write has a sequence number for them to remember. Damage with a good record behind it is no torn tail: it is an error
-//! ([`LedgerError::Damaged`]) and the member stays out.
+//! A directory holds one *segment* file, `gen-` and sixteen hexadecimal digits: the sequence number of the segment's
+//! first batch. A segment is a list of *records*; each record is one [`WriteBatch`] behind a header with a magic word, its
+//! length, its sequence number, the checksum of the record before it and its own checksum (CRC-32). The byte
+//! layout stands in `record.rs`, the payload in `proto/wal.proto`.
 //!
-//! All file work goes through [`Disk`]: [`folder::Folder`] on a real folder, [`faults::FaultDisk`] in memory with seeded
-//! faults for simulators. Bounds are in [`limits`].
+//! A record is synced before the next one is written, so a crash can tear the last record and no other. A batch with a
+//! snapshot starts a new segment: it is written to the file `aside`, synced, renamed into place, and the old segment is
+//! removed. The rename is the only switch; there is no manifest that could disagree with the directory.
+//!
+//! # Recovery
+//!
+//! [`Wal::open`] returns all batches up to the last intact record. A torn tail is truncated and reported
+//! ([`Recovered::torn_tail`]). Whether the truncated batch had been acknowledged is known only to the member's peers, which
+//! is why every batch has a sequence number for them to remember. A damaged record with an intact one behind it is not a
+//! torn tail: [`Wal::open`] fails with [`WalError::Corrupt`] and the member stays out.
+//!
+//! All file operations go through [`Disk`]: [`DirectoryDisk`] is a real directory, [`FaultDisk`] an in-memory disk with
+//! seeded faults for simulators and tests. Bounds are in [`limits`].
 
-pub mod disk;
-pub mod faults;
-pub mod folder;
-pub mod ledger;
+mod directory_disk;
+mod disk;
+mod fault_disk;
 pub mod limits;
 mod record;
-mod scan;
+mod recovery;
+mod segment;
+mod wal;
 
+pub use directory_disk::DirectoryDisk;
 pub use disk::{Disk, DiskError};
-pub use ledger::{Ledger, LedgerError, Restored};
-pub use record::{Base, Entry, Write};
-pub use scan::Cut;
+pub use fault_disk::{FaultDisk, Faults};
+pub use record::{Entry, Snapshot, WriteBatch};
+pub use recovery::{Corruption, TornTail};
+pub use wal::{Recovered, Wal, WalError};
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,83 +1,110 @@
-//! One record's form on disk.
+//! The layout of one record on disk.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 4 | magic `SLR1` |
-//! | 4 | payload's length, little-endian |
-//! | 8 | sequence number of the write, little-endian |
-//! | 4 | checksum of the record before it in this file, 0 for the first |
-//! | 4 | CRC-32 (IEEE, as in zlib) over the 16 bytes of length, sequence and checksum before, then the payload |
-//! | n | payload: [`Write`] in protobuf |
+//! | 4 | length of the payload, little-endian |
+//! | 8 | sequence number of the batch, little-endian |
+//! | 4 | checksum of the record before it in this segment, little-endian; 0 for the first record |
+//! | 4 | CRC-32 (IEEE, as in zlib) over the 16 bytes of length, sequence number and previous checksum, then the payload |
+//! | n | payload: [`WriteBatch`] in protobuf |
 
 use crate::limits::MAX_RECORD_BYTES;
 use prost::Message;
 
-#[allow(missing_docs)]
+#[allow(missing_docs, reason = "generated: the documentation stands in proto/wal.proto")]
 mod wire {
-    include!(concat!(env!("OUT_DIR"), "/sprucelink.ledger.v1.rs"));
+    include!(concat!(env!("OUT_DIR"), "/sprucelink.wal.v1.rs"));
 }
 
-pub use wire::{Base, Entry, Write};
+pub use wire::{Entry, Snapshot, WriteBatch};
 
 /// First bytes of a record.
 pub(crate) const MAGIC: [u8; 4] = *b"SLR1";
 /// Length of a record's header, bytes.
-pub(crate) const HEADER: usize = 24;
+pub(crate) const HEADER_BYTES: usize = 24;
 
-/// A record read from bytes.
+/// Offset of the payload's length in the header, bytes.
+const LENGTH_OFFSET: usize = 4;
+/// Offset of the sequence number in the header, bytes.
+const SEQUENCE_OFFSET: usize = 8;
+/// Offset of the previous record's checksum in the header, bytes.
+const PREVIOUS_CHECKSUM_OFFSET: usize = 16;
+/// Offset of the record's own checksum in the header, bytes.
+const CHECKSUM_OFFSET: usize = 20;
+
+/// A record whose own checksum is right.
 #[derive(Debug)]
 pub(crate) struct Record<'a> {
-    pub seq: u64,
-    pub before: u32,
-    pub crc: u32,
+    pub sequence: u64,
+    pub previous_checksum: u32,
+    pub checksum: u32,
     pub payload: &'a [u8],
 }
 
-/// Puts a write into its form on disk; `None` when it is longer than [`MAX_RECORD_BYTES`].
-pub(crate) fn encode(write: &Write, before: u32) -> Option<(Vec<u8>, u32)> {
-    let len = write.encoded_len();
-    if len > MAX_RECORD_BYTES {
-        return None;
+impl Record<'_> {
+    /// Length of the whole record, bytes.
+    pub fn encoded_length(&self) -> usize {
+        HEADER_BYTES + self.payload.len()
     }
-    let mut bytes = Vec::with_capacity(HEADER + len);
-    bytes.extend_from_slice(&MAGIC);
-    bytes.extend_from_slice(&(len as u32).to_le_bytes());
-    bytes.extend_from_slice(&write.seq.to_le_bytes());
-    bytes.extend_from_slice(&before.to_le_bytes());
-    bytes.extend_from_slice(&[0; 4]);
-    bytes.extend_from_slice(&write.encode_to_vec());
-    let crc = checksum(&bytes);
-    bytes[20..24].copy_from_slice(&crc.to_le_bytes());
-    Some((bytes, crc))
 }
 
-fn checksum(record: &[u8]) -> u32 {
-    let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&record[4..20]);
-    hasher.update(&record[HEADER..]);
-    hasher.finalize()
-}
-
-fn word(bytes: &[u8], at: usize) -> u32 {
-    let mut four = [0; 4];
-    four.copy_from_slice(&bytes[at..at + 4]);
-    u32::from_le_bytes(four)
+/// Encodes a batch as a record and returns its bytes and checksum; `None` when the payload is longer than
+/// [`MAX_RECORD_BYTES`].
+pub(crate) fn encode(batch: &WriteBatch, previous_checksum: u32) -> Option<(Vec<u8>, u32)> {
+    let payload_length = batch.encoded_len();
+    if payload_length > MAX_RECORD_BYTES {
+        return None;
+    }
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload_length);
+    bytes.extend_from_slice(&MAGIC);
+    bytes.extend_from_slice(&(payload_length as u32).to_le_bytes());
+    bytes.extend_from_slice(&batch.sequence.to_le_bytes());
+    bytes.extend_from_slice(&previous_checksum.to_le_bytes());
+    bytes.extend_from_slice(&[0; HEADER_BYTES - CHECKSUM_OFFSET]);
+    bytes.extend_from_slice(&batch.encode_to_vec());
+    let checksum = checksum_of(&bytes);
+    bytes[CHECKSUM_OFFSET..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    Some((bytes, checksum))
 }
 
-/// Reads the record at the front of `bytes`; `None` when none stands there whole with a right checksum.
-pub(crate) fn decode(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
-    if bytes.len() < HEADER || bytes[..4] != MAGIC {
+/// Decodes the record at the front of `bytes`; `None` when there is no complete record with a right checksum.
+pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
+    if bytes.len() < HEADER_BYTES || bytes[..MAGIC.len()] != MAGIC {
         return None;
     }
-    let len = word(bytes, 4) as usize;
-    if len > MAX_RECORD_BYTES || bytes.len() - HEADER < len {
+    let payload_length = read_u32(bytes, LENGTH_OFFSET) as usize;
+    if payload_length > MAX_RECORD_BYTES || bytes.len() - HEADER_BYTES < payload_length {
         return None;
     }
-    let whole = &bytes[..HEADER + len];
-    let crc = word(bytes, 20);
-    if checksum(whole) != crc {
+    let record = &bytes[..HEADER_BYTES + payload_length];
+    let checksum = read_u32(bytes, CHECKSUM_OFFSET);
+    if checksum_of(record) != checksum {
         return None;
     }
-    let seq = u64::from(word(bytes, 8)) | u64::from(word(bytes, 12)) << 32;
-    Some((Record { seq, before: word(bytes, 16), crc, payload: &whole[HEADER..] }, HEADER + len))
+    Some(Record {
+        sequence: read_u64(bytes, SEQUENCE_OFFSET),
+        previous_checksum: read_u32(bytes, PREVIOUS_CHECKSUM_OFFSET),
+        checksum,
+        payload: &record[HEADER_BYTES..],
+    })
+}
+
+fn checksum_of(record: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&record[LENGTH_OFFSET..CHECKSUM_OFFSET]);
+    hasher.update(&record[HEADER_BYTES..]);
+    hasher.finalize()
+}
+
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
+    let mut word = [0; 4];
+    word.copy_from_slice(&bytes[offset..offset + 4]);
+    u32::from_le_bytes(word)
+}
+
+fn read_u64(bytes: &[u8], offset: usize) -> u64 {
+    let mut word = [0; 8];
+    word.copy_from_slice(&bytes[offset..offset + 8]);
+    u64::from_le_bytes(word)
 }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,98 +1,171 @@
-//! Reading a generation back: the last good prefix, or the reason why there is none.
+//! Reading a segment back: its intact records, and whether what follows them is a torn tail or damage.
 
-use crate::record::{self, Base, Entry, Write, MAGIC};
+use crate::record::{self, Entry, Record, Snapshot, WriteBatch, HEADER_BYTES, MAGIC};
 use prost::Message;
 
-/// What was cut off the end of a generation: the remains of a write that a crash interrupted.
+/// What is wrong with a damaged record.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum Corruption {
+    /// The record is damaged and a later one is intact, so it was not torn by a crash.
+    #[error("the record is damaged, but batch {later} behind it is intact")]
+    DamagedBeforeTail {
+        /// Sequence number of the intact record.
+        later: u64,
+    },
+    /// The first record of the segment is incomplete.
+    #[error("the first record of the segment is incomplete")]
+    FirstRecordIncomplete,
+    /// The record's sequence number is not the next one.
+    #[error("batch {found} where batch {expected} is expected")]
+    UnexpectedSequence {
+        /// The number that is expected.
+        expected: u64,
+        /// The number in the record.
+        found: u64,
+    },
+    /// The record does not hold the checksum of the one before it.
+    #[error("the record does not follow the one before it")]
+    BrokenChain,
+    /// The payload is not a batch.
+    #[error("the payload cannot be decoded")]
+    Payload(#[source] prost::DecodeError),
+    /// Header and payload disagree on the sequence number.
+    #[error("the header says batch {header}, the payload says batch {payload}")]
+    SequenceMismatch {
+        /// The number in the header.
+        header: u64,
+        /// The number in the payload.
+        payload: u64,
+    },
+    /// An entry is not within the log or next to its end.
+    #[error("entry {index} where {lowest} to {highest} are allowed")]
+    EntryOutOfRange {
+        /// The entry's index.
+        index: u64,
+        /// The lowest index allowed.
+        lowest: u64,
+        /// The highest index allowed.
+        highest: u64,
+    },
+}
+
+/// What was truncated from the end of a segment: the rest of a batch whose write was interrupted by a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cut {
-    /// The sequence number that the lost write would have had.
-    pub seq: u64,
-    /// Where the good prefix ends, bytes.
-    pub at: u64,
-    /// Bytes that were there behind it.
+pub struct TornTail {
+    /// The sequence number that the lost batch had.
+    pub sequence: u64,
+    /// Where the intact records end, bytes.
+    pub offset: u64,
+    /// Length of what was truncated, bytes.
     pub bytes: u64,
 }
 
-/// All that a generation says.
+/// What the intact records of a segment hold.
 #[derive(Debug, Default)]
-pub(crate) struct Scan {
-    pub seq: u64,
-    pub crc: u32,
-    pub len: u64,
+pub(crate) struct SegmentContent {
+    /// Sequence number of the last record.
+    pub sequence: u64,
+    /// Checksum of the last record.
+    pub checksum: u32,
+    /// Length of the intact records, bytes.
+    pub length: u64,
     pub state: Vec<u8>,
-    pub base: Option<Base>,
+    pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
-    pub cut: Option<Cut>,
+    pub torn_tail: Option<TornTail>,
 }
 
-impl Scan {
-    /// Applies one write; the reason when it does not fit what is there.
-    fn apply(&mut self, write: Write) -> Result<(), String> {
-        if let Some(base) = write.base {
-            self.base = Some(base);
+impl SegmentContent {
+    /// Checks a record against those before it and applies its batch.
+    fn add_record(&mut self, record: &Record<'_>, expected_sequence: u64) -> Result<(), Corruption> {
+        if record.sequence != expected_sequence {
+            return Err(Corruption::UnexpectedSequence {
+                expected: expected_sequence,
+                found: record.sequence,
+            });
+        }
+        if record.previous_checksum != self.checksum {
+            return Err(Corruption::BrokenChain);
+        }
+        let batch = WriteBatch::decode(record.payload).map_err(Corruption::Payload)?;
+        if batch.sequence != record.sequence {
+            return Err(Corruption::SequenceMismatch { header: record.sequence, payload: batch.sequence });
+        }
+        self.apply(batch)?;
+        self.sequence = record.sequence;
+        self.checksum = record.checksum;
+        self.length += record.encoded_length() as u64;
+        Ok(())
+    }
+
+    fn apply(&mut self, batch: WriteBatch) -> Result<(), Corruption> {
+        if let Some(snapshot) = batch.snapshot {
+            self.snapshot = Some(snapshot);
             self.entries.clear();
         }
-        for entry in write.entries {
-            let first = self.entries.first().map(|e| e.index);
-            let next = match (first, &self.base) {
-                (Some(first), _) => first + self.entries.len() as u64,
-                (None, Some(base)) => base.index + 1,
-                (None, None) => 1,
-            };
-            let lowest = first.unwrap_or(next);
-            if entry.index < lowest || entry.index > next {
-                return Err(format!("entry {} where {lowest} to {next} could stand", entry.index));
-            }
-            self.entries.truncate((entry.index - lowest) as usize);
-            self.entries.push(entry);
+        for entry in batch.entries {
+            self.add_entry(entry)?;
         }
-        self.state = write.state;
+        self.state = batch.state;
+        Ok(())
+    }
+
+    fn add_entry(&mut self, entry: Entry) -> Result<(), Corruption> {
+        let first = self.entries.first().map(|entry| entry.index);
+        let highest = match (first, &self.snapshot) {
+            (Some(first), _) => first + self.entries.len() as u64,
+            (None, Some(snapshot)) => snapshot.index + 1,
+            (None, None) => 1,
+        };
+        let lowest = first.unwrap_or(highest);
+        if entry.index < lowest || entry.index > highest {
+            return Err(Corruption::EntryOutOfRange { index: entry.index, lowest, highest });
+        }
+        self.entries.truncate((entry.index - lowest) as usize);
+        self.entries.push(entry);
         Ok(())
     }
 }
 
-/// Reads a generation whose first record is write `first` (`None`: any). The error names place and reason.
-pub(crate) fn scan(bytes: &[u8], first: Option<u64>) -> Result<Scan, (u64, String)> {
-    let mut scan = Scan::default();
-    let mut at = 0;
-    while at < bytes.len() {
-        let Some((record, len)) = record::decode(&bytes[at..]) else {
-            // A torn last write, or damage within. They differ by what stands behind: a record is synced
-            // before the next is begun, so nothing good can follow a torn one.
-            if let Some(later) = later_record(&bytes[at..], scan.seq) {
-                let place = at as u64;
-                return Err((place, format!("no record here, but write {later} behind it is whole")));
+/// Reads a segment whose first record is that of batch `first_sequence`.
+///
+/// # Errors
+/// The offset of the damaged record, and what is wrong with it.
+pub(crate) fn read_segment(bytes: &[u8], first_sequence: u64) -> Result<SegmentContent, (u64, Corruption)> {
+    let mut content = SegmentContent::default();
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let rest = &bytes[offset..];
+        let Some(record) = record::decode(rest) else {
+            // A record is synced before the next one is written, so nothing intact can follow a torn record.
+            if let Some(later) = find_later_record(rest, content.sequence) {
+                return Err((offset as u64, Corruption::DamagedBeforeTail { later }));
             }
-            scan.cut = Some(Cut { seq: scan.seq + 1, at: at as u64, bytes: (bytes.len() - at) as u64 });
+            content.torn_tail = Some(TornTail {
+                sequence: content.sequence + 1,
+                offset: offset as u64,
+                bytes: rest.len() as u64,
+            });
             break;
         };
-        let expected = if at == 0 { first.unwrap_or(record.seq) } else { scan.seq + 1 };
-        if record.seq != expected {
-            return Err((at as u64, format!("write {} where {expected} should stand", record.seq)));
-        }
-        if record.before != scan.crc {
-            return Err((at as u64, "the record does not follow the one before it".to_owned()));
-        }
-        let write = Write::decode(record.payload).map_err(|e| (at as u64, e.to_string()))?;
-        if write.seq != record.seq {
-            return Err((at as u64, "header and payload disagree on the sequence number".to_owned()));
-        }
-        scan.apply(write).map_err(|reason| (at as u64, reason))?;
-        scan.seq = record.seq;
-        scan.crc = record.crc;
-        at += len;
-        scan.len = at as u64;
+        let expected_sequence = if offset == 0 { first_sequence } else { content.sequence + 1 };
+        content.add_record(&record, expected_sequence).map_err(|reason| (offset as u64, reason))?;
+        offset += record.encoded_length();
+    }
+    if content.length == 0 {
+        // A segment gets its name only after its first record is synced, so that record cannot be torn.
+        return Err((0, Corruption::FirstRecordIncomplete));
     }
-    Ok(scan)
+    Ok(content)
 }
 
-/// The sequence number of a whole record somewhere behind the first byte, newer than `seq`.
-fn later_record(bytes: &[u8], seq: u64) -> Option<u64> {
-    (1..bytes.len().saturating_sub(record::HEADER - 1)).find_map(|at| {
-        if bytes[at..at + 4] != MAGIC {
+/// The sequence number of an intact record that starts behind the first byte and is newer than `sequence`.
+fn find_later_record(bytes: &[u8], sequence: u64) -> Option<u64> {
+    (1..bytes.len().saturating_sub(HEADER_BYTES - 1)).find_map(|offset| {
+        let candidate = &bytes[offset..];
+        if candidate[..MAGIC.len()] != MAGIC {
             return None;
         }
-        record::decode(&bytes[at..]).map(|(r, _)| r.seq).filter(|&later| later > seq)
+        record::decode(candidate).map(|record| record.sequence).filter(|&later| later > sequence)
     })
 }
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -1,226 +1,230 @@
-//! The store itself: open, write, and what each failure means for the member.
+//! The log itself: opening it, writing to it, and what each failure means for the member.
 
 use crate::disk::{Disk, DiskError};
-use crate::limits::{MAX_FILES, MAX_GENERATION_BYTES};
-use crate::record::{self, Base, Entry, Write};
-use crate::scan::{self, Cut};
-use std::fmt;
-
-/// Name of a generation while it is written aside.
-const ASIDE: &str = "aside";
-/// Front of a generation's name; sixteen hexadecimal digits of its first write's number follow.
-const FRONT: &str = "gen-";
-
-/// Why the store could not do its work.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LedgerError {
-    /// The folder holds what the ledger did not put there, or too many files.
-    Foreign(String),
-    /// A record before the last is damaged: nothing that the folder says can be trusted, and the member stays out
-    /// until it is removed from the council and added anew with an empty folder and a new incarnation.
-    Damaged {
-        /// The generation's file.
-        file: String,
-        /// Where in it, bytes.
-        at: u64,
+use crate::limits::{MAX_FILES, MAX_SEGMENT_BYTES};
+use crate::record::{self, Entry, Snapshot, WriteBatch};
+use crate::recovery::{self, Corruption, TornTail};
+use crate::segment::{self, Listing, Segment, TEMPORARY_NAME};
+
+/// Why the log could not be opened or written.
+#[derive(Debug, Clone, thiserror::Error)]
+pub enum WalError {
+    /// The directory holds a file that is not the log's.
+    #[error("not a directory of a write-ahead log: it holds {name}")]
+    ForeignFile {
+        /// The file.
+        name: String,
+    },
+    /// The directory holds more than [`MAX_FILES`] files.
+    #[error("not a directory of a write-ahead log: it holds over {MAX_FILES} files")]
+    TooManyFiles,
+    /// A record before the last one is damaged, so nothing in the directory can be trusted. The member stays out until it
+    /// is removed and added again with an empty directory and a new incarnation.
+    #[error("{segment} is corrupt at byte {offset}")]
+    Corrupt {
+        /// The segment's file.
+        segment: String,
+        /// Where the damaged record starts, bytes.
+        offset: u64,
         /// What is wrong there.
-        reason: String,
+        #[source]
+        reason: Corruption,
     },
-    /// Nothing of the write is on disk; it may be tried again, and nothing may be said on the strength of it.
-    Refused(DiskError),
-    /// The generation is at [`MAX_GENERATION_BYTES`], or the write over its bound: a write with a snapshot is due.
+    /// Nothing of the batch is on disk. It may be written again; no message that rests on it may be sent.
+    #[error("the write was refused")]
+    Refused(#[source] DiskError),
+    /// The segment is at [`MAX_SEGMENT_BYTES`], or the batch is over its bound: a batch with a snapshot is due.
+    #[error("the log is full: a snapshot is due")]
     Full,
-    /// It is not known what is on disk. The process must stop and open the ledger anew: a sync that failed once
-    /// must not be tried again, for the system may have dropped the pages that it could not write.
-    Broken(DiskError),
-    /// The write's number is not the next one.
+    /// It is unknown what is on disk. The process must stop and open the log again: a failed sync must not be
+    /// repeated, because the system may have dropped the pages that it could not write.
+    #[error("it is unknown what is on disk")]
+    Failed(#[source] DiskError),
+    /// The batch's sequence number is not the next one.
+    #[error("batch {found} was written where batch {expected} is due")]
     OutOfOrder {
-        /// The number that was due.
-        due: u64,
-        /// The number that came.
-        came: u64,
+        /// The number that is due.
+        expected: u64,
+        /// The number of the batch.
+        found: u64,
     },
 }
 
-impl fmt::Display for LedgerError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            LedgerError::Foreign(name) => write!(f, "not a ledger's folder: {name}"),
-            LedgerError::Damaged { file, at, reason } => {
-                write!(f, "{file} is damaged at byte {at}: {reason}")
-            }
-            LedgerError::Refused(error) => write!(f, "write refused: {error}"),
-            LedgerError::Full => write!(f, "the ledger is full: a snapshot is due"),
-            LedgerError::Broken(error) => write!(f, "what is on disk is unknown: {error}"),
-            LedgerError::OutOfOrder { due, came } => write!(f, "write {came} came where {due} was due"),
-        }
-    }
-}
-
-impl std::error::Error for LedgerError {}
-
-/// What an opened ledger gives back.
+/// What an opened log holds.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Restored {
-    /// Number of the last good write; 0 for a new folder.
-    pub seq: u64,
-    /// The state of the last good write.
+pub struct Recovered {
+    /// Sequence number of the last intact batch; 0 for a new directory.
+    pub sequence: u64,
+    /// The state in the last intact batch.
     pub state: Vec<u8>,
     /// The last snapshot.
-    pub base: Option<Base>,
+    pub snapshot: Option<Snapshot>,
     /// The entries behind the snapshot, without gaps.
     pub entries: Vec<Entry>,
-    /// What was cut off the end, if anything was.
-    pub cut: Option<Cut>,
+    /// What was truncated from the end, if anything was.
+    pub torn_tail: Option<TornTail>,
 }
 
-/// An open store. Writes come in order of their numbers, each synced before it counts.
+/// Where the next record goes.
+#[derive(Debug, Default)]
+struct Tail {
+    /// The segment's name; `None` before the first batch.
+    segment: Option<String>,
+    /// Length of the segment, bytes.
+    length: u64,
+    /// Sequence number of the last batch.
+    sequence: u64,
+    /// Checksum of the last record.
+    checksum: u32,
+}
+
+/// An open write-ahead log. Batches are written in the order of their sequence numbers, each synced before the call returns.
 #[derive(Debug)]
-pub struct Ledger<D> {
+pub struct Wal<D> {
     disk: D,
-    file: Option<String>,
-    len: u64,
-    seq: u64,
-    crc: u32,
-    broken: Option<DiskError>,
+    tail: Tail,
+    failure: Option<DiskError>,
 }
 
-impl<D: Disk> Ledger<D> {
-    /// Opens the folder, brings back what it says, and clears away what a crash left between two generations.
+impl<D: Disk> Wal<D> {
+    /// Opens the directory, recovers what it holds, and removes what a crash between two segments left behind.
     ///
     /// # Errors
-    /// [`LedgerError::Foreign`], [`LedgerError::Damaged`] or [`LedgerError::Broken`]; each keeps the member out.
-    pub fn open(disk: D) -> Result<(Self, Restored), LedgerError> {
-        let names = disk.list().map_err(LedgerError::Broken)?;
-        if names.len() > MAX_FILES {
-            return Err(LedgerError::Foreign(format!("over {MAX_FILES} files")));
-        }
-        let mut generations = Vec::new();
-        let mut aside = false;
-        for name in names {
-            match name.strip_prefix(FRONT).map(|digits| (digits.len(), u64::from_str_radix(digits, 16))) {
-                Some((16, Ok(first))) => generations.push((first, name)),
-                _ if name == ASIDE => aside = true,
-                _ => return Err(LedgerError::Foreign(name)),
-            }
-        }
-        generations.sort();
-        let mut ledger = Ledger { disk, file: None, len: 0, seq: 0, crc: 0, broken: None };
-        let mut restored = Restored::default();
-        if let Some((first, name)) = generations.pop() {
-            restored = ledger.take(first, name)?;
-        }
-        // Older generations are remains of a switch whose rename is on disk: all they say is in the newest.
-        let remains: Vec<String> =
-            generations.into_iter().map(|(_, name)| name).chain(aside.then(|| ASIDE.to_owned())).collect();
-        for name in &remains {
-            ledger.disk.remove(name).map_err(LedgerError::Broken)?;
-        }
-        if !remains.is_empty() {
-            ledger.disk.sync_folder().map_err(LedgerError::Broken)?;
-        }
-        Ok((ledger, restored))
+    /// [`WalError::ForeignFile`], [`WalError::TooManyFiles`], [`WalError::Corrupt`] or [`WalError::Failed`]; each keeps the
+    /// member out.
+    pub fn open(disk: D) -> Result<(Self, Recovered), WalError> {
+        let names = disk.list().map_err(WalError::Failed)?;
+        let listing = Listing::parse(names)?;
+        let mut wal = Wal { disk, tail: Tail::default(), failure: None };
+        let recovered = match listing.newest {
+            Some(segment) => wal.recover(segment)?,
+            None => Recovered::default(),
+        };
+        // The rename of the newest segment is on disk, so older segments hold nothing that is not in it.
+        wal.remove_all(&listing.leftovers).map_err(WalError::Failed)?;
+        Ok((wal, recovered))
+    }
+
+    fn recover(&mut self, segment: Segment) -> Result<Recovered, WalError> {
+        let name = segment.name;
+        let bytes = self.disk.read(&name).map_err(WalError::Failed)?;
+        let content = match recovery::read_segment(&bytes, segment.first_sequence) {
+            Ok(content) => content,
+            Err((offset, reason)) => return Err(WalError::Corrupt { segment: name, offset, reason }),
+        };
+        if content.torn_tail.is_some() {
+            self.disk.truncate(&name, content.length).map_err(WalError::Failed)?;
+            self.disk.sync(&name).map_err(WalError::Failed)?;
+        }
+        self.tail = Tail {
+            segment: Some(name),
+            length: content.length,
+            sequence: content.sequence,
+            checksum: content.checksum,
+        };
+        Ok(Recovered {
+            sequence: content.sequence,
+            state: content.state,
+            snapshot: content.snapshot,
+            entries: content.entries,
+            torn_tail: content.torn_tail,
+        })
     }
 
-    fn take(&mut self, first: u64, name: String) -> Result<Restored, LedgerError> {
-        let bytes = self.disk.read(&name).map_err(LedgerError::Broken)?;
-        let damaged = |at, reason| LedgerError::Damaged { file: name.clone(), at, reason };
-        let scan = scan::scan(&bytes, Some(first)).map_err(|(at, reason)| damaged(at, reason))?;
-        if scan.len == 0 {
-            // A generation gets its name only when its first record is synced, so it can't have been torn.
-            return Err(damaged(0, "the first record is not whole".to_owned()));
+    fn remove_all(&mut self, names: &[String]) -> Result<(), DiskError> {
+        if names.is_empty() {
+            return Ok(());
         }
-        if scan.cut.is_some() {
-            self.disk.truncate(&name, scan.len).map_err(LedgerError::Broken)?;
-            self.disk.sync(&name).map_err(LedgerError::Broken)?;
+        for name in names {
+            self.disk.remove(name)?;
         }
-        (self.file, self.len, self.seq, self.crc) = (Some(name), scan.len, scan.seq, scan.crc);
-        Ok(Restored {
-            seq: scan.seq,
-            state: scan.state,
-            base: scan.base,
-            entries: scan.entries,
-            cut: scan.cut,
-        })
+        self.disk.sync_directory()
     }
 
-    /// Puts one write on disk and syncs it. Only after `Ok` may anything go out that rests on it.
+    /// Writes one batch and syncs it. Only after `Ok` may a message be sent that rests on it.
     ///
     /// # Errors
-    /// [`LedgerError::Refused`] and [`LedgerError::Full`]: nothing was written, the same number may come again.
-    /// [`LedgerError::OutOfOrder`]: a fault of the caller. [`LedgerError::Broken`]: from here on always.
-    pub fn write(&mut self, write: &Write) -> Result<(), LedgerError> {
-        if let Some(error) = &self.broken {
-            return Err(LedgerError::Broken(error.clone()));
+    /// [`WalError::Refused`] and [`WalError::Full`]: nothing was written, the same number may be written again.
+    /// [`WalError::OutOfOrder`]: a fault of the caller. [`WalError::Failed`]: from then on always.
+    pub fn write(&mut self, batch: &WriteBatch) -> Result<(), WalError> {
+        if let Some(error) = &self.failure {
+            return Err(WalError::Failed(error.clone()));
         }
-        if write.seq != self.seq + 1 {
-            return Err(LedgerError::OutOfOrder { due: self.seq + 1, came: write.seq });
+        let expected = self.tail.sequence + 1;
+        if batch.sequence != expected {
+            return Err(WalError::OutOfOrder { expected, found: batch.sequence });
         }
-        match &self.file {
-            Some(name) if write.base.is_none() => self.append(name.clone(), write),
-            _ => self.begin_generation(write),
+        match &self.tail.segment {
+            Some(segment) if batch.snapshot.is_none() => self.append_record(segment.clone(), batch),
+            _ => self.start_segment(batch),
         }
     }
 
-    fn append(&mut self, name: String, write: &Write) -> Result<(), LedgerError> {
-        let (bytes, crc) = record::encode(write, self.crc).ok_or(LedgerError::Full)?;
-        if self.len + bytes.len() as u64 > MAX_GENERATION_BYTES {
-            return Err(LedgerError::Full);
-        }
-        if let Err(error) = self.disk.append(&name, &bytes) {
-            // Part of the record may be there; it is taken back, or else nothing more may be written behind it.
-            let back = self.disk.truncate(&name, self.len);
-            return Err(match back {
-                Ok(()) => LedgerError::Refused(error),
-                Err(_) => self.broke(error),
+    fn append_record(&mut self, segment: String, batch: &WriteBatch) -> Result<(), WalError> {
+        let (bytes, checksum) = record::encode(batch, self.tail.checksum).ok_or(WalError::Full)?;
+        let length = self.tail.length + bytes.len() as u64;
+        if length > MAX_SEGMENT_BYTES {
+            return Err(WalError::Full);
+        }
+        if let Err(error) = self.disk.append(&segment, &bytes) {
+            // Part of the record may be in the file. Unless it is truncated, nothing may be written behind it.
+            return Err(match self.disk.truncate(&segment, self.tail.length) {
+                Ok(()) => WalError::Refused(error),
+                Err(_) => self.fail(error),
             });
         }
-        if let Err(error) = self.disk.sync(&name) {
-            return Err(self.broke(error));
+        if let Err(error) = self.disk.sync(&segment) {
+            return Err(self.fail(error));
         }
-        (self.len, self.seq, self.crc) = (self.len + bytes.len() as u64, write.seq, crc);
+        self.tail = Tail { segment: Some(segment), length, sequence: batch.sequence, checksum };
         Ok(())
     }
 
-    fn begin_generation(&mut self, write: &Write) -> Result<(), LedgerError> {
-        let (bytes, crc) = record::encode(write, 0).ok_or(LedgerError::Full)?;
-        let name = format!("{FRONT}{:016x}", write.seq);
-        let written = self.disk.create(ASIDE).and_then(|()| self.disk.append(ASIDE, &bytes));
-        if let Err(error) = written {
-            // The old generation stands as it was; what is aside is cleared away, now or at the next start.
-            let _ = self.disk.remove(ASIDE);
-            return Err(LedgerError::Refused(error));
+    fn start_segment(&mut self, batch: &WriteBatch) -> Result<(), WalError> {
+        let (bytes, checksum) = record::encode(batch, 0).ok_or(WalError::Full)?;
+        let name = segment::name(batch.sequence);
+        if let Err(error) = self.write_temporary(&bytes) {
+            // The old segment is unchanged. A temporary file that can't be removed now goes when the log is opened.
+            let _ = self.disk.remove(TEMPORARY_NAME);
+            return Err(WalError::Refused(error));
         }
-        let switched = self
-            .disk
-            .sync(ASIDE)
-            .and_then(|()| self.disk.rename(ASIDE, &name))
-            .and_then(|()| self.disk.sync_folder());
-        if let Err(error) = switched {
-            return Err(self.broke(error));
+        if let Err(error) = self.publish_temporary(&name) {
+            return Err(self.fail(error));
         }
-        let old = self.file.replace(name);
-        (self.len, self.seq, self.crc) = (bytes.len() as u64, write.seq, crc);
-        if let Some(old) = old {
-            // Not needed for anything but room: left behind, it goes at the next start.
-            let _ = self.disk.remove(&old);
+        let old_segment = self.tail.segment.take();
+        self.tail =
+            Tail { segment: Some(name), length: bytes.len() as u64, sequence: batch.sequence, checksum };
+        if let Some(old_segment) = old_segment {
+            // Only to free space: a segment that is left behind goes when the log is opened.
+            let _ = self.disk.remove(&old_segment);
         }
         Ok(())
     }
 
-    fn broke(&mut self, error: DiskError) -> LedgerError {
-        self.broken = Some(error.clone());
-        LedgerError::Broken(error)
+    fn write_temporary(&mut self, bytes: &[u8]) -> Result<(), DiskError> {
+        self.disk.create(TEMPORARY_NAME)?;
+        self.disk.append(TEMPORARY_NAME, bytes)
+    }
+
+    fn publish_temporary(&mut self, name: &str) -> Result<(), DiskError> {
+        self.disk.sync(TEMPORARY_NAME)?;
+        self.disk.rename(TEMPORARY_NAME, name)?;
+        self.disk.sync_directory()
+    }
+
+    fn fail(&mut self, error: DiskError) -> WalError {
+        self.failure = Some(error.clone());
+        WalError::Failed(error)
     }
 
-    /// Bytes of the generation.
-    pub fn bytes(&self) -> u64 {
-        self.len
+    /// Length of the current segment, bytes.
+    pub fn segment_bytes(&self) -> u64 {
+        self.tail.length
     }
 
-    /// Number of the last write on disk.
-    pub fn seq(&self) -> u64 {
-        self.seq
+    /// Sequence number of the last batch on disk.
+    pub fn last_sequence(&self) -> u64 {
+        self.tail.sequence
     }
 
     /// Gives the disk back.
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -1,129 +1,153 @@
-//! The store against its disk's faults, and as a state machine against a plain model.
+//! The log against the faults of its disk, and as a state machine against a plain model.
 
 use proptest::prelude::*;
-use sprucelink_wal::faults::{FaultDisk, Faults};
-use sprucelink_wal::folder::Folder;
-use sprucelink_wal::{Base, Disk, Entry, Ledger, LedgerError, Restored, Write};
+use sprucelink_wal::{
+    DirectoryDisk, Disk, Entry, FaultDisk, Faults, Recovered, Snapshot, TornTail, Wal, WalError, WriteBatch,
+};
 
-fn write(seq: u64, first: u64, count: u64) -> Write {
+fn batch(sequence: u64, first: u64, count: u64) -> WriteBatch {
     let entries = (first..first + count)
-        .map(|index| Entry { index, term: seq, data: format!("entry {index} of write {seq}").into_bytes() })
+        .map(|index| Entry {
+            index,
+            term: sequence,
+            data: format!("entry {index} of batch {sequence}").into_bytes(),
+        })
         .collect();
-    Write { seq, state: seq.to_le_bytes().to_vec(), base: None, entries }
+    WriteBatch { sequence, state: sequence.to_le_bytes().to_vec(), snapshot: None, entries }
 }
 
-fn filled(disk: FaultDisk, writes: u64) -> Ledger<FaultDisk> {
-    let (mut ledger, _) = Ledger::open(disk).unwrap();
-    for seq in 1..=writes {
-        ledger.write(&write(seq, seq * 2 - 1, 2)).unwrap();
+fn filled_wal(disk: FaultDisk, batches: u64) -> Wal<FaultDisk> {
+    let (mut wal, _) = Wal::open(disk).unwrap();
+    for sequence in 1..=batches {
+        wal.write(&batch(sequence, sequence * 2 - 1, 2)).unwrap();
     }
-    ledger
+    wal
 }
 
 #[test]
-fn comes_back_as_written_from_a_real_folder() {
-    let folder = tempfile::tempdir().unwrap();
-    let (mut ledger, fresh) = Ledger::open(Folder::open(folder.path()).unwrap()).unwrap();
-    assert_eq!(fresh, Restored::default());
-    ledger.write(&write(1, 1, 3)).unwrap();
-    ledger.write(&write(2, 3, 2)).unwrap(); // entry 3 is written anew
-    drop(ledger);
-    let (mut ledger, back) = Ledger::open(Folder::open(folder.path()).unwrap()).unwrap();
-    assert_eq!((back.seq, back.cut), (2, None));
+fn log_in_a_directory_is_recovered_as_written() {
+    let directory = tempfile::tempdir().unwrap();
+    let (mut wal, fresh) = Wal::open(DirectoryDisk::open(directory.path()).unwrap()).unwrap();
+    assert_eq!(fresh, Recovered::default());
+    wal.write(&batch(1, 1, 3)).unwrap();
+    wal.write(&batch(2, 3, 2)).unwrap(); // entry 3 is overwritten
+    drop(wal);
+    let (mut wal, recovered) = Wal::open(DirectoryDisk::open(directory.path()).unwrap()).unwrap();
+    assert_eq!((recovered.sequence, recovered.torn_tail), (2, None));
     assert_eq!(
-        back.entries.iter().map(|e| (e.index, e.term)).collect::<Vec<_>>(),
+        recovered.entries.iter().map(|entry| (entry.index, entry.term)).collect::<Vec<_>>(),
         [(1, 1), (2, 1), (3, 2), (4, 2)]
     );
-    let base = Base { index: 3, term: 2, data: b"state at 3".to_vec() };
-    let tail = back.entries[3].clone();
-    ledger
-        .write(&Write { seq: 3, state: vec![9], base: Some(base.clone()), entries: vec![tail.clone()] })
-        .unwrap();
-    drop(ledger);
-    let (_, back) = Ledger::open(Folder::open(folder.path()).unwrap()).unwrap();
-    assert_eq!(back, Restored { seq: 3, state: vec![9], base: Some(base), entries: vec![tail], cut: None });
-    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 1, "the old generation is gone");
+    let snapshot = Snapshot { index: 3, term: 2, data: b"state at 3".to_vec() };
+    let last = recovered.entries[3].clone();
+    wal.write(&WriteBatch {
+        sequence: 3,
+        state: vec![9],
+        snapshot: Some(snapshot.clone()),
+        entries: vec![last.clone()],
+    })
+    .unwrap();
+    drop(wal);
+    let (_, recovered) = Wal::open(DirectoryDisk::open(directory.path()).unwrap()).unwrap();
+    assert_eq!(
+        recovered,
+        Recovered {
+            sequence: 3,
+            state: vec![9],
+            snapshot: Some(snapshot),
+            entries: vec![last],
+            torn_tail: None
+        }
+    );
+    assert_eq!(std::fs::read_dir(directory.path()).unwrap().count(), 1, "the old segment is removed");
 }
 
 #[test]
-fn a_foreign_folder_is_refused() {
-    let folder = tempfile::tempdir().unwrap();
-    std::fs::write(folder.path().join("notes.txt"), "mine").unwrap();
-    let opened = Ledger::open(Folder::open(folder.path()).unwrap());
-    assert!(matches!(opened, Err(LedgerError::Foreign(name)) if name == "notes.txt"));
+fn directory_with_a_foreign_file_is_refused() {
+    let directory = tempfile::tempdir().unwrap();
+    std::fs::write(directory.path().join("notes.txt"), "mine").unwrap();
+    let opened = Wal::open(DirectoryDisk::open(directory.path()).unwrap());
+    assert!(matches!(opened, Err(WalError::ForeignFile { name }) if name == "notes.txt"));
 }
 
 #[test]
-fn damage_before_the_last_record_keeps_the_member_out() {
-    let mut seen = 0;
+fn open_fails_when_a_record_before_the_last_is_damaged() {
+    let mut detected = 0;
     for seed in 0..200 {
-        let ledger = filled(FaultDisk::new(seed), 20);
-        let len = ledger.bytes();
-        let mut disk = ledger.into_disk();
-        let name = disk.newest().unwrap();
+        let wal = filled_wal(FaultDisk::new(seed), 20);
+        let length = wal.segment_bytes();
+        let mut disk = wal.into_disk();
+        let name = disk.newest_segment().unwrap();
         // Below the last record, which starts well inside the last tenth of the file.
-        assert!(disk.turn_bit(&name, len * 9 / 10));
-        match Ledger::open(disk) {
-            Err(LedgerError::Damaged { file, at, .. }) => {
-                assert!(file == name && at < len);
-                seen += 1;
+        assert!(disk.flip_bit(&name, length * 9 / 10));
+        match Wal::open(disk) {
+            Err(WalError::Corrupt { segment, offset, .. }) => {
+                assert!(segment == name && offset < length);
+                detected += 1;
             }
-            other => panic!("seed {seed}: a turned bit went unseen: {other:?}"),
+            other => panic!("seed {seed}: a flipped bit went undetected: {other:?}"),
         }
     }
-    assert_eq!(seen, 200);
+    assert_eq!(detected, 200);
 }
 
 #[test]
-fn a_torn_last_write_is_cut_and_told() {
-    let mut cuts = 0;
+fn torn_last_record_is_truncated_and_reported() {
+    let mut torn_tails = 0;
     for seed in 0..200 {
-        let mut disk = filled(FaultDisk::new(seed), 5).into_disk();
-        disk.faults = Faults { torn: true, ..Faults::default() };
-        let (mut ledger, _) = Ledger::open(disk).unwrap();
-        // The write that the crash interrupts: its bytes were handed over, its sync failed.
-        ledger.disk_mut().faults.failing_sync = true;
-        assert!(matches!(ledger.write(&write(6, 11, 2)), Err(LedgerError::Broken(_))));
-        assert!(matches!(ledger.write(&write(6, 11, 2)), Err(LedgerError::Broken(_))), "broken stays broken");
-        let mut disk = ledger.into_disk();
+        let mut disk = filled_wal(FaultDisk::new(seed), 5).into_disk();
+        disk.faults = Faults { torn_writes: true, ..Faults::default() };
+        let (mut wal, _) = Wal::open(disk).unwrap();
+        // The crash interrupts this batch: its bytes were appended, its sync failed.
+        wal.disk_mut().faults.failing_sync = true;
+        assert!(matches!(wal.write(&batch(6, 11, 2)), Err(WalError::Failed(_))));
+        assert!(matches!(wal.write(&batch(6, 11, 2)), Err(WalError::Failed(_))), "a failed log stays failed");
+        let mut disk = wal.into_disk();
         disk.crash();
         disk.faults = Faults::default();
-        let (mut ledger, back) = Ledger::open(disk).unwrap();
-        assert_eq!((back.seq, back.entries.len()), (5, 10), "seed {seed}");
-        cuts += usize::from(back.cut.is_some_and(|cut| cut.seq == 6 && cut.bytes > 0));
-        ledger.write(&write(6, 11, 1)).unwrap();
-        let (_, again) = Ledger::open(ledger.into_disk()).unwrap();
-        assert_eq!((again.seq, again.cut, again.entries.len()), (6, None, 11));
+        let (mut wal, recovered) = Wal::open(disk).unwrap();
+        assert_eq!((recovered.sequence, recovered.entries.len()), (5, 10), "seed {seed}");
+        torn_tails += usize::from(
+            recovered.torn_tail.is_some_and(|tail: TornTail| tail.sequence == 6 && tail.bytes > 0),
+        );
+        wal.write(&batch(6, 11, 1)).unwrap();
+        let (_, reopened) = Wal::open(wal.into_disk()).unwrap();
+        assert_eq!((reopened.sequence, reopened.torn_tail, reopened.entries.len()), (6, None, 11));
     }
-    assert!(cuts > 50, "only {cuts} of 200 crashes left a torn tail: the fault is not as meant");
+    assert!(torn_tails > 50, "only {torn_tails} of 200 crashes left a torn tail: the fault is not as meant");
 }
 
 #[test]
-fn a_refused_write_leaves_nothing_and_may_come_again() {
-    let mut ledger = filled(FaultDisk::new(4), 3);
-    ledger.disk_mut().faults.full = true;
-    assert!(matches!(ledger.write(&write(4, 7, 2)), Err(LedgerError::Refused(_))));
-    let base = Base { index: 6, term: 3, data: vec![1] };
-    let snapshot = Write { seq: 4, state: vec![], base: Some(base), entries: vec![] };
-    assert!(matches!(ledger.write(&snapshot), Err(LedgerError::Refused(_))));
-    ledger.disk_mut().faults.full = false;
-    assert!(matches!(ledger.write(&write(6, 7, 2)), Err(LedgerError::OutOfOrder { due: 4, came: 6 })));
-    ledger.write(&write(4, 7, 2)).unwrap();
-    let (_, back) = Ledger::open(ledger.into_disk()).unwrap();
-    assert_eq!((back.seq, back.entries.len(), back.cut), (4, 8, None));
+fn refused_write_leaves_nothing_and_can_be_repeated() {
+    let mut wal = filled_wal(FaultDisk::new(4), 3);
+    wal.disk_mut().faults.disk_full = true;
+    assert!(matches!(wal.write(&batch(4, 7, 2)), Err(WalError::Refused(_))));
+    let snapshot = Snapshot { index: 6, term: 3, data: vec![1] };
+    let batch_with_snapshot =
+        WriteBatch { sequence: 4, state: vec![], snapshot: Some(snapshot), entries: vec![] };
+    assert!(matches!(wal.write(&batch_with_snapshot), Err(WalError::Refused(_))));
+    wal.disk_mut().faults.disk_full = false;
+    assert!(matches!(wal.write(&batch(6, 7, 2)), Err(WalError::OutOfOrder { expected: 4, found: 6 })));
+    wal.write(&batch(4, 7, 2)).unwrap();
+    let (_, recovered) = Wal::open(wal.into_disk()).unwrap();
+    assert_eq!((recovered.sequence, recovered.entries.len(), recovered.torn_tail), (4, 8, None));
 }
 
 #[test]
-fn a_lying_sync_loses_whole_writes_and_the_rest_reads_well() {
-    let mut ledger = filled(FaultDisk::new(7), 4);
-    ledger.disk_mut().faults.lying = true;
-    ledger.write(&write(5, 9, 2)).unwrap();
-    let base = Base { index: 10, term: 5, data: vec![1] };
-    ledger.write(&Write { seq: 6, state: vec![], base: Some(base), entries: vec![] }).unwrap();
-    let mut disk = ledger.into_disk();
+fn lying_sync_loses_whole_batches_and_the_rest_is_recovered() {
+    let mut wal = filled_wal(FaultDisk::new(7), 4);
+    wal.disk_mut().faults.lying_sync = true;
+    wal.write(&batch(5, 9, 2)).unwrap();
+    let snapshot = Snapshot { index: 10, term: 5, data: vec![1] };
+    wal.write(&WriteBatch { sequence: 6, state: vec![], snapshot: Some(snapshot), entries: vec![] }).unwrap();
+    let mut disk = wal.into_disk();
     disk.crash();
-    let (_, back) = Ledger::open(disk).unwrap();
-    assert_eq!((back.seq, back.entries.len(), back.base), (4, 8, None), "back to the last honest sync");
+    let (_, recovered) = Wal::open(disk).unwrap();
+    assert_eq!(
+        (recovered.sequence, recovered.entries.len(), recovered.snapshot),
+        (4, 8, None),
+        "recovered is what the last true sync covered"
+    );
 }
 
 /// A step of the state machine test.
@@ -131,16 +155,16 @@
 enum Step {
     Append(u64, u64),
     Snapshot(u64),
-    Refuse,
-    Crash { torn: bool, mid_write: bool },
+    RefusedWrite,
+    Crash { torn: bool, during_write: bool },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0u64..4, 0u64..5).prop_map(|(back, count)| Step::Append(back, count)),
         1 => (0u64..6).prop_map(Step::Snapshot),
-        1 => Just(Step::Refuse),
-        2 => (any::<bool>(), any::<bool>()).prop_map(|(torn, mid_write)| Step::Crash { torn, mid_write }),
+        1 => Just(Step::RefusedWrite),
+        2 => (any::<bool>(), any::<bool>()).prop_map(|(torn, during_write)| Step::Crash { torn, during_write }),
     ];
     proptest::collection::vec(step, 1..60)
 }
@@ -148,66 +172,74 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Through any order of writes, snapshots, refusals and crashes, what was written well is what comes back.
+    /// In any order of writes, snapshots, refused writes and crashes, what was written successfully is recovered.
     #[test]
-    fn what_was_acknowledged_comes_back(seed in 0u64..1000, steps in steps()) {
-        let (mut ledger, mut model) = Ledger::open(FaultDisk::new(seed)).unwrap();
+    fn acknowledged_batches_are_recovered(seed in 0u64..1000, steps in steps()) {
+        let (mut wal, mut model) = Wal::open(FaultDisk::new(seed)).unwrap();
         for step in steps {
-            let last = model.entries.last().map(|e| e.index).or(model.base.as_ref().map(|b| b.index)).unwrap_or(0);
-            let low = model.base.as_ref().map_or(0, |b| b.index);
-            let seq = model.seq + 1;
+            let last = model.entries.last().map(|entry| entry.index).or(model.snapshot.as_ref().map(|snapshot| snapshot.index)).unwrap_or(0);
+            let lowest = model.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+            let sequence = model.sequence + 1;
             match step {
                 Step::Append(back, count) => {
-                    let first = last.saturating_sub(back).max(low) + 1;
-                    let write = write(seq, first, count);
-                    ledger.write(&write).unwrap();
+                    let first = last.saturating_sub(back).max(lowest) + 1;
+                    let batch = batch(sequence, first, count);
+                    wal.write(&batch).unwrap();
                     if count > 0 {
-                        model.entries.retain(|e| e.index < first);
+                        model.entries.retain(|entry| entry.index < first);
                     }
-                    model.entries.extend(write.entries);
-                    (model.seq, model.state) = (seq, write.state);
+                    model.entries.extend(batch.entries);
+                    model.sequence = sequence;
+                    model.state = batch.state;
                 }
                 Step::Snapshot(back) => {
-                    let index = last.saturating_sub(back).max(low);
-                    model.base = Some(Base { index, term: seq, data: vec![seq as u8; 40] });
-                    model.entries.retain(|e| e.index > index);
-                    (model.seq, model.state) = (seq, vec![1]);
-                    ledger.write(&Write { seq, state: vec![1], base: model.base.clone(), entries: model.entries.clone() }).unwrap();
+                    let index = last.saturating_sub(back).max(lowest);
+                    model.snapshot = Some(Snapshot { index, term: sequence, data: vec![sequence as u8; 40] });
+                    model.entries.retain(|entry| entry.index > index);
+                    model.sequence = sequence;
+                    model.state = vec![1];
+                    let batch = WriteBatch {
+                        sequence,
+                        state: vec![1],
+                        snapshot: model.snapshot.clone(),
+                        entries: model.entries.clone(),
+                    };
+                    wal.write(&batch).unwrap();
                 }
-                Step::Refuse => {
-                    ledger.disk_mut().faults.full = true;
-                    prop_assert!(ledger.write(&write(seq, last + 1, 1)).is_err());
-                    ledger.disk_mut().faults.full = false;
+                Step::RefusedWrite => {
+                    wal.disk_mut().faults.disk_full = true;
+                    prop_assert!(wal.write(&batch(sequence, last + 1, 1)).is_err());
+                    wal.disk_mut().faults.disk_full = false;
                 }
-                Step::Crash { torn, mid_write } => {
-                    ledger.disk_mut().faults.torn = torn;
-                    if mid_write {
-                        ledger.disk_mut().faults.failing_sync = true;
-                        prop_assert!(ledger.write(&write(seq, last + 1, 2)).is_err());
+                Step::Crash { torn, during_write } => {
+                    wal.disk_mut().faults.torn_writes = torn;
+                    if during_write {
+                        wal.disk_mut().faults.failing_sync = true;
+                        prop_assert!(wal.write(&batch(sequence, last + 1, 2)).is_err());
                     }
-                    let mut disk = ledger.into_disk();
+                    let mut disk = wal.into_disk();
                     disk.crash();
                     disk.faults = Faults::default();
-                    let (again, mut back) = Ledger::open(disk).unwrap();
-                    prop_assert!(back.cut.is_none() || mid_write);
-                    back.cut = None;
-                    prop_assert_eq!(&back, &model);
-                    ledger = again;
+                    let (reopened, mut recovered) = Wal::open(disk).unwrap();
+                    prop_assert!(recovered.torn_tail.is_none() || during_write);
+                    recovered.torn_tail = None;
+                    prop_assert_eq!(&recovered, &model);
+                    wal = reopened;
                 }
             }
         }
     }
 
-    /// Bytes of any kind as a generation: an answer, never a panic.
+    /// Arbitrary bytes behind a segment's records give a result, never a panic.
     #[test]
-    fn garbage_is_told(bytes in proptest::collection::vec(any::<u8>(), 0..400), keep in 0usize..400) {
-        let mut disk = filled(FaultDisk::new(3), 2).into_disk();
-        let name = disk.newest().unwrap();
+    fn open_does_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), keep in 0usize..400) {
+        let mut disk = filled_wal(FaultDisk::new(3), 2).into_disk();
+        let name = disk.newest_segment().unwrap();
         let mut content = disk.read(&name).unwrap();
         content.truncate(keep);
         content.extend(bytes);
         disk.create(&name).unwrap();
         disk.append(&name, &content).unwrap();
-        let _ = Ledger::open(disk);
+        let _ = Wal::open(disk);
     }
 }
