--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 use serde_json::{json, Value};
-use sprucelink_failpoints::disk::DiskSeam;
+use sprucelink_failpoints::faulty_disk::FaultyDisk;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -46,7 +46,7 @@
     if !plan.plant_at.is_empty() && plan.plant_at != plan.name {
         plan.plant.clear();
     }
-    let faults = sprucelink_failpoints::begin(&plan.folder)?;
+    let faults = sprucelink_failpoints::load_and_arm(&plan.folder)?;
     println!("version {}, clock off by {} ms", plan.version, plan.clock_offset_ms);
     store(&plan.folder, faults.disk);
     let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -70,18 +70,18 @@
 }
 
 /// A store of eight bytes a start, three writes of which pass a faulty disk.
-fn store(folder: &Path, fault: sprucelink_failpoints::file::Disk) {
+fn store(folder: &Path, fault: sprucelink_failpoints::fault_file::DiskFaults) {
     let path = folder.join("store");
     let held = std::fs::metadata(&path).map_or(0, |m| m.len());
     println!("store held {held} bytes");
     let Ok(mut file) = std::fs::OpenOptions::new().create(true).append(true).open(&path) else { return };
-    let mut seam = DiskSeam::new(fault);
+    let mut seam = FaultyDisk::new(fault);
     for k in 0..3 {
         let writes = match seam.write(held + 8 * k, b"12345678") {
             Ok(writes) => writes,
             Err(refused) => {
-                println!("store: {}", refused.error());
-                refused.first
+                println!("store: {}", refused.to_io_error());
+                refused.partial
             }
         };
         writes.iter().for_each(|w| _ = file.write_all(&w.bytes));
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -4,7 +4,7 @@
 use crate::procs::{Ended, Tail};
 use crate::scenario::{GROUPS, HALLS};
 use crate::template::Values;
-use sprucelink_failpoints::file::{self, Disk, FaultFile};
+use sprucelink_failpoints::fault_file::{self, DiskFaults, FaultFile};
 use sprucelink_history_checker::event::{Cause, Event};
 use std::path::Path;
 
@@ -29,12 +29,12 @@
     /// Ports whose address its log has not told yet, by their place among the scenario's.
     pub(super) unbound: Vec<usize>,
     /// Faults of the disk under its store, from its next start on.
-    pub(super) disk: Disk,
+    pub(super) disk: DiskFaults,
 }
 
 impl Proc {
     pub(super) fn new(version: &str) -> Proc {
-        let (version, disk) = (version.to_owned(), Disk::default());
+        let (version, disk) = (version.to_owned(), DiskFaults::default());
         Proc { version, alive: false, brought_back: 0, tail: None, unbound: Vec::new(), disk }
     }
 }
@@ -137,15 +137,15 @@
     /// Tells the process its faults: points armed for it, and its disk's. A folder without faults has no such file.
     fn write_faults(&self, i: usize, folder: &Path) -> Result<(), String> {
         let faults = FaultFile { points: self.strikes.armed(i), disk: self.procs[i].disk };
-        let path = folder.join(file::NAME);
+        let path = folder.join(fault_file::FILE_NAME);
         if faults == FaultFile::default() {
             return match std::fs::remove_file(&path) {
-                Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(io(file::NAME)(e)),
+                Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(io(fault_file::FILE_NAME)(e)),
                 _ => Ok(()),
             };
         }
         let text = serde_json::to_string(&faults).map_err(|e| e.to_string())?;
-        std::fs::write(path, text).map_err(io(file::NAME))
+        std::fs::write(path, text).map_err(io(fault_file::FILE_NAME))
     }
 
     fn must_be_down(&self, i: usize, what: &str) -> Result<(), String> {
--- a/crates/cluster-harness/src/run/strikes.rs
+++ b/crates/cluster-harness/src/run/strikes.rs
@@ -3,7 +3,7 @@
 use super::{Life, Rig};
 use crate::scenario::{Act, Blow, Scenario, Strike, Who};
 use nix::sys::signal::Signal;
-use sprucelink_failpoints::file::Points;
+use sprucelink_failpoints::fault_file::Failpoints;
 use sprucelink_history_checker::event::Event;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -32,10 +32,10 @@
     }
 
     /// The points that manager `i`'s next process is to tell.
-    pub(super) fn armed(&self, i: usize) -> Points {
+    pub(super) fn armed(&self, i: usize) -> Failpoints {
         let own: Vec<&Waiting> = self.0.iter().filter(|w| w.left.contains(&i)).collect();
-        let wait_ms = own.iter().map(|w| w.strike.wait_ms).max().unwrap_or(Points::default().wait_ms);
-        Points { arm: own.iter().map(|w| (w.strike.point.clone(), w.strike.pass)).collect(), wait_ms }
+        let wait_ms = own.iter().map(|w| w.strike.wait_ms).max().unwrap_or(Failpoints::default().wait_ms);
+        Failpoints { arm: own.iter().map(|w| (w.strike.point.clone(), w.strike.pass)).collect(), wait_ms }
     }
 
     /// Whether manager `i` may come to a point.
@@ -61,7 +61,7 @@
             let wanted = !self.procs[i].unbound.is_empty() || self.strikes.awaits(i);
             let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
             for line in tail.news() {
-                if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::LINE) {
+                if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::HIT_LINE_PREFIX) {
                     self.at_point(i, point)?;
                 } else {
                     self.find_ports(i, &line);
--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use sprucelink_failpoints::file::Disk;
+use sprucelink_failpoints::fault_file::DiskFaults;
 use sprucelink_stable_hash::within;
 use std::collections::BTreeMap;
 
@@ -221,7 +221,7 @@
         /// Whose.
         who: Who,
         /// Which.
-        fault: Disk,
+        fault: DiskFaults,
     },
     /// A file in managers' folders loses its last bytes, as a torn write leaves it. They must be down.
     Tear {
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -7,7 +7,7 @@
 };
 use crate::procs::MOST_MANAGERS;
 use crate::template;
-use sprucelink_failpoints::file::{FaultFile, Points};
+use sprucelink_failpoints::fault_file::{Failpoints, FaultFile};
 use sprucelink_stable_hash::within;
 
 /// Steps at most, strikes, ports, files of each manager, further arguments, acts of one strike.
@@ -180,7 +180,7 @@
             Act::RestartEmpty(w) | Act::KeepCopy(w) | Act::PutBack(w) => w.check(self),
             Act::Disk { who, fault } => {
                 who.check(self)?;
-                FaultFile { disk: *fault, ..FaultFile::default() }.check()
+                FaultFile { disk: *fault, ..FaultFile::default() }.check().map_err(|e| e.to_string())
             }
             Act::Tear { who, file, bytes } => {
                 who.check(self)?;
@@ -216,7 +216,9 @@
     fn check_strike(&self, s: &Strike) -> Result<(), String> {
         s.who.check(self)?;
         let arm = [(s.point.clone(), s.pass)].into();
-        FaultFile { points: Points { arm, wait_ms: s.wait_ms }, ..FaultFile::default() }.check()?;
+        FaultFile { points: Failpoints { arm, wait_ms: s.wait_ms }, ..FaultFile::default() }
+            .check()
+            .map_err(|e| e.to_string())?;
         within("back_ms", s.back_ms.unwrap_or(0.0), 0.0, 600_000.0)?;
         within("also", s.also.len() as f64, 0.0, MOST_ALSO as f64)?;
         s.also.iter().try_for_each(|a| self.check_act(a)).map_err(|e| format!("also: {e}"))
--- /dev/null
+++ b/crates/failpoints/src/fault_file.rs
@@ -0,0 +1,159 @@
+//! The fault file of a process, `faults.json5` in its folder. Unknown fields are rejected.
+
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// Name of the fault file within a process's folder.
+pub const FILE_NAME: &str = "faults.json5";
+/// Longest block of an armed failpoint, in milliseconds: a test whose harness does not react must still end.
+pub const MAX_WAIT_MS: u64 = 10_000;
+/// Most failpoints that may be armed at once.
+pub const MAX_ARMED_POINTS: usize = 32;
+/// Longest name of a failpoint, in bytes.
+const MAX_NAME_LENGTH: usize = 64;
+/// Most writes that a faulty disk may hold back.
+pub const MAX_HELD_WRITES: u32 = 1_000;
+
+/// All faults of one process.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct FaultFile {
+    /// Failpoints to arm.
+    pub points: Failpoints,
+    /// Faults of the disk under the store.
+    pub disk: DiskFaults,
+}
+
+/// The failpoints to arm.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Failpoints {
+    /// By failpoint: the pass of this process, counted from 1, at which it prints its name and blocks, once.
+    pub arm: BTreeMap<String, u32>,
+    /// How long an armed failpoint blocks, in milliseconds; 0 to [`MAX_WAIT_MS`].
+    pub wait_ms: u64,
+}
+
+impl Default for Failpoints {
+    fn default() -> Failpoints {
+        Failpoints { arm: BTreeMap::new(), wait_ms: 2_000 }
+    }
+}
+
+impl Failpoints {
+    /// Counts one pass of a failpoint and returns whether it is the pass that it is armed for.
+    pub fn count_pass(&mut self, name: &str) -> bool {
+        match self.arm.get_mut(name) {
+            Some(remaining) if *remaining <= 1 => {
+                self.arm.remove(name);
+                true
+            }
+            Some(remaining) => {
+                *remaining -= 1;
+                false
+            }
+            None => false,
+        }
+    }
+
+    /// Checks the ranges of the armed failpoints.
+    fn check(&self) -> Result<(), FaultFileError> {
+        if self.wait_ms > MAX_WAIT_MS {
+            return Err(FaultFileError::WaitTooLong(self.wait_ms));
+        }
+        if self.arm.len() > MAX_ARMED_POINTS {
+            return Err(FaultFileError::TooManyPoints(self.arm.len()));
+        }
+        for (name, pass) in &self.arm {
+            if !is_valid_name(name) || *pass == 0 {
+                return Err(FaultFileError::InvalidPoint { name: name.clone(), pass: *pass });
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The error of a write that a faulty disk rejects.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum DiskErrorKind {
+    /// No space left (ENOSPC).
+    #[default]
+    Enospc,
+    /// An input or output error (EIO).
+    Eio,
+}
+
+/// Faults of a disk, counted from the opening of the store.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct DiskFaults {
+    /// Bytes accepted before writes fail; the write that crosses the bound is written up to it. `None`: no bound.
+    pub full_after: Option<u64>,
+    /// The error of such a write.
+    pub refusal: DiskErrorKind,
+    /// Number of the most recent writes that are acknowledged but not yet in the file: a crash loses them. 0 to
+    /// [`MAX_HELD_WRITES`].
+    pub hold_back: u32,
+    /// Number of bytes at the end of the last write that reach the file only with the next write: a crash tears it.
+    pub torn: u64,
+}
+
+/// Why a fault file was rejected.
+#[derive(Debug, Error)]
+pub enum FaultFileError {
+    /// The text is not JSON5 of the expected form; names line and field.
+    #[error(transparent)]
+    Syntax(#[from] json5::Error),
+    /// A failpoint would block for too long.
+    #[error("points.wait_ms: 0 to {MAX_WAIT_MS}, is {0}")]
+    WaitTooLong(u64),
+    /// Too many failpoints are armed.
+    #[error("points.arm: at most {MAX_ARMED_POINTS} points, are {0}")]
+    TooManyPoints(usize),
+    /// A failpoint's name or pass is out of range.
+    #[error(
+        "points.arm: a name of up to {MAX_NAME_LENGTH} letters, digits, dots and dashes, and a pass from 1 on, not \
+         {name:?} at {pass}"
+    )]
+    InvalidPoint {
+        /// The name as given.
+        name: String,
+        /// The pass as given.
+        pass: u32,
+    },
+    /// Too many writes are held back.
+    #[error("disk.hold_back: 0 to {MAX_HELD_WRITES}, is {0}")]
+    TooManyHeldWrites(u32),
+}
+
+impl FaultFile {
+    /// Parses and checks the text of a fault file.
+    ///
+    /// # Errors
+    /// The line and field, or the field and its range.
+    pub fn parse(text: &str) -> Result<FaultFile, FaultFileError> {
+        let faults: FaultFile = json5::from_str(text)?;
+        faults.check()?;
+        Ok(faults)
+    }
+
+    /// Checks all ranges.
+    ///
+    /// # Errors
+    /// The first field that is out of its range.
+    pub fn check(&self) -> Result<(), FaultFileError> {
+        self.points.check()?;
+        if self.disk.hold_back > MAX_HELD_WRITES {
+            return Err(FaultFileError::TooManyHeldWrites(self.disk.hold_back));
+        }
+        Ok(())
+    }
+}
+
+/// Whether a failpoint may have this name.
+fn is_valid_name(name: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_allowed)
+}
--- /dev/null
+++ b/crates/failpoints/src/faulty_disk.rs
@@ -0,0 +1,155 @@
+//! A state machine that distorts the writes of a store as a faulty disk would. It performs no I/O: the store passes each
+//! write in and carries out the writes that come back, in order. Without a fault every write comes back unchanged.
+
+use crate::fault_file::{DiskErrorKind, DiskFaults};
+use std::collections::VecDeque;
+use std::io;
+
+/// Most bytes held back; beyond it the oldest writes reach the file.
+pub const MAX_HELD_BYTES: usize = 16 << 20;
+
+/// Bytes to be written at an offset of a file.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Write {
+    /// Offset from the beginning of the file.
+    pub offset: u64,
+    /// The bytes.
+    pub bytes: Vec<u8>,
+}
+
+impl Write {
+    /// Offset just behind the last byte.
+    fn end(&self) -> u64 {
+        self.offset + self.bytes.len() as u64
+    }
+}
+
+/// A write that failed: the store must carry out `partial` and then return the error.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FailedWrite {
+    /// What reaches the file nevertheless.
+    pub partial: Vec<Write>,
+    /// The kind of error.
+    pub kind: DiskErrorKind,
+}
+
+impl FailedWrite {
+    /// The error as a file would return it.
+    pub fn to_io_error(&self) -> io::Error {
+        match self.kind {
+            DiskErrorKind::Enospc => {
+                io::Error::new(io::ErrorKind::StorageFull, "no space left on device (fault file)")
+            }
+            DiskErrorKind::Eio => io::Error::other("input/output error (fault file)"),
+        }
+    }
+}
+
+/// A disk with faults, under one file.
+#[derive(Clone, Debug, Default)]
+pub struct FaultyDisk {
+    faults: DiskFaults,
+    accepted_bytes: u64,
+    held: VecDeque<Write>,
+    held_bytes: usize,
+}
+
+impl FaultyDisk {
+    /// A disk with the given faults at the opening of the store.
+    pub fn new(faults: DiskFaults) -> FaultyDisk {
+        FaultyDisk { faults, ..FaultyDisk::default() }
+    }
+
+    /// Accepts a write and returns the writes that reach the file now.
+    ///
+    /// # Errors
+    /// If the disk is full or fails: the part that still reaches the file.
+    pub fn write(&mut self, offset: u64, bytes: &[u8]) -> Result<Vec<Write>, FailedWrite> {
+        let capacity = self.remaining_capacity();
+        if bytes.len() as u64 > capacity {
+            return Err(self.fail_write(offset, bytes, capacity));
+        }
+        self.accepted_bytes += bytes.len() as u64;
+        if self.faults.hold_back > 0 {
+            return Ok(self.hold_back(offset, bytes));
+        }
+        if self.faults.torn > 0 {
+            return Ok(self.tear(offset, bytes));
+        }
+        Ok(vec![Write { offset, bytes: bytes.to_vec() }])
+    }
+
+    /// Lays held writes over `read`, the content of the file from `offset`: a store sees its own writes.
+    pub fn overlay(&self, offset: u64, read: &mut [u8]) {
+        let read_end = offset + read.len() as u64;
+        for write in &self.held {
+            let from = write.offset.max(offset);
+            let to = write.end().min(read_end);
+            if from < to {
+                let range_from = |base: u64| (from - base) as usize..(to - base) as usize;
+                read[range_from(offset)].copy_from_slice(&write.bytes[range_from(write.offset)]);
+            }
+        }
+    }
+
+    /// The length of the file as the store must see it, given the length that has reached the disk.
+    pub fn visible_length(&self, file_length: u64) -> u64 {
+        self.held.iter().map(Write::end).fold(file_length, u64::max)
+    }
+
+    /// Removes and returns the held writes, in order: an orderly shutdown writes them, a crash loses them.
+    pub fn drain(&mut self) -> Vec<Write> {
+        self.held_bytes = 0;
+        self.held.drain(..).collect()
+    }
+
+    fn remaining_capacity(&self) -> u64 {
+        match self.faults.full_after {
+            Some(capacity) => capacity.saturating_sub(self.accepted_bytes),
+            None => u64::MAX,
+        }
+    }
+
+    /// Writes out everything held and as much of this write as fits.
+    fn fail_write(&mut self, offset: u64, bytes: &[u8], capacity: u64) -> FailedWrite {
+        self.accepted_bytes += capacity;
+        let mut partial = self.drain();
+        // The cast is lossless: the capacity is less than the length of a slice.
+        partial.push(Write { offset, bytes: bytes[..capacity as usize].to_vec() });
+        partial.retain(|write| !write.bytes.is_empty());
+        FailedWrite { partial, kind: self.faults.refusal }
+    }
+
+    /// Holds this write and returns those that are no longer among the most recent ones.
+    fn hold_back(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
+        self.hold(Write { offset, bytes: bytes.to_vec() });
+        let mut released = Vec::new();
+        while self.held.len() > self.faults.hold_back as usize || self.held_bytes > MAX_HELD_BYTES {
+            released.extend(self.pop_oldest());
+        }
+        released
+    }
+
+    /// Holds the end of this write and returns its beginning, after the end of the write before.
+    fn tear(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
+        let mut released = self.drain();
+        let torn = usize::try_from(self.faults.torn).unwrap_or(usize::MAX);
+        let kept = bytes.len().saturating_sub(torn);
+        let (beginning, end) = bytes.split_at(kept);
+        self.hold(Write { offset: offset + kept as u64, bytes: end.to_vec() });
+        released.push(Write { offset, bytes: beginning.to_vec() });
+        released.retain(|write| !write.bytes.is_empty());
+        released
+    }
+
+    fn hold(&mut self, write: Write) {
+        self.held_bytes += write.bytes.len();
+        self.held.push_back(write);
+    }
+
+    fn pop_oldest(&mut self) -> Option<Write> {
+        let write = self.held.pop_front()?;
+        self.held_bytes -= write.bytes.len();
+        Some(write)
+    }
+}
--- a/crates/failpoints/src/lib.rs
+++ b/crates/failpoints/src/lib.rs
@@ -1,72 +1,53 @@
-//! Where a test rig strikes a process: named points in the program, and faults of the disk under its store. Both are
-//! told by a file in the process's folder, `faults.json5` ([`file::FaultFile`]), which the rig writes before the start.
+//! Failpoints and disk faults for tests of crash recovery.
 //!
-//! A point is a place where a crash is worst: a vote decided and not yet on disk, a permit sent and not yet
-//! acknowledged. The program marks it by `sprucelink_failpoints::hit("council.vote.unsynced")`. Armed, that writes the line
-//! `point council.vote.unsynced` to standard error, flushes, and waits for a bounded time, so that whoever reads the
-//! line strikes exactly there. Built without the feature `hits` it is an empty function, and [`arm`] refuses: a release
-//! build cannot be made to wait.
+//! A failpoint is a named place in the program where a crash does the most harm, for example between a vote that was
+//! decided and its write to disk. The program marks it by `sprucelink_failpoints::hit("consensus.vote.unsynced")`. When
+//! the point is armed, the call prints the line `point consensus.vote.unsynced` to standard error, flushes, and blocks
+//! for a bounded time, so that the test harness that reads the line can kill the process exactly there.
 //!
-//! What is armed is kept for the whole process, the one piece of global state here: points lie in code that is handed
-//! nothing of the rig.
-
-pub mod disk;
-pub mod file;
-
-use file::Points;
+//! Armed points and disk faults come from the file `faults.json5` in the process's folder ([`fault_file::FaultFile`]),
+//! which the harness writes before it starts the process. Without the cargo feature `hits`, [`hit`] is an empty function
+//! and [`arm`] fails: a release build cannot be made to wait.
+//!
+//! The set of armed points is the one piece of global state: failpoints lie in code that has no handle of the harness.
 
-/// What stands before a point's name in the line that tells it.
-pub const LINE: &str = "point ";
+mod error;
+pub mod fault_file;
+pub mod faulty_disk;
 
 #[cfg(feature = "hits")]
-mod armed {
-    use crate::file::Points;
-    use std::io::Write;
-    use std::sync::{Mutex, PoisonError};
-    use std::time::Duration;
+mod armed;
 
-    static ARMED: Mutex<Option<Points>> = Mutex::new(None);
+pub use error::FailpointError;
 
-    pub fn arm(points: Points) {
-        *ARMED.lock().unwrap_or_else(PoisonError::into_inner) = Some(points);
-    }
+use fault_file::{Failpoints, FaultFile};
+use std::io;
+use std::path::Path;
 
-    pub fn hit(name: &str) {
-        let wait = {
-            let mut armed = ARMED.lock().unwrap_or_else(PoisonError::into_inner);
-            armed.as_mut().and_then(|a| a.passes(name).then_some(a.wait_ms))
-        };
-        let Some(ms) = wait else { return };
-        let mut out = std::io::stderr().lock();
-        // One write, so that no other line comes between; a closed standard error is nobody who could strike.
-        let _ = out.write_all(format!("{}{name}\n", crate::LINE).as_bytes());
-        let _ = out.flush();
-        drop(out);
-        std::thread::sleep(Duration::from_millis(ms));
-    }
-}
+/// Prefix of the line that a hit failpoint prints; the point's name follows.
+pub const HIT_LINE_PREFIX: &str = "point ";
 
-/// Arms points; those armed before are so no longer.
+/// Arms failpoints for the whole process and disarms those armed before.
 ///
 /// # Errors
-/// In a build without the feature `hits`: an armed point that never tells would make a test pass for nothing.
-pub fn arm(points: Points) -> Result<(), String> {
+/// [`FailpointError::NotBuiltIn`] in a build without the feature `hits`, unless `points` is empty: an armed point that
+/// is never hit would let a test pass without its fault.
+pub fn arm(points: Failpoints) -> Result<(), FailpointError> {
     #[cfg(feature = "hits")]
     {
-        armed::arm(points);
+        armed::replace(points);
         Ok(())
     }
     #[cfg(not(feature = "hits"))]
-    match points.arm.is_empty() {
-        true => Ok(()),
-        false => {
-            Err("this build has no points: build with the feature `hits` of sprucelink-failpoints".into())
-        }
+    if points.arm.is_empty() {
+        Ok(())
+    } else {
+        Err(FailpointError::NotBuiltIn)
     }
 }
 
-/// A named point. Armed for this pass, it tells its name and blocks its thread for the time armed, at most
-/// [`file::MOST_WAIT_MS`]; else it does nothing.
+/// Marks a failpoint. If it is armed for this pass, prints its name and blocks the thread for the configured time, at
+/// most [`fault_file::MAX_WAIT_MS`]; else does nothing.
 #[inline]
 pub fn hit(name: &str) {
     #[cfg(feature = "hits")]
@@ -75,28 +56,26 @@
     let _ = name;
 }
 
-/// Reads the faults that a process's folder names, and arms its points. No file: no fault.
+/// Reads the fault file of a process's folder and arms its failpoints. Without such a file there are no faults.
 ///
 /// # Errors
-/// The file's path and what is wrong with it. In a build without the feature `hits` the file itself is an error: it is
-/// not read, for no product loses writes because of a file, and a test that got no fault would pass for nothing.
-pub fn begin(folder: &std::path::Path) -> Result<file::FaultFile, String> {
-    let path = folder.join(file::NAME);
-    let named = |e: String| format!("{}: {e}", path.display());
+/// The file's path and what is wrong with it. In a build without the feature `hits` the presence of the file is an
+/// error and it is not read: a release build must not lose writes because of a file.
+pub fn load_and_arm(folder: &Path) -> Result<FaultFile, FailpointError> {
+    let path = folder.join(fault_file::FILE_NAME);
     if cfg!(not(feature = "hits")) {
-        return match path.exists() {
-            true => Err(named(
-                "this build takes no faults: build with the feature `hits` of sprucelink-failpoints".into(),
-            )),
-            false => Ok(file::FaultFile::default()),
+        return if path.exists() {
+            Err(FailpointError::FileRefused { path })
+        } else {
+            Ok(FaultFile::default())
         };
     }
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(file::FaultFile::default()),
-        Err(e) => return Err(named(e.to_string())),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(FaultFile::default()),
+        Err(source) => return Err(FailpointError::Read { path, source }),
     };
-    let faults = file::FaultFile::parse(&text).map_err(named)?;
+    let faults = FaultFile::parse(&text).map_err(|source| FailpointError::Invalid { path, source })?;
     arm(faults.points.clone())?;
     Ok(faults)
 }
--- /dev/null
+++ b/crates/failpoints/tests/faulty_disk.rs
@@ -0,0 +1,53 @@
+//! A faulty disk: what a file holds after a crash, and what the store reads before it.
+
+use sprucelink_failpoints::fault_file::DiskFaults;
+use sprucelink_failpoints::faulty_disk::{FaultyDisk, Write};
+use std::io::ErrorKind;
+
+fn apply(file: &mut Vec<u8>, writes: Vec<Write>) {
+    for write in writes {
+        let from = write.offset as usize;
+        let to = from + write.bytes.len();
+        file.resize(file.len().max(to), 0);
+        file[from..to].copy_from_slice(&write.bytes);
+    }
+}
+
+/// Appends three times; returns the file after a crash and what the store read before it.
+fn append_three_times(faults: DiskFaults) -> (Vec<u8>, Vec<u8>) {
+    let mut disk = FaultyDisk::new(faults);
+    let mut file = Vec::new();
+    for (offset, bytes) in [(0, b"abc"), (3, b"def"), (6, b"ghi")] {
+        let writes = disk.write(offset, bytes).expect("accepted");
+        apply(&mut file, writes);
+    }
+    let mut read = file.clone();
+    read.resize(disk.visible_length(file.len() as u64) as usize, 0);
+    disk.overlay(0, &mut read);
+    (file, read)
+}
+
+#[test]
+fn crash_loses_held_writes_and_tears_the_last_one() {
+    let complete = b"abcdefghi".to_vec();
+    let hold_back = |writes| DiskFaults { hold_back: writes, ..DiskFaults::default() };
+    let torn = |bytes| DiskFaults { torn: bytes, ..DiskFaults::default() };
+    assert_eq!(append_three_times(DiskFaults::default()), (complete.clone(), complete.clone()));
+    assert_eq!(append_three_times(hold_back(2)), (b"abc".to_vec(), complete.clone()));
+    assert_eq!(append_three_times(torn(2)), (b"abcdefg".to_vec(), complete.clone()));
+    assert_eq!(append_three_times(torn(9)), (b"abcdef".to_vec(), complete));
+}
+
+#[test]
+fn full_disk_accepts_what_fits_and_then_nothing() {
+    let faults = DiskFaults { full_after: Some(4), hold_back: 1, ..DiskFaults::default() };
+    let mut disk = FaultyDisk::new(faults);
+    assert_eq!(disk.write(0, b"abc"), Ok(vec![]), "held back");
+    let failed = disk.write(3, b"def").unwrap_err();
+    let mut file = Vec::new();
+    assert_eq!(failed.to_io_error().kind(), ErrorKind::StorageFull);
+    apply(&mut file, failed.partial);
+    assert_eq!(file, b"abcd");
+    assert_eq!(disk.write(4, b"x").unwrap_err().partial, []);
+    assert!(disk.write(4, b"").is_ok(), "an empty write needs no capacity");
+}
