--- /dev/null
+++ b/crates/cordon/src/commands.rs
@@ -0,0 +1,107 @@
+//! The calls that cordon and uncordon a target at this process.
+
+use crate::cause::{Cause, CauseMap, CauseState, CordonRequest};
+use crate::cordon_record::{sanitize_reason, CordonEntry};
+use crate::error::CordonError;
+use crate::outcome::CordonOutcome;
+use crate::state::CordonState;
+use crate::target::Target;
+use crate::Timestamp;
+
+impl CordonState {
+    /// Cordons a target. A target that is cordoned already is no error. The reason is truncated at
+    /// [`crate::MAX_REASON_BYTES`] bytes.
+    ///
+    /// # Errors
+    /// Why the request is rejected; it is counted, and the state is unchanged otherwise.
+    pub fn cordon(
+        &mut self,
+        now: Timestamp,
+        target: &Target,
+        request: CordonRequest,
+        reason: &str,
+    ) -> Result<CordonOutcome, CordonError> {
+        self.validate_cordon(now, target, request).inspect_err(|error| self.count_rejection(*error))?;
+        let was_cordoned = self.is_cordoned(target);
+        let entry = CordonEntry {
+            version: self.next_version(now),
+            cordoned: true,
+            lease_expires_at: request.lease_expires_at(),
+            changed_at: now,
+            reason: sanitize_reason(reason),
+        };
+        self.store(now, target, request.cause(), CauseState::new(now, entry));
+        self.counters.cordons += 1;
+        Ok(if was_cordoned { CordonOutcome::AlreadyCordoned } else { CordonOutcome::Cordoned })
+    }
+
+    /// Ends a cause, however often it was requested. The call is recorded even where nothing was cordoned, for
+    /// [`crate::TOMBSTONE_RETENTION`]: another process may hold an older cordon.
+    ///
+    /// # Errors
+    /// Why the request is rejected; it is counted, and the state is unchanged otherwise.
+    pub fn uncordon(
+        &mut self,
+        now: Timestamp,
+        target: &Target,
+        cause: Cause,
+    ) -> Result<CordonOutcome, CordonError> {
+        self.validate_target(target).inspect_err(|error| self.count_rejection(*error))?;
+        let was_cordoned = self.is_cordoned(target);
+        let entry = CordonEntry {
+            version: self.next_version(now),
+            cordoned: false,
+            lease_expires_at: None,
+            changed_at: now,
+            reason: String::new(),
+        };
+        self.store(now, target, cause, CauseState::new(now, entry));
+        self.evict_tombstones();
+        self.counters.uncordons += 1;
+        Ok(match self.causes(target).and_then(CauseMap::first_active) {
+            Some(cause) => CordonOutcome::StillCordoned { cause },
+            None if was_cordoned => CordonOutcome::Uncordoned,
+            None => CordonOutcome::NotCordoned,
+        })
+    }
+
+    fn validate_cordon(
+        &self,
+        now: Timestamp,
+        target: &Target,
+        request: CordonRequest,
+    ) -> Result<(), CordonError> {
+        self.validate_target(target)?;
+        request.validate_lease(now)?;
+        if self.has_capacity(target, request.cause()) {
+            Ok(())
+        } else {
+            Err(CordonError::TooManyCordons)
+        }
+    }
+
+    fn validate_target(&self, target: &Target) -> Result<(), CordonError> {
+        target.validate()?;
+        match target {
+            Target::Engine(id) if !self.was_ever_listed(id) => Err(CordonError::NeverListed),
+            _ => Ok(()),
+        }
+    }
+
+    fn count_rejection(&mut self, error: CordonError) {
+        let counter = match error {
+            CordonError::NeverListed => &mut self.counters.never_listed,
+            CordonError::TooManyCordons => &mut self.counters.too_many_cordons,
+            CordonError::InvalidTarget => &mut self.counters.invalid_target,
+            CordonError::InvalidLease => &mut self.counters.invalid_lease,
+        };
+        *counter += 1;
+    }
+
+    /// The version of this call: never below the clock, always above what was seen.
+    fn next_version(&mut self, now: Timestamp) -> u64 {
+        let clock = u64::try_from(now.as_micros()).unwrap_or(0);
+        self.highest_version = self.highest_version.saturating_add(1).max(clock);
+        self.highest_version
+    }
+}
--- a/crates/cordon/src/counters.rs
+++ b/crates/cordon/src/counters.rs
@@ -1,32 +1,32 @@
-//! Counters, for figures and log lines.
+//! Counters, for metrics and log lines.
 
-/// What happened so far; every bound that bit has one.
+/// Events since the start of the process; every bound that takes effect has a counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
-    /// Calls out that were answered with yes.
+pub struct CordonCounters {
+    /// Requests to cordon that were accepted.
     pub cordons: u64,
-    /// Calls back that were answered with yes.
+    /// Requests to uncordon that were accepted.
     pub uncordons: u64,
-    /// Calls refused: never listed.
+    /// Requests rejected: [`crate::CordonError::NeverListed`].
     pub never_listed: u64,
-    /// Calls refused: too many bans.
-    pub too_many: u64,
-    /// Calls refused: no id that a list could hold.
-    pub bad_target: u64,
-    /// Calls refused: a lease that has ended, or too long.
-    pub bad_lease: u64,
-    /// Leases that ended by themselves.
-    pub lapsed: u64,
-    /// Bans of another process that changed something here.
-    pub merged: u64,
-    /// Bans of another process that were left out because the bound on bans was reached.
-    pub merge_over: u64,
-    /// Bans of another process that were left out as malformed.
-    pub merge_bad: u64,
-    /// Words of causes that hold no longer, forgotten before their age for the bound.
-    pub tombstones_forgotten: u64,
-    /// Ids forgotten for the bound.
-    pub ids_forgotten: u64,
-    /// Ids not noted because listed and banned ones fill the bound.
-    pub ids_over: u64,
+    /// Requests rejected: [`crate::CordonError::TooManyCordons`].
+    pub too_many_cordons: u64,
+    /// Requests rejected: [`crate::CordonError::InvalidTarget`].
+    pub invalid_target: u64,
+    /// Requests rejected: [`crate::CordonError::InvalidLease`].
+    pub invalid_lease: u64,
+    /// Leases that expired.
+    pub leases_expired: u64,
+    /// Records of another process that changed something here.
+    pub records_merged: u64,
+    /// Records of another process left out because the bound on active cordons was reached.
+    pub merge_over_limit: u64,
+    /// Records of another process left out as malformed.
+    pub merge_malformed: u64,
+    /// Tombstones evicted before their retention time because of their bound.
+    pub tombstones_evicted: u64,
+    /// Engine ids evicted because of their bound.
+    pub ids_evicted: u64,
+    /// Engine ids not noted because listed and cordoned ones fill the bound.
+    pub ids_over_limit: u64,
 }
--- a/crates/cordon/src/lib.rs
+++ b/crates/cordon/src/lib.rs
@@ -1,35 +1,44 @@
-//! Which engines are out here, and why; and whether this workload manager itself takes new work.
+//! Cordons: engines that are taken out of service by hand or by the fleet, and the state of this manager itself.
 //!
-//! An engine is *out* while anybody bans it: the operator ([`By::Operator`]) or a permit that the fleet agreed
-//! on ([`By::Fleet`]). Each cause is kept apart, and the engine is back only once no cause holds it. What the
-//! engine list says (gone, draining, ready again, restarted under the same id) changes no ban. The same code
-//! serves two callers: the operator's address of one manager, and permits of the fleet's journal.
+//! An engine is *cordoned* while at least one [`Cause`] is active on it: the operator ([`Cause::Operator`]) or a permit
+//! that the fleet agreed on ([`Cause::Fleet`]). Causes are independent of each other; the engine returns to service
+//! once none is active. Events of the endpoint list (gone, draining, ready again, restarted under the same id) change
+//! no cordon. The same code serves the operator's address of one manager and permits of the fleet's replicated log.
 //!
-//! - [`Outages`]: the bans in force, the ids ever listed, and this manager's own state ([`Manager`]).
-//! - [`Ban`] and [`Word`]: one cause's last call on one target, as it goes from process to process. Words carry
-//!   versions, and merging them is associative, commutative and idempotent: during an upgrade calls may come to
-//!   either of two processes, and the newest call wins at both.
-//! - [`Limits`]: every bound, with what happens at it.
+//! The state is a state-based CRDT, a map of last-writer-wins registers (Shapiro et al. 2011, "A comprehensive study of
+//! Convergent and Commutative Replicated Data Types"): one register, [`CordonEntry`], for each pair of target and cause,
+//! versioned by a Lamport clock. Merging is associative, commutative and idempotent. During a hot restart calls may
+//! reach either of two processes, and after both have read each other's records both hold the newest call.
 //!
-//! Nothing here does input or output, reads a clock or knows who called: time is an argument, Unix time in
-//! microseconds. docs/design/cordon.md holds the rules in one place.
+//! - [`CordonState`]: active cordons, the engine ids ever listed, and this manager's own state ([`ManagerState`]).
+//! - [`CordonRecord`]: one register with its key, as it goes from process to process.
+//! - [`CordonLimits`]: every bound, with what happens at it.
+//!
+//! Nothing here performs I/O or reads a clock: time is an argument, a Unix time. docs/design/cordon.md holds the rules.
 
-mod causes;
+mod cause;
+mod commands;
+mod cordon_record;
 mod counters;
-mod known;
+mod error;
+mod expiry;
+mod known_ids;
 mod limits;
-mod manager;
+mod manager_state;
 mod merge;
-mod outages;
+mod outcome;
+mod record_usage;
+mod state;
 mod target;
-mod word;
 
-pub use counters::Counters;
-pub use known::id_hash;
-pub use limits::{Limits, LEASE_MOST, TOMBSTONE_KEPT, VERSION_MOST, WHY_MOST};
-pub use manager::Manager;
-pub use merge::{Merged, Moved};
-pub use outages::{Out, Outages};
+pub use cause::{Cause, CordonRequest};
+pub use cordon_record::{CordonEntry, CordonRecord};
+pub use counters::CordonCounters;
+pub use error::{CordonError, RecordError};
+pub use known_ids::engine_id_hash;
+pub use limits::{CordonLimits, MAX_LEASE, MAX_REASON_BYTES, MAX_VERSION, TOMBSTONE_RETENTION};
+pub use manager_state::ManagerState;
+pub use outcome::{CordonOutcome, MergeResult, TargetChange};
 pub use sprucelink_time::{TimeDelta, Timestamp};
-pub use target::{By, Change, Hold, Refused, Target, TARGET_MOST};
-pub use word::{Ban, Word};
+pub use state::{ActiveCordon, CordonSizes, CordonState};
+pub use target::{Target, MAX_ENGINE_ID_BYTES};
--- a/crates/cordon/src/limits.rs
+++ b/crates/cordon/src/limits.rs
@@ -1,45 +1,51 @@
-//! Bounds of what is kept, and what happens at each.
+//! Bounds of what is retained, and what happens at each.
 
 use crate::TimeDelta;
 
-/// Longest reason kept with a ban, in bytes. A longer one is cut at a character's end, not refused: an operator in
-/// a hurry gets the ban, and the log line gets the beginning.
-pub const WHY_MOST: usize = 64;
+/// Longest reason kept with a cordon, in bytes. A longer one is truncated at a character boundary, not rejected: an
+/// operator in a hurry gets the cordon, and the log line gets the beginning.
+pub const MAX_REASON_BYTES: usize = 64;
 
-/// The word of a cause that no longer holds is kept for so long after its call. It is there to beat an older ban in
-/// another process, and two processes live side by side for some seconds, in an upgrade that hangs for minutes.
-pub const TOMBSTONE_KEPT: TimeDelta = TimeDelta::from_micros(600_000_000);
+/// How long the entry of an inactive cause (a tombstone) is retained after its call, ten minutes. It is there to win over
+/// an older cordon in another process; two processes coexist for some seconds, in a hot restart that hangs for minutes.
+pub const TOMBSTONE_RETENTION: TimeDelta = TimeDelta::from_micros(600_000_000);
 
-/// Longest lease of the fleet's, counted from the call. A permit is for one engine's restart; what is longer is a
-/// wrong unit (milliseconds for microseconds), and would hold the engine out for good.
-pub const LEASE_MOST: TimeDelta = TimeDelta::from_micros(86_400_000_000);
+/// Longest lease of the fleet's, counted from the call: one day. A permit covers one engine's restart; a longer lease is
+/// a wrong unit (milliseconds for microseconds) and would keep the engine cordoned for good.
+pub const MAX_LEASE: TimeDelta = TimeDelta::from_micros(86_400_000_000);
 
-/// Highest version that is believed. Versions are Unix microseconds, some 2^51 today; what is higher is damage, and
-/// taking it would leave no room for a newer call.
-pub const VERSION_MOST: u64 = 1 << 62;
+/// Highest version that is accepted. Versions are Unix microseconds, about 2^51 today; a higher one is damage, and
+/// accepting it would leave no room for a newer call.
+pub const MAX_VERSION: u64 = 1 << 62;
 
-/// How much is kept. Each bound has its counter in [`crate::Counters`].
+/// How much is retained. Each bound has its counter in [`crate::CordonCounters`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    /// Ids ever listed that are remembered (16,384, far over what a list names in a day's releases). At the bound
-    /// the id that was unlisted longest ago is forgotten: a call on it is refused as never listed. Ids that are
-    /// listed now or banned are never forgotten; where they alone fill the bound a new id is not noted.
-    pub ids: usize,
-    /// Bans in force, over all targets and causes (1,024: a whole fleet of engines, with room). At the bound a
-    /// further call out is refused with [`crate::Refused::TooMany`]; repeats of one that holds are taken.
-    pub bans: usize,
-    /// Bytes of the ids of the bans in force (32 KiB), so that all of them fit into one file of the handover's. The
+pub struct CordonLimits {
+    /// Engine ids ever listed that are remembered (16,384, far more than a list names in a day's releases). At the bound
+    /// the id that was unlisted longest ago is evicted: a call on it is rejected as never listed. Ids that are listed
+    /// now or cordoned are never evicted; where they alone fill the bound a new id is not noted.
+    pub max_known_ids: usize,
+    /// Active cordons, over all targets and causes (1,024: a whole fleet of engines, with headroom). At the bound a
+    /// further request is rejected with [`crate::CordonError::TooManyCordons`]; repeats of an active one are accepted.
+    pub max_cordons: usize,
+    /// Bytes of the engine ids of active cordons (32 KiB), so that all of them fit into one hot-restart state file. The
     /// same happens at the bound.
-    pub ban_bytes: usize,
-    /// Words of causes that hold no longer (512). At the bound the one with the lowest version is forgotten: an older
-    /// ban of a process that has not heard of the call back in all that time would come in again, on the safe side.
-    pub tombstones: usize,
-    /// Bytes of their ids (16 KiB). The same happens at the bound.
-    pub tombstone_bytes: usize,
+    pub max_cordon_id_bytes: usize,
+    /// Entries of inactive causes (512). At the bound the one with the lowest version is evicted: an older cordon of a
+    /// process that has not read of the uncordon in all that time would become active again, which is the safe side.
+    pub max_tombstones: usize,
+    /// Bytes of their engine ids (16 KiB). The same happens at the bound.
+    pub max_tombstone_id_bytes: usize,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits { ids: 16_384, bans: 1_024, ban_bytes: 32 << 10, tombstones: 512, tombstone_bytes: 16 << 10 }
+impl Default for CordonLimits {
+    fn default() -> CordonLimits {
+        CordonLimits {
+            max_known_ids: 16_384,
+            max_cordons: 1_024,
+            max_cordon_id_bytes: 32 << 10,
+            max_tombstones: 512,
+            max_tombstone_id_bytes: 16 << 10,
+        }
     }
 }
--- a/crates/cordon/src/target.rs
+++ b/crates/cordon/src/target.rs
@@ -1,149 +1,55 @@
-//! What a call names, who calls, and what is answered.
+//! What a cordon applies to.
 
-use crate::limits::LEASE_MOST;
-use crate::Timestamp;
+use crate::error::CordonError;
 use std::fmt;
 
-/// Longest id of an engine, in bytes: lists name engines by some dozen characters, and ids are kept and written to a
-/// file with every ban.
-pub const TARGET_MOST: usize = 256;
+/// Longest engine id, in bytes: endpoint lists name engines by some dozen characters, and ids are retained and written
+/// to a file with every cordon.
+pub const MAX_ENGINE_ID_BYTES: usize = 256;
 
-/// What is taken out.
+/// What is cordoned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
-    /// An engine, by the id that the list gives it.
+    /// An engine, by its id in the endpoint list.
     Engine(String),
-    /// This workload manager: it takes no new connections and answers what it has.
+    /// This workload manager: it accepts no new connections and finishes its requests in flight.
     Manager,
 }
 
 impl Target {
-    /// Whether it can be a target at all: an engine's id has 1 to [`TARGET_MOST`] bytes and no control characters.
-    pub fn check(&self) -> Result<(), Refused> {
+    /// Checks the engine id: 1 to [`MAX_ENGINE_ID_BYTES`] bytes and no control characters.
+    ///
+    /// # Errors
+    /// [`CordonError::InvalidTarget`].
+    pub fn validate(&self) -> Result<(), CordonError> {
         match self {
             Target::Manager => Ok(()),
-            Target::Engine(id) => check_id(id),
+            Target::Engine(id) => validate_engine_id(id),
         }
     }
-}
-
-/// Guards the log and the handover's file against ids that no list would hold.
-pub(crate) fn check_id(id: &str) -> Result<(), Refused> {
-    if id.is_empty() || id.len() > TARGET_MOST || id.chars().any(char::is_control) {
-        return Err(Refused::BadTarget);
-    }
-    Ok(())
-}
 
-impl fmt::Display for Target {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    /// Bytes that count towards the bounds on engine ids.
+    pub(crate) fn id_bytes(&self) -> usize {
         match self {
-            Target::Engine(id) => write!(f, "engine {id}"),
-            Target::Manager => f.write_str("this manager"),
+            Target::Manager => 0,
+            Target::Engine(id) => id.len(),
         }
     }
 }
 
-/// Whose cause it is. Causes are kept apart: none ends another's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum By {
-    /// The operator: one cause, however many calls.
-    Operator,
-    /// A permit that the fleet agreed on.
-    Fleet {
-        /// The permit's number.
-        permit: u64,
-    },
-}
-
-impl fmt::Display for By {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            By::Operator => f.write_str("operator"),
-            By::Fleet { permit } => write!(f, "fleet permit {permit}"),
-        }
+/// Guards the log and the hot-restart state file against ids that no endpoint list would hold.
+pub(crate) fn validate_engine_id(id: &str) -> Result<(), CordonError> {
+    if id.is_empty() || id.len() > MAX_ENGINE_ID_BYTES || id.chars().any(char::is_control) {
+        return Err(CordonError::InvalidTarget);
     }
+    Ok(())
 }
 
-/// A call out: whose, and for how long.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
-    /// The operator's: until the call back.
-    Operator,
-    /// The fleet's: until the call back or the end of its lease.
-    Fleet {
-        /// The permit's number.
-        permit: u64,
-        /// When the lease ends; a later call with the same permit gives it a new end.
-        until: Timestamp,
-    },
-}
-
-impl Hold {
-    /// Whose cause it is.
-    pub fn by(self) -> By {
-        match self {
-            Hold::Operator => By::Operator,
-            Hold::Fleet { permit, .. } => By::Fleet { permit },
-        }
-    }
-
-    /// When it ends by itself.
-    pub fn until(self) -> Option<Timestamp> {
+impl fmt::Display for Target {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Hold::Operator => None,
-            Hold::Fleet { until, .. } => Some(until),
+            Target::Engine(id) => write!(formatter, "engine {id}"),
+            Target::Manager => formatter.write_str("this manager"),
         }
     }
-
-    pub(crate) fn check(self, now: Timestamp) -> Result<(), Refused> {
-        match self.until() {
-            Some(until) if until <= now || until - now > LEASE_MOST => Err(Refused::BadLease),
-            _ => Ok(()),
-        }
-    }
-}
-
-/// What a call did. Every one of these is a yes: the target is as the caller wants it, or another cause holds it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It was in and is out now.
-    Out,
-    /// It was out already, by this cause or another; this cause holds it, too.
-    AlreadyOut,
-    /// It was out and is back now.
-    Back,
-    /// It was not out. The call is remembered all the same: another process may hold an older ban.
-    NotOut,
-    /// This cause holds it no longer, but another does.
-    StillOut {
-        /// One that does: the operator first, then the permit with the lowest number.
-        by: By,
-    },
-}
-
-/// Why a call is answered with no; nothing was changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// No list ever named the engine, or so long ago that it was forgotten ([`crate::Limits::ids`]).
-    NeverListed,
-    /// The bound on bans is reached ([`crate::Limits::bans`], [`crate::Limits::ban_bytes`]).
-    TooMany,
-    /// The id is empty, longer than [`TARGET_MOST`], or holds control characters.
-    BadTarget,
-    /// The lease has ended already, or is longer than [`LEASE_MOST`].
-    BadLease,
-}
-
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Refused::NeverListed => "never listed",
-            Refused::TooMany => "too many bans",
-            Refused::BadTarget => "an id has 1 to 256 bytes and no control characters",
-            Refused::BadLease => "the lease has ended, or is longer than a day",
-        })
-    }
 }
-
-impl std::error::Error for Refused {}
--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -1,8 +1,8 @@
-//! Bounds, and what happens at each.
+//! Limits, and what happens at each.
 
 use sprucelink_cordon::{
-    By, Change, Hold, Limits, Outages, Refused, Target, TimeDelta, Timestamp, LEASE_MOST, TARGET_MOST,
-    WHY_MOST,
+    Cause, CordonError, CordonLimits, CordonOutcome, CordonRequest, CordonState, Target, TimeDelta,
+    Timestamp, MAX_ENGINE_ID_BYTES, MAX_LEASE, MAX_REASON_BYTES,
 };
 
 const NOW: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
@@ -11,122 +11,159 @@
     Target::Engine(id.into())
 }
 
-fn small() -> Outages {
-    Outages::new(Limits { ids: 8, bans: 3, ban_bytes: 20, tombstones: 2, tombstone_bytes: 100 })
+/// A state with limits that a few calls reach.
+fn small_state() -> CordonState {
+    CordonState::new(CordonLimits {
+        max_known_ids: 8,
+        max_cordons: 3,
+        max_cordon_id_bytes: 20,
+        max_tombstones: 2,
+        max_tombstone_id_bytes: 100,
+    })
 }
 
 #[test]
-fn a_further_ban_is_refused_at_the_bound_and_repeats_are_not() {
-    let mut o = small();
-    ["a", "b", "c", "d"].iter().for_each(|id| o.listed(id));
+fn cordon_is_rejected_at_the_limit_and_a_repeat_is_accepted() {
+    let mut state = small_state();
+    ["a", "b", "c", "d"].iter().for_each(|id| state.note_listed(id));
     for id in ["a", "b", "c"] {
-        assert_eq!(o.cordon(NOW, &engine(id), Hold::Operator, ""), Ok(Change::Out));
+        assert_eq!(state.cordon(NOW, &engine(id), CordonRequest::Operator, ""), Ok(CordonOutcome::Cordoned));
     }
-    assert_eq!(o.cordon(NOW, &engine("d"), Hold::Operator, ""), Err(Refused::TooMany));
-    assert_eq!(o.cordon(NOW, &engine("a"), Hold::Operator, ""), Ok(Change::AlreadyOut));
-    assert_eq!(o.uncordon(NOW, &engine("a"), By::Operator), Ok(Change::Back));
-    assert_eq!(o.cordon(NOW, &engine("d"), Hold::Operator, ""), Ok(Change::Out));
-    assert_eq!(o.counters().too_many, 1);
+    assert_eq!(
+        state.cordon(NOW, &engine("d"), CordonRequest::Operator, ""),
+        Err(CordonError::TooManyCordons)
+    );
+    assert_eq!(
+        state.cordon(NOW, &engine("a"), CordonRequest::Operator, ""),
+        Ok(CordonOutcome::AlreadyCordoned)
+    );
+    assert_eq!(state.uncordon(NOW, &engine("a"), Cause::Operator), Ok(CordonOutcome::Uncordoned));
+    assert_eq!(state.cordon(NOW, &engine("d"), CordonRequest::Operator, ""), Ok(CordonOutcome::Cordoned));
+    assert_eq!(state.counters().too_many_cordons, 1);
 }
 
 #[test]
-fn long_ids_use_up_their_bytes() {
-    let mut o = small();
-    let (long, other) = ("x".repeat(15), "y".repeat(15));
-    o.listed(&long);
-    o.listed(&other);
-    o.cordon(NOW, &engine(&long), Hold::Operator, "").expect("fits");
-    assert_eq!(o.cordon(NOW, &engine(&other), Hold::Operator, ""), Err(Refused::TooMany));
-    assert_eq!(o.cordon(NOW, &Target::Manager, Hold::Operator, ""), Ok(Change::Out), "it takes no bytes");
+fn cordon_is_rejected_when_id_bytes_are_used_up() {
+    let mut state = small_state();
+    let long = "x".repeat(15);
+    let other = "y".repeat(15);
+    state.note_listed(&long);
+    state.note_listed(&other);
+    state.cordon(NOW, &engine(&long), CordonRequest::Operator, "").expect("fits");
+    assert_eq!(
+        state.cordon(NOW, &engine(&other), CordonRequest::Operator, ""),
+        Err(CordonError::TooManyCordons)
+    );
+    assert_eq!(
+        state.cordon(NOW, &Target::Manager, CordonRequest::Operator, ""),
+        Ok(CordonOutcome::Cordoned),
+        "the manager uses no id bytes"
+    );
 }
 
 #[test]
-fn the_lowest_version_is_the_first_call_back_to_be_forgotten() {
-    let mut o = small();
+fn tombstone_of_the_lowest_version_is_evicted_first() {
+    let mut state = small_state();
     for (n, id) in ["a", "b", "c"].iter().enumerate() {
-        o.listed(id);
-        o.uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), By::Operator).expect("yes");
+        state.note_listed(id);
+        state.uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), Cause::Operator).expect("yes");
     }
-    let left: Vec<Target> = o.export().into_iter().map(|b| b.target).collect();
-    assert_eq!(left, [engine("b"), engine("c")]);
-    assert_eq!((o.counters().tombstones_forgotten, o.sizes().1), (1, 2));
+    let retained: Vec<Target> = state.export_records().into_iter().map(|record| record.target).collect();
+    assert_eq!(retained, [engine("b"), engine("c")]);
+    assert_eq!((state.counters().tombstones_evicted, state.sizes().tombstones), (1, 2));
 }
 
 #[test]
-fn a_merge_over_the_bound_says_how_many_it_left_out() {
-    let mut rich = Outages::new(Limits::default());
+fn merge_over_the_limit_reports_how_many_records_it_left_out() {
+    let mut large = CordonState::new(CordonLimits::default());
     for i in 0..5 {
-        rich.listed(&format!("{i}"));
-        rich.cordon(NOW, &engine(&format!("{i}")), Hold::Operator, "").expect("yes");
+        large.note_listed(&format!("{i}"));
+        large.cordon(NOW, &engine(&format!("{i}")), CordonRequest::Operator, "").expect("yes");
     }
-    let mut o = small();
-    let merged = o.import(NOW, &rich.export());
-    assert_eq!((merged.moved.len(), merged.over), (3, 2));
-    assert_eq!(o.counters().merge_over, 2);
+    let mut state = small_state();
+    let result = state.merge_records(NOW, &large.export_records());
+    assert_eq!((result.changes.len(), result.over_limit), (3, 2));
+    assert_eq!(state.counters().merge_over_limit, 2);
 }
 
 #[test]
-fn targets_leases_and_reasons_that_will_not_do() {
-    let mut o = Outages::new(Limits::default());
-    let longest = "e".repeat(TARGET_MOST);
-    o.listed(&longest);
-    o.listed("e");
-    assert_eq!(o.cordon(NOW, &engine(&longest), Hold::Operator, ""), Ok(Change::Out));
-    for id in ["", "a\nb", &"e".repeat(TARGET_MOST + 1)] {
-        o.listed(id);
-        assert_eq!(o.cordon(NOW, &engine(id), Hold::Operator, ""), Err(Refused::BadTarget));
-        assert_eq!(o.uncordon(NOW, &engine(id), By::Operator), Err(Refused::BadTarget));
+fn invalid_targets_and_leases_are_rejected_and_long_reasons_truncated() {
+    let mut state = CordonState::new(CordonLimits::default());
+    let longest = "e".repeat(MAX_ENGINE_ID_BYTES);
+    state.note_listed(&longest);
+    state.note_listed("e");
+    assert_eq!(
+        state.cordon(NOW, &engine(&longest), CordonRequest::Operator, ""),
+        Ok(CordonOutcome::Cordoned)
+    );
+    for id in ["", "a\nb", &"e".repeat(MAX_ENGINE_ID_BYTES + 1)] {
+        state.note_listed(id);
+        assert_eq!(
+            state.cordon(NOW, &engine(id), CordonRequest::Operator, ""),
+            Err(CordonError::InvalidTarget)
+        );
+        assert_eq!(state.uncordon(NOW, &engine(id), Cause::Operator), Err(CordonError::InvalidTarget));
     }
-    assert_eq!(o.cordon(NOW, &engine("f"), Hold::Operator, ""), Err(Refused::NeverListed));
-    assert_eq!(o.uncordon(NOW, &engine("f"), By::Operator), Err(Refused::NeverListed));
-    let lease = |until| Hold::Fleet { permit: 1, until };
-    let most = NOW + LEASE_MOST;
-    assert_eq!(o.cordon(NOW, &engine("e"), lease(NOW), ""), Err(Refused::BadLease));
+    assert_eq!(state.cordon(NOW, &engine("f"), CordonRequest::Operator, ""), Err(CordonError::NeverListed));
+    assert_eq!(state.uncordon(NOW, &engine("f"), Cause::Operator), Err(CordonError::NeverListed));
+    let lease = |lease_expires_at| CordonRequest::Fleet { permit: 1, lease_expires_at };
+    let latest = NOW + MAX_LEASE;
+    assert_eq!(state.cordon(NOW, &engine("e"), lease(NOW), ""), Err(CordonError::InvalidLease));
+    assert_eq!(
+        state.cordon(NOW, &engine("e"), lease(latest + TimeDelta::from_micros(1)), ""),
+        Err(CordonError::InvalidLease)
+    );
+    assert_eq!(state.cordon(NOW, &engine("e"), lease(latest), &"w".repeat(500)), Ok(CordonOutcome::Cordoned));
+    let cordon = state.active_cordons().find(|cordon| cordon.target == engine("e")).expect("cordoned");
+    assert_eq!(cordon.reason.len(), MAX_REASON_BYTES);
+    let counters = state.counters();
     assert_eq!(
-        o.cordon(NOW, &engine("e"), lease(most + TimeDelta::from_micros(1)), ""),
-        Err(Refused::BadLease)
+        (counters.never_listed, counters.invalid_target, counters.invalid_lease, counters.cordons),
+        (2, 6, 2, 2)
     );
-    assert_eq!(o.cordon(NOW, &engine("e"), lease(most), &"w".repeat(500)), Ok(Change::Out));
-    let why = o.out().find(|out| out.target == engine("e")).expect("out").why.len();
-    assert_eq!(why, WHY_MOST);
-    let c = o.counters();
-    assert_eq!((c.never_listed, c.bad_target, c.bad_lease, c.cordons), (2, 6, 2, 2));
 }
 
-/// The page's own case: out twice, restarted meanwhile, back once.
+/// The case of the platform's page: cordoned twice, restarted meanwhile, uncordoned once.
 #[test]
-fn whatever_the_list_says_the_ban_holds_until_the_call_back() {
-    let mut o = Outages::new(Limits::default());
-    o.listed("e");
-    assert_eq!(o.cordon(NOW, &engine("e"), Hold::Operator, "swap"), Ok(Change::Out));
-    let permit = Hold::Fleet { permit: 3, until: NOW + TimeDelta::from_micros(1_000) };
-    assert_eq!(o.cordon(NOW, &engine("e"), permit, "release"), Ok(Change::AlreadyOut));
-    assert_eq!(o.cordon(NOW, &engine("e"), Hold::Operator, "swap"), Ok(Change::AlreadyOut));
-    o.unlisted("e");
-    assert!(o.is_out("e") && o.engines_out() == 1);
-    o.listed("e");
-    assert!(o.is_out("e"));
-    let back = o.uncordon(NOW, &engine("e"), By::Operator);
-    assert_eq!(back, Ok(Change::StillOut { by: By::Fleet { permit: 3 } }), "the fleet's stays");
-    o.unlisted("e");
-    assert_eq!(o.uncordon(NOW, &engine("e"), By::Fleet { permit: 3 }), Ok(Change::Back));
-    assert_eq!(o.uncordon(NOW, &engine("e"), By::Operator), Ok(Change::NotOut));
-    assert!(!o.is_out("e") && o.engines_out() == 0);
+fn cordon_lasts_until_uncordoned_whatever_the_list_says() {
+    let mut state = CordonState::new(CordonLimits::default());
+    state.note_listed("e");
+    assert_eq!(state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"), Ok(CordonOutcome::Cordoned));
+    let permit = CordonRequest::Fleet { permit: 3, lease_expires_at: NOW + TimeDelta::from_micros(1_000) };
+    assert_eq!(state.cordon(NOW, &engine("e"), permit, "release"), Ok(CordonOutcome::AlreadyCordoned));
+    assert_eq!(
+        state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"),
+        Ok(CordonOutcome::AlreadyCordoned)
+    );
+    state.note_unlisted("e");
+    assert!(state.is_engine_cordoned("e") && state.cordoned_engine_count() == 1);
+    state.note_listed("e");
+    assert!(state.is_engine_cordoned("e"));
+    let outcome = state.uncordon(NOW, &engine("e"), Cause::Operator);
+    assert_eq!(
+        outcome,
+        Ok(CordonOutcome::StillCordoned { cause: Cause::Fleet { permit: 3 } }),
+        "the fleet's stays active"
+    );
+    state.note_unlisted("e");
+    assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Fleet { permit: 3 }), Ok(CordonOutcome::Uncordoned));
+    assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Operator), Ok(CordonOutcome::NotCordoned));
+    assert!(!state.is_engine_cordoned("e") && state.cordoned_engine_count() == 0);
 }
 
-/// An id that a ban holds is never forgotten, and the call back is answered with yes however long ago it was listed.
+/// A cordoned id is never evicted, and uncordoning it is accepted however long ago it was listed.
 #[test]
-fn a_banned_id_is_remembered_past_the_bound() {
-    let mut o = small();
-    o.listed("e");
-    o.cordon(NOW, &engine("e"), Hold::Operator, "").expect("yes");
-    o.unlisted("e");
+fn cordoned_id_is_remembered_past_the_limit() {
+    let mut state = small_state();
+    state.note_listed("e");
+    state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("yes");
+    state.note_unlisted("e");
     for i in 0..50 {
-        o.listed(&format!("{i}"));
-        o.unlisted(&format!("{i}"));
+        state.note_listed(&format!("{i}"));
+        state.note_unlisted(&format!("{i}"));
     }
-    assert!(o.ever_listed("e") && !o.ever_listed("0") && o.ever_listed("49"));
-    assert_eq!(o.sizes().2, 8);
-    assert_eq!(o.counters().ids_forgotten, 43);
-    assert_eq!(o.uncordon(NOW, &engine("e"), By::Operator), Ok(Change::Back));
+    assert!(state.was_ever_listed("e") && !state.was_ever_listed("0") && state.was_ever_listed("49"));
+    assert_eq!(state.sizes().known_ids, 8);
+    assert_eq!(state.counters().ids_evicted, 43);
+    assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Operator), Ok(CordonOutcome::Uncordoned));
 }
--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -1,45 +1,49 @@
-//! What two processes hold is merged the same way whatever the order, and the newest call wins at both.
+//! Merging records of two processes: the result does not depend on the order, and the newest call wins at both.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sprucelink_cordon::{
-    Ban, By, Change, Hold, Limits, Outages, Target, TimeDelta, Timestamp, Word, TOMBSTONE_KEPT,
+    Cause, CordonEntry, CordonLimits, CordonOutcome, CordonRecord, CordonRequest, CordonSizes, CordonState,
+    Target, TimeDelta, Timestamp, TOMBSTONE_RETENTION,
 };
 
-const S: i64 = 1_000_000;
-const NOW: Timestamp = Timestamp::from_micros(1_700_000_000 * S);
+/// In microseconds.
+const SECOND: i64 = 1_000_000;
+const NOW: Timestamp = Timestamp::from_micros(1_700_000_000 * SECOND);
 
-/// Words as they may come: few targets, causes, versions and leases, so that ties of every kind are among them.
-fn ban() -> impl Strategy<Value = Ban> {
+/// Records with few targets, causes, versions and leases, so that ties of every kind occur.
+fn record() -> impl Strategy<Value = CordonRecord> {
     (0_u8..4, 0_u8..3, 0_u64..4, any::<bool>(), 1_i64..4, 0_i64..3, 0_u8..2).prop_map(
-        |(on, permit, version, out, lease, at, why)| {
-            let fleet = permit > 0;
-            Ban {
-                target: if on == 0 { Target::Manager } else { Target::Engine(format!("s-{on}")) },
-                by: if fleet { By::Fleet { permit: u64::from(permit) } } else { By::Operator },
-                word: Word {
+        |(index, permit, version, cordoned, lease, age, reason)| {
+            let is_fleet = permit > 0;
+            let expiry = Timestamp::from_micros(NOW.as_micros() + lease * SECOND);
+            CordonRecord {
+                target: if index == 0 { Target::Manager } else { Target::Engine(format!("s-{index}")) },
+                cause: if is_fleet { Cause::Fleet { permit: u64::from(permit) } } else { Cause::Operator },
+                entry: CordonEntry {
                     version,
-                    out,
-                    until: (fleet && out).then_some(Timestamp::from_micros(NOW.as_micros() + lease * S)),
-                    at: Timestamp::from_micros(NOW.as_micros() - at),
-                    why: if out { format!("why {why}") } else { String::new() },
+                    cordoned,
+                    lease_expires_at: (is_fleet && cordoned).then_some(expiry),
+                    changed_at: Timestamp::from_micros(NOW.as_micros() - age),
+                    reason: if cordoned { format!("why {reason}") } else { String::new() },
                 },
             }
         },
     )
 }
 
-fn bans() -> impl Strategy<Value = Vec<Ban>> {
-    prop::collection::vec(ban(), 0..12)
+fn records() -> impl Strategy<Value = Vec<CordonRecord>> {
+    prop::collection::vec(record(), 0..12)
 }
 
-fn from(sets: &[&[Ban]]) -> Vec<Ban> {
-    let mut o = Outages::new(Limits::default());
+/// All records of a new process after it has merged these sets in this order.
+fn merge(sets: &[&[CordonRecord]]) -> Vec<CordonRecord> {
+    let mut state = CordonState::new(CordonLimits::default());
     for set in sets {
-        let merged = o.import(NOW, set);
-        assert_eq!((merged.over, merged.bad), (0, 0));
+        let result = state.merge_records(NOW, set);
+        assert_eq!((result.over_limit, result.malformed), (0, 0));
     }
-    o.export()
+    state.export_records()
 }
 
 proptest! {
@@ -48,132 +52,146 @@
     })]
 
     #[test]
-    fn merging_is_associative_commutative_and_idempotent(a in bans(), b in bans(), c in bans()) {
-        let (ab, bc) = (from(&[&a, &b]), from(&[&b, &c]));
-        prop_assert_eq!(from(&[&ab, &c]), from(&[&a, &bc]));
-        prop_assert_eq!(&ab, &from(&[&b, &a]));
-        prop_assert_eq!(&from(&[&ab, &a]), &ab);
-        prop_assert_eq!(&from(&[&ab, &ab, &b]), &ab);
+    fn merging_is_associative_commutative_and_idempotent(a in records(), b in records(), c in records()) {
+        let ab = merge(&[&a, &b]);
+        let bc = merge(&[&b, &c]);
+        prop_assert_eq!(merge(&[&ab, &c]), merge(&[&a, &bc]));
+        prop_assert_eq!(&ab, &merge(&[&b, &a]));
+        prop_assert_eq!(&merge(&[&ab, &a]), &ab);
+        prop_assert_eq!(&merge(&[&ab, &ab, &b]), &ab);
         let mut reversed = a.clone();
         reversed.reverse();
-        prop_assert_eq!(from(&[&a]), from(&[&reversed]), "nor does the order within one set matter");
+        prop_assert_eq!(merge(&[&a]), merge(&[&reversed]), "the order within one set does not matter either");
     }
 
-    /// Two processes live, calls come to either, files are read now and then, and the clock of each call is the one
-    /// that both share. Once both have read each other's last file, each target is as the last call on it says.
+    /// Calls reach either of two processes, records are exchanged now and then, and both share one clock. Once both have
+    /// merged each other's last records, each target is as the last call on it says.
     #[test]
-    fn the_last_call_wins_at_both(
+    fn last_call_wins_at_both_processes(
         calls in prop::collection::vec((any::<bool>(), 1_u8..4, any::<bool>(), 0_u8..4), 1..40),
-        back in 0_i64..3,
+        clock_step in 0_i64..3,
     ) {
-        let mut two = [Outages::new(Limits::default()), Outages::new(Limits::default())];
-        for o in &mut two {
-            (1..4).for_each(|i| o.listed(&format!("s-{i}")));
+        let mut processes = [CordonState::new(CordonLimits::default()), CordonState::new(CordonLimits::default())];
+        for process in &mut processes {
+            (1..4).for_each(|index| process.note_listed(&format!("s-{index}")));
         }
-        let mut last = [false; 4];
-        for (n, (at, on, out, read)) in calls.iter().enumerate() {
-            // A clock set back is no harm where the call has seen the ones before it: the other's file is read first.
-            let set_back = *read == 3;
-            if set_back {
-                let file = two[usize::from(!*at)].export();
-                two[usize::from(*at)].import(NOW, &file);
+        let mut last_call = [false; 4];
+        for (number, (at, index, cordoned, exchange)) in calls.iter().enumerate() {
+            let here = usize::from(*at);
+            let there = usize::from(!*at);
+            // A clock set back does no harm where the call has seen those before it: the other's records are merged first.
+            let is_clock_set_back = *exchange == 3;
+            if is_clock_set_back {
+                let records = processes[there].export_records();
+                processes[here].merge_records(NOW, &records);
             }
-            let now = Timestamp::from_micros(NOW.as_micros() + n as i64 * 10 - if set_back { back * 5 } else { 0 });
-            let target = Target::Engine(format!("s-{on}"));
-            let here = &mut two[usize::from(*at)];
-            if *out {
-                here.cordon(now, &target, Hold::Operator, "").expect("listed");
+            let set_back = if is_clock_set_back { clock_step * 5 } else { 0 };
+            let now = Timestamp::from_micros(NOW.as_micros() + number as i64 * 10 - set_back);
+            let target = Target::Engine(format!("s-{index}"));
+            if *cordoned {
+                processes[here].cordon(now, &target, CordonRequest::Operator, "").expect("listed");
             } else {
-                here.uncordon(now, &target, By::Operator).expect("listed");
+                processes[here].uncordon(now, &target, Cause::Operator).expect("listed");
             }
-            last[usize::from(*on)] = *out;
-            if *read > 1 {
-                let file = two[usize::from(*at)].export();
-                two[usize::from(!*at)].import(now, &file);
+            last_call[usize::from(*index)] = *cordoned;
+            if *exchange > 1 {
+                let records = processes[here].export_records();
+                processes[there].merge_records(now, &records);
             }
         }
-        let files = [two[0].export(), two[1].export()];
-        two[0].import(NOW, &files[1]);
-        two[1].import(NOW, &files[0]);
-        prop_assert_eq!(two[0].export(), two[1].export());
-        for (i, out) in last.iter().enumerate().skip(1) {
-            prop_assert_eq!(two[0].is_out(&format!("s-{i}")), *out, "s-{}", i);
+        let records = [processes[0].export_records(), processes[1].export_records()];
+        processes[0].merge_records(NOW, &records[1]);
+        processes[1].merge_records(NOW, &records[0]);
+        prop_assert_eq!(processes[0].export_records(), processes[1].export_records());
+        for (index, cordoned) in last_call.iter().enumerate().skip(1) {
+            let id = format!("s-{index}");
+            prop_assert_eq!(processes[0].is_engine_cordoned(&id), *cordoned, "{}", id);
         }
     }
 }
 
-fn one(listed: &[&str]) -> Outages {
-    let mut o = Outages::new(Limits::default());
-    listed.iter().for_each(|id| o.listed(id));
-    o
+fn state_with(listed: &[&str]) -> CordonState {
+    let mut state = CordonState::new(CordonLimits::default());
+    listed.iter().for_each(|id| state.note_listed(id));
+    state
 }
 
 fn engine(id: &str) -> Target {
     Target::Engine(id.into())
 }
 
-/// A call back at the newcomer must beat the elder's ban even where the newcomer has not read of it yet; and an older
-/// ban that comes in late must not undo it.
+/// An uncordon at the new process wins over the old process's cordon even where the new one has not merged that yet, and
+/// an older cordon that is merged late must not undo it.
 #[test]
-fn a_newer_call_back_beats_an_older_ban_that_was_never_seen_here() {
-    let (mut elder, mut newcomer) = (one(&["e"]), one(&["e"]));
-    elder.cordon(NOW, &engine("e"), Hold::Operator, "swap").expect("yes");
-    let back = newcomer.uncordon(Timestamp::from_micros(NOW.as_micros() + 5), &engine("e"), By::Operator);
-    assert_eq!(back, Ok(Change::NotOut));
-    let merged = newcomer.import(NOW, &elder.export());
-    assert!(merged.moved.is_empty() && !newcomer.is_out("e"));
-    let merged = elder.import(NOW, &newcomer.export());
-    assert_eq!(merged.moved.len(), 1);
-    assert!(!elder.is_out("e"));
+fn newer_uncordon_wins_over_older_cordon_that_was_never_seen() {
+    let mut old = state_with(&["e"]);
+    let mut new = state_with(&["e"]);
+    old.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap").expect("yes");
+    let outcome = new.uncordon(Timestamp::from_micros(NOW.as_micros() + 5), &engine("e"), Cause::Operator);
+    assert_eq!(outcome, Ok(CordonOutcome::NotCordoned));
+    let result = new.merge_records(NOW, &old.export_records());
+    assert!(result.changes.is_empty() && !new.is_engine_cordoned("e"));
+    let result = old.merge_records(NOW, &new.export_records());
+    assert_eq!(result.changes.len(), 1);
+    assert!(!old.is_engine_cordoned("e"));
 }
 
 #[test]
-fn a_clock_set_back_does_not_make_a_newer_call_the_older_one() {
-    let mut o = one(&["e"]);
-    o.cordon(NOW, &engine("e"), Hold::Operator, "").expect("yes");
-    let file = o.export();
-    let earlier = Timestamp::from_micros(NOW.as_micros() - 3_600 * S);
-    assert_eq!(o.uncordon(earlier, &engine("e"), By::Operator), Ok(Change::Back));
-    o.import(earlier, &file);
-    assert!(!o.is_out("e"));
+fn newer_call_wins_although_the_clock_was_set_back() {
+    let mut state = state_with(&["e"]);
+    state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("yes");
+    let records = state.export_records();
+    let earlier = Timestamp::from_micros(NOW.as_micros() - 3_600 * SECOND);
+    assert_eq!(state.uncordon(earlier, &engine("e"), Cause::Operator), Ok(CordonOutcome::Uncordoned));
+    state.merge_records(earlier, &records);
+    assert!(!state.is_engine_cordoned("e"));
 }
 
 #[test]
-fn of_two_words_with_one_version_the_one_that_holds_it_out_wins() {
-    let word = |out| Word { version: 9, out, until: None, at: NOW, why: String::new() };
-    let ban = |out| Ban { target: engine("e"), by: By::Operator, word: word(out) };
+fn cordon_wins_over_uncordon_of_the_same_version() {
+    let entry = |cordoned| CordonEntry {
+        version: 9,
+        cordoned,
+        lease_expires_at: None,
+        changed_at: NOW,
+        reason: String::new(),
+    };
+    let record =
+        |cordoned| CordonRecord { target: engine("e"), cause: Cause::Operator, entry: entry(cordoned) };
     for pair in [[true, false], [false, true]] {
-        let mut o = one(&[]);
-        o.import(NOW, &pair.map(ban));
-        assert!(o.is_out("e") && o.ever_listed("e"));
+        let mut state = state_with(&[]);
+        state.merge_records(NOW, &pair.map(record));
+        assert!(state.is_engine_cordoned("e") && state.was_ever_listed("e"));
     }
 }
 
-/// The memory of a call back ends after its time, and no sooner; a ban has no such end.
+/// A tombstone is retained for its time and no longer; a cordon has no such end.
 #[test]
-fn calls_back_are_forgotten_after_ten_minutes_and_bans_never() {
-    let mut o = one(&["e", "f"]);
-    o.cordon(NOW, &engine("f"), Hold::Operator, "").expect("yes");
-    o.uncordon(NOW, &engine("e"), By::Operator).expect("yes");
-    o.expire(NOW + TOMBSTONE_KEPT);
-    assert_eq!(o.sizes(), (1, 1, 2));
-    o.expire(NOW + TOMBSTONE_KEPT + TimeDelta::from_micros(1));
-    assert_eq!(o.sizes(), (1, 0, 2));
-    o.expire(NOW + TimeDelta::from_micros(1_000_000 * S));
-    assert!(o.is_out("f"));
+fn tombstones_are_removed_after_ten_minutes_and_cordons_never() {
+    let mut state = state_with(&["e", "f"]);
+    state.cordon(NOW, &engine("f"), CordonRequest::Operator, "").expect("yes");
+    state.uncordon(NOW, &engine("e"), Cause::Operator).expect("yes");
+    state.expire(NOW + TOMBSTONE_RETENTION);
+    assert_eq!(state.sizes(), CordonSizes { active_cordons: 1, tombstones: 1, known_ids: 2 });
+    state.expire(NOW + TOMBSTONE_RETENTION + TimeDelta::from_micros(1));
+    assert_eq!(state.sizes(), CordonSizes { active_cordons: 1, tombstones: 0, known_ids: 2 });
+    state.expire(NOW + TimeDelta::from_micros(1_000_000 * SECOND));
+    assert!(state.is_engine_cordoned("f"));
 }
 
-/// A lease that ended is not begun anew by an older word with a longer one.
+/// An expired lease is not revived by an older entry with a longer one.
 #[test]
-fn a_lapsed_lease_beats_an_older_and_longer_one() {
-    let (mut a, mut b) = (one(&["e"]), one(&["e"]));
-    let lease = |s: i64| Hold::Fleet { permit: 7, until: Timestamp::from_micros(NOW.as_micros() + s * S) };
+fn expired_lease_wins_over_an_older_and_longer_one() {
+    let mut a = state_with(&["e"]);
+    let mut b = state_with(&["e"]);
+    let after = |micros: i64| NOW + TimeDelta::from_micros(micros);
+    let lease = |seconds: i64| CordonRequest::Fleet { permit: 7, lease_expires_at: after(seconds * SECOND) };
     a.cordon(NOW, &engine("e"), lease(60), "").expect("yes");
-    b.cordon(Timestamp::from_micros(NOW.as_micros() + 1), &engine("e"), lease(5), "").expect("yes");
-    b.expire(Timestamp::from_micros(NOW.as_micros() + 6 * S));
-    assert!(!b.is_out("e"));
-    b.import(Timestamp::from_micros(NOW.as_micros() + 6 * S), &a.export());
-    assert!(!b.is_out("e"), "the shorter lease was the newer word");
-    a.import(Timestamp::from_micros(NOW.as_micros() + 6 * S), &b.export());
-    assert!(!a.is_out("e"));
+    b.cordon(after(1), &engine("e"), lease(5), "").expect("yes");
+    b.expire(after(6 * SECOND));
+    assert!(!b.is_engine_cordoned("e"));
+    b.merge_records(after(6 * SECOND), &a.export_records());
+    assert!(!b.is_engine_cordoned("e"), "the shorter lease was the newer entry");
+    a.merge_records(after(6 * SECOND), &b.export_records());
+    assert!(!a.is_engine_cordoned("e"));
 }
--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -1,21 +1,24 @@
-//! Any run of calls, lists and time against a model that is as plain as can be.
+//! Any sequence of calls, list events and time against a reference model.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_cordon::{By, Change, Hold, Limits, Manager, Outages, Refused, Target, Timestamp};
+use sprucelink_cordon::{
+    Cause, CordonError, CordonLimits, CordonOutcome, CordonRequest, CordonState, ManagerState, Target,
+    Timestamp,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
 enum Step {
     Listed(u8),
     Unlisted(u8),
-    /// On whom, the permit (0: the operator), and the lease in steps of time.
+    /// Target, permit (0: the operator), and lease in ticks.
     Cordon(u8, u8, i8),
     Uncordon(u8, u8),
-    InHand(u8),
+    InFlight(u8),
     Expire,
-    /// Goes through export and import into a process that knows nothing yet.
-    Upgrade,
+    /// All state goes through export and merge into a new process.
+    HotRestart,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -25,56 +28,154 @@
         1 => id.clone().prop_map(Step::Unlisted),
         5 => (id.clone(), permit.clone(), -1_i8..9).prop_map(|(i, p, l)| Step::Cordon(i, p, l)),
         4 => (id, permit).prop_map(|(i, p)| Step::Uncordon(i, p)),
-        1 => (0_u8..3).prop_map(Step::InHand),
+        1 => (0_u8..3).prop_map(Step::InFlight),
         2 => Just(Step::Expire),
-        1 => Just(Step::Upgrade),
+        1 => Just(Step::HotRestart),
     ]
 }
 
 /// Target 0 is this manager, the others are engines.
-fn target(i: u8) -> Target {
-    if i == 0 {
+fn target(index: u8) -> Target {
+    if index == 0 {
         Target::Manager
     } else {
-        Target::Engine(format!("s-{i}"))
+        Target::Engine(format!("s-{index}"))
     }
 }
 
-fn by(permit: u8) -> By {
+fn cause(permit: u8) -> Cause {
     if permit == 0 {
-        By::Operator
+        Cause::Operator
     } else {
-        By::Fleet { permit: u64::from(permit) }
+        Cause::Fleet { permit: u64::from(permit) }
     }
 }
 
-/// What a reader of the page would keep on paper: who was ever listed, and which causes hold what until when.
+/// A reference implementation that is as plain as can be: which engines were ever listed, and which causes are active
+/// until when.
 #[derive(Default)]
-struct Paper {
-    ever: BTreeSet<u8>,
-    holds: BTreeMap<(u8, By), i64>,
-    idle_since: Option<i64>,
-    quiet_since: Option<i64>,
+struct ReferenceModel {
+    ever_listed: BTreeSet<u8>,
+    active: BTreeMap<(u8, Cause), i64>,
+    quiesced_since: Option<i64>,
+    quiescing_since: Option<i64>,
 }
 
-impl Paper {
-    fn causes(&self, i: u8) -> Vec<By> {
-        self.holds.keys().filter(|(on, _)| *on == i).map(|(_, by)| *by).collect()
+impl ReferenceModel {
+    fn active_causes(&self, index: u8) -> Vec<Cause> {
+        self.active.keys().filter(|(target, _)| *target == index).map(|(_, cause)| *cause).collect()
     }
 
-    fn known(&self, i: u8) -> bool {
-        i == 0 || self.ever.contains(&i)
+    fn is_cordoned(&self, index: u8) -> bool {
+        !self.active_causes(index).is_empty()
     }
 
-    fn manager(&mut self, now: i64) {
-        if self.causes(0).is_empty() {
-            (self.quiet_since, self.idle_since) = (None, None);
+    fn is_known(&self, index: u8) -> bool {
+        index == 0 || self.ever_listed.contains(&index)
+    }
+
+    fn cordon(&mut self, index: u8, permit: u8, now: i64, lease: i64) -> Result<CordonOutcome, CordonError> {
+        if !self.is_known(index) {
+            return Err(CordonError::NeverListed);
+        }
+        if permit > 0 && lease <= 0 {
+            return Err(CordonError::InvalidLease);
+        }
+        let was_cordoned = self.is_cordoned(index);
+        let expires_at = if permit == 0 { i64::MAX } else { now + lease };
+        self.active.insert((index, cause(permit)), expires_at);
+        Ok(if was_cordoned { CordonOutcome::AlreadyCordoned } else { CordonOutcome::Cordoned })
+    }
+
+    fn uncordon(&mut self, index: u8, permit: u8) -> Result<CordonOutcome, CordonError> {
+        if !self.is_known(index) {
+            return Err(CordonError::NeverListed);
+        }
+        let was_cordoned = self.is_cordoned(index);
+        self.active.remove(&(index, cause(permit)));
+        Ok(match self.active_causes(index).first() {
+            Some(cause) => CordonOutcome::StillCordoned { cause: *cause },
+            None if was_cordoned => CordonOutcome::Uncordoned,
+            None => CordonOutcome::NotCordoned,
+        })
+    }
+
+    fn expire(&mut self, now: i64) -> Vec<(Target, CordonOutcome)> {
+        let expired: Vec<(u8, Cause)> =
+            self.active.iter().filter(|(_, expires_at)| **expires_at <= now).map(|(key, _)| *key).collect();
+        for key in &expired {
+            self.active.remove(key);
+        }
+        let touched: BTreeSet<u8> = expired.iter().map(|(index, _)| *index).collect();
+        let outcome = |index: u8| match self.active_causes(index).first() {
+            Some(cause) => CordonOutcome::StillCordoned { cause: *cause },
+            None => CordonOutcome::Uncordoned,
+        };
+        touched.iter().map(|index| (target(*index), outcome(*index))).collect()
+    }
+
+    fn set_in_flight(&mut self, now: i64, count: u8) {
+        if self.quiescing_since.is_none() {
+            return;
+        }
+        match (count, self.quiesced_since) {
+            (0, None) => self.quiesced_since = Some(now),
+            (1.., Some(since)) => {
+                self.quiescing_since = Some(since);
+                self.quiesced_since = None;
+            }
+            _ => {}
+        }
+    }
+
+    fn reset_manager(&mut self) {
+        self.quiescing_since = None;
+        self.quiesced_since = None;
+    }
+
+    fn update_manager(&mut self, now: i64) {
+        if self.is_cordoned(0) {
+            self.quiescing_since.get_or_insert(now);
         } else {
-            self.quiet_since.get_or_insert(now);
+            self.reset_manager();
+        }
+    }
+
+    fn manager_state(&self) -> ManagerState {
+        let at = Timestamp::from_micros;
+        match (self.is_cordoned(0), self.quiescing_since, self.quiesced_since) {
+            (false, ..) => ManagerState::Serving,
+            (true, _, Some(since)) => ManagerState::Quiesced { since: at(since) },
+            (true, since, None) => ManagerState::Quiescing { since: at(since.unwrap_or(0)) },
         }
     }
 }
 
+fn request(permit: u8, lease_expires_at: i64) -> CordonRequest {
+    let lease_expires_at = Timestamp::from_micros(lease_expires_at);
+    match cause(permit) {
+        Cause::Operator => CordonRequest::Operator,
+        Cause::Fleet { permit } => CordonRequest::Fleet { permit, lease_expires_at },
+    }
+}
+
+fn assert_same(real: &CordonState, model: &ReferenceModel, step: &Step) -> Result<(), TestCaseError> {
+    prop_assert_eq!(real.manager_state(), model.manager_state());
+    for index in 1..6_u8 {
+        let id = format!("s-{index}");
+        let cordoned = real.is_engine_cordoned(&id);
+        prop_assert_eq!(cordoned, model.is_cordoned(index), "engine {} after {:?}", index, step);
+        prop_assert_eq!(real.was_ever_listed(&id), model.is_known(index));
+    }
+    let active: BTreeSet<(String, Cause)> =
+        real.active_cordons().map(|cordon| (cordon.target.to_string(), cordon.cause)).collect();
+    let expected = model.active.keys().map(|(index, cause)| (target(*index).to_string(), *cause)).collect();
+    prop_assert_eq!(active, expected);
+    prop_assert_eq!(real.sizes().active_cordons, model.active.len());
+    Ok(())
+}
+
+/// Time between two steps, in microseconds.
 const TICK: i64 = 1_000_000;
 
 proptest! {
@@ -83,106 +184,53 @@
     })]
 
     #[test]
-    fn it_does_what_the_paper_says(steps in prop::collection::vec(step(), 1..120)) {
-        let mut real = Outages::new(Limits::default());
-        let mut paper = Paper::default();
+    fn any_sequence_of_calls_matches_the_reference_model(steps in prop::collection::vec(step(), 1..120)) {
+        let mut real = CordonState::new(CordonLimits::default());
+        let mut model = ReferenceModel::default();
         let mut now = 1_700_000_000_000_000_i64;
-        for s in steps {
+        for step in steps {
             now += TICK;
-            let t = Timestamp::from_micros(now);
-            match s {
-                Step::Listed(i) => {
-                    real.listed(&format!("s-{i}"));
-                    paper.ever.insert(i);
+            let at = Timestamp::from_micros(now);
+            match &step {
+                Step::Listed(index) => {
+                    real.note_listed(&format!("s-{index}"));
+                    model.ever_listed.insert(*index);
                 }
-                Step::Unlisted(i) => real.unlisted(&format!("s-{i}")),
-                Step::Cordon(i, permit, lease) => {
-                    let until = now + i64::from(lease) * TICK;
-                    let hold = match by(permit) {
-                        By::Operator => Hold::Operator,
-                        By::Fleet { permit } => Hold::Fleet { permit, until: Timestamp::from_micros(until) },
-                    };
-                    let was = !paper.causes(i).is_empty();
-                    let want = if !paper.known(i) {
-                        Err(Refused::NeverListed)
-                    } else if permit > 0 && lease <= 0 {
-                        Err(Refused::BadLease)
-                    } else {
-                        paper.holds.insert((i, by(permit)), if permit == 0 { i64::MAX } else { until });
-                        Ok(if was { Change::AlreadyOut } else { Change::Out })
-                    };
-                    prop_assert_eq!(real.cordon(t, &target(i), hold, "why"), want);
+                Step::Unlisted(index) => real.note_unlisted(&format!("s-{index}")),
+                Step::Cordon(index, permit, lease) => {
+                    let lease = i64::from(*lease) * TICK;
+                    let expected = model.cordon(*index, *permit, now, lease);
+                    let request = request(*permit, now + lease);
+                    prop_assert_eq!(real.cordon(at, &target(*index), request, "why"), expected);
                 }
-                Step::Uncordon(i, permit) => {
-                    let was = !paper.causes(i).is_empty();
-                    let want = if !paper.known(i) {
-                        Err(Refused::NeverListed)
-                    } else {
-                        paper.holds.remove(&(i, by(permit)));
-                        Ok(match paper.causes(i).first() {
-                            Some(by) => Change::StillOut { by: *by },
-                            None if was => Change::Back,
-                            None => Change::NotOut,
-                        })
-                    };
-                    prop_assert_eq!(real.uncordon(t, &target(i), by(permit)), want);
+                Step::Uncordon(index, permit) => {
+                    let expected = model.uncordon(*index, *permit);
+                    prop_assert_eq!(real.uncordon(at, &target(*index), cause(*permit)), expected);
                 }
-                Step::InHand(n) => {
-                    real.in_hand(t, usize::from(n));
-                    if paper.quiet_since.is_some() {
-                        match (n, paper.idle_since) {
-                            (0, None) => paper.idle_since = Some(now),
-                            (1.., Some(since)) => (paper.quiet_since, paper.idle_since) = (Some(since), None),
-                            _ => {}
-                        }
-                    }
+                Step::InFlight(count) => {
+                    real.set_in_flight(at, usize::from(*count));
+                    model.set_in_flight(now, *count);
                 }
                 Step::Expire => {
-                    let ended = paper.holds.iter().filter(|(_, until)| **until <= now).map(|(k, _)| *k);
-                    let ended: Vec<(u8, By)> = ended.collect();
-                    ended.iter().for_each(|k| _ = paper.holds.remove(k));
-                    let touched: BTreeSet<u8> = ended.iter().map(|(i, _)| *i).collect();
-                    let want: Vec<(Target, Change)> = touched
-                        .iter()
-                        .map(|i| match paper.causes(*i).first() {
-                            Some(by) => (target(*i), Change::StillOut { by: *by }),
-                            None => (target(*i), Change::Back),
-                        })
-                        .collect();
-                    let mut got: Vec<_> = real.expire(t).into_iter().map(|m| (m.target, m.change)).collect();
-                    got.sort_by_key(|(target, _)| (*target != Target::Manager, target.to_string()));
-                    prop_assert_eq!(got, want);
-                }
-                Step::Upgrade => {
-                    let mut next = Outages::new(Limits::default());
-                    next.import_ids(&real.export_ids(usize::MAX));
-                    let merged = next.import(t, &real.export());
-                    prop_assert_eq!((merged.over, merged.bad), (0, 0));
-                    // What runs out with the very call is not taken out first.
-                    paper.holds.retain(|_, until| *until > now);
-                    real = next;
-                    (paper.quiet_since, paper.idle_since) = (None, None);
+                    let expected = model.expire(now);
+                    let mut changes: Vec<(Target, CordonOutcome)> =
+                        real.expire(at).into_iter().map(|change| (change.target, change.outcome)).collect();
+                    changes.sort_by_key(|(target, _)| (*target != Target::Manager, target.to_string()));
+                    prop_assert_eq!(changes, expected);
                 }
-            }
-            paper.manager(now);
-            for i in 0..6_u8 {
-                let out = !paper.causes(i).is_empty();
-                if i == 0 {
-                    let want = match (out, paper.quiet_since, paper.idle_since) {
-                        (false, ..) => Manager::Serving,
-                        (true, _, Some(since)) => Manager::Out { since: Timestamp::from_micros(since) },
-                        (true, since, None) => Manager::Quiescing { since: Timestamp::from_micros(since.unwrap_or(0)) },
-                    };
-                    prop_assert_eq!(real.manager(), want);
-                } else {
-                    prop_assert_eq!(real.is_out(&format!("s-{i}")), out, "engine {} after {:?}", i, s);
-                    prop_assert_eq!(real.ever_listed(&format!("s-{i}")), paper.known(i));
+                Step::HotRestart => {
+                    let mut successor = CordonState::new(CordonLimits::default());
+                    successor.merge_known_ids(&real.export_known_ids(usize::MAX));
+                    let result = successor.merge_records(at, &real.export_records());
+                    prop_assert_eq!((result.over_limit, result.malformed), (0, 0));
+                    // A lease that expires at this very instant is not activated first.
+                    model.active.retain(|_, expires_at| *expires_at > now);
+                    model.reset_manager();
+                    real = successor;
                 }
             }
-            let held: BTreeSet<(String, By)> = real.out().map(|o| (o.target.to_string(), o.by)).collect();
-            let want = paper.holds.keys().map(|(i, by)| (target(*i).to_string(), *by)).collect();
-            prop_assert_eq!(held, want);
-            prop_assert_eq!(real.sizes().0, paper.holds.len());
+            model.update_manager(now);
+            assert_same(&real, &model, &step)?;
         }
     }
 }
--- a/crates/hot-restart/examples/cost.rs
+++ b/crates/hot-restart/examples/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Medians of many runs, for a content as it is on most days (80 engines, 3 bans) and for one at its bounds.
 
-use sprucelink_cordon::{Hold, Limits, Outages, Target};
+use sprucelink_cordon::{CordonLimits, CordonRequest, CordonState, Target};
 use sprucelink_hot_restart::*;
 use std::hint::black_box;
 use std::time::Instant;
@@ -21,22 +21,22 @@
     took[RUNS / 2]
 }
 
-fn outages(engines: usize, bans: usize, now: Timestamp) -> Outages {
-    let mut o = Outages::new(Limits::default());
+fn outages(engines: usize, bans: usize, now: Timestamp) -> CordonState {
+    let mut o = CordonState::new(CordonLimits::default());
     for i in 0..engines {
-        o.listed(&format!("s-{i:08x}"));
+        o.note_listed(&format!("s-{i:08x}"));
     }
     for i in 0..bans {
         let target = Target::Engine(format!("s-{i:08x}"));
-        o.cordon(now, &target, Hold::Operator, "restart for a disk swap").expect("listed");
+        o.cordon(now, &target, CordonRequest::Operator, "restart for a disk swap").expect("listed");
     }
     o
 }
 
-fn content(o: &Outages, t: &Tally, now: Timestamp) -> Content {
+fn content(o: &CordonState, t: &Tally, now: Timestamp) -> Content {
     Content {
-        bans: o.export(),
-        ids: o.export_ids(usize::MAX),
+        bans: o.export_records(),
+        ids: o.export_known_ids(usize::MAX),
         ration: t.ration(now),
         cold: t.cold(now),
         last_event: 1,
@@ -80,12 +80,12 @@
         looks.sort_unstable_by(f64::total_cmp);
         let fresh = looks[RUNS / 2];
         let merge = median(|_| {
-            let mut other = Outages::new(Limits::default());
-            other.import(now, &whole.bans);
+            let mut other = CordonState::new(CordonLimits::default());
+            other.merge_records(now, &whole.bans);
             black_box(&other);
         });
         let id = format!("s-{:08x}", engines - 1);
-        let out = median(|_| (0..1_000).for_each(|_| _ = black_box(o.is_out(black_box(&id)))));
+        let out = median(|_| (0..1_000).for_each(|_| _ = black_box(o.is_engine_cordoned(black_box(&id)))));
         let alone = (gather + write) * 4.0 + idle * 10.0;
         let beside = alone + (fresh - idle + merge) * 4.0;
         println!("{what}: {bytes} bytes, {engines} ids, {bans} bans, {cold} cold engines");
--- a/crates/hot-restart/src/adopt.rs
+++ b/crates/hot-restart/src/adopt.rs
@@ -1,7 +1,7 @@
 //! What of a file that was read is still of use.
 
 use crate::content::{Handover, Process, BUCKET};
-use sprucelink_cordon::Ban;
+use sprucelink_cordon::CordonRecord;
 use sprucelink_time::{TimeDelta, Timestamp};
 
 /// A file from so far ahead of the reader's clock is of a clock that was set back since. What is less comes of
@@ -47,10 +47,10 @@
     pub process: Process,
     /// How old.
     pub age: Age,
-    /// For [`sprucelink_cordon::Outages::import`]: all of them, however old, for a ban holds until the call back; leases
+    /// For [`sprucelink_cordon::CordonState::merge_records`]: all of them, however old, for a ban holds until the call back; leases
     /// that have ended are seen there.
-    pub bans: Vec<Ban>,
-    /// For [`sprucelink_cordon::Outages::import_ids`]: all of them.
+    pub bans: Vec<CordonRecord>,
+    /// For [`sprucelink_cordon::CordonState::merge_known_ids`]: all of them.
     pub ids: Vec<u64>,
     /// Further attempts within the ration's window: when, at the latest, and how many.
     pub further: Vec<(Timestamp, u32)>,
--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -24,7 +24,7 @@
 /// The oldest format that is read.
 pub const OLDEST: u32 = 1;
 /// Longest file, in bytes: it counts as memory, twice while it is replaced. All bans with their longest ids and reasons
-/// fit into it by the bounds of [`sprucelink_cordon::Limits`]; hashes of ids take what room is left.
+/// fit into it by the bounds of [`sprucelink_cordon::CordonLimits`]; hashes of ids take what room is left.
 pub const FILE_MOST: usize = 256 << 10;
 /// Room kept for the tag and length of the hashes.
 const IDS_HEAD: usize = 8;
--- a/crates/hot-restart/src/content.rs
+++ b/crates/hot-restart/src/content.rs
@@ -1,6 +1,6 @@
 //! What a process tells its successor.
 
-use sprucelink_cordon::Ban;
+use sprucelink_cordon::CordonRecord;
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::fmt;
 
@@ -104,9 +104,9 @@
 /// What the rest of the program puts into the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Content {
-    /// Every cause's last word ([`sprucelink_cordon::Outages::export`]).
-    pub bans: Vec<Ban>,
-    /// Hashes of the ids ever listed ([`sprucelink_cordon::Outages::export_ids`]): as many as fit are written.
+    /// Every cause's last word ([`sprucelink_cordon::CordonState::export_records`]).
+    pub bans: Vec<CordonRecord>,
+    /// Hashes of the ids ever listed ([`sprucelink_cordon::CordonState::export_known_ids`]): as many as fit are written.
     pub ids: Vec<u64>,
     /// Counts under the ration, oldest first ([`crate::Tally::ration`]).
     pub ration: Vec<RationBucket>,
--- a/crates/hot-restart/src/keeper.rs
+++ b/crates/hot-restart/src/keeper.rs
@@ -46,7 +46,7 @@
 /// Why the own file was not written; the one before is there unchanged.
 #[derive(Debug)]
 pub enum WriteFailed {
-    /// The content does not fit: more bans than [`sprucelink_cordon::Limits`] lets in.
+    /// The content does not fit: more bans than [`sprucelink_cordon::CordonLimits`] lets in.
     TooLarge(Refusal),
     /// The folder refused it.
     Folder(io::Error),
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -6,7 +6,7 @@
     ColdBucket, ColdSends, Content, Handover, Instance, Phase, Process, RationBucket, BUCKETS_MOST,
     COLD_MOST, NAME_MOST, ROOM_MOST,
 };
-use sprucelink_cordon::{Ban, By, Target, Word};
+use sprucelink_cordon::{Cause, CordonEntry, CordonRecord, Target};
 use sprucelink_time::Timestamp;
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -107,37 +107,37 @@
     }
 }
 
-impl From<&Ban> for BanMessage {
-    fn from(ban: &Ban) -> BanMessage {
+impl From<&CordonRecord> for BanMessage {
+    fn from(ban: &CordonRecord) -> BanMessage {
         BanMessage {
             engine: match &ban.target {
                 Target::Manager => None,
                 Target::Engine(id) => Some(id.clone()),
             },
-            permit: match ban.by {
-                By::Operator => None,
-                By::Fleet { permit } => Some(permit),
+            permit: match ban.cause {
+                Cause::Operator => None,
+                Cause::Fleet { permit } => Some(permit),
             },
-            version: ban.word.version,
-            out: ban.word.out,
-            until: ban.word.until.map(|t| t.as_micros()),
-            at: ban.word.at.as_micros(),
-            why: ban.word.why.clone(),
+            version: ban.entry.version,
+            out: ban.entry.cordoned,
+            until: ban.entry.lease_expires_at.map(|t| t.as_micros()),
+            at: ban.entry.changed_at.as_micros(),
+            why: ban.entry.reason.clone(),
         }
     }
 }
 
-impl From<BanMessage> for Ban {
-    fn from(ban: BanMessage) -> Ban {
-        Ban {
+impl From<BanMessage> for CordonRecord {
+    fn from(ban: BanMessage) -> CordonRecord {
+        CordonRecord {
             target: ban.engine.map_or(Target::Manager, Target::Engine),
-            by: ban.permit.map_or(By::Operator, |permit| By::Fleet { permit }),
-            word: Word {
+            cause: ban.permit.map_or(Cause::Operator, |permit| Cause::Fleet { permit }),
+            entry: CordonEntry {
                 version: ban.version,
-                out: ban.out,
-                until: ban.until.map(Timestamp::from_micros),
-                at: Timestamp::from_micros(ban.at),
-                why: ban.why,
+                cordoned: ban.out,
+                lease_expires_at: ban.until.map(Timestamp::from_micros),
+                changed_at: Timestamp::from_micros(ban.at),
+                reason: ban.why,
             },
         }
     }
@@ -196,9 +196,9 @@
         must(f.cold.len() <= COLD_MOST, "cold: at most 64 engines")?;
         let process = f.process.ok_or("process: missing")?;
         let phase = PHASES.get(f.phase as usize).ok_or("phase: not known")?;
-        let bans: Vec<Ban> = f.bans.into_iter().map(Ban::from).collect();
+        let bans: Vec<CordonRecord> = f.bans.into_iter().map(CordonRecord::from).collect();
         for (i, ban) in bans.iter().enumerate() {
-            ban.check().map_err(|rule| format!("bans.{i}.{rule}"))?;
+            ban.validate().map_err(|rule| format!("bans.{i}.{rule}"))?;
         }
         let mut cold = Vec::with_capacity(f.cold.len());
         for sends in f.cold {
--- a/crates/hot-restart/src/phases.rs
+++ b/crates/hot-restart/src/phases.rs
@@ -35,7 +35,7 @@
     /// Since when.
     pub since: Timestamp,
     /// Whether it accepts new connections from the listening socket that it shares. Whether this manager quiesces
-    /// ([`sprucelink_cordon::Manager`]) is asked besides.
+    /// ([`sprucelink_cordon::ManagerState`]) is asked besides.
     pub accepts: bool,
     /// Whether it has come to serve: the answer to a health check, which never falls back to no.
     pub yes: bool,
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -2,7 +2,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_cordon::{By, Hold, Limits, Outages, Target, TARGET_MOST, WHY_MOST};
+use sprucelink_cordon::{
+    Cause, CordonLimits, CordonRequest, CordonSizes, CordonState, Target, MAX_ENGINE_ID_BYTES,
+    MAX_REASON_BYTES,
+};
 use sprucelink_hot_restart::*;
 
 fn me() -> Instance {
@@ -27,24 +30,23 @@
     }
 }
 
-fn ban() -> impl Strategy<Value = sprucelink_cordon::Ban> {
+fn ban() -> impl Strategy<Value = sprucelink_cordon::CordonRecord> {
     let target = prop_oneof![Just(Target::Manager), "[a-z0-9é-]{1,40}".prop_map(Target::Engine)];
-    let word =
-        (any::<bool>(), 0..=sprucelink_cordon::VERSION_MOST, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
+    let word = (any::<bool>(), 0..=sprucelink_cordon::MAX_VERSION, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
     (target, prop::option::of(any::<u64>()), word).prop_map(
         |(target, permit, (out, version, until, at, why))| {
             let fleet = permit.is_some() && out;
-            let word = sprucelink_cordon::Word {
+            let word = sprucelink_cordon::CordonEntry {
                 version,
-                out,
-                until: fleet.then_some(Timestamp::from_micros(until)),
-                at: Timestamp::from_micros(at),
-                why,
+                cordoned: out,
+                lease_expires_at: fleet.then_some(Timestamp::from_micros(until)),
+                changed_at: Timestamp::from_micros(at),
+                reason: why,
             };
-            sprucelink_cordon::Ban {
+            sprucelink_cordon::CordonRecord {
                 target,
-                by: permit.map_or(By::Operator, |permit| By::Fleet { permit }),
-                word,
+                cause: permit.map_or(Cause::Operator, |permit| Cause::Fleet { permit }),
+                entry: word,
             }
         },
     )
@@ -137,34 +139,42 @@
 /// Whatever the bounds of bans let in fits into a file, and hashes take what is left.
 #[test]
 fn the_fullest_content_fits() {
-    let limits = Limits::default();
+    let limits = CordonLimits::default();
     let now = Timestamp::from_micros(1_700_000_000_000_000);
-    let mut o = Outages::new(limits);
-    let permits = (u64::MAX - limits.bans as u64..).take(limits.bans);
-    let id_bytes = limits.ban_bytes / limits.bans;
+    let mut o = CordonState::new(limits);
+    let permits = (u64::MAX - limits.max_cordons as u64..).take(limits.max_cordons);
+    let id_bytes = limits.max_cordon_id_bytes / limits.max_cordons;
     for (i, permit) in permits.enumerate() {
         let id = format!("{i:0id_bytes$}");
-        o.listed(&id);
-        let hold = Hold::Fleet { permit, until: now + TimeDelta::from_micros(1) };
-        o.cordon(now, &Target::Engine(id), hold, &"w".repeat(WHY_MOST)).expect("within the bounds");
+        o.note_listed(&id);
+        let hold = CordonRequest::Fleet { permit, lease_expires_at: now + TimeDelta::from_micros(1) };
+        o.cordon(now, &Target::Engine(id), hold, &"w".repeat(MAX_REASON_BYTES)).expect("within the bounds");
     }
     // The leases end: as many words that hold nothing as are kept, and then as many bans again.
     o.expire(now + TimeDelta::from_micros(2));
-    for i in 0..limits.bans {
-        let hold = Hold::Fleet { permit: u64::MAX, until: now + TimeDelta::from_micros(80_000_000_000) };
+    for i in 0..limits.max_cordons {
+        let hold = CordonRequest::Fleet {
+            permit: u64::MAX,
+            lease_expires_at: now + TimeDelta::from_micros(80_000_000_000),
+        };
         let target = Target::Engine(format!("{i:0id_bytes$}"));
-        o.cordon(now + TimeDelta::from_micros(3), &target, hold, &"w".repeat(WHY_MOST))
+        o.cordon(now + TimeDelta::from_micros(3), &target, hold, &"w".repeat(MAX_REASON_BYTES))
             .expect("within the bounds");
     }
-    (0..limits.ids).for_each(|i| o.listed(&format!("s-{i}")));
-    assert_eq!(o.sizes(), (limits.bans, limits.tombstones, limits.ids));
+    (0..limits.max_known_ids).for_each(|i| o.note_listed(&format!("s-{i}")));
+    let full = CordonSizes {
+        active_cordons: limits.max_cordons,
+        tombstones: limits.max_tombstones,
+        known_ids: limits.max_known_ids,
+    };
+    assert_eq!(o.sizes(), full);
     let cold = |i: usize| ColdSends {
-        engine: format!("{i:0TARGET_MOST$}"),
+        engine: format!("{i:0MAX_ENGINE_ID_BYTES$}"),
         buckets: vec![ColdBucket { at: now, work_ms: u32::MAX }; 18],
     };
     let h = handover(Content {
-        bans: o.export(),
-        ids: o.export_ids(usize::MAX),
+        bans: o.export_records(),
+        ids: o.export_known_ids(usize::MAX),
         ration: vec![RationBucket { at: now, further: u32::MAX, taken: u32::MAX }; BUCKETS_MOST],
         cold: (0..COLD_MOST).map(cold).collect(),
         last_event: u64::MAX,
@@ -177,24 +187,24 @@
     );
     let read = decode(&encoded.bytes, &me()).expect("read");
     assert_eq!(read.content.bans, h.content.bans);
-    let kept = limits.ids - encoded.ids_left_out;
+    let kept = limits.max_known_ids - encoded.ids_left_out;
     assert!(kept > 1_000 && read.content.ids == h.content.ids[..kept], "the first {kept} ids");
 }
 
 /// A whole file with a ban that no call could make is refused, by field and rule: nothing of it is taken.
 #[test]
 fn a_ban_that_no_call_could_make_is_named() {
-    let word = sprucelink_cordon::Word {
+    let word = sprucelink_cordon::CordonEntry {
         version: 1,
-        out: true,
-        until: None,
-        at: Timestamp::from_micros(1),
-        why: String::new(),
+        cordoned: true,
+        lease_expires_at: None,
+        changed_at: Timestamp::from_micros(1),
+        reason: String::new(),
     };
-    let ban = |id: &str| sprucelink_cordon::Ban {
+    let ban = |id: &str| sprucelink_cordon::CordonRecord {
         target: Target::Engine(id.into()),
-        by: By::Operator,
-        word: word.clone(),
+        cause: Cause::Operator,
+        entry: word.clone(),
     };
     let bytes = encode(&handover(Content { bans: vec![ban("e"), ban("")], ..Content::default() }));
     let refused = decode(&bytes.expect("small").bytes, &me());
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Processes of one manager in virtual time, over one folder: starts, kills, SIGTERM at the newcomer's yes, calls by
 //! the operator, processes that stand still, writes and reads that fail. What must hold is checked every 10 ms.
 
-use sprucelink_cordon::{By, Hold, Limits, Outages, Target};
+use sprucelink_cordon::{Cause, CordonLimits, CordonRequest, CordonState, Target};
 use sprucelink_hot_restart::*;
 
 pub const MS: i64 = 1_000;
@@ -25,7 +25,7 @@
 struct Proc {
     keeper: Keeper<FaultyFolder>,
     folder: FaultyFolder,
-    outages: Outages,
+    outages: CordonState,
     born: i64,
     serves_at: i64,
     term_at: Option<i64>,
@@ -38,8 +38,8 @@
 impl Proc {
     fn content(&self) -> Content {
         Content {
-            bans: self.outages.export(),
-            ids: self.outages.export_ids(usize::MAX),
+            bans: self.outages.export_records(),
+            ids: self.outages.export_known_ids(usize::MAX),
             ..Content::default()
         }
     }
@@ -47,8 +47,8 @@
     fn take(&mut self, now: Timestamp, looked: Looked) {
         for read in looked.read {
             let adopted = adopt(now, SPANS, read);
-            self.outages.import_ids(&adopted.ids);
-            self.outages.import(now, &adopted.bans);
+            self.outages.merge_known_ids(&adopted.ids);
+            self.outages.merge_records(now, &adopted.bans);
         }
     }
 
@@ -110,7 +110,7 @@
         let mut proc = Proc {
             keeper,
             folder,
-            outages: Outages::new(Limits::default()),
+            outages: CordonState::new(CordonLimits::default()),
             born: self.now,
             serves_at: self.now + i64::from(after) * MS,
             term_at: None,
@@ -118,7 +118,7 @@
             troubled: 0,
             dead: false,
         };
-        ENGINES.iter().for_each(|id| proc.outages.listed(id));
+        ENGINES.iter().for_each(|id| proc.outages.note_listed(id));
         proc.take(Timestamp::from_micros(self.now), looked);
         self.procs.push(proc);
     }
@@ -164,9 +164,11 @@
         let Some(p) = self.pick(n).filter(|p| p.frozen_until <= now) else { return };
         let target = Target::Engine(ENGINES[engine].into());
         if out {
-            p.outages.cordon(Timestamp::from_micros(now), &target, Hold::Operator, "").expect("listed");
+            p.outages
+                .cordon(Timestamp::from_micros(now), &target, CordonRequest::Operator, "")
+                .expect("listed");
         } else {
-            p.outages.uncordon(Timestamp::from_micros(now), &target, By::Operator).expect("listed");
+            p.outages.uncordon(Timestamp::from_micros(now), &target, Cause::Operator).expect("listed");
         }
         match p.write(Timestamp::from_micros(now)) {
             Some(true) => self.promises[engine] = Some((now, out)),
@@ -230,7 +232,7 @@
         for p in self.procs.iter().filter(awake).filter(|p| now - p.troubled > settled) {
             for (id, promise) in ENGINES.iter().zip(&self.promises) {
                 let Some((at, out)) = promise.filter(|(at, _)| now - at > settled) else { continue };
-                assert_eq!(p.outages.is_out(id), out, "{id} told {} ms ago", (now - at) / MS);
+                assert_eq!(p.outages.is_engine_cordoned(id), out, "{id} told {} ms ago", (now - at) / MS);
             }
             let waits = now - p.serves_at.max(p.born).max(p.troubled);
             if p.term_at.is_none() && waits > ROOM_WAIT.as_micros() + settled {
--- a/src/core/cordons.rs
+++ b/src/core/cordons.rs
@@ -6,7 +6,9 @@
 use super::now;
 use super::request_table::{Core, RequestTable};
 use crate::proto::events::{ListEvent, Member, Phase};
-use sprucelink_cordon::{Ban, Change, Hold, Merged, Refused, Target};
+use sprucelink_cordon::{
+    Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult, Target,
+};
 use std::rc::Rc;
 use tracing::{info, warn};
 
@@ -15,61 +17,64 @@
     ///
     /// # Errors
     /// An id that was never listed, and a call over the bounds on bans.
-    pub fn take_out(self: &Rc<Self>, id: &str, hold: Hold, why: &str) -> Result<Change, Refused> {
+    pub fn cordon_engine(
+        self: &Rc<Self>,
+        id: &str,
+        request: CordonRequest,
+        reason: &str,
+    ) -> Result<CordonOutcome, CordonError> {
         let mut inner = self.inner.borrow_mut();
-        let change = inner.outages.cordon(now(), &Target::Engine(id.to_owned()), hold, why)?;
-        let by = hold.by();
-        info!(engine = %id, "engine {id} is taken out by {by}: {change:?}");
+        let outcome = inner.cordons.cordon(now(), &Target::Engine(id.to_owned()), request, reason)?;
+        info!(engine = %id, cause = %request.cause(), ?outcome, "engine cordoned");
         inner.retell(self, id);
-        Ok(change)
+        Ok(outcome)
     }
 
     /// Puts an engine back that the same caller took out; `Ok` is a yes, also where it was not out.
     ///
     /// # Errors
     /// An id that was never listed.
-    pub fn put_back(self: &Rc<Self>, id: &str, by: sprucelink_cordon::By) -> Result<Change, Refused> {
+    pub fn uncordon_engine(self: &Rc<Self>, id: &str, cause: Cause) -> Result<CordonOutcome, CordonError> {
         let mut inner = self.inner.borrow_mut();
-        let change = inner.outages.uncordon(now(), &Target::Engine(id.to_owned()), by)?;
-        info!(engine = %id, "engine {id} is put back by {by}: {change:?}");
+        let outcome = inner.cordons.uncordon(now(), &Target::Engine(id.to_owned()), cause)?;
+        info!(engine = %id, %cause, ?outcome, "engine uncordoned");
         inner.retell(self, id);
-        Ok(change)
+        Ok(outcome)
     }
 
-    /// The bans, and hashes of ids ever listed, for this process's successor.
-    pub fn outages(&self, most_ids: usize) -> (Vec<Ban>, Vec<u64>) {
+    /// The records of all cordons, and at most `max_ids` hashes of engine ids ever listed, for this process's successor.
+    pub fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
         let inner = self.inner.borrow();
-        (inner.outages.export(), inner.outages.export_ids(most_ids))
+        (inner.cordons.export_records(), inner.cordons.export_known_ids(max_ids))
     }
 
-    /// Takes another process's bans and ids in.
-    pub fn adopt_outages(self: &Rc<Self>, bans: &[Ban], ids: &[u64]) -> Merged {
+    /// Merges another process's cordon records and engine ids.
+    pub fn merge_cordons(self: &Rc<Self>, records: &[CordonRecord], ids: &[u64]) -> MergeResult {
         let mut inner = self.inner.borrow_mut();
-        inner.outages.import_ids(ids);
-        let merged = inner.outages.import(now(), bans);
-        for moved in &merged.moved {
-            let (target, change) = (&moved.target, moved.change);
-            info!("{target}: {change:?}, by word of another process");
-            if let Target::Engine(id) = target {
+        inner.cordons.merge_known_ids(ids);
+        let result = inner.cordons.merge_records(now(), records);
+        for change in &result.changes {
+            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon merged from another process");
+            if let Target::Engine(id) = &change.target {
                 inner.retell(self, id);
             }
         }
-        if merged.over + merged.bad > 0 {
+        if result.over_limit + result.malformed > 0 {
             warn!(
-                over = merged.over,
-                bad = merged.bad,
-                "bans of another process do not hold here: {merged:?}"
+                over_limit = result.over_limit,
+                malformed = result.malformed,
+                "cordons of another process are not in force here"
             );
         }
-        merged
+        result
     }
 
-    /// Ends what was taken out for a time; to be called once a second or so.
-    pub fn expire_outages(self: &Rc<Self>) {
+    /// Ends cordons whose lease has expired; to be called about once a second.
+    pub fn expire_cordons(self: &Rc<Self>) {
         let mut inner = self.inner.borrow_mut();
-        for moved in inner.outages.expire(now()) {
-            info!("{}: {:?}, its time is over", moved.target, moved.change);
-            if let Target::Engine(id) = &moved.target {
+        for change in inner.cordons.expire(now()) {
+            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon lease expired");
+            if let Target::Engine(id) = &change.target {
                 inner.retell(self, id);
             }
         }
@@ -81,7 +86,7 @@
         let beliefs = inner.facade.beliefs();
         let avoided = |i: usize| {
             let by_choice = beliefs.get(i).is_some_and(|b| b.distrusted || b.silent || b.rests > 0.0);
-            by_choice || inner.outages.is_out(&inner.engines[i].id)
+            by_choice || inner.cordons.is_engine_cordoned(&inner.engines[i].id)
         };
         let listed = (0..inner.engines.len()).filter(|i| inner.engines[*i].is_listed());
         let (listed, avoided): (Vec<usize>, Vec<bool>) = listed.map(|i| (i, avoided(i))).unzip();
@@ -94,21 +99,21 @@
     pub(super) fn note_listed(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
-                Phase::Gone => self.outages.unlisted(&member.id),
-                Phase::Ready | Phase::Draining => self.outages.listed(&member.id),
+                Phase::Gone => self.cordons.note_unlisted(&member.id),
+                Phase::Ready | Phase::Draining => self.cordons.note_listed(&member.id),
             }
         }
         if list.complete {
             let named: std::collections::BTreeSet<&str> =
                 list.members.iter().map(|m| m.id.as_str()).collect();
             let unnamed = self.engines.iter().filter(|e| e.is_listed() && !named.contains(e.id.as_str()));
-            unnamed.for_each(|e| self.outages.unlisted(&e.id));
+            unnamed.for_each(|e| self.cordons.note_unlisted(&e.id));
         }
     }
 
     /// The list as the deciding part hears it, where that differs.
     pub(super) fn masked(&self, list: &ListEvent) -> Option<ListEvent> {
-        let hidden = |m: &Member| m.phase == Phase::Ready && self.outages.is_out(&m.id);
+        let hidden = |m: &Member| m.phase == Phase::Ready && self.cordons.is_engine_cordoned(&m.id);
         list.members.iter().any(hidden).then(|| {
             let mut list = list.clone();
             list.members.iter_mut().filter(|m| hidden(m)).for_each(|m| m.phase = Phase::Draining);
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -13,7 +13,7 @@
 use super::zone_routing::ZoneRouting;
 use super::{now, span};
 use sprucelink_capture::recorder::Recorder;
-use sprucelink_cordon::{Limits as OutageLimits, Outages};
+use sprucelink_cordon::{CordonLimits, CordonState};
 use sprucelink_membership::facts::Facts;
 use sprucelink_metrics::{Metrics, Taken};
 use sprucelink_policy::{Micros, Settings};
@@ -136,8 +136,8 @@
     fleet: (u32, f64),
     /// Processes of this manager.
     parts: u32,
-    /// What is out here, and why.
-    pub(super) outages: Outages,
+    /// Which engines are cordoned at this manager, and by whom.
+    pub(super) cordons: CordonState,
     /// Failover between zones, where it is on.
     pub(super) failover: Option<ZoneRouting>,
 }
@@ -224,7 +224,7 @@
             shared: None,
             fleet,
             parts: 1,
-            outages: Outages::new(OutageLimits::default()),
+            cordons: CordonState::new(CordonLimits::default()),
             failover: None,
         };
         Rc::new(Core { inner: RefCell::new(inner), pool, terms, wake: Notify::new(), figures })
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -4,7 +4,7 @@
 use super::hot_restart_driver::Upgrade;
 use crate::core::request_table::Core;
 use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
-use sprucelink_cordon::{By, Change, Hold, Refused as Unfit};
+use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRequest};
 use sprucelink_metrics::Counter;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -67,20 +67,26 @@
         Ok(())
     }
 
-    fn obeyed(&self, id: &str, change: Result<Change, Unfit>) -> Result<Done, Refused> {
-        if let (Ok(_), Some(upgrade)) = (&change, &self.upgrade) {
+    fn obeyed(&self, id: &str, outcome: Result<CordonOutcome, CordonError>) -> Result<Done, Refused> {
+        if let (Ok(_), Some(upgrade)) = (&outcome, &self.upgrade) {
             // On record before the yes: it has to hold in the process that comes next.
             let unrecorded = |why| Refused::Unavailable(format!("it holds here and is not on record: {why}"));
             upgrade.record().map_err(unrecorded)?;
         }
-        match change {
-            Ok(Change::Out | Change::Back) => Ok(Done::Changed),
-            Ok(Change::AlreadyOut | Change::NotOut | Change::StillOut { .. }) => Ok(Done::Unchanged),
-            Err(unfit) => {
-                warn!(engine = %id, "operators: engine {id}: {unfit}");
-                match unfit {
-                    Unfit::NeverListed | Unfit::BadTarget => Err(Refused::Unknown),
-                    Unfit::TooMany | Unfit::BadLease => Err(Refused::Unavailable(unfit.to_string())),
+        match outcome {
+            Ok(CordonOutcome::Cordoned | CordonOutcome::Uncordoned) => Ok(Done::Changed),
+            Ok(
+                CordonOutcome::AlreadyCordoned
+                | CordonOutcome::NotCordoned
+                | CordonOutcome::StillCordoned { .. },
+            ) => Ok(Done::Unchanged),
+            Err(error) => {
+                warn!(engine = %id, "operators: engine {id}: {error}");
+                match error {
+                    CordonError::NeverListed | CordonError::InvalidTarget => Err(Refused::Unknown),
+                    CordonError::TooManyCordons | CordonError::InvalidLease => {
+                        Err(Refused::Unavailable(error.to_string()))
+                    }
                 }
             }
         }
@@ -101,11 +107,11 @@
     }
 
     fn cordon(&self, target: &str) -> Result<Done, Refused> {
-        self.obeyed(target, self.core.take_out(target, Hold::Operator, BY_HAND))
+        self.obeyed(target, self.core.cordon_engine(target, CordonRequest::Operator, BY_HAND))
     }
 
     fn uncordon(&self, target: &str) -> Result<Done, Refused> {
-        self.obeyed(target, self.core.put_back(target, By::Operator))
+        self.obeyed(target, self.core.uncordon_engine(target, Cause::Operator))
     }
 
     fn bitten(&self, bite: Bite) {
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -107,7 +107,7 @@
     fn turn(&self, front: &Front) {
         let looked = self.keeper.borrow_mut().look(now());
         self.take_in(looked, false);
-        self.core.expire_outages();
+        self.core.expire_cordons();
         let stand = self.keeper.borrow_mut().step(now(), self.term.get(), self.can_serve.get()).clone();
         self.say(&stand);
         // The one that is relieved has hardly anything to send any more, and the other meets all that comes: parts count
@@ -148,7 +148,7 @@
             let adopted = adopt(now(), self.spans, read);
             let (bans, ids, cold) = (adopted.bans.len(), adopted.ids.len(), adopted.cold.len());
             let further: u32 = adopted.further.iter().map(|f| f.1).sum();
-            self.core.adopt_outages(&adopted.bans, &adopted.ids);
+            self.core.merge_cordons(&adopted.bans, &adopted.ids);
             let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
             let line = format!(
                 "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {bans} bans, {ids} ids, \
@@ -197,7 +197,7 @@
     }
 
     fn content(&self) -> Content {
-        let (bans, ids) = self.core.outages(MOST_IDS);
+        let (bans, ids) = self.core.export_cordons(MOST_IDS);
         let tally = Tally::new(self.spans.ration, self.spans.cold);
         let (ration, cold) = (tally.ration(now()), tally.cold(now()));
         Content { bans, ids, ration, cold, last_event: self.core.last_event() }
