--- /dev/null
+++ b/src/core/api.rs
@@ -0,0 +1,309 @@
+//! [`Core`]: what the fronts and the drivers of the program call.
+
+use super::buffer_pool::BufferPool;
+use super::clock::{now, to_duration};
+use super::coordinator::{ConnectionRuntime, Coordinator, CoordinatorConfig, MIN_RETRY_AFTER};
+use super::engine_connection::{self, ConnectionLimits, ConnectionOwner, EngineConnection};
+use super::gossip_facts::GossipWindows;
+use super::request::{RejectReason, Request, Response};
+use super::zone_routing::{Observer, ZoneRouting};
+use crate::proto::events::ListEvent;
+use crate::proto::Malformed;
+use sprucelink_capture::recorder::Recorder;
+use sprucelink_cordon::{Ban, By, Change, Hold, Merged, Refused};
+use sprucelink_membership::facts::Facts;
+use sprucelink_metrics::Metrics;
+use sprucelink_policy::{Settings, Timestamp};
+use sprucelink_startup::settings::ColdStart;
+use sprucelink_zone_failover::terms::Terms as FailoverConfig;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{oneshot, Notify};
+
+/// Longest time that [`Core::run`] sleeps when nothing is due.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
+
+/// What a [`Core`] is made of.
+#[derive(Debug)]
+pub struct CoreConfig {
+    /// Settings of the policy.
+    pub settings: Settings,
+    /// Seed of the policy and of generated ids.
+    pub seed: u64,
+    /// Names of the zones, in the order of their numbers.
+    pub zones: Vec<String>,
+    /// Names of the machine kinds, in the order of their numbers.
+    pub kinds: Vec<String>,
+    /// Bounds and timeouts of connections to engines.
+    pub limits: ConnectionLimits,
+    /// The pool of buffers.
+    pub pool: BufferPool,
+    /// The metrics.
+    pub metrics: Metrics,
+}
+
+/// The core of the program: pending requests, engines and the policy, for one thread.
+pub struct Core {
+    pub(super) coordinator: RefCell<Coordinator>,
+    pool: BufferPool,
+    limits: ConnectionLimits,
+    wake: Notify,
+    metrics: Metrics,
+}
+
+/// A request that was submitted. Dropped before its response, it is abandoned.
+pub struct RequestHandle {
+    core: Rc<Core>,
+    id: u64,
+    response: oneshot::Receiver<Response>,
+    was_cancelled: bool,
+}
+
+impl RequestHandle {
+    /// Cancels the request for its client, who is told so: it counts among the failed.
+    pub fn cancel(mut self) {
+        self.was_cancelled = true;
+    }
+
+    /// The final response.
+    pub async fn wait(&mut self) -> Response {
+        // The sender stays in the request table until it is used: it cannot be lost before.
+        let lost = Response::Failed { reason: RejectReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
+        (&mut self.response).await.unwrap_or(lost)
+    }
+}
+
+impl Drop for RequestHandle {
+    fn drop(&mut self) {
+        let core = &self.core;
+        core.coordinator.borrow_mut().abandon(core, self.id, self.was_cancelled);
+    }
+}
+
+impl Core {
+    /// A core that knows no engine yet.
+    pub fn new(config: CoreConfig) -> Rc<Core> {
+        let CoreConfig { settings, seed, zones, kinds, limits, pool, metrics } = config;
+        let coordinator = Coordinator::new(CoordinatorConfig { settings, seed, zones, kinds });
+        Rc::new(Core { coordinator: RefCell::new(coordinator), pool, limits, wake: Notify::new(), metrics })
+    }
+
+    /// Switches start-up control on: of dials, admission, endpoint lists and readiness. `name` is this manager's
+    /// configured name. To be called before the first list, so that what is held is known from the start.
+    pub fn enable_startup_control(&self, settings: &ColdStart, name: &str) {
+        self.coordinator.borrow_mut().enable_startup_control(settings, name);
+        self.wake.notify_one();
+    }
+
+    /// The endpoint service answered a poll.
+    pub fn on_endpoint_service_answered(&self) {
+        if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
+            startup.readiness.fed();
+        }
+    }
+
+    /// Starts to count what is gossiped to other managers.
+    pub fn enable_gossip(&self, windows: GossipWindows) {
+        self.coordinator.borrow_mut().enable_gossip(windows);
+    }
+
+    /// What is gossiped as of now; `None` where nothing is counted.
+    pub fn gossip_facts(&self) -> Option<Facts> {
+        self.coordinator.borrow_mut().gossip_facts()
+    }
+
+    /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to this
+    /// one over its own retry budget.
+    pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_attempts: f64) {
+        self.coordinator.borrow_mut().set_fleet(self, managers, spare_attempts);
+    }
+
+    /// Sets the number of this manager's processes, among which its part of the fleet is divided.
+    pub fn set_process_count(self: &Rc<Self>, processes: u32) {
+        self.coordinator.borrow_mut().set_process_count(self, processes);
+    }
+
+    /// Switches failover between zones on. `home`: this manager's zone, by number.
+    pub fn enable_zone_failover(&self, config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) {
+        self.coordinator.borrow_mut().enable_zone_routing(ZoneRouting::new(config, home, zones));
+        self.wake.notify_one();
+    }
+
+    /// Takes in what other managers observe; `observers` is called only where failover is on.
+    pub fn set_observers(&self, observers: impl FnOnce() -> Vec<Observer>) {
+        self.coordinator.borrow_mut().set_observers(observers);
+    }
+
+    /// The pool of buffers.
+    pub fn pool(&self) -> &BufferPool {
+        &self.pool
+    }
+
+    /// The metrics: those of requests, and what others count beside them.
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
+    }
+
+    /// Pending requests.
+    pub fn pending_requests(&self) -> usize {
+        self.coordinator.borrow().requests.len()
+    }
+
+    /// The number of the last event of the endpoint list.
+    pub fn last_event(&self) -> u64 {
+        self.coordinator.borrow().engines.last_event()
+    }
+
+    /// Notes the number of an event that changes nothing here.
+    pub fn skip_event(&self, number: u64) {
+        self.coordinator.borrow_mut().engines.skip_event(number);
+    }
+
+    /// Applies an event of the endpoint list. `is_cached`: the list as held before this process started, possibly out of
+    /// date.
+    pub fn on_endpoint_list(self: &Rc<Self>, list: &ListEvent, is_cached: bool) {
+        self.coordinator.borrow_mut().on_endpoint_list(self, list, is_cached);
+    }
+
+    /// A number that is unique within this process's life, short of chance.
+    pub fn generate_id(&self) -> u64 {
+        self.coordinator.borrow_mut().generate_id()
+    }
+
+    /// Records the policy's events and actions from now on; `None` ends that and waits a little for the writer.
+    pub fn set_recorder(&self, recorder: Option<Recorder>) {
+        let previous = self.coordinator.borrow_mut().set_recorder(recorder);
+        // Dropped after the borrow has ended: this waits for the writer.
+        drop(previous);
+    }
+
+    /// Submits a request. `None` if its id is pending, or was another statement's of late.
+    pub fn submit(self: &Rc<Self>, request: Request) -> Option<RequestHandle> {
+        let id = request.spec.id;
+        let class = request.spec.class;
+        let mut coordinator = self.coordinator.borrow_mut();
+        let response = coordinator.submit(self, request, || self.metrics.take(class))?;
+        Some(RequestHandle { core: Rc::clone(self), id, response, was_cancelled: false })
+    }
+
+    /// Sets when this process gives its last responses: from then on requests are rejected and nothing is sent to an
+    /// engine.
+    pub fn set_shutdown_deadline(&self, deadline: Timestamp) {
+        self.coordinator.borrow_mut().set_shutdown_deadline(deadline);
+    }
+
+    /// Gives every pending request its final response now, because this process shuts down: those that cannot have run are
+    /// rejected, the others failed. How many.
+    pub fn complete_all(self: &Rc<Self>) -> usize {
+        self.coordinator.borrow_mut().complete_all(self)
+    }
+
+    /// Cordons an engine; `Ok` also where it is cordoned already.
+    ///
+    /// # Errors
+    /// An id that was never listed, and a call over the bounds on cordons.
+    pub fn cordon(self: &Rc<Self>, id: &str, hold: Hold, reason: &str) -> Result<Change, Refused> {
+        self.coordinator.borrow_mut().cordon(self, id, hold, reason)
+    }
+
+    /// Ends a cordon of the same caller; `Ok` also where there is none.
+    ///
+    /// # Errors
+    /// An id that was never listed.
+    pub fn uncordon(self: &Rc<Self>, id: &str, by: By) -> Result<Change, Refused> {
+        self.coordinator.borrow_mut().uncordon(self, id, by)
+    }
+
+    /// The cordons, and hashes of ids ever listed, for this process's successor.
+    pub fn export_cordons(&self, max_ids: usize) -> (Vec<Ban>, Vec<u64>) {
+        self.coordinator.borrow().export_cordons(max_ids)
+    }
+
+    /// Merges another process's cordons and listed ids.
+    pub fn merge_cordons(self: &Rc<Self>, cordons: &[Ban], ids: &[u64]) -> Merged {
+        self.coordinator.borrow_mut().merge_cordons(self, cordons, ids)
+    }
+
+    /// Ends the cordons whose time is over; to be called about once a second.
+    pub fn expire_cordons(self: &Rc<Self>) {
+        self.coordinator.borrow_mut().expire_cordons(self);
+    }
+
+    /// Engines that are listed, and how many of them get no requests: cordoned, or avoided by the policy.
+    pub fn listed_and_avoided(&self) -> (usize, usize) {
+        self.coordinator.borrow().listed_and_avoided()
+    }
+
+    /// Does what is due, for as long as the process lives.
+    pub async fn run(self: Rc<Self>) {
+        loop {
+            tokio::select! {
+                () = tokio::time::sleep(self.time_to_next_due()) => {}
+                () = self.wake.notified() => {}
+            }
+            self.coordinator.borrow_mut().process_due(&self);
+            self.coordinator.borrow_mut().check_zones(&self);
+        }
+    }
+
+    fn time_to_next_due(&self) -> Duration {
+        let mut coordinator = self.coordinator.borrow_mut();
+        let readiness_check = coordinator.startup_mut().and_then(|s| s.check_readiness(now()));
+        let next_due = coordinator.next_due().into_iter().chain(readiness_check).min();
+        next_due.map_or(MAX_SLEEP, |at| to_duration(at - now()))
+    }
+}
+
+impl ConnectionRuntime for Rc<Core> {
+    fn pool(&self) -> &BufferPool {
+        &self.pool
+    }
+
+    fn limits(&self) -> &ConnectionLimits {
+        &self.limits
+    }
+
+    fn start_connection(&self, connection: Rc<EngineConnection>) {
+        tokio::task::spawn_local(engine_connection::run(Rc::clone(self), connection));
+    }
+
+    fn wake(&self) {
+        self.wake.notify_one();
+    }
+}
+
+impl ConnectionOwner for Core {
+    fn pool(&self) -> &BufferPool {
+        &self.pool
+    }
+
+    fn limits(&self) -> &ConnectionLimits {
+        &self.limits
+    }
+
+    fn may_send(self: &Rc<Self>, connection: &EngineConnection, id: u64, attempt: u32) -> bool {
+        let is_approved = self.coordinator.borrow_mut().approve_send(connection, id, attempt);
+        if !is_approved {
+            // The attempt's end is reported with the next tick.
+            self.wake.notify_one();
+        }
+        is_approved
+    }
+
+    fn on_attempts_sent(&self, attempts: u64) {
+        (0..attempts).for_each(|_| self.metrics.forwarded());
+    }
+
+    fn on_connection_up(self: &Rc<Self>, connection: &EngineConnection) {
+        self.coordinator.borrow_mut().on_connection_up(connection);
+    }
+
+    fn on_answer(self: &Rc<Self>, connection: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed> {
+        self.coordinator.borrow_mut().on_answer(self, connection, parts)
+    }
+
+    fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool) {
+        self.coordinator.borrow_mut().on_connection_down(self, connection, reason, is_local);
+    }
+}
--- /dev/null
+++ b/src/core/attempt.rs
@@ -0,0 +1,321 @@
+//! One attempt in flight: its connection, its result so far, and its cancellation. State only.
+
+use super::buffer_pool::BufferPool;
+use super::engine_connection::{EngineConnection, Withdrawal};
+use super::result_buffer::{ResultSet, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
+use crate::proto::resp::{self, Answer, How, Stats, Word};
+use crate::proto::Malformed;
+use sprucelink_policy::{Outcome, TimeDelta, Timestamp};
+use std::rc::Rc;
+
+/// Commands on an attempt, as the engines' protocol names them.
+mod command {
+    /// Cancels an attempt that is not served yet.
+    pub(super) const CANCEL: &[u8] = b"undo";
+    /// Releases the result of a served attempt at its engine.
+    pub(super) const RELEASE_RESULT: &[u8] = b"forget";
+    /// Asks for a further page of a result.
+    pub(super) const PAGE: &[u8] = b"page";
+    /// Sets the priority of an attempt.
+    pub(super) const SET_PRIORITY: &[u8] = b"bump";
+}
+
+/// A cancelled attempt stays in flight for this long after its cancellation was sent: it must reach its engine before
+/// the next attempt reaches another. Paths differ by under 2 ms, and by more when a machine is busy.
+pub(super) const CANCELLATION_GRACE: TimeDelta = TimeDelta::from_micros(10_000);
+/// Time between two looks at whether a cancellation was sent.
+pub(super) const CANCELLATION_CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000);
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptOutcome {
+    /// Served, and the whole result is here.
+    Served,
+    /// The engine answered with an error.
+    EngineError,
+    /// The engine was full; the attempt never ran.
+    Overloaded,
+    /// The client's time ran out.
+    Expired,
+    /// No connection came up; the attempt never ran.
+    Unreachable,
+    /// The connection broke while it was in flight.
+    ConnectionBroken,
+    /// The connection was closed locally or because of another request. The attempt may have executed; the engine is
+    /// not penalised.
+    ConnectionClosed,
+    /// Cancelled.
+    Cancelled,
+    /// Withdrawn before it was sent, not sent for want of capacity, or refused unseen by the engine as already ended.
+    NeverRan,
+}
+
+impl AttemptOutcome {
+    /// Whether it is certain that no engine ran any of it.
+    pub fn never_ran(self) -> bool {
+        Outcome::from(self).never_ran()
+    }
+}
+
+impl From<AttemptOutcome> for Outcome {
+    fn from(outcome: AttemptOutcome) -> Outcome {
+        match outcome {
+            AttemptOutcome::Served => Outcome::Delivered,
+            AttemptOutcome::EngineError => Outcome::Error,
+            AttemptOutcome::Overloaded => Outcome::Shed,
+            AttemptOutcome::Expired => Outcome::Expired,
+            AttemptOutcome::Unreachable => Outcome::DialFailed,
+            AttemptOutcome::ConnectionBroken => Outcome::Dropped,
+            AttemptOutcome::Cancelled | AttemptOutcome::ConnectionClosed => Outcome::Revoked,
+            AttemptOutcome::NeverRan => Outcome::Unused,
+        }
+    }
+}
+
+/// What a query needed, as its engine reports it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct QueryCost {
+    /// Work in milliseconds on one core.
+    pub work_ms: f64,
+    /// Memory in MB.
+    pub memory_mb: f64,
+}
+
+/// A cancellation under way.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Cancellation {
+    /// Where its command ends in the connection's stream, in bytes.
+    pub(super) stream_end: u64,
+    /// Since when it is known to have been sent.
+    pub(super) sent_at: Option<Timestamp>,
+}
+
+/// What an engine's answer means for an attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum AnswerEffect {
+    /// Nothing to do.
+    None,
+    /// A progress note.
+    Progress {
+        /// What it is about.
+        kind: How,
+        /// Its value.
+        value: f64,
+    },
+    /// The attempt has ended.
+    Ended(AttemptOutcome),
+}
+
+/// The attempt of a request that is in flight.
+pub(super) struct InFlightAttempt {
+    /// Its number among its request's attempts, from 0.
+    pub(super) number: u32,
+    /// The connection that carries it.
+    pub(super) connection: Rc<EngineConnection>,
+    /// When it was queued to its connection.
+    pub(super) sent_at: Timestamp,
+    /// The pages received.
+    pub(super) result: ResultSet,
+    /// What the query needed, once the engine has told.
+    pub(super) cost: Option<QueryCost>,
+    /// The engine's last load report.
+    pub(super) load_report: Stats,
+    /// The first page of its result is here.
+    pub(super) is_served: bool,
+    /// Its cancellation, if it was cancelled.
+    pub(super) cancellation: Option<Cancellation>,
+    /// As what it ends once its cancellation has taken effect.
+    pub(super) cancelled_outcome: AttemptOutcome,
+}
+
+impl InFlightAttempt {
+    /// An attempt that was queued to a connection at `sent_at`.
+    pub(super) fn new(number: u32, connection: Rc<EngineConnection>, sent_at: Timestamp) -> InFlightAttempt {
+        InFlightAttempt {
+            number,
+            connection,
+            sent_at,
+            result: ResultSet::default(),
+            cost: None,
+            load_report: Stats::default(),
+            is_served: false,
+            cancellation: None,
+            cancelled_outcome: AttemptOutcome::Cancelled,
+        }
+    }
+
+    /// Whether this connection carries it.
+    pub(super) fn is_on(&self, connection: &EngineConnection) -> bool {
+        std::ptr::eq(&*self.connection, connection)
+    }
+
+    /// Sets the priority at its engine; a served attempt has none any more.
+    pub(super) fn set_priority(&self, pool: &BufferPool, id: u64, priority: u8) {
+        if self.is_served {
+            return;
+        }
+        let id = format_id(id);
+        let priority = priority.to_string();
+        self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), priority.as_bytes()]);
+    }
+
+    /// Notes that it was withdrawn before its first byte: it ends as one that never ran, and nothing has to reach its
+    /// engine first.
+    pub(super) fn mark_withdrawn(&mut self, now: Timestamp) {
+        self.cancelled_outcome = AttemptOutcome::NeverRan;
+        self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now - CANCELLATION_GRACE) });
+    }
+
+    /// Notes that its connection was closed here: it ends as `outcome` once the close has reached the engine.
+    pub(super) fn mark_closed(&mut self, outcome: AttemptOutcome, now: Timestamp) {
+        self.cancelled_outcome = outcome;
+        self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now) });
+    }
+
+    /// Cancels it at its engine, or withdraws it if no byte of it was sent. Until the cancellation has taken effect its
+    /// own end may still come.
+    pub(super) fn cancel(&mut self, pool: &BufferPool, id: u64, now: Timestamp) {
+        if self.connection.withdraw(id) == Withdrawal::Complete {
+            self.mark_withdrawn(now);
+            return;
+        }
+        let name = if self.is_served { command::RELEASE_RESULT } else { command::CANCEL };
+        self.connection.command(pool, &[name, format_id(id).as_bytes()]);
+        self.cancellation = Some(Cancellation { stream_end: self.connection.queued(), sent_at: None });
+    }
+
+    /// How long until its cancellation may have taken effect; zero or less if it has, `None` if it is not cancelled.
+    ///
+    /// A cancellation that still waits for its connection, or for a turn on the processor, would be overtaken by the next
+    /// attempt, and two copies would run.
+    pub(super) fn cancellation_delay(&mut self, now: Timestamp) -> Option<TimeDelta> {
+        let cancellation = self.cancellation.as_mut()?;
+        let delay = match cancellation.sent_at {
+            Some(sent_at) => sent_at + CANCELLATION_GRACE - now,
+            None if self.connection.has_passed(cancellation.stream_end) => {
+                cancellation.sent_at = Some(now);
+                CANCELLATION_GRACE
+            }
+            None => CANCELLATION_CHECK_INTERVAL,
+        };
+        Some(delay)
+    }
+
+    /// Takes in an answer of its engine.
+    ///
+    /// # Errors
+    /// Where the answer breaks the protocol: nothing else on its connection is of use then.
+    pub(super) fn on_answer(
+        &mut self,
+        pool: &BufferPool,
+        id: u64,
+        answer: &Answer,
+    ) -> Result<AnswerEffect, Malformed> {
+        match answer.word {
+            Word::Update { how: Some(kind), num } => Ok(AnswerEffect::Progress { kind, value: num }),
+            Word::Update { how: None, .. } | Word::Green => Ok(AnswerEffect::None),
+            Word::Other => Err(Malformed::field("word", "is not known")),
+            Word::Overload => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
+            Word::Nobody => Ok(self.on_rejection(AttemptOutcome::NeverRan, answer)),
+            Word::Crashed => {
+                self.load_report = answer.stats;
+                Ok(AnswerEffect::Ended(AttemptOutcome::EngineError))
+            }
+            Word::Served { pages } => self.on_first_page(pool, id, pages, answer),
+            Word::Rows { page } => self.on_further_page(pool, id, page, answer),
+        }
+    }
+
+    /// The engine did not run it; once it is served this can only be the answer to a duplicate.
+    fn on_rejection(&mut self, outcome: AttemptOutcome, answer: &Answer) -> AnswerEffect {
+        if self.is_served {
+            return AnswerEffect::None;
+        }
+        self.load_report = answer.stats;
+        AnswerEffect::Ended(outcome)
+    }
+
+    fn on_first_page(
+        &mut self,
+        pool: &BufferPool,
+        id: u64,
+        pages: usize,
+        answer: &Answer,
+    ) -> Result<AnswerEffect, Malformed> {
+        if self.cancellation.is_some() && pages > 1 {
+            // The further pages are not wanted any more.
+            self.release_result(pool, id);
+            return Ok(AnswerEffect::None);
+        }
+        if self.is_served {
+            // The answer to a duplicate.
+            return Ok(AnswerEffect::None);
+        }
+        self.check_page(answer.body)?;
+        self.is_served = true;
+        self.load_report = answer.stats;
+        self.cost = answer.bill.map(|(work_ms, memory_mb)| QueryCost { work_ms, memory_mb });
+        self.result.expect_pages(pages);
+        for page in 1..pages {
+            let page = page.to_string();
+            self.connection.command(pool, &[command::PAGE, format_id(id).as_bytes(), page.as_bytes()]);
+        }
+        Ok(self.store_page(pool, id, 0, answer.body))
+    }
+
+    fn on_further_page(
+        &mut self,
+        pool: &BufferPool,
+        id: u64,
+        page: usize,
+        answer: &Answer,
+    ) -> Result<AnswerEffect, Malformed> {
+        if self.cancellation.is_some() || !self.is_served {
+            return Ok(AnswerEffect::None);
+        }
+        match self.result.has_page(page) {
+            Some(false) => {}
+            Some(true) => return Ok(AnswerEffect::None),
+            None => return Err(Malformed::field("batch", "is out of place")),
+        }
+        self.check_page(answer.body)?;
+        Ok(self.store_page(pool, id, page, answer.body))
+    }
+
+    /// Checks that a page has whole rows and that the result stays within its bound.
+    fn check_page(&self, body: &[u8]) -> Result<(), Malformed> {
+        if body.len() > MAX_PAGE_BYTES || !resp::is_page(body) {
+            return Err(Malformed::field("body", "is no page of whole rows"));
+        }
+        if self.result.len() + body.len() > MAX_RESULT_BYTES {
+            return Err(Malformed::field("body", "makes the result longer than any may be"));
+        }
+        Ok(())
+    }
+
+    fn store_page(&mut self, pool: &BufferPool, id: u64, page: usize, body: &[u8]) -> AnswerEffect {
+        if !self.result.insert_page(pool, page, body) {
+            self.release_result(pool, id);
+            return AnswerEffect::Ended(AttemptOutcome::ConnectionClosed);
+        }
+        if self.result.is_complete() {
+            AnswerEffect::Ended(AttemptOutcome::Served)
+        } else {
+            AnswerEffect::None
+        }
+    }
+
+    fn release_result(&self, pool: &BufferPool, id: u64) {
+        release_result(&self.connection, pool, id);
+    }
+}
+
+/// Releases the result of a request at its engine: its further pages are not wanted.
+pub(super) fn release_result(connection: &EngineConnection, pool: &BufferPool, id: u64) {
+    connection.command(pool, &[command::RELEASE_RESULT, format_id(id).as_bytes()]);
+}
+
+/// A request's id as the engines' protocol and the log write it: 16 hex digits.
+pub(super) fn format_id(id: u64) -> String {
+    format!("{id:016x}")
+}
--- a/src/core/buffer_pool.rs
+++ b/src/core/buffer_pool.rs
@@ -1,5 +1,5 @@
-//! Buffers of one size, used again. The pool has a bound: what finds it empty is refused, so that
-//! a flood costs answers and not the process.
+//! Buffers of one size that are reused. The pool has a bound: what finds it empty is rejected, so that a flood costs
+//! rejections and not the process.
 
 use bytes::BufMut;
 use std::cell::{Cell, RefCell};
@@ -11,73 +11,77 @@
 use std::task::{ready, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, ReadBuf};
 
-/// Size of every buffer: the largest result (48,000 bytes) and its framing fit one.
-pub const SIZE: usize = 64 * 1024;
+/// Size of every buffer in bytes: the largest result (48,000 bytes) and its framing fit one.
+pub const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Bytes read at first, off the stack: most messages are shorter.
-const FIRST_READ: usize = 2_048;
+/// Bytes of the first read into a buffer, which goes through the stack: most messages are shorter.
+const FIRST_READ_BYTES: usize = 2_048;
 
 #[derive(Debug)]
-struct RequestTable {
+struct PoolState {
     free: RefCell<Vec<Vec<u8>>>,
-    out: Cell<usize>,
-    most: usize,
+    in_use: Cell<usize>,
+    max_buffers: usize,
 }
 
 /// A pool of buffers.
 #[derive(Clone, Debug)]
-pub struct BufferPool(Rc<RequestTable>);
+pub struct BufferPool(Rc<PoolState>);
 
-/// A buffer that goes back to its pool when dropped. Writers keep within [`SIZE`].
+/// A buffer that returns to its pool when dropped. Writers keep within [`BUFFER_BYTES`].
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    pool: Rc<RequestTable>,
+    pool: Rc<PoolState>,
 }
 
 impl BufferPool {
-    /// A pool that hands out at most so many buffers at a time.
-    pub fn new(most: usize) -> BufferPool {
-        BufferPool(Rc::new(RequestTable { free: RefCell::new(Vec::new()), out: Cell::new(0), most }))
+    /// A pool of at most `max_buffers` in use at a time.
+    pub fn new(max_buffers: usize) -> BufferPool {
+        BufferPool(Rc::new(PoolState { free: RefCell::new(Vec::new()), in_use: Cell::new(0), max_buffers }))
     }
-    /// An empty buffer, or `None` when all are out.
+
+    /// An empty buffer, or `None` when all are in use.
     pub fn get(&self) -> Option<Buffer> {
-        if self.0.out.get() >= self.0.most {
+        if self.0.in_use.get() >= self.0.max_buffers {
             return None;
         }
-        Some(self.must())
+        Some(self.get_beyond_limit())
     }
-    /// An empty buffer, also when all are out: for what cannot be put off, such as an attempt's undo, an
-    /// error to a client or bytes that have come. Each link and each session has two at most, so their
-    /// numbers bound it; it counts like any other, so that new work is refused meanwhile.
-    pub fn must(&self) -> Buffer {
-        self.0.out.set(self.0.out.get() + 1);
-        let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| Vec::with_capacity(SIZE));
+
+    /// An empty buffer, also when all are in use: for what cannot be put off, such as a cancellation, an error to a client
+    /// or bytes that have arrived. Each connection and each session has two at most, so their numbers bound it; it counts
+    /// like any other, so that new work is rejected meanwhile.
+    pub fn get_beyond_limit(&self) -> Buffer {
+        self.0.in_use.set(self.0.in_use.get() + 1);
+        let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_BYTES));
         Buffer { bytes, pool: Rc::clone(&self.0) }
     }
-    /// Buffers that may be out at a time.
-    pub fn most(&self) -> usize {
-        self.0.most
+
+    /// Buffers that may be in use at a time.
+    pub fn max_buffers(&self) -> usize {
+        self.0.max_buffers
     }
-    /// Buffers that are out.
-    pub fn out(&self) -> usize {
-        self.0.out.get()
+
+    /// Buffers in use.
+    pub fn in_use(&self) -> usize {
+        self.0.in_use.get()
     }
 }
 
 impl Buffer {
-    /// Whether so many bytes more fit.
-    pub fn has_room(&self, n: usize) -> bool {
-        self.bytes.len() + n <= SIZE
+    /// Whether so many more bytes fit.
+    pub fn has_room(&self, bytes: usize) -> bool {
+        self.bytes.len() + bytes <= BUFFER_BYTES
     }
 }
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.pool.out.set(self.pool.out.get() - 1);
+        self.pool.in_use.set(self.pool.in_use.get() - 1);
         let mut bytes = std::mem::take(&mut self.bytes);
-        // Guards the bound on memory: a buffer that outgrew its size is not kept.
-        if bytes.capacity() <= SIZE {
+        // A buffer that outgrew its size is not kept: the pool's memory stays bounded.
+        if bytes.capacity() <= BUFFER_BYTES {
             bytes.clear();
             self.pool.free.borrow_mut().push(bytes);
         }
@@ -90,36 +94,36 @@
         &self.bytes
     }
 }
+
 impl DerefMut for Buffer {
     fn deref_mut(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 }
 
-/// Reads what there is into a buffer that is taken from the pool only once there are bytes; 0 at the
-/// end of the stream. Guards the pool against connections that say nothing: hundreds of them would hold
-/// every buffer.
+/// Reads what has arrived into a buffer that is taken from the pool only once there are bytes; 0 at the end of the stream.
+/// Hundreds of silent connections would hold every buffer otherwise.
 ///
 /// # Errors
-/// Those of the stream; and a full buffer is one: who pauses there never learns of the stream's end.
+/// Those of the stream. A full buffer is one, too: a reader that paused there would never learn of the stream's end.
 pub async fn read_into<S: AsyncRead + Unpin>(
     pool: &BufferPool,
     stream: &mut S,
-    held: &mut Option<Buffer>,
+    buffer: &mut Option<Buffer>,
 ) -> io::Result<usize> {
-    if let Some(buf) = held {
-        let room = SIZE.saturating_sub(buf.len());
+    if let Some(buffer) = buffer {
+        let room = BUFFER_BYTES.saturating_sub(buffer.len());
         if room == 0 {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "the buffer is full"));
         }
-        return stream.read_buf(&mut (&mut **buf).limit(room)).await;
+        return stream.read_buf(&mut (&mut **buffer).limit(room)).await;
     }
     poll_fn(|cx| {
-        let mut first = [0; FIRST_READ];
+        let mut first = [0; FIRST_READ_BYTES];
         let mut read = ReadBuf::new(&mut first);
         ready!(Pin::new(&mut *stream).poll_read(cx, &mut read))?;
         if !read.filled().is_empty() {
-            held.insert(pool.must()).extend_from_slice(read.filled());
+            buffer.insert(pool.get_beyond_limit()).extend_from_slice(read.filled());
         }
         Poll::Ready(Ok(read.filled().len()))
     })
--- /dev/null
+++ b/src/core/clock.rs
@@ -0,0 +1,39 @@
+//! The clock of the process: Unix time when the process started, advanced by the monotonic clock.
+
+use sprucelink_policy::{TimeDelta, Timestamp};
+use std::sync::OnceLock;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// The current time: Unix time at the first call, advanced by the monotonic clock from there on.
+///
+/// Every deadline and span is taken from it, so that a step of the system clock neither ends nor prolongs anything.
+pub fn now() -> Timestamp {
+    static FIRST: OnceLock<(Instant, Timestamp)> = OnceLock::new();
+    let (first_call, started_at) = FIRST.get_or_init(|| (Instant::now(), unix()));
+    let elapsed = i64::try_from(first_call.elapsed().as_micros()).unwrap_or(i64::MAX);
+    *started_at + TimeDelta::from_micros(elapsed)
+}
+
+/// The system's Unix clock, which may step; 0 before 1970.
+pub fn unix() -> Timestamp {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    Timestamp::from_micros(i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX))
+}
+
+/// Converts a Unix time from another process to the clock of [`now`].
+pub fn from_unix(unix_time: Timestamp) -> Timestamp {
+    convert_from_unix(unix_time, unix(), now())
+}
+
+/// Converts a Unix time to a clock that shows `now` when Unix time is `unix_now`.
+fn convert_from_unix(unix_time: Timestamp, unix_now: Timestamp, now: Timestamp) -> Timestamp {
+    now + (unix_time - unix_now)
+}
+
+/// A span as a duration to sleep; zero if it is negative.
+pub fn to_duration(span: TimeDelta) -> Duration {
+    Duration::from_micros(span.as_micros().max(0) as u64)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/coordinator/attempts.rs
@@ -0,0 +1,304 @@
+//! Attempts: each is sent once, cancelled at most once, and ends once.
+
+use super::{ConnectionRuntime, Coordinator};
+use crate::core::attempt::{
+    format_id, release_result, AnswerEffect, AttemptOutcome, InFlightAttempt, QueryCost,
+};
+use crate::core::buffer_pool::BufferPool;
+use crate::core::clock::now;
+use crate::core::engine_connection::{EngineConnection, Withdrawal};
+use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
+use crate::core::request::Response;
+use crate::core::request_table::PendingRequest;
+use crate::core::send_guard::OutgoingAttempt;
+use crate::proto::resp::{self, Stats, Word};
+use crate::proto::Malformed;
+use sprucelink_policy::TimeDelta;
+use std::rc::Rc;
+use tracing::{debug, error, warn};
+
+/// How an attempt ended, as the policy is told.
+struct AttemptEnd {
+    /// The attempt's number.
+    attempt: u32,
+    outcome: AttemptOutcome,
+    /// Time since it was sent.
+    latency: TimeDelta,
+    /// What the query needed, where the engine has told.
+    cost: Option<QueryCost>,
+    /// The engine's load report.
+    load_report: Stats,
+}
+
+impl AttemptEnd {
+    /// The end of an attempt that was never queued to a connection.
+    fn unsent(attempt: u32, outcome: AttemptOutcome) -> AttemptEnd {
+        let latency = TimeDelta::ZERO;
+        AttemptEnd { attempt, outcome, latency, cost: None, load_report: Stats::default() }
+    }
+}
+
+impl Coordinator {
+    /// Makes an attempt of a request at an engine.
+    pub(super) fn send(
+        &mut self,
+        runtime: &dyn ConnectionRuntime,
+        id: u64,
+        engine: usize,
+    ) -> Vec<PolicyCommand> {
+        let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
+        let attempt = request.attempts;
+        request.attempts += 1;
+        // Nothing is sent after the final response, whatever the policy wants.
+        if !request.is_awaited() {
+            error!(request = format_id(id), "a send for a request that is over was dropped");
+            return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
+        }
+        let cost_ms = request.cost_ms;
+        let time_left = request.deadline - now();
+        self.counters.attempts += 1;
+        self.gossip_attempt(attempt, engine, cost_ms);
+        let connection = match self.connection_for(runtime, id, engine) {
+            Ok(connection) => connection,
+            Err(outcome) => return self.report_end(id, AttemptEnd::unsent(attempt, outcome)),
+        };
+        let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
+        let name = format_id(id);
+        let fields = format_fields(request, time_left);
+        let command = [b"do", name.as_bytes(), fields.as_bytes(), &request.statement[..]];
+        if !connection.send(runtime.pool(), id, attempt, &command) {
+            return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
+        }
+        request.in_flight = Some(InFlightAttempt::new(attempt, connection, now()));
+        Vec::new()
+    }
+
+    /// Whether an attempt may be sent, checked just before its first byte: the one place through which attempts leave.
+    /// One that may not is withdrawn and ends as one that never ran; one without an owner is withdrawn, and that is all.
+    pub(in crate::core) fn approve_send(
+        &mut self,
+        connection: &EngineConnection,
+        id: u64,
+        number: u32,
+    ) -> bool {
+        let now = now();
+        let spare_attempts = self.fleet.spare_attempts;
+        let engine_ready = self.engines.get(connection.engine).is_some_and(|engine| engine.is_ready);
+        let is_owner = |attempt: &InFlightAttempt| {
+            attempt.number == number && attempt.is_on(connection) && attempt.cancellation.is_none()
+        };
+        let request = self.requests.get_mut(id).filter(|r| r.in_flight.as_ref().is_some_and(is_owner));
+        let Some(request) = request else {
+            connection.withdraw(id);
+            return false;
+        };
+        let outgoing = OutgoingAttempt {
+            request_is_awaited: request.is_awaited(),
+            deadline: request.deadline,
+            class: request.class,
+            is_retry: number > 0,
+            may_have_run_since: request.may_have_run_since,
+            engine_is_ready: engine_ready,
+        };
+        let Err(why) = self.send_guard.check(now, spare_attempts, &outgoing) else {
+            self.send_guard.record_send(now, outgoing.is_retry);
+            return true;
+        };
+        connection.withdraw(id);
+        if let Some(attempt) = &mut request.in_flight {
+            attempt.mark_withdrawn(now);
+        }
+        self.requests.schedule_cancellation(now, id, number);
+        debug!(
+            request = format_id(id),
+            number = connection.engine,
+            attempt = number,
+            "attempt held back: {why:?}"
+        );
+        false
+    }
+
+    /// Reports an attempt's end to the policy; the attempt is not in flight any more.
+    fn report_end(&mut self, id: u64, end: AttemptEnd) -> Vec<PolicyCommand> {
+        let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
+        let outcome = end.outcome;
+        request.last_outcome = Some(outcome);
+        let request_complete = outcome == AttemptOutcome::Served || !request.is_awaited();
+        if matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::EngineError) {
+            if let Some(startup) = &mut self.startup {
+                startup.admission.pushed_back();
+            }
+        }
+        let event = PolicyEvent::AttemptEnded {
+            id,
+            attempt: end.attempt,
+            outcome,
+            latency: end.latency,
+            request_complete,
+            cost: end.cost,
+            load_report: end.load_report,
+        };
+        let commands = self.policy.on_event(now(), event);
+        self.requests.remove_if_done(id);
+        commands
+    }
+
+    /// Ends the attempt of a request that is in flight.
+    pub(super) fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Vec<PolicyCommand> {
+        let Some(attempt) = self.requests.take_in_flight(id) else { return Vec::new() };
+        attempt.connection.release(id, outcome != AttemptOutcome::Served);
+        let latency = now() - attempt.sent_at;
+        if let Some(request) = self.requests.get_mut(id) {
+            log_end(id, request, &attempt, outcome, latency);
+            if !outcome.never_ran() {
+                request.may_have_run_since.get_or_insert(attempt.sent_at);
+            }
+        }
+        let end = AttemptEnd {
+            attempt: attempt.number,
+            outcome,
+            latency,
+            cost: attempt.cost,
+            load_report: attempt.load_report,
+        };
+        let mut commands = self.report_end(id, end);
+        // A request that was abandoned before has nobody to respond to.
+        let is_awaited = self.requests.get(id).is_some_and(PendingRequest::is_awaited);
+        if outcome == AttemptOutcome::Served && is_awaited {
+            commands.extend(self.complete(id, Response::Served(attempt.result)));
+        }
+        commands
+    }
+
+    /// Withdraws the attempt of a request if it was not sent, for nothing is sent once the request is over; its end is
+    /// reported with the next tick. An attempt that was sent in part can only be stopped by closing its connection: the
+    /// commands that follow from that.
+    pub(super) fn withdraw_attempt(&mut self, id: u64) -> Vec<PolicyCommand> {
+        let Some(attempt) = self.requests.in_flight_mut(id) else { return Vec::new() };
+        match attempt.connection.withdraw(id) {
+            Withdrawal::TooLate => Vec::new(),
+            Withdrawal::Partial => {
+                let connection = Rc::clone(&attempt.connection);
+                let engine = connection.engine;
+                warn!(number = engine, "link to engine {engine} given up: it takes a request in part");
+                self.close_connection(&connection, true)
+            }
+            Withdrawal::Complete => {
+                let now = now();
+                attempt.mark_withdrawn(now);
+                let number = attempt.number;
+                self.requests.schedule_cancellation(now, id, number);
+                Vec::new()
+            }
+        }
+    }
+
+    /// Cancels the attempt of a request; false if it is not in flight, or is cancelled already.
+    pub(super) fn cancel_attempt(&mut self, pool: &BufferPool, id: u64, number: u32) -> bool {
+        let attempt = self.requests.attempt_mut(id, number).filter(|a| a.cancellation.is_none());
+        let Some(attempt) = attempt else { return false };
+        attempt.cancel(pool, id, now());
+        true
+    }
+
+    /// Ends a cancelled attempt once its cancellation has taken effect, or schedules the next look.
+    pub(super) fn check_cancellation(&mut self, runtime: &dyn ConnectionRuntime, id: u64, number: u32) {
+        let Some(attempt) = self.requests.attempt_mut(id, number) else { return };
+        let Some(delay) = attempt.cancellation_delay(now()) else { return };
+        let outcome = attempt.cancelled_outcome;
+        if delay > TimeDelta::ZERO {
+            self.requests.schedule_cancellation(now() + delay, id, number);
+            return;
+        }
+        let commands = self.end_attempt(id, outcome);
+        self.execute(runtime, commands);
+    }
+
+    /// Takes in what an engine sent on a connection. Only what concerns an attempt on this connection is read: answers
+    /// to duplicates, and under ids that were never here, are skipped whatever they hold.
+    ///
+    /// # Errors
+    /// Where it breaks the protocol: nothing else on the connection is of use then.
+    pub(in crate::core) fn on_answer(
+        &mut self,
+        runtime: &dyn ConnectionRuntime,
+        connection: &EngineConnection,
+        parts: &[&[u8]],
+    ) -> Result<(), Malformed> {
+        let id = parse_id(parts.first().copied())?;
+        if let Some(engine) = self.engines.get_mut(connection.engine) {
+            engine.last_heard_at = Some(now());
+        }
+        let Some(number) = connection.attempt_of(id) else {
+            release_late_result(runtime.pool(), connection, id, parts);
+            return Ok(());
+        };
+        let answer = resp::read_answer(parts)?;
+        let effect = match self.requests.attempt_mut(id, number) {
+            Some(attempt) => attempt.on_answer(runtime.pool(), id, &answer)?,
+            None => AnswerEffect::None,
+        };
+        let commands = match effect {
+            AnswerEffect::None => Vec::new(),
+            AnswerEffect::Progress { kind, value } => {
+                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt: number, kind, value })
+            }
+            AnswerEffect::Ended(outcome) => self.end_attempt(id, outcome),
+        };
+        self.execute(runtime, commands);
+        Ok(())
+    }
+}
+
+/// The id of the request that an answer names.
+fn parse_id(name: Option<&[u8]>) -> Result<u64, Malformed> {
+    let text = name.and_then(|name| std::str::from_utf8(name).ok()).filter(|text| text.len() == 16);
+    let id = text.and_then(|text| u64::from_str_radix(text, 16).ok());
+    id.ok_or_else(|| Malformed::field("id", "is not 16 hex digits"))
+}
+
+/// Releases the result that a late answer to an ended attempt announces.
+fn release_late_result(pool: &BufferPool, connection: &EngineConnection, id: u64, parts: &[&[u8]]) {
+    if !connection.has_ended_unserved(id) {
+        return;
+    }
+    let Ok(answer) = resp::read_answer(parts) else { return };
+    if matches!(answer.word, Word::Served { pages } if pages > 1) {
+        release_result(connection, pool, id);
+    }
+}
+
+/// The fields of the command that sends an attempt, as the engines' protocol names them.
+fn format_fields(request: &PendingRequest, time_left: TimeDelta) -> String {
+    let mut fields = format!("class={},wait={}", request.class_name, time_left.as_millis().max(1));
+    if let Some(key) = &request.idempotency_key {
+        fields.push_str(&format!(",once={key}"));
+    }
+    if let Some(mb) = request.memory_grant_mb {
+        fields.push_str(&format!(",mb={}", mb.ceil().max(1.0)));
+    }
+    fields.push_str(&format!(",nice={}", request.priority));
+    fields
+}
+
+fn log_end(
+    id: u64,
+    request: &PendingRequest,
+    attempt: &InFlightAttempt,
+    outcome: AttemptOutcome,
+    latency: TimeDelta,
+) {
+    let ms = latency.as_millis();
+    debug!(
+        request = format_id(id),
+        number = attempt.connection.engine,
+        attempt = attempt.number,
+        class = request.class_name,
+        level = request.priority,
+        left_ms = (request.deadline - now()).as_millis(),
+        answered = !request.is_awaited(),
+        inflight = attempt.load_report.inflight,
+        ms,
+        "attempt ended as {outcome:?} after {ms} ms"
+    );
+}
--- /dev/null
+++ b/src/core/coordinator/tests.rs
@@ -0,0 +1,172 @@
+//! Tests of the coordinator: one final response a request, one end an attempt.
+
+use super::*;
+use crate::core::attempt::Cancellation;
+use crate::core::engine_connection::ConnectionOwner;
+use crate::core::test_support::{core, local, member, request};
+use crate::core::Core;
+use crate::proto::events::{ListEvent, Phase};
+use std::time::Duration;
+
+/// The next attempt is sent a median 26 us after the cancellation, by another path, and may overtake it: two copies of one
+/// request would run.
+#[test]
+fn cancelled_attempt_stays_in_flight_until_its_cancellation_has_arrived() {
+    local(async {
+        let (core, _engines) = core().await;
+        let _handle = core.submit(request(&core, 1)).expect("accepted");
+        let connection = {
+            let coordinator = core.coordinator.borrow();
+            let out = coordinator.requests.pending(1).in_flight.as_ref().expect("an attempt is out");
+            Rc::clone(&out.connection)
+        };
+        tokio::time::sleep(Duration::from_millis(50)).await;
+        // Hardly begun long after the latency objective: the policy cancels it.
+        let note: [&[u8]; 3] = [b"0000000000000001", b"update", b"how=so_far,num=0.0"];
+        core.on_answer(&connection, &note).expect("understood");
+        {
+            let coordinator = core.coordinator.borrow();
+            assert!(coordinator
+                .requests
+                .pending(1)
+                .in_flight
+                .as_ref()
+                .expect("still out")
+                .cancellation
+                .is_some());
+            assert_eq!(
+                coordinator.requests.pending(1).attempts,
+                1,
+                "sent again before the cancellation has arrived"
+            );
+        }
+        tokio::task::spawn_local(Rc::clone(&core).run());
+        for _ in 0..1000 {
+            tokio::time::sleep(Duration::from_millis(5)).await;
+            if core.coordinator.borrow().requests.pending(1).attempts == 2 {
+                return;
+            }
+        }
+        panic!("never sent again");
+    });
+}
+
+/// Two copies must not run where this process is slow: the cancellation waits for its connection, so the next attempt waits
+/// for the cancellation.
+#[test]
+fn cancellation_that_was_not_sent_has_not_arrived() {
+    local(async {
+        let (core, _engines) = core().await;
+        let _handle = core.submit(request(&core, 1)).expect("accepted");
+        let stuck = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
+        let (attempt, place) = {
+            let mut coordinator = core.coordinator.borrow_mut();
+            let out = coordinator.requests.in_flight_mut(1).expect("out");
+            stuck.command(core.pool(), &[b"undo"]);
+            out.cancellation = Some(Cancellation { stream_end: stuck.queued(), sent_at: None });
+            out.connection = Rc::clone(&stuck);
+            (out.number, stuck.queued())
+        };
+        let has_ended = || {
+            core.coordinator.borrow_mut().check_cancellation(&core, 1, attempt);
+            core.coordinator
+                .borrow()
+                .requests
+                .pending(1)
+                .in_flight
+                .as_ref()
+                .is_none_or(|o| o.number != attempt)
+        };
+        assert!(!has_ended() && !stuck.has_passed(place));
+        tokio::time::sleep(Duration::from_millis(30)).await;
+        assert!(!has_ended(), "it is still in the queue");
+        stuck.close();
+        assert!(!has_ended(), "it was sent only now");
+        tokio::time::sleep(Duration::from_millis(30)).await;
+        assert!(has_ended());
+    });
+}
+
+/// Engines may come under new ids for ever, and every decision looks at all numbers: memory and time per request must stay
+/// bounded.
+#[test]
+fn numbers_of_gone_engines_are_reused() {
+    local(async {
+        let (core, engines) = core().await;
+        core.coordinator.borrow_mut().engines.set_retention(TimeDelta::ZERO);
+        let address = engines[0].local_addr().expect("an address").to_string();
+        let member = |id: u64, phase: Phase| member(&format!("e-{id}"), address.clone(), phase, 0);
+        for n in 2..500 {
+            let members = vec![member(n - 1, Phase::Gone), member(n, Phase::Ready)];
+            core.on_endpoint_list(&ListEvent { n, revision: 0, complete: false, members }, false);
+            tokio::time::sleep(Duration::from_micros(10)).await;
+        }
+        assert!(core.coordinator.borrow().engines.len() < 10, "{}", core.coordinator.borrow().engines.len());
+        // A complete list that names one engine only: the others are gone, and the one that it names is used.
+        let members = vec![member(499, Phase::Ready)];
+        core.on_endpoint_list(&ListEvent { n: 500, revision: 0, complete: true, members }, false);
+        let _handle = core.submit(request(&core, 1)).expect("accepted");
+        let mut coordinator = core.coordinator.borrow_mut();
+        let number = coordinator.policy.engine_number("e-499");
+        assert_eq!(
+            coordinator.requests.pending(1).in_flight.as_ref().expect("out").connection.engine,
+            number
+        );
+    });
+}
+
+/// A second response has nowhere to go, whoever gives it.
+#[test]
+fn request_has_one_final_response() {
+    local(async {
+        let (core, _engines) = core().await;
+        let mut handle = core.submit(request(&core, 1)).expect("accepted");
+        assert!(core.submit(request(&core, 1)).is_none(), "a pending id is not accepted twice");
+        {
+            let mut coordinator = core.coordinator.borrow_mut();
+            drop(coordinator.complete(
+                1,
+                Response::Rejected {
+                    reason: RejectReason::Overloaded,
+                    retry_after: TimeDelta::from_micros(5),
+                },
+            ));
+            drop(coordinator.complete(
+                1,
+                Response::Failed {
+                    reason: RejectReason::ConnectionLost,
+                    retry_after: TimeDelta::from_micros(5),
+                },
+            ));
+        }
+        assert!(matches!(handle.wait().await, Response::Rejected { reason: RejectReason::Overloaded, .. }));
+        let mut other = request(&core, 1);
+        other.statement.extend_from_slice(b"SELECT 2");
+        assert!(core.submit(other).is_none(), "nor one that was another statement's");
+    });
+}
+
+/// Nothing may be sent to an engine that drains. An attempt that waits for its connection never ran, so it is sent elsewhere.
+#[test]
+fn unsent_attempt_is_sent_elsewhere_when_its_engine_drains() {
+    local(async {
+        let (core, engines) = core().await;
+        let _handle = core.submit(request(&core, 1)).expect("accepted");
+        let engine = |core: &Core| {
+            core.coordinator.borrow().requests.pending(1).in_flight.as_ref().expect("out").connection.engine
+        };
+        let first = engine(&core);
+        let address = engines[first].local_addr().expect("an address").to_string();
+        let member = member(&format!("s-{}", first + 1), address, Phase::Draining, 0);
+        core.on_endpoint_list(
+            &ListEvent { n: 2, revision: 0, complete: false, members: vec![member] },
+            false,
+        );
+        assert_eq!(engine(&core), 1 - first);
+        assert_eq!(core.coordinator.borrow().requests.pending(1).attempts, 2);
+        // The event comes again after a reconnect: it is skipped.
+        let again = ListEvent { n: 2, revision: 0, complete: true, members: Vec::new() };
+        core.on_endpoint_list(&again, false);
+        assert_eq!(engine(&core), 1 - first);
+    });
+}
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -1,19 +1,19 @@
-//! Follows the control feed: one HTTP/1.1 call at a time, which goes on where the last one left off. When to call and
-//! when to give up, [`super::endpoint_watch`] decides.
+//! The client of the control feed: one HTTP/1.1 poll at a time, which goes on where the last one ended. When to poll and
+//! when to give up is decided by [`super::endpoint_watch`].
 
-use super::endpoint_watch::EndpointWatch;
-use super::request_table::Core;
-use super::{now, span};
+use super::endpoint_watch::{EndpointWatch, UnexpectedStatus};
+use super::{now, to_duration, Core};
 use crate::proto::{events, sse, Malformed};
 use http_body_util::{BodyExt, Empty};
-use hyper::body::Bytes;
+use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1;
 use hyper::header::{ACCEPT, CONNECTION, HOST};
-use hyper::Request;
+use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use sprucelink_startup::lists::ListCalls;
 use std::error::Error;
 use std::future::Future;
+use std::io;
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -21,127 +21,161 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, warn};
 
-/// Bytes that a call reads ahead, and so the longest head of an answer; the least that the library can do with.
-const AHEAD: usize = 8192;
+/// Bytes that a poll reads ahead, and so the longest head of a response; the least that the library accepts.
+const READ_AHEAD_BYTES: usize = 8192;
 
-/// Follows the feed for good, one call at a time, at whatever address it has: a new one is called at
-/// once and the call to the old one dropped, whatever it still had to say. With the cold start's
-/// schedule (`calls`), calls wait for their turn in it, and rests are its own.
-pub async fn follow(core: Rc<Core>, mut address: watch::Receiver<Option<String>>, calls: Option<ListCalls>) {
-    let mut following = EndpointWatch::new(calls, now());
+/// Why a poll ended before its response did.
+#[derive(Debug, thiserror::Error)]
+enum PollError {
+    #[error("{0}")]
+    TimedOut(&'static str),
+    #[error(transparent)]
+    Connect(#[from] io::Error),
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    #[error(transparent)]
+    Status(#[from] UnexpectedStatus),
+    #[error(transparent)]
+    Stream(Malformed),
+    #[error("an event could not be read")]
+    Event(#[source] Malformed),
+}
+
+/// Follows the feed for good, one poll at a time, at whatever address it has: a new one is polled at once and the poll of
+/// the old one dropped, whatever it still had to deliver. With a start-up `schedule`, polls wait for their turn in it, and
+/// backoffs are its own.
+pub async fn follow(
+    core: Rc<Core>,
+    mut address: watch::Receiver<Option<String>>,
+    schedule: Option<ListCalls>,
+) {
+    let mut watch = EndpointWatch::new(schedule, now());
     loop {
-        let at = address.borrow_and_update().clone();
+        let current = address.borrow_and_update().clone();
         tokio::select! {
-            // Guards against a feed that has moved and an old one that stays open with no news.
+            // A feed may move while the old one stays open with no news.
             biased;
-            Ok(()) = address.changed() => following.moved(now()),
-            () = turn(&core, at.as_deref(), &mut following) => {}
+            Ok(()) = address.changed() => watch.on_address_changed(now()),
+            () = wait_and_poll(&core, current.as_deref(), &mut watch) => {}
         }
     }
 }
 
-/// A rest and the call after it.
-async fn turn(core: &Rc<Core>, at: Option<&str>, following: &mut EndpointWatch) {
-    let Some(at) = at else { return std::future::pending().await };
-    sleep(span(following.patience(now()))).await;
-    following.begins(now());
-    let why = call(core, at, following).await.err().unwrap_or_else(|| "ended by the other side".into());
-    warn!("feed lost: {why}");
-    let rest = following.ended(now());
-    if rest.refused {
-        let ms = span(rest.span).as_millis() as u64;
+/// A backoff and the poll after it.
+async fn wait_and_poll(core: &Rc<Core>, address: Option<&str>, watch: &mut EndpointWatch) {
+    let Some(address) = address else { return std::future::pending().await };
+    sleep(to_duration(watch.time_left(now()))).await;
+    watch.on_poll_started(now());
+    match poll(core, address, watch).await {
+        Ok(()) => warn!("feed lost: ended by the other side"),
+        Err(error) => warn!("feed lost: {}", with_causes(&error)),
+    }
+    let backoff = watch.on_poll_ended(now());
+    if backoff.was_rejected {
+        let ms = to_duration(backoff.delay).as_millis() as u64;
         warn!(rest_ms = ms, "feed refused the call: next in {ms} ms");
     }
 }
 
-/// A step of a call, within the follower's patience.
-async fn within<T, E: Error>(
-    following: &EndpointWatch,
+/// A step of a poll, within the time that the watch leaves it.
+async fn within<T, E: Into<PollError>>(
+    watch: &EndpointWatch,
     step: impl Future<Output = Result<T, E>>,
-) -> Result<T, String> {
-    match timeout(span(following.patience(now())), step).await {
-        Ok(done) => done.map_err(|e| reason(&e)),
-        Err(_) => Err(following.impatience().into()),
+) -> Result<T, PollError> {
+    match timeout(to_duration(watch.time_left(now())), step).await {
+        Ok(result) => result.map_err(Into::into),
+        Err(_) => Err(PollError::TimedOut(watch.timeout_reason())),
     }
 }
 
 /// An error with its causes, on one line.
-fn reason(e: &dyn Error) -> String {
-    let causes = std::iter::successors(e.source(), |e| (*e).source());
-    causes.fold(e.to_string(), |text, cause| format!("{text}: {cause}"))
+fn with_causes(error: &dyn Error) -> String {
+    let causes = std::iter::successors(error.source(), |cause| (*cause).source());
+    causes.fold(error.to_string(), |text, cause| format!("{text}: {cause}"))
 }
 
-/// Calls the feed and takes its events until the answer ends; an error says why it ended otherwise.
-async fn call(core: &Rc<Core>, at: &str, following: &mut EndpointWatch) -> Result<(), String> {
-    let stream = within(following, TcpStream::connect(at)).await?;
-    following.connected(now());
+/// Polls the feed and applies its events until the response ends.
+async fn poll(core: &Rc<Core>, address: &str, watch: &mut EndpointWatch) -> Result<(), PollError> {
+    let stream = within(watch, TcpStream::connect(address)).await?;
+    watch.on_connected(now());
     let mut client = http1::Builder::new();
-    // The head of the answer is looked at for its status and for how its body is cut, no more. A call's few bytes
-    // go out in one plain write.
-    client.max_buf_size(AHEAD).ignore_invalid_headers_in_responses(true).writev(false);
+    // Of the head of the response only its status and its body's framing matter. A poll's few bytes go out in one plain
+    // write.
+    client.max_buf_size(READ_AHEAD_BYTES).ignore_invalid_headers_in_responses(true).writev(false);
     let (mut sender, connection) =
-        within(following, client.handshake::<_, Empty<Bytes>>(TokioIo::new(stream))).await?;
-    // Dropped with the call, and the connection with it.
+        within(watch, client.handshake::<_, Empty<Bytes>>(TokioIo::new(stream))).await?;
+    // Dropped with the poll, and the connection with it.
     let mut driver = JoinSet::new();
     driver.spawn_local(connection);
     let request = Request::get("/v1/events")
-        .header(HOST, at)
+        .header(HOST, address)
         .header(ACCEPT, "text/event-stream")
         .header("Last-Event-ID", core.last_event())
         .header(CONNECTION, "close")
-        .body(Empty::new())
-        .map_err(|e| reason(&e))?;
-    let mut answer = within(following, sender.send_request(request)).await?;
-    following.answered(answer.status().as_u16(), now())?;
-    core.fed();
-    let (mut decoder, mut sent) = (sse::Decoder::default(), Vec::new());
-    while let Some(frame) = within(following, async { answer.frame().await.transpose() }).await? {
+        .body(Empty::new())?;
+    let response = within(watch, sender.send_request(request)).await?;
+    watch.on_response(response.status().as_u16(), now())?;
+    core.on_endpoint_service_answered();
+    read_events(core, response, watch).await
+}
+
+/// Applies the events of a response until it ends.
+async fn read_events(
+    core: &Rc<Core>,
+    mut response: Response<Incoming>,
+    watch: &mut EndpointWatch,
+) -> Result<(), PollError> {
+    let mut decoder = sse::Decoder::default();
+    let mut decoded = Vec::new();
+    while let Some(frame) = within(watch, async { response.frame().await.transpose() }).await? {
         let Ok(bytes) = frame.into_data() else { continue };
-        let before = decoder.whole();
-        let mut read = decoder.take(&bytes, &mut sent);
+        let complete_before = decoder.whole();
+        let mut result = decoder.take(&bytes, &mut decoded);
         loop {
-            following.heard(decoder.whole() > before, now());
-            for event in sent.drain(..) {
-                take(core, &event, following)?;
+            watch.on_bytes(decoder.whole() > complete_before, now());
+            for event in decoded.drain(..) {
+                apply(core, &event, watch)?;
             }
-            let Err(e) = read else { break };
-            // Guards against an event without end that would come again with every call.
+            let Err(error) = result else { break };
+            // An event without end must not come again with every poll.
             let event = decoder.id();
-            let fresh = event.is_none_or(|n| n > core.last_event());
-            if fresh && following.unreadable(event) {
-                return Err(e.to_string());
+            let is_new = event.is_none_or(|number| number > core.last_event());
+            if is_new && watch.should_retry_event(event) {
+                return Err(PollError::Stream(error));
             }
-            skip(core, event, &e);
-            read = decoder.pass(&mut sent);
+            skip(core, event, &error);
+            result = decoder.pass(&mut decoded);
         }
     }
     Ok(())
 }
 
-/// Takes one event; an error where it is to be asked for anew. Its number is the one that the next call goes on from,
-/// and only where it has none the one that its data tells.
-fn take(core: &Rc<Core>, event: &sse::Sent, following: &mut EndpointWatch) -> Result<(), String> {
-    let last = core.last_event();
+/// Applies one event; an error where it is to be asked for again. Its number is the one from which the next poll goes on;
+/// only where it has none, the one in its data is used.
+fn apply(core: &Rc<Core>, event: &sse::Sent, watch: &mut EndpointWatch) -> Result<(), PollError> {
+    let last_event = core.last_event();
     match events::parse(&event.data) {
         Ok(Some(mut list)) => {
             list.n = event.id.unwrap_or(list.n);
-            core.on_list(&list, false);
+            core.on_endpoint_list(&list, false);
         }
-        Ok(None) => event.id.into_iter().for_each(|n| core.passed_event(n)),
-        // What was had before is of no use again, whatever became of it on the way.
-        Err(_) if event.id.is_some_and(|n| n <= last) => {}
-        Err(e) if following.unreadable(event.id) => return Err(format!("an event could not be read: {e}")),
-        // Guards against one bad event that would come again with every call.
-        Err(e) => skip(core, event.id, &e),
+        Ok(None) => event.id.into_iter().for_each(|number| core.skip_event(number)),
+        // An event that was applied before is of no use again, whatever became of it on the way.
+        Err(_) if event.id.is_some_and(|number| number <= last_event) => {}
+        Err(error) if watch.should_retry_event(event.id) => return Err(PollError::Event(error)),
+        // One bad event must not come again with every poll.
+        Err(error) => skip(core, event.id, &error),
     }
-    if core.last_event() != last {
-        following.progressed();
+    if core.last_event() != last_event {
+        watch.on_event_applied();
     }
     Ok(())
 }
 
-/// Passes over an event that cannot be read.
-fn skip(core: &Core, event: Option<u64>, why: &Malformed) {
-    error!("feed event skipped: {why}");
-    event.into_iter().for_each(|n| core.passed_event(n));
+/// Skips an event that cannot be read.
+fn skip(core: &Core, event: Option<u64>, error: &Malformed) {
+    error!("feed event skipped: {error}");
+    event.into_iter().for_each(|number| core.skip_event(number));
 }
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,185 +1,226 @@
-//! When the control feed is called, when a call is given up, and what is asked for anew: the deciding half of its
-//! follower ([`super::endpoint_client`] is the acting one). It reads no clock and draws no numbers of its own.
+//! The state machine of the endpoint watch: when the control feed is polled, when a poll is given up, and which events are
+//! asked for again. [`super::endpoint_client`] drives it. It reads no clock and draws no random numbers.
 //!
-//! A call goes through [`Phase`]s, each with a bound on how long it may last with nothing heard.
+//! A poll passes through [`Phase`]s, each with a bound on how long it may last with nothing received.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::lists::{Ended, ListCalls};
 
-/// First and longest rest between two calls. What the feed holds counts as told whether it is
-/// connected or not, and a drain must be heeded within 500 ms: no rest may come near that.
-pub const REST: [TimeDelta; 2] = [TimeDelta::from_micros(20_000), TimeDelta::from_micros(250_000)];
-/// A comment comes each second: a feed silent for this long is dead.
-pub const SILENCE: TimeDelta = TimeDelta::from_micros(2_500_000);
-/// Of an answer that keeps coming, a whole event or comment has to come at least so often: bytes alone may trickle for
-/// ever. Longer than [`SILENCE`], for a long list on a busy machine comes in parts.
-pub const WHOLE: TimeDelta = TimeDelta::from_micros(4_000_000);
-/// For the head of an answer, where the call before was answered: the feed answers at once. After one that was not
-/// answered it is [`SILENCE`], so that a slow feed is reached all the same.
-pub const ANSWER: TimeDelta = TimeDelta::from_micros(1_500_000);
+/// First backoff between two polls. The feed's events count as delivered whether it is connected or not, and a drain must
+/// be obeyed within 500 ms: no backoff may come near that.
+pub const MIN_BACKOFF: TimeDelta = TimeDelta::from_micros(20_000);
+/// Longest backoff between two polls.
+pub const MAX_BACKOFF: TimeDelta = TimeDelta::from_micros(250_000);
+/// A comment comes each second: a feed that is silent for this long is dead.
+pub const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_500_000);
+/// In a response that keeps coming, an event or comment must be complete at least this often: bytes alone may trickle for
+/// ever. Longer than [`IDLE_TIMEOUT`], for a long list on a busy machine comes in parts.
+pub const EVENT_TIMEOUT: TimeDelta = TimeDelta::from_micros(4_000_000);
+/// For the head of a response, where the poll before was answered: the feed answers at once. After one that was not
+/// answered it is [`IDLE_TIMEOUT`], so that a slow feed is reached all the same.
+pub const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_500_000);
 /// For a connection to the feed.
-pub const DIAL: TimeDelta = TimeDelta::from_micros(500_000);
-/// An event that cannot be read is asked for anew so many times before it is passed over: what spoilt it
-/// on the way may not come again, and what it told would be lost.
-pub const ANEW: u32 = 3;
-
-/// How far the follower is.
+pub const DIAL_TIMEOUT: TimeDelta = TimeDelta::from_micros(500_000);
+/// How often an unreadable event is asked for again before it is skipped: what damaged it on the way may not come again,
+/// and its content would be lost.
+pub const MAX_EVENT_RETRIES: u32 = 3;
+
+/// HTTP status of a response that brings events.
+const STATUS_OK: u16 = 200;
+/// HTTP status "too many requests" (RFC 6585, 4).
+const STATUS_TOO_MANY_REQUESTS: u16 = 429;
+/// HTTP status "service unavailable" (RFC 9110, 15.6.4).
+const STATUS_UNAVAILABLE: u16 = 503;
+
+/// How far the poll is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The next call begins then, after a rest of so long.
-    Resting(Timestamp, TimeDelta),
-    /// A connection is being made since then.
-    Dialling(Timestamp),
-    /// The call is made, and nothing was answered since then.
-    Asking(Timestamp),
-    /// It was answered.
+    /// Between two polls.
+    BackingOff {
+        /// When the next poll begins.
+        until: Timestamp,
+        /// The length of this backoff.
+        delay: TimeDelta,
+    },
+    /// A connection is being made.
+    Dialing {
+        /// Since then.
+        since: Timestamp,
+    },
+    /// The request was sent, and no response has come.
+    AwaitingResponse {
+        /// Since then.
+        since: Timestamp,
+    },
+    /// The response is being read.
     Reading {
         /// When the last byte came.
-        heard: Timestamp,
-        /// When the last event or comment was whole.
-        whole: Timestamp,
+        last_byte_at: Timestamp,
+        /// When the last event or comment was complete.
+        last_event_at: Timestamp,
     },
 }
 
-/// The rest after a call.
+/// The pause after a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rest {
+pub struct Backoff {
     /// How long it lasts.
-    pub span: TimeDelta,
-    /// The service said that it would not serve now: the rest is the schedule's for that.
-    pub refused: bool,
+    pub delay: TimeDelta,
+    /// The service rejected the poll: the delay is the start-up schedule's for that.
+    pub was_rejected: bool,
 }
 
-/// The follower's state. With the cold start's schedule, first calls wait for their turn in it, and rests are its own.
+/// The state of the endpoint watch. With a start-up schedule, first polls wait for their turn in it, and backoffs are its
+/// own.
 #[derive(Clone, Debug)]
 pub struct EndpointWatch {
     phase: Phase,
-    calls: Option<ListCalls>,
-    rest: TimeDelta,
-    refused: bool,
-    /// The numbered event that could not be read last, and how often that was.
-    unread: (u64, u32),
-    /// How often an event without a number could not be read, with no other taken between.
-    nameless: u32,
+    schedule: Option<ListCalls>,
+    backoff: TimeDelta,
+    was_rejected: bool,
+    /// The number of the event that could not be read last.
+    unreadable_event: u64,
+    /// How often it could not be read.
+    unreadable_count: u32,
+    /// How often an event without a number could not be read since the last one that was applied.
+    unnumbered_unreadable_count: u32,
 }
 
 impl EndpointWatch {
-    /// A follower that starts now.
-    pub fn new(calls: Option<ListCalls>, now: Timestamp) -> EndpointWatch {
-        let first = calls.as_ref().and_then(ListCalls::due).unwrap_or(now);
-        let phase = Phase::Resting(first, first - now);
-        EndpointWatch { phase, calls, rest: REST[0], refused: false, unread: (0, 0), nameless: 0 }
+    /// A watch that starts now.
+    pub fn new(schedule: Option<ListCalls>, now: Timestamp) -> EndpointWatch {
+        let until = schedule.as_ref().and_then(ListCalls::due).unwrap_or(now);
+        EndpointWatch {
+            phase: Phase::BackingOff { until, delay: until - now },
+            schedule,
+            backoff: MIN_BACKOFF,
+            was_rejected: false,
+            unreadable_event: 0,
+            unreadable_count: 0,
+            unnumbered_unreadable_count: 0,
+        }
     }
 
-    /// How much longer the follower bears it if nothing happens: then it has to call, if it rests, or else to give
-    /// its call up. Zero where that is overdue, and never longer than the phase's bound, should the clock be set back.
-    pub fn patience(&self, now: Timestamp) -> TimeDelta {
-        let (until, most) = match self.phase {
-            Phase::Resting(until, rest) => (until, rest),
-            Phase::Dialling(since) => (since + DIAL, DIAL),
-            Phase::Asking(since) if self.rest == REST[0] => (since + ANSWER, ANSWER),
-            Phase::Asking(since) => (since + SILENCE, SILENCE),
-            Phase::Reading { heard, whole } => ((heard + SILENCE).min(whole + WHOLE), SILENCE),
+    /// How much longer the phase may last if nothing happens: then a backoff is over, or the poll is to be given up. Zero
+    /// where that is overdue, and never longer than the phase's bound, should the clock be set back.
+    pub fn time_left(&self, now: Timestamp) -> TimeDelta {
+        let (until, bound) = match self.phase {
+            Phase::BackingOff { until, delay } => (until, delay),
+            Phase::Dialing { since } => (since + DIAL_TIMEOUT, DIAL_TIMEOUT),
+            Phase::AwaitingResponse { since } if self.backoff == MIN_BACKOFF => {
+                (since + RESPONSE_TIMEOUT, RESPONSE_TIMEOUT)
+            }
+            Phase::AwaitingResponse { since } => (since + IDLE_TIMEOUT, IDLE_TIMEOUT),
+            Phase::Reading { last_byte_at, last_event_at } => {
+                ((last_byte_at + IDLE_TIMEOUT).min(last_event_at + EVENT_TIMEOUT), IDLE_TIMEOUT)
+            }
         };
-        (until - now).min(most).max(TimeDelta::ZERO)
+        (until - now).min(bound).max(TimeDelta::ZERO)
     }
 
-    /// Why the call is given up when its patience has run out.
-    pub fn impatience(&self) -> &'static str {
+    /// Why the poll is given up when its time is over.
+    pub fn timeout_reason(&self) -> &'static str {
         match self.phase {
-            Phase::Resting(..) | Phase::Dialling(_) => "no connection in time",
-            Phase::Asking(_) | Phase::Reading { .. } => "silent",
+            Phase::BackingOff { .. } | Phase::Dialing { .. } => "no connection in time",
+            Phase::AwaitingResponse { .. } | Phase::Reading { .. } => "silent",
         }
     }
 
-    /// A call begins.
-    pub fn begins(&mut self, now: Timestamp) {
-        if let Some(calls) = &mut self.calls {
-            calls.start(now);
+    /// A poll begins.
+    pub fn on_poll_started(&mut self, now: Timestamp) {
+        if let Some(schedule) = &mut self.schedule {
+            schedule.start(now);
         }
-        (self.phase, self.refused) = (Phase::Dialling(now), false);
+        self.phase = Phase::Dialing { since: now };
+        self.was_rejected = false;
     }
 
-    /// The connection is up and the call is made.
-    pub fn connected(&mut self, now: Timestamp) {
-        self.phase = Phase::Asking(now);
+    /// The connection is up and the request is sent.
+    pub fn on_connected(&mut self, now: Timestamp) {
+        self.phase = Phase::AwaitingResponse { since: now };
     }
 
-    /// The head of an answer came, with this status.
+    /// The head of a response came, with this status.
     ///
     /// # Errors
-    /// Where the call is over by it: only 200 brings events. 429 (too many requests) and 503 (unavailable) say
-    /// that the service would not serve now (RFC 6585, 4; RFC 9110, 15.6.4).
-    pub fn answered(&mut self, status: u16, now: Timestamp) -> Result<(), String> {
-        self.refused = matches!(status, 429 | 503);
-        if status != 200 {
-            return Err(format!("field status is not 200: {status}"));
+    /// Where the poll is over by it: only 200 brings events. 429 and 503 reject the poll for now.
+    pub fn on_response(&mut self, status: u16, now: Timestamp) -> Result<(), UnexpectedStatus> {
+        self.was_rejected = matches!(status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
+        if status != STATUS_OK {
+            return Err(UnexpectedStatus(status));
         }
-        self.phase = Phase::Reading { heard: now, whole: now };
+        self.phase = Phase::Reading { last_byte_at: now, last_event_at: now };
         Ok(())
     }
 
-    /// Something of an answer came; `complete` if an event or a comment is whole by it.
-    pub fn heard(&mut self, complete: bool, now: Timestamp) {
-        if let Phase::Reading { heard, whole } = &mut self.phase {
-            *heard = now;
-            if complete {
-                *whole = now;
+    /// Bytes of a response came; `completes_event` if an event or a comment is complete by them.
+    pub fn on_bytes(&mut self, completes_event: bool, now: Timestamp) {
+        if let Phase::Reading { last_byte_at, last_event_at } = &mut self.phase {
+            *last_byte_at = now;
+            if completes_event {
+                *last_event_at = now;
             }
         }
     }
 
-    /// An event could not be read: whether the call is given up to ask for it anew, or it is passed over. Those
-    /// without a number count as one, apart from the others: two bad events in one answer must not start each other's
-    /// count anew.
-    pub fn unreadable(&mut self, event: Option<u64>) -> bool {
+    /// An event could not be read: whether the poll is given up to ask for it again, else it is skipped. Events without a
+    /// number count as one, apart from the others: two bad events in one response must not reset each other's count.
+    pub fn should_retry_event(&mut self, event: Option<u64>) -> bool {
         let count = match event {
-            Some(n) => {
-                if self.unread.0 != n {
-                    self.unread = (n, 0);
+            Some(number) => {
+                if self.unreadable_event != number {
+                    self.unreadable_event = number;
+                    self.unreadable_count = 0;
                 }
-                &mut self.unread.1
+                &mut self.unreadable_count
             }
-            None => &mut self.nameless,
+            None => &mut self.unnumbered_unreadable_count,
         };
         *count += 1;
-        *count <= ANEW
+        *count <= MAX_EVENT_RETRIES
     }
 
-    /// A new event was taken.
-    pub fn progressed(&mut self) {
-        self.nameless = 0;
+    /// A new event was applied.
+    pub fn on_event_applied(&mut self) {
+        self.unnumbered_unreadable_count = 0;
     }
 
-    /// The call is over, however it was. The rests grow with calls that were not answered, and start anew with one
-    /// that was, whether it brought an event or not: a feed may end its answers as it likes.
-    pub fn ended(&mut self, now: Timestamp) -> Rest {
-        let answered = matches!(self.phase, Phase::Reading { .. });
-        self.rest = if answered { REST[0] } else { (self.rest + self.rest).min(REST[1]) };
-        let mut rest = Rest { span: self.rest, refused: false };
-        if let Some(calls) = &mut self.calls {
-            let how = match (self.refused, answered) {
+    /// The poll is over, for whatever reason. Backoffs grow with polls that were not answered, and start anew with one that
+    /// was, whether it brought an event or not: a feed may end its responses as it likes.
+    pub fn on_poll_ended(&mut self, now: Timestamp) -> Backoff {
+        let was_answered = matches!(self.phase, Phase::Reading { .. });
+        self.backoff =
+            if was_answered { MIN_BACKOFF } else { (self.backoff + self.backoff).min(MAX_BACKOFF) };
+        let mut backoff = Backoff { delay: self.backoff, was_rejected: false };
+        if let Some(schedule) = &mut self.schedule {
+            let outcome = match (self.was_rejected, was_answered) {
                 (true, _) => Ended::Refused,
                 (false, true) => Ended::Answered,
                 (false, false) => Ended::Failed,
             };
-            rest = Rest { span: calls.ended(now, how) - now, refused: self.refused };
+            let delay = schedule.ended(now, outcome) - now;
+            backoff = Backoff { delay, was_rejected: self.was_rejected };
         }
-        self.phase = Phase::Resting(now + rest.span, rest.span);
-        rest
+        self.phase = Phase::BackingOff { until: now + backoff.delay, delay: backoff.delay };
+        backoff
     }
 
-    /// The feed has moved: it is called at once, whatever was under way, and the old one tells nothing more.
-    pub fn moved(&mut self, now: Timestamp) {
-        if !matches!(self.phase, Phase::Resting(..)) {
-            if let Some(calls) = &mut self.calls {
-                calls.ended(now, Ended::Answered);
+    /// The feed's address has changed: it is polled at once, and a poll under way is dropped.
+    pub fn on_address_changed(&mut self, now: Timestamp) {
+        if !matches!(self.phase, Phase::BackingOff { .. }) {
+            if let Some(schedule) = &mut self.schedule {
+                schedule.ended(now, Ended::Answered);
             }
         }
-        (self.phase, self.rest) = (Phase::Resting(now, TimeDelta::ZERO), REST[0]);
+        self.phase = Phase::BackingOff { until: now, delay: TimeDelta::ZERO };
+        self.backoff = MIN_BACKOFF;
     }
 }
 
+/// A response that brings no events.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("field status is not 200: {0}")]
+pub struct UnexpectedStatus(pub u16);
+
 #[cfg(test)]
-#[path = "endpoint_watch_tests.rs"]
 mod tests;
--- /dev/null
+++ b/src/core/engine_connection/task.rs
@@ -0,0 +1,240 @@
+//! The task of a connection: it dials, sends what is queued and reads answers until the connection ends.
+
+use super::send_queue::QueuedBuffer;
+use super::{ConnectionLimits, EngineConnection, State};
+use crate::core::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
+use crate::core::clock::{now, to_duration};
+use crate::proto::{resp, Malformed};
+use socket2::SockRef;
+use sprucelink_policy::{TimeDelta, Timestamp};
+use std::io;
+use std::mem::MaybeUninit;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// How often a connection is checked for being idle for too long.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// An answer that has begun and grows no further for this long will not be complete: engines write answers in one go, and
+/// this is long even for a busy machine.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// An answer must be complete this long after its first byte, however it grows: all attempts on the connection wait behind
+/// it.
+const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_000_000);
+
+/// The owner of the attempts on a connection.
+pub trait ConnectionOwner: 'static {
+    /// The pool of buffers.
+    fn pool(&self) -> &BufferPool;
+    /// Bounds and timeouts of connections.
+    fn limits(&self) -> &ConnectionLimits;
+    /// The engine answered.
+    ///
+    /// # Errors
+    /// Where the answer breaks the protocol; the connection is closed then.
+    fn on_answer(self: &Rc<Self>, connection: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed>;
+    /// The connection has ended. `reason` is empty where that is in order; `is_local`: it was closed by this process.
+    fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool);
+    /// Whether an attempt may be sent, asked just before its first byte; if not, the owner has withdrawn it. Between the
+    /// choice of the attempt and this moment lie dials, slow peers and turns on the processor.
+    fn may_send(self: &Rc<Self>, _connection: &EngineConnection, _id: u64, _attempt: u32) -> bool {
+        true
+    }
+    /// This many attempts were sent completely.
+    fn on_attempts_sent(&self, _attempts: u64) {}
+    /// The connection has come up.
+    fn on_connection_up(self: &Rc<Self>, _connection: &EngineConnection) {}
+}
+
+/// Why a connection ended.
+struct ConnectionEnd {
+    reason: String,
+    /// It was closed by this process.
+    is_local: bool,
+}
+
+impl ConnectionEnd {
+    /// The engine or the network ended it, or the process gave up a dial.
+    fn remote(reason: impl ToString) -> ConnectionEnd {
+        ConnectionEnd { reason: reason.to_string(), is_local: false }
+    }
+
+    /// What was read breaks the protocol: nothing else on the connection is of use.
+    fn unreadable(error: impl std::fmt::Display) -> ConnectionEnd {
+        ConnectionEnd { reason: format!("unreadable: {error}"), is_local: true }
+    }
+}
+
+/// Dials a connection and serves it until it ends.
+pub async fn run<O: ConnectionOwner>(owner: Rc<O>, connection: Rc<EngineConnection>) {
+    let delay = connection.dial_time.get() - now();
+    if delay > TimeDelta::ZERO {
+        tokio::time::sleep(to_duration(delay)).await;
+    }
+    let dial_timeout = to_duration(owner.limits().dial_timeout);
+    // A dial that is given up returns its file descriptor at once.
+    let dialled = tokio::select! {
+        dialled = timeout(dial_timeout, TcpStream::connect(connection.address)) => dialled,
+        () = connection.wait_closed() => return owner.on_connection_down(&connection, "", true),
+    };
+    let end = match dialled {
+        Ok(Ok(stream)) if connection.is_dialing() => serve(&owner, &connection, stream).await,
+        Ok(Ok(_)) => ConnectionEnd::remote("not wanted any more"),
+        Ok(Err(error)) => ConnectionEnd::remote(format!("no connection: {error}")),
+        Err(_) => ConnectionEnd::remote("no connection in time"),
+    };
+    owner.on_connection_down(&connection, &end.reason, end.is_local);
+}
+
+async fn serve<O: ConnectionOwner>(
+    owner: &Rc<O>,
+    connection: &EngineConnection,
+    stream: TcpStream,
+) -> ConnectionEnd {
+    if let Err(error) = stream.set_nodelay(true) {
+        return ConnectionEnd::remote(error);
+    }
+    connection.state.set(State::Up);
+    owner.on_connection_up(connection);
+    let (reader, writer) = stream.into_split();
+    tokio::select! {
+        // An end that has come is seen before anything more is written: what was not written was never sent.
+        biased;
+        end = read(owner, connection, reader) => end,
+        end = write(owner, connection, writer) => end,
+    }
+}
+
+/// Writes what is queued. What is sent next is looked up before each write, never kept across a wait: it may be withdrawn
+/// meanwhile.
+async fn write<O: ConnectionOwner>(
+    owner: &Rc<O>,
+    connection: &EngineConnection,
+    writer: OwnedWriteHalf,
+) -> ConnectionEnd {
+    let mut current: Option<QueuedBuffer> = None;
+    loop {
+        if connection.state.get() == State::Closed {
+            return ConnectionEnd::remote("closed here");
+        }
+        let limit = connection.skip_withdrawn();
+        let offset = connection.written();
+        current = current.filter(|buffer| buffer.end() > offset);
+        let Some(buffer) = &current else {
+            current = connection.next_buffer();
+            if current.is_none() {
+                connection.wake.notified().await;
+            }
+            continue;
+        };
+        let bytes = buffer.slice(offset, limit);
+        let end = offset + bytes.len() as u64;
+        if connection.has_nothing_in_flight()
+            && connection.next_attempt(offset, end).is_some()
+            && is_closed_by_peer(writer.as_ref())
+        {
+            return ConnectionEnd::remote("closed by the engine");
+        }
+        if !may_send_all(owner, connection, offset, end) {
+            // What was withdrawn is skipped in the next round.
+            continue;
+        }
+        match writer.try_write(bytes) {
+            Ok(0) => return ConnectionEnd::remote("closed by the engine"),
+            Ok(written) => owner.on_attempts_sent(connection.record_written(written)),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => tokio::select! {
+                ready = writer.writable() => if let Err(error) = ready {
+                    return ConnectionEnd::remote(error);
+                },
+                () = connection.wake.notified() => {}
+            },
+            Err(error) => return ConnectionEnd::remote(error),
+        }
+    }
+}
+
+/// Whether the peer has closed a connection with nothing in flight, asked of the system itself: the runtime learns of it
+/// only when it polls next. What is written on a connection that its engine closes in that moment for being idle would
+/// count as an attempt that may have run.
+fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    let mut byte = [MaybeUninit::uninit()];
+    match SockRef::from(stream).peek(&mut byte) {
+        Ok(read) => read == 0,
+        Err(error) => !matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
+    }
+}
+
+/// Whether all attempts that begin in this part of the stream may be sent; those that may not are withdrawn.
+fn may_send_all<O: ConnectionOwner>(
+    owner: &Rc<O>,
+    connection: &EngineConnection,
+    from: u64,
+    to: u64,
+) -> bool {
+    let mut offset = from;
+    let mut may_send = true;
+    while let Some(command) = connection.next_attempt(offset, to) {
+        may_send &= owner.may_send(connection, command.id, command.attempt);
+        offset = command.end;
+    }
+    may_send
+}
+
+async fn read<O: ConnectionOwner>(
+    owner: &Rc<O>,
+    connection: &EngineConnection,
+    mut reader: OwnedReadHalf,
+) -> ConnectionEnd {
+    let mut received = None;
+    // When the answer began that has not come completely.
+    let mut answer_began_at: Option<Timestamp> = None;
+    loop {
+        let patience = match answer_began_at {
+            Some(began_at) => STALL_TIMEOUT.min(to_duration(began_at + ANSWER_TIMEOUT - now())),
+            None => IDLE_CHECK_INTERVAL,
+        };
+        match timeout(patience, read_into(owner.pool(), &mut reader, &mut received)).await {
+            Ok(Ok(0)) => return ConnectionEnd::remote("closed by the engine"),
+            Ok(Ok(_)) => {}
+            Ok(Err(error)) => return ConnectionEnd::remote(error),
+            Err(_) if received.is_some() => {
+                return ConnectionEnd::unreadable("an answer does not become whole");
+            }
+            Err(_) if connection.is_idle(owner.limits()) => return ConnectionEnd::remote(""),
+            Err(_) => continue,
+        }
+        connection.last_heard_at.set(now());
+        let Some(buffer) = &mut received else { continue };
+        let consumed = match process_answers(owner, connection, buffer) {
+            Ok(consumed) => consumed,
+            Err(end) => return end,
+        };
+        buffer.drain(..consumed);
+        if buffer.is_empty() {
+            received = None;
+            answer_began_at = None;
+        } else if !buffer.has_room(1) {
+            return ConnectionEnd::unreadable("an answer longer than any may be");
+        } else if consumed > 0 || answer_began_at.is_none() {
+            answer_began_at = Some(now());
+        }
+    }
+}
+
+/// Hands over the complete answers in a buffer; the bytes that they take.
+fn process_answers<O: ConnectionOwner>(
+    owner: &Rc<O>,
+    connection: &EngineConnection,
+    buffer: &Buffer,
+) -> Result<usize, ConnectionEnd> {
+    let mut consumed = 0;
+    while let Some((parts, len)) =
+        resp::read_array(&buffer[consumed..], BUFFER_BYTES).map_err(ConnectionEnd::unreadable)?
+    {
+        owner.on_answer(connection, &parts).map_err(ConnectionEnd::unreadable)?;
+        consumed += len;
+    }
+    Ok(consumed)
+}
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,119 +1,134 @@
-//! What this manager tells others of itself where they keep a view of the fleet: requests taken and further attempts
-//! made of late, engines it cannot reach, work it sent to cold engines. It counts; `sprucelink_membership` decides.
+//! What this manager gossips of itself: requests and retries of late, engines that it cannot reach, work that it sent to
+//! engines that are warming up. It counts; `sprucelink_membership` decides.
 
 use sprucelink_membership::facts::{named, Facts};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Events of one count kept at most: older ones go first.
-const MOST: usize = 20_000;
-/// An engine to which a connection failed counts as out of reach for so long, unless one comes up.
-const UNREACHED: TimeDelta = TimeDelta::from_micros(10_000_000);
-/// Engines of which is noted at most that they are out of reach.
-const MOST_ENGINES: usize = 256;
+/// Events kept of one kind; older ones go first.
+const MAX_EVENTS: usize = 20_000;
+/// An engine to which a connection failed counts as unreachable for this long, unless one comes up.
+const UNREACHABLE_FOR: TimeDelta = TimeDelta::from_micros(10_000_000);
+/// Engines that are noted as unreachable at a time.
+const MAX_UNREACHABLE: usize = 256;
+
+/// Over which spans gossip counts.
+#[derive(Clone, Copy, Debug)]
+pub struct GossipWindows {
+    /// Window of the retry budget.
+    pub retry_budget: TimeDelta,
+    /// Window of the budget of engines that are warming up.
+    pub warm_up_budget: TimeDelta,
+    /// How long an engine warms up after its start.
+    pub warm_up: TimeDelta,
+}
+
+/// An attempt at an engine that is warming up.
+struct WarmUpAttempt {
+    sent_at: Timestamp,
+    /// The engine, as managers name it.
+    engine: u64,
+    /// Work in milliseconds.
+    cost_ms: f64,
+}
 
 /// The counts.
 pub(super) struct GossipFacts {
-    /// The ration's span, the cold budget's, and how long an engine is cold.
-    spans: [TimeDelta; 3],
-    taken: VecDeque<Timestamp>,
-    further: VecDeque<Timestamp>,
-    cold: VecDeque<(Timestamp, u64, f64)>,
-    unreached: BTreeMap<u64, Timestamp>,
+    windows: GossipWindows,
+    requests: VecDeque<Timestamp>,
+    retries: VecDeque<Timestamp>,
+    warm_up_attempts: VecDeque<WarmUpAttempt>,
+    /// Engines to which a connection failed last, and when.
+    unreachable: BTreeMap<u64, Timestamp>,
 }
 
-fn push<T>(queue: &mut VecDeque<T>, one: T) {
-    if queue.len() >= MOST {
+fn push_bounded<T>(queue: &mut VecDeque<T>, event: T) {
+    if queue.len() >= MAX_EVENTS {
         queue.pop_front();
     }
-    queue.push_back(one);
+    queue.push_back(event);
+}
+
+/// Drops events that are older than a window; how many are left.
+fn count_recent(events: &mut VecDeque<Timestamp>, now: Timestamp, window: TimeDelta) -> u32 {
+    while events.front().is_some_and(|at| now - *at > window) {
+        events.pop_front();
+    }
+    events.len() as u32
 }
 
 impl GossipFacts {
-    /// Nothing counted yet: the ration's span, that of cold budgets, and how long an engine is cold.
-    pub(super) fn new(ration: TimeDelta, cold: TimeDelta, cold_for: TimeDelta) -> GossipFacts {
+    /// Nothing counted yet.
+    pub(super) fn new(windows: GossipWindows) -> GossipFacts {
         GossipFacts {
-            spans: [ration, cold, cold_for],
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
-            cold: VecDeque::new(),
-            unreached: BTreeMap::new(),
+            windows,
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
+            warm_up_attempts: VecDeque::new(),
+            unreachable: BTreeMap::new(),
         }
     }
 
-    /// A request was taken.
-    pub(super) fn took(&mut self, now: Timestamp) {
-        push(&mut self.taken, now);
+    /// Counts a request.
+    pub(super) fn record_request(&mut self, now: Timestamp) {
+        push_bounded(&mut self.requests, now);
     }
 
-    /// An attempt went out: whether a further one, to which engine (its id, and its start in Unix milliseconds or 0),
-    /// of how many milliseconds' work.
-    pub(super) fn sent(&mut self, now: Timestamp, further: bool, engine: (&str, i64), ms: f64) {
-        if further {
-            push(&mut self.further, now);
+    /// Counts an attempt at an engine: its id, its start in Unix milliseconds or 0, and the work in milliseconds.
+    pub(super) fn record_attempt(
+        &mut self,
+        now: Timestamp,
+        is_retry: bool,
+        engine: &str,
+        started_at_ms: i64,
+        cost_ms: f64,
+    ) {
+        if is_retry {
+            push_bounded(&mut self.retries, now);
         }
-        if engine.1 > 0 && now - Timestamp::from_millis(engine.1) < self.spans[2] {
-            push(&mut self.cold, (now, named(engine.0), ms));
+        if started_at_ms > 0 && now - Timestamp::from_millis(started_at_ms) < self.windows.warm_up {
+            let attempt = WarmUpAttempt { sent_at: now, engine: named(engine), cost_ms };
+            push_bounded(&mut self.warm_up_attempts, attempt);
         }
     }
 
-    /// A connection to an engine failed, or came up.
-    pub(super) fn reached(&mut self, now: Timestamp, engine: &str, up: bool) {
-        if up {
-            self.unreached.remove(&named(engine));
-        } else if self.unreached.len() < MOST_ENGINES {
-            self.unreached.insert(named(engine), now);
+    /// Notes that a connection to an engine came up or failed.
+    pub(super) fn record_connection(&mut self, now: Timestamp, engine: &str, is_up: bool) {
+        if is_up {
+            self.unreachable.remove(&named(engine));
+        } else if self.unreachable.len() < MAX_UNREACHABLE {
+            self.unreachable.insert(named(engine), now);
         }
     }
 
-    /// The summary as of now, with engines that keep silent besides those that no connection came up to; its version
-    /// is the membership's to give.
-    pub(super) fn facts(&mut self, now: Timestamp, silent: Vec<u64>) -> Facts {
-        let [ration, cold, _] = self.spans;
-        let old = |q: &mut VecDeque<Timestamp>| {
-            while q.front().is_some_and(|t| now - *t > ration) {
-                q.pop_front();
-            }
-            q.len() as u32
-        };
-        let (taken, spent) = (old(&mut self.taken), old(&mut self.further));
-        while self.cold.front().is_some_and(|c| now - c.0 > cold) {
-            self.cold.pop_front();
-        }
-        self.unreached.retain(|_, t| now - *t <= UNREACHED);
-        let mut by_engine: BTreeMap<u64, f64> = BTreeMap::new();
-        self.cold.iter().for_each(|(_, engine, ms)| *by_engine.entry(*engine).or_default() += ms);
-        let cold =
-            by_engine.into_iter().map(|(e, ms)| (e, ms.clamp(0.0, f64::from(u32::MAX)) as u32)).collect();
-        let out: BTreeSet<u64> = self.unreached.keys().copied().chain(silent).collect();
-        let mut facts = Facts { version: 0, taken, spent, unreachable: out.into_iter().collect(), cold };
+    /// The summary as of now. `unresponsive`: engines that keep silent, besides those to which no connection came up.
+    /// The version is set by the membership.
+    pub(super) fn facts(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> Facts {
+        let taken = count_recent(&mut self.requests, now, self.windows.retry_budget);
+        let spent = count_recent(&mut self.retries, now, self.windows.retry_budget);
+        let cold = self.warm_up_work(now);
+        self.unreachable.retain(|_, failed_at| now - *failed_at <= UNREACHABLE_FOR);
+        let unreachable: BTreeSet<u64> = self.unreachable.keys().copied().chain(unresponsive).collect();
+        let unreachable = unreachable.into_iter().collect();
+        let mut facts = Facts { version: 0, taken, spent, unreachable, cold };
         facts.bound();
         facts
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn what_is_old_counts_no_more() {
-        let s = |t: i64| Timestamp::from_micros(t * 1_000_000);
-        let span = |t: i64| TimeDelta::from_micros(t * 1_000_000);
-        let mut shared = GossipFacts::new(span(5), span(2), span(15));
-        shared.took(s(0));
-        shared.took(s(4));
-        shared.sent(s(1), true, ("e", 1), 40.0);
-        shared.sent(s(4), false, ("e", 1), 2.5);
-        shared.sent(s(4), false, ("warm", 0), 9.0);
-        shared.reached(s(1), "x", false);
-        let f = shared.facts(s(4), vec![named("x")]);
-        assert_eq!((f.taken, f.spent, f.cold.clone(), f.unreachable.len()), (2, 1, vec![(named("e"), 2)], 1));
-        let f = shared.facts(s(8), Vec::new());
-        assert_eq!((f.taken, f.spent, f.cold.len(), f.unreachable.len()), (1, 0, 0, 1));
-        shared.reached(s(8), "x", true);
-        assert!(shared.facts(s(9), Vec::new()).unreachable.is_empty());
-        (0..2 * MOST).for_each(|_| shared.took(s(9)));
-        assert!(shared.taken.len() <= MOST);
+    /// Work that was sent to each engine that is warming up, in whole milliseconds.
+    fn warm_up_work(&mut self, now: Timestamp) -> Vec<(u64, u32)> {
+        let window = self.windows.warm_up_budget;
+        while self.warm_up_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
+            self.warm_up_attempts.pop_front();
+        }
+        let mut by_engine: BTreeMap<u64, f64> = BTreeMap::new();
+        for attempt in &self.warm_up_attempts {
+            *by_engine.entry(attempt.engine).or_default() += attempt.cost_ms;
+        }
+        let whole_ms = |ms: f64| ms.clamp(0.0, f64::from(u32::MAX)) as u32;
+        by_engine.into_iter().map(|(engine, ms)| (engine, whole_ms(ms))).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/gossip_facts/tests.rs
@@ -0,0 +1,34 @@
+//! Tests of the counts that are gossiped.
+
+use super::*;
+
+fn at(secs: i64) -> Timestamp {
+    Timestamp::from_micros(secs * 1_000_000)
+}
+
+fn span(secs: i64) -> TimeDelta {
+    TimeDelta::from_micros(secs * 1_000_000)
+}
+
+#[test]
+fn events_older_than_their_window_are_not_counted() {
+    let windows = GossipWindows { retry_budget: span(5), warm_up_budget: span(2), warm_up: span(15) };
+    let mut gossip = GossipFacts::new(windows);
+    gossip.record_request(at(0));
+    gossip.record_request(at(4));
+    gossip.record_attempt(at(1), true, "e", 1, 40.0);
+    gossip.record_attempt(at(4), false, "e", 1, 2.5);
+    gossip.record_attempt(at(4), false, "warm", 0, 9.0);
+    gossip.record_connection(at(1), "x", false);
+    let facts = gossip.facts(at(4), vec![named("x")]);
+    assert_eq!(
+        (facts.taken, facts.spent, facts.cold.clone(), facts.unreachable.len()),
+        (2, 1, vec![(named("e"), 2)], 1)
+    );
+    let facts = gossip.facts(at(8), Vec::new());
+    assert_eq!((facts.taken, facts.spent, facts.cold.len(), facts.unreachable.len()), (1, 0, 0, 1));
+    gossip.record_connection(at(8), "x", true);
+    assert!(gossip.facts(at(9), Vec::new()).unreachable.is_empty());
+    (0..2 * MAX_EVENTS).for_each(|_| gossip.record_request(at(9)));
+    assert!(gossip.requests.len() <= MAX_EVENTS);
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,55 +1,34 @@
-//! What is kept in memory: the facade round the decision module, the table of requests, the pool
-//! of buffers and the connections to engines. Nothing here knows what clients speak.
-
-pub mod attempts;
+//! The core: pending requests, the driver of the policy, the engines and the connections to them. It runs on one thread
+//! and knows nothing of what clients speak.
+//!
+//! [`Core`] is what the fronts and drivers call. Behind it the `coordinator` joins the parts, each of which holds one
+//! kind of state: `request_table`, `attempt`, `engine_table`, [`engine_connection`], `send_guard` and [`policy_driver`].
+
+mod api;
+mod attempt;
 pub mod buffer_pool;
-mod cordons;
+mod clock;
+mod coordinator;
 pub mod endpoint_client;
+mod endpoint_list;
 pub mod endpoint_watch;
 pub mod engine_connection;
-pub mod engines;
-pub mod facade;
+mod engine_table;
 mod gossip_facts;
+pub mod policy_driver;
 mod recent_requests;
-pub mod request_table;
+mod request;
+mod request_counters;
+mod request_table;
 pub mod result_buffer;
 mod send_guard;
+mod startup_control;
+#[cfg(test)]
+mod test_support;
 pub mod zone_routing;
 
-use sprucelink_policy::{TimeDelta, Timestamp};
-use std::sync::OnceLock;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-
-/// This process's clock: Unix time as it was at the first look, and on from there by the monotonic clock. Every
-/// deadline, span and time told to the module is read off it, so that a step of the system's clock neither ends nor
-/// holds up anything.
-pub fn now() -> Timestamp {
-    static FIRST: OnceLock<(Instant, Timestamp)> = OnceLock::new();
-    let (first, at) = FIRST.get_or_init(|| (Instant::now(), unix()));
-    *at + TimeDelta::from_micros(i64::try_from(first.elapsed().as_micros()).unwrap_or(i64::MAX))
-}
-
-/// The system's Unix clock, which may step; 0 before 1970.
-pub fn unix() -> Timestamp {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-    Timestamp::from_micros(i64::try_from(since.as_micros()).unwrap_or(i64::MAX))
-}
-
-/// A Unix time that others tell, on this process's clock as of now.
-pub fn from_unix(told: Timestamp) -> Timestamp {
-    on_clock(told, unix(), now())
-}
-
-/// A Unix time on a clock that shows `now` where Unix time is `unix`.
-fn on_clock(told: Timestamp, unix: Timestamp, now: Timestamp) -> Timestamp {
-    now + (told - unix)
-}
-
-/// A span to sleep; none if it lies behind.
-pub fn span(t: TimeDelta) -> Duration {
-    Duration::from_micros(t.as_micros().max(0) as u64)
-}
-
-#[cfg(test)]
-#[path = "clock_tests.rs"]
-mod tests;
+pub use api::{Core, CoreConfig, RequestHandle};
+pub use attempt::{AttemptOutcome, QueryCost};
+pub use clock::{from_unix, now, to_duration, unix};
+pub use gossip_facts::GossipWindows;
+pub use request::{RejectReason, Request, RequestSpec, Response, MAX_STATEMENT_BYTES};
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -1,39 +1,52 @@
-//! Ids of requests taken of late.
+//! Ids of requests that were submitted of late.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 
-/// Ids of requests are known for so long, and so many of them at most.
-pub(super) const PAST: TimeDelta = TimeDelta::from_micros(30_000_000);
-pub(super) const MOST_PAST: usize = 20_000;
+/// How long an id is remembered.
+const RETENTION: TimeDelta = TimeDelta::from_micros(30_000_000);
+/// Ids remembered at a time; the oldest go first.
+const MAX_IDS: usize = 20_000;
 
-/// Ids of requests taken of late, each with a mark of its statement. Guards against an id that comes
-/// again with another statement once the first has ended: its answer could be taken for the other's, by
-/// engines and clients alike. The same again is a client whose connection broke.
+/// Ids of requests that were submitted of late, each with a hash of its statement.
+///
+/// An id must not be used again for another statement once the first request has ended: engines and clients alike could
+/// take the response of one for that of the other. The same statement again is a client whose connection broke.
 #[derive(Default)]
 pub(super) struct RecentRequests {
-    pub(super) marks: BTreeMap<u64, u64>,
-    pub(super) order: VecDeque<(Timestamp, u64)>,
+    statement_hashes: BTreeMap<u64, u64>,
+    by_age: VecDeque<(Timestamp, u64)>,
 }
 
 impl RecentRequests {
-    /// Notes an id; false if another statement had it.
-    pub(super) fn note(&mut self, id: u64, statement: &[u8], at: Timestamp) -> bool {
-        let old = |o: &(Timestamp, u64), n: usize| at - o.0 > PAST || n >= MOST_PAST;
-        while self.order.front().is_some_and(|o| old(o, self.order.len())) {
-            if let Some((_, gone)) = self.order.pop_front() {
-                self.marks.remove(&gone);
+    /// Remembers an id; false if it is remembered for another statement.
+    pub(super) fn insert(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
+        self.remove_old(now);
+        let mut hasher = DefaultHasher::new();
+        hasher.write(statement);
+        let hash = hasher.finish();
+        match self.statement_hashes.get(&id) {
+            Some(known) => *known == hash,
+            None => {
+                self.statement_hashes.insert(id, hash);
+                self.by_age.push_back((now, id));
+                true
             }
         }
-        let mut hash = DefaultHasher::new();
-        hash.write(statement);
-        let mark = hash.finish();
-        let known = self.marks.get(&id).copied();
-        if known.is_none() {
-            self.marks.insert(id, mark);
-            self.order.push_back((at, id));
+    }
+
+    /// Forgets what is older than [`RETENTION`], and the oldest ids where there are [`MAX_IDS`].
+    fn remove_old(&mut self, now: Timestamp) {
+        while let Some((inserted_at, id)) = self.by_age.front().copied() {
+            if now - inserted_at <= RETENTION && self.by_age.len() < MAX_IDS {
+                return;
+            }
+            self.by_age.pop_front();
+            self.statement_hashes.remove(&id);
         }
-        known.is_none_or(|k| k == mark)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/request_counters.rs
@@ -0,0 +1,51 @@
+//! Counters of requests between two log lines.
+
+use sprucelink_policy::TimeDelta;
+use tracing::info;
+
+/// Time between two log lines of the counters.
+pub(super) const COUNTERS_LOG_INTERVAL: TimeDelta = TimeDelta::from_micros(10_000_000);
+
+/// What became of requests since the last log line.
+#[derive(Default)]
+pub(super) struct RequestCounters {
+    /// Submitted.
+    pub(super) submitted: u32,
+    /// Completed with a result.
+    pub(super) served: u32,
+    /// Rejected: no attempt ran.
+    pub(super) rejected: u32,
+    /// Failed: an attempt may have run.
+    pub(super) failed: u32,
+    /// Abandoned by their clients.
+    pub(super) abandoned: u32,
+    /// Attempts made.
+    pub(super) attempts: u32,
+}
+
+impl RequestCounters {
+    /// Logs the counters, unless nothing was submitted and nothing is pending.
+    pub(super) fn log(&self, pending: usize, buffers_in_use: usize) {
+        if self.submitted == 0 && pending == 0 {
+            return;
+        }
+        info!(
+            taken = self.submitted,
+            served = self.served,
+            refused = self.rejected,
+            failed = self.failed,
+            given_up = self.abandoned,
+            attempts = self.attempts,
+            open = pending,
+            buffers = buffers_in_use,
+            "figures: taken {}, served {}, refused {}, failed {}, given up {}, attempts {}, open {pending}, \
+             buffers {buffers_in_use}",
+            self.submitted,
+            self.served,
+            self.rejected,
+            self.failed,
+            self.abandoned,
+            self.attempts
+        );
+    }
+}
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -1,70 +1,82 @@
-//! Results: the pages of an answer, kept until its client has the last row.
+//! Results: the pages of an answer, kept until the client has the last row.
 
 use super::buffer_pool::{Buffer, BufferPool};
+use std::ops::Range;
 
-/// Longest page.
-pub(super) const PAGE: usize = 6_000;
-/// Longest result.
-pub(super) const MOST_RESULT: usize = 48_000;
+/// Longest page, in bytes.
+pub(super) const MAX_PAGE_BYTES: usize = 6_000;
+/// Longest result, in bytes.
+pub(super) const MAX_RESULT_BYTES: usize = 48_000;
 
-/// A result: its pages one behind the other in as few buffers as hold them, in the order they came.
+/// Where a page stands.
+#[derive(Clone, Debug)]
+struct Page {
+    /// The buffer, by its place in [`ResultSet::buffers`].
+    buffer: usize,
+    /// The bytes in it.
+    bytes: Range<usize>,
+}
+
+/// A result: its pages one behind the other in as few buffers as hold them, in the order in which they came.
 #[derive(Debug, Default)]
 pub struct ResultSet {
-    bufs: Vec<Buffer>,
-    /// By page: its buffer, and where it begins and ends there.
-    pub(super) pages: Vec<Option<(usize, usize, usize)>>,
+    buffers: Vec<Buffer>,
+    /// By page number; `None` until the page is here.
+    pages: Vec<Option<Page>>,
 }
 
 impl ResultSet {
-    pub(super) fn put(&mut self, pool: &BufferPool, page: usize, body: &[u8]) -> bool {
-        if !self.bufs.last().is_some_and(|buf| buf.has_room(body.len())) {
-            let Some(buf) = pool.get() else { return false };
-            self.bufs.push(buf);
+    /// Sets the number of pages, none of which is here.
+    pub(super) fn expect_pages(&mut self, pages: usize) {
+        self.pages = vec![None; pages];
+    }
+
+    /// Whether a page is here; `None` if the result has no page of this number.
+    pub(super) fn has_page(&self, page: usize) -> Option<bool> {
+        self.pages.get(page).map(Option::is_some)
+    }
+
+    /// Whether all pages are here.
+    pub(super) fn is_complete(&self) -> bool {
+        self.pages.iter().all(Option::is_some)
+    }
+
+    /// Stores an expected page; false if the pool has no buffer for it.
+    pub(super) fn insert_page(&mut self, pool: &BufferPool, page: usize, body: &[u8]) -> bool {
+        if !self.buffers.last().is_some_and(|buffer| buffer.has_room(body.len())) {
+            let Some(buffer) = pool.get() else { return false };
+            self.buffers.push(buffer);
         }
-        let last = self.bufs.len() - 1;
-        let at = self.bufs[last].len();
-        self.bufs[last].extend_from_slice(body);
-        self.pages[page] = Some((last, at, at + body.len()));
+        let buffer = self.buffers.len() - 1;
+        let start = self.buffers[buffer].len();
+        self.buffers[buffer].extend_from_slice(body);
+        self.pages[page] = Some(Page { buffer, bytes: start..start + body.len() });
         true
     }
 
-    /// Bytes of it.
+    /// Bytes of the pages that are here.
     pub(super) fn len(&self) -> usize {
-        self.pages.iter().flatten().map(|p| p.2 - p.1).sum()
+        self.pages.iter().flatten().map(|page| page.bytes.len()).sum()
     }
 
-    /// The row at a place, without its line feed, and the place behind it. A place is a page and a
-    /// byte in it; a result begins at (0, 0).
+    /// The row at a position, without its line feed, and the position behind it. A position is a page and a byte in it; a
+    /// result begins at (0, 0).
     pub fn row(&self, (mut page, mut byte): (usize, usize)) -> Option<(&[u8], (usize, usize))> {
         loop {
-            let (buf, at, end) = self.pages.get(page).copied()?.unwrap_or_default();
-            if byte < end - at {
-                let rest = &self.bufs[buf][at + byte..end];
+            let content = match self.pages.get(page)? {
+                Some(stored) => &self.buffers[stored.buffer][stored.bytes.clone()],
+                None => &[],
+            };
+            if byte < content.len() {
+                let rest = &content[byte..];
                 let end = rest.iter().position(|b| *b == b'\n').unwrap_or(rest.len());
                 return Some((&rest[..end], (page, byte + end + 1)));
             }
-            (page, byte) = (page + 1, 0);
+            page += 1;
+            byte = 0;
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn rows_come_back_in_order_over_pages_and_buffers() {
-        let pool = BufferPool::new(3);
-        let mut set = ResultSet { bufs: Vec::new(), pages: vec![None; 13] };
-        for page in (0..13).rev() {
-            assert!(set.put(&pool, page, format!("{page}\ta\n{page}\tb\n").as_bytes()));
-        }
-        let (mut at, mut seen) = ((0, 0), Vec::new());
-        while let Some((row, next)) = set.row(at) {
-            seen.push(String::from_utf8_lossy(row).into_owned());
-            at = next;
-        }
-        let wanted: Vec<String> = (0..13).flat_map(|p| [format!("{p}\ta"), format!("{p}\tb")]).collect();
-        assert_eq!(seen, wanted);
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/core/result_buffer/tests.rs
@@ -0,0 +1,22 @@
+//! Tests of results in pages.
+
+use super::*;
+
+#[test]
+fn rows_come_in_page_order_when_pages_came_in_reverse_order_over_several_buffers() {
+    let pool = BufferPool::new(3);
+    let mut result = ResultSet::default();
+    result.expect_pages(13);
+    for page in (0..13).rev() {
+        assert!(result.insert_page(&pool, page, format!("{page}\ta\n{page}\tb\n").as_bytes()));
+    }
+    let mut position = (0, 0);
+    let mut rows = Vec::new();
+    while let Some((row, next)) = result.row(position) {
+        rows.push(String::from_utf8_lossy(row).into_owned());
+        position = next;
+    }
+    let expected: Vec<String> =
+        (0..13).flat_map(|page| [format!("{page}\ta"), format!("{page}\tb")]).collect();
+    assert_eq!(rows, expected);
+}
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -1,166 +1,207 @@
-//! What an attempt must still be fit for just before its first byte leaves. The module chose it some time ago: since then
-//! its connection came up late, its peer was slow, or this process had no turn. Every rule on what is sent is looked at
-//! here once more, on the state of this moment; a no takes the attempt back, and as it never left, it costs its
-//! request's class nothing.
+//! The send guard: the rules that an attempt must still meet just before its first byte is sent.
 //!
-//! This is no second decision: what the module would have refused at this moment does not leave, and nothing else.
+//! The policy chose the attempt some time ago: since then its connection came up late, its peer was slow, or this process
+//! had no turn. Every rule on what is sent is checked here once more, on the state of this moment. An attempt that fails is
+//! withdrawn; as it was never sent, it costs its request nothing. This is no second decision: it stops only what the
+//! policy would not choose at this moment.
 
 use sprucelink_policy::{AttemptBudget, Effect, Settings, TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// Time is counted in slots of so much, and in so many at most; longer spans have wider slots.
-const SLOT: TimeDelta = TimeDelta::from_micros(20_000);
-const MOST_SLOTS: i64 = 1_024;
+/// Width of a slot in which events are counted; longer windows have wider slots.
+const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_micros(20_000);
+/// Slots of one window.
+const MAX_SLOTS: i64 = 1_024;
 
-/// Why an attempt may not leave.
+/// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendRejection {
-    /// Its request has its final answer, or its client has gone.
-    Over,
-    /// Its client's time is over, or this process ends before.
-    Late,
-    /// Its engine drains, is gone, or was taken out.
-    Engine,
-    /// Its class may not be repeated, or not any more.
-    Repeat,
-    /// The ration of further attempts is spent.
-    Ration,
+    /// Its request has its final response, or its client has gone.
+    RequestOver,
+    /// Its client's deadline has passed, or this process shuts down before.
+    DeadlinePassed,
+    /// Its engine drains, is gone, or is cordoned.
+    EngineNotReady,
+    /// Its class may not be retried, or not any more.
+    NotRetryable,
+    /// The retry budget is spent.
+    RetryBudgetSpent,
 }
 
-/// An attempt that is about to leave, as things stand at this moment.
+/// An attempt that is about to be sent, as things stand at this moment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutgoingAttempt {
-    /// Its request has no final answer, and its client is present.
-    pub(super) open: bool,
+    /// Its request has no final response, and its client is present.
+    pub(super) request_is_awaited: bool,
     /// When its client stops waiting.
     pub(super) deadline: Timestamp,
     /// Its class, by number.
     pub(super) class: usize,
-    /// Attempts were chosen before it.
-    pub(super) further: bool,
+    /// Its request had attempts before.
+    pub(super) is_retry: bool,
     /// When the first attempt that may have run was sent.
-    pub(super) may_have_run: Option<Timestamp>,
-    /// The list held has its engine ready, and nobody has taken it out.
-    pub(super) engine_ready: bool,
+    pub(super) may_have_run_since: Option<Timestamp>,
+    /// Its engine is listed as ready and not cordoned.
+    pub(super) engine_is_ready: bool,
 }
 
-/// Events in the last span, by slot.
+/// Events within a sliding window, counted by slot.
 #[derive(Debug, Default)]
-struct Slots {
+struct SlotWindow {
     span: TimeDelta,
-    counts: VecDeque<(i64, u32)>,
+    /// Slot number and events in it, oldest first.
+    slots: VecDeque<(i64, u32)>,
 }
 
-impl Slots {
-    fn width(&self) -> i64 {
-        SLOT.as_micros().max(self.span.as_micros() / MOST_SLOTS)
+impl SlotWindow {
+    fn new(span: TimeDelta) -> SlotWindow {
+        SlotWindow { span, slots: VecDeque::new() }
     }
 
-    fn add(&mut self, now: Timestamp) {
-        let slot = now.as_micros().div_euclid(self.width());
-        let old = slot - self.span.as_micros() / self.width() - 1;
-        while self.counts.front().is_some_and(|c| c.0 < old) {
-            self.counts.pop_front();
+    /// Width of a slot in microseconds.
+    fn slot_width(&self) -> i64 {
+        MIN_SLOT_WIDTH.as_micros().max(self.span.as_micros() / MAX_SLOTS)
+    }
+
+    fn slot_of(&self, at: Timestamp) -> i64 {
+        at.as_micros().div_euclid(self.slot_width())
+    }
+
+    fn record(&mut self, now: Timestamp) {
+        let slot = self.slot_of(now);
+        let oldest = slot - self.span.as_micros() / self.slot_width() - 1;
+        while self.slots.front().is_some_and(|(slot, _)| *slot < oldest) {
+            self.slots.pop_front();
         }
-        match self.counts.back_mut().filter(|c| c.0 >= slot) {
-            Some(last) => last.1 = last.1.saturating_add(1),
-            None => self.counts.push_back((slot, 1)),
+        match self.slots.back_mut().filter(|(last, _)| *last >= slot) {
+            Some((_, count)) => *count = count.saturating_add(1),
+            None => self.slots.push_back((slot, 1)),
         }
     }
 
-    /// Events of the span before `now`: of the slot that its begin cuts, all or none.
-    fn sum(&self, now: Timestamp, with_cut: bool) -> u64 {
-        let first = (now - self.span).as_micros().div_euclid(self.width()) + i64::from(!with_cut);
-        self.counts.iter().filter(|c| c.0 >= first).map(|c| u64::from(c.1)).sum()
+    /// Events within the window before `now`. The slot in which the window begins counts whole with
+    /// `include_partial_slot`, and not at all without.
+    fn sum(&self, now: Timestamp, include_partial_slot: bool) -> u64 {
+        let first = self.slot_of(now - self.span) + i64::from(!include_partial_slot);
+        self.slots.iter().filter(|(slot, _)| *slot >= first).map(|(_, count)| u64::from(*count)).sum()
+    }
+}
+
+/// How often attempts of a class may be sent.
+#[derive(Clone, Copy, Debug)]
+struct RetryRule {
+    effect: Effect,
+    /// For idempotency keys: how long a retry may follow the first attempt that may have run.
+    window: TimeDelta,
+}
+
+impl RetryRule {
+    /// Whether an attempt may be sent after one that may have run.
+    fn allows_retry(&self, now: Timestamp, may_have_run_since: Timestamp) -> bool {
+        match self.effect {
+            Effect::Safe => true,
+            Effect::Keyed => now < may_have_run_since + self.window,
+            Effect::Unsafe => false,
+        }
     }
 }
 
 /// The rules on what is sent, and what they count.
 #[derive(Debug)]
 pub(super) struct SendGuard {
-    classes: Vec<(Effect, TimeDelta)>,
-    budget: Option<AttemptBudget>,
-    taken: Slots,
-    further: Slots,
-    /// This process gives its last answers then.
-    ends_by: Option<Timestamp>,
+    /// By class.
+    retry_rules: Vec<RetryRule>,
+    retry_budget: Option<AttemptBudget>,
+    requests: SlotWindow,
+    retries: SlotWindow,
+    /// When this process gives its last responses, once it shuts down.
+    shutdown_deadline: Option<Timestamp>,
 }
 
 impl SendGuard {
-    pub(super) fn new(set: &Settings) -> SendGuard {
-        let span = set.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span);
-        let slots = || Slots { span, counts: VecDeque::new() };
+    /// The rules of the policy's settings, with nothing counted.
+    pub(super) fn new(settings: &Settings) -> SendGuard {
+        let span = settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.span);
+        let rules = settings.classes.iter();
         SendGuard {
-            classes: set.classes.iter().map(|c| (c.effect, c.repeat_window)).collect(),
-            budget: set.attempt_budget,
-            taken: slots(),
-            further: slots(),
-            ends_by: None,
+            retry_rules: rules.map(|c| RetryRule { effect: c.effect, window: c.repeat_window }).collect(),
+            retry_budget: settings.attempt_budget,
+            requests: SlotWindow::new(span),
+            retries: SlotWindow::new(span),
+            shutdown_deadline: None,
         }
     }
 
-    /// From now on this process ends: its last answers go out by then.
-    pub(super) fn ends_by(&mut self, by: Timestamp) {
-        self.ends_by = Some(by);
+    /// Sets when this process gives its last responses.
+    pub(super) fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
+        self.shutdown_deadline = Some(deadline);
     }
 
-    /// When a request that comes now has to be answered at the latest, if its client waits until `deadline`.
-    pub(super) fn answer_by(&self, deadline: Timestamp) -> Timestamp {
-        self.ends_by.map_or(deadline, |by| by.min(deadline))
+    /// When a request has to be responded to at the latest, if its client waits until `deadline`.
+    pub(super) fn response_deadline(&self, deadline: Timestamp) -> Timestamp {
+        self.shutdown_deadline.map_or(deadline, |shutdown| shutdown.min(deadline))
     }
 
-    /// Whether the last answers have gone out: what is still read is turned away.
-    pub(super) fn closed(&self, now: Timestamp) -> bool {
-        self.ends_by.is_some_and(|by| now >= by)
+    /// Whether the last responses have been given: further requests are rejected.
+    pub(super) fn is_closed(&self, now: Timestamp) -> bool {
+        self.shutdown_deadline.is_some_and(|shutdown| now >= shutdown)
     }
 
-    /// A request was taken.
-    pub(super) fn took(&mut self, now: Timestamp) {
-        if self.budget.is_some() {
-            self.taken.add(now);
+    /// Counts a request.
+    pub(super) fn record_request(&mut self, now: Timestamp) {
+        if self.retry_budget.is_some() {
+            self.requests.record(now);
         }
     }
 
-    /// An attempt's first byte leaves.
-    pub(super) fn left(&mut self, now: Timestamp, further: bool) {
-        if further && self.budget.is_some() {
-            self.further.add(now);
+    /// Counts an attempt whose first byte is being sent.
+    pub(super) fn record_send(&mut self, now: Timestamp, is_retry: bool) {
+        if is_retry && self.retry_budget.is_some() {
+            self.retries.record(now);
         }
     }
 
-    /// Whether an attempt may leave; `spare` are further attempts that others leave to this manager.
+    /// Checks whether an attempt may be sent. `spare_attempts`: retries that other managers leave to this one.
     ///
     /// # Errors
     /// The first rule that it would break.
-    pub(super) fn check(&self, now: Timestamp, spare: f64, a: &OutgoingAttempt) -> Result<(), SendRejection> {
-        if !a.open {
-            return Err(SendRejection::Over);
+    pub(super) fn check(
+        &self,
+        now: Timestamp,
+        spare_attempts: f64,
+        attempt: &OutgoingAttempt,
+    ) -> Result<(), SendRejection> {
+        if !attempt.request_is_awaited {
+            return Err(SendRejection::RequestOver);
         }
-        if now >= self.answer_by(a.deadline) {
-            return Err(SendRejection::Late);
+        if now >= self.response_deadline(attempt.deadline) {
+            return Err(SendRejection::DeadlinePassed);
         }
-        if !a.engine_ready {
-            return Err(SendRejection::Engine);
+        if !attempt.engine_is_ready {
+            return Err(SendRejection::EngineNotReady);
         }
-        let repeats = match (self.classes.get(a.class), a.may_have_run) {
-            (Some((Effect::Unsafe, _)), Some(_)) => false,
-            (Some((Effect::Keyed, window)), Some(sent)) => now < sent + *window,
-            _ => true,
-        };
-        if !repeats {
-            return Err(SendRejection::Repeat);
+        if !self.is_retryable(now, attempt) {
+            return Err(SendRejection::NotRetryable);
         }
-        let within = |b: &AttemptBudget| {
-            let allowed = b.free + b.share * self.taken.sum(now, false) as f64 + spare;
-            (self.further.sum(now, true) + 1) as f64 <= allowed
-        };
-        if a.further && !self.budget.as_ref().is_none_or(within) {
-            return Err(SendRejection::Ration);
+        if attempt.is_retry && !self.has_retry_budget(now, spare_attempts) {
+            return Err(SendRejection::RetryBudgetSpent);
         }
         Ok(())
     }
+
+    fn is_retryable(&self, now: Timestamp, attempt: &OutgoingAttempt) -> bool {
+        match (self.retry_rules.get(attempt.class), attempt.may_have_run_since) {
+            (Some(rule), Some(since)) => rule.allows_retry(now, since),
+            _ => true,
+        }
+    }
+
+    fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
+        let Some(budget) = &self.retry_budget else { return true };
+        let allowed = budget.free + budget.share * self.requests.sum(now, false) as f64 + spare_attempts;
+        (self.retries.sum(now, true) + 1) as f64 <= allowed
+    }
 }
 
 #[cfg(test)]
-#[path = "send_guard_tests.rs"]
 mod tests;
--- /dev/null
+++ b/src/core/send_guard/tests.rs
@@ -0,0 +1,142 @@
+//! Tests of the send guard, rule by rule, at the edges.
+
+use super::*;
+use quickcheck::{Gen, QuickCheck, TestResult};
+use sprucelink_policy::{ClassSettings, DedupGroup};
+
+fn class(effect: Effect, window_ms: i64) -> ClassSettings {
+    ClassSettings {
+        worth: 1.0,
+        late_worth: 0.5,
+        aim: ms(1),
+        aim_stretch: 0.0,
+        deadline: ms(20_000),
+        effect,
+        group: DedupGroup::All,
+        repeat_window: ms(window_ms),
+        in_turn: false,
+        threads: 1.0,
+        load: false,
+        kinds: None,
+        zones: None,
+    }
+}
+
+fn ms(t: i64) -> TimeDelta {
+    TimeDelta::from_millis(t)
+}
+
+fn at(t: i64) -> Timestamp {
+    Timestamp::from_millis(t)
+}
+
+fn guard(budget: Option<AttemptBudget>) -> SendGuard {
+    let classes = vec![class(Effect::Safe, 0), class(Effect::Keyed, 400), class(Effect::Unsafe, 9_000)];
+    SendGuard::new(&Settings { classes, attempt_budget: budget, ..Settings::default() })
+}
+
+const FIRST: OutgoingAttempt = OutgoingAttempt {
+    request_is_awaited: true,
+    deadline: Timestamp::from_micros(2_000_000),
+    class: 0,
+    is_retry: false,
+    may_have_run_since: None,
+    engine_is_ready: true,
+};
+
+#[test]
+fn nothing_is_sent_for_a_completed_or_late_request_or_to_a_draining_engine() {
+    let guard = guard(None);
+    assert_eq!(guard.check(at(1), 0.0, &FIRST), Ok(()));
+    assert_eq!(
+        guard.check(at(1), 0.0, &OutgoingAttempt { request_is_awaited: false, ..FIRST }),
+        Err(SendRejection::RequestOver)
+    );
+    assert_eq!(guard.check(at(1_999), 0.0, &FIRST), Ok(()));
+    assert_eq!(guard.check(at(2_000), 0.0, &FIRST), Err(SendRejection::DeadlinePassed));
+    assert_eq!(
+        guard.check(at(1), 0.0, &OutgoingAttempt { engine_is_ready: false, ..FIRST }),
+        Err(SendRejection::EngineNotReady)
+    );
+}
+
+#[test]
+fn retry_is_sent_within_its_window_and_never_for_an_unsafe_class() {
+    let guard = guard(None);
+    let retry = OutgoingAttempt { is_retry: true, may_have_run_since: Some(at(100)), ..FIRST };
+    assert_eq!(guard.check(at(1_000), 0.0, &retry), Ok(()), "a safe class has no window");
+    let keyed = OutgoingAttempt { class: 1, ..retry };
+    assert_eq!(guard.check(at(499), 0.0, &keyed), Ok(()));
+    assert_eq!(guard.check(at(500), 0.0, &keyed), Err(SendRejection::NotRetryable));
+    let never_ran = OutgoingAttempt { may_have_run_since: None, ..keyed };
+    assert_eq!(guard.check(at(1_500), 0.0, &never_ran), Ok(()));
+    let unsafe_retry = OutgoingAttempt { class: 2, ..retry };
+    assert_eq!(guard.check(at(101), 0.0, &unsafe_retry), Err(SendRejection::NotRetryable));
+    assert_eq!(
+        guard.check(at(101), 0.0, &OutgoingAttempt { may_have_run_since: None, ..unsafe_retry }),
+        Ok(())
+    );
+}
+
+#[test]
+fn nothing_is_sent_after_the_shutdown_deadline() {
+    let mut guard = guard(None);
+    assert!(!guard.is_closed(at(5_000)));
+    guard.set_shutdown_deadline(at(700));
+    assert_eq!((guard.response_deadline(at(500)), guard.response_deadline(at(900))), (at(500), at(700)));
+    assert_eq!(guard.check(at(699), 0.0, &FIRST), Ok(()));
+    assert_eq!(guard.check(at(700), 0.0, &FIRST), Err(SendRejection::DeadlinePassed));
+    assert!(!guard.is_closed(at(699)) && guard.is_closed(at(700)));
+}
+
+/// Whatever arrives and is chosen when, and however late it is sent: no retry is sent beyond the budget of the window
+/// before it.
+#[test]
+fn no_window_holds_more_retries_than_its_budget() {
+    fn holds(steps: Vec<(u8, bool)>) -> TestResult {
+        let budget = AttemptBudget { span: ms(1_000), free: 3.0, share: 0.1 };
+        let mut guard = guard(Some(budget));
+        let (mut now, mut requests, mut retries) = (at(50_000), Vec::new(), Vec::<Timestamp>::new());
+        for (rest, request) in steps {
+            now = now + ms(i64::from(rest) / 2);
+            if request {
+                guard.record_request(now);
+                requests.push(now);
+            }
+            let retry = OutgoingAttempt { is_retry: true, deadline: now + ms(1), ..FIRST };
+            if guard.check(now, 0.0, &retry).is_err() {
+                continue;
+            }
+            guard.record_send(now, true);
+            retries.push(now);
+            // The rule counts at each retry, itself included.
+            let from = now - budget.span;
+            let of = |all: &[Timestamp]| all.iter().filter(|t| **t > from).count() as f64;
+            if of(&retries) > budget.free + budget.share * of(&requests) + 1e-9 {
+                return TestResult::failed();
+            }
+        }
+        TestResult::passed()
+    }
+    let rng = Gen::from_size_and_seed(400, 11);
+    QuickCheck::new().rng(rng).tests(300).quickcheck(holds as fn(Vec<(u8, bool)>) -> TestResult);
+}
+
+#[test]
+fn retry_budget_is_used_up_and_its_counts_stay_bounded() {
+    let budget = AttemptBudget { span: ms(5_000), free: 3.0, share: 0.1 };
+    let mut guard = guard(Some(budget));
+    let retry = OutgoingAttempt { is_retry: true, deadline: Timestamp::MAX, ..FIRST };
+    let mut sent = 0;
+    for t in 0..60_000 {
+        guard.record_request(at(t));
+        if guard.check(at(t), 0.0, &retry).is_ok() {
+            guard.record_send(at(t), true);
+            sent += 1;
+        }
+    }
+    // A tenth of 60,000 and a free one now and then.
+    assert!((5_800..=6_100).contains(&sent), "{sent}");
+    assert!(guard.requests.slots.len() as i64 <= MAX_SLOTS && guard.retries.slots.len() as i64 <= MAX_SLOTS);
+    assert_eq!(guard.check(at(60_000), 1e9, &retry), Ok(()), "other managers leave some");
+}
--- /dev/null
+++ b/src/core/test_support.rs
@@ -0,0 +1,120 @@
+//! What the core's tests share: a core in front of listeners that stand for engines.
+
+use super::buffer_pool::BufferPool;
+use super::engine_connection::{ConnectionLimits, ConnectionOwner, EngineConnection};
+use super::{Core, CoreConfig, Request, RequestSpec};
+use crate::proto::events::{ListEvent, Member, Phase};
+use crate::proto::Malformed;
+use sprucelink_metrics::Metrics;
+use sprucelink_policy::{ClassSettings, DedupGroup, Effect, Settings, TimeDelta};
+use std::rc::Rc;
+use tokio::net::TcpListener;
+
+fn settings(cores: f64) -> Settings {
+    let class = ClassSettings {
+        worth: 1.0,
+        late_worth: 0.5,
+        aim: TimeDelta::from_micros(1_000),
+        aim_stretch: 0.0,
+        deadline: TimeDelta::from_micros(20_000_000),
+        effect: Effect::Safe,
+        group: DedupGroup::All,
+        repeat_window: TimeDelta::ZERO,
+        in_turn: false,
+        threads: 1.0,
+        load: false,
+        kinds: None,
+        zones: None,
+    };
+    Settings {
+        classes: vec![class],
+        kind_cores: vec![cores],
+        cancel: true,
+        max_attempts: 6,
+        ..Settings::default()
+    }
+}
+
+/// A core with two engines that accept connections and say nothing.
+pub(super) async fn core() -> (Rc<Core>, Vec<TcpListener>) {
+    let listen = || TcpListener::bind("127.0.0.1:0");
+    let listeners = vec![listen().await.expect("a port"), listen().await.expect("a port")];
+    core_with(listeners, 32, 8.0)
+}
+
+/// A core with an engine of so many cores behind each listener, and so many attempts on a connection at a time.
+pub(super) fn core_with(
+    listeners: Vec<TcpListener>,
+    max_streams: usize,
+    cores: f64,
+) -> (Rc<Core>, Vec<TcpListener>) {
+    let limits = ConnectionLimits {
+        max_streams,
+        dial_timeout: TimeDelta::from_micros(5_000_000),
+        idle_timeout: TimeDelta::from_micros(15_000_000),
+        note_interval: TimeDelta::ZERO,
+        max_per_engine: 4,
+        max_total: 8,
+    };
+    let core = Core::new(CoreConfig {
+        settings: settings(cores),
+        seed: 7,
+        zones: Vec::new(),
+        kinds: Vec::new(),
+        limits,
+        pool: BufferPool::new(2 * max_streams),
+        metrics: Metrics::new(&["c".into()]).expect("metrics"),
+    });
+    let member_of = |(i, listener): (usize, &TcpListener)| {
+        let address = listener.local_addr().expect("an address").to_string();
+        member(&format!("s-{}", i + 1), address, Phase::Ready, 0)
+    };
+    let members = listeners.iter().enumerate().map(member_of).collect();
+    core.on_endpoint_list(&ListEvent { n: 1, revision: 0, complete: true, members }, true);
+    (core, listeners)
+}
+
+/// An entry of the endpoint list.
+pub(super) fn member(id: &str, address: String, phase: Phase, up_since_ms: i64) -> Member {
+    Member { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
+}
+
+/// The owner of connections whose attempts are in no request table: all of them may be sent.
+pub(super) struct PermissiveOwner {
+    pub(super) pool: BufferPool,
+    pub(super) limits: ConnectionLimits,
+}
+
+impl ConnectionOwner for PermissiveOwner {
+    fn pool(&self) -> &BufferPool {
+        &self.pool
+    }
+    fn limits(&self) -> &ConnectionLimits {
+        &self.limits
+    }
+    fn on_answer(self: &Rc<Self>, _: &EngineConnection, _: &[&[u8]]) -> Result<(), Malformed> {
+        Ok(())
+    }
+    fn on_connection_down(self: &Rc<Self>, _: &Rc<EngineConnection>, _: &str, _: bool) {}
+}
+
+/// A request with an empty statement.
+pub(super) fn request(core: &Core, id: u64) -> Request {
+    let spec = RequestSpec {
+        id,
+        class: 0,
+        tenant: 0,
+        tables: 1,
+        time_left: TimeDelta::from_micros(20_000_000),
+        cost_ms: Some(1.0),
+        memory_mb: None,
+    };
+    let statement = core.pool().get().expect("a buffer");
+    Request { spec, class_name: "c".into(), idempotency_key: None, statement }
+}
+
+/// Runs a test on a runtime of its own.
+pub(super) fn local<T>(test: impl std::future::Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    tokio::task::LocalSet::new().block_on(&runtime, test)
+}
--- a/src/front/answer.rs
+++ b/src/front/answer.rs
@@ -1,8 +1,8 @@
 //! Final answers as clients see them.
 
 use super::wire::Wire;
-use crate::core::request_table::RejectReason;
 use crate::core::result_buffer::ResultSet;
+use crate::core::RejectReason;
 use crate::proto::pg::{self, Fault};
 use sprucelink_policy::Micros;
 use std::io;
@@ -20,10 +20,12 @@
 /// tells a deadline from a jam.
 pub fn refused(cause: RejectReason, wait: Micros, extended: bool) -> Fault {
     let fault = match cause {
-        RejectReason::Deadline if extended => {
+        RejectReason::DeadlineExceeded if extended => {
             Fault::new("57014", "canceled: its time ran out; a repeat does no harm")
         }
-        RejectReason::Deadline => Fault::new("53000", "refused: its time ran out; a repeat does no harm"),
+        RejectReason::DeadlineExceeded => {
+            Fault::new("53000", "refused: its time ran out; a repeat does no harm")
+        }
         _ => Fault::new("53400", "refused: there is more to do than can be done in time"),
     };
     come_back(fault, wait)
@@ -32,11 +34,11 @@
 /// A failure, by its cause.
 pub fn failed(cause: RejectReason, wait: Micros) -> Fault {
     let (code, message) = match cause {
-        RejectReason::Deadline => ("57014", "canceled: its time ran out; it may have run"),
-        RejectReason::Engine => ("58000", "the engine failed; it may have run"),
-        RejectReason::Lost => ("08006", "the connection to the engine broke; it may have run"),
+        RejectReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
+        RejectReason::EngineError => ("58000", "the engine failed; it may have run"),
+        RejectReason::ConnectionLost => ("08006", "the connection to the engine broke; it may have run"),
         RejectReason::Unreachable => ("08001", "no engine could be reached"),
-        RejectReason::Busy => ("40003", "given up; it may have run"),
+        RejectReason::Overloaded => ("40003", "given up; it may have run"),
     };
     come_back(Fault::new(code, message), wait)
 }
--- a/src/front/extended.rs
+++ b/src/front/extended.rs
@@ -9,8 +9,8 @@
 use super::session::Session;
 use super::wire::Wire;
 use crate::core::now;
-use crate::core::request_table::MOST_STATEMENT;
 use crate::core::result_buffer::ResultSet;
+use crate::core::MAX_STATEMENT_BYTES;
 use crate::proto::literal::{self, Param};
 use crate::proto::pg::{self, Fault, Kind, Message};
 use crate::proto::tables::{self, token, Token};
@@ -229,7 +229,7 @@
             let format = formats.get(i).or(formats.first()).copied().unwrap_or(0);
             params.push(literal::param(i + 1, *kind, format, *value)?);
         }
-        let statement = literal::expand(&self.statement, &params, MOST_STATEMENT)?;
+        let statement = literal::expand(&self.statement, &params, MAX_STATEMENT_BYTES)?;
         let pairs: Vec<_> = self.pairs.iter().map(|(n, v)| (n.clone(), bound(v, &params))).collect();
         let portal =
             Portal { prepared: Rc::clone(self), pairs, statement, formats: results, stage: Stage::Ready };
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -9,9 +9,7 @@
 pub mod wire;
 
 use crate::core::buffer_pool::Buffer;
-use crate::core::facade::RequestSpec;
-use crate::core::request_table::{Core, Request, RequestHandle, MOST_STATEMENT};
-use crate::core::{now, span};
+use crate::core::{now, to_duration, Core, Request, RequestHandle, RequestSpec, MAX_STATEMENT_BYTES};
 use crate::proto::fields::Fields;
 use crate::proto::pg::{self, Fault, Opening};
 use crate::proto::tables;
@@ -156,7 +154,7 @@
     pub fn new(core: Rc<Core>, setup: Setup) -> Rc<Front> {
         let ahead = if setup.extended { AHEAD } else { 0 };
         Rc::new(Front {
-            ahead: Ahead::new(ahead, core.pool().most() / AHEAD_SHARE),
+            ahead: Ahead::new(ahead, core.pool().max_buffers() / AHEAD_SHARE),
             core,
             seats: Seats::new(setup.most_sessions, setup.most_leaving, !setup.extended),
             lobby: Lobby::new(setup.most_lobby),
@@ -312,7 +310,7 @@
                 return self.seats.take(true);
             }
             tokio::select! {
-                () = tokio::time::sleep(span(grace.map_or(left, |grace| grace.min(left)))) => {}
+                () = tokio::time::sleep(to_duration(grace.map_or(left, |grace| grace.min(left)))) => {}
                 () = freed => {}
                 () = place.leave() => {}
             }
@@ -495,7 +493,7 @@
         let id = match f.req {
             Some(id) if !setup.extended => id,
             None if !setup.extended => return Err(missing("req", "is missing")),
-            _ => self.core.draw(),
+            _ => self.core.generate_id(),
         };
         let of_class = &setup.classes[class];
         let once = match &f.opkey {
@@ -504,33 +502,38 @@
             None if of_class.keyed && !setup.extended => {
                 return Err(missing("opkey", "is missing: the class carries a key"));
             }
-            None if of_class.keyed => Some(format!("{:016x}{:016x}", self.core.draw(), self.core.draw())),
+            None if of_class.keyed => {
+                Some(format!("{:016x}{:016x}", self.core.generate_id(), self.core.generate_id()))
+            }
             _ => None,
         };
         let timeout = f.timeout_ms.or(own_timeout).map_or(of_class.deadline, |ms| Micros(ms as i64 * 1000));
-        let asked = RequestSpec {
+        let spec = RequestSpec {
             id,
             class,
             tenant,
             tables: tables::group(statement),
-            left: arrived + timeout - now(),
+            time_left: arrived + timeout - now(),
             cost_ms: f.ms,
             memory_mb: f.heap_mb,
         };
         if cancelled {
-            self.core.figures().take(class).aborted();
+            self.core.metrics().take(class).aborted();
             return Err(answer::cancelled());
         }
-        let statement = self.keep(statement).inspect_err(|_| self.core.figures().take(class).declined())?;
-        let request = Request { asked, class: of_class.name.clone(), once, statement };
-        let ticket = self.core.take(request);
+        let statement = self.keep(statement).inspect_err(|_| self.core.metrics().take(class).declined())?;
+        let request = Request { spec, class_name: of_class.name.clone(), idempotency_key: once, statement };
+        let ticket = self.core.submit(request);
         ticket
             .ok_or_else(|| Fault::new("42710", format!("field req: {id:016x} was given to a request before")))
     }
 
     fn keep(&self, statement: &str) -> Result<Buffer, Fault> {
-        if statement.len() > MOST_STATEMENT {
-            return Err(Fault::new("54000", format!("a statement holds at most {MOST_STATEMENT} bytes")));
+        if statement.len() > MAX_STATEMENT_BYTES {
+            return Err(Fault::new(
+                "54000",
+                format!("a statement holds at most {MAX_STATEMENT_BYTES} bytes"),
+            ));
         }
         let mut buf = self.core.pool().get().ok_or_else(answer::no_buffer)?;
         buf.extend_from_slice(statement.as_bytes());
--- a/src/front/session.rs
+++ b/src/front/session.rs
@@ -4,8 +4,8 @@
 use super::extended::{self, Names};
 use super::wire::{Overrun, Wire};
 use super::{answer, late, too_many, Counted, Front};
-use crate::core::buffer_pool::SIZE;
-use crate::core::request_table::{RequestHandle, Response};
+use crate::core::buffer_pool::BUFFER_BYTES;
+use crate::core::{RequestHandle, Response};
 use crate::proto::pg::{self, Fault, Message};
 use crate::proto::{
     fields::{self, Fields},
@@ -129,7 +129,7 @@
     start: Start,
     seat: &Seat,
 ) -> io::Result<Option<Fault>> {
-    let (number, secret) = (front.core.draw() as u32 >> 1, front.core.draw() as u32);
+    let (number, secret) = (front.core.generate_id() as u32 >> 1, front.core.generate_id() as u32);
     let cancel = Cancel::new(secret);
     front.sessions.borrow_mut().insert(number, Rc::clone(&cancel));
     let _listed = Listed(&front, number);
@@ -185,7 +185,7 @@
     /// Handles one message.
     async fn step<S: AsyncRead + AsyncWrite + Unpin>(&mut self, wire: &mut Wire<S>) -> io::Result<Step> {
         let mut out = std::mem::take(&mut self.scratch);
-        let (todo, len) = match pg::read_message(wire.input(), SIZE) {
+        let (todo, len) = match pg::read_message(wire.input(), BUFFER_BYTES) {
             Ok(Some((Message::Terminate, _))) => return Ok(Step::End(None)),
             Ok(Some((Message::Query(_), len))) if self.skipping => (Ok(Todo::Nothing), len),
             Ok(Some((Message::Query(text), len))) => (Ok(Todo::Query(text.to_owned())), len),
@@ -392,8 +392,10 @@
                 biased;
                 f = ticket.wait() => return Ok(Some(match f {
                     Response::Served(result) => Ok(result),
-                    Response::Refused(cause, wait) => Err(answer::refused(cause, wait, extended)),
-                    Response::Failed(cause, wait) => Err(answer::failed(cause, wait)),
+                    Response::Rejected { reason, retry_after } => {
+                        Err(answer::refused(reason, retry_after, extended))
+                    },
+                    Response::Failed { reason, retry_after } => Err(answer::failed(reason, retry_after)),
                 })),
                 () = cancel.asked() => {
                     cancel.take();
--- a/src/front/wire.rs
+++ b/src/front/wire.rs
@@ -4,7 +4,7 @@
 //! still sent. So what is read ahead is kept up to a bound, and beyond that thrown away, only to learn of the end; the
 //! session is then overrun, and ends behind what it holds whole.
 
-use crate::core::buffer_pool::{Buffer, BufferPool, SIZE};
+use crate::core::buffer_pool::{Buffer, BufferPool, BUFFER_BYTES};
 use crate::core::now;
 use sprucelink_policy::Micros;
 use std::cell::Cell;
@@ -58,7 +58,7 @@
     }
     /// Bytes that a session may hold.
     pub fn bound(&self) -> usize {
-        SIZE * (1 + self.most)
+        BUFFER_BYTES * (1 + self.most)
     }
 }
 
@@ -86,7 +86,7 @@
 
 /// Appends as much as fits; the rest.
 fn append<'a>(buf: &mut Buffer, bytes: &'a [u8]) -> &'a [u8] {
-    let (fits, rest) = bytes.split_at(bytes.len().min(SIZE.saturating_sub(buf.len())));
+    let (fits, rest) = bytes.split_at(bytes.len().min(BUFFER_BYTES.saturating_sub(buf.len())));
     buf.extend_from_slice(fits);
     rest
 }
@@ -147,7 +147,7 @@
     }
     /// Appends as much as fits to the input; the rest.
     fn extend<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        let input = self.input.get_or_insert_with(|| self.pool.must());
+        let input = self.input.get_or_insert_with(|| self.pool.get_beyond_limit());
         if !input.has_room(bytes.len()) {
             input.drain(..std::mem::take(&mut self.consumed));
         }
@@ -232,7 +232,7 @@
     /// Bytes that fit the input, where nothing was read ahead of it.
     fn room(&self) -> usize {
         if self.ahead.is_empty() {
-            SIZE.saturating_sub(self.input().len())
+            BUFFER_BYTES.saturating_sub(self.input().len())
         } else {
             0
         }
@@ -296,7 +296,7 @@
     }
     /// What is to be written.
     pub fn output(&mut self) -> &mut Vec<u8> {
-        self.output.get_or_insert_with(|| self.pool.must())
+        self.output.get_or_insert_with(|| self.pool.get_beyond_limit())
     }
     /// Writes all that is to be written, and reads on where that has to wait: a client that has gone meanwhile must
     /// not have its next request taken.
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -2,7 +2,7 @@
 //! their bounds.
 
 use super::hot_restart_driver::Upgrade;
-use crate::core::request_table::Core;
+use crate::core::Core;
 use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
 use sprucelink_cordon::{By, Change, Hold, Refused as Unfit};
 use sprucelink_metrics::Counter;
@@ -42,7 +42,7 @@
     /// A desk over this core, that says no to health checks until [`Desk::ready`].
     pub fn new(core: Rc<Core>, upgrade: Option<Rc<Upgrade>>) -> Rc<Desk> {
         let counter = |bite: &Bite| {
-            let counter = core.figures().counter(bite.name());
+            let counter = core.metrics().counter(bite.name());
             (*bite, counter.unwrap_or_else(|_| Counter::noop()))
         };
         let bitten = Bite::ALL.iter().map(counter).collect();
@@ -94,18 +94,18 @@
 
     fn stats(&self) -> String {
         let (listed, avoided) = self.core.listed_and_avoided();
-        let figures = self.core.figures();
+        let figures = self.core.metrics();
         figures.discovered(listed);
         figures.ejected(avoided);
         figures.render()
     }
 
     fn cordon(&self, target: &str) -> Result<Done, Refused> {
-        self.obeyed(target, self.core.take_out(target, Hold::Operator, BY_HAND))
+        self.obeyed(target, self.core.cordon(target, Hold::Operator, BY_HAND))
     }
 
     fn uncordon(&self, target: &str) -> Result<Done, Refused> {
-        self.obeyed(target, self.core.put_back(target, By::Operator))
+        self.obeyed(target, self.core.uncordon(target, By::Operator))
     }
 
     fn bitten(&self, bite: Bite) {
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -112,7 +112,7 @@
     /// The least limit that would do.
     pub fn keep_back(&mut self, more: usize) -> Result<(), usize> {
         self.shares = Shares::of(self.sockets, self.shares.kept + more)?;
-        self.terms.most_links = self.shares.links;
+        self.terms.max_total = self.shares.links;
         self.setup.most_sessions = self.shares.sessions;
         Ok(())
     }
@@ -156,12 +156,12 @@
         sockets,
         shares,
         terms: Terms {
-            streams: limits.max_streams.or(32.0).max(1.0) as usize,
-            dial: Micros::from_secs(limits.connect_timeout.or(1.0)),
-            idle: Micros::from_secs(limits.conn_idle.or(15.0)),
-            notes: set.progress_pace,
-            most: (sockets / 32).max(2),
-            most_links: shares.links,
+            max_streams: limits.max_streams.or(32.0).max(1.0) as usize,
+            dial_timeout: Micros::from_secs(limits.connect_timeout.or(1.0)),
+            idle_timeout: Micros::from_secs(limits.conn_idle.or(15.0)),
+            note_interval: set.progress_pace,
+            max_per_engine: (sockets / 32).max(2),
+            max_total: shares.links,
         },
         setup: Setup {
             classes: told.settings.profiles.iter().zip(&set.classes).map(class).collect(),
--- a/src/run/config_tests.rs
+++ b/src/run/config_tests.rs
@@ -7,8 +7,14 @@
 #[test]
 fn what_is_not_told_has_the_programs_defaults() {
     let c = parse(&format!("{{{LEAST}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((c.terms.streams, c.terms.dial, c.terms.idle), (32, Micros(1_000_000), Micros(15_000_000)));
-    assert_eq!((c.buffers, c.terms.most, c.setup.most_sessions, c.terms.most_links), (1_536, 32, 610, 366));
+    assert_eq!(
+        (c.terms.max_streams, c.terms.dial_timeout, c.terms.idle_timeout),
+        (32, Micros(1_000_000), Micros(15_000_000))
+    );
+    assert_eq!(
+        (c.buffers, c.terms.max_per_engine, c.setup.most_sessions, c.terms.max_total),
+        (1_536, 32, 610, 366)
+    );
     let most = r#""limits":{"memory_mb":18446744073709551615,"sockets":18446744073709551615}"#;
     let c = parse(&format!("{{{LEAST},{most}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(c.buffers, usize::MAX, "no figure overflows");
@@ -89,7 +95,7 @@
         assert_eq!(read(limits, environment).err().as_deref(), Some(says), "{limits}");
     }
     let least = read(r#"{"sockets":36,"memory_mb":1}"#, &operators).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((least.setup.most_sessions, least.terms.most_links, least.buffers), (5, 3, 128));
+    assert_eq!((least.setup.most_sessions, least.terms.max_total, least.buffers), (5, 3, 128));
     for absent in ["null", "{}", r#"{"sockets":null,"memory_mb":null}"#] {
         let c = read(absent, &none).unwrap_or_else(|e| panic!("{e}"));
         assert_eq!((c.sockets, c.setup.most_sessions, c.buffers), (1024, 610, 1_536), "{absent}");
@@ -104,6 +110,6 @@
     let second = crate::run::operator::parse(text, &c.setup).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(second.descriptors(), 1 + 64 + 2 + 8);
     c.keep_back(second.descriptors()).unwrap_or_else(|least| panic!("{least}"));
-    assert_eq!((c.shares.kept, c.setup.most_sessions, c.terms.most_links), (75, 563, 337));
+    assert_eq!((c.shares.kept, c.setup.most_sessions, c.terms.max_total), (75, 563, 337));
     assert_eq!(c.keep_back(1_000), Err(1_131));
 }
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -2,8 +2,7 @@
 //! manager. `sprucelink_hot_restart` decides who takes connections and what each may spend, and keeps the files by which
 //! the two know of each other; here its word is carried out.
 
-use crate::core::now;
-use crate::core::request_table::Core;
+use crate::core::{now, Core};
 use crate::front::Front;
 use sprucelink_hot_restart::{
     adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
@@ -107,7 +106,7 @@
     fn turn(&self, front: &Front) {
         let looked = self.keeper.borrow_mut().look(now());
         self.take_in(looked, false);
-        self.core.expire_outages();
+        self.core.expire_cordons();
         let stand = self.keeper.borrow_mut().step(now(), self.term.get(), self.can_serve.get()).clone();
         self.say(&stand);
         // The one that is relieved has hardly anything to send any more, and the other meets all that comes: parts count
@@ -148,7 +147,7 @@
             let adopted = adopt(now(), self.spans, read);
             let (bans, ids, cold) = (adopted.bans.len(), adopted.ids.len(), adopted.cold.len());
             let further: u32 = adopted.further.iter().map(|f| f.1).sum();
-            self.core.adopt_outages(&adopted.bans, &adopted.ids);
+            self.core.merge_cordons(&adopted.bans, &adopted.ids);
             let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
             let line = format!(
                 "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {bans} bans, {ids} ids, \
@@ -174,7 +173,7 @@
         };
         if !wait {
             self.told.set((parts, None));
-            self.core.parted(parts);
+            self.core.set_process_count(parts);
         }
     }
 
@@ -197,7 +196,7 @@
     }
 
     fn content(&self) -> Content {
-        let (bans, ids) = self.core.outages(MOST_IDS);
+        let (bans, ids) = self.core.export_cordons(MOST_IDS);
         let tally = Tally::new(self.spans.ration, self.spans.cold);
         let (ration, cold) = (tally.ration(now()), tally.cold(now()));
         Content { bans, ids, ration, cold, last_event: self.core.last_event() }
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -1,9 +1,8 @@
 //! The acting half of the membership: a UDP socket, a clock, and what the core tells and is told. What is decided is
 //! decided in `sprucelink_membership`. Never on the platform.
 
-use crate::core::request_table::Core;
 use crate::core::zone_routing::Observer;
-use crate::core::{now, span};
+use crate::core::{now, to_duration, Core, GossipWindows};
 use sprucelink_membership::codec::{self, MOST_DATAGRAM};
 use sprucelink_membership::pool::{self, Ration};
 use sprucelink_membership::swim::{Me, Swim, What};
@@ -67,7 +66,11 @@
     let seeds = set.seeds.iter().filter_map(|s| s.parse().ok()).collect();
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
     let swim = Swim::new(me, seeds, set.protocol, seed, now());
-    core.share(told.ration.map_or(RATION_SPAN, |r| r.span), told.cold_span, told.cold_for);
+    core.enable_gossip(GossipWindows {
+        retry_budget: told.ration.map_or(RATION_SPAN, |r| r.span),
+        warm_up_budget: told.cold_span,
+        warm_up: told.cold_for,
+    });
     info!(%address, "membership on {at}, reached at {address}");
     let (leaver, leaving) = tokio::sync::oneshot::channel();
     let keeper = Keeper {
@@ -117,7 +120,7 @@
         let mut bytes = [0u8; MOST_DATAGRAM + 1];
         loop {
             let due = self.swim.due().min(self.next_facts);
-            let rest = span(due - now()).max(LEAST_REST);
+            let rest = to_duration(due - now()).max(LEAST_REST);
             tokio::select! {
                 () = sleep(rest) => {}
                 got = self.socket.recv_from(&mut bytes) => self.took(got, &mut bytes),
@@ -172,7 +175,7 @@
         let size = self.swim.size();
         let crowd = CROWD_MS * size.saturating_sub(CROWD) as f64;
         self.next_facts = now() + Micros::from_secs((self.set.share.every_ms + crowd) / 1e3);
-        if let Some(facts) = self.core.facts() {
+        if let Some(facts) = self.core.gossip_facts() {
             self.swim.set_facts(facts);
         }
         let board = self.swim.board();
@@ -181,7 +184,7 @@
             here: matches!(m.state, codec::State::Alive | codec::State::Suspect),
             facts: board.get(&m.name).map(|f| f.1.clone()),
         };
-        self.core.observed(|| self.swim.all().map(observer).collect());
+        self.core.set_observers(|| self.swim.all().map(observer).collect());
         if !self.set.share.ration && !self.set.share.parts {
             return;
         }
@@ -198,7 +201,7 @@
         };
         if self.applied != Some((gateways, spare)) {
             self.applied = Some((gateways, spare));
-            self.core.fleet(gateways, spare);
+            self.core.set_fleet(gateways, spare);
         }
     }
 
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -8,8 +8,7 @@
 use super::membership_driver::{self, Told};
 use super::operator::Operator;
 use crate::core::buffer_pool::BufferPool;
-use crate::core::request_table::Core;
-use crate::core::{endpoint_client, now, span};
+use crate::core::{endpoint_client, now, to_duration, Core, CoreConfig};
 use crate::front::{Front, Setup};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
@@ -139,27 +138,35 @@
     settings.cold_ramp = cold_start.and_then(|c| c.first_load.ramp());
     let classes: Vec<String> = config.setup.classes.iter().map(|c| c.name.clone()).collect();
     let figures = Metrics::new(&classes).map_err(|e| format!("figures: {e}"))?;
-    let core =
-        Core::new(settings, seed, config.names, config.terms, BufferPool::new(config.buffers), figures);
+    let [zone_names, kind_names] = config.names;
+    let core = Core::new(CoreConfig {
+        settings,
+        seed,
+        zones: zone_names,
+        kinds: kind_names,
+        limits: config.terms,
+        pool: BufferPool::new(config.buffers),
+        metrics: figures,
+    });
     if let Some(cold) = &cold_start {
         // Before the first list: what is held is known from the start.
-        core.cold_start(cold, &config.name);
+        core.enable_startup_control(cold, &config.name);
     }
     if let Some(set) = recorder {
         match Recorder::start(&set, seed, now()) {
             Ok(recorder) => {
                 let dir = set.dir.display();
                 info!(dir = %dir, "capture: recording to {dir}");
-                core.record(Some(recorder));
+                core.set_recorder(Some(recorder));
             }
             // Serving goes on without: a recorder is worth less than what it records.
             Err(e) => warn!("capture: not recording: {e}"),
         }
     }
     for (i, event) in config.known.1.iter().enumerate() {
-        core.on_list(event, i == 0);
+        core.on_endpoint_list(event, i == 0);
     }
-    core.passed_event(config.known.0);
+    core.skip_event(config.known.0);
     let calls = cold_start.map(|c| ListCalls::new(c.lists, fleet, seed, now()));
     if let Some(calls) = &calls {
         let window = calls.window().secs();
@@ -167,7 +174,7 @@
     }
     if let Some(terms) = failover.filter(|f| f.enabled) {
         info!(?home, "failover: between {} zones", zones.len());
-        core.failover(&terms, home, zones);
+        core.enable_zone_failover(&terms, home, zones);
     }
     let member = match membership.filter(|m| m.enabled) {
         Some(set) => Some(membership_driver::keep(Rc::clone(&core), set, &config.name, seed, told).await?),
@@ -208,20 +215,20 @@
         _ = int.recv() => {}
         // Guards against a program that lives on without its clock: nothing would end any more.
         _ = &mut ticking => {
-            core.record(None);
+            core.set_recorder(None);
             return Err("the core's clock has stopped".into());
         }
     }
-    info!(open = core.open(), "stopping: {} open", core.open());
+    info!(open = core.pending_requests(), "stopping: {} open", core.pending_requests());
     if let Some(upgrade) = &upgrade {
         upgrade.stopping();
     }
     let patience = if shared { UPGRADE_PATIENCE } else { STOP_PATIENCE };
-    let longest = span(longest).min(patience);
+    let longest = to_duration(longest).min(patience);
     let stop = Instant::now() + STILL_COMING + longest;
     let mut last_words = Some(stop - LAST_WORDS);
     // What is read from now on and could not end before is not sent on.
-    core.ends_by(now() + Micros((STILL_COMING + longest - LAST_WORDS).as_micros() as i64));
+    core.set_shutdown_deadline(now() + Micros((STILL_COMING + longest - LAST_WORDS).as_micros() as i64));
     sleep(STILL_COMING).await;
     // The timer may have fired before the sockets were asked, where this program had no turn meanwhile.
     sleep(LOOK).await;
@@ -234,7 +241,7 @@
     while quiet < QUIET && Instant::now() < stop {
         sleep(LOOK).await;
         if last_words.take_if(|at| Instant::now() >= *at).is_some() {
-            let ended = core.end_all();
+            let ended = core.complete_all();
             if ended > 0 {
                 warn!(ended, "stopping: {ended} given up, for the time is over");
             }
@@ -248,8 +255,8 @@
     if let Some(upgrade) = &upgrade {
         upgrade.leave();
     }
-    core.record(None);
-    info!(open = core.open(), "stopped: {} open", core.open());
+    core.set_recorder(None);
+    info!(open = core.pending_requests(), "stopped: {} open", core.pending_requests());
     Ok(())
 }
 
