--- a/src/run/config_tests.rs
+++ b/src/run/config_tests.rs
@@ -9,7 +9,7 @@
     let c = parse(&format!("{{{LEAST}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
         (c.terms.max_streams, c.terms.dial_timeout, c.terms.idle_timeout),
-        (32, Micros(1_000_000), Micros(15_000_000))
+        (32, TimeDelta::from_micros(1_000_000), TimeDelta::from_micros(15_000_000))
     );
     assert_eq!(
         (c.buffers, c.terms.max_per_engine, c.setup.most_sessions, c.terms.max_total),
