--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -10,7 +10,7 @@
 use crate::proto::events::ListEvent;
 use crate::proto::Malformed;
 use sprucelink_capture::recorder::Recorder;
-use sprucelink_cordon::{Ban, By, Change, Hold, Merged, Refused};
+use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult};
 use sprucelink_membership::facts::Facts;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
@@ -203,29 +203,34 @@
     ///
     /// # Errors
     /// An id that was never listed, and a call over the bounds on cordons.
-    pub fn cordon(self: &Rc<Self>, id: &str, hold: Hold, reason: &str) -> Result<Change, Refused> {
-        self.coordinator.borrow_mut().cordon(self, id, hold, reason)
+    pub fn cordon_engine(
+        self: &Rc<Self>,
+        id: &str,
+        request: CordonRequest,
+        reason: &str,
+    ) -> Result<CordonOutcome, CordonError> {
+        self.coordinator.borrow_mut().cordon_engine(self, id, request, reason)
     }
 
     /// Ends a cordon of the same caller; `Ok` also where there is none.
     ///
     /// # Errors
     /// An id that was never listed.
-    pub fn uncordon(self: &Rc<Self>, id: &str, by: By) -> Result<Change, Refused> {
-        self.coordinator.borrow_mut().uncordon(self, id, by)
+    pub fn uncordon_engine(self: &Rc<Self>, id: &str, cause: Cause) -> Result<CordonOutcome, CordonError> {
+        self.coordinator.borrow_mut().uncordon_engine(self, id, cause)
     }
 
-    /// The cordons, and hashes of ids ever listed, for this process's successor.
-    pub fn export_cordons(&self, max_ids: usize) -> (Vec<Ban>, Vec<u64>) {
+    /// The records of all cordons, and at most `max_ids` hashes of engine ids ever listed, for this process's successor.
+    pub fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
         self.coordinator.borrow().export_cordons(max_ids)
     }
 
-    /// Merges another process's cordons and listed ids.
-    pub fn merge_cordons(self: &Rc<Self>, cordons: &[Ban], ids: &[u64]) -> Merged {
-        self.coordinator.borrow_mut().merge_cordons(self, cordons, ids)
+    /// Merges another process's cordon records and engine ids.
+    pub fn merge_cordons(self: &Rc<Self>, records: &[CordonRecord], ids: &[u64]) -> MergeResult {
+        self.coordinator.borrow_mut().merge_cordons(self, records, ids)
     }
 
-    /// Ends the cordons whose time is over; to be called about once a second.
+    /// Ends cordons whose lease has expired; to be called about once a second.
     pub fn expire_cordons(self: &Rc<Self>) {
         self.coordinator.borrow_mut().expire_cordons(self);
     }
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -18,7 +18,7 @@
 use super::startup_control::StartupControl;
 use super::zone_routing::ZoneRouting;
 use sprucelink_capture::recorder::Recorder;
-use sprucelink_cordon::{Limits as CordonLimits, Outages};
+use sprucelink_cordon::{CordonLimits, CordonState};
 use sprucelink_metrics::Taken;
 use sprucelink_policy::{Settings, TimeDelta, Timestamp};
 use sprucelink_startup::settings::ColdStart;
@@ -78,7 +78,7 @@
     gossip: Option<GossipFacts>,
     fleet: fleet::FleetState,
     /// Engines that are cordoned.
-    cordons: Outages,
+    cordons: CordonState,
     /// Failover between zones, where it is on.
     zone_routing: Option<ZoneRouting>,
 }
@@ -102,7 +102,7 @@
             startup: None,
             gossip: None,
             fleet,
-            cordons: Outages::new(CordonLimits::default()),
+            cordons: CordonState::new(CordonLimits::default()),
             zone_routing: None,
         }
     }
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -4,7 +4,9 @@
 use super::{ConnectionRuntime, Coordinator};
 use crate::core::clock::now;
 use crate::proto::events::{ListEvent, Member, Phase};
-use sprucelink_cordon::{Ban, By, Change, Hold, Merged, Refused, Target};
+use sprucelink_cordon::{
+    Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult, Target,
+};
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
@@ -13,72 +15,70 @@
     ///
     /// # Errors
     /// An id that was never listed, and a call over the bounds on cordons.
-    pub(in crate::core) fn cordon(
+    pub(in crate::core) fn cordon_engine(
         &mut self,
         runtime: &dyn ConnectionRuntime,
         id: &str,
-        hold: Hold,
+        request: CordonRequest,
         reason: &str,
-    ) -> Result<Change, Refused> {
-        let change = self.cordons.cordon(now(), &Target::Engine(id.to_owned()), hold, reason)?;
-        let by = hold.by();
-        info!(engine = %id, "engine {id} is taken out by {by}: {change:?}");
+    ) -> Result<CordonOutcome, CordonError> {
+        let outcome = self.cordons.cordon(now(), &Target::Engine(id.to_owned()), request, reason)?;
+        info!(engine = %id, cause = %request.cause(), ?outcome, "engine cordoned");
         self.reapply_entry(runtime, id);
-        Ok(change)
+        Ok(outcome)
     }
 
     /// Ends a cordon of the same caller; `Ok` also where there is none.
     ///
     /// # Errors
     /// An id that was never listed.
-    pub(in crate::core) fn uncordon(
+    pub(in crate::core) fn uncordon_engine(
         &mut self,
         runtime: &dyn ConnectionRuntime,
         id: &str,
-        by: By,
-    ) -> Result<Change, Refused> {
-        let change = self.cordons.uncordon(now(), &Target::Engine(id.to_owned()), by)?;
-        info!(engine = %id, "engine {id} is put back by {by}: {change:?}");
+        cause: Cause,
+    ) -> Result<CordonOutcome, CordonError> {
+        let outcome = self.cordons.uncordon(now(), &Target::Engine(id.to_owned()), cause)?;
+        info!(engine = %id, %cause, ?outcome, "engine uncordoned");
         self.reapply_entry(runtime, id);
-        Ok(change)
+        Ok(outcome)
     }
 
-    /// The cordons, and hashes of ids ever listed, for this process's successor.
-    pub(in crate::core) fn export_cordons(&self, max_ids: usize) -> (Vec<Ban>, Vec<u64>) {
-        (self.cordons.export(), self.cordons.export_ids(max_ids))
+    /// The records of all cordons, and at most `max_ids` hashes of engine ids ever listed, for this process's successor.
+    pub(in crate::core) fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
+        (self.cordons.export_records(), self.cordons.export_known_ids(max_ids))
     }
 
-    /// Merges another process's cordons and listed ids.
+    /// Merges another process's cordon records and engine ids.
     pub(in crate::core) fn merge_cordons(
         &mut self,
         runtime: &dyn ConnectionRuntime,
-        cordons: &[Ban],
+        records: &[CordonRecord],
         ids: &[u64],
-    ) -> Merged {
-        self.cordons.import_ids(ids);
-        let merged = self.cordons.import(now(), cordons);
-        for moved in &merged.moved {
-            let (target, change) = (&moved.target, moved.change);
-            info!("{target}: {change:?}, by word of another process");
-            if let Target::Engine(id) = target {
+    ) -> MergeResult {
+        self.cordons.merge_known_ids(ids);
+        let result = self.cordons.merge_records(now(), records);
+        for change in &result.changes {
+            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon merged from another process");
+            if let Target::Engine(id) = &change.target {
                 self.reapply_entry(runtime, id);
             }
         }
-        if merged.over + merged.bad > 0 {
+        if result.over_limit + result.malformed > 0 {
             warn!(
-                over = merged.over,
-                bad = merged.bad,
-                "bans of another process do not hold here: {merged:?}"
+                over_limit = result.over_limit,
+                malformed = result.malformed,
+                "cordons of another process are not in force here"
             );
         }
-        merged
+        result
     }
 
-    /// Ends the cordons whose time is over; to be called about once a second.
+    /// Ends cordons whose lease has expired; to be called about once a second.
     pub(in crate::core) fn expire_cordons(&mut self, runtime: &dyn ConnectionRuntime) {
-        for moved in self.cordons.expire(now()) {
-            info!("{}: {:?}, its time is over", moved.target, moved.change);
-            if let Target::Engine(id) = &moved.target {
+        for change in self.cordons.expire(now()) {
+            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon lease expired");
+            if let Target::Engine(id) = &change.target {
                 self.reapply_entry(runtime, id);
             }
         }
@@ -89,7 +89,7 @@
         let views = self.policy.engine_views();
         let is_avoided = |number: usize, id: &str| {
             let by_policy = views.get(number).is_some_and(|v| v.distrusted || v.silent || v.rests > 0.0);
-            by_policy || self.cordons.is_out(id)
+            by_policy || self.cordons.is_engine_cordoned(id)
         };
         let listed = self.engines.iter().enumerate().filter(|(_, engine)| engine.is_listed());
         let avoided: Vec<bool> = listed.map(|(number, engine)| is_avoided(number, &engine.id)).collect();
@@ -100,20 +100,21 @@
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
-                Phase::Gone => self.cordons.unlisted(&member.id),
-                Phase::Ready | Phase::Draining => self.cordons.listed(&member.id),
+                Phase::Gone => self.cordons.note_unlisted(&member.id),
+                Phase::Ready | Phase::Draining => self.cordons.note_listed(&member.id),
             }
         }
         if list.complete {
             let named: BTreeSet<&str> = list.members.iter().map(|member| member.id.as_str()).collect();
             let omitted = self.engines.iter().filter(|e| e.is_listed() && !named.contains(e.id.as_str()));
-            omitted.for_each(|engine| self.cordons.unlisted(&engine.id));
+            omitted.for_each(|engine| self.cordons.note_unlisted(&engine.id));
         }
     }
 
     /// A list with the cordoned engines as draining, where that differs.
     pub(super) fn apply_cordons(&self, list: &ListEvent) -> Option<ListEvent> {
-        let is_cordoned = |member: &Member| member.phase == Phase::Ready && self.cordons.is_out(&member.id);
+        let is_cordoned =
+            |member: &Member| member.phase == Phase::Ready && self.cordons.is_engine_cordoned(&member.id);
         if !list.members.iter().any(is_cordoned) {
             return None;
         }
