--- /dev/null
+++ b/crates/rate-limits/src/event_window.rs
@@ -0,0 +1,26 @@
+//! A sliding window of events that counts exactly.
+
+use serde::{Deserialize, Serialize};
+use sprucelink_time::{TimeDelta, Timestamp};
+use std::collections::VecDeque;
+
+/// The instants of the events of one sliding window, oldest first.
+///
+/// Memory grows with the events of a window; where that has no bound, [`SlotWindow`](crate::SlotWindow) counts by slot.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct EventWindow(VecDeque<Timestamp>);
+
+impl EventWindow {
+    /// Records an event at `now` and drops those that are older than `span`.
+    pub fn record(&mut self, now: Timestamp, span: TimeDelta) {
+        self.0.push_back(now);
+        while self.0.front().is_some_and(|time| now - *time > span) {
+            self.0.pop_front();
+        }
+    }
+
+    /// The number of recorded events after `start`, that instant excluded.
+    pub fn count_after(&self, start: Timestamp) -> usize {
+        self.0.iter().rev().take_while(|time| **time > start).count()
+    }
+}
--- /dev/null
+++ b/crates/rate-limits/src/token_bucket.rs
@@ -0,0 +1,33 @@
+//! A token bucket.
+
+use serde::{Deserialize, Serialize};
+use sprucelink_time::Timestamp;
+
+/// A token bucket whose rate and depth are given with each call, so that they may change between calls.
+///
+/// A new bucket is empty and was last filled at the clock's origin.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct TokenBucket {
+    /// Tokens in the bucket after the last call.
+    level: f64,
+    /// When the last call was.
+    #[serde(rename = "at")]
+    filled_at: Timestamp,
+}
+
+impl TokenBucket {
+    /// Takes one token, if there is one: `true` if it was taken.
+    ///
+    /// Before that the bucket is filled at `rate` tokens a second for the time since the last call, up to `depth`
+    /// tokens.
+    pub fn try_take(&mut self, now: Timestamp, rate: f64, depth: f64) -> bool {
+        let elapsed = (now - self.filled_at).as_secs_f64();
+        self.level = (self.level + elapsed * rate).min(depth);
+        self.filled_at = now;
+        let has_token = self.level >= 1.0;
+        if has_token {
+            self.level -= 1.0;
+        }
+        has_token
+    }
+}
--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -1,6 +1,10 @@
 //! What all crates of the fleet stand on: a hash that every manager computes alike, and the one range check of
 //! settings. Nothing here keeps state or does input or output.
 
+mod split_mix;
+
+pub use split_mix::SplitMix64;
+
 /// A stable 64-bit hash of bytes (FNV-1a, then a SplitMix64 finaliser so that near names spread): the
 /// same on every machine and release, unlike the standard library's hasher, whose output may change.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
@@ -14,9 +18,7 @@
         h ^= 0xff;
         h = h.wrapping_mul(0x0000_0100_0000_01b3);
     }
-    h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    h ^ (h >> 31)
+    split_mix::mix(h)
 }
 
 /// Whether a figure is finite and lies within `low` and `high`, both included; the error names the field,
--- /dev/null
+++ b/crates/stable-hash/src/split_mix.rs
@@ -0,0 +1,36 @@
+//! SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014): a seeded generator of
+//! which the same seed gives the same numbers on every machine and release.
+
+use serde::{Deserialize, Serialize};
+
+/// The increment of the generator's state: the golden ratio in 64 bits.
+const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The finaliser of SplitMix64: spreads each bit of the input over all bits of the output, one to one.
+pub(crate) fn mix(mut z: u64) -> u64 {
+    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    z ^ (z >> 31)
+}
+
+/// A seeded pseudorandom number generator. Not for secrets.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct SplitMix64(u64);
+
+impl SplitMix64 {
+    /// A generator that starts at `seed`.
+    pub const fn new(seed: u64) -> SplitMix64 {
+        SplitMix64(seed)
+    }
+
+    /// The next number, from all of 64 bits.
+    pub fn next_u64(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(GOLDEN_GAMMA);
+        mix(self.0)
+    }
+
+    /// The next number in [0, 1), a multiple of 2^-53.
+    pub fn next_unit(&mut self) -> f64 {
+        crate::unit(self.next_u64())
+    }
+}
--- /dev/null
+++ b/crates/stable-hash/tests/split_mix.rs
@@ -0,0 +1,26 @@
+//! The generator against the published reference values of SplitMix64.
+
+use sprucelink_stable_hash::SplitMix64;
+
+#[test]
+fn the_numbers_are_those_of_the_reference_implementation() {
+    // Seed 1234567: the test vector that Rosetta Code and others give for splitmix64.c.
+    let mut generator = SplitMix64::new(1_234_567);
+    let expected = [
+        6_457_827_717_110_365_317,
+        3_203_168_211_198_807_973,
+        9_817_491_932_198_370_423,
+        4_593_380_528_125_082_431,
+        16_408_922_859_458_223_821,
+    ];
+    assert_eq!(expected.map(|_| generator.next_u64()), expected);
+}
+
+#[test]
+fn unit_numbers_are_below_one_and_have_a_mean_of_a_half() {
+    let mut generator = SplitMix64::new(7);
+    let numbers: Vec<f64> = (0..10_000).map(|_| generator.next_unit()).collect();
+    assert!(numbers.iter().all(|n| (0.0..1.0).contains(n)));
+    let mean = numbers.iter().sum::<f64>() / numbers.len() as f64;
+    assert!((mean - 0.5).abs() < 0.02, "{mean}");
+}
