--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod lists;
 pub mod middle;
 pub mod procs;
+mod range;
 pub mod report;
 pub mod run;
 pub mod scenario;
--- a/crates/cluster-harness/src/middle/mod.rs
+++ b/crates/cluster-harness/src/middle/mod.rs
@@ -20,10 +20,10 @@
 pub use tcp::{tcp, tcp_to, Target, TcpPath};
 pub use udp::UdpNet;
 
+use crate::range::within;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use sprucelink_stable_hash::within;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -2,12 +2,12 @@
 
 use super::{Scenario, GROUPS};
 use crate::middle::{Cut, Rule};
+use crate::range::within;
 use rand::seq::index::sample;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 use sprucelink_failpoints::file::Disk;
-use sprucelink_stable_hash::within;
 use std::collections::BTreeMap;
 
 /// A step happens so many times at most.
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -6,9 +6,9 @@
     MOST_SUBSCRIBERS,
 };
 use crate::procs::MOST_MANAGERS;
+use crate::range::within;
 use crate::template;
 use sprucelink_failpoints::file::{FaultFile, Points};
-use sprucelink_stable_hash::within;
 
 /// Steps at most, strikes, ports, files of each manager, further arguments, acts of one strike.
 const MOST_STEPS: usize = 200;
@@ -76,7 +76,7 @@
             within("watch.to", w.to, w.from, self.seconds)?;
         }
         if let Some(m) = &self.membership {
-            m.protocol.check().map_err(|e| format!("membership.protocol.{e}"))?;
+            m.protocol.validate().map_err(|e| format!("membership.protocol.{e}"))?;
         }
         within("groups", self.groups.len() as f64, 1.0, GROUPS.len() as f64)?;
         within("groups: their sum", self.groups.iter().sum(), 0.999, 1.001)?;
--- a/crates/membership/src/terms.rs
+++ b/crates/membership/src/terms.rs
@@ -1,7 +1,7 @@
 //! Settings of the membership: a JSON5 file of the operator's, such as `deploy/membership.json5`.
 
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField, SettingsFile, Violation};
 use std::net::SocketAddr;
 
 /// Longest name, zone and region, in bytes: a datagram's updates stay small.
@@ -60,23 +60,23 @@
 }
 
 impl Protocol {
-    /// What is wrong with the figures, if anything.
+    /// Checks each number against its range.
     ///
     /// # Errors
-    /// The field and its range.
-    pub fn check(&self) -> Result<(), String> {
-        within("period_ms", self.period_ms, 50.0, 60_000.0)?;
-        within("timeout_ms", self.timeout_ms, 10.0, self.period_ms)?;
-        within("indirect", f64::from(self.indirect), 0.0, 10.0)?;
-        within("suspicion_least", self.suspicion_least, 1.0, 20.0)?;
-        within("suspicion_most", self.suspicion_most, 1.0, 20.0)?;
-        within("confirmations", f64::from(self.confirmations), 0.0, 10.0)?;
-        within("health_most", f64::from(self.health_most), 0.0, 16.0)?;
-        within("retransmit", self.retransmit, 1.0, 20.0)?;
-        within("gossip_ms", self.gossip_ms, 20.0, 60_000.0)?;
-        within("fanout", f64::from(self.fanout), 0.0, 10.0)?;
-        within("rejoin_ms", self.rejoin_ms, 200.0, 600_000.0)?;
-        within("keep_dead_s", self.keep_dead_s, 1.0, 86_400.0)
+    /// The first field outside its range.
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("period_ms", self.period_ms, 50.0, 60_000.0)?;
+        check_range("timeout_ms", self.timeout_ms, 10.0, self.period_ms)?;
+        check_range("indirect", f64::from(self.indirect), 0.0, 10.0)?;
+        check_range("suspicion_least", self.suspicion_least, 1.0, 20.0)?;
+        check_range("suspicion_most", self.suspicion_most, 1.0, 20.0)?;
+        check_range("confirmations", f64::from(self.confirmations), 0.0, 10.0)?;
+        check_range("health_most", f64::from(self.health_most), 0.0, 16.0)?;
+        check_range("retransmit", self.retransmit, 1.0, 20.0)?;
+        check_range("gossip_ms", self.gossip_ms, 20.0, 60_000.0)?;
+        check_range("fanout", f64::from(self.fanout), 0.0, 10.0)?;
+        check_range("rejoin_ms", self.rejoin_ms, 200.0, 600_000.0)?;
+        check_range("keep_dead_s", self.keep_dead_s, 1.0, 86_400.0)
     }
 }
 
@@ -122,39 +122,33 @@
     pub share: Share,
 }
 
-impl Settings {
-    /// Reads the settings from a JSON5 text.
-    ///
-    /// # Errors
-    /// The line and field, or the field and rule.
-    pub fn parse(text: &str) -> Result<Settings, String> {
-        let set: Settings = json5::from_str(text).map_err(|e| format!("membership: {e}"))?;
-        set.check().map_err(|e| format!("membership: {e}"))?;
-        Ok(set)
-    }
+impl SettingsFile for Settings {
+    const SUBJECT: &'static str = "membership";
 
-    /// What is wrong with the settings, if anything, by path.
-    ///
-    /// # Errors
-    /// The field and rule.
-    pub fn check(&self) -> Result<(), String> {
-        let address = |name: &str, text: &str| match text.parse::<SocketAddr>() {
-            Ok(a) if a.is_ipv4() => Ok(()),
-            _ => Err(format!("{name}: must be an IPv4 address and port, is {text:?}")),
-        };
+    fn validate(&self) -> Result<(), InvalidField> {
         if self.enabled || !self.listen.is_empty() {
-            address("listen", &self.listen)?;
+            check_ipv4_address("listen", &self.listen)?;
+        }
+        self.advertise.iter().try_for_each(|address| check_ipv4_address("advertise", address))?;
+        check_range("seeds", self.seeds.len() as f64, 0.0, MOST_SEEDS as f64)?;
+        for (index, seed) in self.seeds.iter().enumerate() {
+            check_ipv4_address(&format!("seeds[{index}]"), seed)?;
         }
-        self.advertise.iter().try_for_each(|a| address("advertise", a))?;
-        within("seeds", self.seeds.len() as f64, 0.0, MOST_SEEDS as f64)?;
-        self.seeds.iter().enumerate().try_for_each(|(i, a)| address(&format!("seeds[{i}]"), a))?;
         for (name, text) in [("zone", &self.zone), ("region", &self.region)] {
             if text.len() > MOST_NAME {
-                return Err(format!("{name}: {MOST_NAME} bytes at most, is {}", text.len()));
+                let violation = Violation::TooLong { max: MOST_NAME, length: text.len() };
+                return Err(InvalidField::new(name, violation));
             }
         }
-        self.protocol.check().map_err(|e| format!("protocol.{e}"))?;
-        within("share.every_ms", self.share.every_ms, 200.0, 60_000.0)
+        self.protocol.validate().map_err(|invalid| invalid.in_section("protocol"))?;
+        check_range("share.every_ms", self.share.every_ms, 200.0, 60_000.0)
+    }
+}
+
+fn check_ipv4_address(field: &str, text: &str) -> Result<(), InvalidField> {
+    match text.parse::<SocketAddr>() {
+        Ok(address) if address.is_ipv4() => Ok(()),
+        _ => Err(InvalidField::new(field, Violation::NotIpv4SocketAddress { value: text.to_owned() })),
     }
 }
 
@@ -166,7 +160,7 @@
     fn settings_are_read_with_defaults_and_refused_by_name() {
         let set = Settings::parse("{ enabled: true, listen: '127.0.0.1:0', protocol: { period_ms: 500 } }");
         assert_eq!(set.expect("read").protocol.indirect, 3);
-        let wrong = |text: &str| Settings::parse(text).unwrap_err();
+        let wrong = |text: &str| Settings::parse(text).unwrap_err().to_string();
         assert!(wrong("{ enabled: true }").contains("listen"));
         assert!(wrong("{ enabled: true, listen: '[::1]:7' }").contains("IPv4"));
         assert!(wrong("{ seeds: ['x'] }").contains("seeds[0]"));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,11 +14,15 @@
 mod error;
 pub mod pairs;
 mod platform;
+mod settings_file;
 mod told;
+mod validation;
 mod value;
 
 pub use environment::{Environment, LEAST_DESCRIPTOR};
 pub use error::Error;
 pub use platform::{Known, Limits, Platform, Seed};
+pub use settings_file::{Place, SettingsFile, SettingsFileError};
 pub use told::{Clients, Customer, Engines, Invariants, LoadReport, Prices, Profile, Told, WireLimits};
+pub use validation::{check_range, InvalidField, Violation};
 pub use value::{Figures, Flag, Number, Whole, Word};
--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -1,5 +1,5 @@
-//! What all crates of the fleet stand on: a hash that every manager computes alike, and the one range check of
-//! settings. Nothing here keeps state or does input or output.
+//! A stable hash: every process, machine and release computes the same value. Nothing here keeps state or does input or
+//! output.
 
 /// A stable 64-bit hash of bytes (FNV-1a, then a SplitMix64 finaliser so that near names spread): the
 /// same on every machine and release, unlike the standard library's hasher, whose output may change.
@@ -19,16 +19,6 @@
     h ^ (h >> 31)
 }
 
-/// Whether a figure is finite and lies within `low` and `high`, both included; the error names the field,
-/// the rule and the figure. Every settings check goes through it.
-pub fn within(name: &str, v: f64, low: f64, high: f64) -> Result<(), String> {
-    if v.is_finite() && (low..=high).contains(&v) {
-        Ok(())
-    } else {
-        Err(format!("{name}: must lie within {low} and {high}, is {v}"))
-    }
-}
-
 /// A hash as a share, in [0, 1).
 pub fn unit(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField};
 
 /// Latency taken for the mean before an answer tells, and the weight of one answer in it.
 const FIRST_LATENCY: TimeDelta = TimeDelta::from_millis(200);
@@ -50,12 +50,12 @@
 
 impl AdmissionTerms {
     /// What is wrong with the figures, if anything: the field and the rule.
-    pub fn check(&self) -> Result<(), String> {
-        within("first", self.first, 1.0, 10_000.0)?;
-        within("gain", self.gain, 0.01, 10.0)?;
-        within("cut", self.cut, 0.1, 1.0)?;
-        within("warm_ms", self.warm_ms, 0.0, 120_000.0)?;
-        within("open_at", self.open_at, self.first, 100_000.0)
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("first", self.first, 1.0, 10_000.0)?;
+        check_range("gain", self.gain, 0.01, 10.0)?;
+        check_range("cut", self.cut, 0.1, 1.0)?;
+        check_range("warm_ms", self.warm_ms, 0.0, 120_000.0)?;
+        check_range("open_at", self.open_at, self.first, 100_000.0)
     }
 }
 
--- a/crates/startup/src/admission_tests.rs
+++ b/crates/startup/src/admission_tests.rs
@@ -59,7 +59,7 @@
 #[test]
 fn figures_out_of_range_are_named() {
     let bad = AdmissionTerms { open_at: 3.0, ..AdmissionTerms::default() };
-    assert!(bad.check().unwrap_err().starts_with("open_at"));
-    assert!(AdmissionTerms { first: 0.0, ..AdmissionTerms::default() }.check().is_err());
-    assert!(AdmissionTerms::default().check().is_ok());
+    assert!(bad.validate().unwrap_err().path.starts_with("open_at"));
+    assert!(AdmissionTerms { first: 0.0, ..AdmissionTerms::default() }.validate().is_err());
+    assert!(AdmissionTerms::default().validate().is_ok());
 }
--- a/crates/startup/src/backoff.rs
+++ b/crates/startup/src/backoff.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField};
 
 /// The figures of a backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -28,11 +28,11 @@
         BackoffTerms { initial_ms: 1_000.0, multiplier: 1.6, jitter: 0.2, max_ms: 120_000.0 };
 
     /// What is wrong with the figures, if anything: the path's last part and the rule.
-    pub fn check(&self) -> Result<(), String> {
-        within("initial_ms", self.initial_ms, 1.0, 3_600_000.0)?;
-        within("multiplier", self.multiplier, 1.0, 10.0)?;
-        within("jitter", self.jitter, 0.0, 1.0)?;
-        within("max_ms", self.max_ms, self.initial_ms, 3_600_000.0)
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("initial_ms", self.initial_ms, 1.0, 3_600_000.0)?;
+        check_range("multiplier", self.multiplier, 1.0, 10.0)?;
+        check_range("jitter", self.jitter, 0.0, 1.0)?;
+        check_range("max_ms", self.max_ms, self.initial_ms, 3_600_000.0)
     }
 }
 
@@ -109,9 +109,9 @@
     #[test]
     fn figures_out_of_range_are_named() {
         let bad = BackoffTerms { multiplier: 0.5, ..BackoffTerms::GRPC };
-        assert!(bad.check().unwrap_err().starts_with("multiplier"));
+        assert!(bad.validate().unwrap_err().path.starts_with("multiplier"));
         let bad = BackoffTerms { max_ms: 10.0, ..BackoffTerms::GRPC };
-        assert!(bad.check().unwrap_err().starts_with("max_ms"));
-        assert!(BackoffTerms::GRPC.check().is_ok());
+        assert!(bad.validate().unwrap_err().path.starts_with("max_ms"));
+        assert!(BackoffTerms::GRPC.validate().is_ok());
     }
 }
--- a/crates/startup/src/dials.rs
+++ b/crates/startup/src/dials.rs
@@ -9,7 +9,8 @@
 
 use crate::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::{stable_hash, unit, within};
+use sprucelink_settings::{check_range, InvalidField};
+use sprucelink_stable_hash::{stable_hash, unit};
 
 /// The figures of dials.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,11 +34,11 @@
 
 impl DialTerms {
     /// What is wrong with the figures, if anything: the field and the rule.
-    pub fn check(&self) -> Result<(), String> {
-        within("stage_ms", self.stage_ms, 0.0, 500.0)?;
-        within("warm_ms", self.warm_ms, 0.0, 120_000.0)?;
-        within("rate", self.rate, 1.0, 10_000.0)?;
-        within("burst", self.burst, 1.0, 1_000.0)
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("stage_ms", self.stage_ms, 0.0, 500.0)?;
+        check_range("warm_ms", self.warm_ms, 0.0, 120_000.0)?;
+        check_range("rate", self.rate, 1.0, 10_000.0)?;
+        check_range("burst", self.burst, 1.0, 1_000.0)
     }
 }
 
--- a/crates/startup/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -13,7 +13,7 @@
 //! parts of one budget for the whole fleet.
 
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField};
 
 /// The figures of the ramp. The decision module carries it out (`Settings::cold_ramp`).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,9 +33,9 @@
 
 impl FirstLoadTerms {
     /// What is wrong with the figures, if anything.
-    pub fn check(&self) -> Result<(), String> {
-        within("from", self.from, 0.01, 1.0)?;
-        within("over_ms", self.over_ms, 0.0, 120_000.0)
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("from", self.from, 0.01, 1.0)?;
+        check_range("over_ms", self.over_ms, 0.0, 120_000.0)
     }
 
     /// The module's setting: the share at the start and the seconds in which it would rise by one; `None`
@@ -63,7 +63,11 @@
 
     #[test]
     fn figures_out_of_range_are_named() {
-        assert!(FirstLoadTerms { from: 0.0, over_ms: 1.0 }.check().unwrap_err().starts_with("from"));
-        assert!(FirstLoadTerms { from: 0.5, over_ms: -1.0 }.check().unwrap_err().starts_with("over_ms"));
+        assert!(FirstLoadTerms { from: 0.0, over_ms: 1.0 }.validate().unwrap_err().path.starts_with("from"));
+        assert!(FirstLoadTerms { from: 0.5, over_ms: -1.0 }
+            .validate()
+            .unwrap_err()
+            .path
+            .starts_with("over_ms"));
     }
 }
--- a/crates/startup/src/held.rs
+++ b/crates/startup/src/held.rs
@@ -16,7 +16,7 @@
 
 use crate::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField};
 use std::collections::BTreeMap;
 
 /// Engines kept at most; of lists beyond that the rest is taken as told. Twice the largest fleet planned for.
@@ -50,8 +50,8 @@
 
 impl HeldTerms {
     /// What is wrong with the figures, if anything.
-    pub fn check(&self) -> Result<(), String> {
-        within("older_for_ms", self.older_for_ms, 0.0, 60_000.0)
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("older_for_ms", self.older_for_ms, 0.0, 60_000.0)
     }
 }
 
--- a/crates/startup/src/lists.rs
+++ b/crates/startup/src/lists.rs
@@ -24,7 +24,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField};
 
 /// Longest first wait and rest, in milliseconds: half the drain grace of 500 ms, so that a manager that
 /// learns of a drain at the end of a rest still stops sending within the grace.
@@ -84,15 +84,15 @@
 
 impl ListTerms {
     /// What is wrong with the figures, if anything: the field and the rule.
-    pub fn check(&self) -> Result<(), String> {
-        within("fleet_rate", self.fleet_rate, 1.0, 100_000.0)?;
-        within("burst", self.burst, 1.0, 100.0)?;
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("fleet_rate", self.fleet_rate, 1.0, 100_000.0)?;
+        check_range("burst", self.burst, 1.0, 100.0)?;
         let window = if self.engines_refuse_drained { WIDEST_MS } else { DRAIN_BOUND_MS };
-        within("window_most_ms", self.window_most_ms, 0.0, window)?;
-        within("rest_most_ms", self.rest_most_ms, 20.0, DRAIN_BOUND_MS)?;
-        within("again_least_ms", self.again_least_ms, 0.0, self.rest_most_ms)?;
-        self.failed.check().map_err(|e| format!("failed.{e}"))?;
-        self.refused.check().map_err(|e| format!("refused.{e}"))
+        check_range("window_most_ms", self.window_most_ms, 0.0, window)?;
+        check_range("rest_most_ms", self.rest_most_ms, 20.0, DRAIN_BOUND_MS)?;
+        check_range("again_least_ms", self.again_least_ms, 0.0, self.rest_most_ms)?;
+        self.failed.validate().map_err(|invalid| invalid.in_section("failed"))?;
+        self.refused.validate().map_err(|invalid| invalid.in_section("refused"))
     }
 }
 
@@ -306,11 +306,11 @@
     #[test]
     fn figures_out_of_range_are_named() {
         let bad = ListTerms { window_most_ms: 1_000.0, ..ListTerms::default() };
-        assert!(bad.check().unwrap_err().starts_with("window_most_ms"));
-        assert!(ListTerms { engines_refuse_drained: true, ..bad }.check().is_ok());
+        assert!(bad.validate().unwrap_err().path.starts_with("window_most_ms"));
+        assert!(ListTerms { engines_refuse_drained: true, ..bad }.validate().is_ok());
         let bad =
             ListTerms { refused: BackoffTerms { jitter: 2.0, ..BackoffTerms::GRPC }, ..ListTerms::default() };
-        assert!(bad.check().unwrap_err().starts_with("refused.jitter"));
-        assert!(ListTerms::default().check().is_ok());
+        assert!(bad.validate().unwrap_err().path.starts_with("refused.jitter"));
+        assert!(ListTerms::default().validate().is_ok());
     }
 }
--- a/crates/startup/src/ready.rs
+++ b/crates/startup/src/ready.rs
@@ -7,7 +7,7 @@
 
 use crate::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField};
 
 /// The figures of readiness.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -27,9 +27,9 @@
 
 impl ReadyTerms {
     /// What is wrong with the figures, if anything.
-    pub fn check(&self) -> Result<(), String> {
-        within("feed_wait_ms", self.feed_wait_ms, 0.0, 30_000.0)?;
-        within("link_wait_ms", self.link_wait_ms, 0.0, 30_000.0)
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("feed_wait_ms", self.feed_wait_ms, 0.0, 30_000.0)?;
+        check_range("link_wait_ms", self.link_wait_ms, 0.0, 30_000.0)
     }
 }
 
--- a/crates/startup/src/settings.rs
+++ b/crates/startup/src/settings.rs
@@ -10,6 +10,7 @@
 use crate::lists::ListTerms;
 use crate::ready::ReadyTerms;
 use serde::{Deserialize, Serialize};
+use sprucelink_settings::{InvalidField, SettingsFile};
 
 /// All settings of the cold start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -31,22 +32,16 @@
     pub ready: ReadyTerms,
 }
 
-impl ColdStart {
-    /// Reads the settings from a JSON5 text: an error names the line and field, or the field and rule.
-    pub fn parse(text: &str) -> Result<ColdStart, String> {
-        let set: ColdStart = json5::from_str(text).map_err(|e| format!("cold start: {e}"))?;
-        set.check()?;
-        Ok(set)
-    }
+impl SettingsFile for ColdStart {
+    const SUBJECT: &'static str = "cold start";
 
-    /// What is wrong with the settings, if anything, by path.
-    pub fn check(&self) -> Result<(), String> {
-        self.lists.check().map_err(|e| format!("cold start: lists.{e}"))?;
-        self.dials.check().map_err(|e| format!("cold start: dials.{e}"))?;
-        self.first_load.check().map_err(|e| format!("cold start: first_load.{e}"))?;
-        self.admission.check().map_err(|e| format!("cold start: admission.{e}"))?;
-        self.held.check().map_err(|e| format!("cold start: held.{e}"))?;
-        self.ready.check().map_err(|e| format!("cold start: ready.{e}"))
+    fn validate(&self) -> Result<(), InvalidField> {
+        self.lists.validate().map_err(|invalid| invalid.in_section("lists"))?;
+        self.dials.validate().map_err(|invalid| invalid.in_section("dials"))?;
+        self.first_load.validate().map_err(|invalid| invalid.in_section("first_load"))?;
+        self.admission.validate().map_err(|invalid| invalid.in_section("admission"))?;
+        self.held.validate().map_err(|invalid| invalid.in_section("held"))?;
+        self.ready.validate().map_err(|invalid| invalid.in_section("ready"))
     }
 }
 
@@ -64,16 +59,16 @@
 
     #[test]
     fn unknown_fields_and_figures_out_of_range_are_named() {
-        let e = ColdStart::parse("{ enabled: true, list: {} }").unwrap_err();
+        let e = ColdStart::parse("{ enabled: true, list: {} }").unwrap_err().to_string();
         assert!(e.contains("unknown field") && e.contains("list"), "{e}");
-        let e = ColdStart::parse("{ dials: { stage_ms: 900 } }").unwrap_err();
+        let e = ColdStart::parse("{ dials: { stage_ms: 900 } }").unwrap_err().to_string();
         assert!(e.contains("dials.stage_ms"), "{e}");
         let e = ColdStart::parse(
             "{ lists: { refused: { initial_ms: 0, multiplier: 1.6, jitter: 0.2, max_ms: 9 } } }",
         );
-        let e = e.unwrap_err();
+        let e = e.unwrap_err().to_string();
         assert!(e.contains("lists.refused.initial_ms"), "{e}");
-        let e = ColdStart::parse("{ enabled: yes }").unwrap_err();
+        let e = ColdStart::parse("{ enabled: yes }").unwrap_err().to_string();
         assert!(e.starts_with("cold start:"), "{e}");
     }
 }
--- a/crates/zone-failover/src/terms.rs
+++ b/crates/zone-failover/src/terms.rs
@@ -1,7 +1,7 @@
 //! Settings of the failover: a JSON5 file of the operator's, such as `deploy/failover.json5`.
 
 use serde::{Deserialize, Serialize};
-use sprucelink_stable_hash::within;
+use sprucelink_settings::{check_range, InvalidField, SettingsFile, Violation};
 use std::collections::BTreeMap;
 
 /// Zones that may be named in regions.
@@ -67,43 +67,36 @@
     }
 }
 
-impl Terms {
-    /// Reads the settings from a JSON5 text.
-    ///
-    /// # Errors
-    /// The line and field, or the field and rule.
-    pub fn parse(text: &str) -> Result<Terms, String> {
-        let set: Terms = json5::from_str(text).map_err(|e| format!("failover: {e}"))?;
-        set.check().map_err(|e| format!("failover: {e}"))?;
-        Ok(set)
-    }
+impl SettingsFile for Terms {
+    const SUBJECT: &'static str = "failover";
 
-    /// What is wrong with the settings, if anything.
-    ///
-    /// # Errors
-    /// The field and rule.
-    pub fn check(&self) -> Result<(), String> {
-        within("overprovision", self.overprovision, 1.0, 10.0)?;
-        within("panic_below", self.panic_below, 0.0, 1.0)?;
-        within("lost_below", self.lost_below, 0.0, 1.0)?;
-        within("mute_least", f64::from(self.mute_least), 1.0, 1_000.0)?;
-        within("mute_share", self.mute_share, 0.5, 1.0)?;
-        within("quorum_least", f64::from(self.quorum_least), 1.0, 10_000.0)?;
-        within("quorum", self.quorum, 0.5, 1.0)?;
-        within("hold_ms", self.hold_ms, 0.0, 60_000.0)?;
-        within("back_ms", self.back_ms, 0.0, 600_000.0)?;
-        within("back_most_ms", self.back_most_ms, self.back_ms, 3_600_000.0)?;
-        within("ramp_ms", self.ramp_ms, 0.0, 600_000.0)?;
-        within("least_weight", self.least_weight, 1e-6, 1.0)?;
+    fn validate(&self) -> Result<(), InvalidField> {
+        check_range("overprovision", self.overprovision, 1.0, 10.0)?;
+        check_range("panic_below", self.panic_below, 0.0, 1.0)?;
+        check_range("lost_below", self.lost_below, 0.0, 1.0)?;
+        check_range("mute_least", f64::from(self.mute_least), 1.0, 1_000.0)?;
+        check_range("mute_share", self.mute_share, 0.5, 1.0)?;
+        check_range("quorum_least", f64::from(self.quorum_least), 1.0, 10_000.0)?;
+        check_range("quorum", self.quorum, 0.5, 1.0)?;
+        check_range("hold_ms", self.hold_ms, 0.0, 60_000.0)?;
+        check_range("back_ms", self.back_ms, 0.0, 600_000.0)?;
+        check_range("back_most_ms", self.back_most_ms, self.back_ms, 3_600_000.0)?;
+        check_range("ramp_ms", self.ramp_ms, 0.0, 600_000.0)?;
+        check_range("least_weight", self.least_weight, 1e-6, 1.0)?;
         let mut named: Vec<&String> = self.regions.values().flatten().collect();
-        within("regions: zones", named.len() as f64, 0.0, MOST_NAMED as f64)?;
+        check_range("regions: zones", named.len() as f64, 0.0, MOST_NAMED as f64)?;
         named.sort_unstable();
         match named.windows(2).find(|w| w[0] == w[1]) {
-            Some(w) => Err(format!("regions: zone {:?} stands in two places", w[0])),
+            Some(pair) => {
+                let violation = Violation::Duplicate { item: "zone", name: pair[0].clone() };
+                Err(InvalidField::new("regions", violation))
+            }
             None => Ok(()),
         }
     }
+}
 
+impl Terms {
     /// The region of a zone, by number: those of one name share one; a zone named in none has its own.
     pub fn region(&self, zones: &[String], zone: usize) -> u32 {
         let name = zones.get(zone);
@@ -124,7 +117,7 @@
         let zones: Vec<String> = ["hall-a", "hall-c", "hall-b", "hall-d"].map(str::to_owned).to_vec();
         let regions: Vec<u32> = (0..4).map(|z| set.region(&zones, z)).collect();
         assert_eq!(regions, [0, 1, 0, 5]);
-        let wrong = |text: &str| Terms::parse(text).unwrap_err();
+        let wrong = |text: &str| Terms::parse(text).unwrap_err().to_string();
         assert!(wrong("{ overprovison: 1 }").contains("overprovison"));
         assert!(wrong("{ quorum: 0.2 }").contains("quorum"));
         assert!(wrong("{ regions: { a: ['x'], b: ['x'] } }").contains("two places"));
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 use sprucelink::run::cli::{self, Command, Files};
 use sprucelink::run::serve::Start;
 use sprucelink::run::{commands, config, logging, operator, serve, socket_activation};
-use sprucelink_settings::Environment;
+use sprucelink_settings::{Environment, SettingsFile};
 
 fn text(path: &str) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))
