--- a/src/front/client_connection/input.rs
+++ b/src/front/client_connection/input.rs
@@ -1,7 +1,7 @@
 //! Reading from a client.
 
 use super::{ClientConnection, ReadAheadOverrun};
-use crate::core::buffer_pool::SIZE;
+use crate::core::buffer_pool::BUFFER_BYTES;
 use crate::core::now;
 use std::future::poll_fn;
 use std::io;
@@ -81,7 +81,7 @@
     /// Bytes that fit the input; none while bytes that were read ahead are to follow it.
     fn input_room(&self) -> usize {
         if self.read_ahead.is_empty() {
-            SIZE.saturating_sub(self.input().len())
+            BUFFER_BYTES.saturating_sub(self.input().len())
         } else {
             0
         }
--- a/src/front/client_connection/output.rs
+++ b/src/front/client_connection/output.rs
@@ -30,7 +30,7 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
     /// The buffer of what is to be written.
     pub fn output(&mut self) -> &mut Vec<u8> {
-        self.output.get_or_insert_with(|| self.pool.must())
+        self.output.get_or_insert_with(|| self.pool.get_beyond_limit())
     }
 
     /// Writes all output, and reads ahead while that has to wait: a client that has gone meanwhile must not have its
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -1,7 +1,7 @@
 //! The errors that the fronts send to clients, with their SQLSTATEs (PostgreSQL, appendix A).
 
 use super::read_ahead::ReadAheadOverrun;
-use crate::core::request_table::RejectReason;
+use crate::core::RejectReason;
 use crate::proto::pg::Fault;
 use sprucelink_time::TimeDelta;
 use std::time::Duration;
@@ -20,10 +20,12 @@
 /// class 53; the `extended` front tells an expired deadline from overload.
 pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> Fault {
     let error = match reason {
-        RejectReason::Deadline if extended => {
+        RejectReason::DeadlineExceeded if extended => {
             Fault::new("57014", "canceled: its time ran out; a repeat does no harm")
         }
-        RejectReason::Deadline => Fault::new("53000", "refused: its time ran out; a repeat does no harm"),
+        RejectReason::DeadlineExceeded => {
+            Fault::new("53000", "refused: its time ran out; a repeat does no harm")
+        }
         _ => Fault::new("53400", "refused: there is more to do than can be done in time"),
     };
     with_retry_after(error, retry_after)
@@ -32,11 +34,11 @@
 /// A request that failed and may have run.
 pub(super) fn failed(reason: RejectReason, retry_after: TimeDelta) -> Fault {
     let (code, message) = match reason {
-        RejectReason::Deadline => ("57014", "canceled: its time ran out; it may have run"),
-        RejectReason::Engine => ("58000", "the engine failed; it may have run"),
-        RejectReason::Lost => ("08006", "the connection to the engine broke; it may have run"),
+        RejectReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
+        RejectReason::EngineError => ("58000", "the engine failed; it may have run"),
+        RejectReason::ConnectionLost => ("08006", "the connection to the engine broke; it may have run"),
         RejectReason::Unreachable => ("08001", "no engine could be reached"),
-        RejectReason::Busy => ("40003", "given up; it may have run"),
+        RejectReason::Overloaded => ("40003", "given up; it may have run"),
     };
     with_retry_after(Fault::new(code, message), retry_after)
 }
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -9,7 +9,7 @@
 use super::sessionless::{ConnectionGuard, SessionlessConnection, SessionlessPhase};
 use super::startup::{SessionStart, StartupOutcome};
 use super::Front;
-use crate::core::{now, span};
+use crate::core::{now, to_duration};
 use crate::proto::pg::{self, Fault};
 use sprucelink_time::TimeDelta;
 use std::rc::Rc;
@@ -125,7 +125,7 @@
             }
             let wait = evictable_in.map_or(remaining, |evictable_in| evictable_in.min(remaining));
             tokio::select! {
-                () = tokio::time::sleep(span(wait)) => {}
+                () = tokio::time::sleep(to_duration(wait)) => {}
                 () = released => {}
                 () = sessionless.evicted() => {}
             }
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -1,8 +1,8 @@
 //! Prepared statements and portals.
 
 use super::statement_kind::{classify, StatementKind};
-use crate::core::request_table::MOST_STATEMENT;
 use crate::core::result_buffer::ResultSet;
+use crate::core::MAX_STATEMENT_BYTES;
 use crate::front::result_rows::{RowPosition, COLUMNS};
 use crate::proto::literal::{self, Param};
 use crate::proto::pg::{self, Fault};
@@ -117,7 +117,7 @@
             let format = formats.get(index).or(formats.first()).copied().unwrap_or(0);
             parameters.push(literal::param(index + 1, *oid, format, *value)?);
         }
-        let statement = literal::expand(&self.statement, &parameters, MOST_STATEMENT)?;
+        let statement = literal::expand(&self.statement, &parameters, MAX_STATEMENT_BYTES)?;
         let pairs =
             self.pairs.iter().map(|(name, value)| (name.clone(), field_value(value, &parameters))).collect();
         let portal = Portal {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -22,7 +22,7 @@
 pub mod socket;
 mod startup;
 
-use crate::core::request_table::Core;
+use crate::core::Core;
 use cancel_signal::CancelSignal;
 use connection_slots::ConnectionSlots;
 use read_ahead::ReadAheadBudget;
@@ -74,7 +74,7 @@
     /// A front that submits its requests to `core`.
     pub fn new(core: Rc<Core>, config: FrontConfig) -> Rc<Front> {
         let max_buffers = if config.extended { MAX_READ_AHEAD_BUFFERS } else { 0 };
-        let total_buffers = core.pool().most() / READ_AHEAD_POOL_DIVISOR;
+        let total_buffers = core.pool().max_buffers() / READ_AHEAD_POOL_DIVISOR;
         Rc::new(Front {
             sessions: RefCell::default(),
             slots: ConnectionSlots::new(config.max_sessions, config.max_evicted, !config.extended),
--- a/src/front/read_ahead.rs
+++ b/src/front/read_ahead.rs
@@ -1,6 +1,6 @@
 //! Buffers for what clients send while their request is open, with a bound for each session and one for all.
 
-use crate::core::buffer_pool::{Buffer, BufferPool, SIZE};
+use crate::core::buffer_pool::{Buffer, BufferPool, BUFFER_BYTES};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -38,7 +38,7 @@
 
     /// Maximum number of bytes that a session holds, its input buffer included.
     pub fn max_buffered(&self) -> usize {
-        SIZE * (1 + self.max_buffers)
+        BUFFER_BYTES * (1 + self.max_buffers)
     }
 
     /// One more buffer for a session that holds `held_buffers`.
@@ -86,7 +86,7 @@
 
 /// Appends as much as fits and returns the rest.
 pub(super) fn append<'a>(buffer: &mut Buffer, bytes: &'a [u8]) -> &'a [u8] {
-    let room = SIZE.saturating_sub(buffer.len());
+    let room = BUFFER_BYTES.saturating_sub(buffer.len());
     let (fitting, rest) = bytes.split_at(bytes.len().min(room));
     buffer.extend_from_slice(fitting);
     rest
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -4,9 +4,8 @@
 use super::config::ClassConfig;
 use super::Front;
 use crate::core::buffer_pool::Buffer;
-use crate::core::facade::RequestSpec;
 use crate::core::now;
-use crate::core::request_table::{Request, RequestHandle, MOST_STATEMENT};
+use crate::core::{Request, RequestHandle, RequestSpec, MAX_STATEMENT_BYTES};
 use crate::proto::fields::Fields;
 use crate::proto::pg::Fault;
 use crate::proto::tables;
@@ -48,19 +47,18 @@
             class,
             tenant,
             tables: tables::group(statement),
-            left: started + timeout - now(),
+            time_left: started + timeout - now(),
             cost_ms: fields.ms,
             memory_mb: fields.heap_mb,
         };
         if is_cancelled {
-            self.core.figures().take(class).aborted();
+            self.core.metrics().take(class).aborted();
             return Err(cancelled());
         }
         let statement =
-            self.copy_statement(statement).inspect_err(|_| self.core.figures().take(class).declined())?;
-        let request =
-            Request { asked: spec, class: class_config.name.clone(), once: idempotency_key, statement };
-        let handle = self.core.take(request);
+            self.copy_statement(statement).inspect_err(|_| self.core.metrics().take(class).declined())?;
+        let request = Request { spec, class_name: class_config.name.clone(), idempotency_key, statement };
+        let handle = self.core.submit(request);
         handle
             .ok_or_else(|| Fault::new("42710", format!("field req: {id:016x} was given to a request before")))
     }
@@ -82,7 +80,7 @@
     /// The request's id: the client's on the platform's front, a generated one on the `extended` front.
     fn request_id(&self, fields: &Fields) -> Result<u64, Fault> {
         if self.config.extended {
-            return Ok(self.core.draw());
+            return Ok(self.core.generate_id());
         }
         fields.req.ok_or_else(|| invalid_field("req", "is missing"))
     }
@@ -96,15 +94,18 @@
         match &fields.opkey {
             Some(key) => Ok(Some(key.clone())),
             None if self.config.extended => {
-                Ok(Some(format!("{:016x}{:016x}", self.core.draw(), self.core.draw())))
+                Ok(Some(format!("{:016x}{:016x}", self.core.generate_id(), self.core.generate_id())))
             }
             None => Err(invalid_field("opkey", "is missing: the class carries a key")),
         }
     }
 
     fn copy_statement(&self, statement: &str) -> Result<Buffer, Fault> {
-        if statement.len() > MOST_STATEMENT {
-            return Err(Fault::new("54000", format!("a statement holds at most {MOST_STATEMENT} bytes")));
+        if statement.len() > MAX_STATEMENT_BYTES {
+            return Err(Fault::new(
+                "54000",
+                format!("a statement holds at most {MAX_STATEMENT_BYTES} bytes"),
+            ));
         }
         let mut buffer = self.core.pool().get().ok_or_else(no_buffer)?;
         buffer.extend_from_slice(statement.as_bytes());
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -14,7 +14,7 @@
 use super::extended::statement_timeout::timeout_of_startup;
 use super::startup::SessionStart;
 use super::Front;
-use crate::core::buffer_pool::SIZE;
+use crate::core::buffer_pool::BUFFER_BYTES;
 use crate::proto::pg::{self, Fault, Message};
 use error::MessageError;
 use state::{Session, SessionFlow, CONTROL_MESSAGE_BYTES};
@@ -83,8 +83,8 @@
     start: SessionStart,
     slot: &ConnectionSlot,
 ) -> io::Result<Option<Fault>> {
-    let process_id = front.core.draw() as u32 >> 1;
-    let secret = front.core.draw() as u32;
+    let process_id = front.core.generate_id() as u32 >> 1;
+    let secret = front.core.generate_id() as u32;
     let cancel = CancelSignal::new(secret);
     front.sessions.borrow_mut().insert(process_id, Rc::clone(&cancel));
     let _registration = SessionRegistration { front: &front, process_id };
@@ -174,7 +174,7 @@
     /// Reads the next message of `input`. What needs neither an engine nor the connection is done and answered in
     /// `reply`.
     fn parse_next(&mut self, input: &[u8], reply: &mut Vec<u8>) -> NextMessage {
-        let (message, length) = match pg::read_message(input, SIZE) {
+        let (message, length) = match pg::read_message(input, BUFFER_BYTES) {
             Ok(Some(read)) => read,
             Ok(None) => return NextMessage::Incomplete,
             Err((_, Some(length))) if self.skips_to_sync => {
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -1,8 +1,8 @@
 //! What a session knows, and how it waits for the response to a request.
 
 use super::error::MessageError;
-use crate::core::request_table::{RequestHandle, Response};
 use crate::core::result_buffer::ResultSet;
+use crate::core::{RequestHandle, Response};
 use crate::front::cancel_signal::CancelSignal;
 use crate::front::client_connection::ClientConnection;
 use crate::front::client_error::{cancelled, failed, read_ahead_overrun, rejected};
@@ -78,8 +78,8 @@
                 biased;
                 response = request.wait() => return match response {
                     Response::Served(result) => Ok(result),
-                    Response::Refused(reason, retry_after) => Err(rejected(reason, retry_after, extended).into()),
-                    Response::Failed(reason, retry_after) => Err(failed(reason, retry_after).into()),
+                    Response::Rejected { reason, retry_after } => Err(rejected(reason, retry_after, extended).into()),
+                    Response::Failed { reason, retry_after } => Err(failed(reason, retry_after).into()),
                 },
                 () = self.cancel.requested() => {
                     self.cancel.take();
