--- a/crates/settings/src/environment.rs
+++ b/crates/settings/src/environment.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// Least number of an inherited descriptor: those below are the standard streams.
-pub const LEAST_DESCRIPTOR: u32 = 3;
+pub const MIN_DESCRIPTOR: u32 = 3;
 
 /// The variables that the program heeds. An empty one counts as absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,8 +32,8 @@
             None => None,
         };
         let listener = match get("EDGE_FD") {
-            Some(v) => Some(v.parse().ok().filter(|n| *n >= LEAST_DESCRIPTOR).ok_or_else(|| {
-                Error::new("EDGE_FD", format!("{v:?} is no descriptor from {LEAST_DESCRIPTOR}"))
+            Some(v) => Some(v.parse().ok().filter(|n| *n >= MIN_DESCRIPTOR).ok_or_else(|| {
+                Error::new("EDGE_FD", format!("{v:?} is no descriptor from {MIN_DESCRIPTOR}"))
             })?),
             None => None,
         };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,28 +1,31 @@
 //! What a workload manager is told at its start, read into types, once.
 //!
-//! The settings come in two writings: as nested JSON in the platform's configuration ([`Platform`]), and as
-//! `path=value` pairs on the simulator's wire ([`pairs`]). Both fill the one structure [`Told`], whose decoding
-//! is derived, and [`Told::settings`] turns it into the decision module's vocabulary. So a name, a default or a
+//! The settings come in two writings: as nested JSON in the platform's configuration ([`PlatformConfig`]), and as
+//! `path=value` pairs on the simulator's wire ([`pairs`]). Both fill the one structure [`WireSettings`], whose decoding
+//! is derived, and [`WireSettings::settings`] turns it into the decision module's vocabulary. So a name, a default or a
 //! range stands in one place.
 //!
 //! What is not known is skipped, since the platform may add to it, and a word that is not known takes the meaning
 //! that allows least. A known field of the wrong type, or a figure that is none, is an [`Error`] that names
 //! the path, and in JSON the line and column. No input panics; memory is bounded by the text's own length and by
-//! [`pairs::MOST_ITEMS`].
+//! [`pairs::MAX_ITEMS`].
 
 mod environment;
 mod error;
 pub mod pairs;
-mod platform;
+mod platform_config;
 mod settings_file;
-mod told;
 mod validation;
 mod value;
+mod wire_settings;
 
-pub use environment::{Environment, LEAST_DESCRIPTOR};
+pub use environment::{Environment, MIN_DESCRIPTOR};
 pub use error::Error;
-pub use platform::{Known, Limits, Platform, Seed};
+pub use platform_config::{KnownEvents, PlatformConfig, ProcessLimits, Seed};
 pub use settings_file::{Place, SettingsFile, SettingsFileError};
-pub use told::{Clients, Customer, Engines, Invariants, LoadReport, Prices, Profile, Told, WireLimits};
 pub use validation::{check_range, InvalidField, Violation};
-pub use value::{Figures, Flag, Number, Whole, Word};
+pub use value::{Flag, Number, NumberList, Text, WholeNumber};
+pub use wire_settings::{
+    WireClass, WireClients, WireEngines, WireInvariants, WireLimits, WireLoadReport, WirePrices,
+    WireSettings, WireTenant,
+};
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -3,27 +3,27 @@
 //! under `0`, `1` and so on. A tree of the pairs is a serde deserializer, so that the derived types read it as
 //! they read JSON.
 
-use crate::{Error, Told};
+use crate::{Error, WireSettings};
 use serde::de::value::StrDeserializer;
 use serde::de::{self, DeserializeSeed, Deserializer, IntoDeserializer, MapAccess, SeqAccess, Visitor};
 use std::collections::btree_map::{self, BTreeMap};
 use std::fmt;
 
 /// Items of one list of objects at most: a `count` is a few bytes of text, and each item is kept.
-pub const MOST_ITEMS: usize = 65_536;
+pub const MAX_ITEMS: usize = 65_536;
 
 /// Parts of a path at most: those of the settings have three, and a tree as deep as a line is long would overflow
 /// the stack. A longer one is skipped, as all that is not known.
-const MOST_PARTS: usize = 8;
+const MAX_PATH_PARTS: usize = 8;
 
 /// Reads the settings from pairs. What is no pair is skipped; of two with one path the later counts.
 ///
 /// # Errors
 /// Where a known path holds what it may not, by path.
-pub fn told<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<Told, Error> {
+pub fn parse<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<WireSettings, Error> {
     let mut root = Node::default();
     for (path, value) in pairs.filter_map(|p| p.split_once('=')) {
-        if path.split('.').nth(MOST_PARTS).is_some() {
+        if path.split('.').nth(MAX_PATH_PARTS).is_some() {
             continue;
         }
         let leaf = path.split('.').fold(&mut root, |node, key| node.below.entry(key).or_default());
@@ -44,64 +44,64 @@
 
 /// Why a value could not be read; its path is told beside it.
 #[derive(Debug)]
-struct Fault(String);
+struct PairError(String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for PairError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
-impl std::error::Error for Fault {}
-impl de::Error for Fault {
-    fn custom<T: fmt::Display>(why: T) -> Fault {
-        Fault(why.to_string())
+impl std::error::Error for PairError {}
+impl de::Error for PairError {
+    fn custom<T: fmt::Display>(why: T) -> PairError {
+        PairError(why.to_string())
     }
 }
 
 impl<'a> Node<'a> {
-    fn empty(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.below.is_empty() && matches!(self.text, None | Some("" | "-"))
     }
 
     /// How many items a list of objects says that it has; `None` for a list of plain values.
-    fn count(&self) -> Result<Option<usize>, Fault> {
+    fn count(&self) -> Result<Option<usize>, PairError> {
         let Some(count) = self.below.get("count") else { return Ok(None) };
         let text = count.text.filter(|t| !matches!(*t, "" | "-")).unwrap_or("0");
         match text.parse::<f64>() {
-            Ok(n) if n.is_finite() && n as usize <= MOST_ITEMS => Ok(Some(n as usize)),
-            Ok(n) if n.is_finite() => Err(Fault(format!("count {text} is over {MOST_ITEMS}"))),
-            _ => Err(Fault(format!("count {text:?} is not a number"))),
+            Ok(n) if n.is_finite() && n as usize <= MAX_ITEMS => Ok(Some(n as usize)),
+            Ok(n) if n.is_finite() => Err(PairError(format!("count {text} is over {MAX_ITEMS}"))),
+            _ => Err(PairError(format!("count {text:?} is not a number"))),
         }
     }
 }
 
 impl<'de> Deserializer<'de> for &'de Node<'de> {
-    type Error = Fault;
+    type Error = PairError;
 
     /// A plain value: its text.
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.text {
             Some(text) => visitor.visit_borrowed_str(text),
             None => visitor.visit_unit(),
         }
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
-        if self.empty() {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
+        if self.is_empty() {
             visitor.visit_none()
         } else {
             visitor.visit_some(self)
         }
     }
 
-    fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.count()? {
             Some(count) => visitor.visit_seq(Items { node: self, next: 0, count }),
             None => visitor.visit_seq(Parts(self.text.map(|t| t.split(',')))),
         }
     }
 
-    fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         visitor.visit_map(Children { rest: self.below.iter(), value: &NOTHING })
     }
 
@@ -110,7 +110,7 @@
         _: &'static str,
         _: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, PairError> {
         self.deserialize_map(visitor)
     }
 
@@ -118,11 +118,11 @@
         self,
         _: &'static str,
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, PairError> {
         visitor.visit_newtype_struct(self)
     }
 
-    fn deserialize_ignored_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_ignored_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         visitor.visit_unit()
     }
 
@@ -140,8 +140,8 @@
 }
 
 impl<'de> SeqAccess<'de> for Items<'de> {
-    type Error = Fault;
-    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, Fault> {
+    type Error = PairError;
+    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, PairError> {
         if self.next == self.count {
             return Ok(None);
         }
@@ -155,10 +155,10 @@
 struct Parts<'de>(Option<std::str::Split<'de, char>>);
 
 impl<'de> SeqAccess<'de> for Parts<'de> {
-    type Error = Fault;
-    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, Fault> {
+    type Error = PairError;
+    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, PairError> {
         let Some(part) = self.0.as_mut().and_then(Iterator::next) else { return Ok(None) };
-        let part: StrDeserializer<'_, Fault> = part.into_deserializer();
+        let part: StrDeserializer<'_, PairError> = part.into_deserializer();
         seed.deserialize(part).map(Some)
     }
 }
@@ -170,14 +170,14 @@
 }
 
 impl<'de> MapAccess<'de> for Children<'de> {
-    type Error = Fault;
-    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, Fault> {
+    type Error = PairError;
+    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, PairError> {
         let Some((key, value)) = self.rest.next() else { return Ok(None) };
         self.value = value;
-        let key: StrDeserializer<'_, Fault> = (*key).into_deserializer();
+        let key: StrDeserializer<'_, PairError> = (*key).into_deserializer();
         seed.deserialize(key).map(Some)
     }
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Fault> {
+    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, PairError> {
         seed.deserialize(self.value)
     }
 }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform_config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration: a JSON object, whose unknown fields are skipped.
 
-use crate::value::{object, or_default, section, Object, Whole};
-use crate::{Error, Told};
+use crate::value::{object, or_default, section, Object, WholeNumber};
+use crate::{Error, WireSettings};
 use serde::de::{self, Deserializer, Unexpected, Visitor};
 use serde::Deserialize;
 use std::fmt;
@@ -11,7 +11,7 @@
 /// of the feed knows.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
-pub struct Platform<E> {
+pub struct PlatformConfig<E> {
     /// Its name, the same after a restart; empty where none is told.
     #[serde(default, deserialize_with = "or_default")]
     pub name: String,
@@ -21,7 +21,7 @@
     pub seed: Seed,
     /// What it may use.
     #[serde(default, deserialize_with = "section")]
-    pub limits: Limits,
+    pub limits: ProcessLimits,
     /// Where the control feed is.
     #[serde(default)]
     pub feed: Option<String>,
@@ -29,20 +29,20 @@
     #[serde(default)]
     pub operator: Option<SocketAddr>,
     /// The control feed's events up to now.
-    #[serde(default = "Known::none", deserialize_with = "known")]
-    pub known: Known<E>,
+    #[serde(default = "KnownEvents::none", deserialize_with = "known")]
+    pub known: KnownEvents<E>,
     /// The settings of the simulator's first message.
     #[serde(deserialize_with = "object")]
-    pub settings: Told,
+    pub settings: WireSettings,
 }
 
-impl<E: for<'de> Deserialize<'de>> Platform<E> {
+impl<E: for<'de> Deserialize<'de>> PlatformConfig<E> {
     /// Reads a configuration's text.
     ///
     /// # Errors
     /// Where the text is no JSON, a needed field is missing (`listen`, `seed`, `settings`) or a known one holds
     /// what it may not: by line, column and path.
-    pub fn parse(text: &str) -> Result<Platform<E>, Error> {
+    pub fn parse(text: &str) -> Result<PlatformConfig<E>, Error> {
         let mut json = serde_json::Deserializer::from_str(text);
         let read = serde_path_to_error::deserialize(&mut json);
         let Object(read) = read.map_err(|e| Error::json(e.path().to_string(), e.inner()))?;
@@ -54,35 +54,35 @@
 /// What a manager may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// Memory in MB, before it is killed.
-    pub memory_mb: Whole,
+    pub memory_mb: WholeNumber,
     /// Descriptors.
-    pub sockets: Whole,
+    pub sockets: WholeNumber,
 }
 
 /// Events of the control feed up to the start.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
-pub struct Known<E> {
+pub struct KnownEvents<E> {
     /// The number of the last; absent, or with no events told: 0.
     #[serde(default)]
-    pub n: Whole,
+    pub n: WholeNumber,
     /// The events, in order.
     #[serde(default = "Vec::new", deserialize_with = "or_default")]
     pub events: Vec<E>,
 }
 
-impl<E> Known<E> {
-    fn none() -> Known<E> {
-        Known { n: Whole(None), events: Vec::new() }
+impl<E> KnownEvents<E> {
+    fn none() -> KnownEvents<E> {
+        KnownEvents { n: WholeNumber(None), events: Vec::new() }
     }
 }
 
-fn known<'de, D: Deserializer<'de>, E: Deserialize<'de>>(d: D) -> Result<Known<E>, D::Error> {
+fn known<'de, D: Deserializer<'de>, E: Deserialize<'de>>(d: D) -> Result<KnownEvents<E>, D::Error> {
     // Guards against a number without events: asked for what follows on it, the feed would never tell the whole list.
-    let told = Option::<Known<E>>::deserialize(d)?;
-    Ok(told.filter(|k| !k.events.is_empty()).unwrap_or_else(Known::none))
+    let told = Option::<KnownEvents<E>>::deserialize(d)?;
+    Ok(told.filter(|k| !k.events.is_empty()).unwrap_or_else(KnownEvents::none))
 }
 
 /// A seed: a number, or up to 16 hex digits as text.
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -24,12 +24,12 @@
 
 impl Number {
     /// The number, or what its absence means.
-    pub fn or(self, absent: f64) -> f64 {
+    pub fn unwrap_or(self, absent: f64) -> f64 {
         self.0.unwrap_or(absent)
     }
     /// The number of seconds as a span; zero where it is absent.
-    pub fn span(self) -> TimeDelta {
-        TimeDelta::from_secs_f64(self.or(0.0))
+    pub fn as_time_delta(self) -> TimeDelta {
+        TimeDelta::from_secs_f64(self.unwrap_or(0.0))
     }
 }
 
@@ -66,50 +66,50 @@
 
 /// Numbers of a list; an empty text among them is passed over, and nothing else may be absent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures(pub Vec<f64>);
+pub struct NumberList(pub Vec<f64>);
 
-impl Figures {
+impl NumberList {
     /// The numbers as places in another list; what is below zero is the first.
-    pub fn places(&self) -> Vec<u32> {
+    pub fn as_indices(&self) -> Vec<u32> {
         self.0.iter().map(|v| *v as u32).collect()
     }
 }
 
 /// One number of a list.
-struct Entry(Option<f64>);
+struct ListNumber(Option<f64>);
 
-impl<'de> Deserialize<'de> for Entry {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Entry, D::Error> {
+impl<'de> Deserialize<'de> for ListNumber {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<ListNumber, D::Error> {
         struct Read;
         impl Visitor<'_> for Read {
-            type Value = Entry;
+            type Value = ListNumber;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a number")
             }
-            fn visit_f64<E: de::Error>(self, v: f64) -> Result<Entry, E> {
-                Ok(Entry(Some(v)))
+            fn visit_f64<E: de::Error>(self, v: f64) -> Result<ListNumber, E> {
+                Ok(ListNumber(Some(v)))
             }
-            fn visit_u64<E: de::Error>(self, v: u64) -> Result<Entry, E> {
-                Ok(Entry(Some(v as f64)))
+            fn visit_u64<E: de::Error>(self, v: u64) -> Result<ListNumber, E> {
+                Ok(ListNumber(Some(v as f64)))
             }
-            fn visit_i64<E: de::Error>(self, v: i64) -> Result<Entry, E> {
-                Ok(Entry(Some(v as f64)))
+            fn visit_i64<E: de::Error>(self, v: i64) -> Result<ListNumber, E> {
+                Ok(ListNumber(Some(v as f64)))
             }
-            fn visit_str<E: de::Error>(self, s: &str) -> Result<Entry, E> {
+            fn visit_str<E: de::Error>(self, s: &str) -> Result<ListNumber, E> {
                 if s.is_empty() {
-                    return Ok(Entry(None));
+                    return Ok(ListNumber(None));
                 }
-                figure(s, &self).map(|v| Entry(Some(v)))
+                figure(s, &self).map(|v| ListNumber(Some(v)))
             }
         }
         d.deserialize_any(Read)
     }
 }
 
-impl<'de> Deserialize<'de> for Figures {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Figures, D::Error> {
-        let list: Vec<Entry> = or_default(d)?;
-        Ok(Figures(list.into_iter().filter_map(|e| e.0).collect()))
+impl<'de> Deserialize<'de> for NumberList {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<NumberList, D::Error> {
+        let list: Vec<ListNumber> = or_default(d)?;
+        Ok(NumberList(list.into_iter().filter_map(|e| e.0).collect()))
     }
 }
 
@@ -119,47 +119,47 @@
 
 impl<'de> Deserialize<'de> for Flag {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Flag, D::Error> {
-        Word::deserialize(d).map(|w| Flag(matches!(w.0.as_str(), "true" | "1")))
+        Text::deserialize(d).map(|w| Flag(matches!(w.0.as_str(), "true" | "1")))
     }
 }
 
 /// A word, such as a name; a number or a truth value counts as its text. Empty where it is absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Word(pub String);
+pub struct Text(pub String);
 
-impl Word {
+impl Text {
     /// The word, if there is one.
     pub fn get(&self) -> Option<&str> {
         Some(self.0.as_str()).filter(|w| !absent(w))
     }
 }
 
-impl<'de> Deserialize<'de> for Word {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Word, D::Error> {
+impl<'de> Deserialize<'de> for Text {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Text, D::Error> {
         struct Read;
         impl Visitor<'_> for Read {
-            type Value = Word;
+            type Value = Text;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a word, a number or a truth value")
             }
-            fn visit_str<E: de::Error>(self, s: &str) -> Result<Word, E> {
-                Ok(Word(s.to_owned()))
+            fn visit_str<E: de::Error>(self, s: &str) -> Result<Text, E> {
+                Ok(Text(s.to_owned()))
             }
-            fn visit_bool<E: de::Error>(self, v: bool) -> Result<Word, E> {
-                Ok(Word(v.to_string()))
+            fn visit_bool<E: de::Error>(self, v: bool) -> Result<Text, E> {
+                Ok(Text(v.to_string()))
             }
-            fn visit_u64<E: de::Error>(self, v: u64) -> Result<Word, E> {
-                Ok(Word(v.to_string()))
+            fn visit_u64<E: de::Error>(self, v: u64) -> Result<Text, E> {
+                Ok(Text(v.to_string()))
             }
-            fn visit_i64<E: de::Error>(self, v: i64) -> Result<Word, E> {
-                Ok(Word(v.to_string()))
+            fn visit_i64<E: de::Error>(self, v: i64) -> Result<Text, E> {
+                Ok(Text(v.to_string()))
             }
-            fn visit_f64<E: de::Error>(self, v: f64) -> Result<Word, E> {
+            fn visit_f64<E: de::Error>(self, v: f64) -> Result<Text, E> {
                 // With its point: 1.0 is a figure and no place in a list.
-                Ok(Word(format!("{v:?}")))
+                Ok(Text(format!("{v:?}")))
             }
-            fn visit_unit<E: de::Error>(self) -> Result<Word, E> {
-                Ok(Word(String::new()))
+            fn visit_unit<E: de::Error>(self) -> Result<Text, E> {
+                Ok(Text(String::new()))
             }
         }
         d.deserialize_any(Read)
@@ -168,27 +168,27 @@
 
 /// A whole number from 0 that may be absent; parts of one are cut off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Whole(pub Option<u64>);
+pub struct WholeNumber(pub Option<u64>);
 
-impl<'de> Deserialize<'de> for Whole {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Whole, D::Error> {
+impl<'de> Deserialize<'de> for WholeNumber {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<WholeNumber, D::Error> {
         struct Read;
         impl Visitor<'_> for Read {
-            type Value = Whole;
+            type Value = WholeNumber;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a number from 0")
             }
-            fn visit_u64<E: de::Error>(self, v: u64) -> Result<Whole, E> {
-                Ok(Whole(Some(v)))
+            fn visit_u64<E: de::Error>(self, v: u64) -> Result<WholeNumber, E> {
+                Ok(WholeNumber(Some(v)))
             }
-            fn visit_f64<E: de::Error>(self, v: f64) -> Result<Whole, E> {
+            fn visit_f64<E: de::Error>(self, v: f64) -> Result<WholeNumber, E> {
                 if v < 0.0 {
                     return Err(E::invalid_value(Unexpected::Float(v), &self));
                 }
-                Ok(Whole(Some(v as u64)))
+                Ok(WholeNumber(Some(v as u64)))
             }
-            fn visit_unit<E: de::Error>(self) -> Result<Whole, E> {
-                Ok(Whole(None))
+            fn visit_unit<E: de::Error>(self) -> Result<WholeNumber, E> {
+                Ok(WholeNumber(None))
             }
         }
         d.deserialize_any(Read)
--- a/crates/settings/tests/customers.rs
+++ b/crates/settings/tests/customers.rs
@@ -3,11 +3,11 @@
 
 use serde_json::{json, Value};
 use sprucelink_policy::{DedupGroup, Effect, TimeDelta};
-use sprucelink_settings::{pairs, Platform};
+use sprucelink_settings::{pairs, PlatformConfig};
 
-fn read(settings: &Value) -> Platform<Value> {
+fn read(settings: &Value) -> PlatformConfig<Value> {
     let text = json!({"listen": "10.0.0.4:7001", "seed": "a", "settings": settings}).to_string();
-    Platform::parse(&text).unwrap_or_else(|e| panic!("{e}"))
+    PlatformConfig::parse(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 /// A site whose names need quoting, are parts of each other, or are words of the settings themselves.
@@ -33,7 +33,7 @@
 #[test]
 fn classes_mean_what_their_own_words_say() {
     let told = read(&odd()).settings;
-    let set = told.settings();
+    let set = told.to_policy_settings();
     let effects: Vec<Effect> = set.classes.iter().map(|c| c.effect).collect();
     use Effect::{Keyed, Safe, Unsafe};
     assert_eq!(effects, [Safe, Keyed, Keyed, Unsafe, Keyed, Unsafe], "what is not known is not repeated");
@@ -59,8 +59,9 @@
 /// A site that has none of what others have: no tenants, zones, limits or hints.
 #[test]
 fn a_site_may_lack_nearly_all() {
-    let set =
-        read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []})).settings.settings();
+    let set = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
+        .settings
+        .to_policy_settings();
     assert!(set.tenants.is_empty() && set.attempt_budget.is_none() && set.zone.is_none());
     assert_eq!((set.classes.len(), set.classes[0].effect, set.gateways), (1, Effect::Unsafe, 1));
     assert_eq!((set.max_attempts, set.classes[0].repeat_window), (1, TimeDelta::ZERO));
@@ -75,10 +76,13 @@
     for _ in 0..3 {
         assert_eq!(read(&first), one);
         assert_eq!(read(&least), none);
-        let wire = pairs::told(["customers.count=1", "customers.0.name=x", "siblings=3"].into_iter());
-        assert_eq!(wire.expect("read").settings().gateways, 3);
-        let wire = pairs::told(std::iter::empty()).expect("read");
-        assert_eq!((wire.settings(), wire.customers.len()), (none.settings.settings(), 0));
+        let wire = pairs::parse(["customers.count=1", "customers.0.name=x", "siblings=3"].into_iter());
+        assert_eq!(wire.expect("read").to_policy_settings().gateways, 3);
+        let wire = pairs::parse(std::iter::empty()).expect("read");
+        assert_eq!(
+            (wire.to_policy_settings(), wire.customers.len()),
+            (none.settings.to_policy_settings(), 0)
+        );
     }
 }
 
@@ -88,7 +92,7 @@
 fn a_number_of_events_that_are_not_told_is_not_gone_on_from() {
     let known = |text: &str| {
         let text = format!(r#"{{"listen":"10.0.0.4:1","seed":"a","settings":{{}},"known":{text}}}"#);
-        let known = Platform::<Value>::parse(&text).unwrap_or_else(|e| panic!("{e}")).known;
+        let known = PlatformConfig::<Value>::parse(&text).unwrap_or_else(|e| panic!("{e}")).known;
         (known.n.0, known.events.len())
     };
     assert_eq!(known(r#"{"n":41,"events":[]}"#), (None, 0));
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -3,10 +3,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use serde_json::Value;
-use sprucelink_settings::{pairs, Environment, Platform, Seed};
+use sprucelink_settings::{pairs, Environment, PlatformConfig, Seed};
 
-fn parse(text: &str) -> Result<Platform<Value>, String> {
-    Platform::parse(text).map_err(|e| e.to_string())
+fn parse(text: &str) -> Result<PlatformConfig<Value>, String> {
+    PlatformConfig::parse(text).map_err(|e| e.to_string())
 }
 
 const LEAST: &str = r#""listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","settings":{}"#;
@@ -17,7 +17,7 @@
     assert_eq!((p.name.as_str(), p.listen.to_string().as_str()), ("", "10.0.0.4:7001"));
     assert_eq!((p.seed, p.feed, p.operator), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
     assert_eq!((p.limits.sockets.0, p.limits.memory_mb.0, p.known.n.0), (None, None, None));
-    assert!(p.known.events.is_empty() && p.settings.settings() == Default::default());
+    assert!(p.known.events.is_empty() && p.settings.to_policy_settings() == Default::default());
     let nulls = r#""name":null,"feed":null,"operator":null,"limits":null,"known":null,"to_come":[{"a":1}]"#;
     assert_eq!(parse(&format!("{{{LEAST},{nulls}}}")).expect("read").known.events.len(), 0);
 }
@@ -88,28 +88,31 @@
 
 #[test]
 fn a_fault_in_pairs_says_the_path() {
-    let fault = |pair: &str| pairs::told([pair].into_iter()).expect_err(pair);
+    let fault = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair);
     assert_eq!(fault("invariants.cold=warm").path, "invariants.cold");
     assert_eq!(fault("profiles.count=lots").path, "profiles");
     assert_eq!(fault("specifics.classThreads=1,-,3").path, "specifics.classThreads[1]");
     let faults = ["profiles.count=1", "profiles.0.allowedOn=std"];
-    assert_eq!(pairs::told(faults.into_iter()).unwrap_err().path, "profiles[0].allowedOn[0]");
+    assert_eq!(pairs::parse(faults.into_iter()).unwrap_err().path, "profiles[0].allowedOn[0]");
 }
 
 /// A count is a few bytes and an item some hundred; a path of a million points would be a tree as deep.
 #[test]
 fn pairs_cannot_ask_for_more_than_their_bounds() {
-    let over = format!("customers.count={}", pairs::MOST_ITEMS + 1);
-    assert!(pairs::told([over.as_str()].into_iter()).unwrap_err().why.contains("is over"));
-    assert!(pairs::told(["customers.count=1e300"].into_iter()).is_err());
-    assert!(pairs::told(["customers.count=-3"].into_iter()).expect("none").customers.is_empty());
+    let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
+    assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().why.contains("is over"));
+    assert!(pairs::parse(["customers.count=1e300"].into_iter()).is_err());
+    assert!(pairs::parse(["customers.count=-3"].into_iter()).expect("none").customers.is_empty());
     let deep = format!("{}=1", "a.".repeat(1_000_000));
-    assert!(pairs::told([deep.as_str(), "siblings=3"].into_iter()).expect("skipped").siblings.or(1.0) == 3.0);
+    assert!(
+        pairs::parse([deep.as_str(), "siblings=3"].into_iter()).expect("skipped").siblings.unwrap_or(1.0)
+            == 3.0
+    );
 }
 
 #[test]
 fn what_is_absent_keeps_its_meaning() {
-    let set = |pairs: &[&str]| pairs::told(pairs.iter().copied()).expect("read").settings();
+    let set = |pairs: &[&str]| pairs::parse(pairs.iter().copied()).expect("read").to_policy_settings();
     assert_eq!(set(&[]), Default::default());
     let one = |pair: &str| set(&["profiles.count=1", pair]).classes.remove(0);
     // Told at all, a list binds its class, even where it names nothing.
@@ -161,7 +164,7 @@
     let text = proptest::collection::vec(proptest::sample::select(words), 0..24).prop_map(|w| w.concat());
     let run = TestRunner::new(config).run(&text, |text| {
         drop(parse(&text));
-        drop(pairs::told(text.split('\n')));
+        drop(pairs::parse(text.split('\n')));
         Ok(())
     });
     run.expect("no panic");
--- a/crates/settings/tests/writings.rs
+++ b/crates/settings/tests/writings.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 use serde_json::{json, Map, Value};
-use sprucelink_settings::{pairs, Platform, Told};
+use sprucelink_settings::{pairs, PlatformConfig, WireSettings};
 use std::cell::Cell;
 
 /// A runner with a fixed seed: the same cases in every run.
@@ -169,10 +169,10 @@
     }
 }
 
-fn from_json(settings: &Value) -> Result<Told, (String, bool)> {
+fn from_json(settings: &Value) -> Result<WireSettings, (String, bool)> {
     let text = json!({"listen": "127.0.0.1:1", "seed": "a", "settings": settings});
     let text = serde_json::to_string_pretty(&text).expect("written");
-    match Platform::<Value>::parse(&text) {
+    match PlatformConfig::<Value>::parse(&text) {
         Ok(p) => Ok(p.settings),
         Err(e) => Err((e.path, e.at.is_some())),
     }
@@ -184,10 +184,10 @@
     let run = runner(500).run(&settings(), |value| {
         let mut lines = Vec::new();
         write("", &value, &mut lines);
-        match (from_json(&value), pairs::told(lines.iter().map(String::as_str))) {
+        match (from_json(&value), pairs::parse(lines.iter().map(String::as_str))) {
             (Ok(a), Ok(b)) => {
                 good.set(good.get() + 1);
-                prop_assert_eq!(a.settings(), b.settings());
+                prop_assert_eq!(a.to_policy_settings(), b.to_policy_settings());
                 prop_assert_eq!(a.limits, b.limits);
             }
             // The two may meet different faults first: members of an object come in different orders.
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -6,7 +6,7 @@
 use crate::front::{Class, Setup};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Settings, TimeDelta};
-use sprucelink_settings::{Environment, Error, Platform, Profile, Word};
+use sprucelink_settings::{Environment, Error, PlatformConfig, Text, WireClass};
 use std::net::SocketAddr;
 
 /// Descriptors that the process holds whoever calls, at most: three standard streams, seven of the runtime (its poll, the
@@ -123,11 +123,11 @@
 /// # Errors
 /// Where the text will not do: by line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
-    let told: Platform<events::Told> = Platform::parse(text)?;
-    let set = told.settings.settings();
+    let told: PlatformConfig<events::Told> = PlatformConfig::parse(text)?;
+    let set = told.settings.to_policy_settings();
     let limits = &told.settings.limits;
-    let names = |list: &[Word]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
-    let class = |(p, c): (&Profile, &ClassSettings)| Class {
+    let names = |list: &[Text]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
+    let class = |(p, c): (&WireClass, &ClassSettings)| Class {
         name: p.name.0.clone(),
         keyed: c.effect == Effect::Keyed,
         deadline: c.deadline,
@@ -156,9 +156,9 @@
         sockets,
         shares,
         terms: Terms {
-            streams: limits.max_streams.or(32.0).max(1.0) as usize,
-            dial: TimeDelta::from_secs_f64(limits.connect_timeout.or(1.0)),
-            idle: TimeDelta::from_secs_f64(limits.conn_idle.or(15.0)),
+            streams: limits.max_streams.unwrap_or(32.0).max(1.0) as usize,
+            dial: TimeDelta::from_secs_f64(limits.connect_timeout.unwrap_or(1.0)),
+            idle: TimeDelta::from_secs_f64(limits.conn_idle.unwrap_or(15.0)),
             notes: set.progress_pace,
             most: (sockets / 32).max(2),
             most_links: shares.links,
