--- a/crates/settings/src/environment.rs
+++ b/crates/settings/src/environment.rs
@@ -1,42 +1,45 @@
-//! What the platform tells in the process's environment.
+//! Settings in the process's environment.
 
-use crate::Error;
+use crate::{Error, ErrorReason};
 use std::net::SocketAddr;
 
-/// Least number of an inherited descriptor: those below are the standard streams.
+/// Smallest number of an inherited descriptor: those below are the standard streams.
 pub const MIN_DESCRIPTOR: u32 = 3;
 
-/// The variables that the program heeds. An empty one counts as absent.
+/// Names of the variables, as the platform sets them.
+const CONFIG: &str = "EDGE_CONFIG";
+const OPERATOR: &str = "EDGE_OPERATOR";
+const LISTENER: &str = "EDGE_FD";
+
+/// The environment variables that the program reads. An empty one counts as absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Environment {
-    /// The configuration's file (`EDGE_CONFIG`).
+    /// Path of the configuration file (`EDGE_CONFIG`).
     pub config: Option<String>,
-    /// Where operators call (`EDGE_OPERATOR`); the configuration's own word goes before it.
+    /// Address of the operators' endpoint (`EDGE_OPERATOR`); the configuration's own takes precedence.
     pub operator: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, held by the platform (`EDGE_FD`).
+    /// The descriptor of the clients' listening socket, where the platform passes one on (`EDGE_FD`).
     pub listener: Option<u32>,
 }
 
 impl Environment {
-    /// Reads the variables; `get` gives one by its name.
+    /// Reads the variables; `get` returns the value of one by its name.
     ///
     /// # Errors
-    /// Where one holds what it may not, by its name.
+    /// The name of the variable whose value is invalid, and the value.
     pub fn read(get: impl Fn(&str) -> Option<String>) -> Result<Environment, Error> {
-        let get = |name: &str| get(name).filter(|v| !v.is_empty());
-        let operator = match get("EDGE_OPERATOR") {
-            Some(v) => Some(
-                v.parse()
-                    .map_err(|_| Error::new("EDGE_OPERATOR", format!("{v:?} is no address and port")))?,
-            ),
-            None => None,
-        };
-        let listener = match get("EDGE_FD") {
-            Some(v) => Some(v.parse().ok().filter(|n| *n >= MIN_DESCRIPTOR).ok_or_else(|| {
-                Error::new("EDGE_FD", format!("{v:?} is no descriptor from {MIN_DESCRIPTOR}"))
-            })?),
-            None => None,
-        };
-        Ok(Environment { config: get("EDGE_CONFIG"), operator, listener })
+        let get = |name: &str| get(name).filter(|value| !value.is_empty());
+        let operator = get(OPERATOR).map(parse_operator).transpose()?;
+        let listener = get(LISTENER).map(parse_listener).transpose()?;
+        Ok(Environment { config: get(CONFIG), operator, listener })
     }
 }
+
+fn parse_operator(value: String) -> Result<SocketAddr, Error> {
+    value.parse().map_err(|_| Error::at_path(OPERATOR, ErrorReason::NotSocketAddress(value)))
+}
+
+fn parse_listener(value: String) -> Result<u32, Error> {
+    let descriptor = value.parse().ok().filter(|number| *number >= MIN_DESCRIPTOR);
+    descriptor.ok_or_else(|| Error::at_path(LISTENER, ErrorReason::NotDescriptor(value)))
+}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,6 +13,7 @@
 mod environment;
 mod error;
 pub mod pairs;
+mod place;
 mod platform_config;
 mod settings_file;
 mod validation;
@@ -20,9 +21,10 @@
 mod wire_settings;
 
 pub use environment::{Environment, MIN_DESCRIPTOR};
-pub use error::Error;
+pub use error::{Error, ErrorReason};
+pub use place::{Place, ROOT};
 pub use platform_config::{KnownEvents, PlatformConfig, ProcessLimits, Seed};
-pub use settings_file::{Place, SettingsFile, SettingsFileError};
+pub use settings_file::{SettingsFile, SettingsFileError};
 pub use validation::{check_range, InvalidField, Violation};
 pub use value::{Flag, Number, NumberList, Text, WholeNumber};
 pub use wire_settings::{
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -3,7 +3,7 @@
 //! under `0`, `1` and so on. A tree of the pairs is a serde deserializer, so that the derived types read it as
 //! they read JSON.
 
-use crate::{Error, WireSettings};
+use crate::{Error, ErrorReason, WireSettings};
 use serde::de::value::StrDeserializer;
 use serde::de::{self, DeserializeSeed, Deserializer, IntoDeserializer, MapAccess, SeqAccess, Visitor};
 use std::collections::btree_map::{self, BTreeMap};
@@ -29,7 +29,8 @@
         let leaf = path.split('.').fold(&mut root, |node, key| node.below.entry(key).or_default());
         leaf.text = Some(value);
     }
-    serde_path_to_error::deserialize(&root).map_err(|e| Error::new(&e.path().to_string(), e.inner()))
+    serde_path_to_error::deserialize(&root)
+        .map_err(|e| Error::at_path(&e.path().to_string(), ErrorReason::Pair(e.into_inner())))
 }
 
 /// A path's value, and what lies below it.
@@ -42,19 +43,23 @@
 /// What a path that is not there holds.
 static NOTHING: Node<'static> = Node { text: None, below: BTreeMap::new() };
 
-/// Why a value could not be read; its path is told beside it.
-#[derive(Debug)]
-struct PairError(String);
-
-impl fmt::Display for PairError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a value of a pair could not be read; its path stands in [`Error::place`].
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum PairError {
+    /// A list of objects claims more than [`MAX_ITEMS`] items.
+    #[error("count {0} is over {MAX_ITEMS}")]
+    TooManyItems(String),
+    /// A list's `count` is no finite number.
+    #[error("count {0:?} is not a number")]
+    CountNotANumber(String),
+    /// The value is not what the field's type expects.
+    #[error("{0}")]
+    InvalidValue(String),
 }
-impl std::error::Error for PairError {}
+
 impl de::Error for PairError {
-    fn custom<T: fmt::Display>(why: T) -> PairError {
-        PairError(why.to_string())
+    fn custom<T: fmt::Display>(message: T) -> PairError {
+        PairError::InvalidValue(message.to_string())
     }
 }
 
@@ -69,8 +74,8 @@
         let text = count.text.filter(|t| !matches!(*t, "" | "-")).unwrap_or("0");
         match text.parse::<f64>() {
             Ok(n) if n.is_finite() && n as usize <= MAX_ITEMS => Ok(Some(n as usize)),
-            Ok(n) if n.is_finite() => Err(PairError(format!("count {text} is over {MAX_ITEMS}"))),
-            _ => Err(PairError(format!("count {text:?} is not a number"))),
+            Ok(n) if n.is_finite() => Err(PairError::TooManyItems(text.to_owned())),
+            _ => Err(PairError::CountNotANumber(text.to_owned())),
         }
     }
 }
--- a/crates/settings/src/settings_file.rs
+++ b/crates/settings/src/settings_file.rs
@@ -1,8 +1,7 @@
 //! Reader of the operator's own settings files, such as `deploy/failover.json5`: JSON5, strict, checked as a whole.
 
-use crate::InvalidField;
+use crate::{InvalidField, Place};
 use serde::de::DeserializeOwned;
-use std::fmt;
 
 /// Settings that an operator keeps in a JSON5 file of their own.
 pub trait SettingsFile: DeserializeOwned {
@@ -51,38 +50,11 @@
     },
 }
 
-/// A place in a settings text; shown as `line 2, column 5: lists.burst: `.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Line and column, from 1, where the library tells them.
-    pub position: Option<(usize, usize)>,
-    /// The field's path; empty where the text as a whole is at fault.
-    pub path: String,
-}
-
-impl fmt::Display for Place {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some((line, column)) = self.position {
-            write!(f, "line {line}, column {column}: ")?;
-        }
-        if !self.path.is_empty() {
-            write!(f, "{}: ", self.path)?;
-        }
-        Ok(())
-    }
-}
-
 fn deserialize<T: SettingsFile>(text: &str) -> Result<T, SettingsFileError> {
     let mut deserializer =
         json5::Deserializer::from_str(text).map_err(|e| json5_error::<T>(String::new(), e))?;
-    serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
-        let path = match e.path().to_string() {
-            // The library's name for the root.
-            path if path == "." => String::new(),
-            path => path,
-        };
-        json5_error::<T>(path, e.into_inner())
-    })
+    serde_path_to_error::deserialize(&mut deserializer)
+        .map_err(|e| json5_error::<T>(e.path().to_string(), e.into_inner()))
 }
 
 fn json5_error<T: SettingsFile>(path: String, error: json5::Error) -> SettingsFileError {
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -88,19 +88,19 @@
 
 #[test]
 fn a_fault_in_pairs_says_the_path() {
-    let fault = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair);
+    let fault = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair).place;
     assert_eq!(fault("invariants.cold=warm").path, "invariants.cold");
     assert_eq!(fault("profiles.count=lots").path, "profiles");
     assert_eq!(fault("specifics.classThreads=1,-,3").path, "specifics.classThreads[1]");
     let faults = ["profiles.count=1", "profiles.0.allowedOn=std"];
-    assert_eq!(pairs::parse(faults.into_iter()).unwrap_err().path, "profiles[0].allowedOn[0]");
+    assert_eq!(pairs::parse(faults.into_iter()).unwrap_err().place.path, "profiles[0].allowedOn[0]");
 }
 
 /// A count is a few bytes and an item some hundred; a path of a million points would be a tree as deep.
 #[test]
 fn pairs_cannot_ask_for_more_than_their_bounds() {
     let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
-    assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().why.contains("is over"));
+    assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().reason.to_string().contains("is over"));
     assert!(pairs::parse(["customers.count=1e300"].into_iter()).is_err());
     assert!(pairs::parse(["customers.count=-3"].into_iter()).expect("none").customers.is_empty());
     let deep = format!("{}=1", "a.".repeat(1_000_000));
--- a/crates/settings/tests/writings.rs
+++ b/crates/settings/tests/writings.rs
@@ -174,7 +174,7 @@
     let text = serde_json::to_string_pretty(&text).expect("written");
     match PlatformConfig::<Value>::parse(&text) {
         Ok(p) => Ok(p.settings),
-        Err(e) => Err((e.path, e.at.is_some())),
+        Err(e) => Err((e.place.path, e.place.position.is_some())),
     }
 }
 
@@ -193,7 +193,12 @@
             // The two may meet different faults first: members of an object come in different orders.
             (Err((path, placed)), Err(e)) => {
                 bad.set(bad.get() + 1);
-                prop_assert!(path.starts_with("settings.") && placed && !e.path.is_empty(), "{} {}", path, e);
+                prop_assert!(
+                    path.starts_with("settings.") && placed && !e.place.path.is_empty(),
+                    "{} {}",
+                    path,
+                    e
+                );
             }
             (a, b) => prop_assert!(false, "{:?} but {:?}", a, b),
         }
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -6,7 +6,7 @@
 use crate::front::{Class, Setup};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Settings, TimeDelta};
-use sprucelink_settings::{Environment, Error, PlatformConfig, Text, WireClass};
+use sprucelink_settings::{Environment, Error, ErrorReason, PlatformConfig, Text, WireClass};
 use std::net::SocketAddr;
 
 /// Descriptors that the process holds whoever calls, at most: three standard streams, seven of the runtime (its poll, the
@@ -136,13 +136,10 @@
     let sockets = told.limits.sockets.0.map_or(SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
     let kept = operator.map_or(0, |_| admin::limits(sockets).descriptors());
     let shares = Shares::of(sockets, kept).map_err(|least| {
-        Error::new(
-            "limits.sockets",
-            format!("{sockets} descriptors are too few: {least} are needed at least"),
-        )
+        Error::at_path("limits.sockets", ErrorReason::TooFewDescriptors { limit: sockets, needed: least })
     })?;
     if told.limits.memory_mb.0 == Some(0) {
-        return Err(Error::new("limits.memory_mb", "0 MB are too few"));
+        return Err(Error::at_path("limits.memory_mb", ErrorReason::NoMemory));
     }
     Ok(Config {
         name: told.name,
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -235,7 +235,7 @@
 /// The settings of the pairs that a line ends with.
 fn parse_settings(f: &Fields) -> Result<Settings, WireError> {
     let told = sprucelink_settings::pairs::parse(f.parts.iter().skip(3).copied());
-    told.map(|t| t.to_policy_settings()).map_err(|e| f.err(&e.path, &e.why))
+    told.map(|t| t.to_policy_settings()).map_err(|e| f.err(&e.place.path, &e.reason.to_string()))
 }
 
 fn secs(out: &mut String, t: TimeDelta) {
