--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,20 +1,20 @@
-//! What a workload manager is told at its start, read into types, once.
+//! Settings of a workload manager, read into types.
 //!
-//! The settings come in two writings: as nested JSON in the platform's configuration ([`PlatformConfig`]), and as
-//! `path=value` pairs on the simulator's wire ([`pairs`]). Both fill the one structure [`WireSettings`], whose decoding
-//! is derived, and [`WireSettings::settings`] turns it into the decision module's vocabulary. So a name, a default or a
-//! range stands in one place.
-//!
-//! What is not known is skipped, since the platform may add to it, and a word that is not known takes the meaning
-//! that allows least. A known field of the wrong type, or a figure that is none, is an [`Error`] that names
+//! The platform's settings come in two forms: as nested JSON in its configuration ([`PlatformConfig`]), and as
+//! `path=value` pairs on the simulator's wire ([`pairs`]). Both are deserialized into [`WireSettings`], whose fields bear
+//! the wire's names, and [`WireSettings::to_policy_settings`] translates that into the decision module's vocabulary.
+//! Unknown fields are skipped, since the platform may add some. A known field of the wrong type is an [`Error`] that names
 //! the path, and in JSON the line and column. No input panics; memory is bounded by the text's own length and by
 //! [`pairs::MAX_ITEMS`].
+//!
+//! Operators' own settings files are JSON5 and strict: [`SettingsFile`]. Environment variables: [`Environment`].
 
 mod environment;
 mod error;
 pub mod pairs;
 mod place;
 mod platform_config;
+mod policy_settings;
 mod settings_file;
 mod validation;
 mod value;
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -1,7 +1,8 @@
-//! Settings as `path=value` pairs, as the simulator's wire writes them: the parts of a path set apart by points,
-//! lists of plain values joined by commas, lists of objects with their length under `count` and their items
-//! under `0`, `1` and so on. A tree of the pairs is a serde deserializer, so that the derived types read it as
-//! they read JSON.
+//! Settings as `path=value` pairs, the form of the simulator's wire.
+//!
+//! The parts of a path are separated by points, the items of a list of plain values by commas. A list of objects has its
+//! length under `count` and its items under `0`, `1` and so on. The pairs form a tree, which is a serde deserializer, so
+//! that the derived types read it as they read JSON.
 
 use crate::{Error, ErrorReason, WireSettings};
 use serde::de::value::StrDeserializer;
@@ -9,20 +10,20 @@
 use std::collections::btree_map::{self, BTreeMap};
 use std::fmt;
 
-/// Items of one list of objects at most: a `count` is a few bytes of text, and each item is kept.
+/// Largest number of items in a list of objects: a `count` of a few bytes would otherwise allocate without bound.
 pub const MAX_ITEMS: usize = 65_536;
 
-/// Parts of a path at most: those of the settings have three, and a tree as deep as a line is long would overflow
-/// the stack. A longer one is skipped, as all that is not known.
+/// Largest number of parts in a path: those of the settings have three, and a tree as deep as a line is long would overflow
+/// the stack. A longer path is skipped, as any unknown one.
 const MAX_PATH_PARTS: usize = 8;
 
-/// Reads the settings from pairs. What is no pair is skipped; of two with one path the later counts.
+/// Reads the settings from pairs. An item without `=` is skipped; of two with the same path the later counts.
 ///
 /// # Errors
-/// Where a known path holds what it may not, by path.
+/// The first known path with an invalid value.
 pub fn parse<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<WireSettings, Error> {
     let mut root = Node::default();
-    for (path, value) in pairs.filter_map(|p| p.split_once('=')) {
+    for (path, value) in pairs.filter_map(|pair| pair.split_once('=')) {
         if path.split('.').nth(MAX_PATH_PARTS).is_some() {
             continue;
         }
@@ -33,15 +34,15 @@
         .map_err(|e| Error::at_path(&e.path().to_string(), ErrorReason::Pair(e.into_inner())))
 }
 
-/// A path's value, and what lies below it.
+/// A path's value, and the paths below it.
 #[derive(Debug, Default)]
 struct Node<'a> {
     text: Option<&'a str>,
     below: BTreeMap<&'a str, Node<'a>>,
 }
 
-/// What a path that is not there holds.
-static NOTHING: Node<'static> = Node { text: None, below: BTreeMap::new() };
+/// The node of a path that does not occur.
+static ABSENT: Node<'static> = Node { text: None, below: BTreeMap::new() };
 
 /// Why a value of a pair could not be read; its path stands in [`Error::place`].
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -68,7 +69,7 @@
         self.below.is_empty() && matches!(self.text, None | Some("" | "-"))
     }
 
-    /// How many items a list of objects says that it has; `None` for a list of plain values.
+    /// The length of a list of objects; `None` for a list of plain values.
     fn count(&self) -> Result<Option<usize>, PairError> {
         let Some(count) = self.below.get("count") else { return Ok(None) };
         let text = count.text.filter(|t| !matches!(*t, "" | "-")).unwrap_or("0");
@@ -83,7 +84,7 @@
 impl<'de> Deserializer<'de> for &'de Node<'de> {
     type Error = PairError;
 
-    /// A plain value: its text.
+    /// A plain value is its text.
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.text {
             Some(text) => visitor.visit_borrowed_str(text),
@@ -101,13 +102,13 @@
 
     fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.count()? {
-            Some(count) => visitor.visit_seq(Items { node: self, next: 0, count }),
-            None => visitor.visit_seq(Parts(self.text.map(|t| t.split(',')))),
+            Some(count) => visitor.visit_seq(ObjectItems { node: self, next: 0, count }),
+            None => visitor.visit_seq(PlainItems(self.text.map(|t| t.split(',')))),
         }
     }
 
     fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
-        visitor.visit_map(Children { rest: self.below.iter(), value: &NOTHING })
+        visitor.visit_map(Children { remaining: self.below.iter(), value: &ABSENT })
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
@@ -137,29 +138,29 @@
     }
 }
 
-/// Items of a list of objects: those that are not there hold nothing.
-struct Items<'de> {
+/// Items of a list of objects; those that do not occur are absent.
+struct ObjectItems<'de> {
     node: &'de Node<'de>,
     next: usize,
     count: usize,
 }
 
-impl<'de> SeqAccess<'de> for Items<'de> {
+impl<'de> SeqAccess<'de> for ObjectItems<'de> {
     type Error = PairError;
     fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, PairError> {
         if self.next == self.count {
             return Ok(None);
         }
-        let item = self.node.below.get(self.next.to_string().as_str()).unwrap_or(&NOTHING);
+        let item = self.node.below.get(self.next.to_string().as_str()).unwrap_or(&ABSENT);
         self.next += 1;
         seed.deserialize(item).map(Some)
     }
 }
 
 /// Items of a list of plain values.
-struct Parts<'de>(Option<std::str::Split<'de, char>>);
+struct PlainItems<'de>(Option<std::str::Split<'de, char>>);
 
-impl<'de> SeqAccess<'de> for Parts<'de> {
+impl<'de> SeqAccess<'de> for PlainItems<'de> {
     type Error = PairError;
     fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, PairError> {
         let Some(part) = self.0.as_mut().and_then(Iterator::next) else { return Ok(None) };
@@ -168,16 +169,16 @@
     }
 }
 
-/// What lies below a path.
+/// Paths below a path.
 struct Children<'de> {
-    rest: btree_map::Iter<'de, &'de str, Node<'de>>,
+    remaining: btree_map::Iter<'de, &'de str, Node<'de>>,
     value: &'de Node<'de>,
 }
 
 impl<'de> MapAccess<'de> for Children<'de> {
     type Error = PairError;
     fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, PairError> {
-        let Some((key, value)) = self.rest.next() else { return Ok(None) };
+        let Some((key, value)) = self.remaining.next() else { return Ok(None) };
         self.value = value;
         let key: StrDeserializer<'_, PairError> = (*key).into_deserializer();
         seed.deserialize(key).map(Some)
--- a/crates/settings/src/platform_config.rs
+++ b/crates/settings/src/platform_config.rs
@@ -7,31 +7,31 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What the platform tells a manager at its start. `E` is an event of the control feed: what one is, the reader
-/// of the feed knows.
+/// The configuration that the platform starts a manager with. `E` is an event of the control feed, whose format the feed's
+/// reader knows.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
 pub struct PlatformConfig<E> {
-    /// Its name, the same after a restart; empty where none is told.
+    /// The manager's name, the same after a restart; empty where it is absent.
     #[serde(default, deserialize_with = "or_default")]
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: Seed,
-    /// What it may use.
+    /// Resource limits of the process.
     #[serde(default, deserialize_with = "section")]
     pub limits: ProcessLimits,
-    /// Where the control feed is.
+    /// Address of the control feed (the endpoint list).
     #[serde(default)]
     pub feed: Option<String>,
-    /// Where operators call, if they do.
+    /// Address of the operators' endpoint, if there is one.
     #[serde(default)]
     pub operator: Option<SocketAddr>,
-    /// The control feed's events up to now.
-    #[serde(default = "KnownEvents::none", deserialize_with = "known")]
+    /// The control feed's events up to the start.
+    #[serde(default = "KnownEvents::none", deserialize_with = "known_events")]
     pub known: KnownEvents<E>,
-    /// The settings of the simulator's first message.
+    /// The settings, in the form of the simulator's first message.
     #[serde(deserialize_with = "object")]
     pub settings: WireSettings,
 }
@@ -40,24 +40,24 @@
     /// Reads a configuration's text.
     ///
     /// # Errors
-    /// Where the text is no JSON, a needed field is missing (`listen`, `seed`, `settings`) or a known one holds
-    /// what it may not: by line, column and path.
+    /// Where the text is no JSON, a required field is missing (`listen`, `seed`, `settings`) or a known one has an
+    /// invalid value: by line, column and path.
     pub fn parse(text: &str) -> Result<PlatformConfig<E>, Error> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let read = serde_path_to_error::deserialize(&mut json);
-        let Object(read) = read.map_err(|e| Error::json(e.path().to_string(), e.inner()))?;
+        let result = serde_path_to_error::deserialize(&mut json);
+        let Object(config) = result.map_err(|e| Error::json(e.path().to_string(), e.inner()))?;
         json.end().map_err(|e| Error::json(String::new(), &e))?;
-        Ok(read)
+        Ok(config)
     }
 }
 
-/// What a manager may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// Memory in MB, before it is killed.
+    /// Memory in MB, beyond which the process is killed.
     pub memory_mb: WholeNumber,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: WholeNumber,
 }
 
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
 pub struct KnownEvents<E> {
-    /// The number of the last; absent, or with no events told: 0.
+    /// Number of the last event; absent where there are no events.
     #[serde(default)]
     pub n: WholeNumber,
     /// The events, in order.
@@ -79,10 +79,13 @@
     }
 }
 
-fn known<'de, D: Deserializer<'de>, E: Deserialize<'de>>(d: D) -> Result<KnownEvents<E>, D::Error> {
-    // Guards against a number without events: asked for what follows on it, the feed would never tell the whole list.
-    let told = Option::<KnownEvents<E>>::deserialize(d)?;
-    Ok(told.filter(|k| !k.events.is_empty()).unwrap_or_else(KnownEvents::none))
+fn known_events<'de, D: Deserializer<'de>, E: Deserialize<'de>>(
+    deserializer: D,
+) -> Result<KnownEvents<E>, D::Error> {
+    // A number without events is ignored: polled from that number on, the feed would never send the whole list, which is
+    // in its first event.
+    let known = Option::<KnownEvents<E>>::deserialize(deserializer)?;
+    Ok(known.filter(|known| !known.events.is_empty()).unwrap_or_else(KnownEvents::none))
 }
 
 /// A seed: a number, or up to 16 hex digits as text.
@@ -91,8 +94,8 @@
 
 impl<'de> Deserialize<'de> for Seed {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Seed, D::Error> {
-        struct Read;
-        impl Visitor<'_> for Read {
+        struct SeedVisitor;
+        impl Visitor<'_> for SeedVisitor {
             type Value = Seed;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a whole number, or up to 16 hex digits")
@@ -105,6 +108,6 @@
                 seed.map_err(|_| E::invalid_value(Unexpected::Str(s), &self))
             }
         }
-        d.deserialize_any(Read)
+        d.deserialize_any(SeedVisitor)
     }
 }
--- /dev/null
+++ b/crates/settings/src/value/text.rs
@@ -0,0 +1,59 @@
+//! Texts and flags.
+
+use super::is_absent;
+use serde::de::{self, Deserializer, Visitor};
+use serde::Deserialize;
+use std::fmt;
+
+/// A flag: `true` and `1` are true; absent and anything else is false.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Flag(pub bool);
+
+impl<'de> Deserialize<'de> for Flag {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Flag, D::Error> {
+        Text::deserialize(d).map(|w| Flag(matches!(w.0.as_str(), "true" | "1")))
+    }
+}
+
+/// A text, such as a name; a number or boolean counts as its text. Empty where it is absent.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Text(pub String);
+
+impl Text {
+    /// The text, unless it is absent.
+    pub fn get(&self) -> Option<&str> {
+        Some(self.0.as_str()).filter(|w| !is_absent(w))
+    }
+}
+
+impl<'de> Deserialize<'de> for Text {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Text, D::Error> {
+        struct TextVisitor;
+        impl Visitor<'_> for TextVisitor {
+            type Value = Text;
+            fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+                f.write_str("a word, a number or a truth value")
+            }
+            fn visit_str<E: de::Error>(self, s: &str) -> Result<Text, E> {
+                Ok(Text(s.to_owned()))
+            }
+            fn visit_bool<E: de::Error>(self, v: bool) -> Result<Text, E> {
+                Ok(Text(v.to_string()))
+            }
+            fn visit_u64<E: de::Error>(self, v: u64) -> Result<Text, E> {
+                Ok(Text(v.to_string()))
+            }
+            fn visit_i64<E: de::Error>(self, v: i64) -> Result<Text, E> {
+                Ok(Text(v.to_string()))
+            }
+            fn visit_f64<E: de::Error>(self, v: f64) -> Result<Text, E> {
+                // With its decimal point, so that 1.0 does not read as a zone's number.
+                Ok(Text(format!("{v:?}")))
+            }
+            fn visit_unit<E: de::Error>(self) -> Result<Text, E> {
+                Ok(Text(String::new()))
+            }
+        }
+        d.deserialize_any(TextVisitor)
+    }
+}
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -12,7 +12,7 @@
 const LEAST: &str = r#""listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","settings":{}"#;
 
 #[test]
-fn the_least_a_platform_may_tell_has_defaults_for_the_rest() {
+fn minimal_configuration_gets_defaults() {
     let p = parse(&format!("{{{LEAST}}}")).expect("read");
     assert_eq!((p.name.as_str(), p.listen.to_string().as_str()), ("", "10.0.0.4:7001"));
     assert_eq!((p.seed, p.feed, p.operator), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_a_platform_tells_is_read() {
+fn full_configuration_is_read() {
     let more = r#""name":"n3","operator":"10.0.0.4:7002","feed":"10.2.0.1:7070","known":{"n":3,"events":[{},{}]},
         "limits":{"cores":1.0,"memory_mb":32.0,"sockets":4096}"#;
     let p = parse(&format!("{{{LEAST},{more}}}")).expect("read");
@@ -37,7 +37,7 @@
 
 /// A fault without its place cost operators a search through a file of some hundred fields.
 #[test]
-fn a_fault_says_line_column_and_path() {
+fn invalid_json_value_is_refused_with_line_column_and_path() {
     let of = |settings: &str| parse(&format!("{{{},\n{settings}}}", &LEAST[..LEAST.len() - 14])).unwrap_err();
     for (settings, says) in [
         (
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_fault_in_pairs_says_the_path() {
+fn invalid_pair_is_refused_with_its_path() {
     let fault = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair).place;
     assert_eq!(fault("invariants.cold=warm").path, "invariants.cold");
     assert_eq!(fault("profiles.count=lots").path, "profiles");
@@ -98,7 +98,7 @@
 
 /// A count is a few bytes and an item some hundred; a path of a million points would be a tree as deep.
 #[test]
-fn pairs_cannot_ask_for_more_than_their_bounds() {
+fn pairs_beyond_the_bounds_are_refused_or_skipped() {
     let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
     assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().reason.to_string().contains("is over"));
     assert!(pairs::parse(["customers.count=1e300"].into_iter()).is_err());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_is_absent_keeps_its_meaning() {
+fn absent_values_have_defined_meanings() {
     let set = |pairs: &[&str]| pairs::parse(pairs.iter().copied()).expect("read").to_policy_settings();
     assert_eq!(set(&[]), Default::default());
     let one = |pair: &str| set(&["profiles.count=1", pair]).classes.remove(0);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn the_environment_is_read_by_name_and_refused_by_name() {
+fn invalid_environment_variable_is_refused_with_its_name() {
     let read = |set: &[(&str, &str)]| {
         Environment::read(|name| set.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned()))
     };
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn garbage_panics_neither_reader() {
+fn arbitrary_text_panics_neither_reader() {
     let words =
         ["{", "}", "[", "]", "\"listen\":", "\"settings\":", "\"profiles\":", "null", "1e9", ",", "=", "."];
     let words =
--- a/crates/settings/tests/writings.rs
+++ b/crates/settings/tests/json_and_pairs.rs
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn both_writings_of_settings_tell_the_same() {
+fn json_and_pairs_give_equal_settings() {
     let (good, bad) = (Cell::new(0), Cell::new(0));
     let run = runner(500).run(&settings(), |value| {
         let mut lines = Vec::new();
--- a/crates/settings/tests/customers.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn classes_mean_what_their_own_words_say() {
+fn classes_of_an_unusual_site_are_translated_by_their_own_values() {
     let told = read(&odd()).settings;
     let set = told.to_policy_settings();
     let effects: Vec<Effect> = set.classes.iter().map(|c| c.effect).collect();
@@ -58,7 +58,7 @@
 
 /// A site that has none of what others have: no tenants, zones, limits or hints.
 #[test]
-fn a_site_may_lack_nearly_all() {
+fn site_without_optional_sections_gets_defaults() {
     let set = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
         .settings
         .to_policy_settings();
@@ -70,7 +70,7 @@
 
 /// Guards restarts, reloads and the simulator's many instances in one process.
 #[test]
-fn nothing_of_one_configuration_is_left_in_the_next() {
+fn parsing_one_configuration_leaves_no_state_for_the_next() {
     let (first, least) = (odd(), json!({}));
     let (one, none) = (read(&first), read(&least));
     for _ in 0..3 {
@@ -89,7 +89,7 @@
 /// Guards a start with no list: a number without its events was gone on from, and the whole list, which is in the
 /// first event, never asked for.
 #[test]
-fn a_number_of_events_that_are_not_told_is_not_gone_on_from() {
+fn event_number_without_events_is_ignored() {
     let known = |text: &str| {
         let text = format!(r#"{{"listen":"10.0.0.4:1","seed":"a","settings":{{}},"known":{text}}}"#);
         let known = PlatformConfig::<Value>::parse(&text).unwrap_or_else(|e| panic!("{e}")).known;
