--- /dev/null
+++ b/src/core/coordinator/cordons.rs
@@ -0,0 +1,139 @@
+//! Engines that are cordoned by hand. `sprucelink_cordon` decides which are; here they are put between the endpoint list
+//! and the policy, which hears of them as draining whatever the list says, so that a cordon takes the way of every drain.
+
+use super::{ConnectionRuntime, Coordinator};
+use crate::core::clock::now;
+use crate::proto::events::{ListEvent, Member, Phase};
+use sprucelink_cordon::{
+    Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult, Target,
+};
+use std::collections::BTreeSet;
+use tracing::{info, warn};
+
+impl Coordinator {
+    /// Cordons an engine; `Ok` also where it is cordoned already.
+    ///
+    /// # Errors
+    /// An id that was never listed, and a call over the bounds on cordons.
+    pub(in crate::core) fn cordon_engine(
+        &mut self,
+        runtime: &dyn ConnectionRuntime,
+        id: &str,
+        request: CordonRequest,
+        reason: &str,
+    ) -> Result<CordonOutcome, CordonError> {
+        let outcome = self.cordons.cordon(now(), &Target::Engine(id.to_owned()), request, reason)?;
+        info!(engine = %id, cause = %request.cause(), ?outcome, "engine cordoned");
+        self.reapply_entry(runtime, id);
+        Ok(outcome)
+    }
+
+    /// Ends a cordon of the same caller; `Ok` also where there is none.
+    ///
+    /// # Errors
+    /// An id that was never listed.
+    pub(in crate::core) fn uncordon_engine(
+        &mut self,
+        runtime: &dyn ConnectionRuntime,
+        id: &str,
+        cause: Cause,
+    ) -> Result<CordonOutcome, CordonError> {
+        let outcome = self.cordons.uncordon(now(), &Target::Engine(id.to_owned()), cause)?;
+        info!(engine = %id, %cause, ?outcome, "engine uncordoned");
+        self.reapply_entry(runtime, id);
+        Ok(outcome)
+    }
+
+    /// The records of all cordons, and at most `max_ids` hashes of engine ids ever listed, for this process's successor.
+    pub(in crate::core) fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
+        (self.cordons.export_records(), self.cordons.export_known_ids(max_ids))
+    }
+
+    /// Merges another process's cordon records and engine ids.
+    pub(in crate::core) fn merge_cordons(
+        &mut self,
+        runtime: &dyn ConnectionRuntime,
+        records: &[CordonRecord],
+        ids: &[u64],
+    ) -> MergeResult {
+        self.cordons.merge_known_ids(ids);
+        let result = self.cordons.merge_records(now(), records);
+        for change in &result.changes {
+            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon merged from another process");
+            if let Target::Engine(id) = &change.target {
+                self.reapply_entry(runtime, id);
+            }
+        }
+        if result.over_limit + result.malformed > 0 {
+            warn!(
+                over_limit = result.over_limit,
+                malformed = result.malformed,
+                "cordons of another process are not in force here"
+            );
+        }
+        result
+    }
+
+    /// Ends cordons whose lease has expired; to be called about once a second.
+    pub(in crate::core) fn expire_cordons(&mut self, runtime: &dyn ConnectionRuntime) {
+        for change in self.cordons.expire(now()) {
+            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon lease expired");
+            if let Target::Engine(id) = &change.target {
+                self.reapply_entry(runtime, id);
+            }
+        }
+    }
+
+    /// Engines that are listed, and how many of them get no requests: cordoned, or avoided by the policy.
+    pub(in crate::core) fn listed_and_avoided(&self) -> (usize, usize) {
+        let views = self.policy.engine_views();
+        let is_avoided = |number: usize, id: &str| {
+            let by_policy = views.get(number).is_some_and(|v| v.distrusted || v.silent || v.rests > 0.0);
+            by_policy || self.cordons.is_engine_cordoned(id)
+        };
+        let listed = self.engines.iter().enumerate().filter(|(_, engine)| engine.is_listed());
+        let avoided: Vec<bool> = listed.map(|(number, engine)| is_avoided(number, &engine.id)).collect();
+        (avoided.len(), avoided.iter().filter(|is_avoided| **is_avoided).count())
+    }
+
+    /// Records which engines a list names, for calls by id.
+    pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
+        for member in &list.members {
+            match member.phase {
+                Phase::Gone => self.cordons.note_unlisted(&member.id),
+                Phase::Ready | Phase::Draining => self.cordons.note_listed(&member.id),
+            }
+        }
+        if list.complete {
+            let named: BTreeSet<&str> = list.members.iter().map(|member| member.id.as_str()).collect();
+            let omitted = self.engines.iter().filter(|e| e.is_listed() && !named.contains(e.id.as_str()));
+            omitted.for_each(|engine| self.cordons.note_unlisted(&engine.id));
+        }
+    }
+
+    /// A list with the cordoned engines as draining, where that differs.
+    pub(super) fn apply_cordons(&self, list: &ListEvent) -> Option<ListEvent> {
+        let is_cordoned =
+            |member: &Member| member.phase == Phase::Ready && self.cordons.is_engine_cordoned(&member.id);
+        if !list.members.iter().any(is_cordoned) {
+            return None;
+        }
+        let mut effective = list.clone();
+        for member in &mut effective.members {
+            if is_cordoned(member) {
+                member.phase = Phase::Draining;
+            }
+        }
+        Some(effective)
+    }
+
+    /// Applies an engine's entry again after its cordon has changed.
+    fn reapply_entry(&mut self, runtime: &dyn ConnectionRuntime, id: &str) {
+        let Some(entry) = self.engines.listed_entry(id) else { return };
+        let n = self.engines.last_event();
+        let list = ListEvent { n, revision: 0, complete: false, members: vec![entry] };
+        let commands = self.apply_members(&list, false);
+        self.execute(runtime, commands);
+        runtime.wake();
+    }
+}
