--- a/crates/consensus/build.rs
+++ b/crates/consensus/build.rs
@@ -1,8 +1,8 @@
-//! Compiles the council's protobuf description without an outside compiler.
+//! Compiles the consensus crate's protobuf description without an outside compiler.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("cargo:rerun-if-changed=proto/council.proto");
-    let files = protox::compile(["council.proto"], ["proto"])?;
+    println!("cargo:rerun-if-changed=proto/consensus.proto");
+    let files = protox::compile(["consensus.proto"], ["proto"])?;
     prost_build::Config::new().compile_fds(files)?;
     Ok(())
 }
--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -1,7 +1,7 @@
 //! Runs many seeds of the simulator: `seeds PLAN FROM COUNT [THREADS]`, with PLAN one of honest, liar, liars, leader,
 //! and a number of members behind a colon (`honest:5`). Prints what failed, and sums. Exit status 1 on a violation.
 
-use sprucelink_consensus::sim::{Plan, Report, World};
+use sprucelink_consensus::sim::{Plan, Report, Simulation};
 use sprucelink_consensus::TimeDelta;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     failed: Vec<(u64, String)>,
     elections: Vec<TimeDelta>,
     outcomes: [u64; 3],
-    strokes: u64,
+    faults_injected: u64,
     replaced: u64,
     messages: u64,
     bytes: u64,
@@ -41,7 +41,7 @@
         }
         self.elections.extend(report.elections);
         self.outcomes.iter_mut().zip(report.outcomes).for_each(|(sum, part)| *sum += part);
-        self.strokes += report.strokes;
+        self.faults_injected += report.faults_injected;
         self.replaced += report.replaced;
         self.messages += report.messages;
         self.bytes += report.bytes;
@@ -69,7 +69,7 @@
                 if seed >= from + count {
                     return;
                 }
-                let report = World::run(plan.clone(), seed);
+                let report = Simulation::run(plan.clone(), seed);
                 sums.lock().unwrap_or_else(|held| held.into_inner()).add(seed, report);
             });
         }
@@ -83,7 +83,7 @@
         "proposals committed {}, lost {}, unknown {}",
         sums.outcomes[0], sums.outcomes[1], sums.outcomes[2]
     );
-    println!("troubles {}, replaced {}, damaged stores {}", sums.strokes, sums.replaced, sums.damaged);
+    println!("faults {}, replaced {}, damaged stores {}", sums.faults_injected, sums.replaced, sums.damaged);
     println!("messages {}, bytes about {}, alarms {:?}", sums.messages, sums.bytes, sums.alarms);
     println!(
         "{} elections after a leader's death, ms: p50 {} p90 {} p99 {} p99.9 {} max {}",
--- a/crates/consensus/src/commands.rs
+++ b/crates/consensus/src/commands.rs
@@ -1,12 +1,12 @@
 //! What a member is asked to do: propose, lead, change members, take a snapshot.
 
 use crate::convert;
-use crate::council::{Council, Fault, Phase};
 use crate::ids::{MemberId, ProposalId};
 use crate::limits::{MAX_PROPOSAL_BYTES, MAX_SNAPSHOT_BYTES, PROMOTE_LAG};
-use crate::members::{Change, ChangeKind, Members};
+use crate::membership::{ConfChange, ConfChangeKind, Membership};
+use crate::node::{Node, Phase, QuarantineReason};
 use crate::ready::{Alarm, Role};
-use crate::vouch::{Floors, Vouched};
+use crate::rejoin::{RejoinFloors, RejoinOutcome};
 use crate::wire::{self, envelope::Body};
 use prost::Message as _;
 use raft::StateRole;
@@ -101,10 +101,10 @@
 const REFUSED_NOT_LEADER: u32 = 1;
 const REFUSED_TOO_MANY: u32 = 2;
 
-impl Council {
+impl Node {
     /// Proposes a record. A leader appends it; another member passes it to the leader that it knows of. What
-    /// becomes of it comes as an [`crate::Outcome`]; offered again under the same name it counts once where it is
-    /// applied ([`crate::Repeats`]).
+    /// becomes of it comes as an [`crate::ProposalOutcome`]; offered again under the same name it counts once where it is
+    /// applied ([`crate::ProposalDedup`]).
     ///
     /// # Errors
     /// When nothing went anywhere.
@@ -114,7 +114,7 @@
         }
         match self.phase {
             Phase::Quarantined(_) => return Err(ProposeError::Quarantined),
-            Phase::Probation { .. } => return Err(ProposeError::NotLeader { leader: None }),
+            Phase::Rejoining { .. } => return Err(ProposeError::NotLeader { leader: None }),
             Phase::Established => {}
         }
         if self.proposals.holds(id) {
@@ -123,19 +123,22 @@
         if self.proposals.is_full() {
             return Err(ProposeError::TooMany);
         }
-        let record = wire::Record { origin: id.origin, sequence: id.sequence, data: bytes };
+        let record = wire::Proposal { origin: id.origin, sequence: id.sequence, data: bytes };
         let term = self.raw.raft.term;
         if self.raw.raft.state == StateRole::Leader {
             self.append(&record)?;
         } else {
             let leader = self.leader().ok_or(ProposeError::NotLeader { leader: None })?;
-            self.send(leader, Body::Propose(wire::Propose { term, record: Some(record) }));
+            self.send(
+                leader,
+                Body::ForwardedProposal(wire::ForwardedProposal { term, proposal: Some(record) }),
+            );
         }
         self.proposals.put(id, term, self.now + self.timing.proposal_timeout);
         Ok(())
     }
 
-    fn append(&mut self, record: &wire::Record) -> Result<(), ProposeError> {
+    fn append(&mut self, record: &wire::Proposal) -> Result<(), ProposeError> {
         if self.raw.store().is_full() {
             return Err(ProposeError::TooMany);
         }
@@ -144,8 +147,8 @@
 
     /// A proposal that another member passed on. It may enter the log only in the term for which it was meant: so its
     /// proposer knows, once a later term's entries are committed, that it will not.
-    pub(crate) fn offered(&mut self, from: MemberId, propose: wire::Propose) {
-        let Some(record) = propose.record else { return };
+    pub(crate) fn offered(&mut self, from: MemberId, propose: wire::ForwardedProposal) {
+        let Some(record) = propose.proposal else { return };
         let leads = matches!(self.phase, Phase::Established) && self.raw.raft.state == StateRole::Leader;
         let reason = if !leads || propose.term != self.raw.raft.term {
             REFUSED_NOT_LEADER
@@ -156,7 +159,11 @@
         };
         self.send(
             from,
-            Body::Refused(wire::Refused { origin: record.origin, sequence: record.sequence, reason }),
+            Body::ProposalRejection(wire::ProposalRejection {
+                origin: record.origin,
+                sequence: record.sequence,
+                reason,
+            }),
         );
     }
 
@@ -189,7 +196,7 @@
     /// # Errors
     /// When it was not begun.
     pub fn add_learner(&mut self, member: MemberId) -> Result<(), MemberError> {
-        self.change(Change { kind: ChangeKind::AddLearner, member })
+        self.change(ConfChange { kind: ConfChangeKind::AddLearner, member })
     }
 
     /// Gives a learner its vote, once it has nearly all entries.
@@ -203,7 +210,7 @@
         if (lacks > PROMOTE_LAG || matched == 0) && self.in_force().1.learners.contains(&member) {
             return Err(MemberError::Behind(lacks));
         }
-        self.change(Change { kind: ChangeKind::Promote, member })
+        self.change(ConfChange { kind: ConfChangeKind::Promote, member })
     }
 
     /// Removes a member for good under its incarnation.
@@ -214,10 +221,10 @@
         if member == self.me {
             return Err(MemberError::Refused("the leader hands over first"));
         }
-        self.change(Change { kind: ChangeKind::Remove, member })
+        self.change(ConfChange { kind: ConfChangeKind::Remove, member })
     }
 
-    fn change(&mut self, change: Change) -> Result<(), MemberError> {
+    fn change(&mut self, change: ConfChange) -> Result<(), MemberError> {
         self.must_lead()?;
         if let Some(rule) = self.in_force().1.objection(change) {
             return Err(MemberError::Refused(rule));
@@ -258,13 +265,13 @@
     /// is there to find out. False when there was nothing to lift.
     pub fn trust_disk(&mut self) -> bool {
         match self.phase {
-            Phase::Probation { .. } => {
-                self.establish(Vouched { floors: Floors::default(), relaxed: false });
+            Phase::Rejoining { .. } => {
+                self.establish(RejoinOutcome { floors: RejoinFloors::default(), relaxed: false });
             }
             Phase::Established if self.raft_last() < self.floors.log() => self.floors.logs.clear(),
             _ => return false,
         }
-        self.alarm(Alarm::Overridden);
+        self.alarm(Alarm::OperatorOverride);
         true
     }
 
@@ -273,16 +280,16 @@
     /// the others can't come together by themselves: if this member's disk forgot what only that store still held, it is lost.
     pub fn gone(&mut self, member: MemberId) {
         match &mut self.phase {
-            Phase::Probation { probation, .. } => probation.gone(member),
+            Phase::Rejoining { quorum, .. } => quorum.gone(member),
             Phase::Established => self.floors.logs.retain(|(told, _)| *told != member),
             Phase::Quarantined(_) => return,
         }
-        self.alarm(Alarm::Overridden);
+        self.alarm(Alarm::OperatorOverride);
         self.judge();
     }
 
     /// Why this member is quarantined, if it is.
-    pub fn fault(&self) -> Option<&Fault> {
+    pub fn fault(&self) -> Option<&QuarantineReason> {
         match &self.phase {
             Phase::Quarantined(fault) => Some(fault),
             _ => None,
@@ -316,12 +323,12 @@
     }
 
     /// Who is in the council, as of the last entry handed out.
-    pub fn members(&self) -> Members {
+    pub fn members(&self) -> Membership {
         self.in_force().1.clone()
     }
 
     /// Who is in the council, and from which entry on.
-    pub fn members_from(&self) -> (u64, Members) {
+    pub fn members_from(&self) -> (u64, Membership) {
         self.in_force().clone()
     }
 
--- a/crates/consensus/src/convert.rs
+++ b/crates/consensus/src/convert.rs
@@ -3,11 +3,11 @@
 
 use crate::ids::MemberId;
 use crate::limits::MAX_COUNT;
-use crate::members::{Change, ChangeKind, Members};
+use crate::membership::{ConfChange, ConfChangeKind, Membership};
 use crate::ready::Snapshot;
 use crate::wire;
 use prost::Message as _;
-use raft::eraftpb::{self, ConfChange, ConfChangeType, EntryType, MessageType};
+use raft::eraftpb::{self, ConfChangeType, EntryType, MessageType};
 
 /// Kinds on the wire, in the order of their numbers from 1.
 const KINDS: [MessageType; 10] = [
@@ -43,26 +43,26 @@
     out
 }
 
-pub(crate) fn conf_change(change: Change) -> ConfChange {
-    let mut out = ConfChange::default();
+pub(crate) fn conf_change(change: ConfChange) -> eraftpb::ConfChange {
+    let mut out = eraftpb::ConfChange::default();
     out.set_change_type(match change.kind {
-        ChangeKind::AddLearner => ConfChangeType::AddLearnerNode,
-        ChangeKind::Promote => ConfChangeType::AddNode,
-        ChangeKind::Remove => ConfChangeType::RemoveNode,
+        ConfChangeKind::AddLearner => ConfChangeType::AddLearnerNode,
+        ConfChangeKind::Promote => ConfChangeType::AddNode,
+        ConfChangeKind::Remove => ConfChangeType::RemoveNode,
     });
     out.node_id = change.member.raw();
     out
 }
 
 /// The change in an entry, if it is one and is well formed.
-pub(crate) fn change_in(entry: &eraftpb::Entry) -> Option<Change> {
+pub(crate) fn change_in(entry: &eraftpb::Entry) -> Option<ConfChange> {
     if entry.get_entry_type() == EntryType::EntryNormal {
         return None;
     }
-    wire::Change::decode(entry.get_context()).ok().as_ref().and_then(Change::from_wire)
+    wire::ConfChange::decode(entry.get_context()).ok().as_ref().and_then(ConfChange::from_wire)
 }
 
-pub(crate) fn conf_state(members: &Members) -> eraftpb::ConfState {
+pub(crate) fn conf_state(members: &Membership) -> eraftpb::ConfState {
     let raw = |list: &[MemberId]| list.iter().map(|member| member.raw()).collect::<Vec<u64>>();
     let mut out = eraftpb::ConfState::default();
     out.set_voters(raw(&members.voters));
@@ -75,18 +75,23 @@
         wire::Snapshot {
             index: self.index,
             term: self.term,
-            members: Some(self.members.to_wire()),
-            incarnations: self.members.incarnations_raw(),
+            membership: Some(self.membership.to_wire()),
+            incarnations: self.membership.incarnations_raw(),
             data: self.data.clone(),
         }
     }
 
     /// `None` when a part is missing or out of its bounds.
     pub(crate) fn from_wire(snapshot: wire::Snapshot) -> Option<Self> {
-        let members = Members::from_wire(snapshot.members.as_ref()?, &snapshot.incarnations)?;
+        let members = Membership::from_wire(snapshot.membership.as_ref()?, &snapshot.incarnations)?;
         let sound = snapshot.index > 0 && snapshot.index <= MAX_COUNT && snapshot.term <= MAX_COUNT;
         let sound = sound && !members.voters.is_empty();
-        sound.then_some(Snapshot { index: snapshot.index, term: snapshot.term, members, data: snapshot.data })
+        sound.then_some(Snapshot {
+            index: snapshot.index,
+            term: snapshot.term,
+            membership: members,
+            data: snapshot.data,
+        })
     }
 
     /// For the `raft` crate the whole snapshot is opaque data, beside the three things that it looks at.
@@ -95,7 +100,7 @@
             eraftpb::Snapshot { data: self.to_wire().encode_to_vec().into(), ..eraftpb::Snapshot::default() };
         let meta = out.mut_metadata();
         (meta.index, meta.term) = (self.index, self.term);
-        meta.set_conf_state(conf_state(&self.members));
+        meta.set_conf_state(conf_state(&self.membership));
         out
     }
 
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -137,9 +137,11 @@
         Some(Body::Raft(message)) if message.context.len() > MAX_CONTEXT_BYTES => {
             Err(FrameError::Bounds("context"))
         }
-        Some(Body::Welcome(welcome)) if welcome.floors.len() > MAX_PEERS => Err(FrameError::Bounds("floors")),
-        Some(Body::Propose(propose))
-            if propose.record.as_ref().is_some_and(|record| record.data.len() > MAX_PROPOSAL_BYTES) =>
+        Some(Body::RejoinResponse(welcome)) if welcome.floors.len() > MAX_PEERS => {
+            Err(FrameError::Bounds("floors"))
+        }
+        Some(Body::ForwardedProposal(propose))
+            if propose.proposal.as_ref().is_some_and(|record| record.data.len() > MAX_PROPOSAL_BYTES) =>
         {
             Err(FrameError::Bounds("proposal"))
         }
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -43,7 +43,7 @@
 }
 
 /// What tells a proposal from all others: who made it and a number that it gave. The pair goes into the entry, so that
-/// whoever applies entries can drop a repeat ([`crate::Repeats`]).
+/// whoever applies entries can drop a repeat ([`crate::ProposalDedup`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
     /// The proposer; one that starts anew without its counter takes a new origin.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! A council of 3 to 7 managers that agrees on an ordered journal of opaque records.
 //!
-//! [`Council`] is one member's deciding half: it is driven by ticks and messages, takes time as an argument and its
-//! randomness from a seed, and does no input or output. [`Council::ready`] hands out what is to be put on disk, what is
+//! [`Node`] is one member's deciding half: it is driven by ticks and messages, takes time as an argument and its
+//! randomness from a seed, and does no input or output. [`Node::ready`] hands out what is to be put on disk, what is
 //! to be sent now and what only afterwards, and which records are committed. The agreement itself is Raft (Ongaro,
 //! Ousterhout: "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014) by the `raft` crate, with pre-vote and
 //! check-quorum, one change of members at a time through learners, and no reads by lease: nothing here rests on clocks.
@@ -11,7 +11,7 @@
 //! Raft holds only if what a member acknowledged is still on its disk after a restart. Two things guard against
 //! disks that lose acknowledged writes:
 //!
-//! - **Witness check.** Every message says what its sender has acknowledged ([`Witness`]): the number of its last synced
+//! - **Witness check.** Every message says what its sender has acknowledged ([`AckState`]): the number of its last synced
 //!   write, its term, vote and last entry. Members remember the highest they saw of each other, keep it on disk with
 //!   their own writes, and tell it to a member that starts. One whose disk holds less is quarantined for good:
 //!   it neither votes nor acknowledges, and must come back under a new incarnation.
@@ -32,39 +32,39 @@
 
 mod commands;
 mod convert;
-mod council;
-mod digests;
 pub mod frame;
-mod guard;
-mod hearing;
 mod ids;
 pub mod limits;
-mod members;
-mod mirror;
-mod peers;
-mod proposals;
+mod log_storage;
+mod membership;
+mod message_check;
+mod node;
+mod peer_liveness;
+mod peer_table;
+mod pending_proposals;
+mod proposal_dedup;
 mod ready;
-mod repeats;
+pub mod rejoin;
 mod settings;
 #[cfg(feature = "sim")]
 pub mod sim;
+mod state_digests;
 #[cfg(feature = "store")]
 pub mod store;
-pub mod vouch;
 #[allow(missing_docs)]
 pub mod wire {
-    //! The messages of `proto/council.proto`.
-    include!(concat!(env!("OUT_DIR"), "/sprucelink.council.v1.rs"));
+    //! The messages of `proto/consensus.proto`.
+    include!(concat!(env!("OUT_DIR"), "/sprucelink.consensus.v1.rs"));
 }
 
 pub use commands::{MemberError, ProposeError, SnapshotError};
-pub use council::{Council, Fault, StartError};
 pub use frame::{Decoder, Frame, FrameError};
 pub use ids::{MemberId, ProposalId};
-pub use members::{Change, ChangeKind, Members};
-pub use proposals::{Outcome, Unknown};
-pub use ready::{Alarm, Batch, Entry, Ready, Role, RoleChange, Snapshot};
-pub use repeats::{Repeats, RepeatsError, Verdict};
-pub use settings::{Config, Restored, SettingsError, Timing};
+pub use membership::{ConfChange, ConfChangeKind, Membership};
+pub use node::{Node, QuarantineReason, StartError};
+pub use pending_proposals::{ProposalOutcome, UnknownReason};
+pub use proposal_dedup::{Dedup, DedupDecodeError, ProposalDedup};
+pub use ready::{Alarm, Batch, CommittedEntry, Ready, Role, RoleChange, Snapshot};
+pub use settings::{Config, ConfigError, RecoveredState, Timing};
 pub use sprucelink_time::{TimeDelta, Timestamp};
-pub use wire::Witness;
+pub use wire::AckState;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -91,5 +91,5 @@
 /// State digests remembered for comparison with the peers'.
 pub const DIGESTS_KEPT: usize = 64;
 
-/// Most origins whose proposals are told apart ([`crate::Repeats`]). At it a new origin is refused.
+/// Most origins whose proposals are told apart ([`crate::ProposalDedup`]). At it a new origin is refused.
 pub const MAX_ORIGINS: usize = 4096;
--- a/crates/consensus/src/mirror.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -4,7 +4,7 @@
 use crate::convert;
 use crate::ids::MemberId;
 use crate::limits::{KEEP_ENTRIES, MAX_LOG_BYTES, MAX_LOG_ENTRIES};
-use crate::members::Members;
+use crate::membership::Membership;
 use crate::ready::Snapshot;
 use crate::wire;
 use raft::eraftpb::{self, HardState};
@@ -21,7 +21,7 @@
 
 /// Entries, the last snapshot, and who was in when.
 #[derive(Debug, Default)]
-pub(crate) struct Mirror {
+pub(crate) struct LogStorage {
     hard: HardState,
     snapshot: Option<Snapshot>,
     /// Index and term of the entry before the first that is held.
@@ -31,14 +31,14 @@
     /// Bytes of entries behind the snapshot.
     fresh_bytes: u64,
     /// The members from an entry on, oldest first; the last are those in force.
-    members: VecDeque<(u64, Members)>,
+    members: VecDeque<(u64, Membership)>,
     /// Somebody needs a snapshot newer than the one at hand.
     wanted: Cell<bool>,
 }
 
-impl Mirror {
+impl LogStorage {
     pub fn restored(hard: HardState, snapshot: Option<Snapshot>, entries: Vec<wire::Entry>) -> Self {
-        let mut mirror = Mirror { hard, ..Mirror::default() };
+        let mut mirror = LogStorage { hard, ..LogStorage::default() };
         if let Some(snapshot) = snapshot {
             mirror.install(snapshot);
         }
@@ -93,7 +93,7 @@
         (self.bytes, self.fresh_bytes) = (0, 0);
         self.before = (snapshot.index, snapshot.term);
         self.members.clear();
-        self.members.push_back((snapshot.index, snapshot.members.clone()));
+        self.members.push_back((snapshot.index, snapshot.membership.clone()));
         self.hard.commit = self.hard.commit.max(snapshot.index);
         self.snapshot = Some(snapshot);
     }
@@ -113,7 +113,7 @@
             self.bytes = self.bytes.saturating_sub(cost(&gone));
             self.before = (gone.index, gone.term);
         }
-        self.snapshot = Some(Snapshot { index, term, members, data });
+        self.snapshot = Some(Snapshot { index, term, membership: members, data });
         self.fresh_bytes = self.entries.iter().filter(|entry| entry.index > index).map(cost).sum();
         self.wanted.set(false);
         self.snapshot.as_ref()
@@ -146,13 +146,13 @@
         self.entries.len() as u64 >= MAX_LOG_ENTRIES || self.bytes >= MAX_LOG_BYTES
     }
 
-    pub fn members(&self) -> Option<&(u64, Members)> {
+    pub fn members(&self) -> Option<&(u64, Membership)> {
         self.members.back()
     }
 
     /// The members as of the last entry that the disk knows to be committed: before entries are handed out anew, those in
     /// force are still the snapshot's.
-    pub fn members_on_disk(&self) -> Option<(u64, Members)> {
+    pub fn members_on_disk(&self) -> Option<(u64, Membership)> {
         let (mut from, mut members) = self.members.back().cloned()?;
         for entry in self.entries.iter().take_while(|entry| entry.index <= self.hard.commit) {
             let change = convert::change_in(entry).filter(|_| entry.index > from);
@@ -164,7 +164,7 @@
         Some((from, members))
     }
 
-    pub fn set_members(&mut self, from: u64, members: Members) {
+    pub fn set_members(&mut self, from: u64, members: Membership) {
         self.members.push_back((from, members));
     }
 
@@ -177,7 +177,7 @@
     }
 }
 
-impl Storage for Mirror {
+impl Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let conf = self.members.front().map(|(_, members)| convert::conf_state(members)).unwrap_or_default();
         Ok(RaftState::new(self.hard.clone(), conf))
@@ -229,7 +229,8 @@
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
         match &self.snapshot {
             Some(snapshot)
-                if snapshot.index >= request_index && snapshot.members.contains(MemberId::from_raw(to)) =>
+                if snapshot.index >= request_index
+                    && snapshot.membership.contains(MemberId::from_raw(to)) =>
             {
                 Ok(snapshot.to_raft())
             }
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/membership.rs
@@ -7,16 +7,16 @@
 
 /// A change of members by one, the only kind there is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Change {
+pub struct ConfChange {
     /// What is to happen.
-    pub kind: ChangeKind,
+    pub kind: ConfChangeKind,
     /// To whom.
     pub member: MemberId,
 }
 
 /// What happens to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChangeKind {
+pub enum ConfChangeKind {
     /// It comes in and follows, without a vote.
     AddLearner,
     /// A learner gets its vote.
@@ -25,30 +25,30 @@
     Remove,
 }
 
-impl Change {
-    pub(crate) fn to_wire(self) -> wire::Change {
+impl ConfChange {
+    pub(crate) fn to_wire(self) -> wire::ConfChange {
         let kind = match self.kind {
-            ChangeKind::AddLearner => 0,
-            ChangeKind::Promote => 1,
-            ChangeKind::Remove => 2,
+            ConfChangeKind::AddLearner => 0,
+            ConfChangeKind::Promote => 1,
+            ConfChangeKind::Remove => 2,
         };
-        wire::Change { kind, member: self.member.raw() }
+        wire::ConfChange { kind, member: self.member.raw() }
     }
 
-    pub(crate) fn from_wire(change: &wire::Change) -> Option<Self> {
+    pub(crate) fn from_wire(change: &wire::ConfChange) -> Option<Self> {
         let kind = match change.kind {
-            0 => ChangeKind::AddLearner,
-            1 => ChangeKind::Promote,
-            2 => ChangeKind::Remove,
+            0 => ConfChangeKind::AddLearner,
+            1 => ConfChangeKind::Promote,
+            2 => ConfChangeKind::Remove,
             _ => return None,
         };
-        Some(Change { kind, member: MemberId::from_raw(change.member) })
+        Some(ConfChange { kind, member: MemberId::from_raw(change.member) })
     }
 }
 
 /// Voters, learners, and every node's highest incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Members {
+pub struct Membership {
     /// Who has a vote, sorted.
     pub voters: Vec<MemberId>,
     /// Who follows without one, sorted.
@@ -57,13 +57,13 @@
     pub incarnations: BTreeMap<u32, u32>,
 }
 
-impl Members {
+impl Membership {
     /// The council as founded.
     pub(crate) fn founded(founders: &[MemberId]) -> Self {
         let mut voters = founders.to_vec();
         voters.sort_unstable();
         let incarnations = founders.iter().map(|member| (member.node, member.incarnation)).collect();
-        Members { voters, learners: Vec::new(), incarnations }
+        Membership { voters, learners: Vec::new(), incarnations }
     }
 
     /// Whether a member is in, as a voter or learner.
@@ -72,10 +72,10 @@
     }
 
     /// Why a change can't be made, if so. The same rule at the proposer and wherever the entry is applied.
-    pub fn objection(&self, change: Change) -> Option<&'static str> {
+    pub fn objection(&self, change: ConfChange) -> Option<&'static str> {
         let member = change.member;
         match change.kind {
-            ChangeKind::AddLearner => {
+            ConfChangeKind::AddLearner => {
                 if member.node == 0 || member.incarnation == 0 {
                     return Some("nodes and incarnations count from 1");
                 }
@@ -89,13 +89,13 @@
                 (!known && self.incarnations.len() >= MAX_NODES)
                     .then_some("as many nodes as can be remembered")
             }
-            ChangeKind::Promote => {
+            ConfChangeKind::Promote => {
                 if !self.learners.contains(&member) {
                     return Some("not a learner here");
                 }
                 (self.voters.len() >= MAX_VOTERS).then_some("as many voters as there may be")
             }
-            ChangeKind::Remove => {
+            ConfChangeKind::Remove => {
                 if !self.contains(member) {
                     return Some("not in the council");
                 }
@@ -106,31 +106,31 @@
     }
 
     /// Makes a change that has no objection.
-    pub(crate) fn apply(&mut self, change: Change) {
+    pub(crate) fn apply(&mut self, change: ConfChange) {
         let member = change.member;
         self.voters.retain(|&held| held != member);
         self.learners.retain(|&held| held != member);
         match change.kind {
-            ChangeKind::AddLearner => {
+            ConfChangeKind::AddLearner => {
                 self.learners.push(member);
                 self.learners.sort_unstable();
                 self.incarnations.insert(member.node, member.incarnation);
             }
-            ChangeKind::Promote => {
+            ConfChangeKind::Promote => {
                 self.voters.push(member);
                 self.voters.sort_unstable();
             }
-            ChangeKind::Remove => {}
+            ConfChangeKind::Remove => {}
         }
     }
 
-    pub(crate) fn to_wire(&self) -> wire::Members {
+    pub(crate) fn to_wire(&self) -> wire::Membership {
         let raw = |list: &[MemberId]| list.iter().map(|member| member.raw()).collect();
-        wire::Members { voters: raw(&self.voters), learners: raw(&self.learners) }
+        wire::Membership { voters: raw(&self.voters), learners: raw(&self.learners) }
     }
 
     /// `None` when the lists are over their bounds, or somebody stands in them twice.
-    pub(crate) fn from_wire(members: &wire::Members, incarnations: &[u64]) -> Option<Self> {
+    pub(crate) fn from_wire(members: &wire::Membership, incarnations: &[u64]) -> Option<Self> {
         let list = |raw: &[u64]| {
             let mut list: Vec<MemberId> = raw.iter().map(|&raw| MemberId::from_raw(raw)).collect();
             list.sort_unstable();
@@ -154,7 +154,7 @@
             .map(|&raw| MemberId::from_raw(raw))
             .map(|m| (m.node, m.incarnation))
             .collect();
-        Some(Members { voters, learners, incarnations })
+        Some(Membership { voters, learners, incarnations })
     }
 
     pub(crate) fn incarnations_raw(&self) -> Vec<u64> {
--- a/crates/consensus/src/council.rs
+++ b/crates/consensus/src/node.rs
@@ -1,18 +1,18 @@
 //! One member: its state, its ticks and the messages that reach it.
 
 use crate::convert;
-use crate::digests::Digests;
-use crate::guard::{self, Check};
 use crate::ids::{MemberId, ProposalId};
 use crate::limits::{BUSY_BATCHES, MAX_ALARMS, MAX_COUNT, MAX_FRAMES_WAITING, MAX_TICKS_AT_ONCE};
-use crate::members::Members;
-use crate::mirror::Mirror;
-use crate::peers::Peers;
-use crate::proposals::{Outcome, Proposals};
-use crate::ready::{Alarm, Flight, RoleChange, Snapshot};
-use crate::settings::{Config, Restored, SettingsError, Timing};
-use crate::vouch::{Floors, Probation};
-use crate::wire::{self, envelope::Body, Witness};
+use crate::log_storage::LogStorage;
+use crate::membership::Membership;
+use crate::message_check::{self, MessageCheck};
+use crate::peer_table::PeerTable;
+use crate::pending_proposals::{PendingProposals, ProposalOutcome};
+use crate::ready::{Alarm, InFlightBatch, RoleChange, Snapshot};
+use crate::rejoin::{RejoinFloors, RejoinQuorum};
+use crate::settings::{Config, ConfigError, RecoveredState, Timing};
+use crate::state_digests::StateDigests;
+use crate::wire::{self, envelope::Body, AckState};
 use crate::Frame;
 use raft::eraftpb::{HardState, MessageType};
 use raft::{ProgressState, RawNode, StateRole};
@@ -24,18 +24,18 @@
 
 /// Why a member is quarantined: what it was found to have lost.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fault {
+pub enum QuarantineReason {
     /// A peer saw it acknowledge more than its disk held at its start.
-    Forgot {
+    LostAcknowledgedWrites {
         /// Who saw it.
         by: MemberId,
         /// What was seen.
-        witnessed: Witness,
+        observed_ack: AckState,
         /// What the disk held.
-        held: Witness,
+        held: AckState,
     },
     /// A leader counts on an entry that it acknowledged and does not have.
-    LogShort {
+    MissingLogEntry {
         /// The leader.
         by: MemberId,
         /// The entry counted on.
@@ -44,14 +44,14 @@
         last: u64,
     },
     /// It was found out at an earlier start, and its disk says so.
-    Before,
+    FoundEarlier,
 }
 
 /// Why a member can't start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartError {
     /// The settings won't do.
-    Settings(SettingsError),
+    Settings(ConfigError),
     /// What the disk gave back does not fit together.
     Inconsistent(&'static str),
     /// The agreement's library refused.
@@ -74,47 +74,47 @@
 #[derive(Debug)]
 pub(crate) enum Phase {
     /// Started, and not yet vouched for.
-    Probation { probation: Probation, next_hello: Timestamp },
+    Rejoining { quorum: RejoinQuorum, next_hello: Timestamp },
     /// Takes part.
     Established,
     /// Found to have lost what it acknowledged.
-    Quarantined(Fault),
+    Quarantined(QuarantineReason),
 }
 
 /// One member of the council: the deciding half.
 ///
-/// The caller owns time, disk and network: it calls [`Council::tick`] at least every tick, [`Council::step`] with every
-/// frame, and after each call [`Council::ready`] until it gives nothing, doing what each [`crate::Ready`] says.
-pub struct Council {
+/// The caller owns time, disk and network: it calls [`Node::tick`] at least every tick, [`Node::step`] with every
+/// frame, and after each call [`Node::ready`] until it gives nothing, doing what each [`crate::Ready`] says.
+pub struct Node {
     pub(crate) me: MemberId,
     pub(crate) timing: Timing,
-    pub(crate) raw: RawNode<Mirror>,
+    pub(crate) raw: RawNode<LogStorage>,
     rng: ChaCha8Rng,
     drawn: (u64, StateRole, usize),
     pub(crate) phase: Phase,
-    pub(crate) floors: Floors,
+    pub(crate) floors: RejoinFloors,
     pub(crate) boot: u64,
     /// What this start names itself by.
     pub(crate) nonce: u64,
     /// Who is to be asked while the log says nothing.
-    pub(crate) contacts: (u64, Members),
-    pub(crate) peers: Peers,
+    pub(crate) contacts: (u64, Membership),
+    pub(crate) peers: PeerTable,
     /// What the disk held at the start.
-    pub(crate) held: Witness,
+    pub(crate) held: AckState,
     /// What is on disk now.
-    pub(crate) acked: Witness,
+    pub(crate) acked: AckState,
     /// Number of the last batch handed out.
     pub(crate) writes: u64,
-    pub(crate) flights: VecDeque<Flight>,
+    pub(crate) flights: VecDeque<InFlightBatch>,
     pub(crate) now: Timestamp,
     pub(crate) last_tick: Timestamp,
     /// Frames to send at once, and those to send behind the next batch.
     pub(crate) waiting: Vec<(MemberId, Body)>,
     pub(crate) after: Vec<(MemberId, Body)>,
-    pub(crate) proposals: Proposals,
-    pub(crate) outcomes: Vec<Outcome>,
+    pub(crate) proposals: PendingProposals,
+    pub(crate) outcomes: Vec<ProposalOutcome>,
     pub(crate) alarms: Vec<Alarm>,
-    pub(crate) digests: Digests,
+    pub(crate) digests: StateDigests,
     pub(crate) handed: u64,
     pub(crate) applied: u64,
     /// An entry that is applied, whose snapshot is not on disk yet.
@@ -128,9 +128,9 @@
     snapshots_sent: BTreeMap<u64, Timestamp>,
 }
 
-impl fmt::Debug for Council {
+impl fmt::Debug for Node {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Council")
+        f.debug_struct("Node")
             .field("me", &self.me)
             .field("phase", &self.phase)
             .field("role", &self.role)
@@ -138,13 +138,18 @@
     }
 }
 
-impl Council {
-    /// Starts a member from what its disk gave back. It begins in probation, unless its disk says that it is
+impl Node {
+    /// Starts a member from what its disk gave back. It begins in quorum, unless its disk says that it is
     /// quarantined. The seed decides the spread of elections; it should differ from member to member and start to start.
     ///
     /// # Errors
     /// Settings out of range, or a store that does not fit together.
-    pub fn new(config: Config, restored: Restored, seed: u64, now: Timestamp) -> Result<Self, StartError> {
+    pub fn new(
+        config: Config,
+        restored: RecoveredState,
+        seed: u64,
+        now: Timestamp,
+    ) -> Result<Self, StartError> {
         config.check().map_err(StartError::Settings)?;
         let held = restored.witness();
         let state = restored.state.clone();
@@ -154,8 +159,8 @@
         let (mut snapshot, mut founded) = (restored.snapshot, false);
         if restored.writes == 0 && config.founders.contains(&config.member) {
             // The founders' list stands as a snapshot of the first entry, so that whoever comes later gets it as such.
-            let members = Members::founded(&config.founders);
-            snapshot = Some(Snapshot { index: 1, term: 1, members, data: Vec::new() });
+            let members = Membership::founded(&config.founders);
+            snapshot = Some(Snapshot { index: 1, term: 1, membership: members, data: Vec::new() });
             (hard.term, hard.commit, founded) = (1, 1, true);
         }
         let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -166,8 +171,8 @@
         if restored.entries.iter().zip(base + 1..).any(|(entry, index)| entry.index != index) {
             return Err(StartError::Inconsistent("entries with a gap"));
         }
-        let mirror = Mirror::restored(hard, snapshot, restored.entries);
-        let contacts = (0, Members::founded(&config.contacts));
+        let mirror = LogStorage::restored(hard, snapshot, restored.entries);
+        let contacts = (0, Membership::founded(&config.contacts));
         let own = mirror.members_on_disk().unwrap_or_else(|| contacts.clone());
         let raw =
             RawNode::new(&raft_config(&config, base), mirror, &slog::Logger::root(slog::Discard, slog::o!()))
@@ -175,22 +180,22 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nonce = rng.gen_range(1..=u64::MAX);
         let phase = if state.quarantined {
-            Phase::Quarantined(Fault::Before)
+            Phase::Quarantined(QuarantineReason::FoundEarlier)
         } else {
-            let probation = Probation::new(config.member, own, now, config.timing.patience);
-            Phase::Probation { probation, next_hello: now }
+            let quorum = RejoinQuorum::new(config.member, own, now, config.timing.patience);
+            Phase::Rejoining { quorum, next_hello: now }
         };
-        let mut council = Council {
+        let mut council = Node {
             me: config.member,
             raw,
             rng,
             drawn: (0, StateRole::Follower, 0),
             phase,
-            floors: Floors::default(),
+            floors: RejoinFloors::default(),
             boot: state.boot + 1,
             nonce,
             contacts,
-            peers: Peers::restored(&state.boots, &state.seen),
+            peers: PeerTable::restored(&state.boots, &state.observed_acks),
             held,
             acked: held,
             writes: restored.writes,
@@ -199,10 +204,10 @@
             last_tick: now,
             waiting: Vec::new(),
             after: Vec::new(),
-            proposals: Proposals::default(),
+            proposals: PendingProposals::default(),
             outcomes: Vec::new(),
             alarms: Vec::new(),
-            digests: Digests::default(),
+            digests: StateDigests::default(),
             handed: base,
             applied: base,
             apply_due: 0,
@@ -226,13 +231,13 @@
         self.proposals.tick(now, &mut self.outcomes);
         match &mut self.phase {
             Phase::Quarantined(_) => self.last_tick = now,
-            Phase::Probation { probation, next_hello } => {
+            Phase::Rejoining { quorum, next_hello } => {
                 self.last_tick = now;
                 if now >= *next_hello {
                     *next_hello = now + self.timing.hello_every;
-                    let hello = wire::Hello { nonce: self.nonce, term: self.raw.raft.term };
-                    let asked = probation.asked();
-                    self.waiting.extend(asked.into_iter().map(|to| (to, Body::Hello(hello))));
+                    let hello = wire::RejoinRequest { nonce: self.nonce, term: self.raw.raft.term };
+                    let asked = quorum.asked();
+                    self.waiting.extend(asked.into_iter().map(|to| (to, Body::RejoinRequest(hello))));
                 }
                 self.judge();
             }
@@ -246,7 +251,7 @@
         if stopped && self.raw.raft.state == StateRole::Leader {
             let term = self.raw.raft.term;
             self.raw.raft.become_follower(term, 0);
-            self.alarm(Alarm::Stopped { paused_for: now - self.last_tick });
+            self.alarm(Alarm::LeaderPaused { paused_for: now - self.last_tick });
             self.last_tick = now;
         }
         self.now = self.now.max(now);
@@ -323,7 +328,7 @@
     }
 
     /// The members in force here, and from which entry on; before the first entry whoever is to be asked.
-    pub(crate) fn in_force(&self) -> &(u64, Members) {
+    pub(crate) fn in_force(&self) -> &(u64, Membership) {
         self.raw.store().members().unwrap_or(&self.contacts)
     }
 
@@ -347,7 +352,7 @@
         if envelope.from != from.raw() || envelope.to != self.me.raw() || from == self.me {
             return;
         }
-        if let Some(Body::Hello(hello)) = envelope.body {
+        if let Some(Body::RejoinRequest(hello)) = envelope.body {
             self.remember(from, &envelope);
             return self.hello(from, envelope.boot, hello);
         }
@@ -356,18 +361,18 @@
         }
         self.learn(from, envelope.boot, envelope.nonce);
         self.remember(from, &envelope);
-        if let Phase::Probation { probation, .. } = &mut self.phase {
-            probation.heard_from(from);
+        if let Phase::Rejoining { quorum, .. } = &mut self.phase {
+            quorum.heard_from(from);
         }
         match envelope.body {
             Some(Body::Raft(message)) => self.raft(from, message),
-            Some(Body::Welcome(welcome)) => self.welcome(from, welcome),
-            Some(Body::Propose(propose)) => self.offered(from, propose),
-            Some(Body::Refused(refused)) => {
+            Some(Body::RejoinResponse(welcome)) => self.welcome(from, welcome),
+            Some(Body::ForwardedProposal(propose)) => self.offered(from, propose),
+            Some(Body::ProposalRejection(refused)) => {
                 let id = ProposalId { origin: refused.origin, sequence: refused.sequence };
                 self.proposals.refused(id, &mut self.outcomes);
             }
-            Some(Body::Hello(_)) | None => {}
+            Some(Body::RejoinRequest(_)) | None => {}
         }
     }
 
@@ -376,14 +381,14 @@
             return;
         }
         let Some(message) = convert::message_from_wire(from.raw(), self.me.raw(), message) else { return };
-        match guard::check(&self.raw.raft.raft_log, self.raw.raft.term, &self.floors, &message) {
-            Check::Pass => {}
-            Check::Drop => return,
-            Check::Forgot => {
+        match message_check::check(&self.raw.raft.raft_log, self.raw.raft.term, &self.floors, &message) {
+            MessageCheck::Accept => {}
+            MessageCheck::Drop => return,
+            MessageCheck::EntryLost => {
                 let (index, last) = (message.commit, self.raft_last().1);
-                return self.quarantine(Fault::LogShort { by: from, index, last });
+                return self.quarantine(QuarantineReason::MissingLogEntry { by: from, index, last });
             }
-            Check::Diverged(index) => return self.alarm(Alarm::Diverged { peer: from, index }),
+            MessageCheck::Diverged(index) => return self.alarm(Alarm::Diverged { peer: from, index }),
         }
         let kind = message.get_msg_type();
         let busy = self.flights.len() >= BUSY_BATCHES || self.raw.store().is_full();
--- a/crates/consensus/src/hearing.rs
+++ b/crates/consensus/src/peer_liveness.rs
@@ -1,17 +1,17 @@
 //! What members tell each other beside the agreement: starts, witnesses, hellos and their answers; and how a probation ends.
 
-use crate::council::{Council, Fault, Phase};
 use crate::ids::MemberId;
 use crate::limits::{MAX_COUNT, MAX_FRAMES_WAITING};
-use crate::members::Members;
-use crate::peers::{beyond, Start};
-use crate::proposals::Unknown;
+use crate::membership::Membership;
+use crate::node::{Node, Phase, QuarantineReason};
+use crate::peer_table::{beyond, Start};
+use crate::pending_proposals::UnknownReason;
 use crate::ready::Alarm;
-use crate::vouch::{Answer, Vouched};
+use crate::rejoin::{RejoinAnswer, RejoinOutcome};
 use crate::wire::{self, envelope::Body};
 use raft::StateRole;
 
-impl Council {
+impl Node {
     /// What every frame tells beside its body.
     pub(crate) fn remember(&mut self, from: MemberId, envelope: &wire::Envelope) {
         if let Some(witness) = &envelope.acknowledged {
@@ -39,9 +39,9 @@
     /// Somebody knows a start of this member with a higher number: the counter on the disk was lost.
     pub(crate) fn outnumbered(&mut self, boot: u64) {
         match &mut self.phase {
-            Phase::Probation { probation, next_hello, .. } => {
+            Phase::Rejoining { quorum, next_hello, .. } => {
                 self.boot = boot + 1;
-                probation.restart();
+                quorum.restart();
                 *next_hello = self.now;
             }
             // An answer was missed that would have said so. What this start gave stands; it only takes a higher number, so
@@ -49,7 +49,7 @@
             _ => {
                 self.boot = boot + 1;
                 self.state_due = true;
-                self.alarm(Alarm::Twin { boot });
+                self.alarm(Alarm::DuplicateInstance { boot });
             }
         }
     }
@@ -57,8 +57,8 @@
     /// A member has started anew: what it gave before its start no longer counts. A leader forgets what it acknowledged,
     /// and asks again; a candidate, who may hold its vote, gives up.
     pub(crate) fn started_anew(&mut self, member: MemberId) {
-        if let Phase::Probation { probation, .. } = &mut self.phase {
-            probation.forget(member);
+        if let Phase::Rejoining { quorum, .. } = &mut self.phase {
+            quorum.forget(member);
         }
         match self.raw.raft.state {
             StateRole::Leader => {
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(crate) fn hello(&mut self, from: MemberId, boot: u64, hello: wire::Hello) {
+    pub(crate) fn hello(&mut self, from: MemberId, boot: u64, hello: wire::RejoinRequest) {
         if hello.term > MAX_COUNT || boot > MAX_COUNT {
             return;
         }
@@ -85,12 +85,12 @@
         if start == Start::New {
             self.started_anew(from);
         }
-        let (accepted, your_boot) = match start {
+        let (accepted, known_boot) = match start {
             Start::New | Start::Known => (true, boot),
             Start::Behind(known) => (false, known),
         };
         let established = matches!(self.phase, Phase::Established);
-        let (members_index, members) = match &self.phase {
+        let (membership_index, members) = match &self.phase {
             Phase::Established => self.in_force().clone(),
             _ => self.raw.store().members_on_disk().unwrap_or_else(|| self.contacts.clone()),
         };
@@ -100,50 +100,54 @@
             self.raw.raft.become_follower(hello.term, 0);
         }
         let last = self.raft_last();
-        let floor = |&(member, (term, index)): &(MemberId, (u64, u64))| wire::Floor {
+        let floor = |&(member, (term, index)): &(MemberId, (u64, u64))| wire::LogFloor {
             member: member.raw(),
             term,
             index,
         };
-        let welcome = wire::Welcome {
+        let welcome = wire::RejoinResponse {
             nonce: hello.nonce,
-            your_boot,
+            known_boot,
             accepted,
-            witnessed: Some(self.peers.seen(from)),
+            observed_ack: Some(self.peers.seen(from)),
             term: self.raw.raft.term.max(self.floors.vote),
             last_term: last.0,
             last_index: last.1,
             established,
             quarantined: matches!(self.phase, Phase::Quarantined(_)),
-            members: Some(members.to_wire()),
-            members_index,
+            membership: Some(members.to_wire()),
+            membership_index,
             floors: self.floors.logs.iter().map(floor).collect(),
         };
         if self.after.len() < MAX_FRAMES_WAITING {
-            self.after.push((from, Body::Welcome(welcome)));
+            self.after.push((from, Body::RejoinResponse(welcome)));
         }
     }
 
-    pub(crate) fn welcome(&mut self, from: MemberId, welcome: wire::Welcome) {
-        let Phase::Probation { probation, .. } = &mut self.phase else { return };
-        let figures = [welcome.term, welcome.last_term, welcome.last_index, welcome.your_boot];
+    pub(crate) fn welcome(&mut self, from: MemberId, welcome: wire::RejoinResponse) {
+        let Phase::Rejoining { quorum, .. } = &mut self.phase else { return };
+        let figures = [welcome.term, welcome.last_term, welcome.last_index, welcome.known_boot];
         if welcome.nonce != self.nonce || figures.iter().any(|&figure| figure > MAX_COUNT) {
             return;
         }
-        let witnessed = welcome.witnessed.unwrap_or_default();
-        if !welcome.quarantined && beyond(&witnessed, &self.held) {
-            return self.quarantine(Fault::Forgot { by: from, witnessed, held: self.held });
+        let observed_ack = welcome.observed_ack.unwrap_or_default();
+        if !welcome.quarantined && beyond(&observed_ack, &self.held) {
+            return self.quarantine(QuarantineReason::LostAcknowledgedWrites {
+                by: from,
+                observed_ack,
+                held: self.held,
+            });
         }
-        if !welcome.accepted && welcome.your_boot >= self.boot {
-            return self.outnumbered(welcome.your_boot);
+        if !welcome.accepted && welcome.known_boot >= self.boot {
+            return self.outnumbered(welcome.known_boot);
         }
-        let members = welcome.members.as_ref().and_then(|members| Members::from_wire(members, &[]));
-        let Some(members) = members.filter(|_| welcome.accepted && welcome.your_boot == self.boot) else {
+        let members = welcome.membership.as_ref().and_then(|members| Membership::from_wire(members, &[]));
+        let Some(members) = members.filter(|_| welcome.accepted && welcome.known_boot == self.boot) else {
             return;
         };
-        probation.answer(
+        quorum.answer(
             from,
-            Answer {
+            RejoinAnswer {
                 term: welcome.term,
                 last: (welcome.last_term, welcome.last_index),
                 floors: welcome
@@ -153,7 +157,7 @@
                     .collect(),
                 established: welcome.established,
                 quarantined: welcome.quarantined,
-                members: (welcome.members_index, members),
+                members: (welcome.membership_index, members),
             },
         );
         self.judge();
@@ -161,14 +165,14 @@
 
     /// Ends the probation when enough was heard.
     pub(crate) fn judge(&mut self) {
-        let Phase::Probation { probation, .. } = &self.phase else { return };
-        let Some(vouched) = probation.outcome(self.now) else { return };
+        let Phase::Rejoining { quorum, .. } = &self.phase else { return };
+        let Some(vouched) = quorum.outcome(self.now) else { return };
         self.establish(vouched);
     }
 
-    pub(crate) fn establish(&mut self, vouched: Vouched) {
+    pub(crate) fn establish(&mut self, vouched: RejoinOutcome) {
         if vouched.relaxed {
-            self.alarm(Alarm::Relaxed);
+            self.alarm(Alarm::WeakRejoinQuorum);
         }
         self.floors = vouched.floors;
         self.floors.vote = self.floors.vote.max(self.raw.raft.term);
@@ -180,12 +184,12 @@
         self.last_tick = self.now;
     }
 
-    pub(crate) fn quarantine(&mut self, fault: Fault) {
+    pub(crate) fn quarantine(&mut self, fault: QuarantineReason) {
         let term = self.raw.raft.term;
         self.raw.raft.become_follower(term, 0);
         self.alarm(Alarm::Quarantined(fault.clone()));
         self.phase = Phase::Quarantined(fault);
         self.state_due = true;
-        self.proposals.give_up(Unknown::Out, &mut self.outcomes);
+        self.proposals.give_up(UnknownReason::Quarantined, &mut self.outcomes);
     }
 }
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::MemberId;
 use crate::limits::{MAX_PEERS, MAX_VOTERS};
-use crate::wire::{Boot, Seen, Witness};
+use crate::wire::{AckState, Boot, ObservedAck};
 use std::collections::BTreeMap;
 
 /// One peer.
@@ -13,7 +13,7 @@
     nonce: u64,
     /// When it last said hello, counted in hellos; 0 when it did not since the own start.
     asked: u64,
-    seen: Witness,
+    seen: AckState,
 }
 
 /// What a hello shows its receiver about the asker's start.
@@ -29,7 +29,7 @@
 
 /// The table of peers: the members, and those that were members when they were last heard of.
 #[derive(Debug, Default)]
-pub(crate) struct Peers {
+pub(crate) struct PeerTable {
     table: BTreeMap<MemberId, Peer>,
     hellos: u64,
     /// Something changed that is not yet on disk.
@@ -39,26 +39,26 @@
 }
 
 /// Whether one witness is beyond another: by writes, which count everything that a store was given.
-pub(crate) fn beyond(seen: &Witness, held: &Witness) -> bool {
+pub(crate) fn beyond(seen: &AckState, held: &AckState) -> bool {
     seen.writes > held.writes || (seen.writes == held.writes && seen.writes > 0 && seen != held)
 }
 
-impl Peers {
-    pub fn restored(boots: &[Boot], seen: &[Seen]) -> Self {
-        let mut peers = Peers::default();
+impl PeerTable {
+    pub fn restored(boots: &[Boot], seen: &[ObservedAck]) -> Self {
+        let mut peers = PeerTable::default();
         for boot in boots {
             let peer = peers.table.entry(MemberId::from_raw(boot.member)).or_default();
             (peer.boot, peer.nonce) = (boot.boot, boot.nonce);
         }
         for seen in seen {
             peers.table.entry(MemberId::from_raw(seen.member)).or_default().seen =
-                seen.witness.unwrap_or_default();
+                seen.ack.unwrap_or_default();
         }
         peers
     }
 
-    pub fn seen(&self, member: MemberId) -> Witness {
-        self.table.get(&member).map_or_else(Witness::default, |peer| peer.seen)
+    pub fn seen(&self, member: MemberId) -> AckState {
+        self.table.get(&member).map_or_else(AckState::default, |peer| peer.seen)
     }
 
     /// The entry of a member; `None` when it is new and there are as many as may be.
@@ -113,7 +113,7 @@
     }
 
     /// Remembers what a member says that it acknowledged, if it is more than was seen.
-    pub fn saw(&mut self, member: MemberId, witness: &Witness) {
+    pub fn saw(&mut self, member: MemberId, witness: &AckState) {
         let Some(peer) = self.entry(member) else { return };
         if witness.writes > peer.seen.writes {
             peer.seen = *witness;
@@ -147,10 +147,10 @@
             .collect()
     }
 
-    pub fn all_seen(&self) -> Vec<Seen> {
+    pub fn all_seen(&self) -> Vec<ObservedAck> {
         self.table
             .iter()
-            .map(|(member, peer)| Seen { member: member.raw(), witness: Some(peer.seen) })
+            .map(|(member, peer)| ObservedAck { member: member.raw(), ack: Some(peer.seen) })
             .collect()
     }
 }
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/pending_proposals.rs
@@ -7,7 +7,7 @@
 
 /// What became of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// It stands in the journal.
     Committed {
         /// Which.
@@ -16,7 +16,7 @@
         index: u64,
     },
     /// It will never stand there: entries of a later term are committed, and it was offered to one term's leader only.
-    Lost {
+    Dropped {
         /// Which.
         id: ProposalId,
     },
@@ -25,36 +25,36 @@
         /// Which.
         id: ProposalId,
         /// Why nothing better can be said.
-        why: Unknown,
+        reason: UnknownReason,
     },
 }
 
 /// Why it is not known what became of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unknown {
+pub enum UnknownReason {
     /// Nothing was heard of it in time.
     TimedOut,
     /// The leader said that it did not take it (a copy of it may still be on the way).
-    Refused,
+    RejectedByLeader,
     /// A snapshot went past the place where it may stand.
-    Skipped,
+    CoveredBySnapshot,
     /// This member no longer takes part.
-    Out,
+    Quarantined,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingProposal {
     term: u64,
     until: Timestamp,
 }
 
 /// The proposals in hand, at most [`MAX_PROPOSALS_IN_HAND`].
 #[derive(Debug, Default)]
-pub(crate) struct Proposals {
-    pending: BTreeMap<ProposalId, Pending>,
+pub(crate) struct PendingProposals {
+    pending: BTreeMap<ProposalId, PendingProposal>,
 }
 
-impl Proposals {
+impl PendingProposals {
     pub fn is_full(&self) -> bool {
         self.pending.len() >= MAX_PROPOSALS_IN_HAND
     }
@@ -64,42 +64,48 @@
     }
 
     pub fn put(&mut self, id: ProposalId, term: u64, until: Timestamp) {
-        self.pending.insert(id, Pending { term, until });
+        self.pending.insert(id, PendingProposal { term, until });
     }
 
     /// An entry is committed. Terms never go down along the log, so nothing offered to an earlier term's leader can
     /// come behind it.
-    pub fn committed(&mut self, index: u64, term: u64, id: Option<ProposalId>, out: &mut Vec<Outcome>) {
+    pub fn committed(
+        &mut self,
+        index: u64,
+        term: u64,
+        id: Option<ProposalId>,
+        out: &mut Vec<ProposalOutcome>,
+    ) {
         if let Some(id) = id.filter(|id| self.pending.remove(id).is_some()) {
-            out.push(Outcome::Committed { id, index });
+            out.push(ProposalOutcome::Committed { id, index });
         }
-        let lost = |pending: &Pending| pending.term < term;
-        self.drain(|_, pending| lost(pending), |id| Outcome::Lost { id }, out);
+        let lost = |pending: &PendingProposal| pending.term < term;
+        self.drain(|_, pending| lost(pending), |id| ProposalOutcome::Dropped { id }, out);
     }
 
-    pub fn refused(&mut self, id: ProposalId, out: &mut Vec<Outcome>) {
+    pub fn refused(&mut self, id: ProposalId, out: &mut Vec<ProposalOutcome>) {
         if self.pending.remove(&id).is_some() {
-            out.push(Outcome::Unknown { id, why: Unknown::Refused });
+            out.push(ProposalOutcome::Unknown { id, reason: UnknownReason::RejectedByLeader });
         }
     }
 
-    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Outcome>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<ProposalOutcome>) {
         self.drain(
             |_, pending| pending.until <= now,
-            |id| Outcome::Unknown { id, why: Unknown::TimedOut },
+            |id| ProposalOutcome::Unknown { id, reason: UnknownReason::TimedOut },
             out,
         );
     }
 
-    pub fn give_up(&mut self, why: Unknown, out: &mut Vec<Outcome>) {
-        self.drain(|_, _| true, |id| Outcome::Unknown { id, why }, out);
+    pub fn give_up(&mut self, reason: UnknownReason, out: &mut Vec<ProposalOutcome>) {
+        self.drain(|_, _| true, |id| ProposalOutcome::Unknown { id, reason }, out);
     }
 
     fn drain(
         &mut self,
-        which: impl Fn(&ProposalId, &Pending) -> bool,
-        outcome: impl Fn(ProposalId) -> Outcome,
-        out: &mut Vec<Outcome>,
+        which: impl Fn(&ProposalId, &PendingProposal) -> bool,
+        outcome: impl Fn(ProposalId) -> ProposalOutcome,
+        out: &mut Vec<ProposalOutcome>,
     ) {
         self.pending.retain(|id, pending| {
             let gone = which(id, pending);
--- a/crates/consensus/src/repeats.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -12,11 +12,11 @@
 
 /// What an entry's proposal is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Dedup {
     /// Here for the first time: to be applied.
-    First,
+    New,
     /// Here before: to be dropped.
-    Repeat,
+    Duplicate,
     /// Over [`WINDOW`] behind its origin's highest, so it can't be told: to be dropped. A proposer with at most
     /// `MAX_PROPOSALS_IN_HAND` (256) undecided never sees this for one that was not applied.
     TooOld,
@@ -26,15 +26,15 @@
 
 /// Why bytes are not a table of repeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RepeatsError;
+pub struct DedupDecodeError;
 
-impl fmt::Display for RepeatsError {
+impl fmt::Display for DedupDecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "not a table of proposals seen")
     }
 }
 
-impl std::error::Error for RepeatsError {}
+impl std::error::Error for DedupDecodeError {}
 
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct Origin {
@@ -64,28 +64,28 @@
 
 /// Which proposals were applied: for each origin its highest sequence and which of the [`WINDOW`] up to it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Repeats {
+pub struct ProposalDedup {
     origins: BTreeMap<u64, Origin>,
 }
 
-impl Repeats {
+impl ProposalDedup {
     /// Takes note of a proposal that is about to be applied and says whether it may be.
-    pub fn first(&mut self, id: ProposalId) -> Verdict {
+    pub fn first(&mut self, id: ProposalId) -> Dedup {
         if !self.origins.contains_key(&id.origin) && self.origins.len() >= MAX_ORIGINS {
-            return Verdict::TooManyOrigins;
+            return Dedup::TooManyOrigins;
         }
         let origin = self.origins.entry(id.origin).or_default();
         if id.sequence > origin.highest {
             origin.raise(id.sequence);
         } else if origin.highest - id.sequence >= WINDOW {
-            return Verdict::TooOld;
+            return Dedup::TooOld;
         }
         let (word, bit) = Origin::bit(id.sequence);
         if origin.seen[word] & bit != 0 {
-            return Verdict::Repeat;
+            return Dedup::Duplicate;
         }
         origin.seen[word] |= bit;
-        Verdict::First
+        Dedup::New
     }
 
     /// Forgets an origin that will never propose again.
@@ -107,18 +107,19 @@
     /// From bytes.
     ///
     /// # Errors
-    /// When they are not what [`Repeats::encode`] gives.
-    pub fn decode(bytes: &[u8]) -> Result<Self, RepeatsError> {
+    /// When they are not what [`ProposalDedup::encode`] gives.
+    pub fn decode(bytes: &[u8]) -> Result<Self, DedupDecodeError> {
         let size = 16 + 8 * WORDS;
         if !bytes.len().is_multiple_of(size) || bytes.len() / size > MAX_ORIGINS {
-            return Err(RepeatsError);
+            return Err(DedupDecodeError);
         }
-        let mut repeats = Repeats::default();
+        let mut repeats = ProposalDedup::default();
         for part in bytes.chunks_exact(size) {
             let mut words = part
                 .chunks_exact(8)
                 .map(|chunk| chunk.iter().rev().fold(0, |sum, &b| sum << 8 | u64::from(b)));
-            let (name, highest) = (words.next().ok_or(RepeatsError)?, words.next().ok_or(RepeatsError)?);
+            let (name, highest) =
+                (words.next().ok_or(DedupDecodeError)?, words.next().ok_or(DedupDecodeError)?);
             let mut origin = Origin { highest, seen: [0; WORDS] };
             origin.seen.iter_mut().zip(words).for_each(|(held, word)| *held = word);
             repeats.origins.insert(name, origin);
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,13 +1,13 @@
 //! What a member hands out to be done, and the words that it is done.
 
 use crate::convert;
-use crate::council::{Council, Fault, Phase};
 use crate::frame::VERSION;
 use crate::ids::{MemberId, ProposalId};
 use crate::limits::{MAX_BATCHES_IN_FLIGHT, SNAPSHOT_EVERY_BYTES};
-use crate::members::Members;
-use crate::proposals::{Outcome, Unknown};
-use crate::wire::{self, envelope::Body, Envelope, Witness};
+use crate::membership::Membership;
+use crate::node::{Node, Phase, QuarantineReason};
+use crate::pending_proposals::{ProposalOutcome, UnknownReason};
+use crate::wire::{self, envelope::Body, AckState, Envelope};
 use crate::Frame;
 use prost::Message as _;
 use raft::eraftpb;
@@ -16,7 +16,7 @@
 
 /// A committed record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct CommittedEntry {
     /// Its place in the journal; places are not contiguous, for the agreement has entries of its own.
     pub index: u64,
     /// The term in which it was proposed.
@@ -35,7 +35,7 @@
     /// That entry's term.
     pub term: u64,
     /// The council's members as of it.
-    pub members: Members,
+    pub membership: Membership,
     /// The applied state; empty for a council just founded.
     pub data: Vec<u8>,
 }
@@ -46,7 +46,7 @@
     /// Counts this store's batches, from 1, without gaps.
     pub number: u64,
     /// The state beside the log.
-    pub state: wire::State,
+    pub state: wire::PersistentState,
     /// With a snapshot the store holds afterwards it and the entries here, and nothing older.
     pub snapshot: Option<Snapshot>,
     /// Entries; the first one's place and all behind it are cut off before.
@@ -57,11 +57,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Started, not yet vouched for.
-    Probation,
+    Rejoining,
     /// Found to have forgotten; out for good under this incarnation.
     Quarantined,
     /// Not in the council's list, as far as is known here.
-    Outside,
+    NonMember,
     /// Follows without a vote.
     Learner,
     /// Follows.
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Alarm {
     /// This member was found to have lost what it acknowledged.
-    Quarantined(Fault),
+    Quarantined(QuarantineReason),
     /// A peer applied something else at the same entry, or holds another one where this one's is committed.
     Diverged {
         /// The peer.
@@ -97,26 +97,26 @@
     },
     /// Somebody knows another start of this member, of the same number or a later one. Once, after a start: an earlier one got no
     /// further than its probation. Again and again: another process runs under its name.
-    Twin {
+    DuplicateInstance {
         /// The other start.
         boot: u64,
     },
     /// This leader was not ticked for long, and stepped down.
-    Stopped {
+    LeaderPaused {
         /// For how long.
         paused_for: TimeDelta,
     },
     /// Answers of members in probation had to count at the start: two disks that forgot the same go unseen.
-    Relaxed,
+    WeakRejoinQuorum,
     /// An operator vouched for the disk.
-    Overridden,
+    OperatorOverride,
 }
 
 /// Work to be done, in this order: `persist` to disk; `send_now` at any time; `send_after` when all batches up to
 /// [`Ready::after`] are on disk, and not at all once the part is [`Role::Quarantined`]; `install` when its own batch is, before anything later is applied; `committed` at any time.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Ready {
-    /// To be put on disk; then [`Council::persisted`] is to be called with its number.
+    /// To be put on disk; then [`Node::persisted`] is to be called with its number.
     pub persist: Option<Batch>,
     /// The batch that must be on disk before `send_after` goes out; 0 when none is waited for.
     pub after: u64,
@@ -127,31 +127,31 @@
     /// A snapshot that replaces the applied state.
     pub install: Option<Snapshot>,
     /// Records, to be applied in order.
-    pub committed: Vec<Entry>,
-    /// When not 0: all entries up to it are handed out; [`Council::applied`] is to be called with it when they are applied.
+    pub committed: Vec<CommittedEntry>,
+    /// When not 0: all entries up to it are handed out; [`Node::applied`] is to be called with it when they are applied.
     pub through: u64,
     /// The members, when they changed.
-    pub members: Option<Members>,
+    pub members: Option<Membership>,
     /// What became of proposals.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<ProposalOutcome>,
     /// The member's part, when it changed.
     pub role: Option<RoleChange>,
     /// What an operator should hear of.
     pub alarms: Vec<Alarm>,
-    /// Whoever applies should take a snapshot and give it by [`Council::snapshot_taken`].
+    /// Whoever applies should take a snapshot and give it by [`Node::snapshot_taken`].
     pub snapshot_wanted: bool,
 }
 
 /// A batch on its way to disk.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightBatch {
     batch: u64,
     /// The library's count of the newest thing that rests on it.
     raft_number: u64,
-    witness: Witness,
+    witness: AckState,
 }
 
-impl Council {
+impl Node {
     /// Hands out what is to be done; `None` when nothing is, or [`MAX_BATCHES_IN_FLIGHT`] batches are on their way
     /// to disk. To be called after every other call until it gives `None`.
     pub fn ready(&mut self) -> Option<Ready> {
@@ -188,7 +188,7 @@
         }
         let due = self.peers.changed && self.now >= self.witness_due;
         let urgent = self.peers.urgent || self.base_due || self.state_due || sync || due;
-        let may_write = !matches!(self.phase, Phase::Probation { .. });
+        let may_write = !matches!(self.phase, Phase::Rejoining { .. });
         if may_write && (urgent || out.install.is_some()) {
             let entries = if self.base_due && out.install.is_none() {
                 self.raw.store().behind_snapshot()
@@ -214,8 +214,8 @@
         self.handed = snapshot.index;
         self.snapshot_asked = false;
         self.base_due = false;
-        self.proposals.give_up(Unknown::Skipped, &mut self.outcomes);
-        out.members = Some(snapshot.members.clone());
+        self.proposals.give_up(UnknownReason::CoveredBySnapshot, &mut self.outcomes);
+        out.members = Some(snapshot.membership.clone());
         out.through = snapshot.index;
         out.install = Some(snapshot.clone());
     }
@@ -241,10 +241,10 @@
                     out.members = Some(members);
                 }
             } else if !entry.get_data().is_empty() {
-                let record = wire::Record::decode(entry.get_data()).unwrap_or_default();
+                let record = wire::Proposal::decode(entry.get_data()).unwrap_or_default();
                 let name = ProposalId { origin: record.origin, sequence: record.sequence };
                 id = Some(name);
-                out.committed.push(Entry {
+                out.committed.push(CommittedEntry {
                     index: entry.index,
                     term: entry.term,
                     id: name,
@@ -263,14 +263,14 @@
         (self.base_due, self.state_due, self.peers.changed, self.peers.urgent) = (false, false, false, false);
         self.witness_due = self.now + self.timing.witness_every;
         let hard = self.raw.store().hard();
-        let state = wire::State {
+        let state = wire::PersistentState {
             term: hard.term,
             vote: hard.vote,
             commit: hard.commit,
             boot: self.boot,
             quarantined: matches!(self.phase, Phase::Quarantined(_)),
             boots: self.peers.boots(),
-            seen: self.peers.all_seen(),
+            observed_acks: self.peers.all_seen(),
         };
         let snapshot = if based { self.raw.store().snapshot().cloned() } else { None };
         Batch { number: self.writes, state, snapshot, entries }
@@ -281,8 +281,8 @@
         if let Some(batch) = &out.persist {
             let (last_term, last_index) = self.raw.store().last();
             let (term, vote) = (batch.state.term, batch.state.vote);
-            let witness = Witness { writes: batch.number, term, vote, last_term, last_index };
-            self.flights.push_back(Flight { batch: batch.number, raft_number, witness });
+            let witness = AckState { writes: batch.number, term, vote, last_term, last_index };
+            self.flights.push_back(InFlightBatch { batch: batch.number, raft_number, witness });
         } else if raft_number != 0 {
             match self.flights.back_mut() {
                 Some(flight) => flight.raft_number = raft_number,
@@ -291,7 +291,7 @@
         }
     }
 
-    fn frames(&self, bodies: Vec<(MemberId, Body)>, witness: Witness) -> Vec<Frame> {
+    fn frames(&self, bodies: Vec<(MemberId, Body)>, witness: AckState) -> Vec<Frame> {
         if bodies.is_empty() {
             return Vec::new();
         }
@@ -316,10 +316,10 @@
         let (_, members) = self.in_force();
         let raft = &self.raw.raft;
         let role = match (&self.phase, raft.state) {
-            (Phase::Probation { .. }, _) => Role::Probation,
+            (Phase::Rejoining { .. }, _) => Role::Rejoining,
             (Phase::Quarantined(_), _) => Role::Quarantined,
             (Phase::Established, StateRole::Leader) => Role::Leader,
-            (Phase::Established, _) if !members.contains(self.me) => Role::Outside,
+            (Phase::Established, _) if !members.contains(self.me) => Role::NonMember,
             (Phase::Established, _) if !members.voters.contains(&self.me) => Role::Learner,
             (Phase::Established, StateRole::Follower) => Role::Follower,
             (Phase::Established, _) => Role::Candidate,
--- a/crates/consensus/src/vouch.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -10,13 +10,13 @@
 
 use crate::ids::MemberId;
 use crate::limits::MAX_STRANGERS;
-use crate::members::Members;
+use crate::membership::Membership;
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One member's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct RejoinAnswer {
     /// Its term, or its own floor for votes.
     pub term: u64,
     /// Term and index of its last entry.
@@ -28,12 +28,12 @@
     /// Whether it was found to have forgotten; then it counts for nothing.
     pub quarantined: bool,
     /// Who is in, as far as it knows, and from which entry on.
-    pub members: (u64, Members),
+    pub members: (u64, Membership),
 }
 
 /// What a member may not do once it takes part.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Floors {
+pub struct RejoinFloors {
     /// It votes in no term up to this.
     pub vote: u64,
     /// Term and index of the last entry of each that answered: it votes for no candidate whose last entry is behind any of
@@ -41,7 +41,7 @@
     pub logs: Vec<(MemberId, (u64, u64))>,
 }
 
-impl Floors {
+impl RejoinFloors {
     /// The furthest last entry told.
     pub fn log(&self) -> (u64, u64) {
         self.logs.iter().map(|(_, last)| *last).max().unwrap_or((0, 0))
@@ -50,29 +50,29 @@
 
 /// How a member came through its probation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Vouched {
+pub struct RejoinOutcome {
     /// The floors it takes along.
-    pub floors: Floors,
+    pub floors: RejoinFloors,
     /// Whether answers of members in probation had to count.
     pub relaxed: bool,
 }
 
 /// The probation of one start.
 #[derive(Debug, Clone)]
-pub struct Probation {
+pub struct RejoinQuorum {
     me: MemberId,
     since: Timestamp,
     patience: TimeDelta,
-    own: (u64, Members),
-    answers: BTreeMap<MemberId, Answer>,
+    own: (u64, Membership),
+    answers: BTreeMap<MemberId, RejoinAnswer>,
     /// Members outside the list that spoke to this one: they may know a newer list.
     strangers: BTreeSet<MemberId>,
 }
 
-impl Probation {
+impl RejoinQuorum {
     /// Begins; `own` is who is in as the own disk says, or whom to ask.
-    pub fn new(me: MemberId, own: (u64, Members), now: Timestamp, patience: TimeDelta) -> Self {
-        Probation { me, since: now, patience, own, answers: BTreeMap::new(), strangers: BTreeSet::new() }
+    pub fn new(me: MemberId, own: (u64, Membership), now: Timestamp, patience: TimeDelta) -> Self {
+        RejoinQuorum { me, since: now, patience, own, answers: BTreeMap::new(), strangers: BTreeSet::new() }
     }
 
     /// Whom to ask: all voters of the list that counts, but for itself, and who else spoke to it.
@@ -90,7 +90,7 @@
     }
 
     /// Takes an answer, which stands in for an earlier one of the same member.
-    pub fn answer(&mut self, from: MemberId, answer: Answer) {
+    pub fn answer(&mut self, from: MemberId, answer: RejoinAnswer) {
         let newer = answer.members.0 > self.list_from();
         if newer || self.asked().contains(&from) {
             self.answers.insert(from, answer);
@@ -103,7 +103,7 @@
         let (floors, established) = (Vec::new(), false);
         self.answer(
             member,
-            Answer { term: 0, last: (0, 0), floors, established, quarantined: true, members },
+            RejoinAnswer { term: 0, last: (0, 0), floors, established, quarantined: true, members },
         );
         self.answers.values_mut().for_each(|answer| answer.floors.retain(|(told, _)| *told != member));
     }
@@ -120,12 +120,12 @@
 
     /// The newest list of members that is known: the own disk's, or one that was told. Whoever stands behind the entry that
     /// made it has all entries before it, so older lists have nothing to add.
-    fn newest(&self) -> &(u64, Members) {
+    fn newest(&self) -> &(u64, Membership) {
         let told = self.answers.values().filter(|answer| !answer.quarantined).map(|answer| &answer.members);
         told.chain([&self.own]).max_by_key(|(from, _)| *from).unwrap_or(&self.own)
     }
 
-    fn list(&self) -> &Members {
+    fn list(&self) -> &Membership {
         &self.newest().1
     }
 
@@ -133,12 +133,12 @@
         self.newest().0
     }
 
-    fn others(&self, list: &Members) -> Vec<MemberId> {
+    fn others(&self, list: &Membership) -> Vec<MemberId> {
         list.voters.iter().copied().filter(|&voter| voter != self.me).collect()
     }
 
     /// Whether enough was heard, and with which floors the member goes on.
-    pub fn outcome(&self, now: Timestamp) -> Option<Vouched> {
+    pub fn outcome(&self, now: Timestamp) -> Option<RejoinOutcome> {
         let patient = now - self.since < self.patience;
         let others = self.others(self.list());
         let need = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
@@ -154,8 +154,8 @@
             }
         }
         // Only voters of the list: parts that others gave were counted by nobody.
-        let counts = |from: &MemberId, answer: &Answer| !answer.quarantined && others.contains(from);
-        let sound: Vec<(MemberId, &Answer)> = self
+        let counts = |from: &MemberId, answer: &RejoinAnswer| !answer.quarantined && others.contains(from);
+        let sound: Vec<(MemberId, &RejoinAnswer)> = self
             .answers
             .iter()
             .filter(|(from, answer)| counts(from, answer))
@@ -172,6 +172,6 @@
         }
         // What this member itself told others is no news to it if it has forgotten nothing, and the more if it has.
         let logs = logs.into_iter().collect();
-        Some(Vouched { floors: Floors { vote, logs }, relaxed })
+        Some(RejoinOutcome { floors: RejoinFloors { vote, logs }, relaxed })
     }
 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -57,12 +57,12 @@
     ///
     /// # Errors
     /// The first setting out of its range, with the range.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         let within = |what, value: i64, range: RangeInclusive<i64>| {
             if range.contains(&value) {
                 return Ok(());
             }
-            Err(SettingsError::OutOfRange { what, value, low: *range.start(), high: *range.end() })
+            Err(ConfigError::OutOfRange { what, value, low: *range.start(), high: *range.end() })
         };
         let within_millis = |what, value: TimeDelta, range: RangeInclusive<i64>| {
             let micros = |millis| TimeDelta::from_millis(millis).as_micros();
@@ -110,20 +110,20 @@
     ///
     /// # Errors
     /// The first rule broken.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         self.timing.check()?;
         let named = |member: &MemberId| member.node > 0 && member.incarnation > 0;
         if !named(&self.member) || !self.founders.iter().chain(&self.contacts).all(named) {
-            return Err(SettingsError::Name);
+            return Err(ConfigError::Name);
         }
         let mut nodes: Vec<u32> = self.founders.iter().map(|member| member.node).collect();
         nodes.sort_unstable();
         nodes.dedup();
         if nodes.len() != self.founders.len() {
-            return Err(SettingsError::Founders(self.founders.len()));
+            return Err(ConfigError::Founders(self.founders.len()));
         }
         if !self.founders.is_empty() && !(MIN_VOTERS..=MAX_VOTERS).contains(&self.founders.len()) {
-            return Err(SettingsError::Founders(self.founders.len()));
+            return Err(ConfigError::Founders(self.founders.len()));
         }
         Ok(())
     }
@@ -131,7 +131,7 @@
 
 /// Why settings will not do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SettingsError {
+pub enum ConfigError {
     /// A figure out of its range; times in microseconds.
     OutOfRange {
         /// The setting's name.
@@ -149,14 +149,14 @@
     Founders(usize),
 }
 
-impl fmt::Display for SettingsError {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::OutOfRange { what, value, low, high } => {
+            ConfigError::OutOfRange { what, value, low, high } => {
                 write!(f, "{what} is {value}, allowed is {low} to {high}")
             }
-            SettingsError::Name => write!(f, "nodes and incarnations count from 1"),
-            SettingsError::Founders(n) => {
+            ConfigError::Name => write!(f, "nodes and incarnations count from 1"),
+            ConfigError::Founders(n) => {
                 write!(
                     f,
                     "{n} founders: {MIN_VOTERS} to {MAX_VOTERS} different nodes, or none to join a council"
@@ -166,22 +166,22 @@
     }
 }
 
-impl std::error::Error for SettingsError {}
+impl std::error::Error for ConfigError {}
 
 /// What a member's disk gave back; the default is an empty store.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Restored {
+pub struct RecoveredState {
     /// Number of the last write on disk.
     pub writes: u64,
     /// What is kept beside the log.
-    pub state: wire::State,
+    pub state: wire::PersistentState,
     /// The last snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries behind it, without gaps.
     pub entries: Vec<wire::Entry>,
 }
 
-impl Restored {
+impl RecoveredState {
     /// The last entry's term and index, or the snapshot's, or zeros.
     pub(crate) fn last(&self) -> (u64, u64) {
         let base = self.snapshot.as_ref().map(|s| (s.term, s.index));
@@ -189,9 +189,9 @@
     }
 
     /// What this disk bears witness to.
-    pub(crate) fn witness(&self) -> wire::Witness {
+    pub(crate) fn witness(&self) -> wire::AckState {
         let (last_term, last_index) = self.last();
-        wire::Witness {
+        wire::AckState {
             writes: self.writes,
             term: self.state.term,
             vote: self.state.vote,
--- a/crates/consensus/src/sim/check.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -3,9 +3,9 @@
 
 use super::recorder::mix;
 use crate::frame::Frame;
-use crate::ready::{Alarm, Entry, Role, RoleChange};
+use crate::ready::{Alarm, CommittedEntry, Role, RoleChange};
 use crate::wire::envelope::Body;
-use crate::{Council, MemberId, Outcome, ProposalId, Timestamp};
+use crate::{MemberId, Node, ProposalId, ProposalOutcome, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -60,7 +60,7 @@
     }
 
     /// Election safety: one leader a term. Leader completeness: a new leader holds all that anybody knows committed.
-    pub(crate) fn role(&mut self, member: MemberId, change: &RoleChange, council: &Council) {
+    pub(crate) fn role(&mut self, member: MemberId, change: &RoleChange, council: &Node) {
         match change.role {
             Role::Quarantined => {
                 self.quarantined.insert(member);
@@ -87,7 +87,7 @@
     }
 
     /// State machine safety: one record a place, whoever applies it.
-    pub(crate) fn applied(&mut self, member: MemberId, entry: &Entry) {
+    pub(crate) fn applied(&mut self, member: MemberId, entry: &CommittedEntry) {
         let digest =
             entry.bytes.iter().fold(mix(mix(0, entry.id.origin), entry.id.sequence), |chain, &byte| {
                 mix(chain, u64::from(byte))
@@ -102,23 +102,23 @@
         }
     }
 
-    pub(crate) fn outcome(&mut self, outcome: &Outcome) {
+    pub(crate) fn outcome(&mut self, outcome: &ProposalOutcome) {
         match outcome {
-            Outcome::Committed { id, index } => {
+            ProposalOutcome::Committed { id, index } => {
                 self.told_committed.insert(*id, *index);
                 self.outcomes[0] += 1;
                 if !self.names.contains(id) {
                     self.fail(format!("told committed at {index}, and nobody applied it"));
                 }
             }
-            Outcome::Lost { id } => {
+            ProposalOutcome::Dropped { id } => {
                 self.told_lost.insert(*id);
                 self.outcomes[1] += 1;
                 if self.names.contains(id) {
                     self.fail("told lost, and it is committed".to_owned());
                 }
             }
-            Outcome::Unknown { .. } => self.outcomes[2] += 1,
+            ProposalOutcome::Unknown { .. } => self.outcomes[2] += 1,
         }
     }
 
@@ -138,7 +138,7 @@
         let boot = if self.forgetful.contains(&from) { frame.0.boot } else { 0 };
         let held = *self.votes.entry((from, message.term, boot)).or_insert(vote);
         if held != vote {
-            self.fail(format!("{from} votes twice in term {}", message.term));
+            self.fail(format!("{from} votes duplicate_per_mille in term {}", message.term));
         }
     }
 
@@ -146,10 +146,10 @@
         let name = match alarm {
             Alarm::Quarantined(_) => "quarantined",
             Alarm::Diverged { .. } => "diverged",
-            Alarm::Twin { .. } => "twin",
-            Alarm::Stopped { .. } => "stopped",
-            Alarm::Relaxed => "relaxed",
-            Alarm::Overridden => "overridden",
+            Alarm::DuplicateInstance { .. } => "twin",
+            Alarm::LeaderPaused { .. } => "stopped",
+            Alarm::WeakRejoinQuorum => "relaxed",
+            Alarm::OperatorOverride => "overridden",
         };
         *self.alarms.entry(name).or_default() += 1;
         if let Alarm::Diverged { peer, index } = alarm {
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -1,11 +1,11 @@
 //! One process with its disk: the acting half, as it will stand in the program, in virtual time.
 
-use super::check::Checker;
-use super::{draw_span, App, Plan, Plant};
+use super::checker::Checker;
+use super::{draw_span, InjectedBug, Plan, StateMachine};
 use crate::ready::{Alarm, Batch, Ready, Role, Snapshot};
 use crate::store;
 use crate::wire::envelope::Body;
-use crate::{Config, Council, Frame, MemberId, ProposalId, ProposeError, TimeDelta, Timestamp};
+use crate::{Config, Frame, MemberId, Node, ProposalId, ProposeError, TimeDelta, Timestamp};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use sprucelink_wal::{FaultDisk, Faults, Wal, WalError};
@@ -21,7 +21,7 @@
     /// What applies records; begins anew at each start.
     pub app: A,
     /// The member, while the process is up.
-    pub council: Option<Council>,
+    pub council: Option<Node>,
     wal: Option<Wal<FaultDisk>>,
     disk: Option<FaultDisk>,
     /// Stopped as by SIGSTOP: nothing is done, and frames wait.
@@ -40,7 +40,7 @@
     /// How far its clock is off.
     pub offset: TimeDelta,
     /// Longest time of a sync now.
-    pub sync: TimeDelta,
+    pub max_sync_time: TimeDelta,
     /// Whether the disk is full now.
     pub full: bool,
     /// Whether the disk's syncs lie now.
@@ -59,7 +59,7 @@
     pub plan: &'a Plan,
 }
 
-impl<A: App> Host<A> {
+impl<A: StateMachine> Host<A> {
     pub(crate) fn new(id: MemberId, app: A, plan: &Plan, rng: &mut ChaCha8Rng) -> Self {
         let seed = rng.gen();
         Host {
@@ -78,7 +78,7 @@
             damaged: None,
             role: None,
             offset: TimeDelta::from_millis(rng.gen_range(0..3_600_000)),
-            sync: plan.sync,
+            max_sync_time: plan.max_sync_time,
             full: false,
             lying: false,
             lied: false,
@@ -94,7 +94,7 @@
 
     /// Whether the process runs and takes part.
     pub fn is_established(&self) -> bool {
-        self.is_up() && !matches!(self.role, None | Some(Role::Probation | Role::Quarantined))
+        self.is_up() && !matches!(self.role, None | Some(Role::Rejoining | Role::Quarantined))
     }
 
     /// Whether the member is out for good.
@@ -127,9 +127,9 @@
         if let Some(snapshot) = &restored.snapshot {
             self.app.install(&snapshot.data);
         }
-        let council = Council::new(config, restored, self.seed ^ self.starts, now + self.offset);
+        let council = Node::new(config, restored, self.seed ^ self.starts, now + self.offset);
         let mut council = council.expect("what was written starts again");
-        if start.plan.has(Plant::TrustDisk) {
+        if start.plan.has(InjectedBug::TrustDisk) {
             council.trust_disk();
         }
         (self.council, self.wal) = (Some(council), Some(wal));
@@ -170,8 +170,8 @@
             }
             return;
         }
-        if let Some(Body::Propose(propose)) = &mut frame.0.body {
-            if plan.has(Plant::AnyTermProposals) {
+        if let Some(Body::ForwardedProposal(propose)) = &mut frame.0.body {
+            if plan.has(InjectedBug::AnyTermProposals) {
                 propose.term = council.term();
             }
         }
@@ -202,7 +202,7 @@
         wal.disk_mut().faults = Faults { disk_full: self.full, lying_sync: self.lying, ..Faults::default() };
         self.lied |= self.lying;
         let mut write = store::to_write(batch);
-        if plan.has(Plant::VoteNotKept) {
+        if plan.has(InjectedBug::VoteNotKept) {
             let mut state = batch.state.clone();
             state.vote = 0;
             state.term = self
@@ -252,21 +252,21 @@
         if self.stopped {
             return;
         }
-        while let Some(ready) = self.council.as_mut().and_then(Council::ready) {
+        while let Some(ready) = self.council.as_mut().and_then(Node::ready) {
             self.act(now, plan, ready, check, out);
         }
         if !self.writing.is_empty() && self.sync_due.is_none() {
             let time = if self.full {
                 TimeDelta::from_millis(50)
             } else {
-                draw_span(rng, TimeDelta::ZERO, self.sync)
+                draw_span(rng, TimeDelta::ZERO, self.max_sync_time)
             };
             self.sync_due = Some(now + time + TimeDelta::from_micros(1));
         }
     }
 
     fn act(&mut self, now: Timestamp, plan: &Plan, ready: Ready, check: &mut Checker, out: &mut Vec<Frame>) {
-        let early = plan.has(Plant::AckBeforeSync);
+        let early = plan.has(InjectedBug::AckBeforeSync);
         let written = ready.persist.as_ref().map(|batch| batch.number);
         self.writing.extend(ready.persist);
         out.extend(ready.send_now);
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -1,39 +1,39 @@
 //! A seeded simulator of a council in virtual time: network, disks and processes with faults, and a checker.
 //!
-//! One seed replays a whole run. The world ([`World`]) holds hosts, each a [`crate::Council`] over a write-ahead log on a disk with
-//! faults and an [`App`] that applies records; a [`Nemesis`] breaks things by its plan; a [`Checker`] looks at what hosts
+//! One seed replays a whole run. The world ([`Simulation`]) holds hosts, each a [`crate::Node`] over a write-ahead log on a disk with
+//! faults and an [`StateMachine`] that applies records; a [`Nemesis`] breaks things by its plan; a [`Checker`] looks at what hosts
 //! did after each step, and ends the run at the first thing that must not be. Other crates' simulators build on it with an
-//! [`App`] and commands of their own ([`World::run_until`], [`World::host_mut`], [`World::propose`]).
+//! [`StateMachine`] and commands of their own ([`Simulation::run_until`], [`Simulation::host_mut`], [`Simulation::propose`]).
 //!
-//! [`Plant`] puts a fault into the hosts (never into the council) to show that the checker can fail.
+//! [`InjectedBug`] puts a fault into the hosts (never into the council) to show that the checker can fail.
 
-mod check;
+mod checker;
 mod host;
 mod nemesis;
-mod net;
+mod network;
 mod operator;
 mod plans;
 mod recorder;
 mod report;
-mod world;
+mod simulation;
 
-pub use check::{Checker, Violation};
+pub use checker::{Checker, Violation};
 pub use host::Host;
-pub use nemesis::{Nemesis, Trouble};
-pub use net::Net;
-pub use recorder::Recorder;
+pub use nemesis::{Fault, Nemesis};
+pub use network::Network;
+pub use recorder::ProposalRecorder;
 pub use report::Report;
-pub use world::World;
+pub use simulation::Simulation;
 
-use crate::ready::Entry;
+use crate::ready::CommittedEntry;
 use crate::settings::Timing;
 use rand::Rng;
 use sprucelink_time::{TimeDelta, Timestamp};
 
 /// What applies records at a host.
-pub trait App {
+pub trait StateMachine {
     /// Applies a record, in order.
-    fn apply(&mut self, now: Timestamp, entry: &Entry);
+    fn apply(&mut self, now: Timestamp, entry: &CommittedEntry);
     /// The whole state, for a snapshot.
     fn snapshot(&self) -> Vec<u8>;
     /// Takes a snapshot's state instead of its own; empty bytes are the state at the beginning.
@@ -44,7 +44,7 @@
 
 /// A fault put into every host on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedBug {
     /// The vote, and a term beyond the last entry's, are left out of what goes to disk.
     VoteNotKept,
     /// Words go out, and the write counts as done, before it is on disk.
@@ -65,37 +65,37 @@
     /// Founders, 3 to 7.
     pub members: u32,
     /// How long things are broken.
-    pub trouble: TimeDelta,
+    pub fault_time: TimeDelta,
     /// How long the council then has to come together.
-    pub calm: TimeDelta,
+    pub recovery_time: TimeDelta,
     /// Time between proposals, on average.
     pub propose_every: TimeDelta,
     /// Time between the nemesis' strokes, on average; 0 for none.
-    pub strike_every: TimeDelta,
+    pub fault_every: TimeDelta,
     /// Which troubles it may choose from.
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
     /// How many members' disks may lie, one after another; each lies at most once in its life.
-    pub liars: u32,
+    pub lying_disks: u32,
     /// How many members may be down or in probation at a time before the nemesis lets be.
-    pub down: u32,
+    pub max_down: u32,
     /// Share of messages lost, in thousandths.
-    pub loss: u32,
+    pub loss_per_mille: u32,
     /// Share of messages that come twice, in thousandths.
-    pub twice: u32,
+    pub duplicate_per_mille: u32,
     /// Longest time that a message takes; the shortest is a tenth of a millisecond.
-    pub delay: TimeDelta,
+    pub max_delay: TimeDelta,
     /// Longest time of a sync in quiet times.
-    pub sync: TimeDelta,
+    pub max_sync_time: TimeDelta,
     /// The council's times.
     pub timing: Timing,
     /// Faults put in on purpose.
-    pub plants: Vec<Plant>,
+    pub bugs: Vec<InjectedBug>,
 }
 
 impl Plan {
     /// Whether a fault is put in.
-    pub fn has(&self, plant: Plant) -> bool {
-        self.plants.contains(&plant)
+    pub fn has(&self, plant: InjectedBug) -> bool {
+        self.bugs.contains(&plant)
     }
 }
 
@@ -104,19 +104,19 @@
     fn default() -> Self {
         Plan {
             members: 5,
-            trouble: TimeDelta::from_whole_secs(20),
-            calm: TimeDelta::from_whole_secs(20),
+            fault_time: TimeDelta::from_whole_secs(20),
+            recovery_time: TimeDelta::from_whole_secs(20),
             propose_every: TimeDelta::from_millis(50),
-            strike_every: TimeDelta::from_millis(800),
-            troubles: Trouble::ALL.to_vec(),
-            liars: 0,
-            down: u32::MAX,
-            loss: 20,
-            twice: 20,
-            delay: TimeDelta::from_millis(20),
-            sync: TimeDelta::from_millis(5),
+            fault_every: TimeDelta::from_millis(800),
+            faults: Fault::ALL.to_vec(),
+            lying_disks: 0,
+            max_down: u32::MAX,
+            loss_per_mille: 20,
+            duplicate_per_mille: 20,
+            max_delay: TimeDelta::from_millis(20),
+            max_sync_time: TimeDelta::from_millis(5),
             timing: Timing { snapshot_every: 64, ..Timing::default() },
-            plants: Vec::new(),
+            bugs: Vec::new(),
         }
     }
 }
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -1,14 +1,14 @@
 //! What breaks, when, and for how long.
 
-use super::world::World;
-use super::{draw_span, App, Plan};
+use super::simulation::Simulation;
+use super::{draw_span, Plan, StateMachine};
 use crate::{MemberId, TimeDelta, Timestamp};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
 /// A trouble that the nemesis may make.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// One process dies and comes back.
     Crash,
     /// Several die at once, perhaps all.
@@ -39,27 +39,27 @@
     Transfer,
 }
 
-impl Trouble {
+impl Fault {
     /// All but lying and rotting disks, which have counts of their own.
-    pub const ALL: [Trouble; 12] = [
-        Trouble::Crash,
-        Trouble::CrashMany,
-        Trouble::CrashLeader,
-        Trouble::Split,
-        Trouble::OneWay,
-        Trouble::Deaf,
-        Trouble::Stop,
-        Trouble::Slow,
-        Trouble::SlowSync,
-        Trouble::Full,
-        Trouble::Replace,
-        Trouble::Transfer,
+    pub const ALL: [Fault; 12] = [
+        Fault::Crash,
+        Fault::CrashMany,
+        Fault::CrashLeader,
+        Fault::Split,
+        Fault::OneWay,
+        Fault::Deaf,
+        Fault::Stop,
+        Fault::Slow,
+        Fault::SlowSync,
+        Fault::Full,
+        Fault::Replace,
+        Fault::Transfer,
     ];
 }
 
 /// The end of a trouble.
 #[derive(Debug, Clone)]
-pub(crate) enum Undo {
+pub(crate) enum FaultEnd {
     Restart(MemberId),
     CrashLiar(MemberId),
     Cuts(Vec<(u32, u32)>),
@@ -73,16 +73,19 @@
 pub struct Nemesis {
     liars_left: u32,
     /// Troubles made so far.
-    pub strokes: u64,
+    pub faults_injected: u64,
 }
 
 impl Nemesis {
     pub(crate) fn new(plan: &Plan) -> Self {
-        Nemesis { liars_left: plan.liars, strokes: 0 }
+        Nemesis { liars_left: plan.lying_disks, faults_injected: 0 }
     }
 
     /// Makes one trouble, if it may; gives what ends it and when.
-    pub(crate) fn strike<A: App>(&mut self, world: &mut World<A>) -> Vec<(Timestamp, Undo)> {
+    pub(crate) fn strike<A: StateMachine>(
+        &mut self,
+        world: &mut Simulation<A>,
+    ) -> Vec<(Timestamp, FaultEnd)> {
         let now = world.now();
         let lasting =
             now + draw_span(&mut world.rng, TimeDelta::from_millis(50), TimeDelta::from_millis(3_000));
@@ -90,44 +93,44 @@
             world.hosts.values().filter(|h| h.is_up() && !h.stopped).map(|h| h.id).collect();
         let away = world.hosts.values().filter(|h| !h.is_out() && !h.is_established()).count() as u32;
         let Some(&target) = running.choose(&mut world.rng) else { return Vec::new() };
-        let Some(&trouble) = world.plan.troubles.choose(&mut world.rng) else { return Vec::new() };
-        let spare = world.plan.down.saturating_sub(away);
-        self.strokes += 1;
-        let downs = |world: &mut World<A>, ids: Vec<MemberId>| {
+        let Some(&trouble) = world.plan.faults.choose(&mut world.rng) else { return Vec::new() };
+        let spare = world.plan.max_down.saturating_sub(away);
+        self.faults_injected += 1;
+        let downs = |world: &mut Simulation<A>, ids: Vec<MemberId>| {
             let torn = world.rng.gen();
-            let back = |world: &mut World<A>| {
+            let back = |world: &mut Simulation<A>| {
                 now + draw_span(&mut world.rng, TimeDelta::from_millis(10), TimeDelta::from_millis(2_000))
             };
             ids.into_iter()
                 .map(|id| {
                     world.crash(id, torn);
-                    (back(world), Undo::Restart(id))
+                    (back(world), FaultEnd::Restart(id))
                 })
                 .collect()
         };
         match trouble {
-            Trouble::Crash if spare > 0 => downs(world, vec![target]),
-            Trouble::CrashLeader if spare > 0 => match world.leader() {
+            Fault::Crash if spare > 0 => downs(world, vec![target]),
+            Fault::CrashLeader if spare > 0 => match world.leader() {
                 Some(leader) => downs(world, vec![leader]),
                 None => Vec::new(),
             },
-            Trouble::CrashMany if spare > 0 => {
+            Fault::CrashMany if spare > 0 => {
                 let count = world.rng.gen_range(1..=running.len()).min(spare as usize);
                 let ids = running.choose_multiple(&mut world.rng, count).copied().collect();
                 downs(world, ids)
             }
-            Trouble::Rot if spare > 0 && self.liars_left > 0 => {
+            Fault::Rot if spare > 0 && self.liars_left > 0 => {
                 self.liars_left -= 1;
                 let undo = downs(world, vec![target]);
                 world.host_mut(target).rot();
                 undo
             }
-            Trouble::Lie if self.liars_left > 0 && !world.host(target).lied => {
+            Fault::Lie if self.liars_left > 0 && !world.host(target).lied => {
                 self.liars_left -= 1;
                 world.host_mut(target).lying = true;
-                vec![(lasting, Undo::CrashLiar(target))]
+                vec![(lasting, FaultEnd::CrashLiar(target))]
             }
-            Trouble::Split => {
+            Fault::Split => {
                 let mut left: Vec<u32> = world.hosts.keys().copied().collect();
                 left.shuffle(&mut world.rng);
                 let right = left.split_off(left.len() / 2 + world.rng.gen_range(0..=1));
@@ -135,38 +138,38 @@
                     left.iter().flat_map(|&l| right.iter().flat_map(move |&r| [(l, r), (r, l)])).collect();
                 self.cut(world, cuts, lasting)
             }
-            Trouble::OneWay => {
+            Fault::OneWay => {
                 let other = *running.choose(&mut world.rng).unwrap_or(&target);
                 self.cut(world, vec![(target.node, other.node)], lasting)
             }
-            Trouble::Deaf => {
+            Fault::Deaf => {
                 let dumb = world.rng.gen();
                 let one = |other: u32| if dumb { (target.node, other) } else { (other, target.node) };
                 let cuts = world.hosts.keys().map(|&other| one(other)).collect();
                 self.cut(world, cuts, lasting)
             }
-            Trouble::Stop => {
+            Fault::Stop => {
                 world.host_mut(target).stopped = true;
-                vec![(lasting, Undo::Wake(target))]
+                vec![(lasting, FaultEnd::Wake(target))]
             }
-            Trouble::Slow => {
+            Fault::Slow => {
                 world.net.slow.insert(target.node);
-                vec![(lasting, Undo::Slow(target.node))]
+                vec![(lasting, FaultEnd::Slow(target.node))]
             }
-            Trouble::SlowSync => {
-                world.host_mut(target).sync = TimeDelta::from_millis(1_000);
-                vec![(lasting, Undo::Disk(target))]
+            Fault::SlowSync => {
+                world.host_mut(target).max_sync_time = TimeDelta::from_millis(1_000);
+                vec![(lasting, FaultEnd::Disk(target))]
             }
-            Trouble::Full => {
+            Fault::Full => {
                 world.host_mut(target).full = true;
-                vec![(lasting, Undo::Disk(target))]
+                vec![(lasting, FaultEnd::Disk(target))]
             }
-            Trouble::Replace => {
+            Fault::Replace => {
                 let node = world.hosts.keys().next_back().map_or(1, |last| last + 1);
                 world.operator.replace(target, MemberId::new(node, 1));
                 Vec::new()
             }
-            Trouble::Transfer => {
+            Fault::Transfer => {
                 world.operator.hand_over(target);
                 Vec::new()
             }
@@ -174,13 +177,13 @@
         }
     }
 
-    fn cut<A: App>(
+    fn cut<A: StateMachine>(
         &self,
-        world: &mut World<A>,
+        world: &mut Simulation<A>,
         cuts: Vec<(u32, u32)>,
         until: Timestamp,
-    ) -> Vec<(Timestamp, Undo)> {
+    ) -> Vec<(Timestamp, FaultEnd)> {
         world.net.cut.extend(&cuts);
-        vec![(until, Undo::Cuts(cuts))]
+        vec![(until, FaultEnd::Cuts(cuts))]
     }
 }
--- a/crates/consensus/src/sim/net.rs
+++ b/crates/consensus/src/sim/network.rs
@@ -15,23 +15,28 @@
 
 /// The links and their troubles.
 #[derive(Debug, Default)]
-pub struct Net {
+pub struct Network {
     /// Links that carry nothing, from and to.
     pub cut: BTreeSet<(u32, u32)>,
     /// Members all of whose messages take this much longer.
     pub slow: BTreeSet<u32>,
-    loss: u32,
-    twice: u32,
-    delay: TimeDelta,
+    loss_per_mille: u32,
+    duplicate_per_mille: u32,
+    max_delay: TimeDelta,
     /// Messages handed over so far.
     pub sent: u64,
     /// Bytes handed over so far, as frames; counted for one message in sixteen, times sixteen.
     pub bytes: u64,
 }
 
-impl Net {
+impl Network {
     pub(crate) fn new(plan: &Plan) -> Self {
-        Net { loss: plan.loss, twice: plan.twice, delay: plan.delay.max(MIN_LONGEST_DELAY), ..Net::default() }
+        Network {
+            loss_per_mille: plan.loss_per_mille,
+            duplicate_per_mille: plan.duplicate_per_mille,
+            max_delay: plan.max_delay.max(MIN_LONGEST_DELAY),
+            ..Network::default()
+        }
     }
 
     /// When copies of a message arrive, if any do.
@@ -43,13 +48,13 @@
         now: Timestamp,
     ) -> Vec<Timestamp> {
         self.sent += 1;
-        if self.cut.contains(&(from.node, to.node)) || rng.gen_range(0..1000) < self.loss {
+        if self.cut.contains(&(from.node, to.node)) || rng.gen_range(0..1000) < self.loss_per_mille {
             return Vec::new();
         }
-        let copies = 1 + usize::from(rng.gen_range(0..1000) < self.twice);
+        let copies = 1 + usize::from(rng.gen_range(0..1000) < self.duplicate_per_mille);
         let slow = if self.slow.contains(&from.node) || self.slow.contains(&to.node) { 10 } else { 1 };
         let mut delay = || {
-            let micros = rng.gen_range(MIN_DELAY.as_micros()..=self.delay.as_micros());
+            let micros = rng.gen_range(MIN_DELAY.as_micros()..=self.max_delay.as_micros());
             TimeDelta::from_micros(micros * slow)
         };
         (0..copies).map(|_| now + delay()).collect()
@@ -76,6 +81,6 @@
     pub fn heal(&mut self) {
         self.cut.clear();
         self.slow.clear();
-        (self.loss, self.twice) = (0, 0);
+        (self.loss_per_mille, self.duplicate_per_mille) = (0, 0);
     }
 }
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's part: replaces members that are out for good, or that the nemesis wants replaced, and hands over the
 //! lead, step by step through whoever leads. Where none can lead, says who is gone for good.
 
-use super::world::World;
-use super::App;
+use super::simulation::Simulation;
+use super::StateMachine;
 use crate::{MemberId, TimeDelta, Timestamp};
 
 /// With no leader for so long the operator says who is gone.
@@ -34,7 +34,7 @@
     }
 
     /// Takes the next step of the first wish.
-    pub fn step<A: App>(world: &mut World<A>) {
+    pub fn step<A: StateMachine>(world: &mut Simulation<A>) {
         let out: Vec<MemberId> =
             world.hosts.values().filter(|host| host.is_out()).map(|host| host.id).collect();
         for old in out {
@@ -81,7 +81,7 @@
     }
 
     /// Nobody leads: after a while everybody is told whose stores are no more.
-    fn stuck<A: App>(world: &mut World<A>) {
+    fn stuck<A: StateMachine>(world: &mut Simulation<A>) {
         if world.now() - world.operator.led < STUCK {
             return;
         }
--- a/crates/consensus/src/sim/plans.rs
+++ b/crates/consensus/src/sim/plans.rs
@@ -1,6 +1,6 @@
 //! Named plans: what CI and the long runs go through.
 
-use super::{Plan, Trouble};
+use super::{Fault, Plan};
 use crate::TimeDelta;
 
 impl Plan {
@@ -11,17 +11,17 @@
 
     /// One disk lies or rots, and any number may be down at once.
     pub fn one_liar(members: u32) -> Plan {
-        let mut troubles = Trouble::ALL.to_vec();
+        let mut faults = Fault::ALL.to_vec();
         // Named several times to be chosen more often.
-        troubles.extend([Trouble::Lie, Trouble::Lie, Trouble::Rot, Trouble::CrashLeader]);
-        Plan { members, liars: 1, troubles, ..Plan::default() }
+        faults.extend([Fault::Lie, Fault::Lie, Fault::Rot, Fault::CrashLeader]);
+        Plan { members, lying_disks: 1, faults, ..Plan::default() }
     }
 
     /// As many disks lie as a council can spare, while at least a majority of the others takes part all the time; members
     /// wait for that majority as long as it takes.
     pub fn liars(members: u32) -> Plan {
         let spare = (members - 1) / 2;
-        let mut plan = Plan { liars: spare, down: spare, ..Plan::one_liar(members) };
+        let mut plan = Plan { lying_disks: spare, max_down: spare, ..Plan::one_liar(members) };
         plan.timing.patience = TimeDelta::from_whole_secs(600);
         plan
     }
@@ -30,20 +30,20 @@
     pub fn leader_dies(members: u32) -> Plan {
         Plan {
             members,
-            trouble: TimeDelta::from_whole_secs(120),
-            strike_every: TimeDelta::from_whole_secs(6),
-            troubles: vec![Trouble::CrashLeader],
-            loss: 0,
-            twice: 0,
-            delay: TimeDelta::from_millis(1),
+            fault_time: TimeDelta::from_whole_secs(120),
+            fault_every: TimeDelta::from_whole_secs(6),
+            faults: vec![Fault::CrashLeader],
+            loss_per_mille: 0,
+            duplicate_per_mille: 0,
+            max_delay: TimeDelta::from_millis(1),
             ..Plan::default()
         }
     }
 
     /// Shorter, for many seeds in little time.
-    pub fn shorter(mut self, trouble: TimeDelta) -> Plan {
-        self.trouble = trouble;
-        self.calm = TimeDelta::from_whole_secs(10);
+    pub fn shorter(mut self, fault_time: TimeDelta) -> Plan {
+        self.fault_time = fault_time;
+        self.recovery_time = TimeDelta::from_whole_secs(10);
         self.propose_every = TimeDelta::from_millis(80);
         self
     }
--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -1,15 +1,15 @@
 //! The plain application: remembers which proposals it applied, and how often, and a chain over all of them.
 
-use super::App;
-use crate::ready::Entry;
-use crate::repeats::{Repeats, Verdict};
+use super::StateMachine;
+use crate::proposal_dedup::{Dedup, ProposalDedup};
+use crate::ready::CommittedEntry;
 use crate::{ProposalId, Timestamp};
 use std::collections::BTreeMap;
 
 /// Applies records by writing them down.
 #[derive(Debug, Clone, Default)]
-pub struct Recorder {
-    repeats: Repeats,
+pub struct ProposalRecorder {
+    repeats: ProposalDedup,
     /// How often each proposal was applied.
     pub applied: BTreeMap<ProposalId, u32>,
     chain: u64,
@@ -17,10 +17,10 @@
     pub careless: bool,
 }
 
-impl Recorder {
+impl ProposalRecorder {
     /// One that drops repeats, or not.
     pub fn new(careless: bool) -> Self {
-        Recorder { careless, ..Recorder::default() }
+        ProposalRecorder { careless, ..ProposalRecorder::default() }
     }
 }
 
@@ -31,10 +31,10 @@
         .fold(chain, |chain, &byte| (chain ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-impl App for Recorder {
-    fn apply(&mut self, _now: Timestamp, entry: &Entry) {
+impl StateMachine for ProposalRecorder {
+    fn apply(&mut self, _now: Timestamp, entry: &CommittedEntry) {
         let verdict = self.repeats.first(entry.id);
-        if verdict != Verdict::First && !self.careless {
+        if verdict != Dedup::New && !self.careless {
             return;
         }
         *self.applied.entry(entry.id).or_default() += 1;
@@ -59,7 +59,7 @@
 
     fn install(&mut self, bytes: &[u8]) {
         let careless = self.careless;
-        *self = Recorder { careless, ..Recorder::default() };
+        *self = ProposalRecorder { careless, ..ProposalRecorder::default() };
         let word = |at: usize| {
             bytes.get(at..at + 8).map_or(0, |b| b.iter().rev().fold(0, |s, &b| s << 8 | u64::from(b)))
         };
@@ -68,7 +68,7 @@
         }
         self.chain = word(0);
         let repeats = 24 + word(16) as usize;
-        self.repeats = Repeats::decode(&bytes[24..repeats]).unwrap_or_default();
+        self.repeats = ProposalDedup::decode(&bytes[24..repeats]).unwrap_or_default();
         for at in (repeats..bytes.len()).step_by(24) {
             let id = ProposalId { origin: word(at), sequence: word(at + 8) };
             self.applied.insert(id, word(at + 16) as u32);
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -1,10 +1,10 @@
 //! What a run comes to: the end that must hold, and the sums.
 
-use super::check::Violation;
+use super::checker::Violation;
 use super::host::Host;
-use super::recorder::Recorder;
-use super::world::World;
-use super::{App, Plan, Plant};
+use super::recorder::ProposalRecorder;
+use super::simulation::Simulation;
+use super::{InjectedBug, Plan, StateMachine};
 use crate::{MemberId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     /// Proposals told committed, lost, unknown.
     pub outcomes: [u64; 3],
     /// Troubles made.
-    pub strokes: u64,
+    pub faults_injected: u64,
     /// Members replaced.
     pub replaced: u64,
     /// Messages sent.
@@ -35,13 +35,13 @@
     pub unavailable: bool,
 }
 
-impl World<Recorder> {
+impl Simulation<ProposalRecorder> {
     /// Runs a plan under a seed, with the plain application.
     pub fn run(plan: Plan, seed: u64) -> Report {
-        let careless = plan.has(Plant::RepeatsApplied);
-        let mut world = World::new(plan, seed, move |_| Recorder::new(careless));
-        let healed_at = Timestamp::ZERO + world.plan.trouble;
-        let quiet_at = healed_at + world.plan.calm;
+        let careless = plan.has(InjectedBug::RepeatsApplied);
+        let mut world = Simulation::new(plan, seed, move |_| ProposalRecorder::new(careless));
+        let healed_at = Timestamp::ZERO + world.plan.fault_time;
+        let quiet_at = healed_at + world.plan.recovery_time;
         world.run_until(healed_at);
         world.heal();
         world.run_until(quiet_at);
@@ -81,7 +81,7 @@
     }
 }
 
-impl<A: App> World<A> {
+impl<A: StateMachine> Simulation<A> {
     /// Whether a majority of the voters, by the newest list that anybody has, is not out for good.
     fn could_lead(&self) -> bool {
         let lists = self
@@ -116,7 +116,7 @@
             violation: self.check.violation.clone(),
             elections: std::mem::take(&mut self.elections),
             outcomes: self.check.outcomes,
-            strokes: self.nemesis.as_ref().map_or(0, |nemesis| nemesis.strokes),
+            faults_injected: self.nemesis.as_ref().map_or(0, |nemesis| nemesis.faults_injected),
             replaced: self.operator.replaced,
             messages: self.net.sent,
             bytes: self.net.bytes,
--- a/crates/consensus/src/sim/world.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -1,12 +1,12 @@
 //! The world: hosts, network and time, driven by one seed.
 
-use super::check::Checker;
+use super::checker::Checker;
 use super::host::{Host, Start};
-use super::nemesis::{Nemesis, Undo};
-use super::net::Net;
+use super::nemesis::{FaultEnd, Nemesis};
+use super::network::Network;
 use super::operator::Operator;
-use super::recorder::Recorder;
-use super::{draw_around, draw_span, App, Plan, Plant};
+use super::recorder::ProposalRecorder;
+use super::{draw_around, draw_span, InjectedBug, Plan, StateMachine};
 use crate::frame::Frame;
 use crate::ready::Role;
 use crate::{MemberId, ProposalId, TimeDelta, Timestamp};
@@ -35,7 +35,7 @@
     Synced(MemberId, u64),
     Propose,
     Strike,
-    Undo(Undo),
+    FaultEnd(FaultEnd),
     Operate,
 }
 
@@ -59,14 +59,14 @@
 }
 
 /// Hosts, network, time, nemesis and checker of one run.
-pub struct World<A = Recorder> {
+pub struct Simulation<A = ProposalRecorder> {
     pub(crate) rng: ChaCha8Rng,
     /// The plan of the run.
     pub plan: Plan,
     /// One host a node.
     pub hosts: BTreeMap<u32, Host<A>>,
     /// The network.
-    pub net: Net,
+    pub net: Network,
     /// The checker.
     pub check: Checker,
     pub(crate) operator: Operator,
@@ -87,15 +87,15 @@
     make: Box<dyn Fn(MemberId) -> A + Send>,
 }
 
-impl<A: App> World<A> {
+impl<A: StateMachine> Simulation<A> {
     /// A council of founders, all started at time 0; `make` gives a new application at each start of a host.
     pub fn new(plan: Plan, seed: u64, make: impl Fn(MemberId) -> A + Send + 'static) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
         let hosts = founders.iter().map(|&id| (id.node, Host::new(id, make(id), &plan, &mut rng))).collect();
-        let mut world = World {
+        let mut world = Simulation {
             rng,
-            net: Net::new(&plan),
+            net: Network::new(&plan),
             nemesis: Some(Nemesis::new(&plan)),
             hosts,
             check: Checker::default(),
@@ -105,7 +105,7 @@
             events: 0,
             now: Timestamp::ZERO,
             next_proposal: 0,
-            broken: plan.strike_every > TimeDelta::ZERO,
+            broken: plan.fault_every > TimeDelta::ZERO,
             proposing: plan.propose_every > TimeDelta::ZERO,
             leaderless: None,
             unavailable: false,
@@ -224,11 +224,11 @@
     pub fn heal(&mut self) {
         self.broken = false;
         self.net.heal();
-        let sync = self.plan.sync;
+        let sync = self.plan.max_sync_time;
         let ids: Vec<MemberId> = self.hosts.values().map(|host| host.id).collect();
         for id in ids {
             let host = self.host_mut(id);
-            (host.sync, host.full) = (sync, false);
+            (host.max_sync_time, host.full) = (sync, false);
             if host.lying && host.is_up() {
                 // The disk tells the truth from here on; what it swallowed is gone with the machine's memory.
                 host.crash(true);
@@ -236,7 +236,7 @@
             }
             self.host_mut(id).lying = false;
             if self.host(id).stopped {
-                self.undo(Undo::Wake(id));
+                self.undo(FaultEnd::Wake(id));
             }
             self.start(id);
         }
@@ -292,7 +292,7 @@
                     self.work(id);
                 } else {
                     self.crash(id, true);
-                    self.push(now + TimeDelta::from_millis(100), Event::Undo(Undo::Restart(id)));
+                    self.push(now + TimeDelta::from_millis(100), Event::FaultEnd(FaultEnd::Restart(id)));
                 }
             }
             Event::Propose if !self.proposing => {}
@@ -304,7 +304,7 @@
                 self.push(next, Event::Propose);
             }
             Event::Strike => self.strike(),
-            Event::Undo(undo) => self.undo(undo),
+            Event::FaultEnd(undo) => self.undo(undo),
             Event::Operate => {
                 Operator::step(self);
                 let ids: Vec<MemberId> = self.hosts.values().map(|host| host.id).collect();
@@ -315,49 +315,49 @@
     }
 
     fn strike(&mut self) {
-        let every = self.plan.strike_every;
+        let every = self.plan.fault_every;
         if !self.broken || every == TimeDelta::ZERO {
             return;
         }
         let Some(mut nemesis) = self.nemesis.take() else { return };
         let undos = nemesis.strike(self);
         self.nemesis = Some(nemesis);
-        undos.into_iter().for_each(|(at, undo)| self.push(at, Event::Undo(undo)));
+        undos.into_iter().for_each(|(at, undo)| self.push(at, Event::FaultEnd(undo)));
         let next = self.now + draw_around(&mut self.rng, every);
         self.push(next, Event::Strike);
     }
 
-    fn undo(&mut self, undo: Undo) {
+    fn undo(&mut self, undo: FaultEnd) {
         match undo {
-            Undo::Restart(id) => self.start(id),
-            Undo::Cuts(cuts) => cuts.iter().for_each(|cut| {
+            FaultEnd::Restart(id) => self.start(id),
+            FaultEnd::Cuts(cuts) => cuts.iter().for_each(|cut| {
                 self.net.cut.remove(cut);
             }),
-            Undo::Slow(node) => {
+            FaultEnd::Slow(node) => {
                 self.net.slow.remove(&node);
             }
-            Undo::Wake(id) if self.held(id).is_some_and(|host| host.stopped) => {
+            FaultEnd::Wake(id) if self.held(id).is_some_and(|host| host.stopped) => {
                 let now = self.now;
                 if let Some(host) = self.hosts.get_mut(&id.node) {
                     host.wake(now, &mut self.rng, &self.plan);
                 }
                 self.work(id);
             }
-            Undo::Wake(_) => {}
-            Undo::Disk(id) => {
-                let sync = self.plan.sync;
+            FaultEnd::Wake(_) => {}
+            FaultEnd::Disk(id) => {
+                let sync = self.plan.max_sync_time;
                 if let Some(host) = self.hosts.get_mut(&id.node) {
-                    (host.full, host.sync) = (false, sync);
+                    (host.full, host.max_sync_time) = (false, sync);
                 }
             }
-            Undo::CrashLiar(id) if self.held(id).is_some_and(|host| host.lying) => {
+            FaultEnd::CrashLiar(id) if self.held(id).is_some_and(|host| host.lying) => {
                 self.crash(id, true);
                 self.host_mut(id).lying = false;
                 let back = self.now
                     + draw_span(&mut self.rng, TimeDelta::from_millis(10), TimeDelta::from_whole_secs(1));
-                self.push(back, Event::Undo(Undo::Restart(id)));
+                self.push(back, Event::FaultEnd(FaultEnd::Restart(id)));
             }
-            Undo::CrashLiar(_) => {}
+            FaultEnd::CrashLiar(_) => {}
         }
     }
 
@@ -380,7 +380,7 @@
 
     fn send(&mut self, frames: Vec<Frame>) {
         for mut frame in frames {
-            if self.plan.has(Plant::NoCrashVectors) {
+            if self.plan.has(InjectedBug::NoCrashVectors) {
                 frame.0.boots.clear();
             }
             self.check.sent(&frame);
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -1,7 +1,7 @@
-//! The store's half: a [`Batch`] as the ledger's write, and what the ledger gives back as [`Restored`].
+//! The store's half: a [`Batch`] as the ledger's write, and what the ledger gives back as [`RecoveredState`].
 
 use crate::ready::{Batch, Snapshot};
-use crate::settings::Restored;
+use crate::settings::RecoveredState;
 use crate::wire;
 use prost::Message as _;
 use sprucelink_wal as wal;
@@ -44,8 +44,8 @@
 ///
 /// # Errors
 /// When it does not hold a council's state.
-pub fn restored(from: wal::Recovered) -> Result<Restored, NotOurs> {
-    let state = wire::State::decode(from.state.as_slice()).map_err(|_| NotOurs("state"))?;
+pub fn restored(from: wal::Recovered) -> Result<RecoveredState, NotOurs> {
+    let state = wire::PersistentState::decode(from.state.as_slice()).map_err(|_| NotOurs("state"))?;
     let snapshot = match from.snapshot {
         None => None,
         Some(base) => Some(
@@ -62,5 +62,5 @@
         Ok(wire::Entry { index: entry.index, term: entry.term, kind: u32::from(*kind), data: data.to_vec() })
     };
     let entries = from.entries.into_iter().map(entry).collect::<Result<_, NotOurs>>()?;
-    Ok(Restored { writes: from.sequence, state, snapshot, entries })
+    Ok(RecoveredState { writes: from.sequence, state, snapshot, entries })
 }
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sprucelink_consensus::limits::MAX_FRAME_BYTES;
-use sprucelink_consensus::wire::{envelope::Body, Envelope, Hello, RaftMessage, Welcome};
+use sprucelink_consensus::wire::{envelope::Body, Envelope, RaftMessage, RejoinRequest, RejoinResponse};
 use sprucelink_consensus::{
-    Config, Council, Decoder, Frame, FrameError, MemberId, Restored, Timestamp, Timing,
+    Config, Decoder, Frame, FrameError, MemberId, Node, RecoveredState, Timestamp, Timing,
 };
 
 fn config() -> ProptestConfig {
@@ -22,16 +22,16 @@
 }
 
 /// A member that has been vouched for by the others.
-fn established() -> Council {
+fn established() -> Node {
     let founders = vec![member(1), member(2), member(3)];
     let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-    let mut council = Council::new(config, Restored::default(), 1, Timestamp::ZERO).unwrap();
+    let mut council = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
     assert!(council.trust_disk());
     settle(&mut council);
     council
 }
 
-fn settle(council: &mut Council) {
+fn settle(council: &mut Node) {
     for _ in 0..100 {
         let Some(ready) = council.ready() else { return };
         if let Some(batch) = ready.persist {
@@ -76,9 +76,9 @@
     let mut decoder = Decoder::default();
     decoder.push(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
     assert_eq!(decoder.next_frame(), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
-    decoder.push(&frame(2, 1, Body::Hello(Hello::default())).encode());
+    decoder.push(&frame(2, 1, Body::RejoinRequest(RejoinRequest::default())).encode());
     assert!(decoder.next_frame().is_err(), "after an error nothing more is read");
-    let mut other = frame(2, 1, Body::Hello(Hello::default()));
+    let mut other = frame(2, 1, Body::RejoinRequest(RejoinRequest::default()));
     other.0.version = 2;
     let mut decoder = Decoder::default();
     decoder.push(&other.encode());
@@ -103,7 +103,7 @@
     /// Frames come out as they went in, however they are cut; turned bits give an error or another frame.
     #[test]
     fn frames_pass(nonces in proptest::collection::vec(any::<u64>(), 1..6), cut in 1usize..50, flip in any::<usize>()) {
-        let frames: Vec<Frame> = nonces.iter().map(|&nonce| frame(2, 3, Body::Hello(Hello { nonce, term: 4 }))).collect();
+        let frames: Vec<Frame> = nonces.iter().map(|&nonce| frame(2, 3, Body::RejoinRequest(RejoinRequest { nonce, term: 4 }))).collect();
         let bytes: Vec<u8> = frames.iter().flat_map(Frame::encode).collect();
         let mut decoder = Decoder::default();
         let mut read = Vec::new();
@@ -140,16 +140,16 @@
     fn probation_stands_lies(figures in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
         let founders = vec![member(1), member(2), member(3)];
         let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-        let mut council = Council::new(config, Restored::default(), 1, Timestamp::ZERO).unwrap();
+        let mut council = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
         let nonce = council.ready().unwrap().send_now.iter().find_map(|frame| match &frame.0.body {
-            Some(Body::Hello(hello)) => Some(hello.nonce),
+            Some(Body::RejoinRequest(hello)) => Some(hello.nonce),
             _ => None,
         });
         for (at, (boot, term, last_term, last_index, established, accepted)) in figures.into_iter().enumerate() {
-            let your_boot = if accepted { 1 } else { boot };
+            let known_boot = if accepted { 1 } else { boot };
             let nonce = nonce.unwrap();
-            let welcome = Welcome { nonce, your_boot, term, last_term, last_index, established, accepted, ..Welcome::default() };
-            council.step(Timestamp::from_micros(at as i64), member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::Welcome(welcome)));
+            let welcome = RejoinResponse { nonce, known_boot, term, last_term, last_index, established, accepted, ..RejoinResponse::default() };
+            council.step(Timestamp::from_micros(at as i64), member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::RejoinResponse(welcome)));
             settle(&mut council);
         }
     }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_consensus::sim::{Plan, Recorder, World};
-use sprucelink_consensus::vouch::{Answer, Probation};
-use sprucelink_consensus::wire::{envelope::Body, Boot, Envelope, Hello};
+use sprucelink_consensus::rejoin::{RejoinAnswer, RejoinQuorum};
+use sprucelink_consensus::sim::{Plan, ProposalRecorder, Simulation};
+use sprucelink_consensus::wire::{envelope::Body, Boot, Envelope, RejoinRequest};
 use sprucelink_consensus::{
-    Alarm, Change, ChangeKind, Config, Frame, MemberError, MemberId, Members, ProposalId, ProposeError,
-    Repeats, Role, SettingsError, SnapshotError, TimeDelta, Timestamp, Timing, Verdict,
+    Alarm, ConfChange, ConfChangeKind, Config, ConfigError, Dedup, Frame, MemberError, MemberId, Membership,
+    ProposalDedup, ProposalId, ProposeError, Role, SnapshotError, TimeDelta, Timestamp, Timing,
 };
 use std::collections::BTreeSet;
 
@@ -15,18 +15,18 @@
     MemberId::new(node, 1)
 }
 
-fn list(nodes: std::ops::RangeInclusive<u32>) -> Members {
+fn list(nodes: std::ops::RangeInclusive<u32>) -> Membership {
     let voters: Vec<MemberId> = nodes.map(member).collect();
     let incarnations = voters.iter().map(|voter| (voter.node, 1)).collect();
-    Members { voters, learners: vec![], incarnations }
+    Membership { voters, learners: vec![], incarnations }
 }
 
-fn answer(term: u64, last: (u64, u64), established: bool) -> Answer {
-    Answer { term, last, floors: vec![], established, quarantined: false, members: (1, list(1..=5)) }
+fn answer(term: u64, last: (u64, u64), established: bool) -> RejoinAnswer {
+    RejoinAnswer { term, last, floors: vec![], established, quarantined: false, members: (1, list(1..=5)) }
 }
 
-fn probation() -> Probation {
-    Probation::new(member(1), (1, list(1..=5)), Timestamp::ZERO, TimeDelta::from_whole_secs(10))
+fn probation() -> RejoinQuorum {
+    RejoinQuorum::new(member(1), (1, list(1..=5)), Timestamp::ZERO, TimeDelta::from_whole_secs(10))
 }
 
 #[test]
@@ -66,10 +66,10 @@
 #[test]
 fn a_newer_list_counts_and_who_is_gone_sets_no_floor() {
     let mut probation = probation();
-    let newer = |last| Answer { members: (50, list(1..=3)), ..answer(4, last, true) };
+    let newer = |last| RejoinAnswer { members: (50, list(1..=3)), ..answer(4, last, true) };
     probation.answer(member(2), newer((4, 60)));
     assert_eq!(probation.outcome(Timestamp::ZERO), None);
-    let told = Answer { floors: vec![(member(2), (4, 99))], ..newer((4, 61)) };
+    let told = RejoinAnswer { floors: vec![(member(2), (4, 99))], ..newer((4, 61)) };
     probation.answer(member(3), told);
     assert_eq!(
         probation.outcome(Timestamp::ZERO).unwrap().floors.log(),
@@ -85,36 +85,37 @@
 #[test]
 fn lists_of_members_keep_their_rules() {
     let mut members = list(1..=3);
-    let change = |kind, node, incarnation| Change { kind, member: MemberId::new(node, incarnation) };
-    assert!(members.objection(change(ChangeKind::Remove, 1, 1)).is_some(), "three stay");
-    assert!(members.objection(change(ChangeKind::AddLearner, 2, 1)).is_some(), "that incarnation was in");
-    assert!(members.objection(change(ChangeKind::Promote, 4, 1)).is_some(), "not a learner");
-    assert!(members.objection(change(ChangeKind::AddLearner, 2, 2)).is_none());
+    let change = |kind, node, incarnation| ConfChange { kind, member: MemberId::new(node, incarnation) };
+    assert!(members.objection(change(ConfChangeKind::Remove, 1, 1)).is_some(), "three stay");
+    assert!(members.objection(change(ConfChangeKind::AddLearner, 2, 1)).is_some(), "that incarnation was in");
+    assert!(members.objection(change(ConfChangeKind::Promote, 4, 1)).is_some(), "not a learner");
+    assert!(members.objection(change(ConfChangeKind::AddLearner, 2, 2)).is_none());
     members.learners.push(MemberId::new(2, 2));
-    assert!(members.objection(change(ChangeKind::Promote, 2, 2)).is_none());
-    assert!(list(1..=7).objection(change(ChangeKind::Promote, 8, 1)).is_some());
+    assert!(members.objection(change(ConfChangeKind::Promote, 2, 2)).is_none());
+    assert!(list(1..=7).objection(change(ConfChangeKind::Promote, 8, 1)).is_some());
 }
 
 #[test]
 fn settings_out_of_range_are_named() {
     let timing = Timing { election_ticks: 5, heartbeat_ticks: 2, ..Timing::default() };
-    let wrong = SettingsError::OutOfRange { what: "election_ticks", value: 5, low: 6, high: 100 };
+    let wrong = ConfigError::OutOfRange { what: "election_ticks", value: 5, low: 6, high: 100 };
     assert_eq!(timing.check(), Err(wrong));
     let config =
         |founders| Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-    assert_eq!(config(vec![member(1), member(2)]).check(), Err(SettingsError::Founders(2)));
+    assert_eq!(config(vec![member(1), member(2)]).check(), Err(ConfigError::Founders(2)));
     assert_eq!(
         config(vec![member(1), member(2), MemberId::new(2, 2)]).check(),
-        Err(SettingsError::Founders(3))
+        Err(ConfigError::Founders(3))
     );
-    assert_eq!(config(vec![member(1), member(0), member(2)]).check(), Err(SettingsError::Name));
+    assert_eq!(config(vec![member(1), member(0), member(2)]).check(), Err(ConfigError::Name));
     assert_eq!(config(vec![]).check(), Ok(()));
 }
 
 /// A council of three in which all is well, two seconds on.
-fn calm() -> (World<Recorder>, MemberId, MemberId, MemberId) {
-    let mut world =
-        World::new(Plan { strike_every: TimeDelta::ZERO, ..Plan::honest(3) }, 5, |_| Recorder::default());
+fn calm() -> (Simulation<ProposalRecorder>, MemberId, MemberId, MemberId) {
+    let mut world = Simulation::new(Plan { fault_every: TimeDelta::ZERO, ..Plan::honest(3) }, 5, |_| {
+        ProposalRecorder::default()
+    });
     world.run_until(Timestamp::from_whole_secs(3));
     world.heal();
     world.proposing = false;
@@ -124,7 +125,7 @@
     (world, leader, others[0], others[1])
 }
 
-fn council(world: &mut World<Recorder>, id: MemberId) -> &mut sprucelink_consensus::Council {
+fn council(world: &mut Simulation<ProposalRecorder>, id: MemberId) -> &mut sprucelink_consensus::Node {
     world.host_mut(id).council.as_mut().unwrap()
 }
 
@@ -134,14 +135,14 @@
     let (mut world, leader, teller, restarted) = calm();
     let now = world.now() + world.host(leader).offset;
     let council = council(&mut world, leader);
-    let matched = |council: &sprucelink_consensus::Council| {
+    let matched = |council: &sprucelink_consensus::Node| {
         council.progress().into_iter().find(|(id, _)| *id == restarted).map(|(_, index)| index)
     };
     assert!(matched(council).unwrap() > 1);
     let boots = vec![Boot { member: restarted.raw(), boot: 1000, nonce: 7 }];
     let (from, to) = (teller.raw(), leader.raw());
     // Any frame tells it; this one is a hello that itself asks for nothing new.
-    let body = Some(Body::Hello(Hello { nonce: 1, term: 1 }));
+    let body = Some(Body::RejoinRequest(RejoinRequest { nonce: 1, term: 1 }));
     let frame = Frame(Envelope { version: 1, from, to, boot: 1, boots, body, ..Envelope::default() });
     council.step(now, teller, frame);
     assert_eq!(council.role(), Some(Role::Leader));
@@ -158,7 +159,7 @@
     council.tick(Timestamp::ZERO + offset + TimeDelta::from_whole_secs(9));
     assert_eq!(council.leader(), None);
     let ready = council.ready().unwrap();
-    assert!(ready.alarms.iter().any(|alarm| matches!(alarm, Alarm::Stopped { .. })));
+    assert!(ready.alarms.iter().any(|alarm| matches!(alarm, Alarm::LeaderPaused { .. })));
     let id = ProposalId { origin: 1, sequence: 1 };
     assert_eq!(council.propose(vec![1], id), Err(ProposeError::NotLeader { leader: None }));
 }
@@ -191,18 +192,18 @@
     /// Against a plain set: first times are told as such, repeats never, whatever the order within the window.
     #[test]
     fn repeats_are_told(steps in proptest::collection::vec((0u64..3, 0u64..400), 1..200), jump in 1u64..2000) {
-        let (mut repeats, mut seen) = (Repeats::default(), BTreeSet::new());
+        let (mut repeats, mut seen) = (ProposalDedup::default(), BTreeSet::new());
         for (at, (origin, sequence)) in steps.into_iter().enumerate() {
             let id = ProposalId { origin, sequence: sequence + (at as u64 / 100) * jump };
             let verdict = repeats.first(id);
-            prop_assert_eq!(verdict == Verdict::First, verdict != Verdict::TooOld && !seen.contains(&id));
-            if verdict == Verdict::First {
+            prop_assert_eq!(verdict == Dedup::New, verdict != Dedup::TooOld && !seen.contains(&id));
+            if verdict == Dedup::New {
                 seen.insert(id);
             }
-            if verdict == Verdict::TooOld {
+            if verdict == Dedup::TooOld {
                 prop_assert!(seen.iter().any(|held| held.origin == origin && held.sequence >= id.sequence + 512));
             }
-            repeats = Repeats::decode(&repeats.encode()).unwrap();
+            repeats = ProposalDedup::decode(&repeats.encode()).unwrap();
         }
     }
 }
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -1,6 +1,6 @@
 //! Seeded runs of whole councils in virtual time. CI holds a few hundred seeds; `examples/seeds.rs` runs as many as wanted.
 
-use sprucelink_consensus::sim::{Plan, Plant, Report, Trouble, World};
+use sprucelink_consensus::sim::{Fault, InjectedBug, Plan, Report, Simulation};
 use sprucelink_consensus::TimeDelta;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -17,7 +17,7 @@
                 if seed >= seeds.end || (stop_at_first && found) {
                     return;
                 }
-                let report = World::run(plan.clone(), seed);
+                let report = Simulation::run(plan.clone(), seed);
                 all.lock().unwrap().push((seed, report));
             });
         }
@@ -33,9 +33,13 @@
         .filter_map(|(seed, report)| Some(format!("seed {seed}: {}", report.violation.as_ref()?)))
         .collect();
     assert!(broken.is_empty(), "{}", broken.join("\n"));
-    let (strokes, committed): (u64, u64) =
-        all.iter().fold((0, 0), |sum, (_, report)| (sum.0 + report.strokes, sum.1 + report.outcomes[0]));
-    assert!(strokes >= 3 * all.len() as u64 && committed >= 20 * all.len() as u64, "{strokes} {committed}");
+    let (faults_injected, committed): (u64, u64) = all
+        .iter()
+        .fold((0, 0), |sum, (_, report)| (sum.0 + report.faults_injected, sum.1 + report.outcomes[0]));
+    assert!(
+        faults_injected >= 3 * all.len() as u64 && committed >= 20 * all.len() as u64,
+        "{faults_injected} {committed}"
+    );
 }
 
 /// A planted fault must show within so many seeds.
@@ -70,7 +74,7 @@
 /// The same seed gives the same run, to the last message.
 #[test]
 fn a_seed_replays() {
-    let run = || World::run(Plan::one_liar(5).shorter(TimeDelta::from_whole_secs(6)), 77);
+    let run = || Simulation::run(Plan::one_liar(5).shorter(TimeDelta::from_whole_secs(6)), 77);
     let (one, two) = (run(), run());
     assert_eq!(
         (one.messages, one.bytes, one.outcomes, &one.elections, &one.alarms, one.last),
@@ -88,52 +92,50 @@
 }
 
 /// A short plan with crashes only, thick enough for a planted fault to bite.
-fn crashing(members: u32, plants: &[Plant]) -> Plan {
+fn crashing(members: u32, bugs: &[InjectedBug]) -> Plan {
     Plan {
-        plants: plants.to_vec(),
-        troubles: vec![
-            Trouble::Crash,
-            Trouble::CrashMany,
-            Trouble::CrashLeader,
-            Trouble::Split,
-            Trouble::Deaf,
-        ],
-        strike_every: TimeDelta::from_millis(400),
-        sync: TimeDelta::from_millis(20),
+        bugs: bugs.to_vec(),
+        faults: vec![Fault::Crash, Fault::CrashMany, Fault::CrashLeader, Fault::Split, Fault::Deaf],
+        fault_every: TimeDelta::from_millis(400),
+        max_sync_time: TimeDelta::from_millis(20),
         ..Plan::honest(members).shorter(TimeDelta::from_whole_secs(8))
     }
 }
 
 #[test]
 fn a_vote_not_kept_is_caught() {
-    caught(crashing(3, &[Plant::VoteNotKept, Plant::TrustDisk]), 400, "votes twice");
+    caught(
+        crashing(3, &[InjectedBug::VoteNotKept, InjectedBug::TrustDisk]),
+        400,
+        "votes duplicate_per_mille",
+    );
 }
 
 #[test]
 fn words_before_the_disk_are_caught() {
-    caught(crashing(3, &[Plant::AckBeforeSync, Plant::TrustDisk]), 400, "");
+    caught(crashing(3, &[InjectedBug::AckBeforeSync, InjectedBug::TrustDisk]), 400, "");
 }
 
 #[test]
 fn a_forgetful_disk_without_check_and_floors_is_caught() {
     let mut plan = Plan::one_liar(3).shorter(TimeDelta::from_whole_secs(8));
-    plan.plants = vec![Plant::TrustDisk];
+    plan.bugs = vec![InjectedBug::TrustDisk];
     caught(plan, 400, "");
 }
 
 #[test]
 fn repeats_that_are_applied_are_caught() {
     let mut plan = Plan::honest(3).shorter(TimeDelta::from_whole_secs(4));
-    (plan.plants, plan.twice) = (vec![Plant::RepeatsApplied], 200);
+    (plan.bugs, plan.duplicate_per_mille) = (vec![InjectedBug::RepeatsApplied], 200);
     caught(plan, 40, "times");
 }
 
 #[test]
 fn a_proposal_taken_in_another_term_is_caught() {
     // The late copy must find the member that led leading anew, in a later term.
-    let mut plan = crashing(3, &[Plant::AnyTermProposals]);
-    plan.troubles = vec![Trouble::Transfer, Trouble::Transfer, Trouble::Slow, Trouble::Deaf];
-    (plan.delay, plan.twice, plan.loss, plan.propose_every) =
+    let mut plan = crashing(3, &[InjectedBug::AnyTermProposals]);
+    plan.faults = vec![Fault::Transfer, Fault::Transfer, Fault::Slow, Fault::Deaf];
+    (plan.max_delay, plan.duplicate_per_mille, plan.loss_per_mille, plan.propose_every) =
         (TimeDelta::from_millis(100), 500, 0, TimeDelta::from_millis(15));
     caught(plan, 200, "lost");
 }
