--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -2,8 +2,7 @@
 //! manager. `sprucelink_hot_restart` decides who takes connections and what each may spend, and keeps the files by which
 //! the two know of each other; here its word is carried out.
 
-use crate::core::now;
-use crate::core::request_table::Core;
+use crate::core::{now, Core};
 use crate::front::Front;
 use sprucelink_hot_restart::{
     adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
@@ -174,7 +173,7 @@
         };
         if !wait {
             self.told.set((parts, None));
-            self.core.parted(parts);
+            self.core.set_process_count(parts);
         }
     }
 
