--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -7,8 +7,8 @@
 use super::gossip_facts::GossipWindows;
 use super::request::{RejectReason, Request, Response};
 use super::zone_routing::{Observer, ZoneRouting};
+use crate::proto::engine_answer::EngineAnswerError;
 use crate::proto::events::ListEvent;
-use crate::proto::Malformed;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult};
 use sprucelink_membership::facts::Facts;
@@ -304,7 +304,11 @@
         self.coordinator.borrow_mut().on_connection_up(connection);
     }
 
-    fn on_answer(self: &Rc<Self>, connection: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed> {
+    fn on_answer(
+        self: &Rc<Self>,
+        connection: &EngineConnection,
+        parts: &[&[u8]],
+    ) -> Result<(), EngineAnswerError> {
         self.coordinator.borrow_mut().on_answer(self, connection, parts)
     }
 
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -3,23 +3,13 @@
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{EngineConnection, Withdrawal};
 use super::result_buffer::{ResultSet, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
-use crate::proto::resp::{self, Answer, How, Stats, Word};
-use crate::proto::Malformed;
+use crate::proto::engine_answer::{
+    is_page, AnswerKind, EngineAnswer, EngineAnswerError, LoadStats, QueryCost, UpdateTopic,
+};
+use crate::proto::engine_command as command;
 use sprucelink_policy::{Outcome, TimeDelta, Timestamp};
 use std::rc::Rc;
 
-/// Commands on an attempt, as the engines' protocol names them.
-mod command {
-    /// Cancels an attempt that is not served yet.
-    pub(super) const CANCEL: &[u8] = b"undo";
-    /// Releases the result of a served attempt at its engine.
-    pub(super) const RELEASE_RESULT: &[u8] = b"forget";
-    /// Asks for a further page of a result.
-    pub(super) const PAGE: &[u8] = b"page";
-    /// Sets the priority of an attempt.
-    pub(super) const SET_PRIORITY: &[u8] = b"bump";
-}
-
 /// A cancelled attempt stays in flight for this long after its cancellation was sent: it must reach its engine before
 /// the next attempt reaches another. Paths differ by under 2 ms, and by more when a machine is busy.
 pub(super) const CANCELLATION_GRACE: TimeDelta = TimeDelta::from_micros(10_000);
@@ -72,15 +62,6 @@
     }
 }
 
-/// What a query needed, as its engine reports it.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QueryCost {
-    /// Work in milliseconds on one core.
-    pub work_ms: f64,
-    /// Memory in MB.
-    pub memory_mb: f64,
-}
-
 /// A cancellation under way.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cancellation {
@@ -98,7 +79,7 @@
     /// A progress note.
     Progress {
         /// What it is about.
-        kind: How,
+        kind: UpdateTopic,
         /// Its value.
         value: f64,
     },
@@ -119,7 +100,7 @@
     /// What the query needed, once the engine has told.
     pub(super) cost: Option<QueryCost>,
     /// The engine's last load report.
-    pub(super) load_report: Stats,
+    pub(super) load_report: LoadStats,
     /// The first page of its result is here.
     pub(super) is_served: bool,
     /// Its cancellation, if it was cancelled.
@@ -137,7 +118,7 @@
             sent_at,
             result: ResultSet::default(),
             cost: None,
-            load_report: Stats::default(),
+            load_report: LoadStats::default(),
             is_served: false,
             cancellation: None,
             cancelled_outcome: AttemptOutcome::Cancelled,
@@ -209,25 +190,25 @@
         &mut self,
         pool: &BufferPool,
         id: u64,
-        answer: &Answer,
-    ) -> Result<AnswerEffect, Malformed> {
-        match answer.word {
-            Word::Update { how: Some(kind), num } => Ok(AnswerEffect::Progress { kind, value: num }),
-            Word::Update { how: None, .. } | Word::Green => Ok(AnswerEffect::None),
-            Word::Other => Err(Malformed::field("word", "is not known")),
-            Word::Overload => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
-            Word::Nobody => Ok(self.on_rejection(AttemptOutcome::NeverRan, answer)),
-            Word::Crashed => {
+        answer: &EngineAnswer,
+    ) -> Result<AnswerEffect, EngineAnswerError> {
+        match answer.kind {
+            AnswerKind::Update { topic: Some(kind), value } => Ok(AnswerEffect::Progress { kind, value }),
+            AnswerKind::Update { topic: None, .. } | AnswerKind::Pong => Ok(AnswerEffect::None),
+            AnswerKind::Unknown => Err(EngineAnswerError::UnknownWord),
+            AnswerKind::Overloaded => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
+            AnswerKind::NotRun => Ok(self.on_rejection(AttemptOutcome::NeverRan, answer)),
+            AnswerKind::Crashed => {
                 self.load_report = answer.stats;
                 Ok(AnswerEffect::Ended(AttemptOutcome::EngineError))
             }
-            Word::Served { pages } => self.on_first_page(pool, id, pages, answer),
-            Word::Rows { page } => self.on_further_page(pool, id, page, answer),
+            AnswerKind::Completed { pages } => self.on_first_page(pool, id, pages, answer),
+            AnswerKind::Page { number: page } => self.on_further_page(pool, id, page, answer),
         }
     }
 
     /// The engine did not run it; once it is served this can only be the answer to a duplicate.
-    fn on_rejection(&mut self, outcome: AttemptOutcome, answer: &Answer) -> AnswerEffect {
+    fn on_rejection(&mut self, outcome: AttemptOutcome, answer: &EngineAnswer) -> AnswerEffect {
         if self.is_served {
             return AnswerEffect::None;
         }
@@ -240,8 +221,8 @@
         pool: &BufferPool,
         id: u64,
         pages: usize,
-        answer: &Answer,
-    ) -> Result<AnswerEffect, Malformed> {
+        answer: &EngineAnswer,
+    ) -> Result<AnswerEffect, EngineAnswerError> {
         if self.cancellation.is_some() && pages > 1 {
             // The further pages are not wanted any more.
             self.release_result(pool, id);
@@ -254,7 +235,7 @@
         self.check_page(answer.body)?;
         self.is_served = true;
         self.load_report = answer.stats;
-        self.cost = answer.bill.map(|(work_ms, memory_mb)| QueryCost { work_ms, memory_mb });
+        self.cost = answer.cost;
         self.result.expect_pages(pages);
         for page in 1..pages {
             let page = page.to_string();
@@ -268,27 +249,27 @@
         pool: &BufferPool,
         id: u64,
         page: usize,
-        answer: &Answer,
-    ) -> Result<AnswerEffect, Malformed> {
+        answer: &EngineAnswer,
+    ) -> Result<AnswerEffect, EngineAnswerError> {
         if self.cancellation.is_some() || !self.is_served {
             return Ok(AnswerEffect::None);
         }
         match self.result.has_page(page) {
             Some(false) => {}
             Some(true) => return Ok(AnswerEffect::None),
-            None => return Err(Malformed::field("batch", "is out of place")),
+            None => return Err(EngineAnswerError::PageOutOfRange),
         }
         self.check_page(answer.body)?;
         Ok(self.store_page(pool, id, page, answer.body))
     }
 
     /// Checks that a page has whole rows and that the result stays within its bound.
-    fn check_page(&self, body: &[u8]) -> Result<(), Malformed> {
-        if body.len() > MAX_PAGE_BYTES || !resp::is_page(body) {
-            return Err(Malformed::field("body", "is no page of whole rows"));
+    fn check_page(&self, body: &[u8]) -> Result<(), EngineAnswerError> {
+        if body.len() > MAX_PAGE_BYTES || !is_page(body) {
+            return Err(EngineAnswerError::InvalidPage);
         }
         if self.result.len() + body.len() > MAX_RESULT_BYTES {
-            return Err(Malformed::field("body", "makes the result longer than any may be"));
+            return Err(EngineAnswerError::ResultTooLong);
         }
         Ok(())
     }
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,9 +1,7 @@
 //! Attempts: each is sent once, cancelled at most once, and ends once.
 
 use super::{ConnectionRuntime, Coordinator};
-use crate::core::attempt::{
-    format_id, release_result, AnswerEffect, AttemptOutcome, InFlightAttempt, QueryCost,
-};
+use crate::core::attempt::{format_id, release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
 use crate::core::buffer_pool::BufferPool;
 use crate::core::clock::now;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
@@ -11,8 +9,8 @@
 use crate::core::request::Response;
 use crate::core::request_table::PendingRequest;
 use crate::core::send_guard::OutgoingAttempt;
-use crate::proto::resp::{self, Stats, Word};
-use crate::proto::Malformed;
+use crate::proto::engine_answer::{read_answer, AnswerKind, EngineAnswerError, LoadStats, QueryCost};
+use crate::proto::engine_command::{self, QueryFields};
 use sprucelink_policy::TimeDelta;
 use std::rc::Rc;
 use tracing::{debug, error, warn};
@@ -27,14 +25,14 @@
     /// What the query needed, where the engine has told.
     cost: Option<QueryCost>,
     /// The engine's load report.
-    load_report: Stats,
+    load_report: LoadStats,
 }
 
 impl AttemptEnd {
     /// The end of an attempt that was never queued to a connection.
     fn unsent(attempt: u32, outcome: AttemptOutcome) -> AttemptEnd {
         let latency = TimeDelta::ZERO;
-        AttemptEnd { attempt, outcome, latency, cost: None, load_report: Stats::default() }
+        AttemptEnd { attempt, outcome, latency, cost: None, load_report: LoadStats::default() }
     }
 }
 
@@ -65,7 +63,7 @@
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
         let name = format_id(id);
         let fields = format_fields(request, time_left);
-        let command = [b"do", name.as_bytes(), fields.as_bytes(), &request.statement[..]];
+        let command = [engine_command::QUERY, name.as_bytes(), fields.as_bytes(), &request.statement[..]];
         if !connection.send(runtime.pool(), id, attempt, &command) {
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
@@ -224,7 +222,7 @@
         runtime: &dyn ConnectionRuntime,
         connection: &EngineConnection,
         parts: &[&[u8]],
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), EngineAnswerError> {
         let id = parse_id(parts.first().copied())?;
         if let Some(engine) = self.engines.get_mut(connection.engine) {
             engine.last_heard_at = Some(now());
@@ -233,7 +231,7 @@
             release_late_result(runtime.pool(), connection, id, parts);
             return Ok(());
         };
-        let answer = resp::read_answer(parts)?;
+        let answer = read_answer(parts)?;
         let effect = match self.requests.attempt_mut(id, number) {
             Some(attempt) => attempt.on_answer(runtime.pool(), id, &answer)?,
             None => AnswerEffect::None,
@@ -251,10 +249,10 @@
 }
 
 /// The id of the request that an answer names.
-fn parse_id(name: Option<&[u8]>) -> Result<u64, Malformed> {
+fn parse_id(name: Option<&[u8]>) -> Result<u64, EngineAnswerError> {
     let text = name.and_then(|name| std::str::from_utf8(name).ok()).filter(|text| text.len() == 16);
     let id = text.and_then(|text| u64::from_str_radix(text, 16).ok());
-    id.ok_or_else(|| Malformed::field("id", "is not 16 hex digits"))
+    id.ok_or(EngineAnswerError::InvalidId)
 }
 
 /// Releases the result that a late answer to an ended attempt announces.
@@ -262,23 +260,22 @@
     if !connection.has_ended_unserved(id) {
         return;
     }
-    let Ok(answer) = resp::read_answer(parts) else { return };
-    if matches!(answer.word, Word::Served { pages } if pages > 1) {
+    let Ok(answer) = read_answer(parts) else { return };
+    if matches!(answer.kind, AnswerKind::Completed { pages } if pages > 1) {
         release_result(connection, pool, id);
     }
 }
 
-/// The fields of the command that sends an attempt, as the engines' protocol names them.
+/// The fields of the command that sends an attempt.
 fn format_fields(request: &PendingRequest, time_left: TimeDelta) -> String {
-    let mut fields = format!("class={},wait={}", request.class_name, time_left.as_millis().max(1));
-    if let Some(key) = &request.idempotency_key {
-        fields.push_str(&format!(",once={key}"));
-    }
-    if let Some(mb) = request.memory_grant_mb {
-        fields.push_str(&format!(",mb={}", mb.ceil().max(1.0)));
-    }
-    fields.push_str(&format!(",nice={}", request.priority));
-    fields
+    let fields = QueryFields {
+        class: &request.class_name,
+        time_left_ms: time_left.as_millis(),
+        idempotency_key: request.idempotency_key.as_deref(),
+        memory_grant_mb: request.memory_grant_mb,
+        priority: request.priority,
+    };
+    fields.to_string()
 }
 
 fn log_end(
@@ -297,7 +294,7 @@
         level = request.priority,
         left_ms = (request.deadline - now()).as_millis(),
         answered = !request.is_awaited(),
-        inflight = attempt.load_report.inflight,
+        inflight = attempt.load_report.in_flight,
         ms,
         "attempt ended as {outcome:?} after {ms} ms"
     );
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -3,7 +3,7 @@
 
 use super::{ConnectionRuntime, Coordinator};
 use crate::core::clock::now;
-use crate::proto::events::{ListEvent, Member, Phase};
+use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use sprucelink_cordon::{
     Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult, Target,
 };
@@ -100,8 +100,8 @@
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
-                Phase::Gone => self.cordons.note_unlisted(&member.id),
-                Phase::Ready | Phase::Draining => self.cordons.note_listed(&member.id),
+                EndpointPhase::Gone => self.cordons.note_unlisted(&member.id),
+                EndpointPhase::Ready | EndpointPhase::Draining => self.cordons.note_listed(&member.id),
             }
         }
         if list.complete {
@@ -113,15 +113,16 @@
 
     /// A list with the cordoned engines as draining, where that differs.
     pub(super) fn apply_cordons(&self, list: &ListEvent) -> Option<ListEvent> {
-        let is_cordoned =
-            |member: &Member| member.phase == Phase::Ready && self.cordons.is_engine_cordoned(&member.id);
+        let is_cordoned = |member: &Endpoint| {
+            member.phase == EndpointPhase::Ready && self.cordons.is_engine_cordoned(&member.id)
+        };
         if !list.members.iter().any(is_cordoned) {
             return None;
         }
         let mut effective = list.clone();
         for member in &mut effective.members {
             if is_cordoned(member) {
-                member.phase = Phase::Draining;
+                member.phase = EndpointPhase::Draining;
             }
         }
         Some(effective)
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -6,7 +6,7 @@
 use crate::core::endpoint_list::resolve_duplicates;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
-use crate::proto::events::{ListEvent, Member};
+use crate::proto::events::{Endpoint, ListEvent};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
@@ -190,7 +190,7 @@
     }
 }
 
-fn log_entry(number: usize, effective: &Member, listed: &Member) {
+fn log_entry(number: usize, effective: &Endpoint, listed: &Endpoint) {
     let (id, phase, address) = (&listed.id, listed.phase, &effective.address);
     let cordon = if effective.phase == phase { "" } else { ", taken out" };
     info!(engine = %id, number, "engine {id} is {phase:?} at {address}, number {number}{cordon}");
--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -5,7 +5,7 @@
 use crate::core::result_buffer::ResultSet;
 use crate::core::test_support::{core, core_with, local, member, request};
 use crate::core::Core;
-use crate::proto::events::{ListEvent, Phase};
+use crate::proto::events::{EndpointPhase, ListEvent};
 use crate::proto::resp;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -37,7 +37,7 @@
     // An error here is the end of the connection, too.
     while peer.read_buf(&mut got).await.is_ok_and(|n| n > 0) {}
     let mut ids = Vec::new();
-    while let Ok(Some((parts, len))) = resp::read_array(&got, usize::MAX) {
+    while let Ok(Some(resp::Array { parts, length: len })) = resp::read_array(&got, usize::MAX) {
         if parts[0] == b"do" {
             let id = std::str::from_utf8(parts[1]).expect("text");
             ids.push(u64::from_str_radix(id, 16).expect("an id"));
@@ -84,7 +84,7 @@
         let waiting = connection.unsent_ids();
         assert!(waiting.len() > 10, "{} wait", waiting.len());
         let address = listeners[0].local_addr().expect("an address").to_string();
-        let drain = vec![member("s-1", address, Phase::Draining, 0)];
+        let drain = vec![member("s-1", address, EndpointPhase::Draining, 0)];
         core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: false, members: drain }, false);
         // The one that was sent in part goes on; no other does.
         let begun = connection.unsent_ids();
@@ -113,7 +113,7 @@
         assert!(first.is_dialing() && first.unsent_ids() == [1]);
         let address = listeners[first.engine].local_addr().expect("an address").to_string();
         let started = (crate::core::unix().as_millis()).max(1);
-        let anew = vec![member(&format!("s-{}", first.engine + 1), address, Phase::Ready, started)];
+        let anew = vec![member(&format!("s-{}", first.engine + 1), address, EndpointPhase::Ready, started)];
         core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: false, members: anew }, false);
         let next = connection_of(&core, 1).expect("out again");
         assert!(!Rc::ptr_eq(&first, &next), "it does not wait on the old connection");
@@ -132,7 +132,7 @@
         let first = connection_of(&core, 1).expect("out");
         let other = 1 - first.engine;
         let address = listeners[other].local_addr().expect("an address").to_string();
-        let rest = vec![member(&format!("s-{}", other + 1), address, Phase::Ready, 0)];
+        let rest = vec![member(&format!("s-{}", other + 1), address, EndpointPhase::Ready, 0)];
         core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: true, members: rest }, false);
         assert_eq!(connection_of(&core, 1).expect("out again").engine, other);
         assert_eq!(first.attempt_count(), 0);
@@ -159,7 +159,7 @@
         let (mut peer, _) = listeners[1 - connection.engine].accept().await.expect("the other connection");
         let mut got = Vec::new();
         while peer.read_buf(&mut got).await.is_ok_and(|n| n > 0) {
-            if let Ok(Some((parts, _))) = resp::read_array(&got, usize::MAX) {
+            if let Ok(Some(resp::Array { parts, .. })) = resp::read_array(&got, usize::MAX) {
                 assert_eq!((parts[0], parts[1]), (&b"do"[..], &b"0000000000000001"[..]));
                 break;
             }
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -5,7 +5,7 @@
 use crate::core::engine_connection::ConnectionOwner;
 use crate::core::test_support::{core, local, member, request};
 use crate::core::Core;
-use crate::proto::events::{ListEvent, Phase};
+use crate::proto::events::{EndpointPhase, ListEvent};
 use std::time::Duration;
 
 /// The next attempt is sent a median 26 us after the cancellation, by another path, and may overtake it: two copies of one
@@ -95,15 +95,15 @@
         let (core, engines) = core().await;
         core.coordinator.borrow_mut().engines.set_retention(TimeDelta::ZERO);
         let address = engines[0].local_addr().expect("an address").to_string();
-        let member = |id: u64, phase: Phase| member(&format!("e-{id}"), address.clone(), phase, 0);
+        let member = |id: u64, phase: EndpointPhase| member(&format!("e-{id}"), address.clone(), phase, 0);
         for n in 2..500 {
-            let members = vec![member(n - 1, Phase::Gone), member(n, Phase::Ready)];
+            let members = vec![member(n - 1, EndpointPhase::Gone), member(n, EndpointPhase::Ready)];
             core.on_endpoint_list(&ListEvent { n, revision: 0, complete: false, members }, false);
             tokio::time::sleep(Duration::from_micros(10)).await;
         }
         assert!(core.coordinator.borrow().engines.len() < 10, "{}", core.coordinator.borrow().engines.len());
         // A complete list that names one engine only: the others are gone, and the one that it names is used.
-        let members = vec![member(499, Phase::Ready)];
+        let members = vec![member(499, EndpointPhase::Ready)];
         core.on_endpoint_list(&ListEvent { n: 500, revision: 0, complete: true, members }, false);
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let mut coordinator = core.coordinator.borrow_mut();
@@ -157,7 +157,7 @@
         };
         let first = engine(&core);
         let address = engines[first].local_addr().expect("an address").to_string();
-        let member = member(&format!("s-{}", first + 1), address, Phase::Draining, 0);
+        let member = member(&format!("s-{}", first + 1), address, EndpointPhase::Draining, 0);
         core.on_endpoint_list(
             &ListEvent { n: 2, revision: 0, complete: false, members: vec![member] },
             false,
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -3,7 +3,7 @@
 
 use super::endpoint_watch::{EndpointWatch, UnexpectedStatus};
 use super::{now, to_duration, Core};
-use crate::proto::{events, sse, Malformed};
+use crate::proto::{events, sse};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1;
@@ -38,9 +38,9 @@
     #[error(transparent)]
     Status(#[from] UnexpectedStatus),
     #[error(transparent)]
-    Stream(Malformed),
+    Stream(sse::SseError),
     #[error("an event could not be read")]
-    Event(#[source] Malformed),
+    Event(#[source] events::EventError),
 }
 
 /// Follows the feed for good, one poll at a time, at whatever address it has: a new one is polled at once and the poll of
@@ -131,10 +131,10 @@
     let mut decoded = Vec::new();
     while let Some(frame) = within(watch, async { response.frame().await.transpose() }).await? {
         let Ok(bytes) = frame.into_data() else { continue };
-        let complete_before = decoder.whole();
-        let mut result = decoder.take(&bytes, &mut decoded);
+        let complete_before = decoder.completed();
+        let mut result = decoder.decode(&bytes, &mut decoded);
         loop {
-            watch.on_bytes(decoder.whole() > complete_before, now());
+            watch.on_bytes(decoder.completed() > complete_before, now());
             for event in decoded.drain(..) {
                 apply(core, &event, watch)?;
             }
@@ -146,7 +146,7 @@
                 return Err(PollError::Stream(error));
             }
             skip(core, event, &error);
-            result = decoder.pass(&mut decoded);
+            result = decoder.skip_event(&mut decoded);
         }
     }
     Ok(())
@@ -154,7 +154,7 @@
 
 /// Applies one event; an error where it is to be asked for again. Its number is the one from which the next poll goes on;
 /// only where it has none, the one in its data is used.
-fn apply(core: &Rc<Core>, event: &sse::Sent, watch: &mut EndpointWatch) -> Result<(), PollError> {
+fn apply(core: &Rc<Core>, event: &sse::ServerSentEvent, watch: &mut EndpointWatch) -> Result<(), PollError> {
     let last_event = core.last_event();
     match events::parse(&event.data) {
         Ok(Some(mut list)) => {
@@ -175,7 +175,7 @@
 }
 
 /// Skips an event that cannot be read.
-fn skip(core: &Core, event: Option<u64>, error: &Malformed) {
+fn skip(core: &Core, event: Option<u64>, error: &dyn std::error::Error) {
     error!("feed event skipped: {error}");
     event.into_iter().for_each(|number| core.skip_event(number));
 }
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Reading the endpoint list: what an update says once duplicate entries are resolved.
 
-use crate::proto::events::{ListEvent, Member, Phase};
+use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use std::collections::BTreeMap;
 
 /// Leaves one entry of each engine that a list names more than once: the most cautious, and of several as cautious the
@@ -11,7 +11,7 @@
         let caution = most_cautious.entry(member.id.clone()).or_default();
         *caution = caution_of(member).max(*caution);
     }
-    let mut members: Vec<Member> = list.members.drain(..).rev().collect();
+    let mut members: Vec<Endpoint> = list.members.drain(..).rev().collect();
     members.retain(|member| {
         most_cautious.get(&member.id) == Some(&caution_of(member))
             && most_cautious.remove(&member.id).is_some()
@@ -21,10 +21,10 @@
 }
 
 /// How cautious an entry is: the higher, the less is sent to its engine.
-fn caution_of(member: &Member) -> u8 {
+fn caution_of(member: &Endpoint) -> u8 {
     match member.phase {
-        Phase::Ready => 0,
-        Phase::Draining => 1,
-        Phase::Gone => 2,
+        EndpointPhase::Ready => 0,
+        EndpointPhase::Draining => 1,
+        EndpointPhase::Gone => 2,
     }
 }
--- a/src/core/engine_connection/task.rs
+++ b/src/core/engine_connection/task.rs
@@ -4,7 +4,8 @@
 use super::{ConnectionLimits, EngineConnection, State};
 use crate::core::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
 use crate::core::clock::{now, to_duration};
-use crate::proto::{resp, Malformed};
+use crate::proto::engine_answer::EngineAnswerError;
+use crate::proto::resp;
 use socket2::SockRef;
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::io;
@@ -34,7 +35,11 @@
     ///
     /// # Errors
     /// Where the answer breaks the protocol; the connection is closed then.
-    fn on_answer(self: &Rc<Self>, connection: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed>;
+    fn on_answer(
+        self: &Rc<Self>,
+        connection: &EngineConnection,
+        parts: &[&[u8]],
+    ) -> Result<(), EngineAnswerError>;
     /// The connection has ended. `reason` is empty where that is in order; `is_local`: it was closed by this process.
     fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool);
     /// Whether an attempt may be sent, asked just before its first byte; if not, the owner has withdrawn it. Between the
@@ -230,11 +235,11 @@
     buffer: &Buffer,
 ) -> Result<usize, ConnectionEnd> {
     let mut consumed = 0;
-    while let Some((parts, len)) =
+    while let Some(array) =
         resp::read_array(&buffer[consumed..], BUFFER_BYTES).map_err(ConnectionEnd::unreadable)?
     {
-        owner.on_answer(connection, &parts).map_err(ConnectionEnd::unreadable)?;
-        consumed += len;
+        owner.on_answer(connection, &array.parts).map_err(ConnectionEnd::unreadable)?;
+        consumed += array.length;
     }
     Ok(consumed)
 }
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -102,7 +102,7 @@
         while ids.last() != Some(&999) {
             let n = peer.read_buf(&mut got).await.expect("read");
             assert!(n > 0, "the connection ended");
-            while let Ok(Some((parts, len))) = resp::read_array(&got, BUFFER_BYTES) {
+            while let Ok(Some(resp::Array { parts, length: len })) = resp::read_array(&got, BUFFER_BYTES) {
                 assert!(parts.len() == 4 && parts[3].len() == body.len());
                 ids.push(
                     u64::from_str_radix(std::str::from_utf8(parts[1]).expect("text"), 16).expect("an id"),
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -4,7 +4,7 @@
 
 use super::attempt::AttemptOutcome;
 use super::engine_connection::{ConnectionLimits, EngineConnection};
-use crate::proto::events::{ListEvent, Member, Phase};
+use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     /// When it last answered anything.
     pub(super) last_heard_at: Option<Timestamp>,
     /// Its last entry in the list, before cordons are applied.
-    pub(super) listed_entry: Option<Member>,
+    pub(super) listed_entry: Option<Endpoint>,
     /// It is listed as ready and not cordoned: attempts may be sent to it.
     pub(super) is_ready: bool,
     /// The number of the event that named it last.
@@ -42,14 +42,14 @@
 
     /// Takes over its entry in the list as the policy hears it. Whether it has moved or started anew: its connections
     /// are retired then, for they lead to another process.
-    pub(super) fn apply(&mut self, entry: &Member, now: Timestamp) -> bool {
+    pub(super) fn apply(&mut self, entry: &Endpoint, now: Timestamp) -> bool {
         let address = entry.address.parse().ok();
         let has_moved = self.address != address || self.started_at_ms != entry.up_since_ms;
         self.address = address;
         self.started_at_ms = entry.up_since_ms;
-        self.is_ready = entry.phase == Phase::Ready;
+        self.is_ready = entry.phase == EndpointPhase::Ready;
         self.id.clone_from(&entry.id);
-        self.removed_at = (entry.phase == Phase::Gone).then_some(now);
+        self.removed_at = (entry.phase == EndpointPhase::Gone).then_some(now);
         if has_moved || self.removed_at.is_some() {
             self.connections.iter().for_each(|connection| connection.retire());
         }
@@ -134,7 +134,7 @@
     }
 
     /// The last entry of an engine in the list.
-    pub(super) fn listed_entry(&self, id: &str) -> Option<Member> {
+    pub(super) fn listed_entry(&self, id: &str) -> Option<Endpoint> {
         self.engines.iter().find(|engine| engine.id == id)?.listed_entry.clone()
     }
 
@@ -172,10 +172,10 @@
             self.restart_numbering(list);
             return Some(list.clone());
         }
-        let is_news = |member: &Member| {
+        let is_news = |member: &Endpoint| {
             self.engines.iter().any(|engine| engine.id == member.id && engine.last_event < list.n)
         };
-        let members: Vec<Member> = list.members.iter().filter(|m| is_news(m)).cloned().collect();
+        let members: Vec<Endpoint> = list.members.iter().filter(|m| is_news(m)).cloned().collect();
         if members.is_empty() {
             return None;
         }
@@ -205,7 +205,8 @@
         let omitted =
             self.engines.iter().filter(|e| e.removed_at.is_none() && !named.contains(e.id.as_str()));
         let entries = omitted.filter_map(|engine| engine.listed_entry.clone());
-        let gone: Vec<Member> = entries.map(|entry| Member { phase: Phase::Gone, ..entry }).collect();
+        let gone: Vec<Endpoint> =
+            entries.map(|entry| Endpoint { phase: EndpointPhase::Gone, ..entry }).collect();
         list.members.extend(gone);
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -28,7 +28,7 @@
 pub mod zone_routing;
 
 pub use api::{Core, CoreConfig, RequestHandle};
-pub use attempt::{AttemptOutcome, QueryCost};
+pub use attempt::AttemptOutcome;
 pub use clock::{from_unix, now, to_duration, unix};
 pub use gossip_facts::GossipWindows;
 pub use request::{RejectReason, Request, RequestSpec, Response, MAX_STATEMENT_BYTES};
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -1,11 +1,11 @@
 //! The driver of the policy: it turns the core's events into the policy's, keeps the policy's timers and the numbers of
 //! engines, and turns the policy's actions into commands. The rest of the core never sees the policy's own types.
 
-use super::attempt::{AttemptOutcome, QueryCost};
+use super::attempt::AttemptOutcome;
 use super::clock::from_unix;
 use super::request::RequestSpec;
-use crate::proto::events::{ListEvent, Phase};
-use crate::proto::resp::{How, Stats};
+use crate::proto::engine_answer::{LoadStats, QueryCost, UpdateTopic};
+use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_capture::recorder::{Counters, Recorder};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::{
@@ -32,7 +32,7 @@
         /// The attempt's number.
         attempt: u32,
         /// What the note is about.
-        kind: How,
+        kind: UpdateTopic,
         /// Its value.
         value: f64,
     },
@@ -51,7 +51,7 @@
         /// What the query needed, where the engine has told.
         cost: Option<QueryCost>,
         /// The engine's load report.
-        load_report: Stats,
+        load_report: LoadStats,
     },
     /// The client of a request does not wait for it any more.
     RequestAbandoned {
@@ -294,9 +294,9 @@
             kind: index_of(&self.kinds, &member.kind),
             cell: member.cell,
             state: match member.phase {
-                Phase::Ready => EngineState::Ready,
-                Phase::Draining => EngineState::Draining,
-                Phase::Gone => EngineState::Gone,
+                EndpointPhase::Ready => EngineState::Ready,
+                EndpointPhase::Draining => EngineState::Draining,
+                EndpointPhase::Gone => EngineState::Gone,
             },
             since: self.started_at(&member.id, member.up_since_ms),
         });
@@ -369,23 +369,23 @@
 }
 
 /// A progress note as the policy reads it. An engine's `waiting` note has 1 for memory, 2 for a load.
-fn progress_note(kind: How, value: f64) -> Note {
+fn progress_note(kind: UpdateTopic, value: f64) -> Note {
     match kind {
-        How::SoFar => Note::Progress(value),
-        How::Lacking => Note::Spills(value),
-        How::Waiting if value >= 2.0 => Note::WaitsForLoad,
-        How::Waiting => Note::WaitsForMemory,
+        UpdateTopic::Progress => Note::Progress(value),
+        UpdateTopic::MissingMemory => Note::Spills(value),
+        UpdateTopic::Waiting if value >= 2.0 => Note::WaitsForLoad,
+        UpdateTopic::Waiting => Note::WaitsForMemory,
     }
 }
 
 /// A load report as the policy reads it.
-fn policy_report(stats: &Stats) -> Report {
+fn policy_report(stats: &LoadStats) -> Report {
     Report {
-        in_hand: stats.inflight,
-        waiting: stats.queue,
-        busy: stats.util,
-        memory: stats.x0,
-        disks: stats.x1,
+        in_hand: stats.in_flight,
+        waiting: stats.queued,
+        busy: stats.cpu_utilization,
+        memory: stats.memory_utilization,
+        disks: stats.disk_utilization,
     }
 }
 
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -1,7 +1,7 @@
 //! Start-up control: when new connections are dialled, which requests are admitted while engines warm up, what an
 //! endpoint list may change of the one held, and when this manager is ready.
 
-use crate::proto::events::{ListEvent, Phase};
+use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_policy::Timestamp;
 use sprucelink_startup::admission::WarmAdmission;
 use sprucelink_startup::dials::DialStager;
@@ -81,10 +81,10 @@
     }
 }
 
-fn says(phase: Phase) -> Says {
+fn says(phase: EndpointPhase) -> Says {
     match phase {
-        Phase::Ready => Says::Ready,
-        Phase::Draining => Says::Draining,
-        Phase::Gone => Says::Gone,
+        EndpointPhase::Ready => Says::Ready,
+        EndpointPhase::Draining => Says::Draining,
+        EndpointPhase::Gone => Says::Gone,
     }
 }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -3,8 +3,8 @@
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{ConnectionLimits, ConnectionOwner, EngineConnection};
 use super::{Core, CoreConfig, Request, RequestSpec};
-use crate::proto::events::{ListEvent, Member, Phase};
-use crate::proto::Malformed;
+use crate::proto::engine_answer::EngineAnswerError;
+use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{ClassSettings, DedupGroup, Effect, Settings, TimeDelta};
 use std::rc::Rc;
@@ -67,7 +67,7 @@
     });
     let member_of = |(i, listener): (usize, &TcpListener)| {
         let address = listener.local_addr().expect("an address").to_string();
-        member(&format!("s-{}", i + 1), address, Phase::Ready, 0)
+        member(&format!("s-{}", i + 1), address, EndpointPhase::Ready, 0)
     };
     let members = listeners.iter().enumerate().map(member_of).collect();
     core.on_endpoint_list(&ListEvent { n: 1, revision: 0, complete: true, members }, true);
@@ -75,8 +75,8 @@
 }
 
 /// An entry of the endpoint list.
-pub(super) fn member(id: &str, address: String, phase: Phase, up_since_ms: i64) -> Member {
-    Member { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
+pub(super) fn member(id: &str, address: String, phase: EndpointPhase, up_since_ms: i64) -> Endpoint {
+    Endpoint { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
 }
 
 /// The owner of connections whose attempts are in no request table: all of them may be sent.
@@ -92,7 +92,7 @@
     fn limits(&self) -> &ConnectionLimits {
         &self.limits
     }
-    fn on_answer(self: &Rc<Self>, _: &EngineConnection, _: &[&[u8]]) -> Result<(), Malformed> {
+    fn on_answer(self: &Rc<Self>, _: &EngineConnection, _: &[&[u8]]) -> Result<(), EngineAnswerError> {
         Ok(())
     }
     fn on_connection_down(self: &Rc<Self>, _: &Rc<EngineConnection>, _: &str, _: bool) {}
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -2,7 +2,7 @@
 
 use super::read_ahead::ReadAheadOverrun;
 use crate::core::RejectReason;
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 use sprucelink_time::TimeDelta;
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 const MAX_SHOWN_CHARACTERS: usize = 64;
 
 /// Adds when to retry: the hint for people, the detail for programs.
-fn with_retry_after(error: Fault, retry_after: TimeDelta) -> Fault {
+fn with_retry_after(error: ErrorResponse, retry_after: TimeDelta) -> ErrorResponse {
     let millis = retry_after.as_micros().saturating_add(999) / 1000;
-    let error = Fault { detail: Some(format!("retry_after_ms={millis}")), ..error };
+    let error = ErrorResponse { detail: Some(format!("retry_after_ms={millis}")), ..error };
     error.hint(format!("Come back in {millis} ms."))
 }
 
 /// A request that was rejected before it ran, so that a retry does no harm. On the platform's front all rejections are of
 /// class 53; the `extended` front tells an expired deadline from overload.
-pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> Fault {
+pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
     let error = match reason {
         RejectReason::DeadlineExceeded if extended => {
-            Fault::new("57014", "canceled: its time ran out; a repeat does no harm")
+            ErrorResponse::new("57014", "canceled: its time ran out; a repeat does no harm")
         }
         RejectReason::DeadlineExceeded => {
-            Fault::new("53000", "refused: its time ran out; a repeat does no harm")
+            ErrorResponse::new("53000", "refused: its time ran out; a repeat does no harm")
         }
-        _ => Fault::new("53400", "refused: there is more to do than can be done in time"),
+        _ => ErrorResponse::new("53400", "refused: there is more to do than can be done in time"),
     };
     with_retry_after(error, retry_after)
 }
 
 /// A request that failed and may have run.
-pub(super) fn failed(reason: RejectReason, retry_after: TimeDelta) -> Fault {
+pub(super) fn failed(reason: RejectReason, retry_after: TimeDelta) -> ErrorResponse {
     let (code, message) = match reason {
         RejectReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
         RejectReason::EngineError => ("58000", "the engine failed; it may have run"),
@@ -40,46 +40,46 @@
         RejectReason::Unreachable => ("08001", "no engine could be reached"),
         RejectReason::Overloaded => ("40003", "given up; it may have run"),
     };
-    with_retry_after(Fault::new(code, message), retry_after)
+    with_retry_after(ErrorResponse::new(code, message), retry_after)
 }
 
 /// A request that its client cancelled.
-pub(super) fn cancelled() -> Fault {
-    Fault::new("57014", "canceled at the client's request")
+pub(super) fn cancelled() -> ErrorResponse {
+    ErrorResponse::new("57014", "canceled at the client's request")
 }
 
 /// The buffer pool is exhausted.
-pub(super) fn no_buffer() -> Fault {
-    let error = Fault::new("53200", "refused: no buffer is free");
+pub(super) fn no_buffer() -> ErrorResponse {
+    let error = ErrorResponse::new("53200", "refused: no buffer is free");
     with_retry_after(error, TimeDelta::from_millis(1_000))
 }
 
 /// All slots are in use, and no connection can be evicted.
-pub(super) fn too_many_sessions() -> Fault {
-    with_retry_after(Fault::new("53300", "too many sessions"), TimeDelta::from_millis(1_000))
+pub(super) fn too_many_sessions() -> ErrorResponse {
+    with_retry_after(ErrorResponse::new("53300", "too many sessions"), TimeDelta::from_millis(1_000))
 }
 
 /// A message or packet of which only a part arrived in time.
-pub(super) fn incomplete_in_time(field: &str, limit: Duration) -> Fault {
-    Fault::new("08P01", format!("field {field} did not come whole within {} ms", limit.as_millis()))
+pub(super) fn incomplete_in_time(field: &str, limit: Duration) -> ErrorResponse {
+    ErrorResponse::new("08P01", format!("field {field} did not come whole within {} ms", limit.as_millis()))
 }
 
 /// A request's field that is missing or wrong.
-pub(super) fn invalid_field(field: &str, reason: &str) -> Fault {
+pub(super) fn invalid_field(field: &str, reason: &str) -> ErrorResponse {
     let example = "/* kind=CLASS,timeout=MILLISECONDS */ SELECT ...";
-    Fault::new("08P01", format!("field {field} {reason}")).hint(format!("Write {example}"))
+    ErrorResponse::new("08P01", format!("field {field} {reason}")).hint(format!("Write {example}"))
 }
 
 /// The final error of a session whose client sent more behind an open request than may be held. SQLSTATE 54000, a
 /// limit of this program, where it is the session's own bound: the same input fails again. 53200, out of memory, where
 /// all sessions together hold too much: it may succeed later.
-pub(super) fn read_ahead_overrun(overrun: ReadAheadOverrun, max_bytes: usize) -> Fault {
+pub(super) fn read_ahead_overrun(overrun: ReadAheadOverrun, max_bytes: usize) -> ErrorResponse {
     let (code, excess) = match overrun {
         ReadAheadOverrun::Session => ("54000", format!("more than {max_bytes} bytes")),
         ReadAheadOverrun::Shared => ("53200", "more than there is room for in all sessions".to_owned()),
     };
     let message = format!("{excess} came behind an open request: what came behind them was not read");
-    Fault::new(code, message).hint("Wait for answers before writing more, and connect again.")
+    ErrorResponse::new(code, message).hint("Wait for answers before writing more, and connect again.")
 }
 
 /// A client's text as messages show it: in quotes, and not longer than a line.
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -10,7 +10,7 @@
 use super::startup::{SessionStart, StartupOutcome};
 use super::Front;
 use crate::core::{now, to_duration};
-use crate::proto::pg::{self, Fault};
+use crate::proto::pg::{self, ErrorResponse};
 use sprucelink_time::TimeDelta;
 use std::rc::Rc;
 use std::time::Duration;
@@ -136,7 +136,7 @@
     async fn close_connection<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         mut connection: ClientConnection<S>,
-        error: Option<Fault>,
+        error: Option<ErrorResponse>,
         guard: ConnectionGuard,
     ) {
         if let Some(error) = error {
--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -5,7 +5,7 @@
 use crate::core::result_buffer::ResultSet;
 use crate::front::client_error::quoted;
 use crate::front::result_rows::{RowPosition, COLUMNS};
-use crate::proto::pg::{self, Fault, Kind, Message};
+use crate::proto::pg::{self, ErrorResponse, Message, ObjectKind};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -52,7 +52,7 @@
         &mut self,
         reply: &mut Vec<u8>,
         message: Message,
-    ) -> Result<ExtendedAction, Fault> {
+    ) -> Result<ExtendedAction, ErrorResponse> {
         match message {
             Message::Parse { name, sql, types } => {
                 self.parse(name, sql, types)?;
@@ -63,8 +63,8 @@
                 self.add_portal(portal, bound)?;
                 pg::bare(reply, pg::BIND_COMPLETE);
             }
-            Message::Describe(Kind::Statement, name) => self.describe_statement(reply, name)?,
-            Message::Describe(Kind::Portal, name) => self.describe_portal(reply, name)?,
+            Message::Describe(ObjectKind::Statement, name) => self.describe_statement(reply, name)?,
+            Message::Describe(ObjectKind::Portal, name) => self.describe_portal(reply, name)?,
             Message::Close(kind, name) => {
                 self.close(kind, name);
                 pg::bare(reply, pg::CLOSE_COMPLETE);
@@ -73,10 +73,15 @@
                 self.portal(portal)?;
                 return Ok(ExtendedAction::Execute { portal: portal.to_owned(), max_rows: rows });
             }
-            Message::Copy => return Err(Fault::new("0A000", "COPY is not supported")),
-            Message::FunctionCall => return Err(Fault::new("0A000", "function calls are not supported")),
+            Message::Copy => return Err(ErrorResponse::new("0A000", "COPY is not supported")),
+            Message::FunctionCall => {
+                return Err(ErrorResponse::new("0A000", "function calls are not supported"))
+            }
             Message::Password => {
-                return Err(Fault::new("08P01", "field type is out of place: no password was asked for"))
+                return Err(ErrorResponse::new(
+                    "08P01",
+                    "field type is out of place: no password was asked for",
+                ))
             }
             Message::Query(_) | Message::Flush | Message::Sync | Message::Terminate => {}
         }
@@ -92,7 +97,7 @@
         &mut self,
         reply: &mut Vec<u8>,
         statement: &str,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, ErrorResponse> {
         self.statements.remove("");
         self.portals.remove("");
         match classify(statement)? {
@@ -126,7 +131,7 @@
         name: &str,
         result: ResultSet,
         next: Option<RowPosition>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ErrorResponse> {
         let is_suspended = |portal: &&Portal| matches!(portal.state, PortalState::Suspended { .. });
         let suspended = self.portals.values().filter(is_suspended).count();
         let Some(portal) = self.portals.get_mut(name) else { return Ok(()) };
@@ -135,7 +140,8 @@
             Some(next) if suspended < MAX_SUSPENDED_PORTALS => PortalState::Suspended { result, next },
             Some(_) => {
                 portal.state = PortalState::Completed;
-                let error = Fault::new("53200", "too many portals of this session wait to be fetched");
+                let error =
+                    ErrorResponse::new("53200", "too many portals of this session wait to be fetched");
                 return Err(error.hint("Close some, or fetch all rows at once."));
             }
             None => PortalState::Completed,
@@ -143,9 +149,9 @@
         Ok(())
     }
 
-    fn parse(&mut self, name: &str, sql: &str, types: Vec<u32>) -> Result<(), Fault> {
+    fn parse(&mut self, name: &str, sql: &str, types: Vec<u32>) -> Result<(), ErrorResponse> {
         if !name.is_empty() && self.statements.contains_key(name) {
-            return Err(Fault::new("42P05", format!("statement {} exists already", quoted(name))));
+            return Err(ErrorResponse::new("42P05", format!("statement {} exists already", quoted(name))));
         }
         self.statements.remove(name);
         let prepared = PreparedStatement::new(sql, types)?;
@@ -154,9 +160,9 @@
         Ok(())
     }
 
-    fn add_portal(&mut self, name: &str, portal: Portal) -> Result<(), Fault> {
+    fn add_portal(&mut self, name: &str, portal: Portal) -> Result<(), ErrorResponse> {
         if !name.is_empty() && self.portals.contains_key(name) {
-            return Err(Fault::new("42P03", format!("portal {} exists already", quoted(name))));
+            return Err(ErrorResponse::new("42P03", format!("portal {} exists already", quoted(name))));
         }
         self.portals.remove(name);
         self.check_limits(self.portals.len(), portal.size())?;
@@ -165,11 +171,11 @@
     }
 
     /// Checks that one more object of `added_bytes` fits the limits.
-    fn check_limits(&self, count: usize, added_bytes: usize) -> Result<(), Fault> {
+    fn check_limits(&self, count: usize, added_bytes: usize) -> Result<(), ErrorResponse> {
         if count < MAX_OBJECTS && self.total_bytes() + added_bytes <= MAX_BYTES {
             return Ok(());
         }
-        let error = Fault::new("53200", "this session holds too many statements and portals");
+        let error = ErrorResponse::new("53200", "this session holds too many statements and portals");
         Err(error.hint("Close some, or use the unnamed ones."))
     }
 
@@ -178,38 +184,38 @@
         statements.chain(self.portals.values().map(Portal::size)).sum()
     }
 
-    fn statement(&self, name: &str) -> Result<&Rc<PreparedStatement>, Fault> {
-        let unknown = || Fault::new("26000", format!("there is no statement {}", quoted(name)));
+    fn statement(&self, name: &str) -> Result<&Rc<PreparedStatement>, ErrorResponse> {
+        let unknown = || ErrorResponse::new("26000", format!("there is no statement {}", quoted(name)));
         self.statements.get(name).ok_or_else(unknown)
     }
 
-    fn portal(&self, name: &str) -> Result<&Portal, Fault> {
-        let unknown = || Fault::new("34000", format!("there is no portal {}", quoted(name)));
+    fn portal(&self, name: &str) -> Result<&Portal, ErrorResponse> {
+        let unknown = || ErrorResponse::new("34000", format!("there is no portal {}", quoted(name)));
         self.portals.get(name).ok_or_else(unknown)
     }
 
-    fn describe_statement(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), Fault> {
+    fn describe_statement(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), ErrorResponse> {
         let prepared = self.statement(name)?;
         pg::parameter_description(reply, &prepared.types);
         describe_result(reply, prepared.kind, &[]);
         Ok(())
     }
 
-    fn describe_portal(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), Fault> {
+    fn describe_portal(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), ErrorResponse> {
         let portal = self.portal(name)?;
         describe_result(reply, portal.prepared.kind, &portal.formats);
         Ok(())
     }
 
     /// Closes a statement with all of its portals, or a portal. It is no error if there is none.
-    fn close(&mut self, kind: Kind, name: &str) {
+    fn close(&mut self, kind: ObjectKind, name: &str) {
         match kind {
-            Kind::Statement => {
+            ObjectKind::Statement => {
                 if let Some(closed) = self.statements.remove(name) {
                     self.portals.retain(|_, portal| !Rc::ptr_eq(&portal.prepared, &closed));
                 }
             }
-            Kind::Portal => drop(self.portals.remove(name)),
+            ObjectKind::Portal => drop(self.portals.remove(name)),
         }
     }
 }
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -4,16 +4,14 @@
 use crate::core::result_buffer::ResultSet;
 use crate::core::MAX_STATEMENT_BYTES;
 use crate::front::result_rows::{RowPosition, COLUMNS};
-use crate::proto::literal::{self, Param};
-use crate::proto::pg::{self, Fault};
-use crate::proto::{fields, Malformed};
+use crate::proto::fields;
+use crate::proto::literal::{self, Parameter};
+use crate::proto::pg::{self, ErrorResponse};
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// Maximum number of parameters of a statement.
 const MAX_PARAMETERS: usize = 1_000;
-/// The field that holds an idempotency key.
-const IDEMPOTENCY_KEY_FIELD: &str = "opkey";
 
 /// A prepared statement.
 pub(crate) struct PreparedStatement {
@@ -59,19 +57,20 @@
     ///
     /// # Errors
     /// Where its fields are wrong, it is not supported, or it has too many parameters.
-    pub(super) fn new(sql: &str, mut types: Vec<u32>) -> Result<PreparedStatement, Fault> {
-        let (comment, statement) = fields::part(sql).map_err(Fault::from)?;
+    pub(super) fn new(sql: &str, mut types: Vec<u32>) -> Result<PreparedStatement, ErrorResponse> {
+        let (comment, statement) = fields::split_comment(sql).map_err(ErrorResponse::from)?;
         let pairs: Vec<(String, String)> =
             fields::pairs(comment).map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
         // Values in the text are checked now, and parameters when they are bound.
         let in_text = pairs.iter().filter(|(_, value)| !value.starts_with('$'));
-        fields::read(in_text.map(|(name, value)| (name.as_str(), value.as_str()))).map_err(Fault::from)?;
+        fields::read(in_text.map(|(name, value)| (name.as_str(), value.as_str())))
+            .map_err(ErrorResponse::from)?;
         let in_fields = pairs.iter().filter_map(|(_, value)| value.strip_prefix('$'));
         let in_fields = in_fields.map(|number| number.parse::<usize>().unwrap_or(usize::MAX)).max();
-        let count = literal::count(statement).max(in_fields.unwrap_or(0)).max(types.len());
+        let count = literal::max_parameter(statement).max(in_fields.unwrap_or(0)).max(types.len());
         if count > MAX_PARAMETERS {
             let message = format!("a statement has at most {MAX_PARAMETERS} parameters");
-            return Err(Fault::new("54000", message));
+            return Err(ErrorResponse::new("54000", message));
         }
         types.resize(count, 0);
         for unspecified in types.iter_mut().filter(|oid| **oid == 0) {
@@ -102,7 +101,7 @@
         formats: &[u16],
         values: &[Option<&[u8]>],
         result_formats: Vec<u16>,
-    ) -> Result<Portal, Fault> {
+    ) -> Result<Portal, ErrorResponse> {
         if values.len() != self.types.len() {
             return Err(wrong_count("parameter count", values.len(), self.types.len()));
         }
@@ -115,9 +114,9 @@
         let mut parameters = Vec::with_capacity(values.len());
         for (index, (value, oid)) in values.iter().zip(&self.types).enumerate() {
             let format = formats.get(index).or(formats.first()).copied().unwrap_or(0);
-            parameters.push(literal::param(index + 1, *oid, format, *value)?);
+            parameters.push(literal::parse_parameter(index + 1, *oid, format, *value)?);
         }
-        let statement = literal::expand(&self.statement, &parameters, MAX_STATEMENT_BYTES)?;
+        let statement = literal::substitute(&self.statement, &parameters, MAX_STATEMENT_BYTES)?;
         let pairs =
             self.pairs.iter().map(|(name, value)| (name.clone(), field_value(value, &parameters))).collect();
         let portal = Portal {
@@ -132,12 +131,12 @@
     }
 }
 
-fn wrong_count(name: &str, count: usize, wanted: usize) -> Fault {
-    Fault::from(Malformed(format!("field {name} is {count}, but the statement wants {wanted}")))
+fn wrong_count(name: &str, count: usize, wanted: usize) -> ErrorResponse {
+    ErrorResponse::malformed(format!("field {name} is {count}, but the statement wants {wanted}"))
 }
 
 /// A field's value: as in the text, or that of its parameter.
-fn field_value(value: &str, parameters: &[Param]) -> Option<String> {
+fn field_value(value: &str, parameters: &[Parameter]) -> Option<String> {
     match value.strip_prefix('$').and_then(|number| number.parse::<usize>().ok()) {
         Some(number) => {
             let parameter = parameters.get(number.wrapping_sub(1));
@@ -153,14 +152,14 @@
     ///
     /// # Errors
     /// Where a value does not fit its field.
-    pub(crate) fn fields(&self) -> Result<fields::Fields, Fault> {
+    pub(crate) fn fields(&self) -> Result<fields::Fields, ErrorResponse> {
         let present = self.pairs.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_deref()?)));
-        let mut fields = fields::read(present).map_err(Fault::from)?;
+        let mut fields = fields::read(present).map_err(ErrorResponse::from)?;
         let is_key_in_text = self
             .prepared
             .pairs
             .iter()
-            .any(|(name, value)| name == IDEMPOTENCY_KEY_FIELD && !value.starts_with('$'));
+            .any(|(name, value)| name == fields::name::IDEMPOTENCY_KEY && !value.starts_with('$'));
         if is_key_in_text && self.prepared.key_spent.get() {
             fields.opkey = None;
         }
--- a/src/front/extended/statement_kind.rs
+++ b/src/front/extended/statement_kind.rs
@@ -1,7 +1,7 @@
 //! What a statement is to the `extended` front, by its first words.
 
 use super::statement_timeout;
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 use crate::proto::tables::{self, token, Token};
 
 /// First words of the statements that are not supported.
@@ -63,11 +63,11 @@
 ///
 /// # Errors
 /// For one that is not supported, and for more than one.
-pub(super) fn classify(statement: &str) -> Result<StatementKind, Fault> {
+pub(super) fn classify(statement: &str) -> Result<StatementKind, ErrorResponse> {
     if tables::is_empty(statement) {
         return Ok(StatementKind::Empty);
     }
-    tables::single(statement).map_err(|several| Fault::new("0A000", several.to_string()))?;
+    tables::single(statement).map_err(|several| ErrorResponse::new("0A000", several.to_string()))?;
     let tokens = first_tokens(statement);
     if let Some(setting) = parse_set(&tokens)? {
         return Ok(StatementKind::Set(setting));
@@ -76,7 +76,7 @@
     if UNSUPPORTED_STATEMENTS.contains(&first.as_str()) {
         let first = first.to_uppercase();
         let message = format!("{first} is not supported: there are no transactions, cursors or COPY");
-        return Err(Fault::new("0A000", message));
+        return Err(ErrorResponse::new("0A000", message));
     }
     Ok(StatementKind::Query)
 }
@@ -87,7 +87,7 @@
     let mut tokens = Vec::new();
     while let Some((kind, length)) = token(rest) {
         let (head, tail) = rest.split_at(length.min(rest.len()));
-        let is_comment = kind == Token::Opaque && (head.starts_with("--") || head.starts_with("/*"));
+        let is_comment = kind == Token::Opaque && tables::is_comment(head);
         if kind != Token::Space && !is_comment && head != ";" && tokens.len() < MAX_TOKENS {
             tokens.push(head);
         }
@@ -102,7 +102,7 @@
 
 /// The effect of `SET [SESSION] name { = | TO } value`; `None` for a setting that is not supported, or another
 /// statement.
-fn parse_set(tokens: &[&str]) -> Result<Option<Setting>, Fault> {
+fn parse_set(tokens: &[&str]) -> Result<Option<Setting>, ErrorResponse> {
     if lower_case(tokens, 0) != "set" {
         return Ok(None);
     }
--- a/src/front/extended/statement_timeout.rs
+++ b/src/front/extended/statement_timeout.rs
@@ -1,7 +1,7 @@
 //! The setting `statement_timeout` as clients write it.
 
 use crate::front::client_error::quoted;
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 
 /// The setting's name.
 pub(super) const NAME: &str = "statement_timeout";
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// Where one is not a time-out.
-pub(crate) fn timeout_of_startup(parameters: &[(String, String)]) -> Result<Option<u64>, Fault> {
+pub(crate) fn timeout_of_startup(parameters: &[(String, String)]) -> Result<Option<u64>, ErrorResponse> {
     let mut timeout = None;
     for (name, value) in parameters {
         if name == NAME {
@@ -31,7 +31,7 @@
 }
 
 /// Milliseconds of `1500`, `'1500'`, `'2s'`, `'1min'`; `None` for 0 and DEFAULT.
-pub(super) fn parse(text: &str) -> Result<Option<u64>, Fault> {
+pub(super) fn parse(text: &str) -> Result<Option<u64>, ErrorResponse> {
     let text = text.trim().trim_matches('\'').trim();
     if text.eq_ignore_ascii_case("default") {
         return Ok(None);
@@ -45,7 +45,7 @@
         Some(millis) => Ok(Some(millis)),
         None => {
             let message = format!("field {NAME} is no time of a day or less: {}", quoted(text));
-            Err(Fault::new("22023", message))
+            Err(ErrorResponse::new("22023", message))
         }
     }
 }
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -7,7 +7,7 @@
 use crate::core::now;
 use crate::core::{Request, RequestHandle, RequestSpec, MAX_STATEMENT_BYTES};
 use crate::proto::fields::Fields;
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 use crate::proto::tables;
 use sprucelink_time::{TimeDelta, Timestamp};
 
@@ -31,7 +31,7 @@
     /// # Errors
     /// What the client is told: of a field that is missing or wrong, of its own cancel, of a statement that is too long,
     /// of a want of buffers, or of a request id that is in use.
-    pub(super) fn submit(&self, submission: Submission<'_>) -> Result<RequestHandle, Fault> {
+    pub(super) fn submit(&self, submission: Submission<'_>) -> Result<RequestHandle, ErrorResponse> {
         let Submission { fields, statement, started, session_timeout_ms, is_cancelled } = submission;
         let class = self.class_index(fields)?;
         let class_config = &self.config.classes[class];
@@ -59,18 +59,19 @@
             self.copy_statement(statement).inspect_err(|_| self.core.metrics().take(class).declined())?;
         let request = Request { spec, class_name: class_config.name.clone(), idempotency_key, statement };
         let handle = self.core.submit(request);
-        handle
-            .ok_or_else(|| Fault::new("42710", format!("field req: {id:016x} was given to a request before")))
+        handle.ok_or_else(|| {
+            ErrorResponse::new("42710", format!("field req: {id:016x} was given to a request before"))
+        })
     }
 
-    fn class_index(&self, fields: &Fields) -> Result<usize, Fault> {
+    fn class_index(&self, fields: &Fields) -> Result<usize, ErrorResponse> {
         let name = fields.kind.as_deref().or(self.config.default_class.as_deref());
         let name = name.ok_or_else(|| invalid_field("kind", "the statement's comment must name a class"))?;
         let index = self.config.classes.iter().position(|class| class.name == name);
         index.ok_or_else(|| invalid_field("kind", "names no class that is configured"))
     }
 
-    fn tenant_index(&self, fields: &Fields) -> Result<usize, Fault> {
+    fn tenant_index(&self, fields: &Fields) -> Result<usize, ErrorResponse> {
         let name = fields.owner.as_deref().or(self.config.default_tenant.as_deref());
         let Some(name) = name else { return Ok(0) };
         let index = self.config.tenants.iter().position(|tenant| tenant == name);
@@ -78,7 +79,7 @@
     }
 
     /// The request's id: the client's on the platform's front, a generated one on the `extended` front.
-    fn request_id(&self, fields: &Fields) -> Result<u64, Fault> {
+    fn request_id(&self, fields: &Fields) -> Result<u64, ErrorResponse> {
         if self.config.extended {
             return Ok(self.core.generate_id());
         }
@@ -87,7 +88,7 @@
 
     /// The idempotency key, for classes that carry one. Without one the platform's clients are rejected, since a
     /// client's retry could not be told from a new request and would run twice; the `extended` front generates one.
-    fn idempotency_key(&self, fields: &Fields, class: &ClassConfig) -> Result<Option<String>, Fault> {
+    fn idempotency_key(&self, fields: &Fields, class: &ClassConfig) -> Result<Option<String>, ErrorResponse> {
         if !class.has_idempotency_key {
             return Ok(None);
         }
@@ -100,9 +101,9 @@
         }
     }
 
-    fn copy_statement(&self, statement: &str) -> Result<Buffer, Fault> {
+    fn copy_statement(&self, statement: &str) -> Result<Buffer, ErrorResponse> {
         if statement.len() > MAX_STATEMENT_BYTES {
-            return Err(Fault::new(
+            return Err(ErrorResponse::new(
                 "54000",
                 format!("a statement holds at most {MAX_STATEMENT_BYTES} bytes"),
             ));
--- a/src/front/result_rows.rs
+++ b/src/front/result_rows.rs
@@ -6,7 +6,7 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-pub(super) use crate::proto::resp::COLUMNS;
+pub(super) use crate::proto::engine_answer::COLUMNS;
 
 /// Position of a row: the page, and the byte in it.
 pub(super) type RowPosition = (usize, usize);
--- a/src/front/session/error.rs
+++ b/src/front/session/error.rs
@@ -1,6 +1,6 @@
 //! Why the handling of a message stops early.
 
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 use std::io;
 use thiserror::Error;
 
@@ -8,18 +8,18 @@
 #[derive(Debug, Error)]
 pub(super) enum MessageError {
     /// The client gets the error as its answer, and the session goes on.
-    #[error("message rejected: {}", .0.message)]
-    Rejected(Fault),
+    #[error("message rejected")]
+    Rejected(#[source] ErrorResponse),
     /// The session ends, after the error if there is one.
     #[error("session ended")]
-    SessionEnded(Option<Fault>),
+    SessionEnded(Option<ErrorResponse>),
     /// The connection has failed.
     #[error("client connection failed")]
     Connection(#[from] io::Error),
 }
 
-impl From<Fault> for MessageError {
-    fn from(error: Fault) -> MessageError {
+impl From<ErrorResponse> for MessageError {
+    fn from(error: ErrorResponse) -> MessageError {
         MessageError::Rejected(error)
     }
 }
--- a/src/front/session/input.rs
+++ b/src/front/session/input.rs
@@ -3,7 +3,7 @@
 use super::state::{Session, SessionFlow};
 use crate::front::client_connection::ClientConnection;
 use crate::front::client_error::{incomplete_in_time, read_ahead_overrun, too_many_sessions};
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -72,7 +72,7 @@
 
     /// The end of an idle session where the process stops. Clients of the platform's front expect no message.
     fn end_for_stop(&self) -> SessionFlow {
-        let error = Fault::new("57P01", "the server is stopping").hint("Connect again.");
+        let error = ErrorResponse::new("57P01", "the server is stopping").hint("Connect again.");
         SessionFlow::End(self.front.config.extended.then_some(error))
     }
 
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -15,7 +15,7 @@
 use super::startup::SessionStart;
 use super::Front;
 use crate::core::buffer_pool::BUFFER_BYTES;
-use crate::proto::pg::{self, Fault, Message};
+use crate::proto::pg::{self, ErrorResponse, MalformedMessage, Message};
 use error::MessageError;
 use state::{Session, SessionFlow, CONTROL_MESSAGE_BYTES};
 use std::io;
@@ -53,11 +53,11 @@
 /// What the input holds next.
 enum NextMessage {
     /// A message of so many bytes, and what is left to do for it.
-    Complete { action: Result<MessageAction, Fault>, length: usize },
+    Complete { action: Result<MessageAction, ErrorResponse>, length: usize },
     /// A part of a message, or nothing.
     Incomplete,
     /// The end of the session.
-    End(Option<Fault>),
+    End(Option<ErrorResponse>),
 }
 
 /// Removes a session's cancel signal when the session ends.
@@ -82,7 +82,7 @@
     connection: &mut ClientConnection<S>,
     start: SessionStart,
     slot: &ConnectionSlot,
-) -> io::Result<Option<Fault>> {
+) -> io::Result<Option<ErrorResponse>> {
     let process_id = front.core.generate_id() as u32 >> 1;
     let secret = front.core.generate_id() as u32;
     let cancel = CancelSignal::new(secret);
@@ -177,13 +177,13 @@
         let (message, length) = match pg::read_message(input, BUFFER_BYTES) {
             Ok(Some(read)) => read,
             Ok(None) => return NextMessage::Incomplete,
-            Err((_, Some(length))) if self.skips_to_sync => {
+            Err(MalformedMessage { length: Some(length), .. }) if self.skips_to_sync => {
                 return NextMessage::Complete { action: Ok(MessageAction::None), length };
             }
-            Err((malformed, Some(length))) => {
-                return NextMessage::Complete { action: Err(malformed.into()), length };
+            Err(MalformedMessage { error, length: Some(length) }) => {
+                return NextMessage::Complete { action: Err(error.into()), length };
             }
-            Err((malformed, None)) => return NextMessage::End(Some(malformed.into())),
+            Err(MalformedMessage { error, length: None }) => return NextMessage::End(Some(error.into())),
         };
         let action = match message {
             Message::Terminate => return NextMessage::End(None),
@@ -194,7 +194,7 @@
             message if self.front.config.extended => {
                 self.objects.handle_message(reply, message).map(MessageAction::Extended)
             }
-            _ => Err(Fault::new("0A000", "only simple queries are spoken here")),
+            _ => Err(ErrorResponse::new("0A000", "only simple queries are spoken here")),
         };
         NextMessage::Complete { action, length }
     }
@@ -202,7 +202,7 @@
     async fn perform<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
-        action: Result<MessageAction, Fault>,
+        action: Result<MessageAction, ErrorResponse>,
     ) -> Result<(), MessageError> {
         match action? {
             MessageAction::None | MessageAction::Extended(ExtendedAction::None) => {}
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -6,7 +6,7 @@
 use crate::front::request::Submission;
 use crate::front::result_rows::{write_rows, COLUMNS, FIRST_ROW};
 use crate::proto::fields::{self, Fields};
-use crate::proto::pg::{self, Fault};
+use crate::proto::pg::{self, ErrorResponse};
 use crate::proto::tables;
 use tokio::io::{AsyncRead, AsyncWrite};
 
@@ -46,8 +46,8 @@
         &mut self,
         connection: &mut ClientConnection<S>,
         text: &'t str,
-    ) -> Result<Option<(Fields, &'t str)>, Fault> {
-        let (fields, statement) = fields::split(text).map_err(Fault::from)?;
+    ) -> Result<Option<(Fields, &'t str)>, ErrorResponse> {
+        let (fields, statement) = fields::split(text).map_err(ErrorResponse::from)?;
         if self.front.config.extended && self.objects.answer_simple_query(connection.output(), statement)? {
             return Ok(None);
         }
@@ -58,10 +58,10 @@
             return Ok(None);
         }
         if tables::is_empty(statement) {
-            return Err(Fault::new("08P01", "field query holds no statement behind its comment"));
+            return Err(ErrorResponse::new("08P01", "field query holds no statement behind its comment"));
         }
         // One request is one statement: it gets one answer, and an engine runs it as a whole.
-        tables::single(statement).map_err(|several| Fault::new("0A000", several.to_string()))?;
+        tables::single(statement).map_err(|several| ErrorResponse::new("0A000", several.to_string()))?;
         Ok(Some((fields, statement)))
     }
 }
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -9,7 +9,7 @@
 use crate::front::connection_slots::ConnectionSlot;
 use crate::front::extended::objects::SessionObjects;
 use crate::front::Front;
-use crate::proto::pg::Fault;
+use crate::proto::pg::ErrorResponse;
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
@@ -39,7 +39,7 @@
     /// It does.
     Continue,
     /// It ends, after an error if there is one.
-    End(Option<Fault>),
+    End(Option<ErrorResponse>),
 }
 
 impl<'a> Session<'a> {
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -5,7 +5,7 @@
 use super::client_error::{incomplete_in_time, too_many_sessions};
 use super::sessionless::ConnectionGuard;
 use super::Front;
-use crate::proto::pg::{self, Fault, Opening};
+use crate::proto::pg::{self, ErrorResponse, Opening};
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -34,11 +34,11 @@
     /// A TLS handshake.
     StartTls(TlsAcceptor),
     /// The end of the connection, after an error if there is one.
-    Close(Option<Fault>),
+    Close(Option<ErrorResponse>),
 }
 
 impl StartupOutcome {
-    fn reject(error: Fault) -> StartupOutcome {
+    fn reject(error: ErrorResponse) -> StartupOutcome {
         StartupOutcome::Close(Some(error))
     }
 }
@@ -123,7 +123,7 @@
     acceptor: TlsAcceptor,
 ) -> io::Result<StartupOutcome> {
     if !connection.input().is_empty() {
-        let error = Fault::new("08P01", "field SSLRequest: data came behind it");
+        let error = ErrorResponse::new("08P01", "field SSLRequest: data came behind it");
         return Ok(StartupOutcome::reject(error));
     }
     connection.output().push(ENCRYPTION_ACCEPTED);
@@ -134,10 +134,10 @@
     Ok(StartupOutcome::StartTls(acceptor))
 }
 
-fn tls_required(has_certificate: bool) -> Fault {
+fn tls_required(has_certificate: bool) -> ErrorResponse {
     if has_certificate {
-        Fault::new("28000", "sessions must use TLS").hint("Set sslmode=require.")
+        ErrorResponse::new("28000", "sessions must use TLS").hint("Set sslmode=require.")
     } else {
-        Fault::new("57P03", "there is no certificate yet").hint("Come back in 5000 ms.")
+        ErrorResponse::new("57P03", "there is no certificate yet").hint("Come back in 5000 ms.")
     }
 }
--- /dev/null
+++ b/src/proto/engine_command.rs
@@ -0,0 +1,52 @@
+//! The engines' protocol: the words of commands, and the fields of the command that sends a query.
+
+use std::fmt;
+
+/// Sends a query, with its [`QueryFields`] and its statement.
+pub const QUERY: &[u8] = b"do";
+/// Cancels an attempt that is not served yet.
+pub const CANCEL: &[u8] = b"undo";
+/// Releases the result of a served attempt at its engine.
+pub const RELEASE_RESULT: &[u8] = b"forget";
+/// Asks for a further page of a result.
+pub const PAGE: &[u8] = b"page";
+/// Sets the priority of an attempt.
+pub const SET_PRIORITY: &[u8] = b"bump";
+
+/// Names of the fields of a query.
+mod field {
+    pub(super) const CLASS: &str = "class";
+    pub(super) const TIME_LEFT_MS: &str = "wait";
+    pub(super) const IDEMPOTENCY_KEY: &str = "once";
+    pub(super) const MEMORY_GRANT_MB: &str = "mb";
+    pub(super) const PRIORITY: &str = "nice";
+}
+
+/// The fields of a query, written as `name=value,name=value`.
+#[derive(Clone, Debug)]
+pub struct QueryFields<'a> {
+    /// Name of the request's class.
+    pub class: &'a str,
+    /// How long the client still waits, in milliseconds.
+    pub time_left_ms: i64,
+    /// The idempotency key, for classes that carry one.
+    pub idempotency_key: Option<&'a str>,
+    /// The memory that is granted, in MB; written as a whole number of at least 1.
+    pub memory_grant_mb: Option<f64>,
+    /// The priority.
+    pub priority: u8,
+}
+
+impl fmt::Display for QueryFields<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let time_left_ms = self.time_left_ms.max(1);
+        write!(formatter, "{}={},{}={time_left_ms}", field::CLASS, self.class, field::TIME_LEFT_MS)?;
+        if let Some(key) = self.idempotency_key {
+            write!(formatter, ",{}={key}", field::IDEMPOTENCY_KEY)?;
+        }
+        if let Some(memory_mb) = self.memory_grant_mb {
+            write!(formatter, ",{}={}", field::MEMORY_GRANT_MB, memory_mb.ceil().max(1.0))?;
+        }
+        write!(formatter, ",{}={}", field::PRIORITY, self.priority)
+    }
+}
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -1,112 +1,162 @@
-//! The control feed's events: changes to the list of engines, as JSON.
+//! The control feed's events: changes of the endpoint list, as JSON.
 
-use super::Malformed;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
+use thiserror::Error;
 
-/// What the list says of an engine.
+/// The highest number of an event. Above it JSON's numbers (IEEE 754 doubles) are not told apart.
+pub const MAX_EVENT_NUMBER: u64 = (1 << 53) - 1;
+
+/// Names of the fields of an event.
+mod field {
+    pub(super) const NUMBER: &str = "n";
+    pub(super) const LIST: &str = "members";
+    pub(super) const LIST_ENDPOINTS: &str = "members";
+    pub(super) const LIST_REVISION: &str = "revision";
+    pub(super) const LIST_IS_COMPLETE: &str = "complete";
+    pub(super) const ID: &str = "id";
+    pub(super) const ADDRESS: &str = "host_port";
+    pub(super) const ZONE: &str = "locality";
+    pub(super) const MACHINE_KIND: &str = "flavor";
+    pub(super) const CELL: &str = "cell";
+    pub(super) const PHASE: &str = "phase";
+    pub(super) const UP_SINCE_MS: &str = "up_since_ms";
+}
+
+/// Values of the field `phase`.
+mod phase {
+    pub(super) const DRAINING: &str = "draining";
+    pub(super) const GONE: &str = "gone";
+}
+
+/// Why a text is not an event.
+#[derive(Debug, Error)]
+pub enum EventError {
+    /// The text holds U+FFFD, which the decoder of the stream puts in the place of bytes that are not UTF-8. A damaged
+    /// id would be that of another engine.
+    #[error("field data is not UTF-8")]
+    NotUtf8,
+    /// The text is not JSON; the parser's message is part of this one.
+    #[error("field data is not JSON: {0}")]
+    NotJson(serde_json::Error),
+    /// The event has no number.
+    #[error("field n is missing or no number")]
+    NoNumber,
+    /// The event's number is above [`MAX_EVENT_NUMBER`].
+    #[error("field n is no event's number")]
+    NumberTooLarge,
+    /// The list has no array of endpoints.
+    #[error("field members is missing or no list")]
+    NoEndpoints,
+    /// An endpoint has no id.
+    #[error("field id is missing")]
+    NoId,
+}
+
+/// State of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// Takes work.
+pub enum EndpointPhase {
+    /// It accepts requests.
     Ready,
-    /// Finishes what it has.
+    /// It completes the requests that it has.
     Draining,
-    /// Withdrawn.
+    /// It is removed.
     Gone,
 }
 
-/// One engine of the list.
+/// An engine of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
-    /// Its id: addresses are used again, ids are not.
+pub struct Endpoint {
+    /// Its id. Addresses are reused, ids are not.
     pub id: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: String,
-    /// Its zone, by name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its machine kind, by name.
+    /// Name of its machine kind.
     pub kind: String,
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub phase: Phase,
-    /// Unix milliseconds of a late start, or 0.
+    pub phase: EndpointPhase,
+    /// When it started, in Unix milliseconds, if that was late; else 0.
     pub up_since_ms: i64,
 }
 
-/// One numbered event.
+/// A numbered change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
-    /// Its number, from 1 at each start.
+    /// Its number, counted from 1 since the feed's start.
     pub n: u64,
-    /// The revision of the list that it leads to; 0 where none is told.
+    /// The revision of the list that it leads to; 0 if it has none.
     pub revision: u64,
-    /// The whole list, or only what changed.
+    /// It holds the whole list, and not only what has changed.
     pub complete: bool,
-    /// The engines it names.
-    pub members: Vec<Member>,
+    /// The endpoints.
+    pub members: Vec<Endpoint>,
 }
 
-/// An event as it is told, `None` for one about something else: what the configuration holds a list of.
+/// An event of the configuration; `None` for one about something else.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told(pub Option<ListEvent>);
+pub struct ConfiguredEvent(pub Option<ListEvent>);
 
-impl<'de> Deserialize<'de> for Told {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Told, D::Error> {
-        let value = Value::deserialize(d)?;
-        decode(&value).map(Told).map_err(serde::de::Error::custom)
+impl<'de> Deserialize<'de> for ConfiguredEvent {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ConfiguredEvent, D::Error> {
+        let value = Value::deserialize(deserializer)?;
+        decode(&value).map(ConfiguredEvent).map_err(serde::de::Error::custom)
     }
 }
 
-/// The highest number of an event: above it JSON's numbers are no longer told apart, and no feed counts as far.
-pub const MOST_N: u64 = (1 << 53) - 1;
-
-/// Reads an event from its text.
+/// Decodes an event's text; `None` for an event about something else.
 ///
 /// # Errors
-/// Where it is no event. So is one that holds U+FFFD, which the reader of a stream puts in the place of bytes that are
-/// no UTF-8: a name that came spoilt would be another engine's.
-pub fn parse(text: &str) -> Result<Option<ListEvent>, Malformed> {
+/// Where the text is no event.
+pub fn parse(text: &str) -> Result<Option<ListEvent>, EventError> {
     if text.contains(char::REPLACEMENT_CHARACTER) {
-        return Err(Malformed::field("data", "is not UTF-8"));
+        return Err(EventError::NotUtf8);
     }
-    let value: Value =
-        serde_json::from_str(text).map_err(|e| Malformed(format!("field data is not JSON: {e}")))?;
+    let value: Value = serde_json::from_str(text).map_err(EventError::NotJson)?;
     decode(&value)
 }
 
-/// Understands an event; `None` for one about something else.
-pub fn decode(value: &Value) -> Result<Option<ListEvent>, Malformed> {
-    let n = value["n"].as_u64().ok_or_else(|| Malformed::field("n", "is missing or no number"))?;
-    if n > MOST_N {
-        return Err(Malformed::field("n", "is no event's number"));
+/// Decodes an event; `None` for one about something else.
+///
+/// # Errors
+/// Where the value is no event.
+pub fn decode(value: &Value) -> Result<Option<ListEvent>, EventError> {
+    let n = value[field::NUMBER].as_u64().ok_or(EventError::NoNumber)?;
+    if n > MAX_EVENT_NUMBER {
+        return Err(EventError::NumberTooLarge);
     }
-    let Some(list) = value.get("members") else { return Ok(None) };
-    let rows =
-        list["members"].as_array().ok_or_else(|| Malformed::field("members", "is missing or no list"))?;
-    let members = rows.iter().map(member).collect::<Result<Vec<_>, _>>()?;
-    let (revision, complete) = (list["revision"].as_u64().unwrap_or(0), list["complete"].as_bool());
-    Ok(Some(ListEvent { n, revision, complete: complete.unwrap_or(false), members }))
+    let Some(list) = value.get(field::LIST) else { return Ok(None) };
+    let rows = list[field::LIST_ENDPOINTS].as_array().ok_or(EventError::NoEndpoints)?;
+    let members = rows.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
+    Ok(Some(ListEvent {
+        n,
+        revision: list[field::LIST_REVISION].as_u64().unwrap_or(0),
+        complete: list[field::LIST_IS_COMPLETE].as_bool().unwrap_or(false),
+        members,
+    }))
 }
 
-fn member(row: &Value) -> Result<Member, Malformed> {
+fn decode_endpoint(row: &Value) -> Result<Endpoint, EventError> {
     let text = |name: &str| row[name].as_str().unwrap_or("").to_owned();
-    let id = text("id");
+    let id = text(field::ID);
     if id.is_empty() {
-        return Err(Malformed::field("id", "is missing"));
+        return Err(EventError::NoId);
     }
-    Ok(Member {
+    Ok(Endpoint {
         id,
-        address: text("host_port"),
-        zone: text("locality"),
-        kind: text("flavor"),
-        cell: row["cell"].as_u64().unwrap_or(0) as u32,
-        // A state word that is not known says that the engine is listed, no more.
-        phase: match row["phase"].as_str() {
-            Some("draining") => Phase::Draining,
-            Some("gone") => Phase::Gone,
-            _ => Phase::Ready,
+        address: text(field::ADDRESS),
+        zone: text(field::ZONE),
+        kind: text(field::MACHINE_KIND),
+        cell: row[field::CELL].as_u64().unwrap_or(0) as u32,
+        phase: match row[field::PHASE].as_str() {
+            Some(phase::DRAINING) => EndpointPhase::Draining,
+            Some(phase::GONE) => EndpointPhase::Gone,
+            // An endpoint of an unknown state is listed, and so it is used.
+            _ => EndpointPhase::Ready,
         },
-        up_since_ms: row["up_since_ms"].as_i64().unwrap_or(0),
+        up_since_ms: row[field::UP_SINCE_MS].as_i64().unwrap_or(0),
     })
 }
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -1,35 +1,109 @@
-//! The comment before a statement, which carries a request's fields.
+//! The comment before a statement, which carries a request's fields: `/* name=value,name=value */ SELECT ...`.
 
-use super::Malformed;
+use super::pg::ErrorResponse;
+use thiserror::Error;
 
-/// What the comment said. What it did not say is absent.
+/// Names of the fields.
+pub mod name {
+    /// The class.
+    pub const CLASS: &str = "kind";
+    /// The request's id.
+    pub const REQUEST_ID: &str = "req";
+    /// How long the client waits.
+    pub const TIMEOUT: &str = "timeout";
+    /// The tenant.
+    pub const TENANT: &str = "owner";
+    /// Marks a client's retry.
+    pub const RETRY: &str = "resent";
+    /// The idempotency key.
+    pub const IDEMPOTENCY_KEY: &str = "opkey";
+    /// The estimated work.
+    pub const WORK_MS: &str = "ms";
+    /// The estimated memory.
+    pub const MEMORY_MB: &str = "heap_mb";
+}
+
+/// Value of the field `resent`.
+const IS_RETRY: &str = "1";
+/// Hexadecimal digits of a request's id.
+const ID_DIGITS: usize = 16;
+/// Maximum number of characters of an idempotency key.
+const MAX_KEY_CHARACTERS: usize = 128;
+/// The longest time-out, in milliseconds: one day.
+const MAX_TIMEOUT_MS: u64 = 86_400_000;
+/// Maximum work of an estimate, in milliseconds on one core: eleven days.
+const MAX_WORK_MS: f64 = 1e9;
+/// Maximum memory of an estimate, in MB: a hundred terabytes.
+const MAX_MEMORY_MB: f64 = 1e8;
+
+/// Why the fields of a statement cannot be used.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum FieldError {
+    /// The comment has no end.
+    #[error("field comment is not closed")]
+    OpenComment,
+    /// A field is given twice.
+    #[error("field {0} stands there twice")]
+    Duplicate(String),
+    /// The request's id is not 16 hexadecimal digits.
+    #[error("field req is not 16 hex digits")]
+    InvalidId,
+    /// The mark of a retry is not 1.
+    #[error("field resent is not 1")]
+    InvalidRetry,
+    /// The idempotency key is empty, too long, or has characters that the engines' list of fields cannot hold.
+    #[error("field opkey is not 1 to 128 plain characters")]
+    InvalidKey,
+    /// The field is not a number of milliseconds of at most a day.
+    #[error("field {0} is not a number of milliseconds")]
+    InvalidTimeout(&'static str),
+    /// The field is not a number within its range.
+    #[error("field {field} is not a number from 0 to {max:.0}")]
+    OutOfRange {
+        /// The field.
+        field: &'static str,
+        /// The end of its range.
+        max: f64,
+    },
+}
+
+impl From<FieldError> for ErrorResponse {
+    fn from(error: FieldError) -> ErrorResponse {
+        ErrorResponse::malformed(error)
+    }
+}
+
+/// The fields of a request; absent ones are `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fields {
-    /// The class, by name.
+    /// Name of the class.
     pub kind: Option<String>,
     /// The request's id.
     pub req: Option<u64>,
     /// How long the client waits, in milliseconds.
     pub timeout_ms: Option<u64>,
-    /// The tenant, by name.
+    /// Name of the tenant.
     pub owner: Option<String>,
-    /// A client's retry.
+    /// It is a client's retry.
     pub resent: bool,
     /// The idempotency key.
     pub opkey: Option<String>,
-    /// Estimated work, in milliseconds on one core.
+    /// The estimated work, in milliseconds on one core.
     pub ms: Option<f64>,
-    /// Estimated memory in MB.
+    /// The estimated memory, in MB.
     pub heap_mb: Option<f64>,
 }
 
-/// Parts a text into its first comment, if that holds fields, and the statement without it. Only
-/// white space may stand before it.
-pub fn part(text: &str) -> Result<(&str, &str), Malformed> {
+/// Divides a text into its first comment, if that holds fields, and the statement without it. Only white space may
+/// stand before the comment.
+///
+/// # Errors
+/// Where the comment has no end.
+pub fn split_comment(text: &str) -> Result<(&str, &str), FieldError> {
     let start = text.trim_start();
     let Some(rest) = start.strip_prefix("/*") else { return Ok(("", text)) };
     let Some((comment, statement)) = rest.split_once("*/") else {
-        return Err(Malformed::field("comment", "is not closed"));
+        return Err(FieldError::OpenComment);
     };
     if !comment.split(',').all(is_pair) {
         return Ok(("", text));
@@ -38,75 +112,79 @@
 }
 
 /// A text's fields, and its statement without the comment that held them.
-pub fn split(text: &str) -> Result<(Fields, &str), Malformed> {
-    let (comment, statement) = part(text)?;
+///
+/// # Errors
+/// Where the fields cannot be used.
+pub fn split(text: &str) -> Result<(Fields, &str), FieldError> {
+    let (comment, statement) = split_comment(text)?;
     Ok((read(pairs(comment))?, statement))
 }
 
 /// The names and values of a comment.
 pub fn pairs(comment: &str) -> impl Iterator<Item = (&str, &str)> {
-    comment.split(',').filter_map(|p| p.trim().split_once('='))
+    comment.split(',').filter_map(|pair| pair.trim().split_once('='))
 }
 
-/// `name=value` without white space: other comments are the client's own.
+/// Whether a part of a comment is `name=value`, with no white space in the name. Other comments are the client's own.
 fn is_pair(part: &str) -> bool {
     let part = part.trim();
-    let name = part.split_once('=').map_or("", |p| p.0);
-    !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_')
+    let name = part.split_once('=').map_or("", |(name, _)| name);
+    !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
 }
 
-/// Understands names and values; names that are not known are skipped.
-pub fn read<'a>(list: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Fields, Malformed> {
-    let (mut f, mut seen) = (Fields::default(), Vec::new());
-    for (name, value) in list {
-        // Guards against a request that says two things: what was checked must be what is meant.
+/// Reads names and values; unknown names are ignored.
+///
+/// # Errors
+/// Where a value does not fit its field, or a field is given twice: which of two was meant is not known.
+pub fn read<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Fields, FieldError> {
+    let mut fields = Fields::default();
+    let mut seen = Vec::new();
+    for (name, value) in pairs {
         if seen.contains(&name) {
-            return Err(Malformed::field(name, "stands there twice"));
+            return Err(FieldError::Duplicate(name.to_owned()));
         }
         seen.push(name);
         match name {
-            "kind" => f.kind = Some(value.to_owned()),
-            "req" => {
-                let hex = value.len() == 16 && value.bytes().all(|b| b.is_ascii_hexdigit());
-                let id = hex.then(|| u64::from_str_radix(value, 16).ok()).flatten();
-                f.req = Some(id.ok_or_else(|| Malformed::field("req", "is not 16 hex digits"))?);
-            }
-            "timeout" => f.timeout_ms = Some(millis(name, value)?),
-            "owner" => f.owner = Some(value.to_owned()),
-            "resent" if value == "1" => f.resent = true,
-            "resent" => return Err(Malformed::field(name, "is not 1")),
-            "opkey" => f.opkey = Some(opkey(value)?),
-            "ms" => f.ms = Some(amount(name, value, MOST_WORK_MS)?),
-            "heap_mb" => f.heap_mb = Some(amount(name, value, MOST_MEMORY_MB)?),
+            name::CLASS => fields.kind = Some(value.to_owned()),
+            name::REQUEST_ID => fields.req = Some(read_id(value)?),
+            name::TIMEOUT => fields.timeout_ms = Some(read_timeout(name::TIMEOUT, value)?),
+            name::TENANT => fields.owner = Some(value.to_owned()),
+            name::RETRY if value == IS_RETRY => fields.resent = true,
+            name::RETRY => return Err(FieldError::InvalidRetry),
+            name::IDEMPOTENCY_KEY => fields.opkey = Some(read_key(value)?),
+            name::WORK_MS => fields.ms = Some(read_amount(name::WORK_MS, value, MAX_WORK_MS)?),
+            name::MEMORY_MB => fields.heap_mb = Some(read_amount(name::MEMORY_MB, value, MAX_MEMORY_MB)?),
             _ => {}
         }
     }
-    Ok(f)
+    Ok(fields)
 }
 
-/// Checks an idempotency key: it travels in the engines' list of fields, which has no quotes.
-pub fn opkey(value: &str) -> Result<String, Malformed> {
-    let fits = (1..=128).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic());
-    if !fits || value.contains([',', '=']) {
-        return Err(Malformed::field("opkey", "is not 1 to 128 plain characters"));
-    }
-    Ok(value.to_owned())
+fn read_id(value: &str) -> Result<u64, FieldError> {
+    let is_hex = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let id = is_hex.then(|| u64::from_str_radix(value, 16).ok()).flatten();
+    id.ok_or(FieldError::InvalidId)
 }
 
-/// Most work that an estimate may name, in milliseconds on one core: eleven days of it.
-const MOST_WORK_MS: f64 = 1e9;
-/// Most memory that an estimate may name, in MB: a hundred terabytes.
-const MOST_MEMORY_MB: f64 = 1e8;
+/// Checks an idempotency key: it is sent on in the engines' list of fields, which has no quotes.
+fn read_key(value: &str) -> Result<String, FieldError> {
+    let has_length = (1..=MAX_KEY_CHARACTERS).contains(&value.len());
+    let is_plain = value.bytes().all(|byte| byte.is_ascii_graphic()) && !value.contains([',', '=']);
+    if has_length && is_plain {
+        Ok(value.to_owned())
+    } else {
+        Err(FieldError::InvalidKey)
+    }
+}
 
-/// Milliseconds, at most a day.
-pub fn millis(name: &str, value: &str) -> Result<u64, Malformed> {
-    let whole = value.parse::<u64>().ok().filter(|v| *v <= 86_400_000);
-    whole.ok_or_else(|| Malformed::field(name, "is not a number of milliseconds"))
+fn read_timeout(field: &'static str, value: &str) -> Result<u64, FieldError> {
+    let millis = value.parse::<u64>().ok().filter(|millis| *millis <= MAX_TIMEOUT_MS);
+    millis.ok_or(FieldError::InvalidTimeout(field))
 }
 
-/// A figure within its range: engines close the connection, and with it all that is open there, on
-/// what they cannot use.
-fn amount(name: &str, value: &str, most: f64) -> Result<f64, Malformed> {
-    let v = value.parse::<f64>().ok().filter(|v| (0.0..=most).contains(v));
-    v.ok_or_else(|| Malformed::field(name, &format!("is not a number from 0 to {most:.0}")))
+/// A number from 0 to `max`. Engines close a connection, with all that is in flight on it, on a number that they cannot
+/// use.
+fn read_amount(field: &'static str, value: &str, max: f64) -> Result<f64, FieldError> {
+    let amount = value.parse::<f64>().ok().filter(|amount| (0.0..=max).contains(amount));
+    amount.ok_or(FieldError::OutOfRange { field, max })
 }
--- a/src/proto/mod.rs
+++ b/src/proto/mod.rs
@@ -1,8 +1,10 @@
-//! What is spoken on the wire: codecs without sockets, clocks or memory of their own.
+//! Codecs of all that is spoken on sockets, without sockets or clocks (sans-io).
 //!
-//! Each is incremental (it says when it wants more bytes) and bounded (it refuses what passes its
-//! limit), and none panics whatever it is given.
+//! Each codec is incremental (it says when it needs more bytes) and bounded (it rejects what exceeds its limits), and
+//! none panics, whatever bytes it is given. Each has its own error type, whose messages name the field that is wrong.
 
+pub mod engine_answer;
+pub mod engine_command;
 pub mod events;
 pub mod fields;
 pub mod literal;
@@ -10,21 +12,3 @@
 pub mod resp;
 pub mod sse;
 pub mod tables;
-
-/// Why bytes could not be read: the message names the field at fault.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
-
-impl Malformed {
-    /// A fault in the named field.
-    pub fn field(name: &str, why: &str) -> Malformed {
-        Malformed(format!("field {name} {why}"))
-    }
-}
-
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-impl std::error::Error for Malformed {}
--- /dev/null
+++ b/src/proto/pg/error.rs
@@ -0,0 +1,87 @@
+//! Errors of the protocol, and errors as clients see them.
+
+use thiserror::Error;
+
+/// Why a client's bytes are not a message of the protocol.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum PgError {
+    /// The length of the first packet is out of bounds.
+    #[error("field length of the start-up packet is not a legal one")]
+    OpeningLength,
+    /// The first packet asks for another version of the protocol.
+    #[error("field version is not 3.0 but {major}.{minor}")]
+    Version {
+        /// The major version.
+        major: u16,
+        /// The minor version.
+        minor: u16,
+    },
+    /// The length of a message is out of bounds.
+    #[error("field length of the message is not a legal one")]
+    MessageLength,
+    /// The message has bytes behind its last field.
+    #[error("field length counts more bytes than the message has fields")]
+    TrailingBytes,
+    /// The type byte is not one of the protocol's.
+    #[error("field type is unknown: 0x{0:02x}")]
+    UnknownType(u8),
+    /// The message ends within the field.
+    #[error("field {0} is cut short")]
+    Truncated(&'static str),
+    /// The field is a string without an end.
+    #[error("field {0} is not ended by a zero byte")]
+    Unterminated(&'static str),
+    /// The field is not UTF-8.
+    #[error("field {0} is not UTF-8")]
+    NotUtf8(&'static str),
+    /// The field is neither the text format nor the binary one.
+    #[error("field {0} is neither 0 nor 1")]
+    UnknownFormat(&'static str),
+    /// A Describe or Close names neither a statement nor a portal.
+    #[error("field kind is neither S nor P")]
+    UnknownObjectKind,
+}
+
+/// An ErrorResponse.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{code}: {message}")]
+pub struct ErrorResponse {
+    /// The SQLSTATE.
+    pub code: &'static str,
+    /// What happened.
+    pub message: String,
+    /// For programs: `name=value`.
+    pub detail: Option<String>,
+    /// What the client can do.
+    pub hint: Option<String>,
+    /// The session ends with it.
+    pub fatal: bool,
+}
+
+impl ErrorResponse {
+    /// An error without detail or hint.
+    pub fn new(code: &'static str, message: impl Into<String>) -> ErrorResponse {
+        ErrorResponse { code, message: message.into(), detail: None, hint: None, fatal: false }
+    }
+
+    /// An error in the form of a message or of a field in it (SQLSTATE 08P01, protocol violation).
+    pub fn malformed(reason: impl std::fmt::Display) -> ErrorResponse {
+        ErrorResponse::new("08P01", format!("malformed message: {reason}"))
+    }
+
+    /// The same error with a hint.
+    pub fn hint(self, hint: impl Into<String>) -> ErrorResponse {
+        ErrorResponse { hint: Some(hint.into()), ..self }
+    }
+
+    /// The same error as the end of its session.
+    pub fn fatal(self) -> ErrorResponse {
+        ErrorResponse { fatal: true, ..self }
+    }
+}
+
+impl From<PgError> for ErrorResponse {
+    fn from(error: PgError) -> ErrorResponse {
+        ErrorResponse::malformed(error)
+    }
+}
--- a/src/proto/sse.rs
+++ b/src/proto/sse.rs
@@ -1,108 +1,134 @@
-//! The control feed's text: server-sent events, as the HTML standard's page 9.2 has them, with `id` and `data`
-//! alone and lines that end in a line feed, with or without a carriage return.
+//! The control feed's stream: server-sent events (HTML standard, section 9.2), with the fields `id` and `data` alone and
+//! lines that end in a line feed, with or without a carriage return.
 //!
-//! The decoder is the project's own since no kept crate for event streams is bounded (measured, with figures in
-//! docs/measurements/plumbing.md): a feed that never ends a line or an event would fill the memory.
+//! The decoder is the project's own since no maintained crate for event streams is bounded (docs/measurements/plumbing.md
+//! has the figures): a feed that never ends a line or an event would fill the memory.
 
-use super::events::MOST_N;
-use super::Malformed;
+use super::events::MAX_EVENT_NUMBER;
+use thiserror::Error;
 
-/// The longest line, and the most data of one event.
-pub const MOST: usize = 1 << 20;
+/// Maximum number of bytes of one line, and of the data of one event.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
+/// Name of the field that holds an event's number.
+const ID_FIELD: &str = "id";
+/// Name of the field that holds an event's data.
+const DATA_FIELD: &str = "data";
 
-/// One event as it was sent.
+/// Why a stream cannot be decoded.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum SseError {
+    /// A line, or the data of an event, is longer than [`MAX_EVENT_BYTES`].
+    #[error("field data is too long")]
+    TooLong,
+}
+
+/// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct ServerSentEvent {
     /// Its number.
     pub id: Option<u64>,
-    /// Its data, lines joined by line feeds.
+    /// Its data, with its lines joined by line feeds.
     pub data: String,
 }
 
-/// Reads a stream of events piece by piece.
+/// Decodes a stream of events piece by piece.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    text: Vec<u8>,
+    /// The line that is incomplete.
+    line: Vec<u8>,
+    /// Number of the event that is incomplete.
     id: Option<u64>,
+    /// Data of the event that is incomplete.
     data: Option<String>,
-    /// The event in hand is passed over, to its end.
-    passing: bool,
+    /// The event that is incomplete is skipped up to its end.
+    is_skipping: bool,
     /// What came behind an event that was too long.
     rest: Vec<u8>,
-    whole: u64,
+    completed: u64,
 }
 
 impl Decoder {
-    /// Takes the next bytes and appends the events that they complete.
+    /// Decodes the next bytes, and appends the events that they complete.
     ///
     /// # Errors
-    /// Where a line, or the data of one event, passes [`MOST`] bytes; [`Decoder::pass`] must be called before
-    /// anything more is given to it.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<Sent>) -> Result<(), Malformed> {
-        let mut taken = 0;
-        for piece in bytes.split_inclusive(|b| *b == b'\n') {
-            self.text.extend_from_slice(piece);
-            taken += piece.len();
-            if self.text.len() > MOST || self.data.as_ref().is_some_and(|d| d.len() > MOST) {
-                // Of the line no more is wanted than whether it ends, and whether it is the empty one.
-                let ends = piece.ends_with(b"\n");
-                let empty = self.text.iter().all(|b| matches!(b, b'\r' | b'\n'));
-                self.text.clear();
-                self.text.extend_from_slice(if empty { b"" } else { b"x" });
-                if !self.passing {
-                    self.rest = [if ends { &b"\n"[..] } else { b"" }, &bytes[taken..]].concat();
-                    return Err(Malformed::field("data", "is too long"));
+    /// Where an event is too long; [`Decoder::skip_event`] must be called before any other bytes are decoded.
+    pub fn decode(&mut self, bytes: &[u8], events: &mut Vec<ServerSentEvent>) -> Result<(), SseError> {
+        let mut decoded = 0;
+        for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
+            self.line.extend_from_slice(piece);
+            decoded += piece.len();
+            if self.is_too_long() {
+                let is_complete = piece.ends_with(b"\n");
+                self.shorten_line();
+                if !self.is_skipping {
+                    let line_end: &[u8] = if is_complete { b"\n" } else { b"" };
+                    self.rest = [line_end, &bytes[decoded..]].concat();
+                    return Err(SseError::TooLong);
+                }
+                if is_complete {
+                    self.line.push(b'\n');
                 }
-                self.text.extend_from_slice(if ends { b"\n" } else { b"" });
             }
             if piece.ends_with(b"\n") {
-                let line = std::mem::take(&mut self.text);
-                self.line(String::from_utf8_lossy(&line).trim_end_matches(['\n', '\r']), out);
+                let line = std::mem::take(&mut self.line);
+                self.decode_line(String::from_utf8_lossy(&line).trim_end_matches(['\n', '\r']), events);
             }
         }
         Ok(())
     }
 
-    /// The number of the event in hand, as far as it came.
+    /// Number of the event that is incomplete, if it came.
     pub fn id(&self) -> Option<u64> {
         self.id
     }
 
-    /// Passes over the event that was too long, to its end, and goes on with what came behind it.
+    /// Skips the event that was too long up to its end, and decodes what came behind it.
     ///
     /// # Errors
-    /// As [`Decoder::take`].
-    pub fn pass(&mut self, out: &mut Vec<Sent>) -> Result<(), Malformed> {
-        (self.passing, self.data, self.id) = (true, None, None);
+    /// As [`Decoder::decode`].
+    pub fn skip_event(&mut self, events: &mut Vec<ServerSentEvent>) -> Result<(), SseError> {
+        self.is_skipping = true;
+        self.data = None;
+        self.id = None;
         let rest = std::mem::take(&mut self.rest);
-        self.take(&rest, out)
+        self.decode(&rest, events)
     }
 
-    /// Ends of events and comments so far: what only trickles has none.
-    pub fn whole(&self) -> u64 {
-        self.whole
+    /// Number of events and comments that were complete. A stream on which it does not grow makes no progress.
+    pub fn completed(&self) -> u64 {
+        self.completed
     }
 
-    fn line(&mut self, line: &str, out: &mut Vec<Sent>) {
+    fn is_too_long(&self) -> bool {
+        let data_bytes = self.data.as_ref().map_or(0, String::len);
+        self.line.len() > MAX_EVENT_BYTES || data_bytes > MAX_EVENT_BYTES
+    }
+
+    /// Keeps of a line only whether it is empty, which would end the event.
+    fn shorten_line(&mut self) {
+        let is_empty = self.line.iter().all(|byte| matches!(byte, b'\r' | b'\n'));
+        self.line.clear();
+        if !is_empty {
+            self.line.push(b'x');
+        }
+    }
+
+    fn decode_line(&mut self, line: &str, events: &mut Vec<ServerSentEvent>) {
         if line.is_empty() || line.starts_with(':') {
-            self.whole += 1;
+            self.completed += 1;
         }
         if line.is_empty() {
-            let (id, passed) = (self.id.take(), std::mem::take(&mut self.passing));
-            if let Some(data) = self.data.take().filter(|_| !passed) {
-                out.push(Sent { id, data });
-            }
-            return;
+            return self.end_event(events);
         }
-        if self.passing {
+        if self.is_skipping {
             return;
         }
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match name {
-            // What no feed counts up to is no number: all that comes after it would be passed over.
-            "id" => self.id = value.parse().ok().filter(|n| *n <= MOST_N),
-            "data" => match &mut self.data {
+            // A number that no feed reaches is ignored: every later event would count as seen before.
+            ID_FIELD => self.id = value.parse().ok().filter(|number| *number <= MAX_EVENT_NUMBER),
+            DATA_FIELD => match &mut self.data {
                 Some(data) => {
                     data.push('\n');
                     data.push_str(value);
@@ -112,4 +138,12 @@
             _ => {}
         }
     }
+
+    fn end_event(&mut self, events: &mut Vec<ServerSentEvent>) {
+        let id = self.id.take();
+        let was_skipped = std::mem::take(&mut self.is_skipping);
+        if let Some(data) = self.data.take().filter(|_| !was_skipped) {
+            events.push(ServerSentEvent { id, data });
+        }
+    }
 }
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -1,16 +1,21 @@
-//! Which group of tables a statement reads or writes: the number after the underscore in the
-//! name of its schema; and whether a text holds one statement.
+//! Which group of tables a statement reads or writes: the number after the underscore in the name of its schema; and
+//! whether a text holds one statement.
 
-use super::Malformed;
 use sprucelink_query_fingerprint::facts::data_set;
 use sprucelink_query_fingerprint::lex::{self, Kind};
+use thiserror::Error;
 
-/// What a word in a statement is.
+/// The text holds more than one statement.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("field query holds several statements, where one is supported")]
+pub struct SeveralStatements;
+
+/// Kind of a token of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Token {
     /// A name, bare or in double quotes.
     Name,
-    /// A string or comment: nothing in it counts.
+    /// A string or a comment, whose text has no meaning here.
     Opaque,
     /// `$1` and the like.
     Parameter,
@@ -22,8 +27,8 @@
 
 /// The first token of a statement and its length in bytes; `None` at the end.
 pub fn token(text: &str) -> Option<(Token, usize)> {
-    let t = lex::token(text, 0)?;
-    let kind = match t.kind {
+    let token = lex::token(text, 0)?;
+    let kind = match token.kind {
         Kind::Word | Kind::Quoted => Token::Name,
         Kind::Text => Token::Opaque,
         Kind::Blank if text.starts_with(['-', '/']) => Token::Opaque,
@@ -31,75 +36,84 @@
         Kind::Parameter => Token::Parameter,
         Kind::Number | Kind::Operator | Kind::Mark => Token::Mark,
     };
-    Some((kind, t.end))
+    Some((kind, token.end))
 }
 
-/// Words after which a table is named.
+/// Words that are followed by the name of a table.
 const BEFORE_TABLE: [&str; 8] = ["from", "into", "update", "join", "table", "copy", "only", "using"];
 
-/// The group of tables of a statement, 0 if no schema in it has a number. A schema named after
-/// `FROM`, `INTO` and the like goes before any other, which may be a table's short name.
+/// The group of tables of a statement, 0 if no schema in it has a number. A schema that follows `FROM`, `INTO` and the
+/// like has precedence over any other, which may be a table's alias.
 pub fn group(statement: &str) -> u64 {
-    let (mut rest, mut fallback) = (statement, None);
-    // The last word, the name before the present point, and whether a list of tables goes on.
-    let (mut named, mut schema, mut after_dot): (bool, Option<(&str, bool)>, bool) = (false, None, false);
-    while let Some((kind, len)) = token(rest) {
-        let Some(text) = rest.get(..len) else { return fallback.unwrap_or(0) };
-        rest = &rest[len..];
+    let mut rest = statement;
+    let mut fallback = None;
+    // The last name, unless it followed a point, and whether a word of `BEFORE_TABLE` stood before it.
+    let mut schema: Option<(&str, bool)> = None;
+    let mut is_table_next = false;
+    let mut is_after_point = false;
+    while let Some((kind, length)) = token(rest) {
+        let Some(text) = rest.get(..length) else { return fallback.unwrap_or(0) };
+        rest = &rest[length..];
         match kind {
             Token::Space | Token::Opaque => {}
             Token::Name => {
-                let bare = text.trim_matches('"');
-                schema = (!after_dot).then_some((bare, named));
-                after_dot = false;
-                named = BEFORE_TABLE.iter().any(|w| w.eq_ignore_ascii_case(bare));
+                let name = text.trim_matches('"');
+                schema = (!is_after_point).then_some((name, is_table_next));
+                is_after_point = false;
+                is_table_next = BEFORE_TABLE.iter().any(|word| word.eq_ignore_ascii_case(name));
             }
-            _ => {
-                if text == "." {
-                    if let Some((name, sure)) = schema.take() {
-                        match data_set(name) {
-                            Some(n) if sure => return n,
-                            Some(n) => fallback = fallback.or(Some(n)),
-                            None => {}
-                        }
-                    }
-                    after_dot = true;
-                } else {
-                    (schema, after_dot) = (None, false);
+            _ if text == "." => {
+                match schema.take().and_then(|(name, is_certain)| Some((data_set(name)?, is_certain))) {
+                    Some((group, true)) => return group,
+                    Some((group, false)) => fallback = fallback.or(Some(group)),
+                    None => {}
                 }
-                named = false;
+                is_after_point = true;
+                is_table_next = false;
+            }
+            _ => {
+                schema = None;
+                is_after_point = false;
+                is_table_next = false;
             }
         }
     }
     fallback.unwrap_or(0)
 }
 
-/// Whether a text holds one statement at most: what stands behind a semicolon is another one, unless it
-/// is nothing.
-pub fn single(mut text: &str) -> Result<(), Malformed> {
-    while let Some((kind, len)) = token(text) {
-        let (head, tail) = text.split_at_checked(len).unwrap_or((text, ""));
+/// Checks that a text holds at most one statement. What stands behind a semicolon is another one, unless it is empty.
+///
+/// # Errors
+/// If it holds more than one.
+pub fn single(mut text: &str) -> Result<(), SeveralStatements> {
+    while let Some((kind, length)) = token(text) {
+        let (head, tail) = text.split_at_checked(length).unwrap_or((text, ""));
         if head == ";" && kind == Token::Mark && !is_empty(tail) {
-            return Err(Malformed::field("query", "holds several statements, where one is supported"));
+            return Err(SeveralStatements);
         }
         text = tail;
     }
     Ok(())
 }
 
-/// Whether a text holds no statement: white space, comments and semicolons only.
+/// Whether a text holds no statement, but only white space, comments and semicolons.
 pub fn is_empty(mut text: &str) -> bool {
-    while let Some((kind, len)) = token(text) {
-        let (Some(head), Some(rest)) = (text.get(..len), text.get(len..)) else { return false };
-        let passed = match kind {
+    while let Some((kind, length)) = token(text) {
+        let (Some(head), Some(rest)) = (text.get(..length), text.get(length..)) else { return false };
+        let is_ignored = match kind {
             Token::Space => true,
-            Token::Opaque => head.starts_with("--") || head.starts_with("/*"),
+            Token::Opaque => is_comment(head),
             _ => head == ";",
         };
-        if !passed {
+        if !is_ignored {
             return false;
         }
         text = rest;
     }
     true
 }
+
+/// Whether an opaque token is a comment, and not a string.
+pub fn is_comment(token: &str) -> bool {
+    token.starts_with("--") || token.starts_with("/*")
+}
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -123,7 +123,7 @@
 /// # Errors
 /// Where the text will not do: by line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
-    let told: PlatformConfig<events::Told> = PlatformConfig::parse(text)?;
+    let told: PlatformConfig<events::ConfiguredEvent> = PlatformConfig::parse(text)?;
     let set = told.settings.to_policy_settings();
     let limits = &told.settings.limits;
     let names = |list: &[Text]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,9 +1,9 @@
-//! The codecs against random cuts of valid input and random garbage, from fixed seeds.
+//! The codecs on valid input cut at random and on random bytes, from fixed seeds.
 
 use quickcheck::{Arbitrary, Gen};
-use sprucelink::proto::{events, fields, literal, pg, resp, sse, tables};
+use sprucelink::proto::{engine_answer, events, fields, literal, pg, resp, sse, tables};
 
-/// Runs a property over so many values from a fixed seed: the same in every run.
+/// Checks a property on 2,000 values that are the same in every run.
 fn check<A: Arbitrary + std::fmt::Debug>(seed: u64, property: fn(A) -> bool) {
     let mut gen = Gen::from_size_and_seed(64, seed);
     for _ in 0..2_000 {
@@ -13,7 +13,7 @@
     }
 }
 
-/// Bytes that look like what the parsers take, more often than chance would have it.
+/// Random bytes mixed with pieces of what the parsers accept.
 #[derive(Clone, Debug)]
 struct Noise(Vec<u8>);
 impl Arbitrary for Noise {
@@ -54,35 +54,37 @@
 }
 
 #[test]
-fn garbage_panics_no_parser() {
+fn random_bytes_panic_no_parser() {
     check(1, |Noise(bytes): Noise| {
-        if let Ok(Some((parts, n))) = resp::read_array(&bytes, 64) {
-            assert!(n <= bytes.len() && n <= 64);
-            drop(resp::read_answer(&parts));
+        if let Ok(Some(array)) = resp::read_array(&bytes, 64) {
+            assert!(array.length <= bytes.len() && array.length <= 64);
+            drop(engine_answer::read_answer(&array.parts));
         }
         drop(pg::read_opening(&bytes));
-        if let Ok(Some((_, n))) | Err((_, Some(n))) = pg::read_message(&bytes, 4096) {
+        if let Ok(Some((_, n))) | Err(pg::MalformedMessage { length: Some(n), .. }) =
+            pg::read_message(&bytes, 4096)
+        {
             assert!(n <= bytes.len() || n <= 4096);
         }
-        drop(sse::Decoder::default().take(&bytes, &mut Vec::new()));
+        drop(sse::Decoder::default().decode(&bytes, &mut Vec::new()));
         let text = String::from_utf8_lossy(&bytes);
         drop(events::parse(&text));
         drop(fields::split(&text));
         tables::group(&text);
         tables::is_empty(&text);
-        literal::count(&text);
-        drop(literal::expand(&text, &[], 4096));
-        drop(literal::param(1, u32::from(bytes.first().copied().unwrap_or(0)), 1, Some(&bytes)));
+        literal::max_parameter(&text);
+        drop(literal::substitute(&text, &[], 4096));
+        drop(literal::parse_parameter(1, u32::from(bytes.first().copied().unwrap_or(0)), 1, Some(&bytes)));
         true
     });
 }
 
-/// Tokens of a statement are the statement: nothing is lost, whatever it holds.
+/// The tokens of a statement, joined, are the statement.
 #[test]
-fn expanding_nothing_changes_nothing() {
+fn substitution_without_parameters_is_the_identity() {
     check(2, |Noise(bytes): Noise| {
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        literal::count(&text) > 0 || literal::expand(&text, &[], 1 << 20).is_ok_and(|t| t == text)
+        literal::max_parameter(&text) > 0 || literal::substitute(&text, &[], 1 << 20).is_ok_and(|t| t == text)
     });
 }
 
@@ -93,9 +95,9 @@
     out
 }
 
-/// An array cut anywhere wants more bytes; whole, it is what was written, whatever follows.
+/// An array that is cut anywhere needs more bytes; a complete one is what was written, whatever follows it.
 #[test]
-fn arrays_survive_any_cut() {
+fn cut_arrays_are_incomplete() {
     check(3, |parts: Vec<String>| {
         let parts = &parts[..parts.len().min(8)];
         let bytes = command(parts);
@@ -104,16 +106,16 @@
         }
         let cut = |n: usize| matches!(resp::read_array(&bytes[..n], 1 << 20), Ok(None));
         let more = [&bytes[..], b"*9"].concat();
-        let read = resp::read_array(&more, 1 << 20).expect("legal").expect("whole");
+        let read = resp::read_array(&more, 1 << 20).expect("legal").expect("complete");
         (0..bytes.len()).all(cut)
-            && read.1 == bytes.len()
-            && read.0.iter().zip(parts).all(|(a, b)| *a == b.as_bytes())
+            && read.length == bytes.len()
+            && read.parts.iter().zip(parts).all(|(a, b)| *a == b.as_bytes())
     });
 }
 
-/// Client messages cut anywhere want more bytes, and are never taken for something else.
+/// A message that is cut anywhere needs more bytes, and is never read as another message.
 #[test]
-fn client_messages_survive_any_cut() {
+fn cut_client_messages_are_incomplete() {
     check(4, |(name, sql, values): (String, String, Vec<Option<Vec<u8>>>)| {
         let (name, sql) = (name.replace('\0', ""), sql.replace('\0', ""));
         let mut body = format!("{name}\0{sql}\0").into_bytes();
@@ -126,7 +128,7 @@
         body.extend_from_slice(&[0, 0]);
         let bytes = [&b"B"[..], &(body.len() as u32 + 4).to_be_bytes(), &body].concat();
         let cut = |n: usize| matches!(pg::read_message(&bytes[..n], 1 << 20), Ok(None));
-        let whole = pg::read_message(&bytes, 1 << 20).expect("legal").expect("whole");
+        let whole = pg::read_message(&bytes, 1 << 20).expect("legal").expect("complete");
         let values: Vec<Option<&[u8]>> = values.iter().map(|v| v.as_deref()).collect();
         let (formats, results) = (Vec::new(), Vec::new());
         let wanted = pg::Message::Bind { portal: &name, statement: &sql, formats, values, results };
@@ -134,36 +136,39 @@
     });
 }
 
-/// A feed read in any pieces gives the same events.
+/// A feed gives the same events in whatever pieces it is read.
 #[test]
-fn feeds_survive_any_cut() {
+fn feed_events_do_not_depend_on_piece_sizes() {
     check(5, |sizes: Vec<u8>| {
         let mut rest: &[u8] =
             b": hello\n\nid: 41\ndata: {\"a\":\r\ndata: 1}\n\n: still here\n\nid:42\ndata:x\n\nid: 43\n";
         let (mut decoder, mut out) = (sse::Decoder::default(), Vec::new());
         for n in sizes.iter().map(|n| usize::from(*n) % 13 + 1).chain([usize::MAX]) {
             let (piece, more) = rest.split_at(n.min(rest.len()));
-            decoder.take(piece, &mut out).expect("legal");
+            decoder.decode(piece, &mut out).expect("legal");
             rest = more;
         }
-        let sent = |id, data: &str| sse::Sent { id: Some(id), data: data.into() };
+        let sent = |id, data: &str| sse::ServerSentEvent { id: Some(id), data: data.into() };
         out == [sent(41, "{\"a\":\n1}"), sent(42, "x")]
     });
 }
 
-/// A feed that never ends a line, or an event, is refused before it fills the memory.
+/// A feed that never ends a line or an event is rejected before it fills the memory.
 #[test]
-fn an_event_without_end_is_refused() {
+fn endless_event_is_rejected() {
     for line in ["x", "data: 0123456789abcdef\n"] {
         let (mut decoder, mut out) = (sse::Decoder::default(), Vec::new());
         let piece = line.repeat(8_192 / line.len()).into_bytes();
-        let took = (0..).take_while(|_| decoder.take(&piece, &mut out).is_ok()).count() * piece.len();
-        assert!((sse::MOST / 2..2 * sse::MOST).contains(&took) && out.is_empty(), "{took} bytes");
+        let took = (0..).take_while(|_| decoder.decode(&piece, &mut out).is_ok()).count() * piece.len();
+        assert!(
+            (sse::MAX_EVENT_BYTES / 2..2 * sse::MAX_EVENT_BYTES).contains(&took) && out.is_empty(),
+            "{took} bytes"
+        );
     }
 }
 
 #[test]
-fn tables_are_found_where_they_are_named() {
+fn table_group_is_that_of_the_named_schema() {
     let cases = [
         ("SELECT day FROM sales_17.orders WHERE tag = '3f9c'", 17),
         ("INSERT INTO tariff_4.sheets SELECT * FROM staging.load_9", 4),
@@ -183,7 +188,7 @@
 }
 
 #[test]
-fn the_comment_holds_the_fields_and_nothing_else_does() {
+fn fields_are_read_from_the_first_comment_alone() {
     let text = "/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500,ms=820.0,heap_mb=96 */ SELECT day";
     let (f, statement) = fields::split(text).expect("legal");
     assert_eq!(
