--- a/crates/hot-restart/examples/cost.rs
+++ b/crates/hot-restart/examples/cost.rs
@@ -1,4 +1,4 @@
-//! What the handover costs: `cargo run --release -p sprucelink-hot-restart --example cost -- /dev/shm`.
+//! What the state files of hot restarts cost: `cargo run --release -p sprucelink-hot-restart --example cost -- /dev/shm`.
 //!
 //! Medians of many runs, for a content as it is on most days (80 engines, 3 bans) and for one at its bounds.
 
@@ -21,7 +21,7 @@
     took[RUNS / 2]
 }
 
-fn outages(engines: usize, bans: usize, now: Timestamp) -> CordonState {
+fn cordon_state(engines: usize, bans: usize, now: Timestamp) -> CordonState {
     let mut o = CordonState::new(CordonLimits::default());
     for i in 0..engines {
         o.note_listed(&format!("s-{i:08x}"));
@@ -33,12 +33,12 @@
     o
 }
 
-fn content(o: &CordonState, t: &Tally, now: Timestamp) -> Content {
-    Content {
-        bans: o.export_records(),
-        ids: o.export_known_ids(usize::MAX),
-        ration: t.ration(now),
-        cold: t.cold(now),
+fn snapshot(o: &CordonState, t: &WindowCounters, now: Timestamp) -> StateSnapshot {
+    StateSnapshot {
+        cordons: o.export_records(),
+        known_ids: o.export_known_ids(usize::MAX),
+        retry_budget: t.retry_budget(now),
+        warmup: t.warmup(now),
         last_event: 1,
     }
 }
@@ -49,31 +49,34 @@
     std::fs::create_dir(&dir).expect("a folder");
     let now = Timestamp::from_micros(1_700_000_000_000_000);
     let at = |i: i64| Timestamp::from_micros(now.as_micros() + i * 1_000);
-    for (what, engines, bans, cold) in [("usual", 80, 3, 8), ("at its bounds", 16_384, 1_024, COLD_MOST)] {
+    for (what, engines, bans, cold) in
+        [("usual", 80, 3, 8), ("at its bounds", 16_384, 1_024, MAX_WARMING_ENGINES)]
+    {
         let folder = DiskFolder::new(&dir);
         let me = Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
-        let o = outages(engines, bans, now);
-        let mut tally = Tally::new(TimeDelta::from_micros(5_000_000), TimeDelta::from_micros(4_000_000));
+        let o = cordon_state(engines, bans, now);
+        let mut counters =
+            WindowCounters::new(TimeDelta::from_micros(5_000_000), TimeDelta::from_micros(4_000_000));
         for ms in (0..5_000).step_by(10) {
-            tally.taken(at(ms - 5_000));
-            tally.cold_send(at(ms - 5_000), &format!("s-{:08x}", ms as usize / 10 % cold), 40);
+            counters.count_admitted(at(ms - 5_000));
+            counters.count_warmup(at(ms - 5_000), &format!("s-{:08x}", ms as usize / 10 % cold), 40);
         }
-        let (mut writer, _) = Keeper::open(folder.clone(), me.clone(), "sprucelink 0.1.0", 1, now);
-        let (mut reader, _) = Keeper::open(folder.clone(), me, "sprucelink 0.1.0", 2, at(1));
-        let whole = content(&o, &tally, now);
+        let (mut writer, _) = StateFileDriver::open(folder.clone(), me.clone(), "sprucelink 0.1.0", 1, now);
+        let (mut reader, _) = StateFileDriver::open(folder.clone(), me, "sprucelink 0.1.0", 2, at(1));
+        let whole = snapshot(&o, &counters, now);
         let bytes = writer.write(now, whole.clone()).expect("written").bytes;
-        let gather = median(|_| _ = black_box(content(&o, &tally, now)));
+        let gather = median(|_| _ = black_box(snapshot(&o, &counters, now)));
         let write = median(|i| _ = writer.write(at(i), whole.clone()).expect("written"));
         // The same bytes over the old ones, neither whole at any time nor checked: what a file costs at the least.
         let (raw, path) = (vec![7_u8; bytes], dir.join("raw"));
         let plain = median(|_| std::fs::write(&path, &raw).expect("written"));
-        let idle = median(|i| _ = black_box(reader.look(at(i))));
+        let idle = median(|i| _ = black_box(reader.scan(at(i))));
         // The write before it is not counted.
         let mut looks: Vec<f64> = (0..RUNS as i64)
             .map(|i| {
                 writer.write(at(10_000 + i), whole.clone()).expect("written");
                 let began = Instant::now();
-                assert_eq!(reader.look(at(10_000 + i)).read.len(), 1);
+                assert_eq!(reader.scan(at(10_000 + i)).files.len(), 1);
                 began.elapsed().as_secs_f64() * 1e6
             })
             .collect();
@@ -81,7 +84,7 @@
         let fresh = looks[RUNS / 2];
         let merge = median(|_| {
             let mut other = CordonState::new(CordonLimits::default());
-            other.merge_records(now, &whole.bans);
+            other.merge_records(now, &whole.cordons);
             black_box(&other);
         });
         let id = format!("s-{:08x}", engines - 1);
@@ -89,13 +92,13 @@
         let alone = (gather + write) * 4.0 + idle * 10.0;
         let beside = alone + (fresh - idle + merge) * 4.0;
         println!("{what}: {bytes} bytes, {engines} ids, {bans} bans, {cold} cold engines");
-        println!("  content gathered    {gather:9.1} us");
+        println!("  snapshot taken     {gather:9.1} us");
         println!(
             "  written             {write:9.1} us, {:.1} times a plain write ({plain:.1} us)",
             write / plain
         );
-        println!("  look, nothing new   {idle:9.1} us");
-        println!("  look, a new file    {fresh:9.1} us");
+        println!("  scan, nothing new   {idle:9.1} us");
+        println!("  scan, a new file    {fresh:9.1} us");
         println!("  merged into nothing {merge:9.1} us");
         println!("  is_out              {:9.1} ns", out);
         println!("  of a core: alone {:.3}%, beside another {:.3}%", alone / 1e4, beside / 1e4);
--- /dev/null
+++ b/crates/hot-restart/src/file_name.rs
@@ -0,0 +1,79 @@
+//! Names of state files: `sprucelink.INSTANCE.PID-START.handover`.
+//!
+//! The name tells whose a file is without opening it: a folder that many managers share (a test rig's) holds hundreds
+//! of files, and each process opens only those of its own instance. The start time tells two processes apart that got
+//! the same pid: where a process is the first of its machine, each start has the same.
+
+use crate::state::{Instance, Process};
+use crate::Timestamp;
+use sprucelink_stable_hash::stable_hash;
+
+#[cfg(test)]
+mod tests;
+
+/// Directory entries that one listing goes through. A private folder holds a dozen; beyond this bound the listing ends,
+/// and a file that was not reached is not seen.
+pub const MAX_LISTED_ENTRIES: usize = 4_096;
+
+const PREFIX: &str = "sprucelink.";
+const SUFFIX: &str = ".handover";
+/// Behind the name while a file is being written.
+const TEMPORARY_SUFFIX: &str = ".tmp";
+
+/// The parts of a file's name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StateFileName {
+    /// The low 32 bits of a hash of the instance.
+    pub instance_hash: u32,
+    /// The process's id.
+    pub pid: u32,
+    /// When the process started.
+    pub started_at: Timestamp,
+    /// Whether the file is still being written, or its writer died over it.
+    pub is_temporary: bool,
+}
+
+impl StateFileName {
+    /// The name of a process's file.
+    pub fn new(instance: &Instance, process: &Process) -> StateFileName {
+        let hash = stable_hash(&[instance.name.as_bytes(), instance.listen.as_bytes()]);
+        StateFileName {
+            instance_hash: hash as u32,
+            pid: process.pid,
+            started_at: process.started_at,
+            is_temporary: false,
+        }
+    }
+
+    /// Parses a name; `None` if it is not one of a state file.
+    pub fn parse(name: &str) -> Option<StateFileName> {
+        let (final_name, is_temporary) = match name.strip_suffix(TEMPORARY_SUFFIX) {
+            Some(stripped) => (stripped, true),
+            None => (name, false),
+        };
+        let parts = final_name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
+        let (instance, process) = parts.split_once('.')?;
+        let (pid, started_at) = process.split_once('-')?;
+        let parsed = StateFileName {
+            instance_hash: u32::from_str_radix(instance, 16).ok()?,
+            pid: pid.parse().ok()?,
+            started_at: Timestamp::from_micros(started_at.parse().ok()?),
+            is_temporary,
+        };
+        // A second spelling of a name ("+7", "007") is rejected: each file has exactly one name.
+        (parsed.to_string() == final_name).then_some(parsed)
+    }
+
+    /// The name of a file while it is being written.
+    pub(crate) fn temporary(name: &str) -> String {
+        format!("{name}{TEMPORARY_SUFFIX}")
+    }
+}
+
+impl std::fmt::Display for StateFileName {
+    /// The name of the complete file.
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        let started_at = self.started_at.as_micros();
+        write!(formatter, "{PREFIX}{:08x}.{}-{started_at}{SUFFIX}", self.instance_hash, self.pid)
+    }
+}
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,45 +1,51 @@
-//! What goes from one process of a workload manager to its successor during an upgrade.
+//! Hot restart: the state that passes from one process of a workload manager to its successor.
 //!
-//! During an upgrade a second process, the *newcomer*, starts beside the running one, the *elder*; both share the
-//! listening socket and a folder (`$TMPDIR`), and for every rule and limit they count as one workload manager. Each
-//! process keeps one file of its own in that folder, replaces it whole, and reads the others'. From these files both
-//! follow who accepts connections, what share of the manager's budgets each may spend, and which engines are out.
+//! During a hot restart a second process, the *new* one, starts beside the running, *old* one. Both share the listening
+//! socket and a folder (`$TMPDIR`), and for every rule and limit they count as one workload manager. Each process keeps
+//! one state file of its own in that folder, replaces it atomically, and reads the others'. From these files both derive
+//! who accepts connections, what fraction of the manager's budgets each may spend, and which engines are cordoned.
 //!
-//! The deciding half does no input or output and reads no clock:
+//! The state machines perform no I/O and read no clock:
 //!
-//! - [`Handover`], [`encode`], [`decode`]: the content, its bytes, and why bytes are refused ([`Refusal`]).
-//! - [`adopt`]: what of a file that was read is still of use, by its age.
-//! - [`Tally`]: further attempts, requests taken and sends to cold engines, in buckets of 250 ms.
-//! - [`Book`]: which of the files read belong to living processes, and which may be removed.
-//! - [`Upgrade`]: the phases of a process and what follows from them ([`Stand`]).
+//! - [`StateFile`], [`encode`], [`decode`]: the contents of a file, its bytes, and why bytes are rejected
+//!   ([`StateFileError`]).
+//! - [`usable_state`]: what of another process's file still applies, by its age.
+//! - [`WindowCounters`]: retries, admitted requests and work sent to warming engines, in buckets of 250 ms.
+//! - [`PeerTable`]: which of the files read belong to live processes, and which may be removed.
+//! - [`PhaseMachine`]: the phases of a process and what follows from them ([`PhaseStatus`]).
 //!
-//! The acting half is thin: a [`Folder`], the real one ([`DiskFolder`]), one with faults for tests
-//! ([`FaultyFolder`]), and the [`Keeper`], which reads and writes when the deciding half says so.
+//! The driver is thin: a [`StateFolder`], on disk ([`DiskFolder`]) or with injected faults for tests ([`FaultyFolder`]),
+//! and the [`StateFileDriver`], which reads and writes when the state machines say so.
 //!
-//! Times are Unix microseconds. docs/design/hot-restart.md holds the rules in one place, docs/operators/hot-restart.md what
-//! to log and what to do.
+//! Instants are Unix times. docs/design/hot-restart.md holds the rules, docs/operators/hot-restart.md the log lines and
+//! what to do about them.
 
-mod adopt;
-mod book;
 mod codec;
-mod content;
-mod faulty;
+mod error;
+mod faulty_folder;
+mod file_name;
 mod folder;
-mod keeper;
 mod message;
-mod names;
-mod phases;
-mod tally;
+mod peer_state;
+mod phase;
+mod state;
+mod state_file_driver;
+mod usable_state;
+mod window_counters;
 
-pub use adopt::{adopt, Adopted, Age, ColdSend, Spans, CLOCK_SLACK};
-pub use book::{Book, Other, DAMAGED_KEPT, DEAD_AFTER, DEAD_KEPT, FILES_MOST, REMOVALS_MOST};
-pub use codec::{decode, encode, Encoded, Refusal, FILE_MOST, FORMAT, OLDEST};
-pub use content::{ColdBucket, ColdSends, Content, Handover, Instance, Phase, Process, RationBucket};
-pub use content::{BUCKET, BUCKETS_MOST, COLD_MOST, NAME_MOST, ROOM_MOST};
-pub use faulty::{Fault, FaultyFolder};
-pub use folder::{DiskFolder, Folder};
-pub use keeper::{Keeper, Looked, WriteFailed, Written, LOOK, REFRESH};
-pub use names::{FileName, LISTED_MOST};
-pub use phases::{Stand, Upgrade, IDLE_FOR, IDLE_WAIT, ROOM_WAIT, STILL_COMING};
+pub use codec::{decode, encode, EncodedFile, FORMAT_VERSION, MAX_FILE_BYTES, MIN_FORMAT_VERSION};
+pub use error::{InvalidState, StateFileError, WriteError};
+pub use faulty_folder::{FaultyFolder, FolderFault};
+pub use file_name::{StateFileName, MAX_LISTED_ENTRIES};
+pub use folder::{DiskFolder, StateFolder};
+pub use peer_state::{PeerState, PeerTable, DAMAGED_FILE_RETENTION, DEAD_FILE_RETENTION, PEER_TIMEOUT};
+pub use peer_state::{MAX_PEER_FILES, MAX_REMOVALS_PER_WRITE};
+pub use phase::{PhaseMachine, PhaseStatus, ACCEPT_GRACE, ACK_TIMEOUT, IDLE_GRACE, MIN_IDLE_TIME};
 pub use sprucelink_time::{TimeDelta, Timestamp};
-pub use tally::Tally;
+pub use state::{
+    Instance, Phase, Process, RetryBudgetBucket, StateFile, StateSnapshot, WarmupBucket, WarmupLoad,
+};
+pub use state::{BUCKET_SPAN, MAX_BUCKETS, MAX_NAME_BYTES, MAX_SHARING_PEERS, MAX_WARMING_ENGINES};
+pub use state_file_driver::{FolderScan, StateFileDriver, WriteReport, SCAN_INTERVAL, WRITE_INTERVAL};
+pub use usable_state::{usable_state, FileAge, UsableState, WarmupSend, WindowSpans, CLOCK_SLACK};
+pub use window_counters::WindowCounters;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,16 +1,18 @@
-//! The content as protocol buffers (proto3 encoding, by prost). A field is never given another meaning or another
-//! tag; new ones are added with new tags, which older builds pass over. What an older build would misread needs a new
-//! [`crate::FORMAT`].
+//! The contents of a state file as protocol buffers (proto3 encoding, by prost).
+//!
+//! A field is never given another meaning or another tag; new ones are added with new tags, which older builds skip.
+//! What an older build would misread needs a new [`crate::FORMAT_VERSION`].
 
-use crate::content::{
-    ColdBucket, ColdSends, Content, Handover, Instance, Phase, Process, RationBucket, BUCKETS_MOST,
-    COLD_MOST, NAME_MOST, ROOM_MOST,
+use crate::error::InvalidState;
+use crate::state::{
+    Instance, Phase, Process, RetryBudgetBucket, StateFile, StateSnapshot, WarmupBucket, WarmupLoad,
+    MAX_BUCKETS, MAX_NAME_BYTES, MAX_SHARING_PEERS, MAX_WARMING_ENGINES,
 };
+use crate::Timestamp;
 use sprucelink_cordon::{Cause, CordonEntry, CordonRecord, Target};
-use sprucelink_time::Timestamp;
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct File {
+pub(crate) struct StateFileMessage {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(string, tag = "2")]
@@ -22,21 +24,21 @@
     #[prost(int64, tag = "5")]
     written_at: i64,
     #[prost(uint64, tag = "6")]
-    seq: u64,
+    sequence: u64,
     #[prost(uint32, tag = "7")]
     phase: u32,
     #[prost(int64, tag = "8")]
     phase_since: i64,
     #[prost(message, repeated, tag = "9")]
-    room_for: Vec<ProcessMessage>,
+    shares_with: Vec<ProcessMessage>,
     #[prost(message, repeated, tag = "10")]
-    bans: Vec<BanMessage>,
+    cordons: Vec<CordonMessage>,
     #[prost(fixed64, repeated, tag = "11")]
-    pub(crate) ids: Vec<u64>,
+    pub(crate) known_ids: Vec<u64>,
     #[prost(message, repeated, tag = "12")]
-    ration: Vec<RationMessage>,
+    retry_budget: Vec<RetryBudgetMessage>,
     #[prost(message, repeated, tag = "13")]
-    cold: Vec<ColdMessage>,
+    warmup: Vec<WarmupMessage>,
     #[prost(uint64, tag = "14")]
     last_event: u64,
 }
@@ -46,13 +48,13 @@
     #[prost(uint64, tag = "1")]
     generation: u64,
     #[prost(int64, tag = "2")]
-    started: i64,
+    started_at: i64,
     #[prost(uint32, tag = "3")]
     pid: u32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct BanMessage {
+struct CordonMessage {
     /// Absent: this manager.
     #[prost(string, optional, tag = "1")]
     engine: Option<String>,
@@ -62,168 +64,222 @@
     #[prost(uint64, tag = "3")]
     version: u64,
     #[prost(bool, tag = "4")]
-    out: bool,
+    cordoned: bool,
     #[prost(int64, optional, tag = "5")]
-    until: Option<i64>,
+    lease_expires_at: Option<i64>,
     #[prost(int64, tag = "6")]
-    at: i64,
+    changed_at: i64,
     #[prost(string, tag = "7")]
-    why: String,
+    reason: String,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct RationMessage {
+struct RetryBudgetMessage {
     #[prost(int64, tag = "1")]
-    at: i64,
+    start: i64,
     #[prost(uint32, tag = "2")]
-    further: u32,
+    retries: u32,
     #[prost(uint32, tag = "3")]
-    taken: u32,
+    admitted: u32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct ColdMessage {
+struct WarmupMessage {
     #[prost(string, tag = "1")]
     engine: String,
     #[prost(int64, repeated, tag = "2")]
-    at: Vec<i64>,
+    start: Vec<i64>,
     #[prost(uint32, repeated, tag = "3")]
     work_ms: Vec<u32>,
 }
 
 /// Phases by number; numbers are part of the format.
-const PHASES: [Phase; 6] =
-    [Phase::Starting, Phase::Ready, Phase::Serving, Phase::Accompanied, Phase::Leaving, Phase::Gone];
+const PHASES: [Phase; 6] = [
+    Phase::Starting,
+    Phase::Ready,
+    Phase::Serving,
+    Phase::ServingBesideSuccessor,
+    Phase::Draining,
+    Phase::Terminated,
+];
 
 impl From<Process> for ProcessMessage {
-    fn from(p: Process) -> ProcessMessage {
-        ProcessMessage { generation: p.generation, started: p.started.as_micros(), pid: p.pid }
+    fn from(process: Process) -> ProcessMessage {
+        ProcessMessage {
+            generation: process.generation,
+            started_at: process.started_at.as_micros(),
+            pid: process.pid,
+        }
     }
 }
 
 impl From<ProcessMessage> for Process {
-    fn from(p: ProcessMessage) -> Process {
-        Process { generation: p.generation, started: Timestamp::from_micros(p.started), pid: p.pid }
+    fn from(message: ProcessMessage) -> Process {
+        Process {
+            generation: message.generation,
+            started_at: Timestamp::from_micros(message.started_at),
+            pid: message.pid,
+        }
     }
 }
 
-impl From<&CordonRecord> for BanMessage {
-    fn from(ban: &CordonRecord) -> BanMessage {
-        BanMessage {
-            engine: match &ban.target {
+impl From<&CordonRecord> for CordonMessage {
+    fn from(record: &CordonRecord) -> CordonMessage {
+        CordonMessage {
+            engine: match &record.target {
                 Target::Manager => None,
                 Target::Engine(id) => Some(id.clone()),
             },
-            permit: match ban.cause {
+            permit: match record.cause {
                 Cause::Operator => None,
                 Cause::Fleet { permit } => Some(permit),
             },
-            version: ban.entry.version,
-            out: ban.entry.cordoned,
-            until: ban.entry.lease_expires_at.map(|t| t.as_micros()),
-            at: ban.entry.changed_at.as_micros(),
-            why: ban.entry.reason.clone(),
+            version: record.entry.version,
+            cordoned: record.entry.cordoned,
+            lease_expires_at: record.entry.lease_expires_at.map(|expiry| expiry.as_micros()),
+            changed_at: record.entry.changed_at.as_micros(),
+            reason: record.entry.reason.clone(),
         }
     }
 }
 
-impl From<BanMessage> for CordonRecord {
-    fn from(ban: BanMessage) -> CordonRecord {
+impl From<CordonMessage> for CordonRecord {
+    fn from(message: CordonMessage) -> CordonRecord {
         CordonRecord {
-            target: ban.engine.map_or(Target::Manager, Target::Engine),
-            cause: ban.permit.map_or(Cause::Operator, |permit| Cause::Fleet { permit }),
+            target: message.engine.map_or(Target::Manager, Target::Engine),
+            cause: message.permit.map_or(Cause::Operator, |permit| Cause::Fleet { permit }),
             entry: CordonEntry {
-                version: ban.version,
-                cordoned: ban.out,
-                lease_expires_at: ban.until.map(Timestamp::from_micros),
-                changed_at: Timestamp::from_micros(ban.at),
-                reason: ban.why,
+                version: message.version,
+                cordoned: message.cordoned,
+                lease_expires_at: message.lease_expires_at.map(Timestamp::from_micros),
+                changed_at: Timestamp::from_micros(message.changed_at),
+                reason: message.reason,
             },
         }
     }
 }
 
-impl From<&Handover> for File {
-    fn from(h: &Handover) -> File {
-        let c = &h.content;
-        let ration = c.ration.iter().map(|b| RationMessage {
-            at: b.at.as_micros(),
-            further: b.further,
-            taken: b.taken,
-        });
-        let cold = c.cold.iter().map(|sends| ColdMessage {
-            engine: sends.engine.clone(),
-            at: sends.buckets.iter().map(|b| b.at.as_micros()).collect(),
-            work_ms: sends.buckets.iter().map(|b| b.work_ms).collect(),
-        });
-        File {
-            name: h.instance.name.clone(),
-            listen: h.instance.listen.clone(),
-            process: Some(h.process.into()),
-            build: h.build.clone(),
-            written_at: h.written_at.as_micros(),
-            seq: h.seq,
-            phase: PHASES.iter().position(|p| *p == h.phase).unwrap_or(0) as u32,
-            phase_since: h.phase_since.as_micros(),
-            room_for: h.room_for.iter().copied().map(ProcessMessage::from).collect(),
-            bans: c.bans.iter().map(BanMessage::from).collect(),
-            ids: c.ids.clone(),
-            ration: ration.collect(),
-            cold: cold.collect(),
-            last_event: c.last_event,
+impl From<&RetryBudgetBucket> for RetryBudgetMessage {
+    fn from(bucket: &RetryBudgetBucket) -> RetryBudgetMessage {
+        RetryBudgetMessage {
+            start: bucket.start.as_micros(),
+            retries: bucket.retries,
+            admitted: bucket.admitted,
+        }
+    }
+}
+
+impl From<RetryBudgetMessage> for RetryBudgetBucket {
+    fn from(message: RetryBudgetMessage) -> RetryBudgetBucket {
+        RetryBudgetBucket {
+            start: Timestamp::from_micros(message.start),
+            retries: message.retries,
+            admitted: message.admitted,
+        }
+    }
+}
+
+impl From<&WarmupLoad> for WarmupMessage {
+    fn from(load: &WarmupLoad) -> WarmupMessage {
+        WarmupMessage {
+            engine: load.engine.clone(),
+            start: load.buckets.iter().map(|bucket| bucket.start.as_micros()).collect(),
+            work_ms: load.buckets.iter().map(|bucket| bucket.work_ms).collect(),
         }
     }
 }
 
-/// Guards what reads the content against figures that no process of this format writes.
-fn must(holds: bool, rule: &'static str) -> Result<(), String> {
-    if holds {
-        Ok(())
-    } else {
-        Err(rule.to_owned())
+impl TryFrom<WarmupMessage> for WarmupLoad {
+    type Error = InvalidState;
+
+    fn try_from(message: WarmupMessage) -> Result<WarmupLoad, InvalidState> {
+        check_bytes("cold.engine", &message.engine)?;
+        check_count("cold.at", message.start.len(), MAX_BUCKETS, "buckets")?;
+        if message.start.len() != message.work_ms.len() {
+            return Err(InvalidState::UnevenBuckets);
+        }
+        let pairs = message.start.iter().zip(&message.work_ms);
+        let buckets = pairs.map(|(start, work_ms)| WarmupBucket {
+            start: Timestamp::from_micros(*start),
+            work_ms: *work_ms,
+        });
+        Ok(WarmupLoad { buckets: buckets.collect(), engine: message.engine })
     }
 }
 
-impl TryFrom<File> for Handover {
-    type Error = String;
-
-    fn try_from(f: File) -> Result<Handover, String> {
-        must(f.name.len() <= NAME_MOST, "name: at most 256 bytes")?;
-        must(f.listen.len() <= NAME_MOST, "listen: at most 256 bytes")?;
-        must(f.build.len() <= NAME_MOST, "build: at most 256 bytes")?;
-        must(f.ration.len() <= BUCKETS_MOST, "ration: at most 64 buckets")?;
-        must(f.room_for.len() <= ROOM_MOST, "room_for: at most 15 processes")?;
-        must(f.cold.len() <= COLD_MOST, "cold: at most 64 engines")?;
-        let process = f.process.ok_or("process: missing")?;
-        let phase = PHASES.get(f.phase as usize).ok_or("phase: not known")?;
-        let bans: Vec<CordonRecord> = f.bans.into_iter().map(CordonRecord::from).collect();
-        for (i, ban) in bans.iter().enumerate() {
-            ban.validate().map_err(|rule| format!("bans.{i}.{rule}"))?;
+impl From<&StateFile> for StateFileMessage {
+    fn from(file: &StateFile) -> StateFileMessage {
+        let snapshot = &file.snapshot;
+        StateFileMessage {
+            name: file.instance.name.clone(),
+            listen: file.instance.listen.clone(),
+            process: Some(file.process.into()),
+            build: file.build.clone(),
+            written_at: file.written_at.as_micros(),
+            sequence: file.sequence,
+            phase: PHASES.iter().position(|phase| *phase == file.phase).unwrap_or(0) as u32,
+            phase_since: file.phase_since.as_micros(),
+            shares_with: file.shares_with.iter().copied().map(ProcessMessage::from).collect(),
+            cordons: snapshot.cordons.iter().map(CordonMessage::from).collect(),
+            known_ids: snapshot.known_ids.clone(),
+            retry_budget: snapshot.retry_budget.iter().map(RetryBudgetMessage::from).collect(),
+            warmup: snapshot.warmup.iter().map(WarmupMessage::from).collect(),
+            last_event: snapshot.last_event,
         }
-        let mut cold = Vec::with_capacity(f.cold.len());
-        for sends in f.cold {
-            must(sends.engine.len() <= NAME_MOST, "cold.engine: at most 256 bytes")?;
-            must(sends.at.len() <= BUCKETS_MOST, "cold.at: at most 64 buckets")?;
-            must(sends.at.len() == sends.work_ms.len(), "cold: as many times as works")?;
-            let buckets = sends.at.iter().zip(&sends.work_ms);
-            let buckets = buckets
-                .map(|(at, work_ms)| ColdBucket { at: Timestamp::from_micros(*at), work_ms: *work_ms });
-            cold.push(ColdSends { buckets: buckets.collect(), engine: sends.engine });
+    }
+}
+
+impl TryFrom<StateFileMessage> for StateFile {
+    type Error = InvalidState;
+
+    /// Checks every bound: what reads the file relies on them. Errors name the fields as they are called in the format.
+    fn try_from(message: StateFileMessage) -> Result<StateFile, InvalidState> {
+        check_bytes("name", &message.name)?;
+        check_bytes("listen", &message.listen)?;
+        check_bytes("build", &message.build)?;
+        check_count("ration", message.retry_budget.len(), MAX_BUCKETS, "buckets")?;
+        check_count("room_for", message.shares_with.len(), MAX_SHARING_PEERS, "processes")?;
+        check_count("cold", message.warmup.len(), MAX_WARMING_ENGINES, "engines")?;
+        let process = message.process.ok_or(InvalidState::MissingProcess)?;
+        let phase = PHASES.get(message.phase as usize).ok_or(InvalidState::UnknownPhase)?;
+        let cordons: Vec<CordonRecord> = message.cordons.into_iter().map(CordonRecord::from).collect();
+        for (index, record) in cordons.iter().enumerate() {
+            record.validate().map_err(|source| InvalidState::Cordon { index, source })?;
         }
-        let ration = f.ration.iter();
-        let ration = ration
-            .map(|b| RationBucket { at: Timestamp::from_micros(b.at), further: b.further, taken: b.taken })
-            .collect();
-        Ok(Handover {
-            instance: Instance { name: f.name, listen: f.listen },
+        let warmup = message.warmup.into_iter().map(WarmupLoad::try_from).collect::<Result<_, _>>()?;
+        let snapshot = StateSnapshot {
+            cordons,
+            known_ids: message.known_ids,
+            retry_budget: message.retry_budget.into_iter().map(RetryBudgetBucket::from).collect(),
+            warmup,
+            last_event: message.last_event,
+        };
+        Ok(StateFile {
+            instance: Instance { name: message.name, listen: message.listen },
             process: process.into(),
-            build: f.build,
-            written_at: Timestamp::from_micros(f.written_at),
-            seq: f.seq,
+            build: message.build,
+            written_at: Timestamp::from_micros(message.written_at),
+            sequence: message.sequence,
             phase: *phase,
-            phase_since: Timestamp::from_micros(f.phase_since),
-            room_for: f.room_for.into_iter().map(Process::from).collect(),
-            content: Content { bans, ids: f.ids, ration, cold, last_event: f.last_event },
+            phase_since: Timestamp::from_micros(message.phase_since),
+            shares_with: message.shares_with.into_iter().map(Process::from).collect(),
+            snapshot,
         })
     }
 }
+
+fn check_bytes(field: &'static str, text: &str) -> Result<(), InvalidState> {
+    check_count(field, text.len(), MAX_NAME_BYTES, "bytes")
+}
+
+fn check_count(
+    field: &'static str,
+    count: usize,
+    max: usize,
+    unit: &'static str,
+) -> Result<(), InvalidState> {
+    if count > max {
+        return Err(InvalidState::TooLong { field, max, unit });
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/hot-restart/src/peer_state.rs
@@ -0,0 +1,139 @@
+//! The other processes of the instance, by their files: which are alive, and which files may be removed.
+
+use crate::error::StateFileError;
+use crate::state::{Phase, Process, StateFile};
+use crate::{TimeDelta, Timestamp};
+use std::collections::{BTreeMap, BTreeSet};
+
+#[cfg(test)]
+mod tests;
+
+/// A process whose file has not changed for this long, 1.5 s, counts as dead: six times the interval at which it writes.
+/// Longer, and connections wait where a new process was killed; shorter, and a process that gets no core for a second
+/// counts as dead while it is alive.
+pub const PEER_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_500_000);
+/// A dead process's file is retained this long, 10 s, and until its contents are part of this process's own file. A
+/// process that was only stopped most likely resumes within it; if it resumes later it writes its file anew.
+pub const DEAD_FILE_RETENTION: TimeDelta = TimeDelta::from_micros(10_000_000);
+/// A damaged file, or one that its writer died over, is retained this long unchanged, 60 s: time to look at it, and no
+/// time to fill a folder that counts as memory.
+pub const DAMAGED_FILE_RETENTION: TimeDelta = TimeDelta::from_micros(60_000_000);
+/// Most files of one instance that are read, the newest processes' first; the others are ignored. A hot restart has two.
+pub const MAX_PEER_FILES: usize = 16;
+/// Most files removed after one write, so that a folder full of them does not delay requests.
+pub const MAX_REMOVALS_PER_WRITE: usize = 4;
+
+/// Another live process of this instance, as its file describes it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerState {
+    /// Which process.
+    pub process: Process,
+    /// Its phase.
+    pub phase: Phase,
+    /// The processes that it shares its budgets with.
+    pub shares_with: Vec<Process>,
+}
+
+#[derive(Clone, Debug)]
+enum TrackedFile {
+    /// A file that was decoded.
+    Peer {
+        state: PeerState,
+        /// When it was last known to have been written, by this process's clock.
+        changed_at: Timestamp,
+        /// Whether its contents are part of this process's own file.
+        is_merged: bool,
+    },
+    /// Damaged, or a file that its writer died over.
+    Damaged { since: Timestamp },
+    /// Complete, and not for this build or this instance: not this process's to remove.
+    Foreign,
+}
+
+impl TrackedFile {
+    fn is_removable(&self, now: Timestamp) -> bool {
+        match self {
+            TrackedFile::Peer { is_merged: false, .. } | TrackedFile::Foreign => false,
+            TrackedFile::Peer { state, changed_at, .. } => {
+                state.phase == Phase::Terminated || now - *changed_at > DEAD_FILE_RETENTION
+            }
+            TrackedFile::Damaged { since } => now - *since > DAMAGED_FILE_RETENTION,
+        }
+    }
+}
+
+/// The files of this instance that were read, by name.
+#[derive(Clone, Debug, Default)]
+pub struct PeerTable {
+    files: BTreeMap<String, TrackedFile>,
+}
+
+impl PeerTable {
+    /// Notes a file that is new or has changed since the last scan.
+    pub fn note_read(&mut self, now: Timestamp, name: &str, read: &Result<StateFile, StateFileError>) {
+        let tracked = match read {
+            Ok(file) => TrackedFile::Peer {
+                state: PeerState {
+                    process: file.process,
+                    phase: file.phase,
+                    shares_with: file.shares_with.clone(),
+                },
+                // A file from the future counts as written now; to stay alive it has to change.
+                changed_at: file.written_at.min(now),
+                is_merged: false,
+            },
+            // A live process whose file cannot be read once stays alive until its time-out.
+            Err(_) if matches!(self.files.get(name), Some(TrackedFile::Peer { .. })) => return,
+            Err(StateFileError::Damaged(_)) => TrackedFile::Damaged { since: now },
+            Err(_) => TrackedFile::Foreign,
+        };
+        self.files.insert(name.to_owned(), tracked);
+    }
+
+    /// Notes a temporary file: one that is being written, or that its writer died over.
+    pub fn note_temporary(&mut self, now: Timestamp, name: &str) {
+        self.files.entry(name.to_owned()).or_insert(TrackedFile::Damaged { since: now });
+    }
+
+    /// Forgets all files but these.
+    pub fn retain_listed(&mut self, names: &BTreeSet<String>) {
+        self.files.retain(|name, _| names.contains(name));
+    }
+
+    /// Notes that the own file was written after everything that was read had been merged.
+    pub fn note_own_write(&mut self) {
+        for tracked in self.files.values_mut() {
+            if let TrackedFile::Peer { is_merged, .. } = tracked {
+                *is_merged = true;
+            }
+        }
+    }
+
+    /// The other processes that are alive.
+    pub fn live_peers(&self, now: Timestamp) -> Vec<PeerState> {
+        let live = self.files.values().filter_map(|tracked| match tracked {
+            TrackedFile::Peer { state, changed_at, .. }
+                if state.phase != Phase::Terminated && now - *changed_at <= PEER_TIMEOUT =>
+            {
+                Some(state.clone())
+            }
+            _ => None,
+        });
+        live.collect()
+    }
+
+    /// The highest generation of any process whose file was read, alive or dead; 0 without one.
+    pub fn max_generation(&self) -> u64 {
+        let generations = self.files.values().map(|tracked| match tracked {
+            TrackedFile::Peer { state, .. } => state.process.generation,
+            TrackedFile::Damaged { .. } | TrackedFile::Foreign => 0,
+        });
+        generations.max().unwrap_or(0)
+    }
+
+    /// Files that may be removed now, at most [`MAX_REMOVALS_PER_WRITE`].
+    pub fn removable_files(&self, now: Timestamp) -> Vec<String> {
+        let removable = self.files.iter().filter(|(_, tracked)| tracked.is_removable(now));
+        removable.map(|(name, _)| name.clone()).take(MAX_REMOVALS_PER_WRITE).collect()
+    }
+}
--- /dev/null
+++ b/crates/hot-restart/src/peer_state/tests.rs
@@ -0,0 +1,78 @@
+//! Liveness of peers, and removal of their files.
+
+use super::*;
+use crate::state::{Instance, StateSnapshot};
+
+fn at(seconds: i64) -> Timestamp {
+    Timestamp::from_micros(seconds * 1_000_000)
+}
+
+fn file(pid: u32, written_at: Timestamp, phase: Phase) -> Result<StateFile, StateFileError> {
+    Ok(StateFile {
+        instance: Instance { name: "n".into(), listen: "l".into() },
+        process: Process { generation: u64::from(pid), started_at: Timestamp::ZERO, pid },
+        build: String::new(),
+        written_at,
+        sequence: 0,
+        phase,
+        phase_since: Timestamp::ZERO,
+        shares_with: Vec::new(),
+        snapshot: StateSnapshot::default(),
+    })
+}
+
+#[test]
+fn process_is_alive_while_its_file_changes_and_the_file_is_removable_once_merged() {
+    let mut peers = PeerTable::default();
+    peers.note_read(at(100), "a", &file(1, at(100), Phase::Serving));
+    assert_eq!(peers.live_peers(at(100) + PEER_TIMEOUT).len(), 1);
+    let late = at(100) + PEER_TIMEOUT + TimeDelta::from_micros(1);
+    assert!(peers.live_peers(late).is_empty());
+    let much_later = at(200);
+    assert!(peers.removable_files(much_later).is_empty(), "not merged");
+    peers.note_own_write();
+    assert!(peers.removable_files(at(100) + DEAD_FILE_RETENTION).is_empty());
+    assert_eq!(peers.removable_files(much_later), ["a"]);
+    // A process that was stopped and resumes.
+    peers.note_read(much_later, "a", &file(1, at(200), Phase::Serving));
+    assert_eq!((peers.live_peers(much_later).len(), peers.removable_files(much_later).len()), (1, 0));
+    peers.note_read(much_later, "a", &file(1, at(200), Phase::Terminated));
+    assert!(peers.live_peers(much_later).is_empty() && peers.removable_files(much_later).is_empty());
+    peers.note_own_write();
+    assert_eq!(peers.removable_files(much_later), ["a"], "a terminated process's file at once");
+    peers.retain_listed(&BTreeSet::new());
+    assert!(peers.removable_files(much_later).is_empty());
+    assert_eq!(peers.max_generation(), 0);
+}
+
+#[test]
+fn process_with_a_file_from_the_future_times_out_as_well() {
+    let mut peers = PeerTable::default();
+    peers.note_read(at(100), "a", &file(1, at(9_000), Phase::Serving));
+    assert_eq!(peers.live_peers(at(100)).len(), 1);
+    assert!(peers.live_peers(at(102)).is_empty());
+}
+
+#[test]
+fn damaged_files_are_removable_after_their_retention_and_foreign_ones_never() {
+    let mut peers = PeerTable::default();
+    let names = ["1", "2", "3", "4", "5", "6"];
+    names.iter().for_each(|name| peers.note_read(at(0), name, &Err(StateFileError::Damaged("cut"))));
+    peers.note_read(at(0), "7", &Err(StateFileError::NewerFormat { format: 9 }));
+    peers.note_temporary(at(0), "8");
+    peers.note_temporary(at(50), "8");
+    assert!(peers.removable_files(at(0) + DAMAGED_FILE_RETENTION).is_empty());
+    let after = at(0) + DAMAGED_FILE_RETENTION + TimeDelta::from_micros(1);
+    assert_eq!(peers.removable_files(after), names[..MAX_REMOVALS_PER_WRITE], "a few at a time");
+    peers.retain_listed(&["7", "8"].map(str::to_owned).into());
+    assert_eq!(peers.removable_files(after), ["8"]);
+}
+
+#[test]
+fn live_process_whose_file_cannot_be_read_once_stays_alive() {
+    let mut peers = PeerTable::default();
+    peers.note_read(at(0), "a", &file(1, at(0), Phase::Serving));
+    peers.note_read(at(1), "a", &Err(StateFileError::Damaged("cut")));
+    assert_eq!(peers.live_peers(at(1)).len(), 1);
+    assert!(peers.live_peers(at(2)).is_empty());
+}
--- /dev/null
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -0,0 +1,288 @@
+//! The driver: one process's own state file, and its scans of the others'.
+
+use crate::codec::{decode, encode, MAX_FILE_BYTES};
+use crate::error::{InvalidState, StateFileError, WriteError};
+use crate::file_name::StateFileName;
+use crate::folder::StateFolder;
+use crate::peer_state::{PeerState, PeerTable, MAX_PEER_FILES};
+use crate::phase::{PhaseMachine, PhaseStatus};
+use crate::state::{Instance, Phase, Process, StateFile, StateSnapshot};
+use crate::{TimeDelta, Timestamp};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+
+/// Interval of scans of the others' files, 100 ms: a cordon that the other process has accepted takes effect here within
+/// the drain's grace of 500 ms, with headroom for a late scan.
+pub const SCAN_INTERVAL: TimeDelta = TimeDelta::from_micros(100_000);
+/// Interval of writes of the own file, 250 ms; it is also written at once with each cordon and each change of the phase.
+pub const WRITE_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
+
+/// Bytes that tell one version of a file from the next: its header, with the checksum.
+type Header = [u8; 16];
+
+/// What was read of a file at the last scan.
+#[derive(Clone, Copy, Debug)]
+struct ScannedFile {
+    header: Header,
+    is_valid: bool,
+}
+
+/// The last attempt to write the own file, and what it announced.
+#[derive(Clone, Debug)]
+struct WriteAttempt {
+    at: Timestamp,
+    phase: Phase,
+    shares_with: Vec<Process>,
+}
+
+/// What a scan of the folder found.
+#[derive(Debug, Default)]
+pub struct FolderScan {
+    /// Files that are new or have changed: to be merged, all of them, before the own file is written next.
+    pub files: Vec<StateFile>,
+    /// Files that are new or have changed and cannot be used, by name.
+    pub rejected: Vec<(String, StateFileError)>,
+    /// Errors of the folder; the files not read stay as they were known.
+    pub folder_errors: Vec<io::Error>,
+    /// The number of files of this instance beyond [`MAX_PEER_FILES`], which were not read.
+    pub ignored: usize,
+}
+
+/// What a write did.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WriteReport {
+    /// Bytes of the file.
+    pub bytes: usize,
+    /// Hashes of engine ids that did not fit.
+    pub ids_left_out: usize,
+    /// Files of dead processes that were removed after it.
+    pub removed_files: usize,
+}
+
+/// One process's side of the hot restart. The order of calls, every [`SCAN_INTERVAL`] and at SIGTERM:
+/// [`StateFileDriver::scan`], merge all that was read, [`StateFileDriver::step`], and [`StateFileDriver::write`] where it
+/// [`StateFileDriver::is_write_due`]. With a cordon that an operator waits for: [`StateFileDriver::write`] at once.
+#[derive(Debug)]
+pub struct StateFileDriver<F> {
+    folder: F,
+    instance: Instance,
+    process: Process,
+    build: String,
+    file_name: String,
+    peers: PeerTable,
+    phase_machine: PhaseMachine,
+    status: PhaseStatus,
+    scanned: BTreeMap<String, ScannedFile>,
+    last_attempt: Option<WriteAttempt>,
+    /// Whether a file that announces that this process serves was written, or could not be.
+    has_announced_serving: bool,
+    sequence: u64,
+}
+
+impl<F: StateFolder> StateFileDriver<F> {
+    /// A process that starts now, with a first scan of the folder: what it found is to be merged.
+    pub fn open(
+        folder: F,
+        instance: Instance,
+        build: &str,
+        pid: u32,
+        now: Timestamp,
+    ) -> (StateFileDriver<F>, FolderScan) {
+        let process = Process { generation: 1, started_at: now, pid };
+        let mut phase_machine = PhaseMachine::new(process, now);
+        let mut driver = StateFileDriver {
+            folder,
+            process,
+            build: build.to_owned(),
+            file_name: StateFileName::new(&instance, &process).to_string(),
+            instance,
+            peers: PeerTable::default(),
+            status: phase_machine.step(now, &[], false, false),
+            phase_machine,
+            scanned: BTreeMap::new(),
+            last_attempt: None,
+            has_announced_serving: false,
+            sequence: 0,
+        };
+        let scan = driver.scan(now);
+        driver.process.generation = driver.peers.max_generation().saturating_add(1);
+        driver.phase_machine = PhaseMachine::new(driver.process, now);
+        (driver, scan)
+    }
+
+    /// This process.
+    pub fn process(&self) -> Process {
+        self.process
+    }
+
+    /// The phase of this process at the last step, and what it may do.
+    pub fn status(&self) -> &PhaseStatus {
+        &self.status
+    }
+
+    /// The other processes of this instance that are alive, as of the last scan.
+    pub fn live_peers(&self, now: Timestamp) -> Vec<PeerState> {
+        self.peers.live_peers(now)
+    }
+
+    /// Whether a health check is to be answered positively: it serves, and its file says so, or could not be written.
+    /// SIGTERM reaches the old process with that answer, which must then be able to read that its successor serves.
+    pub fn is_healthy(&self) -> bool {
+        self.status.has_served && self.has_announced_serving
+    }
+
+    /// Reads the others' files.
+    pub fn scan(&mut self, now: Timestamp) -> FolderScan {
+        let mut scan = FolderScan::default();
+        let names = match self.folder.list() {
+            Ok(names) => names,
+            Err(error) => {
+                scan.folder_errors.push(error);
+                return scan;
+            }
+        };
+        let mut peer_files = self.peer_files(names);
+        scan.ignored = peer_files.len().saturating_sub(MAX_PEER_FILES);
+        peer_files.truncate(MAX_PEER_FILES);
+        let mut present = BTreeSet::new();
+        for (parts, name) in peer_files {
+            if parts.is_temporary {
+                self.peers.note_temporary(now, &name);
+            } else if let Err(error) = self.scan_file(now, parts, &name, &mut scan) {
+                if error.kind() == io::ErrorKind::NotFound {
+                    // Another process has removed it since the listing.
+                    continue;
+                }
+                scan.folder_errors.push(error);
+            }
+            present.insert(name);
+        }
+        self.peers.retain_listed(&present);
+        self.scanned.retain(|name, _| present.contains(name));
+        scan
+    }
+
+    /// The files of this instance's other processes: the newest first, complete files before temporary ones.
+    fn peer_files(&self, names: Vec<String>) -> Vec<(StateFileName, String)> {
+        let instance_hash = StateFileName::new(&self.instance, &self.process).instance_hash;
+        let own_temporary = StateFileName::temporary(&self.file_name);
+        let mut files = Vec::new();
+        for name in names {
+            if name == self.file_name || name == own_temporary {
+                continue;
+            }
+            if let Some(parts) = StateFileName::parse(&name) {
+                if parts.instance_hash == instance_hash {
+                    files.push((parts, name));
+                }
+            }
+        }
+        files.sort_unstable_by_key(|(parts, _)| (parts.is_temporary, Reverse((parts.started_at, parts.pid))));
+        files
+    }
+
+    fn scan_file(
+        &mut self,
+        now: Timestamp,
+        parts: StateFileName,
+        name: &str,
+        scan: &mut FolderScan,
+    ) -> io::Result<()> {
+        let bytes = self.folder.read(name, MAX_FILE_BYTES)?;
+        let header = header_of(&bytes);
+        let unchanged = self.scanned.get(name).copied().filter(|scanned| scanned.header == header);
+        if unchanged.is_some_and(|scanned| scanned.is_valid) {
+            // Not decoded again: a file of many ids takes its time.
+            return Ok(());
+        }
+        let read = self.decode_file(&bytes, parts);
+        self.scanned.insert(name.to_owned(), ScannedFile { header, is_valid: read.is_ok() });
+        if read.is_err() && unchanged.is_some() {
+            // Reported once, not at every scan.
+            return Ok(());
+        }
+        self.peers.note_read(now, name, &read);
+        match read {
+            Ok(file) => scan.files.push(file),
+            Err(error) => scan.rejected.push((name.to_owned(), error)),
+        }
+        Ok(())
+    }
+
+    fn decode_file(&self, bytes: &[u8], parts: StateFileName) -> Result<StateFile, StateFileError> {
+        let file = decode(bytes, &self.instance)?;
+        if file.process.pid != parts.pid || file.process.started_at != parts.started_at {
+            // A copy under another name would stay alive beside its original.
+            return Err(StateFileError::Invalid(InvalidState::OtherProcess));
+        }
+        Ok(file)
+    }
+
+    /// Updates the phase from the files, SIGTERM and whether this process could serve.
+    pub fn step(&mut self, now: Timestamp, is_sigterm_received: bool, can_serve: bool) -> &PhaseStatus {
+        let peers = self.live_peers(now);
+        self.status = self.phase_machine.step(now, &peers, is_sigterm_received, can_serve);
+        &self.status
+    }
+
+    /// Whether the own file is to be written: its interval has passed, or something has changed that the other process
+    /// waits for. A failed write is retried after the interval.
+    pub fn is_write_due(&self, now: Timestamp) -> bool {
+        let Some(last) = &self.last_attempt else { return true };
+        let is_announced = last.phase == self.status.phase && last.shares_with == self.status.shares_with;
+        !is_announced || now - last.at >= WRITE_INTERVAL || now < last.at
+    }
+
+    /// Writes the own file, and then removes what dead processes left. What an operator waits for is on record once this
+    /// is `Ok`; otherwise it is in force in this process alone, and the caller says so or reverts it.
+    ///
+    /// # Errors
+    /// Contents that do not fit, or an error of the folder; the previous file is unchanged.
+    pub fn write(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
+        let status = &self.status;
+        self.last_attempt =
+            Some(WriteAttempt { at: now, phase: status.phase, shares_with: status.shares_with.clone() });
+        self.has_announced_serving |= status.has_served;
+        self.sequence += 1;
+        let file = StateFile {
+            instance: self.instance.clone(),
+            process: self.process,
+            build: self.build.clone(),
+            written_at: now,
+            sequence: self.sequence,
+            phase: status.phase,
+            phase_since: status.since,
+            shares_with: status.shares_with.clone(),
+            snapshot,
+        };
+        let encoded = encode(&file).map_err(WriteError::Encode)?;
+        self.folder.replace(&self.file_name, &encoded.bytes).map_err(WriteError::Folder)?;
+        self.peers.note_own_write();
+        let removable = self.peers.removable_files(now);
+        let removed_files = removable.iter().filter(|name| self.folder.remove(name).is_ok()).count();
+        Ok(WriteReport { bytes: encoded.bytes.len(), ids_left_out: encoded.ids_left_out, removed_files })
+    }
+
+    /// Writes the last file of a process that ends: it stays for whichever process comes next, and says that nobody
+    /// writes it any more. The process that merges it removes it.
+    ///
+    /// # Errors
+    /// As for [`StateFileDriver::write`].
+    pub fn write_last(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
+        self.phase_machine.terminate(now);
+        self.status.phase = Phase::Terminated;
+        self.status.since = now;
+        self.status.accepts_connections = false;
+        self.write(now, snapshot)
+    }
+}
+
+/// The first bytes of a file; zeros where it is shorter.
+fn header_of(bytes: &[u8]) -> Header {
+    let mut header = Header::default();
+    for (to, from) in header.iter_mut().zip(bytes) {
+        *to = *from;
+    }
+    header
+}
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -1,79 +1,81 @@
-//! Files: what is written is read, and nothing else is.
+//! State files: what is written is read, today's files stay readable, and nothing else is accepted.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sprucelink_cordon::{
-    Cause, CordonLimits, CordonRequest, CordonSizes, CordonState, Target, MAX_ENGINE_ID_BYTES,
-    MAX_REASON_BYTES,
+    Cause, CordonEntry, CordonLimits, CordonRecord, CordonRequest, CordonSizes, CordonState, Target,
+    MAX_ENGINE_ID_BYTES, MAX_REASON_BYTES, MAX_VERSION,
 };
 use sprucelink_hot_restart::*;
 
-fn me() -> Instance {
+/// Files written by the release before the fields got their present names, one phase a line: `name hex`.
+const EARLIER_FILES: &str = include_str!("golden/state-file-v1.txt");
+
+fn instance() -> Instance {
     Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() }
 }
 
-fn handover(content: Content) -> Handover {
-    Handover {
-        instance: me(),
-        process: Process { generation: 4, started: Timestamp::from_micros(1_700_000_000_000_000), pid: 77 },
+fn state_file(snapshot: StateSnapshot) -> StateFile {
+    StateFile {
+        instance: instance(),
+        process: Process {
+            generation: 4,
+            started_at: Timestamp::from_micros(1_700_000_000_000_000),
+            pid: 77,
+        },
         build: "sprucelink 0.1.0".into(),
         written_at: Timestamp::from_micros(1_700_000_009_000_000),
-        seq: 36,
-        phase: Phase::Accompanied,
+        sequence: 36,
+        phase: Phase::ServingBesideSuccessor,
         phase_since: Timestamp::from_micros(1_700_000_008_000_000),
-        room_for: vec![Process {
+        shares_with: vec![Process {
             generation: 5,
-            started: Timestamp::from_micros(1_700_000_008_500_000),
+            started_at: Timestamp::from_micros(1_700_000_008_500_000),
             pid: 78,
         }],
-        content,
+        snapshot,
     }
 }
 
-fn ban() -> impl Strategy<Value = sprucelink_cordon::CordonRecord> {
+fn cordon() -> impl Strategy<Value = CordonRecord> {
     let target = prop_oneof![Just(Target::Manager), "[a-z0-9é-]{1,40}".prop_map(Target::Engine)];
-    let word = (any::<bool>(), 0..=sprucelink_cordon::MAX_VERSION, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
-    (target, prop::option::of(any::<u64>()), word).prop_map(
-        |(target, permit, (out, version, until, at, why))| {
-            let fleet = permit.is_some() && out;
-            let word = sprucelink_cordon::CordonEntry {
+    let entry = (any::<bool>(), 0..=MAX_VERSION, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
+    (target, prop::option::of(any::<u64>()), entry).prop_map(
+        |(target, permit, (cordoned, version, expiry, changed_at, reason))| {
+            let has_lease = permit.is_some() && cordoned;
+            let entry = CordonEntry {
                 version,
-                cordoned: out,
-                lease_expires_at: fleet.then_some(Timestamp::from_micros(until)),
-                changed_at: Timestamp::from_micros(at),
-                reason: why,
+                cordoned,
+                lease_expires_at: has_lease.then_some(Timestamp::from_micros(expiry)),
+                changed_at: Timestamp::from_micros(changed_at),
+                reason,
             };
-            sprucelink_cordon::CordonRecord {
-                target,
-                cause: permit.map_or(Cause::Operator, |permit| Cause::Fleet { permit }),
-                entry: word,
-            }
+            let cause = permit.map_or(Cause::Operator, |permit| Cause::Fleet { permit });
+            CordonRecord { target, cause, entry }
         },
     )
 }
 
-fn content() -> impl Strategy<Value = Content> {
-    let ration = (any::<i64>(), any::<u32>(), any::<u32>()).prop_map(|(at, further, taken)| RationBucket {
-        at: Timestamp::from_micros(at),
-        further,
-        taken,
+fn snapshot() -> impl Strategy<Value = StateSnapshot> {
+    let retry_bucket = (any::<i64>(), any::<u32>(), any::<u32>()).prop_map(|(start, retries, admitted)| {
+        RetryBudgetBucket { start: Timestamp::from_micros(start), retries, admitted }
     });
-    let bucket = (any::<i64>(), any::<u32>())
-        .prop_map(|(at, work_ms)| ColdBucket { at: Timestamp::from_micros(at), work_ms });
-    let cold = ("[a-z]{0,20}", prop::collection::vec(bucket, 0..BUCKETS_MOST))
-        .prop_map(|(engine, buckets)| ColdSends { engine, buckets });
+    let warmup_bucket = (any::<i64>(), any::<u32>())
+        .prop_map(|(start, work_ms)| WarmupBucket { start: Timestamp::from_micros(start), work_ms });
+    let warmup_load = ("[a-z]{0,20}", prop::collection::vec(warmup_bucket, 0..MAX_BUCKETS))
+        .prop_map(|(engine, buckets)| WarmupLoad { engine, buckets });
     (
-        prop::collection::vec(ban(), 0..12),
+        prop::collection::vec(cordon(), 0..12),
         prop::collection::vec(any::<u64>(), 0..40),
-        prop::collection::vec(ration, 0..BUCKETS_MOST),
-        prop::collection::vec(cold, 0..6),
+        prop::collection::vec(retry_bucket, 0..MAX_BUCKETS),
+        prop::collection::vec(warmup_load, 0..6),
         any::<u64>(),
     )
-        .prop_map(|(bans, ids, ration, cold, last_event)| Content {
-            bans,
-            ids,
-            ration,
-            cold,
+        .prop_map(|(cordons, known_ids, retry_budget, warmup, last_event)| StateSnapshot {
+            cordons,
+            known_ids,
+            retry_budget,
+            warmup,
             last_event,
         })
 }
@@ -90,28 +92,28 @@
     #![proptest_config(config(51, 300))]
 
     #[test]
-    fn what_is_written_is_read(content in content()) {
-        let h = handover(content);
-        let encoded = encode(&h).expect("small");
+    fn written_file_is_read_back_unchanged(snapshot in snapshot()) {
+        let file = state_file(snapshot);
+        let encoded = encode(&file).expect("small");
         prop_assert_eq!(encoded.ids_left_out, 0);
-        prop_assert_eq!(decode(&encoded.bytes, &me()), Ok(h));
+        prop_assert_eq!(decode(&encoded.bytes, &instance()), Ok(file));
     }
 
     #[test]
-    fn garbage_is_refused_and_panics_nowhere(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        prop_assert!(decode(&bytes, &me()).is_err());
+    fn garbage_is_rejected_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        prop_assert!(decode(&bytes, &instance()).is_err());
     }
 
-    /// A body of any bytes under a right head, as a faulty build might write it, is read or refused.
+    /// A body of any bytes under a right header, as a faulty build might write it, is read or rejected.
     #[test]
-    fn any_body_under_a_right_checksum_panics_nowhere(body in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut bytes = encode(&handover(Content::default())).expect("small").bytes[..8].to_vec();
+    fn any_body_under_a_right_checksum_causes_no_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
+        let mut bytes = encode(&state_file(StateSnapshot::default())).expect("small").bytes[..8].to_vec();
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         let crc = crc32fast::hash(&[&bytes[4..12], &body[..]].concat());
         bytes.extend_from_slice(&crc.to_le_bytes());
         bytes.extend_from_slice(&body);
-        if let Err(refusal) = decode(&bytes, &me()) {
-            prop_assert!(!matches!(refusal, Refusal::Damaged(_)), "{:?}", refusal);
+        if let Err(error) = decode(&bytes, &instance()) {
+            prop_assert!(!matches!(error, StateFileError::Damaged(_)), "{:?}", error);
         }
     }
 }
@@ -120,103 +122,174 @@
     #![proptest_config(config(52, 6))]
 
     #[test]
-    fn every_flipped_bit_and_every_cut_is_refused_as_damage(content in content()) {
-        let bytes = encode(&handover(content)).expect("small").bytes;
-        for len in 0..bytes.len() {
-            prop_assert!(matches!(decode(&bytes[..len], &me()), Err(Refusal::Damaged(_))), "cut at {}", len);
+    fn every_flipped_bit_and_every_truncation_is_rejected_as_damage(snapshot in snapshot()) {
+        let is_damaged =
+            |bytes: &[u8]| matches!(decode(bytes, &instance()), Err(StateFileError::Damaged(_)));
+        let bytes = encode(&state_file(snapshot)).expect("small").bytes;
+        for length in 0..bytes.len() {
+            prop_assert!(is_damaged(&bytes[..length]), "truncated at {}", length);
         }
         let mut flipped = bytes;
         for bit in 0..flipped.len() * 8 {
             flipped[bit / 8] ^= 1 << (bit % 8);
-            prop_assert!(matches!(decode(&flipped, &me()), Err(Refusal::Damaged(_))), "bit {}", bit);
+            prop_assert!(is_damaged(&flipped), "bit {}", bit);
             flipped[bit / 8] ^= 1 << (bit % 8);
         }
         flipped.push(0);
-        prop_assert!(matches!(decode(&flipped, &me()), Err(Refusal::Damaged(_))), "one byte more");
+        prop_assert!(is_damaged(&flipped), "one byte more");
     }
 }
 
-/// Whatever the bounds of bans let in fits into a file, and hashes take what is left.
+fn earlier_file(name: &str) -> Vec<u8> {
+    let line = EARLIER_FILES.lines().find(|line| line.split(' ').next() == Some(name)).expect("listed");
+    let hex = line.split(' ').nth(1).expect("hex");
+    let byte = |index| u8::from_str_radix(&hex[index..index + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+fn earlier_contents(phase: Phase) -> StateFile {
+    let at = |micros: i64| Timestamp::from_micros(1_700_000_000_000_000 + micros);
+    let record = |target, cause, version, cordoned, lease: Option<i64>, reason: &str| CordonRecord {
+        target,
+        cause,
+        entry: CordonEntry {
+            version,
+            cordoned,
+            lease_expires_at: lease.map(at),
+            changed_at: at(5),
+            reason: reason.into(),
+        },
+    };
+    let engine = |id: &str| Target::Engine(id.into());
+    let fleet = Cause::Fleet { permit: 9 };
+    let warmup_buckets = vec![
+        WarmupBucket { start: at(250_000), work_ms: 400 },
+        WarmupBucket { start: at(750_000), work_ms: 1 },
+    ];
+    StateFile {
+        phase,
+        build: "0.1.0".into(),
+        ..state_file(StateSnapshot {
+            cordons: vec![
+                record(Target::Manager, Cause::Operator, 11, true, None, "swap"),
+                record(engine("s-1"), Cause::Operator, 12, false, None, ""),
+                record(engine("s-2"), fleet, 13, true, Some(60_000_000), "release é"),
+            ],
+            known_ids: vec![1, u64::MAX, 3],
+            retry_budget: vec![
+                RetryBudgetBucket { start: at(250_000), retries: 2, admitted: 30 },
+                RetryBudgetBucket { start: at(500_000), retries: 0, admitted: 1 },
+            ],
+            warmup: vec![WarmupLoad { engine: "s-3".into(), buckets: warmup_buckets }],
+            last_event: 1234,
+        })
+    }
+}
+
+/// Both ways: this build reads an earlier build's file, and writes the same bytes for the same contents.
 #[test]
-fn the_fullest_content_fits() {
-    let limits = CordonLimits::default();
-    let now = Timestamp::from_micros(1_700_000_000_000_000);
-    let mut o = CordonState::new(limits);
+fn file_of_an_earlier_release_is_read_and_written_bit_for_bit() {
+    let phases = [
+        ("starting", Phase::Starting),
+        ("ready", Phase::Ready),
+        ("serving", Phase::Serving),
+        ("accompanied", Phase::ServingBesideSuccessor),
+        ("leaving", Phase::Draining),
+        ("gone", Phase::Terminated),
+    ];
+    for (name, phase) in phases {
+        let bytes = earlier_file(name);
+        let contents = earlier_contents(phase);
+        assert_eq!(decode(&bytes, &instance()), Ok(contents.clone()), "{name}");
+        assert_eq!(encode(&contents).expect("small").bytes, bytes, "{name}");
+    }
+}
+
+/// A state with as many cordons and tombstones as its limits allow.
+fn full_cordon_state(limits: CordonLimits, now: Timestamp) -> CordonState {
+    let mut state = CordonState::new(limits);
+    let after = |micros| now + TimeDelta::from_micros(micros);
     let permits = (u64::MAX - limits.max_cordons as u64..).take(limits.max_cordons);
     let id_bytes = limits.max_cordon_id_bytes / limits.max_cordons;
-    for (i, permit) in permits.enumerate() {
-        let id = format!("{i:0id_bytes$}");
-        o.note_listed(&id);
-        let hold = CordonRequest::Fleet { permit, lease_expires_at: now + TimeDelta::from_micros(1) };
-        o.cordon(now, &Target::Engine(id), hold, &"w".repeat(MAX_REASON_BYTES)).expect("within the bounds");
+    let reason = "w".repeat(MAX_REASON_BYTES);
+    for (index, permit) in permits.enumerate() {
+        let id = format!("{index:0id_bytes$}");
+        state.note_listed(&id);
+        let request = CordonRequest::Fleet { permit, lease_expires_at: after(1) };
+        state.cordon(now, &Target::Engine(id), request, &reason).expect("within the limits");
     }
-    // The leases end: as many words that hold nothing as are kept, and then as many bans again.
-    o.expire(now + TimeDelta::from_micros(2));
-    for i in 0..limits.max_cordons {
-        let hold = CordonRequest::Fleet {
-            permit: u64::MAX,
-            lease_expires_at: now + TimeDelta::from_micros(80_000_000_000),
-        };
-        let target = Target::Engine(format!("{i:0id_bytes$}"));
-        o.cordon(now + TimeDelta::from_micros(3), &target, hold, &"w".repeat(MAX_REASON_BYTES))
-            .expect("within the bounds");
+    // The leases expire: as many tombstones as are retained, and then as many cordons again.
+    state.expire(after(2));
+    for index in 0..limits.max_cordons {
+        let request = CordonRequest::Fleet { permit: u64::MAX, lease_expires_at: after(80_000_000_000) };
+        let target = Target::Engine(format!("{index:0id_bytes$}"));
+        state.cordon(after(3), &target, request, &reason).expect("within the limits");
     }
-    (0..limits.max_known_ids).for_each(|i| o.note_listed(&format!("s-{i}")));
+    (0..limits.max_known_ids).for_each(|index| state.note_listed(&format!("s-{index}")));
+    state
+}
+
+/// Whatever the limits of cordons allow fits into a file, and hashes take what is left.
+#[test]
+fn largest_snapshot_fits_into_a_file() {
+    let limits = CordonLimits::default();
+    let now = Timestamp::from_micros(1_700_000_000_000_000);
+    let cordons = full_cordon_state(limits, now);
     let full = CordonSizes {
         active_cordons: limits.max_cordons,
         tombstones: limits.max_tombstones,
         known_ids: limits.max_known_ids,
     };
-    assert_eq!(o.sizes(), full);
-    let cold = |i: usize| ColdSends {
-        engine: format!("{i:0MAX_ENGINE_ID_BYTES$}"),
-        buckets: vec![ColdBucket { at: now, work_ms: u32::MAX }; 18],
+    assert_eq!(cordons.sizes(), full);
+    let warmup_load = |index: usize| WarmupLoad {
+        engine: format!("{index:0MAX_ENGINE_ID_BYTES$}"),
+        buckets: vec![WarmupBucket { start: now, work_ms: u32::MAX }; 18],
     };
-    let h = handover(Content {
-        bans: o.export_records(),
-        ids: o.export_known_ids(usize::MAX),
-        ration: vec![RationBucket { at: now, further: u32::MAX, taken: u32::MAX }; BUCKETS_MOST],
-        cold: (0..COLD_MOST).map(cold).collect(),
+    let retry_bucket = RetryBudgetBucket { start: now, retries: u32::MAX, admitted: u32::MAX };
+    let file = state_file(StateSnapshot {
+        cordons: cordons.export_records(),
+        known_ids: cordons.export_known_ids(usize::MAX),
+        retry_budget: vec![retry_bucket; MAX_BUCKETS],
+        warmup: (0..MAX_WARMING_ENGINES).map(warmup_load).collect(),
         last_event: u64::MAX,
     });
-    let encoded = encode(&h).expect("fits");
-    assert!(
-        encoded.bytes.len() <= FILE_MOST && encoded.bytes.len() > FILE_MOST - 32,
-        "{}",
-        encoded.bytes.len()
-    );
-    let read = decode(&encoded.bytes, &me()).expect("read");
-    assert_eq!(read.content.bans, h.content.bans);
+    let encoded = encode(&file).expect("fits");
+    let length = encoded.bytes.len();
+    assert!(length <= MAX_FILE_BYTES && length > MAX_FILE_BYTES - 32, "{length}");
+    let read = decode(&encoded.bytes, &instance()).expect("read");
+    assert_eq!(read.snapshot.cordons, file.snapshot.cordons);
     let kept = limits.max_known_ids - encoded.ids_left_out;
-    assert!(kept > 1_000 && read.content.ids == h.content.ids[..kept], "the first {kept} ids");
+    let first_ids = &file.snapshot.known_ids[..kept];
+    assert!(kept > 1_000 && read.snapshot.known_ids == first_ids, "the first {kept} ids");
 }
 
-/// A whole file with a ban that no call could make is refused, by field and rule: nothing of it is taken.
+/// A complete file with a cordon that no call could make is rejected by field and rule: nothing of it is used.
 #[test]
-fn a_ban_that_no_call_could_make_is_named() {
-    let word = sprucelink_cordon::CordonEntry {
+fn impossible_cordon_is_rejected_with_its_field() {
+    let entry = CordonEntry {
         version: 1,
         cordoned: true,
         lease_expires_at: None,
         changed_at: Timestamp::from_micros(1),
         reason: String::new(),
     };
-    let ban = |id: &str| sprucelink_cordon::CordonRecord {
+    let record = |id: &str| CordonRecord {
         target: Target::Engine(id.into()),
         cause: Cause::Operator,
-        entry: word.clone(),
+        entry: entry.clone(),
     };
-    let bytes = encode(&handover(Content { bans: vec![ban("e"), ban("")], ..Content::default() }));
-    let refused = decode(&bytes.expect("small").bytes, &me());
+    let cordons = vec![record("e"), record("")];
+    let bytes = encode(&state_file(StateSnapshot { cordons, ..StateSnapshot::default() }));
+    let rejected = decode(&bytes.expect("small").bytes, &instance());
     assert!(
-        matches!(&refused, Err(Refusal::Invalid(what)) if what.starts_with("bans.1.target")),
-        "{refused:?}"
+        matches!(&rejected, Err(StateFileError::Invalid(rule)) if rule.to_string().starts_with("bans.1.target")),
+        "{rejected:?}"
     );
 }
 
 #[test]
-fn what_does_not_fit_is_refused_with_its_length() {
-    let long = ColdSends { engine: "x".repeat(FILE_MOST), buckets: Vec::new() };
-    let refused = encode(&handover(Content { cold: vec![long], ..Content::default() }));
-    assert!(matches!(refused, Err(Refusal::TooLarge { bytes }) if bytes > FILE_MOST));
+fn contents_that_do_not_fit_are_rejected_with_their_length() {
+    let long = WarmupLoad { engine: "x".repeat(MAX_FILE_BYTES), buckets: Vec::new() };
+    let rejected = encode(&state_file(StateSnapshot { warmup: vec![long], ..StateSnapshot::default() }));
+    assert!(matches!(rejected, Err(StateFileError::TooLarge { bytes }) if bytes > MAX_FILE_BYTES));
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -8,6 +8,7 @@
 use sprucelink_membership::swim::{Change, Me, Swim, What};
 use sprucelink_membership::terms::Protocol;
 use sprucelink_membership::{TimeDelta, Timestamp};
+use sprucelink_stable_hash::stable_hash;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -45,6 +46,8 @@
     pub coded: bool,
     pub bytes: u64,
     pub messages: u64,
+    /// A digest of all datagrams sent, in order.
+    pub trace: u64,
     pub changes: Vec<(usize, Change)>,
     queue: BinaryHeap<Reverse<(Timestamp, u64, Due)>>,
     flying: BTreeMap<u64, Message>,
@@ -68,6 +71,7 @@
             coded: false,
             bytes: 0,
             messages: 0,
+            trace: 0,
             changes: Vec::new(),
             queue: BinaryHeap::new(),
             flying: BTreeMap::new(),
@@ -114,6 +118,7 @@
         for (to, message) in node.outbox() {
             let (bytes, _) = codec::write(&message);
             (self.bytes, self.messages) = (self.bytes + bytes.len() as u64, self.messages + 1);
+            self.trace = stable_hash(&[&self.trace.to_be_bytes(), to.to_string().as_bytes(), &bytes]);
             let message = if self.coded { codec::read(&bytes).expect("its own") } else { message };
             let j = index(to);
             if self.passes(i, j) {
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -6,9 +6,10 @@
 use crate::core::request_table::Core;
 use crate::front::Front;
 use sprucelink_hot_restart::{
-    adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
+    usable_state, DiskFolder, FolderScan, Instance, Phase, PhaseStatus, StateFileDriver, StateSnapshot,
+    WindowCounters, WindowSpans,
 };
-use sprucelink_hot_restart::{Age, LOOK};
+use sprucelink_hot_restart::{FileAge, SCAN_INTERVAL};
 use sprucelink_policy::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -24,8 +25,8 @@
 /// One process's side of an upgrade.
 pub struct Upgrade {
     core: Rc<Core>,
-    keeper: RefCell<Keeper<DiskFolder>>,
-    spans: Spans,
+    keeper: RefCell<StateFileDriver<DiskFolder>>,
+    spans: WindowSpans,
     can_serve: Cell<bool>,
     term: Cell<bool>,
     /// The parts that the core was told of, and since when fewer would do.
@@ -41,11 +42,11 @@
 impl Upgrade {
     /// Takes over what a process before has left, before anything is served. `name` and `listen` tell this manager
     /// from others that share the folder.
-    pub fn begin(core: Rc<Core>, name: &str, listen: &str, spans: Spans) -> Rc<Upgrade> {
+    pub fn begin(core: Rc<Core>, name: &str, listen: &str, spans: WindowSpans) -> Rc<Upgrade> {
         let instance = Instance { name: name.to_owned(), listen: listen.to_owned() };
         let (pid, build) = (std::process::id(), env!("CARGO_PKG_VERSION"));
-        let (keeper, looked) = Keeper::open(DiskFolder::tmpdir(), instance, build, pid, now());
-        let (process, found) = (keeper.process(), looked.read.len());
+        let (keeper, looked) = StateFileDriver::open(DiskFolder::tmpdir(), instance, build, pid, now());
+        let (process, found) = (keeper.process(), looked.files.len());
         info!(pid, found, "handover: process {} of {name}, found {found} files", process.generation);
         let upgrade = Rc::new(Upgrade {
             core,
@@ -77,12 +78,12 @@
 
     /// Whether a health check is to be answered with yes.
     pub fn says_yes(&self) -> bool {
-        self.keeper.borrow().says_yes()
+        self.keeper.borrow().is_healthy()
     }
 
     /// Whether a younger process takes the connections that come.
     pub fn relieved(&self) -> bool {
-        !self.keeper.borrow().stand().accepts
+        !self.keeper.borrow().status().accepts_connections
     }
 
     /// Puts what an operator called for on record, before the call is answered.
@@ -98,27 +99,27 @@
         loop {
             self.turn(&front);
             tokio::select! {
-                () = sleep(Duration::from_micros(LOOK.as_micros() as u64)) => {}
+                () = sleep(Duration::from_micros(SCAN_INTERVAL.as_micros() as u64)) => {}
                 () = self.look.notified() => {}
             }
         }
     }
 
     fn turn(&self, front: &Front) {
-        let looked = self.keeper.borrow_mut().look(now());
+        let looked = self.keeper.borrow_mut().scan(now());
         self.take_in(looked, false);
         self.core.expire_cordons();
         let stand = self.keeper.borrow_mut().step(now(), self.term.get(), self.can_serve.get()).clone();
         self.say(&stand);
         // The one that is relieved has hardly anything to send any more, and the other meets all that comes: parts count
         // for the first alone.
-        let relieved = matches!(stand.phase, Phase::Accompanied | Phase::Leaving);
-        self.part(if relieved { stand.parts } else { 1 });
-        front.accept(stand.accepts);
-        if let Some(idle) = stand.let_go {
+        let relieved = matches!(stand.phase, Phase::ServingBesideSuccessor | Phase::Draining);
+        self.part(if relieved { stand.budget_parts } else { 1 });
+        front.accept(stand.accepts_connections);
+        if let Some(idle) = stand.close_idle_after {
             front.let_go(idle);
         }
-        if self.keeper.borrow().due(now()) {
+        if self.keeper.borrow().is_write_due(now()) {
             // Said there; it is tried again in its time.
             let _ = self.write(false);
         }
@@ -127,29 +128,29 @@
     /// The file's last word, at the end of the process.
     pub fn leave(&self) {
         let content = self.content();
-        if let Err(e) = self.keeper.borrow_mut().leave(now(), content) {
+        if let Err(e) = self.keeper.borrow_mut().write_last(now(), content) {
             warn!("handover: not written: {e}");
         }
     }
 
-    fn take_in(&self, looked: Looked, first: bool) {
-        for trouble in &looked.trouble {
+    fn take_in(&self, looked: FolderScan, first: bool) {
+        for trouble in &looked.folder_errors {
             warn!("handover: the folder: {trouble}");
         }
-        for (file, why) in &looked.refused {
+        for (file, why) in &looked.rejected {
             warn!("handover: {file} refused: {why}");
         }
-        for read in looked.read {
+        for read in looked.files {
             let (pid, generation) = (read.process.pid, read.process.generation);
-            if read.phase == Phase::Gone {
+            if read.phase == Phase::Terminated {
                 self.ended.borrow_mut().insert(pid);
             }
             let age = (now() - read.written_at).as_secs_f64();
-            let adopted = adopt(now(), self.spans, read);
-            let (bans, ids, cold) = (adopted.bans.len(), adopted.ids.len(), adopted.cold.len());
-            let further: u32 = adopted.further.iter().map(|f| f.1).sum();
-            self.core.merge_cordons(&adopted.bans, &adopted.ids);
-            let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
+            let usable = usable_state(now(), self.spans, read);
+            let (bans, ids, cold) = (usable.cordons.len(), usable.known_ids.len(), usable.warmup.len());
+            let further: u32 = usable.retries.iter().map(|f| f.1).sum();
+            self.core.merge_cordons(&usable.cordons, &usable.known_ids);
+            let old = if usable.age == FileAge::Fresh { "" } else { ", not of now" };
             let line = format!(
                 "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {bans} bans, {ids} ids, \
                  {further} further attempts, {cold} cold sends"
@@ -170,7 +171,7 @@
             (std::cmp::Ordering::Equal, _) => return self.told.set((told, None)),
             (std::cmp::Ordering::Greater, _) => false,
             (std::cmp::Ordering::Less, None) => return self.told.set((told, Some(now()))),
-            (std::cmp::Ordering::Less, Some(since)) => now() - since < self.spans.cold,
+            (std::cmp::Ordering::Less, Some(since)) => now() - since < self.spans.warmup,
         };
         if !wait {
             self.told.set((parts, None));
@@ -178,8 +179,8 @@
         }
     }
 
-    fn say(&self, stand: &Stand) {
-        let at = (stand.phase, stand.parts, stand.without_room);
+    fn say(&self, stand: &PhaseStatus) {
+        let at = (stand.phase, stand.budget_parts, stand.is_unacknowledged);
         if self.stand.replace(Some(at)) != Some(at) {
             let (phase, parts, without_room) = at;
             info!(parts, "handover: {phase:?}, 1 of {parts} parts");
@@ -187,7 +188,7 @@
                 warn!("handover: serves, and others did not make room");
             }
         }
-        let others = self.keeper.borrow().living(now());
+        let others = self.keeper.borrow().live_peers(now());
         let living: BTreeSet<u32> = others.iter().map(|o| o.process.pid).collect();
         let before = self.living.replace(living.clone());
         for pid in before.difference(&living).filter(|pid| !self.ended.borrow().contains(*pid)) {
@@ -196,11 +197,17 @@
         }
     }
 
-    fn content(&self) -> Content {
+    fn content(&self) -> StateSnapshot {
         let (bans, ids) = self.core.export_cordons(MOST_IDS);
-        let tally = Tally::new(self.spans.ration, self.spans.cold);
-        let (ration, cold) = (tally.ration(now()), tally.cold(now()));
-        Content { bans, ids, ration, cold, last_event: self.core.last_event() }
+        let tally = WindowCounters::new(self.spans.retry_budget, self.spans.warmup);
+        let (ration, cold) = (tally.retry_budget(now()), tally.warmup(now()));
+        StateSnapshot {
+            cordons: bans,
+            known_ids: ids,
+            retry_budget: ration,
+            warmup: cold,
+            last_event: self.core.last_event(),
+        }
     }
 
     fn write(&self, ban: bool) -> Result<(), String> {
@@ -212,7 +219,7 @@
                 }
                 debug!(
                     bytes = written.bytes,
-                    "handover: written, {} bytes, removed {}", written.bytes, written.removed
+                    "handover: written, {} bytes, removed {}", written.bytes, written.removed_files
                 );
                 Ok(())
             }
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -13,7 +13,7 @@
 use crate::front::{Front, Setup};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
-use sprucelink_hot_restart::Spans;
+use sprucelink_hot_restart::WindowSpans;
 use sprucelink_membership::terms::Settings as Membership;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
@@ -132,9 +132,9 @@
         cold_span: settings.fall_span,
         cold_for: settings.cold_for,
     };
-    let spans = Spans {
-        ration: settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span),
-        cold: settings.fall_span,
+    let spans = WindowSpans {
+        retry_budget: settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span),
+        warmup: settings.fall_span,
     };
     settings.cold_ramp = cold_start.and_then(|c| c.first_load.ramp());
     let classes: Vec<String> = config.setup.classes.iter().map(|c| c.name.clone()).collect();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -181,7 +181,7 @@
         served(100);
         let mut late = Program::beside(&listener, &folder, &at);
         until(|| healthy(&late).then_some(()));
-        first.wait_line("handover: Accompanied");
+        first.wait_line("handover: ServingBesideSuccessor");
         // What it holds is lost with it, which its clients see as an end: they ask again.
         late.kill();
         first.wait_line("has gone quiet, alone");
