--- /dev/null
+++ b/crates/wal/src/recovery.rs
@@ -0,0 +1,171 @@
+//! Reading a segment back: its intact records, and whether what follows them is a torn tail or damage.
+
+use crate::record::{self, Entry, Record, Snapshot, WriteBatch, HEADER_BYTES, MAGIC};
+use prost::Message;
+
+/// What is wrong with a damaged record.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum Corruption {
+    /// The record is damaged and a later one is intact, so it was not torn by a crash.
+    #[error("the record is damaged, but batch {later} behind it is intact")]
+    DamagedBeforeTail {
+        /// Sequence number of the intact record.
+        later: u64,
+    },
+    /// The first record of the segment is incomplete.
+    #[error("the first record of the segment is incomplete")]
+    FirstRecordIncomplete,
+    /// The record's sequence number is not the next one.
+    #[error("batch {found} where batch {expected} is expected")]
+    UnexpectedSequence {
+        /// The number that is expected.
+        expected: u64,
+        /// The number in the record.
+        found: u64,
+    },
+    /// The record does not hold the checksum of the one before it.
+    #[error("the record does not follow the one before it")]
+    BrokenChain,
+    /// The payload is not a batch.
+    #[error("the payload cannot be decoded")]
+    Payload(#[source] prost::DecodeError),
+    /// Header and payload disagree on the sequence number.
+    #[error("the header says batch {header}, the payload says batch {payload}")]
+    SequenceMismatch {
+        /// The number in the header.
+        header: u64,
+        /// The number in the payload.
+        payload: u64,
+    },
+    /// An entry is not within the log or next to its end.
+    #[error("entry {index} where {lowest} to {highest} are allowed")]
+    EntryOutOfRange {
+        /// The entry's index.
+        index: u64,
+        /// The lowest index allowed.
+        lowest: u64,
+        /// The highest index allowed.
+        highest: u64,
+    },
+}
+
+/// What was truncated from the end of a segment: the rest of a batch whose write was interrupted by a crash.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TornTail {
+    /// The sequence number that the lost batch had.
+    pub sequence: u64,
+    /// Where the intact records end, bytes.
+    pub offset: u64,
+    /// Length of what was truncated, bytes.
+    pub bytes: u64,
+}
+
+/// What the intact records of a segment hold.
+#[derive(Debug, Default)]
+pub(crate) struct SegmentContent {
+    /// Sequence number of the last record.
+    pub sequence: u64,
+    /// Checksum of the last record.
+    pub checksum: u32,
+    /// Length of the intact records, bytes.
+    pub length: u64,
+    pub state: Vec<u8>,
+    pub snapshot: Option<Snapshot>,
+    pub entries: Vec<Entry>,
+    pub torn_tail: Option<TornTail>,
+}
+
+impl SegmentContent {
+    /// Checks a record against those before it and applies its batch.
+    fn add_record(&mut self, record: &Record<'_>, expected_sequence: u64) -> Result<(), Corruption> {
+        if record.sequence != expected_sequence {
+            return Err(Corruption::UnexpectedSequence {
+                expected: expected_sequence,
+                found: record.sequence,
+            });
+        }
+        if record.previous_checksum != self.checksum {
+            return Err(Corruption::BrokenChain);
+        }
+        let batch = WriteBatch::decode(record.payload).map_err(Corruption::Payload)?;
+        if batch.sequence != record.sequence {
+            return Err(Corruption::SequenceMismatch { header: record.sequence, payload: batch.sequence });
+        }
+        self.apply(batch)?;
+        self.sequence = record.sequence;
+        self.checksum = record.checksum;
+        self.length += record.encoded_length() as u64;
+        Ok(())
+    }
+
+    fn apply(&mut self, batch: WriteBatch) -> Result<(), Corruption> {
+        if let Some(snapshot) = batch.snapshot {
+            self.snapshot = Some(snapshot);
+            self.entries.clear();
+        }
+        for entry in batch.entries {
+            self.add_entry(entry)?;
+        }
+        self.state = batch.state;
+        Ok(())
+    }
+
+    fn add_entry(&mut self, entry: Entry) -> Result<(), Corruption> {
+        let first = self.entries.first().map(|entry| entry.index);
+        let highest = match (first, &self.snapshot) {
+            (Some(first), _) => first + self.entries.len() as u64,
+            (None, Some(snapshot)) => snapshot.index + 1,
+            (None, None) => 1,
+        };
+        let lowest = first.unwrap_or(highest);
+        if entry.index < lowest || entry.index > highest {
+            return Err(Corruption::EntryOutOfRange { index: entry.index, lowest, highest });
+        }
+        self.entries.truncate((entry.index - lowest) as usize);
+        self.entries.push(entry);
+        Ok(())
+    }
+}
+
+/// Reads a segment whose first record is that of batch `first_sequence`.
+///
+/// # Errors
+/// The offset of the damaged record, and what is wrong with it.
+pub(crate) fn read_segment(bytes: &[u8], first_sequence: u64) -> Result<SegmentContent, (u64, Corruption)> {
+    let mut content = SegmentContent::default();
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let rest = &bytes[offset..];
+        let Some(record) = record::decode(rest) else {
+            // A record is synced before the next one is written, so nothing intact can follow a torn record.
+            if let Some(later) = find_later_record(rest, content.sequence) {
+                return Err((offset as u64, Corruption::DamagedBeforeTail { later }));
+            }
+            content.torn_tail = Some(TornTail {
+                sequence: content.sequence + 1,
+                offset: offset as u64,
+                bytes: rest.len() as u64,
+            });
+            break;
+        };
+        let expected_sequence = if offset == 0 { first_sequence } else { content.sequence + 1 };
+        content.add_record(&record, expected_sequence).map_err(|reason| (offset as u64, reason))?;
+        offset += record.encoded_length();
+    }
+    if content.length == 0 {
+        // A segment gets its name only after its first record is synced, so that record cannot be torn.
+        return Err((0, Corruption::FirstRecordIncomplete));
+    }
+    Ok(content)
+}
+
+/// The sequence number of an intact record that starts behind the first byte and is newer than `sequence`.
+fn find_later_record(bytes: &[u8], sequence: u64) -> Option<u64> {
+    (1..bytes.len().saturating_sub(HEADER_BYTES - 1)).find_map(|offset| {
+        let candidate = &bytes[offset..];
+        if candidate[..MAGIC.len()] != MAGIC {
+            return None;
+        }
+        record::decode(candidate).map(|record| record.sequence).filter(|&later| later > sequence)
+    })
+}
