--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -114,9 +114,9 @@
         // for the first alone.
         let relieved = matches!(stand.phase, Phase::ServingBesideSuccessor | Phase::Draining);
         self.part(if relieved { stand.budget_parts } else { 1 });
-        front.accept(stand.accepts_connections);
+        front.set_accepting(stand.accepts_connections);
         if let Some(idle) = stand.close_idle_after {
-            front.let_go(idle);
+            front.drain_sessions(idle);
         }
         if self.keeper.borrow().is_write_due(now()) {
             // Said there; it is tried again in its time.
