--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -2,8 +2,9 @@
 
 use super::buffer_pool::BufferPool;
 use super::clock::{now, to_duration};
+use super::connection_task::{self, ConnectionOwner};
 use super::coordinator::{ConnectionRuntime, Coordinator, CoordinatorConfig, MIN_RETRY_AFTER};
-use super::engine_connection::{self, ConnectionLimits, ConnectionOwner, EngineConnection};
+use super::engine_connection::{ConnectionLimits, EngineConnection};
 use super::gossip_facts::GossipWindows;
 use super::request::{RejectReason, Request, Response};
 use super::zone_routing::{Observer, ZoneRouting};
@@ -270,7 +271,7 @@
     }
 
     fn start_connection(&self, connection: Rc<EngineConnection>) {
-        tokio::task::spawn_local(engine_connection::run(Rc::clone(self), connection));
+        tokio::task::spawn_local(connection_task::run(Rc::clone(self), connection));
     }
 
     fn wake(&self) {
--- a/src/core/engine_connection/task.rs
+++ b/src/core/connection_task.rs
@@ -1,9 +1,8 @@
 //! The task of a connection: it dials, sends what is queued and reads answers until the connection ends.
 
-use super::send_queue::QueuedBuffer;
-use super::{ConnectionLimits, EngineConnection, State};
-use crate::core::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
-use crate::core::clock::{now, to_duration};
+use super::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
+use super::clock::{now, to_duration};
+use super::engine_connection::{ConnectionLimits, EngineConnection, QueuedBuffer};
 use crate::proto::{resp, Malformed};
 use socket2::SockRef;
 use sprucelink_policy::{TimeDelta, Timestamp};
@@ -69,14 +68,14 @@
 
 /// Dials a connection and serves it until it ends.
 pub async fn run<O: ConnectionOwner>(owner: Rc<O>, connection: Rc<EngineConnection>) {
-    let delay = connection.dial_time.get() - now();
+    let delay = connection.dial_time() - now();
     if delay > TimeDelta::ZERO {
         tokio::time::sleep(to_duration(delay)).await;
     }
     let dial_timeout = to_duration(owner.limits().dial_timeout);
     // A dial that is given up returns its file descriptor at once.
     let dialled = tokio::select! {
-        dialled = timeout(dial_timeout, TcpStream::connect(connection.address)) => dialled,
+        dialled = timeout(dial_timeout, TcpStream::connect(connection.address())) => dialled,
         () = connection.wait_closed() => return owner.on_connection_down(&connection, "", true),
     };
     let end = match dialled {
@@ -96,7 +95,7 @@
     if let Err(error) = stream.set_nodelay(true) {
         return ConnectionEnd::remote(error);
     }
-    connection.state.set(State::Up);
+    connection.set_up();
     owner.on_connection_up(connection);
     let (reader, writer) = stream.into_split();
     tokio::select! {
@@ -116,7 +115,7 @@
 ) -> ConnectionEnd {
     let mut current: Option<QueuedBuffer> = None;
     loop {
-        if connection.state.get() == State::Closed {
+        if connection.is_closed() {
             return ConnectionEnd::remote("closed here");
         }
         let limit = connection.skip_withdrawn();
@@ -125,7 +124,7 @@
         let Some(buffer) = &current else {
             current = connection.next_buffer();
             if current.is_none() {
-                connection.wake.notified().await;
+                connection.wait_for_work().await;
             }
             continue;
         };
@@ -148,7 +147,7 @@
                 ready = writer.writable() => if let Err(error) = ready {
                     return ConnectionEnd::remote(error);
                 },
-                () = connection.wake.notified() => {}
+                () = connection.wait_for_work() => {}
             },
             Err(error) => return ConnectionEnd::remote(error),
         }
@@ -205,7 +204,7 @@
             Err(_) if connection.is_idle(owner.limits()) => return ConnectionEnd::remote(""),
             Err(_) => continue,
         }
-        connection.last_heard_at.set(now());
+        connection.record_heard(now());
         let Some(buffer) = &mut received else { continue };
         let consumed = match process_answers(owner, connection, buffer) {
             Ok(consumed) => consumed,
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -9,6 +9,7 @@
 use super::clock::now;
 use super::engine_connection::{ConnectionLimits, EngineConnection, Withdrawal};
 use super::engine_table::EngineTable;
+use super::fleet_state::FleetState;
 use super::gossip_facts::GossipFacts;
 use super::policy_driver::{PolicyCommand, PolicyDriver, PolicyEvent};
 use super::request::{RejectReason, Request, Response};
@@ -76,7 +77,7 @@
     startup: Option<StartupControl>,
     /// What is gossiped to other managers, where they keep a view of the fleet.
     gossip: Option<GossipFacts>,
-    fleet: fleet::FleetState,
+    fleet: FleetState,
     /// Engines that are cordoned.
     cordons: CordonState,
     /// Failover between zones, where it is on.
@@ -88,7 +89,7 @@
     pub(super) fn new(config: CoordinatorConfig) -> Coordinator {
         let CoordinatorConfig { settings, seed, zones, kinds } = config;
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max();
-        let fleet = fleet::FleetState::new(settings.gateways, settings.spare);
+        let fleet = FleetState::new(settings.gateways, settings.spare);
         let send_guard = SendGuard::new(&settings);
         Coordinator {
             requests: RequestTable::default(),
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -7,23 +7,6 @@
 use crate::core::zone_routing::{unresponsive_engines, Observer, ZoneRouting};
 use sprucelink_membership::facts::Facts;
 
-/// This manager's part of the fleet.
-pub(super) struct FleetState {
-    /// Managers of the fleet.
-    managers: u32,
-    /// Retries that the other managers leave to this one, over its own retry budget.
-    pub(super) spare_attempts: f64,
-    /// Processes of this manager, among which its part is divided.
-    processes: u32,
-}
-
-impl FleetState {
-    /// The fleet as configured, this manager in one process.
-    pub(super) fn new(managers: u32, spare_attempts: f64) -> FleetState {
-        FleetState { managers, spare_attempts, processes: 1 }
-    }
-}
-
 impl Coordinator {
     /// The view of the fleet has changed.
     pub(in crate::core) fn set_fleet(
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::core::attempt::Cancellation;
-use crate::core::engine_connection::ConnectionOwner;
+use crate::core::connection_task::ConnectionOwner;
 use crate::core::test_support::{core, local, member, request};
 use crate::core::Core;
 use crate::proto::events::{ListEvent, Phase};
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -1,11 +1,11 @@
 //! A connection to an engine: what it carries and what has still to be sent on it.
 //!
 //! A connection carries many attempts. It belongs to an engine's id and not to its address, for addresses are reused. When
-//! it breaks, each attempt on it ends once. [`task`] holds the task that dials and serves it.
+//! it breaks, each attempt on it ends once. [`super::connection_task`] dials and serves it.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use super::clock::now;
-use send_queue::{QueuedBuffer, SendQueue, UnsentCommand};
+use send_queue::SendQueue;
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,9 +14,8 @@
 use tokio::sync::Notify;
 
 mod send_queue;
-mod task;
 
-pub use task::{run, ConnectionOwner};
+pub(super) use send_queue::{QueuedBuffer, UnsentCommand};
 
 /// Fraction of the idle time after which this side closes: engines close at the whole of it, and a request that crosses
 /// their close would count as one that may have run.
@@ -123,7 +122,7 @@
     /// Whether request `id` may be sent on it. Not where an attempt of it ended unserved: a late answer to the old attempt
     /// could not be told from one to the new.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
-        self.state.get() != State::Closed
+        !self.is_closed()
             && !self.is_retired.get()
             && !self.is_unresponsive(limits)
             && self.attempt_count() < limits.max_streams
@@ -148,6 +147,36 @@
         self.is_retired.set(true);
     }
 
+    /// When it may be dialled.
+    pub(super) fn dial_time(&self) -> Timestamp {
+        self.dial_time.get()
+    }
+
+    /// Where its engine listens.
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Notes that it has come up.
+    pub(super) fn set_up(&self) {
+        self.state.set(State::Up);
+    }
+
+    /// Notes that the engine was heard.
+    pub(super) fn record_heard(&self, now: Timestamp) {
+        self.last_heard_at.set(now);
+    }
+
+    /// Returns when something is queued, or it is closed.
+    pub(super) async fn wait_for_work(&self) {
+        self.wake.notified().await;
+    }
+
+    /// Whether it is closed by this process.
+    pub(super) fn is_closed(&self) -> bool {
+        self.state.get() == State::Closed
+    }
+
     /// Whether it is still being dialled.
     pub fn is_dialing(&self) -> bool {
         self.state.get() == State::Dialing
@@ -171,7 +200,7 @@
     /// Queues a command on an attempt; on a closed connection there is none any more. It takes a buffer whatever the pool
     /// has left: a cancellation that is not sent would let the attempt run beside the next one.
     pub fn command(&self, pool: &BufferPool, parts: &[&[u8]]) {
-        if self.state.get() != State::Closed {
+        if !self.is_closed() {
             self.queue_command(parts, || Some(pool.get_beyond_limit()));
         }
     }
@@ -209,14 +238,14 @@
 
     /// Whether all bytes up to an offset in the stream were sent, or never will be.
     pub fn has_passed(&self, offset: u64) -> bool {
-        self.written() >= offset || self.state.get() == State::Closed
+        self.written() >= offset || self.is_closed()
     }
 
     /// Whether some of the command that sends a request's attempt has still to be sent.
     pub fn is_unsent(&self, id: u64) -> bool {
         let written = self.written();
         let attempts = self.attempts.borrow();
-        self.state.get() != State::Closed
+        !self.is_closed()
             && attempts.get(&id).is_some_and(|attempt| !attempt.is_withdrawn && attempt.end > written)
     }
 
@@ -281,39 +310,39 @@
     }
 
     /// Returns once it is closed by this process.
-    async fn wait_closed(&self) {
-        while self.state.get() != State::Closed {
+    pub(super) async fn wait_closed(&self) {
+        while !self.is_closed() {
             self.wake.notified().await;
         }
     }
 
     /// Whether no attempt on it was sent, or begun to be.
-    fn has_nothing_in_flight(&self) -> bool {
+    pub(super) fn has_nothing_in_flight(&self) -> bool {
         let written = self.written();
         self.attempts.borrow().values().all(|attempt| attempt.is_withdrawn || attempt.start >= written)
     }
 
     /// The next buffer to be sent.
-    fn next_buffer(&self) -> Option<QueuedBuffer> {
+    pub(super) fn next_buffer(&self) -> Option<QueuedBuffer> {
         self.send_queue.borrow_mut().pop_buffer()
     }
 
     /// The first attempt whose command begins in this part of the stream.
-    fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
+    pub(super) fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
         self.send_queue.borrow().next_attempt(from, to)
     }
 
     /// Skips withdrawn bytes at the head of the stream; up to where may be written then.
-    fn skip_withdrawn(&self) -> Option<u64> {
+    pub(super) fn skip_withdrawn(&self) -> Option<u64> {
         self.send_queue.borrow_mut().skip_withdrawn()
     }
 
     /// Counts bytes that were written; the attempts that were sent completely by them.
-    fn record_written(&self, bytes: usize) -> u64 {
+    pub(super) fn record_written(&self, bytes: usize) -> u64 {
         self.send_queue.borrow_mut().record_written(bytes)
     }
 
-    fn is_idle(&self, limits: &ConnectionLimits) -> bool {
+    pub(super) fn is_idle(&self, limits: &ConnectionLimits) -> bool {
         let patience =
             TimeDelta::from_micros((limits.idle_timeout.as_micros() as f64 * IDLE_FRACTION) as i64);
         let is_idle_for_long = || now() - self.last_heard_at.get() > patience;
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -10,20 +10,20 @@
 
 /// A command that sends an attempt and was not sent completely.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UnsentCommand {
+pub(in crate::core) struct UnsentCommand {
     /// The request.
-    pub(super) id: u64,
+    pub(in crate::core) id: u64,
     /// The attempt's number.
-    pub(super) attempt: u32,
+    pub(in crate::core) attempt: u32,
     /// Where it begins in the stream.
-    pub(super) start: u64,
+    pub(in crate::core) start: u64,
     /// Where it ends in the stream.
-    pub(super) end: u64,
+    pub(in crate::core) end: u64,
 }
 
 /// A buffer that was taken off the queue to be sent.
 #[derive(Debug)]
-pub(super) struct QueuedBuffer {
+pub(in crate::core) struct QueuedBuffer {
     bytes: Buffer,
     /// Where its first byte stands in the stream.
     start: u64,
@@ -31,12 +31,12 @@
 
 impl QueuedBuffer {
     /// Where it ends in the stream.
-    pub(super) fn end(&self) -> u64 {
+    pub(in crate::core) fn end(&self) -> u64 {
         self.start + self.bytes.len() as u64
     }
 
     /// Its bytes from an offset in the stream, up to `limit` if there is one.
-    pub(super) fn slice(&self, from: u64, limit: Option<u64>) -> &[u8] {
+    pub(in crate::core) fn slice(&self, from: u64, limit: Option<u64>) -> &[u8] {
         let to = limit.map_or(self.end(), |limit| limit.min(self.end()));
         &self.bytes[(from - self.start) as usize..(to - self.start) as usize]
     }
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::core::buffer_pool::BUFFER_BYTES;
+use crate::core::connection_task::run;
 use crate::core::test_support::{core, local, PermissiveOwner};
 use crate::proto::resp;
 use std::time::Duration;
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -1,7 +1,8 @@
 //! What the core's tests share: a core in front of listeners that stand for engines.
 
 use super::buffer_pool::BufferPool;
-use super::engine_connection::{ConnectionLimits, ConnectionOwner, EngineConnection};
+use super::connection_task::ConnectionOwner;
+use super::engine_connection::{ConnectionLimits, EngineConnection};
 use super::{Core, CoreConfig, Request, RequestSpec};
 use crate::proto::events::{ListEvent, Member, Phase};
 use crate::proto::Malformed;
