--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -6,12 +6,12 @@
 //! policy would not choose at this moment.
 
 use sprucelink_policy::{AttemptBudget, Effect, Settings, TimeDelta, Timestamp};
-use std::collections::VecDeque;
+use sprucelink_rate_limits::SlotWindow;
 
 /// Width of a slot in which events are counted; longer windows have wider slots.
 const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_micros(20_000);
 /// Slots of one window.
-const MAX_SLOTS: i64 = 1_024;
+const MAX_SLOTS: u32 = 1_024;
 
 /// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,48 +45,6 @@
     pub(super) engine_is_ready: bool,
 }
 
-/// Events within a sliding window, counted by slot.
-#[derive(Debug, Default)]
-struct SlotWindow {
-    span: TimeDelta,
-    /// Slot number and events in it, oldest first.
-    slots: VecDeque<(i64, u32)>,
-}
-
-impl SlotWindow {
-    fn new(span: TimeDelta) -> SlotWindow {
-        SlotWindow { span, slots: VecDeque::new() }
-    }
-
-    /// Width of a slot in microseconds.
-    fn slot_width(&self) -> i64 {
-        MIN_SLOT_WIDTH.as_micros().max(self.span.as_micros() / MAX_SLOTS)
-    }
-
-    fn slot_of(&self, at: Timestamp) -> i64 {
-        at.as_micros().div_euclid(self.slot_width())
-    }
-
-    fn record(&mut self, now: Timestamp) {
-        let slot = self.slot_of(now);
-        let oldest = slot - self.span.as_micros() / self.slot_width() - 1;
-        while self.slots.front().is_some_and(|(slot, _)| *slot < oldest) {
-            self.slots.pop_front();
-        }
-        match self.slots.back_mut().filter(|(last, _)| *last >= slot) {
-            Some((_, count)) => *count = count.saturating_add(1),
-            None => self.slots.push_back((slot, 1)),
-        }
-    }
-
-    /// Events within the window before `now`. The slot in which the window begins counts whole with
-    /// `include_partial_slot`, and not at all without.
-    fn sum(&self, now: Timestamp, include_partial_slot: bool) -> u64 {
-        let first = self.slot_of(now - self.span) + i64::from(!include_partial_slot);
-        self.slots.iter().filter(|(slot, _)| *slot >= first).map(|(_, count)| u64::from(*count)).sum()
-    }
-}
-
 /// How often attempts of a class may be sent.
 #[derive(Clone, Copy, Debug)]
 struct RetryRule {
@@ -112,8 +70,8 @@
     /// By class.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<AttemptBudget>,
-    requests: SlotWindow,
-    retries: SlotWindow,
+    requests: SlotWindow<u32>,
+    retries: SlotWindow<u32>,
     /// When this process gives its last responses, once it shuts down.
     shutdown_deadline: Option<Timestamp>,
 }
@@ -126,8 +84,8 @@
         SendGuard {
             retry_rules: rules.map(|c| RetryRule { effect: c.effect, window: c.repeat_window }).collect(),
             retry_budget: settings.attempt_budget,
-            requests: SlotWindow::new(span),
-            retries: SlotWindow::new(span),
+            requests: SlotWindow::new(span, MIN_SLOT_WIDTH, MAX_SLOTS),
+            retries: SlotWindow::new(span, MIN_SLOT_WIDTH, MAX_SLOTS),
             shutdown_deadline: None,
         }
     }
@@ -150,14 +108,14 @@
     /// Counts a request.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if self.retry_budget.is_some() {
-            self.requests.record(now);
+            self.requests.increment(now);
         }
     }
 
     /// Counts an attempt whose first byte is being sent.
     pub(super) fn record_send(&mut self, now: Timestamp, is_retry: bool) {
         if is_retry && self.retry_budget.is_some() {
-            self.retries.record(now);
+            self.retries.increment(now);
         }
     }
 
@@ -196,10 +154,12 @@
         }
     }
 
+    /// Whether one more retry stays within the budget. Of the slot that the window's begin cuts, retries count and requests
+    /// do not, so that no exact window holds more retries than the budget allows.
     fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
-        let allowed = budget.free + budget.share * self.requests.sum(now, false) as f64 + spare_attempts;
-        (self.retries.sum(now, true) + 1) as f64 <= allowed
+        let allowed = budget.free + budget.share * self.requests.count_within(now) as f64 + spare_attempts;
+        (self.retries.count_overlapping(now) + 1) as f64 <= allowed
     }
 }
 
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -137,6 +137,6 @@
     }
     // A tenth of 60,000 and a free one now and then.
     assert!((5_800..=6_100).contains(&sent), "{sent}");
-    assert!(guard.requests.slots.len() as i64 <= MAX_SLOTS && guard.retries.slots.len() as i64 <= MAX_SLOTS);
+    assert!(guard.requests.len() <= MAX_SLOTS as usize && guard.retries.len() <= MAX_SLOTS as usize);
     assert_eq!(guard.check(at(60_000), 1e9, &retry), Ok(()), "other managers leave some");
 }
