--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -6,7 +6,7 @@
 use sprucelink_cluster_harness::report::{chart, Report, Series, BUCKET};
 use sprucelink_cluster_harness::run::{self, Outcome, Program, Views};
 use sprucelink_cluster_harness::scenario::Scenario;
-use sprucelink_history_checker::Verdict;
+use sprucelink_history_checker::CheckReport;
 use std::path::{Path, PathBuf};
 
 const USAGE: &str = "\
@@ -200,18 +200,19 @@
 }
 
 /// Tells what a verdict found, on standard error; whether no rule was broken.
-fn tell(verdict: &Verdict) -> bool {
-    for (name, found) in &verdict.found {
+fn tell(verdict: &CheckReport) -> bool {
+    for (name, found) in &verdict.invariants {
         for v in &found.violations {
             eprintln!("{name}: {:.6} s: {}", v.at_us as f64 / 1e6, v.what);
         }
-        if found.more > 0 {
-            eprintln!("{name}: {} more", found.more);
+        if found.dropped > 0 {
+            eprintln!("{name}: {} more", found.dropped);
         }
     }
-    let seen: Vec<String> = verdict.found.iter().map(|(name, f)| format!("{name} {}", f.seen)).collect();
+    let seen: Vec<String> =
+        verdict.invariants.iter().map(|(name, f)| format!("{name} {}", f.examined)).collect();
     eprintln!("judged: {}", seen.join(", "));
-    verdict.passed()
+    verdict.is_passed()
 }
 
 fn judge(scenario: &Scenario, files: &[PathBuf]) {
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -155,7 +155,7 @@
 
 async fn connection(engine: &Arc<Shared>, stream: TcpStream) {
     let connection = engine.next.fetch_add(1, Ordering::Relaxed);
-    engine.history.note_engine(|| Event::Dial { engine: engine.name(), connection });
+    engine.history.note_engine(|| Event::Connected { engine: engine.name(), connection });
     let _ = stream.set_nodelay(true);
     let (reader, mut writer) = stream.into_split();
     let (answers, mut outbox) = mpsc::unbounded_channel::<Vec<u8>>();
@@ -201,7 +201,7 @@
     }
     let left: Vec<u64> = open.lock().unwrap_or_else(PoisonError::into_inner).keys().copied().collect();
     left.iter().for_each(|id| end(engine, connection, *id, &open));
-    engine.history.note_engine(|| Event::Hangup { engine: engine.name(), connection });
+    engine.history.note_engine(|| Event::Disconnected { engine: engine.name(), connection });
 }
 
 /// A command's word as a history has it: words are short, and what is longer is none.
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -2,7 +2,7 @@
 //! file has a bound; what would go beyond it is not written and the run fails for it, since a judgement of half a
 //! history is none.
 
-use sprucelink_history_checker::event::{Event, Line};
+use sprucelink_history_checker::event::{Event, HistoryEntry};
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -57,7 +57,7 @@
         }
         // The cast holds for half a million years.
         let at_us = i.start.elapsed().as_micros() as u64;
-        let line = serde_json::to_string(&Line { at_us, event }).map_err(|e| e.to_string());
+        let line = serde_json::to_string(&HistoryEntry { at_us, event }).map_err(|e| e.to_string());
         let written = line.and_then(|line| {
             let need = line.len() as u64 + 1;
             let room = i.room.checked_sub(need).ok_or("it is full (history.most_mb)".to_owned())?;
@@ -92,14 +92,20 @@
     }
 }
 
+/// An error and its sources in one line, separated by colons.
+fn error_chain(error: &dyn std::error::Error) -> String {
+    let sources = std::iter::successors(error.source(), |source| source.source());
+    sources.fold(error.to_string(), |chain, source| format!("{chain}: {source}"))
+}
+
 /// Reads a history's file.
 ///
 /// # Errors
 /// Its path, and the line and what is wrong with it.
-pub fn read(path: &PathBuf) -> Result<Vec<Line>, String> {
+pub fn read(path: &PathBuf) -> Result<Vec<HistoryEntry>, String> {
     let named = |e: String| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-    sprucelink_history_checker::read::lines(text.lines()).map_err(named)
+    sprucelink_history_checker::read::parse_history(text.lines()).map_err(|e| named(error_chain(&e)))
 }
 
 #[cfg(test)]
@@ -107,7 +113,7 @@
     use super::*;
 
     fn up(i: usize) -> Event {
-        Event::Up { process: format!("n{i}") }
+        Event::Ready { process: format!("n{i}") }
     }
 
     #[test]
@@ -116,7 +122,7 @@
         std::fs::create_dir_all(&dir).expect("a folder");
         let r = Recorder::start(&dir, Instant::now(), 10_000, false).expect("a file");
         (0..50).for_each(|i| r.note(up(i)));
-        r.note_engine(|| Event::Hangup { engine: "s".into(), connection: 1 });
+        r.note_engine(|| Event::Disconnected { engine: "s".into(), connection: 1 });
         r.end().expect("whole");
         r.note(up(99));
         let lines = read(&dir.join(NAME)).expect("read");
--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -52,11 +52,11 @@
         Ok((status, _)) => format!("status {status}"),
         Err(e) => e.clone(),
     };
-    history.note(Event::Act { act: format!("call {what}: {word}"), on: vec![format!("n{i}")] });
+    history.note(Event::NemesisAction { act: format!("call {what}: {word}"), on: vec![format!("n{i}")] });
     if let (Some(op), Ok((200..=299, body))) = (op, got) {
         let told: Option<Value> = serde_json::from_str(&body).ok();
         let text = told.as_ref().zip(cursor_at).and_then(|(v, at)| v.pointer(at)).and_then(Value::as_str);
         let cursor: Option<Cursor> = text.and_then(|t| t.parse().ok());
-        history.note(Event::Ack { op, cursor });
+        history.note(Event::Acknowledged { op, cursor });
     }
 }
--- a/crates/cluster-harness/src/run/life.rs
+++ b/crates/cluster-harness/src/run/life.rs
@@ -2,7 +2,7 @@
 
 use super::{Life, Rig, Seat};
 use crate::procs::Ended;
-use sprucelink_history_checker::event::{Cause, Event, NEXT_VERSION};
+use sprucelink_history_checker::event::{Event, ExitCause, EXIT_STATUS_NEXT_VERSION};
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
@@ -30,7 +30,7 @@
                     if let Some(at) = self.fleet.serving(i) {
                         self.seat(i, |s| (s.at, s.until) = (Some(at), None));
                         (self.lives[i], self.up_once[i]) = (Life::Up, true);
-                        self.history.note(Event::Up { process: format!("n{i}") });
+                        self.history.note(Event::Ready { process: format!("n{i}") });
                         self.bind(i);
                     }
                 }
@@ -46,9 +46,9 @@
     /// A process has ended by itself: it is brought back where its supervisor does that.
     fn has_ended(&mut self, i: usize, how: Ended) {
         self.strike(i);
-        let asked = how.status == Some(NEXT_VERSION);
+        let asked = how.status == Some(EXIT_STATUS_NEXT_VERSION);
         let next = if asked { self.next_version(i).ok() } else { None };
-        self.over(i, how, Cause::Own, next.clone());
+        self.over(i, how, ExitCause::Own, next.clone());
         let supervise = self.scenario.supervise;
         let back = next.is_some() || supervise.crashed;
         // One that asks for a version it does not name has crashed, too.
@@ -89,7 +89,7 @@
             match self.fleet.ended(i) {
                 Some(how) => {
                     self.crashed += usize::from(how.status != Some(0));
-                    self.over(i, how, Cause::Nemesis, None);
+                    self.over(i, how, ExitCause::Nemesis, None);
                     self.begin(i, false)?;
                 }
                 // It had its time: it hangs, and that is a crash.
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Sent;
 use crate::report::{Outcomes, Report};
 use crate::scenario::{Scenario, Watch, HALLS};
-use sprucelink_history_checker::Verdict;
+use sprucelink_history_checker::CheckReport;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -28,7 +28,7 @@
     /// Where the history is, if one was recorded.
     pub history: Option<PathBuf>,
     /// What the checker found in it, if it was held against terms.
-    pub verdict: Option<Verdict>,
+    pub verdict: Option<CheckReport>,
 }
 
 /// The managers' views of the fleet at a moment.
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{GROUPS, HALLS};
 use crate::template::Values;
 use sprucelink_failpoints::fault_file::{self, DiskFaults, FaultFile};
-use sprucelink_history_checker::event::{Cause, Event};
+use sprucelink_history_checker::event::{Event, ExitCause};
 use std::path::Path;
 
 /// The file in a process's folder that names the version its supervisor is to start next.
@@ -78,7 +78,7 @@
         p.unbound = (0..self.scenario.ports.len()).collect();
         p.alive = true;
         let (process, version) = (format!("n{i}"), p.version.clone());
-        self.history.note(Event::Start {
+        self.history.note(Event::Started {
             process,
             version,
             clock_offset_ms: self.scenario.clock_of(i),
@@ -91,15 +91,15 @@
     pub(super) fn kill(&mut self, i: usize) {
         self.strike(i);
         self.fleet.kill(i);
-        self.over(i, Ended { status: None, signal: Some(9) }, Cause::Nemesis, None);
+        self.over(i, Ended { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
         self.lives[i] = Life::Dead;
     }
 
     /// Notes a process's end, once.
-    pub(super) fn over(&mut self, i: usize, how: Ended, cause: Cause, next: Option<String>) {
+    pub(super) fn over(&mut self, i: usize, how: Ended, cause: ExitCause, next: Option<String>) {
         if std::mem::take(&mut self.procs[i].alive) {
             let (process, Ended { status, signal }) = (format!("n{i}"), how);
-            self.history.note(Event::Exit { process, status, signal, cause, next });
+            self.history.note(Event::Exited { process, status, signal, cause, next });
         }
     }
 
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -12,7 +12,7 @@
 use crate::procs::{self, Fleet, Row};
 use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, HALLS};
 use crate::subscribers::Subscribers;
-use sprucelink_history_checker::event::{Event, Party};
+use sprucelink_history_checker::event::{Event, FleetMember};
 use sprucelink_membership::terms::Settings as Membership;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -119,11 +119,11 @@
     fn note_run(&self) {
         let manager = |i: usize| {
             let group = self.scenario.group_of(i);
-            Party { name: format!("n{i}"), zone: HALLS[group].into(), pool: GROUPS[group].into() }
+            FleetMember { name: format!("n{i}"), zone: HALLS[group].into(), pool: GROUPS[group].into() }
         };
         let (managers, engines) = ((0..self.scenario.managers).map(manager).collect(), Vec::new());
         let (scenario, seed) = (self.scenario.name.clone(), self.scenario.seed);
-        self.history.note(Event::Run { scenario, seed, managers, engines });
+        self.history.note(Event::RunStarted { scenario, seed, managers, engines });
     }
 
     pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), String> {
@@ -153,7 +153,7 @@
         let since_ms = if cold { unix_ms() } else { 0 };
         let id = name_of(number);
         let (name, zone) = (id.clone(), HALLS[number % self.scenario.zones].into());
-        self.history.note(Event::Engine(Party { name, zone, pool: "std".into() }));
+        self.history.note(Event::EngineAdded(FleetMember { name, zone, pool: "std".into() }));
         self.engines.push(Engine { id, run: Some(run), at, paths, phase: "ready", since_ms });
         Ok(())
     }
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -71,7 +71,7 @@
         if let Some(end) = (MOST_WORDS..act.len()).find(|i| act.is_char_boundary(*i)) {
             act.truncate(end);
         }
-        self.history.note(Event::Act { act, on: on.unwrap_or_default() });
+        self.history.note(Event::NemesisAction { act, on: on.unwrap_or_default() });
     }
 
     pub(super) fn act(&mut self, act: &Act) -> Result<(), String> {
--- a/crates/cluster-harness/src/run/strikes.rs
+++ b/crates/cluster-harness/src/run/strikes.rs
@@ -86,7 +86,7 @@
 
     fn at_point(&mut self, i: usize, point: &str) -> Result<(), String> {
         let Some(strike) = self.strikes.take(i, point) else { return Ok(()) };
-        self.history.note(Event::Point { process: format!("n{i}"), point: point.to_owned() });
+        self.history.note(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
         let back = match strike.blow {
             Blow::Kill => {
                 self.kill(i);
@@ -111,14 +111,14 @@
         self.strike(i);
         self.fleet.signal(i, Signal::SIGSTOP).map_err(|e| e.to_string())?;
         self.lives[i] = Life::Paused;
-        self.history.note(Event::Stop { process: format!("n{i}") });
+        self.history.note(Event::Suspended { process: format!("n{i}") });
         Ok(())
     }
 
     /// Lets manager `i` go on, if it is stopped.
     pub(super) fn go_on(&mut self, i: usize) -> Result<(), String> {
         if self.lives[i] == Life::Paused {
-            self.history.note(Event::Cont { process: format!("n{i}") });
+            self.history.note(Event::Resumed { process: format!("n{i}") });
             self.fleet.signal(i, Signal::SIGCONT).map_err(|e| e.to_string())?;
             self.lives[i] = Life::Starting;
         }
--- a/crates/cluster-harness/src/run/ways.rs
+++ b/crates/cluster-harness/src/run/ways.rs
@@ -74,13 +74,13 @@
             let Some(zone) = HALLS.iter().position(|h| *h == hall) else { continue };
             let here = self.engines.iter().enumerate().filter(|(i, _)| i % self.scenario.zones == zone);
             let on = here.map(|(_, e)| e.id.clone()).collect();
-            self.history.note(if silent { Event::Struck { on } } else { Event::Lifted { on } });
+            self.history.note(if silent { Event::FaultBegan { on } } else { Event::FaultEnded { on } });
         }
     }
 
     /// Notes that engines are kept from serving for good.
     pub(super) fn struck(&self, who: &[usize]) {
         let on = who.iter().map(|i| self.engines[*i].id.clone()).collect();
-        self.history.note(Event::Struck { on });
+        self.history.note(Event::FaultBegan { on });
     }
 }
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::ledger::DRAIN_GRACE;
 use serde::Deserialize;
-use sprucelink_history_checker::terms::Terms;
+use sprucelink_history_checker::config::CheckConfig;
 use std::collections::BTreeMap;
 
 /// Engines of a run at most, those that come later included.
@@ -92,7 +92,7 @@
     /// A history is recorded; absent: only where `check` is there.
     pub history: Option<History>,
     /// What the history is held against; absent: it is not.
-    pub check: Option<Terms>,
+    pub check: Option<CheckConfig>,
     /// Stand-in subscribers.
     pub subscribers: Subscribers,
 }
--- a/crates/cluster-harness/src/subscribers/marks.rs
+++ b/crates/cluster-harness/src/subscribers/marks.rs
@@ -41,16 +41,18 @@
                 (None, Some(at)) => word(value, at).and_then(|id| self.0.get(&id).cloned()).map(Some),
                 (None, None) => Some(None),
             };
-            all.extend(word(value, &m.id).zip(version).map(|(id, version)| Event::Halt { id, version }));
+            all.extend(word(value, &m.id).zip(version).map(|(id, version)| Event::Halted { id, version }));
         }
         if let Some(m) = marks.halt_over.as_ref().filter(|m| m.record == name) {
-            all.extend(word(value, &m.id).map(|id| Event::HaltOver { id }));
+            all.extend(word(value, &m.id).map(|id| Event::HaltLifted { id }));
         }
         if let Some(m) = marks.schema.as_ref().filter(|m| m.record == name) {
             let reads = value.pointer(&m.reads).and_then(Value::as_array);
             let reads = reads.map(|r| r.iter().filter_map(Value::as_str).map(str::to_owned).collect());
             let publisher = word(value, &m.publisher);
-            all.extend(publisher.zip(reads).map(|(publisher, reads)| Event::Schema { publisher, reads }));
+            all.extend(
+                publisher.zip(reads).map(|(publisher, reads)| Event::SchemaActivated { publisher, reads }),
+            );
         }
         all
     }
@@ -77,10 +79,13 @@
         assert_eq!(m.read(&marks, "start", &refused), []);
         m.read(&marks, "start", &json!({ "number": "7", "to": "v2" }));
         let id = || "7".to_owned();
-        assert_eq!(m.read(&marks, "halt", &halt), [Event::Halt { id: id(), version: Some("v2".into()) }]);
-        assert_eq!(m.read(&marks, "resume", &halt), [Event::HaltOver { id: id() }]);
+        assert_eq!(m.read(&marks, "halt", &halt), [Event::Halted { id: id(), version: Some("v2".into()) }]);
+        assert_eq!(m.read(&marks, "resume", &halt), [Event::HaltLifted { id: id() }]);
         let schema = json!({ "by": "lists", "reads": ["1", "2"] });
         let reads = vec!["1".into(), "2".into()];
-        assert_eq!(m.read(&marks, "schema", &schema), [Event::Schema { publisher: "lists".into(), reads }]);
+        assert_eq!(
+            m.read(&marks, "schema", &schema),
+            [Event::SchemaActivated { publisher: "lists".into(), reads }]
+        );
     }
 }
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -114,7 +114,7 @@
                 (why, reader.wait())
             }
         };
-        shared.history.note(Event::Left { subscriber: reader.name.clone(), manager, why });
+        shared.history.note(Event::SubscriberDisconnected { subscriber: reader.name.clone(), manager, why });
         reader.hop(all);
         sleep(wait).await;
     }
@@ -145,7 +145,7 @@
         GONE => return Over::Forgotten("status 410".into()),
         other => return Over::Lost(format!("status {other}")),
     }
-    shared.history.note(Event::Join {
+    shared.history.note(Event::SubscriberConnected {
         subscriber: reader.name.clone(),
         manager: manager.to_owned(),
         cursor: reader.cursor,
@@ -207,7 +207,10 @@
     for told in stream.push(bytes)? {
         let cursor = reader.cursor;
         for event in reader.take(manager, told)? {
-            let mark = matches!(event, Event::Halt { .. } | Event::HaltOver { .. } | Event::Schema { .. });
+            let mark = matches!(
+                event,
+                Event::Halted { .. } | Event::HaltLifted { .. } | Event::SchemaActivated { .. }
+            );
             // A mark is noted where it is read first, by its record's place.
             let place = || format!("{:?} {:?}", reader.cursor.or(cursor), std::mem::discriminant(&event));
             let first = || {
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -191,7 +191,7 @@
         assert_ne!(other.0, two.0);
         assert_eq!(a.cursor, Some(Cursor::new(1, 7)));
         let halt = a.take("n0", told("halt", "1:8", r#"{"id":"h1","to":"v2"}"#)).expect("read");
-        assert_eq!(halt[1], Event::Halt { id: "h1".into(), version: Some("v2".into()) });
+        assert_eq!(halt[1], Event::Halted { id: "h1".into(), version: Some("v2".into()) });
         assert!(a.take("n0", told("permit", "8", "{}")).is_err(), "an id that is no cursor");
         let long = format!(r#"{{"a":"{}"}}"#, "é".repeat(2_000));
         match &a.take("n0", told("x", "1:9", &long)).expect("read")[0] {
--- a/crates/cluster-harness/tests/planted.rs
+++ b/crates/cluster-harness/tests/planted.rs
@@ -3,7 +3,7 @@
 use sprucelink_cluster_harness::history;
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
-use sprucelink_history_checker::event::{Cause, Event, Line};
+use sprucelink_history_checker::event::{Event, ExitCause, HistoryEntry};
 use sprucelink_history_checker::invariants::{
     acknowledged, agreement, budget, halt, order, schema, uncommitted,
 };
@@ -22,7 +22,7 @@
 }
 
 /// Three managers, subscribers of two versions, one budget; `plan`: what is in the stand-ins' plan besides.
-fn play(name: &str, plan: &str, more: &str) -> (Outcome, Vec<Line>) {
+fn play(name: &str, plan: &str, more: &str) -> (Outcome, Vec<HistoryEntry>) {
     let text = format!(
         "{{ name: '{name}', managers: 3, pairs: true, seconds: 8, load: {{ rate: 0 }}, engines: {{ count: 1 }},
             ports: [ {{ name: 'fanout', said: 'fanout on ' }} ], args: ['--plan', '{{folder}}/plan.json5'],
@@ -46,7 +46,7 @@
 }
 
 fn seen(got: &Outcome, rule: &str) -> u64 {
-    got.verdict.as_ref().expect("judged").seen(rule)
+    got.verdict.as_ref().expect("judged").examined(rule)
 }
 
 /// Whether just the rules named are broken.
@@ -54,10 +54,10 @@
     let (got, _) = play(name, plan, more);
     let verdict = got.verdict.expect("judged");
     for rule in rules {
-        assert!(verdict.broke(rule), "{name}: {rule} is not broken");
+        assert!(verdict.is_violated(rule), "{name}: {rule} is not broken");
     }
     assert!(
-        verdict.found.iter().all(|(n, f)| f.violations.is_empty() || rules.contains(n)),
+        verdict.invariants.iter().all(|(n, f)| f.violations.is_empty() || rules.contains(n)),
         "{name}: {verdict:?}"
     );
 }
@@ -88,21 +88,24 @@
     // n0 is killed exactly where it waits, and so is not beyond it; n1 comes back as what it asked for.
     let at = |what: &dyn Fn(&Event) -> bool| lines.iter().position(|l| what(&l.event));
     let named = |p: &str, name: &str| p == name;
-    let point = at(&|e| matches!(e, Event::Point { process, .. } if named(process, "n0"))).expect("a point");
+    let point =
+        at(&|e| matches!(e, Event::FailpointHit { process, .. } if named(process, "n0"))).expect("a point");
     let killed = at(
-        &|e| matches!(e, Event::Exit { process, signal: Some(9), cause: Cause::Nemesis, .. } if named(process, "n0")),
+        &|e| matches!(e, Event::Exited { process, signal: Some(9), cause: ExitCause::Nemesis, .. } if named(process, "n0")),
     );
     assert!(killed.expect("killed") > point);
     let left = at(
-        &|e| matches!(e, Event::Exit { process, status: Some(75), next: Some(v), .. } if named(process, "n1") && v == "v2"),
+        &|e| matches!(e, Event::Exited { process, status: Some(75), next: Some(v), .. } if named(process, "n1") && v == "v2"),
     );
     let back = at(
-        &|e| matches!(e, Event::Start { process, version, .. } if named(process, "n1") && version == "v2"),
+        &|e| matches!(e, Event::Started { process, version, .. } if named(process, "n1") && version == "v2"),
     );
     assert!(left.expect("left") < back.expect("back"));
-    assert!(at(&|e| matches!(e, Event::Stop { process } if named(process, "n2"))).is_some());
-    assert!(at(&|e| matches!(e, Event::Cont { process } if named(process, "n2"))).is_some());
-    assert!(at(&|e| matches!(e, Event::Left { why, .. } if why.contains("dropped"))).is_some());
+    assert!(at(&|e| matches!(e, Event::Suspended { process } if named(process, "n2"))).is_some());
+    assert!(at(&|e| matches!(e, Event::Resumed { process } if named(process, "n2"))).is_some());
+    assert!(
+        at(&|e| matches!(e, Event::SubscriberDisconnected { why, .. } if why.contains("dropped"))).is_some()
+    );
 }
 
 /// What managers tell subscribers, broken in each way by one of them or by all.
@@ -157,7 +160,7 @@
     held(2, "store held 21 bytes");
     held(0, "clock off by -1500 ms");
     held(1, "clock off by 20 ms");
-    let starts = lines.iter().filter(|l| matches!(l.event, Event::Start { emptied: false, .. })).count();
+    let starts = lines.iter().filter(|l| matches!(l.event, Event::Started { emptied: false, .. })).count();
     assert_eq!(starts, 9);
 }
 
@@ -171,6 +174,6 @@
     );
     assert_eq!(got.report.crashed, 1);
     assert!(got.logs[2].contains("store held 0 bytes"), "{}", got.logs[2]);
-    let of_n1 = |l: &&Line| matches!(&l.event, Event::Start { process, .. } if process == "n1");
+    let of_n1 = |l: &&HistoryEntry| matches!(&l.event, Event::Started { process, .. } if process == "n1");
     assert_eq!(lines.iter().filter(of_n1).count(), 1, "it stays down");
 }
--- a/crates/history-checker/src/cursor.rs
+++ b/crates/history-checker/src/cursor.rs
@@ -1,27 +1,35 @@
-//! Positions in the journal, as subscribers are told them.
+//! Positions in the replicated log, as subscribers receive them.
 
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
 
 /// A position: `EPOCH:INDEX` in decimal. Indexes are dense from 1 within an epoch; index 0 is before the first record. A
 /// later epoch is a later position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cursor {
-    /// The journal's epoch.
+    /// The log's epoch.
     pub epoch: u64,
-    /// The record's place in it.
+    /// The record's index within the epoch.
     pub index: u64,
 }
 
+/// A text is not a cursor.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("a cursor is EPOCH:INDEX in decimal, not {text:?}")]
+pub struct ParseCursorError {
+    text: String,
+}
+
 impl Cursor {
     /// A position.
     pub fn new(epoch: u64, index: u64) -> Cursor {
         Cursor { epoch, index }
     }
 
-    /// Whether `next` is the position right behind this one in the same epoch.
-    pub fn leads_to(self, next: Cursor) -> bool {
+    /// Whether `next` directly follows this position within the same epoch.
+    pub fn is_followed_by(self, next: Cursor) -> bool {
         self.epoch == next.epoch && self.index.checked_add(1) == Some(next.index)
     }
 }
@@ -33,44 +41,31 @@
 }
 
 impl FromStr for Cursor {
-    type Err = String;
+    type Err = ParseCursorError;
 
-    fn from_str(text: &str) -> Result<Cursor, String> {
-        let number = |t: &str| {
-            // No signs and no leading zeros: one position has one text, as the journal writes it.
-            t.parse::<u64>().ok().filter(|n| n.to_string() == t)
+    fn from_str(text: &str) -> Result<Cursor, ParseCursorError> {
+        let parse = || {
+            let (epoch, index) = text.split_once(':')?;
+            Some(Cursor::new(parse_canonical(epoch)?, parse_canonical(index)?))
         };
-        let parts = text.split_once(':').and_then(|(e, i)| Some(Cursor::new(number(e)?, number(i)?)));
-        parts.ok_or_else(|| format!("a cursor is EPOCH:INDEX in decimal, not {text:?}"))
+        parse().ok_or_else(|| ParseCursorError { text: text.to_owned() })
     }
 }
 
-impl Serialize for Cursor {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
-    }
+/// Parses a number without sign or leading zeros: a position has exactly one textual form.
+fn parse_canonical(digits: &str) -> Option<u64> {
+    let number = digits.parse::<u64>().ok()?;
+    (number.to_string() == digits).then_some(number)
 }
 
-impl<'de> Deserialize<'de> for Cursor {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Cursor, D::Error> {
-        String::deserialize(from)?.parse().map_err(de::Error::custom)
+impl Serialize for Cursor {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn cursors_are_read_strictly_and_ordered_by_epoch_first() {
-        assert_eq!("3:17".parse(), Ok(Cursor::new(3, 17)));
-        for bad in ["", "3", "3:", ":1", "+3:1", "3:-1", "3:1:2", "03:1", "18446744073709551616:1", " 3:1"] {
-            assert!(bad.parse::<Cursor>().is_err(), "{bad:?}");
-        }
-        assert!(Cursor::new(2, 1) > Cursor::new(1, 900));
-        assert!(
-            Cursor::new(1, 1).leads_to(Cursor::new(1, 2)) && !Cursor::new(1, 1).leads_to(Cursor::new(2, 2))
-        );
-        assert!(!Cursor::new(1, u64::MAX).leads_to(Cursor::new(1, 0)));
+impl<'de> Deserialize<'de> for Cursor {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Cursor, D::Error> {
+        String::deserialize(deserializer)?.parse().map_err(de::Error::custom)
     }
 }
--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -1,21 +1,22 @@
-//! The events of a history. One JSON object a line: `at_us`, `kind`, and the fields of that kind.
+//! The events of a history. Each is one JSON object on a line of its own: `at_us`, `kind`, and the fields of that kind.
+//! The words of the JSON form are older than the names of the variants; stored histories are read by them.
 
 use crate::cursor::Cursor;
 use serde::{Deserialize, Serialize};
 
-/// An event and when it was seen.
+/// An event and when it was observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
-    /// Microseconds since the run's start by the rig's one monotonic clock.
+pub struct HistoryEntry {
+    /// Microseconds since the start of the run, on the harness's one monotonic clock.
     pub at_us: u64,
-    /// What was seen.
+    /// What was observed.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A manager or an engine, and where it belongs: budgets count by these.
+/// A manager or an engine, with the zone and pool by which disruption budgets count it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Party {
+pub struct FleetMember {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -26,147 +27,161 @@
     pub pool: String,
 }
 
-/// Who brought a process's end about.
+/// Who caused a process to exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
-    /// The process ended by itself: with status 0 or [`NEXT_VERSION`] as it meant to, else by a fault of its own.
+pub enum ExitCause {
+    /// The process itself: on purpose with status 0 or [`EXIT_STATUS_NEXT_VERSION`], else by a fault of its own.
     Own,
-    /// The nemesis ended it, or asked it to end.
+    /// The nemesis killed it or asked it to exit.
     Nemesis,
 }
 
-/// The exit status with which a process asks its supervisor to start the version that its folder names.
-pub const NEXT_VERSION: i32 = 75;
+/// Exit status by which a process asks its supervisor to start the version that its folder names.
+pub const EXIT_STATUS_NEXT_VERSION: i32 = 75;
 
-/// Something seen from outside.
+/// Something observed from outside the processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Event {
-    /// The run's first line: what it is.
-    Run {
-        /// The scenario's name.
+    /// The first entry: identifies the run.
+    #[serde(rename = "run")]
+    RunStarted {
+        /// Name of the scenario.
         scenario: String,
-        /// Its seed.
+        /// Seed of the run.
         seed: u64,
         /// All managers.
-        managers: Vec<Party>,
+        managers: Vec<FleetMember>,
         /// The engines at the start.
-        engines: Vec<Party>,
+        engines: Vec<FleetMember>,
     },
-    /// An engine came later.
-    Engine(Party),
+    /// An engine was added later.
+    #[serde(rename = "engine")]
+    EngineAdded(FleetMember),
     /// A process was started.
-    Start {
-        /// Its name.
+    #[serde(rename = "start")]
+    Started {
+        /// Name of the process.
         process: String,
         /// The version it was started as.
         version: String,
-        /// Its clock's offset from the rig's, in milliseconds.
+        /// Offset of its clock from the harness's, in milliseconds.
         clock_offset_ms: i64,
-        /// Its folder was emptied first.
+        /// Whether its folder was emptied first.
         emptied: bool,
     },
-    /// A process serves.
-    Up {
-        /// Its name.
+    /// A process has begun to serve.
+    #[serde(rename = "up")]
+    Ready {
+        /// Name of the process.
         process: String,
     },
-    /// A process has ended.
-    Exit {
-        /// Its name.
+    /// A process has exited.
+    #[serde(rename = "exit")]
+    Exited {
+        /// Name of the process.
         process: String,
-        /// Its exit status; none if a signal ended it.
+        /// Its exit status; `None` if a signal ended it.
         status: Option<i32>,
         /// The signal that ended it.
         signal: Option<i32>,
-        /// Who brought it about.
-        cause: Cause,
-        /// The version that it asked for.
+        /// Who caused the exit.
+        cause: ExitCause,
+        /// The version that it asked to be started as.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         next: Option<String>,
     },
-    /// A process was stopped (SIGSTOP).
-    Stop {
-        /// Its name.
+    /// A process was suspended (SIGSTOP).
+    #[serde(rename = "stop")]
+    Suspended {
+        /// Name of the process.
         process: String,
     },
-    /// A process goes on (SIGCONT).
-    Cont {
-        /// Its name.
+    /// A process was resumed (SIGCONT).
+    #[serde(rename = "cont")]
+    Resumed {
+        /// Name of the process.
         process: String,
     },
-    /// A process came to a named point and waits there.
-    Point {
-        /// Its name.
+    /// A process reached an armed failpoint and blocks there.
+    #[serde(rename = "point")]
+    FailpointHit {
+        /// Name of the process.
         process: String,
-        /// The point's.
+        /// Name of the failpoint.
         point: String,
     },
-    /// The nemesis acted; of itself it changes nothing in a judgement.
-    Act {
-        /// What it did, as the scenario words it.
+    /// The nemesis acted. This alone changes nothing in a check.
+    #[serde(rename = "act")]
+    NemesisAction {
+        /// The action, as the scenario words it.
         act: String,
-        /// On whom.
+        /// Its targets.
         on: Vec<String>,
     },
-    /// From now on the nemesis keeps these engines from serving: an outage that nobody permitted.
-    Struck {
-        /// Engines.
+    /// From now on the nemesis keeps these engines from serving: an unplanned outage.
+    #[serde(rename = "struck")]
+    FaultBegan {
+        /// The engines.
         on: Vec<String>,
     },
     /// The nemesis no longer keeps these engines from serving.
-    Lifted {
-        /// Engines.
+    #[serde(rename = "lifted")]
+    FaultEnded {
+        /// The engines.
         on: Vec<String>,
     },
-    /// A connection reached an engine.
-    Dial {
+    /// A connection to an engine was opened.
+    #[serde(rename = "dial")]
+    Connected {
         /// The engine.
         engine: String,
-        /// The connection's number at this engine.
+        /// Number of the connection at this engine.
         connection: u64,
     },
     /// A command reached an engine.
     Command {
         /// The engine.
         engine: String,
-        /// On which connection.
+        /// The connection that carried it.
         connection: u64,
-        /// Its word.
+        /// Its first word.
         word: String,
-        /// Of which manager, where the command tells.
+        /// The manager that sent it, where the command names one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         manager: Option<String>,
     },
-    /// A connection to an engine ended.
-    Hangup {
+    /// A connection to an engine was closed.
+    #[serde(rename = "hangup")]
+    Disconnected {
         /// The engine.
         engine: String,
-        /// The connection.
+        /// Number of the connection at this engine.
         connection: u64,
     },
-    /// A call came to a list service.
+    /// A discovery service received a request for the endpoint list.
     ListCall {
         /// The group whose service it is.
         service: String,
-        /// The call's `Last-Event-ID`, as it stood there.
+        /// The request's `Last-Event-ID`, verbatim.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cursor: Option<String>,
         /// `serving`, `refusing` or `stalling`.
         answer: String,
     },
-    /// A subscriber came to a manager.
-    Join {
+    /// A subscriber connected to a manager.
+    #[serde(rename = "join")]
+    SubscriberConnected {
         /// The subscriber.
         subscriber: String,
         /// The manager.
         manager: String,
-        /// The cursor it gave; none at its very first.
+        /// The cursor it resumed from; `None` the very first time.
         cursor: Option<Cursor>,
         /// The protocol version it speaks.
         version: String,
-        /// Its filter; empty: none.
+        /// Its filter; empty if it reads all records.
         #[serde(default)]
         filter: String,
     },
@@ -174,83 +189,89 @@
     Record {
         /// The subscriber.
         subscriber: String,
-        /// From which manager.
+        /// The manager that sent it.
         manager: String,
         /// The record's position.
         cursor: Cursor,
-        /// The record before it that passes the subscriber's filter, as the manager says.
+        /// Position of the record before it that passes the subscriber's filter, as the manager claims.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         prev: Option<Cursor>,
         /// The record's name.
         #[serde(default)]
         name: String,
-        /// What stands for its content, `prev` left out.
+        /// Digest of its content without `prev`.
         digest: String,
-        /// Its data, cut at the recorder's bound.
+        /// Its data, truncated at the recorder's bound.
         #[serde(default)]
         data: String,
         /// The operation it carries out.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         op: Option<String>,
-        /// Why the subscriber could not read it by its version's rules, if so.
+        /// Why the subscriber could not decode it by the rules of its version, if so.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unreadable: Option<String>,
     },
-    /// A subscriber was given a snapshot, marked as such, in place of the records up to a position.
+    /// A subscriber received a snapshot, marked as such, in place of the records up to a position.
     Snapshot {
         /// The subscriber.
         subscriber: String,
-        /// From which manager.
+        /// The manager that sent it.
         manager: String,
-        /// The position up to which it stands.
+        /// The last position that the snapshot covers.
         cursor: Cursor,
-        /// What stands for its content.
+        /// Digest of its content.
         digest: String,
     },
-    /// A subscriber's connection ended, or did not come up.
-    Left {
+    /// A subscriber's connection was closed or could not be opened.
+    #[serde(rename = "left")]
+    SubscriberDisconnected {
         /// The subscriber.
         subscriber: String,
         /// The manager.
         manager: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// A manager holds a record at a position, as its journal read from outside shows.
-    Held {
+    /// A manager's log, read from outside, holds a record at a position.
+    #[serde(rename = "held")]
+    JournalRecord {
         /// The manager.
         manager: String,
         /// The position.
         cursor: Cursor,
-        /// What stands for the content, as in [`Event::Record`] of version "".
+        /// Digest of the content, as in [`Event::Record`] of version "".
         digest: String,
         /// The operation it carries out.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         op: Option<String>,
     },
-    /// An operation was acknowledged to whoever asked for it.
-    Ack {
+    /// An operation was acknowledged to its caller.
+    #[serde(rename = "ack")]
+    Acknowledged {
         /// The operation.
         op: String,
-        /// The position told with it.
+        /// The position returned with the acknowledgement.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cursor: Option<Cursor>,
     },
-    /// A halt was seen committed.
-    Halt {
-        /// Its id; while a halt of this id is on, a second one changes nothing.
+    /// A halt of a release was observed as committed.
+    #[serde(rename = "halt")]
+    Halted {
+        /// Its id; a second halt with the same id while it is in force changes nothing.
         id: String,
-        /// The version whose release is halted; none: all of them, and all drains.
+        /// The version whose release is halted; `None`: all releases and all drains.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         version: Option<String>,
     },
-    /// A halt is over.
-    HaltOver {
+    /// A halt is no longer in force.
+    #[serde(rename = "halt_over")]
+    HaltLifted {
         /// Its id.
         id: String,
     },
     /// From now on a schema is in force that these subscriber versions can read.
-    Schema {
+    #[serde(rename = "schema")]
+    SchemaActivated {
         /// The publisher.
         publisher: String,
         /// Versions of subscribers that can read it.
--- a/crates/history-checker/src/invariants/agreement.rs
+++ b/crates/history-checker/src/invariants/agreement.rs
@@ -1,48 +1,83 @@
-//! No two parties are told different things at one journal position. Subscribers of different protocol versions get
-//! different words for one record, so words are compared among those of one version; snapshots among those of one
-//! version and filter.
+//! No two parties read different records at one position. Subscribers of different protocol versions receive different
+//! encodings of a record, so digests are compared among subscribers of one version; those of snapshots among subscribers
+//! of one version and filter.
 
-use super::Speaks;
+use super::subscribers::SubscriberDeclarations;
+use crate::config::CheckConfig;
 use crate::cursor::Cursor;
-use crate::event::{Event, Line};
-use crate::terms::Terms;
-use crate::Found;
+use crate::event::{Event, HistoryEntry};
+use crate::InvariantReport;
 use std::collections::HashMap;
 
-/// The rule's name.
+/// Name of the invariant.
 pub const NAME: &str = "position-agreement";
 
-/// Judges a history.
-pub fn judge(history: &[Line], _: &Terms) -> Found {
-    let mut found = Found::default();
-    let mut speaks = Speaks::default();
-    // By position, version, and filter for snapshots: the words first told there, and by whom to whom.
-    type Place<'a> = (Cursor, &'a str, Option<&'a str>);
-    let mut told: HashMap<Place<'_>, (&str, &str, &str)> = HashMap::new();
-    for line in history {
-        speaks.see(line);
-        let (place, digest, manager, to) = match &line.event {
-            Event::Record { subscriber, manager, cursor, digest, .. } => {
-                ((*cursor, speaks.version(subscriber), None), digest, manager, subscriber.as_str())
-            }
-            Event::Snapshot { subscriber, manager, cursor, digest } => {
-                let (version, filter) = (speaks.version(subscriber), speaks.filter(subscriber));
-                ((*cursor, version, Some(filter)), digest, manager, subscriber.as_str())
-            }
-            Event::Held { manager, cursor, digest, .. } => ((*cursor, "", None), digest, manager, "the rig"),
-            _ => continue,
-        };
-        let first = told.entry(place).or_insert((digest, manager, to));
-        if first.0 != digest {
-            let (other, by, whom) = *first;
-            let what = format!(
-                "position {}: {by} told {whom} {other}, {manager} told {to} {digest}{}",
-                place.0,
-                if place.2.is_some() { " (snapshots)" } else { "" },
-            );
-            found.add(NAME, line.at_us, what);
+/// Stands for the reader of records that the harness read from a manager's log.
+const HARNESS: &str = "the harness";
+
+/// Where digests must agree.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct Place<'a> {
+    cursor: Cursor,
+    version: &'a str,
+    /// The filter, for snapshots only.
+    snapshot_filter: Option<&'a str>,
+}
+
+/// A digest, who sent it, and who read it.
+#[derive(Clone, Copy)]
+struct Reading<'a> {
+    digest: &'a str,
+    manager: &'a str,
+    reader: &'a str,
+}
+
+/// Checks a history.
+pub fn check(history: &[HistoryEntry], _: &CheckConfig) -> InvariantReport {
+    let mut report = InvariantReport::default();
+    let mut declarations = SubscriberDeclarations::default();
+    let mut first_readings: HashMap<Place<'_>, Reading<'_>> = HashMap::new();
+    for entry in history {
+        declarations.observe(entry);
+        let Some((place, reading)) = reading_of(&entry.event, &declarations) else { continue };
+        let first = *first_readings.entry(place).or_insert(reading);
+        if first.digest != reading.digest {
+            report.add(NAME, entry.at_us, describe(&place, &first, &reading));
         }
     }
-    found.seen = told.len() as u64;
-    found
+    report.examined = first_readings.len() as u64;
+    report
+}
+
+/// What an event shows of the record or snapshot at a position, if anything.
+fn reading_of<'a>(
+    event: &'a Event,
+    declarations: &SubscriberDeclarations<'a>,
+) -> Option<(Place<'a>, Reading<'a>)> {
+    match event {
+        Event::Record { subscriber, manager, cursor, digest, .. } => {
+            let version = declarations.version(subscriber);
+            let place = Place { cursor: *cursor, version, snapshot_filter: None };
+            Some((place, Reading { digest, manager, reader: subscriber }))
+        }
+        Event::Snapshot { subscriber, manager, cursor, digest } => {
+            let version = declarations.version(subscriber);
+            let snapshot_filter = Some(declarations.filter(subscriber));
+            let place = Place { cursor: *cursor, version, snapshot_filter };
+            Some((place, Reading { digest, manager, reader: subscriber }))
+        }
+        Event::JournalRecord { manager, cursor, digest, .. } => {
+            let place = Place { cursor: *cursor, version: "", snapshot_filter: None };
+            Some((place, Reading { digest, manager, reader: HARNESS }))
+        }
+        _ => None,
+    }
+}
+
+fn describe(place: &Place<'_>, first: &Reading<'_>, second: &Reading<'_>) -> String {
+    let snapshots = if place.snapshot_filter.is_some() { " (snapshots)" } else { "" };
+    format!(
+        "position {}: {} sent {} {}, {} sent {} {}{snapshots}",
+        place.cursor, first.manager, first.reader, first.digest, second.manager, second.reader, second.digest,
+    )
 }
--- a/crates/history-checker/src/invariants/budget.rs
+++ b/crates/history-checker/src/invariants/budget.rs
@@ -1,50 +1,76 @@
-//! Never more out than any budget: at the instant a planned outage begins, those out by then, planned and unplanned
-//! together and itself among them, are within every budget that it counts in. An unplanned outage counts from the
-//! notice the terms give the fleet; by itself it breaks nothing, for nobody decided it.
+//! Planned outages stay within every disruption budget: at the instant a planned outage begins, the members unavailable by
+//! then, planned and unplanned together and itself included, are within each budget that counts it. An unplanned outage
+//! counts from the configured time to detect it; by itself it violates nothing, for nobody decided it.
 
-use crate::event::Line;
-use crate::outages::{outages, parties, Outage};
-use crate::terms::{Budget, Terms};
-use crate::Found;
-use std::collections::BTreeSet;
+use crate::config::{CheckConfig, DisruptionBudget, MemberKind};
+use crate::event::{FleetMember, HistoryEntry};
+use crate::outages::{members, outages, Outage};
+use crate::InvariantReport;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// The rule's name.
+/// Name of the invariant.
 pub const NAME: &str = "outage-budget";
 
-/// Judges a history.
-pub fn judge(history: &[Line], terms: &Terms) -> Found {
-    let (all, parties, notice) = (outages(history, terms), parties(history), terms.notice_ms * 1_000);
-    let counts_in = |o: &Outage, b: &Budget| {
-        let home = parties.get(&o.party).map(|(_, p)| p);
-        let fits = |want: &Option<String>, has: Option<&String>| want.as_ref().is_none_or(|w| has == Some(w));
-        o.of == b.of && fits(&b.zone, home.map(|p| &p.zone)) && fits(&b.pool, home.map(|p| &p.pool))
-    };
-    let mut found = Found::default();
-    for o in all.iter().filter(|o| o.planned) {
-        found.seen += 1;
-        for b in terms.budgets.iter().filter(|b| counts_in(o, b)) {
-            // All that began by then lie before it in the order, or at its very instant.
-            let out: BTreeSet<&str> = all
-                .iter()
-                .take_while(|x| x.from <= o.from)
-                .filter(|x| x.to > o.from && counts_in(x, b))
-                .filter(|x| x.planned || x.from + notice <= o.from)
-                .map(|x| x.party.as_str())
-                .chain([o.party.as_str()])
-                .collect();
-            if out.len() > b.most {
-                let scope = [b.zone.as_deref(), b.pool.as_deref()].into_iter().flatten().collect::<Vec<_>>();
-                let scope = if scope.is_empty() { "the fleet".to_owned() } else { scope.join(", ") };
-                let what = format!(
-                    "{} went out while {} of {scope} ({:?}) were out with it, at most {}: {out:?}",
-                    o.party,
-                    out.len() - 1,
-                    b.of,
-                    b.most
-                );
-                found.add(NAME, o.from, what);
+/// Checks a history.
+pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
+    let outages = outages(history, config);
+    let members = members(history);
+    let detection_us = config.notice_ms * 1_000;
+    let mut report = InvariantReport::default();
+    for planned in outages.iter().filter(|outage| outage.planned) {
+        report.examined += 1;
+        for budget in config.budgets.iter().filter(|budget| is_counted(planned, budget, &members)) {
+            let unavailable = unavailable_at(planned, budget, &outages, &members, detection_us);
+            if unavailable.len() > budget.max_unavailable {
+                report.add(NAME, planned.from, describe(planned, budget, &unavailable));
             }
         }
     }
-    found
+    report
+}
+
+/// Whether a budget counts the member of an outage.
+fn is_counted(
+    outage: &Outage,
+    budget: &DisruptionBudget,
+    members: &BTreeMap<String, (MemberKind, FleetMember)>,
+) -> bool {
+    let member = members.get(&outage.member).map(|(_, member)| member);
+    let is_match = |wanted: &Option<String>, actual: Option<&String>| {
+        wanted.as_ref().is_none_or(|wanted| actual == Some(wanted))
+    };
+    outage.kind == budget.of
+        && is_match(&budget.zone, member.map(|member| &member.zone))
+        && is_match(&budget.pool, member.map(|member| &member.pool))
+}
+
+/// The members that a budget counts as unavailable when a planned outage begins, the planned one included.
+fn unavailable_at<'a>(
+    planned: &'a Outage,
+    budget: &DisruptionBudget,
+    outages: &'a [Outage],
+    members: &BTreeMap<String, (MemberKind, FleetMember)>,
+    detection_us: u64,
+) -> BTreeSet<&'a str> {
+    // The outages are ordered by their beginning: all that began by then come first.
+    let begun = outages.iter().take_while(|other| other.from <= planned.from);
+    let mut unavailable: BTreeSet<&str> = begun
+        .filter(|other| other.to > planned.from && is_counted(other, budget, members))
+        .filter(|other| other.planned || other.from + detection_us <= planned.from)
+        .map(|other| other.member.as_str())
+        .collect();
+    unavailable.insert(&planned.member);
+    unavailable
+}
+
+fn describe(planned: &Outage, budget: &DisruptionBudget, unavailable: &BTreeSet<&str>) -> String {
+    let scope: Vec<&str> = [&budget.zone, &budget.pool].into_iter().flatten().map(String::as_str).collect();
+    let scope = if scope.is_empty() { "the fleet".to_owned() } else { scope.join(", ") };
+    format!(
+        "{} became unavailable while {} of {scope} ({:?}) were unavailable too, at most {}: {unavailable:?}",
+        planned.member,
+        unavailable.len() - 1,
+        budget.of,
+        budget.max_unavailable
+    )
 }
--- a/crates/history-checker/src/invariants/halt.rs
+++ b/crates/history-checker/src/invariants/halt.rs
@@ -1,15 +1,16 @@
-//! No permit takes effect after a halt: no planned outage begins later than the terms' bound after the halt was first
-//! seen committed and before it is over. The way back is no new permit of the halted release: with a halt that names a
-//! version, a manager that ends to come back as another version goes free.
+//! No permit takes effect after a halt: no planned outage begins later than the configured bound after the halt was first
+//! observed as committed and before it is lifted. A rollback is no permit of the halted release: with a halt that names a
+//! version, a manager may exit to be started as another version.
 
-use crate::event::{Event, Line};
-use crate::outages::{outages, NEVER};
-use crate::terms::Terms;
-use crate::Found;
+use crate::config::CheckConfig;
+use crate::event::{Event, HistoryEntry};
+use crate::outages::{outages, Outage, NEVER};
+use crate::InvariantReport;
 
-/// The rule's name.
+/// Name of the invariant.
 pub const NAME: &str = "permit-after-halt";
 
+/// A halt and the time for which it was in force, in microseconds of the run.
 struct Halt<'a> {
     id: &'a str,
     from: u64,
@@ -17,36 +18,60 @@
     version: &'a Option<String>,
 }
 
-/// Judges a history.
-pub fn judge(history: &[Line], terms: &Terms) -> Found {
+impl Halt<'_> {
+    fn is_in_force(&self) -> bool {
+        self.to == NEVER
+    }
+
+    /// Whether an outage belongs to a rollback of the halted release.
+    fn is_rollback(&self, outage: &Outage) -> bool {
+        self.version.is_some() && outage.next_version.is_some() && outage.next_version != *self.version
+    }
+
+    /// Whether a planned outage violates this halt.
+    fn forbids(&self, outage: &Outage, config: &CheckConfig) -> bool {
+        let effective_from = self.from.saturating_add(config.halt_ms * 1_000);
+        outage.from > effective_from && outage.from < self.to && !self.is_rollback(outage)
+    }
+}
+
+/// Checks a history.
+pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
+    let halts = halts(history);
+    let mut report = InvariantReport { examined: halts.len() as u64, ..InvariantReport::default() };
+    for outage in outages(history, config).iter().filter(|outage| outage.planned) {
+        for halt in halts.iter().filter(|halt| halt.forbids(outage, config)) {
+            let what = format!(
+                "{} became unavailable ({}) {} ms after halt {} was observed, at most {}",
+                outage.member,
+                outage.next_version.as_deref().unwrap_or("no version named"),
+                (outage.from - halt.from) / 1_000,
+                halt.id,
+                config.halt_ms
+            );
+            report.add(NAME, outage.from, what);
+        }
+    }
+    report
+}
+
+/// All halts of a history. A halt whose id is in force already changes nothing.
+fn halts(history: &[HistoryEntry]) -> Vec<Halt<'_>> {
     let mut halts: Vec<Halt<'_>> = Vec::new();
-    for Line { at_us, event } in history {
+    for HistoryEntry { at_us, event } in history {
         match event {
-            Event::Halt { id, version } if !halts.iter().any(|h| h.id == id && h.to == NEVER) => {
+            Event::Halted { id, version }
+                if !halts.iter().any(|halt| halt.id == id && halt.is_in_force()) =>
+            {
                 halts.push(Halt { id, from: *at_us, to: NEVER, version });
             }
-            Event::HaltOver { id } => {
-                halts.iter_mut().filter(|h| h.id == id && h.to == NEVER).for_each(|h| h.to = *at_us);
+            Event::HaltLifted { id } => {
+                for halt in halts.iter_mut().filter(|halt| halt.id == id && halt.is_in_force()) {
+                    halt.to = *at_us;
+                }
             }
             _ => {}
         }
     }
-    let mut found = Found { seen: halts.len() as u64, ..Found::default() };
-    for o in outages(history, terms).iter().filter(|o| o.planned) {
-        for h in &halts {
-            let back = h.version.is_some() && o.next.is_some() && o.next != *h.version;
-            if o.from > h.from.saturating_add(terms.halt_ms * 1_000) && o.from < h.to && !back {
-                let what = format!(
-                    "{} went out ({}) {} ms after halt {} was seen, at most {}",
-                    o.party,
-                    o.next.as_deref().unwrap_or("no version named"),
-                    (o.from - h.from) / 1_000,
-                    h.id,
-                    terms.halt_ms
-                );
-                found.add(NAME, o.from, what);
-            }
-        }
-    }
-    found
+    halts
 }
--- a/crates/history-checker/src/invariants/mod.rs
+++ b/crates/history-checker/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! The rules, one module each. A rule looks at a whole history and says where it is broken.
+//! The invariants, one module each. An invariant is applied to a whole history and reports where it is violated.
 
 pub mod acknowledged;
 pub mod agreement;
@@ -6,27 +6,28 @@
 pub mod halt;
 pub mod order;
 pub mod schema;
+mod subscribers;
 pub mod uncommitted;
 
-use crate::event::Line;
-use crate::terms::Terms;
-use crate::Found;
-
-/// A rule's judge.
-pub type Judge = fn(&[Line], &Terms) -> Found;
-
-/// All rules, by their stable names.
-pub const ALL: [(&str, Judge); 7] = [
-    (agreement::NAME, agreement::judge),
-    (budget::NAME, budget::judge),
-    (halt::NAME, halt::judge),
-    (schema::NAME, schema::judge),
-    (order::NAME, order::judge),
-    (uncommitted::NAME, uncommitted::judge),
-    (acknowledged::NAME, acknowledged::judge),
+use crate::config::CheckConfig;
+use crate::event::HistoryEntry;
+use crate::InvariantReport;
+
+/// The function that checks one invariant.
+pub type CheckFn = fn(&[HistoryEntry], &CheckConfig) -> InvariantReport;
+
+/// All invariants, by their stable names.
+pub const ALL: [(&str, CheckFn); 7] = [
+    (agreement::NAME, agreement::check),
+    (budget::NAME, budget::check),
+    (halt::NAME, halt::check),
+    (schema::NAME, schema::check),
+    (order::NAME, order::check),
+    (uncommitted::NAME, uncommitted::check),
+    (acknowledged::NAME, acknowledged::check),
 ];
 
-/// The rules' names.
+/// Names of the invariants.
 pub const NAMES: [&str; 7] = [
     agreement::NAME,
     budget::NAME,
@@ -36,26 +37,3 @@
     uncommitted::NAME,
     acknowledged::NAME,
 ];
-
-/// The version and filter that each subscriber told when it joined last.
-#[derive(Default)]
-pub(crate) struct Speaks<'a>(std::collections::BTreeMap<&'a str, (&'a str, &'a str)>);
-
-impl<'a> Speaks<'a> {
-    /// Takes a line in.
-    pub(crate) fn see(&mut self, line: &'a Line) {
-        if let crate::event::Event::Join { subscriber, version, filter, .. } = &line.event {
-            self.0.insert(subscriber, (version, filter));
-        }
-    }
-
-    /// A subscriber's version.
-    pub(crate) fn version(&self, subscriber: &str) -> &'a str {
-        self.0.get(subscriber).map_or("", |s| s.0)
-    }
-
-    /// A subscriber's filter.
-    pub(crate) fn filter(&self, subscriber: &str) -> &'a str {
-        self.0.get(subscriber).map_or("", |s| s.1)
-    }
-}
--- a/crates/history-checker/src/invariants/order.rs
+++ b/crates/history-checker/src/invariants/order.rs
@@ -1,71 +1,78 @@
-//! Each subscriber reads every record that passes its filter once and in order, from the cursor it gave on. A record's
-//! `prev` must be the position read last; without it positions are dense. A snapshot, marked as such, may skip
-//! forward, never back. What a subscriber reads again because it gave an older cursor than it had read is no repeat:
+//! Each subscriber reads every record that passes its filter exactly once and in order, starting from its cursor. A
+//! record's `prev` must be the position read last; without it positions are dense. A snapshot, marked as such, may skip
+//! forward, never back. Records that a subscriber reads again because it resumed from an older cursor are no duplicates:
 //! its state is as old as its cursor.
 
-use super::Speaks;
+use super::subscribers::SubscriberDeclarations;
+use crate::config::CheckConfig;
 use crate::cursor::Cursor;
-use crate::event::{Event, Line};
-use crate::terms::Terms;
-use crate::Found;
+use crate::event::{Event, HistoryEntry};
+use crate::InvariantReport;
 use std::collections::BTreeMap;
 
-/// The rule's name.
+/// Name of the invariant.
 pub const NAME: &str = "subscriber-order";
 
-/// Judges a history.
-pub fn judge(history: &[Line], _: &Terms) -> Found {
-    let mut found = Found::default();
-    let mut speaks = Speaks::default();
-    let mut last: BTreeMap<&str, Option<Cursor>> = BTreeMap::new();
-    for line in history {
-        speaks.see(line);
-        match &line.event {
-            Event::Join { subscriber, cursor, .. } => _ = last.insert(subscriber, *cursor),
+/// Checks a history.
+pub fn check(history: &[HistoryEntry], _: &CheckConfig) -> InvariantReport {
+    let mut report = InvariantReport::default();
+    let mut declarations = SubscriberDeclarations::default();
+    let mut last_read: BTreeMap<&str, Option<Cursor>> = BTreeMap::new();
+    for entry in history {
+        declarations.observe(entry);
+        match &entry.event {
+            Event::SubscriberConnected { subscriber, cursor, .. } => {
+                last_read.insert(subscriber, *cursor);
+            }
             Event::Snapshot { subscriber, cursor, manager, .. } => {
-                found.seen += 1;
-                let held = last.insert(subscriber, Some(*cursor)).flatten();
-                if let Some(held) = held.filter(|h| cursor < h) {
-                    let what = format!("{subscriber}: a snapshot of {cursor} from {manager} behind {held}");
-                    found.add(NAME, line.at_us, what);
+                report.examined += 1;
+                let last = last_read.insert(subscriber, Some(*cursor)).flatten();
+                if let Some(last) = last.filter(|last| cursor < last) {
+                    let what = format!("{subscriber}: a snapshot of {cursor} from {manager} behind {last}");
+                    report.add(NAME, entry.at_us, what);
                 }
             }
             Event::Record { subscriber, manager, cursor, prev, .. } => {
-                found.seen += 1;
-                let held = last.insert(subscriber, Some(*cursor)).flatten();
-                let filtered = !speaks.filter(subscriber).is_empty();
-                if let Some(word) = wrong(held, *cursor, *prev, filtered) {
-                    let held = held.map_or("nothing".to_owned(), |h| h.to_string());
-                    let prev = prev.map_or(String::new(), |p| format!(" (behind {p})"));
-                    let what = format!("{subscriber}: {word}: {cursor}{prev} from {manager} after {held}");
-                    found.add(NAME, line.at_us, what);
+                report.examined += 1;
+                let last = last_read.insert(subscriber, Some(*cursor)).flatten();
+                let is_filtered = !declarations.is_unfiltered(subscriber);
+                if let Some(fault) = find_fault(last, *cursor, *prev, is_filtered) {
+                    let last = last.map_or("nothing".to_owned(), |last| last.to_string());
+                    let prev = prev.map_or(String::new(), |prev| format!(" (behind {prev})"));
+                    let what = format!("{subscriber}: {fault}: {cursor}{prev} from {manager} after {last}");
+                    report.add(NAME, entry.at_us, what);
                 }
             }
             _ => {}
         }
     }
-    found
+    report
 }
 
-/// What is wrong with a record behind the position held, if anything.
-fn wrong(held: Option<Cursor>, cursor: Cursor, prev: Option<Cursor>, filtered: bool) -> Option<&'static str> {
-    if cursor.index == 0 || prev.is_some_and(|p| p >= cursor) {
-        return Some("a position that cannot be");
+/// What is wrong with a record, given the position read last, if anything.
+fn find_fault(
+    last: Option<Cursor>,
+    cursor: Cursor,
+    prev: Option<Cursor>,
+    is_filtered: bool,
+) -> Option<&'static str> {
+    if cursor.index == 0 || prev.is_some_and(|prev| prev >= cursor) {
+        return Some("impossible position");
     }
-    match (held, prev) {
-        (Some(held), _) if cursor == held => Some("repeat"),
-        (Some(held), _) if cursor < held => Some("reorder or repeat"),
-        (Some(held), Some(prev)) if prev > held => Some("gap"),
-        (Some(held), Some(prev)) if prev < held => Some("a record behind one that was not its last"),
-        // Unfiltered, `prev` must be dense too: a manager that skips and says so skips all the same.
-        (Some(held), _) if !filtered && held.epoch == cursor.epoch && !held.leads_to(cursor) => Some("gap"),
-        (Some(held), None) if held.epoch != cursor.epoch => {
-            Some("an epoch's change without prev or snapshot")
+    match (last, prev) {
+        (Some(last), _) if cursor == last => Some("duplicate"),
+        (Some(last), _) if cursor < last => Some("reordered or duplicate"),
+        (Some(last), Some(prev)) if prev > last => Some("gap"),
+        (Some(last), Some(prev)) if prev < last => Some("does not follow the record read last"),
+        // Unfiltered, `prev` must be dense too: a manager that skips a record and admits it skips it all the same.
+        (Some(last), _) if !is_filtered && last.epoch == cursor.epoch && !last.is_followed_by(cursor) => {
+            Some("gap")
         }
-        (Some(_), None) if filtered => Some("a filtered record without prev"),
-        // The very first: from the journal's beginning, or behind a snapshot.
+        (Some(last), None) if last.epoch != cursor.epoch => Some("new epoch without prev or snapshot"),
+        (Some(_), None) if is_filtered => Some("filtered record without prev"),
+        // The very first record: from the beginning of the log, or after a snapshot.
         (None, Some(prev)) if prev.index != 0 => Some("gap"),
-        (None, None) if !filtered && cursor.index != 1 => Some("gap"),
+        (None, None) if !is_filtered && cursor.index != 1 => Some("gap"),
         _ => None,
     }
 }
--- a/crates/history-checker/src/invariants/schema.rs
+++ b/crates/history-checker/src/invariants/schema.rs
@@ -1,59 +1,67 @@
-//! No schema in force breaks a subscriber in lease: no subscriber reads a record that its version cannot read, and no
-//! schema comes into force that leaves out the version of a subscriber connected, or gone for less than the lease; nor
-//! does one join unread while such a schema is in force.
+//! No active schema breaks a subscriber with a lease: no subscriber reads a record that its version cannot decode, and no
+//! schema becomes active that excludes the version of a subscriber that is connected or was within the lease.
 
-use crate::event::{Event, Line};
-use crate::terms::Terms;
-use crate::Found;
+use crate::config::CheckConfig;
+use crate::event::{Event, HistoryEntry};
+use crate::InvariantReport;
 use std::collections::BTreeMap;
 
-/// The rule's name.
+/// Name of the invariant.
 pub const NAME: &str = "schema-lease";
 
-/// A subscriber's version, and when its connection ended; none while it is there.
+/// A subscriber's lease.
 struct Lease<'a> {
     version: &'a str,
-    left: Option<u64>,
+    /// When its connection was closed, in microseconds of the run; `None` while it is connected.
+    disconnected_us: Option<u64>,
 }
 
-/// Judges a history.
-pub fn judge(history: &[Line], terms: &Terms) -> Found {
-    let mut found = Found::default();
+impl Lease<'_> {
+    /// Whether the lease is valid at an instant.
+    fn is_valid(&self, at_us: u64, config: &CheckConfig) -> bool {
+        self.disconnected_us.is_none_or(|end| at_us < end + config.lease_ms * 1_000)
+    }
+}
+
+/// Checks a history.
+pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
+    let mut report = InvariantReport::default();
     let mut leases: BTreeMap<&str, Lease<'_>> = BTreeMap::new();
-    for Line { at_us, event } in history {
+    for HistoryEntry { at_us, event } in history {
         match event {
-            Event::Join { subscriber, version, .. } => {
-                leases.insert(subscriber, Lease { version, left: None });
+            Event::SubscriberConnected { subscriber, version, .. } => {
+                leases.insert(subscriber, Lease { version, disconnected_us: None });
             }
-            Event::Left { subscriber, .. } => {
+            Event::SubscriberDisconnected { subscriber, .. } => {
                 if let Some(lease) = leases.get_mut(subscriber.as_str()) {
-                    // A try that does not come up prolongs no lease.
-                    lease.left.get_or_insert(*at_us);
+                    // A failed attempt to reconnect does not prolong the lease.
+                    lease.disconnected_us.get_or_insert(*at_us);
                 }
             }
             Event::Record { subscriber, manager, cursor, unreadable, .. } => {
-                found.seen += 1;
-                if let Some(why) = unreadable {
-                    let version = leases.get(subscriber.as_str()).map_or("?", |l| l.version);
+                report.examined += 1;
+                if let Some(reason) = unreadable {
+                    let version = leases.get(subscriber.as_str()).map_or("?", |lease| lease.version);
                     let what = format!(
-                        "{subscriber} of version {version} could not read {cursor} from {manager}: {why}"
+                        "{subscriber} of version {version} could not read {cursor} from {manager}: {reason}"
                     );
-                    found.add(NAME, *at_us, what);
+                    report.add(NAME, *at_us, what);
                 }
             }
-            Event::Schema { publisher, reads } => {
-                let held = |l: &Lease<'_>| l.left.is_none_or(|t| *at_us < t + terms.lease_ms * 1_000);
-                let unread = |l: &Lease<'_>| !reads.iter().any(|v| v == l.version);
-                for (subscriber, l) in leases.iter().filter(|(_, l)| held(l) && unread(l)) {
-                    let version = l.version;
-                    let what = format!(
-                        "a schema of {publisher} leaves out {subscriber} of version {version}, in lease"
-                    );
-                    found.add(NAME, *at_us, what);
+            Event::SchemaActivated { publisher, reads } => {
+                let is_excluded = |lease: &Lease<'_>| !reads.iter().any(|version| version == lease.version);
+                for (subscriber, lease) in &leases {
+                    if lease.is_valid(*at_us, config) && is_excluded(lease) {
+                        let what = format!(
+                            "a schema of {publisher} excludes {subscriber} of version {}, which has a lease",
+                            lease.version
+                        );
+                        report.add(NAME, *at_us, what);
+                    }
                 }
             }
             _ => {}
         }
     }
-    found
+    report
 }
--- /dev/null
+++ b/crates/history-checker/src/invariants/subscribers.rs
@@ -0,0 +1,39 @@
+//! What subscribers declared when they connected last.
+
+use crate::event::{Event, HistoryEntry};
+use std::collections::BTreeMap;
+
+/// A subscriber's declaration.
+#[derive(Clone, Copy)]
+struct Declaration<'a> {
+    version: &'a str,
+    filter: &'a str,
+}
+
+/// The protocol version and the filter that each subscriber declared when it connected last.
+#[derive(Default)]
+pub(super) struct SubscriberDeclarations<'a>(BTreeMap<&'a str, Declaration<'a>>);
+
+impl<'a> SubscriberDeclarations<'a> {
+    /// Reads one entry of the history.
+    pub(super) fn observe(&mut self, entry: &'a HistoryEntry) {
+        if let Event::SubscriberConnected { subscriber, version, filter, .. } = &entry.event {
+            self.0.insert(subscriber, Declaration { version, filter });
+        }
+    }
+
+    /// A subscriber's protocol version; empty if it never connected.
+    pub(super) fn version(&self, subscriber: &str) -> &'a str {
+        self.0.get(subscriber).map_or("", |declaration| declaration.version)
+    }
+
+    /// A subscriber's filter; empty if it reads all records.
+    pub(super) fn filter(&self, subscriber: &str) -> &'a str {
+        self.0.get(subscriber).map_or("", |declaration| declaration.filter)
+    }
+
+    /// Whether a subscriber reads all records.
+    pub(super) fn is_unfiltered(&self, subscriber: &str) -> bool {
+        self.filter(subscriber).is_empty()
+    }
+}
--- a/crates/history-checker/src/invariants/uncommitted.rs
+++ b/crates/history-checker/src/invariants/uncommitted.rs
@@ -1,81 +1,150 @@
-//! No subscriber reads an uncommitted record: one that a single manager told and that no other ever holds at that
-//! position, although others went past it. A manager went past a position when, unfiltered or by its journal read from
-//! outside, it told the one before it or began right there, and went on to a later one.
+//! No subscriber reads an uncommitted record: one that a single manager sent and that no other manager ever holds at that
+//! position although others passed it. A manager passed a position if, unfiltered or in its log as read from outside, it
+//! sent the record before it or began right there, and went on to a later one.
 
-use super::Speaks;
+use super::subscribers::SubscriberDeclarations;
+use crate::config::CheckConfig;
 use crate::cursor::Cursor;
-use crate::event::{Event, Line};
-use crate::terms::Terms;
-use crate::Found;
+use crate::event::{Event, HistoryEntry};
+use crate::InvariantReport;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The rule's name.
+/// Name of the invariant.
 pub const NAME: &str = "uncommitted-record";
 
-/// A run of records that one manager told without a gap: behind which position, up to which.
-type Span = (Cursor, Cursor);
+/// Stands for the reader of records that the harness read from a manager's log.
+const HARNESS: &str = "the harness";
 
-/// Judges a history.
-pub fn judge(history: &[Line], _: &Terms) -> Found {
-    let mut speaks = Speaks::default();
-    // By position, version and words: which managers told it, who read it first, when.
-    type Word<'a> = (Cursor, &'a str, &'a str);
-    let mut told: BTreeMap<Word<'_>, (BTreeSet<&str>, &str, u64)> = BTreeMap::new();
-    // By manager, version and reader: spans that were told whole, the last still growing.
-    let mut spans: BTreeMap<(&str, &str, &str), Vec<Span>> = BTreeMap::new();
-    for line in history {
-        speaks.see(line);
-        match &line.event {
-            Event::Join { subscriber, manager, cursor, filter, .. } if filter.is_empty() => {
-                let from = cursor.unwrap_or_default();
-                let of = (manager.as_str(), speaks.version(subscriber), subscriber.as_str());
-                spans.entry(of).or_default().push((from, from));
+/// Records that one manager sent without a gap: after position `from`, up to and including `to`.
+#[derive(Clone, Copy)]
+struct Span {
+    from: Cursor,
+    to: Cursor,
+}
+
+/// A stream of records: which manager sent it, in which protocol version, to whom.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Stream<'a> {
+    manager: &'a str,
+    version: &'a str,
+    reader: &'a str,
+}
+
+/// A record as it was sent: its position, protocol version and digest.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SentRecord<'a> {
+    cursor: Cursor,
+    version: &'a str,
+    digest: &'a str,
+}
+
+/// Which managers sent a record, and who read it first and when.
+struct Senders<'a> {
+    managers: BTreeSet<&'a str>,
+    first_reader: &'a str,
+    first_read_us: u64,
+}
+
+/// All records and gapless spans of a history.
+#[derive(Default)]
+struct Observations<'a> {
+    records: BTreeMap<SentRecord<'a>, Senders<'a>>,
+    spans: BTreeMap<Stream<'a>, Vec<Span>>,
+}
+
+/// Checks a history.
+pub fn check(history: &[HistoryEntry], _: &CheckConfig) -> InvariantReport {
+    let mut declarations = SubscriberDeclarations::default();
+    let mut observations = Observations::default();
+    for entry in history {
+        declarations.observe(entry);
+        observations.observe(entry, &declarations);
+    }
+    let examined = observations.records.len() as u64;
+    let mut report = InvariantReport { examined, ..InvariantReport::default() };
+    for (record, senders) in &observations.records {
+        let Some(sender) = senders.managers.first().filter(|_| senders.managers.len() == 1) else { continue };
+        if let Some(other) = observations.manager_that_passed(record, sender) {
+            let what = format!(
+                "{}: {sender} sent {} at {}; {other} passed it without it, and no other manager holds it",
+                senders.first_reader, record.digest, record.cursor
+            );
+            report.add(NAME, senders.first_read_us, what);
+        }
+    }
+    report
+}
+
+impl<'a> Observations<'a> {
+    fn observe(&mut self, entry: &'a HistoryEntry, declarations: &SubscriberDeclarations<'a>) {
+        match &entry.event {
+            Event::SubscriberConnected { subscriber, manager, cursor, .. } => {
+                self.begin_span(manager, subscriber, cursor.unwrap_or_default(), declarations);
             }
-            Event::Snapshot { subscriber, manager, cursor, .. } if speaks.filter(subscriber).is_empty() => {
-                let of = (manager.as_str(), speaks.version(subscriber), subscriber.as_str());
-                spans.entry(of).or_default().push((*cursor, *cursor));
+            Event::Snapshot { subscriber, manager, cursor, .. } => {
+                self.begin_span(manager, subscriber, *cursor, declarations);
             }
             Event::Record { subscriber, manager, cursor, prev, digest, .. } => {
-                let version = speaks.version(subscriber);
-                let word = told.entry((*cursor, version, digest)).or_insert((
-                    BTreeSet::new(),
-                    subscriber,
-                    line.at_us,
-                ));
-                word.0.insert(manager);
-                if speaks.filter(subscriber).is_empty() {
-                    grow(spans.entry((manager, version, subscriber)).or_default(), *cursor, *prev);
+                let version = declarations.version(subscriber);
+                let record = SentRecord { cursor: *cursor, version, digest };
+                self.add_sender(record, manager, subscriber, entry.at_us);
+                if declarations.is_unfiltered(subscriber) {
+                    let stream = Stream { manager, version, reader: subscriber };
+                    extend_spans(self.spans.entry(stream).or_default(), *cursor, *prev);
                 }
             }
-            Event::Held { manager, cursor, digest, .. } => {
-                told.entry((*cursor, "", digest))
-                    .or_insert((BTreeSet::new(), "the rig", line.at_us))
-                    .0
-                    .insert(manager);
-                grow(spans.entry((manager, "", "")).or_default(), *cursor, None);
+            Event::JournalRecord { manager, cursor, digest, .. } => {
+                let record = SentRecord { cursor: *cursor, version: "", digest };
+                self.add_sender(record, manager, HARNESS, entry.at_us);
+                let stream = Stream { manager, version: "", reader: "" };
+                extend_spans(self.spans.entry(stream).or_default(), *cursor, None);
             }
             _ => {}
         }
     }
-    let mut found = Found { seen: told.len() as u64, ..Found::default() };
-    for ((cursor, version, digest), (managers, reader, at_us)) in &told {
-        let Some(only) = managers.first().filter(|_| managers.len() == 1) else { continue };
-        let past = |(manager, v, _): &(&str, &str, &str), all: &Vec<Span>| {
-            manager != only && v == version && all.iter().any(|(from, to)| from < cursor && cursor < to)
-        };
-        if let Some(((by, _, _), _)) = spans.iter().find(|(who, all)| past(who, all)) {
-            let what = format!("{reader}: {only} told {digest} at {cursor}; {by} went past it without, and no other holds it");
-            found.add(NAME, *at_us, what);
+
+    /// Begins a span of an unfiltered subscriber's stream.
+    fn begin_span(
+        &mut self,
+        manager: &'a str,
+        subscriber: &'a str,
+        at: Cursor,
+        declarations: &SubscriberDeclarations<'a>,
+    ) {
+        if declarations.is_unfiltered(subscriber) {
+            let stream = Stream { manager, version: declarations.version(subscriber), reader: subscriber };
+            self.spans.entry(stream).or_default().push(Span { from: at, to: at });
         }
     }
-    found
+
+    fn add_sender(&mut self, record: SentRecord<'a>, manager: &'a str, reader: &'a str, at_us: u64) {
+        let senders = self.records.entry(record).or_insert_with(|| Senders {
+            managers: BTreeSet::new(),
+            first_reader: reader,
+            first_read_us: at_us,
+        });
+        senders.managers.insert(manager);
+    }
+
+    /// A manager other than `sender` that passed the position of a record, in the record's protocol version.
+    fn manager_that_passed(&self, record: &SentRecord<'a>, sender: &str) -> Option<&'a str> {
+        let passes = |span: &Span| span.from < record.cursor && record.cursor < span.to;
+        let other = self.spans.iter().find(|(stream, spans)| {
+            stream.manager != sender && stream.version == record.version && spans.iter().any(passes)
+        });
+        other.map(|(stream, _)| stream.manager)
+    }
 }
 
-/// Takes a record in: the last span grows by what follows on it; else a new one begins.
-fn grow(spans: &mut Vec<Span>, cursor: Cursor, prev: Option<Cursor>) {
-    let follows = |to: Cursor| to.leads_to(cursor) || to.index == 0 && cursor.index == 1 || prev == Some(to);
-    match spans.last_mut() {
-        Some((_, to)) if follows(*to) => *to = cursor,
-        _ => spans.push((prev.unwrap_or(Cursor::new(cursor.epoch, cursor.index.saturating_sub(1))), cursor)),
+/// Extends the last span by a record that follows it, or begins a new one.
+fn extend_spans(spans: &mut Vec<Span>, cursor: Cursor, prev: Option<Cursor>) {
+    let follows = |last: Cursor| {
+        last.is_followed_by(cursor) || last.index == 0 && cursor.index == 1 || prev == Some(last)
+    };
+    if let Some(span) = spans.last_mut().filter(|span| follows(span.to)) {
+        span.to = cursor;
+        return;
     }
+    let from = prev.unwrap_or(Cursor::new(cursor.epoch, cursor.index.saturating_sub(1)));
+    spans.push(Span { from, to: cursor });
 }
--- a/crates/history-checker/src/outages.rs
+++ b/crates/history-checker/src/outages.rs
@@ -1,166 +1,178 @@
-//! Who was out when, taken from what processes and engines did.
+//! Which members were unavailable when, derived from what processes and engines did.
 //!
-//! A manager is out from its end or stop until it serves again; before it has served for the first time it is not. An
-//! engine is out while it gets nothing (where the terms say so), and while the nemesis keeps it from serving. An outage
-//! is *planned* when the fleet brought it about: a manager that ended as it meant to, an engine that gets nothing
-//! although nothing keeps it from serving.
+//! A manager is unavailable from its exit or suspension until it serves again; before it has served for the first time
+//! it does not count. An engine is unavailable while it receives nothing (if the configuration enables that rule), and
+//! while the nemesis keeps it from serving. An outage is *planned* if the fleet caused it: a manager that exited on
+//! purpose, or an engine that receives nothing although nothing keeps it from serving.
 
-use crate::event::{Cause, Event, Line, Party, NEXT_VERSION};
-use crate::terms::{Kind, Terms};
-use std::collections::{BTreeMap, BTreeSet};
+use crate::config::{CheckConfig, MemberKind};
+use crate::event::{Event, ExitCause, FleetMember, HistoryEntry, EXIT_STATUS_NEXT_VERSION};
+use std::collections::BTreeMap;
 
-/// Somebody was out.
+/// A member was unavailable for a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// Who.
-    pub party: String,
-    /// Managers or engines.
-    pub of: Kind,
-    /// From when, in microseconds of the run.
+    /// Name of the member.
+    pub member: String,
+    /// Manager or engine.
+    pub kind: MemberKind,
+    /// Its beginning, in microseconds of the run.
     pub from: u64,
-    /// Until when, without it; [`NEVER`] where the history ends first.
+    /// Its end (exclusive); [`NEVER`] if the history ends first.
     pub to: u64,
-    /// Brought about by the fleet.
+    /// Whether the fleet caused it.
     pub planned: bool,
-    /// The version that a manager's process asked to come back as.
-    pub next: Option<String>,
+    /// The version that a manager's process asked to be started as.
+    pub next_version: Option<String>,
 }
 
-/// The end of an outage that lasts beyond its history.
+/// The end of an outage that outlasts its history.
 pub const NEVER: u64 = u64::MAX;
 
 /// All managers and engines of a history, by name.
-pub fn parties(history: &[Line]) -> BTreeMap<String, (Kind, Party)> {
-    let mut all = BTreeMap::new();
-    for line in history {
-        match &line.event {
-            Event::Run { managers, engines, .. } => {
-                all.extend(managers.iter().map(|p| (p.name.clone(), (Kind::Managers, p.clone()))));
-                all.extend(engines.iter().map(|p| (p.name.clone(), (Kind::Engines, p.clone()))));
+pub fn members(history: &[HistoryEntry]) -> BTreeMap<String, (MemberKind, FleetMember)> {
+    let mut members = BTreeMap::new();
+    let mut add = |kind: MemberKind, member: &FleetMember| {
+        members.insert(member.name.clone(), (kind, member.clone()));
+    };
+    for entry in history {
+        match &entry.event {
+            Event::RunStarted { managers, engines, .. } => {
+                managers.iter().for_each(|manager| add(MemberKind::Managers, manager));
+                engines.iter().for_each(|engine| add(MemberKind::Engines, engine));
             }
-            Event::Engine(p) => _ = all.insert(p.name.clone(), (Kind::Engines, p.clone())),
+            Event::EngineAdded(engine) => add(MemberKind::Engines, engine),
             _ => {}
         }
     }
-    all
+    members
 }
 
-#[derive(Default)]
-struct Manager {
-    served: bool,
-    open: Option<Outage>,
+/// All outages of a history, ordered by their beginning.
+pub fn outages(history: &[HistoryEntry], config: &CheckConfig) -> Vec<Outage> {
+    let mut outages = manager_outages(history);
+    outages.extend(injected_faults(history));
+    if config.quiet_ms > 0 {
+        outages.extend(idle_engines(history, config.quiet_ms * 1_000));
+    }
+    outages.sort_by(|a, b| (a.from, &a.member).cmp(&(b.from, &b.member)));
+    outages
 }
 
-/// All outages of a history, by when they began.
-pub fn outages(history: &[Line], terms: &Terms) -> Vec<Outage> {
-    let mut all = managers(history);
-    all.extend(struck(history));
-    if terms.quiet_ms > 0 {
-        all.extend(quiet(history, terms.quiet_ms * 1_000));
-    }
-    all.sort_by(|a, b| (a.from, &a.party).cmp(&(b.from, &b.party)));
-    all
+/// What is known of a manager while its events are read.
+#[derive(Default)]
+struct ManagerState {
+    has_served: bool,
+    current: Option<Outage>,
 }
 
-fn managers(history: &[Line]) -> Vec<Outage> {
-    let mut known: BTreeMap<&str, Manager> = BTreeMap::new();
-    let mut all = Vec::new();
-    for Line { at_us, event } in history {
-        let begins = |process: &str, planned: bool, next: &Option<String>| Outage {
-            party: process.to_owned(),
-            of: Kind::Managers,
-            from: *at_us,
+impl ManagerState {
+    /// Begins an outage, unless the manager is unavailable already or never served.
+    fn begin(&mut self, process: &str, from: u64, planned: bool, next_version: Option<&String>) {
+        if !self.has_served || self.current.is_some() {
+            return;
+        }
+        self.current = Some(Outage {
+            member: process.to_owned(),
+            kind: MemberKind::Managers,
+            from,
             to: NEVER,
             planned,
-            next: next.clone(),
-        };
+            next_version: next_version.cloned(),
+        });
+    }
+
+    /// Ends the current outage, if there is one.
+    fn end(&mut self, to: u64) -> Option<Outage> {
+        let outage = self.current.take()?;
+        Some(Outage { to, ..outage })
+    }
+}
+
+fn manager_outages(history: &[HistoryEntry]) -> Vec<Outage> {
+    let mut managers: BTreeMap<&str, ManagerState> = BTreeMap::new();
+    let mut ended = Vec::new();
+    for HistoryEntry { at_us, event } in history {
         match event {
-            Event::Up { process } | Event::Cont { process } => {
-                let m = known.entry(process).or_default();
-                // One that is killed while it is stopped gets no Cont; one that goes on serves as before.
-                m.served |= matches!(event, Event::Up { .. });
-                all.extend(m.open.take().map(|o| Outage { to: *at_us, ..o }));
+            Event::Ready { process } => {
+                let manager = managers.entry(process).or_default();
+                manager.has_served = true;
+                ended.extend(manager.end(*at_us));
             }
-            Event::Exit { process, status, cause, next, .. } => {
-                let m = known.entry(process).or_default();
-                let meant = matches!(status, Some(0) | Some(NEXT_VERSION));
-                if m.served && m.open.is_none() {
-                    m.open = Some(begins(process, *cause == Cause::Own && meant, next));
-                }
+            // A process that is killed while it is suspended is never resumed.
+            Event::Resumed { process } => ended.extend(managers.entry(process).or_default().end(*at_us)),
+            Event::Exited { process, status, cause, next, .. } => {
+                let on_purpose = matches!(status, Some(0 | EXIT_STATUS_NEXT_VERSION));
+                let planned = *cause == ExitCause::Own && on_purpose;
+                managers.entry(process).or_default().begin(process, *at_us, planned, next.as_ref());
             }
-            Event::Stop { process } => {
-                let m = known.entry(process).or_default();
-                if m.served && m.open.is_none() {
-                    m.open = Some(begins(process, false, &None));
-                }
+            Event::Suspended { process } => {
+                managers.entry(process).or_default().begin(process, *at_us, false, None);
             }
             _ => {}
         }
     }
-    all.extend(known.into_values().filter_map(|m| m.open));
-    all
+    ended.extend(managers.into_values().filter_map(|manager| manager.current));
+    ended
 }
 
-/// What the nemesis did to engines. Several strikes may lie over one another.
-fn struck(history: &[Line]) -> Vec<Outage> {
-    let mut open: BTreeMap<&str, (u64, u32)> = BTreeMap::new();
-    let mut all = Vec::new();
-    let outage = |party: &str, from: u64, to: u64| Outage {
-        party: party.to_owned(),
-        of: Kind::Engines,
-        from,
-        to,
-        planned: false,
-        next: None,
-    };
-    for Line { at_us, event } in history {
+/// An engine's outage.
+fn engine_outage(engine: &str, from: u64, to: u64, planned: bool) -> Outage {
+    Outage { member: engine.to_owned(), kind: MemberKind::Engines, from, to, planned, next_version: None }
+}
+
+/// Outages of engines that the nemesis caused. Several faults of one engine may overlap: they count as one outage.
+fn injected_faults(history: &[HistoryEntry]) -> Vec<Outage> {
+    /// The beginning of the first fault in force, and the number of faults in force.
+    struct Current {
+        from: u64,
+        faults: u32,
+    }
+    let mut current: BTreeMap<&str, Current> = BTreeMap::new();
+    let mut ended = Vec::new();
+    for HistoryEntry { at_us, event } in history {
         match event {
-            Event::Struck { on } => on.iter().for_each(|e| open.entry(e).or_insert((*at_us, 0)).1 += 1),
-            Event::Lifted { on } => {
-                for e in on {
-                    let Some((from, n)) = open.get_mut(e.as_str()) else { continue };
-                    *n -= 1;
-                    if *n == 0 {
-                        all.push(outage(e, *from, *at_us));
-                        open.remove(e.as_str());
+            Event::FaultBegan { on } => {
+                for engine in on {
+                    current.entry(engine).or_insert(Current { from: *at_us, faults: 0 }).faults += 1;
+                }
+            }
+            Event::FaultEnded { on } => {
+                for engine in on {
+                    let Some(outage) = current.get_mut(engine.as_str()) else { continue };
+                    outage.faults -= 1;
+                    if outage.faults == 0 {
+                        ended.push(engine_outage(engine, outage.from, *at_us, false));
+                        current.remove(engine.as_str());
                     }
                 }
             }
             _ => {}
         }
     }
-    all.extend(open.into_iter().map(|(e, (from, _))| outage(e, from, NEVER)));
-    all
+    ended
+        .extend(current.into_iter().map(|(engine, outage)| engine_outage(engine, outage.from, NEVER, false)));
+    ended
 }
 
-/// Gaps between an engine's commands that are longer than `least`, where no strike touches the gap. What begins before
-/// an engine's first command is none: nobody has used it yet.
-fn quiet(history: &[Line], least: u64) -> Vec<Outage> {
-    let strikes = struck(history);
-    let mut last: BTreeMap<&str, u64> = BTreeMap::new();
+/// Gaps between an engine's commands that are longer than `threshold_us` and overlap no injected fault. The time before
+/// an engine's first command is no gap: nobody has used the engine yet.
+fn idle_engines(history: &[HistoryEntry], threshold_us: u64) -> Vec<Outage> {
+    let faults = injected_faults(history);
+    let overlaps_fault = |gap: &Outage| {
+        faults.iter().any(|fault| fault.member == gap.member && fault.from < gap.to && gap.from < fault.to)
+    };
+    let mut last_command: BTreeMap<&str, u64> = BTreeMap::new();
     let mut gaps = Vec::new();
-    for Line { at_us, event } in history {
+    for HistoryEntry { at_us, event } in history {
         let Event::Command { engine, .. } = event else { continue };
-        if let Some(from) = last.insert(engine, *at_us) {
-            gaps.push((engine.as_str(), from, *at_us));
-        }
-    }
-    // A run's load ends at some time: a gap up to the end counts only where another engine still gets commands.
-    let load_ends = last.values().copied().max().unwrap_or(0);
-    gaps.extend(last.iter().map(|(e, from)| (*e, *from, load_ends)));
-    let touched: BTreeSet<usize> = (0..gaps.len())
-        .filter(|i| {
-            let (engine, from, to) = gaps[*i];
-            strikes.iter().any(|s| s.party == engine && s.from < to && from < s.to)
-        })
-        .collect();
-    let mut all = Vec::new();
-    for (i, (engine, from, to)) in gaps.iter().enumerate() {
-        if to - from > least && !touched.contains(&i) {
-            let (from, to) = (*from, *to);
-            let party = (*engine).to_owned();
-            all.push(Outage { party, of: Kind::Engines, from, to, planned: true, next: None });
+        if let Some(from) = last_command.insert(engine, *at_us) {
+            gaps.push(engine_outage(engine, from, *at_us, true));
         }
     }
-    all
+    // The load of a run ends at some time: a gap up to the end counts only while another engine still receives commands.
+    let end_of_load = last_command.values().copied().max().unwrap_or(0);
+    gaps.extend(last_command.iter().map(|(engine, from)| engine_outage(engine, *from, end_of_load, true)));
+    gaps.retain(|gap| gap.to - gap.from > threshold_us && !overlaps_fault(gap));
+    gaps
 }
--- a/crates/history-checker/src/read.rs
+++ b/crates/history-checker/src/read.rs
@@ -1,54 +1,59 @@
 //! Reads a history from its lines.
 
-use crate::event::Line;
+use crate::event::HistoryEntry;
+use thiserror::Error;
 
-/// Lines of a history that are judged at most.
-pub const MOST_LINES: usize = 5_000_000;
+/// Most entries of a history that is checked.
+pub const MAX_ENTRIES: usize = 5_000_000;
 
-/// Reads a history: one event a line, times never falling.
+/// Why a text is not a history.
+#[derive(Debug, Error)]
+pub enum HistoryError {
+    /// It is too long.
+    #[error("a history of over {MAX_ENTRIES} lines is not checked")]
+    TooLong,
+    /// A line is not an event.
+    #[error("line {line} is not an event")]
+    Malformed {
+        /// Number of the line, from 1.
+        line: usize,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// A line is earlier than the one above it.
+    #[error("line {line}: {at_us} us is before the line above, {previous_us} us")]
+    OutOfOrder {
+        /// Number of the line, from 1.
+        line: usize,
+        /// Its time, in microseconds of the run.
+        at_us: u64,
+        /// The time of the line above.
+        previous_us: u64,
+    },
+}
+
+/// Parses a history: one event a line, in the order of their times.
 ///
 /// # Errors
-/// The line's number and what is wrong with it: not an event, a time before the line above, or too many lines.
-pub fn lines<'a>(text: impl IntoIterator<Item = &'a str>) -> Result<Vec<Line>, String> {
-    let (mut all, mut last) = (Vec::new(), 0);
-    for (i, row) in text.into_iter().enumerate() {
-        if i >= MOST_LINES {
-            return Err(format!("a history of over {MOST_LINES} lines is not judged"));
+/// The first line that is malformed or out of order, or that the history is too long.
+pub fn parse_history<'a>(
+    lines: impl IntoIterator<Item = &'a str>,
+) -> Result<Vec<HistoryEntry>, HistoryError> {
+    let mut entries = Vec::new();
+    let mut previous_us = 0;
+    for (index, text) in lines.into_iter().enumerate() {
+        if index >= MAX_ENTRIES {
+            return Err(HistoryError::TooLong);
         }
-        let line: Line = serde_json::from_str(row).map_err(|e| format!("line {}: {e}", i + 1))?;
-        if line.at_us < last {
-            return Err(format!("line {}: {} us is before the line above, {last} us", i + 1, line.at_us));
+        let line = index + 1;
+        let entry: HistoryEntry =
+            serde_json::from_str(text).map_err(|source| HistoryError::Malformed { line, source })?;
+        let at_us = entry.at_us;
+        if at_us < previous_us {
+            return Err(HistoryError::OutOfOrder { line, at_us, previous_us });
         }
-        last = line.at_us;
-        all.push(line);
-    }
-    Ok(all)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::cursor::Cursor;
-    use crate::event::Event;
-
-    #[test]
-    fn lines_come_back_as_they_were_written_and_bad_ones_are_named() {
-        let line = Line {
-            at_us: 7,
-            event: Event::Join {
-                subscriber: "s1".into(),
-                manager: "n0".into(),
-                cursor: Some(Cursor::new(1, 4)),
-                version: "2".into(),
-                filter: String::new(),
-            },
-        };
-        let text = serde_json::to_string(&line).expect("written");
-        assert!(text.contains(r#""kind":"join""#) && text.contains(r#""cursor":"1:4""#), "{text}");
-        assert_eq!(lines([text.as_str()]).expect("read"), [line]);
-        let early = text.replace("\"at_us\":7", "\"at_us\":6");
-        assert!(lines([text.as_str(), &early]).unwrap_err().starts_with("line 2: 6 us is before"));
-        assert!(lines(["{}"]).unwrap_err().starts_with("line 1"));
-        assert!(lines([text.replace("1:4", "4").as_str()]).unwrap_err().contains("EPOCH:INDEX"));
+        previous_us = at_us;
+        entries.push(entry);
     }
+    Ok(entries)
 }
--- a/crates/history-checker/tests/common/mod.rs
+++ b/crates/history-checker/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! Good histories, made from a list of choices so that what fails shrinks to few of them.
+use sprucelink_history_checker::config::{CheckConfig, DisruptionBudget, MemberKind};
 use sprucelink_history_checker::cursor::Cursor;
-use sprucelink_history_checker::event::{Cause, Event, Line, Party, NEXT_VERSION};
-use sprucelink_history_checker::terms::{Budget, Kind, Terms};
+use sprucelink_history_checker::event::{
+    Event, ExitCause, FleetMember, HistoryEntry, EXIT_STATUS_NEXT_VERSION,
+};
 
 const MANAGERS: usize = 4;
 const ENGINES: usize = 3;
@@ -10,14 +12,14 @@
 const TICK_US: u64 = 50_000;
 
 /// One manager and one engine out at a time when a permit is given.
-pub fn terms() -> Terms {
-    let budget = |of| Budget { of, zone: None, pool: None, most: 1 };
-    Terms {
-        budgets: vec![budget(Kind::Managers), budget(Kind::Engines)],
+pub fn terms() -> CheckConfig {
+    let budget = |of| DisruptionBudget { of, zone: None, pool: None, max_unavailable: 1 };
+    CheckConfig {
+        budgets: vec![budget(MemberKind::Managers), budget(MemberKind::Engines)],
         notice_ms: 0,
         halt_ms: 200,
         quiet_ms: 120,
-        ..Terms::default()
+        ..CheckConfig::default()
     }
 }
 
@@ -28,7 +30,7 @@
 }
 
 struct World {
-    all: Vec<Line>,
+    all: Vec<HistoryEntry>,
     now: u64,
     journal: Vec<(Cursor, &'static str)>,
     readers: Vec<Reader>,
@@ -40,7 +42,7 @@
 
 impl World {
     fn note(&mut self, event: Event) {
-        self.all.push(Line { at_us: self.now, event });
+        self.all.push(HistoryEntry { at_us: self.now, event });
     }
 
     fn out(&self, m: usize) -> bool {
@@ -57,7 +59,7 @@
         let (cursor, filter) = (self.readers[s].cursor, self.readers[s].filter);
         let m = self.serving();
         self.readers[s].at = m;
-        self.note(Event::Join {
+        self.note(Event::SubscriberConnected {
             subscriber: format!("s{s}"),
             manager: format!("n{m}"),
             cursor,
@@ -68,14 +70,19 @@
 
     fn hop(&mut self, s: usize) {
         let manager = format!("n{}", self.readers[s].at);
-        self.note(Event::Left { subscriber: format!("s{s}"), manager, why: "ended".into() });
+        self.note(Event::SubscriberDisconnected {
+            subscriber: format!("s{s}"),
+            manager,
+            why: "ended".into(),
+        });
         self.join(s);
     }
 
-    fn exits(&mut self, m: usize, cause: Cause, next: Option<&str>) {
-        let (status, signal) = if cause == Cause::Own { (Some(NEXT_VERSION), None) } else { (None, Some(9)) };
+    fn exits(&mut self, m: usize, cause: ExitCause, next: Option<&str>) {
+        let (status, signal) =
+            if cause == ExitCause::Own { (Some(EXIT_STATUS_NEXT_VERSION), None) } else { (None, Some(9)) };
         let next = next.map(str::to_owned);
-        self.note(Event::Exit { process: format!("n{m}"), status, signal, cause, next });
+        self.note(Event::Exited { process: format!("n{m}"), status, signal, cause, next });
         (0..SUBSCRIBERS)
             .filter(|s| self.readers[*s].at == m)
             .collect::<Vec<_>>()
@@ -84,7 +91,7 @@
     }
 
     fn up(&mut self, m: usize) {
-        self.note(Event::Up { process: format!("n{m}") });
+        self.note(Event::Ready { process: format!("n{m}") });
     }
 
     fn commit(&mut self, new_epoch: bool) {
@@ -114,7 +121,7 @@
                 unreadable: None,
             });
         }
-        self.note(Event::Ack { op: format!("op{cursor}"), cursor: Some(cursor) });
+        self.note(Event::Acknowledged { op: format!("op{cursor}"), cursor: Some(cursor) });
     }
 
     fn tick(&mut self) {
@@ -141,7 +148,7 @@
                 Some(m) => self.up(m),
                 None if self.crashed.is_none() => {
                     self.planned = Some(pick % MANAGERS);
-                    self.exits(pick % MANAGERS, Cause::Own, Some(next));
+                    self.exits(pick % MANAGERS, ExitCause::Own, Some(next));
                 }
                 None => {}
             },
@@ -149,7 +156,7 @@
                 Some(m) => self.up(m),
                 None if self.planned != Some(pick % MANAGERS) => {
                     self.crashed = Some(pick % MANAGERS);
-                    self.exits(pick % MANAGERS, Cause::Nemesis, None);
+                    self.exits(pick % MANAGERS, ExitCause::Nemesis, None);
                 }
                 None => {}
             },
@@ -166,7 +173,7 @@
 }
 
 /// A run that keeps every rule: the release, a halt, the way back.
-pub fn good(choices: &[u16]) -> Vec<Line> {
+pub fn good(choices: &[u16]) -> Vec<HistoryEntry> {
     let readers =
         (0..SUBSCRIBERS).map(|s| Reader { at: 0, cursor: None, filter: ["", "", "", "permit", "note"][s] });
     let mut w = World {
@@ -180,17 +187,19 @@
         turn: 0,
     };
     let named = |letter: &str, n: usize| {
-        (0..n).map(|i| Party { name: format!("{letter}{i}"), ..Party::default() }).collect::<Vec<_>>()
+        (0..n)
+            .map(|i| FleetMember { name: format!("{letter}{i}"), ..FleetMember::default() })
+            .collect::<Vec<_>>()
     };
     let (managers, engines) = (named("n", MANAGERS), named("e", ENGINES));
-    w.note(Event::Run { scenario: "good".into(), seed: 1, managers, engines });
+    w.note(Event::RunStarted { scenario: "good".into(), seed: 1, managers, engines });
     (0..MANAGERS).for_each(|m| w.up(m));
     (0..SUBSCRIBERS).for_each(|s| w.join(s));
-    w.note(Event::Schema { publisher: "fleet".into(), reads: vec!["1".into(), "2".into()] });
+    w.note(Event::SchemaActivated { publisher: "fleet".into(), reads: vec!["1".into(), "2".into()] });
     w.commit(false);
     let half = choices.len() / 2;
     choices[..half].iter().for_each(|c| w.step(*c, "v2"));
-    w.note(Event::Halt { id: "h1".into(), version: Some("v2".into()) });
+    w.note(Event::Halted { id: "h1".into(), version: Some("v2".into()) });
     (0..5).for_each(|_| w.tick());
     choices[half..].iter().for_each(|c| w.step(*c, "v1"));
     (0..60).for_each(|_| w.tick());
--- a/crates/history-checker/tests/can_fail.rs
+++ b/crates/history-checker/tests/each_invariant_can_fail.rs
@@ -5,16 +5,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use sprucelink_history_checker::cursor::Cursor;
-use sprucelink_history_checker::event::{Cause, Event, Line, NEXT_VERSION};
+use sprucelink_history_checker::event::{Event, ExitCause, HistoryEntry, EXIT_STATUS_NEXT_VERSION};
 use sprucelink_history_checker::invariants::{
     self, acknowledged, agreement, budget, halt, order, schema, uncommitted,
 };
-use sprucelink_history_checker::{check, Verdict};
+use sprucelink_history_checker::{check, CheckReport};
 
 const CASES: u32 = 200;
 
 /// Plants a fault in many good histories; where a history has no place for it, it is passed over, but not in most.
-fn planted(name: &str, plant: impl Fn(&mut Vec<Line>, usize) -> bool) {
+fn check_planted_fault(name: &str, plant: impl Fn(&mut Vec<HistoryEntry>, usize) -> bool) {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let places = std::cell::Cell::new(0);
@@ -23,12 +23,16 @@
         .run(&choices, |(choices, pick)| {
             let mut history = good(&choices);
             let before = check(&history, &terms());
-            prop_assert!(before.passed(), "a good history: {:?}", before.violations().collect::<Vec<_>>());
+            prop_assert!(before.is_passed(), "a good history: {:?}", before.violations().collect::<Vec<_>>());
             let at = pick.index(history.len());
             if plant(&mut history, at) {
                 places.set(places.get() + 1);
                 let after = check(&history, &terms());
-                prop_assert!(after.broke(name), "not caught: {:?}", after.violations().collect::<Vec<_>>());
+                prop_assert!(
+                    after.is_violated(name),
+                    "not caught: {:?}",
+                    after.violations().collect::<Vec<_>>()
+                );
             }
             Ok(())
         })
@@ -36,7 +40,7 @@
     assert!(places.get() >= CASES / 4, "{name}: planted in {} of {CASES}", places.get());
 }
 
-fn reader(line: &Line) -> Option<&str> {
+fn reader(line: &HistoryEntry) -> Option<&str> {
     match &line.event {
         Event::Record { subscriber, .. } => Some(subscriber),
         _ => None,
@@ -44,32 +48,32 @@
 }
 
 /// The first record at or behind `at`, and the same subscriber's next one, if it does not join anew in between.
-fn pair(history: &[Line], at: usize) -> Option<(usize, usize)> {
+fn pair(history: &[HistoryEntry], at: usize) -> Option<(usize, usize)> {
     (at..history.len()).filter(|i| reader(&history[*i]).is_some()).find_map(|i| {
         let who = reader(&history[i])?;
-        let same = |l: &&(usize, &Line)| match &l.1.event {
-            Event::Join { subscriber, .. } => subscriber == who,
+        let same = |l: &&(usize, &HistoryEntry)| match &l.1.event {
+            Event::SubscriberConnected { subscriber, .. } => subscriber == who,
             _ => reader(l.1) == Some(who),
         };
-        let all: Vec<(usize, &Line)> = history.iter().enumerate().skip(i + 1).collect();
+        let all: Vec<(usize, &HistoryEntry)> = history.iter().enumerate().skip(i + 1).collect();
         let (j, next) = all.iter().find(same)?;
         reader(next).map(|_| (i, *j))
     })
 }
 
 #[test]
-fn a_record_dropped_on_the_way_is_a_gap() {
-    planted(order::NAME, |h, at| pair(h, at).map(|(i, _)| h.remove(i)).is_some());
+fn dropped_record_is_reported_as_a_gap() {
+    check_planted_fault(order::NAME, |h, at| pair(h, at).map(|(i, _)| h.remove(i)).is_some());
 }
 
 #[test]
-fn a_record_told_twice_is_a_repeat() {
-    planted(order::NAME, |h, at| pair(h, at).map(|(i, _)| h.insert(i, h[i].clone())).is_some());
+fn record_sent_twice_is_reported_as_a_duplicate() {
+    check_planted_fault(order::NAME, |h, at| pair(h, at).map(|(i, _)| h.insert(i, h[i].clone())).is_some());
 }
 
 #[test]
-fn records_told_the_other_way_round_are_seen() {
-    planted(order::NAME, |h, at| {
+fn swapped_records_are_reported() {
+    check_planted_fault(order::NAME, |h, at| {
         let Some((i, j)) = pair(h, at) else { return false };
         let (a, b) = (h[i].event.clone(), h[j].event.clone());
         (h[i].event, h[j].event) = (b, a);
@@ -78,22 +82,22 @@
 }
 
 #[test]
-fn a_record_worded_otherwise_to_one_is_seen() {
-    planted(agreement::NAME, |h, at| {
+fn record_that_differs_for_one_subscriber_is_reported() {
+    check_planted_fault(agreement::NAME, |h, at| {
         let Some((i, _)) = pair(h, at) else { return false };
         let Event::Record { digest, cursor, .. } = &mut h[i].event else { return false };
         digest.push('x');
         let cursor = *cursor;
-        let others = |l: &&Line| matches!(&l.event, Event::Record { cursor: c, .. } if *c == cursor);
+        let others = |l: &&HistoryEntry| matches!(&l.event, Event::Record { cursor: c, .. } if *c == cursor);
         h.iter().filter(others).count() > 1
     });
 }
 
 /// Just before a change of epoch one manager tells a record that the new epoch does not have.
 #[test]
-fn a_record_told_before_its_commit_and_lost_is_seen() {
-    planted(uncommitted::NAME, |h, _| {
-        let epoch = |l: &Line| match &l.event {
+fn record_sent_before_its_commit_and_lost_is_reported() {
+    check_planted_fault(uncommitted::NAME, |h, _| {
+        let epoch = |l: &HistoryEntry| match &l.event {
             Event::Record { cursor, prev: Some(p), .. } if p.epoch > 0 && cursor.epoch > p.epoch => Some(*p),
             _ => None,
         };
@@ -115,59 +119,63 @@
     });
 }
 
-fn planned(l: &Line) -> bool {
-    matches!(&l.event, Event::Exit { cause: Cause::Own, .. })
+fn planned(l: &HistoryEntry) -> bool {
+    matches!(&l.event, Event::Exited { cause: ExitCause::Own, .. })
 }
 
 /// A manager that is out, by a permit or by a crash, does not come back, and a later permit is given all the same.
 #[test]
-fn an_outage_that_lasts_into_the_next_permit_breaks_the_budget() {
-    planted(budget::NAME, |h, at| {
-        let exits = |l: &Line| match &l.event {
-            Event::Exit { process, .. } => Some(process.clone()),
+fn outage_that_outlasts_the_next_permit_exceeds_the_budget() {
+    check_planted_fault(budget::NAME, |h, at| {
+        let exits = |l: &HistoryEntry| match &l.event {
+            Event::Exited { process, .. } => Some(process.clone()),
             _ => None,
         };
         let Some((i, who)) = h.iter().enumerate().skip(at / 2).find_map(|(i, l)| Some((i, exits(l)?))) else {
             return false;
         };
-        let up = |l: &Line| matches!(&l.event, Event::Up { process } if *process == who);
+        let up = |l: &HistoryEntry| matches!(&l.event, Event::Ready { process } if *process == who);
         let Some(j) = (i..h.len()).find(|j| up(&h[*j])) else { return false };
         h.remove(j);
         // Up to its next own way back, if it goes out again.
         let until = (j..h.len()).find(|k| up(&h[*k])).unwrap_or(h.len());
-        let other = |l: &Line| planned(l) && exits(l).as_ref() != Some(&who);
+        let other = |l: &HistoryEntry| planned(l) && exits(l).as_ref() != Some(&who);
         h[j..until].iter().any(other)
     });
 }
 
 /// Two engines get nothing at once.
 #[test]
-fn two_engines_that_get_nothing_at_once_break_the_budget() {
-    planted(budget::NAME, |h, _| {
+fn two_idle_engines_at_once_exceed_the_budget() {
+    check_planted_fault(budget::NAME, |h, _| {
         let (a, b) = (1_000_000, 1_500_000);
-        let within = |l: &Line| (a..b).contains(&l.at_us);
-        let of = |l: &Line, name: &str| matches!(&l.event, Event::Command { engine, .. } if engine == name);
+        let within = |l: &HistoryEntry| (a..b).contains(&l.at_us);
+        let of = |l: &HistoryEntry, name: &str| matches!(&l.event, Event::Command { engine, .. } if engine == name);
         h.retain(|l| !(within(l) && (of(l, "e0") || of(l, "e1"))));
         true
     });
 }
 
 #[test]
-fn a_permit_of_the_halted_release_after_the_halt_is_seen() {
-    planted(halt::NAME, |h, _| {
-        let halted = |l: &&Line| matches!(l.event, Event::Halt { .. });
+fn permit_of_a_halted_release_is_reported() {
+    check_planted_fault(halt::NAME, |h, _| {
+        let halted = |l: &&HistoryEntry| matches!(l.event, Event::Halted { .. });
         let Some(at) = h.iter().find(halted).map(|l| l.at_us + 200_001) else { return false };
         let Some(i) = h.iter().position(|l| l.at_us > at) else { return false };
         let at_us = h[i].at_us;
-        let (process, status, next) = ("n3".to_owned(), Some(NEXT_VERSION), Some("v2".to_owned()));
+        let (process, status, next) =
+            ("n3".to_owned(), Some(EXIT_STATUS_NEXT_VERSION), Some("v2".to_owned()));
         h.insert(
             i,
-            Line { at_us, event: Event::Exit { process, status, signal: None, cause: Cause::Own, next } },
+            HistoryEntry {
+                at_us,
+                event: Event::Exited { process, status, signal: None, cause: ExitCause::Own, next },
+            },
         );
         // If it is out already, its end is no new permit.
         let before = h[..i].iter().rev().find_map(|l| match &l.event {
-            Event::Exit { process, .. } if process == "n3" => Some(false),
-            Event::Up { process } if process == "n3" => Some(true),
+            Event::Exited { process, .. } if process == "n3" => Some(false),
+            Event::Ready { process } if process == "n3" => Some(true),
             _ => None,
         });
         before == Some(true)
@@ -175,8 +183,8 @@
 }
 
 #[test]
-fn a_record_that_a_subscriber_cannot_read_is_seen() {
-    planted(schema::NAME, |h, at| {
+fn record_that_a_subscriber_cannot_decode_is_reported() {
+    check_planted_fault(schema::NAME, |h, at| {
         let Some((i, _)) = pair(h, at) else { return false };
         let Event::Record { unreadable, .. } = &mut h[i].event else { return false };
         *unreadable = Some("/engine is missing".into());
@@ -185,21 +193,24 @@
 }
 
 #[test]
-fn a_schema_that_leaves_out_a_version_in_lease_is_seen() {
-    planted(schema::NAME, |h, at| {
+fn schema_that_excludes_a_leased_version_is_reported() {
+    check_planted_fault(schema::NAME, |h, at| {
         let at = at.max(20).min(h.len() - 1);
         let at_us = h[at].at_us;
         h.insert(
             at,
-            Line { at_us, event: Event::Schema { publisher: "fleet".into(), reads: vec!["2".into()] } },
+            HistoryEntry {
+                at_us,
+                event: Event::SchemaActivated { publisher: "fleet".into(), reads: vec!["2".into()] },
+            },
         );
         true
     });
 }
 
 #[test]
-fn an_acknowledged_operation_that_no_record_holds_is_seen() {
-    planted(acknowledged::NAME, |h, at| {
+fn acknowledged_operation_without_a_record_is_reported() {
+    check_planted_fault(acknowledged::NAME, |h, at| {
         let Some((i, _)) = pair(h, at) else { return false };
         let Event::Record { op: Some(lost), .. } = &h[i].event else { return false };
         let lost = lost.clone();
@@ -214,7 +225,7 @@
 
 /// By hand: each of these holds one fault, and only the rules for it are broken.
 #[test]
-fn small_histories_break_just_the_rule_for_them() {
+fn small_history_violates_only_the_invariant_it_is_written_for() {
     let line = |at_us: u64, json: &str| -> String { format!("{{\"at_us\":{at_us},{json}}}") };
     let join = |s: &str, m: &str, c: &str| {
         let cursor = if c.is_empty() { "null".to_owned() } else { format!("\"{c}\"") };
@@ -223,14 +234,15 @@
     let rec = |s: &str, m: &str, c: &str, d: &str| {
         format!("\"kind\":\"record\",\"subscriber\":\"{s}\",\"manager\":\"{m}\",\"cursor\":\"{c}\",\"digest\":\"{d}\"")
     };
-    let judge = |rows: &[String]| -> Verdict {
+    let judge = |rows: &[String]| -> CheckReport {
         let rows: Vec<String> = rows.iter().enumerate().map(|(i, r)| line(i as u64 * 1_000_000, r)).collect();
-        let history =
-            sprucelink_history_checker::read::lines(rows.iter().map(String::as_str)).expect("a history");
+        let history = sprucelink_history_checker::read::parse_history(rows.iter().map(String::as_str))
+            .expect("a history");
         check(&history, &terms())
     };
-    let broken =
-        |v: &Verdict| -> Vec<&str> { invariants::NAMES.into_iter().filter(|n| v.broke(n)).collect() };
+    let broken = |v: &CheckReport| -> Vec<&str> {
+        invariants::NAMES.into_iter().filter(|n| v.is_violated(n)).collect()
+    };
     let two = [join("a", "n0", ""), join("b", "n1", ""), rec("a", "n0", "1:1", "x")];
     let with = |more: &[String]| -> Vec<String> { two.iter().chain(more).cloned().collect() };
     assert_eq!(broken(&judge(&with(&[rec("b", "n1", "1:1", "x")]))), [""; 0]);
--- a/tests/fleet_history.rs
+++ b/tests/fleet_history.rs
@@ -2,7 +2,7 @@
 use sprucelink_cluster_harness::history;
 use sprucelink_cluster_harness::run::{self, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
-use sprucelink_history_checker::event::{Cause, Event};
+use sprucelink_history_checker::event::{Event, ExitCause};
 use sprucelink_history_checker::invariants::budget;
 
 /// Managers restarted by the rig and an engine drained by the list are outages that the fleet did not permit, however
@@ -20,19 +20,19 @@
     let lines = history::read(got.history.as_ref().expect("a history")).expect("read");
     run::clear(&dir);
     let verdict = got.verdict.expect("judged");
-    assert!(verdict.passed(), "{:?}", verdict.violations().collect::<Vec<_>>());
-    assert_eq!(verdict.seen(budget::NAME), 0, "no planned outage");
+    assert!(verdict.is_passed(), "{:?}", verdict.violations().collect::<Vec<_>>());
+    assert_eq!(verdict.examined(budget::NAME), 0, "no planned outage");
     let count = |what: &dyn Fn(&Event) -> bool| lines.iter().filter(|l| what(&l.event)).count();
     for i in 0..3 {
         let name = format!("n{i}");
         let of = |e: &Event| matches!(e, Event::Command { word, manager: Some(m), .. } if word == "do" && *m == name);
         assert!(count(&of) > 50, "{name}: {} commands", count(&of));
     }
-    assert!(count(&|e| matches!(e, Event::Dial { .. })) >= 3);
+    assert!(count(&|e| matches!(e, Event::Connected { .. })) >= 3);
     assert_eq!(
         count(&|e| matches!(e, Event::ListCall { answer, .. } if answer == "serving")),
         got.report.calls
     );
-    assert_eq!(count(&|e| matches!(e, Event::Exit { status: Some(0), cause: Cause::Nemesis, .. })), 1);
-    assert_eq!(count(&|e| matches!(e, Event::Struck { on } if on == &["s-0000"])), 1);
+    assert_eq!(count(&|e| matches!(e, Event::Exited { status: Some(0), cause: ExitCause::Nemesis, .. })), 1);
+    assert_eq!(count(&|e| matches!(e, Event::FaultBegan { on } if on == &["s-0000"])), 1);
 }
