--- /dev/null
+++ b/crates/settings/src/platform_config.rs
@@ -0,0 +1,113 @@
+//! The platform's configuration: a JSON object, whose unknown fields are skipped.
+
+use crate::value::{object, or_default, section, Object, WholeNumber};
+use crate::{Error, WireSettings};
+use serde::de::{self, Deserializer, Unexpected, Visitor};
+use serde::Deserialize;
+use std::fmt;
+use std::net::SocketAddr;
+
+/// The configuration that the platform starts a manager with. `E` is an event of the control feed, whose format the feed's
+/// reader knows.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(bound(deserialize = "E: Deserialize<'de>"))]
+pub struct PlatformConfig<E> {
+    /// The manager's name, the same after a restart; empty where it is absent.
+    #[serde(default, deserialize_with = "or_default")]
+    pub name: String,
+    /// Address on which clients connect.
+    pub listen: SocketAddr,
+    /// Seed of the random number generator.
+    pub seed: Seed,
+    /// Resource limits of the process.
+    #[serde(default, deserialize_with = "section")]
+    pub limits: ProcessLimits,
+    /// Address of the control feed (the endpoint list).
+    #[serde(default)]
+    pub feed: Option<String>,
+    /// Address of the operators' endpoint, if there is one.
+    #[serde(default)]
+    pub operator: Option<SocketAddr>,
+    /// The control feed's events up to the start.
+    #[serde(default = "KnownEvents::none", deserialize_with = "known_events")]
+    pub known: KnownEvents<E>,
+    /// The settings, in the form of the simulator's first message.
+    #[serde(deserialize_with = "object")]
+    pub settings: WireSettings,
+}
+
+impl<E: for<'de> Deserialize<'de>> PlatformConfig<E> {
+    /// Reads a configuration's text.
+    ///
+    /// # Errors
+    /// Where the text is no JSON, a required field is missing (`listen`, `seed`, `settings`) or a known one has an
+    /// invalid value: by line, column and path.
+    pub fn parse(text: &str) -> Result<PlatformConfig<E>, Error> {
+        let mut json = serde_json::Deserializer::from_str(text);
+        let result = serde_path_to_error::deserialize(&mut json);
+        let Object(config) = result.map_err(|e| Error::json(e.path().to_string(), e.inner()))?;
+        json.end().map_err(|e| Error::json(String::new(), &e))?;
+        Ok(config)
+    }
+}
+
+/// Resource limits of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(default)]
+pub struct ProcessLimits {
+    /// Memory in MB, beyond which the process is killed.
+    pub memory_mb: WholeNumber,
+    /// File descriptors.
+    pub sockets: WholeNumber,
+}
+
+/// Events of the control feed up to the start.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(bound(deserialize = "E: Deserialize<'de>"))]
+pub struct KnownEvents<E> {
+    /// Number of the last event; absent where there are no events.
+    #[serde(default)]
+    pub n: WholeNumber,
+    /// The events, in order.
+    #[serde(default = "Vec::new", deserialize_with = "or_default")]
+    pub events: Vec<E>,
+}
+
+impl<E> KnownEvents<E> {
+    fn none() -> KnownEvents<E> {
+        KnownEvents { n: WholeNumber(None), events: Vec::new() }
+    }
+}
+
+fn known_events<'de, D: Deserializer<'de>, E: Deserialize<'de>>(
+    deserializer: D,
+) -> Result<KnownEvents<E>, D::Error> {
+    // A number without events is ignored: polled from that number on, the feed would never send the whole list, which is
+    // in its first event.
+    let known = Option::<KnownEvents<E>>::deserialize(deserializer)?;
+    Ok(known.filter(|known| !known.events.is_empty()).unwrap_or_else(KnownEvents::none))
+}
+
+/// A seed: a number, or up to 16 hex digits as text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Seed(pub u64);
+
+impl<'de> Deserialize<'de> for Seed {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Seed, D::Error> {
+        struct SeedVisitor;
+        impl Visitor<'_> for SeedVisitor {
+            type Value = Seed;
+            fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+                f.write_str("a whole number, or up to 16 hex digits")
+            }
+            fn visit_u64<E: de::Error>(self, v: u64) -> Result<Seed, E> {
+                Ok(Seed(v))
+            }
+            fn visit_str<E: de::Error>(self, s: &str) -> Result<Seed, E> {
+                let seed = u64::from_str_radix(s, 16).map(Seed);
+                seed.map_err(|_| E::invalid_value(Unexpected::Str(s), &self))
+            }
+        }
+        d.deserialize_any(SeedVisitor)
+    }
+}
