--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -1,130 +1,147 @@
-//! Admission that warms: how many requests a manager that has just started takes in hand.
+//! Admission during warm-up: how many requests a manager that has just started accepts at a time.
 //!
-//! A manager that starts knows no engine's pace, no class's true cost and no price; what it takes at once
-//! rests on first guesses, and hundreds that start together guess alike. Here a starting manager takes at
-//! most `first` requests in hand; every request served raises the bound by `gain` (with a gain of 1 it doubles
-//! about once a round of answers, as TCP's slow start does, RFC 5681 section 3.1), and every sign that engines are full cuts it
-//! (multiplicative decrease). After `warm_ms`, or once the bound has reached `open_at`, nothing is bounded
-//! here any more: the decision module's tolls decide alone, from beliefs it has learned.
+//! A manager that starts knows neither the speed of engines nor the cost of classes; what it admits at once rests on
+//! initial estimates, and hundreds that start together estimate alike. So a starting manager has at most `initial_limit`
+//! requests pending. Each request served raises the limit by `increase` (with 1 it doubles about once per round trip, as
+//! TCP slow start does, RFC 5681 section 3.1), and each sign that engines are full multiplies it by `decrease_factor`
+//! (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit reaches `max_limit`: from then on the
+//! decision module alone admits and rejects.
 //!
-//! What is over the bound is refused at once and told when to come back: the time in which the requests in
-//! hand drain at the mean latency seen, jittered by half either way so that clients refused together do not
-//! return together.
+//! A request over the limit is rejected at once with a Retry-After: the time in which the pending requests complete at
+//! the mean latency seen, jittered by half either way so that clients rejected together do not return together.
 
-use crate::{TimeDelta, Timestamp};
+use crate::{from_millis, TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// Latency taken for the mean before an answer tells, and the weight of one answer in it.
-const FIRST_LATENCY: TimeDelta = TimeDelta::from_millis(200);
-const LATENCY_STEP: f64 = 0.2;
-/// Bounds of the advice to come back: under the first a client meets the same moment, over the second the
-/// warm-up has moved on.
-const COME_BACK: [TimeDelta; 2] = [TimeDelta::from_millis(100), TimeDelta::from_millis(2_000)];
-/// The bound never falls under this: one request in hand at least finds out whether things are better.
-const LEAST: f64 = 1.0;
+/// Mean latency assumed before the first response.
+const INITIAL_LATENCY: TimeDelta = TimeDelta::from_millis(200);
+/// Weight of one response in the mean latency (exponentially weighted).
+const LATENCY_WEIGHT: f64 = 0.2;
+/// Shortest Retry-After: earlier, a client would meet the same conditions.
+pub const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
+/// Longest Retry-After: later, warm-up has moved on.
+pub const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
+/// The limit never falls below this many requests: one pending request at least shows whether conditions improve.
+const MIN_LIMIT: f64 = 1.0;
+/// Distinguishes this generator from others that are seeded with the manager's seed.
+const RNG_STREAM: u64 = 0xad31_5510;
 
-/// The figures of the warming admission.
+/// Settings of admission during warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct AdmissionTerms {
-    /// Requests in hand that a start takes at first; 1 to 10,000.
-    pub first: f64,
-    /// Rise of the bound for each request served; 0.01 to 10.
-    pub gain: f64,
-    /// The bound is multiplied by this when an engine turns an attempt away as full or fails it; 0.1 to 1.
-    pub cut: f64,
-    /// The bound binds for so long after the start at most, in milliseconds; 0 (off) to 120,000.
-    pub warm_ms: f64,
-    /// At this bound the warm-up is over; `first` to 100,000.
-    pub open_at: f64,
+pub struct AdmissionConfig {
+    /// Initial limit on pending requests; 1 to 10,000.
+    #[serde(rename = "first")]
+    pub initial_limit: f64,
+    /// Increase of the limit per request served; 0.01 to 10.
+    #[serde(rename = "gain")]
+    pub increase: f64,
+    /// Factor on the limit when an engine rejects an attempt as full or fails it; 0.1 to 1.
+    #[serde(rename = "cut")]
+    pub decrease_factor: f64,
+    /// Longest warm-up after the start, in milliseconds; 0 (off) to 120,000.
+    #[serde(rename = "warm_ms")]
+    pub warmup_ms: f64,
+    /// Limit at which warm-up ends; `first` to 100,000.
+    #[serde(rename = "open_at")]
+    pub max_limit: f64,
 }
 
-impl Default for AdmissionTerms {
-    fn default() -> AdmissionTerms {
-        AdmissionTerms { first: 16.0, gain: 1.0, cut: 0.7, warm_ms: 5_000.0, open_at: 128.0 }
+impl Default for AdmissionConfig {
+    fn default() -> AdmissionConfig {
+        AdmissionConfig {
+            initial_limit: 16.0,
+            increase: 1.0,
+            decrease_factor: 0.7,
+            warmup_ms: 5_000.0,
+            max_limit: 128.0,
+        }
     }
 }
 
-impl AdmissionTerms {
-    /// What is wrong with the figures, if anything: the field and the rule.
+impl AdmissionConfig {
+    /// Checks each number against its range.
+    ///
+    /// # Errors
+    /// The first field out of its range, by its name in the file.
     pub fn validate(&self) -> Result<(), InvalidField> {
-        check_range("first", self.first, 1.0, 10_000.0)?;
-        check_range("gain", self.gain, 0.01, 10.0)?;
-        check_range("cut", self.cut, 0.1, 1.0)?;
-        check_range("warm_ms", self.warm_ms, 0.0, 120_000.0)?;
-        check_range("open_at", self.open_at, self.first, 100_000.0)
+        check_range("first", self.initial_limit, 1.0, 10_000.0)?;
+        check_range("gain", self.increase, 0.01, 10.0)?;
+        check_range("cut", self.decrease_factor, 0.1, 1.0)?;
+        check_range("warm_ms", self.warmup_ms, 0.0, 120_000.0)?;
+        check_range("open_at", self.max_limit, self.initial_limit, 100_000.0)
     }
 }
 
-/// One manager's admission in its warm-up.
+/// Admission control of one manager during its warm-up.
 #[derive(Clone, Debug)]
-pub struct WarmAdmission {
-    terms: AdmissionTerms,
+pub struct WarmupAdmission {
+    config: AdmissionConfig,
     rng: ChaCha8Rng,
-    until: Timestamp,
-    bound: f64,
-    latency: f64,
-    over: bool,
-    refused: u64,
+    warmup_ends_at: Timestamp,
+    limit: f64,
+    /// Mean latency in seconds.
+    mean_latency: f64,
+    finished: bool,
+    rejected: u64,
 }
 
-impl WarmAdmission {
-    /// The admission of a manager that starts now; `seed` for the jitter of its advice.
-    pub fn new(terms: AdmissionTerms, seed: u64, now: Timestamp) -> WarmAdmission {
-        WarmAdmission {
-            until: now + TimeDelta::from_secs_f64(terms.warm_ms / 1_000.0),
-            rng: ChaCha8Rng::seed_from_u64(seed ^ 0xad31_5510),
-            bound: terms.first,
-            latency: FIRST_LATENCY.as_secs_f64(),
-            over: terms.warm_ms <= 0.0,
-            refused: 0,
-            terms,
+impl WarmupAdmission {
+    /// Admission control of a manager that starts now; `seed` is for the jitter of Retry-After.
+    pub fn new(config: AdmissionConfig, seed: u64, now: Timestamp) -> WarmupAdmission {
+        WarmupAdmission {
+            warmup_ends_at: now + from_millis(config.warmup_ms),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM),
+            limit: config.initial_limit,
+            mean_latency: INITIAL_LATENCY.as_secs_f64(),
+            finished: config.warmup_ms <= 0.0,
+            rejected: 0,
+            config,
         }
     }
 
-    /// A request came while `in_hand` others are open: `Ok` if it may be taken, else when to come back.
-    pub fn admit(&mut self, now: Timestamp, in_hand: usize) -> Result<(), TimeDelta> {
-        self.over |= now >= self.until;
-        if self.over || (in_hand as f64) < self.bound {
+    /// Admits or rejects a request that arrives while `pending` others are.
+    ///
+    /// # Errors
+    /// The Retry-After where the request is rejected.
+    pub fn admit(&mut self, now: Timestamp, pending: usize) -> Result<(), TimeDelta> {
+        self.finished |= now >= self.warmup_ends_at;
+        if self.finished || (pending as f64) < self.limit {
             return Ok(());
         }
-        self.refused += 1;
-        let rounds = in_hand as f64 / self.bound;
-        let wait = self.latency * rounds * self.rng.gen_range(0.5..=1.5);
-        Err(TimeDelta::from_secs_f64(wait).max(COME_BACK[0]).min(COME_BACK[1]))
+        self.rejected += 1;
+        let round_trips = pending as f64 / self.limit;
+        let seconds = self.mean_latency * round_trips * self.rng.gen_range(0.5..=1.5);
+        Err(TimeDelta::from_secs_f64(seconds).max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER))
     }
 
-    /// A request was served `latency` after it came.
-    pub fn served(&mut self, latency: TimeDelta) {
-        self.latency += LATENCY_STEP * (latency.as_secs_f64().max(0.0) - self.latency);
-        self.bound = (self.bound + self.terms.gain).min(self.terms.open_at);
-        self.over |= self.bound >= self.terms.open_at;
+    /// Records that a request was served `latency` after its arrival.
+    pub fn record_served(&mut self, latency: TimeDelta) {
+        self.mean_latency += LATENCY_WEIGHT * (latency.as_secs_f64().max(0.0) - self.mean_latency);
+        self.limit = (self.limit + self.config.increase).min(self.config.max_limit);
+        self.finished |= self.limit >= self.config.max_limit;
     }
 
-    /// An engine turned an attempt away as full, or failed it.
-    pub fn pushed_back(&mut self) {
-        self.bound = (self.bound * self.terms.cut).max(LEAST);
+    /// Records that an engine rejected an attempt as full, or failed it.
+    pub fn record_backpressure(&mut self) {
+        self.limit = (self.limit * self.config.decrease_factor).max(MIN_LIMIT);
     }
 
-    /// Whether the warm-up is over: nothing is refused here any more.
-    pub fn over(&self) -> bool {
-        self.over
+    /// Whether warm-up is over, so that nothing is rejected here any more.
+    pub fn is_finished(&self) -> bool {
+        self.finished
     }
 
-    /// Requests refused here so far.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Requests rejected here so far.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
-    /// Requests in hand that are taken now.
-    pub fn bound(&self) -> f64 {
-        self.bound
+    /// Current limit on pending requests.
+    pub fn limit(&self) -> f64 {
+        self.limit
     }
 }
-
-#[cfg(test)]
-#[path = "admission_tests.rs"]
-mod tests;
--- a/crates/startup/src/backoff.rs
+++ b/crates/startup/src/backoff.rs
@@ -1,6 +1,7 @@
-//! Exponential backoff with jitter, after gRPC's connection backoff (grpc/doc/connection-backoff.md):
-//! a first rest, multiplied after each failure up to a longest, each rest spread by a share either way
-//! so that clients that failed together do not come back together.
+//! Exponential backoff with jitter, after gRPC's connection backoff (grpc/doc/connection-backoff.md).
+//!
+//! The first delay is multiplied after each failure up to a maximum; each is spread by a fraction either way, so that
+//! clients that failed together do not return together.
 
 use crate::TimeDelta;
 use rand::Rng;
@@ -8,26 +9,32 @@
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// The figures of a backoff.
+/// Shortest delay after jitter, in milliseconds.
+const MIN_DELAY_MS: f64 = 1.0;
+
+/// Settings of a backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BackoffTerms {
-    /// First rest, in milliseconds (gRPC: 1,000).
+pub struct BackoffConfig {
+    /// First delay, in milliseconds (gRPC: 1,000); 1 to 3,600,000.
     pub initial_ms: f64,
-    /// Each further rest is so many times the last (gRPC: 1.6); 1 to 10.
+    /// Each further delay is this many times the last (gRPC: 1.6); 1 to 10.
     pub multiplier: f64,
-    /// Each rest is spread evenly by this share either way (gRPC: 0.2); 0 to 1.
+    /// Each delay is spread evenly by this fraction either way (gRPC: 0.2); 0 to 1.
     pub jitter: f64,
-    /// Longest rest before jitter, in milliseconds (gRPC: 120,000).
+    /// Longest delay before jitter, in milliseconds (gRPC: 120,000); `initial_ms` to 3,600,000.
     pub max_ms: f64,
 }
 
-impl BackoffTerms {
-    /// gRPC's figures: 1 s, times 1.6, jitter 0.2, at most 120 s.
-    pub const GRPC: BackoffTerms =
-        BackoffTerms { initial_ms: 1_000.0, multiplier: 1.6, jitter: 0.2, max_ms: 120_000.0 };
+impl BackoffConfig {
+    /// gRPC's values: 1 s, times 1.6, jitter 0.2, at most 120 s.
+    pub const GRPC: BackoffConfig =
+        BackoffConfig { initial_ms: 1_000.0, multiplier: 1.6, jitter: 0.2, max_ms: 120_000.0 };
 
-    /// What is wrong with the figures, if anything: the path's last part and the rule.
+    /// Checks each number against its range.
+    ///
+    /// # Errors
+    /// The first field out of its range.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("initial_ms", self.initial_ms, 1.0, 3_600_000.0)?;
         check_range("multiplier", self.multiplier, 1.0, 10.0)?;
@@ -36,18 +43,19 @@
     }
 }
 
-/// Where a backoff stands: the rest before jitter that the next failure gets.
+/// State of a backoff.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    terms: BackoffTerms,
-    current_ms: f64,
+    config: BackoffConfig,
+    /// Delay after the next failure, before jitter, in milliseconds.
+    next_delay_ms: f64,
     failures: u32,
 }
 
 impl Backoff {
-    /// A backoff with no failure yet.
-    pub fn new(terms: BackoffTerms) -> Backoff {
-        Backoff { terms, current_ms: terms.initial_ms, failures: 0 }
+    /// A backoff without failures.
+    pub fn new(config: BackoffConfig) -> Backoff {
+        Backoff { config, next_delay_ms: config.initial_ms, failures: 0 }
     }
 
     /// Failures since the last success.
@@ -55,63 +63,19 @@
         self.failures
     }
 
-    /// One more failure: the rest to take before the next try, jittered, never under a millisecond.
-    pub fn fail(&mut self, rng: &mut ChaCha8Rng) -> TimeDelta {
-        let spread =
-            if self.terms.jitter > 0.0 { rng.gen_range(-self.terms.jitter..=self.terms.jitter) } else { 0.0 };
-        let rest_ms = (self.current_ms * (1.0 + spread)).max(1.0);
-        self.current_ms = (self.current_ms * self.terms.multiplier).min(self.terms.max_ms);
+    /// Records a failure; returns the delay before the next attempt, jittered, at least a millisecond.
+    pub fn record_failure(&mut self, rng: &mut ChaCha8Rng) -> TimeDelta {
+        let jitter = self.config.jitter;
+        let spread = if jitter > 0.0 { rng.gen_range(-jitter..=jitter) } else { 0.0 };
+        let delay_ms = (self.next_delay_ms * (1.0 + spread)).max(MIN_DELAY_MS);
+        self.next_delay_ms = (self.next_delay_ms * self.config.multiplier).min(self.config.max_ms);
         self.failures = self.failures.saturating_add(1);
-        TimeDelta::from_micros((rest_ms * 1_000.0) as i64)
+        TimeDelta::from_micros((delay_ms * 1_000.0) as i64)
     }
 
-    /// A success: the next failure starts from the first rest again.
-    pub fn succeed(&mut self) {
-        self.current_ms = self.terms.initial_ms;
+    /// Records a success: the next failure starts from the first delay again.
+    pub fn reset(&mut self) {
+        self.next_delay_ms = self.config.initial_ms;
         self.failures = 0;
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::SeedableRng;
-
-    #[test]
-    fn rests_grow_by_the_multiplier_within_the_jitter_up_to_the_longest() {
-        let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let mut b = Backoff::new(BackoffTerms::GRPC);
-        let mut plain = 1_000.0;
-        for _ in 0..20 {
-            let rest = b.fail(&mut rng).as_micros() as f64 / 1_000.0;
-            assert!(rest >= plain * 0.8 - 1e-6 && rest <= plain * 1.2 + 1e-6, "{rest} against {plain}");
-            plain = (plain * 1.6).min(120_000.0);
-        }
-        assert_eq!(b.failures(), 20);
-        b.succeed();
-        let rest = b.fail(&mut rng).as_micros() as f64 / 1_000.0;
-        assert!((800.0..=1_200.0).contains(&rest));
-    }
-
-    #[test]
-    fn jitter_parts_clients_that_failed_together() {
-        let rests: Vec<i64> = (0..50)
-            .map(|seed| {
-                Backoff::new(BackoffTerms::GRPC).fail(&mut ChaCha8Rng::seed_from_u64(seed)).as_micros()
-            })
-            .collect();
-        let mut distinct = rests.clone();
-        distinct.sort_unstable();
-        distinct.dedup();
-        assert!(distinct.len() > 45, "{} distinct of 50", distinct.len());
-    }
-
-    #[test]
-    fn figures_out_of_range_are_named() {
-        let bad = BackoffTerms { multiplier: 0.5, ..BackoffTerms::GRPC };
-        assert!(bad.validate().unwrap_err().path.starts_with("multiplier"));
-        let bad = BackoffTerms { max_ms: 10.0, ..BackoffTerms::GRPC };
-        assert!(bad.validate().unwrap_err().path.starts_with("max_ms"));
-        assert!(BackoffTerms::GRPC.validate().is_ok());
-    }
-}
--- /dev/null
+++ b/crates/startup/src/dial_pacer.rs
@@ -0,0 +1,112 @@
+//! When a manager may dial a new connection to an engine.
+//!
+//! Managers that start together (a release, a crash of most of the fleet) would dial their engines in the same
+//! milliseconds, and an engine's accept queue and session table see the sum. So during a manager's warm-up each new
+//! connection waits for its slot: a point in a window of `window_ms`, given by a hash of the manager's name and the
+//! engine's id. The dials of all managers to one engine then spread evenly over the window, and those of one manager over
+//! its engines. At all times a rate limit applies to new connections; a dial never waits longer than one window and one
+//! interval of the rate.
+
+use crate::{from_millis, TimeDelta, Timestamp};
+use serde::{Deserialize, Serialize};
+use sprucelink_settings::{check_range, InvalidField};
+use sprucelink_stable_hash::{stable_hash, unit};
+
+/// Settings of new connections.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct DialPacerConfig {
+    /// Window over which first dials spread, in milliseconds; 0 (off) to 500.
+    #[serde(rename = "stage_ms")]
+    pub window_ms: f64,
+    /// How long after the start dials wait for their slots, in milliseconds; 0 to 120,000.
+    #[serde(rename = "warm_ms")]
+    pub warmup_ms: f64,
+    /// New connections per second that one manager may open, beyond its burst; 1 to 10,000.
+    pub rate: f64,
+    /// New connections that may open in a row; 1 to 1,000.
+    pub burst: f64,
+}
+
+impl Default for DialPacerConfig {
+    fn default() -> DialPacerConfig {
+        DialPacerConfig { window_ms: 100.0, warmup_ms: 10_000.0, rate: 50.0, burst: 16.0 }
+    }
+}
+
+impl DialPacerConfig {
+    /// Checks each number against its range.
+    ///
+    /// # Errors
+    /// The first field out of its range, by its name in the file.
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("stage_ms", self.window_ms, 0.0, 500.0)?;
+        check_range("warm_ms", self.warmup_ms, 0.0, 120_000.0)?;
+        check_range("rate", self.rate, 1.0, 10_000.0)?;
+        check_range("burst", self.burst, 1.0, 1_000.0)
+    }
+}
+
+/// Paces the dials of one manager.
+#[derive(Clone, Debug)]
+pub struct DialPacer {
+    config: DialPacerConfig,
+    manager_name: Vec<u8>,
+    started_at: Timestamp,
+    /// Theoretical arrival time of the generic cell rate algorithm (ITU-T I.371): the token bucket as one instant.
+    theoretical_arrival: Timestamp,
+    delayed_dials: u64,
+}
+
+impl DialPacer {
+    /// Paces the dials of the manager called `name`, which starts now.
+    pub fn new(config: DialPacerConfig, name: &str, now: Timestamp) -> DialPacer {
+        DialPacer {
+            config,
+            manager_name: name.as_bytes().to_vec(),
+            started_at: now,
+            theoretical_arrival: now,
+            delayed_dials: 0,
+        }
+    }
+
+    /// Where in the window this manager's slot for `engine` lies, as a fraction of it.
+    pub fn slot_fraction(&self, engine: &str) -> f64 {
+        unit(stable_hash(&[&self.manager_name, engine.as_bytes()]))
+    }
+
+    /// Reserves a dial to `engine` that is wanted now, and returns when it may start.
+    ///
+    /// While dials are wanted no faster than the rate, that is `now` or later by at most one window and one interval of
+    /// the rate.
+    pub fn reserve_dial(&mut self, now: Timestamp, engine: &str) -> Timestamp {
+        let slot = self.next_slot(now, engine);
+        self.delayed_dials += u64::from(slot > now);
+        let interval = TimeDelta::from_secs_f64(1.0 / self.config.rate);
+        let tolerance = TimeDelta::from_secs_f64((self.config.burst - 1.0) / self.config.rate);
+        let dial_at = slot.max(self.theoretical_arrival - tolerance);
+        self.theoretical_arrival = self.theoretical_arrival.max(dial_at) + interval;
+        dial_at
+    }
+
+    /// The first occurrence of the engine's slot from `now` on; `now` outside warm-up.
+    fn next_slot(&self, now: Timestamp, engine: &str) -> Timestamp {
+        let window = from_millis(self.config.window_ms);
+        let is_warming_up = now - self.started_at < from_millis(self.config.warmup_ms);
+        if window <= TimeDelta::ZERO || !is_warming_up {
+            return now;
+        }
+        let window_micros = window.as_micros();
+        let offset = TimeDelta::from_micros((self.slot_fraction(engine) * window_micros as f64) as i64);
+        let first_slot = self.started_at + offset;
+        let since_first_slot = (now - first_slot).as_micros();
+        let windows =
+            if since_first_slot <= 0 { 0 } else { (since_first_slot + window_micros - 1) / window_micros };
+        first_slot + TimeDelta::from_micros(windows * window_micros)
+    }
+
+    /// Dials that had to wait for their slot so far.
+    pub fn delayed_dials(&self) -> u64 {
+        self.delayed_dials
+    }
+}
--- /dev/null
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -0,0 +1,175 @@
+//! What a new endpoint list may change of the current one.
+//!
+//! While a list service recovers (from a backup, or as one of several replicas that lag) it may send a list that is older
+//! than the current one, or that contradicts itself. Applied as it is, such a list brings back engines that are gone and
+//! removes those that came since: hundreds of managers would dial dead engines and drop live ones in the same second.
+//! The rules are those that are safe whoever is right:
+//!
+//! - an event whose revision is below the highest seen is *stale*. A drain or removal in it is applied at once (a needless
+//!   drain costs capacity, a missed one breaks a rule), an engine that it lists as ready is ignored, and an engine that it
+//!   does not list stays;
+//! - of an engine that is listed twice in one event the more cautious state counts;
+//! - a stale complete list that is still sent after `accept_stale_after_ms`, with nothing newer between, is accepted: the
+//!   service's numbering began anew (a restart from a backup), and it must not be ignored for good.
+//!
+//! Only ids and states are kept, of at most [`MAX_ENGINES`] engines.
+
+use crate::{from_millis, Timestamp};
+use serde::{Deserialize, Serialize};
+use sprucelink_settings::{check_range, InvalidField};
+use std::collections::BTreeMap;
+
+/// Largest number of engines tracked; further ones are applied unchecked. Twice the largest fleet planned for.
+pub const MAX_ENGINES: usize = 10_000;
+
+/// State of an engine in an endpoint list, in ascending order of caution.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EndpointState {
+    /// It takes work.
+    Ready,
+    /// It completes the work it has.
+    Draining,
+    /// It is removed.
+    Gone,
+}
+
+/// Settings of the guard.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct EndpointListGuardConfig {
+    /// A stale complete list is accepted when it is still sent after this, in milliseconds; 0 (at once: the guard is off)
+    /// to 60,000.
+    #[serde(rename = "older_for_ms")]
+    pub accept_stale_after_ms: f64,
+}
+
+impl Default for EndpointListGuardConfig {
+    fn default() -> EndpointListGuardConfig {
+        EndpointListGuardConfig { accept_stale_after_ms: 2_000.0 }
+    }
+}
+
+impl EndpointListGuardConfig {
+    /// Checks the number against its range.
+    ///
+    /// # Errors
+    /// The field, by its name in the file, if it is out of its range.
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("older_for_ms", self.accept_stale_after_ms, 0.0, 60_000.0)
+    }
+}
+
+/// What to apply of an event.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ListDecision {
+    /// Indices of the event's entries to apply, ascending.
+    pub accepted: Vec<usize>,
+    /// Whether to apply it as a complete list: engines that it does not list are gone.
+    pub is_complete: bool,
+    /// The event is older than the current list.
+    pub is_stale: bool,
+    /// Entries that contradict another of the same event.
+    pub contradictions: usize,
+}
+
+/// Tracks the current endpoint list, and decides what an event may change of it.
+#[derive(Clone, Debug)]
+pub struct EndpointListGuard {
+    config: EndpointListGuardConfig,
+    revision: u64,
+    states: BTreeMap<String, EndpointState>,
+    /// Since when stale complete lists come with nothing newer between.
+    stale_since: Option<Timestamp>,
+}
+
+impl EndpointListGuard {
+    /// A guard without a list.
+    pub fn new(config: EndpointListGuardConfig) -> EndpointListGuard {
+        EndpointListGuard { config, revision: 0, states: BTreeMap::new(), stale_since: None }
+    }
+
+    /// Revision of the current list.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Decides what to apply of an event with a revision, which may claim to be complete and lists engines by id. What is
+    /// accepted becomes part of the current list.
+    pub fn evaluate(
+        &mut self,
+        now: Timestamp,
+        revision: u64,
+        is_complete: bool,
+        entries: &[(&str, EndpointState)],
+    ) -> ListDecision {
+        let (most_cautious, contradictions) = most_cautious_entries(entries);
+        let is_stale = self.is_stale(now, revision, is_complete);
+        if !is_stale {
+            self.revision = revision;
+            self.stale_since = None;
+        }
+        let mut accepted: Vec<usize> = most_cautious
+            .iter()
+            .filter(|(id, (_, state))| !is_stale || self.is_more_cautious(id, *state))
+            .map(|(_, (index, _))| *index)
+            .collect();
+        accepted.sort_unstable();
+        let is_complete = is_complete && !is_stale;
+        if is_complete {
+            self.states.clear();
+        }
+        for index in &accepted {
+            let (id, state) = entries[*index];
+            self.track(id, state);
+        }
+        if self.states.len() >= MAX_ENGINES {
+            // Ids are not used again: engines that are gone are tracked only while there is room.
+            self.states.retain(|_, state| *state != EndpointState::Gone);
+        }
+        ListDecision { accepted, is_complete, is_stale, contradictions }
+    }
+
+    /// Whether an event is older than the current list. A stale complete list stops being so once it has been sent for
+    /// long enough.
+    fn is_stale(&mut self, now: Timestamp, revision: u64, is_complete: bool) -> bool {
+        let is_older = revision < self.revision && self.config.accept_stale_after_ms > 0.0;
+        if !is_older || !is_complete {
+            return is_older;
+        }
+        let since = *self.stale_since.get_or_insert(now);
+        now - since < from_millis(self.config.accept_stale_after_ms)
+    }
+
+    /// Whether a state is more cautious than the tracked one. An engine that is not tracked may have gone since.
+    fn is_more_cautious(&self, id: &str, state: EndpointState) -> bool {
+        self.states.get(id).is_some_and(|current| state > *current)
+    }
+
+    fn track(&mut self, id: &str, state: EndpointState) {
+        if self.states.len() < MAX_ENGINES {
+            self.states.insert(id.to_owned(), state);
+        } else if let Some(current) = self.states.get_mut(id) {
+            *current = state;
+        }
+    }
+}
+
+/// For each engine the index and state of its most cautious entry, and the number of entries that contradict another.
+fn most_cautious_entries<'a>(
+    entries: &[(&'a str, EndpointState)],
+) -> (BTreeMap<&'a str, (usize, EndpointState)>, usize) {
+    let mut most_cautious: BTreeMap<&str, (usize, EndpointState)> = BTreeMap::new();
+    let mut contradictions = 0;
+    for (index, (id, state)) in entries.iter().enumerate() {
+        let chosen = most_cautious.entry(id).or_insert((index, *state));
+        let chosen_state = chosen.1;
+        contradictions += usize::from(chosen_state != *state);
+        if *state > chosen_state {
+            *chosen = (index, *state);
+        }
+    }
+    (most_cautious, contradictions)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/startup/src/endpoint_poller.rs
@@ -0,0 +1,244 @@
+//! When a manager polls the list service (the control feed) for its endpoint list.
+//!
+//! A manager alone may poll at once at its start, and again 20 ms after an answer ends. Hundreds of managers that start,
+//! or lose the service, together would poll it in the same milliseconds. Hence:
+//!
+//! - the first poll is spread by full jitter over a window that grows with the configured fleet size: `fleet /
+//!   fleet_rate` seconds, at most `max_window_ms`;
+//! - each poll takes a token from a bucket that refills at this manager's part of the fleet's rate, `fleet_rate / fleet`
+//!   per second, and holds `burst` tokens;
+//! - a poll that failed is retried by the backoff `failed` (short: most failures pass), one that the service rejected
+//!   (HTTP 429 or 503) by the backoff `rejected` (gRPC's values);
+//! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed is longer
+//!   than `max_delay_ms`, whatever the token bucket says: both at most 250 ms. An event counts as delivered when it would
+//!   have arrived had the manager been polling, and a drain must be honoured within 500 ms of that. Only an explicit
+//!   rejection may delay for longer, since the service is up and says that it cannot answer.
+//!
+//! The last endpoint list stays in force meanwhile; [`EndpointPoller::time_since_success`] tells how old it is.
+
+use crate::backoff::{Backoff, BackoffConfig};
+use crate::{from_millis, TimeDelta, Timestamp};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use serde::{Deserialize, Serialize};
+use sprucelink_settings::{check_range, InvalidField};
+
+/// Longest first wait and delay, in milliseconds: half the drain grace of 500 ms, so that a manager that learns of a
+/// drain at the end of a delay still stops sending within the grace.
+pub const MAX_DRAIN_DELAY_MS: f64 = 250.0;
+/// Longest window where drains that are honoured late break no rule, in milliseconds.
+const MAX_WINDOW_MS: f64 = 120_000.0;
+
+/// How a poll ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PollOutcome {
+    /// It was answered (the head of a good response arrived), and then the answer ended or broke.
+    Answered,
+    /// No connection, no head in time, a bad head, or silence before any answer.
+    Failed,
+    /// The service rejected it: HTTP 429 or 503.
+    Rejected,
+}
+
+/// Settings of polls.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct EndpointPollerConfig {
+    /// Polls per second that the list service is expected to handle from the whole fleet; 1 to 100,000.
+    pub fleet_rate: f64,
+    /// Engines reject work themselves while they drain, so that a drain honoured late breaks no rule: only then may
+    /// `max_window_ms` exceed 250. Never so on the platform.
+    #[serde(rename = "engines_refuse_drained")]
+    pub engines_reject_while_draining: bool,
+    /// Tokens a manager may hold: polls in a row without waiting for the rate; 1 to 100.
+    pub burst: f64,
+    /// Longest window over which first polls spread, in milliseconds; 0 to 250 (drains), or to 120,000 with
+    /// `engines_reject_while_draining`.
+    #[serde(rename = "window_most_ms")]
+    pub max_window_ms: f64,
+    /// Longest delay after an answered or failed poll, in milliseconds; 20 to 250 (drains).
+    #[serde(rename = "rest_most_ms")]
+    pub max_delay_ms: f64,
+    /// Shortest delay after an answered poll, before jitter, in milliseconds; 0 to `max_delay_ms`.
+    #[serde(rename = "again_least_ms")]
+    pub min_delay_ms: f64,
+    /// Backoff after polls that failed.
+    pub failed: BackoffConfig,
+    /// Backoff after polls that the service rejected.
+    #[serde(rename = "refused")]
+    pub rejected: BackoffConfig,
+}
+
+impl Default for EndpointPollerConfig {
+    fn default() -> EndpointPollerConfig {
+        EndpointPollerConfig {
+            fleet_rate: 200.0,
+            engines_reject_while_draining: false,
+            burst: 3.0,
+            max_window_ms: 200.0,
+            max_delay_ms: 250.0,
+            min_delay_ms: 20.0,
+            failed: BackoffConfig { initial_ms: 20.0, multiplier: 2.0, jitter: 0.5, max_ms: 250.0 },
+            rejected: BackoffConfig::GRPC,
+        }
+    }
+}
+
+impl EndpointPollerConfig {
+    /// Checks each number against its range.
+    ///
+    /// # Errors
+    /// The first field out of its range, by its name in the file.
+    pub fn validate(&self) -> Result<(), InvalidField> {
+        check_range("fleet_rate", self.fleet_rate, 1.0, 100_000.0)?;
+        check_range("burst", self.burst, 1.0, 100.0)?;
+        let window_bound =
+            if self.engines_reject_while_draining { MAX_WINDOW_MS } else { MAX_DRAIN_DELAY_MS };
+        check_range("window_most_ms", self.max_window_ms, 0.0, window_bound)?;
+        check_range("rest_most_ms", self.max_delay_ms, 20.0, MAX_DRAIN_DELAY_MS)?;
+        check_range("again_least_ms", self.min_delay_ms, 0.0, self.max_delay_ms)?;
+        self.failed.validate().map_err(|invalid| invalid.in_section("failed"))?;
+        self.rejected.validate().map_err(|invalid| invalid.in_section("refused"))
+    }
+}
+
+/// Schedules the polls of one manager.
+#[derive(Clone, Debug)]
+pub struct EndpointPoller {
+    config: EndpointPollerConfig,
+    /// Configured number of managers, at least 1.
+    fleet: f64,
+    rng: ChaCha8Rng,
+    next_poll_at: Timestamp,
+    /// Tokens in the bucket; negative after polls that went without one.
+    tokens: f64,
+    refilled_at: Timestamp,
+    failed: Backoff,
+    rejected: Backoff,
+    in_flight: bool,
+    last_answer: Option<Timestamp>,
+    started_at: Timestamp,
+    polls: u64,
+}
+
+impl EndpointPoller {
+    /// The schedule of a manager that starts now, in a fleet of `fleet` managers as configured (at least 1).
+    pub fn new(config: EndpointPollerConfig, fleet: u32, seed: u64, now: Timestamp) -> EndpointPoller {
+        let mut poller = EndpointPoller {
+            config,
+            fleet: f64::from(fleet.max(1)),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            next_poll_at: now,
+            tokens: config.burst,
+            refilled_at: now,
+            failed: Backoff::new(config.failed),
+            rejected: Backoff::new(config.rejected),
+            in_flight: false,
+            last_answer: None,
+            started_at: now,
+            polls: 0,
+        };
+        let window = poller.first_poll_window();
+        poller.next_poll_at = now + poller.full_jitter(window);
+        poller
+    }
+
+    /// The window over which the fleet's first polls spread.
+    pub fn first_poll_window(&self) -> TimeDelta {
+        let fleet_seconds = self.fleet / self.config.fleet_rate;
+        TimeDelta::from_secs_f64(fleet_seconds.min(self.config.max_window_ms / 1_000.0))
+    }
+
+    /// When the next poll may start; `None` while one is in flight.
+    pub fn next_poll_at(&self) -> Option<Timestamp> {
+        (!self.in_flight).then_some(self.next_poll_at)
+    }
+
+    /// Starts a poll if one is due; whether it did. It takes a token, or goes without one where the bucket would delay it
+    /// beyond its bound (drains take precedence).
+    pub fn try_start(&mut self, now: Timestamp) -> bool {
+        if self.in_flight || now < self.next_poll_at {
+            return false;
+        }
+        self.refill(now);
+        self.tokens = (self.tokens - 1.0).max(-self.config.burst);
+        self.in_flight = true;
+        self.polls += 1;
+        true
+    }
+
+    /// Records how the poll in flight ended; returns when the next may start.
+    pub fn complete(&mut self, now: Timestamp, outcome: PollOutcome) -> Timestamp {
+        self.in_flight = false;
+        self.refill(now);
+        let max_delay = from_millis(self.config.max_delay_ms);
+        let delay = match outcome {
+            PollOutcome::Answered => {
+                self.last_answer = Some(now);
+                self.failed.reset();
+                self.rejected.reset();
+                self.delay_after_answer(max_delay)
+            }
+            PollOutcome::Failed => {
+                let backoff = self.failed.record_failure(&mut self.rng);
+                backoff.max(self.token_wait()).min(max_delay)
+            }
+            PollOutcome::Rejected => {
+                let backoff = self.rejected.record_failure(&mut self.rng);
+                backoff.max(self.token_wait())
+            }
+        };
+        self.next_poll_at = now + delay;
+        self.next_poll_at
+    }
+
+    /// Full jitter over the fleet's window, so that an end that reached all managers at once (a restart of the service) is
+    /// not followed by polls from all at once.
+    fn delay_after_answer(&mut self, max_delay: TimeDelta) -> TimeDelta {
+        let min_delay = from_millis(self.config.min_delay_ms);
+        let window = self.first_poll_window().min(max_delay);
+        let jittered = min_delay + self.full_jitter(window);
+        jittered.max(self.token_wait()).min(max_delay)
+    }
+
+    fn full_jitter(&mut self, window: TimeDelta) -> TimeDelta {
+        if window <= TimeDelta::ZERO {
+            return TimeDelta::ZERO;
+        }
+        TimeDelta::from_micros(self.rng.gen_range(0..=window.as_micros()))
+    }
+
+    fn refill(&mut self, now: Timestamp) {
+        let seconds = (now - self.refilled_at).as_secs_f64().max(0.0);
+        self.tokens = (self.tokens + seconds * self.manager_rate()).min(self.config.burst);
+        self.refilled_at = self.refilled_at.max(now);
+    }
+
+    /// How long until the bucket holds a whole token.
+    fn token_wait(&self) -> TimeDelta {
+        if self.tokens >= 1.0 {
+            return TimeDelta::ZERO;
+        }
+        TimeDelta::from_secs_f64((1.0 - self.tokens) / self.manager_rate())
+    }
+
+    /// This manager's part of the fleet's rate, in polls per second.
+    fn manager_rate(&self) -> f64 {
+        self.config.fleet_rate / self.fleet
+    }
+
+    /// Time since the last answered poll; since the start if none was.
+    pub fn time_since_success(&self, now: Timestamp) -> TimeDelta {
+        now - self.last_answer.unwrap_or(self.started_at)
+    }
+
+    /// Polls started so far.
+    pub fn polls(&self) -> u64 {
+        self.polls
+    }
+
+    /// Failures and rejections since the last answered poll.
+    pub fn consecutive_failures(&self) -> u32 {
+        self.failed.failures() + self.rejected.failures()
+    }
+}
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -14,7 +14,7 @@
 use sprucelink_membership::facts::Facts;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::terms::Terms as FailoverConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -91,7 +91,7 @@
 
     /// Switches start-up control on: of dials, admission, endpoint lists and readiness. `name` is this manager's
     /// configured name. To be called before the first list, so that what is held is known from the start.
-    pub fn enable_startup_control(&self, settings: &ColdStart, name: &str) {
+    pub fn enable_startup_control(&self, settings: &StartupConfig, name: &str) {
         self.coordinator.borrow_mut().enable_startup_control(settings, name);
         self.wake.notify_one();
     }
@@ -99,7 +99,7 @@
     /// The endpoint service answered a poll.
     pub fn on_endpoint_service_answered(&self) {
         if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
-            startup.readiness.fed();
+            startup.readiness.record_feed_answer();
         }
     }
 
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -21,7 +21,7 @@
 use sprucelink_cordon::{CordonLimits, CordonState};
 use sprucelink_metrics::Taken;
 use sprucelink_policy::{Settings, TimeDelta, Timestamp};
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -108,7 +108,7 @@
     }
 
     /// Switches start-up control on.
-    pub(super) fn enable_startup_control(&mut self, settings: &ColdStart, name: &str) {
+    pub(super) fn enable_startup_control(&mut self, settings: &StartupConfig, name: &str) {
         let listed = self.engines.listed_count();
         self.startup = Some(StartupControl::new(settings, name, self.seed, listed, now()));
     }
@@ -291,7 +291,7 @@
                 accounting.into_iter().for_each(Taken::succeeded);
                 self.counters.served += 1;
                 if let Some(startup) = &mut self.startup {
-                    startup.admission.served(now() - arrived_at);
+                    startup.admission.record_served(now() - arrived_at);
                 }
             }
             Response::Rejected { .. } => {
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -126,7 +126,7 @@
         let request_complete = outcome == AttemptOutcome::Served || !request.is_awaited();
         if matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::EngineError) {
             if let Some(startup) = &mut self.startup {
-                startup.admission.pushed_back();
+                startup.admission.record_backpressure();
             }
         }
         let event = PolicyEvent::AttemptEnded {
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -31,7 +31,7 @@
         self.record_event_number(&list);
         let listed = self.engines.listed_count();
         if let Some(startup) = &mut self.startup {
-            startup.readiness.listed(listed);
+            startup.readiness.record_endpoint_list(listed);
         }
         self.execute(runtime, commands);
         runtime.wake();
@@ -118,7 +118,7 @@
         let connection = engine.add_connection(number, limits, has_capacity)?;
         if let Some(startup) = &mut self.startup {
             // Managers that start together must not dial in step.
-            connection.set_dial_time(startup.dials.dial_at(now(), &engine.id));
+            connection.set_dial_time(startup.dials.reserve_dial(now(), &engine.id));
         }
         runtime.start_connection(Rc::clone(&connection));
         Ok(connection)
@@ -127,7 +127,7 @@
     /// A connection came up.
     pub(in crate::core) fn on_connection_up(&mut self, connection: &EngineConnection) {
         if let Some(startup) = &mut self.startup {
-            startup.readiness.linked();
+            startup.readiness.record_connection();
         }
         self.gossip_reachability(connection.engine, true);
     }
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -10,7 +10,7 @@
 use hyper::header::{ACCEPT, CONNECTION, HOST};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use sprucelink_startup::lists::ListCalls;
+use sprucelink_startup::endpoint_poller::EndpointPoller;
 use std::error::Error;
 use std::future::Future;
 use std::io;
@@ -49,7 +49,7 @@
 pub async fn follow(
     core: Rc<Core>,
     mut address: watch::Receiver<Option<String>>,
-    schedule: Option<ListCalls>,
+    schedule: Option<EndpointPoller>,
 ) {
     let mut watch = EndpointWatch::new(schedule, now());
     loop {
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -4,7 +4,7 @@
 //! A poll passes through [`Phase`]s, each with a bound on how long it may last with nothing received.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
-use sprucelink_startup::lists::{Ended, ListCalls};
+use sprucelink_startup::endpoint_poller::{EndpointPoller, PollOutcome};
 
 /// First backoff between two polls. The feed's events count as delivered whether it is connected or not, and a drain must
 /// be obeyed within 500 ms: no backoff may come near that.
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct EndpointWatch {
     phase: Phase,
-    schedule: Option<ListCalls>,
+    schedule: Option<EndpointPoller>,
     backoff: TimeDelta,
     was_rejected: bool,
     /// The number of the event that could not be read last.
@@ -88,8 +88,8 @@
 
 impl EndpointWatch {
     /// A watch that starts now.
-    pub fn new(schedule: Option<ListCalls>, now: Timestamp) -> EndpointWatch {
-        let until = schedule.as_ref().and_then(ListCalls::due).unwrap_or(now);
+    pub fn new(schedule: Option<EndpointPoller>, now: Timestamp) -> EndpointWatch {
+        let until = schedule.as_ref().and_then(EndpointPoller::next_poll_at).unwrap_or(now);
         EndpointWatch {
             phase: Phase::BackingOff { until, delay: until - now },
             schedule,
@@ -129,7 +129,7 @@
     /// A poll begins.
     pub fn on_poll_started(&mut self, now: Timestamp) {
         if let Some(schedule) = &mut self.schedule {
-            schedule.start(now);
+            schedule.try_start(now);
         }
         self.phase = Phase::Dialing { since: now };
         self.was_rejected = false;
@@ -194,11 +194,11 @@
         let mut backoff = Backoff { delay: self.backoff, was_rejected: false };
         if let Some(schedule) = &mut self.schedule {
             let outcome = match (self.was_rejected, was_answered) {
-                (true, _) => Ended::Refused,
-                (false, true) => Ended::Answered,
-                (false, false) => Ended::Failed,
+                (true, _) => PollOutcome::Rejected,
+                (false, true) => PollOutcome::Answered,
+                (false, false) => PollOutcome::Failed,
             };
-            let delay = schedule.ended(now, outcome) - now;
+            let delay = schedule.complete(now, outcome) - now;
             backoff = Backoff { delay, was_rejected: self.was_rejected };
         }
         self.phase = Phase::BackingOff { until: now + backoff.delay, delay: backoff.delay };
@@ -209,7 +209,7 @@
     pub fn on_address_changed(&mut self, now: Timestamp) {
         if !matches!(self.phase, Phase::BackingOff { .. }) {
             if let Some(schedule) = &mut self.schedule {
-                schedule.ended(now, Ended::Answered);
+                schedule.complete(now, PollOutcome::Answered);
             }
         }
         self.phase = Phase::BackingOff { until: now, delay: TimeDelta::ZERO };
--- a/src/core/endpoint_watch/tests.rs
+++ b/src/core/endpoint_watch/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
-use sprucelink_startup::lists::ListTerms;
+use sprucelink_startup::endpoint_poller::EndpointPollerConfig;
 
 /// What a feed does with one poll, each step so many microseconds after the one before.
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
     let feeds = (proptest::collection::vec(answer(), 1..40), any::<bool>(), any::<u64>());
     let run = { runner }.run(&feeds, |(feeds_played, scheduled, seed)| {
         let mut now = Timestamp::from_micros(1_000_000_000_000);
-        let calls = scheduled.then(|| ListCalls::new(ListTerms::default(), 300, seed, now));
+        let calls = scheduled.then(|| EndpointPoller::new(EndpointPollerConfig::default(), 300, seed, now));
         let mut watch = EndpointWatch::new(calls, now);
         prop_assert!(
             watch.time_left(now) <= TimeDelta::from_micros(200_000),
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -3,72 +3,72 @@
 
 use crate::proto::events::{ListEvent, Phase};
 use sprucelink_policy::Timestamp;
-use sprucelink_startup::admission::WarmAdmission;
-use sprucelink_startup::dials::DialStager;
-use sprucelink_startup::held::{HeldList, Says};
-use sprucelink_startup::ready::Readiness;
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::admission::WarmupAdmission;
+use sprucelink_startup::config::StartupConfig;
+use sprucelink_startup::dial_pacer::DialPacer;
+use sprucelink_startup::endpoint_list_guard::{EndpointListGuard, EndpointState};
+use sprucelink_startup::readiness::Readiness;
 use tracing::{info, warn};
 
 /// The state machines of `sprucelink_startup` that the core drives.
 pub(super) struct StartupControl {
-    pub(super) dials: DialStager,
-    pub(super) admission: WarmAdmission,
-    list_guard: HeldList,
+    pub(super) dials: DialPacer,
+    pub(super) admission: WarmupAdmission,
+    list_guard: EndpointListGuard,
     pub(super) readiness: Readiness,
 }
 
 impl StartupControl {
     /// A start-up that begins now. `name` is this manager's configured name, `listed_engines` those known so far.
     pub(super) fn new(
-        settings: &ColdStart,
+        settings: &StartupConfig,
         name: &str,
         seed: u64,
         listed_engines: usize,
         now: Timestamp,
     ) -> StartupControl {
-        let mut readiness = Readiness::new(settings.ready, now);
-        readiness.listed(listed_engines);
+        let mut readiness = Readiness::new(settings.readiness, now);
+        readiness.record_endpoint_list(listed_engines);
         StartupControl {
-            dials: DialStager::new(settings.dials, name, now),
-            admission: WarmAdmission::new(settings.admission, seed, now),
-            list_guard: HeldList::new(settings.held),
+            dials: DialPacer::new(settings.dial_pacer, name, now),
+            admission: WarmupAdmission::new(settings.admission, seed, now),
+            list_guard: EndpointListGuard::new(settings.endpoint_list_guard),
             readiness,
         }
     }
 
     /// Logs once that this manager has become ready; when to check again.
     pub(super) fn check_readiness(&mut self, now: Timestamp) -> Option<Timestamp> {
-        if let Some(ready) = self.readiness.look(now) {
+        if let Some(ready) = self.readiness.check(now) {
             let after = ready.after.as_secs_f64();
-            let staged = self.dials.staged();
-            let turned_away = self.admission.refused();
+            let staged = self.dials.delayed_dials();
+            let turned_away = self.admission.rejected();
             info!(
                 after,
-                feed = ready.feed,
-                link = ready.link,
+                feed = ready.feed_answered,
+                link = ready.is_connected,
                 engines = ready.engines,
                 staged,
                 turned_away,
                 "ready after {after:.3} s: feed {}, link {}, {} engines, {staged} dials staged, {turned_away} turned away",
-                if ready.feed { "answered" } else { "not yet" },
-                if ready.link { "up" } else { "not yet" },
+                if ready.feed_answered { "answered" } else { "not yet" },
+                if ready.is_connected { "up" } else { "not yet" },
                 ready.engines
             );
         }
-        self.readiness.next_look()
+        self.readiness.next_check_at()
     }
 
     /// What may be applied of a list that is older than the one held, or contradicts itself; `None`: all of it.
     pub(super) fn filter_list(&mut self, list: &ListEvent, now: Timestamp) -> Option<ListEvent> {
-        let entries: Vec<(&str, Says)> =
-            list.members.iter().map(|member| (member.id.as_str(), says(member.phase))).collect();
-        let decision = self.list_guard.judge(now, list.revision, list.complete, &entries);
-        if !decision.older && decision.contradicted == 0 {
+        let entries: Vec<(&str, EndpointState)> =
+            list.members.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
+        let decision = self.list_guard.evaluate(now, list.revision, list.complete, &entries);
+        if !decision.is_stale && decision.contradictions == 0 {
             return None;
         }
         let (n, revision, held) = (list.n, list.revision, self.list_guard.revision());
-        let (taken, of, twice) = (decision.take.len(), list.members.len(), decision.contradicted);
+        let (taken, of, twice) = (decision.accepted.len(), list.members.len(), decision.contradictions);
         warn!(
             n,
             revision,
@@ -76,15 +76,15 @@
             taken,
             "list {n} of revision {revision}, {held} held: {taken} of {of} entries taken, {twice} contradicted"
         );
-        let members = decision.take.iter().map(|i| list.members[*i].clone()).collect();
-        Some(ListEvent { n, revision, complete: decision.whole, members })
+        let members = decision.accepted.iter().map(|i| list.members[*i].clone()).collect();
+        Some(ListEvent { n, revision, complete: decision.is_complete, members })
     }
 }
 
-fn says(phase: Phase) -> Says {
+fn endpoint_state(phase: Phase) -> EndpointState {
     match phase {
-        Phase::Ready => Says::Ready,
-        Phase::Draining => Says::Draining,
-        Phase::Gone => Says::Gone,
+        Phase::Ready => EndpointState::Ready,
+        Phase::Draining => EndpointState::Draining,
+        Phase::Gone => EndpointState::Gone,
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -35,7 +35,7 @@
     });
     let recorder = commands::recorder(files.capture.as_deref(), files.recorder.as_deref())?;
     let cold_start = files.cold_start.as_ref().map(|path| {
-        let set = sprucelink_startup::settings::ColdStart::parse(&text(path)?);
+        let set = sprucelink_startup::config::StartupConfig::parse(&text(path)?);
         set.map_err(|e| format!("{path}: {e}"))
     });
     let membership = files.membership.as_ref().map(|path| {
@@ -84,7 +84,7 @@
             match start.cold_start {
                 Some(c) if c.enabled => println!(
                     "the cold start's settings will do: lists at {} a second for the fleet, dials staged over {} ms",
-                    c.lists.fleet_rate, c.dials.stage_ms
+                    c.endpoint_poller.fleet_rate, c.dial_pacer.window_ms
                 ),
                 Some(_) => println!("the cold start's settings will do; they are not enabled"),
                 None => println!("no cold start's settings: the start is as it always was"),
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -16,8 +16,8 @@
 use sprucelink_membership::terms::Settings as Membership;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
-use sprucelink_startup::lists::ListCalls;
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
+use sprucelink_startup::endpoint_poller::EndpointPoller;
 use sprucelink_zone_failover::terms::Terms as FailoverTerms;
 use std::rc::Rc;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     /// The recorder; without it nothing is recorded.
     pub recorder: Option<Settings>,
     /// The cold start; without it, or not enabled, the start is as it always was.
-    pub cold_start: Option<ColdStart>,
+    pub cold_start: Option<StartupConfig>,
     /// The view of the fleet that managers keep; without it, or not enabled, managers do not talk.
     pub membership: Option<Membership>,
     /// Failover between zones; without it, or not enabled, the module draws as it did.
@@ -167,9 +167,9 @@
         core.on_endpoint_list(event, i == 0);
     }
     core.skip_event(config.known.0);
-    let calls = cold_start.map(|c| ListCalls::new(c.lists, fleet, seed, now()));
+    let calls = cold_start.map(|c| EndpointPoller::new(c.endpoint_poller, fleet, seed, now()));
     if let Some(calls) = &calls {
-        let window = calls.window().as_secs_f64();
+        let window = calls.first_poll_window().as_secs_f64();
         info!(window, fleet, "cold start: first call for lists within {window:.3} s, of {fleet} managers");
     }
     if let Some(terms) = failover.filter(|f| f.enabled) {
