--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -1,14 +1,18 @@
-//! Runs many seeds of the simulator: `seeds PLAN FROM COUNT [THREADS]`, with PLAN one of honest, liar, liars, leader,
-//! and a number of members behind a colon (`honest:5`). Prints what failed, and sums. Exit status 1 on a violation.
+//! Runs many seeds of the simulator: `seeds PLAN FROM COUNT [THREADS]`, where PLAN is one of honest, liar, liars, leader
+//! and a number of members behind a colon (`honest:5`). Prints violations and sums. The exit status is 1 on a violation.
 
-use sprucelink_consensus::sim::{Plan, Report, Simulation};
+use sprucelink_consensus::sim::{OutcomeCounts, Plan, Report, Simulation};
 use sprucelink_consensus::TimeDelta;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 
-fn plan(name: &str) -> Option<Plan> {
+const USAGE: &str = "seeds honest|liar|liars|leader:MEMBERS FROM COUNT [THREADS]";
+/// Number of threads when none is given.
+const DEFAULT_THREADS: u64 = 4;
+
+fn parse_plan(name: &str) -> Option<Plan> {
     let (kind, members) = name.split_once(':')?;
     let members = members.parse().ok().filter(|members| (3..=7).contains(members))?;
     match kind {
@@ -22,9 +26,9 @@
 
 #[derive(Default)]
 struct Sums {
-    failed: Vec<(u64, String)>,
+    violations: u64,
     elections: Vec<TimeDelta>,
-    outcomes: [u64; 3],
+    outcomes: OutcomeCounts,
     faults_injected: u64,
     replaced: u64,
     messages: u64,
@@ -37,10 +41,12 @@
     fn add(&mut self, seed: u64, report: Report) {
         if let Some(violation) = report.violation {
             println!("seed {seed}: {violation}");
-            self.failed.push((seed, violation.what));
+            self.violations += 1;
         }
         self.elections.extend(report.elections);
-        self.outcomes.iter_mut().zip(report.outcomes).for_each(|(sum, part)| *sum += part);
+        self.outcomes.committed += report.outcomes.committed;
+        self.outcomes.dropped += report.outcomes.dropped;
+        self.outcomes.unknown += report.outcomes.unknown;
         self.faults_injected += report.faults_injected;
         self.replaced += report.replaced;
         self.messages += report.messages;
@@ -50,49 +56,61 @@
             *self.alarms.entry(kind).or_default() += count;
         }
     }
+
+    fn print(&mut self, seeds: u64) {
+        let OutcomeCounts { committed, dropped, unknown } = self.outcomes;
+        println!("{seeds} seeds, {} violations", self.violations);
+        println!("proposals committed {committed}, dropped {dropped}, unknown {unknown}");
+        println!(
+            "faults {}, replaced {}, damaged stores {}",
+            self.faults_injected, self.replaced, self.damaged
+        );
+        println!("messages {}, bytes about {}, alarms {:?}", self.messages, self.bytes, self.alarms);
+        self.elections.sort_unstable();
+        println!(
+            "{} elections after a leader's crash, ms: p50 {} p90 {} p99 {} p99.9 {} max {}",
+            self.elections.len(),
+            self.election_per_mille(500),
+            self.election_per_mille(900),
+            self.election_per_mille(990),
+            self.election_per_mille(999),
+            self.elections.last().map_or(0, |time| time.as_millis())
+        );
+    }
+
+    /// The quantile of the election times in milliseconds; they must be sorted.
+    fn election_per_mille(&self, per_mille: usize) -> i64 {
+        self.elections.get(self.elections.len() * per_mille / 1000).map_or(0, |time| time.as_millis())
+    }
 }
 
-fn main() -> ExitCode {
-    let args: Vec<String> = std::env::args().skip(1).collect();
-    let number = |at: usize| args.get(at).and_then(|arg| arg.parse::<u64>().ok());
-    let (Some(plan), Some(from), Some(count)) =
-        (args.first().and_then(|name| plan(name)), number(1), number(2))
-    else {
-        eprintln!("seeds honest|liar|liars|leader:MEMBERS FROM COUNT [THREADS]");
-        return ExitCode::from(2);
-    };
-    let (next, sums) = (AtomicU64::new(from), Mutex::new(Sums::default()));
+fn run_seeds(plan: &Plan, from: u64, count: u64, threads: u64) -> Sums {
+    let next_seed = AtomicU64::new(from);
+    let sums = Mutex::new(Sums::default());
     std::thread::scope(|scope| {
-        for _ in 0..number(3).unwrap_or(4) {
+        for _ in 0..threads {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                 if seed >= from + count {
                     return;
                 }
                 let report = Simulation::run(plan.clone(), seed);
-                sums.lock().unwrap_or_else(|held| held.into_inner()).add(seed, report);
+                sums.lock().unwrap_or_else(PoisonError::into_inner).add(seed, report);
             });
         }
     });
-    let mut sums = sums.into_inner().unwrap_or_else(|held| held.into_inner());
-    sums.elections.sort_unstable();
-    let share =
-        |of: usize| sums.elections.get(sums.elections.len() * of / 1000).map_or(0, |time| time.as_millis());
-    println!("{count} seeds, {} violations", sums.failed.len());
-    println!(
-        "proposals committed {}, lost {}, unknown {}",
-        sums.outcomes[0], sums.outcomes[1], sums.outcomes[2]
-    );
-    println!("faults {}, replaced {}, damaged stores {}", sums.faults_injected, sums.replaced, sums.damaged);
-    println!("messages {}, bytes about {}, alarms {:?}", sums.messages, sums.bytes, sums.alarms);
-    println!(
-        "{} elections after a leader's death, ms: p50 {} p90 {} p99 {} p99.9 {} max {}",
-        sums.elections.len(),
-        share(500),
-        share(900),
-        share(990),
-        share(999),
-        sums.elections.last().map_or(0, |time| time.as_millis())
-    );
-    ExitCode::from(u8::from(!sums.failed.is_empty()))
+    sums.into_inner().unwrap_or_else(PoisonError::into_inner)
+}
+
+fn main() -> ExitCode {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let number = |at: usize| args.get(at).and_then(|arg| arg.parse::<u64>().ok());
+    let plan = args.first().and_then(|name| parse_plan(name));
+    let (Some(plan), Some(from), Some(count)) = (plan, number(1), number(2)) else {
+        eprintln!("{USAGE}");
+        return ExitCode::from(2);
+    };
+    let mut sums = run_seeds(&plan, from, count, number(3).unwrap_or(DEFAULT_THREADS));
+    sums.print(count);
+    ExitCode::from(u8::from(sums.violations > 0))
 }
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -1,6 +1,6 @@
-//! Frames between members: a length, then an [`Envelope`] in protobuf. Reading is incremental and bounded.
+//! Frames between members: a length, then an [`Envelope`] in protobuf. Decoding is incremental and bounded.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 4 | length of the rest, little-endian, at most [`MAX_FRAME_BYTES`] |
 //! | n | the envelope |
@@ -10,141 +10,152 @@
     MAX_APPEND_ENTRIES, MAX_CONTEXT_BYTES, MAX_FRAME_BYTES, MAX_PEERS, MAX_PROPOSAL_BYTES, MAX_VOTERS,
 };
 use crate::wire::envelope::Body;
-use crate::wire::Envelope;
+use crate::wire::{Envelope, ForwardedProposal, RaftMessage, RejoinResponse};
 use prost::Message;
-use std::fmt;
 
-/// The version that this code speaks. Another is refused: versions come with a release that speaks both.
+/// The protocol version. Frames of another version are refused: a new version comes with a release that speaks both.
 pub const VERSION: u32 = 1;
 
+/// Length of the length in front of an envelope, bytes.
+const LENGTH_BYTES: usize = 4;
+
+/// Largest number of boots in an envelope: twice the voters, for a membership and the one that replaces it.
+pub(crate) const MAX_BOOTS: usize = 2 * MAX_VOTERS;
+
 /// A message from one member to another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Frame(pub Envelope);
 
 impl Frame {
-    /// Who sends it.
+    /// The sender.
     pub fn from(&self) -> MemberId {
         MemberId::from_raw(self.0.from)
     }
 
-    /// For whom it is.
+    /// The receiver.
     pub fn to(&self) -> MemberId {
         MemberId::from_raw(self.0.to)
     }
 
-    /// Its bytes, length in front.
+    /// The frame's bytes.
     pub fn encode(&self) -> Vec<u8> {
-        let len = self.0.encoded_len();
-        let mut bytes = Vec::with_capacity(4 + len);
-        bytes.extend_from_slice(&(len as u32).to_le_bytes());
+        let length = self.0.encoded_len();
+        let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
+        bytes.extend_from_slice(&(length as u32).to_le_bytes());
         bytes.extend_from_slice(&self.0.encode_to_vec());
         bytes
     }
 }
 
-/// Why a connection's bytes can't be read on: it must be closed.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Why a connection's bytes can't be decoded: the connection has to be closed.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than [`MAX_FRAME_BYTES`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes, at most {MAX_FRAME_BYTES} are allowed")]
     TooLong(usize),
-    /// Not an envelope.
-    Malformed(String),
-    /// A version that is not spoken here.
-    Version(u32),
-    /// A part over its bound.
-    Bounds(&'static str),
-}
-
-impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameError::TooLong(len) => {
-                write!(f, "a frame of {len} bytes, at most {MAX_FRAME_BYTES} are read")
-            }
-            FrameError::Malformed(reason) => write!(f, "not a frame: {reason}"),
-            FrameError::Version(version) => write!(f, "version {version}, spoken here is {VERSION}"),
-            FrameError::Bounds(what) => write!(f, "{what} over its bound"),
-        }
-    }
+    /// The bytes are not an envelope.
+    #[error("malformed envelope")]
+    Malformed(#[source] prost::DecodeError),
+    /// The envelope has no body.
+    #[error("envelope without a body")]
+    EmptyEnvelope,
+    /// The sender speaks another version.
+    #[error("version {0} is not supported, version {VERSION} is")]
+    UnsupportedVersion(u32),
+    /// A part of the envelope is over its bound.
+    #[error("{0}: over the bound")]
+    OutOfBounds(&'static str),
 }
 
-impl std::error::Error for FrameError {}
-
-/// Takes bytes as they come and gives whole frames. After an error it gives nothing more.
+/// Decodes frames from bytes as they arrive. After an error it returns that error always.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    held: Vec<u8>,
-    read: usize,
-    failed: Option<FrameError>,
+    buffer: Vec<u8>,
+    /// Number of bytes at the front of the buffer that are decoded.
+    consumed: usize,
+    failure: Option<FrameError>,
 }
 
 impl Decoder {
-    /// Takes more bytes. What is held is bounded when [`Decoder::next_frame`] is called until it gives `None` after
-    /// each push: one frame and what was pushed.
+    /// Adds bytes. The buffer is bounded by one frame and the bytes of one call when [`Decoder::next_frame`] is called
+    /// until it returns `None` after each call.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.failed.is_none() {
-            self.held.drain(..self.read);
-            self.read = 0;
-            self.held.extend_from_slice(bytes);
+        if self.failure.is_none() {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
+            self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// The next whole frame, if one is there.
+    /// The next complete frame, if there is one.
     ///
     /// # Errors
-    /// What is wrong with the bytes, from then on always.
+    /// What is wrong with the bytes.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
-        if let Some(error) = &self.failed {
+        if let Some(error) = &self.failure {
             return Err(error.clone());
         }
-        let read = self.read_frame();
-        if let Err(error) = &read {
-            self.failed = Some(error.clone());
-            self.held = Vec::new();
+        let decoded = self.decode_frame();
+        if let Err(error) = &decoded {
+            self.failure = Some(error.clone());
+            self.buffer = Vec::new();
         }
-        read
+        decoded
     }
 
-    fn read_frame(&mut self) -> Result<Option<Frame>, FrameError> {
-        let rest = &self.held[self.read..];
-        let Some((front, body)) = rest.split_first_chunk::<4>() else { return Ok(None) };
-        let len = u32::from_le_bytes(*front) as usize;
-        if len > MAX_FRAME_BYTES {
-            return Err(FrameError::TooLong(len));
+    fn decode_frame(&mut self) -> Result<Option<Frame>, FrameError> {
+        let rest = &self.buffer[self.consumed..];
+        let Some((length, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+        let length = u32::from_le_bytes(*length) as usize;
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong(length));
         }
-        let Some(body) = body.get(..len) else { return Ok(None) };
-        let envelope = Envelope::decode(body).map_err(|error| FrameError::Malformed(error.to_string()))?;
-        check(&envelope)?;
-        self.read += 4 + len;
+        let Some(bytes) = rest.get(..length) else { return Ok(None) };
+        let envelope = Envelope::decode(bytes).map_err(FrameError::Malformed)?;
+        check_envelope(&envelope)?;
+        self.consumed += LENGTH_BYTES + length;
         Ok(Some(Frame(envelope)))
     }
 }
 
-/// The bounds of an envelope's parts.
-fn check(envelope: &Envelope) -> Result<(), FrameError> {
+/// Checks the version and the bounds of an envelope's parts.
+fn check_envelope(envelope: &Envelope) -> Result<(), FrameError> {
     if envelope.version != VERSION {
-        return Err(FrameError::Version(envelope.version));
+        return Err(FrameError::UnsupportedVersion(envelope.version));
     }
-    // Twice the voters: two lists may be told of while one replaces the other.
-    if envelope.boots.len() > 2 * MAX_VOTERS {
-        return Err(FrameError::Bounds("boots"));
+    if envelope.boots.len() > MAX_BOOTS {
+        return Err(FrameError::OutOfBounds("boots"));
     }
     match &envelope.body {
-        None => Err(FrameError::Malformed("nothing in it".to_owned())),
-        Some(Body::Raft(message)) if message.entries.len() > MAX_APPEND_ENTRIES => {
-            Err(FrameError::Bounds("entries"))
-        }
-        Some(Body::Raft(message)) if message.context.len() > MAX_CONTEXT_BYTES => {
-            Err(FrameError::Bounds("context"))
-        }
-        Some(Body::RejoinResponse(welcome)) if welcome.floors.len() > MAX_PEERS => {
-            Err(FrameError::Bounds("floors"))
-        }
-        Some(Body::ForwardedProposal(propose))
-            if propose.proposal.as_ref().is_some_and(|record| record.data.len() > MAX_PROPOSAL_BYTES) =>
-        {
-            Err(FrameError::Bounds("proposal"))
-        }
-        Some(_) => Ok(()),
+        None => Err(FrameError::EmptyEnvelope),
+        Some(Body::Raft(message)) => check_raft_message(message),
+        Some(Body::RejoinResponse(response)) => check_rejoin_response(response),
+        Some(Body::ForwardedProposal(forwarded)) => check_forwarded_proposal(forwarded),
+        Some(Body::RejoinRequest(_) | Body::ProposalRejection(_)) => Ok(()),
+    }
+}
+
+fn check_raft_message(message: &RaftMessage) -> Result<(), FrameError> {
+    if message.entries.len() > MAX_APPEND_ENTRIES {
+        return Err(FrameError::OutOfBounds("entries"));
+    }
+    if message.context.len() > MAX_CONTEXT_BYTES {
+        return Err(FrameError::OutOfBounds("context"));
+    }
+    Ok(())
+}
+
+fn check_rejoin_response(response: &RejoinResponse) -> Result<(), FrameError> {
+    if response.floors.len() > MAX_PEERS {
+        return Err(FrameError::OutOfBounds("floors"));
+    }
+    Ok(())
+}
+
+fn check_forwarded_proposal(forwarded: &ForwardedProposal) -> Result<(), FrameError> {
+    let length = forwarded.proposal.as_ref().map_or(0, |proposal| proposal.data.len());
+    if length > MAX_PROPOSAL_BYTES {
+        return Err(FrameError::OutOfBounds("proposal"));
     }
+    Ok(())
 }
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -1,95 +1,96 @@
-//! The council's named bounds. What happens at each stands beside it.
+//! Bounds of the consensus crate, and what happens at each.
 
-/// Fewest voters: below it one failure stops the journal. A removal that would go below is refused.
+/// Smallest number of voters: below it one failure stops the log. A removal that would go below is rejected.
 pub const MIN_VOTERS: usize = 3;
 
-/// Most voters: more only slow down the majority. A promotion above is refused.
+/// Largest number of voters: more only slow down the majority. A promotion beyond it is rejected.
 pub const MAX_VOTERS: usize = 7;
 
-/// Most learners: each costs the leader ten heartbeats a second. Another is refused.
+/// Largest number of learners: each costs the leader ten heartbeats a second. Another one is rejected.
 pub const MAX_LEARNERS: usize = 512;
 
-/// Most nodes whose highest incarnation is remembered. A new node above is refused.
+/// Largest number of nodes whose highest incarnation is remembered. A new node beyond it is rejected.
 pub const MAX_NODES: usize = 4096;
 
-/// Most members of which something is remembered beside the log, removed ones that still speak among them. Another is
-/// not remembered, and gets no answer.
+/// Largest number of peers of which something is remembered beside the log, including removed members that still send.
+/// Another one is not remembered and gets no response.
 pub const MAX_PEERS: usize = 1024;
 
-/// Most members outside its list that a member in probation asks because they spoke to it. Further ones are not asked.
-pub const MAX_STRANGERS: usize = 16;
+/// Largest number of members outside of the known membership that a rejoining member asks because they sent it
+/// something. Further ones are not asked.
+pub const MAX_UNLISTED_PEERS: usize = 16;
 
-/// Longest proposal, bytes: a journal record is small; what is larger belongs elsewhere with its digest in the
-/// journal. Refused with `TooLarge`.
+/// Longest proposal, bytes: a log record is small; larger data belongs elsewhere, with its digest in the log. A longer
+/// proposal is rejected with `TooLarge`.
 pub const MAX_PROPOSAL_BYTES: usize = 64 << 10;
 
-/// Most proposals that one member has in hand, its own, undecided. Refused with `TooMany`.
-pub const MAX_PROPOSALS_IN_HAND: usize = 256;
+/// Largest number of one member's own proposals whose outcome is open. Further ones are rejected with `TooManyPending`.
+pub const MAX_PENDING_PROPOSALS: usize = 256;
 
-/// Most bytes of entries appended by a leader and not yet committed. Refused with `TooMany`.
+/// Largest size of entries that a leader has appended and not yet committed, bytes. Further proposals are rejected with
+/// `TooManyPending`.
 pub const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
-/// Most bytes of entries in one message; a larger stretch goes in several.
+/// Largest size of the entries in one message, bytes; more entries go in several messages.
 pub const MAX_APPEND_BYTES: u64 = 512 << 10;
 
-/// Most entries in one message that is read; a message with more is dropped. Above what [`MAX_APPEND_BYTES`] gives
-/// with empty entries (16 bytes counted for each).
+/// Largest number of entries in a message that is read; a message with more is dropped. It is above what
+/// [`MAX_APPEND_BYTES`] allows with empty entries (16 bytes are counted for each).
 pub const MAX_APPEND_ENTRIES: usize = 64 << 10;
 
-/// Most messages with entries on their way to one member; then it is sent no more until it answers.
+/// Largest number of unanswered append messages to one member; at it the leader waits for a response.
 pub const MAX_INFLIGHT_MESSAGES: usize = 64;
 
-/// Most bytes of committed entries handed out at a time; the rest comes with the next `ready`.
+/// Largest size of committed entries handed out at a time, bytes; the rest follows with the next `ready`.
 pub const MAX_COMMITTED_BYTES: u64 = 1 << 20;
 
-/// Most entries kept in memory and on disk. A leader at it refuses proposals with `TooMany`, a follower takes no more
-/// entries, until whoever applies has taken a snapshot.
+/// Largest number of entries kept in memory and on disk. At it a leader rejects proposals with `TooManyPending` and a
+/// follower accepts no entries, until a snapshot is taken.
 pub const MAX_LOG_ENTRIES: u64 = 32 << 10;
 
-/// Most bytes of entries kept in memory and on disk; at it as at [`MAX_LOG_ENTRIES`].
+/// Largest size of the entries kept in memory and on disk, bytes. The same happens as at [`MAX_LOG_ENTRIES`].
 pub const MAX_LOG_BYTES: u64 = 16 << 20;
 
-/// Bytes of entries since the last snapshot that make a new one due, whatever their number.
+/// Size of the entries since the last snapshot at which a new one is due, whatever their number, bytes.
 pub const SNAPSHOT_EVERY_BYTES: u64 = 4 << 20;
 
-/// Entries kept in memory behind a snapshot, so that a member that lags a little needs no snapshot.
-pub const KEEP_ENTRIES: u64 = 1024;
+/// Number of entries kept in memory before a snapshot, so that a member that is slightly behind needs no snapshot.
+pub const RETAINED_ENTRIES: u64 = 1024;
 
-/// Largest snapshot, bytes. A larger one is refused with `TooLarge`, and the log then fills up to its bound.
+/// Largest snapshot, bytes. A larger one is rejected with `TooLarge`, and the log then fills up to its bound.
 pub const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
 
 /// Longest frame, bytes: a snapshot with its envelope. A longer one ends the connection.
 pub const MAX_FRAME_BYTES: usize = MAX_SNAPSHOT_BYTES + (512 << 10);
 
-/// Longest context in a vote request, bytes; the one in use is `CampaignTransfer`.
+/// Longest context of a vote request, bytes; the only one in use is `CampaignTransfer`.
 pub const MAX_CONTEXT_BYTES: usize = 32;
 
-/// Most batches handed out and not yet on disk. At it `ready` gives nothing, so a member whose disk hangs falls
-/// silent and another leads.
+/// Largest number of batches handed out and not yet on disk. At it `ready` returns nothing, so a member whose disk hangs
+/// becomes silent and another one leads.
 pub const MAX_BATCHES_IN_FLIGHT: usize = 64;
 
-/// Batches on their way to disk from which on a follower takes no more entries: the leader sends them again.
-pub const BUSY_BATCHES: usize = 16;
+/// Number of batches in flight from which on a follower accepts no entries: the leader sends them again.
+pub const BUSY_BATCHES_IN_FLIGHT: usize = 16;
 
-/// Most frames waiting for the next `ready`. At it further ones are dropped, as a network would.
-pub const MAX_FRAMES_WAITING: usize = 4096;
+/// Largest number of messages queued for the next `ready`. At it further ones are dropped, as a network would.
+pub const MAX_QUEUED_MESSAGES: usize = 4096;
 
-/// Most ticks made up for at once. After a longer gap the rest is let go: the time was the process's own, and what
-/// others said meanwhile still waits to be read.
+/// Largest number of ticks made up for at once. After a longer gap the rest is skipped: the process itself was stopped,
+/// and what others sent meanwhile is still to be read.
 pub const MAX_TICKS_AT_ONCE: i64 = 3;
 
-/// Highest term and index taken from a message: beyond it somebody has lost its mind, and sums could overflow.
+/// Highest term, index and boot number accepted from a message: beyond it sums could overflow.
 pub const MAX_COUNT: u64 = 1 << 48;
 
-/// How many committed entries a learner may lack and still be made a voter: with more the majority would wait for it.
-pub const PROMOTE_LAG: u64 = 64;
+/// Number of committed entries that a learner may lack and still be promoted: with more the majority would wait for it.
+pub const MAX_PROMOTION_LAG: u64 = 64;
 
-/// Most alarms and outcomes waiting for the next `ready`; at it further alarms are dropped (outcomes are bounded by the
-/// proposals in hand).
+/// Largest number of alarms queued for the next `ready`; at it further ones are dropped.
 pub const MAX_ALARMS: usize = 256;
 
-/// State digests remembered for comparison with the peers'.
-pub const DIGESTS_KEPT: usize = 64;
+/// Number of state digests remembered for comparison with the peers'.
+pub const RETAINED_DIGESTS: usize = 64;
 
-/// Most origins whose proposals are told apart ([`crate::ProposalDedup`]). At it a new origin is refused.
+/// Largest number of origins in a [`crate::ProposalDedup`]. At it a new origin is rejected.
 pub const MAX_ORIGINS: usize = 4096;
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -1,130 +1,150 @@
-//! The log as the `raft` crate reads it: in memory, bounded, filled from disk at the start and then one step ahead of
-//! the disk (the crate keeps count of what is on disk itself).
+//! The log as the `raft` crate reads it: in memory, bounded, filled from disk at the start and from then on ahead of the disk
+//! (the crate itself keeps track of what is on disk).
 
 use crate::convert;
-use crate::ids::MemberId;
-use crate::limits::{KEEP_ENTRIES, MAX_LOG_BYTES, MAX_LOG_ENTRIES};
-use crate::membership::Membership;
-use crate::ready::Snapshot;
+use crate::ids::{LogPosition, MemberId};
+use crate::limits::{MAX_LOG_BYTES, MAX_LOG_ENTRIES, RETAINED_ENTRIES};
+use crate::membership::VersionedMembership;
+use crate::snapshot::Snapshot;
 use crate::wire;
 use raft::eraftpb::{self, HardState};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// What an entry costs beside its data, bytes, as counted here.
-const ENTRY_COST: u64 = 16;
+/// What an entry counts beside its data, bytes.
+const ENTRY_OVERHEAD_BYTES: u64 = 16;
 
-fn cost(entry: &eraftpb::Entry) -> u64 {
-    entry.get_data().len() as u64 + entry.get_context().len() as u64 + ENTRY_COST
+/// What an entry counts in all, bytes.
+fn entry_bytes(entry: &eraftpb::Entry) -> u64 {
+    entry.get_data().len() as u64 + entry.get_context().len() as u64 + ENTRY_OVERHEAD_BYTES
 }
 
-/// Entries, the last snapshot, and who was in when.
+/// Entries, the last snapshot, and the memberships.
 #[derive(Debug, Default)]
 pub(crate) struct LogStorage {
-    hard: HardState,
+    hard_state: HardState,
     snapshot: Option<Snapshot>,
-    /// Index and term of the entry before the first that is held.
-    before: (u64, u64),
+    /// The entry before the first one in `entries`.
+    compacted: LogPosition,
     entries: VecDeque<eraftpb::Entry>,
+    /// Size of all entries, bytes.
     bytes: u64,
-    /// Bytes of entries behind the snapshot.
-    fresh_bytes: u64,
-    /// The members from an entry on, oldest first; the last are those in force.
-    members: VecDeque<(u64, Membership)>,
-    /// Somebody needs a snapshot newer than the one at hand.
-    wanted: Cell<bool>,
+    /// Size of the entries behind the snapshot, bytes.
+    bytes_behind_snapshot: u64,
+    /// The memberships, oldest first; the last one is in force.
+    memberships: VecDeque<VersionedMembership>,
+    /// A member needs a newer snapshot than there is.
+    is_snapshot_wanted: Cell<bool>,
 }
 
 impl LogStorage {
-    pub fn restored(hard: HardState, snapshot: Option<Snapshot>, entries: Vec<wire::Entry>) -> Self {
-        let mut mirror = LogStorage { hard, ..LogStorage::default() };
+    /// The log that was on disk.
+    pub fn recovered(hard_state: HardState, snapshot: Option<Snapshot>, entries: Vec<wire::Entry>) -> Self {
+        let mut storage = LogStorage { hard_state, ..LogStorage::default() };
         if let Some(snapshot) = snapshot {
-            mirror.install(snapshot);
+            storage.install(snapshot);
         }
         let entries: Vec<eraftpb::Entry> = entries.into_iter().map(convert::entry_from_wire).collect();
-        mirror.append(&entries);
-        mirror
+        storage.append(&entries);
+        storage
     }
 
-    pub fn last(&self) -> (u64, u64) {
-        self.entries.back().map_or((self.before.1, self.before.0), |entry| (entry.term, entry.index))
+    /// The position of the last entry.
+    pub fn last_position(&self) -> LogPosition {
+        self.entries.back().map_or(self.compacted, |entry| LogPosition::new(entry.term, entry.index))
     }
 
-    /// The term at an index that is held, or just before.
+    /// The term of an entry that is held, or of the last compacted one.
     pub fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.before.0 {
-            return Some(self.before.1);
+        if index == self.compacted.index {
+            return Some(self.compacted.term);
         }
-        let at = index.checked_sub(self.before.0 + 1)?;
-        self.entries.get(usize::try_from(at).ok()?).map(|entry| entry.term)
+        let offset = index.checked_sub(self.compacted.index + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?).map(|entry| entry.term)
     }
 
-    /// Puts entries behind those before the first of them, whose own place and all behind it are cut off.
+    /// Truncates the log at the first of the entries and appends them.
     pub fn append(&mut self, entries: &[eraftpb::Entry]) {
         let Some(first) = entries.first() else { return };
-        let kept = first.index.saturating_sub(self.before.0 + 1);
-        while self.entries.len() as u64 > kept {
-            if let Some(gone) = self.entries.pop_back() {
-                self.count(&gone, false);
+        let retained = first.index.saturating_sub(self.compacted.index + 1);
+        while self.entries.len() as u64 > retained {
+            if let Some(removed) = self.entries.pop_back() {
+                self.uncount(&removed);
             }
         }
         for entry in entries {
-            self.count(entry, true);
+            self.count(entry);
             self.entries.push_back(entry.clone());
         }
     }
 
-    fn count(&mut self, entry: &eraftpb::Entry, more: bool) {
-        let fresh = entry.index > self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let cost = cost(entry);
-        let fresh_cost = if fresh { cost } else { 0 };
-        if more {
-            (self.bytes, self.fresh_bytes) = (self.bytes + cost, self.fresh_bytes + fresh_cost);
-        } else {
-            self.bytes = self.bytes.saturating_sub(cost);
-            self.fresh_bytes = self.fresh_bytes.saturating_sub(fresh_cost);
+    fn count(&mut self, entry: &eraftpb::Entry) {
+        let bytes = entry_bytes(entry);
+        self.bytes += bytes;
+        if entry.index > self.snapshot_index() {
+            self.bytes_behind_snapshot += bytes;
         }
     }
 
-    /// Takes a snapshot from the leader, or from disk, instead of all that was there.
+    fn uncount(&mut self, entry: &eraftpb::Entry) {
+        let bytes = entry_bytes(entry);
+        self.bytes = self.bytes.saturating_sub(bytes);
+        if entry.index > self.snapshot_index() {
+            self.bytes_behind_snapshot = self.bytes_behind_snapshot.saturating_sub(bytes);
+        }
+    }
+
+    /// Replaces the log by a snapshot from the leader or from disk.
     pub fn install(&mut self, snapshot: Snapshot) {
         self.entries.clear();
-        (self.bytes, self.fresh_bytes) = (0, 0);
-        self.before = (snapshot.index, snapshot.term);
-        self.members.clear();
-        self.members.push_back((snapshot.index, snapshot.membership.clone()));
-        self.hard.commit = self.hard.commit.max(snapshot.index);
+        self.bytes = 0;
+        self.bytes_behind_snapshot = 0;
+        self.compacted = snapshot.position();
+        self.memberships.clear();
+        self.memberships.push_back(VersionedMembership {
+            index: snapshot.index,
+            membership: snapshot.membership.clone(),
+        });
+        self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes the state machine's own snapshot at an applied entry, and keeps some entries before it.
-    pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<&Snapshot> {
-        let term = self.term_at(index)?;
-        while self.members.get(1).is_some_and(|(from, _)| *from <= index) {
-            self.members.pop_front();
+    /// Takes the state machine's own snapshot after an applied entry, and retains some entries before it. False when the entry
+    /// is not held.
+    pub fn compact(&mut self, index: u64, data: Vec<u8>) -> bool {
+        let Some(term) = self.term_at(index) else { return false };
+        while self.memberships.get(1).is_some_and(|later| later.index <= index) {
+            self.memberships.pop_front();
         }
-        let members = self.members.front().map(|(_, members)| members.clone())?;
-        while self.before.0 + KEEP_ENTRIES < index || self.bytes > MAX_LOG_BYTES / 2 {
-            if self.before.0 >= index {
-                break;
+        let Some(current) = self.memberships.front() else { return false };
+        let membership = current.membership.clone();
+        self.drop_entries_before(index);
+        self.snapshot = Some(Snapshot { index, term, membership, data });
+        let entries_behind = self.entries.iter().filter(|entry| entry.index > index);
+        self.bytes_behind_snapshot = entries_behind.map(entry_bytes).sum();
+        self.is_snapshot_wanted.set(false);
+        true
+    }
+
+    fn drop_entries_before(&mut self, index: u64) {
+        while self.compacted.index + RETAINED_ENTRIES < index || self.bytes > MAX_LOG_BYTES / 2 {
+            if self.compacted.index >= index {
+                return;
             }
-            let Some(gone) = self.entries.pop_front() else { break };
-            self.bytes = self.bytes.saturating_sub(cost(&gone));
-            self.before = (gone.index, gone.term);
+            let Some(removed) = self.entries.pop_front() else { return };
+            self.bytes = self.bytes.saturating_sub(entry_bytes(&removed));
+            self.compacted = LogPosition::new(removed.term, removed.index);
         }
-        self.snapshot = Some(Snapshot { index, term, membership: members, data });
-        self.fresh_bytes = self.entries.iter().filter(|entry| entry.index > index).map(cost).sum();
-        self.wanted.set(false);
-        self.snapshot.as_ref()
     }
 
     /// All entries behind the snapshot: what goes to disk beside it.
-    pub fn behind_snapshot(&self) -> Vec<wire::Entry> {
+    pub fn entries_behind_snapshot(&self) -> Vec<wire::Entry> {
         let index = self.snapshot_index();
         self.entries.iter().filter(|entry| entry.index > index).map(convert::entry_to_wire).collect()
     }
 
+    /// Index of the last snapshot, or 0.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
     }
@@ -133,54 +153,58 @@
         self.snapshot.as_ref()
     }
 
-    pub fn fresh_bytes(&self) -> u64 {
-        self.fresh_bytes
+    pub fn bytes_behind_snapshot(&self) -> u64 {
+        self.bytes_behind_snapshot
     }
 
-    pub fn is_wanted(&self) -> bool {
-        self.wanted.get()
+    /// Whether a member needs a newer snapshot than there is.
+    pub fn is_snapshot_wanted(&self) -> bool {
+        self.is_snapshot_wanted.get()
     }
 
-    /// Whether no more entries should come in before a snapshot.
+    /// Whether no more entries should be accepted before a snapshot is taken.
     pub fn is_full(&self) -> bool {
         self.entries.len() as u64 >= MAX_LOG_ENTRIES || self.bytes >= MAX_LOG_BYTES
     }
 
-    pub fn members(&self) -> Option<&(u64, Membership)> {
-        self.members.back()
+    /// The membership in force.
+    pub fn membership(&self) -> Option<&VersionedMembership> {
+        self.memberships.back()
     }
 
-    /// The members as of the last entry that the disk knows to be committed: before entries are handed out anew, those in
-    /// force are still the snapshot's.
-    pub fn members_on_disk(&self) -> Option<(u64, Membership)> {
-        let (mut from, mut members) = self.members.back().cloned()?;
-        for entry in self.entries.iter().take_while(|entry| entry.index <= self.hard.commit) {
-            let change = convert::change_in(entry).filter(|_| entry.index > from);
-            if let Some(change) = change.filter(|&change| members.objection(change).is_none()) {
-                members.apply(change);
-                from = entry.index;
+    /// The membership as of the last entry that the disk shows to be committed: until entries are applied again, the one in
+    /// force is still that of the snapshot.
+    pub fn membership_on_disk(&self) -> Option<VersionedMembership> {
+        let mut current = self.memberships.back().cloned()?;
+        for entry in self.entries.iter().take_while(|entry| entry.index <= self.hard_state.commit) {
+            let Some(change) = convert::conf_change_of(entry) else { continue };
+            if entry.index > current.index && current.membership.check(change).is_ok() {
+                current.membership.apply(change);
+                current.index = entry.index;
             }
         }
-        Some((from, members))
+        Some(current)
     }
 
-    pub fn set_members(&mut self, from: u64, members: Membership) {
-        self.members.push_back((from, members));
+    /// Puts a membership in force.
+    pub fn push_membership(&mut self, membership: VersionedMembership) {
+        self.memberships.push_back(membership);
     }
 
-    pub fn hard(&self) -> &HardState {
-        &self.hard
+    pub fn hard_state(&self) -> &HardState {
+        &self.hard_state
     }
 
-    pub fn set_hard(&mut self, hard: HardState) {
-        self.hard = hard;
+    pub fn set_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
     }
 }
 
 impl Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let conf = self.members.front().map(|(_, members)| convert::conf_state(members)).unwrap_or_default();
-        Ok(RaftState::new(self.hard.clone(), conf))
+        let oldest = self.memberships.front();
+        let conf_state = oldest.map(|oldest| convert::conf_state(&oldest.membership)).unwrap_or_default();
+        Ok(RaftState::new(self.hard_state.clone(), conf_state))
     }
 
     fn entries(
@@ -190,52 +214,49 @@
         max_size: impl Into<Option<u64>>,
         _context: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.before.0 {
+        if low <= self.compacted.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
-        let (skip, count) = (low - self.before.0 - 1, high.saturating_sub(low));
-        if skip + count > self.entries.len() as u64 {
+        let skipped = low - self.compacted.index - 1;
+        let count = high.saturating_sub(low);
+        if skipped + count > self.entries.len() as u64 {
             return Err(raft::Error::Store(StorageError::Unavailable));
         }
-        let limit = max_size.into().unwrap_or(u64::MAX);
+        let max_size = max_size.into().unwrap_or(u64::MAX);
         let mut size = 0;
-        let wanted = self.entries.iter().skip(skip as usize).take(count as usize);
-        Ok(wanted
-            .take_while(|entry| {
-                let first = size == 0;
-                size += cost(entry);
-                first || size <= limit
-            })
-            .cloned()
-            .collect())
+        let mut fits = |entry: &&eraftpb::Entry| {
+            let is_first = size == 0;
+            size += entry_bytes(entry);
+            is_first || size <= max_size
+        };
+        let requested = self.entries.iter().skip(skipped as usize).take(count as usize);
+        Ok(requested.take_while(|entry| fits(entry)).cloned().collect())
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.before.0 {
+        if index < self.compacted.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
         self.term_at(index).ok_or(raft::Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.before.0 + 1)
+        Ok(self.compacted.index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last().1)
+        Ok(self.last_position().index)
     }
 
-    /// A snapshot is of use only to a member that stands in it: one added since makes a new one wanted.
+    /// A snapshot is of use only to a member that is in its membership: for one that was added since, a new one is wanted.
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
+        let to = MemberId::from_raw(to);
         match &self.snapshot {
-            Some(snapshot)
-                if snapshot.index >= request_index
-                    && snapshot.membership.contains(MemberId::from_raw(to)) =>
-            {
+            Some(snapshot) if snapshot.index >= request_index && snapshot.membership.contains(to) => {
                 Ok(snapshot.to_raft())
             }
             _ => {
-                self.wanted.set(true);
+                self.is_snapshot_wanted.set(true);
                 Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable))
             }
         }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,30 +1,59 @@
-//! Who is in the council, as committed entries say: the same steps at every member.
+//! The members of the group, as committed entries change them: the same steps at every member.
 
 use crate::ids::MemberId;
 use crate::limits::{MAX_LEARNERS, MAX_NODES, MAX_VOTERS, MIN_VOTERS};
 use crate::wire;
 use std::collections::BTreeMap;
 
-/// A change of members by one, the only kind there is.
+/// A change of one member, the only kind of membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfChange {
-    /// What is to happen.
+    /// What happens.
     pub kind: ConfChangeKind,
-    /// To whom.
+    /// To which member.
     pub member: MemberId,
 }
 
 /// What happens to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfChangeKind {
-    /// It comes in and follows, without a vote.
+    /// It is added as a learner, which follows without a vote.
     AddLearner,
-    /// A learner gets its vote.
+    /// A learner becomes a voter.
     Promote,
-    /// It goes, for good under this incarnation.
+    /// It is removed, for good under this incarnation.
     Remove,
 }
 
+/// The rule that a membership change breaks.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum ConfChangeViolation {
+    /// Nodes and incarnations count from 1.
+    #[error("nodes and incarnations count from 1")]
+    InvalidMember,
+    /// This incarnation of the node, or a later one, was a member before.
+    #[error("this incarnation, or a later one, was a member before")]
+    IncarnationReused,
+    /// There are [`MAX_LEARNERS`].
+    #[error("there are {MAX_LEARNERS} learners")]
+    TooManyLearners,
+    /// The incarnations of [`MAX_NODES`] nodes are remembered.
+    #[error("the incarnations of {MAX_NODES} nodes are remembered")]
+    TooManyNodes,
+    /// Only a learner can be promoted.
+    #[error("not a learner")]
+    NotALearner,
+    /// There are [`MAX_VOTERS`].
+    #[error("there are {MAX_VOTERS} voters")]
+    TooManyVoters,
+    /// Only a member can be removed.
+    #[error("not a member")]
+    NotAMember,
+    /// [`MIN_VOTERS`] have to remain.
+    #[error("{MIN_VOTERS} voters have to remain")]
+    TooFewVoters,
+}
+
 impl ConfChange {
     pub(crate) fn to_wire(self) -> wire::ConfChange {
         let kind = match self.kind {
@@ -35,6 +64,7 @@
         wire::ConfChange { kind, member: self.member.raw() }
     }
 
+    /// `None` for an unknown kind.
     pub(crate) fn from_wire(change: &wire::ConfChange) -> Option<Self> {
         let kind = match change.kind {
             0 => ConfChangeKind::AddLearner,
@@ -46,70 +76,94 @@
     }
 }
 
-/// Voters, learners, and every node's highest incarnation.
+/// Voters, learners, and the highest incarnation of every node.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Membership {
-    /// Who has a vote, sorted.
+    /// Members with a vote, sorted.
     pub voters: Vec<MemberId>,
-    /// Who follows without one, sorted.
+    /// Members without a vote, sorted.
     pub learners: Vec<MemberId>,
-    /// The highest incarnation that each node ever had here.
+    /// The highest incarnation that each node ever had as a member.
     pub incarnations: BTreeMap<u32, u32>,
 }
 
+/// A membership and the entry from which it is in force.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct VersionedMembership {
+    /// Index of the entry; 0 where it comes from the settings.
+    pub index: u64,
+    /// The membership.
+    pub membership: Membership,
+}
+
 impl Membership {
-    /// The council as founded.
-    pub(crate) fn founded(founders: &[MemberId]) -> Self {
-        let mut voters = founders.to_vec();
+    /// The membership of a new group.
+    pub(crate) fn of_voters(voters: &[MemberId]) -> Self {
+        let incarnations = voters.iter().map(|member| (member.node, member.incarnation)).collect();
+        let mut voters = voters.to_vec();
         voters.sort_unstable();
-        let incarnations = founders.iter().map(|member| (member.node, member.incarnation)).collect();
         Membership { voters, learners: Vec::new(), incarnations }
     }
 
-    /// Whether a member is in, as a voter or learner.
+    /// Whether a member is a voter or a learner.
     pub fn contains(&self, member: MemberId) -> bool {
         self.voters.contains(&member) || self.learners.contains(&member)
     }
 
-    /// Why a change can't be made, if so. The same rule at the proposer and wherever the entry is applied.
-    pub fn objection(&self, change: ConfChange) -> Option<&'static str> {
-        let member = change.member;
+    /// Checks a change. The same rules apply at the proposer and wherever the entry is applied.
+    ///
+    /// # Errors
+    /// The first rule that the change breaks.
+    pub fn check(&self, change: ConfChange) -> Result<(), ConfChangeViolation> {
         match change.kind {
-            ConfChangeKind::AddLearner => {
-                if member.node == 0 || member.incarnation == 0 {
-                    return Some("nodes and incarnations count from 1");
-                }
-                if self.incarnations.get(&member.node).is_some_and(|&highest| highest >= member.incarnation) {
-                    return Some("this incarnation, or a later one, was in the council before");
-                }
-                if self.learners.len() >= MAX_LEARNERS {
-                    return Some("as many learners as there may be");
-                }
-                let known = self.incarnations.contains_key(&member.node);
-                (!known && self.incarnations.len() >= MAX_NODES)
-                    .then_some("as many nodes as can be remembered")
-            }
-            ConfChangeKind::Promote => {
-                if !self.learners.contains(&member) {
-                    return Some("not a learner here");
-                }
-                (self.voters.len() >= MAX_VOTERS).then_some("as many voters as there may be")
-            }
-            ConfChangeKind::Remove => {
-                if !self.contains(member) {
-                    return Some("not in the council");
-                }
-                (self.voters.contains(&member) && self.voters.len() <= MIN_VOTERS)
-                    .then_some("no fewer voters may be left")
-            }
+            ConfChangeKind::AddLearner => self.check_added(change.member),
+            ConfChangeKind::Promote => self.check_promoted(change.member),
+            ConfChangeKind::Remove => self.check_removed(change.member),
         }
     }
 
-    /// Makes a change that has no objection.
+    fn check_added(&self, member: MemberId) -> Result<(), ConfChangeViolation> {
+        if member.node == 0 || member.incarnation == 0 {
+            return Err(ConfChangeViolation::InvalidMember);
+        }
+        let highest = self.incarnations.get(&member.node);
+        if highest.is_some_and(|&highest| highest >= member.incarnation) {
+            return Err(ConfChangeViolation::IncarnationReused);
+        }
+        if self.learners.len() >= MAX_LEARNERS {
+            return Err(ConfChangeViolation::TooManyLearners);
+        }
+        if highest.is_none() && self.incarnations.len() >= MAX_NODES {
+            return Err(ConfChangeViolation::TooManyNodes);
+        }
+        Ok(())
+    }
+
+    fn check_promoted(&self, member: MemberId) -> Result<(), ConfChangeViolation> {
+        if !self.learners.contains(&member) {
+            return Err(ConfChangeViolation::NotALearner);
+        }
+        if self.voters.len() >= MAX_VOTERS {
+            return Err(ConfChangeViolation::TooManyVoters);
+        }
+        Ok(())
+    }
+
+    fn check_removed(&self, member: MemberId) -> Result<(), ConfChangeViolation> {
+        if !self.contains(member) {
+            return Err(ConfChangeViolation::NotAMember);
+        }
+        if self.voters.contains(&member) && self.voters.len() <= MIN_VOTERS {
+            return Err(ConfChangeViolation::TooFewVoters);
+        }
+        Ok(())
+    }
+
+    /// Applies a change that [`Membership::check`] accepts.
     pub(crate) fn apply(&mut self, change: ConfChange) {
         let member = change.member;
-        self.voters.retain(|&held| held != member);
-        self.learners.retain(|&held| held != member);
+        self.voters.retain(|&voter| voter != member);
+        self.learners.retain(|&learner| learner != member);
         match change.kind {
             ConfChangeKind::AddLearner => {
                 self.learners.push(member);
@@ -125,39 +179,46 @@
     }
 
     pub(crate) fn to_wire(&self) -> wire::Membership {
-        let raw = |list: &[MemberId]| list.iter().map(|member| member.raw()).collect();
+        let raw = |members: &[MemberId]| members.iter().map(|member| member.raw()).collect();
         wire::Membership { voters: raw(&self.voters), learners: raw(&self.learners) }
     }
 
-    /// `None` when the lists are over their bounds, or somebody stands in them twice.
-    pub(crate) fn from_wire(members: &wire::Membership, incarnations: &[u64]) -> Option<Self> {
-        let list = |raw: &[u64]| {
-            let mut list: Vec<MemberId> = raw.iter().map(|&raw| MemberId::from_raw(raw)).collect();
-            list.sort_unstable();
-            list
-        };
-        let (voters, learners) = (list(&members.voters), list(&members.learners));
-        let mut all: Vec<MemberId> = voters.iter().chain(&learners).copied().collect();
-        all.sort_unstable();
-        all.dedup();
-        let whole =
-            all.len() == voters.len() + learners.len() && all.iter().all(|m| m.node > 0 && m.incarnation > 0);
-        if !whole
-            || voters.len() > MAX_VOTERS
-            || learners.len() > MAX_LEARNERS
-            || incarnations.len() > MAX_NODES
-        {
+    /// `None` when a list is over its bound, or a member is invalid or listed twice.
+    pub(crate) fn from_wire(membership: &wire::Membership, incarnations: &[u64]) -> Option<Self> {
+        let voters = sorted_members(&membership.voters);
+        let learners = sorted_members(&membership.learners);
+        let is_within_bounds =
+            voters.len() <= MAX_VOTERS && learners.len() <= MAX_LEARNERS && incarnations.len() <= MAX_NODES;
+        if !is_within_bounds || !are_valid_and_distinct(&voters, &learners) {
             return None;
         }
         let incarnations = incarnations
             .iter()
             .map(|&raw| MemberId::from_raw(raw))
-            .map(|m| (m.node, m.incarnation))
+            .map(|member| (member.node, member.incarnation))
             .collect();
         Some(Membership { voters, learners, incarnations })
     }
 
+    /// The highest incarnations as raw members.
     pub(crate) fn incarnations_raw(&self) -> Vec<u64> {
         self.incarnations.iter().map(|(&node, &incarnation)| MemberId::new(node, incarnation).raw()).collect()
     }
 }
+
+fn sorted_members(raw: &[u64]) -> Vec<MemberId> {
+    let mut members: Vec<MemberId> = raw.iter().map(|&raw| MemberId::from_raw(raw)).collect();
+    members.sort_unstable();
+    members
+}
+
+fn are_valid_and_distinct(voters: &[MemberId], learners: &[MemberId]) -> bool {
+    let mut members: Vec<MemberId> = voters.iter().chain(learners).copied().collect();
+    let is_valid = |member: &MemberId| member.node > 0 && member.incarnation > 0;
+    if !members.iter().all(is_valid) {
+        return false;
+    }
+    members.sort_unstable();
+    members.dedup();
+    members.len() == voters.len() + learners.len()
+}
--- /dev/null
+++ b/crates/consensus/src/node/leadership.rs
@@ -0,0 +1,32 @@
+//! Elections and transfers of leadership that an operator asks for.
+
+use super::{LeadershipError, Node};
+use crate::ids::MemberId;
+
+impl Node {
+    /// Starts an election now, if this member may campaign.
+    ///
+    /// # Errors
+    /// When it may not: it has no vote, or its log is behind its floors.
+    pub fn campaign(&mut self) -> Result<(), LeadershipError> {
+        if !self.may_campaign() || !self.raw_node.raft.promotable() {
+            return Err(LeadershipError::NotElectable);
+        }
+        self.raw_node.campaign().map_err(|_| LeadershipError::Dropped)
+    }
+
+    /// Transfers leadership to another voter once that one has all entries; abandoned after an election timeout.
+    ///
+    /// # Errors
+    /// When this member does not lead, or the other one has no vote.
+    pub fn transfer_leadership(&mut self, to: MemberId) -> Result<(), LeadershipError> {
+        if !self.is_leading() {
+            return Err(LeadershipError::NotLeader { leader: self.leader() });
+        }
+        if !self.current_membership().membership.voters.contains(&to) || to == self.id {
+            return Err(LeadershipError::NotAnotherVoter);
+        }
+        self.raw_node.transfer_leader(to.raw());
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/mod.rs
@@ -0,0 +1,175 @@
+//! One member of the consensus group.
+
+mod apply;
+mod conf_change;
+mod election_timeout;
+mod errors;
+mod leadership;
+mod operator;
+mod peer_liveness;
+mod persistence;
+mod propose;
+mod ready;
+mod rejoin_exchange;
+mod start;
+mod status;
+mod step;
+mod tick;
+
+pub use errors::{ConfChangeError, LeadershipError, ProposeError, SnapshotError, StartError};
+pub use status::MemberProgress;
+
+use crate::alarm::{Alarm, QuarantineReason};
+use crate::config::Timing;
+use crate::ids::{LogPosition, MemberId};
+use crate::limits::{MAX_ALARMS, MAX_QUEUED_MESSAGES};
+use crate::log_storage::LogStorage;
+use crate::membership::VersionedMembership;
+use crate::peer_table::PeerTable;
+use crate::pending_proposals::PendingProposals;
+use crate::rejoin::{RejoinFloors, RejoinQuorum};
+use crate::role::RoleChange;
+use crate::state_digests::StateDigests;
+use crate::wire::envelope::Body;
+use election_timeout::ElectionTimeout;
+use persistence::Persistence;
+use raft::{RawNode, StateRole};
+use sprucelink_time::Timestamp;
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// Whether a member takes part.
+#[derive(Debug)]
+enum Phase {
+    /// It has restarted and waits for responses of the others.
+    Rejoining { quorum: RejoinQuorum, next_request_at: Timestamp },
+    /// It takes part.
+    Established,
+    /// It was found to have lost acknowledged writes.
+    Quarantined(QuarantineReason),
+}
+
+/// A message to another member.
+type Outgoing = (MemberId, Body);
+
+/// The messages for the next [`crate::Ready`].
+#[derive(Debug, Default)]
+struct Outbox {
+    /// May be sent at once.
+    immediate: Vec<Outgoing>,
+    /// Must wait for the next batch.
+    after_persist: Vec<Outgoing>,
+}
+
+/// How far the log is applied.
+#[derive(Debug)]
+struct ApplyProgress {
+    /// The last entry handed out.
+    handed_out: u64,
+    /// The last entry that the driver reported to be applied.
+    reported: u64,
+    /// The last entry that the raft library knows to be applied: one that is reported and on disk.
+    applied: u64,
+}
+
+/// One member of the consensus group, as a state machine without input and output.
+///
+/// The driver owns time, disk and network. It calls [`Node::tick`] at least every tick and [`Node::step`] with every frame,
+/// and after each call [`Node::ready`] until it returns `None`, doing what each [`crate::Ready`] says.
+pub struct Node {
+    id: MemberId,
+    timing: Timing,
+    raw_node: RawNode<LogStorage>,
+    election_timeout: ElectionTimeout,
+    phase: Phase,
+    floors: RejoinFloors,
+    /// Number of this boot.
+    boot: u64,
+    /// Random number of this boot.
+    nonce: u64,
+    /// The members to ask while the log names none.
+    contacts: VersionedMembership,
+    peers: PeerTable,
+    persistence: Persistence,
+    now: Timestamp,
+    last_tick: Timestamp,
+    outbox: Outbox,
+    proposals: PendingProposals,
+    alarms: Vec<Alarm>,
+    digests: StateDigests,
+    progress: ApplyProgress,
+    leading_since: Option<Timestamp>,
+    /// The role as last handed out.
+    role: Option<RoleChange>,
+    /// A snapshot was asked for and not yet given.
+    is_snapshot_requested: bool,
+    /// When the snapshots that are being sent were last sent, by raw member.
+    snapshots_sent_at: BTreeMap<u64, Timestamp>,
+}
+
+impl fmt::Debug for Node {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Node")
+            .field("id", &self.id)
+            .field("phase", &self.phase)
+            .field("role", &self.role)
+            .finish()
+    }
+}
+
+impl Node {
+    fn is_established(&self) -> bool {
+        matches!(self.phase, Phase::Established)
+    }
+
+    fn is_leading(&self) -> bool {
+        self.is_established() && self.raw_node.raft.state == StateRole::Leader
+    }
+
+    /// Whether this member may ask for votes: its log must not be behind its floors.
+    fn may_campaign(&self) -> bool {
+        // Between the arrival of a snapshot and its being applied the library would look for entries that are gone.
+        let is_snapshot_applied = self.progress.applied >= self.raw_node.store().snapshot_index();
+        self.is_established() && is_snapshot_applied && self.has_reached_log_floors()
+    }
+
+    fn has_reached_log_floors(&self) -> bool {
+        self.last_position() >= self.floors.log()
+    }
+
+    /// The last entry in memory.
+    fn last_position(&self) -> LogPosition {
+        let log = &self.raw_node.raft.raft_log;
+        LogPosition::new(log.last_term(), log.last_index())
+    }
+
+    /// The membership in force; before the first entry the configured contacts.
+    fn current_membership(&self) -> &VersionedMembership {
+        self.raw_node.store().membership().unwrap_or(&self.contacts)
+    }
+
+    /// Steps down within the current term.
+    fn step_down(&mut self) {
+        let term = self.raw_node.raft.term;
+        self.raw_node.raft.become_follower(term, 0);
+    }
+
+    fn raise_alarm(&mut self, alarm: Alarm) {
+        if self.alarms.len() < MAX_ALARMS {
+            self.alarms.push(alarm);
+        }
+    }
+
+    fn send(&mut self, to: MemberId, body: Body) {
+        if self.outbox.immediate.len() < MAX_QUEUED_MESSAGES {
+            self.outbox.immediate.push((to, body));
+        }
+    }
+
+    fn send_after_persist(&mut self, to: MemberId, body: Body) {
+        if self.outbox.after_persist.len() < MAX_QUEUED_MESSAGES {
+            self.outbox.after_persist.push((to, body));
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/peer_liveness.rs
@@ -0,0 +1,70 @@
+//! What every frame says beside its body: which boots of the members its sender knows of, what the sender acknowledged, and a
+//! digest of its state.
+
+use super::{Node, Phase};
+use crate::alarm::Alarm;
+use crate::ids::MemberId;
+use crate::limits::MAX_COUNT;
+use crate::wire::Envelope;
+use raft::StateRole;
+
+impl Node {
+    /// Takes note of all that a frame says beside its body.
+    pub(super) fn observe_envelope(&mut self, from: MemberId, envelope: &Envelope) {
+        if let Some(ack) = &envelope.acknowledged {
+            self.peers.observe_ack(from, ack);
+        }
+        for boot in envelope.boots.iter().filter(|boot| boot.boot <= MAX_COUNT) {
+            self.learn_boot(MemberId::from_raw(boot.member), boot.boot, boot.nonce);
+        }
+        if let Some(digest) = envelope.digest.filter(|digest| self.digests.contradicts(digest)) {
+            self.raise_alarm(Alarm::Diverged { peer: from, index: digest.index });
+        }
+    }
+
+    /// Learns of a boot, of a peer or of this member.
+    pub(super) fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) {
+        if member == self.id {
+            let is_other_with_same_number = boot == self.boot && nonce != 0 && nonce != self.nonce;
+            if boot > self.boot || is_other_with_same_number {
+                self.raise_boot_above(boot);
+            }
+        } else if self.peers.learn_boot(member, boot, nonce) {
+            self.peer_restarted(member);
+        }
+    }
+
+    /// A peer knows another boot of this member with the same or a higher number: the counter on the disk was lost.
+    pub(super) fn raise_boot_above(&mut self, known: u64) {
+        self.boot = known + 1;
+        if let Phase::Rejoining { quorum, next_request_at } = &mut self.phase {
+            quorum.restart();
+            *next_request_at = self.now;
+        } else {
+            // A response was lost that would have said so. What this boot acknowledged stands; it only takes a higher number, so
+            // that it is heard again. Where another process runs under this member's id the alarm is raised again.
+            self.persistence.is_state_due = true;
+            self.raise_alarm(Alarm::DuplicateInstance { boot: known });
+        }
+    }
+
+    /// A peer has restarted: what it acknowledged before no longer counts. A leader forgets it and probes the peer's
+    /// log again; a candidate, which may hold the peer's vote, steps down.
+    pub(super) fn peer_restarted(&mut self, member: MemberId) {
+        if let Phase::Rejoining { quorum, .. } = &mut self.phase {
+            quorum.forget(member);
+        }
+        match self.raw_node.raft.state {
+            StateRole::Leader => {
+                if let Some(progress) = self.raw_node.raft.mut_prs().get_mut(member.raw()) {
+                    let next_index = progress.matched + 1;
+                    progress.matched = 0;
+                    progress.become_probe();
+                    progress.next_idx = next_index;
+                }
+            }
+            StateRole::Candidate | StateRole::PreCandidate => self.step_down(),
+            StateRole::Follower => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/status.rs
@@ -0,0 +1,113 @@
+//! What a member knows about itself and the group.
+
+use super::{Node, Phase};
+use crate::alarm::QuarantineReason;
+use crate::ids::MemberId;
+use crate::membership::{Membership, VersionedMembership};
+use crate::role::Role;
+use raft::StateRole;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// How far a member's log reaches, as its leader knows.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct MemberProgress {
+    /// The member.
+    pub member: MemberId,
+    /// Index of the last entry that it is known to hold.
+    pub matched: u64,
+}
+
+impl Node {
+    /// This member's id.
+    pub fn id(&self) -> MemberId {
+        self.id
+    }
+
+    /// The term.
+    pub fn term(&self) -> u64 {
+        self.raw_node.raft.term
+    }
+
+    /// The role, as last handed out.
+    pub fn role(&self) -> Option<Role> {
+        self.role.map(|change| change.role)
+    }
+
+    /// The leader that this member knows of. A hint: it may no longer lead.
+    pub fn leader(&self) -> Option<MemberId> {
+        if !self.is_established() {
+            return None;
+        }
+        MemberId::from_raft(self.raw_node.raft.leader_id)
+    }
+
+    /// How long this member has led, by its own clock. A hint and not a lease: another member may lead by now.
+    pub fn leading_for(&self, now: Timestamp) -> Option<TimeDelta> {
+        self.leading_since.map(|since| (now - since).max(TimeDelta::ZERO))
+    }
+
+    /// Why this member is quarantined, if it is.
+    pub fn quarantine_reason(&self) -> Option<&QuarantineReason> {
+        match &self.phase {
+            Phase::Quarantined(reason) => Some(reason),
+            _ => None,
+        }
+    }
+
+    /// Index of the last entry known to be committed.
+    pub fn commit_index(&self) -> u64 {
+        self.raw_node.raft.raft_log.committed
+    }
+
+    /// The term of an entry in this member's log, committed or not; `None` when it is compacted or does not exist.
+    pub fn term_at(&self, index: u64) -> Option<u64> {
+        self.raw_node.raft.raft_log.term(index).ok().filter(|&term| term > 0)
+    }
+
+    /// The membership as of the last entry handed out.
+    pub fn membership(&self) -> Membership {
+        self.current_membership().membership.clone()
+    }
+
+    /// The membership as of the last entry handed out, and the entry from which it is in force.
+    pub fn versioned_membership(&self) -> VersionedMembership {
+        self.current_membership().clone()
+    }
+
+    /// At a leader: how far each member's log reaches.
+    pub fn progress(&self) -> Vec<MemberProgress> {
+        if self.raw_node.raft.state != StateRole::Leader {
+            return Vec::new();
+        }
+        let progress = self.raw_node.raft.prs().iter();
+        progress
+            .map(|(&id, progress)| MemberProgress {
+                member: MemberId::from_raw(id),
+                matched: progress.matched,
+            })
+            .collect()
+    }
+
+    /// One line about this member, for whoever examines a run.
+    pub fn describe(&self) -> String {
+        let current = self.current_membership();
+        format!(
+            "{:?} term {} leader {:?} last {:?} commit {} applied {} floor {:?} boot {} voters [{}] learners [{}] from {}",
+            self.role(),
+            self.term(),
+            self.leader().map(|leader| leader.to_string()),
+            self.last_position(),
+            self.commit_index(),
+            self.progress.applied,
+            self.floors.log(),
+            self.boot,
+            join(&current.membership.voters),
+            join(&current.membership.learners),
+            current.index,
+        )
+    }
+}
+
+fn join(members: &[MemberId]) -> String {
+    members.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
+}
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -1,83 +1,94 @@
-//! What a member knows of the others beside the log: their newest start, and the highest that they acknowledged.
+//! What a member knows of its peers beside the log: their newest boot, and the most that they were seen to acknowledge.
 
+use crate::frame::MAX_BOOTS;
 use crate::ids::MemberId;
-use crate::limits::{MAX_PEERS, MAX_VOTERS};
+use crate::limits::MAX_PEERS;
 use crate::wire::{AckState, Boot, ObservedAck};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// One peer.
 #[derive(Debug, Clone, Default)]
 struct Peer {
+    /// Number of its newest known boot.
     boot: u64,
-    /// What the start names itself by; 0 when that is not known.
+    /// The random number of that boot; 0 when it is not known.
     nonce: u64,
-    /// When it last said hello, counted in hellos; 0 when it did not since the own start.
-    asked: u64,
-    seen: AckState,
+    /// When it last sent a rejoin request, as a count of all requests; 0 when it did not since this member started.
+    last_request: u64,
+    /// The most that it was seen to acknowledge.
+    observed_ack: AckState,
 }
 
-/// What a hello shows its receiver about the asker's start.
+/// What a rejoin request shows about its sender's boot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Start {
-    /// Newer than any known.
+pub(crate) enum BootStatus {
+    /// Newer than the known one.
     New,
-    /// The one known, asking again.
+    /// The known one, asking again.
     Known,
-    /// Older than one known, or bearing the number of another: this is the number to go beyond.
-    Behind(u64),
+    /// Older than the known one, or another with its number.
+    Stale {
+        /// The number that the sender has to go beyond.
+        known: u64,
+    },
 }
 
-/// The table of peers: the members, and those that were members when they were last heard of.
+/// The peers: members, and former members that still send.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
-    table: BTreeMap<MemberId, Peer>,
-    hellos: u64,
-    /// Something changed that is not yet on disk.
-    pub changed: bool,
-    /// A start was learned from the starter itself, and no answer may go out before that is on disk.
-    pub urgent: bool,
+    peers: BTreeMap<MemberId, Peer>,
+    /// Number of rejoin requests received.
+    requests: u64,
+    /// Whether something changed that is not yet on disk.
+    pub has_unsaved_changes: bool,
+    /// Whether a boot was learned from the peer itself: it has to be on disk before the response is sent.
+    pub must_save_now: bool,
 }
 
-/// Whether one witness is beyond another: by writes, which count everything that a store was given.
-pub(crate) fn beyond(seen: &AckState, held: &AckState) -> bool {
-    seen.writes > held.writes || (seen.writes == held.writes && seen.writes > 0 && seen != held)
+/// Whether a peer observed more acknowledged batches than a disk holds, or other ones.
+pub(crate) fn is_ahead_of(observed: &AckState, recovered: &AckState) -> bool {
+    let differs = observed.writes == recovered.writes && observed.writes > 0 && observed != recovered;
+    observed.writes > recovered.writes || differs
 }
 
 impl PeerTable {
-    pub fn restored(boots: &[Boot], seen: &[ObservedAck]) -> Self {
-        let mut peers = PeerTable::default();
+    /// The table that was on disk.
+    pub fn recovered(boots: &[Boot], observed_acks: &[ObservedAck]) -> Self {
+        let mut table = PeerTable::default();
         for boot in boots {
-            let peer = peers.table.entry(MemberId::from_raw(boot.member)).or_default();
-            (peer.boot, peer.nonce) = (boot.boot, boot.nonce);
+            let peer = table.peers.entry(MemberId::from_raw(boot.member)).or_default();
+            peer.boot = boot.boot;
+            peer.nonce = boot.nonce;
         }
-        for seen in seen {
-            peers.table.entry(MemberId::from_raw(seen.member)).or_default().seen =
-                seen.ack.unwrap_or_default();
+        for observed in observed_acks {
+            let peer = table.peers.entry(MemberId::from_raw(observed.member)).or_default();
+            peer.observed_ack = observed.ack.unwrap_or_default();
         }
-        peers
+        table
     }
 
-    pub fn seen(&self, member: MemberId) -> AckState {
-        self.table.get(&member).map_or_else(AckState::default, |peer| peer.seen)
+    /// The most that a peer was seen to acknowledge.
+    pub fn observed_ack(&self, member: MemberId) -> AckState {
+        self.peers.get(&member).map_or_else(AckState::default, |peer| peer.observed_ack)
     }
 
-    /// The entry of a member; `None` when it is new and there are as many as may be.
+    /// The entry of a peer; `None` when it is new and there are [`MAX_PEERS`].
     fn entry(&mut self, member: MemberId) -> Option<&mut Peer> {
-        if self.table.len() >= MAX_PEERS && !self.table.contains_key(&member) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&member) {
             return None;
         }
-        Some(self.table.entry(member).or_default())
+        Some(self.peers.entry(member).or_default())
     }
 
-    /// Whether a frame is of the newest start known of its sender, or of a newer one.
+    /// Whether a frame is of the newest known boot of its sender, or of a newer one.
     pub fn is_current(&self, member: MemberId, boot: u64, nonce: u64) -> bool {
-        let Some(known) = self.table.get(&member) else { return true };
-        let same = known.nonce == 0 || nonce == known.nonce;
-        boot > known.boot || (boot == known.boot && same)
+        let Some(known) = self.peers.get(&member) else { return true };
+        let is_same_nonce = known.nonce == 0 || nonce == known.nonce;
+        boot > known.boot || (boot == known.boot && is_same_nonce)
     }
 
-    /// Learns of a start, from anybody. True when it is newer than the one known.
-    pub fn learn(&mut self, member: MemberId, boot: u64, nonce: u64) -> bool {
+    /// Learns of a boot, from any peer. True when it is newer than the known one.
+    pub fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) -> bool {
         let Some(known) = self.entry(member) else { return false };
         if boot == known.boot && known.nonce == 0 {
             known.nonce = nonce;
@@ -85,72 +96,88 @@
         if boot <= known.boot {
             return false;
         }
-        (known.boot, known.nonce) = (boot, nonce);
-        self.changed = true;
+        known.boot = boot;
+        known.nonce = nonce;
+        self.has_unsaved_changes = true;
         true
     }
 
-    /// Takes a start's own word. One of the known number counts only under the nonce that it came with: the disk may
-    /// have lost the counter, and two starts of one number must not be taken for one.
-    pub fn hello(&mut self, member: MemberId, boot: u64, nonce: u64) -> Option<Start> {
-        self.hellos += 1;
-        let asked = self.hellos;
+    /// Learns of a boot from the rejoin request of the peer itself. A boot with the known number counts only under the known nonce:
+    /// the peer's disk may have lost the counter, and two boots with one number must not be taken for one.
+    pub fn rejoin_request(&mut self, member: MemberId, boot: u64, nonce: u64) -> Option<BootStatus> {
+        self.requests += 1;
+        let request = self.requests;
         let known = self.entry(member)?;
         if boot > known.boot {
-            (known.boot, known.nonce, known.asked) = (boot, nonce, asked);
-            (self.changed, self.urgent) = (true, true);
-            Some(Start::New)
-        } else if boot == known.boot && nonce == known.nonce && nonce != 0 {
-            if known.asked == 0 {
-                // Known from others so far; like a new one it must be on disk before it is answered.
-                known.asked = asked;
-                (self.changed, self.urgent) = (true, true);
+            known.boot = boot;
+            known.nonce = nonce;
+            known.last_request = request;
+            self.require_save();
+            return Some(BootStatus::New);
+        }
+        if boot == known.boot && nonce == known.nonce && nonce != 0 {
+            if known.last_request == 0 {
+                // Known from other peers so far; like a new one it has to be on disk before the response.
+                known.last_request = request;
+                self.require_save();
             }
-            Some(Start::Known)
-        } else {
-            Some(Start::Behind(known.boot))
+            return Some(BootStatus::Known);
         }
+        Some(BootStatus::Stale { known: known.boot })
+    }
+
+    fn require_save(&mut self) {
+        self.has_unsaved_changes = true;
+        self.must_save_now = true;
     }
 
-    /// Remembers what a member says that it acknowledged, if it is more than was seen.
-    pub fn saw(&mut self, member: MemberId, witness: &AckState) {
+    /// The table is part of the next batch.
+    pub fn saved(&mut self) {
+        self.has_unsaved_changes = false;
+        self.must_save_now = false;
+    }
+
+    /// Remembers what a peer acknowledges, if it is more than was seen before.
+    pub fn observe_ack(&mut self, member: MemberId, ack: &AckState) {
         let Some(peer) = self.entry(member) else { return };
-        if witness.writes > peer.seen.writes {
-            peer.seen = *witness;
-            self.changed = true;
+        if ack.writes > peer.observed_ack.writes {
+            peer.observed_ack = *ack;
+            self.has_unsaved_changes = true;
         }
     }
 
-    /// Forgets a member that is removed.
+    /// Forgets a removed member.
     pub fn forget(&mut self, member: MemberId) {
-        self.table.remove(&member);
+        self.peers.remove(&member);
     }
 
-    /// The newest starts for every message: the voters', then those that last said hello here, for a member that lags
-    /// may not know yet that they are voters. At most twice [`MAX_VOTERS`].
-    pub fn told(&self, voters: &[MemberId]) -> Vec<Boot> {
-        let is_voter = |member: &MemberId| voters.contains(member);
-        let mut others: Vec<(&MemberId, &Peer)> =
-            self.table.iter().filter(|(member, peer)| !is_voter(member) && peer.asked > 0).collect();
-        others.sort_unstable_by_key(|(_, peer)| std::cmp::Reverse(peer.asked));
-        let voters = voters.iter().filter_map(|voter| self.table.get_key_value(voter));
-        let known = voters.chain(others).filter(|(_, peer)| peer.boot > 0).take(2 * MAX_VOTERS);
-        known
-            .map(|(member, peer)| Boot { member: member.raw(), boot: peer.boot, nonce: peer.nonce })
-            .collect()
+    /// The newest boots for every frame: those of the voters, then of the peers that last sent a rejoin request, for a
+    /// member that is behind may not know yet that they are voters. At most [`MAX_BOOTS`].
+    pub fn boots_to_send(&self, voters: &[MemberId]) -> Vec<Boot> {
+        let is_recent_other =
+            |(member, peer): &(&MemberId, &Peer)| !voters.contains(member) && peer.last_request > 0;
+        let mut others: Vec<(&MemberId, &Peer)> = self.peers.iter().filter(is_recent_other).collect();
+        others.sort_unstable_by_key(|(_, peer)| Reverse(peer.last_request));
+        let voters = voters.iter().filter_map(|voter| self.peers.get_key_value(voter));
+        let known = voters.chain(others).filter(|(_, peer)| peer.boot > 0);
+        known.take(MAX_BOOTS).map(boot_to_wire).collect()
     }
 
+    /// All boots, for the disk.
     pub fn boots(&self) -> Vec<Boot> {
-        self.table
-            .iter()
-            .map(|(member, peer)| Boot { member: member.raw(), boot: peer.boot, nonce: peer.nonce })
-            .collect()
+        self.peers.iter().map(boot_to_wire).collect()
     }
 
-    pub fn all_seen(&self) -> Vec<ObservedAck> {
-        self.table
-            .iter()
-            .map(|(member, peer)| ObservedAck { member: member.raw(), ack: Some(peer.seen) })
-            .collect()
+    /// All that was seen acknowledged, for the disk.
+    pub fn observed_acks(&self) -> Vec<ObservedAck> {
+        let to_wire = |(member, peer): (&MemberId, &Peer)| ObservedAck {
+            member: member.raw(),
+            ack: Some(peer.observed_ack),
+        };
+        self.peers.iter().map(to_wire).collect()
     }
 }
+
+fn boot_to_wire((member, peer): (&MemberId, &Peer)) -> Boot {
+    Boot { member: member.raw(), boot: peer.boot, nonce: peer.nonce }
+}
--- a/crates/consensus/src/pending_proposals.rs
+++ b/crates/consensus/src/pending_proposals.rs
@@ -1,118 +1,119 @@
-//! A member's own proposals until it is known what became of them.
+//! A member's own proposals until their outcome is known.
 
 use crate::ids::ProposalId;
-use crate::limits::MAX_PROPOSALS_IN_HAND;
+use crate::limits::MAX_PENDING_PROPOSALS;
 use sprucelink_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It stands in the journal.
+    /// It is in the log.
     Committed {
-        /// Which.
+        /// The proposal.
         id: ProposalId,
-        /// Where.
+        /// Its index.
         index: u64,
     },
-    /// It will never stand there: entries of a later term are committed, and it was offered to one term's leader only.
+    /// It will never be in the log: an entry of a later term is committed, and it was offered to one term's leader only.
     Dropped {
-        /// Which.
+        /// The proposal.
         id: ProposalId,
     },
-    /// It may stand there yet. Offered again under the same name it counts once, however often it is committed.
+    /// It may still enter the log. Proposed again under the same id it counts once, however often it is committed.
     Unknown {
-        /// Which.
+        /// The proposal.
         id: ProposalId,
-        /// Why nothing better can be said.
+        /// Why the outcome is not known.
         reason: UnknownReason,
     },
 }
 
-/// Why it is not known what became of a proposal.
+/// Why the outcome of a proposal is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownReason {
     /// Nothing was heard of it in time.
     TimedOut,
-    /// The leader said that it did not take it (a copy of it may still be on the way).
+    /// The leader rejected it (a copy of it may still be on the way).
     RejectedByLeader,
-    /// A snapshot went past the place where it may stand.
+    /// A snapshot covers the place where it may be.
     CoveredBySnapshot,
-    /// This member no longer takes part.
+    /// This member is quarantined.
     Quarantined,
 }
 
 #[derive(Debug)]
 struct PendingProposal {
+    /// The term whose leader it was offered to.
     term: u64,
-    until: Timestamp,
+    /// When its outcome is reported as unknown.
+    deadline: Timestamp,
 }
 
-/// The proposals in hand, at most [`MAX_PROPOSALS_IN_HAND`].
+/// The proposals whose outcome is open, at most [`MAX_PENDING_PROPOSALS`], and the outcomes not yet taken.
 #[derive(Debug, Default)]
 pub(crate) struct PendingProposals {
     pending: BTreeMap<ProposalId, PendingProposal>,
+    outcomes: Vec<ProposalOutcome>,
 }
 
 impl PendingProposals {
     pub fn is_full(&self) -> bool {
-        self.pending.len() >= MAX_PROPOSALS_IN_HAND
+        self.pending.len() >= MAX_PENDING_PROPOSALS
     }
 
-    pub fn holds(&self, id: ProposalId) -> bool {
+    pub fn contains(&self, id: ProposalId) -> bool {
         self.pending.contains_key(&id)
     }
 
-    pub fn put(&mut self, id: ProposalId, term: u64, until: Timestamp) {
-        self.pending.insert(id, PendingProposal { term, until });
+    pub fn insert(&mut self, id: ProposalId, term: u64, deadline: Timestamp) {
+        self.pending.insert(id, PendingProposal { term, deadline });
     }
 
-    /// An entry is committed. Terms never go down along the log, so nothing offered to an earlier term's leader can
-    /// come behind it.
-    pub fn committed(
-        &mut self,
-        index: u64,
-        term: u64,
-        id: Option<ProposalId>,
-        out: &mut Vec<ProposalOutcome>,
-    ) {
+    /// The outcomes since the last call.
+    pub fn take_outcomes(&mut self) -> Vec<ProposalOutcome> {
+        std::mem::take(&mut self.outcomes)
+    }
+
+    /// An entry is committed. Terms never decrease along the log, so no proposal that was offered to an earlier term's
+    /// leader can follow it.
+    pub fn entry_committed(&mut self, index: u64, term: u64, id: Option<ProposalId>) {
         if let Some(id) = id.filter(|id| self.pending.remove(id).is_some()) {
-            out.push(ProposalOutcome::Committed { id, index });
+            self.outcomes.push(ProposalOutcome::Committed { id, index });
         }
-        let lost = |pending: &PendingProposal| pending.term < term;
-        self.drain(|_, pending| lost(pending), |id| ProposalOutcome::Dropped { id }, out);
+        self.resolve(|pending| pending.term < term, |id| ProposalOutcome::Dropped { id });
     }
 
-    pub fn refused(&mut self, id: ProposalId, out: &mut Vec<ProposalOutcome>) {
+    /// The leader rejected a proposal.
+    pub fn rejected(&mut self, id: ProposalId) {
         if self.pending.remove(&id).is_some() {
-            out.push(ProposalOutcome::Unknown { id, reason: UnknownReason::RejectedByLeader });
+            self.outcomes.push(ProposalOutcome::Unknown { id, reason: UnknownReason::RejectedByLeader });
         }
     }
 
-    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<ProposalOutcome>) {
-        self.drain(
-            |_, pending| pending.until <= now,
-            |id| ProposalOutcome::Unknown { id, reason: UnknownReason::TimedOut },
-            out,
-        );
+    /// Resolves the proposals whose deadline has passed.
+    pub fn tick(&mut self, now: Timestamp) {
+        let reason = UnknownReason::TimedOut;
+        self.resolve(|pending| pending.deadline <= now, |id| ProposalOutcome::Unknown { id, reason });
     }
 
-    pub fn give_up(&mut self, reason: UnknownReason, out: &mut Vec<ProposalOutcome>) {
-        self.drain(|_, _| true, |id| ProposalOutcome::Unknown { id, reason }, out);
+    /// Resolves all proposals as unknown.
+    pub fn abandon_all(&mut self, reason: UnknownReason) {
+        self.resolve(|_| true, |id| ProposalOutcome::Unknown { id, reason });
     }
 
-    fn drain(
+    fn resolve(
         &mut self,
-        which: impl Fn(&ProposalId, &PendingProposal) -> bool,
+        is_resolved: impl Fn(&PendingProposal) -> bool,
         outcome: impl Fn(ProposalId) -> ProposalOutcome,
-        out: &mut Vec<ProposalOutcome>,
     ) {
+        let outcomes = &mut self.outcomes;
         self.pending.retain(|id, pending| {
-            let gone = which(id, pending);
-            if gone {
-                out.push(outcome(*id));
+            let resolved = is_resolved(pending);
+            if resolved {
+                outcomes.push(outcome(*id));
             }
-            !gone
+            !resolved
         });
     }
 }
--- a/crates/consensus/src/proposal_dedup.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -1,91 +1,100 @@
-//! Telling a proposal's repeats from its first time, for whoever applies entries. Part of the state that is applied: the
-//! same at every member, and to be kept in its snapshots.
+//! Detecting duplicates of a proposal, for whoever applies entries. A part of the applied state: the same at every member,
+//! and to be kept in its snapshots.
 
 use crate::ids::ProposalId;
 use crate::limits::MAX_ORIGINS;
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// How far behind an origin's highest sequence another may come and still be told apart, in sequences.
-pub const WINDOW: u64 = 512;
-const WORDS: usize = (WINDOW / 64) as usize;
+/// How far below an origin's highest sequence others are still told apart, in sequences.
+pub const SEQUENCE_WINDOW: u64 = 512;
+/// Number of 64-bit words in an origin's window.
+const WINDOW_WORDS: usize = (SEQUENCE_WINDOW / 64) as usize;
+/// Length of a word when encoded, bytes.
+const WORD_BYTES: usize = 8;
+/// Length of one origin when encoded, bytes: the origin, its highest sequence, and its window.
+const ORIGIN_BYTES: usize = (2 + WINDOW_WORDS) * WORD_BYTES;
 
-/// What an entry's proposal is.
+/// Whether a proposal is a duplicate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dedup {
-    /// Here for the first time: to be applied.
+    /// It is new: to be applied.
     New,
-    /// Here before: to be dropped.
+    /// It was recorded before: to be dropped.
     Duplicate,
-    /// Over [`WINDOW`] behind its origin's highest, so it can't be told: to be dropped. A proposer with at most
-    /// `MAX_PROPOSALS_IN_HAND` (256) undecided never sees this for one that was not applied.
+    /// It is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it can't be told: to be dropped. A proposer with at most
+    /// `MAX_PENDING_PROPOSALS` (256) open proposals never gets this for one that was not applied.
     TooOld,
-    /// A new origin where [`MAX_ORIGINS`] are remembered: to be dropped, and old origins to be retired by an entry.
+    /// It has a new origin and [`MAX_ORIGINS`] are remembered: to be dropped. Old origins should be retired.
     TooManyOrigins,
 }
 
-/// Why bytes are not a table of repeats.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DedupDecodeError;
-
-impl fmt::Display for DedupDecodeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "not a table of proposals seen")
-    }
+/// The bytes are not an encoded [`ProposalDedup`].
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{bytes} bytes are no table of up to {MAX_ORIGINS} origins with {ORIGIN_BYTES} bytes each")]
+pub struct DedupDecodeError {
+    /// Number of bytes.
+    pub bytes: usize,
 }
 
-impl std::error::Error for DedupDecodeError {}
-
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-struct Origin {
+struct OriginWindow {
     highest: u64,
-    /// Bit `s % WINDOW` stands for sequence `s`, for the last [`WINDOW`] of them.
-    seen: [u64; WORDS],
+    /// Bit `sequence % SEQUENCE_WINDOW` stands for a sequence, for the last [`SEQUENCE_WINDOW`] of them.
+    seen: [u64; WINDOW_WORDS],
 }
 
-impl Origin {
-    fn bit(sequence: u64) -> (usize, u64) {
-        let place = sequence % WINDOW;
+impl OriginWindow {
+    /// The word and the bit in it that stand for a sequence.
+    fn word_and_bit(sequence: u64) -> (usize, u64) {
+        let place = sequence % SEQUENCE_WINDOW;
         ((place / 64) as usize, 1 << (place % 64))
     }
 
-    fn raise(&mut self, sequence: u64) {
-        if sequence - self.highest >= WINDOW {
-            self.seen = [0; WORDS];
+    /// Moves the window up to a higher sequence.
+    fn advance_to(&mut self, sequence: u64) {
+        if sequence - self.highest >= SEQUENCE_WINDOW {
+            self.seen = [0; WINDOW_WORDS];
         } else {
-            for passed in self.highest + 1..=sequence {
-                let (word, bit) = Self::bit(passed);
+            for skipped in self.highest + 1..=sequence {
+                let (word, bit) = Self::word_and_bit(skipped);
                 self.seen[word] &= !bit;
             }
         }
         self.highest = sequence;
     }
+
+    /// Records a sequence within the window; false if it was recorded before.
+    fn insert(&mut self, sequence: u64) -> bool {
+        let (word, bit) = Self::word_and_bit(sequence);
+        let is_new = self.seen[word] & bit == 0;
+        self.seen[word] |= bit;
+        is_new
+    }
 }
 
-/// Which proposals were applied: for each origin its highest sequence and which of the [`WINDOW`] up to it.
+/// Which proposals were applied: for each origin its highest sequence and which of the [`SEQUENCE_WINDOW`] up to it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ProposalDedup {
-    origins: BTreeMap<u64, Origin>,
+    origins: BTreeMap<u64, OriginWindow>,
 }
 
 impl ProposalDedup {
-    /// Takes note of a proposal that is about to be applied and says whether it may be.
-    pub fn first(&mut self, id: ProposalId) -> Dedup {
+    /// Records a proposal that is about to be applied and says whether it may be.
+    pub fn record(&mut self, id: ProposalId) -> Dedup {
         if !self.origins.contains_key(&id.origin) && self.origins.len() >= MAX_ORIGINS {
             return Dedup::TooManyOrigins;
         }
-        let origin = self.origins.entry(id.origin).or_default();
-        if id.sequence > origin.highest {
-            origin.raise(id.sequence);
-        } else if origin.highest - id.sequence >= WINDOW {
+        let window = self.origins.entry(id.origin).or_default();
+        if id.sequence > window.highest {
+            window.advance_to(id.sequence);
+        } else if window.highest - id.sequence >= SEQUENCE_WINDOW {
             return Dedup::TooOld;
         }
-        let (word, bit) = Origin::bit(id.sequence);
-        if origin.seen[word] & bit != 0 {
-            return Dedup::Duplicate;
+        if window.insert(id.sequence) {
+            Dedup::New
+        } else {
+            Dedup::Duplicate
         }
-        origin.seen[word] |= bit;
-        Dedup::New
     }
 
     /// Forgets an origin that will never propose again.
@@ -93,37 +102,40 @@
         self.origins.remove(&origin);
     }
 
-    /// As bytes, for a snapshot.
+    /// Encodes the table for a snapshot: for each origin its number, its highest sequence and its window, as little-endian
+    /// 64-bit words.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = Vec::with_capacity(self.origins.len() * (16 + 8 * WORDS));
-        for (name, origin) in &self.origins {
-            for word in [*name, origin.highest].iter().chain(&origin.seen) {
-                out.extend_from_slice(&word.to_le_bytes());
+        let mut bytes = Vec::with_capacity(self.origins.len() * ORIGIN_BYTES);
+        for (origin, window) in &self.origins {
+            for word in [*origin, window.highest].iter().chain(&window.seen) {
+                bytes.extend_from_slice(&word.to_le_bytes());
             }
         }
-        out
+        bytes
     }
 
-    /// From bytes.
+    /// Decodes what [`ProposalDedup::encode`] returned.
     ///
     /// # Errors
-    /// When they are not what [`ProposalDedup::encode`] gives.
+    /// When the length is not that of a table.
     pub fn decode(bytes: &[u8]) -> Result<Self, DedupDecodeError> {
-        let size = 16 + 8 * WORDS;
-        if !bytes.len().is_multiple_of(size) || bytes.len() / size > MAX_ORIGINS {
-            return Err(DedupDecodeError);
+        let is_whole = bytes.len().is_multiple_of(ORIGIN_BYTES);
+        if !is_whole || bytes.len() / ORIGIN_BYTES > MAX_ORIGINS {
+            return Err(DedupDecodeError { bytes: bytes.len() });
         }
-        let mut repeats = ProposalDedup::default();
-        for part in bytes.chunks_exact(size) {
-            let mut words = part
-                .chunks_exact(8)
-                .map(|chunk| chunk.iter().rev().fold(0, |sum, &b| sum << 8 | u64::from(b)));
-            let (name, highest) =
-                (words.next().ok_or(DedupDecodeError)?, words.next().ok_or(DedupDecodeError)?);
-            let mut origin = Origin { highest, seen: [0; WORDS] };
-            origin.seen.iter_mut().zip(words).for_each(|(held, word)| *held = word);
-            repeats.origins.insert(name, origin);
+        let mut dedup = ProposalDedup::default();
+        for encoded in bytes.chunks_exact(ORIGIN_BYTES) {
+            let word = |at: usize| {
+                let mut word = [0; WORD_BYTES];
+                word.copy_from_slice(&encoded[at * WORD_BYTES..(at + 1) * WORD_BYTES]);
+                u64::from_le_bytes(word)
+            };
+            let mut window = OriginWindow { highest: word(1), seen: [0; WINDOW_WORDS] };
+            for (at, seen) in window.seen.iter_mut().enumerate() {
+                *seen = word(2 + at);
+            }
+            dedup.origins.insert(word(0), window);
         }
-        Ok(repeats)
+        Ok(dedup)
     }
 }
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -1,177 +1,201 @@
-//! Probation: what a member that has started must hear before it takes part, and the floors that it takes with it.
+//! What a restarted member must hear before it takes part, and the restrictions under which it then does.
 //!
-//! Why this makes up for a disk that forgot, in short. Let a member X have voted in a term, or acknowledged an entry
-//! that was committed, before its start, and forgotten it. The vote or the commit rested on a majority, so on
-//! at least half of the others; X hears from a majority of the others, so from one of them, H. Either H gave its part
-//! before it answered X: then the answer's term or last entry covers it, and X takes it as its floor. Or H
-//! gave its part later: then H's message says that X has started anew, and whoever counts parts drops X's. H must not
-//! itself have forgotten; that is so for members that are established, since they went through the same, and
-//! why their answers alone count as a rule.
-
-use crate::ids::MemberId;
-use crate::limits::MAX_STRANGERS;
-use crate::membership::Membership;
+//! # Why this makes up for a disk that lost writes
+//!
+//! Let a member X have voted in a term, or acknowledged an entry that was committed, before its restart, and lost that
+//! from its disk. The vote or the commit rested on a majority, so on at least half of the other voters. X hears from a majority of the
+//! other voters, so from one of those, H. Either H gave its vote or acknowledgement before it responded to X: then the
+//! response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then H's message says
+//! that X has restarted, and whoever counts votes or acknowledgements drops those of X. H must not itself have lost writes. That
+//! holds for established members, because they went through the same; this is why only their responses count as a rule.
+
+use crate::ids::{LogPosition, MemberId};
+use crate::limits::MAX_UNLISTED_PEERS;
+use crate::membership::{Membership, VersionedMembership};
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One member's answer.
+/// How far a member's log reached when it said so.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LogFloor {
+    /// The member.
+    pub member: MemberId,
+    /// Its last entry.
+    pub last: LogPosition,
+}
+
+/// One member's response to a rejoin request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinAnswer {
-    /// Its term, or its own floor for votes.
+    /// Its term, or its own floor for votes if that is higher.
     pub term: u64,
-    /// Term and index of its last entry.
-    pub last: (u64, u64),
-    /// What it was itself told at its start and has not reached yet, by whom.
-    pub floors: Vec<(MemberId, (u64, u64))>,
-    /// Whether it has been through its own probation.
-    pub established: bool,
-    /// Whether it was found to have forgotten; then it counts for nothing.
-    pub quarantined: bool,
-    /// Who is in, as far as it knows, and from which entry on.
-    pub members: (u64, Membership),
+    /// Its last entry.
+    pub last: LogPosition,
+    /// The floors that it was itself given at its start and has not reached yet.
+    pub floors: Vec<LogFloor>,
+    /// Whether it is established: it has itself rejoined since its start.
+    pub is_established: bool,
+    /// Whether it is quarantined; then it counts for nothing.
+    pub is_quarantined: bool,
+    /// The membership that it knows.
+    pub membership: VersionedMembership,
 }
 
-/// What a member may not do once it takes part.
+/// The restrictions under which a member takes part after it has rejoined.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RejoinFloors {
-    /// It votes in no term up to this.
-    pub vote: u64,
-    /// Term and index of the last entry of each that answered: it votes for no candidate whose last entry is behind any of
-    /// them, and does not campaign while its own is.
-    pub logs: Vec<(MemberId, (u64, u64))>,
+    /// It votes in no term up to this one.
+    pub vote_term: u64,
+    /// It votes for no candidate whose last entry is behind any of these, and does not campaign while its own is.
+    pub logs: Vec<LogFloor>,
 }
 
 impl RejoinFloors {
-    /// The furthest last entry told.
-    pub fn log(&self) -> (u64, u64) {
-        self.logs.iter().map(|(_, last)| *last).max().unwrap_or((0, 0))
+    /// The furthest of the log floors.
+    pub fn log(&self) -> LogPosition {
+        self.logs.iter().map(|floor| floor.last).max().unwrap_or_default()
     }
 }
 
-/// How a member came through its probation.
+/// How a member has rejoined.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinOutcome {
-    /// The floors it takes along.
+    /// The restrictions under which it takes part.
     pub floors: RejoinFloors,
-    /// Whether answers of members in probation had to count.
-    pub relaxed: bool,
+    /// Whether responses of members that were themselves rejoining had to count.
+    pub is_weak: bool,
 }
 
-/// The probation of one start.
+/// The responses to the rejoin requests of one start.
 #[derive(Debug, Clone)]
 pub struct RejoinQuorum {
-    me: MemberId,
-    since: Timestamp,
+    member: MemberId,
+    started_at: Timestamp,
     patience: TimeDelta,
-    own: (u64, Membership),
+    /// The membership as the own disk holds it, or the configured contacts.
+    own: VersionedMembership,
     answers: BTreeMap<MemberId, RejoinAnswer>,
-    /// Members outside the list that spoke to this one: they may know a newer list.
-    strangers: BTreeSet<MemberId>,
+    /// Peers outside of the membership that sent something: they may know a newer membership.
+    unlisted: BTreeSet<MemberId>,
 }
 
 impl RejoinQuorum {
-    /// Begins; `own` is who is in as the own disk says, or whom to ask.
-    pub fn new(me: MemberId, own: (u64, Membership), now: Timestamp, patience: TimeDelta) -> Self {
-        RejoinQuorum { me, since: now, patience, own, answers: BTreeMap::new(), strangers: BTreeSet::new() }
+    /// Starts with no responses; `own` is the membership as the own disk holds it, or the configured contacts.
+    pub fn new(member: MemberId, own: VersionedMembership, now: Timestamp, patience: TimeDelta) -> Self {
+        RejoinQuorum {
+            member,
+            started_at: now,
+            patience,
+            own,
+            answers: BTreeMap::new(),
+            unlisted: BTreeSet::new(),
+        }
     }
 
-    /// Whom to ask: all voters of the list that counts, but for itself, and who else spoke to it.
-    pub fn asked(&self) -> Vec<MemberId> {
-        let mut asked = self.others(self.list());
-        asked.extend(self.strangers.iter().filter(|stranger| !self.list().voters.contains(stranger)));
-        asked
+    /// The members to ask: all other voters of the newest membership, and unlisted peers.
+    pub fn members_to_ask(&self) -> Vec<MemberId> {
+        let voters = &self.membership().voters;
+        let mut members = self.other_voters();
+        members.extend(self.unlisted.iter().filter(|peer| !voters.contains(peer)));
+        members
     }
 
-    /// Somebody spoke: when the list does not have it, the list may be old, and it is to be asked too.
-    pub fn heard_from(&mut self, member: MemberId) {
-        if self.strangers.len() < MAX_STRANGERS && !self.list().voters.contains(&member) {
-            self.strangers.insert(member);
+    /// A peer sent something. If the membership does not list it, the membership may be old, and the peer is asked too.
+    pub fn heard_from(&mut self, peer: MemberId) {
+        if self.unlisted.len() < MAX_UNLISTED_PEERS && !self.membership().voters.contains(&peer) {
+            self.unlisted.insert(peer);
         }
     }
 
-    /// Takes an answer, which stands in for an earlier one of the same member.
-    pub fn answer(&mut self, from: MemberId, answer: RejoinAnswer) {
-        let newer = answer.members.0 > self.list_from();
-        if newer || self.asked().contains(&from) {
+    /// Takes a response; it replaces an earlier one of the same member.
+    pub fn add_answer(&mut self, from: MemberId, answer: RejoinAnswer) {
+        let has_newer_membership = answer.membership.index > self.newest().index;
+        if has_newer_membership || self.members_to_ask().contains(&from) {
             self.answers.insert(from, answer);
         }
     }
 
-    /// An operator says that a member is gone for good.
-    pub fn gone(&mut self, member: MemberId) {
-        let members = self.own.clone();
-        let (floors, established) = (Vec::new(), false);
-        self.answer(
-            member,
-            RejoinAnswer { term: 0, last: (0, 0), floors, established, quarantined: true, members },
-        );
-        self.answers.values_mut().for_each(|answer| answer.floors.retain(|(told, _)| *told != member));
+    /// An operator says that a member's store is lost for good: it counts as a response without floors.
+    pub fn declare_lost(&mut self, member: MemberId) {
+        let answer = RejoinAnswer {
+            term: 0,
+            last: LogPosition::default(),
+            floors: Vec::new(),
+            is_established: false,
+            is_quarantined: true,
+            membership: self.own.clone(),
+        };
+        self.add_answer(member, answer);
+        for answer in self.answers.values_mut() {
+            answer.floors.retain(|floor| floor.member != member);
+        }
     }
 
-    /// A member has started anew: what it said before no longer counts.
+    /// A member has restarted: its earlier response no longer counts.
     pub fn forget(&mut self, member: MemberId) {
         self.answers.remove(&member);
     }
 
-    /// The own start's number has changed: all must be asked again.
+    /// The number of the own boot has changed: all members must be asked again.
     pub fn restart(&mut self) {
         self.answers.clear();
     }
 
-    /// The newest list of members that is known: the own disk's, or one that was told. Whoever stands behind the entry that
-    /// made it has all entries before it, so older lists have nothing to add.
-    fn newest(&self) -> &(u64, Membership) {
-        let told = self.answers.values().filter(|answer| !answer.quarantined).map(|answer| &answer.members);
-        told.chain([&self.own]).max_by_key(|(from, _)| *from).unwrap_or(&self.own)
-    }
-
-    fn list(&self) -> &Membership {
-        &self.newest().1
+    /// The newest membership known: the own disk's, or one in a response. Whoever holds the entry that made it holds all
+    /// entries before it, so older memberships have nothing to add.
+    fn newest(&self) -> &VersionedMembership {
+        let trusted = self.answers.values().filter(|answer| !answer.is_quarantined);
+        let memberships = trusted.map(|answer| &answer.membership).chain([&self.own]);
+        memberships.max_by_key(|membership| membership.index).unwrap_or(&self.own)
     }
 
-    fn list_from(&self) -> u64 {
-        self.newest().0
+    fn membership(&self) -> &Membership {
+        &self.newest().membership
     }
 
-    fn others(&self, list: &Membership) -> Vec<MemberId> {
-        list.voters.iter().copied().filter(|&voter| voter != self.me).collect()
+    fn other_voters(&self) -> Vec<MemberId> {
+        let voters = self.membership().voters.iter().copied();
+        voters.filter(|&voter| voter != self.member).collect()
     }
 
-    /// Whether enough was heard, and with which floors the member goes on.
+    /// The outcome, once enough members have responded.
     pub fn outcome(&self, now: Timestamp) -> Option<RejoinOutcome> {
-        let patient = now - self.since < self.patience;
-        let others = self.others(self.list());
-        let need = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
-        let answers = || others.iter().filter_map(|other| self.answers.get(other));
-        // Who is known to have forgotten is past being waited for: it counts as heard, and adds nothing to the floors.
-        let heard = answers().count();
-        let established = answers().filter(|answer| answer.established && !answer.quarantined).count();
-        let relaxed = established < need;
-        if relaxed {
-            let hopeless = established + (others.len() - heard) < need;
-            if heard < need || (patient && !hopeless) {
+        let others = self.other_voters();
+        let quorum = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
+        let answers: Vec<&RejoinAnswer> = others.iter().filter_map(|other| self.answers.get(other)).collect();
+        // A quarantined member is not waited for: it counts as heard, and adds nothing to the floors.
+        let heard = answers.len();
+        let is_trusted = |answer: &&&RejoinAnswer| answer.is_established && !answer.is_quarantined;
+        let established = answers.iter().filter(is_trusted).count();
+        let is_weak = established < quorum;
+        if is_weak {
+            let is_patient = now - self.started_at < self.patience;
+            let can_reach_quorum = established + (others.len() - heard) >= quorum;
+            if heard < quorum || (is_patient && can_reach_quorum) {
                 return None;
             }
         }
-        // Only voters of the list: parts that others gave were counted by nobody.
-        let counts = |from: &MemberId, answer: &RejoinAnswer| !answer.quarantined && others.contains(from);
-        let sound: Vec<(MemberId, &RejoinAnswer)> = self
-            .answers
-            .iter()
-            .filter(|(from, answer)| counts(from, answer))
-            .map(|(&from, answer)| (from, answer))
-            .collect();
-        let vote = sound.iter().map(|(_, answer)| answer.term).max().unwrap_or(0);
-        let mut logs = BTreeMap::new();
-        for (from, answer) in &sound {
-            for (told, last) in answer.floors.iter().copied().chain([(*from, answer.last)]) {
-                // What a member tells of itself, and what others were told by it, whichever is further.
-                let held = logs.entry(told).or_insert(last);
-                *held = last.max(*held);
+        Some(RejoinOutcome { floors: self.floors(&others), is_weak })
+    }
+
+    /// The floors that the responses of the voters set. Votes and acknowledgements of others were counted by nobody.
+    fn floors(&self, voters: &[MemberId]) -> RejoinFloors {
+        let mut vote_term = 0;
+        let mut logs: BTreeMap<MemberId, LogPosition> = BTreeMap::new();
+        for (&from, answer) in &self.answers {
+            if answer.is_quarantined || !voters.contains(&from) {
+                continue;
+            }
+            vote_term = vote_term.max(answer.term);
+            // What a member says of itself, and what others were given by it, whichever is further. What this member itself
+            // told others is nothing new if it has lost nothing, and needed if it has.
+            let own_floor = LogFloor { member: from, last: answer.last };
+            for floor in answer.floors.iter().chain([&own_floor]) {
+                let furthest = logs.entry(floor.member).or_insert(floor.last);
+                *furthest = floor.last.max(*furthest);
             }
         }
-        // What this member itself told others is no news to it if it has forgotten nothing, and the more if it has.
-        let logs = logs.into_iter().collect();
-        Some(RejoinOutcome { floors: RejoinFloors { vote, logs }, relaxed })
+        let logs = logs.into_iter().map(|(member, last)| LogFloor { member, last }).collect();
+        RejoinFloors { vote_term, logs }
     }
 }
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -1,168 +1,305 @@
-//! What must hold, whatever breaks. The checker looks at what hosts did: the frames that left them, the records that they
-//! applied, the parts that they played.
+//! What must hold, whatever fails. The checker examines what hosts did: the frames that left them, the entries that they
+//! applied, the roles that they had.
 
-use super::recorder::mix;
+use super::recorder::chain_entry;
+use crate::alarm::Alarm;
 use crate::frame::Frame;
-use crate::ready::{Alarm, CommittedEntry, Role, RoleChange};
+use crate::ids::{MemberId, ProposalId};
+use crate::node::Node;
+use crate::pending_proposals::ProposalOutcome;
+use crate::ready::CommittedEntry;
+use crate::role::{Role, RoleChange};
 use crate::wire::envelope::Body;
-use crate::{MemberId, Node, ProposalId, ProposalOutcome, Timestamp};
+use sprucelink_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Something that must not be.
+/// Number of the newest committed entries that a new leader is checked for.
+const CHECKED_ENTRIES: usize = 256;
+/// Number of a vote request on the wire: a vote for oneself.
+const VOTE_REQUEST: u32 = 3;
+/// Number of a vote response on the wire: a vote for its receiver, unless it rejects.
+const VOTE_RESPONSE: u32 = 4;
+
+/// An invariant that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// When.
     pub at: Timestamp,
-    /// What.
-    pub what: String,
+    /// How.
+    pub kind: ViolationKind,
 }
 
 impl fmt::Display for Violation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3} s: {}", self.at.as_secs_f64(), self.what)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:.3} s: {}", self.at.as_secs_f64(), self.kind)
     }
 }
 
+/// How an invariant was violated.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum ViolationKind {
+    /// Election safety: two leaders in one term.
+    #[error("{first} and {second} both lead in term {term}")]
+    TwoLeaders {
+        /// The first leader.
+        first: MemberId,
+        /// The other leader.
+        second: MemberId,
+        /// The term.
+        term: u64,
+    },
+    /// Leader completeness: a new leader lacks a committed entry.
+    #[error("{leader} leads in term {term} without entry {index} of term {entry_term}")]
+    IncompleteLeader {
+        /// The leader.
+        leader: MemberId,
+        /// Its term.
+        term: u64,
+        /// The committed entry.
+        index: u64,
+        /// That entry's term.
+        entry_term: u64,
+    },
+    /// State machine safety: two members apply different entries at one index.
+    #[error("{member} applies another entry at {index} than was applied there")]
+    DivergentEntry {
+        /// The member that applied the entry later.
+        member: MemberId,
+        /// The index.
+        index: u64,
+    },
+    /// A member reports that a peer's state differs from its own.
+    #[error("{member} and {peer} differ at {index}")]
+    DivergentState {
+        /// The member.
+        member: MemberId,
+        /// The peer.
+        peer: MemberId,
+        /// The entry.
+        index: u64,
+    },
+    /// A proposal was reported as dropped and is committed.
+    #[error("a proposal reported as dropped is committed: {id:?}")]
+    DroppedButCommitted {
+        /// The proposal.
+        id: ProposalId,
+    },
+    /// A proposal was reported as committed and nobody has applied it.
+    #[error("a proposal reported as committed at {index} was applied by nobody: {id:?}")]
+    CommittedButNotApplied {
+        /// The proposal.
+        id: ProposalId,
+        /// The index that was reported.
+        index: u64,
+    },
+    /// A quarantined member sends Raft messages.
+    #[error("{member} is quarantined and takes part")]
+    QuarantinedMemberActive {
+        /// The member.
+        member: MemberId,
+    },
+    /// A member votes for two candidates in one term.
+    #[error("{member} votes twice in term {term}")]
+    DoubleVote {
+        /// The member.
+        member: MemberId,
+        /// The term.
+        term: u64,
+    },
+    /// The group has no leader after the recovery time.
+    #[error("no leader at the end\n{hosts}")]
+    NoLeader {
+        /// A line for each host.
+        hosts: String,
+    },
+    /// A member lacks a committed proposal at the end.
+    #[error("{member} lacks {id:?}, reported as committed at {index}; the last entry is {last}")]
+    ProposalLost {
+        /// The member.
+        member: MemberId,
+        /// The proposal.
+        id: ProposalId,
+        /// The index that was reported.
+        index: u64,
+        /// Index of the last committed entry.
+        last: u64,
+    },
+    /// A member applied a proposal more than once.
+    #[error("{member} applied {id:?} {count} times")]
+    AppliedRepeatedly {
+        /// The member.
+        member: MemberId,
+        /// The proposal.
+        id: ProposalId,
+        /// How often.
+        count: u32,
+    },
+}
+
+/// Number of proposals by their reported outcome.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct OutcomeCounts {
+    /// Reported as committed.
+    pub committed: u64,
+    /// Reported as dropped.
+    pub dropped: u64,
+    /// Reported as unknown.
+    pub unknown: u64,
+}
+
+/// What makes one vote: a member, a term, and the boot where that matters.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct VoteKey {
+    member: MemberId,
+    term: u64,
+    boot: u64,
+}
+
+/// A committed entry, as it was first applied.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct AppliedEntry {
+    term: u64,
+    digest: u64,
+}
+
 /// What is known of the run so far. The first violation stays.
 #[derive(Debug, Default)]
 pub struct Checker {
     now: Timestamp,
-    /// The first thing that must not be.
+    /// The first violation.
     pub violation: Option<Violation>,
     leaders: BTreeMap<u64, MemberId>,
-    votes: BTreeMap<(MemberId, u64, u64), u64>,
-    /// Members whose disks forgot: one vote a term holds for each of their starts, and the older start's is void.
-    pub(crate) forgetful: BTreeSet<MemberId>,
-    /// Term and digest of each committed record by its place.
-    committed: BTreeMap<u64, (u64, u64)>,
-    /// Every name under which something was committed.
-    names: BTreeSet<ProposalId>,
-    /// What proposers were told.
-    pub told_committed: BTreeMap<ProposalId, u64>,
-    told_lost: BTreeSet<ProposalId>,
+    votes: BTreeMap<VoteKey, u64>,
+    /// Members whose disks lost acknowledged writes: each of their boots has one vote a term, and the older boot's is void.
+    pub(super) members_with_lost_writes: BTreeSet<MemberId>,
+    committed: BTreeMap<u64, AppliedEntry>,
+    committed_ids: BTreeSet<ProposalId>,
+    /// The proposals that were reported as committed, and at which index.
+    pub reported_committed: BTreeMap<ProposalId, u64>,
+    reported_dropped: BTreeSet<ProposalId>,
     quarantined: BTreeSet<MemberId>,
-    /// How often a proposer was told each: committed, lost, unknown.
-    pub outcomes: [u64; 3],
-    /// Alarms heard, by their kind.
+    /// Number of proposals by their reported outcome.
+    pub outcomes: OutcomeCounts,
+    /// Number of alarms by kind.
     pub alarms: BTreeMap<&'static str, u64>,
 }
 
 impl Checker {
-    pub(crate) fn at(&mut self, now: Timestamp) {
+    pub(super) fn set_time(&mut self, now: Timestamp) {
         self.now = now;
     }
 
-    /// Fails the run.
-    pub fn fail(&mut self, what: String) {
+    /// Fails the run, unless it has failed already.
+    pub fn fail(&mut self, kind: ViolationKind) {
         let at = self.now;
-        self.violation.get_or_insert(Violation { at, what });
+        self.violation.get_or_insert(Violation { at, kind });
     }
 
-    /// Election safety: one leader a term. Leader completeness: a new leader holds all that anybody knows committed.
-    pub(crate) fn role(&mut self, member: MemberId, change: &RoleChange, council: &Node) {
+    /// A member's role changed.
+    pub(super) fn role_changed(&mut self, member: MemberId, change: &RoleChange, node: &Node) {
         match change.role {
             Role::Quarantined => {
                 self.quarantined.insert(member);
             }
-            Role::Leader => {
-                let first = *self.leaders.entry(change.term).or_insert(member);
-                if first != member {
-                    self.fail(format!("{first} and {member} both lead in term {}", change.term));
-                }
-                let lacking = self.committed.iter().rev().take(256).find(|(&index, (term, _))| {
-                    // What the leader has compacted was committed when it was.
-                    council.term_at(index).map_or(index > council.commit(), |held| held != *term)
-                });
-                if let Some((index, (term, _))) = lacking {
-                    let text = format!(
-                        "{member} leads in term {} without entry {index} of term {term}",
-                        change.term
-                    );
-                    self.fail(text);
-                }
-            }
+            Role::Leader => self.check_leader(member, change.term, node),
             _ => {}
         }
     }
 
-    /// State machine safety: one record a place, whoever applies it.
-    pub(crate) fn applied(&mut self, member: MemberId, entry: &CommittedEntry) {
-        let digest =
-            entry.bytes.iter().fold(mix(mix(0, entry.id.origin), entry.id.sequence), |chain, &byte| {
-                mix(chain, u64::from(byte))
-            });
-        let held = *self.committed.entry(entry.index).or_insert((entry.term, digest));
-        if held != (entry.term, digest) {
-            self.fail(format!("{member} applies another record at {} than was applied there", entry.index));
+    fn check_leader(&mut self, leader: MemberId, term: u64, node: &Node) {
+        let first = *self.leaders.entry(term).or_insert(leader);
+        if first != leader {
+            self.fail(ViolationKind::TwoLeaders { first, second: leader, term });
+        }
+        let newest = self.committed.iter().rev().take(CHECKED_ENTRIES);
+        // What the leader has compacted was committed when it was compacted.
+        let lacks = |index: u64, entry: &AppliedEntry| match node.term_at(index) {
+            Some(held_term) => held_term != entry.term,
+            None => index > node.commit_index(),
+        };
+        let mut missing = newest.filter(|&(&index, entry)| lacks(index, entry));
+        if let Some((&index, entry)) = missing.next() {
+            let entry_term = entry.term;
+            self.fail(ViolationKind::IncompleteLeader { leader, term, index, entry_term });
+        }
+    }
+
+    /// A member applied an entry.
+    pub(super) fn applied(&mut self, member: MemberId, entry: &CommittedEntry) {
+        let applied = AppliedEntry { term: entry.term, digest: chain_entry(0, entry) };
+        let first = *self.committed.entry(entry.index).or_insert(applied);
+        if first != applied {
+            self.fail(ViolationKind::DivergentEntry { member, index: entry.index });
         }
-        self.names.insert(entry.id);
-        if self.told_lost.contains(&entry.id) {
-            self.fail(format!("a proposal told lost is committed at {}", entry.index));
+        self.committed_ids.insert(entry.id);
+        if self.reported_dropped.contains(&entry.id) {
+            self.fail(ViolationKind::DroppedButCommitted { id: entry.id });
         }
     }
 
-    pub(crate) fn outcome(&mut self, outcome: &ProposalOutcome) {
-        match outcome {
+    /// A proposer learned an outcome.
+    pub(super) fn outcome_reported(&mut self, outcome: &ProposalOutcome) {
+        match *outcome {
             ProposalOutcome::Committed { id, index } => {
-                self.told_committed.insert(*id, *index);
-                self.outcomes[0] += 1;
-                if !self.names.contains(id) {
-                    self.fail(format!("told committed at {index}, and nobody applied it"));
+                self.reported_committed.insert(id, index);
+                self.outcomes.committed += 1;
+                if !self.committed_ids.contains(&id) {
+                    self.fail(ViolationKind::CommittedButNotApplied { id, index });
                 }
             }
             ProposalOutcome::Dropped { id } => {
-                self.told_lost.insert(*id);
-                self.outcomes[1] += 1;
-                if self.names.contains(id) {
-                    self.fail("told lost, and it is committed".to_owned());
+                self.reported_dropped.insert(id);
+                self.outcomes.dropped += 1;
+                if self.committed_ids.contains(&id) {
+                    self.fail(ViolationKind::DroppedButCommitted { id });
                 }
             }
-            ProposalOutcome::Unknown { .. } => self.outcomes[2] += 1,
+            ProposalOutcome::Unknown { .. } => self.outcomes.unknown += 1,
         }
     }
 
-    /// A frame leaves a host: one vote a term, through restarts; and a quarantined member takes no part.
-    pub(crate) fn sent(&mut self, frame: &Frame) {
+    /// A frame leaves a host: a quarantined member takes no part, and a member has one vote a term, through restarts.
+    pub(super) fn sent(&mut self, frame: &Frame) {
         let Some(Body::Raft(message)) = &frame.0.body else { return };
-        let from = frame.from();
-        if self.quarantined.contains(&from) {
-            self.fail(format!("{from} is quarantined and takes part"));
+        let member = frame.from();
+        if self.quarantined.contains(&member) {
+            self.fail(ViolationKind::QuarantinedMemberActive { member });
         }
-        // A request for votes is a vote for oneself (3), a word that is no refusal one for its receiver (4).
         let vote = match message.kind {
-            3 => from.raw(),
-            4 if !message.reject => frame.0.to,
+            VOTE_REQUEST => member.raw(),
+            VOTE_RESPONSE if !message.reject => frame.0.to,
             _ => return,
         };
-        let boot = if self.forgetful.contains(&from) { frame.0.boot } else { 0 };
-        let held = *self.votes.entry((from, message.term, boot)).or_insert(vote);
-        if held != vote {
-            self.fail(format!("{from} votes duplicate_per_mille in term {}", message.term));
+        let boot = if self.members_with_lost_writes.contains(&member) { frame.0.boot } else { 0 };
+        let first = *self.votes.entry(VoteKey { member, term: message.term, boot }).or_insert(vote);
+        if first != vote {
+            self.fail(ViolationKind::DoubleVote { member, term: message.term });
         }
     }
 
-    pub(crate) fn alarm(&mut self, member: MemberId, alarm: &Alarm) {
-        let name = match alarm {
+    /// A member raised an alarm.
+    pub(super) fn alarm_raised(&mut self, member: MemberId, alarm: &Alarm) {
+        let kind = match alarm {
             Alarm::Quarantined(_) => "quarantined",
             Alarm::Diverged { .. } => "diverged",
-            Alarm::DuplicateInstance { .. } => "twin",
-            Alarm::LeaderPaused { .. } => "stopped",
-            Alarm::WeakRejoinQuorum => "relaxed",
-            Alarm::OperatorOverride => "overridden",
+            Alarm::DuplicateInstance { .. } => "duplicate instance",
+            Alarm::LeaderPaused { .. } => "leader paused",
+            Alarm::WeakRejoinQuorum => "weak rejoin quorum",
+            Alarm::OperatorOverride => "operator override",
         };
-        *self.alarms.entry(name).or_default() += 1;
-        if let Alarm::Diverged { peer, index } = alarm {
-            self.fail(format!("{member} and {peer} differ at {index}"));
+        *self.alarms.entry(kind).or_default() += 1;
+        if let Alarm::Diverged { peer, index } = *alarm {
+            self.fail(ViolationKind::DivergentState { member, peer, index });
         }
     }
 
     /// Whether a proposal was committed anywhere.
     pub fn is_committed(&self, id: ProposalId) -> bool {
-        self.names.contains(&id)
+        self.committed_ids.contains(&id)
     }
 
-    /// The last place at which a record was committed.
+    /// Index of the last committed proposal.
     pub fn last_committed(&self) -> u64 {
         self.committed.keys().next_back().copied().unwrap_or(0)
     }
--- /dev/null
+++ b/crates/consensus/src/sim/cluster.rs
@@ -0,0 +1,257 @@
+//! The hosts, the network between them, and the events to come.
+
+use super::checker::Checker;
+use super::draw;
+use super::event_queue::{Event, EventQueue, ProcessRun};
+use super::host::{Host, StartOptions};
+use super::network::Network;
+use super::plan::{InjectedBug, Plan};
+use super::state_machine::StateMachine;
+use crate::frame::Frame;
+use crate::ids::{MemberId, ProposalId};
+use crate::role::Role;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
+use std::collections::BTreeMap;
+
+/// Latest time of a process' first tick.
+const MAX_FIRST_TICK: TimeDelta = TimeDelta::from_millis(50);
+
+/// Makes the state machine of a host that starts.
+type MakeStateMachine<A> = Box<dyn Fn(MemberId) -> A + Send>;
+
+/// Hosts, network, time and checker of one run.
+pub struct Cluster<A> {
+    pub(super) rng: ChaCha8Rng,
+    /// The plan of the run.
+    pub plan: Plan,
+    /// The hosts, one for each node.
+    pub hosts: BTreeMap<u32, Host<A>>,
+    /// The network.
+    pub network: Network,
+    /// The checker.
+    pub checker: Checker,
+    founders: Vec<MemberId>,
+    /// The members that a node which joined asks, by node.
+    contacts: BTreeMap<u32, Vec<MemberId>>,
+    pub(super) queue: EventQueue,
+    pub(super) now: Timestamp,
+    proposals: u64,
+    /// When the leader crashed, until there is another one.
+    leaderless_since: Option<Timestamp>,
+    /// Times from a leader's crash to the next leader.
+    pub(super) elections: Vec<TimeDelta>,
+    make_state_machine: MakeStateMachine<A>,
+}
+
+impl<A: StateMachine> Cluster<A> {
+    /// The founders, all started at time 0.
+    pub(super) fn new(plan: Plan, seed: u64, make_state_machine: MakeStateMachine<A>) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
+        let mut hosts = BTreeMap::new();
+        for &id in &founders {
+            hosts.insert(id.node, Host::new(id, make_state_machine(id), &plan, &mut rng));
+        }
+        let mut cluster = Cluster {
+            rng,
+            network: Network::new(&plan),
+            hosts,
+            checker: Checker::default(),
+            contacts: BTreeMap::new(),
+            queue: EventQueue::default(),
+            now: Timestamp::ZERO,
+            proposals: 0,
+            leaderless_since: None,
+            elections: Vec::new(),
+            make_state_machine,
+            founders: founders.clone(),
+            plan,
+        };
+        for id in founders {
+            cluster.start(id);
+        }
+        cluster
+    }
+
+    /// The time.
+    pub fn now(&self) -> Timestamp {
+        self.now
+    }
+
+    /// A node's host.
+    pub fn host(&self, id: MemberId) -> &Host<A> {
+        &self.hosts[&id.node]
+    }
+
+    /// A node's host. What is done to its raft node shows at its next event.
+    pub fn host_mut(&mut self, id: MemberId) -> &mut Host<A> {
+        self.hosts.get_mut(&id.node).expect("every node has a host")
+    }
+
+    /// A member's host, if the node still has that member.
+    pub(super) fn current_host(&self, id: MemberId) -> Option<&Host<A>> {
+        self.hosts.get(&id.node).filter(|host| host.id == id)
+    }
+
+    /// Whether a process still runs.
+    pub(super) fn is_running(&self, run: ProcessRun) -> bool {
+        self.current_host(run.member).is_some_and(|host| host.starts == run.starts && host.is_up())
+    }
+
+    /// The members of all hosts.
+    pub(super) fn members(&self) -> Vec<MemberId> {
+        self.hosts.values().map(|host| host.id).collect()
+    }
+
+    /// The running member that leads in the highest term, as it believes itself.
+    pub fn leader(&self) -> Option<MemberId> {
+        let leads = |host: &&Host<A>| host.is_up() && !host.is_stopped && host.role == Some(Role::Leader);
+        let term = |host: &&Host<A>| host.node.as_ref().map_or(0, |node| node.term());
+        self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
+    }
+
+    /// Starts a node's process, if its disk allows it.
+    pub fn start(&mut self, id: MemberId) {
+        let state_machine = (self.make_state_machine)(id);
+        let contacts = self.contacts.get(&id.node);
+        let options = StartOptions {
+            founders: if contacts.is_some() { &[] } else { &self.founders },
+            contacts: contacts.unwrap_or(&self.founders),
+            plan: &self.plan,
+        };
+        let Some(host) = self.hosts.get_mut(&id.node) else { return };
+        if host.id != id || host.is_up() || host.store_error.is_some() {
+            return;
+        }
+        host.start(self.now, &options, state_machine);
+        let run = ProcessRun { member: id, starts: host.starts };
+        let first_tick = draw::span(&mut self.rng, TimeDelta::from_micros(1), MAX_FIRST_TICK);
+        self.queue.push(self.now + first_tick, Event::Tick(run));
+        self.work(id);
+    }
+
+    /// A process crashes.
+    pub fn crash(&mut self, id: MemberId, torn_writes: bool) {
+        if self.leader() == Some(id) {
+            self.leaderless_since = Some(self.now);
+        }
+        let host = self.host_mut(id);
+        let has_disk_lied = host.has_disk_lied;
+        host.crash(torn_writes);
+        if has_disk_lied {
+            self.checker.members_with_lost_writes.insert(id);
+        }
+    }
+
+    /// Gives a member that is to join a host: a new node, or one whose disk is emptied. False when it has one already.
+    pub(super) fn add_host(&mut self, id: MemberId, contacts: Vec<MemberId>) -> bool {
+        if self.current_host(id).is_some() {
+            return false;
+        }
+        if let Some(old) = self.hosts.get(&id.node).map(|host| host.id) {
+            self.crash(old, false);
+        }
+        let state_machine = (self.make_state_machine)(id);
+        let host = Host::new(id, state_machine, &self.plan, &mut self.rng);
+        self.hosts.insert(id.node, host);
+        self.contacts.insert(id.node, contacts);
+        self.start(id);
+        true
+    }
+
+    /// Removes a member's host, unless the node has a newer member.
+    pub(super) fn remove_host(&mut self, id: MemberId) {
+        if self.current_host(id).is_some() {
+            self.crash(id, false);
+            self.hosts.remove(&id.node);
+        }
+    }
+
+    /// Proposes at a host drawn from the seed.
+    pub fn propose(&mut self, bytes: Vec<u8>) -> ProposalId {
+        let nodes: Vec<u32> = self.hosts.keys().copied().collect();
+        let node = nodes[self.rng.gen_range(0..nodes.len())];
+        let member = self.hosts[&node].id;
+        self.proposals += 1;
+        let id = ProposalId { origin: member.raw(), sequence: self.proposals };
+        // A rejected proposal went nowhere: there is nothing to check.
+        let _ = self.host_mut(member).propose(bytes, id);
+        self.work(member);
+        id
+    }
+
+    /// Does what a member's node wants done, and sends its messages.
+    pub fn work(&mut self, id: MemberId) {
+        let mut outgoing = Vec::new();
+        let Some(host) = self.hosts.get_mut(&id.node) else { return };
+        let sync_due_before = host.sync_due;
+        host.work(self.now, &self.plan, &mut self.rng, &mut self.checker, &mut outgoing);
+        let run = ProcessRun { member: id, starts: host.starts };
+        if let Some(at) = host.sync_due.filter(|_| host.sync_due != sync_due_before) {
+            self.queue.push(at, Event::Synced(run));
+        }
+        self.send(outgoing);
+        if let (Some(since), Some(_)) = (self.leaderless_since, self.leader()) {
+            self.leaderless_since = None;
+            self.elections.push(self.now - since);
+        }
+    }
+
+    pub(super) fn send(&mut self, frames: Vec<Frame>) {
+        for mut frame in frames {
+            if self.plan.has(InjectedBug::NoCrashVectors) {
+                frame.0.boots.clear();
+            }
+            self.checker.sent(&frame);
+            for at in self.network.arrivals(&mut self.rng, frame.from(), frame.to(), self.now) {
+                self.queue.push(at, Event::Deliver(Box::new(frame.clone())));
+            }
+        }
+    }
+
+    /// A frame arrives, if its receiver is still there.
+    pub(super) fn deliver(&mut self, frame: Frame) {
+        let from = frame.from();
+        let to = frame.to();
+        if self.current_host(to).is_none() {
+            return;
+        }
+        let frame = self.network.pass(&mut self.rng, frame);
+        if let Some(host) = self.hosts.get_mut(&to.node) {
+            host.deliver(self.now, from, frame, &self.plan);
+        }
+        self.work(to);
+    }
+
+    /// The write of a running process is on disk, or refused. False when the process can't go on.
+    pub(super) fn synced(&mut self, id: MemberId) -> bool {
+        let mut outgoing = Vec::new();
+        let Some(host) = self.hosts.get_mut(&id.node) else { return true };
+        let can_go_on = host.synced(self.now, &self.plan, &mut outgoing);
+        self.send(outgoing);
+        can_go_on
+    }
+
+    /// A stopped process goes on.
+    pub(super) fn wake(&mut self, id: MemberId) {
+        if let Some(host) = self.hosts.get_mut(&id.node) {
+            host.wake(self.now, &mut self.rng, &self.plan);
+        }
+        self.work(id);
+    }
+
+    /// A line for each host, for whoever examines a run.
+    pub fn describe(&self) -> String {
+        self.hosts.values().map(describe_host).collect()
+    }
+}
+
+fn describe_host<A: StateMachine>(host: &Host<A>) -> String {
+    let flags =
+        [("stopped", host.is_stopped), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
+    let flags: Vec<&str> = flags.iter().filter(|(_, is_set)| *is_set).map(|(name, _)| *name).collect();
+    let node = host.node.as_ref().map_or_else(|| "down".to_owned(), |node| node.describe());
+    format!("  {} starts {} {flags:?} {node}\n", host.id, host.starts)
+}
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -1,87 +1,124 @@
-//! One process with its disk: the acting half, as it will stand in the program, in virtual time.
+//! One process with its disk: the driver of a node, as it is in the program, in virtual time.
 
 use super::checker::Checker;
-use super::{draw_span, InjectedBug, Plan, StateMachine};
-use crate::ready::{Alarm, Batch, Ready, Role, Snapshot};
+use super::draw;
+use super::plan::{InjectedBug, Plan};
+use super::state_machine::StateMachine;
+use crate::config::Config;
+use crate::frame::Frame;
+use crate::ids::{MemberId, ProposalId};
+use crate::node::{Node, ProposeError};
+use crate::ready::{Batch, Ready};
+use crate::role::Role;
+use crate::snapshot::Snapshot;
 use crate::store;
 use crate::wire::envelope::Body;
-use crate::{Config, Frame, MemberId, Node, ProposalId, ProposeError, TimeDelta, Timestamp};
+use prost::Message as _;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use sprucelink_wal::{FaultDisk, Faults, Wal, WalError};
+use sprucelink_time::{TimeDelta, Timestamp};
+use sprucelink_wal::{FaultDisk, Faults, Wal, WalError, WriteBatch};
 use std::collections::VecDeque;
 
-/// Most frames that wait at a stopped process, as in its sockets' buffers; further ones are lost.
-const MAX_INBOX: usize = 2000;
+/// Largest number of frames that wait at a stopped process, as in its sockets' buffers; further ones are lost.
+const MAX_WAITING_FRAMES: usize = 2000;
+/// Largest difference of a host's clock, milliseconds.
+const MAX_CLOCK_OFFSET_MILLIS: i64 = 3_600_000;
+/// How often a write to a full disk is tried.
+const FULL_DISK_RETRY: TimeDelta = TimeDelta::from_millis(50);
+/// What a sync takes beyond the drawn time, so that it is never done at once.
+const MIN_SYNC_TIME: TimeDelta = TimeDelta::from_micros(1);
+/// A state digest is given for every entry whose index is a multiple of this.
+const DIGEST_EVERY: u64 = 16;
 
-/// A process, up or down.
+/// Frames that wait for a batch.
+struct HeldFrames {
+    after_batch: u64,
+    frames: Vec<Frame>,
+}
+
+/// A snapshot that waits for its batch.
+struct HeldSnapshot {
+    after_batch: u64,
+    snapshot: Snapshot,
+}
+
+/// A frame that waits at a stopped process.
+struct WaitingFrame {
+    from: MemberId,
+    frame: Frame,
+}
+
+/// A process, running or not, with its disk.
 pub struct Host<A> {
-    /// Its name.
+    /// The member.
     pub id: MemberId,
-    /// What applies records; begins anew at each start.
-    pub app: A,
-    /// The member, while the process is up.
-    pub council: Option<Node>,
+    /// What applies entries; starts anew with the process.
+    pub state_machine: A,
+    /// The node, while the process runs.
+    pub node: Option<Node>,
     wal: Option<Wal<FaultDisk>>,
+    /// The disk, while the process does not run.
     disk: Option<FaultDisk>,
     /// Stopped as by SIGSTOP: nothing is done, and frames wait.
-    pub stopped: bool,
-    inbox: Vec<(MemberId, Frame)>,
+    pub is_stopped: bool,
+    waiting_frames: Vec<WaitingFrame>,
     writing: VecDeque<Batch>,
-    held: VecDeque<(u64, Vec<Frame>)>,
-    installing: Option<(u64, Snapshot)>,
+    held_frames: VecDeque<HeldFrames>,
+    held_snapshot: Option<HeldSnapshot>,
     applied: u64,
     /// How often it was started.
     pub starts: u64,
-    /// Why the store would not open: the member is out for good.
-    pub damaged: Option<WalError>,
-    /// Its part, as last told.
+    /// Why the store could not be opened: the member is out for good.
+    pub store_error: Option<WalError>,
+    /// The role, as last handed out.
     pub role: Option<Role>,
-    /// How far its clock is off.
-    pub offset: TimeDelta,
+    /// How far its clock is ahead.
+    pub clock_offset: TimeDelta,
     /// Longest time of a sync now.
     pub max_sync_time: TimeDelta,
     /// Whether the disk is full now.
-    pub full: bool,
+    pub is_disk_full: bool,
     /// Whether the disk's syncs lie now.
-    pub lying: bool,
+    pub is_disk_lying: bool,
     /// Whether the disk has lied.
-    pub lied: bool,
-    /// When the next write is on disk, when one is under way.
+    pub has_disk_lied: bool,
+    /// When the write in progress is on disk.
     pub sync_due: Option<Timestamp>,
     seed: u64,
 }
 
-/// The settings that a host is started with.
-pub(crate) struct Start<'a> {
+/// What a host is started with.
+pub(super) struct StartOptions<'a> {
     pub founders: &'a [MemberId],
     pub contacts: &'a [MemberId],
     pub plan: &'a Plan,
 }
 
 impl<A: StateMachine> Host<A> {
-    pub(crate) fn new(id: MemberId, app: A, plan: &Plan, rng: &mut ChaCha8Rng) -> Self {
+    pub(super) fn new(id: MemberId, state_machine: A, plan: &Plan, rng: &mut ChaCha8Rng) -> Self {
         let seed = rng.gen();
+        let clock_offset = TimeDelta::from_millis(rng.gen_range(0..MAX_CLOCK_OFFSET_MILLIS));
         Host {
             id,
-            app,
-            council: None,
+            state_machine,
+            node: None,
             wal: None,
             disk: Some(FaultDisk::new(seed)),
-            stopped: false,
-            inbox: Vec::new(),
+            is_stopped: false,
+            waiting_frames: Vec::new(),
             writing: VecDeque::new(),
-            held: VecDeque::new(),
-            installing: None,
+            held_frames: VecDeque::new(),
+            held_snapshot: None,
             applied: 0,
             starts: 0,
-            damaged: None,
+            store_error: None,
             role: None,
-            offset: TimeDelta::from_millis(rng.gen_range(0..3_600_000)),
+            clock_offset,
             max_sync_time: plan.max_sync_time,
-            full: false,
-            lying: false,
-            lied: false,
+            is_disk_full: false,
+            is_disk_lying: false,
+            has_disk_lied: false,
             sync_due: None,
             seed,
         }
@@ -89,7 +126,7 @@
 
     /// Whether the process runs.
     pub fn is_up(&self) -> bool {
-        self.council.is_some()
+        self.node.is_some()
     }
 
     /// Whether the process runs and takes part.
@@ -99,228 +136,271 @@
 
     /// Whether the member is out for good.
     pub fn is_out(&self) -> bool {
-        self.damaged.is_some() || self.role == Some(Role::Quarantined)
+        self.store_error.is_some() || self.role == Some(Role::Quarantined)
     }
 
-    pub(crate) fn start(&mut self, now: Timestamp, start: &Start, app: A) {
+    pub(super) fn start(&mut self, now: Timestamp, options: &StartOptions, state_machine: A) {
         let Some(mut disk) = self.disk.take() else { return };
-        disk.faults = Faults { lying_sync: self.lying, ..Faults::default() };
+        disk.faults = Faults { lying_sync: self.is_disk_lying, ..Faults::default() };
         let copy = disk.clone();
-        let (wal, restored) = match Wal::open(disk) {
+        let (wal, recovered) = match Wal::open(disk) {
             Ok(opened) => opened,
             Err(error) => {
-                self.damaged = Some(error);
+                self.store_error = Some(error);
                 self.disk = Some(copy);
                 return;
             }
         };
         self.starts += 1;
-        (self.app, self.role) = (app, None);
+        self.state_machine = state_machine;
+        self.role = None;
+        let recovered = store::recover(recovered).expect("the log holds what was written");
+        self.applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        if let Some(snapshot) = &recovered.snapshot {
+            self.state_machine.install(&snapshot.data);
+        }
         let config = Config {
             member: self.id,
-            founders: start.founders.to_vec(),
-            contacts: start.contacts.to_vec(),
-            timing: start.plan.timing.clone(),
+            founders: options.founders.to_vec(),
+            contacts: options.contacts.to_vec(),
+            timing: options.plan.timing.clone(),
         };
-        let restored = store::restored(restored).expect("the wal holds what was written");
-        self.applied = restored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        if let Some(snapshot) = &restored.snapshot {
-            self.app.install(&snapshot.data);
-        }
-        let council = Node::new(config, restored, self.seed ^ self.starts, now + self.offset);
-        let mut council = council.expect("what was written starts again");
-        if start.plan.has(InjectedBug::TrustDisk) {
-            council.trust_disk();
+        let node = Node::new(config, recovered, self.seed ^ self.starts, now + self.clock_offset);
+        let mut node = node.expect("a node starts from what was written");
+        if options.plan.has(InjectedBug::TrustDisk) {
+            node.trust_disk();
         }
-        (self.council, self.wal) = (Some(council), Some(wal));
+        self.node = Some(node);
+        self.wal = Some(wal);
     }
 
-    /// The process dies, with the machine's memory: what no sync covered may be lost.
-    pub(crate) fn crash(&mut self, torn: bool) {
+    /// The process and the machine's memory are lost: what no sync covered may be lost.
+    pub(super) fn crash(&mut self, torn_writes: bool) {
         let Some(mut wal) = self.wal.take() else { return };
-        if torn {
+        if torn_writes {
             if let Some(batch) = self.writing.front() {
-                wal.disk_mut().faults = Faults { failing_sync: true, torn_writes: torn, ..Faults::default() };
-                let _ = wal.write(&store::to_write(batch));
+                wal.disk_mut().faults = Faults { failing_sync: true, torn_writes, ..Faults::default() };
+                let _ = wal.write(&store::to_wal(batch));
             }
         }
         let mut disk = wal.into_disk();
-        disk.faults = Faults { lying_sync: self.lying, torn_writes: torn, ..Faults::default() };
+        disk.faults = Faults { lying_sync: self.is_disk_lying, torn_writes, ..Faults::default() };
         disk.crash();
         self.disk = Some(disk);
-        self.council = None;
-        self.inbox.clear();
+        self.node = None;
+        self.waiting_frames.clear();
         self.writing.clear();
-        self.held.clear();
-        (self.installing, self.sync_due, self.stopped) = (None, None, false);
+        self.held_frames.clear();
+        self.held_snapshot = None;
+        self.sync_due = None;
+        self.is_stopped = false;
+    }
+
+    /// A bit of the newest segment flips, at a place drawn from the seed. Only while the process does not run.
+    pub fn flip_bit(&mut self) {
+        if let Some(disk) = &mut self.disk {
+            if let Some(segment) = disk.newest_segment() {
+                disk.flip_bit(&segment, u64::MAX);
+            }
+        }
     }
 
-    pub(crate) fn tick(&mut self, now: Timestamp) {
-        let local = now + self.offset;
-        if let Some(council) = self.council.as_mut().filter(|_| !self.stopped) {
-            council.tick(local);
+    pub(super) fn tick(&mut self, now: Timestamp) {
+        let local_time = now + self.clock_offset;
+        if let Some(node) = self.node.as_mut().filter(|_| !self.is_stopped) {
+            node.tick(local_time);
         }
     }
 
-    pub(crate) fn deliver(&mut self, now: Timestamp, from: MemberId, mut frame: Frame, plan: &Plan) {
-        let Some(council) = &mut self.council else { return };
-        if self.stopped {
-            if self.inbox.len() < MAX_INBOX {
-                self.inbox.push((from, frame));
+    pub(super) fn deliver(&mut self, now: Timestamp, from: MemberId, mut frame: Frame, plan: &Plan) {
+        let Some(node) = &mut self.node else { return };
+        if self.is_stopped {
+            if self.waiting_frames.len() < MAX_WAITING_FRAMES {
+                self.waiting_frames.push(WaitingFrame { from, frame });
             }
             return;
         }
-        if let Some(Body::ForwardedProposal(propose)) = &mut frame.0.body {
+        if let Some(Body::ForwardedProposal(forwarded)) = &mut frame.0.body {
             if plan.has(InjectedBug::AnyTermProposals) {
-                propose.term = council.term();
+                forwarded.term = node.term();
             }
         }
-        council.step(now + self.offset, from, frame);
+        node.step(now + self.clock_offset, from, frame);
     }
 
-    /// The process runs on; whether it first looks at the clock or at its sockets is up to the seed.
-    pub(crate) fn wake(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
-        self.stopped = false;
+    /// A stopped process goes on; whether it looks at the clock or at its sockets first is drawn from the seed.
+    pub(super) fn wake(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
+        self.is_stopped = false;
         if rng.gen() {
             self.tick(now);
         }
-        for (from, frame) in std::mem::take(&mut self.inbox) {
-            self.deliver(now, from, frame, plan);
+        for waiting in std::mem::take(&mut self.waiting_frames) {
+            self.deliver(now, waiting.from, waiting.frame, plan);
         }
     }
 
     /// Proposes, as the process' own code would.
+    ///
+    /// # Errors
+    /// Those of [`Node::propose`]; a process that does not run knows of no leader.
     pub fn propose(&mut self, bytes: Vec<u8>, id: ProposalId) -> Result<(), ProposeError> {
-        let running = self.council.as_mut().filter(|_| !self.stopped);
-        running.map_or(Err(ProposeError::NotLeader { leader: None }), |council| council.propose(bytes, id))
+        let running = self.node.as_mut().filter(|_| !self.is_stopped);
+        running.map_or(Err(ProposeError::NotLeader { leader: None }), |node| node.propose(bytes, id))
     }
 
-    /// The write under way is done, or refused. False when the process can't go on.
-    pub(crate) fn synced(&mut self, now: Timestamp, plan: &Plan, out: &mut Vec<Frame>) -> bool {
+    /// The write in progress is done, or refused. False when the process can't go on.
+    pub(super) fn synced(&mut self, now: Timestamp, plan: &Plan, outgoing: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
-        let (Some(wal), Some(batch)) = (&mut self.wal, self.writing.front()) else { return true };
-        wal.disk_mut().faults = Faults { disk_full: self.full, lying_sync: self.lying, ..Faults::default() };
-        self.lied |= self.lying;
-        let mut write = store::to_write(batch);
-        if plan.has(InjectedBug::VoteNotKept) {
-            let mut state = batch.state.clone();
-            state.vote = 0;
-            state.term = self
-                .council
-                .as_ref()
-                .and_then(|c| c.term_at(state.commit))
-                .unwrap_or(state.term)
-                .min(state.term);
-            write.state = prost::Message::encode_to_vec(&state);
-        }
+        let Some(batch) = self.writing.front() else { return true };
+        let number = batch.number;
+        let write = self.write_of(batch, plan);
+        let Some(wal) = &mut self.wal else { return true };
+        wal.disk_mut().faults =
+            Faults { disk_full: self.is_disk_full, lying_sync: self.is_disk_lying, ..Faults::default() };
+        self.has_disk_lied |= self.is_disk_lying;
         match wal.write(&write) {
             Ok(()) => {}
             Err(WalError::Refused(_)) => return true,
             Err(_) => return false,
         }
-        let number = batch.number;
         self.writing.pop_front();
-        self.on_disk(now, number, out);
+        self.batch_on_disk(now, number, outgoing);
         true
     }
 
-    fn on_disk(&mut self, now: Timestamp, number: u64, out: &mut Vec<Frame>) {
-        if let Some((_, snapshot)) = self.installing.take_if(|(after, _)| *after <= number) {
-            self.app.install(&snapshot.data);
-            self.applied = snapshot.index;
+    /// The batch as it goes to disk.
+    fn write_of(&self, batch: &Batch, plan: &Plan) -> WriteBatch {
+        let mut write = store::to_wal(batch);
+        if plan.has(InjectedBug::VoteNotPersisted) {
+            let mut state = batch.state.clone();
+            let committed_term = self.node.as_ref().and_then(|node| node.term_at(state.commit));
+            state.vote = 0;
+            state.term = committed_term.unwrap_or(state.term).min(state.term);
+            write.state = state.encode_to_vec();
+        }
+        write
+    }
+
+    fn batch_on_disk(&mut self, now: Timestamp, number: u64, outgoing: &mut Vec<Frame>) {
+        if let Some(held) = self.held_snapshot.take_if(|held| held.after_batch <= number) {
+            self.state_machine.install(&held.snapshot.data);
+            self.applied = held.snapshot.index;
         }
-        while self.held.front().is_some_and(|(after, _)| *after <= number) {
-            out.extend(self.held.pop_front().into_iter().flat_map(|(_, frames)| frames));
+        while self.held_frames.front().is_some_and(|held| held.after_batch <= number) {
+            outgoing.extend(self.held_frames.pop_front().into_iter().flat_map(|held| held.frames));
         }
-        if let Some(council) = &mut self.council {
-            council.persisted(now + self.offset, number);
+        if let Some(node) = &mut self.node {
+            node.persisted(now + self.clock_offset, number);
             if self.applied > 0 {
-                council.applied(self.applied, None);
+                node.applied(self.applied, None);
             }
         }
     }
 
-    /// Does all that the member wants done; frames that may go out are left in `out`.
-    pub(crate) fn work(
+    /// Does all that the node wants done; frames that may be sent are added to `outgoing`.
+    pub(super) fn work(
         &mut self,
         now: Timestamp,
         plan: &Plan,
         rng: &mut ChaCha8Rng,
-        check: &mut Checker,
-        out: &mut Vec<Frame>,
+        checker: &mut Checker,
+        outgoing: &mut Vec<Frame>,
     ) {
-        if self.stopped {
+        if self.is_stopped {
             return;
         }
-        while let Some(ready) = self.council.as_mut().and_then(Node::ready) {
-            self.act(now, plan, ready, check, out);
+        while let Some(ready) = self.node.as_mut().and_then(Node::ready) {
+            self.handle_ready(now, plan, ready, checker, outgoing);
         }
         if !self.writing.is_empty() && self.sync_due.is_none() {
-            let time = if self.full {
-                TimeDelta::from_millis(50)
+            let sync_time = if self.is_disk_full {
+                FULL_DISK_RETRY
             } else {
-                draw_span(rng, TimeDelta::ZERO, self.max_sync_time)
+                draw::span(rng, TimeDelta::ZERO, self.max_sync_time)
             };
-            self.sync_due = Some(now + time + TimeDelta::from_micros(1));
+            self.sync_due = Some(now + sync_time + MIN_SYNC_TIME);
         }
     }
 
-    fn act(&mut self, now: Timestamp, plan: &Plan, ready: Ready, check: &mut Checker, out: &mut Vec<Frame>) {
-        let early = plan.has(InjectedBug::AckBeforeSync);
-        let written = ready.persist.as_ref().map(|batch| batch.number);
-        self.writing.extend(ready.persist);
-        out.extend(ready.send_now);
-        if ready.after == 0 || early {
-            out.extend(ready.send_after);
-        } else if !ready.send_after.is_empty() {
-            self.held.push_back((ready.after, ready.send_after));
+    fn handle_ready(
+        &mut self,
+        now: Timestamp,
+        plan: &Plan,
+        mut ready: Ready,
+        checker: &mut Checker,
+        outgoing: &mut Vec<Frame>,
+    ) {
+        let acks_early = plan.has(InjectedBug::AckBeforeSync);
+        let batch_number = ready.persist.as_ref().map(|batch| batch.number);
+        self.writing.extend(ready.persist.take());
+        self.send_or_hold(&mut ready, acks_early, outgoing);
+        let has_snapshot = ready.snapshot.is_some();
+        if let (Some(snapshot), Some(after_batch)) = (ready.snapshot.take(), batch_number) {
+            self.held_snapshot = Some(HeldSnapshot { after_batch, snapshot });
         }
-        let installing = ready.install.is_some();
-        if let (Some(snapshot), Some(number)) = (ready.install, written) {
-            self.installing = Some((number, snapshot));
+        self.apply_entries(now, &ready, has_snapshot, checker);
+        if ready.snapshot_due {
+            self.take_snapshot();
         }
-        for entry in &ready.committed {
-            check.applied(self.id, entry);
-            self.app.apply(now, entry);
-            if entry.index.is_multiple_of(16) {
-                let digest = self.app.digest();
-                if let Some(council) = &mut self.council {
-                    council.applied(entry.index, Some(digest));
-                }
-            }
+        self.report(&ready, checker);
+        if let Some(number) = batch_number.filter(|_| acks_early) {
+            self.batch_on_disk(now, number, outgoing);
         }
-        if ready.through > 0 && !installing {
-            self.applied = ready.through;
-            if let Some(council) = &mut self.council {
-                council.applied(ready.through, None);
-            }
+    }
+
+    fn send_or_hold(&mut self, ready: &mut Ready, acks_early: bool, outgoing: &mut Vec<Frame>) {
+        outgoing.append(&mut ready.messages);
+        let frames = std::mem::take(&mut ready.persisted_messages);
+        if ready.send_after_batch == 0 || acks_early {
+            outgoing.extend(frames);
+        } else if !frames.is_empty() {
+            self.held_frames.push_back(HeldFrames { after_batch: ready.send_after_batch, frames });
         }
-        if ready.snapshot_wanted && self.installing.is_none() {
-            let state = self.app.snapshot();
-            if let Some(council) = &mut self.council {
-                let _ = council.snapshot_taken(self.applied, state);
+    }
+
+    fn apply_entries(&mut self, now: Timestamp, ready: &Ready, has_snapshot: bool, checker: &mut Checker) {
+        for entry in &ready.committed_entries {
+            checker.applied(self.id, entry);
+            self.state_machine.apply(now, entry);
+            if entry.index.is_multiple_of(DIGEST_EVERY) {
+                let digest = self.state_machine.digest();
+                if let Some(node) = &mut self.node {
+                    node.applied(entry.index, Some(digest));
+                }
             }
         }
-        ready.outcomes.iter().for_each(|outcome| check.outcome(outcome));
-        ready.alarms.iter().for_each(|alarm: &Alarm| check.alarm(self.id, alarm));
-        if let (Some(change), Some(council)) = (&ready.role, &self.council) {
-            self.role = Some(change.role);
-            if change.role == Role::Quarantined {
-                self.held.clear();
+        if ready.apply_through > 0 && !has_snapshot {
+            self.applied = ready.apply_through;
+            if let Some(node) = &mut self.node {
+                node.applied(ready.apply_through, None);
             }
-            check.role(self.id, change, council);
         }
-        if let Some(number) = written.filter(|_| early) {
-            self.on_disk(now, number, out);
+    }
+
+    fn take_snapshot(&mut self) {
+        if self.held_snapshot.is_some() {
+            return;
+        }
+        let state = self.state_machine.snapshot();
+        if let Some(node) = &mut self.node {
+            // A snapshot that is not acceptable now is asked for again.
+            let _ = node.snapshot_taken(self.applied, state);
         }
     }
 
-    /// Something of the disk turns bad: a bit in the newest generation, at a place that the seed chooses.
-    pub fn rot(&mut self) {
-        if let Some(disk) = &mut self.disk {
-            if let Some(name) = disk.newest_segment() {
-                disk.flip_bit(&name, u64::MAX);
+    fn report(&mut self, ready: &Ready, checker: &mut Checker) {
+        for outcome in &ready.outcomes {
+            checker.outcome_reported(outcome);
+        }
+        for alarm in &ready.alarms {
+            checker.alarm_raised(self.id, alarm);
+        }
+        if let (Some(change), Some(node)) = (&ready.role, &self.node) {
+            self.role = Some(change.role);
+            if change.role == Role::Quarantined {
+                self.held_frames.clear();
             }
+            checker.role_changed(self.id, change, node);
         }
     }
 }
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -1,189 +1,217 @@
-//! What breaks, when, and for how long.
+//! Which faults are injected, when, and for how long.
 
-use super::simulation::Simulation;
-use super::{draw_span, Plan, StateMachine};
-use crate::{MemberId, TimeDelta, Timestamp};
+use super::cluster::Cluster;
+use super::draw;
+use super::faults::{Fault, FaultEnd, Link};
+use super::operator::Operator;
+use super::plan::Plan;
+use super::state_machine::StateMachine;
+use crate::ids::MemberId;
 use rand::seq::SliceRandom;
 use rand::Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
 
-/// A trouble that the nemesis may make.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// One process dies and comes back.
-    Crash,
-    /// Several die at once, perhaps all.
-    CrashMany,
-    /// The leader dies.
-    CrashLeader,
-    /// Two parts that don't hear each other.
-    Split,
-    /// One link carries nothing, one way.
-    OneWay,
-    /// A member is heard by nobody, or hears nobody.
-    Deaf,
-    /// A process is stopped and goes on later.
-    Stop,
-    /// A member's messages take ten times as long.
-    Slow,
-    /// A disk's syncs take up to a second.
-    SlowSync,
-    /// A disk is full for a while.
-    Full,
-    /// A disk's syncs lie for a while, and then the process dies.
-    Lie,
-    /// A bit turns on the disk of a dead process.
-    Rot,
-    /// A member is replaced by its next incarnation.
-    Replace,
-    /// The lead is handed over.
-    Transfer,
-}
+/// Shortest time of a fault that lasts.
+const MIN_FAULT_TIME: TimeDelta = TimeDelta::from_millis(50);
+/// Longest time of a fault that lasts.
+const MAX_FAULT_TIME: TimeDelta = TimeDelta::from_millis(3_000);
+/// Shortest time until a crashed process restarts.
+const MIN_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
+/// Longest time until a crashed process restarts.
+const MAX_DOWN_TIME: TimeDelta = TimeDelta::from_millis(2_000);
+/// Longest time of a slow disk's sync.
+const SLOW_SYNC_TIME: TimeDelta = TimeDelta::from_millis(1_000);
 
-impl Fault {
-    /// All but lying and rotting disks, which have counts of their own.
-    pub const ALL: [Fault; 12] = [
-        Fault::Crash,
-        Fault::CrashMany,
-        Fault::CrashLeader,
-        Fault::Split,
-        Fault::OneWay,
-        Fault::Deaf,
-        Fault::Stop,
-        Fault::Slow,
-        Fault::SlowSync,
-        Fault::Full,
-        Fault::Replace,
-        Fault::Transfer,
-    ];
+/// The end of an injected fault, and when.
+pub(super) struct ScheduledEnd {
+    pub at: Timestamp,
+    pub end: FaultEnd,
 }
 
-/// The end of a trouble.
-#[derive(Debug, Clone)]
-pub(crate) enum FaultEnd {
-    Restart(MemberId),
-    CrashLiar(MemberId),
-    Cuts(Vec<(u32, u32)>),
-    Wake(MemberId),
-    Slow(u32),
-    Disk(MemberId),
+/// Injects faults.
+#[derive(Debug)]
+pub(super) struct Nemesis {
+    /// How many disks may still be made to lose acknowledged writes.
+    lying_disks_left: u32,
+    /// Number of faults injected so far.
+    pub injected: u64,
 }
 
-/// The maker of troubles.
-#[derive(Debug)]
-pub struct Nemesis {
-    liars_left: u32,
-    /// Troubles made so far.
-    pub faults_injected: u64,
+/// What was drawn for one fault.
+struct Strike {
+    /// The member that it hits.
+    target: MemberId,
+    /// When it ends, if it lasts.
+    until: Timestamp,
+    /// How many more members may be down.
+    spare: u32,
 }
 
 impl Nemesis {
-    pub(crate) fn new(plan: &Plan) -> Self {
-        Nemesis { liars_left: plan.lying_disks, faults_injected: 0 }
+    pub fn new(plan: &Plan) -> Self {
+        Nemesis { lying_disks_left: plan.lying_disks, injected: 0 }
     }
 
-    /// Makes one trouble, if it may; gives what ends it and when.
-    pub(crate) fn strike<A: StateMachine>(
+    /// Injects one fault, if there is one that may be; returns how and when it ends.
+    pub fn inject<A: StateMachine>(
         &mut self,
-        world: &mut Simulation<A>,
-    ) -> Vec<(Timestamp, FaultEnd)> {
-        let now = world.now();
-        let lasting =
-            now + draw_span(&mut world.rng, TimeDelta::from_millis(50), TimeDelta::from_millis(3_000));
+        cluster: &mut Cluster<A>,
+        operator: &mut Operator,
+    ) -> Vec<ScheduledEnd> {
+        let until = cluster.now() + draw::span(&mut cluster.rng, MIN_FAULT_TIME, MAX_FAULT_TIME);
+        let hosts = cluster.hosts.values();
         let running: Vec<MemberId> =
-            world.hosts.values().filter(|h| h.is_up() && !h.stopped).map(|h| h.id).collect();
-        let away = world.hosts.values().filter(|h| !h.is_out() && !h.is_established()).count() as u32;
-        let Some(&target) = running.choose(&mut world.rng) else { return Vec::new() };
-        let Some(&trouble) = world.plan.faults.choose(&mut world.rng) else { return Vec::new() };
-        let spare = world.plan.max_down.saturating_sub(away);
-        self.faults_injected += 1;
-        let downs = |world: &mut Simulation<A>, ids: Vec<MemberId>| {
-            let torn = world.rng.gen();
-            let back = |world: &mut Simulation<A>| {
-                now + draw_span(&mut world.rng, TimeDelta::from_millis(10), TimeDelta::from_millis(2_000))
-            };
-            ids.into_iter()
-                .map(|id| {
-                    world.crash(id, torn);
-                    (back(world), FaultEnd::Restart(id))
-                })
-                .collect()
-        };
-        match trouble {
-            Fault::Crash if spare > 0 => downs(world, vec![target]),
-            Fault::CrashLeader if spare > 0 => match world.leader() {
-                Some(leader) => downs(world, vec![leader]),
-                None => Vec::new(),
-            },
-            Fault::CrashMany if spare > 0 => {
-                let count = world.rng.gen_range(1..=running.len()).min(spare as usize);
-                let ids = running.choose_multiple(&mut world.rng, count).copied().collect();
-                downs(world, ids)
-            }
-            Fault::Rot if spare > 0 && self.liars_left > 0 => {
-                self.liars_left -= 1;
-                let undo = downs(world, vec![target]);
-                world.host_mut(target).rot();
-                undo
-            }
-            Fault::Lie if self.liars_left > 0 && !world.host(target).lied => {
-                self.liars_left -= 1;
-                world.host_mut(target).lying = true;
-                vec![(lasting, FaultEnd::CrashLiar(target))]
-            }
-            Fault::Split => {
-                let mut left: Vec<u32> = world.hosts.keys().copied().collect();
-                left.shuffle(&mut world.rng);
-                let right = left.split_off(left.len() / 2 + world.rng.gen_range(0..=1));
-                let cuts =
-                    left.iter().flat_map(|&l| right.iter().flat_map(move |&r| [(l, r), (r, l)])).collect();
-                self.cut(world, cuts, lasting)
-            }
-            Fault::OneWay => {
-                let other = *running.choose(&mut world.rng).unwrap_or(&target);
-                self.cut(world, vec![(target.node, other.node)], lasting)
-            }
-            Fault::Deaf => {
-                let dumb = world.rng.gen();
-                let one = |other: u32| if dumb { (target.node, other) } else { (other, target.node) };
-                let cuts = world.hosts.keys().map(|&other| one(other)).collect();
-                self.cut(world, cuts, lasting)
-            }
-            Fault::Stop => {
-                world.host_mut(target).stopped = true;
-                vec![(lasting, FaultEnd::Wake(target))]
+            hosts.filter(|host| host.is_up() && !host.is_stopped).map(|host| host.id).collect();
+        let hosts = cluster.hosts.values();
+        let down = hosts.filter(|host| !host.is_out() && !host.is_established()).count() as u32;
+        let Some(&target) = running.choose(&mut cluster.rng) else { return Vec::new() };
+        let Some(&fault) = cluster.plan.faults.choose(&mut cluster.rng) else { return Vec::new() };
+        let strike = Strike { target, until, spare: cluster.plan.max_down.saturating_sub(down) };
+        self.injected += 1;
+        match fault {
+            Fault::Crash | Fault::CrashLeader | Fault::CrashMany => {
+                inject_crash(cluster, fault, &strike, &running)
             }
-            Fault::Slow => {
-                world.net.slow.insert(target.node);
-                vec![(lasting, FaultEnd::Slow(target.node))]
+            Fault::BitFlip | Fault::LyingDisk => self.inject_lost_writes(cluster, fault, &strike),
+            Fault::Partition | Fault::OneWay | Fault::Isolate => {
+                inject_cut(cluster, fault, &strike, &running)
             }
-            Fault::SlowSync => {
-                world.host_mut(target).max_sync_time = TimeDelta::from_millis(1_000);
-                vec![(lasting, FaultEnd::Disk(target))]
-            }
-            Fault::Full => {
-                world.host_mut(target).full = true;
-                vec![(lasting, FaultEnd::Disk(target))]
+            Fault::Stop | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
+                inject_delay(cluster, fault, &strike)
             }
             Fault::Replace => {
-                let node = world.hosts.keys().next_back().map_or(1, |last| last + 1);
-                world.operator.replace(target, MemberId::new(node, 1));
+                let node = cluster.hosts.keys().next_back().map_or(1, |last| last + 1);
+                operator.replace(target, MemberId::new(node, 1));
                 Vec::new()
             }
             Fault::Transfer => {
-                world.operator.hand_over(target);
+                operator.transfer_leadership(target);
                 Vec::new()
             }
-            _ => Vec::new(),
         }
     }
 
-    fn cut<A: StateMachine>(
-        &self,
-        world: &mut Simulation<A>,
-        cuts: Vec<(u32, u32)>,
-        until: Timestamp,
-    ) -> Vec<(Timestamp, FaultEnd)> {
-        world.net.cut.extend(&cuts);
-        vec![(until, FaultEnd::Cuts(cuts))]
+    fn inject_lost_writes<A: StateMachine>(
+        &mut self,
+        cluster: &mut Cluster<A>,
+        fault: Fault,
+        strike: &Strike,
+    ) -> Vec<ScheduledEnd> {
+        if self.lying_disks_left == 0 {
+            return Vec::new();
+        }
+        let target = strike.target;
+        if fault == Fault::BitFlip && strike.spare > 0 {
+            self.lying_disks_left -= 1;
+            let ends = crash_all(cluster, vec![target]);
+            cluster.host_mut(target).flip_bit();
+            return ends;
+        }
+        if fault == Fault::LyingDisk && !cluster.host(target).has_disk_lied {
+            self.lying_disks_left -= 1;
+            cluster.host_mut(target).is_disk_lying = true;
+            return vec![ScheduledEnd { at: strike.until, end: FaultEnd::CrashLiar(target) }];
+        }
+        Vec::new()
+    }
+}
+
+fn inject_crash<A: StateMachine>(
+    cluster: &mut Cluster<A>,
+    fault: Fault,
+    strike: &Strike,
+    running: &[MemberId],
+) -> Vec<ScheduledEnd> {
+    if strike.spare == 0 {
+        return Vec::new();
+    }
+    match fault {
+        Fault::CrashLeader => match cluster.leader() {
+            Some(leader) => crash_all(cluster, vec![leader]),
+            None => Vec::new(),
+        },
+        Fault::CrashMany => {
+            let count = cluster.rng.gen_range(1..=running.len()).min(strike.spare as usize);
+            let members = running.choose_multiple(&mut cluster.rng, count).copied().collect();
+            crash_all(cluster, members)
+        }
+        _ => crash_all(cluster, vec![strike.target]),
+    }
+}
+
+/// Crashes processes; each restarts after a time of its own.
+fn crash_all<A: StateMachine>(cluster: &mut Cluster<A>, members: Vec<MemberId>) -> Vec<ScheduledEnd> {
+    let torn_writes = cluster.rng.gen();
+    let mut ends = Vec::new();
+    for member in members {
+        cluster.crash(member, torn_writes);
+        let at = cluster.now() + draw::span(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
+        ends.push(ScheduledEnd { at, end: FaultEnd::Restart(member) });
+    }
+    ends
+}
+
+fn inject_cut<A: StateMachine>(
+    cluster: &mut Cluster<A>,
+    fault: Fault,
+    strike: &Strike,
+    running: &[MemberId],
+) -> Vec<ScheduledEnd> {
+    let target = strike.target.node;
+    let links: Vec<Link> = match fault {
+        Fault::Partition => partition(cluster),
+        Fault::OneWay => {
+            let other = running.choose(&mut cluster.rng).map_or(target, |other| other.node);
+            vec![Link::new(target, other)]
+        }
+        _ => {
+            let is_outgoing = cluster.rng.gen();
+            let link = |&other| if is_outgoing { Link::new(target, other) } else { Link::new(other, target) };
+            cluster.hosts.keys().map(link).collect()
+        }
+    };
+    cluster.network.cut_links.extend(&links);
+    vec![ScheduledEnd { at: strike.until, end: FaultEnd::RestoreLinks(links) }]
+}
+
+/// The links between two halves of the nodes, drawn from the seed.
+fn partition<A: StateMachine>(cluster: &mut Cluster<A>) -> Vec<Link> {
+    let mut left: Vec<u32> = cluster.hosts.keys().copied().collect();
+    left.shuffle(&mut cluster.rng);
+    let right = left.split_off(left.len() / 2 + cluster.rng.gen_range(0..=1));
+    let mut links = Vec::new();
+    for &one in &left {
+        for &other in &right {
+            links.push(Link::new(one, other));
+            links.push(Link::new(other, one));
+        }
     }
+    links
+}
+
+fn inject_delay<A: StateMachine>(
+    cluster: &mut Cluster<A>,
+    fault: Fault,
+    strike: &Strike,
+) -> Vec<ScheduledEnd> {
+    let target = strike.target;
+    let end = match fault {
+        Fault::Stop => {
+            cluster.host_mut(target).is_stopped = true;
+            FaultEnd::Wake(target)
+        }
+        Fault::SlowLinks => {
+            cluster.network.slow_nodes.insert(target.node);
+            FaultEnd::RestoreSpeed(target.node)
+        }
+        Fault::SlowSync => {
+            cluster.host_mut(target).max_sync_time = SLOW_SYNC_TIME;
+            FaultEnd::RestoreDisk(target)
+        }
+        _ => {
+            cluster.host_mut(target).is_disk_full = true;
+            FaultEnd::RestoreDisk(target)
+        }
+    };
+    vec![ScheduledEnd { at: strike.until, end }]
 }
--- a/crates/consensus/src/sim/network.rs
+++ b/crates/consensus/src/sim/network.rs
@@ -1,36 +1,42 @@
-//! The network: every message takes its own time, so they overtake each other; some are lost, some come twice, and links
-//! may be cut, each way by itself.
+//! The network: every message has a delay of its own, so they overtake each other; some are lost, some are delivered twice, and
+//! links may be cut, each direction by itself.
 
-use super::Plan;
+use super::faults::Link;
+use super::plan::Plan;
 use crate::frame::{Decoder, Frame};
-use crate::{MemberId, TimeDelta, Timestamp};
+use crate::ids::MemberId;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::BTreeSet;
 
-/// Shortest time that a message takes.
+/// Shortest delay of a message.
 const MIN_DELAY: TimeDelta = TimeDelta::from_micros(100);
-/// Least longest time that a message takes.
+/// Smallest value of the longest delay of a message.
 const MIN_LONGEST_DELAY: TimeDelta = TimeDelta::from_micros(200);
+/// How much longer messages of slow nodes take.
+const SLOW_FACTOR: i64 = 10;
+/// One message in so many is encoded and decoded.
+const ENCODED_ONE_IN: u64 = 16;
 
-/// The links and their troubles.
+/// The links and their faults.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Links that carry nothing, from and to.
-    pub cut: BTreeSet<(u32, u32)>,
-    /// Members all of whose messages take this much longer.
-    pub slow: BTreeSet<u32>,
+    /// Links that carry nothing.
+    pub cut_links: BTreeSet<Link>,
+    /// Nodes all of whose messages are slow.
+    pub slow_nodes: BTreeSet<u32>,
     loss_per_mille: u32,
     duplicate_per_mille: u32,
     max_delay: TimeDelta,
-    /// Messages handed over so far.
+    /// Number of messages sent.
     pub sent: u64,
-    /// Bytes handed over so far, as frames; counted for one message in sixteen, times sixteen.
+    /// Number of bytes sent, estimated from one message in sixteen.
     pub bytes: u64,
 }
 
 impl Network {
-    pub(crate) fn new(plan: &Plan) -> Self {
+    pub(super) fn new(plan: &Plan) -> Self {
         Network {
             loss_per_mille: plan.loss_per_mille,
             duplicate_per_mille: plan.duplicate_per_mille,
@@ -39,8 +45,8 @@
         }
     }
 
-    /// When copies of a message arrive, if any do.
-    pub(crate) fn arrivals(
+    /// When the copies of a message arrive, if any do.
+    pub(super) fn arrivals(
         &mut self,
         rng: &mut ChaCha8Rng,
         from: MemberId,
@@ -48,39 +54,42 @@
         now: Timestamp,
     ) -> Vec<Timestamp> {
         self.sent += 1;
-        if self.cut.contains(&(from.node, to.node)) || rng.gen_range(0..1000) < self.loss_per_mille {
+        let is_cut = self.cut_links.contains(&Link::new(from.node, to.node));
+        if is_cut || rng.gen_range(0..1000) < self.loss_per_mille {
             return Vec::new();
         }
         let copies = 1 + usize::from(rng.gen_range(0..1000) < self.duplicate_per_mille);
-        let slow = if self.slow.contains(&from.node) || self.slow.contains(&to.node) { 10 } else { 1 };
+        let is_slow = self.slow_nodes.contains(&from.node) || self.slow_nodes.contains(&to.node);
+        let factor = if is_slow { SLOW_FACTOR } else { 1 };
         let mut delay = || {
             let micros = rng.gen_range(MIN_DELAY.as_micros()..=self.max_delay.as_micros());
-            TimeDelta::from_micros(micros * slow)
+            TimeDelta::from_micros(micros * factor)
         };
         (0..copies).map(|_| now + delay()).collect()
     }
 
-    /// One message in sixteen goes through bytes, in two pieces.
-    pub(crate) fn pass(&mut self, rng: &mut ChaCha8Rng, frame: Frame) -> Frame {
-        if !self.sent.is_multiple_of(16) {
+    /// Passes a message on; one in sixteen is encoded, and decoded in two parts.
+    pub(super) fn pass(&mut self, rng: &mut ChaCha8Rng, frame: Frame) -> Frame {
+        if !self.sent.is_multiple_of(ENCODED_ONE_IN) {
             return frame;
         }
         let bytes = frame.encode();
-        self.bytes += 16 * bytes.len() as u64;
+        self.bytes += ENCODED_ONE_IN * bytes.len() as u64;
         let mut decoder = Decoder::default();
         let middle = rng.gen_range(0..bytes.len());
         decoder.push(&bytes[..middle]);
-        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame read as a whole");
+        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame was decoded as a whole");
         decoder.push(&bytes[middle..]);
-        let read = decoder.next_frame();
-        assert_eq!(read.as_ref(), Ok(&Some(frame)), "a frame read otherwise than written");
-        read.ok().flatten().unwrap_or_else(|| unreachable!("compared above"))
+        let decoded = decoder.next_frame();
+        assert_eq!(decoded.as_ref(), Ok(&Some(frame)), "a frame was decoded to another one");
+        decoded.ok().flatten().unwrap_or_else(|| unreachable!("compared above"))
     }
 
-    /// Cuts nothing any more, and loses nothing.
+    /// Restores all links; no messages are lost or duplicated any more.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.slow.clear();
-        (self.loss_per_mille, self.duplicate_per_mille) = (0, 0);
+        self.cut_links.clear();
+        self.slow_nodes.clear();
+        self.loss_per_mille = 0;
+        self.duplicate_per_mille = 0;
     }
 }
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -1,97 +1,125 @@
-//! The operator's part: replaces members that are out for good, or that the nemesis wants replaced, and hands over the
-//! lead, step by step through whoever leads. Where none can lead, says who is gone for good.
+//! The operator: replaces members that are out for good, or that the nemesis wants replaced, and transfers leadership, step by
+//! step through whoever leads. Where nobody can lead, declares which members are lost for good.
 
-use super::simulation::Simulation;
-use super::StateMachine;
-use crate::{MemberId, TimeDelta, Timestamp};
+use super::cluster::Cluster;
+use super::state_machine::StateMachine;
+use crate::ids::MemberId;
+use crate::limits::{MAX_VOTERS, MIN_VOTERS};
+use sprucelink_time::{TimeDelta, Timestamp};
 
-/// With no leader for so long the operator says who is gone.
-const STUCK: TimeDelta = TimeDelta::from_whole_secs(8);
+/// With no leader for so long the operator declares which members are lost.
+const MAX_TIME_WITHOUT_LEADER: TimeDelta = TimeDelta::from_whole_secs(8);
 
-/// Wishes not yet fulfilled.
+/// A member that is to be replaced, and its successor.
+#[derive(Debug, Clone, Copy)]
+struct Replacement {
+    old: MemberId,
+    new: MemberId,
+}
+
+/// What the operator wants and has not yet done.
 #[derive(Debug, Default)]
-pub(crate) struct Operator {
-    /// Members to be replaced, each by whom, the first first.
-    replacing: Vec<(MemberId, MemberId)>,
-    hand_over: Option<MemberId>,
-    /// Members whose stores are no more.
-    gone: Vec<MemberId>,
-    led: Timestamp,
-    /// Members replaced so far.
+pub(super) struct Operator {
+    /// Done one after another.
+    replacements: Vec<Replacement>,
+    transfer_to: Option<MemberId>,
+    /// Members whose stores are lost.
+    lost: Vec<MemberId>,
+    /// When there last was a leader, or the lost members were declared.
+    last_led: Timestamp,
+    /// Number of members replaced so far.
     pub replaced: u64,
 }
 
 impl Operator {
-    /// Wants a member that is well replaced by one on a node of its own.
+    /// Replaces a healthy member by one on another node, unless a replacement is in progress.
     pub fn replace(&mut self, old: MemberId, new: MemberId) {
-        if self.replacing.is_empty() {
-            self.replacing.push((old, new));
+        if self.replacements.is_empty() {
+            self.replacements.push(Replacement { old, new });
         }
     }
 
-    pub fn hand_over(&mut self, to: MemberId) {
-        self.hand_over = Some(to);
+    /// Transfers leadership.
+    pub fn transfer_leadership(&mut self, to: MemberId) {
+        self.transfer_to = Some(to);
     }
 
-    /// Takes the next step of the first wish.
-    pub fn step<A: StateMachine>(world: &mut Simulation<A>) {
-        let out: Vec<MemberId> =
-            world.hosts.values().filter(|host| host.is_out()).map(|host| host.id).collect();
-        for old in out {
-            // It takes no part any more, so its node may begin anew in its place.
-            if !world.operator.replacing.iter().any(|(held, _)| *held == old) {
-                let new = MemberId::new(old.node, old.incarnation + 1);
-                world.operator.replacing.push((old, new));
+    /// Takes the next step.
+    pub fn step<A: StateMachine>(&mut self, cluster: &mut Cluster<A>) {
+        self.plan_replacements(cluster);
+        let Some(leader) = cluster.leader() else {
+            self.declare_lost_members(cluster);
+            return;
+        };
+        self.last_led = cluster.now();
+        if let Some(to) = self.transfer_to.take() {
+            if let Some(node) = cluster.host_mut(leader).node.as_mut() {
+                // A transfer that is rejected now is not repeated.
+                let _ = node.transfer_leadership(to);
             }
         }
-        let Some(leader) = world.leader() else { return Self::stuck(world) };
-        world.operator.led = world.now();
-        let hand_over = world.operator.hand_over.take();
-        let wish = world.operator.replacing.first().copied();
-        let old_is_out =
-            wish.is_some_and(|(old, _)| world.hosts.get(&old.node).is_none_or(|h| h.id != old || h.is_out()));
-        let Some(council) = world.host_mut(leader).council.as_mut() else { return };
-        let members = council.members();
-        if let Some(to) = hand_over {
-            let _ = council.transfer(to);
+        if let Some(&replacement) = self.replacements.first() {
+            self.step_replacement(cluster, leader, replacement);
         }
-        let Some((old, new)) = wish else { return };
-        let voters = members.voters.len();
+    }
+
+    /// A member that is out takes no part any more, so its node may start anew in its place.
+    fn plan_replacements<A: StateMachine>(&mut self, cluster: &Cluster<A>) {
+        for host in cluster.hosts.values().filter(|host| host.is_out()) {
+            let old = host.id;
+            if !self.replacements.iter().any(|replacement| replacement.old == old) {
+                let new = MemberId::new(old.node, old.incarnation + 1);
+                self.replacements.push(Replacement { old, new });
+            }
+        }
+    }
+
+    /// Takes the next step of a replacement. A command that is rejected now is repeated at the next step.
+    fn step_replacement<A: StateMachine>(
+        &mut self,
+        cluster: &mut Cluster<A>,
+        leader: MemberId,
+        Replacement { old, new }: Replacement,
+    ) {
+        let is_old_out = cluster.current_host(old).is_none_or(|host| host.is_out());
+        let Some(node) = cluster.host_mut(leader).node.as_mut() else { return };
+        let membership = node.membership();
+        let voters = membership.voters.len();
         if old == leader {
-            if let Some(&other) = members.voters.iter().find(|&&voter| voter != old) {
-                let _ = council.transfer(other);
+            if let Some(&other) = membership.voters.iter().find(|&&voter| voter != old) {
+                let _ = node.transfer_leadership(other);
             }
-        } else if members.contains(old) && voters > 3 && (old_is_out || voters == 7) {
-            // Out first: it only weighs on the majority, or there is no room for another beside it.
-            let _ = council.remove(old);
-        } else if !members.contains(new) {
-            let _ = council.add_learner(new);
-            if world.renew(new, members.voters.clone()) && old.node == new.node {
-                world.operator.gone.push(old);
+        } else if membership.contains(old) && voters > MIN_VOTERS && (is_old_out || voters == MAX_VOTERS) {
+            // Removed first: it only makes the majority harder to reach, or there is no room for another voter beside it.
+            let _ = node.remove(old);
+        } else if !membership.contains(new) {
+            let _ = node.add_learner(new);
+            if cluster.add_host(new, membership.voters) && old.node == new.node {
+                self.lost.push(old);
             }
-        } else if members.learners.contains(&new) {
-            let _ = council.promote(new);
-        } else if members.contains(old) {
-            let _ = council.remove(old);
+        } else if membership.learners.contains(&new) {
+            let _ = node.promote(new);
+        } else if membership.contains(old) {
+            let _ = node.remove(old);
         } else {
-            world.operator.replacing.remove(0);
-            world.operator.replaced += 1;
-            world.retire(old);
+            self.replacements.remove(0);
+            self.replaced += 1;
+            cluster.remove_host(old);
         }
     }
 
-    /// Nobody leads: after a while everybody is told whose stores are no more.
-    fn stuck<A: StateMachine>(world: &mut Simulation<A>) {
-        if world.now() - world.operator.led < STUCK {
+    /// Nobody leads: after a while every running member is told which members' stores are lost.
+    fn declare_lost_members<A: StateMachine>(&mut self, cluster: &mut Cluster<A>) {
+        if cluster.now() - self.last_led < MAX_TIME_WITHOUT_LEADER {
             return;
         }
-        world.operator.led = world.now();
-        let out = world.hosts.values().filter(|host| host.is_out()).map(|host| host.id);
-        let gone: Vec<MemberId> = out.chain(world.operator.gone.iter().copied()).collect();
-        for council in world.hosts.values_mut().filter_map(|host| host.council.as_mut()) {
-            let me = council.member();
-            for &member in gone.iter().filter(|&&member| member != me) {
-                council.gone(member);
+        self.last_led = cluster.now();
+        let out = cluster.hosts.values().filter(|host| host.is_out()).map(|host| host.id);
+        let lost: Vec<MemberId> = out.chain(self.lost.iter().copied()).collect();
+        for node in cluster.hosts.values_mut().filter_map(|host| host.node.as_mut()) {
+            let id = node.id();
+            for &member in lost.iter().filter(|&&member| member != id) {
+                node.declare_lost(member);
             }
         }
     }
--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -1,81 +1,96 @@
-//! The plain application: remembers which proposals it applied, and how often, and a chain over all of them.
+//! The plain state machine: records which proposals it applied, how often, and a chained digest over all of them.
 
-use super::StateMachine;
+use super::state_machine::StateMachine;
+use crate::ids::ProposalId;
 use crate::proposal_dedup::{Dedup, ProposalDedup};
 use crate::ready::CommittedEntry;
-use crate::{ProposalId, Timestamp};
+use sprucelink_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Applies records by writing them down.
+/// The 64-bit FNV-1a prime.
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+/// Length of a word in a snapshot, bytes.
+const WORD_BYTES: usize = 8;
+/// Length of the snapshot's fixed part: digest, flag, length of the encoded dedup table.
+const HEADER_BYTES: usize = 3 * WORD_BYTES;
+/// Length of one applied proposal in a snapshot: origin, sequence, count.
+const PROPOSAL_BYTES: usize = 3 * WORD_BYTES;
+
+/// Applies proposals by recording them.
 #[derive(Debug, Clone, Default)]
 pub struct ProposalRecorder {
-    repeats: ProposalDedup,
+    dedup: ProposalDedup,
     /// How often each proposal was applied.
     pub applied: BTreeMap<ProposalId, u32>,
-    chain: u64,
-    /// Whether repeats are applied too: a planted fault.
-    pub careless: bool,
+    digest: u64,
+    /// Whether duplicates are applied too: an injected bug.
+    applies_duplicates: bool,
 }
 
 impl ProposalRecorder {
-    /// One that drops repeats, or not.
-    pub fn new(careless: bool) -> Self {
-        ProposalRecorder { careless, ..ProposalRecorder::default() }
+    /// A recorder that drops duplicates, or does not.
+    pub fn new(applies_duplicates: bool) -> Self {
+        ProposalRecorder { applies_duplicates, ..ProposalRecorder::default() }
     }
 }
 
-/// One step of a chain of digests (FNV-1a, over eight bytes at a time).
-pub(crate) fn mix(chain: u64, word: u64) -> u64 {
-    word.to_le_bytes()
-        .iter()
-        .fold(chain, |chain, &byte| (chain ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+/// One step of a chained digest (FNV-1a, over the bytes of a word).
+pub(super) fn chain_word(digest: u64, word: u64) -> u64 {
+    word.to_le_bytes().iter().fold(digest, |digest, &byte| (digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+}
+
+/// One step of a chained digest over a proposal and its content.
+pub(super) fn chain_entry(digest: u64, entry: &CommittedEntry) -> u64 {
+    let digest = chain_word(chain_word(digest, entry.id.origin), entry.id.sequence);
+    entry.bytes.iter().fold(digest, |digest, &byte| chain_word(digest, u64::from(byte)))
 }
 
 impl StateMachine for ProposalRecorder {
     fn apply(&mut self, _now: Timestamp, entry: &CommittedEntry) {
-        let verdict = self.repeats.first(entry.id);
-        if verdict != Dedup::New && !self.careless {
+        let dedup = self.dedup.record(entry.id);
+        if dedup != Dedup::New && !self.applies_duplicates {
             return;
         }
         *self.applied.entry(entry.id).or_default() += 1;
-        self.chain = mix(mix(self.chain, entry.id.origin), entry.id.sequence);
-        self.chain = entry.bytes.iter().fold(self.chain, |chain, &byte| mix(chain, u64::from(byte)));
+        self.digest = chain_entry(self.digest, entry);
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let repeats = self.repeats.encode();
-        let mut out = Vec::new();
-        for word in [self.chain, u64::from(self.careless), repeats.len() as u64] {
-            out.extend_from_slice(&word.to_le_bytes());
+        let dedup = self.dedup.encode();
+        let mut bytes = Vec::new();
+        for word in [self.digest, u64::from(self.applies_duplicates), dedup.len() as u64] {
+            bytes.extend_from_slice(&word.to_le_bytes());
         }
-        out.extend_from_slice(&repeats);
-        for (id, times) in &self.applied {
-            for word in [id.origin, id.sequence, u64::from(*times)] {
-                out.extend_from_slice(&word.to_le_bytes());
+        bytes.extend_from_slice(&dedup);
+        for (id, count) in &self.applied {
+            for word in [id.origin, id.sequence, u64::from(*count)] {
+                bytes.extend_from_slice(&word.to_le_bytes());
             }
         }
-        out
+        bytes
     }
 
     fn install(&mut self, bytes: &[u8]) {
-        let careless = self.careless;
-        *self = ProposalRecorder { careless, ..ProposalRecorder::default() };
-        let word = |at: usize| {
-            bytes.get(at..at + 8).map_or(0, |b| b.iter().rev().fold(0, |s, &b| s << 8 | u64::from(b)))
-        };
+        *self = ProposalRecorder::new(self.applies_duplicates);
         if bytes.is_empty() {
             return;
         }
-        self.chain = word(0);
-        let repeats = 24 + word(16) as usize;
-        self.repeats = ProposalDedup::decode(&bytes[24..repeats]).unwrap_or_default();
-        for at in (repeats..bytes.len()).step_by(24) {
-            let id = ProposalId { origin: word(at), sequence: word(at + 8) };
-            self.applied.insert(id, word(at + 16) as u32);
+        self.digest = read_word(bytes, 0);
+        let dedup_end = HEADER_BYTES + read_word(bytes, 2 * WORD_BYTES) as usize;
+        self.dedup = ProposalDedup::decode(&bytes[HEADER_BYTES..dedup_end]).unwrap_or_default();
+        for proposal in bytes[dedup_end..].chunks_exact(PROPOSAL_BYTES) {
+            let id = ProposalId { origin: read_word(proposal, 0), sequence: read_word(proposal, WORD_BYTES) };
+            self.applied.insert(id, read_word(proposal, 2 * WORD_BYTES) as u32);
         }
     }
 
     fn digest(&self) -> u64 {
-        self.chain
+        self.digest
     }
 }
+
+fn read_word(bytes: &[u8], offset: usize) -> u64 {
+    let mut word = [0; WORD_BYTES];
+    word.copy_from_slice(&bytes[offset..offset + WORD_BYTES]);
+    u64::from_le_bytes(word)
+}
