--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -1,129 +1,134 @@
-//! What a run comes to: the end that must hold, and the sums.
+//! The result of a run: what must hold at its end, and the sums.
 
-use super::checker::Violation;
-use super::host::Host;
+use super::checker::{OutcomeCounts, Violation, ViolationKind};
+use super::plan::{InjectedBug, Plan};
 use super::recorder::ProposalRecorder;
 use super::simulation::Simulation;
-use super::{InjectedBug, Plan, StateMachine};
-use crate::{MemberId, TimeDelta, Timestamp};
+use super::state_machine::StateMachine;
+use crate::ids::MemberId;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// What a run came to.
+/// How long nothing is proposed at the end of a run, so that all members come to the same state.
+const QUIET_TIME: TimeDelta = TimeDelta::from_whole_secs(3);
+
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// The first thing that must not be, if there was one.
+    /// The first violation, if there was one.
     pub violation: Option<Violation>,
-    /// Times from a leader's death to the next leader, where the world was otherwise whole.
+    /// Times from a leader's crash to the next leader.
     pub elections: Vec<TimeDelta>,
-    /// Proposals told committed, lost, unknown.
-    pub outcomes: [u64; 3],
-    /// Troubles made.
+    /// Number of proposals by their reported outcome.
+    pub outcomes: OutcomeCounts,
+    /// Number of faults injected.
     pub faults_injected: u64,
-    /// Members replaced.
+    /// Number of members replaced.
     pub replaced: u64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Their bytes, estimated from one in sixteen.
+    /// Their size, estimated from one in sixteen, bytes.
     pub bytes: u64,
-    /// Alarms by kind.
+    /// Number of alarms by kind.
     pub alarms: BTreeMap<&'static str, u64>,
-    /// Members found damaged at a start.
+    /// Number of members whose store was found damaged.
     pub damaged: u64,
-    /// Last place with a record.
-    pub last: u64,
+    /// Index of the last committed proposal.
+    pub last_committed: u64,
     /// So many members were out for good at the end that nobody could lead.
-    pub unavailable: bool,
+    pub is_unavailable: bool,
 }
 
 impl Simulation<ProposalRecorder> {
-    /// Runs a plan under a seed, with the plain application.
+    /// Runs a plan under a seed, with the plain state machine.
     pub fn run(plan: Plan, seed: u64) -> Report {
-        let careless = plan.has(InjectedBug::RepeatsApplied);
-        let mut world = Simulation::new(plan, seed, move |_| ProposalRecorder::new(careless));
-        let healed_at = Timestamp::ZERO + world.plan.fault_time;
-        let quiet_at = healed_at + world.plan.recovery_time;
-        world.run_until(healed_at);
-        world.heal();
-        world.run_until(quiet_at);
-        // Without new proposals everybody comes to the same end.
-        world.proposing = false;
-        world.run_until(quiet_at + TimeDelta::from_whole_secs(3));
-        world.judge();
-        world.report()
+        let applies_duplicates = plan.has(InjectedBug::DuplicatesApplied);
+        let healed_at = Timestamp::ZERO + plan.fault_time;
+        let quiet_at = healed_at + plan.recovery_time;
+        let mut simulation = Simulation::new(plan, seed, move |_| ProposalRecorder::new(applies_duplicates));
+        simulation.run_until(healed_at);
+        simulation.heal();
+        simulation.run_until(quiet_at);
+        simulation.is_proposing = false;
+        simulation.run_until(quiet_at + QUIET_TIME);
+        simulation.check_end();
+        simulation.report()
     }
 
-    /// What must hold once all is whole again: everybody who takes part has all that was told committed, once.
-    pub fn judge(&mut self) {
-        if self.check.violation.is_some() {
+    /// Checks what must hold once all faults have ended: every member that takes part has applied all that was reported as
+    /// committed, once.
+    pub fn check_end(&mut self) {
+        if self.cluster.checker.violation.is_some() {
             return;
         }
-        let Some(leader) = self.leader() else {
-            if !self.could_lead() {
-                self.unavailable = true;
-                return;
+        let Some(leader) = self.cluster.leader() else {
+            if self.could_lead() {
+                let hosts = self.cluster.describe();
+                self.cluster.checker.fail(ViolationKind::NoLeader { hosts });
+            } else {
+                self.is_unavailable = true;
             }
-            let state = self.describe();
-            return self.check.fail(format!("no leader at the end\n{state}"));
+            return;
         };
-        let members = self.host(leader).council.as_ref().map(|council| council.members()).unwrap_or_default();
-        let last = self.check.last_committed();
-        let mut faults = Vec::new();
-        for host in self.hosts.values().filter(|host| members.contains(host.id) && host.is_established()) {
-            let lost = self.check.told_committed.iter().find(|(id, _)| !host.app.applied.contains_key(id));
-            if let Some((id, index)) = lost {
-                faults.push(format!("{} lacks {id:?}, told committed at {index}, last is {last}", host.id));
+        for violation in self.end_violations(leader) {
+            self.cluster.checker.fail(violation);
+        }
+    }
+
+    fn end_violations(&self, leader: MemberId) -> Vec<ViolationKind> {
+        let node = self.cluster.host(leader).node.as_ref();
+        let membership = node.map(|node| node.membership()).unwrap_or_default();
+        let checker = &self.cluster.checker;
+        let mut violations = Vec::new();
+        for host in self.cluster.hosts.values() {
+            let member = host.id;
+            if !membership.contains(member) || !host.is_established() {
+                continue;
             }
-            if let Some((id, times)) = host.app.applied.iter().find(|(_, &times)| times != 1) {
-                faults.push(format!("{} applied {id:?} {times} times", host.id));
+            let applied = &host.state_machine.applied;
+            let mut lost = checker.reported_committed.iter().filter(|(id, _)| !applied.contains_key(id));
+            if let Some((&id, &index)) = lost.next() {
+                let last = checker.last_committed();
+                violations.push(ViolationKind::ProposalLost { member, id, index, last });
+            }
+            if let Some((&id, &count)) = applied.iter().find(|(_, &count)| count != 1) {
+                violations.push(ViolationKind::AppliedRepeatedly { member, id, count });
             }
         }
-        faults.into_iter().for_each(|fault| self.check.fail(fault));
+        violations
     }
 }
 
 impl<A: StateMachine> Simulation<A> {
-    /// Whether a majority of the voters, by the newest list that anybody has, is not out for good.
+    /// Whether a majority of the voters, by the newest membership that any member has, is not out for good.
     fn could_lead(&self) -> bool {
-        let lists = self
-            .hosts
-            .values()
-            .filter_map(|host| host.council.as_ref())
-            .map(|council| council.members_from());
-        let Some((_, members)) = lists.max_by_key(|(from, _)| *from) else { return false };
-        let sound = |voter: &&MemberId| self.held(**voter).is_some_and(|host| !host.is_out());
-        members.voters.iter().filter(sound).count() > members.voters.len() / 2
-    }
-
-    /// One line a host, for whoever looks into a run.
-    pub fn describe(&self) -> String {
-        let line = |host: &Host<A>| {
-            let flags = [("stopped", host.stopped), ("lied", host.lied), ("damaged", host.damaged.is_some())];
-            let flags: Vec<&str> = flags.iter().filter(|(_, on)| *on).map(|(name, _)| *name).collect();
-            let state = host.council.as_ref().map(|council| council.describe());
-            format!(
-                "  {} starts {} {flags:?} {}\n",
-                host.id,
-                host.starts,
-                state.unwrap_or_else(|| "down".to_owned())
-            )
-        };
-        self.hosts.values().map(line).collect()
+        let nodes = self.cluster.hosts.values().filter_map(|host| host.node.as_ref());
+        let memberships = nodes.map(|node| node.versioned_membership());
+        let Some(newest) = memberships.max_by_key(|membership| membership.index) else { return false };
+        let voters = newest.membership.voters;
+        let can_vote =
+            |voter: &&MemberId| self.cluster.current_host(**voter).is_some_and(|host| !host.is_out());
+        voters.iter().filter(can_vote).count() > voters.len() / 2
     }
 
-    /// What the run came to.
+    /// The result of the run.
     pub fn report(&mut self) -> Report {
+        let faults_injected = self.faults_injected();
+        let replaced = self.members_replaced();
+        let cluster = &mut self.cluster;
+        let damaged = cluster.hosts.values().filter(|host| host.store_error.is_some()).count() as u64;
         Report {
-            violation: self.check.violation.clone(),
-            elections: std::mem::take(&mut self.elections),
-            outcomes: self.check.outcomes,
-            faults_injected: self.nemesis.as_ref().map_or(0, |nemesis| nemesis.faults_injected),
-            replaced: self.operator.replaced,
-            messages: self.net.sent,
-            bytes: self.net.bytes,
-            alarms: std::mem::take(&mut self.check.alarms),
-            damaged: self.hosts.values().filter(|host| host.damaged.is_some()).count() as u64,
-            last: self.check.last_committed(),
-            unavailable: self.unavailable,
+            violation: cluster.checker.violation.clone(),
+            elections: std::mem::take(&mut cluster.elections),
+            outcomes: cluster.checker.outcomes,
+            faults_injected,
+            replaced,
+            messages: cluster.network.sent,
+            bytes: cluster.network.bytes,
+            alarms: std::mem::take(&mut cluster.checker.alarms),
+            damaged,
+            last_committed: cluster.checker.last_committed(),
+            is_unavailable: self.is_unavailable,
         }
     }
 }
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -1,392 +1,227 @@
-//! The world: hosts, network and time, driven by one seed.
+//! A run: events in virtual time, driven by one seed.
 
-use super::checker::Checker;
-use super::host::{Host, Start};
-use super::nemesis::{FaultEnd, Nemesis};
-use super::network::Network;
+use super::cluster::Cluster;
+use super::draw;
+use super::event_queue::{Event, ProcessRun};
+use super::faults::FaultEnd;
+use super::nemesis::Nemesis;
 use super::operator::Operator;
-use super::recorder::ProposalRecorder;
-use super::{draw_around, draw_span, InjectedBug, Plan, StateMachine};
-use crate::frame::Frame;
-use crate::ready::Role;
-use crate::{MemberId, ProposalId, TimeDelta, Timestamp};
-use rand::{Rng, SeedableRng};
-use rand_chacha::ChaCha8Rng;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use super::plan::Plan;
+use super::state_machine::StateMachine;
+use crate::ids::MemberId;
+use rand::Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 /// How often the operator looks.
-const OPERATOR_EVERY: TimeDelta = TimeDelta::from_millis(200);
-/// How often a host is ticked, on average.
-const TICK_EVERY: TimeDelta = TimeDelta::from_millis(50);
-/// Shortest time between two ticks of a host.
+const OPERATE_EVERY: TimeDelta = TimeDelta::from_millis(200);
+/// Shortest time between two ticks of a process.
 const MIN_TICK: TimeDelta = TimeDelta::from_millis(45);
-/// Longest time between two ticks of a host.
+/// Longest time between two ticks of a process.
 const MAX_TICK: TimeDelta = TimeDelta::from_millis(55);
-/// When the nemesis strikes first.
-const FIRST_STRIKE: TimeDelta = TimeDelta::from_whole_secs(1);
-/// Bytes of a proposal, at most.
-const PROPOSAL: usize = 64;
-
-#[derive(Debug)]
-enum Event {
-    Tick(MemberId, u64),
-    Frame(Box<Frame>),
-    Synced(MemberId, u64),
-    Propose,
-    Strike,
-    FaultEnd(FaultEnd),
-    Operate,
-}
-
-struct Timed(Timestamp, u64, Event);
-
-impl PartialEq for Timed {
-    fn eq(&self, other: &Self) -> bool {
-        (self.0, self.1) == (other.0, other.1)
-    }
-}
-impl Eq for Timed {}
-impl PartialOrd for Timed {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Timed {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.0, self.1).cmp(&(other.0, other.1))
-    }
-}
-
-/// Hosts, network, time, nemesis and checker of one run.
-pub struct Simulation<A = ProposalRecorder> {
-    pub(crate) rng: ChaCha8Rng,
-    /// The plan of the run.
-    pub plan: Plan,
-    /// One host a node.
-    pub hosts: BTreeMap<u32, Host<A>>,
-    /// The network.
-    pub net: Network,
-    /// The checker.
-    pub check: Checker,
-    pub(crate) operator: Operator,
-    pub(crate) nemesis: Option<Nemesis>,
-    founders: Vec<MemberId>,
-    contacts: BTreeMap<u32, Vec<MemberId>>,
-    queue: BinaryHeap<Reverse<Timed>>,
-    events: u64,
-    now: Timestamp,
-    next_proposal: u64,
-    broken: bool,
-    /// Whether the seed proposes.
-    pub proposing: bool,
-    /// When a leader died, for the times of elections.
-    leaderless: Option<Timestamp>,
-    pub(crate) unavailable: bool,
-    pub(crate) elections: Vec<TimeDelta>,
-    make: Box<dyn Fn(MemberId) -> A + Send>,
+/// When the first fault is injected.
+const FIRST_FAULT: TimeDelta = TimeDelta::from_whole_secs(1);
+/// Bound of a proposal's length, bytes.
+const PROPOSAL_BYTES: usize = 64;
+/// How long a stopped process' write waits before it is looked at again.
+const STOPPED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
+/// When a process restarts that could not go on after a failed write.
+const RESTART_AFTER_FAILED_WRITE: TimeDelta = TimeDelta::from_millis(100);
+/// Shortest time until a process restarts that crashed with its lying disk.
+const MIN_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
+/// Longest time until a process restarts that crashed with its lying disk.
+const MAX_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_whole_secs(1);
+
+/// One run: a cluster, and what is done to it.
+pub struct Simulation<A> {
+    /// The hosts and the network.
+    pub cluster: Cluster<A>,
+    nemesis: Nemesis,
+    operator: Operator,
+    injects_faults: bool,
+    /// Whether proposals are made.
+    pub is_proposing: bool,
+    /// Whether nobody could lead at the end, because too many members were out for good.
+    pub(super) is_unavailable: bool,
 }
 
 impl<A: StateMachine> Simulation<A> {
-    /// A council of founders, all started at time 0; `make` gives a new application at each start of a host.
-    pub fn new(plan: Plan, seed: u64, make: impl Fn(MemberId) -> A + Send + 'static) -> Self {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
-        let hosts = founders.iter().map(|&id| (id.node, Host::new(id, make(id), &plan, &mut rng))).collect();
-        let mut world = Simulation {
-            rng,
-            net: Network::new(&plan),
-            nemesis: Some(Nemesis::new(&plan)),
-            hosts,
-            check: Checker::default(),
+    /// A group of founders, all started at time 0; `make_state_machine` gives a new state machine at each start of a host.
+    pub fn new(plan: Plan, seed: u64, make_state_machine: impl Fn(MemberId) -> A + Send + 'static) -> Self {
+        let nemesis = Nemesis::new(&plan);
+        let injects_faults = plan.fault_every > TimeDelta::ZERO;
+        let is_proposing = plan.propose_every > TimeDelta::ZERO;
+        let mut cluster = Cluster::new(plan, seed, Box::new(make_state_machine));
+        cluster.queue.push(Timestamp::ZERO, Event::Propose);
+        cluster.queue.push(Timestamp::ZERO + OPERATE_EVERY, Event::Operate);
+        cluster.queue.push(Timestamp::ZERO + FIRST_FAULT, Event::InjectFault);
+        Simulation {
+            cluster,
+            nemesis,
             operator: Operator::default(),
-            contacts: BTreeMap::new(),
-            queue: BinaryHeap::new(),
-            events: 0,
-            now: Timestamp::ZERO,
-            next_proposal: 0,
-            broken: plan.fault_every > TimeDelta::ZERO,
-            proposing: plan.propose_every > TimeDelta::ZERO,
-            leaderless: None,
-            unavailable: false,
-            elections: Vec::new(),
-            make: Box::new(make),
-            founders: founders.clone(),
-            plan,
-        };
-        founders.iter().for_each(|&id| world.start(id));
-        world.push(Timestamp::ZERO, Event::Propose);
-        world.push(Timestamp::ZERO + OPERATOR_EVERY, Event::Operate);
-        world.push(Timestamp::ZERO + FIRST_STRIKE, Event::Strike);
-        world
+            injects_faults,
+            is_proposing,
+            is_unavailable: false,
+        }
     }
 
-    /// The time.
-    pub fn now(&self) -> Timestamp {
-        self.now
+    /// Runs to a time, or to the first violation.
+    pub fn run_until(&mut self, end: Timestamp) {
+        while self.cluster.checker.violation.is_none() {
+            let Some((at, event)) = self.cluster.queue.pop_until(end) else { break };
+            self.cluster.now = at;
+            self.cluster.checker.set_time(at);
+            self.handle(event);
+        }
+        self.cluster.now = self.cluster.now.max(end);
     }
 
-    /// A node's host.
-    pub fn host(&self, id: MemberId) -> &Host<A> {
-        &self.hosts[&id.node]
+    /// Ends all faults of links, disks and processes; no more are injected.
+    pub fn heal(&mut self) {
+        self.injects_faults = false;
+        self.cluster.network.heal();
+        for id in self.cluster.members() {
+            self.heal_host(id);
+        }
     }
 
-    /// A node's host. What is done to its council shows at its next event.
-    pub fn host_mut(&mut self, id: MemberId) -> &mut Host<A> {
-        self.hosts.get_mut(&id.node).expect("every node has a host")
+    fn heal_host(&mut self, id: MemberId) {
+        let max_sync_time = self.cluster.plan.max_sync_time;
+        let host = self.cluster.host_mut(id);
+        host.max_sync_time = max_sync_time;
+        host.is_disk_full = false;
+        let loses_writes = host.is_disk_lying && host.is_up();
+        if loses_writes {
+            // The disk is truthful from here on; what it did not write is lost with the machine's memory.
+            host.crash(true);
+        }
+        host.is_disk_lying = false;
+        let is_stopped = host.is_stopped;
+        if loses_writes {
+            self.cluster.checker.members_with_lost_writes.insert(id);
+        }
+        if is_stopped {
+            self.cluster.wake(id);
+        }
+        self.cluster.start(id);
     }
 
-    /// The member that leads in the highest term, if one that is up thinks that it does.
-    pub fn leader(&self) -> Option<MemberId> {
-        let leads = |host: &&Host<A>| host.is_up() && !host.stopped && host.role == Some(Role::Leader);
-        let term = |host: &&Host<A>| host.council.as_ref().map_or(0, |council| council.term());
-        self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
+    /// Number of faults injected so far.
+    pub fn faults_injected(&self) -> u64 {
+        self.nemesis.injected
     }
 
-    fn push(&mut self, at: Timestamp, event: Event) {
-        self.events += 1;
-        self.queue.push(Reverse(Timed(at, self.events, event)));
+    /// Number of members replaced so far.
+    pub fn members_replaced(&self) -> u64 {
+        self.operator.replaced
     }
 
-    /// Starts a node's process, if its disk lets it.
-    pub fn start(&mut self, id: MemberId) {
-        let now = self.now;
-        let app = (self.make)(id);
-        let joins = self.contacts.get(&id.node);
-        let founders: &[MemberId] = if joins.is_some() { &[] } else { &self.founders };
-        let start = Start { founders, contacts: joins.unwrap_or(&self.founders), plan: &self.plan };
-        let Some(host) = self.hosts.get_mut(&id.node) else { return };
-        if host.id != id || host.is_up() || host.damaged.is_some() {
-            return;
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Tick(run) => self.tick(run),
+            Event::Deliver(frame) => self.cluster.deliver(*frame),
+            Event::Synced(run) => self.synced(run),
+            Event::Propose => self.propose(),
+            Event::InjectFault => self.inject_fault(),
+            Event::EndFault(end) => self.end_fault(end),
+            Event::Operate => self.operate(),
         }
-        host.start(now, &start, app);
-        let jitter = draw_span(&mut self.rng, TimeDelta::from_micros(1), TICK_EVERY);
-        let starts = self.host(id).starts;
-        self.push(now + jitter, Event::Tick(id, starts));
-        self.work(id);
     }
 
-    /// A process dies.
-    pub fn crash(&mut self, id: MemberId, torn: bool) {
-        if self.leader() == Some(id) {
-            self.leaderless = Some(self.now);
-        }
-        let host = self.host_mut(id);
-        let lied = host.lied;
-        host.crash(torn);
-        if lied {
-            self.check.forgetful.insert(id);
-        }
+    fn schedule(&mut self, after: TimeDelta, event: Event) {
+        self.cluster.queue.push(self.cluster.now + after, event);
     }
 
-    /// A node, new or with its disk emptied, gets a member that is to join. False when it has it already.
-    pub(crate) fn renew(&mut self, id: MemberId, contacts: Vec<MemberId>) -> bool {
-        if self.hosts.get(&id.node).is_some_and(|host| host.id == id) {
-            return false;
-        }
-        if let Some(old) = self.hosts.get(&id.node).map(|host| host.id) {
-            self.crash(old, false);
+    fn tick(&mut self, run: ProcessRun) {
+        if !self.cluster.is_running(run) {
+            return;
         }
-        let app = (self.make)(id);
-        let host = Host::new(id, app, &self.plan, &mut self.rng);
-        self.hosts.insert(id.node, host);
-        self.contacts.insert(id.node, contacts);
-        self.start(id);
-        true
+        let now = self.cluster.now;
+        self.cluster.host_mut(run.member).tick(now);
+        self.cluster.work(run.member);
+        let next = draw::span(&mut self.cluster.rng, MIN_TICK, MAX_TICK);
+        self.schedule(next, Event::Tick(run));
     }
 
-    /// A member that was removed goes away with its node, unless the node has a newer one.
-    pub(crate) fn retire(&mut self, id: MemberId) {
-        if self.hosts.get(&id.node).is_some_and(|host| host.id == id) {
-            self.crash(id, false);
-            self.hosts.remove(&id.node);
+    fn synced(&mut self, run: ProcessRun) {
+        if !self.cluster.is_running(run) {
+            return;
         }
-    }
-
-    /// A member's host, if the node still has that member.
-    pub(crate) fn held(&self, id: MemberId) -> Option<&Host<A>> {
-        self.hosts.get(&id.node).filter(|host| host.id == id)
-    }
-
-    /// Proposes at a host chosen by the seed.
-    pub fn propose(&mut self, bytes: Vec<u8>) -> ProposalId {
-        let nodes: Vec<u32> = self.hosts.keys().copied().collect();
-        let node = nodes[self.rng.gen_range(0..nodes.len())];
-        let id = self.hosts[&node].id;
-        self.next_proposal += 1;
-        let name = ProposalId { origin: id.raw(), sequence: self.next_proposal };
-        let _ = self.host_mut(id).propose(bytes, name);
-        self.work(id);
-        name
-    }
-
-    /// Everything whole again: links, disks and processes; the nemesis rests.
-    pub fn heal(&mut self) {
-        self.broken = false;
-        self.net.heal();
-        let sync = self.plan.max_sync_time;
-        let ids: Vec<MemberId> = self.hosts.values().map(|host| host.id).collect();
-        for id in ids {
-            let host = self.host_mut(id);
-            (host.max_sync_time, host.full) = (sync, false);
-            if host.lying && host.is_up() {
-                // The disk tells the truth from here on; what it swallowed is gone with the machine's memory.
-                host.crash(true);
-                self.check.forgetful.insert(id);
-            }
-            self.host_mut(id).lying = false;
-            if self.host(id).stopped {
-                self.undo(FaultEnd::Wake(id));
-            }
-            self.start(id);
+        if self.cluster.host(run.member).is_stopped {
+            self.schedule(STOPPED_SYNC_RETRY, Event::Synced(run));
+            return;
+        }
+        if self.cluster.synced(run.member) {
+            self.cluster.work(run.member);
+        } else {
+            self.cluster.crash(run.member, true);
+            self.schedule(RESTART_AFTER_FAILED_WRITE, Event::EndFault(FaultEnd::Restart(run.member)));
         }
     }
 
-    /// Runs to a time, or to the first violation.
-    pub fn run_until(&mut self, end: Timestamp) {
-        while self.check.violation.is_none() && self.queue.peek().is_some_and(|Reverse(next)| next.0 <= end) {
-            let Some(Reverse(Timed(at, _, event))) = self.queue.pop() else { break };
-            self.now = at;
-            self.check.at(at);
-            self.happen(event);
+    fn propose(&mut self) {
+        if !self.is_proposing {
+            return;
         }
-        self.now = self.now.max(end);
+        let byte: u8 = self.cluster.rng.gen();
+        let length = self.cluster.rng.gen_range(0..PROPOSAL_BYTES);
+        self.cluster.propose(vec![byte; length]);
+        let next = draw::span_around(&mut self.cluster.rng, self.cluster.plan.propose_every);
+        self.schedule(next, Event::Propose);
     }
 
-    fn happen(&mut self, event: Event) {
-        let now = self.now;
-        match event {
-            Event::Tick(id, starts) => {
-                if !self.held(id).is_some_and(|host| host.starts == starts && host.is_up()) {
-                    return;
-                }
-                self.host_mut(id).tick(now);
-                self.work(id);
-                let next = now + draw_span(&mut self.rng, MIN_TICK, MAX_TICK);
-                self.push(next, Event::Tick(id, starts));
-            }
-            Event::Frame(frame) => {
-                let (from, to) = (frame.from(), frame.to());
-                if self.hosts.get(&to.node).is_some_and(|host| host.id == to) {
-                    let frame = self.net.pass(&mut self.rng, *frame);
-                    if let Some(host) = self.hosts.get_mut(&to.node) {
-                        host.deliver(now, from, frame, &self.plan);
-                    }
-                    self.work(to);
-                }
-            }
-            Event::Synced(id, starts) => {
-                if !self.held(id).is_some_and(|host| host.starts == starts && host.is_up()) {
-                    return;
-                }
-                if self.host(id).stopped {
-                    return self.push(now + TimeDelta::from_millis(10), Event::Synced(id, starts));
-                }
-                let mut out = Vec::new();
-                let goes_on = match self.hosts.get_mut(&id.node) {
-                    Some(host) => host.synced(now, &self.plan, &mut out),
-                    None => true,
-                };
-                self.send(out);
-                if goes_on {
-                    self.work(id);
-                } else {
-                    self.crash(id, true);
-                    self.push(now + TimeDelta::from_millis(100), Event::FaultEnd(FaultEnd::Restart(id)));
-                }
-            }
-            Event::Propose if !self.proposing => {}
-            Event::Propose => {
-                let bytes = vec![self.rng.gen(); self.rng.gen_range(0..PROPOSAL)];
-                self.propose(bytes);
-                let every = self.plan.propose_every;
-                let next = now + draw_around(&mut self.rng, every);
-                self.push(next, Event::Propose);
-            }
-            Event::Strike => self.strike(),
-            Event::FaultEnd(undo) => self.undo(undo),
-            Event::Operate => {
-                Operator::step(self);
-                let ids: Vec<MemberId> = self.hosts.values().map(|host| host.id).collect();
-                ids.into_iter().for_each(|id| self.work(id));
-                self.push(now + OPERATOR_EVERY, Event::Operate);
-            }
+    fn operate(&mut self) {
+        self.operator.step(&mut self.cluster);
+        for id in self.cluster.members() {
+            self.cluster.work(id);
         }
+        self.schedule(OPERATE_EVERY, Event::Operate);
     }
 
-    fn strike(&mut self) {
-        let every = self.plan.fault_every;
-        if !self.broken || every == TimeDelta::ZERO {
+    fn inject_fault(&mut self) {
+        if !self.injects_faults {
             return;
         }
-        let Some(mut nemesis) = self.nemesis.take() else { return };
-        let undos = nemesis.strike(self);
-        self.nemesis = Some(nemesis);
-        undos.into_iter().for_each(|(at, undo)| self.push(at, Event::FaultEnd(undo)));
-        let next = self.now + draw_around(&mut self.rng, every);
-        self.push(next, Event::Strike);
+        for scheduled in self.nemesis.inject(&mut self.cluster, &mut self.operator) {
+            self.cluster.queue.push(scheduled.at, Event::EndFault(scheduled.end));
+        }
+        let next = draw::span_around(&mut self.cluster.rng, self.cluster.plan.fault_every);
+        self.schedule(next, Event::InjectFault);
     }
 
-    fn undo(&mut self, undo: FaultEnd) {
-        match undo {
-            FaultEnd::Restart(id) => self.start(id),
-            FaultEnd::Cuts(cuts) => cuts.iter().for_each(|cut| {
-                self.net.cut.remove(cut);
-            }),
-            FaultEnd::Slow(node) => {
-                self.net.slow.remove(&node);
-            }
-            FaultEnd::Wake(id) if self.held(id).is_some_and(|host| host.stopped) => {
-                let now = self.now;
-                if let Some(host) = self.hosts.get_mut(&id.node) {
-                    host.wake(now, &mut self.rng, &self.plan);
+    fn end_fault(&mut self, end: FaultEnd) {
+        match end {
+            FaultEnd::Restart(id) => self.cluster.start(id),
+            FaultEnd::RestoreLinks(links) => {
+                for link in &links {
+                    self.cluster.network.cut_links.remove(link);
                 }
-                self.work(id);
             }
-            FaultEnd::Wake(_) => {}
-            FaultEnd::Disk(id) => {
-                let sync = self.plan.max_sync_time;
-                if let Some(host) = self.hosts.get_mut(&id.node) {
-                    (host.full, host.max_sync_time) = (false, sync);
+            FaultEnd::RestoreSpeed(node) => {
+                self.cluster.network.slow_nodes.remove(&node);
+            }
+            FaultEnd::Wake(id) => {
+                if self.cluster.current_host(id).is_some_and(|host| host.is_stopped) {
+                    self.cluster.wake(id);
                 }
             }
-            FaultEnd::CrashLiar(id) if self.held(id).is_some_and(|host| host.lying) => {
-                self.crash(id, true);
-                self.host_mut(id).lying = false;
-                let back = self.now
-                    + draw_span(&mut self.rng, TimeDelta::from_millis(10), TimeDelta::from_whole_secs(1));
-                self.push(back, Event::FaultEnd(FaultEnd::Restart(id)));
+            FaultEnd::RestoreDisk(id) => {
+                let max_sync_time = self.cluster.plan.max_sync_time;
+                if let Some(host) = self.cluster.hosts.get_mut(&id.node) {
+                    host.is_disk_full = false;
+                    host.max_sync_time = max_sync_time;
+                }
             }
-            FaultEnd::CrashLiar(_) => {}
+            FaultEnd::CrashLiar(id) => self.crash_liar(id),
         }
     }
 
-    /// Does what a member wants done, and sends what it says.
-    pub fn work(&mut self, id: MemberId) {
-        let mut out = Vec::new();
-        let Some(host) = self.hosts.get_mut(&id.node) else { return };
-        let before = host.sync_due;
-        host.work(self.now, &self.plan, &mut self.rng, &mut self.check, &mut out);
-        let (due, starts) = (host.sync_due, host.starts);
-        if let Some(at) = due.filter(|_| due != before) {
-            self.push(at, Event::Synced(id, starts));
-        }
-        self.send(out);
-        if let (Some(since), Some(_)) = (self.leaderless, self.leader()) {
-            self.leaderless = None;
-            self.elections.push(self.now - since);
-        }
-    }
-
-    fn send(&mut self, frames: Vec<Frame>) {
-        for mut frame in frames {
-            if self.plan.has(InjectedBug::NoCrashVectors) {
-                frame.0.boots.clear();
-            }
-            self.check.sent(&frame);
-            for at in self.net.arrivals(&mut self.rng, frame.from(), frame.to(), self.now) {
-                self.push(at, Event::Frame(Box::new(frame.clone())));
-            }
+    fn crash_liar(&mut self, id: MemberId) {
+        if !self.cluster.current_host(id).is_some_and(|host| host.is_disk_lying) {
+            return;
         }
+        self.cluster.crash(id, true);
+        self.cluster.host_mut(id).is_disk_lying = false;
+        let down_time = draw::span(&mut self.cluster.rng, MIN_LIAR_DOWN_TIME, MAX_LIAR_DOWN_TIME);
+        self.schedule(down_time, Event::EndFault(FaultEnd::Restart(id)));
     }
 }
--- a/crates/consensus/src/state_digests.rs
+++ b/crates/consensus/src/state_digests.rs
@@ -1,31 +1,31 @@
-//! Comparing state machines: members that applied the same entries must stand at the same state.
+//! Comparing state machines: members that applied the same entries must have the same state.
 
-use crate::limits::DIGESTS_KEPT;
+use crate::limits::RETAINED_DIGESTS;
 use crate::wire::StateDigest;
 use std::collections::VecDeque;
 
 /// The last digests of a member's own state machine.
 #[derive(Debug, Default)]
 pub(crate) struct StateDigests {
-    kept: VecDeque<StateDigest>,
+    digests: VecDeque<StateDigest>,
 }
 
 impl StateDigests {
-    /// Takes the digest behind an entry; the oldest goes when there are [`DIGESTS_KEPT`].
-    pub fn put(&mut self, index: u64, digest: u64) {
-        if self.kept.len() == DIGESTS_KEPT {
-            self.kept.pop_front();
+    /// Adds the digest of the state after an entry; the oldest one goes when there are [`RETAINED_DIGESTS`].
+    pub fn push(&mut self, index: u64, digest: u64) {
+        if self.digests.len() == RETAINED_DIGESTS {
+            self.digests.pop_front();
         }
-        self.kept.push_back(StateDigest { index, digest });
+        self.digests.push_back(StateDigest { index, digest });
     }
 
-    /// The newest.
+    /// The newest digest.
     pub fn newest(&self) -> Option<StateDigest> {
-        self.kept.back().copied()
+        self.digests.back().copied()
     }
 
-    /// Whether a peer's digest contradicts the own one at the same entry.
-    pub fn contradicts(&self, told: &StateDigest) -> bool {
-        self.kept.iter().any(|own| own.index == told.index && own.digest != told.digest)
+    /// Whether a peer's digest differs from the own one after the same entry.
+    pub fn contradicts(&self, peer_digest: &StateDigest) -> bool {
+        self.digests.iter().any(|own| own.index == peer_digest.index && own.digest != peer_digest.digest)
     }
 }
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -1,66 +1,80 @@
-//! The store's half: a [`Batch`] as the ledger's write, and what the ledger gives back as [`RecoveredState`].
+//! Batches as those of the write-ahead log, and what the write-ahead log recovers as [`RecoveredState`].
 
-use crate::ready::{Batch, Snapshot};
-use crate::settings::RecoveredState;
+use crate::ready::Batch;
+use crate::recovered_state::RecoveredState;
+use crate::snapshot::Snapshot;
 use crate::wire;
 use prost::Message as _;
 use sprucelink_wal as wal;
-use std::fmt;
 
-/// The ledger's records are whole, and yet not the council's: another version's, or a fault in a program.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NotOurs(&'static str);
-
-impl fmt::Display for NotOurs {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the ledger holds no council's {}", self.0)
-    }
+/// The write-ahead log is intact but does not hold a member's state: it is of another version, or a program is at fault.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum StoreError {
+    /// The state beside the log can't be decoded.
+    #[error("undecodable member state")]
+    State(#[source] prost::DecodeError),
+    /// The snapshot can't be decoded.
+    #[error("undecodable snapshot")]
+    Snapshot(#[source] prost::DecodeError),
+    /// A part of the snapshot is missing, out of its bounds, or not that of the write-ahead log's snapshot.
+    #[error("invalid snapshot at entry {index}")]
+    InvalidSnapshot {
+        /// The snapshot's index.
+        index: u64,
+    },
+    /// The entry is of an unknown kind.
+    #[error("invalid entry {index}")]
+    InvalidEntry {
+        /// The entry's index.
+        index: u64,
+    },
 }
 
-impl std::error::Error for NotOurs {}
-
-/// A batch in the ledger's terms.
-pub fn to_write(batch: &Batch) -> wal::WriteBatch {
+/// A batch as the write-ahead log takes it. An entry's data starts with one byte for its kind.
+pub fn to_wal(batch: &Batch) -> wal::WriteBatch {
     let snapshot = batch.snapshot.as_ref().map(|snapshot| wal::Snapshot {
         index: snapshot.index,
         term: snapshot.term,
         data: snapshot.to_wire().encode_to_vec(),
     });
-    let entry = |entry: &wire::Entry| {
-        let mut data = Vec::with_capacity(entry.data.len() + 1);
-        data.push(u8::from(entry.kind != 0));
-        data.extend_from_slice(&entry.data);
-        wal::Entry { index: entry.index, term: entry.term, data }
-    };
     wal::WriteBatch {
         sequence: batch.number,
         state: batch.state.encode_to_vec(),
         snapshot,
-        entries: batch.entries.iter().map(entry).collect(),
+        entries: batch.entries.iter().map(entry_to_wal).collect(),
     }
 }
 
-/// What a start needs, from what the ledger gave back.
+fn entry_to_wal(entry: &wire::Entry) -> wal::Entry {
+    let mut data = Vec::with_capacity(entry.data.len() + 1);
+    data.push(u8::from(entry.kind != 0));
+    data.extend_from_slice(&entry.data);
+    wal::Entry { index: entry.index, term: entry.term, data }
+}
+
+/// What a member starts from, as the write-ahead log recovered it.
 ///
 /// # Errors
-/// When it does not hold a council's state.
-pub fn restored(from: wal::Recovered) -> Result<RecoveredState, NotOurs> {
-    let state = wire::PersistentState::decode(from.state.as_slice()).map_err(|_| NotOurs("state"))?;
-    let snapshot = match from.snapshot {
-        None => None,
-        Some(base) => Some(
-            wire::Snapshot::decode(base.data.as_slice())
-                .ok()
-                .and_then(Snapshot::from_wire)
-                .filter(|snapshot| (snapshot.index, snapshot.term) == (base.index, base.term))
-                .ok_or(NotOurs("snapshot"))?,
-        ),
-    };
-    let entry = |entry: wal::Entry| {
-        let (kind, data) =
-            entry.data.split_first().filter(|(kind, _)| **kind <= 1).ok_or(NotOurs("entry"))?;
-        Ok(wire::Entry { index: entry.index, term: entry.term, kind: u32::from(*kind), data: data.to_vec() })
-    };
-    let entries = from.entries.into_iter().map(entry).collect::<Result<_, NotOurs>>()?;
-    Ok(RecoveredState { writes: from.sequence, state, snapshot, entries })
+/// When it is not a member's state.
+pub fn recover(recovered: wal::Recovered) -> Result<RecoveredState, StoreError> {
+    let state = wire::PersistentState::decode(recovered.state.as_slice()).map_err(StoreError::State)?;
+    let snapshot = recovered.snapshot.map(snapshot_from_wal).transpose()?;
+    let entries = recovered.entries.into_iter().map(entry_from_wal).collect::<Result<_, _>>()?;
+    Ok(RecoveredState { last_batch: recovered.sequence, state, snapshot, entries })
+}
+
+fn snapshot_from_wal(stored: wal::Snapshot) -> Result<Snapshot, StoreError> {
+    let decoded = wire::Snapshot::decode(stored.data.as_slice()).map_err(StoreError::Snapshot)?;
+    Snapshot::from_wire(decoded)
+        .filter(|snapshot| snapshot.index == stored.index && snapshot.term == stored.term)
+        .ok_or(StoreError::InvalidSnapshot { index: stored.index })
+}
+
+fn entry_from_wal(entry: wal::Entry) -> Result<wire::Entry, StoreError> {
+    let invalid = StoreError::InvalidEntry { index: entry.index };
+    let (&kind, data) = entry.data.split_first().ok_or(invalid.clone())?;
+    if kind > 1 {
+        return Err(invalid);
+    }
+    Ok(wire::Entry { index: entry.index, term: entry.term, kind: u32::from(kind), data: data.to_vec() })
 }
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames from outside: whatever the bytes, an answer and never a panic; and a member that is given them goes on.
+//! Frames from outside: whatever the bytes are, decoding gives a result and never panics, and a node that gets the frames
+//! goes on.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -21,25 +22,25 @@
     MemberId::new(node, 1)
 }
 
-/// A member that has been vouched for by the others.
-fn established() -> Node {
+/// A node that takes part.
+fn established_node() -> Node {
     let founders = vec![member(1), member(2), member(3)];
     let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-    let mut council = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
-    assert!(council.trust_disk());
-    settle(&mut council);
-    council
+    let mut node = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
+    assert!(node.trust_disk());
+    drain(&mut node);
+    node
 }
 
-fn settle(council: &mut Node) {
+fn drain(node: &mut Node) {
     for _ in 0..100 {
-        let Some(ready) = council.ready() else { return };
+        let Some(ready) = node.ready() else { return };
         if let Some(batch) = ready.persist {
-            council.persisted(Timestamp::ZERO, batch.number);
+            node.persisted(Timestamp::ZERO, batch.number);
         }
-        council.applied(ready.through, None);
+        node.applied(ready.apply_through, None);
     }
-    panic!("it never comes to rest");
+    panic!("the node always has something to do");
 }
 
 fn frame(from: u32, boot: u64, body: Body) -> Frame {
@@ -72,24 +73,24 @@
 }
 
 #[test]
-fn the_bounds_are_told() {
+fn frame_over_its_bound_or_of_another_version_is_refused() {
     let mut decoder = Decoder::default();
     decoder.push(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
     assert_eq!(decoder.next_frame(), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
     decoder.push(&frame(2, 1, Body::RejoinRequest(RejoinRequest::default())).encode());
-    assert!(decoder.next_frame().is_err(), "after an error nothing more is read");
+    assert!(decoder.next_frame().is_err(), "after an error nothing more is decoded");
     let mut other = frame(2, 1, Body::RejoinRequest(RejoinRequest::default()));
     other.0.version = 2;
     let mut decoder = Decoder::default();
     decoder.push(&other.encode());
-    assert_eq!(decoder.next_frame(), Err(FrameError::Version(2)));
+    assert_eq!(decoder.next_frame(), Err(FrameError::UnsupportedVersion(2)));
 }
 
 proptest! {
     #![proptest_config(config())]
 
     #[test]
-    fn garbage_is_answered(bytes in proptest::collection::vec(any::<u8>(), 0..600), cuts in proptest::collection::vec(1usize..40, 0..20)) {
+    fn decoder_does_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..600), cuts in proptest::collection::vec(1usize..40, 0..20)) {
         let mut decoder = Decoder::default();
         let mut rest = bytes.as_slice();
         for cut in cuts {
@@ -100,9 +101,9 @@
         }
     }
 
-    /// Frames come out as they went in, however they are cut; turned bits give an error or another frame.
+    /// However the bytes are split; a flipped bit gives an error or another frame.
     #[test]
-    fn frames_pass(nonces in proptest::collection::vec(any::<u64>(), 1..6), cut in 1usize..50, flip in any::<usize>()) {
+    fn frames_are_decoded_as_encoded(nonces in proptest::collection::vec(any::<u64>(), 1..6), cut in 1usize..50, flip in any::<usize>()) {
         let frames: Vec<Frame> = nonces.iter().map(|&nonce| frame(2, 3, Body::RejoinRequest(RejoinRequest { nonce, term: 4 }))).collect();
         let bytes: Vec<u8> = frames.iter().flat_map(Frame::encode).collect();
         let mut decoder = Decoder::default();
@@ -114,43 +115,43 @@
             }
         }
         prop_assert_eq!(read, frames);
-        let mut turned = bytes;
-        let at = flip % turned.len();
-        turned[at] ^= 1 << (flip % 8);
+        let mut flipped = bytes;
+        let at = flip % flipped.len();
+        flipped[at] ^= 1 << (flip % 8);
         let mut decoder = Decoder::default();
-        decoder.push(&turned);
+        decoder.push(&flipped);
         while let Ok(Some(_)) = decoder.next_frame() {}
     }
 
-    /// Messages that no member would send: dropped, or taken for what they prove; never a panic.
+    /// Messages that no member would send are dropped, or taken for what they prove.
     #[test]
-    fn a_member_stands_lies(messages in proptest::collection::vec((2u32..5, raft_message()), 1..40)) {
-        let mut council = established();
+    fn established_node_does_not_panic_on_arbitrary_messages(messages in proptest::collection::vec((2u32..5, raft_message()), 1..40)) {
+        let mut node = established_node();
         for (at, (from, message)) in messages.into_iter().enumerate() {
             let now = Timestamp::from_millis(at as i64 * 20);
-            council.step(now, member(from), frame(from, 1, Body::Raft(message)));
-            settle(&mut council);
-            council.tick(now);
-            settle(&mut council);
+            node.step(now, member(from), frame(from, 1, Body::Raft(message)));
+            drain(&mut node);
+            node.tick(now);
+            drain(&mut node);
         }
     }
 
-    /// Answers of any kind to a member in probation.
+    /// Responses of any kind to a rejoining member.
     #[test]
-    fn probation_stands_lies(figures in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
+    fn rejoining_node_does_not_panic_on_arbitrary_responses(figures in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
         let founders = vec![member(1), member(2), member(3)];
         let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-        let mut council = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
-        let nonce = council.ready().unwrap().send_now.iter().find_map(|frame| match &frame.0.body {
-            Some(Body::RejoinRequest(hello)) => Some(hello.nonce),
+        let mut node = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
+        let nonce = node.ready().unwrap().messages.iter().find_map(|frame| match &frame.0.body {
+            Some(Body::RejoinRequest(request)) => Some(request.nonce),
             _ => None,
         });
         for (at, (boot, term, last_term, last_index, established, accepted)) in figures.into_iter().enumerate() {
             let known_boot = if accepted { 1 } else { boot };
             let nonce = nonce.unwrap();
-            let welcome = RejoinResponse { nonce, known_boot, term, last_term, last_index, established, accepted, ..RejoinResponse::default() };
-            council.step(Timestamp::from_micros(at as i64), member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::RejoinResponse(welcome)));
-            settle(&mut council);
+            let response = RejoinResponse { nonce, known_boot, term, last_term, last_index, established, accepted, ..RejoinResponse::default() };
+            node.step(Timestamp::from_micros(at as i64), member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::RejoinResponse(response)));
+            drain(&mut node);
         }
     }
 }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -1,13 +1,14 @@
-//! The council's smaller rules, one by one.
+//! The rules of rejoining, membership, configuration and commands, one by one.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_consensus::rejoin::{RejoinAnswer, RejoinQuorum};
-use sprucelink_consensus::sim::{Plan, ProposalRecorder, Simulation};
+use sprucelink_consensus::rejoin::{LogFloor, RejoinAnswer, RejoinQuorum};
+use sprucelink_consensus::sim::{Cluster, Plan, ProposalRecorder, Simulation};
 use sprucelink_consensus::wire::{envelope::Body, Boot, Envelope, RejoinRequest};
 use sprucelink_consensus::{
-    Alarm, ConfChange, ConfChangeKind, Config, ConfigError, Dedup, Frame, MemberError, MemberId, Membership,
-    ProposalDedup, ProposalId, ProposeError, Role, SnapshotError, TimeDelta, Timestamp, Timing,
+    Alarm, ConfChange, ConfChangeError, ConfChangeKind, ConfChangeViolation, Config, ConfigError, Dedup,
+    Frame, LeadershipError, LogPosition, MemberId, Membership, Node, ProposalDedup, ProposalId, ProposeError,
+    Role, SnapshotError, TimeDelta, Timestamp, Timing, VersionedMembership,
 };
 use std::collections::BTreeSet;
 
@@ -15,195 +16,234 @@
     MemberId::new(node, 1)
 }
 
-fn list(nodes: std::ops::RangeInclusive<u32>) -> Membership {
+fn membership(nodes: std::ops::RangeInclusive<u32>) -> Membership {
     let voters: Vec<MemberId> = nodes.map(member).collect();
     let incarnations = voters.iter().map(|voter| (voter.node, 1)).collect();
     Membership { voters, learners: vec![], incarnations }
 }
 
-fn answer(term: u64, last: (u64, u64), established: bool) -> RejoinAnswer {
-    RejoinAnswer { term, last, floors: vec![], established, quarantined: false, members: (1, list(1..=5)) }
+fn seconds(seconds: i64) -> Timestamp {
+    Timestamp::from_whole_secs(seconds)
 }
 
-fn probation() -> RejoinQuorum {
-    RejoinQuorum::new(member(1), (1, list(1..=5)), Timestamp::ZERO, TimeDelta::from_whole_secs(10))
+fn answer(term: u64, last: (u64, u64), is_established: bool) -> RejoinAnswer {
+    RejoinAnswer {
+        term,
+        last: LogPosition::new(last.0, last.1),
+        floors: vec![],
+        is_established,
+        is_quarantined: false,
+        membership: VersionedMembership { index: 1, membership: membership(1..=5) },
+    }
+}
+
+fn rejoin_quorum() -> RejoinQuorum {
+    let own = VersionedMembership { index: 1, membership: membership(1..=5) };
+    RejoinQuorum::new(member(1), own, Timestamp::ZERO, TimeDelta::from_whole_secs(10))
 }
 
 #[test]
-fn a_majority_of_the_others_vouches_and_sets_the_floors() {
-    let mut probation = probation();
-    assert_eq!(probation.asked(), [2, 3, 4, 5].map(member));
-    probation.answer(member(2), answer(7, (6, 40), true));
-    probation.answer(member(3), answer(9, (5, 90), true));
-    assert_eq!(probation.outcome(Timestamp::from_whole_secs(1)), None, "two of four others are no majority");
-    probation.answer(member(9), answer(20, (20, 20), true));
-    assert_eq!(
-        probation.outcome(Timestamp::from_whole_secs(1)),
-        None,
-        "a stranger's answer counts for nothing"
-    );
-    probation.answer(member(4), answer(8, (6, 30), true));
-    let vouched = probation.outcome(Timestamp::from_whole_secs(1)).unwrap();
-    assert!(!vouched.relaxed);
-    assert_eq!((vouched.floors.vote, vouched.floors.log()), (9, (6, 40)));
-    probation.forget(member(4));
-    assert_eq!(probation.outcome(Timestamp::from_whole_secs(1)), None, "who starts anew has said nothing");
+fn member_rejoins_with_the_floors_of_a_majority_of_the_others() {
+    let mut quorum = rejoin_quorum();
+    assert_eq!(quorum.members_to_ask(), [2, 3, 4, 5].map(member));
+    quorum.add_answer(member(2), answer(7, (6, 40), true));
+    quorum.add_answer(member(3), answer(9, (5, 90), true));
+    assert_eq!(quorum.outcome(seconds(1)), None, "two of four others are no majority");
+    quorum.add_answer(member(9), answer(20, (20, 20), true));
+    assert_eq!(quorum.outcome(seconds(1)), None, "the response of a non-member counts for nothing");
+    quorum.add_answer(member(4), answer(8, (6, 30), true));
+    let outcome = quorum.outcome(seconds(1)).unwrap();
+    assert!(!outcome.is_weak);
+    assert_eq!((outcome.floors.vote_term, outcome.floors.log()), (9, LogPosition::new(6, 40)));
+    quorum.forget(member(4));
+    assert_eq!(quorum.outcome(seconds(1)), None, "the response of a restarted member no longer counts");
 }
 
 #[test]
-fn members_in_probation_count_late_or_when_there_is_no_hope() {
-    let mut probation = probation();
+fn responses_of_rejoining_members_count_late_or_when_no_majority_is_established() {
+    let mut quorum = rejoin_quorum();
     for node in 2..=4 {
-        probation.answer(member(node), answer(3, (3, 3), node == 2));
+        quorum.add_answer(member(node), answer(3, (3, 3), node == 2));
     }
-    // One established, one unheard: no three can come, so nothing is waited for.
-    assert!(probation.outcome(Timestamp::ZERO).is_some_and(|vouched| vouched.relaxed));
-    probation.answer(member(3), answer(3, (3, 3), true));
-    assert_eq!(probation.outcome(Timestamp::from_whole_secs(9)), None, "the fifth may be established");
-    assert!(probation.outcome(Timestamp::from_whole_secs(10)).is_some_and(|vouched| vouched.relaxed));
+    // One is established, one has not responded: there can't be three, so nothing is waited for.
+    assert!(quorum.outcome(Timestamp::ZERO).is_some_and(|outcome| outcome.is_weak));
+    quorum.add_answer(member(3), answer(3, (3, 3), true));
+    assert_eq!(quorum.outcome(seconds(9)), None, "the fifth may be established");
+    assert!(quorum.outcome(seconds(10)).is_some_and(|outcome| outcome.is_weak));
 }
 
 #[test]
-fn a_newer_list_counts_and_who_is_gone_sets_no_floor() {
-    let mut probation = probation();
-    let newer = |last| RejoinAnswer { members: (50, list(1..=3)), ..answer(4, last, true) };
-    probation.answer(member(2), newer((4, 60)));
-    assert_eq!(probation.outcome(Timestamp::ZERO), None);
-    let told = RejoinAnswer { floors: vec![(member(2), (4, 99))], ..newer((4, 61)) };
-    probation.answer(member(3), told);
+fn newer_membership_counts_and_a_lost_member_sets_no_floor() {
+    let mut quorum = rejoin_quorum();
+    let newer = |last| RejoinAnswer {
+        membership: VersionedMembership { index: 50, membership: membership(1..=3) },
+        ..answer(4, last, true)
+    };
+    quorum.add_answer(member(2), newer((4, 60)));
+    assert_eq!(quorum.outcome(Timestamp::ZERO), None);
+    let floor = LogFloor { member: member(2), last: LogPosition::new(4, 99) };
+    quorum.add_answer(member(3), RejoinAnswer { floors: vec![floor], ..newer((4, 61)) });
     assert_eq!(
-        probation.outcome(Timestamp::ZERO).unwrap().floors.log(),
-        (4, 99),
-        "what 2 told 3, though 2 has forgotten it since"
+        quorum.outcome(Timestamp::ZERO).unwrap().floors.log(),
+        LogPosition::new(4, 99),
+        "what 2 told 3, though 2 has lost it since"
     );
-    probation.gone(member(2));
-    let vouched = probation.outcome(Timestamp::ZERO).unwrap();
-    assert!(vouched.relaxed);
-    assert_eq!(vouched.floors.log(), (4, 61));
+    quorum.declare_lost(member(2));
+    let outcome = quorum.outcome(Timestamp::ZERO).unwrap();
+    assert!(outcome.is_weak);
+    assert_eq!(outcome.floors.log(), LogPosition::new(4, 61));
 }
 
 #[test]
-fn lists_of_members_keep_their_rules() {
-    let mut members = list(1..=3);
+fn membership_change_that_breaks_a_rule_is_rejected() {
+    let mut members = membership(1..=3);
     let change = |kind, node, incarnation| ConfChange { kind, member: MemberId::new(node, incarnation) };
-    assert!(members.objection(change(ConfChangeKind::Remove, 1, 1)).is_some(), "three stay");
-    assert!(members.objection(change(ConfChangeKind::AddLearner, 2, 1)).is_some(), "that incarnation was in");
-    assert!(members.objection(change(ConfChangeKind::Promote, 4, 1)).is_some(), "not a learner");
-    assert!(members.objection(change(ConfChangeKind::AddLearner, 2, 2)).is_none());
+    let check =
+        |members: &Membership, kind, node, incarnation| members.check(change(kind, node, incarnation));
+    use ConfChangeKind::{AddLearner, Promote, Remove};
+    assert_eq!(check(&members, Remove, 1, 1), Err(ConfChangeViolation::TooFewVoters));
+    assert_eq!(check(&members, AddLearner, 2, 1), Err(ConfChangeViolation::IncarnationReused));
+    assert_eq!(check(&members, Promote, 4, 1), Err(ConfChangeViolation::NotALearner));
+    assert_eq!(check(&members, AddLearner, 2, 2), Ok(()));
     members.learners.push(MemberId::new(2, 2));
-    assert!(members.objection(change(ConfChangeKind::Promote, 2, 2)).is_none());
-    assert!(list(1..=7).objection(change(ConfChangeKind::Promote, 8, 1)).is_some());
+    assert_eq!(check(&members, Promote, 2, 2), Ok(()));
+    assert_eq!(check(&membership(1..=7), Promote, 8, 1), Err(ConfChangeViolation::NotALearner));
+    let mut full = membership(1..=7);
+    full.learners.push(member(8));
+    assert_eq!(check(&full, Promote, 8, 1), Err(ConfChangeViolation::TooManyVoters));
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn setting_out_of_its_range_is_named() {
     let timing = Timing { election_ticks: 5, heartbeat_ticks: 2, ..Timing::default() };
-    let wrong = ConfigError::OutOfRange { what: "election_ticks", value: 5, low: 6, high: 100 };
-    assert_eq!(timing.check(), Err(wrong));
+    let error = ConfigError::OutOfRange { setting: "election_ticks", value: 5, low: 6, high: 100 };
+    assert_eq!(timing.check(), Err(error));
     let config =
         |founders| Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
-    assert_eq!(config(vec![member(1), member(2)]).check(), Err(ConfigError::Founders(2)));
-    assert_eq!(
-        config(vec![member(1), member(2), MemberId::new(2, 2)]).check(),
-        Err(ConfigError::Founders(3))
-    );
-    assert_eq!(config(vec![member(1), member(0), member(2)]).check(), Err(ConfigError::Name));
+    let invalid_founders = |count| Err(ConfigError::InvalidFounders { count });
+    assert_eq!(config(vec![member(1), member(2)]).check(), invalid_founders(2));
+    assert_eq!(config(vec![member(1), member(2), MemberId::new(2, 2)]).check(), invalid_founders(3));
+    assert_eq!(config(vec![member(1), member(0), member(2)]).check(), Err(ConfigError::InvalidMember));
     assert_eq!(config(vec![]).check(), Ok(()));
 }
 
-/// A council of three in which all is well, two seconds on.
-fn calm() -> (Simulation<ProposalRecorder>, MemberId, MemberId, MemberId) {
-    let mut world = Simulation::new(Plan { fault_every: TimeDelta::ZERO, ..Plan::honest(3) }, 5, |_| {
-        ProposalRecorder::default()
-    });
-    world.run_until(Timestamp::from_whole_secs(3));
-    world.heal();
-    world.proposing = false;
-    world.run_until(Timestamp::from_whole_secs(4));
-    let leader = world.leader().unwrap();
-    let others: Vec<MemberId> = (1..=3).map(member).filter(|&other| other != leader).collect();
-    (world, leader, others[0], others[1])
+/// A group of three without faults after four seconds, the last one without proposals.
+struct HealthyGroup {
+    cluster: Cluster<ProposalRecorder>,
+    leader: MemberId,
+    followers: [MemberId; 2],
 }
 
-fn council(world: &mut Simulation<ProposalRecorder>, id: MemberId) -> &mut sprucelink_consensus::Node {
-    world.host_mut(id).council.as_mut().unwrap()
+impl HealthyGroup {
+    fn new() -> Self {
+        let plan = Plan { fault_every: TimeDelta::ZERO, ..Plan::honest(3) };
+        let mut simulation = Simulation::new(plan, 5, |_| ProposalRecorder::default());
+        simulation.run_until(seconds(3));
+        simulation.heal();
+        simulation.is_proposing = false;
+        simulation.run_until(seconds(4));
+        let cluster = simulation.cluster;
+        let leader = cluster.leader().unwrap();
+        let followers: Vec<MemberId> = (1..=3).map(member).filter(|&other| other != leader).collect();
+        HealthyGroup { cluster, leader, followers: [followers[0], followers[1]] }
+    }
+
+    fn node(&mut self, id: MemberId) -> &mut Node {
+        self.cluster.host_mut(id).node.as_mut().unwrap()
+    }
 }
 
-/// What the floors alone don't cover: a leader that counts what a member acknowledged before it started anew.
+/// What the floors alone don't cover: a leader that counts what a member acknowledged before it restarted.
 #[test]
-fn a_leader_forgets_what_was_acknowledged_before_a_start() {
-    let (mut world, leader, teller, restarted) = calm();
-    let now = world.now() + world.host(leader).offset;
-    let council = council(&mut world, leader);
-    let matched = |council: &sprucelink_consensus::Node| {
-        council.progress().into_iter().find(|(id, _)| *id == restarted).map(|(_, index)| index)
+fn leader_forgets_what_a_member_acknowledged_before_its_restart() {
+    let mut group = HealthyGroup::new();
+    let leader = group.leader;
+    let [teller, restarted] = group.followers;
+    let now = group.cluster.now() + group.cluster.host(leader).clock_offset;
+    let node = group.node(leader);
+    let matched = |node: &Node| {
+        node.progress()
+            .into_iter()
+            .find(|progress| progress.member == restarted)
+            .map(|progress| progress.matched)
     };
-    assert!(matched(council).unwrap() > 1);
+    assert!(matched(node).unwrap() > 1);
     let boots = vec![Boot { member: restarted.raw(), boot: 1000, nonce: 7 }];
-    let (from, to) = (teller.raw(), leader.raw());
-    // Any frame tells it; this one is a hello that itself asks for nothing new.
-    let body = Some(Body::RejoinRequest(RejoinRequest { nonce: 1, term: 1 }));
-    let frame = Frame(Envelope { version: 1, from, to, boot: 1, boots, body, ..Envelope::default() });
-    council.step(now, teller, frame);
-    assert_eq!(council.role(), Some(Role::Leader));
-    assert_eq!(matched(council), Some(0));
+    // Every frame carries boots; this one is a rejoin request that itself asks for nothing new.
+    let frame = Frame(Envelope {
+        version: 1,
+        from: teller.raw(),
+        to: leader.raw(),
+        boot: 1,
+        boots,
+        body: Some(Body::RejoinRequest(RejoinRequest { nonce: 1, term: 1 })),
+        ..Envelope::default()
+    });
+    node.step(now, teller, frame);
+    assert_eq!(node.role(), Some(Role::Leader));
+    assert_eq!(matched(node), Some(0));
 }
 
 #[test]
-fn a_leader_that_was_stopped_steps_down_before_it_does_anything() {
-    let (mut world, leader, ..) = calm();
-    let offset = world.host(leader).offset;
-    let council = council(&mut world, leader);
-    council.tick(Timestamp::ZERO + offset + TimeDelta::from_whole_secs(4));
-    assert_eq!(council.leader(), Some(leader));
-    council.tick(Timestamp::ZERO + offset + TimeDelta::from_whole_secs(9));
-    assert_eq!(council.leader(), None);
-    let ready = council.ready().unwrap();
+fn leader_that_was_stopped_steps_down_before_it_does_anything() {
+    let mut group = HealthyGroup::new();
+    let leader = group.leader;
+    let offset = group.cluster.host(leader).clock_offset;
+    let node = group.node(leader);
+    node.tick(seconds(4) + offset);
+    assert_eq!(node.leader(), Some(leader));
+    node.tick(seconds(9) + offset);
+    assert_eq!(node.leader(), None);
+    let ready = node.ready().unwrap();
     assert!(ready.alarms.iter().any(|alarm| matches!(alarm, Alarm::LeaderPaused { .. })));
     let id = ProposalId { origin: 1, sequence: 1 };
-    assert_eq!(council.propose(vec![1], id), Err(ProposeError::NotLeader { leader: None }));
+    assert_eq!(node.propose(vec![1], id), Err(ProposeError::NotLeader { leader: None }));
 }
 
 #[test]
-fn commands_say_why_not() {
-    let (mut world, leader, other, _) = calm();
+fn command_that_is_not_possible_is_rejected_with_the_reason() {
+    let mut group = HealthyGroup::new();
+    let leader = group.leader;
+    let follower = group.followers[0];
     let id = |sequence| ProposalId { origin: 9, sequence };
-    let council_of = council(&mut world, other);
-    assert_eq!(council_of.add_learner(member(9)), Err(MemberError::NotLeader { leader: Some(leader) }));
-    assert_eq!(council_of.propose(vec![0; 65_537], id(0)), Err(ProposeError::TooLarge));
-    let council = council(&mut world, leader);
-    assert!(matches!(council.remove(leader), Err(MemberError::Refused(_))));
-    assert!(matches!(council.remove(other), Err(MemberError::Refused(_))), "three stay");
-    assert!(matches!(council.transfer(member(9)), Err(MemberError::Refused(_))));
-    assert_eq!(council.add_learner(member(9)), Ok(()));
-    assert_eq!(council.add_learner(member(8)), Err(MemberError::UnderWay));
-    assert_eq!(council.snapshot_taken(1 << 30, vec![]), Err(SnapshotError::Index));
-    assert_eq!(council.snapshot_taken(2, vec![0; (4 << 20) + 1]), Err(SnapshotError::TooLarge));
+    let node = group.node(follower);
+    assert_eq!(node.add_learner(member(9)), Err(ConfChangeError::NotLeader { leader: Some(leader) }));
+    assert_eq!(node.propose(vec![0; 65_537], id(0)), Err(ProposeError::TooLarge));
+    let node = group.node(leader);
+    assert_eq!(node.remove(leader), Err(ConfChangeError::RemovesLeader));
+    let too_few_voters = ConfChangeError::Invalid(ConfChangeViolation::TooFewVoters);
+    assert_eq!(node.remove(follower), Err(too_few_voters));
+    assert_eq!(node.transfer_leadership(member(9)), Err(LeadershipError::NotAnotherVoter));
+    assert_eq!(node.add_learner(member(9)), Ok(()));
+    assert_eq!(node.add_learner(member(8)), Err(ConfChangeError::Pending));
+    assert_eq!(node.snapshot_taken(1 << 30, vec![]), Err(SnapshotError::InvalidIndex { index: 1 << 30 }));
+    assert_eq!(node.snapshot_taken(2, vec![0; (4 << 20) + 1]), Err(SnapshotError::TooLarge));
     for sequence in 1..=256 {
-        assert_eq!(council.propose(vec![1], id(sequence)), Ok(()));
+        assert_eq!(node.propose(vec![1], id(sequence)), Ok(()));
     }
-    assert_eq!(council.propose(vec![1], id(1)), Err(ProposeError::InHand));
-    assert_eq!(council.propose(vec![1], id(257)), Err(ProposeError::TooMany));
+    assert_eq!(node.propose(vec![1], id(1)), Err(ProposeError::AlreadyPending));
+    assert_eq!(node.propose(vec![1], id(257)), Err(ProposeError::TooManyPending));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Against a plain set: first times are told as such, repeats never, whatever the order within the window.
+    /// Compared with a plain set: new proposals are recognised, duplicates never pass, in any order within the window.
     #[test]
-    fn repeats_are_told(steps in proptest::collection::vec((0u64..3, 0u64..400), 1..200), jump in 1u64..2000) {
-        let (mut repeats, mut seen) = (ProposalDedup::default(), BTreeSet::new());
+    fn duplicate_proposal_is_recognised(steps in proptest::collection::vec((0u64..3, 0u64..400), 1..200), jump in 1u64..2000) {
+        let mut dedup = ProposalDedup::default();
+        let mut seen: BTreeSet<ProposalId> = BTreeSet::new();
         for (at, (origin, sequence)) in steps.into_iter().enumerate() {
             let id = ProposalId { origin, sequence: sequence + (at as u64 / 100) * jump };
-            let verdict = repeats.first(id);
-            prop_assert_eq!(verdict == Dedup::New, verdict != Dedup::TooOld && !seen.contains(&id));
-            if verdict == Dedup::New {
+            let recorded = dedup.record(id);
+            prop_assert_eq!(recorded == Dedup::New, recorded != Dedup::TooOld && !seen.contains(&id));
+            if recorded == Dedup::New {
                 seen.insert(id);
             }
-            if verdict == Dedup::TooOld {
-                prop_assert!(seen.iter().any(|held| held.origin == origin && held.sequence >= id.sequence + 512));
+            if recorded == Dedup::TooOld {
+                prop_assert!(seen.iter().any(|other| other.origin == origin && other.sequence >= id.sequence + 512));
             }
-            repeats = ProposalDedup::decode(&repeats.encode()).unwrap();
+            dedup = ProposalDedup::decode(&dedup.encode()).unwrap();
         }
     }
 }
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -1,141 +1,166 @@
-//! Seeded runs of whole councils in virtual time. CI holds a few hundred seeds; `examples/seeds.rs` runs as many as wanted.
+//! Seeded runs of whole groups in virtual time. CI runs a few hundred seeds; `examples/seeds.rs` runs as many as wanted.
 
-use sprucelink_consensus::sim::{Fault, InjectedBug, Plan, Report, Simulation};
+use sprucelink_consensus::sim::{Fault, InjectedBug, Plan, Report, Simulation, ViolationKind};
 use sprucelink_consensus::TimeDelta;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Runs seeds on a few threads, until one shows a violation when that is what is looked for.
-fn runs(plan: &Plan, seeds: std::ops::Range<u64>, stop_at_first: bool) -> Vec<(u64, Report)> {
-    let (next, all) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
+/// Number of threads that run seeds.
+const THREADS: usize = 4;
+
+struct Run {
+    seed: u64,
+    report: Report,
+}
+
+impl Run {
+    fn has_violation(&self) -> bool {
+        self.report.violation.is_some()
+    }
+}
+
+fn seconds(seconds: i64) -> TimeDelta {
+    TimeDelta::from_whole_secs(seconds)
+}
+
+/// Runs seeds, until one shows a violation when that is what is looked for.
+fn run_seeds(plan: &Plan, seeds: Range<u64>, stops_at_violation: bool) -> Vec<Run> {
+    let next_seed = AtomicU64::new(seeds.start);
+    let runs: Mutex<Vec<Run>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..4 {
+        for _ in 0..THREADS {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                let found =
-                    all.lock().unwrap().iter().any(|(_, report): &(u64, Report)| report.violation.is_some());
-                if seed >= seeds.end || (stop_at_first && found) {
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                let has_violation = runs.lock().unwrap().iter().any(Run::has_violation);
+                if seed >= seeds.end || (stops_at_violation && has_violation) {
                     return;
                 }
                 let report = Simulation::run(plan.clone(), seed);
-                all.lock().unwrap().push((seed, report));
+                runs.lock().unwrap().push(Run { seed, report });
             });
         }
     });
-    all.into_inner().unwrap()
+    runs.into_inner().unwrap()
 }
 
-/// Runs seeds that must all hold, and must have been through something.
-fn hold(plan: Plan, seeds: std::ops::Range<u64>) {
-    let all = runs(&plan, seeds, false);
-    let broken: Vec<String> = all
+/// Runs seeds that must all end without a violation, and must have had faults and committed proposals.
+fn assert_no_violation(plan: Plan, seeds: Range<u64>) {
+    let runs = run_seeds(&plan, seeds, false);
+    let violations: Vec<String> = runs
         .iter()
-        .filter_map(|(seed, report)| Some(format!("seed {seed}: {}", report.violation.as_ref()?)))
+        .filter_map(|run| Some(format!("seed {}: {}", run.seed, run.report.violation.as_ref()?)))
         .collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
-    let (faults_injected, committed): (u64, u64) = all
-        .iter()
-        .fold((0, 0), |sum, (_, report)| (sum.0 + report.faults_injected, sum.1 + report.outcomes[0]));
-    assert!(
-        faults_injected >= 3 * all.len() as u64 && committed >= 20 * all.len() as u64,
-        "{faults_injected} {committed}"
-    );
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
+    let faults: u64 = runs.iter().map(|run| run.report.faults_injected).sum();
+    let committed: u64 = runs.iter().map(|run| run.report.outcomes.committed).sum();
+    let count = runs.len() as u64;
+    assert!(faults >= 3 * count && committed >= 20 * count, "{faults} {committed}");
 }
 
-/// A planted fault must show within so many seeds.
-fn caught(plan: Plan, seeds: u64, sign: &str) {
-    let all = runs(&plan, 0..seeds, true);
-    let signs: Vec<&str> = all
-        .iter()
-        .filter_map(|(_, report)| report.violation.as_ref())
-        .map(|violation| violation.what.as_str())
-        .collect();
-    assert!(signs.iter().any(|what| what.contains(sign)), "{} seeds, found: {signs:?}", all.len());
+/// An injected bug must be found within so many seeds, by a violation of the expected kind.
+fn assert_bug_is_found(plan: Plan, seeds: u64, is_expected: impl Fn(&ViolationKind) -> bool) {
+    let runs = run_seeds(&plan, 0..seeds, true);
+    let violations = runs.iter().filter_map(|run| run.report.violation.as_ref());
+    let kinds: Vec<&ViolationKind> = violations.map(|violation| &violation.kind).collect();
+    assert!(kinds.iter().any(|kind| is_expected(kind)), "{} seeds, found: {kinds:?}", runs.len());
 }
 
 #[test]
-fn honest_disks_through_everything() {
-    hold(Plan::honest(3).shorter(TimeDelta::from_whole_secs(6)), 0..40);
-    hold(Plan::honest(5).shorter(TimeDelta::from_whole_secs(6)), 0..40);
-    hold(Plan::honest(7).shorter(TimeDelta::from_whole_secs(6)), 0..10);
+fn no_violation_with_honest_disks() {
+    assert_no_violation(Plan::honest(3).shorter(seconds(6)), 0..40);
+    assert_no_violation(Plan::honest(5).shorter(seconds(6)), 0..40);
+    assert_no_violation(Plan::honest(7).shorter(seconds(6)), 0..10);
 }
 
 #[test]
-fn one_disk_that_forgets_whatever_restarts() {
-    hold(Plan::one_liar(3).shorter(TimeDelta::from_whole_secs(6)), 0..60);
-    hold(Plan::one_liar(5).shorter(TimeDelta::from_whole_secs(6)), 0..30);
+fn no_violation_with_one_lying_disk_whatever_restarts() {
+    assert_no_violation(Plan::one_liar(3).shorter(seconds(6)), 0..60);
+    assert_no_violation(Plan::one_liar(5).shorter(seconds(6)), 0..30);
 }
 
 #[test]
-fn as_many_forgetful_disks_as_a_council_can_spare() {
-    hold(Plan::liars(5).shorter(TimeDelta::from_whole_secs(6)), 0..30);
+fn no_violation_with_as_many_lying_disks_as_the_group_can_spare() {
+    assert_no_violation(Plan::liars(5).shorter(seconds(6)), 0..30);
 }
 
-/// The same seed gives the same run, to the last message.
+/// To the last message.
 #[test]
-fn a_seed_replays() {
-    let run = || Simulation::run(Plan::one_liar(5).shorter(TimeDelta::from_whole_secs(6)), 77);
-    let (one, two) = (run(), run());
+fn same_seed_gives_the_same_run() {
+    let run = || Simulation::run(Plan::one_liar(5).shorter(seconds(6)), 77);
+    let first = run();
+    let second = run();
     assert_eq!(
-        (one.messages, one.bytes, one.outcomes, &one.elections, &one.alarms, one.last),
-        (two.messages, two.bytes, two.outcomes, &two.elections, &two.alarms, two.last)
+        (first.messages, first.bytes, first.outcomes, &first.elections, &first.alarms, first.last_committed),
+        (
+            second.messages,
+            second.bytes,
+            second.outcomes,
+            &second.elections,
+            &second.alarms,
+            second.last_committed
+        )
     );
 }
 
-/// A leader's death in a council that is otherwise whole: another leads within 2 s.
+/// The leader crashes in a group that is otherwise whole.
 #[test]
-fn another_leads_in_time() {
-    let all = runs(&Plan::leader_dies(5).shorter(TimeDelta::from_whole_secs(60)), 0..4, false);
-    let times: Vec<TimeDelta> = all.iter().flat_map(|(_, report)| report.elections.iter().copied()).collect();
+fn another_member_leads_within_two_seconds_after_a_crash() {
+    let runs = run_seeds(&Plan::leader_dies(5).shorter(seconds(60)), 0..4, false);
+    let times: Vec<TimeDelta> = runs.iter().flat_map(|run| run.report.elections.iter().copied()).collect();
     assert!(times.len() >= 20, "only {} elections", times.len());
-    assert!(times.iter().all(|&time| time < TimeDelta::from_whole_secs(2)), "{times:?}");
+    assert!(times.iter().all(|&time| time < seconds(2)), "{times:?}");
 }
 
-/// A short plan with crashes only, thick enough for a planted fault to bite.
-fn crashing(members: u32, bugs: &[InjectedBug]) -> Plan {
+/// A short plan with crashes and cut links only, frequent enough for an injected bug to show.
+fn crash_plan(members: u32, bugs: &[InjectedBug]) -> Plan {
     Plan {
         bugs: bugs.to_vec(),
-        faults: vec![Fault::Crash, Fault::CrashMany, Fault::CrashLeader, Fault::Split, Fault::Deaf],
+        faults: vec![Fault::Crash, Fault::CrashMany, Fault::CrashLeader, Fault::Partition, Fault::Isolate],
         fault_every: TimeDelta::from_millis(400),
         max_sync_time: TimeDelta::from_millis(20),
-        ..Plan::honest(members).shorter(TimeDelta::from_whole_secs(8))
+        ..Plan::honest(members).shorter(seconds(8))
     }
 }
 
 #[test]
-fn a_vote_not_kept_is_caught() {
-    caught(
-        crashing(3, &[InjectedBug::VoteNotKept, InjectedBug::TrustDisk]),
-        400,
-        "votes duplicate_per_mille",
-    );
+fn vote_that_is_not_persisted_is_found() {
+    let plan = crash_plan(3, &[InjectedBug::VoteNotPersisted, InjectedBug::TrustDisk]);
+    assert_bug_is_found(plan, 400, |kind| matches!(kind, ViolationKind::DoubleVote { .. }));
 }
 
 #[test]
-fn words_before_the_disk_are_caught() {
-    caught(crashing(3, &[InjectedBug::AckBeforeSync, InjectedBug::TrustDisk]), 400, "");
+fn acknowledgement_before_the_sync_is_found() {
+    let plan = crash_plan(3, &[InjectedBug::AckBeforeSync, InjectedBug::TrustDisk]);
+    assert_bug_is_found(plan, 400, |_| true);
 }
 
 #[test]
-fn a_forgetful_disk_without_check_and_floors_is_caught() {
-    let mut plan = Plan::one_liar(3).shorter(TimeDelta::from_whole_secs(8));
-    plan.bugs = vec![InjectedBug::TrustDisk];
-    caught(plan, 400, "");
+fn lying_disk_without_acknowledgement_check_and_floors_is_found() {
+    let plan = Plan { bugs: vec![InjectedBug::TrustDisk], ..Plan::one_liar(3).shorter(seconds(8)) };
+    assert_bug_is_found(plan, 400, |_| true);
 }
 
 #[test]
-fn repeats_that_are_applied_are_caught() {
-    let mut plan = Plan::honest(3).shorter(TimeDelta::from_whole_secs(4));
-    (plan.bugs, plan.duplicate_per_mille) = (vec![InjectedBug::RepeatsApplied], 200);
-    caught(plan, 40, "times");
+fn duplicates_that_are_applied_are_found() {
+    let plan = Plan {
+        bugs: vec![InjectedBug::DuplicatesApplied],
+        duplicate_per_mille: 200,
+        ..Plan::honest(3).shorter(seconds(4))
+    };
+    assert_bug_is_found(plan, 40, |kind| matches!(kind, ViolationKind::AppliedRepeatedly { .. }));
 }
 
 #[test]
-fn a_proposal_taken_in_another_term_is_caught() {
-    // The late copy must find the member that led leading anew, in a later term.
-    let mut plan = crashing(3, &[InjectedBug::AnyTermProposals]);
-    plan.faults = vec![Fault::Transfer, Fault::Transfer, Fault::Slow, Fault::Deaf];
-    (plan.max_delay, plan.duplicate_per_mille, plan.loss_per_mille, plan.propose_every) =
-        (TimeDelta::from_millis(100), 500, 0, TimeDelta::from_millis(15));
-    caught(plan, 200, "lost");
+fn proposal_that_is_accepted_in_another_term_is_found() {
+    // The late copy must find the member that led leading again, in a later term.
+    let plan = Plan {
+        faults: vec![Fault::Transfer, Fault::Transfer, Fault::SlowLinks, Fault::Isolate],
+        max_delay: TimeDelta::from_millis(100),
+        duplicate_per_mille: 500,
+        loss_per_mille: 0,
+        propose_every: TimeDelta::from_millis(15),
+        ..crash_plan(3, &[InjectedBug::AnyTermProposals])
+    };
+    assert_bug_is_found(plan, 200, |kind| matches!(kind, ViolationKind::DroppedButCommitted { .. }));
 }
--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -75,12 +75,12 @@
     disk.append(SEGMENT, SEGMENT_BYTES).unwrap();
     let (_, recovered) = Wal::open(disk).unwrap();
     let expected = RecoveredState {
-        writes: 2,
+        last_batch: 2,
         state: state(2),
         snapshot: Some(snapshot()),
         entries: entries().to_vec(),
     };
-    assert_eq!(store::restored(recovered), Ok(expected));
+    assert_eq!(store::recover(recovered), Ok(expected));
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let without_snapshot = Batch { number: 2, state: state(2), snapshot: None, entries: vec![empty] };
     let (mut wal, _) = Wal::open(FaultDisk::new(1)).unwrap();
     for batch in [with_snapshot, without_snapshot] {
-        wal.write(&store::to_write(&batch)).unwrap();
+        wal.write(&store::to_wal(&batch)).unwrap();
     }
     assert_eq!(wal.into_disk().read(SEGMENT).unwrap(), SEGMENT_BYTES);
 }
@@ -101,7 +101,7 @@
     let mut dedup = ProposalDedup::decode(PROPOSAL_DEDUP).unwrap();
     assert_eq!(dedup.encode(), PROPOSAL_DEDUP);
     let id = |sequence| ProposalId { origin: 9, sequence };
-    assert_eq!(dedup.first(id(700)), Dedup::Duplicate);
-    assert_eq!(dedup.first(id(5)), Dedup::TooOld);
-    assert_eq!(dedup.first(id(699)), Dedup::New);
+    assert_eq!(dedup.record(id(700)), Dedup::Duplicate);
+    assert_eq!(dedup.record(id(5)), Dedup::TooOld);
+    assert_eq!(dedup.record(id(699)), Dedup::New);
 }
