--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -9,6 +9,7 @@
 use super::clock::now;
 use super::engine_connection::{ConnectionLimits, EngineConnection, Withdrawal};
 use super::engine_table::EngineTable;
+use super::fleet_state::FleetState;
 use super::gossip_facts::GossipFacts;
 use super::policy_driver::{PolicyCommand, PolicyDriver, PolicyEvent};
 use super::request::{RejectReason, Request, Response};
@@ -21,7 +22,7 @@
 use sprucelink_cordon::{CordonLimits, CordonState};
 use sprucelink_metrics::Taken;
 use sprucelink_policy::{Settings, TimeDelta, Timestamp};
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -76,7 +77,7 @@
     startup: Option<StartupControl>,
     /// What is gossiped to other managers, where they keep a view of the fleet.
     gossip: Option<GossipFacts>,
-    fleet: fleet::FleetState,
+    fleet: FleetState,
     /// Engines that are cordoned.
     cordons: CordonState,
     /// Failover between zones, where it is on.
@@ -88,7 +89,7 @@
     pub(super) fn new(config: CoordinatorConfig) -> Coordinator {
         let CoordinatorConfig { settings, seed, zones, kinds } = config;
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max();
-        let fleet = fleet::FleetState::new(settings.gateways, settings.spare);
+        let fleet = FleetState::new(settings.gateways, settings.spare);
         let send_guard = SendGuard::new(&settings);
         Coordinator {
             requests: RequestTable::default(),
@@ -108,7 +109,7 @@
     }
 
     /// Switches start-up control on.
-    pub(super) fn enable_startup_control(&mut self, settings: &ColdStart, name: &str) {
+    pub(super) fn enable_startup_control(&mut self, settings: &StartupConfig, name: &str) {
         let listed = self.engines.listed_count();
         self.startup = Some(StartupControl::new(settings, name, self.seed, listed, now()));
     }
@@ -291,7 +292,7 @@
                 accounting.into_iter().for_each(Taken::succeeded);
                 self.counters.served += 1;
                 if let Some(startup) = &mut self.startup {
-                    startup.admission.served(now() - arrived_at);
+                    startup.admission.record_served(now() - arrived_at);
                 }
             }
             Response::Rejected { .. } => {
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -3,10 +3,10 @@
 
 use super::admin;
 use crate::core::engine_connection::ConnectionLimits as Terms;
-use crate::front::{Class, Setup};
+use crate::front::{ClassConfig, FrontConfig};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Settings, TimeDelta};
-use sprucelink_settings::{Environment, Error, Platform, Profile, Word};
+use sprucelink_settings::{Environment, Error, ErrorReason, PlatformConfig, Text, WireClass};
 use std::net::SocketAddr;
 
 /// Descriptors that the process holds whoever calls, at most: three standard streams, seven of the runtime (its poll, the
@@ -100,7 +100,7 @@
     /// Connections to engines.
     pub terms: Terms,
     /// What the fronts know.
-    pub setup: Setup,
+    pub setup: FrontConfig,
     /// Buffers that the memory limit leaves room for.
     pub buffers: usize,
 }
@@ -113,7 +113,7 @@
     pub fn keep_back(&mut self, more: usize) -> Result<(), usize> {
         self.shares = Shares::of(self.sockets, self.shares.kept + more)?;
         self.terms.max_total = self.shares.links;
-        self.setup.most_sessions = self.shares.sessions;
+        self.setup.max_sessions = self.shares.sessions;
         Ok(())
     }
 }
@@ -123,26 +123,23 @@
 /// # Errors
 /// Where the text will not do: by line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
-    let told: Platform<events::Told> = Platform::parse(text)?;
-    let set = told.settings.settings();
+    let told: PlatformConfig<events::Told> = PlatformConfig::parse(text)?;
+    let set = told.settings.to_policy_settings();
     let limits = &told.settings.limits;
-    let names = |list: &[Word]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
-    let class = |(p, c): (&Profile, &ClassSettings)| Class {
+    let names = |list: &[Text]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
+    let class = |(p, c): (&WireClass, &ClassSettings)| ClassConfig {
         name: p.name.0.clone(),
-        keyed: c.effect == Effect::Keyed,
-        deadline: c.deadline,
+        has_idempotency_key: c.effect == Effect::Keyed,
+        default_timeout: c.deadline,
     };
     let operator = told.operator.or(environment.operator);
     let sockets = told.limits.sockets.0.map_or(SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
     let kept = operator.map_or(0, |_| admin::limits(sockets).descriptors());
     let shares = Shares::of(sockets, kept).map_err(|least| {
-        Error::new(
-            "limits.sockets",
-            format!("{sockets} descriptors are too few: {least} are needed at least"),
-        )
+        Error::at_path("limits.sockets", ErrorReason::TooFewDescriptors { limit: sockets, needed: least })
     })?;
     if told.limits.memory_mb.0 == Some(0) {
-        return Err(Error::new("limits.memory_mb", "0 MB are too few"));
+        return Err(Error::at_path("limits.memory_mb", ErrorReason::NoMemory));
     }
     Ok(Config {
         name: told.name,
@@ -156,19 +153,19 @@
         sockets,
         shares,
         terms: Terms {
-            max_streams: limits.max_streams.or(32.0).max(1.0) as usize,
-            dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.or(1.0)),
-            idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.or(15.0)),
+            max_streams: limits.max_streams.unwrap_or(32.0).max(1.0) as usize,
+            dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.unwrap_or(1.0)),
+            idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.unwrap_or(15.0)),
             note_interval: set.progress_pace,
             max_per_engine: (sockets / 32).max(2),
             max_total: shares.links,
         },
-        setup: Setup {
+        setup: FrontConfig {
             classes: told.settings.profiles.iter().zip(&set.classes).map(class).collect(),
             tenants: told.settings.customers.iter().map(|c| c.name.0.clone()).collect(),
-            most_sessions: shares.sessions,
-            most_leaving: shares.leaving,
-            most_lobby: shares.lobby,
+            max_sessions: shares.sessions,
+            max_evicted: shares.leaving,
+            max_sessionless: shares.lobby,
             extended: false,
             require_tls: false,
             default_class: None,
