--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -43,7 +43,7 @@
 /// A certificate of 15 seconds is renewed before it expires, again and again, and a session that
 /// began under the first one lives on.
 #[test]
-fn a_certificate_is_renewed_before_it_expires_and_sessions_live_on() {
+fn certificate_is_renewed_before_expiry_and_sessions_continue() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(15), challenges);
     let program = program(&authority, challenges, None);
@@ -63,7 +63,7 @@
 /// The authority refuses: the old certificate serves on, tries come with growing rests, and the
 /// renewal goes through once it relents.
 #[test]
-fn a_refused_renewal_backs_off_while_the_old_certificate_serves() {
+fn rejected_renewal_backs_off_while_the_old_certificate_serves() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(60), challenges);
     let store = scratch();
@@ -104,7 +104,7 @@
 
 /// The old certificate serves while its renewal is refused.
 #[test]
-fn sessions_begin_under_the_old_certificate_while_its_renewal_is_refused() {
+fn sessions_start_under_the_old_certificate_while_renewal_is_rejected() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(45), challenges);
     let program = program(&authority, challenges, None);
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -43,7 +43,7 @@
 const QUESTION: &[u8] = b"GET /.well-known/acme-challenge/unknown HTTP/1.1\r\nHost: pg.test\r\n\r\n";
 
 #[test]
-fn bad_questions_get_an_answer_or_a_close() {
+fn malformed_challenge_requests_are_answered_or_closed() {
     let engine = Engine::echo();
     let (mut program, at) = program(&engine);
     let not_found = |text: &str| text.starts_with("HTTP/1.1 404 Not Found\r\n") && text.ends_with("\r\n\r\n");
@@ -83,7 +83,7 @@
 /// Silent callers, half questions and early closes by the hundred: the good question is answered among them, clients are
 /// served, and the descriptors that they hold are bounded.
 #[test]
-fn a_flood_of_callers_costs_neither_a_good_question_nor_a_client() {
+fn flood_of_challenge_requests_harms_no_valid_request_or_session() {
     let engine = Engine::echo();
     let (program, at) = program(&engine);
     let mut raw = Raw::connect(program.platform);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -193,7 +193,7 @@
 
 /// The module holds the request back, for there is no engine yet.
 #[test]
-fn who_goes_while_the_module_waits_for_an_engine_has_nothing_sent() {
+fn disconnect_while_queued_sends_nothing() {
     each(|side, way| {
         let (engine, feed) = (engine(), Feed::start());
         feed.send("{\"n\":1}");
@@ -210,7 +210,7 @@
 
 /// The request waits on a link whose connection does not come up.
 #[test]
-fn who_goes_behind_a_dial_has_nothing_sent() {
+fn disconnect_during_dial_sends_nothing() {
     each(|side, way| {
         let late = Late::listen();
         let program = program(&[("s-1", late.address)], None, OPERATOR);
@@ -225,7 +225,7 @@
 
 /// The request waits between two attempts: its first was turned away, and no engine is left that takes it.
 #[test]
-fn who_goes_between_two_attempts_has_no_further_one() {
+fn disconnect_between_attempts_prevents_a_retry() {
     each(|side, way| {
         let drained = Arc::new(AtomicBool::new(false));
         let cue = Arc::clone(&drained);
@@ -269,7 +269,7 @@
 
 /// The end of a client is seen in TLS too, with its closing word or without.
 #[test]
-fn who_goes_under_tls_is_seen_behind_anything() {
+fn disconnect_under_tls_is_seen_behind_unread_bytes() {
     let engine =
         Engine::start(|seen| if selected(seen) == "gone" { Reply::Hold } else { row(selected(seen)) });
     // A port that was free a moment ago: the program must be told one before it starts.
@@ -312,7 +312,7 @@
 /// What a session holds whole is answered, in order; what was cut is never read as a message, and the last word names
 /// the bound.
 #[test]
-fn an_overrun_session_answers_what_it_holds_whole_and_ends_with_a_word() {
+fn overrun_session_answers_complete_requests_then_ends_with_an_error() {
     for side in SIDES {
         let release = Arc::new(AtomicBool::new(false));
         let go = Arc::clone(&release);
@@ -347,7 +347,7 @@
 /// What all sessions read ahead has a bound too: a sixteenth of so little memory. Who finds it used up is told so, and
 /// what an ended session held is free again.
 #[test]
-fn all_sessions_together_hold_a_bound() {
+fn read_ahead_of_all_sessions_is_bounded() {
     let engine = Engine::start(|_| Reply::Hold);
     let vars = [("EDGE_OPERATOR", "127.0.0.1:0")];
     let listed = [("s-1", engine.address)];
@@ -384,7 +384,7 @@
 /// Clients that write without end behind an open request: they hold no more than their bound, the others are served
 /// meanwhile, and in the end the flood costs its sender the request and the session.
 #[test]
-fn floods_hold_a_bound_and_end() {
+fn flooding_sessions_hold_bounded_memory_and_are_ended() {
     const FLOOD: usize = 40 << 20;
     let engine =
         Engine::start(|seen| if selected(seen) == "gone" { Reply::Hold } else { row(selected(seen)) });
@@ -434,7 +434,7 @@
 
 /// A CancelRequest that came between two requests is for none: the next one is served.
 #[test]
-fn a_cancel_between_two_requests_is_not_for_the_next() {
+fn cancel_between_requests_does_not_cancel_the_next() {
     let engine = engine();
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
     for side in SIDES {
@@ -457,7 +457,7 @@
 /// A CancelRequest whose session has no turn to wait for it: it writes an answer that its client does not take. It calls
 /// the batch off, for that is what is open: the next Execute fails and what follows is passed over, up to Sync.
 #[test]
-fn a_cancel_while_an_answer_is_written_is_not_lost_on_the_batch() {
+fn cancel_during_blocked_write_ends_the_batch() {
     let page = || "x\ty\tz\n".repeat(950);
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(|_| page()).collect()));
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
@@ -483,7 +483,7 @@
 /// A client's end that comes while an answer is written which it does not take: once it has taken it, nothing more of
 /// its batch begins, however much stands before the end.
 #[test]
-fn who_goes_while_an_answer_is_written_has_nothing_more_begun() {
+fn disconnect_during_blocked_write_starts_no_further_request() {
     let page = || "x\ty\tz\n".repeat(950);
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(|_| page()).collect()));
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
@@ -519,7 +519,7 @@
 
 /// A CancelRequest needs no seat: whose request waits may call it off while nobody else comes in.
 #[test]
-fn a_cancel_is_heard_when_all_seats_are_taken() {
+fn cancel_is_accepted_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
     let operator = r#"{"listen":"127.0.0.1:0","max_sessions":1,"default_tenant":"sud"}"#;
     let program = program(&[("s-1", engine.address)], None, operator);
@@ -542,7 +542,7 @@
 
 /// Requests whose CancelRequest came before the program had a turn to read either: each is called off.
 #[test]
-fn a_cancel_right_behind_its_request_is_not_lost() {
+fn cancel_directly_after_its_request_is_not_lost() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
     for side in SIDES {
@@ -563,7 +563,7 @@
 /// What a client left behind that has gone is not taken: its end stands right behind its requests, and all came while
 /// the program had no turn.
 #[test]
-fn what_a_client_left_behind_is_not_taken() {
+fn pipelined_requests_of_a_departed_client_are_not_submitted() {
     let engine = engine();
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
     for side in SIDES {
@@ -591,7 +591,7 @@
 
 /// However many sessions end at a time, no close goes over unread bytes: a reset may overtake the last word.
 #[test]
-fn many_that_end_at_a_time_all_read_their_last_word_and_a_clean_end() {
+fn many_simultaneous_closes_all_deliver_the_final_error_and_a_clean_end() {
     let program = Program::start(&[], None, None);
     let mut all: Vec<Raw> = (0..100).map(|_| Raw::connect(program.platform)).collect();
     signal(&program, "-STOP");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -129,19 +129,19 @@
 }
 
 #[test]
-fn idle_clients_take_nobody_elses_descriptors_at_the_least_limits() {
+fn idle_clients_leave_reserved_descriptors_free_at_the_minimum_limits() {
     idle_clients_take_nobody_elses(64, 21);
     idle_clients_take_nobody_elses(40, 5);
 }
 
 #[test]
-fn idle_clients_take_nobody_elses_descriptors_at_a_short_days_limit() {
+fn idle_clients_leave_reserved_descriptors_free_at_a_reduced_limit() {
     idle_clients_take_nobody_elses(512, 170);
 }
 
 /// The bound is the program's own: here the process may hold far more than it was told.
 #[test]
-fn no_more_descriptors_are_held_than_were_told() {
+fn descriptors_stay_within_the_configured_limit() {
     let engine = Engine::echo();
     let second = r#"{"listen":"127.0.0.1:0","max_sessions":16,"default_class":"lane-rate"}"#;
     let file = scratch().join("operator.json");
@@ -168,7 +168,7 @@
 /// A process that may hold fewer than it was told: accepting fails. It neither spins nor ends, and goes on as soon as
 /// there are descriptors again.
 #[test]
-fn an_accept_that_fails_for_want_of_descriptors_harms_nobody() {
+fn accept_failure_without_descriptors_harms_no_session() {
     let engine = Engine::echo();
     let config = confined::config(&[("s-1", engine.address)], None, 1024, SETTINGS);
     let mut program = confined::start(&config, Some(64), &[]);
@@ -192,7 +192,7 @@
 
 /// Clients that go before they are accepted, or at once after, are none.
 #[test]
-fn connections_that_are_reset_at_once_harm_nobody() {
+fn immediately_reset_connections_harm_no_session() {
     let engine = Engine::echo();
     let config = confined::config(&[("s-1", engine.address)], None, 64, SETTINGS);
     let program = confined::start(&config, Some(64), &[]);
@@ -215,7 +215,7 @@
 /// Guards cancels: a front whose seats were all taken refused their connections before a byte was read. And who says
 /// nothing there is told why it must go.
 #[test]
-fn a_cancel_is_heard_and_a_refusal_read_when_all_seats_are_taken() {
+fn cancel_is_accepted_and_rejection_delivered_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
     let file = scratch().join("operator.json");
     std::fs::write(&file, r#"{"listen":"127.0.0.1:0","max_sessions":1,"default_class":"lane-rate"}"#)
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -33,7 +33,7 @@
 /// The dispatch desk's tool: a statement prepared once and bound a thousand times. Every Execute is
 /// a request of its own, with an id of its own, answered once and rightly.
 #[test]
-fn prepared_once_and_bound_a_thousand_times() {
+fn statement_prepared_once_can_be_bound_a_thousand_times() {
     let (a, b) = (Engine::echo(), Engine::echo());
     let program = start(&[&a, &b]);
     block(async {
@@ -85,7 +85,7 @@
 
 /// A portal never executed is no request: it costs nothing, holds no engine and outlives a drain.
 #[test]
-fn a_portal_made_before_a_drain_runs_elsewhere_after_it() {
+fn portal_bound_before_a_drain_runs_on_another_engine() {
     let (old, new, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", old.address)], Some(&feed), Some(OPERATOR));
@@ -102,7 +102,7 @@
 
 /// A batch cut at any message boundary: what was taken ends once, what was not is never sent.
 #[test]
-fn a_batch_cut_at_every_message_boundary() {
+fn batch_cut_at_any_message_boundary_is_answered() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
     let batch: Vec<Vec<u8>> = (0..3)
@@ -131,7 +131,7 @@
 /// The client goes while its request is out: it is given up at its engine, and the rest of the
 /// batch is never sent.
 #[test]
-fn a_batch_whose_client_goes_is_given_up() {
+fn batch_of_a_departed_client_is_cancelled() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
     let mut raw = Raw::connect(second(&program));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn rows_are_handed_out_as_the_client_asks() {
+fn rows_are_fetched_by_the_clients_row_limit() {
     let pages = || vec!["1\ta\tb\n2\ta\tb\n".into(), "3\ta\tb\n".into(), "4\ta\tb\n5\ta\tb\n".into()];
     let engine = Engine::start(move |_| Reply::Pages(pages()));
     let program = start(&[&engine]);
@@ -162,7 +162,7 @@
 
 /// A lost page is a lawful retry, for no row has gone out yet: the client sees one whole answer.
 #[test]
-fn an_engine_lost_mid_answer_costs_a_retry_and_not_the_answer() {
+fn engine_lost_within_its_answer_causes_a_retry() {
     let broken = Engine::start(|_| Reply::CutMidAnswer("half\ta\tb\n".into()));
     let program = start(&[&broken]);
     let mut raw = Raw::connect(second(&program));
@@ -182,7 +182,7 @@
 
 /// The same with an engine that then recovers: one whole answer, in one piece.
 #[test]
-fn a_lost_page_is_fetched_by_a_further_attempt() {
+fn lost_page_is_fetched_by_a_retry() {
     use std::sync::atomic::{AtomicBool, Ordering};
     static LOST: AtomicBool = AtomicBool::new(false);
     let engine = Engine::start(|_| match LOST.swap(true, Ordering::SeqCst) {
@@ -199,7 +199,7 @@
 
 /// More sessions than the file allows are refused, and told when to come back.
 #[test]
-fn a_session_too_many_is_refused() {
+fn session_above_the_limit_is_rejected() {
     let program = Program::start(&[], None, Some(r#"{"listen":"127.0.0.1:0","max_sessions":1}"#));
     let first = Raw::connect(second(&program));
     let mut other = Raw::open(second(&program));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_cancel_gives_the_request_up() {
+fn cancel_request_cancels_the_open_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
     let mut raw = Raw::connect(second(&program));
@@ -228,7 +228,7 @@
 
 /// The 5 s ration, counted at the engines: 3 further attempts and a tenth of the requests taken.
 #[test]
-fn further_attempts_keep_to_their_ration() {
+fn retries_keep_to_the_retry_budget() {
     let (a, b) = (Engine::start(|_| Reply::Word("crashed")), Engine::start(|_| Reply::Word("crashed")));
     let program = start(&[&a, &b]);
     let (began, asked) = (Instant::now(), 60);
@@ -249,7 +249,7 @@
 
 /// Every load has a key of its own, and a client's own key passes unchanged.
 #[test]
-fn keyed_requests_carry_a_key_each() {
+fn each_request_of_a_keyed_class_carries_its_own_key() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
     let mut raw = Raw::connect(second(&program));
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn deadlines_come_from_the_field_then_the_session_then_the_class() {
+fn timeout_is_that_of_the_field_then_the_session_then_the_class() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
     let mut raw = Raw::connect(second(&program));
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn what_is_not_supported_is_said_and_costs_nothing() {
+fn unsupported_statements_are_rejected_without_a_request() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
     let mut raw = Raw::connect(second(&program));
@@ -321,7 +321,7 @@
 /// Garbage and messages out of order, from fixed seeds: no input ends the process, and a session
 /// beside them goes on.
 #[test]
-fn no_input_ends_the_process() {
+fn random_input_does_not_end_the_process() {
     let engine = Engine::echo();
     let mut program = start(&[&engine]);
     let mut good = Raw::connect(second(&program));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn health_and_figures_tell_what_passed() {
+fn health_and_metrics_report_served_requests() {
     let engine = Engine::start(|seen| match seen.parts[1].ends_with('f') {
         _ if seen.parts[1].ends_with('e') => Reply::Hold,
         true => Reply::Word("crashed"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_engine_taken_out_gets_nothing_until_the_call_back_whatever_the_list_says() {
+fn cordoned_engine_gets_no_requests_until_uncordoned() {
     let (one, two) = (Engine::echo(), Engine::echo());
     let feed = Feed::start();
     let program =
@@ -95,7 +95,7 @@
 
 /// Guards the serving path, and the second in which operators are owed an answer, against callers of every bad kind.
 #[test]
-fn bad_callers_cost_neither_operators_nor_clients() {
+fn malformed_admin_calls_harm_neither_operators_nor_clients() {
     let engine = Engine::echo();
     let program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let at = program.operators.expect("an address");
@@ -134,7 +134,7 @@
 /// Callers that go at once, in the middle of a call, or before their answer: no other call and no client pays for them,
 /// and none of them leaves a descriptor behind.
 #[test]
-fn callers_that_go_early_leave_nothing_behind() {
+fn aborted_admin_calls_leave_no_state() {
     let engine = Engine::echo();
     let mut program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let at = program.operators.expect("an address");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_query_is_passed_on_unchanged_and_its_pages_come_back_in_order() {
+fn query_is_forwarded_unchanged_and_its_pages_return_in_order() {
     let page = |n: usize| (0..40).map(|i| format!("{n}\t{i}\t'quoted' \u{e9}\n")).collect::<String>();
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(page).collect()));
     let program = Program::start(&[("s-1", engine.address)], None, None);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_query_may_stand_right_behind_the_start_up() {
+fn query_directly_after_the_startup_packet_is_answered() {
     let engine = Engine::echo();
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = Raw::open(program.platform);
@@ -55,7 +55,7 @@
 
 /// Bad input harms its own session only, and the error names the field at fault.
 #[test]
-fn malformed_messages_get_an_error_that_names_the_field() {
+fn malformed_message_gets_an_error_that_names_the_field() {
     let engine = Engine::echo();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let mut good = Raw::connect(program.platform);
@@ -113,7 +113,7 @@
 
 /// A request that was refused is answered at once, with when to come back.
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn rejection_is_immediate_and_carries_retry_after() {
     let program = Program::start(&[], None, None);
     let mut raw = Raw::connect(program.platform);
     // Ten minutes of work that its client wants within twenty seconds: worth nothing in time.
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_cancel_or_a_disconnect_gives_the_request_up() {
+fn cancel_or_disconnect_cancels_the_platform_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = Raw::connect(program.platform);
@@ -143,7 +143,7 @@
 
 /// An engine that answers nonsense loses its connection, and with it no more than one attempt each.
 #[test]
-fn what_an_engine_garbles_is_tried_elsewhere() {
+fn garbled_answer_is_retried_on_another_engine() {
     use std::sync::atomic::{AtomicUsize, Ordering};
     static TRIES: AtomicUsize = AtomicUsize::new(0);
     let engine = Engine::start(|seen| match TRIES.fetch_add(1, Ordering::SeqCst) {
@@ -168,7 +168,7 @@
 /// Nothing spoilt reaches a client: the attempt goes elsewhere where the class allows it, the connection
 /// is given up and what is good after it is served. Engines are not left out for it.
 #[test]
-fn spoilt_answers_are_tried_again_and_reach_nobody() {
+fn malformed_answers_are_retried_and_never_delivered() {
     use std::sync::atomic::{AtomicUsize, Ordering};
     let spoilt = [
         bulks(&["@", "served", "batches=x,cpu=5", "a\tb\tc\n"]),
@@ -204,7 +204,7 @@
 
 /// Second copies, and answers under ids that nobody asked with, are passed over without harm.
 #[test]
-fn what_an_answer_brings_beyond_its_own_is_passed_over() {
+fn unexpected_answers_are_ignored() {
     let engine = Engine::start(|_| {
         let good = bulks(&["@", "served", "batches=1", "a\tb\tc\n"]);
         let other = bulks(&["0123456789abcdef", "served", "-", "x"]);
@@ -222,7 +222,7 @@
 
 /// The feed is followed over a cut, repeats are passed over, and a draining engine gets nothing new.
 #[test]
-fn the_feed_is_followed_over_a_cut() {
+fn feed_is_resumed_after_a_disconnect() {
     let (a, b, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send(list(1, true, &[("s-1", a.address, "ready")]));
     let program = Program::start(&[("s-1", a.address)], Some(&feed), None);
@@ -247,7 +247,7 @@
 /// Guards the usual clients: connections that say nothing, and sessions that asked once and stay, filled
 /// the sessions and held two buffers each, and newcomers were turned away.
 #[test]
-fn who_says_nothing_or_stays_idle_makes_room_for_who_asks() {
+fn silent_and_idle_connections_are_evicted_for_active_ones() {
     let engine = Engine::echo();
     let program = Program::limited(&[("s-1", engine.address)], None, None, 16, 96);
     let mut kept: Vec<Raw> = Vec::new();
@@ -270,7 +270,7 @@
 
 /// Guards the seats and the buffers: nothing that was begun may take for ever, and its sender hears so.
 #[test]
-fn what_is_begun_and_never_whole_ends_with_a_word() {
+fn incomplete_message_times_out_with_an_error() {
     let program = Program::start(&[], None, None);
     let at = Instant::now();
     let (mut silent, mut half) = (Raw::open(program.platform), Raw::open(program.platform));
@@ -287,7 +287,7 @@
 
 /// Guards the last word: closing on unread input sends a reset, which may overtake it.
 #[test]
-fn who_sends_what_is_far_too_long_still_reads_its_error() {
+fn oversized_message_sender_receives_its_error() {
     let program = Program::start(&[], None, None);
     let mut raw = Raw::connect(program.platform);
     let mut message = vec![b'x'; 60 << 20];
@@ -301,7 +301,7 @@
 /// Guards the rule on drains: an event that came spoilt was ticked off, and what it told never heard of.
 /// It is asked for anew; one that stays spoilt is passed over in the end.
 #[test]
-fn an_event_that_cannot_be_read_is_asked_for_anew_and_passed_over_in_the_end() {
+fn unreadable_event_is_requested_again_and_finally_skipped() {
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
     let drains = list(2, false, &[("s-1", engine.address, "draining")]);
@@ -321,7 +321,7 @@
 /// SIGHUP ended the program. It moves the feed and nothing else: the event after the last one read is
 /// asked for at the new address, the old feed is let go, and what is open stays open.
 #[test]
-fn a_hang_up_moves_the_feed_and_touches_nothing_else() {
+fn sighup_moves_the_feed_and_changes_nothing_else() {
     let release = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let go = std::sync::Arc::clone(&release);
     let engine = Engine::start(move |_| {
@@ -357,7 +357,7 @@
 
 /// An address used again: the old engine's connections carry nothing for the new one.
 #[test]
-fn a_new_engine_at_an_old_address_is_dialled_anew() {
+fn new_engine_at_a_reused_address_is_dialed_again() {
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
@@ -370,7 +370,7 @@
 
 /// SIGTERM: what was taken is answered, what still comes is served, and the exit is clean.
 #[test]
-fn a_stop_answers_what_was_taken_and_ends_with_0() {
+fn stop_answers_admitted_requests_and_exits_with_0() {
     let engine = Engine::start(|seen| {
         std::thread::sleep(Duration::from_millis(if seen.parts[1].ends_with('1') { 1_500 } else { 0 }));
         Reply::Pages(vec!["a\tb\tc\n".into()])
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn a_bad_command_line_or_configuration_ends_with_2_and_a_plain_message() {
+fn invalid_command_line_or_configuration_exits_with_2_and_a_message() {
     let dir = scratch();
     let file = |name: &str, text: &str| {
         let path = dir.join(name);
@@ -443,7 +443,7 @@
 /// long before. The engine's queue of connections is full, so that the program's own comes up only once this test
 /// takes them.
 #[test]
-fn what_was_answered_is_not_sent_on_when_its_connection_comes_up_late() {
+fn answered_request_is_not_sent_when_its_connection_opens_late() {
     let late = Late::listen();
     let program = Program::start(&[("s-1", late.address)], None, None);
     let mut raw = Raw::connect(program.platform);
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -29,7 +29,7 @@
 /// first request right behind the start-up. Requests take 200 ms, so the last of them are out when the program stops
 /// listening.
 #[test]
-fn all_that_still_comes_after_a_stop_is_answered() {
+fn input_arriving_after_a_stop_is_answered() {
     let engine = Paced::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let next = AtomicU64::new(1);
@@ -89,7 +89,7 @@
 /// The program gets no turn on its processor from before the last requests come until after it would have stopped
 /// listening: what was written to its connections meanwhile was taken, and is owed an answer.
 #[test]
-fn what_came_while_the_program_had_no_turn_is_answered() {
+fn input_received_while_the_process_was_suspended_is_answered() {
     let engine = Paced::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let mut open: Vec<Raw> = (0..16).map(|_| Raw::connect(program.platform)).collect();
@@ -145,7 +145,7 @@
 /// A session whose request is out when the program stops listening gets its answer whole, and an end behind it; who asks
 /// again on it crosses the close, which the platform mends by itself.
 #[test]
-fn a_session_ends_behind_its_last_answer() {
+fn session_ends_after_its_last_answer() {
     let (engine, mut program, mut raw) = stopped_with_one_out();
     assert_eq!(rows(&raw.until_ready()).len(), 1);
     // An error here says that the close came first.
@@ -158,7 +158,7 @@
 /// A request whose deadline lies behind the time at which the platform kills: it hears its end before that, with what a
 /// repeat would do, and the program ends by itself.
 #[test]
-fn what_cannot_end_in_time_is_told_so_before_the_kill() {
+fn unfinishable_request_gets_an_error_before_the_kill() {
     let engine = Engine::start(|_| Reply::Hold);
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = Raw::connect(program.platform);
@@ -178,7 +178,7 @@
 /// A request that comes in the time of the stop, whose client would wait for longer than the process lives: its engine
 /// is told no more time than there is, and its client hears its end before the kill.
 #[test]
-fn what_comes_during_a_stop_is_given_the_time_that_is_left() {
+fn request_during_a_stop_gets_the_remaining_time() {
     let engine = Engine::start(|_| Reply::Hold);
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = Raw::connect(program.platform);
@@ -195,7 +195,7 @@
 
 /// What ends and reloads a process comes again while it ends: it changes nothing.
 #[test]
-fn signals_during_a_stop_change_nothing() {
+fn signals_during_a_stop_have_no_effect() {
     let engine = Engine::start(|_| Reply::Hold);
     let feed = Feed::start();
     let mut program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
@@ -216,7 +216,7 @@
 /// A client that has not read its last answer yet and goes on writing: closed over what it writes, its connection would
 /// be reset, and the answer go with it.
 #[test]
-fn the_last_answer_outlives_what_its_client_still_writes() {
+fn last_answer_is_delivered_to_a_client_that_still_writes() {
     let (engine, mut program, mut raw) = stopped_with_one_out();
     // All of it is here, unread.
     let mut seen = [0; 4096];
