--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -29,8 +29,8 @@
     /// Submits a statement to the core.
     ///
     /// # Errors
-    /// What the client is told: of a field that is missing or wrong, of its own cancel, of a statement that is too long,
-    /// of a want of buffers, or of a request id that is in use.
+    /// What the client is told: of a field that is missing or wrong, of its own cancel, of a statement that is too
+    /// long, of a want of buffers, or of a request id that is in use.
     pub(super) fn submit(&self, submission: Submission<'_>) -> Result<RequestHandle, ErrorResponse> {
         let Submission { fields, statement, started, session_timeout_ms, is_cancelled } = submission;
         let class = self.class_index(fields)?;
--- a/src/front/socket.rs
+++ b/src/front/socket.rs
@@ -8,8 +8,8 @@
 
 /// A TCP connection that sees the end of the stream by reading alone. tokio's own stream takes a read that is shorter
 /// than asked for as a sign that no more is available, and waits for the next readiness event. An end that came with
-/// those bytes is then reported by a flag of its own (a hang-up of the peer's writing side), which not every layer below
-/// a program passes on. Here only a read that would block counts as "no more available".
+/// those bytes is then reported by a flag of its own (a hang-up of the peer's writing side), which not every layer
+/// below a program passes on. Here only a read that would block counts as "no more available".
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
--- a/src/proto/sse.rs
+++ b/src/proto/sse.rs
@@ -1,8 +1,8 @@
-//! The control feed's stream: server-sent events (HTML standard, section 9.2), with the fields `id` and `data` alone and
-//! lines that end in a line feed, with or without a carriage return.
+//! The control feed's stream: server-sent events (HTML standard, section 9.2), with the fields `id` and `data` alone
+//! and lines that end in a line feed, with or without a carriage return.
 //!
-//! The decoder is the project's own since no maintained crate for event streams is bounded (docs/measurements/plumbing.md
-//! has the figures): a feed that never ends a line or an event would fill the memory.
+//! The decoder is the project's own since no maintained crate for event streams is bounded
+//! (docs/measurements/plumbing.md has the figures): a feed that never ends a line or an event would fill the memory.
 
 use super::events::MAX_EVENT_NUMBER;
 use thiserror::Error;
--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -11,7 +11,7 @@
 
 const NAME: &str = "pg.fret-atlas.test";
 
-/// A port that was free a moment ago: the program must be told one before it starts.
+/// A port that was free a moment ago: the program needs one in its configuration.
 fn free_port() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address")
 }
@@ -40,8 +40,8 @@
     until_ready(tls)
 }
 
-/// A certificate of 15 seconds is renewed before it expires, again and again, and a session that
-/// began under the first one lives on.
+/// A certificate of 15 seconds is renewed before it expires, again and again, and a session that was started under the
+/// first one goes on.
 #[test]
 fn certificate_is_renewed_before_expiry_and_sessions_continue() {
     let challenges = free_port();
@@ -60,8 +60,8 @@
     assert_eq!(authority.faults(), Vec::<String>::new(), "signatures, nonces and challenges held");
 }
 
-/// The authority refuses: the old certificate serves on, tries come with growing rests, and the
-/// renewal goes through once it relents.
+/// The authority rejects orders: the old certificate stays in use, attempts are made with growing backoff, and the
+/// renewal succeeds once orders are accepted.
 #[test]
 fn rejected_renewal_backs_off_while_the_old_certificate_serves() {
     let challenges = free_port();
@@ -71,13 +71,13 @@
     first.wait_line("certificate renewed");
     first.terminate();
     assert_eq!(first.ended(), Some(0));
-    // What was stored is loaded: the next start needs no order.
+    // The stored certificate is loaded: the next start needs no order.
     let kept = program(&authority, challenges, Some(&store));
     kept.wait_line("certificate loaded");
     assert_eq!(ask(&mut secure(&kept, &authority)), "IZ");
     assert_eq!((authority.signed(), authority.accounts()), (1, 1));
     drop(kept);
-    // Nothing stored, and refused: no certificate, no session, but no crash either.
+    // No stored certificate, and orders are rejected: no session, but no crash either.
     authority.refuse(true);
     let mut bare = program(&authority, challenges, None);
     until(|| (authority.refused() >= 4).then_some(()));
@@ -102,7 +102,7 @@
     let _ = std::fs::remove_dir_all(store);
 }
 
-/// The old certificate serves while its renewal is refused.
+/// The old certificate stays in use while its renewal is rejected.
 #[test]
 fn sessions_start_under_the_old_certificate_while_renewal_is_rejected() {
     let challenges = free_port();
@@ -110,7 +110,7 @@
     let program = program(&authority, challenges, None);
     program.wait_line("certificate renewed");
     authority.refuse(true);
-    // Due after two thirds of its life: by then 30 s have gone, and 15 are left.
+    // Due after two thirds of its lifetime: after 30 s, with 15 s left.
     until(|| (authority.refused() >= 2).then_some(()));
     assert_eq!(ask(&mut secure(&program, &authority)), "IZ");
     authority.refuse(false);
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -1,5 +1,5 @@
-//! The listener for the certificate authority's questions against callers of every bad kind: each gets an answer or a
-//! close, within bounds, and neither a good question nor a client pays for it.
+//! The listener for the certificate authority's challenge requests against malformed and hostile ones: each is answered
+//! or closed, within bounds, and neither a valid request nor a session is harmed.
 mod support;
 
 use std::io::{Read, Write};
@@ -8,8 +8,8 @@
 use support::confined::{descriptors, Watched};
 use support::*;
 
-/// The program with a second front whose authority cannot be reached: it asks again and again, and the listener is there.
-/// Its address was free a moment ago: the program must be told one before it starts.
+/// The program with a second front whose authority cannot be reached: it retries, and the listener is open. Its address
+/// was free a moment ago: the program needs one in its configuration.
 fn program(engine: &Engine) -> (Program, SocketAddr) {
     let dir = scratch();
     let free = || TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
@@ -30,7 +30,7 @@
     stream
 }
 
-/// Writes a text and reads to the end: what came. A reset is an end.
+/// Writes a text, and returns what is read up to the end; a reset counts as one.
 fn told(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = open(to);
     // The listener may close before all is written.
@@ -58,19 +58,19 @@
     ] {
         assert!(not_found(&told(at, garbage)), "{garbage:?}");
     }
-    // Longer than any question may be: closed, with nothing said.
+    // Longer than any request may be: closed without an answer.
     assert_eq!(told(at, &[b'x'; 64 * 1024]), "");
-    // Half a question, and its sender's end.
+    // A part of a request, and its sender's end.
     let mut half = open(at);
     half.write_all(&QUESTION[..40]).expect("written");
     half.shutdown(Shutdown::Write).expect("shut");
     assert_eq!(half.read(&mut [0; 16]).expect("an end"), 0);
-    // Half a question, and nothing more: closed in time.
+    // A part of a request, and nothing more: closed in time.
     let (mut half, begun) = (open(at), Instant::now());
     half.write_all(&QUESTION[..40]).expect("written");
     assert_eq!(half.read(&mut [0; 16]).expect("an end"), 0);
     assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
-    // In pieces, byte by byte, it is a question like any other.
+    // Sent byte by byte, it is a valid request.
     let mut pieces = open(at);
     pieces.set_nodelay(true).expect("set");
     QUESTION.iter().for_each(|b| pieces.write_all(&[*b]).expect("written"));
@@ -80,8 +80,8 @@
     assert!(program.running());
 }
 
-/// Silent callers, half questions and early closes by the hundred: the good question is answered among them, clients are
-/// served, and the descriptors that they hold are bounded.
+/// Hundreds of silent connections, incomplete requests and early closes: the valid request is answered among them,
+/// clients are served, and the descriptors that they hold are bounded.
 #[test]
 fn flood_of_challenge_requests_harms_no_valid_request_or_session() {
     let engine = Engine::echo();
@@ -106,7 +106,7 @@
         }
     }
     let most = watched.most();
-    // Sixteen questions and the one just accepted; two connections to the authority; a link to the engine.
+    // Sixteen requests and the one just accepted; two connections to the authority; one to the engine.
     assert!(most <= before + 16 + 1 + 2 + 1, "{most} descriptors, {before} before");
     drop(held);
     assert!(told(at, QUESTION).starts_with("HTTP/1.1 404"));
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,5 +1,6 @@
-//! Clients that go while their request waits: by a close, a reset or a CancelRequest, behind more bytes than the front
-//! holds, on both fronts, wherever the request waits. Nothing begins for them afterwards, and the others go on.
+//! Clients that leave while their request waits: by a close, a reset or a CancelRequest, behind more bytes than the
+//! front buffers, on both fronts, wherever the request waits. Nothing is sent for them afterwards, and other clients
+//! are served.
 #[path = "support/authority.rs"]
 mod authority;
 mod support;
@@ -25,7 +26,7 @@
 }
 const SIDES: [Side; 2] = [Side::Platform, Side::Second];
 
-/// How a client goes.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Way {
     Close,
@@ -41,14 +42,14 @@
             Side::Second => program.second.expect("the second front is on"),
         }
     }
-    /// Bytes that a session may hold: what the last word names.
+    /// Bytes that a session may buffer, as its final error names them.
     fn bound(self) -> usize {
         match self {
             Side::Platform => 64 << 10,
             Side::Second => 1 << 20,
         }
     }
-    /// A request that selects `what`, with so many bytes of a name behind it.
+    /// A request that selects `what`, followed by a name of so many bytes.
     fn request(self, req: u64, what: &str, padding: usize) -> Vec<u8> {
         let sql = format!("SELECT {what} FROM sales_17.orders WHERE name = '{}'", "x".repeat(padding));
         match self {
@@ -61,7 +62,7 @@
             }
         }
     }
-    /// Whole messages beyond what a session may hold: requests, or such that ask for nothing.
+    /// Complete messages that exceed what a session may buffer: requests, or messages that request nothing.
     fn pile(self, requests: bool) -> Vec<u8> {
         let size = self.bound() + (200 << 10);
         let mut pile = Vec::new();
@@ -87,7 +88,7 @@
     figure(program.operators.expect("an address"), name)
 }
 
-/// A session that writes no longer than a test can wait.
+/// A session whose writes time out within the test.
 fn session(program: &Program, side: Side) -> Raw {
     let raw = Raw::connect(side.address(program));
     raw.stream.set_write_timeout(Some(Duration::from_secs(20))).expect("set");
@@ -104,8 +105,8 @@
     drop(stream);
 }
 
-/// Waits until the program has read all that was written to it, an end too: nothing is left in the queue of what the
-/// one end has sent, nor in that of what the other has got.
+/// Waits until the program has read all that was written to it, also the end of the stream: both the send queue of one
+/// end and the receive queue of the other are empty.
 fn all_read(raw: &Raw) {
     let (ours, theirs) = (raw.stream.local_addr(), raw.stream.peer_addr());
     let ends = [ours.expect("an address").port(), theirs.expect("an address").port()];
@@ -126,19 +127,19 @@
     });
 }
 
-/// The requests that the engine was asked for, by what their statements select: each once, for one whose client is there
-/// may be tried again where the machine is slow.
+/// What the statements that the engine received select, each once: a request whose client is still there may be retried
+/// on a slow machine.
 fn asked(engine: &Engine) -> Vec<String> {
     firsts(engine, "do").iter().map(|s| selected(s).to_owned()).collect()
 }
 
-/// The first command of a word on each request.
+/// The first command of a kind on each request.
 fn firsts(engine: &Engine, word: &str) -> Vec<Seen> {
     let mut ids = std::collections::BTreeSet::new();
     engine.seen(word).into_iter().filter(|s| ids.insert(s.parts[1].clone())).collect()
 }
 
-/// Waits for a word on so many requests.
+/// Waits for a command of a kind on so many requests.
 fn wait_firsts(engine: &Engine, word: &str, n: usize) {
     until(|| (firsts(engine, word).len() >= n).then_some(()));
 }
@@ -151,12 +152,12 @@
     Reply::Pages(vec![format!("{what}\tb\tc\n")])
 }
 
-/// One that serves what was selected to every request.
+/// An engine that answers every request with what it selects.
 fn engine() -> Engine {
     Engine::start(|seen| row(selected(seen)))
 }
 
-/// The client goes behind more than its session may hold. Returns once the manager is known to have seen it.
+/// The client leaves behind more bytes than its session may buffer. Returns once the manager has seen it.
 fn go(program: &Program, side: Side, way: Way, mut raw: Raw) {
     let gone = figures(program, "abandoned");
     let sent = raw.stream.write_all(&side.pile(way != Way::Cancel));
@@ -180,7 +181,7 @@
     until(|| (figures(program, "abandoned") == gone + 1).then_some(()));
 }
 
-/// Another client, whose session was open all the while, is served, and its request is the only one that left since.
+/// Another client, whose session was open all the time, is served, and its request is the only one that was sent since.
 fn only_later(side: Side, way: Way, engine: &Engine, mut other: Raw, before: &[&str]) {
     other.send(&side.request(7, "later", 1));
     assert_eq!(rows(&other.until_ready()), ["later|b|c"], "{side:?} {way:?}");
@@ -191,7 +192,7 @@
     SIDES.iter().for_each(|side| WAYS.iter().for_each(|way| test(*side, *way)));
 }
 
-/// The module holds the request back, for there is no engine yet.
+/// The request is queued in the policy, since there is no engine yet.
 #[test]
 fn disconnect_while_queued_sends_nothing() {
     each(|side, way| {
@@ -208,7 +209,7 @@
     });
 }
 
-/// The request waits on a link whose connection does not come up.
+/// The request waits for a connection that is not established.
 #[test]
 fn disconnect_during_dial_sends_nothing() {
     each(|side, way| {
@@ -223,13 +224,13 @@
     });
 }
 
-/// The request waits between two attempts: its first was turned away, and no engine is left that takes it.
+/// The request waits between two attempts: its first was rejected, and no other engine accepts it.
 #[test]
 fn disconnect_between_attempts_prevents_a_retry() {
     each(|side, way| {
         let drained = Arc::new(AtomicBool::new(false));
         let cue = Arc::clone(&drained);
-        // The marker, held until then, is answered right behind the word: who has it knows that the word was read.
+        // The marker request is answered directly after the rejection: its answer shows that the rejection was read.
         let first = Engine::start(move |seen| {
             if selected(seen) == "marker" {
                 return Reply::Hold;
@@ -267,12 +268,12 @@
     });
 }
 
-/// The end of a client is seen in TLS too, with its closing word or without.
+/// The end of a client is seen under TLS too, with a close_notify or without.
 #[test]
 fn disconnect_under_tls_is_seen_behind_unread_bytes() {
     let engine =
         Engine::start(|seen| if selected(seen) == "gone" { Reply::Hold } else { row(selected(seen)) });
-    // A port that was free a moment ago: the program must be told one before it starts.
+    // A port that was free a moment ago: the program needs one in its configuration.
     let challenges = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let authority = Authority::start(Duration::from_secs(600), challenges);
     let root = scratch().join("root.pem");
@@ -309,8 +310,8 @@
     authority.secure(stream, NAME, &startup())
 }
 
-/// What a session holds whole is answered, in order; what was cut is never read as a message, and the last word names
-/// the bound.
+/// Requests that are buffered completely are answered in order; one that was cut is never read as a message; and the
+/// final error names the bound.
 #[test]
 fn overrun_session_answers_complete_requests_then_ends_with_an_error() {
     for side in SIDES {
@@ -322,7 +323,7 @@
         });
         let program = program(&[("s-1", engine.address)], None, OPERATOR);
         let mut raw = session(&program, side);
-        // Of unlike lengths, so that the cut falls into the middle of one.
+        // Of different lengths, so that the cut is in the middle of one.
         let all: Vec<Vec<u8>> =
             (0..200).map(|n| side.request(n, &format!("n{n}"), 9_000 + 37 * n as usize)).collect();
         raw.send(&all[0]);
@@ -344,8 +345,8 @@
     }
 }
 
-/// What all sessions read ahead has a bound too: a sixteenth of so little memory. Who finds it used up is told so, and
-/// what an ended session held is free again.
+/// The read-ahead of all sessions is bounded too, here to a sixteenth of the memory. A session that exceeds it gets an
+/// error that says so, and the buffers of a session that has ended are free again.
 #[test]
 fn read_ahead_of_all_sessions_is_bounded() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -356,7 +357,7 @@
     let begin = |open: u64| {
         let mut raw = session(&program, Side::Second);
         raw.send(&Side::Second.request(1, "gone", 1));
-        // Whether it is at the engine does not matter.
+        // It does not matter whether it has reached the engine.
         until(|| (figures(&program, "outstanding") == open).then_some(()));
         raw.send(&Side::Second.pile(false));
         all_read(&raw);
@@ -381,8 +382,8 @@
     line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") << 10
 }
 
-/// Clients that write without end behind an open request: they hold no more than their bound, the others are served
-/// meanwhile, and in the end the flood costs its sender the request and the session.
+/// Clients that never stop writing behind an open request: they hold no more than their bound, others are served
+/// meanwhile, and in the end their request and session are ended.
 #[test]
 fn flooding_sessions_hold_bounded_memory_and_are_ended() {
     const FLOOD: usize = 40 << 20;
@@ -404,7 +405,7 @@
                     while sent < FLOOD && raw.stream.write_all(&piece).is_ok() {
                         sent += piece.len();
                     }
-                    // The front hears more than it throws away behind a request: it reads on for its last word.
+                    // The front reads more than it discards behind a request: it lingers after its final error.
                     let last = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E');
                     error(&[last.expect("a last word")])[0].clone()
                 })
@@ -428,11 +429,11 @@
     assert_eq!(figures(&program, "outstanding"), 0, "their requests were called off");
     let grown = most.load(Ordering::SeqCst).saturating_sub(before);
     eprintln!("resident memory grew by {} KiB at most", grown >> 10);
-    // Four sessions of the second front hold a mebibyte each, four of the platform's 64 KiB; 128 MiB came in at least.
+    // Four sessions of the second front hold 1 MiB each, four of the platform's 64 KiB; at least 128 MiB were sent.
     assert!(grown < 24 << 20, "{grown} bytes more at most");
 }
 
-/// A CancelRequest that came between two requests is for none: the next one is served.
+/// A CancelRequest that arrives between two requests has no effect: the next one is served.
 #[test]
 fn cancel_between_requests_does_not_cancel_the_next() {
     let engine = engine();
@@ -454,8 +455,8 @@
     assert!(other.message().is_none(), "no word is owed");
 }
 
-/// A CancelRequest whose session has no turn to wait for it: it writes an answer that its client does not take. It calls
-/// the batch off, for that is what is open: the next Execute fails and what follows is passed over, up to Sync.
+/// A CancelRequest arrives while its session is blocked writing an answer that its client does not read. It cancels the
+/// batch, which is what is open: the next Execute fails, and what follows is skipped up to Sync.
 #[test]
 fn cancel_during_blocked_write_ends_the_batch() {
     let page = || "x\ty\tz\n".repeat(950);
@@ -467,7 +468,7 @@
     raw.send(&parse("", sql));
     raw.send(&[bind("", "", &[]), execute("", 0)].concat().repeat(batch));
     raw.send(&sync());
-    // A cancel that comes before is heard by the open request, which shows nothing but does no harm.
+    // A CancelRequest that arrives before cancels the open request, which shows nothing but does no harm.
     stuck(&engine);
     heard(&raw, Side::Second.address(&program));
     let got = raw.until_ready();
@@ -480,8 +481,8 @@
     assert_eq!(kinds(&raw.ask("")), "IZ", "the session goes on");
 }
 
-/// A client's end that comes while an answer is written which it does not take: once it has taken it, nothing more of
-/// its batch begins, however much stands before the end.
+/// A client's end arrives while its session is blocked writing an answer. Once the client has read it, nothing more of
+/// its batch is started, however much stands before the end.
 #[test]
 fn disconnect_during_blocked_write_starts_no_further_request() {
     let page = || "x\ty\tz\n".repeat(950);
@@ -506,8 +507,8 @@
     assert_eq!(engine.seen("do").len(), begun, "nothing began once its end was read");
 }
 
-/// Waits until no request has followed for long: more than the system holds for a client that does not read was answered
-/// then.
+/// Waits until no request has arrived for long: more has been answered then than the system buffers for a client that
+/// does not read.
 fn stuck(engine: &Engine) {
     let mut last = 0;
     until(|| {
@@ -517,7 +518,7 @@
     });
 }
 
-/// A CancelRequest needs no seat: whose request waits may call it off while nobody else comes in.
+/// A CancelRequest needs no slot: a waiting request can be cancelled while no session can start.
 #[test]
 fn cancel_is_accepted_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -540,7 +541,7 @@
     assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
 }
 
-/// Requests whose CancelRequest came before the program had a turn to read either: each is called off.
+/// Requests whose CancelRequest arrived before the program could read either: each is cancelled.
 #[test]
 fn cancel_directly_after_its_request_is_not_lost() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -560,8 +561,8 @@
     }
 }
 
-/// What a client left behind that has gone is not taken: its end stands right behind its requests, and all came while
-/// the program had no turn.
+/// Requests of a client that has left are not submitted: its end directly follows them, and all arrived while the
+/// program was suspended.
 #[test]
 fn pipelined_requests_of_a_departed_client_are_not_submitted() {
     let engine = engine();
@@ -579,7 +580,7 @@
         for raw in &mut left {
             assert_eq!(kinds(&raw.until_ready()), "IZ", "what needs no engine is answered");
             let rest: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
-            // On the second front what is no request yet is taken: Parse and Bind.
+            // On the second front Parse and Bind, which are no requests, are still handled.
             assert_eq!(kinds(&rest), if side == Side::Second { "12" } else { "" }, "{side:?}: it has gone");
         }
         other.send(&side.request(7, "later", 1));
@@ -589,7 +590,8 @@
     assert_eq!(figures(&program, "abandoned"), 0, "none of them was taken");
 }
 
-/// However many sessions end at a time, no close goes over unread bytes: a reset may overtake the last word.
+/// However many sessions end at a time, no connection is closed with unread input: a reset could destroy the final
+/// error.
 #[test]
 fn many_simultaneous_closes_all_deliver_the_final_error_and_a_clean_end() {
     let program = Program::start(&[], None, None);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Descriptors under a real, low limit: idle clients may take all that clients may have, and the feed's call, links to
-//! engines, the operators' address, cancels and the refusal of newcomers keep theirs.
+//! Descriptors under a real, low limit: idle clients can take all that are for clients, but not those of the feed, of
+//! connections to engines, of the operators' address, of CancelRequests and of rejections.
 mod support;
 
 use std::net::SocketAddr;
@@ -16,28 +16,28 @@
     )
 }
 
-/// Connections that say nothing, that begin a start-up, that open a session and stay, and that begin a message: so many
-/// of each kind, in turns.
+/// So many connections each that send nothing, that send a part of a start-up packet, that open a session and stay
+/// idle, and that send a part of a message, in turns.
 fn flood(to: SocketAddr, each: usize) -> Vec<Raw> {
     let half = query(&sql(1 << 40, "half"));
     let says = [vec![], startup()[..9].to_vec(), startup(), [startup(), half[..20].to_vec()].concat()];
     let mut all = Vec::new();
     for bytes in (0..each).flat_map(|_| &says) {
         let mut raw = Raw::open(to);
-        // One that was let go at once has what it wanted.
+        // A write error means that the connection was evicted already.
         let _ = std::io::Write::write_all(&mut raw.stream, bytes);
         all.push(raw);
     }
     all
 }
 
-/// Asks, and is served one row.
+/// Sends a request, and is served one row.
 fn is_served(raw: &mut Raw, req: u64, text: &str) {
     let got = raw.ask(&sql(req, text));
     assert!(kinds(&got).starts_with('T') && rows(&got).len() == 1, "request {req}: {:?}", error(&got));
 }
 
-/// Sessions, each with a request that its engine holds, until newcomers are refused: the refusal stands last.
+/// Opens sessions, each with a request that its engine holds back, until one is rejected: the rejection is the last.
 fn fill_with_busy(to: SocketAddr, most: usize) -> (Vec<(u64, Raw)>, [String; 4]) {
     let mut busy = Vec::new();
     for i in (0..most as u64).map(|i| 1_000 + i) {
@@ -56,7 +56,7 @@
     panic!("{most} sessions, and nobody was refused");
 }
 
-/// The whole story at one limit, told to the program and set on its process, where so many sessions must have room.
+/// The scenario at one limit, which is configured and set on the process, and at which so many sessions must fit.
 fn idle_clients_take_nobody_elses(limit: usize, sessions: usize) {
     let cut = Arc::new(AtomicBool::new(false));
     let once = Arc::clone(&cut);
@@ -79,31 +79,31 @@
 
     let mut idlers = flood(to, limit / 2);
     is_served(&mut served, 2, "a");
-    // A break: what comes next needs a new link.
+    // The connection breaks: the next request needs a new one.
     is_served(&mut served, 3, "cut");
     assert!(cut.load(Ordering::SeqCst), "the old one broke");
     assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
     let called = door.calls();
     until(|| (door.calls() > called).then_some(()));
 
-    // Requests take the seats of the idle ones, one after the other, until none is left.
+    // Sessions with requests evict the idle ones, one after the other, until none is left.
     let (mut busy, refusal) = fill_with_busy(to, limit);
     assert_eq!((refusal[0].as_str(), refusal[2].as_str()), ("53300", "retry_after_ms=1000"), "{refusal:?}");
     assert!(!refusal[3].is_empty());
     assert!(busy.len() >= sessions, "{} had room", busy.len());
     idlers.extend(flood(to, limit / 2));
     assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
-    // All seats are taken, and newcomers who say nothing stand in the way: a cancel is heard.
+    // All slots are occupied, and silent new connections are in the way: a CancelRequest is accepted.
     let out = a.wait_for("do", 4).into_iter().find(|s| s.parts[3].contains("hold")).expect("one is held");
     let out = u64::from_str_radix(&out.parts[1], 16).expect("an id");
     let at = busy.iter().position(|b| b.0 == out).expect("its session");
     let (_, mut one) = busy.swap_remove(at);
     one.cancel(to);
     assert_eq!(error(&one.until_ready())[0], "57014");
-    // The session is still there, and idle: it may have been let go for a newcomer since.
+    // The session may have been evicted for a new connection since: it was idle.
     drop(one);
 
-    // Discovery returns, with an engine more and one less.
+    // The feed returns, with one engine more and one less.
     door.set(Discovery::Up);
     feed.send(list(1, true, &[("s-1", a.address, "ready")]));
     feed.send(list(2, false, &[("s-2", b.address, "ready"), ("s-1", a.address, "draining")]));
@@ -111,10 +111,10 @@
     program.wait_line("engine s-1 is Draining");
     let mut newcomer = Raw::connect(to);
     is_served(&mut newcomer, 4, "b");
-    // Beside those that its neighbour held, and that may go on there.
+    // Besides those that the other engine held, and that may go on there.
     assert_eq!(b.seen("do").iter().filter(|s| s.parts[3].contains("SELECT b")).count(), 1);
 
-    // All go, and all is as before.
+    // All clients leave, and all is as before.
     drop((idlers, busy, newcomer));
     until(|| (descriptors(process) <= before + 3).then_some(()));
     let most = watched.most();
@@ -139,7 +139,7 @@
     idle_clients_take_nobody_elses(512, 170);
 }
 
-/// The bound is the program's own: here the process may hold far more than it was told.
+/// The program keeps to its configured limit also where the process may open far more descriptors.
 #[test]
 fn descriptors_stay_within_the_configured_limit() {
     let engine = Engine::echo();
@@ -165,8 +165,8 @@
     eprintln!("{most} descriptors at most of 128 told");
 }
 
-/// A process that may hold fewer than it was told: accepting fails. It neither spins nor ends, and goes on as soon as
-/// there are descriptors again.
+/// The process may open fewer descriptors than configured, so that accept fails. It neither spins nor ends, and goes on
+/// as soon as descriptors are free again.
 #[test]
 fn accept_failure_without_descriptors_harms_no_session() {
     let engine = Engine::echo();
@@ -176,7 +176,7 @@
     is_served(&mut served, 1, "a");
     let idlers: Vec<Raw> = (0..200).map(|_| Raw::open(program.platform)).collect();
     program.wait_line("accept failed");
-    // The newcomers of some tens of failed accepts have their turn, and what they hold is given back.
+    // After some tens of failed accepts the new connections have been evicted, and their descriptors are free.
     std::thread::sleep(Duration::from_millis(500));
     is_served(&mut served, 2, "a");
     let mut newcomer = Raw::connect(program.platform);
@@ -185,12 +185,12 @@
     until(|| (descriptors(program.id()) < 40).then_some(()));
     is_served(&mut Raw::connect(program.platform), 4, "a");
     assert!(program.running());
-    // Some fifty fail a second, and one in five seconds is logged.
+    // About fifty fail each second, and one in five seconds is logged.
     let lines = program.lines().iter().filter(|l| l.contains("accept failed")).count();
     assert!((1..=15).contains(&lines), "{lines} lines");
 }
 
-/// Clients that go before they are accepted, or at once after, are none.
+/// Clients that leave before they are accepted, or directly after it, have no effect.
 #[test]
 fn immediately_reset_connections_harm_no_session() {
     let engine = Engine::echo();
@@ -199,7 +199,7 @@
     let mut served = Raw::connect(program.platform);
     for i in 0..400 {
         let mut raw = Raw::open(program.platform);
-        // Closing over what the program may have said sends a reset, and half of them end before a word.
+        // Closing with unread input sends a reset, and half of the connections end before they sent anything.
         if i % 2 == 0 {
             raw.send(&startup());
         }
@@ -212,8 +212,8 @@
     is_served(&mut Raw::connect(program.platform), 9_999, "a");
 }
 
-/// Guards cancels: a front whose seats were all taken refused their connections before a byte was read. And who says
-/// nothing there is told why it must go.
+/// CancelRequests are accepted also when all slots are occupied. A silent connection there gets an error before it is
+/// closed.
 #[test]
 fn cancel_is_accepted_and_rejection_delivered_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -237,6 +237,6 @@
     assert_eq!(error(&raw.until_ready())[0], "57014");
     assert_eq!(error(&[silent.message().expect("a word")])[0], "53300");
     assert!(silent.message().is_none());
-    // The first session was served nothing, and it stays: where sessions hold something they are not ended.
+    // The first session sent no request and stays: idle sessions that hold state are not evicted.
     assert_eq!(kinds(&raw.ask("")), "IZ");
 }
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -30,8 +30,8 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(test)
 }
 
-/// The dispatch desk's tool: a statement prepared once and bound a thousand times. Every Execute is
-/// a request of its own, with an id of its own, answered once and rightly.
+/// A statement is prepared once and bound a thousand times. Every Execute is a request with an id of its own, and is
+/// answered once and correctly.
 #[test]
 fn statement_prepared_once_can_be_bound_a_thousand_times() {
     let (a, b) = (Engine::echo(), Engine::echo());
@@ -71,7 +71,7 @@
     });
     let wait: u64 = engine.seen("do")[0].field("wait").expect("a wait").parse().expect("a number");
     assert!(wait <= 9000, "the bound time-out is the deadline: {wait}");
-    // JSONB's binary form begins with a version byte: not understood, and said so.
+    // The binary form of jsonb begins with a version byte, which is not supported.
     let mut raw = Raw::connect(second(&program));
     let mut types = b"\0SELECT $1\0\0\x01".to_vec();
     types.extend_from_slice(&3802u32.to_be_bytes());
@@ -83,7 +83,7 @@
     assert_eq!(error(&got)[0], "0A000");
 }
 
-/// A portal never executed is no request: it costs nothing, holds no engine and outlives a drain.
+/// A portal that was not executed is no request: it holds no engine and survives a drain.
 #[test]
 fn portal_bound_before_a_drain_runs_on_another_engine() {
     let (old, new, feed) = (Engine::echo(), Engine::echo(), Feed::start());
@@ -100,7 +100,7 @@
     assert_eq!((old.seen("do").len(), new.seen("do").len()), (0, 1));
 }
 
-/// A batch cut at any message boundary: what was taken ends once, what was not is never sent.
+/// A batch is cut at each message boundary: submitted requests end once, and others are never sent.
 #[test]
 fn batch_cut_at_any_message_boundary_is_answered() {
     let engine = Engine::echo();
@@ -115,7 +115,7 @@
         raw.send(&batch[..cut].concat());
         raw.send(&framed(b'H', b""));
         let executes = cut / 3;
-        // Flush brings what was answered: so many requests were taken, and each ended once.
+        // Flush returns the answers: so many requests were submitted, and each ended once.
         let mut answers = 0;
         while answers < executes {
             answers += usize::from(raw.message().expect("an answer").0 == b'C');
@@ -128,8 +128,8 @@
     assert!(engine.seen("undo").is_empty());
 }
 
-/// The client goes while its request is out: it is given up at its engine, and the rest of the
-/// batch is never sent.
+/// The client leaves while its request is in flight: it is cancelled at its engine, and the rest of the batch is never
+/// sent.
 #[test]
 fn batch_of_a_departed_client_is_cancelled() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -160,7 +160,7 @@
     assert_eq!(engine.seen("do").len(), 1, "further rows are no further request");
 }
 
-/// A lost page is a lawful retry, for no row has gone out yet: the client sees one whole answer.
+/// A lost page may be retried, since no row was sent to the client: it gets one complete answer.
 #[test]
 fn engine_lost_within_its_answer_causes_a_retry() {
     let broken = Engine::start(|_| Reply::CutMidAnswer("half\ta\tb\n".into()));
@@ -168,7 +168,7 @@
     let mut raw = Raw::connect(second(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
     let got = raw.until_ready();
-    // One engine, which never gives the second page: tried again within the ration, then given up.
+    // One engine, which never sends the second page: retried within the retry budget, then failed.
     assert_eq!(kinds(&got), "12EZ");
     assert!(rows(&got).is_empty(), "a row of half a result went out");
     let tries = broken.seen("do");
@@ -180,7 +180,7 @@
     assert!(detail.starts_with("retry_after_ms=") && hint.starts_with("Come back in "), "{detail} {hint}");
 }
 
-/// The same with an engine that then recovers: one whole answer, in one piece.
+/// The same with an engine that recovers: one complete answer.
 #[test]
 fn lost_page_is_fetched_by_a_retry() {
     use std::sync::atomic::{AtomicBool, Ordering};
@@ -197,7 +197,7 @@
     assert_eq!(engine.seen("do").len(), 2);
 }
 
-/// More sessions than the file allows are refused, and told when to come back.
+/// Sessions above the configured maximum are rejected, with the time after which to retry.
 #[test]
 fn session_above_the_limit_is_rejected() {
     let program = Program::start(&[], None, Some(r#"{"listen":"127.0.0.1:0","max_sessions":1}"#));
@@ -226,7 +226,7 @@
     assert_eq!(kinds(&raw.ask("")), "IZ", "the session goes on");
 }
 
-/// The 5 s ration, counted at the engines: 3 further attempts and a tenth of the requests taken.
+/// The retry budget of 5 s, counted at the engines: 3 retries and a tenth of the admitted requests.
 #[test]
 fn retries_keep_to_the_retry_budget() {
     let (a, b) = (Engine::start(|_| Reply::Word("crashed")), Engine::start(|_| Reply::Word("crashed")));
@@ -247,7 +247,7 @@
     assert!(further <= 3 * windows + asked / 10, "{further} further attempts for {asked} requests");
 }
 
-/// Every load has a key of its own, and a client's own key passes unchanged.
+/// Every request of a load class has a key of its own, and a key that the client gives is forwarded unchanged.
 #[test]
 fn each_request_of_a_keyed_class_carries_its_own_key() {
     let engine = Engine::echo();
@@ -283,7 +283,7 @@
     assert_eq!(error(&got)[0], "57014");
     assert_eq!(kinds(&raw.ask("SET statement_timeout TO DEFAULT")), "CZ");
     raw.send(&query("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b"));
-    // The first attempt of each: an engine that says nothing may be tried again.
+    // The first attempt of each: an engine that does not answer may be retried.
     let firsts = || {
         let mut ids = BTreeSet::new();
         let sent = engine.seen("do").into_iter().filter(|s| ids.insert(s.parts[1].clone()));
@@ -318,8 +318,7 @@
     assert!(engine.seen("do").is_empty());
 }
 
-/// Garbage and messages out of order, from fixed seeds: no input ends the process, and a session
-/// beside them goes on.
+/// Random bytes and messages out of order, from fixed seeds: no input ends the process, and another session goes on.
 #[test]
 fn random_input_does_not_end_the_process() {
     let engine = Engine::echo();
@@ -333,7 +332,7 @@
             raw.send(&startup());
         }
         for tag in bytes().into_iter().take(12) {
-            // One in two is a message by its frame, with a type that there is.
+            // Every second one has the frame of a message, with a known type.
             let noise = bytes();
             let known = b"QPBDECHSXFdcfp"[usize::from(tag) % 14];
             let message = if tag % 2 == 0 { framed(known, &noise) } else { noise };
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address on the running program: health, figures, engines taken out and put back.
+//! The operators' address of the running program: health, metrics, and cordoned engines.
 mod support;
 
 use std::io::Write;
@@ -25,13 +25,13 @@
     assert!(names.iter().all(|n| figure(at, n) == 0), "counts start at 0");
     let mut raw = Raw::connect(program.platform);
     (1..=7).for_each(|req| assert_eq!(rows(&raw.ask(&sql(req))).len(), 1));
-    // Worth nothing in time: refused at once.
+    // It cannot be served in time: rejected at once.
     let heavy = sql(8).replace("ms=5", "ms=600000");
     assert_eq!(error(&raw.ask(&heavy))[0], "53400");
     assert_eq!(figure(at, "results.lane-rate.succeeded"), 7);
     assert_eq!(figure(at, "results.lane-rate.declined"), 1);
     assert_eq!(figure(at, "forwards"), 7);
-    // A client that calls its request off is told so, and one that goes is told nothing.
+    // A client that cancels its request gets an error, and one that leaves gets nothing.
     let aborted = figure(at, "results.lane-rate.aborted");
     let mut other = Raw::connect(program.platform);
     other.send(&query(&sql(14)));
@@ -43,7 +43,7 @@
     engine.wait_for("do", 9);
     drop(other);
     until(|| (figure(at, "abandoned") == 1).then_some(()));
-    // The engine fails it as often as it is tried, which the class allows six times.
+    // The engine fails each of the attempts, of which the class allows six.
     assert_eq!(error(&raw.ask(&sql(15)))[0].len(), 5);
     let seen = engine.seen("do").len() as u64;
     assert_eq!(figure(at, "forwards"), seen);
@@ -66,7 +66,7 @@
         assert_eq!(call(at, "POST", "/admin/cordon", &target("s-1")).0, 200, "it may come more than once");
     }
     assert_eq!((figure(at, "discovered"), figure(at, "ejected")), (2, 1));
-    // The list takes it away, brings it back, and names all anew.
+    // The list removes the engine, adds it again, and is sent completely.
     let (id, address) = ("s-1", one.address);
     let events = [(false, "draining"), (false, "gone"), (false, "ready"), (true, "ready")];
     let mut raw = Raw::connect(program.platform);
@@ -93,7 +93,7 @@
     });
 }
 
-/// Guards the serving path, and the second in which operators are owed an answer, against callers of every bad kind.
+/// Malformed and hostile calls harm neither sessions nor other operators, who are owed an answer within a second.
 #[test]
 fn malformed_admin_calls_harm_neither_operators_nor_clients() {
     let engine = Engine::echo();
@@ -131,8 +131,8 @@
     assert_eq!(call(at, "POST", "/admin/health", "").0, 405);
 }
 
-/// Callers that go at once, in the middle of a call, or before their answer: no other call and no client pays for them,
-/// and none of them leaves a descriptor behind.
+/// Callers that leave at once, within a call, or before their answer harm neither other calls nor sessions, and leave
+/// no descriptor behind.
 #[test]
 fn aborted_admin_calls_leave_no_state() {
     let engine = Engine::echo();
@@ -150,7 +150,7 @@
     ];
     for req in 2..=200 {
         let mut caller = TcpStream::connect(at).expect("connected");
-        // It may have been closed for another by then.
+        // It may have been closed in favour of another call by then.
         let _ = caller.write_all(says[req as usize % says.len()]);
         drop(caller);
         if req % 20 == 0 {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The program on sockets: the platform's front, the engines' wire, the feed, start and stop.
+//! The program on sockets: the platform's front, the engines' protocol, the feed, start and stop.
 mod support;
 
 use std::io::Write;
@@ -53,7 +53,7 @@
     assert_eq!(rows(&raw.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
 }
 
-/// Bad input harms its own session only, and the error names the field at fault.
+/// Malformed input harms its own session only, and the error names the field.
 #[test]
 fn malformed_message_gets_an_error_that_names_the_field() {
     let engine = Engine::echo();
@@ -84,14 +84,14 @@
         assert_eq!((kinds(&got).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
         assert!(message.contains(&format!("field {name} ")), "{text}: {message}");
     }
-    // A query without its zero byte: the stream goes on behind it.
+    // A query without its zero byte: the next message is read behind it.
     good.send(&framed(b'Q', b"no end"));
     assert!(error(&good.until_ready())[1].contains("field query"));
-    // Extended queries are not spoken here: one error, then silence up to Sync.
+    // Extended queries are not supported here: one error, then nothing up to Sync.
     good.send(&[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
     let got = good.until_ready();
     assert_eq!((kinds(&got).as_str(), error(&got)[0].as_str()), ("EZ", "0A000"));
-    // A length that no message has: the session ends, with a word.
+    // A length that no message can have: the session ends with an error.
     let mut bad = Raw::connect(program.platform);
     bad.send(&[b'Q', 0xff, 0xff, 0xff, 0xff]);
     let last = bad.message().expect("a last word");
@@ -101,22 +101,22 @@
     wrong.send(&[0, 0, 0, 8, 0, 2, 0, 0]);
     assert!(error(&[wrong.message().expect("a last word")])[1].contains("field version"));
     assert_eq!(rows(&good.ask(&sql("lane-rate", 2, ""))).len(), 1);
-    // Several statements in one text: the first alone would be answered for all.
+    // Several statements in one text: only the first would be answered.
     let several = good.ask(&format!("{}; DROP TABLE staging.batch", sql("lane-rate", 3, "")));
     assert_eq!(error(&several)[0], "0A000");
-    // An id that was given to a request before, with another statement.
+    // An id that was used before, with another statement.
     let again = good.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
     assert_eq!(error(&again)[0], "42710");
     assert_eq!(engine.seen("do").len(), 1, "nothing malformed was sent on");
     assert!(program.running());
 }
 
-/// A request that was refused is answered at once, with when to come back.
+/// A rejected request is answered at once, with the time after which to retry.
 #[test]
 fn rejection_is_immediate_and_carries_retry_after() {
     let program = Program::start(&[], None, None);
     let mut raw = Raw::connect(program.platform);
-    // Ten minutes of work that its client wants within twenty seconds: worth nothing in time.
+    // Ten minutes of work that the client wants within twenty seconds: it cannot be served in time.
     let got = raw.ask(&sql("lane-rate", 1, ",ms=600000"));
     let [code, _, detail, hint] = error(&got);
     assert!(code.starts_with("53"), "{code}");
@@ -141,7 +141,7 @@
     assert_eq!(engine.wait_for("undo", 2)[1].parts[1], format!("{:016x}", 2));
 }
 
-/// An engine that answers nonsense loses its connection, and with it no more than one attempt each.
+/// An engine that sends garbage loses its connection, and each request one attempt.
 #[test]
 fn garbled_answer_is_retried_on_another_engine() {
     use std::sync::atomic::{AtomicUsize, Ordering};
@@ -165,8 +165,8 @@
     format!("*{}\r\n{each}", parts.len())
 }
 
-/// Nothing spoilt reaches a client: the attempt goes elsewhere where the class allows it, the connection
-/// is given up and what is good after it is served. Engines are not left out for it.
+/// Nothing malformed reaches a client: the request is retried where its class allows it, the connection is closed, and
+/// valid answers after it are served. Engines are not ejected for it.
 #[test]
 fn malformed_answers_are_retried_and_never_delivered() {
     use std::sync::atomic::{AtomicUsize, Ordering};
@@ -182,10 +182,10 @@
         "*4\r\n$16\r\n@\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$3221225472\r\n".into(),
         "*4\r\n$16\r\n@\r\n$6\r\nser".into(),
     ];
-    // Three to a program: its ration of further attempts.
+    // Three for each program: its retry budget.
     for spoilt in spoilt.chunks(3) {
         let (all, tries) = (spoilt.to_vec(), AtomicUsize::new(0));
-        // One attempt in two is spoilt, each in another way.
+        // Every second answer is malformed, each in another way.
         let engine = Engine::start(move |_| {
             let n = tries.fetch_add(1, Ordering::SeqCst);
             let bad = all.get(n / 2).filter(|_| n % 2 == 0);
@@ -202,7 +202,7 @@
     }
 }
 
-/// Second copies, and answers under ids that nobody asked with, are passed over without harm.
+/// Duplicate answers, and answers with unknown ids, are ignored.
 #[test]
 fn unexpected_answers_are_ignored() {
     let engine = Engine::start(|_| {
@@ -220,7 +220,8 @@
     assert!(program.lines().iter().all(|l| !l.contains("ended with")), "the connection stays");
 }
 
-/// The feed is followed over a cut, repeats are passed over, and a draining engine gets nothing new.
+/// The feed is resumed after its connection was cut, repeated events are ignored, and a draining engine gets no new
+/// requests.
 #[test]
 fn feed_is_resumed_after_a_disconnect() {
     let (a, b, feed) = (Engine::echo(), Engine::echo(), Feed::start());
@@ -244,8 +245,8 @@
     assert_eq!(news, 1, "the repeat was passed over");
 }
 
-/// Guards the usual clients: connections that say nothing, and sessions that asked once and stay, filled
-/// the sessions and held two buffers each, and newcomers were turned away.
+/// Connections without a session, and sessions that sent one request and stay, must not take all slots: new clients
+/// would be rejected.
 #[test]
 fn silent_and_idle_connections_are_evicted_for_active_ones() {
     let engine = Engine::echo();
@@ -259,7 +260,7 @@
     assert!(kept[0].message().is_none(), "the longest idle was let go");
     kept[118].ask(&sql("lane-rate", 119 + 1, ""));
     let silent: Vec<Raw> = (0..200).map(|_| Raw::open(program.platform)).collect();
-    // What has only just come is given the time to say something.
+    // Connections within their grace period are not evicted.
     std::thread::sleep(Duration::from_millis(100));
     for id in 200..240 {
         let mut raw = Raw::connect(program.platform);
@@ -268,7 +269,7 @@
     drop(silent);
 }
 
-/// Guards the seats and the buffers: nothing that was begun may take for ever, and its sender hears so.
+/// An incomplete message does not hold a slot and a buffer for ever, and its sender gets an error.
 #[test]
 fn incomplete_message_times_out_with_an_error() {
     let program = Program::start(&[], None, None);
@@ -285,7 +286,7 @@
     assert!(at.elapsed() >= Duration::from_millis(1_500), "not before its time");
 }
 
-/// Guards the last word: closing on unread input sends a reset, which may overtake it.
+/// Closing a socket with unread input sends a reset, which could destroy the final error.
 #[test]
 fn oversized_message_sender_receives_its_error() {
     let program = Program::start(&[], None, None);
@@ -298,8 +299,8 @@
     assert!(raw.message().is_none());
 }
 
-/// Guards the rule on drains: an event that came spoilt was ticked off, and what it told never heard of.
-/// It is asked for anew; one that stays spoilt is passed over in the end.
+/// A damaged event must not be lost, since it may be a drain: it is requested again. One that stays damaged is finally
+/// skipped.
 #[test]
 fn unreadable_event_is_requested_again_and_finally_skipped() {
     let (engine, feed) = (Engine::echo(), Feed::start());
@@ -318,8 +319,8 @@
     assert!(from(1) == 2 && from(2) == 3, "{calls:?}");
 }
 
-/// SIGHUP ended the program. It moves the feed and nothing else: the event after the last one read is
-/// asked for at the new address, the old feed is let go, and what is open stays open.
+/// SIGHUP moves the feed and nothing else: the event after the last one that was read is requested at the new address,
+/// the old feed's connection is closed, and all other connections stay open.
 #[test]
 fn sighup_moves_the_feed_and_changes_nothing_else() {
     let release = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
@@ -339,7 +340,7 @@
     let mut raw = Raw::connect(program.platform);
     raw.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
-    // A file that cannot be read changes nothing, and is told of.
+    // A file that cannot be read changes nothing, and is logged.
     let good = program.config_with_feed(new.address);
     program.reload(&good[..good.len() / 2]);
     program.wait_line("configuration not read anew");
@@ -355,7 +356,7 @@
     assert!(program.running());
 }
 
-/// An address used again: the old engine's connections carry nothing for the new one.
+/// An address is reused: requests for the new engine are not sent on connections to the old one.
 #[test]
 fn new_engine_at_a_reused_address_is_dialed_again() {
     let (engine, feed) = (Engine::echo(), Feed::start());
@@ -368,7 +369,7 @@
     assert_eq!(rows(&raw.ask(&sql("lane-rate", 2, ""))).len(), 1);
 }
 
-/// SIGTERM: what was taken is answered, what still comes is served, and the exit is clean.
+/// SIGTERM: admitted requests are answered, those that still arrive are served, and the exit code is 0.
 #[test]
 fn stop_answers_admitted_requests_and_exits_with_0() {
     let engine = Engine::start(|seen| {
@@ -384,7 +385,7 @@
     program.wait_line("stopping");
     if idle.stream.write_all(&query("")).is_ok() {
         let got = idle.message().map(|m| m.0);
-        // Requests still come for 0.6 s; a machine that took longer to get here shows nothing.
+        // Requests still arrive for 0.6 s; on a machine that took longer to get here this shows nothing.
         assert!(got == Some(b'I') || at.elapsed() > Duration::from_millis(500), "{got:?}");
         assert!(got.is_none() || idle.message().map(|m| m.0) == Some(b'Z'));
     }
@@ -439,18 +440,17 @@
     drop(std::fs::remove_dir_all(dir));
 }
 
-/// Guards the one final answer: on a connection that came up late, requests were sent on that had been answered
-/// long before. The engine's queue of connections is full, so that the program's own comes up only once this test
-/// takes them.
+/// A request must not be sent on a connection that is established after the request was answered. The engine's queue of
+/// connections is full, so that the program's own is established only when this test accepts them.
 #[test]
 fn answered_request_is_not_sent_when_its_connection_opens_late() {
     let late = Late::listen();
     let program = Program::start(&[("s-1", late.address)], None, None);
     let mut raw = Raw::connect(program.platform);
-    // One that the module gives up on.
+    // A request that the policy rejects.
     let short = sql("lane-rate", 1, "").replace("timeout=20000", "timeout=400");
     assert_eq!(kinds(&raw.ask(&short)), "EZ", "nobody could answer it");
-    // One whose client goes.
+    // A request whose client leaves.
     let mut gone = Raw::connect(program.platform);
     gone.send(&query(&sql("lane-rate", 2, "")));
     drop(gone);
@@ -459,7 +459,7 @@
     }
     let engine = late.open(|_| Reply::Hold);
     raw.send(&query(&sql("lane-rate", 3, "")));
-    // It shares the connection: what left before it would be here before it.
+    // It shares the connection: what was sent before it would have arrived before it.
     let seen = engine.wait_for("do", 1);
     assert_eq!(seen[0].parts[1], format!("{:016x}", 3), "{seen:?}");
 }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! After SIGTERM: new connections come for 0.2 to 0.4 s more, requests on open ones for 0.2 s more, and each of them is
-//! answered; the end comes behind the last answer.
+//! After SIGTERM: new connections arrive for another 0.2 to 0.4 s, requests on open ones for another 0.2 s, and each of
+//! them is answered; sessions end after their last answer.
 mod support;
 
 use std::io::Write;
@@ -13,7 +13,7 @@
 /// The last moment after SIGTERM at which the platform opens a connection, and sends a request on an open one.
 const LAST_CONNECTION: Duration = Duration::from_millis(400);
 const LAST_REQUEST: Duration = Duration::from_millis(600);
-/// A test that was held up itself sends nothing later than this before those: what it sends has to be in time.
+/// A test that was delayed itself sends nothing later than this before those moments: what it sends has to be in time.
 const SURE: Duration = Duration::from_millis(10);
 
 fn sql(req: u64, ms: u64) -> String {
@@ -26,8 +26,8 @@
 }
 
 /// Clients that go on as the platform does: eight on connections that were open before, and new ones, each with its
-/// first request right behind the start-up. Requests take 200 ms, so the last of them are out when the program stops
-/// listening.
+/// first request directly after the start-up packet. Requests take 200 ms, so the last of them are in flight when the
+/// program stops listening.
 #[test]
 fn input_arriving_after_a_stop_is_answered() {
     let engine = Paced::start();
@@ -86,8 +86,8 @@
     assert!(program.lines().iter().any(|l| l.ends_with("stopped: 0 open")), "{:?}", program.lines());
 }
 
-/// The program gets no turn on its processor from before the last requests come until after it would have stopped
-/// listening: what was written to its connections meanwhile was taken, and is owed an answer.
+/// The process is suspended from before the last requests arrive until after it would have stopped listening: what was
+/// written to its connections meanwhile was accepted, and is owed an answer.
 #[test]
 fn input_received_while_the_process_was_suspended_is_answered() {
     let engine = Paced::start();
@@ -108,7 +108,7 @@
     let sent = at.elapsed();
     thread::sleep(Duration::from_millis(1_000));
     signal(&program, "-CONT");
-    // A machine that took longer to get here shows nothing.
+    // On a machine that took longer to get here this shows nothing.
     if sent + SURE < LAST_CONNECTION {
         let got: Vec<usize> = open.iter_mut().map(|raw| answers(raw, 1)).collect();
         assert_eq!(got, vec![1; 16], "on connections that were open");
@@ -131,7 +131,7 @@
     rows(&got).len()
 }
 
-/// A program that was told to stop while a request of 1.5 s is out, and that request's client.
+/// A program that was stopped while a request of 1.5 s is in flight, and that request's client.
 fn stopped_with_one_out() -> (Paced, Program, Raw) {
     let engine = Paced::start();
     let program = Program::start(&[("s-1", engine.address)], None, None);
@@ -142,21 +142,21 @@
     (engine, program, raw)
 }
 
-/// A session whose request is out when the program stops listening gets its answer whole, and an end behind it; who asks
-/// again on it crosses the close, which the platform mends by itself.
+/// A session whose request is in flight when the program stops listening gets its complete answer, and then the end. A
+/// request that it sends at that moment crosses the close, which the platform handles.
 #[test]
 fn session_ends_after_its_last_answer() {
     let (engine, mut program, mut raw) = stopped_with_one_out();
     assert_eq!(rows(&raw.until_ready()).len(), 1);
-    // An error here says that the close came first.
+    // An error here means that the close came first.
     let _ = raw.stream.write_all(&query(&sql(2, 1)));
     assert!(raw.message().is_none(), "nothing behind the last answer");
     assert_eq!(program.ended(), Some(0));
     assert_eq!(engine.served(), 1);
 }
 
-/// A request whose deadline lies behind the time at which the platform kills: it hears its end before that, with what a
-/// repeat would do, and the program ends by itself.
+/// A request whose deadline is after the time at which the platform kills the process: it is ended before that, with an
+/// error that says whether a retry is safe, and the program exits by itself.
 #[test]
 fn unfinishable_request_gets_an_error_before_the_kill() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -170,13 +170,13 @@
     assert_eq!(error(&got)[0], "40003", "it may have run");
     let after = at.elapsed();
     assert_eq!(program.ended(), Some(0));
-    // Never sooner than the others may still be answered.
+    // Never earlier than others may still be answered.
     assert!(after > Duration::from_secs(3), "{after:?}");
     engine.wait_for("undo", 1);
 }
 
-/// A request that comes in the time of the stop, whose client would wait for longer than the process lives: its engine
-/// is told no more time than there is, and its client hears its end before the kill.
+/// A request that arrives during the stop, whose client would wait for longer than the process lives: its engine gets
+/// only the time that is left, and its client gets the error before the kill.
 #[test]
 fn request_during_a_stop_gets_the_remaining_time() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -193,7 +193,7 @@
     assert_eq!(program.ended(), Some(0));
 }
 
-/// What ends and reloads a process comes again while it ends: it changes nothing.
+/// Signals that stop and reload the process have no effect while it stops.
 #[test]
 fn signals_during_a_stop_have_no_effect() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -213,12 +213,12 @@
     assert_eq!(program.lines().iter().filter(|l| l.contains("stopping: 1 open")).count(), 1);
 }
 
-/// A client that has not read its last answer yet and goes on writing: closed over what it writes, its connection would
-/// be reset, and the answer go with it.
+/// A client has not read its last answer and goes on writing. If its connection were closed with unread input it would
+/// be reset, and the answer lost.
 #[test]
 fn last_answer_is_delivered_to_a_client_that_still_writes() {
     let (engine, mut program, mut raw) = stopped_with_one_out();
-    // All of it is here, unread.
+    // All of it has arrived, and is unread.
     let mut seen = [0; 4096];
     until(|| {
         let n = raw.stream.peek(&mut seen).expect("peeked");
