--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 
 use sprucelink::run::cli::{self, Command, Files};
 use sprucelink::run::serve::Start;
-use sprucelink::run::{commands, config, logging, operator, serve, socket_activation};
+use sprucelink::run::{commands, config, logging, second_front, serve, socket_activation};
 use sprucelink_settings::Environment;
 
 fn text(path: &str) -> Result<String, String> {
@@ -23,7 +23,7 @@
 fn read(files: &Files) -> Result<Start, String> {
     let mut config = read_config(files)?;
     let operator = files.operator.as_ref().map(|path| {
-        let read = operator::parse(&text(path)?, &config.setup).map_err(|e| format!("{path}: {e}"))?;
+        let read = second_front::parse(&text(path)?, &config.setup).map_err(|e| format!("{path}: {e}"))?;
         let (needs, sockets) = (read.descriptors(), config.sockets);
         config.keep_back(needs).map_err(|least| {
             format!(
--- a/src/run/cli.rs
+++ b/src/run/cli/mod.rs
@@ -1,6 +1,6 @@
 //! The command line: one table of sub-commands, each with its help.
 
-use super::logging::{self, Logging};
+use crate::run::logging::{self, Logging};
 use lexopt::{Arg, Parser, ValueExt};
 use sprucelink_capture::explain::Question;
 use sprucelink_capture::replay::Treatment;
--- a/src/run/commands.rs
+++ b/src/run/commands/mod.rs
@@ -1,6 +1,6 @@
 //! The sub-commands that read captures: replay, explain, show, cut, verify. Each gives its exit status.
 
-use super::cli::{Asked, CutOut, Replay, When};
+use crate::run::cli::{Asked, CutOut, Replay, When};
 use serde_json::{json, Value};
 use sprucelink_capture::cut::{self, Cut};
 use sprucelink_capture::explain::{explain, Line, Question};
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -181,5 +181,4 @@
 }
 
 #[cfg(test)]
-#[path = "config_tests.rs"]
 mod tests;
--- a/src/run/config_tests.rs
+++ b/src/run/config/tests.rs
@@ -104,7 +104,7 @@
 fn what_is_kept_back_comes_off_both_sides() {
     let mut c = parse(&format!("{{{LEAST}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
     let text = r#"{"listen":"127.0.0.1:0"}"#;
-    let second = crate::run::operator::parse(text, &c.setup).unwrap_or_else(|e| panic!("{e}"));
+    let second = crate::run::second_front::parse(text, &c.setup).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(second.descriptors(), 1 + 64 + 2 + 8);
     c.keep_back(second.descriptors()).unwrap_or_else(|least| panic!("{least}"));
     assert_eq!((c.shares.kept, c.setup.most_sessions, c.terms.most_links), (75, 563, 337));
--- a/src/run/operator.rs
+++ b/src/run/second_front.rs
@@ -1,6 +1,6 @@
 //! The operator's file: it sets up the second front, which is off without it.
 
-use super::acme::{self, Acme};
+use super::certificates::{self, Acme};
 use crate::front::Setup;
 use serde_json::Value;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 impl Operator {
     /// Descriptors that the second front holds at most: its listener, its connections, and what its certificates need.
     pub fn descriptors(&self) -> usize {
-        1 + self.setup.most_connections() + self.acme.as_ref().map_or(0, |_| acme::DESCRIPTORS)
+        1 + self.setup.most_connections() + self.acme.as_ref().map_or(0, |_| certificates::DESCRIPTORS)
     }
 }
 
--- a/src/run/serve.rs
+++ b/src/run/serve/mod.rs
@@ -1,16 +1,16 @@
 //! Serving: from the configuration to the last answer after SIGTERM.
 
-use super::acme;
-use super::admin::{self, Desk};
-use super::cli::Files;
-use super::config::Config;
-use super::hot_restart_driver::Upgrade;
-use super::membership_driver::{self, Told};
-use super::operator::Operator;
 use crate::core::buffer_pool::BufferPool;
 use crate::core::request_table::Core;
 use crate::core::{endpoint_client, now, span};
 use crate::front::{Front, Setup};
+use crate::run::admin::{self, Desk};
+use crate::run::certificates;
+use crate::run::cli::Files;
+use crate::run::config::Config;
+use crate::run::hot_restart_driver::Upgrade;
+use crate::run::membership_driver::{self, Told};
+use crate::run::second_front::Operator;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
 use sprucelink_hot_restart::Spans;
@@ -199,7 +199,7 @@
         let listener = bind(&operator.listen).await?;
         let second = open("second front", &core, listener, operator.setup)?;
         if let Some(acme) = operator.acme {
-            acme::keep(acme, Rc::clone(&second.0)).await?;
+            certificates::keep(acme, Rc::clone(&second.0)).await?;
         }
         fronts.push(second);
     }
