--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -1,20 +1,23 @@
-//! The operators' address: what their calls do in this program. `sprucelink_admin` speaks HTTP and holds callers to
-//! their bounds.
+//! The admin address: what its calls do in this program. `sprucelink_admin` speaks HTTP and bounds the callers.
 
-use super::hot_restart_driver::Upgrade;
+use super::hot_restart_driver::HotRestartDriver;
 use crate::core::request_table::Core;
 use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
-use sprucelink_cordon::{By, Change, Hold, Refused as Unfit};
+use sprucelink_cordon::{By, Change, Hold, Refused as CordonError};
 use sprucelink_metrics::Counter;
 use std::cell::Cell;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// What callers are held to, of a process that may hold so many descriptors. Operators, checks and scrapers are a
-/// handful, and each seat is a descriptor that clients and engines go without.
+/// Who asked for a cordon, as its record says.
+const CORDON_ORIGIN: &str = "by the operators' address";
+
+/// Limits of the admin address in a process that may hold this many descriptors. Operators, health checks and scrapers
+/// are a handful, and each connection is a descriptor that clients and engines go without.
 pub fn limits(sockets: usize) -> Limits {
     Limits {
         callers: (sockets / 16).clamp(4, 32),
@@ -26,91 +29,111 @@
     }
 }
 
-/// What a ban says of who wanted it.
-const BY_HAND: &str = "by the operators' address";
+/// An admin address that cannot be listened on.
+#[derive(Debug, thiserror::Error)]
+#[error("operators: listen on {address}")]
+pub struct AdminListenError {
+    /// The address as configured.
+    pub address: String,
+    /// The operating system's reason.
+    pub source: io::Error,
+}
+
+/// The counter of a limit that callers reach.
+struct LimitCounter {
+    limit: Bite,
+    counter: Counter,
+}
 
-/// The program, as operators' calls see it.
-pub struct Desk {
+/// The program, as admin calls see it.
+pub struct AdminOperations {
     core: Rc<Core>,
-    ready: Cell<bool>,
-    /// This process's side of an upgrade, where there may be one.
-    upgrade: Option<Rc<Upgrade>>,
-    bitten: Vec<(Bite, Counter)>,
+    is_ready: Cell<bool>,
+    /// This process's side of a hot restart, where there may be one.
+    hot_restart: Option<Rc<HotRestartDriver>>,
+    limit_counters: Vec<LimitCounter>,
 }
 
-impl Desk {
-    /// A desk over this core, that says no to health checks until [`Desk::ready`].
-    pub fn new(core: Rc<Core>, upgrade: Option<Rc<Upgrade>>) -> Rc<Desk> {
-        let counter = |bite: &Bite| {
-            let counter = core.figures().counter(bite.name());
-            (*bite, counter.unwrap_or_else(|_| Counter::noop()))
+impl AdminOperations {
+    /// Operations on a core; health checks fail until [`AdminOperations::set_ready`].
+    pub fn new(core: Rc<Core>, hot_restart: Option<Rc<HotRestartDriver>>) -> Rc<AdminOperations> {
+        let counter = |limit: &Bite| {
+            let counter = core.figures().counter(limit.name());
+            LimitCounter { limit: *limit, counter: counter.unwrap_or_else(|_| Counter::noop()) }
         };
-        let bitten = Bite::ALL.iter().map(counter).collect();
-        Rc::new(Desk { core, ready: Cell::new(false), upgrade, bitten })
+        let limit_counters = Bite::ALL.iter().map(counter).collect();
+        Rc::new(AdminOperations { core, is_ready: Cell::new(false), hot_restart, limit_counters })
     }
 
     /// From now on this process can serve.
-    pub fn ready(&self) {
-        self.ready.set(true);
+    pub fn set_ready(&self) {
+        self.is_ready.set(true);
     }
 
-    /// Listens for operators on an address, and holds them to these limits.
+    /// Listens for admin calls within these limits.
     ///
     /// # Errors
     /// An address that cannot be listened on.
-    pub async fn open(self: &Rc<Self>, address: &str, limits: Limits) -> Result<(), String> {
-        let failed = |e: std::io::Error| format!("operators: listen on {address}: {e}");
+    pub async fn listen(self: &Rc<Self>, address: &str, limits: Limits) -> Result<(), AdminListenError> {
+        let failed = |source| AdminListenError { address: address.to_owned(), source };
         let listener = TcpListener::bind(address).await.map_err(failed)?;
-        let at = listener.local_addr().map_err(failed)?;
+        let local_address = listener.local_addr().map_err(failed)?;
         spawn_local(sprucelink_admin::serve(listener, Rc::clone(self), limits));
-        info!("operators on {at}");
+        info!("operators on {local_address}");
         Ok(())
     }
 
-    fn obeyed(&self, id: &str, change: Result<Change, Unfit>) -> Result<Done, Refused> {
-        if let (Ok(_), Some(upgrade)) = (&change, &self.upgrade) {
-            // On record before the yes: it has to hold in the process that comes next.
-            let unrecorded = |why| Refused::Unavailable(format!("it holds here and is not on record: {why}"));
-            upgrade.record().map_err(unrecorded)?;
+    /// Answers a call that changed, or was to change, a cordon.
+    fn complete(&self, engine: &str, change: Result<Change, CordonError>) -> Result<Done, Refused> {
+        let change = change.map_err(|error| {
+            warn!(engine = %engine, "operators: engine {engine}: {error}");
+            refusal(&error)
+        });
+        // Written before the answer: a cordon has to hold in the process that follows this one.
+        if let (Ok(_), Some(hot_restart)) = (&change, &self.hot_restart) {
+            hot_restart.record_cordons().map_err(|error| {
+                Refused::Unavailable(format!("it holds here and is not on record: {error}"))
+            })?;
         }
-        match change {
-            Ok(Change::Out | Change::Back) => Ok(Done::Changed),
-            Ok(Change::AlreadyOut | Change::NotOut | Change::StillOut { .. }) => Ok(Done::Unchanged),
-            Err(unfit) => {
-                warn!(engine = %id, "operators: engine {id}: {unfit}");
-                match unfit {
-                    Unfit::NeverListed | Unfit::BadTarget => Err(Refused::Unknown),
-                    Unfit::TooMany | Unfit::BadLease => Err(Refused::Unavailable(unfit.to_string())),
-                }
-            }
+        match change? {
+            Change::Out | Change::Back => Ok(Done::Changed),
+            Change::AlreadyOut | Change::NotOut | Change::StillOut { .. } => Ok(Done::Unchanged),
         }
     }
 }
 
-impl Operations for Desk {
+/// The answer to a call that the cordons rejected.
+fn refusal(error: &CordonError) -> Refused {
+    match error {
+        CordonError::NeverListed | CordonError::BadTarget => Refused::Unknown,
+        CordonError::TooMany | CordonError::BadLease => Refused::Unavailable(error.to_string()),
+    }
+}
+
+impl Operations for AdminOperations {
     fn healthy(&self) -> bool {
-        self.ready.get() && self.upgrade.as_ref().is_none_or(|u| u.says_yes())
+        self.is_ready.get() && self.hot_restart.as_ref().is_none_or(|hot_restart| hot_restart.is_healthy())
     }
 
     fn stats(&self) -> String {
         let (listed, avoided) = self.core.listed_and_avoided();
-        let figures = self.core.figures();
-        figures.discovered(listed);
-        figures.ejected(avoided);
-        figures.render()
+        let metrics = self.core.figures();
+        metrics.discovered(listed);
+        metrics.ejected(avoided);
+        metrics.render()
     }
 
     fn cordon(&self, target: &str) -> Result<Done, Refused> {
-        self.obeyed(target, self.core.take_out(target, Hold::Operator, BY_HAND))
+        self.complete(target, self.core.take_out(target, Hold::Operator, CORDON_ORIGIN))
     }
 
     fn uncordon(&self, target: &str) -> Result<Done, Refused> {
-        self.obeyed(target, self.core.put_back(target, By::Operator))
+        self.complete(target, self.core.put_back(target, By::Operator))
     }
 
     fn bitten(&self, bite: Bite) {
-        if let Some((_, counter)) = self.bitten.iter().find(|(b, _)| *b == bite) {
-            counter.increment(1);
+        if let Some(entry) = self.limit_counters.iter().find(|entry| entry.limit == bite) {
+            entry.counter.increment(1);
         }
     }
 }
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -1,293 +1,142 @@
-//! Certificates for the second front, by ACME (RFC 8555, challenge http-01): ordered at the start,
-//! renewed before they expire, and tried again with growing rests while the old one serves.
+//! Certificates for the second front, by ACME (RFC 8555, challenge http-01).
+//!
+//! A certificate is ordered at the start and renewed before it expires; a failed order is retried with exponential
+//! backoff while the old certificate serves. [`order`] speaks to the authority, [`challenge_listener`] answers its
+//! validation requests, [`store`] keeps the account and the certificate on disk.
 
+mod certificate;
+mod challenge_listener;
+mod error;
+mod order;
+mod store;
+
+pub use error::{CertificateError, OrderError};
+
+use super::error::with_causes;
 use crate::front::Front;
-use instant_acme::{
-    Account, AuthorizationStatus, ChallengeType, Identifier, NewAccount, NewOrder, OrderStatus, RetryPolicy,
-};
-use serde_json::{json, Value};
-use std::cell::RefCell;
-use std::collections::{BTreeMap, VecDeque};
-use std::path::{Path, PathBuf};
+use certificate::Certificate;
+use challenge_listener::{ChallengeResponses, MAX_REQUESTS};
+use std::path::PathBuf;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::task::{spawn_local, JoinHandle};
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use tokio_rustls::rustls::pki_types::pem::PemObject;
-use tokio_rustls::rustls::pki_types::{CertificateDer, PrivateKeyDer};
-use tokio_rustls::rustls::ServerConfig;
-use tokio_rustls::TlsAcceptor;
 use tracing::{error, info, warn};
-use x509_parser::extensions::GeneralName;
 
-/// A certificate is renewed with at least this share of its life to go, however short it is.
-const LIFE_SHARE: f64 = 1.0 / 3.0;
-/// Longest question of the authority, and how long it may take to put it.
-const QUESTION: usize = 4096;
-const PUT: Duration = Duration::from_secs(5);
-/// Questions at a time: who has asked for longest goes for the next. An authority asks from a few places at once.
-const QUESTIONS: usize = 16;
-/// Descriptors that the certificates need at most: the listener, its questions and one just accepted, two connections to
-/// the authority and a file.
-pub const DESCRIPTORS: usize = 1 + QUESTIONS + 1 + 2 + 1;
-/// How long one order may take in all.
-const ORDER: Duration = Duration::from_secs(120);
-/// No file makes the rests shorter: an authority that refuses is not to be flooded.
-const LEAST_REST: Duration = Duration::from_millis(100);
-/// Between two looks at the clock: machines sleep, and clocks are set.
-const LOOK: Duration = Duration::from_secs(60);
+/// Descriptors that certificates need at most: the listener, its requests and one just accepted, two connections to the
+/// authority and a file.
+pub const MAX_DESCRIPTORS: usize = 1 + MAX_REQUESTS + 1 + 2 + 1;
+/// Longest duration of one order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
+/// Shortest pause after a failed order, whatever is configured: an authority that rejects must not be flooded.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Longest sleep between two looks at the clock: machines are suspended, and clocks are set.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(60);
+
+/// Pauses after failed orders: each is twice the one before.
+#[derive(Clone, Copy, Debug)]
+pub struct RetryBackoff {
+    /// After the first failure.
+    pub first: Duration,
+    /// The longest.
+    pub max: Duration,
+}
 
-/// What the operator's file says of certificates.
+/// Where certificates come from.
 #[derive(Clone, Debug)]
-pub struct Acme {
-    /// The authority's directory.
+pub struct CertificateConfig {
+    /// URL of the authority's directory.
     pub directory: String,
-    /// The root that the authority's own certificate comes from; else the system's.
+    /// File of the root that the authority's own certificate is verified by; otherwise the system's roots.
     pub trust_root: Option<PathBuf>,
-    /// Names on the certificate.
+    /// DNS names on the certificate.
     pub names: Vec<String>,
-    /// Where to reach the operator.
+    /// Contact URLs of the account.
     pub contact: Vec<String>,
-    /// Where the authority's questions come in.
+    /// Address on which the authority's validation requests arrive.
     pub challenge_listen: String,
-    /// Folder for the account, the key and the certificate; without it each start orders anew.
+    /// Folder for the account, the key and the certificate; without it each start orders again.
     pub store: Option<PathBuf>,
-    /// Renewed this long before it expires.
+    /// A certificate is renewed this long before it expires.
     pub renew_before: Duration,
-    /// First and longest rest after a failure.
-    pub retry: [Duration; 2],
-}
-
-/// Answers to the authority's questions, by token.
-type Answers = Rc<RefCell<BTreeMap<String, String>>>;
-
-/// A key and its certificate, as PEM, and the span that it holds for in Unix seconds.
-struct Held {
-    chain: String,
-    key: String,
-    from: i64,
-    until: i64,
-    names: Vec<String>,
+    /// Pauses after failed orders.
+    pub retry: RetryBackoff,
 }
 
-fn unix() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs() as i64)
+/// Seconds since the Unix epoch.
+fn unix_seconds() -> i64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs() as i64)
 }
 
-fn dns_name(name: &GeneralName) -> Option<String> {
-    match name {
-        GeneralName::DNSName(name) => Some((*name).to_owned()),
-        _ => None,
-    }
-}
-
-impl Held {
-    fn new(chain: String, key: String) -> Result<Held, String> {
-        let leaf =
-            CertificateDer::from_pem_slice(chain.as_bytes()).map_err(|e| format!("certificate: {e}"))?;
-        let (_, parsed) =
-            x509_parser::parse_x509_certificate(&leaf).map_err(|e| format!("certificate: {e}"))?;
-        let (from, until) =
-            (parsed.validity().not_before.timestamp(), parsed.validity().not_after.timestamp());
-        let names = match parsed.subject_alternative_name() {
-            Ok(Some(names)) => names.value.general_names.iter().filter_map(dns_name).collect(),
-            _ => Vec::new(),
-        };
-        Ok(Held { chain, key, from, until, names })
-    }
-
-    fn acceptor(&self) -> Result<TlsAcceptor, String> {
-        let chain = CertificateDer::pem_slice_iter(self.chain.as_bytes()).collect::<Result<Vec<_>, _>>();
-        let chain = chain.map_err(|e| format!("certificate: {e}"))?;
-        let key = PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(|e| format!("key: {e}"))?;
-        let provider = Arc::new(tokio_rustls::rustls::crypto::ring::default_provider());
-        let config = ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-        let config = config.map_err(|e| e.to_string())?.with_no_client_auth().with_single_cert(chain, key);
-        Ok(TlsAcceptor::from(Arc::new(config.map_err(|e| e.to_string())?)))
-    }
-
-    /// When it is to be renewed, in Unix seconds.
-    fn renew_at(&self, before: Duration) -> i64 {
-        let third = ((self.until - self.from) as f64 * LIFE_SHARE) as i64;
-        self.until - third.min(before.as_secs() as i64)
-    }
-}
-
-/// Keeps a front in certificates, for good. An error is one of the start.
-pub async fn keep(acme: Acme, front: Rc<Front>) -> Result<(), String> {
-    let at = &acme.challenge_listen;
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("listen on {at}: {e}"))?;
-    let answers = Answers::default();
-    spawn_local(questions(listener, Rc::clone(&answers)));
-    spawn_local(renew(acme, front, answers));
+/// Keeps a front supplied with certificates, in tasks that never end.
+///
+/// # Errors
+/// A challenge address that cannot be listened on.
+pub async fn maintain(config: CertificateConfig, front: Rc<Front>) -> Result<(), CertificateError> {
+    let address = &config.challenge_listen;
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(|source| CertificateError::Listen { address: address.clone(), source })?;
+    let responses = ChallengeResponses::default();
+    spawn_local(challenge_listener::run(listener, responses.clone()));
+    spawn_local(renew_forever(config, front, responses));
     Ok(())
 }
 
-async fn renew(acme: Acme, front: Rc<Front>, answers: Answers) {
-    let mut held = acme.store.as_deref().and_then(|dir| load(dir).ok());
-    // Not one that has expired, nor one for the names of an older file.
-    held = held.filter(|h| h.until > unix() && acme.names.iter().all(|n| h.names.contains(n)));
-    if let Some(held) = &held {
-        install(&front, held, "certificate loaded");
+async fn renew_forever(config: CertificateConfig, front: Rc<Front>, responses: ChallengeResponses) {
+    let mut current = load_usable(&config);
+    if let Some(certificate) = &current {
+        install(&front, certificate, "certificate loaded");
     }
-    let mut rest = acme.retry[0];
+    let mut pause = config.retry.first;
     loop {
-        let due = held.as_ref().map_or(0, |h| h.renew_at(acme.renew_before));
-        if unix() < due {
-            sleep(Duration::from_secs((due - unix()).max(1) as u64).min(LOOK)).await;
+        let due = current.as_ref().map_or(0, |certificate| certificate.renew_at(config.renew_before));
+        let now = unix_seconds();
+        if now < due {
+            sleep(Duration::from_secs((due - now) as u64).min(CLOCK_CHECK_INTERVAL)).await;
             continue;
         }
-        let ordered = timeout(ORDER, order(&acme, &answers)).await;
-        answers.borrow_mut().clear();
-        match ordered.unwrap_or_else(|_| Err("the order took too long".into())) {
-            Ok(new) => {
-                if let Err(e) = acme.store.as_deref().map_or(Ok(()), |dir| save(dir, &new)) {
-                    warn!("certificate not saved: {e}");
-                }
-                install(&front, &new, "certificate renewed");
-                held = Some(new);
-                rest = acme.retry[0];
+        let ordered = timeout(ORDER_TIMEOUT, order::order(&config, &responses)).await;
+        responses.clear();
+        match ordered.unwrap_or(Err(OrderError::Timeout)) {
+            Ok(certificate) => {
+                save(&config, &certificate);
+                install(&front, &certificate, "certificate renewed");
+                current = Some(certificate);
+                pause = config.retry.first;
             }
-            Err(e) => {
-                warn!("certificate not renewed, next try in {} s: {e}", rest.as_secs_f64());
-                sleep(rest.max(LEAST_REST)).await;
-                rest = (rest * 2).min(acme.retry[1]);
+            Err(error) => {
+                let seconds = pause.as_secs_f64();
+                warn!("certificate not renewed, next try in {seconds} s: {}", with_causes(&error));
+                sleep(pause.max(MIN_RETRY_PAUSE)).await;
+                pause = (pause * 2).min(config.retry.max);
             }
         }
     }
 }
 
-/// Sessions that are open keep what they began with.
-fn install(front: &Front, held: &Held, what: &str) {
-    match held.acceptor() {
-        Ok(acceptor) => {
-            front.certify(acceptor);
-            info!("{what}, good until {}", held.until);
-        }
-        Err(e) => error!("certificate unusable: {e}"),
-    }
-}
-
-async fn order(acme: &Acme, answers: &Answers) -> Result<Held, String> {
-    let account = account(acme).await?;
-    let say = |e: instant_acme::Error| e.to_string();
-    let names: Vec<Identifier> = acme.names.iter().cloned().map(Identifier::Dns).collect();
-    let mut order = account.new_order(&NewOrder::new(&names)).await.map_err(say)?;
-    let mut authorizations = order.authorizations();
-    while let Some(authorization) = authorizations.next().await {
-        let mut authorization = authorization.map_err(say)?;
-        if authorization.status == AuthorizationStatus::Valid {
-            continue;
-        }
-        let challenge = authorization.challenge(ChallengeType::Http01);
-        let mut challenge = challenge.ok_or("the authority offers no http-01 challenge")?;
-        let answer = challenge.key_authorization().as_str().to_owned();
-        answers.borrow_mut().insert(challenge.token.clone(), answer);
-        challenge.set_ready().await.map_err(say)?;
-    }
-    let status = order.poll_ready(&RetryPolicy::default()).await.map_err(say)?;
-    if status != OrderStatus::Ready {
-        return Err(format!("the order is {status:?}"));
-    }
-    let key = order.finalize().await.map_err(say)?;
-    let chain = order.poll_certificate(&RetryPolicy::default()).await.map_err(say)?;
-    Held::new(chain, key)
+/// The certificate on disk, unless it has expired or lacks a name that is configured now.
+fn load_usable(config: &CertificateConfig) -> Option<Certificate> {
+    let certificate = store::load(config.store.as_deref()?).ok()?;
+    let is_usable = !certificate.is_expired(unix_seconds()) && certificate.covers(&config.names);
+    is_usable.then_some(certificate)
 }
 
-async fn account(acme: &Acme) -> Result<Account, String> {
-    let say = |e: instant_acme::Error| format!("account: {e}");
-    let builder = match &acme.trust_root {
-        Some(root) => Account::builder_with_root(root),
-        None => Account::builder(),
-    };
-    let builder = builder.map_err(say)?;
-    let file = acme.store.as_ref().map(|dir| dir.join("account.json"));
-    let known = file.as_ref().and_then(|f| std::fs::read_to_string(f).ok());
-    let known = known.and_then(|text| serde_json::from_str::<Value>(&text).ok());
-    // An account is good at its own authority only.
-    let known = known.filter(|k| k["directory"] == acme.directory);
-    if let Some(credentials) = known.and_then(|k| serde_json::from_value(k["credentials"].clone()).ok()) {
-        return builder.from_credentials(credentials).await.map_err(say);
-    }
-    let contact: Vec<&str> = acme.contact.iter().map(String::as_str).collect();
-    let new = NewAccount { contact: &contact, terms_of_service_agreed: true, only_return_existing: false };
-    let (account, credentials) = builder.create(&new, acme.directory.clone(), None).await.map_err(say)?;
-    if let Some(file) = file {
-        let credentials = serde_json::to_value(&credentials).map_err(|e| e.to_string())?;
-        let text = json!({"directory": acme.directory, "credentials": credentials}).to_string();
-        write_private(&file, &text).map_err(|e| format!("account not saved: {e}"))?;
+fn save(config: &CertificateConfig, certificate: &Certificate) {
+    let Some(folder) = &config.store else { return };
+    if let Err(error) = store::save(folder, certificate) {
+        warn!("certificate not saved: {error}");
     }
-    Ok(account)
-}
-
-/// Key and certificate lie in one file, so that one is never there without the other.
-const HELD: &str = "certificate.pem";
-
-fn load(dir: &Path) -> Result<Held, String> {
-    let text = std::fs::read_to_string(dir.join(HELD)).map_err(|e| e.to_string())?;
-    let (key, chain) = text.split_once("\n\n").ok_or("no key and certificate")?;
-    Held::new(chain.to_owned(), key.to_owned())
-}
-
-fn save(dir: &Path, held: &Held) -> std::io::Result<()> {
-    write_private(&dir.join(HELD), &format!("{}\n\n{}", held.key.trim_end(), held.chain))
 }
 
-/// Writes a file that only its owner may read, whole or not at all.
-fn write_private(path: &Path, text: &str) -> std::io::Result<()> {
-    use std::io::Write;
-    use std::os::unix::fs::OpenOptionsExt;
-    let draft = path.with_extension("new");
-    let mut file =
-        std::fs::OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&draft)?;
-    file.write_all(text.as_bytes())?;
-    file.sync_all()?;
-    std::fs::rename(&draft, path)
-}
-
-/// Answers the authority's questions, for good.
-async fn questions(listener: TcpListener, answers: Answers) {
-    let mut asked = VecDeque::new();
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                asked.retain(|task: &JoinHandle<()>| !task.is_finished());
-                // Guards the descriptors: anybody may connect here, and say nothing.
-                let longest = if asked.len() >= QUESTIONS { asked.pop_front() } else { None };
-                if let Some(longest) = longest {
-                    longest.abort();
-                    // An error here is its end.
-                    let _ = longest.await;
-                }
-                let answers = Rc::clone(&answers);
-                asked.push_back(spawn_local(
-                    async move { drop(timeout(PUT, question(stream, answers)).await) },
-                ));
-            }
-            Err(_) => sleep(Duration::from_millis(100)).await,
-        }
-    }
-}
-
-async fn question(mut stream: TcpStream, answers: Answers) -> std::io::Result<()> {
-    let mut text = Vec::new();
-    while !text.windows(4).any(|w| w == b"\r\n\r\n") {
-        let mut piece = [0; 512];
-        let n = stream.read(&mut piece).await?;
-        if n == 0 || text.len() + n > QUESTION {
-            return Ok(());
+/// Open sessions keep the certificate that they began with.
+fn install(front: &Front, certificate: &Certificate, event: &str) {
+    match certificate.acceptor() {
+        Ok(acceptor) => {
+            front.certify(acceptor);
+            info!("{event}, good until {}", certificate.not_after());
         }
-        text.extend_from_slice(&piece[..n]);
+        Err(error) => error!("certificate unusable: {}", with_causes(&error)),
     }
-    let text = String::from_utf8_lossy(&text);
-    let path = text.strip_prefix("GET ").and_then(|t| t.split(' ').next()).unwrap_or("");
-    let token = path.strip_prefix("/.well-known/acme-challenge/").unwrap_or("");
-    let answer = answers.borrow().get(token).cloned();
-    let (status, body) = answer.map_or(("404 Not Found", String::new()), |a| ("200 OK", a));
-    let head =
-        format!("HTTP/1.1 {status}\r\nContent-Type: application/octet-stream\r\nConnection: close\r\n");
-    stream.write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes()).await
 }
--- /dev/null
+++ b/src/run/certificates/store.rs
@@ -0,0 +1,66 @@
+//! The account and the certificate on disk.
+
+use super::certificate::Certificate;
+use super::error::LoadError;
+use instant_acme::AccountCredentials;
+use serde_json::{json, Value};
+use std::fs::OpenOptions;
+use std::io::{self, Write};
+use std::os::unix::fs::OpenOptionsExt;
+use std::path::Path;
+
+/// Key and certificate stand in one file, so that neither is ever there without the other.
+const CERTIFICATE_FILE: &str = "certificate.pem";
+/// The account and the directory of its authority, JSON.
+const ACCOUNT_FILE: &str = "account.json";
+/// Between the key and the chain.
+const SEPARATOR: &str = "\n\n";
+/// Only the owner may read: the files hold keys.
+const FILE_MODE: u32 = 0o600;
+
+/// Reads the certificate.
+///
+/// # Errors
+/// A file that is absent or invalid.
+pub fn load(folder: &Path) -> Result<Certificate, LoadError> {
+    let text = std::fs::read_to_string(folder.join(CERTIFICATE_FILE))?;
+    let (key, chain) = text.split_once(SEPARATOR).ok_or(LoadError::Incomplete)?;
+    Ok(Certificate::parse(chain.to_owned(), key.to_owned())?)
+}
+
+/// Writes the certificate.
+///
+/// # Errors
+/// A folder that cannot be written.
+pub fn save(folder: &Path, certificate: &Certificate) -> io::Result<()> {
+    let text = format!("{}{SEPARATOR}{}", certificate.key().trim_end(), certificate.chain());
+    write_private(&folder.join(CERTIFICATE_FILE), &text)
+}
+
+/// The account, where it belongs to the authority of this directory: at another it is worth nothing.
+pub fn load_account(folder: &Path, directory: &str) -> Option<AccountCredentials> {
+    let text = std::fs::read_to_string(folder.join(ACCOUNT_FILE)).ok()?;
+    let account: Value = serde_json::from_str(&text).ok()?;
+    if account["directory"] != directory {
+        return None;
+    }
+    serde_json::from_value(account["credentials"].clone()).ok()
+}
+
+/// Writes the account.
+///
+/// # Errors
+/// A folder that cannot be written.
+pub fn save_account(folder: &Path, directory: &str, credentials: Value) -> io::Result<()> {
+    let text = json!({"directory": directory, "credentials": credentials}).to_string();
+    write_private(&folder.join(ACCOUNT_FILE), &text)
+}
+
+/// Replaces a file atomically.
+fn write_private(path: &Path, text: &str) -> io::Result<()> {
+    let draft = path.with_extension("new");
+    let mut file = OpenOptions::new().write(true).create(true).truncate(true).mode(FILE_MODE).open(&draft)?;
+    file.write_all(text.as_bytes())?;
+    file.sync_all()?;
+    std::fs::rename(&draft, path)
+}
--- /dev/null
+++ b/src/run/commands/capture_cut.rs
@@ -0,0 +1,57 @@
+//! `sprucelink capture cut`: cuts a small test case out of a capture.
+
+use super::capture_reader::Capture;
+use super::capture_verify::print_breaches;
+use super::output::{format_timestamp, print_line};
+use super::CaptureError;
+use crate::run::cli::CutOptions;
+use crate::run::error::BoxError;
+use sprucelink_capture::cut::{self, Cut};
+use sprucelink_capture::reader;
+use sprucelink_capture::rules::Checker;
+use sprucelink_policy::TimeDelta;
+use std::io;
+use std::path::Path;
+
+/// Writes the case, and prints its size and whether it holds its rules. A rule that is broken is no error: the case
+/// may be cut to show just that.
+///
+/// # Errors
+/// A capture that cannot be used or does not hold the moment, or a file that cannot be written.
+pub fn run(options: &CutOptions) -> Result<(), CaptureError> {
+    let capture = Capture::read(&options.capture)?;
+    let holds = if options.rules.is_empty() { Checker::service() } else { options.rules.clone() };
+    let span = Cut {
+        around: options.around.resolve(capture.start()),
+        before: TimeDelta::from_secs_f64(options.before_s),
+        after: TimeDelta::from_secs_f64(options.after_s),
+        holds,
+        note: options.note.clone(),
+    };
+    let case = cut::cut(&capture.segments, &span).map_err(BoxError::from)?;
+    let bytes = reader::write(&case).map_err(BoxError::from)?;
+    write_case(&options.out, &bytes)?;
+    print_line(&format!(
+        "{}: {} bytes, {} records from {} to {}",
+        options.out.display(),
+        bytes.len(),
+        case.records.len(),
+        format_timestamp(case.at),
+        format_timestamp(case.until())
+    ));
+    let breaches = cut::check(&case).map_err(BoxError::from)?;
+    print_breaches(&options.out, &breaches, false);
+    Ok(())
+}
+
+/// Writes a file, and makes its folder where that is missing.
+fn write_case(path: &Path, bytes: &[u8]) -> Result<(), CaptureError> {
+    if let Some(folder) = path.parent() {
+        std::fs::create_dir_all(folder).map_err(|e| file_error(folder, e))?;
+    }
+    std::fs::write(path, bytes).map_err(|e| file_error(path, e))
+}
+
+fn file_error(path: &Path, error: io::Error) -> CaptureError {
+    CaptureError::File { path: path.to_owned(), source: error.into() }
+}
--- /dev/null
+++ b/src/run/commands/capture_reader.rs
@@ -0,0 +1,86 @@
+//! Reads a whole capture for the sub-commands, and warns of what is damaged.
+
+use super::CaptureError;
+use crate::run::error::BoxError;
+use sprucelink_capture::reader::{self, End, Segment};
+use sprucelink_policy::Timestamp;
+use std::path::{Path, PathBuf};
+
+/// A part of a capture that could not be read.
+pub struct Damage {
+    /// The file.
+    pub file: PathBuf,
+    /// Where it cannot be read, in bytes.
+    pub offset: usize,
+    /// What is wrong there.
+    pub reason: String,
+}
+
+/// A capture that was read whole.
+pub struct Capture {
+    /// Its segments, in order.
+    pub segments: Vec<Segment>,
+    /// What could not be read.
+    pub damage: Vec<Damage>,
+}
+
+impl Capture {
+    /// Reads a file or a folder of them. Damage, segments that are cut off, and unusable files among several are
+    /// reported on standard error.
+    ///
+    /// # Errors
+    /// A capture without a single usable segment.
+    pub fn read(path: &Path) -> Result<Capture, CaptureError> {
+        let mut capture = Capture { segments: Vec::new(), damage: Vec::new() };
+        let files = reader::files(path).map_err(BoxError::from)?;
+        let mut last_error = None;
+        for file in &files {
+            match reader::read(file) {
+                Ok(contents) => capture.append(file, contents),
+                Err(error) => {
+                    if files.len() > 1 {
+                        eprintln!("sprucelink: passed over: {error}");
+                    }
+                    last_error = Some(CaptureError::Library(error.into()));
+                }
+            }
+        }
+        capture.report_damage();
+        capture.report_cut_segments();
+        if capture.segments.is_empty() {
+            return Err(last_error.unwrap_or(CaptureError::NoSegment));
+        }
+        Ok(capture)
+    }
+
+    /// The time of the first checkpoint.
+    pub fn start(&self) -> Timestamp {
+        self.segments.first().map_or(Timestamp::ZERO, |segment| segment.at)
+    }
+
+    fn append(&mut self, file: &Path, contents: reader::Contents) {
+        self.segments.extend(contents.segments);
+        for (offset, reason) in contents.damage {
+            self.damage.push(Damage { file: file.to_owned(), offset, reason });
+        }
+    }
+
+    fn report_damage(&self) {
+        for Damage { file, offset, reason } in &self.damage {
+            eprintln!("sprucelink: {}: damaged at byte {offset}: {reason}", file.display());
+        }
+    }
+
+    fn report_cut_segments(&self) {
+        for segment in &self.segments {
+            let End::Cut { within } = segment.end else { continue };
+            let place = if within { "inside a frame" } else { "behind a whole frame" };
+            eprintln!(
+                "sprucelink: {}: segment {} is cut off {place}: {} whole records are used",
+                segment.file.display(),
+                segment.head.segment,
+                segment.records.len()
+            );
+        }
+    }
+}
--- /dev/null
+++ b/src/run/commands/capture_show.rs
@@ -0,0 +1,104 @@
+//! `sprucelink capture show`: lists the segments of a capture.
+
+use super::capture_reader::{Capture, Damage};
+use super::output::{format_timestamp, print_line};
+use super::CaptureError;
+use serde_json::{json, Value};
+use sprucelink_capture::reader::{End, Segment};
+use sprucelink_capture::replay::told_kind;
+use std::collections::BTreeMap;
+use std::path::Path;
+
+/// Prints every segment: its place, span, events by kind, gaps and damage.
+///
+/// # Errors
+/// A capture that cannot be used.
+pub fn run(path: &Path, as_json: bool) -> Result<(), CaptureError> {
+    let capture = Capture::read(path)?;
+    if as_json {
+        print_json(&capture);
+    } else {
+        capture.segments.iter().for_each(print_segment);
+    }
+    Ok(())
+}
+
+/// Number of records of a segment by kind of event.
+fn count_by_kind(segment: &Segment) -> BTreeMap<&'static str, usize> {
+    let mut counts = BTreeMap::new();
+    for record in &segment.records {
+        *counts.entry(told_kind(&record.told)).or_default() += 1;
+    }
+    counts
+}
+
+/// How a segment ended, in words.
+fn describe_end(end: &End) -> String {
+    match end {
+        End::Closed { .. } => "closed".to_owned(),
+        End::Cut { within: true } => "cut off inside a frame".to_owned(),
+        End::Cut { within: false } => "open, or cut off behind a frame".to_owned(),
+        End::Damaged { offset, why } => format!("damaged at byte {offset}: {why}"),
+    }
+}
+
+/// Events that the recorder lost after a segment's last record.
+fn lost_after(end: &End) -> u64 {
+    match end {
+        End::Closed { lost } => *lost,
+        End::Cut { .. } | End::Damaged { .. } => 0,
+    }
+}
+
+fn print_json(capture: &Capture) {
+    let segments: Vec<Value> = capture.segments.iter().map(segment_json).collect();
+    let damage: Vec<Value> = capture
+        .damage
+        .iter()
+        .map(|Damage { file, offset, reason }| json!({"file": file, "offset": offset, "why": reason}))
+        .collect();
+    print_line(&json!({"segments": segments, "damage": damage}).to_string());
+}
+
+fn segment_json(segment: &Segment) -> Value {
+    json!({
+        "file": segment.file, "offset": segment.offset, "segment": segment.head.segment,
+        "format": segment.head.format, "build": segment.head.build,
+        "module": format!("{:08x}", segment.head.module),
+        "from_us": segment.at.as_micros(), "until_us": segment.until().as_micros(),
+        "records": segment.records.len(), "events": count_by_kind(segment),
+        "engines": segment.engines.len(), "state_bytes": segment.state.len(),
+        "lost_before": segment.head.lost_before, "lost_after": lost_after(&segment.end),
+        "end": describe_end(&segment.end), "holds": segment.head.holds, "note": segment.head.note,
+        "other_build": segment.differs(),
+    })
+}
+
+fn print_segment(segment: &Segment) {
+    let head = &segment.head;
+    if head.lost_before > 0 {
+        print_line(&format!("gap: {} events lost", head.lost_before));
+    }
+    let counts: Vec<String> =
+        count_by_kind(segment).iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+    print_line(&format!(
+        "{} segment {} at byte {}: {} to {} ({:.3} s), {} records ({}), checkpoint {} bytes, {} engines, {}",
+        segment.file.display(),
+        head.segment,
+        segment.offset,
+        format_timestamp(segment.at),
+        format_timestamp(segment.until()),
+        (segment.until() - segment.at).as_secs_f64(),
+        segment.records.len(),
+        counts.join(", "),
+        segment.state.len(),
+        segment.engines.len(),
+        describe_end(&segment.end),
+    ));
+    print_line(&format!("  by {}, module {:08x}, format {}", head.build, head.module, head.format));
+    segment.differs().iter().for_each(|reason| print_line(&format!("  {reason}")));
+    if !head.note.is_empty() {
+        print_line(&format!("  case: {}", head.note));
+    }
+    head.holds.iter().for_each(|rule| print_line(&format!("  must hold: {rule}")));
+}
--- /dev/null
+++ b/src/run/commands/capture_verify.rs
@@ -0,0 +1,55 @@
+//! `sprucelink capture verify`: replays test cases and checks their rules.
+
+use super::output::{format_timestamp, print_line};
+use super::{CaptureError, CommandOutcome};
+use crate::run::error::BoxError;
+use serde_json::json;
+use sprucelink_capture::rules::Breach;
+use sprucelink_capture::{cut, reader};
+use sprucelink_policy::Timestamp;
+use std::path::{Path, PathBuf};
+
+/// Checks each case of the files or folders; a mismatch is a rule that is broken.
+///
+/// # Errors
+/// A file that cannot be read whole or replayed.
+pub fn run(paths: &[PathBuf], as_json: bool) -> Result<CommandOutcome, CaptureError> {
+    let mut all_hold = true;
+    for path in paths {
+        for file in reader::files(path).map_err(BoxError::from)? {
+            all_hold &= verify_file(&file, as_json)?;
+        }
+    }
+    Ok(CommandOutcome::from_match(all_hold))
+}
+
+/// Whether all cases of a file hold.
+fn verify_file(file: &Path, as_json: bool) -> Result<bool, CaptureError> {
+    let contents = reader::read(file).map_err(BoxError::from)?;
+    if let Some((offset, reason)) = contents.damage.into_iter().next() {
+        return Err(CaptureError::Damaged { file: file.to_owned(), offset, reason });
+    }
+    let mut all_hold = true;
+    for case in &contents.segments {
+        let breaches =
+            cut::check(case).map_err(|e| CaptureError::File { path: file.to_owned(), source: e.into() })?;
+        all_hold &= breaches.is_empty();
+        print_breaches(file, &breaches, as_json);
+    }
+    Ok(all_hold)
+}
+
+/// Prints whether a case holds, and each breach of a rule.
+pub fn print_breaches(file: &Path, breaches: &[Breach], as_json: bool) {
+    if as_json {
+        let line = json!({"case": file, "holds": breaches.is_empty(), "breaches": breaches});
+        print_line(&line.to_string());
+        return;
+    }
+    let result = if breaches.is_empty() { "holds" } else { "broken" };
+    print_line(&format!("{}: {result}", file.display()));
+    for breach in breaches {
+        let at = format_timestamp(Timestamp::from_micros(breach.at_us));
+        print_line(&format!("  {at} {}: {}", breach.rule, breach.why));
+    }
+}
--- /dev/null
+++ b/src/run/commands/replay.rs
@@ -0,0 +1,190 @@
+//! `sprucelink replay`: feeds a capture to this build's policy and compares its actions.
+
+use super::capture_reader::Capture;
+use super::output::{format_timestamp, print_line};
+use super::{setting_changes, CaptureError, CommandOutcome};
+use crate::run::cli::ReplayOptions;
+use crate::run::error::{with_causes, BoxError};
+use serde_json::json;
+use sprucelink_capture::reader::Segment;
+use sprucelink_capture::replay::{self, Divergence, Outcome, Play};
+use sprucelink_policy::{Policy, TimeDelta, Timestamp};
+use std::time::Instant;
+
+/// Shortest duration of a replay that a speed is computed from, in seconds.
+const MIN_DURATION_S: f64 = 1e-9;
+
+/// Replays the segments and prints the result; a mismatch is a replay that diverged.
+///
+/// # Errors
+/// A capture or settings that cannot be used.
+pub fn run(options: &ReplayOptions) -> Result<CommandOutcome, CaptureError> {
+    let capture = Capture::read(&options.capture)?;
+    let start = capture.start();
+    let from = options.from.map(|moment| moment.resolve(start));
+    let until = options.until.map(|moment| moment.resolve(start));
+    let segments = select_segments(&capture, from, until);
+    if segments.is_empty() {
+        return Err(CaptureError::SpanOutsideCapture);
+    }
+    let report = replay_all(&segments, options, until)?;
+    if options.json {
+        print_json(&report, options);
+    } else {
+        print_text(&report, options);
+    }
+    Ok(CommandOutcome::from_match(report.is_same()))
+}
+
+/// The segments that overlap a span.
+fn select_segments(capture: &Capture, from: Option<Timestamp>, until: Option<Timestamp>) -> Vec<&Segment> {
+    let overlaps = |segment: &&Segment| {
+        from.is_none_or(|from| segment.until() >= from) && until.is_none_or(|until| segment.at <= until)
+    };
+    capture.segments.iter().filter(overlaps).collect()
+}
+
+/// What all replays of all segments came to.
+#[derive(Default)]
+struct Report {
+    segments: usize,
+    /// Sum over the segments of the first replay.
+    total: Outcome,
+    /// The first divergence, and the number of its segment.
+    first: Option<(u64, Divergence)>,
+    /// Segments that diverged.
+    diverged_segments: usize,
+    /// Recorded time that was replayed.
+    span: TimeDelta,
+    /// A digest of all actions for each replay.
+    digests: Vec<u64>,
+    /// Seconds that one replay took, on average.
+    duration_s: f64,
+    /// How the build that recorded the first segment differs from this one.
+    other_build: Vec<String>,
+}
+
+impl Report {
+    /// Whether the replays were equal among themselves.
+    fn is_repeatable(&self) -> bool {
+        self.digests.iter().all(|digest| *digest == self.digests[0])
+    }
+
+    /// Whether all actions were as recorded.
+    fn is_same(&self) -> bool {
+        self.total.differ == 0 && self.is_repeatable() && self.total.panicked.is_none()
+    }
+
+    /// Adds a segment of the first replay.
+    fn add(&mut self, segment: &Segment, outcome: Outcome) {
+        self.span = self.span + (segment.until() - segment.at);
+        self.total.events += outcome.events;
+        self.total.differ += outcome.differ;
+        self.diverged_segments += usize::from(outcome.differ > 0);
+        for (kind, count) in outcome.by_kind {
+            *self.total.by_kind.entry(kind).or_default() += count;
+        }
+        if self.first.is_none() {
+            self.first = outcome.first.map(|divergence| (segment.head.segment, divergence));
+        }
+        if self.total.panicked.is_none() {
+            self.total.panicked = outcome.panicked;
+        }
+    }
+}
+
+fn replay_all(
+    segments: &[&Segment],
+    options: &ReplayOptions,
+    until: Option<Timestamp>,
+) -> Result<Report, CaptureError> {
+    let change =
+        |policy: &mut Policy| setting_changes::apply(&options.changes, policy).map_err(|e| with_causes(&e));
+    let play = Play { treatment: options.treatment, until, explain: false, change: &change };
+    let mut report = Report { segments: segments.len(), ..Report::default() };
+    let began = Instant::now();
+    for repetition in 0..options.times {
+        let mut digest = 0_u64;
+        for segment in segments {
+            let outcome = replay::segment(segment, &play, &mut |_| {}).map_err(BoxError::from)?;
+            digest = digest.rotate_left(7) ^ outcome.digest;
+            if repetition == 0 {
+                report.add(segment, outcome);
+            }
+        }
+        report.digests.push(digest);
+    }
+    report.duration_s = began.elapsed().as_secs_f64() / f64::from(options.times);
+    if report.first.is_some() {
+        report.other_build = segments[0].differs();
+    }
+    Ok(report)
+}
+
+fn print_json(report: &Report, options: &ReplayOptions) {
+    let total = &report.total;
+    let result = json!({
+        "same": report.is_same(), "segments": report.segments, "events": total.events,
+        "differ": total.differ, "segments_differ": report.diverged_segments, "by_kind": total.by_kind,
+        "first": report.first.as_ref().map(|(_, divergence)| divergence),
+        "digest": format!("{:016x}", report.digests[0]), "times": options.times,
+        "alike": report.is_repeatable(),
+        "panicked": total.panicked.as_ref().map(|(_, message)| message),
+        "treatment": options.treatment, "span_s": report.span.as_secs_f64(),
+        "took_s": report.duration_s, "other_build": report.other_build,
+    });
+    print_line(&result.to_string());
+}
+
+fn print_text(report: &Report, options: &ReplayOptions) {
+    let span = report.span.as_secs_f64();
+    print_line(&format!(
+        "{} events in {} segments over {span:.3} s, replayed {} times at {:.0} times real time; answers {:016x}",
+        report.total.events,
+        report.segments,
+        options.times,
+        span / report.duration_s.max(MIN_DURATION_S),
+        report.digests[0]
+    ));
+    if let Some((segment, divergence)) = &report.first {
+        print_divergence(*segment, divergence, &report.other_build);
+        if options.against {
+            print_differences(report);
+        }
+    }
+    if let Some((record, message)) = &report.total.panicked {
+        print_line(&format!("the module panicked at record {record}: {message}"));
+    }
+    if !report.is_repeatable() {
+        print_line("the replays differ among themselves");
+    }
+    if report.is_same() {
+        print_line("the same");
+    }
+}
+
+fn print_divergence(segment: u64, divergence: &Divergence, other_build: &[String]) {
+    print_line(&format!(
+        "diverged in segment {segment} at record {}, {}:\n  event    {}\n  expected {}\n  got      {}",
+        divergence.record,
+        format_timestamp(Timestamp::from_micros(divergence.at_us)),
+        divergence.event,
+        divergence.expected,
+        divergence.got
+    ));
+    other_build.iter().for_each(|reason| print_line(&format!("  {reason}")));
+}
+
+fn print_differences(report: &Report) {
+    let total = &report.total;
+    let by_kind: Vec<String> = total.by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+    let percentage = 100.0 * total.differ as f64 / total.events.max(1) as f64;
+    print_line(&format!(
+        "{} of {} answers differ ({percentage:.2}%), in {} of {} segments; by kind: {}",
+        total.differ,
+        total.events,
+        report.diverged_segments,
+        report.segments,
+        by_kind.join(", ")
+    ));
+}
--- /dev/null
+++ b/src/run/commands/shapes_explain.rs
@@ -0,0 +1,52 @@
+//! `sprucelink shapes explain`: the fingerprint of a statement and what is known of it.
+
+use super::output::print_line;
+use serde_json::json;
+use sprucelink_query_fingerprint::cache::Bounds;
+use sprucelink_query_fingerprint::facts::Facts;
+use sprucelink_query_fingerprint::known::Shapes;
+
+/// Prints the fingerprint, the normal form and the facts.
+pub fn run(statement: &str, as_json: bool) {
+    let shape = Shapes::new(Bounds { entries: 1, bytes: usize::MAX }).shape(statement);
+    if as_json {
+        return print_line(&json!(*shape).to_string());
+    }
+    print_line(&format!("fingerprint  {}", shape.fingerprint));
+    print_line(&format!("normal form  {}", shape.text));
+    print_facts(&shape.facts);
+}
+
+fn print_facts(facts: &Facts) {
+    let partial = match facts.whole {
+        true => "",
+        false => ", not read whole: what follows is certain, and there may be more",
+    };
+    print_line(&format!("kind         {:?}{partial}", facts.kind));
+    print_line(&format!("reads        {}", join_or_none(&facts.reads)));
+    print_line(&format!("writes       {}", join_or_none(&facts.writes)));
+    print_line(&format!("data sets    {:?}", facts.data_sets));
+    print_line(&format!("calls        {}", join_or_none(&facts.calls)));
+    print_line(&format!("joins        {}", facts.joins));
+    print_line(&format!("it           {}", join_or_none(&properties(facts))));
+}
+
+/// The properties that a statement has, in words.
+fn properties(facts: &Facts) -> Vec<String> {
+    let properties = [
+        (facts.may_write, "may write"),
+        (facts.load, "may load"),
+        (facts.locks, "locks"),
+        (facts.aggregates, "aggregates"),
+        (facts.sorts, "sorts"),
+        (facts.limit, "limits its rows"),
+    ];
+    properties.iter().filter(|(holds, _)| *holds).map(|(_, name)| (*name).to_owned()).collect()
+}
+
+fn join_or_none(names: &[String]) -> String {
+    match names.is_empty() {
+        true => "none".to_owned(),
+        false => names.join(", "),
+    }
+}
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -1,184 +1,175 @@
-//! The configuration, read once into the few values that the program uses. What it holds, `sprucelink_settings`
-//! reads into types, the settings as the adapter's; here they become limits, terms and names.
+//! The platform's configuration as the program uses it.
+//!
+//! `sprucelink_settings` reads the text into types; here they become limits, names and settings.
 
 use super::admin;
-use crate::core::engine_connection::ConnectionLimits as Terms;
+use super::descriptor_budget::{DescriptorBudget, TooFewDescriptors};
+use crate::core::engine_connection::ConnectionLimits;
 use crate::front::{Class, Setup};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Settings, TimeDelta};
 use sprucelink_settings::{Environment, Error, Platform, Profile, Word};
 use std::net::SocketAddr;
 
-/// Descriptors that the process holds whoever calls, at most: three standard streams, seven of the runtime (its poll, the
-/// waker, signals), the clients' listener, the membership's socket, the feed's call, and three files: a configuration
-/// read anew, a capture, the handover's. [`Shares`] tells who holds the others.
-const OWN: usize = 16;
-/// Sixteenths of the shared descriptors that sessions may hold: clients hold a third of all at most, and
-/// the rest is for those that say nothing. What is left is the engines'.
-const SESSIONS: usize = 10;
-/// Fewer shared descriptors than this are too few to serve with: five sessions, three links.
-const LEAST_SHARED: usize = 8;
-/// Where the limit on descriptors is not told.
-const SOCKETS: usize = 1024;
+/// Limit on descriptors where the configuration names none.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Memory limit in megabytes where the configuration names none.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// Lowest memory limit in megabytes that buffers are computed from.
+const MIN_MEMORY_MB: usize = 16;
+/// Buffers of 64 KiB for each megabyte of the memory limit: half of the memory.
+const BUFFERS_PER_MB: usize = 8;
+/// Attempts that one engine connection carries where the configuration does not say.
+const DEFAULT_MAX_STREAMS: f64 = 32.0;
+/// Seconds that an engine connection may take to be established where the configuration does not say.
+const DEFAULT_CONNECT_TIMEOUT_S: f64 = 1.0;
+/// Seconds after which an idle engine connection is closed where the configuration does not say.
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
 
-/// How the descriptors that the limit allows are shared out. All bounds together never go over it:
-///
-/// `OWN + kept + lobby + leaving + sessions + links <= sockets`
-///
-/// What is shared is what the first four leave; sessions get ten sixteenths of it and links six, each rounded down.
-///
-/// | limit | own | operators | lobby | leaving | sessions | links | in all |
-/// | --- | --- | --- | --- | --- | --- | --- | --- |
-/// | 64 | 16 | 6 | 4 | 2 | 22 | 13 | 63 |
-/// | 128 | 16 | 10 | 8 | 2 | 57 | 34 | 127 |
-/// | 512 | 16 | 34 | 24 | 8 | 268 | 161 | 511 |
-/// | 672 | 16 | 34 | 24 | 8 | 368 | 221 | 671 |
-/// | 1024 | 16 | 34 | 24 | 8 | 588 | 353 | 1023 |
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
-    /// Of the limit, what others than the first front and the links hold: operators' calls, the second front.
-    pub kept: usize,
-    /// Clients' connections without a seat.
-    pub lobby: usize,
-    /// Sessions that were told to go and have something to end first.
-    pub leaving: usize,
-    /// Sessions.
-    pub sessions: usize,
-    /// Links to engines.
-    pub links: usize,
+/// The endpoint events that a configuration holds.
+pub struct KnownEndpoints {
+    /// Number of the last event.
+    pub last_event: u64,
+    /// The events, oldest first.
+    pub events: Vec<ListEvent>,
 }
 
-impl Shares {
-    /// Shares out `sockets` descriptors, of which `kept` are for others.
-    ///
-    /// # Errors
-    /// The least limit that would do.
-    pub fn of(sockets: usize, kept: usize) -> Result<Shares, usize> {
-        let (lobby, leaving, shared) = match Shares::shared(sockets, kept) {
-            Some(parts) => parts,
-            None => {
-                return Err((sockets..).find(|s| Shares::shared(*s, kept).is_some()).unwrap_or(usize::MAX))
-            }
-        };
-        let sessions = shared.saturating_mul(SESSIONS) / 16;
-        let links = shared.saturating_mul(16 - SESSIONS) / 16;
-        Ok(Shares { kept, lobby, leaving, sessions, links })
-    }
-
-    /// Lobby, leaving, and what they leave to be shared, if that is enough.
-    fn shared(sockets: usize, kept: usize) -> Option<(usize, usize, usize)> {
-        let (lobby, leaving) = ((sockets / 16).clamp(4, 24), (sockets / 64).clamp(2, 8));
-        let shared = sockets.checked_sub(OWN + kept + lobby + leaving)?;
-        (shared >= LEAST_SHARED).then_some((lobby, leaving, shared))
-    }
-}
-
-/// Everything that a start needs.
+/// Everything that a start needs of the configuration.
 pub struct Config {
-    /// This manager's name, the same after a restart; empty where none is told.
+    /// This manager's name, the same after a restart; empty where none is configured.
     pub name: String,
     /// Where clients connect.
     pub listen: String,
-    /// Where the control feed is.
+    /// Address of the control feed.
     pub feed: Option<String>,
-    /// Where operators call, if they do.
-    pub operator: Option<SocketAddr>,
+    /// Address of the admin listener; without it there is none.
+    pub admin_address: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, where the platform holds it.
-    pub inherited: Option<u32>,
-    /// The feed's events up to now, and the number of the last.
-    pub known: (u64, Vec<ListEvent>),
-    /// The module's settings.
+    pub inherited_listener: Option<u32>,
+    /// Endpoint events up to now.
+    pub known_endpoints: KnownEndpoints,
+    /// The policy's settings.
     pub settings: Settings,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// Names of zones and of machine kinds.
-    pub names: [Vec<String>; 2],
+    /// Names of zones, by number.
+    pub zone_names: Vec<String>,
+    /// Names of machine kinds, by number.
+    pub kind_names: Vec<String>,
     /// Descriptors that the process may hold.
     pub sockets: usize,
-    /// How they are shared out.
-    pub shares: Shares,
-    /// Connections to engines.
-    pub terms: Terms,
-    /// What the fronts know.
-    pub setup: Setup,
+    /// How they are divided.
+    pub descriptors: DescriptorBudget,
+    /// Limits of engine connections.
+    pub connection_limits: ConnectionLimits,
+    /// What the platform's front is set up with.
+    pub front: Setup,
     /// Buffers that the memory limit leaves room for.
     pub buffers: usize,
 }
 
 impl Config {
-    /// Keeps `more` descriptors back, each side giving its part.
+    /// Reserves `count` more descriptors; sessions and engine connections get fewer.
     ///
     /// # Errors
-    /// The least limit that would do.
-    pub fn keep_back(&mut self, more: usize) -> Result<(), usize> {
-        self.shares = Shares::of(self.sockets, self.shares.kept + more)?;
-        self.terms.most_links = self.shares.links;
-        self.setup.most_sessions = self.shares.sessions;
+    /// The limit that would be enough, where this one is not.
+    pub fn reserve_descriptors(&mut self, count: usize) -> Result<(), TooFewDescriptors> {
+        self.descriptors = DescriptorBudget::divide(self.sockets, self.descriptors.reserved + count)?;
+        self.connection_limits.most_links = self.descriptors.engine_connections;
+        self.front.most_sessions = self.descriptors.sessions;
         Ok(())
     }
 }
 
-/// Reads a configuration's text; where operators call, and the inherited socket, the environment may say too.
+/// Reads a configuration. The environment supplies the admin address where the text has none, and the inherited socket.
 ///
 /// # Errors
-/// Where the text will not do: by line, column and path.
+/// The first field that is invalid: by line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
-    let told: Platform<events::Told> = Platform::parse(text)?;
-    let set = told.settings.settings();
-    let limits = &told.settings.limits;
-    let names = |list: &[Word]| list.iter().filter(|n| !n.0.is_empty()).map(|n| n.0.clone()).collect();
-    let class = |(p, c): (&Profile, &ClassSettings)| Class {
-        name: p.name.0.clone(),
-        keyed: c.effect == Effect::Keyed,
-        deadline: c.deadline,
-    };
-    let operator = told.operator.or(environment.operator);
-    let sockets = told.limits.sockets.0.map_or(SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
-    let kept = operator.map_or(0, |_| admin::limits(sockets).descriptors());
-    let shares = Shares::of(sockets, kept).map_err(|least| {
-        Error::new(
-            "limits.sockets",
-            format!("{sockets} descriptors are too few: {least} are needed at least"),
-        )
-    })?;
-    if told.limits.memory_mb.0 == Some(0) {
-        return Err(Error::new("limits.memory_mb", "0 MB are too few"));
-    }
+    let platform: Platform<events::Told> = Platform::parse(text)?;
+    let settings = platform.settings.settings();
+    let sockets = platform.limits.sockets.0;
+    let sockets = sockets.map_or(DEFAULT_SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
+    let admin_address = platform.operator.or(environment.operator);
+    let reserved = admin_address.map_or(0, |_| admin::limits(sockets).descriptors());
+    let descriptors = DescriptorBudget::divide(sockets, reserved)
+        .map_err(|too_few| Error::new("limits.sockets", too_few))?;
+    let buffers = buffers(platform.limits.memory_mb.0)?;
     Ok(Config {
-        name: told.name,
-        listen: told.listen.to_string(),
-        feed: told.feed,
-        operator,
-        inherited: environment.listener,
-        known: (told.known.n.0.unwrap_or(0), told.known.events.into_iter().filter_map(|e| e.0).collect()),
-        seed: told.seed.0,
-        names: [names(&told.settings.zones), names(&told.settings.shapes)],
-        sockets,
-        shares,
-        terms: Terms {
-            streams: limits.max_streams.or(32.0).max(1.0) as usize,
-            dial: TimeDelta::from_secs_f64(limits.connect_timeout.or(1.0)),
-            idle: TimeDelta::from_secs_f64(limits.conn_idle.or(15.0)),
-            notes: set.progress_pace,
-            most: (sockets / 32).max(2),
-            most_links: shares.links,
-        },
-        setup: Setup {
-            classes: told.settings.profiles.iter().zip(&set.classes).map(class).collect(),
-            tenants: told.settings.customers.iter().map(|c| c.name.0.clone()).collect(),
-            most_sessions: shares.sessions,
-            most_leaving: shares.leaving,
-            most_lobby: shares.lobby,
-            extended: false,
-            require_tls: false,
-            default_class: None,
-            default_tenant: None,
+        connection_limits: connection_limits(&platform, &settings, sockets, &descriptors),
+        front: front_setup(&platform, &settings, &descriptors),
+        zone_names: names(&platform.settings.zones),
+        kind_names: names(&platform.settings.shapes),
+        name: platform.name,
+        listen: platform.listen.to_string(),
+        feed: platform.feed,
+        admin_address,
+        inherited_listener: environment.listener,
+        known_endpoints: KnownEndpoints {
+            last_event: platform.known.n.0.unwrap_or(0),
+            events: platform.known.events.into_iter().filter_map(|event| event.0).collect(),
         },
-        // Half of the memory, in buffers of 64 KiB: eight to a megabyte.
-        buffers: (told.limits.memory_mb.0.unwrap_or(192) as usize).max(16).saturating_mul(8),
-        settings: set,
+        settings,
+        seed: platform.seed.0,
+        sockets,
+        descriptors,
+        buffers,
     })
 }
 
+/// Names of a list that has no gaps: empty names are left out.
+fn names(words: &[Word]) -> Vec<String> {
+    words.iter().filter(|word| !word.0.is_empty()).map(|word| word.0.clone()).collect()
+}
+
+/// Buffers for a memory limit in megabytes.
+fn buffers(memory_mb: Option<u64>) -> Result<usize, Error> {
+    if memory_mb == Some(0) {
+        return Err(Error::new("limits.memory_mb", "0 MB are too few"));
+    }
+    let memory_mb = memory_mb.unwrap_or(DEFAULT_MEMORY_MB) as usize;
+    Ok(memory_mb.max(MIN_MEMORY_MB).saturating_mul(BUFFERS_PER_MB))
+}
+
+fn connection_limits(
+    platform: &Platform<events::Told>,
+    settings: &Settings,
+    sockets: usize,
+    descriptors: &DescriptorBudget,
+) -> ConnectionLimits {
+    let limits = &platform.settings.limits;
+    ConnectionLimits {
+        streams: limits.max_streams.or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
+        dial: TimeDelta::from_secs_f64(limits.connect_timeout.or(DEFAULT_CONNECT_TIMEOUT_S)),
+        idle: TimeDelta::from_secs_f64(limits.conn_idle.or(DEFAULT_IDLE_TIMEOUT_S)),
+        notes: settings.progress_pace,
+        most: (sockets / 32).max(2),
+        most_links: descriptors.engine_connections,
+    }
+}
+
+fn front_setup(
+    platform: &Platform<events::Told>,
+    settings: &Settings,
+    descriptors: &DescriptorBudget,
+) -> Setup {
+    let class = |(profile, class): (&Profile, &ClassSettings)| Class {
+        name: profile.name.0.clone(),
+        keyed: class.effect == Effect::Keyed,
+        deadline: class.deadline,
+    };
+    Setup {
+        classes: platform.settings.profiles.iter().zip(&settings.classes).map(class).collect(),
+        tenants: platform.settings.customers.iter().map(|customer| customer.name.0.clone()).collect(),
+        most_sessions: descriptors.sessions,
+        most_leaving: descriptors.draining,
+        most_lobby: descriptors.handshakes,
+        extended: false,
+        require_tls: false,
+        default_class: None,
+        default_tenant: None,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/run/config/tests.rs
+++ b/src/run/config/tests.rs
@@ -1,36 +1,54 @@
-//! What a configuration becomes: defaults, bounds, and faults by their place.
+//! What a configuration becomes: defaults, bounds, and the place of an invalid field.
 
 use super::*;
 
-const LEAST: &str = r#""listen":"10.0.0.4:7001","seed":"a","settings":{}"#;
+const MINIMAL: &str = r#""listen":"10.0.0.4:7001","seed":"a","settings":{}"#;
+
+fn parse_with(more: &str, environment: &Environment) -> Result<Config, String> {
+    parse(&format!("{{{MINIMAL}{more}}}"), environment).map_err(|e| e.to_string())
+}
+
+fn parse_valid(more: &str, environment: &Environment) -> Config {
+    parse_with(more, environment).unwrap_or_else(|e| panic!("{e}"))
+}
+
+fn environment_with_admin() -> Environment {
+    Environment { operator: "10.0.0.4:9".parse().ok(), ..Environment::default() }
+}
 
 #[test]
-fn what_is_not_told_has_the_programs_defaults() {
-    let c = parse(&format!("{{{LEAST}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
+fn absent_fields_take_the_defaults() {
+    let config = parse_valid("", &Environment::default());
+    let limits = config.connection_limits;
     assert_eq!(
-        (c.terms.streams, c.terms.dial, c.terms.idle),
+        (limits.streams, limits.dial, limits.idle),
         (32, TimeDelta::from_micros(1_000_000), TimeDelta::from_micros(15_000_000))
     );
-    assert_eq!((c.buffers, c.terms.most, c.setup.most_sessions, c.terms.most_links), (1_536, 32, 610, 366));
-    let most = r#""limits":{"memory_mb":18446744073709551615,"sockets":18446744073709551615}"#;
-    let c = parse(&format!("{{{LEAST},{most}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(c.buffers, usize::MAX, "no figure overflows");
+    assert_eq!(
+        (config.buffers, limits.most, config.front.most_sessions, limits.most_links),
+        (1_536, 32, 610, 366)
+    );
+}
+
+#[test]
+fn highest_limits_do_not_overflow() {
+    let limits = r#","limits":{"memory_mb":18446744073709551615,"sockets":18446744073709551615}"#;
+    assert_eq!(parse_valid(limits, &Environment::default()).buffers, usize::MAX);
 }
 
 #[test]
-fn where_operators_call_is_told_by_the_file_before_the_environment() {
-    let environment =
-        Environment { operator: "10.0.0.4:9".parse().ok(), listener: Some(5), ..Environment::default() };
-    let read =
-        |more: &str| parse(&format!("{{{LEAST}{more}}}"), &environment).unwrap_or_else(|e| panic!("{e}"));
-    let c = read("");
-    assert_eq!((c.operator.map(|a| a.port()), c.inherited), (Some(9), Some(5)));
-    assert_eq!(read(r#","operator":"10.0.0.4:8""#).operator.map(|a| a.port()), Some(8));
+fn admin_address_of_the_file_takes_precedence_over_the_environment() {
+    let environment = Environment { listener: Some(5), ..environment_with_admin() };
+    let config = parse_valid("", &environment);
+    assert_eq!((config.admin_address.map(|a| a.port()), config.inherited_listener), (Some(9), Some(5)));
+    let config = parse_valid(r#","operator":"10.0.0.4:8""#, &environment);
+    assert_eq!(config.admin_address.map(|a| a.port()), Some(8));
 }
 
 #[test]
-fn an_event_that_cannot_be_read_is_named_by_line_and_place() {
-    let text = format!("{{{LEAST},\n\"known\":{{\"n\":2,\"events\":[{{\"n\":1}},\n{{\"members\":{{}}}}]}}}}");
+fn invalid_event_is_named_by_line_and_path() {
+    let text =
+        format!("{{{MINIMAL},\n\"known\":{{\"n\":2,\"events\":[{{\"n\":1}},\n{{\"members\":{{}}}}]}}}}");
     let e = parse(&text, &Environment::default()).err().map(|e| e.to_string()).unwrap_or_default();
     assert!(
         e.starts_with("line 3, column ") && e.ends_with(": known.events[1]: field n is missing or no number"),
@@ -38,75 +56,53 @@
     );
 }
 
-/// The sum of all bounds, at every limit: descriptors that one side may hold and another counts on are how clients
-/// could take the feed's.
 #[test]
-fn the_shares_of_the_descriptors_never_go_over_the_limit() {
-    for sockets in (0..=2_048).chain([4_096, 65_536, 1 << 40]) {
-        for kept in [0, admin::limits(sockets).descriptors(), admin::limits(sockets).descriptors() + 96] {
-            match Shares::of(sockets, kept) {
-                Ok(s) => {
-                    let sum = OWN + s.kept + s.lobby + s.leaving + s.sessions + s.links;
-                    assert!(sum <= sockets && sum + 2 > sockets, "{s:?} of {sockets}");
-                    assert!(s.sessions >= 5 && s.links >= 3 && s.lobby >= 4 && s.leaving >= 2, "{s:?}");
-                }
-                Err(least) => {
-                    assert!(least > sockets && Shares::of(least, kept).is_ok(), "{least} of {sockets}");
-                    assert!(Shares::of(least - 1, kept).is_err(), "{least} of {sockets}");
-                }
-            }
-        }
+fn limits_that_are_too_low_are_rejected_by_name() {
+    let no_admin = Environment::default();
+    let admin = environment_with_admin();
+    for (limits, environment, message) in [
+        (r#"{"sockets":0}"#, &no_admin, "limits.sockets: 0 descriptors are too few: 30 are needed at least"),
+        (
+            r#"{"sockets":29}"#,
+            &no_admin,
+            "limits.sockets: 29 descriptors are too few: 30 are needed at least",
+        ),
+        (r#"{"sockets":35}"#, &admin, "limits.sockets: 35 descriptors are too few: 36 are needed at least"),
+        (r#"{"memory_mb":0}"#, &no_admin, "limits.memory_mb: 0 MB are too few"),
+    ] {
+        let result = parse_with(&format!(",\"limits\":{limits}"), environment);
+        assert_eq!(result.err().as_deref(), Some(message), "{limits}");
     }
-    // The table in the documentation of the shares.
-    let with_operators = |sockets| {
-        let kept = admin::limits(sockets).descriptors();
-        let s = Shares::of(sockets, kept).expect("enough");
-        [OWN, s.kept, s.lobby, s.leaving, s.sessions, s.links]
-    };
-    assert_eq!(with_operators(64), [16, 6, 4, 2, 22, 13]);
-    assert_eq!(with_operators(128), [16, 10, 8, 2, 57, 34]);
-    assert_eq!(with_operators(512), [16, 34, 24, 8, 268, 161]);
-    assert_eq!(with_operators(672), [16, 34, 24, 8, 368, 221]);
-    assert_eq!(with_operators(1024), [16, 34, 24, 8, 588, 353]);
 }
 
 #[test]
-fn limits_at_their_ends_are_used_or_refused_by_name() {
-    let read = |limits: &str, environment: &Environment| {
-        parse(&format!("{{{LEAST},\"limits\":{limits}}}"), environment).map_err(|e| e.to_string())
-    };
-    let (none, operators) = (
-        Environment::default(),
-        Environment { operator: "10.0.0.4:9".parse().ok(), ..Environment::default() },
+fn lowest_limits_and_absent_limits_are_used() {
+    let config = parse_valid(r#","limits":{"sockets":36,"memory_mb":1}"#, &environment_with_admin());
+    assert_eq!(
+        (config.front.most_sessions, config.connection_limits.most_links, config.buffers),
+        (5, 3, 128)
     );
-    for (limits, environment, says) in [
-        (r#"{"sockets":0}"#, &none, "limits.sockets: 0 descriptors are too few: 30 are needed at least"),
-        (r#"{"sockets":29}"#, &none, "limits.sockets: 29 descriptors are too few: 30 are needed at least"),
-        (
-            r#"{"sockets":35}"#,
-            &operators,
-            "limits.sockets: 35 descriptors are too few: 36 are needed at least",
-        ),
-        (r#"{"memory_mb":0}"#, &none, "limits.memory_mb: 0 MB are too few"),
-    ] {
-        assert_eq!(read(limits, environment).err().as_deref(), Some(says), "{limits}");
-    }
-    let least = read(r#"{"sockets":36,"memory_mb":1}"#, &operators).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((least.setup.most_sessions, least.terms.most_links, least.buffers), (5, 3, 128));
     for absent in ["null", "{}", r#"{"sockets":null,"memory_mb":null}"#] {
-        let c = read(absent, &none).unwrap_or_else(|e| panic!("{e}"));
-        assert_eq!((c.sockets, c.setup.most_sessions, c.buffers), (1024, 610, 1_536), "{absent}");
+        let config = parse_valid(&format!(",\"limits\":{absent}"), &Environment::default());
+        assert_eq!(
+            (config.sockets, config.front.most_sessions, config.buffers),
+            (1024, 610, 1_536),
+            "{absent}"
+        );
     }
 }
 
-/// The second front's connections were held besides the limit.
+/// The second front's connections count against the limit too.
 #[test]
-fn what_is_kept_back_comes_off_both_sides() {
-    let mut c = parse(&format!("{{{LEAST}}}"), &Environment::default()).unwrap_or_else(|e| panic!("{e}"));
+fn reserved_descriptors_are_taken_from_sessions_and_engine_connections() {
+    let mut config = parse_valid("", &Environment::default());
     let text = r#"{"listen":"127.0.0.1:0"}"#;
-    let second = crate::run::second_front::parse(text, &c.setup).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(second.descriptors(), 1 + 64 + 2 + 8);
-    c.keep_back(second.descriptors()).unwrap_or_else(|least| panic!("{least}"));
-    assert_eq!((c.shares.kept, c.setup.most_sessions, c.terms.most_links), (75, 563, 337));
-    assert_eq!(c.keep_back(1_000), Err(1_131));
+    let second_front = crate::run::second_front::parse(text, &config.front).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(second_front.descriptors(), 1 + 64 + 2 + 8);
+    config.reserve_descriptors(second_front.descriptors()).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(
+        (config.descriptors.reserved, config.front.most_sessions, config.connection_limits.most_links),
+        (75, 563, 337)
+    );
+    assert_eq!(config.reserve_descriptors(1_000), Err(TooFewDescriptors { limit: 1_024, sufficient: 1_131 }));
 }
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -1,228 +1,273 @@
-//! Upgrades: a second process beside the first, on the same listening socket, counting with it as one workload
-//! manager. `sprucelink_hot_restart` decides who takes connections and what each may spend, and keeps the files by which
-//! the two know of each other; here its word is carried out.
+//! Drives hot restarts: a second process beside the first, on the same listening socket, counting with it as one
+//! workload manager.
+//!
+//! `sprucelink_hot_restart` decides which process accepts connections and what each may spend, and keeps the files by
+//! which they know of each other; here its decisions are carried out.
 
 use crate::core::now;
 use crate::core::request_table::Core;
 use crate::front::Front;
 use sprucelink_hot_restart::{
-    adopt, Content, DiskFolder, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
+    adopt, Age, Content, DiskFolder, Handover, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
+    WriteFailed, LOOK,
 };
-use sprucelink_hot_restart::{Age, LOOK};
 use sprucelink_policy::Timestamp;
 use std::cell::{Cell, RefCell};
+use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use tracing::{debug, error, info, warn};
+use tracing::{debug, error, info, warn, Level};
 
-/// Hashes of ids handed on at most: a file has room for some more, and bans go before them.
-const MOST_IDS: usize = 16_384;
+/// Most hashes of idempotency keys that are handed on; a file has room for more, and cordons go before them.
+const MAX_KEYS: usize = 16_384;
 
-/// One process's side of an upgrade.
-pub struct Upgrade {
+/// Among how many processes the manager's budgets are divided, as the core was last told.
+#[derive(Clone, Copy)]
+struct BudgetParts {
+    parts: u32,
+    /// Since when fewer would be enough.
+    fewer_since: Option<Timestamp>,
+}
+
+/// What the last log line said of this process.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct LoggedState {
+    phase: Phase,
+    parts: u32,
+    without_room: bool,
+}
+
+/// What a write was for; it decides how serious a failure is.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WriteReason {
+    /// The regular refresh: the next one follows.
+    Refresh,
+    /// An operator's cordon, whose call waits for the answer.
+    Cordon,
+}
+
+/// One process's side of a hot restart.
+pub struct HotRestartDriver {
     core: Rc<Core>,
     keeper: RefCell<Keeper<DiskFolder>>,
-    spans: Spans,
-    can_serve: Cell<bool>,
-    term: Cell<bool>,
-    /// The parts that the core was told of, and since when fewer would do.
-    told: Cell<(u32, Option<Timestamp>)>,
-    stand: RefCell<Option<(Phase, u32, bool)>>,
-    /// The others that lived at the last look, by process id.
+    /// Windows of the budgets.
+    windows: Spans,
+    is_ready: Cell<bool>,
+    is_stopping: Cell<bool>,
+    budget_parts: Cell<BudgetParts>,
+    logged: Cell<Option<LoggedState>>,
+    /// Process ids of the other processes that were alive at the last look.
     living: RefCell<BTreeSet<u32>>,
-    /// Those whose last file said that they end.
+    /// Process ids of those whose last file announced their end.
     ended: RefCell<BTreeSet<u32>>,
-    look: Notify,
+    wake: Notify,
 }
 
-impl Upgrade {
-    /// Takes over what a process before has left, before anything is served. `name` and `listen` tell this manager
-    /// from others that share the folder.
-    pub fn begin(core: Rc<Core>, name: &str, listen: &str, spans: Spans) -> Rc<Upgrade> {
+impl HotRestartDriver {
+    /// Adopts what earlier processes have left, before anything is served. `name` and `listen` tell this manager from
+    /// others that share the folder.
+    pub fn start(core: Rc<Core>, name: &str, listen: &str, windows: Spans) -> Rc<HotRestartDriver> {
         let instance = Instance { name: name.to_owned(), listen: listen.to_owned() };
-        let (pid, build) = (std::process::id(), env!("CARGO_PKG_VERSION"));
+        let pid = std::process::id();
+        let build = env!("CARGO_PKG_VERSION");
         let (keeper, looked) = Keeper::open(DiskFolder::tmpdir(), instance, build, pid, now());
-        let (process, found) = (keeper.process(), looked.read.len());
-        info!(pid, found, "handover: process {} of {name}, found {found} files", process.generation);
-        let upgrade = Rc::new(Upgrade {
+        let generation = keeper.process().generation;
+        let found = looked.read.len();
+        info!(pid, found, "handover: process {generation} of {name}, found {found} files");
+        let driver = Rc::new(HotRestartDriver {
             core,
             keeper: RefCell::new(keeper),
-            spans,
-            can_serve: Cell::new(false),
-            term: Cell::new(false),
-            told: Cell::new((1, None)),
-            stand: RefCell::new(None),
+            windows,
+            is_ready: Cell::new(false),
+            is_stopping: Cell::new(false),
+            budget_parts: Cell::new(BudgetParts { parts: 1, fewer_since: None }),
+            logged: Cell::new(None),
             living: RefCell::default(),
             ended: RefCell::default(),
-            look: Notify::new(),
+            wake: Notify::new(),
         });
-        upgrade.take_in(looked, true);
-        upgrade
+        driver.adopt_files(looked, Level::INFO);
+        driver
     }
 
     /// This process can serve from now on.
-    pub fn can_serve(&self) {
-        self.can_serve.set(true);
-        self.look.notify_one();
+    pub fn set_ready(&self) {
+        self.is_ready.set(true);
+        self.wake.notify_one();
     }
 
-    /// SIGTERM has come.
-    pub fn stopping(&self) {
-        self.term.set(true);
-        self.look.notify_one();
+    /// SIGTERM has arrived.
+    pub fn begin_stop(&self) {
+        self.is_stopping.set(true);
+        self.wake.notify_one();
     }
 
-    /// Whether a health check is to be answered with yes.
-    pub fn says_yes(&self) -> bool {
+    /// Whether a health check is to succeed.
+    pub fn is_healthy(&self) -> bool {
         self.keeper.borrow().says_yes()
     }
 
-    /// Whether a younger process takes the connections that come.
-    pub fn relieved(&self) -> bool {
-        !self.keeper.borrow().stand().accepts
-    }
-
-    /// Puts what an operator called for on record, before the call is answered.
+    /// Writes an operator's cordons, before the call is answered.
     ///
     /// # Errors
-    /// Where the file could not be written: it holds in this process alone.
-    pub fn record(&self) -> Result<(), String> {
-        self.write(true)
+    /// A file that could not be written: the cordon holds in this process alone.
+    pub fn record_cordons(&self) -> Result<(), WriteFailed> {
+        self.write(WriteReason::Cordon)
     }
 
-    /// Looks, decides and tells, for good.
+    /// Looks at the files and carries out what follows from them, until the process ends.
     pub async fn run(self: Rc<Self>, front: Rc<Front>) {
         loop {
-            self.turn(&front);
+            self.step(&front);
             tokio::select! {
                 () = sleep(Duration::from_micros(LOOK.as_micros() as u64)) => {}
-                () = self.look.notified() => {}
+                () = self.wake.notified() => {}
             }
         }
     }
 
-    fn turn(&self, front: &Front) {
+    /// Writes the last file, at the end of the process.
+    pub fn leave(&self) {
+        let content = self.content();
+        if let Err(error) = self.keeper.borrow_mut().leave(now(), content) {
+            warn!("handover: not written: {error}");
+        }
+    }
+
+    fn step(&self, front: &Front) {
         let looked = self.keeper.borrow_mut().look(now());
-        self.take_in(looked, false);
+        self.adopt_files(looked, Level::DEBUG);
         self.core.expire_outages();
-        let stand = self.keeper.borrow_mut().step(now(), self.term.get(), self.can_serve.get()).clone();
-        self.say(&stand);
-        // The one that is relieved has hardly anything to send any more, and the other meets all that comes: parts count
-        // for the first alone.
-        let relieved = matches!(stand.phase, Phase::Accompanied | Phase::Leaving);
-        self.part(if relieved { stand.parts } else { 1 });
+        let is_stopping = self.is_stopping.get();
+        let stand = self.keeper.borrow_mut().step(now(), is_stopping, self.is_ready.get()).clone();
+        self.log_state(&stand);
+        self.log_unresponsive();
+        // A process that drains sends hardly anything more, and its successor meets all that arrives: the division of
+        // budgets counts for the successor alone.
+        let is_draining = matches!(stand.phase, Phase::Accompanied | Phase::Leaving);
+        self.divide_budgets(if is_draining { stand.parts } else { 1 });
         front.accept(stand.accepts);
         if let Some(idle) = stand.let_go {
             front.let_go(idle);
         }
         if self.keeper.borrow().due(now()) {
-            // Said there; it is tried again in its time.
-            let _ = self.write(false);
-        }
-    }
-
-    /// The file's last word, at the end of the process.
-    pub fn leave(&self) {
-        let content = self.content();
-        if let Err(e) = self.keeper.borrow_mut().leave(now(), content) {
-            warn!("handover: not written: {e}");
+            // A failure is logged there, and the next refresh tries again.
+            let _ = self.write(WriteReason::Refresh);
         }
     }
 
-    fn take_in(&self, looked: Looked, first: bool) {
+    /// Adopts what other processes have written, with a log line of this level for each file.
+    fn adopt_files(&self, looked: Looked, level: Level) {
         for trouble in &looked.trouble {
             warn!("handover: the folder: {trouble}");
         }
-        for (file, why) in &looked.refused {
-            warn!("handover: {file} refused: {why}");
+        for (file, reason) in &looked.refused {
+            warn!("handover: {file} refused: {reason}");
         }
-        for read in looked.read {
-            let (pid, generation) = (read.process.pid, read.process.generation);
-            if read.phase == Phase::Gone {
-                self.ended.borrow_mut().insert(pid);
-            }
-            let age = (now() - read.written_at).as_secs_f64();
-            let adopted = adopt(now(), self.spans, read);
-            let (bans, ids, cold) = (adopted.bans.len(), adopted.ids.len(), adopted.cold.len());
-            let further: u32 = adopted.further.iter().map(|f| f.1).sum();
-            self.core.adopt_outages(&adopted.bans, &adopted.ids);
-            let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
-            let line = format!(
-                "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {bans} bans, {ids} ids, \
-                 {further} further attempts, {cold} cold sends"
-            );
-            if first {
-                info!(pid, generation, bans, "{line}");
-            } else {
-                debug!(pid, generation, bans, "{line}");
-            }
+        for file in looked.read {
+            self.adopt_file(file, level);
         }
     }
 
-    /// Tells the module among how many processes the manager's parts are shared. More of them at once; fewer only
-    /// after the longest window of cold budgets, for what the other sent still counts there.
-    fn part(&self, parts: u32) {
-        let (told, since) = self.told.get();
-        let wait = match (parts.cmp(&told), since) {
-            (std::cmp::Ordering::Equal, _) => return self.told.set((told, None)),
-            (std::cmp::Ordering::Greater, _) => false,
-            (std::cmp::Ordering::Less, None) => return self.told.set((told, Some(now()))),
-            (std::cmp::Ordering::Less, Some(since)) => now() - since < self.spans.cold,
+    fn adopt_file(&self, file: Handover, level: Level) {
+        let pid = file.process.pid;
+        let generation = file.process.generation;
+        if file.phase == Phase::Gone {
+            self.ended.borrow_mut().insert(pid);
+        }
+        let age = (now() - file.written_at).as_secs_f64();
+        let adopted = adopt(now(), self.windows, file);
+        let cordons = adopted.bans.len();
+        let keys = adopted.ids.len();
+        let cold = adopted.cold.len();
+        let further: u32 = adopted.further.iter().map(|f| f.1).sum();
+        self.core.adopt_outages(&adopted.bans, &adopted.ids);
+        let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
+        let line = format!(
+            "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} bans, {keys} ids, \
+             {further} further attempts, {cold} cold sends"
+        );
+        if level == Level::INFO {
+            info!(pid, generation, bans = cordons, "{line}");
+        } else {
+            debug!(pid, generation, bans = cordons, "{line}");
+        }
+    }
+
+    /// Tells the core among how many processes the manager's budgets are divided. More count at once; fewer only after
+    /// the longest window of cold budgets, since what the other process sent still counts there.
+    fn divide_budgets(&self, parts: u32) {
+        let current = self.budget_parts.get();
+        let applies = match (parts.cmp(&current.parts), current.fewer_since) {
+            (Ordering::Equal, _) => {
+                return self.budget_parts.set(BudgetParts { fewer_since: None, ..current });
+            }
+            (Ordering::Greater, _) => true,
+            (Ordering::Less, None) => {
+                return self.budget_parts.set(BudgetParts { fewer_since: Some(now()), ..current });
+            }
+            (Ordering::Less, Some(since)) => now() - since >= self.windows.cold,
         };
-        if !wait {
-            self.told.set((parts, None));
+        if applies {
+            self.budget_parts.set(BudgetParts { parts, fewer_since: None });
             self.core.parted(parts);
         }
     }
 
-    fn say(&self, stand: &Stand) {
-        let at = (stand.phase, stand.parts, stand.without_room);
-        if self.stand.replace(Some(at)) != Some(at) {
-            let (phase, parts, without_room) = at;
-            info!(parts, "handover: {phase:?}, 1 of {parts} parts");
-            if without_room && phase == Phase::Serving {
-                warn!("handover: serves, and others did not make room");
-            }
+    /// Logs the phase and the division of budgets where they have changed.
+    fn log_state(&self, stand: &Stand) {
+        let state = LoggedState { phase: stand.phase, parts: stand.parts, without_room: stand.without_room };
+        if self.logged.replace(Some(state)) == Some(state) {
+            return;
         }
+        let LoggedState { phase, parts, without_room } = state;
+        info!(parts, "handover: {phase:?}, 1 of {parts} parts");
+        if without_room && phase == Phase::Serving {
+            warn!("handover: serves, and others did not make room");
+        }
+    }
+
+    /// Logs other processes that stopped writing without announcing their end.
+    fn log_unresponsive(&self) {
         let others = self.keeper.borrow().living(now());
-        let living: BTreeSet<u32> = others.iter().map(|o| o.process.pid).collect();
+        let living: BTreeSet<u32> = others.iter().map(|other| other.process.pid).collect();
         let before = self.living.replace(living.clone());
-        for pid in before.difference(&living).filter(|pid| !self.ended.borrow().contains(*pid)) {
+        let ended = self.ended.borrow();
+        for pid in before.difference(&living).filter(|pid| !ended.contains(*pid)) {
             let alone = if living.is_empty() { ", alone" } else { "" };
             warn!(pid, "handover: pid {pid} has gone quiet{alone}");
         }
     }
 
     fn content(&self) -> Content {
-        let (bans, ids) = self.core.outages(MOST_IDS);
-        let tally = Tally::new(self.spans.ration, self.spans.cold);
-        let (ration, cold) = (tally.ration(now()), tally.cold(now()));
+        let (bans, ids) = self.core.outages(MAX_KEYS);
+        let tally = Tally::new(self.windows.ration, self.windows.cold);
+        let ration = tally.ration(now());
+        let cold = tally.cold(now());
         Content { bans, ids, ration, cold, last_event: self.core.last_event() }
     }
 
-    fn write(&self, ban: bool) -> Result<(), String> {
+    fn write(&self, reason: WriteReason) -> Result<(), WriteFailed> {
         let content = self.content();
-        match self.keeper.borrow_mut().write(now(), content) {
+        let result = self.keeper.borrow_mut().write(now(), content);
+        match result {
             Ok(written) => {
                 if written.ids_left_out > 0 {
                     warn!("handover: {} ids left out", written.ids_left_out);
                 }
-                debug!(
-                    bytes = written.bytes,
-                    "handover: written, {} bytes, removed {}", written.bytes, written.removed
-                );
+                let (bytes, removed) = (written.bytes, written.removed);
+                debug!(bytes, "handover: written, {bytes} bytes, removed {removed}");
                 Ok(())
             }
-            Err(e) => {
-                if ban {
-                    error!("handover: not written: {e}");
-                } else {
-                    warn!("handover: not written: {e}");
+            Err(error) => {
+                match reason {
+                    WriteReason::Cordon => error!("handover: not written: {error}"),
+                    WriteReason::Refresh => warn!("handover: not written: {error}"),
                 }
-                Err(e.to_string())
+                Err(error)
             }
         }
     }
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -9,10 +9,21 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
+/// A log setting that does not exist.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LoggingError {
+    /// No such format.
+    #[error("{0:?} is neither text nor json")]
+    Format(String),
+    /// No such level.
+    #[error("{0:?} is none of error, warn, info, debug, trace")]
+    Level(String),
+}
+
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Unix time in seconds, then the text; fields are left out, for the text names them.
+    /// Unix time in seconds, then the message; fields are left out, since the message holds them.
     #[default]
     Text,
     /// One JSON object a line: `timestamp`, `level`, `message` and the event's fields.
@@ -20,12 +31,13 @@
 }
 
 impl FromStr for Format {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Format, String> {
+    type Err = LoggingError;
+
+    fn from_str(text: &str) -> Result<Format, LoggingError> {
         match text {
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
-            _ => Err(format!("--log-format: {text:?} is neither text nor json")),
+            _ => Err(LoggingError::Format(text.to_owned())),
         }
     }
 }
@@ -35,7 +47,7 @@
 pub struct Logging {
     /// Text or JSON.
     pub format: Format,
-    /// The least grave level that is written.
+    /// The least severe level that is written.
     pub level: Level,
 }
 
@@ -46,55 +58,66 @@
 }
 
 /// Reads a level: `error`, `warn`, `info`, `debug` or `trace`.
-pub fn level(text: &str) -> Result<Level, String> {
-    text.parse().map_err(|_| format!("--log-level: {text:?} is none of error, warn, info, debug, trace"))
+///
+/// # Errors
+/// Any other text.
+pub fn parse_level(text: &str) -> Result<Level, LoggingError> {
+    text.parse().map_err(|_| LoggingError::Level(text.to_owned()))
 }
 
-/// Unix time in seconds with milliseconds, as the module counts it.
+/// Unix time in seconds with milliseconds, on the clock that the policy uses.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
-    fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
-        let at = crate::core::now();
-        write!(w, "{}.{:03}", at.as_micros() / 1_000_000, at.as_millis() % 1000)
+    fn format_time(&self, writer: &mut Writer<'_>) -> fmt::Result {
+        let millis = crate::core::now().as_millis();
+        write!(writer, "{}.{:03}", millis / 1_000, millis % 1_000)
     }
 }
 
-/// The line that people on call read: time and message.
-struct Plain;
+/// The text format: time and message.
+struct TextFormat;
 
-/// Writes the message and nothing else of an event.
-struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
+/// Writes the message of an event, and none of its fields.
+struct MessageWriter<'a, 'w> {
+    writer: &'a mut Writer<'w>,
+    result: fmt::Result,
+}
 
-impl Visit for Message<'_, '_> {
+impl Visit for MessageWriter<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
-            self.1 = write!(self.0, "{value:?}");
+            self.result = write!(self.writer, "{value:?}");
         }
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut w: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        UnixTime.format_time(&mut w)?;
-        w.write_char(' ')?;
-        let mut message = Message(&mut w, Ok(()));
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        UnixTime.format_time(&mut writer)?;
+        writer.write_char(' ')?;
+        let mut message = MessageWriter { writer: &mut writer, result: Ok(()) };
         event.record(&mut message);
-        message.1?;
-        writeln!(w)
+        message.result?;
+        writeln!(writer)
     }
 }
 
 /// Starts logging for the life of the process. A second call changes nothing.
 pub fn start(logging: Logging) {
     let builder = tracing_subscriber::fmt().with_max_level(logging.level).with_writer(std::io::stdout);
-    // An error here says that logging was started before: it goes on as it was.
+    // An error means that logging was started before: it goes on unchanged.
     let _ = match logging.format {
-        Format::Text => builder.event_format(Plain).try_init(),
+        Format::Text => builder.event_format(TextFormat).try_init(),
         Format::Json => {
             builder.json().with_timer(UnixTime).flatten_event(true).with_current_span(false).try_init()
         }
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -1,5 +1,5 @@
-//! The acting half of the membership: a UDP socket, a clock, and what the core tells and is told. What is decided is
-//! decided in `sprucelink_membership`. Never on the platform.
+//! Drives the membership: a UDP socket and a clock around the SWIM state machine of `sprucelink_membership`, and what
+//! passes between it and the core. It decides nothing.
 
 use crate::core::request_table::Core;
 use crate::core::zone_routing::Observer;
@@ -10,227 +10,292 @@
 use sprucelink_membership::terms::Settings;
 use sprucelink_policy::{AttemptBudget, TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
+use tokio::sync::oneshot;
+use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Datagrams read in one turn at most: the serving path gets its own turn between.
-const IN_A_TURN: usize = 32;
-/// Least rest between two turns of the clock.
-const LEAST_REST: Duration = Duration::from_millis(2);
-/// Span of the counts where no ration is told: the protocol's.
-const RATION_SPAN: TimeDelta = TimeDelta::from_micros(5_000_000);
-/// Between two lines of figures.
-const FIGURES: TimeDelta = TimeDelta::from_micros(60_000_000);
-/// Members over which summaries come more rarely, and by how much for each.
-const CROWD: usize = 100;
-const CROWD_MS: f64 = 10.0;
-/// Datagrams that could not be read are told of so often at most, between two lines of figures.
-const MOST_COMPLAINTS: u32 = 10;
-
-/// What the fleet's view needs from the settings of the deployment.
+/// Datagrams read in one turn at most: the serving path gets its turn in between.
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
+/// Shortest pause between two turns of the clock.
+const MIN_PAUSE: Duration = Duration::from_millis(2);
+/// Window of the shared counts where no retry budget is configured.
+const DEFAULT_BUDGET_WINDOW: TimeDelta = TimeDelta::from_micros(5_000_000);
+/// Interval between two log lines of counters.
+const COUNTERS_INTERVAL: TimeDelta = TimeDelta::from_micros(60_000_000);
+/// Members beyond which summaries are sent less often.
+const LARGE_FLEET: usize = 100;
+/// Milliseconds that each member beyond [`LARGE_FLEET`] adds to the interval between summaries.
+const EXTRA_MS_PER_MEMBER: f64 = 10.0;
+/// Invalid datagrams that are logged between two log lines of counters.
+const MAX_INVALID_DATAGRAM_LINES: u32 = 10;
+/// Longest name of a member in characters.
+const MAX_NAME_CHARS: usize = 32;
+/// How long the shutdown waits until the departure is sent.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Settings of the deployment that the members share budgets by.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    /// Managers, as the settings tell.
-    pub gateways: u32,
-    /// The rule on further attempts.
-    pub ration: Option<AttemptBudget>,
-    /// The span of cold budgets.
-    pub cold_span: TimeDelta,
-    /// How long an engine is cold.
-    pub cold_for: TimeDelta,
+pub struct FleetSettings {
+    /// Managers, as configured.
+    pub managers: u32,
+    /// The retry budget of each.
+    pub retry_budget: Option<AttemptBudget>,
+    /// Window of the budgets for cold engines.
+    pub cold_budget_window: TimeDelta,
+    /// How long an engine counts as cold.
+    pub slow_start_period: TimeDelta,
+}
+
+/// Why the membership could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum MembershipStartError {
+    /// The address cannot be bound.
+    #[error("membership on {address}")]
+    Bind {
+        /// The address as configured.
+        address: String,
+        /// The operating system's reason.
+        source: io::Error,
+    },
+    /// The socket's own address cannot be read.
+    #[error("membership")]
+    LocalAddress(#[source] io::Error),
 }
 
-/// Opens the socket and keeps the view from then on, in a task of its own: a call to it tells others that this
-/// member leaves.
+/// Binds the socket and starts the task that drives the membership.
 ///
 /// # Errors
-/// Where the address cannot be listened on: the start fails.
-pub async fn keep(
+/// An address that cannot be bound.
+pub async fn start(
     core: Rc<Core>,
-    set: Settings,
-    name: &str,
+    settings: Settings,
+    manager_name: &str,
     seed: u64,
-    told: Told,
-) -> Result<Leaver, String> {
+    fleet: FleetSettings,
+) -> Result<MembershipHandle, MembershipStartError> {
+    let bound = UdpSocket::bind(&settings.listen).await;
     let socket =
-        UdpSocket::bind(&set.listen).await.map_err(|e| format!("membership on {}: {e}", set.listen))?;
-    let at = socket.local_addr().map_err(|e| format!("membership: {e}"))?;
-    let address = set.advertise.as_ref().and_then(|a| a.parse().ok()).unwrap_or(at);
-    let name = if name.is_empty() { address.to_string() } else { name.chars().take(32).collect() };
-    // Two lives of one name differ by their start; the clock's milliseconds tell them apart.
-    let life = (now().as_millis()).max(1) as u64;
-    let me = Me { name, life, address, zone: set.zone.clone(), region: set.region.clone() };
-    let seeds = set.seeds.iter().filter_map(|s| s.parse().ok()).collect();
+        bound.map_err(|source| MembershipStartError::Bind { address: settings.listen.clone(), source })?;
+    let local_address = socket.local_addr().map_err(MembershipStartError::LocalAddress)?;
+    let address = settings.advertise.as_ref().and_then(|a| a.parse().ok()).unwrap_or(local_address);
+    let me = local_member(&settings, manager_name, address);
+    let seeds = settings.seeds.iter().filter_map(|seed| seed.parse().ok()).collect();
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
-    let swim = Swim::new(me, seeds, set.protocol, seed, now());
-    core.share(told.ration.map_or(RATION_SPAN, |r| r.span), told.cold_span, told.cold_for);
-    info!(%address, "membership on {at}, reached at {address}");
-    let (leaver, leaving) = tokio::sync::oneshot::channel();
-    let keeper = Keeper {
+    let swim = Swim::new(me, seeds, settings.protocol, seed, now());
+    let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.span);
+    core.share(budget_window, fleet.cold_budget_window, fleet.slow_start_period);
+    info!(%address, "membership on {local_address}, reached at {address}");
+    let (leave, leave_requested) = oneshot::channel();
+    let driver = MembershipDriver {
         core,
-        set,
-        told,
+        settings,
+        fleet,
         swim,
         socket,
-        next_facts: now(),
-        next_figures: now() + FIGURES,
-        complaints: 0,
+        next_summary: now(),
+        next_counters: now() + COUNTERS_INTERVAL,
+        invalid_datagram_lines: 0,
         applied: None,
     };
-    let done = tokio::task::spawn_local(keeper.run(leaving));
-    Ok(Leaver { leaver, done })
+    let task = tokio::task::spawn_local(driver.run(leave_requested));
+    Ok(MembershipHandle { leave, task })
+}
+
+/// This manager as the others are to see it; without a name of its own it is called by its address.
+fn local_member(settings: &Settings, manager_name: &str, address: SocketAddr) -> Me {
+    let name = match manager_name.is_empty() {
+        true => address.to_string(),
+        false => manager_name.chars().take(MAX_NAME_CHARS).collect(),
+    };
+    // Two processes of one name differ by the millisecond in which they started.
+    let life = now().as_millis().max(1) as u64;
+    Me { name, life, address, zone: settings.zone.clone(), region: settings.region.clone() }
 }
 
-/// Tells others that this member leaves.
-pub struct Leaver {
-    leaver: tokio::sync::oneshot::Sender<()>,
-    done: tokio::task::JoinHandle<()>,
+/// A membership that runs.
+pub struct MembershipHandle {
+    leave: oneshot::Sender<()>,
+    task: JoinHandle<()>,
 }
 
-impl Leaver {
-    /// Says so, and waits until it is said, a moment at most.
+impl MembershipHandle {
+    /// Tells the other members that this one leaves, and waits up to [`LEAVE_TIMEOUT`] until that is sent.
     pub async fn leave(self) {
-        if self.leaver.send(()).is_ok() {
-            let _ = timeout(Duration::from_millis(100), self.done).await;
+        if self.leave.send(()).is_ok() {
+            let _ = timeout(LEAVE_TIMEOUT, self.task).await;
         }
     }
 }
 
-struct Keeper {
+/// Budgets as the core was last given them.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct AppliedBudgets {
+    managers: u32,
+    spare_attempts: f64,
+}
+
+struct MembershipDriver {
     core: Rc<Core>,
-    set: Settings,
-    told: Told,
+    settings: Settings,
+    fleet: FleetSettings,
     swim: Swim,
     socket: UdpSocket,
-    next_facts: Timestamp,
-    next_figures: Timestamp,
-    complaints: u32,
-    applied: Option<(u32, f64)>,
+    next_summary: Timestamp,
+    next_counters: Timestamp,
+    /// Lines about invalid datagrams since the last counters.
+    invalid_datagram_lines: u32,
+    applied: Option<AppliedBudgets>,
 }
 
-impl Keeper {
-    async fn run(mut self, mut leaving: tokio::sync::oneshot::Receiver<()>) {
-        let mut bytes = [0u8; MOST_DATAGRAM + 1];
+impl MembershipDriver {
+    async fn run(mut self, mut leave_requested: oneshot::Receiver<()>) {
+        let mut buffer = [0u8; MOST_DATAGRAM + 1];
         loop {
-            let due = self.swim.due().min(self.next_facts);
-            let rest = span(due - now()).max(LEAST_REST);
+            let due = self.swim.due().min(self.next_summary);
+            let pause = span(due - now()).max(MIN_PAUSE);
             tokio::select! {
-                () = sleep(rest) => {}
-                got = self.socket.recv_from(&mut bytes) => self.took(got, &mut bytes),
-                _ = &mut leaving => {
+                () = sleep(pause) => {}
+                received = self.socket.recv_from(&mut buffer) => self.receive(received, &mut buffer),
+                _ = &mut leave_requested => {
                     self.swim.leave();
                     self.send().await;
                     return;
                 }
             }
             self.swim.tick(now());
-            self.facts();
+            self.exchange_summaries();
             self.send().await;
-            self.say();
+            self.log_changes();
+            self.log_counters();
         }
     }
 
-    /// Takes a datagram, and those that wait behind it.
-    fn took(&mut self, mut got: std::io::Result<(usize, SocketAddr)>, bytes: &mut [u8]) {
-        for _ in 0..IN_A_TURN {
-            match got {
-                Ok((n, from)) => match codec::read(&bytes[..n]) {
-                    Ok(message) => self.swim.receive(now(), message),
-                    Err(e) if self.complaints < MOST_COMPLAINTS => {
-                        self.complaints += 1;
-                        warn!("membership: a datagram from {from} was passed over: {e}");
-                    }
-                    Err(_) => {}
-                },
-                // What came back from a closed port: the member there is probed all the same.
-                Err(_) => return,
-            }
-            got = match self.socket.try_recv_from(bytes) {
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
-                got => got,
+    /// Handles a datagram, and those that wait behind it.
+    fn receive(&mut self, mut received: io::Result<(usize, SocketAddr)>, buffer: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            // An error reports a closed port of another member: that member is probed all the same.
+            let Ok((length, sender)) = received else { return };
+            self.handle_datagram(&buffer[..length], sender);
+            received = match self.socket.try_recv_from(buffer) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                next => next,
             };
         }
     }
 
+    fn handle_datagram(&mut self, datagram: &[u8], sender: SocketAddr) {
+        match codec::read(datagram) {
+            Ok(message) => self.swim.receive(now(), message),
+            Err(error) if self.invalid_datagram_lines < MAX_INVALID_DATAGRAM_LINES => {
+                self.invalid_datagram_lines += 1;
+                warn!("membership: a datagram from {sender} was passed over: {error}");
+            }
+            Err(_) => {}
+        }
+    }
+
     async fn send(&mut self) {
-        for (to, message) in self.swim.outbox() {
-            let (bytes, _) = codec::write(&message);
-            // A datagram that cannot be sent is one that was lost.
-            let _ = self.socket.send_to(&bytes, to).await;
+        for (address, message) in self.swim.outbox() {
+            let (datagram, _) = codec::write(&message);
+            // A datagram that cannot be sent counts as lost.
+            let _ = self.socket.send_to(&datagram, address).await;
         }
     }
 
-    /// Tells the others of this manager, and the core of the others.
-    fn facts(&mut self) {
-        if now() < self.next_facts {
+    /// Publishes this manager's summary, and gives the core those of the others.
+    fn exchange_summaries(&mut self) {
+        if now() < self.next_summary {
             return;
         }
-        let size = self.swim.size();
-        let crowd = CROWD_MS * size.saturating_sub(CROWD) as f64;
-        self.next_facts = now() + TimeDelta::from_secs_f64((self.set.share.every_ms + crowd) / 1e3);
+        let members = self.swim.size();
+        let extra_ms = EXTRA_MS_PER_MEMBER * members.saturating_sub(LARGE_FLEET) as f64;
+        let interval_ms = self.settings.share.every_ms + extra_ms;
+        self.next_summary = now() + TimeDelta::from_secs_f64(interval_ms / 1e3);
         if let Some(facts) = self.core.facts() {
             self.swim.set_facts(facts);
         }
         let board = self.swim.board();
-        let observer = |m: &codec::Member| Observer {
-            zone: m.zone.clone(),
-            here: matches!(m.state, codec::State::Alive | codec::State::Suspect),
-            facts: board.get(&m.name).map(|f| f.1.clone()),
+        let observer = |member: &codec::Member| Observer {
+            zone: member.zone.clone(),
+            here: matches!(member.state, codec::State::Alive | codec::State::Suspect),
+            facts: board.get(&member.name).map(|f| f.1.clone()),
         };
         self.core.observed(|| self.swim.all().map(observer).collect());
-        if !self.set.share.ration && !self.set.share.parts {
-            return;
+        if self.settings.share.ration || self.settings.share.parts {
+            self.apply_budgets(members);
         }
-        let told = self.told.gateways;
-        let gateways = if self.set.share.parts { pool::parted_among(size, told) } else { told };
-        let spare = match self.told.ration.filter(|_| self.set.share.ration) {
-            Some(r) => {
-                let board = self.swim.board();
-                let others: Vec<_> =
-                    self.swim.here().filter_map(|m| board.get(&m.name)).map(|f| f.1).collect();
-                pool::spare_attempts(Ration { free: r.free, share: r.share }, &others, size)
-            }
-            None => 0.0,
-        };
-        if self.applied != Some((gateways, spare)) {
-            self.applied = Some((gateways, spare));
-            self.core.fleet(gateways, spare);
+    }
+
+    /// Gives the core its part of the fleet's budgets where it has changed.
+    fn apply_budgets(&mut self, members: usize) {
+        let configured = self.fleet.managers;
+        let managers =
+            if self.settings.share.parts { pool::parted_among(members, configured) } else { configured };
+        let budgets = AppliedBudgets { managers, spare_attempts: self.spare_attempts(members) };
+        if self.applied != Some(budgets) {
+            self.applied = Some(budgets);
+            self.core.fleet(budgets.managers, budgets.spare_attempts);
         }
     }
 
-    fn say(&mut self) {
+    /// Retries that the other members leave unused, as far as this one may use them.
+    fn spare_attempts(&self, members: usize) -> f64 {
+        let Some(budget) = self.fleet.retry_budget.filter(|_| self.settings.share.ration) else {
+            return 0.0;
+        };
+        let board = self.swim.board();
+        let others: Vec<_> =
+            self.swim.here().filter_map(|member| board.get(&member.name)).map(|f| f.1).collect();
+        pool::spare_attempts(Ration { free: budget.free, share: budget.share }, &others, members)
+    }
+
+    fn log_changes(&mut self) {
         let here = self.swim.size();
-        for c in self.swim.changes() {
-            let what = match c.what {
-                What::Joined => "joined",
-                What::Restarted => "restarted",
-                What::Suspected => "suspected",
-                What::Refuted => "refuted",
-                What::Died => "died",
-                What::Left => "left",
-                What::Superseded => "superseded: a later process has this manager's name",
-            };
-            info!(member = %c.name, what, by = %c.by, here, "fleet: {} {what}, by {}, {here} here", c.name, c.by);
+        for change in self.swim.changes() {
+            let what = describe(change.what);
+            let (name, by) = (&change.name, &change.by);
+            info!(member = %name, what, %by, here, "fleet: {name} {what}, by {by}, {here} here");
         }
-        if now() >= self.next_figures {
-            (self.next_figures, self.complaints) = (now() + FIGURES, 0);
-            let c = self.swim.counters();
-            info!(
-                here,
-                sent = c.sent,
-                received = c.received,
-                "fleet: {here} here, sent {}, received {}, suspicions {}, refutations {}, health {}, stopped {}",
-                c.sent,
-                c.received,
-                c.suspicions,
-                c.refutations,
-                self.swim.health(),
-                c.stopped
-            );
+    }
+
+    fn log_counters(&mut self) {
+        if now() < self.next_counters {
+            return;
         }
+        self.next_counters = now() + COUNTERS_INTERVAL;
+        self.invalid_datagram_lines = 0;
+        let here = self.swim.size();
+        let counters = self.swim.counters();
+        info!(
+            here,
+            sent = counters.sent,
+            received = counters.received,
+            "fleet: {here} here, sent {}, received {}, suspicions {}, refutations {}, health {}, stopped {}",
+            counters.sent,
+            counters.received,
+            counters.suspicions,
+            counters.refutations,
+            self.swim.health(),
+            counters.stopped
+        );
+    }
+}
+
+/// A change of a member's state, as log lines name it.
+fn describe(change: What) -> &'static str {
+    match change {
+        What::Joined => "joined",
+        What::Restarted => "restarted",
+        What::Suspected => "suspected",
+        What::Refuted => "refuted",
+        What::Died => "died",
+        What::Left => "left",
+        What::Superseded => "superseded: a later process has this manager's name",
     }
 }
--- a/src/run/mod.rs
+++ b/src/run/mod.rs
@@ -1,13 +1,20 @@
-//! Start and stop: the command line, the configuration, signals, and the tools that read captures.
+//! The program around the serving core: command line, configuration, start and stop.
+//!
+//! [`cli`] reads the arguments, [`commands`] carries out a sub-command, [`startup_files`] reads what a start names,
+//! and [`serve`] starts the subsystems and stops them. The drivers connect state machines of other crates to sockets,
+//! files and the clock: [`membership_driver`], [`hot_restart_driver`], [`certificates`], [`admin`].
 
 pub mod admin;
 pub mod certificates;
 pub mod cli;
 pub mod commands;
 pub mod config;
+pub mod descriptor_budget;
+pub mod error;
 pub mod hot_restart_driver;
 pub mod logging;
 pub mod membership_driver;
 pub mod second_front;
 pub mod serve;
 pub mod socket_activation;
+pub mod startup_files;
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -1,145 +1,267 @@
-//! The operator's file: it sets up the second front, which is off without it.
+//! The operator's file: the second front's settings. Without the file that front is off.
 
-use super::certificates::{self, Acme};
+use super::certificates::{self, CertificateConfig, RetryBackoff};
 use crate::front::Setup;
+use crate::run::descriptor_budget::TooFewDescriptors;
 use serde_json::Value;
+use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::time::Duration;
 
-/// Sessions at a time where the file does not say: so many, or this part of the platform's where that is less.
-const SESSIONS: usize = 64;
-const SESSIONS_PART: usize = 4;
-/// Connections of the second front without a seat, and sessions told to go: only who has said nothing is.
-const LOBBY: usize = 8;
-const LEAVING: usize = 2;
+/// Sessions at a time where the file does not say.
+const DEFAULT_MAX_SESSIONS: usize = 64;
+/// By default the second front has at most one in so many of the platform's sessions.
+const SESSIONS_DIVISOR: usize = 4;
+/// Most sessions that the file may allow.
+const MAX_SESSIONS: u64 = 256;
+/// Connections of the second front that hold no session slot.
+const MAX_HANDSHAKES: usize = 8;
+/// Sessions of the second front that were asked to end and have something to complete first.
+const MAX_DRAINING: usize = 2;
+/// A certificate is renewed this many seconds before it expires where the file does not say: 30 days.
+const DEFAULT_RENEW_BEFORE_S: f64 = 30.0 * 86_400.0;
+/// Seconds of the first pause after a failed order where the file does not say.
+const DEFAULT_FIRST_RETRY_S: f64 = 60.0;
+/// Seconds of the longest pause after failed orders where the file does not say.
+const DEFAULT_MAX_RETRY_S: f64 = 3_600.0;
+/// Longest span in seconds that the file may name: a leap year.
+const MAX_SECONDS: f64 = 366.0 * 86_400.0;
+/// Fields of the file.
+const FIELDS: [&str; 6] = ["listen", "max_sessions", "default_class", "default_tenant", "tls", "acme"];
+/// Fields of the file under `acme`.
+const ACME_FIELDS: [&str; 8] =
+    ["directory", "trust_root", "names", "contact", "challenge_listen", "store", "renew_before_s", "retry_s"];
 
-/// What the file says.
+/// What the file configures.
 #[derive(Debug)]
-pub struct Operator {
+pub struct SecondFrontConfig {
     /// Where clients of the second front connect.
     pub listen: String,
-    /// What that front is set up with.
-    pub setup: Setup,
-    /// Where its certificates come from.
-    pub acme: Option<Acme>,
+    /// What the front is set up with.
+    pub front: Setup,
+    /// Where its certificates come from; without it there is no TLS.
+    pub certificates: Option<CertificateConfig>,
 }
 
-impl Operator {
-    /// Descriptors that the second front holds at most: its listener, its connections, and what its certificates need.
+impl SecondFrontConfig {
+    /// Descriptors that the second front holds at most: its listener, its connections, and those for certificates.
     pub fn descriptors(&self) -> usize {
-        1 + self.setup.most_connections() + self.acme.as_ref().map_or(0, |_| certificates::DESCRIPTORS)
+        let certificates = self.certificates.as_ref().map_or(0, |_| certificates::MAX_DESCRIPTORS);
+        1 + self.front.most_connections() + certificates
     }
 }
 
-/// Names that the file may hold.
-const NAMES: [&str; 6] = ["listen", "max_sessions", "default_class", "default_tenant", "tls", "acme"];
-/// Names under `acme`.
-const ACME_NAMES: [&str; 8] =
-    ["directory", "trust_root", "names", "contact", "challenge_listen", "store", "renew_before_s", "retry_s"];
-/// A certificate is renewed this long before it expires, where the file does not say.
-const RENEW_BEFORE: f64 = 30.0 * 86_400.0;
-/// First and longest rest after a failed order, where the file does not say.
-const RETRY: [f64; 2] = [60.0, 3_600.0];
-/// A year: no span in the file may be longer.
-const MOST_SECONDS: f64 = 366.0 * 86_400.0;
+/// Why an operator's file is invalid.
+#[derive(Debug, thiserror::Error)]
+pub enum SecondFrontError {
+    /// The text is no JSON.
+    #[error("operator's file")]
+    Json(#[source] serde_json::Error),
+    /// A field is invalid.
+    #[error("operator's file: {field}: {reason}")]
+    Field {
+        /// The field's path.
+        field: String,
+        /// What is wrong with it.
+        reason: FieldError,
+    },
+    /// The limit on descriptors is too low for the front.
+    #[error(
+        "operator's file: max_sessions: the second front needs {needed} descriptors: limits.sockets is {limit}, and \
+         {sufficient} would do", limit = .too_few.limit, sufficient = .too_few.sufficient
+    )]
+    TooManyDescriptors {
+        /// Descriptors that the front holds at most.
+        needed: usize,
+        /// The limit, and the one that would be enough.
+        too_few: TooFewDescriptors,
+    },
+}
+
+/// What is wrong with a field.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FieldError {
+    /// The field is absent or no text.
+    #[error("missing")]
+    Missing,
+    /// There is no such field.
+    #[error("is not known")]
+    Unknown,
+    /// An object is expected.
+    #[error("is no object")]
+    NotAnObject,
+    /// A list of texts is expected.
+    #[error("is no list of texts")]
+    NotAListOfTexts,
+    /// A class or tenant is named that the configuration does not have.
+    #[error("names none that is configured")]
+    NotConfigured,
+    /// The number of sessions is out of its range.
+    #[error("is no number from 1 to {MAX_SESSIONS}")]
+    SessionCount,
+    /// A span is out of its range.
+    #[error("is no number of seconds of a year or less")]
+    Seconds,
+    /// The TLS mode is unknown, or required without certificates.
+    #[error("is neither allowed nor required, or acme is missing")]
+    TlsMode,
+    /// The authority's directory is absent or not reached over HTTPS.
+    #[error("is missing, or not https")]
+    Directory,
+    /// No name to certify.
+    #[error("holds no name")]
+    NoName,
+    /// A file or folder does not exist.
+    #[error("does not exist")]
+    NoSuchPath,
+    /// A text is no socket address.
+    #[error("{0:?} is no address")]
+    InvalidAddress(String),
+    /// A field is absent or no socket address.
+    #[error("is no address")]
+    NotAnAddress,
+}
 
 /// Reads an operator's file; `platform` is the set-up of the platform's front.
-pub fn parse(text: &str, platform: &Setup) -> Result<Operator, String> {
-    let json: Value = serde_json::from_str(text).map_err(|e| format!("operator's file: {e}"))?;
-    known("", &json, &NAMES)?;
-    let listen = address(&json, "listen")?;
-    let name = |key: &str, legal: &dyn Fn(&str) -> bool| match &json[key] {
-        Value::Null => Ok(None),
-        Value::String(s) if legal(s) => Ok(Some(s.clone())),
-        _ => Err(format!("operator's file: {key}: names none that is configured")),
-    };
-    let default_class = name("default_class", &|s| platform.classes.iter().any(|c| c.name == s))?;
-    let default_tenant = name("default_tenant", &|s| platform.tenants.iter().any(|t| t == s))?;
-    let most_sessions = match &json["max_sessions"] {
-        Value::Null => SESSIONS.min(platform.most_sessions / SESSIONS_PART).max(1),
-        n => match n.as_u64() {
-            Some(n @ 1..=256) => n as usize,
-            _ => return Err("operator's file: max_sessions: is no number from 1 to 256".into()),
-        },
-    };
-    let acme = match &json["acme"] {
+///
+/// # Errors
+/// The first field that is invalid.
+pub fn parse(text: &str, platform: &Setup) -> Result<SecondFrontConfig, SecondFrontError> {
+    let json: Value = serde_json::from_str(text).map_err(SecondFrontError::Json)?;
+    let file = Section { prefix: "", json: &json };
+    file.check_fields(&FIELDS)?;
+    let listen = file.address("listen")?;
+    let default_class = file
+        .configured_name("default_class", |name| platform.classes.iter().any(|class| class.name == name))?;
+    let default_tenant =
+        file.configured_name("default_tenant", |name| platform.tenants.iter().any(|tenant| tenant == name))?;
+    let most_sessions = file.max_sessions(platform)?;
+    let certificates = match &json["acme"] {
         Value::Null => None,
-        acme => Some(certificates(acme)?),
+        acme => Some(parse_certificates(acme)?),
     };
-    let require_tls = match json["tls"].as_str() {
-        Some("required") if acme.is_some() => true,
-        Some("allowed") => false,
-        None if json["tls"].is_null() => acme.is_some(),
-        _ => return Err("operator's file: tls: is neither allowed nor required, or acme is missing".into()),
-    };
-    let setup = Setup {
-        require_tls,
+    let front = Setup {
+        require_tls: file.require_tls(certificates.is_some())?,
         most_sessions,
-        most_leaving: LEAVING,
-        most_lobby: LOBBY,
+        most_leaving: MAX_DRAINING,
+        most_lobby: MAX_HANDSHAKES,
         extended: true,
         default_class,
         default_tenant,
         ..platform.clone()
     };
-    Ok(Operator { listen, setup, acme })
+    Ok(SecondFrontConfig { listen, front, certificates })
 }
 
-fn certificates(json: &Value) -> Result<Acme, String> {
-    known("acme.", json, &ACME_NAMES)?;
-    let fault = |key: &str, why: &str| format!("operator's file: acme.{key}: {why}");
-    let texts = |key: &str| -> Result<Vec<String>, String> {
-        let list = json[key].as_array().map_or(&[][..], Vec::as_slice);
-        let all = list.iter().map(|v| v.as_str().map(str::to_owned)).collect::<Option<Vec<_>>>();
-        all.ok_or_else(|| fault(key, "is no list of texts"))
-    };
-    let seconds = |key: &str, v: &Value, absent: f64| match v {
-        Value::Null => Ok(Duration::from_secs_f64(absent)),
-        v => match v.as_f64().filter(|s| (0.0..=MOST_SECONDS).contains(s)) {
-            Some(s) => Ok(Duration::from_secs_f64(s)),
-            None => Err(fault(key, "is no number of seconds of a year or less")),
-        },
-    };
-    let path = |key: &str| json[key].as_str().map(std::path::PathBuf::from);
-    let directory = json["directory"].as_str().filter(|d| d.starts_with("https://"));
-    let directory = directory.ok_or_else(|| fault("directory", "is missing, or not https"))?.to_owned();
-    let names = texts("names")?;
+fn parse_certificates(json: &Value) -> Result<CertificateConfig, SecondFrontError> {
+    let acme = Section { prefix: "acme.", json };
+    acme.check_fields(&ACME_FIELDS)?;
+    let directory = json["directory"].as_str().filter(|directory| directory.starts_with("https://"));
+    let directory = directory.ok_or_else(|| acme.error("directory", FieldError::Directory))?.to_owned();
+    let names = acme.texts("names")?;
     if names.is_empty() {
-        return Err(fault("names", "holds no name"));
+        return Err(acme.error("names", FieldError::NoName));
     }
-    for key in ["trust_root", "store"] {
-        if path(key).is_some_and(|p| !p.exists()) {
-            return Err(fault(key, "does not exist"));
-        }
-    }
-    let retry = [0, 1].map(|i| seconds("retry_s", &json["retry_s"][i], RETRY[i]));
-    let [first, longest] = retry;
-    Ok(Acme {
+    Ok(CertificateConfig {
         directory,
-        trust_root: path("trust_root"),
+        trust_root: acme.existing_path("trust_root")?,
         names,
-        contact: texts("contact")?,
-        challenge_listen: address(json, "challenge_listen")
-            .map_err(|_| fault("challenge_listen", "is no address"))?,
-        store: path("store"),
-        renew_before: seconds("renew_before_s", &json["renew_before_s"], RENEW_BEFORE)?,
-        retry: [first?, longest?],
+        store: acme.existing_path("store")?,
+        contact: acme.texts("contact")?,
+        challenge_listen: acme
+            .address("challenge_listen")
+            .map_err(|_| acme.error("challenge_listen", FieldError::NotAnAddress))?,
+        renew_before: acme.seconds("renew_before_s", &json["renew_before_s"], DEFAULT_RENEW_BEFORE_S)?,
+        retry: RetryBackoff {
+            first: acme.seconds("retry_s", &json["retry_s"][0], DEFAULT_FIRST_RETRY_S)?,
+            max: acme.seconds("retry_s", &json["retry_s"][1], DEFAULT_MAX_RETRY_S)?,
+        },
     })
 }
 
-fn known(place: &str, json: &Value, names: &[&str]) -> Result<(), String> {
-    let map = json.as_object().ok_or_else(|| format!("operator's file: {place}: is no object"))?;
-    match map.keys().find(|k| !names.contains(&k.as_str())) {
-        Some(key) => Err(format!("operator's file: {place}{key}: is not known")),
-        None => Ok(()),
-    }
+/// An object of the file, and the path of its fields.
+struct Section<'a> {
+    prefix: &'static str,
+    json: &'a Value,
 }
 
-fn address(json: &Value, key: &str) -> Result<String, String> {
-    let text = json[key].as_str().ok_or_else(|| format!("operator's file: {key}: missing"))?;
-    let legal = text.parse::<std::net::SocketAddr>().is_ok();
-    if legal {
-        Ok(text.to_owned())
-    } else {
-        Err(format!("operator's file: {key}: {text:?} is no address"))
+impl Section<'_> {
+    fn error(&self, field: &str, reason: FieldError) -> SecondFrontError {
+        SecondFrontError::Field { field: format!("{}{field}", self.prefix), reason }
+    }
+
+    /// Rejects a field that is not in `fields`.
+    fn check_fields(&self, fields: &[&str]) -> Result<(), SecondFrontError> {
+        let map = self.json.as_object().ok_or_else(|| self.error("", FieldError::NotAnObject))?;
+        match map.keys().find(|key| !fields.contains(&key.as_str())) {
+            Some(key) => Err(self.error(key, FieldError::Unknown)),
+            None => Ok(()),
+        }
+    }
+
+    fn address(&self, field: &str) -> Result<String, SecondFrontError> {
+        let text = self.json[field].as_str().ok_or_else(|| self.error(field, FieldError::Missing))?;
+        match text.parse::<SocketAddr>() {
+            Ok(_) => Ok(text.to_owned()),
+            Err(_) => Err(self.error(field, FieldError::InvalidAddress(text.to_owned()))),
+        }
+    }
+
+    /// A name that the configuration must have, where the field is given.
+    fn configured_name(
+        &self,
+        field: &str,
+        is_configured: impl Fn(&str) -> bool,
+    ) -> Result<Option<String>, SecondFrontError> {
+        match &self.json[field] {
+            Value::Null => Ok(None),
+            Value::String(name) if is_configured(name) => Ok(Some(name.clone())),
+            _ => Err(self.error(field, FieldError::NotConfigured)),
+        }
+    }
+
+    fn max_sessions(&self, platform: &Setup) -> Result<usize, SecondFrontError> {
+        match &self.json["max_sessions"] {
+            Value::Null => Ok(DEFAULT_MAX_SESSIONS.min(platform.most_sessions / SESSIONS_DIVISOR).max(1)),
+            number => match number.as_u64() {
+                Some(sessions @ 1..=MAX_SESSIONS) => Ok(sessions as usize),
+                _ => Err(self.error("max_sessions", FieldError::SessionCount)),
+            },
+        }
+    }
+
+    /// Whether sessions must use TLS; by default they must where there are certificates.
+    fn require_tls(&self, has_certificates: bool) -> Result<bool, SecondFrontError> {
+        match &self.json["tls"] {
+            Value::Null => Ok(has_certificates),
+            Value::String(mode) if mode == "required" && has_certificates => Ok(true),
+            Value::String(mode) if mode == "allowed" => Ok(false),
+            _ => Err(self.error("tls", FieldError::TlsMode)),
+        }
+    }
+
+    /// A list of texts; empty where the field is no list.
+    fn texts(&self, field: &str) -> Result<Vec<String>, SecondFrontError> {
+        let list = self.json[field].as_array().map_or(&[][..], Vec::as_slice);
+        let texts: Option<Vec<String>> = list.iter().map(|value| value.as_str().map(str::to_owned)).collect();
+        texts.ok_or_else(|| self.error(field, FieldError::NotAListOfTexts))
+    }
+
+    fn seconds(&self, field: &str, value: &Value, default: f64) -> Result<Duration, SecondFrontError> {
+        let seconds = match value {
+            Value::Null => Some(default),
+            value => value.as_f64().filter(|seconds| (0.0..=MAX_SECONDS).contains(seconds)),
+        };
+        let seconds = seconds.ok_or_else(|| self.error(field, FieldError::Seconds))?;
+        Ok(Duration::from_secs_f64(seconds))
+    }
+
+    /// A file or folder that must exist, where the field is given.
+    fn existing_path(&self, field: &str) -> Result<Option<PathBuf>, SecondFrontError> {
+        let Some(path) = self.json[field].as_str().map(PathBuf::from) else { return Ok(None) };
+        match path.exists() {
+            true => Ok(Some(path)),
+            false => Err(self.error(field, FieldError::NoSuchPath)),
+        }
     }
 }
--- /dev/null
+++ b/src/run/serve/reload.rs
@@ -0,0 +1,89 @@
+//! Reads the configuration again at SIGHUP.
+
+use crate::run::cli::ServeOptions;
+use crate::run::config::Config;
+use crate::run::error::with_causes;
+use crate::run::startup_files::StartupFileError;
+use tokio::signal::unix::Signal;
+use tokio::sync::watch;
+use tokio::task::spawn_blocking;
+use tracing::{info, warn};
+
+/// Reads the configuration that the options name.
+pub type ConfigReader = fn(&ServeOptions) -> Result<Config, StartupFileError>;
+
+/// Why the configuration was not read again.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The file could not be read or is invalid.
+    #[error(transparent)]
+    Config(#[from] StartupFileError),
+    /// The thread that read the file panicked.
+    #[error("the reader failed")]
+    ReaderFailed,
+    /// The configuration names no control feed.
+    #[error("configuration: feed: missing")]
+    FeedMissing,
+    /// The control feed's address has no host or no port.
+    #[error("configuration: feed: {0:?} is no address and port")]
+    FeedAddress(String),
+}
+
+/// Reads the configuration again whenever SIGHUP arrives.
+pub struct Reloader {
+    /// Notifies of SIGHUP.
+    pub hangup: Signal,
+    /// The files to read.
+    pub options: ServeOptions,
+    /// How they are read.
+    pub read_config: ConfigReader,
+}
+
+impl Reloader {
+    /// Handles one SIGHUP after the other until the signal stream ends, and sends the control feed's address to
+    /// `feed_address` where it has changed. Signals that arrive while a file is read are merged into one, so the
+    /// last version of the file is always read.
+    ///
+    /// Only the feed's address changes in a running process: no session, request or engine connection is touched.
+    pub async fn run(mut self, feed_address: watch::Sender<Option<String>>) {
+        while self.hangup.recv().await.is_some() {
+            match self.read_feed_address().await {
+                Ok(address) => {
+                    info!("configuration read anew: feed at {address}");
+                    feed_address.send_if_modified(|current| replace(current, address));
+                }
+                // A bad file must not disturb a process that serves: it goes on as it was.
+                Err(error) => {
+                    warn!("configuration not read anew, nothing changes: {}", with_causes(&error));
+                }
+            }
+        }
+    }
+
+    async fn read_feed_address(&self) -> Result<String, ReloadError> {
+        let options = self.options.clone();
+        let read_config = self.read_config;
+        // On a blocking thread: a slow file system must not delay requests.
+        let read = spawn_blocking(move || read_config(&options)).await;
+        let config = read.map_err(|_| ReloadError::ReaderFailed)??;
+        let address = config.feed.ok_or(ReloadError::FeedMissing)?;
+        if is_callable(&address) {
+            Ok(address)
+        } else {
+            Err(ReloadError::FeedAddress(address))
+        }
+    }
+}
+
+/// Puts the new address in place; true if it differs from the current one.
+fn replace(current: &mut Option<String>, address: String) -> bool {
+    let changed = current.as_ref() != Some(&address);
+    *current = Some(address);
+    changed
+}
+
+/// Whether an address can be called: it has a host, and a port other than 0.
+fn is_callable(address: &str) -> bool {
+    let (host, port) = address.rsplit_once(':').unwrap_or_default();
+    !host.is_empty() && matches!(port.parse::<u16>(), Ok(1..))
+}
--- /dev/null
+++ b/src/run/serve/shutdown.rs
@@ -0,0 +1,104 @@
+//! Graceful shutdown: what is open is answered, then the process ends.
+
+use super::startup::Server;
+use crate::core::{now, span};
+use sprucelink_policy::TimeDelta;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+use tracing::{info, warn};
+
+/// After SIGTERM new connections and requests are still accepted for this long.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
+/// Longest request deadline that is waited for after [`ACCEPT_PERIOD`]; SIGKILL is not expected before both have
+/// passed.
+const MAX_DEADLINE_WAIT: Duration = Duration::from_secs(3);
+/// The same where another process shares the listening socket (a hot restart).
+const MAX_DEADLINE_WAIT_AT_HOT_RESTART: Duration = Duration::from_secs(5);
+/// Time before the end at which every open request is answered with a failure: what SIGKILL finds unanswered is
+/// lost, and a slow process needs time to write the answers.
+const ANSWER_MARGIN: Duration = Duration::from_millis(250);
+/// Interval between two checks of whether everything is answered.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Consecutive checks that must find nothing open before the end: bytes that arrived while this process was not
+/// scheduled are read only now, and a new connection takes some turns of the loop until its first request is read.
+const IDLE_CHECKS: u32 = 5;
+
+/// The instants of a shutdown.
+#[derive(Clone, Copy)]
+struct Schedule {
+    /// The longest deadline of an open request, as far as it is waited for.
+    deadline_wait: Duration,
+    /// The process ends by now.
+    stop_at: Instant,
+    /// Every open request is answered by now.
+    answer_at: Instant,
+}
+
+impl Schedule {
+    fn new(longest_deadline: TimeDelta, is_hot_restart: bool) -> Schedule {
+        let max_wait = if is_hot_restart { MAX_DEADLINE_WAIT_AT_HOT_RESTART } else { MAX_DEADLINE_WAIT };
+        let deadline_wait = span(longest_deadline).min(max_wait);
+        let stop_at = Instant::now() + ACCEPT_PERIOD + deadline_wait;
+        Schedule { deadline_wait, stop_at, answer_at: stop_at - ANSWER_MARGIN }
+    }
+
+    /// Time until [`Schedule::answer_at`], counted from the start of the shutdown.
+    fn answer_period(&self) -> TimeDelta {
+        let period = ACCEPT_PERIOD + self.deadline_wait - ANSWER_MARGIN;
+        TimeDelta::from_micros(period.as_micros() as i64)
+    }
+}
+
+/// Stops accepting, waits until everything is answered or time runs out, and stops the subsystems.
+pub async fn shut_down(mut server: Server) {
+    let open = server.core.open();
+    info!(open, "stopping: {open} open");
+    if let Some(hot_restart) = &server.hot_restart {
+        hot_restart.begin_stop();
+    }
+    let schedule = Schedule::new(server.longest_deadline, server.hot_restart.is_some());
+    // A request that could not complete by then is not forwarded any more.
+    server.core.ends_by(now() + schedule.answer_period());
+    sleep(ACCEPT_PERIOD).await;
+    // The timer may fire before the sockets are polled where this process was not scheduled in between.
+    sleep(CHECK_INTERVAL).await;
+    for front in &mut server.fronts {
+        front.close().await;
+    }
+    wait_until_idle(&server, schedule).await;
+    if let Some(membership) = server.membership {
+        membership.leave().await;
+    }
+    if let Some(hot_restart) = &server.hot_restart {
+        hot_restart.leave();
+    }
+    server.core.record(None);
+    let open = server.core.open();
+    info!(open, "stopped: {open} open");
+}
+
+/// Waits until nothing is open for [`IDLE_CHECKS`] checks in a row, at most until the end of the schedule.
+async fn wait_until_idle(server: &Server, schedule: Schedule) {
+    let mut idle_checks = 0;
+    let mut is_answered = false;
+    while idle_checks < IDLE_CHECKS && Instant::now() < schedule.stop_at {
+        sleep(CHECK_INTERVAL).await;
+        if !is_answered && Instant::now() >= schedule.answer_at {
+            is_answered = true;
+            answer_all(server);
+        }
+        if server.fronts.iter().any(|front| front.is_busy()) {
+            idle_checks = 0;
+        } else {
+            idle_checks += 1;
+        }
+    }
+}
+
+/// Answers every open request with a failure.
+fn answer_all(server: &Server) {
+    let ended = server.core.end_all();
+    if ended > 0 {
+        warn!(ended, "stopping: {ended} given up, for the time is over");
+    }
+}
--- /dev/null
+++ b/src/run/serve/startup.rs
@@ -0,0 +1,188 @@
+//! Starts the subsystems, in the order in which they depend on one another.
+
+use super::fronts::{bind, OpenFront, PLATFORM, SECOND};
+use super::reload::Reloader;
+use super::{ServeError, StartupConfig};
+use crate::core::buffer_pool::BufferPool;
+use crate::core::request_table::Core;
+use crate::core::{endpoint_client, now};
+use crate::run::admin::{self, AdminOperations};
+use crate::run::certificates;
+use crate::run::config::Config;
+use crate::run::hot_restart_driver::HotRestartDriver;
+use crate::run::membership_driver::{self, FleetSettings, MembershipHandle};
+use crate::run::second_front::SecondFrontConfig;
+use sprucelink_capture::recorder::Recorder;
+use sprucelink_capture::settings::Settings as RecorderSettings;
+use sprucelink_hot_restart::Spans;
+use sprucelink_metrics::Metrics;
+use sprucelink_policy::TimeDelta;
+use sprucelink_startup::lists::ListCalls;
+use sprucelink_startup::settings::ColdStart;
+use sprucelink_zone_failover::terms::Terms as FailoverSettings;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::{spawn_local, JoinHandle};
+use tracing::{info, warn};
+
+/// Everything that runs from the start to the shutdown.
+pub struct Server {
+    /// Requests, attempts and engines.
+    pub core: Rc<Core>,
+    /// The task that drives the core's clock; it ends only by a fault.
+    pub core_task: JoinHandle<()>,
+    /// Gossip between managers, where it is on.
+    pub membership: Option<MembershipHandle>,
+    /// This process's side of a hot restart, where the platform holds the listening socket.
+    pub hot_restart: Option<Rc<HotRestartDriver>>,
+    /// The platform's front, then the second one where it is on.
+    pub fronts: Vec<OpenFront>,
+    /// The longest deadline that a request may have.
+    pub longest_deadline: TimeDelta,
+}
+
+impl Server {
+    /// Starts all subsystems and opens the fronts.
+    ///
+    /// # Errors
+    /// The first subsystem that cannot start.
+    pub async fn start(startup: StartupConfig, reloader: Reloader) -> Result<Server, ServeError> {
+        let config = startup.config;
+        let cold_start = startup.cold_start.filter(|cold_start| cold_start.enabled);
+        let longest_deadline =
+            config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO);
+        let core = build_core(&config, cold_start.as_ref())?;
+        start_recorder(&core, startup.recorder, config.seed);
+        apply_known_endpoints(&core, &config);
+        let polls = cold_start.map(|cold_start| schedule_polls(cold_start, &config));
+        start_failover(&core, startup.failover, &config);
+        let membership = match startup.membership.filter(|membership| membership.enabled) {
+            Some(settings) => Some(
+                membership_driver::start(
+                    Rc::clone(&core),
+                    settings,
+                    &config.name,
+                    config.seed,
+                    fleet_settings(&config),
+                )
+                .await?,
+            ),
+            None => None,
+        };
+        let core_task = spawn_local(Rc::clone(&core).run());
+        let (feed_sender, feed_address) = watch::channel(config.feed.clone());
+        spawn_local(endpoint_client::follow(Rc::clone(&core), feed_address, polls));
+        spawn_local(reloader.run(feed_sender));
+        let is_shared = startup.inherited_listener.is_some();
+        let listener = open_listener(startup.inherited_listener, &config.listen).await?;
+        let hot_restart = is_shared.then(|| start_hot_restart(&core, &config));
+        let admin = AdminOperations::new(Rc::clone(&core), hot_restart.clone());
+        if let Some(address) = startup.admin_address {
+            admin.listen(&address, admin::limits(config.sockets)).await?;
+        }
+        let platform_front = OpenFront::open(PLATFORM, &core, listener, config.front)?;
+        // A process that shares the socket leaves connections to its predecessor until it is ready.
+        platform_front.front.accept(!is_shared);
+        admin.set_ready();
+        if let Some(hot_restart) = &hot_restart {
+            hot_restart.set_ready();
+            spawn_local(Rc::clone(hot_restart).run(Rc::clone(&platform_front.front)));
+        }
+        let mut fronts = vec![platform_front];
+        if let Some(second_front) = startup.second_front {
+            fronts.push(open_second_front(&core, second_front).await?);
+        }
+        Ok(Server { core, core_task, membership, hot_restart, fronts, longest_deadline })
+    }
+}
+
+fn build_core(config: &Config, cold_start: Option<&ColdStart>) -> Result<Rc<Core>, ServeError> {
+    let mut settings = config.settings.clone();
+    settings.cold_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
+    let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
+    let metrics = Metrics::new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
+    let names = [config.zone_names.clone(), config.kind_names.clone()];
+    let buffers = BufferPool::new(config.buffers);
+    let core = Core::new(settings, config.seed, names, config.connection_limits, buffers, metrics);
+    if let Some(cold_start) = cold_start {
+        // Before the first endpoint list: the limits have to hold from the start.
+        core.cold_start(cold_start, &config.name);
+    }
+    Ok(core)
+}
+
+/// Starts the recorder where its settings are given. One that fails is logged: serving goes on without it.
+fn start_recorder(core: &Core, settings: Option<RecorderSettings>, seed: u64) {
+    let Some(settings) = settings else { return };
+    match Recorder::start(&settings, seed, now()) {
+        Ok(recorder) => {
+            let dir = settings.dir.display();
+            info!(dir = %dir, "capture: recording to {dir}");
+            core.record(Some(recorder));
+        }
+        Err(error) => warn!("capture: not recording: {error}"),
+    }
+}
+
+/// Applies the endpoint events that the configuration holds: the first one begins a whole list.
+fn apply_known_endpoints(core: &Rc<Core>, config: &Config) {
+    for (index, event) in config.known_endpoints.events.iter().enumerate() {
+        core.on_list(event, index == 0);
+    }
+    core.passed_event(config.known_endpoints.last_event);
+}
+
+/// The schedule by which this manager polls for endpoint lists.
+fn schedule_polls(cold_start: ColdStart, config: &Config) -> ListCalls {
+    let fleet = config.settings.gateways;
+    let polls = ListCalls::new(cold_start.lists, fleet, config.seed, now());
+    let window = polls.window().as_secs_f64();
+    info!(window, fleet, "cold start: first call for lists within {window:.3} s, of {fleet} managers");
+    polls
+}
+
+fn start_failover(core: &Core, settings: Option<FailoverSettings>, config: &Config) {
+    let Some(settings) = settings.filter(|settings| settings.enabled) else { return };
+    let home = config.settings.zone;
+    info!(?home, "failover: between {} zones", config.zone_names.len());
+    core.failover(&settings, home, config.zone_names.clone());
+}
+
+/// The settings that the membership shares budgets by.
+fn fleet_settings(config: &Config) -> FleetSettings {
+    FleetSettings {
+        managers: config.settings.gateways,
+        retry_budget: config.settings.attempt_budget,
+        cold_budget_window: config.settings.fall_span,
+        slow_start_period: config.settings.cold_for,
+    }
+}
+
+async fn open_listener(
+    inherited: Option<std::net::TcpListener>,
+    address: &str,
+) -> Result<TcpListener, ServeError> {
+    match inherited {
+        Some(listener) => TcpListener::from_std(listener).map_err(ServeError::InheritedListener),
+        None => bind(address).await,
+    }
+}
+
+fn start_hot_restart(core: &Rc<Core>, config: &Config) -> Rc<HotRestartDriver> {
+    let retry_budget = config.settings.attempt_budget.as_ref();
+    let windows = Spans {
+        ration: retry_budget.map_or(TimeDelta::ZERO, |budget| budget.span),
+        cold: config.settings.fall_span,
+    };
+    HotRestartDriver::start(Rc::clone(core), &config.name, &config.listen, windows)
+}
+
+async fn open_second_front(core: &Rc<Core>, config: SecondFrontConfig) -> Result<OpenFront, ServeError> {
+    let listener = bind(&config.listen).await?;
+    let second_front = OpenFront::open(SECOND, core, listener, config.front)?;
+    if let Some(certificates) = config.certificates {
+        certificates::maintain(certificates, Rc::clone(&second_front.front)).await?;
+    }
+    Ok(second_front)
+}
--- a/src/run/socket_activation.rs
+++ b/src/run/socket_activation.rs
@@ -1,30 +1,49 @@
 //! The clients' listening socket where the platform holds it: inherited as a descriptor, so that a second process can
-//! take connections from the same queue while the first one ends.
+//! accept connections from the same queue while the first one drains.
 
 use listenfd::ListenFd;
+use std::io;
 use std::net::TcpListener;
 
 /// The first descriptor that is not a standard stream.
-const FIRST: u32 = 3;
+const FIRST_DESCRIPTOR: u32 = 3;
+
+/// Why the inherited socket cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SocketActivationError {
+    /// Descriptors 0 to 2 are the standard streams.
+    #[error("EDGE_FD: {0} is a standard stream")]
+    StandardStream(u32),
+    /// The descriptor is closed, or of another type.
+    #[error("EDGE_FD: descriptor {descriptor}")]
+    Descriptor {
+        /// The descriptor.
+        descriptor: u32,
+        /// The operating system's reason.
+        source: io::Error,
+    },
+    /// The descriptor is no listening socket.
+    #[error("EDGE_FD: descriptor {0} is no listening socket")]
+    NotListening(u32),
+}
 
 /// The listening socket at a descriptor of this process.
 ///
-/// It goes through `listenfd`, which checks that a descriptor is a listening TCP socket before it owns it. That crate reads the
-/// number of inherited descriptors from `LISTEN_FDS` (systemd's sd_listen_fds), so the variable is set here: to be
-/// called once, before any thread is started.
+/// `listenfd` checks that the descriptor is a listening TCP socket before it takes ownership. It reads the number of
+/// inherited descriptors from `LISTEN_FDS` (systemd's sd_listen_fds), so that variable is set here: call this once,
+/// before any thread is started.
 ///
 /// # Errors
 /// A descriptor below 3, or one that is no listening TCP socket.
-pub fn listener(descriptor: u32) -> Result<TcpListener, String> {
-    let place =
-        descriptor.checked_sub(FIRST).ok_or_else(|| format!("EDGE_FD: {descriptor} is a standard stream"))?;
+pub fn listener(descriptor: u32) -> Result<TcpListener, SocketActivationError> {
+    let index =
+        descriptor.checked_sub(FIRST_DESCRIPTOR).ok_or(SocketActivationError::StandardStream(descriptor))?;
     std::env::remove_var("LISTEN_PID");
-    std::env::set_var("LISTEN_FDS", (place + 1).to_string());
-    let taken = ListenFd::from_env().take_tcp_listener(place as usize);
+    std::env::set_var("LISTEN_FDS", (index + 1).to_string());
+    let taken = ListenFd::from_env().take_tcp_listener(index as usize);
     std::env::remove_var("LISTEN_FDS");
-    let listener = taken.map_err(|e| format!("EDGE_FD: descriptor {descriptor}: {e}"))?;
-    let listener =
-        listener.ok_or_else(|| format!("EDGE_FD: descriptor {descriptor} is no listening socket"))?;
-    listener.set_nonblocking(true).map_err(|e| format!("EDGE_FD: descriptor {descriptor}: {e}"))?;
+    let failed = |source| SocketActivationError::Descriptor { descriptor, source };
+    let listener = taken.map_err(failed)?.ok_or(SocketActivationError::NotListening(descriptor))?;
+    listener.set_nonblocking(true).map_err(failed)?;
     Ok(listener)
 }
