--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,3 +1,5 @@
-//! The interface to the simulator: its codec. The adapter is the program `sprucelink-simhost`.
+//! The interface to the simulator: [`codec`] is its wire, [`adapter`] the host that plays many instances of the policy
+//! on it. The program is `sprucelink-simhost`.
 
+pub mod adapter;
 pub mod codec;
