--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -6,9 +6,9 @@
     MOST_SUBSCRIBERS,
 };
 use crate::procs::MOST_MANAGERS;
+use crate::range::within;
 use crate::template;
-use sprucelink_failpoints::file::{FaultFile, Points};
-use sprucelink_stable_hash::within;
+use sprucelink_failpoints::fault_file::{Failpoints, FaultFile};
 
 /// Steps at most, strikes, ports, files of each manager, further arguments, acts of one strike.
 const MOST_STEPS: usize = 200;
@@ -76,7 +76,7 @@
             within("watch.to", w.to, w.from, self.seconds)?;
         }
         if let Some(m) = &self.membership {
-            m.protocol.check().map_err(|e| format!("membership.protocol.{e}"))?;
+            m.protocol.validate().map_err(|e| format!("membership.protocol.{e}"))?;
         }
         within("groups", self.groups.len() as f64, 1.0, GROUPS.len() as f64)?;
         within("groups: their sum", self.groups.iter().sum(), 0.999, 1.001)?;
@@ -180,7 +180,7 @@
             Act::RestartEmpty(w) | Act::KeepCopy(w) | Act::PutBack(w) => w.check(self),
             Act::Disk { who, fault } => {
                 who.check(self)?;
-                FaultFile { disk: *fault, ..FaultFile::default() }.check()
+                FaultFile { disk: *fault, ..FaultFile::default() }.check().map_err(|e| e.to_string())
             }
             Act::Tear { who, file, bytes } => {
                 who.check(self)?;
@@ -216,7 +216,9 @@
     fn check_strike(&self, s: &Strike) -> Result<(), String> {
         s.who.check(self)?;
         let arm = [(s.point.clone(), s.pass)].into();
-        FaultFile { points: Points { arm, wait_ms: s.wait_ms }, ..FaultFile::default() }.check()?;
+        FaultFile { points: Failpoints { arm, wait_ms: s.wait_ms }, ..FaultFile::default() }
+            .check()
+            .map_err(|e| e.to_string())?;
         within("back_ms", s.back_ms.unwrap_or(0.0), 0.0, 600_000.0)?;
         within("also", s.also.len() as f64, 0.0, MOST_ALSO as f64)?;
         s.also.iter().try_for_each(|a| self.check_act(a)).map_err(|e| format!("also: {e}"))
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -1,9 +1,9 @@
 //! The admin address: what its calls do in this program. `sprucelink_admin` speaks HTTP and bounds the callers.
 
 use super::hot_restart_driver::HotRestartDriver;
-use crate::core::request_table::Core;
+use crate::core::Core;
 use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
-use sprucelink_cordon::{By, Change, Hold, Refused as CordonError};
+use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRequest};
 use sprucelink_metrics::Counter;
 use std::cell::Cell;
 use std::io;
@@ -58,7 +58,7 @@
     /// Operations on a core; health checks fail until [`AdminOperations::set_ready`].
     pub fn new(core: Rc<Core>, hot_restart: Option<Rc<HotRestartDriver>>) -> Rc<AdminOperations> {
         let counter = |limit: &Bite| {
-            let counter = core.figures().counter(limit.name());
+            let counter = core.metrics().counter(limit.name());
             LimitCounter { limit: *limit, counter: counter.unwrap_or_else(|_| Counter::noop()) }
         };
         let limit_counters = Bite::ALL.iter().map(counter).collect();
@@ -84,20 +84,22 @@
     }
 
     /// Answers a call that changed, or was to change, a cordon.
-    fn complete(&self, engine: &str, change: Result<Change, CordonError>) -> Result<Done, Refused> {
-        let change = change.map_err(|error| {
+    fn complete(&self, engine: &str, outcome: Result<CordonOutcome, CordonError>) -> Result<Done, Refused> {
+        let outcome = outcome.map_err(|error| {
             warn!(engine = %engine, "operators: engine {engine}: {error}");
             refusal(&error)
         });
         // Written before the answer: a cordon has to hold in the process that follows this one.
-        if let (Ok(_), Some(hot_restart)) = (&change, &self.hot_restart) {
+        if let (Ok(_), Some(hot_restart)) = (&outcome, &self.hot_restart) {
             hot_restart.record_cordons().map_err(|error| {
                 Refused::Unavailable(format!("it holds here and is not on record: {error}"))
             })?;
         }
-        match change? {
-            Change::Out | Change::Back => Ok(Done::Changed),
-            Change::AlreadyOut | Change::NotOut | Change::StillOut { .. } => Ok(Done::Unchanged),
+        match outcome? {
+            CordonOutcome::Cordoned | CordonOutcome::Uncordoned => Ok(Done::Changed),
+            CordonOutcome::AlreadyCordoned
+            | CordonOutcome::NotCordoned
+            | CordonOutcome::StillCordoned { .. } => Ok(Done::Unchanged),
         }
     }
 }
@@ -105,8 +107,8 @@
 /// The answer to a call that the cordons rejected.
 fn refusal(error: &CordonError) -> Refused {
     match error {
-        CordonError::NeverListed | CordonError::BadTarget => Refused::Unknown,
-        CordonError::TooMany | CordonError::BadLease => Refused::Unavailable(error.to_string()),
+        CordonError::NeverListed | CordonError::InvalidTarget => Refused::Unknown,
+        CordonError::TooManyCordons | CordonError::InvalidLease => Refused::Unavailable(error.to_string()),
     }
 }
 
@@ -117,18 +119,18 @@
 
     fn stats(&self) -> String {
         let (listed, avoided) = self.core.listed_and_avoided();
-        let metrics = self.core.figures();
+        let metrics = self.core.metrics();
         metrics.discovered(listed);
         metrics.ejected(avoided);
         metrics.render()
     }
 
     fn cordon(&self, target: &str) -> Result<Done, Refused> {
-        self.complete(target, self.core.take_out(target, Hold::Operator, CORDON_ORIGIN))
+        self.complete(target, self.core.cordon_engine(target, CordonRequest::Operator, CORDON_ORIGIN))
     }
 
     fn uncordon(&self, target: &str) -> Result<Done, Refused> {
-        self.complete(target, self.core.put_back(target, By::Operator))
+        self.complete(target, self.core.uncordon_engine(target, Cause::Operator))
     }
 
     fn bitten(&self, bite: Bite) {
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -75,7 +75,7 @@
     /// The limit that would be enough, where this one is not.
     pub fn reserve_descriptors(&mut self, count: usize) -> Result<(), TooFewDescriptors> {
         self.descriptors = DescriptorBudget::divide(self.sockets, self.descriptors.reserved + count)?;
-        self.connection_limits.most_links = self.descriptors.engine_connections;
+        self.connection_limits.max_total = self.descriptors.engine_connections;
         self.front.most_sessions = self.descriptors.sessions;
         Ok(())
     }
@@ -139,12 +139,12 @@
 ) -> ConnectionLimits {
     let limits = &platform.settings.limits;
     ConnectionLimits {
-        streams: limits.max_streams.or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
-        dial: TimeDelta::from_secs_f64(limits.connect_timeout.or(DEFAULT_CONNECT_TIMEOUT_S)),
-        idle: TimeDelta::from_secs_f64(limits.conn_idle.or(DEFAULT_IDLE_TIMEOUT_S)),
-        notes: settings.progress_pace,
-        most: (sockets / 32).max(2),
-        most_links: descriptors.engine_connections,
+        max_streams: limits.max_streams.or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
+        dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.or(DEFAULT_CONNECT_TIMEOUT_S)),
+        idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.or(DEFAULT_IDLE_TIMEOUT_S)),
+        note_interval: settings.progress_pace,
+        max_per_engine: (sockets / 32).max(2),
+        max_total: descriptors.engine_connections,
     }
 }
 
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -4,8 +4,7 @@
 //! `sprucelink_hot_restart` decides which process accepts connections and what each may spend, and keeps the files by
 //! which they know of each other; here its decisions are carried out.
 
-use crate::core::now;
-use crate::core::request_table::Core;
+use crate::core::{now, Core};
 use crate::front::Front;
 use sprucelink_hot_restart::{
     adopt, Age, Content, DiskFolder, Handover, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
@@ -140,7 +139,7 @@
     fn step(&self, front: &Front) {
         let looked = self.keeper.borrow_mut().look(now());
         self.adopt_files(looked, Level::DEBUG);
-        self.core.expire_outages();
+        self.core.expire_cordons();
         let is_stopping = self.is_stopping.get();
         let stand = self.keeper.borrow_mut().step(now(), is_stopping, self.is_ready.get()).clone();
         self.log_state(&stand);
@@ -184,7 +183,7 @@
         let keys = adopted.ids.len();
         let cold = adopted.cold.len();
         let further: u32 = adopted.further.iter().map(|f| f.1).sum();
-        self.core.adopt_outages(&adopted.bans, &adopted.ids);
+        self.core.merge_cordons(&adopted.bans, &adopted.ids);
         let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
         let line = format!(
             "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} bans, {keys} ids, \
@@ -213,7 +212,7 @@
         };
         if applies {
             self.budget_parts.set(BudgetParts { parts, fewer_since: None });
-            self.core.parted(parts);
+            self.core.set_process_count(parts);
         }
     }
 
@@ -243,7 +242,7 @@
     }
 
     fn content(&self) -> Content {
-        let (bans, ids) = self.core.outages(MAX_KEYS);
+        let (bans, ids) = self.core.export_cordons(MAX_KEYS);
         let tally = Tally::new(self.windows.ration, self.windows.cold);
         let ration = tally.ration(now());
         let cold = tally.cold(now());
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -1,9 +1,8 @@
 //! Drives the membership: a UDP socket and a clock around the SWIM state machine of `sprucelink_membership`, and what
 //! passes between it and the core. It decides nothing.
 
-use crate::core::request_table::Core;
 use crate::core::zone_routing::Observer;
-use crate::core::{now, span};
+use crate::core::{now, to_duration, Core, GossipWindows};
 use sprucelink_membership::codec::{self, MOST_DATAGRAM};
 use sprucelink_membership::pool::{self, Ration};
 use sprucelink_membership::swim::{Me, Swim, What};
@@ -89,7 +88,11 @@
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
     let swim = Swim::new(me, seeds, settings.protocol, seed, now());
     let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.span);
-    core.share(budget_window, fleet.cold_budget_window, fleet.slow_start_period);
+    core.enable_gossip(GossipWindows {
+        retry_budget: budget_window,
+        warm_up_budget: fleet.cold_budget_window,
+        warm_up: fleet.slow_start_period,
+    });
     info!(%address, "membership on {local_address}, reached at {address}");
     let (leave, leave_requested) = oneshot::channel();
     let driver = MembershipDriver {
@@ -158,7 +161,7 @@
         let mut buffer = [0u8; MOST_DATAGRAM + 1];
         loop {
             let due = self.swim.due().min(self.next_summary);
-            let pause = span(due - now()).max(MIN_PAUSE);
+            let pause = to_duration(due - now()).max(MIN_PAUSE);
             tokio::select! {
                 () = sleep(pause) => {}
                 received = self.socket.recv_from(&mut buffer) => self.receive(received, &mut buffer),
@@ -217,7 +220,7 @@
         let extra_ms = EXTRA_MS_PER_MEMBER * members.saturating_sub(LARGE_FLEET) as f64;
         let interval_ms = self.settings.share.every_ms + extra_ms;
         self.next_summary = now() + TimeDelta::from_secs_f64(interval_ms / 1e3);
-        if let Some(facts) = self.core.facts() {
+        if let Some(facts) = self.core.gossip_facts() {
             self.swim.set_facts(facts);
         }
         let board = self.swim.board();
@@ -226,7 +229,7 @@
             here: matches!(member.state, codec::State::Alive | codec::State::Suspect),
             facts: board.get(&member.name).map(|f| f.1.clone()),
         };
-        self.core.observed(|| self.swim.all().map(observer).collect());
+        self.core.set_observers(|| self.swim.all().map(observer).collect());
         if self.settings.share.ration || self.settings.share.parts {
             self.apply_budgets(members);
         }
@@ -240,7 +243,7 @@
         let budgets = AppliedBudgets { managers, spare_attempts: self.spare_attempts(members) };
         if self.applied != Some(budgets) {
             self.applied = Some(budgets);
-            self.core.fleet(budgets.managers, budgets.spare_attempts);
+            self.core.set_fleet(budgets.managers, budgets.spare_attempts);
         }
     }
 
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -1,7 +1,7 @@
 //! Opens the fronts: the sockets that clients connect to.
 
 use super::ServeError;
-use crate::core::request_table::Core;
+use crate::core::Core;
 use crate::front::{Front, Setup};
 use std::rc::Rc;
 use tokio::net::TcpListener;
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -77,7 +77,7 @@
         _ = interrupt.recv() => {}
         // Without its clock the core would end no request any more.
         _ = &mut server.core_task => {
-            server.core.record(None);
+            server.core.set_recorder(None);
             return Err(ServeError::CoreStopped);
         }
     }
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: what is open is answered, then the process ends.
 
 use super::startup::Server;
-use crate::core::{now, span};
+use crate::core::{now, to_duration};
 use sprucelink_policy::TimeDelta;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
@@ -37,7 +37,7 @@
 impl Schedule {
     fn new(longest_deadline: TimeDelta, is_hot_restart: bool) -> Schedule {
         let max_wait = if is_hot_restart { MAX_DEADLINE_WAIT_AT_HOT_RESTART } else { MAX_DEADLINE_WAIT };
-        let deadline_wait = span(longest_deadline).min(max_wait);
+        let deadline_wait = to_duration(longest_deadline).min(max_wait);
         let stop_at = Instant::now() + ACCEPT_PERIOD + deadline_wait;
         Schedule { deadline_wait, stop_at, answer_at: stop_at - ANSWER_MARGIN }
     }
@@ -51,14 +51,14 @@
 
 /// Stops accepting, waits until everything is answered or time runs out, and stops the subsystems.
 pub async fn shut_down(mut server: Server) {
-    let open = server.core.open();
+    let open = server.core.pending_requests();
     info!(open, "stopping: {open} open");
     if let Some(hot_restart) = &server.hot_restart {
         hot_restart.begin_stop();
     }
     let schedule = Schedule::new(server.longest_deadline, server.hot_restart.is_some());
     // A request that could not complete by then is not forwarded any more.
-    server.core.ends_by(now() + schedule.answer_period());
+    server.core.set_shutdown_deadline(now() + schedule.answer_period());
     sleep(ACCEPT_PERIOD).await;
     // The timer may fire before the sockets are polled where this process was not scheduled in between.
     sleep(CHECK_INTERVAL).await;
@@ -72,8 +72,8 @@
     if let Some(hot_restart) = &server.hot_restart {
         hot_restart.leave();
     }
-    server.core.record(None);
-    let open = server.core.open();
+    server.core.set_recorder(None);
+    let open = server.core.pending_requests();
     info!(open, "stopped: {open} open");
 }
 
@@ -97,7 +97,7 @@
 
 /// Answers every open request with a failure.
 fn answer_all(server: &Server) {
-    let ended = server.core.end_all();
+    let ended = server.core.complete_all();
     if ended > 0 {
         warn!(ended, "stopping: {ended} given up, for the time is over");
     }
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -4,8 +4,7 @@
 use super::reload::Reloader;
 use super::{ServeError, StartupConfig};
 use crate::core::buffer_pool::BufferPool;
-use crate::core::request_table::Core;
-use crate::core::{endpoint_client, now};
+use crate::core::{endpoint_client, now, Core, CoreConfig};
 use crate::run::admin::{self, AdminOperations};
 use crate::run::certificates;
 use crate::run::config::Config;
@@ -102,12 +101,18 @@
     settings.cold_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
     let metrics = Metrics::new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
-    let names = [config.zone_names.clone(), config.kind_names.clone()];
-    let buffers = BufferPool::new(config.buffers);
-    let core = Core::new(settings, config.seed, names, config.connection_limits, buffers, metrics);
+    let core = Core::new(CoreConfig {
+        settings,
+        seed: config.seed,
+        zones: config.zone_names.clone(),
+        kinds: config.kind_names.clone(),
+        limits: config.connection_limits,
+        pool: BufferPool::new(config.buffers),
+        metrics,
+    });
     if let Some(cold_start) = cold_start {
         // Before the first endpoint list: the limits have to hold from the start.
-        core.cold_start(cold_start, &config.name);
+        core.enable_startup_control(cold_start, &config.name);
     }
     Ok(core)
 }
@@ -119,7 +124,7 @@
         Ok(recorder) => {
             let dir = settings.dir.display();
             info!(dir = %dir, "capture: recording to {dir}");
-            core.record(Some(recorder));
+            core.set_recorder(Some(recorder));
         }
         Err(error) => warn!("capture: not recording: {error}"),
     }
@@ -128,9 +133,9 @@
 /// Applies the endpoint events that the configuration holds: the first one begins a whole list.
 fn apply_known_endpoints(core: &Rc<Core>, config: &Config) {
     for (index, event) in config.known_endpoints.events.iter().enumerate() {
-        core.on_list(event, index == 0);
+        core.on_endpoint_list(event, index == 0);
     }
-    core.passed_event(config.known_endpoints.last_event);
+    core.skip_event(config.known_endpoints.last_event);
 }
 
 /// The schedule by which this manager polls for endpoint lists.
@@ -146,7 +151,7 @@
     let Some(settings) = settings.filter(|settings| settings.enabled) else { return };
     let home = config.settings.zone;
     info!(?home, "failover: between {} zones", config.zone_names.len());
-    core.failover(&settings, home, config.zone_names.clone());
+    core.enable_zone_failover(&settings, home, config.zone_names.clone());
 }
 
 /// The settings that the membership shares budgets by.
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -8,7 +8,7 @@
 use super::socket_activation::{self, SocketActivationError};
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_membership::terms::Settings as MembershipSettings;
-use sprucelink_settings::Environment;
+use sprucelink_settings::{Environment, SettingsFile};
 use sprucelink_startup::settings::ColdStart;
 use sprucelink_zone_failover::terms::Terms as FailoverSettings;
 use std::io;
