--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -1,337 +1,250 @@
-//! Who is connected to a front, and who has to go when it is full: first those that have said nothing
-//! of a session, then sessions that have asked nothing yet, then the one that has been idle for longest.
-//! Newcomers are turned away only when nobody can go. Of the last, only who has said what it wants takes the place. Guards against clients that connect and stay: they would keep the others out.
+//! Slots for sessions, and the choice of the connection that is evicted when all of them are in use.
 //!
-//! Each connection holds one place, from its accept to its close: a [`Seat`], or a place in the [`Lobby`]. Both are
-//! bounded, and so are the descriptors that clients hold.
+//! Connections that have not sent a start-up packet are evicted first, then sessions that have never sent a request,
+//! then the session that has been idle for longest. A connection whose request is executing is never evicted. A new
+//! connection is rejected only when none can be evicted for it. Without eviction, clients that connect and stay idle
+//! would lock out all others.
+//!
+//! Every connection holds either a [`ConnectionSlot`] or a
+//! [`SessionlessConnection`](super::sessionless::SessionlessConnection). Both are bounded, and so is the number of
+//! descriptors that clients hold.
 
 use crate::core::now;
-use sprucelink_policy::Micros;
+use sprucelink_time::{TimeDelta, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// A newcomer has so long to say something before it may have to go: its first packet is under way. So have a session
-/// that has asked nothing yet, and one that has begun a message: most come whole at once.
-const GRACE: Micros = Micros(50_000);
+/// A connection cannot be evicted this soon after it was accepted, before the first request of its session, or within a
+/// message: what it sends next is probably on its way.
+const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
-/// What a connection is about.
+/// What a connection that holds a slot is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    /// No session yet.
-    Silent,
-    /// A session with no open request.
+enum SlotActivity {
+    /// It has not started a session.
+    Handshaking,
+    /// Its session has no open request.
     Idle,
-    /// A session whose next message is here in part.
-    Begun,
-    /// A session whose request is open.
-    Busy,
+    /// Its session has received a part of a message.
+    ReceivingMessage,
+    /// Its session has an open request.
+    Executing,
 }
 
-/// One connection's seat.
+/// State of one slot, shared between the table and the connection.
 #[derive(Debug)]
-struct Place {
-    standing: Cell<Standing>,
-    since: Cell<Micros>,
-    /// Its session has had a request taken.
-    asked: Cell<bool>,
-    told: Cell<bool>,
-    leave: Notify,
-}
-
-impl Place {
-    fn new() -> Place {
-        Place {
-            standing: Cell::new(Standing::Silent),
+struct SlotState {
+    activity: Cell<SlotActivity>,
+    /// When `activity` last changed.
+    since: Cell<Timestamp>,
+    /// A request of the session has been admitted.
+    has_requested: Cell<bool>,
+    is_evicted: Cell<bool>,
+    evicted: Notify,
+}
+
+impl SlotState {
+    fn new() -> SlotState {
+        SlotState {
+            activity: Cell::new(SlotActivity::Handshaking),
             since: Cell::new(now()),
-            asked: Cell::new(false),
-            told: Cell::new(false),
-            leave: Notify::new(),
+            has_requested: Cell::new(false),
+            is_evicted: Cell::new(false),
+            evicted: Notify::new(),
         }
     }
 
-    /// Tells who is there to go.
-    fn tell(&self) {
-        self.told.set(true);
-        self.leave.notify_one();
+    fn evict(&self) {
+        self.is_evicted.set(true);
+        self.evicted.notify_one();
     }
-}
 
-/// The seats of a front.
-#[derive(Debug)]
-pub struct Seats {
-    places: RefCell<BTreeMap<u64, Rc<Place>>>,
-    next: Cell<u64>,
-    most: usize,
-    /// Of those told to go, so many may still be there besides: what they had begun is ended first.
-    most_leaving: usize,
-    /// A seat has become free.
-    freed: Notify,
-    /// Idle sessions hold nothing that their clients would miss.
-    idle_may_go: bool,
-}
+    /// Whether the connection can be evicted now; one that has sent requests only if `may_evict_served`, an idle
+    /// session only if `may_evict_idle`.
+    fn is_evictable(&self, may_evict_served: bool, may_evict_idle: bool) -> bool {
+        let in_grace = now() - self.since.get() <= EVICTION_GRACE;
+        match self.activity.get() {
+            _ if self.is_evicted.get() => false,
+            SlotActivity::Handshaking => !in_grace,
+            SlotActivity::Idle | SlotActivity::ReceivingMessage if !may_evict_idle => false,
+            SlotActivity::Idle if self.has_requested.get() => may_evict_served,
+            SlotActivity::Idle => !in_grace,
+            SlotActivity::ReceivingMessage => !in_grace && (may_evict_served || !self.has_requested.get()),
+            SlotActivity::Executing => false,
+        }
+    }
 
-/// A seat that is taken; it is free again when this is dropped.
-#[derive(Debug)]
-pub struct Seat {
-    seats: Rc<Seats>,
-    number: u64,
-    place: Rc<Place>,
-}
+    /// Rank among the evictable connections; the lowest is evicted first.
+    fn eviction_rank(&self) -> u8 {
+        match self.activity.get() {
+            SlotActivity::Handshaking => 0,
+            SlotActivity::Idle | SlotActivity::ReceivingMessage if !self.has_requested.get() => 1,
+            SlotActivity::Idle => 2,
+            SlotActivity::ReceivingMessage | SlotActivity::Executing => 3,
+        }
+    }
 
-impl Seats {
-    /// So many seats, and besides so many of those who have been told to go and are still there.
-    pub fn new(most: usize, most_leaving: usize, idle_may_go: bool) -> Rc<Seats> {
-        let (places, next, freed) = (RefCell::default(), Cell::new(0), Notify::new());
-        Rc::new(Seats { places, next, most, most_leaving, freed, idle_may_go })
+    /// Whether the connection becomes evictable for any newcomer once its grace period is over.
+    fn is_evictable_after_grace(&self, may_evict_idle: bool) -> bool {
+        match self.activity.get() {
+            _ if self.is_evicted.get() => false,
+            SlotActivity::Handshaking => true,
+            SlotActivity::Idle | SlotActivity::ReceivingMessage => {
+                may_evict_idle && !self.has_requested.get()
+            }
+            SlotActivity::Executing => false,
+        }
     }
+}
 
-    /// A seat for a newcomer, if need be of one that is told to go; `None` where nobody can, or where too many of
-    /// those told are still there. For who has not said yet what it wants, no session goes that was served.
-    pub fn take(self: &Rc<Self>, wants_session: bool) -> Option<Seat> {
-        // Guards the descriptors: who was told may have begun a request, and goes only behind its answer.
-        if self.is_crowded() {
+/// The slots of a front.
+#[derive(Debug)]
+pub struct ConnectionSlots {
+    states: RefCell<BTreeMap<u64, Rc<SlotState>>>,
+    next_number: Cell<u64>,
+    max_slots: usize,
+    /// Maximum number of evicted connections that still hold a slot, beyond `max_slots`.
+    max_evicted: usize,
+    /// Notified when a slot is released.
+    released: Notify,
+    /// Idle sessions can be evicted: they hold no state that their clients would miss.
+    may_evict_idle: bool,
+}
+
+/// A slot in use; dropping it releases it.
+#[derive(Debug)]
+pub struct ConnectionSlot {
+    slots: Rc<ConnectionSlots>,
+    number: u64,
+    state: Rc<SlotState>,
+}
+
+impl ConnectionSlots {
+    /// `max_slots` slots, and `max_evicted` more that only evicted connections can make use of.
+    pub fn new(max_slots: usize, max_evicted: usize, may_evict_idle: bool) -> Rc<ConnectionSlots> {
+        Rc::new(ConnectionSlots {
+            states: RefCell::default(),
+            next_number: Cell::new(0),
+            max_slots,
+            max_evicted,
+            released: Notify::new(),
+            may_evict_idle,
+        })
+    }
+
+    /// Acquires a slot, evicting another connection if need be; `None` if none can be evicted or too many evicted
+    /// connections are still open. Sessions that have sent requests are evicted only if `may_evict_served`.
+    pub fn acquire(self: &Rc<Self>, may_evict_served: bool) -> Option<ConnectionSlot> {
+        // An evicted session completes the request it has begun, and holds its descriptor until then.
+        if self.is_at_hard_limit() {
             return None;
         }
-        if self.staying() >= self.most && !self.make_room(wants_session) {
+        if self.retained() >= self.max_slots && !self.evict_one(may_evict_served) {
             return None;
         }
-        let mut places = self.places.borrow_mut();
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let place = Rc::new(Place::new());
-        places.insert(number, Rc::clone(&place));
-        Some(Seat { seats: Rc::clone(self), number, place })
-    }
-
-    /// Whether as many are still there who were told to go as may be.
-    pub fn is_crowded(&self) -> bool {
-        self.taken() >= self.most.saturating_add(self.most_leaving)
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let state = Rc::new(SlotState::new());
+        self.states.borrow_mut().insert(number, Rc::clone(&state));
+        Some(ConnectionSlot { slots: Rc::clone(self), number, state })
     }
 
-    /// Returns when a seat becomes free from now on.
-    pub fn freed(&self) -> Notified<'_> {
-        self.freed.notified()
+    /// Whether all slots are in use, with those that only evicted connections can make use of.
+    pub fn is_at_hard_limit(&self) -> bool {
+        self.occupied() >= self.max_slots.saturating_add(self.max_evicted)
     }
 
-    /// Tells the one to go that can best; false where nobody can. Sessions that were served go only if `served` do.
-    pub fn make_room(&self, served: bool) -> bool {
-        let places = self.places.borrow();
-        let fresh = |p: &Place| now() - p.since.get() <= GRACE;
-        let may = |p: &&Rc<Place>| match p.standing.get() {
-            _ if p.told.get() => false,
-            Standing::Silent => !fresh(p),
-            Standing::Idle | Standing::Begun if !self.idle_may_go => false,
-            Standing::Idle if p.asked.get() => served,
-            Standing::Idle => !fresh(p),
-            Standing::Begun => !fresh(p) && (served || !p.asked.get()),
-            Standing::Busy => false,
-        };
-        // Guards clients that were served: those that only connect and stay go before them.
-        let rank = |p: &Place| match p.standing.get() {
-            Standing::Silent => 0,
-            Standing::Idle | Standing::Begun if !p.asked.get() => 1,
-            Standing::Idle => 2,
-            Standing::Begun | Standing::Busy => 3,
-        };
-        let goes = places.values().filter(may).min_by_key(|p| (rank(p), p.since.get()));
-        goes.inspect(|p| p.tell()).is_some()
+    /// Completes when a slot is released after this call.
+    pub fn released(&self) -> Notified<'_> {
+        self.released.notified()
     }
 
-    /// How long until the next of those who have asked nothing may have to go; `None` where there are none.
-    pub fn grace(&self) -> Option<Micros> {
-        let places = self.places.borrow();
-        let may = |p: &&Rc<Place>| match p.standing.get() {
-            _ if p.told.get() => false,
-            Standing::Silent => true,
-            Standing::Idle | Standing::Begun => self.idle_may_go && !p.asked.get(),
-            Standing::Busy => false,
-        };
-        places
+    /// Evicts the best candidate; false if there is none. Sessions that have sent requests are candidates only if
+    /// `may_evict_served`.
+    pub fn evict_one(&self, may_evict_served: bool) -> bool {
+        let states = self.states.borrow();
+        let candidate = states
             .values()
-            .filter(may)
-            .map(|p| p.since.get() + GRACE - now())
-            .min()
-            .map(|left| left.max(Micros(0)))
-    }
-
-    /// Seats of those who were not told to go.
-    fn staying(&self) -> usize {
-        self.places.borrow().values().filter(|p| !p.told.get()).count()
-    }
-}
-
-impl Seats {
-    /// Tells sessions to go that have been idle for so long, and connections that have been silent for so long.
-    pub fn let_go(&self, idle: Micros) {
-        for place in self.places.borrow().values() {
-            // A message that was begun is answered first: the end comes with it.
-            let busy = matches!(place.standing.get(), Standing::Busy | Standing::Begun);
-            if !busy && now() - place.since.get() >= idle && !place.told.replace(true) {
-                place.leave.notify_one();
+            .filter(|state| state.is_evictable(may_evict_served, self.may_evict_idle))
+            .min_by_key(|state| (state.eviction_rank(), state.since.get()));
+        candidate.inspect(|state| state.evict()).is_some()
+    }
+
+    /// Time until the next connection without a request becomes evictable, zero if one is now; `None` if there is no
+    /// such connection.
+    pub fn time_until_evictable(&self) -> Option<TimeDelta> {
+        let states = self.states.borrow();
+        let candidates = states.values().filter(|state| state.is_evictable_after_grace(self.may_evict_idle));
+        let remaining = candidates.map(|state| state.since.get() + EVICTION_GRACE - now()).min();
+        remaining.map(|remaining| remaining.max(TimeDelta::ZERO))
+    }
+
+    /// Evicts the connections that have been idle, or without a session, for at least `min_idle`.
+    pub fn evict_idle(&self, min_idle: TimeDelta) {
+        for state in self.states.borrow().values() {
+            // A message that has begun to arrive is still answered, and the session ends after the answer.
+            let is_busy =
+                matches!(state.activity.get(), SlotActivity::Executing | SlotActivity::ReceivingMessage);
+            let is_idle = !is_busy && now() - state.since.get() >= min_idle;
+            if is_idle && !state.is_evicted.get() {
+                state.evict();
             }
         }
     }
 
-    /// Seats that are taken.
-    pub fn taken(&self) -> usize {
-        self.places.borrow().len()
+    /// Number of slots in use, with those of evicted connections.
+    pub fn occupied(&self) -> usize {
+        self.states.borrow().len()
     }
-}
 
-impl Seat {
-    /// The session has an open request, or has none.
-    pub fn busy(&self, busy: bool) {
-        self.stands(if busy { Standing::Busy } else { Standing::Idle });
-    }
-    /// A request of the session was taken.
-    pub fn asked(&self) {
-        self.place.asked.set(true);
-    }
-    /// The session's next message is here in part.
-    pub fn begun(&self) {
-        self.stands(Standing::Begun);
-    }
-    fn stands(&self, standing: Standing) {
-        if self.place.standing.replace(standing) != standing {
-            self.place.since.set(now());
-        }
-    }
-    /// Whether it was told to go. A request that came first is answered first.
-    pub fn told(&self) -> bool {
-        self.place.told.get()
-    }
-    /// Returns when it is told to go.
-    pub async fn leave(&self) {
-        self.place.leave.notified().await;
+    /// Number of slots whose connections have not been evicted.
+    fn retained(&self) -> usize {
+        self.states.borrow().values().filter(|state| !state.is_evicted.get()).count()
     }
 }
 
-impl Drop for Seat {
-    fn drop(&mut self) {
-        self.seats.places.borrow_mut().remove(&self.number);
-        self.seats.freed.notify_waiters();
+impl ConnectionSlot {
+    /// The session has an open request, or has none.
+    pub fn set_executing(&self, is_executing: bool) {
+        self.set_activity(if is_executing { SlotActivity::Executing } else { SlotActivity::Idle });
     }
-}
-
-/// What a connection without a seat is about. Where the lobby is full, those that are parting go first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Errand {
-    /// It is being ended: what it still gets is its last word.
-    Parting,
-    /// It has not said what it wants, or waits for a seat.
-    Coming,
-}
-
-/// Where connections stand that have no seat: newcomers whose first packet may be a cancel, which needs none, and those
-/// that are being ended with a last word. When it is full, one of them is closed, of each errand the one that has been
-/// there for longest.
-#[derive(Debug)]
-pub struct Lobby {
-    places: RefCell<BTreeMap<u64, Rc<Guest>>>,
-    next: Cell<u64>,
-    most: usize,
-}
-
-/// Who is in the lobby.
-#[derive(Debug)]
-struct Guest {
-    errand: Cell<Errand>,
-    told: Cell<bool>,
-    leave: Notify,
-}
-
-/// A place in the lobby; it is free again when this is dropped.
-#[derive(Debug)]
-pub struct Standby {
-    lobby: Rc<Lobby>,
-    number: u64,
-    guest: Rc<Guest>,
-}
 
-impl Lobby {
-    /// So many places, one at least.
-    pub fn new(most: usize) -> Rc<Lobby> {
-        Rc::new(Lobby { places: RefCell::default(), next: Cell::new(0), most: most.max(1) })
+    /// The session has received a part of its next message.
+    pub fn set_receiving(&self) {
+        self.set_activity(SlotActivity::ReceivingMessage);
     }
 
-    /// A place, if need be another's; where its own errand is the first to go, it is told so at once.
-    pub fn enter(self: &Rc<Self>, errand: Errand) -> Standby {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let guest =
-            Rc::new(Guest { errand: Cell::new(errand), told: Cell::new(false), leave: Notify::new() });
-        self.places.borrow_mut().insert(number, Rc::clone(&guest));
-        if self.places.borrow().len() > self.most {
-            self.displace();
-        }
-        Standby { lobby: Rc::clone(self), number, guest }
+    /// A request of the session has been admitted.
+    pub fn record_request(&self) {
+        self.state.has_requested.set(true);
     }
 
-    /// Whether one more can come without another's going.
-    pub fn has_room(&self) -> bool {
-        self.places.borrow().len() < self.most
+    /// Whether the connection has been evicted. Requests that arrived before are still answered.
+    pub fn is_evicted(&self) -> bool {
+        self.state.is_evicted.get()
     }
 
-    /// Tells the one to go that can best; false where nobody is.
-    pub fn displace(&self) -> bool {
-        let mut places = self.places.borrow_mut();
-        let goes = places.iter().min_by_key(|(number, guest)| (guest.errand.get(), **number));
-        let Some(guest) = goes.map(|g| *g.0).and_then(|number| places.remove(&number)) else { return false };
-        guest.told.set(true);
-        guest.leave.notify_one();
-        true
+    /// Completes when the connection is evicted.
+    pub async fn evicted(&self) {
+        self.state.evicted.notified().await;
     }
-}
 
-impl Standby {
-    /// Its connection is being ended from now on.
-    pub fn parts(&self) {
-        self.guest.errand.set(Errand::Parting);
-    }
-    /// Whether it was told to go: its connection is closed in this turn.
-    pub fn told(&self) -> bool {
-        self.guest.told.get()
-    }
-    /// Returns when it is told to go, or was before.
-    pub async fn leave(&self) {
-        if !self.told() {
-            self.guest.leave.notified().await;
+    fn set_activity(&self, activity: SlotActivity) {
+        if self.state.activity.replace(activity) != activity {
+            self.state.since.set(now());
         }
     }
 }
 
-impl Drop for Standby {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.lobby.places.borrow_mut().remove(&self.number);
-    }
-}
-
-/// What a connection holds: one of the two, at any time.
-#[derive(Debug)]
-pub enum Stay {
-    /// A seat.
-    Seat(Seat),
-    /// A place in the lobby.
-    Lobby(Standby),
-}
-
-impl Stay {
-    /// Returns when it is told to go.
-    pub async fn leave(&self) {
-        match self {
-            Stay::Seat(seat) => seat.leave().await,
-            Stay::Lobby(place) => place.leave().await,
-        }
-    }
-    /// Whether it has no seat.
-    pub fn in_lobby(&self) -> bool {
-        matches!(self, Stay::Lobby(_))
+        self.slots.states.borrow_mut().remove(&self.number);
+        self.slots.released.notify_waiters();
     }
 }
 
 #[cfg(test)]
-#[path = "connection_slots_tests.rs"]
 mod tests;
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -134,7 +134,7 @@
 fn install(front: &Front, certificate: &Certificate, event: &str) {
     match certificate.acceptor() {
         Ok(acceptor) => {
-            front.certify(acceptor);
+            front.set_certificate(acceptor);
             info!("{event}, good until {}", certificate.not_after());
         }
         Err(error) => error!("certificate unusable: {}", with_causes(&error)),
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -5,10 +5,10 @@
 use super::admin;
 use super::descriptor_budget::{DescriptorBudget, TooFewDescriptors};
 use crate::core::engine_connection::ConnectionLimits;
-use crate::front::{Class, Setup};
+use crate::front::{ClassConfig, FrontConfig};
 use crate::proto::events::{self, ListEvent};
 use sprucelink_policy::{ClassSettings, Effect, Settings, TimeDelta};
-use sprucelink_settings::{Environment, Error, Platform, Profile, Word};
+use sprucelink_settings::{Environment, Error, ErrorReason, PlatformConfig, Text, WireClass};
 use std::net::SocketAddr;
 
 /// Limit on descriptors where the configuration names none.
@@ -63,7 +63,7 @@
     /// Limits of engine connections.
     pub connection_limits: ConnectionLimits,
     /// What the platform's front is set up with.
-    pub front: Setup,
+    pub front: FrontConfig,
     /// Buffers that the memory limit leaves room for.
     pub buffers: usize,
 }
@@ -76,7 +76,7 @@
     pub fn reserve_descriptors(&mut self, count: usize) -> Result<(), TooFewDescriptors> {
         self.descriptors = DescriptorBudget::divide(self.sockets, self.descriptors.reserved + count)?;
         self.connection_limits.max_total = self.descriptors.engine_connections;
-        self.front.most_sessions = self.descriptors.sessions;
+        self.front.max_sessions = self.descriptors.sessions;
         Ok(())
     }
 }
@@ -86,14 +86,16 @@
 /// # Errors
 /// The first field that is invalid: by line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
-    let platform: Platform<events::Told> = Platform::parse(text)?;
-    let settings = platform.settings.settings();
+    let platform: PlatformConfig<events::Told> = PlatformConfig::parse(text)?;
+    let settings = platform.settings.to_policy_settings();
     let sockets = platform.limits.sockets.0;
     let sockets = sockets.map_or(DEFAULT_SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
     let admin_address = platform.operator.or(environment.operator);
     let reserved = admin_address.map_or(0, |_| admin::limits(sockets).descriptors());
-    let descriptors = DescriptorBudget::divide(sockets, reserved)
-        .map_err(|too_few| Error::new("limits.sockets", too_few))?;
+    let descriptors = DescriptorBudget::divide(sockets, reserved).map_err(|error| {
+        let reason = ErrorReason::TooFewDescriptors { limit: error.limit, needed: error.sufficient };
+        Error::at_path("limits.sockets", reason)
+    })?;
     let buffers = buffers(platform.limits.memory_mb.0)?;
     Ok(Config {
         connection_limits: connection_limits(&platform, &settings, sockets, &descriptors),
@@ -118,30 +120,30 @@
 }
 
 /// Names of a list that has no gaps: empty names are left out.
-fn names(words: &[Word]) -> Vec<String> {
+fn names(words: &[Text]) -> Vec<String> {
     words.iter().filter(|word| !word.0.is_empty()).map(|word| word.0.clone()).collect()
 }
 
 /// Buffers for a memory limit in megabytes.
 fn buffers(memory_mb: Option<u64>) -> Result<usize, Error> {
     if memory_mb == Some(0) {
-        return Err(Error::new("limits.memory_mb", "0 MB are too few"));
+        return Err(Error::at_path("limits.memory_mb", ErrorReason::NoMemory));
     }
     let memory_mb = memory_mb.unwrap_or(DEFAULT_MEMORY_MB) as usize;
     Ok(memory_mb.max(MIN_MEMORY_MB).saturating_mul(BUFFERS_PER_MB))
 }
 
 fn connection_limits(
-    platform: &Platform<events::Told>,
+    platform: &PlatformConfig<events::Told>,
     settings: &Settings,
     sockets: usize,
     descriptors: &DescriptorBudget,
 ) -> ConnectionLimits {
     let limits = &platform.settings.limits;
     ConnectionLimits {
-        max_streams: limits.max_streams.or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
-        dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.or(DEFAULT_CONNECT_TIMEOUT_S)),
-        idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.or(DEFAULT_IDLE_TIMEOUT_S)),
+        max_streams: limits.max_streams.unwrap_or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
+        dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_S)),
+        idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.unwrap_or(DEFAULT_IDLE_TIMEOUT_S)),
         note_interval: settings.progress_pace,
         max_per_engine: (sockets / 32).max(2),
         max_total: descriptors.engine_connections,
@@ -149,21 +151,21 @@
 }
 
 fn front_setup(
-    platform: &Platform<events::Told>,
+    platform: &PlatformConfig<events::Told>,
     settings: &Settings,
     descriptors: &DescriptorBudget,
-) -> Setup {
-    let class = |(profile, class): (&Profile, &ClassSettings)| Class {
+) -> FrontConfig {
+    let class = |(profile, class): (&WireClass, &ClassSettings)| ClassConfig {
         name: profile.name.0.clone(),
-        keyed: class.effect == Effect::Keyed,
-        deadline: class.deadline,
+        has_idempotency_key: class.effect == Effect::Keyed,
+        default_timeout: class.deadline,
     };
-    Setup {
+    FrontConfig {
         classes: platform.settings.profiles.iter().zip(&settings.classes).map(class).collect(),
         tenants: platform.settings.customers.iter().map(|customer| customer.name.0.clone()).collect(),
-        most_sessions: descriptors.sessions,
-        most_leaving: descriptors.draining,
-        most_lobby: descriptors.handshakes,
+        max_sessions: descriptors.sessions,
+        max_evicted: descriptors.draining,
+        max_sessionless: descriptors.handshakes,
         extended: false,
         require_tls: false,
         default_class: None,
--- a/src/run/config/tests.rs
+++ b/src/run/config/tests.rs
@@ -25,7 +25,7 @@
         (32, TimeDelta::from_micros(1_000_000), TimeDelta::from_micros(15_000_000))
     );
     assert_eq!(
-        (config.buffers, limits.max_per_engine, config.front.most_sessions, limits.max_total),
+        (config.buffers, limits.max_per_engine, config.front.max_sessions, limits.max_total),
         (1_536, 32, 610, 366)
     );
 }
@@ -78,11 +78,11 @@
 #[test]
 fn lowest_limits_and_absent_limits_are_used() {
     let config = parse_valid(r#","limits":{"sockets":36,"memory_mb":1}"#, &environment_with_admin());
-    assert_eq!((config.front.most_sessions, config.connection_limits.max_total, config.buffers), (5, 3, 128));
+    assert_eq!((config.front.max_sessions, config.connection_limits.max_total, config.buffers), (5, 3, 128));
     for absent in ["null", "{}", r#"{"sockets":null,"memory_mb":null}"#] {
         let config = parse_valid(&format!(",\"limits\":{absent}"), &Environment::default());
         assert_eq!(
-            (config.sockets, config.front.most_sessions, config.buffers),
+            (config.sockets, config.front.max_sessions, config.buffers),
             (1024, 610, 1_536),
             "{absent}"
         );
@@ -98,7 +98,7 @@
     assert_eq!(second_front.descriptors(), 1 + 64 + 2 + 8);
     config.reserve_descriptors(second_front.descriptors()).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
-        (config.descriptors.reserved, config.front.most_sessions, config.connection_limits.max_total),
+        (config.descriptors.reserved, config.front.max_sessions, config.connection_limits.max_total),
         (75, 563, 337)
     );
     assert_eq!(config.reserve_descriptors(1_000), Err(TooFewDescriptors { limit: 1_024, sufficient: 1_131 }));
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -148,9 +148,9 @@
         // budgets counts for the successor alone.
         let is_draining = matches!(stand.phase, Phase::Accompanied | Phase::Leaving);
         self.divide_budgets(if is_draining { stand.parts } else { 1 });
-        front.accept(stand.accepts);
+        front.set_accepting(stand.accepts);
         if let Some(idle) = stand.let_go {
-            front.let_go(idle);
+            front.drain_sessions(idle);
         }
         if self.keeper.borrow().due(now()) {
             // A failure is logged there, and the next refresh tries again.
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -1,7 +1,7 @@
 //! The operator's file: the second front's settings. Without the file that front is off.
 
 use super::certificates::{self, CertificateConfig, RetryBackoff};
-use crate::front::Setup;
+use crate::front::FrontConfig;
 use crate::run::descriptor_budget::TooFewDescriptors;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     /// Where clients of the second front connect.
     pub listen: String,
     /// What the front is set up with.
-    pub front: Setup,
+    pub front: FrontConfig,
     /// Where its certificates come from; without it there is no TLS.
     pub certificates: Option<CertificateConfig>,
 }
@@ -47,7 +47,7 @@
     /// Descriptors that the second front holds at most: its listener, its connections, and those for certificates.
     pub fn descriptors(&self) -> usize {
         let certificates = self.certificates.as_ref().map_or(0, |_| certificates::MAX_DESCRIPTORS);
-        1 + self.front.most_connections() + certificates
+        1 + self.front.max_connections() + certificates
     }
 }
 
@@ -126,7 +126,7 @@
 ///
 /// # Errors
 /// The first field that is invalid.
-pub fn parse(text: &str, platform: &Setup) -> Result<SecondFrontConfig, SecondFrontError> {
+pub fn parse(text: &str, platform: &FrontConfig) -> Result<SecondFrontConfig, SecondFrontError> {
     let json: Value = serde_json::from_str(text).map_err(SecondFrontError::Json)?;
     let file = Section { prefix: "", json: &json };
     file.check_fields(&FIELDS)?;
@@ -135,16 +135,16 @@
         .configured_name("default_class", |name| platform.classes.iter().any(|class| class.name == name))?;
     let default_tenant =
         file.configured_name("default_tenant", |name| platform.tenants.iter().any(|tenant| tenant == name))?;
-    let most_sessions = file.max_sessions(platform)?;
+    let max_sessions = file.max_sessions(platform)?;
     let certificates = match &json["acme"] {
         Value::Null => None,
         acme => Some(parse_certificates(acme)?),
     };
-    let front = Setup {
+    let front = FrontConfig {
         require_tls: file.require_tls(certificates.is_some())?,
-        most_sessions,
-        most_leaving: MAX_DRAINING,
-        most_lobby: MAX_HANDSHAKES,
+        max_sessions,
+        max_evicted: MAX_DRAINING,
+        max_sessionless: MAX_HANDSHAKES,
         extended: true,
         default_class,
         default_tenant,
@@ -220,9 +220,9 @@
         }
     }
 
-    fn max_sessions(&self, platform: &Setup) -> Result<usize, SecondFrontError> {
+    fn max_sessions(&self, platform: &FrontConfig) -> Result<usize, SecondFrontError> {
         match &self.json["max_sessions"] {
-            Value::Null => Ok(DEFAULT_MAX_SESSIONS.min(platform.most_sessions / SESSIONS_DIVISOR).max(1)),
+            Value::Null => Ok(DEFAULT_MAX_SESSIONS.min(platform.max_sessions / SESSIONS_DIVISOR).max(1)),
             number => match number.as_u64() {
                 Some(sessions @ 1..=MAX_SESSIONS) => Ok(sessions as usize),
                 _ => Err(self.error("max_sessions", FieldError::SessionCount)),
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -2,7 +2,7 @@
 
 use super::ServeError;
 use crate::core::Core;
-use crate::front::{Front, Setup};
+use crate::front::{Front, FrontConfig};
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
@@ -30,19 +30,19 @@
         name: &'static str,
         core: &Rc<Core>,
         listener: TcpListener,
-        setup: Setup,
+        setup: FrontConfig,
     ) -> Result<OpenFront, ServeError> {
         let address =
             listener.local_addr().map_err(|source| ServeError::LocalAddress { front: name, source })?;
         let front = Front::new(Rc::clone(core), setup);
-        let accept_task = spawn_local(Rc::clone(&front).listen(listener));
+        let accept_task = spawn_local(Rc::clone(&front).accept_connections(listener));
         info!("{name} on {address}");
         Ok(OpenFront { front, accept_task })
     }
 
     /// Whether a session still has something to answer or to end.
     pub fn is_busy(&self) -> bool {
-        self.front.busy() > 0 || self.front.parting() > 0
+        self.front.open_requests() > 0 || self.front.closing_connections() > 0
     }
 
     /// Stops accepting, and waits until the accepting task has ended.
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -82,7 +82,7 @@
         }
         let platform_front = OpenFront::open(PLATFORM, &core, listener, config.front)?;
         // A process that shares the socket leaves connections to its predecessor until it is ready.
-        platform_front.front.accept(!is_shared);
+        platform_front.front.set_accepting(!is_shared);
         admin.set_ready();
         if let Some(hot_restart) = &hot_restart {
             hot_restart.set_ready();
