--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -2,8 +2,9 @@
 
 use super::buffer_pool::BufferPool;
 use super::clock::{now, to_duration};
+use super::connection_task::{self, ConnectionOwner};
 use super::coordinator::{ConnectionRuntime, Coordinator, CoordinatorConfig, MIN_RETRY_AFTER};
-use super::engine_connection::{self, ConnectionLimits, ConnectionOwner, EngineConnection};
+use super::engine_connection::{ConnectionLimits, EngineConnection};
 use super::gossip_facts::GossipWindows;
 use super::request::{RejectReason, Request, Response};
 use super::zone_routing::{Observer, ZoneRouting};
@@ -14,7 +15,7 @@
 use sprucelink_membership::facts::Facts;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::terms::Terms as FailoverConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -91,7 +92,7 @@
 
     /// Switches start-up control on: of dials, admission, endpoint lists and readiness. `name` is this manager's
     /// configured name. To be called before the first list, so that what is held is known from the start.
-    pub fn enable_startup_control(&self, settings: &ColdStart, name: &str) {
+    pub fn enable_startup_control(&self, settings: &StartupConfig, name: &str) {
         self.coordinator.borrow_mut().enable_startup_control(settings, name);
         self.wake.notify_one();
     }
@@ -99,7 +100,7 @@
     /// The endpoint service answered a poll.
     pub fn on_endpoint_service_answered(&self) {
         if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
-            startup.readiness.fed();
+            startup.readiness.record_feed_answer();
         }
     }
 
@@ -270,7 +271,7 @@
     }
 
     fn start_connection(&self, connection: Rc<EngineConnection>) {
-        tokio::task::spawn_local(engine_connection::run(Rc::clone(self), connection));
+        tokio::task::spawn_local(connection_task::run(Rc::clone(self), connection));
     }
 
     fn wake(&self) {
--- a/src/run/commands/check.rs
+++ b/src/run/commands/check.rs
@@ -1,23 +1,23 @@
 //! `sprucelink check`: prints what the files of a start would switch on.
 
 use crate::run::second_front::SecondFrontConfig;
-use crate::run::serve::StartupConfig;
+use crate::run::serve::ServerConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_membership::terms::Settings as MembershipSettings;
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::terms::Terms as FailoverSettings;
 
 /// Prints a line for the configuration and for each optional file.
-pub fn print(startup: &StartupConfig) {
-    let config = &startup.config;
+pub fn print(server: &ServerConfig) {
+    let config = &server.config;
     let classes = config.front.classes.len();
     let events = config.known_endpoints.events.len();
     println!("the configuration will do: listen {}, {classes} classes, {events} events", config.listen);
-    print_second_front(startup.second_front.as_ref());
-    print_recorder(startup.recorder.as_ref());
-    print_cold_start(startup.cold_start.as_ref());
-    print_membership(startup.membership.as_ref());
-    print_failover(startup.failover.as_ref());
+    print_second_front(server.second_front.as_ref());
+    print_recorder(server.recorder.as_ref());
+    print_cold_start(server.cold_start.as_ref());
+    print_membership(server.membership.as_ref());
+    print_failover(server.failover.as_ref());
 }
 
 fn print_second_front(config: Option<&SecondFrontConfig>) {
@@ -36,11 +36,11 @@
     }
 }
 
-fn print_cold_start(settings: Option<&ColdStart>) {
+fn print_cold_start(settings: Option<&StartupConfig>) {
     match settings {
         Some(settings) if settings.enabled => println!(
             "the cold start's settings will do: lists at {} a second for the fleet, dials staged over {} ms",
-            settings.lists.fleet_rate, settings.dials.stage_ms
+            settings.endpoint_poller.fleet_rate, settings.dial_pacer.window_ms
         ),
         Some(_) => println!("the cold start's settings will do; they are not enabled"),
         None => println!("no cold start's settings: the start is as it always was"),
--- a/src/run/commands/mod.rs
+++ b/src/run/commands/mod.rs
@@ -67,8 +67,8 @@
 }
 
 fn serve_clients(options: ServeOptions) -> Result<(), CommandError> {
-    let startup = startup_files::read(&options)?;
+    let config = startup_files::read(&options)?;
     logging::start(options.logging);
-    serve::serve(startup, options, startup_files::read_config)?;
+    serve::serve(config, options, startup_files::read_config)?;
     Ok(())
 }
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -17,14 +17,14 @@
 use super::second_front::SecondFrontConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_membership::terms::Settings as MembershipSettings;
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::terms::Terms as FailoverSettings;
 use startup::Server;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
 /// Everything that a start has read: the configuration and the optional files beside it.
-pub struct StartupConfig {
+pub struct ServerConfig {
     /// The configuration.
     pub config: Config,
     /// Address of the admin listener; without it there is none.
@@ -36,7 +36,7 @@
     /// The recorder; without it nothing is recorded.
     pub recorder: Option<RecorderSettings>,
     /// Start-up pacing; off where it is absent or not enabled.
-    pub cold_start: Option<ColdStart>,
+    pub cold_start: Option<StartupConfig>,
     /// Gossip between managers; off where it is absent or not enabled.
     pub membership: Option<MembershipSettings>,
     /// Failover between zones; off where it is absent or not enabled.
@@ -49,20 +49,20 @@
 /// # Errors
 /// A start that failed, or a policy clock that stopped while serving.
 pub fn serve(
-    startup: StartupConfig,
+    config: ServerConfig,
     options: ServeOptions,
     read_config: ConfigReader,
 ) -> Result<(), ServeError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ServeError::Runtime)?;
-    let served = LocalSet::new().block_on(&runtime, run(startup, options, read_config));
+    let served = LocalSet::new().block_on(&runtime, run(config, options, read_config));
     // A blocking thread that still reads a file must not delay the exit.
     runtime.shutdown_background();
     served
 }
 
 async fn run(
-    startup: StartupConfig,
+    config: ServerConfig,
     options: ServeOptions,
     read_config: ConfigReader,
 ) -> Result<(), ServeError> {
@@ -71,7 +71,7 @@
     let mut terminate = register(SignalKind::terminate())?;
     let mut interrupt = register(SignalKind::interrupt())?;
     let reloader = reload::Reloader { hangup, options, read_config };
-    let mut server = Server::start(startup, reloader).await?;
+    let mut server = Server::start(config, reloader).await?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -2,7 +2,7 @@
 
 use super::fronts::{bind, OpenFront, PLATFORM, SECOND};
 use super::reload::Reloader;
-use super::{ServeError, StartupConfig};
+use super::{ServeError, ServerConfig};
 use crate::core::buffer_pool::BufferPool;
 use crate::core::{endpoint_client, now, Core, CoreConfig};
 use crate::run::admin::{self, AdminOperations};
@@ -16,8 +16,8 @@
 use sprucelink_hot_restart::Spans;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
-use sprucelink_startup::lists::ListCalls;
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
+use sprucelink_startup::endpoint_poller::EndpointPoller;
 use sprucelink_zone_failover::terms::Terms as FailoverSettings;
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -46,17 +46,17 @@
     ///
     /// # Errors
     /// The first subsystem that cannot start.
-    pub async fn start(startup: StartupConfig, reloader: Reloader) -> Result<Server, ServeError> {
-        let config = startup.config;
-        let cold_start = startup.cold_start.filter(|cold_start| cold_start.enabled);
+    pub async fn start(server: ServerConfig, reloader: Reloader) -> Result<Server, ServeError> {
+        let config = server.config;
+        let cold_start = server.cold_start.filter(|cold_start| cold_start.enabled);
         let longest_deadline =
             config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO);
         let core = build_core(&config, cold_start.as_ref())?;
-        start_recorder(&core, startup.recorder, config.seed);
+        start_recorder(&core, server.recorder, config.seed);
         apply_known_endpoints(&core, &config);
-        let polls = cold_start.map(|cold_start| schedule_polls(cold_start, &config));
-        start_failover(&core, startup.failover, &config);
-        let membership = match startup.membership.filter(|membership| membership.enabled) {
+        let poller = cold_start.map(|cold_start| endpoint_poller(cold_start, &config));
+        start_failover(&core, server.failover, &config);
+        let membership = match server.membership.filter(|membership| membership.enabled) {
             Some(settings) => Some(
                 membership_driver::start(
                     Rc::clone(&core),
@@ -71,13 +71,13 @@
         };
         let core_task = spawn_local(Rc::clone(&core).run());
         let (feed_sender, feed_address) = watch::channel(config.feed.clone());
-        spawn_local(endpoint_client::follow(Rc::clone(&core), feed_address, polls));
+        spawn_local(endpoint_client::follow(Rc::clone(&core), feed_address, poller));
         spawn_local(reloader.run(feed_sender));
-        let is_shared = startup.inherited_listener.is_some();
-        let listener = open_listener(startup.inherited_listener, &config.listen).await?;
+        let is_shared = server.inherited_listener.is_some();
+        let listener = open_listener(server.inherited_listener, &config.listen).await?;
         let hot_restart = is_shared.then(|| start_hot_restart(&core, &config));
         let admin = AdminOperations::new(Rc::clone(&core), hot_restart.clone());
-        if let Some(address) = startup.admin_address {
+        if let Some(address) = server.admin_address {
             admin.listen(&address, admin::limits(config.sockets)).await?;
         }
         let platform_front = OpenFront::open(PLATFORM, &core, listener, config.front)?;
@@ -89,14 +89,14 @@
             spawn_local(Rc::clone(hot_restart).run(Rc::clone(&platform_front.front)));
         }
         let mut fronts = vec![platform_front];
-        if let Some(second_front) = startup.second_front {
+        if let Some(second_front) = server.second_front {
             fronts.push(open_second_front(&core, second_front).await?);
         }
         Ok(Server { core, core_task, membership, hot_restart, fronts, longest_deadline })
     }
 }
 
-fn build_core(config: &Config, cold_start: Option<&ColdStart>) -> Result<Rc<Core>, ServeError> {
+fn build_core(config: &Config, cold_start: Option<&StartupConfig>) -> Result<Rc<Core>, ServeError> {
     let mut settings = config.settings.clone();
     settings.cold_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
@@ -139,12 +139,12 @@
 }
 
 /// The schedule by which this manager polls for endpoint lists.
-fn schedule_polls(cold_start: ColdStart, config: &Config) -> ListCalls {
+fn endpoint_poller(cold_start: StartupConfig, config: &Config) -> EndpointPoller {
     let fleet = config.settings.gateways;
-    let polls = ListCalls::new(cold_start.lists, fleet, config.seed, now());
-    let window = polls.window().as_secs_f64();
+    let poller = EndpointPoller::new(cold_start.endpoint_poller, fleet, config.seed, now());
+    let window = poller.first_poll_window().as_secs_f64();
     info!(window, fleet, "cold start: first call for lists within {window:.3} s, of {fleet} managers");
-    polls
+    poller
 }
 
 fn start_failover(core: &Core, settings: Option<FailoverSettings>, config: &Config) {
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -4,12 +4,12 @@
 use super::config::{self, Config};
 use super::error::BoxError;
 use super::second_front::{self, SecondFrontConfig, SecondFrontError};
-use super::serve::StartupConfig;
+use super::serve::ServerConfig;
 use super::socket_activation::{self, SocketActivationError};
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_membership::terms::Settings as MembershipSettings;
 use sprucelink_settings::{Environment, SettingsFile};
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::terms::Terms as FailoverSettings;
 use std::io;
 
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// The first file that cannot be used.
-pub fn read(options: &ServeOptions) -> Result<StartupConfig, StartupFileError> {
+pub fn read(options: &ServeOptions) -> Result<ServerConfig, StartupFileError> {
     let mut config = read_config(options)?;
     let recorder = read_recorder(options)?;
     let inherited_listener = config.inherited_listener.map(socket_activation::listener).transpose()?;
@@ -55,12 +55,12 @@
         Some(path) => Some(read_second_front(path, &mut config)?),
         None => None,
     };
-    Ok(StartupConfig {
+    Ok(ServerConfig {
         admin_address: config.admin_address.map(|address| address.to_string()),
         inherited_listener,
         second_front,
         recorder,
-        cold_start: read_optional(options.cold_start.as_ref(), ColdStart::parse)?,
+        cold_start: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
         membership: read_optional(options.membership.as_ref(), MembershipSettings::parse)?,
         failover: read_optional(options.failover.as_ref(), FailoverSettings::parse)?,
         config,
