--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -7,8 +7,8 @@
 use crate::core::{now, Core};
 use crate::front::Front;
 use sprucelink_hot_restart::{
-    adopt, Age, Content, DiskFolder, Handover, Instance, Keeper, Looked, Phase, Spans, Stand, Tally,
-    WriteFailed, LOOK,
+    usable_state, DiskFolder, FileAge, FolderScan, Instance, Phase, PhaseStatus, StateFile, StateFileDriver,
+    StateSnapshot, WindowCounters, WindowSpans, WriteError, SCAN_INTERVAL,
 };
 use sprucelink_policy::Timestamp;
 use std::cell::{Cell, RefCell};
@@ -20,8 +20,8 @@
 use tokio::time::sleep;
 use tracing::{debug, error, info, warn, Level};
 
-/// Most hashes of idempotency keys that are handed on; a file has room for more, and cordons go before them.
-const MAX_KEYS: usize = 16_384;
+/// Most hashes of engine ids that are handed on; a file has room for more, and cordons go before them.
+const MAX_ENGINE_IDS: usize = 16_384;
 
 /// Among how many processes the manager's budgets are divided, as the core was last told.
 #[derive(Clone, Copy)]
@@ -36,7 +36,7 @@
 struct LoggedState {
     phase: Phase,
     parts: u32,
-    without_room: bool,
+    is_unacknowledged: bool,
 }
 
 /// What a write was for; it decides how serious a failure is.
@@ -51,14 +51,14 @@
 /// One process's side of a hot restart.
 pub struct HotRestartDriver {
     core: Rc<Core>,
-    keeper: RefCell<Keeper<DiskFolder>>,
+    state_files: RefCell<StateFileDriver<DiskFolder>>,
     /// Windows of the budgets.
-    windows: Spans,
+    windows: WindowSpans,
     is_ready: Cell<bool>,
     is_stopping: Cell<bool>,
     budget_parts: Cell<BudgetParts>,
     logged: Cell<Option<LoggedState>>,
-    /// Process ids of the other processes that were alive at the last look.
+    /// Process ids of the other processes that were alive at the last scan.
     living: RefCell<BTreeSet<u32>>,
     /// Process ids of those whose last file announced their end.
     ended: RefCell<BTreeSet<u32>>,
@@ -68,17 +68,17 @@
 impl HotRestartDriver {
     /// Adopts what earlier processes have left, before anything is served. `name` and `listen` tell this manager from
     /// others that share the folder.
-    pub fn start(core: Rc<Core>, name: &str, listen: &str, windows: Spans) -> Rc<HotRestartDriver> {
+    pub fn start(core: Rc<Core>, name: &str, listen: &str, windows: WindowSpans) -> Rc<HotRestartDriver> {
         let instance = Instance { name: name.to_owned(), listen: listen.to_owned() };
         let pid = std::process::id();
         let build = env!("CARGO_PKG_VERSION");
-        let (keeper, looked) = Keeper::open(DiskFolder::tmpdir(), instance, build, pid, now());
-        let generation = keeper.process().generation;
-        let found = looked.read.len();
+        let (state_files, scan) = StateFileDriver::open(DiskFolder::tmpdir(), instance, build, pid, now());
+        let generation = state_files.process().generation;
+        let found = scan.files.len();
         info!(pid, found, "handover: process {generation} of {name}, found {found} files");
         let driver = Rc::new(HotRestartDriver {
             core,
-            keeper: RefCell::new(keeper),
+            state_files: RefCell::new(state_files),
             windows,
             is_ready: Cell::new(false),
             is_stopping: Cell::new(false),
@@ -88,7 +88,7 @@
             ended: RefCell::default(),
             wake: Notify::new(),
         });
-        driver.adopt_files(looked, Level::INFO);
+        driver.adopt_files(scan, Level::INFO);
         driver
     }
 
@@ -106,23 +106,23 @@
 
     /// Whether a health check is to succeed.
     pub fn is_healthy(&self) -> bool {
-        self.keeper.borrow().says_yes()
+        self.state_files.borrow().is_healthy()
     }
 
     /// Writes an operator's cordons, before the call is answered.
     ///
     /// # Errors
     /// A file that could not be written: the cordon holds in this process alone.
-    pub fn record_cordons(&self) -> Result<(), WriteFailed> {
+    pub fn record_cordons(&self) -> Result<(), WriteError> {
         self.write(WriteReason::Cordon)
     }
 
-    /// Looks at the files and carries out what follows from them, until the process ends.
+    /// Scans the files and carries out what follows from them, until the process ends.
     pub async fn run(self: Rc<Self>, front: Rc<Front>) {
         loop {
             self.step(&front);
             tokio::select! {
-                () = sleep(Duration::from_micros(LOOK.as_micros() as u64)) => {}
+                () = sleep(Duration::from_micros(SCAN_INTERVAL.as_micros() as u64)) => {}
                 () = self.wake.notified() => {}
             }
         }
@@ -130,64 +130,64 @@
 
     /// Writes the last file, at the end of the process.
     pub fn leave(&self) {
-        let content = self.content();
-        if let Err(error) = self.keeper.borrow_mut().leave(now(), content) {
+        let snapshot = self.snapshot();
+        if let Err(error) = self.state_files.borrow_mut().write_last(now(), snapshot) {
             warn!("handover: not written: {error}");
         }
     }
 
     fn step(&self, front: &Front) {
-        let looked = self.keeper.borrow_mut().look(now());
-        self.adopt_files(looked, Level::DEBUG);
+        let scan = self.state_files.borrow_mut().scan(now());
+        self.adopt_files(scan, Level::DEBUG);
         self.core.expire_cordons();
         let is_stopping = self.is_stopping.get();
-        let stand = self.keeper.borrow_mut().step(now(), is_stopping, self.is_ready.get()).clone();
-        self.log_state(&stand);
+        let status = self.state_files.borrow_mut().step(now(), is_stopping, self.is_ready.get()).clone();
+        self.log_state(&status);
         self.log_unresponsive();
         // A process that drains sends hardly anything more, and its successor meets all that arrives: the division of
         // budgets counts for the successor alone.
-        let is_draining = matches!(stand.phase, Phase::Accompanied | Phase::Leaving);
-        self.divide_budgets(if is_draining { stand.parts } else { 1 });
-        front.set_accepting(stand.accepts);
-        if let Some(idle) = stand.let_go {
+        let is_draining = matches!(status.phase, Phase::ServingBesideSuccessor | Phase::Draining);
+        self.divide_budgets(if is_draining { status.budget_parts } else { 1 });
+        front.set_accepting(status.accepts_connections);
+        if let Some(idle) = status.close_idle_after {
             front.drain_sessions(idle);
         }
-        if self.keeper.borrow().due(now()) {
+        if self.state_files.borrow().is_write_due(now()) {
             // A failure is logged there, and the next refresh tries again.
             let _ = self.write(WriteReason::Refresh);
         }
     }
 
     /// Adopts what other processes have written, with a log line of this level for each file.
-    fn adopt_files(&self, looked: Looked, level: Level) {
-        for trouble in &looked.trouble {
-            warn!("handover: the folder: {trouble}");
+    fn adopt_files(&self, scan: FolderScan, level: Level) {
+        for error in &scan.folder_errors {
+            warn!("handover: the folder: {error}");
         }
-        for (file, reason) in &looked.refused {
+        for (file, reason) in &scan.rejected {
             warn!("handover: {file} refused: {reason}");
         }
-        for file in looked.read {
+        for file in scan.files {
             self.adopt_file(file, level);
         }
     }
 
-    fn adopt_file(&self, file: Handover, level: Level) {
+    fn adopt_file(&self, file: StateFile, level: Level) {
         let pid = file.process.pid;
         let generation = file.process.generation;
-        if file.phase == Phase::Gone {
+        if file.phase == Phase::Terminated {
             self.ended.borrow_mut().insert(pid);
         }
         let age = (now() - file.written_at).as_secs_f64();
-        let adopted = adopt(now(), self.windows, file);
-        let cordons = adopted.bans.len();
-        let keys = adopted.ids.len();
-        let cold = adopted.cold.len();
-        let further: u32 = adopted.further.iter().map(|f| f.1).sum();
-        self.core.merge_cordons(&adopted.bans, &adopted.ids);
-        let old = if adopted.age == Age::Fresh { "" } else { ", not of now" };
+        let usable = usable_state(now(), self.windows, file);
+        let cordons = usable.cordons.len();
+        let ids = usable.known_ids.len();
+        let cold = usable.warmup.len();
+        let retries: u32 = usable.retries.iter().map(|f| f.1).sum();
+        self.core.merge_cordons(&usable.cordons, &usable.known_ids);
+        let old = if usable.age == FileAge::Fresh { "" } else { ", not of now" };
         let line = format!(
-            "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} bans, {keys} ids, \
-             {further} further attempts, {cold} cold sends"
+            "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} bans, {ids} ids, \
+             {retries} further attempts, {cold} cold sends"
         );
         if level == Level::INFO {
             info!(pid, generation, bans = cordons, "{line}");
@@ -208,7 +208,7 @@
             (Ordering::Less, None) => {
                 return self.budget_parts.set(BudgetParts { fewer_since: Some(now()), ..current });
             }
-            (Ordering::Less, Some(since)) => now() - since >= self.windows.cold,
+            (Ordering::Less, Some(since)) => now() - since >= self.windows.warmup,
         };
         if applies {
             self.budget_parts.set(BudgetParts { parts, fewer_since: None });
@@ -217,21 +217,25 @@
     }
 
     /// Logs the phase and the division of budgets where they have changed.
-    fn log_state(&self, stand: &Stand) {
-        let state = LoggedState { phase: stand.phase, parts: stand.parts, without_room: stand.without_room };
+    fn log_state(&self, status: &PhaseStatus) {
+        let state = LoggedState {
+            phase: status.phase,
+            parts: status.budget_parts,
+            is_unacknowledged: status.is_unacknowledged,
+        };
         if self.logged.replace(Some(state)) == Some(state) {
             return;
         }
-        let LoggedState { phase, parts, without_room } = state;
+        let LoggedState { phase, parts, is_unacknowledged } = state;
         info!(parts, "handover: {phase:?}, 1 of {parts} parts");
-        if without_room && phase == Phase::Serving {
+        if is_unacknowledged && phase == Phase::Serving {
             warn!("handover: serves, and others did not make room");
         }
     }
 
     /// Logs other processes that stopped writing without announcing their end.
     fn log_unresponsive(&self) {
-        let others = self.keeper.borrow().living(now());
+        let others = self.state_files.borrow().live_peers(now());
         let living: BTreeSet<u32> = others.iter().map(|other| other.process.pid).collect();
         let before = self.living.replace(living.clone());
         let ended = self.ended.borrow();
@@ -241,23 +245,27 @@
         }
     }
 
-    fn content(&self) -> Content {
-        let (bans, ids) = self.core.export_cordons(MAX_KEYS);
-        let tally = Tally::new(self.windows.ration, self.windows.cold);
-        let ration = tally.ration(now());
-        let cold = tally.cold(now());
-        Content { bans, ids, ration, cold, last_event: self.core.last_event() }
+    fn snapshot(&self) -> StateSnapshot {
+        let (cordons, known_ids) = self.core.export_cordons(MAX_ENGINE_IDS);
+        let counters = WindowCounters::new(self.windows.retry_budget, self.windows.warmup);
+        StateSnapshot {
+            cordons,
+            known_ids,
+            retry_budget: counters.retry_budget(now()),
+            warmup: counters.warmup(now()),
+            last_event: self.core.last_event(),
+        }
     }
 
-    fn write(&self, reason: WriteReason) -> Result<(), WriteFailed> {
-        let content = self.content();
-        let result = self.keeper.borrow_mut().write(now(), content);
+    fn write(&self, reason: WriteReason) -> Result<(), WriteError> {
+        let snapshot = self.snapshot();
+        let result = self.state_files.borrow_mut().write(now(), snapshot);
         match result {
             Ok(written) => {
                 if written.ids_left_out > 0 {
                     warn!("handover: {} ids left out", written.ids_left_out);
                 }
-                let (bytes, removed) = (written.bytes, written.removed);
+                let (bytes, removed) = (written.bytes, written.removed_files);
                 debug!(bytes, "handover: written, {bytes} bytes, removed {removed}");
                 Ok(())
             }
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -13,7 +13,7 @@
 use crate::run::second_front::SecondFrontConfig;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_hot_restart::Spans;
+use sprucelink_hot_restart::WindowSpans;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
 use sprucelink_startup::config::StartupConfig;
@@ -176,9 +176,9 @@
 
 fn start_hot_restart(core: &Rc<Core>, config: &Config) -> Rc<HotRestartDriver> {
     let retry_budget = config.settings.attempt_budget.as_ref();
-    let windows = Spans {
-        ration: retry_budget.map_or(TimeDelta::ZERO, |budget| budget.span),
-        cold: config.settings.fall_span,
+    let windows = WindowSpans {
+        retry_budget: retry_budget.map_or(TimeDelta::ZERO, |budget| budget.span),
+        warmup: config.settings.fall_span,
     };
     HotRestartDriver::start(Rc::clone(core), &config.name, &config.listen, windows)
 }
