--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -86,7 +86,7 @@
 /// # Errors
 /// The first field that is invalid: by line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
-    let platform: PlatformConfig<events::Told> = PlatformConfig::parse(text)?;
+    let platform: PlatformConfig<events::ConfiguredEvent> = PlatformConfig::parse(text)?;
     let settings = platform.settings.to_policy_settings();
     let sockets = platform.limits.sockets.0;
     let sockets = sockets.map_or(DEFAULT_SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
@@ -134,7 +134,7 @@
 }
 
 fn connection_limits(
-    platform: &PlatformConfig<events::Told>,
+    platform: &PlatformConfig<events::ConfiguredEvent>,
     settings: &Settings,
     sockets: usize,
     descriptors: &DescriptorBudget,
@@ -151,7 +151,7 @@
 }
 
 fn front_setup(
-    platform: &PlatformConfig<events::Told>,
+    platform: &PlatformConfig<events::ConfiguredEvent>,
     settings: &Settings,
     descriptors: &DescriptorBudget,
 ) -> FrontConfig {
