--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -68,7 +68,7 @@
     ConfChangeError, LeadershipError, MemberProgress, Node, ProposeError, SnapshotError, StartError,
 };
 pub use pending_proposals::{ProposalOutcome, UnknownReason};
-pub use proposal_dedup::{Dedup, DedupDecodeError, ProposalDedup};
+pub use proposal_dedup::{Dedup, DedupDecodeError, ProposalDedup, SEQUENCE_WINDOW};
 pub use ready::{Batch, CommittedEntry, Ready};
 pub use recovered_state::RecoveredState;
 pub use role::{Role, RoleChange};
