--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -94,6 +94,6 @@
 fn log_accept_error(last_logged: &mut Option<Timestamp>, error: &io::Error) {
     if last_logged.is_none_or(|at| now() - at > ACCEPT_LOG_INTERVAL) {
         *last_logged = Some(now());
-        warn!("accept failed: {error}");
+        warn!(%error, "accept failed");
     }
 }
