--- a/src/front/sessionless.rs
+++ b/src/front/sessionless.rs
@@ -8,7 +8,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use tokio::sync::Notify;
+use tokio_util::sync::CancellationToken;
 
 /// What a connection without a slot is doing. The order is the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,8 +30,7 @@
 #[derive(Debug)]
 struct SessionlessState {
     phase: Cell<SessionlessPhase>,
-    is_evicted: Cell<bool>,
-    evicted: Notify,
+    evicted: CancellationToken,
 }
 
 /// One connection's entry; dropping it removes it.
@@ -56,11 +55,7 @@
     pub fn enter(self: &Rc<Self>, phase: SessionlessPhase) -> SessionlessConnection {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let state = Rc::new(SessionlessState {
-            phase: Cell::new(phase),
-            is_evicted: Cell::new(false),
-            evicted: Notify::new(),
-        });
+        let state = Rc::new(SessionlessState { phase: Cell::new(phase), evicted: CancellationToken::new() });
         self.states.borrow_mut().insert(number, Rc::clone(&state));
         if self.states.borrow().len() > self.max_connections {
             self.evict_one();
@@ -79,8 +74,7 @@
         let candidate = states.iter().min_by_key(|(number, state)| (state.phase.get(), **number));
         let Some(number) = candidate.map(|(number, _)| *number) else { return false };
         let Some(state) = states.remove(&number) else { return false };
-        state.is_evicted.set(true);
-        state.evicted.notify_one();
+        state.evicted.cancel();
         true
     }
 }
@@ -93,14 +87,12 @@
 
     /// Whether the connection has been evicted; it is closed at once.
     pub fn is_evicted(&self) -> bool {
-        self.state.is_evicted.get()
+        self.state.evicted.is_cancelled()
     }
 
     /// Completes when the connection is evicted, or has been.
     pub async fn evicted(&self) {
-        if !self.is_evicted() {
-            self.state.evicted.notified().await;
-        }
+        self.state.evicted.cancelled().await;
     }
 }
 
