--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,6 +1,7 @@
 //! The codecs on valid input cut at random and on random bytes, from fixed seeds.
 
 use quickcheck::{Arbitrary, Gen};
+use sprucelink::proto::engine_command::QueryFields;
 use sprucelink::proto::{engine_answer, events, fields, literal, pg, resp, sse, tables};
 
 /// Checks a property on 2,000 values that are the same in every run.
@@ -209,3 +210,103 @@
         assert!(e.to_string().contains(name), "{text}: {e}");
     }
 }
+
+/// Clients, engines' operators and log readers know these texts: they do not change with the types behind them.
+#[test]
+fn error_texts_are_those_of_earlier_releases() {
+    use engine_answer::EngineAnswerError;
+    use fields::FieldError;
+    use pg::PgError;
+    let texts = [
+        (PgError::OpeningLength.to_string(), "field length of the start-up packet is not a legal one"),
+        (PgError::Version { major: 2, minor: 7 }.to_string(), "field version is not 3.0 but 2.7"),
+        (PgError::MessageLength.to_string(), "field length of the message is not a legal one"),
+        (PgError::TrailingBytes.to_string(), "field length counts more bytes than the message has fields"),
+        (PgError::UnknownType(0x7a).to_string(), "field type is unknown: 0x7a"),
+        (PgError::Truncated("code").to_string(), "field code is cut short"),
+        (PgError::Unterminated("query").to_string(), "field query is not ended by a zero byte"),
+        (PgError::NotUtf8("query").to_string(), "field query is not UTF-8"),
+        (PgError::UnknownFormat("result format").to_string(), "field result format is neither 0 nor 1"),
+        (PgError::UnknownObjectKind.to_string(), "field kind is neither S nor P"),
+        (FieldError::OpenComment.to_string(), "field comment is not closed"),
+        (FieldError::Duplicate("req".into()).to_string(), "field req stands there twice"),
+        (FieldError::InvalidId.to_string(), "field req is not 16 hex digits"),
+        (FieldError::InvalidRetry.to_string(), "field resent is not 1"),
+        (FieldError::InvalidKey.to_string(), "field opkey is not 1 to 128 plain characters"),
+        (FieldError::InvalidTimeout("timeout").to_string(), "field timeout is not a number of milliseconds"),
+        (
+            FieldError::OutOfRange { field: "ms", max: 1e9 }.to_string(),
+            "field ms is not a number from 0 to 1000000000",
+        ),
+        (
+            tables::SeveralStatements.to_string(),
+            "field query holds several statements, where one is supported",
+        ),
+        (sse::SseError::TooLong.to_string(), "field data is too long"),
+        (EngineAnswerError::Missing("batches").to_string(), "field batches is missing"),
+        (EngineAnswerError::InvalidId.to_string(), "field id is not 16 hex digits"),
+        (EngineAnswerError::UnknownWord.to_string(), "field word is not known"),
+        (EngineAnswerError::FieldsNotText.to_string(), "field fields are not text"),
+        (EngineAnswerError::FieldWithoutValue.to_string(), "field fields hold one without a value"),
+        (EngineAnswerError::InvalidNumber("cpu").to_string(), "field cpu is not a number of 0 or more"),
+        (EngineAnswerError::InvalidPageNumber("batch").to_string(), "field batch is no number of a page"),
+        (EngineAnswerError::PageOutOfRange.to_string(), "field batch is out of place"),
+        (EngineAnswerError::InvalidPage.to_string(), "field body is no page of whole rows"),
+        (EngineAnswerError::ResultTooLong.to_string(), "field body makes the result longer than any may be"),
+    ];
+    for (text, wanted) in texts {
+        assert_eq!(text, wanted);
+    }
+    let error = pg::ErrorResponse::from(PgError::UnknownObjectKind);
+    assert_eq!(
+        (error.code, error.message.as_str()),
+        ("08P01", "malformed message: field kind is neither S nor P")
+    );
+}
+
+#[test]
+fn malformed_events_and_arrays_name_the_field() {
+    let events = [
+        ("{\"n\":\"x\"}", "field n is missing or no number"),
+        ("{\"n\":9007199254740992}", "field n is no event's number"),
+        ("{\"n\":1,\"members\":{}}", "field members is missing or no list"),
+        ("{\"n\":1,\"members\":{\"members\":[{}]}}", "field id is missing"),
+        ("\u{fffd}", "field data is not UTF-8"),
+        ("{", "field data is not JSON: EOF while parsing an object at line 1 column 1"),
+    ];
+    for (text, wanted) in events {
+        assert_eq!(events::parse(text).expect_err(text).to_string(), wanted);
+    }
+    let arrays: [(&[u8], &str); 6] = [
+        (b"*0\r\n", "field array has no legal number of parts"),
+        (b"*1\r\n$65\r\n", "field bulk is longer than allowed"),
+        (b"*1\r\n$1\r\nabc", "field bulk does not end with a line break"),
+        (b"+OK\r\n", "field length does not begin with its mark"),
+        (b"*12345678\r\n", "field length is too long"),
+        (b"*x\r\n", "field length is not a number"),
+    ];
+    for (bytes, wanted) in arrays {
+        assert_eq!(resp::read_array(bytes, 64).expect_err(wanted).to_string(), wanted);
+    }
+}
+
+#[test]
+fn query_fields_are_written_in_the_engines_form() {
+    let least = QueryFields {
+        class: "lane-rate",
+        time_left_ms: -5,
+        idempotency_key: None,
+        memory_grant_mb: None,
+        priority: 3,
+    };
+    assert_eq!(least.to_string(), "class=lane-rate,wait=1,nice=3");
+    let full = QueryFields {
+        time_left_ms: 1_500,
+        idempotency_key: Some("5c0f6e"),
+        memory_grant_mb: Some(0.25),
+        ..least
+    };
+    assert_eq!(full.to_string(), "class=lane-rate,wait=1500,once=5c0f6e,mb=1,nice=3");
+    let granted = QueryFields { memory_grant_mb: Some(95.5), ..full };
+    assert_eq!(granted.to_string(), "class=lane-rate,wait=1500,once=5c0f6e,mb=96,nice=3");
+}
