--- a/crates/admin/src/admission.rs
+++ b/crates/admin/src/admission.rs
@@ -1,157 +1,148 @@
-//! Who may call, for how long, and who goes when all seats are taken. It does no I/O and reads no clock: time is an
-//! argument, counted from any one point.
+//! Which connections are admitted, for how long, and which is evicted when all slots are taken. It does no I/O and reads
+//! no clock: time is an argument, counted from any one point.
 //!
-//! Every newcomer gets a seat. When all are taken, one goes for it: first a caller that has had its answer, for longest;
-//! then the one that has been silent for longest without a whole call; last the one that has been taking its answer for
-//! longest. Guards against callers that connect and say nothing, or half a call, and stay: however many they are, they
-//! displace one another, and a good caller, whose call is whole at once, is answered.
+//! Every new connection gets a slot. When all are taken, one is evicted: first the one that has had its response for
+//! longest, then the one with an incomplete request that has been silent for longest, last the one that has been
+//! taking its response for longest. Clients that connect and send nothing, or half a request, therefore evict one
+//! another, however many there are, while one that sends its request at once is answered.
 
-use crate::limits::{Limits, ACCEPTS_PER_SECOND};
+use crate::accept_pacer::AcceptPacer;
+use crate::limits::{Limits, PEAK_ACCEPTS_PER_SECOND};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A caller, numbered in order of arrival.
+/// A connection, numbered in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallerId(u64);
+pub struct ConnectionId(u64);
 
-/// How far a caller is. In the order in which callers go for others.
+/// How far a connection is; lower stages are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It has its answer, and only its side is still open.
-    Leaving,
-    /// Its call is not whole.
-    Calling,
-    /// Its call is whole, and its answer is being written.
-    Answering,
+    /// The response is sent, and only the client's side is still open.
+    Closing,
+    /// The request is incomplete.
+    ReadingRequest,
+    /// The request is complete, and the response is being written.
+    WritingResponse,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Caller {
+struct Connection {
     stage: Stage,
-    /// When it was last heard in its call, or its stage began.
+    /// When bytes of the request last arrived, or the stage began.
     since: Duration,
-    /// When its stage has to be over.
-    due: Duration,
+    /// When the stage times out.
+    deadline: Duration,
 }
 
-/// A newcomer's place.
+/// The slot of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// Its number.
-    pub id: CallerId,
-    /// Who has to go for it.
-    pub displaced: Option<CallerId>,
+    /// The connection.
+    pub id: ConnectionId,
+    /// The connection that is evicted for it.
+    pub evicted: Option<ConnectionId>,
 }
 
-/// All callers.
+/// The slots of all connections.
 #[derive(Debug)]
 pub struct Admission {
     limits: Limits,
-    callers: BTreeMap<CallerId, Caller>,
-    next: u64,
-    /// Accepts at any time, and in the long run.
-    paces: [Pace; 2],
-}
-
-/// A bucket of accepts as one instant: the generic cell rate algorithm's theoretical arrival time (ITU-T I.371).
-#[derive(Clone, Copy, Debug)]
-struct Pace {
-    gap: Duration,
-    tolerance: Duration,
-    tat: Duration,
-}
-
-impl Pace {
-    fn new(per_second: u32, burst: u32) -> Pace {
-        let gap = Duration::from_secs(1) / per_second.max(1);
-        Pace { gap, tolerance: gap.saturating_mul(burst.saturating_sub(1)), tat: Duration::ZERO }
-    }
-
-    fn next(&self) -> Duration {
-        self.tat.saturating_sub(self.tolerance)
-    }
-
-    fn take(&mut self, now: Duration) {
-        self.tat = self.tat.max(now) + self.gap;
-    }
+    connections: BTreeMap<ConnectionId, Connection>,
+    next_id: u64,
+    /// Bounds the rate over short spans.
+    peak_pacer: AcceptPacer,
+    /// Bounds the rate in the long run.
+    sustained_pacer: AcceptPacer,
 }
 
 impl Admission {
-    /// Nobody calls yet.
+    /// No connection yet.
     pub fn new(limits: Limits) -> Admission {
-        let half = u32::try_from(limits.callers / 2).unwrap_or(u32::MAX);
-        let paces =
-            [Pace::new(ACCEPTS_PER_SECOND, half), Pace::new(limits.accepts_per_second, limits.accept_burst)];
-        Admission { limits, callers: BTreeMap::new(), next: 0, paces }
+        let half_of_slots = u32::try_from(limits.max_connections / 2).unwrap_or(u32::MAX);
+        Admission {
+            limits,
+            connections: BTreeMap::new(),
+            next_id: 0,
+            peak_pacer: AcceptPacer::new(PEAK_ACCEPTS_PER_SECOND, half_of_slots),
+            sustained_pacer: AcceptPacer::new(limits.accepts_per_second, limits.accept_burst),
+        }
     }
 
-    /// Callers now; never more than [`Limits::callers`] (or 1, where that is 0).
-    pub fn callers(&self) -> usize {
-        self.callers.len()
+    /// Number of connections; never more than [`Limits::max_connections`] (or 1, where that is 0).
+    pub fn connections(&self) -> usize {
+        self.connections.len()
     }
 
-    /// When the next newcomer may be accepted: now, or later while they come faster than [`ACCEPTS_PER_SECOND`] after a
-    /// burst of half the seats, or than [`Limits::accepts_per_second`] after [`Limits::accept_burst`].
+    /// When the next connection may be accepted: now, or later while they arrive faster than
+    /// [`PEAK_ACCEPTS_PER_SECOND`] after a burst of half the slots, or than [`Limits::accepts_per_second`] after
+    /// [`Limits::accept_burst`].
     pub fn accept_at(&self, now: Duration) -> Duration {
-        self.paces.iter().fold(now, |at, pace| at.max(pace.next()))
+        now.max(self.peak_pacer.next_at()).max(self.sustained_pacer.next_at())
     }
 
-    /// A newcomer was accepted.
+    /// Gives a connection that was accepted its slot.
     pub fn admit(&mut self, now: Duration) -> Admitted {
-        self.paces.iter_mut().for_each(|pace| pace.take(now));
-        let full = self.callers.len() >= self.limits.callers.max(1);
-        let displaced = if full { self.displace() } else { None };
-        let id = CallerId(self.next);
-        self.next += 1;
-        let due = now + self.limits.call_due;
-        self.callers.insert(id, Caller { stage: Stage::Calling, since: now, due });
-        Admitted { id, displaced }
+        self.peak_pacer.count(now);
+        self.sustained_pacer.count(now);
+        let is_full = self.connections.len() >= self.limits.max_connections.max(1);
+        let evicted = if is_full { self.evict() } else { None };
+        let id = ConnectionId(self.next_id);
+        self.next_id += 1;
+        let deadline = now + self.limits.request_timeout;
+        self.connections.insert(id, Connection { stage: Stage::ReadingRequest, since: now, deadline });
+        Admitted { id, evicted }
     }
 
-    /// The kernel has no descriptor for a newcomer: who has to go, if anybody is here. The caller's seat is free at once.
-    pub fn displace(&mut self) -> Option<CallerId> {
-        let least = |(id, caller): &(&CallerId, &Caller)| (caller.stage, caller.since, **id);
-        let id = self.callers.iter().min_by_key(least).map(|(id, _)| *id)?;
-        self.callers.remove(&id);
+    /// Evicts a connection, if there is any; its slot is free at once. Also for the case that the kernel has no
+    /// descriptor for a new one.
+    pub fn evict(&mut self) -> Option<ConnectionId> {
+        let rank =
+            |(id, connection): &(&ConnectionId, &Connection)| (connection.stage, connection.since, **id);
+        let id = self.connections.iter().min_by_key(rank).map(|(id, _)| *id)?;
+        self.connections.remove(&id);
         Some(id)
     }
 
-    /// Part of a call came. It makes the caller the last to go among those whose calls are not whole, and gives it no
-    /// more time.
-    pub fn heard(&mut self, now: Duration, id: CallerId) {
-        if let Some(caller) = self.callers.get_mut(&id).filter(|c| c.stage == Stage::Calling) {
-            caller.since = now;
+    /// Bytes of a request arrived. The connection becomes the last to be evicted among those with incomplete requests,
+    /// and gets no more time.
+    pub fn on_request_bytes(&mut self, now: Duration, id: ConnectionId) {
+        let reading = self.connections.get_mut(&id).filter(|c| c.stage == Stage::ReadingRequest);
+        if let Some(connection) = reading {
+            connection.since = now;
         }
     }
 
-    /// A call is whole, or known to be bad: its answer is on its way.
-    pub fn answering(&mut self, now: Duration, id: CallerId) {
-        self.advance(now, id, Stage::Calling, Stage::Answering, self.limits.answer_due);
+    /// The request is complete, or known to be invalid: its response is being written.
+    pub fn on_response_begin(&mut self, now: Duration, id: ConnectionId) {
+        let timeout = self.limits.response_timeout;
+        self.advance(now, id, Stage::ReadingRequest, Stage::WritingResponse, timeout);
     }
 
-    /// The answer is with the kernel.
-    pub fn answered(&mut self, now: Duration, id: CallerId) {
-        self.advance(now, id, Stage::Answering, Stage::Leaving, self.limits.linger);
+    /// The kernel has taken the response.
+    pub fn on_response_sent(&mut self, now: Duration, id: ConnectionId) {
+        self.advance(now, id, Stage::WritingResponse, Stage::Closing, self.limits.linger);
     }
 
-    fn advance(&mut self, now: Duration, id: CallerId, from: Stage, to: Stage, time: Duration) {
-        if let Some(caller) = self.callers.get_mut(&id).filter(|c| c.stage == from) {
-            *caller = Caller { stage: to, since: now, due: now + time };
+    fn advance(&mut self, now: Duration, id: ConnectionId, from: Stage, to: Stage, timeout: Duration) {
+        if let Some(connection) = self.connections.get_mut(&id).filter(|c| c.stage == from) {
+            *connection = Connection { stage: to, since: now, deadline: now + timeout };
         }
     }
 
-    /// When the stage that a caller is in has to be over; `None` once it has gone.
-    pub fn due(&self, id: CallerId) -> Option<Duration> {
-        self.callers.get(&id).map(|c| c.due)
+    /// When the present stage of a connection times out; `None` once it has ended.
+    pub fn deadline(&self, id: ConnectionId) -> Option<Duration> {
+        self.connections.get(&id).map(|connection| connection.deadline)
     }
 
-    /// The stage in which a caller's time has run out, if it has.
-    pub fn overdue(&self, now: Duration, id: CallerId) -> Option<Stage> {
-        self.callers.get(&id).filter(|c| now >= c.due).map(|c| c.stage)
+    /// The stage in which a connection has timed out, if it has.
+    pub fn timed_out(&self, now: Duration, id: ConnectionId) -> Option<Stage> {
+        let connection = self.connections.get(&id).filter(|connection| now >= connection.deadline)?;
+        Some(connection.stage)
     }
 
-    /// A caller has gone. One that was displaced has gone already.
-    pub fn left(&mut self, id: CallerId) {
-        self.callers.remove(&id);
+    /// A connection has ended; one that was evicted has no slot any more.
+    pub fn remove(&mut self, id: ConnectionId) {
+        self.connections.remove(&id);
     }
 }
--- /dev/null
+++ b/crates/admin/src/connection.rs
@@ -0,0 +1,232 @@
+//! One connection, from its admission to its close.
+
+use crate::admission::{ConnectionId, Stage};
+use crate::limits::{MAX_DISCARDED_BYTES, MAX_HEAD_BYTES};
+use crate::observed_stream::{ObservedStream, RequestProgress};
+use crate::operations::{LimitReached, Operations};
+use crate::response::AdminResponse;
+use crate::service::Service;
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::future::pending;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::select;
+use tokio::sync::Notify;
+use tokio::time::{sleep_until, timeout};
+use tracing::debug;
+
+/// Bytes read at once of what is discarded behind a response.
+const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
+
+/// How a connection is asked to end, and reports that it has ended.
+#[derive(Debug, Default)]
+pub(crate) struct Eviction {
+    pub(crate) requested: Notify,
+    pub(crate) completed: Notify,
+}
+
+/// A connection that holds a slot; the slot is released when this is dropped.
+pub(crate) struct Connection<O> {
+    pub(crate) service: Rc<Service<O>>,
+    pub(crate) id: ConnectionId,
+    pub(crate) eviction: Rc<Eviction>,
+}
+
+impl<O> Drop for Connection<O> {
+    fn drop(&mut self) {
+        self.service.admission.borrow_mut().remove(self.id);
+        self.eviction.completed.notify_one();
+    }
+}
+
+/// How the HTTP library's part of a connection ended.
+enum HttpEnd {
+    /// The library is done with the connection.
+    Finished(hyper::Result<()>),
+    /// The connection timed out in this stage.
+    TimedOut(Stage),
+    /// Another connection needed the slot.
+    Evicted,
+}
+
+/// What is left to do once the HTTP library's part has ended.
+enum Farewell {
+    /// Send this response, then close.
+    Respond(AdminResponse),
+    /// The response is sent: close when the client does.
+    Close,
+    /// Close at once.
+    Drop,
+    /// Discard what the kernel has not sent yet: it would keep it long after the close.
+    Reset,
+    /// Send as much as the kernel takes at once, then close: another connection needs the slot.
+    Evict,
+}
+
+impl HttpEnd {
+    fn farewell(self, progress: &RequestProgress) -> Farewell {
+        match self {
+            HttpEnd::Finished(Ok(())) if progress.is_parsed() => Farewell::Close,
+            // Checks of an open port connect and send nothing.
+            HttpEnd::Finished(Ok(())) => Farewell::Drop,
+            HttpEnd::Finished(Err(error)) => farewell_after_error(&error, progress),
+            HttpEnd::TimedOut(Stage::ReadingRequest) => Farewell::Respond(AdminResponse::request_timeout()),
+            HttpEnd::TimedOut(_) => Farewell::Reset,
+            HttpEnd::Evicted => Farewell::Evict,
+        }
+    }
+}
+
+fn farewell_after_error(error: &hyper::Error, progress: &RequestProgress) -> Farewell {
+    if progress.is_parsed() {
+        debug!("operators: answer not written: {error}");
+        return Farewell::Drop;
+    }
+    if error.is_parse_too_large() {
+        return Farewell::Respond(AdminResponse::head_too_long());
+    }
+    if error.is_parse() {
+        return Farewell::Respond(AdminResponse::not_http());
+    }
+    if error.is_incomplete_message() && progress.has_bytes() {
+        return Farewell::Respond(AdminResponse::incomplete_request());
+    }
+    Farewell::Drop
+}
+
+impl<O: Operations> Connection<O> {
+    /// Serves the client's one request, and closes the connection.
+    pub(crate) async fn serve(&self, stream: TcpStream) {
+        let progress = Rc::new(RequestProgress::default());
+        let (stream, end) = self.serve_http(stream, &progress).await;
+        match end.farewell(&progress) {
+            Farewell::Respond(response) => self.send(stream, &response).await,
+            Farewell::Close => self.linger(stream).await,
+            Farewell::Drop => {}
+            Farewell::Reset => {
+                self.service.count_limit(Some(LimitReached::ResponseTimeout));
+                let _ = stream.set_zero_linger();
+            }
+            Farewell::Evict => self.evict(&stream, &progress),
+        }
+    }
+
+    /// Lets the HTTP library serve until it is done, the present stage times out, or the slot is needed.
+    async fn serve_http(&self, stream: TcpStream, progress: &Rc<RequestProgress>) -> (TcpStream, HttpEnd) {
+        let handle = |request: Request<Incoming>| self.handle(request, progress);
+        let on_bytes = || self.service.admission.borrow_mut().on_request_bytes(self.service.now(), self.id);
+        let observed = TokioIo::new(ObservedStream::new(stream, Rc::clone(progress), on_bytes));
+        let mut http = http1::Builder::new();
+        // One request a connection. A client that closes its side behind its request is answered all the same.
+        http.keep_alive(false).half_close(true).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
+        let mut connection = http.serve_connection(observed, service_fn(handle));
+        let end = loop {
+            select! {
+                // Bytes that have arrived are read before the clock is asked: a request must not time out because the
+                // loop was late.
+                biased;
+                result = &mut connection => break HttpEnd::Finished(result),
+                _ = self.eviction.requested.notified() => break HttpEnd::Evicted,
+                _ = self.stage_timeout() => {
+                    // A stage that began meanwhile has its own time.
+                    if let Some(stage) = self.timed_out() {
+                        break HttpEnd::TimedOut(stage);
+                    }
+                }
+            }
+        };
+        (connection.into_parts().io.into_inner().into_stream(), end)
+    }
+
+    /// Called by the HTTP library once the head of a request was parsed.
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        progress: &RequestProgress,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
+        progress.set_parsed();
+        let response = self.service.respond(request).await;
+        self.service.count_limit(response.limit);
+        self.service.admission.borrow_mut().on_response_begin(self.service.now(), self.id);
+        Ok(response.into_http())
+    }
+
+    /// Ends when the present stage times out.
+    async fn stage_timeout(&self) {
+        let deadline = self.service.admission.borrow().deadline(self.id);
+        match deadline {
+            Some(deadline) => sleep_until(self.service.started + deadline).await,
+            // The connection was evicted, and is notified of that.
+            None => pending().await,
+        }
+    }
+
+    fn timed_out(&self) -> Option<Stage> {
+        self.service.admission.borrow().timed_out(self.service.now(), self.id)
+    }
+
+    /// Time until the present stage times out.
+    fn remaining(&self) -> Duration {
+        let deadline = self.service.admission.borrow().deadline(self.id);
+        deadline.unwrap_or(Duration::ZERO).saturating_sub(self.service.now())
+    }
+
+    /// Sends a response that the HTTP library has no part in, then closes.
+    async fn send(&self, mut stream: TcpStream, response: &AdminResponse) {
+        self.service.count_limit(response.limit);
+        debug!("operators: {} {:?}", response.status, response.text);
+        self.service.admission.borrow_mut().on_response_begin(self.service.now(), self.id);
+        let bytes = response.to_bytes();
+        select! {
+            biased;
+            written = timeout(self.remaining(), stream.write_all(&bytes)) => match written {
+                Ok(Ok(())) => {}
+                _ => return,
+            },
+            _ = self.eviction.requested.notified() => return,
+        }
+        self.linger(stream).await;
+    }
+
+    /// Tells the client that it was evicted, without waiting. A client that sent nothing gets no response.
+    fn evict(&self, stream: &TcpStream, progress: &RequestProgress) {
+        let response = AdminResponse::evicted();
+        self.service.count_limit(response.limit);
+        if progress.has_bytes() && !progress.is_parsed() {
+            let _ = stream.try_write(&response.to_bytes());
+        }
+    }
+
+    /// Closes this side, and waits a moment for the client's. The kernel resets a connection that is closed with unread
+    /// bytes on it, and the response would be lost with it.
+    async fn linger(&self, mut stream: TcpStream) {
+        self.service.admission.borrow_mut().on_response_sent(self.service.now(), self.id);
+        if stream.shutdown().await.is_err() {
+            return;
+        }
+        select! {
+            _ = timeout(self.remaining(), discard(&mut stream)) => {}
+            _ = self.eviction.requested.notified() => {}
+        }
+    }
+}
+
+/// Reads and discards until the client closes its side, up to [`MAX_DISCARDED_BYTES`].
+async fn discard(stream: &mut TcpStream) {
+    let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
+    let mut discarded = 0;
+    while discarded < MAX_DISCARDED_BYTES {
+        match stream.read(&mut buffer).await {
+            Ok(count) if count > 0 => discarded += count,
+            _ => return,
+        }
+    }
+}
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,25 +1,28 @@
-//! The operators' address: HTTP/1.1, one call a connection, in plain text.
+//! The admin address: HTTP/1.1, one request a connection, in plain text.
 //!
 //! `GET /admin/health`, `GET /admin/stats`, `POST /admin/cordon` and `POST /admin/uncordon` with `{"target":"ID"}`. What the
-//! calls do is the program's ([`Operations`]); this crate speaks HTTP (by hyper), holds callers to their bounds
-//! ([`Limits`]) and gives every bad call a clear status.
+//! operations do is the program's ([`Operations`]); this crate speaks HTTP (by hyper), bounds its clients ([`Limits`])
+//! and gives every invalid request a clear status.
 //!
-//! Two halves: [`admission`], [`routes`], [`target`] and [`answer`] decide, do no I/O and read no clock; [`serve`] does the
-//! sockets. It runs on the serving loop's thread, within a `LocalSet`: answers wait for nothing but that loop, and what
-//! bad callers can cost it is bounded by the seats and by the rate at which they are accepted.
+//! [`admission`], [`routes`], [`target`] and [`response`] decide, do no I/O and read no clock; [`serve`] drives the sockets.
+//! It runs on the serving loop's thread, within a `LocalSet`: responses wait for nothing but that loop, and what abusive
+//! clients can cost it is bounded by the slots and by the rate at which connections are accepted.
 
+mod accept_pacer;
 pub mod admission;
-pub mod answer;
-mod caller;
+mod connection;
 mod limits;
-mod line;
+mod observed_stream;
 mod operations;
+pub mod response;
 pub mod routes;
-mod serve;
+mod server;
+mod service;
 pub mod target;
 
 pub use limits::{
-    Limits, ACCEPTS_PER_SECOND, MOST_ANSWER, MOST_BODY, MOST_DISCARDED, MOST_HEAD, MOST_TARGET,
+    Limits, MAX_BODY_BYTES, MAX_DISCARDED_BYTES, MAX_HEAD_BYTES, MAX_RESPONSE_BYTES, MAX_TARGET_BYTES,
+    PEAK_ACCEPTS_PER_SECOND,
 };
-pub use operations::{Bite, Done, Operations, Refused};
-pub use serve::serve;
+pub use operations::{LimitReached, OperationError, OperationOutcome, Operations};
+pub use server::serve;
--- a/crates/admin/src/limits.rs
+++ b/crates/admin/src/limits.rs
@@ -1,49 +1,50 @@
-//! The bounds of the operators' address, each with its reason.
+//! The bounds of the admin address, each with its reason.
 
 use std::time::Duration;
 
-/// Bytes of a call's head at most, its first line and headers together; over it the answer is 431. Operators' calls have
-/// a few hundred; it is also the least that the HTTP library's buffer takes.
-pub const MOST_HEAD: usize = 8 * 1024;
-/// Bytes of a call's body at most; over it the answer is 413. A body names one engine.
-pub const MOST_BODY: usize = 4 * 1024;
-/// Bytes of an engine's id at most; over it the answer is 400. Ids on the list have some ten.
-pub const MOST_TARGET: usize = 128;
-/// Bytes of an answer's body at most; the rest would wait in memory for each caller that reads slowly. Figures take
-/// 61 KiB at most.
-pub const MOST_ANSWER: usize = 64 * 1024;
-/// Bytes that are read and thrown away behind an answer. Closing a connection with unread bytes on it resets it, and
-/// the caller might lose the answer; a caller that sends without end is not listened to for ever.
-pub const MOST_DISCARDED: usize = 64 * 1024;
-/// Callers accepted a second at most at any time, after half the seats at once: a newcomer has some 30 ms for its call
-/// before others can push it out, however many come.
-pub const ACCEPTS_PER_SECOND: u32 = 1_000;
+/// Longest head of a request in bytes, its first line and headers together; beyond it the response is 431. Operators'
+/// requests have a few hundred; it is also the smallest buffer that the HTTP library accepts.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Longest body of a request in bytes; beyond it the response is 413. A body names one engine.
+pub const MAX_BODY_BYTES: usize = 4 * 1024;
+/// Longest engine id in bytes; beyond it the response is 400. Ids on the endpoint list have about ten.
+pub const MAX_TARGET_BYTES: usize = 128;
+/// Longest body of a response in bytes: it waits in memory for each client that reads slowly. The metrics take 61 KiB at
+/// most.
+pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// Most bytes that are read and discarded behind a response. Closing a connection with unread bytes resets it, and the
+/// client might lose the response; a client that sends without end is not read for ever.
+pub const MAX_DISCARDED_BYTES: usize = 64 * 1024;
+/// Most connections accepted a second at any time, after half the slots at once: a new one has some 30 ms for its request
+/// before others can evict it, however many arrive.
+pub const PEAK_ACCEPTS_PER_SECOND: u32 = 1_000;
 
-/// What callers are held to.
+/// What clients of the admin address are held to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at a time, 1 or more (64): operators, checks and scrapers are a handful.
-    pub callers: usize,
-    /// A whole call is due so long after its connection was accepted (2 s, as for clients' start-up): half a call gets 408.
-    pub call_due: Duration,
-    /// A caller has so long to take its answer (2 s); then the connection is reset.
-    pub answer_due: Duration,
-    /// After its answer a caller has so long to close its side (500 ms); then it is closed.
+    /// Connections at a time, 1 or more (64): operators, health checks and scrapers are a handful.
+    pub max_connections: usize,
+    /// Time from accepting a connection to a complete request (2 s); then the response is 408.
+    pub request_timeout: Duration,
+    /// Time that a client has to take its response (2 s); then the connection is reset.
+    pub response_timeout: Duration,
+    /// Time that a client has to close its side after the response (500 ms); then the connection is closed.
     pub linger: Duration,
-    /// Callers accepted a second in the long run, 1 or more (500); more wait in the kernel's queue. A caller costs the loop
-    /// that serves requests some 100 us, however little it says: a flood costs it a twentieth of a core at most.
+    /// Connections accepted a second in the long run, 1 or more (500); others wait in the kernel's queue. A connection
+    /// costs the loop that serves requests some 100 us, however little it sends: a flood costs it a twentieth of a core
+    /// at most.
     pub accepts_per_second: u32,
-    /// Callers accepted before that rate holds, 1 or more (512): a crowd that comes at once is met within the second that
-    /// operators are owed.
+    /// Connections accepted before that rate applies, 1 or more (512): a burst is served within the second in which
+    /// operators expect a response.
     pub accept_burst: u32,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            callers: 64,
-            call_due: Duration::from_secs(2),
-            answer_due: Duration::from_secs(2),
+            max_connections: 64,
+            request_timeout: Duration::from_secs(2),
+            response_timeout: Duration::from_secs(2),
             linger: Duration::from_millis(500),
             accepts_per_second: 500,
             accept_burst: 512,
@@ -52,9 +53,9 @@
 }
 
 impl Limits {
-    /// File descriptors that the operators' address holds at most: one a caller, the listener's, and that of a newcomer
-    /// that was accepted before the one it displaces has gone. The program keeps these back from what it serves with.
+    /// File descriptors that the admin address holds at most: one for each connection, the listener's, and one for a
+    /// connection that was accepted before the one it evicts has ended. The program reserves these.
     pub fn descriptors(&self) -> usize {
-        self.callers.max(1).saturating_add(2)
+        self.max_connections.max(1).saturating_add(2)
     }
 }
--- a/crates/admin/src/operations.rs
+++ b/crates/admin/src/operations.rs
@@ -1,73 +1,87 @@
-//! What the operators' address asks of the program.
+//! What the admin address needs of the program.
 
-/// The program, as operators' calls see it. All methods are called on the loop that serves requests and must return at
-/// once: nothing is waited for, computed at length or read from outside.
+/// The program, as admin requests see it. All methods are called on the loop that serves requests and must return at
+/// once: they must not wait, compute at length or read from outside.
 pub trait Operations {
     /// Whether this process can serve.
-    fn healthy(&self) -> bool;
+    fn is_healthy(&self) -> bool;
 
-    /// The figures, one line each; at most [`crate::MOST_ANSWER`] bytes, or the answer is 500.
+    /// The metrics, a line each; beyond [`crate::MAX_RESPONSE_BYTES`] the response is 500.
     fn stats(&self) -> String;
 
-    /// Leaves an engine out until it is put back.
-    fn cordon(&self, target: &str) -> Result<Done, Refused>;
+    /// Takes an engine out of use until it is uncordoned.
+    ///
+    /// # Errors
+    /// An engine that is unknown, or a cordon that cannot be recorded.
+    fn cordon(&self, target: &str) -> Result<OperationOutcome, OperationError>;
 
-    /// Puts an engine back.
-    fn uncordon(&self, target: &str) -> Result<Done, Refused>;
+    /// Puts an engine back into use.
+    ///
+    /// # Errors
+    /// An engine that is unknown, or a change that cannot be recorded.
+    fn uncordon(&self, target: &str) -> Result<OperationOutcome, OperationError>;
 
-    /// A bound of the operators' address was reached. For counters: called once each time.
-    fn bitten(&self, _bite: Bite) {}
+    /// A limit of the admin address was reached; called once each time, for counters.
+    fn on_limit_reached(&self, _limit: LimitReached) {}
 }
 
-/// What became of a call that was obeyed. Both are a yes: calls may come more than once.
+/// What an operation did. Both are a success: requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum OperationOutcome {
     /// It changed something.
     Changed,
-    /// It was so already.
+    /// The state was as requested already.
     Unchanged,
 }
 
-/// Why a call was not obeyed.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+/// Why an operation was rejected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum OperationError {
     /// No engine of this id was ever listed: 404.
+    #[error("target: no engine of this id was ever listed")]
     Unknown,
-    /// It cannot be done now, for this reason: 503. The reason goes to the caller.
+    /// It cannot be done now: 503. The reason goes to the client.
+    #[error("{0}")]
     Unavailable(String),
 }
 
-/// A bound that was reached.
+/// A limit that was reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Bite {
-    /// All seats were taken: the caller that mattered least went.
-    Displaced,
-    /// A call was not whole in time.
-    CallLate,
-    /// An answer was not taken in time.
-    AnswerLate,
-    /// A call's head or body was too long.
-    TooLong,
-    /// What came was no call.
+pub enum LimitReached {
+    /// All slots were taken: a connection was evicted.
+    Evicted,
+    /// A request was incomplete when its time was over.
+    RequestTimeout,
+    /// A response was not taken in time.
+    ResponseTimeout,
+    /// The head or body of a request was too long.
+    RequestTooLong,
+    /// Bytes were no request.
     Malformed,
-    /// The kernel had no descriptor or memory for a newcomer.
-    Starved,
+    /// The kernel had no descriptor or memory for a new connection.
+    OutOfDescriptors,
 }
 
-impl Bite {
-    /// All, for making counters at the start.
-    pub const ALL: [Bite; 6] =
-        [Bite::Displaced, Bite::CallLate, Bite::AnswerLate, Bite::TooLong, Bite::Malformed, Bite::Starved];
+impl LimitReached {
+    /// All of them, for registering counters at the start.
+    pub const ALL: [LimitReached; 6] = [
+        LimitReached::Evicted,
+        LimitReached::RequestTimeout,
+        LimitReached::ResponseTimeout,
+        LimitReached::RequestTooLong,
+        LimitReached::Malformed,
+        LimitReached::OutOfDescriptors,
+    ];
 
-    /// The figure's name.
-    pub fn name(self) -> &'static str {
+    /// The counter's name on `/admin/stats`, behind `edge.`.
+    pub fn counter_name(self) -> &'static str {
         match self {
-            Bite::Displaced => "admin.displaced",
-            Bite::CallLate => "admin.call_late",
-            Bite::AnswerLate => "admin.answer_late",
-            Bite::TooLong => "admin.too_long",
-            Bite::Malformed => "admin.malformed",
-            Bite::Starved => "admin.starved",
+            LimitReached::Evicted => "admin.displaced",
+            LimitReached::RequestTimeout => "admin.call_late",
+            LimitReached::ResponseTimeout => "admin.answer_late",
+            LimitReached::RequestTooLong => "admin.too_long",
+            LimitReached::Malformed => "admin.malformed",
+            LimitReached::OutOfDescriptors => "admin.starved",
         }
     }
 }
--- /dev/null
+++ b/crates/admin/src/server.rs
@@ -0,0 +1,106 @@
+//! The listener: accepts connections as admission allows, and survives a shortage of descriptors.
+
+use crate::admission::{Admission, ConnectionId};
+use crate::connection::{Connection, Eviction};
+use crate::limits::Limits;
+use crate::operations::{LimitReached, Operations};
+use crate::service::Service;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::io::{Error, ErrorKind};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{yield_now, JoinSet};
+use tokio::time::{sleep, sleep_until, Instant};
+use tracing::warn;
+
+/// First pause after the kernel had no descriptor for a new connection; doubled each time in a row.
+const FIRST_PAUSE: Duration = Duration::from_millis(5);
+/// Longest such pause: operators expect a response within 1 s, and the new connection waits meanwhile.
+const MAX_PAUSE: Duration = Duration::from_millis(160);
+
+/// Serves admin requests on this listener until it is dropped, which closes the listener and all connections at once. A
+/// response is produced in one turn of the loop, so that a stop loses only what clients have not read yet.
+///
+/// # Panics
+///
+/// Outside a `tokio` runtime with clock and I/O enabled, or outside a `LocalSet`: its tasks stay on this thread.
+pub async fn serve<O: Operations + 'static>(listener: TcpListener, operations: Rc<O>, limits: Limits) {
+    let admission = RefCell::new(Admission::new(limits));
+    let service = Rc::new(Service { operations, admission, started: Instant::now() });
+    let mut connections = Connections { service, evictions: BTreeMap::new(), tasks: JoinSet::new() };
+    let mut pause = FIRST_PAUSE;
+    loop {
+        connections.wait_for_turn().await;
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                pause = FIRST_PAUSE;
+                connections.admit(stream).await;
+            }
+            Err(error) if is_client_error(&error) => {}
+            Err(error) => {
+                if pause == FIRST_PAUSE {
+                    warn!("operators: no caller can be accepted: {error}");
+                }
+                connections.free_descriptor().await;
+                sleep(pause).await;
+                pause = (pause * 2).min(MAX_PAUSE);
+            }
+        }
+        // Admitted connections get their turn before the next is accepted; otherwise a good request could be evicted
+        // unread by many that arrive at once.
+        yield_now().await;
+    }
+}
+
+/// The open connections and their tasks.
+struct Connections<O> {
+    service: Rc<Service<O>>,
+    /// How each connection that may still be open is asked to end; as many as there are slots.
+    evictions: BTreeMap<ConnectionId, Rc<Eviction>>,
+    tasks: JoinSet<()>,
+}
+
+impl<O: Operations + 'static> Connections<O> {
+    /// Waits until the next connection may be accepted.
+    async fn wait_for_turn(&self) {
+        let at = self.service.admission.borrow().accept_at(self.service.now());
+        sleep_until(self.service.started + at).await;
+    }
+
+    /// Gives a new connection its slot, if need be by evicting another, and starts to serve it.
+    async fn admit(&mut self, stream: TcpStream) {
+        let admitted = self.service.admission.borrow_mut().admit(self.service.now());
+        self.end(admitted.evicted).await;
+        let eviction = Rc::new(Eviction::default());
+        self.evictions.insert(admitted.id, Rc::clone(&eviction));
+        let connection = Connection { service: Rc::clone(&self.service), id: admitted.id, eviction };
+        self.tasks.spawn_local(async move { connection.serve(stream).await });
+        // A task that panicked has released its slot all the same.
+        while self.tasks.try_join_next().is_some() {}
+        let admission = self.service.admission.borrow();
+        self.evictions.retain(|id, _| admission.deadline(*id).is_some());
+    }
+
+    /// Evicts a connection because the kernel has no descriptor for a new one.
+    async fn free_descriptor(&mut self) {
+        self.service.operations.on_limit_reached(LimitReached::OutOfDescriptors);
+        let evicted = self.service.admission.borrow_mut().evict();
+        self.end(evicted).await;
+    }
+
+    /// Ends an evicted connection and waits until it has: its descriptor must be free before the next is held. It waits
+    /// for nothing but the connection's turn on the loop.
+    async fn end(&mut self, evicted: Option<ConnectionId>) {
+        if let Some(eviction) = evicted.and_then(|id| self.evictions.remove(&id)) {
+            eviction.requested.notify_one();
+            eviction.completed.notified().await;
+        }
+    }
+}
+
+/// Whether a failed accept concerns that client alone (it had gone before it was accepted): the next may succeed.
+fn is_client_error(error: &Error) -> bool {
+    matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
+}
--- /dev/null
+++ b/crates/admin/src/service.rs
@@ -0,0 +1,81 @@
+//! Turns a request into a response, and holds what all connections share.
+
+use crate::admission::Admission;
+use crate::limits::MAX_BODY_BYTES;
+use crate::operations::{LimitReached, Operations};
+use crate::response::AdminResponse;
+use crate::routes::Route;
+use crate::target::parse_target;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::{Body, Bytes, Incoming};
+use hyper::Request;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::info;
+
+/// What all connections share.
+pub(crate) struct Service<O> {
+    pub(crate) operations: Rc<O>,
+    pub(crate) admission: RefCell<Admission>,
+    /// The origin of the times that admission counts.
+    pub(crate) started: Instant,
+}
+
+impl<O: Operations> Service<O> {
+    /// The time as admission counts it.
+    pub(crate) fn now(&self) -> Duration {
+        self.started.elapsed()
+    }
+
+    /// Counts the limit that a response reports, if any.
+    pub(crate) fn count_limit(&self, limit: Option<LimitReached>) {
+        if let Some(limit) = limit {
+            self.operations.on_limit_reached(limit);
+        }
+    }
+
+    /// The response to a request whose head was parsed.
+    pub(crate) async fn respond(&self, request: Request<Incoming>) -> AdminResponse {
+        match Route::resolve(request.method(), request.uri().path()) {
+            Err(error) => error.into(),
+            Ok(Route::Health) => AdminResponse::health(self.operations.is_healthy()),
+            Ok(Route::Stats) => AdminResponse::stats(self.operations.stats()),
+            Ok(route) => match read_body(request.into_body()).await {
+                Ok(body) => self.operate(route, &body),
+                Err(response) => response,
+            },
+        }
+    }
+
+    /// Carries out an operation on the engine that the body names.
+    fn operate(&self, route: Route, body: &[u8]) -> AdminResponse {
+        let target = match parse_target(body) {
+            Ok(target) => target,
+            Err(error) => return error.into(),
+        };
+        let result = match route {
+            Route::Cordon => self.operations.cordon(&target),
+            _ => self.operations.uncordon(&target),
+        };
+        info!("operators: {route:?} {target:?}: {result:?}");
+        AdminResponse::operation(result)
+    }
+}
+
+/// The whole body of a request, or the response that says why it was not read.
+async fn read_body(body: Incoming) -> Result<Bytes, AdminResponse> {
+    // A body that announces too many bytes is not read at all.
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(AdminResponse::body_too_long());
+    }
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(AdminResponse::body_too_long()),
+        Err(error) if error.downcast_ref().is_some_and(hyper::Error::is_incomplete_message) => {
+            Err(AdminResponse::incomplete_request())
+        }
+        Err(_) => Err(AdminResponse::broken_body()),
+    }
+}
--- a/crates/admin/tests/calls.rs
+++ b/crates/admin/tests/calls.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn the_four_calls_do_what_they_say() {
+fn each_operation_answers_as_documented() {
     let at = start_plain();
     let health = get(at, "/admin/health");
     assert_eq!((health.status, health.body.as_str()), (200, "ok\n"));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_wrong_gets_its_status_and_a_line_that_says_so() {
+fn invalid_request_gets_its_status_and_a_reason() {
     let at = start_plain();
     let long = format!("{{\"target\":\"{}\"}}", "x".repeat(129));
     for (path, body, status, says) in [
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_call_may_come_in_pieces_cut_anywhere() {
+fn request_split_at_any_byte_is_answered() {
     let at = start_plain();
     let bytes = post_bytes("/admin/cordon", "{\"target\":\"s-1\"}").into_bytes();
     let callers: Vec<_> = (1..bytes.len())
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn garbage_of_every_kind_gets_a_status_and_a_close() {
+fn malformed_bytes_get_a_status_and_a_close() {
     let at = start_plain();
     let tls = b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03";
     let many: String = (0..200).map(|n| format!("a{n}: b\r\n")).collect();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_body_without_end_is_cut_off_at_its_bound() {
+fn endless_body_is_rejected_at_its_limit() {
     let at = start_plain();
     let mut stream = connect(at);
     stream.write_all(b"POST /admin/cordon HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A program for the operators' address to speak for, and callers that write bytes.
 #![allow(dead_code)]
 
-use sprucelink_admin::{serve, Bite, Done, Limits, Operations, Refused};
+use sprucelink_admin::{serve, LimitReached, Limits, OperationError, OperationOutcome, Operations};
 use sprucelink_metrics::Metrics;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -27,31 +27,31 @@
 }
 
 impl Operations for Program {
-    fn healthy(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         !self.out.borrow().contains("s-2")
     }
     fn stats(&self) -> String {
         self.figures.ejected(self.out.borrow().len());
         self.figures.render() + &"#".repeat(self.padding)
     }
-    fn cordon(&self, target: &str) -> Result<Done, Refused> {
+    fn cordon(&self, target: &str) -> Result<OperationOutcome, OperationError> {
         match target {
-            "s-1" | "s-2" if self.out.borrow_mut().insert(target.into()) => Ok(Done::Changed),
-            "s-1" | "s-2" => Ok(Done::Unchanged),
-            "busy" => Err(Refused::Unavailable("no room for another ban".into())),
+            "s-1" | "s-2" if self.out.borrow_mut().insert(target.into()) => Ok(OperationOutcome::Changed),
+            "s-1" | "s-2" => Ok(OperationOutcome::Unchanged),
+            "busy" => Err(OperationError::Unavailable("no room for another ban".into())),
             "panic" => panic!("a fault of the program"),
-            _ => Err(Refused::Unknown),
+            _ => Err(OperationError::Unknown),
         }
     }
-    fn uncordon(&self, target: &str) -> Result<Done, Refused> {
+    fn uncordon(&self, target: &str) -> Result<OperationOutcome, OperationError> {
         match target {
-            "s-1" | "s-2" if self.out.borrow_mut().remove(target) => Ok(Done::Changed),
-            "s-1" | "s-2" => Ok(Done::Unchanged),
-            _ => Err(Refused::Unknown),
+            "s-1" | "s-2" if self.out.borrow_mut().remove(target) => Ok(OperationOutcome::Changed),
+            "s-1" | "s-2" => Ok(OperationOutcome::Unchanged),
+            _ => Err(OperationError::Unknown),
         }
     }
-    fn bitten(&self, bite: Bite) {
-        self.figures.counter(bite.name()).unwrap().increment(1);
+    fn on_limit_reached(&self, limit: LimitReached) {
+        self.figures.counter(limit.counter_name()).unwrap().increment(1);
     }
 }
 
--- a/crates/admin/tests/descriptors.rs
+++ b/crates/admin/tests/descriptors.rs
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn descriptors_are_bounded_and_a_time_without_any_is_survived() {
-    let limits = Limits { callers: 8, call_due: Duration::from_secs(20), ..Limits::default() };
+fn descriptors_are_bounded_and_a_shortage_is_survived() {
+    let limits = Limits { max_connections: 8, request_timeout: Duration::from_secs(20), ..Limits::default() };
     assert_eq!(limits.descriptors(), 10);
     let at = start(limits, 0, None);
     let before = open();
@@ -28,7 +28,7 @@
     assert_eq!(get(at, "/admin/health").status, 200);
     let held = open() - before - silent.len();
     assert!(held < limits.descriptors(), "{held} held besides the listener");
-    assert!(held >= limits.callers - 1, "{held} held of {} seats", limits.callers);
+    assert!(held >= limits.max_connections - 1, "{held} held of {} seats", limits.max_connections);
     drop(silent);
 
     let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).unwrap();
--- a/crates/admin/tests/hostile.rs
+++ b/crates/admin/tests/hostile.rs
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_good_caller_is_answered_among_hundreds_that_say_nothing_or_half_a_call() {
-    let at = start(Limits { call_due: Duration::from_secs(20), ..Limits::default() }, 0, None);
+fn complete_request_is_answered_among_hundreds_of_silent_and_partial_ones() {
+    let at = start(Limits { request_timeout: Duration::from_secs(20), ..Limits::default() }, 0, None);
     let crowding = std::thread::spawn(move || crowd(at, 600));
     // While they come and while they are there: ten calls, each by itself within what is owed.
     for n in 0..10 {
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn half_a_call_gets_408_when_it_is_due_however_slowly_it_goes_on() {
+fn partial_request_gets_408_at_its_timeout_even_if_bytes_keep_arriving() {
     let due = Duration::from_millis(300);
-    let at = start(Limits { call_due: due, ..Limits::default() }, 0, None);
+    let at = start(Limits { request_timeout: due, ..Limits::default() }, 0, None);
     for mut caller in crowd(at, 3) {
         let start = Instant::now();
         let late = answer(&mut caller);
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn an_answer_is_whole_for_a_slow_reader_and_reset_for_one_that_never_reads() {
-    let limits = Limits { callers: 4, answer_due: Duration::from_secs(3), ..Limits::default() };
+fn response_is_complete_for_a_slow_reader_and_reset_for_one_that_never_reads() {
+    let limits = Limits { max_connections: 4, response_timeout: Duration::from_secs(3), ..Limits::default() };
     let at = start(limits, 60_000, Some(4 * 1024));
     let ask = |buffer: usize| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -109,8 +109,8 @@
 }
 
 #[test]
-fn figures_past_their_bound_are_an_error_and_not_a_flood() {
-    let at = start(Limits::default(), sprucelink_admin::MOST_ANSWER, None);
+fn metrics_beyond_the_response_limit_are_an_error() {
+    let at = start(Limits::default(), sprucelink_admin::MAX_RESPONSE_BYTES, None);
     let over = get(at, "/admin/stats");
     assert!(over.status == 500 && over.body.starts_with("figures: "), "{over:?}");
 }
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -2,7 +2,7 @@
 
 use super::hot_restart_driver::HotRestartDriver;
 use crate::core::Core;
-use sprucelink_admin::{Bite, Done, Limits, Operations, Refused};
+use sprucelink_admin::{LimitReached, Limits, OperationError, OperationOutcome, Operations};
 use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRequest};
 use sprucelink_metrics::Counter;
 use std::cell::Cell;
@@ -20,9 +20,9 @@
 /// are a handful, and each connection is a descriptor that clients and engines go without.
 pub fn limits(sockets: usize) -> Limits {
     Limits {
-        callers: (sockets / 16).clamp(4, 32),
-        call_due: Duration::from_secs(2),
-        answer_due: Duration::from_secs(2),
+        max_connections: (sockets / 16).clamp(4, 32),
+        request_timeout: Duration::from_secs(2),
+        response_timeout: Duration::from_secs(2),
         linger: Duration::from_millis(500),
         accepts_per_second: 500,
         accept_burst: 256,
@@ -41,7 +41,7 @@
 
 /// The counter of a limit that callers reach.
 struct LimitCounter {
-    limit: Bite,
+    limit: LimitReached,
     counter: Counter,
 }
 
@@ -57,11 +57,11 @@
 impl AdminOperations {
     /// Operations on a core; health checks fail until [`AdminOperations::set_ready`].
     pub fn new(core: Rc<Core>, hot_restart: Option<Rc<HotRestartDriver>>) -> Rc<AdminOperations> {
-        let counter = |limit: &Bite| {
-            let counter = core.metrics().counter(limit.name());
+        let counter = |limit: &LimitReached| {
+            let counter = core.metrics().counter(limit.counter_name());
             LimitCounter { limit: *limit, counter: counter.unwrap_or_else(|_| Counter::noop()) }
         };
-        let limit_counters = Bite::ALL.iter().map(counter).collect();
+        let limit_counters = LimitReached::ALL.iter().map(counter).collect();
         Rc::new(AdminOperations { core, is_ready: Cell::new(false), hot_restart, limit_counters })
     }
 
@@ -84,7 +84,11 @@
     }
 
     /// Answers a call that changed, or was to change, a cordon.
-    fn complete(&self, engine: &str, outcome: Result<CordonOutcome, CordonError>) -> Result<Done, Refused> {
+    fn complete(
+        &self,
+        engine: &str,
+        outcome: Result<CordonOutcome, CordonError>,
+    ) -> Result<OperationOutcome, OperationError> {
         let outcome = outcome.map_err(|error| {
             warn!(engine = %engine, "operators: engine {engine}: {error}");
             refusal(&error)
@@ -92,28 +96,30 @@
         // Written before the answer: a cordon has to hold in the process that follows this one.
         if let (Ok(_), Some(hot_restart)) = (&outcome, &self.hot_restart) {
             hot_restart.record_cordons().map_err(|error| {
-                Refused::Unavailable(format!("it holds here and is not on record: {error}"))
+                OperationError::Unavailable(format!("it holds here and is not on record: {error}"))
             })?;
         }
         match outcome? {
-            CordonOutcome::Cordoned | CordonOutcome::Uncordoned => Ok(Done::Changed),
+            CordonOutcome::Cordoned | CordonOutcome::Uncordoned => Ok(OperationOutcome::Changed),
             CordonOutcome::AlreadyCordoned
             | CordonOutcome::NotCordoned
-            | CordonOutcome::StillCordoned { .. } => Ok(Done::Unchanged),
+            | CordonOutcome::StillCordoned { .. } => Ok(OperationOutcome::Unchanged),
         }
     }
 }
 
 /// The answer to a call that the cordons rejected.
-fn refusal(error: &CordonError) -> Refused {
+fn refusal(error: &CordonError) -> OperationError {
     match error {
-        CordonError::NeverListed | CordonError::InvalidTarget => Refused::Unknown,
-        CordonError::TooManyCordons | CordonError::InvalidLease => Refused::Unavailable(error.to_string()),
+        CordonError::NeverListed | CordonError::InvalidTarget => OperationError::Unknown,
+        CordonError::TooManyCordons | CordonError::InvalidLease => {
+            OperationError::Unavailable(error.to_string())
+        }
     }
 }
 
 impl Operations for AdminOperations {
-    fn healthy(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         self.is_ready.get() && self.hot_restart.as_ref().is_none_or(|hot_restart| hot_restart.is_healthy())
     }
 
@@ -125,16 +131,16 @@
         metrics.render()
     }
 
-    fn cordon(&self, target: &str) -> Result<Done, Refused> {
+    fn cordon(&self, target: &str) -> Result<OperationOutcome, OperationError> {
         self.complete(target, self.core.cordon_engine(target, CordonRequest::Operator, CORDON_ORIGIN))
     }
 
-    fn uncordon(&self, target: &str) -> Result<Done, Refused> {
+    fn uncordon(&self, target: &str) -> Result<OperationOutcome, OperationError> {
         self.complete(target, self.core.uncordon_engine(target, Cause::Operator))
     }
 
-    fn bitten(&self, bite: Bite) {
-        if let Some(entry) = self.limit_counters.iter().find(|entry| entry.limit == bite) {
+    fn on_limit_reached(&self, limit: LimitReached) {
+        if let Some(entry) = self.limit_counters.iter().find(|entry| entry.limit == limit) {
             entry.counter.increment(1);
         }
     }
