--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -2,7 +2,7 @@
 //!
 //! Instances share nothing. The host reads batches of lines and answers each batch at once; it decides nothing.
 
-use super::codec::{parse_line, print_action, Line, PoolEntry, WireError};
+use super::codec::{parse_line, print_action, Line, ListedEngine, WireError};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_policy::{
@@ -142,7 +142,7 @@
 /// A list of engines that is being received.
 #[derive(Clone, Copy)]
 struct OpenList {
-    page: usize,
+    list: usize,
     /// Entries that are still to come.
     remaining: usize,
 }
@@ -154,7 +154,7 @@
     batch: String,
     instances: BTreeMap<String, Instance>,
     /// Lists of engines, by number.
-    lists: BTreeMap<usize, Vec<PoolEntry>>,
+    lists: BTreeMap<usize, Vec<ListedEngine>>,
     open_list: Option<OpenList>,
     /// The reply to the present batch so far.
     reply: String,
@@ -174,36 +174,36 @@
     }
 
     fn handle_line(&mut self, line: Line) -> Result<Step, LineError> {
-        if self.open_list.is_some() && !matches!(line, Line::Entry(_)) {
+        if self.open_list.is_some() && !matches!(line, Line::ListEntry(_)) {
             return Err(LineError::ListIncomplete);
         }
         match line {
-            Line::Clock(now, batch) => {
+            Line::Clock { now, batch } => {
                 self.now = now;
                 self.batch = batch;
             }
             Line::Commit => return Ok(Step::BatchComplete),
-            Line::Pool(page, count) => {
-                self.lists.insert(page, Vec::new());
-                self.open_list = (count > 0).then_some(OpenList { page, remaining: count });
+            Line::ListBegin { list, entries } => {
+                self.lists.insert(list, Vec::new());
+                self.open_list = (entries > 0).then_some(OpenList { list, remaining: entries });
             }
-            Line::Entry(entry) => self.add_entry(entry)?,
-            Line::Init(instance, seed, settings) => self.start_instance(instance, seed, *settings),
-            Line::Halt(instance) => {
+            Line::ListEntry(engine) => self.add_entry(engine)?,
+            Line::Start { instance, seed, settings } => self.start_instance(instance, seed, *settings),
+            Line::Stop { instance } => {
                 self.instances.remove(&instance);
             }
-            Line::Members(instance, ListKind::Failed, _) => {
+            Line::Members { instance, kind: ListKind::Failed, .. } => {
                 self.handle_event(&instance, Event::List { kind: ListKind::Failed, entries: Vec::new() });
             }
-            Line::Members(instance, kind, page) => {
-                if let Some(entries) = self.list_for(&instance, page)? {
+            Line::Members { instance, kind, list } => {
+                if let Some(entries) = self.list_for(&instance, list)? {
                     self.handle_event(&instance, Event::List { kind, entries });
                 }
             }
-            Line::Probed(instance, engine, outcome, report) => {
+            Line::Probed { instance, engine, outcome, report } => {
                 self.handle_probe(&instance, &engine, outcome, report);
             }
-            Line::Event(instance, event) => self.handle_event(&instance, event),
+            Line::Event { instance, event } => self.handle_event(&instance, event),
         }
         Ok(Step::Continue)
     }
@@ -214,10 +214,10 @@
         std::mem::take(&mut self.reply)
     }
 
-    fn add_entry(&mut self, entry: PoolEntry) -> Result<(), LineError> {
-        let OpenList { page, remaining } = self.open_list.ok_or(LineError::EntryOutsideList)?;
-        self.lists.entry(page).or_default().push(entry);
-        self.open_list = (remaining > 1).then_some(OpenList { page, remaining: remaining - 1 });
+    fn add_entry(&mut self, engine: ListedEngine) -> Result<(), LineError> {
+        let OpenList { list, remaining } = self.open_list.ok_or(LineError::EntryOutsideList)?;
+        self.lists.entry(list).or_default().push(engine);
+        self.open_list = (remaining > 1).then_some(OpenList { list, remaining: remaining - 1 });
         Ok(())
     }
 
@@ -247,11 +247,11 @@
     }
 
     /// The entries of a list with an instance's own engine numbers; `None` where there is no such instance.
-    fn list_for(&mut self, instance: &str, page: usize) -> Result<Option<Vec<EngineEntry>>, LineError> {
-        let list = self.lists.get(&page).ok_or(LineError::UnknownList(page))?;
+    fn list_for(&mut self, instance: &str, list: usize) -> Result<Option<Vec<EngineEntry>>, LineError> {
+        let list = self.lists.get(&list).ok_or(LineError::UnknownList(list))?;
         let Some(instance) = self.instances.get_mut(instance) else { return Ok(None) };
         let numbered =
-            |listed: &PoolEntry| EngineEntry { engine: instance.engine_id(&listed.name), ..listed.entry };
+            |listed: &ListedEngine| EngineEntry { engine: instance.engine_id(&listed.name), ..listed.entry };
         Ok(Some(list.iter().map(numbered).collect()))
     }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -6,13 +6,13 @@
 
 fn event(line: &str) -> Event {
     match parse_line(line) {
-        Ok(Some(Line::Event(who, event))) if who == "router_0" => event,
+        Ok(Some(Line::Event { instance, event })) if instance == "router_0" => event,
         other => panic!("{line}: {other:?}"),
     }
 }
 
 #[test]
-fn arrivals_and_outcomes_are_read() {
+fn arrival_and_attempt_end_are_parsed() {
     let Event::Arrived(a) = event("INCOMING\trouter_0\t00000000000000ff\t1\t0\t7\t2.5\t2\t0.25\tt/k\t1\t384")
     else {
         panic!()
@@ -31,13 +31,13 @@
     let line = "ENDED\trouter_0\t00000000000000ff\t0\te:1\tdelivered\t0.0185\t1\t69728\trif:7,x0:0.4,new:3";
     let Event::Ended { outcome, latency, complete, bill, report, .. } = event(line) else { panic!() };
     assert_eq!((outcome, latency, complete), (Outcome::Delivered, TimeDelta::from_micros(18_500), true));
-    let bill = bill.expect("a bill was told");
+    let bill = bill.expect("a bill");
     assert_eq!((bill.work, bill.memory_mb), (0.017, 384.0));
     assert_eq!((report.in_hand, report.memory, report.busy), (Some(7.0), Some(0.4), None));
 }
 
 #[test]
-fn every_disposition_is_read() {
+fn every_disposition_is_parsed() {
     let all = [
         ("delivered", Outcome::Delivered),
         ("app_error", Outcome::Error),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn notes_are_read() {
+fn notes_are_parsed() {
     let note = |topic, value| {
         let line = format!("UPDATE_OF\trouter_0\t00000000000000ff\t0\te:1\t{topic}\t{value}");
         let Event::Noted { note, .. } = event(&line) else { panic!() };
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_ones_skipped() {
+fn settings_are_parsed_and_unknown_ones_skipped() {
     let line =
         "INIT\trouter_0\t5\tsiblings=2\tbrand_new=x\tprofiles.count=1\tprofiles.0.effect=idempotency_key\t\
                 profiles.0.dedupScope=zone\tprofiles.0.deadline=6.0\tprofiles.0.allowedOn=0,2\t\
                 specifics.classThreads=4\tspecifics.sizeCores=12,8\tinvariants.ratioSpan=5.0\t\
                 invariants.budgetShare=0.1\tinvariants.freeResends=2.0\tloadReport.via=pull";
-    let Ok(Some(Line::Init(_, 5, set))) = parse_line(line) else { panic!() };
+    let Ok(Some(Line::Start { seed: 5, settings: set, .. })) = parse_line(line) else { panic!() };
     let c = &set.classes[0];
     assert_eq!((c.effect, c.group, c.threads), (Effect::Keyed, DedupGroup::Zone, 4.0));
     assert_eq!((c.kinds.as_deref(), c.zones.is_none()), (Some(&[0, 2][..]), true));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn malformed_lines_name_the_field() {
+fn malformed_line_is_rejected_by_field() {
     for (line, field) in [
         ("INCOMING\trouter_0\tzz\t0\t0\t1\t2\t0\t-\t-\t0\t0", "id"),
         ("INCOMING\trouter_0\t00000000000000ff\t0\t0\t1\t-\t0\t-\t-\t0\t0", "timeLeft"),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn actions_are_written() {
+fn actions_are_printed() {
     let id = RequestId(255);
     let write = |a: &Action| {
         let mut out = String::new();
@@ -122,7 +122,8 @@
     assert_eq!(write(&Action::Log("a\tb".into())), "NOTE_DOWN\trouter_0\ta b\n");
 }
 
-fn drill(input: &str) -> (bool, String, String) {
+/// Runs the adapter on an input: whether it succeeded, standard output, standard error.
+fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sprucelink-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -155,18 +156,18 @@
                     ENGINE\te:3\t0\t0\t0\todd_state\t1\t-\n";
 
 #[test]
-fn the_adapter_answers_a_transcript() {
+fn transcript_is_answered_batch_by_batch() {
     let text = format!("CLOCK\t5.0\t1\nCOMMIT\nCLOCK\t5.1\t2\n{}{POOL}", init("router_0"))
         + &traffic("router_0")
         + "COMMIT\nCLOCK\t5.2\t3\nHALT\trouter_0\nDUE\trouter_0\t0\nCOMMIT\n";
-    let (ok, out, err) = drill(&text);
+    let (ok, out, err) = run_adapter(&text);
     assert!(ok, "{err}");
     assert!(out.starts_with("EOR\t1\n") && out.ends_with("EOR\t2\nEOR\t3\n"), "{out}");
     assert_eq!(out.lines().filter(|l| l.starts_with("SEND\t")).count(), 20);
 }
 
 #[test]
-fn instances_act_alike_whatever_shares_their_process() {
+fn instance_acts_alike_alone_and_beside_another() {
     let of = |out: &str| -> Vec<String> {
         out.lines().filter(|l| l.contains("\trouter_0\t")).map(str::to_owned).collect()
     };
@@ -175,16 +176,16 @@
     let both = format!("CLOCK\t5.0\t1\n{}{other}{}{POOL}", init("router_1"), init("router_0"))
         + &traffic("router_0")
         + "COMMIT\n";
-    let (one, two) = (of(&drill(&alone).1), of(&drill(&both).1));
+    let (one, two) = (of(&run_adapter(&alone).1), of(&run_adapter(&both).1));
     assert!(one.len() > 20);
     assert_eq!(one, two);
 }
 
 #[test]
-fn a_malformed_line_stops_the_adapter_with_a_message() {
-    let (ok, _, err) = drill("CLOCK\t5.0\t1\nINIT\trouter_0\tseed\nCOMMIT\n");
+fn malformed_line_stops_the_adapter_with_a_message() {
+    let (ok, _, err) = run_adapter("CLOCK\t5.0\t1\nINIT\trouter_0\tseed\nCOMMIT\n");
     assert!(!ok);
     assert!(err.contains("line 2") && err.contains("randomSeed"), "{err}");
-    let (ok, out, _) = drill("");
+    let (ok, out, _) = run_adapter("");
     assert!(ok && out.is_empty(), "end of input is no error");
 }
