--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -8,13 +8,14 @@
 use crate::interface::*;
 pub use crate::state::Policy;
 use crate::state::*;
+use sprucelink_stable_hash::weighted_index;
 
 pub mod view;
 
 // ---- Constants -------------------------------------------------------------------------------
 
 /// Interval between two settings of the tolls (design page: 1 s).
-const INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
+pub(crate) const INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Share of the new price in the implemented one (design page, paper eq. 7).
 const ALPHA: f64 = 0.1;
 /// Share of a fresh interval or outcome in the smoothed rate and wait; a few outcomes decide (ours).
@@ -50,7 +51,7 @@
 /// not seen of the fleet: of few gateways one or two fill their zone, and load must weigh more.
 const PRICE_LOAD: f64 = 17.0;
 /// Seconds of each class counted into the threads of a query in hand before outcomes tell.
-const MIX_PRIOR: f64 = 2.0;
+pub(crate) const MIX_PRIOR: f64 = 2.0;
 /// Share of busy cores from which a report no longer tells how many threads wait.
 const FULL: f64 = 0.85;
 /// Seconds in which a report of load fades into the mean, as long as the queries last that it counted; the
@@ -119,18 +120,18 @@
 /// Rise of a class's grant, in estimates, by a note that all of it is missing.
 const SPILL_STEP: f64 = 0.1;
 /// Memory granted against the estimate at first; then learned from spills.
-const FIRST_GRANT: f64 = 1.15;
+pub(crate) const FIRST_GRANT: f64 = 1.15;
 
 /// Where answers tell the memory needed, a grant lies so many deviations over its mean, by what an engine
 /// short of it does. Pages: grants cost nothing, only use does. Shrinks, waits: others pay for it.
 const GRANT_SAFETY: [f64; 3] = [0.5, 0.7, 2.0];
 /// Answers counted in that mean, and its square deviation at first.
 const NEED_SPAN: u32 = 50;
-const NEED_SCATTER: f64 = 0.25;
+pub(crate) const NEED_SCATTER: f64 = 0.25;
 /// A class's mean cost at first, as a share of its wanted time on all its threads; no estimate came yet.
 const FIRST_MEAN: f64 = 0.25;
 /// Latency against the estimate at first: as in a busy hour, until outcomes tell.
-const FIRST_PACE: f64 = 2.0;
+pub(crate) const FIRST_PACE: f64 = 2.0;
 /// Estimates in a class's mean cost: the first weigh equally, then the last of about so many.
 const MEAN_SPAN: u32 = 200;
 /// Weight of one answer in told work over estimate, and the most one may say: estimates err by class.
@@ -158,28 +159,6 @@
 const FULL_REST: TimeDelta = TimeDelta::from_micros(100_000);
 
 impl Policy {
-    /// A gateway that starts now and knows its settings only.
-    pub fn new(set: Settings, seed: u64, now: Timestamp) -> Policy {
-        let mean = |c: &ClassSettings| (c.aim.as_secs_f64() * c.threads * FIRST_MEAN).max(1e-3);
-        let (bias, ratio, pace, grant, need_scatter) = (1.0, 1.0, FIRST_PACE, FIRST_GRANT, NEED_SCATTER);
-        let first = || ClassBook { bias, ratio, pace, grant, need_scatter, ..Default::default() };
-        let book = |c: &ClassSettings| ClassBook { mean: mean(c), ..first() };
-        Policy {
-            classes: set.classes.iter().map(book).collect(),
-            // Before outcomes tell, all classes are taken to run alike.
-            thread_time: set.classes.iter().map(|c| c.threads * MIX_PRIOR).sum(),
-            query_time: set.classes.len() as f64 * MIX_PRIOR,
-            tenants: set.tenants.iter().map(|_| Bucket::default()).collect(),
-            rng: Seeded(seed),
-            now,
-            born: now,
-            next_tolls: now + INTERVAL,
-            ask_again: set.must_ask.then_some(now),
-            set,
-            ..Policy::default()
-        }
-    }
-
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
@@ -241,7 +220,7 @@
         self.outcomes = 0;
         for book in &mut self.classes {
             for l in &mut book.levels {
-                l.rate += SMOOTH * (f64::from(l.admitted) / INTERVAL.as_secs_f64() - l.rate);
+                l.rate.update(f64::from(l.admitted) / INTERVAL.as_secs_f64(), SMOOTH);
                 l.admitted = 0;
                 // Departure: a level unheard of loses half its wait only as others are heard.
                 l.wait *= if l.fresh { 1.0 } else { UNHEARD.powf(evidence) };
@@ -252,17 +231,17 @@
         let mut burden = [0.0; LEVELS];
         for (h, (burden, above)) in burden.iter_mut().zip(self.above).enumerate() {
             let books = || self.classes.iter().map(|c| c.levels[h]);
-            let rates: f64 = books().map(|l| l.rate).sum();
-            let waits: f64 = books().map(|l| l.rate * l.wait).sum();
-            let lost: f64 = books().enumerate().map(|(j, l)| self.delta(j) * l.rate).sum();
+            let rates: f64 = books().map(|l| l.rate.value()).sum();
+            let waits: f64 = books().map(|l| l.rate.value() * l.wait).sum();
+            let lost: f64 = books().enumerate().map(|(j, l)| self.delta(j) * l.rate.value()).sum();
             let wait = if rates > 0.0 { waits / rates } else { 0.0 };
-            *burden = wait / (1.0 - (above / share).min(U_CAP)) / share * lost;
+            *burden = wait / (1.0 - (above.value() / share).min(U_CAP)) / share * lost;
         }
         for book in &mut self.classes {
             let mut sum = 0.0;
             for (l, b) in book.levels.iter_mut().zip(burden) {
                 sum += b;
-                l.price += ALPHA * (book.mean * book.bias * sum - l.price);
+                l.price += ALPHA * (book.mean * book.bias.value() * sum - l.price);
             }
         }
     }
@@ -275,7 +254,8 @@
     }
 
     fn now_time(&self, class: usize, cost: f64) -> f64 {
-        cost * self.classes[class].pace.max(self.classes[class].ratio) / self.set.classes[class].threads
+        cost * self.classes[class].pace.value().max(self.classes[class].ratio)
+            / self.set.classes[class].threads
     }
 
     /// The level of least delay cost plus toll, and its tau and toll.
@@ -301,7 +281,8 @@
     /// give up long before the class says.
     fn aim(&self, r: &Request) -> f64 {
         let c = &self.set.classes[r.class];
-        let wanted = c.aim.as_secs_f64() + c.aim_stretch * r.cost * self.classes[r.class].bias / c.threads;
+        let wanted =
+            c.aim.as_secs_f64() + c.aim_stretch * r.cost * self.classes[r.class].bias.value() / c.threads;
         wanted.min((r.deadline - r.arrived - ANSWER_MARGIN).as_secs_f64())
     }
 
@@ -321,13 +302,13 @@
 
     fn on_arrival(&mut self, a: Arrival, out: &mut Vec<Action>) {
         let class = a.class.0;
-        self.taken.add(self.now, self.set.attempt_budget.map_or(TimeDelta::ZERO, |b| b.span));
+        self.taken.record(self.now, self.set.attempt_budget.map_or(TimeDelta::ZERO, |b| b.span));
         if class >= self.classes.len() {
             return out.push(Action::Fail { id: a.id, retry_after: None });
         }
         let (worth, in_turn) = (self.set.classes[class].worth, self.set.classes[class].in_turn);
         let quota = self.set.tenants.get(a.tenant).map(|t| t.quota_per_s / f64::from(self.set.gateways));
-        let within = quota.is_none_or(|q| self.tenants[a.tenant].take(self.now, q, q.max(TENANT_BURST)));
+        let within = quota.is_none_or(|q| self.tenants[a.tenant].try_take(self.now, q, q.max(TENANT_BURST)));
         let book = &mut self.classes[class];
         let cost = a.cost.unwrap_or(book.mean);
         if a.cost.is_some() {
@@ -350,7 +331,7 @@
     fn admit(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some((class, cost)) = self.requests.get(&id).map(|r| (r.class, r.cost)) else { return };
         let (level, tau, toll) = self.cheapest(class, cost);
-        let dice = self.rng.unit();
+        let dice = self.rng.next_unit();
         self.requests.entry(id).and_modify(|r| r.level = level);
         self.draw_few(id, out);
         let Some(r) = self.requests.get(&id) else { return };
@@ -364,7 +345,7 @@
             self.line.insert(place, id);
             self.dispatch(Some(id), out);
             if self.line.contains_key(&place) {
-                self.held[level] += cost * self.classes[class].bias;
+                self.held[level] += cost * self.classes[class].bias.value();
             }
         } else {
             self.answer(id, out);
@@ -377,7 +358,7 @@
         let all = || self.line.iter().take(LOOK_AHEAD).map(|(k, v)| (*k, *v)).collect();
         let waiting: Vec<((usize, u64), RequestId)> = place.map_or_else(all, |p| vec![p]);
         for (place, id) in waiting {
-            let dice = self.rng.unit();
+            let dice = self.rng.next_unit();
             let Some(r) = self.requests.get(&id) else { continue };
             if !self.my_turn(id, r) || !(r.attempts == 0 || self.within_attempt_budget()) {
                 continue;
@@ -412,7 +393,7 @@
         let (mut few, mut warm): (Vec<_>, Vec<_>) = (0..self.engines.len()).filter(may).partition(cold);
         let (fair, ask) = (warm.len() as f64 / f64::from(self.set.gateways).sqrt(), self.may_ask(r));
         for _ in 0..warm.len().min(PROBE_SAMPLES.max(fair as usize)) {
-            few.push(warm.swap_remove((self.rng.unit() * warm.len() as f64) as usize));
+            few.push(warm.swap_remove((self.rng.next_unit() * warm.len() as f64) as usize));
         }
         let unknown = few.iter().filter(|i| ask && self.trust(&self.engines[**i]) < PROBE_STALE);
         let probes: Vec<Action> = unknown.map(|i| Action::Probe { engine: EngineId(*i as u32) }).collect();
@@ -433,13 +414,13 @@
 
     /// Threads a core of other gateways, if each has as many out as this one.
     fn equal(&self) -> f64 {
-        f64::from(self.set.gateways - 1) * self.above[0] / self.cores.max(1.0)
+        f64::from(self.set.gateways - 1) * self.above[0].value() / self.cores.max(1.0)
     }
 
     /// The same in the mean: as reported of late, else as far as own load can tell.
     fn usual(&self) -> f64 {
         let trust = (-(self.now - self.fleet_heard).as_secs_f64() / (2.0 * FADE)).exp();
-        self.fleet * trust + self.equal() * self.sees() * (1.0 - trust)
+        self.fleet.value() * trust + self.equal() * self.sees() * (1.0 - trust)
     }
 
     /// How much the last report still tells of an engine.
@@ -505,12 +486,7 @@
         let full = |i: usize| !self.has_room(r, i) || crowded && unheard(&self.engines[i]);
         among.retain(|i| !(room && full(*i)) && (r.few.is_empty() || r.few.contains(i)));
         let drawn: Vec<f64> = among.iter().map(|i| self.weight(r, *i)).collect();
-        let mut at = dice * drawn.iter().sum::<f64>();
-        let hit = drawn.iter().position(|w| {
-            at -= w;
-            at <= 0.0
-        });
-        hit.or(among.len().checked_sub(1)).map(|n| EngineId(among[n] as u32))
+        weighted_index(&drawn, dice).map(|n| EngineId(among[n] as u32))
     }
 
     fn weight(&self, r: &Request, i: usize) -> f64 {
@@ -521,10 +497,10 @@
         let busy = self.utilisation(i)
             + c.threads / e.cores.max(1.0)
             + PRICE_LOAD * (1.0 - self.sees()).powi(2) * price;
-        let sound = (1.0 - e.bad).max(0.01) / slowness(e, self.middle).max(1.0);
+        let sound = (1.0 - e.bad.value()).max(0.01) / slowness(e, self.middle).max(1.0);
         let holds = |o: &Request| o.tables == r.tables && self.set.classes[o.class].load;
         let at = |o: &Request| o.out.as_ref().is_some_and(|a| a.engine == here);
-        let bonus = if !c.load && e.warm.contains(&r.tables) { WARM_BONUS } else { 1.0 };
+        let bonus = if !c.load && e.warm.contains(r.tables) { WARM_BONUS } else { 1.0 };
         let shun = r.last == Some(here) || c.load && self.requests.values().any(|o| holds(o) && at(o));
         let bonus = bonus * self.set.zone_weight(e.zone);
         e.cores * (-DRAW_STEEPNESS * busy).exp() * sound.powi(2) * bonus * if shun { AVOID } else { 1.0 }
@@ -550,10 +526,10 @@
             if entry.since > e.started {
                 self.zones.entry(entry.zone).or_default().word(self.now);
                 // A fresh start: what was known of the old process is void.
-                (e.slow, e.slow_samples, e.failures, e.bad) = (0.0, 0, 0, 0.0);
+                (e.slow, e.slow_samples, e.failures, e.bad) = (0.0, 0, 0, Default::default());
                 (e.down_until, e.distrusted, e.silent) = (self.now, false, false);
                 e.warm.clear();
-                (e.lot, e.next_lot) = (self.rng.unit(), self.now + self.set.fall_span);
+                (e.lot, e.next_lot) = (self.rng.next_unit(), self.now + self.set.fall_span);
             }
             e.listed = entry.state == EngineState::Ready;
             (e.zone, e.kind, e.cell) = (entry.zone, entry.kind, entry.cell);
@@ -611,9 +587,9 @@
         let total = report.in_hand.map(|n| n * mean_threads).or(report.busy.map(|b| b * e.cores));
         (e.heard, e.waiting) = (Some(self.now), report.waiting.unwrap_or(0.0));
         e.full = report.in_hand.is_none() && total.is_some_and(|t| t > FULL * e.cores);
-        e.others = total.map_or(usual, |t| (t - e.smooth_threads).max(0.0));
+        e.others = total.map_or(usual, |t| (t - e.smooth_threads.value()).max(0.0));
         if total.is_some() {
-            self.fleet += STEP * (e.others / e.cores - self.fleet);
+            self.fleet.update(e.others / e.cores, STEP);
             self.fleet_heard = self.now;
         }
     }
@@ -667,19 +643,19 @@
             Outcome::Revoked | Outcome::Unused | Outcome::Expired => (0.0, 0.0),
             _ => (1.0, FAULT_STEP),
         };
-        e.bad += weight * (fault - e.bad);
+        e.bad.update(fault, weight);
         self.on_report(i, report);
         match outcome {
             Outcome::Delivered => {
                 let book = &mut self.classes[class];
                 if let Some(b) = bill.filter(|_| cost > 0.0) {
-                    book.bias += BIAS_STEP * ((b.work / cost).min(BIAS_MOST) - book.bias);
+                    book.bias.update((b.work / cost).min(BIAS_MOST), BIAS_STEP);
                     let need = memory.map(|m| b.memory_mb / m);
                     need.filter(|n| *n > 0.0).into_iter().for_each(|n| learn_need(book, n.ln()));
                 }
                 // The lower quarter of the ratios: what a query takes when little stands in its way.
                 let seen = latency.as_secs_f64() * threads / cost.max(1e-6);
-                book.pace += PACE_STEP * (seen.min(PACE_MOST) - book.pace);
+                book.pace.update(seen.min(PACE_MOST), PACE_STEP);
                 book.ratio *= if seen > book.ratio { RATIO_UP } else { RATIO_DOWN };
                 book.grant = (book.grant - GRANT_DECAY).max(GRANT_LEAST);
                 let wait = (in_all - self.own_time(class, cost)).max(0.0);
@@ -735,9 +711,9 @@
             self.reprice();
         }
         for e in &mut self.engines {
-            e.smooth_threads += STEP * (e.threads - e.smooth_threads);
+            e.smooth_threads.update(e.threads, STEP);
             if self.now >= e.next_lot {
-                (e.lot, e.next_lot) = (self.rng.unit(), self.now + self.set.fall_span);
+                (e.lot, e.next_lot) = (self.rng.next_unit(), self.now + self.set.fall_span);
             }
         }
         let mut above = [0.0; LEVELS];
@@ -745,12 +721,12 @@
             above[..=r.level].iter_mut().for_each(|t| *t += self.set.classes[r.class].threads);
         }
         let weight = (TICK.as_secs_f64() * self.core_share() / CALM).min(1.0);
-        self.above.iter_mut().zip(above).for_each(|(old, new)| *old += weight * (new - *old));
+        self.above.iter_mut().zip(above).for_each(|(old, new)| old.update(new, weight));
         self.judge_engines(out);
         self.review(out);
         self.held = [0.0; LEVELS];
         for r in self.line.values().filter_map(|id| self.requests.get(id)) {
-            self.held[r.level] += r.cost * self.classes[r.class].bias;
+            self.held[r.level] += r.cost * self.classes[r.class].bias.value();
         }
     }
 
@@ -833,10 +809,12 @@
             let (crawl, faulty) =
                 if e.distrusted { (CRAWL * RELENT, FAULTY * RELENT) } else { (CRAWL, FAULTY) };
             let cut = self.zones.get(&e.zone).is_some_and(|z| z.cut);
-            let bad = e.silent || cut || slowness > crawl || e.bad > faulty || self.now < e.down_until;
+            let bad =
+                e.silent || cut || slowness > crawl || e.bad.value() > faulty || self.now < e.down_until;
             if bad != e.distrusted {
                 e.distrusted = bad;
-                let (state, silent, failing) = (if bad { "distrusted" } else { "trusted" }, e.silent, e.bad);
+                let (state, silent, failing) =
+                    (if bad { "distrusted" } else { "trusted" }, e.silent, e.bad.value());
                 let why =
                     format!("silent {silent}, {over} overdue, slowness {slowness:.1}, failing {failing:.2}");
                 out.push(Action::Log(format!("engine {i} {state}: {why}")));
@@ -868,7 +846,7 @@
         let Some(b) = self.set.attempt_budget else { return true };
         // The extra ones are counted a little longer than asked, so that no edge matters.
         let from = self.now - b.span;
-        let (taken, extra) = (self.taken.after(from), self.extra.after(from - TICK));
+        let (taken, extra) = (self.taken.count_after(from), self.extra.count_after(from - TICK));
         (extra + 1) as f64 <= b.free + b.share * taken as f64 + self.set.spare
     }
 
@@ -880,7 +858,7 @@
         // some of all of the wanted time on all threads.
         let first = if self.now - self.born < self.set.cold_for { FIRST_CHARGES } else { 0.0 };
         let (samples, most) = (f64::from(book.samples.max(1)), c.aim.as_secs_f64() * c.threads);
-        (book.mean * samples + most * first) / (samples + first) * book.bias.max(1.0)
+        (book.mean * samples + most * first) / (samples + first) * book.bias.value().max(1.0)
     }
 
     /// This gateway's even part of what a cold engine may be sent in one span.
@@ -894,24 +872,27 @@
         share * e.cores * COLD_CAPACITY * newborn / f64::from(self.set.gateways)
     }
 
+    /// The charge of the class that is charged least.
+    fn least_charge(&self) -> f64 {
+        (0..self.classes.len()).map(|c| self.charge(c)).fold(f64::MAX, f64::min)
+    }
+
     /// What this gateway may send of its part of the cold budget as it likes, and what it draws for: a query
     /// over the former, one a span if the draw lets it. Where no query fits all are drawn for.
     fn cold_parts(&self, e: &Engine) -> (f64, f64) {
-        let least = (0..self.classes.len()).map(|c| self.charge(c)).fold(f64::MAX, f64::min);
         let part = self.cold_budget(e);
         let most = (0..self.classes.len()).map(|c| self.charge(c)).fold(0.0, f64::max);
         match part {
             _ if most <= part => (part, 0.0),
-            _ if least <= COLD_LIGHT * part => (COLD_LIGHT * part, COLD_HEAVY * part),
+            _ if self.least_charge() <= COLD_LIGHT * part => (COLD_LIGHT * part, COLD_HEAVY * part),
             _ => (0.0, COLD_CHANCE * part),
         }
     }
 
     /// Share of the gateways that the draw lets send to an engine: those who may are to find it free.
     fn let_in(&self, e: &Engine) -> f64 {
-        let least = || (0..self.classes.len()).map(|c| self.charge(c)).fold(f64::MAX, f64::min);
         match self.cold_parts(e) {
-            (fits, drawn) if self.warmth(e) < 1.0 && fits <= 0.0 => (drawn / least()).min(1.0),
+            (fits, drawn) if self.warmth(e) < 1.0 && fits <= 0.0 => (drawn / self.least_charge()).min(1.0),
             _ => 1.0,
         }
     }
@@ -937,7 +918,7 @@
         if self.warmth(e) >= 1.0 {
             return true;
         }
-        let (charge, spent) = (self.charge(r.class), e.spent(self.now, self.set.fall_span));
+        let (charge, spent) = (self.charge(r.class), e.charges.sum(self.now, self.set.fall_span));
         // Departure: where an even part is less than one query, each gateway draws whether it may send one
         // in this span, so that all together keep to the budget without leaving the engine idle.
         let (fits, drawn) = self.cold_parts(e);
@@ -959,13 +940,19 @@
         let (threads, charge, tables) = (c.threads, self.charge(r.class), r.tables);
         let e = &mut self.engines[i];
         self.own += threads;
-        e.took(self.now, threads, charge, tables);
-        e.forget(self.now, self.set.fall_span, WARM_GROUPS);
+        if e.flying == 0 {
+            e.last_word = self.now;
+        }
+        e.last_sent = Some(self.now);
+        e.threads += threads;
+        e.flying += 1;
+        e.charges.record(self.now, charge, self.set.fall_span);
+        e.warm.touch(tables, WARM_GROUPS);
         e.next_trickle = self.now + TRICKLE;
         self.zones.entry(e.zone).or_default().next_trickle = self.now + TRICKLE;
         let Some(r) = self.requests.get_mut(&id) else { return false };
         if r.attempts > 0 {
-            self.extra.add(self.now, self.set.attempt_budget.map_or(TimeDelta::ZERO, |b| b.span + TICK));
+            self.extra.record(self.now, self.set.attempt_budget.map_or(TimeDelta::ZERO, |b| b.span + TICK));
         }
         let number = r.attempts;
         r.attempts += 1;
@@ -1038,6 +1025,16 @@
     }
 }
 
+/// A class's mean cost until estimates come, thread-seconds.
+pub(crate) fn first_mean(c: &ClassSettings) -> f64 {
+    (c.aim.as_secs_f64() * c.threads * FIRST_MEAN).max(1e-3)
+}
+
+/// When the engine list is first asked for, if it must be.
+pub(crate) fn first_watch(set: &Settings, now: Timestamp) -> Option<Timestamp> {
+    set.must_ask.then_some(now)
+}
+
 /// A request's place in the line: higher levels first, then in turn.
 fn place(r: &Request) -> (usize, u64) {
     (LEVELS - r.level, r.seq)
--- a/crates/policy/src/brain/view.rs
+++ b/crates/policy/src/brain/view.rs
@@ -177,12 +177,12 @@
             utilisation: self.utilisation(engine.0 as usize),
             warmth: self.warmth(e),
             slowness: slowness(e, self.middle),
-            failing: e.bad,
+            failing: e.bad.value(),
             silent: e.silent,
             overdue: e.overdue,
             distrusted: e.distrusted,
             rests: (e.down_until - self.now).as_secs_f64().max(0.0),
-            cold: (e.spent(self.now, self.set.fall_span), self.cold_budget(e)),
+            cold: (e.charges.sum(self.now, self.set.fall_span), self.cold_budget(e)),
         })
     }
 
@@ -194,7 +194,7 @@
         Overview {
             own: self.own,
             share: self.core_share(),
-            fleet: self.fleet,
+            fleet: self.fleet.value(),
             held: self.held,
             prices: levels(&|l| l.price),
             waits: levels(&|l| l.wait),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,6 +9,16 @@
 pub use brain::Policy;
 pub use interface::*;
 
-/// The text of the module's sources, for who must tell one version of it from another.
-pub const SOURCES: [&str; 3] =
-    [include_str!("brain.rs"), include_str!("interface.rs"), include_str!("state.rs")];
+/// The text of all that decisions hang on, this crate's sources and those of the data structures in use, for who must
+/// tell one version of the module from another.
+pub const SOURCES: [&str; 9] = [
+    include_str!("brain.rs"),
+    include_str!("interface.rs"),
+    include_str!("state.rs"),
+    include_str!("../../rate-limits/src/event_window.rs"),
+    include_str!("../../rate-limits/src/moving_average.rs"),
+    include_str!("../../rate-limits/src/recent_set.rs"),
+    include_str!("../../rate-limits/src/sum_window.rs"),
+    include_str!("../../rate-limits/src/token_bucket.rs"),
+    include_str!("../../stable-hash/src/split_mix.rs"),
+];
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,8 +1,11 @@
-//! What the decision module keeps of engines, classes and requests. Nothing here decides, but for what counts sends,
-//! tokens and seeded numbers: `crates/policy/tests/policy_size.rs` lists it, and lets it neither grow nor change.
+//! What the decision module keeps of engines, classes and requests. Nothing here decides or learns:
+//! `crates/policy/tests/policy_size.rs` sees to it.
 
+use crate::brain::{first_mean, first_watch, FIRST_GRANT, FIRST_PACE, INTERVAL, MIX_PRIOR, NEED_SCATTER};
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
+use sprucelink_rate_limits::{EventWindow, MovingAverage, RecentSet, SumWindow, TokenBucket};
+use sprucelink_stable_hash::SplitMix64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The decision module of one gateway.
@@ -10,12 +13,12 @@
 #[serde(default)]
 pub struct Policy {
     pub(crate) set: Settings,
-    pub(crate) rng: Seeded,
+    pub(crate) rng: SplitMix64,
     pub(crate) now: Timestamp,
     pub(crate) born: Timestamp,
     /// By level: work held in the line; own threads in flight there and above, smoothed.
     pub(crate) held: [f64; 4],
-    pub(crate) above: [f64; 4],
+    pub(crate) above: [MovingAverage; 4],
     pub(crate) outcomes: u32,
     pub(crate) armed: bool,
     pub(crate) seq: u64,
@@ -27,7 +30,7 @@
     pub(crate) own: f64,
     pub(crate) cores: f64,
     /// Threads a core of other gateways, by reports of late, and when the last came.
-    pub(crate) fleet: f64,
+    pub(crate) fleet: MovingAverage,
     pub(crate) fleet_heard: Timestamp,
     /// Threads and queries that ran, each times how long: a report counts queries, of whatever threads.
     pub(crate) thread_time: f64,
@@ -41,9 +44,9 @@
     pub(crate) keys: BTreeMap<String, KeyLine>,
     /// Probes that arrivals so far allow.
     pub(crate) probe_credit: f64,
-    pub(crate) tenants: Vec<Bucket>,
-    pub(crate) taken: Window,
-    pub(crate) extra: Window,
+    pub(crate) tenants: Vec<TokenBucket>,
+    pub(crate) taken: EventWindow,
+    pub(crate) extra: EventWindow,
     /// Reasons are told, too; nothing hangs on it.
     #[serde(skip)]
     pub(crate) listened: bool,
@@ -53,7 +56,7 @@
 #[serde(default)]
 pub(crate) struct LevelBook {
     pub(crate) price: f64,
-    pub(crate) rate: f64,
+    pub(crate) rate: MovingAverage,
     pub(crate) wait: f64,
     pub(crate) admitted: u32,
     pub(crate) fresh: bool,
@@ -67,11 +70,11 @@
     pub(crate) mean: f64,
     pub(crate) samples: u32,
     /// Work told in answers against the estimate.
-    pub(crate) bias: f64,
+    pub(crate) bias: MovingAverage,
     /// Calm answer latency times threads against the estimate.
     pub(crate) ratio: f64,
     /// The same as it is just now, in the mean, on engines alone.
-    pub(crate) pace: f64,
+    pub(crate) pace: MovingAverage,
     /// Logarithm of told memory over the estimate: answers, mean and square deviation.
     pub(crate) told: u32,
     pub(crate) need: f64,
@@ -101,7 +104,7 @@
     /// The last report told of busy cores only, nearly all of them.
     pub(crate) full: bool,
     /// Own threads of late, to set against reports that lag.
-    pub(crate) smooth_threads: f64,
+    pub(crate) smooth_threads: MovingAverage,
     pub(crate) last_word: Timestamp,
     /// When it was last sent something.
     pub(crate) last_sent: Option<Timestamp>,
@@ -114,13 +117,13 @@
     /// Own attempts there that are overdue.
     pub(crate) overdue: u32,
     /// Share of late attempts that ended badly.
-    pub(crate) bad: f64,
+    pub(crate) bad: MovingAverage,
     pub(crate) distrusted: bool,
     /// This gateway's draw for the cold budget, and when it draws again.
     pub(crate) lot: f64,
     pub(crate) next_lot: Timestamp,
-    pub(crate) charges: VecDeque<(Timestamp, f64)>,
-    pub(crate) warm: VecDeque<u64>,
+    pub(crate) charges: SumWindow,
+    pub(crate) warm: RecentSet,
 }
 
 /// What is heard of a zone's engines as one.
@@ -184,32 +187,38 @@
     pub(crate) rests_until: Timestamp,
 }
 
-impl Engine {
-    /// Books a send.
-    pub(crate) fn took(&mut self, now: Timestamp, threads: f64, charge: f64, tables: u64) {
-        if self.flying == 0 {
-            self.last_word = now;
+impl Policy {
+    /// A gateway that starts now and knows its settings only.
+    pub fn new(set: Settings, seed: u64, now: Timestamp) -> Policy {
+        Policy {
+            classes: set.classes.iter().map(ClassBook::new).collect(),
+            // Before outcomes tell, all classes are taken to run alike.
+            thread_time: set.classes.iter().map(|c| c.threads * MIX_PRIOR).sum(),
+            query_time: set.classes.len() as f64 * MIX_PRIOR,
+            tenants: set.tenants.iter().map(|_| TokenBucket::default()).collect(),
+            rng: SplitMix64::new(seed),
+            now,
+            born: now,
+            next_tolls: now + INTERVAL,
+            ask_again: first_watch(&set, now),
+            set,
+            ..Policy::default()
         }
-        self.last_sent = Some(now);
-        self.threads += threads;
-        self.flying += 1;
-        self.charges.push_back((now, charge));
-        self.warm.retain(|t| *t != tables);
-        self.warm.push_back(tables);
     }
-    /// Forgets charges older than `span` and all but the last `groups` groups.
-    pub(crate) fn forget(&mut self, now: Timestamp, span: TimeDelta, groups: usize) {
-        while self.charges.front().is_some_and(|c| now - c.0 > span) {
-            self.charges.pop_front();
-        }
-        while self.warm.len() > groups {
-            self.warm.pop_front();
+}
+
+impl ClassBook {
+    fn new(class: &ClassSettings) -> ClassBook {
+        ClassBook {
+            mean: first_mean(class),
+            bias: MovingAverage::new(1.0),
+            ratio: 1.0,
+            pace: MovingAverage::new(FIRST_PACE),
+            grant: FIRST_GRANT,
+            need_scatter: NEED_SCATTER,
+            ..ClassBook::default()
         }
     }
-    /// Work charged in the last `span`.
-    pub(crate) fn spent(&self, now: Timestamp, span: TimeDelta) -> f64 {
-        self.charges.iter().rev().take_while(|c| now - c.0 <= span).map(|c| c.1).sum()
-    }
 }
 
 impl Attempt {
@@ -243,59 +252,3 @@
         }
     }
 }
-
-/// A seeded generator (splitmix64); the same seed gives the same numbers everywhere.
-#[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Seeded(pub(crate) u64);
-
-impl Seeded {
-    /// A number from 0 up to, not including, 1.
-    pub(crate) fn unit(&mut self) -> f64 {
-        (self.next() >> 11) as f64 / (1u64 << 53) as f64
-    }
-    pub(crate) fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
-    }
-}
-
-/// A bucket of tokens.
-#[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Bucket {
-    level: f64,
-    at: Timestamp,
-}
-
-impl Bucket {
-    /// Takes one out, if one is in; it fills at `rate` a second up to `depth`.
-    pub(crate) fn take(&mut self, now: Timestamp, rate: f64, depth: f64) -> bool {
-        self.level = (self.level + (now - self.at).as_secs_f64() * rate).min(depth);
-        self.at = now;
-        let within = self.level >= 1.0;
-        if within {
-            self.level -= 1.0;
-        }
-        within
-    }
-}
-
-/// Times of what happened of late, kept for one window.
-#[derive(Clone, Default, Serialize, Deserialize)]
-pub(crate) struct Window(VecDeque<Timestamp>);
-
-impl Window {
-    /// Adds one at `now` and forgets what is older than `span`.
-    pub(crate) fn add(&mut self, now: Timestamp, span: TimeDelta) {
-        self.0.push_back(now);
-        while self.0.front().is_some_and(|t| now - *t > span) {
-            self.0.pop_front();
-        }
-    }
-    /// How many lie after `from`.
-    pub(crate) fn after(&self, from: Timestamp) -> usize {
-        self.0.iter().rev().take_while(|t| **t > from).count()
-    }
-}
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -75,8 +75,6 @@
     name: String,
     signature: String,
     body: String,
-    /// Lines that are not blank, with the comment above it.
-    lines: usize,
 }
 
 /// Every function of a text. One that its layout hides would be missed, so as many are asked for as there are `fn`s.
@@ -94,13 +92,11 @@
         let closing = format!("{}}}", " ".repeat(indent));
         let end =
             (i..lines.len()).find(|j| lines[*j] == closing).unwrap_or_else(|| panic!("{file}:{}", i + 1));
-        let comment = lines[..i].iter().rev().take_while(|l| l.trim_start().starts_with("//")).count();
         let whole = lines[i..=end].join("\n");
         let (signature, body) =
             whole.split_once("{\n").unwrap_or_else(|| panic!("{file}:{}: its body", i + 1));
         let name = after.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect();
-        let lines = comment + lines[i..=end].iter().filter(|l| !l.trim().is_empty()).count();
-        found.push(Function { name, signature: signature.to_owned(), body: body.to_owned(), lines });
+        found.push(Function { name, signature: signature.to_owned(), body: body.to_owned() });
     }
     let all: usize = lines.iter().filter(|l| code(l)).map(|l| l.matches("fn ").count()).sum();
     assert_eq!(found.len(), all, "{file}: a function is not seen");
@@ -116,14 +112,9 @@
     f.signature.contains("&mut") || marks.iter().any(|m| f.body.contains(m))
 }
 
-/// What still learns or decides outside the files that the deploy file names, function by function of `state.rs`, and
-/// its lines. It is to come into the named files as they get room; until then it can neither grow nor change unseen.
-const OUTSIDE: [&str; 8] = ["took", "forget", "spent", "unit", "next", "take", "add", "after"];
-const OUTSIDE_LINES: usize = 57;
-
 /// Every file of the module is named, or only records, reads or gives names: each of those by a check of its own.
 #[test]
-fn what_learns_or_decides_is_named_but_for_a_known_rest() {
+fn every_file_that_learns_or_decides_is_named() {
     let named = named(&text("deploy/balancer.toml")).expect("the deploy file names the module's files");
     let (mut todo, mut files) = (vec![root().join("crates/policy/src")], Vec::new());
     while let Some(folder) = todo.pop() {
@@ -168,17 +159,12 @@
                     assert!(mute, "{file}: {} is asked by what decides", f.name);
                 }
             }
-            // Records: nothing that learns or decides, but for what is known.
+            // Records: nothing that learns or decides.
             "crates/policy/src/state.rs" => {
                 assert_eq!(consts, 0, "{file}: a number");
                 let rest: Vec<&Function> = functions.iter().filter(|f| learns_or_decides(f)).collect();
                 let names: Vec<&str> = rest.iter().map(|f| f.name.as_str()).collect();
-                let lines: usize = rest.iter().map(|f| f.lines).sum();
-                assert_eq!(
-                    (names, lines),
-                    (OUTSIDE.to_vec(), OUTSIDE_LINES),
-                    "{file}: what learns or decides"
-                );
+                assert!(names.is_empty(), "{file}: {names:?} learn or decide");
             }
             _ => panic!("{file} is neither named as policy nor known to decide nothing"),
         }
--- a/crates/rate-limits/tests/structures.rs
+++ b/crates/rate-limits/tests/structures.rs
@@ -1,6 +1,8 @@
 //! Each structure against values worked out by hand, and the serialized forms that captures hold.
 
-use sprucelink_rate_limits::{EventWindow, MovingAverage, Slot, SlotWindow, SumWindow, TokenBucket};
+use sprucelink_rate_limits::{
+    EventWindow, MovingAverage, RecentSet, Slot, SlotWindow, SumWindow, TokenBucket,
+};
 use sprucelink_time::{TimeDelta, Timestamp};
 
 fn at(millis: i64) -> Timestamp {
@@ -56,6 +58,16 @@
     assert_eq!(average.value(), -2.0);
 }
 
+#[test]
+fn recent_set_drops_the_key_used_longest_ago() {
+    let mut set = RecentSet::default();
+    [1, 2, 1, 3].iter().for_each(|key| set.touch(*key, 2));
+    assert_eq!([1, 2, 3].map(|key| set.contains(key)), [true, false, true]);
+    assert_eq!(serde_json::to_string(&set).expect("it serializes"), "[1,3]");
+    set.clear();
+    assert!(!set.contains(3));
+}
+
 #[test]
 fn slot_window_counts_the_cut_slot_whole_or_not_at_all() {
     let mut window: SlotWindow<u32> = SlotWindow::new(span(100), span(20), 1_024);
--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod split_mix;
 
-pub use split_mix::SplitMix64;
+pub use split_mix::{weighted_index, SplitMix64};
 
 /// A stable 64-bit hash of bytes (FNV-1a, then a SplitMix64 finaliser so that near names spread): the
 /// same on every machine and release, unlike the standard library's hasher, whose output may change.
--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -34,3 +34,15 @@
         crate::unit(self.next_u64())
     }
 }
+
+/// The index drawn by `unit`, a number in [0, 1), where each index has a chance in proportion to its weight.
+///
+/// Weights are not negative. Where rounding leaves the draw beyond the last one, that is taken; `None` for no weights.
+pub fn weighted_index(weights: &[f64], unit: f64) -> Option<usize> {
+    let mut remaining = unit * weights.iter().sum::<f64>();
+    let drawn = weights.iter().position(|weight| {
+        remaining -= weight;
+        remaining <= 0.0
+    });
+    drawn.or(weights.len().checked_sub(1))
+}
--- a/crates/stable-hash/tests/split_mix.rs
+++ b/crates/stable-hash/tests/split_mix.rs
@@ -1,6 +1,6 @@
 //! The generator against the published reference values of SplitMix64.
 
-use sprucelink_stable_hash::SplitMix64;
+use sprucelink_stable_hash::{weighted_index, SplitMix64};
 
 #[test]
 fn the_numbers_are_those_of_the_reference_implementation() {
@@ -24,3 +24,12 @@
     let mean = numbers.iter().sum::<f64>() / numbers.len() as f64;
     assert!((mean - 0.5).abs() < 0.02, "{mean}");
 }
+
+#[test]
+fn an_index_is_drawn_in_proportion_to_its_weight() {
+    let weights = [1.0, 0.0, 3.0];
+    let drawn = |unit: f64| weighted_index(&weights, unit);
+    assert_eq!([0.0, 0.25, 0.26, 0.999].map(drawn), [Some(0), Some(0), Some(2), Some(2)]);
+    assert_eq!(weighted_index(&[], 0.5), None);
+    assert_eq!(weighted_index(&[f64::NAN, 1.0], 0.5), Some(1), "what is no number falls to the last");
+}
