--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -8,6 +8,7 @@
 use crate::interface::*;
 pub use crate::state::Policy;
 use crate::state::*;
+use sprucelink_rate_limits::update_mean_and_variance;
 use sprucelink_stable_hash::weighted_index;
 
 pub mod view;
@@ -165,34 +166,24 @@
         if !std::mem::replace(&mut self.armed, true) {
             out.push(Action::Timer { delay: TICK, token: 0 });
         }
+        let is_tick = matches!(event, Event::Timer { .. });
         match event {
-            Event::List { kind, entries } => {
-                self.on_list(kind, entries);
-                self.dispatch(None, out);
-            }
-            Event::Arrived(a) => self.on_arrival(a, out),
-            Event::Started { id } => _ = self.requests.entry(id).and_modify(|r| r.answered = true),
-            Event::Noted { id, attempt, note } => self.on_note(id, attempt, note, out),
-            ended @ Event::Ended { .. } => {
-                self.on_ended(ended, out);
-                self.dispatch(None, out);
-            }
-            Event::GivenUp { id } => self.finish(id, out),
-            Event::Timer { .. } => {
-                self.on_tick(out);
-                self.dispatch(None, out);
-                out.push(Action::Timer { delay: TICK, token: 0 });
-            }
-            Event::Probed { engine, outcome, report } => {
-                if outcome == Outcome::Expired {
-                    self.brimful(engine.0 as usize);
-                }
-                self.on_report(engine.0 as usize, report);
-                self.dispatch(None, out);
-            }
-            Event::Heard { .. } => {}
-            Event::Zones(weights) => self.set.zone_weights = weights,
-            Event::Fleet { gateways: n, spare: s } => (self.set.gateways, self.set.spare) = (n.max(1), s),
+            Event::Arrived(a) => return self.on_arrival(a, out),
+            Event::Started { id } => return self.on_started(id),
+            Event::Noted { id, attempt, note } => return self.on_note(id, attempt, note, out),
+            Event::GivenUp { id } => return self.finish(id, out),
+            Event::Heard { .. } => return,
+            Event::Zones(weights) => return self.set.zone_weights = weights,
+            Event::Fleet { gateways, spare } => return self.on_fleet(gateways, spare),
+            // These may free room for what waits.
+            Event::List { kind, entries } => self.on_list(kind, entries),
+            ended @ Event::Ended { .. } => self.on_ended(ended, out),
+            Event::Timer { .. } => self.on_tick(out),
+            Event::Probed { engine, outcome, report } => self.on_probed(engine.0 as usize, outcome, report),
+        }
+        self.dispatch(None, out);
+        if is_tick {
+            out.push(Action::Timer { delay: TICK, token: 0 });
         }
     }
 
@@ -277,8 +268,7 @@
         (best.0, best.1, best.2)
     }
 
-    /// The time within which an answer earns its full worth, and its client still waits: some clients
-    /// give up long before the class says.
+    /// The time within which an answer earns its full worth and its client still waits, seconds.
     fn aim(&self, r: &Request) -> f64 {
         let c = &self.set.classes[r.class];
         let wanted =
@@ -381,9 +371,8 @@
         self.set.probes && self.heavy(r) && self.probe_credit >= PROBE_SAMPLES as f64
     }
 
-    /// Departure: a query of several threads chooses among a few engines only, drawn at random; those of
-    /// unknown load are probed first. Guards against gateways of little traffic that fill full engines unseen
-    /// and all that fill at once one that looks idle. Costs the query some milliseconds.
+    /// A query of several threads chooses among a few engines drawn at random (a departure from the paper);
+    /// those of unknown load are probed first. Else many gateways would fill an engine that looks idle.
     fn draw_few(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let due = |r: &&Request| self.heavy(r) && self.now > r.drawn + PROBE_GAP;
         let Some(r) = self.requests.get(&id).filter(due) else { return };
@@ -442,8 +431,8 @@
         self.load(e) / (e.cores * self.warmth(e)).max(1e-3)
     }
 
-    /// Whether own threads on warm engines that answer fill this gateway's share of them. Guards against many
-    /// gateways of which each sees too little of an engine to know that all of them together have jammed it.
+    /// Whether own threads on sound, warm engines fill this gateway's share of them: many gateways may jam an
+    /// engine together of which each sees too little.
     fn crowded(&self, r: &Request) -> bool {
         let sound = |e: &&Engine| e.listed && !e.distrusted && self.warmth(e) >= 1.0;
         let warm = || self.engines.iter().filter(sound);
@@ -553,8 +542,7 @@
                 self.classes[class].grant += SPILL_STEP * (missing / need.max(1.0)).min(1.0);
             }
             (Note::Progress(done), _) => {
-                // Guards against bad plans and crawling engines alike: where a fresh attempt would be far
-                // quicker than what is left. Could harm when all slows at once, until the pace follows.
+                // A bad plan or a slow engine: a fresh attempt would be far quicker than what is left.
                 let left = age * (1.0 - done) / done.max(0.01);
                 let r = &self.requests[&id];
                 let fresh = expected.max(self.now_time(class, r.cost));
@@ -594,8 +582,23 @@
         }
     }
 
-    /// Guards against engines that died, refuse connections or are out of them, before the list says
-    /// so; back after two in a row it is cold. May hold back full connection tables. Resets prove no death.
+    fn on_started(&mut self, id: RequestId) {
+        self.requests.entry(id).and_modify(|r| r.answered = true);
+    }
+
+    fn on_probed(&mut self, i: usize, outcome: Outcome, report: Report) {
+        if outcome == Outcome::Expired {
+            self.brimful(i);
+        }
+        self.on_report(i, report);
+    }
+
+    fn on_fleet(&mut self, gateways: u32, spare: f64) {
+        self.set.gateways = gateways.max(1);
+        self.set.spare = spare;
+    }
+
+    /// A connection failed: the engine rests, longer each time; after two in a row it is cold when back.
     fn went_down(&mut self, i: usize) {
         let (now, e) = (self.now, &mut self.engines[i]);
         if now >= e.down_until {
@@ -689,8 +692,8 @@
         (e.others, e.heard) = (BRIMFUL * e.cores, Some(self.now));
     }
 
-    /// Departure: a level above is served no later than one below, heard of or not. Guards against old waits
-    /// at high levels that keep light work low; may hide a jam that only the top level has.
+    /// A level above is served no later than one below, heard of or not (a departure from the paper): old
+    /// waits at high levels would keep light work low.
     fn learn_wait(&mut self, class: usize, level: usize, wait: f64) {
         self.outcomes += 1;
         let levels = &mut self.classes[class].levels;
@@ -748,8 +751,7 @@
                 if stuck && self.may_repeat(r) && self.within_attempt_budget() {
                     self.cancel(id, out);
                 } else if need > r.level && self.set.priorities {
-                    // Guards against starving on an engine. In a jam levels would say less: the less of the
-                    // load a gateway sees, the later it raises, with few cores to its share never.
+                    // So that it does not starve on its engine; the less of the load is seen, the later.
                     self.requests.entry(id).and_modify(|r| r.level = need);
                     out.extend(self.requests.get(&id).map(|r| self.terms(id, r)));
                 }
@@ -775,8 +777,7 @@
         Action::Terms { id, grant_mb, level: Level(r.level as u8) }
     }
 
-    /// Distrusts engines that are down, silent or far slower than the rest, by what comes back against what
-    /// was expected, whatever the cause. May catch one with nothing but bad plans; the trickle lets it back.
+    /// Ejects engines that are down, silent, failing or far slower than the rest, whatever the cause.
     fn judge_engines(&mut self, out: &mut Vec<Action>) {
         self.engines.iter_mut().for_each(|e| e.overdue = 0);
         let unheard_for = NOTES_MISSED * self.set.progress_pace.as_secs_f64();
@@ -791,8 +792,7 @@
             if ratio > a.overdue {
                 a.overdue *= 2.0;
                 learn_slowness(e, ratio);
-                // Guards against engines that answer nothing any more and so report nothing: unheard they
-                // count as average, and each of many gateways goes on feeding them.
+                // An engine that answers nothing reports nothing either, and would count as an average one.
                 if e.heard.is_none_or(|t| self.now - t > OLD_NEWS) {
                     (e.others, e.heard) = (e.others.max(BRIMFUL * e.cores), Some(self.now));
                 }
@@ -803,21 +803,16 @@
         all.sort_by(f64::total_cmp);
         self.middle = if all.len() < 3 { f64::MAX } else { all[all.len() / 2] };
         for (i, e) in self.engines.iter_mut().enumerate() {
-            let (slowness, over) = (slowness(e, self.middle), e.overdue);
+            let slowness = slowness(e, self.middle);
             let quiet = self.now - e.last_word > SILENCE;
-            e.silent |= over >= 2 && over * 2 >= e.flying && quiet;
-            let (crawl, faulty) =
-                if e.distrusted { (CRAWL * RELENT, FAULTY * RELENT) } else { (CRAWL, FAULTY) };
+            e.silent |= e.overdue >= 2 && e.overdue * 2 >= e.flying && quiet;
+            let margin = if e.distrusted { RELENT } else { 1.0 };
             let cut = self.zones.get(&e.zone).is_some_and(|z| z.cut);
-            let bad =
-                e.silent || cut || slowness > crawl || e.bad.value() > faulty || self.now < e.down_until;
+            let failing = e.bad.value() > FAULTY * margin;
+            let bad = e.silent || cut || slowness > CRAWL * margin || failing || self.now < e.down_until;
             if bad != e.distrusted {
                 e.distrusted = bad;
-                let (state, silent, failing) =
-                    (if bad { "distrusted" } else { "trusted" }, e.silent, e.bad.value());
-                let why =
-                    format!("silent {silent}, {over} overdue, slowness {slowness:.1}, failing {failing:.2}");
-                out.push(Action::Log(format!("engine {i} {state}: {why}")));
+                e.log_health(i, slowness, out);
             }
         }
     }
@@ -850,12 +845,10 @@
         (extra + 1) as f64 <= b.free + b.share * taken as f64 + self.set.spare
     }
 
-    /// Work charged to the cold budget: its class's mean. Were small ones charged as such, each of many
-    /// gateways would find one that its lot lets in, and all together would fill the engine.
+    /// Work charged to the cold budget: the class's mean, lest each of many gateways send a small one.
     fn charge(&self, class: usize) -> f64 {
         let (book, c) = (&self.classes[class], &self.set.classes[class]);
-        // Few estimates tell little of a class, most often too little: a gateway that just started counts in
-        // some of all of the wanted time on all threads.
+        // Few estimates most often tell too little: a gateway that just started counts a full one in.
         let first = if self.now - self.born < self.set.cold_for { FIRST_CHARGES } else { 0.0 };
         let (samples, most) = (f64::from(book.samples.max(1)), c.aim.as_secs_f64() * c.threads);
         (book.mean * samples + most * first) / (samples + first) * book.bias.value().max(1.0)
@@ -1030,11 +1023,6 @@
     (c.aim.as_secs_f64() * c.threads * FIRST_MEAN).max(1e-3)
 }
 
-/// When the engine list is first asked for, if it must be.
-pub(crate) fn first_watch(set: &Settings, now: Timestamp) -> Option<Timestamp> {
-    set.must_ask.then_some(now)
-}
-
 /// A request's place in the line: higher levels first, then in turn.
 fn place(r: &Request) -> (usize, u64) {
     (LEVELS - r.level, r.seq)
@@ -1059,7 +1047,6 @@
 /// Counts the logarithm of told memory over the estimate.
 fn learn_need(book: &mut ClassBook, need: f64) {
     book.told = (book.told + 1).min(NEED_SPAN);
-    let (weight, off) = (1.0 / f64::from(book.told + 1), need - book.need);
-    book.need += weight * off;
-    book.need_scatter += weight * ((1.0 - weight) * off * off - book.need_scatter);
+    let weight = 1.0 / f64::from(book.told + 1);
+    update_mean_and_variance(&mut book.need, &mut book.need_scatter, need, weight);
 }
--- a/crates/policy/src/brain/view.rs
+++ b/crates/policy/src/brain/view.rs
@@ -97,6 +97,16 @@
     pub waiting: usize,
 }
 
+impl Engine {
+    /// Logs that it was ejected or is back, and why.
+    pub(super) fn log_health(&self, number: usize, slowness: f64, out: &mut Vec<Action>) {
+        let state = if self.distrusted { "distrusted" } else { "trusted" };
+        let (silent, overdue, failing) = (self.silent, self.overdue, self.bad.value());
+        let why = format!("silent {silent}, {overdue} overdue, slowness {slowness:.1}, failing {failing:.2}");
+        out.push(Action::Log(format!("engine {number} {state}: {why}")));
+    }
+}
+
 impl Policy {
     /// From now on it tells its reasons ([`Action::Why`]), or no more. No decision hangs on it.
     pub fn listen(&mut self, on: bool) {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decision module keeps of engines, classes and requests. Nothing here decides or learns:
 //! `crates/policy/tests/policy_size.rs` sees to it.
 
-use crate::brain::{first_mean, first_watch, FIRST_GRANT, FIRST_PACE, INTERVAL, MIX_PRIOR, NEED_SCATTER};
+use crate::brain::{first_mean, FIRST_GRANT, FIRST_PACE, INTERVAL, MIX_PRIOR, NEED_SCATTER};
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
 use sprucelink_rate_limits::{EventWindow, MovingAverage, RecentSet, SumWindow, TokenBucket};
@@ -200,7 +200,7 @@
             now,
             born: now,
             next_tolls: now + INTERVAL,
-            ask_again: first_watch(&set, now),
+            ask_again: set.must_ask.then_some(now),
             set,
             ..Policy::default()
         }
--- a/crates/rate-limits/src/moving_average.rs
+++ b/crates/rate-limits/src/moving_average.rs
@@ -1,4 +1,4 @@
-//! An exponentially weighted moving average.
+//! Exponentially weighted moving averages.
 
 use serde::{Deserialize, Serialize};
 
@@ -25,3 +25,12 @@
         self.0 += weight * (sample - self.0);
     }
 }
+
+/// Moves an exponentially weighted mean and the variance around it by one sample of `weight`, from 0 to 1.
+///
+/// The incremental form of Finch, "Incremental calculation of weighted mean and variance" (2009), section 9.
+pub fn update_mean_and_variance(mean: &mut f64, variance: &mut f64, sample: f64, weight: f64) {
+    let deviation = sample - *mean;
+    *mean += weight * deviation;
+    *variance += weight * ((1.0 - weight) * deviation * deviation - *variance);
+}
--- a/crates/rate-limits/tests/structures.rs
+++ b/crates/rate-limits/tests/structures.rs
@@ -1,7 +1,7 @@
 //! Each structure against values worked out by hand, and the serialized forms that captures hold.
 
 use sprucelink_rate_limits::{
-    EventWindow, MovingAverage, RecentSet, Slot, SlotWindow, SumWindow, TokenBucket,
+    update_mean_and_variance, EventWindow, MovingAverage, RecentSet, Slot, SlotWindow, SumWindow, TokenBucket,
 };
 use sprucelink_time::{TimeDelta, Timestamp};
 
@@ -68,6 +68,16 @@
     assert!(!set.contains(3));
 }
 
+#[test]
+fn mean_and_variance_with_weights_of_one_over_n_are_those_of_the_samples() {
+    let samples = [2.0, 4.0, 4.0, 4.0, 5.0, 5.0, 7.0, 9.0];
+    let (mut mean, mut variance) = (0.0, 0.0);
+    for (n, sample) in samples.iter().enumerate() {
+        update_mean_and_variance(&mut mean, &mut variance, *sample, 1.0 / (n + 1) as f64);
+    }
+    assert!((mean - 5.0_f64).abs() < 1e-12 && (variance - 4.0_f64).abs() < 1e-12, "{mean} {variance}");
+}
+
 #[test]
 fn slot_window_counts_the_cut_slot_whole_or_not_at_all() {
     let mut window: SlotWindow<u32> = SlotWindow::new(span(100), span(20), 1_024);
