--- a/crates/cluster-harness/src/run/strikes.rs
+++ b/crates/cluster-harness/src/run/strikes.rs
@@ -3,7 +3,7 @@
 use super::{Life, Rig};
 use crate::scenario::{Act, Blow, Scenario, Strike, Who};
 use nix::sys::signal::Signal;
-use sprucelink_failpoints::file::Points;
+use sprucelink_failpoints::fault_file::Failpoints;
 use sprucelink_history_checker::event::Event;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -32,10 +32,10 @@
     }
 
     /// The points that manager `i`'s next process is to tell.
-    pub(super) fn armed(&self, i: usize) -> Points {
+    pub(super) fn armed(&self, i: usize) -> Failpoints {
         let own: Vec<&Waiting> = self.0.iter().filter(|w| w.left.contains(&i)).collect();
-        let wait_ms = own.iter().map(|w| w.strike.wait_ms).max().unwrap_or(Points::default().wait_ms);
-        Points { arm: own.iter().map(|w| (w.strike.point.clone(), w.strike.pass)).collect(), wait_ms }
+        let wait_ms = own.iter().map(|w| w.strike.wait_ms).max().unwrap_or(Failpoints::default().wait_ms);
+        Failpoints { arm: own.iter().map(|w| (w.strike.point.clone(), w.strike.pass)).collect(), wait_ms }
     }
 
     /// Whether manager `i` may come to a point.
@@ -61,7 +61,7 @@
             let wanted = !self.procs[i].unbound.is_empty() || self.strikes.awaits(i);
             let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
             for line in tail.news() {
-                if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::LINE) {
+                if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::HIT_LINE_PREFIX) {
                     self.at_point(i, point)?;
                 } else {
                     self.find_ports(i, &line);
@@ -86,7 +86,7 @@
 
     fn at_point(&mut self, i: usize, point: &str) -> Result<(), String> {
         let Some(strike) = self.strikes.take(i, point) else { return Ok(()) };
-        self.history.note(Event::Point { process: format!("n{i}"), point: point.to_owned() });
+        self.history.note(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
         let back = match strike.blow {
             Blow::Kill => {
                 self.kill(i);
@@ -111,14 +111,14 @@
         self.strike(i);
         self.fleet.signal(i, Signal::SIGSTOP).map_err(|e| e.to_string())?;
         self.lives[i] = Life::Paused;
-        self.history.note(Event::Stop { process: format!("n{i}") });
+        self.history.note(Event::Suspended { process: format!("n{i}") });
         Ok(())
     }
 
     /// Lets manager `i` go on, if it is stopped.
     pub(super) fn go_on(&mut self, i: usize) -> Result<(), String> {
         if self.lives[i] == Life::Paused {
-            self.history.note(Event::Cont { process: format!("n{i}") });
+            self.history.note(Event::Resumed { process: format!("n{i}") });
             self.fleet.signal(i, Signal::SIGCONT).map_err(|e| e.to_string())?;
             self.lives[i] = Life::Starting;
         }
--- /dev/null
+++ b/crates/consensus/src/pending_proposals.rs
@@ -0,0 +1,119 @@
+//! A member's own proposals until their outcome is known.
+
+use crate::ids::ProposalId;
+use crate::limits::MAX_PENDING_PROPOSALS;
+use sprucelink_time::Timestamp;
+use std::collections::BTreeMap;
+
+/// The outcome of a proposal.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ProposalOutcome {
+    /// It is in the log.
+    Committed {
+        /// The proposal.
+        id: ProposalId,
+        /// Its index.
+        index: u64,
+    },
+    /// It will never be in the log: an entry of a later term is committed, and it was offered to one term's leader only.
+    Dropped {
+        /// The proposal.
+        id: ProposalId,
+    },
+    /// It may still enter the log. Proposed again under the same id it counts once, however often it is committed.
+    Unknown {
+        /// The proposal.
+        id: ProposalId,
+        /// Why the outcome is not known.
+        reason: UnknownReason,
+    },
+}
+
+/// Why the outcome of a proposal is not known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum UnknownReason {
+    /// Nothing was heard of it in time.
+    TimedOut,
+    /// The leader rejected it (a copy of it may still be on the way).
+    RejectedByLeader,
+    /// A snapshot covers the place where it may be.
+    CoveredBySnapshot,
+    /// This member is quarantined.
+    Quarantined,
+}
+
+#[derive(Debug)]
+struct PendingProposal {
+    /// The term whose leader it was offered to.
+    term: u64,
+    /// When its outcome is reported as unknown.
+    deadline: Timestamp,
+}
+
+/// The proposals whose outcome is open, at most [`MAX_PENDING_PROPOSALS`], and the outcomes not yet taken.
+#[derive(Debug, Default)]
+pub(crate) struct PendingProposals {
+    pending: BTreeMap<ProposalId, PendingProposal>,
+    outcomes: Vec<ProposalOutcome>,
+}
+
+impl PendingProposals {
+    pub fn is_full(&self) -> bool {
+        self.pending.len() >= MAX_PENDING_PROPOSALS
+    }
+
+    pub fn contains(&self, id: ProposalId) -> bool {
+        self.pending.contains_key(&id)
+    }
+
+    pub fn insert(&mut self, id: ProposalId, term: u64, deadline: Timestamp) {
+        self.pending.insert(id, PendingProposal { term, deadline });
+    }
+
+    /// The outcomes since the last call.
+    pub fn take_outcomes(&mut self) -> Vec<ProposalOutcome> {
+        std::mem::take(&mut self.outcomes)
+    }
+
+    /// An entry is committed. Terms never decrease along the log, so no proposal that was offered to an earlier term's
+    /// leader can follow it.
+    pub fn entry_committed(&mut self, index: u64, term: u64, id: Option<ProposalId>) {
+        if let Some(id) = id.filter(|id| self.pending.remove(id).is_some()) {
+            self.outcomes.push(ProposalOutcome::Committed { id, index });
+        }
+        self.resolve(|pending| pending.term < term, |id| ProposalOutcome::Dropped { id });
+    }
+
+    /// The leader rejected a proposal.
+    pub fn rejected(&mut self, id: ProposalId) {
+        if self.pending.remove(&id).is_some() {
+            self.outcomes.push(ProposalOutcome::Unknown { id, reason: UnknownReason::RejectedByLeader });
+        }
+    }
+
+    /// Resolves the proposals whose deadline has passed.
+    pub fn tick(&mut self, now: Timestamp) {
+        let reason = UnknownReason::TimedOut;
+        self.resolve(|pending| pending.deadline <= now, |id| ProposalOutcome::Unknown { id, reason });
+    }
+
+    /// Resolves all proposals as unknown.
+    pub fn abandon_all(&mut self, reason: UnknownReason) {
+        self.resolve(|_| true, |id| ProposalOutcome::Unknown { id, reason });
+    }
+
+    fn resolve(
+        &mut self,
+        is_resolved: impl Fn(&PendingProposal) -> bool,
+        outcome: impl Fn(ProposalId) -> ProposalOutcome,
+    ) {
+        let outcomes = &mut self.outcomes;
+        self.pending.retain(|id, pending| {
+            let resolved = is_resolved(pending);
+            if resolved {
+                outcomes.push(outcome(*id));
+            }
+            !resolved
+        });
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/sim/network.rs
@@ -0,0 +1,95 @@
+//! The network: every message has a delay of its own, so they overtake each other; some are lost, some are delivered twice, and
+//! links may be cut, each direction by itself.
+
+use super::faults::Link;
+use super::plan::Plan;
+use crate::frame::{Decoder, Frame};
+use crate::ids::MemberId;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use sprucelink_time::{TimeDelta, Timestamp};
+use std::collections::BTreeSet;
+
+/// Shortest delay of a message.
+const MIN_DELAY: TimeDelta = TimeDelta::from_micros(100);
+/// Smallest value of the longest delay of a message.
+const MIN_LONGEST_DELAY: TimeDelta = TimeDelta::from_micros(200);
+/// How much longer messages of slow nodes take.
+const SLOW_FACTOR: i64 = 10;
+/// One message in so many is encoded and decoded.
+const ENCODED_ONE_IN: u64 = 16;
+
+/// The links and their faults.
+#[derive(Debug, Default)]
+pub struct Network {
+    /// Links that carry nothing.
+    pub cut_links: BTreeSet<Link>,
+    /// Nodes all of whose messages are slow.
+    pub slow_nodes: BTreeSet<u32>,
+    loss_per_mille: u32,
+    duplicate_per_mille: u32,
+    max_delay: TimeDelta,
+    /// Number of messages sent.
+    pub sent: u64,
+    /// Number of bytes sent, estimated from one message in sixteen.
+    pub bytes: u64,
+}
+
+impl Network {
+    pub(super) fn new(plan: &Plan) -> Self {
+        Network {
+            loss_per_mille: plan.loss_per_mille,
+            duplicate_per_mille: plan.duplicate_per_mille,
+            max_delay: plan.max_delay.max(MIN_LONGEST_DELAY),
+            ..Network::default()
+        }
+    }
+
+    /// When the copies of a message arrive, if any do.
+    pub(super) fn arrivals(
+        &mut self,
+        rng: &mut ChaCha8Rng,
+        from: MemberId,
+        to: MemberId,
+        now: Timestamp,
+    ) -> Vec<Timestamp> {
+        self.sent += 1;
+        let is_cut = self.cut_links.contains(&Link::new(from.node, to.node));
+        if is_cut || rng.gen_range(0..1000) < self.loss_per_mille {
+            return Vec::new();
+        }
+        let copies = 1 + usize::from(rng.gen_range(0..1000) < self.duplicate_per_mille);
+        let is_slow = self.slow_nodes.contains(&from.node) || self.slow_nodes.contains(&to.node);
+        let factor = if is_slow { SLOW_FACTOR } else { 1 };
+        let mut delay = || {
+            let micros = rng.gen_range(MIN_DELAY.as_micros()..=self.max_delay.as_micros());
+            TimeDelta::from_micros(micros * factor)
+        };
+        (0..copies).map(|_| now + delay()).collect()
+    }
+
+    /// Passes a message on; one in sixteen is encoded, and decoded in two parts.
+    pub(super) fn pass(&mut self, rng: &mut ChaCha8Rng, frame: Frame) -> Frame {
+        if !self.sent.is_multiple_of(ENCODED_ONE_IN) {
+            return frame;
+        }
+        let bytes = frame.encode();
+        self.bytes += ENCODED_ONE_IN * bytes.len() as u64;
+        let mut decoder = Decoder::default();
+        let middle = rng.gen_range(0..bytes.len());
+        decoder.push(&bytes[..middle]);
+        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame was decoded as a whole");
+        decoder.push(&bytes[middle..]);
+        let decoded = decoder.next_frame();
+        assert_eq!(decoded.as_ref(), Ok(&Some(frame)), "a frame was decoded to another one");
+        decoded.ok().flatten().unwrap_or_else(|| unreachable!("compared above"))
+    }
+
+    /// Restores all links; no messages are lost or duplicated any more.
+    pub fn heal(&mut self) {
+        self.cut_links.clear();
+        self.slow_nodes.clear();
+        self.loss_per_mille = 0;
+        self.duplicate_per_mille = 0;
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/state_digests.rs
@@ -0,0 +1,31 @@
+//! Comparing state machines: members that applied the same entries must have the same state.
+
+use crate::limits::RETAINED_DIGESTS;
+use crate::wire::StateDigest;
+use std::collections::VecDeque;
+
+/// The last digests of a member's own state machine.
+#[derive(Debug, Default)]
+pub(crate) struct StateDigests {
+    digests: VecDeque<StateDigest>,
+}
+
+impl StateDigests {
+    /// Adds the digest of the state after an entry; the oldest one goes when there are [`RETAINED_DIGESTS`].
+    pub fn push(&mut self, index: u64, digest: u64) {
+        if self.digests.len() == RETAINED_DIGESTS {
+            self.digests.pop_front();
+        }
+        self.digests.push_back(StateDigest { index, digest });
+    }
+
+    /// The newest digest.
+    pub fn newest(&self) -> Option<StateDigest> {
+        self.digests.back().copied()
+    }
+
+    /// Whether a peer's digest differs from the own one after the same entry.
+    pub fn contradicts(&self, peer_digest: &StateDigest) -> bool {
+        self.digests.iter().any(|own| own.index == peer_digest.index && own.digest != peer_digest.digest)
+    }
+}
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -1,108 +1,114 @@
-//! Settings as `path=value` pairs, as the simulator's wire writes them: the parts of a path set apart by points,
-//! lists of plain values joined by commas, lists of objects with their length under `count` and their items
-//! under `0`, `1` and so on. A tree of the pairs is a serde deserializer, so that the derived types read it as
-//! they read JSON.
+//! Settings as `path=value` pairs, the form of the simulator's wire.
+//!
+//! The parts of a path are separated by points, the items of a list of plain values by commas. A list of objects has its
+//! length under `count` and its items under `0`, `1` and so on. The pairs form a tree, which is a serde deserializer, so
+//! that the derived types read it as they read JSON.
 
-use crate::{Error, Told};
+use crate::{Error, ErrorReason, WireSettings};
 use serde::de::value::StrDeserializer;
 use serde::de::{self, DeserializeSeed, Deserializer, IntoDeserializer, MapAccess, SeqAccess, Visitor};
 use std::collections::btree_map::{self, BTreeMap};
 use std::fmt;
 
-/// Items of one list of objects at most: a `count` is a few bytes of text, and each item is kept.
-pub const MOST_ITEMS: usize = 65_536;
+/// Largest number of items in a list of objects: a `count` of a few bytes would otherwise allocate without bound.
+pub const MAX_ITEMS: usize = 65_536;
 
-/// Parts of a path at most: those of the settings have three, and a tree as deep as a line is long would overflow
-/// the stack. A longer one is skipped, as all that is not known.
-const MOST_PARTS: usize = 8;
+/// Largest number of parts in a path: those of the settings have three, and a tree as deep as a line is long would overflow
+/// the stack. A longer path is skipped, as any unknown one.
+const MAX_PATH_PARTS: usize = 8;
 
-/// Reads the settings from pairs. What is no pair is skipped; of two with one path the later counts.
+/// Reads the settings from pairs. An item without `=` is skipped; of two with the same path the later counts.
 ///
 /// # Errors
-/// Where a known path holds what it may not, by path.
-pub fn told<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<Told, Error> {
+/// The first known path with an invalid value.
+pub fn parse<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<WireSettings, Error> {
     let mut root = Node::default();
-    for (path, value) in pairs.filter_map(|p| p.split_once('=')) {
-        if path.split('.').nth(MOST_PARTS).is_some() {
+    for (path, value) in pairs.filter_map(|pair| pair.split_once('=')) {
+        if path.split('.').nth(MAX_PATH_PARTS).is_some() {
             continue;
         }
         let leaf = path.split('.').fold(&mut root, |node, key| node.below.entry(key).or_default());
         leaf.text = Some(value);
     }
-    serde_path_to_error::deserialize(&root).map_err(|e| Error::new(&e.path().to_string(), e.inner()))
+    serde_path_to_error::deserialize(&root)
+        .map_err(|e| Error::at_path(&e.path().to_string(), ErrorReason::Pair(e.into_inner())))
 }
 
-/// A path's value, and what lies below it.
+/// A path's value, and the paths below it.
 #[derive(Debug, Default)]
 struct Node<'a> {
     text: Option<&'a str>,
     below: BTreeMap<&'a str, Node<'a>>,
 }
 
-/// What a path that is not there holds.
-static NOTHING: Node<'static> = Node { text: None, below: BTreeMap::new() };
-
-/// Why a value could not be read; its path is told beside it.
-#[derive(Debug)]
-struct Fault(String);
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// The node of a path that does not occur.
+static ABSENT: Node<'static> = Node { text: None, below: BTreeMap::new() };
+
+/// Why a value of a pair could not be read; its path stands in [`Error::place`].
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum PairError {
+    /// A list of objects claims more than [`MAX_ITEMS`] items.
+    #[error("count {0} is over {MAX_ITEMS}")]
+    TooManyItems(String),
+    /// A list's `count` is no finite number.
+    #[error("count {0:?} is not a number")]
+    CountNotANumber(String),
+    /// The value is not what the field's type expects.
+    #[error("{0}")]
+    InvalidValue(String),
 }
-impl std::error::Error for Fault {}
-impl de::Error for Fault {
-    fn custom<T: fmt::Display>(why: T) -> Fault {
-        Fault(why.to_string())
+
+impl de::Error for PairError {
+    fn custom<T: fmt::Display>(message: T) -> PairError {
+        PairError::InvalidValue(message.to_string())
     }
 }
 
 impl<'a> Node<'a> {
-    fn empty(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.below.is_empty() && matches!(self.text, None | Some("" | "-"))
     }
 
-    /// How many items a list of objects says that it has; `None` for a list of plain values.
-    fn count(&self) -> Result<Option<usize>, Fault> {
+    /// The length of a list of objects; `None` for a list of plain values.
+    fn count(&self) -> Result<Option<usize>, PairError> {
         let Some(count) = self.below.get("count") else { return Ok(None) };
         let text = count.text.filter(|t| !matches!(*t, "" | "-")).unwrap_or("0");
         match text.parse::<f64>() {
-            Ok(n) if n.is_finite() && n as usize <= MOST_ITEMS => Ok(Some(n as usize)),
-            Ok(n) if n.is_finite() => Err(Fault(format!("count {text} is over {MOST_ITEMS}"))),
-            _ => Err(Fault(format!("count {text:?} is not a number"))),
+            Ok(n) if n.is_finite() && n as usize <= MAX_ITEMS => Ok(Some(n as usize)),
+            Ok(n) if n.is_finite() => Err(PairError::TooManyItems(text.to_owned())),
+            _ => Err(PairError::CountNotANumber(text.to_owned())),
         }
     }
 }
 
 impl<'de> Deserializer<'de> for &'de Node<'de> {
-    type Error = Fault;
+    type Error = PairError;
 
-    /// A plain value: its text.
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    /// A plain value is its text.
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.text {
             Some(text) => visitor.visit_borrowed_str(text),
             None => visitor.visit_unit(),
         }
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
-        if self.empty() {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
+        if self.is_empty() {
             visitor.visit_none()
         } else {
             visitor.visit_some(self)
         }
     }
 
-    fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.count()? {
-            Some(count) => visitor.visit_seq(Items { node: self, next: 0, count }),
-            None => visitor.visit_seq(Parts(self.text.map(|t| t.split(',')))),
+            Some(count) => visitor.visit_seq(ObjectItems { node: self, next: 0, count }),
+            None => visitor.visit_seq(PlainItems(self.text.map(|t| t.split(',')))),
         }
     }
 
-    fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
-        visitor.visit_map(Children { rest: self.below.iter(), value: &NOTHING })
+    fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
+        visitor.visit_map(Children { remaining: self.below.iter(), value: &ABSENT })
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
@@ -110,7 +116,7 @@
         _: &'static str,
         _: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, PairError> {
         self.deserialize_map(visitor)
     }
 
@@ -118,11 +124,11 @@
         self,
         _: &'static str,
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, PairError> {
         visitor.visit_newtype_struct(self)
     }
 
-    fn deserialize_ignored_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_ignored_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         visitor.visit_unit()
     }
 
@@ -132,52 +138,52 @@
     }
 }
 
-/// Items of a list of objects: those that are not there hold nothing.
-struct Items<'de> {
+/// Items of a list of objects; those that do not occur are absent.
+struct ObjectItems<'de> {
     node: &'de Node<'de>,
     next: usize,
     count: usize,
 }
 
-impl<'de> SeqAccess<'de> for Items<'de> {
-    type Error = Fault;
-    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, Fault> {
+impl<'de> SeqAccess<'de> for ObjectItems<'de> {
+    type Error = PairError;
+    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, PairError> {
         if self.next == self.count {
             return Ok(None);
         }
-        let item = self.node.below.get(self.next.to_string().as_str()).unwrap_or(&NOTHING);
+        let item = self.node.below.get(self.next.to_string().as_str()).unwrap_or(&ABSENT);
         self.next += 1;
         seed.deserialize(item).map(Some)
     }
 }
 
 /// Items of a list of plain values.
-struct Parts<'de>(Option<std::str::Split<'de, char>>);
+struct PlainItems<'de>(Option<std::str::Split<'de, char>>);
 
-impl<'de> SeqAccess<'de> for Parts<'de> {
-    type Error = Fault;
-    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, Fault> {
+impl<'de> SeqAccess<'de> for PlainItems<'de> {
+    type Error = PairError;
+    fn next_element_seed<T: DeserializeSeed<'de>>(&mut self, seed: T) -> Result<Option<T::Value>, PairError> {
         let Some(part) = self.0.as_mut().and_then(Iterator::next) else { return Ok(None) };
-        let part: StrDeserializer<'_, Fault> = part.into_deserializer();
+        let part: StrDeserializer<'_, PairError> = part.into_deserializer();
         seed.deserialize(part).map(Some)
     }
 }
 
-/// What lies below a path.
+/// Paths below a path.
 struct Children<'de> {
-    rest: btree_map::Iter<'de, &'de str, Node<'de>>,
+    remaining: btree_map::Iter<'de, &'de str, Node<'de>>,
     value: &'de Node<'de>,
 }
 
 impl<'de> MapAccess<'de> for Children<'de> {
-    type Error = Fault;
-    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, Fault> {
-        let Some((key, value)) = self.rest.next() else { return Ok(None) };
+    type Error = PairError;
+    fn next_key_seed<K: DeserializeSeed<'de>>(&mut self, seed: K) -> Result<Option<K::Value>, PairError> {
+        let Some((key, value)) = self.remaining.next() else { return Ok(None) };
         self.value = value;
-        let key: StrDeserializer<'_, Fault> = (*key).into_deserializer();
+        let key: StrDeserializer<'_, PairError> = (*key).into_deserializer();
         seed.deserialize(key).map(Some)
     }
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Fault> {
+    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, PairError> {
         seed.deserialize(self.value)
     }
 }
--- /dev/null
+++ b/src/front/session/error.rs
@@ -0,0 +1,25 @@
+//! Why the handling of a message stops early.
+
+use crate::proto::pg::ErrorResponse;
+use std::io;
+use thiserror::Error;
+
+/// Why the handling of a message stops early.
+#[derive(Debug, Error)]
+pub(super) enum MessageError {
+    /// The client gets the error as its answer, and the session goes on.
+    #[error("message rejected")]
+    Rejected(#[source] ErrorResponse),
+    /// The session ends, after the error if there is one.
+    #[error("session ended")]
+    SessionEnded(Option<ErrorResponse>),
+    /// The connection has failed.
+    #[error("client connection failed")]
+    Connection(#[from] io::Error),
+}
+
+impl From<ErrorResponse> for MessageError {
+    fn from(error: ErrorResponse) -> MessageError {
+        MessageError::Rejected(error)
+    }
+}
--- /dev/null
+++ b/src/run/certificates/mod.rs
@@ -0,0 +1,142 @@
+//! Certificates for the second front, by ACME (RFC 8555, challenge http-01).
+//!
+//! A certificate is ordered at the start and renewed before it expires; a failed order is retried with exponential
+//! backoff while the old certificate serves. [`order`] speaks to the authority, [`challenge_listener`] answers its
+//! validation requests, [`store`] keeps the account and the certificate on disk.
+
+mod certificate;
+mod challenge_listener;
+mod error;
+mod order;
+mod store;
+
+pub use error::{CertificateError, OrderError};
+
+use super::error::with_causes;
+use crate::front::Front;
+use certificate::Certificate;
+use challenge_listener::{ChallengeResponses, MAX_REQUESTS};
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+use tracing::{error, info, warn};
+
+/// Descriptors that certificates need at most: the listener, its requests and one just accepted, two connections to the
+/// authority and a file.
+pub const MAX_DESCRIPTORS: usize = 1 + MAX_REQUESTS + 1 + 2 + 1;
+/// Longest duration of one order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
+/// Shortest pause after a failed order, whatever is configured: an authority that rejects must not be flooded.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Longest sleep between two looks at the clock: machines are suspended, and clocks are set.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(60);
+
+/// Pauses after failed orders: each is twice the one before.
+#[derive(Clone, Copy, Debug)]
+pub struct RetryBackoff {
+    /// After the first failure.
+    pub first: Duration,
+    /// The longest.
+    pub max: Duration,
+}
+
+/// Where certificates come from.
+#[derive(Clone, Debug)]
+pub struct CertificateConfig {
+    /// URL of the authority's directory.
+    pub directory: String,
+    /// File of the root that the authority's own certificate is verified by; otherwise the system's roots.
+    pub trust_root: Option<PathBuf>,
+    /// DNS names on the certificate.
+    pub names: Vec<String>,
+    /// Contact URLs of the account.
+    pub contact: Vec<String>,
+    /// Address on which the authority's validation requests arrive.
+    pub challenge_listen: String,
+    /// Folder for the account, the key and the certificate; without it each start orders again.
+    pub store: Option<PathBuf>,
+    /// A certificate is renewed this long before it expires.
+    pub renew_before: Duration,
+    /// Pauses after failed orders.
+    pub retry: RetryBackoff,
+}
+
+/// Seconds since the Unix epoch.
+fn unix_seconds() -> i64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs() as i64)
+}
+
+/// Keeps a front supplied with certificates, in tasks that never end.
+///
+/// # Errors
+/// A challenge address that cannot be listened on.
+pub async fn maintain(config: CertificateConfig, front: Rc<Front>) -> Result<(), CertificateError> {
+    let address = &config.challenge_listen;
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(|source| CertificateError::Listen { address: address.clone(), source })?;
+    let responses = ChallengeResponses::default();
+    spawn_local(challenge_listener::run(listener, responses.clone()));
+    spawn_local(renew_forever(config, front, responses));
+    Ok(())
+}
+
+async fn renew_forever(config: CertificateConfig, front: Rc<Front>, responses: ChallengeResponses) {
+    let mut current = load_usable(&config);
+    if let Some(certificate) = &current {
+        install(&front, certificate, "certificate loaded");
+    }
+    let mut pause = config.retry.first;
+    loop {
+        let due = current.as_ref().map_or(0, |certificate| certificate.renew_at(config.renew_before));
+        let now = unix_seconds();
+        if now < due {
+            sleep(Duration::from_secs((due - now) as u64).min(CLOCK_CHECK_INTERVAL)).await;
+            continue;
+        }
+        let ordered = timeout(ORDER_TIMEOUT, order::order(&config, &responses)).await;
+        responses.clear();
+        match ordered.unwrap_or(Err(OrderError::Timeout)) {
+            Ok(certificate) => {
+                save(&config, &certificate);
+                install(&front, &certificate, "certificate renewed");
+                current = Some(certificate);
+                pause = config.retry.first;
+            }
+            Err(error) => {
+                let seconds = pause.as_secs_f64();
+                warn!("certificate not renewed, next try in {seconds} s: {}", with_causes(&error));
+                sleep(pause.max(MIN_RETRY_PAUSE)).await;
+                pause = (pause * 2).min(config.retry.max);
+            }
+        }
+    }
+}
+
+/// The certificate on disk, unless it has expired or lacks a name that is configured now.
+fn load_usable(config: &CertificateConfig) -> Option<Certificate> {
+    let certificate = store::load(config.store.as_deref()?).ok()?;
+    let is_usable = !certificate.is_expired(unix_seconds()) && certificate.covers(&config.names);
+    is_usable.then_some(certificate)
+}
+
+fn save(config: &CertificateConfig, certificate: &Certificate) {
+    let Some(folder) = &config.store else { return };
+    if let Err(error) = store::save(folder, certificate) {
+        warn!("certificate not saved: {error}");
+    }
+}
+
+/// Open sessions keep the certificate that they began with.
+fn install(front: &Front, certificate: &Certificate, event: &str) {
+    match certificate.acceptor() {
+        Ok(acceptor) => {
+            front.set_certificate(acceptor);
+            info!("{event}, good until {}", certificate.not_after());
+        }
+        Err(error) => error!("certificate unusable: {}", with_causes(&error)),
+    }
+}
