--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -279,7 +279,7 @@
             }
             None => {
                 let request = super::attempt::format_id(id);
-                error!(request, "a second answer to {request} was dropped");
+                error!(request, "second response to {request} dropped");
             }
         }
         self.requests.remove_if_done(id);
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -51,7 +51,8 @@
         request.attempts += 1;
         // Nothing is sent after the final response, whatever the policy wants.
         if !request.is_awaited() {
-            error!(request = format_id(id), "a send for a request that is over was dropped");
+            let request = format_id(id);
+            error!(request, "send for completed request {request} dropped");
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
         let cost_ms = request.cost_ms;
@@ -113,7 +114,8 @@
             request = format_id(id),
             number = connection.engine,
             attempt = number,
-            "attempt held back: {why:?}"
+            reason = ?why,
+            "attempt withdrawn before it was sent: {why:?}"
         );
         false
     }
@@ -180,7 +182,7 @@
             Withdrawal::Partial => {
                 let connection = Rc::clone(&attempt.connection);
                 let engine = connection.engine;
-                warn!(number = engine, "link to engine {engine} given up: it takes a request in part");
+                warn!(number = engine, "connection to engine {engine} closed: a request was sent in part");
                 self.close_connection(&connection, true)
             }
             Withdrawal::Complete => {
@@ -288,17 +290,17 @@
     outcome: AttemptOutcome,
     latency: TimeDelta,
 ) {
-    let ms = latency.as_millis();
+    let latency_ms = latency.as_millis();
     debug!(
         request = format_id(id),
         number = attempt.connection.engine,
         attempt = attempt.number,
         class = request.class_name,
-        level = request.priority,
-        left_ms = (request.deadline - now()).as_millis(),
-        answered = !request.is_awaited(),
+        priority = request.priority,
+        time_left_ms = (request.deadline - now()).as_millis(),
+        completed = !request.is_awaited(),
         inflight = attempt.load_report.inflight,
-        ms,
-        "attempt ended as {outcome:?} after {ms} ms"
+        latency_ms,
+        "attempt ended as {outcome:?} after {latency_ms} ms"
     );
 }
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -23,7 +23,8 @@
         reason: &str,
     ) -> Result<CordonOutcome, CordonError> {
         let outcome = self.cordons.cordon(now(), &Target::Engine(id.to_owned()), request, reason)?;
-        info!(engine = %id, cause = %request.cause(), ?outcome, "engine cordoned");
+        let cause = request.cause();
+        info!(engine = %id, %cause, ?outcome, "engine cordoned: {id} by {cause}, {outcome:?}");
         self.reapply_entry(runtime, id);
         Ok(outcome)
     }
@@ -39,7 +40,7 @@
         cause: Cause,
     ) -> Result<CordonOutcome, CordonError> {
         let outcome = self.cordons.uncordon(now(), &Target::Engine(id.to_owned()), cause)?;
-        info!(engine = %id, %cause, ?outcome, "engine uncordoned");
+        info!(engine = %id, %cause, ?outcome, "engine uncordoned: {id} by {cause}, {outcome:?}");
         self.reapply_entry(runtime, id);
         Ok(outcome)
     }
@@ -59,8 +60,13 @@
         self.cordons.merge_known_ids(ids);
         let result = self.cordons.merge_records(now(), records);
         for change in &result.changes {
-            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon merged from another process");
-            if let Target::Engine(id) = &change.target {
+            let (target, outcome) = (&change.target, change.outcome);
+            info!(
+                cordon_target = %target,
+                ?outcome,
+                "cordon merged from another process: {target}, {outcome:?}"
+            );
+            if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
             }
         }
@@ -68,7 +74,9 @@
             warn!(
                 over_limit = result.over_limit,
                 malformed = result.malformed,
-                "cordons of another process are not in force here"
+                "cordons of another process are not in force here: {} over the limit, {} malformed",
+                result.over_limit,
+                result.malformed
             );
         }
         result
@@ -77,8 +85,9 @@
     /// Ends cordons whose lease has expired; to be called about once a second.
     pub(in crate::core) fn expire_cordons(&mut self, runtime: &dyn ConnectionRuntime) {
         for change in self.cordons.expire(now()) {
-            info!(cordon_target = %change.target, outcome = ?change.outcome, "cordon lease expired");
-            if let Target::Engine(id) = &change.target {
+            let (target, outcome) = (&change.target, change.outcome);
+            info!(cordon_target = %target, ?outcome, "cordon lease expired: {target}, {outcome:?}");
+            if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
             }
         }
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -192,15 +192,15 @@
 
 fn log_entry(number: usize, effective: &Member, listed: &Member) {
     let (id, phase, address) = (&listed.id, listed.phase, &effective.address);
-    let cordon = if effective.phase == phase { "" } else { ", taken out" };
+    let cordon = if effective.phase == phase { "" } else { ", cordoned" };
     info!(engine = %id, number, "engine {id} is {phase:?} at {address}, number {number}{cordon}");
 }
 
 fn log_connection_loss(connection: &EngineConnection, reason: &str) {
     let number = connection.engine;
-    let out = connection.attempt_count();
-    warn!(number, out, "link to engine {number} ended with {out} out: {reason}");
+    let attempts = connection.attempt_count();
+    warn!(number, attempts, reason, "connection to engine {number} ended with {attempts} attempts: {reason}");
     for (request, attempt) in connection.attempts() {
-        debug!(number, request = format_id(request), attempt, "was out on it");
+        debug!(number, request = format_id(request), attempt, "attempt was on the connection that ended");
     }
 }
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -74,8 +74,8 @@
     }
     let backoff = watch.on_poll_ended(now());
     if backoff.was_rejected {
-        let ms = to_duration(backoff.delay).as_millis() as u64;
-        warn!(rest_ms = ms, "feed refused the call: next in {ms} ms");
+        let retry_after_ms = to_duration(backoff.delay).as_millis() as u64;
+        warn!(retry_after_ms, "feed rejected the poll: next in {retry_after_ms} ms");
     }
 }
 
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -183,14 +183,16 @@
     }
 
     fn restart_numbering(&mut self, list: &ListEvent) {
-        let (n, last) = (list.n, self.last_event);
-        let (revision, held) = (list.revision, self.revision);
+        let n = list.n;
+        let last = self.last_event;
+        let revision = list.revision;
+        let held = self.revision;
         warn!(
             n,
             last,
             revision,
             held,
-            "list {n} comes after {last}, but {revision} is a new revision: numbers begin anew"
+            "list {n} comes after {last}, but {revision} is a new revision: numbering restarts"
         );
         self.engines.iter_mut().for_each(|engine| engine.last_event = 0);
         self.last_event = list.n;
--- a/src/core/request_counters.rs
+++ b/src/core/request_counters.rs
@@ -30,16 +30,16 @@
             return;
         }
         info!(
-            taken = self.submitted,
+            submitted = self.submitted,
             served = self.served,
-            refused = self.rejected,
+            rejected = self.rejected,
             failed = self.failed,
-            given_up = self.abandoned,
+            abandoned = self.abandoned,
             attempts = self.attempts,
-            open = pending,
-            buffers = buffers_in_use,
-            "figures: taken {}, served {}, refused {}, failed {}, given up {}, attempts {}, open {pending}, \
-             buffers {buffers_in_use}",
+            pending,
+            buffers_in_use,
+            "request counters: submitted {}, served {}, rejected {}, failed {}, abandoned {}, attempts {}, \
+             pending {pending}, buffers in use {buffers_in_use}",
             self.submitted,
             self.served,
             self.rejected,
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -42,15 +42,15 @@
         if let Some(ready) = self.readiness.check(now) {
             let after = ready.after.as_secs_f64();
             let staged = self.dials.delayed_dials();
-            let turned_away = self.admission.rejected();
+            let rejected = self.admission.rejected();
             info!(
                 after,
                 feed = ready.feed_answered,
-                link = ready.is_connected,
+                connection = ready.is_connected,
                 engines = ready.engines,
                 staged,
-                turned_away,
-                "ready after {after:.3} s: feed {}, link {}, {} engines, {staged} dials staged, {turned_away} turned away",
+                rejected,
+                "ready after {after:.3} s: feed {}, connection {}, {} engines, {staged} dials staged, {rejected} requests rejected",
                 if ready.feed_answered { "answered" } else { "not yet" },
                 if ready.is_connected { "up" } else { "not yet" },
                 ready.engines
@@ -67,14 +67,18 @@
         if !decision.is_stale && decision.contradictions == 0 {
             return None;
         }
-        let (n, revision, held) = (list.n, list.revision, self.list_guard.revision());
-        let (taken, of, twice) = (decision.accepted.len(), list.members.len(), decision.contradictions);
+        let n = list.n;
+        let revision = list.revision;
+        let held = self.list_guard.revision();
+        let applied = decision.accepted.len();
+        let of = list.members.len();
+        let contradicted = decision.contradictions;
         warn!(
             n,
             revision,
             held,
-            taken,
-            "list {n} of revision {revision}, {held} held: {taken} of {of} entries taken, {twice} contradicted"
+            applied,
+            "list {n} of revision {revision}, {held} held: {applied} of {of} entries applied, {contradicted} contradicted"
         );
         let members = decision.accepted.iter().map(|i| list.members[*i].clone()).collect();
         Some(ListEvent { n, revision, complete: decision.is_complete, members })
