--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -49,7 +49,8 @@
         request.attempts += 1;
         // Nothing is sent after the final response, whatever the policy wants.
         if !request.is_awaited() {
-            error!(request = format_id(id), "a send for a request that is over was dropped");
+            let request = format_id(id);
+            error!(request, "send for completed request {request} dropped");
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
         let cost_ms = request.cost_ms;
@@ -111,7 +112,8 @@
             request = format_id(id),
             number = connection.engine,
             attempt = number,
-            "attempt held back: {why:?}"
+            reason = ?why,
+            "attempt withdrawn before it was sent: {why:?}"
         );
         false
     }
@@ -178,7 +180,7 @@
             Withdrawal::Partial => {
                 let connection = Rc::clone(&attempt.connection);
                 let engine = connection.engine;
-                warn!(number = engine, "link to engine {engine} given up: it takes a request in part");
+                warn!(number = engine, "connection to engine {engine} closed: a request was sent in part");
                 self.close_connection(&connection, true)
             }
             Withdrawal::Complete => {
@@ -285,17 +287,17 @@
     outcome: AttemptOutcome,
     latency: TimeDelta,
 ) {
-    let ms = latency.as_millis();
+    let latency_ms = latency.as_millis();
     debug!(
         request = format_id(id),
         number = attempt.connection.engine,
         attempt = attempt.number,
         class = request.class_name,
-        level = request.priority,
-        left_ms = (request.deadline - now()).as_millis(),
-        answered = !request.is_awaited(),
-        inflight = attempt.load_report.in_flight,
-        ms,
-        "attempt ended as {outcome:?} after {ms} ms"
+        priority = request.priority,
+        time_left_ms = (request.deadline - now()).as_millis(),
+        completed = !request.is_awaited(),
+        in_flight = attempt.load_report.in_flight,
+        latency_ms,
+        "attempt ended as {outcome:?} after {latency_ms} ms"
     );
 }
