--- /dev/null
+++ b/crates/zone-failover/src/weights.rs
@@ -0,0 +1,147 @@
+//! What fraction of a manager's requests goes to which zone, and the weights by which requests are routed there.
+
+use crate::config::FailoverConfig;
+use crate::MAX_ZONES;
+
+/// Fractions and cores below this count as none.
+const EPSILON: f64 = 1e-9;
+
+/// How near a zone is to the manager's own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Distance {
+    /// The manager's own zone; every zone, where its own is not configured.
+    Local,
+    /// Another zone of its region.
+    SameRegion,
+    /// A zone of another region.
+    OtherRegion,
+}
+
+/// A zone's capacity, by its state.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ZoneCapacity {
+    /// The zone's number.
+    pub zone: u32,
+    /// How near it is.
+    pub distance: Distance,
+    /// Known cores.
+    pub known_cores: f64,
+    /// Healthy, warm cores that count by its state.
+    pub healthy_cores: f64,
+    /// Load in threads.
+    pub load: f64,
+}
+
+impl ZoneCapacity {
+    /// Fraction of its own requests that the zone can serve: its healthy cores times the overprovisioning factor against
+    /// its known ones, and no more load than its healthy cores divided by the factor.
+    fn serviceable_fraction(&self, config: &FailoverConfig) -> f64 {
+        if self.known_cores <= 0.0 || self.healthy_cores <= 0.0 {
+            return 0.0;
+        }
+        let by_health = config.overprovisioning_factor * self.healthy_cores / self.known_cores;
+        let by_load = self.healthy_cores / config.overprovisioning_factor / self.load.max(EPSILON);
+        by_health.min(by_load).clamp(0.0, 1.0)
+    }
+
+    /// Cores that the zone can spare for others, with its overprovisioning kept free.
+    fn spare_cores(&self, config: &FailoverConfig) -> f64 {
+        (self.healthy_cores / config.overprovisioning_factor - self.load).max(0.0)
+    }
+}
+
+/// The fraction of requests for each zone, in the order given: as much as the local zones can serve, the rest to the next
+/// nearest in proportion to their spare cores. They add up to 1 where anything is healthy anywhere.
+pub fn request_fractions(config: &FailoverConfig, zones: &[ZoneCapacity]) -> Vec<f64> {
+    let mut fractions = vec![0.0; zones.len()];
+    let mut remaining = 1.0 - assign_local(config, zones, &mut fractions);
+    for distance in [Distance::SameRegion, Distance::OtherRegion] {
+        if remaining > EPSILON {
+            remaining -= assign_spare(config, zones, distance, remaining, &mut fractions);
+        }
+    }
+    if remaining > EPSILON {
+        assign_by_cores(zones, remaining, &mut fractions);
+    }
+    fractions
+}
+
+fn at_distance(zones: &[ZoneCapacity], distance: Distance) -> Vec<usize> {
+    (0..zones.len()).filter(|index| zones[*index].distance == distance).collect()
+}
+
+/// Assigns what the local zones can serve, by their healthy cores; returns its sum.
+fn assign_local(config: &FailoverConfig, zones: &[ZoneCapacity], fractions: &mut [f64]) -> f64 {
+    let local = at_distance(zones, Distance::Local);
+    let healthy: f64 = local.iter().map(|index| zones[*index].healthy_cores).sum();
+    let healthy = healthy.max(EPSILON);
+    let weighted = |index: &usize| zones[*index].serviceable_fraction(config) * zones[*index].healthy_cores;
+    let serviceable = local.iter().map(weighted).sum::<f64>() / healthy;
+    for index in local {
+        fractions[index] = serviceable * zones[index].healthy_cores / healthy;
+    }
+    serviceable
+}
+
+/// Assigns of the remaining requests what the zones at a distance can serve, by their spare cores; returns its sum.
+fn assign_spare(
+    config: &FailoverConfig,
+    zones: &[ZoneCapacity],
+    distance: Distance,
+    remaining: f64,
+    fractions: &mut [f64],
+) -> f64 {
+    let indices = at_distance(zones, distance);
+    let sum =
+        |value: &dyn Fn(&ZoneCapacity) -> f64| indices.iter().map(|index| value(&zones[*index])).sum::<f64>();
+    let spare = sum(&|zone| zone.spare_cores(config));
+    if spare <= 0.0 {
+        return 0.0;
+    }
+    let known = sum(&|zone| zone.known_cores);
+    let healthy = sum(&|zone| zone.healthy_cores);
+    let health = (config.overprovisioning_factor * healthy / known.max(EPSILON)).min(1.0);
+    let assigned = remaining * health;
+    for index in &indices {
+        fractions[*index] = assigned * zones[*index].spare_cores(config) / spare;
+    }
+    assigned
+}
+
+/// No zone can spare anything: the remaining requests go where cores are healthy, near or far.
+fn assign_by_cores(zones: &[ZoneCapacity], remaining: f64, fractions: &mut [f64]) {
+    let healthy: f64 = zones.iter().map(|zone| zone.healthy_cores).sum();
+    if healthy <= 0.0 {
+        return;
+    }
+    for (zone, fraction) in zones.iter().zip(fractions) {
+        *fraction += remaining * zone.healthy_cores / healthy;
+    }
+}
+
+/// Routing weights, by zone number. The decision module picks engines by cores, so a zone's weight is its fraction of
+/// requests relative to its healthy cores; the largest is 1, none is below the configured minimum.
+pub fn routing_weights(config: &FailoverConfig, zones: &[ZoneCapacity], fractions: &[f64]) -> Vec<f64> {
+    let mut weights = equal_weights(zones);
+    let per_core: Vec<f64> = zones
+        .iter()
+        .zip(fractions)
+        .map(|(zone, fraction)| if zone.healthy_cores > 0.0 { fraction / zone.healthy_cores } else { 0.0 })
+        .collect();
+    let largest = per_core.iter().copied().fold(0.0f64, f64::max);
+    if largest <= 0.0 {
+        return weights;
+    }
+    for (zone, per_core) in zones.iter().zip(per_core) {
+        if let Some(weight) = weights.get_mut(zone.zone as usize) {
+            *weight = (per_core / largest).max(config.min_weight);
+        }
+    }
+    weights
+}
+
+/// A weight of 1 for each zone number up to the highest: the states of zones are ignored.
+pub fn equal_weights(zones: &[ZoneCapacity]) -> Vec<f64> {
+    let length = zones.iter().map(|zone| zone.zone as usize + 1).max().unwrap_or(0);
+    vec![1.0; length.min(MAX_ZONES)]
+}
--- /dev/null
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -0,0 +1,181 @@
+//! The failover of one manager: from observations of zones to routing weights.
+
+use crate::config::FailoverConfig;
+use crate::event::Capacity;
+use crate::weights::{equal_weights, request_fractions, routing_weights, Distance, ZoneCapacity};
+use crate::zone_health::{ZoneHealth, ZoneState};
+use crate::{FailoverEvent, Timestamp, ZoneObservation};
+use std::collections::BTreeMap;
+
+/// Largest number of zones tracked; further ones are ignored.
+pub const MAX_ZONES: usize = 64;
+/// Smallest number of other zones for this manager's own to count as isolated from all of them.
+const MIN_OTHER_ZONES: usize = 2;
+
+/// Where a manager runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Home {
+    /// The number of its zone.
+    pub zone: u32,
+    /// The number of its region.
+    pub region: u32,
+}
+
+/// The fraction of a manager's requests for a zone.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ZoneFraction {
+    /// The zone's number.
+    pub zone: u32,
+    /// The fraction, from 0 to 1.
+    pub fraction: f64,
+}
+
+/// How a manager routes its requests.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RoutingPlan {
+    /// Fraction of requests for each zone, in the order of the observations; they add up to 1, or all are 0 where nothing
+    /// is known.
+    pub fractions: Vec<ZoneFraction>,
+    /// Routing weights by zone number: 1 for the most favoured, never 0.
+    pub weights: Vec<f64>,
+    /// Too little is healthy anywhere: the states of zones are ignored, and all count by their cores.
+    pub is_panic: bool,
+    /// This manager's own zone is isolated from all others: requests stay in it.
+    pub is_isolated: bool,
+    /// What changed with this update.
+    pub events: Vec<FailoverEvent>,
+}
+
+/// The failover of one manager.
+#[derive(Clone, Debug)]
+pub struct ZoneFailover {
+    config: FailoverConfig,
+    /// `None` where it is not configured: then no zone is nearer than another.
+    home: Option<Home>,
+    zones: BTreeMap<u32, ZoneHealth>,
+    is_isolated: bool,
+    is_panic: bool,
+}
+
+impl ZoneFailover {
+    /// The failover of a manager that starts now.
+    pub fn new(config: FailoverConfig, home: Option<Home>) -> ZoneFailover {
+        ZoneFailover { config, home, zones: BTreeMap::new(), is_isolated: false, is_panic: false }
+    }
+
+    /// A zone's state; zones that are not tracked count as healthy.
+    pub fn zone_state(&self, zone: u32) -> ZoneState {
+        self.zones.get(&zone).map_or(ZoneState::Healthy, ZoneHealth::state)
+    }
+
+    /// Updates the states of all zones by what is observed now, and derives how to route.
+    pub fn update(&mut self, now: Timestamp, observations: &[ZoneObservation]) -> RoutingPlan {
+        let observations = &observations[..observations.len().min(MAX_ZONES)];
+        let mut events = self.update_zones(now, observations);
+        events.extend(self.update_isolation(observations));
+        let zones: Vec<ZoneCapacity> =
+            observations.iter().map(|observed| self.zone_capacity(now, observed)).collect();
+        events.extend(self.update_panic(&zones));
+        let fractions = self.fractions(&zones);
+        let weights = if self.is_panic {
+            equal_weights(&zones)
+        } else {
+            routing_weights(&self.config, &zones, &fractions)
+        };
+        let fractions = zones.iter().zip(fractions);
+        RoutingPlan {
+            fractions: fractions.map(|(zone, fraction)| ZoneFraction { zone: zone.zone, fraction }).collect(),
+            weights,
+            is_panic: self.is_panic,
+            is_isolated: self.is_isolated,
+            events,
+        }
+    }
+
+    fn update_zones(&mut self, now: Timestamp, observations: &[ZoneObservation]) -> Vec<FailoverEvent> {
+        let mut events = Vec::new();
+        for observed in observations {
+            let zone = observed.zone;
+            let health = self.zones.entry(zone).or_insert_with(|| ZoneHealth::new(observed.listed_cores));
+            let change = health.update(now, &self.config, observed);
+            events.extend(change.map(|change| FailoverEvent::Zone { zone, change }));
+        }
+        // Of a zone that is not observed any more all engines are gone from the list for good.
+        let is_observed = |zone: &u32| observations.iter().any(|observed| observed.zone == *zone);
+        self.zones.retain(|zone, health| is_observed(zone) || !health.is_expired(now));
+        events
+    }
+
+    /// Updates whether this manager's own zone is isolated: all other zones are ejected while its own responds, so it is
+    /// this zone that is cut off, and not all the others that died.
+    fn update_isolation(&mut self, observations: &[ZoneObservation]) -> Option<FailoverEvent> {
+        let zone = self.home?.zone;
+        let own_responds = observations
+            .iter()
+            .find(|observed| observed.zone == zone)
+            .is_some_and(|own| own.responsive > 0 && own.unresponsive * 2 < own.engines);
+        let is_other = |observed: &&ZoneObservation| observed.zone != zone && observed.engines > 0;
+        let others: Vec<&ZoneObservation> = observations.iter().filter(is_other).collect();
+        let are_ejected = others.iter().all(|other| self.zone_state(other.zone) == ZoneState::Ejected);
+        let is_isolated = own_responds && others.len() >= MIN_OTHER_ZONES && are_ejected;
+        if is_isolated == self.is_isolated {
+            return None;
+        }
+        self.is_isolated = is_isolated;
+        Some(if is_isolated { FailoverEvent::Isolated { zone } } else { FailoverEvent::Rejoined { zone } })
+    }
+
+    /// Updates panic mode. An isolated zone sees little healthy anywhere, which is no panic: its own serves its requests.
+    fn update_panic(&mut self, zones: &[ZoneCapacity]) -> Option<FailoverEvent> {
+        let known_cores: f64 = zones.iter().map(|zone| zone.known_cores).sum();
+        let healthy_cores: f64 = zones.iter().map(|zone| zone.healthy_cores).sum();
+        let is_below_threshold = healthy_cores < self.config.panic_threshold * known_cores;
+        let is_panic = !self.is_isolated && known_cores > 0.0 && is_below_threshold;
+        if is_panic == self.is_panic {
+            return None;
+        }
+        self.is_panic = is_panic;
+        let capacity = Capacity { healthy_cores, known_cores };
+        Some(if is_panic {
+            FailoverEvent::PanicEntered(capacity)
+        } else {
+            FailoverEvent::PanicLeft(capacity)
+        })
+    }
+
+    fn fractions(&self, zones: &[ZoneCapacity]) -> Vec<f64> {
+        if self.is_panic {
+            // Panic implies that some cores are known.
+            let known_cores: f64 = zones.iter().map(|zone| zone.known_cores).sum();
+            return zones.iter().map(|zone| zone.known_cores / known_cores).collect();
+        }
+        match self.home {
+            Some(home) if self.is_isolated => {
+                zones.iter().map(|zone| if zone.zone == home.zone { 1.0 } else { 0.0 }).collect()
+            }
+            _ => request_fractions(&self.config, zones),
+        }
+    }
+
+    fn zone_capacity(&self, now: Timestamp, observed: &ZoneObservation) -> ZoneCapacity {
+        let health = self.zones.get(&observed.zone);
+        let fraction = health.map_or(1.0, |health| health.capacity_fraction(now, &self.config));
+        let known_cores = health.map_or(0.0, ZoneHealth::known_cores);
+        ZoneCapacity {
+            zone: observed.zone,
+            distance: self.distance(observed),
+            known_cores: known_cores.max(observed.listed_cores),
+            healthy_cores: observed.healthy_cores * fraction,
+            load: health.map_or(observed.load, ZoneHealth::load),
+        }
+    }
+
+    fn distance(&self, observed: &ZoneObservation) -> Distance {
+        match self.home {
+            Some(home) if home.zone == observed.zone => Distance::Local,
+            Some(home) if home.region == observed.region => Distance::SameRegion,
+            Some(_) => Distance::OtherRegion,
+            None => Distance::Local,
+        }
+    }
+}
--- /dev/null
+++ b/crates/zone-failover/src/zone_health.rs
@@ -0,0 +1,294 @@
+//! Whether a zone is ejected: evidence, and a state with hysteresis.
+//!
+//! Evidence is ranked, so that managers with the same information come to the same state: first the endpoint list (most of
+//! the zone's cores are gone from it); then, where enough managers outside the zone report on it, their quorum, against
+//! which a manager's own connections alone count for nothing; then its own connections. A state changes only when evidence
+//! has persisted for a while, and a zone that is ejected again soon after it recovered must be without evidence for longer
+//! each time, as in Envoy's outlier detection.
+
+use crate::config::FailoverConfig;
+use crate::{TimeDelta, Timestamp, ZoneObservation};
+use std::fmt;
+
+/// A zone's known cores are the most that were listed within this.
+const CAPACITY_MEMORY: TimeDelta = TimeDelta::from_millis(120_000);
+/// A zone that is ejected within this after it recovered is flapping: its next recovery takes twice as long.
+const FLAPPING_WITHIN: TimeDelta = TimeDelta::from_millis(60_000);
+/// Largest number of doublings of the recovery time.
+const MAX_DOUBLINGS: u32 = 16;
+/// Time constant over which a zone's load is smoothed, in seconds.
+const LOAD_SMOOTHING_S: f64 = 3.0;
+/// Fraction of its capacity with which a recovering zone begins.
+const INITIAL_FRACTION: f64 = 0.1;
+
+/// State of a zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ZoneState {
+    /// It serves its requests.
+    Healthy,
+    /// It gets no requests but those that no other zone can take.
+    Ejected,
+    /// It is back, and gets its fraction of requests gradually.
+    Recovering,
+}
+
+/// What indicates that a zone must be ejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Evidence {
+    /// The endpoint list names too few of its cores.
+    EndpointList,
+    /// A quorum of managers outside it cannot reach it.
+    Quorum,
+    /// Its engines do not respond to this manager.
+    OwnConnections,
+}
+
+/// A change of a zone's state.
+#[derive(Clone, Debug, PartialEq)]
+pub enum HealthChange {
+    /// The zone was ejected.
+    Ejected {
+        /// What indicated it.
+        evidence: Evidence,
+        /// Its known cores.
+        known_cores: f64,
+        /// What was observed of it.
+        observation: ZoneObservation,
+    },
+    /// The zone began to recover.
+    Recovering {
+        /// Its known cores.
+        known_cores: f64,
+        /// What was observed of it.
+        observation: ZoneObservation,
+    },
+    /// The zone has its whole fraction of requests again.
+    Healthy,
+}
+
+/// The strongest evidence against a zone with this many known cores; `None` where there is none.
+pub fn find_evidence(
+    config: &FailoverConfig,
+    known_cores: f64,
+    observed: &ZoneObservation,
+) -> Option<Evidence> {
+    if known_cores > 0.0 && observed.listed_cores < config.min_listed_fraction * known_cores {
+        return Some(Evidence::EndpointList);
+    }
+    let is_unresponsive = is_unresponsive(config, observed);
+    if observed.observers >= config.min_observers {
+        return has_quorum(config, observed, is_unresponsive).then_some(Evidence::Quorum);
+    }
+    is_unresponsive.then_some(Evidence::OwnConnections)
+}
+
+/// Whether enough of a zone's engines do not respond to this manager.
+fn is_unresponsive(config: &FailoverConfig, observed: &ZoneObservation) -> bool {
+    let unresponsive = f64::from(observed.unresponsive);
+    let contacted = unresponsive + f64::from(observed.responsive);
+    observed.unresponsive >= config.min_unresponsive_engines.min(observed.engines.max(1))
+        && unresponsive >= config.min_unresponsive_fraction * contacted
+}
+
+/// Whether a quorum of managers cannot reach a zone. This manager is one of them if it contacted the zone.
+fn has_quorum(config: &FailoverConfig, observed: &ZoneObservation, is_unresponsive: bool) -> bool {
+    let has_contact = observed.unresponsive > 0 || observed.responsive > 0;
+    let voters = observed.observers + u32::from(has_contact);
+    let votes = observed.unreachable_for + u32::from(is_unresponsive);
+    f64::from(votes) >= config.quorum_fraction * f64::from(voters)
+}
+
+/// The state of one zone, and what it is derived from.
+#[derive(Clone, Debug)]
+pub struct ZoneHealth {
+    state: ZoneState,
+    /// Since when the state has held.
+    state_since: Timestamp,
+    /// Since when the evidence has contradicted the state.
+    contradicted_since: Option<Timestamp>,
+    recovered_at: Option<Timestamp>,
+    /// Ejections in a row, each soon after a recovery.
+    flaps: u32,
+    known_cores: f64,
+    known_cores_at: Timestamp,
+    /// Smoothed load, in threads.
+    load: f64,
+    load_at: Option<Timestamp>,
+}
+
+impl ZoneHealth {
+    /// A zone observed for the first time, with this many cores listed.
+    pub fn new(listed_cores: f64) -> ZoneHealth {
+        ZoneHealth {
+            state: ZoneState::Healthy,
+            state_since: Timestamp::ZERO,
+            contradicted_since: None,
+            recovered_at: None,
+            flaps: 0,
+            known_cores: listed_cores,
+            known_cores_at: Timestamp::ZERO,
+            load: 0.0,
+            load_at: None,
+        }
+    }
+
+    /// The zone's state.
+    pub fn state(&self) -> ZoneState {
+        self.state
+    }
+
+    /// The zone's known cores: the most that were listed recently.
+    pub fn known_cores(&self) -> f64 {
+        self.known_cores
+    }
+
+    /// The zone's load in threads, smoothed, since single reports scatter.
+    pub fn load(&self) -> f64 {
+        self.load
+    }
+
+    /// Whether the zone was not listed for so long that nothing of it needs to be remembered.
+    pub fn is_expired(&self, now: Timestamp) -> bool {
+        now - self.known_cores_at > CAPACITY_MEMORY
+    }
+
+    /// The fraction of its healthy capacity that counts: none while it is ejected, rising while it recovers.
+    pub fn capacity_fraction(&self, now: Timestamp, config: &FailoverConfig) -> f64 {
+        match self.state {
+            ZoneState::Healthy => 1.0,
+            ZoneState::Ejected => 0.0,
+            ZoneState::Recovering if config.ramp_ms <= 0.0 => 1.0,
+            ZoneState::Recovering => {
+                let ramped = (now - self.state_since).as_secs_f64() * 1e3 / config.ramp_ms;
+                (INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * ramped).clamp(INITIAL_FRACTION, 1.0)
+            }
+        }
+    }
+
+    /// Updates the zone's state by an observation; returns its change.
+    pub fn update(
+        &mut self,
+        now: Timestamp,
+        config: &FailoverConfig,
+        observed: &ZoneObservation,
+    ) -> Option<HealthChange> {
+        self.update_known_cores(now, observed.listed_cores);
+        self.update_load(now, observed.load);
+        let evidence = find_evidence(config, self.known_cores, observed);
+        let is_ejected = self.state == ZoneState::Ejected;
+        if evidence.is_some() == is_ejected {
+            self.contradicted_since = None;
+            return self.complete_recovery(now, config);
+        }
+        let since = *self.contradicted_since.get_or_insert(now);
+        let delay = match evidence {
+            Some(_) => from_millis(config.eject_after_ms),
+            None => self.recovery_delay(config),
+        };
+        if now - since < delay {
+            return None;
+        }
+        self.contradicted_since = None;
+        self.state_since = now;
+        Some(match evidence {
+            Some(evidence) => self.eject(now, evidence, observed),
+            None => self.begin_recovery(now, observed),
+        })
+    }
+
+    fn update_known_cores(&mut self, now: Timestamp, listed_cores: f64) {
+        if listed_cores >= self.known_cores || self.is_expired(now) {
+            self.known_cores = listed_cores;
+            self.known_cores_at = now;
+        }
+    }
+
+    fn update_load(&mut self, now: Timestamp, load: f64) {
+        let elapsed = self.load_at.map_or(f64::INFINITY, |at| (now - at).as_secs_f64().max(0.0));
+        let weight = 1.0 - (-elapsed / LOAD_SMOOTHING_S).exp();
+        self.load += weight * (load - self.load);
+        self.load_at = Some(now);
+    }
+
+    /// How long evidence must be absent until the zone recovers.
+    fn recovery_delay(&self, config: &FailoverConfig) -> TimeDelta {
+        let factor = f64::from(2u32.saturating_pow(self.flaps.min(MAX_DOUBLINGS)));
+        from_millis((config.recover_after_ms * factor).min(config.max_recover_after_ms))
+    }
+
+    fn eject(&mut self, now: Timestamp, evidence: Evidence, observed: &ZoneObservation) -> HealthChange {
+        let is_flapping = self.recovered_at.is_some_and(|at| now - at < FLAPPING_WITHIN);
+        self.flaps = if is_flapping { self.flaps + 1 } else { 0 };
+        self.state = ZoneState::Ejected;
+        HealthChange::Ejected { evidence, known_cores: self.known_cores, observation: *observed }
+    }
+
+    fn begin_recovery(&mut self, now: Timestamp, observed: &ZoneObservation) -> HealthChange {
+        self.state = ZoneState::Recovering;
+        self.recovered_at = Some(now);
+        HealthChange::Recovering { known_cores: self.known_cores, observation: *observed }
+    }
+
+    fn complete_recovery(&mut self, now: Timestamp, config: &FailoverConfig) -> Option<HealthChange> {
+        if self.state != ZoneState::Recovering || self.capacity_fraction(now, config) < 1.0 {
+            return None;
+        }
+        self.state = ZoneState::Healthy;
+        self.state_since = now;
+        Some(HealthChange::Healthy)
+    }
+}
+
+fn from_millis(millis: f64) -> TimeDelta {
+    TimeDelta::from_secs_f64(millis / 1e3)
+}
+
+impl fmt::Display for HealthChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            HealthChange::Ejected { evidence, known_cores, observation } => {
+                f.write_str("ejected by ")?;
+                write_reason(f, *evidence, *known_cores, observation)?;
+                f.write_str(managers_note(observation))
+            }
+            HealthChange::Recovering { known_cores, observation } => {
+                let (responsive, healthy) = (observation.responsive, observation.healthy_cores);
+                write!(f, "recovering: {responsive} engines responsive, {healthy:.1} of {known_cores:.1} cores healthy")
+            }
+            HealthChange::Healthy => f.write_str("healthy: it has its whole share again"),
+        }
+    }
+}
+
+fn write_reason(
+    f: &mut fmt::Formatter<'_>,
+    evidence: Evidence,
+    known_cores: f64,
+    observed: &ZoneObservation,
+) -> fmt::Result {
+    match evidence {
+        Evidence::EndpointList => {
+            write!(f, "the endpoint list: {:.1} of {known_cores:.1} cores listed", observed.listed_cores)
+        }
+        Evidence::Quorum => {
+            let (unreachable_for, observers) = (observed.unreachable_for, observed.observers);
+            write!(f, "a quorum: {unreachable_for} of {observers} managers outside cannot reach it")
+        }
+        Evidence::OwnConnections => {
+            let ZoneObservation { unresponsive, engines, responsive, .. } = observed;
+            write!(
+                f,
+                "own connections: {unresponsive} of {engines} engines unresponsive, {responsive} responsive"
+            )
+        }
+    }
+}
+
+/// Whether the zone's managers are alive tells whether its engines or the whole zone are unreachable.
+fn managers_note(observed: &ZoneObservation) -> &'static str {
+    match (observed.managers, observed.live_managers) {
+        (0, _) => "",
+        (_, 0) => "; its managers are silent, too: isolated or dead",
+        _ => "; its managers are alive: its engines are down",
+    }
+}
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -16,7 +16,7 @@
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
 use sprucelink_startup::config::StartupConfig;
-use sprucelink_zone_failover::terms::Terms as FailoverConfig;
+use sprucelink_zone_failover::config::FailoverConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -6,9 +6,11 @@
 use sprucelink_membership::facts::{self, Facts};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::{TimeDelta, Timestamp};
-use sprucelink_zone_failover::silence::{self, Heard, Silences, Voice};
-use sprucelink_zone_failover::terms::Terms as FailoverConfig;
-use sprucelink_zone_failover::{Locality, Plan, Seen};
+use sprucelink_zone_failover::config::FailoverConfig;
+use sprucelink_zone_failover::failure_detector::{
+    current_responsiveness, EngineContact, FailureDetector, Responsiveness,
+};
+use sprucelink_zone_failover::{FailoverEvent, Home, RoutingPlan, ZoneFailover, ZoneObservation};
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info, warn};
 
@@ -29,12 +31,12 @@
 
 /// Failover between zones.
 pub(super) struct ZoneRouting {
-    locality: Locality,
+    failover: ZoneFailover,
     config: FailoverConfig,
     /// Names of the zones, in the order of their numbers.
     zones: Vec<String>,
     observers: Vec<Observer>,
-    silences: Silences,
+    failure_detector: FailureDetector,
     next_check: Timestamp,
     /// The weights that the policy was told last.
     reported_weights: Vec<f64>,
@@ -43,13 +45,13 @@
 impl ZoneRouting {
     /// Failover as configured. `home`: this manager's zone, by number.
     pub(super) fn new(config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) -> ZoneRouting {
-        let home = home.map(|zone| (zone, config.region(&zones, zone as usize)));
+        let home = home.map(|zone| Home { zone, region: config.region(&zones, zone as usize) });
         ZoneRouting {
-            locality: Locality::new(config.clone(), home),
+            failover: ZoneFailover::new(config.clone(), home),
             config: config.clone(),
             zones,
             observers: Vec::new(),
-            silences: Silences::default(),
+            failure_detector: FailureDetector::default(),
             next_check: now(),
             reported_weights: Vec::new(),
         }
@@ -69,12 +71,12 @@
     pub(super) fn check(&mut self, engines: &EngineTable, views: Vec<EngineView>) -> Option<Vec<f64>> {
         self.next_check = now() + CHECK_INTERVAL;
         let listed: Vec<EngineView> = views.into_iter().filter(|view| view.listed).collect();
-        let voices: Vec<Voice> = listed.iter().map(|view| voice_of(engines, view)).collect();
-        let heard = self.silences.judge(now(), &voices);
-        let seen = self.summarize(engines, &listed, &heard);
-        let plan = self.locality.judge(now(), &seen);
-        self.log_decisions(&plan);
-        debug!("failover: shares {:?}, weights {:?}, of {seen:?}", plan.shares, plan.weights);
+        let contacts: Vec<EngineContact> = listed.iter().map(|view| contact_with(engines, view)).collect();
+        let responsiveness = self.failure_detector.update(now(), &contacts);
+        let observations = self.summarize(engines, &listed, &responsiveness);
+        let plan = self.failover.update(now(), &observations);
+        self.log_events(&plan);
+        debug!("failover: shares {:?}, weights {:?}, of {observations:?}", plan.fractions, plan.weights);
         if !self.has_changed(&plan.weights) {
             return None;
         }
@@ -91,13 +93,18 @@
     }
 
     /// Sums by zone.
-    fn summarize(&self, engines: &EngineTable, views: &[EngineView], heard: &[Heard]) -> Vec<Seen> {
-        let mut zones: BTreeMap<u32, Seen> = BTreeMap::new();
+    fn summarize(
+        &self,
+        engines: &EngineTable,
+        views: &[EngineView],
+        responsiveness: &[Responsiveness],
+    ) -> Vec<ZoneObservation> {
+        let mut zones: BTreeMap<u32, ZoneObservation> = BTreeMap::new();
         for zone in 0..self.zones.len() as u32 {
             let region = self.config.region(&self.zones, zone as usize);
-            zones.insert(zone, Seen { zone, region, ..Seen::default() });
+            zones.insert(zone, ZoneObservation { zone, region, ..ZoneObservation::default() });
         }
-        let engines_by_zone = add_engines(&mut zones, engines, views, heard);
+        let engines_by_zone = add_engines(&mut zones, engines, views, responsiveness);
         for observer in &self.observers {
             let own_zone = self.zones.iter().position(|zone| *zone == observer.zone);
             add_observer(&mut zones, &engines_by_zone, observer, own_zone.map(|zone| zone as u32));
@@ -105,54 +112,51 @@
         zones.into_values().collect()
     }
 
-    /// Logs each decision with its reasons, zones by name.
-    fn log_decisions(&self, plan: &Plan) {
-        for decision in &plan.news {
-            let line = self.with_zone_name(decision).unwrap_or_else(|| format!("failover: {decision}"));
-            let fractions: Vec<String> = plan
-                .shares
-                .iter()
-                .map(|(zone, share)| {
-                    let name = self.zones.get(*zone as usize).map_or("?", |name| name);
-                    format!("{name}:{share:.2}")
-                })
-                .collect();
-            let shares = fractions.join(" ");
-            if line.contains(" lost ") || line.contains("panic begins") || line.contains("is cut off from") {
-                warn!(shares, "{line}; shares {shares}");
-            } else {
-                info!(shares, "{line}; shares {shares}");
-            }
+    /// Logs each event with its reasons, zones by name.
+    fn log_events(&self, plan: &RoutingPlan) {
+        for event in &plan.events {
+            self.log_event(event, plan);
         }
     }
 
-    /// A decision that begins with a zone's number, with its name instead.
-    fn with_zone_name(&self, decision: &str) -> Option<String> {
-        let rest = decision.strip_prefix("zone ")?;
-        let (number, rest) = rest.split_once([' ', ','])?;
-        let name = self.zones.get(number.parse::<usize>().ok()?)?;
-        Some(format!("failover: zone {name} {rest}"))
+    fn log_event(&self, event: &FailoverEvent, plan: &RoutingPlan) {
+        let event_text = event.describe(|zone| self.zone_name(zone));
+        let fractions: Vec<String> = plan
+            .fractions
+            .iter()
+            .map(|zone| format!("{}:{:.2}", self.zone_name(zone.zone).unwrap_or("?"), zone.fraction))
+            .collect();
+        let shares = fractions.join(" ");
+        if event.is_warning() {
+            warn!(shares, "failover: {event_text}; shares {shares}");
+        } else {
+            info!(shares, "failover: {event_text}; shares {shares}");
+        }
+    }
+
+    fn zone_name(&self, zone: u32) -> Option<&str> {
+        self.zones.get(zone as usize).map(String::as_str)
     }
 }
 
 /// Adds what the policy holds of each engine to its zone; the listed engines of each zone, as managers name them.
 fn add_engines(
-    zones: &mut BTreeMap<u32, Seen>,
+    zones: &mut BTreeMap<u32, ZoneObservation>,
     engines: &EngineTable,
     views: &[EngineView],
-    heard: &[Heard],
+    responsiveness: &[Responsiveness],
 ) -> BTreeMap<u32, BTreeSet<u64>> {
     let mut engines_by_zone: BTreeMap<u32, BTreeSet<u64>> = BTreeMap::new();
-    for (view, heard) in views.iter().zip(heard) {
+    for (view, responsiveness) in views.iter().zip(responsiveness) {
         let Some(sum) = zones.get_mut(&view.zone) else { continue };
-        let is_silent = *heard == Heard::Silent;
-        sum.listed += view.cores;
+        let is_unresponsive = *responsiveness == Responsiveness::Unresponsive;
+        sum.listed_cores += view.cores;
         sum.engines += 1;
-        sum.mute += u32::from(is_silent);
-        sum.heard += u32::from(*heard == Heard::Late);
+        sum.unresponsive += u32::from(is_unresponsive);
+        sum.responsive += u32::from(*responsiveness == Responsiveness::Responsive);
         sum.load += view.load;
-        if !is_silent && !view.distrusted {
-            sum.sound += view.cores * view.warmth;
+        if !is_unresponsive && !view.distrusted {
+            sum.healthy_cores += view.cores * view.warmth;
         }
         engines_by_zone.entry(view.zone).or_default().extend(gossip_name(engines, view));
     }
@@ -161,14 +165,14 @@
 
 /// Adds what another manager observes to the zones; of its own zone only that it is there.
 fn add_observer(
-    zones: &mut BTreeMap<u32, Seen>,
+    zones: &mut BTreeMap<u32, ZoneObservation>,
     engines_by_zone: &BTreeMap<u32, BTreeSet<u64>>,
     observer: &Observer,
     own_zone: Option<u32>,
 ) {
     if let Some(sum) = own_zone.and_then(|zone| zones.get_mut(&zone)) {
-        sum.inside += 1;
-        sum.inside_here += u32::from(observer.here);
+        sum.managers += 1;
+        sum.live_managers += u32::from(observer.here);
     }
     let Some(facts) = observer.facts.as_ref().filter(|_| observer.here) else { return };
     for sum in zones.values_mut().filter(|sum| Some(sum.zone) != own_zone) {
@@ -176,7 +180,7 @@
         let is_in_zone = |engine: &&u64| engines.is_some_and(|engines| engines.contains(engine));
         let unreachable = facts.unreachable.iter().filter(is_in_zone).count();
         sum.observers += 1;
-        sum.unreachable_to += u32::from(sum.engines > 0 && unreachable * 2 >= sum.engines as usize);
+        sum.unreachable_for += u32::from(sum.engines > 0 && unreachable * 2 >= sum.engines as usize);
     }
 }
 
@@ -187,8 +191,8 @@
     views: &[EngineView],
 ) -> Vec<u64> {
     let is_unresponsive = |view: &&EngineView| {
-        let is_known = routing.is_some_and(|routing| routing.silences.holds(view.engine));
-        view.listed && (is_known || silence::heard(now(), &voice_of(engines, view)) == Heard::Silent)
+        let is_known = routing.is_some_and(|routing| routing.failure_detector.is_suspected(view.engine));
+        view.listed && (is_known || is_unresponsive_now(engines, view))
     };
     views.iter().filter(is_unresponsive).filter_map(|view| gossip_name(engines, view)).collect()
 }
@@ -198,13 +202,17 @@
     engines.get(view.engine as usize).map(|engine| facts::named(&engine.id))
 }
 
-/// What is known of whether an engine answers.
-fn voice_of(engines: &EngineTable, view: &EngineView) -> Voice {
-    Voice {
+fn is_unresponsive_now(engines: &EngineTable, view: &EngineView) -> bool {
+    current_responsiveness(now(), &contact_with(engines, view)) == Responsiveness::Unresponsive
+}
+
+/// What is known of an engine's responses.
+fn contact_with(engines: &EngineTable, view: &EngineView) -> EngineContact {
+    EngineContact {
         engine: view.engine,
         zone: view.zone,
-        word: engines.get(view.engine as usize).and_then(|engine| engine.last_heard_at),
-        dumb: view.silent || view.rests > 0.0,
-        overdue: view.overdue > 0,
+        last_heard_at: engines.get(view.engine as usize).and_then(|engine| engine.last_heard_at),
+        is_silent: view.silent || view.rests > 0.0,
+        has_overdue_attempts: view.overdue > 0,
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -43,7 +43,7 @@
         set.map_err(|e| format!("{path}: {e}"))
     });
     let failover = files.failover.as_ref().map(|path| {
-        let set = sprucelink_zone_failover::terms::Terms::parse(&text(path)?);
+        let set = sprucelink_zone_failover::config::FailoverConfig::parse(&text(path)?);
         set.map_err(|e| format!("{path}: {e}"))
     });
     let operators = config.operator.map(|address| address.to_string());
@@ -103,7 +103,7 @@
                 Some(f) if f.enabled => println!(
                     "the failover's settings will do: {} regions named, a factor of {}",
                     f.regions.len(),
-                    f.overprovision
+                    f.overprovisioning_factor
                 ),
                 Some(_) => println!("the failover's settings will do; they are not enabled"),
                 None => println!("no failover's settings: the draw goes by load and prices alone"),
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -18,7 +18,7 @@
 use sprucelink_policy::TimeDelta;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_startup::endpoint_poller::EndpointPoller;
-use sprucelink_zone_failover::terms::Terms as FailoverTerms;
+use sprucelink_zone_failover::config::FailoverConfig;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -62,7 +62,7 @@
     /// The view of the fleet that managers keep; without it, or not enabled, managers do not talk.
     pub membership: Option<Membership>,
     /// Failover between zones; without it, or not enabled, the module draws as it did.
-    pub failover: Option<FailoverTerms>,
+    pub failover: Option<FailoverConfig>,
 }
 
 /// Reads the configuration's file anew.
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -51,7 +51,7 @@
     let got = play("zones-calm", &calm);
     assert_eq!(got.report.breaches.second_attempts, 0);
     assert!(got.report.crossing < 0.05, "{} crossed", got.report.crossing);
-    assert_eq!(lines(&got, "lost"), 0);
+    assert_eq!(lines(&got, "ejected"), 0);
     let plain = play("zones-calm-off", &scenario("failover: { enabled: false }", 6, ""));
     assert!(
         plain.report.crossing > 0.3,
@@ -78,8 +78,8 @@
     assert!(first * 2 < of, "{first} of {of} at once onto a cold zone");
     let (home, of) = got.sent(&lost, 1, 1, 26.0, 30.0);
     assert!(home * 10 > of * 7, "{home} of {of} are home again");
-    assert!(lines(&got, "zone hall-b lost") >= 2 && lines(&got, "zone hall-b returns") >= 2);
-    assert_eq!(lines(&got, "zone hall-a lost") + lines(&got, "zone hall-c lost"), 0);
+    assert!(lines(&got, "zone hall-b ejected") >= 2 && lines(&got, "zone hall-b recovering") >= 2);
+    assert_eq!(lines(&got, "zone hall-a ejected") + lines(&got, "zone hall-c ejected"), 0);
 }
 
 /// A zone is cut off from the others, its managers and its engines together: it serves itself, and so do the others.
@@ -122,7 +122,7 @@
     let slow = Scenario::parse(text).expect("a scenario");
     let got = play("zones-slow", &slow);
     assert_eq!(got.report.breaches.second_attempts, 0);
-    assert_eq!(lines(&got, "lost"), 0);
+    assert_eq!(lines(&got, "ejected"), 0);
     assert!(got.report.crossing < 0.1, "{} crossed", got.report.crossing);
 }
 
@@ -145,7 +145,7 @@
         .iter()
         .map(|l| {
             l.lines()
-                .filter(|l| l.contains("failover: zone hall-b lost") || l.contains("hall-b returns"))
+                .filter(|l| l.contains("failover: zone hall-b ejected") || l.contains("hall-b recovering"))
                 .count()
         })
         .collect();
@@ -166,7 +166,7 @@
     );
     let alarm = Scenario::parse(&text).expect("a scenario");
     let got = play("zones-alarm", &alarm);
-    assert_eq!(lines(&got, "zone hall-b lost"), 0);
+    assert_eq!(lines(&got, "zone hall-b ejected"), 0);
     let (there, all) = got.sent(&alarm, 1, 1, 8.0, 14.0);
     assert!(all > 20 && there * 4 < all, "{there} of {all} still went where nothing answers");
 }
