--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -44,26 +44,32 @@
 }
 
 fn frame(from: u32, boot: u64, body: Body) -> Frame {
-    let (from, to) = (member(from).raw(), member(1).raw());
-    Frame(Envelope { version: 1, from, to, boot, body: Some(body), ..Envelope::default() })
+    Frame(Envelope {
+        version: 1,
+        from: member(from).raw(),
+        to: member(1).raw(),
+        boot,
+        body: Some(body),
+        ..Envelope::default()
+    })
 }
 
 fn raft_message() -> impl Strategy<Value = RaftMessage> {
-    let figure = || prop_oneof![4 => 0u64..6, 1 => any::<u64>()];
+    let number = || prop_oneof![4 => 0u64..6, 1 => any::<u64>()];
     let entries = proptest::collection::vec(
-        (figure(), figure(), 0u32..3, proptest::collection::vec(any::<u8>(), 0..9)),
+        (number(), number(), 0u32..3, proptest::collection::vec(any::<u8>(), 0..9)),
         0..4,
     );
-    let figures = (figure(), figure(), figure(), figure(), figure(), figure());
-    (0u32..13, figures, any::<bool>(), entries).prop_map(|(kind, figures, reject, entries)| RaftMessage {
+    let numbers = (number(), number(), number(), number(), number(), number());
+    (0u32..13, numbers, any::<bool>(), entries).prop_map(|(kind, numbers, reject, entries)| RaftMessage {
         kind,
-        term: figures.0,
-        log_term: figures.1,
-        index: figures.2,
-        commit: figures.3,
-        commit_term: figures.4,
+        term: numbers.0,
+        log_term: numbers.1,
+        index: numbers.2,
+        commit: numbers.3,
+        commit_term: numbers.4,
         reject,
-        reject_hint: figures.5,
+        reject_hint: numbers.5,
         entries: entries
             .into_iter()
             .map(|(index, term, kind, data)| sprucelink_consensus::wire::Entry { index, term, kind, data })
@@ -138,19 +144,20 @@
 
     /// Responses of any kind to a rejoining member.
     #[test]
-    fn rejoining_node_does_not_panic_on_arbitrary_responses(figures in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
+    fn rejoining_node_does_not_panic_on_arbitrary_responses(responses in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
         let founders = vec![member(1), member(2), member(3)];
         let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
         let mut node = Node::new(config, RecoveredState::default(), 1, Timestamp::ZERO).unwrap();
-        let nonce = node.ready().unwrap().messages.iter().find_map(|frame| match &frame.0.body {
-            Some(Body::RejoinRequest(request)) => Some(request.nonce),
+        let request = node.ready().unwrap().messages.iter().find_map(|frame| match &frame.0.body {
+            Some(Body::RejoinRequest(request)) => Some(*request),
             _ => None,
         });
-        for (at, (boot, term, last_term, last_index, established, accepted)) in figures.into_iter().enumerate() {
+        let nonce = request.unwrap().nonce;
+        for (at, (boot, term, last_term, last_index, established, accepted)) in responses.into_iter().enumerate() {
+            let from = 2 + at as u32 % 2;
             let known_boot = if accepted { 1 } else { boot };
-            let nonce = nonce.unwrap();
             let response = RejoinResponse { nonce, known_boot, term, last_term, last_index, established, accepted, ..RejoinResponse::default() };
-            node.step(Timestamp::from_micros(at as i64), member(2 + at as u32 % 2), frame(2 + at as u32 % 2, 1, Body::RejoinResponse(response)));
+            node.step(Timestamp::from_micros(at as i64), member(from), frame(from, 1, Body::RejoinResponse(response)));
             drain(&mut node);
         }
     }
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use sprucelink_wal::{
-    DirectoryDisk, Disk, Entry, FaultDisk, Faults, Recovered, Snapshot, TornTail, Wal, WalError, WriteBatch,
+    DirectoryDisk, Disk, Entry, FaultDisk, Faults, Recovered, Snapshot, Wal, WalError, WriteBatch,
 };
 
 fn batch(sequence: u64, first: u64, count: u64) -> WriteBatch {
@@ -107,9 +107,8 @@
         disk.faults = Faults::default();
         let (mut wal, recovered) = Wal::open(disk).unwrap();
         assert_eq!((recovered.sequence, recovered.entries.len()), (5, 10), "seed {seed}");
-        torn_tails += usize::from(
-            recovered.torn_tail.is_some_and(|tail: TornTail| tail.sequence == 6 && tail.bytes > 0),
-        );
+        torn_tails +=
+            usize::from(recovered.torn_tail.is_some_and(|tail| tail.sequence == 6 && tail.bytes > 0));
         wal.write(&batch(6, 11, 1)).unwrap();
         let (_, reopened) = Wal::open(wal.into_disk()).unwrap();
         assert_eq!((reopened.sequence, reopened.torn_tail, reopened.entries.len()), (6, None, 11));
