--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -2,12 +2,12 @@
 
 use super::{Scenario, GROUPS};
 use crate::middle::{Cut, Rule};
+use crate::range::within;
 use rand::seq::index::sample;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use sprucelink_failpoints::file::Disk;
-use sprucelink_stable_hash::within;
+use sprucelink_failpoints::fault_file::DiskFaults;
 use std::collections::BTreeMap;
 
 /// A step happens so many times at most.
@@ -221,7 +221,7 @@
         /// Whose.
         who: Who,
         /// Which.
-        fault: Disk,
+        fault: DiskFaults,
     },
     /// A file in managers' folders loses its last bytes, as a torn write leaves it. They must be down.
     Tear {
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -1,10 +1,7 @@
-//! Names of members and proposals, and the unit of time.
+//! Names of members and proposals.
 
 use std::fmt;
 
-/// A time or a duration in microseconds. Times count from any fixed point of the caller's; only differences matter.
-pub type Micros = u64;
-
 /// A member of the council: a node, and which of its incarnations.
 ///
 /// An incarnation is one store. A node whose store was lost, replaced or quarantined comes back under a higher
@@ -46,7 +43,7 @@
 }
 
 /// What tells a proposal from all others: who made it and a number that it gave. The pair goes into the entry, so that
-/// whoever applies entries can drop a repeat ([`crate::Repeats`]).
+/// whoever applies entries can drop a repeat ([`crate::ProposalDedup`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
     /// The proposer; one that starts anew without its counter takes a new origin.
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -1,15 +1,14 @@
 //! One process with its disk: the acting half, as it will stand in the program, in virtual time.
 
-use super::check::Checker;
-use super::{App, Plan, Plant, MS};
+use super::checker::Checker;
+use super::{draw_span, InjectedBug, Plan, StateMachine};
 use crate::ready::{Alarm, Batch, Ready, Role, Snapshot};
 use crate::store;
 use crate::wire::envelope::Body;
-use crate::{Config, Council, Frame, MemberId, Micros, ProposalId, ProposeError};
+use crate::{Config, Frame, MemberId, Node, ProposalId, ProposeError, TimeDelta, Timestamp};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use sprucelink_wal::faults::{FaultDisk, Faults};
-use sprucelink_wal::{Ledger, LedgerError};
+use sprucelink_wal::{FaultDisk, Faults, Wal, WalError};
 use std::collections::VecDeque;
 
 /// Most frames that wait at a stopped process, as in its sockets' buffers; further ones are lost.
@@ -22,8 +21,8 @@
     /// What applies records; begins anew at each start.
     pub app: A,
     /// The member, while the process is up.
-    pub council: Option<Council>,
-    ledger: Option<Ledger<FaultDisk>>,
+    pub council: Option<Node>,
+    wal: Option<Wal<FaultDisk>>,
     disk: Option<FaultDisk>,
     /// Stopped as by SIGSTOP: nothing is done, and frames wait.
     pub stopped: bool,
@@ -35,13 +34,13 @@
     /// How often it was started.
     pub starts: u64,
     /// Why the store would not open: the member is out for good.
-    pub damaged: Option<LedgerError>,
+    pub damaged: Option<WalError>,
     /// Its part, as last told.
     pub role: Option<Role>,
     /// How far its clock is off.
-    pub offset: Micros,
+    pub offset: TimeDelta,
     /// Longest time of a sync now.
-    pub sync: Micros,
+    pub max_sync_time: TimeDelta,
     /// Whether the disk is full now.
     pub full: bool,
     /// Whether the disk's syncs lie now.
@@ -49,7 +48,7 @@
     /// Whether the disk has lied.
     pub lied: bool,
     /// When the next write is on disk, when one is under way.
-    pub sync_due: Option<Micros>,
+    pub sync_due: Option<Timestamp>,
     seed: u64,
 }
 
@@ -60,14 +59,14 @@
     pub plan: &'a Plan,
 }
 
-impl<A: App> Host<A> {
+impl<A: StateMachine> Host<A> {
     pub(crate) fn new(id: MemberId, app: A, plan: &Plan, rng: &mut ChaCha8Rng) -> Self {
         let seed = rng.gen();
         Host {
             id,
             app,
             council: None,
-            ledger: None,
+            wal: None,
             disk: Some(FaultDisk::new(seed)),
             stopped: false,
             inbox: Vec::new(),
@@ -78,8 +77,8 @@
             starts: 0,
             damaged: None,
             role: None,
-            offset: rng.gen_range(0..3_600_000) * MS,
-            sync: plan.sync,
+            offset: TimeDelta::from_millis(rng.gen_range(0..3_600_000)),
+            max_sync_time: plan.max_sync_time,
             full: false,
             lying: false,
             lied: false,
@@ -95,7 +94,7 @@
 
     /// Whether the process runs and takes part.
     pub fn is_established(&self) -> bool {
-        self.is_up() && !matches!(self.role, None | Some(Role::Probation | Role::Quarantined))
+        self.is_up() && !matches!(self.role, None | Some(Role::Rejoining | Role::Quarantined))
     }
 
     /// Whether the member is out for good.
@@ -103,11 +102,11 @@
         self.damaged.is_some() || self.role == Some(Role::Quarantined)
     }
 
-    pub(crate) fn start(&mut self, now: Micros, start: &Start, app: A) {
+    pub(crate) fn start(&mut self, now: Timestamp, start: &Start, app: A) {
         let Some(mut disk) = self.disk.take() else { return };
-        disk.faults = Faults { lying: self.lying, ..Faults::default() };
+        disk.faults = Faults { lying_sync: self.lying, ..Faults::default() };
         let copy = disk.clone();
-        let (ledger, restored) = match Ledger::open(disk) {
+        let (wal, restored) = match Wal::open(disk) {
             Ok(opened) => opened,
             Err(error) => {
                 self.damaged = Some(error);
@@ -123,30 +122,30 @@
             contacts: start.contacts.to_vec(),
             timing: start.plan.timing.clone(),
         };
-        let restored = store::restored(restored).expect("the ledger holds what was written");
+        let restored = store::restored(restored).expect("the wal holds what was written");
         self.applied = restored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         if let Some(snapshot) = &restored.snapshot {
             self.app.install(&snapshot.data);
         }
-        let council = Council::new(config, restored, self.seed ^ self.starts, now + self.offset);
+        let council = Node::new(config, restored, self.seed ^ self.starts, now + self.offset);
         let mut council = council.expect("what was written starts again");
-        if start.plan.has(Plant::TrustDisk) {
+        if start.plan.has(InjectedBug::TrustDisk) {
             council.trust_disk();
         }
-        (self.council, self.ledger) = (Some(council), Some(ledger));
+        (self.council, self.wal) = (Some(council), Some(wal));
     }
 
     /// The process dies, with the machine's memory: what no sync covered may be lost.
     pub(crate) fn crash(&mut self, torn: bool) {
-        let Some(mut ledger) = self.ledger.take() else { return };
+        let Some(mut wal) = self.wal.take() else { return };
         if torn {
             if let Some(batch) = self.writing.front() {
-                ledger.disk_mut().faults = Faults { failing_sync: true, torn, ..Faults::default() };
-                let _ = ledger.write(&store::to_write(batch));
+                wal.disk_mut().faults = Faults { failing_sync: true, torn_writes: torn, ..Faults::default() };
+                let _ = wal.write(&store::to_write(batch));
             }
         }
-        let mut disk = ledger.into_disk();
-        disk.faults = Faults { lying: self.lying, torn, ..Faults::default() };
+        let mut disk = wal.into_disk();
+        disk.faults = Faults { lying_sync: self.lying, torn_writes: torn, ..Faults::default() };
         disk.crash();
         self.disk = Some(disk);
         self.council = None;
@@ -156,14 +155,14 @@
         (self.installing, self.sync_due, self.stopped) = (None, None, false);
     }
 
-    pub(crate) fn tick(&mut self, now: Micros) {
+    pub(crate) fn tick(&mut self, now: Timestamp) {
         let local = now + self.offset;
         if let Some(council) = self.council.as_mut().filter(|_| !self.stopped) {
             council.tick(local);
         }
     }
 
-    pub(crate) fn deliver(&mut self, now: Micros, from: MemberId, mut frame: Frame, plan: &Plan) {
+    pub(crate) fn deliver(&mut self, now: Timestamp, from: MemberId, mut frame: Frame, plan: &Plan) {
         let Some(council) = &mut self.council else { return };
         if self.stopped {
             if self.inbox.len() < MAX_INBOX {
@@ -171,8 +170,8 @@
             }
             return;
         }
-        if let Some(Body::Propose(propose)) = &mut frame.0.body {
-            if plan.has(Plant::AnyTermProposals) {
+        if let Some(Body::ForwardedProposal(propose)) = &mut frame.0.body {
+            if plan.has(InjectedBug::AnyTermProposals) {
                 propose.term = council.term();
             }
         }
@@ -180,7 +179,7 @@
     }
 
     /// The process runs on; whether it first looks at the clock or at its sockets is up to the seed.
-    pub(crate) fn wake(&mut self, now: Micros, rng: &mut ChaCha8Rng, plan: &Plan) {
+    pub(crate) fn wake(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
         self.stopped = false;
         if rng.gen() {
             self.tick(now);
@@ -197,13 +196,13 @@
     }
 
     /// The write under way is done, or refused. False when the process can't go on.
-    pub(crate) fn synced(&mut self, now: Micros, plan: &Plan, out: &mut Vec<Frame>) -> bool {
+    pub(crate) fn synced(&mut self, now: Timestamp, plan: &Plan, out: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
-        let (Some(ledger), Some(batch)) = (&mut self.ledger, self.writing.front()) else { return true };
-        ledger.disk_mut().faults = Faults { full: self.full, lying: self.lying, ..Faults::default() };
+        let (Some(wal), Some(batch)) = (&mut self.wal, self.writing.front()) else { return true };
+        wal.disk_mut().faults = Faults { disk_full: self.full, lying_sync: self.lying, ..Faults::default() };
         self.lied |= self.lying;
         let mut write = store::to_write(batch);
-        if plan.has(Plant::VoteNotKept) {
+        if plan.has(InjectedBug::VoteNotKept) {
             let mut state = batch.state.clone();
             state.vote = 0;
             state.term = self
@@ -214,9 +213,9 @@
                 .min(state.term);
             write.state = prost::Message::encode_to_vec(&state);
         }
-        match ledger.write(&write) {
+        match wal.write(&write) {
             Ok(()) => {}
-            Err(LedgerError::Refused(_)) => return true,
+            Err(WalError::Refused(_)) => return true,
             Err(_) => return false,
         }
         let number = batch.number;
@@ -225,7 +224,7 @@
         true
     }
 
-    fn on_disk(&mut self, now: Micros, number: u64, out: &mut Vec<Frame>) {
+    fn on_disk(&mut self, now: Timestamp, number: u64, out: &mut Vec<Frame>) {
         if let Some((_, snapshot)) = self.installing.take_if(|(after, _)| *after <= number) {
             self.app.install(&snapshot.data);
             self.applied = snapshot.index;
@@ -244,7 +243,7 @@
     /// Does all that the member wants done; frames that may go out are left in `out`.
     pub(crate) fn work(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         plan: &Plan,
         rng: &mut ChaCha8Rng,
         check: &mut Checker,
@@ -253,17 +252,21 @@
         if self.stopped {
             return;
         }
-        while let Some(ready) = self.council.as_mut().and_then(Council::ready) {
+        while let Some(ready) = self.council.as_mut().and_then(Node::ready) {
             self.act(now, plan, ready, check, out);
         }
         if !self.writing.is_empty() && self.sync_due.is_none() {
-            let time = if self.full { 50 * MS } else { rng.gen_range(0..=self.sync) };
-            self.sync_due = Some(now + time + 1);
+            let time = if self.full {
+                TimeDelta::from_millis(50)
+            } else {
+                draw_span(rng, TimeDelta::ZERO, self.max_sync_time)
+            };
+            self.sync_due = Some(now + time + TimeDelta::from_micros(1));
         }
     }
 
-    fn act(&mut self, now: Micros, plan: &Plan, ready: Ready, check: &mut Checker, out: &mut Vec<Frame>) {
-        let early = plan.has(Plant::AckBeforeSync);
+    fn act(&mut self, now: Timestamp, plan: &Plan, ready: Ready, check: &mut Checker, out: &mut Vec<Frame>) {
+        let early = plan.has(InjectedBug::AckBeforeSync);
         let written = ready.persist.as_ref().map(|batch| batch.number);
         self.writing.extend(ready.persist);
         out.extend(ready.send_now);
@@ -315,8 +318,8 @@
     /// Something of the disk turns bad: a bit in the newest generation, at a place that the seed chooses.
     pub fn rot(&mut self) {
         if let Some(disk) = &mut self.disk {
-            if let Some(name) = disk.newest() {
-                disk.turn_bit(&name, u64::MAX);
+            if let Some(name) = disk.newest_segment() {
+                disk.flip_bit(&name, u64::MAX);
             }
         }
     }
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -1,12 +1,12 @@
 //! The operator's part: replaces members that are out for good, or that the nemesis wants replaced, and hands over the
 //! lead, step by step through whoever leads. Where none can lead, says who is gone for good.
 
-use super::world::World;
-use super::{App, SECOND};
-use crate::{MemberId, Micros};
+use super::simulation::Simulation;
+use super::StateMachine;
+use crate::{MemberId, TimeDelta, Timestamp};
 
 /// With no leader for so long the operator says who is gone.
-const STUCK: Micros = 8 * SECOND;
+const STUCK: TimeDelta = TimeDelta::from_whole_secs(8);
 
 /// Wishes not yet fulfilled.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
     hand_over: Option<MemberId>,
     /// Members whose stores are no more.
     gone: Vec<MemberId>,
-    led: Micros,
+    led: Timestamp,
     /// Members replaced so far.
     pub replaced: u64,
 }
@@ -34,7 +34,7 @@
     }
 
     /// Takes the next step of the first wish.
-    pub fn step<A: App>(world: &mut World<A>) {
+    pub fn step<A: StateMachine>(world: &mut Simulation<A>) {
         let out: Vec<MemberId> =
             world.hosts.values().filter(|host| host.is_out()).map(|host| host.id).collect();
         for old in out {
@@ -81,7 +81,7 @@
     }
 
     /// Nobody leads: after a while everybody is told whose stores are no more.
-    fn stuck<A: App>(world: &mut World<A>) {
+    fn stuck<A: StateMachine>(world: &mut Simulation<A>) {
         if world.now() - world.operator.led < STUCK {
             return;
         }
--- a/crates/consensus/src/sim/world.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -1,24 +1,30 @@
 //! The world: hosts, network and time, driven by one seed.
 
-use super::check::Checker;
+use super::checker::Checker;
 use super::host::{Host, Start};
-use super::nemesis::{Nemesis, Undo};
-use super::net::Net;
+use super::nemesis::{FaultEnd, Nemesis};
+use super::network::Network;
 use super::operator::Operator;
-use super::recorder::Recorder;
-use super::{App, Plan, Plant, MS, SECOND};
+use super::recorder::ProposalRecorder;
+use super::{draw_around, draw_span, InjectedBug, Plan, StateMachine};
 use crate::frame::Frame;
 use crate::ready::Role;
-use crate::{MemberId, Micros, ProposalId};
+use crate::{MemberId, ProposalId, TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 /// How often the operator looks.
-const OPERATOR_EVERY: Micros = 200 * MS;
-/// How often a host is ticked, before jitter.
-const TICK_EVERY: Micros = 50 * MS;
+const OPERATOR_EVERY: TimeDelta = TimeDelta::from_millis(200);
+/// How often a host is ticked, on average.
+const TICK_EVERY: TimeDelta = TimeDelta::from_millis(50);
+/// Shortest time between two ticks of a host.
+const MIN_TICK: TimeDelta = TimeDelta::from_millis(45);
+/// Longest time between two ticks of a host.
+const MAX_TICK: TimeDelta = TimeDelta::from_millis(55);
+/// When the nemesis strikes first.
+const FIRST_STRIKE: TimeDelta = TimeDelta::from_whole_secs(1);
 /// Bytes of a proposal, at most.
 const PROPOSAL: usize = 64;
 
@@ -29,11 +35,11 @@
     Synced(MemberId, u64),
     Propose,
     Strike,
-    Undo(Undo),
+    FaultEnd(FaultEnd),
     Operate,
 }
 
-struct Timed(Micros, u64, Event);
+struct Timed(Timestamp, u64, Event);
 
 impl PartialEq for Timed {
     fn eq(&self, other: &Self) -> bool {
@@ -53,14 +59,14 @@
 }
 
 /// Hosts, network, time, nemesis and checker of one run.
-pub struct World<A = Recorder> {
+pub struct Simulation<A = ProposalRecorder> {
     pub(crate) rng: ChaCha8Rng,
     /// The plan of the run.
     pub plan: Plan,
     /// One host a node.
     pub hosts: BTreeMap<u32, Host<A>>,
     /// The network.
-    pub net: Net,
+    pub net: Network,
     /// The checker.
     pub check: Checker,
     pub(crate) operator: Operator,
@@ -69,27 +75,27 @@
     contacts: BTreeMap<u32, Vec<MemberId>>,
     queue: BinaryHeap<Reverse<Timed>>,
     events: u64,
-    now: Micros,
+    now: Timestamp,
     next_proposal: u64,
     broken: bool,
     /// Whether the seed proposes.
     pub proposing: bool,
     /// When a leader died, for the times of elections.
-    leaderless: Option<Micros>,
+    leaderless: Option<Timestamp>,
     pub(crate) unavailable: bool,
-    pub(crate) elections: Vec<Micros>,
+    pub(crate) elections: Vec<TimeDelta>,
     make: Box<dyn Fn(MemberId) -> A + Send>,
 }
 
-impl<A: App> World<A> {
+impl<A: StateMachine> Simulation<A> {
     /// A council of founders, all started at time 0; `make` gives a new application at each start of a host.
     pub fn new(plan: Plan, seed: u64, make: impl Fn(MemberId) -> A + Send + 'static) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
         let hosts = founders.iter().map(|&id| (id.node, Host::new(id, make(id), &plan, &mut rng))).collect();
-        let mut world = World {
+        let mut world = Simulation {
             rng,
-            net: Net::new(&plan),
+            net: Network::new(&plan),
             nemesis: Some(Nemesis::new(&plan)),
             hosts,
             check: Checker::default(),
@@ -97,10 +103,10 @@
             contacts: BTreeMap::new(),
             queue: BinaryHeap::new(),
             events: 0,
-            now: 0,
+            now: Timestamp::ZERO,
             next_proposal: 0,
-            broken: plan.strike_every > 0,
-            proposing: plan.propose_every > 0,
+            broken: plan.fault_every > TimeDelta::ZERO,
+            proposing: plan.propose_every > TimeDelta::ZERO,
             leaderless: None,
             unavailable: false,
             elections: Vec::new(),
@@ -109,14 +115,14 @@
             plan,
         };
         founders.iter().for_each(|&id| world.start(id));
-        world.push(0, Event::Propose);
-        world.push(OPERATOR_EVERY, Event::Operate);
-        world.push(SECOND, Event::Strike);
+        world.push(Timestamp::ZERO, Event::Propose);
+        world.push(Timestamp::ZERO + OPERATOR_EVERY, Event::Operate);
+        world.push(Timestamp::ZERO + FIRST_STRIKE, Event::Strike);
         world
     }
 
     /// The time.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
@@ -137,7 +143,7 @@
         self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
     }
 
-    fn push(&mut self, at: Micros, event: Event) {
+    fn push(&mut self, at: Timestamp, event: Event) {
         self.events += 1;
         self.queue.push(Reverse(Timed(at, self.events, event)));
     }
@@ -154,7 +160,7 @@
             return;
         }
         host.start(now, &start, app);
-        let jitter = self.rng.gen_range(1..=TICK_EVERY);
+        let jitter = draw_span(&mut self.rng, TimeDelta::from_micros(1), TICK_EVERY);
         let starts = self.host(id).starts;
         self.push(now + jitter, Event::Tick(id, starts));
         self.work(id);
@@ -218,11 +224,11 @@
     pub fn heal(&mut self) {
         self.broken = false;
         self.net.heal();
-        let sync = self.plan.sync;
+        let sync = self.plan.max_sync_time;
         let ids: Vec<MemberId> = self.hosts.values().map(|host| host.id).collect();
         for id in ids {
             let host = self.host_mut(id);
-            (host.sync, host.full) = (sync, false);
+            (host.max_sync_time, host.full) = (sync, false);
             if host.lying && host.is_up() {
                 // The disk tells the truth from here on; what it swallowed is gone with the machine's memory.
                 host.crash(true);
@@ -230,14 +236,14 @@
             }
             self.host_mut(id).lying = false;
             if self.host(id).stopped {
-                self.undo(Undo::Wake(id));
+                self.undo(FaultEnd::Wake(id));
             }
             self.start(id);
         }
     }
 
     /// Runs to a time, or to the first violation.
-    pub fn run_until(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Timestamp) {
         while self.check.violation.is_none() && self.queue.peek().is_some_and(|Reverse(next)| next.0 <= end) {
             let Some(Reverse(Timed(at, _, event))) = self.queue.pop() else { break };
             self.now = at;
@@ -256,8 +262,8 @@
                 }
                 self.host_mut(id).tick(now);
                 self.work(id);
-                let jitter = self.rng.gen_range(0..=TICK_EVERY / 5);
-                self.push(now + TICK_EVERY * 9 / 10 + jitter, Event::Tick(id, starts));
+                let next = now + draw_span(&mut self.rng, MIN_TICK, MAX_TICK);
+                self.push(next, Event::Tick(id, starts));
             }
             Event::Frame(frame) => {
                 let (from, to) = (frame.from(), frame.to());
@@ -274,7 +280,7 @@
                     return;
                 }
                 if self.host(id).stopped {
-                    return self.push(now + 10 * MS, Event::Synced(id, starts));
+                    return self.push(now + TimeDelta::from_millis(10), Event::Synced(id, starts));
                 }
                 let mut out = Vec::new();
                 let goes_on = match self.hosts.get_mut(&id.node) {
@@ -286,7 +292,7 @@
                     self.work(id);
                 } else {
                     self.crash(id, true);
-                    self.push(now + 100 * MS, Event::Undo(Undo::Restart(id)));
+                    self.push(now + TimeDelta::from_millis(100), Event::FaultEnd(FaultEnd::Restart(id)));
                 }
             }
             Event::Propose if !self.proposing => {}
@@ -294,11 +300,11 @@
                 let bytes = vec![self.rng.gen(); self.rng.gen_range(0..PROPOSAL)];
                 self.propose(bytes);
                 let every = self.plan.propose_every;
-                let next = now + self.rng.gen_range(every / 2..=every * 3 / 2);
+                let next = now + draw_around(&mut self.rng, every);
                 self.push(next, Event::Propose);
             }
             Event::Strike => self.strike(),
-            Event::Undo(undo) => self.undo(undo),
+            Event::FaultEnd(undo) => self.undo(undo),
             Event::Operate => {
                 Operator::step(self);
                 let ids: Vec<MemberId> = self.hosts.values().map(|host| host.id).collect();
@@ -309,48 +315,49 @@
     }
 
     fn strike(&mut self) {
-        let every = self.plan.strike_every;
-        if !self.broken || every == 0 {
+        let every = self.plan.fault_every;
+        if !self.broken || every == TimeDelta::ZERO {
             return;
         }
         let Some(mut nemesis) = self.nemesis.take() else { return };
         let undos = nemesis.strike(self);
         self.nemesis = Some(nemesis);
-        undos.into_iter().for_each(|(at, undo)| self.push(at, Event::Undo(undo)));
-        let next = self.now + self.rng.gen_range(every / 2..=every * 3 / 2);
+        undos.into_iter().for_each(|(at, undo)| self.push(at, Event::FaultEnd(undo)));
+        let next = self.now + draw_around(&mut self.rng, every);
         self.push(next, Event::Strike);
     }
 
-    fn undo(&mut self, undo: Undo) {
+    fn undo(&mut self, undo: FaultEnd) {
         match undo {
-            Undo::Restart(id) => self.start(id),
-            Undo::Cuts(cuts) => cuts.iter().for_each(|cut| {
+            FaultEnd::Restart(id) => self.start(id),
+            FaultEnd::Cuts(cuts) => cuts.iter().for_each(|cut| {
                 self.net.cut.remove(cut);
             }),
-            Undo::Slow(node) => {
+            FaultEnd::Slow(node) => {
                 self.net.slow.remove(&node);
             }
-            Undo::Wake(id) if self.held(id).is_some_and(|host| host.stopped) => {
+            FaultEnd::Wake(id) if self.held(id).is_some_and(|host| host.stopped) => {
                 let now = self.now;
                 if let Some(host) = self.hosts.get_mut(&id.node) {
                     host.wake(now, &mut self.rng, &self.plan);
                 }
                 self.work(id);
             }
-            Undo::Wake(_) => {}
-            Undo::Disk(id) => {
-                let sync = self.plan.sync;
+            FaultEnd::Wake(_) => {}
+            FaultEnd::Disk(id) => {
+                let sync = self.plan.max_sync_time;
                 if let Some(host) = self.hosts.get_mut(&id.node) {
-                    (host.full, host.sync) = (false, sync);
+                    (host.full, host.max_sync_time) = (false, sync);
                 }
             }
-            Undo::CrashLiar(id) if self.held(id).is_some_and(|host| host.lying) => {
+            FaultEnd::CrashLiar(id) if self.held(id).is_some_and(|host| host.lying) => {
                 self.crash(id, true);
                 self.host_mut(id).lying = false;
-                let back = self.now + self.rng.gen_range(10 * MS..=SECOND);
-                self.push(back, Event::Undo(Undo::Restart(id)));
+                let back = self.now
+                    + draw_span(&mut self.rng, TimeDelta::from_millis(10), TimeDelta::from_whole_secs(1));
+                self.push(back, Event::FaultEnd(FaultEnd::Restart(id)));
             }
-            Undo::CrashLiar(_) => {}
+            FaultEnd::CrashLiar(_) => {}
         }
     }
 
@@ -373,7 +380,7 @@
 
     fn send(&mut self, frames: Vec<Frame>) {
         for mut frame in frames {
-            if self.plan.has(Plant::NoCrashVectors) {
+            if self.plan.has(InjectedBug::NoCrashVectors) {
                 frame.0.boots.clear();
             }
             self.check.sent(&frame);
--- /dev/null
+++ b/crates/settings/src/settings_file.rs
@@ -0,0 +1,64 @@
+//! Reader of the operator's own settings files, such as `deploy/failover.json5`: JSON5, strict, checked as a whole.
+
+use crate::{InvalidField, Place};
+use serde::de::DeserializeOwned;
+
+/// Settings that an operator keeps in a JSON5 file of their own.
+pub trait SettingsFile: DeserializeOwned {
+    /// What the file configures; each error text begins with it.
+    const SUBJECT: &'static str;
+
+    /// Checks what the types alone do not: ranges, and rules between fields.
+    ///
+    /// # Errors
+    /// The first field that breaks a rule.
+    fn validate(&self) -> Result<(), InvalidField>;
+
+    /// Reads and validates the text of a file.
+    ///
+    /// # Errors
+    /// Where the text is no JSON5, a field is unknown or of the wrong type, or a value breaks a rule.
+    fn parse(text: &str) -> Result<Self, SettingsFileError> {
+        let settings: Self = deserialize(text)?;
+        settings
+            .validate()
+            .map_err(|invalid| SettingsFileError::InvalidField { subject: Self::SUBJECT, invalid })?;
+        Ok(settings)
+    }
+}
+
+/// Why a settings file was refused. The caller adds the file's name.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsFileError {
+    /// The text is no JSON5, or a field is unknown or of the wrong type.
+    #[error("{subject}: {place}{message}")]
+    Json5 {
+        /// What the file configures.
+        subject: &'static str,
+        /// Where in the text.
+        place: Place,
+        /// The JSON5 library's message.
+        message: String,
+    },
+    /// A value breaks a rule of the settings.
+    #[error("{subject}: {invalid}")]
+    InvalidField {
+        /// What the file configures.
+        subject: &'static str,
+        /// The field and the rule.
+        invalid: InvalidField,
+    },
+}
+
+fn deserialize<T: SettingsFile>(text: &str) -> Result<T, SettingsFileError> {
+    let mut deserializer =
+        json5::Deserializer::from_str(text).map_err(|e| json5_error::<T>(String::new(), e))?;
+    serde_path_to_error::deserialize(&mut deserializer)
+        .map_err(|e| json5_error::<T>(e.path().to_string(), e.into_inner()))
+}
+
+fn json5_error<T: SettingsFile>(path: String, error: json5::Error) -> SettingsFileError {
+    let json5::Error::Message { msg, location } = error;
+    let position = location.map(|at| (at.line, at.column));
+    SettingsFileError::Json5 { subject: T::SUBJECT, place: Place { position, path }, message: msg }
+}
