--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -4,15 +4,15 @@
 
 use sprucelink_consensus::wire::{self, envelope::Body};
 use sprucelink_consensus::{
-    store, Config, Council, Decoder, Entry, Frame, MemberId, ProposalId, Restored, Role, Timing,
+    store, CommittedEntry, Config, Decoder, Frame, MemberId, Node, ProposalId, RecoveredState, Role,
+    TimeDelta, Timestamp, Timing,
 };
-use sprucelink_wal::faults::FaultDisk;
-use sprucelink_wal::{Disk, Ledger};
+use sprucelink_wal::{Disk, FaultDisk, Wal};
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 
-/// Microseconds from one tick to the next.
-const TICK: u64 = 50_000;
+/// From one tick to the next.
+const TICK: TimeDelta = TimeDelta::from_micros(50_000);
 
 fn golden(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
@@ -23,43 +23,43 @@
 }
 
 /// A member on its log, whose disk is as fast as memory.
-struct Node {
-    council: Council,
-    log: Ledger<FaultDisk>,
-    applied: Vec<Entry>,
+struct Member {
+    node: Node,
+    log: Wal<FaultDisk>,
+    applied: Vec<CommittedEntry>,
     through: u64,
     role: Option<Role>,
 }
 
-impl Node {
-    fn start(id: MemberId, disk: FaultDisk, now: u64) -> Node {
+impl Member {
+    fn start(id: MemberId, disk: FaultDisk, now: Timestamp) -> Member {
         let founders = (1..=3).map(member).collect();
         let timing = Timing { snapshot_every: 16, ..Timing::default() };
         let config = Config { member: id, founders, contacts: vec![], timing };
-        let (log, restored) = Ledger::open(disk).expect("a whole log");
+        let (log, restored) = Wal::open(disk).expect("a whole log");
         let restored = store::restored(restored).expect("a member's log");
-        let council = Council::new(config, restored, u64::from(id.node), now).expect("started");
-        Node { council, log, applied: Vec::new(), through: 0, role: None }
+        let node = Node::new(config, restored, u64::from(id.node), now).expect("started");
+        Member { node, log, applied: Vec::new(), through: 0, role: None }
     }
 
     /// Does what is to be done; the frames that go out.
-    fn work(&mut self, now: u64) -> Vec<Frame> {
+    fn work(&mut self, now: Timestamp) -> Vec<Frame> {
         let mut sent = Vec::new();
-        while let Some(ready) = self.council.ready() {
+        while let Some(ready) = self.node.ready() {
             if let Some(batch) = &ready.persist {
                 self.log.write(&store::to_write(batch)).expect("written");
-                self.council.persisted(now, batch.number);
+                self.node.persisted(now, batch.number);
             }
             sent.extend(ready.send_now);
             sent.extend(ready.send_after);
             self.applied.extend(ready.committed);
             if ready.through > 0 {
                 self.through = ready.through;
-                self.council.applied(ready.through, Some(ready.through * 3));
+                self.node.applied(ready.through, Some(ready.through * 3));
             }
             if ready.snapshot_wanted {
                 let state = format!("{} records", self.applied.len()).into_bytes();
-                self.council.snapshot_taken(self.through, state).expect("taken");
+                self.node.snapshot_taken(self.through, state).expect("taken");
             }
             self.role = ready.role.map(|change| change.role).or(self.role);
         }
@@ -69,21 +69,21 @@
 
 /// Three members and what they sent each other.
 struct World {
-    nodes: Vec<Node>,
-    now: u64,
+    members: Vec<Member>,
+    now: Timestamp,
     sent: Vec<Frame>,
 }
 
 impl World {
-    fn start(disks: [FaultDisk; 3], now: u64) -> World {
-        let node = |(index, disk)| Node::start(member(index as u32 + 1), disk, now);
-        World { nodes: disks.into_iter().enumerate().map(node).collect(), now, sent: Vec::new() }
+    fn start(disks: [FaultDisk; 3], now: Timestamp) -> World {
+        let node = |(index, disk)| Member::start(member(index as u32 + 1), disk, now);
+        World { members: disks.into_iter().enumerate().map(node).collect(), now, sent: Vec::new() }
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
-        for node in &mut self.nodes {
-            node.council.tick(self.now);
+        self.now = self.now + TICK;
+        for member in &mut self.members {
+            member.node.tick(self.now);
         }
         self.settle();
     }
@@ -92,22 +92,22 @@
     fn settle(&mut self) {
         let mut under_way = VecDeque::new();
         loop {
-            for node in &mut self.nodes {
-                under_way.extend(node.work(self.now));
+            for member in &mut self.members {
+                under_way.extend(member.work(self.now));
             }
             let Some(frame) = under_way.pop_front() else { return };
             self.sent.push(frame.clone());
             let to = frame.to().node as usize - 1;
             let from = frame.from();
-            if let Some(node) = self.nodes.get_mut(to) {
-                node.council.step(self.now, from, frame);
+            if let Some(node) = self.members.get_mut(to) {
+                node.node.step(self.now, from, frame);
             }
         }
     }
 
     fn leader(&mut self) -> usize {
         for _ in 0..200 {
-            if let Some(at) = self.nodes.iter().position(|node| node.role == Some(Role::Leader)) {
+            if let Some(at) = self.members.iter().position(|node| node.role == Some(Role::Leader)) {
                 return at;
             }
             self.tick();
@@ -119,20 +119,20 @@
         let leader = self.leader();
         let id = ProposalId { origin: 7, sequence };
         let record = format!("record {sequence}").into_bytes();
-        self.nodes[leader].council.propose(record, id).expect("proposed");
+        self.members[leader].node.propose(record, id).expect("proposed");
         self.settle();
     }
 }
 
 /// A history with an election, records, a learner that comes and goes, and a snapshot.
 fn history() -> World {
-    let mut world = World::start([1, 2, 3].map(FaultDisk::new), 1_000_000);
+    let mut world = World::start([1, 2, 3].map(FaultDisk::new), Timestamp::from_micros(1_000_000));
     (1..=20).for_each(|sequence| world.propose(sequence));
     let leader = world.leader();
-    world.nodes[leader].council.add_learner(MemberId::new(4, 2)).expect("begun");
+    world.members[leader].node.add_learner(MemberId::new(4, 2)).expect("begun");
     world.settle();
     (21..=24).for_each(|sequence| world.propose(sequence));
-    world.nodes[leader].council.remove(MemberId::new(4, 2)).expect("begun");
+    world.members[leader].node.remove(MemberId::new(4, 2)).expect("begun");
     world.settle();
     (0..4).for_each(|_| world.tick());
     (25..=27).for_each(|sequence| world.propose(sequence));
@@ -155,13 +155,13 @@
         disk.create(name).expect("made");
         disk.append(name, &std::fs::read(&path).expect("read")).expect("written");
         disk.sync(name).expect("synced");
-        disk.sync_folder().expect("synced");
+        disk.sync_directory().expect("synced");
     }
     disk
 }
 
 /// What a log says, a line for each part.
-fn told(restored: &Restored) -> String {
+fn told(restored: &RecoveredState) -> String {
     let state = &restored.state;
     let mut lines = vec![
         format!("writes {}", restored.writes),
@@ -171,8 +171,8 @@
     for boot in &state.boots {
         lines.push(format!("boot of {:x}: {} nonce {:x}", boot.member, boot.boot, boot.nonce));
     }
-    for seen in &state.seen {
-        let witness = seen.witness.unwrap_or_default();
+    for seen in &state.observed_acks {
+        let witness = seen.ack.unwrap_or_default();
         lines.push(format!(
             "seen of {:x}: writes {} term {} vote {:x} last {}.{}",
             seen.member, witness.writes, witness.term, witness.vote, witness.last_term, witness.last_index
@@ -182,13 +182,13 @@
         lines.push(format!("snapshot {}.{}", snapshot.term, snapshot.index));
         lines.push(format!(
             "voters {:?}",
-            snapshot.members.voters.iter().map(ToString::to_string).collect::<Vec<_>>()
+            snapshot.membership.voters.iter().map(ToString::to_string).collect::<Vec<_>>()
         ));
         lines.push(format!(
             "learners {:?}",
-            snapshot.members.learners.iter().map(ToString::to_string).collect::<Vec<_>>()
+            snapshot.membership.learners.iter().map(ToString::to_string).collect::<Vec<_>>()
         ));
-        lines.push(format!("incarnations {:?}", snapshot.members.incarnations));
+        lines.push(format!("incarnations {:?}", snapshot.membership.incarnations));
         lines.push(format!("data {:?}", String::from_utf8_lossy(&snapshot.data)));
     }
     for entry in &restored.entries {
@@ -205,8 +205,8 @@
 #[test]
 fn logs_of_before_are_read_as_they_were_written() {
     for node in 1..=3 {
-        let (_, restored) = Ledger::open(golden_disk(node)).expect("a whole log");
-        assert_eq!(restored.cut, None);
+        let (_, restored) = Wal::open(golden_disk(node)).expect("a whole log");
+        assert_eq!(restored.torn_tail, None);
         let restored = store::restored(restored).expect("a member's log");
         assert_eq!(told(&restored), expected(&format!("member-{node}.txt")));
     }
@@ -215,18 +215,18 @@
 /// Members that are started on the logs of before apply what was committed, and go on from there.
 #[test]
 fn members_started_on_logs_of_before_agree_on_what_was_committed() {
-    let mut world = World::start([1, 2, 3].map(golden_disk), 60_000_000);
+    let mut world = World::start([1, 2, 3].map(golden_disk), Timestamp::from_micros(60_000_000));
     world.propose(28);
     world.tick();
     world.tick();
     let mut lines = String::new();
-    for node in &world.nodes {
+    for node in &world.members {
         for entry in &node.applied {
             let data = String::from_utf8_lossy(&entry.bytes);
             let (origin, sequence) = (entry.id.origin, entry.id.sequence);
             lines.push_str(&format!(
                 "{} {}.{}: {origin}.{sequence} {data}\n",
-                node.council.member(),
+                node.node.member(),
                 entry.term,
                 entry.index
             ));
@@ -237,7 +237,7 @@
 
 #[test]
 fn a_history_writes_the_same_logs_as_before() {
-    for (index, node) in history().nodes.into_iter().enumerate() {
+    for (index, node) in history().members.into_iter().enumerate() {
         let golden = golden_disk(index as u64 + 1);
         assert!(files(&node.log.into_disk()) == files(&golden), "the log of member {}", index + 1);
     }
@@ -275,13 +275,13 @@
 }
 
 fn every_body() -> Vec<Frame> {
-    let witness = wire::Witness { writes: 1, term: 2, vote: 3, last_term: 4, last_index: 5 };
-    let members = wire::Members { voters: vec![1, 2], learners: vec![3] };
+    let witness = wire::AckState { writes: 1, term: 2, vote: 3, last_term: 4, last_index: 5 };
+    let members = wire::Membership { voters: vec![1, 2], learners: vec![3] };
     let entry = wire::Entry { index: 21, term: 22, kind: 1, data: b"entry".to_vec() };
     let snapshot = wire::Snapshot {
         index: 31,
         term: 32,
-        members: Some(members.clone()),
+        membership: Some(members.clone()),
         incarnations: vec![33, 34],
         data: b"snapshot".to_vec(),
     };
@@ -298,27 +298,27 @@
         entries: vec![entry],
         snapshot: Some(snapshot),
     };
-    let welcome = wire::Welcome {
+    let welcome = wire::RejoinResponse {
         nonce: 51,
-        your_boot: 52,
+        known_boot: 52,
         accepted: true,
-        witnessed: Some(witness),
+        observed_ack: Some(witness),
         term: 53,
         last_term: 54,
         last_index: 55,
         established: true,
         quarantined: true,
-        members: Some(members),
-        members_index: 56,
-        floors: vec![wire::Floor { member: 57, term: 58, index: 59 }],
+        membership: Some(members),
+        membership_index: 56,
+        floors: vec![wire::LogFloor { member: 57, term: 58, index: 59 }],
     };
-    let record = wire::Record { origin: 61, sequence: 62, data: b"record".to_vec() };
+    let record = wire::Proposal { origin: 61, sequence: 62, data: b"record".to_vec() };
     let bodies = [
         Body::Raft(raft),
-        Body::Hello(wire::Hello { nonce: 71, term: 72 }),
-        Body::Welcome(welcome),
-        Body::Propose(wire::Propose { term: 73, record: Some(record) }),
-        Body::Refused(wire::Refused { origin: 74, sequence: 75, reason: 76 }),
+        Body::RejoinRequest(wire::RejoinRequest { nonce: 71, term: 72 }),
+        Body::RejoinResponse(welcome),
+        Body::ForwardedProposal(wire::ForwardedProposal { term: 73, proposal: Some(record) }),
+        Body::ProposalRejection(wire::ProposalRejection { origin: 74, sequence: 75, reason: 76 }),
     ];
     let envelope = |body| wire::Envelope {
         version: 1,
@@ -328,7 +328,7 @@
         nonce: 82,
         acknowledged: Some(witness),
         boots: vec![wire::Boot { member: 83, boot: 84, nonce: 85 }],
-        digest: Some(wire::Digest { index: 86, digest: 87 }),
+        digest: Some(wire::StateDigest { index: 86, digest: 87 }),
         body: Some(body),
     };
     bodies.into_iter().map(|body| Frame(envelope(body))).collect()
