--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -6,7 +6,7 @@
 use crate::core::endpoint_list::resolve_duplicates;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
-use crate::proto::events::{ListEvent, Member};
+use crate::proto::events::{Endpoint, ListEvent};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
@@ -31,7 +31,7 @@
         self.record_event_number(&list);
         let listed = self.engines.listed_count();
         if let Some(startup) = &mut self.startup {
-            startup.readiness.listed(listed);
+            startup.readiness.record_endpoint_list(listed);
         }
         self.execute(runtime, commands);
         runtime.wake();
@@ -118,7 +118,7 @@
         let connection = engine.add_connection(number, limits, has_capacity)?;
         if let Some(startup) = &mut self.startup {
             // Managers that start together must not dial in step.
-            connection.set_dial_time(startup.dials.dial_at(now(), &engine.id));
+            connection.set_dial_time(startup.dials.reserve_dial(now(), &engine.id));
         }
         runtime.start_connection(Rc::clone(&connection));
         Ok(connection)
@@ -127,7 +127,7 @@
     /// A connection came up.
     pub(in crate::core) fn on_connection_up(&mut self, connection: &EngineConnection) {
         if let Some(startup) = &mut self.startup {
-            startup.readiness.linked();
+            startup.readiness.record_connection();
         }
         self.gossip_reachability(connection.engine, true);
     }
@@ -190,7 +190,7 @@
     }
 }
 
-fn log_entry(number: usize, effective: &Member, listed: &Member) {
+fn log_entry(number: usize, effective: &Endpoint, listed: &Endpoint) {
     let (id, phase, address) = (&listed.id, listed.phase, &effective.address);
     let cordon = if effective.phase == phase { "" } else { ", taken out" };
     info!(engine = %id, number, "engine {id} is {phase:?} at {address}, number {number}{cordon}");
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -12,12 +12,12 @@
 use crate::front::{Front, FrontConfig};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
-use sprucelink_hot_restart::Spans;
+use sprucelink_hot_restart::WindowSpans;
 use sprucelink_membership::terms::Settings as Membership;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
-use sprucelink_startup::lists::ListCalls;
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
+use sprucelink_startup::endpoint_poller::EndpointPoller;
 use sprucelink_zone_failover::terms::Terms as FailoverTerms;
 use std::rc::Rc;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     /// The recorder; without it nothing is recorded.
     pub recorder: Option<Settings>,
     /// The cold start; without it, or not enabled, the start is as it always was.
-    pub cold_start: Option<ColdStart>,
+    pub cold_start: Option<StartupConfig>,
     /// The view of the fleet that managers keep; without it, or not enabled, managers do not talk.
     pub membership: Option<Membership>,
     /// Failover between zones; without it, or not enabled, the module draws as it did.
@@ -131,9 +131,9 @@
         cold_span: settings.fall_span,
         cold_for: settings.cold_for,
     };
-    let spans = Spans {
-        ration: settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span),
-        cold: settings.fall_span,
+    let spans = WindowSpans {
+        retry_budget: settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |b| b.span),
+        warmup: settings.fall_span,
     };
     settings.cold_ramp = cold_start.and_then(|c| c.first_load.ramp());
     let classes: Vec<String> = config.setup.classes.iter().map(|c| c.name.clone()).collect();
@@ -167,9 +167,9 @@
         core.on_endpoint_list(event, i == 0);
     }
     core.skip_event(config.known.0);
-    let calls = cold_start.map(|c| ListCalls::new(c.lists, fleet, seed, now()));
+    let calls = cold_start.map(|c| EndpointPoller::new(c.endpoint_poller, fleet, seed, now()));
     if let Some(calls) = &calls {
-        let window = calls.window().as_secs_f64();
+        let window = calls.first_poll_window().as_secs_f64();
         info!(window, fleet, "cold start: first call for lists within {window:.3} s, of {fleet} managers");
     }
     if let Some(terms) = failover.filter(|f| f.enabled) {
