--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -37,7 +37,7 @@
         let timing = Timing { snapshot_every: 16, ..Timing::default() };
         let config = Config { member: id, founders, contacts: vec![], timing };
         let (log, restored) = Wal::open(disk).expect("a whole log");
-        let restored = store::restored(restored).expect("a member's log");
+        let restored = store::recover(restored).expect("a member's log");
         let node = Node::new(config, restored, u64::from(id.node), now).expect("started");
         Member { node, log, applied: Vec::new(), through: 0, role: None }
     }
@@ -47,17 +47,17 @@
         let mut sent = Vec::new();
         while let Some(ready) = self.node.ready() {
             if let Some(batch) = &ready.persist {
-                self.log.write(&store::to_write(batch)).expect("written");
+                self.log.write(&store::to_wal(batch)).expect("written");
                 self.node.persisted(now, batch.number);
             }
-            sent.extend(ready.send_now);
-            sent.extend(ready.send_after);
-            self.applied.extend(ready.committed);
-            if ready.through > 0 {
-                self.through = ready.through;
-                self.node.applied(ready.through, Some(ready.through * 3));
+            sent.extend(ready.messages);
+            sent.extend(ready.persisted_messages);
+            self.applied.extend(ready.committed_entries);
+            if ready.apply_through > 0 {
+                self.through = ready.apply_through;
+                self.node.applied(ready.apply_through, Some(ready.apply_through * 3));
             }
-            if ready.snapshot_wanted {
+            if ready.snapshot_due {
                 let state = format!("{} records", self.applied.len()).into_bytes();
                 self.node.snapshot_taken(self.through, state).expect("taken");
             }
@@ -164,7 +164,7 @@
 fn told(restored: &RecoveredState) -> String {
     let state = &restored.state;
     let mut lines = vec![
-        format!("writes {}", restored.writes),
+        format!("writes {}", restored.last_batch),
         format!("term {} vote {:x} commit {}", state.term, state.vote, state.commit),
         format!("boot {} quarantined {}", state.boot, state.quarantined),
     ];
@@ -207,7 +207,7 @@
     for node in 1..=3 {
         let (_, restored) = Wal::open(golden_disk(node)).expect("a whole log");
         assert_eq!(restored.torn_tail, None);
-        let restored = store::restored(restored).expect("a member's log");
+        let restored = store::recover(restored).expect("a member's log");
         assert_eq!(told(&restored), expected(&format!("member-{node}.txt")));
     }
 }
@@ -226,7 +226,7 @@
             let (origin, sequence) = (entry.id.origin, entry.id.sequence);
             lines.push_str(&format!(
                 "{} {}.{}: {origin}.{sequence} {data}\n",
-                node.node.member(),
+                node.node.id(),
                 entry.term,
                 entry.index
             ));
