--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden: state files written by the program of before the readability work. They are read as what they say, and
 //! what is written today has the same bytes and the same names.
 
-use sprucelink_cordon::{Ban, By, Target, Word};
+use sprucelink_cordon::{Cause, CordonEntry, CordonRecord, Target};
 use sprucelink_hot_restart::*;
 use std::path::{Path, PathBuf};
 
@@ -19,43 +19,62 @@
 }
 
 fn process(generation: u64) -> Process {
-    Process { generation, started: at(generation as i64), pid: 70 + generation as u32 }
+    Process { generation, started_at: at(generation as i64), pid: 70 + generation as u32 }
 }
 
-fn ban(target: Target, by: By, out: bool, until: Option<Timestamp>, why: &str) -> Ban {
-    let word = Word { version: 1_700_000_000_000_007, out, until, at: at(7), why: why.into() };
-    Ban { target, by, word }
+fn cordon(
+    target: Target,
+    cause: Cause,
+    cordoned: bool,
+    lease: Option<Timestamp>,
+    reason: &str,
+) -> CordonRecord {
+    let entry = CordonEntry {
+        version: 1_700_000_000_000_007,
+        cordoned,
+        lease_expires_at: lease,
+        changed_at: at(7),
+        reason: reason.into(),
+    };
+    CordonRecord { target, cause, entry }
 }
 
 /// A file in which every field holds something.
-fn full() -> Handover {
+fn full() -> StateFile {
     let engine = |id: &str| Target::Engine(id.into());
-    let ration = |n: u32| RationBucket { at: at(250_000 * i64::from(n)), further: n, taken: 100 + 3 * n };
-    Handover {
+    let ration =
+        |n: u32| RetryBudgetBucket { start: at(250_000 * i64::from(n)), retries: n, admitted: 100 + 3 * n };
+    StateFile {
         instance: me(),
         process: process(4),
         build: "sprucelink 0.1.0".into(),
         written_at: at(9_000_000),
-        seq: 36,
-        phase: Phase::Accompanied,
+        sequence: 36,
+        phase: Phase::ServingBesideSuccessor,
         phase_since: at(8_000_000),
-        room_for: vec![process(5), process(6)],
-        content: Content {
-            bans: vec![
-                ban(engine("s-1"), By::Operator, true, None, "by the operators' address"),
-                ban(engine("s-2"), By::Operator, false, None, ""),
-                ban(engine("s-2"), By::Fleet { permit: u64::MAX }, true, Some(at(60_000_000)), "rollout, é"),
-                ban(Target::Manager, By::Fleet { permit: 0 }, true, Some(at(1)), "x"),
+        shares_with: vec![process(5), process(6)],
+        snapshot: StateSnapshot {
+            cordons: vec![
+                cordon(engine("s-1"), Cause::Operator, true, None, "by the operators' address"),
+                cordon(engine("s-2"), Cause::Operator, false, None, ""),
+                cordon(
+                    engine("s-2"),
+                    Cause::Fleet { permit: u64::MAX },
+                    true,
+                    Some(at(60_000_000)),
+                    "rollout, é",
+                ),
+                cordon(Target::Manager, Cause::Fleet { permit: 0 }, true, Some(at(1)), "x"),
             ],
-            ids: vec![0, 1, 0x9b1f_03aa_5c7e_2d41, u64::MAX],
-            ration: (0..20).map(ration).collect(),
-            cold: vec![
-                ColdSends { engine: "s-9".into(), buckets: vec![] },
-                ColdSends {
+            known_ids: vec![0, 1, 0x9b1f_03aa_5c7e_2d41, u64::MAX],
+            retry_budget: (0..20).map(ration).collect(),
+            warmup: vec![
+                WarmupLoad { engine: "s-9".into(), buckets: vec![] },
+                WarmupLoad {
                     engine: "s-10".into(),
                     buckets: vec![
-                        ColdBucket { at: at(250_000), work_ms: 0 },
-                        ColdBucket { at: at(500_000), work_ms: u32::MAX },
+                        WarmupBucket { start: at(250_000), work_ms: 0 },
+                        WarmupBucket { start: at(500_000), work_ms: u32::MAX },
                     ],
                 },
             ],
@@ -65,32 +84,32 @@
 }
 
 /// A file without content, in a phase.
-fn bare(phase: Phase) -> Handover {
-    Handover {
+fn bare(phase: Phase) -> StateFile {
+    StateFile {
         instance: me(),
         process: process(1),
         build: String::new(),
         written_at: at(0),
-        seq: 1,
+        sequence: 1,
         phase,
         phase_since: at(-1),
-        room_for: Vec::new(),
-        content: Content::default(),
+        shares_with: Vec::new(),
+        snapshot: StateSnapshot::default(),
     }
 }
 
-fn files() -> Vec<(String, Handover)> {
+fn files() -> Vec<(String, StateFile)> {
     let phases = [
         ("starting", Phase::Starting),
         ("ready", Phase::Ready),
         ("serving", Phase::Serving),
-        ("accompanied", Phase::Accompanied),
-        ("leaving", Phase::Leaving),
-        ("gone", Phase::Gone),
+        ("accompanied", Phase::ServingBesideSuccessor),
+        ("leaving", Phase::Draining),
+        ("gone", Phase::Terminated),
     ];
     let bare = phases.map(|(name, phase)| (format!("{name}.handover"), bare(phase)));
     let full = full();
-    let name = FileName::of(&full.instance, &full.process).to_string();
+    let name = StateFileName::new(&full.instance, &full.process).to_string();
     bare.into_iter().chain([(name, full)]).collect()
 }
 
@@ -115,11 +134,11 @@
 #[test]
 fn a_process_finds_the_state_file_of_its_predecessor_of_before() {
     let full = full();
-    let name = FileName::of(&full.instance, &full.process).to_string();
+    let name = StateFileName::new(&full.instance, &full.process).to_string();
     assert_eq!(name, "sprucelink.938a317b.74-1700000000000004.handover");
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::copy(folder().join(&name), dir.path().join(&name)).expect("copied");
-    let (keeper, looked) = Keeper::open(DiskFolder::new(dir.path()), me(), "test", 7, at(9_100_000));
-    assert_eq!(looked.read, [full]);
-    assert_eq!(keeper.process().generation, 5);
+    let (driver, scan) = StateFileDriver::open(DiskFolder::new(dir.path()), me(), "test", 7, at(9_100_000));
+    assert_eq!(scan.files, [full]);
+    assert_eq!(driver.process().generation, 5);
 }
