--- a/crates/policy/src/brain/view.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -1,7 +1,7 @@
 //! What the module lets be seen of itself, and what it tells of its reasons to who listens. Nothing here
 //! decides, and nothing here is reached while nobody listens.
 
-use super::*;
+use crate::*;
 use serde::Serialize;
 
 /// What is believed of an engine.
@@ -97,6 +97,16 @@
     pub waiting: usize,
 }
 
+impl Engine {
+    /// Logs that it was ejected or is back, and why.
+    pub(crate) fn log_health(&self, number: usize, slowness: f64, out: &mut Vec<Action>) {
+        let state = if self.distrusted { "distrusted" } else { "trusted" };
+        let (silent, overdue, failing) = (self.silent, self.overdue, self.bad.value());
+        let why = format!("silent {silent}, {overdue} overdue, slowness {slowness:.1}, failing {failing:.2}");
+        out.push(Action::Log(format!("engine {number} {state}: {why}")));
+    }
+}
+
 impl Policy {
     /// From now on it tells its reasons ([`Action::Why`]), or no more. No decision hangs on it.
     pub fn listen(&mut self, on: bool) {
@@ -177,12 +187,12 @@
             utilisation: self.utilisation(engine.0 as usize),
             warmth: self.warmth(e),
             slowness: slowness(e, self.middle),
-            failing: e.bad,
+            failing: e.bad.value(),
             silent: e.silent,
             overdue: e.overdue,
             distrusted: e.distrusted,
             rests: (e.down_until - self.now).as_secs_f64().max(0.0),
-            cold: (e.spent(self.now, self.set.fall_span), self.cold_budget(e)),
+            cold: (e.charges.sum(self.now, self.set.fall_span), self.cold_budget(e)),
         })
     }
 
@@ -194,7 +204,7 @@
         Overview {
             own: self.own,
             share: self.core_share(),
-            fleet: self.fleet,
+            fleet: self.fleet.value(),
             held: self.held,
             prices: levels(&|l| l.price),
             waits: levels(&|l| l.wait),
@@ -205,7 +215,7 @@
     }
 
     /// Tells how a request was priced, and whether it enters.
-    pub(super) fn why_priced(&self, id: RequestId, by: (f64, f64, bool, bool), out: &mut Vec<Action>) {
+    pub(crate) fn why_priced(&self, id: RequestId, by: (f64, f64, bool, bool), out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
         let (tau, toll, free, enters) = by;
         out.push(Action::Why(Box::new(Reason::Priced {
@@ -226,7 +236,7 @@
 
     /// Tells of every engine how the draw for a request looks upon it. It is called with what the draw is
     /// called with, just before it.
-    pub(super) fn why_drawn(&self, id: RequestId, dice: f64, out: &mut Vec<Action>) {
+    pub(crate) fn why_drawn(&self, id: RequestId, dice: f64, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
         let chosen = self.pick(r, true, dice);
         let healthy = (0..self.engines.len()).any(|i| self.gate_engine(r, i) && self.usable(r, i));
@@ -259,7 +269,7 @@
     }
 
     /// Tells why a request is answered without being served.
-    pub(super) fn why_answered(&self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn why_answered(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
         let in_all = (self.now - r.arrived).as_secs_f64() + self.now_time(r.class, r.cost);
         out.push(Action::Why(Box::new(Reason::Answered {
@@ -277,7 +287,7 @@
     }
 
     /// Tells why an attempt is called off.
-    pub(super) fn why_cancelled(&self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn why_cancelled(&self, id: RequestId, out: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|_| self.listened);
         let Some((r, a)) = request.and_then(|r| Some((r, r.out.as_ref()?))) else { return };
         out.push(Action::Why(Box::new(Reason::Cancelled {
