--- a/src/run/commands/check.rs
+++ b/src/run/commands/check.rs
@@ -5,7 +5,7 @@
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_membership::terms::Settings as MembershipSettings;
 use sprucelink_startup::config::StartupConfig;
-use sprucelink_zone_failover::terms::Terms as FailoverSettings;
+use sprucelink_zone_failover::config::FailoverConfig;
 
 /// Prints a line for the configuration and for each optional file.
 pub fn print(server: &ServerConfig) {
@@ -60,12 +60,12 @@
     }
 }
 
-fn print_failover(settings: Option<&FailoverSettings>) {
+fn print_failover(settings: Option<&FailoverConfig>) {
     match settings {
         Some(settings) if settings.enabled => println!(
             "the failover's settings will do: {} regions named, a factor of {}",
             settings.regions.len(),
-            settings.overprovision
+            settings.overprovisioning_factor
         ),
         Some(_) => println!("the failover's settings will do; they are not enabled"),
         None => println!("no failover's settings: the draw goes by load and prices alone"),
