--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -8,14 +8,14 @@
 use super::gossip_facts::GossipWindows;
 use super::request::{RejectReason, Request, Response};
 use super::zone_routing::{Observer, ZoneRouting};
+use crate::proto::engine_answer::EngineAnswerError;
 use crate::proto::events::ListEvent;
-use crate::proto::Malformed;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult};
 use sprucelink_membership::facts::Facts;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
-use sprucelink_startup::settings::ColdStart;
+use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::terms::Terms as FailoverConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -92,7 +92,7 @@
 
     /// Switches start-up control on: of dials, admission, endpoint lists and readiness. `name` is this manager's
     /// configured name. To be called before the first list, so that what is held is known from the start.
-    pub fn enable_startup_control(&self, settings: &ColdStart, name: &str) {
+    pub fn enable_startup_control(&self, settings: &StartupConfig, name: &str) {
         self.coordinator.borrow_mut().enable_startup_control(settings, name);
         self.wake.notify_one();
     }
@@ -100,7 +100,7 @@
     /// The endpoint service answered a poll.
     pub fn on_endpoint_service_answered(&self) {
         if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
-            startup.readiness.fed();
+            startup.readiness.record_feed_answer();
         }
     }
 
@@ -305,7 +305,11 @@
         self.coordinator.borrow_mut().on_connection_up(connection);
     }
 
-    fn on_answer(self: &Rc<Self>, connection: &EngineConnection, parts: &[&[u8]]) -> Result<(), Malformed> {
+    fn on_answer(
+        self: &Rc<Self>,
+        connection: &EngineConnection,
+        parts: &[&[u8]],
+    ) -> Result<(), EngineAnswerError> {
         self.coordinator.borrow_mut().on_answer(self, connection, parts)
     }
 
