--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -4,7 +4,7 @@
 //! calls do is the program's ([`Operations`]); this crate speaks HTTP (by hyper), holds callers to their bounds
 //! ([`Limits`]) and gives every bad call a clear status.
 //!
-//! Two halves: [`admission`], [`routes`], [`target`] and [`answer`] decide, do no I/O and read no clock; [`serve`] does the
+//! Two halves: [`admission`], [`routes`], [`target`] and [`answer`] decide, do no I/O and read no clock; [`serve`](mod@serve) does the
 //! sockets. It runs on the serving loop's thread, within a `LocalSet`: answers wait for nothing but that loop, and what
 //! bad callers can cost it is bounded by the seats and by the rate at which they are accepted.
 
--- a/crates/cluster-harness/src/middle/mod.rs
+++ b/crates/cluster-harness/src/middle/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Every path goes from a *group* to a *group* (names such as `a`, `b`, `lists`, `engines`), one way each: a
 //! rule on `a -> lists` leaves `lists -> a` as it is, so that one-way loss and half-open connections can be
-//! made. [`Faults`] holds the rules; [`tcp`] opens a listener that leads one group to one target; a [`UdpNet`]
+//! made. [`Faults`] holds the rules; [`tcp`](fn@tcp) opens a listener that leads one group to one target; a [`UdpNet`]
 //! gives each member an address of its own, so that what arrives shows the sender's.
 //!
 //! A party may be named itself and have a group as its *home*: a rule for the very two comes before one for a party
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! - [`StateFile`], [`encode`], [`decode`]: the contents of a file, its bytes, and why bytes are rejected
 //!   ([`StateFileError`]).
-//! - [`usable_state`]: what of another process's file still applies, by its age.
+//! - [`usable_state`](mod@usable_state): what of another process's file still applies, by its age.
 //! - [`WindowCounters`]: retries, admitted requests and work sent to warming engines, in buckets of 250 ms.
 //! - [`PeerTable`]: which of the files read belong to live processes, and which may be removed.
 //! - [`PhaseMachine`]: the phases of a process and what follows from them ([`PhaseStatus`]).
