--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -1,7 +1,7 @@
 //! Start-up control: when new connections are dialled, which requests are admitted while engines warm up, what an
 //! endpoint list may change of the one held, and when this manager is ready.
 
-use crate::proto::events::{ListEvent, Phase};
+use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_policy::Timestamp;
 use sprucelink_startup::admission::WarmupAdmission;
 use sprucelink_startup::config::StartupConfig;
@@ -81,10 +81,10 @@
     }
 }
 
-fn endpoint_state(phase: Phase) -> EndpointState {
+fn endpoint_state(phase: EndpointPhase) -> EndpointState {
     match phase {
-        Phase::Ready => EndpointState::Ready,
-        Phase::Draining => EndpointState::Draining,
-        Phase::Gone => EndpointState::Gone,
+        EndpointPhase::Ready => EndpointState::Ready,
+        EndpointPhase::Draining => EndpointState::Draining,
+        EndpointPhase::Gone => EndpointState::Gone,
     }
 }
