--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -183,7 +183,8 @@
     }
     if let Some((ration, parts)) = ask.share {
         let m = scenario.membership.get_or_insert_default();
-        (m.share.ration, m.share.parts) = (ration, parts);
+        m.share.pool_retry_budgets = ration;
+        m.share.divide_by_live_members = parts;
     }
     if ask.history.is_some() {
         scenario.history.get_or_insert_default();
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -13,7 +13,7 @@
 use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, HALLS};
 use crate::subscribers::Subscribers;
 use sprucelink_history_checker::event::{Event, FleetMember};
-use sprucelink_membership::terms::Settings as Membership;
+use sprucelink_membership::MembershipConfig as Membership;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -1,7 +1,7 @@
 //! What managers hold of the fleet, asked of each while a run goes on.
 
 use super::{Life, Rig, Views};
-use sprucelink_membership::codec::{Member, State};
+use sprucelink_membership::{Member, MemberState};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 
 /// Names that a manager holds as here, its own among them; `None` where it did not answer.
 fn held_by(real: SocketAddr) -> Option<BTreeSet<String>> {
-    let all = sprucelink_membership::ask::view(real).ok()?;
-    let here = |m: &Member| matches!(m.state, State::Alive | State::Suspect);
+    let all = sprucelink_membership::query_members(real).ok()?;
+    let here = |m: &Member| matches!(m.state, MemberState::Alive | MemberState::Suspect);
     Some(all.into_iter().filter(here).map(|m| m.name).collect())
 }
 
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -2,7 +2,7 @@
 
 use super::acts::Who;
 use serde::Deserialize;
-use sprucelink_membership::terms::{Protocol, Share};
+use sprucelink_membership::{ProtocolConfig, SharingConfig};
 use std::collections::BTreeMap;
 
 /// A zone that a run is about: what the table says of it.
@@ -68,9 +68,9 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
     /// The protocol's figures.
-    pub protocol: Protocol,
+    pub protocol: ProtocolConfig,
     /// What is shared.
-    pub share: Share,
+    pub share: SharingConfig,
 }
 
 /// A TCP port that every manager opens, and through which others reach it by the middle.
--- a/crates/membership/examples/model.rs
+++ b/crates/membership/examples/model.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{Net, S};
-use sprucelink_membership::swim::What;
-use sprucelink_membership::terms::Protocol;
+use sprucelink_membership::MembershipEventKind;
+use sprucelink_membership::ProtocolConfig;
 use sprucelink_membership::TimeDelta;
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
@@ -24,8 +24,8 @@
         };
         // Half an hour where that is affordable, less beyond: the line says what was run.
         let quiet: i64 = if n <= 200 { 1_800 } else { 120 };
-        let mut net = Net::new(n, Protocol::default(), 1);
-        let settled = net.settle(300).unwrap_or(f64::NAN);
+        let mut net = Net::new(n, ProtocolConfig::default(), 1);
+        let settled = net.converge(300).unwrap_or(f64::NAN);
         let (bytes, messages, begun) = (net.bytes, net.messages, net.now);
         net.run(net.now + TimeDelta::from_micros(60 * S));
         let span = (net.now - begun).as_secs_f64() * n as f64;
@@ -37,11 +37,11 @@
             let (i, at) = (n - 1 - k, net.now);
             net.crash(i);
             net.run(net.now + TimeDelta::from_micros(40 * S));
-            let told = net.told(&format!("n{i}"), What::Died, at);
-            first.extend(told.iter().min().map(|t| (*t - at).as_secs_f64()));
-            all.extend(told.iter().max().map(|t| (*t - at).as_secs_f64()));
+            let reported = net.events_on(&format!("n{i}"), MembershipEventKind::Died, at);
+            first.extend(reported.iter().min().map(|t| (*t - at).as_secs_f64()));
+            all.extend(reported.iter().max().map(|t| (*t - at).as_secs_f64()));
             net.start(i);
-            net.settle(60);
+            net.converge(60);
         }
         first.sort_by(f64::total_cmp);
         all.sort_by(f64::total_cmp);
@@ -49,14 +49,15 @@
         net.loss = 0.1;
         let since = net.now;
         net.run(net.now + TimeDelta::from_micros(quiet * S));
-        let (dead, suspected) = (net.count(What::Died, since), net.count(What::Suspected, since));
+        let (dead, suspected) =
+            (net.count(MembershipEventKind::Died, since), net.count(MembershipEventKind::Suspected, since));
         net.loss = 0.0;
-        net.settle(60);
+        net.converge(60);
         // Two thirds and one third apart for a minute.
-        net.parted = Some((0..n).map(|i| i >= n * 2 / 3).collect());
+        net.partition = Some((0..n).map(|i| i >= n * 2 / 3).collect());
         net.run(net.now + TimeDelta::from_micros(60 * S));
-        net.parted = None;
-        let heal = net.settle(300).unwrap_or(f64::NAN);
+        net.partition = None;
+        let heal = net.converge(300).unwrap_or(f64::NAN);
         println!(
             "{n},{settled:.1},{crashes},{:.2},{:.2},{:.2},{:.2},{dead} in {quiet} s,{suspected},{bytes:.0},{messages:.1},{heal:.1}",
             quantile(&first, 0.5),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,22 +1,42 @@
-//! A view of the fleet that its managers keep themselves: who is alive, who is suspect, who is dead, and a small
-//! summary of what each knows.
+//! A view of the fleet that its managers keep themselves: which are alive, suspected or dead, and a small payload of what
+//! each knows.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", DSN 2002) with suspicion, incarnation numbers and piggybacked news, and the three
+//! Membership Protocol", DSN 2002) with suspicion, incarnation numbers and piggybacked updates, and the three
 //! refinements of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure
-//! Detection", DSN-W 2018): a member that has trouble itself probes more slowly, a suspicion that others confirm
-//! ends sooner, and a suspect is told so first.
+//! Detection", DSN-W 2018): local health (a member in trouble probes more slowly), dogpile (a suspicion that others
+//! confirm ends sooner), and the buddy system (a suspect is notified first).
 //!
-//! [`swim::Swim`] is a pure state machine: time is an argument in microseconds, randomness comes from a seed, what
-//! is to be sent is handed out. [`codec`] reads and writes its datagrams within bounds; [`facts`] merges summaries
-//! by version; [`pool`] says what the fleet may still spend together. Nothing here does input or output, but for
-//! [`ask`], by which somebody outside reads a running member's view.
+//! - [`SwimNode`]: the protocol as a state machine without I/O. Time is an argument, randomness comes from a seed, and
+//!   messages to send are taken from an outbox.
+//! - [`Message`], [`encode`], [`decode`]: the datagrams, read within bounds.
+//! - [`GossipPayload`], [`PayloadTable`]: what members publish, merged by version.
+//! - [`spare_retries`], [`budget_divisor`]: what the fleet may still spend together.
+//! - [`MembershipConfig`]: the settings.
+//!
+//! Nothing here performs I/O except [`query_members`], by which a program outside the fleet reads a member's view.
 
-pub mod ask;
-pub mod codec;
-pub mod facts;
-pub mod pool;
-pub mod swim;
-pub mod terms;
+mod config;
+mod decoder;
+mod encoder;
+mod gossip_payload;
+mod message;
+mod query_client;
+mod retry_budget_pool;
+mod swim;
+mod wire;
 
+pub use config::{MembershipConfig, ProtocolConfig, SharingConfig, MAX_NAME_BYTES, MAX_SEEDS};
+pub use decoder::{decode, DecodeError};
+pub use encoder::{encode, encoded_size, EncodedDatagram};
+pub use gossip_payload::MAX_ENGINES;
+pub use gossip_payload::{engine_hash, GossipPayload, PayloadTable, VersionedPayload, WarmupWork};
+pub use message::{Member, MemberState, Message, MessageKind, Sender, Update};
+pub use query_client::query_members;
+pub use retry_budget_pool::{budget_divisor, spare_retries, RetryBudget};
 pub use sprucelink_time::{TimeDelta, Timestamp};
+pub use swim::{
+    LocalMember, MembershipCounters, MembershipEvent, MembershipEventKind, OutgoingMessage, SwimNode,
+    MAX_MEMBERS,
+};
+pub use wire::MAX_DATAGRAM_BYTES;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,12 +1,13 @@
-//! A net of members in virtual time: loss and delay by way, partitions, crashes, stops and restarts, all from one
-//! seed. Messages go through the codec where `coded` says so.
+//! A simulated network of members in virtual time: loss and delay by direction, partitions, crashes, stops and restarts,
+//! all from one seed. Messages pass through the codec where `coded` is set.
 #![allow(dead_code)]
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sprucelink_membership::codec::{self, Message};
-use sprucelink_membership::swim::{Change, Me, Swim, What};
-use sprucelink_membership::terms::Protocol;
+use sprucelink_membership::{
+    decode, encode, LocalMember, MembershipEvent, MembershipEventKind, Message, OutgoingMessage,
+    ProtocolConfig, SwimNode,
+};
 use sprucelink_membership::{TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
 use std::cmp::Reverse;
@@ -33,22 +34,22 @@
 }
 
 pub struct Net {
-    pub terms: Protocol,
-    pub nodes: Vec<Option<Swim>>,
+    pub config: ProtocolConfig,
+    pub nodes: Vec<Option<SwimNode>>,
     pub now: Timestamp,
     pub loss: f64,
     pub delay: [i64; 2],
-    /// Share lost on one way: from, to, share.
+    /// Fraction lost in one direction: from, to, fraction.
     pub one_way: Vec<(usize, usize, f64)>,
-    /// Parted groups: who is in the second.
-    pub parted: Option<Vec<bool>>,
+    /// A partition: which members are on its second side.
+    pub partition: Option<Vec<bool>>,
     pub stopped: Vec<bool>,
     pub coded: bool,
     pub bytes: u64,
     pub messages: u64,
     /// A digest of all datagrams sent, in order.
     pub trace: u64,
-    pub changes: Vec<(usize, Change)>,
+    pub changes: Vec<(usize, MembershipEvent)>,
     queue: BinaryHeap<Reverse<(Timestamp, u64, Due)>>,
     flying: BTreeMap<u64, Message>,
     waiting: Vec<Vec<Message>>,
@@ -58,15 +59,15 @@
 }
 
 impl Net {
-    pub fn new(n: usize, terms: Protocol, seed: u64) -> Net {
+    pub fn new(n: usize, config: ProtocolConfig, seed: u64) -> Net {
         let mut net = Net {
-            terms,
+            config,
             nodes: (0..n).map(|_| None).collect(),
             now: Timestamp::ZERO,
             loss: 0.0,
             delay: [500, 2_000],
             one_way: Vec::new(),
-            parted: None,
+            partition: None,
             stopped: vec![false; n],
             coded: false,
             bytes: 0,
@@ -86,12 +87,12 @@
 
     /// Starts member `i`, or a new process under its name.
     pub fn start(&mut self, i: usize) {
-        let life = 1_000 + (self.now.as_micros() / 1_000) as u64;
+        let generation = 1_000 + (self.now.as_micros() / 1_000) as u64;
         let (name, zone) = (format!("n{i}"), format!("hall-{}", if i.is_multiple_of(2) { "a" } else { "b" }));
-        let me = Me { name, life, address: address(i), zone, region: "north".into() };
+        let me = LocalMember { name, generation, address: address(i), zone, region: "north".into() };
         let seeds = (0..3).map(address).collect();
-        let seed = self.seed.wrapping_mul(31) ^ (i as u64) << 20 ^ life;
-        self.nodes[i] = Some(Swim::new(me, seeds, self.terms, seed, self.now));
+        let seed = self.seed.wrapping_mul(31) ^ (i as u64) << 20 ^ generation;
+        self.nodes[i] = Some(SwimNode::new(me, seeds, self.config, seed, self.now));
         self.stopped[i] = false;
         self.push(self.now, Due::Tick(i));
     }
@@ -106,20 +107,20 @@
     }
 
     fn passes(&mut self, from: usize, to: usize) -> bool {
-        let parted = self.parted.as_ref().is_some_and(|p| p[from] != p[to]);
+        let partition = self.partition.as_ref().is_some_and(|p| p[from] != p[to]);
         let way = self.one_way.iter().find(|w| (w.0, w.1) == (from, to)).map_or(0.0, |w| w.2);
-        let lost = parted || self.rng.gen_bool(self.loss) || way > 0.0 && self.rng.gen_bool(way);
+        let lost = partition || self.rng.gen_bool(self.loss) || way > 0.0 && self.rng.gen_bool(way);
         !lost
     }
 
     fn after(&mut self, i: usize) {
         let Some(node) = &mut self.nodes[i] else { return };
-        self.changes.extend(node.changes().into_iter().map(|c| (i, c)));
-        for (to, message) in node.outbox() {
-            let (bytes, _) = codec::write(&message);
+        self.changes.extend(node.take_events().into_iter().map(|c| (i, c)));
+        for OutgoingMessage { to, message } in node.take_outbox() {
+            let bytes = encode(&message).bytes;
             (self.bytes, self.messages) = (self.bytes + bytes.len() as u64, self.messages + 1);
             self.trace = stable_hash(&[&self.trace.to_be_bytes(), to.to_string().as_bytes(), &bytes]);
-            let message = if self.coded { codec::read(&bytes).expect("its own") } else { message };
+            let message = if self.coded { decode(&bytes).expect("its own") } else { message };
             let j = index(to);
             if self.passes(i, j) {
                 let flight = self.rng.gen_range(self.delay[0]..=self.delay[1]);
@@ -130,13 +131,13 @@
                 self.push(at, Due::Message(key, j));
             }
         }
-        if let Some(due) = self.nodes[i].as_ref().map(Swim::due) {
+        if let Some(due) = self.nodes[i].as_ref().map(SwimNode::next_deadline) {
             let at = due.max(Timestamp::from_micros(self.now.as_micros() + 1_000));
             self.push(at, Due::Tick(i));
         }
     }
 
-    /// Lets `i` go on after a stop: what came meanwhile is read first, as from a socket's buffer.
+    /// Resumes member `i` after a stop: what arrived meanwhile is read first, as from a socket's buffer.
     pub fn resume(&mut self, i: usize) {
         self.stopped[i] = false;
         let waiting = std::mem::take(&mut self.waiting[i]);
@@ -158,8 +159,8 @@
             match due {
                 Due::Tick(i) => {
                     let Some(node) = self.nodes[i].as_mut().filter(|_| !self.stopped[i]) else { continue };
-                    // Ticks asked for before something else happened come too soon: they are passed over.
-                    if node.due() > self.now {
+                    // Ticks scheduled before something else happened come too early and are skipped.
+                    if node.next_deadline() > self.now {
                         continue;
                     }
                     node.tick(self.now);
@@ -188,18 +189,21 @@
         (0..self.nodes.len()).filter(|i| self.nodes[*i].is_some()).collect()
     }
 
-    /// Whether all that live hold one view: those that live.
+    /// Whether the view of every running member is the set of running members.
     pub fn agree(&self) -> bool {
         let live = self.live();
-        let views: Vec<(u64, usize)> =
-            live.iter().filter_map(|i| self.nodes[*i].as_ref()).map(|s| (s.digest(), s.size())).collect();
+        let views: Vec<(u64, usize)> = live
+            .iter()
+            .filter_map(|i| self.nodes[*i].as_ref())
+            .map(|s| (s.digest(), s.live_count()))
+            .collect();
         views.iter().all(|v| v.0 == views[0].0 && v.1 == live.len())
     }
 
-    /// Runs until all agree, at most so many seconds: how long that took.
-    pub fn settle(&mut self, most: i64) -> Option<f64> {
+    /// Runs until all agree, at most this many seconds; returns how long that took.
+    pub fn converge(&mut self, max_s: i64) -> Option<f64> {
         let begun = self.now;
-        for _ in 0..most * 10 {
+        for _ in 0..max_s * 10 {
             if self.agree() {
                 return Some((self.now - begun).as_secs_f64());
             }
@@ -208,14 +212,14 @@
         None
     }
 
-    /// How many told that something happened to member `name` after a time.
-    pub fn told(&self, name: &str, what: What, since: Timestamp) -> Vec<Timestamp> {
-        let of = |c: &&(usize, Change)| c.1.name == name && c.1.what == what && c.1.at >= since;
+    /// When members reported an event on member `name`, from a time on.
+    pub fn events_on(&self, name: &str, kind: MembershipEventKind, since: Timestamp) -> Vec<Timestamp> {
+        let of = |c: &&(usize, MembershipEvent)| c.1.member == name && c.1.kind == kind && c.1.at >= since;
         self.changes.iter().filter(of).map(|c| c.1.at).collect()
     }
 
-    /// Deaths and suspicions told of members that were alive at the time: by `what`.
-    pub fn count(&self, what: What, since: Timestamp) -> usize {
-        self.changes.iter().filter(|c| c.1.what == what && c.1.at >= since).count()
+    /// The number of events of a kind from a time on.
+    pub fn count(&self, kind: MembershipEventKind, since: Timestamp) -> usize {
+        self.changes.iter().filter(|c| c.1.kind == kind && c.1.at >= since).count()
     }
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -3,10 +3,12 @@
 mod common;
 
 use common::{Net, S};
-use sprucelink_membership::codec::{self, Kind, Member, Message, State, Update};
-use sprucelink_membership::facts::Facts;
-use sprucelink_membership::terms::Protocol;
+use sprucelink_membership::GossipPayload;
+use sprucelink_membership::ProtocolConfig;
 use sprucelink_membership::Timestamp;
+use sprucelink_membership::{
+    decode, encode, EncodedDatagram, Member, MemberState, Message, MessageKind, Sender, Update, WarmupWork,
+};
 use std::net::SocketAddr;
 
 /// One datagram of each kind, written by an earlier release: `kind hex` a line.
@@ -16,50 +18,54 @@
     SocketAddr::from(([10, 1, 2, 3], port))
 }
 
-fn member(state: State, name: &str) -> Update {
+fn member(state: MemberState, name: &str) -> Update {
     let member = Member {
         name: name.into(),
-        life: 1_700_000_000_123,
+        generation: 1_700_000_000_123,
         incarnation: 7,
         state,
         address: address(7001),
         zone: "hall-a".into(),
         region: "north".into(),
     };
-    Update::Member(member, "n9".into())
+    Update::Member { member, reported_by: "n9".into() }
 }
 
 fn updates() -> Vec<Update> {
-    let facts = Facts {
+    let payload = GossipPayload {
         version: 3,
-        taken: 200,
-        spent: 17,
-        unreachable: vec![1, u64::MAX],
-        cold: vec![(5, 900), (6, 1)],
+        admitted_requests: 200,
+        retries: 17,
+        unreachable_engines: vec![1, u64::MAX],
+        warmup_work: vec![WarmupWork { engine: 5, work_ms: 900 }, WarmupWork { engine: 6, work_ms: 1 }],
     };
     vec![
-        member(State::Alive, "n1"),
-        member(State::Suspect, "n2"),
-        member(State::Dead, "n3"),
-        member(State::Left, "é"),
-        Update::Facts("n4".into(), 1_700_000_000_456, facts),
+        member(MemberState::Alive, "n1"),
+        member(MemberState::Suspect, "n2"),
+        member(MemberState::Dead, "n3"),
+        member(MemberState::Left, "é"),
+        Update::Payload { member: "n4".into(), generation: 1_700_000_000_456, payload },
     ]
 }
 
 fn message(kind_name: &str) -> Message {
     let kind = match kind_name {
-        "ping" => Kind::Ping(41, "n2".into()),
-        "ack" => Kind::Ack(42),
-        "ping-req" => Kind::PingReq(43, "n2".into(), address(9)),
-        "nack" => Kind::Nack(44),
-        "gossip" => Kind::Gossip,
-        "digest" => Kind::Digest(0x0123_4567_89ab_cdef, 12, true),
-        "query" => Kind::Query(5),
-        "view" => Kind::View(6, 300),
+        "ping" => MessageKind::Ping { sequence: 41, target: "n2".into() },
+        "ack" => MessageKind::Ack { sequence: 42 },
+        "ping-req" => MessageKind::PingRequest { sequence: 43, target: "n2".into(), address: address(9) },
+        "nack" => MessageKind::Nack { sequence: 44 },
+        "gossip" => MessageKind::Gossip,
+        "digest" => MessageKind::Digest { digest: 0x0123_4567_89ab_cdef, member_count: 12, is_reply: true },
+        "query" => MessageKind::Query { offset: 5 },
+        "view" => MessageKind::View { offset: 6, total: 300 },
         other => panic!("unknown kind {other}"),
     };
     let updates = if kind_name == "query" { Vec::new() } else { updates() };
-    Message { from: ("n7".into(), 1_700_000_000_789, address(7000)), kind, updates }
+    Message {
+        sender: Sender { name: "n7".into(), generation: 1_700_000_000_789, address: address(7000) },
+        kind,
+        updates,
+    }
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
@@ -73,8 +79,9 @@
     for line in EARLIER_DATAGRAMS.lines() {
         let (kind, hex) = line.split_once(' ').expect("kind and hex");
         let bytes = bytes_of(hex);
-        assert_eq!(codec::read(&bytes).as_ref(), Ok(&message(kind)), "{kind}");
-        assert_eq!(codec::write(&message(kind)), (bytes, 0), "{kind}");
+        assert_eq!(decode(&bytes).as_ref(), Ok(&message(kind)), "{kind}");
+        let expected = EncodedDatagram { bytes, updates_left_out: 0 };
+        assert_eq!(encode(&message(kind)), expected, "{kind}");
         kinds += 1;
     }
     assert_eq!(kinds, 8);
@@ -88,15 +95,15 @@
         (77, (1_595_921, 20_007, 2_561, 0xd3ef_9589_8267_8a5b)),
     ];
     for (seed, expected) in recorded {
-        let mut net = Net::new(20, Protocol::default(), seed);
+        let mut net = Net::new(20, ProtocolConfig::default(), seed);
         net.loss = 0.15;
         net.coded = true;
         net.run(Timestamp::from_micros(30 * S));
         net.crash(7);
         net.stopped[4] = true;
-        net.parted = Some((0..20).map(|i| i >= 14).collect());
+        net.partition = Some((0..20).map(|i| i >= 14).collect());
         net.run(Timestamp::from_micros(90 * S));
-        net.parted = None;
+        net.partition = None;
         net.resume(4);
         net.start(7);
         if let Some(node) = &mut net.nodes[6] {
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -12,7 +12,7 @@
 use crate::proto::events::ListEvent;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult};
-use sprucelink_membership::facts::Facts;
+use sprucelink_membership::GossipPayload;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
 use sprucelink_startup::config::StartupConfig;
@@ -110,8 +110,8 @@
     }
 
     /// What is gossiped as of now; `None` where nothing is counted.
-    pub fn gossip_facts(&self) -> Option<Facts> {
-        self.coordinator.borrow_mut().gossip_facts()
+    pub fn gossip_payload(&self) -> Option<GossipPayload> {
+        self.coordinator.borrow_mut().gossip_payload()
     }
 
     /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to this
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -5,7 +5,7 @@
 use crate::core::gossip_facts::{GossipFacts, GossipWindows};
 use crate::core::policy_driver::PolicyEvent;
 use crate::core::zone_routing::{unresponsive_engines, Observer, ZoneRouting};
-use sprucelink_membership::facts::Facts;
+use sprucelink_membership::GossipPayload;
 
 impl Coordinator {
     /// The view of the fleet has changed.
@@ -40,10 +40,10 @@
     }
 
     /// What is gossiped as of now; `None` where nothing is counted.
-    pub(in crate::core) fn gossip_facts(&mut self) -> Option<Facts> {
+    pub(in crate::core) fn gossip_payload(&mut self) -> Option<GossipPayload> {
         let views = self.policy.engine_views();
         let unresponsive = unresponsive_engines(self.zone_routing.as_ref(), &self.engines, &views);
-        self.gossip.as_mut().map(|gossip| gossip.facts(now(), unresponsive))
+        self.gossip.as_mut().map(|gossip| gossip.payload(now(), unresponsive))
     }
 
     /// Counts an attempt for gossip, where that is on.
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,7 +1,7 @@
 //! What this manager gossips of itself: requests and retries of late, engines that it cannot reach, work that it sent to
 //! engines that are warming up. It counts; `sprucelink_membership` decides.
 
-use sprucelink_membership::facts::{named, Facts};
+use sprucelink_membership::{engine_hash, GossipPayload, WarmupWork};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -87,7 +87,7 @@
             push_bounded(&mut self.retries, now);
         }
         if started_at_ms > 0 && now - Timestamp::from_millis(started_at_ms) < self.windows.warm_up {
-            let attempt = WarmUpAttempt { sent_at: now, engine: named(engine), cost_ms };
+            let attempt = WarmUpAttempt { sent_at: now, engine: engine_hash(engine), cost_ms };
             push_bounded(&mut self.warm_up_attempts, attempt);
         }
     }
@@ -95,28 +95,29 @@
     /// Notes that a connection to an engine came up or failed.
     pub(super) fn record_connection(&mut self, now: Timestamp, engine: &str, is_up: bool) {
         if is_up {
-            self.unreachable.remove(&named(engine));
+            self.unreachable.remove(&engine_hash(engine));
         } else if self.unreachable.len() < MAX_UNREACHABLE {
-            self.unreachable.insert(named(engine), now);
+            self.unreachable.insert(engine_hash(engine), now);
         }
     }
 
-    /// The summary as of now. `unresponsive`: engines that keep silent, besides those to which no connection came up.
+    /// The payload as of now. `unresponsive`: engines that keep silent, besides those to which no connection came up.
     /// The version is set by the membership.
-    pub(super) fn facts(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> Facts {
-        let taken = count_recent(&mut self.requests, now, self.windows.retry_budget);
-        let spent = count_recent(&mut self.retries, now, self.windows.retry_budget);
-        let cold = self.warm_up_work(now);
+    pub(super) fn payload(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> GossipPayload {
+        let admitted_requests = count_recent(&mut self.requests, now, self.windows.retry_budget);
+        let retries = count_recent(&mut self.retries, now, self.windows.retry_budget);
+        let warmup_work = self.warm_up_work(now);
         self.unreachable.retain(|_, failed_at| now - *failed_at <= UNREACHABLE_FOR);
         let unreachable: BTreeSet<u64> = self.unreachable.keys().copied().chain(unresponsive).collect();
-        let unreachable = unreachable.into_iter().collect();
-        let mut facts = Facts { version: 0, taken, spent, unreachable, cold };
-        facts.bound();
-        facts
+        let unreachable_engines = unreachable.into_iter().collect();
+        let mut payload =
+            GossipPayload { version: 0, admitted_requests, retries, unreachable_engines, warmup_work };
+        payload.truncate();
+        payload
     }
 
     /// Work that was sent to each engine that is warming up, in whole milliseconds.
-    fn warm_up_work(&mut self, now: Timestamp) -> Vec<(u64, u32)> {
+    fn warm_up_work(&mut self, now: Timestamp) -> Vec<WarmupWork> {
         let window = self.windows.warm_up_budget;
         while self.warm_up_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
             self.warm_up_attempts.pop_front();
@@ -126,7 +127,7 @@
             *by_engine.entry(attempt.engine).or_default() += attempt.cost_ms;
         }
         let whole_ms = |ms: f64| ms.clamp(0.0, f64::from(u32::MAX)) as u32;
-        by_engine.into_iter().map(|(engine, ms)| (engine, whole_ms(ms))).collect()
+        by_engine.into_iter().map(|(engine, ms)| WarmupWork { engine, work_ms: whole_ms(ms) }).collect()
     }
 }
 
--- a/src/core/gossip_facts/tests.rs
+++ b/src/core/gossip_facts/tests.rs
@@ -20,15 +20,18 @@
     gossip.record_attempt(at(4), false, "e", 1, 2.5);
     gossip.record_attempt(at(4), false, "warm", 0, 9.0);
     gossip.record_connection(at(1), "x", false);
-    let facts = gossip.facts(at(4), vec![named("x")]);
+    let facts = gossip.payload(at(4), vec![engine_hash("x")]);
     assert_eq!(
-        (facts.taken, facts.spent, facts.cold.clone(), facts.unreachable.len()),
-        (2, 1, vec![(named("e"), 2)], 1)
+        (facts.admitted_requests, facts.retries, facts.warmup_work.clone(), facts.unreachable_engines.len()),
+        (2, 1, vec![WarmupWork { engine: engine_hash("e"), work_ms: 2 }], 1)
+    );
+    let facts = gossip.payload(at(8), Vec::new());
+    assert_eq!(
+        (facts.admitted_requests, facts.retries, facts.warmup_work.len(), facts.unreachable_engines.len()),
+        (1, 0, 0, 1)
     );
-    let facts = gossip.facts(at(8), Vec::new());
-    assert_eq!((facts.taken, facts.spent, facts.cold.len(), facts.unreachable.len()), (1, 0, 0, 1));
     gossip.record_connection(at(8), "x", true);
-    assert!(gossip.facts(at(9), Vec::new()).unreachable.is_empty());
+    assert!(gossip.payload(at(9), Vec::new()).unreachable_engines.is_empty());
     (0..2 * MAX_EVENTS).for_each(|_| gossip.record_request(at(9)));
     assert!(gossip.requests.len() <= MAX_EVENTS);
 }
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -3,7 +3,7 @@
 
 use super::clock::now;
 use super::engine_table::EngineTable;
-use sprucelink_membership::facts::{self, Facts};
+use sprucelink_membership::{engine_hash, GossipPayload};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_zone_failover::silence::{self, Heard, Silences, Voice};
@@ -24,7 +24,7 @@
     /// It is alive.
     pub here: bool,
     /// Its gossip, where some is held.
-    pub facts: Option<Facts>,
+    pub payload: Option<GossipPayload>,
 }
 
 /// Failover between zones.
@@ -170,11 +170,11 @@
         sum.inside += 1;
         sum.inside_here += u32::from(observer.here);
     }
-    let Some(facts) = observer.facts.as_ref().filter(|_| observer.here) else { return };
+    let Some(payload) = observer.payload.as_ref().filter(|_| observer.here) else { return };
     for sum in zones.values_mut().filter(|sum| Some(sum.zone) != own_zone) {
         let engines = engines_by_zone.get(&sum.zone);
         let is_in_zone = |engine: &&u64| engines.is_some_and(|engines| engines.contains(engine));
-        let unreachable = facts.unreachable.iter().filter(is_in_zone).count();
+        let unreachable = payload.unreachable_engines.iter().filter(is_in_zone).count();
         sum.observers += 1;
         sum.unreachable_to += u32::from(sum.engines > 0 && unreachable * 2 >= sum.engines as usize);
     }
@@ -195,7 +195,7 @@
 
 /// An engine's id as managers name it to each other.
 fn gossip_name(engines: &EngineTable, view: &EngineView) -> Option<u64> {
-    engines.get(view.engine as usize).map(|engine| facts::named(&engine.id))
+    engines.get(view.engine as usize).map(|engine| engine_hash(&engine.id))
 }
 
 /// What is known of whether an engine answers.
--- a/src/main.rs
+++ b/src/main.rs
@@ -39,7 +39,7 @@
         set.map_err(|e| format!("{path}: {e}"))
     });
     let membership = files.membership.as_ref().map(|path| {
-        let set = sprucelink_membership::terms::Settings::parse(&text(path)?);
+        let set = sprucelink_membership::MembershipConfig::parse(&text(path)?);
         set.map_err(|e| format!("{path}: {e}"))
     });
     let failover = files.failover.as_ref().map(|path| {
--- a/src/run/commands.rs
+++ b/src/run/commands.rs
@@ -379,7 +379,7 @@
 /// # Errors
 /// Where nobody answers.
 pub fn members(at: std::net::SocketAddr, as_json: bool) -> Result<(), String> {
-    let all = sprucelink_membership::ask::view(at).map_err(|e| format!("{at}: {e}"))?;
+    let all = sprucelink_membership::query_members(at).map_err(|e| format!("{at}: {e}"))?;
     if !as_json {
         println!(
             "{:<20} {:<8} {:<22} {:<10} {:<10} {:>14} {:>5}",
@@ -390,7 +390,7 @@
         let state = format!("{:?}", m.state).to_lowercase();
         if as_json {
             let (name, address, zone, region) = (m.name, m.address.to_string(), m.zone, m.region);
-            let (life, incarnation) = (m.life, m.incarnation);
+            let (life, incarnation) = (m.generation, m.incarnation);
             println!(
                 "{}",
                 serde_json::json!({"member": name, "state": state, "address": address, "zone": zone,
@@ -400,7 +400,7 @@
             let address = m.address.to_string();
             println!(
                 "{:<20} {state:<8} {address:<22} {:<10} {:<10} {:>14} {:>5}",
-                m.name, m.zone, m.region, m.life, m.incarnation
+                m.name, m.zone, m.region, m.generation, m.incarnation
             );
         }
     }
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -3,10 +3,10 @@
 
 use crate::core::zone_routing::Observer;
 use crate::core::{now, to_duration, Core, GossipWindows};
-use sprucelink_membership::codec::{self, MOST_DATAGRAM};
-use sprucelink_membership::pool::{self, Ration};
-use sprucelink_membership::swim::{Me, Swim, What};
-use sprucelink_membership::terms::Settings;
+use sprucelink_membership::{
+    budget_divisor, decode, encode, spare_retries, LocalMember, Member, MembershipConfig,
+    MembershipEventKind, OutgoingMessage, RetryBudget, SwimNode, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES,
+};
 use sprucelink_policy::{AttemptBudget, TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
 /// Where the address cannot be listened on: the start fails.
 pub async fn keep(
     core: Rc<Core>,
-    set: Settings,
+    set: MembershipConfig,
     name: &str,
     seed: u64,
     told: Told,
@@ -59,13 +59,14 @@
         UdpSocket::bind(&set.listen).await.map_err(|e| format!("membership on {}: {e}", set.listen))?;
     let at = socket.local_addr().map_err(|e| format!("membership: {e}"))?;
     let address = set.advertise.as_ref().and_then(|a| a.parse().ok()).unwrap_or(at);
-    let name = if name.is_empty() { address.to_string() } else { name.chars().take(32).collect() };
+    let name =
+        if name.is_empty() { address.to_string() } else { name.chars().take(MAX_NAME_BYTES).collect() };
     // Two lives of one name differ by their start; the clock's milliseconds tell them apart.
-    let life = (now().as_millis()).max(1) as u64;
-    let me = Me { name, life, address, zone: set.zone.clone(), region: set.region.clone() };
+    let generation = (now().as_millis()).max(1) as u64;
+    let me = LocalMember { name, generation, address, zone: set.zone.clone(), region: set.region.clone() };
     let seeds = set.seeds.iter().filter_map(|s| s.parse().ok()).collect();
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
-    let swim = Swim::new(me, seeds, set.protocol, seed, now());
+    let swim = SwimNode::new(me, seeds, set.protocol, seed, now());
     core.enable_gossip(GossipWindows {
         retry_budget: told.ration.map_or(RATION_SPAN, |r| r.span),
         warm_up_budget: told.cold_span,
@@ -105,9 +106,9 @@
 
 struct Keeper {
     core: Rc<Core>,
-    set: Settings,
+    set: MembershipConfig,
     told: Told,
-    swim: Swim,
+    swim: SwimNode,
     socket: UdpSocket,
     next_facts: Timestamp,
     next_figures: Timestamp,
@@ -117,9 +118,9 @@
 
 impl Keeper {
     async fn run(mut self, mut leaving: tokio::sync::oneshot::Receiver<()>) {
-        let mut bytes = [0u8; MOST_DATAGRAM + 1];
+        let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.swim.due().min(self.next_facts);
+            let due = self.swim.next_deadline().min(self.next_facts);
             let rest = to_duration(due - now()).max(LEAST_REST);
             tokio::select! {
                 () = sleep(rest) => {}
@@ -141,7 +142,7 @@
     fn took(&mut self, mut got: std::io::Result<(usize, SocketAddr)>, bytes: &mut [u8]) {
         for _ in 0..IN_A_TURN {
             match got {
-                Ok((n, from)) => match codec::read(&bytes[..n]) {
+                Ok((n, from)) => match decode(&bytes[..n]) {
                     Ok(message) => self.swim.receive(now(), message),
                     Err(e) if self.complaints < MOST_COMPLAINTS => {
                         self.complaints += 1;
@@ -160,8 +161,8 @@
     }
 
     async fn send(&mut self) {
-        for (to, message) in self.swim.outbox() {
-            let (bytes, _) = codec::write(&message);
+        for OutgoingMessage { to, message } in self.swim.take_outbox() {
+            let bytes = encode(&message).bytes;
             // A datagram that cannot be sent is one that was lost.
             let _ = self.socket.send_to(&bytes, to).await;
         }
@@ -172,30 +173,35 @@
         if now() < self.next_facts {
             return;
         }
-        let size = self.swim.size();
+        let size = self.swim.live_count();
         let crowd = CROWD_MS * size.saturating_sub(CROWD) as f64;
-        self.next_facts = now() + TimeDelta::from_secs_f64((self.set.share.every_ms + crowd) / 1e3);
-        if let Some(facts) = self.core.gossip_facts() {
-            self.swim.set_facts(facts);
+        self.next_facts =
+            now() + TimeDelta::from_secs_f64((self.set.share.payload_interval_ms + crowd) / 1e3);
+        if let Some(facts) = self.core.gossip_payload() {
+            self.swim.set_payload(facts);
         }
-        let board = self.swim.board();
-        let observer = |m: &codec::Member| Observer {
+        let payloads = self.swim.payloads();
+        let observer = |m: &Member| Observer {
             zone: m.zone.clone(),
-            here: matches!(m.state, codec::State::Alive | codec::State::Suspect),
-            facts: board.get(&m.name).map(|f| f.1.clone()),
+            here: m.state.is_live(),
+            payload: payloads.get(&m.name).map(|held| held.payload.clone()),
         };
-        self.core.set_observers(|| self.swim.all().map(observer).collect());
-        if !self.set.share.ration && !self.set.share.parts {
+        self.core.set_observers(|| self.swim.members().map(observer).collect());
+        if !self.set.share.pool_retry_budgets && !self.set.share.divide_by_live_members {
             return;
         }
         let told = self.told.gateways;
-        let gateways = if self.set.share.parts { pool::parted_among(size, told) } else { told };
-        let spare = match self.told.ration.filter(|_| self.set.share.ration) {
+        let gateways = if self.set.share.divide_by_live_members { budget_divisor(size, told) } else { told };
+        let spare = match self.told.ration.filter(|_| self.set.share.pool_retry_budgets) {
             Some(r) => {
-                let board = self.swim.board();
-                let others: Vec<_> =
-                    self.swim.here().filter_map(|m| board.get(&m.name)).map(|f| f.1).collect();
-                pool::spare_attempts(Ration { free: r.free, share: r.share }, &others, size)
+                let payloads = self.swim.payloads();
+                let others: Vec<_> = self
+                    .swim
+                    .live_members()
+                    .filter_map(|m| payloads.get(&m.name))
+                    .map(|held| &held.payload)
+                    .collect();
+                spare_retries(RetryBudget { min_retries: r.free, retry_ratio: r.share }, &others, size)
             }
             None => 0.0,
         };
@@ -206,18 +212,18 @@
     }
 
     fn say(&mut self) {
-        let here = self.swim.size();
-        for c in self.swim.changes() {
-            let what = match c.what {
-                What::Joined => "joined",
-                What::Restarted => "restarted",
-                What::Suspected => "suspected",
-                What::Refuted => "refuted",
-                What::Died => "died",
-                What::Left => "left",
-                What::Superseded => "superseded: a later process has this manager's name",
+        let here = self.swim.live_count();
+        for c in self.swim.take_events() {
+            let what = match c.kind {
+                MembershipEventKind::Joined => "joined",
+                MembershipEventKind::Restarted => "restarted",
+                MembershipEventKind::Suspected => "suspected",
+                MembershipEventKind::Refuted => "refuted",
+                MembershipEventKind::Died => "died",
+                MembershipEventKind::Left => "left",
+                MembershipEventKind::Superseded => "superseded: a later process has this manager's name",
             };
-            info!(member = %c.name, what, by = %c.by, here, "fleet: {} {what}, by {}, {here} here", c.name, c.by);
+            info!(member = %c.member, what, by = %c.reported_by, here, "fleet: {} {what}, by {}, {here} here", c.member, c.reported_by);
         }
         if now() >= self.next_figures {
             (self.next_figures, self.complaints) = (now() + FIGURES, 0);
@@ -231,8 +237,8 @@
                 c.received,
                 c.suspicions,
                 c.refutations,
-                self.swim.health(),
-                c.stopped
+                self.swim.local_health(),
+                c.stops
             );
         }
     }
--- a/src/run/serve.rs
+++ b/src/run/serve.rs
@@ -13,7 +13,7 @@
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings;
 use sprucelink_hot_restart::WindowSpans;
-use sprucelink_membership::terms::Settings as Membership;
+use sprucelink_membership::MembershipConfig as Membership;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
 use sprucelink_startup::config::StartupConfig;
