--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -11,10 +11,15 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
+/// Whether the golden files are written anew, from another program.
+pub fn is_writing() -> bool {
+    ["GOLDEN_WRITE", "SPRUCELINK_PROGRAM"].iter().all(|name| std::env::var_os(name).is_some())
+}
+
 /// Holds a text to a golden file, line by line. Called once a test.
 pub fn hold(name: &str, got: &str) {
     let path = path(name);
-    if std::env::var_os("GOLDEN_WRITE").is_some() && std::env::var_os("SPRUCELINK_PROGRAM").is_some() {
+    if is_writing() {
         std::fs::write(&path, got).expect("written");
         panic!("tests/golden/{name} was written anew and nothing was checked");
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -86,6 +86,11 @@
         seen.iter().filter(|s| s.parts[0] == word).cloned().collect()
     }
 
+    /// All commands that it saw, in order.
+    pub fn all_seen(&self) -> Vec<Seen> {
+        self.seen.lock().expect("unpoisoned").clone()
+    }
+
     /// Waits until it has seen so many of a word.
     pub fn wait_for(&self, word: &str, n: usize) -> Vec<Seen> {
         until(|| Some(self.seen(word)).filter(|s| s.len() >= n))
