--- a/src/run/commands/check.rs
+++ b/src/run/commands/check.rs
@@ -3,7 +3,7 @@
 use crate::run::second_front::SecondFrontConfig;
 use crate::run::serve::ServerConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::terms::Settings as MembershipSettings;
+use sprucelink_membership::MembershipConfig as MembershipSettings;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::config::FailoverConfig;
 
