--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -7,7 +7,7 @@
 use super::serve::ServerConfig;
 use super::socket_activation::{self, SocketActivationError};
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::terms::Settings as MembershipSettings;
+use sprucelink_membership::MembershipConfig as MembershipSettings;
 use sprucelink_settings::{Environment, SettingsFile};
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::config::FailoverConfig;
