--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -1,5 +1,6 @@
 //! The accept loop of a front, which keeps the number of open descriptors within its bound.
 
+use super::connection_slots::EvictionScope;
 use super::Front;
 use crate::core::now;
 use sprucelink_time::{TimeDelta, Timestamp};
@@ -79,8 +80,9 @@
         // The connections that were accepted last have a turn first.
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
         self.sessionless.evict_one();
-        if !self.slots.evict_one(false) && self.slots.time_until_evictable().is_none() {
-            self.slots.evict_one(true);
+        if !self.slots.evict_one(EvictionScope::WithoutRequest) && self.slots.time_until_evictable().is_none()
+        {
+            self.slots.evict_one(EvictionScope::WithoutOpenRequest);
         }
     }
 }
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -3,11 +3,11 @@
 use super::accept::OpenConnection;
 use super::client_connection::{ClientConnection, LingerTimeouts};
 use super::client_error::too_many_sessions;
-use super::connection_slots::ConnectionSlot;
+use super::connection_slots::{ConnectionSlot, EvictionScope};
 use super::count_guard::CountGuard;
 use super::session;
 use super::sessionless::{ConnectionGuard, SessionlessConnection, SessionlessPhase};
-use super::startup::{SessionStart, StartupOutcome};
+use super::startup::{SessionStart, StartupOutcome, Transport};
 use super::Front;
 use crate::core::{now, to_duration};
 use crate::proto::pg::{self, ErrorResponse};
@@ -42,16 +42,16 @@
         let mut connection = self.buffered(socket);
         // A CancelRequest needs no slot, and must get through when all are in use: so the first packet of a connection
         // is read even if there is no slot for it.
-        let slot = self.slots.acquire(false);
+        let slot = self.slots.acquire(EvictionScope::WithoutRequest);
         let guard =
             slot.map_or_else(|| self.enter_sessionless(SessionlessPhase::Handshaking), ConnectionGuard::Slot);
-        match self.start(&mut connection, &guard, false).await {
+        match self.start(&mut connection, &guard, Transport::Plain).await {
             StartupOutcome::StartTls(acceptor) => {
                 let Some(stream) = accept_tls(&acceptor, connection.into_stream(), &guard).await else {
                     return;
                 };
                 let mut connection = self.buffered(stream);
-                let outcome = self.start(&mut connection, &guard, true).await;
+                let outcome = self.start(&mut connection, &guard, Transport::Tls).await;
                 self.finish_startup(connection, outcome, guard).await;
             }
             outcome => self.finish_startup(connection, outcome, guard).await,
@@ -111,7 +111,7 @@
         let deadline = now() + SLOT_WAIT;
         loop {
             let released = self.slots.released();
-            if let Some(slot) = self.slots.acquire(false) {
+            if let Some(slot) = self.slots.acquire(EvictionScope::WithoutRequest) {
                 return Some(slot);
             }
             if sessionless.is_evicted() {
@@ -121,7 +121,7 @@
             let remaining = deadline - now();
             let is_hopeless = evictable_in.is_none() && !self.slots.is_at_hard_limit();
             if remaining <= TimeDelta::ZERO || is_hopeless {
-                return self.slots.acquire(true);
+                return self.slots.acquire(EvictionScope::WithoutOpenRequest);
             }
             let wait = evictable_in.map_or(remaining, |evictable_in| evictable_in.min(remaining));
             tokio::select! {
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -21,6 +21,15 @@
 /// message: what it sends next is probably on its way.
 const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
+/// Which connections may be evicted for another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EvictionScope {
+    /// Those of which no request has been admitted.
+    WithoutRequest,
+    /// Also sessions of which requests have been admitted, if none is open.
+    WithoutOpenRequest,
+}
+
 /// What a connection that holds a slot is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlotActivity {
@@ -62,9 +71,9 @@
         self.evicted.notify_one();
     }
 
-    /// Whether the connection can be evicted now; one that has sent requests only if `may_evict_served`, an idle
-    /// session only if `may_evict_idle`.
-    fn is_evictable(&self, may_evict_served: bool, may_evict_idle: bool) -> bool {
+    /// Whether the connection can be evicted now; a session only if `may_evict_idle`.
+    fn is_evictable(&self, scope: EvictionScope, may_evict_idle: bool) -> bool {
+        let may_evict_served = scope == EvictionScope::WithoutOpenRequest;
         let in_grace = now() - self.since.get() <= EVICTION_GRACE;
         match self.activity.get() {
             _ if self.is_evicted.get() => false,
@@ -136,13 +145,13 @@
     }
 
     /// Acquires a slot, evicting another connection if need be; `None` if none can be evicted or too many evicted
-    /// connections are still open. Sessions that have sent requests are evicted only if `may_evict_served`.
-    pub fn acquire(self: &Rc<Self>, may_evict_served: bool) -> Option<ConnectionSlot> {
+    /// connections are still open.
+    pub fn acquire(self: &Rc<Self>, scope: EvictionScope) -> Option<ConnectionSlot> {
         // An evicted session completes the request it has begun, and holds its descriptor until then.
         if self.is_at_hard_limit() {
             return None;
         }
-        if self.retained() >= self.max_slots && !self.evict_one(may_evict_served) {
+        if self.retained() >= self.max_slots && !self.evict_one(scope) {
             return None;
         }
         let number = self.next_number.get();
@@ -162,13 +171,12 @@
         self.released.notified()
     }
 
-    /// Evicts the best candidate; false if there is none. Sessions that have sent requests are candidates only if
-    /// `may_evict_served`.
-    pub fn evict_one(&self, may_evict_served: bool) -> bool {
+    /// Evicts the best candidate; false if there is none.
+    pub fn evict_one(&self, scope: EvictionScope) -> bool {
         let states = self.states.borrow();
         let candidate = states
             .values()
-            .filter(|state| state.is_evictable(may_evict_served, self.may_evict_idle))
+            .filter(|state| state.is_evictable(scope, self.may_evict_idle))
             .min_by_key(|state| (state.eviction_rank(), state.since.get()));
         candidate.inspect(|state| state.evict()).is_some()
     }
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -27,6 +27,15 @@
     pub parameters: Vec<(String, String)>,
 }
 
+/// How the packets of a connection are transported.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Transport {
+    /// Without encryption.
+    Plain,
+    /// Within TLS.
+    Tls,
+}
+
 /// What follows the packets before a session.
 pub(super) enum StartupOutcome {
     /// A session.
@@ -49,12 +58,12 @@
         &self,
         connection: &mut ClientConnection<S>,
         guard: &ConnectionGuard,
-        is_encrypted: bool,
+        transport: Transport,
     ) -> StartupOutcome {
         let rejection = || guard.is_sessionless().then(too_many_sessions);
         tokio::select! {
             biased;
-            outcome = timeout(STARTUP_TIMEOUT, self.read_startup(connection, is_encrypted)) => match outcome {
+            outcome = timeout(STARTUP_TIMEOUT, self.read_startup(connection, transport)) => match outcome {
                 Ok(Ok(outcome)) => outcome,
                 Ok(Err(_)) => StartupOutcome::Close(None),
                 Err(_) => {
@@ -69,7 +78,7 @@
     async fn read_startup<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
-        is_encrypted: bool,
+        transport: Transport,
     ) -> io::Result<StartupOutcome> {
         loop {
             let opening = match pg::read_opening(connection.input()) {
@@ -87,7 +96,7 @@
             };
             let acceptor = self.tls.borrow().clone();
             match (opening, acceptor) {
-                (Opening::Ssl, Some(acceptor)) if !is_encrypted => {
+                (Opening::Ssl, Some(acceptor)) if transport == Transport::Plain => {
                     return agree_to_tls(connection, acceptor).await;
                 }
                 (Opening::Ssl | Opening::Gssenc, _) => {
@@ -98,7 +107,9 @@
                     self.request_cancel(session, secret);
                     return Ok(StartupOutcome::Close(None));
                 }
-                (Opening::Startup { .. }, acceptor) if self.config.require_tls && !is_encrypted => {
+                (Opening::Startup { .. }, acceptor)
+                    if self.config.require_tls && transport == Transport::Plain =>
+                {
                     return Ok(StartupOutcome::reject(tls_required(acceptor.is_some())));
                 }
                 (Opening::Startup { minor, parameters }, _) => {
