--- a/crates/capture/benches/capture.rs
+++ b/crates/capture/benches/capture.rs
@@ -8,7 +8,7 @@
 use common::{recorder_settings, Day, Memory, START};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use sprucelink_capture::replay::{segment, Play};
-use sprucelink_policy::Micros;
+use sprucelink_policy::TimeDelta;
 
 fn checkpoint(c: &mut Criterion) {
     let mut group = c.benchmark_group("checkpoint");
@@ -39,13 +39,13 @@
     let records: usize = all.segments.iter().map(|s| s.records.len()).sum();
     println!(
         "{records} records of {} s in {} bytes, {arrived} still open",
-        span.secs(),
+        span.as_secs_f64(),
         memory.bytes().len()
     );
     let mut group = c.benchmark_group("replay");
     group.sample_size(20);
     group.throughput(Throughput::Elements(records as u64));
-    assert!(span > Micros(0));
+    assert!(span > TimeDelta::ZERO);
     group.bench_function("30 s at 110 requests a second", |b| {
         b.iter(|| {
             for s in &all.segments {
--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -76,7 +76,7 @@
     let mut views = seg.module()?.engines();
     let mut sent: BTreeMap<(u64, u32), u32> = BTreeMap::new();
     let mut sends: BTreeMap<u64, u32> = BTreeMap::new();
-    let mut since: BTreeMap<u32, Micros> = BTreeMap::new();
+    let mut since: BTreeMap<u32, Timestamp> = BTreeMap::new();
     for open in seg.module()?.open() {
         sends.insert(open.id.0, open.attempts);
         open.out.into_iter().for_each(|(n, e)| _ = sent.insert((open.id.0, n), e.0));
@@ -84,7 +84,7 @@
     let mut waiting = 0;
     segment(seg, &Play::default(), &mut |step| {
         let now = step.record.at;
-        let passed = (now - last).secs().max(0.0);
+        let passed = (now - last).as_secs_f64().max(0.0);
         last = now;
         let lone = |v: &sprucelink_policy::diagnostics::EngineView| {
             v.listed && !v.distrusted && v.flying == 0 && v.utilisation > BUSY
@@ -112,7 +112,7 @@
                     *slot = (slot.0 + 1, slot.1 + error, slot.2 + error.abs());
                 }
                 if let Some(from) = since.remove(&before.engine) {
-                    sums.spells.push(((now - from).secs(), before.utilisation, reported));
+                    sums.spells.push(((now - from).as_secs_f64(), before.utilisation, reported));
                 }
             }
         }
--- a/crates/capture/examples/cost.rs
+++ b/crates/capture/examples/cost.rs
@@ -10,12 +10,12 @@
 use sprucelink_capture::settings::{Answers, Settings};
 use sprucelink_capture::wire::Told;
 use sprucelink_policy::Policy;
-use sprucelink_policy::{Event, Micros};
+use sprucelink_policy::{Event, Timestamp};
 use std::time::Instant;
 
 const PAIRS: usize = 200;
 
-fn feed(module: &Policy, events: &[(Micros, Event)], recorder: &mut Option<Recorder>) -> f64 {
+fn feed(module: &Policy, events: &[(Timestamp, Event)], recorder: &mut Option<Recorder>) -> f64 {
     let (mut brain, mut out) = (module.clone(), Vec::new());
     let began = Instant::now();
     for (at, event) in events {
@@ -50,7 +50,7 @@
             Told::Event(event) => Some((r.at, event.clone())),
             Told::Numbered { .. } => None,
         };
-        let events: Vec<(Micros, Event)> = seg.records.iter().filter_map(told).collect();
+        let events: Vec<(Timestamp, Event)> = seg.records.iter().filter_map(told).collect();
         for answers in [Answers::Whole, Answers::Digest] {
             let (mut alone, mut with) = (Vec::new(), Vec::new());
             for _ in 0..PAIRS {
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -5,17 +5,17 @@
 use crate::replay::{segment, Play, Treatment};
 use crate::rules::{Checker, Rule};
 use crate::wire::Told;
-use sprucelink_policy::{Action, Micros};
+use sprucelink_policy::{Action, TimeDelta, Timestamp};
 
 /// What to cut.
 #[derive(Clone, Debug)]
 pub struct Cut {
     /// The moment.
-    pub around: Micros,
+    pub around: Timestamp,
     /// So much before it.
-    pub before: Micros,
+    pub before: TimeDelta,
     /// So much after it.
-    pub after: Micros,
+    pub after: TimeDelta,
     /// What must hold.
     pub holds: Vec<Rule>,
     /// What the case shows, in words.
@@ -43,7 +43,7 @@
                 state = rmp_serde::to_vec_named(step.module).map_err(|e| failed = Some(e.to_string())).ok();
             }
         };
-        let before = Play { until: Some(from - Micros(1)), ..Play::default() };
+        let before = Play { until: Some(from - TimeDelta::from_micros(1)), ..Play::default() };
         let seen = segment(seg, &before, &mut hear)?;
         if let Some(first) = seen.first {
             let told = "the module parts from the record before that moment, at record";
@@ -121,7 +121,7 @@
     let seen = segment(case, &Play { treatment: Treatment::Matched, ..Play::default() }, &mut hear)?;
     let mut breaches = checker.finish(case.until());
     if let Some((record, why)) = seen.panicked {
-        let at_us = case.records.get(record).map_or(0, |r| r.at.0);
+        let at_us = case.records.get(record).map_or(0, |r| r.at.as_micros());
         let why = format!("the module panicked at record {record}: {why}");
         breaches.push(crate::rules::Breach { rule: "\"no panic\"".into(), at_us, why });
     }
--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -20,7 +20,7 @@
     /// The story of an engine, by its id on the feed or, with `#` before it, by its number.
     Engine(String),
     /// What was believed at a moment, and what was told just around it.
-    At(Micros),
+    At(Timestamp),
 }
 
 /// One line of a story.
@@ -35,7 +35,7 @@
 }
 
 /// Told of around a moment: so much on either side.
-const AROUND: Micros = Micros(50_000);
+const AROUND: TimeDelta = TimeDelta::from_micros(50_000);
 /// A change of believed utilisation, in threads a core, that is worth a line of its own.
 const SHIFT: f64 = 0.25;
 
@@ -91,7 +91,11 @@
                  replay's, not the day's",
                 first.record, seg.head.segment
             );
-            story.line(Micros(first.at_us), text, json!({"kind": "diverged", "first": first}));
+            story.line(
+                Timestamp::from_micros(first.at_us),
+                text,
+                json!({"kind": "diverged", "first": first}),
+            );
         }
         if let Some((record, why)) = seen.panicked {
             let at = seg.records.get(record).map_or(seg.at, |r| r.at);
@@ -237,9 +241,9 @@
 }
 
 impl Story<'_> {
-    fn line(&mut self, at: Micros, text: String, data: Value) {
+    fn line(&mut self, at: Timestamp, text: String, data: Value) {
         self.lines += 1;
-        (self.hear)(Line { at_us: at.0, text, data });
+        (self.hear)(Line { at_us: at.as_micros(), text, data });
     }
 
     fn begin(&mut self, seg: &Segment) -> Result<(), String> {
@@ -310,10 +314,10 @@
                 grant_mb.map_or("memory as the engine chooses".into(), |mb| format!("{mb:.0} MB"))
             ),
             Action::Refuse { retry_after, .. } => {
-                format!("refused, come back in {} s", figure(retry_after.map(Micros::secs)))
+                format!("refused, come back in {} s", figure(retry_after.map(TimeDelta::as_secs_f64)))
             }
             Action::Fail { retry_after, .. } => {
-                format!("failed, come back in {} s", figure(retry_after.map(Micros::secs)))
+                format!("failed, come back in {} s", figure(retry_after.map(TimeDelta::as_secs_f64)))
             }
             Action::Why(why) => reason(why, &self.engines),
             other => format!("{other:?}"),
@@ -327,7 +331,7 @@
                 a.class.0,
                 a.tenant,
                 a.tables,
-                a.time_left.secs(),
+                a.time_left.as_secs_f64(),
                 figure(a.cost),
                 figure(a.memory_mb)
             ),
@@ -340,7 +344,7 @@
                 });
                 format!(
                     "attempt {attempt} on {at} ended {outcome:?} after {:.3} s{needed}; {}{}",
-                    latency.secs(),
+                    latency.as_secs_f64(),
                     told_of(report),
                     if *complete { "; the request is over" } else { "" }
                 )
@@ -434,7 +438,7 @@
         self.told_utilisation = view.utilisation;
     }
 
-    fn moment(&mut self, at: Micros, step: &Step) {
+    fn moment(&mut self, at: Timestamp, step: &Step) {
         let now = step.record.at;
         if now >= at && !std::mem::replace(&mut self.moment_told, true) {
             let all = step.module.overview();
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -7,7 +7,7 @@
 use crate::wire::{action_in, told_in, Told};
 use prost::Message;
 use sprucelink_policy::Policy;
-use sprucelink_policy::{Action, Micros};
+use sprucelink_policy::{Action, Timestamp};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// When the module was told.
-    pub at: Micros,
+    pub at: Timestamp,
     /// What.
     pub told: Told,
     /// What it answered.
@@ -70,7 +70,7 @@
     /// Its head.
     pub head: pb::Head,
     /// When its checkpoint was taken.
-    pub at: Micros,
+    pub at: Timestamp,
     /// The module's state then, in MessagePack.
     pub state: Vec<u8>,
     /// Engines as numbered then.
@@ -89,7 +89,7 @@
     }
 
     /// The time of its last record, or of its checkpoint.
-    pub fn until(&self) -> Micros {
+    pub fn until(&self) -> Timestamp {
         self.records.last().map_or(self.at, |r| r.at)
     }
 
@@ -271,7 +271,7 @@
                 file: path.to_owned(),
                 offset: open.offset,
                 head: open.head.clone(),
-                at: Micros(point.at_us),
+                at: Timestamp::from_micros(point.at_us),
                 state: point.state,
                 engines: point.engines.into_iter().map(|e| (e.id, e.number)).collect(),
                 records: Vec::new(),
@@ -284,7 +284,7 @@
             let Some(segment) = &mut open.segment else { return Err(bad("records without a checkpoint")) };
             let block = pb::Block::decode(&plain(body)?[..]).map_err(bad)?;
             for record in block.records {
-                let at = Micros(segment.until().0.saturating_add(record.after_us));
+                let at = Timestamp::from_micros(segment.until().as_micros().saturating_add(record.after_us));
                 segment.records.push(one(record, at, segment.head.whole_answers)?);
             }
         }
@@ -304,7 +304,7 @@
     Ok(())
 }
 
-fn one(record: pb::Record, at: Micros, whole: bool) -> Result<Record, Fault> {
+fn one(record: pb::Record, at: Timestamp, whole: bool) -> Result<Record, Fault> {
     let told = told_in(record.what.ok_or_else(|| bad("a record of nothing"))?).map_err(bad)?;
     let answer = if record.unanswered {
         Answer::None
@@ -328,7 +328,7 @@
     let number =
         |(id, number): &(String, u32)| pb::Numbered { id: id.clone(), number: *number, freed: false };
     let engines = segment.engines.iter().map(number).collect();
-    let point = pb::Checkpoint { at_us: segment.at.0, state: segment.state.clone(), engines };
+    let point = pb::Checkpoint { at_us: segment.at.as_micros(), state: segment.state.clone(), engines };
     frame(Kind::Checkpoint, &pack(point.encode_to_vec())?)?;
     let mut last = segment.at;
     let mut records = Vec::with_capacity(segment.records.len());
@@ -345,7 +345,7 @@
             Answer::Digest(..) => return Err("answers are digests: replay them whole first".into()),
         };
         let count = actions.len() as u32;
-        let after_us = (r.at - last).0;
+        let after_us = (r.at - last).as_micros();
         last = r.at;
         records.push(pb::Record { after_us, what: Some(what), actions, count, digest: 0, unanswered });
     }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -10,7 +10,7 @@
 use crate::wire;
 use prost::Message;
 use sprucelink_policy::Policy;
-use sprucelink_policy::{Action, Event, Micros};
+use sprucelink_policy::{Action, Event, TimeDelta, Timestamp};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -38,7 +38,7 @@
 /// Where a ring's files are kept: a seam, so that tests can make every call fail.
 pub trait Store: Send {
     /// Files of the ring, oldest first: name, bytes, Unix microseconds of the last write.
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Micros)>>;
+    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>>;
     /// Begins a file; what is appended goes to it from now on.
     fn create(&mut self, name: &str) -> io::Result<()>;
     /// Appends to the file begun last.
@@ -62,12 +62,12 @@
     }
 }
 
-fn unix(t: std::time::SystemTime) -> Micros {
-    Micros(t.duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_micros() as i64)
+fn unix(t: std::time::SystemTime) -> Timestamp {
+    Timestamp::from_micros(t.duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_micros() as i64)
 }
 
 impl Store for Folder {
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Micros)>> {
+    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>> {
         let mut all = Vec::new();
         for entry in std::fs::read_dir(&self.dir)? {
             let entry = entry?;
@@ -103,7 +103,7 @@
     /// milliseconds with hundreds of engines.
     Begin {
         name: String,
-        now: Micros,
+        now: Timestamp,
         head: Vec<u8>,
         module: Box<Policy>,
         engines: Vec<pb::Numbered>,
@@ -155,15 +155,15 @@
     ring: Ring,
     answers: Answers,
     queue: u64,
-    flush: Micros,
+    flush: TimeDelta,
     head: pb::Head,
     batch: Vec<u8>,
     events: u64,
-    begun: Micros,
-    last: Micros,
+    begun: Timestamp,
+    last: Timestamp,
     records: u64,
     /// An event that the module has not answered yet.
-    asked: Option<(Micros, pb::record::What)>,
+    asked: Option<(Timestamp, pb::record::What)>,
     /// Used again from record to record.
     actions: Vec<pb::Action>,
     scratch: Vec<u8>,
@@ -173,12 +173,12 @@
 
 impl Recorder {
     /// A recorder into a folder, for a module that started at `born` with `seed`.
-    pub fn start(set: &Settings, seed: u64, born: Micros) -> io::Result<Recorder> {
+    pub fn start(set: &Settings, seed: u64, born: Timestamp) -> io::Result<Recorder> {
         Recorder::with(set, Box::new(Folder::new(&set.dir)), seed, born)
     }
 
     /// The same into any store.
-    pub fn with(set: &Settings, store: Box<dyn Store>, seed: u64, born: Micros) -> io::Result<Recorder> {
+    pub fn with(set: &Settings, store: Box<dyn Store>, seed: u64, born: Timestamp) -> io::Result<Recorder> {
         let (shared, limits) = (Arc::<Shared>::default(), set.limits());
         let (sender, jobs) = sync_channel(SLOTS);
         let theirs = Arc::clone(&shared);
@@ -190,7 +190,7 @@
             build: identity::build(),
             module: identity::module(),
             floats: identity::floats(),
-            born_us: born.0,
+            born_us: born.as_micros(),
             seed,
             whole_answers: set.answers == Answers::Whole,
             ..pb::Head::default()
@@ -199,7 +199,7 @@
             ring: Ring::new(limits, born),
             answers: set.answers,
             queue: set.queue_kb * 1024,
-            flush: Micros(set.flush_ms as i64 * 1000),
+            flush: TimeDelta::from_millis(set.flush_ms as i64),
             head,
             batch: Vec::with_capacity(2 * BLOCK),
             events: 0,
@@ -217,7 +217,7 @@
     /// The module is about to be given an event. `engines` gives the numbers of engines, where a segment begins.
     pub fn asked<'a>(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         brain: &Policy,
         event: &Event,
         engines: impl FnOnce() -> Vec<(&'a str, u32)>,
@@ -244,7 +244,7 @@
     }
 
     /// An engine's id got a number, or gave it back.
-    pub fn numbered(&mut self, now: Micros, id: &str, number: u32, freed: bool) {
+    pub fn numbered(&mut self, now: Timestamp, id: &str, number: u32, freed: bool) {
         let what = pb::record::What::Numbered(pb::Numbered { id: id.to_owned(), number, freed });
         self.put(now, what, Vec::new(), 0, 0, false);
     }
@@ -258,7 +258,7 @@
 
     fn put(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         what: pb::record::What,
         actions: Vec<pb::Action>,
         count: u32,
@@ -268,7 +268,7 @@
         if self.events == 0 {
             self.begun = now;
         }
-        let after_us = (now - self.last).0;
+        let after_us = (now - self.last).as_micros();
         self.last = now;
         let record = pb::Record { after_us, what: Some(what), actions, count, digest, unanswered };
         self.batch.push(RECORDS);
@@ -282,7 +282,7 @@
     }
 
     /// Hands the records in hand to the writer, or loses them.
-    fn hand_over(&mut self, now: Micros) {
+    fn hand_over(&mut self, now: Timestamp) {
         let events = std::mem::take(&mut self.events);
         if self.shared.broken.swap(false, Ordering::Relaxed) {
             let lost = self.shared.lost.swap(0, Ordering::Relaxed);
@@ -323,7 +323,7 @@
     }
 
     /// Ends the open segment, if there is one, and begins another with the module's whole state.
-    fn begin(&mut self, now: Micros, brain: &Policy, engines: Vec<(&str, u32)>) {
+    fn begin(&mut self, now: Timestamp, brain: &Policy, engines: Vec<(&str, u32)>) {
         if self.events > 0 {
             self.hand_over(now);
         }
@@ -336,7 +336,7 @@
         self.head.lost_before = lost;
         let head = self.head.encode_to_vec();
         let module = Box::new(brain.clone());
-        let name = format!("{:020}-{:06}{SUFFIX}", now.0.max(0), self.head.segment);
+        let name = format!("{:020}-{:06}{SUFFIX}", now.as_micros().max(0), self.head.segment);
         if self.send(Job::Begin { name, now, head, module, engines, tail }) {
             self.ring.begun(now);
             (self.last, self.records) = (now, 0);
@@ -394,7 +394,7 @@
                     }
                     let state = rmp_serde::to_vec_named(&*module).map_err(io::Error::other);
                     let done = state.and_then(|state| {
-                        let point = pb::Checkpoint { at_us: now.0, state, engines };
+                        let point = pb::Checkpoint { at_us: now.as_micros(), state, engines };
                         self.begin(&name, now, &head, &point.encode_to_vec())
                     });
                     self.check(done, 0);
@@ -416,11 +416,11 @@
         }
     }
 
-    fn begin(&mut self, name: &str, now: Micros, head: &[u8], checkpoint: &[u8]) -> io::Result<()> {
+    fn begin(&mut self, name: &str, now: Timestamp, head: &[u8], checkpoint: &[u8]) -> io::Result<()> {
         self.open = None;
         // A folder that is not there yet holds nothing to let go.
         let files = self.store.list().unwrap_or_default();
-        let sizes: Vec<(u64, Micros)> = files.iter().map(|f| (f.1, f.2)).collect();
+        let sizes: Vec<(u64, Timestamp)> = files.iter().map(|f| (f.1, f.2)).collect();
         for (old, ..) in &files[..evict(&self.limits, &sizes, self.limits.segment_bytes, now)] {
             self.store.remove(old)?;
         }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -176,14 +176,14 @@
 const REVOKED: sprucelink_policy::Outcome = sprucelink_policy::Outcome::Revoked;
 
 /// What an attempt that the module calls off, and the record did not, takes to end: an undo's way.
-const UNDO: Micros = Micros(10_000);
+const UNDO: TimeDelta = TimeDelta::from_micros(10_000);
 
 /// How a segment is replayed.
 pub struct Play<'a> {
     /// What becomes of outcomes of decisions that were not taken.
     pub treatment: Treatment,
     /// Up to this moment; to the end if absent.
-    pub until: Option<Micros>,
+    pub until: Option<Timestamp>,
     /// The module tells its reasons.
     pub explain: bool,
     /// What is changed of the module before it begins.
@@ -204,13 +204,13 @@
     scratch: Vec<u8>,
     actions: Vec<Action>,
     /// Attempts that the module called off and nothing of the record ends, by when they end.
-    undone: VecDeque<(Micros, RequestId, u32)>,
+    undone: VecDeque<(Timestamp, RequestId, u32)>,
     hear: Hearer<'a, 'b>,
 }
 
 impl Replayed<'_, '_> {
     /// Gives an event; false if the module did not come back.
-    fn give(&mut self, number: usize, at: Micros, event: Event) -> bool {
+    fn give(&mut self, number: usize, at: Timestamp, event: Event) -> bool {
         self.actions.clear();
         let (module, actions) = (&mut self.module, &mut self.actions);
         if let Err(cause) = catch_unwind(AssertUnwindSafe(|| module.handle(at, event, actions))) {
@@ -220,13 +220,13 @@
         true
     }
 
-    fn heard(&mut self, number: usize, at: Micros, told: Told, answer: &Answer) {
+    fn heard(&mut self, number: usize, at: Timestamp, told: Told, answer: &Answer) {
         let record = Record { at, told, answer: answer.clone() };
         (self.hear)(Step { number, record: &record, module: &self.module, actions: &self.actions });
     }
 
     /// Ends what was called off and is due.
-    fn land(&mut self, number: usize, now: Micros) -> bool {
+    fn land(&mut self, number: usize, now: Timestamp) -> bool {
         while let Some((at, id, attempt)) = self.undone.front().copied().filter(|u| u.0 <= now) {
             self.undone.pop_front();
             if self.module.out(id).is_none_or(|o| o.0 != attempt) {
@@ -244,7 +244,7 @@
     }
 
     /// Notes what the module calls off and the record did not just then: of what it did, the record has the end.
-    fn calls_off(&mut self, at: Micros, answer: &Answer) {
+    fn calls_off(&mut self, at: Timestamp, answer: &Answer) {
         for action in &self.actions {
             let too = matches!(answer, Answer::Whole(then) if then.contains(action));
             if let (Action::Cancel { id, attempt }, false) = (action, too) {
@@ -266,7 +266,7 @@
         let actions = &self.actions;
         self.out.first.get_or_insert_with(|| Divergence {
             record: number,
-            at_us: record.at.0,
+            at_us: record.at.as_micros(),
             event: format!("{event:?}"),
             expected: match &record.answer {
                 Answer::Whole(actions) => show(actions),
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,6 +1,6 @@
 //! Decides for the recorder: when a segment ends, what is dropped, which files go. No clock, no files.
 
-use sprucelink_policy::Micros;
+use sprucelink_policy::{TimeDelta, Timestamp};
 
 /// Limits of a recorder, in bytes and microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -8,11 +8,11 @@
     /// All files of the ring together.
     pub ring_bytes: u64,
     /// A segment that ended longer ago than this goes, the newest excepted.
-    pub ring_age: Micros,
+    pub ring_age: TimeDelta,
     /// A segment ends once so much was written to it.
     pub segment_bytes: u64,
     /// A segment ends once it is so old.
-    pub segment_age: Micros,
+    pub segment_age: TimeDelta,
     /// Bytes of records a second, before compression, over any longer time; the burst is four seconds' worth.
     pub rate: f64,
 }
@@ -20,7 +20,7 @@
 /// Seconds of its rate that a recorder may write at once: a burst of requests is what is looked at later.
 const BURST: f64 = 4.0;
 /// Between two tries to go on after a loss. Each costs a checkpoint; what was lost is lost.
-pub const RETRY: Micros = Micros(1_000_000);
+pub const RETRY: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 /// What is to be done with records in hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,43 +36,43 @@
 pub struct Ring {
     limits: Limits,
     /// The open segment: since when, and bytes written to it. `None` before the first, and after a loss.
-    open: Option<(Micros, u64)>,
+    open: Option<(Timestamp, u64)>,
     tokens: f64,
-    filled: Micros,
+    filled: Timestamp,
     /// No new segment before this.
-    not_before: Micros,
+    not_before: Timestamp,
     /// Events lost since the last segment was open.
     lost: u64,
 }
 
 impl Ring {
     /// Nothing is open yet.
-    pub fn new(limits: Limits, now: Micros) -> Ring {
+    pub fn new(limits: Limits, now: Timestamp) -> Ring {
         let tokens = limits.rate * BURST;
         Ring { limits, open: None, tokens, filled: now, not_before: now, lost: 0 }
     }
 
     /// Whether a segment is to be begun now, in place of the one that is open if there is one.
-    pub fn rolls(&self, now: Micros) -> bool {
+    pub fn rolls(&self, now: Timestamp) -> bool {
         match self.open {
             // Guards against a clock that stepped back: the age is never negative for long.
             Some((since, bytes)) => {
                 let age = now - since;
-                bytes >= self.limits.segment_bytes || age >= self.limits.segment_age || age < Micros(0)
+                bytes >= self.limits.segment_bytes || age >= self.limits.segment_age || age < TimeDelta::ZERO
             }
             None => now >= self.not_before || self.not_before - now > RETRY,
         }
     }
 
     /// A segment is open from now on: the events lost since the one before it.
-    pub fn begun(&mut self, now: Micros) -> u64 {
+    pub fn begun(&mut self, now: Timestamp) -> u64 {
         self.open = Some((now, 0));
         std::mem::take(&mut self.lost)
     }
 
     /// What becomes of so many bytes of so many events. A drop ends the segment.
-    pub fn offer(&mut self, now: Micros, bytes: u64, events: u64) -> Verdict {
-        let passed = (now - self.filled).secs().max(0.0);
+    pub fn offer(&mut self, now: Timestamp, bytes: u64, events: u64) -> Verdict {
+        let passed = (now - self.filled).as_secs_f64().max(0.0);
         self.filled = now;
         self.tokens = (self.tokens + passed * self.limits.rate).min(self.limits.rate * BURST);
         let Some((_, written)) = &mut self.open else {
@@ -89,7 +89,7 @@
     }
 
     /// So many events were lost, for want of room or by the files' fault: the segment ends here.
-    pub fn failed(&mut self, now: Micros, events: u64) {
+    pub fn failed(&mut self, now: Timestamp, events: u64) {
         self.open = None;
         self.lost += events;
         self.not_before = now + RETRY;
@@ -103,7 +103,7 @@
 
 /// How many of a ring's files, oldest first as `(size, ended)`, have to go so that `more` bytes fit in. The
 /// newest stays whatever its age and size: what is begun behind it holds little yet.
-pub fn evict(limits: &Limits, files: &[(u64, Micros)], more: u64, now: Micros) -> usize {
+pub fn evict(limits: &Limits, files: &[(u64, Timestamp)], more: u64, now: Timestamp) -> usize {
     let mut total = files.iter().map(|f| f.0).sum::<u64>() + more;
     let mut gone = 0;
     while gone + 1 < files.len() {
@@ -123,19 +123,23 @@
     use proptest::prelude::*;
 
     fn limits() -> Limits {
-        let (segment_age, ring_age) = (Micros(60_000_000), Micros(600_000_000));
+        let (segment_age, ring_age) =
+            (TimeDelta::from_micros(60_000_000), TimeDelta::from_micros(600_000_000));
         Limits { ring_bytes: 1_000, ring_age, segment_bytes: 400, segment_age, rate: 100.0 }
     }
 
     #[test]
     fn a_segment_ends_by_size_by_age_and_when_the_clock_steps_back() {
-        let at = Micros(1_000_000_000);
+        let at = Timestamp::from_micros(1_000_000_000);
         let mut ring = Ring::new(limits(), at);
         assert!(ring.rolls(at));
         assert_eq!(ring.offer(at, 10, 2), Verdict::Drop, "nothing is open");
         assert_eq!(ring.begun(at), 2);
-        assert!(!ring.rolls(at + Micros(59_999_999)) && ring.rolls(at + Micros(60_000_000)));
-        assert!(ring.rolls(at - Micros(1)));
+        assert!(
+            !ring.rolls(at + TimeDelta::from_micros(59_999_999))
+                && ring.rolls(at + TimeDelta::from_micros(60_000_000))
+        );
+        assert!(ring.rolls(at - TimeDelta::from_micros(1)));
         assert_eq!(ring.offer(at, 399, 1), Verdict::Write);
         assert!(!ring.rolls(at));
         assert_eq!(ring.offer(at, 1, 1), Verdict::Write);
@@ -144,12 +148,12 @@
 
     #[test]
     fn what_is_lost_is_counted_and_a_new_segment_waits() {
-        let at = Micros(1_000_000_000);
+        let at = Timestamp::from_micros(1_000_000_000);
         let mut ring = Ring::new(limits(), at);
         ring.begun(at);
         assert_eq!(ring.offer(at, 401, 7), Verdict::Drop, "over the burst");
-        assert!(!ring.rolls(at + Micros(RETRY.0 - 1)) && ring.rolls(at + RETRY));
-        assert!(ring.rolls(at - Micros(5_000_000)), "a clock set back holds nothing up");
+        assert!(!ring.rolls(at + TimeDelta::from_micros(RETRY.as_micros() - 1)) && ring.rolls(at + RETRY));
+        assert!(ring.rolls(at - TimeDelta::from_micros(5_000_000)), "a clock set back holds nothing up");
         assert_eq!(ring.offer(at, 1, 3), Verdict::Drop);
         assert_eq!((ring.lost(), ring.begun(at + RETRY), ring.lost()), (10, 10, 0));
     }
@@ -161,11 +165,11 @@
         /// either written or counted as lost.
         #[test]
         fn the_rate_is_kept_and_nothing_is_lost_uncounted(offers in prop::collection::vec((0_i64..500_000, 0_u64..300, 1_u64..9), 1..200)) {
-            let start = Micros(1_000_000_000);
+            let start = Timestamp::from_micros(1_000_000_000);
             let (mut ring, mut now) = (Ring::new(limits(), start), start);
             let (mut bytes_in, mut seen, mut written, mut lost) = (0, 0, 0, 0);
             for (gap, bytes, events) in offers {
-                now = now + Micros(gap);
+                now = now + TimeDelta::from_micros(gap);
                 if ring.rolls(now) {
                     lost += ring.begun(now);
                 }
@@ -174,7 +178,7 @@
                     (bytes_in, written) = (bytes_in + bytes, written + events);
                 }
             }
-            let allowed = limits().rate * ((now - start).secs() + BURST);
+            let allowed = limits().rate * ((now - start).as_secs_f64() + BURST);
             prop_assert!(bytes_in as f64 <= allowed + 1e-6);
             prop_assert_eq!(seen, written + lost + ring.lost());
         }
@@ -182,8 +186,8 @@
         /// What stays fits, or is the newest alone.
         #[test]
         fn eviction_keeps_the_newest_and_the_bounds(files in prop::collection::vec((0_u64..600, 0_i64..2_000_000_000), 0..12), more in 0_u64..500) {
-            let now = Micros(2_000_000_000);
-            let files: Vec<(u64, Micros)> = files.into_iter().map(|(s, t)| (s, Micros(t))).collect();
+            let now = Timestamp::from_micros(2_000_000_000);
+            let files: Vec<(u64, Timestamp)> = files.into_iter().map(|(s, t)| (s, Timestamp::from_micros(t))).collect();
             let gone = evict(&limits(), &files, more, now);
             let left = &files[gone..];
             let fits = left.iter().map(|f| f.0).sum::<u64>() + more <= limits().ring_bytes;
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -89,7 +89,7 @@
 
 #[derive(Default)]
 struct Seen {
-    deadline: Micros,
+    deadline: Timestamp,
     sends: u32,
     out: Option<u32>,
     finals: u32,
@@ -105,21 +105,21 @@
 pub struct Checker {
     rules: Vec<Rule>,
     set: Settings,
-    start: Micros,
+    start: Timestamp,
     requests: BTreeMap<RequestId, Seen>,
-    due: BTreeSet<(Micros, RequestId)>,
-    told_off: BTreeMap<EngineId, Micros>,
-    taken: VecDeque<Micros>,
-    extra: VecDeque<Micros>,
+    due: BTreeSet<(Timestamp, RequestId)>,
+    told_off: BTreeMap<EngineId, Timestamp>,
+    taken: VecDeque<Timestamp>,
+    extra: VecDeque<Timestamp>,
     counts: Vec<Count>,
     turned_away: usize,
-    distrusted: BTreeMap<u32, Micros>,
+    distrusted: BTreeMap<u32, Timestamp>,
     breaches: Vec<Breach>,
 }
 
 impl Checker {
     /// Rules over a replay that begins with this module at this time.
-    pub fn new(rules: Vec<Rule>, module: &Policy, start: Micros) -> Checker {
+    pub fn new(rules: Vec<Rule>, module: &Policy, start: Timestamp) -> Checker {
         let mut requests = BTreeMap::new();
         let mut due = BTreeSet::new();
         for open in module.open() {
@@ -163,9 +163,9 @@
         vec![Rule::Drain {}, Rule::OneOut {}, Rule::Ration {}, Rule::Answered {}]
     }
 
-    fn breach(&mut self, rule: &Rule, at: Micros, why: String) {
+    fn breach(&mut self, rule: &Rule, at: Timestamp, why: String) {
         if self.rules.contains(rule) {
-            self.breaches.push(Breach { rule: rule.text(), at_us: at.0, why });
+            self.breaches.push(Breach { rule: rule.text(), at_us: at.as_micros(), why });
         }
     }
 
@@ -189,7 +189,7 @@
         }
     }
 
-    fn event(&mut self, now: Micros, event: &Event) {
+    fn event(&mut self, now: Timestamp, event: &Event) {
         match event {
             Event::List { kind, entries } => {
                 if matches!(kind, ListKind::Whole | ListKind::Remembered) {
@@ -243,7 +243,7 @@
         }
     }
 
-    fn action(&mut self, now: Micros, action: &Action) {
+    fn action(&mut self, now: Timestamp, action: &Action) {
         match action {
             Action::Send { id, engine, .. } => self.send(now, *id, *engine),
             Action::Refuse { id, .. } | Action::Fail { id, .. } => {
@@ -271,11 +271,11 @@
         }
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, engine: EngineId) {
+    fn send(&mut self, now: Timestamp, id: RequestId, engine: EngineId) {
         if let Some(at) = self.told_off.get(&engine).copied() {
             let late = now - at;
             if late > self.set.drain_grace {
-                let ms = late.0 as f64 / 1e3;
+                let ms = late.as_micros() as f64 / 1e3;
                 let why = format!("request {:016x} went to engine {} {ms} ms after the word", id.0, engine.0);
                 self.breach(&Rule::Drain {}, now, why);
             }
@@ -284,7 +284,7 @@
             let Rule::Sends { engine: e, request, from_ms, until_ms, .. } = &self.rules[count.rule] else {
                 continue;
             };
-            let ms = (now - self.start).0 as f64 / 1e3;
+            let ms = (now - self.start).as_micros() as f64 / 1e3;
             let here = e.is_none_or(|e| e == engine.0)
                 && request.as_ref().is_none_or(|r| *r == format!("{:016x}", id.0))
                 && ms >= *from_ms
@@ -304,7 +304,7 @@
         }
     }
 
-    fn ration(&mut self, now: Micros) {
+    fn ration(&mut self, now: Timestamp) {
         let Some(b) = self.set.attempt_budget else { return };
         let from = now - b.span;
         for window in [&mut self.taken, &mut self.extra] {
@@ -321,7 +321,7 @@
     }
 
     /// The replay has ended: every breach.
-    pub fn finish(mut self, now: Micros) -> Vec<Breach> {
+    pub fn finish(mut self, now: Timestamp) -> Vec<Breach> {
         let mut own = Vec::new();
         let within = |n: usize, least: usize, most: Option<usize>| n >= least && most.is_none_or(|m| n <= m);
         for count in &self.counts {
@@ -338,7 +338,8 @@
                     own.push((rule.clone(), format!("{} turned away", self.turned_away)));
                 }
                 Rule::Distrusted { engine, by_ms } => {
-                    let when = self.distrusted.get(engine).map(|t| (*t - self.start).0 as f64 / 1e3);
+                    let when =
+                        self.distrusted.get(engine).map(|t| (*t - self.start).as_micros() as f64 / 1e3);
                     if when.is_none_or(|w| w > *by_ms) {
                         let when = when.map_or("never".to_owned(), |w| format!("after {w} ms"));
                         own.push((rule.clone(), format!("engine {engine} was distrusted {when}")));
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::ring::Limits;
 use serde::Deserialize;
-use sprucelink_policy::Micros;
+use sprucelink_policy::TimeDelta;
 use std::path::PathBuf;
 
 const MB: u64 = 1 << 20;
@@ -121,9 +121,9 @@
     pub fn limits(&self) -> Limits {
         Limits {
             ring_bytes: self.ring_mb * MB,
-            ring_age: Micros(self.ring_minutes as i64 * 60_000_000),
+            ring_age: TimeDelta::from_micros(self.ring_minutes as i64 * 60_000_000),
             segment_bytes: self.segment_mb * MB,
-            segment_age: Micros(self.segment_s as i64 * 1_000_000),
+            segment_age: TimeDelta::from_micros(self.segment_s as i64 * 1_000_000),
             rate: self.rate_kb_s as f64 * 1024.0,
         }
     }
--- a/crates/capture/src/wire.rs
+++ b/crates/capture/src/wire.rs
@@ -82,7 +82,7 @@
                     kind: e.kind,
                     cell: e.cell,
                     state: number(&STATES, &e.state),
-                    since_us: e.since.map(|t| t.0),
+                    since_us: e.since.map(Timestamp::as_micros),
                 })
                 .collect(),
         }),
@@ -91,7 +91,7 @@
             class: a.class.0 as u32,
             tenant: a.tenant as u32,
             tables: a.tables,
-            time_left_us: a.time_left.0,
+            time_left_us: a.time_left.as_micros(),
             cost: a.cost,
             memory_mb: a.memory_mb,
             key: a.key.clone(),
@@ -111,7 +111,7 @@
             id: id.0,
             attempt: *attempt,
             outcome: number(&OUTCOMES, outcome),
-            latency_us: latency.0,
+            latency_us: latency.as_micros(),
             complete: *complete,
             work: bill.map(|b| b.work),
             used_mb: bill.map(|b| b.memory_mb),
@@ -141,7 +141,7 @@
                     kind: e.kind,
                     cell: e.cell,
                     state: named(&STATES, e.state, "entries.state")?,
-                    since: e.since_us.map(Micros),
+                    since: e.since_us.map(Timestamp::from_micros),
                 })
             };
             let entries = l.entries.into_iter().map(entry).collect::<Result<_, _>>()?;
@@ -152,7 +152,7 @@
             class: ClassId(a.class as usize),
             tenant: a.tenant as usize,
             tables: a.tables,
-            time_left: Micros(a.time_left_us),
+            time_left: TimeDelta::from_micros(a.time_left_us),
             cost: a.cost,
             memory_mb: a.memory_mb,
             key: a.key,
@@ -172,7 +172,7 @@
             id: RequestId(e.id),
             attempt: e.attempt,
             outcome: named(&OUTCOMES, e.outcome, "ended.outcome")?,
-            latency: Micros(e.latency_us),
+            latency: TimeDelta::from_micros(e.latency_us),
             complete: e.complete,
             bill: e.work.zip(e.used_mb).map(|(work, memory_mb)| Bill { work, memory_mb }),
             report: report_in(e.report),
@@ -194,11 +194,13 @@
 
 /// An action as the format has it; `None` for a reason, which is told to listeners only.
 pub fn action_out(action: &Action) -> Option<pb::Action> {
-    let last =
-        |id: &RequestId, after: &Option<Micros>| pb::Final { id: id.0, retry_after_us: after.map(|t| t.0) };
+    let last = |id: &RequestId, after: &Option<TimeDelta>| pb::Final {
+        id: id.0,
+        retry_after_us: after.map(TimeDelta::as_micros),
+    };
     let what = match action {
         Action::Send { id, timeout, engine } => {
-            Did::Send(pb::Send { id: id.0, engine: engine.0, timeout_us: timeout.map(|t| t.0) })
+            Did::Send(pb::Send { id: id.0, engine: engine.0, timeout_us: timeout.map(TimeDelta::as_micros) })
         }
         Action::Terms { id, grant_mb, level } => {
             Did::Terms(pb::Terms { id: id.0, grant_mb: *grant_mb, level: u32::from(level.0) })
@@ -206,7 +208,9 @@
         Action::Cancel { id, attempt } => Did::Cancel(pb::Cancel { id: id.0, attempt: *attempt }),
         Action::Refuse { id, retry_after } => Did::Refuse(last(id, retry_after)),
         Action::Fail { id, retry_after } => Did::Fail(last(id, retry_after)),
-        Action::Timer { delay, token } => Did::Timer(pb::Timer { delay_us: delay.0, token: *token }),
+        Action::Timer { delay, token } => {
+            Did::Timer(pb::Timer { delay_us: delay.as_micros(), token: *token })
+        }
         Action::Probe { engine } => Did::Probe(engine.0),
         Action::Tell { message } => Did::Tell(message.clone()),
         Action::Watch => Did::Watch(true),
@@ -221,7 +225,7 @@
     Ok(match action.what.ok_or(Unknown("action"))? {
         Did::Send(s) => Action::Send {
             id: RequestId(s.id),
-            timeout: s.timeout_us.map(Micros),
+            timeout: s.timeout_us.map(TimeDelta::from_micros),
             engine: EngineId(s.engine),
         },
         Did::Terms(t) => {
@@ -229,9 +233,13 @@
             Action::Terms { id: RequestId(t.id), grant_mb: t.grant_mb, level: Level(level) }
         }
         Did::Cancel(c) => Action::Cancel { id: RequestId(c.id), attempt: c.attempt },
-        Did::Refuse(f) => Action::Refuse { id: RequestId(f.id), retry_after: f.retry_after_us.map(Micros) },
-        Did::Fail(f) => Action::Fail { id: RequestId(f.id), retry_after: f.retry_after_us.map(Micros) },
-        Did::Timer(t) => Action::Timer { delay: Micros(t.delay_us), token: t.token },
+        Did::Refuse(f) => {
+            Action::Refuse { id: RequestId(f.id), retry_after: f.retry_after_us.map(TimeDelta::from_micros) }
+        }
+        Did::Fail(f) => {
+            Action::Fail { id: RequestId(f.id), retry_after: f.retry_after_us.map(TimeDelta::from_micros) }
+        }
+        Did::Timer(t) => Action::Timer { delay: TimeDelta::from_micros(t.delay_us), token: t.token },
         Did::Probe(engine) => Action::Probe { engine: EngineId(engine) },
         Did::Tell(message) => Action::Tell { message },
         Did::Watch(_) => Action::Watch,
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -38,10 +38,12 @@
 }
 
 impl Store for Memory {
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Micros)>> {
+    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>> {
         let files = self.0.lock().expect("unpoisoned");
         // Every file as old as its name says.
-        let at = |name: &str| Micros(name.split('-').next().and_then(|t| t.parse().ok()).unwrap_or(0));
+        let at = |name: &str| {
+            Timestamp::from_micros(name.split('-').next().and_then(|t| t.parse().ok()).unwrap_or(0))
+        };
         Ok(files.files.iter().map(|(n, b)| (n.clone(), b.len() as u64, at(n))).collect())
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -94,12 +96,12 @@
     let class = |worth: f64, threads: f64, effect: Effect| ClassSettings {
         worth,
         late_worth: 0.3,
-        aim: Micros::from_secs(1.2),
+        aim: TimeDelta::from_secs_f64(1.2),
         aim_stretch: 2.0,
-        deadline: Micros::from_secs(6.0),
+        deadline: TimeDelta::from_secs_f64(6.0),
         effect,
         group: DedupGroup::All,
-        repeat_window: Micros::from_secs(15.0),
+        repeat_window: TimeDelta::from_secs_f64(15.0),
         in_turn: false,
         threads,
         load: effect == Effect::Keyed,
@@ -121,30 +123,30 @@
         kind_memory_mb: vec![24_000.0],
         grants: true,
         priorities: true,
-        progress_pace: Micros::from_secs(1.0),
+        progress_pace: TimeDelta::from_secs_f64(1.0),
         tells_cost: true,
         cancel: true,
         retry_after: true,
-        max_retry_after: Micros::from_secs(2.0),
+        max_retry_after: TimeDelta::from_secs_f64(2.0),
         max_attempts: 6,
-        drain_grace: Micros::from_secs(0.5),
+        drain_grace: TimeDelta::from_secs_f64(0.5),
         fall_multiple: 2.5,
-        fall_span: Micros::from_secs(2.0),
+        fall_span: TimeDelta::from_secs_f64(2.0),
         start_share: 0.3,
-        cold_for: Micros::from_secs(15.0),
-        attempt_budget: Some(AttemptBudget { span: Micros::from_secs(5.0), free: 3.0, share: 0.1 }),
+        cold_for: TimeDelta::from_secs_f64(15.0),
+        attempt_budget: Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 3.0, share: 0.1 }),
         ..Settings::default()
     }
 }
 
 /// What comes: when, in turn, of which request, attempt and engine, and how long it took.
-type Coming = (Micros, u64, u64, u32, u32, i64);
+type Coming = (Timestamp, u64, u64, u32, u32, i64);
 
 /// A module and the world it is told of: engines that answer after a while, some slow, some failing.
 pub struct Day {
     pub brain: Policy,
     pub recorder: Option<Recorder>,
-    pub now: Micros,
+    pub now: Timestamp,
     pub engines: u32,
     pub dice: Dice,
     /// Times slower, by engine.
@@ -158,7 +160,7 @@
     pub told: usize,
 }
 
-pub const START: Micros = Micros(1_700_000_000_000_000);
+pub const START: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
 
 impl Day {
     pub fn new(engines: u32, seed: u64) -> Day {
@@ -211,13 +213,20 @@
                     let took = 80_000.0 + self.dice.below(400_000) as f64;
                     let took = (took * self.slow.get(&engine.0).copied().unwrap_or(1.0)) as i64;
                     self.turn += 1;
-                    let due = (self.now + Micros(took), self.turn, id.0, *n, engine.0, took);
+                    let due = (self.now + TimeDelta::from_micros(took), self.turn, id.0, *n, engine.0, took);
                     self.due.push(std::cmp::Reverse(due));
                     *n += 1;
                 }
                 Action::Cancel { id, attempt } => {
                     self.turn += 1;
-                    let due = (self.now + Micros(10_000), self.turn, id.0, *attempt, u32::MAX, 10_000);
+                    let due = (
+                        self.now + TimeDelta::from_micros(10_000),
+                        self.turn,
+                        id.0,
+                        *attempt,
+                        u32::MAX,
+                        10_000,
+                    );
                     self.due.push(std::cmp::Reverse(due));
                 }
                 _ => {}
@@ -247,7 +256,7 @@
             class: ClassId(class),
             tenant: self.dice.below(2) as usize,
             tables: self.dice.below(12),
-            time_left: Micros::from_secs(6.0),
+            time_left: TimeDelta::from_secs_f64(6.0),
             cost: Some(cost),
             memory_mb: Some(200.0),
             key: None,
@@ -275,15 +284,15 @@
                 ..Report::default()
             };
             let bill = served.then_some(Bill { work: 0.3, memory_mb: 180.0 });
-            let (id, latency) = (RequestId(id), Micros(took));
+            let (id, latency) = (RequestId(id), TimeDelta::from_micros(took));
             self.give(Event::Ended { id, attempt, outcome, latency, complete: served, bill, report });
         }
     }
     /// Lets time pass, in the module's own steps, with requests coming.
     pub fn pass(&mut self, secs: f64) {
-        let until = self.now + Micros::from_secs(secs);
+        let until = self.now + TimeDelta::from_secs_f64(secs);
         while self.now < until {
-            self.now = self.now + Micros(20_000);
+            self.now = self.now + TimeDelta::from_micros(20_000);
             self.land();
             for _ in 0..(self.rate / 50 + u64::from(self.dice.below(50) < self.rate % 50)) {
                 self.arrive();
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -213,7 +213,7 @@
     drop(day.recorder.take());
     let all = memory.contents();
     assert_eq!(all.segments.len(), 2, "a ring of one segment's size keeps the one before, too");
-    assert!(end - all.segments[1].until() < Micros(1_000_000));
+    assert!(end - all.segments[1].until() < TimeDelta::from_micros(1_000_000));
 }
 
 /// The module's clock never goes back, the system's does: the order told is what counts.
@@ -223,7 +223,7 @@
     let mut day = Day::recorded(4, 3, &recorder_settings(), memory.clone());
     for step in [-3_000_000, 7_000_000, -50, -3_600_000_000] {
         day.pass(1.0);
-        day.now = day.now + Micros(step);
+        day.now = day.now + TimeDelta::from_micros(step);
         day.give(Event::Timer { token: 0 });
         day.arrive();
     }
@@ -291,11 +291,15 @@
 fn a_case_is_cut_holds_what_it_says_and_tells_when_that_breaks() {
     let (memory, _) = a_day(4, 4.0, &recorder_settings());
     let all = memory.contents().segments;
-    let around = START + Micros(5_000_000);
-    let (before, after) = (Micros(700_000), Micros(1_900_000));
+    let around = START + TimeDelta::from_micros(5_000_000);
+    let (before, after) = (TimeDelta::from_micros(700_000), TimeDelta::from_micros(1_900_000));
     let holds = Checker::service();
     let case = cut(&all, &Cut { around, before, after, holds, note: "a case".into() }).expect("cut");
-    assert!(case.at < around && case.until() > around && case.at >= around - before - Micros(40_000));
+    assert!(
+        case.at < around
+            && case.until() > around
+            && case.at >= around - before - TimeDelta::from_micros(40_000)
+    );
     let back = parse(&write(&case).expect("written"), Path::new("case")).expect("read").segments.remove(0);
     assert_eq!((back.records.len(), replayed(&back).differ), (case.records.len(), 0));
     assert_eq!(check(&back).expect("checked"), Vec::new());
@@ -304,7 +308,13 @@
     assert!(check(&strict).expect("checked")[0].why.contains("sends"));
     strict.head.holds = vec!["no_such".into()];
     assert!(check(&strict).is_err());
-    let lost = Cut { around: START - Micros(1), before, after, holds: Vec::new(), note: String::new() };
+    let lost = Cut {
+        around: START - TimeDelta::from_micros(1),
+        before,
+        after,
+        holds: Vec::new(),
+        note: String::new(),
+    };
     assert!(cut(&all, &lost).is_err());
 }
 
@@ -317,7 +327,7 @@
         let module = sprucelink_policy::Policy::new(settings(), 1, START);
         let mut checker = Checker::new(vec![rule], &module, START);
         for (ms, event, actions) in events {
-            let at = START + Micros(ms * 1000);
+            let at = START + TimeDelta::from_micros(ms * 1000);
             let record =
                 sprucelink_capture::reader::Record { at, told: Told::Event(event), answer: Answer::None };
             checker.step(&sprucelink_capture::replay::Step {
@@ -327,7 +337,7 @@
                 actions: &actions,
             });
         }
-        checker.finish(START + Micros(60_000_000)).len()
+        checker.finish(START + TimeDelta::from_micros(60_000_000)).len()
     };
     let id = RequestId(1);
     let arrived = || {
@@ -432,7 +442,7 @@
         assert!(text.contains(part), "{part} in:\n{text}");
     }
     assert_eq!(text, story(&Question::Engine("#1".into())));
-    let text = story(&Question::At(START + Micros(1_000_000)));
+    let text = story(&Question::At(START + TimeDelta::from_micros(1_000_000)));
     assert!(text.contains("tolls by class") && text.contains("engine s-5"), "{text}");
     assert!(story(&Question::Engine("s-99".into())).is_empty());
 }
