--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -31,7 +31,7 @@
         !self.out.borrow().contains("s-2")
     }
     fn stats(&self) -> String {
-        self.figures.ejected(self.out.borrow().len());
+        self.figures.set_ejected(self.out.borrow().len());
         self.figures.render() + &"#".repeat(self.padding)
     }
     fn cordon(&self, target: &str) -> Result<Done, Refused> {
@@ -68,7 +68,7 @@
             socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
             let listener = socket.listen(1024).unwrap();
             sender.send(listener.local_addr().unwrap()).unwrap();
-            let figures = Metrics::new(&["lane-rate".into()]).unwrap();
+            let figures = Metrics::try_new(&["lane-rate".into()]).unwrap();
             let program = Rc::new(Program { out: RefCell::default(), figures, padding });
             serve(listener, program, limits).await;
         };
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -184,7 +184,7 @@
         let id = request.spec.id;
         let class = request.spec.class;
         let mut coordinator = self.coordinator.borrow_mut();
-        let response = coordinator.submit(self, request, || self.metrics.take(class))?;
+        let response = coordinator.submit(self, request, || self.metrics.start_request(class))?;
         Some(RequestHandle { core: Rc::clone(self), id, response, was_cancelled: false })
     }
 
@@ -298,7 +298,7 @@
     }
 
     fn on_attempts_sent(&self, attempts: u64) {
-        (0..attempts).for_each(|_| self.metrics.forwarded());
+        (0..attempts).for_each(|_| self.metrics.record_forward());
     }
 
     fn on_connection_up(self: &Rc<Self>, connection: &EngineConnection) {
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -20,7 +20,7 @@
 use super::zone_routing::ZoneRouting;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{CordonLimits, CordonState};
-use sprucelink_metrics::Taken;
+use sprucelink_metrics::ActiveRequest;
 use sprucelink_policy::{Settings, TimeDelta, Timestamp};
 use sprucelink_startup::config::StartupConfig;
 use std::collections::VecDeque;
@@ -145,7 +145,7 @@
         &mut self,
         runtime: &dyn ConnectionRuntime,
         mut request: Request,
-        accounting: impl FnOnce() -> Taken,
+        accounting: impl FnOnce() -> ActiveRequest,
     ) -> Option<oneshot::Receiver<Response>> {
         let id = request.spec.id;
         let arrived_at = now();
@@ -190,9 +190,9 @@
         }
         if let Some(accounting) = request.accounting.take() {
             if was_cancelled {
-                accounting.aborted();
+                accounting.abort();
             } else {
-                accounting.abandoned();
+                accounting.abandon();
             }
         }
         self.counters.abandoned += 1;
@@ -286,21 +286,26 @@
         commands
     }
 
-    fn count_response(&mut self, response: &Response, arrived_at: Timestamp, accounting: Option<Taken>) {
+    fn count_response(
+        &mut self,
+        response: &Response,
+        arrived_at: Timestamp,
+        accounting: Option<ActiveRequest>,
+    ) {
         match response {
             Response::Served(_) => {
-                accounting.into_iter().for_each(Taken::succeeded);
+                accounting.into_iter().for_each(ActiveRequest::succeed);
                 self.counters.served += 1;
                 if let Some(startup) = &mut self.startup {
                     startup.admission.record_served(now() - arrived_at);
                 }
             }
             Response::Rejected { .. } => {
-                accounting.into_iter().for_each(Taken::declined);
+                accounting.into_iter().for_each(ActiveRequest::reject);
                 self.counters.rejected += 1;
             }
             Response::Failed { .. } => {
-                accounting.into_iter().for_each(Taken::aborted);
+                accounting.into_iter().for_each(ActiveRequest::abort);
                 self.counters.failed += 1;
             }
         }
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -6,7 +6,7 @@
 use super::buffer_pool::Buffer;
 use super::recent_requests::RecentRequests;
 use super::request::{Request, Response};
-use sprucelink_metrics::Taken;
+use sprucelink_metrics::ActiveRequest;
 use sprucelink_policy::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
@@ -45,7 +45,7 @@
     /// Where the final response goes; `None` once it was given, or the client has gone.
     pub(super) responder: Option<oneshot::Sender<Response>>,
     /// Its entry in the metrics, until it is completed.
-    pub(super) accounting: Option<Taken>,
+    pub(super) accounting: Option<ActiveRequest>,
 }
 
 impl PendingRequest {
@@ -55,7 +55,7 @@
         arrived_at: Timestamp,
         deadline: Timestamp,
         responder: oneshot::Sender<Response>,
-        accounting: Taken,
+        accounting: ActiveRequest,
     ) -> PendingRequest {
         PendingRequest {
             class_name: request.class_name,
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -64,7 +64,7 @@
         kinds: Vec::new(),
         limits,
         pool: BufferPool::new(2 * max_streams),
-        metrics: Metrics::new(&["c".into()]).expect("metrics"),
+        metrics: Metrics::try_new(&["c".into()]).expect("metrics"),
     });
     let member_of = |(i, listener): (usize, &TcpListener)| {
         let address = listener.local_addr().expect("an address").to_string();
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -52,11 +52,12 @@
             memory_mb: fields.heap_mb,
         };
         if is_cancelled {
-            self.core.metrics().take(class).aborted();
+            self.core.metrics().start_request(class).abort();
             return Err(cancelled());
         }
-        let statement =
-            self.copy_statement(statement).inspect_err(|_| self.core.metrics().take(class).declined())?;
+        let statement = self
+            .copy_statement(statement)
+            .inspect_err(|_| self.core.metrics().start_request(class).reject())?;
         let request = Request { spec, class_name: class_config.name.clone(), idempotency_key, statement };
         let handle = self.core.submit(request);
         handle.ok_or_else(|| {
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -120,8 +120,8 @@
     fn stats(&self) -> String {
         let (listed, avoided) = self.core.listed_and_avoided();
         let metrics = self.core.metrics();
-        metrics.discovered(listed);
-        metrics.ejected(avoided);
+        metrics.set_discovered(listed);
+        metrics.set_ejected(avoided);
         metrics.render()
     }
 
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -100,7 +100,7 @@
     let mut settings = config.settings.clone();
     settings.cold_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
-    let metrics = Metrics::new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
+    let metrics = Metrics::try_new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
     let core = Core::new(CoreConfig {
         settings,
         seed: config.seed,
