--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -16,7 +16,7 @@
 use super::config::Config;
 use super::second_front::SecondFrontConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::terms::Settings as MembershipSettings;
+use sprucelink_membership::MembershipConfig as MembershipSettings;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::config::FailoverConfig;
 use startup::Server;
