--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -53,7 +53,7 @@
 mod state_digests;
 #[cfg(feature = "store")]
 pub mod store;
-#[allow(missing_docs, reason = "generated: the documentation stands in proto/consensus.proto")]
+#[allow(missing_docs, reason = "generated: the documentation is in proto/consensus.proto")]
 pub mod wire {
     //! The messages of `proto/consensus.proto`.
     include!(concat!(env!("OUT_DIR"), "/sprucelink.consensus.v1.rs"));
--- a/crates/consensus/src/node/peer_liveness.rs
+++ b/crates/consensus/src/node/peer_liveness.rs
@@ -41,7 +41,7 @@
             quorum.restart();
             *next_request_at = self.now;
         } else {
-            // A response was lost that would have said so. What this boot acknowledged stands; it only takes a higher number, so
+            // A response was lost that would have said so. What this boot acknowledged still counts; it only takes a higher number, so
             // that it is heard again. Where another process runs under this member's id the alarm is raised again.
             self.persistence.is_state_due = true;
             self.raise_alarm(Alarm::DuplicateInstance { boot: known });
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -50,12 +50,7 @@
             .map_err(StartError::Raft)?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nonce = rng.gen_range(1..=u64::MAX);
-        let phase = if state.quarantined {
-            Phase::Quarantined(QuarantineReason::FoundEarlier)
-        } else {
-            let quorum = RejoinQuorum::new(config.member, own_membership, now, config.timing.rejoin_patience);
-            Phase::Rejoining { quorum, next_request_at: now }
-        };
+        let phase = initial_phase(&config, state.quarantined, own_membership, now);
         let shortest_timeout = config.timing.election_ticks as usize;
         let longest_timeout = shortest_timeout + config.timing.spread_ticks as usize;
         let mut persistence =
@@ -90,6 +85,20 @@
     }
 }
 
+/// A member rejoins first, unless its disk says that it is quarantined.
+fn initial_phase(
+    config: &Config,
+    is_quarantined: bool,
+    own_membership: VersionedMembership,
+    now: Timestamp,
+) -> Phase {
+    if is_quarantined {
+        return Phase::Quarantined(QuarantineReason::FoundEarlier);
+    }
+    let quorum = RejoinQuorum::new(config.member, own_membership, now, config.timing.rejoin_patience);
+    Phase::Rejoining { quorum, next_request_at: now }
+}
+
 /// The log that was on disk. At a founder with an empty store it starts with the founders as a snapshot, so that members
 /// that join later get them as such.
 fn open_log(recovered: RecoveredState, founders: &[crate::MemberId]) -> Result<LogStorage, StartError> {
--- a/crates/consensus/src/proposal_dedup.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -5,7 +5,7 @@
 use crate::limits::MAX_ORIGINS;
 use std::collections::BTreeMap;
 
-/// How far below an origin's highest sequence others are still told apart, in sequences.
+/// How far below an origin's highest sequence others can still be recognised, in sequences.
 pub const SEQUENCE_WINDOW: u64 = 512;
 /// Number of 64-bit words in an origin's window.
 const WINDOW_WORDS: usize = (SEQUENCE_WINDOW / 64) as usize;
@@ -21,7 +21,7 @@
     New,
     /// It was recorded before: to be dropped.
     Duplicate,
-    /// It is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it can't be told: to be dropped. A proposer with at most
+    /// It is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it is not known whether it was recorded: to be dropped. A proposer with at most
     /// `MAX_PENDING_PROPOSALS` (256) open proposals never gets this for one that was not applied.
     TooOld,
     /// It has a new origin and [`MAX_ORIGINS`] are remembered: to be dropped. Old origins should be retired.
@@ -39,12 +39,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct OriginWindow {
     highest: u64,
-    /// Bit `sequence % SEQUENCE_WINDOW` stands for a sequence, for the last [`SEQUENCE_WINDOW`] of them.
+    /// Bit `sequence % SEQUENCE_WINDOW` represents a sequence, for the last [`SEQUENCE_WINDOW`] of them.
     seen: [u64; WINDOW_WORDS],
 }
 
 impl OriginWindow {
-    /// The word and the bit in it that stand for a sequence.
+    /// The word and the bit in it that represent a sequence.
     fn word_and_bit(sequence: u64) -> (usize, u64) {
         let place = sequence % SEQUENCE_WINDOW;
         ((place / 64) as usize, 1 << (place % 64))
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -187,7 +187,7 @@
                 continue;
             }
             vote_term = vote_term.max(answer.term);
-            // What a member says of itself, and what others were given by it, whichever is further. What this member itself
+            // What a member says of itself, and what others got from it, whichever is further. What this member itself
             // told others is nothing new if it has lost nothing, and needed if it has.
             let own_floor = LogFloor { member: from, last: answer.last };
             for floor in answer.floors.iter().chain([&own_floor]) {
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -10,7 +10,7 @@
 mod proposal_dedup;
 
 /// The records, as `proto/replicated_log.proto` defines them.
-#[allow(missing_docs, reason = "generated: the documentation stands in proto/replicated_log.proto")]
+#[allow(missing_docs, reason = "generated: the documentation is in proto/replicated_log.proto")]
 pub mod v1 {
     include!(concat!(env!("OUT_DIR"), "/sprucelink.replicated_log.v1.rs"));
 }
--- a/crates/replicated-log/src/proposal_dedup.rs
+++ b/crates/replicated-log/src/proposal_dedup.rs
@@ -15,7 +15,7 @@
 struct OriginWindow {
     /// The highest sequence that took effect.
     highest: u64,
-    /// Bit `n` stands for the sequence `n + 1` below the highest.
+    /// Bit `n` represents the sequence `n + 1` below the highest.
     mask: u64,
     /// When the origin last proposed, as a count of all proposals.
     last_used: u64,
@@ -51,7 +51,7 @@
     pub origin: String,
     /// The highest sequence that took effect.
     pub highest: u64,
-    /// Which sequences below it took effect: bit `n` stands for the sequence `n + 1` below the highest.
+    /// Which sequences below it took effect: bit `n` represents the sequence `n + 1` below the highest.
     pub mask: u64,
     /// When the origin last proposed, as a count of all proposals.
     pub last_used: u64,
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -6,7 +6,7 @@
 //! A directory holds one *segment* file, `gen-` and sixteen hexadecimal digits: the sequence number of the segment's
 //! first batch. A segment is a list of *records*; each record is one [`WriteBatch`] behind a header with a magic word, its
 //! length, its sequence number, the checksum of the record before it and its own checksum (CRC-32). The byte
-//! layout stands in `record.rs`, the payload in `proto/wal.proto`.
+//! layout is described in `record.rs`, the payload in `proto/wal.proto`.
 //!
 //! A record is synced before the next one is written, so a crash can tear the last record and no other. A batch with a
 //! snapshot starts a new segment: it is written to the file `aside`, synced, renamed into place, and the old segment is
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -12,7 +12,7 @@
 use crate::limits::MAX_RECORD_BYTES;
 use prost::Message;
 
-#[allow(missing_docs, reason = "generated: the documentation stands in proto/wal.proto")]
+#[allow(missing_docs, reason = "generated: the documentation is in proto/wal.proto")]
 mod wire {
     include!(concat!(env!("OUT_DIR"), "/sprucelink.wal.v1.rs"));
 }
--- a/crates/wal/tests/on_disk_format.rs
+++ b/crates/wal/tests/on_disk_format.rs
@@ -14,7 +14,7 @@
     Snapshot { index: 2, term: 1, data: b"snapshot at 2".to_vec() }
 }
 
-/// The batches that the segment was written with; the first one stands in a segment before it.
+/// The batches that the segment was written with; the first one is in a segment before it.
 fn batches() -> [WriteBatch; 4] {
     let batch = |sequence, state: &[u8], snapshot, entries| WriteBatch {
         sequence,
