--- a/src/run/commands/fleet_members.rs
+++ b/src/run/commands/fleet_members.rs
@@ -2,7 +2,7 @@
 
 use super::CommandError;
 use serde_json::json;
-use sprucelink_membership::codec::Member;
+use sprucelink_membership::Member;
 use std::net::SocketAddr;
 
 /// Asks the membership at `address` and prints its members.
@@ -10,7 +10,7 @@
 /// # Errors
 /// A membership that does not answer.
 pub fn run(address: SocketAddr, as_json: bool) -> Result<(), CommandError> {
-    let members = sprucelink_membership::ask::view(address)
+    let members = sprucelink_membership::query_members(address)
         .map_err(|source| CommandError::FleetMembers { address, source })?;
     if !as_json {
         println!(
@@ -35,7 +35,7 @@
 fn print_json(member: &Member) {
     let line = json!({
         "member": member.name, "state": state_name(member), "address": member.address.to_string(),
-        "zone": member.zone, "region": member.region, "life": member.life,
+        "zone": member.zone, "region": member.region, "life": member.generation,
         "incarnation": member.incarnation,
     });
     println!("{line}");
@@ -49,7 +49,7 @@
         member.address.to_string(),
         member.zone,
         member.region,
-        member.life,
+        member.generation,
         member.incarnation
     );
 }
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -18,7 +18,7 @@
 use sprucelink_policy::TimeDelta;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_startup::endpoint_poller::EndpointPoller;
-use sprucelink_zone_failover::terms::Terms as FailoverSettings;
+use sprucelink_zone_failover::config::FailoverConfig;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -147,7 +147,7 @@
     poller
 }
 
-fn start_failover(core: &Core, settings: Option<FailoverSettings>, config: &Config) {
+fn start_failover(core: &Core, settings: Option<FailoverConfig>, config: &Config) {
     let Some(settings) = settings.filter(|settings| settings.enabled) else { return };
     let home = config.settings.zone;
     info!(?home, "failover: between {} zones", config.zone_names.len());
