--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -75,7 +75,10 @@
         let (state_files, scan) = StateFileDriver::open(DiskFolder::tmpdir(), instance, build, pid, now());
         let generation = state_files.process().generation;
         let found = scan.files.len();
-        info!(pid, found, "handover: process {generation} of {name}, found {found} files");
+        info!(
+            pid,
+            generation, found, "hot restart: generation {generation} of {name}, found {found} state files"
+        );
         let driver = Rc::new(HotRestartDriver {
             core,
             state_files: RefCell::new(state_files),
@@ -132,7 +135,7 @@
     pub fn leave(&self) {
         let snapshot = self.snapshot();
         if let Err(error) = self.state_files.borrow_mut().write_last(now(), snapshot) {
-            warn!("handover: not written: {error}");
+            warn!(%error, "hot restart: state file not written: {error}");
         }
     }
 
@@ -161,10 +164,10 @@
     /// Adopts what other processes have written, with a log line of this level for each file.
     fn adopt_files(&self, scan: FolderScan, level: Level) {
         for error in &scan.folder_errors {
-            warn!("handover: the folder: {error}");
+            warn!(%error, "hot restart: state folder failed: {error}");
         }
         for (file, reason) in &scan.rejected {
-            warn!("handover: {file} refused: {reason}");
+            warn!(%file, %reason, "hot restart: state file {file} rejected: {reason}");
         }
         for file in scan.files {
             self.adopt_file(file, level);
@@ -181,18 +184,18 @@
         let usable = usable_state(now(), self.windows, file);
         let cordons = usable.cordons.len();
         let ids = usable.known_ids.len();
-        let cold = usable.warmup.len();
-        let retries: u32 = usable.retries.iter().map(|f| f.1).sum();
+        let warmup_sends = usable.warmup.len();
+        let retries: u32 = usable.retries.iter().map(|(_, count)| count).sum();
         self.core.merge_cordons(&usable.cordons, &usable.known_ids);
         let old = if usable.age == FileAge::Fresh { "" } else { ", not of now" };
         let line = format!(
-            "handover: adopted from pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} bans, {ids} ids, \
-             {retries} further attempts, {cold} cold sends"
+            "hot restart: merged the state of pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} cordons, \
+             {ids} engine ids, {retries} retries, {warmup_sends} warm-up sends"
         );
         if level == Level::INFO {
-            info!(pid, generation, bans = cordons, "{line}");
+            info!(pid, generation, cordons, ids, retries, warmup_sends, "{line}");
         } else {
-            debug!(pid, generation, bans = cordons, "{line}");
+            debug!(pid, generation, cordons, ids, retries, warmup_sends, "{line}");
         }
     }
 
@@ -227,9 +230,9 @@
             return;
         }
         let LoggedState { phase, parts, is_unacknowledged } = state;
-        info!(parts, "handover: {phase:?}, 1 of {parts} parts");
+        info!(?phase, parts, "hot restart: phase {phase:?}, 1 of {parts} budget parts");
         if is_unacknowledged && phase == Phase::Serving {
-            warn!("handover: serves, and others did not make room");
+            warn!("hot restart: serving although other processes did not share their budgets");
         }
     }
 
@@ -240,8 +243,8 @@
         let before = self.living.replace(living.clone());
         let ended = self.ended.borrow();
         for pid in before.difference(&living).filter(|pid| !ended.contains(*pid)) {
-            let alone = if living.is_empty() { ", alone" } else { "" };
-            warn!(pid, "handover: pid {pid} has gone quiet{alone}");
+            let alone = if living.is_empty() { ", no other process is left" } else { "" };
+            warn!(pid, "hot restart: pid {pid} is unresponsive{alone}");
         }
     }
 
@@ -263,16 +266,20 @@
         match result {
             Ok(written) => {
                 if written.ids_left_out > 0 {
-                    warn!("handover: {} ids left out", written.ids_left_out);
+                    let ids = written.ids_left_out;
+                    warn!(ids, "hot restart: {ids} engine ids left out of the state file");
                 }
                 let (bytes, removed) = (written.bytes, written.removed_files);
-                debug!(bytes, "handover: written, {bytes} bytes, removed {removed}");
+                debug!(
+                    bytes,
+                    removed, "hot restart: state file written, {bytes} bytes, {removed} files removed"
+                );
                 Ok(())
             }
             Err(error) => {
                 match reason {
-                    WriteReason::Cordon => error!("handover: not written: {error}"),
-                    WriteReason::Refresh => warn!("handover: not written: {error}"),
+                    WriteReason::Cordon => error!(%error, "hot restart: state file not written: {error}"),
+                    WriteReason::Refresh => warn!(%error, "hot restart: state file not written: {error}"),
                 }
                 Err(error)
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -181,10 +181,10 @@
         served(100);
         let mut late = Program::beside(&listener, &folder, &at);
         until(|| healthy(&late).then_some(()));
-        first.wait_line("handover: ServingBesideSuccessor");
+        first.wait_line("hot restart: phase ServingBesideSuccessor");
         // What it holds is lost with it, which its clients see as an end: they ask again.
         late.kill();
-        first.wait_line("has gone quiet, alone");
+        first.wait_line("is unresponsive, no other process is left");
         served(100);
         stop.store(true, Ordering::SeqCst);
     });
@@ -209,8 +209,8 @@
     first.kill();
     let mut raw = Raw::connect(to);
     assert_eq!(rows(&raw.ask(&sql(2, 1))).len(), 1);
-    newcomer.wait_line("has gone quiet, alone");
-    assert!(newcomer.lines().iter().any(|l| l.contains("handover: Serving, 1 of 1 parts")));
+    newcomer.wait_line("is unresponsive, no other process is left");
+    assert!(newcomer.lines().iter().any(|l| l.contains("hot restart: phase Serving, 1 of 1 budget parts")));
 }
 
 /// Files that are damaged, of another manager or no files of this program cost a log line and nothing else.
@@ -233,7 +233,7 @@
     std::fs::write(folder.join("notes.txt"), "not of this program").expect("written");
     let second = Program::beside(&listener, &folder, &at);
     until(|| healthy(&second).then_some(()));
-    second.wait_line("refused: damaged");
+    second.wait_line("rejected: damaged");
     assert_eq!(rows(&Raw::connect(to).ask(&sql(1, 1))).len(), 1);
     assert!(folder.join("notes.txt").exists());
 }
