--- a/crates/settings/tests/invalid_input.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! What is tolerated, what is refused, and that a refusal says where.
+//! Which input is accepted, which is refused, and that an error names its place.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -9,37 +9,38 @@
     PlatformConfig::parse(text).map_err(|e| e.to_string())
 }
 
-const LEAST: &str = r#""listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","settings":{}"#;
+const MINIMAL: &str = r#""listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","settings":{}"#;
 
 #[test]
 fn minimal_configuration_gets_defaults() {
-    let p = parse(&format!("{{{LEAST}}}")).expect("read");
+    let p = parse(&format!("{{{MINIMAL}}}")).expect("read");
     assert_eq!((p.name.as_str(), p.listen.to_string().as_str()), ("", "10.0.0.4:7001"));
     assert_eq!((p.seed, p.feed, p.operator), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
     assert_eq!((p.limits.sockets.0, p.limits.memory_mb.0, p.known.n.0), (None, None, None));
     assert!(p.known.events.is_empty() && p.settings.to_policy_settings() == Default::default());
     let nulls = r#""name":null,"feed":null,"operator":null,"limits":null,"known":null,"to_come":[{"a":1}]"#;
-    assert_eq!(parse(&format!("{{{LEAST},{nulls}}}")).expect("read").known.events.len(), 0);
+    assert_eq!(parse(&format!("{{{MINIMAL},{nulls}}}")).expect("read").known.events.len(), 0);
 }
 
 #[test]
 fn full_configuration_is_read() {
     let more = r#""name":"n3","operator":"10.0.0.4:7002","feed":"10.2.0.1:7070","known":{"n":3,"events":[{},{}]},
         "limits":{"cores":1.0,"memory_mb":32.0,"sockets":4096}"#;
-    let p = parse(&format!("{{{LEAST},{more}}}")).expect("read");
+    let p = parse(&format!("{{{MINIMAL},{more}}}")).expect("read");
     assert_eq!((p.name.as_str(), p.feed.as_deref()), ("n3", Some("10.2.0.1:7070")));
     assert_eq!(p.operator.map(|a| a.port()), Some(7002));
     assert_eq!((p.known.n.0, p.known.events.len()), (Some(3), 2));
     assert_eq!((p.limits.memory_mb.0, p.limits.sockets.0), (Some(32), Some(4096)));
-    let number = LEAST.replace("\"8c1f30d27a5be964\"", "18446744073709551615");
+    let number = MINIMAL.replace("\"8c1f30d27a5be964\"", "18446744073709551615");
     assert_eq!(parse(&format!("{{{number}}}")).expect("read").seed, Seed(u64::MAX));
 }
 
-/// A fault without its place cost operators a search through a file of some hundred fields.
+/// Without the place of an error, operators would have to search a file of some hundred fields.
 #[test]
 fn invalid_json_value_is_refused_with_line_column_and_path() {
-    let of = |settings: &str| parse(&format!("{{{},\n{settings}}}", &LEAST[..LEAST.len() - 14])).unwrap_err();
-    for (settings, says) in [
+    let of =
+        |settings: &str| parse(&format!("{{{},\n{settings}}}", &MINIMAL[..MINIMAL.len() - 14])).unwrap_err();
+    for (settings, expected) in [
         (
             r#""settings":{"profiles":[{"aim":1},{"aim":"soon"}]}"#,
             "line 2, column 47: settings.profiles[1].aim: ",
@@ -71,10 +72,10 @@
         (r#""settings":{}} x"#, "line 2, column 16: trailing characters"),
     ] {
         let e = of(settings);
-        assert!(e.contains(says), "{settings}: {e}");
+        assert!(e.contains(expected), "{settings}: {e}");
         assert!(e.starts_with("line "), "{e}");
     }
-    for (text, says) in [
+    for (text, expected) in [
         (r#"{"listen":"x","seed":"a","settings":{}}"#, "listen: invalid socket address"),
         (r#"{"listen":"10.0.0.4:1","seed":"xyz","settings":{}}"#, "seed: invalid value: string \"xyz\""),
         (r#"{"listen":"10.0.0.4:1","seed":-4,"settings":{}}"#, "seed: invalid type: integer `-4`"),
@@ -82,21 +83,21 @@
         ("[]", "line 1, column 0: invalid type: sequence, expected an object"),
     ] {
         let e = parse(text).unwrap_err();
-        assert!(e.contains(says), "{text}: {e}");
+        assert!(e.contains(expected), "{text}: {e}");
     }
 }
 
 #[test]
 fn invalid_pair_is_refused_with_its_path() {
-    let fault = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair).place;
-    assert_eq!(fault("invariants.cold=warm").path, "invariants.cold");
-    assert_eq!(fault("profiles.count=lots").path, "profiles");
-    assert_eq!(fault("specifics.classThreads=1,-,3").path, "specifics.classThreads[1]");
-    let faults = ["profiles.count=1", "profiles.0.allowedOn=std"];
-    assert_eq!(pairs::parse(faults.into_iter()).unwrap_err().place.path, "profiles[0].allowedOn[0]");
+    let error_place = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair).place;
+    assert_eq!(error_place("invariants.cold=warm").path, "invariants.cold");
+    assert_eq!(error_place("profiles.count=lots").path, "profiles");
+    assert_eq!(error_place("specifics.classThreads=1,-,3").path, "specifics.classThreads[1]");
+    let invalid = ["profiles.count=1", "profiles.0.allowedOn=std"];
+    assert_eq!(pairs::parse(invalid.into_iter()).unwrap_err().place.path, "profiles[0].allowedOn[0]");
 }
 
-/// A count is a few bytes and an item some hundred; a path of a million points would be a tree as deep.
+/// A count is a few bytes, an item some hundred; a path of a million parts would be a tree as deep.
 #[test]
 fn pairs_beyond_the_bounds_are_refused_or_skipped() {
     let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
@@ -115,7 +116,7 @@
     let set = |pairs: &[&str]| pairs::parse(pairs.iter().copied()).expect("read").to_policy_settings();
     assert_eq!(set(&[]), Default::default());
     let one = |pair: &str| set(&["profiles.count=1", pair]).classes.remove(0);
-    // Told at all, a list binds its class, even where it names nothing.
+    // A list that is present restricts its class, even if it is empty.
     assert_eq!(
         (one("profiles.0.runsIn=").zones, one("profiles.0.runsIn=-").zones),
         (Some(vec![]), Some(vec![]))
--- a/crates/settings/tests/json_and_pairs.rs
+++ b/crates/settings/tests/json_and_pairs.rs
@@ -1,5 +1,5 @@
-//! Settings in both writings, generated: nested JSON and `path=value` pairs tell the same, whatever stands in them,
-//! and where one is refused the other is, at the same path.
+//! Generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and where one is refused the
+//! other is, too.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -18,7 +18,7 @@
     })
 }
 
-/// What stands where a number belongs; once in a while what is none.
+/// A value for a number field; occasionally an invalid one.
 fn number() -> impl Strategy<Value = Value> {
     prop_oneof![
         30 => (0.0..100.0f64).prop_map(|v| json!(v)),
@@ -38,7 +38,7 @@
     proptest::sample::select([&all[..], &[Value::Null, json!("-")]].concat())
 }
 
-fn word(known: &'static [&'static str]) -> impl Strategy<Value = Value> {
+fn text(known: &'static [&'static str]) -> impl Strategy<Value = Value> {
     prop_oneof![
         6 => proptest::sample::select(known).prop_map(|w| json!(w)),
         1 => Just(Value::Null),
@@ -55,13 +55,13 @@
     ]
 }
 
-/// Numbers of a list: none may be absent.
-fn figures() -> impl Strategy<Value = Value> {
+/// A list of numbers, none of which may be absent.
+fn number_list() -> impl Strategy<Value = Value> {
     list(prop_oneof![30 => (0u32..300).prop_map(|v| json!(v)), 10 => (0.0..9.0f64).prop_map(|v| json!(v)),
         1 => Just(json!("")), 1 => Just(json!("x"))])
 }
 
-/// An object of some of these fields, and one that nobody knows.
+/// An object with some of these fields, and an unknown one.
 fn object(fields: Vec<(&'static str, BoxedStrategy<Value>)>) -> BoxedStrategy<Value> {
     let some: Vec<_> = fields
         .into_iter()
@@ -92,12 +92,12 @@
 fn profile() -> BoxedStrategy<Value> {
     let mut fields = numbers(&["value", "lateWorth", "aim", "aimStretch", "deadline", "repeatWindow"]);
     fields.extend([
-        ("name", word(&["lane-rate", "tariff-load"]).boxed()),
-        ("effect", word(&["read_like", "idempotency_key", "non_idempotent"]).boxed()),
-        ("dedupScope", word(&["all", "zone", "cell"]).boxed()),
+        ("name", text(&["lane-rate", "tariff-load"]).boxed()),
+        ("effect", text(&["read_like", "idempotency_key", "non_idempotent"]).boxed()),
+        ("dedupScope", text(&["all", "zone", "cell"]).boxed()),
         ("inTurn", flag().boxed()),
-        ("allowedOn", figures().boxed()),
-        ("runsIn", figures().boxed()),
+        ("allowedOn", number_list().boxed()),
+        ("runsIn", number_list().boxed()),
     ]);
     object(fields)
 }
@@ -106,17 +106,17 @@
     let mut specifics = flags(&["takesGrants", "priorities", "tellsCost"]);
     specifics.extend(numbers(&["progressPace"]));
     specifics.extend([
-        ("classThreads", figures().boxed()),
+        ("classThreads", number_list().boxed()),
         ("loads", list(flag()).boxed()),
-        ("sizeCores", figures().boxed()),
-        ("ramOfKindMb", figures().boxed()),
-        ("memoryShort", word(&["queue", "trim", "swap"]).boxed()),
+        ("sizeCores", number_list().boxed()),
+        ("ramOfKindMb", number_list().boxed()),
+        ("memoryShort", text(&["queue", "trim", "swap"]).boxed()),
     ]);
     let mut limits = flags(&["cancel", "probes", "peers", "retryAfter"]);
     limits.extend(numbers(&["maxRetryAfter", "maxAttempts", "maxStreams", "connectTimeout", "connIdle"]));
     let report = vec![
-        ("via", word(&["piggyback", "pull", "silent"]).boxed()),
-        ("fields", list(word(&["rif", "q", "busy", "x0"])).boxed()),
+        ("via", text(&["piggyback", "pull", "silent"]).boxed()),
+        ("fields", list(text(&["rif", "q", "busy", "x0"])).boxed()),
     ];
     let rules = numbers(&[
         "drainGrace",
@@ -129,15 +129,15 @@
         "freeResends",
         "budgetShare",
     ]);
-    let customer = [vec![("name", word(&["sud", "nord"]).boxed())], numbers(&["quotaPerS"])].concat();
+    let customer = [vec![("name", text(&["sud", "nord"]).boxed())], numbers(&["quotaPerS"])].concat();
     let mut fields = numbers(&["overShareWorth", "siblings", "position"]);
     fields.extend([
         ("profiles", list(profile()).boxed()),
         ("customers", list(object(customer)).boxed()),
-        ("discovery", word(&["push", "ask"]).boxed()),
-        ("az", word(&["0", "1", "4294967295", "4294967296"]).boxed()),
-        ("zones", list(word(&["hall-a", "hall-b"])).boxed()),
-        ("shapes", list(word(&["std"])).boxed()),
+        ("discovery", text(&["push", "ask"]).boxed()),
+        ("az", text(&["0", "1", "4294967295", "4294967296"]).boxed()),
+        ("zones", list(text(&["hall-a", "hall-b"])).boxed()),
+        ("shapes", list(text(&["std"])).boxed()),
         ("loadReport", section(report)),
         ("specifics", section(specifics)),
         ("limits", section(limits)),
@@ -148,7 +148,7 @@
     object(fields)
 }
 
-/// Writes settings as the simulator's wire does.
+/// Writes settings as pairs, as the simulator does.
 fn write(path: &str, value: &Value, out: &mut Vec<String>) {
     let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     let plain = |v: &Value| match v {
@@ -180,19 +180,20 @@
 
 #[test]
 fn json_and_pairs_give_equal_settings() {
-    let (good, bad) = (Cell::new(0), Cell::new(0));
+    let accepted = Cell::new(0);
+    let refused = Cell::new(0);
     let run = runner(500).run(&settings(), |value| {
         let mut lines = Vec::new();
         write("", &value, &mut lines);
         match (from_json(&value), pairs::parse(lines.iter().map(String::as_str))) {
             (Ok(a), Ok(b)) => {
-                good.set(good.get() + 1);
+                accepted.set(accepted.get() + 1);
                 prop_assert_eq!(a.to_policy_settings(), b.to_policy_settings());
                 prop_assert_eq!(a.limits, b.limits);
             }
-            // The two may meet different faults first: members of an object come in different orders.
+            // The two may find different errors first: members of an object come in different orders.
             (Err((path, placed)), Err(e)) => {
-                bad.set(bad.get() + 1);
+                refused.set(refused.get() + 1);
                 prop_assert!(
                     path.starts_with("settings.") && placed && !e.place.path.is_empty(),
                     "{} {}",
@@ -205,5 +206,8 @@
         Ok(())
     });
     run.expect("holds");
-    assert!(good.get() > 100 && bad.get() > 50, "both kinds were met: {good:?} good, {bad:?} bad");
+    assert!(
+        accepted.get() > 100 && refused.get() > 50,
+        "both occur: {accepted:?} accepted, {refused:?} refused"
+    );
 }
--- a/crates/settings/tests/unusual_sites.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -1,5 +1,5 @@
-//! Sites of other customers: whatever their names, effects and limits are, the settings mean what the page says, and
-//! nothing of one configuration is left in the next.
+//! Sites with unusual names, effects and limits: the settings are translated by their values alone, and one configuration
+//! leaves no state for the next.
 
 use serde_json::{json, Value};
 use sprucelink_policy::{DedupGroup, Effect, TimeDelta};
@@ -10,8 +10,8 @@
     PlatformConfig::parse(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// A site whose names need quoting, are parts of each other, or are words of the settings themselves.
-fn odd() -> Value {
+/// A site whose names need quoting, are prefixes of each other, or are values of the settings themselves.
+fn unusual_site() -> Value {
     let class = |name: &str, effect: &str, scope: &str, window: f64| json!({"name": name, "effect": effect, "dedupScope": scope, "repeatWindow": window, "deadline": 3.0});
     json!({
         "profiles": [
@@ -32,8 +32,8 @@
 
 #[test]
 fn classes_of_an_unusual_site_are_translated_by_their_own_values() {
-    let told = read(&odd()).settings;
-    let set = told.to_policy_settings();
+    let wire = read(&unusual_site()).settings;
+    let set = wire.to_policy_settings();
     let effects: Vec<Effect> = set.classes.iter().map(|c| c.effect).collect();
     use Effect::{Keyed, Safe, Unsafe};
     assert_eq!(effects, [Safe, Keyed, Keyed, Unsafe, Keyed, Unsafe], "what is not known is not repeated");
@@ -41,22 +41,22 @@
     use DedupGroup::{All, Cell, Zone};
     assert_eq!(groups, [All, Zone, Cell, All, All, Cell], "what is not known is the narrowest");
     let windows: Vec<i64> = set.classes.iter().map(|c| c.repeat_window.as_micros()).collect();
-    // Shorter than the deadline, none, longer: as told.
+    // Shorter than the deadline, none, and longer: as configured.
     assert_eq!(windows, [0, 0, 1_000_000, 5_000_000, 30_000_000, 1_000_000]);
-    let names: Vec<&str> = told.profiles.iter().map(|p| p.name.0.as_str()).collect();
+    let names: Vec<&str> = wire.profiles.iter().map(|p| p.name.0.as_str()).collect();
     assert_eq!(names, ["rate", "rate-2", "ra\"te\\\n,=\u{e9}", "all", "-", "true"], "names are names");
     assert!(!set.classes[0].load && set.classes[1].load && !set.classes[5].load);
     assert!(set.classes.iter().all(|c| c.threads == 1.0));
     let quotas: Vec<f64> = set.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [f64::MAX, 0.0, 0.5]);
-    assert_eq!(told.zones.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
-    // Limits at their ends are limits, and not absent ones.
+    assert_eq!(wire.zones.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
+    // A limit of zero is a limit, and not an absent one.
     assert_eq!((set.idle, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
-    let ration = set.attempt_budget.expect("told");
-    assert_eq!((ration.span, ration.free, ration.share), (TimeDelta::ZERO, 0.0, 0.0));
+    let retry_budget = set.attempt_budget.expect("configured");
+    assert_eq!((retry_budget.span, retry_budget.free, retry_budget.share), (TimeDelta::ZERO, 0.0, 0.0));
 }
 
-/// A site that has none of what others have: no tenants, zones, limits or hints.
+/// A site without tenants, zones, limits and hints.
 #[test]
 fn site_without_optional_sections_gets_defaults() {
     let set = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
@@ -71,7 +71,7 @@
 /// Guards restarts, reloads and the simulator's many instances in one process.
 #[test]
 fn parsing_one_configuration_leaves_no_state_for_the_next() {
-    let (first, least) = (odd(), json!({}));
+    let (first, least) = (unusual_site(), json!({}));
     let (one, none) = (read(&first), read(&least));
     for _ in 0..3 {
         assert_eq!(read(&first), one);
@@ -86,8 +86,7 @@
     }
 }
 
-/// Guards a start with no list: a number without its events was gone on from, and the whole list, which is in the
-/// first event, never asked for.
+/// Polled from a number on whose events are missing, the feed would never send the whole list, which is in its first event.
 #[test]
 fn event_number_without_events_is_ignored() {
     let known = |text: &str| {
