--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -5,6 +5,7 @@
 use super::connection_task::{self, ConnectionOwner};
 use super::coordinator::{ConnectionRuntime, Coordinator, CoordinatorConfig, MIN_RETRY_AFTER};
 use super::engine_connection::{ConnectionLimits, EngineConnection};
+use super::engine_table::EngineCounts;
 use super::gossip_facts::GossipWindows;
 use super::request::{RejectReason, Request, Response};
 use super::zone_routing::{Observer, ZoneRouting};
@@ -236,9 +237,9 @@
         self.coordinator.borrow_mut().expire_cordons(self);
     }
 
-    /// Engines that are listed, and how many of them get no requests: cordoned, or avoided by the policy.
-    pub fn listed_and_avoided(&self) -> (usize, usize) {
-        self.coordinator.borrow().listed_and_avoided()
+    /// How many engines are listed, and how many of them get no requests.
+    pub fn engine_counts(&self) -> EngineCounts {
+        self.coordinator.borrow().engine_counts()
     }
 
     /// Does what is due, for as long as the process lives.
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -3,6 +3,7 @@
 
 use super::{ConnectionRuntime, Coordinator};
 use crate::core::clock::now;
+use crate::core::engine_table::EngineCounts;
 use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use sprucelink_cordon::{
     Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult, Target,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Engines that are listed, and how many of them get no requests: cordoned, or avoided by the policy.
-    pub(in crate::core) fn listed_and_avoided(&self) -> (usize, usize) {
+    /// How many engines are listed, and how many of them get no requests.
+    pub(in crate::core) fn engine_counts(&self) -> EngineCounts {
         let views = self.policy.engine_views();
         let is_avoided = |number: usize, id: &str| {
             let by_policy = views.get(number).is_some_and(|v| v.distrusted || v.silent || v.rests > 0.0);
@@ -102,7 +103,10 @@
         };
         let listed = self.engines.iter().enumerate().filter(|(_, engine)| engine.is_listed());
         let avoided: Vec<bool> = listed.map(|(number, engine)| is_avoided(number, &engine.id)).collect();
-        (avoided.len(), avoided.iter().filter(|is_avoided| **is_avoided).count())
+        EngineCounts {
+            listed: avoided.len(),
+            avoided: avoided.iter().filter(|is_avoided| **is_avoided).count(),
+        }
     }
 
     /// Records which engines a list names, for calls by id.
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -1,7 +1,7 @@
 //! A connection to an engine: what it carries and what has still to be sent on it.
 //!
 //! A connection carries many attempts. It belongs to an engine's id and not to its address, for addresses are reused. When
-//! it breaks, each attempt on it ends once. [`super::connection_task`] dials and serves it.
+//! it breaks, each attempt on it ends once. The `connection_task` module dials and serves it.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use super::clock::now;
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -11,6 +11,15 @@
 use std::rc::Rc;
 use tracing::warn;
 
+/// How many engines there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EngineCounts {
+    /// Engines that are listed.
+    pub listed: usize,
+    /// Those of them that get no requests: cordoned, or avoided by the policy.
+    pub avoided: usize,
+}
+
 /// An engine of the endpoint list.
 #[derive(Default)]
 pub(super) struct Engine {
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -17,6 +17,15 @@
     bytes: Range<usize>,
 }
 
+/// The position of a row in a result. The default is the first row.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RowPosition {
+    /// The page, by number.
+    page: usize,
+    /// The byte in the page at which the row begins.
+    byte: usize,
+}
+
 /// A result: its pages one behind the other in as few buffers as hold them, in the order in which they came.
 #[derive(Debug, Default)]
 pub struct ResultSet {
@@ -59,9 +68,9 @@
         self.pages.iter().flatten().map(|page| page.bytes.len()).sum()
     }
 
-    /// The row at a position, without its line feed, and the position behind it. A position is a page and a byte in it; a
-    /// result begins at (0, 0).
-    pub fn row(&self, (mut page, mut byte): (usize, usize)) -> Option<(&[u8], (usize, usize))> {
+    /// The row at a position, without its line feed, and the position of the next; `None` behind the last row.
+    pub fn row(&self, position: RowPosition) -> Option<(&[u8], RowPosition)> {
+        let RowPosition { mut page, mut byte } = position;
         loop {
             let content = match self.pages.get(page)? {
                 Some(stored) => &self.buffers[stored.buffer][stored.bytes.clone()],
@@ -70,7 +79,7 @@
             if byte < content.len() {
                 let rest = &content[byte..];
                 let end = rest.iter().position(|b| *b == b'\n').unwrap_or(rest.len());
-                return Some((&rest[..end], (page, byte + end + 1)));
+                return Some((&rest[..end], RowPosition { page, byte: byte + end + 1 }));
             }
             page += 1;
             byte = 0;
--- a/src/core/result_buffer/tests.rs
+++ b/src/core/result_buffer/tests.rs
@@ -10,7 +10,7 @@
     for page in (0..13).rev() {
         assert!(result.insert_page(&pool, page, format!("{page}\ta\n{page}\tb\n").as_bytes()));
     }
-    let mut position = (0, 0);
+    let mut position = RowPosition::default();
     let mut rows = Vec::new();
     while let Some((row, next)) = result.row(position) {
         rows.push(String::from_utf8_lossy(row).into_owned());
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -12,9 +12,12 @@
 
 /// The state machines of `sprucelink_startup` that the core drives.
 pub(super) struct StartupControl {
+    /// When new connections are dialled.
     pub(super) dials: DialPacer,
+    /// Which requests are admitted while engines warm up.
     pub(super) admission: WarmupAdmission,
     list_guard: EndpointListGuard,
+    /// When this manager is ready.
     pub(super) readiness: Readiness,
 }
 
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -22,7 +22,7 @@
     /// Its zone, by name.
     pub zone: String,
     /// It is alive.
-    pub here: bool,
+    pub is_alive: bool,
     /// Its gossip, where some is held.
     pub facts: Option<Facts>,
 }
@@ -168,9 +168,9 @@
 ) {
     if let Some(sum) = own_zone.and_then(|zone| zones.get_mut(&zone)) {
         sum.inside += 1;
-        sum.inside_here += u32::from(observer.here);
+        sum.inside_here += u32::from(observer.is_alive);
     }
-    let Some(facts) = observer.facts.as_ref().filter(|_| observer.here) else { return };
+    let Some(facts) = observer.facts.as_ref().filter(|_| observer.is_alive) else { return };
     for sum in zones.values_mut().filter(|sum| Some(sum.zone) != own_zone) {
         let engines = engines_by_zone.get(&sum.zone);
         let is_in_zone = |engine: &&u64| engines.is_some_and(|engines| engines.contains(engine));
--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -2,9 +2,9 @@
 
 use super::prepared::{Portal, PortalState, PreparedStatement};
 use super::statement_kind::{classify, Setting, StatementKind};
-use crate::core::result_buffer::ResultSet;
+use crate::core::result_buffer::{ResultSet, RowPosition};
 use crate::front::client_error::quoted;
-use crate::front::result_rows::{RowPosition, COLUMNS};
+use crate::front::result_rows::COLUMNS;
 use crate::proto::pg::{self, ErrorResponse, Message, ObjectKind};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -1,9 +1,9 @@
 //! Prepared statements and portals.
 
 use super::statement_kind::{classify, StatementKind};
-use crate::core::result_buffer::ResultSet;
+use crate::core::result_buffer::{ResultSet, RowPosition};
 use crate::core::MAX_STATEMENT_BYTES;
-use crate::front::result_rows::{RowPosition, COLUMNS};
+use crate::front::result_rows::COLUMNS;
 use crate::proto::fields;
 use crate::proto::literal::{self, Parameter};
 use crate::proto::pg::{self, ErrorResponse};
--- a/src/front/result_rows.rs
+++ b/src/front/result_rows.rs
@@ -1,18 +1,13 @@
 //! Rows of a result as DataRow messages.
 
 use super::client_connection::ClientConnection;
-use crate::core::result_buffer::ResultSet;
+use crate::core::result_buffer::{ResultSet, RowPosition};
 use crate::proto::pg;
 use std::io;
 use tokio::io::{AsyncRead, AsyncWrite};
 
 pub(super) use crate::proto::engine_answer::COLUMNS;
 
-/// Position of a row: the page, and the byte in it.
-pub(super) type RowPosition = (usize, usize);
-/// Position of the first row.
-pub(super) const FIRST_ROW: RowPosition = (0, 0);
-
 /// The rows of one answer.
 pub(super) struct WrittenRows {
     /// How many were written.
--- a/src/front/session/execute.rs
+++ b/src/front/session/execute.rs
@@ -3,13 +3,13 @@
 use super::error::MessageError;
 use super::state::{session_ended, Session};
 use crate::core::now;
-use crate::core::result_buffer::ResultSet;
+use crate::core::result_buffer::{ResultSet, RowPosition};
 use crate::front::client_connection::ClientConnection;
 use crate::front::client_error::cancelled;
 use crate::front::extended::prepared::PortalState;
 use crate::front::extended::statement_kind::StatementKind;
 use crate::front::request::Submission;
-use crate::front::result_rows::{write_rows, RowPosition, FIRST_ROW};
+use crate::front::result_rows::write_rows;
 use crate::proto::pg;
 use tokio::io::{AsyncRead, AsyncWrite};
 
@@ -85,6 +85,6 @@
             is_cancelled,
         })?;
         let result = self.wait_for_response(connection, request).await?;
-        Ok(Some((result, FIRST_ROW)))
+        Ok(Some((result, RowPosition::default())))
     }
 }
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -2,9 +2,10 @@
 
 use super::error::MessageError;
 use super::state::{session_ended, Session, CONTROL_MESSAGE_BYTES};
+use crate::core::result_buffer::RowPosition;
 use crate::front::client_connection::ClientConnection;
 use crate::front::request::Submission;
-use crate::front::result_rows::{write_rows, COLUMNS, FIRST_ROW};
+use crate::front::result_rows::{write_rows, COLUMNS};
 use crate::proto::fields::{self, Fields};
 use crate::proto::pg::{self, ErrorResponse};
 use crate::proto::tables;
@@ -35,7 +36,7 @@
         let result = self.wait_for_response(connection, request).await?;
         connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
         pg::row_description(connection.output(), COLUMNS, &[]);
-        let written = write_rows(connection, &result, FIRST_ROW, 0).await?;
+        let written = write_rows(connection, &result, RowPosition::default(), 0).await?;
         connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
         pg::command_complete(connection.output(), &format!("SELECT {}", written.count));
         Ok(())
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -118,10 +118,10 @@
     }
 
     fn stats(&self) -> String {
-        let (listed, avoided) = self.core.listed_and_avoided();
+        let engines = self.core.engine_counts();
         let metrics = self.core.metrics();
-        metrics.discovered(listed);
-        metrics.ejected(avoided);
+        metrics.discovered(engines.listed);
+        metrics.ejected(engines.avoided);
         metrics.render()
     }
 
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -226,7 +226,7 @@
         let board = self.swim.board();
         let observer = |member: &codec::Member| Observer {
             zone: member.zone.clone(),
-            here: matches!(member.state, codec::State::Alive | codec::State::Suspect),
+            is_alive: matches!(member.state, codec::State::Alive | codec::State::Suspect),
             facts: board.get(&member.name).map(|f| f.1.clone()),
         };
         self.core.set_observers(|| self.swim.all().map(observer).collect());
