--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -3,10 +3,10 @@
 
 use crate::core::zone_routing::Observer;
 use crate::core::{now, to_duration, Core, GossipWindows};
-use sprucelink_membership::codec::{self, MOST_DATAGRAM};
-use sprucelink_membership::pool::{self, Ration};
-use sprucelink_membership::swim::{Me, Swim, What};
-use sprucelink_membership::terms::Settings;
+use sprucelink_membership::{
+    budget_divisor, decode, encode, spare_retries, LocalMember, Member, MembershipConfig,
+    MembershipEventKind, OutgoingMessage, RetryBudget, SwimNode, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES,
+};
 use sprucelink_policy::{AttemptBudget, TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
 use std::io;
@@ -33,8 +33,6 @@
 const EXTRA_MS_PER_MEMBER: f64 = 10.0;
 /// Invalid datagrams that are logged between two log lines of counters.
 const MAX_INVALID_DATAGRAM_LINES: u32 = 10;
-/// Longest name of a member in characters.
-const MAX_NAME_CHARS: usize = 32;
 /// How long the shutdown waits until the departure is sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
@@ -73,7 +71,7 @@
 /// An address that cannot be bound.
 pub async fn start(
     core: Rc<Core>,
-    settings: Settings,
+    settings: MembershipConfig,
     manager_name: &str,
     seed: u64,
     fleet: FleetSettings,
@@ -86,7 +84,7 @@
     let me = local_member(&settings, manager_name, address);
     let seeds = settings.seeds.iter().filter_map(|seed| seed.parse().ok()).collect();
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
-    let swim = Swim::new(me, seeds, settings.protocol, seed, now());
+    let swim = SwimNode::new(me, seeds, settings.protocol, seed, now());
     let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.span);
     core.enable_gossip(GossipWindows {
         retry_budget: budget_window,
@@ -111,14 +109,14 @@
 }
 
 /// This manager as the others are to see it; without a name of its own it is called by its address.
-fn local_member(settings: &Settings, manager_name: &str, address: SocketAddr) -> Me {
+fn local_member(settings: &MembershipConfig, manager_name: &str, address: SocketAddr) -> LocalMember {
     let name = match manager_name.is_empty() {
         true => address.to_string(),
-        false => manager_name.chars().take(MAX_NAME_CHARS).collect(),
+        false => manager_name.chars().take(MAX_NAME_BYTES).collect(),
     };
     // Two processes of one name differ by the millisecond in which they started.
-    let life = now().as_millis().max(1) as u64;
-    Me { name, life, address, zone: settings.zone.clone(), region: settings.region.clone() }
+    let generation = now().as_millis().max(1) as u64;
+    LocalMember { name, generation, address, zone: settings.zone.clone(), region: settings.region.clone() }
 }
 
 /// A membership that runs.
@@ -145,9 +143,9 @@
 
 struct MembershipDriver {
     core: Rc<Core>,
-    settings: Settings,
+    settings: MembershipConfig,
     fleet: FleetSettings,
-    swim: Swim,
+    swim: SwimNode,
     socket: UdpSocket,
     next_summary: Timestamp,
     next_counters: Timestamp,
@@ -158,9 +156,9 @@
 
 impl MembershipDriver {
     async fn run(mut self, mut leave_requested: oneshot::Receiver<()>) {
-        let mut buffer = [0u8; MOST_DATAGRAM + 1];
+        let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.swim.due().min(self.next_summary);
+            let due = self.swim.next_deadline().min(self.next_summary);
             let pause = to_duration(due - now()).max(MIN_PAUSE);
             tokio::select! {
                 () = sleep(pause) => {}
@@ -193,7 +191,7 @@
     }
 
     fn handle_datagram(&mut self, datagram: &[u8], sender: SocketAddr) {
-        match codec::read(datagram) {
+        match decode(datagram) {
             Ok(message) => self.swim.receive(now(), message),
             Err(error) if self.invalid_datagram_lines < MAX_INVALID_DATAGRAM_LINES => {
                 self.invalid_datagram_lines += 1;
@@ -204,10 +202,10 @@
     }
 
     async fn send(&mut self) {
-        for (address, message) in self.swim.outbox() {
-            let (datagram, _) = codec::write(&message);
+        for OutgoingMessage { to, message } in self.swim.take_outbox() {
+            let datagram = encode(&message).bytes;
             // A datagram that cannot be sent counts as lost.
-            let _ = self.socket.send_to(&datagram, address).await;
+            let _ = self.socket.send_to(&datagram, to).await;
         }
     }
 
@@ -216,21 +214,21 @@
         if now() < self.next_summary {
             return;
         }
-        let members = self.swim.size();
+        let members = self.swim.live_count();
         let extra_ms = EXTRA_MS_PER_MEMBER * members.saturating_sub(LARGE_FLEET) as f64;
-        let interval_ms = self.settings.share.every_ms + extra_ms;
+        let interval_ms = self.settings.share.payload_interval_ms + extra_ms;
         self.next_summary = now() + TimeDelta::from_secs_f64(interval_ms / 1e3);
-        if let Some(facts) = self.core.gossip_facts() {
-            self.swim.set_facts(facts);
+        if let Some(payload) = self.core.gossip_payload() {
+            self.swim.set_payload(payload);
         }
-        let board = self.swim.board();
-        let observer = |member: &codec::Member| Observer {
+        let payloads = self.swim.payloads();
+        let observer = |member: &Member| Observer {
             zone: member.zone.clone(),
-            is_alive: matches!(member.state, codec::State::Alive | codec::State::Suspect),
-            facts: board.get(&member.name).map(|f| f.1.clone()),
+            here: member.state.is_live(),
+            payload: payloads.get(&member.name).map(|held| held.payload.clone()),
         };
-        self.core.set_observers(|| self.swim.all().map(observer).collect());
-        if self.settings.share.ration || self.settings.share.parts {
+        self.core.set_observers(|| self.swim.members().map(observer).collect());
+        if self.settings.share.pool_retry_budgets || self.settings.share.divide_by_live_members {
             self.apply_budgets(members);
         }
     }
@@ -238,8 +236,11 @@
     /// Gives the core its part of the fleet's budgets where it has changed.
     fn apply_budgets(&mut self, members: usize) {
         let configured = self.fleet.managers;
-        let managers =
-            if self.settings.share.parts { pool::parted_among(members, configured) } else { configured };
+        let managers = if self.settings.share.divide_by_live_members {
+            budget_divisor(members, configured)
+        } else {
+            configured
+        };
         let budgets = AppliedBudgets { managers, spare_attempts: self.spare_attempts(members) };
         if self.applied != Some(budgets) {
             self.applied = Some(budgets);
@@ -249,20 +250,24 @@
 
     /// Retries that the other members leave unused, as far as this one may use them.
     fn spare_attempts(&self, members: usize) -> f64 {
-        let Some(budget) = self.fleet.retry_budget.filter(|_| self.settings.share.ration) else {
+        let Some(budget) = self.fleet.retry_budget.filter(|_| self.settings.share.pool_retry_budgets) else {
             return 0.0;
         };
-        let board = self.swim.board();
-        let others: Vec<_> =
-            self.swim.here().filter_map(|member| board.get(&member.name)).map(|f| f.1).collect();
-        pool::spare_attempts(Ration { free: budget.free, share: budget.share }, &others, members)
+        let payloads = self.swim.payloads();
+        let others: Vec<_> = self
+            .swim
+            .live_members()
+            .filter_map(|member| payloads.get(&member.name))
+            .map(|held| &held.payload)
+            .collect();
+        spare_retries(RetryBudget { min_retries: budget.free, retry_ratio: budget.share }, &others, members)
     }
 
     fn log_changes(&mut self) {
-        let here = self.swim.size();
-        for change in self.swim.changes() {
-            let what = describe(change.what);
-            let (name, by) = (&change.name, &change.by);
+        let here = self.swim.live_count();
+        for change in self.swim.take_events() {
+            let what = describe(change.kind);
+            let (name, by) = (&change.member, &change.reported_by);
             info!(member = %name, what, %by, here, "fleet: {name} {what}, by {by}, {here} here");
         }
     }
@@ -273,7 +278,7 @@
         }
         self.next_counters = now() + COUNTERS_INTERVAL;
         self.invalid_datagram_lines = 0;
-        let here = self.swim.size();
+        let here = self.swim.live_count();
         let counters = self.swim.counters();
         info!(
             here,
@@ -284,21 +289,21 @@
             counters.received,
             counters.suspicions,
             counters.refutations,
-            self.swim.health(),
-            counters.stopped
+            self.swim.local_health(),
+            counters.stops
         );
     }
 }
 
 /// A change of a member's state, as log lines name it.
-fn describe(change: What) -> &'static str {
+fn describe(change: MembershipEventKind) -> &'static str {
     match change {
-        What::Joined => "joined",
-        What::Restarted => "restarted",
-        What::Suspected => "suspected",
-        What::Refuted => "refuted",
-        What::Died => "died",
-        What::Left => "left",
-        What::Superseded => "superseded: a later process has this manager's name",
+        MembershipEventKind::Joined => "joined",
+        MembershipEventKind::Restarted => "restarted",
+        MembershipEventKind::Suspected => "suspected",
+        MembershipEventKind::Refuted => "refuted",
+        MembershipEventKind::Died => "died",
+        MembershipEventKind::Left => "left",
+        MembershipEventKind::Superseded => "superseded: a later process has this manager's name",
     }
 }
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -16,9 +16,9 @@
 use super::config::Config;
 use super::second_front::SecondFrontConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::terms::Settings as MembershipSettings;
+use sprucelink_membership::MembershipConfig as MembershipSettings;
 use sprucelink_startup::config::StartupConfig;
-use sprucelink_zone_failover::terms::Terms as FailoverSettings;
+use sprucelink_zone_failover::config::FailoverConfig;
 use startup::Server;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
@@ -40,7 +40,7 @@
     /// Gossip between managers; off where it is absent or not enabled.
     pub membership: Option<MembershipSettings>,
     /// Failover between zones; off where it is absent or not enabled.
-    pub failover: Option<FailoverSettings>,
+    pub failover: Option<FailoverConfig>,
 }
 
 /// Serves until SIGTERM or SIGINT. At SIGHUP the configuration is read again by `read_config` from the files of
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -7,10 +7,10 @@
 use super::serve::ServerConfig;
 use super::socket_activation::{self, SocketActivationError};
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::terms::Settings as MembershipSettings;
+use sprucelink_membership::MembershipConfig as MembershipSettings;
 use sprucelink_settings::{Environment, SettingsFile};
 use sprucelink_startup::config::StartupConfig;
-use sprucelink_zone_failover::terms::Terms as FailoverSettings;
+use sprucelink_zone_failover::config::FailoverConfig;
 use std::io;
 
 /// A file of the start, or the environment, that cannot be used.
@@ -62,7 +62,7 @@
         recorder,
         cold_start: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
         membership: read_optional(options.membership.as_ref(), MembershipSettings::parse)?,
-        failover: read_optional(options.failover.as_ref(), FailoverSettings::parse)?,
+        failover: read_optional(options.failover.as_ref(), FailoverConfig::parse)?,
         config,
     })
 }
