--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -224,7 +224,7 @@
         let payloads = self.swim.payloads();
         let observer = |member: &Member| Observer {
             zone: member.zone.clone(),
-            here: member.state.is_live(),
+            is_alive: member.state.is_live(),
             payload: payloads.get(&member.name).map(|held| held.payload.clone()),
         };
         self.core.set_observers(|| self.swim.members().map(observer).collect());
