--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -126,8 +126,8 @@
     fn stats(&self) -> String {
         let engines = self.core.engine_counts();
         let metrics = self.core.metrics();
-        metrics.discovered(engines.listed);
-        metrics.ejected(engines.avoided);
+        metrics.set_discovered(engines.listed);
+        metrics.set_ejected(engines.avoided);
         metrics.render()
     }
 
