--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -24,7 +24,7 @@
     /// Its zone, by name.
     pub zone: String,
     /// It is alive.
-    pub here: bool,
+    pub is_alive: bool,
     /// Its gossip, where some is held.
     pub payload: Option<GossipPayload>,
 }
@@ -172,9 +172,9 @@
 ) {
     if let Some(sum) = own_zone.and_then(|zone| zones.get_mut(&zone)) {
         sum.managers += 1;
-        sum.live_managers += u32::from(observer.here);
+        sum.live_managers += u32::from(observer.is_alive);
     }
-    let Some(payload) = observer.payload.as_ref().filter(|_| observer.here) else { return };
+    let Some(payload) = observer.payload.as_ref().filter(|_| observer.is_alive) else { return };
     for sum in zones.values_mut().filter(|sum| Some(sum.zone) != own_zone) {
         let engines = engines_by_zone.get(&sum.zone);
         let is_in_zone = |engine: &&u64| engines.is_some_and(|engines| engines.contains(engine));
