--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,5 +1,5 @@
 //! The state machine of the endpoint watch: when the control feed is polled, when a poll is given up, and which events are
-//! asked for again. [`super::endpoint_client`] drives it. It reads no clock and draws no random numbers.
+//! asked for again. The `endpoint_client` module drives it. It reads no clock and draws no random numbers.
 //!
 //! A poll passes through phases, each with a bound on how long it may last with nothing received.
 
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -1,6 +1,6 @@
 //! The engine table: the engines of the endpoint list, by number, and the connections to each.
 //!
-//! It holds state only. [`super::coordinator`] applies updates of the list and closes connections.
+//! It holds state only. The `coordinator` module applies updates of the list and closes connections.
 
 use super::attempt::AttemptOutcome;
 use super::engine_connection::{ConnectionLimits, EngineConnection};
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,6 +1,6 @@
 //! The request table: the state of every pending request, and when each is due.
 //!
-//! It holds state only. [`super::coordinator`] decides what happens to a request and calls the methods here.
+//! It holds state only. The `coordinator` module decides what happens to a request and calls the methods here.
 
 use super::attempt::{AttemptOutcome, InFlightAttempt};
 use super::buffer_pool::Buffer;
