--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -4,7 +4,7 @@
 use sprucelink_schema_compat::check::{check, Directions};
 use sprucelink_schema_compat::rules::Direction;
 use sprucelink_schema_compat::sample::sample;
-use sprucelink_schema_compat::{Op, Outcome, Registry, Schema, Translation, Uses};
+use sprucelink_schema_compat::{CommandOutcome, ReaderUsage, Registry, RegistryCommand, Schema, Translation};
 use std::time::{Duration, Instant};
 
 const VERSIONS: u32 = 64;
@@ -74,11 +74,11 @@
     println!("memory of a schema: {} KB", resident().saturating_sub(before) / kept.len() as u64);
     println!(
         "check of one pair, both ways: {:?}",
-        least(20, || check(first, last, &Uses::all(), Directions::BOTH))
+        least(20, || check(first, last, &ReaderUsage::all(), Directions::BOTH))
     );
 
     let mut registry = Registry::new();
-    let propose = |schema: &Schema| Op::Propose {
+    let propose = |schema: &Schema| RegistryCommand::Propose {
         publisher: "p".into(),
         schema: schema.to_set().to_vec(),
         translations: vec![],
@@ -89,9 +89,15 @@
     }
     for subscriber in 0..SUBSCRIBERS {
         let (name, version) = (format!("s{subscriber}"), 1 + subscriber % (VERSIONS - 1));
-        let uses = Uses::all();
-        let op = Op::Subscribe { subscriber: name, publisher: "p".into(), version, uses, lease_ms: 60_000 };
-        if !matches!(registry.apply(0, op), Outcome::Subscribed { .. }) {
+        let usage = ReaderUsage::all();
+        let command = RegistryCommand::Subscribe {
+            subscriber: name,
+            publisher: "p".into(),
+            version,
+            usage,
+            lease_ms: 60_000,
+        };
+        if !matches!(registry.apply(0, command), CommandOutcome::Subscribed { .. }) {
             println!("a subscriber was refused");
         }
     }
@@ -99,22 +105,22 @@
     let mut outcome = None;
     let took = least(5, || outcome = Some(registry.clone().apply(1, proposal.clone())));
     let translated = match outcome {
-        Some(Outcome::Accepted { translated, .. }) => translated.len(),
+        Some(CommandOutcome::Accepted { translated, .. }) => translated.len(),
         other => return println!("the proposal was not accepted: {other:?}"),
     };
     println!(
         "proposal against 63 versions in use by {SUBSCRIBERS} subscribers: {took:?}, {translated} of them translated"
     );
     registry.apply(1, proposal);
-    let again = Op::Subscribe {
+    let again = RegistryCommand::Subscribe {
         subscriber: "s0".into(),
         publisher: "p".into(),
         version: 1,
-        uses: Uses::all(),
+        usage: ReaderUsage::all(),
         lease_ms: 60_000,
     };
     println!("subscription against 64 in force: {:?}", least(5, || registry.apply(1, again.clone())));
-    let renew = Op::Renew { subscriber: "s9".into(), publisher: "p".into() };
+    let renew = RegistryCommand::Renew { subscriber: "s9".into(), publisher: "p".into() };
     println!("renewal: {:?}", least(1000, || registry.apply(1, renew.clone())));
     let bytes = registry.export();
     println!("snapshot: {} bytes, written in {:?}", bytes.len(), least(5, || registry.export()));
--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -1,14 +1,14 @@
 //! Two schemas, or one against all in use: the verdict.
 
-use crate::bounds::SAMPLES;
-use crate::judge::judge;
-use crate::ledger::Ledger;
-use crate::pair::compare;
+use crate::comparison::compare;
+use crate::findings::findings_for_usage;
+use crate::limits::SAMPLES_PER_RECORD;
 use crate::rules::{Direction, Finding, Rule, Severity};
 use crate::sample::sample;
 use crate::schema::Schema;
+use crate::symbol_history::SymbolHistory;
 use crate::translate::Translation;
-use crate::uses::Uses;
+use crate::usage::ReaderUsage;
 
 /// Who writes and who reads, of two versions.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -30,23 +30,23 @@
 
 /// What a change does to readers.
 #[derive(Clone, Debug)]
-pub enum Verdict {
+pub enum Compatibility {
     /// Readers go on without any help.
     Compatible,
     /// Readers go on if records are translated for them.
     Translatable(Box<Translations>),
-    /// Readers break, or history is hurt: the findings that break, worst first, [`crate::bounds::MAX_REASONS`] at most.
+    /// Readers break, or history is hurt: the findings that break, worst first, [`crate::limits::MAX_VIOLATIONS`] at most.
     Rejected(Vec<Finding>),
 }
 
-impl Verdict {
+impl Compatibility {
     /// `compatible`, `translatable` or `rejected`.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
-            Verdict::Compatible => "compatible",
-            Verdict::Translatable(_) => "translatable",
-            Verdict::Rejected(_) => "rejected",
+            Compatibility::Compatible => "compatible",
+            Compatibility::Translatable(_) => "translatable",
+            Compatibility::Rejected(_) => "rejected",
         }
     }
 }
@@ -70,27 +70,32 @@
 /// new version writes; where the old one writes, readers are taken to use all of `new`, with the form and tolerance of
 /// `uses`.
 #[must_use]
-pub fn check(old: &Schema, new: &Schema, uses: &Uses, directions: Directions) -> Verdict {
-    let findings = check_findings(old, new, uses, directions);
+pub fn check(old: &Schema, new: &Schema, usage: &ReaderUsage, directions: Directions) -> Compatibility {
+    let findings = check_findings(old, new, usage, directions);
     match worst(&findings) {
-        Severity::Note => Verdict::Compatible,
-        Severity::Translate => Verdict::Translatable(Box::new(Translations {
+        Severity::Note => Compatibility::Compatible,
+        Severity::Translate => Compatibility::Translatable(Box::new(Translations {
             down: Translation::between(new, old, Direction::Down),
             up: Translation::between(old, new, Direction::Up),
         })),
-        Severity::Break => Verdict::Rejected(breaks(findings)),
+        Severity::Break => Compatibility::Rejected(breaks(findings)),
     }
 }
 
 /// All that [`check`] finds, notes too, and history's rules between the two.
 #[must_use]
-pub fn check_findings(old: &Schema, new: &Schema, uses: &Uses, directions: Directions) -> Vec<Finding> {
+pub fn check_findings(
+    old: &Schema,
+    new: &Schema,
+    usage: &ReaderUsage,
+    directions: Directions,
+) -> Vec<Finding> {
     let mut found = history(&[old], new);
     if directions.down {
-        found.extend(read_by(new, old, uses, Direction::Down));
+        found.extend(read_by(new, old, usage, Direction::Down));
     }
     if directions.up {
-        let future = Uses { paths: None, ..uses.clone() };
+        let future = ReaderUsage { paths: None, ..usage.clone() };
         found.extend(read_by(old, new, &future, Direction::Up));
     }
     found
@@ -99,16 +104,21 @@
 /// What the new schema does to numbers and names that any version before it, oldest first, gave away or set aside.
 #[must_use]
 pub fn history(before: &[&Schema], new: &Schema) -> Vec<Finding> {
-    let mut ledger = Ledger::default();
-    before.iter().for_each(|schema| ledger.absorb(&schema.model));
-    ledger.check(&new.model)
+    let mut symbol_history = SymbolHistory::default();
+    before.iter().for_each(|schema| symbol_history.absorb(&schema.model));
+    symbol_history.check(&new.model)
 }
 
 /// What a reader of `reader` with `uses` meets in records of `writer`. A translation that would be needed has been run on
 /// samples.
-pub(crate) fn read_by(writer: &Schema, reader: &Schema, uses: &Uses, direction: Direction) -> Vec<Finding> {
+pub(crate) fn read_by(
+    writer: &Schema,
+    reader: &Schema,
+    usage: &ReaderUsage,
+    direction: Direction,
+) -> Vec<Finding> {
     let pair = compare(&writer.model, &reader.model, direction);
-    let mut found = judge(&pair, &reader.model, uses);
+    let mut found = findings_for_usage(&pair, &reader.model, usage);
     if worst(&found) == Severity::Translate {
         let there = Translation::of(&pair, reader);
         let back = if direction == Direction::Down { Direction::Up } else { Direction::Down };
@@ -126,7 +136,7 @@
     direction: Direction,
 ) -> Option<Finding> {
     for name in writer.records() {
-        for seed in 0..SAMPLES {
+        for seed in 0..SAMPLES_PER_RECORD {
             let Some(record) = sample(writer, name, seed) else { continue };
             let failed = match there.run(&record) {
                 Ok(None) => None,
@@ -144,6 +154,6 @@
 
 fn breaks(mut findings: Vec<Finding>) -> Vec<Finding> {
     findings.retain(|finding| finding.severity == Severity::Break);
-    findings.truncate(crate::bounds::MAX_REASONS);
+    findings.truncate(crate::limits::MAX_VIOLATIONS);
     findings
 }
--- /dev/null
+++ b/crates/schema-compat/src/comparison/context.rs
@@ -0,0 +1,57 @@
+//! The state of a running comparison: which pairs of messages are queued, and which fields correspond.
+
+use crate::limits::MAX_MESSAGE_PAIRS;
+use crate::model::{Field, Message, Model};
+use crate::rules::Direction;
+use std::collections::HashMap;
+
+/// The two schemas under comparison and the pairs of messages met so far.
+pub(crate) struct ComparisonContext<'a> {
+    pub(crate) writer: &'a Model,
+    pub(crate) reader: &'a Model,
+    pub(crate) direction: Direction,
+    indexes: HashMap<(usize, usize), usize>,
+    pub(crate) pairs: Vec<(usize, usize)>,
+    pub(crate) exceeded: bool,
+}
+
+impl<'a> ComparisonContext<'a> {
+    /// A context without any pair of messages yet.
+    pub(crate) fn new(writer: &'a Model, reader: &'a Model, direction: Direction) -> Self {
+        Self { writer, reader, direction, indexes: HashMap::new(), pairs: Vec::new(), exceeded: false }
+    }
+
+    /// The index of a pair of messages; a new pair is queued for comparison.
+    pub(crate) fn pair_index(&mut self, writer: usize, reader: usize) -> usize {
+        if let Some(&index) = self.indexes.get(&(writer, reader)) {
+            return index;
+        }
+        if self.pairs.len() >= MAX_MESSAGE_PAIRS {
+            self.exceeded = true;
+            return 0;
+        }
+        let index = self.pairs.len();
+        self.indexes.insert((writer, reader), index);
+        self.pairs.push((writer, reader));
+        index
+    }
+
+    /// Whether a writer's field is, by name, what the reader calls so.
+    fn is_same_field(&self, writer: &Field, reader: &Field) -> bool {
+        match self.direction {
+            Direction::Down => writer.was(&reader.name),
+            _ => reader.was(&writer.name),
+        }
+    }
+
+    /// The writer's field that stands for the reader's: by number and name, or by a number declared as former.
+    pub(crate) fn counterpart<'m>(&self, writer: &'m Message, reader: &Field) -> Option<&'m Field> {
+        let moved = |field: &&Field| match self.direction {
+            Direction::Down => field.former_numbers.contains(&reader.number),
+            _ => reader.former_numbers.contains(&field.number),
+        };
+        let by_number = writer.fields.get(&reader.number).filter(|field| self.is_same_field(field, reader));
+        by_number
+            .or_else(|| writer.fields.values().filter(moved).find(|field| self.is_same_field(field, reader)))
+    }
+}
--- a/crates/schema-compat/src/enums.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -1,45 +1,57 @@
 //! A writer's enum beside a reader's.
 
+use super::context::ComparisonContext;
+use super::conversion::ValueConversion;
+use super::difference::{Difference, Impact};
 use crate::model::{Enum, EnumValue};
-use crate::options::Unknown;
-use crate::pair::{Build, Effect, Issue};
 use crate::rules::{Direction, Rule};
-use crate::translate::ValueOp;
+use crate::schema_options::UnknownValuePolicy;
 
 /// What a value unknown to a reader does, by the reader's schema.
-pub(crate) fn unknown_effect(unknown: Unknown) -> Effect {
+pub(crate) fn unknown_effect(unknown: UnknownValuePolicy) -> Impact {
     match unknown {
-        Unknown::Accepted => Effect::Note,
-        Unknown::Refused => Effect::Break,
-        Unknown::Unstated => Effect::Intolerant,
+        UnknownValuePolicy::Accepted => Impact::Note,
+        UnknownValuePolicy::Rejected => Impact::Break,
+        UnknownValuePolicy::Unstated => Impact::Intolerant,
     }
 }
 
 /// Compares two enums; gives what is to be done with values.
-pub(crate) fn compare(build: &Build, writer: usize, reader: usize, issues: &mut Vec<Issue>) -> ValueOp {
-    let (writer, reader) = (&build.writer.enums[writer], &build.reader.enums[reader]);
-    let down = build.direction == Direction::Down;
+pub(crate) fn compare(
+    context: &ComparisonContext,
+    writer: usize,
+    reader: usize,
+    differences: &mut Vec<Difference>,
+) -> ValueConversion {
+    let (writer, reader) = (&context.writer.enums[writer], &context.reader.enums[reader]);
+    let down = context.direction == Direction::Down;
     let newer = if down { writer } else { reader };
     let mut mapped = Vec::new();
     let mut add = |rule, used, at: &str, detail: String| {
-        issues.push(Issue { rule, used, unused: Effect::Nothing, at: Some(at.to_string()), detail });
+        differences.push(Difference {
+            rule,
+            used,
+            unused: Impact::Nothing,
+            at: Some(at.to_string()),
+            detail,
+        });
     };
     for value in &writer.values {
         if !reader.values.iter().any(|known| known.number == value.number) {
             if let Some(known) = reader.named(&value.name) {
                 let detail = format!("{} written, {} read", value.number, known.number);
-                add(Rule::EnumValueRenumbered, Effect::Break, &value.name, detail);
+                add(Rule::EnumValueRenumbered, Impact::Break, &value.name, detail);
                 continue;
             }
             let rule = if down { Rule::EnumValueAdded } else { Rule::EnumValueRemoved };
             match stands_for(newer, reader, value) {
                 Some(known) => {
                     let detail = format!("reads as {}, as declared", known.name);
-                    add(rule, Effect::Translate, &value.name, detail);
+                    add(rule, Impact::Translate, &value.name, detail);
                     mapped.push((value.number, known.number));
                 }
                 None => {
-                    let effect = if reader.closed { Effect::Break } else { unknown_effect(reader.unknown) };
+                    let effect = if reader.closed { Impact::Break } else { unknown_effect(reader.unknown) };
                     let detail =
                         format!("number {} may be written, its reader does not know it", value.number);
                     add(rule, effect, &value.name, detail);
@@ -56,20 +68,20 @@
         let known: Vec<&EnumValue> = reader.values.iter().filter(same).collect();
         let Some(like) = known.iter().find(|known| aliases().any(|alias| was(known, alias))) else {
             let detail = format!("number {} stands for it, {} is read", value.number, known[0].name);
-            add(Rule::EnumNumberReused, Effect::Break, &value.name, detail);
+            add(Rule::EnumNumberReused, Impact::Break, &value.name, detail);
             continue;
         };
         if like.meaning != value.meaning {
             let detail = format!("means {} to its writer and {} to its reader", value.meaning, like.meaning);
-            add(Rule::MeaningChanged, Effect::Break, &value.name, detail);
+            add(Rule::MeaningChanged, Impact::Break, &value.name, detail);
         } else if like.name != value.name && !aliases().any(|alias| alias.name == like.name) {
-            add(Rule::FieldRenamed, Effect::Names, &value.name, format!("read as {}", like.name));
+            add(Rule::FieldRenamed, Impact::Names, &value.name, format!("read as {}", like.name));
         }
     }
     if mapped.is_empty() {
-        ValueOp::Keep
+        ValueConversion::Keep
     } else {
-        ValueOp::Enum(mapped)
+        ValueConversion::Enum(mapped)
     }
 }
 
--- /dev/null
+++ b/crates/schema-compat/src/comparison/mod.rs
@@ -0,0 +1,99 @@
+//! A writer's schema compared with a reader's, field by field, whatever a particular reader uses of it.
+//!
+//! Messages correspond as on the wire: by the fields that hold them and by number, not by name. Each pair of messages is
+//! compared once, so that recursive types terminate; [`MAX_MESSAGE_PAIRS`](crate::limits::MAX_MESSAGE_PAIRS) bounds the rest.
+
+mod context;
+pub(crate) mod conversion;
+pub(crate) mod difference;
+mod enum_values;
+mod field;
+
+use crate::model::Model;
+use crate::rules::{Direction, Rule};
+use context::ComparisonContext;
+use conversion::FieldConversion;
+use difference::{Difference, Impact, MessageComparison, RecordComparison, SchemaComparison};
+
+/// Compares a pair of messages, given by their indexes in the two models.
+fn compare_messages(context: &mut ComparisonContext, writer: usize, reader: usize) -> MessageComparison {
+    let mut comparison =
+        MessageComparison { reader, differences: Vec::new(), fields: Vec::new(), steps: Vec::new() };
+    let (writer, reader) = (&context.writer.messages[writer], &context.reader.messages[reader]);
+    if writer.meaning != reader.meaning {
+        comparison.differences.push(Difference {
+            rule: Rule::MeaningChanged,
+            used: Impact::Break,
+            unused: Impact::Note,
+            at: None,
+            detail: format!(
+                "message means {} to its writer and {} to its reader",
+                writer.meaning, reader.meaning
+            ),
+        });
+    }
+    for field in reader.fields.values() {
+        let (pair, step) = field::compare(context, writer, reader, field);
+        if pair.child.is_some() || pair.needed || !pair.differences.is_empty() {
+            comparison.fields.push(pair);
+        }
+        if step.conversion != FieldConversion::Keep
+            || step.fill
+            || step.from.is_some_and(|from| from != step.to)
+        {
+            comparison.steps.push(step);
+        }
+    }
+    comparison
+}
+
+/// Compares what `writer` writes with what `reader` reads.
+pub(crate) fn compare(writer: &Model, reader: &Model, direction: Direction) -> SchemaComparison {
+    let mut context = ComparisonContext::new(writer, reader, direction);
+    let roots = reader.roots.iter().map(|&message| compare_record(&mut context, message)).collect();
+    let mut nodes = Vec::new();
+    while nodes.len() < context.pairs.len() {
+        let (writer, reader) = context.pairs[nodes.len()];
+        nodes.push(compare_messages(&mut context, writer, reader));
+    }
+    SchemaComparison { direction, roots, nodes, exceeded: context.exceeded }
+}
+
+/// Finds the writer's message for a published message of the reader and queues the pair.
+fn compare_record(context: &mut ComparisonContext, reader: usize) -> RecordComparison {
+    let read = &context.reader.messages[reader];
+    let written = context.writer.message_named(&read.name).or_else(|| match context.direction {
+        Direction::Down => {
+            let was = |one: &usize| context.writer.messages[*one].former_names.contains(&read.name);
+            context.writer.roots.iter().copied().find(was)
+        }
+        _ => read.former_names.iter().find_map(|name| context.writer.message_named(name)),
+    });
+    let mut differences = Vec::new();
+    let mut add = |rule, used, detail| {
+        differences.push(Difference { rule, used, unused: Impact::Note, at: None, detail })
+    };
+    let Some(written) = written else {
+        if context.direction == Direction::Down {
+            let short = |name: &str| name.rsplit('.').next().unwrap_or_default().to_string();
+            let moved = context.writer.roots.iter().map(|&one| &context.writer.messages[one].name);
+            match moved.clone().find(|name| short(name) == short(&read.name)) {
+                Some(name) => add(Rule::PackageRenamed, Impact::Break, format!("now {name}, not declared")),
+                None => add(Rule::MessageRemovedInUse, Impact::Break, "no longer published".into()),
+            }
+        }
+        return RecordComparison { writer: None, reader: read.name.clone(), node: None, differences };
+    };
+    let name = &context.writer.messages[written].name;
+    if *name != read.name {
+        differences.push(Difference {
+            rule: Rule::MessageRenamed,
+            used: Impact::Translate,
+            unused: Impact::Translate,
+            at: None,
+            detail: format!("written as {name}"),
+        });
+    }
+    let node = context.pair_index(written, reader);
+    RecordComparison { writer: Some(name.clone()), reader: read.name.clone(), node: Some(node), differences }
+}
--- a/crates/schema-compat/src/convert.rs
+++ b/crates/schema-compat/src/convert.rs
@@ -4,37 +4,37 @@
 
 /// A value that has no like in the type asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct NoLike;
+pub(crate) struct NotRepresentable;
 
-enum Plain {
+enum ScalarValue {
     Whole(i128),
     Float(f64),
     Text(Vec<u8>),
 }
 
-fn plain(value: &Value) -> Option<Plain> {
+fn plain(value: &Value) -> Option<ScalarValue> {
     Some(match value {
-        Value::Bool(one) => Plain::Whole(i128::from(*one)),
-        Value::I32(one) => Plain::Whole(i128::from(*one)),
-        Value::I64(one) => Plain::Whole(i128::from(*one)),
-        Value::U32(one) => Plain::Whole(i128::from(*one)),
-        Value::U64(one) => Plain::Whole(i128::from(*one)),
-        Value::EnumNumber(one) => Plain::Whole(i128::from(*one)),
-        Value::F32(one) => Plain::Float(f64::from(*one)),
-        Value::F64(one) => Plain::Float(*one),
-        Value::String(one) => Plain::Text(one.as_bytes().to_vec()),
-        Value::Bytes(one) => Plain::Text(one.to_vec()),
+        Value::Bool(one) => ScalarValue::Whole(i128::from(*one)),
+        Value::I32(one) => ScalarValue::Whole(i128::from(*one)),
+        Value::I64(one) => ScalarValue::Whole(i128::from(*one)),
+        Value::U32(one) => ScalarValue::Whole(i128::from(*one)),
+        Value::U64(one) => ScalarValue::Whole(i128::from(*one)),
+        Value::EnumNumber(one) => ScalarValue::Whole(i128::from(*one)),
+        Value::F32(one) => ScalarValue::Float(f64::from(*one)),
+        Value::F64(one) => ScalarValue::Float(*one),
+        Value::String(one) => ScalarValue::Text(one.as_bytes().to_vec()),
+        Value::Bytes(one) => ScalarValue::Text(one.to_vec()),
         Value::Message(_) | Value::List(_) | Value::Map(_) => return None,
     })
 }
 
-fn whole(number: i128, kind: &Kind) -> Result<Value, NoLike> {
-    let no = |_| NoLike;
+fn whole(number: i128, kind: &Kind) -> Result<Value, NotRepresentable> {
+    let no = |_| NotRepresentable;
     Ok(match kind {
         Kind::Bool => match number {
             0 => Value::Bool(false),
             1 => Value::Bool(true),
-            _ => return Err(NoLike),
+            _ => return Err(NotRepresentable),
         },
         Kind::Int32 | Kind::Sint32 | Kind::Sfixed32 => Value::I32(number.try_into().map_err(no)?),
         Kind::Int64 | Kind::Sint64 | Kind::Sfixed64 => Value::I64(number.try_into().map_err(no)?),
@@ -44,42 +44,46 @@
         // Exact or nothing: what is rounded comes back as another number.
         Kind::Float if (number as f32) as i128 == number => Value::F32(number as f32),
         Kind::Double if (number as f64) as i128 == number => Value::F64(number as f64),
-        _ => return Err(NoLike),
+        _ => return Err(NotRepresentable),
     })
 }
 
 /// The value of type `kind` that means the same, exactly; whole numbers, floating ones and texts each among themselves,
 /// and whole ones into floating ones.
-pub(crate) fn convert(value: &Value, kind: &Kind) -> Result<Value, NoLike> {
-    match (plain(value).ok_or(NoLike)?, kind) {
-        (Plain::Whole(number), _) => whole(number, kind),
-        (Plain::Float(number), Kind::Double) => Ok(Value::F64(number)),
-        (Plain::Float(number), Kind::Float) if f64::from(number as f32) == number || number.is_nan() => {
+pub(crate) fn convert(value: &Value, kind: &Kind) -> Result<Value, NotRepresentable> {
+    match (plain(value).ok_or(NotRepresentable)?, kind) {
+        (ScalarValue::Whole(number), _) => whole(number, kind),
+        (ScalarValue::Float(number), Kind::Double) => Ok(Value::F64(number)),
+        (ScalarValue::Float(number), Kind::Float)
+            if f64::from(number as f32) == number || number.is_nan() =>
+        {
             Ok(Value::F32(number as f32))
         }
-        (Plain::Text(bytes), Kind::Bytes) => Ok(Value::Bytes(bytes.into())),
-        (Plain::Text(bytes), Kind::String) => String::from_utf8(bytes).map(Value::String).map_err(|_| NoLike),
-        _ => Err(NoLike),
+        (ScalarValue::Text(bytes), Kind::Bytes) => Ok(Value::Bytes(bytes.into())),
+        (ScalarValue::Text(bytes), Kind::String) => {
+            String::from_utf8(bytes).map(Value::String).map_err(|_| NotRepresentable)
+        }
+        _ => Err(NotRepresentable),
     }
 }
 
 /// A map's key as a value of type `kind`.
-pub(crate) fn convert_key(key: MapKey, kind: &Kind) -> Result<MapKey, NoLike> {
-    convert(&Value::from(key), kind)?.into_map_key().ok_or(NoLike)
+pub(crate) fn convert_key(key: MapKey, kind: &Kind) -> Result<MapKey, NotRepresentable> {
+    convert(&Value::from(key), kind)?.into_map_key().ok_or(NotRepresentable)
 }
 
 /// A declared value's text as a value of type `kind`: `12`, `-1`, `0.5`, `true`, a text as it stands, an enum value's
 /// name.
-pub(crate) fn parse(text: &str, kind: &Kind) -> Result<Value, NoLike> {
-    let no = |_| NoLike;
+pub(crate) fn parse(text: &str, kind: &Kind) -> Result<Value, NotRepresentable> {
+    let no = |_| NotRepresentable;
     match kind {
-        Kind::Bool => Ok(Value::Bool(text.parse().map_err(|_| NoLike)?)),
-        Kind::Float => Ok(Value::F32(text.parse().map_err(|_| NoLike)?)),
-        Kind::Double => Ok(Value::F64(text.parse().map_err(|_| NoLike)?)),
+        Kind::Bool => Ok(Value::Bool(text.parse().map_err(|_| NotRepresentable)?)),
+        Kind::Float => Ok(Value::F32(text.parse().map_err(|_| NotRepresentable)?)),
+        Kind::Double => Ok(Value::F64(text.parse().map_err(|_| NotRepresentable)?)),
         Kind::String => Ok(Value::String(text.to_string())),
         Kind::Bytes => Ok(Value::Bytes(text.as_bytes().to_vec().into())),
-        Kind::Enum(one) => by_name(one, text).ok_or(NoLike),
-        Kind::Message(_) => Err(NoLike),
+        Kind::Enum(one) => by_name(one, text).ok_or(NotRepresentable),
+        Kind::Message(_) => Err(NotRepresentable),
         _ => whole(text.parse::<i128>().map_err(no)?, kind),
     }
 }
@@ -92,9 +96,9 @@
 /// in hexadecimals.
 pub(crate) fn canonical(value: &Value) -> String {
     match plain(value) {
-        Some(Plain::Whole(number)) => number.to_string(),
-        Some(Plain::Float(number)) => number.to_string(),
-        Some(Plain::Text(bytes)) => bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
+        Some(ScalarValue::Whole(number)) => number.to_string(),
+        Some(ScalarValue::Float(number)) => number.to_string(),
+        Some(ScalarValue::Text(bytes)) => bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
         None => String::new(),
     }
 }
--- /dev/null
+++ b/crates/schema-compat/src/declaration.rs
@@ -0,0 +1,142 @@
+//! What a publisher declares of a change beside its schema: the same that the options in `.proto` text say, for
+//! schemas whose text is not the fleet's to mark.
+
+use crate::error::{check_limit, DeclarationError, SchemaError};
+use crate::limits::{MAX_DECLARATIONS, MAX_DECLARATION_BYTES};
+use crate::model::{Enum, Field, Message, Model};
+use crate::schema::Schema;
+
+/// One declaration. Names are of the new schema, full ones for messages and enums.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub enum MigrationDeclaration {
+    /// A published message had another full name.
+    MessageRenamed {
+        /// The message.
+        message: String,
+        /// Its former full name.
+        former_name: String,
+    },
+    /// A field had another name.
+    FieldRenamed {
+        /// The message.
+        message: String,
+        /// The field.
+        field: String,
+        /// Its former name.
+        former_name: String,
+    },
+    /// A field had another number.
+    FieldRenumbered {
+        /// The message.
+        message: String,
+        /// The field.
+        field: String,
+        /// Its former number.
+        number: u32,
+    },
+    /// Old readers of a removed field get this value.
+    RemovedFieldDefault {
+        /// The message.
+        message: String,
+        /// The removed field.
+        field: String,
+        /// The value's text.
+        value: String,
+    },
+    /// New readers get this value for a field in records older than it.
+    AddedFieldDefault {
+        /// The message.
+        message: String,
+        /// The field.
+        field: String,
+        /// The value's text.
+        value: String,
+    },
+    /// Readers that do not know an enum's value, be it new or removed, get another.
+    EnumValueFallback {
+        /// The enum.
+        enumeration: String,
+        /// The value that they do not know.
+        value: String,
+        /// What they get.
+        reads_as: String,
+    },
+}
+
+impl MigrationDeclaration {
+    fn texts(&self) -> [&str; 3] {
+        match self {
+            Self::MessageRenamed { message, former_name } => [message, former_name, ""],
+            Self::FieldRenamed { message, field, former_name } => [message, field, former_name],
+            Self::FieldRenumbered { message, field, .. } => [message, field, ""],
+            Self::RemovedFieldDefault { message, field, value }
+            | Self::AddedFieldDefault { message, field, value } => [message, field, value],
+            Self::EnumValueFallback { enumeration, value, reads_as } => [enumeration, value, reads_as],
+        }
+    }
+}
+
+impl Schema {
+    /// The same schema, with what is declared beside it. Its digest stays: it names what publishers write.
+    ///
+    /// # Errors
+    /// A declaration that names a message, field or enum that the schema does not have; more than [`MAX_DECLARATIONS`], or
+    /// a text longer than [`MAX_DECLARATION_BYTES`] bytes.
+    pub fn declare(mut self, declared: &[MigrationDeclaration]) -> Result<Self, SchemaError> {
+        check_limit("declarations", declared.len(), MAX_DECLARATIONS)?;
+        for one in declared {
+            for text in one.texts() {
+                check_limit("bytes in a declaration", text.len(), MAX_DECLARATION_BYTES)?;
+            }
+            self.model.declare(one)?;
+        }
+        Ok(self)
+    }
+}
+
+impl Model {
+    fn declare(&mut self, declared: &MigrationDeclaration) -> Result<(), SchemaError> {
+        match declared {
+            MigrationDeclaration::MessageRenamed { message, former_name } => {
+                self.message_mut(message)?.former_names.push(former_name.clone())
+            }
+            MigrationDeclaration::FieldRenamed { message, field, former_name } => {
+                self.field_mut(message, field)?.former_names.push(former_name.clone());
+            }
+            MigrationDeclaration::FieldRenumbered { message, field, number } => {
+                self.field_mut(message, field)?.former_numbers.push(*number);
+            }
+            MigrationDeclaration::RemovedFieldDefault { message, field, value } => {
+                self.message_mut(message)?.removed.insert(field.clone(), value.clone());
+            }
+            MigrationDeclaration::AddedFieldDefault { message, field, value } => {
+                self.field_mut(message, field)?.old_reads_as = Some(value.clone());
+            }
+            MigrationDeclaration::EnumValueFallback { enumeration, value, reads_as } => {
+                let enumeration = self.enum_mut(enumeration)?;
+                match enumeration.values.iter_mut().find(|one| one.name == *value) {
+                    Some(known) => known.reads_as = Some(reads_as.clone()),
+                    None => _ = enumeration.removed.insert(value.clone(), reads_as.clone()),
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn message_mut(&mut self, name: &str) -> Result<&mut Message, SchemaError> {
+        let index =
+            self.message_named(name).ok_or_else(|| DeclarationError::UnknownMessage(name.to_string()))?;
+        Ok(&mut self.messages[index])
+    }
+
+    fn field_mut(&mut self, message: &str, name: &str) -> Result<&mut Field, SchemaError> {
+        let unknown =
+            || DeclarationError::UnknownField { message: message.to_string(), field: name.to_string() };
+        Ok(self.message_mut(message)?.field_named_mut(name).ok_or_else(unknown)?)
+    }
+
+    fn enum_mut(&mut self, name: &str) -> Result<&mut Enum, SchemaError> {
+        let unknown = || DeclarationError::UnknownEnum(name.to_string());
+        Ok(self.enums.iter_mut().find(|one| one.name == name).ok_or_else(unknown)?)
+    }
+}
--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -1,43 +1,63 @@
 //! Two schemas' texts, and what is said of the change: for `sprucelink compat check OLD NEW`.
 
 use crate::check::{check_findings, worst, Directions};
+use crate::error::SchemaError;
 use crate::rules::{Finding, Severity};
-use crate::schema::{Digest, Schema, SchemaError};
-use crate::uses::Uses;
+use crate::schema::{Digest, Schema};
+use crate::usage::{ReaderUsage, UsageError};
 use serde_json::json;
 use std::fmt::Write as _;
+use thiserror::Error;
 
 /// What is said of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct CompatibilityReport {
     /// The old schema.
     pub old: Digest,
     /// The new schema.
     pub new: Digest,
     /// The verdict: compatible, translatable, rejected.
-    pub verdict: Severity,
+    pub severity: Severity,
     /// All findings, the worst first.
     pub findings: Vec<Finding>,
 }
 
-/// Judges the change from one text to another, both ways, for readers with `uses` of the old one.
+/// Why a change cannot be explained.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ExplainError {
+    /// The declaration of use exceeds a limit.
+    #[error("schema's declarations: {0}")]
+    Usage(#[from] UsageError),
+    /// The old text is not a valid schema.
+    #[error(transparent)]
+    OldSchema(SchemaError),
+    /// The new text is not a valid schema.
+    #[error(transparent)]
+    NewSchema(SchemaError),
+}
+
+/// Compares the change from one text to another, both ways, for readers with `uses` of the old one.
 ///
 /// # Errors
 /// Which of the texts is no schema, and why.
-pub fn explain(old_text: &str, new_text: &str, uses: &Uses) -> Result<Report, (&'static str, SchemaError)> {
-    uses.bounded().map_err(|why| ("uses", SchemaError::Declared(why)))?;
-    let old = Schema::from_text(old_text).map_err(|error| ("old", error))?;
-    let new = Schema::from_text(new_text).map_err(|error| ("new", error))?;
-    let mut findings = check_findings(&old, &new, uses, Directions::BOTH);
+pub fn explain(
+    old_text: &str,
+    new_text: &str,
+    usage: &ReaderUsage,
+) -> Result<CompatibilityReport, ExplainError> {
+    usage.check_limits()?;
+    let old = Schema::from_text(old_text).map_err(ExplainError::OldSchema)?;
+    let new = Schema::from_text(new_text).map_err(ExplainError::NewSchema)?;
+    let mut findings = check_findings(&old, &new, usage, Directions::BOTH);
     findings.sort_by(|a, b| b.severity.cmp(&a.severity).then_with(|| a.cmp(b)));
-    Ok(Report { old: old.digest(), new: new.digest(), verdict: worst(&findings), findings })
+    Ok(CompatibilityReport { old: old.digest(), new: new.digest(), severity: worst(&findings), findings })
 }
 
-impl Report {
+impl CompatibilityReport {
     /// `compatible`, `translatable` or `rejected`.
     #[must_use]
-    pub fn verdict_name(&self) -> &'static str {
-        match self.verdict {
+    pub fn compatibility_name(&self) -> &'static str {
+        match self.severity {
             Severity::Note => "compatible",
             Severity::Translate => "translatable",
             Severity::Break => "rejected",
@@ -48,7 +68,7 @@
     #[must_use]
     pub fn text(&self) -> String {
         let short = |digest: Digest| digest.to_string().chars().take(12).collect::<String>();
-        let mut text = format!("{}: {} to {}\n", self.verdict_name(), short(self.old), short(self.new));
+        let mut text = format!("{}: {} to {}\n", self.compatibility_name(), short(self.old), short(self.new));
         for finding in &self.findings {
             // Writing to a String does not fail.
             let _ = writeln!(text, "  {finding}");
@@ -71,7 +91,7 @@
             })
             .collect();
         json!({
-            "verdict": self.verdict_name(),
+            "verdict": self.compatibility_name(),
             "old": self.old.to_string(),
             "new": self.new.to_string(),
             "findings": findings,
--- /dev/null
+++ b/crates/schema-compat/src/field_type.rs
@@ -0,0 +1,227 @@
+//! Types of values: which are compatible on the wire, which in what they can hold.
+//!
+//! The wire's classes are those of protobuf's encoding page. Two types that share a class decode each other's bytes;
+//! whether the value survives is a question of domains: `int32`, `uint32`, `int64`, `uint64`, `bool` and enums are all
+//! plain varints (a negative `int32` is written as ten bytes, so that it reads as the same `int64`), `sint32` and
+//! `sint64` are zigzag varints that a plain reader takes for other numbers, `float` and `fixed32` share four bytes and
+//! nothing else, `string` and `bytes` share all but the promise of UTF-8.
+
+/// A field's type.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum FieldType {
+    Double,
+    Float,
+    Int32,
+    Int64,
+    Uint32,
+    Uint64,
+    Sint32,
+    Sint64,
+    Fixed32,
+    Fixed64,
+    Sfixed32,
+    Sfixed64,
+    Bool,
+    String,
+    Bytes,
+    /// Index into the model's messages.
+    Message(usize),
+    /// A proto2 group: a message between two tags.
+    Group(usize),
+    /// Index into the model's enums.
+    Enum(usize),
+}
+
+/// Types that write equal values as equal bytes.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum WireClass {
+    Varint,
+    Zigzag,
+    Fixed32,
+    Fixed64,
+    Float,
+    Double,
+    Text,
+    Message,
+    Group,
+}
+
+/// The three bits of a tag.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum WireType {
+    Varint,
+    I64,
+    Len,
+    Group,
+    I32,
+}
+
+/// What a value can be.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(crate) enum ValueDomain {
+    /// Whole numbers, both ends included.
+    Whole(i128, i128),
+    Float,
+    Double,
+    Utf8,
+    Bytes,
+    Other,
+}
+
+impl FieldType {
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            FieldType::Double => "double",
+            FieldType::Float => "float",
+            FieldType::Int32 => "int32",
+            FieldType::Int64 => "int64",
+            FieldType::Uint32 => "uint32",
+            FieldType::Uint64 => "uint64",
+            FieldType::Sint32 => "sint32",
+            FieldType::Sint64 => "sint64",
+            FieldType::Fixed32 => "fixed32",
+            FieldType::Fixed64 => "fixed64",
+            FieldType::Sfixed32 => "sfixed32",
+            FieldType::Sfixed64 => "sfixed64",
+            FieldType::Bool => "bool",
+            FieldType::String => "string",
+            FieldType::Bytes => "bytes",
+            FieldType::Message(_) => "message",
+            FieldType::Group(_) => "group",
+            FieldType::Enum(_) => "enum",
+        }
+    }
+
+    pub(crate) fn class(self) -> WireClass {
+        match self {
+            FieldType::Int32
+            | FieldType::Int64
+            | FieldType::Uint32
+            | FieldType::Uint64
+            | FieldType::Bool
+            | FieldType::Enum(_) => WireClass::Varint,
+            FieldType::Sint32 | FieldType::Sint64 => WireClass::Zigzag,
+            FieldType::Fixed32 | FieldType::Sfixed32 => WireClass::Fixed32,
+            FieldType::Fixed64 | FieldType::Sfixed64 => WireClass::Fixed64,
+            FieldType::Float => WireClass::Float,
+            FieldType::Double => WireClass::Double,
+            FieldType::String | FieldType::Bytes => WireClass::Text,
+            FieldType::Message(_) => WireClass::Message,
+            FieldType::Group(_) => WireClass::Group,
+        }
+    }
+
+    pub(crate) fn wire_type(self) -> WireType {
+        match self.class() {
+            WireClass::Varint | WireClass::Zigzag => WireType::Varint,
+            WireClass::Fixed64 | WireClass::Double => WireType::I64,
+            WireClass::Fixed32 | WireClass::Float => WireType::I32,
+            WireClass::Text | WireClass::Message => WireType::Len,
+            WireClass::Group => WireType::Group,
+        }
+    }
+
+    /// What the type alone lets a value be. Enums: whatever an `int32` holds, for the caller to narrow.
+    pub(crate) fn domain(self) -> ValueDomain {
+        match self {
+            FieldType::Int32 | FieldType::Sint32 | FieldType::Sfixed32 | FieldType::Enum(_) => {
+                ValueDomain::Whole(i128::from(i32::MIN), i128::from(i32::MAX))
+            }
+            FieldType::Int64 | FieldType::Sint64 | FieldType::Sfixed64 => {
+                ValueDomain::Whole(i128::from(i64::MIN), i128::from(i64::MAX))
+            }
+            FieldType::Uint32 | FieldType::Fixed32 => ValueDomain::Whole(0, i128::from(u32::MAX)),
+            FieldType::Uint64 | FieldType::Fixed64 => ValueDomain::Whole(0, i128::from(u64::MAX)),
+            FieldType::Bool => ValueDomain::Whole(0, 1),
+            FieldType::Float => ValueDomain::Float,
+            FieldType::Double => ValueDomain::Double,
+            FieldType::String => ValueDomain::Utf8,
+            FieldType::Bytes => ValueDomain::Bytes,
+            FieldType::Message(_) | FieldType::Group(_) => ValueDomain::Other,
+        }
+    }
+
+    /// Index of the message that a field of this type holds.
+    pub(crate) fn message_index(self) -> Option<usize> {
+        match self {
+            FieldType::Message(index) | FieldType::Group(index) => Some(index),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn is_message(self) -> bool {
+        matches!(self, FieldType::Message(_) | FieldType::Group(_))
+    }
+
+    /// Scalars that a repeated field may pack, and enums.
+    pub(crate) fn packs(self) -> bool {
+        !matches!(self.wire_type(), WireType::Len | WireType::Group)
+    }
+}
+
+/// How a writer's values reach a reader of another type.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum TypeFit {
+    /// The same bytes give the same value.
+    Same,
+    /// Every value has its like in the reader's type, but other bytes: to be converted.
+    Convert,
+    /// Some values have no like.
+    Narrowed,
+    /// The types have nothing in common.
+    Apart,
+}
+
+/// Whole numbers beyond these are rounded: 24 and 53 bits of fraction (IEEE 754).
+const FLOAT_WHOLE: i128 = 1 << 24;
+const DOUBLE_WHOLE: i128 = 1 << 53;
+
+/// How values of `writer` (narrowed to `from`) reach a reader of type `reader`. Messages are compared elsewhere.
+pub(crate) fn fit(writer: FieldType, from: ValueDomain, reader: FieldType) -> TypeFit {
+    let same_bytes = writer.class() == reader.class();
+    let contained = match (from, reader.domain()) {
+        // A number says nothing of which of an enum's values it stands for.
+        (ValueDomain::Whole(..), _) if matches!(reader, FieldType::Enum(_)) => return TypeFit::Apart,
+        (ValueDomain::Whole(least, most), ValueDomain::Whole(lower, upper)) => {
+            lower <= least && most <= upper
+        }
+        (ValueDomain::Whole(least, most), ValueDomain::Float) => -FLOAT_WHOLE <= least && most <= FLOAT_WHOLE,
+        (ValueDomain::Whole(least, most), ValueDomain::Double) => {
+            -DOUBLE_WHOLE <= least && most <= DOUBLE_WHOLE
+        }
+        (ValueDomain::Float, ValueDomain::Float | ValueDomain::Double)
+        | (ValueDomain::Double, ValueDomain::Double) => true,
+        (ValueDomain::Utf8, ValueDomain::Utf8 | ValueDomain::Bytes)
+        | (ValueDomain::Bytes, ValueDomain::Bytes) => true,
+        (ValueDomain::Double, ValueDomain::Float) | (ValueDomain::Bytes, ValueDomain::Utf8) => false,
+        _ => return TypeFit::Apart,
+    };
+    match (contained, same_bytes) {
+        (true, true) => TypeFit::Same,
+        (true, false) => TypeFit::Convert,
+        (false, _) => TypeFit::Narrowed,
+    }
+}
+
+/// Whether bytes of a writer's field, whatever the value, let a strict reader go on: one that fails the whole record on
+/// a wrong wire type or on bytes that are no UTF-8, as prost does.
+pub(crate) fn decodes(writer: (FieldType, bool, bool), reader: (FieldType, bool)) -> bool {
+    let (writer, many, packed) = writer;
+    let (reader, reader_many) = reader;
+    let as_packed = many && packed && writer.packs();
+    if as_packed {
+        return match reader {
+            FieldType::Bytes => true,
+            _ => reader_many && reader.packs() && reader.wire_type() == writer.wire_type(),
+        };
+    }
+    if writer.wire_type() != reader.wire_type() {
+        return false;
+    }
+    match reader {
+        FieldType::String => writer == FieldType::String,
+        FieldType::Message(_) => matches!(writer, FieldType::Message(_)),
+        FieldType::Group(_) => matches!(writer, FieldType::Group(_)),
+        _ => true,
+    }
+}
--- /dev/null
+++ b/crates/schema-compat/src/findings.rs
@@ -0,0 +1,121 @@
+//! What a comparison means to a reader, by what it uses.
+
+use crate::comparison::difference::{Difference, Impact, SchemaComparison};
+use crate::limits::MAX_VISITED_PLACES;
+use crate::model::Model;
+use crate::rules::{Finding, Rule, Severity};
+use crate::usage::{ReaderUsage, RecordEncoding, UsageNode, UsageTree};
+use std::collections::{BTreeSet, HashSet};
+
+struct FindingCollector<'a> {
+    comparison: &'a SchemaComparison,
+    usage: &'a ReaderUsage,
+    found: Vec<Finding>,
+    reported: BTreeSet<(Rule, String, String)>,
+}
+
+impl FindingCollector<'_> {
+    fn add_difference(&mut self, difference: &Difference, used: bool, path: &str, holder: &str) {
+        let severity = match if used { difference.used } else { difference.unused } {
+            Impact::Nothing => return,
+            Impact::Note => Severity::Note,
+            Impact::Names if self.usage.encoding == RecordEncoding::Json => Severity::Translate,
+            Impact::Names => Severity::Note,
+            Impact::Translate => Severity::Translate,
+            Impact::Intolerant if self.usage.tolerant => Severity::Note,
+            Impact::Intolerant | Impact::Break => Severity::Break,
+        };
+        let path = match &difference.at {
+            Some(at) if difference.rule == Rule::OneofMemberUnknown => format!("{holder}{at}"),
+            Some(at) => format!("{path}#{at}"),
+            None => path.to_string(),
+        };
+        self.report(difference.rule, path, severity, &difference.detail);
+    }
+
+    fn report(&mut self, rule: Rule, path: String, severity: Severity, detail: &str) {
+        if self.reported.insert((rule, path.clone(), detail.to_string())) {
+            let direction = self.comparison.direction;
+            self.found.push(Finding { rule, path, direction, severity, detail: detail.to_string() });
+        }
+    }
+}
+
+/// The findings of a comparison for one reader's use of `reader`.
+pub(crate) fn findings_for_usage(
+    comparison: &SchemaComparison,
+    reader: &Model,
+    usage: &ReaderUsage,
+) -> Vec<Finding> {
+    let tree = UsageTree::of(usage);
+    let mut collector = FindingCollector { comparison, usage, found: Vec::new(), reported: BTreeSet::new() };
+    let mut visited: HashSet<(usize, UsageNode)> = HashSet::new();
+    let mut pending: Vec<(usize, UsageNode, String)> = Vec::new();
+    if comparison.exceeded {
+        collector.report(
+            Rule::BoundExceeded,
+            "".into(),
+            Severity::Break,
+            "more pairs of messages than are compared",
+        );
+    }
+    for root in tree.roots().filter(|name| reader.message_named(name).is_none()) {
+        collector.report(
+            Rule::UseUnknown,
+            root.clone(),
+            Severity::Break,
+            "no such message in the reader's version",
+        );
+    }
+    for root in &comparison.roots {
+        let used = tree.root(&root.reader);
+        root.differences.iter().for_each(|difference| {
+            collector.add_difference(difference, used != UsageNode::Unused, &root.reader, "")
+        });
+        if let Some(node) = root.node {
+            pending.push((node, used, root.reader.clone()));
+        }
+    }
+    while let Some((at, here, path)) = pending.pop() {
+        if !visited.insert((at, here)) {
+            continue;
+        }
+        if visited.len() > MAX_VISITED_PLACES {
+            collector.report(Rule::BoundExceeded, path, Severity::Break, "more places than are judged");
+            break;
+        }
+        let node = &comparison.nodes[at];
+        let holder = if path.contains('/') { format!("{path}.") } else { format!("{path}/") };
+        for name in tree.fields(here) {
+            if reader.messages[node.reader].field_named(name).is_none() {
+                let path = format!("{holder}{name}");
+                collector.report(
+                    Rule::UseUnknown,
+                    path,
+                    Severity::Break,
+                    "no such field in the reader's version",
+                );
+            }
+        }
+        node.differences.iter().for_each(|difference| {
+            collector.add_difference(difference, here != UsageNode::Unused, &path, &holder)
+        });
+        for field in &node.fields {
+            let declared = tree.field(here, &field.name);
+            // Needed only where the message that holds it is read at all.
+            let used = match declared {
+                UsageNode::Unused if field.needed && here != UsageNode::Unused => UsageNode::All,
+                declared => declared,
+            };
+            let path = format!("{holder}{}", field.name);
+            field.differences.iter().for_each(|difference| {
+                collector.add_difference(difference, used != UsageNode::Unused, &path, &holder)
+            });
+            if let Some(child) = field.child {
+                pending.push((child, used, path));
+            }
+        }
+    }
+    collector.found.sort();
+    collector.found
+}
--- a/crates/schema-compat/src/lib.rs
+++ b/crates/schema-compat/src/lib.rs
@@ -11,31 +11,31 @@
 //! Compatibility as here understood follows the public protobuf language guide ("Updating A Message Type", wire types of
 //! the encoding page) and goes beyond it where the wire is indifferent and the meaning is not.
 
-pub mod bounds;
 pub mod check;
+mod comparison;
 mod convert;
-pub mod declared;
-mod enums;
+pub mod declaration;
+pub mod error;
 pub mod explain;
-mod field;
-mod judge;
-mod kind;
-mod ledger;
+mod field_type;
+mod findings;
+pub mod limits;
 mod model;
-mod options;
-mod pair;
 pub mod registry;
 pub mod rules;
 pub mod sample;
 pub mod schema;
+mod schema_options;
+mod symbol_history;
 pub mod translate;
-pub mod uses;
+pub mod usage;
 
-pub use check::{check, check_findings, Directions, Verdict};
-pub use declared::Declared;
-pub use explain::{explain, Report};
-pub use registry::{Op, Outcome, Registry};
-pub use rules::{Finding, Reason, Rule};
-pub use schema::{Digest, Schema, SchemaError};
+pub use check::{check, check_findings, Compatibility, Directions};
+pub use declaration::MigrationDeclaration;
+pub use error::{DeclarationError, SchemaError};
+pub use explain::{explain, CompatibilityReport, ExplainError};
+pub use registry::{CommandOutcome, Registry, RegistryCommand};
+pub use rules::{Finding, Rule, Violation};
+pub use schema::{Digest, Schema};
 pub use translate::{TranslateError, Translation};
-pub use uses::{Form, Uses};
+pub use usage::{ReaderUsage, RecordEncoding, UsageError};
--- a/crates/schema-compat/src/bounds.rs
+++ b/crates/schema-compat/src/limits.rs
@@ -16,29 +16,29 @@
 /// Brackets open at once in `.proto` text, and messages declared within each other: the compiler recurses on both.
 pub const MAX_NESTING: usize = 16;
 /// Bytes of a full name.
-pub const MAX_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// Pairs of messages that one comparison visits: recursive types end by being met again, this ends the rest.
-pub const MAX_PAIRS: usize = 4_096;
+pub const MAX_MESSAGE_PAIRS: usize = 4_096;
 /// Places (a pair of messages in one reader's use) that one judgement visits.
-pub const MAX_PLACES: usize = 16_384;
+pub const MAX_VISITED_PLACES: usize = 16_384;
 /// Paths of one declaration of use.
-pub const MAX_USES: usize = 1_024;
+pub const MAX_USAGE_PATHS: usize = 1_024;
 /// Steps of one path.
 pub const MAX_PATH_STEPS: usize = 16;
-/// Reasons kept of a refusal; how many there were is told besides.
-pub const MAX_REASONS: usize = 64;
+/// ViolationSet kept of a refusal; how many there were is told besides.
+pub const MAX_VIOLATIONS: usize = 64;
 /// Subscribers named in one reason; how many there are is told besides.
-pub const MAX_WHO: usize = 16;
+pub const MAX_NAMED_READERS: usize = 16;
 /// Declarations that come with a proposal.
-pub const MAX_DECLARED: usize = 1_024;
+pub const MAX_DECLARATIONS: usize = 1_024;
 /// Bytes of a declared value's text.
-pub const MAX_DECLARED_TEXT: usize = 1_024;
+pub const MAX_DECLARATION_BYTES: usize = 1_024;
 /// Sample records of each kind that a translation is run on before it is accepted.
-pub const SAMPLES: u64 = 8;
+pub const SAMPLES_PER_RECORD: u64 = 8;
 /// Levels of messages that a sample has: enough to go round a recursive type twice.
-pub const SAMPLE_DEPTH: usize = 4;
+pub const MAX_SAMPLE_DEPTH: usize = 4;
 /// Bytes of a sample's longest text, unless its field declares more.
-pub const SAMPLE_TEXT: u64 = 24;
+pub const MAX_SAMPLE_TEXT_BYTES: u64 = 24;
 
 /// Publishers of one registry: the list service, engines' kinds, the fleet's own records. One more is refused.
 pub const MAX_PUBLISHERS: usize = 64;
@@ -47,7 +47,7 @@
 /// Subscriptions of one registry, over all publishers. One more is refused; renewals go on.
 pub const MAX_SUBSCRIBERS: usize = 4_096;
 /// Numbers and names that the ledger of one publisher remembers. A proposal that would exceed it is refused.
-pub const MAX_LEDGER: usize = 16_384;
+pub const MAX_HISTORY_SYMBOLS: usize = 16_384;
 /// Shortest lease, in ms: under it a subscriber could not renew in time through one change of leader (2 s).
 pub const MIN_LEASE_MS: u64 = 5_000;
 /// Longest lease, in ms: a dead subscriber of an old version blocks a change for so long.
@@ -57,4 +57,4 @@
 pub const LEASE_MARGIN_MS: u64 = 5_000;
 /// The rules' edition. Managers that judge by other rules would come to other states from one journal: whoever changes
 /// a rule raises it, and a snapshot of another edition is refused.
-pub const EDITION: u32 = 1;
+pub const RULES_EDITION: u32 = 1;
--- a/crates/schema-compat/src/model.rs
+++ b/crates/schema-compat/src/model.rs
@@ -1,27 +1,27 @@
 //! What the rules look at: descriptors and options in one flat form, within bounds.
 
-use crate::bounds::{MAX_ENUMS, MAX_ENUM_VALUES, MAX_FIELDS, MAX_MESSAGES, MAX_NAME, MAX_NESTING};
 use crate::convert::canonical;
-use crate::kind::{Domain, Kind};
-use crate::options::{Options, Said, Unknown};
-use crate::schema::{bounded, SchemaError};
+use crate::error::{check_limit, SchemaError};
+use crate::field_type::{FieldType, ValueDomain};
+use crate::limits::{MAX_ENUMS, MAX_ENUM_VALUES, MAX_FIELDS, MAX_MESSAGES, MAX_NAME_BYTES, MAX_NESTING};
+use crate::schema_options::{OptionExtensions, OptionValues, UnknownValuePolicy};
 use prost_reflect::{Cardinality, DescriptorPool, EnumDescriptor, FieldDescriptor, MessageDescriptor};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many values a field holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Shape {
-    One,
-    Many,
+pub(crate) enum FieldCardinality {
+    Singular,
+    Repeated,
     Map,
 }
 
-impl Shape {
+impl FieldCardinality {
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Shape::One => "singular",
-            Shape::Many => "repeated",
-            Shape::Map => "map",
+            FieldCardinality::Singular => "singular",
+            FieldCardinality::Repeated => "repeated",
+            FieldCardinality::Map => "map",
         }
     }
 }
@@ -30,8 +30,8 @@
 pub(crate) struct Field {
     pub(crate) number: u32,
     pub(crate) name: String,
-    pub(crate) kind: Kind,
-    pub(crate) shape: Shape,
+    pub(crate) kind: FieldType,
+    pub(crate) cardinality: FieldCardinality,
     /// Absent and default are told apart.
     pub(crate) explicit: bool,
     pub(crate) required: bool,
@@ -60,7 +60,7 @@
     /// Whole numbers that a writer of this field writes.
     pub(crate) fn whole(&self) -> Option<(i128, i128)> {
         match self.kind.domain() {
-            Domain::Whole(least, most) => Some((
+            ValueDomain::Whole(least, most) => Some((
                 self.min.map_or(least, |min| i128::from(min).max(least)),
                 self.max.map_or(most, |max| i128::from(max).min(most)),
             )),
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Oneof {
     pub(crate) name: String,
-    pub(crate) unknown: Unknown,
+    pub(crate) unknown: UnknownValuePolicy,
 }
 
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
     /// Fields of earlier versions and the text of what stands for them.
     pub(crate) removed: BTreeMap<String, String>,
     record: bool,
-    /// Declared by the publisher, not brought by protobuf; no map's entry.
+    /// Declared by the publisher: neither bundled with protobuf nor a map entry.
     own: bool,
 }
 
@@ -121,7 +121,7 @@
     pub(crate) reserved_names: BTreeSet<String>,
     /// A reader takes numbers that it does not know for absent (proto2).
     pub(crate) closed: bool,
-    pub(crate) unknown: Unknown,
+    pub(crate) unknown: UnknownValuePolicy,
     pub(crate) removed: BTreeMap<String, String>,
 }
 
@@ -143,13 +143,13 @@
 impl Model {
     /// The model of the files named `own`, with what they import.
     pub(crate) fn of(pool: &DescriptorPool, own: &[String]) -> Result<Self, SchemaError> {
-        let options = Options::of(pool)?;
+        let options = OptionExtensions::of(pool)?;
         let mut descriptors: Vec<MessageDescriptor> = Vec::new();
         let mut place: BTreeMap<String, usize> = BTreeMap::new();
         let is_own = |file: &str| own.iter().any(|name| name == file);
         for message in pool.all_messages() {
             if is_own(message.parent_file().name()) {
-                bounded("messages", descriptors.len() + 1, MAX_MESSAGES)?;
+                check_limit("messages", descriptors.len() + 1, MAX_MESSAGES)?;
                 reach(message, &mut descriptors, &mut place);
             }
         }
@@ -162,21 +162,21 @@
                 }
             }
             next += 1;
-            bounded("messages", descriptors.len(), MAX_MESSAGES)?;
+            check_limit("messages", descriptors.len(), MAX_MESSAGES)?;
         }
         let enums: Vec<EnumDescriptor> =
-            pool.all_enums().filter(|one| one.full_name().len() <= MAX_NAME).collect();
+            pool.all_enums().filter(|one| one.full_name().len() <= MAX_NAME_BYTES).collect();
         let enum_place: BTreeMap<&str, usize> =
             enums.iter().enumerate().map(|(at, one)| (one.full_name(), at)).collect();
         let own_enums = enums.iter().filter(|one| is_own(one.parent_file().name()));
-        bounded("enums", own_enums.clone().count(), MAX_ENUMS)?;
-        bounded("enum values", own_enums.map(|one| one.values().len()).sum(), MAX_ENUM_VALUES)?;
-        bounded("fields", descriptors.iter().map(|one| one.fields().len()).sum(), MAX_FIELDS)?;
+        check_limit("enums", own_enums.clone().count(), MAX_ENUMS)?;
+        check_limit("enum values", own_enums.map(|one| one.values().len()).sum(), MAX_ENUM_VALUES)?;
+        check_limit("fields", descriptors.iter().map(|one| one.fields().len()).sum(), MAX_FIELDS)?;
         let kinds = Kinds { messages: &place, enums: &enum_place };
         let mut messages = Vec::with_capacity(descriptors.len());
         for descriptor in &descriptors {
-            bounded("bytes in a name", descriptor.full_name().len(), MAX_NAME)?;
-            bounded("messages within each other", depth(descriptor), MAX_NESTING)?;
+            check_limit("bytes in a name", descriptor.full_name().len(), MAX_NAME_BYTES)?;
+            check_limit("messages within each other", depth(descriptor), MAX_NESTING)?;
             let own = is_own(descriptor.parent_file().name()) && !descriptor.is_map_entry();
             messages.push(message(descriptor, own, &options, &kinds)?);
         }
@@ -203,7 +203,7 @@
         let held: BTreeSet<usize> = (0..self.messages.len())
             .flat_map(|holder| self.messages[holder].fields.values().map(move |field| (holder, field.kind)))
             .filter_map(|(holder, kind)| match kind {
-                Kind::Message(at) | Kind::Group(at) if at != holder => Some(at),
+                FieldType::Message(at) | FieldType::Group(at) if at != holder => Some(at),
                 _ => None,
             })
             .collect();
@@ -238,32 +238,32 @@
 }
 
 impl Kinds<'_> {
-    fn of(&self, field: &FieldDescriptor) -> Result<Kind, SchemaError> {
+    fn of(&self, field: &FieldDescriptor) -> Result<FieldType, SchemaError> {
         use prost_reflect::Kind as K;
         let unknown = || SchemaError::Descriptor(format!("type of {} is not known", field.full_name()));
         Ok(match field.kind() {
-            K::Double => Kind::Double,
-            K::Float => Kind::Float,
-            K::Int32 => Kind::Int32,
-            K::Int64 => Kind::Int64,
-            K::Uint32 => Kind::Uint32,
-            K::Uint64 => Kind::Uint64,
-            K::Sint32 => Kind::Sint32,
-            K::Sint64 => Kind::Sint64,
-            K::Fixed32 => Kind::Fixed32,
-            K::Fixed64 => Kind::Fixed64,
-            K::Sfixed32 => Kind::Sfixed32,
-            K::Sfixed64 => Kind::Sfixed64,
-            K::Bool => Kind::Bool,
-            K::String => Kind::String,
-            K::Bytes => Kind::Bytes,
-            K::Enum(one) => Kind::Enum(*self.enums.get(one.full_name()).ok_or_else(unknown)?),
+            K::Double => FieldType::Double,
+            K::Float => FieldType::Float,
+            K::Int32 => FieldType::Int32,
+            K::Int64 => FieldType::Int64,
+            K::Uint32 => FieldType::Uint32,
+            K::Uint64 => FieldType::Uint64,
+            K::Sint32 => FieldType::Sint32,
+            K::Sint64 => FieldType::Sint64,
+            K::Fixed32 => FieldType::Fixed32,
+            K::Fixed64 => FieldType::Fixed64,
+            K::Sfixed32 => FieldType::Sfixed32,
+            K::Sfixed64 => FieldType::Sfixed64,
+            K::Bool => FieldType::Bool,
+            K::String => FieldType::String,
+            K::Bytes => FieldType::Bytes,
+            K::Enum(one) => FieldType::Enum(*self.enums.get(one.full_name()).ok_or_else(unknown)?),
             K::Message(one) => {
                 let at = *self.messages.get(one.full_name()).ok_or_else(unknown)?;
                 if field.is_group() {
-                    Kind::Group(at)
+                    FieldType::Group(at)
                 } else {
-                    Kind::Message(at)
+                    FieldType::Message(at)
                 }
             }
         })
@@ -273,27 +273,28 @@
 fn message(
     from: &MessageDescriptor,
     own: bool,
-    options: &Options,
+    options: &OptionExtensions,
     kinds: &Kinds,
 ) -> Result<Message, SchemaError> {
-    let said = Said::of(&from.options(), &options.message);
+    let said = OptionValues::of(&from.options(), &options.message);
     let real: Vec<_> = from.oneofs().filter(|oneof| !oneof.is_synthetic()).collect();
     let mut fields = BTreeMap::new();
     for field in from.fields() {
-        bounded("bytes in a name", field.name().len(), MAX_NAME)?;
-        let told = Said::of(&field.options(), &options.field);
+        check_limit("bytes in a name", field.name().len(), MAX_NAME_BYTES)?;
+        let told = OptionValues::of(&field.options(), &options.field);
         let oneof = field.containing_oneof().and_then(|held| real.iter().position(|one| *one == held));
-        let shape = match field.cardinality() {
-            _ if field.is_map() => Shape::Map,
-            Cardinality::Repeated => Shape::Many,
-            _ => Shape::One,
+        let cardinality = match field.cardinality() {
+            _ if field.is_map() => FieldCardinality::Map,
+            Cardinality::Repeated => FieldCardinality::Repeated,
+            _ => FieldCardinality::Singular,
         };
-        let scalar = shape == Shape::One && !matches!(field.kind(), prost_reflect::Kind::Message(_));
+        let scalar = cardinality == FieldCardinality::Singular
+            && !matches!(field.kind(), prost_reflect::Kind::Message(_));
         let made = Field {
             number: field.number(),
             name: field.name().to_string(),
             kind: kinds.of(&field)?,
-            shape,
+            cardinality,
             explicit: field.supports_presence(),
             required: field.is_required(),
             packed: field.is_packed(),
@@ -318,7 +319,7 @@
             .iter()
             .map(|one| Oneof {
                 name: one.name().to_string(),
-                unknown: Said::of(&one.options(), &options.oneof).unknown(),
+                unknown: OptionValues::of(&one.options(), &options.oneof).unknown(),
             })
             .collect(),
         reserved: from
@@ -335,14 +336,14 @@
     })
 }
 
-fn enumeration(from: &EnumDescriptor, options: &Options) -> Enum {
-    let said = Said::of(&from.options(), &options.enumeration);
+fn enumeration(from: &EnumDescriptor, options: &OptionExtensions) -> Enum {
+    let said = OptionValues::of(&from.options(), &options.enumeration);
     Enum {
         name: from.full_name().to_string(),
         values: from
             .values()
             .map(|value| {
-                let told = Said::of(&value.options(), &options.value);
+                let told = OptionValues::of(&value.options(), &options.value);
                 EnumValue {
                     name: value.name().to_string(),
                     number: value.number(),
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -1,23 +1,30 @@
-//! Ops, judged and carried out.
+//! Applies commands: checks each against the state and changes it in the same step.
 
-use super::{Op, Outcome, Publisher, Refusal, Registry, Subscription, Version};
-use crate::bounds::*;
+use super::{
+    CommandOutcome, CommandRejection, InvalidCommand, Publisher, Registry, RegistryCommand, Subscription,
+    Version,
+};
 use crate::check::read_by;
-use crate::declared::Declared;
-use crate::rules::{Direction, Finding, Reason, Rule, Severity};
+use crate::declaration::MigrationDeclaration;
+use crate::error::SchemaError;
+use crate::limits::{
+    LEASE_MARGIN_MS, MAX_HISTORY_SYMBOLS, MAX_LEASE_MS, MAX_NAMED_READERS, MAX_NAME_BYTES, MAX_PUBLISHERS,
+    MAX_SUBSCRIBERS, MAX_VERSIONS, MAX_VIOLATIONS, MIN_LEASE_MS,
+};
+use crate::rules::{Direction, Finding, Rule, Severity, Violation};
 use crate::schema::Schema;
 use crate::translate::Translation;
-use crate::uses::Uses;
+use crate::usage::ReaderUsage;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Reasons by rule, path and detail, with who would break.
+/// ViolationSet by rule, path and detail, with who would break.
 #[derive(Default)]
-struct Reasons {
+struct ViolationSet {
     found: BTreeMap<(Rule, String, String), (BTreeSet<String>, usize)>,
 }
 
-impl Reasons {
+impl ViolationSet {
     /// The findings that break, for these readers. Whether there were any.
     fn add(&mut self, findings: &[Finding], who: &[&str]) -> bool {
         let mut any = false;
@@ -26,62 +33,60 @@
             let key = (finding.rule, finding.path.clone(), finding.detail.clone());
             let (names, count) = self.found.entry(key).or_default();
             *count += who.len();
-            let room = MAX_WHO.saturating_sub(names.len());
+            let room = MAX_NAMED_READERS.saturating_sub(names.len());
             names.extend(who.iter().take(room).map(|name| name.to_string()));
         }
         any
     }
 
-    fn refusal(self) -> Option<Refusal> {
+    fn refusal(self) -> Option<CommandRejection> {
         let count = self.found.len();
         let reason =
             |((rule, path, detail), (who, count)): ((Rule, String, String), (BTreeSet<String>, usize))| {
-                Reason { path, rule, who: who.into_iter().collect(), count, detail }
+                Violation { path, rule, affected: who.into_iter().collect(), affected_count: count, detail }
             };
-        let reasons: Vec<Reason> = self.found.into_iter().take(MAX_REASONS).map(reason).collect();
-        (count > 0).then_some(Refusal::Breaks { reasons, count })
+        let violations: Vec<Violation> = self.found.into_iter().take(MAX_VIOLATIONS).map(reason).collect();
+        (count > 0).then_some(CommandRejection::BreaksReaders { violations, count })
     }
 }
 
 /// A proposal's schema with its declarations, or why it is none.
-type Read = Result<Arc<Schema>, String>;
+type SchemaResult = Result<Arc<Schema>, SchemaError>;
 
-fn read(set: &[u8], declared: &[Declared]) -> Read {
+fn read(set: &[u8], declared: &[MigrationDeclaration]) -> SchemaResult {
     let schema = Schema::from_set(set).and_then(|schema| schema.declare(declared));
-    schema.map(Arc::new).map_err(|error| error.to_string())
+    schema.map(Arc::new)
 }
 
-/// An op whose schema, if it has one, is read already: what takes longest of a proposal and needs no state, so that it
-/// can be done elsewhere, and once where many registries are given one op.
+/// A command whose schema, if it has one, is read already: what takes longest of a proposal and needs no state, so that it
+/// can be done elsewhere, and once where many registries are given one command.
 #[derive(Clone, Debug)]
-pub struct Prepared {
-    op: Op,
-    schema: Option<Read>,
+pub struct PreparedCommand {
+    command: RegistryCommand,
+    schema: Option<SchemaResult>,
 }
 
-impl Op {
-    /// Reads the op's schema.
+impl RegistryCommand {
+    /// Reads the command's schema.
     #[must_use]
-    pub fn prepare(self) -> Prepared {
+    pub fn prepare(self) -> PreparedCommand {
         let schema = match &self {
-            Op::Propose { schema, translations, .. } => Some(read(schema, translations)),
+            RegistryCommand::Propose { schema, translations, .. } => Some(read(schema, translations)),
             _ => None,
         };
-        Prepared { op: self, schema }
+        PreparedCommand { command: self, schema }
     }
 }
 
-fn named(name: &str) -> Result<(), Refusal> {
-    if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
-        return Err(Refusal::Invalid(format!(
-            "a name needs 1 to {MAX_NAME} bytes without control characters"
-        )));
+fn check_name(name: &str) -> Result<(), CommandRejection> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
+        return Err(InvalidCommand::Name.into());
     }
     Ok(())
 }
 
-fn full(what: &'static str, bound: usize) -> Refusal {
-    Refusal::Full { what, bound }
+fn limit_reached(what: &'static str, limit: usize) -> CommandRejection {
+    CommandRejection::LimitReached { what, limit }
 }
 
 impl Registry {
@@ -91,49 +96,49 @@
         Self::default()
     }
 
-    /// Carries out one op at the journal's time `now_ms`, the time in the journal's entry. A time before one already
+    /// Applies one command at the journal's time `now_ms`, the time in the journal's entry. A time before one already
     /// seen counts as that one. What is refused leaves the state as it was.
-    pub fn apply(&mut self, now_ms: u64, op: Op) -> Outcome {
-        self.apply_prepared(now_ms, Prepared { op, schema: None })
+    pub fn apply(&mut self, now_ms: u64, command: RegistryCommand) -> CommandOutcome {
+        self.apply_prepared(now_ms, PreparedCommand { command, schema: None })
     }
 
     /// As [`Registry::apply`], with the schema read before.
-    pub fn apply_prepared(&mut self, now_ms: u64, prepared: Prepared) -> Outcome {
+    pub fn apply_prepared(&mut self, now_ms: u64, prepared: PreparedCommand) -> CommandOutcome {
         self.now_ms = self.now_ms.max(now_ms);
-        let done = match prepared.op {
-            Op::Propose { publisher, schema, translations, replayed } => {
+        let done = match prepared.command {
+            RegistryCommand::Propose { publisher, schema, translations, replayed } => {
                 self.propose(publisher, &schema, prepared.schema, translations, replayed)
             }
-            Op::Subscribe { subscriber, publisher, version, uses, lease_ms } => {
-                self.subscribe(subscriber, publisher, version, uses, lease_ms)
+            RegistryCommand::Subscribe { subscriber, publisher, version, usage, lease_ms } => {
+                self.subscribe(subscriber, publisher, version, usage, lease_ms)
             }
-            Op::Renew { subscriber, publisher } => self.renew(subscriber, publisher),
-            Op::Unsubscribe { subscriber, publisher } => self.leave(publisher, subscriber),
-            Op::LeaseEnded { subscriber, publisher } => self.lease_ended(publisher, subscriber),
-            Op::Withdraw { publisher, version } => self.withdraw(&publisher, version),
-            Op::Retire { publisher, version } => self.retire(&publisher, version),
+            RegistryCommand::Renew { subscriber, publisher } => self.renew(subscriber, publisher),
+            RegistryCommand::Unsubscribe { subscriber, publisher } => self.leave(publisher, subscriber),
+            RegistryCommand::ExpireLease { subscriber, publisher } => {
+                self.expire_lease(publisher, subscriber)
+            }
+            RegistryCommand::Withdraw { publisher, version } => self.withdraw(&publisher, version),
+            RegistryCommand::Retire { publisher, version } => self.retire(&publisher, version),
         };
-        done.unwrap_or_else(Outcome::Refused)
+        done.unwrap_or_else(CommandOutcome::Rejected)
     }
 
     fn propose(
         &mut self,
         name: String,
         set: &[u8],
-        read: Option<Read>,
-        declared: Vec<Declared>,
+        read: Option<SchemaResult>,
+        declared: Vec<MigrationDeclaration>,
         replayed: bool,
-    ) -> Result<Outcome, Refusal> {
-        named(&name)?;
+    ) -> Result<CommandOutcome, CommandRejection> {
+        check_name(&name)?;
         let known = self.publishers.get(&name);
         if known.is_none() && self.publishers.len() >= MAX_PUBLISHERS {
-            return Err(full("publishers", MAX_PUBLISHERS));
+            return Err(limit_reached("publishers", MAX_PUBLISHERS));
         }
         if known.is_some_and(|known| known.replayed != replayed) {
             // Withdrawn versions would come to count, or cease to, for subscribers that were judged without.
-            return Err(Refusal::Invalid(
-                "whether records are replayed is said once, by the first proposal".into(),
-            ));
+            return Err(InvalidCommand::ReplayChanged.into());
         }
         let empty = Publisher::default();
         let publisher = known.map_or(&empty, Arc::as_ref);
@@ -141,45 +146,49 @@
         let told = publisher.version_of(Schema::digest_of(set));
         let schema = match told {
             Some(version) => publisher.versions[&version].schema.clone(),
-            None => read.unwrap_or_else(|| self::read(set, &declared)).map_err(Refusal::Invalid)?,
+            None => read.unwrap_or_else(|| self::read(set, &declared)).map_err(InvalidCommand::from)?,
         };
         let same = publisher.version_of(schema.digest());
         if same.is_some_and(|version| publisher.versions[&version].declared != declared) {
-            return Err(Refusal::Invalid("this schema was accepted with other declarations".into()));
+            return Err(InvalidCommand::DeclarationsChanged.into());
         }
         if let Some(version) = same.filter(|version| publisher.versions[version].in_force) {
-            return Ok(Outcome::Accepted { version, translated: self.translated_from(&name, version) });
+            return Ok(CommandOutcome::Accepted {
+                version,
+                translated: self.translated_from(&name, version),
+            });
         }
         if same.is_none() && publisher.versions.len() >= MAX_VERSIONS {
-            return Err(full("versions of a publisher: retire old ones", MAX_VERSIONS));
+            return Err(limit_reached("versions of a publisher: retire old ones", MAX_VERSIONS));
         }
         let version = same.unwrap_or(publisher.newest + 1);
-        let mut reasons = Reasons::default();
+        let mut violations = ViolationSet::default();
         if same.is_none() {
-            reasons.add(&publisher.ledger.check(&schema.model), &["history"]);
+            violations.add(&publisher.symbol_history.check(&schema.model), &["history"]);
         }
-        self.judge_readers(&name, publisher, version, &schema, &mut reasons);
+        self.judge_readers(&name, publisher, version, &schema, &mut violations);
         if replayed {
             for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let found = read_by(&one.schema, &schema, &Uses::all().tolerant(), Direction::Up);
-                reasons.add(&found, &[&format!("readers of version {version} at records of version {old}")]);
+                let found = read_by(&one.schema, &schema, &ReaderUsage::all().tolerant(), Direction::Up);
+                violations
+                    .add(&found, &[&format!("readers of version {version} at records of version {old}")]);
             }
         }
-        if let Some(refusal) = reasons.refusal() {
+        if let Some(refusal) = violations.refusal() {
             return Err(refusal);
         }
-        let mut ledger = publisher.ledger.clone();
-        ledger.absorb(&schema.model);
-        if ledger.size() > MAX_LEDGER {
-            return Err(full("numbers and names of a publisher", MAX_LEDGER));
+        let mut symbol_history = publisher.symbol_history.clone();
+        symbol_history.absorb(&schema.model);
+        if symbol_history.size() > MAX_HISTORY_SYMBOLS {
+            return Err(limit_reached("numbers and names of a publisher", MAX_HISTORY_SYMBOLS));
         }
         let publisher = Arc::make_mut(self.publishers.entry(name.clone()).or_default());
-        publisher.ledger = ledger;
+        publisher.symbol_history = symbol_history;
         publisher.replayed = replayed;
         publisher.newest = publisher.newest.max(version);
         publisher.versions.insert(version, Version { schema, declared, in_force: true });
         self.derive(&name);
-        Ok(Outcome::Accepted { version, translated: self.translated_from(&name, version) })
+        Ok(CommandOutcome::Accepted { version, translated: self.translated_from(&name, version) })
     }
 
     /// The schema against every subscriber in the state, grouped by what they speak and use.
@@ -189,17 +198,17 @@
         publisher: &Publisher,
         version: u32,
         schema: &Schema,
-        to: &mut Reasons,
+        to: &mut ViolationSet,
     ) {
-        let mut groups: BTreeMap<(u32, &Uses), Vec<&str>> = BTreeMap::new();
+        let mut groups: BTreeMap<(u32, &ReaderUsage), Vec<&str>> = BTreeMap::new();
         for (subscriber, held) in self.readers(name) {
-            groups.entry((held.version, &held.uses)).or_default().push(subscriber);
+            groups.entry((held.version, &held.usage)).or_default().push(subscriber);
         }
-        for ((spoken, uses), who) in groups {
+        for ((spoken, usage), who) in groups {
             let Some(reader) = publisher.versions.get(&spoken).filter(|_| spoken != version) else {
                 continue;
             };
-            to.add(&read_by(schema, &reader.schema, uses, direction(version, spoken)), &who);
+            to.add(&read_by(schema, &reader.schema, usage, direction(version, spoken)), &who);
         }
     }
 
@@ -208,90 +217,102 @@
         subscriber: String,
         name: String,
         version: u32,
-        uses: Uses,
+        usage: ReaderUsage,
         lease_ms: u64,
-    ) -> Result<Outcome, Refusal> {
-        named(&subscriber)?;
-        uses.bounded().map_err(Refusal::Invalid)?;
+    ) -> Result<CommandOutcome, CommandRejection> {
+        check_name(&subscriber)?;
+        usage.check_limits().map_err(InvalidCommand::from)?;
         if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&lease_ms) {
-            return Err(Refusal::Invalid(format!("a lease is {MIN_LEASE_MS} to {MAX_LEASE_MS} ms")));
+            return Err(InvalidCommand::LeaseOutOfRange.into());
         }
-        let publisher = self.publishers.get(&name).ok_or(Refusal::UnknownPublisher)?;
-        let reader = &publisher.versions.get(&version).ok_or(Refusal::UnknownVersion)?.schema;
+        let publisher = self.publishers.get(&name).ok_or(CommandRejection::UnknownPublisher)?;
+        let reader = &publisher.versions.get(&version).ok_or(CommandRejection::UnknownVersion)?.schema;
         let key = (name.clone(), subscriber.clone());
         if !self.subscriptions.contains_key(&key) && self.subscriptions.len() >= MAX_SUBSCRIBERS {
-            return Err(full("subscribers", MAX_SUBSCRIBERS));
+            return Err(limit_reached("subscribers", MAX_SUBSCRIBERS));
         }
         // Whoever stands is broken by nothing in force, so that another like it need not be judged: hundreds come back at
         // once when a manager dies.
-        if !self.readers(&name).any(|(_, held)| held.version == version && held.uses == uses) {
-            let mut reasons = Reasons::default();
+        if !self.readers(&name).any(|(_, held)| held.version == version && held.usage == usage) {
+            let mut violations = ViolationSet::default();
             // Its own version too: what it says that it uses must be there.
-            reasons.add(&read_by(reader, reader, &uses, Direction::Down), &[&subscriber]);
+            violations.add(&read_by(reader, reader, &usage, Direction::Down), &[&subscriber]);
             for (written, one) in publisher.written().filter(|(written, _)| *written != version) {
-                let found = read_by(&one.schema, reader, &uses, direction(written, version));
-                reasons.add(&found, &[&format!("{subscriber} at records of version {written}")]);
+                let found = read_by(&one.schema, reader, &usage, direction(written, version));
+                violations.add(&found, &[&format!("{subscriber} at records of version {written}")]);
             }
-            if let Some(refusal) = reasons.refusal() {
+            if let Some(refusal) = violations.refusal() {
                 return Err(refusal);
             }
         }
         let until_ms = self.now_ms.saturating_add(lease_ms);
         let spoken = self.readers(&name).any(|(_, held)| held.version == version);
-        let before = self.subscriptions.insert(key, Subscription { version, uses, lease_ms, until_ms });
+        let before = self.subscriptions.insert(key, Subscription { version, usage, lease_ms, until_ms });
         if !spoken || before.is_some_and(|held| held.version != version) {
             self.derive(&name);
         }
         let to = |((publisher, from, to), one): (&(String, u32, u32), &Option<_>)| {
             (*publisher == name && *to == version && one.is_some()).then_some(*from)
         };
-        Ok(Outcome::Subscribed { until_ms, translated: self.translations.iter().filter_map(to).collect() })
+        Ok(CommandOutcome::Subscribed {
+            until_ms,
+            translated: self.translations.iter().filter_map(to).collect(),
+        })
     }
 
-    fn renew(&mut self, subscriber: String, publisher: String) -> Result<Outcome, Refusal> {
+    fn renew(&mut self, subscriber: String, publisher: String) -> Result<CommandOutcome, CommandRejection> {
         let now = self.now_ms;
-        let held = self.subscriptions.get_mut(&(publisher, subscriber)).ok_or(Refusal::UnknownSubscriber)?;
+        let held = self
+            .subscriptions
+            .get_mut(&(publisher, subscriber))
+            .ok_or(CommandRejection::UnknownSubscriber)?;
         held.until_ms = held.until_ms.max(now.saturating_add(held.lease_ms));
-        Ok(Outcome::Renewed { until_ms: held.until_ms })
+        Ok(CommandOutcome::Renewed { until_ms: held.until_ms })
     }
 
-    fn leave(&mut self, publisher: String, subscriber: String) -> Result<Outcome, Refusal> {
+    fn leave(&mut self, publisher: String, subscriber: String) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
-        let held = self.subscriptions.remove(&key).ok_or(Refusal::UnknownSubscriber)?;
+        let held = self.subscriptions.remove(&key).ok_or(CommandRejection::UnknownSubscriber)?;
         if !self.readers(&key.0).any(|(_, other)| other.version == held.version) {
             self.derive(&key.0);
         }
-        Ok(Outcome::Done)
+        Ok(CommandOutcome::Done)
     }
 
-    fn lease_ended(&mut self, publisher: String, subscriber: String) -> Result<Outcome, Refusal> {
+    fn expire_lease(
+        &mut self,
+        publisher: String,
+        subscriber: String,
+    ) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
-        let held = self.subscriptions.get(&key).ok_or(Refusal::UnknownSubscriber)?;
-        // A renewal that came before this op in the journal, or a leader whose clock runs ahead.
+        let held = self.subscriptions.get(&key).ok_or(CommandRejection::UnknownSubscriber)?;
+        // A renewal that came before this command in the journal, or a leader whose clock runs ahead.
         let until_ms = held.until_ms.saturating_add(LEASE_MARGIN_MS);
         if self.now_ms < until_ms {
-            return Err(Refusal::LeaseRuns { until_ms });
+            return Err(CommandRejection::LeaseNotExpired { until_ms });
         }
         self.leave(key.0, key.1)
     }
 
-    fn withdraw(&mut self, name: &str, version: u32) -> Result<Outcome, Refusal> {
-        let publisher = Arc::make_mut(self.publishers.get_mut(name).ok_or(Refusal::UnknownPublisher)?);
-        publisher.versions.get_mut(&version).ok_or(Refusal::UnknownVersion)?.in_force = false;
+    fn withdraw(&mut self, name: &str, version: u32) -> Result<CommandOutcome, CommandRejection> {
+        let publisher =
+            Arc::make_mut(self.publishers.get_mut(name).ok_or(CommandRejection::UnknownPublisher)?);
+        publisher.versions.get_mut(&version).ok_or(CommandRejection::UnknownVersion)?.in_force = false;
         self.derive(name);
-        Ok(Outcome::Done)
+        Ok(CommandOutcome::Done)
     }
 
-    fn retire(&mut self, name: &str, version: u32) -> Result<Outcome, Refusal> {
+    fn retire(&mut self, name: &str, version: u32) -> Result<CommandOutcome, CommandRejection> {
         let spoken = self.readers(name).any(|(_, held)| held.version == version);
-        let publisher = Arc::make_mut(self.publishers.get_mut(name).ok_or(Refusal::UnknownPublisher)?);
-        let in_force = publisher.versions.get(&version).ok_or(Refusal::UnknownVersion)?.in_force;
+        let publisher =
+            Arc::make_mut(self.publishers.get_mut(name).ok_or(CommandRejection::UnknownPublisher)?);
+        let in_force = publisher.versions.get(&version).ok_or(CommandRejection::UnknownVersion)?.in_force;
         if in_force || spoken {
-            return Err(Refusal::InUse);
+            return Err(CommandRejection::InUse);
         }
         publisher.versions.remove(&version);
         self.derive(name);
-        Ok(Outcome::Done)
+        Ok(CommandOutcome::Done)
     }
 
     pub(crate) fn readers<'a>(
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -1,32 +1,34 @@
 //! The replicated registry: schemas in force, versions that subscribers speak, leases.
 //!
-//! Every change is one [`Op`] of the journal. [`Registry::apply`] judges and changes in one step, so that a schema is
+//! Every change is one [`RegistryCommand`] of the journal. [`Registry::apply`] judges and changes in one step, so that a schema is
 //! judged against exactly the subscribers that stand at its position, and a subscriber against exactly the schemas
-//! that do: whichever of the two comes first, the other meets it. What holds after every op: no subscriber in the state is
+//! that do: whichever of the two comes first, the other meets it. Invariant after every command: no subscriber in the state is
 //! broken by any schema in force.
 
 mod apply;
+pub mod codec;
 mod query;
 mod snapshot;
-pub mod wire;
 
-use crate::declared::Declared;
-use crate::ledger::Ledger;
-use crate::rules::Reason;
+use crate::declaration::MigrationDeclaration;
+use crate::error::SchemaError;
+use crate::limits::{MAX_LEASE_MS, MAX_NAME_BYTES, MIN_LEASE_MS};
+use crate::rules::Violation;
 use crate::schema::{Digest, Schema};
+use crate::symbol_history::SymbolHistory;
 use crate::translate::Translation;
-use crate::uses::Uses;
+use crate::usage::{ReaderUsage, UsageError};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::sync::Arc;
+use thiserror::Error;
 
-pub use apply::Prepared;
-pub use query::{NotAccepted, Standing, Subscriber};
+pub use apply::PreparedCommand;
+pub use query::{PublishError, SubscriberInfo, VersionInfo};
 pub use snapshot::SnapshotError;
 
-/// One change of the registry, as the journal carries it ([`wire`]).
+/// One change of the registry, as the journal carries it ([`codec`]).
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Op {
+pub enum RegistryCommand {
     /// A publisher asks to publish by a schema. Accepted, it is in force beside those before it until withdrawn. Asked
     /// again with the same schema and declarations, it gets the same answer as long as it is in force; after a
     /// withdrawal it is judged anew.
@@ -36,7 +38,7 @@
         /// An encoded `FileDescriptorSet`, as [`Schema::to_set`] gives it.
         schema: Vec<u8>,
         /// What is declared beside the schema's own options.
-        translations: Vec<Declared>,
+        translations: Vec<MigrationDeclaration>,
         /// Whether records of all its versions are kept and read again by later readers: as the first proposal says.
         replayed: bool,
     },
@@ -50,7 +52,7 @@
         /// The version that it speaks, as the registry numbered it.
         version: u32,
         /// What it uses of it.
-        uses: Uses,
+        usage: ReaderUsage,
         /// Lease, in ms.
         lease_ms: u64,
     },
@@ -69,7 +71,7 @@
         publisher: String,
     },
     /// A leader holds that a lease and its margin are over. Refused while they are not, by the journal's time.
-    LeaseEnded {
+    ExpireLease {
         /// The subscriber.
         subscriber: String,
         /// The publisher.
@@ -91,9 +93,9 @@
     },
 }
 
-/// What became of an op.
+/// The result of a command.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// The schema is in force.
     Accepted {
         /// Under this number.
@@ -116,59 +118,81 @@
     /// Done: unsubscribed, lease ended, withdrawn, retired.
     Done,
     /// Nothing changed.
-    Refused(Refusal),
+    Rejected(CommandRejection),
 }
 
-/// Why an op changed nothing.
-#[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Refusal {
-    /// Readers would break. Reasons, [`crate::bounds::MAX_REASONS`] at most, and how many there were.
-    Breaks {
+/// Why a command was rejected and changed nothing.
+#[derive(Clone, PartialEq, Eq, Debug, Error)]
+pub enum CommandRejection {
+    /// Readers would break. ViolationSet, [`crate::limits::MAX_VIOLATIONS`] at most, and how many there were.
+    #[error("{}", format_violations(.violations, *.count))]
+    BreaksReaders {
         /// The reasons.
-        reasons: Vec<Reason>,
+        violations: Vec<Violation>,
         /// How many there were.
         count: usize,
     },
     /// The schema, a declaration or a name is no good.
-    Invalid(String),
+    #[error(transparent)]
+    Invalid(#[from] InvalidCommand),
     /// No such publisher.
+    #[error("no such publisher")]
     UnknownPublisher,
     /// The publisher has no such version, or it was retired.
+    #[error("no such version")]
     UnknownVersion,
     /// No such subscriber: its lease has ended, it subscribes anew.
+    #[error("no such subscriber, its lease has ended")]
     UnknownSubscriber,
     /// The lease and its margin run until this time of the journal, in ms.
-    LeaseRuns {
+    #[error("the lease runs until {until_ms}")]
+    LeaseNotExpired {
         /// In ms.
         until_ms: u64,
     },
     /// A version in force, or one that somebody speaks, cannot be retired.
+    #[error("the version is in use")]
     InUse,
     /// A bound of the registry, by name and size.
-    Full {
+    #[error("no room for more {what}, {limit} is the bound")]
+    LimitReached {
         /// What there are too many of.
         what: &'static str,
         /// How many there may be.
-        bound: usize,
+        limit: usize,
     },
 }
 
-impl fmt::Display for Refusal {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Breaks { reasons, count } => {
-                write!(f, "{count} reasons")?;
-                reasons.iter().try_for_each(|reason| write!(f, "; {reason}"))
-            }
-            Self::Invalid(why) => write!(f, "{why}"),
-            Self::UnknownPublisher => write!(f, "no such publisher"),
-            Self::UnknownVersion => write!(f, "no such version"),
-            Self::UnknownSubscriber => write!(f, "no such subscriber, its lease has ended"),
-            Self::LeaseRuns { until_ms } => write!(f, "the lease runs until {until_ms}"),
-            Self::InUse => write!(f, "the version is in use"),
-            Self::Full { what, bound } => write!(f, "no room for more {what}, {bound} is the bound"),
-        }
+/// Why a command is invalid whatever the registry's state.
+#[derive(Clone, PartialEq, Eq, Debug, Error)]
+pub enum InvalidCommand {
+    /// The name of a publisher or subscriber is empty, too long, or has control characters.
+    #[error("a name needs 1 to {MAX_NAME_BYTES} bytes without control characters")]
+    Name,
+    /// The lease is shorter than [`MIN_LEASE_MS`] or longer than [`MAX_LEASE_MS`].
+    #[error("a lease is {MIN_LEASE_MS} to {MAX_LEASE_MS} ms")]
+    LeaseOutOfRange,
+    /// The publisher's first proposal said otherwise whether records are replayed.
+    #[error("whether records are replayed is said once, by the first proposal")]
+    ReplayChanged,
+    /// The same schema was accepted with other declarations.
+    #[error("this schema was accepted with other declarations")]
+    DeclarationsChanged,
+    /// The schema or one of its declarations is invalid.
+    #[error(transparent)]
+    Schema(#[from] SchemaError),
+    /// The declaration of use exceeds a limit.
+    #[error(transparent)]
+    Usage(#[from] UsageError),
+}
+
+fn format_violations(violations: &[Violation], count: usize) -> String {
+    let mut text = format!("{count} reasons");
+    for violation in violations {
+        text.push_str("; ");
+        text.push_str(&violation.to_string());
     }
+    text
 }
 
 /// One version of a publisher.
@@ -176,7 +200,7 @@
 pub(crate) struct Version {
     /// With its declarations.
     pub(crate) schema: Arc<Schema>,
-    pub(crate) declared: Vec<Declared>,
+    pub(crate) declared: Vec<MigrationDeclaration>,
     /// Publishers may write it.
     pub(crate) in_force: bool,
 }
@@ -188,7 +212,7 @@
     /// Accepted last, whether in force or not.
     pub(crate) newest: u32,
     pub(crate) versions: BTreeMap<u32, Version>,
-    pub(crate) ledger: Ledger,
+    pub(crate) symbol_history: SymbolHistory,
 }
 
 impl Publisher {
@@ -210,13 +234,13 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Subscription {
     pub(crate) version: u32,
-    pub(crate) uses: Uses,
+    pub(crate) usage: ReaderUsage,
     pub(crate) lease_ms: u64,
     pub(crate) until_ms: u64,
 }
 
 /// The registry's state. Equal journals give equal registries, on every machine and in every process of the same
-/// [`crate::bounds::EDITION`].
+/// [`crate::limits::RULES_EDITION`].
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     /// Shared between copies of a registry until one of them changes: a copy is what a snapshot is written from.
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -2,37 +2,28 @@
 //! that are over, an operator.
 
 use super::Registry;
-use crate::bounds::LEASE_MARGIN_MS;
+use crate::limits::LEASE_MARGIN_MS;
 use crate::schema::{Digest, Schema};
 use crate::translate::Translation;
-use std::fmt;
+use thiserror::Error;
 
 /// Why binaries that publish by a schema must not be released.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum NotAccepted {
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
+pub enum PublishError {
     /// The publisher never proposed anything.
+    #[error("no schema of this publisher was accepted")]
     UnknownPublisher,
     /// This schema was never accepted, or is retired.
+    #[error("this schema was not accepted")]
     NeverAccepted,
     /// It was accepted and withdrawn since: under this number.
+    #[error("this schema was withdrawn (version {0})")]
     Withdrawn(u32),
 }
 
-impl fmt::Display for NotAccepted {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::UnknownPublisher => write!(f, "no schema of this publisher was accepted"),
-            Self::NeverAccepted => write!(f, "this schema was not accepted"),
-            Self::Withdrawn(version) => write!(f, "this schema was withdrawn (version {version})"),
-        }
-    }
-}
-
-impl std::error::Error for NotAccepted {}
-
 /// A version, as an operator sees it.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Standing {
+pub struct VersionInfo {
     /// The publisher.
     pub publisher: String,
     /// The version.
@@ -47,7 +38,7 @@
 
 /// A subscriber, as an operator sees it.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Subscriber {
+pub struct SubscriberInfo {
     /// The subscriber.
     pub subscriber: String,
     /// The publisher.
@@ -63,13 +54,13 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn may_publish(&self, publisher: &str, schema: Digest) -> Result<(), NotAccepted> {
-        let known = self.publishers.get(publisher).ok_or(NotAccepted::UnknownPublisher)?;
-        let version = known.version_of(schema).ok_or(NotAccepted::NeverAccepted)?;
+    pub fn may_publish(&self, publisher: &str, schema: Digest) -> Result<(), PublishError> {
+        let known = self.publishers.get(publisher).ok_or(PublishError::UnknownPublisher)?;
+        let version = known.version_of(schema).ok_or(PublishError::NeverAccepted)?;
         if known.versions.get(&version).is_some_and(|one| one.in_force) {
             Ok(())
         } else {
-            Err(NotAccepted::Withdrawn(version))
+            Err(PublishError::Withdrawn(version))
         }
     }
 
@@ -98,14 +89,14 @@
         self.subscriptions.get(&(publisher.to_string(), subscriber.to_string())).map(|held| held.version)
     }
 
-    /// Subscribers whose lease and margin are over at `now_ms`: for each a leader proposes [`super::Op::LeaseEnded`].
-    pub fn leases_over(&self, now_ms: u64) -> impl Iterator<Item = Subscriber> + '_ {
+    /// Subscribers whose lease and margin are over at `now_ms`: for each a leader proposes [`super::RegistryCommand::ExpireLease`].
+    pub fn expired_leases(&self, now_ms: u64) -> impl Iterator<Item = SubscriberInfo> + '_ {
         self.subscribers().filter(move |one| now_ms >= one.until_ms.saturating_add(LEASE_MARGIN_MS))
     }
 
     /// All subscribers, by publisher and name.
-    pub fn subscribers(&self) -> impl Iterator<Item = Subscriber> + '_ {
-        self.subscriptions.iter().map(|((publisher, subscriber), held)| Subscriber {
+    pub fn subscribers(&self) -> impl Iterator<Item = SubscriberInfo> + '_ {
+        self.subscriptions.iter().map(|((publisher, subscriber), held)| SubscriberInfo {
             subscriber: subscriber.clone(),
             publisher: publisher.clone(),
             version: held.version,
@@ -114,9 +105,9 @@
     }
 
     /// All versions, by publisher and number.
-    pub fn standing(&self) -> impl Iterator<Item = Standing> + '_ {
+    pub fn versions(&self) -> impl Iterator<Item = VersionInfo> + '_ {
         self.publishers.iter().flat_map(move |(name, publisher)| {
-            publisher.versions.iter().map(move |(&version, one)| Standing {
+            publisher.versions.iter().map(move |(&version, one)| VersionInfo {
                 publisher: name.clone(),
                 version,
                 digest: one.schema.digest(),
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -1,40 +1,65 @@
 //! The registry's state as bytes, and back; its digest.
 
-use super::wire::{declared, DeclaredRecord, UsesRecord};
+use super::codec::{decode_declaration, CommandDecodeError, DeclarationRecord, UsageRecord};
 use super::{Publisher, Registry, Subscription, Version};
-use crate::bounds::{EDITION, MAX_LEDGER, MAX_PUBLISHERS, MAX_SUBSCRIBERS, MAX_VERSIONS};
-use crate::ledger::{Entry, Ledger};
+use crate::error::SchemaError;
+use crate::limits::{MAX_HISTORY_SYMBOLS, MAX_PUBLISHERS, MAX_SUBSCRIBERS, MAX_VERSIONS, RULES_EDITION};
 use crate::schema::{Digest, Schema};
+use crate::symbol_history::{SymbolHistory, TypeHistory};
 use prost::Message as _;
 use sha2::{Digest as _, Sha256};
-use std::fmt;
 use std::sync::Arc;
+use thiserror::Error;
 
-/// Why bytes are no snapshot of this registry.
-#[derive(Clone, PartialEq, Eq, Debug)]
+/// Why bytes are not a snapshot of this registry.
+#[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum SnapshotError {
-    /// Made by managers that judge by other rules.
+    /// Written by a manager whose rules are of another edition.
+    #[error("snapshot by rules of edition {theirs}, here {ours}")]
     Edition {
-        /// Theirs.
+        /// The snapshot's edition.
         theirs: u32,
-        /// [`EDITION`].
+        /// [`RULES_EDITION`].
         ours: u32,
     },
-    /// Damaged, or over a bound.
-    Invalid(String),
-}
-
-impl fmt::Display for SnapshotError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Edition { theirs, ours } => write!(f, "snapshot by rules of edition {theirs}, here {ours}"),
-            Self::Invalid(why) => write!(f, "snapshot: {why}"),
-        }
-    }
+    /// The bytes are not a protobuf message of a snapshot.
+    #[error("snapshot: {0}")]
+    Malformed(#[from] prost::DecodeError),
+    /// More publishers or subscribers than the registry's limits.
+    #[error("snapshot: more publishers or subscribers than there may be")]
+    TooManyEntries,
+    /// A publisher has more versions, or more numbers and names, than its limits.
+    #[error("snapshot: publisher {publisher} is over its bounds")]
+    PublisherTooLarge {
+        /// Name of the publisher.
+        publisher: String,
+    },
+    /// A declaration of a version is invalid.
+    #[error("snapshot: {0}")]
+    Declaration(#[from] CommandDecodeError),
+    /// The schema of a version is invalid.
+    #[error("snapshot: publisher {publisher}, version {version}: {source}")]
+    Schema {
+        /// Name of the publisher.
+        publisher: String,
+        /// Number of the version.
+        version: u32,
+        /// What is wrong with the schema.
+        source: SchemaError,
+    },
+    /// A subscription names a version that the snapshot does not have.
+    #[error("snapshot: {subscriber} speaks a version of {publisher} that is not there")]
+    UnknownVersion {
+        /// Name of the subscriber.
+        subscriber: String,
+        /// Name of the publisher.
+        publisher: String,
+    },
+    /// A subscription does not say what it uses.
+    #[error("snapshot: subscription without uses")]
+    MissingUsage,
 }
 
-impl std::error::Error for SnapshotError {}
-
 #[derive(Clone, PartialEq, prost::Message)]
 struct StateRecord {
     #[prost(uint32, tag = "1")]
@@ -58,7 +83,7 @@
     #[prost(message, repeated, tag = "4")]
     versions: Vec<VersionRecord>,
     #[prost(message, repeated, tag = "5")]
-    ledger: Vec<EntryRecord>,
+    symbol_history: Vec<TypeHistoryRecord>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -68,13 +93,13 @@
     #[prost(bytes = "vec", tag = "2")]
     schema: Vec<u8>,
     #[prost(message, repeated, tag = "3")]
-    declared: Vec<DeclaredRecord>,
+    declared: Vec<DeclarationRecord>,
     #[prost(bool, tag = "4")]
     in_force: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct EntryRecord {
+struct TypeHistoryRecord {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(message, repeated, tag = "2")]
@@ -105,15 +130,15 @@
     #[prost(uint32, tag = "3")]
     version: u32,
     #[prost(message, optional, tag = "4")]
-    uses: Option<UsesRecord>,
+    usage: Option<UsageRecord>,
     #[prost(uint64, tag = "5")]
     lease_ms: u64,
     #[prost(uint64, tag = "6")]
     until_ms: u64,
 }
 
-impl EntryRecord {
-    fn of(name: &str, entry: &Entry) -> Self {
+impl TypeHistoryRecord {
+    fn of(name: &str, entry: &TypeHistory) -> Self {
         Self {
             name: name.to_string(),
             numbers: (entry.names.iter())
@@ -125,8 +150,8 @@
         }
     }
 
-    fn entry(self) -> (String, Entry) {
-        let entry = Entry {
+    fn entry(self) -> (String, TypeHistory) {
+        let entry = TypeHistory {
             names: self
                 .numbers
                 .into_iter()
@@ -141,17 +166,24 @@
 }
 
 impl PublisherRecord {
-    fn publisher(self) -> Result<(String, Publisher), String> {
+    fn publisher(self) -> Result<(String, Publisher), SnapshotError> {
         let mut made = Publisher { replayed: self.replayed, newest: self.newest, ..Publisher::default() };
-        made.ledger = Ledger { entries: self.ledger.into_iter().map(EntryRecord::entry).collect() };
-        if self.versions.len() > MAX_VERSIONS || made.ledger.size() > MAX_LEDGER {
-            return Err(format!("publisher {} is over its bounds", self.name));
+        made.symbol_history = SymbolHistory {
+            entries: self.symbol_history.into_iter().map(TypeHistoryRecord::entry).collect(),
+        };
+        if self.versions.len() > MAX_VERSIONS || made.symbol_history.size() > MAX_HISTORY_SYMBOLS {
+            return Err(SnapshotError::PublisherTooLarge { publisher: self.name });
         }
         for record in self.versions {
-            let declared = record.declared.into_iter().map(declared).collect::<Result<Vec<_>, _>>()?;
+            let declared =
+                record.declared.into_iter().map(decode_declaration).collect::<Result<Vec<_>, _>>()?;
             let schema = Schema::from_set(&record.schema)
                 .and_then(|schema| schema.declare(&declared))
-                .map_err(|error| format!("publisher {}, version {}: {error}", self.name, record.number))?;
+                .map_err(|source| SnapshotError::Schema {
+                    publisher: self.name.clone(),
+                    version: record.number,
+                    source,
+                })?;
             made.versions.insert(
                 record.number,
                 Version { schema: Arc::new(schema), declared, in_force: record.in_force },
@@ -173,23 +205,28 @@
                 .map(|(&number, version)| VersionRecord {
                     number,
                     schema: version.schema.to_set().to_vec(),
-                    declared: version.declared.iter().map(DeclaredRecord::from).collect(),
+                    declared: version.declared.iter().map(DeclarationRecord::from).collect(),
                     in_force: version.in_force,
                 })
                 .collect(),
-            ledger: one.ledger.entries.iter().map(|(name, entry)| EntryRecord::of(name, entry)).collect(),
+            symbol_history: one
+                .symbol_history
+                .entries
+                .iter()
+                .map(|(name, entry)| TypeHistoryRecord::of(name, entry))
+                .collect(),
         };
         let subscription =
             |((publisher, subscriber), held): (&(String, String), &Subscription)| SubscriptionRecord {
                 publisher: publisher.clone(),
                 subscriber: subscriber.clone(),
                 version: held.version,
-                uses: Some((&held.uses).into()),
+                usage: Some((&held.usage).into()),
                 lease_ms: held.lease_ms,
                 until_ms: held.until_ms,
             };
         let state = StateRecord {
-            edition: EDITION,
+            edition: RULES_EDITION,
             now_ms: self.now_ms,
             publishers: self.publishers.iter().map(publisher).collect(),
             subscriptions: self.subscriptions.iter().map(subscription).collect(),
@@ -202,32 +239,30 @@
     /// # Errors
     /// Another edition of the rules; damage; more than the bounds allow.
     pub fn import(bytes: &[u8]) -> Result<Self, SnapshotError> {
-        let invalid = SnapshotError::Invalid;
-        let state = StateRecord::decode(bytes).map_err(|error| invalid(error.to_string()))?;
-        if state.edition != EDITION {
-            return Err(SnapshotError::Edition { theirs: state.edition, ours: EDITION });
+        let state = StateRecord::decode(bytes)?;
+        if state.edition != RULES_EDITION {
+            return Err(SnapshotError::Edition { theirs: state.edition, ours: RULES_EDITION });
         }
         if state.publishers.len() > MAX_PUBLISHERS || state.subscriptions.len() > MAX_SUBSCRIBERS {
-            return Err(invalid("more publishers or subscribers than there may be".into()));
+            return Err(SnapshotError::TooManyEntries);
         }
         let mut made = Self { now_ms: state.now_ms, ..Self::default() };
         for record in state.publishers {
-            let (name, publisher) = record.publisher().map_err(invalid)?;
+            let (name, publisher) = record.publisher()?;
             made.publishers.insert(name, Arc::new(publisher));
         }
         for record in state.subscriptions {
             let known =
                 made.publishers.get(&record.publisher).and_then(|one| one.versions.get(&record.version));
             if known.is_none() {
-                let why = format!(
-                    "{} speaks a version of {} that is not there",
-                    record.subscriber, record.publisher
-                );
-                return Err(invalid(why));
+                return Err(SnapshotError::UnknownVersion {
+                    subscriber: record.subscriber,
+                    publisher: record.publisher,
+                });
             }
-            let uses = record.uses.ok_or_else(|| invalid("subscription without uses".into()))?.into();
+            let usage = record.usage.ok_or(SnapshotError::MissingUsage)?.into();
             let SubscriptionRecord { publisher, subscriber, version, lease_ms, until_ms, .. } = record;
-            let held = Subscription { version, uses, lease_ms, until_ms };
+            let held = Subscription { version, usage, lease_ms, until_ms };
             made.subscriptions.insert((publisher, subscriber), held);
         }
         let names: Vec<String> = made.publishers.keys().cloned().collect();
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules by name, and what is said of a schema by them.
+//! The rules by name, and the findings and violations that name them.
 
 use std::fmt;
 
@@ -164,24 +164,24 @@
 
 /// Why a change or a subscriber is refused.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Reason {
+pub struct Violation {
     /// Where, as in [`Finding::path`].
     pub path: String,
     /// By which rule.
     pub rule: Rule,
-    /// Who would break: subscribers' names, [`crate::bounds::MAX_WHO`] at most, or a version in words.
-    pub who: Vec<String>,
+    /// Who would break: subscribers' names, [`crate::limits::MAX_NAMED_READERS`] at most, or a version in words.
+    pub affected: Vec<String>,
     /// How many would break.
-    pub count: usize,
+    pub affected_count: usize,
     /// What was found, in words.
     pub detail: String,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at {}: {}; breaks {}", self.rule, self.path, self.detail, self.who.join(", "))?;
-        if self.count > self.who.len() {
-            write!(f, " and {} more", self.count - self.who.len())?;
+        write!(f, "{} at {}: {}; breaks {}", self.rule, self.path, self.detail, self.affected.join(", "))?;
+        if self.affected_count > self.affected.len() {
+            write!(f, " and {} more", self.affected_count - self.affected.len())?;
         }
         Ok(())
     }
--- a/crates/schema-compat/src/sample.rs
+++ b/crates/schema-compat/src/sample.rs
@@ -1,8 +1,7 @@
 //! Sample records: made from a seed, within a schema's declared ranges, near their ends more often than not.
 
-use crate::bounds::{SAMPLE_DEPTH, SAMPLE_TEXT};
-use crate::model::{Field, Model, Shape};
-use crate::pair::held;
+use crate::limits::{MAX_SAMPLE_DEPTH, MAX_SAMPLE_TEXT_BYTES};
+use crate::model::{Field, FieldCardinality, Model};
 use crate::schema::Schema;
 use prost_reflect::{DynamicMessage, FieldDescriptor, Kind, MessageDescriptor, Value};
 use rand::{Rng, RngCore, SeedableRng};
@@ -10,41 +9,41 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// A record of the message `name`; the same seed gives the same record. None if the schema has no such message. Nested
-/// messages go [`SAMPLE_DEPTH`] deep; deeper ones stay absent, also where a reader needs them.
+/// messages go [`MAX_SAMPLE_DEPTH`] deep; deeper ones stay absent, also where a reader needs them.
 #[must_use]
 pub fn sample(schema: &Schema, name: &str, seed: u64) -> Option<DynamicMessage> {
     let descriptor = schema.message(name)?;
     let at = schema.model.message_named(name)?;
-    let mut maker = Maker { model: &schema.model, random: ChaCha8Rng::seed_from_u64(seed) };
-    Some(maker.message(&descriptor, at, SAMPLE_DEPTH))
+    let mut generator = RecordGenerator { model: &schema.model, random: ChaCha8Rng::seed_from_u64(seed) };
+    Some(generator.message(&descriptor, at, MAX_SAMPLE_DEPTH))
 }
 
-struct Maker<'a> {
+struct RecordGenerator<'a> {
     model: &'a Model,
     random: ChaCha8Rng,
 }
 
-impl Maker<'_> {
+impl RecordGenerator<'_> {
     fn message(&mut self, descriptor: &MessageDescriptor, at: usize, depth: usize) -> DynamicMessage {
         let mut made = DynamicMessage::new(descriptor.clone());
         let mut taken: BTreeSet<usize> = BTreeSet::new();
         for field in self.model.messages[at].fields.values() {
             let Some(to) = descriptor.get_field(field.number) else { continue };
             let present = field.required || self.random.gen_bool(0.8);
-            let deep = depth == 0 && held(field.kind).is_some();
+            let deep = depth == 0 && field.kind.message_index().is_some();
             if !present || deep || field.oneof.is_some_and(|oneof| !taken.insert(oneof)) {
                 continue;
             }
             let count = self.between(field.min_length.unwrap_or(0), field.max_length.unwrap_or(3), 3);
-            let value = match field.shape {
-                Shape::One => self.value(&to, field, depth),
-                Shape::Many => {
+            let value = match field.cardinality {
+                FieldCardinality::Singular => self.value(&to, field, depth),
+                FieldCardinality::Repeated => {
                     Some(Value::List((0..count).filter_map(|_| self.value(&to, field, depth)).collect()))
                 }
-                Shape::Map => self.map(&to, field, count, depth),
+                FieldCardinality::Map => self.map(&to, field, count, depth),
             };
             if let Some(value) = value {
-                // A value that does not fit its own field would be a fault of this maker; the record does without.
+                // A value that does not fit its own field would be a fault of this generator; the record does without.
                 let _ = made.try_set_field(&to, value);
             }
         }
@@ -53,7 +52,7 @@
 
     fn map(&mut self, to: &FieldDescriptor, field: &Field, count: u64, depth: usize) -> Option<Value> {
         let Kind::Message(entry) = to.kind() else { return None };
-        let fields = &self.model.messages[held(field.kind)?].fields;
+        let fields = &self.model.messages[field.kind.message_index()?].fields;
         let (key, below) = (fields.get(&1)?, fields.get(&2)?);
         let mut map = HashMap::new();
         for _ in 0..count {
@@ -87,7 +86,7 @@
                 Value::Bytes(bytes.into())
             }
             Kind::Message(below) => {
-                Value::Message(self.message(&below, held(field.kind)?, depth.checked_sub(1)?))
+                Value::Message(self.message(&below, field.kind.message_index()?, depth.checked_sub(1)?))
             }
             _ => return None,
         })
@@ -95,9 +94,13 @@
 
     fn length(&mut self, field: &Field) -> u64 {
         // The lengths of a repeated field are of its list, not of its entries.
-        let one = field.shape == Shape::One;
+        let one = field.cardinality == FieldCardinality::Singular;
         let least = field.min_length.filter(|_| one).unwrap_or(0);
-        self.between(least, field.max_length.filter(|_| one).unwrap_or(SAMPLE_TEXT), SAMPLE_TEXT)
+        self.between(
+            least,
+            field.max_length.filter(|_| one).unwrap_or(MAX_SAMPLE_TEXT_BYTES),
+            MAX_SAMPLE_TEXT_BYTES,
+        )
     }
 
     /// From `least` to `most`, but no more than `span` above the least.
--- a/crates/schema-compat/src/schema.rs
+++ b/crates/schema-compat/src/schema.rs
@@ -1,6 +1,7 @@
 //! A schema: descriptors within bounds, the compiled form of `.proto` text, and the digest that names it.
 
-use crate::bounds::{MAX_FILES, MAX_NESTING, MAX_SCHEMA_BYTES};
+use crate::error::{check_limit, SchemaError};
+use crate::limits::{MAX_FILES, MAX_NESTING, MAX_SCHEMA_BYTES};
 use crate::model::Model;
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor, Value};
@@ -32,49 +33,6 @@
     }
 }
 
-/// Why a text or a descriptor set is no schema.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SchemaError {
-    /// The compiler's word: file, line and cause.
-    Compile(String),
-    /// The bytes are no valid descriptor set.
-    Descriptor(String),
-    /// Over a bound of [`crate::bounds`].
-    Bound {
-        /// What there is too much of.
-        what: &'static str,
-        /// How much there is.
-        is: usize,
-        /// How much there may be.
-        bound: usize,
-    },
-    /// No message that could be published.
-    Empty,
-    /// A declaration that names what is not there.
-    Declared(String),
-}
-
-impl fmt::Display for SchemaError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Compile(why) => write!(f, "schema does not compile: {why}"),
-            Self::Descriptor(why) => write!(f, "schema's descriptors are invalid: {why}"),
-            Self::Bound { what, is, bound } => write!(f, "schema has {is} {what}, at most {bound} are taken"),
-            Self::Empty => write!(f, "schema has no message"),
-            Self::Declared(why) => write!(f, "schema's declarations: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for SchemaError {}
-
-pub(crate) fn bounded(what: &'static str, is: usize, bound: usize) -> Result<(), SchemaError> {
-    if is > bound {
-        return Err(SchemaError::Bound { what, is, bound });
-    }
-    Ok(())
-}
-
 /// A publisher's schema. Cheap to clone in its descriptors, not in its model.
 #[derive(Clone)]
 pub struct Schema {
@@ -92,14 +50,14 @@
 
 /// A descriptor set whose files stay bytes, for the options in them to survive.
 #[derive(Clone, PartialEq, prost::Message)]
-struct RawSet {
+struct RawDescriptorSet {
     #[prost(bytes = "vec", repeated, tag = "1")]
     file: Vec<Vec<u8>>,
 }
 
 /// What must be known of a file before the descriptor library is given it.
 #[derive(Clone, PartialEq, prost::Message)]
-struct RawFile {
+struct RawFileHeader {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(string, tag = "12")]
@@ -107,7 +65,7 @@
 }
 
 /// The files that protobuf and this crate bring.
-struct Base {
+struct BundledFiles {
     /// Those that every schema's options need.
     pool: DescriptorPool,
     /// All of them by name: bytes, and what they import.
@@ -115,8 +73,8 @@
 }
 
 /// Computed once, the same in every process.
-fn base() -> Result<&'static Base, SchemaError> {
-    static BASE: OnceLock<Result<Base, SchemaError>> = OnceLock::new();
+fn base() -> Result<&'static BundledFiles, SchemaError> {
+    static BASE: OnceLock<Result<BundledFiles, SchemaError>> = OnceLock::new();
     let made = BASE.get_or_init(|| {
         let wrong = |error: protox::Error| SchemaError::Compile(error.to_string());
         let mut compiler = compiler(&BTreeMap::new());
@@ -132,12 +90,12 @@
             let imports = file.dependencies().map(|one| one.name().to_string()).collect();
             (file.name().to_string(), (file.encode_to_vec(), imports))
         };
-        Ok(Base { pool, files: compiler.descriptor_pool().files().map(file).collect() })
+        Ok(BundledFiles { pool, files: compiler.descriptor_pool().files().map(file).collect() })
     });
     made.as_ref().map_err(Clone::clone)
 }
 
-impl Base {
+impl BundledFiles {
     /// The files that these imports stand for, with their own, each after what it imports; those in `but` left out.
     fn needed(&self, imports: impl Iterator<Item = String>, but: &dyn Fn(&str) -> bool) -> Vec<Vec<u8>> {
         let mut order: Vec<&String> = Vec::new();
@@ -155,9 +113,9 @@
     }
 }
 
-struct Texts(BTreeMap<String, String>);
+struct TextResolver(BTreeMap<String, String>);
 
-impl FileResolver for Texts {
+impl FileResolver for TextResolver {
     fn open_file(&self, name: &str) -> Result<File, protox::Error> {
         match self.0.get(name) {
             Some(text) => File::from_source(name, text),
@@ -169,7 +127,7 @@
 
 fn compiler(texts: &BTreeMap<String, String>) -> protox::Compiler {
     let mut resolver = ChainFileResolver::new();
-    resolver.add(Texts(texts.clone()));
+    resolver.add(TextResolver(texts.clone()));
     resolver.add(GoogleFileResolver::new());
     let mut compiler = protox::Compiler::with_file_resolver(resolver);
     compiler.include_imports(false).include_source_info(false);
@@ -219,14 +177,14 @@
 }
 
 fn add(pool: &mut DescriptorPool, files: Vec<Vec<u8>>) -> Result<(), SchemaError> {
-    let set = RawSet { file: files }.encode_to_vec();
+    let set = RawDescriptorSet { file: files }.encode_to_vec();
     pool.decode_file_descriptor_set(set.as_slice())
         .map_err(|error| SchemaError::Descriptor(error.to_string()))
 }
 
 /// The files without this crate's options, once they are read: descriptors of descriptors are most of a schema's memory.
 /// None where the files hold on to them in another way.
-fn lean(base: &Base, own: &[(String, DynamicMessage)]) -> Option<DescriptorPool> {
+fn lean(base: &BundledFiles, own: &[(String, DynamicMessage)]) -> Option<DescriptorPool> {
     let mut files = Vec::new();
     let mut needed = Vec::new();
     for (_, file) in own {
@@ -261,10 +219,10 @@
     /// # Errors
     /// A text that does not compile, with file and line; a bound that is exceeded.
     pub fn from_texts(files: &[(&str, &str)]) -> Result<Self, SchemaError> {
-        bounded("files", files.len(), MAX_FILES)?;
-        bounded("bytes of text", files.iter().map(|(_, text)| text.len()).sum(), MAX_SCHEMA_BYTES)?;
+        check_limit("files", files.len(), MAX_FILES)?;
+        check_limit("bytes of text", files.iter().map(|(_, text)| text.len()).sum(), MAX_SCHEMA_BYTES)?;
         for (_, text) in files {
-            bounded("brackets open at once", nesting(text), MAX_NESTING)?;
+            check_limit("brackets open at once", nesting(text), MAX_NESTING)?;
         }
         let texts = files.iter().map(|(name, text)| (name.to_string(), text.to_string())).collect();
         let mut compiler = compiler(&texts);
@@ -280,8 +238,8 @@
     /// Bytes that are no valid set; a bound that is exceeded.
     pub fn from_set(bytes: &[u8]) -> Result<Self, SchemaError> {
         let invalid = |why: String| SchemaError::Descriptor(why);
-        bounded("bytes of descriptors", bytes.len(), 4 * MAX_SCHEMA_BYTES)?;
-        let set = RawSet::decode(bytes).map_err(|error| invalid(error.to_string()))?;
+        check_limit("bytes of descriptors", bytes.len(), 4 * MAX_SCHEMA_BYTES)?;
+        let set = RawDescriptorSet::decode(bytes).map_err(|error| invalid(error.to_string()))?;
         let base = base()?;
         let file_form = base
             .pool
@@ -289,8 +247,8 @@
             .ok_or_else(|| invalid("descriptor.proto lacks FileDescriptorProto".into()))?;
         let mut own: Vec<(String, DynamicMessage)> = Vec::new();
         for raw in &set.file {
-            let RawFile { name, syntax } =
-                RawFile::decode(raw.as_slice()).map_err(|error| invalid(error.to_string()))?;
+            let RawFileHeader { name, syntax } =
+                RawFileHeader::decode(raw.as_slice()).map_err(|error| invalid(error.to_string()))?;
             if base.files.contains_key(&name) {
                 continue;
             }
@@ -306,11 +264,11 @@
             file.clear_field_by_name("source_code_info");
             own.push((name, file));
         }
-        bounded("files", own.len(), MAX_FILES)?;
+        check_limit("files", own.len(), MAX_FILES)?;
         own.sort_by(|one, other| one.0.cmp(&other.0));
         let encoded = || own.iter().map(|(_, file)| file.encode_to_vec());
-        let bytes = RawSet { file: encoded().collect() }.encode_to_vec();
-        bounded("bytes of descriptors", bytes.len(), MAX_SCHEMA_BYTES)?;
+        let bytes = RawDescriptorSet { file: encoded().collect() }.encode_to_vec();
+        check_limit("bytes of descriptors", bytes.len(), MAX_SCHEMA_BYTES)?;
         let in_pool = |name: &str| base.pool.get_file_by_name(name).is_some();
         let mut all = base.needed(own.iter().flat_map(|(_, file)| imports(file)), &in_pool);
         all.extend(encoded());
--- a/crates/schema-compat/src/options.rs
+++ b/crates/schema-compat/src/schema_options.rs
@@ -1,19 +1,19 @@
 //! Reads this crate's options from descriptors. Whatever is absent or of another form counts as not said.
 
-use crate::schema::SchemaError;
+use crate::error::SchemaError;
 use prost_reflect::{DescriptorPool, DynamicMessage, ExtensionDescriptor, Value};
 
 /// What a reader does with a value that its version does not know.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub(crate) enum Unknown {
+pub(crate) enum UnknownValuePolicy {
     #[default]
     Unstated,
     Accepted,
-    Refused,
+    Rejected,
 }
 
 /// The extensions by which options are found.
-pub(crate) struct Options {
+pub(crate) struct OptionExtensions {
     pub(crate) field: ExtensionDescriptor,
     pub(crate) message: ExtensionDescriptor,
     pub(crate) oneof: ExtensionDescriptor,
@@ -21,7 +21,7 @@
     pub(crate) value: ExtensionDescriptor,
 }
 
-impl Options {
+impl OptionExtensions {
     pub(crate) fn of(pool: &DescriptorPool) -> Result<Self, SchemaError> {
         let find = |name: &str| {
             pool.get_extension_by_name(&format!("sprucelink.compat.{name}"))
@@ -38,9 +38,9 @@
 }
 
 /// One option's message, or nothing.
-pub(crate) struct Said(Option<DynamicMessage>);
+pub(crate) struct OptionValues(Option<DynamicMessage>);
 
-impl Said {
+impl OptionValues {
     pub(crate) fn of(options: &DynamicMessage, extension: &ExtensionDescriptor) -> Self {
         if !options.has_extension(extension) {
             return Self(None);
@@ -100,11 +100,11 @@
             .collect()
     }
 
-    pub(crate) fn unknown(&self) -> Unknown {
+    pub(crate) fn unknown(&self) -> UnknownValuePolicy {
         match self.given("unknown").and_then(|value| value.as_enum_number()) {
-            Some(1) => Unknown::Accepted,
-            Some(2) => Unknown::Refused,
-            _ => Unknown::Unstated,
+            Some(1) => UnknownValuePolicy::Accepted,
+            Some(2) => UnknownValuePolicy::Rejected,
+            _ => UnknownValuePolicy::Unstated,
         }
     }
 }
--- a/crates/schema-compat/src/ledger.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -6,7 +6,7 @@
 
 /// One message's or enum's history.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub(crate) struct Entry {
+pub(crate) struct TypeHistory {
     /// Every name that a number had.
     pub(crate) names: BTreeMap<i64, BTreeSet<String>>,
     /// First and last number, both included.
@@ -18,12 +18,12 @@
 
 /// The history of one publisher's messages and enums, by full name.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub(crate) struct Ledger {
-    pub(crate) entries: BTreeMap<String, Entry>,
+pub(crate) struct SymbolHistory {
+    pub(crate) entries: BTreeMap<String, TypeHistory>,
 }
 
 /// A message's or enum's numbers, names and reservations, in one form.
-struct Shape<'m> {
+struct TypeSymbols<'m> {
     name: &'m str,
     former: &'m [String],
     /// Number, name, former names, former numbers.
@@ -33,9 +33,9 @@
     rules: [Rule; 2],
 }
 
-fn of_message(message: &Message) -> Shape<'_> {
+fn of_message(message: &Message) -> TypeSymbols<'_> {
     let member = |field: &'_ crate::model::Field| i64::from(field.number);
-    Shape {
+    TypeSymbols {
         name: &message.name,
         former: &message.former_names,
         members: (message.fields.values())
@@ -49,8 +49,8 @@
     }
 }
 
-fn of_enum(one: &Enum) -> Shape<'_> {
-    Shape {
+fn of_enum(one: &Enum) -> TypeSymbols<'_> {
+    TypeSymbols {
         name: &one.name,
         former: &[],
         members: (one.values.iter())
@@ -62,14 +62,14 @@
     }
 }
 
-fn shapes(model: &Model) -> impl Iterator<Item = Shape<'_>> {
+fn all_symbols(model: &Model) -> impl Iterator<Item = TypeSymbols<'_>> {
     model.messages.iter().map(of_message).chain(model.enums.iter().map(of_enum))
 }
 
-impl Ledger {
+impl SymbolHistory {
     /// Numbers and names that are remembered.
     pub(crate) fn size(&self) -> usize {
-        let entry = |one: &Entry| {
+        let entry = |one: &TypeHistory| {
             1 + one.reserved.len()
                 + one.reserved_names.len()
                 + one.names.values().map(BTreeSet::len).sum::<usize>()
@@ -79,11 +79,11 @@
 
     /// Remembers a version.
     pub(crate) fn absorb(&mut self, model: &Model) {
-        for shape in shapes(model) {
+        for symbols in all_symbols(model) {
             // A renamed message goes on with the history of its former name.
-            let inherited: Vec<Entry> =
-                shape.former.iter().filter_map(|name| self.entries.get(name)).cloned().collect();
-            let entry = self.entries.entry(shape.name.to_string()).or_default();
+            let inherited: Vec<TypeHistory> =
+                symbols.former.iter().filter_map(|name| self.entries.get(name)).cloned().collect();
+            let entry = self.entries.entry(symbols.name.to_string()).or_default();
             for old in inherited {
                 entry.reserved.extend(old.reserved);
                 entry.reserved_names.extend(old.reserved_names);
@@ -91,10 +91,10 @@
                     entry.names.entry(number).or_default().extend(names);
                 }
             }
-            entry.present = shape.members.iter().map(|(_, name, ..)| name.to_string()).collect();
-            entry.reserved.extend(&shape.reserved);
-            entry.reserved_names.extend(shape.reserved_names.iter().cloned());
-            for (number, name, ..) in &shape.members {
+            entry.present = symbols.members.iter().map(|(_, name, ..)| name.to_string()).collect();
+            entry.reserved.extend(&symbols.reserved);
+            entry.reserved_names.extend(symbols.reserved_names.iter().cloned());
+            for (number, name, ..) in &symbols.members {
                 entry.names.entry(*number).or_default().insert(name.to_string());
             }
         }
@@ -103,10 +103,10 @@
     /// What a new version does to numbers and names that earlier ones gave away or set aside.
     pub(crate) fn check(&self, model: &Model) -> Vec<Finding> {
         let mut found = Vec::new();
-        for shape in shapes(model) {
-            let entries = std::iter::once(shape.name).chain(shape.former.iter().map(String::as_str));
+        for symbols in all_symbols(model) {
+            let entries = std::iter::once(symbols.name).chain(symbols.former.iter().map(String::as_str));
             for entry in entries.filter_map(|name| self.entries.get(name)) {
-                entry.check(&shape, &mut found);
+                entry.check(&symbols, &mut found);
             }
         }
         found.sort();
@@ -115,11 +115,11 @@
     }
 }
 
-impl Entry {
-    fn check(&self, shape: &Shape, found: &mut Vec<Finding>) {
+impl TypeHistory {
+    fn check(&self, symbols: &TypeSymbols, found: &mut Vec<Finding>) {
         let mut add = |rule, name: &str, detail: String| {
             let path =
-                if name.is_empty() { shape.name.to_string() } else { format!("{}/{name}", shape.name) };
+                if name.is_empty() { symbols.name.to_string() } else { format!("{}/{name}", symbols.name) };
             found.push(Finding {
                 rule,
                 path,
@@ -130,7 +130,7 @@
         };
         let reserved =
             |number: i64| self.reserved.iter().any(|&(least, most)| least <= number && number <= most);
-        for (number, name, former, former_numbers) in &shape.members {
+        for (number, name, former, former_numbers) in &symbols.members {
             if reserved(*number) {
                 add(Rule::ReservedNumberUsed, name, format!("number {number} was reserved"));
             }
@@ -141,15 +141,17 @@
             let stranger = self.names.get(number).and_then(|names| names.iter().find(|one| !known(one)));
             if let Some(stranger) = stranger {
                 // An enum's aliases stand beside each other under one number.
-                let alias = shape.members.iter().any(|(same, other, ..)| same == number && other == stranger);
+                let alias =
+                    symbols.members.iter().any(|(same, other, ..)| same == number && other == stranger);
                 if !alias {
-                    add(shape.rules[0], name, format!("number {number} was {stranger}"));
+                    add(symbols.rules[0], name, format!("number {number} was {stranger}"));
                 }
             }
             let declared = |number: i64| former_numbers.iter().any(|&one| i64::from(one) == number);
             let elsewhere = self.names.iter().find(|(old, names)| **old != *number && names.contains(*name));
             if let Some((old, _)) = elsewhere.filter(|(old, _)| !declared(**old)) {
-                let rule = if self.present.contains(*name) { shape.rules[1] } else { Rule::FieldNameReused };
+                let rule =
+                    if self.present.contains(*name) { symbols.rules[1] } else { Rule::FieldNameReused };
                 add(rule, name, format!("had number {old}, now {number}"));
             }
         }
@@ -157,7 +159,7 @@
             // Each stretch must lie within what is reserved now, however that is cut up.
             let mut at = least;
             while at <= most {
-                match shape
+                match symbols
                     .reserved
                     .iter()
                     .filter(|(from, to)| *from <= at && at <= *to)
@@ -173,7 +175,7 @@
         for &(least, most) in self.reserved.iter().filter(|(least, most)| !kept(*least, *most)) {
             add(Rule::ReservedDropped, "", format!("{least} to {most} were reserved"));
         }
-        for name in self.reserved_names.difference(shape.reserved_names) {
+        for name in self.reserved_names.difference(symbols.reserved_names) {
             add(Rule::ReservedDropped, "", format!("the name {name} was reserved"));
         }
     }
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -5,56 +5,20 @@
 //! (3) a converted value comes out exactly or the translation fails, it is never rounded or cut; (4) dropped fields,
 //! mapped enum values and filled-in defaults do not come back.
 
+use crate::comparison::compare;
+use crate::comparison::conversion::{FieldConversion, FieldStep, ValueConversion};
+use crate::comparison::difference::SchemaComparison;
 use crate::convert::{convert, convert_key, parse};
-use crate::pair::{compare, Pair};
 use crate::rules::Direction;
 use crate::schema::Schema;
 use prost::Message as _;
 use prost_reflect::{DynamicMessage, FieldDescriptor, Kind, MessageDescriptor, ReflectMessage, Value};
 use std::collections::BTreeMap;
-use std::fmt;
-
-/// What is done with one value.
-#[derive(Clone, PartialEq, Eq, Debug)]
-pub(crate) enum ValueOp {
-    Keep,
-    /// Into the reader's type, exactly.
-    Convert,
-    /// Enum numbers that the reader does not know, and what it gets for them.
-    Enum(Vec<(i32, i32)>),
-    /// A message, by the node of its pair.
-    Child(usize),
-}
-
-/// What is done with one field.
-#[derive(Clone, PartialEq, Eq, Debug)]
-pub(crate) enum FieldOp {
-    Keep,
-    /// The reader could not decode it.
-    Drop,
-    /// Always this value, given as text.
-    Default(String),
-    Value(ValueOp),
-    /// A list of the one value.
-    Wrap(ValueOp),
-    /// Keys and values of a map.
-    Map(ValueOp, ValueOp),
-}
-
-/// One field of the reader.
-#[derive(Clone, PartialEq, Eq, Debug)]
-pub(crate) struct Step {
-    /// The writer's number.
-    pub(crate) from: Option<u32>,
-    /// The reader's.
-    pub(crate) to: u32,
-    /// An absent field is written as the writer's default.
-    pub(crate) fill: bool,
-    pub(crate) op: FieldOp,
-}
+use thiserror::Error;
 
 /// Why a record could not be translated.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{path}: {detail}")]
 pub struct TranslateError {
     /// The reader's field.
     pub path: String,
@@ -62,21 +26,13 @@
     pub detail: String,
 }
 
-impl fmt::Display for TranslateError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.detail)
-    }
-}
-
-impl std::error::Error for TranslateError {}
-
 /// Turns records of a writer's version into records of a reader's. The same for all readers of that version, whatever
 /// they use of it: fields that cannot be brought over are left out, and who uses them was refused.
 #[derive(Clone, Debug)]
 pub struct Translation {
     /// By the writer's name: the reader's descriptor and the node.
     roots: BTreeMap<String, (MessageDescriptor, usize)>,
-    nodes: Vec<Vec<Step>>,
+    nodes: Vec<Vec<FieldStep>>,
     changes: bool,
 }
 
@@ -87,8 +43,8 @@
         Self::of(&compare(&writer.model, &reader.model, direction), reader)
     }
 
-    pub(crate) fn of(pair: &Pair, reader: &Schema) -> Self {
-        let mut nodes: Vec<Vec<Step>> = pair.nodes.iter().map(|node| node.steps.clone()).collect();
+    pub(crate) fn of(pair: &SchemaComparison, reader: &Schema) -> Self {
+        let mut nodes: Vec<Vec<FieldStep>> = pair.nodes.iter().map(|node| node.steps.clone()).collect();
         // Fields whose messages need nothing below need nothing: until no more are found, for types may be recursive.
         let mut busy: Vec<bool> =
             nodes.iter().map(|steps| steps.iter().any(|step| child(step).is_none())).collect();
@@ -150,15 +106,15 @@
         let mut set: Vec<(FieldDescriptor, Value)> = Vec::new();
         for step in &self.nodes[node] {
             let field = to.get_field(step.to).ok_or_else(|| wrong("", format!("no field {}", step.to)))?;
-            let no_like = || wrong(field.name(), "no such value in the reader's type".into());
-            if let FieldOp::Default(text) = &step.op {
-                set.push((field.clone(), parse(text, &field.kind()).map_err(|_| no_like())?));
+            let not_representable = || wrong(field.name(), "no such value in the reader's type".into());
+            if let FieldConversion::Default(text) = &step.conversion {
+                set.push((field.clone(), parse(text, &field.kind()).map_err(|_| not_representable())?));
                 continue;
             }
             let Some(written) = step.from.and_then(|number| from.descriptor().get_field(number)) else {
                 continue;
             };
-            if step.op == FieldOp::Drop {
+            if step.conversion == FieldConversion::Drop {
                 from.clear_field(&written);
                 continue;
             }
@@ -168,34 +124,41 @@
                 (step.fill && unset(&from, &written)).then(|| written.default_value())
             };
             let Some(value) = value else { continue };
-            let value = match &step.op {
-                FieldOp::Wrap(op) => {
-                    Value::List(vec![self.value(op, value, &field.kind())?.ok_or_else(no_like)?])
-                }
-                FieldOp::Value(op) => match value {
+            let value = match &step.conversion {
+                FieldConversion::Wrap(conversion) => Value::List(vec![self
+                    .value(conversion, value, &field.kind())?
+                    .ok_or_else(not_representable)?]),
+                FieldConversion::Value(conversion) => match value {
                     Value::List(list) => Value::List(
                         list.into_iter()
-                            .map(|one| self.value(op, one, &field.kind())?.ok_or_else(no_like))
+                            .map(|one| {
+                                self.value(conversion, one, &field.kind())?.ok_or_else(not_representable)
+                            })
                             .collect::<Result<_, _>>()?,
                     ),
-                    one => self.value(op, one, &field.kind())?.ok_or_else(no_like)?,
+                    one => self.value(conversion, one, &field.kind())?.ok_or_else(not_representable)?,
                 },
-                FieldOp::Map(_, value_op) => {
+                FieldConversion::Map(_, value_op) => {
                     let (Kind::Message(entry), Value::Map(map)) = (field.kind(), value) else {
-                        return Err(no_like());
+                        return Err(not_representable());
                     };
                     let (key_kind, value_kind) =
                         (entry.map_entry_key_field().kind(), entry.map_entry_value_field().kind());
                     let mut out = std::collections::HashMap::with_capacity(map.len());
                     for (key, one) in map {
-                        let key = convert_key(key, &key_kind).map_err(|_| no_like())?;
-                        out.insert(key, self.value(value_op, one, &value_kind)?.ok_or_else(no_like)?);
+                        let key = convert_key(key, &key_kind).map_err(|_| not_representable())?;
+                        out.insert(
+                            key,
+                            self.value(value_op, one, &value_kind)?.ok_or_else(not_representable)?,
+                        );
                     }
                     Value::Map(out)
                 }
                 _ => match value {
                     Value::List(_) | Value::Map(_) => value,
-                    one => self.value(&ValueOp::Keep, one, &field.kind())?.ok_or_else(no_like)?,
+                    one => self
+                        .value(&ValueConversion::Keep, one, &field.kind())?
+                        .ok_or_else(not_representable)?,
                 },
             };
             set.push((field, value));
@@ -211,16 +174,21 @@
     }
 
     /// None: the value has no like.
-    fn value(&self, op: &ValueOp, value: Value, kind: &Kind) -> Result<Option<Value>, TranslateError> {
-        Ok(match (op, value) {
-            (ValueOp::Keep, Value::Message(message)) => Some(Value::Message(message)),
+    fn value(
+        &self,
+        conversion: &ValueConversion,
+        value: Value,
+        kind: &Kind,
+    ) -> Result<Option<Value>, TranslateError> {
+        Ok(match (conversion, value) {
+            (ValueConversion::Keep, Value::Message(message)) => Some(Value::Message(message)),
             // Types of the same class may still be of another width in memory.
-            (ValueOp::Keep | ValueOp::Convert, value) => convert(&value, kind).ok(),
-            (ValueOp::Enum(map), Value::EnumNumber(number)) => {
+            (ValueConversion::Keep | ValueConversion::Convert, value) => convert(&value, kind).ok(),
+            (ValueConversion::Enum(map), Value::EnumNumber(number)) => {
                 let known = map.iter().find(|(from, _)| *from == number).map_or(number, |(_, to)| *to);
                 Some(Value::EnumNumber(known))
             }
-            (ValueOp::Child(node), Value::Message(message)) => match kind {
+            (ValueConversion::Child(node), Value::Message(message)) => match kind {
                 Kind::Message(to) => Some(Value::Message(self.message(*node, message, to)?)),
                 _ => None,
             },
@@ -238,9 +206,10 @@
 }
 
 /// The node that a step only hands on to.
-fn child(step: &Step) -> Option<usize> {
-    match &step.op {
-        FieldOp::Value(ValueOp::Child(at)) | FieldOp::Map(ValueOp::Keep, ValueOp::Child(at))
+fn child(step: &FieldStep) -> Option<usize> {
+    match &step.conversion {
+        FieldConversion::Value(ValueConversion::Child(at))
+        | FieldConversion::Map(ValueConversion::Keep, ValueConversion::Child(at))
             if !step.fill && step.from == Some(step.to) =>
         {
             Some(*at)
--- a/crates/schema-compat/src/uses.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -1,11 +1,12 @@
 //! What a reader uses of its version.
 
-use crate::bounds::{MAX_NAME, MAX_PATH_STEPS, MAX_USES};
+use crate::limits::{MAX_NAME_BYTES, MAX_PATH_STEPS, MAX_USAGE_PATHS};
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
 /// The form in which a reader gets records.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
-pub enum Form {
+pub enum RecordEncoding {
     /// Protobuf's bytes: names do not matter.
     #[default]
     Binary,
@@ -15,7 +16,7 @@
 
 /// What a reader uses: everything in its version, or what some paths name. Fields marked `needed` are always used.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
-pub struct Uses {
+pub struct ReaderUsage {
     /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without fields stands
     /// for the whole message, one that ends at a message's field for all below it; the entry of a map is passed over
     /// (`fleet.View/members.zone`). None: everything.
@@ -24,17 +25,17 @@
     /// does not say.
     pub tolerant: bool,
     /// The form in which records are read.
-    pub form: Form,
+    pub encoding: RecordEncoding,
 }
 
-impl Uses {
+impl ReaderUsage {
     /// A reader of everything, in binary form, that breaks on values unknown to it.
     #[must_use]
     pub fn all() -> Self {
         Self::default()
     }
 
-    /// A reader of some paths, otherwise as [`Uses::all`].
+    /// A reader of some paths, otherwise as [`ReaderUsage::all`].
     #[must_use]
     pub fn of(paths: &[&str]) -> Self {
         Self { paths: Some(paths.iter().map(|path| path.to_string()).collect()), ..Self::default() }
@@ -49,77 +50,97 @@
     /// The same reader, of records in JSON.
     #[must_use]
     pub fn json(self) -> Self {
-        Self { form: Form::Json, ..self }
+        Self { encoding: RecordEncoding::Json, ..self }
     }
 
-    /// Whether the declaration keeps within [`MAX_USES`], [`MAX_PATH_STEPS`] and [`MAX_NAME`].
+    /// Checks the declaration against [`MAX_USAGE_PATHS`], [`MAX_PATH_STEPS`] and [`MAX_NAME_BYTES`].
     ///
     /// # Errors
-    /// The bound that is exceeded, in words.
-    pub fn bounded(&self) -> Result<(), String> {
+    /// The limit that is exceeded.
+    pub fn check_limits(&self) -> Result<(), UsageError> {
         let Some(paths) = &self.paths else { return Ok(()) };
-        if paths.len() > MAX_USES {
-            return Err(format!("{} paths of use, at most {MAX_USES} are taken", paths.len()));
+        if paths.len() > MAX_USAGE_PATHS {
+            return Err(UsageError::TooManyPaths { count: paths.len() });
         }
         for path in paths {
             let fields = path.split_once('/').map_or("", |(_, fields)| fields);
-            if fields.split('.').count() > MAX_PATH_STEPS || path.len() > MAX_PATH_STEPS * MAX_NAME {
-                let start: String = path.chars().take(80).collect();
-                return Err(format!("path of use {start} is longer than {MAX_PATH_STEPS} steps"));
+            if fields.split('.').count() > MAX_PATH_STEPS || path.len() > MAX_PATH_STEPS * MAX_NAME_BYTES {
+                let start = path.chars().take(SHOWN_PATH_CHARS).collect();
+                return Err(UsageError::PathTooLong { start });
             }
         }
         Ok(())
     }
 }
 
+/// Characters of a path that is too long which its error shows.
+const SHOWN_PATH_CHARS: usize = 80;
+
+/// Why a declaration of use is rejected.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum UsageError {
+    /// More paths than [`MAX_USAGE_PATHS`].
+    #[error("{count} paths of use, at most {MAX_USAGE_PATHS} are taken")]
+    TooManyPaths {
+        /// How many there are.
+        count: usize,
+    },
+    /// A path with more steps than [`MAX_PATH_STEPS`].
+    #[error("path of use {start} is longer than {MAX_PATH_STEPS} steps")]
+    PathTooLong {
+        /// The first characters of the path.
+        start: String,
+    },
+}
+
 /// Where a walk stands in a declaration of use.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub(crate) enum Use {
-    Nothing,
+pub(crate) enum UsageNode {
+    Unused,
     All,
     /// Index into the tree.
     Part(usize),
 }
 
 /// Paths as a tree, for walks along two schemas.
-pub(crate) struct UseTree {
-    parts: Vec<BTreeMap<String, Use>>,
-    roots: BTreeMap<String, Use>,
+pub(crate) struct UsageTree {
+    parts: Vec<BTreeMap<String, UsageNode>>,
+    roots: BTreeMap<String, UsageNode>,
     all: bool,
 }
 
-impl UseTree {
-    pub(crate) fn of(uses: &Uses) -> Self {
-        let mut tree = Self { parts: Vec::new(), roots: BTreeMap::new(), all: uses.paths.is_none() };
-        for path in uses.paths.iter().flatten() {
+impl UsageTree {
+    pub(crate) fn of(usage: &ReaderUsage) -> Self {
+        let mut tree = Self { parts: Vec::new(), roots: BTreeMap::new(), all: usage.paths.is_none() };
+        for path in usage.paths.iter().flatten() {
             let (root, fields) = path.split_once('/').unwrap_or((path, ""));
             let mut steps = fields.split('.').filter(|step| !step.is_empty()).peekable();
             let first = tree.roots.get(root).copied();
             let mut here = match (first, steps.peek()) {
-                (Some(Use::All), _) => continue,
+                (Some(UsageNode::All), _) => continue,
                 (_, None) => {
-                    tree.roots.insert(root.to_string(), Use::All);
+                    tree.roots.insert(root.to_string(), UsageNode::All);
                     continue;
                 }
-                (Some(Use::Part(at)), _) => at,
+                (Some(UsageNode::Part(at)), _) => at,
                 _ => {
                     let at = tree.part();
-                    tree.roots.insert(root.to_string(), Use::Part(at));
+                    tree.roots.insert(root.to_string(), UsageNode::Part(at));
                     at
                 }
             };
             while let Some(step) = steps.next() {
                 let below = tree.parts[here].get(step).copied();
                 here = match (below, steps.peek()) {
-                    (Some(Use::All), _) => break,
+                    (Some(UsageNode::All), _) => break,
                     (_, None) => {
-                        tree.parts[here].insert(step.to_string(), Use::All);
+                        tree.parts[here].insert(step.to_string(), UsageNode::All);
                         break;
                     }
-                    (Some(Use::Part(at)), _) => at,
+                    (Some(UsageNode::Part(at)), _) => at,
                     _ => {
                         let at = tree.part();
-                        tree.parts[here].insert(step.to_string(), Use::Part(at));
+                        tree.parts[here].insert(step.to_string(), UsageNode::Part(at));
                         at
                     }
                 };
@@ -133,16 +154,16 @@
         self.parts.len() - 1
     }
 
-    pub(crate) fn root(&self, message: &str) -> Use {
+    pub(crate) fn root(&self, message: &str) -> UsageNode {
         if self.all {
-            return Use::All;
+            return UsageNode::All;
         }
-        self.roots.get(message).copied().unwrap_or(Use::Nothing)
+        self.roots.get(message).copied().unwrap_or(UsageNode::Unused)
     }
 
-    pub(crate) fn field(&self, at: Use, field: &str) -> Use {
+    pub(crate) fn field(&self, at: UsageNode, field: &str) -> UsageNode {
         match at {
-            Use::Part(part) => self.parts[part].get(field).copied().unwrap_or(Use::Nothing),
+            UsageNode::Part(part) => self.parts[part].get(field).copied().unwrap_or(UsageNode::Unused),
             other => other,
         }
     }
@@ -152,9 +173,9 @@
         self.roots.keys()
     }
 
-    pub(crate) fn fields(&self, at: Use) -> impl Iterator<Item = &String> {
+    pub(crate) fn fields(&self, at: UsageNode) -> impl Iterator<Item = &String> {
         let part = match at {
-            Use::Part(part) => self.parts.get(part),
+            UsageNode::Part(part) => self.parts.get(part),
             _ => None,
         };
         part.into_iter().flat_map(BTreeMap::keys)
--- a/crates/schema-compat/tests/common/mod.rs
+++ b/crates/schema-compat/tests/common/mod.rs
@@ -5,7 +5,7 @@
 pub mod oracle;
 
 use sprucelink_schema_compat::check::history;
-use sprucelink_schema_compat::{check_findings, Directions, Finding, Schema, Uses};
+use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Schema};
 
 pub fn schema(body: &str) -> Schema {
     let full = if body.trim_start().starts_with("syntax") {
@@ -21,7 +21,7 @@
     Schema::from_text(&full).unwrap_or_else(|error| panic!("{error}\n{full}"))
 }
 
-pub fn uses(text: &str) -> Uses {
+pub fn usage(text: &str) -> ReaderUsage {
     let mut words: Vec<&str> = text.split_whitespace().collect();
     let mut take = |word: &str| {
         let had = words.contains(&word);
@@ -29,7 +29,7 @@
         had
     };
     let (tolerant, json, all) = (take("tolerant"), take("json"), take("all"));
-    let made = if all { Uses::all() } else { Uses::of(&words) };
+    let made = if all { ReaderUsage::all() } else { ReaderUsage::of(&words) };
     let made = if tolerant { made.tolerant() } else { made };
     if json {
         made.json()
@@ -42,7 +42,7 @@
     pub rule: String,
     pub direction: String,
     pub verdict: String,
-    pub uses: Uses,
+    pub usage: ReaderUsage,
     pub bodies: Vec<String>,
 }
 
@@ -51,8 +51,8 @@
         let schemas: Vec<Schema> = self.bodies.iter().map(|body| schema(body)).collect();
         let (new, old) = schemas.split_last().unwrap();
         let mut found = match self.direction.as_str() {
-            "down" => check_findings(&old[0], new, &self.uses, Directions::DOWN),
-            "up" => check_findings(&old[0], new, &self.uses, Directions::UP),
+            "down" => check_findings(&old[0], new, &self.usage, Directions::DOWN),
+            "up" => check_findings(&old[0], new, &self.usage, Directions::UP),
             _ => return history(&old.iter().collect::<Vec<_>>(), new),
         };
         // History's rules have cases of their own.
@@ -76,7 +76,7 @@
                 rule: parts[0].to_string(),
                 direction: parts[1].to_string(),
                 verdict: parts[2].to_string(),
-                uses: uses(parts[3]),
+                usage: usage(parts[3]),
                 bodies: bodies.split("\n--\n").map(str::to_string).collect(),
             }
         })
--- a/crates/schema-compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -5,7 +5,7 @@
 use common::{corpus, schema, Case};
 use sprucelink_schema_compat::check::worst;
 use sprucelink_schema_compat::rules::Severity;
-use sprucelink_schema_compat::{check_findings, Directions, Finding, Rule, Uses};
+use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Rule};
 use std::sync::LazyLock;
 
 fn verdict(findings: &[Finding]) -> &'static str {
@@ -64,9 +64,9 @@
         let marked = "message R { option (m).record = true; M0 first = 1; }\n";
         schema(&(marked.to_string() + &(0..size).map(one).collect::<String>()))
     };
-    let found = check_findings(&ring(64), &ring(67), &Uses::all(), Directions::DOWN);
+    let found = check_findings(&ring(64), &ring(67), &ReaderUsage::all(), Directions::DOWN);
     assert!(found.iter().any(|finding| finding.rule == Rule::BoundExceeded), "{found:?}");
-    let found = check_findings(&ring(8), &ring(9), &Uses::all(), Directions::BOTH);
+    let found = check_findings(&ring(8), &ring(9), &ReaderUsage::all(), Directions::BOTH);
     assert_eq!(verdict(&found), "compatible", "{found:?}");
 }
 
@@ -97,21 +97,33 @@
 
 #[test]
 fn declarations_beside_the_schema_say_what_options_say() {
-    use sprucelink_schema_compat::Declared;
+    use sprucelink_schema_compat::MigrationDeclaration;
     let old = schema("message R { int32 a = 1; int32 b = 2; E e = 3; } enum E { Z = 0; }");
     let new = schema("message S { int32 z = 4; E e = 3; } enum E { Z = 0; ONE = 1; }");
     let text = str::to_string;
     let message = text("t.S");
     let declared = [
-        Declared::MessageWas { message: message.clone(), was: text("t.R") },
-        Declared::FieldWas { message: message.clone(), field: text("z"), was: text("a") },
-        Declared::FieldHadNumber { message: message.clone(), field: text("z"), number: 1 },
-        Declared::RemovedReadsAs { message: message.clone(), field: text("b"), value: text("5") },
-        Declared::ValueReadsAs { enumeration: text("t.E"), value: text("ONE"), reads_as: text("Z") },
+        MigrationDeclaration::MessageRenamed { message: message.clone(), former_name: text("t.R") },
+        MigrationDeclaration::FieldRenamed {
+            message: message.clone(),
+            field: text("z"),
+            former_name: text("a"),
+        },
+        MigrationDeclaration::FieldRenumbered { message: message.clone(), field: text("z"), number: 1 },
+        MigrationDeclaration::RemovedFieldDefault {
+            message: message.clone(),
+            field: text("b"),
+            value: text("5"),
+        },
+        MigrationDeclaration::EnumValueFallback {
+            enumeration: text("t.E"),
+            value: text("ONE"),
+            reads_as: text("Z"),
+        },
     ];
-    let with = |declared: &[Declared]| {
+    let with = |declared: &[MigrationDeclaration]| {
         let new = new.clone().declare(declared).unwrap();
-        verdict(&check_findings(&old, &new, &Uses::all(), Directions::DOWN))
+        verdict(&check_findings(&old, &new, &ReaderUsage::all(), Directions::DOWN))
     };
     assert_eq!(with(&declared), "translatable");
     for left_out in 0..declared.len() {
@@ -119,16 +131,17 @@
         fewer.remove(left_out);
         assert_eq!(with(&fewer), "rejected", "without {:?}", declared[left_out]);
     }
-    let nowhere = Declared::OldReadsAs { message, field: text("nowhere"), value: text("1") };
+    let nowhere =
+        MigrationDeclaration::AddedFieldDefault { message, field: text("nowhere"), value: text("1") };
     assert!(new.clone().declare(&[nowhere]).unwrap_err().to_string().contains("no field nowhere"));
 }
 
 #[test]
 fn a_report_says_it_in_text_and_json() {
-    use sprucelink_schema_compat::explain;
+    use sprucelink_schema_compat::{explain, ExplainError};
     let text = |body: &str| format!("syntax = \"proto3\"; package t; message R {{ {body} }}");
     let (old, new) = (text("int32 a = 1; int32 b = 2;"), text("int64 a = 1; int32 b = 2; int32 c = 3;"));
-    let report = explain(&old, &new, &Uses::all()).unwrap();
+    let report = explain(&old, &new, &ReaderUsage::all()).unwrap();
     let lines: Vec<String> = report.text().lines().map(str::to_string).collect();
     assert!(lines[0].starts_with("rejected: "), "{lines:?}");
     assert_eq!(lines[1], "  break TYPE_NARROWED t.R/a (down): int64 written, int32 read");
@@ -138,7 +151,8 @@
         (json["verdict"].as_str(), json["findings"][0]["path"].as_str()),
         (Some("rejected"), Some("t.R/a"))
     );
-    assert_eq!(explain(&old, &new, &Uses::of(&["t.R/b"])).unwrap().verdict_name(), "compatible");
-    let (which, why) = explain(&old, "syntax = \"proto3\"; message {", &Uses::all()).unwrap_err();
-    assert!(which == "new" && why.to_string().contains("schema.proto"), "{which}: {why}");
+    assert_eq!(explain(&old, &new, &ReaderUsage::of(&["t.R/b"])).unwrap().compatibility_name(), "compatible");
+    let error = explain(&old, "syntax = \"proto3\"; message {", &ReaderUsage::all()).unwrap_err();
+    assert!(matches!(error, ExplainError::NewSchema(_)), "{error:?}");
+    assert!(error.to_string().contains("schema.proto"), "{error}");
 }
--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::{schema, uses};
-use sprucelink_schema_compat::bounds::LEASE_MARGIN_MS;
-use sprucelink_schema_compat::registry::Prepared;
-use sprucelink_schema_compat::{Op, Outcome, Registry, Schema};
+use common::{schema, usage};
+use sprucelink_schema_compat::limits::LEASE_MARGIN_MS;
+use sprucelink_schema_compat::registry::PreparedCommand;
+use sprucelink_schema_compat::{CommandOutcome, Registry, RegistryCommand, Schema};
 use std::collections::{HashMap, HashSet};
 
 /// One step of time, in ms: a lease is one, its margin another.
@@ -72,7 +72,7 @@
 struct Explorer {
     fault: Fault,
     schemas: Vec<Schema>,
-    proposals: Vec<Prepared>,
+    proposals: Vec<PreparedCommand>,
     /// By state: the steps left are the same whatever way led to it.
     seen: HashSet<Vec<u8>>,
     transitions: u64,
@@ -83,7 +83,7 @@
 impl Explorer {
     fn new(fault: Fault) -> Self {
         let schemas = BODIES.map(schema).to_vec();
-        let propose = |schema: &Schema| Op::Propose {
+        let propose = |schema: &Schema| RegistryCommand::Propose {
             publisher: list(),
             schema: schema.to_set().to_vec(),
             translations: vec![],
@@ -98,7 +98,7 @@
         let mut registry = Registry::new();
         assert!(matches!(
             registry.apply_prepared(0, self.proposals[0].clone()),
-            Outcome::Accepted { version: 1, .. }
+            CommandOutcome::Accepted { version: 1, .. }
         ));
         let mut todo = vec![World { registry, minds: [Mind::Out; 3], now: 0, pending: None }];
         while let Some(world) = todo.pop() {
@@ -118,15 +118,15 @@
         // Beyond a lease and its margin, longer is no other.
         let left = |until: u64| (until + TICK).saturating_sub(world.now) / TICK;
         let registry = |registry: &Registry| {
-            let standing: Vec<_> =
-                registry.standing().map(|one| (one.version, self.body(one.digest), one.in_force)).collect();
+            let versions: Vec<_> =
+                registry.versions().map(|one| (one.version, self.body(one.digest), one.in_force)).collect();
             let held: Vec<_> = (0..3)
                 .map(|n| registry.subscribers().find(|one| one.subscriber == format!("s{n}")))
                 .map(|one| one.map(|one| (one.version, left(one.until_ms))))
                 .collect();
-            (standing, held)
+            (versions, held)
         };
-        let (standing, held) = registry(&world.registry);
+        let (versions, held) = registry(&world.registry);
         let mind = |n: usize| match world.minds[n] {
             Mind::In { version, until } => (1, version, left(until)),
             Mind::Asleep { version, until } => (2, version, left(until)),
@@ -136,14 +136,14 @@
         let mut like: Vec<_> =
             (0..2).map(|n| (held[n], mind(n), pending.as_ref().map(|one| one.1[n]))).collect();
         like.sort();
-        format!("{standing:?}{like:?}{:?}{:?}{pending:?}", held[2], mind(2)).into_bytes()
+        format!("{versions:?}{like:?}{:?}{:?}{pending:?}", held[2], mind(2)).into_bytes()
     }
 
     /// The schemas that publishers write, against the subscribers that read.
     fn check(&mut self, world: &World) {
-        for standing in world.registry.standing().filter(|one| one.in_force) {
+        for schema_version in world.registry.versions().filter(|one| one.in_force) {
             // Versions are numbered as they are accepted: which body it is, its digest says.
-            let body = self.body(standing.digest);
+            let body = self.body(schema_version.digest);
             for (reader, mind) in world.minds.iter().enumerate() {
                 let (Mind::In { version, until } | Mind::Asleep { version, until }) = *mind else { continue };
                 let reads =
@@ -160,19 +160,19 @@
         1 + self.schemas.iter().position(|schema| schema.digest() == digest).unwrap() as u32
     }
 
-    fn apply(&mut self, world: &World, op: Op) -> (World, Outcome) {
-        self.apply_prepared(world, op.prepare())
+    fn apply(&mut self, world: &World, command: RegistryCommand) -> (World, CommandOutcome) {
+        self.apply_prepared(world, command.prepare())
     }
 
-    fn apply_prepared(&mut self, world: &World, op: Prepared) -> (World, Outcome) {
+    fn apply_prepared(&mut self, world: &World, command: PreparedCommand) -> (World, CommandOutcome) {
         let mut next = world.clone();
-        let outcome = next.registry.apply_prepared(world.now, op);
+        let outcome = next.registry.apply_prepared(world.now, command);
         let name = match &outcome {
-            Outcome::Refused(_) => "refused",
-            Outcome::Accepted { .. } => "accepted",
-            Outcome::Subscribed { .. } => "subscribed",
-            Outcome::Renewed { .. } => "renewed",
-            Outcome::Done => "done",
+            CommandOutcome::Rejected(_) => "refused",
+            CommandOutcome::Accepted { .. } => "accepted",
+            CommandOutcome::Subscribed { .. } => "subscribed",
+            CommandOutcome::Renewed { .. } => "renewed",
+            CommandOutcome::Done => "done",
         };
         *self.outcomes.entry(name).or_default() += 1;
         (next, outcome)
@@ -200,7 +200,7 @@
         }
         for version in [2, 3] {
             let (next, outcome) = self.apply_prepared(world, self.proposals[version - 1].clone());
-            if !matches!(outcome, Outcome::Accepted { .. }) {
+            if !matches!(outcome, CommandOutcome::Accepted { .. }) {
                 continue;
             }
             if self.fault == Fault::JudgedBefore {
@@ -209,8 +209,14 @@
                 todo.push(next);
             }
         }
-        for standing in world.registry.standing().filter(|one| one.in_force) {
-            todo.push(self.apply(world, Op::Withdraw { publisher: list(), version: standing.version }).0);
+        for schema_version in world.registry.versions().filter(|one| one.in_force) {
+            todo.push(
+                self.apply(
+                    world,
+                    RegistryCommand::Withdraw { publisher: list(), version: schema_version.version },
+                )
+                .0,
+            );
         }
         for n in 0..3 {
             self.subscriber(world, n, todo);
@@ -218,13 +224,13 @@
         self.transitions += (todo.len() - before) as u64;
     }
 
-    fn subscription(&self, n: usize, version: u32) -> Op {
+    fn subscription(&self, n: usize, version: u32) -> RegistryCommand {
         let used = if n < 2 || version > 1 { "all" } else { "t.R/a" };
-        Op::Subscribe {
+        RegistryCommand::Subscribe {
             subscriber: format!("s{n}"),
             publisher: list(),
             version,
-            uses: uses(used),
+            usage: usage(used),
             lease_ms: TICK,
         }
     }
@@ -233,22 +239,25 @@
         let (subscriber, publisher) = (format!("s{n}"), list());
         match world.minds[n] {
             Mind::Out => {
-                for standing in world.registry.standing().collect::<Vec<_>>() {
-                    let (mut next, mut outcome) = self.apply(world, self.subscription(n, standing.version));
-                    if self.fault == Fault::NewestOnly && matches!(outcome, Outcome::Refused(_)) {
+                for schema_version in world.registry.versions().collect::<Vec<_>>() {
+                    let (mut next, mut outcome) =
+                        self.apply(world, self.subscription(n, schema_version.version));
+                    if self.fault == Fault::NewestOnly && matches!(outcome, CommandOutcome::Rejected(_)) {
                         // As it would be with nothing but the newest version and its own in force.
-                        let newest = world.registry.standing().map(|one| one.version).max().unwrap();
+                        let newest = world.registry.versions().map(|one| one.version).max().unwrap();
                         let mut alone = world.clone();
                         for other in 1..newest {
-                            alone
-                                .registry
-                                .apply(world.now, Op::Withdraw { publisher: list(), version: other });
+                            alone.registry.apply(
+                                world.now,
+                                RegistryCommand::Withdraw { publisher: list(), version: other },
+                            );
                         }
-                        outcome = alone.registry.apply(world.now, self.subscription(n, standing.version));
+                        outcome =
+                            alone.registry.apply(world.now, self.subscription(n, schema_version.version));
                         next = world.clone();
                     }
-                    if let Outcome::Subscribed { until_ms, .. } = outcome {
-                        next.minds[n] = Mind::In { version: standing.version, until: until_ms };
+                    if let CommandOutcome::Subscribed { until_ms, .. } = outcome {
+                        next.minds[n] = Mind::In { version: schema_version.version, until: until_ms };
                         todo.push(next);
                     }
                 }
@@ -257,14 +266,18 @@
                 let mut asleep = world.clone();
                 asleep.minds[n] = Mind::Asleep { version, until };
                 todo.push(asleep);
-                let renew = Op::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() };
+                let renew =
+                    RegistryCommand::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() };
                 let (mut next, outcome) = self.apply(world, renew);
                 next.minds[n] = match outcome {
-                    Outcome::Renewed { until_ms } => Mind::In { version, until: until_ms },
+                    CommandOutcome::Renewed { until_ms } => Mind::In { version, until: until_ms },
                     _ => Mind::Out,
                 };
                 todo.push(next);
-                let leave = Op::Unsubscribe { subscriber: subscriber.clone(), publisher: publisher.clone() };
+                let leave = RegistryCommand::Unsubscribe {
+                    subscriber: subscriber.clone(),
+                    publisher: publisher.clone(),
+                };
                 let (mut next, _) = self.apply(world, leave);
                 next.minds[n] = Mind::Out;
                 todo.push(next);
@@ -273,12 +286,12 @@
         }
         // A leader may propose the end at any time, whatever its clock.
         if world.registry.subscribed("list", &subscriber).is_some() {
-            let op = if self.fault == Fault::LeaseByWord {
-                Op::Unsubscribe { subscriber, publisher }
+            let command = if self.fault == Fault::LeaseByWord {
+                RegistryCommand::Unsubscribe { subscriber, publisher }
             } else {
-                Op::LeaseEnded { subscriber, publisher }
+                RegistryCommand::ExpireLease { subscriber, publisher }
             };
-            todo.push(self.apply(world, op).0);
+            todo.push(self.apply(world, command).0);
         }
     }
 }
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -11,7 +11,7 @@
 use sprucelink_schema_compat::check::worst;
 use sprucelink_schema_compat::rules::{Direction, Severity};
 use sprucelink_schema_compat::sample::sample;
-use sprucelink_schema_compat::{check_findings, Directions, Finding, Rule, Schema, Translation, Uses};
+use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Rule, Schema, Translation};
 use std::collections::BTreeMap;
 
 fn runner(cases: u32) -> TestRunner {
@@ -32,10 +32,10 @@
 }
 
 /// The change judged in one direction, without history's rules: they hold whatever a reader sees.
-fn judged(old: &Shape, new: &Shape, uses: &Uses, down: bool) -> Pair {
+fn judged(old: &Shape, new: &Shape, usage: &ReaderUsage, down: bool) -> Pair {
     let (old, new) = (schema(&old.body()), schema(&new.body()));
     let directions = if down { Directions::DOWN } else { Directions::UP };
-    let mut findings = check_findings(&old, &new, uses, directions);
+    let mut findings = check_findings(&old, &new, usage, directions);
     findings.retain(|one| one.direction != Direction::History);
     let (writer, reader) = if down { (new, old) } else { (old, new) };
     Pair { writer, reader, findings, direction: if down { Direction::Down } else { Direction::Up } }
@@ -59,8 +59,8 @@
                 .map(|field| field.id)
                 .collect()
         });
-        let uses = match &used {
-            None => Uses::all(),
+        let usage = match &used {
+            None => ReaderUsage::all(),
             Some(used) => {
                 let used: &std::collections::BTreeSet<u32> = used;
                 let path = |top: &str, at: usize| {
@@ -68,10 +68,10 @@
                     all.map(|field| format!("t.Top/{top}.{}", field.name)).collect::<Vec<_>>()
                 };
                 let paths = path("r", 0).into_iter().chain(path("n", 1));
-                Uses { paths: Some(paths.collect()), ..Uses::all() }
+                ReaderUsage { paths: Some(paths.collect()), ..ReaderUsage::all() }
             }
         };
-        let pair = judged(&old, &new, &uses, down);
+        let pair = judged(&old, &new, &usage, down);
         let (writer, reader) = if down { (&new, &old) } else { (&old, &new) };
         let verdict = worst(&pair.findings);
         *counted.borrow_mut().entry((verdict, down)).or_default() += 1;
@@ -121,7 +121,8 @@
 fn there_and_back_keeps_what_it_says() {
     let compatible = std::cell::Cell::new(0);
     let check = |(old, new): (Shape, Shape)| {
-        let (down, up) = (judged(&old, &new, &Uses::all(), true), judged(&old, &new, &Uses::all(), false));
+        let (down, up) =
+            (judged(&old, &new, &ReaderUsage::all(), true), judged(&old, &new, &ReaderUsage::all(), false));
         let verdict = worst(&down.findings).max(worst(&up.findings));
         if verdict == Severity::Break {
             return Ok(());
--- a/crates/schema-compat/tests/translate.rs
+++ b/crates/schema-compat/tests/translate.rs
@@ -5,7 +5,7 @@
 use common::schema;
 use prost_reflect::{DynamicMessage, MapKey, Value};
 use sprucelink_schema_compat::rules::Direction;
-use sprucelink_schema_compat::{check, Directions, Schema, Translation, Uses, Verdict};
+use sprucelink_schema_compat::{check, Compatibility, Directions, ReaderUsage, Schema, Translation};
 use std::collections::HashMap;
 
 fn record(schema: &Schema, name: &str, fields: &[(&str, Value)]) -> DynamicMessage {
@@ -28,8 +28,8 @@
 #[test]
 fn each_kind_of_step_gives_its_value() {
     let (old, new) = (schema(OLD), schema(NEW));
-    let verdict = check(&old, &new, &Uses::all(), Directions::DOWN);
-    let Verdict::Translatable(translations) = verdict else { panic!("{verdict:?}") };
+    let verdict = check(&old, &new, &ReaderUsage::all(), Directions::DOWN);
+    let Compatibility::Translatable(translations) = verdict else { panic!("{verdict:?}") };
     let leaf = record(&new, "t.In", &[("e", Value::EnumNumber(2)), ("fresh", Value::Bytes(vec![9].into()))]);
     let inner = record(&new, "t.In", &[("below", Value::Message(leaf.clone()))]);
     let map = |key: MapKey, value: Value| Value::Map(HashMap::from([(key, value)]));
