--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -4,7 +4,7 @@
 use crate::core::zone_routing::Observer;
 use crate::core::{now, to_duration, Core, GossipWindows};
 use sprucelink_membership::{
-    budget_divisor, decode, encode, spare_retries, LocalMember, Member, MembershipConfig,
+    budget_divisor, decode, encode, spare_retries, LocalMember, Member, MembershipConfig, MembershipCounters,
     MembershipEventKind, OutgoingMessage, RetryBudget, SwimNode, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES,
 };
 use sprucelink_policy::{AttemptBudget, TimeDelta, Timestamp};
@@ -195,7 +195,7 @@
             Ok(message) => self.swim.receive(now(), message),
             Err(error) if self.invalid_datagram_lines < MAX_INVALID_DATAGRAM_LINES => {
                 self.invalid_datagram_lines += 1;
-                warn!("membership: a datagram from {sender} was passed over: {error}");
+                warn!(%sender, %error, "membership: datagram from {sender} rejected: {error}");
             }
             Err(_) => {}
         }
@@ -264,11 +264,11 @@
     }
 
     fn log_changes(&mut self) {
-        let here = self.swim.live_count();
+        let live = self.swim.live_count();
         for change in self.swim.take_events() {
             let what = describe(change.kind);
             let (name, by) = (&change.member, &change.reported_by);
-            info!(member = %name, what, %by, here, "fleet: {name} {what}, by {by}, {here} here");
+            info!(member = %name, what, %by, live, "membership: {name} {what}, reported by {by}, {live} live members");
         }
     }
 
@@ -278,19 +278,19 @@
         }
         self.next_counters = now() + COUNTERS_INTERVAL;
         self.invalid_datagram_lines = 0;
-        let here = self.swim.live_count();
-        let counters = self.swim.counters();
+        let live = self.swim.live_count();
+        let local_health = self.swim.local_health();
+        let MembershipCounters { sent, received, suspicions, refutations, stops, .. } = self.swim.counters();
         info!(
-            here,
-            sent = counters.sent,
-            received = counters.received,
-            "fleet: {here} here, sent {}, received {}, suspicions {}, refutations {}, health {}, stopped {}",
-            counters.sent,
-            counters.received,
-            counters.suspicions,
-            counters.refutations,
-            self.swim.local_health(),
-            counters.stops
+            live,
+            sent,
+            received,
+            suspicions,
+            refutations,
+            local_health,
+            stops,
+            "membership: {live} live members, sent {sent}, received {received}, suspicions {suspicions}, \
+             refutations {refutations}, local health {local_health}, stops {stops}"
         );
     }
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,10 +1,10 @@
-//! The view of the fleet that managers keep themselves: several processes of the program, with faults between them.
-//! The protocol runs five times as fast as by default. What virtual time shows better is in
+//! The view of the fleet that managers keep: several processes of the program, with faults between them.
+//! The protocol runs five times as fast as by default. What is better simulated in virtual time is in
 //! `crates/membership/tests/model.rs`; docs/measurements/membership.md has the figures at 10 to 1,000.
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
 
-/// A period of 200 ms: a crash is known within some seconds, and a busy machine still answers in time.
+/// A period of 200 ms: a crash is detected within some seconds, and a loaded machine still answers in time.
 const FAST: &str = "protocol: { period_ms: 200, timeout_ms: 80, gossip_ms: 50, rejoin_ms: 500 }";
 
 fn play(name: &str, scenario: &str) -> Outcome {
@@ -22,14 +22,14 @@
     got
 }
 
-/// Lines of all logs that hold both texts.
-fn lines(got: &Outcome, one: &str, other: &str) -> usize {
+/// The number of lines of all logs that contain both texts.
+fn count_lines(got: &Outcome, one: &str, other: &str) -> usize {
     got.logs.iter().flat_map(|l| l.lines()).filter(|l| l.contains(one) && l.contains(other)).count()
 }
 
-/// One is killed outright and comes back later under its name: the others know both, and nobody else is blamed.
+/// One is killed and restarted later under its name: the others detect both, and declare nobody else dead.
 #[test]
-fn a_killed_manager_is_missed_and_a_new_process_takes_its_place() {
+fn killed_manager_is_declared_dead_and_replaced_by_its_restart() {
     let got = play(
         "view-kill",
         &format!(
@@ -41,17 +41,17 @@
     assert!(got.agreed(0.0, 4.0).is_some(), "they come to one view");
     assert!(got.agreed(4.0, 13.0).is_some(), "without the dead one");
     assert!(got.agreed(13.0, 18.5).is_some(), "and with the new process");
-    assert_eq!(lines(&got, "fleet: n4 died", ""), 4);
+    assert_eq!(count_lines(&got, "membership: n4 died", ""), 4);
     assert_eq!(
-        lines(&got, "fleet: n4 restarted", "") + lines(&got, "fleet: n4 joined", ""),
+        count_lines(&got, "membership: n4 restarted", "") + count_lines(&got, "membership: n4 joined", ""),
         8,
         "twice, by four"
     );
 }
 
-/// Two thirds and one third cut off from each other: two views, each right about its own side; after the healing one.
+/// Two thirds and one third partitioned: two views, each right about its own side; afterwards one.
 #[test]
-fn a_partition_gives_two_views_and_heals_to_one() {
+fn views_differ_in_a_partition_and_converge_afterwards() {
     let part = |p: bool| {
         format!(
             "{{ fault: {{ from: 'a', to: 'b', rule: {{ partition: {p} }} }} }} }}, {{ at: AT, do: {{ fault: {{ from: 'b', to: 'a', rule: {{ partition: {p} }} }} }}"
@@ -73,10 +73,10 @@
     assert!(got.agreed(14.0, 26.5).is_some(), "one view again");
 }
 
-/// One is stopped (SIGSTOP) for longer than its suspicion lasts: it is taken for dead, goes on, refutes, and blames
-/// nobody for what it slept through.
+/// One is stopped (SIGSTOP) for longer than a suspicion lasts: it is declared dead, resumes, refutes, and declares nobody
+/// dead for its own stop.
 #[test]
-fn a_stopped_manager_comes_back_and_refutes() {
+fn stopped_manager_resumes_and_refutes() {
     let got = play(
         "view-stop",
         &format!(
@@ -87,13 +87,13 @@
     );
     assert!(got.agreed(4.0, 14.0).is_some(), "without the one that is stopped");
     assert!(got.agreed(14.0, 22.5).is_some(), "and with it again");
-    assert!(lines(&got, "fleet: n4 refuted", "") >= 1, "it refuted its death");
-    assert_eq!(lines(&got, "died, by n4", ""), 0, "it blamed nobody");
+    assert!(count_lines(&got, "membership: n4 refuted", "") >= 1, "it refuted its death");
+    assert_eq!(count_lines(&got, "died, by n4", ""), 0, "it blamed nobody");
 }
 
-/// One in ten datagrams lost, some held up, some garbled: nobody dies.
+/// One in ten datagrams lost, some delayed, some corrupted: nobody is declared dead.
 #[test]
-fn loss_delay_and_garbled_datagrams_kill_nobody() {
+fn nobody_is_declared_dead_with_loss_delay_and_corruption() {
     let got = play(
         "view-loss",
         &format!(
@@ -103,13 +103,16 @@
         ),
     );
     assert!(got.agreed(0.0, 4.0).is_some());
-    assert_eq!(lines(&got, "fleet: ", " died"), 0);
-    assert!(lines(&got, "was passed over", "checksum") > 0, "garbled ones are told of");
+    assert_eq!(count_lines(&got, "membership: ", " died"), 0);
+    assert!(
+        count_lines(&got, "membership: datagram from", "rejected: its checksum") > 0,
+        "corrupted ones are logged"
+    );
 }
 
-/// Three in ten lost: what is wrongly suspected refutes, and once the loss ends there is one view.
+/// Three in ten lost: wrongly suspected members refute, and once the loss ends there is one view.
 #[test]
-fn heavy_loss_settles_once_it_ends() {
+fn views_converge_after_heavy_loss() {
     let got = play(
         "view-heavy",
         &format!(
@@ -121,9 +124,9 @@
     assert!(got.agreed(13.0, 22.5).is_some());
 }
 
-/// SIGTERM: a manager says that it leaves, and nobody has to suspect it.
+/// SIGTERM: a manager announces that it leaves, and nobody suspects it.
 #[test]
-fn a_manager_that_stops_in_order_leaves() {
+fn manager_that_terminates_in_order_leaves() {
     let got = play(
         "view-leave",
         &format!(
@@ -131,14 +134,14 @@
                 steps: [ {{ at: 4, do: {{ roll: {{ from: 0.75, to: 1 }} }} }} ] }}"
         ),
     );
-    assert!(lines(&got, "fleet: n3 left", "") >= 1);
-    assert_eq!(lines(&got, "fleet: n3 died", ""), 0);
+    assert!(count_lines(&got, "membership: n3 left", "") >= 1);
+    assert_eq!(count_lines(&got, "membership: n3 died", ""), 0);
     assert!(got.agreed(6.0, 14.5).is_some(), "and it comes back");
 }
 
-/// One way between two managers loses all: neither can probe the other, and the others do it in their stead.
+/// All datagrams in one direction between two managers are lost: neither can probe the other, others do on their behalf.
 #[test]
-fn one_way_loss_between_two_is_bridged_by_the_others() {
+fn one_way_loss_between_two_managers_is_bridged_by_indirect_probes() {
     let got = play(
         "view-one-way",
         &format!(
@@ -148,12 +151,12 @@
     );
     assert!(got.agreed(0.0, 4.0).is_some(), "they come to one view");
     assert!(got.agreed(10.0, 18.5).is_some(), "and keep it");
-    assert_eq!(lines(&got, "fleet: ", " died"), 0);
+    assert_eq!(count_lines(&got, "membership: ", " died"), 0);
 }
 
-/// Datagrams are held up for longer than a probe waits, twice: whatever is suspected meanwhile, there is one view again.
+/// Datagrams are delayed for longer than a probe's time-out, twice: whoever is suspected meanwhile, views converge again.
 #[test]
-fn delay_spikes_settle() {
+fn views_converge_after_delay_spikes() {
     let spike = |at: f64, ms: u32| {
         format!("{{ at: {at}, do: {{ fault: {{ from: 'a', to: 'a', rule: {{ delay_ms: {ms}, jitter_ms: {ms} }} }} }} }},")
     };
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
-//! Upgrades: a second process beside the first, on the listening socket that the platform holds and in the folder that
-//! both share. Clients notice nothing, bans hold across it, and a process that dies in the middle costs no more than
-//! what it held.
+//! Hot restarts: a second process beside the first, on the listening socket that the platform holds and in the folder that
+//! both share. No request is rejected, cordons stay in force, and a process that dies in the middle loses no more than
+//! its own requests.
 mod support;
 
 use std::net::{SocketAddr, TcpListener};
@@ -15,8 +15,8 @@
     format!("/* kind=lane-rate,req={req:016x},timeout=20000,owner=sud,ms={ms} */ SELECT a FROM sales_17.orders WHERE ms = {ms}")
 }
 
-/// A socket on which nobody accepts but the programs.
-fn door() -> (TcpListener, SocketAddr) {
+/// A listening socket that only the programs accept on.
+fn shared_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     (listener, at)
@@ -26,32 +26,33 @@
     program.operators.is_some_and(|at| call(at, "GET", "/admin/health", "").0 == 200)
 }
 
-/// What clients saw.
+/// Counts of responses that clients received.
 #[derive(Default)]
 struct Seen {
     served: AtomicU64,
-    refused: AtomicU64,
-    /// Requests whose connection ended with no answer: sent again on a new one, once, as the platform does.
+    rejected: AtomicU64,
+    /// Requests whose connection was closed without a response: retried once on a new one, as the platform does.
     crossed: AtomicU64,
 }
 
-/// Whether the other side has ended a connection on which nothing is open.
-fn ended(raw: &Raw) -> bool {
+/// Whether the other side has closed an idle connection.
+fn is_closed(raw: &Raw) -> bool {
     raw.stream.set_nonblocking(true).expect("set");
-    let ended = !matches!(raw.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+    let is_closed =
+        !matches!(raw.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
     raw.stream.set_nonblocking(false).expect("set");
-    ended
+    is_closed
 }
 
-/// A client as the platform's are: requests one after the other on a connection that it keeps for some time, and that
-/// it looks at before it asks again.
+/// A client like the platform's: it sends requests one after the other on a connection that it keeps for some time, and
+/// checks whether that was closed before it sends the next.
 fn client(to: SocketAddr, seen: &Seen, next: &AtomicU64, stop: &AtomicBool) {
     let mut raw: Option<Raw> = None;
     while !stop.load(Ordering::SeqCst) {
         let id = next.fetch_add(1, Ordering::SeqCst);
-        let mut again = false;
+        let mut is_retry = false;
         loop {
-            raw = raw.take_if(|raw| !ended(raw));
+            raw = raw.take_if(|raw| !is_closed(raw));
             let connection = raw.get_or_insert_with(|| Raw::connect(to));
             let sent = std::io::Write::write_all(&mut connection.stream, &query(&sql(id, 10)));
             let mut got = Vec::new();
@@ -66,10 +67,10 @@
             }
             match kinds(&got).chars().next() {
                 Some('T') => seen.served.fetch_add(1, Ordering::SeqCst),
-                Some('E') => seen.refused.fetch_add(1, Ordering::SeqCst),
+                Some('E') => seen.rejected.fetch_add(1, Ordering::SeqCst),
                 _ => {
-                    assert!(got.is_empty() && !again, "request {id} was left with {:?}", kinds(&got));
-                    again = true;
+                    assert!(got.is_empty() && !is_retry, "request {id} was left with {:?}", kinds(&got));
+                    is_retry = true;
                     seen.crossed.fetch_add(1, Ordering::SeqCst);
                     raw = None;
                     continue;
@@ -78,18 +79,18 @@
             break;
         }
         thread::sleep(Duration::from_millis(3 + id % 7));
-        // Now and then a new connection.
+        // A new connection now and then.
         raw = raw.take_if(|_| !id.is_multiple_of(23));
     }
 }
 
-/// Three upgrades in a row under load. No request is left without an answer; at most a few cross a close.
+/// Three hot restarts in a row under load. No request is left without a response; at most a few cross a close.
 #[test]
-fn clients_notice_no_upgrade() {
+fn no_request_is_rejected_or_lost_in_hot_restarts_under_load() {
     let engines: Vec<Paced> = (0..3).map(|_| Paced::start()).collect();
     let ids = ["s-1", "s-2", "s-3"];
     let at: Vec<(&str, SocketAddr)> = ids.iter().zip(&engines).map(|(id, e)| (*id, e.address)).collect();
-    let (listener, to) = door();
+    let (listener, to) = shared_listener();
     let folder = scratch();
     let mut serving = Program::beside(&listener, &folder, &at);
     until(|| healthy(&serving).then_some(()));
@@ -98,29 +99,29 @@
         (0..12).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
         for round in 1..=3u64 {
             until(|| (seen.served.load(Ordering::SeqCst) >= round * 300).then_some(()));
-            let newcomer = Program::beside(&listener, &folder, &at);
-            until(|| healthy(&newcomer).then_some(()));
+            let successor = Program::beside(&listener, &folder, &at);
+            until(|| healthy(&successor).then_some(()));
             serving.terminate();
-            assert_eq!(serving.ended(), Some(0), "the one before ends by itself");
-            serving = newcomer;
+            assert_eq!(serving.ended(), Some(0), "the old process ends by itself");
+            serving = successor;
         }
         until(|| (seen.served.load(Ordering::SeqCst) >= 1_200).then_some(()));
         stop.store(true, Ordering::SeqCst);
     });
     let crossed = seen.crossed.load(Ordering::SeqCst);
     eprintln!("{} served, {crossed} crossed a close", seen.served.load(Ordering::SeqCst));
-    assert_eq!(seen.refused.load(Ordering::SeqCst), 0);
-    assert!(crossed <= 12, "{crossed} requests were turned back, of twelve clients in three upgrades");
+    assert_eq!(seen.rejected.load(Ordering::SeqCst), 0);
+    assert!(crossed <= 12, "{crossed} requests crossed a close, of twelve clients in three hot restarts");
     assert_eq!(figure(serving.operators.expect("an address"), "outstanding"), 0);
 }
 
-/// A ban that either process was told of holds in both, in whoever comes next, and in one that starts after all have
-/// gone; one call back, at whichever, ends it in all.
+/// A cordon made at either process is in force in both, in their successor, and in one that starts after all have ended;
+/// one uncordon, at any of them, ends it in all.
 #[test]
-fn a_ban_holds_across_processes_until_the_call_back() {
+fn cordon_is_in_force_in_all_processes_until_uncordoned() {
     let (out, other) = (Engine::echo(), Engine::echo());
     let at = [("s-1", out.address), ("s-2", other.address)];
-    let (listener, to) = door();
+    let (listener, to) = shared_listener();
     let folder = scratch();
     let mut first = Program::beside(&listener, &folder, &at);
     until(|| healthy(&first).then_some(()));
@@ -141,13 +142,13 @@
     first.terminate();
     ask(30);
     assert_eq!(first.ended(), Some(0));
-    // It ends with no successor: its file stays.
+    // It is killed without a successor: its file stays.
     drop(second);
     let third = Program::beside(&listener, &folder, &at);
     until(|| healthy(&third).then_some(()));
     ask(30);
     assert_eq!(out.seen("do").len(), 0);
-    // A call back at the newcomer holds in the one before it, too.
+    // An uncordon at the new process takes effect in the old one, too.
     let fourth = Program::beside(&listener, &folder, &at);
     until(|| healthy(&fourth).then_some(()));
     assert_eq!(call(operators(&fourth), "POST", "/admin/uncordon", &target("s-1")).0, 200);
@@ -158,12 +159,12 @@
     });
 }
 
-/// A newcomer that dies before it has said yes, and one that dies after: the first process serves on, with all it had.
+/// A new process that dies before it is healthy, and one that dies after: the old process goes on serving.
 #[test]
-fn the_first_process_serves_on_when_the_newcomer_dies() {
+fn old_process_goes_on_serving_when_the_new_one_dies() {
     let engine = Paced::start();
     let at = [("s-1", engine.address)];
-    let (listener, to) = door();
+    let (listener, to) = shared_listener();
     let folder = scratch();
     let mut first = Program::beside(&listener, &folder, &at);
     until(|| healthy(&first).then_some(()));
@@ -175,14 +176,14 @@
             until(|| (seen.served.load(Ordering::SeqCst) >= from + more).then_some(()));
         };
         served(100);
-        // It has opened its addresses, and nobody has heard a yes.
+        // It listens, and has not yet answered a health check.
         let mut early = Program::beside(&listener, &folder, &at);
         early.kill();
         served(100);
         let mut late = Program::beside(&listener, &folder, &at);
         until(|| healthy(&late).then_some(()));
         first.wait_line("hot restart: phase ServingBesideSuccessor");
-        // What it holds is lost with it, which its clients see as an end: they ask again.
+        // Its requests are lost with it, which its clients see as a closed connection: they retry.
         late.kill();
         first.wait_line("is unresponsive, no other process is left");
         served(100);
@@ -193,32 +194,32 @@
     assert_eq!(first.ended(), Some(0));
 }
 
-/// The first process dies in the middle of an upgrade, without a word: the newcomer serves on alone.
+/// The old process is killed in the middle of a hot restart: the new one goes on serving alone.
 #[test]
-fn the_newcomer_serves_on_when_the_first_process_dies() {
+fn new_process_goes_on_serving_when_the_old_one_dies() {
     let engine = Paced::start();
     let at = [("s-1", engine.address)];
-    let (listener, to) = door();
+    let (listener, to) = shared_listener();
     let folder = scratch();
     let mut first = Program::beside(&listener, &folder, &at);
     until(|| healthy(&first).then_some(()));
     let mut raw = Raw::connect(to);
     assert_eq!(rows(&raw.ask(&sql(1, 1))).len(), 1);
-    let newcomer = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&newcomer).then_some(()));
+    let successor = Program::beside(&listener, &folder, &at);
+    until(|| healthy(&successor).then_some(()));
     first.kill();
     let mut raw = Raw::connect(to);
     assert_eq!(rows(&raw.ask(&sql(2, 1))).len(), 1);
-    newcomer.wait_line("is unresponsive, no other process is left");
-    assert!(newcomer.lines().iter().any(|l| l.contains("hot restart: phase Serving, 1 of 1 budget parts")));
+    successor.wait_line("is unresponsive, no other process is left");
+    assert!(successor.lines().iter().any(|l| l.contains("hot restart: phase Serving, 1 of 1 budget parts")));
 }
 
-/// Files that are damaged, of another manager or no files of this program cost a log line and nothing else.
+/// Damaged files, and files of other programs, cause at most a log line.
 #[test]
-fn what_lies_in_the_folder_is_read_or_passed_over() {
+fn damaged_and_foreign_files_are_ignored() {
     let engine = Engine::echo();
     let at = [("s-1", engine.address)];
-    let (listener, to) = door();
+    let (listener, to) = shared_listener();
     let folder = scratch();
     let mut first = Program::beside(&listener, &folder, &at);
     until(|| healthy(&first).then_some(()));
