--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -5,6 +5,7 @@
 use sprucelink_capture::reader;
 use sprucelink_capture::replay::{segment, Play};
 use sprucelink_capture::wire::Told;
+use sprucelink_capture::{BoxError, ReplayError};
 use sprucelink_policy::*;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -32,7 +33,7 @@
     errors: BTreeMap<u32, (u64, f64, f64)>,
 }
 
-fn main() -> Result<(), String> {
+fn main() -> Result<(), BoxError> {
     let mut sums = Sums::default();
     for path in std::env::args().skip(1) {
         for file in reader::files(Path::new(&path))? {
@@ -71,7 +72,7 @@
     Ok(())
 }
 
-fn measure(seg: &reader::Segment, sums: &mut Sums) -> Result<(), String> {
+fn measure(seg: &reader::Segment, sums: &mut Sums) -> Result<(), ReplayError> {
     let mut last = seg.at;
     let mut views = seg.module()?.engines();
     let mut sent: BTreeMap<(u64, u32), u32> = BTreeMap::new();
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -1,6 +1,7 @@
 //! Makes a small case out of a capture: the module's state a little before a moment, what it was told up to a
 //! little after it, and what must hold over that.
 
+use crate::error::{CheckError, CutError};
 use crate::reader::{Answer, Record, Segment};
 use crate::replay::{segment, Play, Treatment};
 use crate::rules::{Checker, Rule};
@@ -24,12 +25,12 @@
 
 /// Cuts a case out of segments that follow each other. An error says why it cannot be made: no segment holds
 /// the moment, the replay parts from the record before it, or a gap lies within.
-pub fn cut(segments: &[Segment], what: &Cut) -> Result<Segment, String> {
+pub fn cut(segments: &[Segment], what: &Cut) -> Result<Segment, CutError> {
     let (from, until) = (what.around - what.before, what.around + what.after);
     let first = segments.iter().rposition(|s| s.at <= from && s.until() >= from);
     let first =
         first.or_else(|| segments.iter().position(|s| s.at <= what.around && s.until() >= what.around));
-    let first = first.ok_or("no segment holds that moment")?;
+    let first = first.ok_or(CutError::MomentNotRecorded)?;
     let seg = &segments[first];
     // What was told before it makes the state to begin with.
     let next = seg.records.iter().position(|r| r.at >= from).unwrap_or(seg.records.len());
@@ -40,18 +41,18 @@
     if next > 0 {
         let mut hear = |step: crate::replay::Step| {
             if step.number + 1 == next {
-                state = rmp_serde::to_vec_named(step.module).map_err(|e| failed = Some(e.to_string())).ok();
+                state = rmp_serde::to_vec_named(step.module).map_err(|e| failed = Some(e)).ok();
             }
         };
         let before = Play { until: Some(from - TimeDelta::from_micros(1)), ..Play::default() };
         let seen = segment(seg, &before, &mut hear)?;
         if let Some(first) = seen.first {
-            let told = "the module parts from the record before that moment, at record";
-            return Err(format!("{told} {}: {} instead of {}", first.record, first.got, first.expected));
+            let (record, got, expected) = (first.record, first.got, first.expected);
+            return Err(CutError::Diverged { record, got, expected });
         }
     }
-    if let Some(why) = failed {
-        return Err(format!("the module's state cannot be written: {why}"));
+    if let Some(source) = failed {
+        return Err(CutError::State(source));
     }
     let mut last = first;
     let mut kept: Vec<Record> = Vec::new();
@@ -68,7 +69,7 @@
         last += 1;
     }
     if kept.is_empty() {
-        return Err("nothing was told around that moment".into());
+        return Err(CutError::NothingRecorded);
     }
     let mut head = seg.head.clone();
     head.segment = 0;
@@ -93,7 +94,7 @@
 }
 
 /// Puts whole answers in place of digests, where the replay gives the same.
-fn answer(case: &mut Segment) -> Result<(), String> {
+fn answer(case: &mut Segment) -> Result<(), CutError> {
     if !case.records.iter().any(|r| matches!(r.answer, Answer::Digest(..))) {
         return Ok(());
     }
@@ -101,7 +102,7 @@
     let mut hear = |s: crate::replay::Step| all.push((s.number, s.actions.to_vec()));
     let seen = segment(case, &Play::default(), &mut hear)?;
     if seen.differ > 0 {
-        return Err("answers are digests here, and the replay gives others".into());
+        return Err(CutError::DigestsDiverged);
     }
     for (number, actions) in all {
         case.records[number].answer = Answer::Whole(actions);
@@ -111,10 +112,10 @@
 
 /// Replays a case and checks what it holds: breaches, none where all holds. An error says that it cannot be
 /// used.
-pub fn check(case: &Segment) -> Result<Vec<crate::rules::Breach>, String> {
+pub fn check(case: &Segment) -> Result<Vec<crate::rules::Breach>, CheckError> {
     let rules = case.head.holds.iter().map(|t| Rule::parse(t)).collect::<Result<Vec<_>, _>>()?;
     if rules.is_empty() {
-        return Err("it names nothing that must hold".into());
+        return Err(CheckError::NoRules);
     }
     let mut checker = Checker::new(rules, &case.module()?, case.at);
     let mut hear = |step: crate::replay::Step| checker.step(&step);
--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -3,6 +3,7 @@
 //! another day.
 
 use crate::cut::number;
+use crate::error::{ReplayError, StateError};
 use crate::reader::Segment;
 use crate::replay::{segment, Play, Step};
 use crate::wire::Told;
@@ -62,7 +63,7 @@
     segments: &[Segment],
     question: &Question,
     hear: &mut dyn FnMut(Line),
-) -> Result<usize, String> {
+) -> Result<usize, ReplayError> {
     let mut story = Story {
         question,
         engines: Vec::new(),
@@ -246,7 +247,7 @@
         (self.hear)(Line { at_us: at.as_micros(), text, data });
     }
 
-    fn begin(&mut self, seg: &Segment) -> Result<(), String> {
+    fn begin(&mut self, seg: &Segment) -> Result<(), StateError> {
         self.engines.clone_from(&seg.engines);
         let module = seg.module()?;
         self.sent.clear();
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -15,6 +15,7 @@
 //! | [`cut`] | makes a small case out of a capture | none |
 
 pub mod cut;
+mod error;
 pub mod explain;
 pub mod frame;
 pub mod identity;
@@ -26,6 +27,11 @@
 pub mod settings;
 pub mod wire;
 
+pub use error::{
+    BoxError, CheckError, CutError, ParseError, ReadError, ReplayError, RuleError, SettingsError, StateError,
+    UnknownTreatment, WriteError,
+};
+
 /// The messages of `proto/capture.proto`, as generated.
 #[allow(missing_docs)]
 pub mod pb {
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,5 +1,6 @@
 //! Reads captures back, a segment at a time: what is whole is used, what is damaged is named with its place.
 
+use crate::error::{ParseError, ReadError, StateError, WriteError};
 use crate::frame::{self, Found, Kind};
 use crate::identity;
 use crate::pb;
@@ -84,8 +85,8 @@
 impl Segment {
     /// The module as it was at the checkpoint. Settings or figures that an older state lacks take their
     /// defaults.
-    pub fn module(&self) -> Result<Policy, String> {
-        rmp_serde::from_slice(&self.state).map_err(|e| format!("the module's state cannot be read: {e}"))
+    pub fn module(&self) -> Result<Policy, StateError> {
+        rmp_serde::from_slice(&self.state).map_err(StateError)
     }
 
     /// The time of its last record, or of its checkpoint.
@@ -124,8 +125,8 @@
 }
 
 /// The files of a capture: a folder's, oldest first, or the one file.
-pub fn files(path: &Path) -> Result<Vec<PathBuf>, String> {
-    let fault = |e: std::io::Error| format!("{}: {e}", path.display());
+pub fn files(path: &Path) -> Result<Vec<PathBuf>, ReadError> {
+    let fault = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
     if !std::fs::metadata(path).map_err(fault)?.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
@@ -138,24 +139,24 @@
     }
     all.sort();
     if all.is_empty() {
-        return Err(format!("{}: no file that ends in {SUFFIX}", path.display()));
+        return Err(ReadError::NoFiles { path: path.to_owned() });
     }
     Ok(all)
 }
 
 /// Reads one file. An error says that it is no capture at all, or one of a newer format.
-pub fn read(path: &Path) -> Result<Contents, String> {
-    let fault = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let size = std::fs::metadata(path).map_err(|e| fault(&e))?.len();
+pub fn read(path: &Path) -> Result<Contents, ReadError> {
+    let fault = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
+    let size = std::fs::metadata(path).map_err(fault)?.len();
     if size > MOST_FILE {
-        return Err(fault(&"longer than any capture"));
+        return Err(ReadError::TooLong { path: path.to_owned() });
     }
-    let bytes = std::fs::read(path).map_err(|e| fault(&e))?;
-    parse(&bytes, path).map_err(|e| fault(&e))
+    let bytes = std::fs::read(path).map_err(fault)?;
+    parse(&bytes, path).map_err(|source| ReadError::Content { path: path.to_owned(), source })
 }
 
 /// Reads a file's bytes; `path` is only noted.
-pub fn parse(bytes: &[u8], path: &Path) -> Result<Contents, String> {
+pub fn parse(bytes: &[u8], path: &Path) -> Result<Contents, ParseError> {
     let mut out = Contents::default();
     let mut open: Option<Open> = None;
     let mut at = 0;
@@ -180,10 +181,7 @@
                 match take(&mut out, &mut open, kind, body, (path, at)) {
                     Ok(()) => {}
                     Err(Fault::Newer(format)) => {
-                        return Err(format!(
-                            "written in format {format}; this build reads up to {}",
-                            identity::FORMAT
-                        ))
+                        return Err(ParseError::NewerFormat { format, supported: identity::FORMAT })
                     }
                     Err(Fault::Bad(why)) => damage(&mut out, open.take(), at, &why),
                 }
@@ -192,16 +190,11 @@
         }
     }
     if out.segments.is_empty() && out.damage.is_empty() {
-        return Err(if bytes.is_empty() {
-            "is empty"
-        } else {
-            "holds no whole segment: cut off in its first frames"
-        }
-        .into());
+        return Err(if bytes.is_empty() { ParseError::Empty } else { ParseError::CutOff });
     }
     if out.segments.is_empty() {
         let (offset, why) = &out.damage[0];
-        return Err(format!("is no capture: at byte {offset}: {why}"));
+        return Err(ParseError::NotACapture { offset: *offset, reason: why.clone() });
     }
     Ok(out)
 }
@@ -317,12 +310,12 @@
 }
 
 /// A segment as bytes, as the recorder would have written it: for cases.
-pub fn write(segment: &Segment) -> Result<Vec<u8>, String> {
+pub fn write(segment: &Segment) -> Result<Vec<u8>, WriteError> {
     let mut out = Vec::new();
-    let pack = |body: Vec<u8>| zstd::bulk::compress(&body, 19).map_err(|e| e.to_string());
+    let pack = |body: Vec<u8>| zstd::bulk::compress(&body, 19).map_err(WriteError::Compression);
     let mut frame = |kind, body: &[u8]| {
         let written = frame::write(&mut out, kind, body);
-        written.then_some(()).ok_or_else(|| "a frame longer than any may be".to_owned())
+        written.then_some(()).ok_or(WriteError::FrameTooLong)
     };
     frame(Kind::Head, &pb::Head { whole_answers: true, ..segment.head.clone() }.encode_to_vec())?;
     let number =
@@ -342,7 +335,7 @@
         let (actions, unanswered) = match &r.answer {
             Answer::Whole(actions) => (crate::wire::answers_out(actions), false),
             Answer::None => (Vec::new(), true),
-            Answer::Digest(..) => return Err("answers are digests: replay them whole first".into()),
+            Answer::Digest(..) => return Err(WriteError::DigestsOnly),
         };
         let count = actions.len() as u32;
         let after_us = (r.at - last).as_micros();
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,5 +1,6 @@
 //! Gives a capture to the module again and compares what it answers, action by action and bit by bit.
 
+use crate::error::{BoxError, ReplayError, UnknownTreatment};
 use crate::pb;
 use crate::reader::{Answer, Record, Segment};
 use crate::wire::{answers_out, digest, Told};
@@ -24,12 +25,12 @@
 }
 
 impl std::str::FromStr for Treatment {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Treatment, String> {
+    type Err = UnknownTreatment;
+    fn from_str(text: &str) -> Result<Treatment, UnknownTreatment> {
         match text {
             "recorded" => Ok(Treatment::Recorded),
             "matched" => Ok(Treatment::Matched),
-            _ => Err(format!("{text:?} is neither recorded nor matched")),
+            _ => Err(UnknownTreatment(text.to_owned())),
         }
     }
 }
@@ -187,7 +188,7 @@
     /// The module tells its reasons.
     pub explain: bool,
     /// What is changed of the module before it begins.
-    pub change: &'a dyn Fn(&mut Policy) -> Result<(), String>,
+    pub change: &'a dyn Fn(&mut Policy) -> Result<(), BoxError>,
 }
 
 impl Default for Play<'_> {
@@ -280,9 +281,9 @@
 }
 
 /// Replays a segment from its checkpoint. An error says that the state cannot be read.
-pub fn segment(seg: &Segment, play: &Play, hear: Hearer) -> Result<Outcome, String> {
+pub fn segment(seg: &Segment, play: &Play, hear: Hearer) -> Result<Outcome, ReplayError> {
     let mut module = seg.module()?;
-    (play.change)(&mut module)?;
+    (play.change)(&mut module).map_err(ReplayError::Change)?;
     module.listen(play.explain);
     let mut then = Then::default();
     for open in module.open() {
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -1,6 +1,7 @@
 //! What must hold over a replay: the rules of service, and expectations of a case's own. Each is checked on
 //! what the replayed module answers, so a case goes on holding when the module changes for the better.
 
+use crate::error::RuleError;
 use crate::replay::Step;
 use crate::wire::Told;
 use serde::{Deserialize, Serialize};
@@ -63,10 +64,10 @@
 
 impl Rule {
     /// Reads a rule; words without braces stand for rules without arguments.
-    pub fn parse(text: &str) -> Result<Rule, String> {
+    pub fn parse(text: &str) -> Result<Rule, RuleError> {
         let text = text.trim();
         let json = if text.starts_with('{') { text.to_owned() } else { format!("{{\"rule\":\"{text}\"}}") };
-        json5::from_str(&json).map_err(|e| format!("rule {text:?}: {}", e.to_string().trim()))
+        json5::from_str(&json).map_err(|source| RuleError { text: text.to_owned(), source })
     }
 
     /// The rule as a case holds it.
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -1,5 +1,6 @@
 //! The recorder's settings, in JSON5.
 
+use crate::error::SettingsError;
 use crate::ring::Limits;
 use serde::Deserialize;
 use sprucelink_policy::TimeDelta;
@@ -92,8 +93,8 @@
     }
 
     /// Reads and checks a settings file's text; the error names line and field, or field and range.
-    pub fn parse(text: &str) -> Result<Settings, String> {
-        let set: Settings = json5::from_str(text).map_err(|e| e.to_string().trim().to_owned())?;
+    pub fn parse(text: &str) -> Result<Settings, SettingsError> {
+        let set: Settings = json5::from_str(text)?;
         let ranges = [
             ("ring_mb", set.ring_mb, 1, 1_000_000),
             ("ring_minutes", set.ring_minutes, 1, 100_000),
@@ -103,16 +104,19 @@
             ("queue_kb", set.queue_kb, 64, 65_536),
             ("flush_ms", set.flush_ms, 10, 10_000),
         ];
-        for (name, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                return Err(format!("{name}: {value} is not from {least} to {most}"));
+        for (field, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                return Err(SettingsError::OutOfRange { field, value, min, max });
             }
         }
         if set.dir.as_os_str().is_empty() {
-            return Err("dir: names no folder".into());
+            return Err(SettingsError::NoDirectory);
         }
         if set.segment_mb > set.ring_mb {
-            return Err(format!("segment_mb: {} is more than ring_mb, {}", set.segment_mb, set.ring_mb));
+            return Err(SettingsError::SegmentExceedsRing {
+                segment_mb: set.segment_mb,
+                ring_mb: set.ring_mb,
+            });
         }
         Ok(set)
     }
@@ -149,7 +153,7 @@
             ("{dir: 'x', flush_ms: -1}", "-1"),
             ("{dir: 'x'", "line 1"),
         ] {
-            let why = Settings::parse(text).expect_err(text);
+            let why = Settings::parse(text).expect_err(text).to_string();
             assert!(why.contains(name), "{text}: {why}");
         }
     }
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -279,10 +279,10 @@
     assert!(older.segments[0].module().is_ok());
     // Half a state is no state.
     let half = edited(&seg, |s| s.state.truncate(s.state.len() / 2));
-    assert!(half.segments[0].module().err().is_some_and(|why| why.contains("cannot be read")));
+    assert!(half.segments[0].module().err().is_some_and(|why| why.to_string().contains("cannot be read")));
     let mut newer = seg.clone();
     newer.head.format = 99;
-    let why = parse(&write(&newer).expect("written"), Path::new("newer")).expect_err("refused");
+    let why = parse(&write(&newer).expect("written"), Path::new("newer")).expect_err("refused").to_string();
     assert!(why.contains("format 99"), "{why}");
     assert!(parse(b"", Path::new("empty")).is_err() && parse(b"some text", Path::new("text")).is_err());
 }
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -1,7 +1,7 @@
 //! Reads a whole capture for the sub-commands, and warns of what is damaged.
 
 use super::CaptureError;
-use crate::run::error::BoxError;
+use crate::run::error::{with_causes, BoxError};
 use sprucelink_capture::reader::{self, End, Segment};
 use sprucelink_policy::Timestamp;
 use std::path::{Path, PathBuf};
@@ -39,7 +39,7 @@
                 Ok(contents) => capture.append(file, contents),
                 Err(error) => {
                     if files.len() > 1 {
-                        eprintln!("sprucelink: passed over: {error}");
+                        eprintln!("sprucelink: passed over: {}", with_causes(&error));
                     }
                     last_error = Some(CaptureError::Library(error.into()));
                 }
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -4,7 +4,7 @@
 use super::output::{format_timestamp, print_line};
 use super::{setting_changes, CaptureError, CommandOutcome};
 use crate::run::cli::ReplayOptions;
-use crate::run::error::{with_causes, BoxError};
+use crate::run::error::BoxError;
 use serde_json::json;
 use sprucelink_capture::reader::Segment;
 use sprucelink_capture::replay::{self, Divergence, Outcome, Play};
@@ -99,7 +99,7 @@
     until: Option<Timestamp>,
 ) -> Result<Report, CaptureError> {
     let change =
-        |policy: &mut Policy| setting_changes::apply(&options.changes, policy).map_err(|e| with_causes(&e));
+        |policy: &mut Policy| setting_changes::apply(&options.changes, policy).map_err(BoxError::from);
     let play = Play { treatment: options.treatment, until, explain: false, change: &change };
     let mut report = Report { segments: segments.len(), ..Report::default() };
     let began = Instant::now();
