--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -124,10 +124,10 @@
     }
 
     fn stats(&self) -> String {
-        let (listed, avoided) = self.core.listed_and_avoided();
+        let engines = self.core.engine_counts();
         let metrics = self.core.metrics();
-        metrics.set_discovered(listed);
-        metrics.set_ejected(avoided);
+        metrics.set_discovered(engines.listed);
+        metrics.set_ejected(engines.avoided);
         metrics.render()
     }
 
