--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,8 @@
 //! done when an attempt ends badly; and it carries that out on sockets.
 //!
 //! The decision module and its vocabulary are a crate of their own, `sprucelink-policy`. [`simulator`] is the
-//! codec of the simulator's adapter, [`proto`] what is spoken on sockets, [`core`] what is kept in
-//! memory, [`front`] what clients connect to, [`run`] start and stop.
+//! simulator's wire and adapter, [`proto`] the protocols, [`core`] requests, attempts and engines,
+//! [`front`] what clients connect to, [`run`] command line, start and stop.
 
 pub mod core;
 pub mod front;
--- a/src/run/commands/check.rs
+++ b/src/run/commands/check.rs
@@ -3,7 +3,7 @@
 use crate::run::second_front::SecondFrontConfig;
 use crate::run::serve::ServerConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::MembershipConfig as MembershipSettings;
+use sprucelink_membership::MembershipConfig;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::config::FailoverConfig;
 
@@ -47,7 +47,7 @@
     }
 }
 
-fn print_membership(settings: Option<&MembershipSettings>) {
+fn print_membership(settings: Option<&MembershipConfig>) {
     match settings {
         Some(settings) if settings.enabled => println!(
             "the membership's settings will do: listen {}, {} seeds, a period of {} ms",
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -23,7 +23,7 @@
 /// Most hashes of engine ids that are handed on; a file has room for more, and cordons go before them.
 const MAX_ENGINE_IDS: usize = 16_384;
 
-/// Among how many processes the manager's budgets are divided, as the core was last told.
+/// Among how many processes the manager's budgets are divided, as last set in the core.
 #[derive(Clone, Copy)]
 struct BudgetParts {
     parts: u32,
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -16,7 +16,7 @@
 use super::config::Config;
 use super::second_front::SecondFrontConfig;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::MembershipConfig as MembershipSettings;
+use sprucelink_membership::MembershipConfig;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::config::FailoverConfig;
 use startup::Server;
@@ -38,7 +38,7 @@
     /// Start-up pacing; off where it is absent or not enabled.
     pub cold_start: Option<StartupConfig>,
     /// Gossip between managers; off where it is absent or not enabled.
-    pub membership: Option<MembershipSettings>,
+    pub membership: Option<MembershipConfig>,
     /// Failover between zones; off where it is absent or not enabled.
     pub failover: Option<FailoverConfig>,
 }
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -14,6 +14,7 @@
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_hot_restart::WindowSpans;
+use sprucelink_membership::MembershipConfig;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
 use sprucelink_startup::config::StartupConfig;
@@ -56,19 +57,7 @@
         apply_known_endpoints(&core, &config);
         let poller = cold_start.map(|cold_start| endpoint_poller(cold_start, &config));
         start_failover(&core, server.failover, &config);
-        let membership = match server.membership.filter(|membership| membership.enabled) {
-            Some(settings) => Some(
-                membership_driver::start(
-                    Rc::clone(&core),
-                    settings,
-                    &config.name,
-                    config.seed,
-                    fleet_settings(&config),
-                )
-                .await?,
-            ),
-            None => None,
-        };
+        let membership = start_membership(&core, server.membership, &config).await?;
         let core_task = spawn_local(Rc::clone(&core).run());
         let (feed_sender, feed_address) = watch::channel(config.feed.clone());
         spawn_local(endpoint_client::follow(Rc::clone(&core), feed_address, poller));
@@ -154,14 +143,21 @@
     core.enable_zone_failover(&settings, home, config.zone_names.clone());
 }
 
-/// The settings that the membership shares budgets by.
-fn fleet_settings(config: &Config) -> FleetSettings {
-    FleetSettings {
+/// Starts the membership where it is enabled.
+async fn start_membership(
+    core: &Rc<Core>,
+    settings: Option<MembershipConfig>,
+    config: &Config,
+) -> Result<Option<MembershipHandle>, ServeError> {
+    let Some(settings) = settings.filter(|settings| settings.enabled) else { return Ok(None) };
+    let fleet = FleetSettings {
         managers: config.settings.gateways,
         retry_budget: config.settings.attempt_budget,
         cold_budget_window: config.settings.fall_span,
         slow_start_period: config.settings.cold_for,
-    }
+    };
+    let core = Rc::clone(core);
+    Ok(Some(membership_driver::start(core, settings, &config.name, config.seed, fleet).await?))
 }
 
 async fn open_listener(
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -7,7 +7,7 @@
 use super::serve::ServerConfig;
 use super::socket_activation::{self, SocketActivationError};
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_membership::MembershipConfig as MembershipSettings;
+use sprucelink_membership::MembershipConfig;
 use sprucelink_settings::{Environment, SettingsFile};
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_zone_failover::config::FailoverConfig;
@@ -61,7 +61,7 @@
         second_front,
         recorder,
         cold_start: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
-        membership: read_optional(options.membership.as_ref(), MembershipSettings::parse)?,
+        membership: read_optional(options.membership.as_ref(), MembershipConfig::parse)?,
         failover: read_optional(options.failover.as_ref(), FailoverConfig::parse)?,
         config,
     })
--- /dev/null
+++ b/src/simulator/codec/fields.rs
@@ -0,0 +1,154 @@
+//! Reads single fields of a line; the texts in quotes are the wire's.
+
+use super::{FieldError, WireError};
+use sprucelink_policy::{Bill, Outcome, Report, RequestId, Settings};
+
+/// Characters of a malformed line that its error quotes.
+const MAX_QUOTED_CHARS: usize = 120;
+/// Digits of a request id.
+const REQUEST_ID_DIGITS: usize = 16;
+/// A bill's memory is counted in its lowest bits, up to this value, in units of [`BILL_MEMORY_UNIT_MB`]; its work in
+/// milliseconds above them.
+const BILL_MEMORY_VALUES: u64 = 4096;
+/// Megabytes that a bill's memory is counted in.
+const BILL_MEMORY_UNIT_MB: f64 = 4.0;
+/// The first field of an `INIT` line that holds a setting.
+const FIRST_SETTING: usize = 3;
+
+/// The fields of a line. An empty field and `-` count as absent.
+pub(super) struct Fields<'a> {
+    line: &'a str,
+    parts: Vec<&'a str>,
+}
+
+impl<'a> Fields<'a> {
+    pub(super) fn of(line: &'a str) -> Fields<'a> {
+        Fields { line, parts: line.split('\t').collect() }
+    }
+
+    /// The first field, which names the kind of line.
+    pub(super) fn name(&self) -> &'a str {
+        self.parts[0]
+    }
+
+    pub(super) fn error(&self, field: &str, reason: FieldError) -> WireError {
+        let line = self.line.chars().take(MAX_QUOTED_CHARS).collect();
+        WireError { field: field.to_owned(), reason, line }
+    }
+
+    pub(super) fn optional_text(&self, index: usize) -> Option<&'a str> {
+        self.parts.get(index).copied().filter(|text| *text != "-" && !text.is_empty())
+    }
+
+    pub(super) fn text(&self, index: usize, name: &str) -> Result<&'a str, WireError> {
+        self.optional_text(index).ok_or_else(|| self.error(name, FieldError::Missing))
+    }
+
+    pub(super) fn optional_number(&self, index: usize, name: &str) -> Result<Option<f64>, WireError> {
+        let Some(text) = self.optional_text(index) else { return Ok(None) };
+        match parse_finite(text) {
+            Some(number) => Ok(Some(number)),
+            None => Err(self.error(name, FieldError::NotANumber)),
+        }
+    }
+
+    pub(super) fn number(&self, index: usize, name: &str) -> Result<f64, WireError> {
+        self.optional_number(index, name)?.ok_or_else(|| self.error(name, FieldError::Missing))
+    }
+
+    pub(super) fn optional_integer(&self, index: usize, name: &str) -> Result<Option<u64>, WireError> {
+        let Some(text) = self.optional_text(index) else { return Ok(None) };
+        text.parse().map(Some).map_err(|_| self.error(name, FieldError::NotAWholeNumber))
+    }
+
+    pub(super) fn integer(&self, index: usize, name: &str) -> Result<u64, WireError> {
+        self.optional_integer(index, name)?.ok_or_else(|| self.error(name, FieldError::Missing))
+    }
+
+    pub(super) fn flag(&self, index: usize, name: &str) -> Result<bool, WireError> {
+        match self.optional_text(index) {
+            None | Some("0") | Some("false") => Ok(false),
+            Some("1") | Some("true") => Ok(true),
+            Some(_) => Err(self.error(name, FieldError::NotAFlag)),
+        }
+    }
+
+    /// The instance, which always stands first.
+    pub(super) fn instance(&self) -> Result<String, WireError> {
+        self.text(1, "who").map(str::to_owned)
+    }
+
+    /// The request id, which always stands behind the instance.
+    pub(super) fn request_id(&self) -> Result<RequestId, WireError> {
+        let text = self.text(2, "id")?;
+        let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == REQUEST_ID_DIGITS);
+        id.map(RequestId).ok_or_else(|| self.error("id", FieldError::NotARequestId))
+    }
+
+    pub(super) fn outcome(&self, index: usize) -> Result<Outcome, WireError> {
+        Ok(match self.text(index, "disposition")? {
+            "delivered" => Outcome::Delivered,
+            "app_error" => Outcome::Error,
+            "shed" => Outcome::Shed,
+            "expired" => Outcome::Expired,
+            "dial_failed" => Outcome::DialFailed,
+            "dropped" => Outcome::Dropped,
+            "revoked" => Outcome::Revoked,
+            "unused" => Outcome::Unused,
+            _ => return Err(self.error("disposition", FieldError::UnknownWord)),
+        })
+    }
+
+    /// A load report: `name:value` pairs with commas between them.
+    pub(super) fn report(&self, index: usize) -> Result<Report, WireError> {
+        let mut report = Report::default();
+        let pairs = self.optional_text(index).unwrap_or("").split(',').filter(|pair| !pair.is_empty());
+        for pair in pairs {
+            let (name, value) =
+                pair.split_once(':').ok_or_else(|| self.error("pressure", FieldError::NotAPair))?;
+            let value =
+                parse_finite(value).ok_or_else(|| self.error("pressure", FieldError::ValueNotANumber))?;
+            match name {
+                "rif" => report.in_hand = Some(value),
+                "q" => report.waiting = Some(value),
+                "busy" => report.busy = Some(value),
+                "x0" => report.memory = Some(value),
+                "x1" => report.disks = Some(value),
+                _ => {}
+            }
+        }
+        Ok(report)
+    }
+
+    /// The cost that an engine bills; 0 is none.
+    pub(super) fn bill(&self, index: usize) -> Result<Option<Bill>, WireError> {
+        let bill = self.optional_integer(index, "bill")?.filter(|bill| *bill > 0);
+        Ok(bill.map(|bill| Bill {
+            work: (bill / BILL_MEMORY_VALUES) as f64 / 1e3,
+            memory_mb: (bill % BILL_MEMORY_VALUES) as f64 * BILL_MEMORY_UNIT_MB,
+        }))
+    }
+
+    /// Bytes in hex; an absent field is no bytes.
+    pub(super) fn bytes(&self, index: usize, name: &str) -> Result<Vec<u8>, WireError> {
+        let hex = self.optional_text(index).unwrap_or("");
+        let bytes: Option<Vec<u8>> = (0..hex.len())
+            .step_by(2)
+            .map(|start| hex.get(start..start + 2).and_then(|digits| u8::from_str_radix(digits, 16).ok()))
+            .collect();
+        bytes.ok_or_else(|| self.error(name, FieldError::NotHex))
+    }
+
+    /// The settings of the pairs that a line ends with.
+    pub(super) fn settings(&self) -> Result<Settings, WireError> {
+        let pairs = self.parts.iter().skip(FIRST_SETTING).copied();
+        match sprucelink_settings::pairs::parse(pairs) {
+            Ok(settings) => Ok(settings.to_policy_settings()),
+            Err(error) => Err(self.error(&error.place.path, FieldError::Setting(error.reason.to_string()))),
+        }
+    }
+}
+
+fn parse_finite(text: &str) -> Option<f64> {
+    text.parse::<f64>().ok().filter(|number| number.is_finite())
+}
