--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -29,7 +29,7 @@
 pub use ids::*;
 pub use reasons::*;
 pub use settings::*;
-pub use sprucelink_time::*;
+pub use sprucelink_time::{TimeDelta, Timestamp};
 pub use state::Policy;
 
 use admission::*;
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -5,48 +5,75 @@
 //! reads no clock: every state machine takes the current time as an argument.
 
 use serde::{Deserialize, Serialize};
-use std::ops::{Add, Sub};
+use std::ops::{Add, Neg, Sub};
 
-#[cfg(feature = "distinct")]
-mod distinct;
-#[cfg(feature = "distinct")]
-pub use distinct::{TimeDelta, Timestamp};
+/// A point in time on the caller's clock: microseconds since that clock's origin.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct Timestamp(i64);
 
-/// An instant or a span, in microseconds: what [`Timestamp`] and [`TimeDelta`] stand for until all crates tell them apart.
-#[cfg(not(feature = "distinct"))]
+/// A signed span of time in microseconds. Arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Micros(pub i64);
+pub struct TimeDelta(i64);
+
+impl Timestamp {
+    /// The origin of the clock.
+    pub const ZERO: Timestamp = Timestamp(0);
+    /// The latest instant.
+    pub const MAX: Timestamp = Timestamp(i64::MAX);
 
-/// A point in time.
-#[cfg(not(feature = "distinct"))]
-pub type Timestamp = Micros;
-/// A signed span of time.
-#[cfg(not(feature = "distinct"))]
-pub type TimeDelta = Micros;
+    /// The instant so many microseconds after the clock's origin.
+    pub const fn from_micros(micros: i64) -> Timestamp {
+        Timestamp(micros)
+    }
+    /// The instant so many milliseconds after the clock's origin; saturates.
+    pub const fn from_millis(millis: i64) -> Timestamp {
+        Timestamp(millis.saturating_mul(1_000))
+    }
+    /// The instant so many seconds after the clock's origin; saturates.
+    pub const fn from_whole_secs(secs: i64) -> Timestamp {
+        Timestamp(secs.saturating_mul(1_000_000))
+    }
+    /// The instant so many seconds after the clock's origin, to the nearest microsecond.
+    pub fn from_secs_f64(secs: f64) -> Timestamp {
+        Timestamp((secs * 1e6).round() as i64)
+    }
+    /// Microseconds since the clock's origin.
+    pub const fn as_micros(self) -> i64 {
+        self.0
+    }
+    /// Milliseconds since the clock's origin, rounded towards zero.
+    pub const fn as_millis(self) -> i64 {
+        self.0 / 1_000
+    }
+    /// Seconds since the clock's origin.
+    pub fn as_secs_f64(self) -> f64 {
+        self.0 as f64 / 1e6
+    }
+}
 
-#[cfg(not(feature = "distinct"))]
-impl Micros {
-    /// The origin of the clock, or the empty span.
-    pub const ZERO: Micros = Micros(0);
-    /// The latest instant, or the longest span.
-    pub const MAX: Micros = Micros(i64::MAX);
+impl TimeDelta {
+    /// The empty span.
+    pub const ZERO: TimeDelta = TimeDelta(0);
+    /// The longest span.
+    pub const MAX: TimeDelta = TimeDelta(i64::MAX);
 
-    /// From whole microseconds.
-    pub const fn from_micros(micros: i64) -> Micros {
-        Micros(micros)
+    /// A span of whole microseconds.
+    pub const fn from_micros(micros: i64) -> TimeDelta {
+        TimeDelta(micros)
     }
-    /// From whole milliseconds; saturates.
-    pub const fn from_millis(millis: i64) -> Micros {
-        Micros(millis.saturating_mul(1_000))
+    /// A span of whole milliseconds; saturates.
+    pub const fn from_millis(millis: i64) -> TimeDelta {
+        TimeDelta(millis.saturating_mul(1_000))
     }
-    /// From whole seconds; saturates.
-    pub const fn from_whole_secs(secs: i64) -> Micros {
-        Micros(secs.saturating_mul(1_000_000))
+    /// A span of whole seconds; saturates.
+    pub const fn from_whole_secs(secs: i64) -> TimeDelta {
+        TimeDelta(secs.saturating_mul(1_000_000))
     }
-    /// From seconds, to the nearest microsecond; what is not a finite number counts as zero or as the nearest bound.
-    pub fn from_secs_f64(secs: f64) -> Micros {
-        Micros((secs * 1e6).round() as i64)
+    /// A span from seconds, to the nearest microsecond; what is not a number counts as zero, infinities as the bounds.
+    pub fn from_secs_f64(secs: f64) -> TimeDelta {
+        TimeDelta((secs * 1e6).round() as i64)
     }
     /// Whole microseconds.
     pub const fn as_micros(self) -> i64 {
@@ -60,26 +87,41 @@
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// A span from seconds; what is not a finite number counts as zero.
-    pub fn from_secs(s: f64) -> Micros {
-        Micros::from_secs_f64(s)
+}
+
+impl Add<TimeDelta> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
+    }
+}
+impl Sub<TimeDelta> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, span: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
+    }
+}
+impl Sub for Timestamp {
+    type Output = TimeDelta;
+    fn sub(self, earlier: Timestamp) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
     }
-    /// The span in seconds.
-    pub fn secs(self) -> f64 {
-        self.as_secs_f64()
+}
+impl Add for TimeDelta {
+    type Output = TimeDelta;
+    fn add(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(other.0))
     }
 }
-#[cfg(not(feature = "distinct"))]
-impl Add for Micros {
-    type Output = Micros;
-    fn add(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_add(o.0))
+impl Sub for TimeDelta {
+    type Output = TimeDelta;
+    fn sub(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(other.0))
     }
 }
-#[cfg(not(feature = "distinct"))]
-impl Sub for Micros {
-    type Output = Micros;
-    fn sub(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_sub(o.0))
+impl Neg for TimeDelta {
+    type Output = TimeDelta;
+    fn neg(self) -> TimeDelta {
+        TimeDelta(self.0.saturating_neg())
     }
 }
