--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -96,6 +96,6 @@
 fn log_accept_error(last_logged: &mut Option<Timestamp>, error: &io::Error) {
     if last_logged.is_none_or(|at| now() - at > ACCEPT_LOG_INTERVAL) {
         *last_logged = Some(now());
-        warn!(%error, "accept failed");
+        warn!(%error, "accept failed: {error}");
     }
 }
