--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -66,7 +66,9 @@
     let mut state = small_state();
     for (n, id) in ["a", "b", "c"].iter().enumerate() {
         state.note_listed(id);
-        state.uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), Cause::Operator).expect("yes");
+        state
+            .uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), Cause::Operator)
+            .expect("accepted");
     }
     let retained: Vec<Target> = state.export_records().into_iter().map(|record| record.target).collect();
     assert_eq!(retained, [engine("b"), engine("c")]);
@@ -78,7 +80,7 @@
     let mut large = CordonState::new(CordonLimits::default());
     for i in 0..5 {
         large.note_listed(&format!("{i}"));
-        large.cordon(NOW, &engine(&format!("{i}")), CordonRequest::Operator, "").expect("yes");
+        large.cordon(NOW, &engine(&format!("{i}")), CordonRequest::Operator, "").expect("accepted");
     }
     let mut state = small_state();
     let result = state.merge_records(NOW, &large.export_records());
@@ -156,7 +158,7 @@
 fn cordoned_id_is_remembered_past_the_limit() {
     let mut state = small_state();
     state.note_listed("e");
-    state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("yes");
+    state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("accepted");
     state.note_unlisted("e");
     for i in 0..50 {
         state.note_listed(&format!("{i}"));
--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -126,7 +126,7 @@
 fn newer_uncordon_wins_over_older_cordon_that_was_never_seen() {
     let mut old = state_with(&["e"]);
     let mut new = state_with(&["e"]);
-    old.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap").expect("yes");
+    old.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap").expect("accepted");
     let outcome = new.uncordon(Timestamp::from_micros(NOW.as_micros() + 5), &engine("e"), Cause::Operator);
     assert_eq!(outcome, Ok(CordonOutcome::NotCordoned));
     let result = new.merge_records(NOW, &old.export_records());
@@ -139,7 +139,7 @@
 #[test]
 fn newer_call_wins_although_the_clock_was_set_back() {
     let mut state = state_with(&["e"]);
-    state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("yes");
+    state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("accepted");
     let records = state.export_records();
     let earlier = Timestamp::from_micros(NOW.as_micros() - 3_600 * SECOND);
     assert_eq!(state.uncordon(earlier, &engine("e"), Cause::Operator), Ok(CordonOutcome::Uncordoned));
@@ -169,8 +169,8 @@
 #[test]
 fn tombstones_are_removed_after_ten_minutes_and_cordons_never() {
     let mut state = state_with(&["e", "f"]);
-    state.cordon(NOW, &engine("f"), CordonRequest::Operator, "").expect("yes");
-    state.uncordon(NOW, &engine("e"), Cause::Operator).expect("yes");
+    state.cordon(NOW, &engine("f"), CordonRequest::Operator, "").expect("accepted");
+    state.uncordon(NOW, &engine("e"), Cause::Operator).expect("accepted");
     state.expire(NOW + TOMBSTONE_RETENTION);
     assert_eq!(state.sizes(), CordonSizes { active_cordons: 1, tombstones: 1, known_ids: 2 });
     state.expire(NOW + TOMBSTONE_RETENTION + TimeDelta::from_micros(1));
@@ -186,8 +186,8 @@
     let mut b = state_with(&["e"]);
     let after = |micros: i64| NOW + TimeDelta::from_micros(micros);
     let lease = |seconds: i64| CordonRequest::Fleet { permit: 7, lease_expires_at: after(seconds * SECOND) };
-    a.cordon(NOW, &engine("e"), lease(60), "").expect("yes");
-    b.cordon(after(1), &engine("e"), lease(5), "").expect("yes");
+    a.cordon(NOW, &engine("e"), lease(60), "").expect("accepted");
+    b.cordon(after(1), &engine("e"), lease(5), "").expect("accepted");
     b.expire(after(6 * SECOND));
     assert!(!b.is_engine_cordoned("e"));
     b.merge_records(after(6 * SECOND), &a.export_records());
--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -8,7 +8,7 @@
 //! body    length bytes, protocol buffers
 //! ```
 //!
-//! The header is the same in every format, so that a file of a newer one is told from a damaged file.
+//! The header is the same in every format, so that a file of a newer one is distinguished from a damaged file.
 
 use crate::error::{InvalidState, StateFileError};
 use crate::message::StateFileMessage;
