--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -27,7 +27,7 @@
 
 /// Ten replays in ten processes give the same answers, and the story of a request can be asked for.
 #[test]
-fn a_run_is_recorded_and_replays_the_same_in_every_process() {
+fn recorded_run_replays_identically_in_every_process() {
     let (a, b, dir) = (Paced::start(), Paced::start(), scratch());
     let path = dir.to_str().expect("text");
     let engines = [("s-1", a.address), ("s-2", b.address)];
@@ -75,7 +75,7 @@
 
 /// A crash loses what was not handed over yet, and nothing else.
 #[test]
-fn what_a_crash_cut_off_replays_and_says_so() {
+fn truncated_or_damaged_capture_replays_up_to_the_fault_and_reports_it() {
     let (a, dir) = (Paced::start(), scratch());
     let path = dir.to_str().expect("text");
     let mut program =
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_costs_the_capture_only() {
+fn unusable_capture_folder_does_not_stop_serving() {
     let (a, dir) = (Paced::start(), scratch());
     let file = dir.join("file");
     std::fs::write(&file, "no folder").expect("written");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn bad_recorder_settings_stop_the_start_with_a_plain_message() {
+fn invalid_recorder_settings_are_rejected_at_start() {
     let dir = scratch();
     let (config, recorder) = (dir.join("c.json"), dir.join("r.json5"));
     let text = format!(
@@ -151,7 +151,7 @@
 
 /// Every failure that was made a case stays mended: what each case holds, holds.
 #[test]
-fn every_case_holds() {
+fn every_kept_case_holds_its_rules() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("captures");
     let cases = files(&dir);
     assert!(cases.iter().filter(|c| c.extension().is_some_and(|e| e == "slc")).count() >= 4);
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -36,7 +36,7 @@
 /// Guards the list service against a fleet that hammers it while it refuses: with the cold start, calls
 /// that were refused back off by gRPC's figures (1 s, then 1.6 s); without, they come every 20 to 250 ms.
 #[test]
-fn a_refusing_list_service_is_called_by_backoff_not_in_a_stream() {
+fn refusing_list_service_is_polled_with_backoff() {
     let span = Duration::from_millis(2_500);
     let path = cold_file("{ enabled: true }");
     let cold = calls_while_refused(&["--cold-start", &path], span);
@@ -48,7 +48,7 @@
 
 /// A start with the cold start says once that it is ready, and why.
 #[test]
-fn a_cold_start_says_when_it_is_ready() {
+fn paced_start_logs_when_it_is_ready() {
     let engine = Engine::echo();
     let feed = Feed::start();
     let path = cold_file("{ enabled: true, ready: { link_wait_ms: 300 } }");
@@ -73,7 +73,7 @@
 
 /// Settings that cannot be meant are refused at the start, by name, with exit status 2.
 #[test]
-fn the_cold_starts_settings_are_checked_by_name() {
+fn invalid_startup_settings_are_rejected_by_name() {
     let engine = Engine::echo();
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let config = scratch().join("config.json");
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -106,7 +106,7 @@
 
 /// Twenty calls, each with one event more than the last, one repeated, a half one, and all cut anywhere.
 #[test]
-fn a_feed_may_be_cut_at_any_byte_chunked_or_not() {
+fn feed_split_at_any_byte_is_read_chunked_or_not() {
     let (feed, mut gen) = (Scripted::start(), Gen::from_size_and_seed(64, 9));
     let program = start(&feed);
     for n in 2..22 {
@@ -132,7 +132,7 @@
 
 /// Whatever a feed answers, the next call goes on after the last event read, and the log says why.
 #[test]
-fn a_feed_that_answers_badly_is_called_again() {
+fn feed_with_an_invalid_response_is_polled_again() {
     let feed = Scripted::start();
     let program = start(&feed);
     let long = "x".repeat(2 << 20);
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_start_is_ready_while_the_feeds_port_refuses() {
+fn start_is_ready_while_the_feed_refuses_connections() {
     let engine = Engine::echo();
     is_ready(&confined::config(&[("s-1", engine.address)], Some(refusing()), 1024, SETTINGS));
 }
@@ -55,18 +55,18 @@
 }
 
 #[test]
-fn a_start_is_ready_while_the_feed_never_answers() {
+fn start_is_ready_while_the_feed_never_answers() {
     is_ready_behind(Discovery::Silent);
 }
 
 #[test]
-fn a_start_is_ready_while_the_feed_is_silent_behind_its_head() {
+fn start_is_ready_while_the_feed_sends_only_its_head() {
     is_ready_behind(Discovery::HeadOnly);
 }
 
 /// Connections to these engines wait in the network, and never come up.
 #[test]
-fn a_start_is_ready_while_engines_never_accept() {
+fn start_is_ready_while_engines_never_accept() {
     let late: Vec<Late> = (0..4).map(|_| Late::listen()).collect();
     let ids = ["s-1", "s-2", "s-3", "s-4"];
     let engines: Vec<_> = ids.iter().zip(&late).map(|(id, late)| (*id, late.address)).collect();
@@ -89,7 +89,7 @@
 
 /// Thirty at once, with discovery down and an engine that never accepts: nine in ten within the bound.
 #[test]
-fn thirty_starts_at_once_are_ready() {
+fn thirty_simultaneous_starts_are_ready() {
     let (engine, late) = (Engine::echo(), Late::listen());
     let engines = [("s-1", engine.address), ("s-2", late.address)];
     let config = confined::config(&engines, Some(refusing()), 1024, SETTINGS);
@@ -112,7 +112,7 @@
 
 /// Killed outright under its clients, and started again under the same address, over and over.
 #[test]
-fn a_restart_under_the_same_address_is_ready() {
+fn restart_on_the_same_address_is_ready() {
     let engine = Engine::echo();
     let config = confined::config(&[("s-1", engine.address)], Some(refusing()), 1024, SETTINGS);
     let (mut program, _) = start(&config, OPTIONS[0]);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_said_with_file_and_path_and_ends_with_2() {
+fn unusable_file_is_reported_by_name_with_exit_status_2() {
     let dir = scratch();
     let put = |name: &str, bytes: &[u8]| {
         let path = dir.join(name);
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -90,7 +90,7 @@
 
 /// Guards the rule on drains: one byte now and then kept a call that told nothing for ever.
 #[test]
-fn a_watch_that_only_trickles_is_called_again() {
+fn watch_that_only_trickles_is_polled_again() {
     let feed = Watched::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
@@ -109,7 +109,7 @@
 
 /// Guards the rule on drains: a call that nobody answers costs no more than the time of one head.
 #[test]
-fn a_silent_watch_and_a_silent_call_after_it_are_both_given_up() {
+fn silent_watch_and_silent_poll_after_it_are_both_cancelled() {
     let feed = Watched::start();
     let program = start(&feed);
     let (_, silent) = feed.answer(": here\n\n");
@@ -129,7 +129,7 @@
 
 /// Guards the rule on drains: a feed that counts from 1 again was never heard any more.
 #[test]
-fn numbers_that_begin_anew_are_followed() {
+fn restarted_event_numbering_is_followed() {
     let feed = Watched::start();
     let program = start(&feed);
     let (_, first) = feed.answer(told(40, "s-2", "ready"));
@@ -160,7 +160,7 @@
 /// Guards the rule on drains: an event out of its turn was taken for a repeat. It counts for engines of which nothing
 /// later was said, and for no others.
 #[test]
-fn an_event_that_comes_late_is_heeded_where_nothing_later_was_said() {
+fn late_event_applies_where_no_later_one_was_received() {
     let feed = Watched::start();
     let program = start(&feed);
     let both = list(3, false, &[("s-1", nowhere(), "draining"), ("s-2", nowhere(), "ready")]);
@@ -177,7 +177,7 @@
 /// Guards against engines that are gone and come back with an old event: a list that names nobody, told twice, is no new
 /// numbering.
 #[test]
-fn a_list_that_names_nobody_begins_no_new_numbering() {
+fn empty_list_starts_no_new_numbering() {
     let feed = Watched::start();
     let program = start(&feed);
     let (ready, gone, none) =
@@ -195,7 +195,7 @@
 /// Guards the rule on drains: the number in an event's data, where it was not the event's own, let all that came after
 /// pass.
 #[test]
-fn an_event_counts_under_its_own_number() {
+fn event_counts_under_its_own_number() {
     let feed = Watched::start();
     let program = start(&feed);
     let other = sent(
@@ -226,7 +226,7 @@
 
 /// Guards the rule on drains: one number that no feed counts up to let all that came after pass.
 #[test]
-fn a_number_that_no_feed_counts_to_passes_nothing_over() {
+fn implausible_event_number_skips_nothing() {
     let feed = Watched::start();
     let program = start(&feed);
     // It is asked for anew three times, and then passed over; what it is about plays no part.
@@ -245,7 +245,7 @@
 /// Guards the rule on drains: two bad events in one answer started each other's count anew, and nothing behind them
 /// was ever read.
 #[test]
-fn two_events_that_cannot_be_read_are_both_passed_over_in_the_end() {
+fn two_unreadable_events_are_both_skipped_in_the_end() {
     let feed = Watched::start();
     let program = start(&feed);
     let bad = format!("data: {{\n\n{}{}", sent(2, "{"), told(3, "s-1", "draining"));
@@ -258,7 +258,7 @@
 /// Guards the rule on drains: an event too long to be read came again with every call, and nothing behind it was ever
 /// read.
 #[test]
-fn an_event_that_is_too_long_is_passed_over_in_the_end() {
+fn oversized_event_is_skipped_in_the_end() {
     let feed = Watched::start();
     let program = start(&feed);
     let long = "x".repeat((1 << 20) + 10);
@@ -295,7 +295,7 @@
 /// Guards the rule on drains: a whole list that leaves an engine out ends it, and what waited for a connection to it
 /// went out seconds later.
 #[test]
-fn what_a_whole_list_leaves_out_gets_nothing_new() {
+fn engine_missing_from_a_full_list_gets_no_new_requests() {
     let (feed, late, next) = (Watched::start(), Late::listen(), Engine::echo());
     let program = Program::with_operators(&[("s-1", late.address)], None, SETTINGS);
     let operators = program.operators.expect("an address");
@@ -316,7 +316,7 @@
 
 /// Guards the rule on drains: of two words on one engine in one list the later counted, whichever it was.
 #[test]
-fn of_two_words_on_an_engine_in_one_list_the_cautious_one_counts() {
+fn more_cautious_of_two_entries_for_one_engine_counts() {
     let (feed, engine, next) = (Watched::start(), Engine::echo(), Engine::echo());
     let program = Program::start(&[("s-1", engine.address)], None, None);
     program.reload(&program.config_with_feed(feed.address));
@@ -338,7 +338,7 @@
 
 /// Guards the rule on drains: half an event of the old feed must neither count nor be told twice.
 #[test]
-fn a_feed_that_moves_with_half_an_event_in_hand_tells_it_from_the_new_one() {
+fn half_an_event_of_the_old_feed_is_not_joined_with_the_new_one() {
     let (old, new) = (Watched::start(), Watched::start());
     let program = start(&old);
     let drain = told(3, "s-1", "draining");
@@ -394,7 +394,7 @@
 
 /// Guards moves that follow on each other: while one file is read the next is put in its place, and that one counts.
 #[test]
-fn a_hang_up_while_the_file_is_read_is_heeded_after_it() {
+fn sighup_during_a_reload_causes_another_reload() {
     let (old, new) = (Watched::start(), Watched::start());
     let program = Program::start(&[("s-1", nowhere())], None, None);
     let (first, second) = (program.config_with_feed(old.address), program.config_with_feed(new.address));
@@ -418,7 +418,7 @@
 
 /// Guards the stop: a file that cannot be read to its end held the process up when all was answered.
 #[test]
-fn a_stop_does_not_wait_for_a_configuration_that_is_being_read() {
+fn stop_does_not_wait_for_a_reload_in_progress() {
     let mut program = Program::start(&[("s-1", nowhere())], None, None);
     let held = Held::hold(&program);
     let reader = held.reader();
@@ -431,7 +431,7 @@
 
 /// Guards the feed against a file that names none: the old one stays.
 #[test]
-fn a_file_whose_feed_is_no_address_moves_nothing() {
+fn reload_with_an_invalid_feed_address_changes_nothing() {
     let feed = Watched::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
