--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -2,23 +2,25 @@
 //! over; a thread of its own compresses and writes. The serving path never waits: what does not fit is lost,
 //! counted, and ends the segment.
 
-use crate::frame::{self, Kind};
+mod store;
+mod writer;
+
+pub use store::{Folder, Store, SUFFIX};
+
 use crate::identity;
 use crate::pb;
-use crate::ring::{evict, Limits, Ring, Verdict};
+use crate::ring::{Ring, Verdict};
 use crate::settings::{Answers, Settings};
 use crate::wire;
 use prost::Message;
-use sprucelink_policy::Policy;
-use sprucelink_policy::{Action, Event, TimeDelta, Timestamp};
-use std::io::{self, Write};
-use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
+use sprucelink_policy::{Action, Event, Policy, TimeDelta, Timestamp};
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use tracing::{info, warn};
+use writer::{Job, Shared, Writer};
 
 /// Records go to the writer in blocks of about this size: small enough to be soon on disk, large enough to
 /// compress well.
@@ -26,119 +28,11 @@
 /// Blocks that wait for the writer, besides the bound in bytes: each is some kilobytes at least but for those
 /// that time flushes, of which a writer that stands still for ten seconds is given fifty.
 const SLOTS: usize = 256;
-/// Fast, and records still shrink to a fifth.
-const LEVEL: i32 = 1;
 /// At the end the writer is given so long for what is in its queue; a disk that hangs must not hold up the stop.
 const CLOSE: Duration = Duration::from_secs(2);
-/// How the ring's files end.
-pub const SUFFIX: &str = ".slc";
 /// Protobuf's key of field 1, length-delimited: `Block.records`.
 const RECORDS: u8 = 0x0a;
 
-/// Where a ring's files are kept: a seam, so that tests can make every call fail.
-pub trait Store: Send {
-    /// Files of the ring, oldest first: name, bytes, Unix microseconds of the last write.
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>>;
-    /// Begins a file; what is appended goes to it from now on.
-    fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Appends to the file begun last.
-    fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts the file begun last back to a length.
-    fn cut(&mut self, len: u64) -> io::Result<()>;
-    /// Removes a file.
-    fn remove(&mut self, name: &str) -> io::Result<()>;
-}
-
-/// Files in a folder.
-pub struct Folder {
-    dir: PathBuf,
-    file: Option<std::fs::File>,
-}
-
-impl Folder {
-    /// A folder, which is made if it does not exist when the first file is begun.
-    pub fn new(dir: &Path) -> Folder {
-        Folder { dir: dir.to_owned(), file: None }
-    }
-}
-
-fn unix(t: std::time::SystemTime) -> Timestamp {
-    Timestamp::from_micros(t.duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_micros() as i64)
-}
-
-impl Store for Folder {
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>> {
-        let mut all = Vec::new();
-        for entry in std::fs::read_dir(&self.dir)? {
-            let entry = entry?;
-            let name = entry.file_name().to_string_lossy().into_owned();
-            let meta = entry.metadata()?;
-            if name.ends_with(SUFFIX) && meta.is_file() {
-                all.push((name, meta.len(), unix(meta.modified()?)));
-            }
-        }
-        // Names begin with the time, at full width.
-        all.sort();
-        Ok(all)
-    }
-    fn create(&mut self, name: &str) -> io::Result<()> {
-        std::fs::create_dir_all(&self.dir)?;
-        self.file = Some(std::fs::File::create_new(self.dir.join(name))?);
-        Ok(())
-    }
-    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.file.as_mut().map_or_else(|| Err(io::ErrorKind::NotFound.into()), |f| f.write_all(bytes))
-    }
-    fn cut(&mut self, len: u64) -> io::Result<()> {
-        self.file.as_mut().map_or(Ok(()), |f| f.set_len(len))
-    }
-    fn remove(&mut self, name: &str) -> io::Result<()> {
-        std::fs::remove_file(self.dir.join(name))
-    }
-}
-
-/// What the writer is handed.
-enum Job {
-    /// The module's copy is written down by the writer: that takes ten times as long as the copy, and grows to
-    /// milliseconds with hundreds of engines.
-    Begin {
-        name: String,
-        now: Timestamp,
-        head: Vec<u8>,
-        module: Box<Policy>,
-        engines: Vec<pb::Numbered>,
-        tail: Option<pb::Tail>,
-    },
-    Block {
-        bytes: Vec<u8>,
-        events: u64,
-    },
-    End(pb::Tail),
-}
-
-impl Job {
-    fn bytes(&self) -> u64 {
-        match self {
-            Job::Begin { head, module, .. } => head.len() as u64 + module.footprint(),
-            Job::Block { bytes, .. } => bytes.len() as u64,
-            Job::End(_) => 0,
-        }
-    }
-}
-
-/// What both sides see of each other.
-#[derive(Default)]
-struct Shared {
-    queued: AtomicU64,
-    /// The writer could not write: the segment is over.
-    broken: AtomicBool,
-    /// Events that the writer lost and the recorder has not heard of yet.
-    lost: AtomicU64,
-    written: AtomicU64,
-    segments: AtomicU64,
-    all_lost: AtomicU64,
-}
-
 /// Counters of a recorder, since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
@@ -372,96 +266,3 @@
         }
     }
 }
-
-/// The writer's thread.
-struct Writer {
-    store: Box<dyn Store>,
-    limits: Limits,
-    shared: Arc<Shared>,
-    /// Bytes of the file that is open.
-    open: Option<u64>,
-}
-
-impl Writer {
-    fn run(mut self, jobs: &Receiver<Job>) {
-        for job in jobs {
-            let bytes = job.bytes();
-            match job {
-                Job::Begin { name, now, head, module, engines, tail } => {
-                    if let Some(tail) = tail.filter(|_| self.open.is_some()) {
-                        let done = self.frame(Kind::Tail, &tail.encode_to_vec());
-                        self.check(done, 0);
-                    }
-                    let state = rmp_serde::to_vec_named(&*module).map_err(io::Error::other);
-                    let done = state.and_then(|state| {
-                        let point = pb::Checkpoint { at_us: now.as_micros(), state, engines };
-                        self.begin(&name, now, &head, &point.encode_to_vec())
-                    });
-                    self.check(done, 0);
-                }
-                Job::Block { bytes, events } => {
-                    let done = match self.open {
-                        Some(_) => self.packed(Kind::Block, &bytes),
-                        None => Err(io::Error::other("no segment is open")),
-                    };
-                    self.check(done, events);
-                }
-                Job::End(tail) if self.open.is_some() => {
-                    let done = self.frame(Kind::Tail, &tail.encode_to_vec());
-                    self.check(done, 0);
-                }
-                Job::End(_) => {}
-            }
-            self.shared.queued.fetch_sub(bytes, Ordering::Relaxed);
-        }
-    }
-
-    fn begin(&mut self, name: &str, now: Timestamp, head: &[u8], checkpoint: &[u8]) -> io::Result<()> {
-        self.open = None;
-        // A folder that is not there yet holds nothing to let go.
-        let files = self.store.list().unwrap_or_default();
-        let sizes: Vec<(u64, Timestamp)> = files.iter().map(|f| (f.1, f.2)).collect();
-        for (old, ..) in &files[..evict(&self.limits, &sizes, self.limits.segment_bytes, now)] {
-            self.store.remove(old)?;
-        }
-        self.store.create(name)?;
-        self.open = Some(0);
-        self.frame(Kind::Head, head)?;
-        self.packed(Kind::Checkpoint, checkpoint)?;
-        self.shared.segments.fetch_add(1, Ordering::Relaxed);
-        info!(segment = name, "capture: segment {name} begun");
-        Ok(())
-    }
-
-    fn packed(&mut self, kind: Kind, body: &[u8]) -> io::Result<()> {
-        let packed = zstd::bulk::compress(body, LEVEL)?;
-        self.frame(kind, &packed)
-    }
-
-    fn frame(&mut self, kind: Kind, body: &[u8]) -> io::Result<()> {
-        let mut out = Vec::with_capacity(frame::HEADER + body.len());
-        if !frame::write(&mut out, kind, body) {
-            return Err(io::Error::other("a frame longer than any may be"));
-        }
-        self.store.append(&out)?;
-        self.open = self.open.map(|len| len + out.len() as u64);
-        self.shared.written.fetch_add(out.len() as u64, Ordering::Relaxed);
-        Ok(())
-    }
-
-    /// After an error the file is cut back to its last whole frame, so that a full disk leaves no half one, and
-    /// the segment is over. The first loss of a run is said; counters tell of the others.
-    fn check(&mut self, done: io::Result<()>, events: u64) {
-        let Err(why) = done else { return };
-        if let Some(len) = self.open.take() {
-            let cut = self.store.cut(len);
-            let left = if cut.is_err() { ", and half a record stays behind" } else { "" };
-            warn!("capture: not written, the segment ends here{left}: {why}");
-        } else if !self.shared.broken.load(Ordering::Relaxed) {
-            warn!("capture: not written: {why}");
-        }
-        self.shared.lost.fetch_add(events, Ordering::Relaxed);
-        self.shared.all_lost.fetch_add(events, Ordering::Relaxed);
-        self.shared.broken.store(true, Ordering::Relaxed);
-    }
-}
