--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -71,7 +71,7 @@
 /// A segment that cannot be written as a file.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// A frame would be longer than [`crate::frame::MOST_BODY`].
+    /// A frame would be longer than [`crate::frame::MAX_BODY_BYTES`].
     #[error("a frame longer than any may be")]
     FrameTooLong,
     /// A frame cannot be compressed.
--- a/crates/capture/src/frame.rs
+++ b/crates/capture/src/frame.rs
@@ -1,131 +1,133 @@
-//! Frames of a capture file, sans-io: a mark, a length, a kind, a checksum, and a body.
+//! The frames of a capture file: magic bytes, length, kind, checksum and body. Nothing here does input or output.
 //!
 //! ```text
-//! mark  4 bytes  "SLF1"
-//! len   4 bytes  of the body, little endian, at most MOST_BODY
+//! magic 4 bytes  "SLF1"
+//! len   4 bytes  of the body, little endian, at most MAX_BODY_BYTES
 //! kind  4 bytes  1 head, 2 checkpoint, 3 block, 4 tail
 //! crc   4 bytes  CRC-32 (IEEE) of len, kind and body
 //! body  len bytes
 //! ```
 //!
-//! A file is frames one behind the other, so files laid behind one another are a file, too. Behind damage
-//! a reader searches for the next mark under which a whole frame stands.
+//! A file is a sequence of frames, so concatenated files are a file, too. After damage a reader searches for the next
+//! intact frame ([`find_frame`]).
 
-/// Begins every frame.
-pub const MARK: [u8; 4] = *b"SLF1";
-/// Bytes before a frame's body.
-pub const HEADER: usize = 16;
-/// Longest body. A state of 5,000 engines and 20,000 requests is under 10 MB before compression; what says
-/// it is longer is damage, and is not believed.
-pub const MOST_BODY: usize = 32 << 20;
+/// The first bytes of every frame.
+pub const MAGIC: [u8; 4] = *b"SLF1";
+/// Length of a frame's header, in bytes.
+pub const HEADER_BYTES: usize = 16;
+/// Longest body, in bytes. The state of a policy with 5,000 engines and 20,000 requests is under 10 MB before
+/// compression; a longer length in a file counts as damage.
+pub const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// What a frame's body is.
+/// What the body of a frame is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Begins a segment.
+pub enum FrameKind {
+    /// The head of a segment ([`crate::pb::Head`]).
     Head,
-    /// The module's state, once, behind the head.
+    /// The state of the policy ([`crate::pb::Checkpoint`]), compressed; once, after the head.
     Checkpoint,
-    /// Records.
+    /// Records ([`crate::pb::Block`]), compressed.
     Block,
-    /// Ends a segment that was closed in order.
+    /// The end of a segment that was closed in order ([`crate::pb::Tail`]).
     Tail,
 }
 
-const KINDS: [Kind; 4] = [Kind::Head, Kind::Checkpoint, Kind::Block, Kind::Tail];
+const FRAME_KINDS: [FrameKind; 4] =
+    [FrameKind::Head, FrameKind::Checkpoint, FrameKind::Block, FrameKind::Tail];
 
-/// What stands at a place in a file.
+/// What a file holds at a byte offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found<'a> {
-    /// A whole frame; `end` is the place behind it.
+pub enum FrameRead<'a> {
+    /// An intact frame.
     Frame {
         /// What it is.
-        kind: Kind,
+        kind: FrameKind,
         /// Its body.
         body: &'a [u8],
-        /// The place behind it.
+        /// The offset after it, in bytes.
         end: usize,
     },
-    /// The beginning of a frame that the file ends in: what a crash leaves.
-    Cut,
-    /// No frame: damage.
-    Damage(&'static str),
-    /// The file ends here.
-    End,
+    /// The beginning of a frame at the end of the file: what a crash leaves.
+    Truncated,
+    /// No intact frame, and why.
+    Damaged(&'static str),
+    /// The end of the file.
+    EndOfFile,
 }
 
-/// Appends a frame. Bodies over [`MOST_BODY`] are the caller's fault and give `false`, with nothing written.
-pub fn write(out: &mut Vec<u8>, kind: Kind, body: &[u8]) -> bool {
-    if body.len() > MOST_BODY {
+/// Appends a frame. A body longer than [`MAX_BODY_BYTES`] gives `false`, and nothing is written.
+pub fn append_frame(out: &mut Vec<u8>, kind: FrameKind, body: &[u8]) -> bool {
+    if body.len() > MAX_BODY_BYTES {
         return false;
     }
-    let place = KINDS.iter().position(|k| *k == kind).unwrap_or(0) as u32 + 1;
-    let (len, kind) = ((body.len() as u32).to_le_bytes(), place.to_le_bytes());
-    out.extend_from_slice(&MARK);
+    let number = FRAME_KINDS.iter().position(|k| *k == kind).unwrap_or(0) as u32 + 1;
+    let len = (body.len() as u32).to_le_bytes();
+    let kind = number.to_le_bytes();
+    out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&len);
     out.extend_from_slice(&kind);
-    out.extend_from_slice(&sum(&len, &kind, body).to_le_bytes());
+    out.extend_from_slice(&checksum(&len, &kind, body).to_le_bytes());
     out.extend_from_slice(body);
     true
 }
 
-fn sum(len: &[u8], kind: &[u8], body: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    [len, kind, body].iter().for_each(|part| sum.update(part));
-    sum.finalize()
+fn checksum(len: &[u8], kind: &[u8], body: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    [len, kind, body].iter().for_each(|part| hasher.update(part));
+    hasher.finalize()
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
     bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes)
 }
 
-/// Reads what stands at a place of a whole file.
-pub fn read(bytes: &[u8], at: usize) -> Found<'_> {
+/// Reads the frame at a byte offset of a file that is held whole.
+pub fn read_frame(bytes: &[u8], at: usize) -> FrameRead<'_> {
     let rest = bytes.get(at..).unwrap_or_default();
     if rest.is_empty() {
-        return Found::End;
+        return FrameRead::EndOfFile;
     }
-    let marked = rest.len().min(MARK.len());
-    if rest[..marked] != MARK[..marked] {
-        return Found::Damage("no frame begins here");
+    let available = rest.len().min(MAGIC.len());
+    if rest[..available] != MAGIC[..available] {
+        return FrameRead::Damaged("no frame begins here");
     }
-    if rest.len() < HEADER {
-        return Found::Cut;
+    if rest.len() < HEADER_BYTES {
+        return FrameRead::Truncated;
     }
-    let len = word(rest, 4) as usize;
-    if len > MOST_BODY {
-        return Found::Damage("the length is more than any frame has");
+    let len = read_u32(rest, 4) as usize;
+    if len > MAX_BODY_BYTES {
+        return FrameRead::Damaged("the length is more than any frame has");
     }
-    let Some(kind) = (word(rest, 8) as usize).checked_sub(1).and_then(|k| KINDS.get(k)) else {
-        return Found::Damage("the kind is not known");
+    let Some(kind) = (read_u32(rest, 8) as usize).checked_sub(1).and_then(|k| FRAME_KINDS.get(k)) else {
+        return FrameRead::Damaged("the kind is not known");
     };
-    let Some(body) = rest.get(HEADER..HEADER + len) else {
-        // Guards against a length that was damaged and reaches over all that follows: a later mark that a
-        // whole frame stands under shows that the file was not cut here.
-        return match next(bytes, at + 1) {
-            Some(_) => Found::Damage("the length reaches over what follows"),
-            None => Found::Cut,
+    let Some(body) = rest.get(HEADER_BYTES..HEADER_BYTES + len) else {
+        // A damaged length may reach beyond the end of the file: an intact frame after it shows that the file was
+        // not truncated here.
+        return match find_frame(bytes, at + 1) {
+            Some(_) => FrameRead::Damaged("the length reaches over what follows"),
+            None => FrameRead::Truncated,
         };
     };
-    if sum(&rest[4..8], &rest[8..12], body) != word(rest, 12) {
-        return Found::Damage("the checksum does not match");
+    if checksum(&rest[4..8], &rest[8..12], body) != read_u32(rest, 12) {
+        return FrameRead::Damaged("the checksum does not match");
     }
-    Found::Frame { kind: *kind, body, end: at + HEADER + len }
+    FrameRead::Frame { kind: *kind, body, end: at + HEADER_BYTES + len }
 }
 
-/// The next place from `from` on at which a whole frame stands.
-pub fn next(bytes: &[u8], from: usize) -> Option<usize> {
+/// The offset of the next intact frame at or after `from`, in bytes.
+pub fn find_frame(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
-    while let Some(hit) = bytes.get(at..).and_then(|b| b.windows(MARK.len()).position(|w| w == MARK)) {
+    while let Some(hit) = bytes.get(at..).and_then(|b| b.windows(MAGIC.len()).position(|w| w == MAGIC)) {
         at += hit;
-        let len = word(bytes, at + 4) as usize;
-        let body = bytes.get(at + HEADER..(at + HEADER).saturating_add(len.min(MOST_BODY)));
-        let whole = len <= MOST_BODY
-            && bytes.len() >= at + HEADER + len
+        let len = read_u32(bytes, at + 4) as usize;
+        let body = bytes.get(at + HEADER_BYTES..(at + HEADER_BYTES).saturating_add(len.min(MAX_BODY_BYTES)));
+        let is_intact = len <= MAX_BODY_BYTES
+            && bytes.len() >= at + HEADER_BYTES + len
             && body.is_some_and(|b| {
-                sum(&bytes[at + 4..at + 8], &bytes[at + 8..at + 12], b) == word(bytes, at + 12)
+                checksum(&bytes[at + 4..at + 8], &bytes[at + 8..at + 12], b) == read_u32(bytes, at + 12)
             });
-        if whole {
+        if is_intact {
             return Some(at);
         }
         at += 1;
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,7 +1,7 @@
 //! Reads captures back, a segment at a time: what is whole is used, what is damaged is named with its place.
 
 use crate::error::{ParseError, ReadError, StateError, WriteError};
-use crate::frame::{self, Found, Kind};
+use crate::frame::{self, FrameKind, FrameRead};
 use crate::identity;
 use crate::pb;
 use crate::recorder::SUFFIX;
@@ -161,23 +161,23 @@
     let mut open: Option<Open> = None;
     let mut at = 0;
     loop {
-        match frame::read(bytes, at) {
-            Found::End => {
+        match frame::read_frame(bytes, at) {
+            FrameRead::EndOfFile => {
                 close(&mut out, open.take(), End::Cut { within: false });
                 break;
             }
-            Found::Cut => {
+            FrameRead::Truncated => {
                 close(&mut out, open.take(), End::Cut { within: true });
                 break;
             }
-            Found::Damage(why) => {
+            FrameRead::Damaged(why) => {
                 damage(&mut out, open.take(), at, why);
-                match frame::next(bytes, at + 1) {
+                match frame::find_frame(bytes, at + 1) {
                     Some(next) => at = next,
                     None => break,
                 }
             }
-            Found::Frame { kind, body, end } => {
+            FrameRead::Frame { kind, body, end } => {
                 match take(&mut out, &mut open, kind, body, (path, at)) {
                     Ok(()) => {}
                     Err(Fault::Newer(format)) => {
@@ -239,12 +239,12 @@
 fn take(
     out: &mut Contents,
     open: &mut Option<Open>,
-    kind: Kind,
+    kind: FrameKind,
     body: &[u8],
     (path, offset): (&Path, usize),
 ) -> Result<(), Fault> {
     match kind {
-        Kind::Head => {
+        FrameKind::Head => {
             close(out, open.take(), End::Cut { within: false });
             let head = pb::Head::decode(body).map_err(bad)?;
             if head.format == 0 {
@@ -255,7 +255,7 @@
             }
             *open = Some(Open { head, offset, segment: None });
         }
-        Kind::Checkpoint => {
+        FrameKind::Checkpoint => {
             let Some(open) = open.as_mut().filter(|o| o.segment.is_none()) else {
                 return Err(bad("a checkpoint without its head"));
             };
@@ -271,7 +271,7 @@
                 end: End::Cut { within: false },
             });
         }
-        Kind::Block => {
+        FrameKind::Block => {
             // Behind damage there is no open segment: blocks up to the next head are of no use.
             let Some(open) = open.as_mut() else { return Ok(()) };
             let Some(segment) = &mut open.segment else { return Err(bad("records without a checkpoint")) };
@@ -281,7 +281,7 @@
                 segment.records.push(one(record, at, segment.head.whole_answers)?);
             }
         }
-        Kind::Tail => {
+        FrameKind::Tail => {
             let tail = pb::Tail::decode(body).map_err(bad)?;
             let held = open.as_ref().and_then(|o| o.segment.as_ref()).map(|s| s.records.len() as u64);
             if held.is_some_and(|n| n != tail.records) {
@@ -314,15 +314,15 @@
     let mut out = Vec::new();
     let pack = |body: Vec<u8>| zstd::bulk::compress(&body, 19).map_err(WriteError::Compression);
     let mut frame = |kind, body: &[u8]| {
-        let written = frame::write(&mut out, kind, body);
+        let written = frame::append_frame(&mut out, kind, body);
         written.then_some(()).ok_or(WriteError::FrameTooLong)
     };
-    frame(Kind::Head, &pb::Head { whole_answers: true, ..segment.head.clone() }.encode_to_vec())?;
+    frame(FrameKind::Head, &pb::Head { whole_answers: true, ..segment.head.clone() }.encode_to_vec())?;
     let number =
         |(id, number): &(String, u32)| pb::Numbered { id: id.clone(), number: *number, freed: false };
     let engines = segment.engines.iter().map(number).collect();
     let point = pb::Checkpoint { at_us: segment.at.as_micros(), state: segment.state.clone(), engines };
-    frame(Kind::Checkpoint, &pack(point.encode_to_vec())?)?;
+    frame(FrameKind::Checkpoint, &pack(point.encode_to_vec())?)?;
     let mut last = segment.at;
     let mut records = Vec::with_capacity(segment.records.len());
     for r in &segment.records {
@@ -343,7 +343,7 @@
         records.push(pb::Record { after_us, what: Some(what), actions, count, digest: 0, unanswered });
     }
     let count = records.len() as u64;
-    frame(Kind::Block, &pack(pb::Block { records }.encode_to_vec())?)?;
-    frame(Kind::Tail, &pb::Tail { records: count, lost: 0 }.encode_to_vec())?;
+    frame(FrameKind::Block, &pack(pb::Block { records }.encode_to_vec())?)?;
+    frame(FrameKind::Tail, &pb::Tail { records: count, lost: 0 }.encode_to_vec())?;
     Ok(out)
 }
--- a/crates/capture/src/recorder/writer.rs
+++ b/crates/capture/src/recorder/writer.rs
@@ -1,7 +1,7 @@
 //! The writer's thread: compresses what the recorder hands over, and appends it to the files of the ring.
 
 use super::store::Store;
-use crate::frame::{self, Kind};
+use crate::frame::{self, FrameKind};
 use crate::pb;
 use crate::ring::{evict, Limits};
 use prost::Message;
@@ -74,7 +74,7 @@
             match job {
                 Job::Begin { name, now, head, module, engines, tail } => {
                     if let Some(tail) = tail.filter(|_| self.open.is_some()) {
-                        let done = self.frame(Kind::Tail, &tail.encode_to_vec());
+                        let done = self.frame(FrameKind::Tail, &tail.encode_to_vec());
                         self.check(done, 0);
                     }
                     let state = rmp_serde::to_vec_named(&*module).map_err(io::Error::other);
@@ -86,13 +86,13 @@
                 }
                 Job::Block { bytes, events } => {
                     let done = match self.open {
-                        Some(_) => self.packed(Kind::Block, &bytes),
+                        Some(_) => self.packed(FrameKind::Block, &bytes),
                         None => Err(io::Error::other("no segment is open")),
                     };
                     self.check(done, events);
                 }
                 Job::End(tail) if self.open.is_some() => {
-                    let done = self.frame(Kind::Tail, &tail.encode_to_vec());
+                    let done = self.frame(FrameKind::Tail, &tail.encode_to_vec());
                     self.check(done, 0);
                 }
                 Job::End(_) => {}
@@ -111,21 +111,21 @@
         }
         self.store.create(name)?;
         self.open = Some(0);
-        self.frame(Kind::Head, head)?;
-        self.packed(Kind::Checkpoint, checkpoint)?;
+        self.frame(FrameKind::Head, head)?;
+        self.packed(FrameKind::Checkpoint, checkpoint)?;
         self.shared.segments.fetch_add(1, Ordering::Relaxed);
         info!(segment = name, "capture: segment {name} begun");
         Ok(())
     }
 
-    fn packed(&mut self, kind: Kind, body: &[u8]) -> io::Result<()> {
+    fn packed(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
         let packed = zstd::bulk::compress(body, LEVEL)?;
         self.frame(kind, &packed)
     }
 
-    fn frame(&mut self, kind: Kind, body: &[u8]) -> io::Result<()> {
-        let mut out = Vec::with_capacity(frame::HEADER + body.len());
-        if !frame::write(&mut out, kind, body) {
+    fn frame(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
+        let mut out = Vec::with_capacity(frame::HEADER_BYTES + body.len());
+        if !frame::append_frame(&mut out, kind, body) {
             return Err(io::Error::other("a frame longer than any may be"));
         }
         self.store.append(&out)?;
