--- a/crates/capture/examples/cost.rs
+++ b/crates/capture/examples/cost.rs
@@ -21,11 +21,11 @@
     for (at, event) in events {
         out.clear();
         if let Some(r) = recorder {
-            r.asked(*at, &brain, event, Vec::new);
+            r.record_event(*at, &brain, event, Vec::new);
         }
         brain.handle(*at, event.clone(), &mut out);
         if let Some(r) = recorder {
-            r.answered(&out);
+            r.record_answer(&out);
         }
     }
     began.elapsed().as_secs_f64() * 1e9 / events.len() as f64
@@ -55,7 +55,8 @@
             let (mut alone, mut with) = (Vec::new(), Vec::new());
             for _ in 0..PAIRS {
                 let set = Settings { rate_kb_s: 1_000_000, answers, ..set.clone() };
-                let recorder = Recorder::with(&set, Box::new(Memory::default()), 5, START).expect("a thread");
+                let recorder =
+                    Recorder::with_store(&set, Box::new(Memory::default()), 5, START).expect("a thread");
                 let mut recorder = Some(recorder);
                 alone.push(feed(&module, &events, &mut None));
                 with.push(feed(&module, &events, &mut recorder));
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,15 +1,15 @@
-//! The recorder: on the serving path it puts each event and its answer behind the others and hands them
-//! over; a thread of its own compresses and writes. The serving path never waits: what does not fit is lost,
-//! counted, and ends the segment.
+//! The recorder: on the serving path it appends each event and its answer to a batch and queues full batches; a thread
+//! compresses and writes them. The serving path never waits: records that find no room are dropped and counted, and
+//! end the segment.
 
 mod store;
 mod writer;
 
-pub use store::{Folder, Store, SUFFIX};
+pub use store::{DirectoryStore, SegmentStore, SUFFIX};
 
 use crate::identity;
 use crate::pb;
-use crate::ring::{Ring, Verdict};
+use crate::ring::{BatchDecision, Ring};
 use crate::settings::{Answers, Settings};
 use crate::wire;
 use prost::Message;
@@ -22,43 +22,47 @@
 use std::time::{Duration, Instant};
 use writer::{Job, Shared, Writer};
 
-/// Records go to the writer in blocks of about this size: small enough to be soon on disk, large enough to
-/// compress well.
-const BLOCK: usize = 32 * 1024;
-/// Blocks that wait for the writer, besides the bound in bytes: each is some kilobytes at least but for those
-/// that time flushes, of which a writer that stands still for ten seconds is given fifty.
-const SLOTS: usize = 256;
-/// At the end the writer is given so long for what is in its queue; a disk that hangs must not hold up the stop.
-const CLOSE: Duration = Duration::from_secs(2);
-/// Protobuf's key of field 1, length-delimited: `Block.records`.
-const RECORDS: u8 = 0x0a;
+/// Size of a batch that goes to the writer, in bytes: small enough to be on disk soon, large enough to compress well.
+const BLOCK_BYTES: usize = 32 * 1024;
+/// Jobs that the queue holds, besides its bound in bytes. Blocks that are flushed by time may be small: a writer that
+/// stalls for ten seconds gets fifty of them.
+const MAX_QUEUED_JOBS: usize = 256;
+/// How long the writer may take for its queue at the end: a disk that hangs must not delay the shutdown.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The protobuf key of `Block.records`: field 1, length-delimited.
+const RECORDS_KEY: u8 = 0x0a;
 
-/// Counters of a recorder, since its start.
+/// Counters of a recorder since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
+pub struct RecorderCounters {
     /// Bytes written to files.
     pub bytes: u64,
     /// Segments begun.
     pub segments: u64,
-    /// Events lost: no room in the queue, over the rate, or not written.
+    /// Events lost: the queue was full, the rate exceeded, or a file not written.
     pub lost: u64,
 }
 
-/// Records what the deciding part is told and answers.
+/// Records the events that a policy is given and the actions that it answers with.
 pub struct Recorder {
     ring: Ring,
     answers: Answers,
-    queue: u64,
-    flush: TimeDelta,
+    /// Bound of the queue, in bytes.
+    max_queued_bytes: u64,
+    /// Age at which a batch is queued, full or not.
+    flush_interval: TimeDelta,
+    /// The head of the next segment.
     head: pb::Head,
+    /// Records that are not queued yet, encoded.
     batch: Vec<u8>,
-    events: u64,
-    begun: Timestamp,
-    last: Timestamp,
-    records: u64,
-    /// An event that the module has not answered yet.
-    asked: Option<(Timestamp, pb::record::What)>,
-    /// Used again from record to record.
+    batch_events: u64,
+    batch_begun_at: Timestamp,
+    last_record_at: Timestamp,
+    /// Records queued for the open segment.
+    segment_records: u64,
+    /// An event that the policy has not answered yet.
+    unanswered: Option<(Timestamp, pb::record::What)>,
+    /// Buffers that are reused from record to record.
     actions: Vec<pb::Action>,
     scratch: Vec<u8>,
     shared: Arc<Shared>,
@@ -66,41 +70,53 @@
 }
 
 impl Recorder {
-    /// A recorder into a folder, for a module that started at `born` with `seed`.
-    pub fn start(set: &Settings, seed: u64, born: Timestamp) -> io::Result<Recorder> {
-        Recorder::with(set, Box::new(Folder::new(&set.dir)), seed, born)
+    /// Starts a recorder into the directory of the settings, for a policy that started at `started_at` with `seed`.
+    ///
+    /// # Errors
+    /// The writer's thread cannot be started.
+    pub fn start(settings: &Settings, seed: u64, started_at: Timestamp) -> io::Result<Recorder> {
+        Recorder::with_store(settings, Box::new(DirectoryStore::new(&settings.dir)), seed, started_at)
     }
 
     /// The same into any store.
-    pub fn with(set: &Settings, store: Box<dyn Store>, seed: u64, born: Timestamp) -> io::Result<Recorder> {
-        let (shared, limits) = (Arc::<Shared>::default(), set.limits());
-        let (sender, jobs) = sync_channel(SLOTS);
-        let theirs = Arc::clone(&shared);
+    ///
+    /// # Errors
+    /// The writer's thread cannot be started.
+    pub fn with_store(
+        settings: &Settings,
+        store: Box<dyn SegmentStore>,
+        seed: u64,
+        started_at: Timestamp,
+    ) -> io::Result<Recorder> {
+        let shared = Arc::<Shared>::default();
+        let limits = settings.limits();
+        let (sender, jobs) = sync_channel(MAX_QUEUED_JOBS);
+        let writer_shared = Arc::clone(&shared);
         let writer = std::thread::Builder::new()
             .name("capture".into())
-            .spawn(move || Writer { store, limits, shared: theirs, open: None }.run(&jobs))?;
+            .spawn(move || Writer { store, limits, shared: writer_shared, open_length: None }.run(&jobs))?;
         let head = pb::Head {
             format: identity::FORMAT,
             build: identity::build(),
             module: identity::module(),
             floats: identity::floats(),
-            born_us: born.as_micros(),
+            born_us: started_at.as_micros(),
             seed,
-            whole_answers: set.answers == Answers::Whole,
+            whole_answers: settings.answers == Answers::Whole,
             ..pb::Head::default()
         };
         Ok(Recorder {
-            ring: Ring::new(limits, born),
-            answers: set.answers,
-            queue: set.queue_kb * 1024,
-            flush: TimeDelta::from_millis(set.flush_ms as i64),
+            ring: Ring::new(limits, started_at),
+            answers: settings.answers,
+            max_queued_bytes: settings.queue_kb * 1024,
+            flush_interval: TimeDelta::from_millis(settings.flush_ms as i64),
             head,
-            batch: Vec::with_capacity(2 * BLOCK),
-            events: 0,
-            begun: born,
-            last: born,
-            records: 0,
-            asked: None,
+            batch: Vec::with_capacity(2 * BLOCK_BYTES),
+            batch_events: 0,
+            batch_begun_at: started_at,
+            last_record_at: started_at,
+            segment_records: 0,
+            unanswered: None,
             actions: Vec::new(),
             scratch: Vec::new(),
             shared,
@@ -108,23 +124,24 @@
         })
     }
 
-    /// The module is about to be given an event. `engines` gives the numbers of engines, where a segment begins.
-    pub fn asked<'a>(
+    /// Notes an event that the policy is about to be given. `engines` lists the engines' ids and numbers; it is called
+    /// only when a segment begins.
+    pub fn record_event<'a>(
         &mut self,
         now: Timestamp,
-        brain: &Policy,
+        policy: &Policy,
         event: &Event,
         engines: impl FnOnce() -> Vec<(&'a str, u32)>,
     ) {
-        if self.ring.rolls(now) {
-            self.begin(now, brain, engines());
+        if self.ring.is_segment_due(now) {
+            self.begin_segment(now, policy, engines());
         }
-        self.asked = Some((now, wire::event_out(event)));
+        self.unanswered = Some((now, wire::event_out(event)));
     }
 
-    /// The module has answered the event that it was given last.
-    pub fn answered(&mut self, actions: &[Action]) {
-        let Some((now, what)) = self.asked.take() else { return };
+    /// Records the policy's answer to the last event, with the event.
+    pub fn record_answer(&mut self, actions: &[Action]) {
+        let Some((now, what)) = self.unanswered.take() else { return };
         let mut all = std::mem::take(&mut self.actions);
         all.clear();
         all.extend(actions.iter().filter_map(wire::action_out));
@@ -134,23 +151,23 @@
             digest = wire::digest(&all, &mut self.scratch);
             all.clear();
         }
-        self.put(now, what, all, count, digest, false);
+        self.append(now, what, all, count, digest, false);
     }
 
-    /// An engine's id got a number, or gave it back.
-    pub fn numbered(&mut self, now: Timestamp, id: &str, number: u32, freed: bool) {
+    /// Records that an engine was given a number, or that its number was freed.
+    pub fn record_engine_number(&mut self, now: Timestamp, id: &str, number: u32, freed: bool) {
         let what = pb::record::What::Numbered(pb::Numbered { id: id.to_owned(), number, freed });
-        self.put(now, what, Vec::new(), 0, 0, false);
+        self.append(now, what, Vec::new(), 0, 0, false);
     }
 
     /// Counters since the start.
-    pub fn counters(&self) -> Counters {
-        let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        let Shared { written, segments, all_lost, .. } = &*self.shared;
-        Counters { bytes: get(written), segments: get(segments), lost: get(all_lost) }
+    pub fn counters(&self) -> RecorderCounters {
+        let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let Shared { written_bytes, segments, lost_events, .. } = &*self.shared;
+        RecorderCounters { bytes: get(written_bytes), segments: get(segments), lost: get(lost_events) }
     }
 
-    fn put(
+    fn append(
         &mut self,
         now: Timestamp,
         what: pb::record::What,
@@ -159,106 +176,111 @@
         digest: u64,
         unanswered: bool,
     ) {
-        if self.events == 0 {
-            self.begun = now;
+        if self.batch_events == 0 {
+            self.batch_begun_at = now;
         }
-        let after_us = (now - self.last).as_micros();
-        self.last = now;
+        let after_us = (now - self.last_record_at).as_micros();
+        self.last_record_at = now;
         let record = pb::Record { after_us, what: Some(what), actions, count, digest, unanswered };
-        self.batch.push(RECORDS);
-        // A Vec grows as it must: this cannot fail.
+        self.batch.push(RECORDS_KEY);
+        // Cannot fail: a Vec grows as needed.
         let _ = record.encode_length_delimited(&mut self.batch);
         self.actions = record.actions;
-        self.events += 1;
-        if self.batch.len() >= BLOCK || now - self.begun >= self.flush || now < self.begun {
-            self.hand_over(now);
+        self.batch_events += 1;
+        let is_full = self.batch.len() >= BLOCK_BYTES;
+        let is_old = now - self.batch_begun_at >= self.flush_interval;
+        let is_clock_set_back = now < self.batch_begun_at;
+        if is_full || is_old || is_clock_set_back {
+            self.flush(now);
         }
     }
 
-    /// Hands the records in hand to the writer, or loses them.
-    fn hand_over(&mut self, now: Timestamp) {
-        let events = std::mem::take(&mut self.events);
-        if self.shared.broken.swap(false, Ordering::Relaxed) {
-            let lost = self.shared.lost.swap(0, Ordering::Relaxed);
-            self.ring.failed(now, lost);
+    /// Queues the batch for the writer, or drops it.
+    fn flush(&mut self, now: Timestamp) {
+        let events = std::mem::take(&mut self.batch_events);
+        if self.shared.is_segment_failed.swap(false, Ordering::Relaxed) {
+            let lost = self.shared.unreported_lost_events.swap(0, Ordering::Relaxed);
+            self.ring.records_lost(now, lost);
         }
-        let verdict = self.ring.offer(now, self.batch.len() as u64, events);
-        let written = verdict == Verdict::Write && {
-            let bytes = std::mem::replace(&mut self.batch, Vec::with_capacity(2 * BLOCK));
-            self.send(Job::Block { bytes, events })
+        let decision = self.ring.admit(now, self.batch.len() as u64, events);
+        let is_queued = decision == BatchDecision::Write && {
+            let bytes = std::mem::replace(&mut self.batch, Vec::with_capacity(2 * BLOCK_BYTES));
+            self.send(Job::AppendBlock { bytes, events })
         };
         self.batch.clear();
-        if written {
-            self.records += events;
+        if is_queued {
+            self.segment_records += events;
             return;
         }
-        if verdict == Verdict::Write {
-            self.ring.failed(now, events);
+        if decision == BatchDecision::Write {
+            self.ring.records_lost(now, events);
         }
-        self.shared.all_lost.fetch_add(events, Ordering::Relaxed);
+        self.shared.lost_events.fetch_add(events, Ordering::Relaxed);
     }
 
-    /// Queues a job, unless that would take the queue over its bound; a job that is larger than that by itself
-    /// goes into an empty queue.
+    /// Queues a job, unless the queue would exceed its bound. A job that exceeds the bound by itself is accepted by an
+    /// empty queue.
     fn send(&self, job: Job) -> bool {
         let Some((sender, _)) = &self.writer else { return false };
-        let (bytes, queued) = (job.bytes(), self.shared.queued.load(Ordering::Relaxed));
-        if queued > 0 && queued + bytes > self.queue {
+        let bytes = job.queued_bytes();
+        let queued = self.shared.queued_bytes.load(Ordering::Relaxed);
+        if queued > 0 && queued + bytes > self.max_queued_bytes {
             return false;
         }
-        self.shared.queued.fetch_add(bytes, Ordering::Relaxed);
+        self.shared.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         match sender.try_send(job) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                self.shared.queued.fetch_sub(bytes, Ordering::Relaxed);
+                self.shared.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
                 false
             }
         }
     }
 
-    /// Ends the open segment, if there is one, and begins another with the module's whole state.
-    fn begin(&mut self, now: Timestamp, brain: &Policy, engines: Vec<(&str, u32)>) {
-        if self.events > 0 {
-            self.hand_over(now);
+    /// Ends the open segment, if there is one, and begins another with a checkpoint of the policy.
+    fn begin_segment(&mut self, now: Timestamp, policy: &Policy, engines: Vec<(&str, u32)>) {
+        if self.batch_events > 0 {
+            self.flush(now);
         }
         let engines = engines
             .into_iter()
             .map(|(id, number)| pb::Numbered { id: id.to_owned(), number, freed: false })
             .collect();
-        let lost = self.ring.lost();
-        let tail = (self.head.segment > 0).then_some(pb::Tail { records: self.records, lost });
+        let lost = self.ring.lost_events();
+        let tail = (self.head.segment > 0).then_some(pb::Tail { records: self.segment_records, lost });
         self.head.lost_before = lost;
         let head = self.head.encode_to_vec();
-        let module = Box::new(brain.clone());
+        let policy = Box::new(policy.clone());
         let name = format!("{:020}-{:06}{SUFFIX}", now.as_micros().max(0), self.head.segment);
-        if self.send(Job::Begin { name, now, head, module, engines, tail }) {
-            self.ring.begun(now);
-            (self.last, self.records) = (now, 0);
+        if self.send(Job::BeginSegment { name, now, head, policy, engines, tail }) {
+            self.ring.segment_begun(now);
+            self.last_record_at = now;
+            self.segment_records = 0;
             self.head.segment += 1;
         } else {
-            self.ring.failed(now, 0);
+            self.ring.records_lost(now, 0);
         }
     }
 }
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        if let Some((now, what)) = self.asked.take() {
-            // The module did not come back from it: that is the event to look at.
-            self.put(now, what, Vec::new(), 0, 0, true);
+        if let Some((now, what)) = self.unanswered.take() {
+            // The policy panicked on it: that is the event to look at.
+            self.append(now, what, Vec::new(), 0, 0, true);
         }
-        if self.events > 0 {
-            self.hand_over(self.last);
+        if self.batch_events > 0 {
+            self.flush(self.last_record_at);
         }
-        let tail = pb::Tail { records: self.records, lost: self.ring.lost() };
-        // After a panic there is no tail: the segment ends as one that a crash cut off.
+        let tail = pb::Tail { records: self.segment_records, lost: self.ring.lost_events() };
+        // After a panic there is no tail, as after a crash.
         if !std::thread::panicking() {
-            self.send(Job::End(tail));
+            self.send(Job::EndSegment(tail));
         }
         let Some((sender, writer)) = self.writer.take() else { return };
         drop(sender);
-        let end = Instant::now() + CLOSE;
-        while !writer.is_finished() && Instant::now() < end {
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
+        while !writer.is_finished() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(1));
         }
         if writer.is_finished() {
--- a/crates/capture/src/recorder/store.rs
+++ b/crates/capture/src/recorder/store.rs
@@ -1,57 +1,59 @@
-//! Where the files of a ring are kept.
+//! The storage of the recorder's files: a trait, and a directory.
 
+use crate::ring::RingFile;
 use sprucelink_policy::Timestamp;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// How the ring's files end.
+/// The suffix of the names of capture files.
 pub const SUFFIX: &str = ".slc";
 
-/// Where a ring's files are kept: a seam, so that tests can make every call fail.
-pub trait Store: Send {
-    /// Files of the ring, oldest first: name, bytes, Unix microseconds of the last write.
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>>;
-    /// Begins a file; what is appended goes to it from now on.
+/// Stores the files of a ring. A trait, so that tests can make every call fail.
+pub trait SegmentStore: Send {
+    /// The files of the ring, oldest first.
+    fn list(&mut self) -> io::Result<Vec<RingFile>>;
+    /// Creates a file, to which later calls append.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Appends to the file begun last.
+    /// Appends to the file created last.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts the file begun last back to a length.
-    fn cut(&mut self, len: u64) -> io::Result<()>;
+    /// Truncates the file created last to a length in bytes.
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// Files in a folder.
-pub struct Folder {
+/// A directory of capture files.
+pub struct DirectoryStore {
     dir: PathBuf,
     file: Option<std::fs::File>,
 }
 
-impl Folder {
-    /// A folder, which is made if it does not exist when the first file is begun.
-    pub fn new(dir: &Path) -> Folder {
-        Folder { dir: dir.to_owned(), file: None }
+impl DirectoryStore {
+    /// A directory, which is created with the first file if it does not exist.
+    pub fn new(dir: &Path) -> DirectoryStore {
+        DirectoryStore { dir: dir.to_owned(), file: None }
     }
 }
 
-fn unix(t: std::time::SystemTime) -> Timestamp {
-    Timestamp::from_micros(t.duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_micros() as i64)
+fn to_timestamp(time: std::time::SystemTime) -> Timestamp {
+    Timestamp::from_micros(time.duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_micros() as i64)
 }
 
-impl Store for Folder {
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>> {
-        let mut all = Vec::new();
+impl SegmentStore for DirectoryStore {
+    fn list(&mut self) -> io::Result<Vec<RingFile>> {
+        let mut files = Vec::new();
         for entry in std::fs::read_dir(&self.dir)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            let meta = entry.metadata()?;
-            if name.ends_with(SUFFIX) && meta.is_file() {
-                all.push((name, meta.len(), unix(meta.modified()?)));
+            let metadata = entry.metadata()?;
+            if name.ends_with(SUFFIX) && metadata.is_file() {
+                let modified_at = to_timestamp(metadata.modified()?);
+                files.push(RingFile { name, bytes: metadata.len(), modified_at });
             }
         }
-        // Names begin with the time, at full width.
-        all.sort();
-        Ok(all)
+        // Names begin with the time in a fixed width.
+        files.sort();
+        Ok(files)
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
         std::fs::create_dir_all(&self.dir)?;
@@ -59,10 +61,11 @@
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.file.as_mut().map_or_else(|| Err(io::ErrorKind::NotFound.into()), |f| f.write_all(bytes))
+        let Some(file) = &mut self.file else { return Err(io::ErrorKind::NotFound.into()) };
+        file.write_all(bytes)
     }
-    fn cut(&mut self, len: u64) -> io::Result<()> {
-        self.file.as_mut().map_or(Ok(()), |f| f.set_len(len))
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
+        self.file.as_mut().map_or(Ok(()), |file| file.set_len(length))
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
         std::fs::remove_file(self.dir.join(name))
--- a/crates/capture/src/recorder/writer.rs
+++ b/crates/capture/src/recorder/writer.rs
@@ -1,9 +1,9 @@
-//! The writer's thread: compresses what the recorder hands over, and appends it to the files of the ring.
+//! The writer's thread: compresses what the recorder queues and appends it to the files of the ring.
 
-use super::store::Store;
+use super::store::SegmentStore;
 use crate::frame::{self, FrameKind};
 use crate::pb;
-use crate::ring::{evict, Limits};
+use crate::ring::{count_expired, RingLimits};
 use prost::Message;
 use sprucelink_policy::{Policy, Timestamp};
 use std::io;
@@ -12,141 +12,151 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// Fast, and records still shrink to a fifth.
-const LEVEL: i32 = 1;
+/// The zstd level: a fast one, at which records still shrink to a fifth.
+const COMPRESSION_LEVEL: i32 = 1;
 
-/// What the writer is handed.
+/// A job for the writer's thread.
 pub(super) enum Job {
-    /// The module's copy is written down by the writer: that takes ten times as long as the copy, and grows to
-    /// milliseconds with hundreds of engines.
-    Begin {
+    /// Begin a segment, after ending the one before. The copy of the policy is serialized here and not by the
+    /// recorder: that takes ten times as long as copying, milliseconds with hundreds of engines.
+    BeginSegment {
         name: String,
         now: Timestamp,
         head: Vec<u8>,
-        module: Box<Policy>,
+        policy: Box<Policy>,
         engines: Vec<pb::Numbered>,
         tail: Option<pb::Tail>,
     },
-    Block {
-        bytes: Vec<u8>,
-        events: u64,
-    },
-    End(pb::Tail),
+    /// Append a block of records.
+    AppendBlock { bytes: Vec<u8>, events: u64 },
+    /// End the segment.
+    EndSegment(pb::Tail),
 }
 
 impl Job {
-    /// Bytes that it holds while it waits.
-    pub(super) fn bytes(&self) -> u64 {
+    /// The memory that it takes in the queue, in bytes.
+    pub(super) fn queued_bytes(&self) -> u64 {
         match self {
-            Job::Begin { head, module, .. } => head.len() as u64 + module.footprint(),
-            Job::Block { bytes, .. } => bytes.len() as u64,
-            Job::End(_) => 0,
+            Job::BeginSegment { head, policy, .. } => head.len() as u64 + policy.footprint(),
+            Job::AppendBlock { bytes, .. } => bytes.len() as u64,
+            Job::EndSegment(_) => 0,
         }
     }
 }
 
-/// What both sides see of each other.
+/// The state that the recorder and the writer's thread share.
 #[derive(Default)]
 pub(super) struct Shared {
-    pub(super) queued: AtomicU64,
-    /// The writer could not write: the segment is over.
-    pub(super) broken: AtomicBool,
-    /// Events that the writer lost and the recorder has not heard of yet.
-    pub(super) lost: AtomicU64,
-    pub(super) written: AtomicU64,
+    /// Bytes of the jobs in the queue.
+    pub(super) queued_bytes: AtomicU64,
+    /// A write failed, so the segment is over; cleared by the recorder.
+    pub(super) is_segment_failed: AtomicBool,
+    /// Events that the writer lost since the recorder last asked.
+    pub(super) unreported_lost_events: AtomicU64,
+    /// Bytes written to files since the start.
+    pub(super) written_bytes: AtomicU64,
+    /// Segments begun since the start.
     pub(super) segments: AtomicU64,
-    pub(super) all_lost: AtomicU64,
+    /// Events lost since the start.
+    pub(super) lost_events: AtomicU64,
 }
 
-/// The writer's thread.
+/// The writer, which runs on a thread of its own until the recorder closes the queue.
 pub(super) struct Writer {
-    pub(super) store: Box<dyn Store>,
-    pub(super) limits: Limits,
+    pub(super) store: Box<dyn SegmentStore>,
+    pub(super) limits: RingLimits,
     pub(super) shared: Arc<Shared>,
-    /// Bytes of the file that is open.
-    pub(super) open: Option<u64>,
+    /// Length of the open file, in bytes.
+    pub(super) open_length: Option<u64>,
 }
 
 impl Writer {
+    /// Carries out jobs until the queue is closed.
     pub(super) fn run(mut self, jobs: &Receiver<Job>) {
         for job in jobs {
-            let bytes = job.bytes();
+            let queued_bytes = job.queued_bytes();
             match job {
-                Job::Begin { name, now, head, module, engines, tail } => {
-                    if let Some(tail) = tail.filter(|_| self.open.is_some()) {
-                        let done = self.frame(FrameKind::Tail, &tail.encode_to_vec());
-                        self.check(done, 0);
+                Job::BeginSegment { name, now, head, policy, engines, tail } => {
+                    if let Some(tail) = tail.filter(|_| self.open_length.is_some()) {
+                        let result = self.append_frame(FrameKind::Tail, &tail.encode_to_vec());
+                        self.handle_result(result, 0);
                     }
-                    let state = rmp_serde::to_vec_named(&*module).map_err(io::Error::other);
-                    let done = state.and_then(|state| {
-                        let point = pb::Checkpoint { at_us: now.as_micros(), state, engines };
-                        self.begin(&name, now, &head, &point.encode_to_vec())
+                    let state = rmp_serde::to_vec_named(&*policy).map_err(io::Error::other);
+                    let result = state.and_then(|state| {
+                        let checkpoint = pb::Checkpoint { at_us: now.as_micros(), state, engines };
+                        self.begin_segment(&name, now, &head, &checkpoint.encode_to_vec())
                     });
-                    self.check(done, 0);
+                    self.handle_result(result, 0);
                 }
-                Job::Block { bytes, events } => {
-                    let done = match self.open {
-                        Some(_) => self.packed(FrameKind::Block, &bytes),
+                Job::AppendBlock { bytes, events } => {
+                    let result = match self.open_length {
+                        Some(_) => self.append_compressed(FrameKind::Block, &bytes),
                         None => Err(io::Error::other("no segment is open")),
                     };
-                    self.check(done, events);
+                    self.handle_result(result, events);
                 }
-                Job::End(tail) if self.open.is_some() => {
-                    let done = self.frame(FrameKind::Tail, &tail.encode_to_vec());
-                    self.check(done, 0);
+                Job::EndSegment(tail) if self.open_length.is_some() => {
+                    let result = self.append_frame(FrameKind::Tail, &tail.encode_to_vec());
+                    self.handle_result(result, 0);
                 }
-                Job::End(_) => {}
+                Job::EndSegment(_) => {}
             }
-            self.shared.queued.fetch_sub(bytes, Ordering::Relaxed);
+            self.shared.queued_bytes.fetch_sub(queued_bytes, Ordering::Relaxed);
         }
     }
 
-    fn begin(&mut self, name: &str, now: Timestamp, head: &[u8], checkpoint: &[u8]) -> io::Result<()> {
-        self.open = None;
-        // A folder that is not there yet holds nothing to let go.
+    fn begin_segment(
+        &mut self,
+        name: &str,
+        now: Timestamp,
+        head: &[u8],
+        checkpoint: &[u8],
+    ) -> io::Result<()> {
+        self.open_length = None;
+        // A directory that does not exist yet holds nothing to remove.
         let files = self.store.list().unwrap_or_default();
-        let sizes: Vec<(u64, Timestamp)> = files.iter().map(|f| (f.1, f.2)).collect();
-        for (old, ..) in &files[..evict(&self.limits, &sizes, self.limits.segment_bytes, now)] {
-            self.store.remove(old)?;
+        let expired = count_expired(&self.limits, &files, self.limits.segment_bytes, now);
+        for file in &files[..expired] {
+            self.store.remove(&file.name)?;
         }
         self.store.create(name)?;
-        self.open = Some(0);
-        self.frame(FrameKind::Head, head)?;
-        self.packed(FrameKind::Checkpoint, checkpoint)?;
+        self.open_length = Some(0);
+        self.append_frame(FrameKind::Head, head)?;
+        self.append_compressed(FrameKind::Checkpoint, checkpoint)?;
         self.shared.segments.fetch_add(1, Ordering::Relaxed);
         info!(segment = name, "capture: segment {name} begun");
         Ok(())
     }
 
-    fn packed(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
-        let packed = zstd::bulk::compress(body, LEVEL)?;
-        self.frame(kind, &packed)
+    fn append_compressed(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
+        let compressed = zstd::bulk::compress(body, COMPRESSION_LEVEL)?;
+        self.append_frame(kind, &compressed)
     }
 
-    fn frame(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
+    fn append_frame(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
         let mut out = Vec::with_capacity(frame::HEADER_BYTES + body.len());
         if !frame::append_frame(&mut out, kind, body) {
             return Err(io::Error::other("a frame longer than any may be"));
         }
         self.store.append(&out)?;
-        self.open = self.open.map(|len| len + out.len() as u64);
-        self.shared.written.fetch_add(out.len() as u64, Ordering::Relaxed);
+        self.open_length = self.open_length.map(|length| length + out.len() as u64);
+        self.shared.written_bytes.fetch_add(out.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
-    /// After an error the file is cut back to its last whole frame, so that a full disk leaves no half one, and
-    /// the segment is over. The first loss of a run is said; counters tell of the others.
-    fn check(&mut self, done: io::Result<()>, events: u64) {
-        let Err(why) = done else { return };
-        if let Some(len) = self.open.take() {
-            let cut = self.store.cut(len);
-            let left = if cut.is_err() { ", and half a record stays behind" } else { "" };
-            warn!("capture: not written, the segment ends here{left}: {why}");
-        } else if !self.shared.broken.load(Ordering::Relaxed) {
-            warn!("capture: not written: {why}");
+    /// After an error the file is truncated to its last complete frame, so that a full disk leaves no partial one, and
+    /// the segment is over. Only the first of several losses in a row is logged; counters count all.
+    fn handle_result(&mut self, result: io::Result<()>, events: u64) {
+        let Err(error) = result else { return };
+        if let Some(length) = self.open_length.take() {
+            let truncated = self.store.truncate(length);
+            let left = if truncated.is_err() { ", and half a record stays behind" } else { "" };
+            warn!("capture: not written, the segment ends here{left}: {error}");
+        } else if !self.shared.is_segment_failed.load(Ordering::Relaxed) {
+            warn!("capture: not written: {error}");
         }
-        self.shared.lost.fetch_add(events, Ordering::Relaxed);
-        self.shared.all_lost.fetch_add(events, Ordering::Relaxed);
-        self.shared.broken.store(true, Ordering::Relaxed);
+        self.shared.unreported_lost_events.fetch_add(events, Ordering::Relaxed);
+        self.shared.lost_events.fetch_add(events, Ordering::Relaxed);
+        self.shared.is_segment_failed.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -1,55 +1,55 @@
-//! The recorder's settings, in JSON5.
+//! The recorder's settings, in JSON5 (`deploy/capture.json5`; docs/operators/capture.md explains each).
 
 use crate::error::SettingsError;
-use crate::ring::Limits;
+use crate::ring::RingLimits;
 use serde::Deserialize;
 use sprucelink_policy::TimeDelta;
 use std::path::PathBuf;
 
 const MB: u64 = 1 << 20;
 
-/// A capture file's settings as they stand in `deploy/capture.json5`.
+/// The settings of the recorder.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The folder that the ring's files are written to; it is made if it does not exist.
+    /// The folder of the ring's files; created if it does not exist.
     pub dir: PathBuf,
-    /// All files together, in MB: 1 to 1,000,000.
+    /// Size of all files together, in MB: 1 to 1,000,000.
     #[serde(default = "ring_mb")]
     pub ring_mb: u64,
-    /// The oldest goes after so many minutes: 1 to 100,000.
+    /// Age at which a file is removed, in minutes: 1 to 100,000.
     #[serde(default = "ring_minutes")]
     pub ring_minutes: u64,
-    /// A segment ends at so many MB before compression: 1 to 1,024. Shorter segments lose less to damage and cost
-    /// more checkpoints.
+    /// Size at which a segment ends, in MB before compression: 1 to 1,024. Shorter segments lose less to damage and
+    /// cost more checkpoints.
     #[serde(default = "segment_mb")]
     pub segment_mb: u64,
-    /// And after so many seconds: 1 to 86,400.
+    /// Age at which a segment ends, in seconds: 1 to 86,400.
     #[serde(default = "segment_s")]
     pub segment_s: u64,
-    /// Kilobytes of records a second, before compression: 1 to 1,000,000. What is more is a gap.
+    /// Kilobytes of records a second, before compression: 1 to 1,000,000. More is dropped, and leaves a gap.
     #[serde(default = "rate_kb_s")]
     pub rate_kb_s: u64,
-    /// Kilobytes that wait for the writer at most: 64 to 65,536. What is more is a gap.
+    /// Kilobytes queued for the writer's thread at most: 64 to 65,536. More is dropped, and leaves a gap.
     #[serde(default = "queue_kb")]
     pub queue_kb: u64,
-    /// Milliseconds after which records in hand go to the writer, full or not: 10 to 10,000. So much is lost
-    /// with a crash.
+    /// Time after which a batch of records goes to the writer's thread, full or not, in milliseconds: 10 to 10,000.
+    /// A crash loses this much.
     #[serde(default = "flush_ms")]
     pub flush_ms: u64,
-    /// How answers are kept.
+    /// How the policy's answers are recorded.
     #[serde(default)]
     pub answers: Answers,
 }
 
-/// How the module's answers are kept.
+/// How the policy's answers are recorded.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Answers {
-    /// Whole: a divergence names what was expected.
+    /// Complete: a divergence in a replay shows what was expected.
     #[default]
     Whole,
-    /// As a digest: some fewer bytes, and a divergence names only what the replay got.
+    /// As a digest: fewer bytes, and a divergence shows only the replay's answer.
     Digest,
 }
 
@@ -65,7 +65,7 @@
 fn segment_s() -> u64 {
     60
 }
-/// A busy manager's 500 requests a second tell some 150 KB a second.
+/// 500 requests a second take some 150 KB a second.
 fn rate_kb_s() -> u64 {
     2_048
 }
@@ -77,7 +77,7 @@
 }
 
 impl Settings {
-    /// The defaults, in a folder.
+    /// The defaults, with this folder.
     pub fn in_dir(dir: impl Into<PathBuf>) -> Settings {
         Settings {
             dir: dir.into(),
@@ -92,43 +92,46 @@
         }
     }
 
-    /// Reads and checks a settings file's text; the error names line and field, or field and range.
+    /// Parses and checks the text of a settings file.
+    ///
+    /// # Errors
+    /// Text that is no JSON5, by line; an unknown field, one of the wrong type or out of its range, by name.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let set: Settings = json5::from_str(text)?;
-        let ranges = [
-            ("ring_mb", set.ring_mb, 1, 1_000_000),
-            ("ring_minutes", set.ring_minutes, 1, 100_000),
-            ("segment_mb", set.segment_mb, 1, 1_024),
-            ("segment_s", set.segment_s, 1, 86_400),
-            ("rate_kb_s", set.rate_kb_s, 1, 1_000_000),
-            ("queue_kb", set.queue_kb, 64, 65_536),
-            ("flush_ms", set.flush_ms, 10, 10_000),
+        let settings: Settings = json5::from_str(text)?;
+        let bounds = [
+            ("ring_mb", settings.ring_mb, 1, 1_000_000),
+            ("ring_minutes", settings.ring_minutes, 1, 100_000),
+            ("segment_mb", settings.segment_mb, 1, 1_024),
+            ("segment_s", settings.segment_s, 1, 86_400),
+            ("rate_kb_s", settings.rate_kb_s, 1, 1_000_000),
+            ("queue_kb", settings.queue_kb, 64, 65_536),
+            ("flush_ms", settings.flush_ms, 10, 10_000),
         ];
-        for (field, value, min, max) in ranges {
+        for (field, value, min, max) in bounds {
             if !(min..=max).contains(&value) {
                 return Err(SettingsError::OutOfRange { field, value, min, max });
             }
         }
-        if set.dir.as_os_str().is_empty() {
+        if settings.dir.as_os_str().is_empty() {
             return Err(SettingsError::NoDirectory);
         }
-        if set.segment_mb > set.ring_mb {
+        if settings.segment_mb > settings.ring_mb {
             return Err(SettingsError::SegmentExceedsRing {
-                segment_mb: set.segment_mb,
-                ring_mb: set.ring_mb,
+                segment_mb: settings.segment_mb,
+                ring_mb: settings.ring_mb,
             });
         }
-        Ok(set)
+        Ok(settings)
     }
 
-    /// The same as the recorder's deciding half takes them.
-    pub fn limits(&self) -> Limits {
-        Limits {
+    /// The bounds of the ring that the settings stand for.
+    pub fn limits(&self) -> RingLimits {
+        RingLimits {
             ring_bytes: self.ring_mb * MB,
             ring_age: TimeDelta::from_micros(self.ring_minutes as i64 * 60_000_000),
             segment_bytes: self.segment_mb * MB,
             segment_age: TimeDelta::from_micros(self.segment_s as i64 * 1_000_000),
-            rate: self.rate_kb_s as f64 * 1024.0,
+            bytes_per_second: self.rate_kb_s as f64 * 1024.0,
         }
     }
 }
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code)]
 
 use sprucelink_capture::reader::{parse, Contents};
-use sprucelink_capture::recorder::{Counters, Recorder, Store};
+use sprucelink_capture::recorder::{Recorder, RecorderCounters, SegmentStore};
+use sprucelink_capture::ring::RingFile;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_policy::Policy;
 use sprucelink_policy::*;
@@ -37,14 +38,19 @@
     }
 }
 
-impl Store for Memory {
-    fn list(&mut self) -> io::Result<Vec<(String, u64, Timestamp)>> {
+impl SegmentStore for Memory {
+    fn list(&mut self) -> io::Result<Vec<RingFile>> {
         let files = self.0.lock().expect("unpoisoned");
         // Every file as old as its name says.
         let at = |name: &str| {
             Timestamp::from_micros(name.split('-').next().and_then(|t| t.parse().ok()).unwrap_or(0))
         };
-        Ok(files.files.iter().map(|(n, b)| (n.clone(), b.len() as u64, at(n))).collect())
+        let file = |(name, bytes): (&String, &Vec<u8>)| RingFile {
+            name: name.clone(),
+            bytes: bytes.len() as u64,
+            modified_at: at(name),
+        };
+        Ok(files.files.iter().map(file).collect())
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut files = self.0.lock().expect("unpoisoned");
@@ -70,7 +76,7 @@
             Err(io::ErrorKind::StorageFull.into())
         }
     }
-    fn cut(&mut self, len: u64) -> io::Result<()> {
+    fn truncate(&mut self, len: u64) -> io::Result<()> {
         let mut files = self.0.lock().expect("unpoisoned");
         let open = files.open.clone();
         files.files.entry(open).or_default().truncate(len as usize);
@@ -186,24 +192,24 @@
     }
     pub fn recorded(engines: u32, seed: u64, set: &RecorderSettings, store: Memory) -> Day {
         let mut day = Day::new(engines, seed);
-        day.recorder = Some(Recorder::with(set, Box::new(store), seed, START).expect("a thread"));
+        day.recorder = Some(Recorder::with_store(set, Box::new(store), seed, START).expect("a thread"));
         day.list();
         day
     }
-    pub fn counters(&self) -> Counters {
+    pub fn counters(&self) -> RecorderCounters {
         self.recorder.as_ref().expect("recorded").counters()
     }
     pub fn give(&mut self, event: Event) -> Vec<Action> {
         let ids: Vec<String> = (0..self.engines).map(|n| format!("s-{n}")).collect();
         if let Some(r) = &mut self.recorder {
-            r.asked(self.now, &self.brain, &event, || {
+            r.record_event(self.now, &self.brain, &event, || {
                 ids.iter().zip(0..).map(|(id, n)| (id.as_str(), n)).collect()
             });
         }
         let mut out = Vec::new();
         self.brain.handle(self.now, event, &mut out);
         if let Some(r) = &mut self.recorder {
-            r.answered(&out);
+            r.record_answer(&out);
         }
         self.told += 1;
         for action in &out {
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -242,7 +242,7 @@
     let mut day = Day::recorded(4, 3, &recorder_settings(), memory.clone());
     day.pass(0.5);
     let recorder = day.recorder.as_mut().expect("recorded");
-    recorder.asked(day.now, &day.brain, &Event::GivenUp { id: RequestId(77) }, Vec::new);
+    recorder.record_event(day.now, &day.brain, &Event::GivenUp { id: RequestId(77) }, Vec::new);
     drop(day.recorder.take());
     let all = memory.contents();
     let last = all.segments[0].records.last().expect("one");
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -6,7 +6,7 @@
 use super::request::RequestSpec;
 use crate::proto::engine_answer::{LoadStats, QueryCost, UpdateTopic};
 use crate::proto::events::{EndpointPhase, ListEvent};
-use sprucelink_capture::recorder::{Counters, Recorder};
+use sprucelink_capture::recorder::{Recorder, RecorderCounters};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::{
     Action, Arrival, Bill, ClassId, EngineEntry, EngineId, EngineState, Event, ListKind, Note, Policy,
@@ -181,7 +181,7 @@
     }
 
     /// The recorder's counters, if there is one.
-    pub fn recorder_counters(&self) -> Option<Counters> {
+    pub fn recorder_counters(&self) -> Option<RecorderCounters> {
         self.recorder.as_ref().map(Recorder::counters)
     }
 
@@ -322,7 +322,7 @@
         self.record_event(now, &event);
         self.policy.handle(now, event, &mut self.actions);
         if let Some(recorder) = &mut self.recorder {
-            recorder.answered(&self.actions);
+            recorder.record_answer(&self.actions);
         }
         let mut commands = Vec::new();
         for action in self.actions.drain(..) {
@@ -337,9 +337,9 @@
     fn record_event(&mut self, now: Timestamp, event: &Event) {
         let Some(recorder) = &mut self.recorder else { return };
         let numbers = || self.engine_numbers.iter().map(|(id, n)| (id.as_str(), *n)).collect();
-        recorder.asked(now, &self.policy, event, numbers);
+        recorder.record_event(now, &self.policy, event, numbers);
         for change in self.number_changes.drain(..) {
-            recorder.numbered(now, &change.id, change.number, change.is_freed);
+            recorder.record_engine_number(now, &change.id, change.number, change.is_freed);
         }
     }
 }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -128,13 +128,13 @@
         if let Some(recorder) = &mut self.recorder {
             let names = &self.engine_names;
             let engines = || names.iter().zip(0..).map(|(name, id)| (name.as_str(), id)).collect();
-            recorder.asked(now, &self.policy, event, engines);
+            recorder.record_event(now, &self.policy, event, engines);
         }
     }
 
     fn record_actions(&mut self, actions: &[Action]) {
         if let Some(recorder) = &mut self.recorder {
-            recorder.answered(actions);
+            recorder.record_answer(actions);
         }
     }
 }
