--- a/crates/metrics/src/registry/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -5,7 +5,8 @@
 #[test]
 fn same_name_gives_the_same_metric_from_any_thread() {
     let mut registry = Registry::default();
-    let (here, there) = (registry.counter("a.b").unwrap(), registry.counter("a.b").unwrap());
+    let here = registry.counter("a.b").unwrap();
+    let there = registry.counter("a.b").unwrap();
     std::thread::spawn(move || there.increment(4)).join().unwrap();
     here.increment(1);
     registry.gauge("g").unwrap().set(2.9);
--- a/crates/settings/src/policy_settings.rs
+++ b/crates/settings/src/policy_settings.rs
@@ -14,7 +14,9 @@
     /// The decision module's settings. What has no counterpart on the wire keeps the default of [`Settings`]: the
     /// start-up ramp, the fleet's shared budgets, weights of zones.
     pub fn to_policy_settings(&self) -> Settings {
-        let (engines, limits, rules) = (&self.engines, &self.limits, &self.invariants);
+        let engines = &self.engines;
+        let limits = &self.limits;
+        let rules = &self.invariants;
         Settings {
             classes: self.profiles.iter().enumerate().map(|(i, class)| class.to_policy(i, engines)).collect(),
             tenants: self.customers.iter().map(WireTenant::to_policy).collect(),
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -252,7 +252,7 @@
                 f.write_str(managers_note(observation))
             }
             HealthChange::Recovering { known_cores, observation } => {
-                let (responsive, healthy) = (observation.responsive, observation.healthy_cores);
+                let ZoneObservation { responsive, healthy_cores: healthy, .. } = observation;
                 write!(f, "recovering: {responsive} engines responsive, {healthy:.1} of {known_cores:.1} cores healthy")
             }
             HealthChange::Healthy => f.write_str("healthy: it has its whole share again"),
@@ -271,7 +271,7 @@
             write!(f, "the endpoint list: {:.1} of {known_cores:.1} cores listed", observed.listed_cores)
         }
         Evidence::Quorum => {
-            let (unreachable_for, observers) = (observed.unreachable_for, observed.observers);
+            let ZoneObservation { unreachable_for, observers, .. } = observed;
             write!(f, "a quorum: {unreachable_for} of {observers} managers outside cannot reach it")
         }
         Evidence::OwnConnections => {
