--- a/crates/rate-limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod token_bucket;
 
 pub use event_window::EventWindow;
-pub use moving_average::{update_mean_and_variance, MovingAverage};
+pub use moving_average::{update_mean, update_mean_and_variance, MovingAverage};
 pub use recent_set::RecentSet;
 pub use slot_window::{Slot, SlotWindow};
 pub use sum_window::SumWindow;
--- a/crates/rate-limits/src/moving_average.rs
+++ b/crates/rate-limits/src/moving_average.rs
@@ -34,3 +34,10 @@
     *mean += weight * deviation;
     *variance += weight * ((1.0 - weight) * deviation * deviation - *variance);
 }
+
+/// Moves a mean by one sample and counts it: the first samples weigh equally, later ones at least `min_weight`.
+pub fn update_mean(mean: &mut f64, samples: &mut u32, sample: f64, min_weight: f64) {
+    *samples = samples.saturating_add(1);
+    let weight = (1.0 / f64::from(*samples)).max(min_weight);
+    *mean += weight * (sample - *mean);
+}
--- a/crates/rate-limits/tests/structures.rs
+++ b/crates/rate-limits/tests/structures.rs
@@ -1,7 +1,8 @@
 //! Each structure against values worked out by hand, and the serialized forms that captures hold.
 
 use sprucelink_rate_limits::{
-    update_mean_and_variance, EventWindow, MovingAverage, RecentSet, Slot, SlotWindow, SumWindow, TokenBucket,
+    update_mean, update_mean_and_variance, EventWindow, MovingAverage, RecentSet, Slot, SlotWindow,
+    SumWindow, TokenBucket,
 };
 use sprucelink_time::{TimeDelta, Timestamp};
 
@@ -68,6 +69,18 @@
     assert!(!set.contains(3));
 }
 
+#[test]
+fn mean_weighs_the_first_samples_equally_and_later_ones_by_the_minimum() {
+    let (mut mean, mut samples) = (0.0, 0);
+    [1.0, 2.0, 3.0, 4.0].iter().for_each(|sample| update_mean(&mut mean, &mut samples, *sample, 0.25));
+    assert_eq!((mean, samples), (2.5, 4));
+    update_mean(&mut mean, &mut samples, 4.5, 0.25);
+    assert_eq!((mean, samples), (3.0, 5), "a quarter of the way, not a fifth");
+    samples = u32::MAX;
+    update_mean(&mut mean, &mut samples, 3.0, 0.25);
+    assert_eq!(samples, u32::MAX, "the count saturates");
+}
+
 #[test]
 fn mean_and_variance_with_weights_of_one_over_n_are_those_of_the_samples() {
     let samples = [2.0, 4.0, 4.0, 4.0, 5.0, 5.0, 7.0, 9.0];
--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -33,6 +33,17 @@
     pub fn next_unit(&mut self) -> f64 {
         crate::unit(self.next_u64())
     }
+
+    /// Draws up to `count` items without replacement, each of those left with an equal chance; the last item of the
+    /// pool takes the place of one that was drawn.
+    pub fn draw<T>(&mut self, pool: &mut Vec<T>, count: usize) -> Vec<T> {
+        let mut drawn = Vec::new();
+        for _ in 0..pool.len().min(count) {
+            let index = (self.next_unit() * pool.len() as f64) as usize;
+            drawn.push(pool.swap_remove(index));
+        }
+        drawn
+    }
 }
 
 /// The index drawn by `unit`, a number in [0, 1), where each index has a chance in proportion to its weight.
--- a/crates/stable-hash/tests/split_mix.rs
+++ b/crates/stable-hash/tests/split_mix.rs
@@ -33,3 +33,15 @@
     assert_eq!(weighted_index(&[], 0.5), None);
     assert_eq!(weighted_index(&[f64::NAN, 1.0], 0.5), Some(1), "what is no number falls to the last");
 }
+
+#[test]
+fn drawn_items_are_distinct_and_no_more_than_there_are() {
+    let mut generator = SplitMix64::new(3);
+    let mut pool: Vec<u32> = (0..10).collect();
+    let mut all = generator.draw(&mut pool, 4);
+    assert_eq!((all.len(), pool.len()), (4, 6));
+    all.extend(generator.draw(&mut pool, 100));
+    all.sort_unstable();
+    assert_eq!(all, (0..10).collect::<Vec<u32>>());
+    assert!(generator.draw(&mut pool, 1).is_empty());
+}
