--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -100,8 +100,8 @@
 impl Engine {
     /// Logs that it was ejected or is back, and why.
     pub(crate) fn log_health(&self, number: usize, slowness: f64, out: &mut Vec<Action>) {
-        let state = if self.distrusted { "distrusted" } else { "trusted" };
-        let (silent, overdue, failing) = (self.silent, self.overdue, self.bad.value());
+        let state = if self.ejected { "distrusted" } else { "trusted" };
+        let (silent, overdue, failing) = (self.unresponsive, self.overdue, self.failure_rate.value());
         let why = format!("silent {silent}, {overdue} overdue, slowness {slowness:.1}, failing {failing:.2}");
         out.push(Action::Log(format!("engine {number} {state}: {why}")));
     }
@@ -110,7 +110,7 @@
 impl Policy {
     /// From now on it tells its reasons ([`Action::Why`]), or no more. No decision hangs on it.
     pub fn listen(&mut self, on: bool) {
-        self.listened = on;
+        self.explains = on;
     }
 
     /// About how many bytes a copy of it takes: for bounds on queues, not for accounts.
@@ -122,23 +122,23 @@
 
     /// What it was set up with.
     pub fn settings(&self) -> &Settings {
-        &self.set
+        &self.settings
     }
 
     /// Other settings from now on: for replays that ask what would have been. Classes and tenants stay as many
     /// as they were; else nothing changes and the answer is `false`.
     pub fn set_up_anew(&mut self, set: Settings) -> bool {
-        let alike =
-            set.classes.len() == self.set.classes.len() && set.tenants.len() == self.set.tenants.len();
+        let alike = set.classes.len() == self.settings.classes.len()
+            && set.tenants.len() == self.settings.tenants.len();
         if alike {
-            self.set = set;
+            self.settings = set;
         }
         alike
     }
 
     /// The attempt of a request that is out, and where.
     pub fn out(&self, id: RequestId) -> Option<(u32, EngineId)> {
-        let a = self.requests.get(&id)?.out.as_ref()?;
+        let a = self.requests.get(&id)?.in_flight.as_ref()?;
         Some((a.number, a.engine))
     }
 
@@ -153,7 +153,7 @@
             id: *id,
             deadline: r.deadline,
             attempts: r.attempts,
-            out: r.out.as_ref().map(|a| (a.number, a.engine)),
+            out: r.in_flight.as_ref().map(|a| (a.number, a.engine)),
             level: r.level as u8,
             answered: r.answered,
         };
@@ -171,53 +171,60 @@
         Some(EngineView {
             engine: engine.0,
             listed: e.listed,
-            gone: e.gone,
+            gone: e.withdrawn,
             zone: e.zone,
             kind: e.kind,
             cores: e.cores,
             threads: e.threads,
-            flying: e.flying,
-            others: e.others,
+            flying: e.in_flight,
+            others: e.others_threads,
             waiting: e.waiting,
-            full: e.full,
-            report_age: e.heard.map(|t| (self.now - t).as_secs_f64()),
-            trust_in_report: self.trust(e),
-            usual: self.usual() * e.cores * self.warmth(e) * self.let_in(e),
-            load: self.load(e),
+            full: e.saturated,
+            report_age: e.reported_at.map(|t| (self.now - t).as_secs_f64()),
+            trust_in_report: self.report_weight(e),
+            usual: self.mean_load() * e.cores * self.capacity_fraction(e) * self.lottery_odds(e),
+            load: self.estimated_threads(e),
             utilisation: self.utilisation(engine.0 as usize),
-            warmth: self.warmth(e),
-            slowness: slowness(e, self.middle),
-            failing: e.bad.value(),
-            silent: e.silent,
+            warmth: self.capacity_fraction(e),
+            slowness: relative_slowness(e, self.median_slowness),
+            failing: e.failure_rate.value(),
+            silent: e.unresponsive,
             overdue: e.overdue,
-            distrusted: e.distrusted,
-            rests: (e.down_until - self.now).as_secs_f64().max(0.0),
-            cold: (e.charges.sum(self.now, self.set.fall_span), self.cold_budget(e)),
+            distrusted: e.ejected,
+            rests: (e.backoff_until - self.now).as_secs_f64().max(0.0),
+            cold: (e.recent_charges.sum(self.now, self.settings.fall_span), self.slow_start_budget(e)),
         })
     }
 
     /// What is believed of all.
     pub fn overview(&self) -> Overview {
-        let levels = |of: &dyn Fn(&LevelBook) -> f64| -> Vec<[f64; LEVELS]> {
+        let levels = |of: &dyn Fn(&LevelState) -> f64| -> Vec<[f64; LEVELS]> {
             self.classes.iter().map(|c| std::array::from_fn(|k| of(&c.levels[k]))).collect()
         };
         Overview {
-            own: self.own,
+            own: self.own_threads,
             share: self.core_share(),
-            fleet: self.fleet.value(),
-            held: self.held,
+            fleet: self.others_load.value(),
+            held: self.queued_work,
             prices: levels(&|l| l.price),
             waits: levels(&|l| l.wait),
-            means: self.classes.iter().map(|c| c.mean).collect(),
+            means: self.classes.iter().map(|c| c.mean_cost).collect(),
             open: self.requests.len(),
-            waiting: self.line.len(),
+            waiting: self.queue.len(),
         }
     }
 
     /// Tells how a request was priced, and whether it enters.
-    pub(crate) fn why_priced(&self, id: RequestId, by: (f64, f64, bool, bool), out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
-        let (tau, toll, free, enters) = by;
+    pub(crate) fn why_priced(
+        &self,
+        id: RequestId,
+        quote: &LevelQuote,
+        free: bool,
+        enters: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
+        let LevelQuote { tau, toll, .. } = *quote;
         out.push(Action::Why(Box::new(Reason::Priced {
             id,
             class: r.class,
@@ -225,9 +232,9 @@
             cost: r.cost,
             tau,
             toll,
-            worth: self.worth_at(r, tau),
-            wanted: self.aim(r),
-            own: self.own,
+            worth: self.net_value(r, tau),
+            wanted: self.latency_objective(r),
+            own: self.own_threads,
             share: self.core_share(),
             free,
             enters,
@@ -237,67 +244,75 @@
     /// Tells of every engine how the draw for a request looks upon it. It is called with what the draw is
     /// called with, just before it.
     pub(crate) fn why_drawn(&self, id: RequestId, dice: f64, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
-        let chosen = self.pick(r, true, dice);
-        let healthy = (0..self.engines.len()).any(|i| self.gate_engine(r, i) && self.usable(r, i));
+        let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
+        let chosen = self.pick_engine(r, true, dice);
+        let healthy = (0..self.engines.len()).any(|i| self.is_allowed(r, i) && self.is_healthy_for(r, i));
         let other = (0..self.engines.len()).any(|i| {
-            self.gate_engine(r, i) && (!healthy || self.usable(r, i)) && r.last != Some(EngineId(i as u32))
+            self.is_allowed(r, i)
+                && (!healthy || self.is_healthy_for(r, i))
+                && r.last_engine != Some(EngineId(i as u32))
         });
         let candidate = |i: usize| {
             let here = EngineId(i as u32);
             let bar = if !self.engines[i].listed {
                 Some(Bar::NotListed)
-            } else if !self.gate_engine(r, i) {
+            } else if !self.is_allowed(r, i) {
                 Some(Bar::Rules)
-            } else if healthy && !self.usable(r, i) {
+            } else if healthy && !self.is_healthy_for(r, i) {
                 Some(Bar::Health)
-            } else if r.errors > 0 && other && r.last == Some(here) {
+            } else if r.errors > 0 && other && r.last_engine == Some(here) {
                 Some(Bar::JustFailed)
-            } else if !r.few.is_empty() && !r.few.contains(&i) {
+            } else if !r.candidates.is_empty() && !r.candidates.contains(&i) {
                 Some(Bar::NotAmongFew)
-            } else if !self.has_room(r, i) {
+            } else if !self.has_capacity(r, i) {
                 Some(Bar::NoRoom)
             } else {
                 None
             };
-            let weight = if bar.is_none() { self.weight(r, i) } else { 0.0 };
-            let (utilisation, trust) = (self.utilisation(i), self.trust(&self.engines[i]));
+            let weight = if bar.is_none() { self.draw_weight(r, i) } else { 0.0 };
+            let (utilisation, trust) = (self.utilisation(i), self.report_weight(&self.engines[i]));
             Candidate { engine: here, bar, weight, utilisation, trust }
         };
-        let among = (0..self.engines.len()).filter(|i| !self.engines[*i].gone).map(candidate).collect();
-        out.push(Action::Why(Box::new(Reason::Drawn { id, dice, fill: FILL[r.level], chosen, among })));
+        let among = (0..self.engines.len()).filter(|i| !self.engines[*i].withdrawn).map(candidate).collect();
+        out.push(Action::Why(Box::new(Reason::Drawn {
+            id,
+            dice,
+            fill: MAX_UTILISATION[r.level],
+            chosen,
+            among,
+        })));
     }
 
     /// Tells why a request is answered without being served.
     pub(crate) fn why_answered(&self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|_| self.listened) else { return };
-        let in_all = (self.now - r.arrived).as_secs_f64() + self.now_time(r.class, r.cost);
+        let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
+        let in_all = (self.now - r.arrived).as_secs_f64() + self.expected_latency(r.class, r.cost);
         out.push(Action::Why(Box::new(Reason::Answered {
             id,
             attempts: r.attempts,
             errors: r.errors,
             left: (r.deadline - self.now).as_secs_f64(),
-            may_repeat: self.may_repeat(r),
-            budget: self.within_attempt_budget(),
+            may_repeat: self.can_retry(r),
+            budget: self.has_retry_budget(),
             in_all,
-            worth: self.worth_at(r, in_all),
-            toll: self.cheapest(r.class, r.cost).2,
-            jam: self.jam(),
+            worth: self.net_value(r, in_all),
+            toll: self.cheapest_level(r.class, r.cost).toll,
+            jam: self.queue_delay(),
         })));
     }
 
     /// Tells why an attempt is called off.
     pub(crate) fn why_cancelled(&self, id: RequestId, out: &mut Vec<Action>) {
-        let request = self.requests.get(&id).filter(|_| self.listened);
-        let Some((r, a)) = request.and_then(|r| Some((r, r.out.as_ref()?))) else { return };
+        let request = self.requests.get(&id).filter(|_| self.explains);
+        let Some((r, a)) = request.and_then(|r| Some((r, r.in_flight.as_ref()?))) else { return };
         out.push(Action::Why(Box::new(Reason::Cancelled {
             id,
             attempt: a.number,
             engine: a.engine,
-            age: (self.now - a.sent).as_secs_f64(),
+            age: (self.now - a.sent_at).as_secs_f64(),
             expected: a.expected,
-            unheard: (self.now - a.heard).as_secs_f64(),
-            distrusted: self.engines[a.engine.0 as usize].distrusted,
+            unheard: (self.now - a.last_progress).as_secs_f64(),
+            distrusted: self.engines[a.engine.0 as usize].ejected,
             answered: r.answered,
         })));
     }
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -2,151 +2,147 @@
 
 use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
 
-/// Threads a core up to which a level may fill an engine: above one, as part of the work waits for disks.
-pub(crate) const FILL: [f64; LEVELS] = [1.5, 1.7, 1.9, 2.1];
-/// Own threads may pass the even part of what fills the engines by so many roots of this share.
-const OVERHANG: f64 = 1.0;
-/// A report weighs at least this where it, not this gateway's share, says whether an engine has room.
-const HEARD: f64 = 0.8;
-/// Threads a core that a price of a query's worth weighs as much as in the draw, times the square of what is
-/// not seen of the fleet: of few gateways one or two fill their zone, and load must weigh more.
-const PRICE_LOAD: f64 = 17.0;
-/// Engines a query of several threads chooses among at least; its wait for probes, and for others if held.
-pub(crate) const PROBE_SAMPLES: usize = 2;
+/// Threads a core up to which each level may fill an engine: over one, as work waits for disks (ours).
+pub(crate) const MAX_UTILISATION: [f64; LEVELS] = [1.5, 1.7, 1.9, 2.1];
+/// Own threads may pass this gateway's share of that by so many square roots of the share (ours).
+const SHARE_SLACK: f64 = 1.0;
+/// Report weights: from which one tells of capacity, whatever the share; from which no probe is needed.
+const MIN_REPORT_WEIGHT: f64 = 0.8;
+const FRESH_WEIGHT: f64 = 0.7;
+/// Threads a core that a price of one query's value counts as, times the squared unseen load (ours).
+const PRICE_AS_LOAD: f64 = 17.0;
+/// Least number of engines that a query of several threads chooses among; its wait for their probes.
+pub(crate) const MIN_CANDIDATES: usize = 2;
 const PROBE_WAIT: TimeDelta = TimeDelta::from_micros(15_000);
-const PROBE_GAP: TimeDelta = TimeDelta::from_micros(500_000);
-/// A report weighs less than this when it is too old to spare a probe.
-const PROBE_STALE: f64 = 0.7;
-/// Worth spent on probes, as a share of all that is asked for.
-pub(crate) const PROBE_POINTS: f64 = 0.01;
-/// How sharply the draw turns from load, per thread a core: a twelfth of a thread a core halves a chance.
+/// A query that is still queued after this chooses among others (ours).
+const SAMPLE_INTERVAL: TimeDelta = TimeDelta::from_micros(500_000);
+/// Value spent on probes, as a fraction of all that is asked for.
+pub(crate) const PROBE_BUDGET: f64 = 0.01;
+/// Exponent of the draw, per thread a core: a twelfth of a thread a core halves a chance (ours).
 const DRAW_STEEPNESS: f64 = 8.0;
-/// Chance multiplier of an engine that lately read the query's tables.
-const WARM_BONUS: f64 = 1.6;
-/// Chance multiplier of an engine that just failed the query, or runs a load on the same tables.
-const AVOID: f64 = 1e-3;
+/// Factors on the weight of an engine that read the query's tables, and of one that failed it or loads them.
+const CACHED_FACTOR: f64 = 1.6;
+const AVOIDED_FACTOR: f64 = 1e-3;
 
 impl Policy {
-    /// Whether a query's choice hangs on news of load.
-    fn heavy(&self, r: &Request) -> bool {
-        self.set.reports_load && self.set.classes[r.class].threads > 1.0
+    fn needs_reports(&self, request: &Request) -> bool {
+        self.settings.reports_load && self.class(request.class).threads > 1.0
     }
 
-    fn may_ask(&self, r: &Request) -> bool {
-        self.set.probes && self.heavy(r) && self.probe_credit >= PROBE_SAMPLES as f64
+    fn can_probe(&self, request: &Request) -> bool {
+        self.settings.probes && self.needs_reports(request) && self.probe_credit >= MIN_CANDIDATES as f64
     }
 
-    /// A query of several threads chooses among a few engines drawn at random (a departure from the paper);
-    /// those of unknown load are probed first. Else many gateways would fill an engine that looks idle.
-    pub(crate) fn draw_few(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let due = |r: &&Request| self.heavy(r) && self.now > r.drawn + PROBE_GAP;
-        let Some(r) = self.requests.get(&id).filter(due) else { return };
-        let may = |i: &usize| self.gate_engine(r, *i) && self.usable(r, *i);
-        // A cold engine that lets this gateway in was drawn for already.
-        let cold = |i: &usize| self.warmth(&self.engines[*i]) < 1.0;
-        let (mut few, mut warm): (Vec<_>, Vec<_>) = (0..self.engines.len()).filter(may).partition(cold);
-        let (fair, ask) = (warm.len() as f64 / f64::from(self.set.gateways).sqrt(), self.may_ask(r));
-        for _ in 0..warm.len().min(PROBE_SAMPLES.max(fair as usize)) {
-            few.push(warm.swap_remove((self.rng.next_unit() * warm.len() as f64) as usize));
-        }
-        let unknown = few.iter().filter(|i| ask && self.trust(&self.engines[**i]) < PROBE_STALE);
+    /// A query of several threads chooses among a few engines, lest many gateways fill one that looks idle.
+    pub(crate) fn sample_candidates(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let is_due = |r: &&Request| self.needs_reports(r) && self.now > r.sampled_at + SAMPLE_INTERVAL;
+        let Some(request) = self.requests.get(&id).filter(is_due) else { return };
+        let is_eligible = |i: &usize| self.is_allowed(request, *i) && self.is_healthy_for(request, *i);
+        let is_starting = |i: &usize| self.capacity_fraction(&self.engines[*i]) < 1.0;
+        let eligible = (0..self.engines.len()).filter(is_eligible);
+        let (mut candidates, mut warm): (Vec<_>, Vec<_>) = eligible.partition(is_starting);
+        let (fair, can_probe) = (warm.len() as f64 / self.gateways().sqrt(), self.can_probe(request));
+        candidates.extend(self.random.draw(&mut warm, MIN_CANDIDATES.max(fair as usize)));
+        let is_unknown = |i: &&usize| self.report_weight(&self.engines[**i]) < FRESH_WEIGHT;
+        let unknown = candidates.iter().filter(|i| can_probe && is_unknown(i));
         let probes: Vec<Action> = unknown.map(|i| Action::Probe { engine: EngineId(*i as u32) }).collect();
         self.probe_credit -= probes.len() as f64;
-        let probes_due = if probes.is_empty() { self.now } else { self.now + PROBE_WAIT };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.probes_until = if probes.is_empty() { self.now } else { self.now + PROBE_WAIT };
+        (request.candidates, request.sampled_at) = (candidates, self.now);
         out.extend(probes);
-        self.requests.entry(id).and_modify(|r| (r.few, r.probes_due, r.drawn) = (few, probes_due, self.now));
     }
 
-    /// Whether own threads on sound, warm engines fill this gateway's share of them: many gateways may jam an
-    /// engine together of which each sees too little.
-    fn crowded(&self, r: &Request) -> bool {
-        let sound = |e: &&Engine| e.listed && !e.distrusted && self.warmth(e) >= 1.0;
-        let warm = || self.engines.iter().filter(sound);
-        let share = warm().map(|e| e.cores).sum::<f64>() / f64::from(self.set.gateways);
-        let own = warm().map(|e| e.threads).sum::<f64>();
-        own > 0.0 && own + self.set.classes[r.class].threads > FILL[r.level] * share + OVERHANG * share.sqrt()
+    /// Whether own threads fill this gateway's share of sound engines; each of many sees too little of them.
+    fn is_overcommitted(&self, request: &Request) -> bool {
+        let is_sound = |e: &&Engine| e.listed && !e.ejected && self.capacity_fraction(e) >= 1.0;
+        let sound = || self.engines.iter().filter(is_sound);
+        let share = sound().map(|e| e.cores).sum::<f64>() / self.gateways();
+        let own = sound().map(|e| e.threads).sum::<f64>();
+        let max_threads = MAX_UTILISATION[request.level] * share + SHARE_SLACK * share.sqrt();
+        own > 0.0 && own + self.class(request.class).threads > max_threads
     }
 
-    pub(crate) fn has_room(&self, r: &Request, i: usize) -> bool {
-        // Only one thread finds room anywhere while nothing is out; what may be asked is not guessed.
-        let alone = self.own <= 0.0 && self.set.classes[r.class].threads <= 1.0;
-        let known = !self.may_ask(r) || self.trust(&self.engines[i]) > PROBE_STALE / 2.0;
-        alone || known && self.utilisation(i) < FILL[r.level]
+    pub(crate) fn has_capacity(&self, request: &Request, i: usize) -> bool {
+        // One thread finds capacity anywhere while nothing is in flight; what can be probed is not guessed.
+        let is_alone = self.own_threads <= 0.0 && self.class(request.class).threads <= 1.0;
+        let is_known = !self.can_probe(request) || self.report_weight(&self.engines[i]) > FRESH_WEIGHT / 2.0;
+        is_alone || is_known && self.utilisation(i) < MAX_UTILISATION[request.level]
     }
 
-    /// Health: a distrusted engine gets a trickle of light repeatable queries.
-    pub(crate) fn usable(&self, r: &Request, i: usize) -> bool {
-        let (e, c) = (&self.engines[i], &self.set.classes[r.class]);
-        let light = c.effect == Effect::Safe && c.threads <= 1.0;
-        let zone = self.zones.get(&e.zone).filter(|z| z.cut);
-        let trickle = light
-            && e.flying == 0
-            && self.now >= e.next_trickle.max(zone.map_or(Timestamp::ZERO, |z| z.next_trickle));
-        self.now >= e.down_until && (!e.distrusted || trickle)
+    /// Health: an ejected engine gets a trial now and then, a light query that may be retried.
+    pub(crate) fn is_healthy_for(&self, request: &Request, i: usize) -> bool {
+        let (engine, class) = (&self.engines[i], self.class(request.class));
+        let zone = self.zones.get(&engine.zone).filter(|z| z.unreachable);
+        let next_trial = engine.next_trial.max(zone.map_or(Timestamp::ZERO, |z| z.next_trial));
+        let is_light = class.effect == Effect::Safe && class.threads <= 1.0;
+        let is_trial = is_light && engine.in_flight == 0 && self.now >= next_trial;
+        self.now >= engine.backoff_until && (!engine.ejected || is_trial)
     }
 
-    /// Draws an engine against load and for warm tables; where health leaves none, among all allowed.
-    pub(crate) fn pick(&self, r: &Request, room: bool, dice: f64) -> Option<EngineId> {
-        let mut among: Vec<usize> = (0..self.engines.len()).filter(|i| self.gate_engine(r, *i)).collect();
-        if among.iter().any(|i| self.usable(r, *i)) {
-            among.retain(|i| self.usable(r, *i));
+    /// Draws an engine against load and for cached tables; where none is healthy, among all allowed.
+    pub(crate) fn pick_engine(&self, request: &Request, needs_room: bool, dice: f64) -> Option<EngineId> {
+        let is_allowed = |i: &usize| self.is_allowed(request, *i);
+        let is_healthy = |i: &usize| self.is_healthy_for(request, *i);
+        let mut among: Vec<usize> = (0..self.engines.len()).filter(is_allowed).collect();
+        if among.iter().any(is_healthy) {
+            among.retain(is_healthy);
         }
-        // Guards against an engine that fails at once: it looks idle, and would draw what it just failed.
-        let elsewhere = |i: &usize| r.last != Some(EngineId(*i as u32));
-        if r.errors > 0 && among.iter().any(elsewhere) {
-            among.retain(elsewhere);
+        // An engine that fails at once looks idle, and would draw the request that it just failed.
+        let is_other = |i: &usize| request.last_engine != Some(EngineId(*i as u32));
+        if request.errors > 0 && among.iter().any(is_other) {
+            among.retain(is_other);
         }
-        let crowded = room && self.crowded(r);
-        let unheard = |e: &Engine| self.warmth(e) >= 1.0 && self.trust(e) < HEARD;
-        let full = |i: usize| !self.has_room(r, i) || crowded && unheard(&self.engines[i]);
-        among.retain(|i| !(room && full(*i)) && (r.few.is_empty() || r.few.contains(i)));
-        let drawn: Vec<f64> = among.iter().map(|i| self.weight(r, *i)).collect();
-        weighted_index(&drawn, dice).map(|n| EngineId(among[n] as u32))
+        let overcommitted = needs_room && self.is_overcommitted(request);
+        let is_warm = |i: usize| self.capacity_fraction(&self.engines[i]) >= 1.0;
+        let is_unheard = |i: usize| self.report_weight(&self.engines[i]) < MIN_REPORT_WEIGHT;
+        let may_fill = |i: usize| overcommitted && is_warm(i) && is_unheard(i);
+        let is_full = |i: usize| !self.has_capacity(request, i) || may_fill(i);
+        let is_candidate = |i: &usize| request.candidates.is_empty() || request.candidates.contains(i);
+        among.retain(|i| !(needs_room && is_full(*i)) && is_candidate(i));
+        let weights: Vec<f64> = among.iter().map(|i| self.draw_weight(request, *i)).collect();
+        weighted_index(&weights, dice).map(|n| EngineId(among[n] as u32))
     }
 
-    pub(crate) fn weight(&self, r: &Request, i: usize) -> f64 {
-        let (e, c, here) = (&self.engines[i], &self.set.classes[r.class], EngineId(i as u32));
-        let away = f64::from(u8::from(self.set.zone.is_some_and(|z| z != e.zone)));
-        let new = e.flying == 0 && e.last_sent.is_none_or(|t| self.now - t >= self.set.idle);
-        let price = self.set.cross_zone_price * away + self.set.handshake_price * f64::from(u8::from(new));
-        let busy = self.utilisation(i)
-            + c.threads / e.cores.max(1.0)
-            + PRICE_LOAD * (1.0 - self.sees()).powi(2) * price;
-        let sound = (1.0 - e.bad.value()).max(0.01) / slowness(e, self.middle).max(1.0);
-        let holds = |o: &Request| o.tables == r.tables && self.set.classes[o.class].load;
-        let at = |o: &Request| o.out.as_ref().is_some_and(|a| a.engine == here);
-        let bonus = if !c.load && e.warm.contains(r.tables) { WARM_BONUS } else { 1.0 };
-        let shun = r.last == Some(here) || c.load && self.requests.values().any(|o| holds(o) && at(o));
-        let bonus = bonus * self.set.zone_weight(e.zone);
-        e.cores * (-DRAW_STEEPNESS * busy).exp() * sound.powi(2) * bonus * if shun { AVOID } else { 1.0 }
+    pub(crate) fn draw_weight(&self, request: &Request, i: usize) -> f64 {
+        let (engine, class, here) = (&self.engines[i], self.class(request.class), EngineId(i as u32));
+        let is_remote = self.settings.zone.is_some_and(|zone| zone != engine.zone);
+        let is_closed = engine.last_send.is_none_or(|time| self.now - time >= self.settings.idle);
+        let needs_handshake = engine.in_flight == 0 && is_closed;
+        let crossing = if is_remote { self.settings.cross_zone_price } else { 0.0 };
+        let price = crossing + if needs_handshake { self.settings.handshake_price } else { 0.0 };
+        let price_as_load = PRICE_AS_LOAD * (1.0 - self.load_visibility()).powi(2) * price;
+        let load = self.utilisation(i) + class.threads / engine.cores.max(1.0) + price_as_load;
+        let slowness = relative_slowness(engine, self.median_slowness).max(1.0);
+        let health = (1.0 - engine.failure_rate.value()).max(0.01) / slowness;
+        let is_cached = !class.load && engine.recent_tables.contains(request.table_group);
+        let is_loading = |r: &Request| r.table_group == request.table_group && self.class(r.class).load;
+        let is_here = |r: &Request| r.in_flight.as_ref().is_some_and(|attempt| attempt.engine == here);
+        let has_load = || self.requests.values().any(|r| is_loading(r) && is_here(r));
+        let is_avoided = request.last_engine == Some(here) || class.load && has_load();
+        let bonus = self.settings.zone_weight(engine.zone) * if is_cached { CACHED_FACTOR } else { 1.0 };
+        let weight = engine.cores * (-DRAW_STEEPNESS * load).exp() * health.powi(2) * bonus;
+        weight * if is_avoided { AVOIDED_FACTOR } else { 1.0 }
     }
 
-    /// Drains, placement, repeats of keyed requests, and the cold budget.
-    pub(crate) fn gate_engine(&self, r: &Request, i: usize) -> bool {
-        let (e, c) = (&self.engines[i], &self.set.classes[r.class]);
-        let bound = |to: &Option<Vec<u32>>, v: u32| to.as_ref().is_none_or(|l| l.contains(&v));
-        if !e.listed || !bound(&c.kinds, e.kind) || !bound(&c.zones, e.zone) {
+    /// The rules: drains, placement, retries of keyed requests, and the slow-start budget.
+    pub(crate) fn is_allowed(&self, request: &Request, i: usize) -> bool {
+        let (engine, class) = (&self.engines[i], self.class(request.class));
+        let permits = |list: &Option<Vec<u32>>, v: u32| list.as_ref().is_none_or(|l| l.contains(&v));
+        if !engine.listed || !permits(&class.kinds, engine.kind) || !permits(&class.zones, engine.zone) {
             return false;
         }
-        if let (Effect::Keyed, Some((_, at))) = (c.effect, r.may_have_run) {
-            let old = &self.engines[at.0 as usize];
-            let same = match c.group {
+        let first = request.may_have_run.filter(|_| class.effect == Effect::Keyed);
+        let is_deduplicated = first.is_none_or(|(_, first)| {
+            let first = &self.engines[first.0 as usize];
+            let is_in_zone = first.zone == engine.zone;
+            match class.group {
                 DedupGroup::All => true,
-                DedupGroup::Zone => old.zone == e.zone,
-                DedupGroup::Cell => old.zone == e.zone && old.cell == e.cell,
-            };
-            if !same {
-                return false;
+                DedupGroup::Zone => is_in_zone,
+                DedupGroup::Cell => is_in_zone && first.cell == engine.cell,
             }
-        }
-        if self.warmth(e) >= 1.0 {
-            return true;
-        }
-        let (charge, spent) = (self.charge(r.class), e.charges.sum(self.now, self.set.fall_span));
-        // Departure: where an even part is less than one query, each gateway draws whether it may send one
-        // in this span, so that all together keep to the budget without leaving the engine idle.
-        let (fits, drawn) = self.cold_parts(e);
-        let light = charge * COLD_PARTS <= self.cold_budget(e) * f64::from(self.set.gateways);
-        spent + charge <= fits || light && spent <= 0.0 && e.lot * charge < drawn
+        });
+        let has_budget = || self.has_slow_start_budget(request.class, engine);
+        is_deduplicated && (self.capacity_fraction(engine) >= 1.0 || has_budget())
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,14 @@
-//! The decision module of the workload manager: events and the time go in, actions come out. No input or output, and no
-//! clock of its own.
+//! The decision module of the workload manager: events and the time go in, actions come out. It does no input or
+//! output and reads no clock.
 //!
-//! Its vocabulary is in `settings`, `events` and `actions`. An ordinary query is priced, admitted and levelled by the
-//! tolls of Konana et al. (sections 3.2 to 3.4), then waits in the gateway's line until an engine drawn for it has room.
-//! What ends badly is tried again or answered. Two gates hold the rules: `send` for every attempt, `answer` for every
-//! final answer. Every file that learns or decides is named under `policy` in `deploy/balancer.toml`.
+//! The vocabulary stands in `settings`, `events` and `actions`, the state in `state`. A request is priced and admitted
+//! or rejected (`admission`, by the priority pricing of Konana et al., sections 3.2 to 3.4), queued, and sent to an
+//! engine drawn for it as soon as one has capacity (`dispatch`, `engine_selection`). A failed attempt is retried or
+//! answered (`retry`). Two functions enforce the rules: `send` for every attempt, `respond` for every final response
+//! that no engine gave.
+//!
+//! Every file that learns or decides is named under `policy` in `deploy/balancer.toml`. Each tuning constant names its
+//! source: the paper, the design page (the platform's brief), or ours, as is one that names none.
 
 mod actions;
 mod admission;
@@ -40,8 +44,7 @@
 use outlier_detection::*;
 use policy::*;
 use retry::*;
-use slow_start::*;
-use sprucelink_rate_limits::update_mean_and_variance;
+use sprucelink_rate_limits::{update_mean, update_mean_and_variance, MovingAverage};
 use sprucelink_stable_hash::weighted_index;
 use state::*;
 
--- a/crates/policy/src/load_estimation.rs
+++ b/crates/policy/src/load_estimation.rs
@@ -2,47 +2,47 @@
 
 use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
 
-/// Seconds in which a report of load fades into the mean, as long as the queries last that it counted; the
-/// mean of all reports in twice that.
-const FADE: f64 = 4.0;
-/// Share of busy cores from which a report no longer tells how many threads wait.
-const FULL: f64 = 0.85;
-/// Threads a core taken to be on an engine that turned a query away as full.
-pub(crate) const BRIMFUL: f64 = 4.0;
-/// Weight of a report in the mean load, of a look in own threads that reports count; least one of an outcome.
-pub(crate) const STEP: f64 = 0.1;
-/// Seconds of each class counted into the threads of a query in hand before outcomes tell.
-pub(crate) const MIX_PRIOR: f64 = 2.0;
+/// Seconds in which a report fades into the mean, and half of those in which the mean fades (ours).
+const REPORT_DECAY_SECS: f64 = 4.0;
+/// Fraction of busy cores from which a report tells no more; threads a core on an engine that shed a request.
+const SATURATED: f64 = 0.85;
+pub(crate) const FULL_ENGINE_LOAD: f64 = 4.0;
+/// Weight of a report in the mean load, of a tick in own threads, least one of an outcome in the slowness.
+pub(crate) const AVERAGE_WEIGHT: f64 = 0.1;
+/// Seconds that each class counts as run in the mean threads of a query before outcomes tell.
+pub(crate) const PRIOR_RUN_SECS: f64 = 2.0;
 
 impl Policy {
-    /// Threads a core of other gateways, if each has as many out as this one.
-    fn equal(&self) -> f64 {
-        f64::from(self.set.gateways - 1) * self.above[0].value() / self.cores.max(1.0)
+    /// Threads a core of other gateways, if each has as many in flight as this one.
+    fn even_load(&self) -> f64 {
+        f64::from(self.settings.gateways - 1) * self.threads_above[0].value() / self.cores.max(1.0)
     }
 
-    /// The same in the mean: as reported of late, else as far as own load can tell.
-    pub(crate) fn usual(&self) -> f64 {
-        let trust = (-(self.now - self.fleet_heard).as_secs_f64() / (2.0 * FADE)).exp();
-        self.fleet.value() * trust + self.equal() * self.sees() * (1.0 - trust)
+    /// Threads a core of other gateways in the mean, by the last reports, else as far as own load tells.
+    pub(crate) fn mean_load(&self) -> f64 {
+        let weight = (-self.secs_since(self.last_report) / (2.0 * REPORT_DECAY_SECS)).exp();
+        self.others_load.value() * weight + self.even_load() * self.load_visibility() * (1.0 - weight)
     }
 
-    /// How much the last report still tells of an engine.
-    pub(crate) fn trust(&self, e: &Engine) -> f64 {
-        e.heard.map_or(0.0, |t| (-(self.now - t).as_secs_f64() / FADE).exp())
+    /// How much an engine's last report still counts, 0 to 1.
+    pub(crate) fn report_weight(&self, engine: &Engine) -> f64 {
+        engine.reported_at.map_or(0.0, |time| (-self.secs_since(time) / REPORT_DECAY_SECS).exp())
     }
 
-    /// Threads on an engine: own, and others' by report. Departure: a report fades into the mean as it ages,
-    /// so that what was heard once neither draws nor repels for good.
-    pub(crate) fn load(&self, e: &Engine) -> f64 {
-        let usual = self.usual() * e.cores * self.warmth(e) * self.let_in(e);
-        let trust = self.trust(e);
-        let reported = if e.full { e.others.max(self.equal() * e.cores) } else { e.others };
-        e.threads + usual + (reported - usual) * trust + e.waiting * trust
+    /// Threads on an engine: own ones, and others' by its report, which fades into the mean (a departure).
+    pub(crate) fn estimated_threads(&self, engine: &Engine) -> f64 {
+        let fraction = self.capacity_fraction(engine);
+        let mean = self.mean_load() * engine.cores * fraction * self.lottery_odds(engine);
+        let weight = self.report_weight(engine);
+        let even = || self.even_load() * engine.cores;
+        let others = engine.others_threads;
+        let reported = if engine.saturated { others.max(even()) } else { others };
+        engine.threads + mean + (reported - mean) * weight + engine.waiting * weight
     }
 
     pub(crate) fn utilisation(&self, i: usize) -> f64 {
-        let e = &self.engines[i];
-        self.load(e) / (e.cores * self.warmth(e)).max(1e-3)
+        let engine = &self.engines[i];
+        self.estimated_threads(engine) / (engine.cores * self.capacity_fraction(engine)).max(1e-3)
     }
 
     pub(crate) fn on_report(&mut self, i: usize, report: Report) {
@@ -50,28 +50,27 @@
             return;
         }
         let mean_threads = self.thread_time / self.query_time.max(1e-6);
-        let usual = self.usual() * self.engines[i].cores;
-        let e = &mut self.engines[i];
-        let total = report.in_hand.map(|n| n * mean_threads).or(report.busy.map(|b| b * e.cores));
-        (e.heard, e.waiting) = (Some(self.now), report.waiting.unwrap_or(0.0));
-        e.full = report.in_hand.is_none() && total.is_some_and(|t| t > FULL * e.cores);
-        e.others = total.map_or(usual, |t| (t - e.smooth_threads.value()).max(0.0));
+        let mean = self.mean_load() * self.engines[i].cores;
+        let engine = &mut self.engines[i];
+        let total = report.in_hand.map(|n| n * mean_threads).or(report.busy.map(|b| b * engine.cores));
+        (engine.reported_at, engine.waiting) = (Some(self.now), report.waiting.unwrap_or(0.0));
+        engine.saturated = report.in_hand.is_none() && total.is_some_and(|t| t > SATURATED * engine.cores);
+        engine.others_threads = total.map_or(mean, |t| (t - engine.average_threads.value()).max(0.0));
         if total.is_some() {
-            self.fleet.update(e.others / e.cores, STEP);
-            self.fleet_heard = self.now;
+            self.others_load.update(engine.others_threads / engine.cores, AVERAGE_WEIGHT);
+            self.last_report = self.now;
         }
     }
 
     pub(crate) fn on_probed(&mut self, i: usize, outcome: Outcome, report: Report) {
         if outcome == Outcome::Expired {
-            self.brimful(i);
+            self.mark_full(i);
         }
         self.on_report(i, report);
     }
 
-    /// What turned a query away as full or left a probe unanswered has much to do, or is out of order.
-    pub(crate) fn brimful(&mut self, i: usize) {
-        let e = &mut self.engines[i];
-        (e.others, e.heard) = (BRIMFUL * e.cores, Some(self.now));
+    pub(crate) fn mark_full(&mut self, i: usize) {
+        let engine = &mut self.engines[i];
+        (engine.others_threads, engine.reported_at) = (FULL_ENGINE_LOAD * engine.cores, Some(self.now));
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -2,68 +2,77 @@
 
 use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
 
-/// Share of the told cores that counts as capacity in the cold budget: slow machines, cores never all busy.
-const COLD_CAPACITY: f64 = 0.56;
-/// Estimates that the first guess of a class's charge weighs as much as.
-const FIRST_CHARGES: f64 = 1.0;
-/// Share of the cold budget used by draw, where no query fits a part: several may draw well at once.
-const COLD_CHANCE: f64 = 0.7;
-/// Shares of it for light queries that fit a part, and for heavy ones by draw: who sends one sends no more.
-const COLD_LIGHT: f64 = 0.75;
-const COLD_HEAVY: f64 = 0.35;
-/// What is drawn for may take one part in so many of all gateways' budget: of heavier work two make a jam.
-pub(crate) const COLD_PARTS: f64 = 4.0;
+/// Fraction of the listed cores that counts as capacity: machines may be slow, cores are never all busy.
+const USABLE_CORES: f64 = 0.56;
+/// Estimates that the first guess of a class's charge weighs as much as (ours).
+const PRIOR_CHARGES: f64 = 1.0;
+/// Fractions of the budget: for a lottery alone; for light queries, and then the lottery for heavy ones.
+const LOTTERY_FRACTION: f64 = 0.7;
+const LIGHT_FRACTION: f64 = 0.75;
+const HEAVY_FRACTION: f64 = 0.35;
+/// A query may be drawn for if it takes at most one in so many of all gateways' budget (ours).
+const MIN_LOTTERY_PARTS: f64 = 4.0;
 
 impl Policy {
-    /// Share of its capacity that an engine has by now: from the start share up, evenly.
-    pub(crate) fn warmth(&self, e: &Engine) -> f64 {
-        let Some(started) = e.started else { return 1.0 };
-        let age = (self.now - started).as_secs_f64() / self.set.cold_for.as_secs_f64().max(1e-3);
-        1.0 - (1.0 - self.set.start_share) * (1.0 - age.clamp(0.0, 1.0))
+    /// Fraction of its capacity that an engine has: from `start_share` up, linearly over `cold_for`.
+    pub(crate) fn capacity_fraction(&self, engine: &Engine) -> f64 {
+        let Some(started) = engine.started_at else { return 1.0 };
+        let age = self.secs_since(started) / self.settings.cold_for.as_secs_f64().max(1e-3);
+        1.0 - (1.0 - self.settings.start_share) * (1.0 - age.clamp(0.0, 1.0))
     }
 
-    /// Work charged to the cold budget: the class's mean, lest each of many gateways send a small one.
+    /// Work charged to the budget: the class's mean, lest each of many gateways send a small query.
     pub(crate) fn charge(&self, class: usize) -> f64 {
-        let (book, c) = (&self.classes[class], &self.set.classes[class]);
+        let (state, class) = (&self.classes[class], self.class(class));
         // Few estimates most often tell too little: a gateway that just started counts a full one in.
-        let first = if self.now - self.born < self.set.cold_for { FIRST_CHARGES } else { 0.0 };
-        let (samples, most) = (f64::from(book.samples.max(1)), c.aim.as_secs_f64() * c.threads);
-        (book.mean * samples + most * first) / (samples + first) * book.bias.value().max(1.0)
+        let prior = if self.now - self.started_at < self.settings.cold_for { PRIOR_CHARGES } else { 0.0 };
+        let samples = f64::from(state.cost_samples.max(1));
+        let total = state.mean_cost * samples + class.aim.as_secs_f64() * class.threads * prior;
+        total / (samples + prior) * state.work_ratio.value().max(1.0)
     }
 
-    /// This gateway's even part of what a cold engine may be sent in one span.
-    pub(crate) fn cold_budget(&self, e: &Engine) -> f64 {
-        let share = self.set.fall_multiple * self.warmth(e) * self.set.fall_span.as_secs_f64();
-        // A gateway that just started has forgotten its sends: half counts as spent, or what the ramp says.
-        let age = self.now - self.born;
-        let step = if age < self.set.fall_span { 0.5 } else { 1.0 };
-        let newborn =
-            self.set.cold_ramp.map_or(step, |(from, over)| (from + age.as_secs_f64() / over).min(1.0));
-        share * e.cores * COLD_CAPACITY * newborn / f64::from(self.set.gateways)
+    /// This gateway's even part of what an engine in slow start may be sent in one `fall_span`.
+    pub(crate) fn slow_start_budget(&self, engine: &Engine) -> f64 {
+        let span = self.settings.fall_span;
+        let multiple = self.settings.fall_multiple * self.capacity_fraction(engine) * span.as_secs_f64();
+        // A gateway that just started does not know its earlier sends: half counts as spent, or by the ramp.
+        let age = self.now - self.started_at;
+        let step = if age < span { 0.5 } else { 1.0 };
+        let ramp = |(from, secs): (f64, f64)| (from + age.as_secs_f64() / secs).min(1.0);
+        let unspent = self.settings.cold_ramp.map_or(step, ramp);
+        multiple * engine.cores * USABLE_CORES * unspent / self.gateways()
     }
 
-    /// The charge of the class that is charged least.
     fn least_charge(&self) -> f64 {
-        (0..self.classes.len()).map(|c| self.charge(c)).fold(f64::MAX, f64::min)
+        (0..self.classes.len()).map(|class| self.charge(class)).fold(f64::MAX, f64::min)
     }
 
-    /// What this gateway may send of its part of the cold budget as it likes, and what it draws for: a query
-    /// over the former, one a span if the draw lets it. Where no query fits all are drawn for.
-    pub(crate) fn cold_parts(&self, e: &Engine) -> (f64, f64) {
-        let part = self.cold_budget(e);
-        let most = (0..self.classes.len()).map(|c| self.charge(c)).fold(0.0, f64::max);
-        match part {
-            _ if most <= part => (part, 0.0),
-            _ if self.least_charge() <= COLD_LIGHT * part => (COLD_LIGHT * part, COLD_HEAVY * part),
-            _ => (0.0, COLD_CHANCE * part),
+    /// Parts of the budget: for queries that fit it, and for one a span by lottery, lest the engine be idle.
+    fn budget_parts(&self, engine: &Engine) -> (f64, f64) {
+        let budget = self.slow_start_budget(engine);
+        let greatest = (0..self.classes.len()).map(|class| self.charge(class)).fold(0.0, f64::max);
+        let light = LIGHT_FRACTION * budget;
+        match budget {
+            _ if greatest <= budget => (budget, 0.0),
+            _ if self.least_charge() <= light => (light, HEAVY_FRACTION * budget),
+            _ => (0.0, LOTTERY_FRACTION * budget),
         }
     }
 
-    /// Share of the gateways that the draw lets send to an engine: those who may are to find it free.
-    pub(crate) fn let_in(&self, e: &Engine) -> f64 {
-        match self.cold_parts(e) {
-            (fits, drawn) if self.warmth(e) < 1.0 && fits <= 0.0 => (drawn / self.least_charge()).min(1.0),
+    /// Fraction of the gateways that the lottery lets send to an engine: those are to find it free.
+    pub(crate) fn lottery_odds(&self, engine: &Engine) -> f64 {
+        let is_starting = self.capacity_fraction(engine) < 1.0;
+        match self.budget_parts(engine) {
+            (fits, drawn) if is_starting && fits <= 0.0 => (drawn / self.least_charge()).min(1.0),
             _ => 1.0,
         }
     }
+
+    pub(crate) fn has_slow_start_budget(&self, class: usize, engine: &Engine) -> bool {
+        let charge = self.charge(class);
+        let spent = engine.recent_charges.sum(self.now, self.settings.fall_span);
+        let (fits, drawn) = self.budget_parts(engine);
+        let is_light = charge * MIN_LOTTERY_PARTS <= self.slow_start_budget(engine) * self.gateways();
+        spent + charge <= fits || is_light && spent <= 0.0 && engine.lottery * charge < drawn
+    }
 }
