--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -87,9 +87,9 @@
         let passed = (now - last).secs().max(0.0);
         last = now;
         let lone = |v: &sprucelink_policy::diagnostics::EngineView| {
-            v.listed && !v.distrusted && v.flying == 0 && v.utilisation > BUSY
+            v.listed && !v.ejected && v.flying == 0 && v.utilisation > BUSY
         };
-        for v in views.iter().filter(|v| v.listed && !v.distrusted) {
+        for v in views.iter().filter(|v| v.listed && !v.ejected) {
             sums.all += passed;
             sums.busy += if v.utilisation > BUSY { passed } else { 0.0 };
             if lone(v) {
--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -143,7 +143,7 @@
     );
     let marks = [
         (e.full, "told to be full"),
-        (e.distrusted, "distrusted"),
+        (e.ejected, "ejected"),
         (e.silent, "silent"),
         (e.warmth < 1.0, "cold"),
         (e.rests > 0.0, "resting"),
@@ -204,11 +204,11 @@
             if *may_repeat { "allowed" } else { "not allowed" },
             if *budget { "room" } else { "none" }
         ),
-        Reason::Cancelled { attempt, engine, age, expected, unheard, distrusted, answered, .. } => format!(
+        Reason::Cancelled { attempt, engine, age, expected, unheard, ejected, answered, .. } => format!(
             "attempt {attempt} on {} called off: out for {age:.2} s of {expected:.2} expected, unheard of for \
              {unheard:.2} s{}{}",
             name(engines, engine.0),
-            if *distrusted { ", its engine distrusted" } else { "" },
+            if *ejected { ", its engine ejected" } else { "" },
             if *answered { ", its request is over" } else { "" }
         ),
     }
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -133,8 +133,7 @@
         }
         let told_off =
             module.engines().iter().filter(|e| !e.listed).map(|e| (EngineId(e.engine), start)).collect();
-        let distrusted =
-            module.engines().iter().filter(|e| e.distrusted).map(|e| (e.engine, start)).collect();
+        let distrusted = module.engines().iter().filter(|e| e.ejected).map(|e| (e.engine, start)).collect();
         let is_count = |r: &Rule| matches!(r, Rule::Sends { .. });
         let counts = rules
             .iter()
@@ -179,7 +178,7 @@
             self.action(now, action);
         }
         for e in step.module.engines() {
-            if e.distrusted {
+            if e.ejected {
                 self.distrusted.entry(e.engine).or_insert(now);
             }
         }
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -428,7 +428,7 @@
     let text = story(&Question::Request(refused.expect("one was refused")));
     assert!(text.contains("given up:") && text.contains("refused, come back in"), "{text}");
     let text = story(&Question::Engine("s-1".into()));
-    for part in ["sent to it", "reported in hand", "believed", "looked at in", "distrusted"] {
+    for part in ["sent to it", "reported in hand", "believed", "looked at in", "ejected"] {
         assert!(text.contains(part), "{part} in:\n{text}");
     }
     assert_eq!(text, story(&Question::Engine("#1".into())));
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -49,8 +49,9 @@
     pub silent: bool,
     /// Own attempts there that are overdue.
     pub overdue: u32,
-    /// It gets a trickle only.
-    pub distrusted: bool,
+    /// It gets a trial now and then only.
+    #[serde(rename = "distrusted")]
+    pub ejected: bool,
     /// It is left alone for so many seconds more.
     pub rests: f64,
     /// Work charged to its cold budget, and the budget.
@@ -100,10 +101,13 @@
 impl Engine {
     /// Logs that it was ejected or is back, and why.
     pub(crate) fn log_health(&self, number: usize, slowness: f64, out: &mut Vec<Action>) {
-        let state = if self.ejected { "distrusted" } else { "trusted" };
-        let (silent, overdue, failing) = (self.unresponsive, self.overdue, self.failure_rate.value());
-        let why = format!("silent {silent}, {overdue} overdue, slowness {slowness:.1}, failing {failing:.2}");
-        out.push(Action::Log(format!("engine {number} {state}: {why}")));
+        let state = if self.ejected { "ejected" } else { "readmitted" };
+        let (unresponsive, overdue, failure_rate) =
+            (self.unresponsive, self.overdue, self.failure_rate.value());
+        out.push(Action::Log(format!(
+            "engine {number} {state}: unresponsive {unresponsive}, {overdue} overdue, slowness {slowness:.1}, \
+             failure rate {failure_rate:.2}"
+        )));
     }
 }
 
@@ -190,7 +194,7 @@
             failing: e.failure_rate.value(),
             silent: e.unresponsive,
             overdue: e.overdue,
-            distrusted: e.ejected,
+            ejected: e.ejected,
             rests: (e.backoff_until - self.now).as_secs_f64().max(0.0),
             cold: (e.recent_charges.sum(self.now, self.settings.fall_span), self.slow_start_budget(e)),
         })
@@ -312,7 +316,7 @@
             age: (self.now - a.sent_at).as_secs_f64(),
             expected: a.expected,
             unheard: (self.now - a.last_progress).as_secs_f64(),
-            distrusted: self.engines[a.engine.0 as usize].ejected,
+            ejected: self.engines[a.engine.0 as usize].ejected,
             answered: r.answered,
         })));
     }
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -84,8 +84,9 @@
         expected: f64,
         /// Since something was heard of it.
         unheard: f64,
-        /// Its engine is distrusted.
-        distrusted: bool,
+        /// Its engine is ejected.
+        #[serde(rename = "distrusted")]
+        ejected: bool,
         /// Its request has its final answer.
         answered: bool,
     },
@@ -114,7 +115,7 @@
     NotListed,
     /// A rule: placement, repeats of keyed requests, or the cold budget.
     Rules,
-    /// It is distrusted or rests.
+    /// It is ejected or backed off from.
     Health,
     /// It just failed this request.
     JustFailed,
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -316,14 +316,14 @@
     let mute = |from: f64| went.iter().filter(|w| w.1 < 3 && (w.0 - start).as_secs_f64() >= from).count();
     assert!(mute(0.0) >= 2, "two attempts told of it");
     assert!(mute(1.5) <= 2, "{} after it was known, one a second in the whole zone", mute(1.5));
-    let distrusted = |b: &Bench| (0..3).filter(|n| b.brain.engine(EngineId(*n)).unwrap().distrusted).count();
-    assert_eq!(distrusted(&b), 3, "the one that got nothing, too");
+    let ejected = |b: &Bench| (0..3).filter(|n| b.brain.engine(EngineId(*n)).unwrap().ejected).count();
+    assert_eq!(ejected(&b), 3, "the one that got nothing, too");
     // One that is back, by the list, is enough to try the zone again.
     b.now = b.now + TimeDelta::from_micros(20_000);
     let since = Some(b.now);
     b.list(ListKind::Changes, vec![EngineEntry { since, ..zoned(0) }]);
     b.pass(0.02);
-    assert!(!b.brain.engine(EngineId(0)).unwrap().distrusted);
+    assert!(!b.brain.engine(EngineId(0)).unwrap().ejected);
 }
 
 /// Sends of 200 light queries, each served before the next: how many go to zone 0, and to how many engines.
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -151,7 +151,7 @@
         sum.mute += u32::from(is_silent);
         sum.heard += u32::from(*heard == Heard::Late);
         sum.load += view.load;
-        if !is_silent && !view.distrusted {
+        if !is_silent && !view.ejected {
             sum.sound += view.cores * view.warmth;
         }
         engines_by_zone.entry(view.zone).or_default().extend(gossip_name(engines, view));
