--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -1,22 +1,22 @@
-//! What the module tells a gateway to do.
+//! Actions: what the decision module has a gateway do.
 
 use crate::ids::*;
 use crate::reasons::Reason;
 use sprucelink_time::TimeDelta;
 
-/// What the module tells a gateway to do.
+/// An action, in the order in which they are to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an engine.
+    /// Send an attempt of the request to an engine.
     Send {
         /// The request.
         id: RequestId,
-        /// Time-out; until the client gives up if absent.
+        /// Time-out; the client's deadline if absent.
         timeout: Option<TimeDelta>,
         /// The engine.
         engine: EngineId,
     },
-    /// Memory grant and level, for the next send and what is out.
+    /// Memory grant and level, for the next attempt and the one in flight.
     Terms {
         /// The request.
         id: RequestId,
@@ -32,18 +32,18 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Final: refused, a repeat does no harm.
+    /// Final response: rejected; a retry by the client does no harm.
     Refuse {
         /// The request.
         id: RequestId,
-        /// When to come back, if that is said.
+        /// Retry-After, if one is given.
         retry_after: Option<TimeDelta>,
     },
-    /// Final: failed, nothing assured.
+    /// Final response: failed; the request may have executed.
     Fail {
         /// The request.
         id: RequestId,
-        /// When to come back, if that is said.
+        /// Retry-After, if one is given.
         retry_after: Option<TimeDelta>,
     },
     /// Set a timer.
@@ -53,7 +53,7 @@
         /// Comes back with the event.
         token: u64,
     },
-    /// Probe an engine.
+    /// Send a load probe to an engine.
     Probe {
         /// The engine.
         engine: EngineId,
@@ -63,10 +63,10 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// Ask for changes of the engine list from now on.
+    /// Request the endpoint list and its changes from now on.
     Watch,
-    /// A line for the people on call.
+    /// A log line for operators.
     Log(String),
-    /// A reason, told only to who listens; it asks for nothing.
+    /// The reason of a decision, given only while [`Policy::listen`](crate::Policy::listen) asks for it.
     Why(Box<Reason>),
 }
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -1,17 +1,18 @@
-//! What the module lets be seen of itself, and what it tells of its reasons to who listens. Nothing here
-//! decides, and nothing here is reached while nobody listens.
+//! Views of the module's state for operators and captures, and the reasons of its decisions.
+//!
+//! Nothing here decides; reasons are computed only while they are asked for.
 
 use crate::*;
 use serde::Serialize;
 
-/// What is believed of an engine.
+/// An engine as the module sees it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EngineView {
     /// Its number.
     pub engine: u32,
-    /// The list has it as ready.
+    /// The endpoint list has it as ready.
     pub listed: bool,
-    /// The list has said that it is gone.
+    /// The endpoint list has it as gone.
     pub gone: bool,
     /// Its zone.
     pub zone: u32,
@@ -33,32 +34,32 @@
     pub report_age: Option<f64>,
     /// How much that report still counts, 0 to 1.
     pub trust_in_report: f64,
-    /// Threads that the mean engine is taken to have from others.
+    /// Threads of other gateways that an engine of its size has in the mean.
     pub usual: f64,
-    /// Threads that it is taken to have in all.
+    /// Estimated threads in all.
     pub load: f64,
-    /// The same a core, of its present capacity.
+    /// The same for each core that it has by now.
     pub utilisation: f64,
-    /// Share of its capacity that it has by now.
+    /// Fraction of its capacity that it has by now.
     pub warmth: f64,
-    /// How slow it is against the middle one.
+    /// How many times slower it is than the median.
     pub slowness: f64,
-    /// Share of late attempts that ended badly.
+    /// Fraction of recent attempts that failed.
     pub failing: f64,
-    /// It takes work and answers none.
+    /// It takes requests and answers none.
     pub silent: bool,
     /// Own attempts there that are overdue.
     pub overdue: u32,
     /// It gets a trial now and then only.
     #[serde(rename = "distrusted")]
     pub ejected: bool,
-    /// It is left alone for so many seconds more.
+    /// Remaining backoff, seconds.
     pub rests: f64,
-    /// Work charged to its cold budget, and the budget.
+    /// Work charged to its slow-start budget, and the budget; thread-seconds.
     pub cold: (f64, f64),
 }
 
-/// A request that is open, as the module has it.
+/// An open request as the module sees it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OpenRequest {
     /// Which.
@@ -67,15 +68,15 @@
     pub deadline: Timestamp,
     /// Attempts so far.
     pub attempts: u32,
-    /// The attempt that is out, and where.
+    /// The attempt in flight, and its engine.
     pub out: Option<(u32, EngineId)>,
     /// Its level.
     pub level: u8,
-    /// It has its final answer.
+    /// It has its final response.
     pub answered: bool,
 }
 
-/// What the module believes of all.
+/// The module's totals.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Overview {
     /// Own threads in flight.
@@ -84,7 +85,7 @@
     pub share: f64,
     /// Threads a core of other gateways, as reported.
     pub fleet: f64,
-    /// Work held in the line, thread-seconds, by level.
+    /// Queued work, thread-seconds, by level.
     pub held: [f64; LEVELS],
     /// Tolls by class, then level, for a query of mean cost.
     pub prices: Vec<[f64; LEVELS]>,
@@ -94,12 +95,12 @@
     pub means: Vec<f64>,
     /// Requests open.
     pub open: usize,
-    /// Requests in the line.
+    /// Requests queued.
     pub waiting: usize,
 }
 
 impl Engine {
-    /// Logs that it was ejected or is back, and why.
+    /// Logs that the engine was ejected or readmitted, with the figures behind it.
     pub(crate) fn log_health(&self, number: usize, slowness: f64, out: &mut Vec<Action>) {
         let state = if self.ejected { "ejected" } else { "readmitted" };
         let (unresponsive, overdue, failure_rate) =
@@ -112,25 +113,25 @@
 }
 
 impl Policy {
-    /// From now on it tells its reasons ([`Action::Why`]), or no more. No decision hangs on it.
+    /// Whether reasons ([`Action::Why`]) are given from now on. No decision depends on it.
     pub fn listen(&mut self, on: bool) {
         self.explains = on;
     }
 
-    /// About how many bytes a copy of it takes: for bounds on queues, not for accounts.
+    /// Approximate size of a copy in bytes, for bounds on queues.
     pub fn footprint(&self) -> u64 {
         let engine = size_of::<Engine>() + 256;
         let request = size_of::<Request>() + 64;
         (size_of::<Policy>() + self.engines.len() * engine + self.requests.len() * request) as u64
     }
 
-    /// What it was set up with.
+    /// The present settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Other settings from now on: for replays that ask what would have been. Classes and tenants stay as many
-    /// as they were; else nothing changes and the answer is `false`.
+    /// Replaces the settings, for replays of what would have been. `false`, and nothing changes, unless there are as
+    /// many classes and tenants as before.
     pub fn set_up_anew(&mut self, set: Settings) -> bool {
         let alike = set.classes.len() == self.settings.classes.len()
             && set.tenants.len() == self.settings.tenants.len();
@@ -140,18 +141,18 @@
         alike
     }
 
-    /// The attempt of a request that is out, and where.
+    /// The number and engine of a request's attempt in flight.
     pub fn out(&self, id: RequestId) -> Option<(u32, EngineId)> {
         let a = self.requests.get(&id)?.in_flight.as_ref()?;
         Some((a.number, a.engine))
     }
 
-    /// The toll of a class at a level, in worth, for a query of mean cost; `None` for an unknown one.
+    /// The price of a class at a level: the toll of a query of mean cost, in value; `None` for an unknown one.
     pub fn price(&self, class: ClassId, level: Level) -> Option<f64> {
         Some(self.classes.get(class.0)?.levels.get(usize::from(level.0))?.price)
     }
 
-    /// What is open.
+    /// All open requests.
     pub fn open(&self) -> Vec<OpenRequest> {
         let one = |(id, r): (&RequestId, &Request)| OpenRequest {
             id: *id,
@@ -164,12 +165,12 @@
         self.requests.iter().map(one).collect()
     }
 
-    /// What is believed of every engine, by number.
+    /// Every engine, by number.
     pub fn engines(&self) -> Vec<EngineView> {
         (0..self.engines.len()).filter_map(|i| self.engine(EngineId(i as u32))).collect()
     }
 
-    /// What is believed of one engine.
+    /// One engine; `None` if the list never had it.
     pub fn engine(&self, engine: EngineId) -> Option<EngineView> {
         let e = self.engines.get(engine.0 as usize)?;
         Some(EngineView {
@@ -200,7 +201,7 @@
         })
     }
 
-    /// What is believed of all.
+    /// Totals.
     pub fn overview(&self) -> Overview {
         let levels = |of: &dyn Fn(&LevelState) -> f64| -> Vec<[f64; LEVELS]> {
             self.classes.iter().map(|c| std::array::from_fn(|k| of(&c.levels[k]))).collect()
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Tells how a request was priced, and whether it enters.
+    /// Gives the reason why a request is admitted or rejected.
     pub(crate) fn why_priced(
         &self,
         id: RequestId,
@@ -245,8 +246,7 @@
         })));
     }
 
-    /// Tells of every engine how the draw for a request looks upon it. It is called with what the draw is
-    /// called with, just before it.
+    /// Gives each engine's part in a draw; called with the arguments of the draw, just before it.
     pub(crate) fn why_drawn(&self, id: RequestId, dice: f64, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
         let chosen = self.pick_engine(r, true, dice);
@@ -287,7 +287,7 @@
         })));
     }
 
-    /// Tells why a request is answered without being served.
+    /// Gives the reason why a request is rejected or failed.
     pub(crate) fn why_answered(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
         let in_all = (self.now - r.arrived).as_secs_f64() + self.expected_latency(r.class, r.cost);
@@ -305,7 +305,7 @@
         })));
     }
 
-    /// Tells why an attempt is called off.
+    /// Gives the reason why an attempt is cancelled.
     pub(crate) fn why_cancelled(&self, id: RequestId, out: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|_| self.explains);
         let Some((r, a)) = request.and_then(|r| Some((r, r.in_flight.as_ref()?))) else { return };
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,21 +1,21 @@
-//! What a gateway tells the module. Times are whole microseconds on the caller's clock.
+//! Events: what a gateway reports to the decision module. Instants are whole microseconds on the caller's clock.
 
 use crate::ids::*;
 use serde::{Deserialize, Serialize};
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// What the engine list says of one engine's state.
+/// An engine's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineState {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its requests and accepts no others.
     Draining,
     /// Withdrawn.
     Gone,
 }
 
-/// One entry of the engine list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineEntry {
     /// Which engine.
@@ -28,67 +28,67 @@
     pub cell: u32,
     /// Its state.
     pub state: EngineState,
-    /// When it last started, if that was lately.
+    /// When its process started, if that was recently.
     pub since: Option<Timestamp>,
 }
 
-/// What kind of list came.
+/// What kind of update of the endpoint list came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListKind {
     /// Only what changed.
     Changes,
     /// The whole list.
     Whole,
-    /// The list as last held, possibly out of date.
+    /// The list as last cached, possibly out of date.
     Remembered,
-    /// A call to the list failed; the old one stays.
+    /// A request for the list failed; the old one stays.
     Failed,
 }
 
-/// A load report. What an engine does not tell is absent.
+/// A load report. What an engine does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Queries in hand.
+    /// Queries in progress.
     pub in_hand: Option<f64>,
     /// Queries waiting for memory.
     pub waiting: Option<f64>,
-    /// Share of the cores in use.
+    /// Fraction of the cores in use, 0 to 1.
     pub busy: Option<f64>,
-    /// Share of the memory granted.
+    /// Fraction of the memory granted, 0 to 1.
     pub memory: Option<f64>,
-    /// Share of the disks in use.
+    /// Fraction of the disks in use, 0 to 1.
     pub disks: Option<f64>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a load probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Served.
     Delivered,
-    /// The engine answered with an error; it may have run.
+    /// The engine responded with an error; the attempt may have executed.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected by the engine at its limit; never executed.
     Shed,
-    /// No reply in time; it may have run or still run.
+    /// No response in time; it may have executed or still execute.
     Expired,
-    /// No connection; never ran.
+    /// No connection; never executed.
     DialFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; it may have executed.
     Dropped,
-    /// Cancelled; it may have run.
+    /// Cancelled; it may have executed.
     Revoked,
     /// Never sent.
     Unused,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Shed | Outcome::DialFailed | Outcome::Unused)
     }
 }
 
-/// What an answer told of the query's needs.
+/// Resources that a query used, as reported in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bill {
     /// Work in thread-seconds.
@@ -100,13 +100,13 @@
 /// A note on a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Note {
-    /// Share done, roughly.
+    /// Fraction done, roughly, 0 to 1.
     Progress(f64),
     /// It spills to disk for want of so many MB.
     Spills(f64),
     /// It waits for memory.
     WaitsForMemory,
-    /// It waits for a load to end.
+    /// It waits for a load on its tables to end.
     WaitsForLoad,
 }
 
@@ -121,29 +121,29 @@
     pub tenant: usize,
     /// The group of tables it reads or writes.
     pub tables: u64,
-    /// How long its client still waits.
+    /// How long its client will wait from now.
     pub time_left: TimeDelta,
     /// Estimated work in thread-seconds.
     pub cost: Option<f64>,
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
-    /// Its key, for classes that keep order.
+    /// Its idempotency key, for classes that keep order.
     pub key: Option<String>,
 }
 
-/// What a gateway tells the module.
+/// An event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// News of the engine list.
+    /// An update of the endpoint list.
     List {
-        /// What kind of list.
+        /// What kind of update.
         kind: ListKind,
         /// Its entries.
         entries: Vec<EngineEntry>,
     },
     /// A client's request came in.
     Arrived(Arrival),
-    /// A streamed answer began: the attempt is the client's from here on.
+    /// A streamed answer began: it has reached the client, so that nothing is retried from here on.
     Started {
         /// The request.
         id: RequestId,
@@ -167,14 +167,14 @@
         outcome: Outcome,
         /// Time since it was sent.
         latency: TimeDelta,
-        /// The request is finished.
+        /// The client has its response.
         complete: bool,
-        /// What it needed, where told.
+        /// The resources it used, where reported.
         bill: Option<Bill>,
         /// The engine's load report.
         report: Report,
     },
-    /// The client gave up.
+    /// The client cancelled or disconnected.
     GivenUp {
         /// The request.
         id: RequestId,
@@ -184,7 +184,7 @@
         /// The token it was set with.
         token: u64,
     },
-    /// A probe ended.
+    /// A load probe ended.
     Probed {
         /// The engine.
         engine: EngineId,
@@ -200,14 +200,13 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// News of the fleet, where gateways keep a view of it: among how many it parts what it shares, and what
-    /// the others leave of their further attempts.
+    /// The fleet as gossip has it: how many gateways share budgets, and the retries that the others leave over.
     Fleet {
         /// Gateways, this one included.
         gateways: u32,
-        /// Further attempts.
+        /// Retries left over by others.
         spare: f64,
     },
-    /// News of failover between zones: their weights in the draw, by number.
+    /// Zone failover: the zones' weights in the draw, by number.
     Zones(Vec<f64>),
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineId(pub u32);
 
-/// A request, unique within a gateway's life.
+/// A request, unique while its gateway runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// A request class: its index in [`Settings::classes`].
+/// A request class: its index in [`Settings::classes`](crate::Settings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassId(pub usize);
 
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -1,13 +1,13 @@
-//! Why the module chose as it did, told only to who listens.
+//! Reasons of decisions, given only where they are asked for.
 
 use crate::ids::*;
 use serde::Serialize;
 
-/// Why the module chose as it did: told only to who listens. Times in seconds, work in thread-seconds.
+/// Why the module decided as it did. Times are in seconds, work in thread-seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Reason {
-    /// A request was priced, given a level, and let in or not.
+    /// A request was priced, given a level, and admitted or rejected.
     Priced {
         /// The request.
         id: RequestId,
@@ -17,21 +17,21 @@
         level: u8,
         /// Its cost as estimated.
         cost: f64,
-        /// Expected time to its answer there.
+        /// Expected time to its answer there (the paper's tau).
         tau: f64,
-        /// The toll there.
+        /// The toll there (the paper's term), in value.
         toll: f64,
-        /// Its worth less its delay cost.
+        /// Its value less its delay cost.
         worth: f64,
-        /// The time within which it is wanted.
+        /// Its latency objective.
         wanted: f64,
         /// Own threads in flight.
         own: f64,
-        /// This gateway's share of the told cores.
+        /// This gateway's share of the listed cores.
         share: f64,
-        /// The free-core pass lets it in.
+        /// It is admitted because cores are free.
         free: bool,
-        /// It enters.
+        /// It is admitted.
         enters: bool,
     },
     /// An engine is drawn for a request.
@@ -42,12 +42,12 @@
         dice: f64,
         /// Threads a core up to which its level may fill an engine.
         fill: f64,
-        /// What comes of it; `None`: it waits.
+        /// The engine drawn; `None`: it stays queued.
         chosen: Option<EngineId>,
-        /// Every engine that is not gone.
+        /// Every engine that the list does not have as gone.
         among: Vec<Candidate>,
     },
-    /// A request is answered without being served.
+    /// A request is rejected or failed.
     Answered {
         /// The request.
         id: RequestId,
@@ -57,20 +57,20 @@
         errors: u32,
         /// Time left to its client.
         left: f64,
-        /// A further attempt would be allowed to it.
+        /// The rules would allow it a retry.
         may_repeat: bool,
-        /// The ration of further attempts has room.
+        /// The retry budget has room.
         budget: bool,
         /// Time to an answer, from its arrival, if it were sent now.
         in_all: f64,
-        /// What that answer would earn, less its delay cost.
+        /// The value of that answer less its delay cost.
         worth: f64,
         /// The least toll now.
         toll: f64,
-        /// Time that what is held takes this gateway's share of the cores.
+        /// Time that the queued work takes this gateway's share of the cores.
         jam: f64,
     },
-    /// An attempt is called off.
+    /// An attempt is cancelled.
     Cancelled {
         /// The request.
         id: RequestId,
@@ -78,49 +78,49 @@
         attempt: u32,
         /// Where it is.
         engine: EngineId,
-        /// How long it has been out.
+        /// How long it has been in flight.
         age: f64,
-        /// How long it was expected to be.
+        /// Its expected latency.
         expected: f64,
-        /// Since something was heard of it.
+        /// Time since it was last noted.
         unheard: f64,
         /// Its engine is ejected.
         #[serde(rename = "distrusted")]
         ejected: bool,
-        /// Its request has its final answer.
+        /// Its request has its final response.
         answered: bool,
     },
 }
 
-/// An engine in a draw.
+/// An engine as a draw sees it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Candidate {
     /// Which.
     pub engine: EngineId,
-    /// What keeps it out of the draw.
+    /// What excludes it from the draw.
     pub bar: Option<Bar>,
-    /// Its weight, 0 where it is kept out.
+    /// Its weight, 0 where it is excluded.
     pub weight: f64,
-    /// Threads a core that it is taken to have.
+    /// Estimated threads a core.
     pub utilisation: f64,
     /// How much the last report of its load still counts, 0 to 1.
     pub trust: f64,
 }
 
-/// What keeps an engine out of a draw.
+/// What excludes an engine from a draw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bar {
-    /// The list does not have it as ready.
+    /// The endpoint list does not have it as ready.
     NotListed,
-    /// A rule: placement, repeats of keyed requests, or the cold budget.
+    /// A rule: placement, deduplication of retries, or the slow-start budget.
     Rules,
     /// It is ejected or backed off from.
     Health,
     /// It just failed this request.
     JustFailed,
-    /// The request chooses among a few others.
+    /// The request chooses among a few other engines.
     NotAmongFew,
-    /// It is taken to be full for this level.
+    /// It has no capacity for this level by estimate.
     NoRoom,
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,20 +1,21 @@
-//! What a gateway is set up with. Times are whole microseconds.
+//! The settings of a gateway. Spans are in whole microseconds, work is in thread-seconds, memory in MB, and value in
+//! the unit of the service's score.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_time::TimeDelta;
 
-/// What repeating a request of a class may do.
+/// What a retry of a request may do (its idempotency).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// Idempotent: a retry does no harm.
     Safe,
-    /// Repeats are discarded within a group of engines, for a while.
+    /// Has an idempotency key: retries are deduplicated within a group of engines, for a while.
     Keyed,
-    /// Must never run twice.
+    /// Not idempotent: must never run twice.
     Unsafe,
 }
 
-/// The engines among which repeats of a keyed request are discarded.
+/// The engines among which retries of a keyed request are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupGroup {
     /// All engines.
@@ -28,75 +29,75 @@
 /// One class of requests.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ClassSettings {
-    /// Worth of one request answered in time.
+    /// Value of one request answered in time (the paper's term).
     pub worth: f64,
-    /// Share of the worth that a late answer still earns.
+    /// Fraction of the value that a late answer still earns, 0 to 1.
     pub late_worth: f64,
-    /// Wanted time, before the stretch for its own work.
+    /// Latency objective, before the stretch for the request's own work.
     pub aim: TimeDelta,
-    /// The wanted time grows by this times the request's work over its threads.
+    /// The objective grows by this times the request's work over its threads.
     pub aim_stretch: f64,
-    /// How long a client waits in all.
+    /// How long a client waits at most.
     pub deadline: TimeDelta,
-    /// What a repeat may do.
+    /// What a retry may do.
     pub effect: Effect,
-    /// For keyed classes: where repeats are discarded.
+    /// For keyed classes: where retries are deduplicated.
     pub group: DedupGroup,
-    /// For keyed classes: how long repeats are discarded.
+    /// For keyed classes: how long retries are deduplicated.
     pub repeat_window: TimeDelta,
-    /// Requests with one key run one at a time, in order.
+    /// Requests with one key run one at a time, in order of arrival.
     pub in_turn: bool,
     /// Threads that a query of the class runs on.
     pub threads: f64,
-    /// The query holds its group of tables on its engine while it runs.
+    /// The query is a load: it locks its group of tables on its engine while it runs.
     pub load: bool,
-    /// Machine kinds that the class is bound to.
+    /// Machine kinds that may run the class; all if absent.
     pub kinds: Option<Vec<u32>>,
-    /// Zones that the class is bound to.
+    /// Zones that may run the class; all if absent.
     pub zones: Option<Vec<u32>>,
 }
 
-/// A tenant's share.
+/// A tenant's quota.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second, over all gateways, within its share.
+    /// Requests a second, over all gateways.
     pub quota_per_s: f64,
 }
 
-/// What an engine does once the memory granted passes what it has.
+/// What an engine does once the memory granted exceeds what it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemoryShort {
-    /// A query waits in the engine's line.
+    /// A query waits in the engine's queue.
     Waits,
     /// It gets what is left, and spills.
     Shrinks,
-    /// It is let in; all slow down once the memory in use, grant or need, passes what there is.
+    /// It runs; all queries slow down once the memory in use, grant or need, exceeds what there is.
     Pages,
 }
 
-/// What engines tell of their load, and when.
+/// How engines report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportVia {
-    /// In every answer and probe.
+    /// In every answer and load probe.
     Answers,
-    /// In probes only.
+    /// In load probes only.
     Probes,
     /// Never.
     Silent,
 }
 
-/// The further-attempt budget.
+/// The retry budget: a sliding window of retries against requests.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct AttemptBudget {
     /// Length of the sliding window.
     pub span: TimeDelta,
-    /// Further attempts allowed in any case.
+    /// Retries allowed in any case.
     pub free: f64,
-    /// Further attempts allowed for each request taken.
+    /// Retries allowed for each request received.
     pub share: f64,
 }
 
-/// All that a gateway is told at its start.
+/// All settings of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Settings {
@@ -104,74 +105,74 @@
     pub classes: Vec<ClassSettings>,
     /// Tenants, if any.
     pub tenants: Vec<TenantSettings>,
-    /// Worth of a request beyond its tenant's share, against its class's.
+    /// Factor on the value of a request beyond its tenant's quota.
     pub over_share_worth: f64,
-    /// Gateways in this tier, this one included.
+    /// Number of gateways in this tier, this one included.
     pub gateways: u32,
-    /// This gateway's own number among them.
+    /// This gateway's index among them.
     pub position: u32,
-    /// The engine list must be asked for.
+    /// The endpoint list is sent on request only.
     pub must_ask: bool,
     /// How load reports come.
     pub report_via: ReportVia,
-    /// Reports tell of queries in hand or of busy cores.
+    /// Reports have the queries in progress or the busy cores.
     pub reports_load: bool,
     /// Cores, for each machine kind.
     pub kind_cores: Vec<f64>,
     /// Memory in MB, for each machine kind.
     pub kind_memory_mb: Vec<f64>,
-    /// Memory grants are heeded.
+    /// Engines obey memory grants.
     pub grants: bool,
-    /// What happens when grants pass an engine's memory.
+    /// What happens when grants exceed an engine's memory.
     pub memory_short: MemoryShort,
-    /// Priority levels are heeded.
+    /// Engines obey priority levels.
     pub priorities: bool,
     /// Time between progress notes; zero where there are none.
     pub progress_pace: TimeDelta,
-    /// Answers tell the work and memory a query needed.
+    /// Answers report the work and memory that a query used.
     pub tells_cost: bool,
     /// Attempts can be cancelled.
     pub cancel: bool,
-    /// Engines may be probed.
+    /// Load probes may be sent.
     pub probes: bool,
     /// Gateways may send each other messages.
     pub peers: bool,
-    /// Clients are told when to come back.
+    /// Rejections carry a Retry-After.
     pub retry_after: bool,
-    /// Longest such advice.
+    /// Longest Retry-After; unbounded if zero.
     pub max_retry_after: TimeDelta,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Sends to a draining engine must end within this.
+    /// Attempts on a draining engine must end within this.
     pub drain_grace: TimeDelta,
-    /// A cold engine falls when sent more than this multiple of its capacity.
+    /// An engine in slow start fails when sent more than this multiple of its capacity,
     pub fall_multiple: f64,
-    /// For this long.
+    /// over a span of this length.
     pub fall_span: TimeDelta,
-    /// Share of its capacity that an engine starts with.
+    /// Fraction of its capacity that an engine starts with.
     pub start_share: f64,
-    /// An engine is warm after this at the latest.
+    /// Length of the slow start.
     pub cold_for: TimeDelta,
     /// A gateway that just started uses this share of its part of a cold engine's budget, rising evenly to all
     /// of it in so many seconds; `None`: half of it for one `fall_span`.
     pub cold_ramp: Option<(f64, f64)>,
-    /// How long a key rests after an attempt that may still run.
+    /// How long a key is blocked after an attempt that may still run.
     pub order_settle: TimeDelta,
-    /// The further-attempt budget, if one is set.
+    /// The retry budget, if there is one.
     pub attempt_budget: Option<AttemptBudget>,
     /// Further attempts that others leave to this gateway over its own budget, where the fleet spends together.
     pub spare: f64,
-    /// Price of one probe for each query.
+    /// Price of one load probe, in the value of one query.
     pub probe_price: f64,
-    /// This gateway's zone, by number; `None` where it is not told.
+    /// This gateway's zone, by number; `None` where it is not configured.
     pub zone: Option<u32>,
     /// Weights of zones in the draw, by number, where failover between zones is on; 1 for zones beyond it.
     pub zone_weights: Vec<f64>,
-    /// Price of one attempt in another zone for each query.
+    /// Price of one attempt in another zone, in the value of one query.
     pub cross_zone_price: f64,
-    /// Price of one new connection for each query.
+    /// Price of one new connection, in the value of one query.
     pub handshake_price: f64,
-    /// A connection that carries nothing is closed after this.
+    /// Idle timeout of a connection.
     pub idle: TimeDelta,
 }
 
