--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -5,6 +5,7 @@
 use sprucelink_capture::reader;
 use sprucelink_capture::replay::{segment, Play};
 use sprucelink_capture::wire::Told;
+use sprucelink_capture::{BoxError, ReplayError};
 use sprucelink_policy::*;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -32,7 +33,7 @@
     errors: BTreeMap<u32, (u64, f64, f64)>,
 }
 
-fn main() -> Result<(), String> {
+fn main() -> Result<(), BoxError> {
     let mut sums = Sums::default();
     for path in std::env::args().skip(1) {
         for file in reader::files(Path::new(&path))? {
@@ -71,12 +72,12 @@
     Ok(())
 }
 
-fn measure(seg: &reader::Segment, sums: &mut Sums) -> Result<(), String> {
+fn measure(seg: &reader::Segment, sums: &mut Sums) -> Result<(), ReplayError> {
     let mut last = seg.at;
     let mut views = seg.module()?.engines();
     let mut sent: BTreeMap<(u64, u32), u32> = BTreeMap::new();
     let mut sends: BTreeMap<u64, u32> = BTreeMap::new();
-    let mut since: BTreeMap<u32, Micros> = BTreeMap::new();
+    let mut since: BTreeMap<u32, Timestamp> = BTreeMap::new();
     for open in seg.module()?.open() {
         sends.insert(open.id.0, open.attempts);
         open.out.into_iter().for_each(|(n, e)| _ = sent.insert((open.id.0, n), e.0));
@@ -84,7 +85,7 @@
     let mut waiting = 0;
     segment(seg, &Play::default(), &mut |step| {
         let now = step.record.at;
-        let passed = (now - last).secs().max(0.0);
+        let passed = (now - last).as_secs_f64().max(0.0);
         last = now;
         let lone = |v: &sprucelink_policy::diagnostics::EngineView| {
             v.listed && !v.ejected && v.flying == 0 && v.utilisation > BUSY
@@ -112,7 +113,7 @@
                     *slot = (slot.0 + 1, slot.1 + error, slot.2 + error.abs());
                 }
                 if let Some(from) = since.remove(&before.engine) {
-                    sums.spells.push(((now - from).secs(), before.utilisation, reported));
+                    sums.spells.push(((now - from).as_secs_f64(), before.utilisation, reported));
                 }
             }
         }
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -5,6 +5,7 @@
 use super::connection_task::{self, ConnectionOwner};
 use super::coordinator::{ConnectionRuntime, Coordinator, CoordinatorConfig, MIN_RETRY_AFTER};
 use super::engine_connection::{ConnectionLimits, EngineConnection};
+use super::engine_table::EngineCounts;
 use super::gossip_facts::GossipWindows;
 use super::request::{RejectReason, Request, Response};
 use super::zone_routing::{Observer, ZoneRouting};
@@ -12,11 +13,11 @@
 use crate::proto::events::ListEvent;
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_cordon::{Cause, CordonError, CordonOutcome, CordonRecord, CordonRequest, MergeResult};
-use sprucelink_membership::facts::Facts;
+use sprucelink_membership::GossipPayload;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::{Settings, Timestamp};
 use sprucelink_startup::config::StartupConfig;
-use sprucelink_zone_failover::terms::Terms as FailoverConfig;
+use sprucelink_zone_failover::config::FailoverConfig;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -110,8 +111,8 @@
     }
 
     /// What is gossiped as of now; `None` where nothing is counted.
-    pub fn gossip_facts(&self) -> Option<Facts> {
-        self.coordinator.borrow_mut().gossip_facts()
+    pub fn gossip_payload(&self) -> Option<GossipPayload> {
+        self.coordinator.borrow_mut().gossip_payload()
     }
 
     /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to this
@@ -184,7 +185,7 @@
         let id = request.spec.id;
         let class = request.spec.class;
         let mut coordinator = self.coordinator.borrow_mut();
-        let response = coordinator.submit(self, request, || self.metrics.take(class))?;
+        let response = coordinator.submit(self, request, || self.metrics.start_request(class))?;
         Some(RequestHandle { core: Rc::clone(self), id, response, was_cancelled: false })
     }
 
@@ -236,9 +237,9 @@
         self.coordinator.borrow_mut().expire_cordons(self);
     }
 
-    /// Engines that are listed, and how many of them get no requests: cordoned, or avoided by the policy.
-    pub fn listed_and_avoided(&self) -> (usize, usize) {
-        self.coordinator.borrow().listed_and_avoided()
+    /// How many engines are listed, and how many of them get no requests.
+    pub fn engine_counts(&self) -> EngineCounts {
+        self.coordinator.borrow().engine_counts()
     }
 
     /// Does what is due, for as long as the process lives.
@@ -298,7 +299,7 @@
     }
 
     fn on_attempts_sent(&self, attempts: u64) {
-        (0..attempts).for_each(|_| self.metrics.forwarded());
+        (0..attempts).for_each(|_| self.metrics.record_forward());
     }
 
     fn on_connection_up(self: &Rc<Self>, connection: &EngineConnection) {
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -14,11 +14,12 @@
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_hot_restart::WindowSpans;
+use sprucelink_membership::MembershipConfig;
 use sprucelink_metrics::Metrics;
 use sprucelink_policy::TimeDelta;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_startup::endpoint_poller::EndpointPoller;
-use sprucelink_zone_failover::terms::Terms as FailoverSettings;
+use sprucelink_zone_failover::config::FailoverConfig;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -56,19 +57,7 @@
         apply_known_endpoints(&core, &config);
         let poller = cold_start.map(|cold_start| endpoint_poller(cold_start, &config));
         start_failover(&core, server.failover, &config);
-        let membership = match server.membership.filter(|membership| membership.enabled) {
-            Some(settings) => Some(
-                membership_driver::start(
-                    Rc::clone(&core),
-                    settings,
-                    &config.name,
-                    config.seed,
-                    fleet_settings(&config),
-                )
-                .await?,
-            ),
-            None => None,
-        };
+        let membership = start_membership(&core, server.membership, &config).await?;
         let core_task = spawn_local(Rc::clone(&core).run());
         let (feed_sender, feed_address) = watch::channel(config.feed.clone());
         spawn_local(endpoint_client::follow(Rc::clone(&core), feed_address, poller));
@@ -100,7 +89,7 @@
     let mut settings = config.settings.clone();
     settings.cold_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
-    let metrics = Metrics::new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
+    let metrics = Metrics::try_new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
     let core = Core::new(CoreConfig {
         settings,
         seed: config.seed,
@@ -147,21 +136,28 @@
     poller
 }
 
-fn start_failover(core: &Core, settings: Option<FailoverSettings>, config: &Config) {
+fn start_failover(core: &Core, settings: Option<FailoverConfig>, config: &Config) {
     let Some(settings) = settings.filter(|settings| settings.enabled) else { return };
     let home = config.settings.zone;
     info!(?home, "failover: between {} zones", config.zone_names.len());
     core.enable_zone_failover(&settings, home, config.zone_names.clone());
 }
 
-/// The settings that the membership shares budgets by.
-fn fleet_settings(config: &Config) -> FleetSettings {
-    FleetSettings {
+/// Starts the membership where it is enabled.
+async fn start_membership(
+    core: &Rc<Core>,
+    settings: Option<MembershipConfig>,
+    config: &Config,
+) -> Result<Option<MembershipHandle>, ServeError> {
+    let Some(settings) = settings.filter(|settings| settings.enabled) else { return Ok(None) };
+    let fleet = FleetSettings {
         managers: config.settings.gateways,
         retry_budget: config.settings.attempt_budget,
         cold_budget_window: config.settings.fall_span,
         slow_start_period: config.settings.cold_for,
-    }
+    };
+    let core = Rc::clone(core);
+    Ok(Some(membership_driver::start(core, settings, &config.name, config.seed, fleet).await?))
 }
 
 async fn open_listener(
