--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -155,7 +155,7 @@
         sum.unresponsive += u32::from(is_unresponsive);
         sum.responsive += u32::from(*responsiveness == Responsiveness::Responsive);
         sum.load += view.load;
-        if !is_unresponsive && !view.distrusted {
+        if !is_unresponsive && !view.ejected {
             sum.healthy_cores += view.cores * view.warmth;
         }
         engines_by_zone.entry(view.zone).or_default().extend(gossip_name(engines, view));
