--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -242,7 +242,7 @@
     let mut day = Day::recorded(4, 3, &recorder_settings(), memory.clone());
     day.pass(0.5);
     let recorder = day.recorder.as_mut().expect("recorded");
-    recorder.asked(day.now, &day.brain, &Event::GivenUp { id: RequestId(77) }, Vec::new);
+    recorder.record_event(day.now, &day.brain, &Event::GivenUp { id: RequestId(77) }, Vec::new);
     drop(day.recorder.take());
     let all = memory.contents();
     let last = all.segments[0].records.last().expect("one");
@@ -438,7 +438,7 @@
     let text = story(&Question::Request(refused.expect("one was refused")));
     assert!(text.contains("given up:") && text.contains("refused, come back in"), "{text}");
     let text = story(&Question::Engine("s-1".into()));
-    for part in ["sent to it", "reported in hand", "believed", "looked at in", "distrusted"] {
+    for part in ["sent to it", "reported in hand", "believed", "looked at in", "ejected"] {
         assert!(text.contains(part), "{part} in:\n{text}");
     }
     assert_eq!(text, story(&Question::Engine("#1".into())));
