--- a/crates/query-fingerprint/src/cache.rs
+++ b/crates/query-fingerprint/src/cache.rs
@@ -8,15 +8,15 @@
 
 /// Share of the entries that newcomers stand among.
 const SMALL: f64 = 0.1;
-/// Hits counted of an entry at most: it passes the end of the main queue so often without being asked for.
-const MOST_HITS: u8 = 3;
+/// Maximum hits counted of an entry: it passes the end of the main queue so often without being asked for.
+const MAX_HITS: u8 = 3;
 
 /// Bounds of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Entries at most.
+    /// Maximum number of entries.
     pub entries: usize,
-    /// Bytes of them at most, as told when they are put in.
+    /// Maximum bytes, as given when entries are put in.
     pub bytes: usize,
 }
 
@@ -77,7 +77,7 @@
         let slot = self.slots.get_mut(&key);
         match slot {
             Some(slot) => {
-                slot.hits = (slot.hits + 1).min(MOST_HITS);
+                slot.hits = (slot.hits + 1).min(MAX_HITS);
                 self.counters.hits += 1;
                 Some(&mut slot.value)
             }
@@ -175,61 +175,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::with_cases(128) })]
-
-        /// Neither bound is ever passed, what is there is what was put last, and queues and slots agree.
-        #[test]
-        fn bounds_hold_and_values_are_the_last_put(ops in prop::collection::vec((0_u64..60, 1_usize..40, any::<bool>()), 1..600)) {
-            let bounds = Bounds { entries: 20, bytes: 300 };
-            let (mut cache, mut last) = (Cache::new(bounds), BTreeMap::new());
-            for (n, (key, bytes, put)) in ops.into_iter().enumerate() {
-                if put {
-                    cache.put(key, n, bytes);
-                    last.insert(key, n);
-                } else if let Some(v) = cache.get(key) {
-                    prop_assert_eq!(Some(&*v), last.get(&key));
-                }
-                let c = cache.counters();
-                prop_assert!(c.entries <= bounds.entries && c.bytes <= bounds.bytes);
-                prop_assert!(cache.ghosts.len() <= bounds.entries);
-                prop_assert_eq!(cache.small.len() + cache.main.len(), c.entries);
-                prop_assert_eq!(cache.slots.values().map(|s| s.bytes).sum::<usize>(), c.bytes);
-            }
-        }
-    }
-
-    #[test]
-    fn a_scan_of_one_off_statements_flushes_nothing_that_is_used() {
-        let mut cache = Cache::new(Bounds { entries: 100, bytes: 1 << 20 });
-        for round in 0..4 {
-            for key in 0..60_u64 {
-                if cache.get(key).is_none() {
-                    cache.put(key, round, 10);
-                }
-            }
-        }
-        for key in 1_000..101_000_u64 {
-            if cache.get(key).is_none() {
-                cache.put(key, 0, 10);
-            }
-            // What is used goes on being used, now and then.
-            if key % 40 == 0 {
-                cache.get(key / 40 % 60);
-            }
-        }
-        let kept = (0..60).filter(|k| cache.peek(*k).is_some()).count();
-        assert!(kept >= 55, "{kept} of 60");
-    }
-
-    #[test]
-    fn what_is_larger_than_all_the_room_is_not_kept() {
-        let mut cache = Cache::new(Bounds { entries: 4, bytes: 100 });
-        assert!(cache.put(1, (), 100) && !cache.put(2, (), 101));
-        assert!(cache.peek(1).is_some());
-    }
-}
+mod tests;
--- a/crates/query-fingerprint/src/cost.rs
+++ b/crates/query-fingerprint/src/cost.rs
@@ -13,7 +13,7 @@
 /// plan that costs 25 times more moves the figure no more than one that costs a little more (Huber's function).
 const HUBER: f64 = 1.5;
 /// Logarithm of the least spread assumed: answers of a shape scatter by a tenth at least.
-const LEAST_SPREAD: f64 = 0.1;
+const MIN_SPREAD: f64 = 0.1;
 /// Spread assumed at first: a factor of two either way.
 const FIRST_SPREAD: f64 = 0.7;
 /// So many answers in a row beyond the spread on one side: the shape costs something else now. With one bad plan in
@@ -24,13 +24,13 @@
 /// Bounds of what one answer may say, as a factor of the estimate or class mean: what is beyond is a fault of the teller.
 const SANE: f64 = 1e4;
 /// Logarithm of the largest figure that is told.
-const MOST_LOG: f64 = 50.0;
+const MAX_LOG: f64 = 50.0;
 /// Bytes of one entry, about.
 const ENTRY: usize = 256;
 
-/// A logarithm learned from answers.
+/// A running mean of logarithms, robust to outliers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Learned {
+struct RobustMean {
     mean: f64,
     spread: f64,
     weight: f64,
@@ -39,9 +39,9 @@
     at: f64,
 }
 
-impl Learned {
-    fn new(prior: f64, now: f64) -> Learned {
-        Learned { mean: prior, spread: FIRST_SPREAD, weight: 0.0, run: 0, at: now }
+impl RobustMean {
+    fn new(prior: f64, now: f64) -> RobustMean {
+        RobustMean { mean: prior, spread: FIRST_SPREAD, weight: 0.0, run: 0, at: now }
     }
 
     /// Its weight by now.
@@ -62,7 +62,7 @@
         };
         if self.run.unsigned_abs() >= SHIFT_RUN {
             // Not bad plans any more: begin anew from here, as after so many answers.
-            *self = Learned {
+            *self = RobustMean {
                 mean: x,
                 spread: FIRST_SPREAD,
                 weight: f64::from(SHIFT_RUN) / 2.0,
@@ -76,7 +76,7 @@
         let bound = HUBER * self.spread;
         self.mean += step * off.clamp(-bound, bound);
         self.spread += step * (off.abs().min(2.0 * bound) - self.spread);
-        self.spread = self.spread.max(LEAST_SPREAD);
+        self.spread = self.spread.max(MIN_SPREAD);
     }
 
     /// The figure, shrunk to a prior while there is little to go by.
@@ -89,8 +89,8 @@
 /// What is known under a key: a shape, its class, and whether its data set was taken to be warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
-    /// The shape.
-    pub shape: Fingerprint,
+    /// The fingerprint of the statement.
+    pub fingerprint: Fingerprint,
     /// The class.
     pub class: u16,
     /// The engine was taken to have the data set warm.
@@ -115,24 +115,28 @@
     pub weight: f64,
 }
 
+/// What was learned of the cost of one key, or of one class.
 #[derive(Clone, Copy, Debug)]
-struct Figures {
+struct CostModel {
     /// Logarithms of work and memory where no estimate came, and of both over the estimate where one did.
-    plain: [Learned; 2],
-    over: [Learned; 2],
+    plain: [RobustMean; 2],
+    over: [RobustMean; 2],
 }
 
-impl Figures {
-    fn new(now: f64, plain: [f64; 2], over: [f64; 2]) -> Figures {
-        Figures { plain: plain.map(|p| Learned::new(p, now)), over: over.map(|p| Learned::new(p, now)) }
+impl CostModel {
+    fn new(now: f64, plain: [f64; 2], over: [f64; 2]) -> CostModel {
+        CostModel {
+            plain: plain.map(|p| RobustMean::new(p, now)),
+            over: over.map(|p| RobustMean::new(p, now)),
+        }
     }
 }
 
 /// What shapes cost.
 #[derive(Debug)]
 pub struct Costs {
-    classes: Vec<Figures>,
-    shapes: Cache<Key, Figures>,
+    classes: Vec<CostModel>,
+    shapes: Cache<Key, CostModel>,
 }
 
 fn logs(c: Cost) -> [f64; 2] {
@@ -146,7 +150,7 @@
 impl Costs {
     /// Nothing is known but what each class costs at first; so many shapes are kept at most.
     pub fn new(classes: &[Cost], entries: usize) -> Costs {
-        let class = |c: &Cost| Figures::new(0.0, logs(*c), [0.0, 0.0]);
+        let class = |c: &Cost| CostModel::new(0.0, logs(*c), [0.0, 0.0]);
         let bounds = Bounds { entries, bytes: entries.saturating_mul(ENTRY) };
         Costs { classes: classes.iter().map(class).collect(), shapes: Cache::new(bounds) }
     }
@@ -157,7 +161,7 @@
         let class = self.classes.get(usize::from(key.class))?;
         let (plain, over) = (class.plain.map(|l| l.mean), class.over.map(|l| l.mean));
         let known = self.shapes.get(key);
-        let pick = |of: &[Learned; 2], prior: [f64; 2]| [0, 1].map(|i| of[i].shrunk(prior[i], now));
+        let pick = |of: &[RobustMean; 2], prior: [f64; 2]| [0, 1].map(|i| of[i].shrunk(prior[i], now));
         let (figures, weight) = match (given, known) {
             (Some(g), Some(f)) => {
                 let put_right = pick(&f.over, over);
@@ -172,7 +176,7 @@
             (None, None) => (plain, 0.0),
         };
         // What a client claims may be any number: figures stay finite.
-        let figures = figures.map(|f| f.clamp(-MOST_LOG, MOST_LOG).exp());
+        let figures = figures.map(|f| f.clamp(-MAX_LOG, MAX_LOG).exp());
         let cost = Cost { work_ms: figures[0], memory_mb: figures[1] };
         Some(Estimate { cost, weight })
     }
@@ -186,7 +190,7 @@
         let Some(class) = self.classes.get_mut(usize::from(key.class)) else { return };
         let told = logs(told);
         let given = given.filter(|g| usable(g.work_ms) && usable(g.memory_mb)).map(logs);
-        let teach = |f: &mut Figures| {
+        let teach = |f: &mut CostModel| {
             for i in 0..2 {
                 let prior = f.plain[i].mean;
                 f.plain[i].learn(prior + sane(told[i] - prior), now);
@@ -200,7 +204,7 @@
         match self.shapes.get(key) {
             Some(figures) => teach(figures),
             None => {
-                let mut figures = Figures::new(now, plain, over);
+                let mut figures = CostModel::new(now, plain, over);
                 teach(&mut figures);
                 self.shapes.put(key, figures, ENTRY);
             }
@@ -212,105 +216,3 @@
         self.shapes.counters()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const KEY: Key = Key { shape: Fingerprint(7), class: 0, warm: false };
-    const CLASS: Cost = Cost { work_ms: 250.0, memory_mb: 100.0 };
-
-    fn cost(work_ms: f64) -> Cost {
-        Cost { work_ms, memory_mb: 100.0 }
-    }
-
-    /// Even dice between a half and one and a half, the same every time.
-    fn scatter(n: u32) -> f64 {
-        0.5 + f64::from(n.wrapping_mul(2_654_435_761) >> 8) / f64::from(1 << 24)
-    }
-
-    fn guess(c: &mut Costs, given: Option<Cost>, now: f64) -> f64 {
-        c.estimate(KEY, given, now).expect("a class").cost.work_ms
-    }
-
-    #[test]
-    fn a_shape_is_taken_for_its_class_until_answers_tell() {
-        let mut c = Costs::new(&[CLASS], 16);
-        assert!((guess(&mut c, None, 0.0) - 250.0).abs() < 1e-6);
-        c.learn(KEY, None, cost(2_000.0), 0.0);
-        let one = guess(&mut c, None, 0.0);
-        assert!(one > 250.0 && one < 1_000.0, "one answer weighs little: {one}");
-        (0..30).for_each(|n| c.learn(KEY, None, cost(2_000.0 * scatter(n)), 0.0));
-        let many = guess(&mut c, None, 0.0);
-        assert!((1_400.0..2_600.0).contains(&many), "{many}");
-    }
-
-    #[test]
-    fn a_bad_plan_in_twenty_moves_little() {
-        let mut c = Costs::new(&[CLASS], 16);
-        for n in 0..400 {
-            let times = if n % 20 == 19 { 25.0 } else { 1.0 };
-            c.learn(KEY, None, cost(200.0 * scatter(n) * times), f64::from(n));
-        }
-        let seen = guess(&mut c, None, 400.0);
-        // The mean of what was told is 440.
-        assert!((150.0..260.0).contains(&seen), "{seen}");
-    }
-
-    /// Data grew tenfold overnight: so many answers until the estimate is within a quarter.
-    #[test]
-    fn what_costs_ten_times_more_overnight_is_followed_within_a_dozen_answers() {
-        let mut c = Costs::new(&[CLASS], 16);
-        (0..200).for_each(|n| c.learn(KEY, None, cost(200.0 * scatter(n)), f64::from(n)));
-        let morning = 8.0 * 3600.0;
-        let needed = (0..40).find(|n| {
-            c.learn(KEY, None, cost(2_000.0 * scatter(*n)), morning + f64::from(*n));
-            (guess(&mut c, None, morning + f64::from(*n)) / 2_000.0).ln().abs() < 0.25
-        });
-        assert!(needed.is_some_and(|n| n < 12), "{needed:?}");
-    }
-
-    #[test]
-    fn an_estimate_that_errs_the_same_way_is_put_right() {
-        let mut c = Costs::new(&[CLASS], 16);
-        for n in 0..60 {
-            let truth = 40.0 + f64::from(n * 37 % 400);
-            c.learn(KEY, Some(cost(truth / 3.0)), cost(truth * scatter(n)), f64::from(n));
-        }
-        let right = guess(&mut c, Some(cost(100.0)), 60.0);
-        assert!((230.0..360.0).contains(&right), "three times 100: {right}");
-        // What another shape of the class may expect: the class errs so, too.
-        let other = Key { shape: Fingerprint(8), ..KEY };
-        let right = c.estimate(other, Some(cost(100.0)), 60.0).expect("a class");
-        assert!(right.weight == 0.0 && right.cost.work_ms > 200.0);
-    }
-
-    #[test]
-    fn what_was_learned_long_ago_counts_for_less_and_a_clock_set_back_harms_nothing() {
-        let mut c = Costs::new(&[CLASS, CLASS], 16);
-        (0..30).for_each(|n| c.learn(KEY, None, cost(5_000.0), f64::from(n)));
-        // The class has other shapes that keep it where it was.
-        (0..300).for_each(|n| {
-            c.learn(Key { shape: Fingerprint(9), ..KEY }, None, cost(250.0), 30.0 + f64::from(n))
-        });
-        let fresh = guess(&mut c, None, 400.0);
-        let stale = guess(&mut c, None, 30.0 * 24.0 * 3600.0);
-        assert!(fresh > 3_000.0 && stale < 400.0, "{fresh}, {stale}");
-        c.learn(KEY, None, cost(5_000.0), -1e9);
-        assert!(guess(&mut c, None, 400.0).is_finite());
-    }
-
-    #[test]
-    fn nonsense_teaches_nothing_and_shapes_are_bounded() {
-        let mut c = Costs::new(&[CLASS], 64);
-        for told in [f64::NAN, f64::INFINITY, 0.0, -5.0] {
-            c.learn(KEY, Some(cost(told)), cost(told), 0.0);
-        }
-        assert!((guess(&mut c, None, 0.0) - 250.0).abs() < 1e-6);
-        c.learn(KEY, Some(cost(f64::NAN)), cost(300.0), 0.0);
-        assert!(guess(&mut c, Some(cost(f64::MAX)), 0.0).is_finite());
-        (0..100_000).for_each(|n| c.learn(Key { shape: Fingerprint(n), ..KEY }, None, cost(300.0), 1.0));
-        assert!(c.counters().entries <= 64);
-        assert!(c.estimate(Key { class: 1, ..KEY }, None, 0.0).is_none());
-    }
-}
--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -1,7 +1,7 @@
 //! What is known of a statement. The parser of a library reads it, within bounds; what it cannot read whole is
 //! *unknown*, with what the lexer is certain of, and unknown is always the careful side: it may write, it may load.
 
-use crate::lex::{tokens, Kind as Lexeme, Token};
+use crate::lex::{tokens, Token, TokenKind};
 use crate::normal::{plain_name, BEFORE_TABLE};
 use serde::Serialize;
 use sqlparser::ast::{
@@ -14,18 +14,18 @@
 use std::ops::ControlFlow;
 
 /// Longest text that the parser is given, in bytes. Longer ones are long lists of values, most likely.
-pub const MOST_READ: usize = 16 * 1024;
-/// Most tokens of it. A chain such as `1+1+1` makes a tree half as deep, which is walked by recursion.
-pub const MOST_READ_TOKENS: usize = 2_000;
+pub const MAX_PARSED_BYTES: usize = 16 * 1024;
+/// Maximum tokens of it. A chain such as `1+1+1` makes a tree half as deep, which is walked by recursion.
+pub const MAX_PARSED_TOKENS: usize = 2_000;
 /// Deepest nesting that the parser follows; PostgreSQL's clients nest a dozen deep.
-const MOST_DEPTH: usize = 48;
+const MAX_DEPTH: usize = 48;
 /// Data sets and relations that are told of one statement; of more, it is unknown.
-const MOST_NAMES: usize = 64;
+const MAX_NAMES: usize = 64;
 
 /// What kind of statement it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum StatementKind {
     /// Reads rows.
     Select,
     /// Puts rows in.
@@ -49,9 +49,9 @@
 
 /// What is known of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Facts {
+pub struct StatementFacts {
     /// What it is.
-    pub kind: Kind,
+    pub kind: StatementKind,
     /// It was read whole; else all else here is what is certain, and there may be more.
     pub whole: bool,
     /// Tables that it reads, `schema.table`, sorted.
@@ -225,9 +225,9 @@
 }
 
 /// Reads a statement: whole where it can be, else what is certain.
-pub fn read(statement: &str) -> Facts {
+pub fn read(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
-    let bounded = statement.len() <= MOST_READ && tokens(statement, MOST_READ_TOKENS, &mut lexed);
+    let bounded = statement.len() <= MAX_PARSED_BYTES && tokens(statement, MAX_PARSED_TOKENS, &mut lexed);
     let parsed = if bounded && !deep(statement, &lexed) { parse(&plain(statement, &lexed)) } else { None };
     parsed.unwrap_or_else(|| certain(statement))
 }
@@ -252,22 +252,22 @@
     for t in lexed {
         let text = &statement[t.at..t.end];
         match t.kind {
-            Lexeme::Mark if matches!(text, "(" | "[") => depth += 1,
-            Lexeme::Mark if matches!(text, ")" | "]") => depth = depth.saturating_sub(1),
-            Lexeme::Word if text.eq_ignore_ascii_case("case") => depth += 1,
-            Lexeme::Word if text.eq_ignore_ascii_case("end") => depth = depth.saturating_sub(1),
+            TokenKind::Mark if matches!(text, "(" | "[") => depth += 1,
+            TokenKind::Mark if matches!(text, ")" | "]") => depth = depth.saturating_sub(1),
+            TokenKind::Word if text.eq_ignore_ascii_case("case") => depth += 1,
+            TokenKind::Word if text.eq_ignore_ascii_case("end") => depth = depth.saturating_sub(1),
             _ => {}
         }
         most = most.max(depth);
     }
-    most > MOST_DEPTH
+    most > MAX_DEPTH
 }
 
-fn parse(statement: &str) -> Option<Facts> {
-    let parser = Parser::new(&PostgreSqlDialect {}).with_recursion_limit(2 * MOST_DEPTH);
+fn parse(statement: &str) -> Option<StatementFacts> {
+    let parser = Parser::new(&PostgreSqlDialect {}).with_recursion_limit(2 * MAX_DEPTH);
     let all = parser.try_with_sql(statement).ok()?.parse_statements().ok()?;
     let [one] = &all[..] else { return None };
-    let mut reader = Reader::default();
+    let mut reader = FactsVisitor::default();
     reader.facts.whole = true;
     reader.facts.kind = kind(one);
     // Never broken off.
@@ -275,37 +275,39 @@
     reader.finish()
 }
 
-fn kind(statement: &Statement) -> Kind {
+fn kind(statement: &Statement) -> StatementKind {
     match statement {
         Statement::Query(q) => match &*q.body {
             sqlparser::ast::SetExpr::Insert(s)
             | sqlparser::ast::SetExpr::Update(s)
             | sqlparser::ast::SetExpr::Delete(s)
             | sqlparser::ast::SetExpr::Merge(s) => kind(s),
-            _ => Kind::Select,
+            _ => StatementKind::Select,
         },
-        Statement::Insert(_) => Kind::Insert,
-        Statement::Update(_) => Kind::Update,
-        Statement::Delete(_) => Kind::Delete,
-        Statement::Merge(_) => Kind::Merge,
-        Statement::Copy { .. } => Kind::Copy,
+        Statement::Insert(_) => StatementKind::Insert,
+        Statement::Update(_) => StatementKind::Update,
+        Statement::Delete(_) => StatementKind::Delete,
+        Statement::Merge(_) => StatementKind::Merge,
+        Statement::Copy { .. } => StatementKind::Copy,
         Statement::Truncate(_)
         | Statement::CreateTable(_)
         | Statement::CreateView(_)
         | Statement::CreateIndex(_)
         | Statement::AlterTable(_)
-        | Statement::Drop { .. } => Kind::Ddl,
-        Statement::ShowVariable { .. } | Statement::ShowTables { .. } | Statement::Set(_) => Kind::Utility,
-        Statement::Explain { analyze: false, .. } => Kind::Utility,
+        | Statement::Drop { .. } => StatementKind::Ddl,
+        Statement::ShowVariable { .. } | Statement::ShowTables { .. } | Statement::Set(_) => {
+            StatementKind::Utility
+        }
+        Statement::Explain { analyze: false, .. } => StatementKind::Utility,
         Statement::Explain { statement, .. } => kind(statement),
-        _ => Kind::Unknown,
+        _ => StatementKind::Unknown,
     }
 }
 
 /// Walks a statement's tree.
 #[derive(Default)]
-struct Reader {
-    facts: Facts,
+struct FactsVisitor {
+    facts: StatementFacts,
     names: BTreeSet<String>,
     writes: BTreeSet<String>,
     ctes: BTreeSet<String>,
@@ -321,7 +323,7 @@
     of.0.iter().map(part).collect::<Vec<_>>().join(".")
 }
 
-impl Reader {
+impl FactsVisitor {
     fn wrote(&mut self, of: &ObjectName) {
         self.facts.may_write = true;
         self.writes.insert(name(of));
@@ -338,12 +340,12 @@
     }
 
     /// The facts; none where there are more names than are told.
-    fn finish(mut self) -> Option<Facts> {
+    fn finish(mut self) -> Option<StatementFacts> {
         let real = |n: &&String| !self.ctes.contains(*n);
         let writes: Vec<String> = self.writes.iter().filter(real).cloned().collect();
         let reads: Vec<String> =
             self.names.iter().filter(real).filter(|n| !self.writes.contains(*n)).cloned().collect();
-        if reads.len() + writes.len() > MOST_NAMES {
+        if reads.len() + writes.len() > MAX_NAMES {
             return None;
         }
         let schema = |n: &String| {
@@ -355,14 +357,14 @@
         self.facts.data_sets = sets.into_iter().collect();
         (self.facts.reads, self.facts.writes) = (reads, writes);
         self.facts.calls = self.calls.into_iter().collect();
-        self.facts.may_write |= !self.facts.calls.is_empty() || self.facts.kind == Kind::Unknown;
-        self.facts.load |= self.facts.kind == Kind::Unknown;
-        self.facts.whole &= self.facts.kind != Kind::Unknown;
+        self.facts.may_write |= !self.facts.calls.is_empty() || self.facts.kind == StatementKind::Unknown;
+        self.facts.load |= self.facts.kind == StatementKind::Unknown;
+        self.facts.whole &= self.facts.kind != StatementKind::Unknown;
         Some(self.facts)
     }
 }
 
-impl Visitor for Reader {
+impl Visitor for FactsVisitor {
     type Break = ();
 
     fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
@@ -487,10 +489,10 @@
     }
 }
 
-impl Reader {
+impl FactsVisitor {
     fn call(&mut self, called: String) {
         let bare = called.strip_prefix("pg_catalog.").unwrap_or(&called);
-        if !PURE.contains(&bare) && self.calls.len() < MOST_NAMES {
+        if !PURE.contains(&bare) && self.calls.len() < MAX_NAMES {
             self.calls.insert(called);
         }
     }
@@ -498,17 +500,17 @@
 
 /// What is certain of a statement that was not read whole, by the lexer alone: data sets named behind the words that
 /// name tables, or anywhere, and that it may do anything.
-fn certain(statement: &str) -> Facts {
+fn certain(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
     // Of what is longer, the head is certain.
-    tokens(statement, 8 * MOST_READ_TOKENS, &mut lexed);
-    let mut facts = Facts { may_write: true, load: true, ..Facts::default() };
+    tokens(statement, 8 * MAX_PARSED_TOKENS, &mut lexed);
+    let mut facts = StatementFacts { may_write: true, load: true, ..StatementFacts::default() };
     let sets: BTreeSet<u64> =
         named(statement, &lexed).into_iter().filter_map(|(schema, _)| data_set(&schema)).collect();
-    facts.data_sets = sets.into_iter().take(MOST_NAMES).collect();
+    facts.data_sets = sets.into_iter().take(MAX_NAMES).collect();
     for (i, t) in lexed.iter().enumerate() {
         let text = &statement[t.at..t.end];
-        if t.kind != Lexeme::Word {
+        if t.kind != TokenKind::Word {
             continue;
         }
         let next = lexed.get(i + 1).map_or("", |n| &statement[n.at..n.end]);
@@ -529,16 +531,16 @@
 /// Schemas and tables that a statement names behind FROM, JOIN, INTO and the like, by the lexer alone.
 pub fn named(statement: &str, lexed: &[Token]) -> Vec<(String, String)> {
     let text = |t: &Token| &statement[t.at..t.end];
-    let is_name = |t: &Token| matches!(t.kind, Lexeme::Word | Lexeme::Quoted);
+    let is_name = |t: &Token| matches!(t.kind, TokenKind::Word | TokenKind::Quoted);
     let mut all = Vec::new();
     let mut lists = vec![false];
     let mut i = 0;
     while i < lexed.len() {
         let t = &lexed[i];
         match t.kind {
-            Lexeme::Mark if text(t) == "(" => lists.push(*lists.last().unwrap_or(&false)),
-            Lexeme::Mark if text(t) == ")" && lists.len() > 1 => drop(lists.pop()),
-            Lexeme::Word => {
+            TokenKind::Mark if text(t) == "(" => lists.push(*lists.last().unwrap_or(&false)),
+            TokenKind::Mark if text(t) == ")" && lists.len() > 1 => drop(lists.pop()),
+            TokenKind::Word => {
                 let word = text(t).to_ascii_lowercase();
                 if let Some(last) = lists.last_mut() {
                     if BEFORE_TABLE.contains(&word.as_str()) || matches!(word.as_str(), "copy" | "truncate") {
--- a/crates/query-fingerprint/src/lex.rs
+++ b/crates/query-fingerprint/src/lex.rs
@@ -3,7 +3,7 @@
 
 /// What a token is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum TokenKind {
     /// A word: a key word or a name without quotes.
     Word,
     /// A name in double quotes, these included.
@@ -25,8 +25,8 @@
 /// A token: where it stands in the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// What it is.
-    pub kind: Kind,
+    /// Its kind.
+    pub kind: TokenKind,
     /// Its first byte.
     pub at: usize,
     /// The byte behind it.
@@ -59,29 +59,29 @@
     let made = |kind, end: usize| Some(Token { kind, at, end: end.min(b.len()) });
     match first {
         c if c.is_ascii_whitespace() => {
-            made(Kind::Blank, at + b[at..].iter().take_while(|c| c.is_ascii_whitespace()).count())
+            made(TokenKind::Blank, at + b[at..].iter().take_while(|c| c.is_ascii_whitespace()).count())
         }
         b'-' if next == Some(b'-') => made(
-            Kind::Blank,
+            TokenKind::Blank,
             at + b[at..].iter().position(|c| matches!(c, b'\n' | b'\r')).map_or(b.len() - at, |n| n + 1),
         ),
-        b'/' if next == Some(b'*') => made(Kind::Blank, comment(b, at)),
-        b'\'' => made(Kind::Text, quoted(b, at, false)),
-        b'"' => made(Kind::Quoted, quoted(b, at, false)),
-        b'e' | b'E' if next == Some(b'\'') => made(Kind::Text, quoted(b, at + 1, true)),
+        b'/' if next == Some(b'*') => made(TokenKind::Blank, comment(b, at)),
+        b'\'' => made(TokenKind::Text, quoted(b, at, false)),
+        b'"' => made(TokenKind::Quoted, quoted(b, at, false)),
+        b'e' | b'E' if next == Some(b'\'') => made(TokenKind::Text, quoted(b, at + 1, true)),
         b'b' | b'B' | b'x' | b'X' | b'n' | b'N' if next == Some(b'\'') => {
-            made(Kind::Text, quoted(b, at + 1, false))
+            made(TokenKind::Text, quoted(b, at + 1, false))
         }
         b'u' | b'U' if next == Some(b'&') && matches!(b.get(at + 2), Some(b'\'')) => {
-            made(Kind::Text, quoted(b, at + 2, false))
+            made(TokenKind::Text, quoted(b, at + 2, false))
         }
         b'u' | b'U' if next == Some(b'&') && matches!(b.get(at + 2), Some(b'"')) => {
-            made(Kind::Quoted, quoted(b, at + 2, false))
+            made(TokenKind::Quoted, quoted(b, at + 2, false))
         }
         b'$' => made_dollar(b, at),
-        c if c.is_ascii_digit() => made(Kind::Number, number(b, at)),
+        c if c.is_ascii_digit() => made(TokenKind::Number, number(b, at)),
         b'.' if next.is_some_and(|c| c.is_ascii_digit()) && !after_name(b, at) => {
-            made(Kind::Number, number(b, at))
+            made(TokenKind::Number, number(b, at))
         }
         c if begins_name(c) => {
             // White space that ASCII does not know stands among what would else be names.
@@ -95,9 +95,9 @@
             }
             if end == at {
                 let blank: usize = rest.chars().take_while(|c| is_space(*c)).map(char::len_utf8).sum();
-                return made(Kind::Blank, at + blank.max(1));
+                return made(TokenKind::Blank, at + blank.max(1));
             }
-            made(Kind::Word, end)
+            made(TokenKind::Word, end)
         }
         c if OPERATORS.contains(&c) => {
             let mut end = at + 1;
@@ -108,9 +108,9 @@
                 }
                 end += 1;
             }
-            made(Kind::Operator, end)
+            made(TokenKind::Operator, end)
         }
-        _ => made(Kind::Mark, at + 1),
+        _ => made(TokenKind::Mark, at + 1),
     }
 }
 
@@ -122,16 +122,16 @@
 fn made_dollar(b: &[u8], at: usize) -> Option<Token> {
     let digits = b[at + 1..].iter().take_while(|c| c.is_ascii_digit()).count();
     if digits > 0 {
-        return Some(Token { kind: Kind::Parameter, at, end: at + 1 + digits });
+        return Some(Token { kind: TokenKind::Parameter, at, end: at + 1 + digits });
     }
     let tag = b[at + 1..].iter().take_while(|c| begins_name(**c) || c.is_ascii_digit()).count();
     if b.get(at + 1 + tag) != Some(&b'$') {
-        return Some(Token { kind: Kind::Mark, at, end: at + 1 });
+        return Some(Token { kind: TokenKind::Mark, at, end: at + 1 });
     }
     let mark = &b[at..at + tag + 2];
     let body = at + mark.len();
     let close = b[body..].windows(mark.len()).position(|w| w == mark);
-    Some(Token { kind: Kind::Text, at, end: close.map_or(b.len(), |n| body + n + mark.len()) })
+    Some(Token { kind: TokenKind::Text, at, end: close.map_or(b.len(), |n| body + n + mark.len()) })
 }
 
 /// Behind a comment that begins at `at`. Comments nest.
@@ -189,14 +189,14 @@
 }
 
 /// The tokens of a text without blanks, into a vector that is used again; false where there are more than
-/// `most`.
-pub fn tokens(text: &str, most: usize, out: &mut Vec<Token>) -> bool {
+/// `max_tokens`.
+pub fn tokens(text: &str, max_tokens: usize, out: &mut Vec<Token>) -> bool {
     out.clear();
     let mut at = 0;
     while let Some(t) = token(text, at) {
         at = t.end;
-        if t.kind != Kind::Blank {
-            if out.len() >= most {
+        if t.kind != TokenKind::Blank {
+            if out.len() >= max_tokens {
                 return false;
             }
             out.push(t);
--- a/crates/query-fingerprint/src/lib.rs
+++ b/crates/query-fingerprint/src/lib.rs
@@ -1,4 +1,4 @@
-//! Statement shapes: a statement is read just far enough to tell a cheap look-up from a heavy report, to notice a
+//! Statement fingerprints: a statement is read just far enough to tell a cheap look-up from a heavy report, to notice a
 //! load, and to know what each form cost before. No input or output, no clock.
 //!
 //! | module | what it does |
@@ -6,13 +6,15 @@
 //! | [`lex`] | the project's own bounded lexer |
 //! | [`normal`] | the normal form of a statement, and its fingerprint |
 //! | [`facts`] | what is known of a statement: read whole by a parser, or what the lexer is certain of |
-//! | [`known`] | shapes by fingerprint, and what each forbids |
-//! | [`cache`] | shapes by fingerprint, bounded, which a scan of one-off statements cannot flush |
-//! | [`cost`] | work and memory of each shape, learned from what answers told |
+//! | [`statement_cache`] | statements read once, by fingerprint |
+//! | [`retry_guard`] | whether a statement may be retried |
+//! | [`cache`] | an S3-FIFO cache, which a scan of one-off statements cannot flush |
+//! | [`cost`] | work and memory of each fingerprint, learned from answers |
 
 pub mod cache;
 pub mod cost;
 pub mod facts;
-pub mod known;
 pub mod lex;
 pub mod normal;
+pub mod retry_guard;
+pub mod statement_cache;
--- a/crates/query-fingerprint/src/normal.rs
+++ b/crates/query-fingerprint/src/normal.rs
@@ -1,18 +1,18 @@
 //! The normal form of a statement and its fingerprint: what differs only in comments, spacing, case, values, lengths
 //! of lists or chosen aliases has one form.
 
-use crate::lex::{tokens, Kind, Token};
+use crate::lex::{tokens, Token, TokenKind};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Longest text that is normalised: a front's longest statement is shorter.
-pub const MOST_TEXT: usize = 64 * 1024;
-/// Most tokens of it; a longer one has the fingerprint of its head, and is unknown.
-pub const MOST_TOKENS: usize = 16 * 1024;
+pub const MAX_TEXT_BYTES: usize = 64 * 1024;
+/// Maximum tokens of it; a longer one has the fingerprint of its head, and is unknown.
+pub const MAX_TOKENS: usize = 16 * 1024;
 /// Aliases of one statement that are renamed; more keep their names.
-const MOST_ALIASES: usize = 64;
+const MAX_ALIASES: usize = 64;
 
-/// A statement's shape: how it is known.
+/// The fingerprint of a statement: XXH3-64 of its normal form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
@@ -102,24 +102,24 @@
 /// Words behind WITH that name no common table expression.
 const NO_CTE: &[&str] = &["time", "local", "cascaded", "check", "ordinality", "no", "ties"];
 
-/// A token and its text in lower case, as far as a word goes.
-struct Part<'a> {
-    kind: Kind,
+/// A token and its text as it stands in the statement.
+struct SourceToken<'a> {
+    kind: TokenKind,
     raw: &'a str,
 }
 
-impl Part<'_> {
+impl SourceToken<'_> {
     fn is(&self, word: &str) -> bool {
-        self.kind == Kind::Word && self.raw.eq_ignore_ascii_case(word)
+        self.kind == TokenKind::Word && self.raw.eq_ignore_ascii_case(word)
     }
     fn mark(&self, mark: &str) -> bool {
-        matches!(self.kind, Kind::Mark | Kind::Operator) && self.raw == mark
+        matches!(self.kind, TokenKind::Mark | TokenKind::Operator) && self.raw == mark
     }
     fn among(&self, words: &[&str]) -> bool {
-        self.kind == Kind::Word && words.iter().any(|w| self.raw.eq_ignore_ascii_case(w))
+        self.kind == TokenKind::Word && words.iter().any(|w| self.raw.eq_ignore_ascii_case(w))
     }
     fn is_name(&self) -> bool {
-        matches!(self.kind, Kind::Word | Kind::Quoted)
+        matches!(self.kind, TokenKind::Word | TokenKind::Quoted)
     }
 }
 
@@ -132,17 +132,17 @@
 }
 
 impl Normaliser {
-    /// The fingerprint of a statement. Of what is longer than [`MOST_TEXT`] or [`MOST_TOKENS`] only the head
+    /// The fingerprint of a statement. Of what is longer than [`MAX_TEXT_BYTES`] or [`MAX_TOKENS`] only the head
     /// counts, and [`whole`](Normaliser::whole) is false.
     pub fn fingerprint(&mut self, statement: &str) -> Fingerprint {
-        let mut end = statement.len().min(MOST_TEXT);
+        let mut end = statement.len().min(MAX_TEXT_BYTES);
         while !statement.is_char_boundary(end) {
             end -= 1;
         }
         let head = &statement[..end];
-        self.whole = tokens(head, MOST_TOKENS, &mut self.tokens) && end == statement.len();
-        let parts: Vec<Part> =
-            self.tokens.iter().map(|t| Part { kind: t.kind, raw: &head[t.at..t.end] }).collect();
+        self.whole = tokens(head, MAX_TOKENS, &mut self.tokens) && end == statement.len();
+        let parts: Vec<SourceToken> =
+            self.tokens.iter().map(|t| SourceToken { kind: t.kind, raw: &head[t.at..t.end] }).collect();
         let names = aliases(&parts);
         self.text.clear();
         write(&parts, &names, &mut self.text);
@@ -162,7 +162,7 @@
 
 /// Aliases of tables, common table expressions and columns, each with its number in order of first sight.
 #[derive(Default)]
-struct Names {
+struct Aliases {
     tables: BTreeMap<String, usize>,
     columns: BTreeMap<String, usize>,
     /// Those of them that stand for a sub-select: their columns may have aliases, too.
@@ -172,7 +172,7 @@
     next: usize,
 }
 
-impl Names {
+impl Aliases {
     fn table(&mut self, name: &str, place: usize) {
         let next = self.next;
         let number = *self.tables.entry(plain_name(name)).or_insert(next);
@@ -190,14 +190,14 @@
         self.made.insert(place, number);
     }
     fn full(&self) -> bool {
-        self.next >= MOST_ALIASES
+        self.next >= MAX_ALIASES
     }
 }
 
 /// Finds aliases by their places: behind a table in a FROM list, behind a closing bracket there, behind AS (but in
 /// a cast), and common table expressions.
-fn aliases(parts: &[Part]) -> Names {
-    let mut names = Names::default();
+fn aliases(parts: &[SourceToken]) -> Aliases {
+    let mut names = Aliases::default();
     // Brackets that are open, and whether each is a cast's.
     let mut open: Vec<bool> = Vec::new();
     let mut in_from = vec![false];
@@ -268,8 +268,8 @@
 }
 
 /// Whether a comma parts common table expressions: a name, perhaps columns, AS and a bracket follow.
-fn cte_follows(parts: &[Part], comma: usize) -> bool {
-    if !parts.get(comma + 1).is_some_and(Part::is_name) {
+fn cte_follows(parts: &[SourceToken], comma: usize) -> bool {
+    if !parts.get(comma + 1).is_some_and(SourceToken::is_name) {
         return false;
     }
     let mut i = comma + 2;
@@ -283,7 +283,7 @@
         && parts.get(i + 1).is_some_and(|p| p.mark("(") || p.among(&["materialized", "not"]))
 }
 
-fn cte(parts: &[Part], at: usize, names: &mut Names) {
+fn cte(parts: &[SourceToken], at: usize, names: &mut Aliases) {
     let at = at + usize::from(parts.get(at).is_some_and(|p| p.is("recursive")));
     if let Some(name) = parts.get(at).filter(|n| n.is_name()) {
         names.derived(name.raw, at);
@@ -291,7 +291,7 @@
 }
 
 /// Passes over a table's name from `at` on, and takes the alias behind it. The place behind both.
-fn table(parts: &[Part], mut at: usize, names: &mut Names) -> usize {
+fn table(parts: &[SourceToken], mut at: usize, names: &mut Aliases) -> usize {
     while parts.get(at).is_some_and(|p| p.among(&["only", "lateral", "into", "table"])) {
         at += 1;
     }
@@ -300,7 +300,7 @@
         return at;
     }
     at += 1;
-    while parts.get(at).is_some_and(|p| p.mark(".")) && parts.get(at + 1).is_some_and(Part::is_name) {
+    while parts.get(at).is_some_and(|p| p.mark(".")) && parts.get(at + 1).is_some_and(SourceToken::is_name) {
         at += 2;
     }
     if parts.get(at).is_some_and(|p| p.mark("*")) {
@@ -320,7 +320,7 @@
 /// What a literal becomes.
 const VALUE: &str = "?";
 
-fn write(parts: &[Part], names: &Names, out: &mut String) {
+fn write(parts: &[SourceToken], names: &Aliases, out: &mut String) {
     let mut i = 0;
     // Where the words of the present list of values began in `out`: IN, VALUES and ARRAY.
     let mut tail = false;
@@ -339,11 +339,11 @@
             tail = false;
         }
         match p.kind {
-            Kind::Text | Kind::Number | Kind::Parameter => put(out, VALUE),
-            Kind::Operator if sign(parts, i) => {}
-            Kind::Operator | Kind::Mark => put(out, p.raw),
-            Kind::Word | Kind::Quoted => word(parts, i, names, tail, out),
-            Kind::Blank => {}
+            TokenKind::Text | TokenKind::Number | TokenKind::Parameter => put(out, VALUE),
+            TokenKind::Operator if sign(parts, i) => {}
+            TokenKind::Operator | TokenKind::Mark => put(out, p.raw),
+            TokenKind::Word | TokenKind::Quoted => word(parts, i, names, tail, out),
+            TokenKind::Blank => {}
         }
         // AS before an alias is as good as none.
         i += 1;
@@ -357,7 +357,7 @@
     out.push_str(text);
 }
 
-fn word(parts: &[Part], i: usize, names: &Names, tail: bool, out: &mut String) {
+fn word(parts: &[SourceToken], i: usize, names: &Aliases, tail: bool, out: &mut String) {
     let p = &parts[i];
     if p.is("as") && names.made.contains_key(&(i + 1)) {
         return;
@@ -396,26 +396,26 @@
         .chars()
         .enumerate()
         .all(|(k, c)| c == '_' || c.is_alphabetic() && !c.is_uppercase() || k > 0 && c.is_ascii_digit());
-    if p.kind == Kind::Quoted && (!simple || name.is_empty()) {
+    if p.kind == TokenKind::Quoted && (!simple || name.is_empty()) {
         return put(out, &format!("\"{name}\""));
     }
     put(out, &name);
 }
 
 /// Whether an operator at `i` is the sign of a number: nothing stands before it that it could join.
-fn sign(parts: &[Part], i: usize) -> bool {
+fn sign(parts: &[SourceToken], i: usize) -> bool {
     if !matches!(parts[i].raw, "-" | "+")
-        || !parts.get(i + 1).is_some_and(|n| matches!(n.kind, Kind::Number | Kind::Operator))
+        || !parts.get(i + 1).is_some_and(|n| matches!(n.kind, TokenKind::Number | TokenKind::Operator))
     {
         return false;
     }
-    if parts[i + 1].kind == Kind::Operator && !sign(parts, i + 1) {
+    if parts[i + 1].kind == TokenKind::Operator && !sign(parts, i + 1) {
         return false;
     }
     match i.checked_sub(1).map(|k| &parts[k]) {
         None => true,
-        Some(b) if b.kind == Kind::Operator => !b.raw.ends_with("::"),
-        Some(b) if b.kind == Kind::Mark => matches!(b.raw, "(" | "[" | "," | ";"),
+        Some(b) if b.kind == TokenKind::Operator => !b.raw.ends_with("::"),
+        Some(b) if b.kind == TokenKind::Mark => matches!(b.raw, "(" | "[" | "," | ";"),
         Some(b) => b.among(&[
             "select",
             "where",
@@ -447,7 +447,7 @@
 
 /// A list of values that is folded into one: `(…)` behind IN and VALUES, with its further rows, and `[…]`. The place
 /// behind it.
-fn folded(parts: &[Part], i: usize) -> Option<usize> {
+fn folded(parts: &[SourceToken], i: usize) -> Option<usize> {
     let array = parts[i].mark("[");
     let before = i.checked_sub(1).map(|k| &parts[k])?;
     if !(array && before.is("array") || parts[i].mark("(") && before.among(&["in", "values"])) {
@@ -468,7 +468,7 @@
 }
 
 /// The place behind a bracket that holds values only.
-fn list(parts: &[Part], open: usize) -> Option<usize> {
+fn list(parts: &[SourceToken], open: usize) -> Option<usize> {
     let close = if parts[open].mark("[") { "]" } else { ")" };
     let mut i = open + 1;
     let mut values = 0;
@@ -476,9 +476,9 @@
         if p.mark(close) {
             return (values > 0).then_some(i + 1);
         }
-        let value = matches!(p.kind, Kind::Text | Kind::Number | Kind::Parameter)
+        let value = matches!(p.kind, TokenKind::Text | TokenKind::Number | TokenKind::Parameter)
             || p.among(&["null", "true", "false", "default"])
-            || p.kind == Kind::Operator && sign(parts, i);
+            || p.kind == TokenKind::Operator && sign(parts, i);
         if !value && !p.mark(",") {
             return None;
         }
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -1,25 +1,25 @@
 //! The corpus: every statement has the facts it says, a disguise changes nothing, and no two shapes collide.
 
 use proptest::prelude::*;
-use sprucelink_query_fingerprint::facts::{named, read, Facts, Kind};
+use sprucelink_query_fingerprint::facts::{named, read, StatementFacts, StatementKind};
 use sprucelink_query_fingerprint::lex::{token, tokens};
-use sprucelink_query_fingerprint::normal::{Normaliser, MOST_TEXT};
+use sprucelink_query_fingerprint::normal::{Normaliser, MAX_TEXT_BYTES};
 use std::collections::BTreeMap;
 
-const KINDS: [(&str, Kind); 9] = [
-    ("select", Kind::Select),
-    ("insert", Kind::Insert),
-    ("update", Kind::Update),
-    ("delete", Kind::Delete),
-    ("merge", Kind::Merge),
-    ("copy", Kind::Copy),
-    ("ddl", Kind::Ddl),
-    ("utility", Kind::Utility),
-    ("unknown", Kind::Unknown),
+const KINDS: [(&str, StatementKind); 9] = [
+    ("select", StatementKind::Select),
+    ("insert", StatementKind::Insert),
+    ("update", StatementKind::Update),
+    ("delete", StatementKind::Delete),
+    ("merge", StatementKind::Merge),
+    ("copy", StatementKind::Copy),
+    ("ddl", StatementKind::Ddl),
+    ("utility", StatementKind::Utility),
+    ("unknown", StatementKind::Unknown),
 ];
 
 struct Entry {
-    kind: Kind,
+    kind: StatementKind,
     sets: Vec<u64>,
     flags: String,
     /// The statement and its disguises.
@@ -51,7 +51,7 @@
     all
 }
 
-fn flags(f: &Facts) -> String {
+fn flags(f: &StatementFacts) -> String {
     let all = [
         (f.may_write, 'w'),
         (f.load, 'l'),
@@ -87,7 +87,7 @@
                     e.flags
                 ));
             }
-            assert_eq!(f.whole, f.kind != Kind::Unknown, "{text}");
+            assert_eq!(f.whole, f.kind != StatementKind::Unknown, "{text}");
         }
     }
     assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
@@ -141,7 +141,7 @@
                     out.push_str(if blank.starts_with(['-', '/']) { " " } else { "" });
                     out.push_str(blank);
                 }
-                let word = t.kind == sprucelink_query_fingerprint::lex::Kind::Word && raw.is_ascii();
+                let word = t.kind == sprucelink_query_fingerprint::lex::TokenKind::Word && raw.is_ascii();
                 out.push_str(&if word && upper { raw.to_ascii_uppercase() } else { raw.to_owned() });
             }
             (text, out)
@@ -226,7 +226,7 @@
         n.fingerprint(&text);
     }
     let mut n = Normaliser::default();
-    let long = format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(MOST_TEXT));
+    let long = format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(MAX_TEXT_BYTES));
     n.fingerprint(&long);
     assert!(!n.whole());
     // Lists of any length that fit have one shape.
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -2,7 +2,7 @@
 //! whether a text holds one statement.
 
 use sprucelink_query_fingerprint::facts::data_set;
-use sprucelink_query_fingerprint::lex::{self, Kind};
+use sprucelink_query_fingerprint::lex::{self, TokenKind};
 use thiserror::Error;
 
 /// The text holds more than one statement.
@@ -29,12 +29,12 @@
 pub fn token(text: &str) -> Option<(Token, usize)> {
     let token = lex::token(text, 0)?;
     let kind = match token.kind {
-        Kind::Word | Kind::Quoted => Token::Name,
-        Kind::Text => Token::Opaque,
-        Kind::Blank if text.starts_with(['-', '/']) => Token::Opaque,
-        Kind::Blank => Token::Space,
-        Kind::Parameter => Token::Parameter,
-        Kind::Number | Kind::Operator | Kind::Mark => Token::Mark,
+        TokenKind::Word | TokenKind::Quoted => Token::Name,
+        TokenKind::Text => Token::Opaque,
+        TokenKind::Blank if text.starts_with(['-', '/']) => Token::Opaque,
+        TokenKind::Blank => Token::Space,
+        TokenKind::Parameter => Token::Parameter,
+        TokenKind::Number | TokenKind::Operator | TokenKind::Mark => Token::Mark,
     };
     Some((kind, token.end))
 }
--- a/src/run/commands/shapes_explain.rs
+++ b/src/run/commands/shapes_explain.rs
@@ -3,12 +3,12 @@
 use super::output::print_line;
 use serde_json::json;
 use sprucelink_query_fingerprint::cache::Bounds;
-use sprucelink_query_fingerprint::facts::Facts;
-use sprucelink_query_fingerprint::known::Shapes;
+use sprucelink_query_fingerprint::facts::StatementFacts;
+use sprucelink_query_fingerprint::statement_cache::StatementCache;
 
 /// Prints the fingerprint, the normal form and the facts.
 pub fn run(statement: &str, as_json: bool) {
-    let shape = Shapes::new(Bounds { entries: 1, bytes: usize::MAX }).shape(statement);
+    let shape = StatementCache::new(Bounds { entries: 1, bytes: usize::MAX }).get_or_read(statement);
     if as_json {
         return print_line(&json!(*shape).to_string());
     }
@@ -17,7 +17,7 @@
     print_facts(&shape.facts);
 }
 
-fn print_facts(facts: &Facts) {
+fn print_facts(facts: &StatementFacts) {
     let partial = match facts.whole {
         true => "",
         false => ", not read whole: what follows is certain, and there may be more",
@@ -32,7 +32,7 @@
 }
 
 /// The properties that a statement has, in words.
-fn properties(facts: &Facts) -> Vec<String> {
+fn properties(facts: &StatementFacts) -> Vec<String> {
     let properties = [
         (facts.may_write, "may write"),
         (facts.load, "may load"),
