--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -67,3 +67,15 @@
     /// The comparison ended at a bound and proves nothing.
     pub(crate) exceeded: bool,
 }
+
+/// The differences of one field.
+#[derive(Default)]
+pub(crate) struct DifferenceList {
+    pub(crate) differences: Vec<Difference>,
+}
+
+impl DifferenceList {
+    pub(crate) fn add(&mut self, rule: Rule, used: Impact, unused: Impact, detail: String) {
+        self.differences.push(Difference { rule, used, unused, at: None, detail });
+    }
+}
--- a/crates/schema-compat/src/comparison/mod.rs
+++ b/crates/schema-compat/src/comparison/mod.rs
@@ -3,11 +3,13 @@
 //! Messages correspond as on the wire: by the fields that hold them and by number, not by name. Each pair of messages is
 //! compared once, so that recursive types terminate; [`MAX_MESSAGE_PAIRS`](crate::limits::MAX_MESSAGE_PAIRS) bounds the rest.
 
+mod constraints;
 mod context;
 pub(crate) mod conversion;
 pub(crate) mod difference;
 mod enum_values;
 mod field;
+mod field_values;
 
 use crate::model::Model;
 use crate::rules::{Direction, Rule};
--- /dev/null
+++ b/crates/schema-compat/src/model/mod.rs
@@ -0,0 +1,167 @@
+//! What the rules look at: descriptors and options in one flat form, within bounds.
+
+mod builder;
+
+use crate::field_type::{FieldType, ValueDomain};
+use crate::schema_options::UnknownValuePolicy;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How many values a field holds.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum FieldCardinality {
+    Singular,
+    Repeated,
+    Map,
+}
+
+impl FieldCardinality {
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            FieldCardinality::Singular => "singular",
+            FieldCardinality::Repeated => "repeated",
+            FieldCardinality::Map => "map",
+        }
+    }
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct Field {
+    pub(crate) number: u32,
+    pub(crate) name: String,
+    pub(crate) kind: FieldType,
+    pub(crate) cardinality: FieldCardinality,
+    /// Absent and default are told apart.
+    pub(crate) explicit: bool,
+    pub(crate) required: bool,
+    pub(crate) packed: bool,
+    /// Index into the message's real oneofs.
+    pub(crate) oneof: Option<usize>,
+    /// The default in canonical text.
+    pub(crate) default: String,
+    pub(crate) meaning: u32,
+    pub(crate) min: Option<i64>,
+    pub(crate) max: Option<i64>,
+    pub(crate) min_length: Option<u64>,
+    pub(crate) max_length: Option<u64>,
+    pub(crate) needed: bool,
+    pub(crate) former_names: Vec<String>,
+    pub(crate) former_numbers: Vec<u32>,
+    pub(crate) old_reads_as: Option<String>,
+}
+
+impl Field {
+    /// Whether this field is, by its own word, what an older version calls `name`.
+    pub(crate) fn was(&self, name: &str) -> bool {
+        self.name == name || self.former_names.iter().any(|former| former == name)
+    }
+
+    /// Whole numbers that a writer of this field writes.
+    pub(crate) fn whole(&self) -> Option<(i128, i128)> {
+        match self.kind.domain() {
+            ValueDomain::Whole(least, most) => Some((
+                self.min.map_or(least, |min| i128::from(min).max(least)),
+                self.max.map_or(most, |max| i128::from(max).min(most)),
+            )),
+            _ => None,
+        }
+    }
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct Oneof {
+    pub(crate) name: String,
+    pub(crate) unknown: UnknownValuePolicy,
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct Message {
+    pub(crate) name: String,
+    /// By number.
+    pub(crate) fields: BTreeMap<u32, Field>,
+    pub(crate) oneofs: Vec<Oneof>,
+    /// First and last number, both included.
+    pub(crate) reserved: Vec<(u32, u32)>,
+    pub(crate) reserved_names: BTreeSet<String>,
+    pub(crate) meaning: u32,
+    pub(crate) former_names: Vec<String>,
+    /// Fields of earlier versions and the text of what stands for them.
+    pub(crate) removed: BTreeMap<String, String>,
+    record: bool,
+    /// Declared by the publisher: neither bundled with protobuf nor a map entry.
+    own: bool,
+}
+
+impl Message {
+    pub(crate) fn field_named(&self, name: &str) -> Option<&Field> {
+        self.fields.values().find(|field| field.name == name)
+    }
+
+    pub(crate) fn field_named_mut(&mut self, name: &str) -> Option<&mut Field> {
+        self.fields.values_mut().find(|field| field.name == name)
+    }
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct EnumValue {
+    pub(crate) name: String,
+    pub(crate) number: i32,
+    pub(crate) meaning: u32,
+    pub(crate) former_names: Vec<String>,
+    pub(crate) reads_as: Option<String>,
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct Enum {
+    pub(crate) name: String,
+    pub(crate) values: Vec<EnumValue>,
+    /// First and last number, both included.
+    pub(crate) reserved: Vec<(i32, i32)>,
+    pub(crate) reserved_names: BTreeSet<String>,
+    /// A reader takes numbers that it does not know for absent (proto2).
+    pub(crate) closed: bool,
+    pub(crate) unknown: UnknownValuePolicy,
+    pub(crate) removed: BTreeMap<String, String>,
+}
+
+impl Enum {
+    pub(crate) fn named(&self, name: &str) -> Option<&EnumValue> {
+        self.values.iter().find(|value| value.name == name)
+    }
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct Model {
+    pub(crate) messages: Vec<Message>,
+    pub(crate) enums: Vec<Enum>,
+    pub(crate) by_name: BTreeMap<String, usize>,
+    /// Messages that are published as they stand.
+    pub(crate) roots: Vec<usize>,
+}
+
+impl Model {
+    pub(crate) fn message_named(&self, name: &str) -> Option<usize> {
+        self.by_name.get(name).copied()
+    }
+
+    /// Marked messages; without marks those that no other message holds; where all are held, all.
+    fn find_roots(&self) -> Vec<usize> {
+        let own = || (0..self.messages.len()).filter(|&at| self.messages[at].own);
+        let marked: Vec<usize> = own().filter(|&at| self.messages[at].record).collect();
+        if !marked.is_empty() {
+            return marked;
+        }
+        let held: BTreeSet<usize> = (0..self.messages.len())
+            .flat_map(|holder| self.messages[holder].fields.values().map(move |field| (holder, field.kind)))
+            .filter_map(|(holder, kind)| match kind {
+                FieldType::Message(at) | FieldType::Group(at) if at != holder => Some(at),
+                _ => None,
+            })
+            .collect();
+        let free: Vec<usize> = own().filter(|at| !held.contains(at)).collect();
+        if free.is_empty() {
+            own().collect()
+        } else {
+            free
+        }
+    }
+}
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -7,8 +7,12 @@
 
 mod apply;
 pub mod codec;
+mod prepared;
+mod propose;
 mod query;
 mod snapshot;
+mod translations;
+mod violation_set;
 
 use crate::declaration::MigrationDeclaration;
 use crate::error::SchemaError;
@@ -22,7 +26,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-pub use apply::PreparedCommand;
+pub use prepared::PreparedCommand;
 pub use query::{PublishError, SubscriberInfo, VersionInfo};
 pub use snapshot::SnapshotError;
 
@@ -197,7 +201,7 @@
 
 /// One version of a publisher.
 #[derive(Clone, Debug)]
-pub(crate) struct Version {
+pub(crate) struct SchemaVersion {
     /// With its declarations.
     pub(crate) schema: Arc<Schema>,
     pub(crate) declared: Vec<MigrationDeclaration>,
@@ -211,13 +215,13 @@
     pub(crate) replayed: bool,
     /// Accepted last, whether in force or not.
     pub(crate) newest: u32,
-    pub(crate) versions: BTreeMap<u32, Version>,
+    pub(crate) versions: BTreeMap<u32, SchemaVersion>,
     pub(crate) symbol_history: SymbolHistory,
 }
 
 impl Publisher {
     /// Versions whose records a reader may meet.
-    pub(crate) fn written(&self) -> impl Iterator<Item = (u32, &Version)> {
+    pub(crate) fn written(&self) -> impl Iterator<Item = (u32, &SchemaVersion)> {
         let replayed = self.replayed;
         self.versions
             .iter()
--- /dev/null
+++ b/crates/schema-compat/src/registry/prepared.rs
@@ -0,0 +1,35 @@
+//! Commands whose schema is read before they are applied.
+
+use super::RegistryCommand;
+use crate::declaration::MigrationDeclaration;
+use crate::error::SchemaError;
+use crate::schema::Schema;
+use std::sync::Arc;
+
+/// A proposal's schema with its declarations, or why it is none.
+pub(super) type SchemaResult = Result<Arc<Schema>, SchemaError>;
+
+pub(super) fn read_schema(set: &[u8], declared: &[MigrationDeclaration]) -> SchemaResult {
+    let schema = Schema::from_set(set).and_then(|schema| schema.declare(declared));
+    schema.map(Arc::new)
+}
+
+/// A command whose schema, if it has one, is read already: what takes longest of a proposal and needs no state, so that it
+/// can be done elsewhere, and once where many registries are given one command.
+#[derive(Clone, Debug)]
+pub struct PreparedCommand {
+    pub(super) command: RegistryCommand,
+    pub(super) schema: Option<SchemaResult>,
+}
+
+impl RegistryCommand {
+    /// Reads the command's schema.
+    #[must_use]
+    pub fn prepare(self) -> PreparedCommand {
+        let schema = match &self {
+            RegistryCommand::Propose { schema, translations, .. } => Some(read_schema(schema, translations)),
+            _ => None,
+        };
+        PreparedCommand { command: self, schema }
+    }
+}
--- /dev/null
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -0,0 +1,106 @@
+//! Applies a proposal: checks the schema against history, readers and replayed records, and puts it in force.
+
+use super::apply::{check_name, limit_reached};
+use super::prepared::{read_schema, SchemaResult};
+use super::translations::direction;
+use super::violation_set::ViolationSet;
+use super::{CommandOutcome, CommandRejection, InvalidCommand, Publisher, Registry, SchemaVersion};
+use crate::check::read_by;
+use crate::declaration::MigrationDeclaration;
+use crate::limits::{MAX_HISTORY_SYMBOLS, MAX_PUBLISHERS, MAX_VERSIONS};
+use crate::rules::Direction;
+use crate::schema::Schema;
+use crate::usage::ReaderUsage;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+impl Registry {
+    pub(super) fn propose(
+        &mut self,
+        name: String,
+        set: &[u8],
+        read: Option<SchemaResult>,
+        declared: Vec<MigrationDeclaration>,
+        replayed: bool,
+    ) -> Result<CommandOutcome, CommandRejection> {
+        check_name(&name)?;
+        let known = self.publishers.get(&name);
+        if known.is_none() && self.publishers.len() >= MAX_PUBLISHERS {
+            return Err(limit_reached("publishers", MAX_PUBLISHERS));
+        }
+        if known.is_some_and(|known| known.replayed != replayed) {
+            // Withdrawn versions would come to count, or cease to, for subscribers that were judged without.
+            return Err(InvalidCommand::ReplayChanged.into());
+        }
+        let empty = Publisher::default();
+        let publisher = known.map_or(&empty, Arc::as_ref);
+        // Every process of a release proposes the same bytes: what is known by its digest is not read again.
+        let told = publisher.version_of(Schema::digest_of(set));
+        let schema = match told {
+            Some(version) => publisher.versions[&version].schema.clone(),
+            None => read.unwrap_or_else(|| read_schema(set, &declared)).map_err(InvalidCommand::from)?,
+        };
+        let same = publisher.version_of(schema.digest());
+        if same.is_some_and(|version| publisher.versions[&version].declared != declared) {
+            return Err(InvalidCommand::DeclarationsChanged.into());
+        }
+        if let Some(version) = same.filter(|version| publisher.versions[version].in_force) {
+            return Ok(CommandOutcome::Accepted {
+                version,
+                translated: self.translated_from(&name, version),
+            });
+        }
+        if same.is_none() && publisher.versions.len() >= MAX_VERSIONS {
+            return Err(limit_reached("versions of a publisher: retire old ones", MAX_VERSIONS));
+        }
+        let version = same.unwrap_or(publisher.newest + 1);
+        let mut violations = ViolationSet::default();
+        if same.is_none() {
+            violations.add(&publisher.symbol_history.check(&schema.model), &["history"]);
+        }
+        self.judge_readers(&name, publisher, version, &schema, &mut violations);
+        if replayed {
+            for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
+                let found = read_by(&one.schema, &schema, &ReaderUsage::all().tolerant(), Direction::Up);
+                violations
+                    .add(&found, &[&format!("readers of version {version} at records of version {old}")]);
+            }
+        }
+        if let Some(rejection) = violations.into_rejection() {
+            return Err(rejection);
+        }
+        let mut symbol_history = publisher.symbol_history.clone();
+        symbol_history.absorb(&schema.model);
+        if symbol_history.size() > MAX_HISTORY_SYMBOLS {
+            return Err(limit_reached("numbers and names of a publisher", MAX_HISTORY_SYMBOLS));
+        }
+        let publisher = Arc::make_mut(self.publishers.entry(name.clone()).or_default());
+        publisher.symbol_history = symbol_history;
+        publisher.replayed = replayed;
+        publisher.newest = publisher.newest.max(version);
+        publisher.versions.insert(version, SchemaVersion { schema, declared, in_force: true });
+        self.derive(&name);
+        Ok(CommandOutcome::Accepted { version, translated: self.translated_from(&name, version) })
+    }
+
+    /// The schema against every subscriber in the state, grouped by what they speak and use.
+    fn judge_readers(
+        &self,
+        name: &str,
+        publisher: &Publisher,
+        version: u32,
+        schema: &Schema,
+        to: &mut ViolationSet,
+    ) {
+        let mut groups: BTreeMap<(u32, &ReaderUsage), Vec<&str>> = BTreeMap::new();
+        for (subscriber, held) in self.readers(name) {
+            groups.entry((held.version, &held.usage)).or_default().push(subscriber);
+        }
+        for ((spoken, usage), who) in groups {
+            let Some(reader) = publisher.versions.get(&spoken).filter(|_| spoken != version) else {
+                continue;
+            };
+            to.add(&read_by(schema, &reader.schema, usage, direction(version, spoken)), &who);
+        }
+    }
+}
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -1,7 +1,7 @@
 //! The registry's state as bytes, and back; its digest.
 
 use super::codec::{decode_declaration, CommandDecodeError, DeclarationRecord, UsageRecord};
-use super::{Publisher, Registry, Subscription, Version};
+use super::{Publisher, Registry, SchemaVersion, Subscription};
 use crate::error::SchemaError;
 use crate::limits::{MAX_HISTORY_SYMBOLS, MAX_PUBLISHERS, MAX_SUBSCRIBERS, MAX_VERSIONS, RULES_EDITION};
 use crate::schema::{Digest, Schema};
@@ -186,7 +186,7 @@
                 })?;
             made.versions.insert(
                 record.number,
-                Version { schema: Arc::new(schema), declared, in_force: record.in_force },
+                SchemaVersion { schema: Arc::new(schema), declared, in_force: record.in_force },
             );
         }
         Ok((self.name, made))
