--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -111,7 +111,7 @@
         let one = &reader.oneofs[oneof];
         differences.differences.push(Difference {
             rule: Rule::OneofMemberUnknown,
-            used: enum_values::unknown_effect(one.unknown),
+            used: enum_values::unknown_impact(one.unknown),
             unused: Impact::Nothing,
             at: Some(one.name.clone()),
             detail: format!("{} may be written, its reader does not know it", stranger.name),
--- a/crates/schema-compat/src/comparison/enum_values.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -8,7 +8,7 @@
 use crate::schema_options::UnknownValuePolicy;
 
 /// What a value unknown to a reader does, by the reader's schema.
-pub(crate) fn unknown_effect(unknown: UnknownValuePolicy) -> Impact {
+pub(crate) fn unknown_impact(unknown: UnknownValuePolicy) -> Impact {
     match unknown {
         UnknownValuePolicy::Accepted => Impact::Note,
         UnknownValuePolicy::Rejected => Impact::Break,
@@ -16,72 +16,97 @@
     }
 }
 
-/// Compares two enums; gives what is to be done with values.
+/// Compares two enums, given by their indexes; gives the conversion of their values.
 pub(crate) fn compare(
     context: &ComparisonContext,
     writer: usize,
     reader: usize,
     differences: &mut Vec<Difference>,
 ) -> ValueConversion {
-    let (writer, reader) = (&context.writer.enums[writer], &context.reader.enums[reader]);
-    let down = context.direction == Direction::Down;
-    let newer = if down { writer } else { reader };
-    let mut mapped = Vec::new();
-    let mut add = |rule, used, at: &str, detail: String| {
-        differences.push(Difference {
-            rule,
-            used,
-            unused: Impact::Nothing,
-            at: Some(at.to_string()),
-            detail,
-        });
+    let mut comparison = EnumComparison {
+        writer: &context.writer.enums[writer],
+        reader: &context.reader.enums[reader],
+        writer_is_newer: context.direction == Direction::Down,
+        differences,
+        mapped: Vec::new(),
     };
-    for value in &writer.values {
-        if !reader.values.iter().any(|known| known.number == value.number) {
-            if let Some(known) = reader.named(&value.name) {
-                let detail = format!("{} written, {} read", value.number, known.number);
-                add(Rule::EnumValueRenumbered, Impact::Break, &value.name, detail);
-                continue;
-            }
-            let rule = if down { Rule::EnumValueAdded } else { Rule::EnumValueRemoved };
-            match stands_for(newer, reader, value) {
-                Some(known) => {
-                    let detail = format!("reads as {}, as declared", known.name);
-                    add(rule, Impact::Translate, &value.name, detail);
-                    mapped.push((value.number, known.number));
-                }
-                None => {
-                    let effect = if reader.closed { Impact::Break } else { unknown_effect(reader.unknown) };
-                    let detail =
-                        format!("number {} may be written, its reader does not know it", value.number);
-                    add(rule, effect, &value.name, detail);
-                }
+    comparison.compare_values();
+    if comparison.mapped.is_empty() {
+        ValueConversion::Keep
+    } else {
+        ValueConversion::Enum(comparison.mapped)
+    }
+}
+
+/// A writer's enum and a reader's, with what was found so far.
+struct EnumComparison<'a> {
+    writer: &'a Enum,
+    reader: &'a Enum,
+    writer_is_newer: bool,
+    differences: &'a mut Vec<Difference>,
+    /// Numbers that the reader does not know, and those that it gets for them.
+    mapped: Vec<(i32, i32)>,
+}
+
+impl EnumComparison<'_> {
+    fn add(&mut self, rule: Rule, used: Impact, value: &EnumValue, detail: String) {
+        let at = Some(value.name.clone());
+        self.differences.push(Difference { rule, used, unused: Impact::Nothing, at, detail });
+    }
+
+    fn compare_values(&mut self) {
+        for value in &self.writer.values {
+            if self.reader.values.iter().any(|known| known.number == value.number) {
+                self.compare_known_number(value);
+            } else {
+                self.compare_unknown_number(value);
             }
-            continue;
         }
-        let same = |known: &&EnumValue| known.number == value.number;
+    }
+
+    /// The reader has no value of this number.
+    fn compare_unknown_number(&mut self, value: &EnumValue) {
+        if let Some(known) = self.reader.named(&value.name) {
+            let detail = format!("{} written, {} read", value.number, known.number);
+            self.add(Rule::EnumValueRenumbered, Impact::Break, value, detail);
+            return;
+        }
+        let rule = if self.writer_is_newer { Rule::EnumValueAdded } else { Rule::EnumValueRemoved };
+        let newer = if self.writer_is_newer { self.writer } else { self.reader };
+        if let Some(known) = stands_for(newer, self.reader, value) {
+            let detail = format!("reads as {}, as declared", known.name);
+            self.add(rule, Impact::Translate, value, detail);
+            self.mapped.push((value.number, known.number));
+            return;
+        }
+        let impact = if self.reader.closed { Impact::Break } else { unknown_impact(self.reader.unknown) };
+        let detail = format!("number {} may be written, its reader does not know it", value.number);
+        self.add(rule, impact, value, detail);
+    }
+
+    /// The reader has at least one value of this number.
+    fn compare_known_number(&mut self, value: &EnumValue) {
+        let (writer, reader) = (self.writer, self.reader);
         let aliases = || writer.values.iter().filter(|alias| alias.number == value.number);
-        let was = |known: &EnumValue, alias: &EnumValue| {
-            let (new, old) = if down { (alias, known) } else { (known, alias) };
-            new.name == old.name || new.former_names.contains(&old.name)
-        };
-        let known: Vec<&EnumValue> = reader.values.iter().filter(same).collect();
-        let Some(like) = known.iter().find(|known| aliases().any(|alias| was(known, alias))) else {
-            let detail = format!("number {} stands for it, {} is read", value.number, known[0].name);
-            add(Rule::EnumNumberReused, Impact::Break, &value.name, detail);
-            continue;
+        let mut known = reader.values.iter().filter(|known| known.number == value.number).peekable();
+        let first_name = known.peek().map_or("", |first| first.name.as_str());
+        let Some(same) = known.find(|known| aliases().any(|alias| self.is_same_value(known, alias))) else {
+            let detail = format!("number {} stands for it, {first_name} is read", value.number);
+            self.add(Rule::EnumNumberReused, Impact::Break, value, detail);
+            return;
         };
-        if like.meaning != value.meaning {
-            let detail = format!("means {} to its writer and {} to its reader", value.meaning, like.meaning);
-            add(Rule::MeaningChanged, Impact::Break, &value.name, detail);
-        } else if like.name != value.name && !aliases().any(|alias| alias.name == like.name) {
-            add(Rule::FieldRenamed, Impact::Names, &value.name, format!("read as {}", like.name));
+        if same.meaning != value.meaning {
+            let detail = format!("means {} to its writer and {} to its reader", value.meaning, same.meaning);
+            self.add(Rule::MeaningChanged, Impact::Break, value, detail);
+        } else if same.name != value.name && !aliases().any(|alias| alias.name == same.name) {
+            self.add(Rule::FieldRenamed, Impact::Names, value, format!("read as {}", same.name));
         }
     }
-    if mapped.is_empty() {
-        ValueConversion::Keep
-    } else {
-        ValueConversion::Enum(mapped)
+
+    /// Whether a reader's and a writer's value have the same name, or a declared former one.
+    fn is_same_value(&self, read: &EnumValue, written: &EnumValue) -> bool {
+        let (new, old) = if self.writer_is_newer { (written, read) } else { (read, written) };
+        new.name == old.name || new.former_names.contains(&old.name)
     }
 }
 
--- a/crates/schema-compat/src/findings.rs
+++ b/crates/schema-compat/src/findings.rs
@@ -14,7 +14,48 @@
     reported: BTreeSet<(Rule, String, String)>,
 }
 
+/// A pair of messages as it is reached along one path.
+struct Place {
+    /// Index of the pair of messages.
+    node: usize,
+    /// What the reader uses there.
+    usage: UsageNode,
+    path: String,
+}
+
 impl FindingCollector<'_> {
+    /// Reports the findings at one place and queues the places below it.
+    fn visit(&mut self, place: &Place, tree: &UsageTree, reader: &Model, pending: &mut Vec<Place>) {
+        let comparison = self.comparison;
+        let node = &comparison.nodes[place.node];
+        let is_used = place.usage != UsageNode::Unused;
+        let separator = if place.path.contains('/') { '.' } else { '/' };
+        let holder = format!("{}{separator}", place.path);
+        for name in tree.fields(place.usage) {
+            if reader.messages[node.reader].field_named(name).is_none() {
+                let detail = "no such field in the reader's version";
+                self.report(Rule::UseUnknown, format!("{holder}{name}"), Severity::Break, detail);
+            }
+        }
+        for difference in &node.differences {
+            self.add_difference(difference, is_used, &place.path, &holder);
+        }
+        for field in &node.fields {
+            // Needed only where the message that holds it is read at all.
+            let usage = match tree.field(place.usage, &field.name) {
+                UsageNode::Unused if field.needed && is_used => UsageNode::All,
+                declared => declared,
+            };
+            let path = format!("{holder}{}", field.name);
+            for difference in &field.differences {
+                self.add_difference(difference, usage != UsageNode::Unused, &path, &holder);
+            }
+            if let Some(child) = field.child {
+                pending.push(Place { node: child, usage, path });
+            }
+        }
+    }
+
     fn add_difference(&mut self, difference: &Difference, used: bool, path: &str, holder: &str) {
         let severity = match if used { difference.used } else { difference.unused } {
             Impact::Nothing => return,
@@ -50,7 +91,7 @@
     let tree = UsageTree::of(usage);
     let mut collector = FindingCollector { comparison, usage, found: Vec::new(), reported: BTreeSet::new() };
     let mut visited: HashSet<(usize, UsageNode)> = HashSet::new();
-    let mut pending: Vec<(usize, UsageNode, String)> = Vec::new();
+    let mut pending: Vec<Place> = Vec::new();
     if comparison.exceeded {
         collector.report(
             Rule::BoundExceeded,
@@ -73,48 +114,19 @@
             collector.add_difference(difference, used != UsageNode::Unused, &root.reader, "")
         });
         if let Some(node) = root.node {
-            pending.push((node, used, root.reader.clone()));
+            pending.push(Place { node, usage: used, path: root.reader.clone() });
         }
     }
-    while let Some((at, here, path)) = pending.pop() {
-        if !visited.insert((at, here)) {
+    while let Some(place) = pending.pop() {
+        if !visited.insert((place.node, place.usage)) {
             continue;
         }
         if visited.len() > MAX_VISITED_PLACES {
-            collector.report(Rule::BoundExceeded, path, Severity::Break, "more places than are judged");
+            let detail = "more places than are judged";
+            collector.report(Rule::BoundExceeded, place.path, Severity::Break, detail);
             break;
         }
-        let node = &comparison.nodes[at];
-        let holder = if path.contains('/') { format!("{path}.") } else { format!("{path}/") };
-        for name in tree.fields(here) {
-            if reader.messages[node.reader].field_named(name).is_none() {
-                let path = format!("{holder}{name}");
-                collector.report(
-                    Rule::UseUnknown,
-                    path,
-                    Severity::Break,
-                    "no such field in the reader's version",
-                );
-            }
-        }
-        node.differences.iter().for_each(|difference| {
-            collector.add_difference(difference, here != UsageNode::Unused, &path, &holder)
-        });
-        for field in &node.fields {
-            let declared = tree.field(here, &field.name);
-            // Needed only where the message that holds it is read at all.
-            let used = match declared {
-                UsageNode::Unused if field.needed && here != UsageNode::Unused => UsageNode::All,
-                declared => declared,
-            };
-            let path = format!("{holder}{}", field.name);
-            field.differences.iter().for_each(|difference| {
-                collector.add_difference(difference, used != UsageNode::Unused, &path, &holder)
-            });
-            if let Some(child) = field.child {
-                pending.push((child, used, path));
-            }
-        }
+        collector.visit(&place, &tree, reader, &mut pending);
     }
     collector.found.sort();
     collector.found
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -35,8 +35,8 @@
         let empty = Publisher::default();
         let publisher = known.map_or(&empty, Arc::as_ref);
         // Every process of a release proposes the same bytes: what is known by its digest is not read again.
-        let told = publisher.version_of(Schema::digest_of(set));
-        let schema = match told {
+        let known_version = publisher.version_of(Schema::digest_of(set));
+        let schema = match known_version {
             Some(version) => publisher.versions[&version].schema.clone(),
             None => read.unwrap_or_else(|| read_schema(set, &declared)).map_err(InvalidCommand::from)?,
         };
@@ -54,18 +54,8 @@
             return Err(limit_reached("versions of a publisher: retire old ones", MAX_VERSIONS));
         }
         let version = same.unwrap_or(publisher.newest + 1);
-        let mut violations = ViolationSet::default();
-        if same.is_none() {
-            violations.add(&publisher.symbol_history.check(&schema.model), &["history"]);
-        }
-        self.judge_readers(&name, publisher, version, &schema, &mut violations);
-        if replayed {
-            for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let found = read_by(&one.schema, &schema, &ReaderUsage::all().tolerant(), Direction::Up);
-                violations
-                    .add(&found, &[&format!("readers of version {version} at records of version {old}")]);
-            }
-        }
+        let is_new = same.is_none();
+        let violations = self.check_proposal(&name, publisher, version, is_new, &schema, replayed);
         if let Some(rejection) = violations.into_rejection() {
             return Err(rejection);
         }
@@ -83,24 +73,50 @@
         Ok(CommandOutcome::Accepted { version, translated: self.translated_from(&name, version) })
     }
 
+    /// Checks a schema against history if it is new, against readers, and against replayed records.
+    fn check_proposal(
+        &self,
+        name: &str,
+        publisher: &Publisher,
+        version: u32,
+        is_new: bool,
+        schema: &Schema,
+        replayed: bool,
+    ) -> ViolationSet {
+        let mut violations = ViolationSet::default();
+        if is_new {
+            violations.add(&publisher.symbol_history.check(&schema.model), &["history"]);
+        }
+        self.check_readers(name, publisher, version, schema, &mut violations);
+        if replayed {
+            let usage = ReaderUsage::all().tolerant();
+            for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
+                let found = read_by(&one.schema, schema, &usage, Direction::Up);
+                let readers = format!("readers of version {version} at records of version {old}");
+                violations.add(&found, &[&readers]);
+            }
+        }
+        violations
+    }
+
     /// The schema against every subscriber in the state, grouped by what they speak and use.
-    fn judge_readers(
+    fn check_readers(
         &self,
         name: &str,
         publisher: &Publisher,
         version: u32,
         schema: &Schema,
-        to: &mut ViolationSet,
+        violations: &mut ViolationSet,
     ) {
         let mut groups: BTreeMap<(u32, &ReaderUsage), Vec<&str>> = BTreeMap::new();
-        for (subscriber, held) in self.readers(name) {
-            groups.entry((held.version, &held.usage)).or_default().push(subscriber);
+        for (subscriber, subscription) in self.readers(name) {
+            groups.entry((subscription.version, &subscription.usage)).or_default().push(subscriber);
         }
         for ((spoken, usage), who) in groups {
             let Some(reader) = publisher.versions.get(&spoken).filter(|_| spoken != version) else {
                 continue;
             };
-            to.add(&read_by(schema, &reader.schema, usage, direction(version, spoken)), &who);
+            violations.add(&read_by(schema, &reader.schema, usage, direction(version, spoken)), &who);
         }
     }
 }
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -26,26 +26,52 @@
 struct TypeSymbols<'m> {
     name: &'m str,
     former: &'m [String],
-    /// Number, name, former names, former numbers.
-    members: Vec<(i64, &'m str, &'m [String], &'m [u32])>,
+    members: Vec<Member<'m>>,
     reserved: Vec<(i64, i64)>,
     reserved_names: &'m BTreeSet<String>,
-    rules: [Rule; 2],
+    /// The rule for a number that stood for another member.
+    number_reused: Rule,
+    /// The rule for a member that had another number.
+    renumbered: Rule,
+}
+
+impl TypeSymbols<'_> {
+    /// Whether all numbers from `first` to `last` are reserved, by one range or by several.
+    fn reserves(&self, first: i64, last: i64) -> bool {
+        let mut number = first;
+        while number <= last {
+            let ranges = self.reserved.iter().filter(|(from, to)| *from <= number && number <= *to);
+            let Some(end) = ranges.map(|(_, to)| *to).max() else { return false };
+            number = end.saturating_add(1);
+        }
+        true
+    }
+}
+
+/// A field or an enum value.
+struct Member<'m> {
+    number: i64,
+    name: &'m str,
+    former_names: &'m [String],
+    former_numbers: &'m [u32],
 }
 
 fn of_message(message: &Message) -> TypeSymbols<'_> {
-    let member = |field: &'_ crate::model::Field| i64::from(field.number);
     TypeSymbols {
         name: &message.name,
         former: &message.former_names,
         members: (message.fields.values())
-            .map(|field| {
-                (member(field), field.name.as_str(), &field.former_names[..], &field.former_numbers[..])
+            .map(|field| Member {
+                number: i64::from(field.number),
+                name: &field.name,
+                former_names: &field.former_names,
+                former_numbers: &field.former_numbers,
             })
             .collect(),
-        reserved: message.reserved.iter().map(|&(least, most)| (i64::from(least), i64::from(most))).collect(),
+        reserved: message.reserved.iter().map(|&(first, last)| (i64::from(first), i64::from(last))).collect(),
         reserved_names: &message.reserved_names,
-        rules: [Rule::FieldNumberReused, Rule::FieldRenumbered],
+        number_reused: Rule::FieldNumberReused,
+        renumbered: Rule::FieldRenumbered,
     }
 }
 
@@ -54,11 +80,17 @@
         name: &one.name,
         former: &[],
         members: (one.values.iter())
-            .map(|value| (i64::from(value.number), value.name.as_str(), &value.former_names[..], &[][..]))
+            .map(|value| Member {
+                number: i64::from(value.number),
+                name: &value.name,
+                former_names: &value.former_names,
+                former_numbers: &[],
+            })
             .collect(),
-        reserved: one.reserved.iter().map(|&(least, most)| (i64::from(least), i64::from(most))).collect(),
+        reserved: one.reserved.iter().map(|&(first, last)| (i64::from(first), i64::from(last))).collect(),
         reserved_names: &one.reserved_names,
-        rules: [Rule::EnumNumberReused, Rule::EnumValueRenumbered],
+        number_reused: Rule::EnumNumberReused,
+        renumbered: Rule::EnumValueRenumbered,
     }
 }
 
@@ -91,11 +123,11 @@
                     entry.names.entry(number).or_default().extend(names);
                 }
             }
-            entry.present = symbols.members.iter().map(|(_, name, ..)| name.to_string()).collect();
+            entry.present = symbols.members.iter().map(|member| member.name.to_string()).collect();
             entry.reserved.extend(&symbols.reserved);
             entry.reserved_names.extend(symbols.reserved_names.iter().cloned());
-            for (number, name, ..) in &symbols.members {
-                entry.names.entry(*number).or_default().insert(name.to_string());
+            for member in &symbols.members {
+                entry.names.entry(member.number).or_default().insert(member.name.to_string());
             }
         }
     }
@@ -115,68 +147,67 @@
     }
 }
 
+/// A breaking finding at a member of a type, or at the type itself if `member` is empty.
+fn finding(symbols: &TypeSymbols, rule: Rule, member: &str, detail: String) -> Finding {
+    let path =
+        if member.is_empty() { symbols.name.to_string() } else { format!("{}/{member}", symbols.name) };
+    Finding { rule, path, direction: Direction::History, severity: Severity::Break, detail }
+}
+
 impl TypeHistory {
     fn check(&self, symbols: &TypeSymbols, found: &mut Vec<Finding>) {
-        let mut add = |rule, name: &str, detail: String| {
-            let path =
-                if name.is_empty() { symbols.name.to_string() } else { format!("{}/{name}", symbols.name) };
-            found.push(Finding {
-                rule,
-                path,
-                direction: Direction::History,
-                severity: Severity::Break,
-                detail,
-            });
-        };
-        let reserved =
-            |number: i64| self.reserved.iter().any(|&(least, most)| least <= number && number <= most);
-        for (number, name, former, former_numbers) in &symbols.members {
-            if reserved(*number) {
-                add(Rule::ReservedNumberUsed, name, format!("number {number} was reserved"));
-            }
-            if self.reserved_names.contains(*name) {
-                add(Rule::ReservedNameUsed, name, "the name was reserved".into());
-            }
-            let known = |one: &String| one == name || former.contains(one);
-            let stranger = self.names.get(number).and_then(|names| names.iter().find(|one| !known(one)));
-            if let Some(stranger) = stranger {
-                // An enum's aliases stand beside each other under one number.
-                let alias =
-                    symbols.members.iter().any(|(same, other, ..)| same == number && other == stranger);
-                if !alias {
-                    add(symbols.rules[0], name, format!("number {number} was {stranger}"));
-                }
-            }
-            let declared = |number: i64| former_numbers.iter().any(|&one| i64::from(one) == number);
-            let elsewhere = self.names.iter().find(|(old, names)| **old != *number && names.contains(*name));
-            if let Some((old, _)) = elsewhere.filter(|(old, _)| !declared(**old)) {
-                let rule =
-                    if self.present.contains(*name) { symbols.rules[1] } else { Rule::FieldNameReused };
-                add(rule, name, format!("had number {old}, now {number}"));
-            }
+        for member in &symbols.members {
+            self.check_reservations(symbols, member, found);
+            self.check_reuse(symbols, member, found);
         }
-        let kept = |least: i64, most: i64| {
-            // Each stretch must lie within what is reserved now, however that is cut up.
-            let mut at = least;
-            while at <= most {
-                match symbols
-                    .reserved
-                    .iter()
-                    .filter(|(from, to)| *from <= at && at <= *to)
-                    .map(|(_, to)| *to)
-                    .max()
-                {
-                    Some(end) => at = end.saturating_add(1),
-                    None => return false,
-                }
+        for &(first, last) in &self.reserved {
+            if !symbols.reserves(first, last) {
+                let detail = format!("{first} to {last} were reserved");
+                found.push(finding(symbols, Rule::ReservedDropped, "", detail));
             }
-            true
-        };
-        for &(least, most) in self.reserved.iter().filter(|(least, most)| !kept(*least, *most)) {
-            add(Rule::ReservedDropped, "", format!("{least} to {most} were reserved"));
         }
         for name in self.reserved_names.difference(symbols.reserved_names) {
-            add(Rule::ReservedDropped, "", format!("the name {name} was reserved"));
+            let detail = format!("the name {name} was reserved");
+            found.push(finding(symbols, Rule::ReservedDropped, "", detail));
+        }
+    }
+
+    /// A member must not use a number or a name that some version reserved.
+    fn check_reservations(&self, symbols: &TypeSymbols, member: &Member, found: &mut Vec<Finding>) {
+        let number = member.number;
+        if self.reserved.iter().any(|&(first, last)| first <= number && number <= last) {
+            let detail = format!("number {number} was reserved");
+            found.push(finding(symbols, Rule::ReservedNumberUsed, member.name, detail));
+        }
+        if self.reserved_names.contains(member.name) {
+            let detail = "the name was reserved".to_string();
+            found.push(finding(symbols, Rule::ReservedNameUsed, member.name, detail));
+        }
+    }
+
+    /// A number must keep its name, and a name its number, unless the change is declared.
+    fn check_reuse(&self, symbols: &TypeSymbols, member: &Member, found: &mut Vec<Finding>) {
+        let number = member.number;
+        let is_known = |name: &String| name == member.name || member.former_names.contains(name);
+        let other_name = self.names.get(&number).and_then(|names| names.iter().find(|name| !is_known(name)));
+        if let Some(other_name) = other_name {
+            // Aliases of an enum share one number.
+            let is_alias =
+                symbols.members.iter().any(|one| one.number == number && one.name == other_name.as_str());
+            if !is_alias {
+                let detail = format!("number {number} was {other_name}");
+                found.push(finding(symbols, symbols.number_reused, member.name, detail));
+            }
+        }
+        let is_declared =
+            |number: i64| member.former_numbers.iter().any(|&former| i64::from(former) == number);
+        let other_number =
+            self.names.iter().find(|(old, names)| **old != number && names.contains(member.name));
+        if let Some((old, _)) = other_number.filter(|(old, _)| !is_declared(**old)) {
+            let is_present = self.present.contains(member.name);
+            let rule = if is_present { symbols.renumbered } else { Rule::FieldNameReused };
+            let detail = format!("had number {old}, now {number}");
+            found.push(finding(symbols, rule, member.name, detail));
         }
     }
 }
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -12,8 +12,10 @@
 use crate::rules::Direction;
 use crate::schema::Schema;
 use prost::Message as _;
-use prost_reflect::{DynamicMessage, FieldDescriptor, Kind, MessageDescriptor, ReflectMessage, Value};
-use std::collections::BTreeMap;
+use prost_reflect::{
+    DynamicMessage, FieldDescriptor, Kind, MapKey, MessageDescriptor, ReflectMessage, Value,
+};
+use std::collections::{BTreeMap, HashMap};
 use thiserror::Error;
 
 /// Why a record could not be translated.
@@ -124,43 +126,8 @@
                 (step.fill && unset(&from, &written)).then(|| written.default_value())
             };
             let Some(value) = value else { continue };
-            let value = match &step.conversion {
-                FieldConversion::Wrap(conversion) => Value::List(vec![self
-                    .value(conversion, value, &field.kind())?
-                    .ok_or_else(not_representable)?]),
-                FieldConversion::Value(conversion) => match value {
-                    Value::List(list) => Value::List(
-                        list.into_iter()
-                            .map(|one| {
-                                self.value(conversion, one, &field.kind())?.ok_or_else(not_representable)
-                            })
-                            .collect::<Result<_, _>>()?,
-                    ),
-                    one => self.value(conversion, one, &field.kind())?.ok_or_else(not_representable)?,
-                },
-                FieldConversion::Map(_, value_op) => {
-                    let (Kind::Message(entry), Value::Map(map)) = (field.kind(), value) else {
-                        return Err(not_representable());
-                    };
-                    let (key_kind, value_kind) =
-                        (entry.map_entry_key_field().kind(), entry.map_entry_value_field().kind());
-                    let mut out = std::collections::HashMap::with_capacity(map.len());
-                    for (key, one) in map {
-                        let key = convert_key(key, &key_kind).map_err(|_| not_representable())?;
-                        out.insert(
-                            key,
-                            self.value(value_op, one, &value_kind)?.ok_or_else(not_representable)?,
-                        );
-                    }
-                    Value::Map(out)
-                }
-                _ => match value {
-                    Value::List(_) | Value::Map(_) => value,
-                    one => self
-                        .value(&ValueConversion::Keep, one, &field.kind())?
-                        .ok_or_else(not_representable)?,
-                },
-            };
+            let value = self.field_value(&step.conversion, value, &field.kind())?;
+            let value = value.ok_or_else(not_representable)?;
             set.push((field, value));
         }
         // What is left goes as bytes: fields of the reader's find their place, all others stay as unknown ones.
@@ -173,7 +140,49 @@
         Ok(out)
     }
 
-    /// None: the value has no like.
+    /// The value of a whole field in the reader's type. None: it cannot be represented there.
+    fn field_value(
+        &self,
+        conversion: &FieldConversion,
+        value: Value,
+        kind: &Kind,
+    ) -> Result<Option<Value>, TranslateError> {
+        match (conversion, value) {
+            (FieldConversion::Wrap(conversion), value) => {
+                Ok(self.value(conversion, value, kind)?.map(|one| Value::List(vec![one])))
+            }
+            (FieldConversion::Value(conversion), Value::List(list)) => {
+                let values = list.into_iter().map(|one| self.value(conversion, one, kind));
+                Ok(values.collect::<Result<Option<Vec<_>>, _>>()?.map(Value::List))
+            }
+            (FieldConversion::Value(conversion), one) => self.value(conversion, one, kind),
+            (FieldConversion::Map(_, conversion), Value::Map(map)) => self.map_value(conversion, map, kind),
+            (FieldConversion::Map(..), _) => Ok(None),
+            (_, value @ (Value::List(_) | Value::Map(_))) => Ok(Some(value)),
+            (_, one) => self.value(&ValueConversion::Keep, one, kind),
+        }
+    }
+
+    /// A map whose keys and values have the reader's types. None: some key or value cannot be represented there.
+    fn map_value(
+        &self,
+        conversion: &ValueConversion,
+        map: HashMap<MapKey, Value>,
+        kind: &Kind,
+    ) -> Result<Option<Value>, TranslateError> {
+        let Kind::Message(entry) = kind else { return Ok(None) };
+        let key_kind = entry.map_entry_key_field().kind();
+        let value_kind = entry.map_entry_value_field().kind();
+        let mut converted = HashMap::with_capacity(map.len());
+        for (key, one) in map {
+            let Ok(key) = convert_key(key, &key_kind) else { return Ok(None) };
+            let Some(value) = self.value(conversion, one, &value_kind)? else { return Ok(None) };
+            converted.insert(key, value);
+        }
+        Ok(Some(Value::Map(converted)))
+    }
+
+    /// A single value in the reader's type. None: it cannot be represented there.
     fn value(
         &self,
         conversion: &ValueConversion,
