--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -43,7 +43,7 @@
     text + "}\n"
 }
 
-fn least<T>(runs: u32, mut work: impl FnMut() -> T) -> Duration {
+fn shortest_of<T>(runs: u32, mut work: impl FnMut() -> T) -> Duration {
     (0..runs)
         .map(|_| {
             let start = Instant::now();
@@ -67,14 +67,14 @@
         .collect();
     let (first, last) = (&schemas[0], &schemas[VERSIONS as usize]);
     println!("schema: {} bytes of descriptors", first.to_set().len());
-    println!("compile its text: {:?}", least(20, || Schema::from_text(&text(0, false))));
-    println!("read its descriptors: {:?}", least(20, || Schema::from_set(first.to_set())));
+    println!("compile its text: {:?}", shortest_of(20, || Schema::from_text(&text(0, false))));
+    println!("read its descriptors: {:?}", shortest_of(20, || Schema::from_set(first.to_set())));
     let before = resident();
     let kept: Vec<_> = (0..256).filter_map(|_| Schema::from_set(first.to_set()).ok()).collect();
     println!("memory of a schema: {} KB", resident().saturating_sub(before) / kept.len() as u64);
     println!(
         "check of one pair, both ways: {:?}",
-        least(20, || check(first, last, &ReaderUsage::all(), Directions::BOTH))
+        shortest_of(20, || check(first, last, &ReaderUsage::all(), Directions::BOTH))
     );
 
     let mut registry = Registry::new();
@@ -103,7 +103,7 @@
     }
     let proposal = propose(last);
     let mut outcome = None;
-    let took = least(5, || outcome = Some(registry.clone().apply(1, proposal.clone())));
+    let took = shortest_of(5, || outcome = Some(registry.clone().apply(1, proposal.clone())));
     let translated = match outcome {
         Some(CommandOutcome::Accepted { translated, .. }) => translated.len(),
         other => return println!("the proposal was not accepted: {other:?}"),
@@ -119,15 +119,15 @@
         usage: ReaderUsage::all(),
         lease_ms: 60_000,
     };
-    println!("subscription against 64 in force: {:?}", least(5, || registry.apply(1, again.clone())));
+    println!("subscription against 64 in force: {:?}", shortest_of(5, || registry.apply(1, again.clone())));
     let renew = RegistryCommand::Renew { subscriber: "s9".into(), publisher: "p".into() };
-    println!("renewal: {:?}", least(1000, || registry.apply(1, renew.clone())));
+    println!("renewal: {:?}", shortest_of(1000, || registry.apply(1, renew.clone())));
     let bytes = registry.export();
-    println!("snapshot: {} bytes, written in {:?}", bytes.len(), least(5, || registry.export()));
-    println!("snapshot read: {:?}", least(3, || Registry::import(&bytes)));
+    println!("snapshot: {} bytes, written in {:?}", bytes.len(), shortest_of(5, || registry.export()));
+    println!("snapshot read: {:?}", shortest_of(3, || Registry::import(&bytes)));
     let translation = Translation::between(last, first, Direction::Down);
     if let Some(record) = sample(last, "m.R", 1) {
-        println!("a record of 200 fields translated: {:?}", least(200, || translation.run(&record)));
+        println!("a record of 200 fields translated: {:?}", shortest_of(200, || translation.run(&record)));
     }
     println!("memory in all: {} KB", resident());
 }
--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -1,4 +1,4 @@
-//! Two schemas, or one against all in use: the verdict.
+//! Checks whether a change of schema is compatible with the readers of either version.
 
 use crate::comparison::compare;
 use crate::findings::findings_for_usage;
@@ -10,7 +10,7 @@
 use crate::translate::Translation;
 use crate::usage::ReaderUsage;
 
-/// Who writes and who reads, of two versions.
+/// Which of two versions writes and which reads.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Directions {
     /// The new version writes, the old one reads: publishers go first.
@@ -28,14 +28,14 @@
     pub const UP: Self = Self { down: false, up: true };
 }
 
-/// What a change does to readers.
+/// The result of a compatibility check.
 #[derive(Clone, Debug)]
 pub enum Compatibility {
-    /// Readers go on without any help.
+    /// Readers need no translation.
     Compatible,
-    /// Readers go on if records are translated for them.
+    /// Readers need translated records.
     Translatable(Box<Translations>),
-    /// Readers break, or history is hurt: the findings that break, worst first, [`crate::limits::MAX_VIOLATIONS`] at most.
+    /// Readers break or a history rule is violated: up to [`crate::limits::MAX_VIOLATIONS`] breaking findings.
     Rejected(Vec<Finding>),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// What records of two versions go through on their way to readers of the other.
+/// The translations between two versions.
 #[derive(Clone, Debug)]
 pub struct Translations {
     /// From the new version to the old.
@@ -60,19 +60,18 @@
     pub up: Translation,
 }
 
-/// The worst that findings say.
+/// The highest severity of the findings.
 #[must_use]
-pub fn worst(findings: &[Finding]) -> Severity {
+pub fn worst_severity(findings: &[Finding]) -> Severity {
     findings.iter().map(|finding| finding.severity).max().unwrap_or(Severity::Note)
 }
 
-/// Judges the change from `old` to `new` for readers that use `uses` of the version that they read: of `old` where the
-/// new version writes; where the old one writes, readers are taken to use all of `new`, with the form and tolerance of
-/// `uses`.
+/// Checks the change from `old` to `new`. Where the new version writes, readers use `usage` of `old`; where the old one
+/// writes, readers are assumed to use all of `new`, with the encoding and tolerance of `usage`.
 #[must_use]
 pub fn check(old: &Schema, new: &Schema, usage: &ReaderUsage, directions: Directions) -> Compatibility {
     let findings = check_findings(old, new, usage, directions);
-    match worst(&findings) {
+    match worst_severity(&findings) {
         Severity::Note => Compatibility::Compatible,
         Severity::Translate => Compatibility::Translatable(Box::new(Translations {
             down: Translation::between(new, old, Direction::Down),
@@ -82,7 +81,7 @@
     }
 }
 
-/// All that [`check`] finds, notes too, and history's rules between the two.
+/// All findings of [`check`], including notes and the history rules between the two versions.
 #[must_use]
 pub fn check_findings(
     old: &Schema,
@@ -101,7 +100,7 @@
     found
 }
 
-/// What the new schema does to numbers and names that any version before it, oldest first, gave away or set aside.
+/// Findings of the history rules for a new schema after all versions `before` it, oldest first.
 #[must_use]
 pub fn history(before: &[&Schema], new: &Schema) -> Vec<Finding> {
     let mut symbol_history = SymbolHistory::default();
@@ -109,8 +108,8 @@
     symbol_history.check(&new.model)
 }
 
-/// What a reader of `reader` with `uses` meets in records of `writer`. A translation that would be needed has been run on
-/// samples.
+/// Findings for a reader of `reader` with `usage` that gets records of `writer`. If a translation is needed, it is run on
+/// sample records as well.
 pub(crate) fn read_by(
     writer: &Schema,
     reader: &Schema,
@@ -119,17 +118,17 @@
 ) -> Vec<Finding> {
     let pair = compare(&writer.model, &reader.model, direction);
     let mut found = findings_for_usage(&pair, &reader.model, usage);
-    if worst(&found) == Severity::Translate {
+    if worst_severity(&found) == Severity::Translate {
         let there = Translation::of(&pair, reader);
         let back = if direction == Direction::Down { Direction::Up } else { Direction::Down };
         let back = Translation::between(reader, writer, back);
-        found.extend(try_out(&there, &back, writer, direction));
+        found.extend(test_translation(&there, &back, writer, direction));
     }
     found
 }
 
-/// Runs a translation on samples of every record, there and back.
-fn try_out(
+/// Runs a translation and its inverse on samples of every record; returns the first failure.
+fn test_translation(
     there: &Translation,
     back: &Translation,
     writer: &Schema,
--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -1,4 +1,4 @@
-//! What a field promises beside its type: ranges, lengths, presence, defaults and oneofs.
+//! Constraints of a field beside its type: ranges, lengths, presence, defaults and oneofs.
 
 use super::context::ComparisonContext;
 use super::conversion::FieldStep;
@@ -7,7 +7,7 @@
 use crate::model::{Field, FieldCardinality, Message};
 use crate::rules::{Direction, Rule};
 
-/// Ranges and lengths: what is written must lie within what the reader was promised.
+/// Compares ranges and lengths: the written range must lie within the one that the reader's version declares.
 pub(crate) fn compare_ranges(
     direction: Direction,
     from: &Field,
@@ -16,26 +16,26 @@
 ) {
     let down = direction == Direction::Down;
     let text = |bound: Option<String>| bound.unwrap_or_else(|| "without bound".into());
-    let (least, most) = match from.whole() {
-        Some((least, most)) => (Some(least), Some(most)),
+    let (low, high) = match from.whole() {
+        Some((low, high)) => (Some(low), Some(high)),
         None => (from.min.map(i128::from), from.max.map(i128::from)),
     };
-    let under = to.min.is_some_and(|min| least.is_none_or(|least| least < i128::from(min)));
-    let over = to.max.is_some_and(|max| most.is_none_or(|most| most > i128::from(max)));
+    let under = to.min.is_some_and(|min| low.is_none_or(|low| low < i128::from(min)));
+    let over = to.max.is_some_and(|max| high.is_none_or(|high| high > i128::from(max)));
     if under || over {
         let rule = if down { Rule::RangeWidened } else { Rule::RangeNarrowed };
         let show = |bound: Option<i128>| text(bound.map(|bound| bound.to_string()));
         let detail = format!(
             "{} to {} written, {} to {} read",
-            show(least),
-            show(most),
+            show(low),
+            show(high),
             show(to.min.map(i128::from)),
             show(to.max.map(i128::from))
         );
         differences.add(rule, Impact::Break, Impact::Nothing, detail);
     }
     let short = to.min_length.unwrap_or(0) > from.min_length.unwrap_or(0);
-    let long = to.max_length.is_some_and(|most| from.max_length.is_none_or(|written| written > most));
+    let long = to.max_length.is_some_and(|high| from.max_length.is_none_or(|written| written > high));
     if short || long {
         let rule = if down { Rule::LengthWidened } else { Rule::LengthNarrowed };
         let show = |bound: Option<u64>| text(bound.map(|bound| bound.to_string()));
@@ -50,7 +50,7 @@
     }
 }
 
-/// What an absent field stands for.
+/// Compares what an absent field means: required, explicit presence, and the default value.
 pub(crate) fn compare_presence(
     from: &Field,
     to: &Field,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Oneofs: a reader keeps the last member that it meets.
+/// Compares oneof membership: a reader keeps only the last member that it decodes.
 pub(crate) fn compare_oneofs(
     context: &ComparisonContext,
     writer: &Message,
--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -3,7 +3,7 @@
 use super::conversion::FieldStep;
 use crate::rules::{Direction, Rule};
 
-/// What a difference does to a reader.
+/// The effect of a difference on a reader.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Impact {
     Nothing,
@@ -11,36 +11,36 @@
     /// A translation for readers of JSON, a note for others.
     Names,
     Translate,
-    /// A break for readers that do not go on at unknown values, a note for others.
+    /// A break for readers that do not tolerate unknown values, a note for others.
     Intolerant,
     Break,
 }
 
-/// Something that differs.
+/// One difference between the two schemas.
 #[derive(Clone, Debug)]
 pub(crate) struct Difference {
     pub(crate) rule: Rule,
-    /// What it does to a reader that uses the place.
+    /// The effect on a reader that uses the field.
     pub(crate) used: Impact,
-    /// And to one that only passes over it.
+    /// The effect on a reader that only decodes past it.
     pub(crate) unused: Impact,
     /// The last step of its path, if it is not the field's own.
     pub(crate) at: Option<String>,
     pub(crate) detail: String,
 }
 
-/// A reader's field beside what the writer has for it.
+/// A reader's field compared with its counterpart.
 #[derive(Clone, Debug)]
 pub(crate) struct FieldComparison {
     pub(crate) name: String,
-    /// Used whatever the reader declares.
+    /// Counts as used whatever the reader declares.
     pub(crate) needed: bool,
     pub(crate) differences: Vec<Difference>,
-    /// The pair of messages below.
+    /// Index of the pair of messages that the fields hold.
     pub(crate) child: Option<usize>,
 }
 
-/// A reader's message beside a writer's.
+/// A reader's message compared with a writer's.
 #[derive(Clone, Debug)]
 pub(crate) struct MessageComparison {
     /// The reader's message.
@@ -59,12 +59,12 @@
     pub(crate) differences: Vec<Difference>,
 }
 
-/// Two schemas, compared.
+/// The comparison of two schemas.
 pub(crate) struct SchemaComparison {
     pub(crate) direction: Direction,
     pub(crate) roots: Vec<RecordComparison>,
     pub(crate) nodes: Vec<MessageComparison>,
-    /// The comparison ended at a bound and proves nothing.
+    /// The comparison was cut off at a limit and proves nothing.
     pub(crate) exceeded: bool,
 }
 
--- a/crates/schema-compat/src/comparison/enum_values.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -1,4 +1,4 @@
-//! A writer's enum beside a reader's.
+//! Compares a writer's enum with a reader's.
 
 use super::context::ComparisonContext;
 use super::conversion::ValueConversion;
@@ -7,7 +7,7 @@
 use crate::rules::{Direction, Rule};
 use crate::schema_options::UnknownValuePolicy;
 
-/// What a value unknown to a reader does, by the reader's schema.
+/// The effect of an unknown value, by the policy in the reader's schema.
 pub(crate) fn unknown_impact(unknown: UnknownValuePolicy) -> Impact {
     match unknown {
         UnknownValuePolicy::Accepted => Impact::Note,
--- a/crates/schema-compat/src/comparison/field.rs
+++ b/crates/schema-compat/src/comparison/field.rs
@@ -1,4 +1,4 @@
-//! One field of a reader beside what the writer has for it.
+//! Compares one field of the reader's message with the writer's counterpart.
 
 use super::constraints;
 use super::context::ComparisonContext;
@@ -64,7 +64,7 @@
     (FieldComparison { name: to.name.clone(), needed, differences: differences.differences, child }, step)
 }
 
-/// The writer has nothing for the field.
+/// Handles a field for which the writer has no counterpart.
 fn compare_missing(
     context: &ComparisonContext,
     writer: &Message,
--- a/crates/schema-compat/src/comparison/field_values.rs
+++ b/crates/schema-compat/src/comparison/field_values.rs
@@ -8,7 +8,7 @@
 use crate::model::{Field, FieldCardinality, Model};
 use crate::rules::Rule;
 
-/// Types and cardinality. Gives the pair of messages below.
+/// Compares types and cardinality; returns the index of the pair of messages that the fields hold.
 pub(crate) fn compare_values(
     context: &mut ComparisonContext,
     from: &Field,
@@ -50,7 +50,7 @@
     let child = if let ValueConversion::Child(at) = conversion { Some(at) } else { None };
     step.conversion = match (from.cardinality, conversion) {
         (FieldCardinality::Singular, conversion) if to.cardinality == FieldCardinality::Repeated => {
-            // Absent and default are one to such a writer: the list of one must not come out empty.
+            // Such a writer does not encode the default: the list of one value must not become empty.
             let silent = !from.explicit && !from.kind.is_message();
             let used = if silent { Impact::Translate } else { Impact::Note };
             differences.add(
@@ -68,7 +68,7 @@
     child
 }
 
-/// A single value's types, or an element's.
+/// Compares the types of a single value or element; an error names the rule that rejects the pair.
 fn compare_value(
     context: &mut ComparisonContext,
     from: &Field,
@@ -91,7 +91,7 @@
                         context.writer.enums[at].values.iter().map(|value| i128::from(value.number));
                     ValueDomain::Whole(numbers.clone().min().unwrap_or(0), numbers.max().unwrap_or(0))
                 }
-                (_, Some((least, most))) => ValueDomain::Whole(least, most),
+                (_, Some((low, high))) => ValueDomain::Whole(low, high),
                 (kind, None) => kind.domain(),
             };
             match fit(from.kind, domain, to.kind) {
@@ -121,7 +121,7 @@
     }
 }
 
-/// A map's keys and values.
+/// Compares the keys and values of a map.
 fn compare_entries(
     context: &mut ComparisonContext,
     from: &Field,
--- a/crates/schema-compat/src/convert.rs
+++ b/crates/schema-compat/src/convert.rs
@@ -1,8 +1,8 @@
-//! Values from one type to another, and from and to text.
+//! Converts values between types, and from and to text.
 
 use prost_reflect::{EnumDescriptor, Kind, MapKey, Value};
 
-/// A value that has no like in the type asked for.
+/// The value cannot be represented in the requested type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NotRepresentable;
 
@@ -41,15 +41,15 @@
         Kind::Uint32 | Kind::Fixed32 => Value::U32(number.try_into().map_err(no)?),
         Kind::Uint64 | Kind::Fixed64 => Value::U64(number.try_into().map_err(no)?),
         Kind::Enum(_) => Value::EnumNumber(number.try_into().map_err(no)?),
-        // Exact or nothing: what is rounded comes back as another number.
+        // Only exact conversions: a rounded number would be another value.
         Kind::Float if (number as f32) as i128 == number => Value::F32(number as f32),
         Kind::Double if (number as f64) as i128 == number => Value::F64(number as f64),
         _ => return Err(NotRepresentable),
     })
 }
 
-/// The value of type `kind` that means the same, exactly; whole numbers, floating ones and texts each among themselves,
-/// and whole ones into floating ones.
+/// The same value as type `kind`, exactly: within integers, floating-point numbers and text or bytes, and from integers
+/// to floating-point numbers.
 pub(crate) fn convert(value: &Value, kind: &Kind) -> Result<Value, NotRepresentable> {
     match (plain(value).ok_or(NotRepresentable)?, kind) {
         (ScalarValue::Whole(number), _) => whole(number, kind),
--- a/crates/schema-compat/src/declaration.rs
+++ b/crates/schema-compat/src/declaration.rs
@@ -1,5 +1,5 @@
-//! What a publisher declares of a change beside its schema: the same that the options in `.proto` text say, for
-//! schemas whose text is not the fleet's to mark.
+//! Migration declarations that accompany a schema: equivalent to the options in `.proto` text, for schemas whose text
+//! cannot be edited.
 
 use crate::error::{check_limit, DeclarationError, SchemaError};
 use crate::limits::{MAX_DECLARATIONS, MAX_DECLARATION_BYTES};
@@ -58,7 +58,7 @@
         enumeration: String,
         /// The value that they do not know.
         value: String,
-        /// What they get.
+        /// The value that they get instead.
         reads_as: String,
     },
 }
@@ -77,7 +77,7 @@
 }
 
 impl Schema {
-    /// The same schema, with what is declared beside it. Its digest stays: it names what publishers write.
+    /// The same schema with declarations applied. The digest is unchanged: it identifies what publishers write.
     ///
     /// # Errors
     /// A declaration that names a message, field or enum that the schema does not have; more than [`MAX_DECLARATIONS`], or
--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -1,6 +1,6 @@
-//! Two schemas' texts, and what is said of the change: for `sprucelink compat check OLD NEW`.
+//! The compatibility report of two schema texts, for `sprucelink compat check OLD NEW`.
 
-use crate::check::{check_findings, worst, Directions};
+use crate::check::{check_findings, worst_severity, Directions};
 use crate::error::SchemaError;
 use crate::rules::{Finding, Severity};
 use crate::schema::{Digest, Schema};
@@ -9,16 +9,16 @@
 use std::fmt::Write as _;
 use thiserror::Error;
 
-/// What is said of a change.
+/// The report on a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompatibilityReport {
     /// The old schema.
     pub old: Digest,
     /// The new schema.
     pub new: Digest,
-    /// The verdict: compatible, translatable, rejected.
+    /// The highest severity of the findings.
     pub severity: Severity,
-    /// All findings, the worst first.
+    /// All findings, the most severe first.
     pub findings: Vec<Finding>,
 }
 
@@ -36,10 +36,10 @@
     NewSchema(SchemaError),
 }
 
-/// Compares the change from one text to another, both ways, for readers with `uses` of the old one.
+/// Compares the change from one text to another, in both directions, for readers with `usage` of the old one.
 ///
 /// # Errors
-/// Which of the texts is no schema, and why.
+/// The text that is not a valid schema, or a usage declaration over a limit.
 pub fn explain(
     old_text: &str,
     new_text: &str,
@@ -50,7 +50,12 @@
     let new = Schema::from_text(new_text).map_err(ExplainError::NewSchema)?;
     let mut findings = check_findings(&old, &new, usage, Directions::BOTH);
     findings.sort_by(|a, b| b.severity.cmp(&a.severity).then_with(|| a.cmp(b)));
-    Ok(CompatibilityReport { old: old.digest(), new: new.digest(), severity: worst(&findings), findings })
+    Ok(CompatibilityReport {
+        old: old.digest(),
+        new: new.digest(),
+        severity: worst_severity(&findings),
+        findings,
+    })
 }
 
 impl CompatibilityReport {
@@ -64,7 +69,7 @@
         }
     }
 
-    /// The verdict's line, and one line a finding.
+    /// A summary line, then one line per finding.
     #[must_use]
     pub fn text(&self) -> String {
         let short = |digest: Digest| digest.to_string().chars().take(12).collect::<String>();
--- a/crates/schema-compat/src/field_type.rs
+++ b/crates/schema-compat/src/field_type.rs
@@ -1,4 +1,4 @@
-//! Types of values: which are compatible on the wire, which in what they can hold.
+//! Field types: which share a wire encoding, and which values they can hold.
 //!
 //! The wire's classes are those of protobuf's encoding page. Two types that share a class decode each other's bytes;
 //! whether the value survives is a question of domains: `int32`, `uint32`, `int64`, `uint64`, `bool` and enums are all
@@ -159,14 +159,14 @@
     }
 }
 
-/// How a writer's values reach a reader of another type.
+/// Whether a writer's values can be read as another type.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum TypeFit {
     /// The same bytes give the same value.
     Same,
-    /// Every value has its like in the reader's type, but other bytes: to be converted.
+    /// Every value can be represented in the reader's type, but is encoded differently: it is converted.
     Convert,
-    /// Some values have no like.
+    /// Some values cannot be represented in the reader's type.
     Narrowed,
     /// The types have nothing in common.
     Apart,
@@ -180,15 +180,11 @@
 pub(crate) fn fit(writer: FieldType, from: ValueDomain, reader: FieldType) -> TypeFit {
     let same_bytes = writer.class() == reader.class();
     let contained = match (from, reader.domain()) {
-        // A number says nothing of which of an enum's values it stands for.
+        // A number does not determine which value of an enum it means.
         (ValueDomain::Whole(..), _) if matches!(reader, FieldType::Enum(_)) => return TypeFit::Apart,
-        (ValueDomain::Whole(least, most), ValueDomain::Whole(lower, upper)) => {
-            lower <= least && most <= upper
-        }
-        (ValueDomain::Whole(least, most), ValueDomain::Float) => -FLOAT_WHOLE <= least && most <= FLOAT_WHOLE,
-        (ValueDomain::Whole(least, most), ValueDomain::Double) => {
-            -DOUBLE_WHOLE <= least && most <= DOUBLE_WHOLE
-        }
+        (ValueDomain::Whole(low, high), ValueDomain::Whole(lower, upper)) => lower <= low && high <= upper,
+        (ValueDomain::Whole(low, high), ValueDomain::Float) => -FLOAT_WHOLE <= low && high <= FLOAT_WHOLE,
+        (ValueDomain::Whole(low, high), ValueDomain::Double) => -DOUBLE_WHOLE <= low && high <= DOUBLE_WHOLE,
         (ValueDomain::Float, ValueDomain::Float | ValueDomain::Double)
         | (ValueDomain::Double, ValueDomain::Double) => true,
         (ValueDomain::Utf8, ValueDomain::Utf8 | ValueDomain::Bytes)
--- a/crates/schema-compat/src/findings.rs
+++ b/crates/schema-compat/src/findings.rs
@@ -1,4 +1,4 @@
-//! What a comparison means to a reader, by what it uses.
+//! Evaluates a comparison for one reader, by what that reader uses.
 
 use crate::comparison::difference::{Difference, Impact, SchemaComparison};
 use crate::limits::MAX_VISITED_PLACES;
@@ -7,6 +7,7 @@
 use crate::usage::{ReaderUsage, RecordEncoding, UsageNode, UsageTree};
 use std::collections::{BTreeSet, HashSet};
 
+/// Collects findings, each rule, path and detail once.
 struct FindingCollector<'a> {
     comparison: &'a SchemaComparison,
     usage: &'a ReaderUsage,
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Reports a difference with the severity that it has for this reader.
     fn add_difference(&mut self, difference: &Difference, used: bool, path: &str, holder: &str) {
         let severity = match if used { difference.used } else { difference.unused } {
             Impact::Nothing => return,
--- a/crates/schema-compat/src/lib.rs
+++ b/crates/schema-compat/src/lib.rs
@@ -1,15 +1,15 @@
-//! May a publisher change its schema, given who reads it now?
+//! Schema compatibility: whether a publisher may change its schema while subscribers read it.
 //!
 //! A schema is a set of protobuf descriptors. [`check`](check::check) compares two of them for readers that use all or
-//! part of one; the verdict is *compatible*, *translatable* with a [`Translation`] that turns records of the writer's
-//! version into the reader's, or *rejected* with path, rule and who would break. [`Registry`] is replicated state: it
-//! judges a proposed schema against every subscriber in lease, and an arriving subscriber against every schema in
-//! force, each in the one journal entry that changes the state.
+//! part of one; the result is *compatible*, *translatable* with a [`Translation`] of the writer's records into the
+//! reader's version, or *rejected* with path, rule and affected readers. [`Registry`] is a replicated state machine: it
+//! checks a proposed schema against every subscriber that holds a lease, and a new subscriber against every schema in
+//! force, within the journal entry that changes the state.
 //!
-//! Decides only: no input or output, time is an argument, one journal gives one state everywhere.
+//! The crate performs no input or output; time is an argument, and equal journals give equal states.
 //!
-//! Compatibility as here understood follows the public protobuf language guide ("Updating A Message Type", wire types of
-//! the encoding page) and goes beyond it where the wire is indifferent and the meaning is not.
+//! The rules follow the public protobuf language guide ("Updating A Message Type", wire types of
+//! the encoding page) and extend it where the encoding stays valid but the meaning changes.
 
 pub mod check;
 mod comparison;
--- a/crates/schema-compat/src/model/builder.rs
+++ b/crates/schema-compat/src/model/builder.rs
@@ -12,7 +12,10 @@
 use std::collections::BTreeMap;
 
 impl Model {
-    /// The model of the files named `own`, with what they import.
+    /// The model of the files named `own` and of the imported types that their fields hold.
+    ///
+    /// # Errors
+    /// A limit that is exceeded, a type that is not known, or no message to publish.
     pub(crate) fn of(pool: &DescriptorPool, own: &[String]) -> Result<Self, SchemaError> {
         let options = OptionExtensions::of(pool)?;
         let is_own = |file: &str| own.iter().any(|name| name == file);
@@ -53,15 +56,15 @@
     for message in pool.all_messages() {
         if is_own(message.parent_file().name()) {
             check_limit("messages", descriptors.len() + 1, MAX_MESSAGES)?;
-            reach(message, &mut descriptors, &mut place);
+            add_message(message, &mut descriptors, &mut place);
         }
     }
-    // Types of other files that own fields hold, until there are no more.
+    // Fields may hold types of other files, which hold further ones.
     let mut next = 0;
     while next < descriptors.len() {
         for field in descriptors[next].clone().fields() {
             if let prost_reflect::Kind::Message(held) = field.kind() {
-                reach(held, &mut descriptors, &mut place);
+                add_message(held, &mut descriptors, &mut place);
             }
         }
         next += 1;
@@ -70,13 +73,19 @@
     Ok((descriptors, place))
 }
 
-fn reach(message: MessageDescriptor, all: &mut Vec<MessageDescriptor>, place: &mut BTreeMap<String, usize>) {
+/// Adds a message once.
+fn add_message(
+    message: MessageDescriptor,
+    all: &mut Vec<MessageDescriptor>,
+    place: &mut BTreeMap<String, usize>,
+) {
     if !place.contains_key(message.full_name()) {
         place.insert(message.full_name().to_string(), all.len());
         all.push(message);
     }
 }
 
+/// The number of messages that a message is declared within, itself included.
 fn depth(message: &MessageDescriptor) -> usize {
     let (mut depth, mut at) = (1, message.clone());
     while let Some(parent) = at.parent_message() {
@@ -93,7 +102,7 @@
 }
 
 impl TypeIndexes<'_> {
-    fn of(&self, field: &FieldDescriptor) -> Result<FieldType, SchemaError> {
+    fn field_type(&self, field: &FieldDescriptor) -> Result<FieldType, SchemaError> {
         use prost_reflect::Kind as K;
         let unknown = || SchemaError::Descriptor(format!("type of {} is not known", field.full_name()));
         Ok(match field.kind() {
@@ -143,7 +152,7 @@
     Ok(Field {
         number: from.number(),
         name: from.name().to_string(),
-        kind: types.of(from)?,
+        kind: types.field_type(from)?,
         cardinality,
         explicit: from.supports_presence(),
         required: from.is_required(),
--- a/crates/schema-compat/src/model/mod.rs
+++ b/crates/schema-compat/src/model/mod.rs
@@ -58,9 +58,9 @@
     /// Whole numbers that a writer of this field writes.
     pub(crate) fn whole(&self) -> Option<(i128, i128)> {
         match self.kind.domain() {
-            ValueDomain::Whole(least, most) => Some((
-                self.min.map_or(least, |min| i128::from(min).max(least)),
-                self.max.map_or(most, |max| i128::from(max).min(most)),
+            ValueDomain::Whole(low, high) => Some((
+                self.min.map_or(low, |min| i128::from(min).max(low)),
+                self.max.map_or(high, |max| i128::from(max).min(high)),
             )),
             _ => None,
         }
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -29,12 +29,12 @@
     }
 
     /// Applies one command at the journal's time `now_ms`, the time in the journal's entry. A time before one already
-    /// seen counts as that one. What is refused leaves the state as it was.
+    /// seen counts as that one. A rejected command leaves the state unchanged.
     pub fn apply(&mut self, now_ms: u64, command: RegistryCommand) -> CommandOutcome {
         self.apply_prepared(now_ms, PreparedCommand { command, schema: None })
     }
 
-    /// As [`Registry::apply`], with the schema read before.
+    /// As [`Registry::apply`], with the schema already read.
     pub fn apply_prepared(&mut self, now_ms: u64, prepared: PreparedCommand) -> CommandOutcome {
         self.now_ms = self.now_ms.max(now_ms);
         let done = match prepared.command {
@@ -45,7 +45,7 @@
                 self.subscribe(subscriber, publisher, version, usage, lease_ms)
             }
             RegistryCommand::Renew { subscriber, publisher } => self.renew(subscriber, publisher),
-            RegistryCommand::Unsubscribe { subscriber, publisher } => self.leave(publisher, subscriber),
+            RegistryCommand::Unsubscribe { subscriber, publisher } => self.unsubscribe(publisher, subscriber),
             RegistryCommand::ExpireLease { subscriber, publisher } => {
                 self.expire_lease(publisher, subscriber)
             }
@@ -74,11 +74,11 @@
         if !self.subscriptions.contains_key(&key) && self.subscriptions.len() >= MAX_SUBSCRIBERS {
             return Err(limit_reached("subscribers", MAX_SUBSCRIBERS));
         }
-        // Whoever stands is broken by nothing in force, so that another like it need not be judged: hundreds come back at
-        // once when a manager dies.
+        // No schema in force breaks an existing subscription, so that an equal one needs no check: hundreds of subscribers
+        // reconnect at once when a manager fails.
         if !self.readers(&name).any(|(_, held)| held.version == version && held.usage == usage) {
             let mut violations = ViolationSet::default();
-            // Its own version too: what it says that it uses must be there.
+            // Its own version as well: the paths that it declares must exist there.
             violations.add(&read_by(reader, reader, &usage, Direction::Down), &[&subscriber]);
             for (written, one) in publisher.written().filter(|(written, _)| *written != version) {
                 let found = read_by(&one.schema, reader, &usage, direction(written, version));
@@ -92,7 +92,7 @@
         let spoken = self.readers(&name).any(|(_, held)| held.version == version);
         let before = self.subscriptions.insert(key, Subscription { version, usage, lease_ms, until_ms });
         if !spoken || before.is_some_and(|held| held.version != version) {
-            self.derive(&name);
+            self.refresh_translations(&name);
         }
         let to = |((publisher, from, to), one): (&(String, u32, u32), &Option<_>)| {
             (*publisher == name && *to == version && one.is_some()).then_some(*from)
@@ -113,11 +113,15 @@
         Ok(CommandOutcome::Renewed { until_ms: held.until_ms })
     }
 
-    fn leave(&mut self, publisher: String, subscriber: String) -> Result<CommandOutcome, CommandRejection> {
+    fn unsubscribe(
+        &mut self,
+        publisher: String,
+        subscriber: String,
+    ) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
         let held = self.subscriptions.remove(&key).ok_or(CommandRejection::UnknownSubscriber)?;
         if !self.readers(&key.0).any(|(_, other)| other.version == held.version) {
-            self.derive(&key.0);
+            self.refresh_translations(&key.0);
         }
         Ok(CommandOutcome::Done)
     }
@@ -129,19 +133,19 @@
     ) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
         let held = self.subscriptions.get(&key).ok_or(CommandRejection::UnknownSubscriber)?;
-        // A renewal that came before this command in the journal, or a leader whose clock runs ahead.
+        // Not expired if a renewal precedes this command in the journal, or if the leader's clock runs ahead.
         let until_ms = held.until_ms.saturating_add(LEASE_MARGIN_MS);
         if self.now_ms < until_ms {
             return Err(CommandRejection::LeaseNotExpired { until_ms });
         }
-        self.leave(key.0, key.1)
+        self.unsubscribe(key.0, key.1)
     }
 
     fn withdraw(&mut self, name: &str, version: u32) -> Result<CommandOutcome, CommandRejection> {
         let publisher =
             Arc::make_mut(self.publishers.get_mut(name).ok_or(CommandRejection::UnknownPublisher)?);
         publisher.versions.get_mut(&version).ok_or(CommandRejection::UnknownVersion)?.in_force = false;
-        self.derive(name);
+        self.refresh_translations(name);
         Ok(CommandOutcome::Done)
     }
 
@@ -154,7 +158,7 @@
             return Err(CommandRejection::InUse);
         }
         publisher.versions.remove(&version);
-        self.derive(name);
+        self.refresh_translations(name);
         Ok(CommandOutcome::Done)
     }
 }
--- a/crates/schema-compat/src/registry/codec.rs
+++ b/crates/schema-compat/src/registry/codec.rs
@@ -1,4 +1,4 @@
-//! Commands as prost messages. Field numbers are for good; new ones go at the end.
+//! Encodes commands as protobuf messages. Field numbers are permanent; new fields get new numbers.
 
 use super::RegistryCommand;
 use crate::declaration::MigrationDeclaration;
@@ -7,7 +7,7 @@
 use prost::Message as _;
 use thiserror::Error;
 
-/// Maximum bytes of a command: a schema's, and its declarations at some 256 bytes each.
+/// Maximum bytes of a command: those of a schema, and 256 for each declaration.
 pub const MAX_COMMAND_BYTES: usize = MAX_SCHEMA_BYTES + MAX_DECLARATIONS * 256;
 
 /// Why bytes are not a command.
@@ -45,7 +45,7 @@
     json: bool,
 }
 
-/// Kind and up to four texts or numbers: one form for all declarations.
+/// The common form of all declarations: a kind and the values that it needs.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct DeclarationRecord {
     #[prost(uint32, tag = "1")]
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated registry: schemas in force, versions that subscribers speak, leases.
+//! The replicated registry: schemas in force, the versions that subscribers read, and their leases.
 //!
-//! Every change is one [`RegistryCommand`] of the journal. [`Registry::apply`] judges and changes in one step, so that a schema is
-//! judged against exactly the subscribers that stand at its position, and a subscriber against exactly the schemas
-//! that do: whichever of the two comes first, the other meets it. Invariant after every command: no subscriber in the state is
-//! broken by any schema in force.
+//! Every change is one [`RegistryCommand`] in the journal. [`Registry::apply`] checks and changes the state in one step:
+//! a schema is checked against exactly the subscriptions at its position in the journal, and a subscription against
+//! exactly the schemas in force there, whichever comes first. Invariant after every command: no schema in force breaks a
+//! subscriber in the state.
 
 mod apply;
 pub mod codec;
@@ -30,65 +30,64 @@
 pub use query::{PublishError, SubscriberInfo, VersionInfo};
 pub use snapshot::SnapshotError;
 
-/// One change of the registry, as the journal carries it ([`codec`]).
+/// One change of the registry, as encoded in the journal ([`codec`]).
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RegistryCommand {
-    /// A publisher asks to publish by a schema. Accepted, it is in force beside those before it until withdrawn. Asked
-    /// again with the same schema and declarations, it gets the same answer as long as it is in force; after a
-    /// withdrawal it is judged anew.
+    /// A publisher proposes a schema. Once accepted, it is in force beside the earlier ones until withdrawn. Proposing
+    /// the same schema and declarations again is idempotent while it is in force; after a withdrawal it is checked again.
     Propose {
         /// The publisher.
         publisher: String,
         /// An encoded `FileDescriptorSet`, as [`Schema::to_set`] gives it.
         schema: Vec<u8>,
-        /// What is declared beside the schema's own options.
+        /// Declarations in addition to the schema's own options.
         translations: Vec<MigrationDeclaration>,
-        /// Whether records of all its versions are kept and read again by later readers: as the first proposal says.
+        /// Whether records of all versions are retained and replayed to later readers; fixed by the first proposal.
         replayed: bool,
     },
-    /// A subscriber speaks a version. Its earlier subscription to the publisher is replaced if this one is accepted,
-    /// and stays otherwise.
+    /// A subscriber begins to read a version. If accepted, it replaces the subscriber's earlier subscription to the
+    /// publisher.
     Subscribe {
         /// The subscriber.
         subscriber: String,
         /// Whose records it reads.
         publisher: String,
-        /// The version that it speaks, as the registry numbered it.
+        /// The version that it reads, by its number in the registry.
         version: u32,
-        /// What it uses of it.
+        /// What it uses of that version.
         usage: ReaderUsage,
-        /// Lease, in ms.
+        /// Duration of the lease, in ms.
         lease_ms: u64,
     },
-    /// The subscriber is still there: its lease begins anew.
+    /// Renews the lease of a subscriber.
     Renew {
         /// The subscriber.
         subscriber: String,
         /// The publisher.
         publisher: String,
     },
-    /// The subscriber goes.
+    /// The subscriber ends its subscription.
     Unsubscribe {
         /// The subscriber.
         subscriber: String,
         /// The publisher.
         publisher: String,
     },
-    /// A leader holds that a lease and its margin are over. Refused while they are not, by the journal's time.
+    /// A leader considers a lease and its margin expired. Rejected while they are not, by the journal's time.
     ExpireLease {
         /// The subscriber.
         subscriber: String,
         /// The publisher.
         publisher: String,
     },
-    /// Nobody publishes by this version any more.
+    /// The version is no longer published.
     Withdraw {
         /// The publisher.
         publisher: String,
         /// The version.
         version: u32,
     },
-    /// A withdrawn version is forgotten, but for what its numbers and names stood for: no record of it is kept anywhere.
+    /// Removes a withdrawn version of which no records are retained. Its numbers and names stay in the symbol history.
     Retire {
         /// The publisher.
         publisher: String,
@@ -102,41 +101,41 @@
 pub enum CommandOutcome {
     /// The schema is in force.
     Accepted {
-        /// Under this number.
+        /// The number of the version.
         version: u32,
-        /// Subscribers' versions whose readers get translated records of it.
+        /// Subscribed versions whose readers get translated records of it.
         translated: Vec<u32>,
     },
-    /// The subscriber stands.
+    /// The subscription is active.
     Subscribed {
-        /// Until this time of the journal, in ms, and the margin beyond.
+        /// End of the lease by the journal's time, in ms; the margin comes on top.
         until_ms: u64,
         /// Versions in force whose records it gets translated.
         translated: Vec<u32>,
     },
-    /// The lease runs until this time of the journal, in ms.
+    /// The lease is renewed.
     Renewed {
-        /// In ms.
+        /// By the journal's time, in ms.
         until_ms: u64,
     },
-    /// Done: unsubscribed, lease ended, withdrawn, retired.
+    /// Unsubscribed, lease expired, withdrawn or retired.
     Done,
-    /// Nothing changed.
+    /// Rejected; the state is unchanged.
     Rejected(CommandRejection),
 }
 
 /// Why a command was rejected and changed nothing.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum CommandRejection {
-    /// Readers would break. ViolationSet, [`crate::limits::MAX_VIOLATIONS`] at most, and how many there were.
+    /// Readers would break.
     #[error("{}", format_violations(.violations, *.count))]
     BreaksReaders {
-        /// The reasons.
+        /// Up to [`crate::limits::MAX_VIOLATIONS`] of the violations.
         violations: Vec<Violation>,
         /// How many there were.
         count: usize,
     },
-    /// The schema, a declaration or a name is no good.
+    /// The command itself is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidCommand),
     /// No such publisher.
@@ -145,19 +144,19 @@
     /// The publisher has no such version, or it was retired.
     #[error("no such version")]
     UnknownVersion,
-    /// No such subscriber: its lease has ended, it subscribes anew.
+    /// No such subscriber: its lease has expired, and it must subscribe again.
     #[error("no such subscriber, its lease has ended")]
     UnknownSubscriber,
-    /// The lease and its margin run until this time of the journal, in ms.
+    /// The lease and its margin have not expired.
     #[error("the lease runs until {until_ms}")]
     LeaseNotExpired {
-        /// In ms.
+        /// By the journal's time, in ms.
         until_ms: u64,
     },
-    /// A version in force, or one that somebody speaks, cannot be retired.
+    /// A version in force, or with subscribers, cannot be retired.
     #[error("the version is in use")]
     InUse,
-    /// A bound of the registry, by name and size.
+    /// A limit of the registry is reached.
     #[error("no room for more {what}, {limit} is the bound")]
     LimitReached {
         /// What there are too many of.
@@ -167,7 +166,7 @@
     },
 }
 
-/// Why a command is invalid whatever the registry's state.
+/// Why a command is invalid, apart from breaking readers.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum InvalidCommand {
     /// The name of a publisher or subscriber is empty, too long, or has control characters.
@@ -202,10 +201,10 @@
 /// One version of a publisher.
 #[derive(Clone, Debug)]
 pub(crate) struct SchemaVersion {
-    /// With its declarations.
+    /// The schema, with its declarations applied.
     pub(crate) schema: Arc<Schema>,
     pub(crate) declared: Vec<MigrationDeclaration>,
-    /// Publishers may write it.
+    /// Whether it may be published.
     pub(crate) in_force: bool,
 }
 
@@ -213,14 +212,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Publisher {
     pub(crate) replayed: bool,
-    /// Accepted last, whether in force or not.
+    /// The version accepted last, whether in force or not.
     pub(crate) newest: u32,
     pub(crate) versions: BTreeMap<u32, SchemaVersion>,
     pub(crate) symbol_history: SymbolHistory,
 }
 
 impl Publisher {
-    /// Versions whose records a reader may meet.
+    /// Versions whose records a reader may receive.
     pub(crate) fn written(&self) -> impl Iterator<Item = (u32, &SchemaVersion)> {
         let replayed = self.replayed;
         self.versions
@@ -247,12 +246,12 @@
 /// [`crate::limits::RULES_EDITION`].
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    /// Shared between copies of a registry until one of them changes: a copy is what a snapshot is written from.
+    /// Shared copy-on-write between clones, so that a snapshot can be written from a clone.
     pub(crate) publishers: BTreeMap<String, Arc<Publisher>>,
     /// By publisher and subscriber.
     pub(crate) subscriptions: BTreeMap<(String, String), Subscription>,
-    /// The journal's time never runs back: the latest that was seen.
+    /// The latest time of the journal that was seen: it never runs backwards.
     pub(crate) now_ms: u64,
-    /// Derived: by publisher, writer's and reader's version, for what subscribers meet. None: records go as they are.
+    /// Derived state: by publisher, writer's version and reader's version. None: records need no translation.
     pub(crate) translations: BTreeMap<(String, u32, u32), Option<Arc<Translation>>>,
 }
--- a/crates/schema-compat/src/registry/prepared.rs
+++ b/crates/schema-compat/src/registry/prepared.rs
@@ -6,7 +6,7 @@
 use crate::schema::Schema;
 use std::sync::Arc;
 
-/// A proposal's schema with its declarations, or why it is none.
+/// A proposal's schema with its declarations applied.
 pub(super) type SchemaResult = Result<Arc<Schema>, SchemaError>;
 
 pub(super) fn read_schema(set: &[u8], declared: &[MigrationDeclaration]) -> SchemaResult {
@@ -14,8 +14,8 @@
     schema.map(Arc::new)
 }
 
-/// A command whose schema, if it has one, is read already: what takes longest of a proposal and needs no state, so that it
-/// can be done elsewhere, and once where many registries are given one command.
+/// A command whose schema, if it has one, is already read. Reading takes most of a proposal's time and needs no state, so
+/// that it can be done on another thread, and once for several registries.
 #[derive(Clone, Debug)]
 pub struct PreparedCommand {
     pub(super) command: RegistryCommand,
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -29,12 +29,12 @@
             return Err(limit_reached("publishers", MAX_PUBLISHERS));
         }
         if known.is_some_and(|known| known.replayed != replayed) {
-            // Withdrawn versions would come to count, or cease to, for subscribers that were judged without.
+            // A change would add or remove withdrawn versions for subscribers that were already checked.
             return Err(InvalidCommand::ReplayChanged.into());
         }
         let empty = Publisher::default();
         let publisher = known.map_or(&empty, Arc::as_ref);
-        // Every process of a release proposes the same bytes: what is known by its digest is not read again.
+        // Every process of a release proposes the same bytes: a known digest is not read again.
         let known_version = publisher.version_of(Schema::digest_of(set));
         let schema = match known_version {
             Some(version) => publisher.versions[&version].schema.clone(),
@@ -69,7 +69,7 @@
         publisher.replayed = replayed;
         publisher.newest = publisher.newest.max(version);
         publisher.versions.insert(version, SchemaVersion { schema, declared, in_force: true });
-        self.derive(&name);
+        self.refresh_translations(&name);
         Ok(CommandOutcome::Accepted { version, translated: self.translated_from(&name, version) })
     }
 
@@ -99,7 +99,7 @@
         violations
     }
 
-    /// The schema against every subscriber in the state, grouped by what they speak and use.
+    /// Checks a schema against every subscriber, grouped by version and usage.
     fn check_readers(
         &self,
         name: &str,
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -1,5 +1,4 @@
-//! What others ask of the registry: the rollout before it releases, the fan-out before it sends, a leader for leases
-//! that are over, an operator.
+//! Read-only queries: for releases, for the fan-out of records, for lease expiry and for operators.
 
 use super::Registry;
 use crate::limits::LEASE_MARGIN_MS;
@@ -7,7 +6,7 @@
 use crate::translate::Translation;
 use thiserror::Error;
 
-/// Why binaries that publish by a schema must not be released.
+/// Why a schema must not be published.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum PublishError {
     /// The publisher never proposed anything.
@@ -16,7 +15,7 @@
     /// This schema was never accepted, or is retired.
     #[error("this schema was not accepted")]
     NeverAccepted,
-    /// It was accepted and withdrawn since: under this number.
+    /// The schema was withdrawn; the number of its version.
     #[error("this schema was withdrawn (version {0})")]
     Withdrawn(u32),
 }
@@ -32,7 +31,7 @@
     pub digest: Digest,
     /// Whether it may be published.
     pub in_force: bool,
-    /// How many subscribers speak it.
+    /// How many subscribers read it.
     pub subscribers: usize,
 }
 
@@ -43,17 +42,17 @@
     pub subscriber: String,
     /// The publisher.
     pub publisher: String,
-    /// The version that it speaks.
+    /// The version that it reads.
     pub version: u32,
-    /// The lease's end by the journal's time, in ms; it counts as there until the margin is over too.
+    /// The lease's end by the journal's time, in ms; the subscription stays until the margin is over as well.
     pub until_ms: u64,
 }
 
 impl Registry {
-    /// Whether a release whose binaries publish by this schema may go out.
+    /// Checks that binaries which publish by this schema may be released.
     ///
     /// # Errors
-    /// Why not.
+    /// The schema is not in force.
     pub fn may_publish(&self, publisher: &str, schema: Digest) -> Result<(), PublishError> {
         let known = self.publishers.get(publisher).ok_or(PublishError::UnknownPublisher)?;
         let version = known.version_of(schema).ok_or(PublishError::NeverAccepted)?;
@@ -64,7 +63,7 @@
         }
     }
 
-    /// The number of a schema in force or withdrawn, for a subscriber that knows only what it was built with.
+    /// The version number of a schema, in force or withdrawn.
     #[must_use]
     pub fn version_of(&self, publisher: &str, schema: Digest) -> Option<u32> {
         self.publishers.get(publisher)?.version_of(schema)
@@ -76,20 +75,21 @@
         Some(&self.publishers.get(publisher)?.versions.get(&version)?.schema)
     }
 
-    /// What records written by `from_version` go through on their way to subscribers of `to_version`. None: they go as
-    /// they are, or nobody who speaks that version is subscribed.
+    /// The translation of records written by `from_version` for subscribers of `to_version`. None: no translation is
+    /// needed, or nobody is subscribed to that version.
     #[must_use]
     pub fn translation(&self, publisher: &str, from_version: u32, to_version: u32) -> Option<&Translation> {
         self.translations.get(&(publisher.to_string(), from_version, to_version))?.as_deref()
     }
 
-    /// Whether the subscriber stands, and with which version.
+    /// The version that a subscriber reads, if it is subscribed.
     #[must_use]
     pub fn subscribed(&self, publisher: &str, subscriber: &str) -> Option<u32> {
         self.subscriptions.get(&(publisher.to_string(), subscriber.to_string())).map(|held| held.version)
     }
 
-    /// Subscribers whose lease and margin are over at `now_ms`: for each a leader proposes [`super::RegistryCommand::ExpireLease`].
+    /// Subscribers whose lease and margin have expired at `now_ms`: a leader proposes
+    /// [`super::RegistryCommand::ExpireLease`] for each.
     pub fn expired_leases(&self, now_ms: u64) -> impl Iterator<Item = SubscriberInfo> + '_ {
         self.subscribers().filter(move |one| now_ms >= one.until_ms.saturating_add(LEASE_MARGIN_MS))
     }
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -1,4 +1,4 @@
-//! The registry's state as bytes, and back; its digest.
+//! Encodes the registry's state as a snapshot, decodes it, and computes its digest.
 
 use super::codec::{decode_declaration, CommandDecodeError, DeclarationRecord, UsageRecord};
 use super::{Publisher, Registry, SchemaVersion, Subscription};
@@ -104,7 +104,7 @@
     name: String,
     #[prost(message, repeated, tag = "2")]
     numbers: Vec<NumberRecord>,
-    /// First and last, in turns.
+    /// First and last number of each range, alternating.
     #[prost(sint64, repeated, tag = "3")]
     reserved: Vec<i64>,
     #[prost(string, repeated, tag = "4")]
@@ -144,7 +144,7 @@
             numbers: (entry.names.iter())
                 .map(|(&number, names)| NumberRecord { number, names: names.iter().cloned().collect() })
                 .collect(),
-            reserved: entry.reserved.iter().flat_map(|&(least, most)| [least, most]).collect(),
+            reserved: entry.reserved.iter().flat_map(|&(low, high)| [low, high]).collect(),
             reserved_names: entry.reserved_names.iter().cloned().collect(),
             present: entry.present.iter().cloned().collect(),
         }
@@ -234,10 +234,10 @@
         state.encode_to_vec()
     }
 
-    /// A state from [`Registry::export`]'s bytes, on this machine or another.
+    /// Decodes a state from the bytes of [`Registry::export`].
     ///
     /// # Errors
-    /// Another edition of the rules; damage; more than the bounds allow.
+    /// Another edition of the rules; invalid bytes; an exceeded limit.
     pub fn import(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let state = StateRecord::decode(bytes)?;
         if state.edition != RULES_EDITION {
@@ -266,11 +266,11 @@
             made.subscriptions.insert((publisher, subscriber), held);
         }
         let names: Vec<String> = made.publishers.keys().cloned().collect();
-        names.iter().for_each(|name| made.derive(name));
+        names.iter().for_each(|name| made.refresh_translations(name));
         Ok(made)
     }
 
-    /// Names the state: SHA-256 over [`Registry::export`].
+    /// The digest of the state: SHA-256 over [`Registry::export`].
     #[must_use]
     pub fn digest(&self) -> Digest {
         Digest(Sha256::digest(self.export()).into())
--- a/crates/schema-compat/src/registry/translations.rs
+++ b/crates/schema-compat/src/registry/translations.rs
@@ -15,8 +15,8 @@
         all.take_while(move |((name, _), _)| name == publisher).map(|((_, who), held)| (who.as_str(), held))
     }
 
-    /// Brings the translations of one publisher in line with what its subscribers meet.
-    pub(crate) fn derive(&mut self, name: &str) {
+    /// Updates the translations of one publisher to those that its subscribers need.
+    pub(crate) fn refresh_translations(&mut self, name: &str) {
         let Some(publisher) = self.publishers.get(name) else { return };
         let spoken: BTreeSet<u32> = self.readers(name).map(|(_, held)| held.version).collect();
         let mut wanted = BTreeSet::new();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Who is the newer of a writer's and a reader's version.
+/// The direction between a writer's and a reader's version: which of them is newer.
 pub(crate) fn direction(writer: u32, reader: u32) -> Direction {
     if writer >= reader {
         Direction::Down
--- a/crates/schema-compat/src/registry/violation_set.rs
+++ b/crates/schema-compat/src/registry/violation_set.rs
@@ -12,7 +12,7 @@
 }
 
 impl ViolationSet {
-    /// The findings that break, for these readers. Whether there were any.
+    /// Adds the breaking findings for these readers; returns whether there were any.
     pub(super) fn add(&mut self, findings: &[Finding], who: &[&str]) -> bool {
         let mut any = false;
         for finding in findings.iter().filter(|finding| finding.severity == Severity::Break) {
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -36,9 +36,9 @@
     FieldNeededMissing = "FIELD_NEEDED_MISSING",
     /// Types that have nothing in common, or only bytes.
     TypeChanged = "TYPE_CHANGED",
-    /// Some values of the written type have no like in the read one.
+    /// Some values of the written type cannot be represented in the read one.
     TypeNarrowed = "TYPE_NARROWED",
-    /// Every value has its like, under other bytes.
+    /// Every value can be represented, but is encoded differently.
     TypeReencoded = "TYPE_REENCODED",
     /// One value, many, or a map.
     CardinalityChanged = "CARDINALITY_CHANGED",
@@ -84,7 +84,7 @@
     UseUnknown = "USE_UNKNOWN",
     /// The translation failed on a sample record.
     TranslationFailed = "TRANSLATION_FAILED",
-    /// The comparison would exceed a bound: taken for a break.
+    /// The comparison would exceed a limit: counts as a break.
     BoundExceeded = "BOUND_EXCEEDED",
 }
 
@@ -117,10 +117,10 @@
     }
 }
 
-/// What a finding does to the verdict; the worst counts.
+/// The severity of a finding; the most severe one decides.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Severity {
-    /// Worth knowing, breaks nobody.
+    /// Informational: no reader breaks.
     Note,
     /// The reader needs a translation.
     Translate,
@@ -140,18 +140,18 @@
     }
 }
 
-/// One thing that a comparison found.
+/// One finding of a comparison.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Finding {
-    /// By which rule.
+    /// The rule.
     pub rule: Rule,
     /// Where: `package.Message/field.field`, in the reader's names.
     pub path: String,
     /// Who writes and who reads.
     pub direction: Direction,
-    /// What it does to the verdict.
+    /// Its severity.
     pub severity: Severity,
-    /// What was found, in words.
+    /// Description of the finding.
     pub detail: String,
 }
 
@@ -162,18 +162,18 @@
     }
 }
 
-/// Why a change or a subscriber is refused.
+/// A rule that a rejected change or subscriber violates, with the readers that would break.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Violation {
     /// Where, as in [`Finding::path`].
     pub path: String,
-    /// By which rule.
+    /// The rule.
     pub rule: Rule,
-    /// Who would break: subscribers' names, [`crate::limits::MAX_NAMED_READERS`] at most, or a version in words.
+    /// Readers that would break: up to [`crate::limits::MAX_NAMED_READERS`] subscriber names, or the description of a version.
     pub affected: Vec<String>,
-    /// How many would break.
+    /// How many readers would break.
     pub affected_count: usize,
-    /// What was found, in words.
+    /// Description of the finding.
     pub detail: String,
 }
 
--- a/crates/schema-compat/src/sample.rs
+++ b/crates/schema-compat/src/sample.rs
@@ -1,4 +1,4 @@
-//! Sample records: made from a seed, within a schema's declared ranges, near their ends more often than not.
+//! Sample records, generated from a seed within the declared ranges of a schema and mostly near their ends.
 
 use crate::limits::{MAX_SAMPLE_DEPTH, MAX_SAMPLE_TEXT_BYTES};
 use crate::model::{Field, FieldCardinality, Model};
@@ -43,7 +43,7 @@
                 FieldCardinality::Map => self.map(&to, field, count, depth),
             };
             if let Some(value) = value {
-                // A value that does not fit its own field would be a fault of this generator; the record does without.
+                // A value that does not fit its field would be a defect of this generator; the field stays absent.
                 let _ = made.try_set_field(&to, value);
             }
         }
@@ -63,12 +63,12 @@
     }
 
     fn value(&mut self, to: &FieldDescriptor, field: &Field, depth: usize) -> Option<Value> {
-        if let Some((least, most)) = field.whole() {
+        if let Some((low, high)) = field.whole() {
             if let Kind::Enum(one) = to.kind() {
                 let values: Vec<i32> = one.values().map(|value| value.number()).collect();
                 return Some(Value::EnumNumber(values[self.random.gen_range(0..values.len())]));
             }
-            let number = self.whole(least, most);
+            let number = self.whole(low, high);
             return crate::convert::convert(&Value::I64(number as i64), &to.kind())
                 .or_else(|_| crate::convert::convert(&Value::U64(number as u64), &to.kind()))
                 .ok();
@@ -95,39 +95,39 @@
     fn length(&mut self, field: &Field) -> u64 {
         // The lengths of a repeated field are of its list, not of its entries.
         let one = field.cardinality == FieldCardinality::Singular;
-        let least = field.min_length.filter(|_| one).unwrap_or(0);
+        let low = field.min_length.filter(|_| one).unwrap_or(0);
         self.between(
-            least,
+            low,
             field.max_length.filter(|_| one).unwrap_or(MAX_SAMPLE_TEXT_BYTES),
             MAX_SAMPLE_TEXT_BYTES,
         )
     }
 
     /// From `least` to `most`, but no more than `span` above the least.
-    fn between(&mut self, least: u64, most: u64, span: u64) -> u64 {
-        let most = most.min(least.saturating_add(span)).max(least);
-        self.random.gen_range(least..=most)
+    fn between(&mut self, low: u64, high: u64, span: u64) -> u64 {
+        let high = high.min(low.saturating_add(span)).max(low);
+        self.random.gen_range(low..=high)
     }
 
-    fn whole(&mut self, least: i128, most: i128) -> i128 {
-        let most = most.max(least);
+    fn whole(&mut self, low: i128, high: i128) -> i128 {
+        let high = high.max(low);
         match self.random.gen_range(0..5) {
-            0 => least,
-            1 => most,
-            2 => 0i128.clamp(least, most),
-            3 => self.random.gen_range(-9i128..=9).clamp(least, most),
-            _ => self.random.gen_range(least..=most),
+            0 => low,
+            1 => high,
+            2 => 0i128.clamp(low, high),
+            3 => self.random.gen_range(-9i128..=9).clamp(low, high),
+            _ => self.random.gen_range(low..=high),
         }
     }
 
     fn float(&mut self, field: &Field) -> f64 {
-        let least = field.min.map_or(-1.0e30, |min| min as f64);
-        let most = field.max.map_or(1.0e30, |max| max as f64).max(least);
+        let low = field.min.map_or(-1.0e30, |min| min as f64);
+        let high = field.max.map_or(1.0e30, |max| max as f64).max(low);
         match self.random.gen_range(0..4) {
-            0 => least,
-            1 => most,
-            2 => 0f64.clamp(least, most),
-            _ => self.random.gen_range(least..=most),
+            0 => low,
+            1 => high,
+            2 => 0f64.clamp(low, high),
+            _ => self.random.gen_range(low..=high),
         }
     }
 }
--- a/crates/schema-compat/src/schema/bundled.rs
+++ b/crates/schema-compat/src/schema/bundled.rs
@@ -53,7 +53,7 @@
 }
 
 impl BundledFiles {
-    /// The files that these imports stand for, with their own, each after what it imports; those in `but` left out.
+    /// The bundled files that these imports need, transitively, each after its own imports; `but` excludes files.
     pub(super) fn needed(
         &self,
         imports: impl Iterator<Item = String>,
@@ -65,7 +65,7 @@
             let Some((name, (_, below))) = self.files.get_key_value(&name).filter(|_| !but(&name)) else {
                 continue;
             };
-            // Named again deeper down: it moves behind, so that turning the order round puts it first.
+            // Imported again at a deeper level: move it to the end, so that the reversed order puts it first.
             order.retain(|known| *known != name);
             order.push(name);
             todo.extend(below.iter().cloned());
@@ -74,6 +74,7 @@
     }
 }
 
+/// Resolves the given texts and this crate's options.
 struct TextResolver(BTreeMap<String, String>);
 
 impl FileResolver for TextResolver {
--- a/crates/schema-compat/src/schema/descriptor_set.rs
+++ b/crates/schema-compat/src/schema/descriptor_set.rs
@@ -5,14 +5,14 @@
 use prost::Message as _;
 use prost_reflect::{DescriptorPool, DynamicMessage, Value};
 
-/// A descriptor set whose files stay bytes, for the options in them to survive.
+/// A descriptor set whose files stay encoded, so that custom options are preserved.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct RawDescriptorSet {
     #[prost(bytes = "vec", repeated, tag = "1")]
     pub(super) file: Vec<Vec<u8>>,
 }
 
-/// What must be known of a file before the descriptor library is given it.
+/// The fields of a file that are checked before the descriptor library decodes it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct RawFileHeader {
     #[prost(string, tag = "1")]
@@ -34,8 +34,8 @@
         .map_err(|error| SchemaError::Descriptor(error.to_string()))
 }
 
-/// The files without this crate's options, once they are read: descriptors of descriptors are most of a schema's memory.
-/// None where the files hold on to them in another way.
+/// A pool of the files without the import of this crate's options, which would take most of a schema's memory. None if
+/// the files refer to their imports by index.
 pub(super) fn pool_without_options(
     base: &BundledFiles,
     own: &[(String, DynamicMessage)],
--- a/crates/schema-compat/src/schema/mod.rs
+++ b/crates/schema-compat/src/schema/mod.rs
@@ -1,4 +1,4 @@
-//! A schema: descriptors within bounds, the compiled form of `.proto` text, and the digest that names it.
+//! Schemas: protobuf descriptors within limits, compiled from `.proto` text, and identified by a digest.
 
 mod bundled;
 mod descriptor_set;
@@ -17,7 +17,7 @@
 
 pub use bundled::{OPTIONS_FILE, OPTIONS_TEXT};
 
-/// Names a schema: SHA-256 over its files' descriptors in order of their names, without source positions and without
+/// Identifies a schema: SHA-256 over its files' descriptors in order of their names, without source positions and without
 /// the files that protobuf and this crate bring. The same text compiled by another compiler may have another digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 32]);
@@ -66,7 +66,7 @@
         if bundled.files.contains_key(&name) {
             continue;
         }
-        // The library takes no other syntax, and no second file of one name, and does not survive the first.
+        // The descriptor library accepts neither: it panics on another syntax and fails on a second file of the same name.
         if !["", "proto2", "proto3"].contains(&syntax.as_str()) {
             return Err(invalid(format!("file {name} has syntax {syntax}, proto2 and proto3 are taken")));
         }
@@ -94,7 +94,7 @@
     /// files and of [`OPTIONS_FILE`] need not be given.
     ///
     /// # Errors
-    /// A text that does not compile, with file and line; a bound that is exceeded.
+    /// A text that does not compile, with file and line; a limit that is exceeded.
     pub fn from_texts(files: &[(&str, &str)]) -> Result<Self, SchemaError> {
         check_limit("files", files.len(), MAX_FILES)?;
         check_limit("bytes of text", files.iter().map(|(_, text)| text.len()).sum(), MAX_SCHEMA_BYTES)?;
@@ -112,7 +112,7 @@
     /// A schema of an encoded `google.protobuf.FileDescriptorSet`, with or without its imports.
     ///
     /// # Errors
-    /// Bytes that are no valid set; a bound that is exceeded.
+    /// Bytes that are not a valid set; a limit that is exceeded.
     pub fn from_set(bytes: &[u8]) -> Result<Self, SchemaError> {
         let invalid = |why: String| SchemaError::Descriptor(why);
         check_limit("bytes of descriptors", bytes.len(), 4 * MAX_SCHEMA_BYTES)?;
@@ -141,7 +141,7 @@
         Digest(Sha256::digest(set).into())
     }
 
-    /// The schema's name.
+    /// The digest that identifies the schema.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
--- a/crates/schema-compat/src/schema_options.rs
+++ b/crates/schema-compat/src/schema_options.rs
@@ -1,4 +1,4 @@
-//! Reads this crate's options from descriptors. Whatever is absent or of another form counts as not said.
+//! Reads this crate's options from descriptors. An option that is absent or of another type counts as not given.
 
 use crate::error::SchemaError;
 use prost_reflect::{DescriptorPool, DynamicMessage, ExtensionDescriptor, Value};
@@ -12,7 +12,7 @@
     Rejected,
 }
 
-/// The extensions by which options are found.
+/// The descriptors of the option extensions.
 pub(crate) struct OptionExtensions {
     pub(crate) field: ExtensionDescriptor,
     pub(crate) message: ExtensionDescriptor,
@@ -37,7 +37,7 @@
     }
 }
 
-/// One option's message, or nothing.
+/// The value of one option message; none if the option is not given.
 pub(crate) struct OptionValues(Option<DynamicMessage>);
 
 impl OptionValues {
@@ -85,7 +85,7 @@
         list.iter().filter_map(Value::as_u32).collect()
     }
 
-    /// Names and what stands for them.
+    /// Removed names and their replacement values.
     pub(crate) fn removed(&self) -> Vec<(String, String)> {
         let Some(Value::List(list)) = self.given("removed") else { return Vec::new() };
         let text = |entry: &DynamicMessage, name: &str| {
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -1,4 +1,5 @@
-//! What numbers and names have stood for in any version of a publisher: the part of history that outlives versions.
+//! The numbers and names that any version of a publisher has used or reserved. It outlives the versions themselves, so
+//! that a retired number is never reused.
 
 use crate::model::{Enum, Message, Model};
 use crate::rules::{Direction, Finding, Rule, Severity};
@@ -9,10 +10,10 @@
 pub(crate) struct TypeHistory {
     /// Every name that a number had.
     pub(crate) names: BTreeMap<i64, BTreeSet<String>>,
-    /// First and last number, both included.
+    /// Reserved ranges: first and last number, both included.
     pub(crate) reserved: BTreeSet<(i64, i64)>,
     pub(crate) reserved_names: BTreeSet<String>,
-    /// Names in the version absorbed last.
+    /// Names in the version recorded last.
     pub(crate) present: BTreeSet<String>,
 }
 
@@ -22,7 +23,7 @@
     pub(crate) entries: BTreeMap<String, TypeHistory>,
 }
 
-/// A message's or enum's numbers, names and reservations, in one form.
+/// The numbers, names and reservations of a message or an enum in a common form.
 struct TypeSymbols<'m> {
     name: &'m str,
     former: &'m [String],
@@ -56,7 +57,7 @@
     former_numbers: &'m [u32],
 }
 
-fn of_message(message: &Message) -> TypeSymbols<'_> {
+fn message_symbols(message: &Message) -> TypeSymbols<'_> {
     TypeSymbols {
         name: &message.name,
         former: &message.former_names,
@@ -75,7 +76,7 @@
     }
 }
 
-fn of_enum(one: &Enum) -> TypeSymbols<'_> {
+fn enum_symbols(one: &Enum) -> TypeSymbols<'_> {
     TypeSymbols {
         name: &one.name,
         former: &[],
@@ -95,11 +96,11 @@
 }
 
 fn all_symbols(model: &Model) -> impl Iterator<Item = TypeSymbols<'_>> {
-    model.messages.iter().map(of_message).chain(model.enums.iter().map(of_enum))
+    model.messages.iter().map(message_symbols).chain(model.enums.iter().map(enum_symbols))
 }
 
 impl SymbolHistory {
-    /// Numbers and names that are remembered.
+    /// The number of numbers and names recorded.
     pub(crate) fn size(&self) -> usize {
         let entry = |one: &TypeHistory| {
             1 + one.reserved.len()
@@ -109,10 +110,10 @@
         self.entries.values().map(entry).sum()
     }
 
-    /// Remembers a version.
+    /// Records the numbers and names of a version.
     pub(crate) fn absorb(&mut self, model: &Model) {
         for symbols in all_symbols(model) {
-            // A renamed message goes on with the history of its former name.
+            // A renamed message inherits the history of its former name.
             let inherited: Vec<TypeHistory> =
                 symbols.former.iter().filter_map(|name| self.entries.get(name)).cloned().collect();
             let entry = self.entries.entry(symbols.name.to_string()).or_default();
@@ -132,7 +133,7 @@
         }
     }
 
-    /// What a new version does to numbers and names that earlier ones gave away or set aside.
+    /// Findings for numbers and names of a new version that earlier ones used or reserved otherwise.
     pub(crate) fn check(&self, model: &Model) -> Vec<Finding> {
         let mut found = Vec::new();
         for symbols in all_symbols(model) {
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -1,6 +1,6 @@
-//! Records of one version turned into another's.
+//! Translates records of one schema version into another.
 //!
-//! What holds of it, and is tested: (1) a field that neither a rule nor a declaration touches comes out as it went in,
+//! Guarantees, which the tests check: (1) a field that neither a rule nor a declaration touches comes out as it went in,
 //! at every depth; (2) what the reader's version does not know stays as unknown fields, so that the way back restores it;
 //! (3) a converted value comes out exactly or the translation fails, it is never rounded or cut; (4) dropped fields,
 //! mapped enum values and filled-in defaults do not come back.
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -1,35 +1,34 @@
-//! What a reader uses of its version.
+//! Declarations of which parts of its schema version a reader uses.
 
 use crate::limits::{MAX_NAME_BYTES, MAX_PATH_STEPS, MAX_USAGE_PATHS};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The form in which a reader gets records.
+/// The encoding in which a reader receives records.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub enum RecordEncoding {
-    /// Protobuf's bytes: names do not matter.
+    /// Binary protobuf: names do not matter.
     #[default]
     Binary,
-    /// Protobuf's JSON: names matter, so that a rename needs a translation.
+    /// Protobuf JSON: names matter, so that a rename needs a translation.
     Json,
 }
 
-/// What a reader uses: everything in its version, or what some paths name. Fields marked `needed` are always used.
+/// What a reader uses: everything in its version, or only the named paths. Fields marked `needed` are always used.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ReaderUsage {
     /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without fields stands
-    /// for the whole message, one that ends at a message's field for all below it; the entry of a map is passed over
+    /// for the whole message, one that ends at a field of message type for all fields below it; map entries are not a step of their own
     /// (`fleet.View/members.zone`). None: everything.
     pub paths: Option<BTreeSet<String>>,
-    /// Whether the reader goes on where an open enum or a oneof holds what its version does not know and the schema
-    /// does not say.
+    /// Whether the reader tolerates unknown values of an open enum or a oneof where the schema does not specify it.
     pub tolerant: bool,
-    /// The form in which records are read.
+    /// The encoding of the records.
     pub encoding: RecordEncoding,
 }
 
 impl ReaderUsage {
-    /// A reader of everything, in binary form, that breaks on values unknown to it.
+    /// A reader of everything, in binary form, that fails on unknown values.
     #[must_use]
     pub fn all() -> Self {
         Self::default()
@@ -41,7 +40,7 @@
         Self { paths: Some(paths.iter().map(|path| path.to_string()).collect()), ..Self::default() }
     }
 
-    /// The same reader, which goes on where it meets values unknown to it.
+    /// The same reader, tolerating unknown values.
     #[must_use]
     pub fn tolerant(self) -> Self {
         Self { tolerant: true, ..self }
@@ -73,7 +72,7 @@
     }
 }
 
-/// Characters of a path that is too long which its error shows.
+/// How many characters of an overlong path its error shows.
 const SHOWN_PATH_CHARS: usize = 80;
 
 /// Why a declaration of use is rejected.
@@ -93,16 +92,16 @@
     },
 }
 
-/// Where a walk stands in a declaration of use.
+/// What a reader uses at one place of a traversal.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub(crate) enum UsageNode {
     Unused,
     All,
-    /// Index into the tree.
+    /// Some fields: index into the parts of the tree.
     Part(usize),
 }
 
-/// Paths as a tree, for walks along two schemas.
+/// The paths of a usage declaration as a tree, for traversal alongside a schema.
 pub(crate) struct UsageTree {
     parts: Vec<BTreeMap<String, UsageNode>>,
     roots: BTreeMap<String, UsageNode>,
@@ -168,11 +167,12 @@
         }
     }
 
-    /// Names of roots, and of fields at one place, that are declared.
+    /// The declared message names.
     pub(crate) fn roots(&self) -> impl Iterator<Item = &String> {
         self.roots.keys()
     }
 
+    /// The declared field names at one place.
     pub(crate) fn fields(&self, at: UsageNode) -> impl Iterator<Item = &String> {
         let part = match at {
             UsageNode::Part(part) => self.parts.get(part),
--- a/crates/schema-compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -1,22 +1,22 @@
-//! Hand-written pairs for each rule, and that each rule's absence is noticed.
+//! Hand-written schema pairs for each rule; disabling a rule must change the results of its cases.
 
 mod common;
 
 use common::{corpus, schema, Case};
-use sprucelink_schema_compat::check::worst;
+use sprucelink_schema_compat::check::worst_severity;
 use sprucelink_schema_compat::rules::Severity;
 use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Rule};
 use std::sync::LazyLock;
 
 fn verdict(findings: &[Finding]) -> &'static str {
-    match worst(findings) {
+    match worst_severity(findings) {
         Severity::Note => "compatible",
         Severity::Translate => "translatable",
         Severity::Break => "rejected",
     }
 }
 
-/// The corpus judged with one rule switched off. How many cases come out otherwise than they should.
+/// The cases that give an unexpected result when one rule is disabled.
 fn wrong(off: Option<Rule>) -> Vec<String> {
     static JUDGED: LazyLock<Vec<(Case, Vec<Finding>)>> = LazyLock::new(|| {
         corpus().into_iter().map(|case| (case.findings(), case)).map(|(f, c)| (c, f)).collect()
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn every_case_has_its_verdict() {
+fn corpus_case_gives_expected_compatibility() {
     let wrong = wrong(None);
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
 #[test]
-fn each_rule_switched_off_is_noticed() {
+fn disabled_rule_changes_the_result_of_its_cases() {
     for &rule in Rule::ALL.iter().filter(|&&rule| rule != Rule::BoundExceeded) {
         let own =
             corpus().iter().filter(|case| case.rule == rule.name() && case.verdict != "compatible").count();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn pairs_over_the_bound_are_a_break() {
+fn comparison_over_pair_limit_is_rejected() {
     // Two rings of messages, of 64 and of 67: their fields meet in 4,288 pairs.
     let ring = |size: usize| {
         let one = |at: usize| format!("message M{at} {{ M{} next = 1; }}\n", (at + 1) % size);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn bounds_of_schemas_are_errors() {
+fn schema_over_limit_or_malformed_gives_error() {
     use sprucelink_schema_compat::Schema;
     let failed = |text: &str| Schema::from_text(text).map(|_| ()).unwrap_err().to_string();
     let fields: String = (1..=5000).map(|n| format!("int32 f{n} = {n};\n")).collect();
@@ -81,7 +81,7 @@
     assert!(failed(&" ".repeat(300_000)).contains("bytes of text"));
     assert!(failed("syntax = \"proto3\"; message R { missing.Type a = 1; }").contains("does not compile"));
     assert!(failed("syntax = \"proto3\"; enum E { Z = 0; }").contains("no message"));
-    // Hostile bytes: every cut of a good set, and every byte of it changed, give an error or a schema, never a panic.
+    // Malformed bytes: every truncation and every changed byte of a valid set gives an error or a schema, never a panic.
     let body = "message R { map<string, E> a = 1; oneof o { R r = 2; int64 n = 3; } optional bytes b = 4 [(f).min_length = 1];
         message In { repeated double d = 1; reserved 3; } In in = 5; } enum E { Z = 0; reserved 4; }";
     let set = schema(body).to_set().to_vec();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn declarations_beside_the_schema_say_what_options_say() {
+fn declarations_have_the_effect_of_options() {
     use sprucelink_schema_compat::MigrationDeclaration;
     let old = schema("message R { int32 a = 1; int32 b = 2; E e = 3; } enum E { Z = 0; }");
     let new = schema("message S { int32 z = 4; E e = 3; } enum E { Z = 0; ONE = 1; }");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_report_says_it_in_text_and_json() {
+fn report_lists_findings_in_text_and_json() {
     use sprucelink_schema_compat::{explain, ExplainError};
     let text = |body: &str| format!("syntax = \"proto3\"; package t; message R {{ {body} }}");
     let (old, new) = (text("int32 a = 1; int32 b = 2;"), text("int64 a = 1; int32 b = 2; int32 c = 3;"));
--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! All interleavings of a bounded world: three subscribers, three versions, two changes, crashes, leases and a leader
-//! that may be wrong about the time. What is asserted is what subscribers hold, not what the registry says of them.
+//! Explores all interleavings of three subscribers, three versions, two changes, crashes, leases and a leader with a wrong
+//! clock. The assertions are on what subscribers believe, not on what the registry reports.
 
 mod common;
 
@@ -29,7 +29,7 @@
     "message R { int32 a = 1 [(f).meaning = 1]; int32 c = 3; reserved 2; }",
 ];
 
-/// What a subscriber believes: the version that it reads, and until when it may go on without a word.
+/// What a subscriber believes: the version that it reads, and the end of its lease.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Mind {
     Out,
@@ -44,13 +44,13 @@
     },
 }
 
-/// How a wrong registry could be built; each must be found out.
+/// Faults of a registry; the exploration must detect each.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     None,
     /// Judges a change at one position and makes it at a later one.
     JudgedBefore,
-    /// Takes a leader's word that a lease is over.
+    /// Trusts a leader's claim that a lease has expired.
     LeaseByWord,
     /// Looks at the newest version only when a subscriber comes.
     NewestOnly,
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn no_interleaving_breaks_a_subscriber_in_lease() {
+fn no_interleaving_breaks_a_subscriber_with_a_valid_lease() {
     let mut explorer = Explorer::new(Fault::None);
     explorer.run();
     println!(
@@ -307,14 +307,14 @@
         explorer.outcomes
     );
     assert_eq!(explorer.violations, 0);
-    // The world is no empty one: changes and subscribers were both let in and both refused.
+    // Guards against a vacuous exploration: every outcome occurred.
     for outcome in ["refused", "accepted", "subscribed", "renewed", "done"] {
         assert!(explorer.outcomes.get(outcome).is_some_and(|&count| count > 100), "{outcome}");
     }
 }
 
 #[test]
-fn each_wrong_registry_is_found_out() {
+fn each_faulty_registry_is_detected() {
     for fault in [Fault::JudgedBefore, Fault::LeaseByWord, Fault::NewestOnly] {
         let mut explorer = Explorer::new(fault);
         explorer.run();
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Generated pairs of schemas and records: what the verdict promises, seen in what a reader gets.
+//! Generated pairs of schemas and records: the guarantees of a compatibility result, checked on what a reader gets.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use prost::Message as _;
 use prost_reflect::DynamicMessage;
-use sprucelink_schema_compat::check::worst;
+use sprucelink_schema_compat::check::worst_severity;
 use sprucelink_schema_compat::rules::{Direction, Severity};
 use sprucelink_schema_compat::sample::sample;
 use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Rule, Schema, Translation};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_verdict_keeps_its_promise() {
+fn compatible_change_loses_nothing_and_rejected_change_has_a_witness() {
     let mut seen: BTreeMap<(Severity, bool), u32> = BTreeMap::new();
     let strategy = (pair(), proptest::prelude::any::<bool>(), proptest::option::of(0..64u64));
     let counted = std::cell::RefCell::new(&mut seen);
@@ -73,7 +73,7 @@
         };
         let pair = judged(&old, &new, &usage, down);
         let (writer, reader) = if down { (&new, &old) } else { (&old, &new) };
-        let verdict = worst(&pair.findings);
+        let verdict = worst_severity(&pair.findings);
         *counted.borrow_mut().entry((verdict, down)).or_default() += 1;
         let oracle = Oracle { writer, reader, used, down, translated: verdict == Severity::Translate };
         let translation = Translation::between(&pair.writer, &pair.reader, pair.direction);
@@ -118,12 +118,12 @@
 }
 
 #[test]
-fn there_and_back_keeps_what_it_says() {
+fn translation_round_trip_preserves_untouched_fields() {
     let compatible = std::cell::Cell::new(0);
     let check = |(old, new): (Shape, Shape)| {
         let (down, up) =
             (judged(&old, &new, &ReaderUsage::all(), true), judged(&old, &new, &ReaderUsage::all(), false));
-        let verdict = worst(&down.findings).max(worst(&up.findings));
+        let verdict = worst_severity(&down.findings).max(worst_severity(&up.findings));
         if verdict == Severity::Break {
             return Ok(());
         }
@@ -135,7 +135,7 @@
                 |what: &str| Err(TestCaseError::fail(format!("{what}\n{}--\n{}", old.body(), new.body())));
             if verdict == Severity::Note {
                 compatible.set(compatible.get() + 1);
-                // An old process that reads a record and writes it on loses nothing, not even what it does not know.
+                // An old process that reads and forwards a record preserves everything, unknown fields included.
                 let onward = read(&down.writer, &read(&down.reader, &record).unwrap()).unwrap();
                 if onward.encode_to_vec() != record.encode_to_vec() {
                     return fail("changed by an old process that passed it on");
--- a/crates/schema-compat/tests/registry.rs
+++ b/crates/schema-compat/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry op by op: who is judged against whom, leases, bounds, snapshots.
+//! The registry command by command: which checks apply, leases, limits, snapshots.
 
 mod common;
 
@@ -50,7 +50,7 @@
 const C: &str = "message R { int32 a = 1; string c = 3; reserved 2; }";
 
 #[test]
-fn change_and_subscriber_meet_whichever_comes_first() {
+fn breaking_change_and_subscriber_are_checked_in_either_order() {
     let (a, b) = (schema(A), schema(B));
     let mut first = Registry::new();
     assert_eq!(first.may_publish("list", a.digest()), Err(PublishError::UnknownPublisher));
@@ -66,9 +66,9 @@
     assert_eq!(accepted(second.apply(1, propose(&b))), 2);
     let broken = rules(&second.apply(2, subscribe("old", 1, "all")));
     assert_eq!(broken[0].0, Rule::FieldRemovedInUse);
-    // One that does not use it is let in by both orders.
+    // A subscriber that does not use the field is accepted in either order.
     assert!(matches!(second.apply(3, subscribe("old", 1, "t.R/a")), CommandOutcome::Subscribed { .. }));
-    // Withdrawn, the change blocks nobody; proposed again, it is judged again.
+    // A withdrawn change blocks nobody; proposed again, it is checked again.
     second.apply(4, RegistryCommand::Withdraw { publisher: "list".into(), version: 2 });
     assert_eq!(second.may_publish("list", b.digest()), Err(PublishError::Withdrawn(2)));
     assert!(matches!(second.apply(5, subscribe("whole", 1, "all")), CommandOutcome::Subscribed { .. }));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_subscriber_counts_until_its_lease_and_margin_are_over() {
+fn subscriber_blocks_change_until_lease_and_margin_expire() {
     let mut registry = Registry::new();
     registry.apply(0, propose(&schema(A)));
     registry.apply(1_000, subscribe("old", 1, "all"));
@@ -91,7 +91,7 @@
     assert_eq!(registry.expired_leases(over - 1).count(), 0);
     assert_eq!(registry.expired_leases(over).count(), 1);
     assert!(matches!(registry.apply(over - 1, propose(&schema(B))), CommandOutcome::Rejected(_)));
-    // A renewal that comes into the journal before the end makes the end stale.
+    // A renewal that precedes the expiry in the journal makes the expiry stale.
     let renewed = registry.apply(
         over - 1,
         RegistryCommand::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() },
@@ -101,7 +101,7 @@
         registry.apply(over, ended()),
         CommandOutcome::Rejected(CommandRejection::LeaseNotExpired { .. })
     ));
-    // A leader whose clock runs back does not end it early, nor shortens a lease.
+    // A leader whose clock runs backwards neither expires a lease early nor shortens it.
     assert!(matches!(
         registry.apply(5, ended()),
         CommandOutcome::Rejected(CommandRejection::LeaseNotExpired { .. })
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn translations_are_those_that_subscribers_need() {
+fn translation_exists_only_while_a_subscriber_needs_it() {
     let old = schema("message R { E e = 1; } enum E { UP = 0; OUT = 1; }");
     let new = schema("message R { E e = 1; } enum E { UP = 0; OUT = 1; DRAINED = 2; }");
     let mut registry = Registry::new();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn every_version_in_use_and_all_between_are_judged() {
+fn proposal_is_checked_against_all_versions_in_use_and_history() {
     let mut registry = Registry::new();
     for body in [A, C] {
         registry.apply(0, propose(&schema(body)));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn replayed_history_is_read_by_those_who_come_later() {
+fn replayed_records_are_checked_for_later_readers() {
     let wide = schema("message R { int32 a = 1; }");
     let narrow = schema("message R { int32 a = 1 [(f) = { min: 0 }]; }");
     for replayed in [false, true] {
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn bounds_refuse_and_say_so() {
+fn command_over_limit_is_rejected_with_the_limit() {
     let mut registry = Registry::new();
     let fields = |count: usize| (1..=count).map(|n| format!("int32 f{n} = {n};")).collect::<String>();
     for count in 1..=MAX_VERSIONS {
@@ -274,7 +274,7 @@
         outcome,
         CommandOutcome::Rejected(CommandRejection::LimitReached { limit: MAX_SUBSCRIBERS, .. })
     ));
-    // Those who stand renew and change on; a refusal names some and counts all.
+    // Existing subscribers can still change; a rejection names some of them and counts all.
     assert!(matches!(crowd.apply(0, subscribe("s7", 1, "t.R/a")), CommandOutcome::Subscribed { .. }));
     let CommandOutcome::Rejected(CommandRejection::BreaksReaders { violations, .. }) =
         crowd.apply(0, propose(&schema(B)))
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn snapshots_and_ops_survive_the_wire() {
+fn snapshots_and_commands_round_trip_through_encoding() {
     let mut registry = Registry::new();
     let used = usage("tolerant json t.R/a");
     let (subscriber, publisher) = named("old");
@@ -333,7 +333,7 @@
     for (at, command) in commands.iter().enumerate() {
         let read = RegistryCommand::decode(&command.encode()).unwrap();
         assert_eq!(read, *command);
-        // A follower that starts from a snapshot at any position comes to the same state.
+        // A follower that starts from a snapshot at any position reaches the same state.
         let mut follower = Registry::import(&registry.export()).unwrap();
         assert_eq!(
             follower.apply(at as u64, read),
--- a/crates/schema-compat/tests/translate.rs
+++ b/crates/schema-compat/tests/translate.rs
@@ -1,4 +1,4 @@
-//! What comes out of a translation, value by value.
+//! The values that translations produce.
 
 mod common;
 
@@ -26,7 +26,7 @@
     enum E { UP = 0; OUT = 1; DRAINED = 2 [(v).reads_as = \"OUT\"]; }";
 
 #[test]
-fn each_kind_of_step_gives_its_value() {
+fn each_conversion_gives_the_expected_value() {
     let (old, new) = (schema(OLD), schema(NEW));
     let verdict = check(&old, &new, &ReaderUsage::all(), Directions::DOWN);
     let Compatibility::Translatable(translations) = verdict else { panic!("{verdict:?}") };
@@ -58,17 +58,17 @@
     assert_eq!(below(&read).get_field_by_name("e").unwrap().as_enum_number(), Some(1));
     let entry = read.get_field_by_name("ins").unwrap().as_map().unwrap()[&MapKey::String("k".into())].clone();
     assert_eq!(entry.as_message().unwrap().get_field_by_name("e").unwrap().as_enum_number(), Some(1));
-    // What the old version does not know was kept, at every depth, and comes back.
+    // Fields unknown to the old version are preserved at every depth.
     let back = translations.up.run(&read).unwrap().unwrap();
     assert_eq!(back.get_field_by_name("fresh").unwrap().as_str(), Some("new"));
     assert_eq!(below(&back).get_field_by_name("fresh").unwrap().as_bytes().unwrap()[..], [9]);
     assert_eq!(back.get_field_by_name("b").unwrap().as_i32(), Some(5));
-    // A stand-in does not turn back into what it stood for.
+    // A replacement value is not converted back.
     assert_eq!(back.get_field_by_name("e").unwrap().as_enum_number(), Some(1));
 }
 
 #[test]
-fn a_value_without_its_like_is_an_error_and_never_cut() {
+fn value_not_representable_is_an_error_and_never_truncated() {
     // As it would be if a publisher wrote what its schema's range rules out.
     let old = schema("message R { sint32 a = 1; }");
     let new = schema("message R { int64 a = 1 [(f) = { min: 0 max: 9 }]; }");
