--- /dev/null
+++ b/crates/capture/src/recorder/store.rs
@@ -0,0 +1,73 @@
+//! The storage of the recorder's files: a trait, and a directory.
+
+use crate::ring::RingFile;
+use sprucelink_policy::Timestamp;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+
+/// The suffix of the names of capture files.
+pub const SUFFIX: &str = ".slc";
+
+/// Stores the files of a ring. A trait, so that tests can make every call fail.
+pub trait SegmentStore: Send {
+    /// The files of the ring, oldest first.
+    fn list(&mut self) -> io::Result<Vec<RingFile>>;
+    /// Creates a file, to which later calls append.
+    fn create(&mut self, name: &str) -> io::Result<()>;
+    /// Appends to the file created last.
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
+    /// Truncates the file created last to a length in bytes.
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
+    /// Removes a file.
+    fn remove(&mut self, name: &str) -> io::Result<()>;
+}
+
+/// A directory of capture files.
+pub struct DirectoryStore {
+    dir: PathBuf,
+    file: Option<std::fs::File>,
+}
+
+impl DirectoryStore {
+    /// A directory, which is created with the first file if it does not exist.
+    pub fn new(dir: &Path) -> DirectoryStore {
+        DirectoryStore { dir: dir.to_owned(), file: None }
+    }
+}
+
+fn to_timestamp(time: std::time::SystemTime) -> Timestamp {
+    Timestamp::from_micros(time.duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_micros() as i64)
+}
+
+impl SegmentStore for DirectoryStore {
+    fn list(&mut self) -> io::Result<Vec<RingFile>> {
+        let mut files = Vec::new();
+        for entry in std::fs::read_dir(&self.dir)? {
+            let entry = entry?;
+            let name = entry.file_name().to_string_lossy().into_owned();
+            let metadata = entry.metadata()?;
+            if name.ends_with(SUFFIX) && metadata.is_file() {
+                let modified_at = to_timestamp(metadata.modified()?);
+                files.push(RingFile { name, bytes: metadata.len(), modified_at });
+            }
+        }
+        // Names begin with the time in a fixed width.
+        files.sort();
+        Ok(files)
+    }
+    fn create(&mut self, name: &str) -> io::Result<()> {
+        std::fs::create_dir_all(&self.dir)?;
+        self.file = Some(std::fs::File::create_new(self.dir.join(name))?);
+        Ok(())
+    }
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let Some(file) = &mut self.file else { return Err(io::ErrorKind::NotFound.into()) };
+        file.write_all(bytes)
+    }
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
+        self.file.as_mut().map_or(Ok(()), |file| file.set_len(length))
+    }
+    fn remove(&mut self, name: &str) -> io::Result<()> {
+        std::fs::remove_file(self.dir.join(name))
+    }
+}
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,198 +1,146 @@
-//! Decides for the recorder: when a segment ends, what is dropped, which files go. No clock, no files.
+//! Decides for the recorder when a segment ends, which records are dropped and which files are removed. It does no
+//! input or output and reads no clock.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 
-/// Limits of a recorder, in bytes and microseconds.
+/// The bounds of a recorder.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
-    /// All files of the ring together.
+pub struct RingLimits {
+    /// Size of all files together, in bytes.
     pub ring_bytes: u64,
-    /// A segment that ended longer ago than this goes, the newest excepted.
+    /// A file whose last write is older than this is removed, the newest excepted.
     pub ring_age: TimeDelta,
-    /// A segment ends once so much was written to it.
+    /// A segment ends once this many bytes of records were written to it, counted before compression.
     pub segment_bytes: u64,
-    /// A segment ends once it is so old.
+    /// A segment ends once it is this old.
     pub segment_age: TimeDelta,
-    /// Bytes of records a second, before compression, over any longer time; the burst is four seconds' worth.
-    pub rate: f64,
+    /// Bytes of records a second, before compression. A burst may use [`BURST_S`] seconds of it at once.
+    pub bytes_per_second: f64,
 }
 
-/// Seconds of its rate that a recorder may write at once: a burst of requests is what is looked at later.
-const BURST: f64 = 4.0;
-/// Between two tries to go on after a loss. Each costs a checkpoint; what was lost is lost.
-pub const RETRY: TimeDelta = TimeDelta::from_micros(1_000_000);
+/// Seconds of its rate that a recorder may write at once: bursts of requests are what captures are read for.
+const BURST_S: f64 = 4.0;
+/// Pause between a loss and the next segment: each segment costs a checkpoint.
+pub const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
-/// What is to be done with records in hand.
+/// What is to be done with a batch of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// They belong to the segment that is open.
+pub enum BatchDecision {
+    /// Write it to the open segment.
     Write,
-    /// They are lost: nothing is open.
+    /// Drop it: no segment is open.
     Drop,
 }
 
-/// The recorder's state as far as it decides.
+/// A segment that is being written.
+#[derive(Clone, Copy, Debug)]
+struct OpenSegment {
+    since: Timestamp,
+    bytes: u64,
+}
+
+/// The state machine of a recorder's ring of files.
 #[derive(Debug)]
 pub struct Ring {
-    limits: Limits,
-    /// The open segment: since when, and bytes written to it. `None` before the first, and after a loss.
-    open: Option<(Timestamp, u64)>,
+    limits: RingLimits,
+    /// `None` before the first segment and after a loss.
+    open: Option<OpenSegment>,
+    /// The token bucket of the write rate, in bytes.
     tokens: f64,
-    filled: Timestamp,
-    /// No new segment before this.
+    refilled_at: Timestamp,
+    /// No segment begins before this.
     not_before: Timestamp,
-    /// Events lost since the last segment was open.
-    lost: u64,
+    /// Events lost since the last segment began.
+    lost_events: u64,
 }
 
 impl Ring {
-    /// Nothing is open yet.
-    pub fn new(limits: Limits, now: Timestamp) -> Ring {
-        let tokens = limits.rate * BURST;
-        Ring { limits, open: None, tokens, filled: now, not_before: now, lost: 0 }
+    /// A ring without an open segment.
+    pub fn new(limits: RingLimits, now: Timestamp) -> Ring {
+        let tokens = limits.bytes_per_second * BURST_S;
+        Ring { limits, open: None, tokens, refilled_at: now, not_before: now, lost_events: 0 }
     }
 
-    /// Whether a segment is to be begun now, in place of the one that is open if there is one.
-    pub fn rolls(&self, now: Timestamp) -> bool {
-        match self.open {
-            // Guards against a clock that stepped back: the age is never negative for long.
-            Some((since, bytes)) => {
-                let age = now - since;
-                bytes >= self.limits.segment_bytes || age >= self.limits.segment_age || age < TimeDelta::ZERO
-            }
-            None => now >= self.not_before || self.not_before - now > RETRY,
-        }
+    /// Whether a new segment is to begin now, in place of the open one if there is one.
+    pub fn is_segment_due(&self, now: Timestamp) -> bool {
+        let Some(open) = self.open else {
+            // A clock that was set back must not delay the next segment for longer than the pause.
+            return now >= self.not_before || self.not_before - now > RETRY_INTERVAL;
+        };
+        let age = now - open.since;
+        let is_full = open.bytes >= self.limits.segment_bytes;
+        let is_clock_set_back = age < TimeDelta::ZERO;
+        is_full || age >= self.limits.segment_age || is_clock_set_back
     }
 
-    /// A segment is open from now on: the events lost since the one before it.
-    pub fn begun(&mut self, now: Timestamp) -> u64 {
-        self.open = Some((now, 0));
-        std::mem::take(&mut self.lost)
+    /// Notes that a segment began, and returns the number of events that were lost before it.
+    pub fn segment_begun(&mut self, now: Timestamp) -> u64 {
+        self.open = Some(OpenSegment { since: now, bytes: 0 });
+        std::mem::take(&mut self.lost_events)
     }
 
-    /// What becomes of so many bytes of so many events. A drop ends the segment.
-    pub fn offer(&mut self, now: Timestamp, bytes: u64, events: u64) -> Verdict {
-        let passed = (now - self.filled).as_secs_f64().max(0.0);
-        self.filled = now;
-        self.tokens = (self.tokens + passed * self.limits.rate).min(self.limits.rate * BURST);
-        let Some((_, written)) = &mut self.open else {
-            self.lost += events;
-            return Verdict::Drop;
+    /// Decides on a batch of records. Dropping it ends the segment.
+    pub fn admit(&mut self, now: Timestamp, bytes: u64, events: u64) -> BatchDecision {
+        self.refill(now);
+        let Some(open) = &mut self.open else {
+            self.lost_events += events;
+            return BatchDecision::Drop;
         };
         if self.tokens < bytes as f64 {
-            self.failed(now, events);
-            return Verdict::Drop;
+            self.records_lost(now, events);
+            return BatchDecision::Drop;
         }
         self.tokens -= bytes as f64;
-        *written += bytes;
-        Verdict::Write
+        open.bytes += bytes;
+        BatchDecision::Write
+    }
+
+    fn refill(&mut self, now: Timestamp) {
+        let elapsed_s = (now - self.refilled_at).as_secs_f64().max(0.0);
+        let capacity = self.limits.bytes_per_second * BURST_S;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed_s * self.limits.bytes_per_second).min(capacity);
     }
 
-    /// So many events were lost, for want of room or by the files' fault: the segment ends here.
-    pub fn failed(&mut self, now: Timestamp, events: u64) {
+    /// Notes that events were lost, for lack of room or because a file could not be written. The segment ends.
+    pub fn records_lost(&mut self, now: Timestamp, events: u64) {
         self.open = None;
-        self.lost += events;
-        self.not_before = now + RETRY;
+        self.lost_events += events;
+        self.not_before = now + RETRY_INTERVAL;
     }
 
-    /// Events lost since the last segment.
-    pub fn lost(&self) -> u64 {
-        self.lost
+    /// Events lost since the last segment began.
+    pub fn lost_events(&self) -> u64 {
+        self.lost_events
     }
 }
 
-/// How many of a ring's files, oldest first as `(size, ended)`, have to go so that `more` bytes fit in. The
-/// newest stays whatever its age and size: what is begun behind it holds little yet.
-pub fn evict(limits: &Limits, files: &[(u64, Timestamp)], more: u64, now: Timestamp) -> usize {
-    let mut total = files.iter().map(|f| f.0).sum::<u64>() + more;
-    let mut gone = 0;
-    while gone + 1 < files.len() {
-        let (size, ended) = files[gone];
-        if total <= limits.ring_bytes && now - ended <= limits.ring_age {
+/// A file of the ring.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RingFile {
+    /// Its name in the ring's folder; names sort by the time at which their segments began.
+    pub name: String,
+    /// Its size in bytes.
+    pub bytes: u64,
+    /// When it was last written to.
+    pub modified_at: Timestamp,
+}
+
+/// How many files, oldest first, are to be removed so that `needed_bytes` more fit and no file is too old. The newest
+/// file always stays: the segment that begins after it holds little yet.
+pub fn count_expired(limits: &RingLimits, files: &[RingFile], needed_bytes: u64, now: Timestamp) -> usize {
+    let mut total_bytes = files.iter().map(|file| file.bytes).sum::<u64>() + needed_bytes;
+    let mut expired = 0;
+    while expired + 1 < files.len() {
+        let file = &files[expired];
+        if total_bytes <= limits.ring_bytes && now - file.modified_at <= limits.ring_age {
             break;
         }
-        total -= size;
-        gone += 1;
+        total_bytes -= file.bytes;
+        expired += 1;
     }
-    gone
+    expired
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn limits() -> Limits {
-        let (segment_age, ring_age) =
-            (TimeDelta::from_micros(60_000_000), TimeDelta::from_micros(600_000_000));
-        Limits { ring_bytes: 1_000, ring_age, segment_bytes: 400, segment_age, rate: 100.0 }
-    }
-
-    #[test]
-    fn a_segment_ends_by_size_by_age_and_when_the_clock_steps_back() {
-        let at = Timestamp::from_micros(1_000_000_000);
-        let mut ring = Ring::new(limits(), at);
-        assert!(ring.rolls(at));
-        assert_eq!(ring.offer(at, 10, 2), Verdict::Drop, "nothing is open");
-        assert_eq!(ring.begun(at), 2);
-        assert!(
-            !ring.rolls(at + TimeDelta::from_micros(59_999_999))
-                && ring.rolls(at + TimeDelta::from_micros(60_000_000))
-        );
-        assert!(ring.rolls(at - TimeDelta::from_micros(1)));
-        assert_eq!(ring.offer(at, 399, 1), Verdict::Write);
-        assert!(!ring.rolls(at));
-        assert_eq!(ring.offer(at, 1, 1), Verdict::Write);
-        assert!(ring.rolls(at));
-    }
-
-    #[test]
-    fn what_is_lost_is_counted_and_a_new_segment_waits() {
-        let at = Timestamp::from_micros(1_000_000_000);
-        let mut ring = Ring::new(limits(), at);
-        ring.begun(at);
-        assert_eq!(ring.offer(at, 401, 7), Verdict::Drop, "over the burst");
-        assert!(!ring.rolls(at + TimeDelta::from_micros(RETRY.as_micros() - 1)) && ring.rolls(at + RETRY));
-        assert!(ring.rolls(at - TimeDelta::from_micros(5_000_000)), "a clock set back holds nothing up");
-        assert_eq!(ring.offer(at, 1, 3), Verdict::Drop);
-        assert_eq!((ring.lost(), ring.begun(at + RETRY), ring.lost()), (10, 10, 0));
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::with_cases(256) })]
-
-        /// Over any run of offers no more is written than the rate and its burst allow, and every event is
-        /// either written or counted as lost.
-        #[test]
-        fn the_rate_is_kept_and_nothing_is_lost_uncounted(offers in prop::collection::vec((0_i64..500_000, 0_u64..300, 1_u64..9), 1..200)) {
-            let start = Timestamp::from_micros(1_000_000_000);
-            let (mut ring, mut now) = (Ring::new(limits(), start), start);
-            let (mut bytes_in, mut seen, mut written, mut lost) = (0, 0, 0, 0);
-            for (gap, bytes, events) in offers {
-                now = now + TimeDelta::from_micros(gap);
-                if ring.rolls(now) {
-                    lost += ring.begun(now);
-                }
-                seen += events;
-                if ring.offer(now, bytes, events) == Verdict::Write {
-                    (bytes_in, written) = (bytes_in + bytes, written + events);
-                }
-            }
-            let allowed = limits().rate * ((now - start).as_secs_f64() + BURST);
-            prop_assert!(bytes_in as f64 <= allowed + 1e-6);
-            prop_assert_eq!(seen, written + lost + ring.lost());
-        }
-
-        /// What stays fits, or is the newest alone.
-        #[test]
-        fn eviction_keeps_the_newest_and_the_bounds(files in prop::collection::vec((0_u64..600, 0_i64..2_000_000_000), 0..12), more in 0_u64..500) {
-            let now = Timestamp::from_micros(2_000_000_000);
-            let files: Vec<(u64, Timestamp)> = files.into_iter().map(|(s, t)| (s, Timestamp::from_micros(t))).collect();
-            let gone = evict(&limits(), &files, more, now);
-            let left = &files[gone..];
-            let fits = left.iter().map(|f| f.0).sum::<u64>() + more <= limits().ring_bytes;
-            prop_assert!(left.len() <= 1 || fits && now - left[0].1 <= limits().ring_age);
-            prop_assert!(files.is_empty() || !left.is_empty());
-        }
-    }
-}
+mod tests;
