--- a/crates/query-fingerprint/src/cache.rs
+++ b/crates/query-fingerprint/src/cache.rs
@@ -1,12 +1,12 @@
 //! A cache that a scan of one-off statements cannot flush: S3-FIFO (Yang and others, "FIFO queues are all you need for
-//! cache eviction", SOSP 2023). What comes first stands in a small queue, a tenth of the room; only what is asked for
-//! again there goes on to the main one, and what was put out not long ago is remembered by its key alone and goes there
-//! at once. Weighed against LRU, which a scan flushes whole, and W-TinyLFU, which needs a sketch of counts to be sized
-//! and aged: queues need neither, and a hit moves nothing.
+//! cache eviction", SOSP 2023). New entries enter a small queue, a tenth of the capacity; only those that are read again
+//! move on to the main queue. The keys of recently evicted entries are retained (ghosts), and such an entry enters the
+//! main queue at once. LRU is flushed by a scan, and W-TinyLFU needs a sketch of counts that is sized and aged; these
+//! queues need neither, and a hit moves nothing.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Share of the entries that newcomers stand among.
+/// Fraction of the entries that the small queue holds.
 const SMALL: f64 = 0.1;
 /// Maximum hits counted of an entry: it passes the end of the main queue so often without being asked for.
 const MAX_HITS: u8 = 3;
@@ -23,11 +23,11 @@
 /// What a cache has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Asked for and there.
+    /// Reads that found an entry.
     pub hits: u64,
-    /// Asked for and not there.
+    /// Reads that found none.
     pub misses: u64,
-    /// Put out for want of room.
+    /// Entries evicted to stay within the bounds.
     pub evictions: u64,
     /// Entries now.
     pub entries: usize,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What is kept under a key. Asking counts.
+    /// The value of a key; counts as a read.
     pub fn get(&mut self, key: K) -> Option<&mut V> {
         let slot = self.slots.get_mut(&key);
         match slot {
@@ -88,12 +88,13 @@
         }
     }
 
-    /// Looks without counting.
+    /// The value of a key, without counting a read.
     pub fn peek(&self, key: K) -> Option<&V> {
         self.slots.get(&key).map(|s| &s.value)
     }
 
-    /// Keeps a value of so many bytes. One that is larger than all the room is not kept: false.
+    /// Stores a value of `bytes` bytes. Returns whether the cache holds it afterwards; a value larger than the byte
+    /// bound is not stored.
     pub fn put(&mut self, key: K, value: V, bytes: usize) -> bool {
         if bytes > self.bounds.bytes || self.bounds.entries == 0 {
             return false;
--- a/crates/query-fingerprint/src/cost.rs
+++ b/crates/query-fingerprint/src/cost.rs
@@ -1,6 +1,6 @@
-//! What each shape was seen to cost: work and memory as answers told them, robust to single bad plans, aged, and
-//! shrunk to what its class costs while there is little to go by. Where a client gives estimates, what is learned is how
-//! far they are off.
+//! Learned cost of each fingerprint: work and memory as reported by answers, robust to single bad plans, weighted by
+//! age, and shrunk to the mean of its class while there are few answers. Where a client gives estimates, the ratio of
+//! reported to estimated cost is learned.
 
 use crate::cache::{Bounds, Cache, Counters};
 use crate::normal::Fingerprint;
--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -1,5 +1,6 @@
-//! What is known of a statement. The parser of a library reads it, within bounds; what it cannot read whole is
-//! *unknown*, with what the lexer is certain of, and unknown is always the careful side: it may write, it may load.
+//! Facts of a statement: its kind, the tables and data sets that it reads and writes, and what it may do. The parser
+//! of `sqlparser` reads it, within bounds. A statement that it cannot read completely is of unknown kind, with the
+//! facts that the lexer finds, and is assumed to write and to load in bulk.
 
 mod lexed;
 mod parsed;
@@ -12,13 +13,14 @@
 use parsed::parse;
 use serde::Serialize;
 
-/// Longest text that the parser is given, in bytes. Longer ones are long lists of values, most likely.
+/// Maximum length of a text that is parsed, in bytes. Longer texts are mostly long lists of values.
 pub const MAX_PARSED_BYTES: usize = 16 * 1024;
-/// Maximum tokens of it. A chain such as `1+1+1` makes a tree half as deep, which is walked by recursion.
+/// Maximum number of tokens of a text that is parsed. A chain such as `1+1+1` makes a tree half as deep as it has
+/// tokens, and the tree is walked by recursion.
 pub const MAX_PARSED_TOKENS: usize = 2_000;
-/// Deepest nesting that the parser follows; PostgreSQL's clients nest a dozen deep.
+/// Maximum nesting of brackets and CASE in a text that is parsed; clients commonly nest up to a dozen deep.
 const MAX_DEPTH: usize = 48;
-/// Data sets and relations that are told of one statement; of more, it is unknown.
+/// Maximum number of data sets and relations reported for one statement; a statement with more is unknown.
 const MAX_NAMES: usize = 64;
 
 /// What kind of statement it is.
@@ -27,13 +29,13 @@
 pub enum StatementKind {
     /// Reads rows.
     Select,
-    /// Puts rows in.
+    /// Inserts rows.
     Insert,
     /// Changes rows.
     Update,
-    /// Takes rows out.
+    /// Deletes rows.
     Delete,
-    /// Any of the three, row by row.
+    /// Inserts, updates or deletes, row by row.
     Merge,
     /// Moves rows in bulk.
     Copy,
@@ -41,7 +43,7 @@
     Ddl,
     /// Sets, shows, explains: touches no rows.
     Utility,
-    /// It was not read whole.
+    /// The parser could not read it completely.
     #[default]
     Unknown,
 }
@@ -49,9 +51,9 @@
 /// What is known of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StatementFacts {
-    /// What it is.
+    /// Its kind.
     pub kind: StatementKind,
-    /// It was read whole; else all else here is what is certain, and there may be more.
+    /// The parser read it completely; otherwise the other fields hold only what the lexer found.
     pub whole: bool,
     /// Tables that it reads, `schema.table`, sorted.
     pub reads: Vec<String>,
@@ -73,7 +75,7 @@
     pub aggregates: bool,
     /// It sorts.
     pub sorts: bool,
-    /// It says how many rows at most.
+    /// It has a LIMIT or FETCH clause.
     pub limit: bool,
 }
 
@@ -87,7 +89,7 @@
     digits.parse().ok()
 }
 
-/// Reads a statement: whole where it can be, else what is certain.
+/// Reads a statement: by the parser if possible, otherwise by the lexer alone.
 pub fn read(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
     let bounded = statement.len() <= MAX_PARSED_BYTES && tokens(statement, MAX_PARSED_TOKENS, &mut lexed);
@@ -109,7 +111,7 @@
     out
 }
 
-/// Whether brackets and CASE nest deeper than the parser is let go, told without recursion.
+/// Whether brackets and CASE nest deeper than [`MAX_DEPTH`], counted without recursion.
 fn deep(statement: &str, lexed: &[Token]) -> bool {
     let (mut depth, mut most) = (0_usize, 0);
     for t in lexed {
