--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -4,6 +4,7 @@
 
 use sprucelink_capture::reader;
 use sprucelink_capture::replay::{segment, Play};
+use sprucelink_capture::segment::Segment;
 use sprucelink_capture::wire::Told;
 use sprucelink_capture::{BoxError, ReplayError};
 use sprucelink_policy::*;
@@ -36,8 +37,8 @@
 fn main() -> Result<(), BoxError> {
     let mut sums = Sums::default();
     for path in std::env::args().skip(1) {
-        for file in reader::files(Path::new(&path))? {
-            for seg in reader::read(&file)?.segments {
+        for file in reader::list_files(Path::new(&path))? {
+            for seg in reader::read_file(&file)?.segments {
                 measure(&seg, &mut sums)?;
             }
         }
@@ -72,7 +73,7 @@
     Ok(())
 }
 
-fn measure(seg: &reader::Segment, sums: &mut Sums) -> Result<(), ReplayError> {
+fn measure(seg: &Segment, sums: &mut Sums) -> Result<(), ReplayError> {
     let mut last = seg.at;
     let mut views = seg.module()?.engines();
     let mut sent: BTreeMap<(u64, u32), u32> = BTreeMap::new();
--- a/crates/capture/examples/cost.rs
+++ b/crates/capture/examples/cost.rs
@@ -46,7 +46,7 @@
         drop(day.recorder.take());
         let seg = memory.contents().segments.remove(0);
         let module = seg.module().expect("a state");
-        let told = |r: &sprucelink_capture::reader::Record| match &r.told {
+        let told = |r: &sprucelink_capture::segment::Record| match &r.told {
             Told::Event(event) => Some((r.at, event.clone())),
             Told::Numbered { .. } => None,
         };
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -2,9 +2,9 @@
 //! little after it, and what must hold over that.
 
 use crate::error::{CheckError, CutError};
-use crate::reader::{Answer, Record, Segment};
 use crate::replay::{segment, Play, Treatment};
 use crate::rules::{Checker, Rule};
+use crate::segment::{Answer, Record, Segment};
 use crate::wire::Told;
 use sprucelink_policy::{Action, TimeDelta, Timestamp};
 
--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -4,8 +4,8 @@
 
 use crate::cut::number;
 use crate::error::{ReplayError, StateError};
-use crate::reader::Segment;
 use crate::replay::{segment, Play, Step};
+use crate::segment::Segment;
 use crate::wire::Told;
 use serde::Serialize;
 use serde_json::{json, Value};
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -8,7 +8,9 @@
 //! | [`ring`] | decides when a segment ends, what is dropped, which files go | none |
 //! | [`settings`] | the recorder's settings, JSON5 | none |
 //! | [`recorder`] | the recorder on the serving path, and its writer's thread | files |
-//! | [`reader`] | reads files back, names what is damaged | files |
+//! | [`segment`] | a segment as it was read | none |
+//! | [`reader`] | reads files, reports damage | files |
+//! | [`segment_writer`] | writes a segment as a file | none |
 //! | [`replay`] | gives a segment to the module and compares | none |
 //! | [`rules`] | what must hold over a replay | none |
 //! | [`explain`] | the story of a request, an engine, a moment | none |
@@ -24,6 +26,8 @@
 pub mod replay;
 pub mod ring;
 pub mod rules;
+pub mod segment;
+pub mod segment_writer;
 pub mod settings;
 pub mod wire;
 
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,131 +1,45 @@
-//! Reads captures back, a segment at a time: what is whole is used, what is damaged is named with its place.
+//! Reads captures segment by segment. Intact segments are used; damage is reported with its offset in the file.
 
-use crate::error::{ParseError, ReadError, StateError, WriteError};
+use crate::error::{ParseError, ReadError};
 use crate::frame::{self, FrameKind, FrameRead};
 use crate::identity;
 use crate::pb;
 use crate::recorder::SUFFIX;
-use crate::wire::{action_in, told_in, Told};
+use crate::segment::{Answer, Record, Segment, SegmentEnd};
+use crate::wire::{action_in, told_in};
 use prost::Message;
-use sprucelink_policy::Policy;
-use sprucelink_policy::{Action, Timestamp};
+use sprucelink_policy::Timestamp;
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// Longest body after decompression: what claims to be longer is not believed.
-const MOST_PLAIN: u64 = 256 << 20;
-/// Longest file that is read: a file holds one segment, or a few laid behind one another.
-const MOST_FILE: u64 = 4 << 30;
+/// Longest body after decompression, in bytes; a longer one counts as damage.
+const MAX_DECOMPRESSED_BYTES: u64 = 256 << 20;
+/// Longest file that is read, in bytes: a file holds one segment, or a few that were concatenated.
+const MAX_FILE_BYTES: u64 = 4 << 30;
 
-/// What the module answered to one event.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// The actions.
-    Whole(Vec<Action>),
-    /// Their count and digest.
-    Digest(u32, u64),
-    /// The program ended before the module had answered.
-    None,
-}
-
-/// One record.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Record {
-    /// When the module was told.
-    pub at: Timestamp,
-    /// What.
-    pub told: Told,
-    /// What it answered.
-    pub answer: Answer,
-}
-
-/// How a segment ended.
+/// A part of a file that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// In order; events were lost behind it, or none.
-    Closed {
-        /// How many were lost.
-        lost: u64,
-    },
-    /// The file ends behind a whole frame, or inside one: the program is still writing, or was cut off.
-    Cut {
-        /// The last frame is not whole.
-        within: bool,
-    },
-    /// Damaged from a place in the file on.
-    Damaged {
-        /// The place, in bytes.
-        offset: usize,
-        /// What is wrong there.
-        why: String,
-    },
-}
-
-/// A stretch of a capture that replays alone.
-#[derive(Clone, Debug)]
-pub struct Segment {
-    /// The file it stands in.
-    pub file: PathBuf,
-    /// Where it begins there, in bytes.
+pub struct Damage {
+    /// Its offset, in bytes.
     pub offset: usize,
-    /// Its head.
-    pub head: pb::Head,
-    /// When its checkpoint was taken.
-    pub at: Timestamp,
-    /// The module's state then, in MessagePack.
-    pub state: Vec<u8>,
-    /// Engines as numbered then.
-    pub engines: Vec<(String, u32)>,
-    /// What came after.
-    pub records: Vec<Record>,
-    /// How it ended.
-    pub end: End,
-}
-
-impl Segment {
-    /// The module as it was at the checkpoint. Settings or figures that an older state lacks take their
-    /// defaults.
-    pub fn module(&self) -> Result<Policy, StateError> {
-        rmp_serde::from_slice(&self.state).map_err(StateError)
-    }
-
-    /// The time of its last record, or of its checkpoint.
-    pub fn until(&self) -> Timestamp {
-        self.records.last().map_or(self.at, |r| r.at)
-    }
-
-    /// What of this build and the one that recorded differs, in words; none where they decide alike.
-    pub fn differs(&self) -> Vec<String> {
-        let mut all = Vec::new();
-        if self.head.module != identity::module() {
-            all.push(format!(
-                "recorded by another decision module ({:08x}, here {:08x})",
-                self.head.module,
-                identity::module()
-            ));
-        }
-        if self.head.floats != identity::floats() {
-            all.push(
-                "recorded by a build whose exp, ln or powf round otherwise: decisions may part in the last bit of \
-                 a weight"
-                    .to_owned(),
-            );
-        }
-        all
-    }
+    /// What is wrong there.
+    pub reason: String,
 }
 
-/// What was read of a file.
+/// The contents of a capture file.
 #[derive(Debug, Default)]
-pub struct Contents {
+pub struct CaptureContents {
     /// Segments, in order.
     pub segments: Vec<Segment>,
-    /// What could not be read: the place in bytes, and why.
-    pub damage: Vec<(usize, String)>,
+    /// What could not be read.
+    pub damage: Vec<Damage>,
 }
 
-/// The files of a capture: a folder's, oldest first, or the one file.
-pub fn files(path: &Path) -> Result<Vec<PathBuf>, ReadError> {
+/// The files of a capture: those of a folder, oldest first, or the one file.
+///
+/// # Errors
+/// A path that cannot be read, or a folder without capture files.
+pub fn list_files(path: &Path) -> Result<Vec<PathBuf>, ReadError> {
     let fault = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
     if !std::fs::metadata(path).map_err(fault)?.is_dir() {
         return Ok(vec![path.to_owned()]);
@@ -144,122 +58,132 @@
     Ok(all)
 }
 
-/// Reads one file. An error says that it is no capture at all, or one of a newer format.
-pub fn read(path: &Path) -> Result<Contents, ReadError> {
+/// Reads a file.
+///
+/// # Errors
+/// A file that cannot be read, is no capture at all, or is in a newer format.
+pub fn read_file(path: &Path) -> Result<CaptureContents, ReadError> {
     let fault = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
     let size = std::fs::metadata(path).map_err(fault)?.len();
-    if size > MOST_FILE {
+    if size > MAX_FILE_BYTES {
         return Err(ReadError::TooLong { path: path.to_owned() });
     }
     let bytes = std::fs::read(path).map_err(fault)?;
     parse(&bytes, path).map_err(|source| ReadError::Content { path: path.to_owned(), source })
 }
 
-/// Reads a file's bytes; `path` is only noted.
-pub fn parse(bytes: &[u8], path: &Path) -> Result<Contents, ParseError> {
-    let mut out = Contents::default();
-    let mut open: Option<Open> = None;
+/// Reads the bytes of a file; `path` is only noted.
+///
+/// # Errors
+/// Bytes that are no capture at all, or in a newer format.
+pub fn parse(bytes: &[u8], path: &Path) -> Result<CaptureContents, ParseError> {
+    let mut contents = CaptureContents::default();
+    let mut open: Option<OpenSegment> = None;
     let mut at = 0;
     loop {
         match frame::read_frame(bytes, at) {
             FrameRead::EndOfFile => {
-                close(&mut out, open.take(), End::Cut { within: false });
+                close(&mut contents, open.take(), SegmentEnd::Truncated { inside_frame: false });
                 break;
             }
             FrameRead::Truncated => {
-                close(&mut out, open.take(), End::Cut { within: true });
+                close(&mut contents, open.take(), SegmentEnd::Truncated { inside_frame: true });
                 break;
             }
             FrameRead::Damaged(why) => {
-                damage(&mut out, open.take(), at, why);
+                add_damage(&mut contents, open.take(), at, why);
                 match frame::find_frame(bytes, at + 1) {
                     Some(next) => at = next,
                     None => break,
                 }
             }
             FrameRead::Frame { kind, body, end } => {
-                match take(&mut out, &mut open, kind, body, (path, at)) {
+                match read_body(&mut contents, &mut open, kind, body, (path, at)) {
                     Ok(()) => {}
-                    Err(Fault::Newer(format)) => {
+                    Err(BodyError::NewerFormat(format)) => {
                         return Err(ParseError::NewerFormat { format, supported: identity::FORMAT })
                     }
-                    Err(Fault::Bad(why)) => damage(&mut out, open.take(), at, &why),
+                    Err(BodyError::Damaged(reason)) => add_damage(&mut contents, open.take(), at, &reason),
                 }
                 at = end;
             }
         }
     }
-    if out.segments.is_empty() && out.damage.is_empty() {
+    if contents.segments.is_empty() && contents.damage.is_empty() {
         return Err(if bytes.is_empty() { ParseError::Empty } else { ParseError::CutOff });
     }
-    if out.segments.is_empty() {
-        let (offset, why) = &out.damage[0];
-        return Err(ParseError::NotACapture { offset: *offset, reason: why.clone() });
+    if contents.segments.is_empty() {
+        let Damage { offset, reason } = contents.damage.swap_remove(0);
+        return Err(ParseError::NotACapture { offset, reason });
     }
-    Ok(out)
+    Ok(contents)
 }
 
-/// A segment that is being read: it counts once its checkpoint is there.
-struct Open {
+/// A segment that is being read. It counts once its checkpoint was read.
+struct OpenSegment {
     head: pb::Head,
     offset: usize,
     segment: Option<Segment>,
 }
 
-enum Fault {
-    Newer(u32),
-    Bad(String),
+/// Why a frame's body cannot be used.
+enum BodyError {
+    /// It is in this newer format.
+    NewerFormat(u32),
+    /// It is damaged.
+    Damaged(String),
 }
 
-fn bad(e: impl std::fmt::Display) -> Fault {
-    Fault::Bad(e.to_string())
+fn damaged(reason: impl std::fmt::Display) -> BodyError {
+    BodyError::Damaged(reason.to_string())
 }
 
-fn close(out: &mut Contents, open: Option<Open>, end: End) {
+fn close(contents: &mut CaptureContents, open: Option<OpenSegment>, end: SegmentEnd) {
     if let Some(segment) = open.and_then(|o| o.segment) {
-        out.segments.push(Segment { end, ..segment });
+        contents.segments.push(Segment { end, ..segment });
     }
 }
 
-fn damage(out: &mut Contents, open: Option<Open>, offset: usize, why: &str) {
-    out.damage.push((offset, why.to_owned()));
-    close(out, open, End::Damaged { offset, why: why.to_owned() });
+fn add_damage(contents: &mut CaptureContents, open: Option<OpenSegment>, offset: usize, reason: &str) {
+    contents.damage.push(Damage { offset, reason: reason.to_owned() });
+    close(contents, open, SegmentEnd::Damaged { offset, reason: reason.to_owned() });
 }
 
-fn plain(body: &[u8]) -> Result<Vec<u8>, Fault> {
+fn decompress(body: &[u8]) -> Result<Vec<u8>, BodyError> {
     let mut out = Vec::new();
-    let decoder = zstd::stream::read::Decoder::new(body).map_err(bad)?;
-    decoder.take(MOST_PLAIN + 1).read_to_end(&mut out).map_err(bad)?;
-    if out.len() as u64 > MOST_PLAIN {
-        return Err(bad("unpacks to more than any frame holds"));
+    let decoder = zstd::stream::read::Decoder::new(body).map_err(damaged)?;
+    decoder.take(MAX_DECOMPRESSED_BYTES + 1).read_to_end(&mut out).map_err(damaged)?;
+    if out.len() as u64 > MAX_DECOMPRESSED_BYTES {
+        return Err(damaged("unpacks to more than any frame holds"));
     }
     Ok(out)
 }
 
-fn take(
-    out: &mut Contents,
-    open: &mut Option<Open>,
+/// Adds the body of a frame to what was read.
+fn read_body(
+    contents: &mut CaptureContents,
+    open: &mut Option<OpenSegment>,
     kind: FrameKind,
     body: &[u8],
     (path, offset): (&Path, usize),
-) -> Result<(), Fault> {
+) -> Result<(), BodyError> {
     match kind {
         FrameKind::Head => {
-            close(out, open.take(), End::Cut { within: false });
-            let head = pb::Head::decode(body).map_err(bad)?;
+            close(contents, open.take(), SegmentEnd::Truncated { inside_frame: false });
+            let head = pb::Head::decode(body).map_err(damaged)?;
             if head.format == 0 {
-                return Err(bad("the head names no format"));
+                return Err(damaged("the head names no format"));
             }
             if head.format > identity::FORMAT {
-                return Err(Fault::Newer(head.format));
+                return Err(BodyError::NewerFormat(head.format));
             }
-            *open = Some(Open { head, offset, segment: None });
+            *open = Some(OpenSegment { head, offset, segment: None });
         }
         FrameKind::Checkpoint => {
             let Some(open) = open.as_mut().filter(|o| o.segment.is_none()) else {
-                return Err(bad("a checkpoint without its head"));
+                return Err(damaged("a checkpoint without its head"));
             };
-            let point = pb::Checkpoint::decode(&plain(body)?[..]).map_err(bad)?;
+            let point = pb::Checkpoint::decode(&decompress(body)?[..]).map_err(damaged)?;
             open.segment = Some(Segment {
                 file: path.to_owned(),
                 offset: open.offset,
@@ -268,82 +192,45 @@
                 state: point.state,
                 engines: point.engines.into_iter().map(|e| (e.id, e.number)).collect(),
                 records: Vec::new(),
-                end: End::Cut { within: false },
+                end: SegmentEnd::Truncated { inside_frame: false },
             });
         }
         FrameKind::Block => {
-            // Behind damage there is no open segment: blocks up to the next head are of no use.
+            // After damage no segment is open: blocks up to the next head cannot be used.
             let Some(open) = open.as_mut() else { return Ok(()) };
-            let Some(segment) = &mut open.segment else { return Err(bad("records without a checkpoint")) };
-            let block = pb::Block::decode(&plain(body)?[..]).map_err(bad)?;
+            let Some(segment) = &mut open.segment else {
+                return Err(damaged("records without a checkpoint"));
+            };
+            let block = pb::Block::decode(&decompress(body)?[..]).map_err(damaged)?;
             for record in block.records {
                 let at = Timestamp::from_micros(segment.until().as_micros().saturating_add(record.after_us));
-                segment.records.push(one(record, at, segment.head.whole_answers)?);
+                segment.records.push(to_record(record, at, segment.head.whole_answers)?);
             }
         }
         FrameKind::Tail => {
-            let tail = pb::Tail::decode(body).map_err(bad)?;
+            let tail = pb::Tail::decode(body).map_err(damaged)?;
             let held = open.as_ref().and_then(|o| o.segment.as_ref()).map(|s| s.records.len() as u64);
             if held.is_some_and(|n| n != tail.records) {
-                return Err(bad(format!(
+                return Err(damaged(format!(
                     "{} records were written, {} are here",
                     tail.records,
                     held.unwrap_or(0)
                 )));
             }
-            close(out, open.take(), End::Closed { lost: tail.lost });
+            close(contents, open.take(), SegmentEnd::Closed { lost_events: tail.lost });
         }
     }
     Ok(())
 }
 
-fn one(record: pb::Record, at: Timestamp, whole: bool) -> Result<Record, Fault> {
-    let told = told_in(record.what.ok_or_else(|| bad("a record of nothing"))?).map_err(bad)?;
+fn to_record(record: pb::Record, at: Timestamp, whole: bool) -> Result<Record, BodyError> {
+    let told = told_in(record.what.ok_or_else(|| damaged("a record of nothing"))?).map_err(damaged)?;
     let answer = if record.unanswered {
         Answer::None
     } else if whole {
-        Answer::Whole(record.actions.into_iter().map(action_in).collect::<Result<_, _>>().map_err(bad)?)
+        Answer::Whole(record.actions.into_iter().map(action_in).collect::<Result<_, _>>().map_err(damaged)?)
     } else {
         Answer::Digest(record.count, record.digest)
     };
     Ok(Record { at, told, answer })
 }
-
-/// A segment as bytes, as the recorder would have written it: for cases.
-pub fn write(segment: &Segment) -> Result<Vec<u8>, WriteError> {
-    let mut out = Vec::new();
-    let pack = |body: Vec<u8>| zstd::bulk::compress(&body, 19).map_err(WriteError::Compression);
-    let mut frame = |kind, body: &[u8]| {
-        let written = frame::append_frame(&mut out, kind, body);
-        written.then_some(()).ok_or(WriteError::FrameTooLong)
-    };
-    frame(FrameKind::Head, &pb::Head { whole_answers: true, ..segment.head.clone() }.encode_to_vec())?;
-    let number =
-        |(id, number): &(String, u32)| pb::Numbered { id: id.clone(), number: *number, freed: false };
-    let engines = segment.engines.iter().map(number).collect();
-    let point = pb::Checkpoint { at_us: segment.at.as_micros(), state: segment.state.clone(), engines };
-    frame(FrameKind::Checkpoint, &pack(point.encode_to_vec())?)?;
-    let mut last = segment.at;
-    let mut records = Vec::with_capacity(segment.records.len());
-    for r in &segment.records {
-        let what = match &r.told {
-            Told::Event(event) => crate::wire::event_out(event),
-            Told::Numbered { id, number, freed } => {
-                pb::record::What::Numbered(pb::Numbered { id: id.clone(), number: *number, freed: *freed })
-            }
-        };
-        let (actions, unanswered) = match &r.answer {
-            Answer::Whole(actions) => (crate::wire::answers_out(actions), false),
-            Answer::None => (Vec::new(), true),
-            Answer::Digest(..) => return Err(WriteError::DigestsOnly),
-        };
-        let count = actions.len() as u32;
-        let after_us = (r.at - last).as_micros();
-        last = r.at;
-        records.push(pb::Record { after_us, what: Some(what), actions, count, digest: 0, unanswered });
-    }
-    let count = records.len() as u64;
-    frame(FrameKind::Block, &pack(pb::Block { records }.encode_to_vec())?)?;
-    frame(FrameKind::Tail, &pb::Tail { records: count, lost: 0 }.encode_to_vec())?;
-    Ok(out)
-}
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{BoxError, ReplayError, UnknownTreatment};
 use crate::pb;
-use crate::reader::{Answer, Record, Segment};
+use crate::segment::{Answer, Record, Segment};
 use crate::wire::{answers_out, digest, Told};
 use serde::Serialize;
 use sprucelink_policy::Policy;
--- /dev/null
+++ b/crates/capture/src/segment.rs
@@ -0,0 +1,108 @@
+//! A segment of a capture: a checkpoint of the policy and the records after it. Each segment replays alone.
+
+use crate::error::StateError;
+use crate::identity;
+use crate::pb;
+use crate::wire::Told;
+use sprucelink_policy::{Action, Policy, Timestamp};
+use std::path::PathBuf;
+
+/// The policy's answer to an event.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Answer {
+    /// The actions.
+    Whole(Vec<Action>),
+    /// Their count and digest.
+    Digest(u32, u64),
+    /// None: the program ended before the policy had answered.
+    None,
+}
+
+/// An event, or a change of an engine's number, with its answer.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Record {
+    /// When it happened.
+    pub at: Timestamp,
+    /// What happened.
+    pub told: Told,
+    /// What the policy answered.
+    pub answer: Answer,
+}
+
+/// How a segment ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SegmentEnd {
+    /// Closed in order.
+    Closed {
+        /// Events lost after it.
+        lost_events: u64,
+    },
+    /// The file ends without a tail: the program is still writing, or was killed.
+    Truncated {
+        /// The last frame is incomplete.
+        inside_frame: bool,
+    },
+    /// Damaged from a byte offset on.
+    Damaged {
+        /// The offset in the file, in bytes.
+        offset: usize,
+        /// What is wrong there.
+        reason: String,
+    },
+}
+
+/// A part of a capture that replays alone.
+#[derive(Clone, Debug)]
+pub struct Segment {
+    /// Its file.
+    pub file: PathBuf,
+    /// Its offset in the file, in bytes.
+    pub offset: usize,
+    /// Its head.
+    pub head: pb::Head,
+    /// When its checkpoint was taken.
+    pub at: Timestamp,
+    /// The state of the policy then, in MessagePack.
+    pub state: Vec<u8>,
+    /// Ids and numbers of the engines then.
+    pub engines: Vec<(String, u32)>,
+    /// The records after the checkpoint.
+    pub records: Vec<Record>,
+    /// How it ended.
+    pub end: SegmentEnd,
+}
+
+impl Segment {
+    /// The policy as it was at the checkpoint. Fields that an older state lacks take their defaults.
+    ///
+    /// # Errors
+    /// A state that this build cannot read.
+    pub fn module(&self) -> Result<Policy, StateError> {
+        rmp_serde::from_slice(&self.state).map_err(StateError)
+    }
+
+    /// The time of its last record, otherwise of its checkpoint.
+    pub fn until(&self) -> Timestamp {
+        self.records.last().map_or(self.at, |record| record.at)
+    }
+
+    /// How the build that recorded it differs from this one, in words; empty where both decide alike.
+    pub fn build_differences(&self) -> Vec<String> {
+        let mut differences = Vec::new();
+        if self.head.module != identity::module() {
+            differences.push(format!(
+                "recorded by another decision module ({:08x}, here {:08x})",
+                self.head.module,
+                identity::module()
+            ));
+        }
+        if self.head.floats != identity::floats() {
+            differences.push(
+                "recorded by a build whose exp, ln or powf round otherwise: decisions may part in the last bit of \
+                 a weight"
+                    .to_owned(),
+            );
+        }
+        differences
+    }
+}
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A module that is told a made-up day, and its recorder, into memory.
 #![allow(dead_code)]
 
-use sprucelink_capture::reader::{parse, Contents};
+use sprucelink_capture::reader::{parse, CaptureContents};
 use sprucelink_capture::recorder::{Recorder, RecorderCounters, SegmentStore};
 use sprucelink_capture::ring::RingFile;
 use sprucelink_capture::settings::Settings as RecorderSettings;
@@ -33,7 +33,7 @@
         let files = self.0.lock().expect("unpoisoned");
         files.files.values().flatten().copied().collect()
     }
-    pub fn contents(&self) -> Contents {
+    pub fn contents(&self) -> CaptureContents {
         parse(&self.bytes(), Path::new("memory")).expect("a capture")
     }
 }
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -3,9 +3,11 @@
 use common::*;
 use sprucelink_capture::cut::{check, cut, Cut};
 use sprucelink_capture::explain::{explain, Line, Question};
-use sprucelink_capture::reader::{parse, write, Answer, Contents, End, Segment};
+use sprucelink_capture::reader::{parse, CaptureContents};
 use sprucelink_capture::replay::{segment, Outcome as Replayed, Play, Treatment};
 use sprucelink_capture::rules::{Checker, Rule};
+use sprucelink_capture::segment::{Answer, Segment, SegmentEnd};
+use sprucelink_capture::segment_writer::write;
 use sprucelink_capture::settings::{Answers, Settings as RecorderSettings};
 use sprucelink_capture::wire::Told;
 use sprucelink_policy::*;
@@ -89,7 +91,7 @@
         usable += 1;
         assert!(contents.damage.is_empty(), "{len}: {:?}", contents.damage);
         let cut = &contents.segments[0];
-        assert!(matches!(cut.end, End::Cut { .. }), "{len}");
+        assert!(matches!(cut.end, SegmentEnd::Truncated { .. }), "{len}");
         assert_eq!(cut.records, whole.records[..cut.records.len()]);
         // Only whole frames add records: each new length is replayed once.
         if cut.records.len() != before {
@@ -111,9 +113,11 @@
     bytes[hit] ^= 0x55;
     let hurt = parse(&bytes, Path::new("hurt")).expect("a capture");
     assert_eq!(hurt.segments.len(), whole.segments.len());
-    let (at, _) = &hurt.damage[0];
+    let at = &hurt.damage[0].offset;
     assert!(*at > second && *at <= hit, "{at}");
-    let End::Damaged { offset, .. } = &hurt.segments[1].end else { panic!("{:?}", hurt.segments[1].end) };
+    let SegmentEnd::Damaged { offset, .. } = &hurt.segments[1].end else {
+        panic!("{:?}", hurt.segments[1].end)
+    };
     assert_eq!(offset, at);
     assert!(hurt.segments[1].records.len() < whole.segments[1].records.len());
     for s in &hurt.segments {
@@ -253,7 +257,7 @@
     assert_eq!(replayed(&all.segments[0]).differ, 0);
 }
 
-fn edited(seg: &Segment, edit: impl Fn(&mut Segment)) -> Contents {
+fn edited(seg: &Segment, edit: impl Fn(&mut Segment)) -> CaptureContents {
     let mut seg = seg.clone();
     edit(&mut seg);
     parse(&write(&seg).expect("written"), Path::new("edited")).expect("read")
@@ -264,11 +268,11 @@
 fn what_other_builds_wrote_is_read_or_refused_by_name() {
     let (memory, _) = a_day(8, 1.0, &recorder_settings());
     let seg = memory.contents().segments.remove(0);
-    assert!(seg.differs().is_empty(), "{:?}", seg.differs());
+    assert!(seg.build_differences().is_empty(), "{:?}", seg.build_differences());
     let floats = edited(&seg, |s| s.head.floats ^= 1);
-    assert!(floats.segments[0].differs()[0].contains("round otherwise"));
+    assert!(floats.segments[0].build_differences()[0].contains("round otherwise"));
     let module = edited(&seg, |s| s.head.module ^= 1);
-    assert!(module.segments[0].differs()[0].contains("another decision module"));
+    assert!(module.segments[0].build_differences()[0].contains("another decision module"));
     // An older module's state lacks a figure: it takes its default and the rest is used.
     let older = edited(&seg, |s| {
         let mut state: serde_json::Value = rmp_serde::from_slice(&s.state).expect("a map");
@@ -329,7 +333,7 @@
         for (ms, event, actions) in events {
             let at = START + TimeDelta::from_micros(ms * 1000);
             let record =
-                sprucelink_capture::reader::Record { at, told: Told::Event(event), answer: Answer::None };
+                sprucelink_capture::segment::Record { at, told: Told::Event(event), answer: Answer::None };
             checker.step(&sprucelink_capture::replay::Step {
                 number: 0,
                 record: &record,
--- a/src/run/commands/capture_cut.rs
+++ b/src/run/commands/capture_cut.rs
@@ -7,8 +7,8 @@
 use crate::run::cli::CutOptions;
 use crate::run::error::BoxError;
 use sprucelink_capture::cut::{self, Cut};
-use sprucelink_capture::reader;
 use sprucelink_capture::rules::Checker;
+use sprucelink_capture::segment_writer;
 use sprucelink_policy::TimeDelta;
 use std::io;
 use std::path::Path;
@@ -29,7 +29,7 @@
         note: options.note.clone(),
     };
     let case = cut::cut(&capture.segments, &span).map_err(BoxError::from)?;
-    let bytes = reader::write(&case).map_err(BoxError::from)?;
+    let bytes = segment_writer::write(&case).map_err(BoxError::from)?;
     write_case(&options.out, &bytes)?;
     print_line(&format!(
         "{}: {} bytes, {} records from {} to {}",
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -2,7 +2,8 @@
 
 use super::CaptureError;
 use crate::run::error::{with_causes, BoxError};
-use sprucelink_capture::reader::{self, End, Segment};
+use sprucelink_capture::reader;
+use sprucelink_capture::segment::{Segment, SegmentEnd};
 use sprucelink_policy::Timestamp;
 use std::path::{Path, PathBuf};
 
@@ -32,10 +33,10 @@
     /// A capture without a single usable segment.
     pub fn read(path: &Path) -> Result<Capture, CaptureError> {
         let mut capture = Capture { segments: Vec::new(), damage: Vec::new() };
-        let files = reader::files(path).map_err(BoxError::from)?;
+        let files = reader::list_files(path).map_err(BoxError::from)?;
         let mut last_error = None;
         for file in &files {
-            match reader::read(file) {
+            match reader::read_file(file) {
                 Ok(contents) => capture.append(file, contents),
                 Err(error) => {
                     if files.len() > 1 {
@@ -58,9 +59,9 @@
         self.segments.first().map_or(Timestamp::ZERO, |segment| segment.at)
     }
 
-    fn append(&mut self, file: &Path, contents: reader::Contents) {
+    fn append(&mut self, file: &Path, contents: reader::CaptureContents) {
         self.segments.extend(contents.segments);
-        for (offset, reason) in contents.damage {
+        for reader::Damage { offset, reason } in contents.damage {
             self.damage.push(Damage { file: file.to_owned(), offset, reason });
         }
     }
@@ -73,8 +74,8 @@
 
     fn report_cut_segments(&self) {
         for segment in &self.segments {
-            let End::Cut { within } = segment.end else { continue };
-            let place = if within { "inside a frame" } else { "behind a whole frame" };
+            let SegmentEnd::Truncated { inside_frame } = segment.end else { continue };
+            let place = if inside_frame { "inside a frame" } else { "behind a whole frame" };
             eprintln!(
                 "sprucelink: {}: segment {} is cut off {place}: {} whole records are used",
                 segment.file.display(),
--- a/src/run/commands/capture_show.rs
+++ b/src/run/commands/capture_show.rs
@@ -4,8 +4,8 @@
 use super::output::{format_timestamp, print_line};
 use super::CaptureError;
 use serde_json::{json, Value};
-use sprucelink_capture::reader::{End, Segment};
 use sprucelink_capture::replay::told_kind;
+use sprucelink_capture::segment::{Segment, SegmentEnd};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -33,20 +33,20 @@
 }
 
 /// How a segment ended, in words.
-fn describe_end(end: &End) -> String {
+fn describe_end(end: &SegmentEnd) -> String {
     match end {
-        End::Closed { .. } => "closed".to_owned(),
-        End::Cut { within: true } => "cut off inside a frame".to_owned(),
-        End::Cut { within: false } => "open, or cut off behind a frame".to_owned(),
-        End::Damaged { offset, why } => format!("damaged at byte {offset}: {why}"),
+        SegmentEnd::Closed { .. } => "closed".to_owned(),
+        SegmentEnd::Truncated { inside_frame: true } => "cut off inside a frame".to_owned(),
+        SegmentEnd::Truncated { inside_frame: false } => "open, or cut off behind a frame".to_owned(),
+        SegmentEnd::Damaged { offset, reason } => format!("damaged at byte {offset}: {reason}"),
     }
 }
 
 /// Events that the recorder lost after a segment's last record.
-fn lost_after(end: &End) -> u64 {
+fn lost_after(end: &SegmentEnd) -> u64 {
     match end {
-        End::Closed { lost } => *lost,
-        End::Cut { .. } | End::Damaged { .. } => 0,
+        SegmentEnd::Closed { lost_events } => *lost_events,
+        SegmentEnd::Truncated { .. } | SegmentEnd::Damaged { .. } => 0,
     }
 }
 
@@ -70,7 +70,7 @@
         "engines": segment.engines.len(), "state_bytes": segment.state.len(),
         "lost_before": segment.head.lost_before, "lost_after": lost_after(&segment.end),
         "end": describe_end(&segment.end), "holds": segment.head.holds, "note": segment.head.note,
-        "other_build": segment.differs(),
+        "other_build": segment.build_differences(),
     })
 }
 
@@ -96,7 +96,7 @@
         describe_end(&segment.end),
     ));
     print_line(&format!("  by {}, module {:08x}, format {}", head.build, head.module, head.format));
-    segment.differs().iter().for_each(|reason| print_line(&format!("  {reason}")));
+    segment.build_differences().iter().for_each(|reason| print_line(&format!("  {reason}")));
     if !head.note.is_empty() {
         print_line(&format!("  case: {}", head.note));
     }
--- a/src/run/commands/capture_verify.rs
+++ b/src/run/commands/capture_verify.rs
@@ -16,7 +16,7 @@
 pub fn run(paths: &[PathBuf], as_json: bool) -> Result<CommandOutcome, CaptureError> {
     let mut all_hold = true;
     for path in paths {
-        for file in reader::files(path).map_err(BoxError::from)? {
+        for file in reader::list_files(path).map_err(BoxError::from)? {
             all_hold &= verify_file(&file, as_json)?;
         }
     }
@@ -25,8 +25,8 @@
 
 /// Whether all cases of a file hold.
 fn verify_file(file: &Path, as_json: bool) -> Result<bool, CaptureError> {
-    let contents = reader::read(file).map_err(BoxError::from)?;
-    if let Some((offset, reason)) = contents.damage.into_iter().next() {
+    let contents = reader::read_file(file).map_err(BoxError::from)?;
+    if let Some(reader::Damage { offset, reason }) = contents.damage.into_iter().next() {
         return Err(CaptureError::Damaged { file: file.to_owned(), offset, reason });
     }
     let mut all_hold = true;
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -6,8 +6,8 @@
 use crate::run::cli::ReplayOptions;
 use crate::run::error::BoxError;
 use serde_json::json;
-use sprucelink_capture::reader::Segment;
 use sprucelink_capture::replay::{self, Divergence, Outcome, Play};
+use sprucelink_capture::segment::Segment;
 use sprucelink_policy::{Policy, TimeDelta, Timestamp};
 use std::time::Instant;
 
@@ -116,7 +116,7 @@
     }
     report.duration_s = began.elapsed().as_secs_f64() / f64::from(options.times);
     if report.first.is_some() {
-        report.other_build = segments[0].differs();
+        report.other_build = segments[0].build_differences();
     }
     Ok(report)
 }
