--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: lines of tab-separated fields to events, and actions to lines.
 //!
 //! It knows no more than how things are written. Unknown settings, load report values and engine states are skipped; a
-//! malformed line is an error that names the field. [`parse`] reads lines by their [`fields`], [`print`] writes actions.
+//! malformed line is an error that names the field. [`parse`] reads lines by their [`fields`], [`print`](mod@print) writes actions.
 
 mod error;
 mod fields;
