--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -115,7 +115,7 @@
     let got = play("stalled", scenario, Some("{ enabled: true, ready: { feed_wait_ms: 500 } }"));
     assert_eq!(got.report.served, got.report.asked);
     for log in &got.logs {
-        assert!(log.contains("feed not yet, link up"), "{log}");
+        assert!(log.contains("feed not yet, connection up"), "{log}");
     }
 }
 
