--- a/crates/capture/benches/capture.rs
+++ b/crates/capture/benches/capture.rs
@@ -16,7 +16,7 @@
         let mut day = Day::new(engines, 5);
         day.rate = u64::from(engines) * 14;
         day.pass(2.0);
-        let open = day.brain.open().len();
+        let open = day.brain.open_requests().len();
         let bytes = rmp_serde::to_vec_named(&day.brain).expect("saved").len();
         println!("{engines} engines, {open} requests open: {bytes} bytes");
         // On the serving thread.
@@ -33,7 +33,7 @@
     let memory = Memory::default();
     let mut day = Day::recorded(8, 5, &recorder_settings(), memory.clone());
     day.pass(30.0);
-    let (span, arrived) = (day.now - START, day.brain.overview().open);
+    let (span, arrived) = (day.now - START, day.brain.overview().open_requests);
     drop(day.recorder.take());
     let all = memory.contents();
     let records: usize = all.segments.iter().map(|s| s.records.len()).sum();
--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -75,13 +75,13 @@
 
 fn measure(seg: &Segment, sums: &mut Sums) -> Result<(), ReplayError> {
     let mut last = seg.at;
-    let mut views = seg.module()?.engines();
+    let mut views = seg.module()?.engine_views();
     let mut sent: BTreeMap<(u64, u32), u32> = BTreeMap::new();
     let mut sends: BTreeMap<u64, u32> = BTreeMap::new();
     let mut since: BTreeMap<u32, Timestamp> = BTreeMap::new();
-    for open in seg.module()?.open() {
+    for open in seg.module()?.open_requests() {
         sends.insert(open.id.0, open.attempts);
-        open.out.into_iter().for_each(|(n, e)| _ = sent.insert((open.id.0, n), e.0));
+        open.in_flight.into_iter().for_each(|(n, e)| _ = sent.insert((open.id.0, n), e.0));
     }
     let mut waiting = 0;
     segment(seg, &Play::default(), &mut |step| {
@@ -89,7 +89,7 @@
         let passed = (now - last).as_secs_f64().max(0.0);
         last = now;
         let lone = |v: &sprucelink_policy::diagnostics::EngineView| {
-            v.listed && !v.ejected && v.flying == 0 && v.utilisation > BUSY
+            v.listed && !v.ejected && v.attempts_in_flight == 0 && v.utilisation > BUSY
         };
         for v in views.iter().filter(|v| v.listed && !v.ejected) {
             sums.all += passed;
@@ -101,12 +101,12 @@
                 sums.busy_idle_held += if waiting > 0 { passed } else { 0.0 };
             }
         }
-        if let Told::Event(Event::Ended { id, attempt, report, .. }) = &step.record.told {
+        if let Told::Event(Event::AttemptEnded { id, attempt, report, .. }) = &step.record.told {
             let engine = sent.remove(&(id.0, *attempt));
             let before = engine.and_then(|e| views.iter().find(|v| v.engine == e));
-            let after = engine.and_then(|e| step.module.engine(EngineId(e)));
-            if let (Some(before), Some(after), true) = (before, after, report.in_hand.is_some()) {
-                let reported = after.others / after.cores;
+            let after = engine.and_then(|e| step.module.engine_view(EngineId(e)));
+            if let (Some(before), Some(after), true) = (before, after, report.queries_in_flight.is_some()) {
+                let reported = after.others_threads / after.cores;
                 let believed = before.utilisation - before.threads / before.cores;
                 if let Some(age) = before.report_age {
                     let slot = sums.errors.entry((age * 4.0).min(40.0) as u32).or_default();
@@ -120,21 +120,21 @@
         }
         for action in step.actions {
             match action {
-                Action::Send { id, engine, .. } => {
+                Action::ForwardAttempt { id, engine, .. } => {
                     let n = sends.entry(id.0).or_default();
                     sent.insert((id.0, *n), engine.0);
                     *n += 1;
                 }
-                Action::Refuse { .. } => {
+                Action::Reject { .. } => {
                     sums.refused += 1;
                     sums.refused_with_idle += u64::from(views.iter().any(lone));
                 }
                 _ => {}
             }
         }
-        sums.arrived += u64::from(matches!(step.record.told, Told::Event(Event::Arrived(_))));
-        views = step.module.engines();
-        waiting = step.module.overview().waiting;
+        sums.arrived += u64::from(matches!(step.record.told, Told::Event(Event::RequestArrived(_))));
+        views = step.module.engine_views();
+        waiting = step.module.overview().queued_requests;
     })?;
     Ok(())
 }
--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -117,13 +117,13 @@
     v.map_or("-".into(), |v| format!("{v:.2}"))
 }
 
-fn told_of(r: &Report) -> String {
+fn told_of(r: &LoadReport) -> String {
     let all = [
-        ("in hand", r.in_hand),
-        ("waiting", r.waiting),
-        ("busy", r.busy),
-        ("memory", r.memory),
-        ("disks", r.disks),
+        ("in hand", r.queries_in_flight),
+        ("waiting", r.queries_waiting_for_memory),
+        ("busy", r.busy_core_fraction),
+        ("memory", r.granted_memory_fraction),
+        ("disks", r.busy_disk_fraction),
     ];
     let said: Vec<String> = all.iter().filter_map(|(n, v)| v.map(|v| format!("{n} {v:.2}"))).collect();
     if said.is_empty() {
@@ -140,18 +140,18 @@
          waiting {:.0})",
         e.utilisation,
         e.threads,
-        e.others,
+        e.others_threads,
         figure(e.report_age),
-        e.trust_in_report,
-        e.usual,
-        e.waiting
+        e.report_weight,
+        e.mean_others_threads,
+        e.queries_waiting_for_memory
     );
     let marks = [
-        (e.full, "told to be full"),
+        (e.saturated, "told to be full"),
         (e.ejected, "ejected"),
-        (e.silent, "silent"),
-        (e.warmth < 1.0, "cold"),
-        (e.rests > 0.0, "resting"),
+        (e.unresponsive, "silent"),
+        (e.capacity_fraction < 1.0, "cold"),
+        (e.backoff_secs > 0.0, "resting"),
         (!e.listed, "not listed as ready"),
     ];
     for (_, mark) in marks.iter().filter(|m| m.0) {
@@ -161,38 +161,65 @@
     text
 }
 
-fn bar_name(bar: Bar) -> &'static str {
+/// An outcome by the word that explanations have for it.
+fn outcome_text(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Succeeded => "Delivered",
+        Outcome::EngineError => "Error",
+        Outcome::RejectedByEngine => "Shed",
+        Outcome::TimedOut => "Expired",
+        Outcome::ConnectFailed => "DialFailed",
+        Outcome::ConnectionLost => "Dropped",
+        Outcome::Cancelled => "Revoked",
+        Outcome::NeverSent => "Unused",
+    }
+}
+
+fn bar_name(bar: IneligibleReason) -> &'static str {
     match bar {
-        Bar::NotListed => "not listed",
-        Bar::Rules => "rules",
-        Bar::Health => "health",
-        Bar::JustFailed => "just failed it",
-        Bar::NotAmongFew => "not among the few",
-        Bar::NoRoom => "no room",
+        IneligibleReason::NotListed => "not listed",
+        IneligibleReason::Rules => "rules",
+        IneligibleReason::Health => "health",
+        IneligibleReason::JustFailed => "just failed it",
+        IneligibleReason::NotSampled => "not among the few",
+        IneligibleReason::NoCapacity => "no room",
     }
 }
 
 /// A reason in words.
 pub fn reason(why: &Reason, engines: &[(String, u32)]) -> String {
     match why {
-        Reason::Priced { class, level, cost, tau, toll, worth, wanted, own, share, free, enters, .. } => {
-            let verdict = match (enters, free) {
+        Reason::Priced {
+            class,
+            level,
+            cost,
+            expected_time,
+            price,
+            net_value,
+            latency_objective,
+            own_threads,
+            core_share,
+            has_free_cores,
+            admitted,
+            ..
+        } => {
+            let verdict = match (admitted, has_free_cores) {
                 (true, true) => "let in by the free-core pass",
                 (true, false) => "let in: worth covers the toll",
                 _ => "refused: the toll is more than it is worth",
             };
             format!(
-                "priced: class {class}, cost {cost:.2} thread-s, level {level}, expected in {tau:.2} s (wanted within \
-                 {wanted:.2}), toll {toll:.3} against worth {worth:.3}; {own:.0} own threads of a share of {share:.1} \
+                "priced: class {class}, cost {cost:.2} thread-s, level {level}, expected in {expected_time:.2} s (wanted within \
+                 {latency_objective:.2}), toll {price:.3} against worth {net_value:.3}; {own_threads:.0} own threads of a share of {core_share:.1} \
                  cores; {verdict}"
             )
         }
-        Reason::Drawn { dice, fill, chosen, among, .. } => {
-            let total: f64 = among.iter().map(|c| c.weight).sum();
-            let each: Vec<String> = among
+        Reason::Drawn { random_unit, max_utilisation, chosen, candidates, .. } => {
+            let total: f64 = candidates.iter().map(|c| c.weight).sum();
+            let each: Vec<String> = candidates
                 .iter()
                 .map(|c| {
-                    let why = c.bar.map_or_else(
+                    let why = c.ineligible.map_or_else(
                         || format!("{:.0}%", 100.0 * c.weight / total.max(f64::MIN_POSITIVE)),
                         |b| bar_name(b).to_owned(),
                     );
@@ -200,18 +227,29 @@
                 })
                 .collect();
             let end = chosen.map_or_else(|| "it waits".into(), |e| format!("drawn {}", name(engines, e.0)));
-            format!("draw at {dice:.3}, room under {fill:.1}: {}; {end}", each.join("; "))
+            format!("draw at {random_unit:.3}, room under {max_utilisation:.1}: {}; {end}", each.join("; "))
         }
-        Reason::Answered { attempts, errors, left, may_repeat, budget, in_all, worth, toll, jam, .. } => format!(
-            "given up: {attempts} attempts, {errors} errors, {left:.2} s left, a further attempt is {}, the ration \
-             has {}; an answer would take {in_all:.2} s in all and earn {worth:.3} against a toll of {toll:.3}; the line \
-             holds {jam:.2} s of work",
-            if *may_repeat { "allowed" } else { "not allowed" },
-            if *budget { "room" } else { "none" }
+        Reason::Answered {
+            attempts,
+            errors,
+            time_left,
+            retry_allowed,
+            has_retry_budget,
+            expected_total_time,
+            net_value,
+            price,
+            queue_delay,
+            ..
+        } => format!(
+            "given up: {attempts} attempts, {errors} errors, {time_left:.2} s left, a further attempt is {}, the ration \
+             has {}; an answer would take {expected_total_time:.2} s in all and earn {net_value:.3} against a toll of {price:.3}; the line \
+             holds {queue_delay:.2} s of work",
+            if *retry_allowed { "allowed" } else { "not allowed" },
+            if *has_retry_budget { "room" } else { "none" }
         ),
-        Reason::Cancelled { attempt, engine, age, expected, unheard, ejected, answered, .. } => format!(
-            "attempt {attempt} on {} called off: out for {age:.2} s of {expected:.2} expected, unheard of for \
-             {unheard:.2} s{}{}",
+        Reason::Cancelled { attempt, engine, age, expected_latency, since_progress, ejected, answered, .. } => format!(
+            "attempt {attempt} on {} called off: out for {age:.2} s of {expected_latency:.2} expected, unheard of for \
+             {since_progress:.2} s{}{}",
             name(engines, engine.0),
             if *ejected { ", its engine ejected" } else { "" },
             if *answered { ", its request is over" } else { "" }
@@ -231,12 +269,12 @@
 /// The request that an action is about.
 fn asks(action: &Action) -> Option<RequestId> {
     match action {
-        Action::Send { id, .. }
-        | Action::Terms { id, .. }
+        Action::ForwardAttempt { id, .. }
+        | Action::SetExecutionTerms { id, .. }
         | Action::Cancel { id, .. }
-        | Action::Refuse { id, .. }
+        | Action::Reject { id, .. }
         | Action::Fail { id, .. } => Some(*id),
-        Action::Why(why) => Some(about(why)),
+        Action::Explain(why) => Some(about(why)),
         _ => None,
     }
 }
@@ -252,9 +290,9 @@
         let module = seg.module()?;
         self.sent.clear();
         self.sends.clear();
-        for open in module.open() {
+        for open in module.open_requests() {
             self.sends.insert(open.id.0, open.attempts);
-            open.out.into_iter().for_each(|(n, e)| _ = self.sent.insert((open.id.0, n), e.0));
+            open.in_flight.into_iter().for_each(|(n, e)| _ = self.sent.insert((open.id.0, n), e.0));
         }
         self.find();
         if let (Question::Request(id), true) = (self.question, seg.head.lost_before > 0) {
@@ -291,11 +329,11 @@
 
     /// Keeps where attempts are.
     fn keep(&mut self, step: &Step) {
-        if let Told::Event(Event::Ended { id, attempt, .. }) = &step.record.told {
+        if let Told::Event(Event::AttemptEnded { id, attempt, .. }) = &step.record.told {
             self.sent.remove(&(id.0, *attempt));
         }
         for action in step.actions {
-            if let Action::Send { id, engine, .. } = action {
+            if let Action::ForwardAttempt { id, engine, .. } = action {
                 let n = self.sends.entry(id.0).or_default();
                 self.sent.insert((id.0, *n), engine.0);
                 *n += 1;
@@ -305,29 +343,29 @@
 
     fn did(&self, action: &Action) -> String {
         match action {
-            Action::Send { engine, id, .. } => {
+            Action::ForwardAttempt { engine, id, .. } => {
                 let n = self.sends.get(&id.0).copied().unwrap_or(0);
                 format!("sent, attempt {n}, to {}", name(&self.engines, engine.0))
             }
-            Action::Terms { grant_mb, level, .. } => format!(
+            Action::SetExecutionTerms { grant_mb, level, .. } => format!(
                 "terms: priority {}, {}",
                 level.0,
                 grant_mb.map_or("memory as the engine chooses".into(), |mb| format!("{mb:.0} MB"))
             ),
-            Action::Refuse { retry_after, .. } => {
+            Action::Reject { retry_after, .. } => {
                 format!("refused, come back in {} s", figure(retry_after.map(TimeDelta::as_secs_f64)))
             }
             Action::Fail { retry_after, .. } => {
                 format!("failed, come back in {} s", figure(retry_after.map(TimeDelta::as_secs_f64)))
             }
-            Action::Why(why) => reason(why, &self.engines),
+            Action::Explain(why) => reason(why, &self.engines),
             other => format!("{other:?}"),
         }
     }
 
     fn told(&self, event: &Event) -> Option<String> {
         Some(match event {
-            Event::Arrived(a) => format!(
+            Event::RequestArrived(a) => format!(
                 "arrived: class {}, tenant {}, group {}, {:.2} s to wait, estimated {} thread-s and {} MB",
                 a.class.0,
                 a.tenant,
@@ -336,22 +374,23 @@
                 figure(a.cost),
                 figure(a.memory_mb)
             ),
-            Event::Noted { attempt, note, .. } => format!("note on attempt {attempt}: {note:?}"),
-            Event::Ended { id, attempt, outcome, latency, complete, bill, report } => {
+            Event::ProgressReported { attempt, note, .. } => format!("note on attempt {attempt}: {note:?}"),
+            Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } => {
                 let at =
                     self.sent.get(&(id.0, *attempt)).map_or("an engine".into(), |e| name(&self.engines, *e));
-                let needed = bill.map_or(String::new(), |b| {
+                let needed = query_cost.map_or(String::new(), |b| {
                     format!(", needed {:.2} thread-s and {:.0} MB", b.work, b.memory_mb)
                 });
                 format!(
-                    "attempt {attempt} on {at} ended {outcome:?} after {:.3} s{needed}; {}{}",
+                    "attempt {attempt} on {at} ended {} after {:.3} s{needed}; {}{}",
+                    outcome_text(*outcome),
                     latency.as_secs_f64(),
                     told_of(report),
                     if *complete { "; the request is over" } else { "" }
                 )
             }
-            Event::GivenUp { .. } => "its client gave up".into(),
-            Event::Started { .. } => "its answer began".into(),
+            Event::RequestAbandoned { .. } => "its client gave up".into(),
+            Event::ResponseStarted { .. } => "its answer began".into(),
             _ => return None,
         })
     }
@@ -360,11 +399,11 @@
         let at = step.record.at;
         if let Told::Event(event) = &step.record.told {
             let of = match event {
-                Event::Arrived(a) => Some(a.id),
-                Event::Noted { id, .. }
-                | Event::Ended { id, .. }
-                | Event::GivenUp { id }
-                | Event::Started { id } => Some(*id),
+                Event::RequestArrived(a) => Some(a.id),
+                Event::ProgressReported { id, .. }
+                | Event::AttemptEnded { id, .. }
+                | Event::RequestAbandoned { id }
+                | Event::ResponseStarted { id } => Some(*id),
                 _ => None,
             };
             if let Some(text) = (of == Some(id)).then(|| self.told(event)).flatten() {
@@ -373,7 +412,7 @@
         }
         for action in step.actions.iter().filter(|a| asks(a) == Some(id)) {
             let data = match action {
-                Action::Why(why) => json!({"kind": "why", "why": why}),
+                Action::Explain(why) => json!({"kind": "why", "why": why}),
                 other => json!({"kind": crate::replay::kind(other)}),
             };
             let text = self.did(action);
@@ -383,28 +422,28 @@
 
     fn engine(&mut self, step: &Step) {
         let Some(n) = self.engine else { return };
-        let (at, view) = (step.record.at, step.module.engine(EngineId(n)));
+        let (at, view) = (step.record.at, step.module.engine_view(EngineId(n)));
         let data = |kind: &str| json!({"kind": kind, "belief": view});
         let Some(view) = &view else { return };
         for action in step.actions {
-            let Action::Why(why) = action else { continue };
-            if let Reason::Drawn { among, .. } = &**why {
-                if let Some(c) = among.iter().find(|c| c.engine.0 == n) {
+            let Action::Explain(why) = action else { continue };
+            if let Reason::Drawn { candidates, .. } = &**why {
+                if let Some(c) = candidates.iter().find(|c| c.engine.0 == n) {
                     self.drawn += 1;
-                    *self.barred.entry(c.bar.map_or("in the draw", bar_name)).or_default() += 1;
+                    *self.barred.entry(c.ineligible.map_or("in the draw", bar_name)).or_default() += 1;
                 }
             }
         }
         let mut texts = Vec::new();
         match &step.record.told {
-            Told::Event(Event::List { entries, .. }) => {
+            Told::Event(Event::EndpointsChanged { entries, .. }) => {
                 let states = entries
                     .iter()
                     .filter(|e| e.engine.0 == n)
                     .map(|e| format!("the list says {:?}", e.state));
                 texts.extend(states);
             }
-            Told::Event(event @ Event::Ended { id, attempt, .. })
+            Told::Event(event @ Event::AttemptEnded { id, attempt, .. })
                 if self.sent.get(&(id.0, *attempt)) == Some(&n) =>
             {
                 texts.extend(self.told(event).map(|t| format!("request {:016x}: {t}", id.0)));
@@ -413,7 +452,7 @@
         }
         for action in step.actions {
             match action {
-                Action::Send { id, engine, .. } if engine.0 == n => {
+                Action::ForwardAttempt { id, engine, .. } if engine.0 == n => {
                     let k = self.sends.get(&id.0).copied().unwrap_or(0);
                     texts.push(format!("request {:016x} sent to it, attempt {k}", id.0));
                 }
@@ -446,10 +485,10 @@
             let text = format!(
                 "{} open, {} of them in the line; own threads {:.0} of a share of {:.1} cores; others {:.2} threads a core \
                  as reported; held by level {:.1?} thread-s; tolls by class and level {:.3?}; waits {:.2?}",
-                all.open, all.waiting, all.own, all.share, all.fleet, all.held, all.prices, all.waits
+                all.open_requests, all.queued_requests, all.own_threads, all.core_share, all.others_load, all.queued_work, all.prices, all.waits
             );
             self.line(now, text, json!({"kind": "overview", "overview": all}));
-            for e in step.module.engines().into_iter().filter(|e| !e.gone) {
+            for e in step.module.engine_views().into_iter().filter(|e| !e.withdrawn) {
                 let text = format!("engine {}: {}", name(&self.engines, e.engine), belief(&e));
                 self.line(now, text, json!({"kind": "belief", "belief": e}));
             }
@@ -461,7 +500,7 @@
             let text = self.told(event).unwrap_or_else(|| format!("{event:?}"));
             self.line(now, format!("told: {text}"), json!({"kind": "told", "event": event}));
         }
-        for action in step.actions.iter().filter(|a| !matches!(a, Action::Timer { .. })) {
+        for action in step.actions.iter().filter(|a| !matches!(a, Action::StartTimer { .. })) {
             let who = asks(action).map_or(String::new(), |id| format!("request {:016x} ", id.0));
             let text = format!("{who}{}", self.did(action));
             self.line(now, text, json!({"kind": crate::replay::kind(action)}));
--- a/crates/capture/src/recorder/writer.rs
+++ b/crates/capture/src/recorder/writer.rs
@@ -37,7 +37,7 @@
     /// The memory that it takes in the queue, in bytes.
     pub(super) fn queued_bytes(&self) -> u64 {
         match self {
-            Job::BeginSegment { head, policy, .. } => head.len() as u64 + policy.footprint(),
+            Job::BeginSegment { head, policy, .. } => head.len() as u64 + policy.estimated_bytes(),
             Job::AppendBlock { bytes, .. } => bytes.len() as u64,
             Job::EndSegment(_) => 0,
         }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -87,34 +87,34 @@
 /// The kind of an action, in a word.
 pub fn kind(action: &Action) -> &'static str {
     match action {
-        Action::Send { .. } => "send",
-        Action::Terms { .. } => "terms",
+        Action::ForwardAttempt { .. } => "send",
+        Action::SetExecutionTerms { .. } => "terms",
         Action::Cancel { .. } => "cancel",
-        Action::Refuse { .. } => "refuse",
+        Action::Reject { .. } => "refuse",
         Action::Fail { .. } => "fail",
-        Action::Timer { .. } => "timer",
+        Action::StartTimer { .. } => "timer",
         Action::Probe { .. } => "probe",
-        Action::Tell { .. } => "tell",
-        Action::Watch => "watch",
+        Action::BroadcastToPeers { .. } => "tell",
+        Action::WatchEndpoints => "watch",
         Action::Log(_) => "log",
-        Action::Why(_) => "why",
+        Action::Explain(_) => "why",
     }
 }
 
 /// The kind of what a record told, in a word.
 pub fn told_kind(told: &Told) -> &'static str {
     match told {
-        Told::Event(Event::List { .. }) => "list",
-        Told::Event(Event::Arrived(_)) => "arrived",
-        Told::Event(Event::Started { .. }) => "started",
-        Told::Event(Event::Noted { .. }) => "noted",
-        Told::Event(Event::Ended { .. }) => "ended",
-        Told::Event(Event::GivenUp { .. }) => "given_up",
+        Told::Event(Event::EndpointsChanged { .. }) => "list",
+        Told::Event(Event::RequestArrived(_)) => "arrived",
+        Told::Event(Event::ResponseStarted { .. }) => "started",
+        Told::Event(Event::ProgressReported { .. }) => "noted",
+        Told::Event(Event::AttemptEnded { .. }) => "ended",
+        Told::Event(Event::RequestAbandoned { .. }) => "given_up",
         Told::Event(Event::Timer { .. }) => "timer",
-        Told::Event(Event::Probed { .. }) => "probed",
-        Told::Event(Event::Heard { .. }) => "heard",
-        Told::Event(Event::Fleet { .. }) => "fleet",
-        Told::Event(Event::Zones(_)) => "zones",
+        Told::Event(Event::ProbeCompleted { .. }) => "probed",
+        Told::Event(Event::PeerMessageReceived { .. }) => "heard",
+        Told::Event(Event::FleetChanged { .. }) => "fleet",
+        Told::Event(Event::ZoneWeightsChanged(_)) => "zones",
         Told::Numbered { .. } => "numbered",
     }
 }
@@ -130,7 +130,7 @@
 impl Then {
     fn sends(&mut self, actions: &[Action]) {
         for action in actions {
-            if let Action::Send { id, engine, .. } = action {
+            if let Action::ForwardAttempt { id, engine, .. } = action {
                 let number = self.next.entry(id.0).or_default();
                 self.sent.insert((id.0, *number), *engine);
                 *number += 1;
@@ -146,35 +146,36 @@
 
 /// The event that a replayed module is given in place of a recorded one; `None` where it is kept from it.
 fn matched(event: &Event, module: &Policy, then: &Then) -> Option<Event> {
-    let (Event::Noted { id, attempt, .. } | Event::Ended { id, attempt, .. }) = event else {
+    let (Event::ProgressReported { id, attempt, .. } | Event::AttemptEnded { id, attempt, .. }) = event
+    else {
         return Some(event.clone());
     };
     // An attempt that the record had not out either, or of which only digests tell: the module judges by number.
     let Some(engine) = then.sent.get(&(id.0, *attempt)) else { return Some(event.clone()) };
-    let (number, here) = module.out(*id)?;
+    let (number, here) = module.in_flight_attempt(*id)?;
     if number == *attempt && here == *engine {
         return Some(event.clone());
     }
     match event {
         // Elsewhere than then: the request's own part is told, the engine's is not.
-        Event::Ended { id, outcome, latency, complete, bill, .. } => {
+        Event::AttemptEnded { id, outcome, latency, complete, query_cost, .. } => {
             let served = *outcome == DELIVERED;
-            Some(Event::Ended {
+            Some(Event::AttemptEnded {
                 id: *id,
                 attempt: number,
                 outcome: if served { DELIVERED } else { REVOKED },
                 latency: *latency,
                 complete: *complete,
-                bill: *bill,
-                report: Report::default(),
+                query_cost: *query_cost,
+                report: LoadReport::default(),
             })
         }
         _ => None,
     }
 }
 
-const DELIVERED: sprucelink_policy::Outcome = sprucelink_policy::Outcome::Delivered;
-const REVOKED: sprucelink_policy::Outcome = sprucelink_policy::Outcome::Revoked;
+const DELIVERED: sprucelink_policy::Outcome = sprucelink_policy::Outcome::Succeeded;
+const REVOKED: sprucelink_policy::Outcome = sprucelink_policy::Outcome::Cancelled;
 
 /// What an attempt that the module calls off, and the record did not, takes to end: an undo's way.
 const UNDO: TimeDelta = TimeDelta::from_micros(10_000);
@@ -230,11 +231,19 @@
     fn land(&mut self, number: usize, now: Timestamp) -> bool {
         while let Some((at, id, attempt)) = self.undone.front().copied().filter(|u| u.0 <= now) {
             self.undone.pop_front();
-            if self.module.out(id).is_none_or(|o| o.0 != attempt) {
+            if self.module.in_flight_attempt(id).is_none_or(|o| o.0 != attempt) {
                 continue;
             }
-            let (outcome, latency, report) = (REVOKED, UNDO, Report::default());
-            let ended = Event::Ended { id, attempt, outcome, latency, complete: false, bill: None, report };
+            let (outcome, latency, report) = (REVOKED, UNDO, LoadReport::default());
+            let ended = Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                latency,
+                complete: false,
+                query_cost: None,
+                report,
+            };
             if !self.give(number, at, ended.clone()) {
                 return false;
             }
@@ -284,12 +293,12 @@
 pub fn segment(seg: &Segment, play: &Play, hear: Hearer) -> Result<Outcome, ReplayError> {
     let mut module = seg.module()?;
     (play.change)(&mut module).map_err(ReplayError::Change)?;
-    module.listen(play.explain);
+    module.set_explaining(play.explain);
     let mut then = Then::default();
-    for open in module.open() {
+    for open in module.open_requests() {
         // What was out at the checkpoint is the record's and the replay's alike.
         then.next.insert(open.id.0, open.attempts);
-        open.out.into_iter().for_each(|(n, engine)| _ = then.sent.insert((open.id.0, n), engine));
+        open.in_flight.into_iter().for_each(|(n, engine)| _ = then.sent.insert((open.id.0, n), engine));
     }
     let mut r = Replayed {
         module,
@@ -318,8 +327,10 @@
             then.sends(expected);
         }
         match event {
-            Event::GivenUp { id } | Event::Ended { id, complete: true, .. } => then.over(id.0),
-            Event::Ended { id, attempt, .. } => _ = then.sent.remove(&(id.0, *attempt)),
+            Event::RequestAbandoned { id } | Event::AttemptEnded { id, complete: true, .. } => {
+                then.over(id.0)
+            }
+            Event::AttemptEnded { id, attempt, .. } => _ = then.sent.remove(&(id.0, *attempt)),
             _ => {}
         }
         let Some(given) = given else { continue };
@@ -357,7 +368,7 @@
 /// Actions in words, one behind the other; reasons are left out.
 pub fn show(actions: &[Action]) -> String {
     let all: Vec<String> =
-        actions.iter().filter(|a| !matches!(a, Action::Why(_))).map(|a| format!("{a:?}")).collect();
+        actions.iter().filter(|a| !matches!(a, Action::Explain(_))).map(|a| format!("{a:?}")).collect();
     if all.is_empty() {
         "nothing".into()
     } else {
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -123,8 +123,8 @@
     pub fn new(rules: Vec<Rule>, module: &Policy, start: Timestamp) -> Checker {
         let mut requests = BTreeMap::new();
         let mut due = BTreeSet::new();
-        for open in module.open() {
-            let out = open.out.map(|o| o.0);
+        for open in module.open_requests() {
+            let out = open.in_flight.map(|o| o.0);
             let seen =
                 Seen { deadline: open.deadline, sends: open.attempts, out, finals: u32::from(open.answered) };
             if !open.answered {
@@ -133,8 +133,9 @@
             requests.insert(open.id, seen);
         }
         let told_off =
-            module.engines().iter().filter(|e| !e.listed).map(|e| (EngineId(e.engine), start)).collect();
-        let distrusted = module.engines().iter().filter(|e| e.ejected).map(|e| (e.engine, start)).collect();
+            module.engine_views().iter().filter(|e| !e.listed).map(|e| (EngineId(e.engine), start)).collect();
+        let distrusted =
+            module.engine_views().iter().filter(|e| e.ejected).map(|e| (e.engine, start)).collect();
         let is_count = |r: &Rule| matches!(r, Rule::Sends { .. });
         let counts = rules
             .iter()
@@ -178,7 +179,7 @@
         for action in step.actions {
             self.action(now, action);
         }
-        for e in step.module.engines() {
+        for e in step.module.engine_views() {
             if e.ejected {
                 self.distrusted.entry(e.engine).or_insert(now);
             }
@@ -191,8 +192,8 @@
 
     fn event(&mut self, now: Timestamp, event: &Event) {
         match event {
-            Event::List { kind, entries } => {
-                if matches!(kind, ListKind::Whole | ListKind::Remembered) {
+            Event::EndpointsChanged { kind, entries } => {
+                if matches!(kind, EndpointUpdate::Complete | EndpointUpdate::Remembered) {
                     let named = |e: &EngineId| entries.iter().any(|n| n.engine == *e);
                     // What a whole list does not name is gone.
                     let gone: Vec<EngineId> = (0..self.known()).map(EngineId).filter(|e| !named(e)).collect();
@@ -205,22 +206,22 @@
                     }
                 }
             }
-            Event::Arrived(a) => {
+            Event::RequestArrived(a) => {
                 self.taken.push_back(now);
                 let deadline = now + a.time_left;
                 self.requests.insert(a.id, Seen { deadline, ..Seen::default() });
                 self.due.insert((deadline, a.id));
             }
-            Event::Ended { id, attempt, outcome, complete, .. } => {
+            Event::AttemptEnded { id, attempt, outcome, complete, .. } => {
                 let Some(r) = self.requests.get_mut(id).filter(|r| r.out == Some(*attempt)) else { return };
                 r.out = None;
-                if *outcome == Outcome::Delivered && *complete && r.finals == 0 {
+                if *outcome == Outcome::Succeeded && *complete && r.finals == 0 {
                     r.finals = 1;
                     self.due.remove(&(r.deadline, *id));
                 }
                 self.tidy(*id);
             }
-            Event::GivenUp { id } => {
+            Event::RequestAbandoned { id } => {
                 if let Some(r) = self.requests.get_mut(id) {
                     r.finals = r.finals.max(1);
                     self.due.remove(&(r.deadline, *id));
@@ -245,8 +246,8 @@
 
     fn action(&mut self, now: Timestamp, action: &Action) {
         match action {
-            Action::Send { id, engine, .. } => self.send(now, *id, *engine),
-            Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+            Action::ForwardAttempt { id, engine, .. } => self.send(now, *id, *engine),
+            Action::Reject { id, .. } | Action::Fail { id, .. } => {
                 self.turned_away += 1;
                 let Some(r) = self.requests.get_mut(id) else {
                     return self.breach(
@@ -305,15 +306,15 @@
     }
 
     fn ration(&mut self, now: Timestamp) {
-        let Some(b) = self.set.attempt_budget else { return };
-        let from = now - b.span;
+        let Some(b) = self.set.retry_budget else { return };
+        let from = now - b.window;
         for window in [&mut self.taken, &mut self.extra] {
             while window.front().is_some_and(|t| *t < from) {
                 window.pop_front();
             }
         }
         // What was taken before the checkpoint is not known: a window that reaches back over it says nothing.
-        let allowed = b.free + b.share * self.taken.len() as f64;
+        let allowed = b.free_retries + b.retries_per_request * self.taken.len() as f64;
         if from >= self.start && self.extra.len() as f64 > allowed {
             let why = format!("{} further attempts in a span that allows {allowed:.1}", self.extra.len());
             self.breach(&Rule::Ration {}, now, why);
--- a/crates/capture/src/wire.rs
+++ b/crates/capture/src/wire.rs
@@ -36,17 +36,18 @@
     },
 }
 
-const LISTS: [ListKind; 4] = [ListKind::Changes, ListKind::Whole, ListKind::Remembered, ListKind::Failed];
+const LISTS: [EndpointUpdate; 4] =
+    [EndpointUpdate::Changes, EndpointUpdate::Complete, EndpointUpdate::Remembered, EndpointUpdate::Failed];
 const STATES: [EngineState; 3] = [EngineState::Ready, EngineState::Draining, EngineState::Gone];
 const OUTCOMES: [Outcome; 8] = [
-    Outcome::Delivered,
-    Outcome::Error,
-    Outcome::Shed,
-    Outcome::Expired,
-    Outcome::DialFailed,
-    Outcome::Dropped,
-    Outcome::Revoked,
-    Outcome::Unused,
+    Outcome::Succeeded,
+    Outcome::EngineError,
+    Outcome::RejectedByEngine,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
+    Outcome::Cancelled,
+    Outcome::NeverSent,
 ];
 
 /// The number of a value in its table: the format's enumerations.
@@ -58,21 +59,32 @@
     all.get(number as usize).copied().ok_or(Unknown(field))
 }
 
-fn report_out(r: &Report) -> Option<pb::Report> {
-    let Report { in_hand, waiting, busy, memory, disks } = *r;
-    let none = [in_hand, waiting, busy, memory, disks].iter().all(Option::is_none);
-    (!none).then_some(pb::Report { in_hand, waiting, busy, memory, disks })
+fn report_out(report: &LoadReport) -> Option<pb::Report> {
+    let is_empty = *report == LoadReport::default();
+    (!is_empty).then_some(pb::Report {
+        in_hand: report.queries_in_flight,
+        waiting: report.queries_waiting_for_memory,
+        busy: report.busy_core_fraction,
+        memory: report.granted_memory_fraction,
+        disks: report.busy_disk_fraction,
+    })
 }
 
-fn report_in(r: Option<pb::Report>) -> Report {
-    let pb::Report { in_hand, waiting, busy, memory, disks } = r.unwrap_or_default();
-    Report { in_hand, waiting, busy, memory, disks }
+fn report_in(report: Option<pb::Report>) -> LoadReport {
+    let report = report.unwrap_or_default();
+    LoadReport {
+        queries_in_flight: report.in_hand,
+        queries_waiting_for_memory: report.waiting,
+        busy_core_fraction: report.busy,
+        granted_memory_fraction: report.memory,
+        busy_disk_fraction: report.disks,
+    }
 }
 
 /// An event as the format has it.
 pub fn event_out(event: &Event) -> What {
     match event {
-        Event::List { kind, entries } => What::List(pb::List {
+        Event::EndpointsChanged { kind, entries } => What::List(pb::List {
             kind: number(&LISTS, kind),
             entries: entries
                 .iter()
@@ -86,7 +98,7 @@
                 })
                 .collect(),
         }),
-        Event::Arrived(a) => What::Arrived(pb::Arrived {
+        Event::RequestArrived(a) => What::Arrived(pb::Arrived {
             id: a.id.0,
             class: a.class.0 as u32,
             tenant: a.tenant as u32,
@@ -96,37 +108,44 @@
             memory_mb: a.memory_mb,
             key: a.key.clone(),
         }),
-        Event::Started { id } => What::Started(id.0),
-        Event::Noted { id, attempt, note } => What::Noted(pb::Noted {
+        Event::ResponseStarted { id } => What::Started(id.0),
+        Event::ProgressReported { id, attempt, note } => What::Noted(pb::Noted {
             id: id.0,
             attempt: *attempt,
             note: Some(match note {
-                Note::Progress(p) => PbNote::Progress(*p),
-                Note::Spills(mb) => PbNote::Spills(*mb),
-                Note::WaitsForMemory => PbNote::WaitsForLoad(false),
-                Note::WaitsForLoad => PbNote::WaitsForLoad(true),
+                ProgressNote::Progress(p) => PbNote::Progress(*p),
+                ProgressNote::Spills(mb) => PbNote::Spills(*mb),
+                ProgressNote::WaitsForMemory => PbNote::WaitsForLoad(false),
+                ProgressNote::WaitsForLoad => PbNote::WaitsForLoad(true),
             }),
         }),
-        Event::Ended { id, attempt, outcome, latency, complete, bill, report } => What::Ended(pb::Ended {
-            id: id.0,
-            attempt: *attempt,
-            outcome: number(&OUTCOMES, outcome),
-            latency_us: latency.as_micros(),
-            complete: *complete,
-            work: bill.map(|b| b.work),
-            used_mb: bill.map(|b| b.memory_mb),
-            report: report_out(report),
-        }),
-        Event::GivenUp { id } => What::GivenUp(id.0),
+        Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } => {
+            What::Ended(pb::Ended {
+                id: id.0,
+                attempt: *attempt,
+                outcome: number(&OUTCOMES, outcome),
+                latency_us: latency.as_micros(),
+                complete: *complete,
+                work: query_cost.map(|cost| cost.work),
+                used_mb: query_cost.map(|cost| cost.memory_mb),
+                report: report_out(report),
+            })
+        }
+        Event::RequestAbandoned { id } => What::GivenUp(id.0),
         Event::Timer { token } => What::Timer(*token),
-        Event::Probed { engine, outcome, report } => What::Probed(pb::Probed {
+        Event::ProbeCompleted { engine, outcome, report } => What::Probed(pb::Probed {
             engine: engine.0,
             outcome: number(&OUTCOMES, outcome),
             report: report_out(report),
         }),
-        Event::Zones(weights) => What::Zones(pb::Zones { weights: weights.clone() }),
-        Event::Fleet { gateways, spare } => What::Fleet(pb::Fleet { gateways: *gateways, spare: *spare }),
-        Event::Heard { from, message } => What::Heard(pb::Heard { from: *from, message: message.clone() }),
+        Event::ZoneWeightsChanged(weights) => What::Zones(pb::Zones { weights: weights.clone() }),
+        Event::FleetChanged { gateways, spare_retries } => {
+            What::Fleet(pb::Fleet { gateways: *gateways, spare: *spare_retries })
+        }
+
+        Event::PeerMessageReceived { from, message } => {
+            What::Heard(pb::Heard { from: *from, message: message.clone() })
+        }
     }
 }
 
@@ -145,9 +164,9 @@
                 })
             };
             let entries = l.entries.into_iter().map(entry).collect::<Result<_, _>>()?;
-            Event::List { kind: named(&LISTS, l.kind, "list.kind")?, entries }
+            Event::EndpointsChanged { kind: named(&LISTS, l.kind, "list.kind")?, entries }
         }
-        What::Arrived(a) => Event::Arrived(Arrival {
+        What::Arrived(a) => Event::RequestArrived(Arrival {
             id: RequestId(a.id),
             class: ClassId(a.class as usize),
             tenant: a.tenant as usize,
@@ -157,36 +176,36 @@
             memory_mb: a.memory_mb,
             key: a.key,
         }),
-        What::Started(id) => Event::Started { id: RequestId(id) },
-        What::Noted(n) => Event::Noted {
+        What::Started(id) => Event::ResponseStarted { id: RequestId(id) },
+        What::Noted(n) => Event::ProgressReported {
             id: RequestId(n.id),
             attempt: n.attempt,
             note: match n.note.ok_or(Unknown("noted.note"))? {
-                PbNote::Progress(p) => Note::Progress(p),
-                PbNote::Spills(mb) => Note::Spills(mb),
-                PbNote::WaitsForLoad(false) => Note::WaitsForMemory,
-                PbNote::WaitsForLoad(true) => Note::WaitsForLoad,
+                PbNote::Progress(p) => ProgressNote::Progress(p),
+                PbNote::Spills(mb) => ProgressNote::Spills(mb),
+                PbNote::WaitsForLoad(false) => ProgressNote::WaitsForMemory,
+                PbNote::WaitsForLoad(true) => ProgressNote::WaitsForLoad,
             },
         },
-        What::Ended(e) => Event::Ended {
+        What::Ended(e) => Event::AttemptEnded {
             id: RequestId(e.id),
             attempt: e.attempt,
             outcome: named(&OUTCOMES, e.outcome, "ended.outcome")?,
             latency: TimeDelta::from_micros(e.latency_us),
             complete: e.complete,
-            bill: e.work.zip(e.used_mb).map(|(work, memory_mb)| Bill { work, memory_mb }),
+            query_cost: e.work.zip(e.used_mb).map(|(work, memory_mb)| QueryCost { work, memory_mb }),
             report: report_in(e.report),
         },
-        What::GivenUp(id) => Event::GivenUp { id: RequestId(id) },
+        What::GivenUp(id) => Event::RequestAbandoned { id: RequestId(id) },
         What::Timer(token) => Event::Timer { token },
-        What::Probed(p) => Event::Probed {
+        What::Probed(p) => Event::ProbeCompleted {
             engine: EngineId(p.engine),
             outcome: named(&OUTCOMES, p.outcome, "probed.outcome")?,
             report: report_in(p.report),
         },
-        What::Heard(h) => Event::Heard { from: h.from, message: h.message },
-        What::Zones(z) => Event::Zones(z.weights),
-        What::Fleet(f) => Event::Fleet { gateways: f.gateways, spare: f.spare },
+        What::Heard(h) => Event::PeerMessageReceived { from: h.from, message: h.message },
+        What::Zones(z) => Event::ZoneWeightsChanged(z.weights),
+        What::Fleet(f) => Event::FleetChanged { gateways: f.gateways, spare_retries: f.spare },
         What::Numbered(n) => return Ok(Told::Numbered { id: n.id, number: n.number, freed: n.freed }),
     };
     Ok(Told::Event(event))
@@ -199,23 +218,23 @@
         retry_after_us: after.map(TimeDelta::as_micros),
     };
     let what = match action {
-        Action::Send { id, timeout, engine } => {
+        Action::ForwardAttempt { id, timeout, engine } => {
             Did::Send(pb::Send { id: id.0, engine: engine.0, timeout_us: timeout.map(TimeDelta::as_micros) })
         }
-        Action::Terms { id, grant_mb, level } => {
+        Action::SetExecutionTerms { id, grant_mb, level } => {
             Did::Terms(pb::Terms { id: id.0, grant_mb: *grant_mb, level: u32::from(level.0) })
         }
         Action::Cancel { id, attempt } => Did::Cancel(pb::Cancel { id: id.0, attempt: *attempt }),
-        Action::Refuse { id, retry_after } => Did::Refuse(last(id, retry_after)),
+        Action::Reject { id, retry_after } => Did::Refuse(last(id, retry_after)),
         Action::Fail { id, retry_after } => Did::Fail(last(id, retry_after)),
-        Action::Timer { delay, token } => {
+        Action::StartTimer { delay, token } => {
             Did::Timer(pb::Timer { delay_us: delay.as_micros(), token: *token })
         }
         Action::Probe { engine } => Did::Probe(engine.0),
-        Action::Tell { message } => Did::Tell(message.clone()),
-        Action::Watch => Did::Watch(true),
+        Action::BroadcastToPeers { message } => Did::Tell(message.clone()),
+        Action::WatchEndpoints => Did::Watch(true),
         Action::Log(text) => Did::Log(text.clone()),
-        Action::Why(_) => return None,
+        Action::Explain(_) => return None,
     };
     Some(pb::Action { what: Some(what) })
 }
@@ -223,26 +242,26 @@
 /// An action of the format.
 pub fn action_in(action: pb::Action) -> Result<Action, Unknown> {
     Ok(match action.what.ok_or(Unknown("action"))? {
-        Did::Send(s) => Action::Send {
+        Did::Send(s) => Action::ForwardAttempt {
             id: RequestId(s.id),
             timeout: s.timeout_us.map(TimeDelta::from_micros),
             engine: EngineId(s.engine),
         },
         Did::Terms(t) => {
             let level = u8::try_from(t.level).map_err(|_| Unknown("terms.level"))?;
-            Action::Terms { id: RequestId(t.id), grant_mb: t.grant_mb, level: Level(level) }
+            Action::SetExecutionTerms { id: RequestId(t.id), grant_mb: t.grant_mb, level: Level(level) }
         }
         Did::Cancel(c) => Action::Cancel { id: RequestId(c.id), attempt: c.attempt },
         Did::Refuse(f) => {
-            Action::Refuse { id: RequestId(f.id), retry_after: f.retry_after_us.map(TimeDelta::from_micros) }
+            Action::Reject { id: RequestId(f.id), retry_after: f.retry_after_us.map(TimeDelta::from_micros) }
         }
         Did::Fail(f) => {
             Action::Fail { id: RequestId(f.id), retry_after: f.retry_after_us.map(TimeDelta::from_micros) }
         }
-        Did::Timer(t) => Action::Timer { delay: TimeDelta::from_micros(t.delay_us), token: t.token },
+        Did::Timer(t) => Action::StartTimer { delay: TimeDelta::from_micros(t.delay_us), token: t.token },
         Did::Probe(engine) => Action::Probe { engine: EngineId(engine) },
-        Did::Tell(message) => Action::Tell { message },
-        Did::Watch(_) => Action::Watch,
+        Did::Tell(message) => Action::BroadcastToPeers { message },
+        Did::Watch(_) => Action::WatchEndpoints,
         Did::Log(text) => Action::Log(text),
     })
 }
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -99,18 +99,18 @@
 }
 
 pub fn settings() -> Settings {
-    let class = |worth: f64, threads: f64, effect: Effect| ClassSettings {
-        worth,
-        late_worth: 0.3,
-        aim: TimeDelta::from_secs_f64(1.2),
-        aim_stretch: 2.0,
+    let class = |value: f64, threads: f64, effect: Effect| ClassSettings {
+        value,
+        late_value_fraction: 0.3,
+        latency_objective: TimeDelta::from_secs_f64(1.2),
+        objective_per_work: 2.0,
         deadline: TimeDelta::from_secs_f64(6.0),
         effect,
         group: DedupGroup::All,
         repeat_window: TimeDelta::from_secs_f64(15.0),
-        in_turn: false,
+        ordered_by_key: false,
         threads,
-        load: effect == Effect::Keyed,
+        loads_tables: effect == Effect::Keyed,
         kinds: None,
         zones: None,
     };
@@ -121,7 +121,7 @@
             class(5.0, 2.0, Effect::Keyed),
         ],
         tenants: vec![TenantSettings { quota_per_s: 60.0 }, TenantSettings { quota_per_s: 20.0 }],
-        over_share_worth: 0.05,
+        over_quota_value_factor: 0.05,
         gateways: 3,
         report_via: ReportVia::Answers,
         reports_load: true,
@@ -129,18 +129,22 @@
         kind_memory_mb: vec![24_000.0],
         grants: true,
         priorities: true,
-        progress_pace: TimeDelta::from_secs_f64(1.0),
-        tells_cost: true,
+        progress_interval: TimeDelta::from_secs_f64(1.0),
+        reports_cost: true,
         cancel: true,
         retry_after: true,
         max_retry_after: TimeDelta::from_secs_f64(2.0),
         max_attempts: 6,
         drain_grace: TimeDelta::from_secs_f64(0.5),
-        fall_multiple: 2.5,
-        fall_span: TimeDelta::from_secs_f64(2.0),
-        start_share: 0.3,
-        cold_for: TimeDelta::from_secs_f64(15.0),
-        attempt_budget: Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 3.0, share: 0.1 }),
+        slow_start_multiple: 2.5,
+        slow_start_window: TimeDelta::from_secs_f64(2.0),
+        initial_capacity_fraction: 0.3,
+        slow_start_duration: TimeDelta::from_secs_f64(15.0),
+        retry_budget: Some(RetryBudgetSettings {
+            window: TimeDelta::from_secs_f64(5.0),
+            free_retries: 3.0,
+            retries_per_request: 0.1,
+        }),
         ..Settings::default()
     }
 }
@@ -214,7 +218,7 @@
         self.told += 1;
         for action in &out {
             match action {
-                Action::Send { id, engine, .. } => {
+                Action::ForwardAttempt { id, engine, .. } => {
                     let n = self.attempts.entry(id.0).or_default();
                     let took = 80_000.0 + self.dice.below(400_000) as f64;
                     let took = (took * self.slow.get(&engine.0).copied().unwrap_or(1.0)) as i64;
@@ -250,14 +254,14 @@
             since: None,
         };
         let entries = (0..self.engines).map(entry).collect();
-        self.give(Event::List { kind: ListKind::Whole, entries });
+        self.give(Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries });
     }
     pub fn arrive(&mut self) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
         let class = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2][self.dice.below(10) as usize];
         let cost = [0.25, 4.0, 4.0][class] * (0.5 + self.dice.below(100) as f64 / 100.0);
-        let event = Event::Arrived(Arrival {
+        let event = Event::RequestArrived(Arrival {
             id,
             class: ClassId(class),
             tenant: self.dice.below(2) as usize,
@@ -276,22 +280,30 @@
             }
             self.due.pop();
             let outcome = match self.dice.below(40) {
-                _ if engine == u32::MAX => Outcome::Revoked,
-                0 => Outcome::Error,
-                1 => Outcome::Dropped,
-                2 => Outcome::Shed,
-                _ => Outcome::Delivered,
+                _ if engine == u32::MAX => Outcome::Cancelled,
+                0 => Outcome::EngineError,
+                1 => Outcome::ConnectionLost,
+                2 => Outcome::RejectedByEngine,
+                _ => Outcome::Succeeded,
             };
-            let served = outcome == Outcome::Delivered;
-            let report = Report {
-                in_hand: Some(self.dice.below(20) as f64),
-                waiting: Some(0.0),
-                memory: Some(0.3),
-                ..Report::default()
+            let served = outcome == Outcome::Succeeded;
+            let report = LoadReport {
+                queries_in_flight: Some(self.dice.below(20) as f64),
+                queries_waiting_for_memory: Some(0.0),
+                granted_memory_fraction: Some(0.3),
+                ..LoadReport::default()
             };
-            let bill = served.then_some(Bill { work: 0.3, memory_mb: 180.0 });
+            let query_cost = served.then_some(QueryCost { work: 0.3, memory_mb: 180.0 });
             let (id, latency) = (RequestId(id), TimeDelta::from_micros(took));
-            self.give(Event::Ended { id, attempt, outcome, latency, complete: served, bill, report });
+            self.give(Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                latency,
+                complete: served,
+                query_cost,
+                report,
+            });
         }
     }
     /// Lets time pass, in the module's own steps, with requests coming.
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -59,8 +59,8 @@
     let place =
         seg.records.iter().position(|r| matches!(&r.answer, Answer::Whole(a) if a.len() > 1)).expect("one");
     let Answer::Whole(actions) = &mut seg.records[place].answer else { panic!("whole") };
-    let Some(Action::Terms { grant_mb: Some(mb), .. }) =
-        actions.iter_mut().find(|a| matches!(a, Action::Terms { .. }))
+    let Some(Action::SetExecutionTerms { grant_mb: Some(mb), .. }) =
+        actions.iter_mut().find(|a| matches!(a, Action::SetExecutionTerms { .. }))
     else {
         panic!("terms")
     };
@@ -246,13 +246,13 @@
     let mut day = Day::recorded(4, 3, &recorder_settings(), memory.clone());
     day.pass(0.5);
     let recorder = day.recorder.as_mut().expect("recorded");
-    recorder.record_event(day.now, &day.brain, &Event::GivenUp { id: RequestId(77) }, Vec::new);
+    recorder.record_event(day.now, &day.brain, &Event::RequestAbandoned { id: RequestId(77) }, Vec::new);
     drop(day.recorder.take());
     let all = memory.contents();
     let last = all.segments[0].records.last().expect("one");
     assert_eq!(
         (&last.told, &last.answer),
-        (&Told::Event(Event::GivenUp { id: RequestId(77) }), &Answer::None)
+        (&Told::Event(Event::RequestAbandoned { id: RequestId(77) }), &Answer::None)
     );
     assert_eq!(replayed(&all.segments[0]).differ, 0);
 }
@@ -346,17 +346,17 @@
     let id = RequestId(1);
     let arrived = || {
         let template = seg.records.iter().find_map(|r| match &r.told {
-            Told::Event(Event::Arrived(a)) => Some(a.clone()),
+            Told::Event(Event::RequestArrived(a)) => Some(a.clone()),
             _ => None,
         });
-        Event::Arrived(Arrival { id, ..template.expect("one") })
+        Event::RequestArrived(Arrival { id, ..template.expect("one") })
     };
     let tick = || Event::Timer { token: 0 };
-    let send = |engine| Action::Send { id, timeout: None, engine: EngineId(engine) };
+    let send = |engine| Action::ForwardAttempt { id, timeout: None, engine: EngineId(engine) };
     let drain = || {
         let state = EngineState::Draining;
         let entry = EngineEntry { engine: EngineId(2), zone: 0, kind: 0, cell: 0, state, since: None };
-        Event::List { kind: ListKind::Changes, entries: vec![entry] }
+        Event::EndpointsChanged { kind: EndpointUpdate::Changes, entries: vec![entry] }
     };
     // A send within a millisecond of the drain's grace, on either side.
     let near = |ms| vec![(0, drain(), vec![]), (ms, arrived(), vec![send(2)])];
@@ -364,7 +364,7 @@
     assert_eq!(broken(vec![(0, arrived(), vec![send(0)]), (5, tick(), vec![send(1)])], Rule::OneOut {}), 1);
     assert_eq!(broken(vec![(0, arrived(), vec![]), (5_999, tick(), vec![])], Rule::Answered {}), 0);
     assert_eq!(broken(vec![(0, arrived(), vec![]), (6_001, tick(), vec![])], Rule::Answered {}), 1);
-    let refuse = || Action::Refuse { id, retry_after: None };
+    let refuse = || Action::Reject { id, retry_after: None };
     assert_eq!(broken(vec![(0, arrived(), vec![refuse(), refuse()])], Rule::Answered {}), 1);
     let again: Vec<_> = (0..5).map(|k| (6_000 + k, tick(), vec![send(0)])).collect();
     assert_eq!(broken(again.clone(), Rule::Ration {}), 1, "one first, three free, one too many");
@@ -402,7 +402,7 @@
         );
         let change = |m: &mut sprucelink_policy::Policy| {
             let set = Settings { gateways: 1, ..m.settings().clone() };
-            assert!(m.set_up_anew(set));
+            assert!(m.replace_settings(set));
             Ok(())
         };
         let play = Play { treatment, change: &change, ..Play::default() };
@@ -423,7 +423,7 @@
     };
     let sent = all[0].records.iter().find_map(|r| match &r.answer {
         Answer::Whole(a) => a.iter().find_map(|a| match a {
-            Action::Send { id, .. } => Some(id.0),
+            Action::ForwardAttempt { id, .. } => Some(id.0),
             _ => None,
         }),
         _ => None,
@@ -434,7 +434,7 @@
     }
     let refused = all.iter().flat_map(|s| &s.records).find_map(|r| match &r.answer {
         Answer::Whole(a) => a.iter().find_map(|a| match a {
-            Action::Refuse { id, .. } => Some(id.0),
+            Action::Reject { id, .. } => Some(id.0),
             _ => None,
         }),
         _ => None,
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -8,7 +8,7 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 
 /// With no leader for so long the operator declares which members are lost.
-const MAX_TIME_WITHOUT_LEADER: TimeDelta = TimeDelta::from_whole_secs(8);
+const MAX_TIME_WITHOUT_LEADER: TimeDelta = TimeDelta::from_secs(8);
 
 /// A member that is to be replaced, and its successor.
 #[derive(Debug, Clone, Copy)]
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -59,8 +59,8 @@
     fn default() -> Self {
         Plan {
             members: 5,
-            fault_time: TimeDelta::from_whole_secs(20),
-            recovery_time: TimeDelta::from_whole_secs(20),
+            fault_time: TimeDelta::from_secs(20),
+            recovery_time: TimeDelta::from_secs(20),
             propose_every: TimeDelta::from_millis(50),
             fault_every: TimeDelta::from_millis(800),
             faults: Fault::ALL_BUT_LYING_DISKS.to_vec(),
@@ -99,7 +99,7 @@
     pub fn liars(members: u32) -> Plan {
         let spare = (members - 1) / 2;
         let mut plan = Plan { lying_disks: spare, max_down: spare, ..Plan::one_liar(members) };
-        plan.timing.rejoin_patience = TimeDelta::from_whole_secs(600);
+        plan.timing.rejoin_patience = TimeDelta::from_secs(600);
         plan
     }
 
@@ -107,8 +107,8 @@
     pub fn leader_dies(members: u32) -> Plan {
         Plan {
             members,
-            fault_time: TimeDelta::from_whole_secs(120),
-            fault_every: TimeDelta::from_whole_secs(6),
+            fault_time: TimeDelta::from_secs(120),
+            fault_every: TimeDelta::from_secs(6),
             faults: vec![Fault::CrashLeader],
             loss_per_mille: 0,
             duplicate_per_mille: 0,
@@ -121,7 +121,7 @@
     pub fn shorter(self, fault_time: TimeDelta) -> Plan {
         Plan {
             fault_time,
-            recovery_time: TimeDelta::from_whole_secs(10),
+            recovery_time: TimeDelta::from_secs(10),
             propose_every: TimeDelta::from_millis(80),
             ..self
         }
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// How long nothing is proposed at the end of a run, so that all members come to the same state.
-const QUIET_TIME: TimeDelta = TimeDelta::from_whole_secs(3);
+const QUIET_TIME: TimeDelta = TimeDelta::from_secs(3);
 
 /// The result of a run.
 #[derive(Debug, Default)]
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -19,7 +19,7 @@
 /// Longest time between two ticks of a process.
 const MAX_TICK: TimeDelta = TimeDelta::from_millis(55);
 /// When the first fault is injected.
-const FIRST_FAULT: TimeDelta = TimeDelta::from_whole_secs(1);
+const FIRST_FAULT: TimeDelta = TimeDelta::from_secs(1);
 /// Bound of a proposal's length, bytes.
 const PROPOSAL_BYTES: usize = 64;
 /// How long a stopped process' write waits before it is looked at again.
@@ -29,7 +29,7 @@
 /// Shortest time until a process restarts that crashed with its lying disk.
 const MIN_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
 /// Longest time until a process restarts that crashed with its lying disk.
-const MAX_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_whole_secs(1);
+const MAX_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_secs(1);
 
 /// One run: a cluster, and what is done to it.
 pub struct Simulation<A> {
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -23,7 +23,7 @@
 }
 
 fn seconds(seconds: i64) -> Timestamp {
-    Timestamp::from_whole_secs(seconds)
+    Timestamp::from_secs(seconds)
 }
 
 fn answer(term: u64, last: (u64, u64), is_established: bool) -> RejoinAnswer {
@@ -39,7 +39,7 @@
 
 fn rejoin_quorum() -> RejoinQuorum {
     let own = VersionedMembership { index: 1, membership: membership(1..=5) };
-    RejoinQuorum::new(member(1), own, Timestamp::ZERO, TimeDelta::from_whole_secs(10))
+    RejoinQuorum::new(member(1), own, Timestamp::ZERO, TimeDelta::from_secs(10))
 }
 
 #[test]
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -21,7 +21,7 @@
 }
 
 fn seconds(seconds: i64) -> TimeDelta {
-    TimeDelta::from_whole_secs(seconds)
+    TimeDelta::from_secs(seconds)
 }
 
 /// Runs seeds, until one shows a violation when that is what is looked for.
--- a/crates/policy/benches/event.rs
+++ b/crates/policy/benches/event.rs
@@ -8,17 +8,17 @@
 /// A module with so many engines and `open` requests, each sent, all half loaded.
 fn module(engines: u32, open: u64) -> (Policy, Timestamp) {
     let class = |threads: f64| ClassSettings {
-        worth: 1.0,
-        late_worth: 0.3,
-        aim: TimeDelta::from_secs_f64(1.2),
-        aim_stretch: 2.0,
+        value: 1.0,
+        late_value_fraction: 0.3,
+        latency_objective: TimeDelta::from_secs_f64(1.2),
+        objective_per_work: 2.0,
         deadline: TimeDelta::from_secs_f64(6.0),
         effect: Effect::Safe,
         group: DedupGroup::All,
         repeat_window: TimeDelta::ZERO,
-        in_turn: false,
+        ordered_by_key: false,
         threads,
-        load: false,
+        loads_tables: false,
         kinds: None,
         zones: None,
     };
@@ -32,33 +32,40 @@
         grants: true,
         cancel: true,
         max_attempts: 6,
-        fall_multiple: 2.5,
-        fall_span: TimeDelta::from_secs_f64(2.0),
-        start_share: 0.3,
-        cold_for: TimeDelta::from_secs_f64(15.0),
-        attempt_budget: Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 3.0, share: 0.1 }),
+        slow_start_multiple: 2.5,
+        slow_start_window: TimeDelta::from_secs_f64(2.0),
+        initial_capacity_fraction: 0.3,
+        slow_start_duration: TimeDelta::from_secs_f64(15.0),
+        retry_budget: Some(RetryBudgetSettings {
+            window: TimeDelta::from_secs_f64(5.0),
+            free_retries: 3.0,
+            retries_per_request: 0.1,
+        }),
         ..Settings::default()
     };
     let mut now = Timestamp::from_secs_f64(1_000.0);
-    let (mut brain, mut out) = (Policy::new(set, 7, now), Vec::new());
+    let (mut policy, mut out) = (Policy::new(set, 7, now), Vec::new());
     let entry = |n| {
         let (engine, state) = (EngineId(n), EngineState::Ready);
         EngineEntry { engine, zone: 0, kind: 0, cell: n, state, since: None }
     };
-    brain.handle(
+    policy.handle(
         now,
-        Event::List { kind: ListKind::Whole, entries: (0..engines).map(entry).collect() },
+        Event::EndpointsChanged {
+            kind: EndpointUpdate::Complete,
+            entries: (0..engines).map(entry).collect(),
+        },
         &mut out,
     );
     for id in 0..open {
         now = now + TimeDelta::from_micros(1_000);
-        brain.handle(now, arrival(id), &mut out);
+        policy.handle(now, arrival(id), &mut out);
     }
-    (brain, now)
+    (policy, now)
 }
 
 fn arrival(id: u64) -> Event {
-    Event::Arrived(Arrival {
+    Event::RequestArrived(Arrival {
         id: RequestId(id),
         class: ClassId(usize::from(id.is_multiple_of(6))),
         tenant: 0,
@@ -79,35 +86,35 @@
     let mut group = c.benchmark_group("module");
     for engines in [8, 64, 512] {
         // Four requests open an engine, as on a busy day, and no more than a front has sessions for.
-        let (brain, now) = module(engines, u64::from(engines * 4).min(640));
-        let saved = rmp_serde::to_vec_named(&brain).expect("saved");
+        let (policy, now) = module(engines, u64::from(engines * 4).min(640));
+        let saved = rmp_serde::to_vec_named(&policy).expect("saved");
         let later = now + TimeDelta::from_micros(1_000);
         let mut out = Vec::new();
         group.bench_function(BenchmarkId::new("arrived and ended", engines), |b| {
-            let mut brain = copy(&saved);
+            let mut policy = copy(&saved);
             let mut id = 1 << 32;
             b.iter(|| {
                 id += 1;
                 out.clear();
-                brain.handle(later, arrival(id), &mut out);
-                let ended = Event::Ended {
+                policy.handle(later, arrival(id), &mut out);
+                let ended = Event::AttemptEnded {
                     id: RequestId(id),
                     attempt: 0,
-                    outcome: Outcome::Delivered,
+                    outcome: Outcome::Succeeded,
                     latency: TimeDelta::from_micros(200_000),
                     complete: true,
-                    bill: Some(Bill { work: 0.25, memory_mb: 180.0 }),
-                    report: Report { in_hand: Some(6.0), ..Report::default() },
+                    query_cost: Some(QueryCost { work: 0.25, memory_mb: 180.0 }),
+                    report: LoadReport { queries_in_flight: Some(6.0), ..LoadReport::default() },
                 };
-                brain.handle(later, ended, &mut out);
+                policy.handle(later, ended, &mut out);
             });
         });
         group.bench_function(BenchmarkId::new("timer", engines), |b| {
             b.iter_batched_ref(
                 || copy(&saved),
-                |brain| {
+                |policy| {
                     out.clear();
-                    brain.handle(later, Event::Timer { token: 0 }, &mut out);
+                    policy.handle(later, Event::Timer { token: 0 }, &mut out);
                 },
                 BatchSize::SmallInput,
             );
--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of the request to an engine.
-    Send {
+    ForwardAttempt {
         /// The request.
         id: RequestId,
         /// Time-out; the client's deadline if absent.
@@ -17,7 +17,7 @@
         engine: EngineId,
     },
     /// Memory grant and level, for the next attempt and the one in flight.
-    Terms {
+    SetExecutionTerms {
         /// The request.
         id: RequestId,
         /// Memory in MB; the engine chooses if absent.
@@ -33,7 +33,7 @@
         attempt: u32,
     },
     /// Final response: rejected; a retry by the client does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Retry-After, if one is given.
@@ -47,7 +47,7 @@
         retry_after: Option<TimeDelta>,
     },
     /// Set a timer.
-    Timer {
+    StartTimer {
         /// From now.
         delay: TimeDelta,
         /// Comes back with the event.
@@ -59,14 +59,14 @@
         engine: EngineId,
     },
     /// Send a message to all other gateways.
-    Tell {
+    BroadcastToPeers {
         /// The message.
         message: Vec<u8>,
     },
     /// Request the endpoint list and its changes from now on.
-    Watch,
+    WatchEndpoints,
     /// A log line for operators.
     Log(String),
     /// The reason of a decision, given only while [`Policy::listen`](crate::Policy::listen) asks for it.
-    Why(Box<Reason>),
+    Explain(Box<Reason>),
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -39,7 +39,7 @@
 
     /// Value lost per second of waiting (the paper's delta): value over deadline.
     fn delta(&self, class: usize) -> f64 {
-        self.class(class).worth / self.class(class).deadline.as_secs_f64().max(1e-3)
+        self.class(class).value / self.class(class).deadline.as_secs_f64().max(1e-3)
     }
 
     /// Sets all prices anew (the paper's eq. 6 and 7).
@@ -126,9 +126,9 @@
         self.probe_credit = (self.probe_credit + rate).min(4.0 * MIN_CANDIDATES as f64);
         self.last_sequence += 1;
         let mut request = Request::new(&arrival, self.last_sequence, self.now, cost);
-        let factor = if is_within { 1.0 } else { self.settings.over_share_worth };
-        request.value = self.class(class).worth * factor;
-        request.key = arrival.key.filter(|_| self.class(class).in_turn);
+        let factor = if is_within { 1.0 } else { self.settings.over_quota_value_factor };
+        request.value = self.class(class).value * factor;
+        request.key = arrival.key.filter(|_| self.class(class).ordered_by_key);
         if let Some(key) = &request.key {
             self.keys.entry(key.clone()).or_default().waiting.push_back(id);
         }
@@ -173,15 +173,15 @@
     /// The time within which an answer earns its full value and its client still waits, seconds.
     pub(crate) fn latency_objective(&self, request: &Request) -> f64 {
         let (class, state) = (self.class(request.class), &self.classes[request.class]);
-        let stretch = class.aim_stretch * request.cost * state.work_ratio.value() / class.threads;
-        let wanted = class.aim.as_secs_f64() + stretch;
+        let stretch = class.objective_per_work * request.cost * state.work_ratio.value() / class.threads;
+        let wanted = class.latency_objective.as_secs_f64() + stretch;
         wanted.min((request.deadline - request.arrived - ANSWER_MARGIN).as_secs_f64())
     }
 
     /// What an answer earns that comes `latency` seconds after the arrival.
     pub(crate) fn value_of_answer(&self, request: &Request, latency: f64) -> f64 {
         let is_gone = latency > (request.deadline - request.arrived).as_secs_f64();
-        let late_value = if is_gone { 0.0 } else { self.class(request.class).late_worth };
+        let late_value = if is_gone { 0.0 } else { self.class(request.class).late_value_fraction };
         let is_late = latency * LATENESS_MARGIN > self.latency_objective(request);
         request.value * if is_late { late_value } else { 1.0 }
     }
@@ -195,5 +195,5 @@
 
 /// A class's mean cost before estimates come, thread-seconds.
 pub(crate) fn initial_mean_cost(class: &ClassSettings) -> f64 {
-    (class.aim.as_secs_f64() * class.threads * INITIAL_COST).max(1e-3)
+    (class.latency_objective.as_secs_f64() * class.threads * INITIAL_COST).max(1e-3)
 }
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -9,7 +9,7 @@
 const RESTART_GAIN: f64 = 3.0;
 
 impl Policy {
-    pub(crate) fn on_note(&mut self, id: RequestId, attempt: u32, note: Note, out: &mut Vec<Action>) {
+    pub(crate) fn on_note(&mut self, id: RequestId, attempt: u32, note: ProgressNote, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_meant = |a: &&mut Attempt| a.number == attempt && !a.cancelled;
         let Some(running) = request.in_flight.as_mut().filter(is_meant) else { return };
@@ -20,10 +20,10 @@
         self.zones.entry(engine.zone).or_default().record_response(self.now);
         let request = &self.requests[&id];
         match (note, request.memory_mb) {
-            (Note::Spills(missing), Some(need)) => {
+            (ProgressNote::Spills(missing), Some(need)) => {
                 self.classes[request.class].grant += SPILL_INCREASE * (missing / need.max(1.0)).min(1.0);
             }
-            (Note::Progress(done), _) => {
+            (ProgressNote::Progress(done), _) => {
                 // A bad plan or a slow engine: a fresh attempt would be far quicker than what is left.
                 let left = age * (1.0 - done) / done.max(0.01);
                 let fresh = expected.max(self.expected_latency(request.class, request.cost));
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -13,7 +13,8 @@
     /// The endpoint list has it as ready.
     pub listed: bool,
     /// The endpoint list has it as gone.
-    pub gone: bool,
+    #[serde(rename = "gone")]
+    pub withdrawn: bool,
     /// Its zone.
     pub zone: u32,
     /// Its machine kind.
@@ -23,40 +24,52 @@
     /// Own threads in flight there.
     pub threads: f64,
     /// Own attempts in flight there.
-    pub flying: u32,
+    #[serde(rename = "flying")]
+    pub attempts_in_flight: u32,
     /// Threads that others had there by the last report.
-    pub others: f64,
+    #[serde(rename = "others")]
+    pub others_threads: f64,
     /// Queries waiting for memory there by the last report.
-    pub waiting: f64,
+    #[serde(rename = "waiting")]
+    pub queries_waiting_for_memory: f64,
     /// The last report told of busy cores only, nearly all of them.
-    pub full: bool,
+    #[serde(rename = "full")]
+    pub saturated: bool,
     /// Seconds since the last report.
     pub report_age: Option<f64>,
     /// How much that report still counts, 0 to 1.
-    pub trust_in_report: f64,
+    #[serde(rename = "trust_in_report")]
+    pub report_weight: f64,
     /// Threads of other gateways that an engine of its size has in the mean.
-    pub usual: f64,
+    #[serde(rename = "usual")]
+    pub mean_others_threads: f64,
     /// Estimated threads in all.
-    pub load: f64,
+    #[serde(rename = "load")]
+    pub estimated_threads: f64,
     /// The same for each core that it has by now.
     pub utilisation: f64,
     /// Fraction of its capacity that it has by now.
-    pub warmth: f64,
+    #[serde(rename = "warmth")]
+    pub capacity_fraction: f64,
     /// How many times slower it is than the median.
     pub slowness: f64,
     /// Fraction of recent attempts that failed.
-    pub failing: f64,
+    #[serde(rename = "failing")]
+    pub failure_rate: f64,
     /// It takes requests and answers none.
-    pub silent: bool,
+    #[serde(rename = "silent")]
+    pub unresponsive: bool,
     /// Own attempts there that are overdue.
     pub overdue: u32,
     /// It gets a trial now and then only.
     #[serde(rename = "distrusted")]
     pub ejected: bool,
     /// Remaining backoff, seconds.
-    pub rests: f64,
+    #[serde(rename = "rests")]
+    pub backoff_secs: f64,
     /// Work charged to its slow-start budget, and the budget; thread-seconds.
-    pub cold: (f64, f64),
+    #[serde(rename = "cold")]
+    pub slow_start_charged_and_budget: (f64, f64),
 }
 
 /// An open request as the module sees it.
@@ -69,7 +82,8 @@
     /// Attempts so far.
     pub attempts: u32,
     /// The attempt in flight, and its engine.
-    pub out: Option<(u32, EngineId)>,
+    #[serde(rename = "out")]
+    pub in_flight: Option<(u32, EngineId)>,
     /// Its level.
     pub level: u8,
     /// It has its final response.
@@ -80,23 +94,30 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Overview {
     /// Own threads in flight.
-    pub own: f64,
+    #[serde(rename = "own")]
+    pub own_threads: f64,
     /// This gateway's share of the told cores.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub core_share: f64,
     /// Threads a core of other gateways, as reported.
-    pub fleet: f64,
+    #[serde(rename = "fleet")]
+    pub others_load: f64,
     /// Queued work, thread-seconds, by level.
-    pub held: [f64; LEVELS],
+    #[serde(rename = "held")]
+    pub queued_work: [f64; LEVELS],
     /// Tolls by class, then level, for a query of mean cost.
     pub prices: Vec<[f64; LEVELS]>,
     /// Waits by class, then level, seconds.
     pub waits: Vec<[f64; LEVELS]>,
     /// Mean cost by class, thread-seconds.
-    pub means: Vec<f64>,
+    #[serde(rename = "means")]
+    pub mean_costs: Vec<f64>,
     /// Requests open.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub open_requests: usize,
     /// Requests queued.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub queued_requests: usize,
 }
 
 impl Engine {
@@ -112,13 +133,13 @@
 }
 
 impl Policy {
-    /// Whether reasons ([`Action::Why`]) are given from now on. No decision depends on it.
-    pub fn listen(&mut self, on: bool) {
+    /// Whether reasons ([`Action::Explain`]) are given from now on. No decision depends on it.
+    pub fn set_explaining(&mut self, on: bool) {
         self.explains = on;
     }
 
     /// Approximate size of a copy in bytes, for bounds on queues.
-    pub fn footprint(&self) -> u64 {
+    pub fn estimated_bytes(&self) -> u64 {
         let engine = size_of::<Engine>() + 256;
         let request = size_of::<Request>() + 64;
         (size_of::<Policy>() + self.engines.len() * engine + self.requests.len() * request) as u64
@@ -131,7 +152,7 @@
 
     /// Replaces the settings, for replays of what would have been. `false`, and nothing changes, unless there are as
     /// many classes and tenants as before.
-    pub fn set_up_anew(&mut self, set: Settings) -> bool {
+    pub fn replace_settings(&mut self, set: Settings) -> bool {
         let alike = set.classes.len() == self.settings.classes.len()
             && set.tenants.len() == self.settings.tenants.len();
         if alike {
@@ -141,7 +162,7 @@
     }
 
     /// The number and engine of a request's attempt in flight.
-    pub fn out(&self, id: RequestId) -> Option<(u32, EngineId)> {
+    pub fn in_flight_attempt(&self, id: RequestId) -> Option<(u32, EngineId)> {
         let a = self.requests.get(&id)?.in_flight.as_ref()?;
         Some((a.number, a.engine))
     }
@@ -152,12 +173,12 @@
     }
 
     /// All open requests.
-    pub fn open(&self) -> Vec<OpenRequest> {
+    pub fn open_requests(&self) -> Vec<OpenRequest> {
         let one = |(id, r): (&RequestId, &Request)| OpenRequest {
             id: *id,
             deadline: r.deadline,
             attempts: r.attempts,
-            out: r.in_flight.as_ref().map(|a| (a.number, a.engine)),
+            in_flight: r.in_flight.as_ref().map(|a| (a.number, a.engine)),
             level: r.level as u8,
             answered: r.answered,
         };
@@ -165,38 +186,44 @@
     }
 
     /// Every engine, by number.
-    pub fn engines(&self) -> Vec<EngineView> {
-        (0..self.engines.len()).filter_map(|i| self.engine(EngineId(i as u32))).collect()
+    pub fn engine_views(&self) -> Vec<EngineView> {
+        (0..self.engines.len()).filter_map(|i| self.engine_view(EngineId(i as u32))).collect()
     }
 
     /// One engine; `None` if the list never had it.
-    pub fn engine(&self, engine: EngineId) -> Option<EngineView> {
+    pub fn engine_view(&self, engine: EngineId) -> Option<EngineView> {
         let e = self.engines.get(engine.0 as usize)?;
         Some(EngineView {
             engine: engine.0,
             listed: e.listed,
-            gone: e.withdrawn,
+            withdrawn: e.withdrawn,
             zone: e.zone,
             kind: e.kind,
             cores: e.cores,
             threads: e.threads,
-            flying: e.in_flight,
-            others: e.others_threads,
-            waiting: e.waiting,
-            full: e.saturated,
+            attempts_in_flight: e.in_flight,
+            others_threads: e.others_threads,
+            queries_waiting_for_memory: e.waiting,
+            saturated: e.saturated,
             report_age: e.reported_at.map(|t| (self.now - t).as_secs_f64()),
-            trust_in_report: self.report_weight(e),
-            usual: self.mean_load() * e.cores * self.capacity_fraction(e) * self.lottery_odds(e),
-            load: self.estimated_threads(e),
+            report_weight: self.report_weight(e),
+            mean_others_threads: self.mean_load()
+                * e.cores
+                * self.capacity_fraction(e)
+                * self.lottery_odds(e),
+            estimated_threads: self.estimated_threads(e),
             utilisation: self.utilisation(engine.0 as usize),
-            warmth: self.capacity_fraction(e),
+            capacity_fraction: self.capacity_fraction(e),
             slowness: relative_slowness(e, self.median_slowness),
-            failing: e.failure_rate.value(),
-            silent: e.unresponsive,
+            failure_rate: e.failure_rate.value(),
+            unresponsive: e.unresponsive,
             overdue: e.overdue,
             ejected: e.ejected,
-            rests: (e.backoff_until - self.now).as_secs_f64().max(0.0),
-            cold: (e.recent_charges.sum(self.now, self.settings.fall_span), self.slow_start_budget(e)),
+            backoff_secs: (e.backoff_until - self.now).as_secs_f64().max(0.0),
+            slow_start_charged_and_budget: (
+                e.recent_charges.sum(self.now, self.settings.slow_start_window),
+                self.slow_start_budget(e),
+            ),
         })
     }
 
@@ -206,15 +233,15 @@
             self.classes.iter().map(|c| std::array::from_fn(|k| of(&c.levels[k]))).collect()
         };
         Overview {
-            own: self.own_threads,
-            share: self.core_share(),
-            fleet: self.others_load.value(),
-            held: self.queued_work,
+            own_threads: self.own_threads,
+            core_share: self.core_share(),
+            others_load: self.others_load.value(),
+            queued_work: self.queued_work,
             prices: levels(&|l| l.price),
             waits: levels(&|l| l.wait),
-            means: self.classes.iter().map(|c| c.mean_cost).collect(),
-            open: self.requests.len(),
-            waiting: self.queue.len(),
+            mean_costs: self.classes.iter().map(|c| c.mean_cost).collect(),
+            open_requests: self.requests.len(),
+            queued_requests: self.queue.len(),
         }
     }
 
@@ -229,19 +256,19 @@
     ) {
         let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
         let LevelQuote { tau, toll, .. } = *quote;
-        out.push(Action::Why(Box::new(Reason::Priced {
+        out.push(Action::Explain(Box::new(Reason::Priced {
             id,
             class: r.class,
             level: r.level as u8,
             cost: r.cost,
-            tau,
-            toll,
-            worth: self.net_value(r, tau),
-            wanted: self.latency_objective(r),
-            own: self.own_threads,
-            share: self.core_share(),
-            free,
-            enters,
+            expected_time: tau,
+            price: toll,
+            net_value: self.net_value(r, tau),
+            latency_objective: self.latency_objective(r),
+            own_threads: self.own_threads,
+            core_share: self.core_share(),
+            has_free_cores: free,
+            admitted: enters,
         })));
     }
 
@@ -258,31 +285,31 @@
         let candidate = |i: usize| {
             let here = EngineId(i as u32);
             let bar = if !self.engines[i].listed {
-                Some(Bar::NotListed)
+                Some(IneligibleReason::NotListed)
             } else if !self.is_allowed(r, i) {
-                Some(Bar::Rules)
+                Some(IneligibleReason::Rules)
             } else if healthy && !self.is_healthy_for(r, i) {
-                Some(Bar::Health)
+                Some(IneligibleReason::Health)
             } else if r.errors > 0 && other && r.last_engine == Some(here) {
-                Some(Bar::JustFailed)
+                Some(IneligibleReason::JustFailed)
             } else if !r.candidates.is_empty() && !r.candidates.contains(&i) {
-                Some(Bar::NotAmongFew)
+                Some(IneligibleReason::NotSampled)
             } else if !self.has_capacity(r, i) {
-                Some(Bar::NoRoom)
+                Some(IneligibleReason::NoCapacity)
             } else {
                 None
             };
             let weight = if bar.is_none() { self.draw_weight(r, i) } else { 0.0 };
             let (utilisation, trust) = (self.utilisation(i), self.report_weight(&self.engines[i]));
-            Candidate { engine: here, bar, weight, utilisation, trust }
+            Candidate { engine: here, ineligible: bar, weight, utilisation, report_weight: trust }
         };
         let among = (0..self.engines.len()).filter(|i| !self.engines[*i].withdrawn).map(candidate).collect();
-        out.push(Action::Why(Box::new(Reason::Drawn {
+        out.push(Action::Explain(Box::new(Reason::Drawn {
             id,
-            dice,
-            fill: MAX_UTILISATION[r.level],
+            random_unit: dice,
+            max_utilisation: MAX_UTILISATION[r.level],
             chosen,
-            among,
+            candidates: among,
         })));
     }
 
@@ -290,17 +317,17 @@
     pub(crate) fn why_answered(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.explains) else { return };
         let in_all = (self.now - r.arrived).as_secs_f64() + self.expected_latency(r.class, r.cost);
-        out.push(Action::Why(Box::new(Reason::Answered {
+        out.push(Action::Explain(Box::new(Reason::Answered {
             id,
             attempts: r.attempts,
             errors: r.errors,
-            left: (r.deadline - self.now).as_secs_f64(),
-            may_repeat: self.can_retry(r),
-            budget: self.has_retry_budget(),
-            in_all,
-            worth: self.net_value(r, in_all),
-            toll: self.cheapest_level(r.class, r.cost).toll,
-            jam: self.queue_delay(),
+            time_left: (r.deadline - self.now).as_secs_f64(),
+            retry_allowed: self.can_retry(r),
+            has_retry_budget: self.has_retry_budget(),
+            expected_total_time: in_all,
+            net_value: self.net_value(r, in_all),
+            price: self.cheapest_level(r.class, r.cost).toll,
+            queue_delay: self.queue_delay(),
         })));
     }
 
@@ -308,13 +335,13 @@
     pub(crate) fn why_cancelled(&self, id: RequestId, out: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|_| self.explains);
         let Some((r, a)) = request.and_then(|r| Some((r, r.in_flight.as_ref()?))) else { return };
-        out.push(Action::Why(Box::new(Reason::Cancelled {
+        out.push(Action::Explain(Box::new(Reason::Cancelled {
             id,
             attempt: a.number,
             engine: a.engine,
             age: (self.now - a.sent_at).as_secs_f64(),
-            expected: a.expected,
-            unheard: (self.now - a.last_progress).as_secs_f64(),
+            expected_latency: a.expected,
+            since_progress: (self.now - a.last_progress).as_secs_f64(),
             ejected: self.engines[a.engine.0 as usize].ejected,
             answered: r.answered,
         })));
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -57,7 +57,7 @@
         engine.last_send = Some(now);
         engine.threads += threads;
         engine.in_flight += 1;
-        engine.recent_charges.record(now, charge, self.settings.fall_span);
+        engine.recent_charges.record(now, charge, self.settings.slow_start_window);
         engine.recent_tables.touch(request.table_group, CACHED_TABLE_GROUPS);
         engine.next_trial = now + TRIAL_INTERVAL;
         self.zones.entry(engine.zone).or_default().next_trial = now + TRIAL_INTERVAL;
@@ -72,7 +72,7 @@
         if self.settings.priorities || self.settings.grants {
             out.push(terms);
         }
-        out.push(Action::Send { id, timeout: None, engine: to });
+        out.push(Action::ForwardAttempt { id, timeout: None, engine: to });
         true
     }
 
@@ -91,7 +91,7 @@
         let wait = TimeDelta::from_secs_f64(level.wait.max(self.queue_delay()));
         let max_wait = self.settings.max_retry_after;
         let retry_after = Some(if max_wait > TimeDelta::ZERO { wait.min(max_wait) } else { wait });
-        let (refuse, fail) = (Action::Refuse { id, retry_after }, Action::Fail { id, retry_after });
+        let (refuse, fail) = (Action::Reject { id, retry_after }, Action::Fail { id, retry_after });
         out.push(if is_harmless { refuse } else { fail });
         self.finish(id, out);
     }
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -6,7 +6,7 @@
 pub(crate) const MAX_UTILISATION: [f64; LEVELS] = [1.5, 1.7, 1.9, 2.1];
 /// Own threads may pass this gateway's share of that by so many square roots of the share (ours).
 const SHARE_SLACK: f64 = 1.0;
-/// Report weights: from which one tells of capacity, whatever the share; from which no probe is needed.
+/// LoadReport weights: from which one tells of capacity, whatever the share; from which no probe is needed.
 const MIN_REPORT_WEIGHT: f64 = 0.8;
 const FRESH_WEIGHT: f64 = 0.7;
 /// Threads a core that a price of one query's value counts as, times the squared unseen load (ours).
@@ -107,7 +107,7 @@
     pub(crate) fn draw_weight(&self, request: &Request, i: usize) -> f64 {
         let (engine, class, here) = (&self.engines[i], self.class(request.class), EngineId(i as u32));
         let is_remote = self.settings.zone.is_some_and(|zone| zone != engine.zone);
-        let is_closed = engine.last_send.is_none_or(|time| self.now - time >= self.settings.idle);
+        let is_closed = engine.last_send.is_none_or(|time| self.now - time >= self.settings.idle_timeout);
         let needs_handshake = engine.in_flight == 0 && is_closed;
         let crossing = if is_remote { self.settings.cross_zone_price } else { 0.0 };
         let price = crossing + if needs_handshake { self.settings.handshake_price } else { 0.0 };
@@ -115,11 +115,12 @@
         let load = self.utilisation(i) + class.threads / engine.cores.max(1.0) + price_as_load;
         let slowness = relative_slowness(engine, self.median_slowness).max(1.0);
         let health = (1.0 - engine.failure_rate.value()).max(0.01) / slowness;
-        let is_cached = !class.load && engine.recent_tables.contains(request.table_group);
-        let is_loading = |r: &Request| r.table_group == request.table_group && self.class(r.class).load;
+        let is_cached = !class.loads_tables && engine.recent_tables.contains(request.table_group);
+        let is_loading =
+            |r: &Request| r.table_group == request.table_group && self.class(r.class).loads_tables;
         let is_here = |r: &Request| r.in_flight.as_ref().is_some_and(|attempt| attempt.engine == here);
         let has_load = || self.requests.values().any(|r| is_loading(r) && is_here(r));
-        let is_avoided = request.last_engine == Some(here) || class.load && has_load();
+        let is_avoided = request.last_engine == Some(here) || class.loads_tables && has_load();
         let bonus = self.settings.zone_weight(engine.zone) * if is_cached { CACHED_FACTOR } else { 1.0 };
         let weight = engine.cores * (-DRAW_STEEPNESS * load).exp() * health.powi(2) * bonus;
         weight * if is_avoided { AVOIDED_FACTOR } else { 1.0 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -34,11 +34,12 @@
 
 /// What kind of update of the endpoint list came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Only what changed.
     Changes,
-    /// The whole list.
-    Whole,
+    /// The complete list.
+    #[serde(rename = "Whole")]
+    Complete,
     /// The list as last cached, possibly out of date.
     Remembered,
     /// A request for the list failed; the old one stays.
@@ -47,50 +48,63 @@
 
 /// A load report. What an engine does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Queries in progress.
-    pub in_hand: Option<f64>,
+    #[serde(rename = "in_hand")]
+    pub queries_in_flight: Option<f64>,
     /// Queries waiting for memory.
-    pub waiting: Option<f64>,
+    #[serde(rename = "waiting")]
+    pub queries_waiting_for_memory: Option<f64>,
     /// Fraction of the cores in use, 0 to 1.
-    pub busy: Option<f64>,
+    #[serde(rename = "busy")]
+    pub busy_core_fraction: Option<f64>,
     /// Fraction of the memory granted, 0 to 1.
-    pub memory: Option<f64>,
+    #[serde(rename = "memory")]
+    pub granted_memory_fraction: Option<f64>,
     /// Fraction of the disks in use, 0 to 1.
-    pub disks: Option<f64>,
+    #[serde(rename = "disks")]
+    pub busy_disk_fraction: Option<f64>,
 }
 
 /// How an attempt or a load probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Served.
-    Delivered,
+    #[serde(rename = "Delivered")]
+    Succeeded,
     /// The engine responded with an error; the attempt may have executed.
-    Error,
+    #[serde(rename = "Error")]
+    EngineError,
     /// Rejected by the engine at its limit; never executed.
-    Shed,
+    #[serde(rename = "Shed")]
+    RejectedByEngine,
     /// No response in time; it may have executed or still execute.
-    Expired,
+    #[serde(rename = "Expired")]
+    TimedOut,
     /// No connection; never executed.
-    DialFailed,
+    #[serde(rename = "DialFailed")]
+    ConnectFailed,
     /// The connection broke; it may have executed.
-    Dropped,
+    #[serde(rename = "Dropped")]
+    ConnectionLost,
     /// Cancelled; it may have executed.
-    Revoked,
+    #[serde(rename = "Revoked")]
+    Cancelled,
     /// Never sent.
-    Unused,
+    #[serde(rename = "Unused")]
+    NeverSent,
 }
 
 impl Outcome {
     /// Whether the outcome proves that the attempt never executed.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Shed | Outcome::DialFailed | Outcome::Unused)
+        matches!(self, Outcome::RejectedByEngine | Outcome::ConnectFailed | Outcome::NeverSent)
     }
 }
 
 /// Resources that a query used, as reported in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Bill {
+pub struct QueryCost {
     /// Work in thread-seconds.
     pub work: f64,
     /// Memory in MB.
@@ -99,7 +113,7 @@
 
 /// A note on a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
+pub enum ProgressNote {
     /// Fraction done, roughly, 0 to 1.
     Progress(f64),
     /// It spills to disk for want of so many MB.
@@ -135,30 +149,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An update of the endpoint list.
-    List {
+    #[serde(rename = "List")]
+    EndpointsChanged {
         /// What kind of update.
-        kind: ListKind,
+        kind: EndpointUpdate,
         /// Its entries.
         entries: Vec<EngineEntry>,
     },
     /// A client's request came in.
-    Arrived(Arrival),
+    #[serde(rename = "Arrived")]
+    RequestArrived(Arrival),
     /// A streamed answer began: it has reached the client, so that nothing is retried from here on.
-    Started {
+    #[serde(rename = "Started")]
+    ResponseStarted {
         /// The request.
         id: RequestId,
     },
     /// A note on a running attempt.
-    Noted {
+    #[serde(rename = "Noted")]
+    ProgressReported {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
         /// The note.
-        note: Note,
+        note: ProgressNote,
     },
     /// An attempt ended.
-    Ended {
+    #[serde(rename = "Ended")]
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The attempt's number.
@@ -170,12 +189,14 @@
         /// The client has its response.
         complete: bool,
         /// The resources it used, where reported.
-        bill: Option<Bill>,
+        #[serde(rename = "bill")]
+        query_cost: Option<QueryCost>,
         /// The engine's load report.
-        report: Report,
+        report: LoadReport,
     },
     /// The client cancelled or disconnected.
-    GivenUp {
+    #[serde(rename = "GivenUp")]
+    RequestAbandoned {
         /// The request.
         id: RequestId,
     },
@@ -185,28 +206,33 @@
         token: u64,
     },
     /// A load probe ended.
-    Probed {
+    #[serde(rename = "Probed")]
+    ProbeCompleted {
         /// The engine.
         engine: EngineId,
         /// How it ended.
         outcome: Outcome,
         /// Its load report.
-        report: Report,
+        report: LoadReport,
     },
     /// Another gateway's message.
-    Heard {
+    #[serde(rename = "Heard")]
+    PeerMessageReceived {
         /// Its number.
         from: u32,
         /// The message.
         message: Vec<u8>,
     },
     /// The fleet as gossip has it: how many gateways share budgets, and the retries that the others leave over.
-    Fleet {
+    #[serde(rename = "Fleet")]
+    FleetChanged {
         /// Gateways, this one included.
         gateways: u32,
         /// Retries left over by others.
-        spare: f64,
+        #[serde(rename = "spare")]
+        spare_retries: f64,
     },
     /// Zone failover: the zones' weights in the draw, by number.
-    Zones(Vec<f64>),
+    #[serde(rename = "Zones")]
+    ZoneWeightsChanged(Vec<f64>),
 }
--- a/crates/policy/src/load_estimation.rs
+++ b/crates/policy/src/load_estimation.rs
@@ -45,16 +45,24 @@
         self.estimated_threads(engine) / (engine.cores * self.capacity_fraction(engine)).max(1e-3)
     }
 
-    pub(crate) fn on_report(&mut self, i: usize, report: Report) {
-        if report.in_hand.is_none() && report.busy.is_none() && report.waiting.is_none() {
+    pub(crate) fn on_report(&mut self, i: usize, report: LoadReport) {
+        if report.queries_in_flight.is_none()
+            && report.busy_core_fraction.is_none()
+            && report.queries_waiting_for_memory.is_none()
+        {
             return;
         }
         let mean_threads = self.thread_time / self.query_time.max(1e-6);
         let mean = self.mean_load() * self.engines[i].cores;
         let engine = &mut self.engines[i];
-        let total = report.in_hand.map(|n| n * mean_threads).or(report.busy.map(|b| b * engine.cores));
-        (engine.reported_at, engine.waiting) = (Some(self.now), report.waiting.unwrap_or(0.0));
-        engine.saturated = report.in_hand.is_none() && total.is_some_and(|t| t > SATURATED * engine.cores);
+        let total = report
+            .queries_in_flight
+            .map(|n| n * mean_threads)
+            .or(report.busy_core_fraction.map(|b| b * engine.cores));
+        (engine.reported_at, engine.waiting) =
+            (Some(self.now), report.queries_waiting_for_memory.unwrap_or(0.0));
+        engine.saturated =
+            report.queries_in_flight.is_none() && total.is_some_and(|t| t > SATURATED * engine.cores);
         engine.others_threads = total.map_or(mean, |t| (t - engine.average_threads.value()).max(0.0));
         if total.is_some() {
             self.others_load.update(engine.others_threads / engine.cores, AVERAGE_WEIGHT);
@@ -62,8 +70,8 @@
         }
     }
 
-    pub(crate) fn on_probed(&mut self, i: usize, outcome: Outcome, report: Report) {
-        if outcome == Outcome::Expired {
+    pub(crate) fn on_probed(&mut self, i: usize, outcome: Outcome, report: LoadReport) {
+        if outcome == Outcome::TimedOut {
             self.mark_full(i);
         }
         self.on_report(i, report);
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -22,7 +22,7 @@
         let grant =
             if state.memory_samples > 0 { (state.memory_log_ratio + slack).exp() } else { state.grant };
         let grant_mb = request.memory_mb.filter(|_| self.settings.grants).map(|estimate| estimate * grant);
-        Action::Terms { id, grant_mb, level: Level(request.level as u8) }
+        Action::SetExecutionTerms { id, grant_mb, level: Level(request.level as u8) }
     }
 }
 
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -35,7 +35,7 @@
             engine.backoff_until = self.now + TimeDelta::from_micros(backoff);
             engine.connect_failures += 1;
         }
-        if engine.connect_failures >= 2 && self.settings.cold_for > TimeDelta::ZERO {
+        if engine.connect_failures >= 2 && self.settings.slow_start_duration > TimeDelta::ZERO {
             engine.started_at = Some(self.now);
         }
     }
@@ -69,7 +69,7 @@
     }
 
     fn record_overdue_attempts(&mut self) {
-        let max_quiet = MAX_MISSED_NOTES * self.settings.progress_pace.as_secs_f64();
+        let max_quiet = MAX_MISSED_NOTES * self.settings.progress_interval.as_secs_f64();
         self.engines.iter_mut().for_each(|engine| engine.overdue = 0);
         for attempt in self.requests.values_mut().filter_map(|r| r.in_flight.as_mut()) {
             let engine = &mut self.engines[attempt.engine.0 as usize];
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -16,42 +16,44 @@
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.timer_armed, true) {
-            out.push(Action::Timer { delay: TICK, token: 0 });
+            out.push(Action::StartTimer { delay: TICK, token: 0 });
         }
         let is_tick = matches!(event, Event::Timer { .. });
         match event {
-            Event::Arrived(arrival) => return self.on_arrival(arrival, out),
-            Event::Started { id } => return self.on_started(id),
-            Event::Noted { id, attempt, note } => return self.on_note(id, attempt, note, out),
-            Event::GivenUp { id } => return self.finish(id, out),
-            Event::Heard { .. } => return,
-            Event::Zones(weights) => return self.settings.zone_weights = weights,
-            Event::Fleet { gateways, spare } => return self.on_fleet(gateways, spare),
-            Event::List { kind, entries } => self.on_list(kind, entries),
-            ended @ Event::Ended { .. } => self.on_ended(ended, out),
+            Event::RequestArrived(arrival) => return self.on_arrival(arrival, out),
+            Event::ResponseStarted { id } => return self.on_started(id),
+            Event::ProgressReported { id, attempt, note } => return self.on_note(id, attempt, note, out),
+            Event::RequestAbandoned { id } => return self.finish(id, out),
+            Event::PeerMessageReceived { .. } => return,
+            Event::ZoneWeightsChanged(weights) => return self.settings.zone_weights = weights,
+            Event::FleetChanged { gateways, spare_retries } => return self.on_fleet(gateways, spare_retries),
+            Event::EndpointsChanged { kind, entries } => self.on_list(kind, entries),
+            ended @ Event::AttemptEnded { .. } => self.on_ended(ended, out),
             Event::Timer { .. } => self.on_tick(out),
-            Event::Probed { engine, outcome, report } => self.on_probed(engine.0 as usize, outcome, report),
+            Event::ProbeCompleted { engine, outcome, report } => {
+                self.on_probed(engine.0 as usize, outcome, report)
+            }
         }
         self.dispatch(None, out);
         if is_tick {
-            out.push(Action::Timer { delay: TICK, token: 0 });
+            out.push(Action::StartTimer { delay: TICK, token: 0 });
         }
     }
 
-    fn on_fleet(&mut self, gateways: u32, spare: f64) {
+    fn on_fleet(&mut self, gateways: u32, spare_retries: f64) {
         self.settings.gateways = gateways.max(1);
-        self.settings.spare = spare;
+        self.settings.spare_retries = spare_retries;
     }
 
     fn on_started(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.answered = true);
     }
 
-    fn on_list(&mut self, kind: ListKind, entries: Vec<EngineEntry>) {
-        if kind == ListKind::Failed {
+    fn on_list(&mut self, kind: EndpointUpdate, entries: Vec<EngineEntry>) {
+        if kind == EndpointUpdate::Failed {
             return self.next_watch = Some(self.now + PRICING_INTERVAL);
         }
-        if kind != ListKind::Changes {
+        if kind != EndpointUpdate::Changes {
             self.engines.iter_mut().for_each(|engine| engine.listed = false);
         }
         entries.into_iter().for_each(|entry| self.on_entry(entry));
@@ -77,7 +79,7 @@
             (engine.ejected, engine.unresponsive) = (false, false);
             engine.backoff_until = self.now;
             engine.recent_tables.clear();
-            engine.next_lottery = self.now + self.settings.fall_span;
+            engine.next_lottery = self.now + self.settings.slow_start_window;
             engine.lottery = self.random.next_unit();
         }
         engine.listed = entry.state == EngineState::Ready;
@@ -89,7 +91,7 @@
     fn on_tick(&mut self, out: &mut Vec<Action>) {
         if self.next_watch.is_some_and(|time| self.now >= time) {
             self.next_watch = None;
-            out.push(Action::Watch);
+            out.push(Action::WatchEndpoints);
         }
         while self.now >= self.next_pricing {
             self.next_pricing = self.next_pricing + PRICING_INTERVAL;
@@ -100,7 +102,7 @@
             engine.average_threads.update(engine.threads, AVERAGE_WEIGHT);
             if self.now >= engine.next_lottery {
                 engine.lottery = self.random.next_unit();
-                engine.next_lottery = self.now + self.settings.fall_span;
+                engine.next_lottery = self.now + self.settings.slow_start_window;
             }
         }
         let mut above = [0.0; LEVELS];
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -18,34 +18,45 @@
         /// Its cost as estimated.
         cost: f64,
         /// Expected time to its answer there (the paper's tau).
-        tau: f64,
+        #[serde(rename = "tau")]
+        expected_time: f64,
         /// The toll there (the paper's term), in value.
-        toll: f64,
+        #[serde(rename = "toll")]
+        price: f64,
         /// Its value less its delay cost.
-        worth: f64,
+        #[serde(rename = "worth")]
+        net_value: f64,
         /// Its latency objective.
-        wanted: f64,
+        #[serde(rename = "wanted")]
+        latency_objective: f64,
         /// Own threads in flight.
-        own: f64,
+        #[serde(rename = "own")]
+        own_threads: f64,
         /// This gateway's share of the listed cores.
-        share: f64,
+        #[serde(rename = "share")]
+        core_share: f64,
         /// It is admitted because cores are free.
-        free: bool,
+        #[serde(rename = "free")]
+        has_free_cores: bool,
         /// It is admitted.
-        enters: bool,
+        #[serde(rename = "enters")]
+        admitted: bool,
     },
     /// An engine is drawn for a request.
     Drawn {
         /// The request.
         id: RequestId,
         /// The number drawn, 0 to 1.
-        dice: f64,
+        #[serde(rename = "dice")]
+        random_unit: f64,
         /// Threads a core up to which its level may fill an engine.
-        fill: f64,
+        #[serde(rename = "fill")]
+        max_utilisation: f64,
         /// The engine drawn; `None`: it stays queued.
         chosen: Option<EngineId>,
         /// Every engine that the list does not have as gone.
-        among: Vec<Candidate>,
+        #[serde(rename = "among")]
+        candidates: Vec<Candidate>,
     },
     /// A request is rejected or failed.
     Answered {
@@ -56,19 +67,26 @@
         /// Attempts that ended with an engine's error.
         errors: u32,
         /// Time left to its client.
-        left: f64,
+        #[serde(rename = "left")]
+        time_left: f64,
         /// The rules would allow it a retry.
-        may_repeat: bool,
+        #[serde(rename = "may_repeat")]
+        retry_allowed: bool,
         /// The retry budget has room.
-        budget: bool,
+        #[serde(rename = "budget")]
+        has_retry_budget: bool,
         /// Time to an answer, from its arrival, if it were sent now.
-        in_all: f64,
+        #[serde(rename = "in_all")]
+        expected_total_time: f64,
         /// The value of that answer less its delay cost.
-        worth: f64,
+        #[serde(rename = "worth")]
+        net_value: f64,
         /// The least toll now.
-        toll: f64,
+        #[serde(rename = "toll")]
+        price: f64,
         /// Time that the queued work takes this gateway's share of the cores.
-        jam: f64,
+        #[serde(rename = "jam")]
+        queue_delay: f64,
     },
     /// An attempt is cancelled.
     Cancelled {
@@ -81,9 +99,11 @@
         /// How long it has been in flight.
         age: f64,
         /// Its expected latency.
-        expected: f64,
+        #[serde(rename = "expected")]
+        expected_latency: f64,
         /// Time since it was last noted.
-        unheard: f64,
+        #[serde(rename = "unheard")]
+        since_progress: f64,
         /// Its engine is ejected.
         #[serde(rename = "distrusted")]
         ejected: bool,
@@ -98,19 +118,21 @@
     /// Which.
     pub engine: EngineId,
     /// What excludes it from the draw.
-    pub bar: Option<Bar>,
+    #[serde(rename = "bar")]
+    pub ineligible: Option<IneligibleReason>,
     /// Its weight, 0 where it is excluded.
     pub weight: f64,
     /// Estimated threads a core.
     pub utilisation: f64,
     /// How much the last report of its load still counts, 0 to 1.
-    pub trust: f64,
+    #[serde(rename = "trust")]
+    pub report_weight: f64,
 }
 
 /// What excludes an engine from a draw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Bar {
+pub enum IneligibleReason {
     /// The endpoint list does not have it as ready.
     NotListed,
     /// A rule: placement, deduplication of retries, or the slow-start budget.
@@ -120,7 +142,9 @@
     /// It just failed this request.
     JustFailed,
     /// The request chooses among a few other engines.
-    NotAmongFew,
+    #[serde(rename = "not_among_few")]
+    NotSampled,
     /// It has no capacity for this level by estimate.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -17,7 +17,10 @@
 
 impl Policy {
     pub(crate) fn on_ended(&mut self, ended: Event, out: &mut Vec<Action>) {
-        let Event::Ended { id, attempt, outcome, latency, complete, bill, report } = ended else { return };
+        let Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } = ended
+        else {
+            return;
+        };
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.take_if(|a| a.number == attempt) else { return };
         let (class, level, i) = (request.class, request.level, attempt.engine.0 as usize);
@@ -25,13 +28,14 @@
         if !outcome.never_ran() {
             request.may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
         }
-        request.errors += u32::from(outcome == Outcome::Error);
+        request.errors += u32::from(outcome == Outcome::EngineError);
         request.answered |= complete;
         let (answered, age) = (request.answered, (self.now - request.arrived).as_secs_f64());
-        let may_still_run = matches!(outcome, Outcome::Expired | Outcome::Dropped | Outcome::Revoked);
+        let may_still_run =
+            matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled);
         let key = request.key.as_ref().filter(|_| may_still_run);
         if let Some(queue) = key.and_then(|key| self.keys.get_mut(key)) {
-            queue.blocked_until = self.now + self.settings.order_settle;
+            queue.blocked_until = self.now + self.settings.key_settle_time;
         }
         self.own_threads -= threads;
         self.thread_time += threads * latency.as_secs_f64();
@@ -41,25 +45,27 @@
         engine.in_flight -= 1;
         let zone = self.zones.entry(engine.zone).or_default();
         match outcome {
-            Outcome::Delivered | Outcome::Error | Outcome::Shed => zone.record_response(self.now),
-            Outcome::DialFailed => zone.record_silence(&attempt, MIN_SILENT_ENGINES),
+            Outcome::Succeeded | Outcome::EngineError | Outcome::RejectedByEngine => {
+                zone.record_response(self.now)
+            }
+            Outcome::ConnectFailed => zone.record_silence(&attempt, MIN_SILENT_ENGINES),
             _ => {}
         }
         match outcome {
-            Outcome::Delivered => engine.failure_rate.update(0.0, SUCCESS_WEIGHT),
-            Outcome::Revoked | Outcome::Unused | Outcome::Expired => {}
+            Outcome::Succeeded => engine.failure_rate.update(0.0, SUCCESS_WEIGHT),
+            Outcome::Cancelled | Outcome::NeverSent | Outcome::TimedOut => {}
             _ => engine.failure_rate.update(1.0, FAILURE_WEIGHT),
         }
         self.on_report(i, report);
         match outcome {
-            Outcome::Delivered => self.on_delivered(id, &attempt, latency.as_secs_f64(), age, bill),
-            Outcome::Expired => self.record_wait(class, level, age),
-            Outcome::DialFailed => self.record_connect_failure(i),
-            Outcome::Shed => self.back_off_full(i),
+            Outcome::Succeeded => self.on_delivered(id, &attempt, latency.as_secs_f64(), age, query_cost),
+            Outcome::TimedOut => self.record_wait(class, level, age),
+            Outcome::ConnectFailed => self.record_connect_failure(i),
+            Outcome::RejectedByEngine => self.back_off_full(i),
             _ => {}
         }
         match self.requests.get(&id) {
-            _ if answered || outcome == Outcome::Delivered => self.finish(id, out),
+            _ if answered || outcome == Outcome::Succeeded => self.finish(id, out),
             Some(r) if r.errors < MAX_ERRORS && self.can_retry(r) => {
                 _ = self.queue.insert(queue_position(r), id)
             }
@@ -68,10 +74,10 @@
     }
 
     /// Learns from an answer: its class's work, memory, latencies and wait, and its engine's health.
-    fn on_delivered(&mut self, id: RequestId, at: &Attempt, latency: f64, age: f64, bill: Option<Bill>) {
+    fn on_delivered(&mut self, id: RequestId, at: &Attempt, latency: f64, age: f64, bill: Option<QueryCost>) {
         let Some(request) = self.requests.get(&id) else { return };
         let (class, level, cost) = (request.class, request.level, request.cost);
-        let (threads, is_load) = (self.class(class).threads, self.class(class).load);
+        let (threads, is_load) = (self.class(class).threads, self.class(class).loads_tables);
         let state = &mut self.classes[class];
         if let Some(bill) = bill.filter(|_| cost > 0.0) {
             state.work_ratio.update((bill.work / cost).min(MAX_WORK_RATIO), WORK_RATIO_WEIGHT);
@@ -106,11 +112,12 @@
     }
 
     pub(crate) fn has_retry_budget(&self) -> bool {
-        let Some(budget) = self.settings.attempt_budget else { return true };
-        let start = self.now - budget.span;
+        let Some(budget) = self.settings.retry_budget else { return true };
+        let start = self.now - budget.window;
         let requests = self.recent_requests.count_after(start) as f64;
         // A tick longer than asked, so that no edge of the window matters.
         let retries = self.recent_retries.count_after(start - TICK);
-        (retries + 1) as f64 <= budget.free + budget.share * requests + self.settings.spare
+        (retries + 1) as f64
+            <= budget.free_retries + budget.retries_per_request * requests + self.settings.spare_retries
     }
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -30,13 +30,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ClassSettings {
     /// Value of one request answered in time (the paper's term).
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Fraction of the value that a late answer still earns, 0 to 1.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_value_fraction: f64,
     /// Latency objective, before the stretch for the request's own work.
-    pub aim: TimeDelta,
+    #[serde(rename = "aim")]
+    pub latency_objective: TimeDelta,
     /// The objective grows by this times the request's work over its threads.
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub objective_per_work: f64,
     /// How long a client waits at most.
     pub deadline: TimeDelta,
     /// What a retry may do.
@@ -46,11 +50,13 @@
     /// For keyed classes: how long retries are deduplicated.
     pub repeat_window: TimeDelta,
     /// Requests with one key run one at a time, in order of arrival.
-    pub in_turn: bool,
+    #[serde(rename = "in_turn")]
+    pub ordered_by_key: bool,
     /// Threads that a query of the class runs on.
     pub threads: f64,
     /// The query is a load: it locks its group of tables on its engine while it runs.
-    pub load: bool,
+    #[serde(rename = "load")]
+    pub loads_tables: bool,
     /// Machine kinds that may run the class; all if absent.
     pub kinds: Option<Vec<u32>>,
     /// Zones that may run the class; all if absent.
@@ -88,13 +94,16 @@
 
 /// The retry budget: a sliding window of retries against requests.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
-pub struct AttemptBudget {
+pub struct RetryBudgetSettings {
     /// Length of the sliding window.
-    pub span: TimeDelta,
+    #[serde(rename = "span")]
+    pub window: TimeDelta,
     /// Retries allowed in any case.
-    pub free: f64,
+    #[serde(rename = "free")]
+    pub free_retries: f64,
     /// Retries allowed for each request received.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub retries_per_request: f64,
 }
 
 /// All settings of a gateway.
@@ -106,13 +115,15 @@
     /// Tenants, if any.
     pub tenants: Vec<TenantSettings>,
     /// Factor on the value of a request beyond its tenant's quota.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_value_factor: f64,
     /// Number of gateways in this tier, this one included.
     pub gateways: u32,
     /// This gateway's index among them.
     pub position: u32,
     /// The endpoint list is sent on request only.
-    pub must_ask: bool,
+    #[serde(rename = "must_ask")]
+    pub must_poll_endpoints: bool,
     /// How load reports come.
     pub report_via: ReportVia,
     /// Reports have the queries in progress or the busy cores.
@@ -128,9 +139,11 @@
     /// Engines obey priority levels.
     pub priorities: bool,
     /// Time between progress notes; zero where there are none.
-    pub progress_pace: TimeDelta,
+    #[serde(rename = "progress_pace")]
+    pub progress_interval: TimeDelta,
     /// Answers report the work and memory that a query used.
-    pub tells_cost: bool,
+    #[serde(rename = "tells_cost")]
+    pub reports_cost: bool,
     /// Attempts can be cancelled.
     pub cancel: bool,
     /// Load probes may be sent.
@@ -146,22 +159,30 @@
     /// Attempts on a draining engine must end within this.
     pub drain_grace: TimeDelta,
     /// An engine in slow start fails when sent more than this multiple of its capacity,
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub slow_start_multiple: f64,
     /// over a span of this length.
-    pub fall_span: TimeDelta,
+    #[serde(rename = "fall_span")]
+    pub slow_start_window: TimeDelta,
     /// Fraction of its capacity that an engine starts with.
-    pub start_share: f64,
+    #[serde(rename = "start_share")]
+    pub initial_capacity_fraction: f64,
     /// Length of the slow start.
-    pub cold_for: TimeDelta,
+    #[serde(rename = "cold_for")]
+    pub slow_start_duration: TimeDelta,
     /// A gateway that just started uses this share of its part of a cold engine's budget, rising evenly to all
-    /// of it in so many seconds; `None`: half of it for one `fall_span`.
-    pub cold_ramp: Option<(f64, f64)>,
+    /// of it in so many seconds; `None`: half of it for one `slow_start_window`.
+    #[serde(rename = "cold_ramp")]
+    pub restart_ramp: Option<(f64, f64)>,
     /// How long a key is blocked after an attempt that may still run.
-    pub order_settle: TimeDelta,
+    #[serde(rename = "order_settle")]
+    pub key_settle_time: TimeDelta,
     /// The retry budget, if there is one.
-    pub attempt_budget: Option<AttemptBudget>,
+    #[serde(rename = "attempt_budget")]
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// Further attempts that others leave to this gateway over its own budget, where the fleet spends together.
-    pub spare: f64,
+    #[serde(rename = "spare")]
+    pub spare_retries: f64,
     /// Price of one load probe, in the value of one query.
     pub probe_price: f64,
     /// This gateway's zone, by number; `None` where it is not configured.
@@ -173,7 +194,8 @@
     /// Price of one new connection, in the value of one query.
     pub handshake_price: f64,
     /// Idle timeout of a connection.
-    pub idle: TimeDelta,
+    #[serde(rename = "idle")]
+    pub idle_timeout: TimeDelta,
 }
 
 impl Settings {
@@ -189,10 +211,10 @@
         Settings {
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_value_factor: 1.0,
             gateways: 1,
             position: 0,
-            must_ask: false,
+            must_poll_endpoints: false,
             report_via: ReportVia::Silent,
             reports_load: false,
             kind_cores: Vec::new(),
@@ -200,8 +222,8 @@
             grants: false,
             memory_short: MemoryShort::Waits,
             priorities: false,
-            progress_pace: TimeDelta::ZERO,
-            tells_cost: false,
+            progress_interval: TimeDelta::ZERO,
+            reports_cost: false,
             cancel: false,
             probes: false,
             peers: false,
@@ -209,20 +231,20 @@
             max_retry_after: TimeDelta::ZERO,
             max_attempts: 1,
             drain_grace: TimeDelta::ZERO,
-            fall_multiple: 1.0,
-            fall_span: TimeDelta::ZERO,
-            start_share: 1.0,
-            cold_for: TimeDelta::ZERO,
-            cold_ramp: None,
-            spare: 0.0,
+            slow_start_multiple: 1.0,
+            slow_start_window: TimeDelta::ZERO,
+            initial_capacity_fraction: 1.0,
+            slow_start_duration: TimeDelta::ZERO,
+            restart_ramp: None,
+            spare_retries: 0.0,
             zone_weights: Vec::new(),
-            order_settle: TimeDelta::ZERO,
-            attempt_budget: None,
+            key_settle_time: TimeDelta::ZERO,
+            retry_budget: None,
             probe_price: 0.0,
             zone: None,
             cross_zone_price: 0.0,
             handshake_price: 0.0,
-            idle: TimeDelta::ZERO,
+            idle_timeout: TimeDelta::ZERO,
         }
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -14,32 +14,34 @@
 const MIN_LOTTERY_PARTS: f64 = 4.0;
 
 impl Policy {
-    /// Fraction of its capacity that an engine has: from `start_share` up, linearly over `cold_for`.
+    /// Fraction of its capacity that an engine has: linear over `slow_start_duration`.
     pub(crate) fn capacity_fraction(&self, engine: &Engine) -> f64 {
         let Some(started) = engine.started_at else { return 1.0 };
-        let age = self.secs_since(started) / self.settings.cold_for.as_secs_f64().max(1e-3);
-        1.0 - (1.0 - self.settings.start_share) * (1.0 - age.clamp(0.0, 1.0))
+        let age = self.secs_since(started) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
+        1.0 - (1.0 - self.settings.initial_capacity_fraction) * (1.0 - age.clamp(0.0, 1.0))
     }
 
     /// Work charged to the budget: the class's mean, lest each of many gateways send a small query.
     pub(crate) fn charge(&self, class: usize) -> f64 {
         let (state, class) = (&self.classes[class], self.class(class));
         // Few estimates most often tell too little: a gateway that just started counts a full one in.
-        let prior = if self.now - self.started_at < self.settings.cold_for { PRIOR_CHARGES } else { 0.0 };
+        let prior =
+            if self.now - self.started_at < self.settings.slow_start_duration { PRIOR_CHARGES } else { 0.0 };
         let samples = f64::from(state.cost_samples.max(1));
-        let total = state.mean_cost * samples + class.aim.as_secs_f64() * class.threads * prior;
+        let total = state.mean_cost * samples + class.latency_objective.as_secs_f64() * class.threads * prior;
         total / (samples + prior) * state.work_ratio.value().max(1.0)
     }
 
-    /// This gateway's even part of what an engine in slow start may be sent in one `fall_span`.
+    /// This gateway's even part of what an engine in slow start may be sent in one `slow_start_window`.
     pub(crate) fn slow_start_budget(&self, engine: &Engine) -> f64 {
-        let span = self.settings.fall_span;
-        let multiple = self.settings.fall_multiple * self.capacity_fraction(engine) * span.as_secs_f64();
+        let span = self.settings.slow_start_window;
+        let multiple =
+            self.settings.slow_start_multiple * self.capacity_fraction(engine) * span.as_secs_f64();
         // A gateway that just started does not know its earlier sends: half counts as spent, or by the ramp.
         let age = self.now - self.started_at;
         let step = if age < span { 0.5 } else { 1.0 };
         let ramp = |(from, secs): (f64, f64)| (from + age.as_secs_f64() / secs).min(1.0);
-        let unspent = self.settings.cold_ramp.map_or(step, ramp);
+        let unspent = self.settings.restart_ramp.map_or(step, ramp);
         multiple * engine.cores * USABLE_CORES * unspent / self.gateways()
     }
 
@@ -70,7 +72,7 @@
 
     pub(crate) fn has_slow_start_budget(&self, class: usize, engine: &Engine) -> bool {
         let charge = self.charge(class);
-        let spent = engine.recent_charges.sum(self.now, self.settings.fall_span);
+        let spent = engine.recent_charges.sum(self.now, self.settings.slow_start_window);
         let (fits, drawn) = self.budget_parts(engine);
         let is_light = charge * MIN_LOTTERY_PARTS <= self.slow_start_budget(engine) * self.gateways();
         spent + charge <= fits || is_light && spent <= 0.0 && engine.lottery * charge < drawn
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -303,7 +303,7 @@
             now,
             started_at: now,
             next_pricing: now + PRICING_INTERVAL,
-            next_watch: settings.must_ask.then_some(now),
+            next_watch: settings.must_poll_endpoints.then_some(now),
             settings,
             ..Policy::default()
         }
@@ -342,7 +342,7 @@
 
     /// The window of the retry budget and `tail`; zero without such a budget.
     pub(crate) fn budget_span(&self, tail: TimeDelta) -> TimeDelta {
-        self.settings.attempt_budget.map_or(TimeDelta::ZERO, |budget| budget.span + tail)
+        self.settings.retry_budget.map_or(TimeDelta::ZERO, |budget| budget.window + tail)
     }
 }
 
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -25,23 +25,23 @@
     mean: f64,
     cv: f64,
     threads: f64,
-    aim: f64,
+    latency_objective: f64,
     effect: Effect,
 }
 
 /// Middles of the site's ranges for look-ups, reports and loads.
 const KINDS: [Kind; 3] = [
-    Kind { share: 14.0, mean: 0.245, cv: 1.0, threads: 1.0, aim: 1.2, effect: Effect::Safe },
-    Kind { share: 2.5, mean: 4.1, cv: 1.6, threads: 3.0, aim: 1.5, effect: Effect::Safe },
-    Kind { share: 0.9, mean: 3.9, cv: 0.7, threads: 2.0, aim: 4.0, effect: Effect::Keyed },
+    Kind { share: 14.0, mean: 0.245, cv: 1.0, threads: 1.0, latency_objective: 1.2, effect: Effect::Safe },
+    Kind { share: 2.5, mean: 4.1, cv: 1.6, threads: 3.0, latency_objective: 1.5, effect: Effect::Safe },
+    Kind { share: 0.9, mean: 3.9, cv: 0.7, threads: 2.0, latency_objective: 4.0, effect: Effect::Keyed },
 ];
 
 fn settings(gateways: u32) -> Settings {
     let one = |k: &Kind| ClassSettings {
-        aim: TimeDelta::from_secs_f64(k.aim),
-        aim_stretch: 2.0,
+        latency_objective: TimeDelta::from_secs_f64(k.latency_objective),
+        objective_per_work: 2.0,
         deadline: TimeDelta::from_secs_f64(25.0),
-        late_worth: 0.5,
+        late_value_fraction: 0.5,
         threads: k.threads,
         group: DedupGroup::All,
         repeat_window: TimeDelta::from_secs_f64(15.0),
@@ -56,11 +56,15 @@
         priorities: true,
         cancel: true,
         max_attempts: 6,
-        fall_multiple: 2.5,
-        fall_span: TimeDelta::from_secs_f64(2.0),
-        start_share: 0.3,
-        cold_for: TimeDelta::from_secs_f64(15.0),
-        attempt_budget: Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 3.0, share: 0.1 }),
+        slow_start_multiple: 2.5,
+        slow_start_window: TimeDelta::from_secs_f64(2.0),
+        initial_capacity_fraction: 0.3,
+        slow_start_duration: TimeDelta::from_secs_f64(15.0),
+        retry_budget: Some(RetryBudgetSettings {
+            window: TimeDelta::from_secs_f64(5.0),
+            free_retries: 3.0,
+            retries_per_request: 0.1,
+        }),
         ..Settings::default()
     }
 }
@@ -141,7 +145,7 @@
 }
 
 struct Process {
-    brain: Policy,
+    policy: Policy,
     dice: Dice,
     lives: bool,
     next: u64,
@@ -159,29 +163,29 @@
 
 impl Process {
     fn new(set: &Settings, seed: u64, now: Timestamp) -> Process {
-        let brain = Policy::new(set.clone(), seed, now);
+        let policy = Policy::new(set.clone(), seed, now);
         let (next, class_of, cost_of, out) = (0, Vec::new(), Vec::new(), VecDeque::new());
         let (dice, lives, acts) = (Dice(seed ^ 0x5151), true, VecDeque::new());
-        Process { brain, dice, lives, next, class_of, cost_of, out, waiting: 0, untried: Vec::new(), acts }
+        Process { policy, dice, lives, next, class_of, cost_of, out, waiting: 0, untried: Vec::new(), acts }
     }
 
     /// Takes an event; adds the classes of what goes out to the cold engine. An engine that is down refuses.
     fn give(&mut self, now: Timestamp, event: Event, down: bool, went: &mut Vec<usize>) {
         let mut out = Vec::new();
-        self.brain.handle(now, event, &mut out);
+        self.policy.handle(now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { id, engine, .. } => {
+                Action::ForwardAttempt { id, engine, .. } => {
                     let refused = down && engine == COLD;
                     if engine == COLD && !refused {
                         went.push(self.class_of[id.0 as usize]);
                     }
-                    let attempt = self.brain.out(id).expect("it was just sent").0;
-                    let outcome = if refused { Outcome::DialFailed } else { Outcome::Delivered };
+                    let attempt = self.policy.in_flight_attempt(id).expect("it was just sent").0;
+                    let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Succeeded };
                     self.out.push_back((now + ANSWERED_IN, id, attempt, outcome));
                     self.tried(id);
                 }
-                Action::Refuse { id, .. } | Action::Fail { id, .. } => self.tried(id),
+                Action::Reject { id, .. } | Action::Fail { id, .. } => self.tried(id),
                 _ => {}
             }
         }
@@ -213,7 +217,7 @@
             memory_mb: None,
             key: None,
         };
-        self.give(now, Event::Arrived(arrival), down, went);
+        self.give(now, Event::RequestArrived(arrival), down, went);
     }
 
     /// Answers what is due, from an engine that is idle.
@@ -221,15 +225,15 @@
         while let Some((_, id, attempt, outcome)) = self.out.front().copied().filter(|o| o.0 <= now) {
             self.out.pop_front();
             let work = self.cost_of[id.0 as usize];
-            let delivered = outcome == Outcome::Delivered;
-            let event = Event::Ended {
+            let delivered = outcome == Outcome::Succeeded;
+            let event = Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 latency: ANSWERED_IN,
                 complete: delivered,
-                bill: delivered.then_some(Bill { work, memory_mb: 0.0 }),
-                report: Report { in_hand: delivered.then_some(0.0), ..Report::default() },
+                query_cost: delivered.then_some(QueryCost { work, memory_mb: 0.0 }),
+                report: LoadReport { queries_in_flight: delivered.then_some(0.0), ..LoadReport::default() },
             };
             self.give(now, event, down, went);
         }
@@ -314,7 +318,7 @@
     if state != State::NewlyStarted {
         let before = entry(if restarted { COLD } else { EngineId(0) }, None);
         for g in &mut all {
-            let list = Event::List { kind: ListKind::Whole, entries: vec![before] };
+            let list = Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries: vec![before] };
             g.give(now, list, false, &mut unseen);
         }
         // Some hundred requests each, on an engine that is warm.
@@ -352,17 +356,23 @@
         for (i, p) in all.iter_mut().enumerate() {
             while let Some((_, act)) = p.acts.front().copied().filter(|a| a.0 <= now) {
                 p.acts.pop_front();
-                let list = |kind| Event::List { kind, entries: vec![entry(COLD, Some(since))] };
-                let kind = if state == State::NewlyStarted { ListKind::Remembered } else { ListKind::Whole };
+                let list = |kind| Event::EndpointsChanged { kind, entries: vec![entry(COLD, Some(since))] };
+                let kind = if state == State::NewlyStarted {
+                    EndpointUpdate::Remembered
+                } else {
+                    EndpointUpdate::Complete
+                };
                 match act {
                     Act::Told => p.give(now, list(kind), false, &mut went),
                     Act::Restart | Act::Start => {
                         let acts = std::mem::take(&mut p.acts);
                         *p = Process { acts, ..Process::new(&set, seed + 7_000 + i as u64, now) };
-                        p.give(now, list(ListKind::Remembered), false, &mut went);
+                        p.give(now, list(EndpointUpdate::Remembered), false, &mut went);
                     }
                     Act::Die => p.lives = false,
-                    Act::Parts(n) => p.give(now, Event::Fleet { gateways: n, spare: 0.0 }, false, &mut went),
+                    Act::Parts(n) => {
+                        p.give(now, Event::FleetChanged { gateways: n, spare_retries: 0.0 }, false, &mut went)
+                    }
                 }
             }
             if p.lives {
@@ -373,11 +383,12 @@
         now = now + TICK;
     }
     let bears = |at: TimeDelta| {
-        let warmth = set.start_share
-            + (1.0 - set.start_share) * (at.as_secs_f64() / set.cold_for.as_secs_f64()).min(1.0);
-        set.fall_multiple * warmth * CORES * CAPACITY * set.fall_span.as_secs_f64() / mean_work
+        let warmth = set.initial_capacity_fraction
+            + (1.0 - set.initial_capacity_fraction)
+                * (at.as_secs_f64() / set.slow_start_duration.as_secs_f64()).min(1.0);
+        set.slow_start_multiple * warmth * CORES * CAPACITY * set.slow_start_window.as_secs_f64() / mean_work
     };
-    let looks = (set.fall_span.as_micros() / TICK.as_micros()) as usize;
+    let looks = (set.slow_start_window.as_micros() / TICK.as_micros()) as usize;
     let late = matches!(state, State::ToldLate | State::ToldLateOfARestart);
     let all_told = if late { LATEST } else { TimeDelta::ZERO };
     let (mut sums, mut spans) = (Sums { worst: 0.0, most: 0.0, n: 0.0, at: 0.0, mean: 0.0 }, 0.0);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use sprucelink_policy::*;
 
 pub struct Bench {
-    pub brain: Policy,
+    pub policy: Policy,
     pub now: Timestamp,
     /// How long clients wait, seconds.
     pub patience: f64,
@@ -14,17 +14,17 @@
 
 pub fn class(effect: Effect) -> ClassSettings {
     ClassSettings {
-        worth: 1.0,
-        late_worth: 0.0,
-        aim: TimeDelta::from_secs_f64(1.0),
-        aim_stretch: 2.0,
+        value: 1.0,
+        late_value_fraction: 0.0,
+        latency_objective: TimeDelta::from_secs_f64(1.0),
+        objective_per_work: 2.0,
         deadline: TimeDelta::from_secs_f64(5.0),
         effect,
         group: DedupGroup::Cell,
         repeat_window: TimeDelta::from_secs_f64(2.0),
-        in_turn: false,
+        ordered_by_key: false,
         threads: 1.0,
-        load: false,
+        loads_tables: false,
         kinds: None,
         zones: None,
     }
@@ -37,10 +37,10 @@
         priorities: true,
         cancel: true,
         max_attempts: 4,
-        fall_multiple: 2.0,
-        fall_span: TimeDelta::from_secs_f64(1.0),
-        start_share: 0.3,
-        cold_for: TimeDelta::from_secs_f64(10.0),
+        slow_start_multiple: 2.0,
+        slow_start_window: TimeDelta::from_secs_f64(1.0),
+        initial_capacity_fraction: 0.3,
+        slow_start_duration: TimeDelta::from_secs_f64(10.0),
         ..Settings::default()
     }
 }
@@ -63,22 +63,22 @@
     }
     pub fn seeded(settings: Settings, seed: u64, engines: u32) -> Bench {
         let now = Timestamp::from_secs_f64(100.0);
-        let mut bench = Bench { brain: Policy::new(settings, seed, now), now, patience: 5.0, next: 0 };
-        bench.list(ListKind::Remembered, (0..engines).map(entry).collect());
+        let mut bench = Bench { policy: Policy::new(settings, seed, now), now, patience: 5.0, next: 0 };
+        bench.list(EndpointUpdate::Remembered, (0..engines).map(entry).collect());
         bench
     }
     pub fn give(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.brain.handle(self.now, event, &mut out);
+        self.policy.handle(self.now, event, &mut out);
         out
     }
-    pub fn list(&mut self, kind: ListKind, entries: Vec<EngineEntry>) -> Vec<Action> {
-        self.give(Event::List { kind, entries })
+    pub fn list(&mut self, kind: EndpointUpdate, entries: Vec<EngineEntry>) -> Vec<Action> {
+        self.give(Event::EndpointsChanged { kind, entries })
     }
     pub fn arrive(&mut self, class: usize, cost: f64, key: Option<&str>) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
-        let event = Event::Arrived(Arrival {
+        let event = Event::RequestArrived(Arrival {
             id,
             class: ClassId(class),
             tenant: 0,
@@ -91,27 +91,35 @@
         (id, self.give(event))
     }
     pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let complete = outcome == Outcome::Delivered;
-        let (latency, report) = (TimeDelta::from_secs_f64(0.1), Report::default());
-        self.give(Event::Ended { id, attempt, outcome, latency, complete, bill: None, report })
+        let complete = outcome == Outcome::Succeeded;
+        let (latency, report) = (TimeDelta::from_secs_f64(0.1), LoadReport::default());
+        self.give(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost: None, report })
     }
     /// A served answer whose report tells of so many queries in hand.
-    pub fn served(&mut self, id: RequestId, in_hand: f64) -> Vec<Action> {
-        let report = Report { in_hand: Some(in_hand), ..Report::default() };
-        let (latency, attempt, outcome) = (TimeDelta::from_secs_f64(0.1), 0, Outcome::Delivered);
-        self.give(Event::Ended { id, attempt, outcome, latency, complete: true, bill: None, report })
+    pub fn served(&mut self, id: RequestId, queries_in_flight: f64) -> Vec<Action> {
+        let report = LoadReport { queries_in_flight: Some(queries_in_flight), ..LoadReport::default() };
+        let (latency, attempt, outcome) = (TimeDelta::from_secs_f64(0.1), 0, Outcome::Succeeded);
+        self.give(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            latency,
+            complete: true,
+            query_cost: None,
+            report,
+        })
     }
     /// A few light queries come and are served, without news of load.
     pub fn warm_up(&mut self) {
         for _ in 0..8 {
             let (id, _) = self.arrive(0, 0.05, None);
-            self.end(id, 0, Outcome::Delivered);
+            self.end(id, 0, Outcome::Succeeded);
         }
     }
     /// A probe's answer that tells of so many queries in hand.
-    pub fn probe_told(&mut self, engine: EngineId, in_hand: f64) -> Vec<Action> {
-        let report = Report { in_hand: Some(in_hand), ..Report::default() };
-        self.give(Event::Probed { engine, outcome: Outcome::Delivered, report })
+    pub fn probe_told(&mut self, engine: EngineId, queries_in_flight: f64) -> Vec<Action> {
+        let report = LoadReport { queries_in_flight: Some(queries_in_flight), ..LoadReport::default() };
+        self.give(Event::ProbeCompleted { engine, outcome: Outcome::Succeeded, report })
     }
     /// Lets time pass in steps of the module's own timer.
     pub fn pass(&mut self, secs: f64) -> Vec<Action> {
@@ -127,14 +135,14 @@
 
 pub fn sent(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
     let pick = |a: &Action| match a {
-        Action::Send { id, engine, .. } => Some((*id, *engine)),
+        Action::ForwardAttempt { id, engine, .. } => Some((*id, *engine)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -12,9 +12,9 @@
         if to == EngineId(engine) {
             hits += 1;
             b.end(id, 0, outcome);
-            b.give(Event::GivenUp { id });
+            b.give(Event::RequestAbandoned { id });
         } else {
-            b.end(id, 0, Outcome::Delivered);
+            b.end(id, 0, Outcome::Succeeded);
         }
     }
     hits
@@ -23,8 +23,8 @@
 #[test]
 fn an_engine_that_fails_at_once_does_not_draw_the_traffic() {
     let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 4);
-    count_to(&mut b, 2, 80, Outcome::Error);
-    let hits = count_to(&mut b, 2, 100, Outcome::Error);
+    count_to(&mut b, 2, 80, Outcome::EngineError);
+    let hits = count_to(&mut b, 2, 100, Outcome::EngineError);
     assert!(hits <= 5, "{hits} of 100");
 }
 
@@ -36,9 +36,9 @@
         let mut b = Bench::seeded(settings(vec![class(Effect::Safe)]), seed, 3);
         let (id, out) = b.arrive(0, 0.1, None);
         let first = sent(&out)[0].1;
-        let again = b.end(id, 0, Outcome::Error);
+        let again = b.end(id, 0, Outcome::EngineError);
         assert_ne!(sent(&again)[0].1, first);
-        let over = b.end(id, 1, Outcome::Error);
+        let over = b.end(id, 1, Outcome::EngineError);
         assert!(sent(&over).is_empty() && refused(&over, id));
     }
 }
@@ -49,7 +49,7 @@
     for _ in 0..3 {
         let (id, out) = b.arrive(0, 0.1, None);
         assert_eq!(sent(&out).len(), 1);
-        b.end(id, 0, Outcome::Dropped);
+        b.end(id, 0, Outcome::ConnectionLost);
     }
     b.pass(1.0);
     let out: Vec<Action> = (0..8).flat_map(|_| b.arrive(0, 1.0, None).1).collect();
@@ -64,7 +64,7 @@
     for _ in 0..40 {
         let (id, out) = b.arrive(0, 0.1, None);
         let to = sent(&out)[0].1;
-        let outcome = if to == EngineId(0) { Outcome::DialFailed } else { Outcome::Delivered };
+        let outcome = if to == EngineId(0) { Outcome::ConnectFailed } else { Outcome::Succeeded };
         b.end(id, 0, outcome);
         last = if to == EngineId(0) { Some(b.now) } else { last };
         b.now = b.now + TimeDelta::from_micros(5_000);
@@ -81,7 +81,7 @@
         let (id, out) = b.arrive(0, 0.1, None);
         let to = sent(&out).first().map(|s| s.1);
         if to.is_some_and(|e| e != EngineId(1)) {
-            b.end(id, 0, Outcome::Delivered);
+            b.end(id, 0, Outcome::Succeeded);
         } else if i >= 150 {
             late_hits += 1;
         }
@@ -96,7 +96,7 @@
     let mut b = Bench::new(Settings { gateways, ..settings(vec![class(Effect::Safe)]) }, 4);
     let (id, _) = b.arrive(0, 0.5, None);
     let mut terms = b.pass(1.9).into_iter().filter_map(|a| match a {
-        Action::Terms { id: i, level, .. } if i == id => Some(level.0),
+        Action::SetExecutionTerms { id: i, level, .. } if i == id => Some(level.0),
         _ => None,
     });
     terms.next_back()
@@ -114,12 +114,12 @@
     let (id, out) = b.arrive(0, 1.0, None);
     let first = sent(&out)[0].1;
     b.pass(1.0);
-    let out = b.give(Event::Noted { id, attempt: 0, note: Note::Progress(0.5) });
+    let out = b.give(Event::ProgressReported { id, attempt: 0, note: ProgressNote::Progress(0.5) });
     assert!(out.is_empty(), "half done is fine");
     b.pass(0.5);
-    let out = b.give(Event::Noted { id, attempt: 0, note: Note::Progress(0.05) });
+    let out = b.give(Event::ProgressReported { id, attempt: 0, note: ProgressNote::Progress(0.05) });
     assert_eq!(out, vec![Action::Cancel { id, attempt: 0 }]);
-    let out = b.end(id, 0, Outcome::Revoked);
+    let out = b.end(id, 0, Outcome::Cancelled);
     assert!(sent(&out).len() == 1 && sent(&out)[0].1 != first, "elsewhere, once the first has ended");
 }
 
@@ -131,7 +131,7 @@
     for _ in 0..60 {
         let (id, sends) = b.arrive(0, 0.05, None);
         out = sends;
-        b.end(id, 0, Outcome::Error);
+        b.end(id, 0, Outcome::EngineError);
         b.now = b.now + TimeDelta::from_micros(10_000);
     }
     assert_eq!(sent(&out).len(), 1);
@@ -152,16 +152,16 @@
 fn nothing_unknown_disturbs() {
     let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 1);
     let id = RequestId(999);
-    assert!(b.end(id, 0, Outcome::Delivered).is_empty());
-    assert!(b.give(Event::GivenUp { id }).is_empty());
-    assert!(b.give(Event::Noted { id, attempt: 3, note: Note::Progress(0.1) }).is_empty());
-    let (engine, report) = (EngineId(77), Report::default());
-    assert!(b.give(Event::Probed { engine, outcome: Outcome::DialFailed, report }).is_empty());
+    assert!(b.end(id, 0, Outcome::Succeeded).is_empty());
+    assert!(b.give(Event::RequestAbandoned { id }).is_empty());
+    assert!(b.give(Event::ProgressReported { id, attempt: 3, note: ProgressNote::Progress(0.1) }).is_empty());
+    let (engine, report) = (EngineId(77), LoadReport::default());
+    assert!(b.give(Event::ProbeCompleted { engine, outcome: Outcome::ConnectFailed, report }).is_empty());
     let (id, out) = b.arrive(0, 0.1, None);
     assert_eq!(sent(&out).len(), 1);
-    assert!(b.end(id, 5, Outcome::Error).is_empty(), "no such attempt");
-    b.end(id, 0, Outcome::Delivered);
-    assert!(b.end(id, 0, Outcome::Delivered).is_empty(), "already finished");
+    assert!(b.end(id, 5, Outcome::EngineError).is_empty(), "no such attempt");
+    b.end(id, 0, Outcome::Succeeded);
+    assert!(b.end(id, 0, Outcome::Succeeded).is_empty(), "already finished");
 }
 
 #[test]
@@ -173,7 +173,7 @@
             let (id, out) = b.arrive(0, 0.1, None);
             all.extend(out);
             if i % 3 != 0 {
-                all.extend(b.end(id, 0, Outcome::Delivered));
+                all.extend(b.end(id, 0, Outcome::Succeeded));
             }
             all.extend(b.pass(0.02));
         }
@@ -193,7 +193,7 @@
         }
     }
     assert!(!held.is_empty(), "some are held");
-    // Wanted within 1.4 s: with nothing to spare they would be kept until 1.2 s had gone.
+    // Wanted within 1.4 s: with nothing to spare_retries they would be kept until 1.2 s had gone.
     let out = b.pass(1.0);
     assert!(held.iter().all(|id| refused(&out, *id)));
 }
@@ -208,13 +208,13 @@
     let time_left = TimeDelta::from_secs_f64(0.3);
     let (class, cost, key) = (ClassId(0), Some(0.2), None);
     let a = Arrival { id, class, tenant: 0, tables: 1, time_left, cost, memory_mb: None, key };
-    let out = b.give(Event::Arrived(a));
+    let out = b.give(Event::RequestArrived(a));
     assert!(refused(&out, id) || refused(&b.pass(0.04), id), "no answer would reach it in time");
 }
 
 #[test]
 fn loads_on_one_group_of_tables_go_to_different_engines() {
-    let load = ClassSettings { load: true, threads: 2.0, ..class(Effect::Unsafe) };
+    let load = ClassSettings { loads_tables: true, threads: 2.0, ..class(Effect::Unsafe) };
     let mut b = Bench::new(settings(vec![load]), 4);
     let out: Vec<Action> = (0..4).flat_map(|_| b.arrive(0, 0.5, None).1).collect();
     let mut engines: Vec<EngineId> = sent(&out).iter().map(|s| s.1).collect();
@@ -230,13 +230,13 @@
     let mut b = Bench::new(set, 3);
     let (id, out) = b.arrive(0, 0.1, None);
     let full = sent(&out)[0].1;
-    let mut out = b.end(id, 0, Outcome::Shed);
-    b.end(id, 1, Outcome::Delivered);
+    let mut out = b.end(id, 0, Outcome::RejectedByEngine);
+    b.end(id, 1, Outcome::Succeeded);
     b.pass(0.2);
     for _ in 0..10 {
         let (id, actions) = b.arrive(0, 0.1, None);
         out.extend(actions);
-        b.end(id, 0, Outcome::Delivered);
+        b.end(id, 0, Outcome::Succeeded);
     }
     assert_eq!(sent(&out).len(), 11);
     assert!(sent(&out).iter().all(|s| s.1 != full), "{full:?} has four threads a core");
@@ -269,16 +269,16 @@
     let mut b = Bench::new(set, 3);
     let (_, out) = b.arrive(0, 0.1, None);
     let jammed = sent(&out)[0].1;
-    let before = b.brain.engine(jammed).expect("it is known").utilisation;
+    let before = b.policy.engine_view(jammed).expect("it is known").utilisation;
     b.pass(1.0);
-    let after = b.brain.engine(jammed).expect("it is known").utilisation;
+    let after = b.policy.engine_view(jammed).expect("it is known").utilisation;
     assert!(before < 1.0 && after > 3.0, "{before} threads a core, then {after}");
     let (quick, out) = b.arrive(0, 0.1, None);
     let other = sent(&out)[0].1;
     assert_ne!(other, jammed);
     // An engine that told of itself just now is believed, whatever its last attempt takes.
     b.served(quick, 0.0);
-    let told = b.brain.engine(other).expect("it is known").utilisation;
+    let told = b.policy.engine_view(other).expect("it is known").utilisation;
     assert!(told < 1.0, "{told}");
 }
 
@@ -290,10 +290,11 @@
         let mut out = b.arrive(0, 0.1, None).1;
         out.extend(b.pass(0.06));
         while let Some((id, to)) = sent(&out).first().copied() {
-            let number = out.iter().filter(|a| matches!(a, Action::Send { id: i, .. } if *i == id)).count();
+            let number =
+                out.iter().filter(|a| matches!(a, Action::ForwardAttempt { id: i, .. } if *i == id)).count();
             assert_eq!(number, 1);
             went.push((b.now, to.0));
-            out.retain(|a| !matches!(a, Action::Send { id: i, .. } if *i == id));
+            out.retain(|a| !matches!(a, Action::ForwardAttempt { id: i, .. } if *i == id));
             if to.0 >= 3 {
                 out.extend(b.served(id, 1.0));
             }
@@ -307,30 +308,30 @@
 #[test]
 fn two_mute_engines_and_no_word_tell_of_a_zone_cut_off() {
     let mut set = settings(vec![class(Effect::Unsafe)]);
-    (set.gateways, set.reports_load, set.progress_pace) = (100, true, TimeDelta::from_secs_f64(0.4));
+    (set.gateways, set.reports_load, set.progress_interval) = (100, true, TimeDelta::from_secs_f64(0.4));
     let mut b = Bench::new(Settings { kind_cores: vec![800.0], ..set }, 0);
     let zoned = |n: u32| EngineEntry { zone: n / 3, ..entry(n) };
-    b.list(ListKind::Remembered, (0..6).map(zoned).collect());
+    b.list(EndpointUpdate::Remembered, (0..6).map(zoned).collect());
     let went = with_a_mute_zone(&mut b, 3.0);
     let start = went[0].0;
     let mute = |from: f64| went.iter().filter(|w| w.1 < 3 && (w.0 - start).as_secs_f64() >= from).count();
     assert!(mute(0.0) >= 2, "two attempts told of it");
     assert!(mute(1.5) <= 2, "{} after it was known, one a second in the whole zone", mute(1.5));
-    let ejected = |b: &Bench| (0..3).filter(|n| b.brain.engine(EngineId(*n)).unwrap().ejected).count();
+    let ejected = |b: &Bench| (0..3).filter(|n| b.policy.engine_view(EngineId(*n)).unwrap().ejected).count();
     assert_eq!(ejected(&b), 3, "the one that got nothing, too");
     // One that is back, by the list, is enough to try the zone again.
     b.now = b.now + TimeDelta::from_micros(20_000);
     let since = Some(b.now);
-    b.list(ListKind::Changes, vec![EngineEntry { since, ..zoned(0) }]);
+    b.list(EndpointUpdate::Changes, vec![EngineEntry { since, ..zoned(0) }]);
     b.pass(0.02);
-    assert!(!b.brain.engine(EngineId(0)).unwrap().ejected);
+    assert!(!b.policy.engine_view(EngineId(0)).unwrap().ejected);
 }
 
 /// Sends of 200 light queries, each served before the next: how many go to zone 0, and to how many engines.
 fn spread(set: Settings, in_hand: f64) -> (usize, usize) {
     let mut b = Bench::new(Settings { gateways: 40, reports_load: true, ..set }, 0);
     let zoned = |n: u32| EngineEntry { zone: n % 2, ..entry(n) };
-    b.list(ListKind::Remembered, (0..20).map(zoned).collect());
+    b.list(EndpointUpdate::Remembered, (0..20).map(zoned).collect());
     let mut went = Vec::new();
     for _ in 0..200 {
         let (id, out) = b.arrive(0, 0.05, None);
@@ -350,7 +351,7 @@
 #[test]
 fn the_draw_weighs_what_other_zones_and_new_connections_cost() {
     let told = settings(vec![class(Effect::Safe)]);
-    let told = Settings { zone: Some(0), idle: TimeDelta::from_secs_f64(15.0), ..told };
+    let told = Settings { zone: Some(0), idle_timeout: TimeDelta::from_secs_f64(15.0), ..told };
     let (home, engines) = spread(told.clone(), 0.0);
     assert!((70..130).contains(&home) && engines == 20, "no price: {home} at home on {engines}");
     let crossing = Settings { cross_zone_price: 0.04, ..told.clone() };
@@ -372,7 +373,7 @@
     assert_eq!(sent(&out).len(), 1);
     let (second, out) = b.arrive(0, 0.05, None);
     assert!(sent(&out).is_empty() && !refused(&out, second));
-    assert_eq!(sent(&b.end(first, 0, Outcome::Delivered))[0].0, second);
+    assert_eq!(sent(&b.end(first, 0, Outcome::Succeeded))[0].0, second);
 }
 
 /// What was heard of an engine once neither repels nor draws for good.
@@ -382,14 +383,14 @@
     let mut b = Bench::new(set, 2);
     let (id, out) = b.arrive(0, 0.1, None);
     let full = sent(&out)[0].1;
-    b.end(id, 0, Outcome::Shed);
-    b.end(id, 1, Outcome::Delivered);
+    b.end(id, 0, Outcome::RejectedByEngine);
+    b.end(id, 1, Outcome::Succeeded);
     b.pass(30.0);
     let mut back = 0;
     for _ in 0..40 {
         let (id, out) = b.arrive(0, 0.1, None);
         back += usize::from(sent(&out)[0].1 == full);
-        b.end(id, 0, Outcome::Delivered);
+        b.end(id, 0, Outcome::Succeeded);
     }
     assert!(back >= 8, "{back} of 40 on one of two engines");
 }
@@ -399,15 +400,20 @@
 fn a_tenant_within_its_share_keeps_its_worth_when_requests_come_in_bunches() {
     let tenants = vec![TenantSettings { quota_per_s: 100.0 }];
     let long = TimeDelta::from_secs_f64(60.0);
-    let patient = ClassSettings { aim: long, deadline: long, ..class(Effect::Safe) };
-    let set =
-        Settings { gateways: 200, tenants, over_share_worth: 0.0, cancel: false, ..settings(vec![patient]) };
+    let patient = ClassSettings { latency_objective: long, deadline: long, ..class(Effect::Safe) };
+    let set = Settings {
+        gateways: 200,
+        tenants,
+        over_quota_value_factor: 0.0,
+        cancel: false,
+        ..settings(vec![patient])
+    };
     let mut b = Bench::new(set, 1);
     b.patience = 60.0;
     let ids: Vec<RequestId> = (0..10).map(|_| b.arrive(0, 0.5, None).0).collect();
     b.pass(0.98);
-    b.end(ids[0], 0, Outcome::Delivered);
-    // The engine is full and a toll is set: what is worth nothing is refused from here on.
+    b.end(ids[0], 0, Outcome::Succeeded);
+    // The engine is full and a toll is set: what is value nothing is refused from here on.
     b.pass(12.0);
     let bunch: Vec<_> = (0..5).map(|_| b.arrive(0, 0.5, None)).collect();
     assert!(bunch.iter().all(|(id, out)| !refused(out, *id)), "five after twelve quiet seconds");
@@ -419,7 +425,7 @@
 fn a_malformed_peer_message_is_ignored() {
     let mut b = Bench::new(Settings { peers: true, ..settings(vec![class(Effect::Safe)]) }, 1);
     for message in [vec![], vec![255; 3], vec![7; 256]] {
-        assert!(b.give(Event::Heard { from: 9, message }).is_empty());
+        assert!(b.give(Event::PeerMessageReceived { from: 9, message }).is_empty());
     }
     assert_eq!(sent(&b.arrive(0, 0.1, None).1).len(), 1);
 }
@@ -437,14 +443,14 @@
         for _ in 0..40 {
             let (id, out) = b.arrive(0, 0.05, None);
             grants.extend(out.iter().filter_map(|a| match a {
-                Action::Terms { grant_mb, .. } => *grant_mb,
+                Action::SetExecutionTerms { grant_mb, .. } => *grant_mb,
                 _ => None,
             }));
             b.now = b.now + TimeDelta::from_secs_f64(0.1);
-            let (latency, report) = (TimeDelta::from_secs_f64(0.1), Report::default());
-            let bill = Some(Bill { work: 0.05, memory_mb: told });
-            let (attempt, outcome, complete) = (0, Outcome::Delivered, true);
-            b.give(Event::Ended { id, attempt, outcome, latency, complete, bill, report });
+            let (latency, report) = (TimeDelta::from_secs_f64(0.1), LoadReport::default());
+            let query_cost = Some(QueryCost { work: 0.05, memory_mb: told });
+            let (attempt, outcome, complete) = (0, Outcome::Succeeded, true);
+            b.give(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report });
         }
         let last = *grants.last().expect("a grant");
         assert!(last >= told && last < 1.5 * told, "{last} MB for a need of {told}");
@@ -493,7 +499,7 @@
     b.warm_up();
     let (_, out) = b.arrive(1, 2.0, None);
     for engine in probed(&out) {
-        b.give(Event::Probed { engine, outcome: Outcome::Expired, report: Report::default() });
+        b.give(Event::ProbeCompleted { engine, outcome: Outcome::TimedOut, report: LoadReport::default() });
     }
     assert!(sent(&b.pass(0.1)).is_empty(), "no engine is known to have room");
 }
@@ -523,7 +529,7 @@
     for seed in 0..200 {
         let mut b = Bench::seeded(set.clone(), seed, 30);
         b.pass(4.0);
-        b.list(ListKind::Changes, vec![EngineEntry { since: Some(b.now), ..entry(30) }]);
+        b.list(EndpointUpdate::Changes, vec![EngineEntry { since: Some(b.now), ..entry(30) }]);
         b.pass(8.0);
         // All others are full.
         for n in 0..31 {
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -51,15 +51,15 @@
     fn check(&mut self, now: Timestamp, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send { id, engine, .. } => self.check_send(now, *id, *engine),
-                Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+                Action::ForwardAttempt { id, engine, .. } => self.check_send(now, *id, *engine),
+                Action::Reject { id, .. } | Action::Fail { id, .. } => {
                     let r = self.seen.get_mut(id).expect("a known request");
                     r.finals += 1;
                     assert_eq!(r.finals, 1, "one final answer");
                     r.done_at = Some(now);
                     let c = &self.set.classes[r.class];
                     let all = c.effect == Effect::Keyed && c.group == DedupGroup::All;
-                    if c.effect != Effect::Safe && !all && matches!(action, Action::Refuse { .. }) {
+                    if c.effect != Effect::Safe && !all && matches!(action, Action::Reject { .. }) {
                         assert!(r.out.is_none() && r.first.is_none(), "a refusal promises that nothing ran");
                     }
                 }
@@ -96,7 +96,7 @@
         let e = self.list.iter().find(|e| e.engine == engine).expect("a listed engine");
         assert_eq!(e.state, EngineState::Ready, "drains are kept");
         assert!(c.kinds.as_ref().is_none_or(|k| k.contains(&e.kind)), "placement is kept");
-        if let Some(key) = r.key.as_ref().filter(|_| c.in_turn) {
+        if let Some(key) = r.key.as_ref().filter(|_| c.ordered_by_key) {
             let open = |o: &Seen| o.finals == 0 || o.out.is_some();
             let mut others = self.seen.values().filter(|o| o.key.as_ref() == Some(key) && o.order < r.order);
             assert!(!others.any(open), "order is kept");
@@ -104,22 +104,22 @@
         }
         if r.attempts > 0 {
             self.extra.push(now);
-            if let Some(b) = self.set.attempt_budget {
-                let within = |v: &[Timestamp]| v.iter().filter(|t| now - **t < b.span).count() as f64;
-                let allowed = b.free + b.share * within(&self.taken);
+            if let Some(b) = self.set.retry_budget {
+                let within = |v: &[Timestamp]| v.iter().filter(|t| now - **t < b.window).count() as f64;
+                let allowed = b.free_retries + b.retries_per_request * within(&self.taken);
                 assert!(within(&self.extra) <= allowed, "further attempts keep to their budget");
             }
         }
-        if let Some(since) = e.since.filter(|s| now - *s < self.set.cold_for) {
-            let (span, full) = (self.set.fall_span, self.set.kind_cores[e.kind as usize] * 0.85);
+        if let Some(since) = e.since.filter(|s| now - *s < self.set.slow_start_duration) {
+            let (span, full) = (self.set.slow_start_window, self.set.kind_cores[e.kind as usize] * 0.85);
             self.cold.push((now, engine, COSTS[r.class]));
             let recent = self.cold.iter().filter(|c| c.1 == engine && now - c.0 < span);
-            let grown =
-                (now - since).as_secs_f64() / self.set.cold_for.as_secs_f64() * (1.0 - self.set.start_share);
-            let able = (self.set.start_share + grown) * full * span.as_secs_f64();
+            let grown = (now - since).as_secs_f64() / self.set.slow_start_duration.as_secs_f64()
+                * (1.0 - self.set.initial_capacity_fraction);
+            let able = (self.set.initial_capacity_fraction + grown) * full * span.as_secs_f64();
             let pushed: f64 = recent.map(|c| c.2).sum();
             // One of many gateways keeps to its part of it, or to one query where that is less.
-            let part = self.set.fall_multiple * able / f64::from(self.set.gateways);
+            let part = self.set.slow_start_multiple * able / f64::from(self.set.gateways);
             assert!(pushed <= part.max(COSTS[r.class]), "a cold engine is not pushed over");
         }
         let r = self.seen.get_mut(&id).expect("a known request");
@@ -132,20 +132,25 @@
     let mut dice = Dice(seed);
     let effect = [Effect::Unsafe, Effect::Keyed][dice.below(2) as usize];
     let group = [DedupGroup::All, DedupGroup::Cell][dice.below(2) as usize];
-    let in_turn = ClassSettings { in_turn: dice.one_in(2), group, threads: 2.0, ..class(effect) };
-    let bound = ClassSettings { kinds: Some(vec![1]), threads: 2.0, late_worth: 0.4, ..class(Effect::Safe) };
-    let mut set = settings(vec![class(Effect::Safe), bound, in_turn]);
-    set.order_settle = TimeDelta::from_secs_f64(0.3 * dice.below(3) as f64);
+    let ordered_by_key =
+        ClassSettings { ordered_by_key: dice.one_in(2), group, threads: 2.0, ..class(effect) };
+    let bound =
+        ClassSettings { kinds: Some(vec![1]), threads: 2.0, late_value_fraction: 0.4, ..class(Effect::Safe) };
+    let mut set = settings(vec![class(Effect::Safe), bound, ordered_by_key]);
+    set.key_settle_time = TimeDelta::from_secs_f64(0.3 * dice.below(3) as f64);
     set.cancel = dice.one_in(2);
     set.gateways = [1, 1, 2, 250][dice.below(4) as usize];
     set.max_attempts = [3, 4, 6][dice.below(3) as usize];
     (set.probes, set.reports_load, set.grants) = (dice.one_in(2), dice.one_in(2), dice.one_in(2));
     // Gateways have unlike shares of the traffic.
     let most = [2, 4, 9][dice.below(3) as usize];
-    set.progress_pace = TimeDelta::from_secs_f64(0.5);
+    set.progress_interval = TimeDelta::from_secs_f64(0.5);
     if dice.one_in(2) {
-        set.attempt_budget =
-            Some(AttemptBudget { span: TimeDelta::from_secs_f64(2.0), free: 2.0, share: 0.1 });
+        set.retry_budget = Some(RetryBudgetSettings {
+            window: TimeDelta::from_secs_f64(2.0),
+            free_retries: 2.0,
+            retries_per_request: 0.1,
+        });
     }
     let mut b = Bench::new(set.clone(), 0);
     b.pass(1.5);
@@ -154,7 +159,7 @@
     for n in 0..6 {
         w.list.push(EngineEntry { kind: n % 2, ..entry(n) });
     }
-    let out = b.list(ListKind::Whole, w.list.clone());
+    let out = b.list(EndpointUpdate::Complete, w.list.clone());
     w.check(b.now, &out);
     for step in 0..700 {
         if step < 400 {
@@ -180,7 +185,7 @@
                 e.since = Some(b.now);
             }
             let change = vec![*e];
-            let out = b.list(ListKind::Changes, change);
+            let out = b.list(EndpointUpdate::Changes, change);
             w.check(b.now, &out);
         }
         let open: Vec<RequestId> = w.seen.iter().filter(|s| s.1.out.is_some()).map(|s| *s.0).collect();
@@ -188,36 +193,36 @@
             let Some((attempt, _)) = w.seen[&id].out else { continue };
             let overdue = b.now >= w.seen[&id].due;
             if !overdue && dice.one_in(8) {
-                let note = Note::Progress(dice.below(100) as f64 / 100.0);
-                let out = b.give(Event::Noted { id, attempt, note });
+                let note = ProgressNote::Progress(dice.below(100) as f64 / 100.0);
+                let out = b.give(Event::ProgressReported { id, attempt, note });
                 w.check(b.now, &out);
             }
             if !overdue && !dice.one_in(10) {
                 continue;
             }
             let outcome = match dice.below(14) {
-                _ if overdue => Outcome::Expired,
-                0..=5 => Outcome::Delivered,
-                6 => Outcome::Error,
-                7 => Outcome::Expired,
-                8 => Outcome::Dropped,
-                9 => Outcome::Revoked,
-                10 => Outcome::DialFailed,
-                11 => Outcome::Unused,
-                _ => Outcome::Shed,
+                _ if overdue => Outcome::TimedOut,
+                0..=5 => Outcome::Succeeded,
+                6 => Outcome::EngineError,
+                7 => Outcome::TimedOut,
+                8 => Outcome::ConnectionLost,
+                9 => Outcome::Cancelled,
+                10 => Outcome::ConnectFailed,
+                11 => Outcome::NeverSent,
+                _ => Outcome::RejectedByEngine,
             };
             let now = b.now;
             let r = w.seen.get_mut(&id).expect("a known request");
             if let Some((_, engine)) = r.out.take().filter(|_| !outcome.never_ran()) {
                 r.first.get_or_insert((r.sent_at, engine));
             }
-            if outcome == Outcome::Delivered && r.finals == 0 {
+            if outcome == Outcome::Succeeded && r.finals == 0 {
                 r.finals = 1;
                 r.done_at = Some(now);
             }
-            if matches!(outcome, Outcome::Expired | Outcome::Dropped | Outcome::Revoked) {
+            if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled) {
                 if let Some(key) = r.key.clone() {
-                    w.rests.insert(key, now + w.set.order_settle);
+                    w.rests.insert(key, now + w.set.key_settle_time);
                 }
             }
             let out = b.end(id, attempt, outcome);
@@ -227,13 +232,15 @@
         if let Some(id) = waiting.first().filter(|_| dice.one_in(15)) {
             let r = w.seen.get_mut(id).expect("a known request");
             (r.finals, r.done_at) = (1, Some(b.now));
-            let out = b.give(Event::GivenUp { id: *id });
+            let out = b.give(Event::RequestAbandoned { id: *id });
             w.check(b.now, &out);
         }
         if dice.one_in(3) {
-            let outcome = [Outcome::Delivered, Outcome::Expired][dice.below(2) as usize];
-            let report = Report { in_hand: Some(dice.below(40) as f64), ..Report::default() };
-            let out = b.give(Event::Probed { engine: EngineId(dice.below(6) as u32), outcome, report });
+            let outcome = [Outcome::Succeeded, Outcome::TimedOut][dice.below(2) as usize];
+            let report =
+                LoadReport { queries_in_flight: Some(dice.below(40) as f64), ..LoadReport::default() };
+            let out =
+                b.give(Event::ProbeCompleted { engine: EngineId(dice.below(6) as u32), outcome, report });
             w.check(b.now, &out);
         }
         b.now = b.now + TimeDelta::from_micros(20_000);
@@ -265,7 +272,7 @@
         (0..6).map(|n| EngineEntry { cell: n / 2, zone: n / 4, ..entry(n) }).collect();
     let (seen, rests, taken, extra, cold) = Default::default();
     let mut w = World { set, list, seen, rests, taken, extra, cold, sends: 0, repeats: 0 };
-    let out = b.list(ListKind::Whole, w.list.clone());
+    let out = b.list(EndpointUpdate::Complete, w.list.clone());
     w.check(b.now, &out);
     for step in 0..600 {
         if step < 300 && dice.one_in(4) {
@@ -279,15 +286,21 @@
         let open: Vec<RequestId> = w.seen.iter().filter(|s| s.1.out.is_some()).map(|s| *s.0).collect();
         for id in open {
             let Some((attempt, engine)) = w.seen[&id].out.filter(|_| dice.one_in(8)) else { continue };
-            let bad = [Outcome::Dropped, Outcome::Expired, Outcome::Error, Outcome::Revoked, Outcome::Shed];
-            let outcome = if dice.one_in(2) { Outcome::Delivered } else { bad[dice.below(5) as usize] };
+            let bad = [
+                Outcome::ConnectionLost,
+                Outcome::TimedOut,
+                Outcome::EngineError,
+                Outcome::Cancelled,
+                Outcome::RejectedByEngine,
+            ];
+            let outcome = if dice.one_in(2) { Outcome::Succeeded } else { bad[dice.below(5) as usize] };
             let now = b.now;
             let r = w.seen.get_mut(&id).expect("a known request");
             r.out = None;
             if !outcome.never_ran() {
                 r.first.get_or_insert((r.sent_at, engine));
             }
-            if outcome == Outcome::Delivered && r.finals == 0 {
+            if outcome == Outcome::Succeeded && r.finals == 0 {
                 (r.finals, r.done_at) = (1, Some(now));
             }
             let out = b.end(id, attempt, outcome);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -23,13 +23,13 @@
 
 #[test]
 fn unsafe_requests_are_not_repeated_once_they_may_have_run() {
-    for outcome in [Outcome::Error, Outcome::Expired, Outcome::Dropped, Outcome::Revoked] {
+    for outcome in [Outcome::EngineError, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Cancelled] {
         let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 3);
         let (id, _) = b.arrive(0, 0.1, None);
         let out = b.end(id, 0, outcome);
         assert!(sent(&out).is_empty() && failed(&out, id), "{outcome:?}");
     }
-    for outcome in [Outcome::Shed, Outcome::DialFailed, Outcome::Unused] {
+    for outcome in [Outcome::RejectedByEngine, Outcome::ConnectFailed, Outcome::NeverSent] {
         let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 3);
         let (id, _) = b.arrive(0, 0.1, None);
         let out = b.end(id, 0, outcome);
@@ -42,10 +42,10 @@
     let mut b = Bench::new(settings(vec![class(Effect::Keyed)]), 3);
     let (id, out) = b.arrive(0, 0.1, None);
     let first = sent(&out)[0].1;
-    let out = b.end(id, 0, Outcome::Error);
+    let out = b.end(id, 0, Outcome::EngineError);
     assert_eq!(sent(&out), vec![(id, first)], "each engine is a cell of its own here");
     b.now = b.now + TimeDelta::from_secs_f64(2.5);
-    let out = b.end(id, 1, Outcome::Error);
+    let out = b.end(id, 1, Outcome::EngineError);
     assert!(sent(&out).is_empty() && failed(&out, id), "past the window no repeat is known for one");
 }
 
@@ -53,15 +53,15 @@
 fn a_draining_engine_gets_nothing_from_the_word_on() {
     let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 2);
     for state in [EngineState::Draining, EngineState::Gone] {
-        b.list(ListKind::Changes, vec![EngineEntry { state, ..entry(0) }]);
+        b.list(EndpointUpdate::Changes, vec![EngineEntry { state, ..entry(0) }]);
         for _ in 0..20 {
             let (id, out) = b.arrive(0, 0.1, None);
             assert_eq!(sent(&out), vec![(id, EngineId(1))]);
-            b.end(id, 0, Outcome::Delivered);
+            b.end(id, 0, Outcome::Succeeded);
         }
-        b.list(ListKind::Changes, vec![entry(0)]);
+        b.list(EndpointUpdate::Changes, vec![entry(0)]);
     }
-    b.list(ListKind::Whole, vec![entry(1)]);
+    b.list(EndpointUpdate::Complete, vec![entry(1)]);
     let (_, out) = b.arrive(0, 0.1, None);
     assert_eq!(sent(&out)[0].1, EngineId(1), "absent from a whole list means gone");
 }
@@ -71,7 +71,7 @@
     let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 0);
     b.pass(2.0);
     let since = Some(b.now);
-    b.list(ListKind::Whole, vec![EngineEntry { since, ..entry(0) }]);
+    b.list(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
     let mut out = Vec::new();
     for _ in 0..200 {
         out.extend(b.arrive(0, 0.5, None).1);
@@ -87,7 +87,7 @@
         let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 0);
         b.pass(wait);
         let since = Some(b.now);
-        b.list(ListKind::Whole, vec![EngineEntry { since, ..entry(0) }]);
+        b.list(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
         (0..100).map(|_| sent(&b.arrive(0, 0.5, None).1).len()).sum::<usize>()
     };
     assert!(count(0.0) < count(2.0));
@@ -98,17 +98,17 @@
 #[test]
 fn a_starting_gateways_part_of_a_cold_engine_rises_by_the_ramp() {
     let count = |ramp: Option<(f64, f64)>, wait: f64| {
-        let set = Settings { cold_ramp: ramp, ..settings(vec![class(Effect::Safe)]) };
+        let set = Settings { restart_ramp: ramp, ..settings(vec![class(Effect::Safe)]) };
         let mut b = Bench::new(set, 0);
         b.pass(wait);
         let since = Some(b.now);
-        b.list(ListKind::Whole, vec![EngineEntry { since, ..entry(0) }]);
+        b.list(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
         let mut sends = 0;
         for _ in 0..400 {
             let (id, out) = b.arrive(0, 0.02, None);
             if !sent(&out).is_empty() {
                 sends += 1;
-                b.end(id, 0, Outcome::Delivered);
+                b.end(id, 0, Outcome::Succeeded);
             }
         }
         sends
@@ -122,16 +122,16 @@
 
 #[test]
 fn requests_of_one_key_run_in_turn_and_the_key_rests() {
-    let in_turn = ClassSettings { in_turn: true, ..class(Effect::Unsafe) };
-    let mut set = settings(vec![in_turn]);
-    set.order_settle = TimeDelta::from_secs_f64(0.5);
+    let ordered_by_key = ClassSettings { ordered_by_key: true, ..class(Effect::Unsafe) };
+    let mut set = settings(vec![ordered_by_key]);
+    set.key_settle_time = TimeDelta::from_secs_f64(0.5);
     let mut b = Bench::new(set, 3);
     let (first, out) = b.arrive(0, 0.1, Some("t/a"));
     assert_eq!(sent(&out).len(), 1);
     let (second, out) = b.arrive(0, 0.1, Some("t/a"));
     assert!(sent(&out).is_empty(), "the first is still out");
     assert_eq!(sent(&b.arrive(0, 0.1, Some("t/b")).1).len(), 1, "another key does not wait");
-    let out = b.end(first, 0, Outcome::Expired);
+    let out = b.end(first, 0, Outcome::TimedOut);
     assert!(sent(&out).is_empty() && failed(&out, first));
     assert!(sent(&b.pass(0.4)).is_empty(), "the key rests");
     assert_eq!(sent(&b.pass(0.2)).first().map(|s| s.0), Some(second));
@@ -139,13 +139,13 @@
 
 #[test]
 fn a_key_waits_for_an_attempt_whose_client_left() {
-    let in_turn = ClassSettings { in_turn: true, ..class(Effect::Unsafe) };
-    let mut b = Bench::new(settings(vec![in_turn]), 3);
+    let ordered_by_key = ClassSettings { ordered_by_key: true, ..class(Effect::Unsafe) };
+    let mut b = Bench::new(settings(vec![ordered_by_key]), 3);
     let (first, _) = b.arrive(0, 0.1, Some("t/a"));
     let (second, _) = b.arrive(0, 0.1, Some("t/a"));
-    b.give(Event::GivenUp { id: first });
+    b.give(Event::RequestAbandoned { id: first });
     assert!(sent(&b.pass(0.2)).is_empty());
-    let out = b.end(first, 0, Outcome::Delivered);
+    let out = b.end(first, 0, Outcome::Succeeded);
     assert_eq!(sent(&out).first().map(|s| s.0), Some(second));
 }
 
@@ -155,21 +155,25 @@
     let mut b = Bench::new(settings(vec![bound]), 3);
     let (id, out) = b.arrive(0, 0.1, None);
     assert!(sent(&out).is_empty(), "no engine of the kind is listed");
-    let out = b.list(ListKind::Changes, vec![EngineEntry { kind: 1, ..entry(3) }]);
+    let out = b.list(EndpointUpdate::Changes, vec![EngineEntry { kind: 1, ..entry(3) }]);
     assert_eq!(sent(&out), vec![(id, EngineId(3))]);
-    let out = b.end(id, 0, Outcome::Error);
+    let out = b.end(id, 0, Outcome::EngineError);
     assert!(sent(&out).iter().all(|s| s.1 == EngineId(3)));
 }
 
 #[test]
 fn further_attempts_keep_to_their_budget() {
     let mut set = settings(vec![class(Effect::Safe)]);
-    set.attempt_budget = Some(AttemptBudget { span: TimeDelta::from_secs_f64(5.0), free: 2.0, share: 0.1 });
+    set.retry_budget = Some(RetryBudgetSettings {
+        window: TimeDelta::from_secs_f64(5.0),
+        free_retries: 2.0,
+        retries_per_request: 0.1,
+    });
     let mut b = Bench::new(set, 4);
     let mut again = 0;
     for _ in 0..10 {
         let (id, _) = b.arrive(0, 0.05, None);
-        again += sent(&b.end(id, 0, Outcome::Error)).len();
+        again += sent(&b.end(id, 0, Outcome::EngineError)).len();
     }
     assert_eq!(again, 3, "two free ones and a tenth of ten");
 }
@@ -185,7 +189,7 @@
     let start = all[0].now;
     let mut sends: Vec<Timestamp> = Vec::new();
     for b in &mut all {
-        b.list(ListKind::Whole, vec![EngineEntry { since: Some(start), ..entry(0) }]);
+        b.list(EndpointUpdate::Complete, vec![EngineEntry { since: Some(start), ..entry(0) }]);
     }
     for step in 0..200usize {
         for (i, b) in all.iter_mut().enumerate() {
@@ -214,21 +218,21 @@
 fn keyed_requests_in_turn_repeat_before_the_next_of_the_key() {
     let window = TimeDelta::from_secs_f64(12.0);
     let load = ClassSettings {
-        in_turn: true,
+        ordered_by_key: true,
         group: DedupGroup::All,
         repeat_window: window,
         ..class(Effect::Keyed)
     };
     let set =
-        Settings { order_settle: TimeDelta::from_secs_f64(0.3), max_attempts: 3, ..settings(vec![load]) };
+        Settings { key_settle_time: TimeDelta::from_secs_f64(0.3), max_attempts: 3, ..settings(vec![load]) };
     let mut b = Bench::new(set, 3);
     let (first, _) = b.arrive(0, 0.1, Some("t/a"));
     let (second, out) = b.arrive(0, 0.1, Some("t/a"));
     assert!(sent(&out).is_empty());
-    assert!(sent(&b.end(first, 0, Outcome::Dropped)).is_empty(), "the key rests");
+    assert!(sent(&b.end(first, 0, Outcome::ConnectionLost)).is_empty(), "the key rests");
     assert!(sent(&b.pass(0.28)).is_empty(), "for 300 ms");
     assert_eq!(sent(&b.pass(0.1)).first().map(|s| s.0), Some(first), "its own repeat comes first");
-    let out = b.end(first, 1, Outcome::Delivered);
+    let out = b.end(first, 1, Outcome::Succeeded);
     assert_eq!(sent(&out).first().map(|s| s.0), Some(second));
 }
 
@@ -239,7 +243,7 @@
     b.warm_up();
     let (id, out) = b.arrive(1, 1.0, None);
     assert!(sent(&out).is_empty(), "it asks first");
-    b.list(ListKind::Changes, vec![EngineEntry { state: EngineState::Draining, ..entry(0) }]);
+    b.list(EndpointUpdate::Changes, vec![EngineEntry { state: EngineState::Draining, ..entry(0) }]);
     for n in 0..2 {
         b.probe_told(EngineId(n), 4.0 * f64::from(n));
     }
@@ -259,7 +263,7 @@
             b.arrive(0, if k % 6 == 0 { 1.1 } else { 0.02 }, None);
         }
         b.pass(6.0);
-        b.list(ListKind::Whole, vec![EngineEntry { since: Some(b.now), ..entry(0) }]);
+        b.list(EndpointUpdate::Complete, vec![EngineEntry { since: Some(b.now), ..entry(0) }]);
     }
     let mut sends = 0;
     for b in &mut all {
@@ -276,14 +280,14 @@
 /// would only keep its client from coming back.
 #[test]
 fn what_may_not_go_out_again_is_answered_at_once_with_advice() {
-    let calm = ClassSettings { aim: TimeDelta::from_secs_f64(20.0), ..class(Effect::Keyed) };
+    let calm = ClassSettings { latency_objective: TimeDelta::from_secs_f64(20.0), ..class(Effect::Keyed) };
     let set = Settings { max_retry_after: TimeDelta::from_secs_f64(2.0), ..settings(vec![calm]) };
     let mut b = Bench::new(set, 1);
     let (id, out) = b.arrive(0, 0.1, None);
     assert_eq!(sent(&out).len(), 1);
     // Its one engine drains: the further attempt that its error calls for has nowhere to go.
-    b.list(ListKind::Changes, vec![EngineEntry { state: EngineState::Draining, ..entry(0) }]);
-    b.end(id, 0, Outcome::Error);
+    b.list(EndpointUpdate::Changes, vec![EngineEntry { state: EngineState::Draining, ..entry(0) }]);
+    b.end(id, 0, Outcome::EngineError);
     let early = b.pass(1.9);
     assert!(!failed(&early, id), "its window of 2 s is open still");
     let out = b.pass(0.2);
@@ -299,19 +303,19 @@
     let sends = |flaps: bool| {
         let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 0);
         let cold = EngineEntry { since: Some(b.now), ..entry(0) };
-        let mut out = b.list(ListKind::Changes, vec![cold]);
+        let mut out = b.list(EndpointUpdate::Changes, vec![cold]);
         let mut sends = 0;
         for round in 0..60 {
             out.extend(b.arrive(0, 0.5, None).1);
             if flaps && round % 20 == 19 {
                 let gone = EngineEntry { state: EngineState::Gone, ..cold };
-                out.extend(b.list(ListKind::Changes, vec![gone]));
-                out.extend(b.list(ListKind::Changes, vec![cold]));
+                out.extend(b.list(EndpointUpdate::Changes, vec![gone]));
+                out.extend(b.list(EndpointUpdate::Changes, vec![cold]));
             }
             // Each is answered at once: no more than the budget holds them back.
             while let Some((id, _)) = sent(&out).first().copied() {
                 sends += 1;
-                out = b.end(id, 0, Outcome::Delivered);
+                out = b.end(id, 0, Outcome::Succeeded);
             }
             out.clear();
         }
--- a/crates/settings/src/policy_settings.rs
+++ b/crates/settings/src/policy_settings.rs
@@ -3,7 +3,7 @@
 
 use crate::{NumberList, WireClass, WireEngines, WireSettings, WireTenant};
 use sprucelink_policy::{
-    AttemptBudget, ClassSettings, DedupGroup, Effect, MemoryShort, ReportVia, Settings, TenantSettings,
+    ClassSettings, DedupGroup, Effect, MemoryShort, ReportVia, RetryBudgetSettings, Settings, TenantSettings,
 };
 use sprucelink_time::TimeDelta;
 
@@ -20,10 +20,10 @@
         Settings {
             classes: self.profiles.iter().enumerate().map(|(i, class)| class.to_policy(i, engines)).collect(),
             tenants: self.customers.iter().map(WireTenant::to_policy).collect(),
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            over_quota_value_factor: self.over_share_worth.unwrap_or(1.0),
             gateways: self.siblings.unwrap_or(1.0).max(1.0) as u32,
             position: self.position.unwrap_or(0.0) as u32,
-            must_ask: self.discovery.get() == Some("ask"),
+            must_poll_endpoints: self.discovery.get() == Some("ask"),
             report_via: self.report_via(),
             reports_load: self.load_report.fields.iter().any(|name| LOAD_FIELDS.contains(&name.0.as_str())),
             kind_cores: engines.size_cores.0.clone(),
@@ -31,8 +31,8 @@
             grants: engines.takes_grants.0,
             memory_short: engines.memory_short(),
             priorities: engines.priorities.0,
-            progress_pace: engines.progress_pace.as_time_delta(),
-            tells_cost: engines.tells_cost.0,
+            progress_interval: engines.progress_pace.as_time_delta(),
+            reports_cost: engines.tells_cost.0,
             cancel: limits.cancel.0,
             probes: limits.probes.0,
             peers: limits.peers.0,
@@ -40,17 +40,17 @@
             max_retry_after: limits.max_retry_after.as_time_delta(),
             max_attempts: limits.max_attempts.unwrap_or(1.0) as u32,
             drain_grace: rules.drain_grace.as_time_delta(),
-            fall_multiple: rules.fall_multiple.unwrap_or(1.0),
-            fall_span: rules.overload_for.as_time_delta(),
-            start_share: rules.start_capacity.unwrap_or(1.0),
-            cold_for: rules.cold.as_time_delta(),
-            order_settle: rules.order_settle.as_time_delta(),
-            attempt_budget: self.attempt_budget(),
+            slow_start_multiple: rules.fall_multiple.unwrap_or(1.0),
+            slow_start_window: rules.overload_for.as_time_delta(),
+            initial_capacity_fraction: rules.start_capacity.unwrap_or(1.0),
+            slow_start_duration: rules.cold.as_time_delta(),
+            key_settle_time: rules.order_settle.as_time_delta(),
+            retry_budget: self.retry_budget(),
             probe_price: self.prices.probe.unwrap_or(0.0),
             zone: self.az.get().and_then(|zone| zone.parse().ok()),
             cross_zone_price: self.prices.cross_zone.unwrap_or(0.0),
             handshake_price: self.prices.handshake.unwrap_or(0.0),
-            idle: limits.conn_idle.as_time_delta(),
+            idle_timeout: limits.conn_idle.as_time_delta(),
             ..Settings::default()
         }
     }
@@ -64,12 +64,12 @@
     }
 
     /// The retry budget; `None` where its span is absent.
-    fn attempt_budget(&self) -> Option<AttemptBudget> {
+    fn retry_budget(&self) -> Option<RetryBudgetSettings> {
         let rules = &self.invariants;
-        rules.ratio_span.0.map(|span| AttemptBudget {
-            span: TimeDelta::from_secs_f64(span),
-            free: rules.free_resends.unwrap_or(0.0),
-            share: rules.budget_share.unwrap_or(0.0),
+        rules.ratio_span.0.map(|span| RetryBudgetSettings {
+            window: TimeDelta::from_secs_f64(span),
+            free_retries: rules.free_resends.unwrap_or(0.0),
+            retries_per_request: rules.budget_share.unwrap_or(0.0),
         })
     }
 }
@@ -88,17 +88,17 @@
     /// The settings of the class with number `class`.
     fn to_policy(&self, class: usize, engines: &WireEngines) -> ClassSettings {
         ClassSettings {
-            worth: self.value.unwrap_or(1.0),
-            late_worth: self.late_worth.unwrap_or(0.0),
-            aim: self.aim.as_time_delta(),
-            aim_stretch: self.aim_stretch.unwrap_or(0.0),
+            value: self.value.unwrap_or(1.0),
+            late_value_fraction: self.late_worth.unwrap_or(0.0),
+            latency_objective: self.aim.as_time_delta(),
+            objective_per_work: self.aim_stretch.unwrap_or(0.0),
             deadline: self.deadline.as_time_delta(),
             effect: self.effect(),
             group: self.dedup_group(),
             repeat_window: self.repeat_window.as_time_delta(),
-            in_turn: self.in_turn.0,
+            ordered_by_key: self.in_turn.0,
             threads: engines.class_threads.0.get(class).copied().unwrap_or(1.0).max(1.0),
-            load: engines.loads.get(class).is_some_and(|flag| flag.0),
+            loads_tables: engines.loads.get(class).is_some_and(|flag| flag.0),
             kinds: self.allowed_on.as_ref().map(NumberList::as_indices),
             zones: self.runs_in.as_ref().map(NumberList::as_indices),
         }
--- a/crates/settings/tests/invalid_input.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -122,14 +122,14 @@
         (Some(vec![]), Some(vec![]))
     );
     assert_eq!((one("x=y").zones, one("profiles.0.runsIn=1,,0").zones), (None, Some(vec![1, 0])));
-    assert!(!one("specifics.loads=,true").load && one("specifics.loads=1").load);
+    assert!(!one("specifics.loads=,true").loads_tables && one("specifics.loads=1").loads_tables);
     assert_eq!(
         (one("specifics.classThreads=0").threads, one("specifics.classThreads=,4").threads),
         (1.0, 4.0)
     );
     assert_eq!(set(&["customers.count=1"]).tenants[0].quota_per_s, f64::MAX);
     assert_eq!((set(&["az=1"]).zone, set(&["az=1.0"]).zone, set(&["az=-"]).zone), (Some(1), None, None));
-    assert_eq!((set(&["siblings=-4"]).gateways, set(&["invariants.ratioSpan=-"]).attempt_budget), (1, None));
+    assert_eq!((set(&["siblings=-4"]).gateways, set(&["invariants.ratioSpan=-"]).retry_budget), (1, None));
     assert!(set(&["loadReport.fields=x0,busy"]).reports_load && !set(&["loadReport.fields=q"]).reports_load);
 }
 
--- a/crates/settings/tests/unusual_sites.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -45,15 +45,18 @@
     assert_eq!(windows, [0, 0, 1_000_000, 5_000_000, 30_000_000, 1_000_000]);
     let names: Vec<&str> = wire.profiles.iter().map(|p| p.name.0.as_str()).collect();
     assert_eq!(names, ["rate", "rate-2", "ra\"te\\\n,=\u{e9}", "all", "-", "true"], "names are names");
-    assert!(!set.classes[0].load && set.classes[1].load && !set.classes[5].load);
+    assert!(!set.classes[0].loads_tables && set.classes[1].loads_tables && !set.classes[5].loads_tables);
     assert!(set.classes.iter().all(|c| c.threads == 1.0));
     let quotas: Vec<f64> = set.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [f64::MAX, 0.0, 0.5]);
     assert_eq!(wire.zones.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
     // A limit of zero is a limit, and not an absent one.
-    assert_eq!((set.idle, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
-    let retry_budget = set.attempt_budget.expect("configured");
-    assert_eq!((retry_budget.span, retry_budget.free, retry_budget.share), (TimeDelta::ZERO, 0.0, 0.0));
+    assert_eq!((set.idle_timeout, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
+    let retry_budget = set.retry_budget.expect("configured");
+    assert_eq!(
+        (retry_budget.window, retry_budget.free_retries, retry_budget.retries_per_request),
+        (TimeDelta::ZERO, 0.0, 0.0)
+    );
 }
 
 /// A site without tenants, zones, limits and hints.
@@ -62,7 +65,7 @@
     let set = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
         .settings
         .to_policy_settings();
-    assert!(set.tenants.is_empty() && set.attempt_budget.is_none() && set.zone.is_none());
+    assert!(set.tenants.is_empty() && set.retry_budget.is_none() && set.zone.is_none());
     assert_eq!((set.classes.len(), set.classes[0].effect, set.gateways), (1, Effect::Unsafe, 1));
     assert_eq!((set.max_attempts, set.classes[0].repeat_window), (1, TimeDelta::ZERO));
     assert!(set.classes[0].zones.is_none() && set.classes[0].kinds.is_none());
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -32,7 +32,7 @@
         Timestamp(millis.saturating_mul(1_000))
     }
     /// The instant so many seconds after the clock's origin; saturates.
-    pub const fn from_whole_secs(secs: i64) -> Timestamp {
+    pub const fn from_secs(secs: i64) -> Timestamp {
         Timestamp(secs.saturating_mul(1_000_000))
     }
     /// The instant so many seconds after the clock's origin, to the nearest microsecond.
@@ -68,7 +68,7 @@
         TimeDelta(millis.saturating_mul(1_000))
     }
     /// A span of whole seconds; saturates.
-    pub const fn from_whole_secs(secs: i64) -> TimeDelta {
+    pub const fn from_secs(secs: i64) -> TimeDelta {
         TimeDelta(secs.saturating_mul(1_000_000))
     }
     /// A span from seconds, to the nearest microsecond; what is not a number counts as zero, infinities as the bounds.
--- a/crates/time/tests/arithmetic.rs
+++ b/crates/time/tests/arithmetic.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn arithmetic_saturates_at_the_bounds() {
-    assert_eq!(Timestamp::MAX + TimeDelta::from_whole_secs(1), Timestamp::MAX);
+    assert_eq!(Timestamp::MAX + TimeDelta::from_secs(1), Timestamp::MAX);
     assert_eq!(TimeDelta::from_millis(i64::MAX), TimeDelta::MAX);
 }
 
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -50,14 +50,14 @@
 impl From<AttemptOutcome> for Outcome {
     fn from(outcome: AttemptOutcome) -> Outcome {
         match outcome {
-            AttemptOutcome::Served => Outcome::Delivered,
-            AttemptOutcome::EngineError => Outcome::Error,
-            AttemptOutcome::Overloaded => Outcome::Shed,
-            AttemptOutcome::Expired => Outcome::Expired,
-            AttemptOutcome::Unreachable => Outcome::DialFailed,
-            AttemptOutcome::ConnectionBroken => Outcome::Dropped,
-            AttemptOutcome::Cancelled | AttemptOutcome::ConnectionClosed => Outcome::Revoked,
-            AttemptOutcome::NeverRan => Outcome::Unused,
+            AttemptOutcome::Served => Outcome::Succeeded,
+            AttemptOutcome::EngineError => Outcome::EngineError,
+            AttemptOutcome::Overloaded => Outcome::RejectedByEngine,
+            AttemptOutcome::Expired => Outcome::TimedOut,
+            AttemptOutcome::Unreachable => Outcome::ConnectFailed,
+            AttemptOutcome::ConnectionBroken => Outcome::ConnectionLost,
+            AttemptOutcome::Cancelled | AttemptOutcome::ConnectionClosed => Outcome::Cancelled,
+            AttemptOutcome::NeverRan => Outcome::NeverSent,
         }
     }
 }
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -95,7 +95,7 @@
     pub(super) fn new(config: CoordinatorConfig, metrics: &Metrics) -> Coordinator {
         let CoordinatorConfig { settings, seed, zones, kinds } = config;
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max();
-        let fleet = FleetState::new(settings.gateways, settings.spare);
+        let fleet = FleetState::new(settings.gateways, settings.spare_retries);
         let send_guard = SendGuard::new(&settings);
         let monitor = InvariantMonitor::new(&settings, metrics);
         Coordinator {
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -98,7 +98,8 @@
     pub(in crate::core) fn engine_counts(&self) -> EngineCounts {
         let views = self.policy.engine_views();
         let is_avoided = |number: usize, id: &str| {
-            let by_policy = views.get(number).is_some_and(|v| v.ejected || v.silent || v.rests > 0.0);
+            let by_policy =
+                views.get(number).is_some_and(|v| v.ejected || v.unresponsive || v.backoff_secs > 0.0);
             by_policy || self.cordons.is_engine_cordoned(id)
         };
         let listed = self.engines.iter().enumerate().filter(|(_, engine)| engine.is_listed());
