--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -6,7 +6,7 @@
 
 use super::attempt::format_id;
 use sprucelink_metrics::{Counter, Metrics};
-use sprucelink_policy::{AttemptBudget, Effect, Settings, TimeDelta, Timestamp};
+use sprucelink_policy::{Effect, RetryBudgetSettings, Settings, TimeDelta, Timestamp};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 use tracing::error;
@@ -114,7 +114,7 @@
     drain_grace: TimeDelta,
     /// By class: its effect, and how long a keyed request may be sent again.
     effects: Vec<(Effect, TimeDelta)>,
-    retry_budget: Option<AttemptBudget>,
+    retry_budget: Option<RetryBudgetSettings>,
     /// Times of requests and of retries in the budget's window.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
@@ -133,7 +133,7 @@
             logged: Cell::new(0),
             drain_grace: settings.drain_grace,
             effects: settings.classes.iter().map(|class| (class.effect, class.repeat_window)).collect(),
-            retry_budget: settings.attempt_budget,
+            retry_budget: settings.retry_budget,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
             begun: BTreeMap::new(),
@@ -165,7 +165,7 @@
     /// A request was taken.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if let Some(budget) = self.retry_budget {
-            record_event(&mut self.requests, now, budget.span);
+            record_event(&mut self.requests, now, budget.window);
         }
     }
 
@@ -237,9 +237,10 @@
 
     fn check_budget(&mut self, now: Timestamp, spare_attempts: f64, name: &str) {
         let Some(budget) = self.retry_budget else { return };
-        record_event(&mut self.retries, now, budget.span);
-        forget_before(&mut self.requests, now - budget.span);
-        let allowed = budget.free + budget.share * self.requests.len() as f64 + spare_attempts;
+        record_event(&mut self.retries, now, budget.window);
+        forget_before(&mut self.requests, now - budget.window);
+        let allowed =
+            budget.free_retries + budget.retries_per_request * self.requests.len() as f64 + spare_attempts;
         if self.retries.len() as f64 > allowed {
             let detail = format!("{name}: {} retries, {allowed:.1} allowed", self.retries.len());
             self.record_violation(now, Invariant::RetryBudget, &detail);
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -15,17 +15,17 @@
 
 fn class(effect: Effect) -> ClassSettings {
     ClassSettings {
-        worth: 1.0,
-        late_worth: 0.5,
-        aim: span(1.0),
-        aim_stretch: 0.0,
+        value: 1.0,
+        late_value_fraction: 0.5,
+        latency_objective: span(1.0),
+        objective_per_work: 0.0,
         deadline: span(20.0),
         effect,
         group: DedupGroup::All,
         repeat_window: span(2.0),
-        in_turn: false,
+        ordered_by_key: false,
         threads: 1.0,
-        load: false,
+        loads_tables: false,
         kinds: None,
         zones: None,
     }
@@ -37,7 +37,11 @@
     let settings = Settings {
         classes: [Effect::Safe, Effect::Keyed, Effect::Unsafe].map(class).to_vec(),
         drain_grace: span(0.5),
-        attempt_budget: Some(AttemptBudget { span: span(5.0), free: 1.0, share: 0.0 }),
+        retry_budget: Some(RetryBudgetSettings {
+            window: span(5.0),
+            free_retries: 1.0,
+            retries_per_request: 0.0,
+        }),
         ..Settings::default()
     };
     (InvariantMonitor::new(&settings, &metrics), metrics)
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -10,8 +10,8 @@
 use sprucelink_capture::recorder::{Recorder, RecorderCounters};
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::{
-    Action, Arrival, Bill, ClassId, EngineEntry, EngineId, EngineState, Event, ListKind, Note, Policy,
-    Report, RequestId, Settings, TimeDelta, Timestamp,
+    Action, Arrival, ClassId, EndpointUpdate, EngineEntry, EngineId, EngineState, Event, LoadReport, Policy,
+    ProgressNote, RequestId, Settings, TimeDelta, Timestamp,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -242,12 +242,12 @@
 
     /// The policy's view of every engine, by number.
     pub fn engine_views(&self) -> Vec<EngineView> {
-        self.policy.engines()
+        self.policy.engine_views()
     }
 
     /// Tells the policy of a new request; the commands that follow.
     pub fn on_request(&mut self, now: Timestamp, request: &RequestSpec) -> Vec<PolicyCommand> {
-        let event = Event::Arrived(Arrival {
+        let event = Event::RequestArrived(Arrival {
             id: RequestId(request.id),
             class: ClassId(request.class),
             tenant: request.tenant,
@@ -265,7 +265,7 @@
         let event = match event {
             PolicyEvent::EndpointList { list, is_cached } => self.list_event(list, is_cached),
             PolicyEvent::Progress { id, attempt, kind, value } => {
-                Event::Noted { id: RequestId(id), attempt, note: progress_note(kind, value) }
+                Event::ProgressReported { id: RequestId(id), attempt, note: progress_note(kind, value) }
             }
             PolicyEvent::AttemptEnded {
                 id,
@@ -275,19 +275,19 @@
                 request_complete,
                 cost,
                 load_report,
-            } => Event::Ended {
+            } => Event::AttemptEnded {
                 id: RequestId(id),
                 attempt,
                 outcome: outcome.into(),
                 latency,
                 complete: request_complete,
-                bill: cost.map(|cost| Bill { work: cost.work_ms / 1e3, memory_mb: cost.memory_mb }),
+                query_cost: cost.map(policy_query_cost),
                 report: policy_report(&load_report),
             },
-            PolicyEvent::RequestAbandoned { id } => Event::GivenUp { id: RequestId(id) },
-            PolicyEvent::ZoneWeights(weights) => Event::Zones(weights),
+            PolicyEvent::RequestAbandoned { id } => Event::RequestAbandoned { id: RequestId(id) },
+            PolicyEvent::ZoneWeights(weights) => Event::ZoneWeightsChanged(weights),
             PolicyEvent::FleetChanged { gateways, spare_attempts } => {
-                Event::Fleet { gateways, spare: spare_attempts }
+                Event::FleetChanged { gateways, spare_retries: spare_attempts }
             }
         };
         self.handle(now, event)
@@ -295,9 +295,9 @@
 
     fn list_event(&mut self, list: &ListEvent, is_cached: bool) -> Event {
         let kind = match (is_cached, list.complete) {
-            (true, true) => ListKind::Remembered,
-            (false, true) => ListKind::Whole,
-            (_, false) => ListKind::Changes,
+            (true, true) => EndpointUpdate::Remembered,
+            (false, true) => EndpointUpdate::Complete,
+            (_, false) => EndpointUpdate::Changes,
         };
         let entries = list.members.iter().map(|member| EngineEntry {
             engine: EngineId(self.engine_number(&member.id) as u32),
@@ -311,7 +311,7 @@
             },
             since: self.started_at(&member.id, member.up_since_ms),
         });
-        Event::List { kind, entries: entries.collect() }
+        Event::EndpointsChanged { kind, entries: entries.collect() }
     }
 
     /// Fires every timer of the policy that is due; the commands that follow.
@@ -338,7 +338,7 @@
         let mut commands = Vec::new();
         for action in self.actions.drain(..) {
             match action {
-                Action::Timer { delay, token } => self.timers.push(Reverse((now + delay, token))),
+                Action::StartTimer { delay, token } => self.timers.push(Reverse((now + delay, token))),
                 other => commands.extend(command_of(other)),
             }
         }
@@ -358,12 +358,14 @@
 /// The command of a policy's action; `None` where there is nothing to do.
 fn command_of(action: Action) -> Option<PolicyCommand> {
     match action {
-        Action::Send { id, engine, .. } => Some(PolicyCommand::Send { id: id.0, engine: engine.0 as usize }),
-        Action::Terms { id, grant_mb, level } => {
+        Action::ForwardAttempt { id, engine, .. } => {
+            Some(PolicyCommand::Send { id: id.0, engine: engine.0 as usize })
+        }
+        Action::SetExecutionTerms { id, grant_mb, level } => {
             Some(PolicyCommand::SetResources { id: id.0, memory_grant_mb: grant_mb, priority: level.0 })
         }
         Action::Cancel { id, attempt } => Some(PolicyCommand::Cancel { id: id.0, attempt }),
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             Some(PolicyCommand::Reject { id: id.0, retry_after: retry_after.unwrap_or_default() })
         }
         Action::Fail { id, retry_after } => {
@@ -371,32 +373,37 @@
         }
         Action::Log(text) => Some(PolicyCommand::Log(text)),
         // The list is followed all the time, neither engines nor peers are probed, and reasons are not shown here.
-        Action::Timer { .. }
-        | Action::Watch
+        Action::StartTimer { .. }
+        | Action::WatchEndpoints
         | Action::Probe { .. }
-        | Action::Tell { .. }
-        | Action::Why(_) => None,
+        | Action::BroadcastToPeers { .. }
+        | Action::Explain(_) => None,
     }
 }
 
 /// A progress note as the policy reads it. An engine's `waiting` note has 1 for memory, 2 for a load.
-fn progress_note(kind: UpdateTopic, value: f64) -> Note {
+fn progress_note(kind: UpdateTopic, value: f64) -> ProgressNote {
     match kind {
-        UpdateTopic::Progress => Note::Progress(value),
-        UpdateTopic::MissingMemory => Note::Spills(value),
-        UpdateTopic::Waiting if value >= 2.0 => Note::WaitsForLoad,
-        UpdateTopic::Waiting => Note::WaitsForMemory,
+        UpdateTopic::Progress => ProgressNote::Progress(value),
+        UpdateTopic::MissingMemory => ProgressNote::Spills(value),
+        UpdateTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
+        UpdateTopic::Waiting => ProgressNote::WaitsForMemory,
     }
 }
 
+/// A query's cost as the policy reads it: work in thread-seconds.
+fn policy_query_cost(cost: QueryCost) -> sprucelink_policy::QueryCost {
+    sprucelink_policy::QueryCost { work: cost.work_ms / 1e3, memory_mb: cost.memory_mb }
+}
+
 /// A load report as the policy reads it.
-fn policy_report(stats: &LoadStats) -> Report {
-    Report {
-        in_hand: stats.in_flight,
-        waiting: stats.queued,
-        busy: stats.cpu_utilization,
-        memory: stats.memory_utilization,
-        disks: stats.disk_utilization,
+fn policy_report(stats: &LoadStats) -> LoadReport {
+    LoadReport {
+        queries_in_flight: stats.in_flight,
+        queries_waiting_for_memory: stats.queued,
+        busy_core_fraction: stats.cpu_utilization,
+        granted_memory_fraction: stats.memory_utilization,
+        busy_disk_fraction: stats.disk_utilization,
     }
 }
 
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -5,7 +5,7 @@
 //! withdrawn; as it was never sent, it costs its request nothing. This is no second decision: it stops only what the
 //! policy would not choose at this moment.
 
-use sprucelink_policy::{AttemptBudget, Effect, Settings, TimeDelta, Timestamp};
+use sprucelink_policy::{Effect, RetryBudgetSettings, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
 
 /// Width of a slot in which events are counted; longer windows have wider slots.
@@ -69,7 +69,7 @@
 pub(super) struct SendGuard {
     /// By class.
     retry_rules: Vec<RetryRule>,
-    retry_budget: Option<AttemptBudget>,
+    retry_budget: Option<RetryBudgetSettings>,
     requests: SlotWindow<u32>,
     retries: SlotWindow<u32>,
     /// When this process gives its last responses, once it shuts down.
@@ -79,11 +79,11 @@
 impl SendGuard {
     /// The rules of the policy's settings, with nothing counted.
     pub(super) fn new(settings: &Settings) -> SendGuard {
-        let span = settings.attempt_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.span);
+        let span = settings.retry_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.window);
         let rules = settings.classes.iter();
         SendGuard {
             retry_rules: rules.map(|c| RetryRule { effect: c.effect, window: c.repeat_window }).collect(),
-            retry_budget: settings.attempt_budget,
+            retry_budget: settings.retry_budget,
             requests: SlotWindow::new(span, MIN_SLOT_WIDTH, MAX_SLOTS),
             retries: SlotWindow::new(span, MIN_SLOT_WIDTH, MAX_SLOTS),
             shutdown_deadline: None,
@@ -158,7 +158,9 @@
     /// do not, so that no exact window holds more retries than the budget allows.
     fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
-        let allowed = budget.free + budget.share * self.requests.count_within(now) as f64 + spare_attempts;
+        let allowed = budget.free_retries
+            + budget.retries_per_request * self.requests.count_within(now) as f64
+            + spare_attempts;
         (self.retries.count_overlapping(now) + 1) as f64 <= allowed
     }
 }
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -6,17 +6,17 @@
 
 fn class(effect: Effect, window_ms: i64) -> ClassSettings {
     ClassSettings {
-        worth: 1.0,
-        late_worth: 0.5,
-        aim: ms(1),
-        aim_stretch: 0.0,
+        value: 1.0,
+        late_value_fraction: 0.5,
+        latency_objective: ms(1),
+        objective_per_work: 0.0,
         deadline: ms(20_000),
         effect,
         group: DedupGroup::All,
         repeat_window: ms(window_ms),
-        in_turn: false,
+        ordered_by_key: false,
         threads: 1.0,
-        load: false,
+        loads_tables: false,
         kinds: None,
         zones: None,
     }
@@ -30,9 +30,9 @@
     Timestamp::from_millis(t)
 }
 
-fn guard(budget: Option<AttemptBudget>) -> SendGuard {
+fn guard(budget: Option<RetryBudgetSettings>) -> SendGuard {
     let classes = vec![class(Effect::Safe, 0), class(Effect::Keyed, 400), class(Effect::Unsafe, 9_000)];
-    SendGuard::new(&Settings { classes, attempt_budget: budget, ..Settings::default() })
+    SendGuard::new(&Settings { classes, retry_budget: budget, ..Settings::default() })
 }
 
 const FIRST: OutgoingAttempt = OutgoingAttempt {
@@ -94,7 +94,7 @@
 #[test]
 fn no_window_holds_more_retries_than_its_budget() {
     fn holds(steps: Vec<(u8, bool)>) -> TestResult {
-        let budget = AttemptBudget { span: ms(1_000), free: 3.0, share: 0.1 };
+        let budget = RetryBudgetSettings { window: ms(1_000), free_retries: 3.0, retries_per_request: 0.1 };
         let mut guard = guard(Some(budget));
         let (mut now, mut requests, mut retries) = (at(50_000), Vec::new(), Vec::<Timestamp>::new());
         for (rest, request) in steps {
@@ -110,9 +110,9 @@
             guard.record_send(now, true);
             retries.push(now);
             // The rule counts at each retry, itself included.
-            let from = now - budget.span;
+            let from = now - budget.window;
             let of = |all: &[Timestamp]| all.iter().filter(|t| **t > from).count() as f64;
-            if of(&retries) > budget.free + budget.share * of(&requests) + 1e-9 {
+            if of(&retries) > budget.free_retries + budget.retries_per_request * of(&requests) + 1e-9 {
                 return TestResult::failed();
             }
         }
@@ -124,7 +124,7 @@
 
 #[test]
 fn retry_budget_is_used_up_and_its_counts_stay_bounded() {
-    let budget = AttemptBudget { span: ms(5_000), free: 3.0, share: 0.1 };
+    let budget = RetryBudgetSettings { window: ms(5_000), free_retries: 3.0, retries_per_request: 0.1 };
     let mut guard = guard(Some(budget));
     let retry = OutgoingAttempt { is_retry: true, deadline: Timestamp::MAX, ..FIRST };
     let mut sent = 0;
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -13,17 +13,17 @@
 
 fn settings(cores: f64) -> Settings {
     let class = ClassSettings {
-        worth: 1.0,
-        late_worth: 0.5,
-        aim: TimeDelta::from_micros(1_000),
-        aim_stretch: 0.0,
+        value: 1.0,
+        late_value_fraction: 0.5,
+        latency_objective: TimeDelta::from_micros(1_000),
+        objective_per_work: 0.0,
         deadline: TimeDelta::from_micros(20_000_000),
         effect: Effect::Safe,
         group: DedupGroup::All,
         repeat_window: TimeDelta::ZERO,
-        in_turn: false,
+        ordered_by_key: false,
         threads: 1.0,
-        load: false,
+        loads_tables: false,
         kinds: None,
         zones: None,
     };
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -154,9 +154,9 @@
         sum.engines += 1;
         sum.unresponsive += u32::from(is_unresponsive);
         sum.responsive += u32::from(*responsiveness == Responsiveness::Responsive);
-        sum.load += view.load;
+        sum.load += view.estimated_threads;
         if !is_unresponsive && !view.ejected {
-            sum.healthy_cores += view.cores * view.warmth;
+            sum.healthy_cores += view.cores * view.capacity_fraction;
         }
         engines_by_zone.entry(view.zone).or_default().extend(gossip_name(engines, view));
     }
@@ -212,7 +212,7 @@
         engine: view.engine,
         zone: view.zone,
         last_heard_at: engines.get(view.engine as usize).and_then(|engine| engine.last_heard_at),
-        is_silent: view.silent || view.rests > 0.0,
+        is_silent: view.unresponsive || view.backoff_secs > 0.0,
         has_overdue_attempts: view.overdue > 0,
     }
 }
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -46,7 +46,7 @@
 
 /// What all replays of all segments came to.
 #[derive(Default)]
-struct Report {
+struct LoadReport {
     segments: usize,
     /// Sum over the segments of the first replay.
     total: Outcome,
@@ -64,7 +64,7 @@
     other_build: Vec<String>,
 }
 
-impl Report {
+impl LoadReport {
     /// Whether the replays were equal among themselves.
     fn is_repeatable(&self) -> bool {
         self.digests.iter().all(|digest| *digest == self.digests[0])
@@ -97,11 +97,11 @@
     segments: &[&Segment],
     options: &ReplayOptions,
     until: Option<Timestamp>,
-) -> Result<Report, CaptureError> {
+) -> Result<LoadReport, CaptureError> {
     let change =
         |policy: &mut Policy| setting_changes::apply(&options.changes, policy).map_err(BoxError::from);
     let play = Play { treatment: options.treatment, until, explain: false, change: &change };
-    let mut report = Report { segments: segments.len(), ..Report::default() };
+    let mut report = LoadReport { segments: segments.len(), ..LoadReport::default() };
     let began = Instant::now();
     for repetition in 0..options.times {
         let mut digest = 0_u64;
@@ -121,7 +121,7 @@
     Ok(report)
 }
 
-fn print_json(report: &Report, options: &ReplayOptions) {
+fn print_json(report: &LoadReport, options: &ReplayOptions) {
     let total = &report.total;
     let result = json!({
         "same": report.is_same(), "segments": report.segments, "events": total.events,
@@ -136,7 +136,7 @@
     print_line(&result.to_string());
 }
 
-fn print_text(report: &Report, options: &ReplayOptions) {
+fn print_text(report: &LoadReport, options: &ReplayOptions) {
     let span = report.span.as_secs_f64();
     print_line(&format!(
         "{} events in {} segments over {span:.3} s, replayed {} times at {:.0} times real time; answers {:016x}",
@@ -175,7 +175,7 @@
     other_build.iter().for_each(|reason| print_line(&format!("  {reason}")));
 }
 
-fn print_differences(report: &Report) {
+fn print_differences(report: &LoadReport) {
     let total = &report.total;
     let by_kind: Vec<String> = total.by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     let percentage = 100.0 * total.differ as f64 / total.events.max(1) as f64;
--- a/src/run/commands/setting_changes.rs
+++ b/src/run/commands/setting_changes.rs
@@ -41,7 +41,7 @@
         *place = serde_json::from_str(&change.value).unwrap_or_else(|_| Value::String(change.value.clone()));
     }
     let settings = serde_json::from_value(settings).map_err(SettingChangeError::InvalidValue)?;
-    match policy.set_up_anew(settings) {
+    match policy.replace_settings(settings) {
         true => Ok(()),
         false => Err(SettingChangeError::CountChanged),
     }
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -144,7 +144,7 @@
         max_streams: limits.max_streams.unwrap_or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
         dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_S)),
         idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.unwrap_or(DEFAULT_IDLE_TIMEOUT_S)),
-        note_interval: settings.progress_pace,
+        note_interval: settings.progress_interval,
         max_per_engine: (sockets / 32).max(2),
         max_total: descriptors.engine_connections,
     }
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -7,7 +7,7 @@
     budget_divisor, decode, encode, spare_retries, LocalMember, Member, MembershipConfig, MembershipCounters,
     MembershipEventKind, OutgoingMessage, RetryBudget, SwimNode, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES,
 };
-use sprucelink_policy::{AttemptBudget, TimeDelta, Timestamp};
+use sprucelink_policy::{RetryBudgetSettings, TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
 use std::io;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     /// Managers, as configured.
     pub managers: u32,
     /// The retry budget of each.
-    pub retry_budget: Option<AttemptBudget>,
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// Window of the budgets for cold engines.
     pub cold_budget_window: TimeDelta,
     /// How long an engine counts as cold.
@@ -85,7 +85,7 @@
     let seeds = settings.seeds.iter().filter_map(|seed| seed.parse().ok()).collect();
     let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
     let swim = SwimNode::new(me, seeds, settings.protocol, seed, now());
-    let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.span);
+    let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.window);
     core.enable_gossip(GossipWindows {
         retry_budget: budget_window,
         warm_up_budget: fleet.cold_budget_window,
@@ -260,7 +260,11 @@
             .filter_map(|member| payloads.get(&member.name))
             .map(|held| &held.payload)
             .collect();
-        spare_retries(RetryBudget { min_retries: budget.free, retry_ratio: budget.share }, &others, members)
+        spare_retries(
+            RetryBudget { min_retries: budget.free_retries, retry_ratio: budget.retries_per_request },
+            &others,
+            members,
+        )
     }
 
     fn log_changes(&mut self) {
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -87,7 +87,7 @@
 
 fn build_core(config: &Config, cold_start: Option<&StartupConfig>) -> Result<Rc<Core>, ServeError> {
     let mut settings = config.settings.clone();
-    settings.cold_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
+    settings.restart_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
     let metrics = Metrics::try_new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
     let core = Core::new(CoreConfig {
@@ -152,9 +152,9 @@
     let Some(settings) = settings.filter(|settings| settings.enabled) else { return Ok(None) };
     let fleet = FleetSettings {
         managers: config.settings.gateways,
-        retry_budget: config.settings.attempt_budget,
-        cold_budget_window: config.settings.fall_span,
-        slow_start_period: config.settings.cold_for,
+        retry_budget: config.settings.retry_budget,
+        cold_budget_window: config.settings.slow_start_window,
+        slow_start_period: config.settings.slow_start_duration,
     };
     let core = Rc::clone(core);
     Ok(Some(membership_driver::start(core, settings, &config.name, config.seed, fleet).await?))
@@ -171,10 +171,10 @@
 }
 
 fn start_hot_restart(core: &Rc<Core>, config: &Config) -> Rc<HotRestartDriver> {
-    let retry_budget = config.settings.attempt_budget.as_ref();
+    let retry_budget = config.settings.retry_budget.as_ref();
     let windows = WindowSpans {
-        retry_budget: retry_budget.map_or(TimeDelta::ZERO, |budget| budget.span),
-        warmup: config.settings.fall_span,
+        retry_budget: retry_budget.map_or(TimeDelta::ZERO, |budget| budget.window),
+        warmup: config.settings.slow_start_window,
     };
     HotRestartDriver::start(Rc::clone(core), &config.name, &config.listen, windows)
 }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -6,7 +6,7 @@
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_policy::{
-    Action, EngineEntry, EngineId, Event, ListKind, Outcome, Policy, Report, Settings, Timestamp,
+    Action, EndpointUpdate, EngineEntry, EngineId, Event, LoadReport, Outcome, Policy, Settings, Timestamp,
 };
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -192,12 +192,15 @@
             Line::Stop { instance } => {
                 self.instances.remove(&instance);
             }
-            Line::Members { instance, kind: ListKind::Failed, .. } => {
-                self.handle_event(&instance, Event::List { kind: ListKind::Failed, entries: Vec::new() });
+            Line::Members { instance, kind: EndpointUpdate::Failed, .. } => {
+                self.handle_event(
+                    &instance,
+                    Event::EndpointsChanged { kind: EndpointUpdate::Failed, entries: Vec::new() },
+                );
             }
             Line::Members { instance, kind, list } => {
                 if let Some(entries) = self.list_for(&instance, list)? {
-                    self.handle_event(&instance, Event::List { kind, entries });
+                    self.handle_event(&instance, Event::EndpointsChanged { kind, entries });
                 }
             }
             Line::Probed { instance, engine, outcome, report } => {
@@ -256,10 +259,10 @@
     }
 
     /// A probe of an engine that the instance has never seen is ignored.
-    fn handle_probe(&mut self, instance: &str, engine: &str, outcome: Outcome, report: Report) {
+    fn handle_probe(&mut self, instance: &str, engine: &str, outcome: Outcome, report: LoadReport) {
         let known = self.instances.get(instance).and_then(|instance| instance.engine_ids.get(engine));
         if let Some(&engine) = known {
-            self.handle_event(instance, Event::Probed { engine, outcome, report });
+            self.handle_event(instance, Event::ProbeCompleted { engine, outcome, report });
         }
     }
 
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -12,7 +12,7 @@
 pub use parse::parse_line;
 pub use print::print_action;
 
-use sprucelink_policy::{EngineEntry, Event, ListKind, Outcome, Report, Settings, Timestamp};
+use sprucelink_policy::{EndpointUpdate, EngineEntry, Event, LoadReport, Outcome, Settings, Timestamp};
 
 /// An entry of an engine list, its engine still by name.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
         /// The instance.
         instance: String,
         /// How the list came.
-        kind: ListKind,
+        kind: EndpointUpdate,
         /// The list's number.
         list: usize,
     },
@@ -76,7 +76,7 @@
         /// How the probe ended.
         outcome: Outcome,
         /// What the engine reported.
-        report: Report,
+        report: LoadReport,
     },
     /// Any other event of an instance.
     Event {
--- a/src/simulator/codec/fields.rs
+++ b/src/simulator/codec/fields.rs
@@ -1,7 +1,7 @@
 //! Reads single fields of a line; the texts in quotes are the wire's.
 
 use super::{FieldError, WireError};
-use sprucelink_policy::{Bill, Outcome, Report, RequestId, Settings};
+use sprucelink_policy::{LoadReport, Outcome, QueryCost, RequestId, Settings};
 
 /// Characters of a malformed line that its error quotes.
 const MAX_QUOTED_CHARS: usize = 120;
@@ -87,21 +87,21 @@
 
     pub(super) fn outcome(&self, index: usize) -> Result<Outcome, WireError> {
         Ok(match self.text(index, "disposition")? {
-            "delivered" => Outcome::Delivered,
-            "app_error" => Outcome::Error,
-            "shed" => Outcome::Shed,
-            "expired" => Outcome::Expired,
-            "dial_failed" => Outcome::DialFailed,
-            "dropped" => Outcome::Dropped,
-            "revoked" => Outcome::Revoked,
-            "unused" => Outcome::Unused,
+            "delivered" => Outcome::Succeeded,
+            "app_error" => Outcome::EngineError,
+            "shed" => Outcome::RejectedByEngine,
+            "expired" => Outcome::TimedOut,
+            "dial_failed" => Outcome::ConnectFailed,
+            "dropped" => Outcome::ConnectionLost,
+            "revoked" => Outcome::Cancelled,
+            "unused" => Outcome::NeverSent,
             _ => return Err(self.error("disposition", FieldError::UnknownWord)),
         })
     }
 
     /// A load report: `name:value` pairs with commas between them.
-    pub(super) fn report(&self, index: usize) -> Result<Report, WireError> {
-        let mut report = Report::default();
+    pub(super) fn report(&self, index: usize) -> Result<LoadReport, WireError> {
+        let mut report = LoadReport::default();
         let pairs = self.optional_text(index).unwrap_or("").split(',').filter(|pair| !pair.is_empty());
         for pair in pairs {
             let (name, value) =
@@ -109,11 +109,11 @@
             let value =
                 parse_finite(value).ok_or_else(|| self.error("pressure", FieldError::ValueNotANumber))?;
             match name {
-                "rif" => report.in_hand = Some(value),
-                "q" => report.waiting = Some(value),
-                "busy" => report.busy = Some(value),
-                "x0" => report.memory = Some(value),
-                "x1" => report.disks = Some(value),
+                "rif" => report.queries_in_flight = Some(value),
+                "q" => report.queries_waiting_for_memory = Some(value),
+                "busy" => report.busy_core_fraction = Some(value),
+                "x0" => report.granted_memory_fraction = Some(value),
+                "x1" => report.busy_disk_fraction = Some(value),
                 _ => {}
             }
         }
@@ -121,9 +121,9 @@
     }
 
     /// The cost that an engine bills; 0 is none.
-    pub(super) fn bill(&self, index: usize) -> Result<Option<Bill>, WireError> {
+    pub(super) fn query_cost(&self, index: usize) -> Result<Option<QueryCost>, WireError> {
         let bill = self.optional_integer(index, "bill")?.filter(|bill| *bill > 0);
-        Ok(bill.map(|bill| Bill {
+        Ok(bill.map(|bill| QueryCost {
             work: (bill / BILL_MEMORY_VALUES) as f64 / 1e3,
             memory_mb: (bill % BILL_MEMORY_VALUES) as f64 * BILL_MEMORY_UNIT_MB,
         }))
--- a/src/simulator/codec/parse.rs
+++ b/src/simulator/codec/parse.rs
@@ -3,7 +3,8 @@
 use super::fields::Fields;
 use super::{FieldError, Line, ListedEngine, WireError};
 use sprucelink_policy::{
-    Arrival, ClassId, EngineEntry, EngineId, EngineState, Event, ListKind, Note, TimeDelta, Timestamp,
+    Arrival, ClassId, EndpointUpdate, EngineEntry, EngineId, EngineState, Event, ProgressNote, TimeDelta,
+    Timestamp,
 };
 
 /// Reads one line; `None` where its first field is unknown.
@@ -37,14 +38,16 @@
             report: fields.report(5)?,
         },
         "INCOMING" => parse_arrival(&fields)?,
-        "OPENED" => {
-            Line::Event { instance: fields.instance()?, event: Event::Started { id: fields.request_id()? } }
-        }
+        "OPENED" => Line::Event {
+            instance: fields.instance()?,
+            event: Event::ResponseStarted { id: fields.request_id()? },
+        },
         "UPDATE_OF" => return parse_note(&fields),
         "ENDED" => parse_ended(&fields)?,
-        "ABANDONED" => {
-            Line::Event { instance: fields.instance()?, event: Event::GivenUp { id: fields.request_id()? } }
-        }
+        "ABANDONED" => Line::Event {
+            instance: fields.instance()?,
+            event: Event::RequestAbandoned { id: fields.request_id()? },
+        },
         "DUE" => Line::Event {
             instance: fields.instance()?,
             event: Event::Timer { token: fields.integer(2, "handle")? },
@@ -78,13 +81,13 @@
 
 fn parse_members(fields: &Fields) -> Result<Line, WireError> {
     let kind = match fields.text(2, "form")? {
-        "changes" => ListKind::Changes,
-        "all" => ListKind::Whole,
-        "remembered" => ListKind::Remembered,
-        "refused" => ListKind::Failed,
+        "changes" => EndpointUpdate::Changes,
+        "all" => EndpointUpdate::Complete,
+        "remembered" => EndpointUpdate::Remembered,
+        "refused" => EndpointUpdate::Failed,
         _ => return Err(fields.error("form", FieldError::UnknownWord)),
     };
-    let list = if kind == ListKind::Failed { 0 } else { fields.integer(4, "page")? as usize };
+    let list = if kind == EndpointUpdate::Failed { 0 } else { fields.integer(4, "page")? as usize };
     Ok(Line::Members { instance: fields.instance()?, kind, list })
 }
 
@@ -100,34 +103,34 @@
         key: fields.optional_text(9).map(str::to_owned),
         memory_mb: fields.optional_number(11, "memMb")?.filter(|memory| *memory > 0.0),
     };
-    Ok(Line::Event { instance, event: Event::Arrived(arrival) })
+    Ok(Line::Event { instance, event: Event::RequestArrived(arrival) })
 }
 
 /// A note on an attempt; `None` where its topic is unknown.
 fn parse_note(fields: &Fields) -> Result<Option<Line>, WireError> {
     let value = fields.optional_number(6, "value")?.unwrap_or(0.0);
     let note = match fields.integer(5, "topic")? {
-        1 => Note::Progress(value),
-        2 => Note::Spills(value),
-        3 if value >= 2.0 => Note::WaitsForLoad,
-        3 => Note::WaitsForMemory,
+        1 => ProgressNote::Progress(value),
+        2 => ProgressNote::Spills(value),
+        3 if value >= 2.0 => ProgressNote::WaitsForLoad,
+        3 => ProgressNote::WaitsForMemory,
         _ => return Ok(None),
     };
     let attempt = fields.integer(3, "attempt")? as u32;
     let instance = fields.instance()?;
-    let event = Event::Noted { id: fields.request_id()?, attempt, note };
+    let event = Event::ProgressReported { id: fields.request_id()?, attempt, note };
     Ok(Some(Line::Event { instance, event }))
 }
 
 fn parse_ended(fields: &Fields) -> Result<Line, WireError> {
     let instance = fields.instance()?;
-    let event = Event::Ended {
+    let event = Event::AttemptEnded {
         id: fields.request_id()?,
         attempt: fields.integer(3, "attempt")? as u32,
         outcome: fields.outcome(5)?,
         latency: TimeDelta::from_secs_f64(fields.optional_number(6, "lag")?.unwrap_or(0.0)),
         complete: fields.flag(7, "complete")?,
-        bill: fields.bill(8)?,
+        query_cost: fields.query_cost(8)?,
         report: fields.report(9)?,
     };
     Ok(Line::Event { instance, event })
@@ -136,6 +139,6 @@
 fn parse_gossip(fields: &Fields) -> Result<Line, WireError> {
     let message = fields.bytes(3, "blob")?;
     let instance = fields.instance()?;
-    let event = Event::Heard { from: fields.integer(2, "src")? as u32, message };
+    let event = Event::PeerMessageReceived { from: fields.integer(2, "src")? as u32, message };
     Ok(Line::Event { instance, event })
 }
--- a/src/simulator/codec/print.rs
+++ b/src/simulator/codec/print.rs
@@ -32,28 +32,28 @@
 ) {
     // Writing to a string cannot fail.
     let _ = match action {
-        Action::Send { id, timeout, engine } => {
+        Action::ForwardAttempt { id, timeout, engine } => {
             let _ = write!(out, "SEND\t{instance}\t{:016x}\t", id.0);
             write_optional_seconds(out, *timeout);
             write!(out, "\t{}", engine_name(*engine))
         }
-        Action::Terms { id, grant_mb, level } => {
+        Action::SetExecutionTerms { id, grant_mb, level } => {
             write!(out, "TUNE\t{instance}\t{:016x}\t{}\t{}", id.0, grant_mb.unwrap_or(0.0), level.0)
         }
         Action::Cancel { id, attempt } => write!(out, "CALL_OFF\t{instance}\t{:016x}\t{attempt}", id.0),
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             let _ = write!(out, "DECLINE\t{instance}\t{:016x}\t", id.0);
             write_optional_seconds(out, *retry_after);
             Ok(())
         }
         Action::Fail { id, .. } => write!(out, "END_FAILED\t{instance}\t{:016x}", id.0),
-        Action::Timer { delay, token } => {
+        Action::StartTimer { delay, token } => {
             let _ = write!(out, "REMIND\t{instance}\t");
             write_seconds(out, *delay);
             write!(out, "\t{token}")
         }
         Action::Probe { engine } => write!(out, "TOUCH\t{instance}\t{}", engine_name(*engine)),
-        Action::Tell { message } => {
+        Action::BroadcastToPeers { message } => {
             let _ = write!(out, "PUBLISH\t{instance}\tall\t");
             if message.is_empty() {
                 out.push('-');
@@ -61,8 +61,8 @@
             message.iter().try_for_each(|byte| write!(out, "{byte:02x}"))
         }
         // The wire has no line for diagnostics.
-        Action::Why(_) => return,
-        Action::Watch => write!(out, "KEEP_INFORMED\t{instance}\t1"),
+        Action::Explain(_) => return,
+        Action::WatchEndpoints => write!(out, "KEEP_INFORMED\t{instance}\t1"),
         Action::Log(text) => {
             write!(out, "NOTE_DOWN\t{instance}\t{}", without_control_characters(text))
         }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -13,7 +13,8 @@
 
 #[test]
 fn arrival_and_attempt_end_are_parsed() {
-    let Event::Arrived(a) = event("INCOMING\trouter_0\t00000000000000ff\t1\t0\t7\t2.5\t2\t0.25\tt/k\t1\t384")
+    let Event::RequestArrived(a) =
+        event("INCOMING\trouter_0\t00000000000000ff\t1\t0\t7\t2.5\t2\t0.25\tt/k\t1\t384")
     else {
         panic!()
     };
@@ -23,35 +24,41 @@
         (TimeDelta::from_micros(2_500_000), Some(0.25), Some(384.0))
     );
     assert_eq!(a.key.as_deref(), Some("t/k"));
-    let Event::Arrived(a) = event("INCOMING\trouter_0\t00000000000000ff\t-\t0\t7\t2.5\t0\t-\t-\t0\t0") else {
+    let Event::RequestArrived(a) = event("INCOMING\trouter_0\t00000000000000ff\t-\t0\t7\t2.5\t0\t-\t-\t0\t0")
+    else {
         panic!()
     };
     assert_eq!((a.cost, a.memory_mb, a.key), (None, None, None));
 
     let line = "ENDED\trouter_0\t00000000000000ff\t0\te:1\tdelivered\t0.0185\t1\t69728\trif:7,x0:0.4,new:3";
-    let Event::Ended { outcome, latency, complete, bill, report, .. } = event(line) else { panic!() };
-    assert_eq!((outcome, latency, complete), (Outcome::Delivered, TimeDelta::from_micros(18_500), true));
-    let bill = bill.expect("a bill");
-    assert_eq!((bill.work, bill.memory_mb), (0.017, 384.0));
-    assert_eq!((report.in_hand, report.memory, report.busy), (Some(7.0), Some(0.4), None));
+    let Event::AttemptEnded { outcome, latency, complete, query_cost, report, .. } = event(line) else {
+        panic!()
+    };
+    assert_eq!((outcome, latency, complete), (Outcome::Succeeded, TimeDelta::from_micros(18_500), true));
+    let query_cost = query_cost.expect("a bill");
+    assert_eq!((query_cost.work, query_cost.memory_mb), (0.017, 384.0));
+    assert_eq!(
+        (report.queries_in_flight, report.granted_memory_fraction, report.busy_core_fraction),
+        (Some(7.0), Some(0.4), None)
+    );
 }
 
 #[test]
 fn every_disposition_is_parsed() {
     let all = [
-        ("delivered", Outcome::Delivered),
-        ("app_error", Outcome::Error),
-        ("shed", Outcome::Shed),
-        ("expired", Outcome::Expired),
-        ("dial_failed", Outcome::DialFailed),
-        ("dropped", Outcome::Dropped),
-        ("revoked", Outcome::Revoked),
-        ("unused", Outcome::Unused),
+        ("delivered", Outcome::Succeeded),
+        ("app_error", Outcome::EngineError),
+        ("shed", Outcome::RejectedByEngine),
+        ("expired", Outcome::TimedOut),
+        ("dial_failed", Outcome::ConnectFailed),
+        ("dropped", Outcome::ConnectionLost),
+        ("revoked", Outcome::Cancelled),
+        ("unused", Outcome::NeverSent),
     ];
     for (word, want) in all {
         let line = format!("ENDED\trouter_0\t00000000000000ff\t0\te:1\t{word}\t0.1\t0\t-\t-");
-        let Event::Ended { outcome, bill, .. } = event(&line) else { panic!() };
-        assert_eq!((outcome, bill.is_none()), (want, true));
+        let Event::AttemptEnded { outcome, query_cost, .. } = event(&line) else { panic!() };
+        assert_eq!((outcome, query_cost.is_none()), (want, true));
     }
 }
 
@@ -59,13 +66,13 @@
 fn notes_are_parsed() {
     let note = |topic, value| {
         let line = format!("UPDATE_OF\trouter_0\t00000000000000ff\t0\te:1\t{topic}\t{value}");
-        let Event::Noted { note, .. } = event(&line) else { panic!() };
+        let Event::ProgressReported { note, .. } = event(&line) else { panic!() };
         note
     };
-    assert_eq!(note(1, 0.5), Note::Progress(0.5));
-    assert_eq!(note(2, 64.0), Note::Spills(64.0));
-    assert_eq!(note(3, 1.0), Note::WaitsForMemory);
-    assert_eq!(note(3, 2.0), Note::WaitsForLoad);
+    assert_eq!(note(1, 0.5), ProgressNote::Progress(0.5));
+    assert_eq!(note(2, 64.0), ProgressNote::Spills(64.0));
+    assert_eq!(note(3, 1.0), ProgressNote::WaitsForMemory);
+    assert_eq!(note(3, 2.0), ProgressNote::WaitsForLoad);
 }
 
 #[test]
@@ -80,8 +87,8 @@
     assert_eq!((c.effect, c.group, c.threads), (Effect::Keyed, DedupGroup::Zone, 4.0));
     assert_eq!((c.kinds.as_deref(), c.zones.is_none()), (Some(&[0, 2][..]), true));
     assert_eq!((set.gateways, set.kind_cores.clone()), (2, vec![12.0, 8.0]));
-    assert_eq!((set.report_via, set.attempt_budget.map(|b| b.free)), (ReportVia::Probes, Some(2.0)));
-    assert!(!set.must_ask && !set.probes);
+    assert_eq!((set.report_via, set.retry_budget.map(|b| b.free_retries)), (ReportVia::Probes, Some(2.0)));
+    assert!(!set.must_poll_endpoints && !set.probes);
 }
 
 #[test]
@@ -107,18 +114,19 @@
         print_action(&mut out, "router_0", a, |_| "e:1");
         out
     };
-    let send = Action::Send { id, timeout: Some(TimeDelta::from_micros(80_000)), engine: EngineId(0) };
+    let send =
+        Action::ForwardAttempt { id, timeout: Some(TimeDelta::from_micros(80_000)), engine: EngineId(0) };
     assert_eq!(write(&send), "SEND\trouter_0\t00000000000000ff\t0.080000\te:1\n");
-    let terms = Action::Terms { id, grant_mb: None, level: Level(3) };
+    let terms = Action::SetExecutionTerms { id, grant_mb: None, level: Level(3) };
     assert_eq!(write(&terms), "TUNE\trouter_0\t00000000000000ff\t0\t3\n");
     assert_eq!(write(&Action::Cancel { id, attempt: 1 }), "CALL_OFF\trouter_0\t00000000000000ff\t1\n");
-    assert_eq!(write(&Action::Refuse { id, retry_after: None }), "DECLINE\trouter_0\t00000000000000ff\t0\n");
+    assert_eq!(write(&Action::Reject { id, retry_after: None }), "DECLINE\trouter_0\t00000000000000ff\t0\n");
     assert_eq!(write(&Action::Fail { id, retry_after: None }), "END_FAILED\trouter_0\t00000000000000ff\n");
-    let timer = Action::Timer { delay: TimeDelta::from_micros(20_000), token: 3 };
+    let timer = Action::StartTimer { delay: TimeDelta::from_micros(20_000), token: 3 };
     assert_eq!(write(&timer), "REMIND\trouter_0\t0.020000\t3\n");
     assert_eq!(write(&Action::Probe { engine: EngineId(0) }), "TOUCH\trouter_0\te:1\n");
-    assert_eq!(write(&Action::Tell { message: vec![1, 255] }), "PUBLISH\trouter_0\tall\t01ff\n");
-    assert_eq!(write(&Action::Watch), "KEEP_INFORMED\trouter_0\t1\n");
+    assert_eq!(write(&Action::BroadcastToPeers { message: vec![1, 255] }), "PUBLISH\trouter_0\tall\t01ff\n");
+    assert_eq!(write(&Action::WatchEndpoints), "KEEP_INFORMED\trouter_0\t1\n");
     assert_eq!(write(&Action::Log("a\tb".into())), "NOTE_DOWN\trouter_0\ta b\n");
 }
 
