--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -1,6 +1,6 @@
-//! Actions: what the decision module has a gateway do.
+//! Actions: what the decision module has a manager do.
 
-use crate::ids::*;
+use crate::ids::{EngineId, Level, RequestId};
 use crate::reasons::Reason;
 use sprucelink_time::TimeDelta;
 
@@ -58,7 +58,7 @@
         /// The engine.
         engine: EngineId,
     },
-    /// Send a message to all other gateways.
+    /// Send a message to all other managers.
     BroadcastToPeers {
         /// The message.
         message: Vec<u8>,
@@ -67,6 +67,7 @@
     WatchEndpoints,
     /// A log line for operators.
     Log(String),
-    /// The reason of a decision, given only while [`Policy::listen`](crate::Policy::listen) asks for it.
+    /// The reason of a decision, given only while [`Policy::set_explaining`](crate::Policy::set_explaining)
+    /// asks for it.
     Explain(Box<Reason>),
 }
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -1,85 +1,118 @@
-//! Cancellation: attempts that are stuck, and requests whose response is due or has lost its value.
+//! Review of open requests: cancel an attempt that is stuck, raise the level of a late one, respond to a
+//! request whose time or value is gone; from its progress, age, expected latency and value.
 
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
+use crate::answer_value::AnswerValue;
+use crate::engine_health::OVERDUE_MULTIPLE;
 
-/// Fractions of the objective after which a running query is raised to levels 1 and 2; 3 is never forced.
-const RAISE_AFTER: [f64; 2] = [0.35, 0.6];
-/// Multiples of the expected latency: without progress for it an attempt is lost, with it left restarted.
-const LOST_FACTOR: f64 = 5.0;
-const RESTART_GAIN: f64 = 3.0;
+/// Fractions of the latency objective after which a running query is raised to levels 1 and 2; none is raised
+/// to 3.
+const RAISE_AFTER_OBJECTIVE: [f64; 2] = [0.35, 0.6];
+/// Multiple of its expected latency without progress after which an attempt counts as lost.
+const LOST_MULTIPLE: f64 = 5.0;
+/// Multiple of a new attempt's latency that must remain of a running one before a new attempt replaces it.
+const RESTART_MULTIPLE: f64 = 3.0;
+/// Minimum fraction done that a remaining time is extrapolated from.
+const MIN_FRACTION_DONE: f64 = 0.01;
 
-impl Policy {
-    pub(crate) fn on_note(&mut self, id: RequestId, attempt: u32, note: ProgressNote, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let is_meant = |a: &&mut Attempt| a.number == attempt && !a.cancelled;
-        let Some(running) = request.in_flight.as_mut().filter(is_meant) else { return };
-        running.last_progress = self.now;
-        let (age, expected) = ((self.now - running.sent_at).as_secs_f64(), running.expected);
-        let engine = &mut self.engines[running.engine.0 as usize];
-        engine.last_response = self.now;
-        self.zones.entry(engine.zone).or_default().record_response(self.now);
-        let request = &self.requests[&id];
-        match (note, request.memory_mb) {
-            (ProgressNote::Spills(missing), Some(need)) => {
-                self.classes[request.class].grant += SPILL_INCREASE * (missing / need.max(1.0)).min(1.0);
-            }
-            (ProgressNote::Progress(done), _) => {
-                // A bad plan or a slow engine: a fresh attempt would be far quicker than what is left.
-                let left = age * (1.0 - done) / done.max(0.01);
-                let fresh = expected.max(self.expected_latency(request.class, request.cost));
-                let is_late = self.secs_since(request.arrived) + left > self.latency_objective(request);
-                let can_restart = self.can_retry(request) && self.has_retry_budget();
-                if left > RESTART_GAIN * fresh && is_late && can_restart {
-                    self.cancel(id, out);
-                }
-            }
-            _ => {}
-        }
-    }
+/// What is done with an open request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ReviewDecision {
+    /// Nothing.
+    Keep,
+    /// Its attempt is cancelled, and a new one may be sent.
+    CancelAttempt,
+    /// Its attempt runs at this level from now on.
+    RaiseLevel(usize),
+    /// It gets its final response.
+    Respond,
+}
+
+/// An attempt in flight, as a review sees it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct RunningAttempt {
+    /// Since it was sent.
+    pub(crate) age_secs: f64,
+    /// Since its last progress note, otherwise since it was sent.
+    pub(crate) secs_since_progress: f64,
+    pub(crate) expected_latency_secs: f64,
+    pub(crate) is_engine_ejected: bool,
+    /// Since its request arrived.
+    pub(crate) request_age_secs: f64,
+    /// Its request's latency objective.
+    pub(crate) objective_secs: f64,
+    /// Its request's level.
+    pub(crate) level: usize,
+}
 
-    pub(crate) fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        self.why_cancelled(id, out);
-        let running = self.requests.get_mut(&id).and_then(|r| r.in_flight.as_mut());
-        if let Some(attempt) = running.filter(|a| self.settings.cancel && !a.cancelled) {
-            attempt.cancelled = true;
-            out.push(Action::Cancel { id, attempt: attempt.number });
-        }
+/// Reviews a request with an attempt in flight. `load_visibility`: how much of the fleet's load is visible;
+/// the less, the later a level is raised. `may_retry` is asked only for an attempt that is stuck.
+pub(crate) fn review_running(
+    attempt: &RunningAttempt,
+    load_visibility: f64,
+    engines_obey_levels: bool,
+    may_retry: impl FnOnce() -> bool,
+) -> ReviewDecision {
+    if is_stuck(attempt) && may_retry() {
+        return ReviewDecision::CancelAttempt;
     }
+    // A request that is late would otherwise starve behind those of higher levels on its engine.
+    let level = level_by_age(attempt.request_age_secs / attempt.objective_secs, load_visibility);
+    if engines_obey_levels && level > attempt.level {
+        return ReviewDecision::RaiseLevel(level);
+    }
+    ReviewDecision::Keep
+}
 
-    /// Responds to what is due or not worth its toll, cancels stuck attempts, raises late ones.
-    pub(crate) fn review_requests(&mut self, out: &mut Vec<Action>) {
-        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
-        let (is_free, seen) = (self.own_threads < self.core_share(), self.load_visibility());
-        for id in ids {
-            let Some(request) = self.requests.get(&id).filter(|r| !r.answered) else { continue };
-            let age = self.secs_since(request.arrived);
-            let is_due = self.now + ANSWER_MARGIN >= request.deadline;
-            if is_due || request.in_flight.is_none() && !self.can_retry(request) {
-                self.respond(id, out);
-            } else if let Some(attempt) = &request.in_flight {
-                let is_ejected = self.engines[attempt.engine.0 as usize].ejected;
-                let is_overdue = self.secs_since(attempt.sent_at) > OVERDUE_FACTOR * attempt.expected;
-                let is_lost = self.secs_since(attempt.last_progress) > LOST_FACTOR * attempt.expected;
-                let gone = age / self.latency_objective(request);
-                let level = RAISE_AFTER.iter().filter(|part| gone * seen > **part && gone < 1.0).count();
-                if (is_ejected && is_overdue || is_lost) && self.can_retry(request) && self.has_retry_budget()
-                {
-                    self.cancel(id, out);
-                } else if level > request.level && self.settings.priorities {
-                    // So that it does not starve on its engine; the less of the load is seen, the later.
-                    self.requests.entry(id).and_modify(|r| r.level = level);
-                    out.extend(self.requests.get(&id).map(|r| self.execution_terms(id, r)));
-                }
-            } else {
-                let latency = age + self.expected_latency(request.class, request.cost);
-                let is_late = latency * LATENESS_MARGIN > self.latency_objective(request);
-                let toll = if is_late { self.cheapest_level(request.class, request.cost).toll } else { 0.0 };
-                // While cores are free any value is worth waiting for: late is better than never.
-                let has_value = self.value_of_answer(request, latency) > 0.0;
-                if !(is_free && has_value || !is_free && self.net_value(request, latency) >= toll) {
-                    self.respond(id, out);
-                }
-            }
-        }
+/// Whether an attempt is overdue on an ejected engine, or has made no progress for so long that it counts as
+/// lost.
+fn is_stuck(attempt: &RunningAttempt) -> bool {
+    let is_overdue = attempt.age_secs > OVERDUE_MULTIPLE * attempt.expected_latency_secs;
+    let is_lost = attempt.secs_since_progress > LOST_MULTIPLE * attempt.expected_latency_secs;
+    attempt.is_engine_ejected && is_overdue || is_lost
+}
+
+/// The level of a running request by the fraction of its latency objective that has passed. One that has
+/// missed it is not raised: it would delay others for nothing.
+fn level_by_age(objective_passed: f64, load_visibility: f64) -> usize {
+    let is_reached =
+        |fraction: &&f64| objective_passed * load_visibility > **fraction && objective_passed < 1.0;
+    RAISE_AFTER_OBJECTIVE.iter().filter(is_reached).count()
+}
+
+/// Reviews a queued request that may still be sent. `expected_secs`: from its arrival to its answer if it is
+/// sent now. `price` is asked only for a late answer.
+pub(crate) fn review_queued(
+    value: &AnswerValue,
+    expected_secs: f64,
+    has_free_cores: bool,
+    price: impl FnOnce() -> f64,
+) -> ReviewDecision {
+    // While cores are free any value is worth waiting for: late is better than never.
+    let is_value_left = if has_free_cores {
+        value.gross(expected_secs) > 0.0
+    } else {
+        let price = if value.is_late(expected_secs) { price() } else { 0.0 };
+        value.net(expected_secs) >= price
+    };
+    match is_value_left {
+        true => ReviewDecision::Keep,
+        false => ReviewDecision::Respond,
     }
 }
+
+/// Whether an attempt that reports its progress is worth replacing by a new one: its plan is bad or its
+/// engine slow, it will be late, and a new attempt, expected to take `new_attempt_secs`, would be far quicker
+/// than what is left.
+pub(crate) fn is_restart_worthwhile(
+    attempt: &RunningAttempt,
+    fraction_done: f64,
+    new_attempt_secs: f64,
+) -> bool {
+    let remaining_secs = attempt.age_secs * (1.0 - fraction_done) / fraction_done.max(MIN_FRACTION_DONE);
+    let is_late = attempt.request_age_secs + remaining_secs > attempt.objective_secs;
+    let expected_secs = attempt.expected_latency_secs.max(new_attempt_secs);
+    is_late && remaining_secs > RESTART_MULTIPLE * expected_secs
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/candidate_sampling.rs
@@ -0,0 +1,74 @@
+//! Candidate sampling: the few engines that a query of several threads chooses among, so that many managers
+//! do not all fill the same engine that looks idle; and which of them are probed first.
+
+use crate::engine_eligibility::{is_eligible, is_healthy_for};
+use crate::fleet_view::FleetView;
+use crate::ids::EngineId;
+use crate::probe_credit::{needs_load_reports, MIN_CANDIDATES};
+use crate::request::Request;
+use sprucelink_stable_hash::SplitMix64;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// Weight of a load report from which its engine needs no probe.
+const FRESH_REPORT_WEIGHT: f64 = 0.7;
+/// A query that is still queued after this chooses among other engines.
+const SAMPLE_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
+/// How long a query waits for the probes sent for it.
+pub(crate) const PROBE_WAIT: TimeDelta = TimeDelta::from_millis(15);
+
+/// The engines to sample from.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct CandidatePool {
+    /// In slow start: all are candidates.
+    starting: Vec<EngineId>,
+    /// Past it: `count` of them are.
+    warm: Vec<EngineId>,
+    count: usize,
+}
+
+impl CandidatePool {
+    /// Draws the candidates.
+    pub(crate) fn draw(mut self, random: &mut SplitMix64) -> Vec<EngineId> {
+        let warm = random.draw(&mut self.warm, self.count);
+        self.starting.extend(warm);
+        self.starting
+    }
+}
+
+/// The pool for a request; `None` if it chooses among all engines, or keeps its sample for now.
+pub(crate) fn candidate_pool(fleet: &FleetView, request: &Request) -> Option<CandidatePool> {
+    let needs_sample = needs_load_reports(fleet.settings, fleet.class_of(request));
+    if !needs_sample || !is_sample_due(fleet.now, request.sampled_at) {
+        return None;
+    }
+    let usable = fleet
+        .engines
+        .iter()
+        .filter(|(_, engine)| is_eligible(fleet, request, engine) && is_healthy_for(fleet, request, engine));
+    let (warm, starting): (Vec<_>, Vec<_>) = usable.partition(|(_, engine)| fleet.is_warm(engine));
+    let ids = |engines: Vec<(EngineId, _)>| engines.into_iter().map(|(id, _)| id).collect::<Vec<_>>();
+    let count = sample_size(warm.len(), fleet.share.managers);
+    Some(CandidatePool { starting: ids(starting), warm: ids(warm), count })
+}
+
+fn is_sample_due(now: Timestamp, sampled_at: Timestamp) -> bool {
+    now > sampled_at + SAMPLE_INTERVAL
+}
+
+/// The more managers choose at once, the fewer engines each chooses among.
+fn sample_size(engines: usize, managers: f64) -> usize {
+    MIN_CANDIDATES.max((engines as f64 / managers.sqrt()) as usize)
+}
+
+/// The candidates whose load is to be probed: those without a fresh report, if there is credit for probes.
+pub(crate) fn candidates_to_probe(
+    fleet: &FleetView,
+    request: &Request,
+    candidates: &[EngineId],
+) -> Vec<EngineId> {
+    if !fleet.probe_credit.can_probe(fleet.settings, fleet.class_of(request)) {
+        return Vec::new();
+    }
+    let is_unknown = |id: &EngineId| fleet.report_weight(&fleet.engines[*id]) < FRESH_REPORT_WEIGHT;
+    candidates.iter().copied().filter(is_unknown).collect()
+}
--- /dev/null
+++ b/crates/policy/src/engine_eligibility.rs
@@ -0,0 +1,110 @@
+//! Eligibility: whether an engine may take a request, from the endpoint list, the class's placement, the
+//! deduplication of keyed retries and the slow-start budget; and whether it is healthy enough.
+
+use crate::engine::Engine;
+use crate::fleet_view::FleetView;
+use crate::request::Request;
+use crate::settings::{ClassSettings, DedupGroup, Effect};
+use sprucelink_time::Timestamp;
+
+/// Whether the rules allow a request on an engine, and which forbids it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Eligibility {
+    /// No rule forbids it.
+    Eligible,
+    /// The endpoint list does not have it as ready.
+    NotListed,
+    /// The class runs on other machine kinds or in other zones.
+    WrongPlacement,
+    /// It would not recognise the idempotency key of an attempt that may have run elsewhere.
+    OutsideDedupGroup,
+    /// It is in slow start, and its budget does not have room for the request.
+    SlowStartBudgetSpent,
+}
+
+/// Applies the rules, in the order of [`Eligibility`].
+pub(crate) fn eligibility(fleet: &FleetView, request: &Request, engine: &Engine) -> Eligibility {
+    let class = fleet.class_of(request);
+    if !engine.is_listed() {
+        return Eligibility::NotListed;
+    }
+    if !is_placement_allowed(class, engine.kind(), engine.zone()) {
+        return Eligibility::WrongPlacement;
+    }
+    let first = request.may_have_run.map(|(_, first)| &fleet.engines[first]);
+    if !is_retry_deduplicated(class, first, engine) {
+        return Eligibility::OutsideDedupGroup;
+    }
+    if !has_slow_start_capacity(fleet, request, engine) {
+        return Eligibility::SlowStartBudgetSpent;
+    }
+    Eligibility::Eligible
+}
+
+/// Whether the rules allow a request on an engine.
+pub(crate) fn is_eligible(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
+    eligibility(fleet, request, engine) == Eligibility::Eligible
+}
+
+/// Whether the class may run on this machine kind and in this zone.
+pub(crate) fn is_placement_allowed(class: &ClassSettings, kind: u32, zone: u32) -> bool {
+    let is_kind_allowed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&kind));
+    let is_zone_allowed = class.zones.as_ref().is_none_or(|zones| zones.contains(&zone));
+    is_kind_allowed && is_zone_allowed
+}
+
+/// Whether an engine recognises the idempotency key of the first attempt that may have run, on the engine
+/// `first`. Classes without keys are not deduplicated, and need not be.
+fn is_retry_deduplicated(class: &ClassSettings, first: Option<&Engine>, engine: &Engine) -> bool {
+    let Some(first) = first.filter(|_| class.effect == Effect::Keyed) else { return true };
+    let place = |engine: &Engine| Place { zone: engine.zone(), cell: engine.cell() };
+    is_in_dedup_group(class.group, place(first), place(engine))
+}
+
+/// Where an engine stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Place {
+    pub(crate) zone: u32,
+    pub(crate) cell: u32,
+}
+
+/// Whether two engines share the idempotency keys that they have seen.
+pub(crate) fn is_in_dedup_group(group: DedupGroup, first: Place, other: Place) -> bool {
+    match group {
+        DedupGroup::All => true,
+        DedupGroup::Zone => first.zone == other.zone,
+        DedupGroup::Cell => first == other,
+    }
+}
+
+/// Whether an engine is past its slow start, or its budget has room for the request.
+fn has_slow_start_capacity(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
+    if fleet.is_warm(engine) {
+        return true;
+    }
+    let charge = fleet.slow_start.charge(fleet.class_of(request), &fleet.estimates[request.class]);
+    fleet.slow_start.allows(charge, engine.cores(), engine.started_at(), &engine.slow_start)
+}
+
+/// Whether an engine is healthy enough for a request: not backed off from, and not ejected unless the request
+/// may be its trial.
+pub(crate) fn is_healthy_for(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
+    if fleet.now < engine.health.backoff_until() {
+        return false;
+    }
+    !engine.health.is_ejected() || {
+        let zone_trial = fleet.outliers.next_trial_of_unreachable(engine.zone());
+        let next_trial = engine.health.next_trial().max(zone_trial.unwrap_or(Timestamp::ZERO));
+        is_trial(fleet.class_of(request), engine.own_attempts(), fleet.now >= next_trial)
+    }
+}
+
+/// Whether a request may be the trial of an ejected engine: one that is light, that may be retried if the
+/// trial fails, and that is the only attempt there.
+pub(crate) fn is_trial(class: &ClassSettings, attempts_there: u32, is_trial_due: bool) -> bool {
+    let is_light = class.effect == Effect::Safe && class.threads <= 1.0;
+    is_light && attempts_there == 0 && is_trial_due
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/engine_eligibility/tests.rs
@@ -0,0 +1,49 @@
+use super::{is_in_dedup_group, is_placement_allowed, is_trial, Place};
+use crate::settings::{ClassSettings, DedupGroup, Effect};
+use sprucelink_time::TimeDelta;
+
+fn class(effect: Effect, threads: f64) -> ClassSettings {
+    ClassSettings {
+        value: 1.0,
+        late_value_fraction: 0.0,
+        latency_objective: TimeDelta::from_secs(1),
+        objective_per_work: 0.0,
+        deadline: TimeDelta::from_secs(5),
+        effect,
+        group: DedupGroup::All,
+        repeat_window: TimeDelta::ZERO,
+        ordered_by_key: false,
+        threads,
+        loads_tables: false,
+        kinds: None,
+        zones: None,
+    }
+}
+
+#[test]
+fn class_runs_only_on_its_kinds_and_in_its_zones() {
+    let bound = ClassSettings { kinds: Some(vec![1]), zones: Some(vec![0, 2]), ..class(Effect::Safe, 1.0) };
+    assert!(is_placement_allowed(&bound, 1, 2));
+    assert!(!is_placement_allowed(&bound, 0, 2), "another kind");
+    assert!(!is_placement_allowed(&bound, 1, 1), "another zone");
+    assert!(is_placement_allowed(&class(Effect::Safe, 1.0), 7, 7), "a class without bounds");
+}
+
+#[test]
+fn keyed_retry_stays_in_its_deduplication_group() {
+    let first = Place { zone: 1, cell: 4 };
+    let places = [first, Place { zone: 1, cell: 5 }, Place { zone: 2, cell: 4 }];
+    let allowed = |group| places.map(|place| is_in_dedup_group(group, first, place));
+    assert_eq!(allowed(DedupGroup::All), [true, true, true]);
+    assert_eq!(allowed(DedupGroup::Zone), [true, true, false]);
+    assert_eq!(allowed(DedupGroup::Cell), [true, false, false]);
+}
+
+#[test]
+fn trial_of_an_ejected_engine_is_one_light_idempotent_request() {
+    assert!(is_trial(&class(Effect::Safe, 1.0), 0, true));
+    assert!(!is_trial(&class(Effect::Safe, 1.0), 0, false), "no trial is due");
+    assert!(!is_trial(&class(Effect::Safe, 1.0), 1, true), "one is in flight");
+    assert!(!is_trial(&class(Effect::Safe, 2.0), 0, true), "of several threads");
+    assert!(!is_trial(&class(Effect::Keyed, 1.0), 0, true), "a retry may not be allowed");
+}
--- /dev/null
+++ b/crates/policy/src/engine_health.rs
@@ -0,0 +1,217 @@
+//! The health of one engine, learned from its outcomes, latencies and silence: its failure rate, its
+//! slowness, its backoff, and whether it is ejected.
+
+use crate::engine_slowness::EngineSlowness;
+use crate::request::Attempt;
+use crate::snapshot::StoredEngine;
+use sprucelink_rate_limits::MovingAverage;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// Time between trials of an ejected engine.
+pub(crate) const TRIAL_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
+/// An attempt in flight for more than this many times its expected latency is overdue.
+pub(crate) const OVERDUE_MULTIPLE: f64 = 3.0;
+/// Backoff after the first of several failed connections; it doubles with each.
+const CONNECT_BACKOFF: TimeDelta = TimeDelta::from_millis(500);
+/// Doublings of that backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// Failed connections in a row after which an engine counts as restarted.
+const CONNECT_FAILURES_OF_A_RESTART: u32 = 2;
+/// Backoff after an engine rejected a request for its load.
+const FULL_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
+/// Weight of a failure in an engine's failure rate.
+const FAILURE_WEIGHT: f64 = 0.15;
+/// Weight of a success in an engine's failure rate; greater, so that an engine recovers sooner than it is
+/// ejected.
+const SUCCESS_WEIGHT: f64 = 0.3;
+/// An engine this many times slower than the median is ejected.
+const MAX_SLOWNESS: f64 = 3.5;
+/// Fraction of failed attempts from which an engine is ejected.
+const MAX_FAILURE_RATE: f64 = 0.4;
+/// Part of a bound below which an ejected engine is readmitted.
+const READMISSION_FACTOR: f64 = 0.5;
+/// Silence from which an engine most of whose attempts are overdue counts as unresponsive.
+const MAX_SILENCE: TimeDelta = TimeDelta::from_millis(700);
+/// Overdue attempts from which an engine may count as unresponsive.
+const MIN_OVERDUE_ATTEMPTS: u32 = 2;
+
+/// What this manager learned of an engine's health.
+#[derive(Clone, Default)]
+pub(crate) struct EngineHealth {
+    last_response: Timestamp,
+    /// When it may get a trial while it is ejected.
+    next_trial: Timestamp,
+    /// Nothing is sent before.
+    backoff_until: Timestamp,
+    /// Failed connections in a row.
+    connect_failures: u32,
+    slowness: EngineSlowness,
+    /// It takes requests and answers none.
+    is_unresponsive: bool,
+    /// Own attempts there that are overdue, counted at each tick.
+    overdue_attempts: u32,
+    /// Fraction of recent attempts that failed.
+    failure_rate: MovingAverage,
+    /// It gets a trial now and then only.
+    is_ejected: bool,
+}
+
+impl EngineHealth {
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.is_ejected
+    }
+
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.is_unresponsive
+    }
+
+    pub(crate) fn overdue_attempts(&self) -> u32 {
+        self.overdue_attempts
+    }
+
+    /// Fraction of recent attempts that failed.
+    pub(crate) fn failure_rate(&self) -> f64 {
+        self.failure_rate.value()
+    }
+
+    pub(crate) fn next_trial(&self) -> Timestamp {
+        self.next_trial
+    }
+
+    pub(crate) fn backoff_until(&self) -> Timestamp {
+        self.backoff_until
+    }
+
+    pub(crate) fn slowness(&self) -> EngineSlowness {
+        self.slowness
+    }
+
+    /// Its process is a new one: what was learned of the old one does not hold.
+    pub(crate) fn reset_for_new_process(&mut self, now: Timestamp) {
+        self.slowness = EngineSlowness::default();
+        self.connect_failures = 0;
+        self.failure_rate = MovingAverage::default();
+        self.is_ejected = false;
+        self.is_unresponsive = false;
+        self.backoff_until = now;
+    }
+
+    /// An attempt is sent to it. Silence counts from the first attempt on that it has to answer.
+    pub(crate) fn record_send(&mut self, now: Timestamp, was_idle: bool) {
+        if was_idle {
+            self.last_response = now;
+        }
+        self.next_trial = now + TRIAL_INTERVAL;
+    }
+
+    pub(crate) fn record_success(&mut self) {
+        self.failure_rate.update(0.0, SUCCESS_WEIGHT);
+    }
+
+    pub(crate) fn record_failure(&mut self) {
+        self.failure_rate.update(1.0, FAILURE_WEIGHT);
+    }
+
+    /// It sent a progress note.
+    pub(crate) fn record_progress(&mut self, now: Timestamp) {
+        self.last_response = now;
+    }
+
+    /// It sent an answer.
+    pub(crate) fn record_answer(&mut self, now: Timestamp) {
+        self.connect_failures = 0;
+        self.is_unresponsive = false;
+        self.last_response = now;
+    }
+
+    /// Learns from the latency of an answer over the expected one.
+    pub(crate) fn record_latency(&mut self, latency_ratio: f64) {
+        self.slowness.record(latency_ratio);
+    }
+
+    /// A connection to it failed: backs off, longer each time. Failures within one backoff count as one.
+    pub(crate) fn record_connect_failure(&mut self, now: Timestamp) {
+        if now >= self.backoff_until {
+            let doublings = self.connect_failures.min(MAX_BACKOFF_DOUBLINGS);
+            let backoff = TimeDelta::from_micros(CONNECT_BACKOFF.as_micros() << doublings);
+            self.backoff_until = now + backoff;
+            self.connect_failures += 1;
+        }
+    }
+
+    /// Whether enough connections failed in a row to conclude that it restarts.
+    pub(crate) fn has_probably_restarted(&self) -> bool {
+        self.connect_failures >= CONNECT_FAILURES_OF_A_RESTART
+    }
+
+    /// It rejected a request for its load.
+    pub(crate) fn back_off_from_full_engine(&mut self, now: Timestamp) {
+        self.backoff_until = now + FULL_BACKOFF;
+    }
+
+    pub(crate) fn clear_overdue_attempts(&mut self) {
+        self.overdue_attempts = 0;
+    }
+
+    /// Counts an attempt there if it is overdue; `true` if that counts as an outcome, which it does at 3, 6,
+    /// 12 times its expected latency, and so on.
+    pub(crate) fn record_overdue(&mut self, now: Timestamp, attempt: &mut Attempt) -> bool {
+        let ratio = (now - attempt.sent_at).as_secs_f64() / attempt.expected_latency_secs;
+        self.overdue_attempts += u32::from(ratio > OVERDUE_MULTIPLE);
+        let is_outcome = ratio > attempt.next_overdue_multiple;
+        if is_outcome {
+            attempt.next_overdue_multiple *= 2.0;
+            self.slowness.record(ratio);
+        }
+        is_outcome
+    }
+
+    /// Ejects the engine if it is down, unresponsive, failing or far slower than the rest, and readmits it
+    /// otherwise; `true` if that changed. An ejected engine must do clearly better than the bounds.
+    pub(crate) fn update_ejection(
+        &mut self,
+        now: Timestamp,
+        in_flight: u32,
+        relative_slowness: f64,
+        is_zone_unreachable: bool,
+    ) -> bool {
+        let is_majority_overdue =
+            self.overdue_attempts >= MIN_OVERDUE_ATTEMPTS && self.overdue_attempts * 2 >= in_flight;
+        self.is_unresponsive |= is_majority_overdue && now - self.last_response > MAX_SILENCE;
+        let margin = if self.is_ejected { READMISSION_FACTOR } else { 1.0 };
+        let is_failing = self.failure_rate.value() > MAX_FAILURE_RATE * margin;
+        let is_slow = relative_slowness > MAX_SLOWNESS * margin;
+        let is_down = now < self.backoff_until || self.is_unresponsive || is_zone_unreachable;
+        let is_outlier = is_down || is_failing || is_slow;
+        std::mem::replace(&mut self.is_ejected, is_outlier) != is_outlier
+    }
+
+    pub(crate) fn store(&self, stored: &mut StoredEngine) {
+        stored.last_response = self.last_response;
+        stored.next_trial = self.next_trial;
+        stored.backoff_until = self.backoff_until;
+        stored.connect_failures = self.connect_failures;
+        self.slowness.store(stored);
+        stored.unresponsive = self.is_unresponsive;
+        stored.overdue = self.overdue_attempts;
+        stored.failure_rate = self.failure_rate;
+        stored.ejected = self.is_ejected;
+    }
+
+    pub(crate) fn restore(stored: &StoredEngine) -> EngineHealth {
+        EngineHealth {
+            last_response: stored.last_response,
+            next_trial: stored.next_trial,
+            backoff_until: stored.backoff_until,
+            connect_failures: stored.connect_failures,
+            slowness: EngineSlowness::restore(stored),
+            is_unresponsive: stored.unresponsive,
+            overdue_attempts: stored.overdue,
+            failure_rate: stored.failure_rate,
+            is_ejected: stored.ejected,
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/engine_load.rs
@@ -0,0 +1,139 @@
+//! The load of one engine: its threads, from its last load report, this manager's own attempts there and the
+//! mean load of the fleet.
+
+use crate::events::LoadReport;
+use crate::load_estimate::MeanLoad;
+use crate::snapshot::StoredEngine;
+use sprucelink_rate_limits::MovingAverage;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// Seconds in which the weight of an engine's load report falls to 1/e.
+pub(crate) const REPORT_DECAY_SECS: f64 = 4.0;
+/// Fraction of busy cores from which a report of cores does not tell how many threads wait for them.
+const SATURATED_CORE_FRACTION: f64 = 0.85;
+/// Threads a core that are assumed on an engine that rejected a request or answers nothing.
+const FULL_THREADS_PER_CORE: f64 = 4.0;
+/// Weight of a tick in the average of own threads on an engine.
+const OWN_THREADS_WEIGHT: f64 = 0.1;
+/// Age of a load report from which an overdue attempt outweighs it.
+const MAX_TRUSTED_REPORT_AGE: TimeDelta = TimeDelta::from_secs(1);
+
+/// The load of one engine, as far as other managers cause it.
+#[derive(Clone, Default)]
+pub(crate) struct EngineLoad {
+    /// Threads of other managers by the last report.
+    others_threads: f64,
+    /// When that report came.
+    reported_at: Option<Timestamp>,
+    /// Queries that wait for memory by the last report.
+    queries_waiting: f64,
+    /// The last report had only busy cores, and nearly all of them were.
+    is_saturated: bool,
+    /// Own threads there, averaged over ticks, because reports lag behind.
+    average_own_threads: MovingAverage,
+}
+
+impl EngineLoad {
+    /// Threads of other managers by the last report.
+    pub(crate) fn others_threads(&self) -> f64 {
+        self.others_threads
+    }
+
+    /// Queries that wait for memory by the last report.
+    pub(crate) fn queries_waiting(&self) -> f64 {
+        self.queries_waiting
+    }
+
+    /// Whether the last report had only busy cores, and nearly all of them were.
+    pub(crate) fn is_saturated(&self) -> bool {
+        self.is_saturated
+    }
+
+    /// Seconds since the last report.
+    pub(crate) fn report_age_secs(&self, now: Timestamp) -> Option<f64> {
+        self.reported_at.map(|time| (now - time).as_secs_f64())
+    }
+
+    /// How much the last report still counts, from 1 (it has just come) to 0 (there is none).
+    pub(crate) fn report_weight(&self, now: Timestamp) -> f64 {
+        self.report_age_secs(now).map_or(0.0, |age_secs| (-age_secs / REPORT_DECAY_SECS).exp())
+    }
+
+    /// Takes own threads into their average, at a tick.
+    pub(crate) fn update_average(&mut self, own_threads: f64) {
+        self.average_own_threads.update(own_threads, OWN_THREADS_WEIGHT);
+    }
+
+    /// The engine has rejected a request for its load or let a load probe time out: it counts as full.
+    pub(crate) fn assume_full(&mut self, now: Timestamp, cores: f64) {
+        self.others_threads = FULL_THREADS_PER_CORE * cores;
+        self.reported_at = Some(now);
+    }
+
+    /// An attempt there is overdue. An engine that answers nothing reports nothing either, and would count as
+    /// one of mean load.
+    pub(crate) fn assume_full_unless_reported(&mut self, now: Timestamp, cores: f64) {
+        if self.reported_at.is_none_or(|time| now - time > MAX_TRUSTED_REPORT_AGE) {
+            self.others_threads = self.others_threads.max(FULL_THREADS_PER_CORE * cores);
+            self.reported_at = Some(now);
+        }
+    }
+
+    /// Takes a load report. `threads`: all threads there, by it; without them those of others count as mean.
+    pub(crate) fn record_report(
+        &mut self,
+        now: Timestamp,
+        report: &LoadReport,
+        threads: Option<f64>,
+        cores: f64,
+        mean_load: MeanLoad,
+    ) {
+        self.reported_at = Some(now);
+        self.queries_waiting = report.queries_waiting_for_memory.unwrap_or(0.0);
+        self.is_saturated = report.queries_in_flight.is_none()
+            && threads.is_some_and(|threads| threads > SATURATED_CORE_FRACTION * cores);
+        let own_threads = self.average_own_threads.value();
+        self.others_threads = match threads {
+            Some(threads) => (threads - own_threads).max(0.0),
+            None => mean_load.others_per_core * cores,
+        };
+    }
+
+    pub(crate) fn store(&self, stored: &mut StoredEngine) {
+        stored.others_threads = self.others_threads;
+        stored.reported_at = self.reported_at;
+        stored.waiting = self.queries_waiting;
+        stored.saturated = self.is_saturated;
+        stored.average_threads = self.average_own_threads;
+    }
+
+    pub(crate) fn restore(stored: &StoredEngine) -> EngineLoad {
+        EngineLoad {
+            others_threads: stored.others_threads,
+            reported_at: stored.reported_at,
+            queries_waiting: stored.waiting,
+            is_saturated: stored.saturated,
+            average_own_threads: stored.average_threads,
+        }
+    }
+}
+
+/// Threads on an engine: own ones, and those of others by its report, which fades into the mean as it ages.
+///
+/// `mean_of_others`: threads of others on an engine like it; `even_of_others`: the same if all managers are
+/// alike.
+pub(crate) fn estimated_threads(
+    own_threads: f64,
+    mean_of_others: f64,
+    even_of_others: f64,
+    report_weight: f64,
+    load: &EngineLoad,
+) -> f64 {
+    // A report of cores alone, nearly all of them busy, does not tell how many threads wait for them.
+    let reported_of_others = match load.is_saturated {
+        true => load.others_threads.max(even_of_others),
+        false => load.others_threads,
+    };
+    let corrected = own_threads + mean_of_others + (reported_of_others - mean_of_others) * report_weight;
+    corrected + load.queries_waiting * report_weight
+}
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -1,149 +1,129 @@
-//! Engine selection: which engines may take a request, and the weighted draw among them.
+//! Engine selection: the engine that a request is sent to, drawn at random by weight among those that are
+//! eligible, healthy and have capacity. [`EngineWeight`] has the factors of the weight.
 
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
+use crate::engine::Engine;
+use crate::engine_eligibility::{is_eligible, is_healthy_for};
+use crate::engine_weight::EngineWeight;
+use crate::fleet_view::FleetView;
+use crate::ids::EngineId;
+use crate::pricing::LEVELS;
+use crate::request::Request;
+use sprucelink_stable_hash::weighted_index;
 
-/// Threads a core up to which each level may fill an engine: over one, as work waits for disks (ours).
+/// Threads a core up to which each level may fill an engine: more than one, because queries also wait for
+/// disks.
 pub(crate) const MAX_UTILISATION: [f64; LEVELS] = [1.5, 1.7, 1.9, 2.1];
-/// Own threads may pass this gateway's share of that by so many square roots of the share (ours).
+/// Square roots of this manager's share of the cores by which its own threads may exceed [`MAX_UTILISATION`]
+/// of it: requests come unevenly to managers.
 const SHARE_SLACK: f64 = 1.0;
-/// LoadReport weights: from which one tells of capacity, whatever the share; from which no probe is needed.
-const MIN_REPORT_WEIGHT: f64 = 0.8;
-const FRESH_WEIGHT: f64 = 0.7;
-/// Threads a core that a price of one query's value counts as, times the squared unseen load (ours).
-const PRICE_AS_LOAD: f64 = 17.0;
-/// Least number of engines that a query of several threads chooses among; its wait for their probes.
-pub(crate) const MIN_CANDIDATES: usize = 2;
-const PROBE_WAIT: TimeDelta = TimeDelta::from_micros(15_000);
-/// A query that is still queued after this chooses among others (ours).
-const SAMPLE_INTERVAL: TimeDelta = TimeDelta::from_micros(500_000);
-/// Value spent on probes, as a fraction of all that is asked for.
-pub(crate) const PROBE_BUDGET: f64 = 0.01;
-/// Exponent of the draw, per thread a core: a twelfth of a thread a core halves a chance (ours).
-const DRAW_STEEPNESS: f64 = 8.0;
-/// Factors on the weight of an engine that read the query's tables, and of one that failed it or loads them.
-const CACHED_FACTOR: f64 = 1.6;
-const AVOIDED_FACTOR: f64 = 1e-3;
+/// Weight of a load report from which it shows an engine's capacity, whatever this manager's share.
+const MIN_TRUSTED_REPORT_WEIGHT: f64 = 0.8;
+/// Weight of a load report below which an engine's load is not known, where it can be probed.
+const MIN_KNOWN_REPORT_WEIGHT: f64 = 0.35;
 
-impl Policy {
-    fn needs_reports(&self, request: &Request) -> bool {
-        self.settings.reports_load && self.class(request.class).threads > 1.0
-    }
+/// Whether an engine must have capacity to be selected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CapacityCheck {
+    /// The request is to be sent now.
+    Required,
+    /// The engine is only asked about, at admission.
+    Ignored,
+}
 
-    fn can_probe(&self, request: &Request) -> bool {
-        self.settings.probes && self.needs_reports(request) && self.probe_credit >= MIN_CANDIDATES as f64
-    }
+/// Why an engine is left out of a draw, beside the rules of `engine_eligibility`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DrawExclusion {
+    /// Others were sampled for this request.
+    NotSampled,
+    /// It has no capacity for this request's level.
+    NoCapacity,
+}
 
-    /// A query of several threads chooses among a few engines, lest many gateways fill one that looks idle.
-    pub(crate) fn sample_candidates(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let is_due = |r: &&Request| self.needs_reports(r) && self.now > r.sampled_at + SAMPLE_INTERVAL;
-        let Some(request) = self.requests.get(&id).filter(is_due) else { return };
-        let is_eligible = |i: &usize| self.is_allowed(request, *i) && self.is_healthy_for(request, *i);
-        let is_starting = |i: &usize| self.capacity_fraction(&self.engines[*i]) < 1.0;
-        let eligible = (0..self.engines.len()).filter(is_eligible);
-        let (mut candidates, mut warm): (Vec<_>, Vec<_>) = eligible.partition(is_starting);
-        let (fair, can_probe) = (warm.len() as f64 / self.gateways().sqrt(), self.can_probe(request));
-        candidates.extend(self.random.draw(&mut warm, MIN_CANDIDATES.max(fair as usize)));
-        let is_unknown = |i: &&usize| self.report_weight(&self.engines[**i]) < FRESH_WEIGHT;
-        let unknown = candidates.iter().filter(|i| can_probe && is_unknown(i));
-        let probes: Vec<Action> = unknown.map(|i| Action::Probe { engine: EngineId(*i as u32) }).collect();
-        self.probe_credit -= probes.len() as f64;
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.probes_until = if probes.is_empty() { self.now } else { self.now + PROBE_WAIT };
-        (request.candidates, request.sampled_at) = (candidates, self.now);
-        out.extend(probes);
+/// Draws the engine for a request; `None` if there is none. `random_unit`: from 0 to 1.
+pub(crate) fn select_engine(
+    fleet: &FleetView,
+    request: &Request,
+    capacity: CapacityCheck,
+    random_unit: f64,
+) -> Option<EngineId> {
+    let mut engines = preferred_engines(fleet, request);
+    let is_capacity_required = capacity == CapacityCheck::Required;
+    let is_overcommitted = is_capacity_required && is_overcommitted(fleet, request);
+    engines.retain(|id| is_sampled(request, *id));
+    if is_capacity_required {
+        engines.retain(|id| has_capacity(fleet, request, &fleet.engines[*id]));
     }
-
-    /// Whether own threads fill this gateway's share of sound engines; each of many sees too little of them.
-    fn is_overcommitted(&self, request: &Request) -> bool {
-        let is_sound = |e: &&Engine| e.listed && !e.ejected && self.capacity_fraction(e) >= 1.0;
-        let sound = || self.engines.iter().filter(is_sound);
-        let share = sound().map(|e| e.cores).sum::<f64>() / self.gateways();
-        let own = sound().map(|e| e.threads).sum::<f64>();
-        let max_threads = MAX_UTILISATION[request.level] * share + SHARE_SLACK * share.sqrt();
-        own > 0.0 && own + self.class(request.class).threads > max_threads
+    if is_overcommitted {
+        engines.retain(|id| !is_filled_by_own_load(fleet, &fleet.engines[*id]));
     }
+    let weights: Vec<f64> = engines.iter().map(|id| EngineWeight::new(fleet, request, *id).value()).collect();
+    weighted_index(&weights, random_unit).map(|index| engines[index])
+}
 
-    pub(crate) fn has_capacity(&self, request: &Request, i: usize) -> bool {
-        // One thread finds capacity anywhere while nothing is in flight; what can be probed is not guessed.
-        let is_alone = self.own_threads <= 0.0 && self.class(request.class).threads <= 1.0;
-        let is_known = !self.can_probe(request) || self.report_weight(&self.engines[i]) > FRESH_WEIGHT / 2.0;
-        is_alone || is_known && self.utilisation(i) < MAX_UTILISATION[request.level]
+/// The eligible engines; of these the healthy ones, if there are any; and of these not the one that just
+/// failed the request, if there are others. An engine that fails at once looks idle, and would draw the
+/// request that it failed.
+fn preferred_engines(fleet: &FleetView, request: &Request) -> Vec<EngineId> {
+    let eligible = fleet.engines.iter().filter(|(_, engine)| is_eligible(fleet, request, engine));
+    let mut engines: Vec<EngineId> = eligible.map(|(id, _)| id).collect();
+    let is_healthy = |id: &EngineId| is_healthy_for(fleet, request, &fleet.engines[*id]);
+    if engines.iter().any(is_healthy) {
+        engines.retain(is_healthy);
     }
-
-    /// Health: an ejected engine gets a trial now and then, a light query that may be retried.
-    pub(crate) fn is_healthy_for(&self, request: &Request, i: usize) -> bool {
-        let (engine, class) = (&self.engines[i], self.class(request.class));
-        let zone = self.zones.get(&engine.zone).filter(|z| z.unreachable);
-        let next_trial = engine.next_trial.max(zone.map_or(Timestamp::ZERO, |z| z.next_trial));
-        let is_light = class.effect == Effect::Safe && class.threads <= 1.0;
-        let is_trial = is_light && engine.in_flight == 0 && self.now >= next_trial;
-        self.now >= engine.backoff_until && (!engine.ejected || is_trial)
+    let is_other = |id: &EngineId| request.last_engine != Some(*id);
+    if request.errors > 0 && engines.iter().any(is_other) {
+        engines.retain(is_other);
     }
+    engines
+}
 
-    /// Draws an engine against load and for cached tables; where none is healthy, among all allowed.
-    pub(crate) fn pick_engine(&self, request: &Request, needs_room: bool, dice: f64) -> Option<EngineId> {
-        let is_allowed = |i: &usize| self.is_allowed(request, *i);
-        let is_healthy = |i: &usize| self.is_healthy_for(request, *i);
-        let mut among: Vec<usize> = (0..self.engines.len()).filter(is_allowed).collect();
-        if among.iter().any(is_healthy) {
-            among.retain(is_healthy);
-        }
-        // An engine that fails at once looks idle, and would draw the request that it just failed.
-        let is_other = |i: &usize| request.last_engine != Some(EngineId(*i as u32));
-        if request.errors > 0 && among.iter().any(is_other) {
-            among.retain(is_other);
-        }
-        let overcommitted = needs_room && self.is_overcommitted(request);
-        let is_warm = |i: usize| self.capacity_fraction(&self.engines[i]) >= 1.0;
-        let is_unheard = |i: usize| self.report_weight(&self.engines[i]) < MIN_REPORT_WEIGHT;
-        let may_fill = |i: usize| overcommitted && is_warm(i) && is_unheard(i);
-        let is_full = |i: usize| !self.has_capacity(request, i) || may_fill(i);
-        let is_candidate = |i: &usize| request.candidates.is_empty() || request.candidates.contains(i);
-        among.retain(|i| !(needs_room && is_full(*i)) && is_candidate(i));
-        let weights: Vec<f64> = among.iter().map(|i| self.draw_weight(request, *i)).collect();
-        weighted_index(&weights, dice).map(|n| EngineId(among[n] as u32))
+/// Why an engine is left out of a draw with [`CapacityCheck::Required`], this manager's own load aside.
+pub(crate) fn draw_exclusion(
+    fleet: &FleetView,
+    request: &Request,
+    id: EngineId,
+    engine: &Engine,
+) -> Option<DrawExclusion> {
+    if !is_sampled(request, id) {
+        return Some(DrawExclusion::NotSampled);
     }
-
-    pub(crate) fn draw_weight(&self, request: &Request, i: usize) -> f64 {
-        let (engine, class, here) = (&self.engines[i], self.class(request.class), EngineId(i as u32));
-        let is_remote = self.settings.zone.is_some_and(|zone| zone != engine.zone);
-        let is_closed = engine.last_send.is_none_or(|time| self.now - time >= self.settings.idle_timeout);
-        let needs_handshake = engine.in_flight == 0 && is_closed;
-        let crossing = if is_remote { self.settings.cross_zone_price } else { 0.0 };
-        let price = crossing + if needs_handshake { self.settings.handshake_price } else { 0.0 };
-        let price_as_load = PRICE_AS_LOAD * (1.0 - self.load_visibility()).powi(2) * price;
-        let load = self.utilisation(i) + class.threads / engine.cores.max(1.0) + price_as_load;
-        let slowness = relative_slowness(engine, self.median_slowness).max(1.0);
-        let health = (1.0 - engine.failure_rate.value()).max(0.01) / slowness;
-        let is_cached = !class.loads_tables && engine.recent_tables.contains(request.table_group);
-        let is_loading =
-            |r: &Request| r.table_group == request.table_group && self.class(r.class).loads_tables;
-        let is_here = |r: &Request| r.in_flight.as_ref().is_some_and(|attempt| attempt.engine == here);
-        let has_load = || self.requests.values().any(|r| is_loading(r) && is_here(r));
-        let is_avoided = request.last_engine == Some(here) || class.loads_tables && has_load();
-        let bonus = self.settings.zone_weight(engine.zone) * if is_cached { CACHED_FACTOR } else { 1.0 };
-        let weight = engine.cores * (-DRAW_STEEPNESS * load).exp() * health.powi(2) * bonus;
-        weight * if is_avoided { AVOIDED_FACTOR } else { 1.0 }
+    if !has_capacity(fleet, request, engine) {
+        return Some(DrawExclusion::NoCapacity);
     }
+    None
+}
+
+/// Whether the request chooses among all engines, or this is one of the few that were sampled for it.
+fn is_sampled(request: &Request, id: EngineId) -> bool {
+    request.candidates.is_empty() || request.candidates.contains(&id)
+}
 
-    /// The rules: drains, placement, retries of keyed requests, and the slow-start budget.
-    pub(crate) fn is_allowed(&self, request: &Request, i: usize) -> bool {
-        let (engine, class) = (&self.engines[i], self.class(request.class));
-        let permits = |list: &Option<Vec<u32>>, v: u32| list.as_ref().is_none_or(|l| l.contains(&v));
-        if !engine.listed || !permits(&class.kinds, engine.kind) || !permits(&class.zones, engine.zone) {
-            return false;
-        }
-        let first = request.may_have_run.filter(|_| class.effect == Effect::Keyed);
-        let is_deduplicated = first.is_none_or(|(_, first)| {
-            let first = &self.engines[first.0 as usize];
-            let is_in_zone = first.zone == engine.zone;
-            match class.group {
-                DedupGroup::All => true,
-                DedupGroup::Zone => is_in_zone,
-                DedupGroup::Cell => is_in_zone && first.cell == engine.cell,
-            }
-        });
-        let has_budget = || self.has_slow_start_budget(request.class, engine);
-        is_deduplicated && (self.capacity_fraction(engine) >= 1.0 || has_budget())
+/// Whether an engine has capacity for a request by its estimated load. What can be probed is not guessed; and
+/// while nothing is in flight, a query of one thread finds capacity anywhere.
+fn has_capacity(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
+    let class = fleet.class_of(request);
+    if fleet.own_threads <= 0.0 && class.threads <= 1.0 {
+        return true;
     }
+    let can_probe = fleet.probe_credit.can_probe(fleet.settings, class);
+    let is_load_known = !can_probe || fleet.report_weight(engine) > MIN_KNOWN_REPORT_WEIGHT;
+    is_load_known && fleet.utilisation(engine) < MAX_UTILISATION[request.level]
+}
+
+/// Whether own threads fill this manager's share of the sound engines: each of many managers sees too little
+/// of an engine's load to fill it by that alone.
+fn is_overcommitted(fleet: &FleetView, request: &Request) -> bool {
+    let is_sound =
+        |engine: &Engine| engine.is_listed() && !engine.health.is_ejected() && fleet.is_warm(engine);
+    let sound = || fleet.engines.iter().map(|(_, engine)| engine).filter(|engine| is_sound(engine));
+    let share_cores = sound().map(Engine::cores).sum::<f64>() / fleet.share.managers;
+    let own_threads = sound().map(Engine::own_threads).sum::<f64>();
+    let max_threads = MAX_UTILISATION[request.level] * share_cores + SHARE_SLACK * share_cores.sqrt();
+    own_threads > 0.0 && own_threads + fleet.class_of(request).threads > max_threads
+}
+
+/// Whether an engine counts as full where this manager is overcommitted: it is past its slow start, and no
+/// fresh load report shows its capacity.
+fn is_filled_by_own_load(fleet: &FleetView, engine: &Engine) -> bool {
+    fleet.is_warm(engine) && fleet.report_weight(engine) < MIN_TRUSTED_REPORT_WEIGHT
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,6 +1,7 @@
-//! Events: what a gateway reports to the decision module. Instants are whole microseconds on the caller's clock.
+//! Events: what a manager reports to the decision module. Instants are whole microseconds on the caller's
+//! clock.
 
-use crate::ids::*;
+use crate::ids::{ClassId, EngineId, RequestId};
 use serde::{Deserialize, Serialize};
 use sprucelink_time::{TimeDelta, Timestamp};
 
@@ -116,7 +117,7 @@
 pub enum ProgressNote {
     /// Fraction done, roughly, 0 to 1.
     Progress(f64),
-    /// It spills to disk for want of so many MB.
+    /// It spills to disk because it lacks this much memory, MB.
     Spills(f64),
     /// It waits for memory.
     WaitsForMemory,
@@ -215,7 +216,7 @@
         /// Its load report.
         report: LoadReport,
     },
-    /// Another gateway's message.
+    /// Another manager's message.
     #[serde(rename = "Heard")]
     PeerMessageReceived {
         /// Its number.
@@ -223,7 +224,8 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// The fleet as gossip has it: how many gateways share budgets, and the retries that the others leave over.
+    /// The fleet as gossip has it: how many managers share budgets, and the retries that the others leave
+    /// over.
     #[serde(rename = "Fleet")]
     FleetChanged {
         /// Gateways, this one included.
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An engine, numbered by the caller in the order in which this gateway first heard of it.
+/// An engine, numbered by the caller in the order in which the endpoint list first had it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineId(pub u32);
 
-/// A request, unique while its gateway runs.
+/// A request, unique while its manager runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
--- /dev/null
+++ b/crates/policy/src/level_price.rs
@@ -0,0 +1,98 @@
+//! One class at one priority level: its price, admitted rate and expected wait, from admissions and answers.
+
+use crate::snapshot::StoredLevel;
+use sprucelink_rate_limits::MovingAverage;
+use sprucelink_time::TimeDelta;
+
+/// Weight of the new price in the price that applies (alpha of the paper's eq. 7).
+const PRICE_WEIGHT: f64 = 0.1;
+/// Weight of one interval in a level's admitted rate.
+const RATE_WEIGHT: f64 = 0.2;
+/// Weight of one answer in a level's wait.
+const WAIT_WEIGHT: f64 = 0.2;
+/// Factor on the wait of an unobserved level after an interval with full evidence of others.
+const WAIT_DECAY: f64 = 0.5;
+
+/// One class at one level.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct LevelPrice {
+    /// Price of a request of mean cost, in value.
+    price: f64,
+    /// Requests admitted a second.
+    admitted_rate: MovingAverage,
+    /// Expected wait beyond the unloaded latency, seconds.
+    wait_secs: f64,
+    /// Requests admitted since prices were updated.
+    admitted: u32,
+    /// A wait was learned since prices were updated.
+    is_observed: bool,
+}
+
+impl LevelPrice {
+    /// Price of a request of mean cost, in value.
+    pub(crate) fn price_at_mean_cost(self) -> f64 {
+        self.price
+    }
+
+    /// Requests admitted a second.
+    pub(crate) fn admitted_rate(self) -> f64 {
+        self.admitted_rate.value()
+    }
+
+    /// Expected wait beyond the unloaded latency, seconds.
+    pub(crate) fn wait_secs(self) -> f64 {
+        self.wait_secs
+    }
+
+    pub(crate) fn record_admission(&mut self) {
+        self.admitted += 1;
+    }
+
+    /// Learns from a wait at this level.
+    pub(crate) fn observe_wait(&mut self, wait_secs: f64) {
+        self.wait_secs += WAIT_WEIGHT * (wait_secs - self.wait_secs);
+        self.is_observed = true;
+    }
+
+    /// Learns from the wait at a level below.
+    pub(crate) fn limit_wait(&mut self, max_secs: f64) {
+        self.wait_secs = self.wait_secs.min(max_secs);
+    }
+
+    /// Moves the price towards the new one (eq. 7).
+    pub(crate) fn update_price(&mut self, new_price: f64) {
+        self.price += PRICE_WEIGHT * (new_price - self.price);
+    }
+
+    /// Ends a pricing interval. `evidence`: how far waits were learned at all in it, 0 to 1.
+    ///
+    /// Departure from the paper: an unobserved wait decays only as far as others were observed, because an
+    /// interval without answers says nothing.
+    pub(crate) fn end_interval(&mut self, interval: TimeDelta, evidence: f64) {
+        let rate = f64::from(self.admitted) / interval.as_secs_f64();
+        self.admitted_rate.update(rate, RATE_WEIGHT);
+        self.admitted = 0;
+        self.wait_secs *= if self.is_observed { 1.0 } else { WAIT_DECAY.powf(evidence) };
+        self.is_observed = false;
+    }
+
+    pub(crate) fn to_stored(self) -> StoredLevel {
+        StoredLevel {
+            price: self.price,
+            arrival_rate: self.admitted_rate,
+            wait: self.wait_secs,
+            admitted: self.admitted,
+            observed: self.is_observed,
+        }
+    }
+
+    pub(crate) fn from_stored(stored: StoredLevel) -> LevelPrice {
+        LevelPrice {
+            price: stored.price,
+            admitted_rate: stored.arrival_rate,
+            wait_secs: stored.wait,
+            admitted: stored.admitted,
+            is_observed: stored.observed,
+        }
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,73 +1,114 @@
-//! The decision module of the workload manager: events and the time go in, actions come out. It does no input or
-//! output and reads no clock.
+//! The decision module of the workload manager: events and the time go in, actions come out. It does no input
+//! or output and reads no clock.
 //!
-//! The vocabulary stands in `settings`, `events` and `actions`, the state in `state`. A request is priced and admitted
-//! or rejected (`admission`, by the priority pricing of Konana et al., sections 3.2 to 3.4), queued, and sent to an
-//! engine drawn for it as soon as one has capacity (`dispatch`, `engine_selection`). A failed attempt is retried or
-//! answered (`retry`). Two functions enforce the rules: `send` for every attempt, `respond` for every final response
-//! that no engine gave.
+//! [`Policy`] owns the parts and routes events to them; each part has private fields and states its rules as
+//! functions of their inputs. `events`, `actions`, `reasons` and `settings` are the vocabulary. A request is
+//! priced (`pricing`) and admitted or rejected (`admission`), queued (`request_queue`), and sent to an engine
+//! drawn for it (`engine_eligibility`, `engine_selection`, `engine_weight`) as soon as one has capacity. The
+//! end of an attempt leads to a retry or a response (`attempt_outcome`, `retry`, `final_response`); every
+//! tick reviews what is open (`cancellation`). `docs/ARCHITECTURE.md` has a table of all rules.
 //!
-//! Every file that learns or decides is named under `policy` in `deploy/balancer.toml`. Each tuning constant names its
-//! source: the paper, the design page (the platform's brief), or ours, as is one that names none.
+//! Every file that learns or decides is named under `policy` in `deploy/balancer.toml`.
 
 mod actions;
 mod admission;
+mod answer_value;
+mod attempt_outcome;
 mod cancellation;
+mod candidate_sampling;
+mod class_estimates;
 pub mod diagnostics;
-mod dispatch;
+mod engine;
+mod engine_eligibility;
+mod engine_health;
+mod engine_load;
 mod engine_selection;
+mod engine_slowness;
+mod engine_table;
+mod engine_weight;
 mod events;
+mod final_response;
+mod fleet_view;
 mod ids;
-mod load_estimation;
+mod level_price;
+mod load_estimate;
 mod memory_grant;
 mod outlier_detection;
+mod own_load;
 mod policy;
+mod pricing;
+mod probe_credit;
 mod reasons;
+mod request;
+mod request_queue;
 mod retry;
 mod settings;
 mod slow_start;
-mod state;
+mod snapshot;
+mod tenant_quota;
 
-pub use actions::*;
-pub use events::*;
-pub use ids::*;
-pub use reasons::*;
-pub use settings::*;
+pub use actions::Action;
+pub use events::{
+    Arrival, EndpointUpdate, EngineEntry, EngineState, Event, LoadReport, Outcome, ProgressNote, QueryCost,
+};
+pub use ids::{ClassId, EngineId, Level, RequestId};
+pub use policy::Policy;
+pub use reasons::{Candidate, IneligibleReason, Reason};
+pub use retry::{AttemptHistory, RetryBudget, RetryDecision, RetryRule};
+pub use settings::{
+    ClassSettings, DedupGroup, Effect, MemoryShort, ReportVia, RetryBudgetSettings, Settings, TenantSettings,
+};
 pub use sprucelink_time::{TimeDelta, Timestamp};
-pub use state::Policy;
 
-use admission::*;
-use dispatch::*;
-use engine_selection::*;
-use load_estimation::*;
-use memory_grant::*;
-use outlier_detection::*;
-use policy::*;
-use retry::*;
-use sprucelink_rate_limits::{update_mean, update_mean_and_variance, MovingAverage};
-use sprucelink_stable_hash::weighted_index;
-use state::*;
-
-/// The text of all that decisions hang on, this crate's sources and those of the data structures in use, for who must
-/// tell one version of the module from another.
-pub const SOURCES: [&str; 23] = [
+/// The text of all that decisions depend on, this crate's sources and those of the data structures in use,
+/// for who must tell one version of the module from another.
+pub const SOURCES: [&str; 52] = [
     include_str!("actions.rs"),
     include_str!("admission.rs"),
+    include_str!("answer_value.rs"),
+    include_str!("attempt_outcome.rs"),
     include_str!("cancellation.rs"),
+    include_str!("candidate_sampling.rs"),
+    include_str!("class_estimates.rs"),
     include_str!("diagnostics.rs"),
-    include_str!("dispatch.rs"),
+    include_str!("engine.rs"),
+    include_str!("engine_eligibility.rs"),
+    include_str!("engine_health.rs"),
+    include_str!("engine_load.rs"),
     include_str!("engine_selection.rs"),
+    include_str!("engine_slowness.rs"),
+    include_str!("engine_table.rs"),
+    include_str!("engine_weight.rs"),
     include_str!("events.rs"),
+    include_str!("final_response.rs"),
+    include_str!("fleet_view.rs"),
     include_str!("ids.rs"),
-    include_str!("load_estimation.rs"),
+    include_str!("level_price.rs"),
+    include_str!("load_estimate.rs"),
     include_str!("memory_grant.rs"),
     include_str!("outlier_detection.rs"),
+    include_str!("own_load.rs"),
     include_str!("policy.rs"),
+    include_str!("policy/arrivals.rs"),
+    include_str!("policy/attempts.rs"),
+    include_str!("policy/dispatch.rs"),
+    include_str!("policy/endpoints.rs"),
+    include_str!("policy/explanations.rs"),
+    include_str!("policy/review.rs"),
+    include_str!("policy/stored.rs"),
+    include_str!("policy/ticks.rs"),
+    include_str!("policy/views.rs"),
+    include_str!("pricing.rs"),
+    include_str!("probe_credit.rs"),
     include_str!("reasons.rs"),
+    include_str!("request.rs"),
+    include_str!("request_queue.rs"),
     include_str!("retry.rs"),
     include_str!("settings.rs"),
     include_str!("slow_start.rs"),
-    include_str!("state.rs"),
+    include_str!("snapshot.rs"),
+    include_str!("snapshot/requests.rs"),
+    include_str!("tenant_quota.rs"),
     include_str!("../../rate-limits/src/event_window.rs"),
     include_str!("../../rate-limits/src/moving_average.rs"),
     include_str!("../../rate-limits/src/recent_set.rs"),
--- /dev/null
+++ b/crates/policy/src/load_estimate.rs
@@ -0,0 +1,113 @@
+//! Load estimation over the fleet: the mean load of an engine and the threads of a query, from all load
+//! reports, this manager's own attempts and its share of the fleet. `engine_load` has the load of one engine.
+
+use crate::engine_load::{EngineLoad, REPORT_DECAY_SECS};
+use crate::events::LoadReport;
+use crate::own_load::{FleetShare, OwnLoad};
+use crate::snapshot::StoredPolicy;
+use sprucelink_rate_limits::MovingAverage;
+use sprucelink_time::Timestamp;
+
+/// Seconds in which the weight of the fleet's mean load, as reported, falls to 1/e.
+const MEAN_DECAY_SECS: f64 = 2.0 * REPORT_DECAY_SECS;
+/// Weight of a report in the mean load of the fleet.
+const REPORT_WEIGHT: f64 = 0.1;
+/// Seconds that each class counts as run, in the mean threads of a query, before any has ended.
+const PRIOR_RUN_SECS: f64 = 2.0;
+
+/// Threads a core of other managers on an engine about which nothing is known.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct MeanLoad {
+    /// If every manager has as many threads in flight as this one.
+    pub(crate) even_per_core: f64,
+    /// By the reports of all engines, which fade into the even load as far as the fleet's load is visible.
+    pub(crate) others_per_core: f64,
+}
+
+/// Learns the mean load of the fleet from load reports, and the threads of a query from attempts that ended.
+#[derive(Clone, Default)]
+pub(crate) struct LoadEstimator {
+    /// Threads a core of other managers, the average of recent reports.
+    reported_per_core: MovingAverage,
+    /// When the last of these reports came.
+    last_report: Timestamp,
+    /// Threads of ended attempts, each times how long it ran; seconds.
+    thread_seconds: f64,
+    /// How long ended attempts ran, seconds.
+    query_seconds: f64,
+}
+
+impl LoadEstimator {
+    /// Before any attempt has ended, classes count as running equally often. `threads`: of each class.
+    pub(crate) fn new(threads: impl ExactSizeIterator<Item = f64>) -> LoadEstimator {
+        LoadEstimator {
+            query_seconds: threads.len() as f64 * PRIOR_RUN_SECS,
+            thread_seconds: threads.map(|threads| threads * PRIOR_RUN_SECS).sum(),
+            ..LoadEstimator::default()
+        }
+    }
+
+    /// Threads a core of other managers, the average of recent reports.
+    pub(crate) fn reported_per_core(&self) -> f64 {
+        self.reported_per_core.value()
+    }
+
+    /// Learns from an attempt that ended after this time.
+    pub(crate) fn record_run(&mut self, threads: f64, latency_secs: f64) {
+        self.thread_seconds += threads * latency_secs;
+        self.query_seconds += latency_secs;
+    }
+
+    /// The mean load at this moment.
+    pub(crate) fn mean_load(&self, now: Timestamp, own_load: &OwnLoad, share: FleetShare) -> MeanLoad {
+        let even_per_core = (share.managers - 1.0) * own_load.average_threads() / share.ready_cores.max(1.0);
+        let weight = (-(now - self.last_report).as_secs_f64() / MEAN_DECAY_SECS).exp();
+        let reported = self.reported_per_core.value() * weight;
+        let others_per_core = reported + even_per_core * share.load_visibility() * (1.0 - weight);
+        MeanLoad { even_per_core, others_per_core }
+    }
+
+    /// Takes an engine's load report; one without a load says nothing.
+    pub(crate) fn record_report(
+        &mut self,
+        now: Timestamp,
+        report: &LoadReport,
+        cores: f64,
+        mean_load: MeanLoad,
+        engine: &mut EngineLoad,
+    ) {
+        // Engines report queries, the estimate counts threads.
+        let threads_per_query = self.thread_seconds / self.query_seconds.max(1e-6);
+        let threads_of_queries = report.queries_in_flight.map(|queries| queries * threads_per_query);
+        let busy_cores = report.busy_core_fraction.map(|fraction| fraction * cores);
+        let threads = threads_of_queries.or(busy_cores);
+        engine.record_report(now, report, threads, cores, mean_load);
+        if threads.is_some() {
+            self.reported_per_core.update(engine.others_threads() / cores, REPORT_WEIGHT);
+            self.last_report = now;
+        }
+    }
+
+    pub(crate) fn store(&self, stored: &mut StoredPolicy) {
+        stored.others_load = self.reported_per_core;
+        stored.last_report = self.last_report;
+        stored.thread_time = self.thread_seconds;
+        stored.query_time = self.query_seconds;
+    }
+
+    pub(crate) fn restore(stored: &StoredPolicy) -> LoadEstimator {
+        LoadEstimator {
+            reported_per_core: stored.others_load,
+            last_report: stored.last_report,
+            thread_seconds: stored.thread_time,
+            query_seconds: stored.query_time,
+        }
+    }
+}
+
+/// Whether a report has a load at all.
+pub(crate) fn has_load(report: &LoadReport) -> bool {
+    report.queries_in_flight.is_some()
+        || report.busy_core_fraction.is_some()
+        || report.queries_waiting_for_memory.is_some()
+}
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -1,33 +1,106 @@
-//! Memory grants: the memory and the level that a request is sent with.
+//! Memory grants: how much memory a request is sent with, from the memory that answers of its class reported
+//! and the spills that its attempts noted.
 
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
+use crate::settings::MemoryShort;
+use crate::snapshot::StoredClass;
+use sprucelink_rate_limits::update_mean_and_variance;
 
-/// Increase of a class's grant by a note that all memory is missing, and the first grant; in estimates.
-pub(crate) const SPILL_INCREASE: f64 = 0.1;
-pub(crate) const INITIAL_GRANT: f64 = 1.15;
-/// Standard deviations of a grant over the mean memory used, by `MemoryShort`: waits, shrinks, pages.
-const GRANT_DEVIATIONS: [f64; 3] = [0.5, 0.7, 2.0];
-/// Answers counted in that mean, and the variance before the first (squared natural logarithm).
+/// Increase of the grant by a note that all of the estimated memory was missing, as a fraction of the
+/// estimate.
+const SPILL_INCREASE: f64 = 0.1;
+/// Grant before anything was learned, as a fraction of the estimate.
+const INITIAL_GRANT: f64 = 1.15;
+/// Decrease of the grant with each answer, as a fraction of the estimate.
+const GRANT_DECAY: f64 = 0.001;
+/// Minimum grant that spills and answers lead to, as a fraction of the estimate.
+const MIN_GRANT: f64 = 0.5;
+/// Answers with the memory used that count in its mean; later ones replace earlier ones gradually.
 const MAX_MEMORY_SAMPLES: u32 = 50;
-pub(crate) const INITIAL_MEMORY_VARIANCE: f64 = 0.25;
-/// Decrease of a class's grant with each answer, and its minimum, in estimates (ours).
-pub(crate) const GRANT_DECAY: f64 = 0.001;
-pub(crate) const MIN_GRANT: f64 = 0.5;
-
-impl Policy {
-    /// The level, and where grants are heeded a grant near the need that answers or spills told.
-    pub(crate) fn execution_terms(&self, id: RequestId, request: &Request) -> Action {
-        let state = &self.classes[request.class];
-        let slack = GRANT_DEVIATIONS[self.settings.memory_short as usize] * state.memory_variance.sqrt();
-        let grant =
-            if state.memory_samples > 0 { (state.memory_log_ratio + slack).exp() } else { state.grant };
-        let grant_mb = request.memory_mb.filter(|_| self.settings.grants).map(|estimate| estimate * grant);
-        Action::SetExecutionTerms { id, grant_mb, level: Level(request.level as u8) }
-    }
+/// Variance of the logarithm of memory used over estimated, before the first answer.
+const INITIAL_MEMORY_VARIANCE: f64 = 0.25;
+/// Standard deviations by which a grant exceeds the mean where a query waits for memory that is short.
+const DEVIATIONS_WHERE_QUERIES_WAIT: f64 = 0.5;
+/// Standard deviations by which a grant exceeds the mean where a query gets less memory and spills.
+const DEVIATIONS_WHERE_GRANTS_SHRINK: f64 = 0.7;
+/// Standard deviations by which a grant exceeds the mean where all queries slow down once memory is short.
+const DEVIATIONS_WHERE_ENGINES_PAGE: f64 = 2.0;
+
+/// Learns the memory that queries of one class need, against their estimates.
+#[derive(Clone, Default)]
+pub(crate) struct GrantEstimator {
+    /// Answers that reported the memory used, up to a bound.
+    samples: u32,
+    /// Mean natural logarithm of the memory used over the estimate.
+    mean_log_ratio: f64,
+    /// Variance of that logarithm.
+    log_ratio_variance: f64,
+    /// Grant over the estimate as notes of spills suggest it, used until answers report the memory.
+    ratio_from_spills: f64,
 }
 
-pub(crate) fn record_memory_need(state: &mut ClassState, log_ratio: f64) {
-    state.memory_samples = (state.memory_samples + 1).min(MAX_MEMORY_SAMPLES);
-    let weight = 1.0 / f64::from(state.memory_samples + 1);
-    update_mean_and_variance(&mut state.memory_log_ratio, &mut state.memory_variance, log_ratio, weight);
+impl GrantEstimator {
+    pub(crate) fn new() -> GrantEstimator {
+        GrantEstimator {
+            samples: 0,
+            mean_log_ratio: 0.0,
+            log_ratio_variance: INITIAL_MEMORY_VARIANCE,
+            ratio_from_spills: INITIAL_GRANT,
+        }
+    }
+
+    /// Learns from the memory that an answer reported; a report of none says nothing.
+    pub(crate) fn record_memory_used(&mut self, used_mb: f64, estimated_mb: f64) {
+        let ratio = used_mb / estimated_mb;
+        if ratio > 0.0 {
+            self.samples = (self.samples + 1).min(MAX_MEMORY_SAMPLES);
+            let weight = 1.0 / f64::from(self.samples + 1);
+            let variance = &mut self.log_ratio_variance;
+            update_mean_and_variance(&mut self.mean_log_ratio, variance, ratio.ln(), weight);
+        }
+    }
+
+    /// Learns from a note that an attempt spills to disk.
+    pub(crate) fn record_spill(&mut self, missing_mb: f64, estimated_mb: f64) {
+        self.ratio_from_spills += SPILL_INCREASE * (missing_mb / estimated_mb.max(1.0)).min(1.0);
+    }
+
+    /// Learns from an answer: without further spills the grant falls.
+    pub(crate) fn record_answer(&mut self) {
+        self.ratio_from_spills = (self.ratio_from_spills - GRANT_DECAY).max(MIN_GRANT);
+    }
+
+    /// The memory to grant, MB. The more harm too little memory does on these engines, the more is added to
+    /// the mean.
+    pub(crate) fn grant_mb(&self, estimated_mb: f64, shortage: MemoryShort) -> f64 {
+        let deviations = match shortage {
+            MemoryShort::Waits => DEVIATIONS_WHERE_QUERIES_WAIT,
+            MemoryShort::Shrinks => DEVIATIONS_WHERE_GRANTS_SHRINK,
+            MemoryShort::Pages => DEVIATIONS_WHERE_ENGINES_PAGE,
+        };
+        let slack = deviations * self.log_ratio_variance.sqrt();
+        let ratio = match self.samples {
+            0 => self.ratio_from_spills,
+            _ => (self.mean_log_ratio + slack).exp(),
+        };
+        estimated_mb * ratio
+    }
+
+    pub(crate) fn store(&self, stored: &mut StoredClass) {
+        stored.memory_samples = self.samples;
+        stored.memory_log_ratio = self.mean_log_ratio;
+        stored.memory_variance = self.log_ratio_variance;
+        stored.grant = self.ratio_from_spills;
+    }
+
+    pub(crate) fn restore(stored: &StoredClass) -> GrantEstimator {
+        GrantEstimator {
+            samples: stored.memory_samples,
+            mean_log_ratio: stored.memory_log_ratio,
+            log_ratio_variance: stored.memory_variance,
+            ratio_from_spills: stored.grant,
+        }
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,120 +1,176 @@
-//! Outlier detection: engines and zones that are down, unresponsive, slow or failing are ejected.
+//! Outlier detection over the fleet: which engines are ejected or readmitted and which zones are unreachable,
+//! from outcomes, latencies against the median engine, and silence. `engine_health` has the rule for one
+//! engine.
 
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
+use crate::actions::Action;
+use crate::diagnostics::log_ejection_change;
+use crate::engine_health::TRIAL_INTERVAL;
+use crate::engine_table::EngineTable;
+use crate::events::Outcome;
+use crate::ids::EngineId;
+use crate::request::{Attempt, OpenRequests};
+use crate::snapshot::{StoredPolicy, StoredZone};
+use sprucelink_time::{TimeDelta, Timestamp};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Progress notes missed from which an engine is silent; silent engines from which their zone is unreachable.
+/// Progress notes that an attempt misses before it counts as silent.
 const MAX_MISSED_NOTES: f64 = 1.5;
-pub(crate) const MIN_SILENT_ENGINES: usize = 2;
-/// An engine this many times slower than the median is ejected, after so many outcomes (ours).
-const MAX_SLOWNESS: f64 = 3.5;
-const MIN_SLOWNESS_SAMPLES: u32 = 6;
-/// Fraction of failed attempts from which an engine is ejected; it is readmitted below this part of a bound.
-const MAX_FAILURE_RATE: f64 = 0.4;
-const READMISSION_FACTOR: f64 = 0.5;
-/// An attempt in flight for this many times its expected latency is overdue (ours).
-pub(crate) const OVERDUE_FACTOR: f64 = 3.0;
-/// Age of a report that an overdue attempt outweighs; silence that most attempts overdue make a fault.
-const MAX_REPORT_AGE: TimeDelta = TimeDelta::from_micros(1_000_000);
-const MAX_SILENCE: TimeDelta = TimeDelta::from_micros(700_000);
-/// Time between trials of an ejected engine; first backoff of failed connections, up to 8 times; of sheds.
-pub(crate) const TRIAL_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
-const CONNECT_BACKOFF: TimeDelta = TimeDelta::from_micros(500_000);
-pub(crate) const FULL_BACKOFF: TimeDelta = TimeDelta::from_micros(100_000);
-/// Weights of a failure and of a success in an engine's failure rate: it recovers sooner (ours).
-pub(crate) const FAILURE_WEIGHT: f64 = 0.15;
-pub(crate) const SUCCESS_WEIGHT: f64 = 0.3;
-/// Bounds of one outcome's latency over the expected one, as it counts in the slowness.
-const SLOWNESS_BOUNDS: [f64; 2] = [0.05, 50.0];
-
-impl Policy {
-    /// Backs off from an engine, longer each time; after two failures in a row it comes back in slow start.
-    pub(crate) fn record_connect_failure(&mut self, i: usize) {
-        let engine = &mut self.engines[i];
-        if self.now >= engine.backoff_until {
-            let backoff = CONNECT_BACKOFF.as_micros() << engine.connect_failures.min(3);
-            engine.backoff_until = self.now + TimeDelta::from_micros(backoff);
-            engine.connect_failures += 1;
-        }
-        if engine.connect_failures >= 2 && self.settings.slow_start_duration > TimeDelta::ZERO {
-            engine.started_at = Some(self.now);
+/// Silent engines from which their zone counts as unreachable.
+const MIN_SILENT_ENGINES: usize = 2;
+/// Engines of known slowness that a median needs.
+const MIN_ENGINES_FOR_MEDIAN: usize = 3;
+
+/// What is known of one zone.
+#[derive(Clone, Default)]
+struct ZoneHealth {
+    /// When an engine there last responded.
+    last_response: Timestamp,
+    /// Engines that have been silent on what was sent to them since.
+    silent_engines: BTreeSet<u32>,
+    /// No engine there can be reached.
+    is_unreachable: bool,
+    /// When one of its engines may get a trial.
+    next_trial: Timestamp,
+}
+
+impl ZoneHealth {
+    fn record_response(&mut self, now: Timestamp) {
+        self.last_response = now;
+        self.is_unreachable = false;
+        self.silent_engines.clear();
+    }
+
+    /// An attempt there met silence; that counts where no engine there has responded since it was sent.
+    fn record_silence(&mut self, engine: EngineId, sent_at: Timestamp) {
+        if sent_at > self.last_response {
+            self.silent_engines.insert(engine.0);
+            self.is_unreachable |= self.silent_engines.len() >= MIN_SILENT_ENGINES;
         }
     }
+}
+
+/// The health of zones, and the slowness of the median engine.
+#[derive(Clone, Default)]
+pub(crate) struct OutlierDetector {
+    zones: BTreeMap<u32, ZoneHealth>,
+    /// Logarithm of the median engine's slowness; `None` if too few engines are known.
+    median_log_slowness: Option<f64>,
+}
+
+impl OutlierDetector {
+    /// Before the first tick engines are compared with an engine of exactly the expected latencies.
+    pub(crate) fn new() -> OutlierDetector {
+        OutlierDetector { zones: BTreeMap::new(), median_log_slowness: Some(0.0) }
+    }
+
+    /// Logarithm of the median engine's slowness; `None` if too few engines are known.
+    pub(crate) fn median_log_slowness(&self) -> Option<f64> {
+        self.median_log_slowness
+    }
+
+    /// When a zone may get a trial, if it is unreachable.
+    pub(crate) fn next_trial_of_unreachable(&self, zone: u32) -> Option<Timestamp> {
+        self.zones.get(&zone).filter(|zone| zone.is_unreachable).map(|zone| zone.next_trial)
+    }
+
+    /// An engine of the zone has responded.
+    pub(crate) fn record_response(&mut self, now: Timestamp, zone: u32) {
+        self.zones.entry(zone).or_default().record_response(now);
+    }
+
+    /// An attempt is sent to an engine of the zone.
+    pub(crate) fn record_send(&mut self, now: Timestamp, zone: u32) {
+        self.zones.entry(zone).or_default().next_trial = now + TRIAL_INTERVAL;
+    }
 
-    pub(crate) fn back_off_full(&mut self, i: usize) {
-        self.mark_full(i);
-        self.engines[i].backoff_until = self.now + FULL_BACKOFF;
+    /// An attempt on an engine of the zone has ended.
+    pub(crate) fn record_outcome(&mut self, now: Timestamp, zone: u32, attempt: &Attempt, outcome: Outcome) {
+        let zone = self.zones.entry(zone).or_default();
+        match outcome {
+            Outcome::Succeeded | Outcome::EngineError | Outcome::RejectedByEngine => {
+                zone.record_response(now)
+            }
+            Outcome::ConnectFailed => zone.record_silence(attempt.engine, attempt.sent_at),
+            Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled | Outcome::NeverSent => {}
+        }
     }
 
-    /// Ejects engines that are down, unresponsive, failing or far slower than the rest, and readmits them.
-    pub(crate) fn update_ejections(&mut self, out: &mut Vec<Action>) {
-        self.record_overdue_attempts();
-        let is_known = |e: &&Engine| e.listed && e.slowness_samples >= MIN_SLOWNESS_SAMPLES;
-        let mut all: Vec<f64> = self.engines.iter().filter(is_known).map(|e| e.log_slowness).collect();
-        all.sort_by(f64::total_cmp);
-        self.median_slowness = if all.len() < 3 { f64::MAX } else { all[all.len() / 2] };
-        for (i, engine) in self.engines.iter_mut().enumerate() {
-            let slowness = relative_slowness(engine, self.median_slowness);
-            let is_silent = self.now - engine.last_response > MAX_SILENCE;
-            engine.unresponsive |= engine.overdue >= 2 && engine.overdue * 2 >= engine.in_flight && is_silent;
-            let margin = if engine.ejected { READMISSION_FACTOR } else { 1.0 };
-            let is_failing = engine.failure_rate.value() > MAX_FAILURE_RATE * margin;
-            let is_cut_off = self.zones.get(&engine.zone).is_some_and(|zone| zone.unreachable);
-            let is_down = self.now < engine.backoff_until || engine.unresponsive || is_cut_off;
-            let is_outlier = is_down || is_failing || slowness > MAX_SLOWNESS * margin;
-            if is_outlier != engine.ejected {
-                engine.ejected = is_outlier;
-                engine.log_health(i, slowness, out);
+    /// Ejects and readmits engines, at a tick. `progress_interval`: zero where engines send no progress
+    /// notes.
+    pub(crate) fn update(
+        &mut self,
+        now: Timestamp,
+        engines: &mut EngineTable,
+        requests: &mut OpenRequests,
+        progress_interval: TimeDelta,
+        out: &mut Vec<Action>,
+    ) {
+        self.record_overdue_attempts(now, engines, requests, progress_interval);
+        self.median_log_slowness = median_log_slowness(engines);
+        for (id, engine) in engines.iter_mut() {
+            let slowness = engine.health.slowness().relative_to(self.median_log_slowness);
+            let is_zone_unreachable = self.next_trial_of_unreachable(engine.zone()).is_some();
+            let in_flight = engine.own_attempts();
+            if engine.health.update_ejection(now, in_flight, slowness, is_zone_unreachable) {
+                log_ejection_change(id, &engine.health, slowness, out);
             }
         }
     }
 
-    fn record_overdue_attempts(&mut self) {
-        let max_quiet = MAX_MISSED_NOTES * self.settings.progress_interval.as_secs_f64();
-        self.engines.iter_mut().for_each(|engine| engine.overdue = 0);
-        for attempt in self.requests.values_mut().filter_map(|r| r.in_flight.as_mut()) {
-            let engine = &mut self.engines[attempt.engine.0 as usize];
-            if max_quiet > 0.0 && (self.now - attempt.last_progress).as_secs_f64() > max_quiet {
-                self.zones.entry(engine.zone).or_default().record_silence(attempt, MIN_SILENT_ENGINES);
+    fn record_overdue_attempts(
+        &mut self,
+        now: Timestamp,
+        engines: &mut EngineTable,
+        requests: &mut OpenRequests,
+        progress_interval: TimeDelta,
+    ) {
+        let max_silence_secs = MAX_MISSED_NOTES * progress_interval.as_secs_f64();
+        engines.iter_mut().for_each(|(_, engine)| engine.health.clear_overdue_attempts());
+        for attempt in requests.values_mut().filter_map(|request| request.in_flight.as_mut()) {
+            let engine = &mut engines[attempt.engine];
+            let silence_secs = (now - attempt.last_progress).as_secs_f64();
+            if max_silence_secs > 0.0 && silence_secs > max_silence_secs {
+                let zone = self.zones.entry(engine.zone()).or_default();
+                zone.record_silence(attempt.engine, attempt.sent_at);
             }
-            let ratio = (self.now - attempt.sent_at).as_secs_f64() / attempt.expected;
-            engine.overdue += u32::from(ratio > OVERDUE_FACTOR);
-            if ratio > attempt.next_overdue {
-                attempt.next_overdue *= 2.0;
-                record_slowness(engine, ratio);
-                // An engine that answers nothing reports nothing either, and would count as an average one.
-                if engine.reported_at.is_none_or(|time| self.now - time > MAX_REPORT_AGE) {
-                    engine.others_threads = engine.others_threads.max(FULL_ENGINE_LOAD * engine.cores);
-                    engine.reported_at = Some(self.now);
-                }
+            if engine.health.record_overdue(now, attempt) {
+                let cores = engine.cores();
+                engine.load.assume_full_unless_reported(now, cores);
             }
         }
     }
-}
 
-impl ZoneState {
-    pub(crate) fn record_response(&mut self, now: Timestamp) {
-        self.last_response = now;
-        self.unreachable = false;
-        self.silent_engines.clear();
+    pub(crate) fn store(&self, stored: &mut StoredPolicy) {
+        stored.median_slowness = self.median_log_slowness.unwrap_or(f64::MAX);
+        let one = |zone: &ZoneHealth| StoredZone {
+            last_response: zone.last_response,
+            silent_engines: zone.silent_engines.clone(),
+            unreachable: zone.is_unreachable,
+            next_trial: zone.next_trial,
+        };
+        stored.zones = self.zones.iter().map(|(number, zone)| (*number, one(zone))).collect();
     }
 
-    /// An attempt there met silence; it counts where no engine there has responded since it was sent.
-    pub(crate) fn record_silence(&mut self, attempt: &Attempt, min_engines: usize) {
-        if attempt.sent_at > self.last_response {
-            self.silent_engines.insert(attempt.engine.0);
-            self.unreachable |= self.silent_engines.len() >= min_engines;
+    pub(crate) fn restore(stored: &mut StoredPolicy) -> OutlierDetector {
+        let one = |zone: StoredZone| ZoneHealth {
+            last_response: zone.last_response,
+            silent_engines: zone.silent_engines,
+            is_unreachable: zone.unreachable,
+            next_trial: zone.next_trial,
+        };
+        let zones = std::mem::take(&mut stored.zones).into_iter();
+        OutlierDetector {
+            zones: zones.map(|(number, zone)| (number, one(zone))).collect(),
+            median_log_slowness: Some(stored.median_slowness).filter(|median| *median < f64::MAX),
         }
     }
 }
 
-/// How many times slower an engine is than the median, so that what slows all ejects none; 1 if not known.
-pub(crate) fn relative_slowness(engine: &Engine, median: f64) -> f64 {
-    let is_known = engine.slowness_samples >= MIN_SLOWNESS_SAMPLES && median < f64::MAX;
-    let log_ratio = if is_known { engine.log_slowness - median } else { 0.0 };
-    log_ratio.exp()
-}
-
-pub(crate) fn record_slowness(engine: &mut Engine, ratio: f64) {
-    let sample = ratio.clamp(SLOWNESS_BOUNDS[0], SLOWNESS_BOUNDS[1]).ln();
-    update_mean(&mut engine.log_slowness, &mut engine.slowness_samples, sample, AVERAGE_WEIGHT);
+/// The median of what is known of the listed engines.
+fn median_log_slowness(engines: &EngineTable) -> Option<f64> {
+    let listed = engines.iter().filter(|(_, engine)| engine.is_listed());
+    let mut known: Vec<f64> =
+        listed.filter_map(|(_, engine)| engine.health.slowness().known_log_ratio()).collect();
+    known.sort_by(f64::total_cmp);
+    (known.len() >= MIN_ENGINES_FOR_MEDIAN).then(|| known[known.len() / 2])
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,121 +1,189 @@
-//! The decision module: takes each event, and looks at everything that is open at every tick.
+//! The decision module of one manager: owns the parts, routes each event to them and collects their actions.
+//! It decides nothing itself: each rule is a function of its part, and the files of this folder gather its
+//! inputs.
 
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
+mod arrivals;
+mod attempts;
+mod dispatch;
+mod endpoints;
+mod explanations;
+mod review;
+mod stored;
+mod ticks;
+mod views;
 
-/// Time between two looks at all that is open: short against every deadline.
-pub(crate) const TICK: TimeDelta = TimeDelta::from_micros(20_000);
-/// Time between two settings of the prices, and until a failed list is asked for again (design page).
-pub(crate) const PRICING_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
-/// Priority levels of the engines, 0 to 3 (design page).
-pub(crate) const LEVELS: usize = 4;
-/// Own load is averaged over as long as this gateway's cores take for so many thread-seconds (ours).
-const LOAD_AVERAGE_WORK: f64 = 10.0;
+use crate::actions::Action;
+use crate::class_estimates::ClassEstimates;
+use crate::engine::Engine;
+use crate::engine_table::EngineTable;
+use crate::events::Event;
+use crate::fleet_view::FleetView;
+use crate::ids::RequestId;
+use crate::load_estimate::LoadEstimator;
+use crate::memory_grant::GrantEstimator;
+use crate::outlier_detection::OutlierDetector;
+use crate::own_load::{FleetShare, OwnLoad};
+use crate::pricing::{PriceTable, PRICING_INTERVAL};
+use crate::probe_credit::ProbeCredit;
+use crate::request::{OpenRequests, Request};
+use crate::request_queue::{KeyOrder, RequestQueue};
+use crate::retry::RetryBudget;
+use crate::settings::Settings;
+use crate::slow_start::SlowStartLimits;
+use crate::snapshot::StoredPolicy;
+use crate::tenant_quota::TenantQuotas;
+use serde::Deserialize;
+use sprucelink_stable_hash::SplitMix64;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// Time between two reviews of all open requests: short against every deadline.
+pub(crate) const TICK: TimeDelta = TimeDelta::from_millis(20);
+
+/// Approximate size of what an engine's record refers to, bytes.
+const ENGINE_HEAP_BYTES: usize = 256;
+/// Approximate size of what a request's record refers to, bytes.
+const REQUEST_HEAP_BYTES: usize = 64;
+
+/// The decision module of one manager.
+#[derive(Clone, Deserialize)]
+#[serde(from = "StoredPolicy")]
+pub struct Policy {
+    settings: Settings,
+    random: SplitMix64,
+    now: Timestamp,
+    /// When this module was created.
+    started_at: Timestamp,
+    is_timer_started: bool,
+    next_pricing: Timestamp,
+    /// When the endpoint list is to be watched.
+    next_watch: Option<Timestamp>,
+    engines: EngineTable,
+    outliers: OutlierDetector,
+    load: LoadEstimator,
+    own_load: OwnLoad,
+    prices: PriceTable,
+    /// By class.
+    estimates: Vec<ClassEstimates>,
+    /// By class.
+    grants: Vec<GrantEstimator>,
+    tenant_quotas: TenantQuotas,
+    requests: OpenRequests,
+    queue: RequestQueue,
+    key_order: KeyOrder,
+    retry_budget: RetryBudget,
+    probe_credit: ProbeCredit,
+    /// Reasons are given, too; no decision depends on it.
+    is_explaining: bool,
+}
 
 impl Policy {
+    /// A manager that starts now and knows its settings only.
+    pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Policy {
+        let classes = &settings.classes;
+        Policy {
+            random: SplitMix64::new(seed),
+            now,
+            started_at: now,
+            is_timer_started: false,
+            next_pricing: now + PRICING_INTERVAL,
+            next_watch: settings.must_poll_endpoints.then_some(now),
+            engines: EngineTable::default(),
+            outliers: OutlierDetector::new(),
+            load: LoadEstimator::new(classes.iter().map(|class| class.threads)),
+            own_load: OwnLoad::default(),
+            prices: PriceTable::new(classes.len()),
+            estimates: classes.iter().map(ClassEstimates::new).collect(),
+            grants: classes.iter().map(|_| GrantEstimator::new()).collect(),
+            tenant_quotas: TenantQuotas::new(settings.tenants.len()),
+            requests: OpenRequests::new(),
+            queue: RequestQueue::default(),
+            key_order: KeyOrder::default(),
+            retry_budget: RetryBudget::default(),
+            probe_credit: ProbeCredit::default(),
+            is_explaining: false,
+            settings,
+        }
+    }
+
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.timer_armed, true) {
-            out.push(Action::StartTimer { delay: TICK, token: 0 });
+        if !self.is_timer_started {
+            self.is_timer_started = true;
+            start_timer(out);
         }
-        let is_tick = matches!(event, Event::Timer { .. });
         match event {
-            Event::RequestArrived(arrival) => return self.on_arrival(arrival, out),
-            Event::ResponseStarted { id } => return self.on_started(id),
-            Event::ProgressReported { id, attempt, note } => return self.on_note(id, attempt, note, out),
-            Event::RequestAbandoned { id } => return self.finish(id, out),
-            Event::PeerMessageReceived { .. } => return,
-            Event::ZoneWeightsChanged(weights) => return self.settings.zone_weights = weights,
-            Event::FleetChanged { gateways, spare_retries } => return self.on_fleet(gateways, spare_retries),
-            Event::EndpointsChanged { kind, entries } => self.on_list(kind, entries),
-            ended @ Event::AttemptEnded { .. } => self.on_ended(ended, out),
-            Event::Timer { .. } => self.on_tick(out),
+            Event::RequestArrived(arrival) => self.on_arrival(arrival, out),
+            Event::ResponseStarted { id } => self.on_response_started(id),
+            Event::ProgressReported { id, attempt, note } => self.on_progress(id, attempt, note, out),
+            Event::RequestAbandoned { id } => self.finish(id, out),
+            Event::PeerMessageReceived { .. } => {}
+            Event::ZoneWeightsChanged(weights) => self.settings.zone_weights = weights,
+            Event::FleetChanged { gateways, spare_retries } => self.on_fleet_change(gateways, spare_retries),
+            Event::EndpointsChanged { kind, entries } => {
+                self.on_endpoints_change(kind, &entries);
+                self.dispatch_queued(out);
+            }
+            Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } => {
+                let ended = attempts::EndedAttempt { outcome, latency, complete, query_cost, report };
+                self.on_attempt_end(id, attempt, &ended, out);
+                self.dispatch_queued(out);
+            }
             Event::ProbeCompleted { engine, outcome, report } => {
-                self.on_probed(engine.0 as usize, outcome, report)
+                self.on_probe_end(engine, outcome, &report);
+                self.dispatch_queued(out);
+            }
+            Event::Timer { .. } => {
+                self.on_tick(out);
+                self.dispatch_queued(out);
+                start_timer(out);
             }
-        }
-        self.dispatch(None, out);
-        if is_tick {
-            out.push(Action::StartTimer { delay: TICK, token: 0 });
         }
     }
 
-    fn on_fleet(&mut self, gateways: u32, spare_retries: f64) {
-        self.settings.gateways = gateways.max(1);
-        self.settings.spare_retries = spare_retries;
+    /// Approximate size of a copy in bytes, for bounds on queues.
+    pub fn estimated_bytes(&self) -> u64 {
+        let engine = size_of::<Engine>() + ENGINE_HEAP_BYTES;
+        let request = size_of::<Request>() + REQUEST_HEAP_BYTES;
+        (size_of::<Policy>() + self.engines.len() * engine + self.requests.len() * request) as u64
     }
 
-    fn on_started(&mut self, id: RequestId) {
-        self.requests.entry(id).and_modify(|request| request.answered = true);
+    fn on_response_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_answered = true;
+        }
     }
 
-    fn on_list(&mut self, kind: EndpointUpdate, entries: Vec<EngineEntry>) {
-        if kind == EndpointUpdate::Failed {
-            return self.next_watch = Some(self.now + PRICING_INTERVAL);
-        }
-        if kind != EndpointUpdate::Changes {
-            self.engines.iter_mut().for_each(|engine| engine.listed = false);
-        }
-        entries.into_iter().for_each(|entry| self.on_entry(entry));
-        self.cores = self.engines.iter().filter(|engine| engine.listed).map(|engine| engine.cores).sum();
+    fn on_fleet_change(&mut self, managers: u32, spare_retries: f64) {
+        self.settings.gateways = managers.max(1);
+        self.settings.spare_retries = spare_retries;
     }
 
-    fn on_entry(&mut self, entry: EngineEntry) {
-        let i = entry.engine.0 as usize;
-        self.engines.resize_with(self.engines.len().max(i + 1), Engine::default);
-        let engine = &mut self.engines[i];
-        if std::mem::replace(&mut engine.withdrawn, entry.state == EngineState::Gone) {
-            // Another engine may come under its number: only what is in flight is still true. It may be the
-            // same one, after a list that came late: what it was sent in the slow-start window still counts.
-            let Engine { threads, in_flight, withdrawn, .. } = *engine;
-            let recent_charges = std::mem::take(&mut engine.recent_charges);
-            *engine = Engine { threads, in_flight, withdrawn, recent_charges, ..Engine::default() };
-        }
-        if entry.since > engine.started_at {
-            // A new process: what was learned of the old one is void.
-            self.zones.entry(entry.zone).or_default().record_response(self.now);
-            (engine.log_slowness, engine.slowness_samples) = (0.0, 0);
-            (engine.connect_failures, engine.failure_rate) = (0, MovingAverage::default());
-            (engine.ejected, engine.unresponsive) = (false, false);
-            engine.backoff_until = self.now;
-            engine.recent_tables.clear();
-            engine.next_lottery = self.now + self.settings.slow_start_window;
-            engine.lottery = self.random.next_unit();
-        }
-        engine.listed = entry.state == EngineState::Ready;
-        (engine.zone, engine.kind, engine.cell) = (entry.zone, entry.kind, entry.cell);
-        engine.cores = self.settings.kind_cores.get(entry.kind as usize).copied().unwrap_or(1.0).max(1.0);
-        engine.started_at = entry.since.max(engine.started_at);
+    /// This manager's share of the ready engines.
+    fn share(&self) -> FleetShare {
+        let managers = f64::from(self.settings.gateways);
+        FleetShare { managers, ready_cores: self.engines.ready_cores() }
     }
 
-    fn on_tick(&mut self, out: &mut Vec<Action>) {
-        if self.next_watch.is_some_and(|time| self.now >= time) {
-            self.next_watch = None;
-            out.push(Action::WatchEndpoints);
-        }
-        while self.now >= self.next_pricing {
-            self.next_pricing = self.next_pricing + PRICING_INTERVAL;
-            self.keys.retain(|_, queue| !queue.waiting.is_empty() || self.now < queue.blocked_until);
-            self.update_prices();
-        }
-        for engine in &mut self.engines {
-            engine.average_threads.update(engine.threads, AVERAGE_WEIGHT);
-            if self.now >= engine.next_lottery {
-                engine.lottery = self.random.next_unit();
-                engine.next_lottery = self.now + self.settings.slow_start_window;
-            }
-        }
-        let mut above = [0.0; LEVELS];
-        for request in self.requests.values().filter(|r| r.in_flight.is_some()) {
-            above[..=request.level].iter_mut().for_each(|sum| *sum += self.class(request.class).threads);
-        }
-        let weight = (TICK.as_secs_f64() * self.core_share() / LOAD_AVERAGE_WORK).min(1.0);
-        self.threads_above.iter_mut().zip(above).for_each(|(average, sum)| average.update(sum, weight));
-        self.update_ejections(out);
-        self.review_requests(out);
-        self.queued_work = [0.0; LEVELS];
-        for request in self.queue.values().filter_map(|id| self.requests.get(id)) {
-            self.queued_work[request.level] += request.cost * self.classes[request.class].work_ratio.value();
+    /// The fleet as the rules on engines see it now.
+    fn fleet(&self) -> FleetView<'_> {
+        let share = self.share();
+        FleetView {
+            now: self.now,
+            settings: &self.settings,
+            engines: &self.engines,
+            outliers: &self.outliers,
+            requests: &self.requests,
+            estimates: &self.estimates,
+            probe_credit: &self.probe_credit,
+            share,
+            own_threads: self.own_load.threads(),
+            mean_load: self.load.mean_load(self.now, &self.own_load, share),
+            slow_start: SlowStartLimits::new(self.now, self.started_at, &self.settings, &self.estimates),
         }
     }
 }
+
+fn start_timer(out: &mut Vec<Action>) {
+    out.push(Action::StartTimer { delay: TICK, token: 0 });
+}
--- /dev/null
+++ b/crates/policy/src/policy/attempts.rs
@@ -0,0 +1,190 @@
+//! Attempts in flight: their progress notes, and what their ends teach and lead to.
+
+use crate::actions::Action;
+use crate::attempt_outcome::{may_still_run, next_step, HealthEvidence, NextStep};
+use crate::cancellation::is_restart_worthwhile;
+use crate::events::{LoadReport, Outcome, ProgressNote, QueryCost};
+use crate::ids::RequestId;
+use crate::policy::Policy;
+use crate::request::Attempt;
+use sprucelink_time::TimeDelta;
+
+/// How an attempt ended.
+pub(super) struct EndedAttempt {
+    pub(super) outcome: Outcome,
+    /// Time since it was sent.
+    pub(super) latency: TimeDelta,
+    /// The client has its response.
+    pub(super) complete: bool,
+    /// The resources that it used, where reported.
+    pub(super) query_cost: Option<QueryCost>,
+    /// The engine's load report.
+    pub(super) report: LoadReport,
+}
+
+impl Policy {
+    pub(super) fn on_progress(
+        &mut self,
+        id: RequestId,
+        number: u32,
+        note: ProgressNote,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let in_flight = request.in_flight.as_mut();
+        let Some(attempt) = in_flight.filter(|a| a.number == number && !a.is_cancelled) else { return };
+        attempt.last_progress = self.now;
+        let engine = &mut self.engines[attempt.engine];
+        engine.health.record_progress(self.now);
+        self.outliers.record_response(self.now, engine.zone());
+        match note {
+            ProgressNote::Spills(missing_mb) => {
+                if let Some(estimated_mb) = request.memory_mb {
+                    self.grants[request.class].record_spill(missing_mb, estimated_mb);
+                }
+            }
+            ProgressNote::Progress(fraction_done) => {
+                self.cancel_if_restart_is_quicker(id, fraction_done, out)
+            }
+            ProgressNote::WaitsForMemory | ProgressNote::WaitsForLoad => {}
+        }
+    }
+
+    fn cancel_if_restart_is_quicker(&mut self, id: RequestId, fraction_done: f64, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let Some(attempt) = &request.in_flight else { return };
+        let running = self.running_attempt(request, attempt);
+        let new_attempt_secs = self.expected_latency_secs(request);
+        let is_restart_quicker = is_restart_worthwhile(&running, fraction_done, new_attempt_secs);
+        if is_restart_quicker && self.may_retry_now(request) {
+            self.cancel(id, out);
+        }
+    }
+
+    /// Cancels the attempt in flight, where engines take cancellations.
+    pub(super) fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        self.explain_cancellation(id, out);
+        if !self.settings.cancel {
+            return;
+        }
+        let in_flight = self.requests.get_mut(&id).and_then(|request| request.in_flight.as_mut());
+        if let Some(attempt) = in_flight.filter(|attempt| !attempt.is_cancelled) {
+            attempt.is_cancelled = true;
+            out.push(Action::Cancel { id, attempt: attempt.number });
+        }
+    }
+
+    pub(super) fn on_attempt_end(
+        &mut self,
+        id: RequestId,
+        number: u32,
+        ended: &EndedAttempt,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == number) else { return };
+        if !ended.outcome.never_ran() {
+            request.may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
+        }
+        request.errors += u32::from(ended.outcome == Outcome::EngineError);
+        request.is_answered |= ended.complete;
+        if let Some(key) = request.key.as_ref().filter(|_| may_still_run(ended.outcome)) {
+            self.key_order.block(key, self.now + self.settings.key_settle_time);
+        }
+        let threads = self.settings.classes[request.class].threads;
+        self.record_engine_outcome(&attempt, threads, ended);
+        self.record_wait_and_answer(id, &attempt, ended);
+        self.continue_after_attempt(id, ended.outcome, out);
+    }
+
+    /// Learns what an ended attempt says of its engine: load, health and the health of its zone.
+    fn record_engine_outcome(&mut self, attempt: &Attempt, threads: f64, ended: &EndedAttempt) {
+        self.own_load.remove(threads);
+        self.load.record_run(threads, ended.latency.as_secs_f64());
+        let engine = &mut self.engines[attempt.engine];
+        engine.record_end(threads);
+        self.outliers.record_outcome(self.now, engine.zone(), attempt, ended.outcome);
+        match HealthEvidence::of(ended.outcome) {
+            HealthEvidence::Success => engine.health.record_success(),
+            HealthEvidence::Failure => engine.health.record_failure(),
+            HealthEvidence::None => {}
+        }
+        self.on_report(attempt.engine, &ended.report);
+        let engine = &mut self.engines[attempt.engine];
+        match ended.outcome {
+            Outcome::ConnectFailed => {
+                engine.health.record_connect_failure(self.now);
+                if engine.health.has_probably_restarted()
+                    && self.settings.slow_start_duration > TimeDelta::ZERO
+                {
+                    engine.restart_slow_start(self.now);
+                }
+            }
+            Outcome::RejectedByEngine => {
+                let cores = engine.cores();
+                engine.load.assume_full(self.now, cores);
+                engine.health.back_off_from_full_engine(self.now);
+            }
+            _ => {}
+        }
+    }
+
+    /// Learns what an ended attempt says of its class.
+    fn record_wait_and_answer(&mut self, id: RequestId, attempt: &Attempt, ended: &EndedAttempt) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let class = request.class;
+        let level = request.level;
+        let cost = request.cost;
+        let age_secs = request.age_secs(self.now);
+        match ended.outcome {
+            Outcome::Succeeded => {
+                let estimated_mb = request.memory_mb;
+                self.record_answer(class, cost, estimated_mb, attempt, ended);
+                let threads = self.settings.classes[class].threads;
+                let unloaded_secs = self.estimates[class].unloaded_latency_secs(cost, threads);
+                self.prices.record_wait(class, level, (age_secs - unloaded_secs).max(0.0));
+            }
+            Outcome::TimedOut => self.prices.record_wait(class, level, age_secs),
+            _ => {}
+        }
+    }
+
+    /// Learns from an answer: its class's work, memory and latency, and its engine's health.
+    fn record_answer(
+        &mut self,
+        class: usize,
+        cost: f64,
+        estimated_mb: Option<f64>,
+        attempt: &Attempt,
+        ended: &EndedAttempt,
+    ) {
+        let settings = &self.settings.classes[class];
+        let estimates = &mut self.estimates[class];
+        let grant = &mut self.grants[class];
+        if let Some(reported) = ended.query_cost.filter(|_| cost > 0.0) {
+            estimates.record_work(reported.work, cost);
+            if let Some(estimated_mb) = estimated_mb {
+                grant.record_memory_used(reported.memory_mb, estimated_mb);
+            }
+        }
+        let latency_secs = ended.latency.as_secs_f64();
+        estimates.record_latency(latency_secs, settings.threads, cost);
+        grant.record_answer();
+        let engine = &mut self.engines[attempt.engine];
+        engine.health.record_answer(self.now);
+        // A load waits for the locks of its tables: its latency says nothing of the engine.
+        if !settings.loads_tables {
+            engine.health.record_latency(latency_secs / attempt.expected_latency_secs);
+        }
+    }
+
+    fn continue_after_attempt(&mut self, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let retry = || self.decide_retry(request);
+        match next_step(outcome, request.is_answered, request.errors, retry) {
+            NextStep::Finish => self.finish(id, out),
+            NextStep::Retry => self.queue.insert(id, request),
+            NextStep::Respond => self.respond(id, out),
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/policy/explanations.rs
@@ -0,0 +1,181 @@
+//! The reasons of decisions, given only while they are asked for. Nothing here decides: each function repeats
+//! the inputs of a decision that the caller makes.
+
+use crate::actions::Action;
+use crate::admission::AdmissionDecision;
+use crate::engine::Engine;
+use crate::engine_eligibility::{eligibility, is_eligible, is_healthy_for, Eligibility};
+use crate::engine_selection::{draw_exclusion, select_engine, CapacityCheck, DrawExclusion, MAX_UTILISATION};
+use crate::engine_weight::EngineWeight;
+use crate::fleet_view::FleetView;
+use crate::ids::{EngineId, RequestId};
+use crate::policy::Policy;
+use crate::pricing::PriceQuote;
+use crate::reasons::{Candidate, IneligibleReason, Reason};
+use crate::request::Request;
+
+impl Policy {
+    /// The request, while reasons are asked for.
+    fn request_to_explain(&self, id: RequestId) -> Option<&Request> {
+        self.requests.get(&id).filter(|_| self.is_explaining)
+    }
+
+    /// Gives the reason why a request is admitted or rejected.
+    pub(super) fn explain_admission(
+        &self,
+        id: RequestId,
+        quote: &PriceQuote,
+        decision: AdmissionDecision,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.request_to_explain(id) else { return };
+        let value = self.answer_value(request);
+        push(
+            out,
+            Reason::Priced {
+                id,
+                class: request.class,
+                level: request.level as u8,
+                cost: request.cost,
+                expected_time: quote.expected_secs,
+                price: quote.price,
+                net_value: value.net(quote.expected_secs),
+                latency_objective: value.objective_secs,
+                own_threads: self.own_load.threads(),
+                core_share: self.share().cores(),
+                has_free_cores: decision == AdmissionDecision::AdmittedForFreeCapacity,
+                admitted: decision.is_admitted(),
+            },
+        );
+    }
+
+    /// Gives each engine's part in a draw; called just before the draw, with its arguments.
+    pub(super) fn explain_draw(&self, id: RequestId, random_unit: f64, out: &mut Vec<Action>) {
+        let Some(request) = self.request_to_explain(id) else { return };
+        let fleet = self.fleet();
+        let preference = Preference::of(&fleet, request);
+        let listed = self.engines.iter().filter(|(_, engine)| !engine.is_gone());
+        let among = listed.map(|(id, engine)| candidate(&fleet, request, &preference, id, engine)).collect();
+        push(
+            out,
+            Reason::Drawn {
+                id,
+                random_unit,
+                max_utilisation: MAX_UTILISATION[request.level],
+                chosen: select_engine(&fleet, request, CapacityCheck::Required, random_unit),
+                candidates: among,
+            },
+        );
+    }
+
+    /// Gives the reason why a request is rejected or failed.
+    pub(super) fn explain_response(&self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.request_to_explain(id) else { return };
+        let expected_secs = request.age_secs(self.now) + self.expected_latency_secs(request);
+        push(
+            out,
+            Reason::Answered {
+                id,
+                attempts: request.attempts,
+                errors: request.errors,
+                time_left: (request.deadline - self.now).as_secs_f64(),
+                retry_allowed: self.decide_retry(request).is_allowed(),
+                has_retry_budget: self.has_retry_budget(),
+                expected_total_time: expected_secs,
+                net_value: self.answer_value(request).net(expected_secs),
+                price: self.quote(request).price,
+                queue_delay: self.queue_delay_secs(),
+            },
+        );
+    }
+
+    /// Gives the reason why an attempt is cancelled.
+    pub(super) fn explain_cancellation(&self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.request_to_explain(id) else { return };
+        let Some(attempt) = &request.in_flight else { return };
+        push(
+            out,
+            Reason::Cancelled {
+                id,
+                attempt: attempt.number,
+                engine: attempt.engine,
+                age: (self.now - attempt.sent_at).as_secs_f64(),
+                expected_latency: attempt.expected_latency_secs,
+                since_progress: (self.now - attempt.last_progress).as_secs_f64(),
+                ejected: self.engines[attempt.engine].health.is_ejected(),
+                answered: request.is_answered,
+            },
+        );
+    }
+}
+
+fn push(out: &mut Vec<Action>, reason: Reason) {
+    out.push(Action::Explain(Box::new(reason)));
+}
+
+/// What a draw prefers, where it can.
+struct Preference {
+    /// Only healthy engines.
+    healthy: bool,
+    /// Not the engine that just failed the request.
+    other: bool,
+}
+
+impl Preference {
+    fn of(fleet: &FleetView, request: &Request) -> Preference {
+        let eligible = || fleet.engines.iter().filter(|(_, engine)| is_eligible(fleet, request, engine));
+        let healthy = eligible().any(|(_, engine)| is_healthy_for(fleet, request, engine));
+        let is_preferred = |engine: &Engine| !healthy || is_healthy_for(fleet, request, engine);
+        let is_other = |id: EngineId| request.last_engine != Some(id);
+        let has_other = eligible().any(|(id, engine)| is_preferred(engine) && is_other(id));
+        Preference { healthy, other: request.errors > 0 && has_other }
+    }
+}
+
+/// What leaves an engine out of a draw.
+fn ineligible_reason(
+    fleet: &FleetView,
+    request: &Request,
+    preference: &Preference,
+    id: EngineId,
+    engine: &Engine,
+) -> Option<IneligibleReason> {
+    match eligibility(fleet, request, engine) {
+        Eligibility::NotListed => return Some(IneligibleReason::NotListed),
+        Eligibility::WrongPlacement | Eligibility::OutsideDedupGroup | Eligibility::SlowStartBudgetSpent => {
+            return Some(IneligibleReason::Rules)
+        }
+        Eligibility::Eligible => {}
+    }
+    if preference.healthy && !is_healthy_for(fleet, request, engine) {
+        return Some(IneligibleReason::Health);
+    }
+    if preference.other && request.last_engine == Some(id) {
+        return Some(IneligibleReason::JustFailed);
+    }
+    draw_exclusion(fleet, request, id, engine).map(|exclusion| match exclusion {
+        DrawExclusion::NotSampled => IneligibleReason::NotSampled,
+        DrawExclusion::NoCapacity => IneligibleReason::NoCapacity,
+    })
+}
+
+fn candidate(
+    fleet: &FleetView,
+    request: &Request,
+    preference: &Preference,
+    id: EngineId,
+    engine: &Engine,
+) -> Candidate {
+    let ineligible = ineligible_reason(fleet, request, preference, id, engine);
+    let weight = match ineligible {
+        Some(_) => 0.0,
+        None => EngineWeight::new(fleet, request, id).value(),
+    };
+    Candidate {
+        engine: id,
+        ineligible,
+        weight,
+        utilisation: fleet.utilisation(engine),
+        report_weight: fleet.report_weight(engine),
+    }
+}
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -1,6 +1,6 @@
 //! Reasons of decisions, given only where they are asked for.
 
-use crate::ids::*;
+use crate::ids::{EngineId, RequestId};
 use serde::Serialize;
 
 /// Why the module decided as it did. Times are in seconds, work in thread-seconds.
@@ -13,14 +13,14 @@
         id: RequestId,
         /// Its class.
         class: usize,
-        /// The level of least delay cost plus toll.
+        /// The level at which its delay cost and price are least in sum.
         level: u8,
         /// Its cost as estimated.
         cost: f64,
         /// Expected time to its answer there (the paper's tau).
         #[serde(rename = "tau")]
         expected_time: f64,
-        /// The toll there (the paper's term), in value.
+        /// The price there (the paper's toll), in value.
         #[serde(rename = "toll")]
         price: f64,
         /// Its value less its delay cost.
@@ -32,7 +32,7 @@
         /// Own threads in flight.
         #[serde(rename = "own")]
         own_threads: f64,
-        /// This gateway's share of the listed cores.
+        /// This manager's share of the ready engines' cores.
         #[serde(rename = "share")]
         core_share: f64,
         /// It is admitted because cores are free.
@@ -72,7 +72,7 @@
         /// The rules would allow it a retry.
         #[serde(rename = "may_repeat")]
         retry_allowed: bool,
-        /// The retry budget has room.
+        /// The retry budget allows one more.
         #[serde(rename = "budget")]
         has_retry_budget: bool,
         /// Time to an answer, from its arrival, if it were sent now.
@@ -81,10 +81,10 @@
         /// The value of that answer less its delay cost.
         #[serde(rename = "worth")]
         net_value: f64,
-        /// The least toll now.
+        /// The least price now.
         #[serde(rename = "toll")]
         price: f64,
-        /// Time that the queued work takes this gateway's share of the cores.
+        /// Time that the queued work takes this manager's share of the cores.
         #[serde(rename = "jam")]
         queue_delay: f64,
     },
@@ -101,7 +101,7 @@
         /// Its expected latency.
         #[serde(rename = "expected")]
         expected_latency: f64,
-        /// Time since it was last noted.
+        /// Time since its last progress note.
         #[serde(rename = "unheard")]
         since_progress: f64,
         /// Its engine is ejected.
@@ -117,10 +117,10 @@
 pub struct Candidate {
     /// Which.
     pub engine: EngineId,
-    /// What excludes it from the draw.
+    /// What leaves it out of the draw.
     #[serde(rename = "bar")]
     pub ineligible: Option<IneligibleReason>,
-    /// Its weight, 0 where it is excluded.
+    /// Its weight, 0 where it is left out.
     pub weight: f64,
     /// Estimated threads a core.
     pub utilisation: f64,
@@ -129,7 +129,7 @@
     pub report_weight: f64,
 }
 
-/// What excludes an engine from a draw.
+/// What leaves an engine out of a draw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IneligibleReason {
--- /dev/null
+++ b/crates/policy/src/request.rs
@@ -0,0 +1,103 @@
+//! Records of open requests and of their attempts in flight. Nothing here decides or learns.
+
+use crate::events::Arrival;
+use crate::ids::{EngineId, RequestId};
+use crate::retry::AttemptHistory;
+use sprucelink_time::Timestamp;
+use std::collections::BTreeMap;
+
+/// The requests without a final response or with an attempt in flight.
+pub(crate) type OpenRequests = BTreeMap<RequestId, Request>;
+
+/// An attempt in flight.
+#[derive(Clone)]
+pub(crate) struct Attempt {
+    pub(crate) engine: EngineId,
+    pub(crate) number: u32,
+    pub(crate) sent_at: Timestamp,
+    /// When its last progress note came, otherwise when it was sent.
+    pub(crate) last_progress: Timestamp,
+    pub(crate) expected_latency_secs: f64,
+    pub(crate) is_cancelled: bool,
+    /// The multiple of the expected latency at which being overdue counts next as an outcome of its engine.
+    pub(crate) next_overdue_multiple: f64,
+}
+
+/// A request without a final response, or with an attempt still in flight.
+#[derive(Clone)]
+pub(crate) struct Request {
+    /// Its class, by index.
+    pub(crate) class: usize,
+    /// Orders it among the requests of its level.
+    pub(crate) sequence: u64,
+    pub(crate) arrived: Timestamp,
+    pub(crate) deadline: Timestamp,
+    /// Value of an answer within the objective (the paper's term).
+    pub(crate) value: f64,
+    /// Estimated work, thread-seconds.
+    pub(crate) cost: f64,
+    /// Estimated memory, MB.
+    pub(crate) memory_mb: Option<f64>,
+    pub(crate) table_group: u64,
+    /// Its idempotency key, if its class is ordered by key.
+    pub(crate) key: Option<String>,
+    pub(crate) level: usize,
+    /// Attempts sent so far.
+    pub(crate) attempts: u32,
+    /// Attempts that ended with an engine's error.
+    pub(crate) errors: u32,
+    /// The first attempt that may have run: when it was sent, and where.
+    pub(crate) may_have_run: Option<(Timestamp, EngineId)>,
+    pub(crate) in_flight: Option<Attempt>,
+    pub(crate) last_engine: Option<EngineId>,
+    /// Until when it waits for the load probes that were sent for it.
+    pub(crate) probes_until: Timestamp,
+    /// The engines that it chooses among; all if empty.
+    pub(crate) candidates: Vec<EngineId>,
+    /// When these were sampled.
+    pub(crate) sampled_at: Timestamp,
+    /// It has its final response.
+    pub(crate) is_answered: bool,
+}
+
+impl Request {
+    /// A request as it arrives: without a price, a level or an attempt.
+    pub(crate) fn new(arrival: &Arrival, sequence: u64, now: Timestamp, cost: f64) -> Request {
+        Request {
+            class: arrival.class.0,
+            sequence,
+            arrived: now,
+            deadline: now + arrival.time_left,
+            value: 0.0,
+            cost,
+            memory_mb: arrival.memory_mb,
+            table_group: arrival.tables,
+            key: None,
+            level: 0,
+            attempts: 0,
+            errors: 0,
+            may_have_run: None,
+            in_flight: None,
+            last_engine: None,
+            probes_until: now,
+            candidates: Vec::new(),
+            sampled_at: Timestamp::ZERO,
+            is_answered: false,
+        }
+    }
+
+    /// Its earlier attempts, as the retry rule reads them.
+    pub(crate) fn history(&self) -> AttemptHistory {
+        AttemptHistory {
+            attempts: self.attempts,
+            is_in_flight: self.in_flight.is_some(),
+            may_have_run_since: self.may_have_run.map(|(sent_at, _)| sent_at),
+            deadline: self.deadline,
+        }
+    }
+
+    /// Seconds since its arrival.
+    pub(crate) fn age_secs(&self, now: Timestamp) -> f64 {
+        (now - self.arrived).as_secs_f64()
+    }
+}
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,123 +1,168 @@
-//! Retries: what the end of an attempt teaches, and whether a further attempt is allowed.
-
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
-
-/// Errors that end a request: what two engines cannot do is most likely its own fault.
-const MAX_ERRORS: u32 = 2;
-/// Weight of one answer in the work told over the estimate, and the greatest ratio counted (ours).
-const WORK_RATIO_WEIGHT: f64 = 0.02;
-const MAX_WORK_RATIO: f64 = 4.0;
-/// Weight of one answer in the latency over the estimate, the greatest ratio counted, and the first one.
-const LATENCY_WEIGHT: f64 = 0.05;
-const MAX_LATENCY_RATIO: f64 = 20.0;
-pub(crate) const INITIAL_LATENCY_RATIO: f64 = 2.0;
-/// Factors of the unloaded ratio on a slower and a quicker answer: it rests at the lower quartile.
-const QUANTILE_UP: f64 = 1.01;
-const QUANTILE_DOWN: f64 = 0.97;
-
-impl Policy {
-    pub(crate) fn on_ended(&mut self, ended: Event, out: &mut Vec<Action>) {
-        let Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } = ended
-        else {
-            return;
-        };
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = request.in_flight.take_if(|a| a.number == attempt) else { return };
-        let (class, level, i) = (request.class, request.level, attempt.engine.0 as usize);
-        let threads = self.settings.classes[class].threads;
-        if !outcome.never_ran() {
-            request.may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
-        }
-        request.errors += u32::from(outcome == Outcome::EngineError);
-        request.answered |= complete;
-        let (answered, age) = (request.answered, (self.now - request.arrived).as_secs_f64());
-        let may_still_run =
-            matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled);
-        let key = request.key.as_ref().filter(|_| may_still_run);
-        if let Some(queue) = key.and_then(|key| self.keys.get_mut(key)) {
-            queue.blocked_until = self.now + self.settings.key_settle_time;
+//! Retries: whether a further attempt of a request is allowed, from its class's effect, its earlier attempts,
+//! its deadline and the retry budget.
+//!
+//! The send guard (`src/core/send_guard.rs`) applies [`RetryRule`] and the budget's bound once more before
+//! the first byte of an attempt.
+
+use crate::final_response::RESPONSE_MARGIN;
+use crate::policy::TICK;
+use crate::settings::{ClassSettings, Effect, RetryBudgetSettings};
+use crate::snapshot::StoredPolicy;
+use sprucelink_rate_limits::EventWindow;
+use sprucelink_time::{TimeDelta, Timestamp};
+
+/// What a class allows once an attempt of a request may have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RetryRule {
+    effect: Effect,
+    dedup_window: TimeDelta,
+}
+
+/// The earlier attempts of a request, as far as they decide on a further one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptHistory {
+    /// Attempts sent so far.
+    pub attempts: u32,
+    /// An attempt is in flight.
+    pub is_in_flight: bool,
+    /// When the first attempt that may have run was sent.
+    pub may_have_run_since: Option<Timestamp>,
+    /// When the client stops waiting.
+    pub deadline: Timestamp,
+}
+
+/// Whether a further attempt is allowed, and what forbids it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetryDecision {
+    /// Nothing forbids it.
+    Allowed,
+    /// The request is not idempotent, and an earlier attempt may run or have run.
+    MayRunTwice,
+    /// Engines no longer recognise the idempotency key of the first attempt that may have run.
+    DedupWindowPassed,
+    /// All attempts of the request are used.
+    AttemptsExhausted,
+    /// The client stops waiting before an answer could reach it.
+    DeadlineTooNear,
+}
+
+impl RetryDecision {
+    /// Whether the attempt is allowed.
+    pub fn is_allowed(self) -> bool {
+        self == RetryDecision::Allowed
+    }
+}
+
+impl RetryRule {
+    /// The rule of a class.
+    pub fn of_class(class: &ClassSettings) -> RetryRule {
+        RetryRule { effect: class.effect, dedup_window: class.repeat_window }
+    }
+
+    /// What a retry of the class may do.
+    pub fn effect(&self) -> Effect {
+        self.effect
+    }
+
+    /// For keyed classes: how long after the first attempt that may have run a retry is deduplicated.
+    pub fn dedup_window(&self) -> TimeDelta {
+        self.dedup_window
+    }
+
+    /// Whether a retry at `now` has no second effect, if the first attempt that may have run was sent at
+    /// `may_have_run_since`; `None`: none may have run.
+    pub fn allows_retry(&self, now: Timestamp, may_have_run_since: Option<Timestamp>) -> bool {
+        let Some(since) = may_have_run_since else { return true };
+        match self.effect {
+            Effect::Safe => true,
+            Effect::Keyed => now < since + self.dedup_window,
+            Effect::Unsafe => false,
         }
-        self.own_threads -= threads;
-        self.thread_time += threads * latency.as_secs_f64();
-        self.query_time += latency.as_secs_f64();
-        let engine = &mut self.engines[i];
-        engine.threads -= threads;
-        engine.in_flight -= 1;
-        let zone = self.zones.entry(engine.zone).or_default();
-        match outcome {
-            Outcome::Succeeded | Outcome::EngineError | Outcome::RejectedByEngine => {
-                zone.record_response(self.now)
-            }
-            Outcome::ConnectFailed => zone.record_silence(&attempt, MIN_SILENT_ENGINES),
-            _ => {}
+    }
+
+    /// Whether a further attempt may be sent at `now`, the retry budget aside.
+    pub fn decide(&self, now: Timestamp, history: &AttemptHistory, max_attempts: u32) -> RetryDecision {
+        if !self.allows_retry(now, history.may_have_run_since) {
+            return match self.effect {
+                Effect::Keyed => RetryDecision::DedupWindowPassed,
+                Effect::Safe | Effect::Unsafe => RetryDecision::MayRunTwice,
+            };
         }
-        match outcome {
-            Outcome::Succeeded => engine.failure_rate.update(0.0, SUCCESS_WEIGHT),
-            Outcome::Cancelled | Outcome::NeverSent | Outcome::TimedOut => {}
-            _ => engine.failure_rate.update(1.0, FAILURE_WEIGHT),
+        if self.effect == Effect::Unsafe && history.is_in_flight {
+            return RetryDecision::MayRunTwice;
         }
-        self.on_report(i, report);
-        match outcome {
-            Outcome::Succeeded => self.on_delivered(id, &attempt, latency.as_secs_f64(), age, query_cost),
-            Outcome::TimedOut => self.record_wait(class, level, age),
-            Outcome::ConnectFailed => self.record_connect_failure(i),
-            Outcome::RejectedByEngine => self.back_off_full(i),
-            _ => {}
+        if history.attempts >= max_attempts {
+            return RetryDecision::AttemptsExhausted;
         }
-        match self.requests.get(&id) {
-            _ if answered || outcome == Outcome::Succeeded => self.finish(id, out),
-            Some(r) if r.errors < MAX_ERRORS && self.can_retry(r) => {
-                _ = self.queue.insert(queue_position(r), id)
-            }
-            _ => self.respond(id, out),
+        if now + RESPONSE_MARGIN >= history.deadline {
+            return RetryDecision::DeadlineTooNear;
         }
+        RetryDecision::Allowed
     }
+}
 
-    /// Learns from an answer: its class's work, memory, latencies and wait, and its engine's health.
-    fn on_delivered(&mut self, id: RequestId, at: &Attempt, latency: f64, age: f64, bill: Option<QueryCost>) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let (class, level, cost) = (request.class, request.level, request.cost);
-        let (threads, is_load) = (self.class(class).threads, self.class(class).loads_tables);
-        let state = &mut self.classes[class];
-        if let Some(bill) = bill.filter(|_| cost > 0.0) {
-            state.work_ratio.update((bill.work / cost).min(MAX_WORK_RATIO), WORK_RATIO_WEIGHT);
-            let ratio = request.memory_mb.map(|mb| bill.memory_mb / mb).filter(|ratio| *ratio > 0.0);
-            ratio.into_iter().for_each(|ratio| record_memory_need(state, ratio.ln()));
-        }
-        let ratio = latency * threads / cost.max(1e-6);
-        state.latency_ratio.update(ratio.min(MAX_LATENCY_RATIO), LATENCY_WEIGHT);
-        state.unloaded_ratio *= if ratio > state.unloaded_ratio { QUANTILE_UP } else { QUANTILE_DOWN };
-        state.grant = (state.grant - GRANT_DECAY).max(MIN_GRANT);
-        let wait = (age - self.unloaded_latency(class, cost)).max(0.0);
-        self.record_wait(class, level, wait);
-        let engine = &mut self.engines[at.engine.0 as usize];
-        (engine.connect_failures, engine.unresponsive) = (0, false);
-        engine.last_response = self.now;
-        if !is_load {
-            record_slowness(engine, latency / at.expected);
-        }
+impl RetryBudgetSettings {
+    /// Maximum retries in a window with this number of requests. `spare_retries`: what other managers leave
+    /// to this one.
+    pub fn max_retries(&self, requests: u64, spare_retries: f64) -> f64 {
+        self.free_retries + self.retries_per_request * requests as f64 + spare_retries
+    }
+
+    /// Whether one more retry stays within the budget of a window with these numbers of requests and retries.
+    pub fn allows_retry(&self, requests: u64, retries: u64, spare_retries: f64) -> bool {
+        (retries + 1) as f64 <= self.max_retries(requests, spare_retries)
+    }
+}
+
+/// The requests and retries of the budget's sliding window, counted exactly.
+#[derive(Clone, Default)]
+pub struct RetryBudget {
+    requests: EventWindow,
+    retries: EventWindow,
+}
+
+impl RetryBudget {
+    /// Counts a request received at `now`.
+    pub fn record_request(&mut self, now: Timestamp, settings: Option<&RetryBudgetSettings>) {
+        let span = settings.map_or(TimeDelta::ZERO, |budget| budget.window);
+        self.requests.record(now, span);
+    }
+
+    /// Counts a retry sent at `now`.
+    pub fn record_retry(&mut self, now: Timestamp, settings: Option<&RetryBudgetSettings>) {
+        let span = settings.map_or(TimeDelta::ZERO, |budget| budget.window + TICK);
+        self.retries.record(now, span);
     }
 
-    /// Effects and attempts: whether a further attempt is allowed at all.
-    pub(crate) fn can_retry(&self, request: &Request) -> bool {
-        let class = self.class(request.class);
-        let is_safe = match (class.effect, request.may_have_run) {
-            (Effect::Unsafe, Some(_)) => false,
-            (Effect::Unsafe, None) => request.in_flight.is_none(),
-            (Effect::Keyed, Some((sent, _))) => self.now < sent + class.repeat_window,
-            _ => true,
-        };
-        let has_attempts = request.attempts < self.settings.max_attempts;
-        is_safe && has_attempts && self.now + ANSWER_MARGIN < request.deadline
+    /// Whether one more retry may be sent at `now`; always, without a budget.
+    ///
+    /// Retries count for a tick longer than requests, so that no exact window holds more than the budget
+    /// allows.
+    pub fn has_capacity(
+        &self,
+        now: Timestamp,
+        settings: Option<&RetryBudgetSettings>,
+        spare_retries: f64,
+    ) -> bool {
+        let Some(budget) = settings else { return true };
+        let window_start = now - budget.window;
+        let requests = self.requests.count_after(window_start) as u64;
+        let retries = self.retries.count_after(window_start - TICK) as u64;
+        budget.allows_retry(requests, retries, spare_retries)
     }
 
-    pub(crate) fn has_retry_budget(&self) -> bool {
-        let Some(budget) = self.settings.retry_budget else { return true };
-        let start = self.now - budget.window;
-        let requests = self.recent_requests.count_after(start) as f64;
-        // A tick longer than asked, so that no edge of the window matters.
-        let retries = self.recent_retries.count_after(start - TICK);
-        (retries + 1) as f64
-            <= budget.free_retries + budget.retries_per_request * requests + self.settings.spare_retries
+    pub(crate) fn store(&self, stored: &mut StoredPolicy) {
+        stored.recent_requests = self.requests.clone();
+        stored.recent_retries = self.retries.clone();
+    }
+
+    pub(crate) fn restore(stored: &mut StoredPolicy) -> RetryBudget {
+        RetryBudget {
+            requests: std::mem::take(&mut stored.recent_requests),
+            retries: std::mem::take(&mut stored.recent_retries),
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a gateway. Spans are in whole microseconds, work is in thread-seconds, memory in MB, and value in
-//! the unit of the service's score.
+//! The settings of a manager. Spans are in whole microseconds, work is in thread-seconds, memory in MB, and
+//! value in the unit of the service's score.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_time::TimeDelta;
@@ -66,7 +66,7 @@
 /// A tenant's quota.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second, over all gateways.
+    /// Requests a second, over all managers.
     pub quota_per_s: f64,
 }
 
@@ -106,7 +106,7 @@
     pub retries_per_request: f64,
 }
 
-/// All settings of a gateway.
+/// All settings of a manager. A name that captures and `--set` use stands in its `serde(rename)`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Settings {
@@ -117,11 +117,11 @@
     /// Factor on the value of a request beyond its tenant's quota.
     #[serde(rename = "over_share_worth")]
     pub over_quota_value_factor: f64,
-    /// Number of gateways in this tier, this one included.
+    /// Number of managers in this tier, this one included.
     pub gateways: u32,
-    /// This gateway's index among them.
+    /// This manager's index among them.
     pub position: u32,
-    /// The endpoint list is sent on request only.
+    /// The endpoint list is sent in answer to a poll only.
     #[serde(rename = "must_ask")]
     pub must_poll_endpoints: bool,
     /// How load reports come.
@@ -148,7 +148,7 @@
     pub cancel: bool,
     /// Load probes may be sent.
     pub probes: bool,
-    /// Gateways may send each other messages.
+    /// Managers may send each other messages.
     pub peers: bool,
     /// Rejections carry a Retry-After.
     pub retry_after: bool,
@@ -158,10 +158,10 @@
     pub max_attempts: u32,
     /// Attempts on a draining engine must end within this.
     pub drain_grace: TimeDelta,
-    /// An engine in slow start fails when sent more than this multiple of its capacity,
+    /// An engine in slow start fails when it is sent more than this multiple of its capacity in one window.
     #[serde(rename = "fall_multiple")]
     pub slow_start_multiple: f64,
-    /// over a span of this length.
+    /// Length of that window.
     #[serde(rename = "fall_span")]
     pub slow_start_window: TimeDelta,
     /// Fraction of its capacity that an engine starts with.
@@ -170,8 +170,8 @@
     /// Length of the slow start.
     #[serde(rename = "cold_for")]
     pub slow_start_duration: TimeDelta,
-    /// A gateway that just started uses this share of its part of a cold engine's budget, rising evenly to all
-    /// of it in so many seconds; `None`: half of it for one `slow_start_window`.
+    /// A manager that just started uses this fraction of its part of a starting engine's budget, rising
+    /// evenly to all of it over this number of seconds; `None`: half of it for one `slow_start_window`.
     #[serde(rename = "cold_ramp")]
     pub restart_ramp: Option<(f64, f64)>,
     /// How long a key is blocked after an attempt that may still run.
@@ -180,12 +180,13 @@
     /// The retry budget, if there is one.
     #[serde(rename = "attempt_budget")]
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Further attempts that others leave to this gateway over its own budget, where the fleet spends together.
+    /// Further attempts that others leave to this manager over its own budget, where the fleet spends
+    /// together.
     #[serde(rename = "spare")]
     pub spare_retries: f64,
     /// Price of one load probe, in the value of one query.
     pub probe_price: f64,
-    /// This gateway's zone, by number; `None` where it is not configured.
+    /// This manager's zone, by number; `None` where it is not configured.
     pub zone: Option<u32>,
     /// Weights of zones in the draw, by number, where failover between zones is on; 1 for zones beyond it.
     pub zone_weights: Vec<f64>,
@@ -206,7 +207,7 @@
 }
 
 impl Default for Settings {
-    /// One gateway, no classes, nothing allowed beyond plain sends, no limit of a rule set.
+    /// One manager, no classes, nothing allowed beyond plain sends, no limit of a rule set.
     fn default() -> Settings {
         Settings {
             classes: Vec::new(),
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,80 +1,220 @@
-//! Slow start: how much work an engine that started lately may be sent.
+//! Slow start: how much work an engine that started recently may be sent, from its age, the work charged to
+//! it in the last window, and the number of managers that divide its budget.
 
-use crate::*; // Vocabulary: `crates/policy/src/events.rs`, `actions.rs`, `settings.rs`; records: `state.rs`.
+use crate::class_estimates::ClassEstimates;
+use crate::settings::{ClassSettings, Settings};
+use crate::snapshot::StoredEngine;
+use sprucelink_rate_limits::SumWindow;
+use sprucelink_stable_hash::SplitMix64;
+use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Fraction of the listed cores that counts as capacity: machines may be slow, cores are never all busy.
+/// Fraction of the listed cores that counts as capacity: machines may be slow, and cores are never all busy.
 const USABLE_CORES: f64 = 0.56;
-/// Estimates that the first guess of a class's charge weighs as much as (ours).
+/// Estimates that the first guess of a class's charge weighs as much as, on a manager that started recently.
 const PRIOR_CHARGES: f64 = 1.0;
-/// Fractions of the budget: for a lottery alone; for light queries, and then the lottery for heavy ones.
-const LOTTERY_FRACTION: f64 = 0.7;
-const LIGHT_FRACTION: f64 = 0.75;
-const HEAVY_FRACTION: f64 = 0.35;
-/// A query may be drawn for if it takes at most one in so many of all gateways' budget (ours).
-const MIN_LOTTERY_PARTS: f64 = 4.0;
-
-impl Policy {
-    /// Fraction of its capacity that an engine has: linear over `slow_start_duration`.
-    pub(crate) fn capacity_fraction(&self, engine: &Engine) -> f64 {
-        let Some(started) = engine.started_at else { return 1.0 };
-        let age = self.secs_since(started) / self.settings.slow_start_duration.as_secs_f64().max(1e-3);
-        1.0 - (1.0 - self.settings.initial_capacity_fraction) * (1.0 - age.clamp(0.0, 1.0))
+/// Fraction of the budget that is given by sampling where no query fits a manager's part of it.
+const SAMPLED_FRACTION_ALONE: f64 = 0.7;
+/// Fraction of the budget for the queries that fit it, where others do not.
+const FITTING_FRACTION: f64 = 0.75;
+/// Fraction of the budget that is then given by sampling to the others.
+const SAMPLED_FRACTION_BESIDE: f64 = 0.35;
+/// A query may be sent by sampling if the budget of all managers is at least this many times its charge.
+const MIN_QUERIES_IN_FLEET_BUDGET: f64 = 4.0;
+/// Fraction of its budget that a manager uses in its own first window: it does not know what it sent earlier.
+const FIRST_WINDOW_FRACTION: f64 = 0.5;
+
+/// Fraction of its capacity that an engine has: from the initial fraction up to 1, linearly over the slow
+/// start.
+pub(crate) fn capacity_fraction(now: Timestamp, started_at: Option<Timestamp>, settings: &Settings) -> f64 {
+    let Some(started_at) = started_at else { return 1.0 };
+    let duration_secs = settings.slow_start_duration.as_secs_f64().max(1e-3);
+    let progress = (now - started_at).as_secs_f64() / duration_secs;
+    1.0 - (1.0 - settings.initial_capacity_fraction) * (1.0 - progress.clamp(0.0, 1.0))
+}
+
+/// Work that a query of a class charges to an engine's budget, thread-seconds: the mean of its class, because
+/// each of many managers would find a small query that fits.
+pub(crate) fn charge(class: &ClassSettings, estimates: &ClassEstimates, is_manager_new: bool) -> f64 {
+    // The first estimates of a class are more often too low than too high: a new manager adds a full-sized
+    // one.
+    let prior = if is_manager_new { PRIOR_CHARGES } else { 0.0 };
+    let samples = f64::from(estimates.cost_samples().max(1));
+    let full_cost = class.latency_objective.as_secs_f64() * class.threads;
+    let total = estimates.mean_cost() * samples + full_cost * prior;
+    total / (samples + prior) * estimates.work_ratio().max(1.0)
+}
+
+/// What bounds the work for engines in slow start, at one moment.
+#[derive(Clone, Copy)]
+pub(crate) struct SlowStartLimits<'a> {
+    settings: &'a Settings,
+    now: Timestamp,
+    /// How long this manager has run.
+    manager_age: TimeDelta,
+    /// Charge of the lightest class, thread-seconds.
+    min_charge: f64,
+    /// Charge of the heaviest class, thread-seconds.
+    max_charge: f64,
+}
+
+/// A manager's budget for one engine and window, by who may use it; thread-seconds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct BudgetParts {
+    /// For queries whose charges fit it in sum.
+    fitting: f64,
+    /// For one query of a sampled manager.
+    sampled: f64,
+}
+
+impl<'a> SlowStartLimits<'a> {
+    pub(crate) fn new(
+        now: Timestamp,
+        manager_started_at: Timestamp,
+        settings: &'a Settings,
+        estimates: &[ClassEstimates],
+    ) -> SlowStartLimits<'a> {
+        let manager_age = now - manager_started_at;
+        let is_manager_new = manager_age < settings.slow_start_duration;
+        let charges = || {
+            let classes = settings.classes.iter().zip(estimates);
+            classes.map(|(class, estimates)| charge(class, estimates, is_manager_new))
+        };
+        SlowStartLimits {
+            settings,
+            now,
+            manager_age,
+            min_charge: charges().fold(f64::MAX, f64::min),
+            max_charge: charges().fold(0.0, f64::max),
+        }
+    }
+
+    /// The charge of a query of a class, thread-seconds.
+    pub(crate) fn charge(&self, class: &ClassSettings, estimates: &ClassEstimates) -> f64 {
+        charge(class, estimates, self.manager_age < self.settings.slow_start_duration)
     }
 
-    /// Work charged to the budget: the class's mean, lest each of many gateways send a small query.
-    pub(crate) fn charge(&self, class: usize) -> f64 {
-        let (state, class) = (&self.classes[class], self.class(class));
-        // Few estimates most often tell too little: a gateway that just started counts a full one in.
-        let prior =
-            if self.now - self.started_at < self.settings.slow_start_duration { PRIOR_CHARGES } else { 0.0 };
-        let samples = f64::from(state.cost_samples.max(1));
-        let total = state.mean_cost * samples + class.latency_objective.as_secs_f64() * class.threads * prior;
-        total / (samples + prior) * state.work_ratio.value().max(1.0)
+    /// This manager's even part of what an engine may be sent in one window, thread-seconds.
+    pub(crate) fn budget(&self, cores: f64, started_at: Option<Timestamp>) -> f64 {
+        let window = self.settings.slow_start_window;
+        let capacity_fraction = capacity_fraction(self.now, started_at, self.settings);
+        let capacity_secs = self.settings.slow_start_multiple * capacity_fraction * window.as_secs_f64();
+        let managers = f64::from(self.settings.gateways);
+        capacity_secs * cores * USABLE_CORES * self.usable_fraction() / managers
     }
 
-    /// This gateway's even part of what an engine in slow start may be sent in one `slow_start_window`.
-    pub(crate) fn slow_start_budget(&self, engine: &Engine) -> f64 {
-        let span = self.settings.slow_start_window;
-        let multiple =
-            self.settings.slow_start_multiple * self.capacity_fraction(engine) * span.as_secs_f64();
-        // A gateway that just started does not know its earlier sends: half counts as spent, or by the ramp.
-        let age = self.now - self.started_at;
-        let step = if age < span { 0.5 } else { 1.0 };
-        let ramp = |(from, secs): (f64, f64)| (from + age.as_secs_f64() / secs).min(1.0);
-        let unspent = self.settings.restart_ramp.map_or(step, ramp);
-        multiple * engine.cores * USABLE_CORES * unspent / self.gateways()
+    /// Fraction of its budget that a manager uses by its own age: it does not know what it sent before its
+    /// restart.
+    fn usable_fraction(&self) -> f64 {
+        match self.settings.restart_ramp {
+            Some((initial, ramp_secs)) => (initial + self.manager_age.as_secs_f64() / ramp_secs).min(1.0),
+            None if self.manager_age < self.settings.slow_start_window => FIRST_WINDOW_FRACTION,
+            None => 1.0,
+        }
     }
 
-    fn least_charge(&self) -> f64 {
-        (0..self.classes.len()).map(|class| self.charge(class)).fold(f64::MAX, f64::min)
+    /// Divides a budget: where a query is larger than a manager's part, a random fraction of the managers
+    /// sends one query a window instead, so that the engine is not idle.
+    fn parts(&self, budget: f64) -> BudgetParts {
+        let fitting = FITTING_FRACTION * budget;
+        if self.max_charge <= budget {
+            BudgetParts { fitting: budget, sampled: 0.0 }
+        } else if self.min_charge <= fitting {
+            BudgetParts { fitting, sampled: SAMPLED_FRACTION_BESIDE * budget }
+        } else {
+            BudgetParts { fitting: 0.0, sampled: SAMPLED_FRACTION_ALONE * budget }
+        }
     }
 
-    /// Parts of the budget: for queries that fit it, and for one a span by lottery, lest the engine be idle.
-    fn budget_parts(&self, engine: &Engine) -> (f64, f64) {
-        let budget = self.slow_start_budget(engine);
-        let greatest = (0..self.classes.len()).map(|class| self.charge(class)).fold(0.0, f64::max);
-        let light = LIGHT_FRACTION * budget;
-        match budget {
-            _ if greatest <= budget => (budget, 0.0),
-            _ if self.least_charge() <= light => (light, HEAVY_FRACTION * budget),
-            _ => (0.0, LOTTERY_FRACTION * budget),
+    /// Fraction of the managers that may send to an engine in one window: all, unless they do so by sampling
+    /// only.
+    pub(crate) fn sender_fraction(&self, cores: f64, started_at: Option<Timestamp>) -> f64 {
+        if capacity_fraction(self.now, started_at, self.settings) >= 1.0 {
+            return 1.0;
         }
+        let parts = self.parts(self.budget(cores, started_at));
+        if parts.fitting > 0.0 {
+            return 1.0;
+        }
+        (parts.sampled / self.min_charge).min(1.0)
+    }
+
+    /// Whether an engine in slow start may be sent a query with this charge.
+    pub(crate) fn allows(
+        &self,
+        charge: f64,
+        cores: f64,
+        started_at: Option<Timestamp>,
+        used: &SlowStartBudget,
+    ) -> bool {
+        let budget = self.budget(cores, started_at);
+        let parts = self.parts(budget);
+        let spent = used.spent(self.now, self.settings);
+        let fits = spent + charge <= parts.fitting;
+        let fleet_budget = budget * f64::from(self.settings.gateways);
+        let is_light = charge * MIN_QUERIES_IN_FLEET_BUDGET <= fleet_budget;
+        let is_sampled = || spent <= 0.0 && used.sample * charge < parts.sampled;
+        fits || is_light && is_sampled()
+    }
+}
+
+/// What one engine was sent in the last window, and whether this manager is among its sampled senders.
+#[derive(Clone, Default)]
+pub(crate) struct SlowStartBudget {
+    /// Work sent lately, by time; thread-seconds.
+    charges: SumWindow,
+    /// A random number from 0 to 1, drawn for each window: the manager may send where it lies below the
+    /// fraction of managers that may.
+    sample: f64,
+    next_sample: Timestamp,
+}
+
+impl SlowStartBudget {
+    /// A budget of an engine whose record starts again: what was sent still counts.
+    pub(crate) fn with_charges_of(earlier: SlowStartBudget) -> SlowStartBudget {
+        SlowStartBudget { charges: earlier.charges, ..SlowStartBudget::default() }
+    }
+
+    /// Work sent in the last window, thread-seconds.
+    pub(crate) fn spent(&self, now: Timestamp, settings: &Settings) -> f64 {
+        self.charges.sum(now, settings.slow_start_window)
     }
 
-    /// Fraction of the gateways that the lottery lets send to an engine: those are to find it free.
-    pub(crate) fn lottery_odds(&self, engine: &Engine) -> f64 {
-        let is_starting = self.capacity_fraction(engine) < 1.0;
-        match self.budget_parts(engine) {
-            (fits, drawn) if is_starting && fits <= 0.0 => (drawn / self.least_charge()).min(1.0),
-            _ => 1.0,
+    pub(crate) fn record_send(&mut self, now: Timestamp, charge: f64, settings: &Settings) {
+        self.charges.record(now, charge, settings.slow_start_window);
+    }
+
+    /// Draws the number for the window that starts now.
+    pub(crate) fn draw_sample(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
+        self.sample = random.next_unit();
+        self.next_sample = now + settings.slow_start_window;
+    }
+
+    /// Draws a new number once its window has passed.
+    pub(crate) fn draw_sample_if_due(
+        &mut self,
+        now: Timestamp,
+        settings: &Settings,
+        random: &mut SplitMix64,
+    ) {
+        if now >= self.next_sample {
+            self.draw_sample(now, settings, random);
         }
     }
 
-    pub(crate) fn has_slow_start_budget(&self, class: usize, engine: &Engine) -> bool {
-        let charge = self.charge(class);
-        let spent = engine.recent_charges.sum(self.now, self.settings.slow_start_window);
-        let (fits, drawn) = self.budget_parts(engine);
-        let is_light = charge * MIN_LOTTERY_PARTS <= self.slow_start_budget(engine) * self.gateways();
-        spent + charge <= fits || is_light && spent <= 0.0 && engine.lottery * charge < drawn
+    pub(crate) fn store(&self, stored: &mut StoredEngine) {
+        stored.recent_charges = self.charges.clone();
+        stored.lottery = self.sample;
+        stored.next_lottery = self.next_sample;
+    }
+
+    pub(crate) fn restore(stored: &mut StoredEngine) -> SlowStartBudget {
+        SlowStartBudget {
+            charges: std::mem::take(&mut stored.recent_charges),
+            sample: stored.lottery,
+            next_sample: stored.next_lottery,
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -1,5 +1,5 @@
 //! Each file of the decision module, as `deploy/balancer.toml` names them under `policy`, stays one concern: it keeps to its
-//! length and width.
+//! length and width, says what it decides, and names what it depends on. Files that are not named decide nothing.
 use std::path::{Path, PathBuf};
 
 fn root() -> PathBuf {
@@ -65,10 +65,76 @@
         for (i, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= 110, "{file}: line {} is too wide", i + 1);
         }
-        assert!(
-            text.lines().take(3).any(|l| l.contains("crates/policy/src/events.rs")),
-            "{file}: its vocabulary"
-        );
+    }
+}
+
+/// A reader finds in each file's first line what it decides and from what, and in its `use` lines all that it depends on.
+#[test]
+fn each_file_has_a_module_comment_and_explicit_imports() {
+    for file in source_files() {
+        let text = text(&file);
+        assert!(text.starts_with("//! "), "{file}: what it decides, and from what");
+        for (i, line) in text.lines().enumerate() {
+            let is_import =
+                line.trim_start().starts_with("use ") || line.trim_start().starts_with("pub use ");
+            assert!(!(is_import && line.contains('*')), "{file}: line {}: a glob import", i + 1);
+        }
+    }
+}
+
+/// The names of stored state stand in the stored form alone; settings and views have stored names of their own.
+#[test]
+fn stored_names_stand_in_the_stored_form_alone() {
+    let with_stored_names = [
+        "crates/policy/src/diagnostics.rs",
+        "crates/policy/src/events.rs",
+        "crates/policy/src/reasons.rs",
+        "crates/policy/src/settings.rs",
+        "crates/policy/src/snapshot.rs",
+        "crates/policy/src/snapshot/requests.rs",
+    ];
+    for file in source_files() {
+        let has_stored_names = text(&file).contains("#[serde(rename");
+        assert!(!has_stored_names || with_stored_names.contains(&file.as_str()), "{file}: a stored name");
+    }
+}
+
+/// The source files of the module below the repository's root, without its unit tests: files `tests.rs`, which are
+/// compiled for tests only.
+fn source_files() -> Vec<String> {
+    let mut folders = vec![root().join("crates/policy/src")];
+    let mut files = Vec::new();
+    while let Some(folder) = folders.pop() {
+        for entry in std::fs::read_dir(&folder).expect("a folder") {
+            let path = entry.expect("an entry").path();
+            if path.is_dir() {
+                folders.push(path);
+                continue;
+            }
+            let path = path.strip_prefix(root()).expect("below the root").to_owned();
+            let file = path.to_str().expect("plain text").to_owned();
+            match file.strip_suffix("/tests.rs") {
+                Some(module) => {
+                    let declaration = "\n#[cfg(test)]\nmod tests;\n";
+                    assert!(
+                        text(&format!("{module}.rs")).ends_with(declaration),
+                        "{file}: compiled for tests only"
+                    );
+                }
+                None => files.push(file),
+            }
+        }
+    }
+    files
+}
+
+/// Captures name the version of the module by the text of its files.
+#[test]
+fn text_of_every_file_is_part_of_the_modules_version() {
+    let lib = text("crates/policy/src/lib.rs");
+    for file in source_files() {
+        let path = file.strip_prefix("crates/policy/src/").expect("a file of the module");
+        assert!(path == "lib.rs" || lib.contains(&format!("include_str!(\"{path}\")")), "{file}");
     }
 }
 
@@ -118,18 +184,7 @@
 #[test]
 fn every_file_that_learns_or_decides_is_named() {
     let named = named(&text("deploy/balancer.toml")).expect("the deploy file names the module's files");
-    let (mut todo, mut files) = (vec![root().join("crates/policy/src")], Vec::new());
-    while let Some(folder) = todo.pop() {
-        for entry in std::fs::read_dir(&folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
-            if path.is_dir() {
-                todo.push(path);
-            } else {
-                let path = path.strip_prefix(root()).expect("below the root").to_owned();
-                files.push(path.to_str().expect("plain text").to_owned());
-            }
-        }
-    }
+    let files = source_files();
     for file in &named {
         assert!(files.contains(file), "{file} is named, and no file of the module");
     }
@@ -161,22 +216,34 @@
                     "{file}: it changes nothing"
                 );
             }
-            // What is shown and told: what decides gets nothing from it, neither an answer nor a change.
-            "crates/policy/src/diagnostics.rs" => {
+            // What is shown and explained: what decides gets nothing from it, neither an answer nor a change.
+            "crates/policy/src/diagnostics.rs"
+            | "crates/policy/src/policy/explanations.rs"
+            | "crates/policy/src/policy/views.rs" => {
                 assert_eq!(consts, 0, "{file}: a number");
                 for f in functions.iter().filter(|f| deciding.contains(&format!(".{}(", f.name))) {
                     let mute = !f.signature.contains("->") && !f.signature.contains("&mut self");
                     assert!(mute, "{file}: {} is asked by what decides", f.name);
                 }
             }
-            // Records: nothing that learns or decides.
-            "crates/policy/src/state.rs" => {
-                assert_eq!(consts, 0, "{file}: a number");
-                let rest: Vec<&Function> = functions.iter().filter(|f| learns_or_decides(f)).collect();
-                let names: Vec<&str> = rest.iter().map(|f| f.name.as_str()).collect();
-                assert!(names.is_empty(), "{file}: {names:?} learn or decide");
+            // Records, and their conversion to and from the stored form: nothing that learns or decides.
+            "crates/policy/src/request.rs" | "crates/policy/src/policy/stored.rs" => {
+                assert_decides_nothing(file, &functions, consts);
+            }
+            // The stored form: names of fields, and conversions that copy each field.
+            "crates/policy/src/snapshot.rs" => assert_eq!((names.len(), consts), (0, 0), "{file}"),
+            "crates/policy/src/snapshot/requests.rs" => {
+                assert!(names.iter().all(|name| *name == "from"), "{file}: {names:?}");
+                assert_decides_nothing(file, &functions, consts);
             }
             _ => panic!("{file} is neither named as policy nor known to decide nothing"),
         }
     }
 }
+
+fn assert_decides_nothing(file: &str, functions: &[Function], consts: usize) {
+    assert_eq!(consts, 0, "{file}: a number");
+    let deciding: Vec<&Function> = functions.iter().filter(|f| learns_or_decides(f)).collect();
+    let names: Vec<&str> = deciding.iter().map(|f| f.name.as_str()).collect();
+    assert!(names.is_empty(), "{file}: {names:?} learn or decide");
+}
--- a/crates/policy/tests/recorded_decisions.rs
+++ b/crates/policy/tests/recorded_decisions.rs
@@ -154,7 +154,7 @@
         let set = unusual_settings(&mut random);
         let now = Timestamp::from_secs_f64(100.0);
         let mut policy = Policy::new(set, seed, now);
-        policy.set_explaining(seed % 2 == 0);
+        policy.set_explaining(seed.is_multiple_of(2));
         let engines = (0..ENGINES).map(|n| EngineEntry { kind: n % 2, zone: n / 3, cell: n / 2, ..entry(n) });
         World {
             random,
