--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -1,12 +1,13 @@
 //! Run-time checks of the rules that the program must never break.
 //!
 //! The rules are kept elsewhere: the send guard and the policy decide what is sent, the coordinator gives final responses,
-//! the fronts close sessions. The [`InvariantMonitor`] observes the results on its own records, so that a fault in a rule's
-//! code does not hide itself. A violation changes nothing: it is counted, for the admin address, and logged.
+//! the fronts close sessions. The [`InvariantMonitor`] takes each rule's inputs from there ([`RetryRule`], the bound of the
+//! retry budget), and observes and compares the results on its own records, so that a fault in a rule's code does not hide
+//! itself. A violation changes nothing: it is counted, for the admin address, and logged.
 
 use super::attempt::format_id;
 use sprucelink_metrics::{Counter, Metrics};
-use sprucelink_policy::{Effect, RetryBudgetSettings, Settings, TimeDelta, Timestamp};
+use sprucelink_policy::{Effect, RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 use tracing::error;
@@ -112,8 +113,8 @@
     logged_since: Cell<Timestamp>,
     logged: Cell<u32>,
     drain_grace: TimeDelta,
-    /// By class: its effect, and how long a keyed request may be sent again.
-    effects: Vec<(Effect, TimeDelta)>,
+    /// By class: its effect and deduplication window. The check compares them itself.
+    retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
     /// Times of requests and of retries in the budget's window.
     requests: VecDeque<Timestamp>,
@@ -132,7 +133,7 @@
             logged_since: Cell::new(Timestamp::ZERO),
             logged: Cell::new(0),
             drain_grace: settings.drain_grace,
-            effects: settings.classes.iter().map(|class| (class.effect, class.repeat_window)).collect(),
+            retry_rules: settings.classes.iter().map(RetryRule::of_class).collect(),
             retry_budget: settings.retry_budget,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
@@ -222,12 +223,11 @@
     }
 
     fn check_effect(&self, now: Timestamp, sent: &SentAttempt, may_have_run: Option<Timestamp>, name: &str) {
-        let (Some(since), Some((effect, window))) = (may_have_run, self.effects.get(sent.class)) else {
-            return;
-        };
-        let is_allowed = match effect {
+        let Some(since) = may_have_run else { return };
+        let Some(rule) = self.retry_rules.get(sent.class) else { return };
+        let is_allowed = match rule.effect() {
             Effect::Safe => true,
-            Effect::Keyed => now - since < *window,
+            Effect::Keyed => now - since < rule.dedup_window(),
             Effect::Unsafe => false,
         };
         if !is_allowed {
@@ -239,8 +239,7 @@
         let Some(budget) = self.retry_budget else { return };
         record_event(&mut self.retries, now, budget.window);
         forget_before(&mut self.requests, now - budget.window);
-        let allowed =
-            budget.free_retries + budget.retries_per_request * self.requests.len() as f64 + spare_attempts;
+        let allowed = budget.max_retries(self.requests.len() as u64, spare_attempts);
         if self.retries.len() as f64 > allowed {
             let detail = format!("{name}: {} retries, {allowed:.1} allowed", self.retries.len());
             self.record_violation(now, Invariant::RetryBudget, &detail);
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -2,14 +2,15 @@
 //!
 //! The policy chose the attempt some time ago: since then its connection came up late, its peer was slow, or this process
 //! had no turn. Every rule on what is sent is checked here once more, on the state of this moment. An attempt that fails is
-//! withdrawn; as it was never sent, it costs its request nothing. This is no second decision: it stops only what the
-//! policy would not choose at this moment.
+//! withdrawn; as it was never sent, it costs its request nothing. This is no second decision: it applies the policy's own
+//! rules on retries ([`RetryRule`], [`RetryBudgetSettings::allows_retry`]) and stops only what the policy would not choose
+//! at this moment.
 
-use sprucelink_policy::{Effect, RetryBudgetSettings, Settings, TimeDelta, Timestamp};
+use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
 
 /// Width of a slot in which events are counted; longer windows have wider slots.
-const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_micros(20_000);
+const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_millis(20);
 /// Slots of one window.
 const MAX_SLOTS: u32 = 1_024;
 
@@ -45,25 +46,6 @@
     pub(super) engine_is_ready: bool,
 }
 
-/// How often attempts of a class may be sent.
-#[derive(Clone, Copy, Debug)]
-struct RetryRule {
-    effect: Effect,
-    /// For idempotency keys: how long a retry may follow the first attempt that may have run.
-    window: TimeDelta,
-}
-
-impl RetryRule {
-    /// Whether an attempt may be sent after one that may have run.
-    fn allows_retry(&self, now: Timestamp, may_have_run_since: Timestamp) -> bool {
-        match self.effect {
-            Effect::Safe => true,
-            Effect::Keyed => now < may_have_run_since + self.window,
-            Effect::Unsafe => false,
-        }
-    }
-}
-
 /// The rules on what is sent, and what they count.
 #[derive(Debug)]
 pub(super) struct SendGuard {
@@ -80,9 +62,8 @@
     /// The rules of the policy's settings, with nothing counted.
     pub(super) fn new(settings: &Settings) -> SendGuard {
         let span = settings.retry_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.window);
-        let rules = settings.classes.iter();
         SendGuard {
-            retry_rules: rules.map(|c| RetryRule { effect: c.effect, window: c.repeat_window }).collect(),
+            retry_rules: settings.classes.iter().map(RetryRule::of_class).collect(),
             retry_budget: settings.retry_budget,
             requests: SlotWindow::new(span, MIN_SLOT_WIDTH, MAX_SLOTS),
             retries: SlotWindow::new(span, MIN_SLOT_WIDTH, MAX_SLOTS),
@@ -148,20 +129,17 @@
     }
 
     fn is_retryable(&self, now: Timestamp, attempt: &OutgoingAttempt) -> bool {
-        match (self.retry_rules.get(attempt.class), attempt.may_have_run_since) {
-            (Some(rule), Some(since)) => rule.allows_retry(now, since),
-            _ => true,
-        }
+        let rule = self.retry_rules.get(attempt.class);
+        rule.is_none_or(|rule| rule.allows_retry(now, attempt.may_have_run_since))
     }
 
     /// Whether one more retry stays within the budget. Of the slot that the window's begin cuts, retries count and requests
     /// do not, so that no exact window holds more retries than the budget allows.
     fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
-        let allowed = budget.free_retries
-            + budget.retries_per_request * self.requests.count_within(now) as f64
-            + spare_attempts;
-        (self.retries.count_overlapping(now) + 1) as f64 <= allowed
+        let requests = self.requests.count_within(now);
+        let retries = self.retries.count_overlapping(now);
+        budget.allows_retry(requests, retries, spare_attempts)
     }
 }
 
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use quickcheck::{Gen, QuickCheck, TestResult};
-use sprucelink_policy::{ClassSettings, DedupGroup};
+use sprucelink_policy::{ClassSettings, DedupGroup, Effect};
 
 fn class(effect: Effect, window_ms: i64) -> ClassSettings {
     ClassSettings {
