--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! A gateway under test: feeds events, keeps what was asked for.
+//! A manager under test: feeds its decision module events and gives back the actions.
 #![allow(dead_code)]
 
 use sprucelink_policy::Policy;
 use sprucelink_policy::*;
 
-pub struct Bench {
+pub struct TestManager {
     pub policy: Policy,
     pub now: Timestamp,
     /// How long clients wait, seconds.
-    pub patience: f64,
+    pub client_patience_secs: f64,
     next: u64,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn many_gateways_with_probes() -> Settings {
+pub fn many_managers_with_probes() -> Settings {
     let heavy = ClassSettings { threads: 4.0, ..class(Effect::Safe) };
     let (report_via, reports_load) = (ReportVia::Answers, true);
     let set = settings(vec![class(Effect::Safe), heavy]);
@@ -57,25 +57,26 @@
     EngineEntry { engine, zone: 0, kind: 0, cell: n, state, since: None }
 }
 
-impl Bench {
-    pub fn new(settings: Settings, engines: u32) -> Bench {
-        Bench::seeded(settings, 11, engines)
+impl TestManager {
+    pub fn new(settings: Settings, engines: u32) -> TestManager {
+        TestManager::seeded(settings, 11, engines)
     }
-    pub fn seeded(settings: Settings, seed: u64, engines: u32) -> Bench {
+    pub fn seeded(settings: Settings, seed: u64, engines: u32) -> TestManager {
         let now = Timestamp::from_secs_f64(100.0);
-        let mut bench = Bench { policy: Policy::new(settings, seed, now), now, patience: 5.0, next: 0 };
-        bench.list(EndpointUpdate::Remembered, (0..engines).map(entry).collect());
-        bench
+        let mut manager =
+            TestManager { policy: Policy::new(settings, seed, now), now, client_patience_secs: 5.0, next: 0 };
+        manager.change_endpoints(EndpointUpdate::Remembered, (0..engines).map(entry).collect());
+        manager
     }
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         out
     }
-    pub fn list(&mut self, kind: EndpointUpdate, entries: Vec<EngineEntry>) -> Vec<Action> {
-        self.give(Event::EndpointsChanged { kind, entries })
+    pub fn change_endpoints(&mut self, kind: EndpointUpdate, entries: Vec<EngineEntry>) -> Vec<Action> {
+        self.handle(Event::EndpointsChanged { kind, entries })
     }
-    pub fn arrive(&mut self, class: usize, cost: f64, key: Option<&str>) -> (RequestId, Vec<Action>) {
+    pub fn submit(&mut self, class: usize, cost: f64, key: Option<&str>) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
         let event = Event::RequestArrived(Arrival {
@@ -83,23 +84,23 @@
             class: ClassId(class),
             tenant: 0,
             tables: 1,
-            time_left: TimeDelta::from_secs_f64(self.patience),
+            time_left: TimeDelta::from_secs_f64(self.client_patience_secs),
             cost: Some(cost),
             memory_mb: Some(100.0),
             key: key.map(str::to_owned),
         });
-        (id, self.give(event))
+        (id, self.handle(event))
     }
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let complete = outcome == Outcome::Succeeded;
         let (latency, report) = (TimeDelta::from_secs_f64(0.1), LoadReport::default());
-        self.give(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost: None, report })
+        self.handle(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost: None, report })
     }
-    /// A served answer whose report tells of so many queries in hand.
-    pub fn served(&mut self, id: RequestId, queries_in_flight: f64) -> Vec<Action> {
+    /// The first attempt succeeds; its load report has this many queries in flight.
+    pub fn succeed(&mut self, id: RequestId, queries_in_flight: f64) -> Vec<Action> {
         let report = LoadReport { queries_in_flight: Some(queries_in_flight), ..LoadReport::default() };
         let (latency, attempt, outcome) = (TimeDelta::from_secs_f64(0.1), 0, Outcome::Succeeded);
-        self.give(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id,
             attempt,
             outcome,
@@ -109,31 +110,31 @@
             report,
         })
     }
-    /// A few light queries come and are served, without news of load.
+    /// A few light queries come and succeed, without load reports.
     pub fn warm_up(&mut self) {
         for _ in 0..8 {
-            let (id, _) = self.arrive(0, 0.05, None);
-            self.end(id, 0, Outcome::Succeeded);
+            let (id, _) = self.submit(0, 0.05, None);
+            self.end_attempt(id, 0, Outcome::Succeeded);
         }
     }
-    /// A probe's answer that tells of so many queries in hand.
-    pub fn probe_told(&mut self, engine: EngineId, queries_in_flight: f64) -> Vec<Action> {
+    /// A probe is answered with a load report of this many queries in flight.
+    pub fn complete_probe(&mut self, engine: EngineId, queries_in_flight: f64) -> Vec<Action> {
         let report = LoadReport { queries_in_flight: Some(queries_in_flight), ..LoadReport::default() };
-        self.give(Event::ProbeCompleted { engine, outcome: Outcome::Succeeded, report })
+        self.handle(Event::ProbeCompleted { engine, outcome: Outcome::Succeeded, report })
     }
-    /// Lets time pass in steps of the module's own timer.
-    pub fn pass(&mut self, secs: f64) -> Vec<Action> {
+    /// Advances the clock in steps of the module's own timer.
+    pub fn advance(&mut self, secs: f64) -> Vec<Action> {
         let until = self.now + TimeDelta::from_secs_f64(secs);
         let mut out = Vec::new();
         while self.now < until {
             self.now = self.now + TimeDelta::from_micros(20_000);
-            out.extend(self.give(Event::Timer { token: 0 }));
+            out.extend(self.handle(Event::Timer { token: 0 }));
         }
         out
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
+pub fn forwarded(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
     let pick = |a: &Action| match a {
         Action::ForwardAttempt { id, engine, .. } => Some((*id, *engine)),
         _ => None,
@@ -141,10 +142,10 @@
     actions.iter().filter_map(pick).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if *i == id))
 }
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_reader_of_the_deploy_file_takes_one_plain_list_and_nothing_else() {
+fn deploy_file_reader_accepts_one_plain_list_only() {
     assert_eq!(
         named("run = \"x\"\npolicy = [\"a/b.rs\", \"c\"]\n"),
         Ok(vec!["a/b.rs".to_owned(), "c".to_owned()])
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,111 +4,114 @@
 use sprucelink_policy::*;
 
 #[test]
-fn every_request_is_answered_before_its_client_leaves() {
-    let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 1);
-    let (id, out) = b.arrive(0, 0.1, None);
-    assert_eq!(sent(&out).len(), 1);
-    let out = b.pass(5.0);
-    assert!(refused(&out, id), "an attempt without reply is answered in time");
-    assert!(sent(&b.pass(1.0)).is_empty(), "nothing goes out for it afterwards");
+fn request_gets_a_response_before_its_deadline() {
+    let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 1);
+    let (id, out) = manager.submit(0, 0.1, None);
+    assert_eq!(forwarded(&out).len(), 1);
+    let out = manager.advance(5.0);
+    assert!(is_rejected(&out, id), "a request whose attempt gets no answer is rejected in time");
+    assert!(forwarded(&manager.advance(1.0)).is_empty(), "nothing is forwarded for it afterwards");
 }
 
 #[test]
-fn a_request_with_no_engine_is_held_then_answered() {
-    let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 0);
-    let (id, out) = b.arrive(0, 0.1, None);
-    assert!(sent(&out).is_empty());
-    assert!(refused(&[out, b.pass(5.0)].concat(), id), "never sent: a repeat does no harm");
+fn request_without_an_engine_is_queued_then_rejected() {
+    let mut manager = TestManager::new(settings(vec![class(Effect::Unsafe)]), 0);
+    let (id, out) = manager.submit(0, 0.1, None);
+    assert!(forwarded(&out).is_empty());
+    assert!(
+        is_rejected(&[out, manager.advance(5.0)].concat(), id),
+        "never sent: a retry by the client does no harm"
+    );
 }
 
 #[test]
-fn unsafe_requests_are_not_repeated_once_they_may_have_run() {
+fn unsafe_request_is_not_retried_once_it_may_have_run() {
     for outcome in [Outcome::EngineError, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Cancelled] {
-        let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 3);
-        let (id, _) = b.arrive(0, 0.1, None);
-        let out = b.end(id, 0, outcome);
-        assert!(sent(&out).is_empty() && failed(&out, id), "{outcome:?}");
+        let mut manager = TestManager::new(settings(vec![class(Effect::Unsafe)]), 3);
+        let (id, _) = manager.submit(0, 0.1, None);
+        let out = manager.end_attempt(id, 0, outcome);
+        assert!(forwarded(&out).is_empty() && is_failed(&out, id), "{outcome:?}");
     }
     for outcome in [Outcome::RejectedByEngine, Outcome::ConnectFailed, Outcome::NeverSent] {
-        let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 3);
-        let (id, _) = b.arrive(0, 0.1, None);
-        let out = b.end(id, 0, outcome);
-        assert_eq!(sent(&out).first().map(|s| s.0), Some(id), "{outcome:?} proves that it never ran");
+        let mut manager = TestManager::new(settings(vec![class(Effect::Unsafe)]), 3);
+        let (id, _) = manager.submit(0, 0.1, None);
+        let out = manager.end_attempt(id, 0, outcome);
+        assert_eq!(forwarded(&out).first().map(|s| s.0), Some(id), "{outcome:?} proves that it never ran");
     }
 }
 
 #[test]
-fn keyed_requests_stay_in_their_group_and_window() {
-    let mut b = Bench::new(settings(vec![class(Effect::Keyed)]), 3);
-    let (id, out) = b.arrive(0, 0.1, None);
-    let first = sent(&out)[0].1;
-    let out = b.end(id, 0, Outcome::EngineError);
-    assert_eq!(sent(&out), vec![(id, first)], "each engine is a cell of its own here");
-    b.now = b.now + TimeDelta::from_secs_f64(2.5);
-    let out = b.end(id, 1, Outcome::EngineError);
-    assert!(sent(&out).is_empty() && failed(&out, id), "past the window no repeat is known for one");
+fn keyed_retry_stays_in_its_group_and_window() {
+    let mut manager = TestManager::new(settings(vec![class(Effect::Keyed)]), 3);
+    let (id, out) = manager.submit(0, 0.1, None);
+    let first = forwarded(&out)[0].1;
+    let out = manager.end_attempt(id, 0, Outcome::EngineError);
+    assert_eq!(forwarded(&out), vec![(id, first)], "each engine is a cell of its own here");
+    manager.now = manager.now + TimeDelta::from_secs_f64(2.5);
+    let out = manager.end_attempt(id, 1, Outcome::EngineError);
+    assert!(forwarded(&out).is_empty() && is_failed(&out, id), "past the window no retry is deduplicated");
 }
 
 #[test]
-fn a_draining_engine_gets_nothing_from_the_word_on() {
-    let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 2);
+fn draining_engine_gets_no_requests() {
+    let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 2);
     for state in [EngineState::Draining, EngineState::Gone] {
-        b.list(EndpointUpdate::Changes, vec![EngineEntry { state, ..entry(0) }]);
+        manager.change_endpoints(EndpointUpdate::Changes, vec![EngineEntry { state, ..entry(0) }]);
         for _ in 0..20 {
-            let (id, out) = b.arrive(0, 0.1, None);
-            assert_eq!(sent(&out), vec![(id, EngineId(1))]);
-            b.end(id, 0, Outcome::Succeeded);
+            let (id, out) = manager.submit(0, 0.1, None);
+            assert_eq!(forwarded(&out), vec![(id, EngineId(1))]);
+            manager.end_attempt(id, 0, Outcome::Succeeded);
         }
-        b.list(EndpointUpdate::Changes, vec![entry(0)]);
+        manager.change_endpoints(EndpointUpdate::Changes, vec![entry(0)]);
     }
-    b.list(EndpointUpdate::Complete, vec![entry(1)]);
-    let (_, out) = b.arrive(0, 0.1, None);
-    assert_eq!(sent(&out)[0].1, EngineId(1), "absent from a whole list means gone");
+    manager.change_endpoints(EndpointUpdate::Complete, vec![entry(1)]);
+    let (_, out) = manager.submit(0, 0.1, None);
+    assert_eq!(forwarded(&out)[0].1, EngineId(1), "absent from a complete list means gone");
 }
 
 #[test]
-fn a_cold_engine_gets_a_bounded_share() {
-    let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 0);
-    b.pass(2.0);
-    let since = Some(b.now);
-    b.list(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
+fn starting_engine_gets_no_more_than_its_budget() {
+    let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 0);
+    manager.advance(2.0);
+    let since = Some(manager.now);
+    manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
     let mut out = Vec::new();
     for _ in 0..200 {
-        out.extend(b.arrive(0, 0.5, None).1);
+        out.extend(manager.submit(0, 0.5, None).1);
     }
     // Twice three tenths of eight cores for one second is 4.8 thread-seconds at most.
-    let n = sent(&out).len();
+    let n = forwarded(&out).len();
     assert!(n >= 1 && n as f64 * 0.5 <= 4.8, "{n} sends");
 }
 
 #[test]
-fn a_restarted_gateway_treats_the_cold_budget_as_partly_spent() {
+fn restarted_manager_counts_slow_start_budget_as_partly_spent() {
     let count = |wait: f64| {
-        let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 0);
-        b.pass(wait);
-        let since = Some(b.now);
-        b.list(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
-        (0..100).map(|_| sent(&b.arrive(0, 0.5, None).1).len()).sum::<usize>()
+        let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 0);
+        manager.advance(wait);
+        let since = Some(manager.now);
+        manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
+        (0..100).map(|_| forwarded(&manager.submit(0, 0.5, None).1).len()).sum::<usize>()
     };
     assert!(count(0.0) < count(2.0));
 }
 
-/// Guards cold engines against a fleet of which most starts at once: the part of a gateway rises from its
-/// first share to the whole, where the setting says so, instead of by one step.
+/// Protects starting engines from a fleet most of which starts at once: a manager's part of the budget rises from its
+/// initial fraction to all of it, where that is configured, instead of by one step.
 #[test]
-fn a_starting_gateways_part_of_a_cold_engine_rises_by_the_ramp() {
+fn slow_start_budget_of_a_restarted_manager_rises_by_the_ramp() {
     let count = |ramp: Option<(f64, f64)>, wait: f64| {
         let set = Settings { restart_ramp: ramp, ..settings(vec![class(Effect::Safe)]) };
-        let mut b = Bench::new(set, 0);
-        b.pass(wait);
-        let since = Some(b.now);
-        b.list(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
+        let mut manager = TestManager::new(set, 0);
+        manager.advance(wait);
+        let since = Some(manager.now);
+        manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
         let mut sends = 0;
         for _ in 0..400 {
-            let (id, out) = b.arrive(0, 0.02, None);
-            if !sent(&out).is_empty() {
+            let (id, out) = manager.submit(0, 0.02, None);
+            if !forwarded(&out).is_empty() {
                 sends += 1;
-                b.end(id, 0, Outcome::Succeeded);
+                manager.end_attempt(id, 0, Outcome::Succeeded);
             }
         }
         sends
@@ -116,106 +119,109 @@
     let ramp = Some((0.25, 4.0));
     let sends = [0.0, 1.0, 2.0, 3.1].map(|wait| count(ramp, wait));
     assert!(sends.windows(2).all(|w| w[0] < w[1]), "{sends:?}");
-    assert_eq!(sends[3], count(None, 3.1), "at its end it is the whole part");
+    assert_eq!(sends[3], count(None, 3.1), "at its end it is all of the part");
     assert!(sends[0] < count(None, 0.0), "it begins lower than the step: {sends:?}");
 }
 
 #[test]
-fn requests_of_one_key_run_in_turn_and_the_key_rests() {
+fn requests_of_one_key_run_in_order_and_a_timeout_blocks_the_key() {
     let ordered_by_key = ClassSettings { ordered_by_key: true, ..class(Effect::Unsafe) };
     let mut set = settings(vec![ordered_by_key]);
     set.key_settle_time = TimeDelta::from_secs_f64(0.5);
-    let mut b = Bench::new(set, 3);
-    let (first, out) = b.arrive(0, 0.1, Some("t/a"));
-    assert_eq!(sent(&out).len(), 1);
-    let (second, out) = b.arrive(0, 0.1, Some("t/a"));
-    assert!(sent(&out).is_empty(), "the first is still out");
-    assert_eq!(sent(&b.arrive(0, 0.1, Some("t/b")).1).len(), 1, "another key does not wait");
-    let out = b.end(first, 0, Outcome::TimedOut);
-    assert!(sent(&out).is_empty() && failed(&out, first));
-    assert!(sent(&b.pass(0.4)).is_empty(), "the key rests");
-    assert_eq!(sent(&b.pass(0.2)).first().map(|s| s.0), Some(second));
+    let mut manager = TestManager::new(set, 3);
+    let (first, out) = manager.submit(0, 0.1, Some("t/a"));
+    assert_eq!(forwarded(&out).len(), 1);
+    let (second, out) = manager.submit(0, 0.1, Some("t/a"));
+    assert!(forwarded(&out).is_empty(), "the first is still in flight");
+    assert_eq!(forwarded(&manager.submit(0, 0.1, Some("t/b")).1).len(), 1, "another key does not wait");
+    let out = manager.end_attempt(first, 0, Outcome::TimedOut);
+    assert!(forwarded(&out).is_empty() && is_failed(&out, first));
+    assert!(forwarded(&manager.advance(0.4)).is_empty(), "the key is blocked");
+    assert_eq!(forwarded(&manager.advance(0.2)).first().map(|s| s.0), Some(second));
 }
 
 #[test]
-fn a_key_waits_for_an_attempt_whose_client_left() {
+fn next_request_of_a_key_waits_for_an_abandoned_attempt() {
     let ordered_by_key = ClassSettings { ordered_by_key: true, ..class(Effect::Unsafe) };
-    let mut b = Bench::new(settings(vec![ordered_by_key]), 3);
-    let (first, _) = b.arrive(0, 0.1, Some("t/a"));
-    let (second, _) = b.arrive(0, 0.1, Some("t/a"));
-    b.give(Event::RequestAbandoned { id: first });
-    assert!(sent(&b.pass(0.2)).is_empty());
-    let out = b.end(first, 0, Outcome::Succeeded);
-    assert_eq!(sent(&out).first().map(|s| s.0), Some(second));
+    let mut manager = TestManager::new(settings(vec![ordered_by_key]), 3);
+    let (first, _) = manager.submit(0, 0.1, Some("t/a"));
+    let (second, _) = manager.submit(0, 0.1, Some("t/a"));
+    manager.handle(Event::RequestAbandoned { id: first });
+    assert!(forwarded(&manager.advance(0.2)).is_empty());
+    let out = manager.end_attempt(first, 0, Outcome::Succeeded);
+    assert_eq!(forwarded(&out).first().map(|s| s.0), Some(second));
 }
 
 #[test]
-fn a_bound_class_goes_nowhere_else() {
-    let bound = ClassSettings { kinds: Some(vec![1]), ..class(Effect::Safe) };
-    let mut b = Bench::new(settings(vec![bound]), 3);
-    let (id, out) = b.arrive(0, 0.1, None);
-    assert!(sent(&out).is_empty(), "no engine of the kind is listed");
-    let out = b.list(EndpointUpdate::Changes, vec![EngineEntry { kind: 1, ..entry(3) }]);
-    assert_eq!(sent(&out), vec![(id, EngineId(3))]);
-    let out = b.end(id, 0, Outcome::EngineError);
-    assert!(sent(&out).iter().all(|s| s.1 == EngineId(3)));
+fn class_runs_only_on_its_machine_kinds() {
+    let placed = ClassSettings { kinds: Some(vec![1]), ..class(Effect::Safe) };
+    let mut manager = TestManager::new(settings(vec![placed]), 3);
+    let (id, out) = manager.submit(0, 0.1, None);
+    assert!(forwarded(&out).is_empty(), "no engine of the kind is listed");
+    let out = manager.change_endpoints(EndpointUpdate::Changes, vec![EngineEntry { kind: 1, ..entry(3) }]);
+    assert_eq!(forwarded(&out), vec![(id, EngineId(3))]);
+    let out = manager.end_attempt(id, 0, Outcome::EngineError);
+    assert!(forwarded(&out).iter().all(|s| s.1 == EngineId(3)));
 }
 
 #[test]
-fn further_attempts_keep_to_their_budget() {
+fn retry_is_rejected_when_budget_is_exhausted() {
     let mut set = settings(vec![class(Effect::Safe)]);
     set.retry_budget = Some(RetryBudgetSettings {
         window: TimeDelta::from_secs_f64(5.0),
         free_retries: 2.0,
         retries_per_request: 0.1,
     });
-    let mut b = Bench::new(set, 4);
+    let mut manager = TestManager::new(set, 4);
     let mut again = 0;
     for _ in 0..10 {
-        let (id, _) = b.arrive(0, 0.05, None);
-        again += sent(&b.end(id, 0, Outcome::EngineError)).len();
+        let (id, _) = manager.submit(0, 0.05, None);
+        again += forwarded(&manager.end_attempt(id, 0, Outcome::EngineError)).len();
     }
     assert_eq!(again, 3, "two free ones and a tenth of ten");
 }
 
-/// The rule binds all gateways together: where an even part of the budget is less than one query, they share it by
-/// chance. The list reaches them at once; each has a query in the same instant and a few a second later on.
+/// The rule binds all managers together: where an even part of the budget is less than one query, a sample of them uses
+/// it. The endpoint list reaches all at once; each has a query in the same instant and a few a second later on.
 #[test]
-fn many_gateways_share_a_cold_engine() {
+fn many_managers_share_the_budget_of_a_starting_engine() {
     let (n, cost) = (250, 0.2);
     let set = Settings { gateways: n, ..settings(vec![class(Effect::Safe)]) };
-    let mut all: Vec<Bench> = (0..n).map(|i| Bench::seeded(set.clone(), u64::from(i), 0)).collect();
-    all.iter_mut().for_each(|b| drop(b.pass(2.0)));
+    let mut all: Vec<TestManager> =
+        (0..n).map(|i| TestManager::seeded(set.clone(), u64::from(i), 0)).collect();
+    all.iter_mut().for_each(|manager| drop(manager.advance(2.0)));
     let start = all[0].now;
     let mut sends: Vec<Timestamp> = Vec::new();
-    for b in &mut all {
-        b.list(EndpointUpdate::Complete, vec![EngineEntry { since: Some(start), ..entry(0) }]);
+    for manager in &mut all {
+        manager
+            .change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since: Some(start), ..entry(0) }]);
     }
     for step in 0..200usize {
-        for (i, b) in all.iter_mut().enumerate() {
+        for (i, manager) in all.iter_mut().enumerate() {
             let mut out = Vec::new();
             if step == 0 || (step * 7 + i) % 20 == 0 {
-                out.extend(b.arrive(0, cost, None).1);
+                out.extend(manager.submit(0, cost, None).1);
             }
-            out.extend(b.pass(0.02));
-            sends.extend(sent(&out).iter().map(|_| b.now));
+            out.extend(manager.advance(0.02));
+            sends.extend(forwarded(&out).iter().map(|_| manager.now));
         }
     }
-    // At its start it does three tenths of eight cores, 85% busy; twice that for one second is too much.
-    let able = 0.3 * 8.0 * 0.85;
+    // At its start it has three tenths of eight cores, 85% busy; twice that for one second is too much.
+    let capacity = 0.3 * 8.0 * 0.85;
     let most = (0..150).map(|k| start + TimeDelta::from_micros(20_000 * k)).map(|from| {
         sends.iter().filter(|t| **t >= from && **t < from + TimeDelta::from_micros(1_000_000)).count() as f64
             * cost
     });
     let most = most.fold(0.0, f64::max);
-    assert!(most < 2.0 * able, "{most} thread-seconds within one second");
-    let all_in = sends.len() as f64 * cost / 4.0;
-    assert!(all_in > 0.2 * able, "{all_in} thread-seconds a second: it must not idle");
+    assert!(most < 2.0 * capacity, "{most} thread-seconds within one second");
+    let sent_per_sec = sends.len() as f64 * cost / 4.0;
+    assert!(sent_per_sec > 0.2 * capacity, "{sent_per_sec} thread-seconds a second: it must not idle");
 }
 
-/// Keyed and in turn at once, as gulf-bend's loads: the repeat waits for the key's rest, and the next for its turn.
+/// A class both keyed and ordered by key: the retry waits until the key is no longer blocked, and the next request waits
+/// for the retry.
 #[test]
-fn keyed_requests_in_turn_repeat_before_the_next_of_the_key() {
+fn keyed_retry_precedes_the_next_request_of_its_key() {
     let window = TimeDelta::from_secs_f64(12.0);
     let load = ClassSettings {
         ordered_by_key: true,
@@ -225,50 +231,68 @@
     };
     let set =
         Settings { key_settle_time: TimeDelta::from_secs_f64(0.3), max_attempts: 3, ..settings(vec![load]) };
-    let mut b = Bench::new(set, 3);
-    let (first, _) = b.arrive(0, 0.1, Some("t/a"));
-    let (second, out) = b.arrive(0, 0.1, Some("t/a"));
-    assert!(sent(&out).is_empty());
-    assert!(sent(&b.end(first, 0, Outcome::ConnectionLost)).is_empty(), "the key rests");
-    assert!(sent(&b.pass(0.28)).is_empty(), "for 300 ms");
-    assert_eq!(sent(&b.pass(0.1)).first().map(|s| s.0), Some(first), "its own repeat comes first");
-    let out = b.end(first, 1, Outcome::Succeeded);
-    assert_eq!(sent(&out).first().map(|s| s.0), Some(second));
+    let mut manager = TestManager::new(set, 3);
+    let (first, _) = manager.submit(0, 0.1, Some("t/a"));
+    let (second, out) = manager.submit(0, 0.1, Some("t/a"));
+    assert!(forwarded(&out).is_empty());
+    assert!(
+        forwarded(&manager.end_attempt(first, 0, Outcome::ConnectionLost)).is_empty(),
+        "the key is blocked"
+    );
+    assert!(forwarded(&manager.advance(0.28)).is_empty(), "for 300 ms");
+    assert_eq!(
+        forwarded(&manager.advance(0.1)).first().map(|s| s.0),
+        Some(first),
+        "its own repeat comes first"
+    );
+    let out = manager.end_attempt(first, 1, Outcome::Succeeded);
+    assert_eq!(forwarded(&out).first().map(|s| s.0), Some(second));
 }
 
-/// Nothing new within 250 ms, 1 s or 2 s of the word: the module sends nothing from the word on, whatever the grace.
+/// Whatever the drain's grace, nothing is sent once the endpoint list has the engine as draining.
 #[test]
-fn held_queries_skip_an_engine_that_began_to_drain() {
-    let mut b = Bench::new(many_gateways_with_probes(), 2);
-    b.warm_up();
-    let (id, out) = b.arrive(1, 1.0, None);
-    assert!(sent(&out).is_empty(), "it asks first");
-    b.list(EndpointUpdate::Changes, vec![EngineEntry { state: EngineState::Draining, ..entry(0) }]);
+fn queued_request_skips_a_sampled_engine_that_drains() {
+    let mut manager = TestManager::new(many_managers_with_probes(), 2);
+    manager.warm_up();
+    let (id, out) = manager.submit(1, 1.0, None);
+    assert!(forwarded(&out).is_empty(), "it probes first");
+    manager.change_endpoints(
+        EndpointUpdate::Changes,
+        vec![EngineEntry { state: EngineState::Draining, ..entry(0) }],
+    );
     for n in 0..2 {
-        b.probe_told(EngineId(n), 4.0 * f64::from(n));
+        manager.complete_probe(EngineId(n), 4.0 * f64::from(n));
     }
-    assert_eq!(sent(&b.pass(0.02)), vec![(id, EngineId(1))], "its few were drawn before the word");
+    assert_eq!(
+        forwarded(&manager.advance(0.02)),
+        vec![(id, EngineId(1))],
+        "its few were drawn before the word"
+    );
 }
 
-/// Hunted on fukuoka-main (hc83726): small queries charged as small let every gateway find one that its lot let
-/// in; a successor got 5.8 times what it could do. The charge is its class's mean, whatever the query's size.
+/// When small queries were charged as small, every manager found one that fit, and a starting engine got 5.8 times its
+/// capacity. The charge is the mean of the class, whatever the query's size.
 #[test]
-fn small_queries_do_not_slip_into_a_cold_engine() {
+fn small_queries_are_charged_to_a_starting_engine_at_their_class_mean() {
     let n = 200;
     let set = Settings { gateways: n, reports_load: true, ..settings(vec![class(Effect::Safe)]) };
-    let mut all: Vec<Bench> = (0..n).map(|i| Bench::seeded(set.clone(), u64::from(i), 0)).collect();
-    for b in &mut all {
-        // What is usual here: five small ones for each large one, 0.2 thread-seconds in the mean.
+    let mut all: Vec<TestManager> =
+        (0..n).map(|i| TestManager::seeded(set.clone(), u64::from(i), 0)).collect();
+    for manager in &mut all {
+        // Five small queries for each large one, 0.2 thread-seconds in the mean.
         for k in 0..30 {
-            b.arrive(0, if k % 6 == 0 { 1.1 } else { 0.02 }, None);
+            manager.submit(0, if k % 6 == 0 { 1.1 } else { 0.02 }, None);
         }
-        b.pass(6.0);
-        b.list(EndpointUpdate::Complete, vec![EngineEntry { since: Some(b.now), ..entry(0) }]);
+        manager.advance(6.0);
+        manager.change_endpoints(
+            EndpointUpdate::Complete,
+            vec![EngineEntry { since: Some(manager.now), ..entry(0) }],
+        );
     }
     let mut sends = 0;
-    for b in &mut all {
+    for manager in &mut all {
         for k in 0..12 {
-            sends += sent(&b.arrive(0, if k % 6 == 5 { 1.1 } else { 0.02 }, None).1).len();
+            sends += forwarded(&manager.submit(0, if k % 6 == 5 { 1.1 } else { 0.02 }, None).1).len();
         }
     }
     // Twice three tenths of eight cores, 85% busy, for one second, in queries of the mean.
@@ -276,46 +300,50 @@
     assert!(sends >= 1 && f64::from(sends as u32) < most, "{sends} sends, {most} at most");
 }
 
-/// A keyed request whose window has closed may not go out again: holding it towards its deadline
-/// would only keep its client from coming back.
+/// A keyed request whose deduplication window has passed may not be retried: queueing it until its deadline would only
+/// delay its client.
 #[test]
-fn what_may_not_go_out_again_is_answered_at_once_with_advice() {
-    let calm = ClassSettings { latency_objective: TimeDelta::from_secs_f64(20.0), ..class(Effect::Keyed) };
-    let set = Settings { max_retry_after: TimeDelta::from_secs_f64(2.0), ..settings(vec![calm]) };
-    let mut b = Bench::new(set, 1);
-    let (id, out) = b.arrive(0, 0.1, None);
-    assert_eq!(sent(&out).len(), 1);
-    // Its one engine drains: the further attempt that its error calls for has nowhere to go.
-    b.list(EndpointUpdate::Changes, vec![EngineEntry { state: EngineState::Draining, ..entry(0) }]);
-    b.end(id, 0, Outcome::EngineError);
-    let early = b.pass(1.9);
-    assert!(!failed(&early, id), "its window of 2 s is open still");
-    let out = b.pass(0.2);
-    assert!(failed(&out, id), "held past its window");
-    let told = |a: &Action| matches!(a, Action::Fail { retry_after: Some(t), .. } if t.as_secs_f64() <= 2.0);
-    assert!(out.iter().any(told), "no word of when to come back: {out:?}");
+fn request_past_its_dedup_window_fails_at_once_with_retry_after() {
+    let patient = ClassSettings { latency_objective: TimeDelta::from_secs_f64(20.0), ..class(Effect::Keyed) };
+    let set = Settings { max_retry_after: TimeDelta::from_secs_f64(2.0), ..settings(vec![patient]) };
+    let mut manager = TestManager::new(set, 1);
+    let (id, out) = manager.submit(0, 0.1, None);
+    assert_eq!(forwarded(&out).len(), 1);
+    // Its one engine drains: no engine can take the retry.
+    manager.change_endpoints(
+        EndpointUpdate::Changes,
+        vec![EngineEntry { state: EngineState::Draining, ..entry(0) }],
+    );
+    manager.end_attempt(id, 0, Outcome::EngineError);
+    let early = manager.advance(1.9);
+    assert!(!is_failed(&early, id), "its window of 2 s has not passed");
+    let out = manager.advance(0.2);
+    assert!(is_failed(&out, id), "queued past its window");
+    let has_retry_after =
+        |a: &Action| matches!(a, Action::Fail { retry_after: Some(t), .. } if t.as_secs_f64() <= 2.0);
+    assert!(out.iter().any(has_retry_after), "no Retry-After: {out:?}");
 }
 
-/// Lists come late and contradict one another: an engine that is told gone and then ready again within the window is the
-/// same process, and has all that it was sent before.
+/// Endpoint lists come late and contradict each other: an engine that is listed as gone and then as ready again within
+/// the window is the same process, and has all that it was sent before.
 #[test]
-fn a_cold_engine_that_is_listed_again_keeps_what_it_was_sent() {
+fn starting_engine_that_is_listed_again_keeps_its_charges() {
     let sends = |flaps: bool| {
-        let mut b = Bench::new(settings(vec![class(Effect::Safe)]), 0);
-        let cold = EngineEntry { since: Some(b.now), ..entry(0) };
-        let mut out = b.list(EndpointUpdate::Changes, vec![cold]);
+        let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 0);
+        let cold = EngineEntry { since: Some(manager.now), ..entry(0) };
+        let mut out = manager.change_endpoints(EndpointUpdate::Changes, vec![cold]);
         let mut sends = 0;
         for round in 0..60 {
-            out.extend(b.arrive(0, 0.5, None).1);
+            out.extend(manager.submit(0, 0.5, None).1);
             if flaps && round % 20 == 19 {
                 let gone = EngineEntry { state: EngineState::Gone, ..cold };
-                out.extend(b.list(EndpointUpdate::Changes, vec![gone]));
-                out.extend(b.list(EndpointUpdate::Changes, vec![cold]));
+                out.extend(manager.change_endpoints(EndpointUpdate::Changes, vec![gone]));
+                out.extend(manager.change_endpoints(EndpointUpdate::Changes, vec![cold]));
             }
-            // Each is answered at once: no more than the budget holds them back.
-            while let Some((id, _)) = sent(&out).first().copied() {
+            // Each is answered at once: only the budget delays them.
+            while let Some((id, _)) = forwarded(&out).first().copied() {
                 sends += 1;
-                out = b.end(id, 0, Outcome::Succeeded);
+                out = manager.end_attempt(id, 0, Outcome::Succeeded);
             }
             out.clear();
         }
