--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -25,8 +25,13 @@
 
     /// The next number, from all of 64 bits.
     pub fn next_u64(&mut self) -> u64 {
+        self.next_u64_with(0)
+    }
+
+    /// The next number, mixed with `salt`: generators of one seed give different numbers for different salts.
+    pub fn next_u64_with(&mut self, salt: u64) -> u64 {
         self.0 = self.0.wrapping_add(GOLDEN_GAMMA);
-        mix(self.0)
+        mix(self.0 ^ salt)
     }
 
     /// The next number in [0, 1), a multiple of 2^-53.
@@ -57,3 +62,6 @@
     });
     drawn.or(weights.len().checked_sub(1))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -2,13 +2,14 @@
 
 use super::buffer_pool::BufferPool;
 use super::clock::{now, to_duration};
+use super::connection_runtime::ConnectionRuntime;
 use super::connection_task::{self, ConnectionOwner};
-use super::coordinator::{ConnectionRuntime, Coordinator, CoordinatorConfig, MIN_RETRY_AFTER};
+use super::coordinator::{Coordinator, CoordinatorConfig};
 use super::engine_connection::{ConnectionLimits, EngineConnection};
 use super::engine_table::EngineCounts;
 use super::gossip_facts::GossipWindows;
 use super::invariants::Invariant;
-use super::request::{RejectReason, Request, Response};
+use super::request::{RejectReason, Request, Response, MIN_RETRY_AFTER};
 use super::zone_routing::{Observer, ZoneRouting};
 use crate::proto::engine_answer::EngineAnswerError;
 use crate::proto::events::ListEvent;
@@ -24,19 +25,19 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, Notify};
 
-/// Longest time that [`Core::run`] sleeps when nothing is due.
+/// Longest time that [`Core::run`] sleeps when nothing is due, in real time.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// What a [`Core`] is made of.
+/// The settings and shared resources with which a [`Core`] starts.
 #[derive(Debug)]
 pub struct CoreConfig {
     /// Settings of the policy.
     pub settings: Settings,
     /// Seed of the policy and of generated ids.
     pub seed: u64,
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones, in the order of their indices.
     pub zones: Vec<String>,
-    /// Names of the machine kinds, in the order of their numbers.
+    /// Names of the machine kinds, in the order of their indices.
     pub kinds: Vec<String>,
     /// Bounds and timeouts of connections to engines.
     pub limits: ConnectionLimits,
@@ -55,7 +56,7 @@
     metrics: Metrics,
 }
 
-/// A request that was submitted. Dropped before its response, it is abandoned.
+/// A submitted request. Dropping it before its final response abandons the request.
 pub struct RequestHandle {
     core: Rc<Core>,
     id: u64,
@@ -64,14 +65,14 @@
 }
 
 impl RequestHandle {
-    /// Cancels the request for its client, who is told so: it counts among the failed.
+    /// Cancels the request because its client asked for that: it counts as failed, not as abandoned.
     pub fn cancel(mut self) {
         self.was_cancelled = true;
     }
 
     /// The final response.
     pub async fn wait(&mut self) -> Response {
-        // The sender stays in the request table until it is used: it cannot be lost before.
+        // The sender stays in the request table until it is used, so the receiver never fails; this is its fallback.
         let lost = Response::Failed { reason: RejectReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
         (&mut self.response).await.unwrap_or(lost)
     }
@@ -92,32 +93,32 @@
         Rc::new(Core { coordinator: RefCell::new(coordinator), pool, limits, wake: Notify::new(), metrics })
     }
 
-    /// Switches start-up control on: of dials, admission, endpoint lists and readiness. `name` is this manager's
-    /// configured name. To be called before the first list, so that what is held is known from the start.
+    /// Enables start-up control: of dials, admission, endpoint lists and readiness. `name` is this manager's
+    /// configured name. To be called before the first endpoint list, so that the list guard sees all of them.
     pub fn enable_startup_control(&self, settings: &StartupConfig, name: &str) {
         self.coordinator.borrow_mut().enable_startup_control(settings, name);
         self.wake.notify_one();
     }
 
-    /// The endpoint service answered a poll.
-    pub fn on_endpoint_service_answered(&self) {
+    /// The control feed has answered a poll.
+    pub fn on_control_feed_answered(&self) {
         if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
-            startup.readiness.record_feed_answer();
+            startup.record_feed_answer();
         }
     }
 
-    /// Starts to count what is gossiped to other managers.
+    /// Starts to count the facts that are gossiped to other managers.
     pub fn enable_gossip(&self, windows: GossipWindows) {
         self.coordinator.borrow_mut().enable_gossip(windows);
     }
 
-    /// What is gossiped as of now; `None` where nothing is counted.
+    /// The current gossip payload; `None` where gossip is off.
     pub fn gossip_payload(&self) -> Option<GossipPayload> {
         self.coordinator.borrow_mut().gossip_payload()
     }
 
-    /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to this
-    /// one over its own retry budget.
+    /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to
+    /// this one over its own retry budget.
     pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_attempts: f64) {
         self.coordinator.borrow_mut().set_fleet(self, managers, spare_attempts);
     }
@@ -127,13 +128,13 @@
         self.coordinator.borrow_mut().set_process_count(self, processes);
     }
 
-    /// Switches failover between zones on. `home`: this manager's zone, by number.
+    /// Enables failover between zones. `home`: the index of this manager's zone.
     pub fn enable_zone_failover(&self, config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) {
         self.coordinator.borrow_mut().enable_zone_routing(ZoneRouting::new(config, home, zones));
         self.wake.notify_one();
     }
 
-    /// Takes in what other managers observe; `observers` is called only where failover is on.
+    /// Replaces the other managers' observations; `observers` is called only where failover is on.
     pub fn set_observers(&self, observers: impl FnOnce() -> Vec<Observer>) {
         self.coordinator.borrow_mut().set_observers(observers);
     }
@@ -143,7 +144,7 @@
         &self.pool
     }
 
-    /// The metrics: those of requests, and what others count beside them.
+    /// The metrics: those of requests, and the other parts' counters.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
@@ -158,18 +159,18 @@
         self.coordinator.borrow().engines.last_event()
     }
 
-    /// Notes the number of an event that changes nothing here.
-    pub fn skip_event(&self, number: u64) {
-        self.coordinator.borrow_mut().engines.skip_event(number);
+    /// Records the number of an event that changes nothing here, so that the next poll starts after it.
+    pub fn skip_event(&self, event: u64) {
+        self.coordinator.borrow_mut().engines.skip_event(event);
     }
 
-    /// Applies an event of the endpoint list. `is_cached`: the list as held before this process started, possibly out of
-    /// date.
+    /// Applies an event of the endpoint list. `is_cached`: the list was stored before this process started and
+    /// may be out of date.
     pub fn on_endpoint_list(self: &Rc<Self>, list: &ListEvent, is_cached: bool) {
         self.coordinator.borrow_mut().on_endpoint_list(self, list, is_cached);
     }
 
-    /// A number that is unique within this process's life, short of chance.
+    /// A random id; two of one process are equal only by chance.
     pub fn generate_id(&self) -> u64 {
         self.coordinator.borrow_mut().generate_id()
     }
@@ -181,7 +182,7 @@
         drop(previous);
     }
 
-    /// Submits a request. `None` if its id is pending, or was another statement's of late.
+    /// Submits a request. `None` if its id is pending or was recently used for another statement.
     pub fn submit(self: &Rc<Self>, request: Request) -> Option<RequestHandle> {
         let id = request.spec.id;
         let class = request.spec.class;
@@ -190,32 +191,31 @@
         Some(RequestHandle { core: Rc::clone(self), id, response, was_cancelled: false })
     }
 
-    /// Sets when this process gives its last responses: from then on requests are rejected and nothing is sent to an
-    /// engine.
+    /// Sets the instant from which on this process rejects all requests and sends nothing to an engine.
     pub fn set_shutdown_deadline(&self, deadline: Timestamp) {
         self.coordinator.borrow_mut().set_shutdown_deadline(deadline);
     }
 
-    /// Gives every pending request its final response now, because this process shuts down: those that cannot have run are
-    /// rejected, the others failed. How many.
+    /// Gives every pending request its final response now, because this process shuts down: those that cannot have run
+    /// are rejected, the others fail. Returns their number.
     pub fn complete_all(self: &Rc<Self>) -> usize {
         self.coordinator.borrow_mut().complete_all(self)
     }
 
-    /// Counts a violation that was observed outside of the core. `detail`: ids and figures.
+    /// Counts a violation that was observed outside of the core. `detail`: ids and values for the log.
     pub fn record_violation(&self, rule: Invariant, detail: &str) {
         self.coordinator.borrow().monitor.record_violation(now(), rule, detail);
     }
 
-    /// Counts what clients still wait for, once the process ends.
+    /// Counts the requests that clients still wait for when the process ends, as violations.
     pub fn check_nothing_pending(&self) {
         self.coordinator.borrow().check_nothing_pending();
     }
 
-    /// Cordons an engine; `Ok` also where it is cordoned already.
+    /// Cordons an engine; `Ok` also if it is cordoned already.
     ///
     /// # Errors
-    /// An id that was never listed, and a call over the bounds on cordons.
+    /// If the id was never listed, or the call exceeds the limits on cordons.
     pub fn cordon_engine(
         self: &Rc<Self>,
         id: &str,
@@ -225,20 +225,21 @@
         self.coordinator.borrow_mut().cordon_engine(self, id, request, reason)
     }
 
-    /// Ends a cordon of the same caller; `Ok` also where there is none.
+    /// Ends a cordon of the same caller; `Ok` also if there is none.
     ///
     /// # Errors
-    /// An id that was never listed.
+    /// If the id was never listed.
     pub fn uncordon_engine(self: &Rc<Self>, id: &str, cause: Cause) -> Result<CordonOutcome, CordonError> {
         self.coordinator.borrow_mut().uncordon_engine(self, id, cause)
     }
 
-    /// The records of all cordons, and at most `max_ids` hashes of engine ids ever listed, for this process's successor.
+    /// The records of all cordons and at most `max_ids` hashes of engine ids ever listed, for the process that replaces
+    /// this one in a hot restart.
     pub fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
         self.coordinator.borrow().export_cordons(max_ids)
     }
 
-    /// Merges another process's cordon records and engine ids.
+    /// Merges the cordon records and engine ids of another process.
     pub fn merge_cordons(self: &Rc<Self>, records: &[CordonRecord], ids: &[u64]) -> MergeResult {
         self.coordinator.borrow_mut().merge_cordons(self, records, ids)
     }
@@ -248,12 +249,12 @@
         self.coordinator.borrow_mut().expire_cordons(self);
     }
 
-    /// How many engines are listed, and how many of them get no requests.
+    /// The number of listed engines, and of those among them that get no requests.
     pub fn engine_counts(&self) -> EngineCounts {
         self.coordinator.borrow().engine_counts()
     }
 
-    /// Does what is due, for as long as the process lives.
+    /// Runs timers, cancellations and deadlines as they become due, until the process ends.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::select! {
@@ -267,7 +268,7 @@
 
     fn time_to_next_due(&self) -> Duration {
         let mut coordinator = self.coordinator.borrow_mut();
-        let readiness_check = coordinator.startup_mut().and_then(|s| s.check_readiness(now()));
+        let readiness_check = coordinator.startup_mut().and_then(|startup| startup.check_readiness(now()));
         let next_due = coordinator.next_due().into_iter().chain(readiness_check).min();
         next_due.map_or(MAX_SLEEP, |at| to_duration(at - now()))
     }
@@ -303,7 +304,7 @@
     fn may_send(self: &Rc<Self>, connection: &EngineConnection, id: u64, attempt: u32) -> bool {
         let is_approved = self.coordinator.borrow_mut().approve_send(&self.pool, connection, id, attempt);
         if !is_approved {
-            // The end of one that was withdrawn is reported with the next tick.
+            // The end of a withdrawn attempt is reported by `process_due`.
             self.wake.notify_one();
         }
         is_approved
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,7 @@
-//! One attempt in flight: its connection, its result so far, and its cancellation. State only.
+//! One attempt in flight.
+//!
+//! Enters: the answers of its engine, and its cancellation. Leaves: commands to its engine, on its connection, and the
+//! [`AnswerEffect`] of each answer. Kept: the result so far, the load report, and the progress of a cancellation.
 
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{EngineConnection, Withdrawal};
@@ -10,24 +13,24 @@
 use sprucelink_policy::{Outcome, TimeDelta, Timestamp};
 use std::rc::Rc;
 
-/// A cancelled attempt stays in flight for this long after its cancellation was sent: it must reach its engine before
-/// the next attempt reaches another. Paths differ by under 2 ms, and by more when a machine is busy.
-pub(super) const CANCELLATION_GRACE: TimeDelta = TimeDelta::from_micros(10_000);
-/// Time between two looks at whether a cancellation was sent.
-pub(super) const CANCELLATION_CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000);
+/// Time that a cancelled attempt stays in flight after its cancellation was sent. The cancellation has to reach its
+/// engine before the next attempt reaches another one, or both would run.
+pub(super) const CANCELLATION_GRACE: TimeDelta = TimeDelta::from_millis(10);
+/// Time between two checks of whether a cancellation was sent.
+pub(super) const CANCELLATION_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(1);
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served, and the whole result is here.
+    /// Served, and the complete result is here.
     Served,
     /// The engine answered with an error.
     EngineError,
-    /// The engine was full; the attempt never ran.
+    /// The engine rejected it because of its load; the attempt never ran.
     Overloaded,
-    /// The client's time ran out.
+    /// The client's deadline passed.
     Expired,
-    /// No connection came up; the attempt never ran.
+    /// No connection could be made; the attempt never ran.
     Unreachable,
     /// The connection broke while it was in flight.
     ConnectionBroken,
@@ -36,7 +39,7 @@
     ConnectionClosed,
     /// Cancelled.
     Cancelled,
-    /// Withdrawn before it was sent, not sent for want of capacity, or refused unseen by the engine as already ended.
+    /// Withdrawn before it was sent, not sent because a limit was reached, or rejected by the engine as already ended.
     NeverRan,
 }
 
@@ -62,12 +65,12 @@
     }
 }
 
-/// A cancellation under way.
+/// A cancellation that has not taken effect yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cancellation {
-    /// Where its command ends in the connection's stream, in bytes.
+    /// Offset in the connection's stream at which its command ends, in bytes.
     pub(super) stream_end: u64,
-    /// Since when it is known to have been sent.
+    /// When it was first seen to have been sent.
     pub(super) sent_at: Option<Timestamp>,
 }
 
@@ -95,13 +98,13 @@
     pub(super) connection: Rc<EngineConnection>,
     /// When it was queued to its connection.
     pub(super) sent_at: Timestamp,
-    /// How long its engine is told to wait.
-    pub(super) told_time_left: TimeDelta,
-    /// It was approved to be sent, and counts in the retry budget; a slow peer may keep its first byte back all the same.
+    /// The time left that its command gives its engine.
+    pub(super) sent_time_left: TimeDelta,
+    /// It was approved to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
     pub(super) is_approved: bool,
     /// The pages received.
     pub(super) result: ResultSet,
-    /// What the query needed, once the engine has told.
+    /// The cost of the query, once the engine has reported it.
     pub(super) cost: Option<QueryCost>,
     /// The engine's last load report.
     pub(super) load_report: LoadStats,
@@ -109,23 +112,24 @@
     pub(super) is_served: bool,
     /// Its cancellation, if it was cancelled.
     pub(super) cancellation: Option<Cancellation>,
-    /// As what it ends once its cancellation has taken effect.
+    /// The outcome with which it ends once its cancellation has taken effect.
     pub(super) cancelled_outcome: AttemptOutcome,
 }
 
 impl InFlightAttempt {
-    /// An attempt that was queued to a connection at `sent_at`, with `told_time_left` as its deadline.
+    /// An attempt that was queued to a connection at `sent_at`, with a command that gives `sent_time_left` as its
+    /// deadline.
     pub(super) fn new(
         number: u32,
         connection: Rc<EngineConnection>,
         sent_at: Timestamp,
-        told_time_left: TimeDelta,
+        sent_time_left: TimeDelta,
     ) -> InFlightAttempt {
         InFlightAttempt {
             number,
             connection,
             sent_at,
-            told_time_left,
+            sent_time_left,
             is_approved: false,
             result: ResultSet::default(),
             cost: None,
@@ -141,7 +145,7 @@
         std::ptr::eq(&*self.connection, connection)
     }
 
-    /// Sets the priority at its engine; a served attempt has none any more.
+    /// Sets the priority at its engine, unless it is served already.
     pub(super) fn set_priority(&self, pool: &BufferPool, id: u64, priority: u8) {
         if self.is_served {
             return;
@@ -151,21 +155,21 @@
         self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), priority.as_bytes()]);
     }
 
-    /// Notes that it was withdrawn before its first byte: it ends as one that never ran, and nothing has to reach its
-    /// engine first.
+    /// Records that it was withdrawn before its first byte: it ends as [`AttemptOutcome::NeverRan`], and its end need
+    /// not wait for a cancellation to reach its engine.
     pub(super) fn mark_withdrawn(&mut self, now: Timestamp) {
         self.cancelled_outcome = AttemptOutcome::NeverRan;
         self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now - CANCELLATION_GRACE) });
     }
 
-    /// Notes that its connection was closed here: it ends as `outcome` once the close has reached the engine.
+    /// Records that this process closed its connection: it ends with `outcome` once the close has reached the engine.
     pub(super) fn mark_closed(&mut self, outcome: AttemptOutcome, now: Timestamp) {
         self.cancelled_outcome = outcome;
         self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now) });
     }
 
-    /// Cancels it at its engine, or withdraws it if no byte of it was sent. Until the cancellation has taken effect its
-    /// own end may still come.
+    /// Cancels it at its engine, or withdraws it if no byte of it was sent. Until the cancellation has taken effect,
+    /// the attempt may still end by itself.
     pub(super) fn cancel(&mut self, pool: &BufferPool, id: u64, now: Timestamp) {
         if self.connection.withdraw(id) == Withdrawal::Complete {
             self.mark_withdrawn(now);
@@ -178,8 +182,8 @@
 
     /// How long until its cancellation may have taken effect; zero or less if it has, `None` if it is not cancelled.
     ///
-    /// A cancellation that still waits for its connection, or for a turn on the processor, would be overtaken by the next
-    /// attempt, and two copies would run.
+    /// The grace starts only once the cancellation was sent: one that still waits for its connection would be overtaken
+    /// by the next attempt, and both would run.
     pub(super) fn cancellation_delay(&mut self, now: Timestamp) -> Option<TimeDelta> {
         let cancellation = self.cancellation.as_mut()?;
         let delay = match cancellation.sent_at {
@@ -193,10 +197,10 @@
         Some(delay)
     }
 
-    /// Takes in an answer of its engine.
+    /// Applies an answer of its engine.
     ///
     /// # Errors
-    /// Where the answer breaks the protocol: nothing else on its connection is of use then.
+    /// If the answer violates the protocol: nothing else on its connection can be trusted then.
     pub(super) fn on_answer(
         &mut self,
         pool: &BufferPool,
@@ -218,7 +222,7 @@
         }
     }
 
-    /// The engine did not run it; once it is served this can only be the answer to a duplicate.
+    /// The engine rejected it. If it is served already, this can only be the answer to a duplicate.
     fn on_rejection(&mut self, outcome: AttemptOutcome, answer: &EngineAnswer) -> AnswerEffect {
         if self.is_served {
             return AnswerEffect::None;
@@ -235,7 +239,7 @@
         answer: &EngineAnswer,
     ) -> Result<AnswerEffect, EngineAnswerError> {
         if self.cancellation.is_some() && pages > 1 {
-            // The further pages are not wanted any more.
+            // Nobody reads the further pages.
             self.release_result(pool, id);
             return Ok(AnswerEffect::None);
         }
@@ -274,7 +278,7 @@
         Ok(self.store_page(pool, id, page, answer.body))
     }
 
-    /// Checks that a page has whole rows and that the result stays within its bound.
+    /// Checks that a page has complete rows and that the result stays within [`MAX_RESULT_BYTES`].
     fn check_page(&self, body: &[u8]) -> Result<(), EngineAnswerError> {
         if body.len() > MAX_PAGE_BYTES || !is_page(body) {
             return Err(EngineAnswerError::InvalidPage);
@@ -302,12 +306,12 @@
     }
 }
 
-/// Releases the result of a request at its engine: its further pages are not wanted.
+/// Releases the result of a request at its engine, which keeps it until all pages were fetched.
 pub(super) fn release_result(connection: &EngineConnection, pool: &BufferPool, id: u64) {
     connection.command(pool, &[command::RELEASE_RESULT, format_id(id).as_bytes()]);
 }
 
-/// A request's id as the engines' protocol and the log write it: 16 hex digits.
+/// A request's id as written in the engines' protocol and in the log: 16 hexadecimal digits.
 pub(super) fn format_id(id: u64) -> String {
     format!("{id:016x}")
 }
--- a/src/core/buffer_pool.rs
+++ b/src/core/buffer_pool.rs
@@ -1,5 +1,7 @@
-//! Buffers of one size that are reused. The pool has a bound: what finds it empty is rejected, so that a flood costs
-//! rejections and not the process.
+//! A pool of reusable buffers of one size.
+//!
+//! The pool is bounded: a request that finds it empty is rejected, so that overload costs rejections and not the memory
+//! of the process.
 
 use bytes::BufMut;
 use std::cell::{Cell, RefCell};
@@ -11,10 +13,10 @@
 use std::task::{ready, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, ReadBuf};
 
-/// Size of every buffer in bytes: the largest result (48,000 bytes) and its framing fit one.
+/// Size of every buffer in bytes. The largest result and its framing fit one.
 pub const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Bytes of the first read into a buffer, which goes through the stack: most messages are shorter.
+/// Size of the first read into a buffer, in bytes. It goes through the stack, and most messages are shorter.
 const FIRST_READ_BYTES: usize = 2_048;
 
 #[derive(Debug)]
@@ -49,16 +51,16 @@
         Some(self.get_beyond_limit())
     }
 
-    /// An empty buffer, also when all are in use: for what cannot be put off, such as a cancellation, an error to a client
-    /// or bytes that have arrived. Each connection and each session has two at most, so their numbers bound it; it counts
-    /// like any other, so that new work is rejected meanwhile.
+    /// An empty buffer, also when all are in use: for what cannot be rejected, such as a cancellation, an error to a
+    /// client or bytes that were received. Each connection and each session has two at most, so their limits bound
+    /// these buffers too. They count as in use, so that new requests are rejected meanwhile.
     pub fn get_beyond_limit(&self) -> Buffer {
         self.0.in_use.set(self.0.in_use.get() + 1);
         let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_BYTES));
         Buffer { bytes, pool: Rc::clone(&self.0) }
     }
 
-    /// Buffers that may be in use at a time.
+    /// Limit on the buffers in use at a time.
     pub fn max_buffers(&self) -> usize {
         self.0.max_buffers
     }
@@ -70,8 +72,8 @@
 }
 
 impl Buffer {
-    /// Whether so many more bytes fit.
-    pub fn has_room(&self, bytes: usize) -> bool {
+    /// Whether `bytes` more bytes fit.
+    pub fn has_capacity(&self, bytes: usize) -> bool {
         self.bytes.len() + bytes <= BUFFER_BYTES
     }
 }
@@ -80,7 +82,7 @@
     fn drop(&mut self) {
         self.pool.in_use.set(self.pool.in_use.get() - 1);
         let mut bytes = std::mem::take(&mut self.bytes);
-        // A buffer that outgrew its size is not kept: the pool's memory stays bounded.
+        // A buffer that grew beyond its size is freed, so that the pool's memory stays bounded.
         if bytes.capacity() <= BUFFER_BYTES {
             bytes.clear();
             self.pool.free.borrow_mut().push(bytes);
@@ -101,22 +103,22 @@
     }
 }
 
-/// Reads what has arrived into a buffer that is taken from the pool only once there are bytes; 0 at the end of the stream.
-/// Hundreds of silent connections would hold every buffer otherwise.
+/// Reads the bytes that have arrived and returns their number, 0 at the end of the stream. A buffer is taken from the
+/// pool only once there are bytes: idle connections would occupy every buffer otherwise.
 ///
 /// # Errors
-/// Those of the stream. A full buffer is one, too: a reader that paused there would never learn of the stream's end.
+/// Those of the stream, and a full buffer: a reader that paused there would never see the end of the stream.
 pub async fn read_into<S: AsyncRead + Unpin>(
     pool: &BufferPool,
     stream: &mut S,
     buffer: &mut Option<Buffer>,
 ) -> io::Result<usize> {
     if let Some(buffer) = buffer {
-        let room = BUFFER_BYTES.saturating_sub(buffer.len());
-        if room == 0 {
+        let capacity = BUFFER_BYTES.saturating_sub(buffer.len());
+        if capacity == 0 {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "the buffer is full"));
         }
-        return stream.read_buf(&mut (&mut **buffer).limit(room)).await;
+        return stream.read_buf(&mut (&mut **buffer).limit(capacity)).await;
     }
     poll_fn(|cx| {
         let mut first = [0; FIRST_READ_BYTES];
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,13 +1,13 @@
-//! The clock of the process: Unix time when the process started, advanced by the monotonic clock.
+//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. Nothing else is kept.
 
 use nix::time::{clock_gettime, ClockId};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The current time: Unix time at the first call, advanced by the monotonic clock from there on.
+/// The current time: the Unix time of the first call, advanced by the monotonic clock.
 ///
-/// Every deadline and span is taken from it, so that a step of the system clock neither ends nor prolongs anything.
+/// All deadlines and spans use it, so that a step of the system clock neither shortens nor prolongs them.
 pub fn now() -> Timestamp {
     static FIRST: OnceLock<(Instant, Timestamp)> = OnceLock::new();
     let (first_call, started_at) = FIRST.get_or_init(|| (Instant::now(), unix()));
@@ -15,8 +15,8 @@
     *started_at + TimeDelta::from_micros(elapsed)
 }
 
-/// [`now`] less the machine's monotonic clock, which all processes of the machine share: the same for the life of the
-/// process.
+/// The difference between [`now`] and the machine's monotonic clock, which all processes of the machine share. It is
+/// constant within a process.
 pub fn machine_clock_offset() -> TimeDelta {
     static OFFSET: OnceLock<TimeDelta> = OnceLock::new();
     *OFFSET.get_or_init(|| {
@@ -25,7 +25,7 @@
     })
 }
 
-/// The system's Unix clock, which may step; 0 before 1970.
+/// The system's Unix time, which may step; zero if the system clock is before 1970.
 pub fn unix() -> Timestamp {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     Timestamp::from_micros(i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX))
--- /dev/null
+++ b/src/core/connection_runtime.rs
@@ -0,0 +1,17 @@
+//! The interface between the coordinator and the tasks that run connections and timers. Nothing is kept.
+
+use super::buffer_pool::BufferPool;
+use super::engine_connection::{ConnectionLimits, EngineConnection};
+use std::rc::Rc;
+
+/// The tasks around a coordinator, and the resources that they share.
+pub(super) trait ConnectionRuntime {
+    /// The pool of buffers.
+    fn pool(&self) -> &BufferPool;
+    /// Limits and timeouts of connections.
+    fn limits(&self) -> &ConnectionLimits;
+    /// Starts the task that dials and serves a connection.
+    fn start_connection(&self, connection: Rc<EngineConnection>);
+    /// Wakes the task that calls `Coordinator::process_due`.
+    fn wake(&self);
+}
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -1,4 +1,8 @@
-//! The task of a connection: it dials, sends what is queued and reads answers until the connection ends.
+//! The task of one connection to an engine.
+//!
+//! Enters: the commands queued on an [`EngineConnection`], and the bytes that its engine sends. Leaves: the commands,
+//! in order, and calls of the [`ConnectionOwner`] for each answer and for the end of the connection. Kept: the buffer
+//! that is being written and the answer that is being read.
 
 use super::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
 use super::clock::{now, to_duration};
@@ -18,66 +22,66 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// How long a dial that fails locally is repeated; then its attempts are chosen again, perhaps for another engine.
+/// Time for which a dial that fails for a local reason is repeated. Its attempts end after that and may go to another
+/// engine.
 const MAX_LOCAL_FAILURE: Duration = Duration::from_millis(300);
-/// Pause before a dial that failed locally is repeated.
+/// Backoff before a dial that failed for a local reason is repeated.
 const DIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How often a connection is checked for being idle for too long.
+/// Time between two checks of whether a connection has been idle for too long.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// An answer that has begun and grows no further for this long will not be complete: engines write answers in one go, and
-/// this is long even for a busy machine.
+/// Time for which an incomplete answer may receive no further byte before its connection is closed. Engines write an
+/// answer at once, so the rest of a stalled one does not come.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// An answer must be complete this long after its first byte, however it grows: all attempts on the connection wait behind
-/// it.
-const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_000_000);
+/// Time from the first byte of an answer until it must be complete: all attempts on the connection wait behind it.
+const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 
 /// The owner of the attempts on a connection.
 pub trait ConnectionOwner: 'static {
     /// The pool of buffers.
     fn pool(&self) -> &BufferPool;
-    /// Bounds and timeouts of connections.
+    /// Limits and timeouts of connections.
     fn limits(&self) -> &ConnectionLimits;
-    /// The engine answered.
+    /// Applies an answer of the engine.
     ///
     /// # Errors
-    /// Where the answer breaks the protocol; the connection is closed then.
+    /// If the answer violates the protocol; the connection is closed then.
     fn on_answer(
         self: &Rc<Self>,
         connection: &EngineConnection,
         parts: &[&[u8]],
     ) -> Result<(), EngineAnswerError>;
-    /// The connection has ended. `reason` is empty where that is in order; `is_local`: it was closed by this process.
+    /// The connection has ended. `reason` is empty if that is no fault; `is_local`: this process closed it.
     fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool);
-    /// Whether an attempt may be sent, asked just before its first byte; if not, the owner has withdrawn it. Between the
-    /// choice of the attempt and this moment lie dials, slow peers and turns on the processor.
+    /// Whether an attempt may be sent, checked just before its first byte; if not, the owner has withdrawn it. The
+    /// state may have changed since the engine was selected, while the attempt waited for a dial or behind a slow peer.
     fn may_send(self: &Rc<Self>, _connection: &EngineConnection, _id: u64, _attempt: u32) -> bool {
         true
     }
-    /// This many attempts were sent completely.
+    /// Counts attempts that were sent completely.
     fn on_attempts_sent(&self, _attempts: u64) {}
-    /// The connection has come up.
+    /// The connection has opened.
     fn on_connection_up(self: &Rc<Self>, _connection: &EngineConnection) {}
 }
 
 /// Why a connection ended.
 struct ConnectionEnd {
     reason: String,
-    /// It was closed by this process.
+    /// This process closed it, or could not make it.
     is_local: bool,
 }
 
 impl ConnectionEnd {
-    /// The engine or the network ended it, or the process gave up a dial.
+    /// The engine or the network ended it, or a dial timed out.
     fn remote(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: false }
     }
 
-    /// This process ended it, or could not make it.
+    /// This process closed it, or could not make it.
     fn local(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: true }
     }
 
-    /// What was read breaks the protocol: nothing else on the connection is of use.
+    /// The bytes received violate the protocol: nothing else on the connection can be trusted.
     fn unreadable(error: impl std::fmt::Display) -> ConnectionEnd {
         ConnectionEnd::local(format!("unreadable: {error}"))
     }
@@ -90,7 +94,7 @@
         sleep(to_duration(delay)).await;
     }
     let dial_timeout = to_duration(owner.limits().dial_timeout);
-    // A dial that is given up returns its file descriptor at once.
+    // A cancelled dial releases its file descriptor at once.
     let dialled = tokio::select! {
         dialled = dial(connection.address(), dial_timeout) => dialled,
         () = connection.wait_closed() => return owner.on_connection_down(&connection, "", true),
@@ -103,7 +107,8 @@
     owner.on_connection_down(&connection, &end.reason, end.is_local);
 }
 
-/// Makes a connection. A failure of this machine passes, and tells nothing of the engine: the dial is repeated for a while.
+/// Makes a connection. A failure for a local reason is transient and says nothing about the engine, so the dial is
+/// repeated for [`MAX_LOCAL_FAILURE`].
 async fn dial(address: SocketAddr, dial_timeout: Duration) -> Result<TcpStream, ConnectionEnd> {
     let started = Instant::now();
     let deadline = started + dial_timeout;
@@ -135,15 +140,15 @@
     owner.on_connection_up(connection);
     let (reader, writer) = stream.into_split();
     tokio::select! {
-        // An end that has come is seen before anything more is written: what was not written was never sent.
+        // Read first: if the engine has closed the connection, the queued attempts count as never sent.
         biased;
         end = read(owner, connection, SocketReader::new(reader)) => end,
         end = write(owner, connection, writer) => end,
     }
 }
 
-/// Writes what is queued. What is sent next is looked up before each write, never kept across a wait: it may be withdrawn
-/// meanwhile.
+/// Writes the queued commands. The next bytes are looked up before each write and never kept across a wait, for their
+/// attempt may be withdrawn meanwhile.
 async fn write<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
@@ -173,7 +178,7 @@
             return ConnectionEnd::remote("closed by the engine");
         }
         if !may_send_all(owner, connection, offset, end) {
-            // What was withdrawn is skipped in the next round.
+            // The next iteration skips the withdrawn commands.
             continue;
         }
         match retry_interrupted(|| writer.try_write(bytes)) {
@@ -190,9 +195,9 @@
     }
 }
 
-/// Whether the peer has closed a connection with nothing in flight, asked of the system itself: the runtime learns of it
-/// only when it polls next. What is written on a connection that its engine closes in that moment for being idle would
-/// count as an attempt that may have run.
+/// Whether the peer has closed a connection with nothing in flight. The socket itself is checked, because the runtime
+/// sees the close only at its next poll: an attempt written to a connection that its engine has just closed as idle
+/// would count as one that may have run.
 fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     match retry_interrupted(|| SockRef::from(stream).peek(&mut byte)) {
@@ -201,7 +206,7 @@
     }
 }
 
-/// Whether all attempts that begin in this part of the stream may be sent; those that may not are withdrawn.
+/// Whether all attempts whose commands begin between two offsets may be sent; those that may not are withdrawn.
 fn may_send_all<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
@@ -223,14 +228,14 @@
     mut reader: SocketReader,
 ) -> ConnectionEnd {
     let mut received = None;
-    // When the answer began that has not come completely.
+    // When the first byte of the incomplete answer arrived, if there is one.
     let mut answer_began_at: Option<Timestamp> = None;
     loop {
-        let patience = match answer_began_at {
+        let read_timeout = match answer_began_at {
             Some(began_at) => STALL_TIMEOUT.min(to_duration(began_at + ANSWER_TIMEOUT - now())),
             None => IDLE_CHECK_INTERVAL,
         };
-        match timeout(patience, read_into(owner.pool(), &mut reader, &mut received)).await {
+        match timeout(read_timeout, read_into(owner.pool(), &mut reader, &mut received)).await {
             Ok(Ok(0)) => return ConnectionEnd::remote("closed by the engine"),
             Ok(Ok(_)) => {}
             Ok(Err(error)) => return ConnectionEnd::remote(error),
@@ -240,7 +245,7 @@
             Err(_) if connection.is_idle(owner.limits()) => return ConnectionEnd::remote(""),
             Err(_) => continue,
         }
-        connection.record_heard(now());
+        connection.record_activity(now());
         let Some(buffer) = &mut received else { continue };
         let consumed = match process_answers(owner, connection, buffer) {
             Ok(consumed) => consumed,
@@ -250,7 +255,7 @@
         if buffer.is_empty() {
             received = None;
             answer_began_at = None;
-        } else if !buffer.has_room(1) {
+        } else if !buffer.has_capacity(1) {
             return ConnectionEnd::unreadable("an answer longer than any may be");
         } else if consumed > 0 || answer_began_at.is_none() {
             answer_began_at = Some(now());
@@ -258,7 +263,7 @@
     }
 }
 
-/// Hands over the complete answers in a buffer; the bytes that they take.
+/// Passes the complete answers in a buffer to the owner; returns their length in bytes.
 fn process_answers<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,9 +1,13 @@
-//! Attempts: each is sent once, cancelled at most once, and ends once.
+//! The life of an attempt: each is sent once, cancelled at most once, and ends once.
+//!
+//! Enters: commands of the policy, and answers of engines. Leaves: commands to engines, and the end of each attempt as
+//! an event for the policy. Kept: nothing here; the attempt is part of its request's entry in the request table.
 
-use super::{ConnectionRuntime, Coordinator};
+use super::Coordinator;
 use crate::core::attempt::{format_id, release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
 use crate::core::buffer_pool::BufferPool;
 use crate::core::clock::now;
+use crate::core::connection_runtime::ConnectionRuntime;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
 use crate::core::invariants::SentAttempt;
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
@@ -12,22 +16,23 @@
 use crate::core::send_guard::{OutgoingAttempt, SendRejection};
 use crate::proto::engine_answer::{read_answer, AnswerKind, EngineAnswerError, LoadStats, QueryCost};
 use crate::proto::engine_command::{self, QueryFields};
-use sprucelink_policy::TimeDelta;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use std::rc::Rc;
 use tracing::{debug, error, warn};
 
-/// An attempt that waits is told to its engine anew once its deadline there would be this much later than its client's. The
-/// platform's slack is three times as much; less would queue anew what a busy machine delays.
-const MAX_DEADLINE_EXCESS: TimeDelta = TimeDelta::from_micros(50_000);
+/// Time by which the deadline that an unsent command gives to its engine may exceed its client's; beyond it the command
+/// is queued again with the time that is left. It has to stay below the platform's slack on deadlines, and above the
+/// usual delays of a busy machine, which would otherwise queue commands repeatedly.
+const MAX_DEADLINE_EXCESS: TimeDelta = TimeDelta::from_millis(50);
 
-/// How an attempt ended, as the policy is told.
+/// The end of an attempt, for the policy.
 struct AttemptEnd {
     /// The attempt's number.
     attempt: u32,
     outcome: AttemptOutcome,
     /// Time since it was sent.
     latency: TimeDelta,
-    /// What the query needed, where the engine has told.
+    /// The cost of the query, if the engine has reported it.
     cost: Option<QueryCost>,
     /// The engine's load report.
     load_report: LoadStats,
@@ -52,7 +57,7 @@
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
         let attempt = request.attempts;
         request.attempts += 1;
-        // Nothing is sent after the final response, whatever the policy wants.
+        // Nothing is sent after the final response, even if the policy requests it.
         if !request.is_awaited() {
             let request = format_id(id);
             error!(request, "send for completed request {request} dropped");
@@ -60,14 +65,15 @@
         }
         let cost_ms = request.cost_ms;
         let time_left = request.deadline - now();
-        self.counters.attempts += 1;
-        self.gossip_attempt(attempt, engine, cost_ms);
+        self.statistics.record_attempt();
+        self.fleet.record_attempt(now(), attempt > 0, self.engines.get(engine), cost_ms);
         let connection = match self.connection_for(runtime, id, engine) {
             Ok(connection) => connection,
             Err(outcome) => return self.report_end(id, AttemptEnd::unsent(attempt, outcome)),
         };
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
-        let (name, fields) = (format_id(id), format_fields(request, time_left));
+        let name = format_id(id);
+        let fields = format_fields(request, time_left);
         if !connection.send(runtime.pool(), id, attempt, &query_command(request, &name, &fields)) {
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
@@ -75,99 +81,144 @@
         Vec::new()
     }
 
-    /// Whether an attempt may be sent, checked just before its first byte: the one place through which attempts leave.
-    /// One that may not is withdrawn and ends as one that never ran; one without an owner is withdrawn, and that is all. One
-    /// that has waited is queued anew with the time that is left, and is asked for again.
+    /// Whether an attempt may be sent, checked just before its first byte: every attempt passes here.
+    ///
+    /// One that may not be sent is withdrawn and ends as one that never ran; one that is no longer in flight is only
+    /// withdrawn. One that has waited for too long is queued again with the time that is left, and is checked again
+    /// then.
     pub(in crate::core) fn approve_send(
         &mut self,
         pool: &BufferPool,
         connection: &EngineConnection,
         id: u64,
-        number: u32,
+        attempt: u32,
     ) -> bool {
         let now = now();
-        let spare_attempts = self.fleet.spare_attempts;
-        let engine = self.engines.get(connection.engine);
-        let engine_is_ready = engine.is_some_and(|engine| engine.is_ready);
-        let unlisted_since = engine.and_then(|engine| engine.unlisted_since);
-        let is_owner = |attempt: &InFlightAttempt| {
-            attempt.number == number && attempt.is_on(connection) && attempt.cancellation.is_none()
-        };
-        let request = self.requests.get_mut(id).filter(|r| r.in_flight.as_ref().is_some_and(is_owner));
-        let Some(request) = request else {
+        let Some(outgoing) = self.outgoing_attempt(connection, id, attempt) else {
             connection.withdraw(id);
             return false;
         };
-        let Some(attempt) = &mut request.in_flight else { return false };
-        let outgoing = OutgoingAttempt {
-            request_is_awaited: request.responder.is_some(),
-            deadline: request.deadline,
-            class: request.class,
-            // One that was approved before is in the budget already.
-            is_retry: number > 0 && !attempt.is_approved,
-            may_have_run_since: request.may_have_run_since,
-            engine_is_ready,
-        };
-        if let Err(reason) = self.send_guard.check(now, spare_attempts, &outgoing) {
-            attempt.mark_withdrawn(now);
-            self.withdraw_unapproved(connection, id, number, reason);
+        if let Err(reason) = self.send_guard.check(now, self.fleet.spare_attempts(), &outgoing) {
+            self.withdraw_unapproved(now, connection, id, attempt, reason);
             return false;
         }
-        let time_left = request.deadline - now;
-        if attempt.told_time_left - time_left > MAX_DEADLINE_EXCESS {
-            attempt.told_time_left = time_left;
-            let (name, fields) = (format_id(id), format_fields(request, time_left));
-            connection.requeue(pool, id, number, &query_command(request, &name, &fields));
+        if self.requeue_if_delayed(now, pool, connection, id) {
             return false;
         }
-        let sent = SentAttempt {
-            id,
-            number,
-            class: outgoing.class,
-            request_is_awaited: outgoing.request_is_awaited,
-            deadline: outgoing.deadline,
-            told_time_left: attempt.told_time_left,
-            unlisted_since,
-            spare_attempts,
-        };
-        if !std::mem::replace(&mut attempt.is_approved, true) {
-            self.send_guard.record_send(now, outgoing.is_retry);
-        }
-        self.monitor.record_send(now, &sent);
+        self.record_send(now, connection, id, &outgoing);
         true
     }
 
-    /// Takes back an attempt that may not be sent; its end is reported with the next tick.
+    /// The present state of an attempt that is about to be sent; `None` if it is no longer in flight on this
+    /// connection, or is cancelled.
+    fn outgoing_attempt(
+        &self,
+        connection: &EngineConnection,
+        id: u64,
+        attempt: u32,
+    ) -> Option<OutgoingAttempt> {
+        let request = self.requests.get(id)?;
+        let in_flight = request.in_flight.as_ref()?;
+        let is_current = in_flight.number == attempt && in_flight.is_on(connection);
+        if !is_current || in_flight.cancellation.is_some() {
+            return None;
+        }
+        Some(OutgoingAttempt {
+            request_is_awaited: request.is_awaited(),
+            deadline: request.deadline,
+            class: request.class,
+            // An attempt that was approved before is counted in the retry budget already.
+            is_retry: attempt > 0 && !in_flight.is_approved,
+            may_have_run_since: request.may_have_run_since,
+            engine_is_ready: self.engines.get(connection.engine).is_some_and(|engine| engine.is_ready),
+        })
+    }
+
+    /// Withdraws an attempt that may not be sent; `process_due` reports its end.
     fn withdraw_unapproved(
         &mut self,
+        now: Timestamp,
         connection: &EngineConnection,
         id: u64,
-        number: u32,
+        attempt: u32,
         reason: SendRejection,
     ) {
+        if let Some(in_flight) = self.requests.attempt_mut(id, attempt) {
+            in_flight.mark_withdrawn(now);
+        }
         connection.withdraw(id);
-        self.reasons.record_withdrawal(reason);
-        self.requests.schedule_cancellation(now(), id, number);
+        self.statistics.record_withdrawal(reason);
+        self.requests.schedule_cancellation(now, id, attempt);
         debug!(
             request = format_id(id),
             number = connection.engine,
-            attempt = number,
+            attempt,
             ?reason,
             "attempt withdrawn before it was sent: {reason:?}"
         );
     }
 
-    /// Reports an attempt's end to the policy; the attempt is not in flight any more.
+    /// Queues the command of an attempt again if the deadline in it has become too late; returns whether it did.
+    fn requeue_if_delayed(
+        &mut self,
+        now: Timestamp,
+        pool: &BufferPool,
+        connection: &EngineConnection,
+        id: u64,
+    ) -> bool {
+        let Some(request) = self.requests.get_mut(id) else { return false };
+        let time_left = request.deadline - now;
+        let Some(in_flight) = &mut request.in_flight else { return false };
+        if in_flight.sent_time_left - time_left <= MAX_DEADLINE_EXCESS {
+            return false;
+        }
+        in_flight.sent_time_left = time_left;
+        let attempt = in_flight.number;
+        let name = format_id(id);
+        let fields = format_fields(request, time_left);
+        connection.requeue(pool, id, attempt, &query_command(request, &name, &fields));
+        true
+    }
+
+    /// Records that the first byte of an attempt is sent: in the retry budget, once, and for the run-time checks.
+    fn record_send(
+        &mut self,
+        now: Timestamp,
+        connection: &EngineConnection,
+        id: u64,
+        outgoing: &OutgoingAttempt,
+    ) {
+        let unlisted_since = self.engines.get(connection.engine).and_then(|engine| engine.unlisted_since);
+        let Some(in_flight) = self.requests.in_flight_mut(id) else { return };
+        let was_approved = in_flight.is_approved;
+        in_flight.is_approved = true;
+        let sent = SentAttempt {
+            id,
+            attempt: in_flight.number,
+            class: outgoing.class,
+            request_is_awaited: outgoing.request_is_awaited,
+            deadline: outgoing.deadline,
+            sent_time_left: in_flight.sent_time_left,
+            unlisted_since,
+            spare_attempts: self.fleet.spare_attempts(),
+        };
+        if !was_approved {
+            self.send_guard.record_send(now, outgoing.is_retry);
+        }
+        self.monitor.record_send(now, &sent);
+    }
+
+    /// Reports the end of an attempt to the policy. The attempt is no longer in flight.
     fn report_end(&mut self, id: u64, end: AttemptEnd) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
         let outcome = end.outcome;
         request.last_outcome = Some(outcome);
-        self.reasons.record_end(outcome);
+        self.statistics.record_attempt_end(outcome);
         self.monitor.record_end(id, end.attempt, outcome.never_ran());
         let request_complete = outcome == AttemptOutcome::Served || !request.is_awaited();
         if matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::EngineError) {
             if let Some(startup) = &mut self.startup {
-                startup.admission.record_backpressure();
+                startup.record_backpressure();
             }
         }
         let event = PolicyEvent::AttemptEnded {
@@ -184,7 +235,7 @@
         commands
     }
 
-    /// Ends the attempt of a request that is in flight.
+    /// Ends the attempt in flight of a request.
     pub(super) fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Vec<PolicyCommand> {
         let Some(attempt) = self.requests.take_in_flight(id) else { return Vec::new() };
         attempt.connection.release(id, outcome != AttemptOutcome::Served);
@@ -203,7 +254,7 @@
             load_report: attempt.load_report,
         };
         let mut commands = self.report_end(id, end);
-        // A request that was abandoned before has nobody to respond to.
+        // An abandoned request gets no response.
         let is_awaited = self.requests.get(id).is_some_and(PendingRequest::is_awaited);
         if outcome == AttemptOutcome::Served && is_awaited {
             commands.extend(self.complete(id, Response::Served(attempt.result)));
@@ -211,9 +262,8 @@
         commands
     }
 
-    /// Withdraws the attempt of a request if it was not sent, for nothing is sent once the request is over; its end is
-    /// reported with the next tick. An attempt that was sent in part can only be stopped by closing its connection: the
-    /// commands that follow from that.
+    /// Withdraws the attempt of a completed request if it was not sent; `process_due` reports its end. An attempt that
+    /// was sent in part can only be stopped by closing its connection. Returns the commands that follow.
     pub(super) fn withdraw_attempt(&mut self, id: u64) -> Vec<PolicyCommand> {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return Vec::new() };
         match attempt.connection.withdraw(id) {
@@ -234,32 +284,32 @@
         }
     }
 
-    /// Cancels the attempt of a request; false if it is not in flight, or is cancelled already.
-    pub(super) fn cancel_attempt(&mut self, pool: &BufferPool, id: u64, number: u32) -> bool {
-        let attempt = self.requests.attempt_mut(id, number).filter(|a| a.cancellation.is_none());
-        let Some(attempt) = attempt else { return false };
-        attempt.cancel(pool, id, now());
+    /// Cancels an attempt; false if it is not in flight or is cancelled already.
+    pub(super) fn cancel_attempt(&mut self, pool: &BufferPool, id: u64, attempt: u32) -> bool {
+        let in_flight = self.requests.attempt_mut(id, attempt).filter(|a| a.cancellation.is_none());
+        let Some(in_flight) = in_flight else { return false };
+        in_flight.cancel(pool, id, now());
         true
     }
 
-    /// Ends a cancelled attempt once its cancellation has taken effect, or schedules the next look.
-    pub(super) fn check_cancellation(&mut self, runtime: &dyn ConnectionRuntime, id: u64, number: u32) {
-        let Some(attempt) = self.requests.attempt_mut(id, number) else { return };
-        let Some(delay) = attempt.cancellation_delay(now()) else { return };
-        let outcome = attempt.cancelled_outcome;
+    /// Ends a cancelled attempt once its cancellation has taken effect, or schedules the next check.
+    pub(super) fn check_cancellation(&mut self, runtime: &dyn ConnectionRuntime, id: u64, attempt: u32) {
+        let Some(in_flight) = self.requests.attempt_mut(id, attempt) else { return };
+        let Some(delay) = in_flight.cancellation_delay(now()) else { return };
+        let outcome = in_flight.cancelled_outcome;
         if delay > TimeDelta::ZERO {
-            self.requests.schedule_cancellation(now() + delay, id, number);
+            self.requests.schedule_cancellation(now() + delay, id, attempt);
             return;
         }
         let commands = self.end_attempt(id, outcome);
         self.execute(runtime, commands);
     }
 
-    /// Takes in what an engine sent on a connection. Only what concerns an attempt on this connection is read: answers
-    /// to duplicates, and under ids that were never here, are skipped whatever they hold.
+    /// Applies an answer that an engine gave on a connection. Only an answer to an attempt on this connection is
+    /// parsed; others, such as those to duplicates, are skipped whatever their content.
     ///
     /// # Errors
-    /// Where it breaks the protocol: nothing else on the connection is of use then.
+    /// If the answer violates the protocol: nothing else on the connection can be trusted then.
     pub(in crate::core) fn on_answer(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -268,21 +318,21 @@
     ) -> Result<(), EngineAnswerError> {
         let id = parse_id(parts.first().copied())?;
         if let Some(engine) = self.engines.get_mut(connection.engine) {
-            engine.last_heard_at = Some(now());
+            engine.last_answered_at = Some(now());
         }
-        let Some(number) = connection.attempt_of(id) else {
+        let Some(attempt) = connection.attempt_of(id) else {
             release_late_result(runtime.pool(), connection, id, parts);
             return Ok(());
         };
         let answer = read_answer(parts)?;
-        let effect = match self.requests.attempt_mut(id, number) {
-            Some(attempt) => attempt.on_answer(runtime.pool(), id, &answer)?,
+        let effect = match self.requests.attempt_mut(id, attempt) {
+            Some(in_flight) => in_flight.on_answer(runtime.pool(), id, &answer)?,
             None => AnswerEffect::None,
         };
         let commands = match effect {
             AnswerEffect::None => Vec::new(),
             AnswerEffect::Progress { kind, value } => {
-                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt: number, kind, value })
+                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt, kind, value })
             }
             AnswerEffect::Ended(outcome) => self.end_attempt(id, outcome),
         };
@@ -298,7 +348,7 @@
     id.ok_or(EngineAnswerError::InvalidId)
 }
 
-/// Releases the result that a late answer to an ended attempt announces.
+/// Releases the result that a late answer to an ended attempt announces, which the engine would keep otherwise.
 fn release_late_result(pool: &BufferPool, connection: &EngineConnection, id: u64, parts: &[&[u8]]) {
     if !connection.has_ended_unserved(id) {
         return;
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -1,8 +1,12 @@
-//! Engines that are cordoned by hand. `sprucelink_cordon` decides which are; here they are put between the endpoint list
-//! and the policy, which hears of them as draining whatever the list says, so that a cordon takes the way of every drain.
+//! Cordoned engines.
+//!
+//! Enters: calls of operators, cordons of other processes, and the ids of the endpoint list. Leaves: the list for the
+//! policy, in which a cordoned engine is draining whatever its entry says, so that a cordon is handled like every
+//! drain. Kept: nothing here; `sprucelink_cordon` holds the cordons and decides on them.
 
-use super::{ConnectionRuntime, Coordinator};
+use super::Coordinator;
 use crate::core::clock::now;
+use crate::core::connection_runtime::ConnectionRuntime;
 use crate::core::engine_table::EngineCounts;
 use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use sprucelink_cordon::{
@@ -12,10 +16,10 @@
 use tracing::{info, warn};
 
 impl Coordinator {
-    /// Cordons an engine; `Ok` also where it is cordoned already.
+    /// Cordons an engine; `Ok` also if it is cordoned already.
     ///
     /// # Errors
-    /// An id that was never listed, and a call over the bounds on cordons.
+    /// If the id was never listed, or the call exceeds the limits on cordons.
     pub(in crate::core) fn cordon_engine(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -30,10 +34,10 @@
         Ok(outcome)
     }
 
-    /// Ends a cordon of the same caller; `Ok` also where there is none.
+    /// Ends a cordon of the same caller; `Ok` also if there is none.
     ///
     /// # Errors
-    /// An id that was never listed.
+    /// If the id was never listed.
     pub(in crate::core) fn uncordon_engine(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -46,12 +50,13 @@
         Ok(outcome)
     }
 
-    /// The records of all cordons, and at most `max_ids` hashes of engine ids ever listed, for this process's successor.
+    /// The records of all cordons and at most `max_ids` hashes of engine ids ever listed, for the process that replaces
+    /// this one in a hot restart.
     pub(in crate::core) fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
         (self.cordons.export_records(), self.cordons.export_known_ids(max_ids))
     }
 
-    /// Merges another process's cordon records and engine ids.
+    /// Merges the cordon records and engine ids of another process.
     pub(in crate::core) fn merge_cordons(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -61,7 +66,8 @@
         self.cordons.merge_known_ids(ids);
         let result = self.cordons.merge_records(now(), records);
         for change in &result.changes {
-            let (target, outcome) = (&change.target, change.outcome);
+            let target = &change.target;
+            let outcome = change.outcome;
             info!(
                 cordon_target = %target,
                 ?outcome,
@@ -86,7 +92,8 @@
     /// Ends cordons whose lease has expired; to be called about once a second.
     pub(in crate::core) fn expire_cordons(&mut self, runtime: &dyn ConnectionRuntime) {
         for change in self.cordons.expire(now()) {
-            let (target, outcome) = (&change.target, change.outcome);
+            let target = &change.target;
+            let outcome = change.outcome;
             info!(cordon_target = %target, ?outcome, "cordon lease expired: {target}, {outcome:?}");
             if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
@@ -94,23 +101,24 @@
         }
     }
 
-    /// How many engines are listed, and how many of them get no requests.
+    /// The number of listed engines, and of those among them that get no requests.
     pub(in crate::core) fn engine_counts(&self) -> EngineCounts {
         let views = self.policy.engine_views();
-        let is_avoided = |number: usize, id: &str| {
-            let by_policy =
-                views.get(number).is_some_and(|v| v.ejected || v.unresponsive || v.backoff_secs > 0.0);
+        let is_avoided = |index: usize, id: &str| {
+            let by_policy = views
+                .get(index)
+                .is_some_and(|view| view.ejected || view.unresponsive || view.backoff_secs > 0.0);
             by_policy || self.cordons.is_engine_cordoned(id)
         };
         let listed = self.engines.iter().enumerate().filter(|(_, engine)| engine.is_listed());
-        let avoided: Vec<bool> = listed.map(|(number, engine)| is_avoided(number, &engine.id)).collect();
+        let avoided: Vec<bool> = listed.map(|(index, engine)| is_avoided(index, &engine.id)).collect();
         EngineCounts {
             listed: avoided.len(),
             avoided: avoided.iter().filter(|is_avoided| **is_avoided).count(),
         }
     }
 
-    /// Records which engines a list names, for calls by id.
+    /// Records which engines a list names, so that calls of operators can refer to them.
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
@@ -125,7 +133,7 @@
         }
     }
 
-    /// A list with the cordoned engines as draining, where that differs.
+    /// A list with the cordoned engines as draining; `None` if that changes nothing.
     pub(super) fn apply_cordons(&self, list: &ListEvent) -> Option<ListEvent> {
         let is_cordoned = |member: &Endpoint| {
             member.phase == EndpointPhase::Ready && self.cordons.is_engine_cordoned(&member.id)
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -1,8 +1,12 @@
-//! Updates of the endpoint list, and connections that end.
+//! The endpoint list and the connections to its engines.
+//!
+//! Enters: events of the list, and connections that open or end. Leaves: events for the policy, dials, and the ends of
+//! attempts that were withdrawn or interrupted. Kept: nothing here; the engine table holds the state.
 
-use super::{ConnectionRuntime, Coordinator};
+use super::Coordinator;
 use crate::core::attempt::{format_id, AttemptOutcome, CANCELLATION_GRACE};
 use crate::core::clock::now;
+use crate::core::connection_runtime::ConnectionRuntime;
 use crate::core::endpoint_list::resolve_duplicates;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
@@ -11,8 +15,8 @@
 use tracing::{debug, info, warn};
 
 impl Coordinator {
-    /// Applies an event of the endpoint list; of one that was seen before, or comes late, only what is new.
-    /// `is_cached`: the list as held before this process started, possibly out of date.
+    /// Applies an event of the endpoint list, or the part of it that is new if it is late. `is_cached`: the list was
+    /// stored before this process started and may be out of date.
     pub(in crate::core) fn on_endpoint_list(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -31,57 +35,57 @@
         self.record_event_number(&list);
         let listed = self.engines.listed_count();
         if let Some(startup) = &mut self.startup {
-            startup.readiness.record_endpoint_list(listed);
+            startup.record_endpoint_list(listed);
         }
         self.execute(runtime, commands);
         runtime.wake();
     }
 
     fn forget_removed_engines(&mut self) {
-        for number in self.engines.remove_expired(now()) {
-            self.policy.forget_engine(number);
+        for engine in self.engines.remove_expired(now()) {
+            self.policy.forget_engine(engine);
         }
     }
 
-    /// Notes which event named each engine last, and the list's revision also where it names none.
+    /// Records the last event that named each engine, and the list's revision, also of a list without engines.
     fn record_event_number(&mut self, list: &ListEvent) {
-        self.engines.note_revision(list.revision);
+        self.engines.record_revision(list.revision);
         for member in &list.members {
-            let number = self.policy.engine_number(&member.id);
-            if let Some(engine) = self.engines.get_mut(number) {
+            let index = self.policy.engine_index(&member.id);
+            if let Some(engine) = self.engines.get_mut(index) {
                 engine.last_event = list.n;
             }
         }
     }
 
-    /// Applies a list's entries, with cordoned engines as draining; the commands that follow from it.
+    /// Applies the entries of a list, with cordoned engines as draining; returns the commands that follow.
     pub(super) fn apply_members(&mut self, list: &ListEvent, is_cached: bool) -> Vec<PolicyCommand> {
         let with_cordons = self.apply_cordons(list);
         let effective = with_cordons.as_ref().unwrap_or(list);
         let event = PolicyEvent::EndpointList { list: effective, is_cached };
         let mut commands = self.policy.on_event(now(), event);
         for (entry, listed) in effective.members.iter().zip(&list.members) {
-            let number = self.policy.engine_number(&entry.id);
-            let engine = self.engines.get_or_insert(number);
+            let index = self.policy.engine_index(&entry.id);
+            let engine = self.engines.get_or_insert(index);
             engine.listed_entry = Some(listed.clone());
             if engine.apply(entry, now()) {
-                // Attempts for the former process would reach the one that has started since, or another engine that
-                // has its address now.
-                commands.extend(self.withdraw_unsent(number));
+                // Attempts for the former process would reach the restarted one, or another engine at its address.
+                commands.extend(self.withdraw_unsent(index));
             }
-            log_entry(number, entry, listed);
+            log_entry(index, entry, listed);
         }
-        // No attempt may be sent after its engine drains: those that wait for a connection, or behind a slow peer, would.
-        for number in 0..self.engines.len() {
-            if self.engines.get(number).is_some_and(|engine| !engine.is_ready) {
-                commands.extend(self.withdraw_unsent(number));
+        // No attempt may be sent to a draining engine, but those that wait for a connection or behind a slow peer would
+        // be.
+        for index in 0..self.engines.len() {
+            if self.engines.get(index).is_some_and(|engine| !engine.is_ready) {
+                commands.extend(self.withdraw_unsent(index));
             }
         }
         commands
     }
 
-    /// Withdraws the attempts that were not sent to an engine, and gives up its dials: none of it ran, so it is sent
-    /// elsewhere whatever its class.
+    /// Withdraws the unsent attempts at an engine and cancels its dials. These attempts never ran, so they are retried
+    /// whatever the class of their request.
     fn withdraw_unsent(&mut self, engine: usize) -> Vec<PolicyCommand> {
         let mut commands = Vec::new();
         let connections = self.engines.get(engine).map(|engine| engine.connections.clone());
@@ -99,40 +103,40 @@
         commands
     }
 
-    /// A connection to an engine for a request: one that is open, or a new one.
+    /// A connection to an engine for a request: an existing one, or a new one.
     ///
     /// # Errors
-    /// The outcome of the attempt if there is none.
+    /// The outcome of the attempt, if there can be no connection for it.
     pub(super) fn connection_for(
         &mut self,
         runtime: &dyn ConnectionRuntime,
         id: u64,
-        number: usize,
+        index: usize,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let limits = runtime.limits();
         let has_capacity = self.engines.connection_count() < limits.max_total;
-        let Some(engine) = self.engines.get_mut(number) else { return Err(AttemptOutcome::Unreachable) };
+        let Some(engine) = self.engines.get_mut(index) else { return Err(AttemptOutcome::Unreachable) };
         if let Some(connection) = engine.reusable_connection(id, limits) {
             return Ok(connection);
         }
-        let connection = engine.add_connection(number, limits, has_capacity)?;
+        let connection = engine.add_connection(index, limits, has_capacity)?;
         if let Some(startup) = &mut self.startup {
-            // Managers that start together must not dial in step.
-            connection.set_dial_time(startup.dials.reserve_dial(now(), &engine.id));
+            // Managers that start together must not dial all engines at the same time.
+            connection.set_dial_time(startup.reserve_dial(now(), &engine.id));
         }
         runtime.start_connection(Rc::clone(&connection));
         Ok(connection)
     }
 
-    /// A connection came up.
+    /// A connection has opened.
     pub(in crate::core) fn on_connection_up(&mut self, connection: &EngineConnection) {
         if let Some(startup) = &mut self.startup {
-            startup.readiness.record_connection();
+            startup.record_connection();
         }
-        self.gossip_reachability(connection.engine, true);
+        self.fleet.record_connection(now(), self.engines.get(connection.engine), true);
     }
 
-    /// A connection has ended. `reason` is empty where that is in order; `is_local`: it was closed by this process.
+    /// A connection has ended. `reason` is empty if that is no fault; `is_local`: this process closed it.
     pub(in crate::core) fn on_connection_down(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -144,7 +148,7 @@
             log_connection_loss(connection, reason);
         }
         if connection.is_dialing() && !is_local {
-            self.gossip_reachability(connection.engine, false);
+            self.fleet.record_connection(now(), self.engines.get(connection.engine), false);
         }
         let commands = self.close_connection(connection, is_local);
         runtime.wake();
@@ -153,9 +157,9 @@
 
     /// Closes a connection and ends every attempt on it, each once.
     ///
-    /// An attempt that was not written completely never ran. One break is one fault of its engine, however many attempts
-    /// were in flight. Where this process closes the connection (`is_local`), those attempts stay in flight until the
-    /// close has reached the engine, for the next attempt would overtake it.
+    /// An attempt that was not sent completely never ran. A lost connection counts as one fault of its engine, however
+    /// many attempts were in flight. If this process closes the connection (`is_local`), the sent attempts stay in
+    /// flight until the close has reached the engine; otherwise the next attempts could run concurrently with them.
     pub(super) fn close_connection(
         &mut self,
         connection: &Rc<EngineConnection>,
@@ -166,11 +170,12 @@
         let mut fault_is_counted = is_local;
         let was_dialing = connection.is_dialing();
         for interrupted in connection.close() {
-            let (id, number) = (interrupted.id, interrupted.attempt);
-            let attempt = self.requests.attempt_mut(id, number).filter(|a| a.is_on(connection));
-            let Some(attempt) = attempt else { continue };
+            let id = interrupted.id;
+            let attempt = interrupted.attempt;
+            let in_flight = self.requests.attempt_mut(id, attempt).filter(|a| a.is_on(connection));
+            let Some(in_flight) = in_flight else { continue };
             let outcome = match interrupted.is_unsent {
-                // A dial that this machine could not make tells nothing of the engine.
+                // A dial that failed for a local reason is no fault of the engine.
                 true if was_dialing && !is_local => AttemptOutcome::Unreachable,
                 true => AttemptOutcome::NeverRan,
                 false if fault_is_counted => AttemptOutcome::ConnectionClosed,
@@ -181,8 +186,8 @@
             }
             if is_local && !interrupted.is_unsent {
                 let now = now();
-                attempt.mark_closed(outcome, now);
-                self.requests.schedule_cancellation(now + CANCELLATION_GRACE, id, number);
+                in_flight.mark_closed(outcome, now);
+                self.requests.schedule_cancellation(now + CANCELLATION_GRACE, id, attempt);
             } else {
                 commands.extend(self.end_attempt(id, outcome));
             }
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -1,15 +1,17 @@
-//! Tests of the coordinator: one final response a request, one end an attempt.
+//! Tests of the coordinator: each request gets one final response, and each attempt ends once.
 
 use super::*;
 use crate::core::attempt::Cancellation;
 use crate::core::connection_task::ConnectionOwner;
+use crate::core::engine_connection::EngineConnection;
 use crate::core::test_support::{core, local, member, request};
 use crate::core::Core;
 use crate::proto::events::{EndpointPhase, ListEvent};
+use std::rc::Rc;
 use std::time::Duration;
 
-/// The next attempt is sent a median 26 us after the cancellation, by another path, and may overtake it: two copies of one
-/// request would run.
+/// The next attempt is sent right after the cancellation, on another connection, and may overtake it: two attempts of
+/// one request would run concurrently.
 #[test]
 fn cancelled_attempt_stays_in_flight_until_its_cancellation_has_arrived() {
     local(async {
@@ -17,11 +19,11 @@
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let connection = {
             let coordinator = core.coordinator.borrow();
-            let out = coordinator.requests.pending(1).in_flight.as_ref().expect("an attempt is out");
-            Rc::clone(&out.connection)
+            let attempt = coordinator.requests.pending(1).in_flight.as_ref().expect("an attempt in flight");
+            Rc::clone(&attempt.connection)
         };
         tokio::time::sleep(Duration::from_millis(50)).await;
-        // Hardly begun long after the latency objective: the policy cancels it.
+        // Almost no progress long after the latency objective: the policy cancels the attempt.
         let note: [&[u8]; 3] = [b"0000000000000001", b"update", b"how=so_far,num=0.0"];
         core.on_answer(&connection, &note).expect("understood");
         {
@@ -31,13 +33,13 @@
                 .pending(1)
                 .in_flight
                 .as_ref()
-                .expect("still out")
+                .expect("still in flight")
                 .cancellation
                 .is_some());
             assert_eq!(
                 coordinator.requests.pending(1).attempts,
                 1,
-                "sent again before the cancellation has arrived"
+                "retried before the cancellation has arrived"
             );
         }
         tokio::task::spawn_local(Rc::clone(&core).run());
@@ -47,25 +49,25 @@
                 return;
             }
         }
-        panic!("never sent again");
+        panic!("the request was not retried");
     });
 }
 
-/// Two copies must not run where this process is slow: the cancellation waits for its connection, so the next attempt waits
-/// for the cancellation.
+/// Two attempts must not run concurrently if this process is slow: the cancellation waits for its connection, so the
+/// next attempt waits for the cancellation.
 #[test]
 fn cancellation_that_was_not_sent_has_not_arrived() {
     local(async {
         let (core, _engines) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
-        let stuck = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
-        let (attempt, place) = {
+        let undialled = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
+        let (attempt, stream_end) = {
             let mut coordinator = core.coordinator.borrow_mut();
-            let out = coordinator.requests.in_flight_mut(1).expect("out");
-            stuck.command(core.pool(), &[b"undo"]);
-            out.cancellation = Some(Cancellation { stream_end: stuck.queued(), sent_at: None });
-            out.connection = Rc::clone(&stuck);
-            (out.number, stuck.queued())
+            let in_flight = coordinator.requests.in_flight_mut(1).expect("in flight");
+            undialled.command(core.pool(), &[b"undo"]);
+            in_flight.cancellation = Some(Cancellation { stream_end: undialled.queued(), sent_at: None });
+            in_flight.connection = Rc::clone(&undialled);
+            (in_flight.number, undialled.queued())
         };
         let has_ended = || {
             core.coordinator.borrow_mut().check_cancellation(&core, 1, attempt);
@@ -75,22 +77,22 @@
                 .pending(1)
                 .in_flight
                 .as_ref()
-                .is_none_or(|o| o.number != attempt)
+                .is_none_or(|in_flight| in_flight.number != attempt)
         };
-        assert!(!has_ended() && !stuck.has_passed(place));
+        assert!(!has_ended() && !undialled.has_passed(stream_end));
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert!(!has_ended(), "it is still in the queue");
-        stuck.close();
+        undialled.close();
         assert!(!has_ended(), "it was sent only now");
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert!(has_ended());
     });
 }
 
-/// Engines may come under new ids for ever, and every decision looks at all numbers: memory and time per request must stay
-/// bounded.
+/// Engines may appear under new ids without end, and every decision visits all indices: memory and time per request
+/// must stay bounded.
 #[test]
-fn numbers_of_gone_engines_are_reused() {
+fn indices_of_gone_engines_are_reused() {
     local(async {
         let (core, engines) = core().await;
         core.coordinator.borrow_mut().engines.set_retention(TimeDelta::ZERO);
@@ -102,20 +104,20 @@
             tokio::time::sleep(Duration::from_micros(10)).await;
         }
         assert!(core.coordinator.borrow().engines.len() < 10, "{}", core.coordinator.borrow().engines.len());
-        // A complete list that names one engine only: the others are gone, and the one that it names is used.
+        // A complete list that names one engine only: the others are gone, and that one is used.
         let members = vec![member(499, EndpointPhase::Ready)];
         core.on_endpoint_list(&ListEvent { n: 500, revision: 0, complete: true, members }, false);
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let mut coordinator = core.coordinator.borrow_mut();
-        let number = coordinator.policy.engine_number("e-499");
+        let engine = coordinator.policy.engine_index("e-499");
         assert_eq!(
-            coordinator.requests.pending(1).in_flight.as_ref().expect("out").connection.engine,
-            number
+            coordinator.requests.pending(1).in_flight.as_ref().expect("in flight").connection.engine,
+            engine
         );
     });
 }
 
-/// A second response has nowhere to go, whoever gives it.
+/// A second response is dropped, whichever part gives it.
 #[test]
 fn request_has_one_final_response() {
     local(async {
@@ -142,18 +144,26 @@
         assert!(matches!(handle.wait().await, Response::Rejected { reason: RejectReason::Overloaded, .. }));
         let mut other = request(&core, 1);
         other.statement.extend_from_slice(b"SELECT 2");
-        assert!(core.submit(other).is_none(), "nor one that was another statement's");
+        assert!(core.submit(other).is_none(), "nor one that was recently used for another statement");
     });
 }
 
-/// Nothing may be sent to an engine that drains. An attempt that waits for its connection never ran, so it is sent elsewhere.
+/// Nothing may be sent to a draining engine. An attempt that waits for its connection never ran, so it is retried.
 #[test]
 fn unsent_attempt_is_sent_elsewhere_when_its_engine_drains() {
     local(async {
         let (core, engines) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let engine = |core: &Core| {
-            core.coordinator.borrow().requests.pending(1).in_flight.as_ref().expect("out").connection.engine
+            core.coordinator
+                .borrow()
+                .requests
+                .pending(1)
+                .in_flight
+                .as_ref()
+                .expect("in flight")
+                .connection
+                .engine
         };
         let first = engine(&core);
         let address = engines[first].local_addr().expect("an address").to_string();
@@ -164,7 +174,7 @@
         );
         assert_eq!(engine(&core), 1 - first);
         assert_eq!(core.coordinator.borrow().requests.pending(1).attempts, 2);
-        // The event comes again after a reconnect: it is skipped.
+        // The same event arrives again after a reconnect and is skipped.
         let again = ListEvent { n: 2, revision: 0, complete: true, members: Vec::new() };
         core.on_endpoint_list(&again, false);
         assert_eq!(engine(&core), 1 - first);
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -1,5 +1,7 @@
-//! The client of the control feed: one HTTP/1.1 poll at a time, which goes on where the last one ended. When to poll and
-//! when to give up is decided by [`super::endpoint_watch`].
+//! The client of the control feed: one HTTP/1.1 poll at a time, which continues after the last event applied.
+//!
+//! Enters: the address of the feed, and the events of its responses. Leaves: endpoint lists, applied to the [`Core`].
+//! Kept: nothing; [`super::endpoint_watch`] decides when to poll and when to give a poll up.
 
 use super::endpoint_watch::{EndpointWatch, UnexpectedStatus};
 use super::socket::Socket;
@@ -22,7 +24,8 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, warn};
 
-/// Bytes that a poll reads ahead, and so the longest head of a response; the least that the library accepts.
+/// Size of the read buffer of a poll in bytes, and so the limit on the head of a response. It is the smallest size that
+/// the library accepts.
 const READ_AHEAD_BYTES: usize = 8192;
 
 /// Why a poll ended before its response did.
@@ -44,9 +47,8 @@
     Event(#[source] events::EventError),
 }
 
-/// Follows the feed for good, one poll at a time, at whatever address it has: a new one is polled at once and the poll of
-/// the old one dropped, whatever it still had to deliver. With a start-up `schedule`, polls wait for their turn in it, and
-/// backoffs are its own.
+/// Watches the endpoint list without end, one poll at a time. If the address of the feed changes, the new one is polled
+/// at once and the poll of the old one is dropped. A start-up `schedule` sets the times of polls and their backoffs.
 pub async fn follow(
     core: Rc<Core>,
     mut address: watch::Receiver<Option<String>>,
@@ -56,7 +58,7 @@
     loop {
         let current = address.borrow_and_update().clone();
         tokio::select! {
-            // A feed may move while the old one stays open with no news.
+            // The feed may move while its old address keeps a poll open without events.
             biased;
             Ok(()) = address.changed() => watch.on_address_changed(now()),
             () = wait_and_poll(&core, current.as_deref(), &mut watch) => {}
@@ -80,7 +82,7 @@
     }
 }
 
-/// A step of a poll, within the time that the watch leaves it.
+/// Runs a step of a poll with the timeout that the watch sets.
 async fn within<T, E: Into<PollError>>(
     watch: &EndpointWatch,
     step: impl Future<Output = Result<T, E>>,
@@ -102,12 +104,11 @@
     let stream = within(watch, TcpStream::connect(address)).await?;
     watch.on_connected(now());
     let mut client = http1::Builder::new();
-    // Of the head of the response only its status and its body's framing matter. A poll's few bytes go out in one plain
-    // write.
+    // Only the status and the framing of the response are used. A poll is short enough for one plain write.
     client.max_buf_size(READ_AHEAD_BYTES).ignore_invalid_headers_in_responses(true).writev(false);
     let (mut sender, connection) =
         within(watch, client.handshake::<_, Empty<Bytes>>(TokioIo::new(Socket::new(stream)))).await?;
-    // Dropped with the poll, and the connection with it.
+    // Dropping the poll aborts this task, which closes the connection.
     let mut driver = JoinSet::new();
     driver.spawn_local(connection);
     let request = Request::get("/v1/events")
@@ -118,7 +119,7 @@
         .body(Empty::new())?;
     let response = within(watch, sender.send_request(request)).await?;
     watch.on_response(response.status().as_u16(), now())?;
-    core.on_endpoint_service_answered();
+    core.on_control_feed_answered();
     read_events(core, response, watch).await
 }
 
@@ -140,7 +141,7 @@
                 apply(core, &event, watch)?;
             }
             let Err(error) = result else { break };
-            // An event without end must not come again with every poll.
+            // An event that never ends would otherwise stop every poll.
             let event = decoder.id();
             let is_new = event.is_none_or(|number| number > core.last_event());
             if is_new && watch.should_retry_event(event) {
@@ -153,8 +154,8 @@
     Ok(())
 }
 
-/// Applies one event; an error where it is to be asked for again. Its number is the one from which the next poll goes on;
-/// only where it has none, the one in its data is used.
+/// Applies one event; returns an error if a further poll has to request it again. The number of the event, from which
+/// the next poll continues, overrides the one in its data.
 fn apply(core: &Rc<Core>, event: &sse::ServerSentEvent, watch: &mut EndpointWatch) -> Result<(), PollError> {
     let last_event = core.last_event();
     match events::parse(&event.data) {
@@ -163,10 +164,10 @@
             core.on_endpoint_list(&list, false);
         }
         Ok(None) => event.id.into_iter().for_each(|number| core.skip_event(number)),
-        // An event that was applied before is of no use again, whatever became of it on the way.
+        // The event was applied before; nothing is lost by a damaged copy.
         Err(_) if event.id.is_some_and(|number| number <= last_event) => {}
         Err(error) if watch.should_retry_event(event.id) => return Err(PollError::Event(error)),
-        // One bad event must not come again with every poll.
+        // An unreadable event would otherwise stop every poll.
         Err(error) => skip(core, event.id, &error),
     }
     if core.last_event() != last_event {
@@ -175,7 +176,7 @@
     Ok(())
 }
 
-/// Skips an event that cannot be read.
+/// Skips an event that cannot be read: the next poll continues after it.
 fn skip(core: &Core, event: Option<u64>, error: &dyn std::error::Error) {
     error!("feed event skipped: {error}");
     event.into_iter().for_each(|number| core.skip_event(number));
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,38 +1,39 @@
-//! The state machine of the endpoint watch: when the control feed is polled, when a poll is given up, and which events are
-//! asked for again. The `endpoint_client` module drives it. It reads no clock and draws no random numbers.
+//! The state machine of the endpoint watch: when the control feed is polled, when a poll times out, and which events
+//! are requested again. The `endpoint_client` module drives it. It reads no clock and draws no random numbers.
 //!
-//! A poll passes through phases, each with a bound on how long it may last with nothing received.
+//! Enters: what a poll has reached, at an instant given by the caller. Leaves: the time left until the next step, and
+//! whether an unreadable event is requested again. Kept: the phase of the poll, each with a timeout, and the backoff.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::endpoint_poller::{EndpointPoller, PollOutcome};
 
-/// First backoff between two polls. The feed's events count as delivered whether it is connected or not, and a drain must
-/// be obeyed within 500 ms: no backoff may come near that.
-pub const MIN_BACKOFF: TimeDelta = TimeDelta::from_micros(20_000);
+/// Shortest backoff between two polls. The events of the feed count as delivered even while no poll is open, and a
+/// drain must be obeyed within 500 ms, so the backoffs have to stay well below that.
+pub const MIN_BACKOFF: TimeDelta = TimeDelta::from_millis(20);
 /// Longest backoff between two polls.
-pub const MAX_BACKOFF: TimeDelta = TimeDelta::from_micros(250_000);
-/// A comment comes each second: a feed that is silent for this long is dead.
-pub const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_500_000);
-/// In a response that keeps coming, an event or comment must be complete at least this often: bytes alone may trickle for
-/// ever. Longer than [`IDLE_TIMEOUT`], for a long list on a busy machine comes in parts.
-pub const EVENT_TIMEOUT: TimeDelta = TimeDelta::from_micros(4_000_000);
-/// For the head of a response, where the poll before was answered: the feed answers at once. After one that was not
-/// answered it is [`IDLE_TIMEOUT`], so that a slow feed is reached all the same.
-pub const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_500_000);
-/// For a connection to the feed.
-pub const DIAL_TIMEOUT: TimeDelta = TimeDelta::from_micros(500_000);
-/// How often an unreadable event is asked for again before it is skipped: what damaged it on the way may not come again,
-/// and its content would be lost.
+pub const MAX_BACKOFF: TimeDelta = TimeDelta::from_millis(250);
+/// Time without a byte after which a response is given up. The feed sends a comment each second.
+pub const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_500);
+/// Time between two complete events or comments after which a response is given up, for single bytes could keep it open
+/// without end. Longer than [`IDLE_TIMEOUT`], because a long list may arrive in several parts.
+pub const EVENT_TIMEOUT: TimeDelta = TimeDelta::from_secs(4);
+/// Timeout of the head of a response, if the previous poll was answered. After an unanswered poll it is
+/// [`IDLE_TIMEOUT`], so that a slow feed can still answer.
+pub const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
+/// Timeout of a connection to the feed.
+pub const DIAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
+/// Times that an unreadable event is requested again before it is skipped. If it was damaged in transit, a further copy
+/// may be intact.
 pub const MAX_EVENT_RETRIES: u32 = 3;
 
-/// HTTP status of a response that brings events.
+/// HTTP status of a response with events (RFC 9110, 15.3.1).
 const STATUS_OK: u16 = 200;
 /// HTTP status "too many requests" (RFC 6585, 4).
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 /// HTTP status "service unavailable" (RFC 9110, 15.6.4).
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// How far the poll is.
+/// The phase of the poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Between two polls.
@@ -44,45 +45,45 @@
     },
     /// A connection is being made.
     Dialing {
-        /// Since then.
+        /// When the dial began.
         since: Timestamp,
     },
-    /// The request was sent, and no response has come.
+    /// The request was sent; no response has arrived.
     AwaitingResponse {
-        /// Since then.
+        /// When the request was sent.
         since: Timestamp,
     },
     /// The response is being read.
     Reading {
-        /// When the last byte came.
+        /// When the last byte arrived.
         last_byte_at: Timestamp,
         /// When the last event or comment was complete.
         last_event_at: Timestamp,
     },
 }
 
-/// The pause after a poll.
+/// The backoff after a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// How long it lasts.
+    /// Its length.
     pub delay: TimeDelta,
-    /// The service rejected the poll: the delay is the start-up schedule's for that.
+    /// The feed rejected the poll, and the start-up schedule set the delay for that.
     pub was_rejected: bool,
 }
 
-/// The state of the endpoint watch. With a start-up schedule, first polls wait for their turn in it, and backoffs are its
-/// own.
+/// The state of the endpoint watch. A start-up schedule, if there is one, sets the time of the first poll and the
+/// backoffs.
 #[derive(Clone, Debug)]
 pub struct EndpointWatch {
     phase: Phase,
     schedule: Option<EndpointPoller>,
     backoff: TimeDelta,
     was_rejected: bool,
-    /// The number of the event that could not be read last.
+    /// The number of the last unreadable event.
     unreadable_event: u64,
-    /// How often it could not be read.
+    /// How often that event was unreadable.
     unreadable_count: u32,
-    /// How often an event without a number could not be read since the last one that was applied.
+    /// How often an event without a number was unreadable since the last event that was applied.
     unnumbered_unreadable_count: u32,
 }
 
@@ -101,8 +102,8 @@
         }
     }
 
-    /// How much longer the phase may last if nothing happens: then a backoff is over, or the poll is to be given up. Zero
-    /// where that is overdue, and never longer than the phase's bound, should the clock be set back.
+    /// The time until the phase ends if nothing happens: a backoff is over then, or the poll has timed out. Never
+    /// negative, and never longer than the timeout of the phase, even if the clock is set back.
     pub fn time_left(&self, now: Timestamp) -> TimeDelta {
         let (until, bound) = match self.phase {
             Phase::BackingOff { until, delay } => (until, delay),
@@ -118,7 +119,7 @@
         (until - now).min(bound).max(TimeDelta::ZERO)
     }
 
-    /// Why the poll is given up when its time is over.
+    /// The reason to log when the phase times out.
     pub fn timeout_reason(&self) -> &'static str {
         match self.phase {
             Phase::BackingOff { .. } | Phase::Dialing { .. } => "no connection in time",
@@ -140,10 +141,10 @@
         self.phase = Phase::AwaitingResponse { since: now };
     }
 
-    /// The head of a response came, with this status.
+    /// The head of a response arrived, with this status.
     ///
     /// # Errors
-    /// Where the poll is over by it: only 200 brings events. 429 and 503 reject the poll for now.
+    /// If the status is not 200, the only one with events: the poll is over. 429 and 503 reject the poll.
     pub fn on_response(&mut self, status: u16, now: Timestamp) -> Result<(), UnexpectedStatus> {
         self.was_rejected = matches!(status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
         if status != STATUS_OK {
@@ -153,7 +154,7 @@
         Ok(())
     }
 
-    /// Bytes of a response came; `completes_event` if an event or a comment is complete by them.
+    /// Bytes of a response arrived; `completes_event`: they complete an event or a comment.
     pub fn on_bytes(&mut self, completes_event: bool, now: Timestamp) {
         if let Phase::Reading { last_byte_at, last_event_at } = &mut self.phase {
             *last_byte_at = now;
@@ -163,8 +164,9 @@
         }
     }
 
-    /// An event could not be read: whether the poll is given up to ask for it again, else it is skipped. Events without a
-    /// number count as one, apart from the others: two bad events in one response must not reset each other's count.
+    /// An event was unreadable. Whether the poll is given up and the event requested again; otherwise it is skipped.
+    /// Events without a number share one counter of their own: two unreadable events in one response must not reset
+    /// each other's.
     pub fn should_retry_event(&mut self, event: Option<u64>) -> bool {
         let count = match event {
             Some(number) => {
@@ -185,8 +187,8 @@
         self.unnumbered_unreadable_count = 0;
     }
 
-    /// The poll is over, for whatever reason. Backoffs grow with polls that were not answered, and start anew with one that
-    /// was, whether it brought an event or not: a feed may end its responses as it likes.
+    /// The poll has ended. Backoffs double with each unanswered poll and are reset by an answered one, even without an
+    /// event: the feed may end a response at any time.
     pub fn on_poll_ended(&mut self, now: Timestamp) -> Backoff {
         let was_answered = matches!(self.phase, Phase::Reading { .. });
         self.backoff =
@@ -205,7 +207,7 @@
         backoff
     }
 
-    /// The feed's address has changed: it is polled at once, and a poll under way is dropped.
+    /// The address of the feed has changed: it is polled at once, and a poll of the old address is dropped.
     pub fn on_address_changed(&mut self, now: Timestamp) {
         if !matches!(self.phase, Phase::BackingOff { .. }) {
             if let Some(schedule) = &mut self.schedule {
@@ -217,7 +219,7 @@
     }
 }
 
-/// A response that brings no events.
+/// A response without events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field status is not 200: {0}")]
 pub struct UnexpectedStatus(pub u16);
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -1,7 +1,11 @@
-//! A connection to an engine: what it carries and what has still to be sent on it.
+//! The state of one connection to an engine.
 //!
-//! A connection carries many attempts. It belongs to an engine's id and not to its address, for addresses are reused. When
-//! it breaks, each attempt on it ends once. The `connection_task` module dials and serves it.
+//! Enters: commands, and attempts with the command that sends each. Leaves: the buffers to write, and on close the
+//! attempts that were interrupted. Kept: the attempts on the connection with the offsets of their commands, and the
+//! requests whose attempts ended here unserved.
+//!
+//! A connection carries many attempts. It belongs to an engine's id and not to its address, because addresses are
+//! reused. When it breaks, each attempt on it ends once. The `connection_task` module dials and serves it.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use super::clock::now;
@@ -17,28 +21,28 @@
 
 pub(super) use send_queue::{QueuedBuffer, UnsentCommand};
 
-/// Fraction of the idle time after which this side closes: engines close at the whole of it, and a request that crosses
-/// their close would count as one that may have run.
+/// Fraction of the engines' idle timeout after which this process closes an idle connection. Engines close it at the
+/// full timeout, and an attempt that crosses their close would count as one that may have run.
 const IDLE_FRACTION: f64 = 0.8;
-/// Progress notes missed in a row after which a connection with old attempts accepts no new ones.
+/// Limit on consecutive missing progress notes: beyond it the connection accepts no further attempts.
 const MAX_MISSED_NOTES: i64 = 3;
-/// Attempts that ended unserved on one connection before it is retired.
+/// Limit on the attempts that end unserved on one connection: at this number it is retired.
 const MAX_UNSERVED: usize = 512;
 
-/// Bounds and timeouts of connections to engines.
+/// Limits and timeouts of connections to engines.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Attempts that one connection carries at a time.
+    /// Limit on the attempts on one connection at a time.
     pub max_streams: usize,
-    /// A connection that is not up by then has failed.
+    /// Time until a dial fails.
     pub dial_timeout: TimeDelta,
-    /// An idle connection is closed by its engine after this.
+    /// Time after which an engine closes an idle connection.
     pub idle_timeout: TimeDelta,
-    /// Time between progress notes on an attempt; zero where there are none.
+    /// Time between two progress notes on an attempt; zero if engines send none.
     pub note_interval: TimeDelta,
-    /// Connections to one engine at a time.
+    /// Limit on the connections to one engine at a time.
     pub max_per_engine: usize,
-    /// Connections to all engines at a time.
+    /// Limit on the connections to all engines at a time.
     pub max_total: usize,
 }
 
@@ -49,10 +53,11 @@
     Closed,
 }
 
-/// An attempt on a connection, and where its command stands in the stream, in bytes.
+/// An attempt on a connection, and the offsets of its command in the stream, in bytes.
 #[derive(Clone, Copy, Debug)]
 struct CarriedAttempt {
-    number: u32,
+    /// Its number among the attempts of its request, from 0.
+    attempt: u32,
     start: u64,
     end: u64,
     queued_at: Timestamp,
@@ -60,14 +65,14 @@
     is_withdrawn: bool,
 }
 
-/// How far an attempt was sent when it was to be withdrawn.
+/// The result of withdrawing an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
     /// No byte of it was sent, and none will be.
     Complete,
-    /// A part of it was sent: only closing the connection keeps the rest back.
+    /// A part of it was sent: only closing the connection stops the rest.
     Partial,
-    /// It was sent.
+    /// All of it was sent.
     TooLate,
 }
 
@@ -76,7 +81,7 @@
 pub struct InterruptedAttempt {
     /// Its request.
     pub id: u64,
-    /// Its number.
+    /// Its number among the attempts of its request, from 0.
     pub attempt: u32,
     /// Its command was not sent completely. An engine runs complete commands only, so it never ran.
     pub is_unsent: bool,
@@ -85,7 +90,7 @@
 /// One connection to an engine.
 #[derive(Debug)]
 pub struct EngineConnection {
-    /// The engine, by number.
+    /// The index of its engine.
     pub engine: usize,
     address: SocketAddr,
     state: Cell<State>,
@@ -95,8 +100,8 @@
     attempts: RefCell<BTreeMap<u64, CarriedAttempt>>,
     /// Requests whose attempt ended here unserved: their engine may still answer.
     unserved: RefCell<BTreeSet<u64>>,
-    /// When the engine was last heard, or the connection last fell idle.
-    last_heard_at: Cell<Timestamp>,
+    /// When the engine last sent bytes, or the last attempt ended.
+    last_active_at: Cell<Timestamp>,
     /// When it may be dialled.
     dial_time: Cell<Timestamp>,
     wake: Notify,
@@ -113,14 +118,14 @@
             send_queue: RefCell::default(),
             attempts: RefCell::default(),
             unserved: RefCell::default(),
-            last_heard_at: Cell::new(now()),
+            last_active_at: Cell::new(now()),
             dial_time: Cell::new(Timestamp::ZERO),
             wake: Notify::new(),
         })
     }
 
-    /// Whether request `id` may be sent on it. Not where an attempt of it ended unserved: a late answer to the old attempt
-    /// could not be told from one to the new.
+    /// Whether an attempt of request `id` may be sent on it. Not if an earlier attempt of that request ended on it
+    /// unserved, because a late answer to the earlier one could not be distinguished from an answer to the new one.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
         !self.is_closed()
             && !self.is_retired.get()
@@ -129,20 +134,21 @@
             && !self.has_ended_unserved(id)
     }
 
-    /// Whether progress notes on an attempt are missing. The connection of a machine that vanished stays open and silent.
+    /// Whether progress notes on an attempt are missing: the connection of a machine that has failed stays open and
+    /// silent.
     fn is_unresponsive(&self, limits: &ConnectionLimits) -> bool {
-        let patience = TimeDelta::from_micros(limits.note_interval.as_micros() * MAX_MISSED_NOTES);
+        let max_silence = TimeDelta::from_micros(limits.note_interval.as_micros() * MAX_MISSED_NOTES);
         let is_overdue =
-            |attempt: &CarriedAttempt| now() - attempt.queued_at.max(self.last_heard_at.get()) > patience;
+            |attempt: &CarriedAttempt| now() - attempt.queued_at.max(self.last_active_at.get()) > max_silence;
         limits.note_interval > TimeDelta::ZERO && self.attempts.borrow().values().any(is_overdue)
     }
 
-    /// Sets when it may be dialled; what is sent on it before waits.
+    /// Sets when it may be dialled; commands queued before that wait.
     pub fn set_dial_time(&self, at: Timestamp) {
         self.dial_time.set(at);
     }
 
-    /// Keeps new attempts off it: its engine has started anew, moved or gone.
+    /// Makes it accept no further attempts, because its engine has restarted, moved or gone.
     pub fn retire(&self) {
         self.is_retired.set(true);
     }
@@ -157,22 +163,22 @@
         self.address
     }
 
-    /// Notes that it has come up.
+    /// Records that it is open.
     pub(super) fn set_up(&self) {
         self.state.set(State::Up);
     }
 
-    /// Notes that the engine was heard.
-    pub(super) fn record_heard(&self, now: Timestamp) {
-        self.last_heard_at.set(now);
+    /// Records that the engine sent bytes.
+    pub(super) fn record_activity(&self, now: Timestamp) {
+        self.last_active_at.set(now);
     }
 
-    /// Returns when something is queued, or it is closed.
+    /// Waits until a command is queued or the connection is closed.
     pub(super) async fn wait_for_work(&self) {
         self.wake.notified().await;
     }
 
-    /// Whether it is closed by this process.
+    /// Whether this process has closed it.
     pub(super) fn is_closed(&self) -> bool {
         self.state.get() == State::Closed
     }
@@ -182,23 +188,23 @@
         self.state.get() == State::Dialing
     }
 
-    /// Attempts on it.
+    /// The number of attempts on it.
     pub fn attempt_count(&self) -> usize {
         self.attempts.borrow().len()
     }
 
     /// The attempts on it: request and attempt number.
     pub fn attempts(&self) -> Vec<(u64, u32)> {
-        self.attempts.borrow().iter().map(|(id, attempt)| (*id, attempt.number)).collect()
+        self.attempts.borrow().iter().map(|(id, carried)| (*id, carried.attempt)).collect()
     }
 
     /// The number of a request's attempt that is on it.
     pub fn attempt_of(&self, id: u64) -> Option<u32> {
-        self.attempts.borrow().get(&id).map(|attempt| attempt.number)
+        self.attempts.borrow().get(&id).map(|carried| carried.attempt)
     }
 
-    /// Queues a command on an attempt; on a closed connection there is none any more. It takes a buffer whatever the pool
-    /// has left: a cancellation that is not sent would let the attempt run beside the next one.
+    /// Queues a command on an attempt, unless the connection is closed. It takes a buffer even beyond the limit of the
+    /// pool: without its cancellation, an attempt would run concurrently with the next one.
     pub fn command(&self, pool: &BufferPool, parts: &[&[u8]]) {
         if !self.is_closed() {
             self.queue_command(parts, || Some(pool.get_beyond_limit()));
@@ -221,13 +227,14 @@
         }
         let end = self.queued();
         self.send_queue.borrow_mut().push_attempt(UnsentCommand { id, attempt, start, end });
-        let carried = CarriedAttempt { number: attempt, start, end, queued_at: now(), is_withdrawn: false };
+        let carried = CarriedAttempt { attempt, start, end, queued_at: now(), is_withdrawn: false };
         self.attempts.borrow_mut().insert(id, carried);
         true
     }
 
-    /// Queues the command that sends an attempt anew, behind all others, in place of one of which no byte was sent; false if
-    /// a byte was sent. It takes a buffer whatever the pool has left: that of the old command is free as soon as it is skipped.
+    /// Queues a new command for an attempt behind all others, in place of one of which no byte was sent; false if a
+    /// byte was sent. It takes a buffer even beyond the limit of the pool, for the old command's is released once it is
+    /// skipped.
     pub fn requeue(&self, pool: &BufferPool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
         if self.is_closed() || self.withdraw(id) != Withdrawal::Complete {
             return false;
@@ -244,22 +251,22 @@
         true
     }
 
-    /// Bytes queued so far.
+    /// Offset of the end of the queued commands, in bytes.
     pub fn queued(&self) -> u64 {
         self.send_queue.borrow().queued()
     }
 
-    /// Bytes sent so far, or skipped because they were withdrawn.
+    /// Offset up to which the stream was sent or skipped, in bytes.
     pub fn written(&self) -> u64 {
         self.send_queue.borrow().written()
     }
 
-    /// Whether all bytes up to an offset in the stream were sent, or never will be.
+    /// Whether the stream was sent or skipped up to an offset, or ends before it.
     pub fn has_passed(&self, offset: u64) -> bool {
         self.written() >= offset || self.is_closed()
     }
 
-    /// Whether some of the command that sends a request's attempt has still to be sent.
+    /// Whether the command that sends a request's attempt is not sent completely yet.
     pub fn is_unsent(&self, id: u64) -> bool {
         let written = self.written();
         let attempts = self.attempts.borrow();
@@ -267,13 +274,13 @@
             && attempts.get(&id).is_some_and(|attempt| !attempt.is_withdrawn && attempt.end > written)
     }
 
-    /// The requests whose attempts have still to be sent, or a part of them.
+    /// The requests whose attempts are not sent completely yet.
     pub fn unsent_ids(&self) -> Vec<u64> {
         self.send_queue.borrow().unsent_ids()
     }
 
-    /// Withdraws the command that sends a request's attempt, if no byte of it was sent: its bytes are skipped. A connection
-    /// that comes up late must not send a request that has its final response.
+    /// Withdraws the command that sends a request's attempt, if no byte of it was sent: its bytes are skipped.
+    /// Otherwise a connection that opens late would send requests that have their final response.
     pub fn withdraw(&self, id: u64) -> Withdrawal {
         if self.attempts.borrow().get(&id).is_some_and(|attempt| attempt.is_withdrawn) {
             return Withdrawal::Complete;
@@ -291,19 +298,20 @@
         Withdrawal::Complete
     }
 
-    /// Removes an attempt that has ended. `is_unserved`: the engine may still answer it, or answer it again as a duplicate.
+    /// Removes an attempt that has ended. `is_unserved`: the engine may still answer it, or answer it again as a
+    /// duplicate.
     pub fn release(&self, id: u64, is_unserved: bool) {
         let was_carried = self.attempts.borrow_mut().remove(&id).is_some();
         if was_carried && is_unserved {
             let mut unserved = self.unserved.borrow_mut();
             unserved.insert(id);
-            // Bounds what a connection remembers: a new one replaces it.
+            // Bounds the set: a new connection replaces this one.
             if unserved.len() >= MAX_UNSERVED {
                 self.is_retired.set(true);
             }
         }
         if self.attempts.borrow().is_empty() {
-            self.last_heard_at.set(now());
+            self.last_active_at.set(now());
         }
     }
 
@@ -312,29 +320,29 @@
         self.unserved.borrow().contains(&id)
     }
 
-    /// Closes it: the attempts that were on it.
+    /// Closes it; returns the attempts that were on it.
     pub fn close(&self) -> Vec<InterruptedAttempt> {
         self.state.set(State::Closed);
         self.send_queue.borrow_mut().clear();
         self.wake.notify_one();
         let written = self.written();
         let attempts = std::mem::take(&mut *self.attempts.borrow_mut());
-        let interrupted = attempts.into_iter().map(|(id, attempt)| InterruptedAttempt {
+        let interrupted = attempts.into_iter().map(|(id, carried)| InterruptedAttempt {
             id,
-            attempt: attempt.number,
-            is_unsent: attempt.is_withdrawn || attempt.end > written,
+            attempt: carried.attempt,
+            is_unsent: carried.is_withdrawn || carried.end > written,
         });
         interrupted.collect()
     }
 
-    /// Returns once it is closed by this process.
+    /// Waits until this process closes it.
     pub(super) async fn wait_closed(&self) {
         while !self.is_closed() {
             self.wake.notified().await;
         }
     }
 
-    /// Whether no attempt on it was sent, or begun to be.
+    /// Whether no byte of any attempt on it was sent.
     pub(super) fn has_nothing_in_flight(&self) -> bool {
         let written = self.written();
         self.attempts.borrow().values().all(|attempt| attempt.is_withdrawn || attempt.start >= written)
@@ -345,26 +353,28 @@
         self.send_queue.borrow_mut().pop_buffer()
     }
 
-    /// The first attempt whose command begins in this part of the stream.
+    /// The first attempt whose command begins between two offsets.
     pub(super) fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
         self.send_queue.borrow().next_attempt(from, to)
     }
 
-    /// Skips withdrawn bytes at the head of the stream; up to where may be written then.
+    /// Skips withdrawn bytes at the head of the stream; returns the offset up to which may be written, if there is a
+    /// limit.
     pub(super) fn skip_withdrawn(&self) -> Option<u64> {
         self.send_queue.borrow_mut().skip_withdrawn()
     }
 
-    /// Counts bytes that were written; the attempts that were sent completely by them.
+    /// Advances the written offset; returns the number of attempts that are sent completely by it.
     pub(super) fn record_written(&self, bytes: usize) -> u64 {
         self.send_queue.borrow_mut().record_written(bytes)
     }
 
+    /// Whether it has no attempt and is retired or has been inactive for too long.
     pub(super) fn is_idle(&self, limits: &ConnectionLimits) -> bool {
-        let patience =
+        let max_idle =
             TimeDelta::from_micros((limits.idle_timeout.as_micros() as f64 * IDLE_FRACTION) as i64);
-        let is_idle_for_long = || now() - self.last_heard_at.get() > patience;
-        self.attempts.borrow().is_empty() && (self.is_retired.get() || is_idle_for_long())
+        let is_overdue = || now() - self.last_active_at.get() > max_idle;
+        self.attempts.borrow().is_empty() && (self.is_retired.get() || is_overdue())
     }
 }
 
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -1,11 +1,14 @@
-//! The bytes that have still to be sent on a connection, and which attempts they carry. Offsets count the bytes of the
-//! stream since the connection was made.
+//! The send queue of a connection.
+//!
+//! Enters: commands, and the parts of the stream that are withdrawn. Leaves: buffers to write. Kept: the buffers not
+//! yet written and the commands that send attempts. Offsets count the bytes of the stream since the connection was
+//! made.
 
 use crate::core::buffer_pool::Buffer;
 use crate::proto::resp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes that a command takes at most besides its parts, and that each part takes besides its content.
+/// Limit on the framing of a command, and on the framing of each of its parts, in bytes.
 const FRAMING_BYTES: usize = 16;
 
 /// A command that sends an attempt and was not sent completely.
@@ -13,11 +16,11 @@
 pub(in crate::core) struct UnsentCommand {
     /// The request.
     pub(in crate::core) id: u64,
-    /// The attempt's number.
+    /// The attempt's number, from 0.
     pub(in crate::core) attempt: u32,
-    /// Where it begins in the stream.
+    /// The offset of its first byte.
     pub(in crate::core) start: u64,
-    /// Where it ends in the stream.
+    /// The offset behind its last byte.
     pub(in crate::core) end: u64,
 }
 
@@ -25,17 +28,17 @@
 #[derive(Debug)]
 pub(in crate::core) struct QueuedBuffer {
     bytes: Buffer,
-    /// Where its first byte stands in the stream.
+    /// The offset of its first byte.
     start: u64,
 }
 
 impl QueuedBuffer {
-    /// Where it ends in the stream.
+    /// The offset behind its last byte.
     pub(in crate::core) fn end(&self) -> u64 {
         self.start + self.bytes.len() as u64
     }
 
-    /// Its bytes from an offset in the stream, up to `limit` if there is one.
+    /// Its bytes from an offset on, up to the offset `limit` if there is one.
     pub(in crate::core) fn slice(&self, from: u64, limit: Option<u64>) -> &[u8] {
         let to = limit.map_or(self.end(), |limit| limit.min(self.end()));
         &self.bytes[(from - self.start) as usize..(to - self.start) as usize]
@@ -46,24 +49,25 @@
 #[derive(Debug, Default)]
 pub(super) struct SendQueue {
     buffers: VecDeque<Buffer>,
-    /// Bytes queued so far.
+    /// Offset of the end of the queued commands.
     queued: u64,
-    /// Bytes sent so far, or skipped.
+    /// Offset up to which the stream was sent or skipped.
     written: u64,
-    /// Bytes taken off the queue so far.
+    /// Offset up to which buffers were taken off the queue.
     taken: u64,
-    /// Withdrawn parts of the stream: where each begins and ends.
+    /// Withdrawn parts of the stream: the start and end of each.
     withdrawn: BTreeMap<u64, u64>,
     /// Commands that send attempts and were not sent completely, in the stream's order.
     unsent: VecDeque<UnsentCommand>,
 }
 
 impl SendQueue {
-    /// Queues a command, in the last buffer if it has room and else in the one of `buffer`; false if there is none.
+    /// Queues a command, in the last buffer if it has capacity and otherwise in one from `buffer`; false if there is
+    /// none.
     pub(super) fn push_command(&mut self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buffer>) -> bool {
         let size = FRAMING_BYTES + parts.iter().map(|part| part.len() + FRAMING_BYTES).sum::<usize>();
-        if !self.buffers.back().is_some_and(|last| last.has_room(size)) {
-            let Some(buffer) = buffer().filter(|buffer| buffer.has_room(size)) else { return false };
+        if !self.buffers.back().is_some_and(|last| last.has_capacity(size)) {
+            let Some(buffer) = buffer().filter(|buffer| buffer.has_capacity(size)) else { return false };
             self.buffers.push_back(buffer);
         }
         if let Some(buffer) = self.buffers.back_mut() {
@@ -74,17 +78,17 @@
         true
     }
 
-    /// Notes that the command queued last sends an attempt.
+    /// Records that the command queued last sends an attempt.
     pub(super) fn push_attempt(&mut self, command: UnsentCommand) {
         self.unsent.push_back(command);
     }
 
-    /// Bytes queued so far.
+    /// Offset of the end of the queued commands.
     pub(super) fn queued(&self) -> u64 {
         self.queued
     }
 
-    /// Bytes sent so far, or skipped.
+    /// Offset up to which the stream was sent or skipped.
     pub(super) fn written(&self) -> u64 {
         self.written
     }
@@ -94,7 +98,7 @@
         self.unsent.iter().map(|command| command.id).collect()
     }
 
-    /// The first attempt whose command begins in this part of the stream.
+    /// The first attempt whose command begins between two offsets.
     pub(super) fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
         self.unsent.iter().find(|command| command.start >= from && command.start < to).copied()
     }
@@ -113,7 +117,7 @@
         self.unsent.retain(|command| command.end != end);
     }
 
-    /// Skips withdrawn bytes at the head of the stream; where the next withdrawn part begins, if there is one.
+    /// Skips withdrawn bytes at the head of the stream; returns the start of the next withdrawn part, if there is one.
     pub(super) fn skip_withdrawn(&mut self) -> Option<u64> {
         while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written) {
             self.written = self.written.max(part.remove());
@@ -121,7 +125,7 @@
         self.withdrawn.first_key_value().map(|(start, _)| *start)
     }
 
-    /// Counts bytes that were written; the attempts that were sent completely by them.
+    /// Advances the written offset; returns the number of attempts that are sent completely by it.
     pub(super) fn record_written(&mut self, bytes: usize) -> u64 {
         self.written += bytes as u64;
         let mut sent = 0;
@@ -132,7 +136,7 @@
         sent
     }
 
-    /// Drops all that has still to be sent.
+    /// Drops all commands that are not sent yet.
     pub(super) fn clear(&mut self) {
         self.buffers.clear();
         self.unsent.clear();
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -1,6 +1,8 @@
-//! The engine table: the engines of the endpoint list, by number, and the connections to each.
+//! The engine table: the engines of the endpoint list, by index, and the connections to each.
 //!
-//! It holds state only. The `coordinator` module applies updates of the list and closes connections.
+//! Enters: events of the endpoint list, and connections that open and close. Leaves: the part of an event that is new, and
+//! a connection for an attempt. Kept: each engine's last entry and connections, and the position in the list. The
+//! `coordinator` module decides what follows from a change.
 
 use super::attempt::AttemptOutcome;
 use super::engine_connection::{ConnectionLimits, EngineConnection};
@@ -11,7 +13,7 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// How many engines there are.
+/// The numbers of engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCounts {
     /// Engines that are listed.
@@ -23,25 +25,25 @@
 /// An engine of the endpoint list.
 #[derive(Default)]
 pub(super) struct Engine {
-    /// Its id in the list. Numbers differ between managers, ids do not.
+    /// Its id in the list. Indices differ between managers, ids do not.
     pub(super) id: String,
-    /// Where it listens; `None` where the list's address cannot be read.
+    /// Its address; `None` if the one in the list cannot be parsed.
     pub(super) address: Option<SocketAddr>,
-    /// Its last start as listed, in Unix milliseconds; 0 where none is told.
+    /// Its last start as listed, in Unix milliseconds; 0 if the list has none.
     pub(super) started_at_ms: i64,
     /// Its connections that are open or being dialled.
     pub(super) connections: Vec<Rc<EngineConnection>>,
-    /// Since when it is withdrawn from the list.
+    /// When it was removed from the list.
     pub(super) removed_at: Option<Timestamp>,
-    /// Since when it is listed as draining or gone, or cordoned; `None` while it is ready.
+    /// When it ceased to be listed as ready, or was cordoned; `None` while it is ready.
     pub(super) unlisted_since: Option<Timestamp>,
-    /// When it last answered anything.
-    pub(super) last_heard_at: Option<Timestamp>,
+    /// When it last answered.
+    pub(super) last_answered_at: Option<Timestamp>,
     /// Its last entry in the list, before cordons are applied.
     pub(super) listed_entry: Option<Endpoint>,
-    /// It is listed as ready and not cordoned: attempts may be sent to it.
+    /// It is listed as ready and not cordoned, so attempts may be sent to it.
     pub(super) is_ready: bool,
-    /// The number of the event that named it last.
+    /// The number of the last event that named it.
     pub(super) last_event: u64,
 }
 
@@ -51,8 +53,8 @@
         self.address.is_some() && self.removed_at.is_none()
     }
 
-    /// Takes over its entry in the list as the policy hears it. Whether it has moved or started anew: its connections
-    /// are retired then, for they lead to another process.
+    /// Applies its entry in the list, with cordons applied. Returns whether the engine has moved or restarted; its
+    /// connections are retired then, because they lead to another process.
     pub(super) fn apply(&mut self, entry: &Endpoint, now: Timestamp) -> bool {
         let address = entry.address.parse().ok();
         let has_moved = self.address != address || self.started_at_ms != entry.up_since_ms;
@@ -68,7 +70,7 @@
         has_moved
     }
 
-    /// A connection that accepts a request: the fullest, so that others fall idle.
+    /// A connection that accepts a request: the one with the most attempts, so that the others become idle.
     pub(super) fn reusable_connection(
         &self,
         id: u64,
@@ -80,35 +82,36 @@
         fullest.map(Rc::clone)
     }
 
-    /// Adds a connection, to be dialled. `has_capacity`: the connections to all engines are below their limit.
+    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `has_capacity`: the
+    /// connections to all engines are below their limit.
     ///
     /// # Errors
-    /// The outcome of an attempt for which there is no connection.
+    /// The outcome of the attempt, if there can be no connection for it.
     pub(super) fn add_connection(
         &mut self,
-        number: usize,
+        engine: usize,
         limits: &ConnectionLimits,
         has_capacity: bool,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let address = self.address.ok_or(AttemptOutcome::Unreachable)?;
-        // File descriptors are reserved for clients and engines apart: neither side may use up the other's.
+        // Connections to engines have file descriptors of their own, so that they cannot exhaust those of clients.
         if self.connections.len() >= limits.max_per_engine || !has_capacity {
             return Err(AttemptOutcome::NeverRan);
         }
-        let connection = EngineConnection::new(number, address);
+        let connection = EngineConnection::new(engine, address);
         self.connections.push(Rc::clone(&connection));
         Ok(connection)
     }
 }
 
-/// All engines by number, and how far the endpoint list was read.
+/// All engines by index, and the position in the endpoint list.
 pub(super) struct EngineTable {
     engines: Vec<Engine>,
     /// The number of the last event of the list.
     last_event: u64,
-    /// The highest revision of the list so far; it outlives the engines that it named.
+    /// The highest revision of the list so far. It remains after the engines of that list are removed.
     revision: u64,
-    /// How long an engine is remembered after it was withdrawn: no request is pending for longer.
+    /// Time for which an engine is kept after its removal from the list: no request is pending for longer.
     retention: TimeDelta,
 }
 
@@ -118,29 +121,29 @@
         EngineTable { engines: Vec::new(), last_event: 0, revision: 0, retention }
     }
 
-    /// Numbers in use, those of forgotten engines among them.
+    /// The number of indices, those of removed engines included.
     pub(super) fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// An engine by number.
-    pub(super) fn get(&self, number: usize) -> Option<&Engine> {
-        self.engines.get(number)
+    /// An engine by index.
+    pub(super) fn get(&self, engine: usize) -> Option<&Engine> {
+        self.engines.get(engine)
     }
 
-    /// An engine by number.
-    pub(super) fn get_mut(&mut self, number: usize) -> Option<&mut Engine> {
-        self.engines.get_mut(number)
+    /// An engine by index.
+    pub(super) fn get_mut(&mut self, engine: usize) -> Option<&mut Engine> {
+        self.engines.get_mut(engine)
     }
 
-    /// An engine by number, added if there is none.
-    pub(super) fn get_or_insert(&mut self, number: usize) -> &mut Engine {
-        let len = self.engines.len().max(number + 1);
+    /// An engine by index, added if there is none.
+    pub(super) fn get_or_insert(&mut self, engine: usize) -> &mut Engine {
+        let len = self.engines.len().max(engine + 1);
         self.engines.resize_with(len, Engine::default);
-        &mut self.engines[number]
+        &mut self.engines[engine]
     }
 
-    /// All engines, by number.
+    /// All engines, by index.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter()
     }
@@ -150,12 +153,12 @@
         self.engines.iter().find(|engine| engine.id == id)?.listed_entry.clone()
     }
 
-    /// Engines that are listed.
+    /// The number of listed engines.
     pub(super) fn listed_count(&self) -> usize {
         self.engines.iter().filter(|engine| engine.is_listed()).count()
     }
 
-    /// Connections to all engines.
+    /// The number of connections to all engines.
     pub(super) fn connection_count(&self) -> usize {
         self.engines.iter().map(|engine| engine.connections.len()).sum()
     }
@@ -165,16 +168,16 @@
         self.last_event
     }
 
-    /// Notes the number of an event that changes nothing here.
-    pub(super) fn skip_event(&mut self, number: u64) {
-        self.last_event = self.last_event.max(number);
+    /// Records the number of an event that changes nothing here.
+    pub(super) fn skip_event(&mut self, event: u64) {
+        self.last_event = self.last_event.max(event);
     }
 
-    /// What an event says that is new, and its number as the last one where numbering goes on from there.
+    /// The part of an event that is new, or `None`; its number becomes the last one if it is higher.
     ///
-    /// An event whose number was passed already holds news in two cases. Its revision is above all before: then numbering
-    /// has begun anew, and the list would never be followed again by numbers alone. Or it comes out of order: then it
-    /// counts for the known engines that no later event has named.
+    /// An event with a lower number is new in two cases. If its revision is higher than all before, the feed has
+    /// restarted its numbering, and by numbers alone every further event would be ignored. If it arrives out of order,
+    /// it applies to the known engines that no later event has named.
     pub(super) fn accept_event(&mut self, list: &ListEvent) -> Option<ListEvent> {
         if list.n > self.last_event {
             self.last_event = list.n;
@@ -184,10 +187,10 @@
             self.restart_numbering(list);
             return Some(list.clone());
         }
-        let is_news = |member: &Endpoint| {
+        let is_newer = |member: &Endpoint| {
             self.engines.iter().any(|engine| engine.id == member.id && engine.last_event < list.n)
         };
-        let members: Vec<Endpoint> = list.members.iter().filter(|m| is_news(m)).cloned().collect();
+        let members: Vec<Endpoint> = list.members.iter().filter(|m| is_newer(m)).cloned().collect();
         if members.is_empty() {
             return None;
         }
@@ -210,7 +213,7 @@
         self.last_event = list.n;
     }
 
-    /// Adds the engines that a complete list leaves out, as gone.
+    /// Adds an entry with phase gone for each known engine that a complete list omits.
     pub(super) fn add_omitted_as_gone(&self, list: &mut ListEvent) {
         if !list.complete {
             return;
@@ -224,19 +227,19 @@
         list.members.extend(gone);
     }
 
-    /// Notes the revision of a list that was applied; it may name no engine.
-    pub(super) fn note_revision(&mut self, revision: u64) {
+    /// Records the revision of an applied list, which may name no engine.
+    pub(super) fn record_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Forgets the engines that were withdrawn long enough ago and have no connection left: their numbers.
+    /// Removes the engines whose retention is over and that have no connection; returns their indices.
     pub(super) fn remove_expired(&mut self, now: Timestamp) -> Vec<usize> {
         let mut removed = Vec::new();
-        for (number, engine) in self.engines.iter_mut().enumerate() {
+        for (index, engine) in self.engines.iter_mut().enumerate() {
             let is_expired = engine.removed_at.is_some_and(|at| now - at > self.retention);
             if is_expired && engine.connections.is_empty() {
                 *engine = Engine::default();
-                removed.push(number);
+                removed.push(index);
             }
         }
         removed
@@ -249,7 +252,7 @@
         }
     }
 
-    /// Sets how long withdrawn engines are remembered.
+    /// Sets the time for which removed engines are kept.
     #[cfg(test)]
     pub(super) fn set_retention(&mut self, retention: TimeDelta) {
         self.retention = retention;
--- a/src/core/fleet_state.rs
+++ b/src/core/fleet_state.rs
@@ -1,18 +1,121 @@
-//! This manager's part of the fleet.
+//! The fleet, as this manager sees it.
+//!
+//! Enters: the size of the fleet, this manager's own events, and the observations of other managers. Leaves: the number
+//! of processes that share the fleet's capacity, the spare retries, the gossip payload, and the weights of the zones.
+//! Kept: the size of the fleet, the facts to gossip, and the state of failover between zones.
 
-/// This manager's part of the fleet.
+use super::engine_table::{Engine, EngineTable};
+use super::gossip_facts::{GossipFacts, GossipWindows};
+use super::zone_routing::{unresponsive_engines, Observer, ZoneRouting};
+use sprucelink_membership::GossipPayload;
+use sprucelink_policy::diagnostics::EngineView;
+use sprucelink_policy::Timestamp;
+
+/// The fleet, and this manager's part in it.
 pub(super) struct FleetState {
-    /// Managers of the fleet.
-    pub(super) managers: u32,
+    /// The number of managers, this one included.
+    managers: u32,
+    /// The number of this manager's processes, among which its part of the fleet is divided.
+    processes: u32,
     /// Retries that the other managers leave to this one, over its own retry budget.
-    pub(super) spare_attempts: f64,
-    /// Processes of this manager, among which its part is divided.
-    pub(super) processes: u32,
+    spare_attempts: f64,
+    /// The facts to gossip, if gossip is on.
+    gossip: Option<GossipFacts>,
+    /// Failover between zones, if it is on.
+    zone_routing: Option<ZoneRouting>,
 }
 
 impl FleetState {
-    /// The fleet as configured, this manager in one process.
+    /// The fleet as configured, with this manager in one process, no gossip and no failover.
     pub(super) fn new(managers: u32, spare_attempts: f64) -> FleetState {
-        FleetState { managers, spare_attempts, processes: 1 }
+        FleetState { managers, processes: 1, spare_attempts, gossip: None, zone_routing: None }
+    }
+
+    /// Sets the number of managers, this one included, and the retries that the others leave to this one.
+    pub(super) fn set_managers(&mut self, managers: u32, spare_attempts: f64) {
+        self.managers = managers;
+        self.spare_attempts = spare_attempts;
+    }
+
+    /// Sets the number of this manager's processes; at least one.
+    pub(super) fn set_process_count(&mut self, processes: u32) {
+        self.processes = processes.max(1);
+    }
+
+    /// The number of processes that share the fleet's capacity, this one included.
+    pub(super) fn gateways(&self) -> u32 {
+        self.managers.saturating_mul(self.processes)
+    }
+
+    /// Retries that the other managers leave to this one, over its own retry budget.
+    pub(super) fn spare_attempts(&self) -> f64 {
+        self.spare_attempts
+    }
+
+    /// Starts to count the facts that are gossiped to other managers.
+    pub(super) fn enable_gossip(&mut self, windows: GossipWindows) {
+        self.gossip = Some(GossipFacts::new(windows));
+    }
+
+    /// Counts a request for gossip, if that is on.
+    pub(super) fn record_request(&mut self, now: Timestamp) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.record_request(now);
+        }
+    }
+
+    /// Counts an attempt for gossip, if that is on. `engine`: its engine, if that is known.
+    pub(super) fn record_attempt(
+        &mut self,
+        now: Timestamp,
+        is_retry: bool,
+        engine: Option<&Engine>,
+        cost_ms: f64,
+    ) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let id = engine.map_or("", |engine| engine.id.as_str());
+        let started_at_ms = engine.map_or(0, |engine| engine.started_at_ms);
+        gossip.record_attempt(now, is_retry, id, started_at_ms, cost_ms);
+    }
+
+    /// Counts a connection that opened or failed for gossip, if that is on. `engine`: its engine, if that is known.
+    pub(super) fn record_connection(&mut self, now: Timestamp, engine: Option<&Engine>, is_up: bool) {
+        if let (Some(gossip), Some(engine)) = (&mut self.gossip, engine) {
+            gossip.record_connection(now, &engine.id, is_up);
+        }
+    }
+
+    /// The current gossip payload; `None` if gossip is off.
+    pub(super) fn gossip_payload(
+        &mut self,
+        now: Timestamp,
+        engines: &EngineTable,
+        views: &[EngineView],
+    ) -> Option<GossipPayload> {
+        let gossip = self.gossip.as_mut()?;
+        let unresponsive = unresponsive_engines(self.zone_routing.as_ref(), engines, views);
+        Some(gossip.payload(now, unresponsive))
+    }
+
+    /// Enables failover between zones.
+    pub(super) fn enable_zone_routing(&mut self, zone_routing: ZoneRouting) {
+        self.zone_routing = Some(zone_routing);
+    }
+
+    /// Replaces the observations of other managers; `observers` is called only if failover is on.
+    pub(super) fn set_observers(&mut self, observers: impl FnOnce() -> Vec<Observer>) {
+        if let Some(zone_routing) = &mut self.zone_routing {
+            zone_routing.set_observers(observers());
+        }
+    }
+
+    /// When the zones are to be evaluated next; `None` if failover is off.
+    pub(super) fn next_zone_check(&self) -> Option<Timestamp> {
+        self.zone_routing.as_ref().map(ZoneRouting::next_check)
+    }
+
+    /// Evaluates the zones; returns their weights if they have changed.
+    pub(super) fn check_zones(&mut self, engines: &EngineTable, views: Vec<EngineView>) -> Option<Vec<f64>> {
+        self.zone_routing.as_mut()?.check(engines, views)
     }
 }
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,47 +1,51 @@
-//! What this manager gossips of itself: requests and retries of late, engines that it cannot reach, work that it sent to
-//! engines that are warming up. It counts; `sprucelink_membership` decides.
+//! The facts that this manager gossips to the others.
+//!
+//! Enters: requests, attempts, and connections that opened or failed. Leaves: a [`GossipPayload`] with the recent
+//! requests and retries, the unreachable engines and the work sent to engines that are warming up. Kept: these events
+//! within their windows. It only counts; `sprucelink_membership` decides when the payload is sent.
 
 use sprucelink_membership::{engine_hash, GossipPayload, WarmupWork};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Events kept of one kind; older ones go first.
+/// Limit on the kept events of one kind; the oldest are dropped first.
 const MAX_EVENTS: usize = 20_000;
-/// An engine to which a connection failed counts as unreachable for this long, unless one comes up.
-const UNREACHABLE_FOR: TimeDelta = TimeDelta::from_micros(10_000_000);
-/// Engines that are noted as unreachable at a time.
+/// Time for which an engine counts as unreachable after a connection to it failed, unless a later one opens.
+const UNREACHABLE_FOR: TimeDelta = TimeDelta::from_secs(10);
+/// Limit on the engines recorded as unreachable at a time.
 const MAX_UNREACHABLE: usize = 256;
 
-/// Over which spans gossip counts.
+/// The windows in which gossiped events are counted.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipWindows {
     /// Window of the retry budget.
     pub retry_budget: TimeDelta,
-    /// Window of the budget of engines that are warming up.
+    /// Window of the slow-start budget.
     pub warm_up_budget: TimeDelta,
-    /// How long an engine warms up after its start.
+    /// Time for which an engine warms up after its start.
     pub warm_up: TimeDelta,
 }
 
 /// An attempt at an engine that is warming up.
 struct WarmUpAttempt {
     sent_at: Timestamp,
-    /// The engine, as managers name it.
+    /// The hash of the engine's id.
     engine: u64,
-    /// Work in milliseconds.
+    /// Its estimated work in milliseconds on one core.
     cost_ms: f64,
 }
 
-/// The counts.
+/// The recent events that are gossiped.
 pub(super) struct GossipFacts {
     windows: GossipWindows,
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
     warm_up_attempts: VecDeque<WarmUpAttempt>,
-    /// Engines to which a connection failed last, and when.
+    /// Engines to which the last connection failed, by the hash of their id, and when it failed.
     unreachable: BTreeMap<u64, Timestamp>,
 }
 
+/// Adds an event, and drops the oldest one if there are [`MAX_EVENTS`].
 fn push_bounded<T>(queue: &mut VecDeque<T>, event: T) {
     if queue.len() >= MAX_EVENTS {
         queue.pop_front();
@@ -49,7 +53,7 @@
     queue.push_back(event);
 }
 
-/// Drops events that are older than a window; how many are left.
+/// Drops events that are older than a window; returns the number of the others.
 fn count_recent(events: &mut VecDeque<Timestamp>, now: Timestamp, window: TimeDelta) -> u32 {
     while events.front().is_some_and(|at| now - *at > window) {
         events.pop_front();
@@ -58,7 +62,7 @@
 }
 
 impl GossipFacts {
-    /// Nothing counted yet.
+    /// Facts of a manager that has counted no event yet.
     pub(super) fn new(windows: GossipWindows) -> GossipFacts {
         GossipFacts {
             windows,
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Notes that a connection to an engine came up or failed.
+    /// Records that a connection to an engine opened or failed.
     pub(super) fn record_connection(&mut self, now: Timestamp, engine: &str, is_up: bool) {
         if is_up {
             self.unreachable.remove(&engine_hash(engine));
@@ -101,8 +105,8 @@
         }
     }
 
-    /// The payload as of now. `unresponsive`: engines that keep silent, besides those to which no connection came up.
-    /// The version is set by the membership.
+    /// The current payload. `unresponsive`: engines that do not answer, added to those to which no connection could be
+    /// made. The membership sets the version.
     pub(super) fn payload(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> GossipPayload {
         let admitted_requests = count_recent(&mut self.requests, now, self.windows.retry_budget);
         let retries = count_recent(&mut self.retries, now, self.windows.retry_budget);
@@ -116,7 +120,7 @@
         payload
     }
 
-    /// Work that was sent to each engine that is warming up, in whole milliseconds.
+    /// The work that was sent to each engine that is warming up, in complete milliseconds.
     fn warm_up_work(&mut self, now: Timestamp) -> Vec<WarmupWork> {
         let window = self.windows.warm_up_budget;
         while self.warm_up_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
@@ -126,8 +130,8 @@
         for attempt in &self.warm_up_attempts {
             *by_engine.entry(attempt.engine).or_default() += attempt.cost_ms;
         }
-        let whole_ms = |ms: f64| ms.clamp(0.0, f64::from(u32::MAX)) as u32;
-        by_engine.into_iter().map(|(engine, ms)| WarmupWork { engine, work_ms: whole_ms(ms) }).collect()
+        let to_millis = |ms: f64| ms.clamp(0.0, f64::from(u32::MAX)) as u32;
+        by_engine.into_iter().map(|(engine, ms)| WarmupWork { engine, work_ms: to_millis(ms) }).collect()
     }
 }
 
--- a/src/core/gossip_facts/tests.rs
+++ b/src/core/gossip_facts/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of the counts that are gossiped.
+//! Tests of the facts that are gossiped.
 
 use super::*;
 
 fn at(secs: i64) -> Timestamp {
-    Timestamp::from_micros(secs * 1_000_000)
+    Timestamp::from_secs(secs)
 }
 
 fn span(secs: i64) -> TimeDelta {
-    TimeDelta::from_micros(secs * 1_000_000)
+    TimeDelta::from_secs(secs)
 }
 
 #[test]
--- /dev/null
+++ b/src/core/id_generator.rs
@@ -0,0 +1,25 @@
+//! Generated ids: of requests whose clients give none, and of sessions.
+//!
+//! Enters: the seed and the time. Leaves: ids. Kept: the state of the generator.
+
+use sprucelink_policy::Timestamp;
+use sprucelink_stable_hash::SplitMix64;
+
+/// Generates ids.
+pub(super) struct IdGenerator {
+    sequence: SplitMix64,
+}
+
+impl IdGenerator {
+    /// A generator that starts at `seed`.
+    pub(super) fn new(seed: u64) -> IdGenerator {
+        IdGenerator { sequence: SplitMix64::new(seed) }
+    }
+
+    /// The next id. The time is part of it, so that a process that starts again with the same seed gives other ids.
+    pub(super) fn next_id(&mut self, now: Timestamp) -> u64 {
+        // The low bits of the time change fastest: they are moved away from the low bits of the sequence.
+        let salt = (now.as_micros() as u64).rotate_left(32);
+        self.sequence.next_u64_with(salt)
+    }
+}
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -1,8 +1,11 @@
 //! Run-time checks of the rules that the program must never break.
 //!
-//! The rules are kept elsewhere: the send guard and the policy decide what is sent, the coordinator gives final responses,
-//! the fronts close sessions. The [`InvariantMonitor`] observes the results on its own records, so that a fault in a rule's
-//! code does not hide itself. A violation changes nothing: it is counted, for the admin address, and logged.
+//! Enters: requests, first bytes of attempts, and ends of attempts. Leaves: a counter for each rule, and an error in
+//! the log. Kept: the begun attempts and the retry budget's window.
+//!
+//! The rules are enforced elsewhere: the send guard and the policy decide what is sent, the coordinator gives final
+//! responses, the fronts close sessions. The [`InvariantMonitor`] checks the results on records of its own, so that a
+//! fault in the enforcing code cannot hide itself. A violation changes no behaviour.
 
 use super::attempt::format_id;
 use sprucelink_metrics::{Counter, Metrics};
@@ -11,37 +14,37 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::error;
 
-/// Slack on the deadline that is passed to an engine, 0.15 s (the platform's terms).
-const DEADLINE_SLACK: TimeDelta = TimeDelta::from_micros(150_000);
-/// Slack that the platform adds to the drain's grace, 50 ms (the platform's protocol).
-const DRAIN_SLACK: TimeDelta = TimeDelta::from_micros(50_000);
-/// Events of the retry budget's window that are remembered; the oldest go first.
+/// Time by which an engine's deadline may exceed its client's, as the platform allows.
+const DEADLINE_SLACK: TimeDelta = TimeDelta::from_millis(150);
+/// Time that the platform's protocol adds to the drain grace.
+const DRAIN_SLACK: TimeDelta = TimeDelta::from_millis(50);
+/// Limit on the kept events of one kind in the retry budget's window; the oldest are dropped first.
 const MAX_WINDOW_EVENTS: usize = 65_536;
-/// Violations that are logged in [`LOG_WINDOW`]; all are counted.
+/// Limit on the violations logged in one [`LOG_WINDOW`]; all are counted.
 const MAX_LOGGED: u32 = 20;
-/// The window of [`MAX_LOGGED`].
-const LOG_WINDOW: TimeDelta = TimeDelta::from_micros(10_000_000);
+/// Time for which [`MAX_LOGGED`] applies.
+const LOG_WINDOW: TimeDelta = TimeDelta::from_secs(10);
 
 /// A rule whose violations are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// A request has one final response.
     SecondResponse,
-    /// Nothing is sent for a request after its final response, or once its client has gone.
+    /// Nothing is sent for a request after its final response, or once its client has disconnected.
     SendAfterEnd,
     /// A request has one attempt in flight at a time.
     ConcurrentAttempt,
     /// Nothing new is sent to an engine that has been draining or gone for the drain's grace.
     SendToUnlisted,
-    /// What may have run is sent again only as its class allows.
+    /// A request that may have run is retried only as its class allows.
     UnsafeRetry,
     /// Retries stay within the budget in every window.
     RetryBudget,
-    /// The deadline passed to an engine is no later than its client's.
+    /// The deadline sent to an engine is no later than its client's.
     LateDeadline,
-    /// A request that was read is answered before this side closes its connection.
+    /// A request that was read is answered before this process closes its connection.
     ClosedUnanswered,
-    /// Nothing that a client waits for is pending when the process ends.
+    /// No request that a client waits for is pending when the process ends.
     PendingAtExit,
 }
 
@@ -81,22 +84,22 @@
     /// Its request.
     pub(super) id: u64,
     /// Its number among the request's attempts, from 0.
-    pub(super) number: u32,
-    /// The request's class, by number.
+    pub(super) attempt: u32,
+    /// The index of the request's class.
     pub(super) class: usize,
     /// The request has no final response, and its client is present.
     pub(super) request_is_awaited: bool,
     /// When the client stops waiting.
     pub(super) deadline: Timestamp,
-    /// How long the engine is told to wait.
-    pub(super) told_time_left: TimeDelta,
-    /// Since when its engine is listed as draining or gone; `None` where it is ready.
+    /// The time left that was sent to the engine.
+    pub(super) sent_time_left: TimeDelta,
+    /// When its engine ceased to be ready; `None` if it is ready.
     pub(super) unlisted_since: Option<Timestamp>,
     /// Retries that other managers leave to this one.
     pub(super) spare_attempts: f64,
 }
 
-/// What is remembered of a request with an attempt that was begun.
+/// The record of a request with an attempt that was begun.
 #[derive(Clone, Copy, Debug)]
 struct BegunRequest {
     /// The attempt in flight: its number, and when its first byte was sent.
@@ -105,20 +108,20 @@
     may_have_run_since: Option<Timestamp>,
 }
 
-/// Observes what is sent and answered, and counts violations.
+/// Checks what is sent and answered against the rules, and counts violations.
 pub(super) struct InvariantMonitor {
     counters: BTreeMap<Invariant, Counter>,
     violations: Cell<u64>,
     logged_since: Cell<Timestamp>,
     logged: Cell<u32>,
     drain_grace: TimeDelta,
-    /// By class: its effect, and how long a keyed request may be sent again.
+    /// By class: its effect, and the window in which an idempotency key allows a retry.
     effects: Vec<(Effect, TimeDelta)>,
     retry_budget: Option<RetryBudgetSettings>,
     /// Times of requests and of retries in the budget's window.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
-    /// Requests with an attempt that was begun; as many as are pending.
+    /// Requests with an attempt that was begun. Bounded by the pending requests.
     begun: BTreeMap<u64, BegunRequest>,
 }
 
@@ -146,7 +149,7 @@
         self.violations.get()
     }
 
-    /// Counts a violation, and logs it. `detail`: ids and figures.
+    /// Counts a violation and logs it. `detail`: ids and values.
     pub(super) fn record_violation(&self, now: Timestamp, rule: Invariant, detail: &str) {
         self.violations.set(self.violations.get() + 1);
         if let Some(counter) = self.counters.get(&rule) {
@@ -162,18 +165,18 @@
         }
     }
 
-    /// A request was taken.
+    /// Records a new request.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if let Some(budget) = self.retry_budget {
             record_event(&mut self.requests, now, budget.window);
         }
     }
 
-    /// The first byte of an attempt is about to be sent. Asked again for the same attempt, it does nothing.
+    /// Checks an attempt whose first byte is about to be sent. A further call for the same attempt does nothing.
     pub(super) fn record_send(&mut self, now: Timestamp, sent: &SentAttempt) {
         let before = self.begun.get(&sent.id).copied();
         let in_flight = before.and_then(|begun| begun.in_flight);
-        if in_flight.is_some_and(|(number, _)| number == sent.number) {
+        if in_flight.is_some_and(|(attempt, _)| attempt == sent.attempt) {
             return;
         }
         let name = format_id(sent.id);
@@ -183,23 +186,23 @@
         self.check_state(now, sent, &name);
         let may_have_run_since = before.and_then(|begun| begun.may_have_run_since);
         self.check_effect(now, sent, may_have_run_since, &name);
-        if sent.number > 0 {
+        if sent.attempt > 0 {
             self.check_budget(now, sent.spare_attempts, &name);
         }
-        let in_flight = Some((sent.number, now));
+        let in_flight = Some((sent.attempt, now));
         self.begun.insert(sent.id, BegunRequest { in_flight, may_have_run_since });
     }
 
-    /// An attempt has ended; if it was begun it may have run, unless `never_ran`.
-    pub(super) fn record_end(&mut self, id: u64, number: u32, never_ran: bool) {
+    /// Records the end of an attempt. If it was begun it may have run, unless `never_ran`.
+    pub(super) fn record_end(&mut self, id: u64, attempt: u32, never_ran: bool) {
         let Some(begun) = self.begun.get_mut(&id) else { return };
-        let Some((_, began_at)) = begun.in_flight.take_if(|(begun, _)| *begun == number) else { return };
+        let Some((_, began_at)) = begun.in_flight.take_if(|(begun, _)| *begun == attempt) else { return };
         if !never_ran {
             begun.may_have_run_since.get_or_insert(began_at);
         }
     }
 
-    /// A request has its final response and no attempt in flight.
+    /// Drops the record of a request that has its final response and no attempt in flight.
     pub(super) fn forget(&mut self, id: u64) {
         self.begun.remove(&id);
     }
@@ -208,7 +211,7 @@
         if !sent.request_is_awaited {
             self.record_violation(now, Invariant::SendAfterEnd, name);
         }
-        let engine_deadline = now + sent.told_time_left;
+        let engine_deadline = now + sent.sent_time_left;
         if engine_deadline > sent.deadline + DEADLINE_SLACK {
             let excess_ms = (engine_deadline - sent.deadline).as_millis();
             let detail = format!("{name}: {excess_ms} ms more than its client has left");
@@ -248,7 +251,7 @@
     }
 }
 
-/// Adds an event to a window of times.
+/// Adds an event to a window that ends now.
 fn record_event(events: &mut VecDeque<Timestamp>, now: Timestamp, span: TimeDelta) {
     forget_before(events, now - span);
     if events.len() >= MAX_WINDOW_EVENTS {
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the invariant monitor: each rule is seen to count its violation, and nothing else.
+//! Tests of the invariant monitor: each violation is counted under its own rule only.
 
 use super::*;
 use sprucelink_policy::{ClassSettings, DedupGroup};
 
+/// A second in microseconds.
 const SECOND: i64 = 1_000_000;
 
 fn at(seconds: f64) -> Timestamp {
@@ -47,14 +48,14 @@
     (InvariantMonitor::new(&settings, &metrics), metrics)
 }
 
-fn sent(id: u64, number: u32, class: usize) -> SentAttempt {
+fn sent(id: u64, attempt: u32, class: usize) -> SentAttempt {
     SentAttempt {
         id,
-        number,
+        attempt,
         class,
         request_is_awaited: true,
         deadline: at(100.0),
-        told_time_left: span(10.0),
+        sent_time_left: span(10.0),
         unlisted_since: None,
         spare_attempts: 0.0,
     }
@@ -72,7 +73,7 @@
     let (mut monitor, metrics) = monitor();
     monitor.record_request(at(50.0));
     monitor.record_send(at(50.0), &sent(1, 0, 2));
-    // A slow peer: the same attempt is about to be sent again.
+    // Behind a slow peer, the first byte of the same attempt is about to be sent a second time.
     monitor.record_send(at(50.1), &sent(1, 0, 2));
     monitor.record_end(1, 0, true);
     monitor.record_send(at(50.2), &sent(1, 1, 2));
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn second_attempt_beside_the_first_is_counted() {
+fn attempt_concurrent_with_another_is_counted() {
     let (mut monitor, metrics) = monitor();
     monitor.record_send(at(50.0), &sent(1, 0, 0));
     monitor.record_send(at(50.1), &sent(1, 1, 0));
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn deadline_beyond_what_the_client_has_left_is_counted() {
+fn deadline_later_than_the_clients_is_counted() {
     let (mut monitor, metrics) = monitor();
     monitor.record_send(at(90.1), &sent(1, 0, 0));
     assert_eq!(violated(&metrics), Vec::<&str>::new(), "within the slack");
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn attempt_at_an_engine_that_has_been_draining_for_the_grace_is_counted() {
+fn attempt_at_an_engine_that_drains_for_longer_than_the_grace_is_counted() {
     let (mut monitor, metrics) = monitor();
     let draining = SentAttempt { unlisted_since: Some(at(49.5)), ..sent(1, 0, 0) };
     monitor.record_send(at(50.0), &draining);
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn keyed_retry_is_counted_once_the_window_is_over() {
+fn retry_with_an_idempotency_key_is_counted_after_its_window() {
     let (mut monitor, metrics) = monitor();
     monitor.record_send(at(50.0), &sent(1, 0, 1));
     monitor.record_end(1, 0, false);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,28 +1,35 @@
 //! The core: pending requests, the driver of the policy, the engines and the connections to them. It runs on one thread
-//! and knows nothing of what clients speak.
+//! and is independent of the clients' protocols.
 //!
-//! [`Core`] is what the fronts and drivers call. Behind it the `coordinator` joins the parts, each of which holds one
-//! kind of state: `request_table`, `attempt`, `engine_table`, [`engine_connection`], `send_guard` and [`policy_driver`].
+//! Enters: requests from the fronts, events of the endpoint list, answers of engines. Leaves: one final response for
+//! each request, and commands to engines. Kept: pending requests, engines and connections, each by one module.
+//!
+//! The fronts and drivers call [`Core`]. Behind it the `coordinator` connects the parts, each of which owns one kind of
+//! state: `request_table`, `attempt`, `engine_table`, [`engine_connection`], `send_guard` and [`policy_driver`].
 
 mod api;
 mod attempt;
 pub mod buffer_pool;
 mod clock;
+mod connection_runtime;
 mod connection_task;
 mod coordinator;
 pub mod endpoint_client;
 mod endpoint_list;
 pub mod endpoint_watch;
 pub mod engine_connection;
+mod engine_indices;
 mod engine_table;
 mod fleet_state;
 mod gossip_facts;
+mod id_generator;
 pub mod invariants;
 pub mod policy_driver;
 mod reason_counters;
 mod recent_requests;
 mod request;
 mod request_counters;
+mod request_statistics;
 mod request_table;
 pub mod result_buffer;
 mod send_guard;
--- a/src/core/reason_counters.rs
+++ b/src/core/reason_counters.rs
@@ -1,4 +1,7 @@
-//! Counters by reason: why attempts ended or were withdrawn, and why requests got no result.
+//! Counters by reason, for the admin address.
+//!
+//! Enters: the end or withdrawal of an attempt, and the final response to a request. Leaves: counters in the metrics,
+//! whose names are defined here. Nothing else is kept.
 
 use super::attempt::AttemptOutcome;
 use super::request::{RejectReason, Response};
@@ -6,7 +9,7 @@
 use sprucelink_metrics::{Counter, Metrics};
 use std::collections::BTreeMap;
 
-/// How attempts end, and the names of the counters.
+/// The outcomes of attempts, and the names of their counters.
 const OUTCOMES: [(AttemptOutcome, &str); 9] = [
     (AttemptOutcome::Served, "attempts.ended.served"),
     (AttemptOutcome::EngineError, "attempts.ended.engine_error"),
@@ -18,7 +21,7 @@
     (AttemptOutcome::Cancelled, "attempts.ended.cancelled"),
     (AttemptOutcome::NeverRan, "attempts.ended.never_ran"),
 ];
-/// Why attempts are withdrawn before their first byte, and the names of the counters.
+/// The reasons why attempts are withdrawn before their first byte, and the names of their counters.
 const WITHDRAWALS: [(SendRejection, &str); 5] = [
     (SendRejection::RequestOver, "attempts.withdrawn.request_over"),
     (SendRejection::DeadlinePassed, "attempts.withdrawn.deadline_passed"),
@@ -26,12 +29,12 @@
     (SendRejection::NotRetryable, "attempts.withdrawn.not_retryable"),
     (SendRejection::RetryBudgetSpent, "attempts.withdrawn.retry_budget_spent"),
 ];
-/// Why requests are rejected, and the names of the counters.
+/// The reasons why requests are rejected, and the names of their counters.
 const REJECTIONS: [(RejectReason, &str); 2] = [
     (RejectReason::Overloaded, "responses.rejected.overloaded"),
     (RejectReason::DeadlineExceeded, "responses.rejected.deadline_exceeded"),
 ];
-/// Why requests fail, and the names of the counters.
+/// The reasons why requests fail, and the names of their counters.
 const FAILURES: [(RejectReason, &str); 5] = [
     (RejectReason::Overloaded, "responses.failed.given_up"),
     (RejectReason::DeadlineExceeded, "responses.failed.deadline_exceeded"),
@@ -40,7 +43,7 @@
     (RejectReason::Unreachable, "responses.failed.unreachable"),
 ];
 
-/// Counters by reason, for the admin address.
+/// Counters by reason.
 pub(super) struct ReasonCounters {
     counters: BTreeMap<&'static str, Counter>,
 }
@@ -55,17 +58,17 @@
         ReasonCounters { counters: names.map(counter).collect() }
     }
 
-    /// An attempt ended.
+    /// Counts the end of an attempt.
     pub(super) fn record_end(&self, outcome: AttemptOutcome) {
         self.increment(&OUTCOMES, outcome);
     }
 
-    /// An attempt was withdrawn just before its first byte.
+    /// Counts an attempt that was withdrawn just before its first byte.
     pub(super) fn record_withdrawal(&self, reason: SendRejection) {
         self.increment(&WITHDRAWALS, reason);
     }
 
-    /// A request got its final response.
+    /// Counts a final response, unless it is a result.
     pub(super) fn record_response(&self, response: &Response) {
         match response {
             Response::Served(_) => {}
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -1,18 +1,22 @@
-//! Ids of requests that were submitted of late.
+//! The ids of recently submitted requests.
+//!
+//! Enters: the id and statement of each request. Leaves: whether the id may be used. Kept: a hash of the statement of
+//! each recent id.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 
-/// How long an id is remembered.
-const RETENTION: TimeDelta = TimeDelta::from_micros(30_000_000);
-/// Ids remembered at a time; the oldest go first.
+/// Time for which an id is kept.
+const RETENTION: TimeDelta = TimeDelta::from_secs(30);
+/// Limit on the kept ids; the oldest are dropped first.
 const MAX_IDS: usize = 20_000;
 
-/// Ids of requests that were submitted of late, each with a hash of its statement.
+/// The ids of recently submitted requests, each with a hash of its statement.
 ///
-/// An id must not be used again for another statement once the first request has ended: engines and clients alike could
-/// take the response of one for that of the other. The same statement again is a client whose connection broke.
+/// An id must not be reused for another statement soon after the first request has ended: an engine or a client could
+/// take the response to one for the response to the other. The same statement with the same id is a client that
+/// retries.
 #[derive(Default)]
 pub(super) struct RecentRequests {
     statement_hashes: BTreeMap<u64, u64>,
@@ -20,7 +24,7 @@
 }
 
 impl RecentRequests {
-    /// Remembers an id; false if it is remembered for another statement.
+    /// Records an id; false if it was recently used for another statement.
     pub(super) fn insert(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
         self.remove_old(now);
         let mut hasher = DefaultHasher::new();
@@ -36,7 +40,7 @@
         }
     }
 
-    /// Forgets what is older than [`RETENTION`], and the oldest ids where there are [`MAX_IDS`].
+    /// Drops the ids that are older than [`RETENTION`], and the oldest ones if there are [`MAX_IDS`].
     fn remove_old(&mut self, now: Timestamp) {
         while let Some((inserted_at, id)) = self.by_age.front().copied() {
             if now - inserted_at <= RETENTION && self.by_age.len() < MAX_IDS {
--- a/src/core/recent_requests/tests.rs
+++ b/src/core/recent_requests/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the ids that are remembered.
+//! Tests of the ids of recent requests.
 
 use super::*;
 
 #[test]
-fn id_of_another_statement_is_refused_until_it_is_forgotten() {
+fn id_is_rejected_for_another_statement_until_its_retention_ends() {
     let mut recent = RecentRequests::default();
     let first = Timestamp::ZERO;
     let last = first + RETENTION;
     let late = last + TimeDelta::from_micros(1);
     assert!(recent.insert(1, b"a", first));
-    assert!(recent.insert(1, b"a", last), "its client's second try");
+    assert!(recent.insert(1, b"a", last), "the client's retry");
     assert!(!recent.insert(1, b"b", last));
     assert!(recent.insert(1, b"b", late));
 }
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -1,4 +1,4 @@
-//! A request as a front submits it, and its final response.
+//! A request as a front submits it, and its final response. Plain data.
 
 use super::buffer_pool::{Buffer, BUFFER_BYTES};
 use super::result_buffer::ResultSet;
@@ -7,10 +7,13 @@
 /// Longest statement, in bytes: the command that carries it must fit one buffer.
 pub const MAX_STATEMENT_BYTES: usize = BUFFER_BYTES - 2_048;
 
+/// Shortest Retry-After. A client that retries sooner would meet the same overload.
+pub(super) const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
+
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// There is more work than can be done in time.
+    /// The load is too high for the request to be served in time.
     Overloaded,
     /// The client's deadline has passed, or is too close.
     DeadlineExceeded,
@@ -43,29 +46,29 @@
     },
 }
 
-/// What the policy needs to know of a request.
+/// The attributes of a request that the policy decides on.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
     /// The id, unique among pending requests.
     pub id: u64,
-    /// The class, by number.
+    /// The index of the class.
     pub class: usize,
-    /// The tenant, by number.
+    /// The index of the tenant.
     pub tenant: usize,
-    /// The group of tables that it reads or writes.
+    /// The identifier of the set of tables that it reads or writes.
     pub tables: u64,
-    /// How long the client still waits.
+    /// Time until the client stops waiting.
     pub time_left: TimeDelta,
-    /// Estimated work in milliseconds on one core.
+    /// Estimated work, in milliseconds on one core.
     pub cost_ms: Option<f64>,
-    /// Estimated memory in MB.
+    /// Estimated memory, in MB.
     pub memory_mb: Option<f64>,
 }
 
 /// A request that a front submits.
 #[derive(Debug)]
 pub struct Request {
-    /// What the policy decides on.
+    /// The attributes that the policy decides on.
     pub spec: RequestSpec,
     /// The class, by name.
     pub class_name: String,
--- a/src/core/request_counters.rs
+++ b/src/core/request_counters.rs
@@ -1,12 +1,8 @@
-//! Counters of requests between two log lines.
+//! Counters of requests between two log lines. Counts enter; a log line leaves; the counters are kept.
 
-use sprucelink_policy::TimeDelta;
 use tracing::info;
 
-/// Time between two log lines of the counters.
-pub(super) const COUNTERS_LOG_INTERVAL: TimeDelta = TimeDelta::from_micros(10_000_000);
-
-/// What became of requests since the last log line.
+/// The counters since the last log line.
 #[derive(Default)]
 pub(super) struct RequestCounters {
     /// Submitted.
--- /dev/null
+++ b/src/core/request_statistics.rs
@@ -0,0 +1,114 @@
+//! Statistics of requests and attempts.
+//!
+//! Enters: what becomes of each request and attempt. Leaves: the metrics, and a log line of the counters in each
+//! interval. Kept: the counters since the last log line.
+
+use super::attempt::AttemptOutcome;
+use super::reason_counters::ReasonCounters;
+use super::request::Response;
+use super::request_counters::RequestCounters;
+use super::send_guard::SendRejection;
+use sprucelink_metrics::{ActiveRequest, Metrics};
+use sprucelink_policy::{TimeDelta, Timestamp};
+use tracing::warn;
+
+/// Time between two log lines of the counters.
+const LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(10);
+
+/// Counts what becomes of requests and attempts, for the metrics and for the log.
+pub(super) struct RequestStatistics {
+    /// By reason, in the metrics.
+    reasons: ReasonCounters,
+    /// Since the last log line.
+    counters: RequestCounters,
+    next_log_at: Timestamp,
+    /// Events that the recorder had lost when that was last logged.
+    logged_capture_losses: u64,
+}
+
+impl RequestStatistics {
+    /// Statistics that count in these metrics. The first log line is due an interval from now.
+    pub(super) fn new(metrics: &Metrics, now: Timestamp) -> RequestStatistics {
+        RequestStatistics {
+            reasons: ReasonCounters::new(metrics),
+            counters: RequestCounters::default(),
+            next_log_at: now + LOG_INTERVAL,
+            logged_capture_losses: 0,
+        }
+    }
+
+    /// Counts a submitted request.
+    pub(super) fn record_submission(&mut self) {
+        self.counters.submitted += 1;
+    }
+
+    /// Counts a request that its client has abandoned or, if `was_cancelled`, cancelled.
+    pub(super) fn record_abandonment(&mut self, accounting: Option<ActiveRequest>, was_cancelled: bool) {
+        if let Some(accounting) = accounting {
+            if was_cancelled {
+                accounting.abort();
+            } else {
+                accounting.abandon();
+            }
+        }
+        self.counters.abandoned += 1;
+    }
+
+    /// Counts an attempt.
+    pub(super) fn record_attempt(&mut self) {
+        self.counters.attempts += 1;
+    }
+
+    /// Counts the end of an attempt.
+    pub(super) fn record_attempt_end(&self, outcome: AttemptOutcome) {
+        self.reasons.record_end(outcome);
+    }
+
+    /// Counts an attempt that was withdrawn just before its first byte.
+    pub(super) fn record_withdrawal(&self, reason: SendRejection) {
+        self.reasons.record_withdrawal(reason);
+    }
+
+    /// Counts a final response.
+    pub(super) fn record_response(&mut self, response: &Response, accounting: Option<ActiveRequest>) {
+        self.reasons.record_response(response);
+        match response {
+            Response::Served(_) => {
+                accounting.into_iter().for_each(ActiveRequest::succeed);
+                self.counters.served += 1;
+            }
+            Response::Rejected { .. } => {
+                accounting.into_iter().for_each(ActiveRequest::reject);
+                self.counters.rejected += 1;
+            }
+            Response::Failed { .. } => {
+                accounting.into_iter().for_each(ActiveRequest::abort);
+                self.counters.failed += 1;
+            }
+        }
+    }
+
+    /// Starts the count of lost events again, for a new recorder.
+    pub(super) fn reset_capture_losses(&mut self) {
+        self.logged_capture_losses = 0;
+    }
+
+    /// Whether the next log line is due.
+    pub(super) fn is_log_due(&self, now: Timestamp) -> bool {
+        now >= self.next_log_at
+    }
+
+    /// Logs the counters of the last interval and resets them. `capture_losses`: events that the recorder has lost so
+    /// far.
+    pub(super) fn log(&mut self, now: Timestamp, pending: usize, buffers_in_use: usize, capture_losses: u64) {
+        self.next_log_at = now + LOG_INTERVAL;
+        if capture_losses > self.logged_capture_losses {
+            let lost = capture_losses - self.logged_capture_losses;
+            self.logged_capture_losses = capture_losses;
+            let span = LOG_INTERVAL.as_micros() / 1_000_000;
+            warn!(lost, "capture: {lost} events lost in {span} s");
+        }
+        let counters = std::mem::take(&mut self.counters);
+        counters.log(pending, buffers_in_use);
+    }
+}
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,6 +1,8 @@
 //! The request table: the state of every pending request, and when each is due.
 //!
-//! It holds state only. The `coordinator` module decides what happens to a request and calls the methods here.
+//! Enters: new requests, and changes to them. Leaves: deadlines and cancellations that are due. Kept: each pending
+//! request with its attempt in flight, and the ids of recent requests. The `coordinator` module decides what happens to
+//! a request.
 
 use super::attempt::{AttemptOutcome, InFlightAttempt};
 use super::buffer_pool::Buffer;
@@ -18,7 +20,7 @@
 pub(super) struct PendingRequest {
     /// The class, by name.
     pub(super) class_name: String,
-    /// The class, by number.
+    /// The index of the class.
     pub(super) class: usize,
     /// The idempotency key, for classes that have one.
     pub(super) idempotency_key: Option<String>,
@@ -26,15 +28,15 @@
     pub(super) statement: Buffer,
     /// When it was submitted.
     pub(super) arrived_at: Timestamp,
-    /// The client's estimate of its work in milliseconds on one core, or 0.
+    /// The client's estimate of its work, in milliseconds on one core, or 0.
     pub(super) cost_ms: f64,
-    /// When its client stops waiting, or this process ends.
+    /// When its client stops waiting or this process ends, whichever is first.
     pub(super) deadline: Timestamp,
-    /// Memory granted to its next attempt; `None`: the engine chooses.
+    /// Memory granted to its next attempt, in MB; `None`: the engine chooses.
     pub(super) memory_grant_mb: Option<f64>,
     /// Priority level of its attempts, 0 (lowest) to 3.
     pub(super) priority: u8,
-    /// Attempts made so far; the number of the next one.
+    /// The number of attempts made so far, which is the number of the next one.
     pub(super) attempts: u32,
     /// The attempt in flight, if any: one at a time.
     pub(super) in_flight: Option<InFlightAttempt>,
@@ -42,7 +44,7 @@
     pub(super) last_outcome: Option<AttemptOutcome>,
     /// When the first attempt that may have run was sent.
     pub(super) may_have_run_since: Option<Timestamp>,
-    /// Where the final response goes; `None` once it was given, or the client has gone.
+    /// The sender of the final response; `None` once it was given, or the client has disconnected.
     pub(super) responder: Option<oneshot::Sender<Response>>,
     /// Its entry in the metrics, until it is completed.
     pub(super) accounting: Option<ActiveRequest>,
@@ -87,14 +89,14 @@
 pub(super) struct RequestTable {
     requests: BTreeMap<u64, PendingRequest>,
     deadlines: BTreeSet<(Timestamp, u64)>,
-    /// Cancelled attempts (request and attempt number), by when to look whether the cancellation has taken effect.
+    /// Cancelled attempts (request and attempt number), by when to check whether the cancellation has taken effect.
     cancellations: BTreeSet<(Timestamp, u64, u32)>,
     recent: RecentRequests,
 }
 
 impl RequestTable {
-    /// Whether a new request may use this id: it is not pending, and had no other statement of late. If so the id is
-    /// remembered as used.
+    /// Whether a new request may use this id: it is not pending and was not recently used for another statement. If so,
+    /// the id is recorded as used.
     pub(super) fn reserve_id(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
         !self.requests.contains_key(&id) && self.recent.insert(id, statement, now)
     }
@@ -105,7 +107,7 @@
         self.requests.insert(id, request);
     }
 
-    /// Pending requests.
+    /// The number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
@@ -126,22 +128,22 @@
         &self.requests[&id]
     }
 
-    /// The attempt of a request that is in flight.
+    /// The attempt in flight of a request.
     pub(super) fn in_flight(&self, id: u64) -> Option<&InFlightAttempt> {
         self.requests.get(&id)?.in_flight.as_ref()
     }
 
-    /// The attempt of a request that is in flight.
+    /// The attempt in flight of a request.
     pub(super) fn in_flight_mut(&mut self, id: u64) -> Option<&mut InFlightAttempt> {
         self.requests.get_mut(&id)?.in_flight.as_mut()
     }
 
-    /// The attempt of a request that is in flight, if it has this number: a late event finds none.
-    pub(super) fn attempt_mut(&mut self, id: u64, number: u32) -> Option<&mut InFlightAttempt> {
-        self.in_flight_mut(id).filter(|attempt| attempt.number == number)
+    /// The attempt in flight of a request, if it has this number. A late event on an ended attempt finds none.
+    pub(super) fn attempt_mut(&mut self, id: u64, attempt: u32) -> Option<&mut InFlightAttempt> {
+        self.in_flight_mut(id).filter(|in_flight| in_flight.number == attempt)
     }
 
-    /// Removes the attempt of a request that is in flight.
+    /// Removes the attempt in flight of a request.
     pub(super) fn take_in_flight(&mut self, id: u64) -> Option<InFlightAttempt> {
         self.requests.get_mut(&id)?.in_flight.take()
     }
@@ -152,7 +154,7 @@
         awaited.map(|(id, _)| *id).collect()
     }
 
-    /// Removes a request that has its final response and no attempt in flight; whether it did.
+    /// Removes a request that has its final response and no attempt in flight; returns whether it did.
     pub(super) fn remove_if_done(&mut self, id: u64) -> bool {
         let is_done = self.requests.get(&id).is_some_and(|r| !r.is_awaited() && r.in_flight.is_none());
         if !is_done {
@@ -164,17 +166,17 @@
         true
     }
 
-    /// Schedules a look at whether the cancellation of an attempt has taken effect.
+    /// Schedules a check of whether the cancellation of an attempt has taken effect.
     pub(super) fn schedule_cancellation(&mut self, at: Timestamp, id: u64, attempt: u32) {
         self.cancellations.insert((at, id, attempt));
     }
 
-    /// Whether a cancellation is to be looked at by now.
+    /// Whether the check of a cancellation is due.
     pub(super) fn has_due_cancellation(&self, now: Timestamp) -> bool {
         self.cancellations.first().is_some_and(|(at, ..)| *at <= now)
     }
 
-    /// Removes the first cancellation that is to be looked at by now: request and attempt number.
+    /// Removes the first cancellation whose check is due; returns its request and attempt number.
     pub(super) fn pop_due_cancellation(&mut self, now: Timestamp) -> Option<(u64, u32)> {
         if !self.has_due_cancellation(now) {
             return None;
@@ -182,7 +184,7 @@
         self.cancellations.pop_first().map(|(_, id, attempt)| (id, attempt))
     }
 
-    /// Removes the first deadline that has passed by now: its request.
+    /// Removes the first deadline that has passed; returns its request.
     pub(super) fn pop_expired(&mut self, now: Timestamp) -> Option<u64> {
         let (deadline, _) = self.deadlines.first()?;
         if *deadline > now {
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -1,17 +1,19 @@
-//! Results: the pages of an answer, kept until the client has the last row.
+//! The result of a request.
+//!
+//! Enters: pages, in any order. Leaves: rows, in order. Kept: all pages, until the client has received the last row.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use std::ops::Range;
 
-/// Longest page, in bytes.
+/// Limit on the length of a page, in bytes.
 pub(super) const MAX_PAGE_BYTES: usize = 6_000;
-/// Longest result, in bytes.
+/// Limit on the length of a result, in bytes.
 pub(super) const MAX_RESULT_BYTES: usize = 48_000;
 
-/// Where a page stands.
+/// The place of a page.
 #[derive(Clone, Debug)]
 struct Page {
-    /// The buffer, by its place in [`ResultSet::buffers`].
+    /// The index of its buffer in [`ResultSet::buffers`].
     buffer: usize,
     /// The bytes in it.
     bytes: Range<usize>,
@@ -20,39 +22,39 @@
 /// The position of a row in a result. The default is the first row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RowPosition {
-    /// The page, by number.
+    /// The number of the page.
     page: usize,
-    /// The byte in the page at which the row begins.
+    /// The offset of the row in the page, in bytes.
     byte: usize,
 }
 
-/// A result: its pages one behind the other in as few buffers as hold them, in the order in which they came.
+/// A result. Its pages fill as few buffers as possible, in the order of their arrival.
 #[derive(Debug, Default)]
 pub struct ResultSet {
     buffers: Vec<Buffer>,
-    /// By page number; `None` until the page is here.
+    /// By page number; `None` until the page has arrived.
     pages: Vec<Option<Page>>,
 }
 
 impl ResultSet {
-    /// Sets the number of pages, none of which is here.
+    /// Sets the number of pages, none of which has arrived.
     pub(super) fn expect_pages(&mut self, pages: usize) {
         self.pages = vec![None; pages];
     }
 
-    /// Whether a page is here; `None` if the result has no page of this number.
+    /// Whether a page has arrived; `None` if the result has no page of this number.
     pub(super) fn has_page(&self, page: usize) -> Option<bool> {
         self.pages.get(page).map(Option::is_some)
     }
 
-    /// Whether all pages are here.
+    /// Whether all pages have arrived.
     pub(super) fn is_complete(&self) -> bool {
         self.pages.iter().all(Option::is_some)
     }
 
     /// Stores an expected page; false if the pool has no buffer for it.
     pub(super) fn insert_page(&mut self, pool: &BufferPool, page: usize, body: &[u8]) -> bool {
-        if !self.buffers.last().is_some_and(|buffer| buffer.has_room(body.len())) {
+        if !self.buffers.last().is_some_and(|buffer| buffer.has_capacity(body.len())) {
             let Some(buffer) = pool.get() else { return false };
             self.buffers.push(buffer);
         }
@@ -63,12 +65,12 @@
         true
     }
 
-    /// Bytes of the pages that are here.
+    /// The length of the pages that have arrived, in bytes.
     pub(super) fn len(&self) -> usize {
         self.pages.iter().flatten().map(|page| page.bytes.len()).sum()
     }
 
-    /// The row at a position, without its line feed, and the position of the next; `None` behind the last row.
+    /// The row at a position, without its line feed, and the position of the next one; `None` after the last row.
     pub fn row(&self, position: RowPosition) -> Option<(&[u8], RowPosition)> {
         let RowPosition { mut page, mut byte } = position;
         loop {
--- a/src/core/result_buffer/tests.rs
+++ b/src/core/result_buffer/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of results in pages.
+//! Tests of results of several pages.
 
 use super::*;
 
 #[test]
-fn rows_come_in_page_order_when_pages_came_in_reverse_order_over_several_buffers() {
+fn rows_are_in_page_order_when_pages_arrive_in_reverse_order_in_several_buffers() {
     let pool = BufferPool::new(3);
     let mut result = ResultSet::default();
     result.expect_pages(13);
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -37,7 +37,7 @@
 
 const FIRST: OutgoingAttempt = OutgoingAttempt {
     request_is_awaited: true,
-    deadline: Timestamp::from_micros(2_000_000),
+    deadline: Timestamp::from_secs(2),
     class: 0,
     is_retry: false,
     may_have_run_since: None,
--- a/src/core/socket.rs
+++ b/src/core/socket.rs
@@ -1,10 +1,10 @@
-//! TCP connections, read and written so that only a call that would block counts as "no more now".
+//! TCP connections that wait for readiness only after a call that would block.
 //!
-//! tokio's own streams take a read or write of fewer bytes than asked for as a sign that the socket is empty or full, and
-//! wait for the next readiness event. Where that is not so, the event never comes, and what waits is lost to its deadline:
-//! a signal may cut a call short, and the end of a stream that came with the last bytes may be reported by a flag of its
-//! own, which not every layer below a program passes on. A call that a signal interrupts before it moved a byte is
-//! repeated.
+//! tokio's own streams take a read or write of fewer bytes than requested as a sign that the socket is empty or full,
+//! and wait for the next readiness event. If the socket is not, that event never arrives, and the reader or writer
+//! waits until its timeout: a signal may shorten a call, and the end of a stream that arrives with the last bytes may
+//! be reported by a separate flag, which not every layer below a program passes on. A call that a signal interrupts
+//! before it has transferred a byte is repeated. Nothing is kept beside the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -22,9 +22,9 @@
 pub struct SocketReader(OwnedReadHalf);
 
 impl Socket {
-    /// Wraps a connection and turns Nagle's algorithm off: what it held back would be lost with a reset.
+    /// Wraps a connection and disables Nagle's algorithm, which delays bytes that a reset would then discard.
     pub fn new(stream: TcpStream) -> Socket {
-        // One that has ended already shows that when it is read.
+        // The call fails only if the connection has ended, which the next read reports.
         let _ = stream.set_nodelay(true);
         Socket(stream)
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Writes as much as fits.
+/// Writes as many bytes as the socket accepts.
 fn poll_write(stream: &TcpStream, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(context))?;
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -1,8 +1,11 @@
-//! Start-up control: when new connections are dialled, which requests are admitted while engines warm up, what an
-//! endpoint list may change of the one held, and when this manager is ready.
+//! Start-up control.
+//!
+//! Enters: requests and their responses, endpoint lists, connections that open. Leaves: the times of dials, whether a
+//! request is admitted while engines warm up, the part of an endpoint list that may be applied, and when this manager
+//! is ready. Kept: the state machines of `sprucelink_startup`, which decide all of it.
 
 use crate::proto::events::{EndpointPhase, ListEvent};
-use sprucelink_policy::Timestamp;
+use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::admission::WarmupAdmission;
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_startup::dial_pacer::DialPacer;
@@ -12,17 +15,15 @@
 
 /// The state machines of `sprucelink_startup` that the core drives.
 pub(super) struct StartupControl {
-    /// When new connections are dialled.
-    pub(super) dials: DialPacer,
-    /// Which requests are admitted while engines warm up.
-    pub(super) admission: WarmupAdmission,
+    dials: DialPacer,
+    admission: WarmupAdmission,
     list_guard: EndpointListGuard,
-    /// When this manager is ready.
-    pub(super) readiness: Readiness,
+    readiness: Readiness,
 }
 
 impl StartupControl {
-    /// A start-up that begins now. `name` is this manager's configured name, `listed_engines` those known so far.
+    /// A start-up that begins now. `name`: this manager's configured name. `listed_engines`: the number of engines
+    /// known so far.
     pub(super) fn new(
         settings: &StartupConfig,
         name: &str,
@@ -40,7 +41,45 @@
         }
     }
 
-    /// Logs once that this manager has become ready; when to check again.
+    /// Admits a request, or rejects it while engines warm up. `pending`: the number of pending requests.
+    ///
+    /// # Errors
+    /// The Retry-After of a rejected request.
+    pub(super) fn admit(&mut self, now: Timestamp, pending: usize) -> Result<(), TimeDelta> {
+        self.admission.admit(now, pending)
+    }
+
+    /// Records that a request was served, and its latency.
+    pub(super) fn record_served(&mut self, latency: TimeDelta) {
+        self.admission.record_served(latency);
+    }
+
+    /// Records that an engine rejected or failed an attempt.
+    pub(super) fn record_backpressure(&mut self) {
+        self.admission.record_backpressure();
+    }
+
+    /// Reserves a dial of an engine; returns when it may be made.
+    pub(super) fn reserve_dial(&mut self, now: Timestamp, engine_id: &str) -> Timestamp {
+        self.dials.reserve_dial(now, engine_id)
+    }
+
+    /// Records that the control feed has answered a poll.
+    pub(super) fn record_feed_answer(&mut self) {
+        self.readiness.record_feed_answer();
+    }
+
+    /// Records that a connection to an engine has opened.
+    pub(super) fn record_connection(&mut self) {
+        self.readiness.record_connection();
+    }
+
+    /// Records that an endpoint list was applied, and the number of engines listed since.
+    pub(super) fn record_endpoint_list(&mut self, listed_engines: usize) {
+        self.readiness.record_endpoint_list(listed_engines);
+    }
+
+    /// Logs once that this manager has become ready; returns when to check again.
     pub(super) fn check_readiness(&mut self, now: Timestamp) -> Option<Timestamp> {
         if let Some(ready) = self.readiness.check(now) {
             let after = ready.after.as_secs_f64();
@@ -62,7 +101,8 @@
         self.readiness.next_check_at()
     }
 
-    /// What may be applied of a list that is older than the one held, or contradicts itself; `None`: all of it.
+    /// The part that may be applied of a list that is older than the current one or contradicts itself; `None`: all of
+    /// it.
     pub(super) fn filter_list(&mut self, list: &ListEvent, now: Timestamp) -> Option<ListEvent> {
         let entries: Vec<(&str, EndpointState)> =
             list.members.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
--- a/src/core/system_error.rs
+++ b/src/core/system_error.rs
@@ -1,8 +1,8 @@
-//! Errors of system calls on sockets, by what they mean for the caller (Linux, accept(2), connect(2), socket(2)).
+//! Classes of errors of system calls on sockets (Linux, accept(2), connect(2), socket(2)). Nothing is kept.
 
 use std::io;
 
-/// Numbers of errors that have no kind in the standard library, as Linux has them on all its usual architectures.
+/// Error numbers without a kind in the standard library, as on all common architectures of Linux.
 mod errno {
     /// No descriptor is left in the system.
     pub(super) const ENFILE: i32 = 23;
@@ -16,14 +16,14 @@
     pub(super) const EADDRNOTAVAIL: i32 = 99;
 }
 
-/// Whether a call failed because this machine, or this process, has too little of something at the moment. It tells nothing
-/// of the other side.
+/// Whether a call failed because this machine or this process lacks a resource at the moment. It says nothing about the
+/// peer.
 pub fn is_out_of_resources(error: &io::Error) -> bool {
     use errno::{EMFILE, ENFILE, ENOBUFS, ENOMEM};
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM))
 }
 
-/// Whether a connection could not be made for a reason of this machine, which passes.
+/// Whether a dial failed for a local and transient reason, which says nothing about the peer.
 pub fn is_local_dial_failure(error: &io::Error) -> bool {
     use io::ErrorKind::{AddrNotAvailable, Interrupted, WouldBlock};
     is_out_of_resources(error)
--- a/src/core/system_error/tests.rs
+++ b/src/core/system_error/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of what errors mean.
+//! Tests of the classes of errors.
 
 use super::*;
 
 #[test]
-fn errors_of_this_machine_are_told_from_those_of_the_other_side() {
+fn local_errors_are_distinguished_from_errors_of_the_peer() {
     for local in [23, 24, 12, 105, 99, 4, 11] {
         assert!(is_local_dial_failure(&io::Error::from_raw_os_error(local)), "{local}");
     }
@@ -11,7 +11,7 @@
     for remote in [111, 110, 113, 101, 104] {
         assert!(!is_local_dial_failure(&io::Error::from_raw_os_error(remote)), "{remote}");
     }
-    // EINTR, ECONNABORTED and EPROTO are no want of anything.
+    // EINTR, ECONNABORTED and EPROTO mean no lack of resources.
     for other in [4, 103, 71] {
         assert!(!is_out_of_resources(&io::Error::from_raw_os_error(other)), "{other}");
     }
