--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -1,4 +1,4 @@
-//! What the core's tests share: a core in front of listeners that stand for engines.
+//! Shared by the core's tests: a core with listeners in place of engines.
 
 use super::buffer_pool::BufferPool;
 use super::connection_task::ConnectionOwner;
@@ -15,9 +15,9 @@
     let class = ClassSettings {
         value: 1.0,
         late_value_fraction: 0.5,
-        latency_objective: TimeDelta::from_micros(1_000),
+        latency_objective: TimeDelta::from_millis(1),
         objective_per_work: 0.0,
-        deadline: TimeDelta::from_micros(20_000_000),
+        deadline: TimeDelta::from_secs(20),
         effect: Effect::Safe,
         group: DedupGroup::All,
         repeat_window: TimeDelta::ZERO,
@@ -36,14 +36,14 @@
     }
 }
 
-/// A core with two engines that accept connections and say nothing.
+/// A core with two engines that accept connections and send nothing.
 pub(super) async fn core() -> (Rc<Core>, Vec<TcpListener>) {
     let listen = || TcpListener::bind("127.0.0.1:0");
     let listeners = vec![listen().await.expect("a port"), listen().await.expect("a port")];
     core_with(listeners, 32, 8.0)
 }
 
-/// A core with an engine of so many cores behind each listener, and so many attempts on a connection at a time.
+/// A core with an engine of `cores` cores behind each listener, and at most `max_streams` attempts on a connection.
 pub(super) fn core_with(
     listeners: Vec<TcpListener>,
     max_streams: usize,
@@ -51,8 +51,8 @@
 ) -> (Rc<Core>, Vec<TcpListener>) {
     let limits = ConnectionLimits {
         max_streams,
-        dial_timeout: TimeDelta::from_micros(5_000_000),
-        idle_timeout: TimeDelta::from_micros(15_000_000),
+        dial_timeout: TimeDelta::from_secs(5),
+        idle_timeout: TimeDelta::from_secs(15),
         note_interval: TimeDelta::ZERO,
         max_per_engine: 4,
         max_total: 8,
@@ -80,7 +80,7 @@
     Endpoint { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
 }
 
-/// The owner of connections whose attempts are in no request table: all of them may be sent.
+/// An owner of connections that approves every attempt and ignores every answer.
 pub(super) struct PermissiveOwner {
     pub(super) pool: BufferPool,
     pub(super) limits: ConnectionLimits,
@@ -106,7 +106,7 @@
         class: 0,
         tenant: 0,
         tables: 1,
-        time_left: TimeDelta::from_micros(20_000_000),
+        time_left: TimeDelta::from_secs(20),
         cost_ms: Some(1.0),
         memory_mb: None,
     };
@@ -114,7 +114,7 @@
     Request { spec, class_name: "c".into(), idempotency_key: None, statement }
 }
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on a single-threaded runtime of its own.
 pub(super) fn local<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test)
--- a/src/core/wall_clock.rs
+++ b/src/core/wall_clock.rs
@@ -1,18 +1,21 @@
-//! The wall clock as seen from the process's own clock: its steps, and what times of others mean after one.
+//! The offset of the wall clock from the process's own clock, and its steps.
 //!
-//! Another party stamps a time by the wall clock, and it is read some seconds later. A step between the two would make the
-//! time an hour older, or let it lie an hour ahead. So the offsets of the wall clock are remembered. Of the instants that a
-//! stamp may mean, by any of them, the latest that has passed is taken: an engine counts as started too late rather than
-//! too early.
+//! Enters: readings of both clocks, and Unix times stamped by other machines. Leaves: those times on the process's
+//! clock. Kept: the recent offsets.
+//!
+//! A time that another machine stamps is read some seconds later. If the wall clock steps in between, by an hour for
+//! instance, the time would seem an hour older or an hour ahead. So each recent offset gives a candidate for the
+//! instant that is meant, and the latest one that is not in the future is taken: an engine then counts as started too
+//! late rather than too early, and warms up for longer.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 use tracing::warn;
 
-/// Offsets that are remembered; the oldest go first.
+/// Limit on the kept offsets; the oldest are dropped first.
 const MAX_OFFSETS: usize = 8;
-/// A smaller difference is the clock being slewed, or two clocks read one after the other.
-const MIN_STEP: TimeDelta = TimeDelta::from_micros(100_000);
+/// Smallest change of the offset that counts as a step. A smaller one is slewing, or the time between the two readings.
+const MIN_STEP: TimeDelta = TimeDelta::from_millis(100);
 
 /// The offsets of the wall clock from the process's own clock, the current one last.
 #[derive(Debug, Default)]
@@ -21,7 +24,7 @@
 }
 
 impl WallClock {
-    /// Both clocks were read just now. To be called often: a step that is undone between two calls is not seen.
+    /// Records a reading of both clocks. To be called often: a step that is reversed between two calls is not seen.
     pub(super) fn observe(&mut self, unix_now: Timestamp, now: Timestamp) {
         let offset = unix_now - now;
         match self.offsets.back_mut() {
@@ -44,7 +47,7 @@
         self.offsets.push_back(offset);
     }
 
-    /// The instant of the process's own clock that another party stamped with a Unix time. It has passed.
+    /// The instant on the process's own clock that another machine stamped with a Unix time; never in the future.
     pub(super) fn process_time_of(
         &mut self,
         unix_time: Timestamp,
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -1,5 +1,8 @@
-//! Failover between zones: sums over the policy's view of engines, and over what other managers observe, and the zone
-//! weights that follow. It adds up; `sprucelink_zone_failover` decides.
+//! Failover between zones.
+//!
+//! Enters: the policy's view of each engine, and the observations of other managers. Leaves: the weights of the zones,
+//! if they have changed. Kept: the state machines of `sprucelink_zone_failover`, which decide; this module only sums
+//! the observations by zone.
 
 use super::clock::now;
 use super::engine_table::EngineTable;
@@ -15,17 +18,17 @@
 use tracing::{debug, info, warn};
 
 /// Time between two checks of the zones.
-const CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(100_000);
-/// Relative change of a weight from which on the policy is told.
+const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
+/// Smallest relative change of a weight of which the policy is notified.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
-/// Another manager, as the view of the fleet has it.
+/// Another manager, as the membership reports it.
 pub struct Observer {
-    /// Its zone, by name.
+    /// The name of its zone.
     pub zone: String,
     /// It is alive.
     pub is_alive: bool,
-    /// Its gossip, where some is held.
+    /// Its last gossip payload, if there is one.
     pub payload: Option<GossipPayload>,
 }
 
@@ -33,17 +36,17 @@
 pub(super) struct ZoneRouting {
     failover: ZoneFailover,
     config: FailoverConfig,
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones, in the order of their indices.
     zones: Vec<String>,
     observers: Vec<Observer>,
     failure_detector: FailureDetector,
     next_check: Timestamp,
-    /// The weights that the policy was told last.
+    /// The weights of which the policy was last notified.
     reported_weights: Vec<f64>,
 }
 
 impl ZoneRouting {
-    /// Failover as configured. `home`: this manager's zone, by number.
+    /// Failover as configured. `home`: the index of this manager's zone.
     pub(super) fn new(config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) -> ZoneRouting {
         let home = home.map(|zone| Home { zone, region: config.region(&zones, zone as usize) });
         ZoneRouting {
@@ -62,12 +65,12 @@
         self.next_check
     }
 
-    /// Takes in what other managers observe.
+    /// Replaces the observations of other managers.
     pub(super) fn set_observers(&mut self, observers: Vec<Observer>) {
         self.observers = observers;
     }
 
-    /// Judges the zones; their new weights where they have changed.
+    /// Evaluates the zones; returns their weights if they have changed.
     pub(super) fn check(&mut self, engines: &EngineTable, views: Vec<EngineView>) -> Option<Vec<f64>> {
         self.next_check = now() + CHECK_INTERVAL;
         let listed: Vec<EngineView> = views.into_iter().filter(|view| view.listed).collect();
@@ -92,7 +95,7 @@
         pairs.any(|(new, old)| (new - old).abs() > MIN_WEIGHT_CHANGE * old.max(MIN_WEIGHT_CHANGE))
     }
 
-    /// Sums by zone.
+    /// Sums the observations by zone.
     fn summarize(
         &self,
         engines: &EngineTable,
@@ -112,7 +115,7 @@
         zones.into_values().collect()
     }
 
-    /// Logs each event with its reasons, zones by name.
+    /// Logs each event with its reason and the names of its zones.
     fn log_events(&self, plan: &RoutingPlan) {
         for event in &plan.events {
             self.log_event(event, plan);
@@ -139,7 +142,7 @@
     }
 }
 
-/// Adds what the policy holds of each engine to its zone; the listed engines of each zone, as managers name them.
+/// Adds the policy's view of each engine to its zone; returns the hashes of the listed engines' ids by zone.
 fn add_engines(
     zones: &mut BTreeMap<u32, ZoneObservation>,
     engines: &EngineTable,
@@ -158,12 +161,12 @@
         if !is_unresponsive && !view.ejected {
             sum.healthy_cores += view.cores * view.capacity_fraction;
         }
-        engines_by_zone.entry(view.zone).or_default().extend(gossip_name(engines, view));
+        engines_by_zone.entry(view.zone).or_default().extend(gossip_id(engines, view));
     }
     engines_by_zone
 }
 
-/// Adds what another manager observes to the zones; of its own zone only that it is there.
+/// Adds the observations of another manager to the zones. In its own zone only the manager itself counts.
 fn add_observer(
     zones: &mut BTreeMap<u32, ZoneObservation>,
     engines_by_zone: &BTreeMap<u32, BTreeSet<u64>>,
@@ -184,7 +187,7 @@
     }
 }
 
-/// Listed engines that do not answer this manager, as managers name them.
+/// The hashes of the ids of listed engines that do not answer this manager.
 pub(super) fn unresponsive_engines(
     routing: Option<&ZoneRouting>,
     engines: &EngineTable,
@@ -194,11 +197,11 @@
         let is_known = routing.is_some_and(|routing| routing.failure_detector.is_suspected(view.engine));
         view.listed && (is_known || is_unresponsive_now(engines, view))
     };
-    views.iter().filter(is_unresponsive).filter_map(|view| gossip_name(engines, view)).collect()
+    views.iter().filter(is_unresponsive).filter_map(|view| gossip_id(engines, view)).collect()
 }
 
-/// An engine's id as managers name it to each other.
-fn gossip_name(engines: &EngineTable, view: &EngineView) -> Option<u64> {
+/// The hash of an engine's id, by which managers identify it to each other.
+fn gossip_id(engines: &EngineTable, view: &EngineView) -> Option<u64> {
     engines.get(view.engine as usize).map(|engine| engine_hash(&engine.id))
 }
 
@@ -206,12 +209,12 @@
     current_responsiveness(now(), &contact_with(engines, view)) == Responsiveness::Unresponsive
 }
 
-/// What is known of an engine's responses.
+/// The contact state of an engine, for the failure detector.
 fn contact_with(engines: &EngineTable, view: &EngineView) -> EngineContact {
     EngineContact {
         engine: view.engine,
         zone: view.zone,
-        last_heard_at: engines.get(view.engine as usize).and_then(|engine| engine.last_heard_at),
+        last_heard_at: engines.get(view.engine as usize).and_then(|engine| engine.last_answered_at),
         is_silent: view.unresponsive || view.backoff_secs > 0.0,
         has_overdue_attempts: view.overdue > 0,
     }
--- a/src/front/client_connection/mod.rs
+++ b/src/front/client_connection/mod.rs
@@ -112,7 +112,7 @@
     /// Appends as much as fits to the input and returns the rest.
     fn extend_input<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let input = self.input.get_or_insert_with(|| self.pool.get_beyond_limit());
-        if !input.has_room(bytes.len()) {
+        if !input.has_capacity(bytes.len()) {
             input.drain(..std::mem::take(&mut self.consumed));
         }
         append(input, bytes)
--- a/src/front/client_connection/output.rs
+++ b/src/front/client_connection/output.rs
@@ -61,7 +61,7 @@
     /// # Errors
     /// As [`ClientConnection::flush`].
     pub async fn reserve_output(&mut self, count: usize) -> io::Result<()> {
-        if self.output.as_ref().is_none_or(|buffer| buffer.has_room(count)) {
+        if self.output.as_ref().is_none_or(|buffer| buffer.has_capacity(count)) {
             return Ok(());
         }
         self.flush().await
--- a/src/front/read_ahead.rs
+++ b/src/front/read_ahead.rs
@@ -68,7 +68,7 @@
 
     /// Whether one more byte fits.
     pub(super) fn has_room(&self) -> bool {
-        self.buffer.has_room(1)
+        self.buffer.has_capacity(1)
     }
 
     /// The bytes that have not moved on to the input.
