--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -147,11 +147,21 @@
     let last = head
         .lines()
         .find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id: 1:").map(str::to_owned));
-    let mut sent: usize = last.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
+    let sent: usize = last.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
     stream.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nretry: 100\n\n",
     )?;
-    let only_permits = first.contains("kind=permit");
+    send_records(stream, plan, journal, sent, first.contains("kind=permit"))
+}
+
+/// Sends each record of the journal from the one numbered `sent` on, as it is written.
+fn send_records(
+    mut stream: TcpStream,
+    plan: &Plan,
+    journal: &Path,
+    mut sent: usize,
+    only_permits: bool,
+) -> std::io::Result<()> {
     let (mut file, mut line_no, mut part) = (None, 0, String::new());
     let mut next_word = Instant::now();
     loop {
--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -1,7 +1,7 @@
 //! `sprucelink-cluster-harness`: carries out scenarios of many processes of the program failing together, and gives the
 //! figures as a table and the course as a chart.
 
-use lexopt::prelude::*;
+use lexopt::prelude::{Long, Short, Value, ValueExt as _};
 use sprucelink_cluster_harness::history;
 use sprucelink_cluster_harness::report::{chart, Report, Series, BUCKET};
 use sprucelink_cluster_harness::run::{self, Outcome, Program, Views};
@@ -78,25 +78,42 @@
     v.ok_or_else(|| format!("--{name}: {low} to {high}"))
 }
 
+impl Default for Ask {
+    fn default() -> Ask {
+        Ask {
+            files: Vec::new(),
+            settings: vec![None],
+            managers: None,
+            rate: None,
+            seed: None,
+            repeat: 1,
+            out: None,
+            json: false,
+            program: PathBuf::from("target/release/sprucelink"),
+            logs: None,
+            share: None,
+            no_failover: false,
+            args: Vec::new(),
+            history: None,
+            command: Command::Run,
+        }
+    }
+}
+
+/// What of the fleet's budgets `--share` pools: retries, slow-start parts.
+fn parse_share(word: &str) -> Result<(bool, bool), String> {
+    match word {
+        "none" => Ok((false, false)),
+        "ration" => Ok((true, false)),
+        "parts" => Ok((false, true)),
+        "all" => Ok((true, true)),
+        other => Err(format!("--share: none, ration, parts or all, not {other:?}")),
+    }
+}
+
 fn parse() -> Result<Ask, String> {
     let mut p = lexopt::Parser::from_env();
-    let mut ask = Ask {
-        files: Vec::new(),
-        settings: vec![None],
-        managers: None,
-        rate: None,
-        seed: None,
-        repeat: 1,
-        out: None,
-        json: false,
-        program: PathBuf::from("target/release/sprucelink"),
-        logs: None,
-        share: None,
-        no_failover: false,
-        args: Vec::new(),
-        history: None,
-        command: Command::Run,
-    };
+    let mut ask = Ask::default();
     let mut command: Option<String> = None;
     while let Some(arg) = p.next().map_err(|e| e.to_string())? {
         match arg {
@@ -121,22 +138,19 @@
                 "off" => ask.no_failover = true,
                 other => return Err(format!("--failover: on or off, not {other:?}")),
             },
-            Long("share") => {
-                ask.share = Some(match text(&mut p)?.as_str() {
-                    "none" => (false, false),
-                    "ration" => (true, false),
-                    "parts" => (false, true),
-                    "all" => (true, true),
-                    other => return Err(format!("--share: none, ration, parts or all, not {other:?}")),
-                });
-            }
+            Long("share") => ask.share = Some(parse_share(&text(&mut p)?)?),
             Long("help") | Short('h') => return Err("help".into()),
             Value(v) if command.is_none() => command = Some(v.string().map_err(|e| format!("{e:?}"))?),
             Value(v) => ask.files.push(v.into()),
             other => return Err(other.unexpected().to_string()),
         }
     }
-    match command.as_deref() {
+    with_command(ask, command.as_deref())
+}
+
+/// The command, with as many files as it takes.
+fn with_command(ask: Ask, command: Option<&str>) -> Result<Ask, String> {
+    match command {
         Some("run") if ask.files.len() == 1 => Ok(ask),
         Some("check") if !ask.files.is_empty() => Ok(Ask { command: Command::Check, ..ask }),
         Some("judge") if ask.files.len() > 1 => Ok(Ask { command: Command::Judge, ..ask }),
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -129,6 +129,26 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
+/// The word that a history has for the answer to a poll.
+fn answer_name(mood: Mood) -> &'static str {
+    match mood {
+        Mood::Serving => "serving",
+        Mood::Refusing => "refusing",
+        Mood::Stalling => "stalling",
+    }
+}
+
+/// Appends the events from `first` up to `end`, and returns the position behind the last one.
+fn append_events(out: &mut String, events: &Mutex<Vec<String>>, first: usize, end: usize) -> usize {
+    let events = events.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut position = first;
+    for event in events.get(first..end).unwrap_or_default() {
+        position += 1;
+        out.push_str(&format!("id: {position}\ndata: {event}\n\n"));
+    }
+    position
+}
+
 async fn serve(
     mut stream: TcpStream,
     start: Instant,
@@ -141,14 +161,12 @@
     calls.note(start);
     let field =
         head.lines().find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id:").map(str::to_owned));
-    let answer = match look.borrow().0 {
-        Mood::Serving => "serving",
-        Mood::Refusing => "refusing",
-        Mood::Stalling => "stalling",
-    };
-    let (service, answer, cursor) =
-        (seen.0.clone(), answer.to_owned(), field.as_ref().map(|v| v.trim().to_owned()));
-    seen.1.note(Event::ListCall { service, cursor, answer });
+    let mood = look.borrow().0;
+    seen.1.note(Event::ListCall {
+        service: seen.0.clone(),
+        cursor: field.as_ref().map(|v| v.trim().to_owned()),
+        answer: answer_name(mood).to_owned(),
+    });
     let mut told: usize = field.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
     let mut opened = false;
     loop {
@@ -171,14 +189,7 @@
         if !std::mem::replace(&mut opened, true) {
             out.push_str("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         }
-        let news: Vec<String> = {
-            let events = events.lock().unwrap_or_else(PoisonError::into_inner);
-            events.get(told..n).unwrap_or_default().to_vec()
-        };
-        for event in news {
-            told += 1;
-            out.push_str(&format!("id: {told}\ndata: {event}\n\n"));
-        }
+        told = append_events(&mut out, events, told, n);
         if out.is_empty() {
             out.push_str(": still here\n\n");
         }
--- a/crates/cluster-harness/src/middle/mod.rs
+++ b/crates/cluster-harness/src/middle/mod.rs
@@ -222,6 +222,12 @@
         })
     }
 
+    /// The last cut that is for two parties, unless it is the one numbered `known`.
+    fn cut_since(&self, from: &str, to: &str, known: u64) -> Option<Cut> {
+        let (number, cut) = self.cuts(from, to);
+        cut.filter(|_| number != known)
+    }
+
     /// How long `n` bytes that are sent now take on a slow way, those before them included.
     fn pace(&self, from: &str, to: &str, rule: &Rule, n: usize) -> Duration {
         if rule.bytes_s <= 0.0 {
--- a/crates/cluster-harness/src/middle/tcp.rs
+++ b/crates/cluster-harness/src/middle/tcp.rs
@@ -103,6 +103,22 @@
     Way::Ended
 }
 
+/// Passes the end of one direction on.
+async fn end_output<W: AsyncWriteExt + Unpin>(output: &mut W) -> Way {
+    // A peer that is gone already needs no end.
+    let _ = output.shutdown().await;
+    Way::Ended
+}
+
+/// Waits for the next change of the faults; how the connection ends, if a cut or the end of the rig ends it.
+async fn wait_in_partition(cut: Option<Cut>, changed: &mut tokio::sync::watch::Receiver<u64>) -> Option<Way> {
+    match cut {
+        Some(Cut::Reset) => Some(Way::Reset),
+        Some(_) => Some(Way::Broken),
+        None => changed.changed().await.is_err().then_some(Way::Broken),
+    }
+}
+
 #[derive(PartialEq, Eq)]
 enum Way {
     Ended,
@@ -117,19 +133,13 @@
 {
     let mut changed = faults.changed.subscribe();
     let first = faults.cuts(from, to).0;
+    let cut = || faults.cut_since(from, to, first);
     let mut bytes = vec![0u8; CHUNK];
     loop {
-        let cut = || {
-            let (n, how) = faults.cuts(from, to);
-            how.filter(|_| n != first)
-        };
         match cut() {
             Some(Cut::Close) => return Way::Broken,
             Some(Cut::Reset) => return Way::Reset,
-            Some(Cut::HalfClose) => {
-                let _ = output.shutdown().await;
-                return Way::Ended;
-            }
+            Some(Cut::HalfClose) => return end_output(&mut output).await,
             None => {}
         }
         if faults.rule(from, to).partition {
@@ -139,31 +149,26 @@
             continue;
         }
         let piece = faults.rule(from, to).piece();
-        let n = tokio::select! {
-            read = input.read(&mut bytes[..piece]) => match read {
-                Ok(0) => {
-                    let _ = output.shutdown().await;
-                    return Way::Ended;
-                }
-                Ok(n) => n,
-                Err(_) => return Way::Broken,
-            },
+        let read = tokio::select! {
+            read = input.read(&mut bytes[..piece]) => read,
             c = changed.changed() => match c {
                 Ok(()) => continue,
                 Err(_) => return Way::Broken,
             },
         };
+        let n = match read {
+            Ok(0) => return end_output(&mut output).await,
+            Ok(n) => n,
+            Err(_) => return Way::Broken,
+        };
         let mut rule = faults.rule(from, to);
         let delay = faults.delay(&rule) + faults.pace(from, to, &rule, n);
         if delay > Duration::ZERO {
             sleep(delay).await;
         }
         while rule.partition {
-            if cut() == Some(Cut::Reset) {
-                return Way::Reset;
-            }
-            if cut().is_some() || changed.changed().await.is_err() {
-                return Way::Broken;
+            if let Some(way) = wait_in_partition(cut(), &mut changed).await {
+                return way;
             }
             rule = faults.rule(from, to);
         }
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -8,6 +8,11 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+/// The shorter window in which peaks of polls and connections are counted.
+const PEAK_100MS: Duration = Duration::from_millis(100);
+/// The longer one.
+const PEAK_1S: Duration = Duration::from_secs(1);
+
 impl Rig<'_> {
     pub(super) fn outcome(&self, logs: Vec<String>) -> Outcome {
         let buckets = (self.scenario.seconds / BUCKET.as_secs_f64()).ceil() as usize;
@@ -22,6 +27,27 @@
             breaches: self.ledger.read(),
             ..Report::default()
         };
+        self.count_requests(&mut r, &mut requests, buckets);
+        r.serving_s = requests.seconds_to_serving(20);
+        let mut calls = Counted::default();
+        self.lists.iter().for_each(|l| calls.add(&l.calls.read()));
+        let dials = self.count_dials(&mut r);
+        self.summarize_connections(&mut r, &calls, &dials);
+        Outcome {
+            report: r,
+            requests,
+            calls: calls.buckets(BUCKET, buckets),
+            dials: dials.buckets(BUCKET, buckets),
+            logs,
+            sends: self.ledger.sends(),
+            views: self.views.clone(),
+            history: None,
+            verdict: None,
+        }
+    }
+
+    /// Counts the requests by how they ended, in all and by bucket of time.
+    fn count_requests(&self, r: &mut Report, requests: &mut Outcomes, buckets: usize) {
         // Bounds are valid constants: microseconds up to a minute, three digits.
         let mut took_us = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
         for (due, became, died, took) in self.ended.lock().unwrap_or_else(PoisonError::into_inner).iter() {
@@ -48,30 +74,29 @@
         }
         r.p50_ms = took_us.value_at_quantile(0.5) as f64 / 1e3;
         r.p99_ms = took_us.value_at_quantile(0.99) as f64 / 1e3;
-        r.serving_s = requests.seconds_to_serving(20);
-        let (mut calls, mut dials) = (Counted::default(), Counted::default());
-        self.lists.iter().for_each(|l| calls.add(&l.calls.read()));
-        let (ms100, s1) = (Duration::from_millis(100), Duration::from_secs(1));
+    }
+
+    /// All connections made to engines.
+    fn count_dials(&self, r: &mut Report) -> Counted {
+        let mut dials = Counted::default();
         for e in self.engines.iter().filter_map(|e| e.run.as_ref()) {
             let d = e.dials.read();
-            r.dials_engine_100ms = r.dials_engine_100ms.max(d.peak(ms100));
+            r.dials_engine_100ms = r.dials_engine_100ms.max(d.peak(PEAK_100MS));
             r.most_threads = r.most_threads.max(e.most_threads());
             dials.add(&d);
         }
+        dials
+    }
+
+    /// Totals, peaks and the steady rate of polls and connections.
+    fn summarize_connections(&self, r: &mut Report, calls: &Counted, dials: &Counted) {
         let end = Duration::from_secs_f64(self.scenario.seconds);
-        (r.calls, r.calls_100ms, r.calls_1s) = (calls.at.len(), calls.peak(ms100), calls.peak(s1));
+        r.calls = calls.at.len();
+        r.calls_100ms = calls.peak(PEAK_100MS);
+        r.calls_1s = calls.peak(PEAK_1S);
         r.calls_steady = calls.within(end * 2 / 3, end) as f64 / (end / 3).as_secs_f64();
-        (r.dials, r.dials_100ms, r.dials_1s) = (dials.at.len(), dials.peak(ms100), dials.peak(s1));
-        Outcome {
-            report: r,
-            requests,
-            calls: calls.buckets(BUCKET, buckets),
-            dials: dials.buckets(BUCKET, buckets),
-            logs,
-            sends: self.ledger.sends(),
-            views: self.views.clone(),
-            history: None,
-            verdict: None,
-        }
+        r.dials = dials.at.len();
+        r.dials_100ms = dials.peak(PEAK_100MS);
+        r.dials_1s = dials.peak(PEAK_1S);
     }
 }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -25,19 +25,28 @@
 /// Managers that all others know as seeds.
 const SEEDS: usize = 3;
 
+/// The history that the scenario asks for; one that records nothing if it asks for none.
+fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, String> {
+    if !scenario.records() {
+        return Ok(Recorder::default());
+    }
+    let History { engines, most_mb } = scenario.history.unwrap_or_default();
+    Recorder::start(&program.dir, start, most_mb << 20, engines).map_err(io("the history"))
+}
+
+/// The managers' settings, with the scenario's zones.
+fn settings_of(scenario: &Scenario) -> String {
+    let zones = format!(r#""zones":{:?}"#, &HALLS[..scenario.zones]);
+    procs::settings(scenario.managers).replace(r#""zones":["hall-a","hall-b"]"#, &zones)
+}
+
 impl<'a> Rig<'a> {
     pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, String> {
         let start = Instant::now();
         let faults = Faults::new(scenario.seed);
         let fleet = Fleet::new(&program.path, &program.dir).map_err(io("the rig's folder"))?;
         let n = scenario.managers;
-        let history = match scenario.records() {
-            true => {
-                let History { engines, most_mb } = scenario.history.unwrap_or_default();
-                Recorder::start(&program.dir, start, most_mb << 20, engines).map_err(io("the history"))?
-            }
-            false => Recorder::default(),
-        };
+        let history = start_history(scenario, program, start)?;
         let peers = Peers::new(scenario, &faults)?;
         let mut rig = Rig {
             scenario,
@@ -55,10 +64,7 @@
             seats: (0..n).map(|_| Arc::default()).collect(),
             up_once: vec![false; n],
             crashed: 0,
-            settings: procs::settings(n).replace(
-                r#""zones":["hall-a","hall-b"]"#,
-                &format!(r#""zones":{:?}"#, &HALLS[..scenario.zones]),
-            ),
+            settings: settings_of(scenario),
             net: UdpNet::new(&Faults::new(0)),
             members: Vec::new(),
             real: vec![None; n],
@@ -76,43 +82,68 @@
             draws: 0,
         };
         rig.note_run();
-        let Engines { count, cold, missing, .. } = scenario.engines;
+        rig.start_engines()?;
+        rig.start_list_services()?;
+        rig.ledger.date(start);
+        rig.set_lists(scenario.lists);
+        rig.reserve_members()?;
+        rig.start_subscribers();
+        Ok(rig)
+    }
+
+    /// The engines that are there from the beginning; the last ones are listed and do not run.
+    fn start_engines(&mut self) -> Result<(), String> {
+        let Engines { count, cold, missing, .. } = self.scenario.engines;
         for i in 0..count {
-            rig.add_engine(i < cold)?;
+            self.add_engine(i < cold)?;
             if i + missing >= count {
-                rig.stop_engine(i);
+                self.stop_engine(i);
             }
         }
-        for (party, name) in scenario.parties().iter().enumerate() {
-            let first = procs::event(1, 1, true, &rig.rows(party));
-            let service = ListService::start_as(first, start, name, rig.history.clone());
+        Ok(())
+    }
+
+    /// One list service for each group of managers, behind the fault proxy where the scenario has one.
+    fn start_list_services(&mut self) -> Result<(), String> {
+        for (party, name) in self.scenario.parties().iter().enumerate() {
+            let first = procs::event(1, 1, true, &self.rows(party));
+            let service = ListService::start_as(first, self.start, name, self.history.clone());
             let service = service.map_err(io("list service"))?;
             let mut feed = service.address;
-            if scenario.through_middle() {
-                let path = middle::tcp(&rig.faults, name, "lists", feed).map_err(io("fault middle"))?;
+            if self.scenario.through_middle() {
+                let path = middle::tcp(&self.faults, name, "lists", feed).map_err(io("fault middle"))?;
                 feed = path.address;
-                rig.list_paths.push(path);
+                self.list_paths.push(path);
             }
-            rig.lists.push(service);
-            rig.feeds.push(feed);
+            self.lists.push(service);
+            self.feeds.push(feed);
         }
-        rig.ledger.date(start);
-        rig.set_lists(scenario.lists);
-        if scenario.membership.is_some() {
-            rig.net = UdpNet::new(&rig.faults);
-            for i in 0..n {
-                rig.members.push(rig.net.reserve(&format!("n{i}")).map_err(io("fault middle"))?);
-            }
+        Ok(())
+    }
+
+    /// The managers' addresses for membership messages, where the scenario has membership.
+    fn reserve_members(&mut self) -> Result<(), String> {
+        if self.scenario.membership.is_none() {
+            return Ok(());
         }
-        if scenario.subscribers.count > 0 {
-            let spec = &scenario.subscribers;
-            let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| rig.who(to));
-            let all = rig.peers.seen(&spec.port, SUBSCRIBERS).into_iter().enumerate();
-            let to =
-                all.filter(|(i, _)| allowed.as_ref().is_none_or(|a| a.contains(i))).map(|(_, m)| m).collect();
-            rig.subscribers = Some(Subscribers::start(scenario, start, to, rig.history.clone()));
+        self.net = UdpNet::new(&self.faults);
+        for i in 0..self.scenario.managers {
+            self.members.push(self.net.reserve(&format!("n{i}")).map_err(io("fault middle"))?);
         }
-        Ok(rig)
+        Ok(())
+    }
+
+    /// The subscribers, each connected to the managers that the scenario allows them.
+    fn start_subscribers(&mut self) {
+        let spec = &self.scenario.subscribers;
+        if spec.count == 0 {
+            return;
+        }
+        let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| self.who(to));
+        let all = self.peers.seen(&spec.port, SUBSCRIBERS).into_iter().enumerate();
+        let to =
+            all.filter(|(i, _)| allowed.as_ref().is_none_or(|a| a.contains(i))).map(|(_, m)| m).collect();
+        self.subscribers = Some(Subscribers::start(self.scenario, self.start, to, self.history.clone()));
     }
 
     /// The history's first line.
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -76,21 +76,11 @@
 
     pub(super) fn act(&mut self, act: &Act) -> Result<(), String> {
         self.note_act(act);
-        let engines = |p: &Part, rig: &Rig| p.of(rig.engines.len());
         match act {
             Act::Restart(w) => self.who(w).into_iter().try_for_each(|i| self.begin(i, false))?,
             Act::RestartEmpty(w) => self.who(w).into_iter().try_for_each(|i| self.begin(i, true))?,
             Act::Kill(w) => self.who(w).into_iter().for_each(|i| self.kill(i)),
-            Act::Roll(w) => {
-                for i in self.who(w) {
-                    if !matches!(self.lives[i], Life::Up | Life::Starting) {
-                        continue;
-                    }
-                    self.seat(i, |s| s.until = Some(Instant::now() + STILL_COMING));
-                    self.fleet.signal(i, Signal::SIGTERM).map_err(|e| e.to_string())?;
-                    self.lives[i] = Life::Ending(Instant::now());
-                }
-            }
+            Act::Roll(w) => self.who(w).into_iter().try_for_each(|i| self.terminate(i))?,
             Act::Pause(w) => {
                 for i in self.who(w) {
                     if self.lives[i] == Life::Up {
@@ -112,48 +102,12 @@
                 }
             }
             Act::Lists(how) => self.set_lists(*how),
-            Act::EnginesCome(count) => {
-                let from = self.engines.len();
-                (0..*count).try_for_each(|_| self.add_engine(true))?;
-                self.tell(&(from..self.engines.len()).collect::<Vec<_>>())?;
-            }
-            Act::EnginesDrain(p) => {
-                let who: Vec<usize> = engines(p, self).collect();
-                self.struck(&who);
-                who.iter().for_each(|i| self.engines[*i].phase = "draining");
-                self.tell(&who)?;
-                who.iter().for_each(|i| self.ledger.drained(*i, Instant::now()));
-            }
-            Act::EnginesGo(p) => {
-                let who: Vec<usize> = engines(p, self).collect();
-                self.struck(&who);
-                who.iter().for_each(|i| self.engines[*i].phase = "gone");
-                self.tell(&who)?;
-                who.iter().for_each(|i| self.stop_engine(*i));
-            }
-            Act::EnginesVanish(p) => {
-                let who: Vec<usize> = engines(p, self).collect();
-                self.struck(&who);
-                who.into_iter().for_each(|i| self.stop_engine(i));
-            }
-            Act::OlderList => {
-                let first = self.scenario.engines.count;
-                for group in 0..self.lists.len() {
-                    let mut rows = self.rows(group);
-                    rows.truncate(first);
-                    rows.iter_mut().for_each(|r| r.phase = "ready");
-                    self.lists[group].tell(|n| procs::event(n, 1, true, &rows))?;
-                }
-            }
-            Act::ContradictoryList => {
-                self.engines[0].phase = "draining";
-                self.revision += 1;
-                for group in 0..self.lists.len() {
-                    let rows = [self.row(group, 0), Row { phase: "ready", ..self.row(group, 0) }];
-                    self.lists[group].tell(|n| procs::event(n, self.revision, false, &rows))?;
-                }
-                self.ledger.drained(0, Instant::now());
-            }
+            Act::EnginesCome(count) => self.start_cold_engines(*count)?,
+            Act::EnginesDrain(p) => self.drain_engines(p)?,
+            Act::EnginesGo(p) => self.withdraw_engines(p)?,
+            Act::EnginesVanish(p) => self.stop_engines(p),
+            Act::OlderList => self.send_older_list()?,
+            Act::ContradictoryList => self.send_contradictory_list()?,
             Act::Fault { from, to, rule } => self.set_rule(from, to, *rule),
             Act::Part(sides) => self.part(sides, true),
             Act::Join(sides) => self.part(sides, false),
@@ -161,18 +115,88 @@
                 self.ways(from, to).into_iter().for_each(|(from, to)| self.faults.cut(&from, &to, *how));
             }
             Act::Heal => self.heal(),
-            Act::ZoneCold(zone) => {
-                let here = |i: &usize| HALLS[i % self.scenario.zones] == zone;
-                let who: Vec<usize> = (0..self.engines.len()).filter(here).collect();
-                for i in &who {
-                    self.engines[*i].since_ms = unix_ms();
-                    if let Some(run) = &self.engines[*i].run {
-                        run.restart_cold(COLD_FOR);
-                    }
-                }
-                self.tell(&who)?;
-            }
+            Act::ZoneCold(zone) => self.restart_zone(zone)?,
+        }
+        Ok(())
+    }
+
+    /// Sends SIGTERM to a manager that runs; its clients keep sending for a while.
+    fn terminate(&mut self, manager: usize) -> Result<(), String> {
+        if !matches!(self.lives[manager], Life::Up | Life::Starting) {
+            return Ok(());
         }
+        self.seat(manager, |s| s.until = Some(Instant::now() + STILL_COMING));
+        self.fleet.signal(manager, Signal::SIGTERM).map_err(|e| e.to_string())?;
+        self.lives[manager] = Life::Ending(Instant::now());
         Ok(())
     }
+
+    fn start_cold_engines(&mut self, count: usize) -> Result<(), String> {
+        let from = self.engines.len();
+        (0..count).try_for_each(|_| self.add_engine(true))?;
+        self.tell(&(from..self.engines.len()).collect::<Vec<_>>())
+    }
+
+    fn drain_engines(&mut self, part: &Part) -> Result<(), String> {
+        let engines: Vec<usize> = part.of(self.engines.len()).collect();
+        self.struck(&engines);
+        engines.iter().for_each(|i| self.engines[*i].phase = "draining");
+        self.tell(&engines)?;
+        engines.iter().for_each(|i| self.ledger.drained(*i, Instant::now()));
+        Ok(())
+    }
+
+    /// Engines that the list has as gone and that end then.
+    fn withdraw_engines(&mut self, part: &Part) -> Result<(), String> {
+        let engines: Vec<usize> = part.of(self.engines.len()).collect();
+        self.struck(&engines);
+        engines.iter().for_each(|i| self.engines[*i].phase = "gone");
+        self.tell(&engines)?;
+        engines.iter().for_each(|i| self.stop_engine(*i));
+        Ok(())
+    }
+
+    /// Engines that end, and stay on the list.
+    fn stop_engines(&mut self, part: &Part) {
+        let engines: Vec<usize> = part.of(self.engines.len()).collect();
+        self.struck(&engines);
+        engines.into_iter().for_each(|i| self.stop_engine(i));
+    }
+
+    /// A complete list of revision 1, with the first engines only, all of them ready.
+    fn send_older_list(&mut self) -> Result<(), String> {
+        let first = self.scenario.engines.count;
+        for group in 0..self.lists.len() {
+            let mut rows = self.rows(group);
+            rows.truncate(first);
+            rows.iter_mut().for_each(|r| r.phase = "ready");
+            self.lists[group].tell(|n| procs::event(n, 1, true, &rows))?;
+        }
+        Ok(())
+    }
+
+    /// A list that has the first engine as draining and as ready.
+    fn send_contradictory_list(&mut self) -> Result<(), String> {
+        self.engines[0].phase = "draining";
+        self.revision += 1;
+        for group in 0..self.lists.len() {
+            let rows = [self.row(group, 0), Row { phase: "ready", ..self.row(group, 0) }];
+            self.lists[group].tell(|n| procs::event(n, self.revision, false, &rows))?;
+        }
+        self.ledger.drained(0, Instant::now());
+        Ok(())
+    }
+
+    /// Restarts all engines of a zone, which are then in slow start.
+    fn restart_zone(&mut self, zone: &str) -> Result<(), String> {
+        let is_there = |i: &usize| HALLS[i % self.scenario.zones] == zone;
+        let engines: Vec<usize> = (0..self.engines.len()).filter(is_there).collect();
+        for i in &engines {
+            self.engines[*i].since_ms = unix_ms();
+            if let Some(run) = &self.engines[*i].run {
+                run.restart_cold(COLD_FOR);
+            }
+        }
+        self.tell(&engines)
+    }
 }
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -49,32 +49,11 @@
         within("start_over_ms", self.start_over_ms, 0.0, 60_000.0)?;
         within("seconds", self.seconds, 0.5, LONGEST)?;
         within("drain_grace_ms", self.drain_grace_ms, 0.0, 60_000.0)?;
-        let e = &self.engines;
-        let come: usize = self
-            .steps
-            .iter()
-            .map(|s| if let Act::EnginesCome(n) = s.act { n.saturating_mul(s.times) } else { 0 })
-            .sum();
-        within("engines.count", e.count.saturating_add(come) as f64, 1.0, MOST_ENGINES as f64)?;
-        within("engines.cold", e.cold as f64, 0.0, e.count as f64)?;
-        within("engines.missing", e.missing as f64, 0.0, e.count as f64)?;
-        within("engines.slow", e.slow as f64, 0.0, e.count as f64)?;
-        within("engines.cores", e.cores, 0.5, 1_000.0)?;
-        within("engines.light_ms", e.light_ms, 0.0, 10_000.0)?;
-        within("engines.heavy_ms", e.heavy_ms, 0.0, 10_000.0)?;
+        self.check_engines()?;
         within("load.rate", self.load.rate, 0.0, 5_000.0)?;
         within("load.heavy", self.load.heavy, 0.0, 1.0)?;
         within("load.timeout_ms", self.load.timeout_ms, 100.0, 20_000.0)?;
-        within("zones", self.zones as f64, 1.0, HALLS.len() as f64)?;
-        if self.told_zone && self.groups.len() > self.zones {
-            return Err("told_zone: there are more groups than zones".into());
-        }
-        if let Some(w) = &self.watch {
-            let known = HALLS[..self.zones].contains(&w.zone.as_str());
-            known.then_some(()).ok_or_else(|| format!("watch.zone: {:?} is no zone", w.zone))?;
-            within("watch.from", w.from, 0.0, self.seconds)?;
-            within("watch.to", w.to, w.from, self.seconds)?;
-        }
+        self.check_zones()?;
         if let Some(m) = &self.membership {
             m.protocol.validate().map_err(|e| format!("membership.protocol.{e}"))?;
         }
@@ -98,6 +77,36 @@
         self.check_subscribers().map_err(|e| format!("subscribers.{e}"))
     }
 
+    fn check_engines(&self) -> Result<(), String> {
+        let e = &self.engines;
+        let come: usize = self
+            .steps
+            .iter()
+            .map(|s| if let Act::EnginesCome(n) = s.act { n.saturating_mul(s.times) } else { 0 })
+            .sum();
+        within("engines.count", e.count.saturating_add(come) as f64, 1.0, MOST_ENGINES as f64)?;
+        within("engines.cold", e.cold as f64, 0.0, e.count as f64)?;
+        within("engines.missing", e.missing as f64, 0.0, e.count as f64)?;
+        within("engines.slow", e.slow as f64, 0.0, e.count as f64)?;
+        within("engines.cores", e.cores, 0.5, 1_000.0)?;
+        within("engines.light_ms", e.light_ms, 0.0, 10_000.0)?;
+        within("engines.heavy_ms", e.heavy_ms, 0.0, 10_000.0)
+    }
+
+    fn check_zones(&self) -> Result<(), String> {
+        within("zones", self.zones as f64, 1.0, HALLS.len() as f64)?;
+        if self.told_zone && self.groups.len() > self.zones {
+            return Err("told_zone: there are more groups than zones".into());
+        }
+        if let Some(w) = &self.watch {
+            let known = HALLS[..self.zones].contains(&w.zone.as_str());
+            known.then_some(()).ok_or_else(|| format!("watch.zone: {:?} is no zone", w.zone))?;
+            within("watch.from", w.from, 0.0, self.seconds)?;
+            within("watch.to", w.to, w.from, self.seconds)?;
+        }
+        Ok(())
+    }
+
     fn check_processes(&self) -> Result<(), String> {
         plain_word("version", &self.version)?;
         within("ports", self.ports.len() as f64, 0.0, MOST_PORTS as f64)?;
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -11,6 +11,7 @@
 use crate::scenario::{Scenario, Subs, Subscribers as Spec};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
 use hyper::Request;
 use reader::Reader;
 use sprucelink_history_checker::event::Event;
@@ -120,6 +121,23 @@
     }
 }
 
+/// Requests the stream from the reader's cursor on; an answer without one ends the visit.
+async fn open_stream(reader: &Reader<'_>, at: SocketAddr) -> Result<Incoming, Over> {
+    let request =
+        Request::get(reader.path()).header("host", at.to_string()).header("accept", "text/event-stream");
+    let request = match reader.cursor {
+        Some(c) => request.header("last-event-id", c.to_string()),
+        None => request,
+    };
+    let request = request.body(Full::<Bytes>::default()).map_err(|_| Over::Lost("no request".into()))?;
+    let answer = http::ask(at, request).await.map_err(Over::Lost)?;
+    match answer.status().as_u16() {
+        200 => Ok(answer.into_body()),
+        GONE => Err(Over::Forgotten("status 410".into())),
+        other => Err(Over::Lost(format!("status {other}"))),
+    }
+}
+
 /// One connection, from its beginning to its end.
 async fn visit(
     shared: &Shared,
@@ -129,22 +147,10 @@
     manager: &str,
     at: SocketAddr,
 ) -> Over {
-    let request =
-        Request::get(reader.path()).header("host", at.to_string()).header("accept", "text/event-stream");
-    let request = match reader.cursor {
-        Some(c) => request.header("last-event-id", c.to_string()),
-        None => request,
-    };
-    let Ok(request) = request.body(Full::<Bytes>::default()) else { return Over::Lost("no request".into()) };
-    let answer = match http::ask(at, request).await {
-        Ok(answer) => answer,
-        Err(e) => return Over::Lost(e),
+    let mut body = match open_stream(reader, at).await {
+        Ok(body) => body,
+        Err(over) => return over,
     };
-    match answer.status().as_u16() {
-        200 => {}
-        GONE => return Over::Forgotten("status 410".into()),
-        other => return Over::Lost(format!("status {other}")),
-    }
     shared.history.note(Event::SubscriberConnected {
         subscriber: reader.name.clone(),
         manager: manager.to_owned(),
@@ -152,7 +158,6 @@
         version: reader.version.clone(),
         filter: reader.filter.clone(),
     });
-    let mut body = answer.into_body();
     let mut stream = sse::Stream::default();
     let silent = Duration::from_secs_f64(shared.spec.silent_ms / 1e3);
     let leaves = reader.stay().map(|stay| Instant::now() + stay);
--- a/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
+++ b/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
@@ -1,6 +1,6 @@
 //! `sprucelink-fault-soak`: runs of many seeds, and what broke the rules in each.
 
-use lexopt::prelude::*;
+use lexopt::prelude::{Long, ValueExt as _};
 use sprucelink_fault_soak::judge::count_by_rule;
 use sprucelink_fault_soak::soak::{run, SoakConfig, SoakReport};
 use std::path::PathBuf;
