--- a/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
+++ b/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
@@ -7,6 +7,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+/// The help text.
 const USAGE: &str = "\
 usage: sprucelink-fault-soak [--seeds FROM..TO] [--seconds N] [--managers N] [--engines N] [--rate R]
                              [--program PATH] [--folder DIR] [--arg ARG]... [--details N]
@@ -74,7 +75,9 @@
 }
 
 fn print_report(seed: u64, report: &SoakReport, details: usize) {
-    let (requests, attempts, lag) = (report.requests, report.attempts, report.longest_lag);
+    let requests = report.requests;
+    let attempts = report.attempts;
+    let lag = report.longest_lag;
     println!(
         "seed {seed}: {requests} requests, {attempts} attempts, {} violations, lag {lag:?}",
         report.violations.len()
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -61,7 +61,9 @@
 
     fn message(&self) -> Vec<u8> {
         let key = if self.class == 1 { format!(",opkey={:032x}", self.id) } else { String::new() };
-        let (id, timeout_ms, name) = (self.id, self.timeout.as_millis(), CLASSES[self.class].name);
+        let id = self.id;
+        let timeout_ms = self.timeout.as_millis();
+        let name = CLASSES[self.class].name;
         let text = format!(
             "/* kind={name},req={id:016x},timeout={timeout_ms},owner=sud,ms=40.0{key} */ SELECT '{id:016x}' FROM rates_3.lanes\0"
         );
@@ -165,6 +167,7 @@
     Misbehaves,
 }
 
+/// How often a client behaves in each way: weights of the draw.
 const CLIENT_BEHAVIOURS: [(u32, ClientBehaviour); 7] = [
     (30, ClientBehaviour::Once),
     (25, ClientBehaviour::Rests),
@@ -181,7 +184,7 @@
         Client { world: Arc::clone(world), endpoint: Arc::clone(endpoint), rng }
     }
 
-    /// Does what it does, once. An error that tells nothing of the manager is passed over.
+    /// Behaves in the drawn way once. Errors that do not concern the manager are ignored.
     pub async fn run(mut self) {
         let total: u32 = CLIENT_BEHAVIOURS.iter().map(|(weight, _)| weight).sum();
         let mut drawn = self.rng.gen_range(0..total);
@@ -224,11 +227,14 @@
                 self.world.violate(Rule::WrongAnswer, detail);
             }
             Ok(_) => {}
-            // A request that came too late after SIGTERM, or to a process that was killed, is owed nothing.
-            Err(_) if !self.endpoint.owes(opened, sent) => {}
+            // A request that came too late after SIGTERM, or to a process that was killed, needs no answer.
+            Err(_) if !self.endpoint.must_answer(opened, sent) => {}
             Err(error) => {
-                let (number, id, took) = (self.endpoint.number, request.id, sent.elapsed());
-                let (left, class) = (request.timeout, CLASSES[request.class].name);
+                let number = self.endpoint.number;
+                let id = request.id;
+                let took = sent.elapsed();
+                let left = request.timeout;
+                let class = CLASSES[request.class].name;
                 let detail = format!(
                     "manager {number}, request {id:016x} ({what}, {class}, {left:?}): {error} after {took:?}"
                 );
@@ -237,7 +243,7 @@
         }
     }
 
-    /// Waits for an answer as long as one is owed.
+    /// Waits for an answer until it counts as lost.
     async fn await_answer(&self, session: &mut Session, request: &Request) -> io::Result<Answer> {
         let patience = request.timeout + LATE + self.world.lag();
         timeout(patience, session.answer()).await?
--- a/crates/fault-soak/src/engine.rs
+++ b/crates/fault-soak/src/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in engines: they serve, shed, fail, hang, spoil answers and reset connections, and tell the world what reached them.
+//! Stand-in engines: they serve, shed, fail, hang, send malformed answers and reset connections, and report each attempt to the [`World`].
 
 use crate::world::World;
 use rand::{Rng, SeedableRng};
@@ -28,8 +28,8 @@
     pub failing: u32,
     /// In 1,000 requests: answered as shed.
     pub shedding: u32,
-    /// In 1,000 answers: spoilt, and followed by nothing.
-    pub spoilt: u32,
+    /// In 1,000 answers: malformed, and followed by nothing.
+    pub malformed: u32,
     /// In 1,000 requests: the connection is reset under it.
     pub resetting: u32,
     /// Connections with nothing open are closed after this.
@@ -42,7 +42,7 @@
             hangs_until: Instant::now(),
             failing: 5,
             shedding: 10,
-            spoilt: 2,
+            malformed: 2,
             resetting: 2,
             idle_close: Duration::from_secs(4),
         }
@@ -145,7 +145,7 @@
     Serve,
     Fail,
     Shed,
-    Spoil,
+    SendMalformed,
     Reset,
 }
 
@@ -163,7 +163,7 @@
         let chances = [
             (behaviour.failing, Reaction::Fail),
             (behaviour.shedding, Reaction::Shed),
-            (behaviour.spoilt, Reaction::Spoil),
+            (behaviour.malformed, Reaction::SendMalformed),
             (behaviour.resetting, Reaction::Reset),
         ];
         let mut drawn = rng.gen_range(0..1_000);
@@ -291,7 +291,7 @@
         ]),
         Reaction::Fail => command(&[&name, "crashed", load, ""]),
         Reaction::Shed => command(&[&name, "overload", load, ""]),
-        Reaction::Spoil => {
+        Reaction::SendMalformed => {
             format!("*4\r\n$16\r\n{name}\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$5000\r\nabc").into_bytes()
         }
         Reaction::Reset => {
--- a/crates/fault-soak/src/feed.rs
+++ b/crates/fault-soak/src/feed.rs
@@ -1,4 +1,4 @@
-//! Stand-in control feeds. Each manager has addresses of its own, so that what it was told is known; all tell the same list.
+//! Stand-in control feeds. Each manager has addresses of its own, so that what it was sent is known; all send the same list.
 
 use crate::world::World;
 use std::io;
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum FeedMode {
-    /// It tells events.
+    /// It sends events.
     Serve = 0,
-    /// Connections stay open, and nothing is told.
+    /// Connections stay open, and no event is sent.
     Silent = 1,
     /// Connections are closed at once.
     Down = 2,
@@ -90,7 +90,8 @@
             if mode.load(Ordering::SeqCst) >= FeedMode::Down as u8 {
                 continue;
             }
-            let (log, mode) = (Arc::clone(&log), Arc::clone(&mode));
+            let log = Arc::clone(&log);
+            let mode = Arc::clone(&mode);
             tokio::spawn(async move { drop(serve(stream, manager, &log, &mode).await) });
         }
     }
@@ -110,14 +111,19 @@
                 next_comment = tokio::time::Instant::now() + COMMENT_INTERVAL;
                 stream.write_all(b": here\n\n").await?;
             }
-            next = tell(&mut stream, manager, log, next).await?;
+            next = send_events(&mut stream, manager, log, next).await?;
         }
         let _ = tokio::time::timeout(Duration::from_millis(20), count.changed()).await;
     }
 }
 
 /// Writes the events from `next` on, each in two pieces; the number after the last.
-async fn tell(stream: &mut TcpStream, manager: usize, log: &EventLog, mut next: u64) -> io::Result<u64> {
+async fn send_events(
+    stream: &mut TcpStream,
+    manager: usize,
+    log: &EventLog,
+    mut next: u64,
+) -> io::Result<u64> {
     let events = log.all();
     while let Some(text) = usize::try_from(next - 1).ok().and_then(|index| events.get(index)) {
         let bytes = format!("id: {next}\ndata: {text}\n\n").into_bytes();
--- a/crates/fault-soak/src/judge.rs
+++ b/crates/fault-soak/src/judge.rs
@@ -6,17 +6,17 @@
 /// A rule of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request that was taken has one final answer.
+    /// An admitted request has one final answer.
     Lost,
     /// An answer holds what an engine made for that request.
     WrongAnswer,
     /// No attempt begins over 0.1 s after its client has gone or cancelled.
     SentAfterClientGone,
-    /// The deadline that an engine is told is at most what the client has left, with 0.15 s of slack.
+    /// The deadline sent to an engine is at most the time that the client has left, with 0.15 s of slack.
     LateDeadline,
     /// A request has one attempt out at a time.
     ConcurrentAttempts,
-    /// Nothing is sent to an engine 0.5 s after its drain was told.
+    /// Nothing is sent to an engine 0.5 s after the manager was notified of its drain.
     SentToDraining,
     /// What may have run is repeated only as its class allows.
     UnsafeRepeat,
@@ -24,7 +24,7 @@
     RetryBudget,
     /// An engine in slow start gets N + 3 x root of N + 3 requests at most, or N + 2 x root of N + 2.
     SlowStart,
-    /// A process ends only when it is told to, with status 0, and is ready within 10 s.
+    /// A process ends only on SIGTERM, with status 0, and is ready within 10 s of its start.
     Crash,
     /// The program's own invariants hold.
     OwnInvariant,
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`world`]: what is known of every request, engine and manager while a run goes on;
 //! - [`engine`], [`feed`], [`client`]: the stand-ins;
 //! - [`manager`]: processes, by their own ids only;
-//! - [`shim`]: the library in `shim/syscall_faults.c`, and what it is told to fail;
+//! - [`shim`]: the library in `shim/syscall_faults.c`, and which calls it fails;
 //! - [`nemesis`]: what goes wrong when, drawn from the seed;
 //! - [`judge`]: the rules;
 //! - [`soak`]: one run.
--- a/crates/fault-soak/src/manager.rs
+++ b/crates/fault-soak/src/manager.rs
@@ -22,8 +22,8 @@
 const CONNECTIONS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// Requests on open connections come for this long after SIGTERM.
 const REQUESTS_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// A request that comes later than this after SIGTERM is owed nothing.
-const OWED_AFTER_SIGTERM: Duration = Duration::from_millis(700);
+/// A request that comes later than this after SIGTERM needs no answer.
+const ANSWERED_AFTER_SIGTERM: Duration = Duration::from_millis(700);
 
 /// One process of a manager, from its start on.
 #[derive(Clone, Copy, Debug)]
@@ -78,15 +78,16 @@
         self.is_up_until(REQUESTS_AFTER_SIGTERM)
     }
 
-    /// Whether it owes an answer to a request that was sent at this time, on a connection that was opened at `opened`.
-    pub fn owes(&self, opened: Instant, sent: Instant) -> bool {
+    /// Whether it must answer a request that was sent at this time, on a connection that was opened at `opened`.
+    pub fn must_answer(&self, opened: Instant, sent: Instant) -> bool {
         let incarnations = self.incarnations();
         let Some(incarnation) =
             incarnations.iter().rev().find(|incarnation| incarnation.started_at <= opened)
         else {
             return false;
         };
-        !incarnation.was_killed && incarnation.terminated_at.is_none_or(|at| sent <= at + OWED_AFTER_SIGTERM)
+        !incarnation.was_killed
+            && incarnation.terminated_at.is_none_or(|at| sent <= at + ANSWERED_AFTER_SIGTERM)
     }
 }
 
@@ -140,7 +141,8 @@
     ) -> io::Result<()> {
         let (name, listen, seed) =
             (&self.name, self.endpoint.address, self.endpoint.number as u64 * 1_000 + self.starts);
-        let (known, settings) = (events.join(","), &deployment.settings);
+        let known = events.join(",");
+        let settings = &deployment.settings;
         let text = format!(
             r#"{{"name":"{name}","listen":"{listen}","seed":"{seed:016x}","feed":"{feed}",
  "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{{"n":{},"events":[{known}]}},"settings":{settings}}}"#,
@@ -191,7 +193,8 @@
             terminated_at: None,
             was_killed: false,
         });
-        let (endpoint, world) = (Arc::clone(&self.endpoint), Arc::clone(&self.world));
+        let endpoint = Arc::clone(&self.endpoint);
+        let world = Arc::clone(&self.world);
         let starts = self.starts;
         tokio::spawn(async move {
             let began = Instant::now();
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Whether its process runs and was not told to end.
+    /// Whether its process runs and has had no SIGTERM.
     pub fn is_serving(&self) -> bool {
         let serves = |incarnation: Incarnation| incarnation.is_up && incarnation.terminated_at.is_none();
         self.child.is_some() && self.endpoint.incarnation().is_some_and(serves)
--- a/crates/fault-soak/src/nemesis.rs
+++ b/crates/fault-soak/src/nemesis.rs
@@ -22,7 +22,7 @@
     },
     /// All managers get a new configuration whose feed is elsewhere, and SIGHUP; the old feed closes 1.5 s later.
     Reload,
-    /// The feeds of half of the managers tell nothing.
+    /// The feeds of half of the managers send no event.
     SilentFeeds {
         /// For how long.
         lasts: Duration,
@@ -49,7 +49,7 @@
         /// How many engines.
         engines: usize,
     },
-    /// Engines fail a third of what they are sent.
+    /// Engines fail a third of their attempts.
     Fail {
         /// How many.
         engines: usize,
--- a/crates/fault-soak/src/shim.rs
+++ b/crates/fault-soak/src/shim.rs
@@ -7,10 +7,10 @@
 
 /// The library's source.
 const SOURCE: &str = include_str!("../shim/syscall_faults.c");
-/// The variable that tells it what to fail.
+/// The environment variable that configures its faults.
 pub const VARIABLE: &str = "SYSCALL_FAULTS";
 
-/// How often each call fails, in thousandths; the comment in `shim/syscall_faults.c` tells how.
+/// How often each call fails, in thousandths; described in `shim/syscall_faults.c`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SyscallFaults {
     /// Reads, writes and connects that a signal interrupts.
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -18,18 +18,22 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Cores of an engine, as the settings tell.
+/// Cores of an engine in the settings.
 const ENGINE_CORES: f64 = 2.0;
-/// The window of slow start, and how long it lasts.
+/// The window in which the load of an engine in slow start is bounded.
 const SLOW_START_WINDOW: Duration = Duration::from_secs(2);
+/// How long slow start lasts.
 const SLOW_START: Duration = Duration::from_secs(15);
-/// Multiple of its capacity at which a cold engine falls, and its capacity at the start.
+/// Multiple of its capacity above which an engine in slow start fails.
 const FALL_MULTIPLE: f64 = 2.5;
+/// Fraction of its capacity that an engine starts with.
 const START_CAPACITY: f64 = 0.3;
-/// The retry budget.
+/// Retries that a manager may make in each window in any case.
 const FREE_RETRIES: f64 = 3.0;
-const RETRY_SHARE: f64 = 0.1;
-const RETRY_SPAN: Duration = Duration::from_secs(5);
+/// Further retries allowed for each request of the window.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Length of the retry budget's window.
+const RETRY_WINDOW: Duration = Duration::from_secs(5);
 /// An engine that drains is gone after this.
 const DRAIN_LASTS: Duration = Duration::from_secs(2);
 /// The old feed closes this long after SIGHUP.
@@ -132,13 +136,13 @@
   "takesGrants":true,"priorities":true,"tellsCost":true,"memoryShort":"swap","progressPace":0.0}},
  "limits":{{"cancel":true,"maxAttempts":6,"maxRetryAfter":2.0,"maxStreams":32,"connIdle":4.0,"connectTimeout":2.0}},
  "loadReport":{{"via":"piggyback","fields":["rif","q"]}},
- "invariants":{{"budgetShare":{RETRY_SHARE},"freeResends":{FREE_RETRIES},"ratioSpan":5.0,"drainGrace":0.5,
+ "invariants":{{"budgetShare":{RETRIES_PER_REQUEST},"freeResends":{FREE_RETRIES},"ratioSpan":5.0,"drainGrace":0.5,
   "fallMultiple":{FALL_MULTIPLE},"overloadFor":2.0,"startCapacity":{START_CAPACITY},"cold":15.0}}}}"#
     )
 }
 
-/// Requests of mean work that a cold engine may get in its window.
-fn cold_bound() -> f64 {
+/// Requests of mean work that an engine in slow start may get in its window.
+fn slow_start_requests() -> f64 {
     // What it can do at the end of its first window.
     let share =
         START_CAPACITY + (1.0 - START_CAPACITY) * SLOW_START_WINDOW.as_secs_f64() / SLOW_START.as_secs_f64();
@@ -356,7 +360,7 @@
         let since = wall_ms(&self.world.steps);
         self.world.engine_started(
             &fresh.id,
-            cold_bound(),
+            slow_start_requests(),
             SLOW_START_WINDOW,
             Instant::now() + SLOW_START_WINDOW,
         );
@@ -393,8 +397,8 @@
             }
         }
         for number in 0..self.managers.len() {
-            let was_told = self.ending.contains(&number);
-            if self.managers[number].has_ended() && was_told {
+            let is_expected = self.ending.contains(&number);
+            if self.managers[number].has_ended() && is_expected {
                 self.ending.retain(|other| *other != number);
                 self.start_manager(number)?;
             }
@@ -427,7 +431,9 @@
     fn finish(self, plan: Plan) -> io::Result<SoakReport> {
         self.world.check_overlaps();
         for (manager, requests, retries) in self.world.retry_times() {
-            if let Some(excess) = retry_excess(&requests, &retries, FREE_RETRIES, RETRY_SHARE, RETRY_SPAN) {
+            if let Some(excess) =
+                retry_excess(&requests, &retries, FREE_RETRIES, RETRIES_PER_REQUEST, RETRY_WINDOW)
+            {
                 self.world.violate(Rule::RetryBudget, format!("manager {manager}: {excess:.1} too many"));
             }
         }
--- a/crates/fault-soak/src/world.rs
+++ b/crates/fault-soak/src/world.rs
@@ -17,12 +17,12 @@
 pub const KEYED_WINDOW: Duration = Duration::from_secs(3);
 /// After the client has gone an attempt may begin for this long.
 const GONE_GRACE: Duration = Duration::from_millis(100);
-/// Slack on the deadline that an engine is told.
+/// Slack on the deadline that an engine is sent.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 /// Grace of a drain, with the platform's slack.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
-/// An event of the list counts as told after this, whether it arrived or not.
-const TOLD_AT_LATEST: Duration = Duration::from_secs(7);
+/// An event of the list counts as delivered after this, whether it arrived or not.
+const DELIVERED_AT_LATEST: Duration = Duration::from_secs(7);
 /// Two attempts of one request are out at once only if the first one's end has not come this long after the second began:
 /// the two ends of different connections may be read in either order.
 const OVERLAP_LOOK: Duration = Duration::from_millis(60);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// An engine has read an attempt; its number, by which its end is told. `None` for a request that no client sent.
+    /// An engine has read an attempt; its number, by which its end is reported. `None` for a request that no client sent.
     pub fn attempt_begun(&self, engine: &str, id: u64, wait: Duration) -> Option<u64> {
         let lag = self.lag() + TRANSIT;
         let now = Instant::now();
@@ -193,7 +193,7 @@
         }
         if now + wait > request.deadline + DEADLINE_SLACK + lag {
             let excess = now + wait - request.deadline;
-            broken.push((Rule::LateDeadline, format!("told {wait:?}, {excess:?} more than is left")));
+            broken.push((Rule::LateDeadline, format!("sent {wait:?}, {excess:?} more than is left")));
         }
         let may_have_run =
             request.attempts.iter().find(|attempt| !attempt.never_ran).map(|first| first.begun);
@@ -213,7 +213,7 @@
         let record = AttemptRecord { number, begun: now, ended: None, never_ran: false };
         state.requests.get_mut(&id)?.attempts.push(record);
         if let Some(late) = late_send(state, engine, manager, now, lag) {
-            broken.push((Rule::SentToDraining, format!("{engine}: {late:?} after it was told")));
+            broken.push((Rule::SentToDraining, format!("{engine}: {late:?} after its delivery")));
         }
         if let Some(count) = over_slow_start(state, engine, now) {
             broken.push((Rule::SlowStart, format!("{engine}: {count} requests in the window")));
@@ -264,7 +264,7 @@
         self.state().delivered.entry((manager, event)).or_insert_with(Instant::now);
     }
 
-    /// A manager's process starts anew: what it was told before, it knows from its configuration up to this event.
+    /// A manager's process has started again; it knows the events up to this one from its configuration.
     pub fn manager_started(&self, manager: usize, known: u64) {
         let mut state = self.state();
         state.delivered.retain(|(owner, _), _| *owner != manager);
@@ -310,13 +310,13 @@
     }
 }
 
-/// How long after the engine's drain counted as told to this manager an attempt began, where that is too long.
+/// How long after the engine's drain counted as delivered to this manager an attempt began, where that is too long.
 fn late_send(state: &State, engine: &str, manager: usize, now: Instant, lag: Duration) -> Option<Duration> {
     let event = state.engines.get(engine)?.drained_by?;
     let pushed = *state.pushed.get(usize::try_from(event).ok()?.checked_sub(1)?)?;
-    let at_latest = pushed + TOLD_AT_LATEST;
-    let told = state.delivered.get(&(manager, event)).map_or(at_latest, |at| (*at).min(at_latest));
-    let late = now.checked_duration_since(told)?;
+    let at_latest = pushed + DELIVERED_AT_LATEST;
+    let delivered_at = state.delivered.get(&(manager, event)).map_or(at_latest, |at| (*at).min(at_latest));
+    let late = now.checked_duration_since(delivered_at)?;
     (late > DRAIN_GRACE + lag).then_some(late)
 }
 
