--- a/crates/cordon/src/cause.rs
+++ b/crates/cordon/src/cause.rs
@@ -1,10 +1,8 @@
-//! Who keeps a target cordoned, and the registers of all causes on one target.
+//! Who keeps a target cordoned, and the request that makes them do so.
 
-use crate::cordon_record::CordonEntry;
 use crate::error::CordonError;
 use crate::limits::MAX_LEASE;
 use crate::Timestamp;
-use std::collections::BTreeMap;
 use std::fmt;
 
 /// Who keeps a target cordoned. Causes are independent: ending one leaves the others active.
@@ -66,48 +64,3 @@
         }
     }
 }
-
-/// The register of one cause, and whether its lease is known to have expired. An expired entry is kept unchanged until
-/// it has aged: otherwise an older entry with a longer lease would win over it.
-#[derive(Clone, Debug)]
-pub(crate) struct CauseState {
-    pub(crate) entry: CordonEntry,
-    pub(crate) is_lease_expired: bool,
-}
-
-impl CauseState {
-    pub(crate) fn new(now: Timestamp, entry: CordonEntry) -> CauseState {
-        let is_lease_expired = entry.lease_expires_at.is_some_and(|expiry| expiry <= now);
-        CauseState { entry, is_lease_expired }
-    }
-
-    /// Whether this cause keeps its target cordoned.
-    pub(crate) fn is_active(&self) -> bool {
-        self.entry.cordoned && !self.is_lease_expired
-    }
-
-    /// Since when the cause is inactive, by the clock of whoever made the call.
-    pub(crate) fn inactive_since(&self) -> Timestamp {
-        let changed_at = self.entry.changed_at;
-        self.entry.lease_expires_at.unwrap_or(changed_at).max(changed_at)
-    }
-}
-
-/// The registers of one target, by cause.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct CauseMap(pub(crate) BTreeMap<Cause, CauseState>);
-
-impl CauseMap {
-    /// A cause that is active, the operator first.
-    pub(crate) fn first_active(&self) -> Option<Cause> {
-        self.0.iter().find(|(_, state)| state.is_active()).map(|(cause, _)| *cause)
-    }
-
-    pub(crate) fn is_any_active(&self) -> bool {
-        self.first_active().is_some()
-    }
-
-    pub(crate) fn is_active(&self, cause: Cause) -> bool {
-        self.0.get(&cause).is_some_and(CauseState::is_active)
-    }
-}
--- /dev/null
+++ b/crates/cordon/src/cause_register.rs
@@ -0,0 +1,82 @@
+//! The registers of all causes on one target.
+
+use crate::cause::Cause;
+use crate::cordon_record::CordonEntry;
+use crate::Timestamp;
+use std::collections::BTreeMap;
+
+/// The register of one cause, and whether its lease is known to have expired. An expired entry is retained unchanged
+/// until it has aged: otherwise an older entry with a longer lease would win over it.
+#[derive(Clone, Debug)]
+pub(crate) struct CauseState {
+    entry: CordonEntry,
+    is_lease_expired: bool,
+}
+
+impl CauseState {
+    pub(crate) fn new(now: Timestamp, entry: CordonEntry) -> CauseState {
+        let is_lease_expired = entry.lease_expires_at.is_some_and(|expiry| expiry <= now);
+        CauseState { entry, is_lease_expired }
+    }
+
+    /// The same entry, once its lease is known to have expired.
+    pub(crate) fn with_expired_lease(&self) -> CauseState {
+        CauseState { entry: self.entry.clone(), is_lease_expired: true }
+    }
+
+    /// The last call of the cause.
+    pub(crate) fn entry(&self) -> &CordonEntry {
+        &self.entry
+    }
+
+    /// Whether the cause is active under a lease that has expired by now.
+    pub(crate) fn is_lease_due(&self, now: Timestamp) -> bool {
+        self.is_active() && self.entry.lease_expires_at.is_some_and(|expiry| expiry <= now)
+    }
+
+    /// Whether this cause keeps its target cordoned.
+    pub(crate) fn is_active(&self) -> bool {
+        self.entry.cordoned && !self.is_lease_expired
+    }
+
+    /// Since when the cause is inactive, by the clock of whoever made the call.
+    pub(crate) fn inactive_since(&self) -> Timestamp {
+        let changed_at = self.entry.changed_at;
+        self.entry.lease_expires_at.unwrap_or(changed_at).max(changed_at)
+    }
+}
+
+/// The registers of one target, by cause.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CauseMap(BTreeMap<Cause, CauseState>);
+
+impl CauseMap {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (Cause, &CauseState)> {
+        self.0.iter().map(|(cause, state)| (*cause, state))
+    }
+
+    pub(crate) fn get(&self, cause: Cause) -> Option<&CauseState> {
+        self.0.get(&cause)
+    }
+
+    pub(crate) fn insert(&mut self, cause: Cause, state: CauseState) -> Option<CauseState> {
+        self.0.insert(cause, state)
+    }
+
+    pub(crate) fn remove(&mut self, cause: Cause) -> Option<CauseState> {
+        self.0.remove(&cause)
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// A cause that is active, the operator first.
+    pub(crate) fn first_active(&self) -> Option<Cause> {
+        self.0.iter().find(|(_, state)| state.is_active()).map(|(cause, _)| *cause)
+    }
+
+    pub(crate) fn is_any_active(&self) -> bool {
+        self.first_active().is_some()
+    }
+}
--- a/crates/cordon/src/known_ids.rs
+++ b/crates/cordon/src/known_ids.rs
@@ -69,7 +69,7 @@
         self.over_limit
     }
 
-    /// Changes an id's flags. A new id is noted if there is capacity or some can be freed; returns whether it is held.
+    /// Changes an id's flags. A new id is noted if there is capacity or some can be freed; returns whether it is noted.
     fn update(&mut self, hash: u64, change: impl FnOnce(&mut KnownId)) -> bool {
         let existing = self.ids.get(&hash).copied();
         if existing.is_none() && !self.reserve_slot() {
@@ -127,7 +127,7 @@
     /// At most `max_hashes` hashes: first those that are listed or cordoned, then the most recently unlisted.
     pub(crate) fn export(&self, max_hashes: usize) -> Vec<u64> {
         let retained = self.ids.iter().filter(|(_, known)| known.is_retained()).map(|(hash, _)| *hash);
-        let most_recent_first = self.evictable.values().rev().copied();
-        retained.chain(most_recent_first).take(max_hashes).collect()
+        let newest_first = self.evictable.values().rev().copied();
+        retained.chain(newest_first).take(max_hashes).collect()
     }
 }
--- /dev/null
+++ b/crates/cordon/src/lamport_clock.rs
@@ -0,0 +1,24 @@
+//! The versions of calls.
+
+use crate::Timestamp;
+
+/// A Lamport clock that runs no slower than the Unix clock ([`crate::CordonEntry`]).
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct LamportClock {
+    /// The highest version issued or seen.
+    highest_version: u64,
+}
+
+impl LamportClock {
+    /// The version of a call made now: never below the Unix clock in microseconds, always above what was seen.
+    pub(crate) fn next_version(&mut self, now: Timestamp) -> u64 {
+        let unix_micros = u64::try_from(now.as_micros()).unwrap_or(0);
+        self.highest_version = self.highest_version.saturating_add(1).max(unix_micros);
+        self.highest_version
+    }
+
+    /// Notes a version that another process issued.
+    pub(crate) fn observe(&mut self, version: u64) {
+        self.highest_version = self.highest_version.max(version);
+    }
+}
--- a/crates/cordon/src/lib.rs
+++ b/crates/cordon/src/lib.rs
@@ -1,4 +1,4 @@
-//! Cordons: engines that are taken out of service by hand or by the fleet, and the state of this manager itself.
+//! Cordons: engines that an operator or the fleet takes out of service, and the state of this manager itself.
 //!
 //! An engine is *cordoned* while at least one [`Cause`] is active on it: the operator ([`Cause::Operator`]) or a permit
 //! that the fleet agreed on ([`Cause::Fleet`]). Causes are independent of each other; the engine returns to service
@@ -17,17 +17,17 @@
 //! Nothing here performs I/O or reads a clock: time is an argument, a Unix time. docs/design/cordon.md holds the rules.
 
 mod cause;
-mod commands;
+mod cause_register;
 mod cordon_record;
 mod counters;
 mod error;
-mod expiry;
 mod known_ids;
+mod lamport_clock;
 mod limits;
 mod manager_state;
-mod merge;
 mod outcome;
 mod record_usage;
+mod register_table;
 mod state;
 mod target;
 
--- a/crates/cordon/src/limits.rs
+++ b/crates/cordon/src/limits.rs
@@ -2,17 +2,17 @@
 
 use crate::TimeDelta;
 
-/// Longest reason kept with a cordon, in bytes. A longer one is truncated at a character boundary, not rejected: an
+/// Longest reason retained with a cordon, in bytes. A longer one is truncated at a character boundary, not rejected: an
 /// operator in a hurry gets the cordon, and the log line gets the beginning.
 pub const MAX_REASON_BYTES: usize = 64;
 
 /// How long the entry of an inactive cause (a tombstone) is retained after its call, ten minutes. It is there to win over
 /// an older cordon in another process; two processes coexist for some seconds, in a hot restart that hangs for minutes.
-pub const TOMBSTONE_RETENTION: TimeDelta = TimeDelta::from_micros(600_000_000);
+pub const TOMBSTONE_RETENTION: TimeDelta = TimeDelta::from_secs(600);
 
 /// Longest lease of the fleet's, counted from the call: one day. A permit covers one engine's restart; a longer lease is
-/// a wrong unit (milliseconds for microseconds) and would keep the engine cordoned for good.
-pub const MAX_LEASE: TimeDelta = TimeDelta::from_micros(86_400_000_000);
+/// a wrong unit (milliseconds for microseconds) and would keep the engine cordoned indefinitely.
+pub const MAX_LEASE: TimeDelta = TimeDelta::from_secs(86_400);
 
 /// Highest version that is accepted. Versions are Unix microseconds, about 2^51 today; a higher one is damage, and
 /// accepting it would leave no room for a newer call.
--- a/crates/cordon/src/state.rs
+++ b/crates/cordon/src/state.rs
@@ -1,14 +1,19 @@
-//! The cordons in force, and how their records are stored.
+//! The cordons in force: owns the registers, the ids ever listed and the manager's state, and keeps them consistent.
 
-use crate::cause::{Cause, CauseMap, CauseState};
+use crate::cause::Cause;
+use crate::cause_register::CauseState;
 use crate::counters::CordonCounters;
 use crate::known_ids::{engine_id_hash, KnownIds};
+use crate::lamport_clock::LamportClock;
 use crate::limits::CordonLimits;
 use crate::manager_state::ManagerState;
-use crate::record_usage::RecordUsage;
+use crate::register_table::RegisterTable;
 use crate::target::{validate_engine_id, Target};
 use crate::Timestamp;
-use std::collections::BTreeMap;
+
+mod commands;
+mod expiry;
+mod merge;
 
 /// One cause that keeps a target cordoned.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,30 +44,21 @@
 /// Which engines are cordoned at this manager and by whom, and whether the manager itself is.
 #[derive(Clone, Debug)]
 pub struct CordonState {
-    pub(crate) limits: CordonLimits,
-    pub(crate) engines: BTreeMap<String, CauseMap>,
-    pub(crate) manager_causes: CauseMap,
-    pub(crate) manager_state: ManagerState,
-    pub(crate) known_ids: KnownIds,
-    /// The highest version issued or seen: the Lamport clock.
-    pub(crate) highest_version: u64,
-    pub(crate) active_usage: RecordUsage,
-    pub(crate) tombstone_usage: RecordUsage,
-    pub(crate) counters: CordonCounters,
+    registers: RegisterTable,
+    manager_state: ManagerState,
+    known_ids: KnownIds,
+    clock: LamportClock,
+    counters: CordonCounters,
 }
 
 impl CordonState {
     /// Nothing cordoned, nothing listed, this manager serving.
     pub fn new(limits: CordonLimits) -> CordonState {
         CordonState {
-            limits,
-            engines: BTreeMap::new(),
-            manager_causes: CauseMap::default(),
+            registers: RegisterTable::new(limits),
             manager_state: ManagerState::Serving,
             known_ids: KnownIds::new(limits.max_known_ids),
-            highest_version: 0,
-            active_usage: RecordUsage::default(),
-            tombstone_usage: RecordUsage::default(),
+            clock: LamportClock::default(),
             counters: CordonCounters::default(),
         }
     }
@@ -83,34 +79,31 @@
 
     /// Whether the engine was ever listed, here or at a process whose ids were merged.
     pub fn was_ever_listed(&self, id: &str) -> bool {
-        self.known_ids.contains(engine_id_hash(id)) || self.engines.contains_key(id)
+        self.known_ids.contains(engine_id_hash(id)) || self.registers.contains_engine(id)
     }
 
     /// Whether an engine is cordoned. One map look-up without allocation.
     pub fn is_engine_cordoned(&self, id: &str) -> bool {
-        self.engines.get(id).is_some_and(CauseMap::is_any_active)
+        self.registers.is_engine_cordoned(id)
     }
 
     /// Every active cause, one item each: this manager first, then engines by id.
     pub fn active_cordons(&self) -> impl Iterator<Item = ActiveCordon<'_>> {
-        let of_manager = self.manager_causes.0.iter().map(|(cause, state)| (None, cause, state));
-        let of_engines = self
-            .engines
-            .iter()
-            .flat_map(|(id, causes)| causes.0.iter().map(move |(cause, state)| (Some(id), cause, state)));
-        let active = of_manager.chain(of_engines).filter(|(_, _, state)| state.is_active());
-        active.map(|(id, cause, state)| ActiveCordon {
-            target: id.map_or(Target::Manager, |id| Target::Engine(id.clone())),
-            cause: *cause,
-            changed_at: state.entry.changed_at,
-            lease_expires_at: state.entry.lease_expires_at,
-            reason: &state.entry.reason,
+        self.registers.targets().flat_map(|(target, causes)| {
+            let active = causes.iter().filter(|(_, state)| state.is_active());
+            active.map(move |(cause, state)| ActiveCordon {
+                target: target.clone(),
+                cause,
+                changed_at: state.entry().changed_at,
+                lease_expires_at: state.entry().lease_expires_at,
+                reason: &state.entry().reason,
+            })
         })
     }
 
     /// The number of engines that are cordoned, on the list or not.
     pub fn cordoned_engine_count(&self) -> usize {
-        self.engines.values().filter(|causes| causes.is_any_active()).count()
+        self.registers.cordoned_engine_count()
     }
 
     /// The state of this manager.
@@ -135,86 +128,31 @@
     /// How much is retained now.
     pub fn sizes(&self) -> CordonSizes {
         CordonSizes {
-            active_cordons: self.active_usage.records,
-            tombstones: self.tombstone_usage.records,
+            active_cordons: self.registers.active_count(),
+            tombstones: self.registers.tombstone_count(),
             known_ids: self.known_ids.len(),
         }
     }
 
-    /// All targets with a record, this manager first, then engines by id.
-    pub(crate) fn targets(&self) -> impl Iterator<Item = (Target, &CauseMap)> {
-        let engines = self.engines.iter().map(|(id, causes)| (Target::Engine(id.clone()), causes));
-        std::iter::once((Target::Manager, &self.manager_causes)).chain(engines)
-    }
-
-    pub(crate) fn causes(&self, target: &Target) -> Option<&CauseMap> {
-        match target {
-            Target::Manager => Some(&self.manager_causes),
-            Target::Engine(id) => self.engines.get(id),
-        }
-    }
-
-    pub(crate) fn is_cordoned(&self, target: &Target) -> bool {
-        self.causes(target).is_some_and(CauseMap::is_any_active)
-    }
-
-    fn causes_mut(&mut self, target: &Target) -> &mut CauseMap {
-        match target {
-            Target::Manager => &mut self.manager_causes,
-            Target::Engine(id) => self.engines.entry(id.clone()).or_default(),
-        }
-    }
-
-    /// Whether one more active cordon is within the bounds; one that is active already always is.
-    pub(crate) fn has_capacity(&self, target: &Target, cause: Cause) -> bool {
-        if self.causes(target).is_some_and(|causes| causes.is_active(cause)) {
-            return true;
-        }
-        let id_bytes = self.active_usage.id_bytes + target.id_bytes();
-        self.active_usage.records < self.limits.max_cordons && id_bytes <= self.limits.max_cordon_id_bytes
-    }
-
     /// Replaces a cause's entry, whatever it was before.
-    pub(crate) fn store(&mut self, now: Timestamp, target: &Target, cause: Cause, state: CauseState) {
-        let id_bytes = target.id_bytes();
-        let is_active = state.is_active();
-        let previous = self.causes_mut(target).0.insert(cause, state);
-        if let Some(previous) = previous {
-            self.usage_mut(previous.is_active()).remove(id_bytes);
-        }
-        self.usage_mut(is_active).add(id_bytes);
+    fn store(&mut self, now: Timestamp, target: &Target, cause: Cause, state: CauseState) {
+        self.registers.insert(target, cause, state);
         self.apply_to_target(now, target);
     }
 
     /// Removes a cause's entry.
-    pub(crate) fn remove(&mut self, now: Timestamp, target: &Target, cause: Cause) {
-        let removed = self.causes_mut(target).0.remove(&cause);
-        if let Some(removed) = removed {
-            self.usage_mut(removed.is_active()).remove(target.id_bytes());
-        }
+    fn remove(&mut self, now: Timestamp, target: &Target, cause: Cause) {
+        self.registers.remove(target, cause);
         self.apply_to_target(now, target);
-        if let Target::Engine(id) = target {
-            if self.engines.get(id).is_some_and(|causes| causes.0.is_empty()) {
-                self.engines.remove(id);
-            }
-        }
-    }
-
-    fn usage_mut(&mut self, is_active: bool) -> &mut RecordUsage {
-        if is_active {
-            &mut self.active_usage
-        } else {
-            &mut self.tombstone_usage
-        }
     }
 
     /// Updates what depends on whether the target is cordoned.
     fn apply_to_target(&mut self, now: Timestamp, target: &Target) {
-        let cordoned = self.is_cordoned(target);
+        let is_cordoned = self.registers.is_cordoned(target);
         match target {
-            Target::Manager => self.manager_state = self.manager_state.with_cordon(now, cordoned),
+            Target::Manager => self.manager_state = self.manager_state.with_cordon(now, is_cordoned),
             Target::Engine(id) => {
-                self.known_ids.set_cordoned(engine_id_hash(id), cordoned);
+                self.known_ids.set_cordoned(engine_id_hash(id), is_cordoned);
             }
         }
     }
--- a/crates/cordon/src/commands.rs
+++ b/crates/cordon/src/state/commands.rs
@@ -1,6 +1,7 @@
 //! The calls that cordon and uncordon a target at this process.
 
-use crate::cause::{Cause, CauseMap, CauseState, CordonRequest};
+use crate::cause::{Cause, CordonRequest};
+use crate::cause_register::CauseState;
 use crate::cordon_record::{sanitize_reason, CordonEntry};
 use crate::error::CordonError;
 use crate::outcome::CordonOutcome;
@@ -22,9 +23,9 @@
         reason: &str,
     ) -> Result<CordonOutcome, CordonError> {
         self.validate_cordon(now, target, request).inspect_err(|error| self.count_rejection(*error))?;
-        let was_cordoned = self.is_cordoned(target);
+        let was_cordoned = self.registers.is_cordoned(target);
         let entry = CordonEntry {
-            version: self.next_version(now),
+            version: self.clock.next_version(now),
             cordoned: true,
             lease_expires_at: request.lease_expires_at(),
             changed_at: now,
@@ -47,9 +48,9 @@
         cause: Cause,
     ) -> Result<CordonOutcome, CordonError> {
         self.validate_target(target).inspect_err(|error| self.count_rejection(*error))?;
-        let was_cordoned = self.is_cordoned(target);
+        let was_cordoned = self.registers.is_cordoned(target);
         let entry = CordonEntry {
-            version: self.next_version(now),
+            version: self.clock.next_version(now),
             cordoned: false,
             lease_expires_at: None,
             changed_at: now,
@@ -58,7 +59,7 @@
         self.store(now, target, cause, CauseState::new(now, entry));
         self.evict_tombstones();
         self.counters.uncordons += 1;
-        Ok(match self.causes(target).and_then(CauseMap::first_active) {
+        Ok(match self.registers.first_active(target) {
             Some(cause) => CordonOutcome::StillCordoned { cause },
             None if was_cordoned => CordonOutcome::Uncordoned,
             None => CordonOutcome::NotCordoned,
@@ -73,7 +74,7 @@
     ) -> Result<(), CordonError> {
         self.validate_target(target)?;
         request.validate_lease(now)?;
-        if self.has_capacity(target, request.cause()) {
+        if self.registers.has_capacity(target, request.cause()) {
             Ok(())
         } else {
             Err(CordonError::TooManyCordons)
@@ -97,11 +98,4 @@
         };
         *counter += 1;
     }
-
-    /// The version of this call: never below the clock, always above what was seen.
-    fn next_version(&mut self, now: Timestamp) -> u64 {
-        let clock = u64::try_from(now.as_micros()).unwrap_or(0);
-        self.highest_version = self.highest_version.saturating_add(1).max(clock);
-        self.highest_version
-    }
 }
--- a/crates/cordon/src/merge.rs
+++ b/crates/cordon/src/state/merge.rs
@@ -1,6 +1,6 @@
 //! The exchange of records between two processes.
 
-use crate::cause::CauseState;
+use crate::cause_register::CauseState;
 use crate::cordon_record::CordonRecord;
 use crate::outcome::{CordonOutcome, MergeResult, TargetChange};
 use crate::state::CordonState;
@@ -12,10 +12,10 @@
     /// The register of every cause, tombstones included, for another process: this manager first, then engines by id.
     pub fn export_records(&self) -> Vec<CordonRecord> {
         let mut records = Vec::new();
-        for (target, causes) in self.targets() {
-            for (cause, state) in &causes.0 {
-                let entry = state.entry.clone();
-                records.push(CordonRecord { target: target.clone(), cause: *cause, entry });
+        for (target, causes) in self.registers.targets() {
+            for (cause, state) in causes.iter() {
+                let entry = state.entry().clone();
+                records.push(CordonRecord { target: target.clone(), cause, entry });
             }
         }
         records
@@ -36,13 +36,13 @@
                 continue;
             }
             let state = CauseState::new(now, record.entry.clone());
-            if state.is_active() && !self.has_capacity(&record.target, record.cause) {
+            if state.is_active() && !self.registers.has_capacity(&record.target, record.cause) {
                 result.over_limit += 1;
                 continue;
             }
-            let before = self.is_cordoned(&record.target);
+            let before = self.registers.is_cordoned(&record.target);
             was_cordoned.entry(record.target.clone()).or_insert(before);
-            self.highest_version = self.highest_version.max(record.entry.version);
+            self.clock.observe(record.entry.version);
             self.store(now, &record.target, record.cause, state);
             self.counters.records_merged += 1;
         }
@@ -54,14 +54,14 @@
     }
 
     fn is_newer(&self, record: &CordonRecord) -> bool {
-        let current = self.causes(&record.target).and_then(|causes| causes.0.get(&record.cause));
-        current.is_none_or(|state| record.entry > state.entry)
+        let current = self.registers.get(&record.target, record.cause);
+        current.is_none_or(|state| record.entry > *state.entry())
     }
 
     fn changes_since(&self, was_cordoned: BTreeMap<Target, bool>) -> Vec<TargetChange> {
         let mut changes = Vec::new();
         for (target, was_cordoned) in was_cordoned {
-            let outcome = match (was_cordoned, self.is_cordoned(&target)) {
+            let outcome = match (was_cordoned, self.registers.is_cordoned(&target)) {
                 (false, true) => CordonOutcome::Cordoned,
                 (true, false) => CordonOutcome::Uncordoned,
                 (false, false) | (true, true) => continue,
--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -125,7 +125,7 @@
     );
 }
 
-/// The case of the platform's page: cordoned twice, restarted meanwhile, uncordoned once.
+/// An engine is cordoned twice, restarted meanwhile, and uncordoned once.
 #[test]
 fn cordon_lasts_until_uncordoned_whatever_the_list_says() {
     let mut state = CordonState::new(CordonLimits::default());
