--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -11,6 +11,7 @@
 //! The header is the same in every format, so that a file of a newer one is distinguished from a damaged file.
 
 use crate::error::{InvalidState, StateFileError};
+use crate::format::{FORMAT_VERSION, HEADER_BYTES, MAX_FILE_BYTES, MIN_FORMAT_VERSION};
 use crate::message::StateFileMessage;
 use crate::state::{Instance, StateFile};
 use prost::Message;
@@ -18,24 +19,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Begins every file.
+/// The first bytes of every file.
 const MAGIC: [u8; 4] = *b"SLHO";
-/// Bytes before the body.
-const HEADER_BYTES: usize = 16;
-/// Position of the format version in the header.
+/// Offset of the format version in the header, in bytes.
 const FORMAT_OFFSET: usize = 4;
-/// Position of the body's length in the header.
+/// Offset of the body's length in the header, in bytes.
 const LENGTH_OFFSET: usize = 8;
-/// Position of the checksum in the header.
+/// Offset of the checksum in the header, in bytes.
 const CRC_OFFSET: usize = 12;
-/// The format version that is written.
-pub const FORMAT_VERSION: u32 = 1;
-/// The oldest format version that is read.
-pub const MIN_FORMAT_VERSION: u32 = 1;
-/// Longest file, in bytes: it counts as memory, twice while it is replaced. All cordons with their longest ids and
-/// reasons fit into it by the bounds of [`sprucelink_cordon::CordonLimits`]; hashes of ids take the space that is left.
-pub const MAX_FILE_BYTES: usize = 256 << 10;
-/// Bytes reserved for the tag and length of the hashes.
+/// Bytes reserved for the tag and length of the field of hashes.
 const IDS_HEADER_BYTES: usize = 8;
 
 /// An encoded state file.
@@ -63,15 +55,19 @@
     let ids_left_out = ids.len() - fitting_ids;
     message.known_ids = ids;
     message.known_ids.truncate(fitting_ids);
-    let body = message.encode_to_vec();
+    Ok(EncodedFile { bytes: with_header(&message.encode_to_vec()), ids_left_out })
+}
+
+/// The bytes of a file: header and body.
+fn with_header(body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    let crc = checksum(&bytes[FORMAT_OFFSET..], &body);
+    let crc = checksum(&bytes[FORMAT_OFFSET..], body);
     bytes.extend_from_slice(&crc.to_le_bytes());
-    bytes.extend_from_slice(&body);
-    Ok(EncodedFile { bytes, ids_left_out })
+    bytes.extend_from_slice(body);
+    bytes
 }
 
 /// Decodes a state file of this instance. Never panics, whatever the bytes.
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of reading and writing state files.
 
-use crate::codec::{MAX_FILE_BYTES, MIN_FORMAT_VERSION};
+use crate::format::{MAX_FILE_BYTES, MIN_FORMAT_VERSION};
 use crate::state::Instance;
 use sprucelink_cordon::RecordError;
 use std::io;
@@ -68,7 +68,7 @@
         /// The field and the rule.
         source: RecordError,
     },
-    /// The two lists of a warming engine's buckets differ in length.
+    /// The two lists of a warming engine's buckets (start times and work) differ in length.
     #[error("cold: as many times as works")]
     UnevenBuckets,
     /// The file is a copy: its name belongs to another process.
--- a/crates/hot-restart/src/faulty_folder.rs
+++ b/crates/hot-restart/src/faulty_folder.rs
@@ -10,14 +10,14 @@
 /// A fault of one write or read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FolderFault {
-    /// The writer dies after so many bytes: a temporary file is left, the file itself is unchanged.
+    /// The writer dies after this many bytes: a temporary file is left, the file itself is unchanged.
     TornWrite(usize),
-    /// The file itself ends after so many bytes, and the writer gets no error: what a machine that went down leaves on a
+    /// The file itself is truncated to this many bytes, and the writer gets no error: what a machine crash leaves on a
     /// file system without an atomic rename.
     TornFile(usize),
-    /// The folder is full.
+    /// The file system is full.
     NoSpace,
-    /// The temporary file was written, and the rename denied.
+    /// The temporary file is written, and the rename is denied.
     RenameDenied,
     /// A read returns these bytes.
     ForeignBytes(Vec<u8>),
--- a/crates/hot-restart/src/file_name.rs
+++ b/crates/hot-restart/src/file_name.rs
@@ -1,8 +1,8 @@
 //! Names of state files: `sprucelink.INSTANCE.PID-START.handover`.
 //!
-//! The name tells whose a file is without opening it: a folder that many managers share (a test rig's) holds hundreds
-//! of files, and each process opens only those of its own instance. The start time tells two processes apart that got
-//! the same pid: where a process is the first of its machine, each start has the same.
+//! The name identifies the writer without opening the file: a folder that many managers share (a test rig's) holds
+//! hundreds of files, and each process opens only those of its own instance. The start time distinguishes processes that
+//! got the same pid: the first process of a container has the same pid at each start.
 
 use crate::state::{Instance, Process};
 use crate::Timestamp;
@@ -11,13 +11,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Directory entries that one listing goes through. A private folder holds a dozen; beyond this bound the listing ends,
-/// and a file that was not reached is not seen.
+/// Maximum number of directory entries that one listing reads. A private folder holds a dozen; beyond this bound the
+/// listing ends, and a file that was not reached is not seen.
 pub const MAX_LISTED_ENTRIES: usize = 4_096;
 
+/// First part of every state file's name.
 const PREFIX: &str = "sprucelink.";
+/// Last part of every complete state file's name.
 const SUFFIX: &str = ".handover";
-/// Behind the name while a file is being written.
+/// Appended to the name while a file is being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
 /// The parts of a file's name.
--- a/crates/hot-restart/src/folder.rs
+++ b/crates/hot-restart/src/folder.rs
@@ -34,9 +34,9 @@
 /// A folder of the file system: `$TMPDIR` on the platform, which is in memory.
 ///
 /// Files are written under a temporary name and renamed, so that a process killed at any point leaves the old file or
-/// the new one. Nothing is synced: what must be survived is the end of a process, after which the kernel still
-/// has every byte; a machine that goes down takes the folder with it, or, on a real disk, may leave a truncated file,
-/// which the checksum rejects.
+/// the new one. Nothing is synced: the files only have to survive the end of a process, after which the kernel still has
+/// every byte; a machine crash loses the folder, or, on a real disk, may leave a truncated file, which the checksum
+/// rejects.
 #[derive(Clone, Debug)]
 pub struct DiskFolder {
     path: PathBuf,
--- a/crates/hot-restart/src/peer_state.rs
+++ b/crates/hot-restart/src/peer_state.rs
@@ -8,19 +8,20 @@
 #[cfg(test)]
 mod tests;
 
-/// A process whose file has not changed for this long, 1.5 s, counts as dead: six times the interval at which it writes.
-/// Longer, and connections wait where a new process was killed; shorter, and a process that gets no core for a second
-/// counts as dead while it is alive.
-pub const PEER_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_500_000);
-/// A dead process's file is retained this long, 10 s, and until its contents are part of this process's own file. A
-/// process that was only stopped most likely resumes within it; if it resumes later it writes its file anew.
-pub const DEAD_FILE_RETENTION: TimeDelta = TimeDelta::from_micros(10_000_000);
-/// A damaged file, or one that its writer died over, is retained this long unchanged, 60 s: time to look at it, and no
-/// time to fill a folder that counts as memory.
-pub const DAMAGED_FILE_RETENTION: TimeDelta = TimeDelta::from_micros(60_000_000);
-/// Most files of one instance that are read, the newest processes' first; the others are ignored. A hot restart has two.
+/// A process whose file has not changed for this long counts as dead: six times the interval at which it writes. With a
+/// longer time-out, connections wait after a new process was killed; with a shorter one, a process that gets no CPU time
+/// for a second counts as dead while it is alive.
+pub const PEER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
+/// A dead process's file is retained this long, and until its contents are part of this process's own file. A process
+/// that was only stopped most likely resumes within that time; if it resumes later it writes its file again.
+pub const DEAD_FILE_RETENTION: TimeDelta = TimeDelta::from_secs(10);
+/// A damaged file, or one whose writer died during the write, is retained unchanged this long: enough to inspect it, too
+/// short for such files to fill a folder that counts as memory.
+pub const DAMAGED_FILE_RETENTION: TimeDelta = TimeDelta::from_secs(60);
+/// Maximum number of files of one instance that are read, the newest processes' first; the others are ignored. A hot
+/// restart has two.
 pub const MAX_PEER_FILES: usize = 16;
-/// Most files removed after one write, so that a folder full of them does not delay requests.
+/// Maximum number of files removed after one write, so that a folder full of them does not delay requests.
 pub const MAX_REMOVALS_PER_WRITE: usize = 4;
 
 /// Another live process of this instance, as its file describes it.
@@ -44,7 +45,7 @@
         /// Whether its contents are part of this process's own file.
         is_merged: bool,
     },
-    /// Damaged, or a file that its writer died over.
+    /// Damaged, or a file whose writer died during the write.
     Damaged { since: Timestamp },
     /// Complete, and not for this build or this instance: not this process's to remove.
     Foreign,
@@ -90,12 +91,12 @@
         self.files.insert(name.to_owned(), tracked);
     }
 
-    /// Notes a temporary file: one that is being written, or that its writer died over.
+    /// Notes a temporary file: one that is being written, or whose writer died during the write.
     pub fn note_temporary(&mut self, now: Timestamp, name: &str) {
         self.files.entry(name.to_owned()).or_insert(TrackedFile::Damaged { since: now });
     }
 
-    /// Forgets all files but these.
+    /// Removes all files from the table but these.
     pub fn retain_listed(&mut self, names: &BTreeSet<String>) {
         self.files.retain(|name, _| names.contains(name));
     }
--- a/crates/hot-restart/src/phase.rs
+++ b/crates/hot-restart/src/phase.rs
@@ -15,18 +15,18 @@
 use crate::state::{Phase, Process, MAX_SHARING_PEERS};
 use crate::{TimeDelta, Timestamp};
 
-/// A new process that could serve waits this long, 1 s, until its peers share their budgets; then it serves without.
-/// They read files every 100 ms, so one that has not answered in a second is overloaded or stuck, and a hot restart must
-/// not wait for it.
-pub const ACK_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_000_000);
-/// After SIGTERM with no newer process that serves, new connections are accepted this long, 700 ms: they still arrive.
-pub const ACCEPT_GRACE: TimeDelta = TimeDelta::from_micros(700_000);
-/// During [`IDLE_GRACE`] only sessions that have been idle this long, 100 ms, are closed: a client that has just
-/// received its response may be writing its next request, which a close would cross.
-pub const MIN_IDLE_TIME: TimeDelta = TimeDelta::from_micros(100_000);
-/// This long after SIGTERM, 500 ms, any idle session is closed at once: what arrives after [`ACCEPT_GRACE`] may be cut
+/// How long a new process that could serve waits for its peers to share their budgets; then it serves without. They read
+/// files every 100 ms, so one that has not answered within this time is overloaded or stuck, and a hot restart must not
+/// wait for it.
+pub const ACK_TIMEOUT: TimeDelta = TimeDelta::from_secs(1);
+/// How long after SIGTERM new connections are still accepted while no newer process serves: clients still open them.
+pub const ACCEPT_GRACE: TimeDelta = TimeDelta::from_millis(700);
+/// During [`IDLE_GRACE`] only sessions that have been idle this long are closed: a client that has just received its
+/// response may be writing its next request, which would be lost if the session were closed.
+pub const MIN_IDLE_TIME: TimeDelta = TimeDelta::from_millis(100);
+/// This long after SIGTERM any idle session is closed at once: a request that arrives after [`ACCEPT_GRACE`] may be cut
 /// off by SIGKILL.
-pub const IDLE_GRACE: TimeDelta = TimeDelta::from_micros(500_000);
+pub const IDLE_GRACE: TimeDelta = TimeDelta::from_millis(500);
 
 /// The phase of a process, and what it may do in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,12 +38,12 @@
     /// Whether it accepts new connections from the shared listening socket. Whether this manager quiesces
     /// ([`sprucelink_cordon::ManagerState`]) is checked besides.
     pub accepts_connections: bool,
-    /// Whether it has started to serve: the answer to a health check, which never falls back to no.
+    /// Whether it has ever started to serve: the answer to a health check, which never becomes negative again.
     pub has_served: bool,
-    /// Among how many processes the manager's budgets are divided: this one may spend one part of as many of the warm-up
-    /// budget and of the manager's share of the engines' cores. Over all live processes that spend at all, these parts
-    /// add up to no more than 1, except for a process that did not hear of another for [`ACK_TIMEOUT`] or was taken for
-    /// dead.
+    /// The number of processes among which the manager's budgets are divided: this one may spend `1 / budget_parts` of
+    /// the warm-up budget and of the manager's fraction of the engines' cores. Over all live processes that spend at all
+    /// these fractions add up to no more than 1, except while a process has not read another's file for [`ACK_TIMEOUT`]
+    /// or is considered dead while it is alive.
     pub budget_parts: u32,
     /// Whether it started to serve only because peers did not share their budgets within [`ACK_TIMEOUT`].
     pub is_unacknowledged: bool,
@@ -54,14 +54,14 @@
     pub shares_with: Vec<Process>,
 }
 
-/// What the peers' files say, as far as the phase depends on it.
+/// What the phase depends on in the peers' files.
 struct PeerView {
     shares_with: Vec<Process>,
     /// A newer process is active.
     has_active_successor: bool,
     /// A newer process serves.
     has_serving_successor: bool,
-    /// Every peer that matters shares its budgets with this process.
+    /// Every peer that may spend the budgets shares them with this process.
     is_acknowledged: bool,
 }
 
@@ -176,8 +176,8 @@
         match (self.phase, self.sigterm_at) {
             (Phase::Serving, _) => true,
             (Phase::ServingBesideSuccessor, _) => !has_serving_successor,
-            // A successor that died after SIGTERM leaves connections unread; accepted now, they would be cut off by
-            // SIGKILL with requests open, which is worse.
+            // A successor that died after SIGTERM leaves connections in the accept queue; accepted after the grace
+            // period, they would be cut off by SIGKILL with requests in flight, which is worse.
             (Phase::Draining, Some(at)) => {
                 self.has_served && !has_serving_successor && now - at < ACCEPT_GRACE
             }
@@ -188,7 +188,7 @@
     fn close_idle_after(&self, now: Timestamp, has_serving_successor: bool) -> Option<TimeDelta> {
         let sigterm_at = self.sigterm_at.filter(|_| self.phase == Phase::Draining)?;
         let elapsed = now - sigterm_at;
-        // Without a successor it still takes what arrives, on open sessions, too.
+        // Without a successor it still accepts requests that arrive, on open sessions, too.
         if !has_serving_successor && elapsed < ACCEPT_GRACE {
             return None;
         }
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -1,4 +1,4 @@
-//! What a process tells its successor.
+//! The state that a process passes to its successor.
 
 use crate::{TimeDelta, Timestamp};
 use sprucelink_cordon::CordonRecord;
@@ -6,15 +6,15 @@
 
 /// Longest name, address or build, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Length of a counter's bucket, 250 ms. That is a twentieth of the retry budget's 5 s: what it rounds away is less than
-/// the retry that the budget leaves unspent anyway.
-pub const BUCKET_SPAN: TimeDelta = TimeDelta::from_micros(250_000);
-/// Most buckets of one counter: 16 s of them, more than any window of the rules.
+/// Length of a counter's bucket: a twentieth of the retry budget's window of 5 s, so that rounding to buckets costs less
+/// than one retry.
+pub const BUCKET_SPAN: TimeDelta = TimeDelta::from_millis(250);
+/// Maximum number of buckets of one counter: 16 s of them, more than any window of the rules.
 pub const MAX_BUCKETS: usize = 64;
-/// Most processes that budgets are shared with: more than one only where hot restarts overlap.
+/// Maximum number of processes that budgets are shared with: more than one only where hot restarts overlap.
 pub const MAX_SHARING_PEERS: usize = 15;
-/// Most engines whose warm-up load is kept. Beyond that the one that was sent work longest ago is left out: 64 engines
-/// that start within the same two seconds are most of the largest fleet.
+/// Maximum number of engines whose warm-up load is retained. Beyond that the one that was sent work longest ago is left
+/// out: 64 engines that start within the same two seconds are the greater part of the largest fleet.
 pub const MAX_WARMING_ENGINES: usize = 64;
 
 /// The workload manager that a process belongs to: both processes of a hot restart have the same.
@@ -32,7 +32,7 @@
 pub struct Process {
     /// One more than the highest that it found in the folder when it started; 1 where it found none.
     pub generation: u64,
-    /// When it started. With the pid it tells a process from an earlier one with the same pid.
+    /// When it started. It distinguishes a process from an earlier one with the same pid.
     pub started_at: Timestamp,
     /// Its process id.
     pub pid: u32,
@@ -57,7 +57,7 @@
     ServingBesideSuccessor,
     /// SIGTERM was received: it finishes what is in flight.
     Draining,
-    /// Its last file: it has ended in order.
+    /// It has shut down cleanly; this is its last file.
     Terminated,
 }
 
@@ -102,7 +102,7 @@
     pub buckets: Vec<WarmupBucket>,
 }
 
-/// What the rest of the program puts into the file.
+/// The state of the rest of the program that the file holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StateSnapshot {
     /// The records of all cordons ([`sprucelink_cordon::CordonState::export_records`]).
@@ -114,15 +114,15 @@
     pub retry_budget: Vec<RetryBudgetBucket>,
     /// Work sent to warming engines ([`crate::WindowCounters::warmup`]).
     pub warmup: Vec<WarmupLoad>,
-    /// The last endpoint event read. For log lines only: events are numbered anew for each process.
+    /// The last endpoint event read. For log lines only: each process numbers events from the start again.
     pub last_event: u64,
 }
 
-/// How a process's clock relates to the machine's: by it a file's times are read by real time, whatever steps the wall
-/// clock made between the starts of two processes.
+/// How a process's clock relates to the machine's monotonic clock. With it a reader converts a file's times correctly
+/// even if the wall clock was stepped between the starts of the two processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClockReference {
-    /// Tells one start of the machine from the next, as `/proc/sys/kernel/random/boot_id` does.
+    /// Identifies one boot of the machine, as `/proc/sys/kernel/random/boot_id` does.
     pub boot_id: String,
     /// The process's clock less the machine's monotonic clock, the same for the life of the process.
     pub offset: TimeDelta,
@@ -137,7 +137,7 @@
     pub process: Process,
     /// The program's version, for log lines.
     pub build: String,
-    /// The clock of its times; `None` of builds that do not tell it.
+    /// The clock of its times; `None` if the writer's build does not write it.
     pub clock: Option<ClockReference>,
     /// When it was written.
     pub written_at: Timestamp,
@@ -149,13 +149,13 @@
     pub phase_since: Timestamp,
     /// The processes that it shares its budgets with, oldest first: it spends no more than its part beside them.
     pub shares_with: Vec<Process>,
-    /// What the rest of the program hands over.
+    /// The state of the rest of the program.
     pub snapshot: StateSnapshot,
 }
 
 impl StateFile {
-    /// Turns its times into those of another process's clock. Without both references, or from before the machine's last
-    /// start, they stay as they are: the wall clock is all that the two have in common then.
+    /// Converts its times to another process's clock. If a reference is missing, or the machine was rebooted since, they
+    /// stay as they are: the two processes then have only the wall clock in common.
     pub fn convert_to_clock(&mut self, reader: Option<&ClockReference>) {
         let (Some(writer), Some(reader)) = (&self.clock, reader) else { return };
         if writer.boot_id != reader.boot_id {
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -1,9 +1,10 @@
 //! The driver: one process's own state file, and its scans of the others'.
 
-use crate::codec::{decode, encode, MAX_FILE_BYTES};
+use crate::codec::{decode, encode};
 use crate::error::{InvalidState, StateFileError, WriteError};
 use crate::file_name::StateFileName;
 use crate::folder::StateFolder;
+use crate::format::{HEADER_BYTES, MAX_FILE_BYTES};
 use crate::peer_state::{PeerState, PeerTable, MAX_PEER_FILES};
 use crate::phase::{PhaseMachine, PhaseStatus};
 use crate::state::{ClockReference, Instance, Phase, Process, StateFile, StateSnapshot};
@@ -12,14 +13,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// Interval of scans of the others' files, 100 ms: a cordon that the other process has accepted takes effect here within
-/// the drain's grace of 500 ms, with headroom for a late scan.
-pub const SCAN_INTERVAL: TimeDelta = TimeDelta::from_micros(100_000);
-/// Interval of writes of the own file, 250 ms; it is also written at once with each cordon and each change of the phase.
-pub const WRITE_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
+/// Interval of scans of the others' files: a cordon that the other process has accepted takes effect here within the
+/// drain's grace of 500 ms, with headroom for a late scan.
+pub const SCAN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
+/// Interval of writes of the own file; it is also written at once with each cordon and each change of the phase.
+pub const WRITE_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
 
-/// Bytes that tell one version of a file from the next: its header, with the checksum.
-type Header = [u8; 16];
+/// The header of a file. It holds the checksum, so that two versions of a file differ in it.
+type Header = [u8; HEADER_BYTES];
 
 /// What was read of a file at the last scan.
 #[derive(Clone, Copy, Debug)]
@@ -94,8 +95,8 @@
         StateFileDriver::open_with_clock(folder, instance, build, pid, now, None)
     }
 
-    /// The same with the clock of this process: what others tell is read by real time, also where the wall clock has stepped
-    /// between their start and this one.
+    /// The same with the clock of this process: the times in others' files are converted to it, so that they are right
+    /// even if the wall clock was stepped between their start and this one.
     pub fn open_with_clock(
         folder: F,
         instance: Instance,
@@ -209,13 +210,13 @@
         let header = header_of(&bytes);
         let unchanged = self.scanned.get(name).copied().filter(|scanned| scanned.header == header);
         if unchanged.is_some_and(|scanned| scanned.is_valid) {
-            // Not decoded again: a file of many ids takes its time.
+            // Decoding a file of many ids takes long, so an unchanged one is not decoded again.
             return Ok(());
         }
         let read = self.decode_file(&bytes, parts);
         self.scanned.insert(name.to_owned(), ScannedFile { header, is_valid: read.is_ok() });
         if read.is_err() && unchanged.is_some() {
-            // Reported once, not at every scan.
+            // An unchanged invalid file is reported once, not at every scan.
             return Ok(());
         }
         self.peers.note_read(now, name, &read);
@@ -262,28 +263,31 @@
             Some(WriteAttempt { at: now, phase: status.phase, shares_with: status.shares_with.clone() });
         self.has_announced_serving |= status.has_served;
         self.sequence += 1;
-        let file = StateFile {
+        let encoded = encode(&self.own_file(now, snapshot)).map_err(WriteError::Encode)?;
+        self.folder.replace(&self.file_name, &encoded.bytes).map_err(WriteError::Folder)?;
+        self.peers.note_own_write();
+        let removable = self.peers.removable_files(now);
+        let removed_files = removable.iter().filter(|name| self.folder.remove(name).is_ok()).count();
+        Ok(WriteReport { bytes: encoded.bytes.len(), ids_left_out: encoded.ids_left_out, removed_files })
+    }
+
+    fn own_file(&self, now: Timestamp, snapshot: StateSnapshot) -> StateFile {
+        StateFile {
             instance: self.instance.clone(),
             process: self.process,
             build: self.build.clone(),
             clock: self.clock.clone(),
             written_at: now,
             sequence: self.sequence,
-            phase: status.phase,
-            phase_since: status.since,
-            shares_with: status.shares_with.clone(),
+            phase: self.status.phase,
+            phase_since: self.status.since,
+            shares_with: self.status.shares_with.clone(),
             snapshot,
-        };
-        let encoded = encode(&file).map_err(WriteError::Encode)?;
-        self.folder.replace(&self.file_name, &encoded.bytes).map_err(WriteError::Folder)?;
-        self.peers.note_own_write();
-        let removable = self.peers.removable_files(now);
-        let removed_files = removable.iter().filter(|name| self.folder.remove(name).is_ok()).count();
-        Ok(WriteReport { bytes: encoded.bytes.len(), ids_left_out: encoded.ids_left_out, removed_files })
+        }
     }
 
-    /// Writes the last file of a process that ends: it stays for whichever process comes next, and says that nobody
-    /// writes it any more. The process that merges it removes it.
+    /// Writes the last file of a process that ends, in phase [`Phase::Terminated`]: it stays for whichever process comes
+    /// next, and the process that merges it removes it.
     ///
     /// # Errors
     /// As for [`StateFileDriver::write`].
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -7,9 +7,9 @@
 #[cfg(test)]
 mod tests;
 
-/// A file from further ahead of the reader's clock than this, 1 s, was written before that clock was set back. Smaller
+/// A file from further ahead of the reader's clock than this was written before that clock was set back. Smaller
 /// differences come from the order in which a clock is read and a file written.
-pub const CLOCK_SLACK: TimeDelta = TimeDelta::from_micros(1_000_000);
+pub const CLOCK_SLACK: TimeDelta = TimeDelta::from_secs(1);
 
 /// Lengths of the windows that the rules count over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/hot-restart/src/window_counters.rs
+++ b/crates/hot-restart/src/window_counters.rs
@@ -76,7 +76,7 @@
         self.follow_clock(now);
         if !self.warmup.contains_key(engine) {
             if self.warmup.len() >= MAX_WARMING_ENGINES {
-                self.evict_least_recent_engine();
+                self.evict_stalest_engine();
             }
             self.warmup.insert(engine.to_owned(), slot_window(self.warmup_span));
         }
@@ -115,8 +115,8 @@
         self.engines_left_out
     }
 
-    /// Where the clock was set back, the slots held are moved back with it: they must neither stay in the future for good
-    /// nor be lost.
+    /// Where the clock was set back, the retained slots are moved back with it: otherwise they would stay in the future and
+    /// count for longer than their window.
     fn follow_clock(&mut self, now: Timestamp) {
         let start = self.retry_budget.slot_start(now);
         if start < self.newest_start {
@@ -129,9 +129,10 @@
         self.newest_start = start;
     }
 
-    fn evict_least_recent_engine(&mut self) {
-        let least_recent = self.warmup.iter().min_by_key(|(_, window)| newest_start(window));
-        let Some(engine) = least_recent.map(|(engine, _)| engine.clone()) else { return };
+    /// Evicts the engine that was sent work longest ago.
+    fn evict_stalest_engine(&mut self) {
+        let stalest = self.warmup.iter().min_by_key(|(_, window)| newest_start(window));
+        let Some(engine) = stalest.map(|(engine, _)| engine.clone()) else { return };
         let evicted_start = self.warmup.remove(&engine).and_then(|window| newest_start(&window));
         let window_start = self.newest_start - self.warmup_span;
         // What is older than the window is no loss.
