--- a/crates/settings/src/environment.rs
+++ b/crates/settings/src/environment.rs
@@ -6,9 +6,11 @@
 /// Smallest number of an inherited descriptor: those below are the standard streams.
 pub const MIN_DESCRIPTOR: u32 = 3;
 
-/// Names of the variables, as the platform sets them.
+/// Variable with the path of the configuration file.
 const CONFIG: &str = "EDGE_CONFIG";
-const OPERATOR: &str = "EDGE_OPERATOR";
+/// Variable with the address of the admin listener.
+const ADMIN_ADDRESS: &str = "EDGE_OPERATOR";
+/// Variable with the number of the descriptor on which clients connect.
 const LISTENER: &str = "EDGE_FD";
 
 /// The environment variables that the program reads. An empty one counts as absent.
@@ -16,8 +18,8 @@
 pub struct Environment {
     /// Path of the configuration file (`EDGE_CONFIG`).
     pub config: Option<String>,
-    /// Address of the operators' endpoint (`EDGE_OPERATOR`); the configuration's own takes precedence.
-    pub operator: Option<SocketAddr>,
+    /// Address of the admin listener (`EDGE_OPERATOR`); the configuration's own takes precedence.
+    pub admin_address: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, where the platform passes one on (`EDGE_FD`).
     pub listener: Option<u32>,
 }
@@ -29,14 +31,14 @@
     /// The name of the variable whose value is invalid, and the value.
     pub fn read(get: impl Fn(&str) -> Option<String>) -> Result<Environment, Error> {
         let get = |name: &str| get(name).filter(|value| !value.is_empty());
-        let operator = get(OPERATOR).map(parse_operator).transpose()?;
+        let admin_address = get(ADMIN_ADDRESS).map(parse_admin_address).transpose()?;
         let listener = get(LISTENER).map(parse_listener).transpose()?;
-        Ok(Environment { config: get(CONFIG), operator, listener })
+        Ok(Environment { config: get(CONFIG), admin_address, listener })
     }
 }
 
-fn parse_operator(value: String) -> Result<SocketAddr, Error> {
-    value.parse().map_err(|_| Error::at_path(OPERATOR, ErrorReason::NotSocketAddress(value)))
+fn parse_admin_address(value: String) -> Result<SocketAddr, Error> {
+    value.parse().map_err(|_| Error::at_path(ADMIN_ADDRESS, ErrorReason::NotSocketAddress(value)))
 }
 
 fn parse_listener(value: String) -> Result<u32, Error> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Settings of a workload manager, read into types.
 //!
 //! The platform's settings come in two forms: as nested JSON in its configuration ([`PlatformConfig`]), and as
-//! `path=value` pairs on the simulator's wire ([`pairs`]). Both are deserialized into [`WireSettings`], whose fields bear
-//! the wire's names, and [`WireSettings::to_policy_settings`] translates that into the decision module's vocabulary.
+//! `path=value` pairs on the simulator's wire ([`pairs`]). Both are deserialized into [`WireSettings`], which holds the
+//! wire's names as serde renames, and [`WireSettings::to_policy_settings`] translates that into the decision module's vocabulary.
 //! Unknown fields are skipped, since the platform may add some. A known field of the wrong type is an [`Error`] that names
 //! the path, and in JSON the line and column. No input panics; memory is bounded by the text's own length and by
 //! [`pairs::MAX_ITEMS`].
@@ -26,7 +26,7 @@
 pub use platform_config::{KnownEvents, PlatformConfig, ProcessLimits, Seed};
 pub use settings_file::{SettingsFile, SettingsFileError};
 pub use validation::{check_range, InvalidField, Violation};
-pub use value::{Flag, Number, NumberList, Text, WholeNumber};
+pub use value::{Flag, Number, NumberList, Text, UnsignedInteger};
 pub use wire_settings::{
     WireClass, WireClients, WireEngines, WireInvariants, WireLimits, WireLoadReport, WirePrices,
     WireSettings, WireTenant,
--- a/crates/settings/src/platform_config.rs
+++ b/crates/settings/src/platform_config.rs
@@ -1,6 +1,6 @@
 //! The platform's configuration: a JSON object, whose unknown fields are skipped.
 
-use crate::value::{object, or_default, section, Object, WholeNumber};
+use crate::value::{object, or_default, section, Object, UnsignedInteger};
 use crate::{Error, WireSettings};
 use serde::de::{self, Deserializer, Unexpected, Visitor};
 use serde::Deserialize;
@@ -25,12 +25,12 @@
     /// Address of the control feed (the endpoint list).
     #[serde(default)]
     pub feed: Option<String>,
-    /// Address of the operators' endpoint, if there is one.
-    #[serde(default)]
-    pub operator: Option<SocketAddr>,
+    /// Address of the admin listener, if there is one.
+    #[serde(rename = "operator", default)]
+    pub admin_address: Option<SocketAddr>,
     /// The control feed's events up to the start.
-    #[serde(default = "KnownEvents::none", deserialize_with = "known_events")]
-    pub known: KnownEvents<E>,
+    #[serde(rename = "known", default = "KnownEvents::none", deserialize_with = "known_events")]
+    pub known_events: KnownEvents<E>,
     /// The settings, in the form of the simulator's first message.
     #[serde(deserialize_with = "object")]
     pub settings: WireSettings,
@@ -56,9 +56,10 @@
 #[serde(default)]
 pub struct ProcessLimits {
     /// Memory in MB, beyond which the process is killed.
-    pub memory_mb: WholeNumber,
+    pub memory_mb: UnsignedInteger,
     /// File descriptors.
-    pub sockets: WholeNumber,
+    #[serde(rename = "sockets")]
+    pub descriptors: UnsignedInteger,
 }
 
 /// Events of the control feed up to the start.
@@ -66,8 +67,8 @@
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
 pub struct KnownEvents<E> {
     /// Number of the last event; absent where there are no events.
-    #[serde(default)]
-    pub n: WholeNumber,
+    #[serde(rename = "n", default)]
+    pub last_event: UnsignedInteger,
     /// The events, in order.
     #[serde(default = "Vec::new", deserialize_with = "or_default")]
     pub events: Vec<E>,
@@ -75,15 +76,15 @@
 
 impl<E> KnownEvents<E> {
     fn none() -> KnownEvents<E> {
-        KnownEvents { n: WholeNumber(None), events: Vec::new() }
+        KnownEvents { last_event: UnsignedInteger(None), events: Vec::new() }
     }
 }
 
 fn known_events<'de, D: Deserializer<'de>, E: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<KnownEvents<E>, D::Error> {
-    // A number without events is ignored: polled from that number on, the feed would never send the whole list, which is
-    // in its first event.
+    // A number without events is ignored: polled from that number on, the feed would never send the complete list,
+    // which is in its first event.
     let known = Option::<KnownEvents<E>>::deserialize(deserializer)?;
     Ok(known.filter(|known| !known.events.is_empty()).unwrap_or_else(KnownEvents::none))
 }
--- a/crates/settings/src/policy_settings.rs
+++ b/crates/settings/src/policy_settings.rs
@@ -7,8 +7,26 @@
 };
 use sprucelink_time::TimeDelta;
 
-/// Names of load values on the wire, either of which tells how busy an engine is.
+/// `loadReport.fields`: the values of which either one shows how busy an engine is.
 const LOAD_FIELDS: [&str; 2] = ["rif", "busy"];
+/// `loadReport.via`: reports come with each answer.
+const VIA_ANSWERS: &str = "piggyback";
+/// `loadReport.via`: reports come with load probes only.
+const VIA_PROBES: &str = "pull";
+/// `discovery`: the endpoint list must be polled.
+const POLLED_DISCOVERY: &str = "ask";
+/// `specifics.memoryShort`: a query gets what memory is left, and spills.
+const MEMORY_SHORT_SHRINKS: &str = "trim";
+/// `specifics.memoryShort`: a query runs, and its engine pages.
+const MEMORY_SHORT_PAGES: &str = "swap";
+/// `profiles[].effect`: idempotent.
+const EFFECT_IDEMPOTENT: &str = "read_like";
+/// `profiles[].effect`: idempotent by key.
+const EFFECT_KEYED: &str = "idempotency_key";
+/// `profiles[].dedupScope`: retries are deduplicated among all engines.
+const DEDUP_ALL: &str = "all";
+/// `profiles[].dedupScope`: retries are deduplicated among the engines of a zone.
+const DEDUP_ZONE: &str = "zone";
 
 impl WireSettings {
     /// The decision module's settings. What has no counterpart on the wire keeps the default of [`Settings`]: the
@@ -18,21 +36,21 @@
         let limits = &self.limits;
         let rules = &self.invariants;
         Settings {
-            classes: self.profiles.iter().enumerate().map(|(i, class)| class.to_policy(i, engines)).collect(),
-            tenants: self.customers.iter().map(WireTenant::to_policy).collect(),
-            over_quota_value_factor: self.over_share_worth.unwrap_or(1.0),
-            gateways: self.siblings.unwrap_or(1.0).max(1.0) as u32,
+            classes: self.classes.iter().enumerate().map(|(i, class)| class.to_policy(i, engines)).collect(),
+            tenants: self.tenants.iter().map(WireTenant::to_policy).collect(),
+            over_quota_value_factor: self.over_quota_value_factor.unwrap_or(1.0),
+            gateways: self.managers.unwrap_or(1.0).max(1.0) as u32,
             position: self.position.unwrap_or(0.0) as u32,
-            must_poll_endpoints: self.discovery.get() == Some("ask"),
+            must_poll_endpoints: self.discovery.get() == Some(POLLED_DISCOVERY),
             report_via: self.report_via(),
             reports_load: self.load_report.fields.iter().any(|name| LOAD_FIELDS.contains(&name.0.as_str())),
-            kind_cores: engines.size_cores.0.clone(),
-            kind_memory_mb: engines.ram_of_kind_mb.0.clone(),
-            grants: engines.takes_grants.0,
+            kind_cores: engines.kind_cores.0.clone(),
+            kind_memory_mb: engines.kind_memory_mb.0.clone(),
+            grants: engines.applies_grants.0,
             memory_short: engines.memory_short(),
             priorities: engines.priorities.0,
-            progress_interval: engines.progress_pace.as_time_delta(),
-            reports_cost: engines.tells_cost.0,
+            progress_interval: engines.progress_interval.as_time_delta(),
+            reports_cost: engines.reports_cost.0,
             cancel: limits.cancel.0,
             probes: limits.probes.0,
             peers: limits.peers.0,
@@ -40,36 +58,36 @@
             max_retry_after: limits.max_retry_after.as_time_delta(),
             max_attempts: limits.max_attempts.unwrap_or(1.0) as u32,
             drain_grace: rules.drain_grace.as_time_delta(),
-            slow_start_multiple: rules.fall_multiple.unwrap_or(1.0),
-            slow_start_window: rules.overload_for.as_time_delta(),
-            initial_capacity_fraction: rules.start_capacity.unwrap_or(1.0),
-            slow_start_duration: rules.cold.as_time_delta(),
-            key_settle_time: rules.order_settle.as_time_delta(),
+            slow_start_multiple: rules.slow_start_multiple.unwrap_or(1.0),
+            slow_start_window: rules.slow_start_window.as_time_delta(),
+            initial_capacity_fraction: rules.initial_capacity_fraction.unwrap_or(1.0),
+            slow_start_duration: rules.slow_start_duration.as_time_delta(),
+            key_settle_time: rules.key_settle_time.as_time_delta(),
             retry_budget: self.retry_budget(),
             probe_price: self.prices.probe.unwrap_or(0.0),
-            zone: self.az.get().and_then(|zone| zone.parse().ok()),
+            zone: self.zone.get().and_then(|zone| zone.parse().ok()),
             cross_zone_price: self.prices.cross_zone.unwrap_or(0.0),
             handshake_price: self.prices.handshake.unwrap_or(0.0),
-            idle_timeout: limits.conn_idle.as_time_delta(),
+            idle_timeout: limits.idle_timeout.as_time_delta(),
             ..Settings::default()
         }
     }
 
     fn report_via(&self) -> ReportVia {
         match self.load_report.via.get() {
-            Some("piggyback") => ReportVia::Answers,
-            Some("pull") => ReportVia::Probes,
+            Some(VIA_ANSWERS) => ReportVia::Answers,
+            Some(VIA_PROBES) => ReportVia::Probes,
             _ => ReportVia::Silent,
         }
     }
 
-    /// The retry budget; `None` where its span is absent.
+    /// The retry budget; `None` where its window is absent.
     fn retry_budget(&self) -> Option<RetryBudgetSettings> {
         let rules = &self.invariants;
-        rules.ratio_span.0.map(|span| RetryBudgetSettings {
-            window: TimeDelta::from_secs_f64(span),
-            free_retries: rules.free_resends.unwrap_or(0.0),
-            retries_per_request: rules.budget_share.unwrap_or(0.0),
+        rules.retry_window.0.map(|seconds| RetryBudgetSettings {
+            window: TimeDelta::from_secs_f64(seconds),
+            free_retries: rules.free_retries.unwrap_or(0.0),
+            retries_per_request: rules.retries_per_request.unwrap_or(0.0),
         })
     }
 }
@@ -77,8 +95,8 @@
 impl WireEngines {
     fn memory_short(&self) -> MemoryShort {
         match self.memory_short.get() {
-            Some("trim") => MemoryShort::Shrinks,
-            Some("swap") => MemoryShort::Pages,
+            Some(MEMORY_SHORT_SHRINKS) => MemoryShort::Shrinks,
+            Some(MEMORY_SHORT_PAGES) => MemoryShort::Pages,
             _ => MemoryShort::Waits,
         }
     }
@@ -89,25 +107,25 @@
     fn to_policy(&self, class: usize, engines: &WireEngines) -> ClassSettings {
         ClassSettings {
             value: self.value.unwrap_or(1.0),
-            late_value_fraction: self.late_worth.unwrap_or(0.0),
-            latency_objective: self.aim.as_time_delta(),
-            objective_per_work: self.aim_stretch.unwrap_or(0.0),
+            late_value_fraction: self.late_value_fraction.unwrap_or(0.0),
+            latency_objective: self.latency_objective.as_time_delta(),
+            objective_per_work: self.objective_per_work.unwrap_or(0.0),
             deadline: self.deadline.as_time_delta(),
             effect: self.effect(),
             group: self.dedup_group(),
             repeat_window: self.repeat_window.as_time_delta(),
-            ordered_by_key: self.in_turn.0,
+            ordered_by_key: self.ordered_by_key.0,
             threads: engines.class_threads.0.get(class).copied().unwrap_or(1.0).max(1.0),
-            loads_tables: engines.loads.get(class).is_some_and(|flag| flag.0),
-            kinds: self.allowed_on.as_ref().map(NumberList::as_indices),
-            zones: self.runs_in.as_ref().map(NumberList::as_indices),
+            loads_tables: engines.class_loads_tables.get(class).is_some_and(|flag| flag.0),
+            kinds: self.kinds.as_ref().map(NumberList::as_indices),
+            zones: self.zones.as_ref().map(NumberList::as_indices),
         }
     }
 
     fn effect(&self) -> Effect {
         match self.effect.get() {
-            Some("read_like") => Effect::Safe,
-            Some("idempotency_key") => Effect::Keyed,
+            Some(EFFECT_IDEMPOTENT) => Effect::Safe,
+            Some(EFFECT_KEYED) => Effect::Keyed,
             // An unknown effect must not be retried.
             _ => Effect::Unsafe,
         }
@@ -115,8 +133,8 @@
 
     fn dedup_group(&self) -> DedupGroup {
         match self.dedup_scope.get() {
-            Some("all") => DedupGroup::All,
-            Some("zone") => DedupGroup::Zone,
+            Some(DEDUP_ALL) => DedupGroup::All,
+            Some(DEDUP_ZONE) => DedupGroup::Zone,
             _ => DedupGroup::Cell,
         }
     }
--- a/crates/settings/src/value/mod.rs
+++ b/crates/settings/src/value/mod.rs
@@ -5,7 +5,7 @@
 mod sections;
 mod text;
 
-pub use number::{Number, NumberList, WholeNumber};
+pub use number::{Number, NumberList, UnsignedInteger};
 pub(crate) use sections::{object, objects, or_default, present, section, Object};
 pub use text::{Flag, Text};
 
--- a/crates/settings/src/value/number.rs
+++ b/crates/settings/src/value/number.rs
@@ -1,4 +1,4 @@
-//! Numbers, lists of numbers and whole numbers.
+//! Numbers, lists of numbers and unsigned integers.
 
 use super::{is_absent, or_default};
 use serde::de::{self, Deserializer, Unexpected, Visitor};
@@ -107,31 +107,31 @@
     }
 }
 
-/// A whole number from 0 that may be absent; fractions are cut off.
+/// An integer from 0 that may be absent; fractions are cut off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WholeNumber(pub Option<u64>);
+pub struct UnsignedInteger(pub Option<u64>);
 
-impl<'de> Deserialize<'de> for WholeNumber {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<WholeNumber, D::Error> {
-        struct WholeNumberVisitor;
-        impl Visitor<'_> for WholeNumberVisitor {
-            type Value = WholeNumber;
+impl<'de> Deserialize<'de> for UnsignedInteger {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<UnsignedInteger, D::Error> {
+        struct UnsignedIntegerVisitor;
+        impl Visitor<'_> for UnsignedIntegerVisitor {
+            type Value = UnsignedInteger;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a number from 0")
             }
-            fn visit_u64<E: de::Error>(self, v: u64) -> Result<WholeNumber, E> {
-                Ok(WholeNumber(Some(v)))
+            fn visit_u64<E: de::Error>(self, v: u64) -> Result<UnsignedInteger, E> {
+                Ok(UnsignedInteger(Some(v)))
             }
-            fn visit_f64<E: de::Error>(self, v: f64) -> Result<WholeNumber, E> {
+            fn visit_f64<E: de::Error>(self, v: f64) -> Result<UnsignedInteger, E> {
                 if v < 0.0 {
                     return Err(E::invalid_value(Unexpected::Float(v), &self));
                 }
-                Ok(WholeNumber(Some(v as u64)))
+                Ok(UnsignedInteger(Some(v as u64)))
             }
-            fn visit_unit<E: de::Error>(self) -> Result<WholeNumber, E> {
-                Ok(WholeNumber(None))
+            fn visit_unit<E: de::Error>(self) -> Result<UnsignedInteger, E> {
+                Ok(UnsignedInteger(None))
             }
         }
-        d.deserialize_any(WholeNumberVisitor)
+        d.deserialize_any(UnsignedIntegerVisitor)
     }
 }
--- a/crates/settings/src/wire_settings.rs
+++ b/crates/settings/src/wire_settings.rs
@@ -1,35 +1,38 @@
-//! The settings under their names on the wire. Fields bear the wire's names in snake case; what they mean to the decision
-//! module stands in `policy_settings`.
+//! The settings as the wire has them. A field bears its standard name; where the wire has another one, a serde rename
+//! beside the field gives it. What the values mean to the decision module stands in `policy_settings`.
 
 use crate::value::{objects, or_default, present, section, Flag, Number, NumberList, Text};
 use serde::Deserialize;
 
-/// The settings that the program uses. Times are in seconds, shares and prices fractions of one, unless said otherwise.
+/// The settings that the program uses. Times are in seconds, fractions and prices parts of one, unless said otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireSettings {
     /// Classes of requests, in the order in which they are numbered.
-    #[serde(deserialize_with = "objects")]
-    pub profiles: Vec<WireClass>,
+    #[serde(rename = "profiles", deserialize_with = "objects")]
+    pub classes: Vec<WireClass>,
     /// Tenants, in the order in which they are numbered.
-    #[serde(deserialize_with = "objects")]
-    pub customers: Vec<WireTenant>,
-    /// Priority weight of a request beyond its tenant's quota, as a factor; absent: 1.
-    pub over_share_worth: Number,
+    #[serde(rename = "customers", deserialize_with = "objects")]
+    pub tenants: Vec<WireTenant>,
+    /// Factor on the value of a request beyond its tenant's quota; absent: 1.
+    #[serde(rename = "overShareWorth")]
+    pub over_quota_value_factor: Number,
     /// Managers in the fleet; absent or under 1: 1.
-    pub siblings: Number,
+    #[serde(rename = "siblings")]
+    pub managers: Number,
     /// This manager's number among them, from 0.
     pub position: Number,
     /// `ask` where the endpoint list must be polled; anything else: it is pushed.
     pub discovery: Text,
     /// Number of this manager's own zone; a text that is no whole number counts as absent.
-    pub az: Text,
+    #[serde(rename = "az")]
+    pub zone: Text,
     /// Names of zones, by number.
-    #[serde(deserialize_with = "or_default")]
-    pub zones: Vec<Text>,
+    #[serde(rename = "zones", deserialize_with = "or_default")]
+    pub zone_names: Vec<Text>,
     /// Names of machine kinds, by number.
-    #[serde(deserialize_with = "or_default")]
-    pub shapes: Vec<Text>,
+    #[serde(rename = "shapes", deserialize_with = "or_default")]
+    pub kind_names: Vec<Text>,
     /// Load reports.
     #[serde(deserialize_with = "section")]
     pub load_report: WireLoadReport,
@@ -39,7 +42,7 @@
     /// Limits of the site.
     #[serde(deserialize_with = "section")]
     pub limits: WireLimits,
-    /// Limits that the site's rules set.
+    /// What the site's rules demand of each manager.
     #[serde(deserialize_with = "section")]
     pub invariants: WireInvariants,
     /// Penalties.
@@ -56,14 +59,17 @@
 pub struct WireClass {
     /// Its name.
     pub name: Text,
-    /// Priority weight of a request; absent: 1.
+    /// Value of a request that is answered in time; absent: 1.
     pub value: Number,
-    /// Fraction of the priority weight that a late response earns.
-    pub late_worth: Number,
+    /// Fraction of the value that a late response earns.
+    #[serde(rename = "lateWorth")]
+    pub late_value_fraction: Number,
     /// Latency objective.
-    pub aim: Number,
+    #[serde(rename = "aim")]
+    pub latency_objective: Number,
     /// The latency objective grows by this times the work over the threads.
-    pub aim_stretch: Number,
+    #[serde(rename = "aimStretch")]
+    pub objective_per_work: Number,
     /// How long a client waits for the response.
     pub deadline: Number,
     /// `read_like` or `idempotency_key`; anything else counts as not idempotent.
@@ -73,13 +79,14 @@
     /// For how long duplicates are dropped.
     pub repeat_window: Number,
     /// Requests with the same key run one at a time.
-    pub in_turn: Flag,
+    #[serde(rename = "inTurn")]
+    pub ordered_by_key: Flag,
     /// Machine kinds, by number, that the class is restricted to; an empty list, too, restricts it.
-    #[serde(deserialize_with = "present")]
-    pub allowed_on: Option<NumberList>,
+    #[serde(rename = "allowedOn", deserialize_with = "present")]
+    pub kinds: Option<NumberList>,
     /// Zones, by number, that the class is restricted to; an empty list, too, restricts it.
-    #[serde(deserialize_with = "present")]
-    pub runs_in: Option<NumberList>,
+    #[serde(rename = "runsIn", deserialize_with = "present")]
+    pub zones: Option<NumberList>,
 }
 
 /// A tenant.
@@ -110,22 +117,27 @@
     /// Threads that a query of each class runs on; absent or under 1: 1.
     pub class_threads: NumberList,
     /// Whether each class holds its tables while it runs.
-    #[serde(deserialize_with = "or_default")]
-    pub loads: Vec<Flag>,
+    #[serde(rename = "loads", deserialize_with = "or_default")]
+    pub class_loads_tables: Vec<Flag>,
     /// Cores of each machine kind.
-    pub size_cores: NumberList,
+    #[serde(rename = "sizeCores")]
+    pub kind_cores: NumberList,
     /// Memory of each machine kind, in MB.
-    pub ram_of_kind_mb: NumberList,
+    #[serde(rename = "ramOfKindMb")]
+    pub kind_memory_mb: NumberList,
     /// Engines apply memory grants.
-    pub takes_grants: Flag,
+    #[serde(rename = "takesGrants")]
+    pub applies_grants: Flag,
     /// What queries do when memory is short: `trim` or `swap`; anything else: they wait.
     pub memory_short: Text,
     /// Engines apply priorities.
     pub priorities: Flag,
     /// Interval of progress messages; 0: there are none.
-    pub progress_pace: Number,
+    #[serde(rename = "progressPace")]
+    pub progress_interval: Number,
     /// Responses report a query's cost.
-    pub tells_cost: Flag,
+    #[serde(rename = "tellsCost")]
+    pub reports_cost: Flag,
 }
 
 /// Limits of the site (`limits` of the settings; the process's own are [`crate::ProcessLimits`]).
@@ -149,31 +161,40 @@
     /// Connect timeout.
     pub connect_timeout: Number,
     /// Idle timeout of a connection.
-    pub conn_idle: Number,
+    #[serde(rename = "connIdle")]
+    pub idle_timeout: Number,
 }
 
-/// Limits that the site's rules set.
+/// What the site's rules demand of each manager.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireInvariants {
     /// Grace period after a drain notice, within which sends to the engine must stop.
     pub drain_grace: Number,
-    /// A cold engine fails when it is sent more than this multiple of its capacity; absent: 1.
-    pub fall_multiple: Number,
+    /// An engine in slow start fails when it is sent more than this multiple of its capacity; absent: 1.
+    #[serde(rename = "fallMultiple")]
+    pub slow_start_multiple: Number,
     /// For how long it must be overloaded until it fails.
-    pub overload_for: Number,
-    /// Fraction of its capacity that a cold engine has; absent: 1.
-    pub start_capacity: Number,
-    /// Time after its start at which an engine is warm.
-    pub cold: Number,
+    #[serde(rename = "overloadFor")]
+    pub slow_start_window: Number,
+    /// Fraction of its capacity that an engine starts with; absent: 1.
+    #[serde(rename = "startCapacity")]
+    pub initial_capacity_fraction: Number,
+    /// Length of an engine's slow start.
+    #[serde(rename = "cold")]
+    pub slow_start_duration: Number,
     /// Pause of an idempotency key after an attempt that may still run.
-    pub order_settle: Number,
+    #[serde(rename = "orderSettle")]
+    pub key_settle_time: Number,
     /// Window of the retry budget; absent: there is no budget.
-    pub ratio_span: Number,
+    #[serde(rename = "ratioSpan")]
+    pub retry_window: Number,
     /// Retries allowed in any case.
-    pub free_resends: Number,
+    #[serde(rename = "freeResends")]
+    pub free_retries: Number,
     /// Retries allowed for each admitted request.
-    pub budget_share: Number,
+    #[serde(rename = "budgetShare")]
+    pub retries_per_request: Number,
 }
 
 /// Penalties.
--- a/crates/settings/tests/invalid_input.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -15,11 +15,14 @@
 fn minimal_configuration_gets_defaults() {
     let p = parse(&format!("{{{MINIMAL}}}")).expect("read");
     assert_eq!((p.name.as_str(), p.listen.to_string().as_str()), ("", "10.0.0.4:7001"));
-    assert_eq!((p.seed, p.feed, p.operator), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
-    assert_eq!((p.limits.sockets.0, p.limits.memory_mb.0, p.known.n.0), (None, None, None));
-    assert!(p.known.events.is_empty() && p.settings.to_policy_settings() == Default::default());
+    assert_eq!((p.seed, p.feed, p.admin_address), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
+    assert_eq!(
+        (p.limits.descriptors.0, p.limits.memory_mb.0, p.known_events.last_event.0),
+        (None, None, None)
+    );
+    assert!(p.known_events.events.is_empty() && p.settings.to_policy_settings() == Default::default());
     let nulls = r#""name":null,"feed":null,"operator":null,"limits":null,"known":null,"to_come":[{"a":1}]"#;
-    assert_eq!(parse(&format!("{{{MINIMAL},{nulls}}}")).expect("read").known.events.len(), 0);
+    assert_eq!(parse(&format!("{{{MINIMAL},{nulls}}}")).expect("read").known_events.events.len(), 0);
 }
 
 #[test]
@@ -28,9 +31,9 @@
         "limits":{"cores":1.0,"memory_mb":32.0,"sockets":4096}"#;
     let p = parse(&format!("{{{MINIMAL},{more}}}")).expect("read");
     assert_eq!((p.name.as_str(), p.feed.as_deref()), ("n3", Some("10.2.0.1:7070")));
-    assert_eq!(p.operator.map(|a| a.port()), Some(7002));
-    assert_eq!((p.known.n.0, p.known.events.len()), (Some(3), 2));
-    assert_eq!((p.limits.memory_mb.0, p.limits.sockets.0), (Some(32), Some(4096)));
+    assert_eq!(p.admin_address.map(|a| a.port()), Some(7002));
+    assert_eq!((p.known_events.last_event.0, p.known_events.events.len()), (Some(3), 2));
+    assert_eq!((p.limits.memory_mb.0, p.limits.descriptors.0), (Some(32), Some(4096)));
     let number = MINIMAL.replace("\"8c1f30d27a5be964\"", "18446744073709551615");
     assert_eq!(parse(&format!("{{{number}}}")).expect("read").seed, Seed(u64::MAX));
 }
@@ -103,10 +106,10 @@
     let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
     assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().reason.to_string().contains("is over"));
     assert!(pairs::parse(["customers.count=1e300"].into_iter()).is_err());
-    assert!(pairs::parse(["customers.count=-3"].into_iter()).expect("none").customers.is_empty());
+    assert!(pairs::parse(["customers.count=-3"].into_iter()).expect("none").tenants.is_empty());
     let deep = format!("{}=1", "a.".repeat(1_000_000));
     assert!(
-        pairs::parse([deep.as_str(), "siblings=3"].into_iter()).expect("skipped").siblings.unwrap_or(1.0)
+        pairs::parse([deep.as_str(), "siblings=3"].into_iter()).expect("skipped").managers.unwrap_or(1.0)
             == 3.0
     );
 }
@@ -141,7 +144,7 @@
     let all = read(&[("EDGE_CONFIG", "c.json"), ("EDGE_OPERATOR", "10.0.0.4:7002"), ("EDGE_FD", "5")]);
     let all = all.expect("read");
     assert_eq!((all.config.as_deref(), all.listener), (Some("c.json"), Some(5)));
-    assert_eq!(all.operator.map(|a| a.to_string()).as_deref(), Some("10.0.0.4:7002"));
+    assert_eq!(all.admin_address.map(|a| a.to_string()).as_deref(), Some("10.0.0.4:7002"));
     assert_eq!(read(&[("EDGE_FD", ""), ("EDGE_OPERATOR", "")]).expect("absent"), Environment::default());
     for (name, bad) in [("EDGE_FD", "2"), ("EDGE_FD", "-1"), ("EDGE_FD", "five"), ("EDGE_OPERATOR", "7002")] {
         let e = read(&[(name, bad)]).unwrap_err().to_string();
--- a/crates/settings/tests/unusual_sites.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -43,13 +43,13 @@
     let windows: Vec<i64> = set.classes.iter().map(|c| c.repeat_window.as_micros()).collect();
     // Shorter than the deadline, none, and longer: as configured.
     assert_eq!(windows, [0, 0, 1_000_000, 5_000_000, 30_000_000, 1_000_000]);
-    let names: Vec<&str> = wire.profiles.iter().map(|p| p.name.0.as_str()).collect();
+    let names: Vec<&str> = wire.classes.iter().map(|p| p.name.0.as_str()).collect();
     assert_eq!(names, ["rate", "rate-2", "ra\"te\\\n,=\u{e9}", "all", "-", "true"], "names are names");
     assert!(!set.classes[0].loads_tables && set.classes[1].loads_tables && !set.classes[5].loads_tables);
     assert!(set.classes.iter().all(|c| c.threads == 1.0));
     let quotas: Vec<f64> = set.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [f64::MAX, 0.0, 0.5]);
-    assert_eq!(wire.zones.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
+    assert_eq!(wire.zone_names.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
     // A limit of zero is a limit, and not an absent one.
     assert_eq!((set.idle_timeout, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
     let retry_budget = set.retry_budget.expect("configured");
@@ -82,10 +82,7 @@
         let wire = pairs::parse(["customers.count=1", "customers.0.name=x", "siblings=3"].into_iter());
         assert_eq!(wire.expect("read").to_policy_settings().gateways, 3);
         let wire = pairs::parse(std::iter::empty()).expect("read");
-        assert_eq!(
-            (wire.to_policy_settings(), wire.customers.len()),
-            (none.settings.to_policy_settings(), 0)
-        );
+        assert_eq!((wire.to_policy_settings(), wire.tenants.len()), (none.settings.to_policy_settings(), 0));
     }
 }
 
@@ -94,8 +91,8 @@
 fn event_number_without_events_is_ignored() {
     let known = |text: &str| {
         let text = format!(r#"{{"listen":"10.0.0.4:1","seed":"a","settings":{{}},"known":{text}}}"#);
-        let known = PlatformConfig::<Value>::parse(&text).unwrap_or_else(|e| panic!("{e}")).known;
-        (known.n.0, known.events.len())
+        let known = PlatformConfig::<Value>::parse(&text).unwrap_or_else(|e| panic!("{e}")).known_events;
+        (known.last_event.0, known.events.len())
     };
     assert_eq!(known(r#"{"n":41,"events":[]}"#), (None, 0));
     assert_eq!(known(r#"{"n":41}"#), (None, 0));
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -88,9 +88,9 @@
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
     let platform: PlatformConfig<events::ConfiguredEvent> = PlatformConfig::parse(text)?;
     let settings = platform.settings.to_policy_settings();
-    let sockets = platform.limits.sockets.0;
+    let sockets = platform.limits.descriptors.0;
     let sockets = sockets.map_or(DEFAULT_SOCKETS, |n| usize::try_from(n).unwrap_or(usize::MAX));
-    let admin_address = platform.operator.or(environment.operator);
+    let admin_address = platform.admin_address.or(environment.admin_address);
     let reserved = admin_address.map_or(0, |_| admin::limits(sockets).descriptors());
     let descriptors = DescriptorBudget::divide(sockets, reserved).map_err(|error| {
         let reason = ErrorReason::TooFewDescriptors { limit: error.limit, needed: error.sufficient };
@@ -100,16 +100,16 @@
     Ok(Config {
         connection_limits: connection_limits(&platform, &settings, sockets, &descriptors),
         front: front_setup(&platform, &settings, &descriptors),
-        zone_names: names(&platform.settings.zones),
-        kind_names: names(&platform.settings.shapes),
+        zone_names: names(&platform.settings.zone_names),
+        kind_names: names(&platform.settings.kind_names),
         name: platform.name,
         listen: platform.listen.to_string(),
         feed: platform.feed,
         admin_address,
         inherited_listener: environment.listener,
         known_endpoints: KnownEndpoints {
-            last_event: platform.known.n.0.unwrap_or(0),
-            events: platform.known.events.into_iter().filter_map(|event| event.0).collect(),
+            last_event: platform.known_events.last_event.0.unwrap_or(0),
+            events: platform.known_events.events.into_iter().filter_map(|event| event.0).collect(),
         },
         settings,
         seed: platform.seed.0,
@@ -143,7 +143,7 @@
     ConnectionLimits {
         max_streams: limits.max_streams.unwrap_or(DEFAULT_MAX_STREAMS).max(1.0) as usize,
         dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_S)),
-        idle_timeout: TimeDelta::from_secs_f64(limits.conn_idle.unwrap_or(DEFAULT_IDLE_TIMEOUT_S)),
+        idle_timeout: TimeDelta::from_secs_f64(limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT_S)),
         note_interval: settings.progress_interval,
         max_per_engine: (sockets / 32).max(2),
         max_total: descriptors.engine_connections,
@@ -155,14 +155,14 @@
     settings: &Settings,
     descriptors: &DescriptorBudget,
 ) -> FrontConfig {
-    let class = |(profile, class): (&WireClass, &ClassSettings)| ClassConfig {
-        name: profile.name.0.clone(),
+    let class = |(wire_class, class): (&WireClass, &ClassSettings)| ClassConfig {
+        name: wire_class.name.0.clone(),
         has_idempotency_key: class.effect == Effect::Keyed,
         default_timeout: class.deadline,
     };
     FrontConfig {
-        classes: platform.settings.profiles.iter().zip(&settings.classes).map(class).collect(),
-        tenants: platform.settings.customers.iter().map(|customer| customer.name.0.clone()).collect(),
+        classes: platform.settings.classes.iter().zip(&settings.classes).map(class).collect(),
+        tenants: platform.settings.tenants.iter().map(|tenant| tenant.name.0.clone()).collect(),
         max_sessions: descriptors.sessions,
         max_evicted: descriptors.draining,
         max_sessionless: descriptors.handshakes,
--- a/src/run/config/tests.rs
+++ b/src/run/config/tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn environment_with_admin() -> Environment {
-    Environment { operator: "10.0.0.4:9".parse().ok(), ..Environment::default() }
+    Environment { admin_address: "10.0.0.4:9".parse().ok(), ..Environment::default() }
 }
 
 #[test]
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -2,7 +2,7 @@
 //!
 //! Instances share nothing. The host reads batches of lines and answers each batch at once; it decides nothing.
 
-use super::codec::{parse_line, print_action, Line, ListedEngine, WireError};
+use super::codec::{parse_line, print_action, print_batch_end, print_panic, Line, ListedEngine, WireError};
 use sprucelink_capture::recorder::Recorder;
 use sprucelink_capture::settings::Settings as RecorderSettings;
 use sprucelink_policy::{
@@ -213,7 +213,7 @@
 
     /// The reply to the batch that is complete.
     fn take_reply(&mut self) -> String {
-        self.reply.push_str(&format!("EOR\t{}\n", self.batch));
+        print_batch_end(&mut self.reply, &self.batch);
         std::mem::take(&mut self.reply)
     }
 
@@ -284,10 +284,9 @@
         }
     }
 
-    /// Tells the simulator that an instance's policy panicked.
+    /// Reports to the simulator that an instance's policy panicked.
     fn reply_panic(&mut self, instance: &str, cause: Box<dyn Any + Send>) {
-        let text = panic_text(cause.as_ref()).replace(['\n', '\t'], " ");
-        self.reply.push_str(&format!("GIVE_IN\t{instance}\t{text}\n"));
+        print_panic(&mut self.reply, instance, &panic_text(cause.as_ref()));
     }
 }
 
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -1,16 +1,18 @@
 //! The simulator's wire: lines of tab-separated fields to events, and actions to lines.
 //!
-//! It knows no more than how things are written. Unknown settings, load report values and engine states are skipped; a
-//! malformed line is an error that names the field. [`parse`] reads lines by their [`fields`], [`print`](mod@print) writes actions.
+//! Here the wire's [`names`] become standard terms, and go no deeper. Unknown settings, load report values and engine
+//! states are skipped; a malformed line is an error that names the field. [`parse`] reads lines by their [`fields`],
+//! [`print`](mod@print) writes actions.
 
 mod error;
 mod fields;
+mod names;
 mod parse;
 mod print;
 
 pub use error::{FieldError, WireError};
 pub use parse::parse_line;
-pub use print::print_action;
+pub use print::{print_action, print_batch_end, print_panic};
 
 use sprucelink_policy::{EndpointUpdate, EngineEntry, Event, LoadReport, Outcome, Settings, Timestamp};
 
--- a/src/simulator/codec/fields.rs
+++ b/src/simulator/codec/fields.rs
@@ -1,5 +1,6 @@
-//! Reads single fields of a line; the texts in quotes are the wire's.
+//! Reads single fields of a line.
 
+use super::names::{field, load_report, outcome};
 use super::{FieldError, WireError};
 use sprucelink_policy::{LoadReport, Outcome, QueryCost, RequestId, Settings};
 
@@ -7,11 +8,13 @@
 const MAX_QUOTED_CHARS: usize = 120;
 /// Digits of a request id.
 const REQUEST_ID_DIGITS: usize = 16;
-/// A bill's memory is counted in its lowest bits, up to this value, in units of [`BILL_MEMORY_UNIT_MB`]; its work in
-/// milliseconds above them.
-const BILL_MEMORY_VALUES: u64 = 4096;
-/// Megabytes that a bill's memory is counted in.
-const BILL_MEMORY_UNIT_MB: f64 = 4.0;
+/// A query's cost is one number: what remains of it by this divisor counts memory in units of
+/// [`COST_MEMORY_UNIT_MB`], the quotient counts thread-milliseconds of work.
+const COST_MEMORY_VALUES: u64 = 4096;
+/// The unit of a cost's memory, in MB.
+const COST_MEMORY_UNIT_MB: f64 = 4.0;
+/// Thread-milliseconds in a thread-second.
+const MILLIS_PER_SECOND: f64 = 1e3;
 /// The first field of an `INIT` line that holds a setting.
 const FIRST_SETTING: usize = 3;
 
@@ -22,7 +25,7 @@
 }
 
 impl<'a> Fields<'a> {
-    pub(super) fn of(line: &'a str) -> Fields<'a> {
+    pub(super) fn split(line: &'a str) -> Fields<'a> {
         Fields { line, parts: line.split('\t').collect() }
     }
 
@@ -75,27 +78,27 @@
 
     /// The instance, which always stands first.
     pub(super) fn instance(&self) -> Result<String, WireError> {
-        self.text(1, "who").map(str::to_owned)
+        self.text(1, field::INSTANCE).map(str::to_owned)
     }
 
     /// The request id, which always stands behind the instance.
     pub(super) fn request_id(&self) -> Result<RequestId, WireError> {
-        let text = self.text(2, "id")?;
+        let text = self.text(2, field::REQUEST_ID)?;
         let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == REQUEST_ID_DIGITS);
-        id.map(RequestId).ok_or_else(|| self.error("id", FieldError::NotARequestId))
+        id.map(RequestId).ok_or_else(|| self.error(field::REQUEST_ID, FieldError::NotARequestId))
     }
 
     pub(super) fn outcome(&self, index: usize) -> Result<Outcome, WireError> {
-        Ok(match self.text(index, "disposition")? {
-            "delivered" => Outcome::Succeeded,
-            "app_error" => Outcome::EngineError,
-            "shed" => Outcome::RejectedByEngine,
-            "expired" => Outcome::TimedOut,
-            "dial_failed" => Outcome::ConnectFailed,
-            "dropped" => Outcome::ConnectionLost,
-            "revoked" => Outcome::Cancelled,
-            "unused" => Outcome::NeverSent,
-            _ => return Err(self.error("disposition", FieldError::UnknownWord)),
+        Ok(match self.text(index, field::OUTCOME)? {
+            outcome::SUCCEEDED => Outcome::Succeeded,
+            outcome::ENGINE_ERROR => Outcome::EngineError,
+            outcome::REJECTED_BY_ENGINE => Outcome::RejectedByEngine,
+            outcome::TIMED_OUT => Outcome::TimedOut,
+            outcome::CONNECT_FAILED => Outcome::ConnectFailed,
+            outcome::CONNECTION_LOST => Outcome::ConnectionLost,
+            outcome::CANCELLED => Outcome::Cancelled,
+            outcome::NEVER_SENT => Outcome::NeverSent,
+            _ => return Err(self.error(field::OUTCOME, FieldError::UnknownWord)),
         })
     }
 
@@ -105,27 +108,27 @@
         let pairs = self.optional_text(index).unwrap_or("").split(',').filter(|pair| !pair.is_empty());
         for pair in pairs {
             let (name, value) =
-                pair.split_once(':').ok_or_else(|| self.error("pressure", FieldError::NotAPair))?;
-            let value =
-                parse_finite(value).ok_or_else(|| self.error("pressure", FieldError::ValueNotANumber))?;
+                pair.split_once(':').ok_or_else(|| self.error(field::LOAD_REPORT, FieldError::NotAPair))?;
+            let value = parse_finite(value)
+                .ok_or_else(|| self.error(field::LOAD_REPORT, FieldError::ValueNotANumber))?;
             match name {
-                "rif" => report.queries_in_flight = Some(value),
-                "q" => report.queries_waiting_for_memory = Some(value),
-                "busy" => report.busy_core_fraction = Some(value),
-                "x0" => report.granted_memory_fraction = Some(value),
-                "x1" => report.busy_disk_fraction = Some(value),
+                load_report::QUERIES_IN_FLIGHT => report.queries_in_flight = Some(value),
+                load_report::QUERIES_WAITING_FOR_MEMORY => report.queries_waiting_for_memory = Some(value),
+                load_report::BUSY_CORE_FRACTION => report.busy_core_fraction = Some(value),
+                load_report::GRANTED_MEMORY_FRACTION => report.granted_memory_fraction = Some(value),
+                load_report::BUSY_DISK_FRACTION => report.busy_disk_fraction = Some(value),
                 _ => {}
             }
         }
         Ok(report)
     }
 
-    /// The cost that an engine bills; 0 is none.
+    /// The cost that an engine reports for a query; 0 is none.
     pub(super) fn query_cost(&self, index: usize) -> Result<Option<QueryCost>, WireError> {
-        let bill = self.optional_integer(index, "bill")?.filter(|bill| *bill > 0);
-        Ok(bill.map(|bill| QueryCost {
-            work: (bill / BILL_MEMORY_VALUES) as f64 / 1e3,
-            memory_mb: (bill % BILL_MEMORY_VALUES) as f64 * BILL_MEMORY_UNIT_MB,
+        let cost = self.optional_integer(index, field::QUERY_COST)?.filter(|cost| *cost > 0);
+        Ok(cost.map(|cost| QueryCost {
+            work: (cost / COST_MEMORY_VALUES) as f64 / MILLIS_PER_SECOND,
+            memory_mb: (cost % COST_MEMORY_VALUES) as f64 * COST_MEMORY_UNIT_MB,
         }))
     }
 
--- /dev/null
+++ b/src/simulator/codec/names.rs
@@ -0,0 +1,195 @@
+//! The wire's names, each with the standard term that it stands for. No name of the wire goes deeper than this codec.
+
+/// Names of the lines that the simulator sends: the first field of each.
+pub(super) mod received {
+    /// A batch begins.
+    pub(crate) const BATCH_BEGIN: &str = "CLOCK";
+    /// A batch ends.
+    pub(crate) const BATCH_END: &str = "COMMIT";
+    /// An engine list begins.
+    pub(crate) const ENGINE_LIST: &str = "POOL";
+    /// An entry of an engine list.
+    pub(crate) const ENGINE: &str = "ENGINE";
+    /// An instance starts.
+    pub(crate) const START: &str = "INIT";
+    /// An instance ends.
+    pub(crate) const STOP: &str = "HALT";
+    /// An instance is given an endpoint list.
+    pub(crate) const ENDPOINTS_CHANGED: &str = "MEMBERS";
+    /// A load probe ended.
+    pub(crate) const PROBE_COMPLETED: &str = "PROBED";
+    /// A request arrived.
+    pub(crate) const REQUEST_ARRIVED: &str = "INCOMING";
+    /// A streamed response began.
+    pub(crate) const RESPONSE_STARTED: &str = "OPENED";
+    /// A running attempt reported its progress.
+    pub(crate) const PROGRESS_REPORTED: &str = "UPDATE_OF";
+    /// An attempt ended.
+    pub(crate) const ATTEMPT_ENDED: &str = "ENDED";
+    /// A client cancelled or disconnected.
+    pub(crate) const REQUEST_ABANDONED: &str = "ABANDONED";
+    /// A timer is due.
+    pub(crate) const TIMER: &str = "DUE";
+    /// Another manager's message arrived.
+    pub(crate) const PEER_MESSAGE: &str = "HEARD";
+}
+
+/// Names of the lines that the adapter sends: the first field of each.
+pub(super) mod sent {
+    /// Forward an attempt to an engine.
+    pub(crate) const FORWARD_ATTEMPT: &str = "SEND";
+    /// Set the memory grant and the priority level.
+    pub(crate) const EXECUTION_TERMS: &str = "TUNE";
+    /// Cancel an attempt.
+    pub(crate) const CANCEL: &str = "CALL_OFF";
+    /// Reject a request.
+    pub(crate) const REJECT: &str = "DECLINE";
+    /// Fail a request.
+    pub(crate) const FAIL: &str = "END_FAILED";
+    /// Start a timer.
+    pub(crate) const START_TIMER: &str = "REMIND";
+    /// Send a load probe.
+    pub(crate) const PROBE: &str = "TOUCH";
+    /// Send a message to other managers.
+    pub(crate) const BROADCAST: &str = "PUBLISH";
+    /// The recipients of [`BROADCAST`]: all other managers.
+    pub(crate) const TO_ALL_PEERS: &str = "all";
+    /// Watch the endpoint list.
+    pub(crate) const WATCH_ENDPOINTS: &str = "KEEP_INFORMED";
+    /// Write a log line.
+    pub(crate) const LOG: &str = "NOTE_DOWN";
+    /// An instance panicked.
+    pub(crate) const PANICKED: &str = "GIVE_IN";
+    /// The reply to a batch is complete.
+    pub(crate) const REPLY_END: &str = "EOR";
+}
+
+/// Names of fields, as errors quote them.
+pub(super) mod field {
+    /// The instance that a line concerns.
+    pub(crate) const INSTANCE: &str = "who";
+    /// A request's id.
+    pub(crate) const REQUEST_ID: &str = "id";
+    /// The simulated time, in seconds.
+    pub(crate) const NOW: &str = "moment";
+    /// A batch's number.
+    pub(crate) const BATCH: &str = "n";
+    /// An engine list's number.
+    pub(crate) const LIST: &str = "page";
+    /// How many entries an engine list has.
+    pub(crate) const LIST_ENTRIES: &str = "elements";
+    /// An instance's seed.
+    pub(crate) const SEED: &str = "randomSeed";
+    /// An engine's name.
+    pub(crate) const ENGINE: &str = "engine";
+    /// An engine's zone.
+    pub(crate) const ZONE: &str = "site";
+    /// An engine's machine kind.
+    pub(crate) const MACHINE_KIND: &str = "machine";
+    /// An engine's cell.
+    pub(crate) const CELL: &str = "pod";
+    /// When an engine's process started, in seconds.
+    pub(crate) const STARTED_AT: &str = "since";
+    /// The kind of an endpoint update.
+    pub(crate) const UPDATE_KIND: &str = "form";
+    /// A request's tenant.
+    pub(crate) const TENANT: &str = "billing";
+    /// The group of tables that a request reads or writes.
+    pub(crate) const TABLES: &str = "sourceSet";
+    /// How long a request's client will wait, in seconds.
+    pub(crate) const TIME_LEFT: &str = "timeLeft";
+    /// A request's class.
+    pub(crate) const CLASS: &str = "profile";
+    /// A request's estimated work, in thread-seconds.
+    pub(crate) const ESTIMATED_COST: &str = "expected";
+    /// A request's estimated memory, in MB.
+    pub(crate) const ESTIMATED_MEMORY: &str = "memMb";
+    /// The number of an attempt.
+    pub(crate) const ATTEMPT: &str = "attempt";
+    /// The kind of a progress note.
+    pub(crate) const NOTE_KIND: &str = "topic";
+    /// The value of a progress note.
+    pub(crate) const NOTE_VALUE: &str = "value";
+    /// How an attempt or a load probe ended.
+    pub(crate) const OUTCOME: &str = "disposition";
+    /// How long an attempt took, in seconds.
+    pub(crate) const LATENCY: &str = "lag";
+    /// The client has its response.
+    pub(crate) const COMPLETE: &str = "complete";
+    /// The resources that a query used.
+    pub(crate) const QUERY_COST: &str = "bill";
+    /// An engine's load report.
+    pub(crate) const LOAD_REPORT: &str = "pressure";
+    /// The token of a timer.
+    pub(crate) const TIMER_TOKEN: &str = "handle";
+    /// The manager that a message is from.
+    pub(crate) const SENDER: &str = "src";
+    /// A message's bytes, in hex.
+    pub(crate) const MESSAGE: &str = "blob";
+}
+
+/// Values of an engine's state.
+pub(super) mod engine_state {
+    /// Finishes its requests and accepts no others.
+    pub(crate) const DRAINING: &str = "draining";
+    /// Withdrawn.
+    pub(crate) const GONE: &str = "gone";
+}
+
+/// Values of an endpoint update's kind.
+pub(super) mod update_kind {
+    /// Only what changed.
+    pub(crate) const CHANGES: &str = "changes";
+    /// The complete list.
+    pub(crate) const COMPLETE: &str = "all";
+    /// The list as last cached.
+    pub(crate) const REMEMBERED: &str = "remembered";
+    /// The request for the list failed.
+    pub(crate) const FAILED: &str = "refused";
+}
+
+/// Values of a progress note's kind.
+pub(super) mod note_kind {
+    /// The fraction done.
+    pub(crate) const PROGRESS: u64 = 1;
+    /// Memory that the query lacks, in MB.
+    pub(crate) const SPILLS: u64 = 2;
+    /// The query waits; the note's value says for what.
+    pub(crate) const WAITS: u64 = 3;
+    /// Least value of [`WAITS`] that means a load on the query's tables; any less means memory.
+    pub(crate) const MIN_WAITS_FOR_LOAD: f64 = 2.0;
+}
+
+/// Values of an outcome.
+pub(super) mod outcome {
+    /// Served.
+    pub(crate) const SUCCEEDED: &str = "delivered";
+    /// The engine responded with an error.
+    pub(crate) const ENGINE_ERROR: &str = "app_error";
+    /// Rejected by the engine at its limit.
+    pub(crate) const REJECTED_BY_ENGINE: &str = "shed";
+    /// No response in time.
+    pub(crate) const TIMED_OUT: &str = "expired";
+    /// No connection.
+    pub(crate) const CONNECT_FAILED: &str = "dial_failed";
+    /// The connection broke.
+    pub(crate) const CONNECTION_LOST: &str = "dropped";
+    /// Cancelled.
+    pub(crate) const CANCELLED: &str = "revoked";
+    /// Never sent.
+    pub(crate) const NEVER_SENT: &str = "unused";
+}
+
+/// Names of the values in a load report.
+pub(super) mod load_report {
+    /// Queries in flight.
+    pub(crate) const QUERIES_IN_FLIGHT: &str = "rif";
+    /// Queries that wait for memory.
+    pub(crate) const QUERIES_WAITING_FOR_MEMORY: &str = "q";
+    /// Fraction of the cores in use, 0 to 1.
+    pub(crate) const BUSY_CORE_FRACTION: &str = "busy";
+    /// Fraction of the memory granted, 0 to 1.
+    pub(crate) const GRANTED_MEMORY_FRACTION: &str = "x0";
+    /// Fraction of the disks in use, 0 to 1.
+    pub(crate) const BUSY_DISK_FRACTION: &str = "x1";
+}
--- a/src/simulator/codec/parse.rs
+++ b/src/simulator/codec/parse.rs
@@ -1,6 +1,7 @@
-//! Reads lines; the texts in quotes are the wire's.
+//! Reads lines.
 
 use super::fields::Fields;
+use super::names::{engine_state, field, note_kind, received, update_kind};
 use super::{FieldError, Line, ListedEngine, WireError};
 use sprucelink_policy::{
     Arrival, ClassId, EndpointUpdate, EngineEntry, EngineId, EngineState, Event, ProgressNote, TimeDelta,
@@ -12,82 +13,82 @@
 /// # Errors
 /// The first field that is missing or invalid.
 pub fn parse_line(line: &str) -> Result<Option<Line>, WireError> {
-    let fields = Fields::of(line);
+    let fields = Fields::split(line);
     let parsed = match fields.name() {
-        "CLOCK" => Line::Clock {
-            now: Timestamp::from_secs_f64(fields.number(1, "moment")?),
-            batch: fields.text(2, "n")?.to_owned(),
+        received::BATCH_BEGIN => Line::Clock {
+            now: Timestamp::from_secs_f64(fields.number(1, field::NOW)?),
+            batch: fields.text(2, field::BATCH)?.to_owned(),
         },
-        "COMMIT" => Line::Commit,
-        "POOL" => Line::ListBegin {
-            list: fields.integer(1, "page")? as usize,
-            entries: fields.integer(2, "elements")? as usize,
+        received::BATCH_END => Line::Commit,
+        received::ENGINE_LIST => Line::ListBegin {
+            list: fields.integer(1, field::LIST)? as usize,
+            entries: fields.integer(2, field::LIST_ENTRIES)? as usize,
         },
-        "ENGINE" => Line::ListEntry(parse_listed_engine(&fields)?),
-        "INIT" => Line::Start {
+        received::ENGINE => Line::ListEntry(parse_listed_engine(&fields)?),
+        received::START => Line::Start {
             instance: fields.instance()?,
-            seed: fields.integer(2, "randomSeed")?,
+            seed: fields.integer(2, field::SEED)?,
             settings: Box::new(fields.settings()?),
         },
-        "HALT" => Line::Stop { instance: fields.instance()? },
-        "MEMBERS" => parse_members(&fields)?,
-        "PROBED" => Line::Probed {
+        received::STOP => Line::Stop { instance: fields.instance()? },
+        received::ENDPOINTS_CHANGED => parse_endpoint_update(&fields)?,
+        received::PROBE_COMPLETED => Line::Probed {
             instance: fields.instance()?,
-            engine: fields.text(2, "engine")?.to_owned(),
+            engine: fields.text(2, field::ENGINE)?.to_owned(),
             outcome: fields.outcome(3)?,
             report: fields.report(5)?,
         },
-        "INCOMING" => parse_arrival(&fields)?,
-        "OPENED" => Line::Event {
+        received::REQUEST_ARRIVED => parse_arrival(&fields)?,
+        received::RESPONSE_STARTED => Line::Event {
             instance: fields.instance()?,
             event: Event::ResponseStarted { id: fields.request_id()? },
         },
-        "UPDATE_OF" => return parse_note(&fields),
-        "ENDED" => parse_ended(&fields)?,
-        "ABANDONED" => Line::Event {
+        received::PROGRESS_REPORTED => return parse_progress_note(&fields),
+        received::ATTEMPT_ENDED => parse_attempt_end(&fields)?,
+        received::REQUEST_ABANDONED => Line::Event {
             instance: fields.instance()?,
             event: Event::RequestAbandoned { id: fields.request_id()? },
         },
-        "DUE" => Line::Event {
+        received::TIMER => Line::Event {
             instance: fields.instance()?,
-            event: Event::Timer { token: fields.integer(2, "handle")? },
+            event: Event::Timer { token: fields.integer(2, field::TIMER_TOKEN)? },
         },
-        "HEARD" => parse_gossip(&fields)?,
+        received::PEER_MESSAGE => parse_peer_message(&fields)?,
         _ => return Ok(None),
     };
     Ok(Some(parsed))
 }
 
 fn parse_listed_engine(fields: &Fields) -> Result<ListedEngine, WireError> {
-    let name = fields.text(1, "engine")?.to_owned();
+    let name = fields.text(1, field::ENGINE)?.to_owned();
     let entry = EngineEntry {
         engine: EngineId(0),
-        zone: fields.optional_integer(2, "site")?.unwrap_or(0) as u32,
-        kind: fields.optional_integer(3, "machine")?.unwrap_or(0) as u32,
-        cell: fields.optional_integer(4, "pod")?.unwrap_or(0) as u32,
+        zone: fields.optional_integer(2, field::ZONE)?.unwrap_or(0) as u32,
+        kind: fields.optional_integer(3, field::MACHINE_KIND)?.unwrap_or(0) as u32,
+        cell: fields.optional_integer(4, field::CELL)?.unwrap_or(0) as u32,
         // An unknown state says no more than that the engine is listed.
         state: match fields.optional_text(5) {
-            Some("draining") => EngineState::Draining,
-            Some("gone") => EngineState::Gone,
+            Some(engine_state::DRAINING) => EngineState::Draining,
+            Some(engine_state::GONE) => EngineState::Gone,
             _ => EngineState::Ready,
         },
         since: fields
-            .optional_number(7, "since")?
+            .optional_number(7, field::STARTED_AT)?
             .filter(|seconds| *seconds > 0.0)
             .map(Timestamp::from_secs_f64),
     };
     Ok(ListedEngine { name, entry })
 }
 
-fn parse_members(fields: &Fields) -> Result<Line, WireError> {
-    let kind = match fields.text(2, "form")? {
-        "changes" => EndpointUpdate::Changes,
-        "all" => EndpointUpdate::Complete,
-        "remembered" => EndpointUpdate::Remembered,
-        "refused" => EndpointUpdate::Failed,
-        _ => return Err(fields.error("form", FieldError::UnknownWord)),
+fn parse_endpoint_update(fields: &Fields) -> Result<Line, WireError> {
+    let kind = match fields.text(2, field::UPDATE_KIND)? {
+        update_kind::CHANGES => EndpointUpdate::Changes,
+        update_kind::COMPLETE => EndpointUpdate::Complete,
+        update_kind::REMEMBERED => EndpointUpdate::Remembered,
+        update_kind::FAILED => EndpointUpdate::Failed,
+        _ => return Err(fields.error(field::UPDATE_KIND, FieldError::UnknownWord)),
     };
-    let list = if kind == EndpointUpdate::Failed { 0 } else { fields.integer(4, "page")? as usize };
+    let list = if kind == EndpointUpdate::Failed { 0 } else { fields.integer(4, field::LIST)? as usize };
     Ok(Line::Members { instance: fields.instance()?, kind, list })
 }
 
@@ -95,50 +96,50 @@
     let instance = fields.instance()?;
     let arrival = Arrival {
         id: fields.request_id()?,
-        tenant: fields.optional_integer(3, "billing")?.unwrap_or(0) as usize,
-        tables: fields.optional_integer(5, "sourceSet")?.unwrap_or(0),
-        time_left: TimeDelta::from_secs_f64(fields.number(6, "timeLeft")?),
-        class: ClassId(fields.integer(7, "profile")? as usize),
-        cost: fields.optional_number(8, "expected")?.filter(|cost| *cost > 0.0),
+        tenant: fields.optional_integer(3, field::TENANT)?.unwrap_or(0) as usize,
+        tables: fields.optional_integer(5, field::TABLES)?.unwrap_or(0),
+        time_left: TimeDelta::from_secs_f64(fields.number(6, field::TIME_LEFT)?),
+        class: ClassId(fields.integer(7, field::CLASS)? as usize),
+        cost: fields.optional_number(8, field::ESTIMATED_COST)?.filter(|cost| *cost > 0.0),
         key: fields.optional_text(9).map(str::to_owned),
-        memory_mb: fields.optional_number(11, "memMb")?.filter(|memory| *memory > 0.0),
+        memory_mb: fields.optional_number(11, field::ESTIMATED_MEMORY)?.filter(|memory| *memory > 0.0),
     };
     Ok(Line::Event { instance, event: Event::RequestArrived(arrival) })
 }
 
-/// A note on an attempt; `None` where its topic is unknown.
-fn parse_note(fields: &Fields) -> Result<Option<Line>, WireError> {
-    let value = fields.optional_number(6, "value")?.unwrap_or(0.0);
-    let note = match fields.integer(5, "topic")? {
-        1 => ProgressNote::Progress(value),
-        2 => ProgressNote::Spills(value),
-        3 if value >= 2.0 => ProgressNote::WaitsForLoad,
-        3 => ProgressNote::WaitsForMemory,
+/// A progress note on an attempt; `None` where its kind is unknown.
+fn parse_progress_note(fields: &Fields) -> Result<Option<Line>, WireError> {
+    let value = fields.optional_number(6, field::NOTE_VALUE)?.unwrap_or(0.0);
+    let note = match fields.integer(5, field::NOTE_KIND)? {
+        note_kind::PROGRESS => ProgressNote::Progress(value),
+        note_kind::SPILLS => ProgressNote::Spills(value),
+        note_kind::WAITS if value >= note_kind::MIN_WAITS_FOR_LOAD => ProgressNote::WaitsForLoad,
+        note_kind::WAITS => ProgressNote::WaitsForMemory,
         _ => return Ok(None),
     };
-    let attempt = fields.integer(3, "attempt")? as u32;
+    let attempt = fields.integer(3, field::ATTEMPT)? as u32;
     let instance = fields.instance()?;
     let event = Event::ProgressReported { id: fields.request_id()?, attempt, note };
     Ok(Some(Line::Event { instance, event }))
 }
 
-fn parse_ended(fields: &Fields) -> Result<Line, WireError> {
+fn parse_attempt_end(fields: &Fields) -> Result<Line, WireError> {
     let instance = fields.instance()?;
     let event = Event::AttemptEnded {
         id: fields.request_id()?,
-        attempt: fields.integer(3, "attempt")? as u32,
+        attempt: fields.integer(3, field::ATTEMPT)? as u32,
         outcome: fields.outcome(5)?,
-        latency: TimeDelta::from_secs_f64(fields.optional_number(6, "lag")?.unwrap_or(0.0)),
-        complete: fields.flag(7, "complete")?,
+        latency: TimeDelta::from_secs_f64(fields.optional_number(6, field::LATENCY)?.unwrap_or(0.0)),
+        complete: fields.flag(7, field::COMPLETE)?,
         query_cost: fields.query_cost(8)?,
         report: fields.report(9)?,
     };
     Ok(Line::Event { instance, event })
 }
 
-fn parse_gossip(fields: &Fields) -> Result<Line, WireError> {
-    let message = fields.bytes(3, "blob")?;
+fn parse_peer_message(fields: &Fields) -> Result<Line, WireError> {
+    let message = fields.bytes(3, field::MESSAGE)?;
     let instance = fields.instance()?;
-    let event = Event::PeerMessageReceived { from: fields.integer(2, "src")? as u32, message };
+    let event = Event::PeerMessageReceived { from: fields.integer(2, field::SENDER)? as u32, message };
     Ok(Line::Event { instance, event })
 }
--- a/src/simulator/codec/print.rs
+++ b/src/simulator/codec/print.rs
@@ -1,13 +1,17 @@
-//! Writes actions; the texts in quotes are the wire's.
+//! Writes actions and the lines of a reply.
 
-use sprucelink_policy::{Action, EngineId, TimeDelta};
+use super::names::sent;
+use sprucelink_policy::{Action, EngineId, RequestId, TimeDelta};
 use std::fmt::Write;
 
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
 /// Appends a span as seconds with six decimals.
 fn write_seconds(out: &mut String, span: TimeDelta) {
     let micros = span.as_micros().unsigned_abs();
     let sign = if span.as_micros() < 0 { "-" } else { "" };
-    let _ = write!(out, "{sign}{}.{:06}", micros / 1_000_000, micros % 1_000_000);
+    let _ = write!(out, "{sign}{}.{:06}", micros / MICROS_PER_SECOND, micros % MICROS_PER_SECOND);
 }
 
 /// Appends a span as seconds; an absent one is `0`.
@@ -23,6 +27,19 @@
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect()
 }
 
+/// Appends the first two fields of a line: its name, and the instance or batch that it concerns.
+fn begin_line(out: &mut String, name: &str, subject: &str) {
+    out.push_str(name);
+    out.push('\t');
+    out.push_str(subject);
+}
+
+/// Appends the first three fields of a line about a request.
+fn begin_request_line(out: &mut String, name: &str, instance: &str, id: RequestId) {
+    begin_line(out, name, instance);
+    let _ = write!(out, "\t{:016x}", id.0);
+}
+
 /// Appends an action of an instance as a line; `engine_name` gives an engine's name on the wire.
 pub fn print_action<'a>(
     out: &mut String,
@@ -31,41 +48,80 @@
     engine_name: impl Fn(EngineId) -> &'a str,
 ) {
     // Writing to a string cannot fail.
-    let _ = match action {
+    match action {
         Action::ForwardAttempt { id, timeout, engine } => {
-            let _ = write!(out, "SEND\t{instance}\t{:016x}\t", id.0);
+            begin_request_line(out, sent::FORWARD_ATTEMPT, instance, *id);
+            out.push('\t');
             write_optional_seconds(out, *timeout);
-            write!(out, "\t{}", engine_name(*engine))
+            let _ = write!(out, "\t{}", engine_name(*engine));
         }
         Action::SetExecutionTerms { id, grant_mb, level } => {
-            write!(out, "TUNE\t{instance}\t{:016x}\t{}\t{}", id.0, grant_mb.unwrap_or(0.0), level.0)
+            begin_request_line(out, sent::EXECUTION_TERMS, instance, *id);
+            let _ = write!(out, "\t{}\t{}", grant_mb.unwrap_or(0.0), level.0);
+        }
+        Action::Cancel { id, attempt } => {
+            begin_request_line(out, sent::CANCEL, instance, *id);
+            let _ = write!(out, "\t{attempt}");
         }
-        Action::Cancel { id, attempt } => write!(out, "CALL_OFF\t{instance}\t{:016x}\t{attempt}", id.0),
         Action::Reject { id, retry_after } => {
-            let _ = write!(out, "DECLINE\t{instance}\t{:016x}\t", id.0);
+            begin_request_line(out, sent::REJECT, instance, *id);
+            out.push('\t');
             write_optional_seconds(out, *retry_after);
-            Ok(())
         }
-        Action::Fail { id, .. } => write!(out, "END_FAILED\t{instance}\t{:016x}", id.0),
-        Action::StartTimer { delay, token } => {
-            let _ = write!(out, "REMIND\t{instance}\t");
-            write_seconds(out, *delay);
-            write!(out, "\t{token}")
-        }
-        Action::Probe { engine } => write!(out, "TOUCH\t{instance}\t{}", engine_name(*engine)),
-        Action::BroadcastToPeers { message } => {
-            let _ = write!(out, "PUBLISH\t{instance}\tall\t");
-            if message.is_empty() {
-                out.push('-');
-            }
-            message.iter().try_for_each(|byte| write!(out, "{byte:02x}"))
+        Action::Fail { id, .. } => begin_request_line(out, sent::FAIL, instance, *id),
+        Action::StartTimer { delay, token } => print_timer(out, instance, *delay, *token),
+        Action::Probe { engine } => {
+            begin_line(out, sent::PROBE, instance);
+            let _ = write!(out, "\t{}", engine_name(*engine));
         }
+        Action::BroadcastToPeers { message } => print_broadcast(out, instance, message),
         // The wire has no line for diagnostics.
         Action::Explain(_) => return,
-        Action::WatchEndpoints => write!(out, "KEEP_INFORMED\t{instance}\t1"),
+        Action::WatchEndpoints => {
+            begin_line(out, sent::WATCH_ENDPOINTS, instance);
+            out.push_str("\t1");
+        }
         Action::Log(text) => {
-            write!(out, "NOTE_DOWN\t{instance}\t{}", without_control_characters(text))
+            begin_line(out, sent::LOG, instance);
+            let _ = write!(out, "\t{}", without_control_characters(text));
         }
-    };
+    }
+    out.push('\n');
+}
+
+fn print_timer(out: &mut String, instance: &str, delay: TimeDelta, token: u64) {
+    begin_line(out, sent::START_TIMER, instance);
+    out.push('\t');
+    write_seconds(out, delay);
+    let _ = write!(out, "\t{token}");
+}
+
+fn print_broadcast(out: &mut String, instance: &str, message: &[u8]) {
+    begin_line(out, sent::BROADCAST, instance);
+    let _ = write!(out, "\t{}\t", sent::TO_ALL_PEERS);
+    write_bytes(out, message);
+}
+
+/// Appends bytes in hex; no bytes are `-`.
+fn write_bytes(out: &mut String, bytes: &[u8]) {
+    if bytes.is_empty() {
+        out.push('-');
+    }
+    for byte in bytes {
+        let _ = write!(out, "{byte:02x}");
+    }
+}
+
+/// Appends the line that says that an instance panicked, and with which message.
+pub fn print_panic(out: &mut String, instance: &str, message: &str) {
+    begin_line(out, sent::PANICKED, instance);
+    out.push('\t');
+    out.push_str(&message.replace(['\n', '\t'], " "));
+    out.push('\n');
+}
+
+/// Appends the line that ends the reply to a batch; `batch` is the number that the batch came with.
+pub fn print_batch_end(out: &mut String, batch: &str) {
+    begin_line(out, sent::REPLY_END, batch);
     out.push('\n');
 }
