--- a/crates/capture/benches/capture.rs
+++ b/crates/capture/benches/capture.rs
@@ -5,36 +5,36 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{recorder_settings, Day, Memory, START};
+use common::{recorder_settings, MemoryStore, Simulation, START};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use sprucelink_capture::replay::{segment, Play};
+use sprucelink_capture::replay::{replay_segment, ReplayOptions};
 use sprucelink_policy::TimeDelta;
 
 fn checkpoint(c: &mut Criterion) {
     let mut group = c.benchmark_group("checkpoint");
     for engines in [8, 64, 512] {
-        let mut day = Day::new(engines, 5);
-        day.rate = u64::from(engines) * 14;
-        day.pass(2.0);
-        let open = day.brain.open_requests().len();
-        let bytes = rmp_serde::to_vec_named(&day.brain).expect("saved").len();
+        let mut simulation = Simulation::new(engines, 5);
+        simulation.rate = u64::from(engines) * 14;
+        simulation.advance(2.0);
+        let open = simulation.policy.open_requests().len();
+        let bytes = rmp_serde::to_vec_named(&simulation.policy).expect("saved").len();
         println!("{engines} engines, {open} requests open: {bytes} bytes");
         // On the serving thread.
-        group.bench_function(BenchmarkId::new("copy", engines), |b| b.iter(|| day.brain.clone()));
+        group.bench_function(BenchmarkId::new("copy", engines), |b| b.iter(|| simulation.policy.clone()));
         // On the writer's.
         group.bench_function(BenchmarkId::new("write down", engines), |b| {
-            b.iter(|| rmp_serde::to_vec_named(&day.brain).expect("saved"));
+            b.iter(|| rmp_serde::to_vec_named(&simulation.policy).expect("saved"));
         });
     }
     group.finish();
 }
 
 fn replaying(c: &mut Criterion) {
-    let memory = Memory::default();
-    let mut day = Day::recorded(8, 5, &recorder_settings(), memory.clone());
-    day.pass(30.0);
-    let (span, arrived) = (day.now - START, day.brain.overview().open_requests);
-    drop(day.recorder.take());
+    let memory = MemoryStore::default();
+    let mut simulation = Simulation::recorded(8, 5, &recorder_settings(), memory.clone());
+    simulation.advance(30.0);
+    let (span, arrived) = (simulation.now - START, simulation.policy.overview().open_requests);
+    drop(simulation.recorder.take());
     let all = memory.contents();
     let records: usize = all.segments.iter().map(|s| s.records.len()).sum();
     println!(
@@ -49,7 +49,12 @@
     group.bench_function("30 s at 110 requests a second", |b| {
         b.iter(|| {
             for s in &all.segments {
-                assert_eq!(segment(s, &Play::default(), &mut |_| {}).expect("replayed").differ, 0);
+                assert_eq!(
+                    replay_segment(s, &ReplayOptions::default(), &mut |_| {})
+                        .expect("replayed")
+                        .differing_events,
+                    0
+                );
             }
         });
     });
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -1,130 +1,168 @@
-//! Makes a small case out of a capture: the module's state a little before a moment, what it was told up to a
-//! little after it, and what must hold over that.
+//! Cuts a small test case out of a capture: the policy's state a little before a moment, the records up to a little
+//! after it, and the rules that must hold over them.
 
+use crate::engine_numbers::EngineNumbers;
 use crate::error::{CheckError, CutError};
-use crate::replay::{segment, Play, Treatment};
-use crate::rules::{Checker, Rule};
+use crate::replay::{replay_segment, OutcomePolicy, ReplayOptions, Step};
+use crate::rules::{Breach, Checker, Rule};
 use crate::segment::{Answer, Record, Segment};
-use crate::wire::Told;
 use sprucelink_policy::{Action, TimeDelta, Timestamp};
 
-/// What to cut.
+/// The name of the rule that a panic breaks, as a breach has it.
+const NO_PANIC_RULE: &str = "\"no panic\"";
+/// The resolution of timestamps.
+const ONE_MICROSECOND: TimeDelta = TimeDelta::from_micros(1);
+
+/// What is cut out of a capture.
 #[derive(Clone, Debug)]
-pub struct Cut {
+pub struct CaseSpan {
     /// The moment.
     pub around: Timestamp,
-    /// So much before it.
+    /// Time before the moment at which the case begins.
     pub before: TimeDelta,
-    /// So much after it.
+    /// Time after the moment at which the case ends.
     pub after: TimeDelta,
-    /// What must hold.
-    pub holds: Vec<Rule>,
+    /// The rules that must hold.
+    pub rules: Vec<Rule>,
     /// What the case shows, in words.
     pub note: String,
 }
 
-/// Cuts a case out of segments that follow each other. An error says why it cannot be made: no segment holds
-/// the moment, the replay parts from the record before it, or a gap lies within.
-pub fn cut(segments: &[Segment], what: &Cut) -> Result<Segment, CutError> {
-    let (from, until) = (what.around - what.before, what.around + what.after);
-    let first = segments.iter().rposition(|s| s.at <= from && s.until() >= from);
-    let first =
-        first.or_else(|| segments.iter().position(|s| s.at <= what.around && s.until() >= what.around));
-    let first = first.ok_or(CutError::MomentNotRecorded)?;
-    let seg = &segments[first];
-    // What was told before it makes the state to begin with.
-    let next = seg.records.iter().position(|r| r.at >= from).unwrap_or(seg.records.len());
-    let (mut state, mut failed) = (None, None);
-    let mut engines = seg.engines.clone();
-    seg.records[..next].iter().for_each(|r| number(&mut engines, &r.told));
-    let at = next.checked_sub(1).map_or(seg.at, |last| seg.records[last].at);
-    if next > 0 {
-        let mut hear = |step: crate::replay::Step| {
-            if step.number + 1 == next {
-                state = rmp_serde::to_vec_named(step.module).map_err(|e| failed = Some(e)).ok();
-            }
-        };
-        let before = Play { until: Some(from - TimeDelta::from_micros(1)), ..Play::default() };
-        let seen = segment(seg, &before, &mut hear)?;
-        if let Some(first) = seen.first {
-            let (record, got, expected) = (first.record, first.got, first.expected);
-            return Err(CutError::Diverged { record, got, expected });
-        }
-    }
-    if let Some(source) = failed {
-        return Err(CutError::State(source));
+impl CaseSpan {
+    fn start(&self) -> Timestamp {
+        self.around - self.before
     }
-    let mut last = first;
-    let mut kept: Vec<Record> = Vec::new();
-    kept.extend(seg.records[next..].iter().filter(|r| r.at <= until).cloned());
-    // On into the segments behind, as long as nothing was lost between.
-    while segments[last].until() <= until {
-        let Some(more) = segments.get(last + 1) else { break };
-        let follows =
-            more.head.born_us == seg.head.born_us && more.head.segment == segments[last].head.segment + 1;
-        if !follows || more.head.lost_before > 0 || more.at > until {
-            break;
-        }
-        kept.extend(more.records.iter().filter(|r| r.at <= until).cloned());
-        last += 1;
+
+    fn end(&self) -> Timestamp {
+        self.around + self.after
     }
-    if kept.is_empty() {
+}
+
+/// The point of a segment at which a case begins.
+struct CaseStart {
+    /// The number of the case's first record in the segment.
+    first_record: usize,
+    /// The time of the policy's state.
+    at: Timestamp,
+    /// The policy's state, in MessagePack.
+    state: Vec<u8>,
+    engines: EngineNumbers,
+}
+
+/// Cuts a case out of segments that follow each other.
+///
+/// # Errors
+/// No segment covers the moment, the replay diverges from the record before it, or the span holds no record.
+pub fn cut_case(segments: &[Segment], span: &CaseSpan) -> Result<Segment, CutError> {
+    let first = find_segment(segments, span).ok_or(CutError::MomentNotRecorded)?;
+    let segment = &segments[first];
+    let start = replay_to_start(segment, span)?;
+    let records = collect_records(&segments[first..], start.first_record, span.end());
+    if records.is_empty() {
         return Err(CutError::NothingRecorded);
     }
-    let mut head = seg.head.clone();
+    let mut head = segment.head.clone();
     head.segment = 0;
     head.lost_before = 0;
     head.whole_answers = true;
-    head.note.clone_from(&what.note);
-    head.holds = what.holds.iter().map(Rule::text).collect();
-    let state = state.unwrap_or_else(|| seg.state.clone());
-    let mut case = Segment { head, at, state, engines, records: kept, ..seg.clone() };
-    answer(&mut case)?;
+    head.note.clone_from(&span.note);
+    head.holds = span.rules.iter().map(Rule::text).collect();
+    let CaseStart { at, state, engines, .. } = start;
+    let mut case = Segment { head, at, state, engines, records, ..segment.clone() };
+    complete_answers(&mut case)?;
     Ok(case)
 }
 
-/// Keeps numbers of engines as a record tells them.
-pub fn number(engines: &mut Vec<(String, u32)>, told: &Told) {
-    if let Told::Numbered { id, number, freed } = told {
-        engines.retain(|e| e.0 != *id);
-        if !freed {
-            engines.push((id.clone(), *number));
+/// The number of the segment in which a case begins: the last that covers the case's start, or else the first that
+/// covers the moment.
+fn find_segment(segments: &[Segment], span: &CaseSpan) -> Option<usize> {
+    let covers = |segment: &Segment, time: Timestamp| segment.at <= time && segment.until() >= time;
+    let covering_start = segments.iter().rposition(|segment| covers(segment, span.start()));
+    covering_start.or_else(|| segments.iter().position(|segment| covers(segment, span.around)))
+}
+
+/// Replays a segment up to a case's start. The records before it are part of the state.
+fn replay_to_start(segment: &Segment, span: &CaseSpan) -> Result<CaseStart, CutError> {
+    let records = &segment.records;
+    let first_record = records.iter().position(|record| record.at >= span.start()).unwrap_or(records.len());
+    let mut engines = segment.engines.clone();
+    for record in &records[..first_record] {
+        engines.apply(&record.input);
+    }
+    let Some(last_before) = first_record.checked_sub(1) else {
+        return Ok(CaseStart { first_record, at: segment.at, state: segment.state.clone(), engines });
+    };
+    let mut state = None;
+    let mut on_step = |step: Step| {
+        if step.number == last_before {
+            state = Some(rmp_serde::to_vec_named(step.policy));
+        }
+    };
+    let options = ReplayOptions { until: Some(span.start() - ONE_MICROSECOND), ..ReplayOptions::default() };
+    let summary = replay_segment(segment, &options, &mut on_step)?;
+    if let Some(first) = summary.first_divergence {
+        return Err(CutError::Diverged { record: first.record, got: first.got, expected: first.expected });
+    }
+    let state = state.transpose().map_err(CutError::State)?.unwrap_or_else(|| segment.state.clone());
+    Ok(CaseStart { first_record, at: records[last_before].at, state, engines })
+}
+
+/// The records up to a time, from this one of the first segment on; into later segments, as long as nothing was lost
+/// between them.
+fn collect_records(segments: &[Segment], first_record: usize, until: Timestamp) -> Vec<Record> {
+    let is_within = |record: &&Record| record.at <= until;
+    let mut records: Vec<Record> =
+        segments[0].records[first_record..].iter().filter(is_within).cloned().collect();
+    for pair in segments.windows(2) {
+        let [segment, next] = pair else { break };
+        let is_over = segment.until() > until || next.at > until;
+        if is_over || !follows(next, segment) || next.head.lost_before > 0 {
+            break;
         }
+        records.extend(next.records.iter().filter(is_within).cloned());
     }
+    records
+}
+
+/// Whether a segment is the next one of the same recorder.
+fn follows(next: &Segment, segment: &Segment) -> bool {
+    next.head.born_us == segment.head.born_us && next.head.segment == segment.head.segment + 1
 }
 
-/// Puts whole answers in place of digests, where the replay gives the same.
-fn answer(case: &mut Segment) -> Result<(), CutError> {
-    if !case.records.iter().any(|r| matches!(r.answer, Answer::Digest(..))) {
+/// Replaces digests by the complete answers, where the replay gives the same.
+fn complete_answers(case: &mut Segment) -> Result<(), CutError> {
+    if !case.records.iter().any(|record| matches!(record.answer, Answer::Digest { .. })) {
         return Ok(());
     }
-    let mut all: Vec<(usize, Vec<Action>)> = Vec::new();
-    let mut hear = |s: crate::replay::Step| all.push((s.number, s.actions.to_vec()));
-    let seen = segment(case, &Play::default(), &mut hear)?;
-    if seen.differ > 0 {
+    let mut answers: Vec<(usize, Vec<Action>)> = Vec::new();
+    let mut on_step = |step: Step| answers.push((step.number, step.actions.to_vec()));
+    let summary = replay_segment(case, &ReplayOptions::default(), &mut on_step)?;
+    if summary.differing_events > 0 {
         return Err(CutError::DigestsDiverged);
     }
-    for (number, actions) in all {
-        case.records[number].answer = Answer::Whole(actions);
+    for (number, actions) in answers {
+        case.records[number].answer = Answer::Complete(actions);
     }
     Ok(())
 }
 
-/// Replays a case and checks what it holds: breaches, none where all holds. An error says that it cannot be
-/// used.
-pub fn check(case: &Segment) -> Result<Vec<crate::rules::Breach>, CheckError> {
-    let rules = case.head.holds.iter().map(|t| Rule::parse(t)).collect::<Result<Vec<_>, _>>()?;
+/// Replays a case and checks its rules: returns the breaches, none where all rules hold.
+///
+/// # Errors
+/// A case without rules, or one that cannot be replayed.
+pub fn check_case(case: &Segment) -> Result<Vec<Breach>, CheckError> {
+    let rules = case.head.holds.iter().map(|text| Rule::parse(text)).collect::<Result<Vec<_>, _>>()?;
     if rules.is_empty() {
         return Err(CheckError::NoRules);
     }
-    let mut checker = Checker::new(rules, &case.module()?, case.at);
-    let mut hear = |step: crate::replay::Step| checker.step(&step);
-    let seen = segment(case, &Play { treatment: Treatment::Matched, ..Play::default() }, &mut hear)?;
+    let mut checker = Checker::new(rules, &case.policy()?, case.at);
+    let options = ReplayOptions { outcome_policy: OutcomePolicy::Matched, ..ReplayOptions::default() };
+    let summary = replay_segment(case, &options, &mut |step| checker.check_step(&step))?;
     let mut breaches = checker.finish(case.until());
-    if let Some((record, why)) = seen.panicked {
-        let at_us = case.records.get(record).map_or(0, |r| r.at.as_micros());
-        let why = format!("the module panicked at record {record}: {why}");
-        breaches.push(crate::rules::Breach { rule: "\"no panic\"".into(), at_us, why });
+    if let Some(panic) = summary.panic {
+        let at_us = case.records.get(panic.record).map_or(0, |record| record.at.as_micros());
+        let why = format!("the module panicked at record {}: {}", panic.record, panic.message);
+        breaches.push(Breach { rule: NO_PANIC_RULE.to_owned(), at_us, why });
     }
     Ok(breaches)
 }
--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -1,11 +1,11 @@
 //! Why captures, cases, rules and settings are rejected.
 
-use crate::recorder::SUFFIX;
+use crate::file_name::SUFFIX;
 use std::error::Error;
 use std::io;
 use std::path::PathBuf;
 
-/// An error of a caller, kept as the cause of one of ours.
+/// An error of a caller, kept as the source of an error of this crate.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// A capture that cannot be read at all.
@@ -77,7 +77,7 @@
     /// A frame cannot be compressed.
     #[error("a frame cannot be compressed")]
     Compression(#[source] io::Error),
-    /// The segment holds digests in place of answers.
+    /// The segment holds digests in place of actions.
     #[error("answers are digests: replay them whole first")]
     DigestsOnly,
 }
@@ -93,7 +93,7 @@
     /// Its checkpoint cannot be read.
     #[error(transparent)]
     State(#[from] StateError),
-    /// The caller's change of the policy failed ([`crate::replay::Play::change`]).
+    /// The caller's change of the policy, before the replay, failed.
     #[error(transparent)]
     Change(BoxError),
 }
@@ -186,7 +186,7 @@
     },
 }
 
-/// A treatment of outcomes that does not exist.
+/// An outcome policy that does not exist.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is neither recorded nor matched")]
-pub struct UnknownTreatment(pub String);
+pub struct UnknownOutcomePolicy(pub String);
--- a/crates/capture/src/frame.rs
+++ b/crates/capture/src/frame.rs
@@ -32,6 +32,7 @@
     Tail,
 }
 
+/// The kinds in the order of their numbers in a file, which begin with 1.
 const FRAME_KINDS: [FrameKind; 4] =
     [FrameKind::Head, FrameKind::Checkpoint, FrameKind::Block, FrameKind::Tail];
 
@@ -81,7 +82,7 @@
     bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes)
 }
 
-/// Reads the frame at a byte offset of a file that is held whole.
+/// Reads the frame at a byte offset of a file that is held in memory.
 pub fn read_frame(bytes: &[u8], at: usize) -> FrameRead<'_> {
     let rest = bytes.get(at..).unwrap_or_default();
     if rest.is_empty() {
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,26 +1,30 @@
-//! Capture and replay of the decision module: what it was told and what it answered, in order, kept in a
-//! ring of files that each replay alone.
+//! Capture and replay of the decision module: what the policy was given and what it answered, in order, in a ring of
+//! files that each replay alone.
 //!
 //! | module | what it does | input and output |
 //! | --- | --- | --- |
-//! | [`wire`] | events and actions to protobuf and back | none |
+//! | [`input`], [`engine_numbers`], [`segment`] | a capture as types | none |
+//! | [`codec`] | inputs and actions to protobuf and back | none |
 //! | [`frame`] | frames of a file: length, checksum, search behind damage | none |
-//! | [`ring`] | decides when a segment ends, what is dropped, which files go | none |
+//! | [`ring`] | decides when a segment ends, what is dropped, which files are removed | none |
 //! | [`settings`] | the recorder's settings, JSON5 | none |
 //! | [`recorder`] | the recorder on the serving path, and its writer's thread | files |
-//! | [`segment`] | a segment as it was read | none |
 //! | [`reader`] | reads files, reports damage | files |
 //! | [`segment_writer`] | writes a segment as a file | none |
-//! | [`replay`] | gives a segment to the module and compares | none |
+//! | [`replay`] | feeds a segment to the policy and compares its actions | none |
 //! | [`rules`] | what must hold over a replay | none |
-//! | [`explain`] | the story of a request, an engine, a moment | none |
-//! | [`cut`] | makes a small case out of a capture | none |
+//! | [`explain`] | explains a request, an engine, a moment | none |
+//! | [`cut`] | cuts a small case out of a capture | none |
 
+pub mod codec;
 pub mod cut;
+pub mod engine_numbers;
 mod error;
 pub mod explain;
+mod file_name;
 pub mod frame;
 pub mod identity;
+pub mod input;
 pub mod reader;
 pub mod recorder;
 pub mod replay;
@@ -29,11 +33,10 @@
 pub mod segment;
 pub mod segment_writer;
 pub mod settings;
-pub mod wire;
 
 pub use error::{
     BoxError, CheckError, CutError, ParseError, ReadError, ReplayError, RuleError, SettingsError, StateError,
-    UnknownTreatment, WriteError,
+    UnknownOutcomePolicy, WriteError,
 };
 
 /// The messages of `proto/capture.proto`, as generated.
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,12 +1,13 @@
 //! Reads captures segment by segment. Intact segments are used; damage is reported with its offset in the file.
 
+use crate::codec::{decode_action, decode_input};
+use crate::engine_numbers::EngineNumber;
 use crate::error::{ParseError, ReadError};
+use crate::file_name::SUFFIX;
 use crate::frame::{self, FrameKind, FrameRead};
 use crate::identity;
 use crate::pb;
-use crate::recorder::SUFFIX;
 use crate::segment::{Answer, Record, Segment, SegmentEnd};
-use crate::wire::{action_in, told_in};
 use prost::Message;
 use sprucelink_policy::Timestamp;
 use std::io::Read;
@@ -72,7 +73,7 @@
     parse(&bytes, path).map_err(|source| ReadError::Content { path: path.to_owned(), source })
 }
 
-/// Reads the bytes of a file; `path` is only noted.
+/// Reads the bytes of a file; `path` is what the segments say that they are from.
 ///
 /// # Errors
 /// Bytes that are no capture at all, or in a newer format.
@@ -170,67 +171,82 @@
     match kind {
         FrameKind::Head => {
             close(contents, open.take(), SegmentEnd::Truncated { inside_frame: false });
-            let head = pb::Head::decode(body).map_err(damaged)?;
-            if head.format == 0 {
-                return Err(damaged("the head names no format"));
-            }
-            if head.format > identity::FORMAT {
-                return Err(BodyError::NewerFormat(head.format));
-            }
-            *open = Some(OpenSegment { head, offset, segment: None });
-        }
-        FrameKind::Checkpoint => {
-            let Some(open) = open.as_mut().filter(|o| o.segment.is_none()) else {
-                return Err(damaged("a checkpoint without its head"));
-            };
-            let point = pb::Checkpoint::decode(&decompress(body)?[..]).map_err(damaged)?;
-            open.segment = Some(Segment {
-                file: path.to_owned(),
-                offset: open.offset,
-                head: open.head.clone(),
-                at: Timestamp::from_micros(point.at_us),
-                state: point.state,
-                engines: point.engines.into_iter().map(|e| (e.id, e.number)).collect(),
-                records: Vec::new(),
-                end: SegmentEnd::Truncated { inside_frame: false },
-            });
-        }
-        FrameKind::Block => {
-            // After damage no segment is open: blocks up to the next head cannot be used.
-            let Some(open) = open.as_mut() else { return Ok(()) };
-            let Some(segment) = &mut open.segment else {
-                return Err(damaged("records without a checkpoint"));
-            };
-            let block = pb::Block::decode(&decompress(body)?[..]).map_err(damaged)?;
-            for record in block.records {
-                let at = Timestamp::from_micros(segment.until().as_micros().saturating_add(record.after_us));
-                segment.records.push(to_record(record, at, segment.head.whole_answers)?);
-            }
+            *open = Some(OpenSegment { head: read_head(body)?, offset, segment: None });
+            Ok(())
         }
+        FrameKind::Checkpoint => read_checkpoint(open.as_mut(), body, path),
+        // After damage no segment is open: blocks up to the next head cannot be used.
+        FrameKind::Block => open.as_mut().map_or(Ok(()), |open| read_block(open, body)),
         FrameKind::Tail => {
-            let tail = pb::Tail::decode(body).map_err(damaged)?;
-            let held = open.as_ref().and_then(|o| o.segment.as_ref()).map(|s| s.records.len() as u64);
-            if held.is_some_and(|n| n != tail.records) {
-                return Err(damaged(format!(
-                    "{} records were written, {} are here",
-                    tail.records,
-                    held.unwrap_or(0)
-                )));
-            }
+            let tail = read_tail(open.as_ref(), body)?;
             close(contents, open.take(), SegmentEnd::Closed { lost_events: tail.lost });
+            Ok(())
         }
     }
+}
+
+fn read_head(body: &[u8]) -> Result<pb::Head, BodyError> {
+    let head = pb::Head::decode(body).map_err(damaged)?;
+    if head.format == 0 {
+        return Err(damaged("the head names no format"));
+    }
+    if head.format > identity::FORMAT {
+        return Err(BodyError::NewerFormat(head.format));
+    }
+    Ok(head)
+}
+
+fn read_checkpoint(open: Option<&mut OpenSegment>, body: &[u8], path: &Path) -> Result<(), BodyError> {
+    let Some(open) = open.filter(|open| open.segment.is_none()) else {
+        return Err(damaged("a checkpoint without its head"));
+    };
+    let checkpoint = pb::Checkpoint::decode(&decompress(body)?[..]).map_err(damaged)?;
+    let engine = |engine: pb::Numbered| EngineNumber { id: engine.id, number: engine.number };
+    open.segment = Some(Segment {
+        file: path.to_owned(),
+        offset: open.offset,
+        head: open.head.clone(),
+        at: Timestamp::from_micros(checkpoint.at_us),
+        state: checkpoint.state,
+        engines: checkpoint.engines.into_iter().map(engine).collect(),
+        records: Vec::new(),
+        end: SegmentEnd::Truncated { inside_frame: false },
+    });
+    Ok(())
+}
+
+fn read_block(open: &mut OpenSegment, body: &[u8]) -> Result<(), BodyError> {
+    let Some(segment) = &mut open.segment else {
+        return Err(damaged("records without a checkpoint"));
+    };
+    let block = pb::Block::decode(&decompress(body)?[..]).map_err(damaged)?;
+    for record in block.records {
+        let at = Timestamp::from_micros(segment.until().as_micros().saturating_add(record.after_us));
+        segment.records.push(to_record(record, at, segment.head.whole_answers)?);
+    }
     Ok(())
 }
 
-fn to_record(record: pb::Record, at: Timestamp, whole: bool) -> Result<Record, BodyError> {
-    let told = told_in(record.what.ok_or_else(|| damaged("a record of nothing"))?).map_err(damaged)?;
+/// The tail of the open segment; its count must be that of the records read.
+fn read_tail(open: Option<&OpenSegment>, body: &[u8]) -> Result<pb::Tail, BodyError> {
+    let tail = pb::Tail::decode(body).map_err(damaged)?;
+    let Some(segment) = open.and_then(|open| open.segment.as_ref()) else { return Ok(tail) };
+    let records = segment.records.len() as u64;
+    if records != tail.records {
+        return Err(damaged(format!("{} records were written, {records} are here", tail.records)));
+    }
+    Ok(tail)
+}
+
+fn to_record(record: pb::Record, at: Timestamp, complete_answers: bool) -> Result<Record, BodyError> {
+    let input = decode_input(record.what.ok_or_else(|| damaged("a record of nothing"))?).map_err(damaged)?;
     let answer = if record.unanswered {
         Answer::None
-    } else if whole {
-        Answer::Whole(record.actions.into_iter().map(action_in).collect::<Result<_, _>>().map_err(damaged)?)
+    } else if complete_answers {
+        let actions = record.actions.into_iter().map(decode_action).collect::<Result<_, _>>();
+        Answer::Complete(actions.map_err(damaged)?)
     } else {
-        Answer::Digest(record.count, record.digest)
+        Answer::Digest { count: record.count, digest: record.digest }
     };
-    Ok(Record { at, told, answer })
+    Ok(Record { at, input, answer })
 }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -5,13 +5,15 @@
 mod store;
 mod writer;
 
-pub use store::{DirectoryStore, SegmentStore, SUFFIX};
+pub use store::{DirectoryStore, SegmentStore};
 
+use crate::codec::{digest_actions, encode_action, encode_event};
+use crate::file_name::segment_file_name;
 use crate::identity;
 use crate::pb;
+use crate::pb::record::What as InputKind;
 use crate::ring::{BatchDecision, Ring};
-use crate::settings::{Answers, Settings};
-use crate::wire;
+use crate::settings::{AnswerFormat, Settings};
 use prost::Message;
 use sprucelink_policy::{Action, Event, Policy, TimeDelta, Timestamp};
 use std::io;
@@ -46,7 +48,7 @@
 /// Records the events that a policy is given and the actions that it answers with.
 pub struct Recorder {
     ring: Ring,
-    answers: Answers,
+    answers: AnswerFormat,
     /// Bound of the queue, in bytes.
     max_queued_bytes: u64,
     /// Age at which a batch is queued, full or not.
@@ -61,12 +63,26 @@
     /// Records queued for the open segment.
     segment_records: u64,
     /// An event that the policy has not answered yet.
-    unanswered: Option<(Timestamp, pb::record::What)>,
-    /// Buffers that are reused from record to record.
+    unanswered: Option<UnansweredEvent>,
+    /// A buffer that is reused from record to record.
     actions: Vec<pb::Action>,
-    scratch: Vec<u8>,
+    /// A buffer that is reused from digest to digest.
+    digest_buffer: Vec<u8>,
     shared: Arc<Shared>,
-    writer: Option<(SyncSender<Job>, JoinHandle<()>)>,
+    /// `None` once the recorder is closed.
+    writer: Option<WriterThread>,
+}
+
+/// An event that was given to the policy.
+struct UnansweredEvent {
+    at: Timestamp,
+    event: InputKind,
+}
+
+/// The writer's thread, and the queue that it reads.
+struct WriterThread {
+    jobs: SyncSender<Job>,
+    thread: JoinHandle<()>,
 }
 
 impl Recorder {
@@ -90,19 +106,19 @@
     ) -> io::Result<Recorder> {
         let shared = Arc::<Shared>::default();
         let limits = settings.limits();
-        let (sender, jobs) = sync_channel(MAX_QUEUED_JOBS);
+        let (jobs, queued_jobs) = sync_channel(MAX_QUEUED_JOBS);
         let writer_shared = Arc::clone(&shared);
-        let writer = std::thread::Builder::new()
-            .name("capture".into())
-            .spawn(move || Writer { store, limits, shared: writer_shared, open_length: None }.run(&jobs))?;
+        let thread = std::thread::Builder::new().name("capture".into()).spawn(move || {
+            Writer { store, limits, shared: writer_shared, open_length: None }.run(&queued_jobs)
+        })?;
         let head = pb::Head {
             format: identity::FORMAT,
             build: identity::build(),
-            module: identity::module(),
-            floats: identity::floats(),
+            module: identity::policy_checksum(),
+            floats: identity::float_digest(),
             born_us: started_at.as_micros(),
             seed,
-            whole_answers: settings.answers == Answers::Whole,
+            whole_answers: settings.answers == AnswerFormat::Complete,
             ..pb::Head::default()
         };
         Ok(Recorder {
@@ -118,9 +134,9 @@
             segment_records: 0,
             unanswered: None,
             actions: Vec::new(),
-            scratch: Vec::new(),
+            digest_buffer: Vec::new(),
             shared,
-            writer: Some((sender, writer)),
+            writer: Some(WriterThread { jobs, thread }),
         })
     }
 
@@ -136,28 +152,30 @@
         if self.ring.is_segment_due(now) {
             self.begin_segment(now, policy, engines());
         }
-        self.unanswered = Some((now, wire::event_out(event)));
+        self.unanswered = Some(UnansweredEvent { at: now, event: encode_event(event) });
     }
 
     /// Records the policy's answer to the last event, with the event.
     pub fn record_answer(&mut self, actions: &[Action]) {
-        let Some((now, what)) = self.unanswered.take() else { return };
-        let mut all = std::mem::take(&mut self.actions);
-        all.clear();
-        all.extend(actions.iter().filter_map(wire::action_out));
-        let count = all.len() as u32;
+        let Some(UnansweredEvent { at, event }) = self.unanswered.take() else { return };
+        let mut encoded = std::mem::take(&mut self.actions);
+        encoded.clear();
+        encoded.extend(actions.iter().filter_map(encode_action));
+        let count = encoded.len() as u32;
         let mut digest = 0;
-        if self.answers == Answers::Digest {
-            digest = wire::digest(&all, &mut self.scratch);
-            all.clear();
+        if self.answers == AnswerFormat::Digest {
+            digest = digest_actions(&encoded, &mut self.digest_buffer);
+            encoded.clear();
         }
-        self.append(now, what, all, count, digest, false);
+        let record =
+            pb::Record { what: Some(event), actions: encoded, count, digest, ..pb::Record::default() };
+        self.append(at, record);
     }
 
     /// Records that an engine was given a number, or that its number was freed.
     pub fn record_engine_number(&mut self, now: Timestamp, id: &str, number: u32, freed: bool) {
-        let what = pb::record::What::Numbered(pb::Numbered { id: id.to_owned(), number, freed });
-        self.append(now, what, Vec::new(), 0, 0, false);
+        let numbered = InputKind::Numbered(pb::Numbered { id: id.to_owned(), number, freed });
+        self.append(now, pb::Record { what: Some(numbered), ..pb::Record::default() });
     }
 
     /// Counters since the start.
@@ -167,21 +185,13 @@
         RecorderCounters { bytes: get(written_bytes), segments: get(segments), lost: get(lost_events) }
     }
 
-    fn append(
-        &mut self,
-        now: Timestamp,
-        what: pb::record::What,
-        actions: Vec<pb::Action>,
-        count: u32,
-        digest: u64,
-        unanswered: bool,
-    ) {
+    /// Appends a record to the batch, and sets the time since the record before it.
+    fn append(&mut self, now: Timestamp, mut record: pb::Record) {
         if self.batch_events == 0 {
             self.batch_begun_at = now;
         }
-        let after_us = (now - self.last_record_at).as_micros();
+        record.after_us = (now - self.last_record_at).as_micros();
         self.last_record_at = now;
-        let record = pb::Record { after_us, what: Some(what), actions, count, digest, unanswered };
         self.batch.push(RECORDS_KEY);
         // Cannot fail: a Vec grows as needed.
         let _ = record.encode_length_delimited(&mut self.batch);
@@ -221,14 +231,14 @@
     /// Queues a job, unless the queue would exceed its bound. A job that exceeds the bound by itself is accepted by an
     /// empty queue.
     fn send(&self, job: Job) -> bool {
-        let Some((sender, _)) = &self.writer else { return false };
+        let Some(writer) = &self.writer else { return false };
         let bytes = job.queued_bytes();
         let queued = self.shared.queued_bytes.load(Ordering::Relaxed);
         if queued > 0 && queued + bytes > self.max_queued_bytes {
             return false;
         }
         self.shared.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
-        match sender.try_send(job) {
+        match writer.jobs.try_send(job) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 self.shared.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
@@ -251,7 +261,7 @@
         self.head.lost_before = lost;
         let head = self.head.encode_to_vec();
         let policy = Box::new(policy.clone());
-        let name = format!("{:020}-{:06}{SUFFIX}", now.as_micros().max(0), self.head.segment);
+        let name = segment_file_name(now, self.head.segment);
         if self.send(Job::BeginSegment { name, now, head, policy, engines, tail }) {
             self.ring.segment_begun(now);
             self.last_record_at = now;
@@ -265,9 +275,10 @@
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        if let Some((now, what)) = self.unanswered.take() {
+        if let Some(UnansweredEvent { at, event }) = self.unanswered.take() {
             // The policy panicked on it: that is the event to look at.
-            self.append(now, what, Vec::new(), 0, 0, true);
+            let record = pb::Record { what: Some(event), unanswered: true, ..pb::Record::default() };
+            self.append(at, record);
         }
         if self.batch_events > 0 {
             self.flush(self.last_record_at);
@@ -277,14 +288,15 @@
         if !std::thread::panicking() {
             self.send(Job::EndSegment(tail));
         }
-        let Some((sender, writer)) = self.writer.take() else { return };
-        drop(sender);
+        let Some(WriterThread { jobs, thread }) = self.writer.take() else { return };
+        // Closing the queue ends the thread.
+        drop(jobs);
         let deadline = Instant::now() + CLOSE_TIMEOUT;
-        while !writer.is_finished() && Instant::now() < deadline {
+        while !thread.is_finished() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(1));
         }
-        if writer.is_finished() {
-            drop(writer.join());
+        if thread.is_finished() {
+            drop(thread.join());
         }
     }
 }
--- a/crates/capture/src/recorder/store.rs
+++ b/crates/capture/src/recorder/store.rs
@@ -1,13 +1,11 @@
 //! The storage of the recorder's files: a trait, and a directory.
 
+use crate::file_name::SUFFIX;
 use crate::ring::RingFile;
 use sprucelink_policy::Timestamp;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The suffix of the names of capture files.
-pub const SUFFIX: &str = ".slc";
-
 /// Stores the files of a ring. A trait, so that tests can make every call fail.
 pub trait SegmentStore: Send {
     /// The files of the ring, oldest first.
@@ -51,7 +49,7 @@
                 files.push(RingFile { name, bytes: metadata.len(), modified_at });
             }
         }
-        // Names begin with the time in a fixed width.
+        // Names begin with the time in a fixed width, so that their order is that of time.
         files.sort();
         Ok(files)
     }
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -14,14 +14,14 @@
     pub segment_bytes: u64,
     /// A segment ends once it is this old.
     pub segment_age: TimeDelta,
-    /// Bytes of records a second, before compression. A burst may use [`BURST_S`] seconds of it at once.
+    /// Bytes of records a second, before compression. A burst may use several seconds of it at once.
     pub bytes_per_second: f64,
 }
 
-/// Seconds of its rate that a recorder may write at once: bursts of requests are what captures are read for.
+/// Capacity of the write rate's token bucket, in seconds of the rate: bursts of requests are what captures are read for.
 const BURST_S: f64 = 4.0;
-/// Pause between a loss and the next segment: each segment costs a checkpoint.
-pub const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
+/// Time between a loss and the next segment: each segment costs a checkpoint.
+pub const RETRY_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
 /// What is to be done with a batch of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,9 +1,10 @@
 //! A segment of a capture: a checkpoint of the policy and the records after it. Each segment replays alone.
 
+use crate::engine_numbers::EngineNumbers;
 use crate::error::StateError;
 use crate::identity;
+use crate::input::RecordedInput;
 use crate::pb;
-use crate::wire::Told;
 use sprucelink_policy::{Action, Policy, Timestamp};
 use std::path::PathBuf;
 
@@ -11,20 +12,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The actions.
-    Whole(Vec<Action>),
-    /// Their count and digest.
-    Digest(u32, u64),
+    Complete(Vec<Action>),
+    /// What the actions are compared by, where only that was recorded.
+    Digest {
+        /// How many actions there were.
+        count: u32,
+        /// Their digest ([`crate::codec::digest_actions`]).
+        digest: u64,
+    },
     /// None: the program ended before the policy had answered.
     None,
 }
 
-/// An event, or a change of an engine's number, with its answer.
+/// An input with the policy's answer to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// When it happened.
     pub at: Timestamp,
     /// What happened.
-    pub told: Told,
+    pub input: RecordedInput,
     /// What the policy answered.
     pub answer: Answer,
 }
@@ -64,8 +70,8 @@
     pub at: Timestamp,
     /// The state of the policy then, in MessagePack.
     pub state: Vec<u8>,
-    /// Ids and numbers of the engines then.
-    pub engines: Vec<(String, u32)>,
+    /// Numbers of the engines then.
+    pub engines: EngineNumbers,
     /// The records after the checkpoint.
     pub records: Vec<Record>,
     /// How it ended.
@@ -77,7 +83,7 @@
     ///
     /// # Errors
     /// A state that this build cannot read.
-    pub fn module(&self) -> Result<Policy, StateError> {
+    pub fn policy(&self) -> Result<Policy, StateError> {
         rmp_serde::from_slice(&self.state).map_err(StateError)
     }
 
@@ -89,14 +95,14 @@
     /// How the build that recorded it differs from this one, in words; empty where both decide alike.
     pub fn build_differences(&self) -> Vec<String> {
         let mut differences = Vec::new();
-        if self.head.module != identity::module() {
+        let own_checksum = identity::policy_checksum();
+        if self.head.module != own_checksum {
             differences.push(format!(
-                "recorded by another decision module ({:08x}, here {:08x})",
-                self.head.module,
-                identity::module()
+                "recorded by another decision module ({:08x}, here {own_checksum:08x})",
+                self.head.module
             ));
         }
-        if self.head.floats != identity::floats() {
+        if self.head.floats != identity::float_digest() {
             differences.push(
                 "recorded by a build whose exp, ln or powf round otherwise: decisions may part in the last bit of \
                  a weight"
--- a/crates/capture/src/segment_writer.rs
+++ b/crates/capture/src/segment_writer.rs
@@ -1,11 +1,13 @@
 //! Writes a segment as a file, for cases that were cut out of a capture.
 
+use crate::codec::{encode_actions, encode_input};
+use crate::engine_numbers::EngineNumber;
 use crate::error::WriteError;
 use crate::frame::{self, FrameKind};
 use crate::pb;
-use crate::segment::{Answer, Segment};
-use crate::wire::{answers_out, event_out, Told};
+use crate::segment::{Answer, Record, Segment};
 use prost::Message;
+use sprucelink_policy::TimeDelta;
 
 /// The zstd level of cases: small files, which are written rarely.
 const COMPRESSION_LEVEL: i32 = 19;
@@ -16,39 +18,59 @@
 /// A frame that is too long or cannot be compressed, or answers that are digests.
 pub fn write(segment: &Segment) -> Result<Vec<u8>, WriteError> {
     let mut file = Vec::new();
-    let compress =
-        |body: Vec<u8>| zstd::bulk::compress(&body, COMPRESSION_LEVEL).map_err(WriteError::Compression);
-    let mut append = |kind, body: &[u8]| {
-        let written = frame::append_frame(&mut file, kind, body);
-        written.then_some(()).ok_or(WriteError::FrameTooLong)
+    let head = pb::Head { whole_answers: true, ..segment.head.clone() };
+    append(&mut file, FrameKind::Head, &head.encode_to_vec())?;
+    let checkpoint = pb::Checkpoint {
+        at_us: segment.at.as_micros(),
+        state: segment.state.clone(),
+        engines: segment.engines.iter().map(encode_engine).collect(),
     };
-    append(FrameKind::Head, &pb::Head { whole_answers: true, ..segment.head.clone() }.encode_to_vec())?;
-    let number =
-        |(id, number): &(String, u32)| pb::Numbered { id: id.clone(), number: *number, freed: false };
-    let engines = segment.engines.iter().map(number).collect();
-    let checkpoint = pb::Checkpoint { at_us: segment.at.as_micros(), state: segment.state.clone(), engines };
-    append(FrameKind::Checkpoint, &compress(checkpoint.encode_to_vec())?)?;
+    append(&mut file, FrameKind::Checkpoint, &compress(&checkpoint.encode_to_vec())?)?;
+    let block = pb::Block { records: encode_records(segment)? };
+    append(&mut file, FrameKind::Block, &compress(&block.encode_to_vec())?)?;
+    let tail = pb::Tail { records: segment.records.len() as u64, lost: 0 };
+    append(&mut file, FrameKind::Tail, &tail.encode_to_vec())?;
+    Ok(file)
+}
+
+fn append(file: &mut Vec<u8>, kind: FrameKind, body: &[u8]) -> Result<(), WriteError> {
+    match frame::append_frame(file, kind, body) {
+        true => Ok(()),
+        false => Err(WriteError::FrameTooLong),
+    }
+}
+
+fn compress(body: &[u8]) -> Result<Vec<u8>, WriteError> {
+    zstd::bulk::compress(body, COMPRESSION_LEVEL).map_err(WriteError::Compression)
+}
+
+fn encode_engine(engine: &EngineNumber) -> pb::Numbered {
+    pb::Numbered { id: engine.id.clone(), number: engine.number, freed: false }
+}
+
+fn encode_records(segment: &Segment) -> Result<Vec<pb::Record>, WriteError> {
     let mut last_record_at = segment.at;
     let mut records = Vec::with_capacity(segment.records.len());
     for record in &segment.records {
-        let what = match &record.told {
-            Told::Event(event) => event_out(event),
-            Told::Numbered { id, number, freed } => {
-                pb::record::What::Numbered(pb::Numbered { id: id.clone(), number: *number, freed: *freed })
-            }
-        };
-        let (actions, unanswered) = match &record.answer {
-            Answer::Whole(actions) => (answers_out(actions), false),
-            Answer::None => (Vec::new(), true),
-            Answer::Digest(..) => return Err(WriteError::DigestsOnly),
-        };
-        let count = actions.len() as u32;
-        let after_us = (record.at - last_record_at).as_micros();
+        records.push(encode_record(record, record.at - last_record_at)?);
         last_record_at = record.at;
-        records.push(pb::Record { after_us, what: Some(what), actions, count, digest: 0, unanswered });
     }
-    let count = records.len() as u64;
-    append(FrameKind::Block, &compress(pb::Block { records }.encode_to_vec())?)?;
-    append(FrameKind::Tail, &pb::Tail { records: count, lost: 0 }.encode_to_vec())?;
-    Ok(file)
+    Ok(records)
+}
+
+/// A record as the format has it; `after` is the time since the record before it.
+fn encode_record(record: &Record, after: TimeDelta) -> Result<pb::Record, WriteError> {
+    let actions = match &record.answer {
+        Answer::Complete(actions) => encode_actions(actions),
+        Answer::None => Vec::new(),
+        Answer::Digest { .. } => return Err(WriteError::DigestsOnly),
+    };
+    Ok(pb::Record {
+        after_us: after.as_micros(),
+        what: Some(encode_input(&record.input)),
+        count: actions.len() as u32,
+        actions,
+        digest: 0,
+        unanswered: record.answer == Answer::None,
+    })
 }
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -6,7 +6,12 @@
 use sprucelink_policy::TimeDelta;
 use std::path::PathBuf;
 
-const MB: u64 = 1 << 20;
+/// Bytes in a megabyte, as the settings count.
+const BYTES_PER_MB: u64 = 1 << 20;
+/// Bytes in a kilobyte, as the settings count.
+const BYTES_PER_KB: f64 = 1024.0;
+/// Seconds in a minute.
+const SECONDS_PER_MINUTE: i64 = 60;
 
 /// The settings of the recorder.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -39,39 +44,52 @@
     pub flush_ms: u64,
     /// How the policy's answers are recorded.
     #[serde(default)]
-    pub answers: Answers,
+    pub answers: AnswerFormat,
 }
 
 /// How the policy's answers are recorded.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Answers {
+pub enum AnswerFormat {
     /// Complete: a divergence in a replay shows what was expected.
     #[default]
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
     /// As a digest: fewer bytes, and a divergence shows only the replay's answer.
     Digest,
 }
 
+/// Default size of all files together, in MB.
 fn ring_mb() -> u64 {
     64
 }
+
+/// Default age at which a file is removed, in minutes.
 fn ring_minutes() -> u64 {
     60
 }
+
+/// Default size at which a segment ends, in MB.
 fn segment_mb() -> u64 {
     8
 }
+
+/// Default age at which a segment ends, in seconds.
 fn segment_s() -> u64 {
     60
 }
-/// 500 requests a second take some 150 KB a second.
+
+/// Default bound of the write rate, in KB a second: 500 requests a second take some 150 of them.
 fn rate_kb_s() -> u64 {
     2_048
 }
+
+/// Default bound of the writer's queue, in KB.
 fn queue_kb() -> u64 {
     1_024
 }
+
+/// Default age at which a batch goes to the writer, in milliseconds.
 fn flush_ms() -> u64 {
     200
 }
@@ -88,7 +106,7 @@
             rate_kb_s: rate_kb_s(),
             queue_kb: queue_kb(),
             flush_ms: flush_ms(),
-            answers: Answers::Whole,
+            answers: AnswerFormat::Complete,
         }
     }
 
@@ -127,11 +145,11 @@
     /// The bounds of the ring that the settings stand for.
     pub fn limits(&self) -> RingLimits {
         RingLimits {
-            ring_bytes: self.ring_mb * MB,
-            ring_age: TimeDelta::from_micros(self.ring_minutes as i64 * 60_000_000),
-            segment_bytes: self.segment_mb * MB,
-            segment_age: TimeDelta::from_micros(self.segment_s as i64 * 1_000_000),
-            bytes_per_second: self.rate_kb_s as f64 * 1024.0,
+            ring_bytes: self.ring_mb * BYTES_PER_MB,
+            ring_age: TimeDelta::from_secs(self.ring_minutes as i64 * SECONDS_PER_MINUTE),
+            segment_bytes: self.segment_mb * BYTES_PER_MB,
+            segment_age: TimeDelta::from_secs(self.segment_s as i64),
+            bytes_per_second: self.rate_kb_s as f64 * BYTES_PER_KB,
         }
     }
 }
--- a/crates/capture/src/settings/tests.rs
+++ b/crates/capture/src/settings/tests.rs
@@ -6,7 +6,7 @@
 fn invalid_settings_are_rejected_with_the_field() {
     let good =
         Settings::parse("{ dir: '/var/cap', /* short */ segment_s: 5, answers: 'digest' }").expect("good");
-    assert_eq!((good.segment_s, good.answers, good.ring_mb), (5, Answers::Digest, ring_mb()));
+    assert_eq!((good.segment_s, good.answers, good.ring_mb), (5, AnswerFormat::Digest, ring_mb()));
     for (text, name) in [
         ("{}", "dir"),
         ("{dir: ''}", "dir"),
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A module that is told a made-up day, and its recorder, into memory.
+//! A policy in a simulated fleet, with a recorder that writes to memory.
 #![allow(dead_code)]
 
 use sprucelink_capture::reader::{parse, CaptureContents};
 use sprucelink_capture::recorder::{Recorder, RecorderCounters, SegmentStore};
 use sprucelink_capture::ring::RingFile;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_policy::Policy;
 use sprucelink_policy::*;
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
 use std::path::Path;
@@ -14,21 +14,21 @@
 
 /// Files in memory, whose calls fail on demand.
 #[derive(Clone, Default)]
-pub struct Memory(pub Arc<Mutex<Files>>);
+pub struct MemoryStore(pub Arc<Mutex<Files>>);
 
 #[derive(Default)]
 pub struct Files {
     pub files: BTreeMap<String, Vec<u8>>,
     pub open: String,
-    /// Bytes that still fit; half of what does not is written before the error, as a full disk does.
-    pub room: Option<usize>,
-    /// Nothing can be begun.
+    /// Bytes that still fit; of an append that does not fit, half is written before the error, as on a full disk.
+    pub free_bytes: Option<usize>,
+    /// No file can be created.
     pub unwritable: bool,
-    /// The writer waits here, holding the lock of its own.
-    pub stalled: Arc<Mutex<()>>,
+    /// The writer waits for this lock before each append.
+    pub stall: Arc<Mutex<()>>,
 }
 
-impl Memory {
+impl MemoryStore {
     pub fn bytes(&self) -> Vec<u8> {
         let files = self.0.lock().expect("unpoisoned");
         files.files.values().flatten().copied().collect()
@@ -38,7 +38,7 @@
     }
 }
 
-impl SegmentStore for Memory {
+impl SegmentStore for MemoryStore {
     fn list(&mut self) -> io::Result<Vec<RingFile>> {
         let files = self.0.lock().expect("unpoisoned");
         // Every file as old as its name says.
@@ -62,12 +62,12 @@
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let stalled = Arc::clone(&self.0.lock().expect("unpoisoned").stalled);
-        drop(stalled.lock().expect("unpoisoned"));
+        let stall = Arc::clone(&self.0.lock().expect("unpoisoned").stall);
+        drop(stall.lock().expect("unpoisoned"));
         let mut files = self.0.lock().expect("unpoisoned");
-        let fits = files.room.is_none_or(|room| bytes.len() <= room);
+        let fits = files.free_bytes.is_none_or(|free| bytes.len() <= free);
         let written = if fits { bytes.len() } else { bytes.len() / 2 };
-        files.room = files.room.map(|room| room.saturating_sub(bytes.len()));
+        files.free_bytes = files.free_bytes.map(|free| free.saturating_sub(bytes.len()));
         let open = files.open.clone();
         files.files.entry(open).or_default().extend_from_slice(&bytes[..written]);
         if fits {
@@ -88,10 +88,10 @@
     }
 }
 
-/// Dice of the made-up day.
-pub struct Dice(pub u64);
+/// The simulation's random numbers: a linear congruential generator.
+pub struct Rng(pub u64);
 
-impl Dice {
+impl Rng {
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
@@ -149,56 +149,67 @@
     }
 }
 
-/// What comes: when, in turn, of which request, attempt and engine, and how long it took.
-type Coming = (Timestamp, u64, u64, u32, u32, i64);
+/// The end of an attempt that is still to come, in the order of time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptEnd {
+    due: Timestamp,
+    /// Orders ends that are due at the same time.
+    sequence: u64,
+    id: u64,
+    attempt: u32,
+    latency_us: i64,
+    is_cancelled: bool,
+}
+
+/// How long a cancelled attempt takes to end, in microseconds.
+const CANCELLATION_US: i64 = 10_000;
 
-/// A module and the world it is told of: engines that answer after a while, some slow, some failing.
-pub struct Day {
-    pub brain: Policy,
+/// A policy, and engines that answer after a while, some slow, some failing.
+pub struct Simulation {
+    pub policy: Policy,
     pub recorder: Option<Recorder>,
     pub now: Timestamp,
     pub engines: u32,
-    pub dice: Dice,
-    /// Times slower, by engine.
-    pub slow: BTreeMap<u32, f64>,
+    pub rng: Rng,
+    /// How many times slower an engine is, by number.
+    pub slowness: BTreeMap<u32, f64>,
     /// Requests a second.
     pub rate: u64,
-    next: u64,
+    last_request: u64,
     attempts: BTreeMap<u64, u32>,
-    due: BinaryHeap<std::cmp::Reverse<Coming>>,
-    turn: u64,
-    pub told: usize,
+    attempt_ends: BinaryHeap<Reverse<AttemptEnd>>,
+    last_sequence: u64,
+    /// Events that the policy was given.
+    pub events: usize,
 }
 
 pub const START: Timestamp = Timestamp::from_micros(1_700_000_000_000_000);
 
-impl Day {
-    pub fn new(engines: u32, seed: u64) -> Day {
-        let brain = Policy::new(settings(), seed, START);
-        let (recorder, slow, attempts, due) = Default::default();
-        let dice = Dice(seed);
-        let mut day = Day {
-            brain,
-            recorder,
+impl Simulation {
+    pub fn new(engines: u32, seed: u64) -> Simulation {
+        let mut simulation = Simulation {
+            policy: Policy::new(settings(), seed, START),
+            recorder: None,
             now: START,
             engines,
-            dice,
-            slow,
+            rng: Rng(seed),
+            slowness: BTreeMap::new(),
             rate: 110,
-            next: 0,
-            attempts,
-            due,
-            turn: 0,
-            told: 0,
+            last_request: 0,
+            attempts: BTreeMap::new(),
+            attempt_ends: BinaryHeap::new(),
+            last_sequence: 0,
+            events: 0,
         };
-        day.list();
-        day
+        simulation.send_endpoint_list();
+        simulation
     }
-    pub fn recorded(engines: u32, seed: u64, set: &RecorderSettings, store: Memory) -> Day {
-        let mut day = Day::new(engines, seed);
-        day.recorder = Some(Recorder::with_store(set, Box::new(store), seed, START).expect("a thread"));
-        day.list();
-        day
+    pub fn recorded(engines: u32, seed: u64, set: &RecorderSettings, store: MemoryStore) -> Simulation {
+        let mut simulation = Simulation::new(engines, seed);
+        simulation.recorder =
+            Some(Recorder::with_store(set, Box::new(store), seed, START).expect("a thread"));
+        simulation.send_endpoint_list();
+        simulation
     }
     pub fn counters(&self) -> RecorderCounters {
         self.recorder.as_ref().expect("recorded").counters()
@@ -206,45 +217,46 @@
     pub fn give(&mut self, event: Event) -> Vec<Action> {
         let ids: Vec<String> = (0..self.engines).map(|n| format!("s-{n}")).collect();
         if let Some(r) = &mut self.recorder {
-            r.record_event(self.now, &self.brain, &event, || {
+            r.record_event(self.now, &self.policy, &event, || {
                 ids.iter().zip(0..).map(|(id, n)| (id.as_str(), n)).collect()
             });
         }
-        let mut out = Vec::new();
-        self.brain.handle(self.now, event, &mut out);
+        let mut actions = Vec::new();
+        self.policy.handle(self.now, event, &mut actions);
         if let Some(r) = &mut self.recorder {
-            r.record_answer(&out);
+            r.record_answer(&actions);
         }
-        self.told += 1;
-        for action in &out {
+        self.events += 1;
+        for action in &actions {
             match action {
                 Action::ForwardAttempt { id, engine, .. } => {
-                    let n = self.attempts.entry(id.0).or_default();
-                    let took = 80_000.0 + self.dice.below(400_000) as f64;
-                    let took = (took * self.slow.get(&engine.0).copied().unwrap_or(1.0)) as i64;
-                    self.turn += 1;
-                    let due = (self.now + TimeDelta::from_micros(took), self.turn, id.0, *n, engine.0, took);
-                    self.due.push(std::cmp::Reverse(due));
-                    *n += 1;
+                    let next_attempt = self.attempts.entry(id.0).or_default();
+                    let attempt = *next_attempt;
+                    *next_attempt += 1;
+                    let base_us = 80_000.0 + self.rng.below(400_000) as f64;
+                    let slowness = self.slowness.get(&engine.0).copied().unwrap_or(1.0);
+                    self.schedule_end(id.0, attempt, (base_us * slowness) as i64, false);
                 }
                 Action::Cancel { id, attempt } => {
-                    self.turn += 1;
-                    let due = (
-                        self.now + TimeDelta::from_micros(10_000),
-                        self.turn,
-                        id.0,
-                        *attempt,
-                        u32::MAX,
-                        10_000,
-                    );
-                    self.due.push(std::cmp::Reverse(due));
+                    self.schedule_end(id.0, *attempt, CANCELLATION_US, true);
                 }
                 _ => {}
             }
         }
-        out
+        actions
+    }
+    fn schedule_end(&mut self, id: u64, attempt: u32, latency_us: i64, is_cancelled: bool) {
+        self.last_sequence += 1;
+        self.attempt_ends.push(Reverse(AttemptEnd {
+            due: self.now + TimeDelta::from_micros(latency_us),
+            sequence: self.last_sequence,
+            id,
+            attempt,
+            latency_us,
+            is_cancelled,
+        }));
     }
-    pub fn list(&mut self) {
+    pub fn send_endpoint_list(&mut self) {
         let entry = |n| EngineEntry {
             engine: EngineId(n),
             zone: 0,
@@ -256,16 +268,16 @@
         let entries = (0..self.engines).map(entry).collect();
         self.give(Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries });
     }
-    pub fn arrive(&mut self) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let class = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2][self.dice.below(10) as usize];
-        let cost = [0.25, 4.0, 4.0][class] * (0.5 + self.dice.below(100) as f64 / 100.0);
+    pub fn send_request(&mut self) -> (RequestId, Vec<Action>) {
+        self.last_request += 1;
+        let id = RequestId(self.last_request);
+        let class = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2][self.rng.below(10) as usize];
+        let cost = [0.25, 4.0, 4.0][class] * (0.5 + self.rng.below(100) as f64 / 100.0);
         let event = Event::RequestArrived(Arrival {
             id,
             class: ClassId(class),
-            tenant: self.dice.below(2) as usize,
-            tables: self.dice.below(12),
+            tenant: self.rng.below(2) as usize,
+            tables: self.rng.below(12),
             time_left: TimeDelta::from_secs_f64(6.0),
             cost: Some(cost),
             memory_mb: Some(200.0),
@@ -273,14 +285,14 @@
         });
         (id, self.give(event))
     }
-    fn land(&mut self) {
-        while let Some(std::cmp::Reverse((at, _, id, attempt, engine, took))) = self.due.peek().copied() {
-            if at > self.now {
+    fn end_due_attempts(&mut self) {
+        while let Some(Reverse(end)) = self.attempt_ends.peek().copied() {
+            if end.due > self.now {
                 break;
             }
-            self.due.pop();
-            let outcome = match self.dice.below(40) {
-                _ if engine == u32::MAX => Outcome::Cancelled,
+            self.attempt_ends.pop();
+            let outcome = match self.rng.below(40) {
+                _ if end.is_cancelled => Outcome::Cancelled,
                 0 => Outcome::EngineError,
                 1 => Outcome::ConnectionLost,
                 2 => Outcome::RejectedByEngine,
@@ -288,32 +300,31 @@
             };
             let served = outcome == Outcome::Succeeded;
             let report = LoadReport {
-                queries_in_flight: Some(self.dice.below(20) as f64),
+                queries_in_flight: Some(self.rng.below(20) as f64),
                 queries_waiting_for_memory: Some(0.0),
                 granted_memory_fraction: Some(0.3),
                 ..LoadReport::default()
             };
             let query_cost = served.then_some(QueryCost { work: 0.3, memory_mb: 180.0 });
-            let (id, latency) = (RequestId(id), TimeDelta::from_micros(took));
             self.give(Event::AttemptEnded {
-                id,
-                attempt,
+                id: RequestId(end.id),
+                attempt: end.attempt,
                 outcome,
-                latency,
+                latency: TimeDelta::from_micros(end.latency_us),
                 complete: served,
                 query_cost,
                 report,
             });
         }
     }
-    /// Lets time pass, in the module's own steps, with requests coming.
-    pub fn pass(&mut self, secs: f64) {
+    /// Advances time in steps of 20 ms, with requests arriving.
+    pub fn advance(&mut self, secs: f64) {
         let until = self.now + TimeDelta::from_secs_f64(secs);
         while self.now < until {
             self.now = self.now + TimeDelta::from_micros(20_000);
-            self.land();
-            for _ in 0..(self.rate / 50 + u64::from(self.dice.below(50) < self.rate % 50)) {
-                self.arrive();
+            self.end_due_attempts();
+            for _ in 0..(self.rate / 50 + u64::from(self.rng.below(50) < self.rate % 50)) {
+                self.send_request();
             }
             self.give(Event::Timer { token: 0 });
         }
--- a/src/run/cli/error.rs
+++ b/src/run/cli/error.rs
@@ -87,7 +87,7 @@
     /// A log format or level that does not exist.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// A treatment or a rule that the capture tools do not know.
+    /// An outcome policy or a rule that the capture tools do not know.
     #[error(transparent)]
     Capture(BoxError),
 }
--- a/src/run/cli/options.rs
+++ b/src/run/cli/options.rs
@@ -2,7 +2,7 @@
 
 use crate::run::logging::Logging;
 use sprucelink_capture::explain::Question;
-use sprucelink_capture::replay::Treatment;
+use sprucelink_capture::replay::OutcomePolicy;
 use sprucelink_capture::rules::Rule;
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::net::SocketAddr;
@@ -138,7 +138,7 @@
     /// Settings to change before the replay.
     pub changes: Vec<SettingChange>,
     /// What becomes of outcomes of decisions that this build did not take.
-    pub treatment: Treatment,
+    pub outcome_policy: OutcomePolicy,
     /// Print JSON.
     pub json: bool,
 }
--- a/src/run/cli/parser.rs
+++ b/src/run/cli/parser.rs
@@ -113,7 +113,7 @@
             "from" => replay.from = Some(parse_moment(&value).map_err(invalid(name))?),
             "until" => replay.until = Some(parse_moment(&value).map_err(invalid(name))?),
             "set" => replay.changes.push(parse_setting_change(&value).map_err(invalid(name))?),
-            "treatment" => replay.treatment = value.parse().map_err(invalid_for_capture(name))?,
+            "treatment" => replay.outcome_policy = value.parse().map_err(invalid_for_capture(name))?,
             _ => return Err(CliError::UnknownOption(name.to_owned())),
         }
         Ok(())
--- a/src/run/commands/capture_cut.rs
+++ b/src/run/commands/capture_cut.rs
@@ -6,8 +6,8 @@
 use super::CaptureError;
 use crate::run::cli::CutOptions;
 use crate::run::error::BoxError;
-use sprucelink_capture::cut::{self, Cut};
-use sprucelink_capture::rules::Checker;
+use sprucelink_capture::cut::{check_case, cut_case, CaseSpan};
+use sprucelink_capture::rules::Rule;
 use sprucelink_capture::segment_writer;
 use sprucelink_policy::TimeDelta;
 use std::io;
@@ -20,15 +20,15 @@
 /// A capture that cannot be used or does not hold the moment, or a file that cannot be written.
 pub fn run(options: &CutOptions) -> Result<(), CaptureError> {
     let capture = Capture::read(&options.capture)?;
-    let holds = if options.rules.is_empty() { Checker::service() } else { options.rules.clone() };
-    let span = Cut {
+    let rules = if options.rules.is_empty() { Rule::service_rules() } else { options.rules.clone() };
+    let span = CaseSpan {
         around: options.around.resolve(capture.start()),
         before: TimeDelta::from_secs_f64(options.before_s),
         after: TimeDelta::from_secs_f64(options.after_s),
-        holds,
+        rules,
         note: options.note.clone(),
     };
-    let case = cut::cut(&capture.segments, &span).map_err(BoxError::from)?;
+    let case = cut_case(&capture.segments, &span).map_err(BoxError::from)?;
     let bytes = segment_writer::write(&case).map_err(BoxError::from)?;
     write_case(&options.out, &bytes)?;
     print_line(&format!(
@@ -39,7 +39,7 @@
         format_timestamp(case.at),
         format_timestamp(case.until())
     ));
-    let breaches = cut::check(&case).map_err(BoxError::from)?;
+    let breaches = check_case(&case).map_err(BoxError::from)?;
     print_breaches(&options.out, &breaches, false);
     Ok(())
 }
--- a/src/run/commands/capture_show.rs
+++ b/src/run/commands/capture_show.rs
@@ -4,7 +4,6 @@
 use super::output::{format_timestamp, print_line};
 use super::CaptureError;
 use serde_json::{json, Value};
-use sprucelink_capture::replay::told_kind;
 use sprucelink_capture::segment::{Segment, SegmentEnd};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -27,7 +26,7 @@
 fn count_by_kind(segment: &Segment) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     for record in &segment.records {
-        *counts.entry(told_kind(&record.told)).or_default() += 1;
+        *counts.entry(record.input.kind_name()).or_default() += 1;
     }
     counts
 }
--- a/src/run/commands/capture_verify.rs
+++ b/src/run/commands/capture_verify.rs
@@ -4,8 +4,9 @@
 use super::{CaptureError, CommandOutcome};
 use crate::run::error::BoxError;
 use serde_json::json;
+use sprucelink_capture::cut::check_case;
+use sprucelink_capture::reader;
 use sprucelink_capture::rules::Breach;
-use sprucelink_capture::{cut, reader};
 use sprucelink_policy::Timestamp;
 use std::path::{Path, PathBuf};
 
@@ -32,7 +33,7 @@
     let mut all_hold = true;
     for case in &contents.segments {
         let breaches =
-            cut::check(case).map_err(|e| CaptureError::File { path: file.to_owned(), source: e.into() })?;
+            check_case(case).map_err(|e| CaptureError::File { path: file.to_owned(), source: e.into() })?;
         all_hold &= breaches.is_empty();
         print_breaches(file, &breaches, as_json);
     }
--- a/src/run/commands/explain.rs
+++ b/src/run/commands/explain.rs
@@ -10,7 +10,7 @@
 use sprucelink_policy::Timestamp;
 use std::path::Path;
 
-/// Prints the story line by line.
+/// Prints the explanation line by line.
 ///
 /// # Errors
 /// A capture that cannot be used, or that holds nothing of what is asked.
@@ -20,7 +20,7 @@
         ExplainQuery::Subject(question) => question.clone(),
         ExplainQuery::Moment(moment) => Question::At(moment.resolve(capture.start())),
     };
-    let mut print = |line: Line| print_story_line(&line, as_json);
+    let mut print = |line: Line| print_explanation_line(&line, as_json);
     let lines = explain(&capture.segments, &question, &mut print).map_err(BoxError::from)?;
     if lines == 0 {
         return Err(CaptureError::NothingFound);
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-fn print_story_line(line: &Line, as_json: bool) {
+fn print_explanation_line(line: &Line, as_json: bool) {
     if as_json {
         print_line(&json!({"at_us": line.at_us, "text": line.text, "data": line.data}).to_string());
     } else {
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -6,7 +6,7 @@
 use crate::run::cli::ReplayOptions;
 use crate::run::error::BoxError;
 use serde_json::json;
-use sprucelink_capture::replay::{self, Divergence, Outcome, Play};
+use sprucelink_capture::replay::{self, replay_segment, Divergence, ReplaySummary};
 use sprucelink_capture::segment::Segment;
 use sprucelink_policy::{Policy, TimeDelta, Timestamp};
 use std::time::Instant;
@@ -46,10 +46,10 @@
 
 /// What all replays of all segments came to.
 #[derive(Default)]
-struct LoadReport {
+struct ReplayReport {
     segments: usize,
     /// Sum over the segments of the first replay.
-    total: Outcome,
+    total: ReplaySummary,
     /// The first divergence, and the number of its segment.
     first: Option<(u64, Divergence)>,
     /// Segments that diverged.
@@ -64,7 +64,7 @@
     other_build: Vec<String>,
 }
 
-impl LoadReport {
+impl ReplayReport {
     /// Whether the replays were equal among themselves.
     fn is_repeatable(&self) -> bool {
         self.digests.iter().all(|digest| *digest == self.digests[0])
@@ -72,23 +72,23 @@
 
     /// Whether all actions were as recorded.
     fn is_same(&self) -> bool {
-        self.total.differ == 0 && self.is_repeatable() && self.total.panicked.is_none()
+        self.total.differing_events == 0 && self.is_repeatable() && self.total.panic.is_none()
     }
 
     /// Adds a segment of the first replay.
-    fn add(&mut self, segment: &Segment, outcome: Outcome) {
+    fn add(&mut self, segment: &Segment, summary: ReplaySummary) {
         self.span = self.span + (segment.until() - segment.at);
-        self.total.events += outcome.events;
-        self.total.differ += outcome.differ;
-        self.diverged_segments += usize::from(outcome.differ > 0);
-        for (kind, count) in outcome.by_kind {
-            *self.total.by_kind.entry(kind).or_default() += count;
+        self.total.events += summary.events;
+        self.total.differing_events += summary.differing_events;
+        self.diverged_segments += usize::from(summary.differing_events > 0);
+        for (kind, count) in summary.differing_by_kind {
+            *self.total.differing_by_kind.entry(kind).or_default() += count;
         }
         if self.first.is_none() {
-            self.first = outcome.first.map(|divergence| (segment.head.segment, divergence));
+            self.first = summary.first_divergence.map(|divergence| (segment.head.segment, divergence));
         }
-        if self.total.panicked.is_none() {
-            self.total.panicked = outcome.panicked;
+        if self.total.panic.is_none() {
+            self.total.panic = summary.panic;
         }
     }
 }
@@ -97,19 +97,24 @@
     segments: &[&Segment],
     options: &ReplayOptions,
     until: Option<Timestamp>,
-) -> Result<LoadReport, CaptureError> {
+) -> Result<ReplayReport, CaptureError> {
     let change =
         |policy: &mut Policy| setting_changes::apply(&options.changes, policy).map_err(BoxError::from);
-    let play = Play { treatment: options.treatment, until, explain: false, change: &change };
-    let mut report = LoadReport { segments: segments.len(), ..LoadReport::default() };
+    let replay_options = replay::ReplayOptions {
+        outcome_policy: options.outcome_policy,
+        until,
+        explain: false,
+        change: &change,
+    };
+    let mut report = ReplayReport { segments: segments.len(), ..ReplayReport::default() };
     let began = Instant::now();
     for repetition in 0..options.times {
         let mut digest = 0_u64;
         for segment in segments {
-            let outcome = replay::segment(segment, &play, &mut |_| {}).map_err(BoxError::from)?;
-            digest = digest.rotate_left(7) ^ outcome.digest;
+            let summary = replay_segment(segment, &replay_options, &mut |_| {}).map_err(BoxError::from)?;
+            digest = digest.rotate_left(7) ^ summary.digest;
             if repetition == 0 {
-                report.add(segment, outcome);
+                report.add(segment, summary);
             }
         }
         report.digests.push(digest);
@@ -121,22 +126,22 @@
     Ok(report)
 }
 
-fn print_json(report: &LoadReport, options: &ReplayOptions) {
+fn print_json(report: &ReplayReport, options: &ReplayOptions) {
     let total = &report.total;
     let result = json!({
         "same": report.is_same(), "segments": report.segments, "events": total.events,
-        "differ": total.differ, "segments_differ": report.diverged_segments, "by_kind": total.by_kind,
+        "differ": total.differing_events, "segments_differ": report.diverged_segments, "by_kind": total.differing_by_kind,
         "first": report.first.as_ref().map(|(_, divergence)| divergence),
         "digest": format!("{:016x}", report.digests[0]), "times": options.times,
         "alike": report.is_repeatable(),
-        "panicked": total.panicked.as_ref().map(|(_, message)| message),
-        "treatment": options.treatment, "span_s": report.span.as_secs_f64(),
+        "panicked": total.panic.as_ref().map(|panic| &panic.message),
+        "treatment": options.outcome_policy, "span_s": report.span.as_secs_f64(),
         "took_s": report.duration_s, "other_build": report.other_build,
     });
     print_line(&result.to_string());
 }
 
-fn print_text(report: &LoadReport, options: &ReplayOptions) {
+fn print_text(report: &ReplayReport, options: &ReplayOptions) {
     let span = report.span.as_secs_f64();
     print_line(&format!(
         "{} events in {} segments over {span:.3} s, replayed {} times at {:.0} times real time; answers {:016x}",
@@ -152,8 +157,8 @@
             print_differences(report);
         }
     }
-    if let Some((record, message)) = &report.total.panicked {
-        print_line(&format!("the module panicked at record {record}: {message}"));
+    if let Some(panic) = &report.total.panic {
+        print_line(&format!("the module panicked at record {}: {}", panic.record, panic.message));
     }
     if !report.is_repeatable() {
         print_line("the replays differ among themselves");
@@ -175,13 +180,14 @@
     other_build.iter().for_each(|reason| print_line(&format!("  {reason}")));
 }
 
-fn print_differences(report: &LoadReport) {
+fn print_differences(report: &ReplayReport) {
     let total = &report.total;
-    let by_kind: Vec<String> = total.by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
-    let percentage = 100.0 * total.differ as f64 / total.events.max(1) as f64;
+    let by_kind: Vec<String> =
+        total.differing_by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+    let percentage = 100.0 * total.differing_events as f64 / total.events.max(1) as f64;
     print_line(&format!(
         "{} of {} answers differ ({percentage:.2}%), in {} of {} segments; by kind: {}",
-        total.differ,
+        total.differing_events,
         total.events,
         report.diverged_segments,
         report.segments,
