--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -6,7 +6,7 @@
 
 /// Longest name, zone and region, in bytes: the updates of a datagram stay small.
 pub const MAX_NAME_BYTES: usize = 32;
-/// Most seeds.
+/// Maximum number of seeds.
 pub const MAX_SEEDS: usize = 16;
 
 /// The parameters of the protocol. Names in files are those of `serde(rename)`, where a field has one.
@@ -98,12 +98,12 @@
     /// Whether the retry budget is spent as a fleet: a part of what others have left may be used.
     #[serde(rename = "ration")]
     pub pool_retry_budgets: bool,
-    /// Whether warm-up budgets, this manager's share of cores and tenants' quotas are divided among the live members
+    /// Whether warm-up budgets, this manager's fraction of cores and tenants' quotas are divided among the live members
     /// instead of the configured number of managers.
     #[serde(rename = "parts")]
     pub divide_by_live_members: bool,
     /// Interval of a member's payloads, in milliseconds; 200 to 60,000. In fleets of more than a hundred members it grows
-    /// by 10 ms a member, so that what all receive stays bounded.
+    /// by 10 ms a member, so that the rate at which each member receives payloads stays bounded.
     #[serde(rename = "every_ms")]
     pub payload_interval_ms: f64,
 }
@@ -142,6 +142,7 @@
 }
 
 impl SettingsFile for MembershipConfig {
+    /// What error messages call these settings.
     const SUBJECT: &'static str = "membership";
 
     fn validate(&self) -> Result<(), InvalidField> {
--- a/crates/membership/src/decoder.rs
+++ b/crates/membership/src/decoder.rs
@@ -5,14 +5,14 @@
 use crate::gossip_payload::{GossipPayload, WarmupWork, MAX_ENGINES};
 use crate::message::{Member, MemberState, Message, MessageKind, Sender, Update};
 use crate::wire::{
-    CRC_BYTES, KIND_ACK, KIND_DIGEST, KIND_GOSSIP, KIND_NACK, KIND_PING, KIND_PING_REQUEST, KIND_QUERY,
-    KIND_VIEW, MAGIC, MAX_DATAGRAM_BYTES, UPDATE_ALIVE, UPDATE_DEAD, UPDATE_LEFT, UPDATE_PAYLOAD,
-    UPDATE_SUSPECT, VERSION,
+    CRC_BYTES, KIND_ACK, KIND_DIGEST, KIND_GOSSIP, KIND_NACK, KIND_OFFSET, KIND_PING, KIND_PING_REQUEST,
+    KIND_QUERY, KIND_VIEW, MAGIC, MAX_DATAGRAM_BYTES, UPDATE_ALIVE, UPDATE_DEAD, UPDATE_LEFT, UPDATE_PAYLOAD,
+    UPDATE_SUSPECT, VERSION, VERSION_OFFSET,
 };
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Shortest datagram that can hold a magic number, version, kind and checksum.
+/// Length of the shortest datagram, in bytes: magic number, version, kind and checksum.
 const MIN_DATAGRAM_BYTES: usize = 8;
 
 /// Why a datagram is rejected.
@@ -24,7 +24,7 @@
     /// The checksum does not match.
     #[error("its checksum does not fit")]
     ChecksumMismatch,
-    /// It ends too soon, goes on too long, or holds what no message has.
+    /// A field is missing, longer than its bound, or has a value that no message has.
     #[error("field {field} is missing, too long or out of range")]
     InvalidField {
         /// The field.
@@ -38,14 +38,14 @@
 /// Why it is rejected; nothing of it is to be used then.
 pub fn decode(datagram: &[u8]) -> Result<Message, DecodeError> {
     let is_right_length = (MIN_DATAGRAM_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
-    if !is_right_length || datagram[..2] != MAGIC || datagram[2] != VERSION {
+    if !is_right_length || !datagram.starts_with(&MAGIC) || datagram[VERSION_OFFSET] != VERSION {
         return Err(DecodeError::ForeignProtocol);
     }
     let (body, crc) = datagram.split_at(datagram.len() - CRC_BYTES);
     if crc32fast::hash(body).to_be_bytes() != crc {
         return Err(DecodeError::ChecksumMismatch);
     }
-    let mut reader = Reader(&body[3..]);
+    let mut reader = Reader(&body[KIND_OFFSET..]);
     let kind_code = reader.u8("kind")?;
     let sender = Sender {
         name: reader.name("from")?,
@@ -102,7 +102,7 @@
             return Err(invalid(field));
         }
         let text = std::str::from_utf8(self.take(length, field)?).map_err(|_| invalid(field))?;
-        // Names go to logs and tables: nothing that would break a line.
+        // Names are written to log lines, which a control character would break.
         if text.chars().any(char::is_control) {
             return Err(invalid(field));
         }
--- a/crates/membership/src/encoder.rs
+++ b/crates/membership/src/encoder.rs
@@ -10,6 +10,9 @@
 };
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
+/// Initial capacity for an encoded update, in bytes: more than nearly all updates take.
+const TYPICAL_UPDATE_BYTES: usize = 128;
+
 /// A message as a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedDatagram {
@@ -52,9 +55,7 @@
 
 /// Bytes that an update takes in a datagram.
 pub fn encoded_size(update: &Update) -> usize {
-    /// More than most updates take.
-    const USUAL_BYTES: usize = 128;
-    let mut writer = Writer(Vec::with_capacity(USUAL_BYTES));
+    let mut writer = Writer(Vec::with_capacity(TYPICAL_UPDATE_BYTES));
     writer.update(update);
     writer.0.len()
 }
--- a/crates/membership/src/gossip_payload.rs
+++ b/crates/membership/src/gossip_payload.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Most engines in one list of a payload.
+/// Maximum number of engines in one list of a payload.
 pub const MAX_ENGINES: usize = 16;
 
 /// The key of an engine in payloads: a stable hash of its id, because managers number engines differently.
@@ -68,12 +68,12 @@
 }
 
 impl PayloadTable {
-    /// Merges a payload; returns whether it is newer than the one held, and so was stored.
+    /// Merges a payload; returns whether it is newer than the stored one, and so was stored.
     pub fn merge(&mut self, member: &str, generation: u64, payload: &GossipPayload) -> bool {
         let is_newer = self
             .payloads
             .get(member)
-            .is_none_or(|held| (generation, payload.version) > (held.generation, held.payload.version));
+            .is_none_or(|stored| (generation, payload.version) > (stored.generation, stored.payload.version));
         if is_newer {
             let mut payload = payload.clone();
             payload.truncate();
@@ -104,13 +104,13 @@
 
     /// How many of `members` report that they cannot reach an engine.
     pub fn unreachable_count<'a>(&self, engine: u64, members: impl Iterator<Item = &'a str>) -> usize {
-        let payloads = members.filter_map(|member| self.get(member)).map(|held| &held.payload);
+        let payloads = members.filter_map(|member| self.get(member)).map(|stored| &stored.payload);
         payloads.filter(|payload| payload.unreachable_engines.contains(&engine)).count()
     }
 
     /// Work that `members` sent to a warming engine, in milliseconds.
     pub fn warmup_work_ms<'a>(&self, engine: u64, members: impl Iterator<Item = &'a str>) -> u64 {
-        let payloads = members.filter_map(|member| self.get(member)).map(|held| &held.payload);
+        let payloads = members.filter_map(|member| self.get(member)).map(|stored| &stored.payload);
         payloads.map(|payload| payload.warmup_work_ms(engine)).sum()
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,17 @@
 //! A view of the fleet that its managers keep themselves: which are alive, suspected or dead, and a small payload of what
-//! each knows.
+//! each of them publishes.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
 //! Membership Protocol", DSN 2002) with suspicion, incarnation numbers and piggybacked updates, and the three
 //! refinements of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure
-//! Detection", DSN-W 2018): local health (a member in trouble probes more slowly), dogpile (a suspicion that others
-//! confirm ends sooner), and the buddy system (a suspect is notified first).
+//! Detection", DSN-W 2018): local health (an overloaded member probes more slowly), dogpile (a suspicion that others
+//! confirm expires sooner), and the buddy system (a suspect is notified first).
 //!
 //! - [`SwimNode`]: the protocol as a state machine without I/O. Time is an argument, randomness comes from a seed, and
 //!   messages to send are taken from an outbox.
 //! - [`Message`], [`encode`], [`decode`]: the datagrams, read within bounds.
 //! - [`GossipPayload`], [`PayloadTable`]: what members publish, merged by version.
-//! - [`spare_retries`], [`budget_divisor`]: what the fleet may still spend together.
+//! - [`spare_retries`], [`budget_divisor`]: how budgets are shared among the members.
 //! - [`MembershipConfig`]: the settings.
 //!
 //! Nothing here performs I/O except [`query_members`], by which a program outside the fleet reads a member's view.
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -100,7 +100,7 @@
         digest: u64,
         /// The number of live members.
         member_count: u32,
-        /// Whether the sender has sent its view already, so that no further digest is owed.
+        /// Whether the sender has sent its view already: the receiver then does not answer with a digest.
         is_reply: bool,
     },
     /// A program outside the fleet asks for a page of the view; the datagram must be padded to
@@ -113,7 +113,7 @@
     View {
         /// The position of its first member.
         offset: u32,
-        /// The number of members in the whole view.
+        /// The number of members in the complete view.
         total: u32,
     },
 }
--- a/crates/membership/src/query_client.rs
+++ b/crates/membership/src/query_client.rs
@@ -9,9 +9,9 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// How long an answer is awaited.
+/// How long one attempt waits for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often a query is sent: datagrams get lost.
+/// Maximum number of attempts for one page: datagrams get lost.
 const MAX_ATTEMPTS: u32 = 5;
 /// The sender's name in queries.
 const CLIENT_NAME: &str = "?";
@@ -19,7 +19,7 @@
 /// A page of a member's view.
 struct ViewPage {
     members: Vec<Member>,
-    /// The number of members in the whole view.
+    /// The number of members in the complete view.
     total: u32,
 }
 
@@ -66,7 +66,7 @@
             }
             Err(error) => return Err(error),
         };
-        // Anything else is ignored: a late answer to an earlier query, or a datagram of a stranger.
+        // Anything else is ignored: a late answer to an earlier query, or a datagram from elsewhere.
         let Ok(Message { kind: MessageKind::View { offset, total }, updates, .. }) =
             decode(&buffer[..length])
         else {
--- a/crates/membership/src/retry_budget_pool.rs
+++ b/crates/membership/src/retry_budget_pool.rs
@@ -1,9 +1,9 @@
-//! What the fleet may still spend together, as one member sees it: of retries, and of budgets that are divided among
-//! managers.
+//! How the fleet shares budgets, as one member sees it: spare retries of other members, and the number of members that
+//! budgets are divided by.
 //!
-//! Payloads are seconds old, and all members read the same ones: if each took all that is left, together they would take
-//! it as often as there are members. So each takes an even part of what is left, and only of what the payloads show: a
-//! member without a payload counts as having spent its whole budget.
+//! Payloads are seconds old, and all members read the same ones: if each took all that is left, together they would spend
+//! it once for each member. So each takes an even part of what is left, and only of what the payloads show: a member
+//! without a payload counts as having spent its budget completely.
 
 use crate::gossip_payload::GossipPayload;
 
@@ -15,7 +15,7 @@
 pub struct RetryBudget {
     /// Retries allowed in a window whatever the load.
     pub min_retries: f64,
-    /// More of them, as a fraction of the requests admitted in it.
+    /// Further retries, as a fraction of the requests admitted in that window.
     pub retry_ratio: f64,
 }
 
@@ -38,7 +38,7 @@
     (remaining * USABLE_FRACTION / live_count.max(1) as f64).max(0.0)
 }
 
-/// Among how many managers budgets are divided: the live ones. With fewer than half of the configured managers in view
+/// The number of managers among which budgets are divided: the live ones. With fewer than half of the configured managers in view
 /// this side may be the smaller part of a partitioned fleet, with the rest alive beyond it: then the configured number
 /// is used.
 pub fn budget_divisor(live_count: usize, configured_count: u32) -> u32 {
--- a/crates/membership/src/swim/anti_entropy.rs
+++ b/crates/membership/src/swim/anti_entropy.rs
@@ -1,26 +1,26 @@
-//! Anti-entropy: whole views are compared by digest and exchanged where they differ; queries from outside the fleet.
+//! Anti-entropy: with whom views are compared, and how many complete views may be sent.
 
-use super::dissemination::MAX_UPDATE_BYTES;
-use super::node::SwimNode;
-use crate::encoder::encoded_size;
-use crate::message::{Member, MemberState, MessageKind, Update};
+use super::member_table::MemberTable;
+use crate::message::MemberState;
 use crate::Timestamp;
 use rand::seq::SliceRandom;
+use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most whole views sent in a second: enough for a flood of joins, and a forged digest is no amplifier.
+/// Maximum number of complete views sent in a second: enough for a flood of joins, and low enough that forged digests
+/// cannot use this member as an amplifier.
 const MAX_VIEWS_PER_SECOND: f64 = 50.0;
 
-/// A token bucket for whole views.
+/// A token bucket for complete views.
 #[derive(Clone, Debug)]
-pub(super) struct ViewRateLimiter {
+struct ViewRateLimiter {
     tokens: f64,
     refilled_at: Timestamp,
 }
 
 impl ViewRateLimiter {
-    pub(super) fn new(now: Timestamp) -> ViewRateLimiter {
+    fn new(now: Timestamp) -> ViewRateLimiter {
         ViewRateLimiter { tokens: MAX_VIEWS_PER_SECOND, refilled_at: now }
     }
 
@@ -36,89 +36,53 @@
     }
 }
 
-impl SwimNode {
-    /// Compares views with one other: in turn a live member, and a seed or a dead one.
-    pub(super) fn compare_views(&mut self) {
-        self.compares_outside = !self.compares_outside;
-        let live: BTreeSet<SocketAddr> = self.live_members().map(|member| member.address).collect();
-        let dead = self.members().filter(|member| member.state == MemberState::Dead);
-        let dead = dead.map(|member| member.address);
-        let outside: Vec<SocketAddr> =
-            self.seeds.iter().copied().chain(dead).filter(|address| !live.contains(address)).collect();
-        // A member without others contacts every seed: its first is as likely down as up.
-        if live.is_empty() {
-            for address in outside {
-                self.send_digest(address, false);
-            }
-            return;
-        }
-        let candidates =
-            if self.compares_outside && !outside.is_empty() { outside } else { live.into_iter().collect() };
-        if let Some(address) = candidates.choose(&mut self.rng).copied() {
-            self.send_digest(address, false);
-        }
+/// When views are compared next, and with whom.
+#[derive(Clone, Debug)]
+pub(super) struct AntiEntropy {
+    seeds: Vec<SocketAddr>,
+    next_at: Timestamp,
+    /// Whether the last comparison was one with a seed or a dead member.
+    compared_outside: bool,
+    view_limiter: ViewRateLimiter,
+}
+
+impl AntiEntropy {
+    /// The first comparison is due now.
+    pub(super) fn new(seeds: Vec<SocketAddr>, now: Timestamp) -> AntiEntropy {
+        AntiEntropy { seeds, next_at: now, compared_outside: true, view_limiter: ViewRateLimiter::new(now) }
     }
 
-    /// A digest arrived: where views differ the sender gets this member's.
-    pub(super) fn on_digest(&mut self, now: Timestamp, from: SocketAddr, digest: u64, is_reply: bool) {
-        if digest == self.digest() || !self.view_limiter.try_acquire(now) {
-            return;
-        }
-        self.send_view(from);
-        if !is_reply {
-            self.send_digest(from, true);
-        }
+    pub(super) fn next_at(&self) -> Timestamp {
+        self.next_at
     }
 
-    fn send_digest(&mut self, to: SocketAddr, is_reply: bool) {
-        let kind =
-            MessageKind::Digest { digest: self.digest(), member_count: self.live_count() as u32, is_reply };
-        // With its own state: a member that has just started becomes known by it.
-        let own = self.own_update_as(MemberState::Alive);
-        self.send_with_updates(to, kind, vec![own]);
+    pub(super) fn is_due(&self, now: Timestamp) -> bool {
+        now >= self.next_at
     }
 
-    /// The whole view, in as many messages as it takes.
-    fn send_view(&mut self, to: SocketAddr) {
-        self.counters.views_sent += 1;
-        let total = self.members.len() as u32 + 1;
-        let own = self.own_update_as(MemberState::Alive);
-        let mut free_bytes = MAX_UPDATE_BYTES - encoded_size(&own);
-        let mut page = vec![own];
-        let mut offset = 0;
-        let members: Vec<Member> = self.members().cloned().collect();
-        for (index, member) in members.into_iter().enumerate() {
-            // A suspicion is reported as this member's own: as a confirmation it counts once.
-            let update = Update::Member { member, reported_by: self.local.name.clone() };
-            let size = encoded_size(&update);
-            if size > free_bytes {
-                let full_page = std::mem::take(&mut page);
-                self.send_exactly(to, MessageKind::View { offset, total }, full_page);
-                free_bytes = MAX_UPDATE_BYTES;
-                offset = index as u32 + 1;
-            }
-            free_bytes -= size;
-            page.push(update);
-        }
-        self.send_exactly(to, MessageKind::View { offset, total }, page);
+    pub(super) fn schedule(&mut self, next_at: Timestamp) {
+        self.next_at = next_at;
     }
 
-    /// One page of the view for a client outside the fleet; this member itself comes first.
-    pub(super) fn answer_query(&mut self, to: SocketAddr, offset: u32) {
-        let own = self.own_member();
-        let all = std::iter::once(&own).chain(self.members());
-        let mut page = Vec::new();
-        let mut free_bytes = MAX_UPDATE_BYTES;
-        for member in all.skip(offset as usize) {
-            let update = Update::Member { member: member.clone(), reported_by: String::new() };
-            let size = encoded_size(&update);
-            if size > free_bytes {
-                break;
-            }
-            free_bytes -= size;
-            page.push(update);
+    /// The addresses to compare views with now: in turn that of a live member, and of a seed or a dead one.
+    pub(super) fn next_peers(&mut self, members: &MemberTable, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
+        self.compared_outside = !self.compared_outside;
+        let live: BTreeSet<SocketAddr> = members.live().map(|member| member.address).collect();
+        let dead = members.all().filter(|member| member.state == MemberState::Dead);
+        let dead = dead.map(|member| member.address);
+        let outside: Vec<SocketAddr> =
+            self.seeds.iter().copied().chain(dead).filter(|address| !live.contains(address)).collect();
+        // A member that knows no live one contacts every seed: any single one may be down.
+        if live.is_empty() {
+            return outside;
         }
-        let total = self.members.len() as u32 + 1;
-        self.send_exactly(to, MessageKind::View { offset, total }, page);
+        let candidates =
+            if self.compared_outside && !outside.is_empty() { outside } else { live.into_iter().collect() };
+        candidates.choose(rng).copied().into_iter().collect()
+    }
+
+    /// Whether a complete view may be sent now, which then counts.
+    pub(super) fn try_acquire_view(&mut self, now: Timestamp) -> bool {
+        self.view_limiter.try_acquire(now)
     }
 }
--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -3,7 +3,7 @@
 use crate::Timestamp;
 use std::collections::VecDeque;
 
-/// Most events kept until they are taken; older ones are dropped first.
+/// Maximum number of events retained until they are taken; the oldest are dropped first.
 const MAX_EVENTS: usize = 1_024;
 
 /// What happened to a member of the view.
@@ -19,7 +19,7 @@
     Refuted,
     /// It was declared dead.
     Died,
-    /// It left in order.
+    /// It announced that it leaves, and left.
     Left,
     /// Another, later process has this member's own name.
     Superseded,
@@ -47,13 +47,13 @@
     pub received: u64,
     /// Direct probes that were not answered in time.
     pub indirect_probes: u64,
-    /// Suspicions begun by this member's own probes.
+    /// Suspicions that were begun by this member's own probes.
     pub suspicions: u64,
     /// Updates on itself that this member refuted.
     pub refutations: u64,
     /// Times that this member found itself stopped.
     pub stops: u64,
-    /// Whole views sent.
+    /// Complete views sent.
     pub views_sent: u64,
     /// Members ignored because of [`crate::swim::MAX_MEMBERS`].
     pub members_over_limit: u64,
--- a/crates/membership/src/swim/gossip_queue.rs
+++ b/crates/membership/src/swim/gossip_queue.rs
@@ -5,7 +5,7 @@
 use crate::message::{Member, Update};
 use std::collections::BTreeMap;
 
-/// No update is smaller than this: with fewer bytes left a datagram is full.
+/// Smallest size of an update, in bytes: with fewer left a datagram is full.
 const MIN_UPDATE_BYTES: usize = 48;
 
 /// What an update is about; states come before payloads.
@@ -56,7 +56,8 @@
         self.updates.insert(subject, QueuedUpdate { update, transmissions: 0 });
     }
 
-    /// Updates that fit into this many bytes, for one message: states before payloads, then those transmitted least.
+    /// Updates that fit into this many bytes, for one message: states before payloads, then those with the fewest
+    /// transmissions.
     /// Each counts as transmitted; it leaves the queue at `max_transmissions`.
     pub(super) fn take_for_message(&mut self, mut free_bytes: usize, max_transmissions: u32) -> Vec<Update> {
         let mut order: Vec<(bool, u32, Subject)> = Vec::with_capacity(self.updates.len());
--- a/crates/membership/src/swim/local_health.rs
+++ b/crates/membership/src/swim/local_health.rs
@@ -1,4 +1,5 @@
-//! Lifeguard's local health: a member in trouble itself probes more slowly.
+//! Lifeguard's local health: a member that is itself overloaded or badly connected probes more slowly, so that it does not
+//! suspect others for its own delays.
 
 /// The local health score: 0 is healthy; intervals and time-outs are multiplied by 1 + the score.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +23,7 @@
         f64::from(1 + self.score)
     }
 
-    /// Notes signs of trouble: missing nacks, an own refutation, a stop.
+    /// Notes signs of poor health: missing nacks, a refutation of its own, a stop.
     pub(super) fn worsen(&mut self, by: u32) {
         self.score = (self.score + by).min(self.max_score);
     }
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/node/sending.rs
@@ -1,25 +1,17 @@
-//! Sending: updates ride on every message, and gossip rounds carry what is left (SWIM 4.1).
+//! Sending: updates are piggybacked on every message, and gossip rounds carry what is left (SWIM 4.1).
 
-use super::member_table::MemberEntry;
-use super::node::{OutgoingMessage, SwimNode};
+use super::{OutgoingMessage, SwimNode};
 use crate::encoder::encoded_size;
-use crate::message::{Member, MemberState, Message, MessageKind, Sender, Update};
+use crate::message::{Message, MessageKind, Update};
 use crate::wire::MAX_DATAGRAM_BYTES;
-use crate::TimeDelta;
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// Bytes of a datagram for updates: the rest is the header, two names and an address at most.
+/// Maximum size of a message's updates, in bytes: the rest of the datagram is the header, at most two names and an
+/// address.
 pub(super) const MAX_UPDATE_BYTES: usize = MAX_DATAGRAM_BYTES - 140;
-/// Gossip is also sent to the dead for this long, 30 s, so that one wrongly declared dead receives it and refutes.
-const GOSSIP_TO_DEAD: TimeDelta = TimeDelta::from_micros(30_000_000);
 
 impl SwimNode {
-    /// Queues an update of a member's state.
-    pub(super) fn enqueue_member(&mut self, member: Member, reported_by: String) {
-        self.gossip_queue.enqueue_member(member, reported_by);
-    }
-
     /// Sends a message with queued updates.
     pub(super) fn send(&mut self, to: SocketAddr, kind: MessageKind) {
         self.send_with_updates(to, kind, Vec::new());
@@ -36,12 +28,17 @@
     /// Sends a message with these updates only.
     pub(super) fn send_exactly(&mut self, to: SocketAddr, kind: MessageKind, updates: Vec<Update>) {
         self.counters.sent += 1;
-        let sender = Sender {
-            name: self.local.name.clone(),
-            generation: self.local.generation,
-            address: self.local.address,
-        };
-        self.outbox.push(OutgoingMessage { to, message: Message { sender, kind, updates } });
+        let message = Message { sender: self.local.sender(), kind, updates };
+        self.outbox.push(OutgoingMessage { to, message });
+    }
+
+    /// Answers a message. Whoever accuses this member gets the refutation with the answer, whatever else is queued.
+    pub(super) fn answer(&mut self, to: SocketAddr, kind: MessageKind, is_accused: bool) {
+        let mut updates = Vec::new();
+        if is_accused {
+            updates.push(self.local.report(self.local.member()));
+        }
+        self.send_with_updates(to, kind, updates);
     }
 
     /// Sends a round of gossip to this many members, drawn at random.
@@ -49,14 +46,7 @@
         if self.gossip_queue.is_empty() {
             return;
         }
-        let now = self.last_tick;
-        let receives_gossip = |entry: &&MemberEntry| {
-            let died_recently =
-                entry.member.state == MemberState::Dead && now - entry.changed_at < GOSSIP_TO_DEAD;
-            entry.is_live() || died_recently
-        };
-        let mut addresses: Vec<SocketAddr> =
-            self.members.values().filter(receives_gossip).map(|entry| entry.member.address).collect();
+        let mut addresses = self.members.gossip_addresses(self.last_tick);
         addresses.shuffle(&mut self.rng);
         for address in addresses.into_iter().take(fanout) {
             if self.gossip_queue.is_empty() {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -5,16 +5,20 @@
 //! the kind, the number of updates (1) and the updates, and the CRC-32 of all that. Texts have their length before them
 //! (1). Only the own version is read: members of two versions are two fleets.
 
-/// Longest datagram, in bytes: one Ethernet frame with room for headers, so that none is fragmented.
+/// Longest datagram, in bytes: it fits into one Ethernet frame with its headers, so that none is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Begins every datagram.
+/// The first bytes of every datagram.
 pub(crate) const MAGIC: [u8; 2] = *b"SL";
 /// Version of the format.
 pub(crate) const VERSION: u8 = 1;
+/// Offset of the version in a datagram, in bytes.
+pub(crate) const VERSION_OFFSET: usize = 2;
+/// Offset of the message's kind in a datagram, in bytes.
+pub(crate) const KIND_OFFSET: usize = 3;
 /// Bytes of the checksum at the end.
 pub(crate) const CRC_BYTES: usize = 4;
-/// Most updates of a message: their number is one byte.
+/// Maximum number of updates of a message: their number is one byte.
 pub(crate) const MAX_UPDATES: usize = 255;
 
 /// [`crate::MessageKind::Ping`].
