--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -260,7 +260,7 @@
         self.has_disk_lied |= self.is_disk_lying;
         match wal.write(&write) {
             Ok(()) => {}
-            Err(WalError::Refused(_)) => return true,
+            Err(WalError::WriteRejected(_)) => return true,
             Err(_) => return false,
         }
         self.writing.pop_front();
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file operations that the log needs: the seam at which tests and simulators inject faults.
+//! The file operations that the log needs: the interface at which tests and simulators inject faults.
 
 use std::io;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 /// Why a file operation failed.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum DiskError {
-    /// No space is left, or the write was refused; part of the bytes may be in the file.
+    /// No space is left, or the write was rejected; part of the bytes may be in the file.
     #[error("no space left")]
     NoSpace,
     /// The file does not exist.
--- a/crates/wal/src/fault_disk.rs
+++ b/crates/wal/src/fault_disk.rs
@@ -1,6 +1,6 @@
 //! An in-memory disk whose faults are drawn from a seed, for simulators and tests.
 //!
-//! What it models: bytes and names that no sync has covered can be lost at a crash, partly or as a whole; a lying sync
+//! What it models: bytes and names that no sync has covered can be lost at a crash, partly or completely; a lying sync
 //! succeeds and covers nothing; an append can fail with part of it written; a bit can flip. Slow syncs are
 //! the simulator's part: it delays the report that a batch is on disk.
 
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Size of the disk sector that may stay empty in a torn tail, bytes.
+/// Size of a disk sector, bytes: one may stay zero in a torn tail.
 const SECTOR_BYTES: usize = 512;
 
 /// Names one file, whatever it is renamed to.
@@ -48,7 +48,7 @@
     rng: ChaCha8Rng,
     /// The faults from here on.
     pub faults: Faults,
-    /// Number of syncs that lied.
+    /// Number of syncs that succeeded without making anything durable.
     pub lied_syncs: u64,
     /// Number of file syncs that were called.
     pub file_syncs: u64,
@@ -116,7 +116,7 @@
         self.files.retain(|id, _| named.contains(id));
     }
 
-    /// Whether a sync goes on to make things durable: false when it lies.
+    /// Whether a sync is to make anything durable: false for a lying sync.
     fn begin_sync(&mut self) -> Result<bool, DiskError> {
         if self.faults.failing_sync {
             return Err(io::Error::other("injected sync failure").into());
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,10 +1,10 @@
 //! The write-ahead log of a consensus member: an append-only, checksummed log that is synced before the member sends
-//! any message that rests on it.
+//! any message that depends on it.
 //!
 //! # On-disk format
 //!
 //! A directory holds one *segment* file, `gen-` and sixteen hexadecimal digits: the sequence number of the segment's
-//! first batch. A segment is a list of *records*; each record is one [`WriteBatch`] behind a header with a magic word, its
+//! first batch. A segment is a list of *records*; each record is one [`WriteBatch`] behind a header with a magic number, its
 //! length, its sequence number, the checksum of the record before it and its own checksum (CRC-32). The byte
 //! layout is described in `record.rs`, the payload in `proto/wal.proto`.
 //!
@@ -17,13 +17,14 @@
 //! [`Wal::open`] returns all batches up to the last intact record. A torn tail is truncated and reported
 //! ([`Recovered::torn_tail`]). Whether the truncated batch had been acknowledged is known only to the member's peers, which
 //! is why every batch has a sequence number for them to remember. A damaged record with an intact one behind it is not a
-//! torn tail: [`Wal::open`] fails with [`WalError::Corrupt`] and the member stays out.
+//! torn tail: [`Wal::open`] fails with [`WalError::Corrupt`] and the member does not take part.
 //!
 //! All file operations go through [`Disk`]: [`DirectoryDisk`] is a real directory, [`FaultDisk`] an in-memory disk with
 //! seeded faults for simulators and tests. Bounds are in [`limits`].
 
 mod directory_disk;
 mod disk;
+mod error;
 mod fault_disk;
 pub mod limits;
 mod record;
@@ -33,7 +34,8 @@
 
 pub use directory_disk::DirectoryDisk;
 pub use disk::{Disk, DiskError};
+pub use error::WalError;
 pub use fault_disk::{FaultDisk, Faults};
 pub use record::{Entry, Snapshot, WriteBatch};
 pub use recovery::{Corruption, TornTail};
-pub use wal::{Recovered, Wal, WalError};
+pub use wal::{Recovered, Wal};
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -33,6 +33,16 @@
 /// Offset of the record's own checksum in the header, bytes.
 const CHECKSUM_OFFSET: usize = 20;
 
+/// In place of the previous record's checksum in the first record of a segment.
+pub(crate) const FIRST_PREVIOUS_CHECKSUM: u32 = 0;
+
+/// An encoded record.
+#[derive(Debug)]
+pub(crate) struct EncodedRecord {
+    pub bytes: Vec<u8>,
+    pub checksum: u32,
+}
+
 /// A record whose own checksum is right.
 #[derive(Debug)]
 pub(crate) struct Record<'a> {
@@ -43,15 +53,14 @@
 }
 
 impl Record<'_> {
-    /// Length of the whole record, bytes.
+    /// Length of the record with its header, bytes.
     pub fn encoded_length(&self) -> usize {
         HEADER_BYTES + self.payload.len()
     }
 }
 
-/// Encodes a batch as a record and returns its bytes and checksum; `None` when the payload is longer than
-/// [`MAX_RECORD_BYTES`].
-pub(crate) fn encode(batch: &WriteBatch, previous_checksum: u32) -> Option<(Vec<u8>, u32)> {
+/// Encodes a batch as a record; `None` when the payload is longer than [`MAX_RECORD_BYTES`].
+pub(crate) fn encode(batch: &WriteBatch, previous_checksum: u32) -> Option<EncodedRecord> {
     let payload_length = batch.encoded_len();
     if payload_length > MAX_RECORD_BYTES {
         return None;
@@ -65,7 +74,7 @@
     bytes.extend_from_slice(&batch.encode_to_vec());
     let checksum = checksum_of(&bytes);
     bytes[CHECKSUM_OFFSET..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
-    Some((bytes, checksum))
+    Some(EncodedRecord { bytes, checksum })
 }
 
 /// Decodes the record at the front of `bytes`; `None` when there is no complete record with a right checksum.
@@ -98,13 +107,13 @@
 }
 
 fn read_u32(bytes: &[u8], offset: usize) -> u32 {
-    let mut word = [0; 4];
-    word.copy_from_slice(&bytes[offset..offset + 4]);
-    u32::from_le_bytes(word)
+    let mut buffer = [0; size_of::<u32>()];
+    buffer.copy_from_slice(&bytes[offset..offset + size_of::<u32>()]);
+    u32::from_le_bytes(buffer)
 }
 
 fn read_u64(bytes: &[u8], offset: usize) -> u64 {
-    let mut word = [0; 8];
-    word.copy_from_slice(&bytes[offset..offset + 8]);
-    u64::from_le_bytes(word)
+    let mut buffer = [0; size_of::<u64>()];
+    buffer.copy_from_slice(&bytes[offset..offset + size_of::<u64>()]);
+    u64::from_le_bytes(buffer)
 }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -49,6 +49,14 @@
     },
 }
 
+/// A damaged record, and where it starts.
+#[derive(Debug)]
+pub(crate) struct CorruptRecord {
+    /// Offset in the segment, bytes.
+    pub offset: u64,
+    pub reason: Corruption,
+}
+
 /// What was truncated from the end of a segment: the rest of a batch whose write was interrupted by a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TornTail {
@@ -130,8 +138,8 @@
 /// Reads a segment whose first record is that of batch `first_sequence`.
 ///
 /// # Errors
-/// The offset of the damaged record, and what is wrong with it.
-pub(crate) fn read_segment(bytes: &[u8], first_sequence: u64) -> Result<SegmentContent, (u64, Corruption)> {
+/// The first damaged record.
+pub(crate) fn read_segment(bytes: &[u8], first_sequence: u64) -> Result<SegmentContent, CorruptRecord> {
     let mut content = SegmentContent::default();
     let mut offset = 0;
     while offset < bytes.len() {
@@ -139,7 +147,8 @@
         let Some(record) = record::decode(rest) else {
             // A record is synced before the next one is written, so nothing intact can follow a torn record.
             if let Some(later) = find_later_record(rest, content.sequence) {
-                return Err((offset as u64, Corruption::DamagedBeforeTail { later }));
+                let reason = Corruption::DamagedBeforeTail { later };
+                return Err(CorruptRecord { offset: offset as u64, reason });
             }
             content.torn_tail = Some(TornTail {
                 sequence: content.sequence + 1,
@@ -149,12 +158,14 @@
             break;
         };
         let expected_sequence = if offset == 0 { first_sequence } else { content.sequence + 1 };
-        content.add_record(&record, expected_sequence).map_err(|reason| (offset as u64, reason))?;
+        content
+            .add_record(&record, expected_sequence)
+            .map_err(|reason| CorruptRecord { offset: offset as u64, reason })?;
         offset += record.encoded_length();
     }
     if content.length == 0 {
         // A segment gets its name only after its first record is synced, so that record cannot be torn.
-        return Err((0, Corruption::FirstRecordIncomplete));
+        return Err(CorruptRecord { offset: 0, reason: Corruption::FirstRecordIncomplete });
     }
     Ok(content)
 }
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -1,7 +1,7 @@
 //! The names of the log's files.
 
+use crate::error::WalError;
 use crate::limits::MAX_FILES;
-use crate::wal::WalError;
 
 /// Name of a segment while its first record is being written.
 pub(crate) const TEMPORARY_NAME: &str = "aside";
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -1,55 +1,12 @@
-//! The log itself: opening it, writing to it, and what each failure means for the member.
+//! The log itself: opening it and writing to it.
 
 use crate::disk::{Disk, DiskError};
-use crate::limits::{MAX_FILES, MAX_SEGMENT_BYTES};
-use crate::record::{self, Entry, Snapshot, WriteBatch};
-use crate::recovery::{self, Corruption, TornTail};
+use crate::error::WalError;
+use crate::limits::MAX_SEGMENT_BYTES;
+use crate::record::{self, Entry, Snapshot, WriteBatch, FIRST_PREVIOUS_CHECKSUM};
+use crate::recovery::{self, CorruptRecord, TornTail};
 use crate::segment::{self, Listing, Segment, TEMPORARY_NAME};
 
-/// Why the log could not be opened or written.
-#[derive(Debug, Clone, thiserror::Error)]
-pub enum WalError {
-    /// The directory holds a file that is not the log's.
-    #[error("not a directory of a write-ahead log: it holds {name}")]
-    ForeignFile {
-        /// The file.
-        name: String,
-    },
-    /// The directory holds more than [`MAX_FILES`] files.
-    #[error("not a directory of a write-ahead log: it holds over {MAX_FILES} files")]
-    TooManyFiles,
-    /// A record before the last one is damaged, so nothing in the directory can be trusted. The member stays out until it
-    /// is removed and added again with an empty directory and a new incarnation.
-    #[error("{segment} is corrupt at byte {offset}")]
-    Corrupt {
-        /// The segment's file.
-        segment: String,
-        /// Where the damaged record starts, bytes.
-        offset: u64,
-        /// What is wrong there.
-        #[source]
-        reason: Corruption,
-    },
-    /// Nothing of the batch is on disk. It may be written again; no message that rests on it may be sent.
-    #[error("the write was refused")]
-    Refused(#[source] DiskError),
-    /// The segment is at [`MAX_SEGMENT_BYTES`], or the batch is over its bound: a batch with a snapshot is due.
-    #[error("the log is full: a snapshot is due")]
-    Full,
-    /// It is unknown what is on disk. The process must stop and open the log again: a failed sync must not be
-    /// repeated, because the system may have dropped the pages that it could not write.
-    #[error("it is unknown what is on disk")]
-    Failed(#[source] DiskError),
-    /// The batch's sequence number is not the next one.
-    #[error("batch {found} was written where batch {expected} is due")]
-    OutOfOrder {
-        /// The number that is due.
-        expected: u64,
-        /// The number of the batch.
-        found: u64,
-    },
-}
-
 /// What an opened log holds.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Recovered {
@@ -110,7 +67,9 @@
         let bytes = self.disk.read(&name).map_err(WalError::Failed)?;
         let content = match recovery::read_segment(&bytes, segment.first_sequence) {
             Ok(content) => content,
-            Err((offset, reason)) => return Err(WalError::Corrupt { segment: name, offset, reason }),
+            Err(CorruptRecord { offset, reason }) => {
+                return Err(WalError::Corrupt { segment: name, offset, reason });
+            }
         };
         if content.torn_tail.is_some() {
             self.disk.truncate(&name, content.length).map_err(WalError::Failed)?;
@@ -144,7 +103,7 @@
     /// Writes one batch and syncs it. Only after `Ok` may a message be sent that rests on it.
     ///
     /// # Errors
-    /// [`WalError::Refused`] and [`WalError::Full`]: nothing was written, the same number may be written again.
+    /// [`WalError::WriteRejected`] and [`WalError::Full`]: nothing was written, the same number may be written again.
     /// [`WalError::OutOfOrder`]: a fault of the caller. [`WalError::Failed`]: from then on always.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), WalError> {
         if let Some(error) = &self.failure {
@@ -161,41 +120,46 @@
     }
 
     fn append_record(&mut self, segment: String, batch: &WriteBatch) -> Result<(), WalError> {
-        let (bytes, checksum) = record::encode(batch, self.tail.checksum).ok_or(WalError::Full)?;
-        let length = self.tail.length + bytes.len() as u64;
+        let record = record::encode(batch, self.tail.checksum).ok_or(WalError::Full)?;
+        let length = self.tail.length + record.bytes.len() as u64;
         if length > MAX_SEGMENT_BYTES {
             return Err(WalError::Full);
         }
-        if let Err(error) = self.disk.append(&segment, &bytes) {
+        if let Err(error) = self.disk.append(&segment, &record.bytes) {
             // Part of the record may be in the file. Unless it is truncated, nothing may be written behind it.
             return Err(match self.disk.truncate(&segment, self.tail.length) {
-                Ok(()) => WalError::Refused(error),
+                Ok(()) => WalError::WriteRejected(error),
                 Err(_) => self.fail(error),
             });
         }
         if let Err(error) = self.disk.sync(&segment) {
             return Err(self.fail(error));
         }
-        self.tail = Tail { segment: Some(segment), length, sequence: batch.sequence, checksum };
+        self.tail =
+            Tail { segment: Some(segment), length, sequence: batch.sequence, checksum: record.checksum };
         Ok(())
     }
 
     fn start_segment(&mut self, batch: &WriteBatch) -> Result<(), WalError> {
-        let (bytes, checksum) = record::encode(batch, 0).ok_or(WalError::Full)?;
+        let record = record::encode(batch, FIRST_PREVIOUS_CHECKSUM).ok_or(WalError::Full)?;
         let name = segment::name(batch.sequence);
-        if let Err(error) = self.write_temporary(&bytes) {
-            // The old segment is unchanged. A temporary file that can't be removed now goes when the log is opened.
+        if let Err(error) = self.write_temporary(&record.bytes) {
+            // The old segment is unchanged. A temporary file that can't be removed now is removed when the log is opened.
             let _ = self.disk.remove(TEMPORARY_NAME);
-            return Err(WalError::Refused(error));
+            return Err(WalError::WriteRejected(error));
         }
         if let Err(error) = self.publish_temporary(&name) {
             return Err(self.fail(error));
         }
         let old_segment = self.tail.segment.take();
-        self.tail =
-            Tail { segment: Some(name), length: bytes.len() as u64, sequence: batch.sequence, checksum };
+        self.tail = Tail {
+            segment: Some(name),
+            length: record.bytes.len() as u64,
+            sequence: batch.sequence,
+            checksum: record.checksum,
+        };
         if let Some(old_segment) = old_segment {
-            // Only to free space: a segment that is left behind goes when the log is opened.
+            // Only to free space: a segment that is left behind is removed when the log is opened.
             let _ = self.disk.remove(&old_segment);
         }
         Ok(())
@@ -227,7 +191,7 @@
         self.tail.sequence
     }
 
-    /// Gives the disk back.
+    /// Returns the disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
--- a/crates/wal/tests/golden.rs
+++ b/crates/wal/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden: a log's folder written by the program of before the readability work. It is read as what was written, and
-//! what is written today has the same bytes under the same names.
+//! Golden: a log's directory written by an earlier release. It is read as what was written, and what is written today has
+//! the same bytes under the same names.
 
 use sprucelink_wal::{DirectoryDisk, Entry, Recovered, Snapshot, TornTail, Wal, WriteBatch};
 use std::path::{Path, PathBuf};
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -120,11 +120,11 @@
 fn refused_write_leaves_nothing_and_can_be_repeated() {
     let mut wal = filled_wal(FaultDisk::new(4), 3);
     wal.disk_mut().faults.disk_full = true;
-    assert!(matches!(wal.write(&batch(4, 7, 2)), Err(WalError::Refused(_))));
+    assert!(matches!(wal.write(&batch(4, 7, 2)), Err(WalError::WriteRejected(_))));
     let snapshot = Snapshot { index: 6, term: 3, data: vec![1] };
     let batch_with_snapshot =
         WriteBatch { sequence: 4, state: vec![], snapshot: Some(snapshot), entries: vec![] };
-    assert!(matches!(wal.write(&batch_with_snapshot), Err(WalError::Refused(_))));
+    assert!(matches!(wal.write(&batch_with_snapshot), Err(WalError::WriteRejected(_))));
     wal.disk_mut().faults.disk_full = false;
     assert!(matches!(wal.write(&batch(6, 7, 2)), Err(WalError::OutOfOrder { expected: 4, found: 6 })));
     wal.write(&batch(4, 7, 2)).unwrap();
@@ -154,7 +154,7 @@
 enum Step {
     Append(u64, u64),
     Snapshot(u64),
-    RefusedWrite,
+    RejectedWrite,
     Crash { torn: bool, during_write: bool },
 }
 
@@ -162,7 +162,7 @@
     let step = prop_oneof![
         6 => (0u64..4, 0u64..5).prop_map(|(back, count)| Step::Append(back, count)),
         1 => (0u64..6).prop_map(Step::Snapshot),
-        1 => Just(Step::RefusedWrite),
+        1 => Just(Step::RejectedWrite),
         2 => (any::<bool>(), any::<bool>()).prop_map(|(torn, during_write)| Step::Crash { torn, during_write }),
     ];
     proptest::collection::vec(step, 1..60)
@@ -205,7 +205,7 @@
                     };
                     wal.write(&batch).unwrap();
                 }
-                Step::RefusedWrite => {
+                Step::RejectedWrite => {
                     wal.disk_mut().faults.disk_full = true;
                     prop_assert!(wal.write(&batch(sequence, last + 1, 1)).is_err());
                     wal.disk_mut().faults.disk_full = false;
