--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -17,7 +17,7 @@
     pub election_ticks: u32,
     /// How much longer that time may be, drawn from the seed, in ticks: 5 to 100 (10).
     pub spread_ticks: u32,
-    /// How often a rejoining member asks the others: 20 ms to 10 s (100 ms).
+    /// How often a rejoining member sends requests to the others: 20 ms to 10 s (100 ms).
     pub rejoin_request_every: TimeDelta,
     /// How long a rejoining member waits for a majority of established members before responses of other rejoining members
     /// count: 1 s to 10 min (10 s).
@@ -100,7 +100,7 @@
     /// The first voters, the same list at each of them. Counts only where the store is empty; empty at a member that
     /// joins an existing group.
     pub founders: Vec<MemberId>,
-    /// The members that a member without a log asks when it starts: the voters of the group that it joins.
+    /// The members that a member without a log sends rejoin requests to when it starts: the voters of the group that it joins.
     pub contacts: Vec<MemberId>,
     /// The times.
     pub timing: Timing,
--- a/crates/consensus/src/convert.rs
+++ b/crates/consensus/src/convert.rs
@@ -92,7 +92,7 @@
         Some(Snapshot { index: snapshot.index, term: snapshot.term, membership, data: snapshot.data })
     }
 
-    /// For the `raft` crate the whole snapshot is opaque data, beside the three fields that it reads.
+    /// For the `raft` crate the complete snapshot is opaque data, beside the three fields that it reads.
     pub(crate) fn to_raft(&self) -> eraftpb::Snapshot {
         let data = self.to_wire().encode_to_vec().into();
         let mut raft_snapshot = eraftpb::Snapshot { data, ..eraftpb::Snapshot::default() };
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -13,7 +13,7 @@
 use crate::wire::{Envelope, ForwardedProposal, RaftMessage, RejoinResponse};
 use prost::Message;
 
-/// The protocol version. Frames of another version are refused: a new version comes with a release that speaks both.
+/// The protocol version. Frames of another version are rejected: a new version comes with a release that supports both.
 pub const VERSION: u32 = 1;
 
 /// Length of the length in front of an envelope, bytes.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -8,25 +8,25 @@
 //!
 //! # Disks that lose acknowledged writes
 //!
-//! Raft is safe only if what a member acknowledged is still on its disk after a restart. Two mechanisms guard against
-//! disks that lose acknowledged writes:
+//! Raft is safe only if what a member acknowledged is still on its disk after a restart. Two mechanisms protect the group
+//! from disks that lose acknowledged writes:
 //!
-//! - **Acknowledgement check.** Every message says what its sender has acknowledged ([`AckState`]): the number of its last
-//!   synced batch, its term, vote and last entry. Members remember the most that they saw of each other, write it to disk with
-//!   their own batches, and tell it to a member that restarts. A member whose disk holds less is quarantined for good:
-//!   it neither votes nor acknowledges, and has to come back under a new incarnation.
-//! - **Floors and crash vectors.** What was lost need not have been seen by those that respond. So a restarted member
-//!   takes part only when a majority of the others told it their terms and last entries. It then votes in no
-//!   term up to the highest of these, for no candidate whose log is behind the furthest of these, and does not campaign before
-//!   its own log is as far ([`rejoin`]). Every message carries the newest boot of each member that its sender knows of; a
-//!   leader that learns of a member's newer boot forgets what that member acknowledged before it, and a candidate steps
+//! - **Acknowledgement check.** Every message carries what its sender has acknowledged ([`AckState`]): the number of its last
+//!   synced batch, its term, vote and last entry. Members remember the highest that they saw of each other, write it to disk
+//!   with their own batches, and send it to a member that restarts. A member whose disk holds less is quarantined
+//!   permanently: it neither votes nor acknowledges, and has to come back under a new incarnation.
+//! - **Floors and crash vectors.** Those that respond may not have seen what was lost. So a restarted member takes part
+//!   only when a majority of the others have sent it their terms and last entries. It then votes in no term up to the
+//!   highest of these, for no candidate whose log is behind the furthest of these, and does not campaign before its own log
+//!   is as far ([`rejoin`]). Every message carries the newest boot of each member that its sender knows of; a
+//!   leader that learns of a member's newer boot discards what that member acknowledged before it, and a candidate steps
 //!   down. This is the recovery of Viewstamped Replication Revisited (Liskov, Cowling, 2012) as corrected with crash
 //!   vectors by Michael, Ports, Sharma and Szekeres ("Recovering Shared Objects Without Stable Storage", DISC 2017).
 //!
-//! What remains possible: responses count as a rule only from members that are themselves established. When so many have
-//! restarted at once that no such majority can be had, responses of rejoining members count too (at once when
-//! all that can respond are rejoining, else after [`Timing::rejoin_patience`]). Then one disk that lost writes is still made up for,
-//! whatever it lost; two that lost the same entry are not, unless what a third one observed shows it.
+//! The remaining risk: normally only responses of members that are themselves established count. When too many have
+//! restarted at once for such a majority, responses of rejoining members count too (at once when all that can respond are
+//! rejoining, else after [`Timing::rejoin_patience`]). Then one disk that lost writes is still compensated for, whatever it
+//! lost; two that lost the same entry are not, unless what a third one observed shows it.
 //!
 //! Bounds are in [`limits`]; `docs/design/consensus.md` weighs the options.
 
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -16,8 +16,8 @@
 /// Another one is not remembered and gets no response.
 pub const MAX_PEERS: usize = 1024;
 
-/// Largest number of members outside of the known membership that a rejoining member asks because they sent it
-/// something. Further ones are not asked.
+/// Largest number of members outside of the known membership that a rejoining member sends requests to
+/// because they sent it something. Further ones get none.
 pub const MAX_UNLISTED_PEERS: usize = 16;
 
 /// Longest proposal, bytes: a log record is small; larger data belongs elsewhere, with its digest in the log. A longer
@@ -44,17 +44,17 @@
 /// Largest size of committed entries handed out at a time, bytes; the rest follows with the next `ready`.
 pub const MAX_COMMITTED_BYTES: u64 = 1 << 20;
 
-/// Largest number of entries kept in memory and on disk. At it a leader rejects proposals with `TooManyPending` and a
+/// Largest number of entries retained in memory and on disk. At it a leader rejects proposals with `TooManyPending` and a
 /// follower accepts no entries, until a snapshot is taken.
 pub const MAX_LOG_ENTRIES: u64 = 32 << 10;
 
-/// Largest size of the entries kept in memory and on disk, bytes. The same happens as at [`MAX_LOG_ENTRIES`].
+/// Largest size of the entries retained in memory and on disk, bytes. The same happens as at [`MAX_LOG_ENTRIES`].
 pub const MAX_LOG_BYTES: u64 = 16 << 20;
 
 /// Size of the entries since the last snapshot at which a new one is due, whatever their number, bytes.
 pub const SNAPSHOT_EVERY_BYTES: u64 = 4 << 20;
 
-/// Number of entries kept in memory before a snapshot, so that a member that is slightly behind needs no snapshot.
+/// Number of entries retained in memory before a snapshot, so that a member that is slightly behind needs no snapshot.
 pub const RETAINED_ENTRIES: u64 = 1024;
 
 /// Largest snapshot, bytes. A larger one is rejected with `TooLarge`, and the log then fills up to its bound.
@@ -76,8 +76,8 @@
 /// Largest number of messages queued for the next `ready`. At it further ones are dropped, as a network would.
 pub const MAX_QUEUED_MESSAGES: usize = 4096;
 
-/// Largest number of ticks made up for at once. After a longer gap the rest is skipped: the process itself was stopped,
-/// and what others sent meanwhile is still to be read.
+/// Largest number of missed ticks that are run at once. After a longer gap the rest is skipped: the process itself was
+/// stopped, and what others sent meanwhile is still to be read.
 pub const MAX_TICKS_AT_ONCE: i64 = 3;
 
 /// Highest term, index and boot number accepted from a message: beyond it sums could overflow.
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -55,7 +55,7 @@
         self.entries.back().map_or(self.compacted, |entry| LogPosition::new(entry.term, entry.index))
     }
 
-    /// The term of an entry that is held, or of the last compacted one.
+    /// The term of a retained entry, or of the last compacted one.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.compacted.index {
             return Some(self.compacted.term);
@@ -111,7 +111,7 @@
     }
 
     /// Takes the state machine's own snapshot after an applied entry, and retains some entries before it. False when the entry
-    /// is not held.
+    /// is not retained.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> bool {
         let Some(term) = self.term_at(index) else { return false };
         while self.memberships.get(1).is_some_and(|later| later.index <= index) {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -21,7 +21,7 @@
     AddLearner,
     /// A learner becomes a voter.
     Promote,
-    /// It is removed, for good under this incarnation.
+    /// It is removed permanently under this incarnation.
     Remove,
 }
 
--- a/crates/consensus/src/message_check.rs
+++ b/crates/consensus/src/message_check.rs
@@ -1,5 +1,5 @@
 //! What a Raft message must satisfy before the `raft` crate sees it. The crate trusts its peers and panics where a message
-//! can't be true; here such a message is dropped, or taken for the evidence that it is.
+//! can't be true; here such a message is dropped, or treated as evidence of lost or diverged entries.
 
 use crate::ids::LogPosition;
 use crate::limits::MAX_COUNT;
--- a/crates/consensus/src/node/apply.rs
+++ b/crates/consensus/src/node/apply.rs
@@ -59,8 +59,8 @@
         let current = VersionedMembership { index, membership: membership.clone() };
         self.raw_node.mut_store().push_membership(current);
         if !membership.contains(self.id) && self.raw_node.raft.state == StateRole::Leader {
-            // An earlier leader removed this member, which came to lead meanwhile: the library would go on and
-            // panic when it looks for its own progress.
+            // An earlier leader removed this member, which came to lead meanwhile: the library would continue
+            // and panic when it looks for its own progress.
             self.step_down();
         }
         ready.membership = Some(membership);
@@ -87,7 +87,7 @@
         self.advance_applied();
     }
 
-    /// Tells the raft library what is applied, as far as it is on disk.
+    /// Reports to the raft library what is applied, as far as it is on disk.
     fn advance_applied(&mut self) {
         let log = &self.raw_node.raft.raft_log;
         let index = self.progress.reported.min(log.committed).min(log.persisted);
--- a/crates/consensus/src/node/conf_change.rs
+++ b/crates/consensus/src/node/conf_change.rs
@@ -32,7 +32,7 @@
         self.propose_conf_change(ConfChange { kind: ConfChangeKind::Promote, member })
     }
 
-    /// Removes a member, for good under its incarnation.
+    /// Removes a member permanently: its incarnation can't be added again.
     ///
     /// # Errors
     /// When the change was not started; a leader transfers its leadership before it is removed.
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -41,7 +41,7 @@
 /// Whether a member takes part.
 #[derive(Debug)]
 enum Phase {
-    /// It has restarted and waits for responses of the others.
+    /// It has restarted and waits for the others' responses.
     Rejoining { quorum: RejoinQuorum, next_request_at: Timestamp },
     /// It takes part.
     Established,
@@ -87,7 +87,7 @@
     boot: u64,
     /// Random number of this boot.
     nonce: u64,
-    /// The members to ask while the log names none.
+    /// The members to send requests to while the log names none.
     contacts: VersionedMembership,
     peers: PeerTable,
     persistence: Persistence,
@@ -101,7 +101,7 @@
     leading_since: Option<Timestamp>,
     /// The role as last handed out.
     role: Option<RoleChange>,
-    /// A snapshot was asked for and not yet given.
+    /// A snapshot was requested and not yet taken.
     is_snapshot_requested: bool,
     /// When the snapshots that are being sent were last sent, by raw member.
     snapshots_sent_at: BTreeMap<u64, Timestamp>,
@@ -127,7 +127,7 @@
         self.is_established() && self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// Whether this member may ask for votes: its log must not be behind its floors.
+    /// Whether this member may request votes: its log must not be behind its floors.
     fn may_campaign(&self) -> bool {
         // Between the arrival of a snapshot and its being applied the library would look for entries that are gone.
         let is_snapshot_applied = self.progress.applied >= self.raw_node.store().snapshot_index();
--- a/crates/consensus/src/node/operator.rs
+++ b/crates/consensus/src/node/operator.rs
@@ -26,9 +26,9 @@
         Ok(())
     }
 
-    /// An operator vouches for the disk of a rejoining member, or lifts the log floors of an established one. To be
-    /// used only where members are lost for good and the disk is known to hold all that was acknowledged: this is what
-    /// rejoining is there to find out. False when there was nothing to lift.
+    /// An operator declares the disk of a rejoining member complete, or lifts the log floors of an established one. To be
+    /// used only where members are permanently lost and the disk is known to hold all that was acknowledged, which rejoining
+    /// otherwise establishes. False when there was nothing to lift.
     pub fn trust_disk(&mut self) -> bool {
         match self.phase {
             Phase::Rejoining { .. } => {
@@ -41,9 +41,9 @@
         true
     }
 
-    /// An operator says that a member's store is lost for good, so that nobody waits for what it held. A rejoining member
-    /// counts it as heard; an established one lifts the floor that it set. To be used where so many are lost that the others
-    /// can't rejoin by themselves: if this member's disk lost what only that store still held, it is lost.
+    /// An operator declares a member's store permanently lost, so that nobody waits for what it held. A rejoining member
+    /// counts it as a response; an established one lifts the floor that it set. To be used where the remaining members are
+    /// too few to rejoin by themselves: an entry that only that store still held is then lost.
     pub fn declare_lost(&mut self, member: MemberId) {
         match &mut self.phase {
             Phase::Rejoining { quorum, .. } => quorum.declare_lost(member),
--- a/crates/consensus/src/node/peer_liveness.rs
+++ b/crates/consensus/src/node/peer_liveness.rs
@@ -1,5 +1,5 @@
-//! What every frame says beside its body: which boots of the members its sender knows of, what the sender acknowledged, and a
-//! digest of its state.
+//! What every frame carries beside its body: the boots of the members that its sender knows of, what the sender
+//! acknowledged, and a digest of its state.
 
 use super::{Node, Phase};
 use crate::alarm::Alarm;
@@ -9,7 +9,7 @@
 use raft::StateRole;
 
 impl Node {
-    /// Takes note of all that a frame says beside its body.
+    /// Notes all that a frame carries beside its body.
     pub(super) fn observe_envelope(&mut self, from: MemberId, envelope: &Envelope) {
         if let Some(ack) = &envelope.acknowledged {
             self.peers.observe_ack(from, ack);
@@ -41,18 +41,19 @@
             quorum.restart();
             *next_request_at = self.now;
         } else {
-            // A response was lost that would have said so. What this boot acknowledged still counts; it only takes a higher number, so
-            // that it is heard again. Where another process runs under this member's id the alarm is raised again.
+            // The response that would have said so was lost. What this boot acknowledged still counts; it only takes a
+            // higher number, so that peers accept its frames again. Where another process runs under this member's id the
+            // alarm is raised again.
             self.persistence.is_state_due = true;
             self.raise_alarm(Alarm::DuplicateInstance { boot: known });
         }
     }
 
-    /// A peer has restarted: what it acknowledged before no longer counts. A leader forgets it and probes the peer's
+    /// A peer has restarted: what it acknowledged before no longer counts. A leader discards it and probes the peer's
     /// log again; a candidate, which may hold the peer's vote, steps down.
     pub(super) fn peer_restarted(&mut self, member: MemberId) {
         if let Phase::Rejoining { quorum, .. } = &mut self.phase {
-            quorum.forget(member);
+            quorum.discard_response(member);
         }
         match self.raw_node.raft.state {
             StateRole::Leader => {
--- a/crates/consensus/src/node/rejoin_exchange.rs
+++ b/crates/consensus/src/node/rejoin_exchange.rs
@@ -7,7 +7,7 @@
 use crate::membership::{Membership, VersionedMembership};
 use crate::peer_table::{is_ahead_of, BootStatus};
 use crate::pending_proposals::UnknownReason;
-use crate::rejoin::{LogFloor, RejoinAnswer, RejoinOutcome};
+use crate::rejoin::{LogFloor, RejoinOutcome, RejoinResponse};
 use crate::wire;
 use crate::wire::envelope::Body;
 
@@ -87,8 +87,8 @@
         if !response.accepted || response.known_boot != self.boot {
             return;
         }
-        let Some(answer) = answer_from_wire(&response) else { return };
-        quorum.add_answer(from, answer);
+        let Some(response) = response_from_wire(&response) else { return };
+        quorum.add_response(from, response);
         self.finish_rejoin();
     }
 
@@ -131,9 +131,9 @@
 }
 
 /// `None` when the membership is missing or invalid.
-fn answer_from_wire(response: &wire::RejoinResponse) -> Option<RejoinAnswer> {
+fn response_from_wire(response: &wire::RejoinResponse) -> Option<RejoinResponse> {
     let membership = Membership::from_wire(response.membership.as_ref()?, &[])?;
-    Some(RejoinAnswer {
+    Some(RejoinResponse {
         term: response.term,
         last: LogPosition::new(response.last_term, response.last_index),
         floors: response.floors.iter().map(floor_from_wire).collect(),
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -4,7 +4,8 @@
 use super::persistence::Persistence;
 use super::{ApplyProgress, Node, Outbox, Phase, StartError};
 use crate::alarm::QuarantineReason;
-use crate::config::Config;
+use crate::config::{Config, Timing};
+use crate::ids::MemberId;
 use crate::limits::{MAX_APPEND_BYTES, MAX_COMMITTED_BYTES, MAX_INFLIGHT_MESSAGES, MAX_UNCOMMITTED_BYTES};
 use crate::log_storage::LogStorage;
 use crate::membership::{Membership, VersionedMembership};
@@ -45,22 +46,18 @@
         let snapshot_index = storage.snapshot_index();
         let contacts = VersionedMembership { index: 0, membership: Membership::of_voters(&config.contacts) };
         let own_membership = storage.membership_on_disk().unwrap_or_else(|| contacts.clone());
-        let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw_node = RawNode::new(&raft_config(&config, snapshot_index), storage, &logger)
-            .map_err(StartError::Raft)?;
+        let raw_node = new_raft_node(&config, storage)?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nonce = rng.gen_range(1..=u64::MAX);
         let phase = initial_phase(&config, state.quarantined, own_membership, now);
-        let shortest_timeout = config.timing.election_ticks as usize;
-        let longest_timeout = shortest_timeout + config.timing.spread_ticks as usize;
         let mut persistence =
             Persistence::new(recovered_ack, last_batch, now + config.timing.peer_acks_every);
         persistence.is_snapshot_due = is_founding;
         let mut node = Node {
             id: config.member,
-            timing: config.timing,
             raw_node,
-            election_timeout: ElectionTimeout::new(rng, shortest_timeout, longest_timeout),
+            election_timeout: election_timeout(&config.timing, rng),
+            timing: config.timing,
             phase,
             floors: RejoinFloors::default(),
             boot: state.boot + 1,
@@ -85,6 +82,18 @@
     }
 }
 
+fn new_raft_node(config: &Config, storage: LogStorage) -> Result<RawNode<LogStorage>, StartError> {
+    let raft_config = raft_config(config, storage.snapshot_index());
+    let logger = slog::Logger::root(slog::Discard, slog::o!());
+    RawNode::new(&raft_config, storage, &logger).map_err(StartError::Raft)
+}
+
+fn election_timeout(timing: &Timing, rng: ChaCha8Rng) -> ElectionTimeout {
+    let shortest_ticks = timing.election_ticks as usize;
+    let longest_ticks = shortest_ticks + timing.spread_ticks as usize;
+    ElectionTimeout::new(rng, shortest_ticks, longest_ticks)
+}
+
 /// A member rejoins first, unless its disk says that it is quarantined.
 fn initial_phase(
     config: &Config,
@@ -101,7 +110,7 @@
 
 /// The log that was on disk. At a founder with an empty store it starts with the founders as a snapshot, so that members
 /// that join later get them as such.
-fn open_log(recovered: RecoveredState, founders: &[crate::MemberId]) -> Result<LogStorage, StartError> {
+fn open_log(recovered: RecoveredState, founders: &[MemberId]) -> Result<LogStorage, StartError> {
     let last_index = recovered.last_position().index;
     let mut hard_state = HardState {
         term: recovered.state.term,
--- a/crates/consensus/src/node/step.rs
+++ b/crates/consensus/src/node/step.rs
@@ -33,7 +33,7 @@
         self.learn_boot(from, envelope.boot, envelope.nonce);
         self.observe_envelope(from, &envelope);
         if let Phase::Rejoining { quorum, .. } = &mut self.phase {
-            quorum.heard_from(from);
+            quorum.note_sender(from);
         }
         self.handle_body(from, envelope);
     }
--- a/crates/consensus/src/node/tick.rs
+++ b/crates/consensus/src/node/tick.rs
@@ -43,7 +43,7 @@
         }
         *next_request_at = now + self.timing.rejoin_request_every;
         let request = RejoinRequest { nonce: self.nonce, term: self.raw_node.raft.term };
-        let messages = quorum.members_to_ask().into_iter().map(|to| (to, Body::RejoinRequest(request)));
+        let messages = quorum.request_targets().into_iter().map(|to| (to, Body::RejoinRequest(request)));
         self.outbox.immediate.extend(messages);
     }
 
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -102,8 +102,8 @@
         true
     }
 
-    /// Learns of a boot from the rejoin request of the peer itself. A boot with the known number counts only under the known nonce:
-    /// the peer's disk may have lost the counter, and two boots with one number must not be taken for one.
+    /// Learns of a boot from the rejoin request of the peer itself. A boot with the known number counts only under the known
+    /// nonce: the peer's disk may have lost the counter, and two boots with one number must not be confused.
     pub fn rejoin_request(&mut self, member: MemberId, boot: u64, nonce: u64) -> Option<BootStatus> {
         self.requests += 1;
         let request = self.requests;
--- a/crates/consensus/src/pending_proposals.rs
+++ b/crates/consensus/src/pending_proposals.rs
@@ -32,11 +32,11 @@
 /// Why the outcome of a proposal is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownReason {
-    /// Nothing was heard of it in time.
+    /// It was not committed within the proposal timeout.
     TimedOut,
     /// The leader rejected it (a copy of it may still be on the way).
     RejectedByLeader,
-    /// A snapshot covers the place where it may be.
+    /// A snapshot covers the part of the log where it may be.
     CoveredBySnapshot,
     /// This member is quarantined.
     Quarantined,
--- a/crates/consensus/src/proposal_dedup.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -1,18 +1,20 @@
 //! Detecting duplicates of a proposal, for whoever applies entries. A part of the applied state: the same at every member,
-//! and to be kept in its snapshots.
+//! and to be stored in its snapshots.
 
 use crate::ids::ProposalId;
 use crate::limits::MAX_ORIGINS;
 use std::collections::BTreeMap;
 
-/// How far below an origin's highest sequence others can still be recognised, in sequences.
+/// How far below an origin's highest sequence duplicates can still be recognised, in sequences.
 pub const SEQUENCE_WINDOW: u64 = 512;
-/// Number of 64-bit words in an origin's window.
-const WINDOW_WORDS: usize = (SEQUENCE_WINDOW / 64) as usize;
-/// Length of a word when encoded, bytes.
-const WORD_BYTES: usize = 8;
-/// Length of one origin when encoded, bytes: the origin, its highest sequence, and its window.
-const ORIGIN_BYTES: usize = (2 + WINDOW_WORDS) * WORD_BYTES;
+/// Number of sequences in one block of the window's bitset: the bits of a `u64`.
+const BLOCK_BITS: u64 = u64::BITS as u64;
+/// Number of blocks in the bitset of an origin's window.
+const WINDOW_BLOCKS: usize = (SEQUENCE_WINDOW / BLOCK_BITS) as usize;
+/// Number of 64-bit numbers of one origin when encoded: the origin, its highest sequence, and its window's blocks.
+const ORIGIN_NUMBERS: usize = 2 + WINDOW_BLOCKS;
+/// Length of one origin when encoded, bytes.
+const ORIGIN_BYTES: usize = ORIGIN_NUMBERS * size_of::<u64>();
 
 /// Whether a proposal is a duplicate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,8 +23,9 @@
     New,
     /// It was recorded before: to be dropped.
     Duplicate,
-    /// It is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it is not known whether it was recorded: to be dropped. A proposer with at most
-    /// `MAX_PENDING_PROPOSALS` (256) open proposals never gets this for one that was not applied.
+    /// It is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it is not known whether it was recorded: to be
+    /// dropped. A proposer with at most `MAX_PENDING_PROPOSALS` (256) open proposals never gets this for one that was not
+    /// applied.
     TooOld,
     /// It has a new origin and [`MAX_ORIGINS`] are remembered: to be dropped. Old origins should be retired.
     TooManyOrigins,
@@ -40,24 +43,27 @@
 struct OriginWindow {
     highest: u64,
     /// Bit `sequence % SEQUENCE_WINDOW` represents a sequence, for the last [`SEQUENCE_WINDOW`] of them.
-    seen: [u64; WINDOW_WORDS],
+    seen: [u64; WINDOW_BLOCKS],
 }
 
 impl OriginWindow {
-    /// The word and the bit in it that represent a sequence.
-    fn word_and_bit(sequence: u64) -> (usize, u64) {
-        let place = sequence % SEQUENCE_WINDOW;
-        ((place / 64) as usize, 1 << (place % 64))
+    /// The index of the block that represents a sequence.
+    fn block_index(sequence: u64) -> usize {
+        (sequence % SEQUENCE_WINDOW / BLOCK_BITS) as usize
+    }
+
+    /// The bit in that block.
+    fn bit_mask(sequence: u64) -> u64 {
+        1 << (sequence % BLOCK_BITS)
     }
 
     /// Moves the window up to a higher sequence.
     fn advance_to(&mut self, sequence: u64) {
         if sequence - self.highest >= SEQUENCE_WINDOW {
-            self.seen = [0; WINDOW_WORDS];
+            self.seen = [0; WINDOW_BLOCKS];
         } else {
             for skipped in self.highest + 1..=sequence {
-                let (word, bit) = Self::word_and_bit(skipped);
-                self.seen[word] &= !bit;
+                self.seen[Self::block_index(skipped)] &= !Self::bit_mask(skipped);
             }
         }
         self.highest = sequence;
@@ -65,9 +71,10 @@
 
     /// Records a sequence within the window; false if it was recorded before.
     fn insert(&mut self, sequence: u64) -> bool {
-        let (word, bit) = Self::word_and_bit(sequence);
-        let is_new = self.seen[word] & bit == 0;
-        self.seen[word] |= bit;
+        let block = &mut self.seen[Self::block_index(sequence)];
+        let bit = Self::bit_mask(sequence);
+        let is_new = *block & bit == 0;
+        *block |= bit;
         is_new
     }
 }
@@ -97,18 +104,18 @@
         }
     }
 
-    /// Forgets an origin that will never propose again.
+    /// Removes an origin that will never propose again.
     pub fn retire(&mut self, origin: u64) {
         self.origins.remove(&origin);
     }
 
     /// Encodes the table for a snapshot: for each origin its number, its highest sequence and its window, as little-endian
-    /// 64-bit words.
+    /// 64-bit numbers.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.origins.len() * ORIGIN_BYTES);
         for (origin, window) in &self.origins {
-            for word in [*origin, window.highest].iter().chain(&window.seen) {
-                bytes.extend_from_slice(&word.to_le_bytes());
+            for number in [*origin, window.highest].iter().chain(&window.seen) {
+                bytes.extend_from_slice(&number.to_le_bytes());
             }
         }
         bytes
@@ -119,22 +126,20 @@
     /// # Errors
     /// When the length is not that of a table.
     pub fn decode(bytes: &[u8]) -> Result<Self, DedupDecodeError> {
-        let is_whole = bytes.len().is_multiple_of(ORIGIN_BYTES);
-        if !is_whole || bytes.len() / ORIGIN_BYTES > MAX_ORIGINS {
+        let has_partial_origin = !bytes.len().is_multiple_of(ORIGIN_BYTES);
+        if has_partial_origin || bytes.len() / ORIGIN_BYTES > MAX_ORIGINS {
             return Err(DedupDecodeError { bytes: bytes.len() });
         }
         let mut dedup = ProposalDedup::default();
         for encoded in bytes.chunks_exact(ORIGIN_BYTES) {
-            let word = |at: usize| {
-                let mut word = [0; WORD_BYTES];
-                word.copy_from_slice(&encoded[at * WORD_BYTES..(at + 1) * WORD_BYTES]);
-                u64::from_le_bytes(word)
-            };
-            let mut window = OriginWindow { highest: word(1), seen: [0; WINDOW_WORDS] };
-            for (at, seen) in window.seen.iter_mut().enumerate() {
-                *seen = word(2 + at);
+            let mut numbers = [0; ORIGIN_NUMBERS];
+            for (number, number_bytes) in numbers.iter_mut().zip(encoded.chunks_exact(size_of::<u64>())) {
+                let mut buffer = [0; size_of::<u64>()];
+                buffer.copy_from_slice(number_bytes);
+                *number = u64::from_le_bytes(buffer);
             }
-            dedup.origins.insert(word(0), window);
+            let [origin, highest, seen @ ..] = numbers;
+            dedup.origins.insert(origin, OriginWindow { highest, seen });
         }
         Ok(dedup)
     }
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -22,7 +22,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// What must be on disk, as a whole and synced, before any message that rests on it is sent.
+/// What must be on disk, completely and synced, before any message that depends on it is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// Counts this store's batches, from 1, without gaps.
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -1,13 +1,14 @@
-//! What a restarted member must hear before it takes part, and the restrictions under which it then does.
+//! The responses that a restarted member needs before it takes part, and the restrictions under which it then does.
 //!
-//! # Why this makes up for a disk that lost writes
+//! # Why this compensates for a disk that lost writes
 //!
 //! Let a member X have voted in a term, or acknowledged an entry that was committed, before its restart, and lost that
-//! from its disk. The vote or the commit rested on a majority, so on at least half of the other voters. X hears from a majority of the
-//! other voters, so from one of those, H. Either H gave its vote or acknowledgement before it responded to X: then the
-//! response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then H's message says
-//! that X has restarted, and whoever counts votes or acknowledgements drops those of X. H must not itself have lost writes. That
-//! holds for established members, because they went through the same; this is why only their responses count as a rule.
+//! from its disk. The vote or the commit needed a majority, so at least half of the other voters. X gets responses from a
+//! majority of the other voters, so from at least one of those, H. Either H gave its vote or acknowledgement before it
+//! responded to X: then the response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then
+//! H's message says that X has restarted, and whoever counts votes or acknowledgements drops those of X. H must not itself
+//! have lost writes. That is true of established members, because they have rejoined in the same way; this is why normally
+//! only their responses count.
 
 use crate::ids::{LogPosition, MemberId};
 use crate::limits::MAX_UNLISTED_PEERS;
@@ -26,7 +27,7 @@
 
 /// One member's response to a rejoin request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RejoinAnswer {
+pub struct RejoinResponse {
     /// Its term, or its own floor for votes if that is higher.
     pub term: u64,
     /// Its last entry.
@@ -35,7 +36,7 @@
     pub floors: Vec<LogFloor>,
     /// Whether it is established: it has itself rejoined since its start.
     pub is_established: bool,
-    /// Whether it is quarantined; then it counts for nothing.
+    /// Whether it is quarantined; then its floors are ignored.
     pub is_quarantined: bool,
     /// The membership that it knows.
     pub membership: VersionedMembership,
@@ -74,7 +75,7 @@
     patience: TimeDelta,
     /// The membership as the own disk holds it, or the configured contacts.
     own: VersionedMembership,
-    answers: BTreeMap<MemberId, RejoinAnswer>,
+    responses: BTreeMap<MemberId, RejoinResponse>,
     /// Peers outside of the membership that sent something: they may know a newer membership.
     unlisted: BTreeSet<MemberId>,
 }
@@ -87,37 +88,38 @@
             started_at: now,
             patience,
             own,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             unlisted: BTreeSet::new(),
         }
     }
 
-    /// The members to ask: all other voters of the newest membership, and unlisted peers.
-    pub fn members_to_ask(&self) -> Vec<MemberId> {
+    /// The members to send requests to: all other voters of the newest membership, and unlisted peers.
+    pub fn request_targets(&self) -> Vec<MemberId> {
         let voters = &self.membership().voters;
         let mut members = self.other_voters();
         members.extend(self.unlisted.iter().filter(|peer| !voters.contains(peer)));
         members
     }
 
-    /// A peer sent something. If the membership does not list it, the membership may be old, and the peer is asked too.
-    pub fn heard_from(&mut self, peer: MemberId) {
+    /// A peer sent something. If the membership does not list it, the membership may be old, and the peer gets a request
+    /// too.
+    pub fn note_sender(&mut self, peer: MemberId) {
         if self.unlisted.len() < MAX_UNLISTED_PEERS && !self.membership().voters.contains(&peer) {
             self.unlisted.insert(peer);
         }
     }
 
     /// Takes a response; it replaces an earlier one of the same member.
-    pub fn add_answer(&mut self, from: MemberId, answer: RejoinAnswer) {
-        let has_newer_membership = answer.membership.index > self.newest().index;
-        if has_newer_membership || self.members_to_ask().contains(&from) {
-            self.answers.insert(from, answer);
+    pub fn add_response(&mut self, from: MemberId, response: RejoinResponse) {
+        let has_newer_membership = response.membership.index > self.newest().index;
+        if has_newer_membership || self.request_targets().contains(&from) {
+            self.responses.insert(from, response);
         }
     }
 
-    /// An operator says that a member's store is lost for good: it counts as a response without floors.
+    /// An operator declares a member's store permanently lost: that counts as a response without floors.
     pub fn declare_lost(&mut self, member: MemberId) {
-        let answer = RejoinAnswer {
+        let response = RejoinResponse {
             term: 0,
             last: LogPosition::default(),
             floors: Vec::new(),
@@ -125,27 +127,27 @@
             is_quarantined: true,
             membership: self.own.clone(),
         };
-        self.add_answer(member, answer);
-        for answer in self.answers.values_mut() {
-            answer.floors.retain(|floor| floor.member != member);
+        self.add_response(member, response);
+        for response in self.responses.values_mut() {
+            response.floors.retain(|floor| floor.member != member);
         }
     }
 
     /// A member has restarted: its earlier response no longer counts.
-    pub fn forget(&mut self, member: MemberId) {
-        self.answers.remove(&member);
+    pub fn discard_response(&mut self, member: MemberId) {
+        self.responses.remove(&member);
     }
 
-    /// The number of the own boot has changed: all members must be asked again.
+    /// The number of the own boot has changed: all members must be sent requests again.
     pub fn restart(&mut self) {
-        self.answers.clear();
+        self.responses.clear();
     }
 
-    /// The newest membership known: the own disk's, or one in a response. Whoever holds the entry that made it holds all
+    /// The newest membership known: the own disk's, or one in a response. Whoever has the entry that made it has all
     /// entries before it, so older memberships have nothing to add.
     fn newest(&self) -> &VersionedMembership {
-        let trusted = self.answers.values().filter(|answer| !answer.is_quarantined);
-        let memberships = trusted.map(|answer| &answer.membership).chain([&self.own]);
+        let trusted = self.responses.values().filter(|response| !response.is_quarantined);
+        let memberships = trusted.map(|response| &response.membership).chain([&self.own]);
         memberships.max_by_key(|membership| membership.index).unwrap_or(&self.own)
     }
 
@@ -162,35 +164,36 @@
     pub fn outcome(&self, now: Timestamp) -> Option<RejoinOutcome> {
         let others = self.other_voters();
         let quorum = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
-        let answers: Vec<&RejoinAnswer> = others.iter().filter_map(|other| self.answers.get(other)).collect();
-        // A quarantined member is not waited for: it counts as heard, and adds nothing to the floors.
-        let heard = answers.len();
-        let is_trusted = |answer: &&&RejoinAnswer| answer.is_established && !answer.is_quarantined;
-        let established = answers.iter().filter(is_trusted).count();
+        let responses: Vec<&RejoinResponse> =
+            others.iter().filter_map(|other| self.responses.get(other)).collect();
+        // A quarantined member is not waited for: its response counts here, and adds nothing to the floors.
+        let response_count = responses.len();
+        let is_trusted = |response: &&&RejoinResponse| response.is_established && !response.is_quarantined;
+        let established = responses.iter().filter(is_trusted).count();
         let is_weak = established < quorum;
         if is_weak {
             let is_patient = now - self.started_at < self.patience;
-            let can_reach_quorum = established + (others.len() - heard) >= quorum;
-            if heard < quorum || (is_patient && can_reach_quorum) {
+            let can_reach_quorum = established + (others.len() - response_count) >= quorum;
+            if response_count < quorum || (is_patient && can_reach_quorum) {
                 return None;
             }
         }
         Some(RejoinOutcome { floors: self.floors(&others), is_weak })
     }
 
-    /// The floors that the responses of the voters set. Votes and acknowledgements of others were counted by nobody.
+    /// The floors that the responses of the voters set. Votes and acknowledgements of non-voters are never counted.
     fn floors(&self, voters: &[MemberId]) -> RejoinFloors {
         let mut vote_term = 0;
         let mut logs: BTreeMap<MemberId, LogPosition> = BTreeMap::new();
-        for (&from, answer) in &self.answers {
-            if answer.is_quarantined || !voters.contains(&from) {
+        for (&from, response) in &self.responses {
+            if response.is_quarantined || !voters.contains(&from) {
                 continue;
             }
-            vote_term = vote_term.max(answer.term);
-            // What a member says of itself, and what others got from it, whichever is further. What this member itself
-            // told others is nothing new if it has lost nothing, and needed if it has.
-            let own_floor = LogFloor { member: from, last: answer.last };
-            for floor in answer.floors.iter().chain([&own_floor]) {
+            vote_term = vote_term.max(response.term);
+            // What a member reports of itself, and what others received from it, whichever is further. A floor of this
+            // member itself changes nothing if it has lost nothing, and is needed if it has.
+            let own_floor = LogFloor { member: from, last: response.last };
+            for floor in response.floors.iter().chain([&own_floor]) {
                 let furthest = logs.entry(floor.member).or_insert(floor.last);
                 *furthest = floor.last.max(*furthest);
             }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -7,7 +7,7 @@
 pub enum Role {
     /// Restarted, and not yet allowed to take part ([`crate::rejoin`]).
     Rejoining,
-    /// Found to have lost acknowledged writes; excluded for good under this incarnation.
+    /// Found to have lost acknowledged writes; excluded permanently under this incarnation.
     Quarantined,
     /// Not a member, as far as it knows.
     NonMember,
@@ -15,7 +15,7 @@
     Learner,
     /// Follows.
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
     /// Leads.
     Leader,
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -215,7 +215,7 @@
         let newest = self.committed.iter().rev().take(CHECKED_ENTRIES);
         // What the leader has compacted was committed when it was compacted.
         let lacks = |index: u64, entry: &AppliedEntry| match node.term_at(index) {
-            Some(held_term) => held_term != entry.term,
+            Some(leader_term) => leader_term != entry.term,
             None => index > node.commit_index(),
         };
         let mut missing = newest.filter(|&(&index, entry)| lacks(index, entry));
--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -33,7 +33,7 @@
     /// The checker.
     pub checker: Checker,
     founders: Vec<MemberId>,
-    /// The members that a node which joined asks, by node.
+    /// The members that a node which joined sends rejoin requests to, by node.
     contacts: BTreeMap<u32, Vec<MemberId>>,
     pub(super) queue: EventQueue,
     pub(super) now: Timestamp,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Gives a member that is to join a host: a new node, or one whose disk is emptied. False when it has one already.
+    /// Adds a host for a member that is to join: a new node, or one whose disk is emptied. False when it has one already.
     pub(super) fn add_host(&mut self, id: MemberId, contacts: Vec<MemberId>) -> bool {
         if self.current_host(id).is_some() {
             return false;
@@ -225,16 +225,16 @@
         self.work(to);
     }
 
-    /// The write of a running process is on disk, or refused. False when the process can't go on.
+    /// The write of a running process is on disk, or rejected. False when the process can't continue.
     pub(super) fn synced(&mut self, id: MemberId) -> bool {
         let mut outgoing = Vec::new();
         let Some(host) = self.hosts.get_mut(&id.node) else { return true };
-        let can_go_on = host.synced(self.now, &self.plan, &mut outgoing);
+        let can_continue = host.synced(self.now, &self.plan, &mut outgoing);
         self.send(outgoing);
-        can_go_on
+        can_continue
     }
 
-    /// A stopped process goes on.
+    /// A stopped process resumes.
     pub(super) fn wake(&mut self, id: MemberId) {
         if let Some(host) = self.hosts.get_mut(&id.node) {
             host.wake(self.now, &mut self.rng, &self.plan);
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -23,7 +23,7 @@
     Tick(ProcessRun),
     /// A frame arrives.
     Deliver(Box<Frame>),
-    /// The write of a process is on disk, or refused.
+    /// The write of a process is on disk, or rejected.
     Synced(ProcessRun),
     /// Something is proposed at some host.
     Propose,
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -15,9 +15,9 @@
     Partition,
     /// One link carries nothing, in one direction.
     OneWay,
-    /// A member hears nobody, or is heard by nobody.
+    /// A member receives from nobody, or reaches nobody.
     Isolate,
-    /// A process is stopped, as by SIGSTOP, and goes on later.
+    /// A process is stopped, as by SIGSTOP, and resumes later.
     Stop,
     /// A member's messages take ten times as long.
     SlowLinks,
@@ -78,7 +78,7 @@
     CrashLiar(MemberId),
     /// Links work again.
     RestoreLinks(Vec<Link>),
-    /// A stopped process goes on.
+    /// A stopped process resumes.
     Wake(MemberId),
     /// A node's links are fast again.
     RestoreSpeed(u32),
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -24,7 +24,7 @@
 const MAX_WAITING_FRAMES: usize = 2000;
 /// Largest difference of a host's clock, milliseconds.
 const MAX_CLOCK_OFFSET_MILLIS: i64 = 3_600_000;
-/// How often a write to a full disk is tried.
+/// Interval of the retries of a write to a full disk.
 const FULL_DISK_RETRY: TimeDelta = TimeDelta::from_millis(50);
 /// What a sync takes beyond the drawn time, so that it is never done at once.
 const MIN_SYNC_TIME: TimeDelta = TimeDelta::from_micros(1);
@@ -32,13 +32,13 @@
 const DIGEST_EVERY: u64 = 16;
 
 /// Frames that wait for a batch.
-struct HeldFrames {
+struct DelayedFrames {
     after_batch: u64,
     frames: Vec<Frame>,
 }
 
 /// A snapshot that waits for its batch.
-struct HeldSnapshot {
+struct DelayedSnapshot {
     after_batch: u64,
     snapshot: Snapshot,
 }
@@ -53,7 +53,7 @@
 pub struct Host<A> {
     /// The member.
     pub id: MemberId,
-    /// What applies entries; starts anew with the process.
+    /// What applies entries; a new one with each start of the process.
     pub state_machine: A,
     /// The node, while the process runs.
     pub node: Option<Node>,
@@ -64,12 +64,12 @@
     pub is_stopped: bool,
     waiting_frames: Vec<WaitingFrame>,
     writing: VecDeque<Batch>,
-    held_frames: VecDeque<HeldFrames>,
-    held_snapshot: Option<HeldSnapshot>,
+    delayed_frames: VecDeque<DelayedFrames>,
+    delayed_snapshot: Option<DelayedSnapshot>,
     applied: u64,
     /// How often it was started.
     pub starts: u64,
-    /// Why the store could not be opened: the member is out for good.
+    /// Why the store could not be opened: the member is permanently out.
     pub store_error: Option<WalError>,
     /// The role, as last handed out.
     pub role: Option<Role>,
@@ -108,8 +108,8 @@
             is_stopped: false,
             waiting_frames: Vec::new(),
             writing: VecDeque::new(),
-            held_frames: VecDeque::new(),
-            held_snapshot: None,
+            delayed_frames: VecDeque::new(),
+            delayed_snapshot: None,
             applied: 0,
             starts: 0,
             store_error: None,
@@ -134,7 +134,7 @@
         self.is_up() && !matches!(self.role, None | Some(Role::Rejoining | Role::Quarantined))
     }
 
-    /// Whether the member is out for good.
+    /// Whether the member is permanently out.
     pub fn is_out(&self) -> bool {
         self.store_error.is_some() || self.role == Some(Role::Quarantined)
     }
@@ -190,8 +190,8 @@
         self.node = None;
         self.waiting_frames.clear();
         self.writing.clear();
-        self.held_frames.clear();
-        self.held_snapshot = None;
+        self.delayed_frames.clear();
+        self.delayed_snapshot = None;
         self.sync_due = None;
         self.is_stopped = false;
     }
@@ -228,7 +228,7 @@
         node.step(now + self.clock_offset, from, frame);
     }
 
-    /// A stopped process goes on; whether it looks at the clock or at its sockets first is drawn from the seed.
+    /// A stopped process resumes; whether it looks at the clock or at its sockets first is drawn from the seed.
     pub(super) fn wake(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
         self.is_stopped = false;
         if rng.gen() {
@@ -248,7 +248,7 @@
         running.map_or(Err(ProposeError::NotLeader { leader: None }), |node| node.propose(bytes, id))
     }
 
-    /// The write in progress is done, or refused. False when the process can't go on.
+    /// The write in progress is done, or rejected. False when the process can't continue.
     pub(super) fn synced(&mut self, now: Timestamp, plan: &Plan, outgoing: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
         let Some(batch) = self.writing.front() else { return true };
@@ -282,12 +282,12 @@
     }
 
     fn batch_on_disk(&mut self, now: Timestamp, number: u64, outgoing: &mut Vec<Frame>) {
-        if let Some(held) = self.held_snapshot.take_if(|held| held.after_batch <= number) {
-            self.state_machine.install(&held.snapshot.data);
-            self.applied = held.snapshot.index;
+        if let Some(delayed) = self.delayed_snapshot.take_if(|delayed| delayed.after_batch <= number) {
+            self.state_machine.install(&delayed.snapshot.data);
+            self.applied = delayed.snapshot.index;
         }
-        while self.held_frames.front().is_some_and(|held| held.after_batch <= number) {
-            outgoing.extend(self.held_frames.pop_front().into_iter().flat_map(|held| held.frames));
+        while self.delayed_frames.front().is_some_and(|delayed| delayed.after_batch <= number) {
+            outgoing.extend(self.delayed_frames.pop_front().into_iter().flat_map(|delayed| delayed.frames));
         }
         if let Some(node) = &mut self.node {
             node.persisted(now + self.clock_offset, number);
@@ -333,10 +333,10 @@
         let acks_early = plan.has(InjectedBug::AckBeforeSync);
         let batch_number = ready.persist.as_ref().map(|batch| batch.number);
         self.writing.extend(ready.persist.take());
-        self.send_or_hold(&mut ready, acks_early, outgoing);
+        self.send_or_delay(&mut ready, acks_early, outgoing);
         let has_snapshot = ready.snapshot.is_some();
         if let (Some(snapshot), Some(after_batch)) = (ready.snapshot.take(), batch_number) {
-            self.held_snapshot = Some(HeldSnapshot { after_batch, snapshot });
+            self.delayed_snapshot = Some(DelayedSnapshot { after_batch, snapshot });
         }
         self.apply_entries(now, &ready, has_snapshot, checker);
         if ready.snapshot_due {
@@ -348,13 +348,13 @@
         }
     }
 
-    fn send_or_hold(&mut self, ready: &mut Ready, acks_early: bool, outgoing: &mut Vec<Frame>) {
+    fn send_or_delay(&mut self, ready: &mut Ready, acks_early: bool, outgoing: &mut Vec<Frame>) {
         outgoing.append(&mut ready.messages);
         let frames = std::mem::take(&mut ready.persisted_messages);
         if ready.send_after_batch == 0 || acks_early {
             outgoing.extend(frames);
         } else if !frames.is_empty() {
-            self.held_frames.push_back(HeldFrames { after_batch: ready.send_after_batch, frames });
+            self.delayed_frames.push_back(DelayedFrames { after_batch: ready.send_after_batch, frames });
         }
     }
 
@@ -378,12 +378,12 @@
     }
 
     fn take_snapshot(&mut self) {
-        if self.held_snapshot.is_some() {
+        if self.delayed_snapshot.is_some() {
             return;
         }
         let state = self.state_machine.snapshot();
         if let Some(node) = &mut self.node {
-            // A snapshot that is not acceptable now is asked for again.
+            // A snapshot that is not acceptable now is requested again.
             let _ = node.snapshot_taken(self.applied, state);
         }
     }
@@ -398,7 +398,7 @@
         if let (Some(change), Some(node)) = (&ready.role, &self.node) {
             self.role = Some(change.role);
             if change.role == Role::Quarantined {
-                self.held_frames.clear();
+                self.delayed_frames.clear();
             }
             checker.role_changed(self.id, change, node);
         }
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -31,20 +31,20 @@
 /// Injects faults.
 #[derive(Debug)]
 pub(super) struct Nemesis {
-    /// How many disks may still be made to lose acknowledged writes.
+    /// Number of disks that may still be made to lose acknowledged writes.
     lying_disks_left: u32,
     /// Number of faults injected so far.
     pub injected: u64,
 }
 
 /// What was drawn for one fault.
-struct Strike {
-    /// The member that it hits.
+struct DrawnFault {
+    /// The member that it is injected into.
     target: MemberId,
     /// When it ends, if it lasts.
     until: Timestamp,
     /// How many more members may be down.
-    spare: u32,
+    max_more_down: u32,
 }
 
 impl Nemesis {
@@ -66,18 +66,19 @@
         let down = hosts.filter(|host| !host.is_out() && !host.is_established()).count() as u32;
         let Some(&target) = running.choose(&mut cluster.rng) else { return Vec::new() };
         let Some(&fault) = cluster.plan.faults.choose(&mut cluster.rng) else { return Vec::new() };
-        let strike = Strike { target, until, spare: cluster.plan.max_down.saturating_sub(down) };
+        let max_more_down = cluster.plan.max_down.saturating_sub(down);
+        let drawn = DrawnFault { target, until, max_more_down };
         self.injected += 1;
         match fault {
             Fault::Crash | Fault::CrashLeader | Fault::CrashMany => {
-                inject_crash(cluster, fault, &strike, &running)
+                inject_crash(cluster, fault, &drawn, &running)
             }
-            Fault::BitFlip | Fault::LyingDisk => self.inject_lost_writes(cluster, fault, &strike),
+            Fault::BitFlip | Fault::LyingDisk => self.inject_lost_writes(cluster, fault, &drawn),
             Fault::Partition | Fault::OneWay | Fault::Isolate => {
-                inject_cut(cluster, fault, &strike, &running)
+                inject_link_fault(cluster, fault, &drawn, &running)
             }
             Fault::Stop | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
-                inject_delay(cluster, fault, &strike)
+                inject_delay(cluster, fault, &drawn)
             }
             Fault::Replace => {
                 let node = cluster.hosts.keys().next_back().map_or(1, |last| last + 1);
@@ -95,13 +96,13 @@
         &mut self,
         cluster: &mut Cluster<A>,
         fault: Fault,
-        strike: &Strike,
+        drawn: &DrawnFault,
     ) -> Vec<ScheduledEnd> {
         if self.lying_disks_left == 0 {
             return Vec::new();
         }
-        let target = strike.target;
-        if fault == Fault::BitFlip && strike.spare > 0 {
+        let target = drawn.target;
+        if fault == Fault::BitFlip && drawn.max_more_down > 0 {
             self.lying_disks_left -= 1;
             let ends = crash_all(cluster, vec![target]);
             cluster.host_mut(target).flip_bit();
@@ -110,7 +111,7 @@
         if fault == Fault::LyingDisk && !cluster.host(target).has_disk_lied {
             self.lying_disks_left -= 1;
             cluster.host_mut(target).is_disk_lying = true;
-            return vec![ScheduledEnd { at: strike.until, end: FaultEnd::CrashLiar(target) }];
+            return vec![ScheduledEnd { at: drawn.until, end: FaultEnd::CrashLiar(target) }];
         }
         Vec::new()
     }
@@ -119,10 +120,10 @@
 fn inject_crash<A: StateMachine>(
     cluster: &mut Cluster<A>,
     fault: Fault,
-    strike: &Strike,
+    drawn: &DrawnFault,
     running: &[MemberId],
 ) -> Vec<ScheduledEnd> {
-    if strike.spare == 0 {
+    if drawn.max_more_down == 0 {
         return Vec::new();
     }
     match fault {
@@ -131,11 +132,11 @@
             None => Vec::new(),
         },
         Fault::CrashMany => {
-            let count = cluster.rng.gen_range(1..=running.len()).min(strike.spare as usize);
+            let count = cluster.rng.gen_range(1..=running.len()).min(drawn.max_more_down as usize);
             let members = running.choose_multiple(&mut cluster.rng, count).copied().collect();
             crash_all(cluster, members)
         }
-        _ => crash_all(cluster, vec![strike.target]),
+        _ => crash_all(cluster, vec![drawn.target]),
     }
 }
 
@@ -151,13 +152,13 @@
     ends
 }
 
-fn inject_cut<A: StateMachine>(
+fn inject_link_fault<A: StateMachine>(
     cluster: &mut Cluster<A>,
     fault: Fault,
-    strike: &Strike,
+    drawn: &DrawnFault,
     running: &[MemberId],
 ) -> Vec<ScheduledEnd> {
-    let target = strike.target.node;
+    let target = drawn.target.node;
     let links: Vec<Link> = match fault {
         Fault::Partition => partition(cluster),
         Fault::OneWay => {
@@ -171,7 +172,7 @@
         }
     };
     cluster.network.cut_links.extend(&links);
-    vec![ScheduledEnd { at: strike.until, end: FaultEnd::RestoreLinks(links) }]
+    vec![ScheduledEnd { at: drawn.until, end: FaultEnd::RestoreLinks(links) }]
 }
 
 /// The links between two halves of the nodes, drawn from the seed.
@@ -192,9 +193,9 @@
 fn inject_delay<A: StateMachine>(
     cluster: &mut Cluster<A>,
     fault: Fault,
-    strike: &Strike,
+    drawn: &DrawnFault,
 ) -> Vec<ScheduledEnd> {
-    let target = strike.target;
+    let target = drawn.target;
     let end = match fault {
         Fault::Stop => {
             cluster.host_mut(target).is_stopped = true;
@@ -213,5 +214,5 @@
             FaultEnd::RestoreDisk(target)
         }
     };
-    vec![ScheduledEnd { at: strike.until, end }]
+    vec![ScheduledEnd { at: drawn.until, end }]
 }
--- a/crates/consensus/src/sim/network.rs
+++ b/crates/consensus/src/sim/network.rs
@@ -16,7 +16,7 @@
 const MIN_LONGEST_DELAY: TimeDelta = TimeDelta::from_micros(200);
 /// How much longer messages of slow nodes take.
 const SLOW_FACTOR: i64 = 10;
-/// One message in so many is encoded and decoded.
+/// One message in this many is encoded and decoded.
 const ENCODED_ONE_IN: u64 = 16;
 
 /// The links and their faults.
@@ -68,7 +68,7 @@
         (0..copies).map(|_| now + delay()).collect()
     }
 
-    /// Passes a message on; one in sixteen is encoded, and decoded in two parts.
+    /// Forwards a message; one in sixteen is encoded, and decoded in two parts.
     pub(super) fn pass(&mut self, rng: &mut ChaCha8Rng, frame: Frame) -> Frame {
         if !self.sent.is_multiple_of(ENCODED_ONE_IN) {
             return frame;
@@ -76,10 +76,10 @@
         let bytes = frame.encode();
         self.bytes += ENCODED_ONE_IN * bytes.len() as u64;
         let mut decoder = Decoder::default();
-        let middle = rng.gen_range(0..bytes.len());
-        decoder.push(&bytes[..middle]);
-        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame was decoded as a whole");
-        decoder.push(&bytes[middle..]);
+        let split = rng.gen_range(0..bytes.len());
+        decoder.push(&bytes[..split]);
+        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame was decoded as a complete one");
+        decoder.push(&bytes[split..]);
         let decoded = decoder.next_frame();
         assert_eq!(decoded.as_ref(), Ok(&Some(frame)), "a frame was decoded to another one");
         decoded.ok().flatten().unwrap_or_else(|| unreachable!("compared above"))
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: replaces members that are out for good, or that the nemesis wants replaced, and transfers leadership, step by
-//! step through whoever leads. Where nobody can lead, declares which members are lost for good.
+//! The operator: replaces members that are permanently out, or that the nemesis wants replaced, and transfers leadership,
+//! step by step through whoever leads. Where nobody can lead, declares which members are permanently lost.
 
 use super::cluster::Cluster;
 use super::state_machine::StateMachine;
@@ -7,7 +7,7 @@
 use crate::limits::{MAX_VOTERS, MIN_VOTERS};
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// With no leader for so long the operator declares which members are lost.
+/// How long there is no leader before the operator declares which members are lost.
 const MAX_TIME_WITHOUT_LEADER: TimeDelta = TimeDelta::from_secs(8);
 
 /// A member that is to be replaced, and its successor.
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A member that is out takes no part any more, so its node may start anew in its place.
+    /// Plans to replace members that are permanently out by new incarnations on the same nodes.
     fn plan_replacements<A: StateMachine>(&mut self, cluster: &Cluster<A>) {
         for host in cluster.hosts.values().filter(|host| host.is_out()) {
             let old = host.id;
@@ -90,7 +90,7 @@
                 let _ = node.transfer_leadership(other);
             }
         } else if membership.contains(old) && voters > MIN_VOTERS && (is_old_out || voters == MAX_VOTERS) {
-            // Removed first: it only makes the majority harder to reach, or there is no room for another voter beside it.
+            // Removed first: it only makes the majority harder to reach, or the voters are at their limit.
             let _ = node.remove(old);
         } else if !membership.contains(new) {
             let _ = node.add_learner(new);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Nobody leads: after a while every running member is told which members' stores are lost.
+    /// Nobody leads: after a while the lost members' stores are declared lost at every running member.
     fn declare_lost_members<A: StateMachine>(&mut self, cluster: &mut Cluster<A>) {
         if cluster.now() - self.last_led < MAX_TIME_WITHOUT_LEADER {
             return;
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -94,16 +94,16 @@
         Plan { members, lying_disks: 1, faults, ..Plan::default() }
     }
 
-    /// As many disks lie as the group can spare, while a majority takes part all the time; rejoining members wait for that
+    /// A minority of the disks lie, while a majority takes part all the time; rejoining members wait for that
     /// majority as long as it takes.
     pub fn liars(members: u32) -> Plan {
-        let spare = (members - 1) / 2;
-        let mut plan = Plan { lying_disks: spare, max_down: spare, ..Plan::one_liar(members) };
+        let minority = (members - 1) / 2;
+        let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_liar(members) };
         plan.timing.rejoin_patience = TimeDelta::from_secs(600);
         plan
     }
 
-    /// Only the leader crashes, again and again, in an otherwise whole group: for the time to a new leader.
+    /// Only the leader crashes, again and again, in an otherwise healthy group: for the time to a new leader.
     pub fn leader_dies(members: u32) -> Plan {
         Plan {
             members,
--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -9,12 +9,12 @@
 
 /// The 64-bit FNV-1a prime.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// Length of a word in a snapshot, bytes.
-const WORD_BYTES: usize = 8;
+/// Length of a number in a snapshot, bytes.
+const NUMBER_BYTES: usize = size_of::<u64>();
 /// Length of the snapshot's fixed part: digest, flag, length of the encoded dedup table.
-const HEADER_BYTES: usize = 3 * WORD_BYTES;
+const HEADER_BYTES: usize = 3 * NUMBER_BYTES;
 /// Length of one applied proposal in a snapshot: origin, sequence, count.
-const PROPOSAL_BYTES: usize = 3 * WORD_BYTES;
+const PROPOSAL_BYTES: usize = 3 * NUMBER_BYTES;
 
 /// Applies proposals by recording them.
 #[derive(Debug, Clone, Default)]
@@ -34,15 +34,18 @@
     }
 }
 
-/// One step of a chained digest (FNV-1a, over the bytes of a word).
-pub(super) fn chain_word(digest: u64, word: u64) -> u64 {
-    word.to_le_bytes().iter().fold(digest, |digest, &byte| (digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+/// One step of a chained digest (FNV-1a, over the bytes of a number).
+pub(super) fn chain_number(digest: u64, number: u64) -> u64 {
+    number
+        .to_le_bytes()
+        .iter()
+        .fold(digest, |digest, &byte| (digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
 /// One step of a chained digest over a proposal and its content.
 pub(super) fn chain_entry(digest: u64, entry: &CommittedEntry) -> u64 {
-    let digest = chain_word(chain_word(digest, entry.id.origin), entry.id.sequence);
-    entry.bytes.iter().fold(digest, |digest, &byte| chain_word(digest, u64::from(byte)))
+    let digest = chain_number(chain_number(digest, entry.id.origin), entry.id.sequence);
+    entry.bytes.iter().fold(digest, |digest, &byte| chain_number(digest, u64::from(byte)))
 }
 
 impl StateMachine for ProposalRecorder {
@@ -58,13 +61,13 @@
     fn snapshot(&self) -> Vec<u8> {
         let dedup = self.dedup.encode();
         let mut bytes = Vec::new();
-        for word in [self.digest, u64::from(self.applies_duplicates), dedup.len() as u64] {
-            bytes.extend_from_slice(&word.to_le_bytes());
+        for number in [self.digest, u64::from(self.applies_duplicates), dedup.len() as u64] {
+            bytes.extend_from_slice(&number.to_le_bytes());
         }
         bytes.extend_from_slice(&dedup);
         for (id, count) in &self.applied {
-            for word in [id.origin, id.sequence, u64::from(*count)] {
-                bytes.extend_from_slice(&word.to_le_bytes());
+            for number in [id.origin, id.sequence, u64::from(*count)] {
+                bytes.extend_from_slice(&number.to_le_bytes());
             }
         }
         bytes
@@ -75,12 +78,15 @@
         if bytes.is_empty() {
             return;
         }
-        self.digest = read_word(bytes, 0);
-        let dedup_end = HEADER_BYTES + read_word(bytes, 2 * WORD_BYTES) as usize;
+        self.digest = read_number(bytes, 0);
+        let dedup_end = HEADER_BYTES + read_number(bytes, 2 * NUMBER_BYTES) as usize;
         self.dedup = ProposalDedup::decode(&bytes[HEADER_BYTES..dedup_end]).unwrap_or_default();
         for proposal in bytes[dedup_end..].chunks_exact(PROPOSAL_BYTES) {
-            let id = ProposalId { origin: read_word(proposal, 0), sequence: read_word(proposal, WORD_BYTES) };
-            self.applied.insert(id, read_word(proposal, 2 * WORD_BYTES) as u32);
+            let id = ProposalId {
+                origin: read_number(proposal, 0),
+                sequence: read_number(proposal, NUMBER_BYTES),
+            };
+            self.applied.insert(id, read_number(proposal, 2 * NUMBER_BYTES) as u32);
         }
     }
 
@@ -89,8 +95,8 @@
     }
 }
 
-fn read_word(bytes: &[u8], offset: usize) -> u64 {
-    let mut word = [0; WORD_BYTES];
-    word.copy_from_slice(&bytes[offset..offset + WORD_BYTES]);
-    u64::from_le_bytes(word)
+fn read_number(bytes: &[u8], offset: usize) -> u64 {
+    let mut buffer = [0; NUMBER_BYTES];
+    buffer.copy_from_slice(&bytes[offset..offset + NUMBER_BYTES]);
+    u64::from_le_bytes(buffer)
 }
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -35,7 +35,7 @@
     pub damaged: u64,
     /// Index of the last committed proposal.
     pub last_committed: u64,
-    /// So many members were out for good at the end that nobody could lead.
+    /// Too many members were permanently out at the end for anybody to lead.
     pub is_unavailable: bool,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl<A: StateMachine> Simulation<A> {
-    /// Whether a majority of the voters, by the newest membership that any member has, is not out for good.
+    /// Whether a majority of the voters, by the newest membership that any member has, is not permanently out.
     fn could_lead(&self) -> bool {
         let nodes = self.cluster.hosts.values().filter_map(|host| host.node.as_ref());
         let memberships = nodes.map(|node| node.versioned_membership());
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -40,7 +40,7 @@
     injects_faults: bool,
     /// Whether proposals are made.
     pub is_proposing: bool,
-    /// Whether nobody could lead at the end, because too many members were out for good.
+    /// Whether nobody could lead at the end, because too many members were permanently out.
     pub(super) is_unavailable: bool,
 }
 
--- a/crates/consensus/src/sim/state_machine.rs
+++ b/crates/consensus/src/sim/state_machine.rs
@@ -7,7 +7,7 @@
 pub trait StateMachine {
     /// Applies an entry, in order.
     fn apply(&mut self, now: Timestamp, entry: &CommittedEntry);
-    /// The whole state, for a snapshot.
+    /// The complete state, for a snapshot.
     fn snapshot(&self) -> Vec<u8>;
     /// Replaces the state by that of a snapshot; empty bytes are the initial state.
     fn install(&mut self, bytes: &[u8]);
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucelink_consensus::rejoin::{LogFloor, RejoinAnswer, RejoinQuorum};
+use sprucelink_consensus::rejoin::{LogFloor, RejoinQuorum, RejoinResponse};
 use sprucelink_consensus::sim::{Cluster, Plan, ProposalRecorder, Simulation};
 use sprucelink_consensus::wire::{envelope::Body, Boot, Envelope, RejoinRequest};
 use sprucelink_consensus::{
@@ -26,8 +26,8 @@
     Timestamp::from_secs(seconds)
 }
 
-fn answer(term: u64, last: (u64, u64), is_established: bool) -> RejoinAnswer {
-    RejoinAnswer {
+fn answer(term: u64, last: (u64, u64), is_established: bool) -> RejoinResponse {
+    RejoinResponse {
         term,
         last: LogPosition::new(last.0, last.1),
         floors: vec![],
@@ -45,17 +45,17 @@
 #[test]
 fn member_rejoins_with_the_floors_of_a_majority_of_the_others() {
     let mut quorum = rejoin_quorum();
-    assert_eq!(quorum.members_to_ask(), [2, 3, 4, 5].map(member));
-    quorum.add_answer(member(2), answer(7, (6, 40), true));
-    quorum.add_answer(member(3), answer(9, (5, 90), true));
+    assert_eq!(quorum.request_targets(), [2, 3, 4, 5].map(member));
+    quorum.add_response(member(2), answer(7, (6, 40), true));
+    quorum.add_response(member(3), answer(9, (5, 90), true));
     assert_eq!(quorum.outcome(seconds(1)), None, "two of four others are no majority");
-    quorum.add_answer(member(9), answer(20, (20, 20), true));
+    quorum.add_response(member(9), answer(20, (20, 20), true));
     assert_eq!(quorum.outcome(seconds(1)), None, "the response of a non-member counts for nothing");
-    quorum.add_answer(member(4), answer(8, (6, 30), true));
+    quorum.add_response(member(4), answer(8, (6, 30), true));
     let outcome = quorum.outcome(seconds(1)).unwrap();
     assert!(!outcome.is_weak);
     assert_eq!((outcome.floors.vote_term, outcome.floors.log()), (9, LogPosition::new(6, 40)));
-    quorum.forget(member(4));
+    quorum.discard_response(member(4));
     assert_eq!(quorum.outcome(seconds(1)), None, "the response of a restarted member no longer counts");
 }
 
@@ -63,11 +63,11 @@
 fn responses_of_rejoining_members_count_late_or_when_no_majority_is_established() {
     let mut quorum = rejoin_quorum();
     for node in 2..=4 {
-        quorum.add_answer(member(node), answer(3, (3, 3), node == 2));
+        quorum.add_response(member(node), answer(3, (3, 3), node == 2));
     }
     // One is established, one has not responded: there can't be three, so nothing is waited for.
     assert!(quorum.outcome(Timestamp::ZERO).is_some_and(|outcome| outcome.is_weak));
-    quorum.add_answer(member(3), answer(3, (3, 3), true));
+    quorum.add_response(member(3), answer(3, (3, 3), true));
     assert_eq!(quorum.outcome(seconds(9)), None, "the fifth may be established");
     assert!(quorum.outcome(seconds(10)).is_some_and(|outcome| outcome.is_weak));
 }
@@ -75,14 +75,14 @@
 #[test]
 fn newer_membership_counts_and_a_lost_member_sets_no_floor() {
     let mut quorum = rejoin_quorum();
-    let newer = |last| RejoinAnswer {
+    let newer = |last| RejoinResponse {
         membership: VersionedMembership { index: 50, membership: membership(1..=3) },
         ..answer(4, last, true)
     };
-    quorum.add_answer(member(2), newer((4, 60)));
+    quorum.add_response(member(2), newer((4, 60)));
     assert_eq!(quorum.outcome(Timestamp::ZERO), None);
     let floor = LogFloor { member: member(2), last: LogPosition::new(4, 99) };
-    quorum.add_answer(member(3), RejoinAnswer { floors: vec![floor], ..newer((4, 61)) });
+    quorum.add_response(member(3), RejoinResponse { floors: vec![floor], ..newer((4, 61)) });
     assert_eq!(
         quorum.outcome(Timestamp::ZERO).unwrap().floors.log(),
         LogPosition::new(4, 99),
