--- a/src/core/id_generator.rs
+++ b/src/core/id_generator.rs
@@ -23,3 +23,6 @@
         self.sequence.next_u64_with(salt)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -1,42 +1,44 @@
 //! The send guard: the rules that an attempt must still meet just before its first byte is sent.
 //!
-//! The policy chose the attempt some time ago: since then its connection came up late, its peer was slow, or this process
-//! had no turn. Every rule on what is sent is checked here once more, on the state of this moment. An attempt that fails is
-//! withdrawn; as it was never sent, it costs its request nothing. This is no second decision: it applies the policy's own
-//! rules on retries ([`RetryRule`], [`RetryBudgetSettings::allows_retry`]) and stops only what the policy would not choose
-//! at this moment.
+//! Enters: the state of an attempt just before its first byte, and the requests and retries that are counted. Leaves:
+//! whether the attempt may be sent, with the reason if not. Kept: the retry budget's window and the shutdown deadline.
+//!
+//! The policy selected the engine some time ago. Since then the attempt may have waited for its connection, for a slow
+//! peer, or for the processor. Every rule on what is sent is checked here again, on the present state. An attempt that
+//! fails a check is withdrawn; it was never sent, so its request loses nothing but time. This is no second decision: the
+//! policy's own rules on retries apply ([`RetryRule`], [`RetryBudgetSettings::allows_retry`]).
 
 use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
 
-/// Width of a slot in which events are counted; longer windows have wider slots.
+/// Smallest width of a slot in which events are counted, as a span of time. Longer windows have wider slots.
 const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_millis(20);
-/// Slots of one window.
+/// Limit on the number of slots of a window.
 const MAX_SLOTS: u32 = 1_024;
 
 /// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendRejection {
-    /// Its request has its final response, or its client has gone.
+    /// Its request has its final response, or its client has disconnected.
     RequestOver,
-    /// Its client's deadline has passed, or this process shuts down before.
+    /// Its client's deadline or the shutdown deadline has passed.
     DeadlinePassed,
-    /// Its engine drains, is gone, or is cordoned.
+    /// Its engine is draining, gone or cordoned.
     EngineNotReady,
-    /// Its class may not be retried, or not any more.
+    /// Its class may not be retried, or its deduplication window has ended.
     NotRetryable,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     RetryBudgetSpent,
 }
 
-/// An attempt that is about to be sent, as things stand at this moment.
+/// The present state of an attempt that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutgoingAttempt {
     /// Its request has no final response, and its client is present.
     pub(super) request_is_awaited: bool,
     /// When its client stops waiting.
     pub(super) deadline: Timestamp,
-    /// Its class, by number.
+    /// The index of its class.
     pub(super) class: usize,
     /// Its request had attempts before.
     pub(super) is_retry: bool,
@@ -46,7 +48,7 @@
     pub(super) engine_is_ready: bool,
 }
 
-/// The rules on what is sent, and what they count.
+/// The rules on what is sent, and the counts that they need.
 #[derive(Debug)]
 pub(super) struct SendGuard {
     /// By class.
@@ -54,12 +56,12 @@
     retry_budget: Option<RetryBudgetSettings>,
     requests: SlotWindow<u32>,
     retries: SlotWindow<u32>,
-    /// When this process gives its last responses, once it shuts down.
+    /// The instant from which on this process rejects all requests, once it shuts down.
     shutdown_deadline: Option<Timestamp>,
 }
 
 impl SendGuard {
-    /// The rules of the policy's settings, with nothing counted.
+    /// A guard with the rules of the policy's settings that has counted nothing.
     pub(super) fn new(settings: &Settings) -> SendGuard {
         let span = settings.retry_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.window);
         SendGuard {
@@ -71,17 +73,17 @@
         }
     }
 
-    /// Sets when this process gives its last responses.
+    /// Sets the instant from which on this process rejects all requests and sends nothing.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = Some(deadline);
     }
 
-    /// When a request has to be responded to at the latest, if its client waits until `deadline`.
+    /// When a request must have its response, if its client waits until `deadline`.
     pub(super) fn response_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.shutdown_deadline.map_or(deadline, |shutdown| shutdown.min(deadline))
     }
 
-    /// Whether the last responses have been given: further requests are rejected.
+    /// Whether the shutdown deadline has passed, so that further requests are rejected.
     pub(super) fn is_closed(&self, now: Timestamp) -> bool {
         self.shutdown_deadline.is_some_and(|shutdown| now >= shutdown)
     }
@@ -133,8 +135,8 @@
         rule.is_none_or(|rule| rule.allows_retry(now, attempt.may_have_run_since))
     }
 
-    /// Whether one more retry stays within the budget. Of the slot that the window's begin cuts, retries count and requests
-    /// do not, so that no exact window holds more retries than the budget allows.
+    /// Whether a further retry stays within the budget. Of the slot in which the window starts, retries count and requests do
+    /// not, so that no exact window has more retries than the budget allows.
     fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
         let requests = self.requests.count_within(now);
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the send guard, rule by rule, at the edges.
+//! Tests of the send guard: each rule on both sides of its limit.
 
 use super::*;
 use quickcheck::{Gen, QuickCheck, TestResult};
@@ -89,17 +89,18 @@
     assert!(!guard.is_closed(at(699)) && guard.is_closed(at(700)));
 }
 
-/// Whatever arrives and is chosen when, and however late it is sent: no retry is sent beyond the budget of the window
-/// before it.
+/// Whenever requests arrive and retries are sent, no retry exceeds the budget of the window before it.
 #[test]
 fn no_window_holds_more_retries_than_its_budget() {
     fn holds(steps: Vec<(u8, bool)>) -> TestResult {
         let budget = RetryBudgetSettings { window: ms(1_000), free_retries: 3.0, retries_per_request: 0.1 };
         let mut guard = guard(Some(budget));
-        let (mut now, mut requests, mut retries) = (at(50_000), Vec::new(), Vec::<Timestamp>::new());
-        for (rest, request) in steps {
-            now = now + ms(i64::from(rest) / 2);
-            if request {
+        let mut now = at(50_000);
+        let mut requests = Vec::new();
+        let mut retries = Vec::new();
+        for (half_millis, is_request) in steps {
+            now = now + ms(i64::from(half_millis) / 2);
+            if is_request {
                 guard.record_request(now);
                 requests.push(now);
             }
@@ -109,10 +110,10 @@
             }
             guard.record_send(now, true);
             retries.push(now);
-            // The rule counts at each retry, itself included.
+            // The budget holds at each retry, that retry included.
             let from = now - budget.window;
-            let of = |all: &[Timestamp]| all.iter().filter(|t| **t > from).count() as f64;
-            if of(&retries) > budget.free_retries + budget.retries_per_request * of(&requests) + 1e-9 {
+            let count = |all: &[Timestamp]| all.iter().filter(|at| **at > from).count() as f64;
+            if count(&retries) > budget.free_retries + budget.retries_per_request * count(&requests) + 1e-9 {
                 return TestResult::failed();
             }
         }
@@ -135,8 +136,8 @@
             sent += 1;
         }
     }
-    // A tenth of 60,000 and a free one now and then.
+    // A tenth of the 60,000 requests, and the free retries of each window.
     assert!((5_800..=6_100).contains(&sent), "{sent}");
     assert!(guard.requests.len() <= MAX_SLOTS as usize && guard.retries.len() <= MAX_SLOTS as usize);
-    assert_eq!(guard.check(at(60_000), 1e9, &retry), Ok(()), "other managers leave some");
+    assert_eq!(guard.check(at(60_000), 1e9, &retry), Ok(()), "the spare retries of other managers allow it");
 }
