--- a/crates/admin/src/admission.rs
+++ b/crates/admin/src/admission.rs
@@ -3,7 +3,7 @@
 //!
 //! Every new connection gets a slot. When all are taken, one is evicted: first the one that has had its response for
 //! longest, then the one with an incomplete request that has been silent for longest, last the one that has been
-//! taking its response for longest. Clients that connect and send nothing, or half a request, therefore evict one
+//! reading its response for longest. Clients that connect and send nothing, or half a request, therefore evict one
 //! another, however many there are, while one that sends its request at once is answered.
 
 use crate::accept_pacer::AcceptPacer;
--- a/crates/admin/src/connection.rs
+++ b/crates/admin/src/connection.rs
@@ -23,7 +23,7 @@
 use tokio::time::{sleep_until, timeout};
 use tracing::debug;
 
-/// Bytes read at once of what is discarded behind a response.
+/// Size of the buffer for what is read and discarded after a response, in bytes.
 const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
 /// How a connection is asked to end, and reports that it has ended.
@@ -57,8 +57,8 @@
     Evicted,
 }
 
-/// What is left to do once the HTTP library's part has ended.
-enum Farewell {
+/// How a connection is closed once the HTTP library's part has ended.
+enum CloseAction {
     /// Send this response, then close.
     Respond(AdminResponse),
     /// The response is sent: close when the client does.
@@ -72,34 +72,36 @@
 }
 
 impl HttpEnd {
-    fn farewell(self, progress: &RequestProgress) -> Farewell {
+    fn close_action(self, progress: &RequestProgress) -> CloseAction {
         match self {
-            HttpEnd::Finished(Ok(())) if progress.is_parsed() => Farewell::Close,
+            HttpEnd::Finished(Ok(())) if progress.is_parsed() => CloseAction::Close,
             // Checks of an open port connect and send nothing.
-            HttpEnd::Finished(Ok(())) => Farewell::Drop,
-            HttpEnd::Finished(Err(error)) => farewell_after_error(&error, progress),
-            HttpEnd::TimedOut(Stage::ReadingRequest) => Farewell::Respond(AdminResponse::request_timeout()),
-            HttpEnd::TimedOut(_) => Farewell::Reset,
-            HttpEnd::Evicted => Farewell::Evict,
+            HttpEnd::Finished(Ok(())) => CloseAction::Drop,
+            HttpEnd::Finished(Err(error)) => close_action_after_error(&error, progress),
+            HttpEnd::TimedOut(Stage::ReadingRequest) => {
+                CloseAction::Respond(AdminResponse::request_timeout())
+            }
+            HttpEnd::TimedOut(_) => CloseAction::Reset,
+            HttpEnd::Evicted => CloseAction::Evict,
         }
     }
 }
 
-fn farewell_after_error(error: &hyper::Error, progress: &RequestProgress) -> Farewell {
+fn close_action_after_error(error: &hyper::Error, progress: &RequestProgress) -> CloseAction {
     if progress.is_parsed() {
         debug!("operators: answer not written: {error}");
-        return Farewell::Drop;
+        return CloseAction::Drop;
     }
     if error.is_parse_too_large() {
-        return Farewell::Respond(AdminResponse::head_too_long());
+        return CloseAction::Respond(AdminResponse::head_too_long());
     }
     if error.is_parse() {
-        return Farewell::Respond(AdminResponse::not_http());
+        return CloseAction::Respond(AdminResponse::not_http());
     }
     if error.is_incomplete_message() && progress.has_bytes() {
-        return Farewell::Respond(AdminResponse::incomplete_request());
+        return CloseAction::Respond(AdminResponse::incomplete_request());
     }
-    Farewell::Drop
+    CloseAction::Drop
 }
 
 impl<O: Operations> Connection<O> {
@@ -107,15 +109,15 @@
     pub(crate) async fn serve(&self, stream: TcpStream) {
         let progress = Rc::new(RequestProgress::default());
         let (stream, end) = self.serve_http(stream, &progress).await;
-        match end.farewell(&progress) {
-            Farewell::Respond(response) => self.send(stream, &response).await,
-            Farewell::Close => self.linger(stream).await,
-            Farewell::Drop => {}
-            Farewell::Reset => {
+        match end.close_action(&progress) {
+            CloseAction::Respond(response) => self.send(stream, &response).await,
+            CloseAction::Close => self.linger(stream).await,
+            CloseAction::Drop => {}
+            CloseAction::Reset => {
                 self.service.count_limit(Some(LimitReached::ResponseTimeout));
                 let _ = stream.set_zero_linger();
             }
-            Farewell::Evict => self.evict(&stream, &progress),
+            CloseAction::Evict => self.evict(&stream, &progress),
         }
     }
 
@@ -196,7 +198,7 @@
         self.linger(stream).await;
     }
 
-    /// Tells the client that it was evicted, without waiting. A client that sent nothing gets no response.
+    /// Sends the client the response of an eviction, without waiting. A client that sent nothing gets no response.
     fn evict(&self, stream: &TcpStream, progress: &RequestProgress) {
         let response = AdminResponse::evicted();
         self.service.count_limit(response.limit);
--- a/crates/admin/src/limits.rs
+++ b/crates/admin/src/limits.rs
@@ -12,21 +12,21 @@
 /// Longest body of a response in bytes: it waits in memory for each client that reads slowly. The metrics take 61 KiB at
 /// most.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Most bytes that are read and discarded behind a response. Closing a connection with unread bytes resets it, and the
+/// Bytes that are read and discarded after a response at most. Closing a connection with unread bytes resets it, and the
 /// client might lose the response; a client that sends without end is not read for ever.
 pub const MAX_DISCARDED_BYTES: usize = 64 * 1024;
 /// Most connections accepted a second at any time, after half the slots at once: a new one has some 30 ms for its request
 /// before others can evict it, however many arrive.
 pub const PEAK_ACCEPTS_PER_SECOND: u32 = 1_000;
 
-/// What clients of the admin address are held to.
+/// Limits on the clients of the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Connections at a time, 1 or more (64): operators, health checks and scrapers are a handful.
     pub max_connections: usize,
     /// Time from accepting a connection to a complete request (2 s); then the response is 408.
     pub request_timeout: Duration,
-    /// Time that a client has to take its response (2 s); then the connection is reset.
+    /// Time that a client has to read its response (2 s); then the connection is reset.
     pub response_timeout: Duration,
     /// Time that a client has to close its side after the response (500 ms); then the connection is closed.
     pub linger: Duration,
--- a/crates/admin/src/operations.rs
+++ b/crates/admin/src/operations.rs
@@ -45,14 +45,14 @@
     Unavailable(String),
 }
 
-/// A limit that was reached.
+/// A limit of the admin address that a client reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LimitReached {
     /// All slots were taken: a connection was evicted.
     Evicted,
     /// A request was incomplete when its time was over.
     RequestTimeout,
-    /// A response was not taken in time.
+    /// A client did not read its response in time.
     ResponseTimeout,
     /// The head or body of a request was too long.
     RequestTooLong,
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -9,6 +9,7 @@
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 
+/// The content type of every response.
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 
 /// A response.
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -15,10 +15,10 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::warn;
 
-/// First pause after the kernel had no descriptor for a new connection; doubled each time in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(5);
-/// Longest such pause: operators expect a response within 1 s, and the new connection waits meanwhile.
-const MAX_PAUSE: Duration = Duration::from_millis(160);
+/// First backoff after the kernel had no descriptor for a new connection; doubled each time in a row.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
+/// Longest backoff: operators expect a response within 1 s, and the new connection waits meanwhile.
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
 
 /// Serves admin requests on this listener until it is dropped, which closes the listener and all connections at once. A
 /// response is produced in one turn of the loop, so that a stop loses only what clients have not read yet.
@@ -30,22 +30,22 @@
     let admission = RefCell::new(Admission::new(limits));
     let service = Rc::new(Service { operations, admission, started: Instant::now() });
     let mut connections = Connections { service, evictions: BTreeMap::new(), tasks: JoinSet::new() };
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         connections.wait_for_turn().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                pause = FIRST_PAUSE;
+                backoff = INITIAL_BACKOFF;
                 connections.admit(stream).await;
             }
             Err(error) if is_client_error(&error) => {}
             Err(error) => {
-                if pause == FIRST_PAUSE {
+                if backoff == INITIAL_BACKOFF {
                     warn!("operators: no caller can be accepted: {error}");
                 }
                 connections.free_descriptor().await;
-                sleep(pause).await;
-                pause = (pause * 2).min(MAX_PAUSE);
+                sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
         // Admitted connections get their turn before the next is accepted; otherwise a good request could be evicted
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -37,11 +37,14 @@
     }
 }
 
+/// Where a metric's value is stored.
 #[derive(Debug)]
 enum Metric {
+    /// One of the program's own, which only this crate updates.
     Reserved(AtomicValue),
+    /// A counter that was handed out.
     Counter(Arc<AtomicU64>),
-    /// The bits of an `f64`, as the `metrics` library stores gauges.
+    /// A gauge that was handed out: the bits of an `f64`, as the `metrics` library stores it.
     Gauge(Arc<AtomicU64>),
 }
 
--- a/crates/metrics/src/request_accounting.rs
+++ b/crates/metrics/src/request_accounting.rs
@@ -10,9 +10,13 @@
 /// How a request completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Completion {
+    /// Served.
     Succeeded,
+    /// Rejected; a retry is harmless.
     Rejected,
+    /// Failed, or dropped without completion.
     Aborted,
+    /// The client stopped waiting before a response was owed.
     Abandoned,
 }
 
@@ -96,7 +100,7 @@
         classed + self.unclassed_account.outstanding()
     }
 
-    /// How a class's requests have completed; `None` where there is no such class.
+    /// How the requests of a class have completed; `None` where there is no such class.
     pub fn counts(&self, class: usize) -> Option<RequestCounts> {
         self.accounts.get(class).map(|account| RequestCounts {
             succeeded: account.succeeded.get(),
