--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -77,6 +77,7 @@
 }
 
 impl SettingsFile for FailoverConfig {
+    /// What error messages call these settings.
     const SUBJECT: &'static str = "failover";
 
     fn validate(&self) -> Result<(), InvalidField> {
--- a/crates/zone-failover/src/event.rs
+++ b/crates/zone-failover/src/event.rs
@@ -17,7 +17,7 @@
         /// The zone's number.
         zone: u32,
     },
-    /// This manager's own zone is isolated no more.
+    /// This manager's own zone is no longer isolated.
     Rejoined {
         /// The zone's number.
         zone: u32,
--- a/crates/zone-failover/src/zone_failover.rs
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -100,7 +100,7 @@
             let change = health.update(now, &self.config, observed);
             events.extend(change.map(|change| FailoverEvent::Zone { zone, change }));
         }
-        // Of a zone that is not observed any more all engines are gone from the list for good.
+        // A zone that is no longer observed has no engine left in the endpoint list.
         let is_observed = |zone: &u32| observations.iter().any(|observed| observed.zone == *zone);
         self.zones.retain(|zone, health| is_observed(zone) || !health.is_expired(now));
         events
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -1,8 +1,8 @@
 //! Whether a zone is ejected: evidence, and a state with hysteresis.
 //!
 //! Evidence is ranked, so that managers with the same information come to the same state: first the endpoint list (most of
-//! the zone's cores are gone from it); then, where enough managers outside the zone report on it, their quorum, against
-//! which a manager's own connections alone count for nothing; then its own connections. A state changes only when evidence
+//! the zone's cores are gone from it); then, where enough managers outside the zone report on it, their quorum, which
+//! overrules a manager's own connections; then its own connections. A state changes only when evidence
 //! has persisted for a while, and a zone that is ejected again soon after it recovered must be without evidence for longer
 //! each time, as in Envoy's outlier detection.
 
@@ -10,10 +10,10 @@
 use crate::{TimeDelta, Timestamp, ZoneObservation};
 use std::fmt;
 
-/// A zone's known cores are the most that were listed within this.
-const CAPACITY_MEMORY: TimeDelta = TimeDelta::from_millis(120_000);
-/// A zone that is ejected within this after it recovered is flapping: its next recovery takes twice as long.
-const FLAPPING_WITHIN: TimeDelta = TimeDelta::from_millis(60_000);
+/// A zone's known cores are the maximum that was listed within this span.
+const CAPACITY_MEMORY: TimeDelta = TimeDelta::from_secs(120);
+/// A zone that is ejected within this span after it recovered is flapping: its next recovery takes twice as long.
+const FLAPPING_WITHIN: TimeDelta = TimeDelta::from_secs(60);
 /// Largest number of doublings of the recovery time.
 const MAX_DOUBLINGS: u32 = 16;
 /// Time constant over which a zone's load is smoothed, in seconds.
@@ -62,7 +62,7 @@
         /// What was observed of it.
         observation: ZoneObservation,
     },
-    /// The zone has its whole fraction of requests again.
+    /// The zone has its full fraction of requests again.
     Healthy,
 }
 
@@ -137,7 +137,7 @@
         self.state
     }
 
-    /// The zone's known cores: the most that were listed recently.
+    /// The zone's known cores: the maximum that was listed recently.
     pub fn known_cores(&self) -> f64 {
         self.known_cores
     }
@@ -284,7 +284,7 @@
     }
 }
 
-/// Whether the zone's managers are alive tells whether its engines or the whole zone are unreachable.
+/// Distinguishes, by the state of the zone's managers, whether only its engines or the complete zone are unreachable.
 fn managers_note(observed: &ZoneObservation) -> &'static str {
     match (observed.managers, observed.live_managers) {
         (0, _) => "",
--- a/crates/zone-failover/tests/failure_detector.rs
+++ b/crates/zone-failover/tests/failure_detector.rs
@@ -8,9 +8,14 @@
     Timestamp::from_millis(millis)
 }
 
-fn contact(engine: u32, zone: u32, last_heard_at: Option<i64>, has_overdue_attempts: bool) -> EngineContact {
-    let last_heard_at = last_heard_at.map(at);
-    EngineContact { engine, zone, last_heard_at, is_silent: false, has_overdue_attempts }
+fn contact(
+    engine: u32,
+    zone: u32,
+    last_response_at: Option<i64>,
+    has_overdue_attempts: bool,
+) -> EngineContact {
+    let last_response_at = last_response_at.map(at);
+    EngineContact { engine, zone, last_response_at, is_silent: false, has_overdue_attempts }
 }
 
 #[test]
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -211,7 +211,7 @@
     EngineContact {
         engine: view.engine,
         zone: view.zone,
-        last_heard_at: engines.get(view.engine as usize).and_then(|engine| engine.last_heard_at),
+        last_response_at: engines.get(view.engine as usize).and_then(|engine| engine.last_heard_at),
         is_silent: view.unresponsive || view.backoff_secs > 0.0,
         has_overdue_attempts: view.overdue > 0,
     }
