--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission during warm-up: how many requests a manager that has just started accepts at a time.
 //!
-//! A manager that starts knows neither the speed of engines nor the cost of classes; what it admits at once rests on
-//! initial estimates, and hundreds that start together estimate alike. So a starting manager has at most `initial_limit`
+//! A manager that starts knows neither the speed of engines nor the cost of classes; what it admits at once depends
+//! on initial estimates, and hundreds that start together estimate alike. So a starting manager has at most `initial_limit`
 //! requests pending. Each request served raises the limit by `increase` (with 1 it doubles about once per round trip, as
 //! TCP slow start does, RFC 5681 section 3.1), and each sign that engines are full multiplies it by `decrease_factor`
 //! (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit reaches `max_limit`: from then on the
@@ -22,9 +22,10 @@
 const LATENCY_WEIGHT: f64 = 0.2;
 /// Shortest Retry-After: earlier, a client would meet the same conditions.
 pub const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
-/// Longest Retry-After: later, warm-up has moved on.
-pub const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(2_000);
-/// The limit never falls below this many requests: one pending request at least shows whether conditions improve.
+/// Longest Retry-After: by then, warm-up has progressed.
+pub const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(2);
+/// The limit on pending requests never falls below this: at least one pending request is needed to see whether conditions
+/// improve.
 const MIN_LIMIT: f64 = 1.0;
 /// Distinguishes this generator from others that are seeded with the manager's seed.
 const RNG_STREAM: u64 = 0xad31_5510;
--- a/crates/startup/src/config.rs
+++ b/crates/startup/src/config.rs
@@ -1,6 +1,6 @@
 //! Start-up settings: a JSON5 file of the operator's, such as `deploy/cold-start.json5`.
 //!
-//! Every field has a default. Unknown fields and numbers out of range are refused by name.
+//! Every field has a default. Unknown fields and numbers out of range are rejected by name.
 
 use crate::admission::AdmissionConfig;
 use crate::dial_pacer::DialPacerConfig;
@@ -36,6 +36,7 @@
 }
 
 impl SettingsFile for StartupConfig {
+    /// What error messages call these settings.
     const SUBJECT: &'static str = "cold start";
 
     fn validate(&self) -> Result<(), InvalidField> {
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -10,7 +10,7 @@
 //!   does not list stays;
 //! - of an engine that is listed twice in one event the more cautious state counts;
 //! - a stale complete list that is still sent after `accept_stale_after_ms`, with nothing newer between, is accepted: the
-//!   service's numbering began anew (a restart from a backup), and it must not be ignored for good.
+//!   service restarted its numbering (after a restore from a backup), and must not be ignored indefinitely.
 //!
 //! Only ids and states are kept, of at most [`MAX_ENGINES`] engines.
 
@@ -19,6 +19,9 @@
 use sprucelink_settings::{check_range, InvalidField};
 use std::collections::BTreeMap;
 
+#[cfg(test)]
+mod tests;
+
 /// Largest number of engines tracked; further ones are applied unchecked. Twice the largest fleet planned for.
 pub const MAX_ENGINES: usize = 10_000;
 
@@ -78,7 +81,7 @@
     config: EndpointListGuardConfig,
     revision: u64,
     states: BTreeMap<String, EndpointState>,
-    /// Since when stale complete lists come with nothing newer between.
+    /// Since when stale complete lists have arrived with nothing newer between.
     stale_since: Option<Timestamp>,
 }
 
@@ -102,17 +105,15 @@
         is_complete: bool,
         entries: &[(&str, EndpointState)],
     ) -> ListDecision {
-        let (most_cautious, contradictions) = most_cautious_entries(entries);
+        let selection = CautiousSelection::new(entries);
         let is_stale = self.is_stale(now, revision, is_complete);
         if !is_stale {
             self.revision = revision;
             self.stale_since = None;
         }
-        let mut accepted: Vec<usize> = most_cautious
-            .iter()
-            .filter(|(id, (_, state))| !is_stale || self.is_more_cautious(id, *state))
-            .map(|(_, (index, _))| *index)
-            .collect();
+        let selected = selection.by_engine.iter();
+        let applicable = selected.filter(|(id, entry)| !is_stale || self.is_more_cautious(id, entry.state));
+        let mut accepted: Vec<usize> = applicable.map(|(_, entry)| entry.index).collect();
         accepted.sort_unstable();
         let is_complete = is_complete && !is_stale;
         if is_complete {
@@ -123,10 +124,10 @@
             self.track(id, state);
         }
         if self.states.len() >= MAX_ENGINES {
-            // Ids are not used again: engines that are gone are tracked only while there is room.
+            // Ids are not used again: engines that are gone are tracked only while there is capacity.
             self.states.retain(|_, state| *state != EndpointState::Gone);
         }
-        ListDecision { accepted, is_complete, is_stale, contradictions }
+        ListDecision { accepted, is_complete, is_stale, contradictions: selection.contradictions }
     }
 
     /// Whether an event is older than the current list. A stale complete list stops being so once it has been sent for
@@ -154,22 +155,33 @@
     }
 }
 
-/// For each engine the index and state of its most cautious entry, and the number of entries that contradict another.
-fn most_cautious_entries<'a>(
-    entries: &[(&'a str, EndpointState)],
-) -> (BTreeMap<&'a str, (usize, EndpointState)>, usize) {
-    let mut most_cautious: BTreeMap<&str, (usize, EndpointState)> = BTreeMap::new();
-    let mut contradictions = 0;
-    for (index, (id, state)) in entries.iter().enumerate() {
-        let chosen = most_cautious.entry(id).or_insert((index, *state));
-        let chosen_state = chosen.1;
-        contradictions += usize::from(chosen_state != *state);
-        if *state > chosen_state {
-            *chosen = (index, *state);
+/// An entry of an event.
+#[derive(Clone, Copy, Debug)]
+struct SelectedEntry {
+    /// Its index in the event.
+    index: usize,
+    state: EndpointState,
+}
+
+/// The entry with the most cautious state for each engine of an event.
+#[derive(Debug, Default)]
+struct CautiousSelection<'a> {
+    by_engine: BTreeMap<&'a str, SelectedEntry>,
+    /// Number of entries that contradict another of the same engine.
+    contradictions: usize,
+}
+
+impl<'a> CautiousSelection<'a> {
+    fn new(entries: &[(&'a str, EndpointState)]) -> CautiousSelection<'a> {
+        let mut selection = CautiousSelection::default();
+        for (index, (id, state)) in entries.iter().enumerate() {
+            let entry = SelectedEntry { index, state: *state };
+            let selected = selection.by_engine.entry(id).or_insert(entry);
+            selection.contradictions += usize::from(selected.state != entry.state);
+            if entry.state > selected.state {
+                *selected = entry;
+            }
         }
+        selection
     }
-    (most_cautious, contradictions)
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/startup/src/endpoint_poller.rs
+++ b/crates/startup/src/endpoint_poller.rs
@@ -12,9 +12,9 @@
 //! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed is longer
 //!   than `max_delay_ms`, whatever the token bucket says: both at most 250 ms. An event counts as delivered when it would
 //!   have arrived had the manager been polling, and a drain must be honoured within 500 ms of that. Only an explicit
-//!   rejection may delay for longer, since the service is up and says that it cannot answer.
+//!   rejection may delay for longer, since the service is up and reports that it cannot answer.
 //!
-//! The last endpoint list stays in force meanwhile; [`EndpointPoller::time_since_success`] tells how old it is.
+//! The last endpoint list stays in force meanwhile; [`EndpointPoller::time_since_success`] is its age.
 
 use crate::backoff::{Backoff, BackoffConfig};
 use crate::{from_millis, TimeDelta, Timestamp};
@@ -26,7 +26,7 @@
 /// Longest first wait and delay, in milliseconds: half the drain grace of 500 ms, so that a manager that learns of a
 /// drain at the end of a delay still stops sending within the grace.
 pub const MAX_DRAIN_DELAY_MS: f64 = 250.0;
-/// Longest window where drains that are honoured late break no rule, in milliseconds.
+/// Longest window over which first polls may spread where late drains break no rule, in milliseconds.
 const MAX_WINDOW_MS: f64 = 120_000.0;
 
 /// How a poll ended.
@@ -214,7 +214,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// How long until the bucket holds a whole token.
+    /// How long until the bucket holds one token.
     fn token_wait(&self) -> TimeDelta {
         if self.tokens >= 1.0 {
             return TimeDelta::ZERO;
--- a/crates/startup/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -3,9 +3,9 @@
 //! The decision module gives each manager an even part of what a cold engine can take (the engine's budget over the
 //! configured number of managers), and a manager that has just started half of its part during one span, since it does
 //! not remember what it sent before. Where most of a fleet starts at once, that is a step which all take in the same
-//! second. Here the part rises evenly instead, from `initial_fraction` to the whole over `ramp_ms` after the start. The
+//! second. Here the part rises evenly instead, from `initial_fraction` to 1 over `ramp_ms` after the start. The
 //! sum over all managers never exceeds the engine's budget, whatever they sent before their restart, as long as the
-//! initial fraction and the slope leave room for it: with `ramp_ms` of two spans, a manager sends less than
+//! initial fraction and the slope allow it: with `ramp_ms` of two spans, a manager sends less than
 //! `initial_fraction + 0.5` of its part within one span of its start.
 //!
 //! Envoy's slow start and HAProxy's `slowstart` ramp the weight of a server that came up, in each proxy by itself. Here
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// Smallest rise that a slope is computed from: a ramp that starts at the whole has none.
+/// Smallest rise of the fraction that a slope is computed from: a ramp that starts at 1 does not rise.
 const MIN_RISE: f64 = 1e-9;
 
 /// Settings of the ramp. The decision module applies it (`Settings::cold_ramp`).
@@ -24,7 +24,7 @@
     /// Fraction of this manager's part at the start; 0.01 to 1.
     #[serde(rename = "from")]
     pub initial_fraction: f64,
-    /// Time until the whole part, in milliseconds; 0 (off: the decision module's own step) to 120,000.
+    /// Time until the fraction is 1, in milliseconds; 0 (off: the decision module's own step) to 120,000.
     #[serde(rename = "over_ms")]
     pub ramp_ms: f64,
 }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`readiness`]: when the manager reports that it is ready.
 //!
 //! [`config::StartupConfig`] is the operator's settings file. Nothing here does input or output or reads a clock: the
-//! current time is an argument, and randomness comes from a seed. On the platform, managers do not talk to each other:
+//! current time is an argument, and randomness comes from a seed. On the platform, managers do not communicate with each other:
 //! everything follows from what each is configured with (fleet size, own name, seed) and what it observes.
 
 pub mod admission;
