--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! An [`Entry`] is proposed by a manager or an operator, agreed on by the consensus crate, and applied by every manager
 //! in the same order. An applied entry is a [`Record`]: the entry, its [`Position`] and its [`Outcome`]. An outcome
-//! follows from the records before it and from nothing else, so it is the same everywhere. How entries are agreed on, what they
-//! mean and who reads them is not this crate's concern.
+//! depends on the records before it and on nothing else, so it is the same everywhere. How entries are agreed on, what
+//! they mean and who reads them is not this crate's concern.
 
 mod entry;
 mod position;
--- a/crates/replicated-log/src/proposal_dedup.rs
+++ b/crates/replicated-log/src/proposal_dedup.rs
@@ -1,10 +1,10 @@
-//! Detecting proposals that have taken effect before: a proposer that gets no answer proposes again, and both proposals may be
-//! committed.
+//! Detecting proposals that have taken effect before: a proposer that gets no answer proposes again, and both proposals
+//! may be committed.
 
 use std::collections::BTreeMap;
 
-/// Largest number of origins that are remembered. Beyond it the one that proposed least recently is forgotten: the managers and
-/// operators of the largest fleet are a few thousand.
+/// Largest number of origins that are remembered. Beyond it the one whose last proposal is the oldest is evicted: the
+/// managers and operators of the largest fleet are a few thousand.
 pub const MAX_ORIGINS: usize = 8_192;
 
 /// How far below an origin's highest sequence others are remembered. A proposer has fewer proposals undecided.
@@ -73,16 +73,17 @@
             return window.insert(sequence);
         }
         if self.origins.len() >= MAX_ORIGINS {
-            self.forget_least_recent();
+            self.evict_oldest_origin();
         }
         let window = OriginWindow { highest: sequence, mask: 0, last_used: self.proposals };
         self.origins.insert(origin.to_owned(), window);
         true
     }
 
-    fn forget_least_recent(&mut self) {
-        let least_recent = self.origins.iter().min_by_key(|(_, window)| window.last_used);
-        if let Some(origin) = least_recent.map(|(origin, _)| origin.clone()) {
+    /// Evicts the origin whose last proposal is the oldest.
+    fn evict_oldest_origin(&mut self) {
+        let oldest = self.origins.iter().min_by_key(|(_, window)| window.last_used);
+        if let Some(origin) = oldest.map(|(origin, _)| origin.clone()) {
             self.origins.remove(&origin);
         }
     }
