--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -7,10 +7,11 @@
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The finaliser of SplitMix64: spreads each bit of the input over all bits of the output, one to one.
-pub(crate) fn mix(mut z: u64) -> u64 {
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
+pub(crate) fn mix(input: u64) -> u64 {
+    let mut mixed = input;
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ (mixed >> 31)
 }
 
 /// A seeded pseudorandom number generator. Not for secrets.
