--- a/crates/failpoints/src/error.rs
+++ b/crates/failpoints/src/error.rs
@@ -11,9 +11,9 @@
     /// The build has no failpoints, and some were to be armed.
     #[error("this build has no failpoints: build with the feature `hits` of sprucelink-failpoints")]
     NotBuiltIn,
-    /// The build takes no faults, and the folder holds a fault file.
+    /// The build injects no faults, and the folder holds a fault file.
     #[error("{}: this build takes no faults: build with the feature `hits` of sprucelink-failpoints", path.display())]
-    FileRefused {
+    FileRejected {
         /// The fault file.
         path: PathBuf,
     },
--- a/crates/failpoints/src/fault_file.rs
+++ b/crates/failpoints/src/fault_file.rs
@@ -6,14 +6,14 @@
 
 /// Name of the fault file within a process's folder.
 pub const FILE_NAME: &str = "faults.json5";
-/// Longest block of an armed failpoint, in milliseconds: a test whose harness does not react must still end.
+/// Longest time that an armed failpoint blocks, in milliseconds: a test whose harness does not react must still end.
 pub const MAX_WAIT_MS: u64 = 10_000;
-/// Most failpoints that may be armed at once.
+/// Maximum number of failpoints armed at once.
 pub const MAX_ARMED_POINTS: usize = 32;
 /// Longest name of a failpoint, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
-/// Most writes that a faulty disk may hold back.
-pub const MAX_HELD_WRITES: u32 = 1_000;
+/// Maximum number of writes that a faulty disk may delay.
+pub const MAX_DELAYED_WRITES: u32 = 1_000;
 
 /// All faults of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -92,10 +92,12 @@
     /// Bytes accepted before writes fail; the write that crosses the bound is written up to it. `None`: no bound.
     pub full_after: Option<u64>,
     /// The error of such a write.
-    pub refusal: DiskErrorKind,
-    /// Number of the most recent writes that are acknowledged but not yet in the file: a crash loses them. 0 to
-    /// [`MAX_HELD_WRITES`].
-    pub hold_back: u32,
+    #[serde(rename = "refusal")]
+    pub write_error: DiskErrorKind,
+    /// Number of the latest writes that are acknowledged but not yet in the file: a crash loses them. 0 to
+    /// [`MAX_DELAYED_WRITES`].
+    #[serde(rename = "hold_back")]
+    pub delayed_writes: u32,
     /// Number of bytes at the end of the last write that reach the file only with the next write: a crash tears it.
     pub torn: u64,
 }
@@ -123,9 +125,9 @@
         /// The pass as given.
         pass: u32,
     },
-    /// Too many writes are held back.
-    #[error("disk.hold_back: 0 to {MAX_HELD_WRITES}, is {0}")]
-    TooManyHeldWrites(u32),
+    /// Too many writes are delayed.
+    #[error("disk.hold_back: 0 to {MAX_DELAYED_WRITES}, is {0}")]
+    TooManyDelayedWrites(u32),
 }
 
 impl FaultFile {
@@ -145,8 +147,8 @@
     /// The first field that is out of its range.
     pub fn check(&self) -> Result<(), FaultFileError> {
         self.points.check()?;
-        if self.disk.hold_back > MAX_HELD_WRITES {
-            return Err(FaultFileError::TooManyHeldWrites(self.disk.hold_back));
+        if self.disk.delayed_writes > MAX_DELAYED_WRITES {
+            return Err(FaultFileError::TooManyDelayedWrites(self.disk.delayed_writes));
         }
         Ok(())
     }
--- a/crates/failpoints/src/faulty_disk.rs
+++ b/crates/failpoints/src/faulty_disk.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Most bytes held back; beyond it the oldest writes reach the file.
-pub const MAX_HELD_BYTES: usize = 16 << 20;
+/// Maximum number of bytes in delayed writes; beyond it the oldest writes reach the file.
+pub const MAX_DELAYED_BYTES: usize = 16 << 20;
 
 /// Bytes to be written at an offset of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,8 +50,8 @@
 pub struct FaultyDisk {
     faults: DiskFaults,
     accepted_bytes: u64,
-    held: VecDeque<Write>,
-    held_bytes: usize,
+    delayed: VecDeque<Write>,
+    delayed_bytes: usize,
 }
 
 impl FaultyDisk {
@@ -70,8 +70,8 @@
             return Err(self.fail_write(offset, bytes, capacity));
         }
         self.accepted_bytes += bytes.len() as u64;
-        if self.faults.hold_back > 0 {
-            return Ok(self.hold_back(offset, bytes));
+        if self.faults.delayed_writes > 0 {
+            return Ok(self.delay_write(offset, bytes));
         }
         if self.faults.torn > 0 {
             return Ok(self.tear(offset, bytes));
@@ -79,10 +79,10 @@
         Ok(vec![Write { offset, bytes: bytes.to_vec() }])
     }
 
-    /// Lays held writes over `read`, the content of the file from `offset`: a store sees its own writes.
+    /// Applies delayed writes to `read`, the content of the file from `offset`: a store sees its own writes.
     pub fn overlay(&self, offset: u64, read: &mut [u8]) {
         let read_end = offset + read.len() as u64;
-        for write in &self.held {
+        for write in &self.delayed {
             let from = write.offset.max(offset);
             let to = write.end().min(read_end);
             if from < to {
@@ -94,13 +94,13 @@
 
     /// The length of the file as the store must see it, given the length that has reached the disk.
     pub fn visible_length(&self, file_length: u64) -> u64 {
-        self.held.iter().map(Write::end).fold(file_length, u64::max)
+        self.delayed.iter().map(Write::end).fold(file_length, u64::max)
     }
 
-    /// Removes and returns the held writes, in order: an orderly shutdown writes them, a crash loses them.
+    /// Removes and returns the delayed writes, in order: a clean shutdown writes them, a crash loses them.
     pub fn drain(&mut self) -> Vec<Write> {
-        self.held_bytes = 0;
-        self.held.drain(..).collect()
+        self.delayed_bytes = 0;
+        self.delayed.drain(..).collect()
     }
 
     fn remaining_capacity(&self) -> u64 {
@@ -110,46 +110,48 @@
         }
     }
 
-    /// Writes out everything held and as much of this write as fits.
+    /// Releases all delayed writes and as much of this write as fits.
     fn fail_write(&mut self, offset: u64, bytes: &[u8], capacity: u64) -> FailedWrite {
         self.accepted_bytes += capacity;
         let mut partial = self.drain();
         // The cast is lossless: the capacity is less than the length of a slice.
         partial.push(Write { offset, bytes: bytes[..capacity as usize].to_vec() });
         partial.retain(|write| !write.bytes.is_empty());
-        FailedWrite { partial, kind: self.faults.refusal }
+        FailedWrite { partial, kind: self.faults.write_error }
     }
 
-    /// Holds this write and returns those that are no longer among the most recent ones.
-    fn hold_back(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
-        self.hold(Write { offset, bytes: bytes.to_vec() });
+    /// Delays this write and returns those that are no longer among the latest ones.
+    fn delay_write(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
+        self.push_delayed(Write { offset, bytes: bytes.to_vec() });
         let mut released = Vec::new();
-        while self.held.len() > self.faults.hold_back as usize || self.held_bytes > MAX_HELD_BYTES {
+        while self.delayed.len() > self.faults.delayed_writes as usize
+            || self.delayed_bytes > MAX_DELAYED_BYTES
+        {
             released.extend(self.pop_oldest());
         }
         released
     }
 
-    /// Holds the end of this write and returns its beginning, after the end of the write before.
+    /// Delays the end of this write and returns its beginning, after the end of the write before.
     fn tear(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
         let mut released = self.drain();
         let torn = usize::try_from(self.faults.torn).unwrap_or(usize::MAX);
-        let kept = bytes.len().saturating_sub(torn);
-        let (beginning, end) = bytes.split_at(kept);
-        self.hold(Write { offset: offset + kept as u64, bytes: end.to_vec() });
+        let beginning_length = bytes.len().saturating_sub(torn);
+        let (beginning, end) = bytes.split_at(beginning_length);
+        self.push_delayed(Write { offset: offset + beginning_length as u64, bytes: end.to_vec() });
         released.push(Write { offset, bytes: beginning.to_vec() });
         released.retain(|write| !write.bytes.is_empty());
         released
     }
 
-    fn hold(&mut self, write: Write) {
-        self.held_bytes += write.bytes.len();
-        self.held.push_back(write);
+    fn push_delayed(&mut self, write: Write) {
+        self.delayed_bytes += write.bytes.len();
+        self.delayed.push_back(write);
     }
 
     fn pop_oldest(&mut self) -> Option<Write> {
-        let write = self.held.pop_front()?;
-        self.held_bytes -= write.bytes.len();
+        let write = self.delayed.pop_front()?;
+        self.delayed_bytes -= write.bytes.len();
         Some(write)
     }
 }
--- a/crates/failpoints/src/lib.rs
+++ b/crates/failpoints/src/lib.rs
@@ -1,6 +1,6 @@
 //! Failpoints and disk faults for tests of crash recovery.
 //!
-//! A failpoint is a named place in the program where a crash does the most harm, for example between a vote that was
+//! A failpoint is a named place in the program where a crash is most likely to expose a fault, for example between a vote that was
 //! decided and its write to disk. The program marks it by `sprucelink_failpoints::hit("consensus.vote.unsynced")`. When
 //! the point is armed, the call prints the line `point consensus.vote.unsynced` to standard error, flushes, and blocks
 //! for a bounded time, so that the test harness that reads the line can kill the process exactly there.
@@ -9,7 +9,7 @@
 //! which the harness writes before it starts the process. Without the cargo feature `hits`, [`hit`] is an empty function
 //! and [`arm`] fails: a release build cannot be made to wait.
 //!
-//! The set of armed points is the one piece of global state: failpoints lie in code that has no handle of the harness.
+//! The set of armed points is the one piece of global state: failpoints are in code that has no access to the harness.
 
 mod error;
 pub mod fault_file;
@@ -65,7 +65,7 @@
     let path = folder.join(fault_file::FILE_NAME);
     if cfg!(not(feature = "hits")) {
         return if path.exists() {
-            Err(FailpointError::FileRefused { path })
+            Err(FailpointError::FileRejected { path })
         } else {
             Ok(FaultFile::default())
         };
--- a/crates/failpoints/tests/faulty_disk.rs
+++ b/crates/failpoints/tests/faulty_disk.rs
@@ -28,21 +28,21 @@
 }
 
 #[test]
-fn crash_loses_held_writes_and_tears_the_last_one() {
+fn crash_loses_delayed_writes_and_tears_the_last_one() {
     let complete = b"abcdefghi".to_vec();
-    let hold_back = |writes| DiskFaults { hold_back: writes, ..DiskFaults::default() };
+    let delayed = |writes| DiskFaults { delayed_writes: writes, ..DiskFaults::default() };
     let torn = |bytes| DiskFaults { torn: bytes, ..DiskFaults::default() };
     assert_eq!(append_three_times(DiskFaults::default()), (complete.clone(), complete.clone()));
-    assert_eq!(append_three_times(hold_back(2)), (b"abc".to_vec(), complete.clone()));
+    assert_eq!(append_three_times(delayed(2)), (b"abc".to_vec(), complete.clone()));
     assert_eq!(append_three_times(torn(2)), (b"abcdefg".to_vec(), complete.clone()));
     assert_eq!(append_three_times(torn(9)), (b"abcdef".to_vec(), complete));
 }
 
 #[test]
 fn full_disk_accepts_what_fits_and_then_nothing() {
-    let faults = DiskFaults { full_after: Some(4), hold_back: 1, ..DiskFaults::default() };
+    let faults = DiskFaults { full_after: Some(4), delayed_writes: 1, ..DiskFaults::default() };
     let mut disk = FaultyDisk::new(faults);
-    assert_eq!(disk.write(0, b"abc"), Ok(vec![]), "held back");
+    assert_eq!(disk.write(0, b"abc"), Ok(vec![]), "delayed");
     let failed = disk.write(3, b"def").unwrap_err();
     let mut file = Vec::new();
     assert_eq!(failed.to_io_error().kind(), ErrorKind::StorageFull);
