--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -15,7 +15,7 @@
 pub struct Directions {
     /// The new version writes, the old one reads: publishers go first.
     pub down: bool,
-    /// The old version writes or wrote, the new one reads: history is replayed, or old publishers go on beside new ones.
+    /// The old version writes or wrote, the new one reads: history is replayed, or old publishers continue beside new ones.
     pub up: bool,
 }
 
@@ -119,32 +119,37 @@
     let pair = compare(&writer.model, &reader.model, direction);
     let mut found = findings_for_usage(&pair, &reader.model, usage);
     if worst_severity(&found) == Severity::Translate {
-        let there = Translation::of(&pair, reader);
-        let back = if direction == Direction::Down { Direction::Up } else { Direction::Down };
-        let back = Translation::between(reader, writer, back);
-        found.extend(test_translation(&there, &back, writer, direction));
+        let translation = Translation::of(&pair, reader);
+        let opposite = if direction == Direction::Down { Direction::Up } else { Direction::Down };
+        let inverse = Translation::between(reader, writer, opposite);
+        found.extend(test_translation(&translation, &inverse, writer, direction));
     }
     found
 }
 
 /// Runs a translation and its inverse on samples of every record; returns the first failure.
 fn test_translation(
-    there: &Translation,
-    back: &Translation,
+    translation: &Translation,
+    inverse: &Translation,
     writer: &Schema,
     direction: Direction,
 ) -> Option<Finding> {
     for name in writer.records() {
         for seed in 0..SAMPLES_PER_RECORD {
             let Some(record) = sample(writer, name, seed) else { continue };
-            let failed = match there.run(&record) {
+            let failed = match translation.run(&record) {
                 Ok(None) => None,
-                Ok(Some(read)) => back.run(&read).err().map(|error| format!("on the way back: {error}")),
+                Ok(Some(read)) => inverse.run(&read).err().map(|error| format!("on the way back: {error}")),
                 Err(error) => Some(error.to_string()),
             };
             if let Some(detail) = failed {
-                let (rule, path, severity) = (Rule::TranslationFailed, name.to_string(), Severity::Break);
-                return Some(Finding { rule, path, direction, severity, detail });
+                return Some(Finding {
+                    rule: Rule::TranslationFailed,
+                    path: name.to_string(),
+                    direction,
+                    severity: Severity::Break,
+                    detail,
+                });
             }
         }
     }
--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -16,7 +16,7 @@
 ) {
     let down = direction == Direction::Down;
     let text = |bound: Option<String>| bound.unwrap_or_else(|| "without bound".into());
-    let (low, high) = match from.whole() {
+    let (low, high) = match from.integer_range() {
         Some((low, high)) => (Some(low), Some(high)),
         None => (from.min.map(i128::from), from.max.map(i128::from)),
     };
@@ -85,7 +85,7 @@
     }
 }
 
-/// Compares oneof membership: a reader keeps only the last member that it decodes.
+/// Compares oneof membership: a reader retains only the last member that it decodes.
 pub(crate) fn compare_oneofs(
     context: &ComparisonContext,
     writer: &Message,
@@ -106,15 +106,15 @@
     }
     let Some(from_oneof) = from.oneof else { return };
     let known: Vec<u32> = written().map(|field| field.number).collect();
-    let strange = |field: &&Field| field.oneof == Some(from_oneof) && !known.contains(&field.number);
-    if let Some(stranger) = writer.fields.values().find(strange) {
+    let is_unknown = |field: &&Field| field.oneof == Some(from_oneof) && !known.contains(&field.number);
+    if let Some(unknown) = writer.fields.values().find(is_unknown) {
         let one = &reader.oneofs[oneof];
         differences.differences.push(Difference {
             rule: Rule::OneofMemberUnknown,
             used: enum_values::unknown_impact(one.unknown),
             unused: Impact::Nothing,
             at: Some(one.name.clone()),
-            detail: format!("{} may be written, its reader does not know it", stranger.name),
+            detail: format!("{} may be written, its reader does not know it", unknown.name),
         });
     }
 }
--- a/crates/schema-compat/src/comparison/enum_values.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -86,9 +86,8 @@
 
     /// The reader has at least one value of this number.
     fn compare_known_number(&mut self, value: &EnumValue) {
-        let (writer, reader) = (self.writer, self.reader);
-        let aliases = || writer.values.iter().filter(|alias| alias.number == value.number);
-        let mut known = reader.values.iter().filter(|known| known.number == value.number).peekable();
+        let aliases = || self.writer.values.iter().filter(|alias| alias.number == value.number);
+        let mut known = self.reader.values.iter().filter(|known| known.number == value.number).peekable();
         let first_name = known.peek().map_or("", |first| first.name.as_str());
         let Some(same) = known.find(|known| aliases().any(|alias| self.is_same_value(known, alias))) else {
             let detail = format!("number {} stands for it, {first_name} is read", value.number);
--- a/crates/schema-compat/src/comparison/field.rs
+++ b/crates/schema-compat/src/comparison/field.rs
@@ -5,8 +5,7 @@
 use super::conversion::{FieldConversion, FieldStep};
 use super::difference::{DifferenceList, FieldComparison, Impact};
 use super::field_values;
-use crate::field_type::decodes;
-use crate::model::{Field, FieldCardinality, Message};
+use crate::model::{Field, Message};
 use crate::rules::{Direction, Rule};
 
 /// Compares the reader's field `to` with what the writer's message has for it.
@@ -24,18 +23,7 @@
         None => compare_missing(context, writer, to, &mut differences, &mut step),
         Some(from) => {
             step.from = Some(from.number);
-            if from.name != to.name {
-                let detail = format!("written as {}", from.name);
-                differences.add(Rule::FieldRenamed, Impact::Names, Impact::Names, detail);
-            }
-            if from.number != to.number {
-                let detail = format!("number {} is written for {}, as declared", from.number, to.number);
-                differences.add(Rule::FieldRenumbered, Impact::Translate, Impact::Note, detail);
-            }
-            if from.meaning != to.meaning {
-                let detail = format!("means {} to its writer and {} to its reader", from.meaning, to.meaning);
-                differences.add(Rule::MeaningChanged, Impact::Break, Impact::Note, detail);
-            }
+            compare_identity(from, to, &mut differences);
             child = field_values::compare_values(context, from, to, &mut differences, &mut step);
             if step.conversion != FieldConversion::Drop {
                 constraints::compare_ranges(context.direction, from, to, &mut differences);
@@ -44,26 +32,33 @@
             constraints::compare_oneofs(context, writer, reader, from, to, &mut differences);
         }
     }
-    if let Some(stranger) = writer.fields.get(&to.number) {
-        let taken = counterpart.is_none_or(|field| field.number != to.number);
-        if taken && step.from.is_none() && step.conversion == FieldConversion::Keep {
-            let accepted =
-                (stranger.kind, stranger.cardinality != FieldCardinality::Singular, stranger.packed);
-            let safe = decodes(accepted, (to.kind, to.cardinality != FieldCardinality::Singular));
-            if !safe || counterpart.is_none() {
-                step = FieldStep {
-                    from: Some(to.number),
-                    to: to.number,
-                    fill: false,
-                    conversion: FieldConversion::Drop,
-                };
-            }
-        }
+    let is_default_declared = step.conversion != FieldConversion::Keep;
+    if counterpart.is_none() && !is_default_declared && writer.fields.contains_key(&to.number) {
+        // The writer's field of this number is another one: the reader must not decode it.
+        step.from = Some(to.number);
+        step.fill = false;
+        step.conversion = FieldConversion::Drop;
     }
     let needed = to.needed || to.required;
     (FieldComparison { name: to.name.clone(), needed, differences: differences.differences, child }, step)
 }
 
+/// Compares name, number and declared meaning.
+fn compare_identity(from: &Field, to: &Field, differences: &mut DifferenceList) {
+    if from.name != to.name {
+        let detail = format!("written as {}", from.name);
+        differences.add(Rule::FieldRenamed, Impact::Names, Impact::Names, detail);
+    }
+    if from.number != to.number {
+        let detail = format!("number {} is written for {}, as declared", from.number, to.number);
+        differences.add(Rule::FieldRenumbered, Impact::Translate, Impact::Note, detail);
+    }
+    if from.meaning != to.meaning {
+        let detail = format!("means {} to its writer and {} to its reader", from.meaning, to.meaning);
+        differences.add(Rule::MeaningChanged, Impact::Break, Impact::Note, detail);
+    }
+}
+
 /// Handles a field for which the writer has no counterpart.
 fn compare_missing(
     context: &ComparisonContext,
@@ -72,8 +67,8 @@
     differences: &mut DifferenceList,
     step: &mut FieldStep,
 ) {
-    if let Some(stranger) = writer.fields.get(&to.number) {
-        let detail = format!("number {} is written for {}", to.number, stranger.name);
+    if let Some(other) = writer.fields.get(&to.number) {
+        let detail = format!("number {} is written for {}", to.number, other.name);
         differences.add(Rule::FieldNumberReused, Impact::Break, Impact::Break, detail);
         return;
     }
@@ -83,11 +78,11 @@
         return;
     }
     let unused = if to.required { Impact::Break } else { Impact::Nothing };
-    let (rule, stands) = match context.direction {
+    let (rule, replacement) = match context.direction {
         Direction::Down => (Rule::FieldRemovedInUse, writer.removed.get(&to.name)),
         _ => (Rule::FieldNeededMissing, to.old_reads_as.as_ref()),
     };
-    match stands {
+    match replacement {
         Some(text) => {
             step.conversion = FieldConversion::Default(text.clone());
             differences.add(
--- a/crates/schema-compat/src/comparison/field_values.rs
+++ b/crates/schema-compat/src/comparison/field_values.rs
@@ -5,9 +5,15 @@
 use super::difference::{Difference, DifferenceList, Impact};
 use super::enum_values;
 use crate::field_type::{decodes, fit, FieldType, TypeFit, ValueDomain};
-use crate::model::{Field, FieldCardinality, Model};
+use crate::model::{Field, FieldCardinality, Model, MAP_KEY_NUMBER, MAP_VALUE_NUMBER};
 use crate::rules::Rule;
 
+/// Why values of the writer's type cannot be read as the reader's.
+struct IncompatibleTypes {
+    rule: Rule,
+    detail: String,
+}
+
 /// Compares types and cardinality; returns the index of the pair of messages that the fields hold.
 pub(crate) fn compare_values(
     context: &mut ComparisonContext,
@@ -16,25 +22,12 @@
     differences: &mut DifferenceList,
     step: &mut FieldStep,
 ) -> Option<usize> {
-    let safe = decodes(
-        (from.kind, from.cardinality != FieldCardinality::Singular, from.packed),
-        (to.kind, to.cardinality != FieldCardinality::Singular),
-    );
-    let drop = |differences: &mut DifferenceList, step: &mut FieldStep, rule, detail: String, safe: bool| {
-        let unused = if safe { Impact::Nothing } else { Impact::Translate };
-        // A strict reader that requires the field fails the whole record without it.
-        let unused = if to.required && !safe { Impact::Break } else { unused };
-        differences.add(rule, Impact::Break, unused, detail);
-        if !safe {
-            step.conversion = FieldConversion::Drop;
-        }
-    };
-    if from.cardinality != to.cardinality
-        && !(from.cardinality == FieldCardinality::Singular && to.cardinality == FieldCardinality::Repeated)
-    {
+    let can_decode = decodes(from.encoding(), to.encoding());
+    if from.cardinality != to.cardinality && !becomes_list(from, to) {
         let detail = format!("{} written, {} read", from.cardinality.name(), to.cardinality.name());
-        let safe = safe && !from.kind.is_message() && !to.kind.is_message();
-        drop(differences, step, Rule::CardinalityChanged, detail, safe);
+        let can_decode = can_decode && !from.kind.is_message() && !to.kind.is_message();
+        let mismatch = IncompatibleTypes { rule: Rule::CardinalityChanged, detail };
+        reject_field(to, mismatch, can_decode, differences, step);
         return None;
     }
     if from.cardinality == FieldCardinality::Map && to.cardinality == FieldCardinality::Map {
@@ -42,40 +35,73 @@
     }
     let conversion = match compare_value(context, from, to, &mut differences.differences) {
         Ok(conversion) => conversion,
-        Err((rule, detail)) => {
-            drop(differences, step, rule, detail, safe);
+        Err(mismatch) => {
+            reject_field(to, mismatch, can_decode, differences, step);
             return None;
         }
     };
-    let child = if let ValueConversion::Child(at) = conversion { Some(at) } else { None };
-    step.conversion = match (from.cardinality, conversion) {
-        (FieldCardinality::Singular, conversion) if to.cardinality == FieldCardinality::Repeated => {
-            // Such a writer does not encode the default: the list of one value must not become empty.
-            let silent = !from.explicit && !from.kind.is_message();
-            let used = if silent { Impact::Translate } else { Impact::Note };
-            differences.add(
-                Rule::CardinalityChanged,
-                used,
-                Impact::Nothing,
-                "one written, read as a list of one".into(),
-            );
-            step.fill = silent;
-            FieldConversion::Wrap(conversion)
-        }
-        (_, ValueConversion::Keep) => FieldConversion::Keep,
-        (_, conversion) => FieldConversion::Value(conversion),
+    let child = child_of(&conversion);
+    step.conversion = if becomes_list(from, to) {
+        step.fill = note_list_of_one(from, differences);
+        FieldConversion::Wrap(conversion)
+    } else if conversion == ValueConversion::Keep {
+        FieldConversion::Keep
+    } else {
+        FieldConversion::Value(conversion)
     };
     child
 }
 
-/// Compares the types of a single value or element; an error names the rule that rejects the pair.
+/// Whether a single value is read as a list.
+fn becomes_list(from: &Field, to: &Field) -> bool {
+    from.cardinality == FieldCardinality::Singular && to.cardinality == FieldCardinality::Repeated
+}
+
+/// Reports a field that cannot be converted. Where a strict reader could not even decode it, it is dropped.
+fn reject_field(
+    to: &Field,
+    mismatch: IncompatibleTypes,
+    can_decode: bool,
+    differences: &mut DifferenceList,
+    step: &mut FieldStep,
+) {
+    let unused = match (can_decode, to.required) {
+        (true, _) => Impact::Nothing,
+        // A strict reader that requires the field fails the complete record without it.
+        (false, true) => Impact::Break,
+        (false, false) => Impact::Translate,
+    };
+    differences.add(mismatch.rule, Impact::Break, unused, mismatch.detail);
+    if !can_decode {
+        step.conversion = FieldConversion::Drop;
+    }
+}
+
+/// Reports a single value that is read as a list of one; returns whether an absent value has to be filled in.
+fn note_list_of_one(from: &Field, differences: &mut DifferenceList) -> bool {
+    // Such a writer does not encode the default: the list of one value must not become empty.
+    let omits_default = !from.explicit && !from.kind.is_message();
+    let used = if omits_default { Impact::Translate } else { Impact::Note };
+    let detail = "one written, read as a list of one".into();
+    differences.add(Rule::CardinalityChanged, used, Impact::Nothing, detail);
+    omits_default
+}
+
+/// The index of the pair of messages that a conversion refers to.
+fn child_of(conversion: &ValueConversion) -> Option<usize> {
+    match conversion {
+        ValueConversion::Child(index) => Some(*index),
+        _ => None,
+    }
+}
+
+/// Compares the types of a single value or element.
 fn compare_value(
     context: &mut ComparisonContext,
     from: &Field,
     to: &Field,
     differences: &mut Vec<Difference>,
-) -> Result<ValueConversion, (Rule, String)> {
-    let detail = || format!("{} written, {} read", from.kind.name(), to.kind.name());
+) -> Result<ValueConversion, IncompatibleTypes> {
     match (from.kind, to.kind) {
         (FieldType::Message(writer), FieldType::Message(reader))
         | (FieldType::Group(writer), FieldType::Group(reader)) => {
@@ -84,43 +110,62 @@
         (FieldType::Enum(writer), FieldType::Enum(reader)) => {
             Ok(enum_values::compare(context, writer, reader, differences))
         }
-        _ => {
-            let domain = match (from.kind, from.whole()) {
-                (FieldType::Enum(at), _) => {
-                    let numbers =
-                        context.writer.enums[at].values.iter().map(|value| i128::from(value.number));
-                    ValueDomain::Whole(numbers.clone().min().unwrap_or(0), numbers.max().unwrap_or(0))
-                }
-                (_, Some((low, high))) => ValueDomain::Whole(low, high),
-                (kind, None) => kind.domain(),
-            };
-            match fit(from.kind, domain, to.kind) {
-                TypeFit::Same if from.kind == to.kind => Ok(ValueConversion::Keep),
-                TypeFit::Same => {
-                    let rule = Rule::TypeReencoded;
-                    let detail = format!("{}: the same bytes", detail());
-                    differences.push(Difference {
-                        rule,
-                        used: Impact::Names,
-                        unused: Impact::Note,
-                        at: None,
-                        detail,
-                    });
-                    Ok(ValueConversion::Keep)
-                }
-                TypeFit::Convert => {
-                    let rule = Rule::TypeReencoded;
-                    let (used, unused) = (Impact::Translate, Impact::Translate);
-                    differences.push(Difference { rule, used, unused, at: None, detail: detail() });
-                    Ok(ValueConversion::Convert)
-                }
-                TypeFit::Narrowed => Err((Rule::TypeNarrowed, detail())),
-                TypeFit::Apart => Err((Rule::TypeChanged, detail())),
-            }
+        _ => compare_scalar(context, from, to, differences),
+    }
+}
+
+fn compare_scalar(
+    context: &ComparisonContext,
+    from: &Field,
+    to: &Field,
+    differences: &mut Vec<Difference>,
+) -> Result<ValueConversion, IncompatibleTypes> {
+    let detail = format!("{} written, {} read", from.kind.name(), to.kind.name());
+    let mut add = |used, unused, detail| {
+        differences.push(Difference { rule: Rule::TypeReencoded, used, unused, at: None, detail });
+    };
+    match fit(from.kind, written_domain(context, from), to.kind) {
+        TypeFit::Same if from.kind == to.kind => Ok(ValueConversion::Keep),
+        TypeFit::Same => {
+            add(Impact::Names, Impact::Note, format!("{detail}: the same bytes"));
+            Ok(ValueConversion::Keep)
+        }
+        TypeFit::Convert => {
+            add(Impact::Translate, Impact::Translate, detail);
+            Ok(ValueConversion::Convert)
         }
+        TypeFit::Narrowed => Err(IncompatibleTypes { rule: Rule::TypeNarrowed, detail }),
+        TypeFit::Unrelated => Err(IncompatibleTypes { rule: Rule::TypeChanged, detail }),
     }
 }
 
+/// The values that a writer may write into a field.
+fn written_domain(context: &ComparisonContext, from: &Field) -> ValueDomain {
+    if let FieldType::Enum(index) = from.kind {
+        let values = context.writer.enums[index].values.iter();
+        let numbers = values.map(|value| i128::from(value.number));
+        return ValueDomain::Integer(numbers.clone().min().unwrap_or(0), numbers.max().unwrap_or(0));
+    }
+    match from.integer_range() {
+        Some((low, high)) => ValueDomain::Integer(low, high),
+        None => from.kind.domain(),
+    }
+}
+
+/// The fields of a map's entry message.
+struct MapEntry {
+    key: Field,
+    value: Field,
+}
+
+fn map_entry(model: &Model, field: &Field) -> Option<MapEntry> {
+    let fields = &model.messages[field.kind.message_index()?].fields;
+    Some(MapEntry {
+        key: fields.get(&MAP_KEY_NUMBER)?.clone(),
+        value: fields.get(&MAP_VALUE_NUMBER)?.clone(),
+    })
+}
+
 /// Compares the keys and values of a map.
 fn compare_entries(
     context: &mut ComparisonContext,
@@ -129,27 +174,21 @@
     differences: &mut DifferenceList,
     step: &mut FieldStep,
 ) -> Option<usize> {
-    let (writer, reader) = (context.writer, context.reader);
-    let parts = |model: &'_ Model, field: &Field| {
-        let entry = field.kind.message_index().map(|at| &model.messages[at].fields);
-        entry.and_then(|fields| Some((fields.get(&1)?.clone(), fields.get(&2)?.clone())))
-    };
-    let (Some((from_key, from_value)), Some((to_key, to_value))) = (parts(writer, from), parts(reader, to))
-    else {
-        return None;
-    };
-    let key = compare_value(context, &from_key, &to_key, &mut differences.differences);
-    let below = compare_value(context, &from_value, &to_value, &mut differences.differences);
-    match (key, below) {
+    let written = map_entry(context.writer, from)?;
+    let read = map_entry(context.reader, to)?;
+    let key = compare_value(context, &written.key, &read.key, &mut differences.differences);
+    let value = compare_value(context, &written.value, &read.value, &mut differences.differences);
+    match (key, value) {
         (Ok(ValueConversion::Keep), Ok(ValueConversion::Keep)) => None,
-        (Ok(key), Ok(below)) => {
-            let child = if let ValueConversion::Child(at) = below { Some(at) } else { None };
-            step.conversion = FieldConversion::Map(key, below);
+        (Ok(key), Ok(value)) => {
+            let child = child_of(&value);
+            step.conversion = FieldConversion::Map(key, value);
             child
         }
-        (Err((rule, detail)), _) | (_, Err((rule, detail))) => {
+        (Err(mismatch), _) | (_, Err(mismatch)) => {
             let unused = if to.required { Impact::Break } else { Impact::Translate };
-            differences.add(rule, Impact::Break, unused, format!("entry: {detail}"));
+            let detail = format!("entry: {}", mismatch.detail);
+            differences.add(mismatch.rule, Impact::Break, unused, detail);
             step.conversion = FieldConversion::Drop;
             None
         }
--- a/crates/schema-compat/src/comparison/mod.rs
+++ b/crates/schema-compat/src/comparison/mod.rs
@@ -21,7 +21,8 @@
 fn compare_messages(context: &mut ComparisonContext, writer: usize, reader: usize) -> MessageComparison {
     let mut comparison =
         MessageComparison { reader, differences: Vec::new(), fields: Vec::new(), steps: Vec::new() };
-    let (writer, reader) = (&context.writer.messages[writer], &context.reader.messages[reader]);
+    let writer = &context.writer.messages[writer];
+    let reader = &context.reader.messages[reader];
     if writer.meaning != reader.meaning {
         comparison.differences.push(Difference {
             rule: Rule::MeaningChanged,
--- a/crates/schema-compat/src/convert.rs
+++ b/crates/schema-compat/src/convert.rs
@@ -7,40 +7,40 @@
 pub(crate) struct NotRepresentable;
 
 enum ScalarValue {
-    Whole(i128),
+    Integer(i128),
     Float(f64),
     Text(Vec<u8>),
 }
 
-fn plain(value: &Value) -> Option<ScalarValue> {
+fn scalar_of(value: &Value) -> Option<ScalarValue> {
     Some(match value {
-        Value::Bool(one) => ScalarValue::Whole(i128::from(*one)),
-        Value::I32(one) => ScalarValue::Whole(i128::from(*one)),
-        Value::I64(one) => ScalarValue::Whole(i128::from(*one)),
-        Value::U32(one) => ScalarValue::Whole(i128::from(*one)),
-        Value::U64(one) => ScalarValue::Whole(i128::from(*one)),
-        Value::EnumNumber(one) => ScalarValue::Whole(i128::from(*one)),
-        Value::F32(one) => ScalarValue::Float(f64::from(*one)),
-        Value::F64(one) => ScalarValue::Float(*one),
-        Value::String(one) => ScalarValue::Text(one.as_bytes().to_vec()),
-        Value::Bytes(one) => ScalarValue::Text(one.to_vec()),
+        Value::Bool(value) => ScalarValue::Integer(i128::from(*value)),
+        Value::I32(value) => ScalarValue::Integer(i128::from(*value)),
+        Value::I64(value) => ScalarValue::Integer(i128::from(*value)),
+        Value::U32(value) => ScalarValue::Integer(i128::from(*value)),
+        Value::U64(value) => ScalarValue::Integer(i128::from(*value)),
+        Value::EnumNumber(value) => ScalarValue::Integer(i128::from(*value)),
+        Value::F32(value) => ScalarValue::Float(f64::from(*value)),
+        Value::F64(value) => ScalarValue::Float(*value),
+        Value::String(value) => ScalarValue::Text(value.as_bytes().to_vec()),
+        Value::Bytes(value) => ScalarValue::Text(value.to_vec()),
         Value::Message(_) | Value::List(_) | Value::Map(_) => return None,
     })
 }
 
-fn whole(number: i128, kind: &Kind) -> Result<Value, NotRepresentable> {
-    let no = |_| NotRepresentable;
+fn integer_value(number: i128, kind: &Kind) -> Result<Value, NotRepresentable> {
+    let out_of_range = |_| NotRepresentable;
     Ok(match kind {
         Kind::Bool => match number {
             0 => Value::Bool(false),
             1 => Value::Bool(true),
             _ => return Err(NotRepresentable),
         },
-        Kind::Int32 | Kind::Sint32 | Kind::Sfixed32 => Value::I32(number.try_into().map_err(no)?),
-        Kind::Int64 | Kind::Sint64 | Kind::Sfixed64 => Value::I64(number.try_into().map_err(no)?),
-        Kind::Uint32 | Kind::Fixed32 => Value::U32(number.try_into().map_err(no)?),
-        Kind::Uint64 | Kind::Fixed64 => Value::U64(number.try_into().map_err(no)?),
-        Kind::Enum(_) => Value::EnumNumber(number.try_into().map_err(no)?),
+        Kind::Int32 | Kind::Sint32 | Kind::Sfixed32 => Value::I32(number.try_into().map_err(out_of_range)?),
+        Kind::Int64 | Kind::Sint64 | Kind::Sfixed64 => Value::I64(number.try_into().map_err(out_of_range)?),
+        Kind::Uint32 | Kind::Fixed32 => Value::U32(number.try_into().map_err(out_of_range)?),
+        Kind::Uint64 | Kind::Fixed64 => Value::U64(number.try_into().map_err(out_of_range)?),
+        Kind::Enum(_) => Value::EnumNumber(number.try_into().map_err(out_of_range)?),
         // Only exact conversions: a rounded number would be another value.
         Kind::Float if (number as f32) as i128 == number => Value::F32(number as f32),
         Kind::Double if (number as f64) as i128 == number => Value::F64(number as f64),
@@ -51,8 +51,8 @@
 /// The same value as type `kind`, exactly: within integers, floating-point numbers and text or bytes, and from integers
 /// to floating-point numbers.
 pub(crate) fn convert(value: &Value, kind: &Kind) -> Result<Value, NotRepresentable> {
-    match (plain(value).ok_or(NotRepresentable)?, kind) {
-        (ScalarValue::Whole(number), _) => whole(number, kind),
+    match (scalar_of(value).ok_or(NotRepresentable)?, kind) {
+        (ScalarValue::Integer(number), _) => integer_value(number, kind),
         (ScalarValue::Float(number), Kind::Double) => Ok(Value::F64(number)),
         (ScalarValue::Float(number), Kind::Float)
             if f64::from(number as f32) == number || number.is_nan() =>
@@ -72,31 +72,30 @@
     convert(&Value::from(key), kind)?.into_map_key().ok_or(NotRepresentable)
 }
 
-/// A declared value's text as a value of type `kind`: `12`, `-1`, `0.5`, `true`, a text as it stands, an enum value's
+/// A declared value's text as a value of type `kind`: `12`, `-1`, `0.5`, `true`, a literal text, an enum value's
 /// name.
 pub(crate) fn parse(text: &str, kind: &Kind) -> Result<Value, NotRepresentable> {
-    let no = |_| NotRepresentable;
     match kind {
         Kind::Bool => Ok(Value::Bool(text.parse().map_err(|_| NotRepresentable)?)),
         Kind::Float => Ok(Value::F32(text.parse().map_err(|_| NotRepresentable)?)),
         Kind::Double => Ok(Value::F64(text.parse().map_err(|_| NotRepresentable)?)),
         Kind::String => Ok(Value::String(text.to_string())),
         Kind::Bytes => Ok(Value::Bytes(text.as_bytes().to_vec().into())),
-        Kind::Enum(one) => by_name(one, text).ok_or(NotRepresentable),
+        Kind::Enum(descriptor) => enum_value(descriptor, text).ok_or(NotRepresentable),
         Kind::Message(_) => Err(NotRepresentable),
-        _ => whole(text.parse::<i128>().map_err(no)?, kind),
+        _ => integer_value(text.parse().map_err(|_| NotRepresentable)?, kind),
     }
 }
 
-fn by_name(one: &EnumDescriptor, name: &str) -> Option<Value> {
-    one.get_value_by_name(name).map(|value| Value::EnumNumber(value.number()))
+fn enum_value(descriptor: &EnumDescriptor, name: &str) -> Option<Value> {
+    descriptor.get_value_by_name(name).map(|value| Value::EnumNumber(value.number()))
 }
 
-/// A text that two equal values of different types share: whole numbers and enum numbers in decimals, texts and bytes
-/// in hexadecimals.
+/// A text that two equal values of different types share: integers and enum numbers in decimal, texts and bytes in
+/// hexadecimal.
 pub(crate) fn canonical(value: &Value) -> String {
-    match plain(value) {
-        Some(ScalarValue::Whole(number)) => number.to_string(),
+    match scalar_of(value) {
+        Some(ScalarValue::Integer(number)) => number.to_string(),
         Some(ScalarValue::Float(number)) => number.to_string(),
         Some(ScalarValue::Text(bytes)) => bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
         None => String::new(),
--- a/crates/schema-compat/src/field_type.rs
+++ b/crates/schema-compat/src/field_type.rs
@@ -3,8 +3,8 @@
 //! The wire's classes are those of protobuf's encoding page. Two types that share a class decode each other's bytes;
 //! whether the value survives is a question of domains: `int32`, `uint32`, `int64`, `uint64`, `bool` and enums are all
 //! plain varints (a negative `int32` is written as ten bytes, so that it reads as the same `int64`), `sint32` and
-//! `sint64` are zigzag varints that a plain reader takes for other numbers, `float` and `fixed32` share four bytes and
-//! nothing else, `string` and `bytes` share all but the promise of UTF-8.
+//! `sint64` are zigzag varints that a plain reader decodes as other numbers, `float` and `fixed32` share four bytes and
+//! nothing else, `string` and `bytes` share all but the guarantee of UTF-8.
 
 /// A field's type.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -59,8 +59,8 @@
 /// What a value can be.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum ValueDomain {
-    /// Whole numbers, both ends included.
-    Whole(i128, i128),
+    /// Integers from the first to the last, both included.
+    Integer(i128, i128),
     Float,
     Double,
     Utf8,
@@ -125,14 +125,14 @@
     pub(crate) fn domain(self) -> ValueDomain {
         match self {
             FieldType::Int32 | FieldType::Sint32 | FieldType::Sfixed32 | FieldType::Enum(_) => {
-                ValueDomain::Whole(i128::from(i32::MIN), i128::from(i32::MAX))
+                ValueDomain::Integer(i128::from(i32::MIN), i128::from(i32::MAX))
             }
             FieldType::Int64 | FieldType::Sint64 | FieldType::Sfixed64 => {
-                ValueDomain::Whole(i128::from(i64::MIN), i128::from(i64::MAX))
+                ValueDomain::Integer(i128::from(i64::MIN), i128::from(i64::MAX))
             }
-            FieldType::Uint32 | FieldType::Fixed32 => ValueDomain::Whole(0, i128::from(u32::MAX)),
-            FieldType::Uint64 | FieldType::Fixed64 => ValueDomain::Whole(0, i128::from(u64::MAX)),
-            FieldType::Bool => ValueDomain::Whole(0, 1),
+            FieldType::Uint32 | FieldType::Fixed32 => ValueDomain::Integer(0, i128::from(u32::MAX)),
+            FieldType::Uint64 | FieldType::Fixed64 => ValueDomain::Integer(0, i128::from(u64::MAX)),
+            FieldType::Bool => ValueDomain::Integer(0, 1),
             FieldType::Float => ValueDomain::Float,
             FieldType::Double => ValueDomain::Double,
             FieldType::String => ValueDomain::Utf8,
@@ -169,28 +169,35 @@
     /// Some values cannot be represented in the reader's type.
     Narrowed,
     /// The types have nothing in common.
-    Apart,
+    Unrelated,
 }
 
-/// Whole numbers beyond these are rounded: 24 and 53 bits of fraction (IEEE 754).
-const FLOAT_WHOLE: i128 = 1 << 24;
-const DOUBLE_WHOLE: i128 = 1 << 53;
+/// Largest integer up to which a `float` represents every integer exactly (IEEE 754: 24 bits of significand).
+const MAX_EXACT_FLOAT_INTEGER: i128 = 1 << 24;
+/// Largest integer up to which a `double` represents every integer exactly (IEEE 754: 53 bits of significand).
+const MAX_EXACT_DOUBLE_INTEGER: i128 = 1 << 53;
 
 /// How values of `writer` (narrowed to `from`) reach a reader of type `reader`. Messages are compared elsewhere.
 pub(crate) fn fit(writer: FieldType, from: ValueDomain, reader: FieldType) -> TypeFit {
     let same_bytes = writer.class() == reader.class();
     let contained = match (from, reader.domain()) {
         // A number does not determine which value of an enum it means.
-        (ValueDomain::Whole(..), _) if matches!(reader, FieldType::Enum(_)) => return TypeFit::Apart,
-        (ValueDomain::Whole(low, high), ValueDomain::Whole(lower, upper)) => lower <= low && high <= upper,
-        (ValueDomain::Whole(low, high), ValueDomain::Float) => -FLOAT_WHOLE <= low && high <= FLOAT_WHOLE,
-        (ValueDomain::Whole(low, high), ValueDomain::Double) => -DOUBLE_WHOLE <= low && high <= DOUBLE_WHOLE,
+        (ValueDomain::Integer(..), _) if matches!(reader, FieldType::Enum(_)) => return TypeFit::Unrelated,
+        (ValueDomain::Integer(low, high), ValueDomain::Integer(lower, upper)) => {
+            lower <= low && high <= upper
+        }
+        (ValueDomain::Integer(low, high), ValueDomain::Float) => {
+            -MAX_EXACT_FLOAT_INTEGER <= low && high <= MAX_EXACT_FLOAT_INTEGER
+        }
+        (ValueDomain::Integer(low, high), ValueDomain::Double) => {
+            -MAX_EXACT_DOUBLE_INTEGER <= low && high <= MAX_EXACT_DOUBLE_INTEGER
+        }
         (ValueDomain::Float, ValueDomain::Float | ValueDomain::Double)
         | (ValueDomain::Double, ValueDomain::Double) => true,
         (ValueDomain::Utf8, ValueDomain::Utf8 | ValueDomain::Bytes)
         | (ValueDomain::Bytes, ValueDomain::Bytes) => true,
         (ValueDomain::Double, ValueDomain::Float) | (ValueDomain::Bytes, ValueDomain::Utf8) => false,
-        _ => return TypeFit::Apart,
+        _ => return TypeFit::Unrelated,
     };
     match (contained, same_bytes) {
         (true, true) => TypeFit::Same,
@@ -199,25 +206,34 @@
     }
 }
 
-/// Whether bytes of a writer's field, whatever the value, let a strict reader go on: one that fails the whole record on
-/// a wrong wire type or on bytes that are no UTF-8, as prost does.
-pub(crate) fn decodes(writer: (FieldType, bool, bool), reader: (FieldType, bool)) -> bool {
-    let (writer, many, packed) = writer;
-    let (reader, reader_many) = reader;
-    let as_packed = many && packed && writer.packs();
-    if as_packed {
-        return match reader {
+/// How a field is encoded.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) struct FieldEncoding {
+    pub(crate) field_type: FieldType,
+    /// Whether it is a list or a map.
+    pub(crate) is_repeated: bool,
+    /// Whether a writer packs its elements; readers accept both forms.
+    pub(crate) is_packed: bool,
+}
+
+/// Whether a strict reader can decode whatever bytes a writer's field has. A strict reader fails the complete record on a
+/// wrong wire type or on bytes that are no UTF-8, as prost does.
+pub(crate) fn decodes(writer: FieldEncoding, reader: FieldEncoding) -> bool {
+    let written = writer.field_type;
+    let read = reader.field_type;
+    if writer.is_repeated && writer.is_packed && written.packs() {
+        return match read {
             FieldType::Bytes => true,
-            _ => reader_many && reader.packs() && reader.wire_type() == writer.wire_type(),
+            _ => reader.is_repeated && read.packs() && read.wire_type() == written.wire_type(),
         };
     }
-    if writer.wire_type() != reader.wire_type() {
+    if written.wire_type() != read.wire_type() {
         return false;
     }
-    match reader {
-        FieldType::String => writer == FieldType::String,
-        FieldType::Message(_) => matches!(writer, FieldType::Message(_)),
-        FieldType::Group(_) => matches!(writer, FieldType::Group(_)),
+    match read {
+        FieldType::String => written == FieldType::String,
+        FieldType::Message(_) => matches!(written, FieldType::Message(_)),
+        FieldType::Group(_) => matches!(written, FieldType::Group(_)),
         _ => true,
     }
 }
--- a/crates/schema-compat/src/limits.rs
+++ b/crates/schema-compat/src/limits.rs
@@ -18,7 +18,7 @@
 pub const MAX_NAME_BYTES: usize = 256;
 /// Pairs of messages that one comparison visits: recursive types terminate on their own, this bounds the rest.
 pub const MAX_MESSAGE_PAIRS: usize = 4_096;
-/// Places (a pair of messages in one reader's use) that one evaluation visits.
+/// Pairs of messages, each as one reader uses it, that one evaluation visits.
 pub const MAX_VISITED_PLACES: usize = 16_384;
 /// Paths of one declaration of use.
 pub const MAX_USAGE_PATHS: usize = 1_024;
@@ -41,7 +41,7 @@
 
 /// Publishers of one registry. A further one is rejected.
 pub const MAX_PUBLISHERS: usize = 64;
-/// Versions kept of one publisher. At the limit a proposal is rejected until an old version is retired.
+/// Versions retained of one publisher. At the limit a proposal is rejected until an old version is retired.
 pub const MAX_VERSIONS: usize = 64;
 /// Subscriptions of one registry, over all publishers. A further one is rejected; renewals still succeed.
 pub const MAX_SUBSCRIBERS: usize = 4_096;
--- a/crates/schema-compat/src/model/builder.rs
+++ b/crates/schema-compat/src/model/builder.rs
@@ -63,8 +63,8 @@
     let mut next = 0;
     while next < descriptors.len() {
         for field in descriptors[next].clone().fields() {
-            if let prost_reflect::Kind::Message(held) = field.kind() {
-                add_message(held, &mut descriptors, &mut place);
+            if let prost_reflect::Kind::Message(referenced) = field.kind() {
+                add_message(referenced, &mut descriptors, &mut place);
             }
         }
         next += 1;
@@ -87,10 +87,11 @@
 
 /// The number of messages that a message is declared within, itself included.
 fn depth(message: &MessageDescriptor) -> usize {
-    let (mut depth, mut at) = (1, message.clone());
-    while let Some(parent) = at.parent_message() {
+    let mut depth = 1;
+    let mut current = message.clone();
+    while let Some(parent) = current.parent_message() {
         depth += 1;
-        at = parent;
+        current = parent;
     }
     depth
 }
@@ -141,7 +142,8 @@
     types: &TypeIndexes,
 ) -> Result<Field, SchemaError> {
     let values = OptionValues::of(&from.options(), &options.field);
-    let oneof = from.containing_oneof().and_then(|held| oneofs.iter().position(|one| *one == held));
+    let oneof =
+        from.containing_oneof().and_then(|containing| oneofs.iter().position(|one| *one == containing));
     let cardinality = match from.cardinality() {
         _ if from.is_map() => FieldCardinality::Map,
         Cardinality::Repeated => FieldCardinality::Repeated,
--- a/crates/schema-compat/src/model/mod.rs
+++ b/crates/schema-compat/src/model/mod.rs
@@ -1,11 +1,16 @@
-//! What the rules look at: descriptors and options in one flat form, within bounds.
+//! The input of the rules: descriptors and options in one flat form, within bounds.
 
 mod builder;
 
-use crate::field_type::{FieldType, ValueDomain};
+use crate::field_type::{FieldEncoding, FieldType, ValueDomain};
 use crate::schema_options::UnknownValuePolicy;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Number of the key in a map's entry message.
+pub(crate) const MAP_KEY_NUMBER: u32 = 1;
+/// Number of the value in a map's entry message.
+pub(crate) const MAP_VALUE_NUMBER: u32 = 2;
+
 /// How many values a field holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum FieldCardinality {
@@ -30,7 +35,7 @@
     pub(crate) name: String,
     pub(crate) kind: FieldType,
     pub(crate) cardinality: FieldCardinality,
-    /// Absent and default are told apart.
+    /// Explicit presence: an absent field differs from one that is set to the default.
     pub(crate) explicit: bool,
     pub(crate) required: bool,
     pub(crate) packed: bool,
@@ -50,15 +55,24 @@
 }
 
 impl Field {
-    /// Whether this field is, by its own word, what an older version calls `name`.
+    /// Whether this field, by its name or a declared former one, is what an older version calls `name`.
     pub(crate) fn was(&self, name: &str) -> bool {
         self.name == name || self.former_names.iter().any(|former| former == name)
     }
 
-    /// Whole numbers that a writer of this field writes.
-    pub(crate) fn whole(&self) -> Option<(i128, i128)> {
+    /// How it is encoded.
+    pub(crate) fn encoding(&self) -> FieldEncoding {
+        FieldEncoding {
+            field_type: self.kind,
+            is_repeated: self.cardinality != FieldCardinality::Singular,
+            is_packed: self.packed,
+        }
+    }
+
+    /// The lowest and highest integer that a writer of this field writes; `None` if it does not hold integers.
+    pub(crate) fn integer_range(&self) -> Option<(i128, i128)> {
         match self.kind.domain() {
-            ValueDomain::Whole(low, high) => Some((
+            ValueDomain::Integer(low, high) => Some((
                 self.min.map_or(low, |min| i128::from(min).max(low)),
                 self.max.map_or(high, |max| i128::from(max).min(high)),
             )),
@@ -84,7 +98,7 @@
     pub(crate) reserved_names: BTreeSet<String>,
     pub(crate) meaning: u32,
     pub(crate) former_names: Vec<String>,
-    /// Fields of earlier versions and the text of what stands for them.
+    /// Fields of earlier versions, and the text of the value that replaces them.
     pub(crate) removed: BTreeMap<String, String>,
     record: bool,
     /// Declared by the publisher: neither bundled with protobuf nor a map entry.
@@ -117,7 +131,7 @@
     /// First and last number, both included.
     pub(crate) reserved: Vec<(i32, i32)>,
     pub(crate) reserved_names: BTreeSet<String>,
-    /// A reader takes numbers that it does not know for absent (proto2).
+    /// A reader treats numbers that it does not know as absent (proto2).
     pub(crate) closed: bool,
     pub(crate) unknown: UnknownValuePolicy,
     pub(crate) removed: BTreeMap<String, String>,
@@ -134,7 +148,7 @@
     pub(crate) messages: Vec<Message>,
     pub(crate) enums: Vec<Enum>,
     pub(crate) by_name: BTreeMap<String, usize>,
-    /// Messages that are published as they stand.
+    /// Messages that are published themselves, not only as parts of others.
     pub(crate) roots: Vec<usize>,
 }
 
@@ -143,25 +157,25 @@
         self.by_name.get(name).copied()
     }
 
-    /// Marked messages; without marks those that no other message holds; where all are held, all.
+    /// Marked messages; without marks those that no other message refers to; where all are referred to, all.
     fn find_roots(&self) -> Vec<usize> {
         let own = || (0..self.messages.len()).filter(|&at| self.messages[at].own);
         let marked: Vec<usize> = own().filter(|&at| self.messages[at].record).collect();
         if !marked.is_empty() {
             return marked;
         }
-        let held: BTreeSet<usize> = (0..self.messages.len())
+        let referenced: BTreeSet<usize> = (0..self.messages.len())
             .flat_map(|holder| self.messages[holder].fields.values().map(move |field| (holder, field.kind)))
             .filter_map(|(holder, kind)| match kind {
                 FieldType::Message(at) | FieldType::Group(at) if at != holder => Some(at),
                 _ => None,
             })
             .collect();
-        let free: Vec<usize> = own().filter(|at| !held.contains(at)).collect();
-        if free.is_empty() {
+        let unreferenced: Vec<usize> = own().filter(|at| !referenced.contains(at)).collect();
+        if unreferenced.is_empty() {
             own().collect()
         } else {
-            free
+            unreferenced
         }
     }
 }
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -76,7 +76,7 @@
         }
         // No schema in force breaks an existing subscription, so that an equal one needs no check: hundreds of subscribers
         // reconnect at once when a manager fails.
-        if !self.readers(&name).any(|(_, held)| held.version == version && held.usage == usage) {
+        if !self.readers(&name).any(|(_, other)| other.version == version && other.usage == usage) {
             let mut violations = ViolationSet::default();
             // Its own version as well: the paths that it declares must exist there.
             violations.add(&read_by(reader, reader, &usage, Direction::Down), &[&subscriber]);
@@ -89,9 +89,9 @@
             }
         }
         let until_ms = self.now_ms.saturating_add(lease_ms);
-        let spoken = self.readers(&name).any(|(_, held)| held.version == version);
-        let before = self.subscriptions.insert(key, Subscription { version, usage, lease_ms, until_ms });
-        if !spoken || before.is_some_and(|held| held.version != version) {
+        let was_read = self.readers(&name).any(|(_, other)| other.version == version);
+        let previous = self.subscriptions.insert(key, Subscription { version, usage, lease_ms, until_ms });
+        if !was_read || previous.is_some_and(|previous| previous.version != version) {
             self.refresh_translations(&name);
         }
         let to = |((publisher, from, to), one): (&(String, u32, u32), &Option<_>)| {
@@ -105,12 +105,12 @@
 
     fn renew(&mut self, subscriber: String, publisher: String) -> Result<CommandOutcome, CommandRejection> {
         let now = self.now_ms;
-        let held = self
+        let subscription = self
             .subscriptions
             .get_mut(&(publisher, subscriber))
             .ok_or(CommandRejection::UnknownSubscriber)?;
-        held.until_ms = held.until_ms.max(now.saturating_add(held.lease_ms));
-        Ok(CommandOutcome::Renewed { until_ms: held.until_ms })
+        subscription.until_ms = subscription.until_ms.max(now.saturating_add(subscription.lease_ms));
+        Ok(CommandOutcome::Renewed { until_ms: subscription.until_ms })
     }
 
     fn unsubscribe(
@@ -119,8 +119,8 @@
         subscriber: String,
     ) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
-        let held = self.subscriptions.remove(&key).ok_or(CommandRejection::UnknownSubscriber)?;
-        if !self.readers(&key.0).any(|(_, other)| other.version == held.version) {
+        let removed = self.subscriptions.remove(&key).ok_or(CommandRejection::UnknownSubscriber)?;
+        if !self.readers(&key.0).any(|(_, other)| other.version == removed.version) {
             self.refresh_translations(&key.0);
         }
         Ok(CommandOutcome::Done)
@@ -132,9 +132,9 @@
         subscriber: String,
     ) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
-        let held = self.subscriptions.get(&key).ok_or(CommandRejection::UnknownSubscriber)?;
+        let subscription = self.subscriptions.get(&key).ok_or(CommandRejection::UnknownSubscriber)?;
         // Not expired if a renewal precedes this command in the journal, or if the leader's clock runs ahead.
-        let until_ms = held.until_ms.saturating_add(LEASE_MARGIN_MS);
+        let until_ms = subscription.until_ms.saturating_add(LEASE_MARGIN_MS);
         if self.now_ms < until_ms {
             return Err(CommandRejection::LeaseNotExpired { until_ms });
         }
@@ -150,11 +150,11 @@
     }
 
     fn retire(&mut self, name: &str, version: u32) -> Result<CommandOutcome, CommandRejection> {
-        let spoken = self.readers(name).any(|(_, held)| held.version == version);
+        let is_read = self.readers(name).any(|(_, subscription)| subscription.version == version);
         let publisher =
             Arc::make_mut(self.publishers.get_mut(name).ok_or(CommandRejection::UnknownPublisher)?);
         let in_force = publisher.versions.get(&version).ok_or(CommandRejection::UnknownVersion)?.in_force;
-        if in_force || spoken {
+        if in_force || is_read {
             return Err(CommandRejection::InUse);
         }
         publisher.versions.remove(&version);
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -10,6 +10,7 @@
 use crate::limits::{MAX_HISTORY_SYMBOLS, MAX_PUBLISHERS, MAX_VERSIONS};
 use crate::rules::Direction;
 use crate::schema::Schema;
+use crate::symbol_history::SymbolHistory;
 use crate::usage::ReaderUsage;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,13 +26,7 @@
     ) -> Result<CommandOutcome, CommandRejection> {
         check_name(&name)?;
         let known = self.publishers.get(&name);
-        if known.is_none() && self.publishers.len() >= MAX_PUBLISHERS {
-            return Err(limit_reached("publishers", MAX_PUBLISHERS));
-        }
-        if known.is_some_and(|known| known.replayed != replayed) {
-            // A change would add or remove withdrawn versions for subscribers that were already checked.
-            return Err(InvalidCommand::ReplayChanged.into());
-        }
+        self.check_publisher(known.map(Arc::as_ref), replayed)?;
         let empty = Publisher::default();
         let publisher = known.map_or(&empty, Arc::as_ref);
         // Every process of a release proposes the same bytes: a known digest is not read again.
@@ -59,11 +54,7 @@
         if let Some(rejection) = violations.into_rejection() {
             return Err(rejection);
         }
-        let mut symbol_history = publisher.symbol_history.clone();
-        symbol_history.absorb(&schema.model);
-        if symbol_history.size() > MAX_HISTORY_SYMBOLS {
-            return Err(limit_reached("numbers and names of a publisher", MAX_HISTORY_SYMBOLS));
-        }
+        let symbol_history = extended_history(publisher, &schema)?;
         let publisher = Arc::make_mut(self.publishers.entry(name.clone()).or_default());
         publisher.symbol_history = symbol_history;
         publisher.replayed = replayed;
@@ -73,6 +64,18 @@
         Ok(CommandOutcome::Accepted { version, translated: self.translated_from(&name, version) })
     }
 
+    /// Whether the publisher may propose at all; `known` is `None` for a new one.
+    fn check_publisher(&self, known: Option<&Publisher>, replayed: bool) -> Result<(), CommandRejection> {
+        match known {
+            None if self.publishers.len() >= MAX_PUBLISHERS => {
+                Err(limit_reached("publishers", MAX_PUBLISHERS))
+            }
+            // A change would add or remove withdrawn versions for subscribers that were already checked.
+            Some(known) if known.replayed != replayed => Err(InvalidCommand::ReplayChanged.into()),
+            _ => Ok(()),
+        }
+    }
+
     /// Checks a schema against history if it is new, against readers, and against replayed records.
     fn check_proposal(
         &self,
@@ -112,11 +115,23 @@
         for (subscriber, subscription) in self.readers(name) {
             groups.entry((subscription.version, &subscription.usage)).or_default().push(subscriber);
         }
-        for ((spoken, usage), who) in groups {
-            let Some(reader) = publisher.versions.get(&spoken).filter(|_| spoken != version) else {
+        for ((read_version, usage), subscribers) in groups {
+            let Some(reader) = publisher.versions.get(&read_version).filter(|_| read_version != version)
+            else {
                 continue;
             };
-            violations.add(&read_by(schema, &reader.schema, usage, direction(version, spoken)), &who);
+            let findings = read_by(schema, &reader.schema, usage, direction(version, read_version));
+            violations.add(&findings, &subscribers);
         }
     }
 }
+
+/// The publisher's symbol history with the schema's numbers and names.
+fn extended_history(publisher: &Publisher, schema: &Schema) -> Result<SymbolHistory, CommandRejection> {
+    let mut symbol_history = publisher.symbol_history.clone();
+    symbol_history.absorb(&schema.model);
+    if symbol_history.size() > MAX_HISTORY_SYMBOLS {
+        return Err(limit_reached("numbers and names of a publisher", MAX_HISTORY_SYMBOLS));
+    }
+    Ok(symbol_history)
+}
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -85,7 +85,9 @@
     /// The version that a subscriber reads, if it is subscribed.
     #[must_use]
     pub fn subscribed(&self, publisher: &str, subscriber: &str) -> Option<u32> {
-        self.subscriptions.get(&(publisher.to_string(), subscriber.to_string())).map(|held| held.version)
+        self.subscriptions
+            .get(&(publisher.to_string(), subscriber.to_string()))
+            .map(|subscription| subscription.version)
     }
 
     /// Subscribers whose lease and margin have expired at `now_ms`: a leader proposes
@@ -96,11 +98,11 @@
 
     /// All subscribers, by publisher and name.
     pub fn subscribers(&self) -> impl Iterator<Item = SubscriberInfo> + '_ {
-        self.subscriptions.iter().map(|((publisher, subscriber), held)| SubscriberInfo {
+        self.subscriptions.iter().map(|((publisher, subscriber), subscription)| SubscriberInfo {
             subscriber: subscriber.clone(),
             publisher: publisher.clone(),
-            version: held.version,
-            until_ms: held.until_ms,
+            version: subscription.version,
+            until_ms: subscription.until_ms,
         })
     }
 
@@ -112,7 +114,10 @@
                 version,
                 digest: one.schema.digest(),
                 in_force: one.in_force,
-                subscribers: self.readers(name).filter(|(_, held)| held.version == version).count(),
+                subscribers: self
+                    .readers(name)
+                    .filter(|(_, subscription)| subscription.version == version)
+                    .count(),
             })
         })
     }
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -217,13 +217,13 @@
                 .collect(),
         };
         let subscription =
-            |((publisher, subscriber), held): (&(String, String), &Subscription)| SubscriptionRecord {
+            |((publisher, subscriber), stored): (&(String, String), &Subscription)| SubscriptionRecord {
                 publisher: publisher.clone(),
                 subscriber: subscriber.clone(),
-                version: held.version,
-                usage: Some((&held.usage).into()),
-                lease_ms: held.lease_ms,
-                until_ms: held.until_ms,
+                version: stored.version,
+                usage: Some((&stored.usage).into()),
+                lease_ms: stored.lease_ms,
+                until_ms: stored.until_ms,
             };
         let state = StateRecord {
             edition: RULES_EDITION,
@@ -262,8 +262,8 @@
             }
             let usage = record.usage.ok_or(SnapshotError::MissingUsage)?.into();
             let SubscriptionRecord { publisher, subscriber, version, lease_ms, until_ms, .. } = record;
-            let held = Subscription { version, usage, lease_ms, until_ms };
-            made.subscriptions.insert((publisher, subscriber), held);
+            let subscription = Subscription { version, usage, lease_ms, until_ms };
+            made.subscriptions.insert((publisher, subscriber), subscription);
         }
         let names: Vec<String> = made.publishers.keys().cloned().collect();
         names.iter().for_each(|name| made.refresh_translations(name));
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -42,7 +42,7 @@
     TypeReencoded = "TYPE_REENCODED",
     /// One value, many, or a map.
     CardinalityChanged = "CARDINALITY_CHANGED",
-    /// Absent and default are told apart by readers, not by writers.
+    /// Readers distinguish an absent field from the default, writers do not.
     PresenceChanged = "PRESENCE_CHANGED",
     /// Absent stands for another value.
     DefaultChanged = "DEFAULT_CHANGED",
--- a/crates/schema-compat/src/sample.rs
+++ b/crates/schema-compat/src/sample.rs
@@ -1,15 +1,15 @@
 //! Sample records, generated from a seed within the declared ranges of a schema and mostly near their ends.
 
 use crate::limits::{MAX_SAMPLE_DEPTH, MAX_SAMPLE_TEXT_BYTES};
-use crate::model::{Field, FieldCardinality, Model};
+use crate::model::{Field, FieldCardinality, Model, MAP_KEY_NUMBER, MAP_VALUE_NUMBER};
 use crate::schema::Schema;
 use prost_reflect::{DynamicMessage, FieldDescriptor, Kind, MessageDescriptor, Value};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, HashMap};
 
-/// A record of the message `name`; the same seed gives the same record. None if the schema has no such message. Nested
-/// messages go [`MAX_SAMPLE_DEPTH`] deep; deeper ones stay absent, also where a reader needs them.
+/// A record of the message `name`; the same seed gives the same record. None if the schema has no such message. Messages
+/// are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper ones stay absent, also where a reader needs them.
 #[must_use]
 pub fn sample(schema: &Schema, name: &str, seed: u64) -> Option<DynamicMessage> {
     let descriptor = schema.message(name)?;
@@ -53,22 +53,24 @@
     fn map(&mut self, to: &FieldDescriptor, field: &Field, count: u64, depth: usize) -> Option<Value> {
         let Kind::Message(entry) = to.kind() else { return None };
         let fields = &self.model.messages[field.kind.message_index()?].fields;
-        let (key, below) = (fields.get(&1)?, fields.get(&2)?);
+        let key_field = fields.get(&MAP_KEY_NUMBER)?;
+        let value_field = fields.get(&MAP_VALUE_NUMBER)?;
         let mut map = HashMap::new();
         for _ in 0..count {
-            let made = self.value(&entry.map_entry_key_field(), key, depth)?.into_map_key()?;
-            map.insert(made, self.value(&entry.map_entry_value_field(), below, depth)?);
+            let key = self.value(&entry.map_entry_key_field(), key_field, depth)?.into_map_key()?;
+            let value = self.value(&entry.map_entry_value_field(), value_field, depth)?;
+            map.insert(key, value);
         }
         Some(Value::Map(map))
     }
 
     fn value(&mut self, to: &FieldDescriptor, field: &Field, depth: usize) -> Option<Value> {
-        if let Some((low, high)) = field.whole() {
+        if let Some((low, high)) = field.integer_range() {
             if let Kind::Enum(one) = to.kind() {
                 let values: Vec<i32> = one.values().map(|value| value.number()).collect();
                 return Some(Value::EnumNumber(values[self.random.gen_range(0..values.len())]));
             }
-            let number = self.whole(low, high);
+            let number = self.integer(low, high);
             return crate::convert::convert(&Value::I64(number as i64), &to.kind())
                 .or_else(|_| crate::convert::convert(&Value::U64(number as u64), &to.kind()))
                 .ok();
@@ -103,13 +105,13 @@
         )
     }
 
-    /// From `least` to `most`, but no more than `span` above the least.
+    /// From `low` to `high`, but no more than `span` above `low`.
     fn between(&mut self, low: u64, high: u64, span: u64) -> u64 {
         let high = high.min(low.saturating_add(span)).max(low);
         self.random.gen_range(low..=high)
     }
 
-    fn whole(&mut self, low: i128, high: i128) -> i128 {
+    fn integer(&mut self, low: i128, high: i128) -> i128 {
         let high = high.max(low);
         match self.random.gen_range(0..5) {
             0 => low,
--- a/crates/schema-compat/src/schema/descriptor_set.rs
+++ b/crates/schema-compat/src/schema/descriptor_set.rs
@@ -44,13 +44,13 @@
     let mut needed = Vec::new();
     for (_, file) in own {
         let mut file = file.clone();
-        // These are indices into the imports.
+        // Their values are indices into the imports, which would become wrong.
         if file.has_field_by_name("public_dependency") || file.has_field_by_name("weak_dependency") {
             return None;
         }
-        let kept: Vec<String> = imports(&file).into_iter().filter(|name| name != OPTIONS_FILE).collect();
-        needed.extend(kept.iter().cloned());
-        file.set_field_by_name("dependency", Value::List(kept.into_iter().map(Value::String).collect()));
+        let remaining: Vec<String> = imports(&file).into_iter().filter(|name| name != OPTIONS_FILE).collect();
+        needed.extend(remaining.iter().cloned());
+        file.set_field_by_name("dependency", Value::List(remaining.into_iter().map(Value::String).collect()));
         files.push(file.encode_to_vec());
     }
     let mut pool = DescriptorPool::new();
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -140,7 +140,7 @@
         Ok(out)
     }
 
-    /// The value of a whole field in the reader's type. None: it cannot be represented there.
+    /// The value of a complete field in the reader's type. None: it cannot be represented there.
     fn field_value(
         &self,
         conversion: &FieldConversion,
