--- a/crates/capture/src/explain/engine_texts.rs
+++ b/crates/capture/src/explain/engine_texts.rs
@@ -36,7 +36,9 @@
 pub(super) fn ineligible_text(reason: IneligibleReason) -> &'static str {
     match reason {
         IneligibleReason::NotListed => "not listed",
-        IneligibleReason::Rules => "rules",
+        IneligibleReason::WrongPlacement
+        | IneligibleReason::OutsideDedupGroup
+        | IneligibleReason::SlowStartBudgetSpent => "rules",
         IneligibleReason::Health => "health",
         IneligibleReason::JustFailed => "just failed it",
         IneligibleReason::NotSampled => "not among the few",
--- a/crates/policy/src/class_estimates.rs
+++ b/crates/policy/src/class_estimates.rs
@@ -116,3 +116,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/engine_eligibility.rs
+++ b/crates/policy/src/engine_eligibility.rs
@@ -3,47 +3,37 @@
 
 use crate::engine::Engine;
 use crate::fleet_view::FleetView;
+use crate::reasons::IneligibleReason;
 use crate::request::Request;
 use crate::settings::{ClassSettings, DedupGroup, Effect};
 use sprucelink_time::Timestamp;
 
-/// Whether the rules allow a request on an engine, and which forbids it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Eligibility {
-    /// No rule forbids it.
-    Eligible,
-    /// The endpoint list does not have it as ready.
-    NotListed,
-    /// The class runs on other machine kinds or in other zones.
-    WrongPlacement,
-    /// It would not recognise the idempotency key of an attempt that may have run elsewhere.
-    OutsideDedupGroup,
-    /// It is in slow start, and its budget does not have room for the request.
-    SlowStartBudgetSpent,
-}
-
-/// Applies the rules, in the order of [`Eligibility`].
-pub(crate) fn eligibility(fleet: &FleetView, request: &Request, engine: &Engine) -> Eligibility {
+/// The rule that forbids a request on an engine; `None` if the engine is eligible.
+pub(crate) fn ineligible_reason(
+    fleet: &FleetView,
+    request: &Request,
+    engine: &Engine,
+) -> Option<IneligibleReason> {
     let class = fleet.class_of(request);
     if !engine.is_listed() {
-        return Eligibility::NotListed;
+        return Some(IneligibleReason::NotListed);
     }
     if !is_placement_allowed(class, engine.kind(), engine.zone()) {
-        return Eligibility::WrongPlacement;
+        return Some(IneligibleReason::WrongPlacement);
     }
     let first = request.may_have_run.map(|(_, first)| &fleet.engines[first]);
     if !is_retry_deduplicated(class, first, engine) {
-        return Eligibility::OutsideDedupGroup;
+        return Some(IneligibleReason::OutsideDedupGroup);
     }
     if !has_slow_start_capacity(fleet, request, engine) {
-        return Eligibility::SlowStartBudgetSpent;
+        return Some(IneligibleReason::SlowStartBudgetSpent);
     }
-    Eligibility::Eligible
+    None
 }
 
 /// Whether the rules allow a request on an engine.
 pub(crate) fn is_eligible(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
-    eligibility(fleet, request, engine) == Eligibility::Eligible
+    ineligible_reason(fleet, request, engine).is_none()
 }
 
 /// Whether the class may run on this machine kind and in this zone.
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -137,3 +137,6 @@
     let corrected = own_threads + mean_of_others + (reported_of_others - mean_of_others) * report_weight;
     corrected + load.queries_waiting * report_weight
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -7,6 +7,7 @@
 use crate::fleet_view::FleetView;
 use crate::ids::EngineId;
 use crate::pricing::LEVELS;
+use crate::reasons::IneligibleReason;
 use crate::request::Request;
 use sprucelink_stable_hash::weighted_index;
 
@@ -30,15 +31,6 @@
     Ignored,
 }
 
-/// Why an engine is left out of a draw, beside the rules of `engine_eligibility`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DrawExclusion {
-    /// Others were sampled for this request.
-    NotSampled,
-    /// It has no capacity for this request's level.
-    NoCapacity,
-}
-
 /// Draws the engine for a request; `None` if there is none. `random_unit`: from 0 to 1.
 pub(crate) fn select_engine(
     fleet: &FleetView,
@@ -77,18 +69,19 @@
     engines
 }
 
-/// Why an engine is left out of a draw with [`CapacityCheck::Required`], this manager's own load aside.
+/// What leaves an eligible and healthy engine out of a draw with [`CapacityCheck::Required`], this manager's
+/// own load aside.
 pub(crate) fn draw_exclusion(
     fleet: &FleetView,
     request: &Request,
     id: EngineId,
     engine: &Engine,
-) -> Option<DrawExclusion> {
+) -> Option<IneligibleReason> {
     if !is_sampled(request, id) {
-        return Some(DrawExclusion::NotSampled);
+        return Some(IneligibleReason::NotSampled);
     }
     if !has_capacity(fleet, request, engine) {
-        return Some(DrawExclusion::NoCapacity);
+        return Some(IneligibleReason::NoCapacity);
     }
     None
 }
--- a/crates/policy/src/engine_weight.rs
+++ b/crates/policy/src/engine_weight.rs
@@ -106,3 +106,6 @@
     let is_there = |request: &Request| request.in_flight.as_ref().is_some_and(|attempt| attempt.engine == id);
     fleet.requests.values().any(|request| is_load(request) && is_there(request))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -174,3 +174,6 @@
     known.sort_by(f64::total_cmp);
     (known.len() >= MIN_ENGINES_FOR_MEDIAN).then(|| known[known.len() / 2])
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/own_load.rs
+++ b/crates/policy/src/own_load.rs
@@ -87,3 +87,6 @@
         OwnLoad { threads: stored.own_threads, average_from_level: stored.threads_above }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/policy/explanations.rs
+++ b/crates/policy/src/policy/explanations.rs
@@ -4,8 +4,8 @@
 use crate::actions::Action;
 use crate::admission::AdmissionDecision;
 use crate::engine::Engine;
-use crate::engine_eligibility::{eligibility, is_eligible, is_healthy_for, Eligibility};
-use crate::engine_selection::{draw_exclusion, select_engine, CapacityCheck, DrawExclusion, MAX_UTILISATION};
+use crate::engine_eligibility::{ineligible_reason, is_eligible, is_healthy_for};
+use crate::engine_selection::{draw_exclusion, select_engine, CapacityCheck, MAX_UTILISATION};
 use crate::engine_weight::EngineWeight;
 use crate::fleet_view::FleetView;
 use crate::ids::{EngineId, RequestId};
@@ -133,19 +133,15 @@
 }
 
 /// What leaves an engine out of a draw.
-fn ineligible_reason(
+fn exclusion(
     fleet: &FleetView,
     request: &Request,
     preference: &Preference,
     id: EngineId,
     engine: &Engine,
 ) -> Option<IneligibleReason> {
-    match eligibility(fleet, request, engine) {
-        Eligibility::NotListed => return Some(IneligibleReason::NotListed),
-        Eligibility::WrongPlacement | Eligibility::OutsideDedupGroup | Eligibility::SlowStartBudgetSpent => {
-            return Some(IneligibleReason::Rules)
-        }
-        Eligibility::Eligible => {}
+    if let Some(reason) = ineligible_reason(fleet, request, engine) {
+        return Some(reason);
     }
     if preference.healthy && !is_healthy_for(fleet, request, engine) {
         return Some(IneligibleReason::Health);
@@ -153,10 +149,7 @@
     if preference.other && request.last_engine == Some(id) {
         return Some(IneligibleReason::JustFailed);
     }
-    draw_exclusion(fleet, request, id, engine).map(|exclusion| match exclusion {
-        DrawExclusion::NotSampled => IneligibleReason::NotSampled,
-        DrawExclusion::NoCapacity => IneligibleReason::NoCapacity,
-    })
+    draw_exclusion(fleet, request, id, engine)
 }
 
 fn candidate(
@@ -166,7 +159,7 @@
     id: EngineId,
     engine: &Engine,
 ) -> Candidate {
-    let ineligible = ineligible_reason(fleet, request, preference, id, engine);
+    let ineligible = exclusion(fleet, request, preference, id, engine);
     let weight = match ineligible {
         Some(_) => 0.0,
         None => EngineWeight::new(fleet, request, id).value(),
--- a/crates/policy/src/probe_credit.rs
+++ b/crates/policy/src/probe_credit.rs
@@ -47,3 +47,6 @@
 pub(crate) fn needs_load_reports(settings: &Settings, class: &ClassSettings) -> bool {
     settings.reports_load && class.threads > 1.0
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -129,22 +129,30 @@
     pub report_weight: f64,
 }
 
-/// What leaves an engine out of a draw.
+/// What leaves an engine out of a draw, in the order in which it is checked. Explanations sum up three rules
+/// as `rules`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IneligibleReason {
     /// The endpoint list does not have it as ready.
     NotListed,
-    /// A rule: placement, deduplication of retries, or the slow-start budget.
-    Rules,
+    /// The class runs on other machine kinds or in other zones.
+    #[serde(rename = "rules")]
+    WrongPlacement,
+    /// It would not recognise the idempotency key of an attempt that may have run elsewhere.
+    #[serde(rename = "rules")]
+    OutsideDedupGroup,
+    /// It is in slow start, and the rest of its budget is too small for the request.
+    #[serde(rename = "rules")]
+    SlowStartBudgetSpent,
     /// It is ejected or backed off from.
     Health,
     /// It just failed this request.
     JustFailed,
-    /// The request chooses among a few other engines.
+    /// Others were sampled for this request.
     #[serde(rename = "not_among_few")]
     NotSampled,
-    /// It has no capacity for this level by estimate.
+    /// It has no capacity for the request's level, by its estimated load.
     #[serde(rename = "no_room")]
     NoCapacity,
 }
