--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::core::engine_connection::EngineConnection;
 use crate::core::result_buffer::ResultSet;
-use crate::core::test_support::{core, core_with, local, member, request};
+use crate::core::test_support::{core, core_with, member, request, run_local};
 use crate::core::{Core, RequestHandle};
 use crate::proto::events::{EndpointPhase, ListEvent};
 use crate::proto::resp;
@@ -17,15 +17,15 @@
 const SERVED: &[u8] =
     b"*4\r\n$16\r\n0000000000000001\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$6\r\na\tb\tc\n\r\n";
 
-/// Waits until a condition holds; the tasks of the core run meanwhile.
-async fn until(mut holds: impl FnMut() -> bool) {
+/// Waits until a condition is met; the tasks of the core run meanwhile.
+async fn wait_until(mut is_met: impl FnMut() -> bool) {
     for _ in 0..20_000 {
-        if holds() {
+        if is_met() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    panic!("the condition did not hold within 20 s");
+    panic!("the condition was not met within 20 s");
 }
 
 fn connection_of(core: &Core, id: u64) -> Option<Rc<EngineConnection>> {
@@ -72,7 +72,7 @@
 /// again, minutes later. They never ran, so they are retried.
 #[test]
 fn attempts_behind_a_slow_peer_are_withdrawn_when_their_engine_drains() {
-    local(async {
+    run_local(async {
         let listen = || {
             let socket = TcpSocket::new_v4().expect("a socket");
             // Connections inherit it, so that the peer's side buffers little.
@@ -97,7 +97,7 @@
         let begun = connection.unsent_ids();
         assert!(begun.len() <= 1, "{begun:?} of {waiting:?}");
         let reader = tokio::task::spawn_local(async move { received_ids(&mut peer).await });
-        until(|| connection.unsent_ids().is_empty()).await;
+        wait_until(|| connection.unsent_ids().is_empty()).await;
         connection.retire();
         let withdrawn: Vec<u64> = waiting.into_iter().filter(|id| !begun.contains(id)).collect();
         assert!(withdrawn.iter().all(|id| connection_of(&core, *id).is_none()), "none of them is in flight");
@@ -113,7 +113,7 @@
 /// would reach a process that was not selected for it.
 #[test]
 fn unsent_attempt_is_withdrawn_when_its_engine_moves() {
-    local(async {
+    run_local(async {
         let (core, listeners) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let first = connection_of(&core, 1).expect("in flight");
@@ -134,7 +134,7 @@
 /// An engine that a complete list omits is handled like one that is listed as gone.
 #[test]
 fn unsent_attempt_is_withdrawn_when_a_complete_list_omits_its_engine() {
-    local(async {
+    run_local(async {
         let (core, listeners) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let first = connection_of(&core, 1).expect("in flight");
@@ -151,7 +151,7 @@
 /// that.
 #[test]
 fn attempt_is_checked_just_before_its_first_byte() {
-    local(async {
+    run_local(async {
         let (core, listeners) = core().await;
         tokio::task::spawn_local(Rc::clone(&core).run());
         let mut handle = core.submit(request(&core, 1)).expect("accepted");
@@ -159,7 +159,7 @@
         // No list event withdraws it: only the send guard prevents it from being sent.
         core.coordinator.borrow_mut().engines.get_or_insert(connection.engine).is_ready = false;
         let (mut peer, _) = listeners[connection.engine].accept().await.expect("the connection");
-        until(|| connection_of(&core, 1).is_some_and(|other| other.engine != connection.engine)).await;
+        wait_until(|| connection_of(&core, 1).is_some_and(|other| other.engine != connection.engine)).await;
         assert!(core.coordinator.borrow().requests.pending(1).may_have_run_since.is_none(), "it never ran");
         connection.close();
         assert_eq!(received_ids(&mut peer).await, Vec::<u64>::new());
@@ -180,7 +180,7 @@
 /// An attempt that was withdrawn before its first byte did not run, and the policy retries it as such.
 #[test]
 fn attempt_that_is_cancelled_before_it_is_sent_never_ran() {
-    local(async {
+    run_local(async {
         let (core, _listeners) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let mut coordinator = core.coordinator.borrow_mut();
@@ -194,7 +194,7 @@
 /// All attempts on a connection would wait behind an answer that grows slowly and never ends.
 #[test]
 fn answer_that_does_not_complete_ends_its_connection() {
-    local(async {
+    run_local(async {
         let (core, listeners) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let connection = connection_of(&core, 1).expect("in flight");
@@ -223,7 +223,7 @@
 /// the socket yet, and an attempt written now would count as one that may have run.
 #[test]
 fn attempt_that_meets_the_close_of_an_idle_connection_never_ran_and_is_sent_elsewhere() {
-    local(async {
+    run_local(async {
         let (core, listeners) = core().await;
         tokio::task::spawn_local(Rc::clone(&core).run());
         let mut first = core.submit(request(&core, 1)).expect("accepted");
@@ -244,7 +244,8 @@
             drop(closing.take());
             handles.push(core.submit(request(&core, id)).expect("accepted"));
             if connection_of(&core, id).is_some_and(|other| Rc::ptr_eq(&other, &connection)) {
-                until(|| connection_of(&core, id).is_none_or(|other| !Rc::ptr_eq(&other, &connection))).await;
+                wait_until(|| connection_of(&core, id).is_none_or(|other| !Rc::ptr_eq(&other, &connection)))
+                    .await;
                 let coordinator = core.coordinator.borrow();
                 assert!(
                     coordinator.requests.pending(id).may_have_run_since.is_none(),
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::attempt::Cancellation;
 use crate::core::connection_task::ConnectionOwner;
 use crate::core::engine_connection::EngineConnection;
-use crate::core::test_support::{core, local, member, request};
+use crate::core::test_support::{core, member, request, run_local};
 use crate::core::Core;
 use crate::proto::events::{EndpointPhase, ListEvent};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 /// one request would run concurrently.
 #[test]
 fn cancelled_attempt_stays_in_flight_until_its_cancellation_has_arrived() {
-    local(async {
+    run_local(async {
         let (core, _engines) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let connection = {
@@ -57,7 +57,7 @@
 /// next attempt waits for the cancellation.
 #[test]
 fn cancellation_that_was_not_sent_has_not_arrived() {
-    local(async {
+    run_local(async {
         let (core, _engines) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let undialled = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
@@ -93,7 +93,7 @@
 /// must stay bounded.
 #[test]
 fn indices_of_gone_engines_are_reused() {
-    local(async {
+    run_local(async {
         let (core, engines) = core().await;
         core.coordinator.borrow_mut().engines.set_retention(TimeDelta::ZERO);
         let address = engines[0].local_addr().expect("an address").to_string();
@@ -120,7 +120,7 @@
 /// A second response is dropped, whichever part gives it.
 #[test]
 fn request_has_one_final_response() {
-    local(async {
+    run_local(async {
         let (core, _engines) = core().await;
         let mut handle = core.submit(request(&core, 1)).expect("accepted");
         assert!(core.submit(request(&core, 1)).is_none(), "a pending id is not accepted twice");
@@ -151,7 +151,7 @@
 /// Nothing may be sent to a draining engine. An attempt that waits for its connection never ran, so it is retried.
 #[test]
 fn unsent_attempt_is_sent_elsewhere_when_its_engine_drains() {
-    local(async {
+    run_local(async {
         let (core, engines) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let engine = |core: &Core| {
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::buffer_pool::BUFFER_BYTES;
 use crate::core::connection_task::run;
-use crate::core::test_support::{core, local, PermissiveOwner};
+use crate::core::test_support::{core, run_local, PermissiveOwner};
 use crate::proto::resp;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -23,7 +23,7 @@
 /// A late answer to an earlier attempt must not be taken for one to the next.
 #[test]
 fn connection_rejects_a_request_whose_attempt_ended_unserved_on_it() {
-    local(async {
+    run_local(async {
         let (core, _engines) = core().await;
         let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         assert!(connection.send(core.pool(), 5, 0, &[b"do"]));
@@ -35,7 +35,7 @@
 /// The connection of a machine that has failed stays open and accepts all bytes.
 #[test]
 fn connection_with_missing_progress_notes_accepts_no_attempts() {
-    local(async {
+    run_local(async {
         let (core, _engines) = core().await;
         let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         assert!(connection.send(core.pool(), 5, 0, &[b"do"]));
@@ -86,7 +86,7 @@
 /// completely and in order. A command that was sent in part cannot be withdrawn.
 #[test]
 fn withdrawn_commands_are_skipped_and_all_others_arrive() {
-    local(async {
+    run_local(async {
         let (_core, listeners) = core().await;
         let connection = EngineConnection::new(0, listeners[0].local_addr().expect("an address"));
         let body = vec![b'x'; 60_000];
@@ -129,7 +129,7 @@
 /// A connection may break in the middle of a command. An engine runs only complete commands.
 #[test]
 fn attempt_that_was_sent_in_part_never_ran() {
-    local(async {
+    run_local(async {
         let (_core, listeners) = core().await;
         let pool = BufferPool::new(4_000);
         let connection = EngineConnection::new(0, listeners[0].local_addr().expect("an address"));
@@ -159,7 +159,7 @@
 /// A cancelled dial must release its file descriptor at once, not at its timeout.
 #[test]
 fn dial_ends_at_once_when_its_connection_is_closed() {
-    local(async {
+    run_local(async {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let listener = socket.listen(0).expect("listening");
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -115,7 +115,7 @@
 }
 
 /// Runs a test on a single-threaded runtime of its own.
-pub(super) fn local<T>(test: impl std::future::Future<Output = T>) -> T {
+pub(super) fn run_local<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
