--- /dev/null
+++ b/crates/capture/src/codec/headers.rs
@@ -0,0 +1,50 @@
+//! Headers of segments, and the engines' numbers in their checkpoints.
+
+use crate::engine_numbers::EngineNumber;
+use crate::pb;
+use crate::segment::SegmentHeader;
+use sprucelink_policy::Timestamp;
+
+/// A header as the format has it.
+pub fn encode_header(header: &SegmentHeader) -> pb::Head {
+    pb::Head {
+        format: header.format,
+        build: header.build.clone(),
+        module: header.policy_checksum,
+        floats: header.float_digest,
+        segment: header.number,
+        born_us: header.policy_started_at.as_micros(),
+        seed: header.seed,
+        lost_before: header.lost_events_before,
+        holds: header.rules.clone(),
+        whole_answers: header.has_complete_answers,
+        note: header.note.clone(),
+    }
+}
+
+/// The header that a message holds.
+pub fn decode_header(head: pb::Head) -> SegmentHeader {
+    SegmentHeader {
+        format: head.format,
+        build: head.build,
+        policy_checksum: head.module,
+        float_digest: head.floats,
+        number: head.segment,
+        policy_started_at: Timestamp::from_micros(head.born_us),
+        seed: head.seed,
+        lost_events_before: head.lost_before,
+        rules: head.holds,
+        has_complete_answers: head.whole_answers,
+        note: head.note,
+    }
+}
+
+/// An engine's number as a checkpoint has it.
+pub fn encode_engine(id: &str, number: u32) -> pb::Numbered {
+    pb::Numbered { id: id.to_owned(), number, freed: false }
+}
+
+/// The engine's number that a checkpoint holds.
+pub fn decode_engine(numbered: pb::Numbered) -> EngineNumber {
+    EngineNumber { id: numbered.id, number: numbered.number }
+}
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -5,7 +5,7 @@
 use crate::error::{CheckError, CutError};
 use crate::replay::{replay_segment, OutcomePolicy, ReplayOptions, Step};
 use crate::rules::{Breach, Checker, Rule};
-use crate::segment::{Answer, Record, Segment};
+use crate::segment::{Answer, Record, Segment, SegmentHeader};
 use sprucelink_policy::{Action, TimeDelta, Timestamp};
 
 /// The name of the rule that a panic breaks, as a breach has it.
@@ -61,14 +61,16 @@
     if records.is_empty() {
         return Err(CutError::NothingRecorded);
     }
-    let mut head = segment.head.clone();
-    head.segment = 0;
-    head.lost_before = 0;
-    head.whole_answers = true;
-    head.note.clone_from(&span.note);
-    head.holds = span.rules.iter().map(Rule::text).collect();
+    let header = SegmentHeader {
+        number: 0,
+        lost_events_before: 0,
+        has_complete_answers: true,
+        note: span.note.clone(),
+        rules: span.rules.iter().map(Rule::text).collect(),
+        ..segment.header.clone()
+    };
     let CaseStart { at, state, engines, .. } = start;
-    let mut case = Segment { head, at, state, engines, records, ..segment.clone() };
+    let mut case = Segment { header, at, state, engines, records, ..segment.clone() };
     complete_answers(&mut case)?;
     Ok(case)
 }
@@ -116,7 +118,7 @@
     for pair in segments.windows(2) {
         let [segment, next] = pair else { break };
         let is_over = segment.until() > until || next.at > until;
-        if is_over || !follows(next, segment) || next.head.lost_before > 0 {
+        if is_over || !follows(next, segment) || next.header.lost_events_before > 0 {
             break;
         }
         records.extend(next.records.iter().filter(is_within).cloned());
@@ -126,7 +128,8 @@
 
 /// Whether a segment is the next one of the same recorder.
 fn follows(next: &Segment, segment: &Segment) -> bool {
-    next.head.born_us == segment.head.born_us && next.head.segment == segment.head.segment + 1
+    next.header.policy_started_at == segment.header.policy_started_at
+        && next.header.number == segment.header.number + 1
 }
 
 /// Replaces digests by the complete answers, where the replay gives the same.
@@ -151,7 +154,7 @@
 /// # Errors
 /// A case without rules, or one that cannot be replayed.
 pub fn check_case(case: &Segment) -> Result<Vec<Breach>, CheckError> {
-    let rules = case.head.holds.iter().map(|text| Rule::parse(text)).collect::<Result<Vec<_>, _>>()?;
+    let rules = case.header.rules.iter().map(|text| Rule::parse(text)).collect::<Result<Vec<_>, _>>()?;
     if rules.is_empty() {
         return Err(CheckError::NoRules);
     }
--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -74,7 +74,7 @@
         let text = format!(
             "the replay parts from the record at record {} of segment {}: what stands behind it is the \
              replay's, not the day's",
-            first.record, segment.head.segment
+            first.record, segment.header.number
         );
         let at = Timestamp::from_micros(first.at_us);
         explanation.add_line(at, text, json!({"kind": "diverged", "first": first}));
--- a/crates/capture/src/explain/explanation.rs
+++ b/crates/capture/src/explain/explanation.rs
@@ -64,9 +64,9 @@
             }
         }
         self.find_engine();
-        let lost = segment.head.lost_before;
+        let lost = segment.header.lost_events_before;
         if let (Question::Request(id), true) = (self.question, lost > 0) {
-            let text = format!("{lost} events were lost before segment {}", segment.head.segment);
+            let text = format!("{lost} events were lost before segment {}", segment.header.number);
             let data = json!({"kind": "gap", "lost": lost, "request": format!("{id:016x}")});
             self.add_line(segment.at, text, data);
         }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,13 +1,12 @@
 //! Reads captures segment by segment. Intact segments are used; damage is reported with its offset in the file.
 
-use crate::codec::{decode_action, decode_input};
-use crate::engine_numbers::EngineNumber;
+use crate::codec::{decode_action, decode_engine, decode_header, decode_input};
 use crate::error::{ParseError, ReadError};
 use crate::file_name::SUFFIX;
 use crate::frame::{self, FrameKind, FrameRead};
 use crate::identity;
 use crate::pb;
-use crate::segment::{Answer, Record, Segment, SegmentEnd};
+use crate::segment::{Answer, Record, Segment, SegmentEnd, SegmentHeader};
 use prost::Message;
 use sprucelink_policy::Timestamp;
 use std::io::Read;
@@ -122,7 +121,7 @@
 
 /// A segment that is being read. It counts once its checkpoint was read.
 struct OpenSegment {
-    head: pb::Head,
+    header: SegmentHeader,
     offset: usize,
     segment: Option<Segment>,
 }
@@ -171,7 +170,7 @@
     match kind {
         FrameKind::Head => {
             close(contents, open.take(), SegmentEnd::Truncated { inside_frame: false });
-            *open = Some(OpenSegment { head: read_head(body)?, offset, segment: None });
+            *open = Some(OpenSegment { header: read_header(body)?, offset, segment: None });
             Ok(())
         }
         FrameKind::Checkpoint => read_checkpoint(open.as_mut(), body, path),
@@ -185,15 +184,15 @@
     }
 }
 
-fn read_head(body: &[u8]) -> Result<pb::Head, BodyError> {
-    let head = pb::Head::decode(body).map_err(damaged)?;
-    if head.format == 0 {
+fn read_header(body: &[u8]) -> Result<SegmentHeader, BodyError> {
+    let header = decode_header(pb::Head::decode(body).map_err(damaged)?);
+    if header.format == 0 {
         return Err(damaged("the head names no format"));
     }
-    if head.format > identity::FORMAT {
-        return Err(BodyError::NewerFormat(head.format));
+    if header.format > identity::FORMAT {
+        return Err(BodyError::NewerFormat(header.format));
     }
-    Ok(head)
+    Ok(header)
 }
 
 fn read_checkpoint(open: Option<&mut OpenSegment>, body: &[u8], path: &Path) -> Result<(), BodyError> {
@@ -201,14 +200,13 @@
         return Err(damaged("a checkpoint without its head"));
     };
     let checkpoint = pb::Checkpoint::decode(&decompress(body)?[..]).map_err(damaged)?;
-    let engine = |engine: pb::Numbered| EngineNumber { id: engine.id, number: engine.number };
     open.segment = Some(Segment {
         file: path.to_owned(),
         offset: open.offset,
-        head: open.head.clone(),
+        header: open.header.clone(),
         at: Timestamp::from_micros(checkpoint.at_us),
         state: checkpoint.state,
-        engines: checkpoint.engines.into_iter().map(engine).collect(),
+        engines: checkpoint.engines.into_iter().map(decode_engine).collect(),
         records: Vec::new(),
         end: SegmentEnd::Truncated { inside_frame: false },
     });
@@ -222,7 +220,7 @@
     let block = pb::Block::decode(&decompress(body)?[..]).map_err(damaged)?;
     for record in block.records {
         let at = Timestamp::from_micros(segment.until().as_micros().saturating_add(record.after_us));
-        segment.records.push(to_record(record, at, segment.head.whole_answers)?);
+        segment.records.push(to_record(record, at, segment.header.has_complete_answers)?);
     }
     Ok(())
 }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -7,12 +7,13 @@
 
 pub use store::{DirectoryStore, SegmentStore};
 
-use crate::codec::{digest_actions, encode_action, encode_event};
+use crate::codec::{digest_actions, encode_action, encode_engine, encode_event, encode_header};
 use crate::file_name::segment_file_name;
 use crate::identity;
 use crate::pb;
 use crate::pb::record::What as InputKind;
 use crate::ring::{BatchDecision, Ring};
+use crate::segment::SegmentHeader;
 use crate::settings::{AnswerFormat, Settings};
 use prost::Message;
 use sprucelink_policy::{Action, Event, Policy, TimeDelta, Timestamp};
@@ -53,8 +54,8 @@
     max_queued_bytes: u64,
     /// Age at which a batch is queued, full or not.
     flush_interval: TimeDelta,
-    /// The head of the next segment.
-    head: pb::Head,
+    /// The header of the next segment.
+    next_header: SegmentHeader,
     /// Records that are not queued yet, encoded.
     batch: Vec<u8>,
     batch_events: u64,
@@ -111,22 +112,22 @@
         let thread = std::thread::Builder::new().name("capture".into()).spawn(move || {
             Writer { store, limits, shared: writer_shared, open_length: None }.run(&queued_jobs)
         })?;
-        let head = pb::Head {
+        let next_header = SegmentHeader {
             format: identity::FORMAT,
             build: identity::build(),
-            module: identity::policy_checksum(),
-            floats: identity::float_digest(),
-            born_us: started_at.as_micros(),
+            policy_checksum: identity::policy_checksum(),
+            float_digest: identity::float_digest(),
+            policy_started_at: started_at,
             seed,
-            whole_answers: settings.answers == AnswerFormat::Complete,
-            ..pb::Head::default()
+            has_complete_answers: settings.answers == AnswerFormat::Complete,
+            ..SegmentHeader::default()
         };
         Ok(Recorder {
             ring: Ring::new(limits, started_at),
             answers: settings.answers,
             max_queued_bytes: settings.queue_kb * 1024,
             flush_interval: TimeDelta::from_millis(settings.flush_ms as i64),
-            head,
+            next_header,
             batch: Vec::with_capacity(2 * BLOCK_BYTES),
             batch_events: 0,
             batch_begun_at: started_at,
@@ -252,21 +253,18 @@
         if self.batch_events > 0 {
             self.flush(now);
         }
-        let engines = engines
-            .into_iter()
-            .map(|(id, number)| pb::Numbered { id: id.to_owned(), number, freed: false })
-            .collect();
+        let engines = engines.into_iter().map(|(id, number)| encode_engine(id, number)).collect();
         let lost = self.ring.lost_events();
-        let tail = (self.head.segment > 0).then_some(pb::Tail { records: self.segment_records, lost });
-        self.head.lost_before = lost;
-        let head = self.head.encode_to_vec();
+        let tail = (self.next_header.number > 0).then_some(pb::Tail { records: self.segment_records, lost });
+        self.next_header.lost_events_before = lost;
+        let head = encode_header(&self.next_header).encode_to_vec();
         let policy = Box::new(policy.clone());
-        let name = segment_file_name(now, self.head.segment);
+        let name = segment_file_name(now, self.next_header.number);
         if self.send(Job::BeginSegment { name, now, head, policy, engines, tail }) {
             self.ring.segment_begun(now);
             self.last_record_at = now;
             self.segment_records = 0;
-            self.head.segment += 1;
+            self.next_header.number += 1;
         } else {
             self.ring.records_lost(now, 0);
         }
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -4,7 +4,6 @@
 use crate::error::StateError;
 use crate::identity;
 use crate::input::RecordedInput;
-use crate::pb;
 use sprucelink_policy::{Action, Policy, Timestamp};
 use std::path::PathBuf;
 
@@ -17,7 +16,7 @@
     Digest {
         /// How many actions there were.
         count: u32,
-        /// Their digest ([`crate::codec::digest_actions`]).
+        /// The digest of their encoded form.
         digest: u64,
     },
     /// None: the program ended before the policy had answered.
@@ -57,6 +56,33 @@
     },
 }
 
+/// What a segment says of itself and of its recorder.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct SegmentHeader {
+    /// Version of the file format.
+    pub format: u32,
+    /// The program that recorded: name, version and target.
+    pub build: String,
+    /// Checksum of the recording policy's source text ([`identity::policy_checksum`]).
+    pub policy_checksum: u32,
+    /// Digest of the recording build's floating-point functions ([`identity::float_digest`]).
+    pub float_digest: u64,
+    /// The segment's number since the recorder started, from 0.
+    pub number: u64,
+    /// When the policy started.
+    pub policy_started_at: Timestamp,
+    /// The seed that the policy started with.
+    pub seed: u64,
+    /// Events lost between the segment before and this one.
+    pub lost_events_before: u64,
+    /// The rules that a replay must hold, each as JSON; none, unless the segment is a case.
+    pub rules: Vec<String>,
+    /// Answers are recorded completely; otherwise as digests.
+    pub has_complete_answers: bool,
+    /// What a case shows, in words.
+    pub note: String,
+}
+
 /// A part of a capture that replays alone.
 #[derive(Clone, Debug)]
 pub struct Segment {
@@ -64,8 +90,8 @@
     pub file: PathBuf,
     /// Its offset in the file, in bytes.
     pub offset: usize,
-    /// Its head.
-    pub head: pb::Head,
+    /// Its header.
+    pub header: SegmentHeader,
     /// When its checkpoint was taken.
     pub at: Timestamp,
     /// The state of the policy then, in MessagePack.
@@ -96,13 +122,13 @@
     pub fn build_differences(&self) -> Vec<String> {
         let mut differences = Vec::new();
         let own_checksum = identity::policy_checksum();
-        if self.head.module != own_checksum {
+        if self.header.policy_checksum != own_checksum {
             differences.push(format!(
                 "recorded by another decision module ({:08x}, here {own_checksum:08x})",
-                self.head.module
+                self.header.policy_checksum
             ));
         }
-        if self.head.floats != identity::float_digest() {
+        if self.header.float_digest != identity::float_digest() {
             differences.push(
                 "recorded by a build whose exp, ln or powf round otherwise: decisions may part in the last bit of \
                  a weight"
--- a/crates/capture/src/segment_writer.rs
+++ b/crates/capture/src/segment_writer.rs
@@ -1,7 +1,6 @@
 //! Writes a segment as a file, for cases that were cut out of a capture.
 
-use crate::codec::{encode_actions, encode_input};
-use crate::engine_numbers::EngineNumber;
+use crate::codec::{encode_actions, encode_engine, encode_header, encode_input};
 use crate::error::WriteError;
 use crate::frame::{self, FrameKind};
 use crate::pb;
@@ -18,12 +17,12 @@
 /// A frame that is too long or cannot be compressed, or answers that are digests.
 pub fn write(segment: &Segment) -> Result<Vec<u8>, WriteError> {
     let mut file = Vec::new();
-    let head = pb::Head { whole_answers: true, ..segment.head.clone() };
+    let head = pb::Head { whole_answers: true, ..encode_header(&segment.header) };
     append(&mut file, FrameKind::Head, &head.encode_to_vec())?;
     let checkpoint = pb::Checkpoint {
         at_us: segment.at.as_micros(),
         state: segment.state.clone(),
-        engines: segment.engines.iter().map(encode_engine).collect(),
+        engines: segment.engines.iter().map(|engine| encode_engine(&engine.id, engine.number)).collect(),
     };
     append(&mut file, FrameKind::Checkpoint, &compress(&checkpoint.encode_to_vec())?)?;
     let block = pb::Block { records: encode_records(segment)? };
@@ -44,10 +43,6 @@
     zstd::bulk::compress(body, COMPRESSION_LEVEL).map_err(WriteError::Compression)
 }
 
-fn encode_engine(engine: &EngineNumber) -> pb::Numbered {
-    pb::Numbered { id: engine.id.clone(), number: engine.number, freed: false }
-}
-
 fn encode_records(segment: &Segment) -> Result<Vec<pb::Record>, WriteError> {
     let mut last_record_at = segment.at;
     let mut records = Vec::with_capacity(segment.records.len());
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -161,7 +161,7 @@
     assert!(all.damage.is_empty(), "{:?}", all.damage);
     let kept: usize = all.segments.iter().map(|s| s.records.len()).sum();
     assert_eq!(kept + lost, events, "every event is kept or counted");
-    let said: u64 = all.segments.iter().map(|s| s.head.lost_before).sum();
+    let said: u64 = all.segments.iter().map(|s| s.header.lost_events_before).sum();
     assert!(said > 0 && said <= lost as u64, "the gap is said: {said} of {lost}");
     all.segments.iter().for_each(|s| assert_eq!(replayed(s).differing_events, 0));
 }
@@ -282,9 +282,9 @@
     let (memory, _) = record_simulation(8, 1.0, &recorder_settings());
     let seg = memory.contents().segments.remove(0);
     assert!(seg.build_differences().is_empty(), "{:?}", seg.build_differences());
-    let floats = edited(&seg, |s| s.head.floats ^= 1);
+    let floats = edited(&seg, |s| s.header.float_digest ^= 1);
     assert!(floats.segments[0].build_differences()[0].contains("round otherwise"));
-    let module = edited(&seg, |s| s.head.module ^= 1);
+    let module = edited(&seg, |s| s.header.policy_checksum ^= 1);
     assert!(module.segments[0].build_differences()[0].contains("another decision module"));
     // An older module's state lacks a figure: it takes its default and the rest is used.
     let older = edited(&seg, |s| {
@@ -298,7 +298,7 @@
     let half = edited(&seg, |s| s.state.truncate(s.state.len() / 2));
     assert!(half.segments[0].policy().err().is_some_and(|why| why.to_string().contains("cannot be read")));
     let mut newer = seg.clone();
-    newer.head.format = 99;
+    newer.header.format = 99;
     let why = parse(&write(&newer).expect("written"), Path::new("newer")).expect_err("refused").to_string();
     assert!(why.contains("format 99"), "{why}");
     assert!(parse(b"", Path::new("empty")).is_err() && parse(b"some text", Path::new("text")).is_err());
@@ -322,9 +322,9 @@
     assert_eq!((back.records.len(), replayed(&back).differing_events), (case.records.len(), 0));
     assert_eq!(check_case(&back).expect("checked"), Vec::new());
     let mut strict = back.clone();
-    strict.head.holds = vec!["{rule: 'sends', at_most: 1}".into()];
+    strict.header.rules = vec!["{rule: 'sends', at_most: 1}".into()];
     assert!(check_case(&strict).expect("checked")[0].why.contains("sends"));
-    strict.head.holds = vec!["no_such".into()];
+    strict.header.rules = vec!["no_such".into()];
     assert!(check_case(&strict).is_err());
     let lost = CaseSpan {
         around: START - TimeDelta::from_micros(1),
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -79,7 +79,7 @@
             eprintln!(
                 "sprucelink: {}: segment {} is cut off {place}: {} whole records are used",
                 segment.file.display(),
-                segment.head.segment,
+                segment.header.number,
                 segment.records.len()
             );
         }
--- a/src/run/commands/capture_show.rs
+++ b/src/run/commands/capture_show.rs
@@ -61,29 +61,29 @@
 
 fn segment_json(segment: &Segment) -> Value {
     json!({
-        "file": segment.file, "offset": segment.offset, "segment": segment.head.segment,
-        "format": segment.head.format, "build": segment.head.build,
-        "module": format!("{:08x}", segment.head.module),
+        "file": segment.file, "offset": segment.offset, "segment": segment.header.number,
+        "format": segment.header.format, "build": segment.header.build,
+        "module": format!("{:08x}", segment.header.policy_checksum),
         "from_us": segment.at.as_micros(), "until_us": segment.until().as_micros(),
         "records": segment.records.len(), "events": count_by_kind(segment),
         "engines": segment.engines.len(), "state_bytes": segment.state.len(),
-        "lost_before": segment.head.lost_before, "lost_after": lost_after(&segment.end),
-        "end": describe_end(&segment.end), "holds": segment.head.holds, "note": segment.head.note,
+        "lost_before": segment.header.lost_events_before, "lost_after": lost_after(&segment.end),
+        "end": describe_end(&segment.end), "holds": segment.header.rules, "note": segment.header.note,
         "other_build": segment.build_differences(),
     })
 }
 
 fn print_segment(segment: &Segment) {
-    let head = &segment.head;
-    if head.lost_before > 0 {
-        print_line(&format!("gap: {} events lost", head.lost_before));
+    let header = &segment.header;
+    if header.lost_events_before > 0 {
+        print_line(&format!("gap: {} events lost", header.lost_events_before));
     }
     let counts: Vec<String> =
         count_by_kind(segment).iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     print_line(&format!(
         "{} segment {} at byte {}: {} to {} ({:.3} s), {} records ({}), checkpoint {} bytes, {} engines, {}",
         segment.file.display(),
-        head.segment,
+        header.number,
         segment.offset,
         format_timestamp(segment.at),
         format_timestamp(segment.until()),
@@ -94,10 +94,13 @@
         segment.engines.len(),
         describe_end(&segment.end),
     ));
-    print_line(&format!("  by {}, module {:08x}, format {}", head.build, head.module, head.format));
+    print_line(&format!(
+        "  by {}, module {:08x}, format {}",
+        header.build, header.policy_checksum, header.format
+    ));
     segment.build_differences().iter().for_each(|reason| print_line(&format!("  {reason}")));
-    if !head.note.is_empty() {
-        print_line(&format!("  case: {}", head.note));
+    if !header.note.is_empty() {
+        print_line(&format!("  case: {}", header.note));
     }
-    head.holds.iter().for_each(|rule| print_line(&format!("  must hold: {rule}")));
+    header.rules.iter().for_each(|rule| print_line(&format!("  must hold: {rule}")));
 }
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -85,7 +85,7 @@
             *self.total.differing_by_kind.entry(kind).or_default() += count;
         }
         if self.first.is_none() {
-            self.first = summary.first_divergence.map(|divergence| (segment.head.segment, divergence));
+            self.first = summary.first_divergence.map(|divergence| (segment.header.number, divergence));
         }
         if self.total.panic.is_none() {
             self.total.panic = summary.panic;
