--- a/crates/query-fingerprint/src/cache.rs
+++ b/crates/query-fingerprint/src/cache.rs
@@ -1,14 +1,17 @@
 //! A cache that a scan of one-off statements cannot flush: S3-FIFO (Yang and others, "FIFO queues are all you need for
 //! cache eviction", SOSP 2023). New entries enter a small queue, a tenth of the capacity; only those that are read again
-//! move on to the main queue. The keys of recently evicted entries are retained (ghosts), and such an entry enters the
-//! main queue at once. LRU is flushed by a scan, and W-TinyLFU needs a sketch of counts that is sized and aged; these
-//! queues need neither, and a hit moves nothing.
+//! move to the main queue. The keys of recently evicted entries are retained (ghosts), and such an entry enters the
+//! main queue at once. A scan flushes an LRU cache, and W-TinyLFU needs a sketch of counts that is sized and aged;
+//! these queues need no sketch, and a hit moves nothing.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Fraction of the entries that the small queue holds.
-const SMALL: f64 = 0.1;
-/// Maximum hits counted of an entry: it passes the end of the main queue so often without being asked for.
+#[cfg(test)]
+mod tests;
+
+/// Fraction of the maximum number of entries that the small queue may hold.
+const SMALL_QUEUE_FRACTION: f64 = 0.1;
+/// Maximum number of hits counted of an entry: how often it returns to the back of the main queue without a read.
 const MAX_HITS: u8 = 3;
 
 /// Bounds of a cache.
@@ -16,7 +19,7 @@
 pub struct Bounds {
     /// Maximum number of entries.
     pub entries: usize,
-    /// Maximum bytes, as given when entries are put in.
+    /// Maximum number of bytes, as given with each entry.
     pub bytes: usize,
 }
 
@@ -29,9 +32,9 @@
     pub misses: u64,
     /// Entries evicted to stay within the bounds.
     pub evictions: u64,
-    /// Entries now.
+    /// Number of entries now.
     pub entries: usize,
-    /// Bytes now.
+    /// Bytes of the entries now.
     pub bytes: usize,
 }
 
@@ -40,7 +43,8 @@
     value: V,
     bytes: usize,
     hits: u8,
-    main: bool,
+    /// Whether its key is in the main queue.
+    is_in_main: bool,
 }
 
 /// The cache.
@@ -48,11 +52,12 @@
 pub struct Cache<K, V> {
     bounds: Bounds,
     slots: BTreeMap<K, Slot<V>>,
-    small: VecDeque<K>,
-    main: VecDeque<K>,
-    /// Keys put out of the small queue of late, oldest first, and the same in order.
-    ghosts: VecDeque<K>,
-    ghost: BTreeMap<K, u32>,
+    small_queue: VecDeque<K>,
+    main_queue: VecDeque<K>,
+    /// Keys that were recently evicted from the small queue, oldest first.
+    ghost_queue: VecDeque<K>,
+    /// How often each key is in the ghost queue.
+    ghost_counts: BTreeMap<K, u32>,
     bytes: usize,
     counters: Counters,
 }
@@ -63,10 +68,10 @@
         Cache {
             bounds,
             slots: BTreeMap::new(),
-            small: VecDeque::new(),
-            main: VecDeque::new(),
-            ghosts: VecDeque::new(),
-            ghost: BTreeMap::new(),
+            small_queue: VecDeque::new(),
+            main_queue: VecDeque::new(),
+            ghost_queue: VecDeque::new(),
+            ghost_counts: BTreeMap::new(),
             bytes: 0,
             counters: Counters::default(),
         }
@@ -90,7 +95,7 @@
 
     /// The value of a key, without counting a read.
     pub fn peek(&self, key: K) -> Option<&V> {
-        self.slots.get(&key).map(|s| &s.value)
+        self.slots.get(&key).map(|slot| &slot.value)
     }
 
     /// Stores a value of `bytes` bytes. Returns whether the cache holds it afterwards; a value larger than the byte
@@ -101,79 +106,84 @@
         }
         if let Some(slot) = self.slots.get_mut(&key) {
             self.bytes = self.bytes - slot.bytes + bytes;
-            (slot.value, slot.bytes) = (value, bytes);
+            slot.value = value;
+            slot.bytes = bytes;
         } else {
-            let main = self.ghost.contains_key(&key);
-            if main { &mut self.main } else { &mut self.small }.push_back(key);
+            let is_in_main = self.ghost_counts.contains_key(&key);
+            let queue = if is_in_main { &mut self.main_queue } else { &mut self.small_queue };
+            queue.push_back(key);
             self.bytes += bytes;
-            self.slots.insert(key, Slot { value, bytes, hits: 0, main });
+            self.slots.insert(key, Slot { value, bytes, hits: 0, is_in_main });
         }
         while self.slots.len() > self.bounds.entries || self.bytes > self.bounds.bytes {
-            self.put_out();
+            self.evict();
         }
         self.slots.contains_key(&key)
     }
 
     /// Every entry, by key.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.slots.iter().map(|(k, s)| (k, &s.value))
+        self.slots.iter().map(|(key, slot)| (key, &slot.value))
     }
 
-    /// What it has done.
+    /// Counters so far.
     pub fn counters(&self) -> Counters {
         Counters { entries: self.slots.len(), bytes: self.bytes, ..self.counters }
     }
 
-    fn put_out(&mut self) {
-        let small = (self.bounds.entries as f64 * SMALL).max(1.0) as usize;
-        if self.small.len() > small || self.main.is_empty() {
-            self.thin_small();
+    /// Takes one step towards an eviction: evicts an entry, or moves one that was read to the main queue's back.
+    fn evict(&mut self) {
+        let max_small = (self.bounds.entries as f64 * SMALL_QUEUE_FRACTION).max(1.0) as usize;
+        if self.small_queue.len() > max_small || self.main_queue.is_empty() {
+            self.evict_from_small();
         } else {
-            self.thin_main();
+            self.evict_from_main();
         }
     }
 
-    fn thin_small(&mut self) {
-        let Some(key) = self.small.pop_front() else { return };
+    fn evict_from_small(&mut self) {
+        let Some(key) = self.small_queue.pop_front() else { return };
         let Some(slot) = self.slots.get_mut(&key) else { return };
         if slot.hits > 0 {
-            (slot.hits, slot.main) = (0, true);
-            self.main.push_back(key);
+            slot.hits = 0;
+            slot.is_in_main = true;
+            self.main_queue.push_back(key);
             return;
         }
-        self.drop(key);
-        self.ghosts.push_back(key);
-        *self.ghost.entry(key).or_default() += 1;
-        // As many ghosts as entries: a key costs a hundredth of what an entry does.
-        while self.ghosts.len() > self.bounds.entries {
-            let Some(old) = self.ghosts.pop_front() else { break };
-            if let Some(n) = self.ghost.get_mut(&old) {
-                *n -= 1;
-                if *n == 0 {
-                    self.ghost.remove(&old);
+        self.remove(key);
+        self.add_ghost(key);
+    }
+
+    /// Remembers an evicted key. There are at most as many ghosts as entries: a key takes a hundredth of an entry's memory.
+    fn add_ghost(&mut self, key: K) {
+        self.ghost_queue.push_back(key);
+        *self.ghost_counts.entry(key).or_default() += 1;
+        while self.ghost_queue.len() > self.bounds.entries {
+            let Some(oldest) = self.ghost_queue.pop_front() else { break };
+            if let Some(count) = self.ghost_counts.get_mut(&oldest) {
+                *count -= 1;
+                if *count == 0 {
+                    self.ghost_counts.remove(&oldest);
                 }
             }
         }
     }
 
-    fn thin_main(&mut self) {
-        let Some(key) = self.main.pop_front() else { return };
+    fn evict_from_main(&mut self) {
+        let Some(key) = self.main_queue.pop_front() else { return };
         match self.slots.get_mut(&key) {
             Some(slot) if slot.hits > 0 => {
                 slot.hits -= 1;
-                self.main.push_back(key);
+                self.main_queue.push_back(key);
             }
-            _ => self.drop(key),
+            _ => self.remove(key),
         }
     }
 
-    fn drop(&mut self, key: K) {
+    fn remove(&mut self, key: K) {
         if let Some(slot) = self.slots.remove(&key) {
             self.bytes -= slot.bytes;
             self.counters.evictions += 1;
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/query-fingerprint/src/cache/tests.rs
+++ b/crates/query-fingerprint/src/cache/tests.rs
@@ -20,8 +20,8 @@
             }
             let c = cache.counters();
             prop_assert!(c.entries <= bounds.entries && c.bytes <= bounds.bytes);
-            prop_assert!(cache.ghosts.len() <= bounds.entries);
-            prop_assert_eq!(cache.small.len() + cache.main.len(), c.entries);
+            prop_assert!(cache.ghost_queue.len() <= bounds.entries);
+            prop_assert_eq!(cache.small_queue.len() + cache.main_queue.len(), c.entries);
             prop_assert_eq!(cache.slots.values().map(|s| s.bytes).sum::<usize>(), c.bytes);
         }
     }
--- a/crates/query-fingerprint/src/cost.rs
+++ b/crates/query-fingerprint/src/cost.rs
@@ -5,95 +5,103 @@
 use crate::cache::{Bounds, Cache, Counters};
 use crate::normal::Fingerprint;
 
-/// Answers after which a shape's own figure weighs as much as its class's.
-const SHRINK: f64 = 4.0;
-/// An answer's weight is never less than this: the last thirty or so count.
-const STEP: f64 = 1.0 / 30.0;
-/// Deviations from the figure up to which an answer counts whole: what lies farther off counts as much as this, so a
-/// plan that costs 25 times more moves the figure no more than one that costs a little more (Huber's function).
-const HUBER: f64 = 1.5;
-/// Logarithm of the least spread assumed: answers of a shape scatter by a tenth at least.
+/// Weight of the class's mean, in answers: after this many, a fingerprint's own mean weighs as much.
+const PRIOR_WEIGHT: f64 = 4.0;
+/// Smallest weight of one answer in the running mean, as a fraction: about the last thirty answers count.
+const MIN_STEP: f64 = 1.0 / 30.0;
+/// Deviation up to which an answer counts in full, in spreads; a larger one counts as much as this one, so that a plan
+/// that costs 25 times more moves the mean no more than one that costs a little more (Huber's function).
+const HUBER_LIMIT: f64 = 1.5;
+/// Smallest spread assumed, as a difference of logarithms: answers of one fingerprint vary by a tenth at least.
 const MIN_SPREAD: f64 = 0.1;
-/// Spread assumed at first: a factor of two either way.
-const FIRST_SPREAD: f64 = 0.7;
-/// So many answers in a row beyond the spread on one side: the shape costs something else now. With one bad plan in
-/// twenty, six in a row come once in 64 million.
+/// Spread assumed at first, as a difference of logarithms: a factor of two either way.
+const INITIAL_SPREAD: f64 = 0.7;
+/// Number of consecutive answers beyond the spread on one side after which the cost counts as changed. With one bad plan
+/// in twenty, six in a row happen once in 64 million.
 const SHIFT_RUN: u32 = 6;
-/// Seconds in which what was learned of a shape loses half its weight: tables grow by the day.
-const HALF_LIFE: f64 = 12.0 * 3600.0;
-/// Bounds of what one answer may say, as a factor of the estimate or class mean: what is beyond is a fault of the teller.
-const SANE: f64 = 1e4;
-/// Logarithm of the largest figure that is told.
+/// Time in which what was learned of a fingerprint loses half its weight, in seconds: tables grow by the day.
+const HALF_LIFE_S: f64 = 12.0 * 3600.0;
+/// Largest factor between one answer and the estimate or mean that it is compared with; a larger one is a fault of the
+/// reporter.
+const MAX_FACTOR: f64 = 1e4;
+/// Largest absolute logarithm of an estimate.
 const MAX_LOG: f64 = 50.0;
-/// Bytes of one entry, about.
-const ENTRY: usize = 256;
+/// Smallest work in milliseconds and memory in MB that a logarithm is taken of.
+const MIN_COST: f64 = 1e-3;
+/// Approximate size of one entry, in bytes.
+const ENTRY_BYTES: usize = 256;
 
 /// A running mean of logarithms, robust to outliers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RobustMean {
     mean: f64,
     spread: f64,
+    /// Number of answers, aged.
     weight: f64,
-    /// Answers in a row beyond the spread: above if positive, below if negative.
+    /// Consecutive answers beyond the spread: above if positive, below if negative.
     run: i32,
+    /// When it last learned, in seconds.
     at: f64,
 }
 
 impl RobustMean {
     fn new(prior: f64, now: f64) -> RobustMean {
-        RobustMean { mean: prior, spread: FIRST_SPREAD, weight: 0.0, run: 0, at: now }
+        RobustMean { mean: prior, spread: INITIAL_SPREAD, weight: 0.0, run: 0, at: now }
     }
 
     /// Its weight by now.
-    fn aged(&self, now: f64) -> f64 {
+    fn aged_weight(&self, now: f64) -> f64 {
         // A clock that was set back ages nothing.
-        self.weight * 0.5_f64.powf((now - self.at).max(0.0) / HALF_LIFE)
+        self.weight * 0.5_f64.powf((now - self.at).max(0.0) / HALF_LIFE_S)
     }
 
-    fn learn(&mut self, x: f64, now: f64) {
-        self.weight = self.aged(now);
+    fn learn(&mut self, answer: f64, now: f64) {
+        self.weight = self.aged_weight(now);
         self.at = self.at.max(now);
-        let off = x - self.mean;
-        let beyond = off.abs() > HUBER * self.spread;
-        self.run = match (beyond, off > 0.0) {
-            (true, true) => self.run.max(0) + 1,
-            (true, false) => self.run.min(0) - 1,
-            (false, _) => 0,
-        };
+        let deviation = answer - self.mean;
+        self.run = self.next_run(deviation);
         if self.run.unsigned_abs() >= SHIFT_RUN {
-            // Not bad plans any more: begin anew from here, as after so many answers.
-            *self = RobustMean {
-                mean: x,
-                spread: FIRST_SPREAD,
-                weight: f64::from(SHIFT_RUN) / 2.0,
-                run: 0,
-                at: self.at,
-            };
+            self.restart_from(answer);
             return;
         }
-        self.weight = (self.weight + 1.0).min(1.0 / STEP);
-        let step = (1.0 / self.weight).max(STEP);
-        let bound = HUBER * self.spread;
-        self.mean += step * off.clamp(-bound, bound);
-        self.spread += step * (off.abs().min(2.0 * bound) - self.spread);
+        self.weight = (self.weight + 1.0).min(1.0 / MIN_STEP);
+        let step = (1.0 / self.weight).max(MIN_STEP);
+        let bound = HUBER_LIMIT * self.spread;
+        self.mean += step * deviation.clamp(-bound, bound);
+        self.spread += step * (deviation.abs().min(2.0 * bound) - self.spread);
         self.spread = self.spread.max(MIN_SPREAD);
     }
 
-    /// The figure, shrunk to a prior while there is little to go by.
+    fn next_run(&self, deviation: f64) -> i32 {
+        let is_beyond = deviation.abs() > HUBER_LIMIT * self.spread;
+        match (is_beyond, deviation > 0.0) {
+            (true, true) => self.run.max(0) + 1,
+            (true, false) => self.run.min(0) - 1,
+            (false, _) => 0,
+        }
+    }
+
+    /// The cost has changed: starts from the latest answer, with half the weight of the run.
+    fn restart_from(&mut self, answer: f64) {
+        let weight = f64::from(SHIFT_RUN) / 2.0;
+        *self = RobustMean { mean: answer, spread: INITIAL_SPREAD, weight, run: 0, at: self.at };
+    }
+
+    /// The mean, shrunk to a prior while there are few answers.
     fn shrunk(&self, prior: f64, now: f64) -> f64 {
-        let weight = self.aged(now);
-        (weight * self.mean + SHRINK * prior) / (weight + SHRINK)
+        let weight = self.aged_weight(now);
+        (weight * self.mean + PRIOR_WEIGHT * prior) / (weight + PRIOR_WEIGHT)
     }
 }
 
-/// What is known under a key: a shape, its class, and whether its data set was taken to be warm.
+/// What costs are learned by: a fingerprint, its class, and whether its data set was expected to be warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     /// The fingerprint of the statement.
     pub fingerprint: Fingerprint,
     /// The class.
     pub class: u16,
-    /// The engine was taken to have the data set warm.
+    /// The engine was expected to have the data set warm.
     pub warm: bool,
 }
 
@@ -106,113 +114,131 @@
     pub memory_mb: f64,
 }
 
-/// An estimate, and how much it rests on.
+impl Cost {
+    /// Whether both are positive numbers.
+    fn is_valid(&self) -> bool {
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
+        is_positive(self.work_ms) && is_positive(self.memory_mb)
+    }
+
+    /// Logarithms of work and memory.
+    fn logs(&self) -> [f64; 2] {
+        [self.work_ms.max(MIN_COST).ln(), self.memory_mb.max(MIN_COST).ln()]
+    }
+}
+
+/// An estimate, and the number of answers behind it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The figures.
+    /// The estimated cost.
     pub cost: Cost,
-    /// Answers that it rests on, aged; 0: on the class alone.
+    /// Number of answers that it is based on, aged; 0 if it is based on the class alone.
     pub weight: f64,
 }
 
-/// What was learned of the cost of one key, or of one class.
+/// What was learned of the cost of one key, or of one class. Work comes first, memory second.
 #[derive(Clone, Copy, Debug)]
 struct CostModel {
-    /// Logarithms of work and memory where no estimate came, and of both over the estimate where one did.
-    plain: [RobustMean; 2],
-    over: [RobustMean; 2],
+    /// Logarithms of reported cost.
+    absolute: [RobustMean; 2],
+    /// Logarithms of reported over estimated cost, from answers to requests with an estimate.
+    ratio: [RobustMean; 2],
+}
+
+fn means(of: &[RobustMean; 2]) -> [f64; 2] {
+    of.map(|robust| robust.mean)
+}
+
+fn shrunk(of: &[RobustMean; 2], priors: [f64; 2], now: f64) -> [f64; 2] {
+    [of[0].shrunk(priors[0], now), of[1].shrunk(priors[1], now)]
+}
+
+fn sum(left: [f64; 2], right: [f64; 2]) -> [f64; 2] {
+    [left[0] + right[0], left[1] + right[1]]
+}
+
+fn clamp_factor(log_factor: f64) -> f64 {
+    log_factor.clamp(-MAX_FACTOR.ln(), MAX_FACTOR.ln())
 }
 
 impl CostModel {
-    fn new(now: f64, plain: [f64; 2], over: [f64; 2]) -> CostModel {
+    fn new(now: f64, absolute: [f64; 2], ratio: [f64; 2]) -> CostModel {
         CostModel {
-            plain: plain.map(|p| RobustMean::new(p, now)),
-            over: over.map(|p| RobustMean::new(p, now)),
+            absolute: absolute.map(|prior| RobustMean::new(prior, now)),
+            ratio: ratio.map(|prior| RobustMean::new(prior, now)),
+        }
+    }
+
+    /// Learns from the logarithms of a reported cost, and of the estimate where there was one.
+    fn learn(&mut self, reported: [f64; 2], estimated: Option<[f64; 2]>, now: f64) {
+        for resource in 0..2 {
+            let prior = self.absolute[resource].mean;
+            self.absolute[resource].learn(prior + clamp_factor(reported[resource] - prior), now);
+            if let Some(estimated) = estimated {
+                self.ratio[resource].learn(clamp_factor(reported[resource] - estimated[resource]), now);
+            }
         }
     }
 }
 
-/// What shapes cost.
+/// Learned costs, by class and by fingerprint.
 #[derive(Debug)]
 pub struct Costs {
     classes: Vec<CostModel>,
-    shapes: Cache<Key, CostModel>,
-}
-
-fn logs(c: Cost) -> [f64; 2] {
-    [c.work_ms.max(1e-3).ln(), c.memory_mb.max(1e-3).ln()]
-}
-
-fn sane(x: f64) -> f64 {
-    x.clamp(-SANE.ln(), SANE.ln())
+    fingerprints: Cache<Key, CostModel>,
 }
 
 impl Costs {
-    /// Nothing is known but what each class costs at first; so many shapes are kept at most.
+    /// Starts with an initial cost for each class; the costs of at most `entries` keys are retained.
     pub fn new(classes: &[Cost], entries: usize) -> Costs {
-        let class = |c: &Cost| CostModel::new(0.0, logs(*c), [0.0, 0.0]);
-        let bounds = Bounds { entries, bytes: entries.saturating_mul(ENTRY) };
-        Costs { classes: classes.iter().map(class).collect(), shapes: Cache::new(bounds) }
+        let class = |cost: &Cost| CostModel::new(0.0, cost.logs(), [0.0, 0.0]);
+        let bounds = Bounds { entries, bytes: entries.saturating_mul(ENTRY_BYTES) };
+        Costs { classes: classes.iter().map(class).collect(), fingerprints: Cache::new(bounds) }
     }
 
-    /// What a request will cost, at `now` in seconds: the client's own estimate put right by how far off such ones
-    /// were, or one in place of it. `None` for an unknown class.
+    /// The expected cost of a request at `now`, in seconds: the client's own estimate, corrected by the ratio learned for
+    /// such estimates, or the learned cost where the client gives none. `None` for an unknown class.
     pub fn estimate(&mut self, key: Key, given: Option<Cost>, now: f64) -> Option<Estimate> {
         let class = self.classes.get(usize::from(key.class))?;
-        let (plain, over) = (class.plain.map(|l| l.mean), class.over.map(|l| l.mean));
-        let known = self.shapes.get(key);
-        let pick = |of: &[RobustMean; 2], prior: [f64; 2]| [0, 1].map(|i| of[i].shrunk(prior[i], now));
-        let (figures, weight) = match (given, known) {
-            (Some(g), Some(f)) => {
-                let put_right = pick(&f.over, over);
-                let g = logs(g);
-                ([g[0] + put_right[0], g[1] + put_right[1]], f.over[0].aged(now))
+        let class_absolute = means(&class.absolute);
+        let class_ratio = means(&class.ratio);
+        let known = self.fingerprints.get(key);
+        let (logs, weight) = match (given, known) {
+            (Some(given), Some(known)) => {
+                let ratio = shrunk(&known.ratio, class_ratio, now);
+                (sum(given.logs(), ratio), known.ratio[0].aged_weight(now))
             }
-            (Some(g), None) => {
-                let g = logs(g);
-                ([g[0] + over[0], g[1] + over[1]], 0.0)
+            (Some(given), None) => (sum(given.logs(), class_ratio), 0.0),
+            (None, Some(known)) => {
+                (shrunk(&known.absolute, class_absolute, now), known.absolute[0].aged_weight(now))
             }
-            (None, Some(f)) => (pick(&f.plain, plain), f.plain[0].aged(now)),
-            (None, None) => (plain, 0.0),
+            (None, None) => (class_absolute, 0.0),
         };
-        // What a client claims may be any number: figures stay finite.
-        let figures = figures.map(|f| f.clamp(-MAX_LOG, MAX_LOG).exp());
-        let cost = Cost { work_ms: figures[0], memory_mb: figures[1] };
-        Some(Estimate { cost, weight })
+        // A client's estimate may be any number: the result stays finite.
+        let [work_ms, memory_mb] = logs.map(|log| log.clamp(-MAX_LOG, MAX_LOG).exp());
+        Some(Estimate { cost: Cost { work_ms, memory_mb }, weight })
     }
 
-    /// An answer told what a request needed. What is no number, or none over zero, teaches nothing.
-    pub fn learn(&mut self, key: Key, given: Option<Cost>, told: Cost, now: f64) {
-        let usable = |v: f64| v.is_finite() && v > 0.0;
-        if !usable(told.work_ms) || !usable(told.memory_mb) {
+    /// Learns from the cost that an answer reported. An invalid one is ignored.
+    pub fn learn(&mut self, key: Key, given: Option<Cost>, reported: Cost, now: f64) {
+        if !reported.is_valid() {
             return;
         }
         let Some(class) = self.classes.get_mut(usize::from(key.class)) else { return };
-        let told = logs(told);
-        let given = given.filter(|g| usable(g.work_ms) && usable(g.memory_mb)).map(logs);
-        let teach = |f: &mut CostModel| {
-            for i in 0..2 {
-                let prior = f.plain[i].mean;
-                f.plain[i].learn(prior + sane(told[i] - prior), now);
-                if let Some(g) = given {
-                    f.over[i].learn(sane(told[i] - g[i]), now);
-                }
-            }
-        };
-        teach(class);
-        let (plain, over) = (class.plain.map(|l| l.mean), class.over.map(|l| l.mean));
-        match self.shapes.get(key) {
-            Some(figures) => teach(figures),
-            None => {
-                let mut figures = CostModel::new(now, plain, over);
-                teach(&mut figures);
-                self.shapes.put(key, figures, ENTRY);
-            }
+        let reported = reported.logs();
+        let estimated = given.filter(Cost::is_valid).map(|given| given.logs());
+        class.learn(reported, estimated, now);
+        if let Some(known) = self.fingerprints.get(key) {
+            known.learn(reported, estimated, now);
+            return;
         }
+        let mut model = CostModel::new(now, means(&class.absolute), means(&class.ratio));
+        model.learn(reported, estimated, now);
+        self.fingerprints.put(key, model, ENTRY_BYTES);
     }
 
-    /// Counters of the shapes kept.
+    /// Counters of the cache of fingerprints.
     pub fn counters(&self) -> Counters {
-        self.shapes.counters()
+        self.fingerprints.counters()
     }
 }
--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -2,11 +2,11 @@
 //! of `sqlparser` reads it, within bounds. A statement that it cannot read completely is of unknown kind, with the
 //! facts that the lexer finds, and is assumed to write and to load in bulk.
 
+mod function_names;
 mod lexed;
 mod parsed;
-mod word_lists;
 
-pub use lexed::named;
+pub use lexed::{named, QualifiedTable};
 
 use crate::lex::{tokens, Token, TokenKind};
 use lexed::certain;
@@ -15,15 +15,15 @@
 
 /// Maximum length of a text that is parsed, in bytes. Longer texts are mostly long lists of values.
 pub const MAX_PARSED_BYTES: usize = 16 * 1024;
-/// Maximum number of tokens of a text that is parsed. A chain such as `1+1+1` makes a tree half as deep as it has
-/// tokens, and the tree is walked by recursion.
+/// Maximum number of tokens of a text that is parsed. A chain such as `1+1+1` gives a tree half as deep as it has tokens,
+/// and the tree is visited recursively.
 pub const MAX_PARSED_TOKENS: usize = 2_000;
 /// Maximum nesting of brackets and CASE in a text that is parsed; clients commonly nest up to a dozen deep.
 const MAX_DEPTH: usize = 48;
 /// Maximum number of data sets and relations reported for one statement; a statement with more is unknown.
 const MAX_NAMES: usize = 64;
 
-/// What kind of statement it is.
+/// The kind of a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StatementKind {
@@ -48,13 +48,14 @@
     Unknown,
 }
 
-/// What is known of a statement.
+/// The facts of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StatementFacts {
     /// Its kind.
     pub kind: StatementKind,
     /// The parser read it completely; otherwise the other fields hold only what the lexer found.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
     /// Tables that it reads, `schema.table`, sorted.
     pub reads: Vec<String>,
     /// Tables that it writes.
@@ -82,8 +83,8 @@
 /// The data set of a schema: the number behind its last underscore; none of `staging`.
 pub fn data_set(schema: &str) -> Option<u64> {
     let (name, digits) = schema.rsplit_once('_')?;
-    let legal = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    if !legal || name.eq_ignore_ascii_case("staging") || name.is_empty() {
+    let is_number = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_number || name.eq_ignore_ascii_case("staging") || name.is_empty() {
         return None;
     }
     digits.parse().ok()
@@ -92,38 +93,43 @@
 /// Reads a statement: by the parser if possible, otherwise by the lexer alone.
 pub fn read(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
-    let bounded = statement.len() <= MAX_PARSED_BYTES && tokens(statement, MAX_PARSED_TOKENS, &mut lexed);
-    let parsed = if bounded && !deep(statement, &lexed) { parse(&plain(statement, &lexed)) } else { None };
-    parsed.unwrap_or_else(|| certain(statement))
+    let is_short = statement.len() <= MAX_PARSED_BYTES && tokens(statement, MAX_PARSED_TOKENS, &mut lexed);
+    if is_short && nesting(statement, &lexed) <= MAX_DEPTH {
+        if let Some(facts) = parse(&normalise_spaces(statement, &lexed)) {
+            return facts;
+        }
+    }
+    certain(statement)
 }
 
-/// The statement without comments, and with a plain space for whatever space there was: parsers know fewer of them.
-fn plain(statement: &str, lexed: &[Token]) -> String {
-    let mut out = String::with_capacity(statement.len());
-    let mut end = 0;
-    for t in lexed {
-        if t.at > end && !out.is_empty() {
-            out.push(' ');
+/// The statement without comments, and with one plain space for any white space: the parser knows fewer kinds of it.
+fn normalise_spaces(statement: &str, lexed: &[Token]) -> String {
+    let mut normalised = String::with_capacity(statement.len());
+    let mut previous_end = 0;
+    for token in lexed {
+        if token.at > previous_end && !normalised.is_empty() {
+            normalised.push(' ');
         }
-        out.push_str(&statement[t.at..t.end]);
-        end = t.end;
+        normalised.push_str(&statement[token.at..token.end]);
+        previous_end = token.end;
     }
-    out
+    normalised
 }
 
-/// Whether brackets and CASE nest deeper than [`MAX_DEPTH`], counted without recursion.
-fn deep(statement: &str, lexed: &[Token]) -> bool {
-    let (mut depth, mut most) = (0_usize, 0);
-    for t in lexed {
-        let text = &statement[t.at..t.end];
-        match t.kind {
+/// How deep brackets and CASE nest, counted without recursion.
+fn nesting(statement: &str, lexed: &[Token]) -> usize {
+    let mut depth = 0_usize;
+    let mut deepest = 0;
+    for token in lexed {
+        let text = &statement[token.at..token.end];
+        match token.kind {
             TokenKind::Mark if matches!(text, "(" | "[") => depth += 1,
             TokenKind::Mark if matches!(text, ")" | "]") => depth = depth.saturating_sub(1),
             TokenKind::Word if text.eq_ignore_ascii_case("case") => depth += 1,
             TokenKind::Word if text.eq_ignore_ascii_case("end") => depth = depth.saturating_sub(1),
             _ => {}
         }
-        most = most.max(depth);
+        deepest = deepest.max(depth);
     }
-    most > MAX_DEPTH
+    deepest
 }
--- a/crates/query-fingerprint/src/facts/function_names.rs
+++ b/crates/query-fingerprint/src/facts/function_names.rs
@@ -1,7 +1,7 @@
 //! Names of PostgreSQL functions, sorted by what they do.
 
-/// Functions of PostgreSQL that write nothing, by the beginnings or whole of their names.
-pub(super) const PURE: &[&str] = &[
+/// Functions of PostgreSQL that write nothing.
+pub(super) const READ_ONLY_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
     "array_length",
@@ -109,8 +109,8 @@
     "version",
     "width_bucket",
 ];
-/// Functions that aggregate.
-pub(super) const AGGREGATES: &[&str] = &[
+/// Aggregate functions of PostgreSQL.
+pub(super) const AGGREGATE_FUNCTIONS: &[&str] = &[
     "array_agg",
     "avg",
     "bool_and",
--- a/crates/query-fingerprint/src/facts/lexed.rs
+++ b/crates/query-fingerprint/src/facts/lexed.rs
@@ -5,86 +5,105 @@
 use crate::normal::{plain_name, BEFORE_TABLE};
 use std::collections::BTreeSet;
 
-/// What is certain of a statement that was not read whole, by the lexer alone: data sets named behind the words that
-/// name tables, or anywhere, and that it may do anything.
+/// Maximum number of tokens that are searched for facts; a longer statement has the facts of its head.
+const MAX_LEXED_TOKENS: usize = 8 * MAX_PARSED_TOKENS;
+/// Words beyond [`BEFORE_TABLE`] that are followed by a table's name.
+const COMMANDS_ON_TABLES: &[&str] = &["copy", "truncate"];
+/// Words that end a list of tables.
+const END_TABLE_LIST: &[&str] =
+    &["where", "group", "order", "having", "set", "values", "select", "on", "limit", "returning"];
+
+/// The facts that are certain by the lexer alone of a statement that the parser could not read completely: the data sets
+/// that it names. It is assumed to write and to load in bulk.
 pub(super) fn certain(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
-    // Of what is longer, the head is certain.
-    tokens(statement, 8 * MAX_PARSED_TOKENS, &mut lexed);
+    tokens(statement, MAX_LEXED_TOKENS, &mut lexed);
     let mut facts = StatementFacts { may_write: true, load: true, ..StatementFacts::default() };
-    let sets: BTreeSet<u64> =
-        named(statement, &lexed).into_iter().filter_map(|(schema, _)| data_set(&schema)).collect();
-    facts.data_sets = sets.into_iter().take(MAX_NAMES).collect();
-    for (i, t) in lexed.iter().enumerate() {
-        let text = &statement[t.at..t.end];
-        if t.kind != TokenKind::Word {
+    let tables = named(statement, &lexed);
+    let data_sets: BTreeSet<u64> = tables.iter().filter_map(|table| data_set(&table.schema)).collect();
+    facts.data_sets = data_sets.into_iter().take(MAX_NAMES).collect();
+    for (index, token) in lexed.iter().enumerate() {
+        if token.kind != TokenKind::Word {
             continue;
         }
-        let next = lexed.get(i + 1).map_or("", |n| &statement[n.at..n.end]);
-        match text.to_ascii_lowercase().as_str() {
+        let keyword = statement[token.at..token.end].to_ascii_lowercase();
+        let next = lexed.get(index + 1).map_or("", |next| &statement[next.at..next.end]);
+        let is_next = |expected: &str| next.eq_ignore_ascii_case(expected);
+        match keyword.as_str() {
             "join" => facts.joins += 1,
-            "order" if next.eq_ignore_ascii_case("by") => facts.sorts = true,
-            "group" if next.eq_ignore_ascii_case("by") => facts.aggregates = true,
+            "order" if is_next("by") => facts.sorts = true,
+            "group" if is_next("by") => facts.aggregates = true,
             "limit" | "fetch" => facts.limit = true,
-            "for" if next.eq_ignore_ascii_case("update") || next.eq_ignore_ascii_case("share") => {
-                facts.locks = true
-            }
+            "for" if is_next("update") || is_next("share") => facts.locks = true,
             _ => {}
         }
     }
     facts
 }
 
+/// A table with its schema, as a statement names it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct QualifiedTable {
+    /// The schema.
+    pub schema: String,
+    /// The table.
+    pub table: String,
+}
+
 /// Schemas and tables that a statement names behind FROM, JOIN, INTO and the like, by the lexer alone.
-pub fn named(statement: &str, lexed: &[Token]) -> Vec<(String, String)> {
-    let text = |t: &Token| &statement[t.at..t.end];
-    let is_name = |t: &Token| matches!(t.kind, TokenKind::Word | TokenKind::Quoted);
-    let mut all = Vec::new();
-    let mut lists = vec![false];
-    let mut i = 0;
-    while i < lexed.len() {
-        let t = &lexed[i];
-        match t.kind {
-            TokenKind::Mark if text(t) == "(" => lists.push(*lists.last().unwrap_or(&false)),
-            TokenKind::Mark if text(t) == ")" && lists.len() > 1 => drop(lists.pop()),
-            TokenKind::Word => {
-                let word = text(t).to_ascii_lowercase();
-                if let Some(last) = lists.last_mut() {
-                    if BEFORE_TABLE.contains(&word.as_str()) || matches!(word.as_str(), "copy" | "truncate") {
-                        *last = true;
-                    } else if matches!(
-                        word.as_str(),
-                        "where"
-                            | "group"
-                            | "order"
-                            | "having"
-                            | "set"
-                            | "values"
-                            | "select"
-                            | "on"
-                            | "limit"
-                            | "returning"
-                    ) {
-                        *last = false;
-                    }
-                }
+pub fn named(statement: &str, lexed: &[Token]) -> Vec<QualifiedTable> {
+    let text = |token: &Token| &statement[token.at..token.end];
+    let mut found = Vec::new();
+    // Whether the position is in a list of tables: of the statement, then of the content of each open bracket.
+    let mut in_table_list = vec![false];
+    let mut index = 0;
+    while index < lexed.len() {
+        let token = &lexed[index];
+        track_table_lists(token.kind, text(token), &mut in_table_list);
+        let previous = index.checked_sub(1).map(|before| text(&lexed[before]));
+        let is_in_list = in_table_list.last().is_some_and(|in_list| *in_list);
+        let begins_table = previous.is_some_and(|previous| {
+            is_any_of(previous, BEFORE_TABLE)
+                || is_any_of(previous, COMMANDS_ON_TABLES)
+                || matches!(previous, "," | "(") && is_in_list
+        });
+        if begins_table && is_name(token) {
+            let is_dotted = lexed.get(index + 1).is_some_and(|next| text(next) == ".");
+            if let Some(table) = lexed.get(index + 2).filter(|name| is_dotted && is_name(name)) {
+                let schema = plain_name(text(token));
+                found.push(QualifiedTable { schema, table: plain_name(text(table)) });
+                index += 2;
             }
-            _ => {}
         }
-        let before = i.checked_sub(1).map(|k| text(&lexed[k]));
-        let starts = before.is_some_and(|b| {
-            BEFORE_TABLE.iter().any(|w| w.eq_ignore_ascii_case(b))
-                || matches!(b, "," | "(") && *lists.last().unwrap_or(&false)
-                || b.eq_ignore_ascii_case("copy")
-                || b.eq_ignore_ascii_case("truncate")
-        });
-        let dotted =
-            lexed.get(i + 1).is_some_and(|d| text(d) == ".") && lexed.get(i + 2).is_some_and(is_name);
-        if is_name(t) && starts && dotted {
-            all.push((plain_name(text(t)), plain_name(text(&lexed[i + 2]))));
-            i += 2;
+        index += 1;
+    }
+    found
+}
+
+/// Updates whether the position is in a list of tables, by the token there.
+fn track_table_lists(kind: TokenKind, text: &str, in_table_list: &mut Vec<bool>) {
+    let is_in_list = in_table_list.last().is_some_and(|in_list| *in_list);
+    match kind {
+        TokenKind::Mark if text == "(" => in_table_list.push(is_in_list),
+        TokenKind::Mark if text == ")" && in_table_list.len() > 1 => {
+            in_table_list.pop();
+        }
+        TokenKind::Word => {
+            let Some(innermost) = in_table_list.last_mut() else { return };
+            if is_any_of(text, BEFORE_TABLE) || is_any_of(text, COMMANDS_ON_TABLES) {
+                *innermost = true;
+            } else if is_any_of(text, END_TABLE_LIST) {
+                *innermost = false;
+            }
         }
-        i += 1;
+        _ => {}
     }
-    all
+}
+
+fn is_name(token: &Token) -> bool {
+    matches!(token.kind, TokenKind::Word | TokenKind::Quoted)
+}
+
+fn is_any_of(text: &str, words: &[&str]) -> bool {
+    words.iter().any(|word| word.eq_ignore_ascii_case(text))
 }
--- a/crates/query-fingerprint/src/facts/parsed.rs
+++ b/crates/query-fingerprint/src/facts/parsed.rs
@@ -1,40 +1,40 @@
-//! Facts of a statement from its syntax tree, as the parser of `sqlparser` gives it.
+//! Facts of a statement from its syntax tree, as `sqlparser` parses it.
 
-use super::word_lists::{AGGREGATES, PURE};
+use super::function_names::{AGGREGATE_FUNCTIONS, READ_ONLY_FUNCTIONS};
 use super::{data_set, StatementFacts, StatementKind, MAX_DEPTH, MAX_NAMES};
 use sqlparser::ast::{
-    CopySource, Expr, FromTable, GroupByExpr, ObjectName, Query, Select, Statement, TableFactor, TableObject,
-    TableWithJoins, Visit, Visitor,
+    CopySource, Delete, Expr, FromTable, GroupByExpr, Ident, Insert, ObjectName, ObjectNamePart, Query,
+    Select, SetExpr, Statement, TableFactor, TableObject, TableWithJoins, Visit, Visitor,
 };
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
 
-/// Rows of VALUES from which an INSERT counts as a load.
-const LOAD_ROWS: usize = 100;
+/// Number of rows of VALUES from which an INSERT counts as a bulk load.
+const MIN_LOAD_ROWS: usize = 100;
 
 /// The facts of a statement; `None` where the parser rejects it, where there is more than one statement, or where
 /// it names more than [`MAX_NAMES`] relations.
 pub(super) fn parse(statement: &str) -> Option<StatementFacts> {
     let parser = Parser::new(&PostgreSqlDialect {}).with_recursion_limit(2 * MAX_DEPTH);
-    let all = parser.try_with_sql(statement).ok()?.parse_statements().ok()?;
-    let [one] = &all[..] else { return None };
-    let mut reader = FactsVisitor::default();
-    reader.facts.whole = true;
-    reader.facts.kind = kind(one);
-    // Never broken off.
-    let _ = one.visit(&mut reader);
-    reader.finish()
+    let statements = parser.try_with_sql(statement).ok()?.parse_statements().ok()?;
+    let [statement] = &statements[..] else { return None };
+    let mut visitor = FactsVisitor::default();
+    visitor.facts.is_complete = true;
+    visitor.facts.kind = kind(statement);
+    // This visitor never breaks off, so there is no result.
+    let _ = statement.visit(&mut visitor);
+    visitor.finish()
 }
 
 fn kind(statement: &Statement) -> StatementKind {
     match statement {
-        Statement::Query(q) => match &*q.body {
-            sqlparser::ast::SetExpr::Insert(s)
-            | sqlparser::ast::SetExpr::Update(s)
-            | sqlparser::ast::SetExpr::Delete(s)
-            | sqlparser::ast::SetExpr::Merge(s) => kind(s),
+        Statement::Query(query) => match &*query.body {
+            SetExpr::Insert(inner)
+            | SetExpr::Update(inner)
+            | SetExpr::Delete(inner)
+            | SetExpr::Merge(inner) => kind(inner),
             _ => StatementKind::Select,
         },
         Statement::Insert(_) => StatementKind::Insert,
@@ -57,62 +57,129 @@
     }
 }
 
-/// Walks a statement's tree.
+/// Collects facts from a statement's tree.
 #[derive(Default)]
 struct FactsVisitor {
     facts: StatementFacts,
-    names: BTreeSet<String>,
-    writes: BTreeSet<String>,
-    ctes: BTreeSet<String>,
+    /// All relations that are named.
+    relations: BTreeSet<String>,
+    written: BTreeSet<String>,
+    /// Names that are no tables: common table expressions and functions in FROM lists.
+    not_tables: BTreeSet<String>,
     calls: BTreeSet<String>,
 }
 
-fn name(of: &ObjectName) -> String {
-    let part = |p: &sqlparser::ast::ObjectNamePart| match p.as_ident() {
-        Some(i) if i.quote_style.is_some() => i.value.clone(),
-        Some(i) => i.value.to_lowercase(),
-        None => p.to_string(),
-    };
-    of.0.iter().map(part).collect::<Vec<_>>().join(".")
+/// An identifier as PostgreSQL resolves it.
+fn resolved(identifier: &Ident) -> String {
+    if identifier.quote_style.is_some() {
+        identifier.value.clone()
+    } else {
+        identifier.value.to_lowercase()
+    }
+}
+
+/// A name with its qualifiers, separated by dots.
+fn full_name(name: &ObjectName) -> String {
+    let part_text = |part: &ObjectNamePart| part.as_ident().map_or_else(|| part.to_string(), resolved);
+    name.0.iter().map(part_text).collect::<Vec<_>>().join(".")
+}
+
+/// The data set of a table, by its schema.
+fn data_set_of(table: &str) -> Option<u64> {
+    let (schema_path, _) = table.rsplit_once('.')?;
+    schema_path.rsplit('.').next().and_then(data_set)
 }
 
 impl FactsVisitor {
-    fn wrote(&mut self, of: &ObjectName) {
+    fn add_written(&mut self, table: &ObjectName) {
         self.facts.may_write = true;
-        self.writes.insert(name(of));
+        self.written.insert(full_name(table));
     }
-    fn wrote_in(&mut self, table: &TableWithJoins) {
+
+    fn add_written_relation(&mut self, table: &TableWithJoins) {
         self.facts.may_write = true;
-        if let TableFactor::Table { name: n, .. } = &table.relation {
-            self.wrote(n);
+        if let TableFactor::Table { name, .. } = &table.relation {
+            self.add_written(name);
         }
     }
-    fn joined(&mut self, tables: &[TableWithJoins]) {
-        let joins = tables.iter().map(|t| t.joins.len()).sum::<usize>() + tables.len().saturating_sub(1);
-        self.facts.joins += joins as u32;
+
+    fn add_joins(&mut self, tables: &[TableWithJoins]) {
+        let explicit_joins: usize = tables.iter().map(|table| table.joins.len()).sum();
+        let comma_joins = tables.len().saturating_sub(1);
+        self.facts.joins += (explicit_joins + comma_joins) as u32;
+    }
+
+    fn add_call(&mut self, function: String) {
+        let unqualified = function.strip_prefix("pg_catalog.").unwrap_or(&function);
+        if !READ_ONLY_FUNCTIONS.contains(&unqualified) && self.calls.len() < MAX_NAMES {
+            self.calls.insert(function);
+        }
     }
 
-    /// The facts; none where there are more names than are told.
+    fn add_insert(&mut self, insert: &Insert) {
+        if let TableObject::TableName(table) = &insert.table {
+            self.add_written(table);
+        }
+        self.facts.may_write = true;
+        if let Some(source) = &insert.source {
+            self.facts.load |= match &*source.body {
+                SetExpr::Values(values) => values.rows.len() >= MIN_LOAD_ROWS,
+                _ => true,
+            };
+        }
+    }
+
+    fn add_delete(&mut self, delete: &Delete) {
+        for table in &delete.tables {
+            self.add_written(table);
+        }
+        let (FromTable::WithFromKeyword(from) | FromTable::WithoutKeyword(from)) = &delete.from;
+        if delete.tables.is_empty() {
+            for table in from {
+                self.add_written_relation(table);
+            }
+        }
+    }
+
+    /// COPY from a table only reads it, COPY to a table writes it in bulk.
+    fn add_copy(&mut self, source: &CopySource, reads_table: bool) {
+        if let CopySource::Table { table_name, .. } = source {
+            self.relations.insert(full_name(table_name));
+            if !reads_table {
+                self.add_written(table_name);
+            }
+        }
+        self.facts.may_write |= !reads_table;
+        self.facts.load |= !reads_table;
+    }
+
+    /// A change of a table or of what depends on it: every relation that was named so far counts as written.
+    fn add_schema_change(&mut self) {
+        self.facts.may_write = true;
+        self.facts.locks = true;
+        self.facts.load = true;
+        self.written.extend(self.relations.iter().cloned());
+    }
+
+    /// The facts; `None` where more than [`MAX_NAMES`] relations are named.
     fn finish(mut self) -> Option<StatementFacts> {
-        let real = |n: &&String| !self.ctes.contains(*n);
-        let writes: Vec<String> = self.writes.iter().filter(real).cloned().collect();
-        let reads: Vec<String> =
-            self.names.iter().filter(real).filter(|n| !self.writes.contains(*n)).cloned().collect();
+        let is_table = |name: &&String| !self.not_tables.contains(*name);
+        let writes: Vec<String> = self.written.iter().filter(is_table).cloned().collect();
+        let tables = self.relations.iter().filter(is_table);
+        let reads: Vec<String> = tables.filter(|name| !self.written.contains(*name)).cloned().collect();
         if reads.len() + writes.len() > MAX_NAMES {
             return None;
         }
-        let schema = |n: &String| {
-            let mut parts = n.rsplit('.');
-            parts.next();
-            parts.next().and_then(data_set)
-        };
-        let sets: BTreeSet<u64> = reads.iter().chain(&writes).filter_map(schema).collect();
-        self.facts.data_sets = sets.into_iter().collect();
-        (self.facts.reads, self.facts.writes) = (reads, writes);
+        let data_sets: BTreeSet<u64> =
+            reads.iter().chain(&writes).filter_map(|table| data_set_of(table)).collect();
+        let is_unknown = self.facts.kind == StatementKind::Unknown;
+        self.facts.data_sets = data_sets.into_iter().collect();
+        self.facts.reads = reads;
+        self.facts.writes = writes;
         self.facts.calls = self.calls.into_iter().collect();
-        self.facts.may_write |= !self.facts.calls.is_empty() || self.facts.kind == StatementKind::Unknown;
-        self.facts.load |= self.facts.kind == StatementKind::Unknown;
-        self.facts.whole &= self.facts.kind != StatementKind::Unknown;
+        self.facts.may_write |= !self.facts.calls.is_empty() || is_unknown;
+        self.facts.load |= is_unknown;
+        self.facts.is_complete &= !is_unknown;
         Some(self.facts)
     }
 }
@@ -121,67 +188,47 @@
     type Break = ();
 
     fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
-        self.names.insert(name(relation));
+        self.relations.insert(full_name(relation));
         ControlFlow::Continue(())
     }
 
     fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
         match statement {
-            Statement::Insert(i) => {
-                if let TableObject::TableName(n) = &i.table {
-                    self.wrote(n);
-                }
-                self.facts.may_write = true;
-                if let Some(source) = &i.source {
-                    self.facts.load |= match &*source.body {
-                        sqlparser::ast::SetExpr::Values(v) => v.rows.len() >= LOAD_ROWS,
-                        _ => true,
-                    };
-                }
-            }
-            Statement::Update(u) => {
-                self.wrote_in(&u.table);
-                self.facts.joins += u.table.joins.len() as u32;
-            }
-            Statement::Delete(d) => {
-                d.tables.iter().for_each(|n| self.wrote(n));
-                let (FromTable::WithFromKeyword(from) | FromTable::WithoutKeyword(from)) = &d.from;
-                if d.tables.is_empty() {
-                    from.iter().for_each(|t| self.wrote_in(t));
-                }
+            Statement::Insert(insert) => self.add_insert(insert),
+            Statement::Update(update) => {
+                self.add_written_relation(&update.table);
+                self.facts.joins += update.table.joins.len() as u32;
             }
-            Statement::Merge(m) => {
-                (self.facts.may_write, self.facts.load) = (true, true);
-                if let TableFactor::Table { name: n, .. } = &m.table {
-                    self.wrote(n);
+            Statement::Delete(delete) => self.add_delete(delete),
+            Statement::Merge(merge) => {
+                self.facts.may_write = true;
+                self.facts.load = true;
+                if let TableFactor::Table { name, .. } = &merge.table {
+                    self.add_written(name);
                 }
             }
-            Statement::Copy { source, to, .. } => {
-                if let CopySource::Table { table_name, .. } = source {
-                    self.names.insert(name(table_name));
-                    if !to {
-                        self.wrote(table_name);
-                    }
+            Statement::Copy { source, to, .. } => self.add_copy(source, *to),
+            Statement::Truncate(truncate) => {
+                self.facts.may_write = true;
+                self.facts.load = true;
+                self.facts.locks = true;
+                for table in &truncate.table_names {
+                    self.add_written(&table.name);
                 }
-                self.facts.may_write |= !to;
-                self.facts.load |= !to;
-            }
-            Statement::Truncate(t) => {
-                (self.facts.may_write, self.facts.load, self.facts.locks) = (true, true, true);
-                t.table_names.iter().for_each(|t| self.wrote(&t.name));
             }
-            Statement::CreateTable(t) => {
-                self.wrote(&t.name);
-                self.facts.load |= t.query.is_some();
+            Statement::CreateTable(create) => {
+                self.add_written(&create.name);
+                self.facts.load |= create.query.is_some();
             }
             Statement::CreateView(_) | Statement::CreateIndex(_) | Statement::AlterTable(_) => {
-                (self.facts.may_write, self.facts.locks, self.facts.load) = (true, true, true);
-                let all: Vec<String> = self.names.iter().cloned().collect();
-                self.writes.extend(all);
+                self.add_schema_change();
             }
             Statement::Drop { names, .. } => {
-                (self.facts.may_write, self.facts.locks) = (true, true);
-                names.iter().for_each(|n| self.wrote(n));
+                self.facts.may_write = true;
+                self.facts.locks = true;
+                for name in names {
+                    self.add_written(name);
+                }
             }
             _ => {}
         }
@@ -193,60 +240,46 @@
         facts.locks |= !query.locks.is_empty();
         facts.sorts |= query.order_by.is_some();
         facts.limit |= query.limit_clause.is_some() || query.fetch.is_some();
-        for cte in query.with.iter().flat_map(|w| &w.cte_tables) {
-            let alias = &cte.alias.name;
-            self.ctes.insert(if alias.quote_style.is_some() {
-                alias.value.clone()
-            } else {
-                alias.value.to_lowercase()
-            });
+        for cte in query.with.iter().flat_map(|with| &with.cte_tables) {
+            self.not_tables.insert(resolved(&cte.alias.name));
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<()> {
-        self.joined(&select.from);
-        let grouped = match &select.group_by {
+        self.add_joins(&select.from);
+        let is_grouped = match &select.group_by {
             GroupByExpr::All(_) => true,
-            GroupByExpr::Expressions(e, m) => !e.is_empty() || !m.is_empty(),
+            GroupByExpr::Expressions(expressions, modifiers) => {
+                !expressions.is_empty() || !modifiers.is_empty()
+            }
         };
-        self.facts.aggregates |= grouped || select.distinct.is_some();
+        self.facts.aggregates |= is_grouped || select.distinct.is_some();
         if let Some(into) = &select.into {
-            // Targets are expressions there: a name, or a compound one.
-            let plain = |e: &Expr| e.to_string().to_lowercase();
-            self.writes.extend(into.targets.iter().map(plain));
-            (self.facts.may_write, self.facts.load) = (true, true);
+            // The parser gives targets as expressions: a name, or a qualified one.
+            let target_name = |target: &Expr| target.to_string().to_lowercase();
+            self.written.extend(into.targets.iter().map(target_name));
+            self.facts.may_write = true;
+            self.facts.load = true;
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_table_factor(&mut self, factor: &TableFactor) -> ControlFlow<()> {
-        if let TableFactor::Function { name: n, .. } | TableFactor::Table { name: n, args: Some(_), .. } =
-            factor
-        {
-            // A function in a FROM list is no table.
-            let called = name(n);
-            self.ctes.insert(called.clone());
-            self.call(called);
+        if let TableFactor::Function { name, .. } | TableFactor::Table { name, args: Some(_), .. } = factor {
+            let function = full_name(name);
+            self.not_tables.insert(function.clone());
+            self.add_call(function);
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
-        if let Expr::Function(f) = expr {
-            let called = name(&f.name);
-            self.facts.aggregates |= f.over.is_none() && AGGREGATES.contains(&called.as_str());
-            self.call(called);
+        if let Expr::Function(call) = expr {
+            let function = full_name(&call.name);
+            self.facts.aggregates |= call.over.is_none() && AGGREGATE_FUNCTIONS.contains(&function.as_str());
+            self.add_call(function);
         }
         ControlFlow::Continue(())
     }
 }
-
-impl FactsVisitor {
-    fn call(&mut self, called: String) {
-        let bare = called.strip_prefix("pg_catalog.").unwrap_or(&called);
-        if !PURE.contains(&bare) && self.calls.len() < MAX_NAMES {
-            self.calls.insert(called);
-        }
-    }
-}
--- a/crates/query-fingerprint/src/lib.rs
+++ b/crates/query-fingerprint/src/lib.rs
@@ -1,11 +1,11 @@
-//! Statement fingerprints: a statement is read just far enough to tell a cheap look-up from a heavy report, to notice a
-//! load, and to know what each form cost before. No input or output, no clock.
+//! Statement fingerprints: a statement is read just far enough to distinguish a cheap look-up from an expensive report, to
+//! notice a bulk load, and to know what statements of the same form cost before. No input or output, no clock.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | [`lex`] | the project's own bounded lexer |
+//! | [`lex`] | a bounded lexer |
 //! | [`normal`] | the normal form of a statement, and its fingerprint |
-//! | [`facts`] | what is known of a statement: read whole by a parser, or what the lexer is certain of |
+//! | [`facts`] | the facts of a statement: from a parser that reads it completely, or those that the lexer is certain of |
 //! | [`statement_cache`] | statements read once, by fingerprint |
 //! | [`retry_guard`] | whether a statement may be retried |
 //! | [`cache`] | an S3-FIFO cache, which a scan of one-off statements cannot flush |
--- a/crates/query-fingerprint/src/normal.rs
+++ b/crates/query-fingerprint/src/normal.rs
@@ -7,9 +7,9 @@
 use aliases::{find_aliases, Aliases};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest text that is normalised: a front's longest statement is shorter.
+/// Length of the longest text that is normalised, in bytes: the longest statement that clients may send is shorter.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
-/// Maximum tokens of it; a longer one has the fingerprint of its head, and is unknown.
+/// Maximum number of its tokens; a longer text has the fingerprint of its head, and its facts are unknown.
 pub const MAX_TOKENS: usize = 16 * 1024;
 
 /// The fingerprint of a statement: XXH3-64 of its normal form.
@@ -22,18 +22,18 @@
     }
 }
 
-/// Normalises statements; what it works in is used again from one to the next.
+/// Normalises statements; its buffers are reused from one to the next.
 #[derive(Debug, Default)]
 pub struct Normaliser {
     tokens: Vec<Token>,
     text: String,
-    whole: bool,
+    is_complete: bool,
 }
 
 /// Words after which a table is named.
 pub(crate) const BEFORE_TABLE: &[&str] = &["from", "join", "update", "into", "using", "only", "table"];
 
-/// A token and its text as it stands in the statement.
+/// A token and its text in the statement.
 struct SourceToken<'a> {
     kind: TokenKind,
     raw: &'a str,
@@ -43,20 +43,23 @@
     fn is(&self, word: &str) -> bool {
         self.kind == TokenKind::Word && self.raw.eq_ignore_ascii_case(word)
     }
-    fn mark(&self, mark: &str) -> bool {
+
+    fn is_mark(&self, mark: &str) -> bool {
         matches!(self.kind, TokenKind::Mark | TokenKind::Operator) && self.raw == mark
     }
-    fn among(&self, words: &[&str]) -> bool {
-        self.kind == TokenKind::Word && words.iter().any(|w| self.raw.eq_ignore_ascii_case(w))
+
+    fn is_any_of(&self, words: &[&str]) -> bool {
+        words.iter().any(|word| self.is(word))
     }
+
     fn is_name(&self) -> bool {
         matches!(self.kind, TokenKind::Word | TokenKind::Quoted)
     }
 }
 
-/// A name as it is known: without quotes where they change nothing, in lower case where there are none.
+/// A name as PostgreSQL resolves it: without its quotes, or in lower case where it has none.
 pub fn plain_name(raw: &str) -> String {
-    match raw.strip_prefix('"').and_then(|r| r.strip_suffix('"')) {
+    match raw.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')) {
         Some(inner) => inner.replace("\"\"", "\""),
         None => raw.to_lowercase(),
     }
@@ -64,200 +67,248 @@
 
 impl Normaliser {
     /// The fingerprint of a statement. Of what is longer than [`MAX_TEXT_BYTES`] or [`MAX_TOKENS`] only the head
-    /// counts, and [`whole`](Normaliser::whole) is false.
+    /// counts, and [`is_complete`](Normaliser::is_complete) is false.
     pub fn fingerprint(&mut self, statement: &str) -> Fingerprint {
         let mut end = statement.len().min(MAX_TEXT_BYTES);
         while !statement.is_char_boundary(end) {
             end -= 1;
         }
         let head = &statement[..end];
-        self.whole = tokens(head, MAX_TOKENS, &mut self.tokens) && end == statement.len();
-        let parts: Vec<SourceToken> =
-            self.tokens.iter().map(|t| SourceToken { kind: t.kind, raw: &head[t.at..t.end] }).collect();
-        let names = find_aliases(&parts);
+        self.is_complete = tokens(head, MAX_TOKENS, &mut self.tokens) && end == statement.len();
+        let parts: Vec<SourceToken> = self
+            .tokens
+            .iter()
+            .map(|token| SourceToken { kind: token.kind, raw: &head[token.at..token.end] })
+            .collect();
+        let aliases = find_aliases(&parts);
         self.text.clear();
-        write(&parts, &names, &mut self.text);
+        write(&parts, &aliases, &mut self.text);
         Fingerprint(xxh3_64(self.text.as_bytes()))
     }
 
-    /// The normal form of the statement last taken.
+    /// The normal form of the last statement.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Whether all of it was taken.
-    pub fn whole(&self) -> bool {
-        self.whole
+    /// Whether the normal form covers the last statement completely.
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 }
 
-/// What a literal becomes.
+/// The placeholder for a literal.
 const VALUE: &str = "?";
+/// Keywords that are literals.
+const LITERAL_KEYWORDS: &[&str] = &["null", "true", "false"];
+/// Words after which NULL, TRUE or FALSE is part of a test such as IS NOT NULL, and no value.
+const BEFORE_TEST: &[&str] = &["is", "not", "distinct", "from"];
+/// Words that begin the clauses in which aliases of columns may be used.
+const ALIAS_CLAUSES: &[&str] = &["order", "group", "having"];
+/// Words after which `-` or `+` is the sign of a number.
+const BEFORE_SIGN: &[&str] = &[
+    "select",
+    "where",
+    "and",
+    "or",
+    "not",
+    "in",
+    "between",
+    "when",
+    "then",
+    "else",
+    "by",
+    "limit",
+    "offset",
+    "values",
+    "set",
+    "on",
+    "having",
+    "like",
+    "return",
+    "returning",
+    "case",
+    "distinct",
+    "all",
+    "any",
+];
 
-fn write(parts: &[SourceToken], names: &Aliases, out: &mut String) {
-    let mut i = 0;
-    // Where the words of the present list of values began in `out`: IN, VALUES and ARRAY.
-    let mut tail = false;
-    while i < parts.len() {
-        let p = &parts[i];
-        if p.mark(";") && parts[i..].iter().all(|p| p.mark(";")) {
+/// Writes the normal form.
+fn write(parts: &[SourceToken], aliases: &Aliases, out: &mut String) {
+    let mut index = 0;
+    let mut may_use_column_aliases = false;
+    while index < parts.len() {
+        let part = &parts[index];
+        if part.is_mark(";") && parts[index..].iter().all(|rest| rest.is_mark(";")) {
             break;
         }
-        if let Some(end) = folded(parts, i) {
-            put(out, if parts[i].mark("[") { "[?]" } else { "(?)" });
-            i = end;
+        if let Some(end) = folded_list_end(parts, index) {
+            push(out, if part.is_mark("[") { "[?]" } else { "(?)" });
+            index = end;
             continue;
         }
-        tail |= p.among(&["order", "group", "having"]);
-        if p.among(&["from", "where"]) {
-            tail = false;
+        if part.is_any_of(ALIAS_CLAUSES) {
+            may_use_column_aliases = true;
+        } else if part.is_any_of(&["from", "where"]) {
+            may_use_column_aliases = false;
         }
-        match p.kind {
-            TokenKind::Text | TokenKind::Number | TokenKind::Parameter => put(out, VALUE),
-            TokenKind::Operator if sign(parts, i) => {}
-            TokenKind::Operator | TokenKind::Mark => put(out, p.raw),
-            TokenKind::Word | TokenKind::Quoted => word(parts, i, names, tail, out),
+        match part.kind {
+            TokenKind::Text | TokenKind::Number | TokenKind::Parameter => push(out, VALUE),
+            TokenKind::Operator if is_sign(parts, index) => {}
+            TokenKind::Operator | TokenKind::Mark => push(out, part.raw),
+            TokenKind::Word | TokenKind::Quoted => {
+                write_name(parts, index, aliases, may_use_column_aliases, out);
+            }
             TokenKind::Blank => {}
         }
-        // AS before an alias is as good as none.
-        i += 1;
+        index += 1;
     }
 }
 
-fn put(out: &mut String, text: &str) {
+/// Appends a token, separated by a space.
+fn push(out: &mut String, text: &str) {
     if !out.is_empty() {
         out.push(' ');
     }
     out.push_str(text);
 }
 
-fn word(parts: &[SourceToken], i: usize, names: &Aliases, tail: bool, out: &mut String) {
-    let p = &parts[i];
-    if p.is("as") && names.made.contains_key(&(i + 1)) {
+/// Writes a word or a name: an alias as its number, a literal as the placeholder. AS before an alias is left out.
+fn write_name(
+    parts: &[SourceToken],
+    index: usize,
+    aliases: &Aliases,
+    may_use_column_aliases: bool,
+    out: &mut String,
+) {
+    let part = &parts[index];
+    if part.is("as") && aliases.declared.contains_key(&(index + 1)) {
         return;
     }
-    let before = i.checked_sub(1).map(|k| &parts[k]);
-    let behind = parts.get(i + 1);
-    if let Some(number) = names.made.get(&i) {
-        return put(out, &format!("a{number}"));
+    if let Some(number) = aliases.declared.get(&index) {
+        push(out, &alias_text(*number));
+        return;
     }
-    let value = p.among(&["null", "true", "false"]);
-    let tested = before.is_some_and(|b| b.among(&["is", "not", "distinct", "from"]));
-    if value && !tested {
-        return put(out, VALUE);
+    let previous = index.checked_sub(1).map(|before| &parts[before]);
+    let is_test = previous.is_some_and(|previous| previous.is_any_of(BEFORE_TEST));
+    if part.is_any_of(LITERAL_KEYWORDS) && !is_test {
+        push(out, VALUE);
+        return;
     }
-    let name = plain_name(p.raw);
-    let qualified = before.is_some_and(|b| b.mark("."));
-    let table = names.tables.get(&name).filter(|_| !qualified);
-    let used =
-        behind.is_some_and(|b| b.mark(".")) || before.is_some_and(|b| b.among(BEFORE_TABLE) || b.mark(","));
-    if let Some(number) = table.filter(|_| used) {
-        return put(out, &format!("a{number}"));
+    let name = plain_name(part.raw);
+    if let Some(number) = used_alias(parts, index, &name, aliases, may_use_column_aliases) {
+        push(out, &alias_text(number));
+        return;
     }
-    let of_derived = qualified && i >= 2 && names.derived.contains(&plain_name(parts[i - 2].raw));
-    if let Some(number) = names.columns.get(&name).filter(|_| of_derived) {
-        return put(out, &format!("a{number}"));
+    if part.kind == TokenKind::Quoted && !is_plain_identifier(&name) {
+        push(out, &format!("\"{name}\""));
+    } else {
+        push(out, &name);
     }
-    let column = names
-        .columns
-        .get(&name)
-        .filter(|_| tail && !qualified && !behind.is_some_and(|b| b.mark("(") || b.mark(".")));
-    if let Some(number) = column {
-        return put(out, &format!("a{number}"));
+}
+
+/// An alias in the normal form.
+fn alias_text(number: usize) -> String {
+    format!("a{number}")
+}
+
+/// The number of the alias that a name at `index` refers to, if it refers to one.
+fn used_alias(
+    parts: &[SourceToken],
+    index: usize,
+    name: &str,
+    aliases: &Aliases,
+    may_use_column_aliases: bool,
+) -> Option<usize> {
+    let previous = index.checked_sub(1).map(|before| &parts[before]);
+    let next = parts.get(index + 1);
+    let is_qualified = previous.is_some_and(|previous| previous.is_mark("."));
+    let is_qualifier = next.is_some_and(|next| next.is_mark("."));
+    let is_call = next.is_some_and(|next| next.is_mark("("));
+    let names_table = is_qualifier
+        || previous.is_some_and(|previous| previous.is_any_of(BEFORE_TABLE) || previous.is_mark(","));
+    if names_table && !is_qualified {
+        if let Some(number) = aliases.tables.get(name) {
+            return Some(*number);
+        }
     }
-    // Quotes that change nothing are no difference; those that keep a case or a character do.
-    let simple = name
-        .chars()
-        .enumerate()
-        .all(|(k, c)| c == '_' || c.is_alphabetic() && !c.is_uppercase() || k > 0 && c.is_ascii_digit());
-    if p.kind == TokenKind::Quoted && (!simple || name.is_empty()) {
-        return put(out, &format!("\"{name}\""));
+    let is_of_derived =
+        is_qualified && index >= 2 && aliases.derived.contains(&plain_name(parts[index - 2].raw));
+    let is_sort_or_group_key = may_use_column_aliases && !is_qualified && !is_call && !is_qualifier;
+    if is_of_derived || is_sort_or_group_key {
+        return aliases.columns.get(name).copied();
     }
-    put(out, &name);
+    None
 }
 
-/// Whether an operator at `i` is the sign of a number: nothing stands before it that it could join.
-fn sign(parts: &[SourceToken], i: usize) -> bool {
-    if !matches!(parts[i].raw, "-" | "+")
-        || !parts.get(i + 1).is_some_and(|n| matches!(n.kind, TokenKind::Number | TokenKind::Operator))
-    {
+/// Whether a name is the same with and without quotes: they preserve neither case nor a special character.
+fn is_plain_identifier(name: &str) -> bool {
+    let is_plain = |(position, c): (usize, char)| {
+        c == '_' || c.is_alphabetic() && !c.is_uppercase() || position > 0 && c.is_ascii_digit()
+    };
+    !name.is_empty() && name.chars().enumerate().all(is_plain)
+}
+
+/// Whether an operator at `index` is the sign of a number: there is nothing before it that it could join.
+fn is_sign(parts: &[SourceToken], index: usize) -> bool {
+    if !matches!(parts[index].raw, "-" | "+") {
         return false;
     }
-    if parts[i + 1].kind == TokenKind::Operator && !sign(parts, i + 1) {
+    let is_followed_by_number = match parts.get(index + 1).map(|next| next.kind) {
+        Some(TokenKind::Number) => true,
+        Some(TokenKind::Operator) => is_sign(parts, index + 1),
+        _ => false,
+    };
+    if !is_followed_by_number {
         return false;
     }
-    match i.checked_sub(1).map(|k| &parts[k]) {
+    match index.checked_sub(1).map(|before| &parts[before]) {
         None => true,
-        Some(b) if b.kind == TokenKind::Operator => !b.raw.ends_with("::"),
-        Some(b) if b.kind == TokenKind::Mark => matches!(b.raw, "(" | "[" | "," | ";"),
-        Some(b) => b.among(&[
-            "select",
-            "where",
-            "and",
-            "or",
-            "not",
-            "in",
-            "between",
-            "when",
-            "then",
-            "else",
-            "by",
-            "limit",
-            "offset",
-            "values",
-            "set",
-            "on",
-            "having",
-            "like",
-            "return",
-            "returning",
-            "case",
-            "distinct",
-            "all",
-            "any",
-        ]),
+        Some(previous) if previous.kind == TokenKind::Operator => !previous.raw.ends_with("::"),
+        Some(previous) if previous.kind == TokenKind::Mark => matches!(previous.raw, "(" | "[" | "," | ";"),
+        Some(previous) => previous.is_any_of(BEFORE_SIGN),
     }
 }
 
-/// A list of values that is folded into one: `(…)` behind IN and VALUES, with its further rows, and `[…]`. The place
-/// behind it.
-fn folded(parts: &[SourceToken], i: usize) -> Option<usize> {
-    let array = parts[i].mark("[");
-    let before = i.checked_sub(1).map(|k| &parts[k])?;
-    if !(array && before.is("array") || parts[i].mark("(") && before.among(&["in", "values"])) {
+/// The position behind a list of values that is folded into one: `(…)` behind IN and VALUES, with its further rows, and
+/// `[…]` behind ARRAY.
+fn folded_list_end(parts: &[SourceToken], index: usize) -> Option<usize> {
+    let previous = &parts[index.checked_sub(1)?];
+    let is_array = parts[index].is_mark("[") && previous.is("array");
+    let is_list = parts[index].is_mark("(") && previous.is_any_of(&["in", "values"]);
+    if !is_array && !is_list {
         return None;
     }
-    let mut end = list(parts, i)?;
-    // Further rows.
-    while before.is("values")
-        && parts.get(end).is_some_and(|p| p.mark(","))
-        && parts.get(end + 1).is_some_and(|p| p.mark("("))
+    let mut end = value_list_end(parts, index)?;
+    let has_rows = previous.is("values");
+    while has_rows
+        && parts.get(end).is_some_and(|part| part.is_mark(","))
+        && parts.get(end + 1).is_some_and(|part| part.is_mark("("))
     {
-        match list(parts, end + 1) {
-            Some(e) => end = e,
+        match value_list_end(parts, end + 1) {
+            Some(row_end) => end = row_end,
             None => break,
         }
     }
     Some(end)
 }
 
-/// The place behind a bracket that holds values only.
-fn list(parts: &[SourceToken], open: usize) -> Option<usize> {
-    let close = if parts[open].mark("[") { "]" } else { ")" };
-    let mut i = open + 1;
-    let mut values = 0;
-    while let Some(p) = parts.get(i) {
-        if p.mark(close) {
-            return (values > 0).then_some(i + 1);
+/// The position behind a bracket that holds values only, and at least one.
+fn value_list_end(parts: &[SourceToken], open: usize) -> Option<usize> {
+    let close = if parts[open].is_mark("[") { "]" } else { ")" };
+    let mut has_value = false;
+    for (index, part) in parts.iter().enumerate().skip(open + 1) {
+        if part.is_mark(close) {
+            return has_value.then_some(index + 1);
         }
-        let value = matches!(p.kind, TokenKind::Text | TokenKind::Number | TokenKind::Parameter)
-            || p.among(&["null", "true", "false", "default"])
-            || p.kind == TokenKind::Operator && sign(parts, i);
-        if !value && !p.mark(",") {
+        let is_value = matches!(part.kind, TokenKind::Text | TokenKind::Number | TokenKind::Parameter)
+            || part.is_any_of(LITERAL_KEYWORDS)
+            || part.is("default")
+            || part.kind == TokenKind::Operator && is_sign(parts, index);
+        if !is_value && !part.is_mark(",") {
             return None;
         }
-        values += usize::from(value);
-        i += 1;
+        has_value |= is_value;
     }
     None
 }
--- a/crates/query-fingerprint/src/normal/aliases.rs
+++ b/crates/query-fingerprint/src/normal/aliases.rs
@@ -1,12 +1,12 @@
-//! Finds the aliases of a statement by their places among its tokens.
+//! Finds the aliases of a statement by their positions among its tokens.
 
 use super::{plain_name, SourceToken, BEFORE_TABLE};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Aliases of one statement that are renamed; more keep their names.
+/// Maximum number of aliases of one statement that are renamed; further ones keep their names.
 const MAX_ALIASES: usize = 64;
 
-/// Words that end a table's place in a FROM list: none of them is an alias.
+/// Words that may follow a table in a FROM list and are no alias.
 const NO_ALIAS: &[&str] = &[
     "as",
     "on",
@@ -72,162 +72,233 @@
     "skip",
     "of",
 ];
-/// Words behind WITH that name no common table expression.
+/// Words behind WITH that are not the name of a common table expression.
 const NO_CTE: &[&str] = &["time", "local", "cascaded", "check", "ordinality", "no", "ties"];
 
-/// Aliases of tables, common table expressions and columns, each with its number in order of first sight.
+/// Words behind AS that begin a sub-select or a hint, and are no alias.
+const AFTER_CTE_AS: &[&str] =
+    &["materialized", "not", "select", "with", "values", "insert", "update", "delete", "merge"];
+/// Functions in whose brackets AS is followed by a type.
+const CASTS: &[&str] = &["cast", "xmlserialize", "try_cast"];
+/// Words that begin a list of tables.
+const BEGIN_TABLE_LIST: &[&str] = &["from", "join", "update", "using", "into"];
+/// Words that end a list of tables.
+const END_TABLE_LIST: &[&str] = &[
+    "where",
+    "group",
+    "order",
+    "having",
+    "limit",
+    "set",
+    "values",
+    "select",
+    "returning",
+    "on",
+    "union",
+    "window",
+];
+/// Words between the keyword that begins a list of tables and the table's name.
+const TABLE_PREFIXES: &[&str] = &["only", "lateral", "into", "table"];
+/// Words in the position of a table's name that are none.
+const NO_TABLE: &[&str] = &["select", "values", "with", "set"];
+
+/// Aliases of tables, common table expressions and columns, each with its number in order of first occurrence.
 #[derive(Default)]
 pub(super) struct Aliases {
     pub(super) tables: BTreeMap<String, usize>,
     pub(super) columns: BTreeMap<String, usize>,
-    /// Those of them that stand for a sub-select: their columns may have aliases, too.
+    /// Those of the tables that name a sub-select: their columns may have aliases, too.
     pub(super) derived: BTreeSet<String>,
-    /// Places of tokens that name an alias where it is made.
-    pub(super) made: BTreeMap<usize, usize>,
-    next: usize,
+    /// The numbers of aliases by the index of the token that declares them.
+    pub(super) declared: BTreeMap<usize, usize>,
+    next_number: usize,
 }
 
 impl Aliases {
-    fn table(&mut self, name: &str, place: usize) {
-        let next = self.next;
+    fn add_table(&mut self, name: &str, index: usize) {
+        let next = self.next_number;
         let number = *self.tables.entry(plain_name(name)).or_insert(next);
-        self.next += usize::from(number == next);
-        self.made.insert(place, number);
+        self.declare(number, index);
     }
-    fn derived(&mut self, name: &str, place: usize) {
-        self.table(name, place);
+
+    fn add_derived(&mut self, name: &str, index: usize) {
+        self.add_table(name, index);
         self.derived.insert(plain_name(name));
     }
-    fn column(&mut self, name: &str, place: usize) {
-        let next = self.next;
+
+    fn add_column(&mut self, name: &str, index: usize) {
+        let next = self.next_number;
         let number = *self.columns.entry(plain_name(name)).or_insert(next);
-        self.next += usize::from(number == next);
-        self.made.insert(place, number);
+        self.declare(number, index);
     }
-    fn full(&self) -> bool {
-        self.next >= MAX_ALIASES
+
+    fn declare(&mut self, number: usize, index: usize) {
+        if number == self.next_number {
+            self.next_number += 1;
+        }
+        self.declared.insert(index, number);
+    }
+
+    fn is_full(&self) -> bool {
+        self.next_number >= MAX_ALIASES
     }
 }
 
-/// Finds aliases by their places: behind a table in a FROM list, behind a closing bracket there, behind AS (but in
+/// Finds aliases by their positions: behind a table in a FROM list, behind a closing bracket there, behind AS (except in
 /// a cast), and common table expressions.
 pub(super) fn find_aliases(parts: &[SourceToken]) -> Aliases {
-    let mut names = Aliases::default();
-    // Brackets that are open, and whether each is a cast's.
-    let mut open: Vec<bool> = Vec::new();
-    let mut in_from = vec![false];
-    let mut i = 0;
-    while i < parts.len() && !names.full() {
-        let p = &parts[i];
-        if p.mark("(") {
-            open.push(i > 0 && parts[i - 1].among(&["cast", "xmlserialize", "try_cast"]));
-            in_from.push(false);
-        } else if p.mark(")") {
-            open.pop();
-            if in_from.len() > 1 {
-                in_from.pop();
-            }
-            // A sub-select or function in a FROM list has its alias behind its bracket.
-            if *in_from.last().unwrap_or(&false) {
-                if let Some(next) = parts.get(i + 1).filter(|n| n.is_name() && !n.among(NO_ALIAS)) {
-                    names.derived(next.raw, i + 1);
-                    i += 1;
-                }
-            }
-        } else if p.among(&["with"]) && !parts.get(i + 1).is_some_and(|n| n.among(NO_CTE))
-            || p.mark(",") && cte_follows(parts, i)
-        {
-            cte(parts, i + 1, &mut names);
-        } else if p.among(&["as"]) && !open.last().is_some_and(|cast| *cast) {
-            if let Some(next) = parts.get(i + 1).filter(|n| n.is_name()) {
-                let cte = next.among(&["materialized", "not"]);
-                let select = next.among(&["select", "with", "values", "insert", "update", "delete", "merge"]);
-                if !cte && !select {
-                    if *in_from.last().unwrap_or(&false) {
-                        names.derived(next.raw, i + 1);
-                    } else {
-                        names.column(next.raw, i + 1);
-                    }
-                    i += 1;
-                }
-            }
-        } else if p.among(BEFORE_TABLE) || p.mark(",") && *in_from.last().unwrap_or(&false) {
-            if p.among(&["from", "join", "update", "using", "into"]) {
-                if let Some(last) = in_from.last_mut() {
-                    *last = true;
-                }
+    let mut finder =
+        AliasFinder { parts, aliases: Aliases::default(), open_casts: Vec::new(), in_from: vec![false] };
+    let mut index = 0;
+    while index < parts.len() && !finder.aliases.is_full() {
+        index = finder.step(index) + 1;
+    }
+    finder.aliases
+}
+
+/// The state of one pass over a statement's tokens.
+struct AliasFinder<'a> {
+    parts: &'a [SourceToken<'a>],
+    aliases: Aliases,
+    /// For each open bracket, whether it is that of a cast.
+    open_casts: Vec<bool>,
+    /// Whether the pass is in a FROM list: of the statement, then of the content of each open bracket.
+    in_from: Vec<bool>,
+}
+
+impl AliasFinder<'_> {
+    /// Handles the token at `index`, perhaps with some behind it; returns the index of the last one handled.
+    fn step(&mut self, index: usize) -> usize {
+        let part = &self.parts[index];
+        if part.is_mark("(") {
+            let is_cast = index > 0 && self.parts[index - 1].is_any_of(CASTS);
+            self.open_casts.push(is_cast);
+            self.in_from.push(false);
+            index
+        } else if part.is_mark(")") {
+            self.close_bracket(index)
+        } else if self.begins_cte(index) {
+            self.add_cte(index + 1);
+            index
+        } else if part.is("as") && !self.is_in_cast() {
+            self.add_explicit_alias(index)
+        } else if part.is_any_of(BEFORE_TABLE) || part.is_mark(",") && self.is_in_from() {
+            if part.is_any_of(BEGIN_TABLE_LIST) {
+                self.set_in_from(true);
             }
-            i = table(parts, i + 1, &mut names).saturating_sub(1).max(i);
-        } else if p.among(&[
-            "where",
-            "group",
-            "order",
-            "having",
-            "limit",
-            "set",
-            "values",
-            "select",
-            "returning",
-            "on",
-            "union",
-            "window",
-        ]) {
-            if let Some(last) = in_from.last_mut() {
-                // A join's condition does not end the list: another join may follow, and begins it anew.
-                *last = false;
+            self.add_table_alias(index + 1).saturating_sub(1).max(index)
+        } else {
+            // ON ends the list, too: a further join begins it again.
+            if part.is_any_of(END_TABLE_LIST) {
+                self.set_in_from(false);
             }
+            index
         }
-        i += 1;
     }
-    names
-}
 
-/// Whether a comma parts common table expressions: a name, perhaps columns, AS and a bracket follow.
-fn cte_follows(parts: &[SourceToken], comma: usize) -> bool {
-    if !parts.get(comma + 1).is_some_and(SourceToken::is_name) {
-        return false;
+    fn is_in_from(&self) -> bool {
+        self.in_from.last().is_some_and(|in_from| *in_from)
     }
-    let mut i = comma + 2;
-    if parts.get(i).is_some_and(|p| p.mark("(")) {
-        while i < parts.len() && !parts[i].mark(")") {
-            i += 1;
+
+    fn set_in_from(&mut self, in_from: bool) {
+        if let Some(innermost) = self.in_from.last_mut() {
+            *innermost = in_from;
         }
-        i += 1;
     }
-    parts.get(i).is_some_and(|p| p.is("as"))
-        && parts.get(i + 1).is_some_and(|p| p.mark("(") || p.among(&["materialized", "not"]))
-}
 
-fn cte(parts: &[SourceToken], at: usize, names: &mut Aliases) {
-    let at = at + usize::from(parts.get(at).is_some_and(|p| p.is("recursive")));
-    if let Some(name) = parts.get(at).filter(|n| n.is_name()) {
-        names.derived(name.raw, at);
+    fn is_in_cast(&self) -> bool {
+        self.open_casts.last().is_some_and(|is_cast| *is_cast)
     }
-}
 
-/// Passes over a table's name from `at` on, and takes the alias behind it. The place behind both.
-fn table(parts: &[SourceToken], mut at: usize, names: &mut Aliases) -> usize {
-    while parts.get(at).is_some_and(|p| p.among(&["only", "lateral", "into", "table"])) {
-        at += 1;
+    /// A sub-select or function in a FROM list has its alias behind its bracket.
+    fn close_bracket(&mut self, index: usize) -> usize {
+        self.open_casts.pop();
+        if self.in_from.len() > 1 {
+            self.in_from.pop();
+        }
+        let next = self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(NO_ALIAS));
+        match next {
+            Some(alias) if self.is_in_from() => {
+                self.aliases.add_derived(alias.raw, index + 1);
+                index + 1
+            }
+            _ => index,
+        }
+    }
+
+    /// Whether a common table expression follows the token at `index`: WITH, or a comma between two of them.
+    fn begins_cte(&self, index: usize) -> bool {
+        let part = &self.parts[index];
+        let is_with =
+            part.is("with") && !self.parts.get(index + 1).is_some_and(|next| next.is_any_of(NO_CTE));
+        is_with || part.is_mark(",") && self.is_cte_at(index + 1)
     }
-    let Some(first) = parts.get(at) else { return at };
-    if !first.is_name() || first.among(&["select", "values", "with", "set"]) {
-        return at;
+
+    /// Whether a common table expression begins at `index`: a name, perhaps columns, AS and a bracket.
+    fn is_cte_at(&self, index: usize) -> bool {
+        if !self.parts.get(index).is_some_and(SourceToken::is_name) {
+            return false;
+        }
+        let mut position = index + 1;
+        if self.parts.get(position).is_some_and(|part| part.is_mark("(")) {
+            while position < self.parts.len() && !self.parts[position].is_mark(")") {
+                position += 1;
+            }
+            position += 1;
+        }
+        let is_body = |part: &SourceToken| part.is_mark("(") || part.is_any_of(&["materialized", "not"]);
+        self.parts.get(position).is_some_and(|part| part.is("as"))
+            && self.parts.get(position + 1).is_some_and(is_body)
     }
-    at += 1;
-    while parts.get(at).is_some_and(|p| p.mark(".")) && parts.get(at + 1).is_some_and(SourceToken::is_name) {
-        at += 2;
+
+    fn add_cte(&mut self, index: usize) {
+        let is_recursive = self.parts.get(index).is_some_and(|part| part.is("recursive"));
+        let index = index + usize::from(is_recursive);
+        if let Some(name) = self.parts.get(index).filter(|part| part.is_name()) {
+            self.aliases.add_derived(name.raw, index);
+        }
     }
-    if parts.get(at).is_some_and(|p| p.mark("*")) {
-        at += 1;
+
+    /// An alias behind AS: of a sub-select in a FROM list, elsewhere of a column.
+    fn add_explicit_alias(&mut self, index: usize) -> usize {
+        let next = self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(AFTER_CTE_AS));
+        let Some(alias) = next else { return index };
+        if self.is_in_from() {
+            self.aliases.add_derived(alias.raw, index + 1);
+        } else {
+            self.aliases.add_column(alias.raw, index + 1);
+        }
+        index + 1
     }
-    let named = parts.get(at).is_some_and(|p| p.is("as"));
-    let place = at + usize::from(named);
-    match parts.get(place) {
-        Some(p) if p.is_name() && (named || !p.among(NO_ALIAS)) => {
-            names.table(p.raw, place);
-            place + 1
+
+    /// Passes over a table's name that begins at `start` and adds the alias behind it; returns the index behind both.
+    fn add_table_alias(&mut self, start: usize) -> usize {
+        let parts = self.parts;
+        let mut index = start;
+        while parts.get(index).is_some_and(|part| part.is_any_of(TABLE_PREFIXES)) {
+            index += 1;
+        }
+        let Some(first) = parts.get(index) else { return index };
+        if !first.is_name() || first.is_any_of(NO_TABLE) {
+            return index;
+        }
+        index += 1;
+        while parts.get(index).is_some_and(|part| part.is_mark("."))
+            && parts.get(index + 1).is_some_and(SourceToken::is_name)
+        {
+            index += 2;
+        }
+        if parts.get(index).is_some_and(|part| part.is_mark("*")) {
+            index += 1;
+        }
+        let has_as = parts.get(index).is_some_and(|part| part.is("as"));
+        let alias_index = index + usize::from(has_as);
+        match parts.get(alias_index) {
+            Some(alias) if alias.is_name() && (has_as || !alias.is_any_of(NO_ALIAS)) => {
+                self.aliases.add_table(alias.raw, alias_index);
+                alias_index + 1
+            }
+            _ => index,
         }
-        _ => at,
     }
 }
--- a/crates/query-fingerprint/src/retry_guard.rs
+++ b/crates/query-fingerprint/src/retry_guard.rs
@@ -19,12 +19,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnMismatch {
-    /// It is sent as its class says: what the platform's protocol asks for.
+    /// It is sent as its class declares, as the platform's protocol specifies.
     #[default]
     Trust,
     /// It is sent once at most.
     Once,
-    /// It is refused before it is sent.
+    /// It is rejected before it is sent.
     Refuse,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryDecision {
-    /// As its class says.
+    /// As its class declares.
     AsDeclared,
     /// Once at most.
     Once,
@@ -45,8 +45,8 @@
 pub fn guard(facts: &StatementFacts, declared: DeclaredEffect, on: OnMismatch) -> RetryDecision {
     match (declared, facts.may_write, on) {
         (DeclaredEffect::Safe, true, OnMismatch::Once) => RetryDecision::Once,
-        // A refusal needs certainty: what merely could not be read is sent once instead.
-        (DeclaredEffect::Safe, true, OnMismatch::Refuse) if facts.whole => RetryDecision::Refuse,
+        // A rejection needs certainty: a statement that merely could not be parsed is sent once instead.
+        (DeclaredEffect::Safe, true, OnMismatch::Refuse) if facts.is_complete => RetryDecision::Refuse,
         (DeclaredEffect::Safe, true, OnMismatch::Refuse) => RetryDecision::Once,
         _ => RetryDecision::AsDeclared,
     }
--- a/crates/query-fingerprint/src/statement_cache.rs
+++ b/crates/query-fingerprint/src/statement_cache.rs
@@ -6,10 +6,12 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Bytes of a normal form that are kept, to be shown: longer ones are cut.
+/// Maximum length of a stored normal form, in bytes; longer ones are truncated. It is only displayed.
 const MAX_STORED_TEXT_BYTES: usize = 1_024;
-/// What an entry costs besides its texts, about: slots, queues, ghosts, vectors.
-const OVERHEAD: usize = 512;
+/// Approximate size of an entry without its texts, in bytes: slots, queues, ghosts, vectors.
+const ENTRY_OVERHEAD_BYTES: usize = 512;
+/// Approximate size of a name without its text, in bytes.
+const NAME_OVERHEAD_BYTES: usize = 32;
 
 /// A statement read once: its fingerprint, its normal form and its facts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -17,21 +19,23 @@
     /// XXH3-64 of the normal form, written as 16 hexadecimal digits.
     #[serde(serialize_with = "hex")]
     pub fingerprint: Fingerprint,
-    /// Its normal form, as far as it is kept.
+    /// Its normal form, truncated at 1,024 bytes.
     pub text: String,
-    /// What is known of it. Data sets and tables are part of the normal form, so they are the same for all.
+    /// Its facts. Data sets and tables are part of the normal form, so all statements of one fingerprint share them.
     pub facts: StatementFacts,
 }
 
-fn hex<S: serde::Serializer>(f: &Fingerprint, s: S) -> Result<S::Ok, S::Error> {
-    s.collect_str(f)
+fn hex<S: serde::Serializer>(fingerprint: &Fingerprint, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.collect_str(fingerprint)
 }
 
 impl FingerprintedStatement {
     fn bytes(&self) -> usize {
-        let f = &self.facts;
-        let names = f.reads.iter().chain(&f.writes).chain(&f.calls).map(|n| n.len() + 32).sum::<usize>();
-        OVERHEAD + self.text.len() + names + 8 * f.data_sets.len()
+        let facts = &self.facts;
+        let names = facts.reads.iter().chain(&facts.writes).chain(&facts.calls);
+        let name_bytes: usize = names.map(|name| name.len() + NAME_OVERHEAD_BYTES).sum();
+        let data_set_bytes = size_of::<u64>() * facts.data_sets.len();
+        ENTRY_OVERHEAD_BYTES + self.text.len() + name_bytes + data_set_bytes
     }
 }
 
@@ -51,7 +55,7 @@
     /// The fingerprint and facts of a statement. One that was seen costs a pass over its bytes; a new one is read.
     pub fn get_or_read(&mut self, statement: &str) -> Rc<FingerprintedStatement> {
         let fingerprint = self.normaliser.fingerprint(statement);
-        let whole = self.normaliser.whole();
+        let is_complete = self.normaliser.is_complete();
         if let Some(entry) = self.cache.get(fingerprint) {
             return Rc::clone(entry);
         }
@@ -62,14 +66,14 @@
         }
         let entry =
             Rc::new(FingerprintedStatement { fingerprint, text: text.to_owned(), facts: read(statement) });
-        // What was not taken whole shares its fingerprint with others that begin alike: it is not kept.
-        if whole {
+        // A statement that was truncated shares its fingerprint with others that begin alike: it is not stored.
+        if is_complete {
             self.cache.put(fingerprint, Rc::clone(&entry), entry.bytes());
         }
         entry
     }
 
-    /// What the cache has done.
+    /// Counters of the cache.
     pub fn counters(&self) -> Counters {
         self.cache.counters()
     }
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -1,7 +1,7 @@
 //! The corpus: every statement has the facts it says, a disguise changes nothing, and no two shapes collide.
 
 use proptest::prelude::*;
-use sprucelink_query_fingerprint::facts::{named, read, StatementFacts, StatementKind};
+use sprucelink_query_fingerprint::facts::{data_set, named, read, StatementFacts, StatementKind};
 use sprucelink_query_fingerprint::lex::{token, tokens};
 use sprucelink_query_fingerprint::normal::{Normaliser, MAX_TEXT_BYTES};
 use std::collections::BTreeMap;
@@ -87,7 +87,7 @@
                     e.flags
                 ));
             }
-            assert_eq!(f.whole, f.kind != StatementKind::Unknown, "{text}");
+            assert_eq!(f.is_complete, f.kind != StatementKind::Unknown, "{text}");
         }
     }
     assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
@@ -165,10 +165,10 @@
     fn lexer_and_reader_agree_on_data_sets((text, other) in disguised()) {
         let f = read(&other);
         prop_assert_eq!(&f.data_sets, &read(&text).data_sets);
-        if f.whole {
+        if f.is_complete {
             let mut lexed = Vec::new();
             tokens(&other, 10_000, &mut lexed);
-            for set in named(&other, &lexed).iter().filter_map(|(s, _)| sprucelink_query_fingerprint::facts::data_set(s)) {
+            for set in named(&other, &lexed).iter().filter_map(|table| data_set(&table.schema)) {
                 prop_assert!(f.data_sets.contains(&set), "{set}: {other}");
             }
         }
@@ -176,7 +176,7 @@
 
     /// Any text, cut anywhere: nothing panics, and every byte belongs to one token.
     #[test]
-    fn any_text_is_taken(text in "\\PC{0,200}", cut in 0_usize..200) {
+    fn any_text_is_tokenised_completely_without_panic(text in "\\PC{0,200}", cut in 0_usize..200) {
         let cut = (0..=cut.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         let text = &text[..cut];
         let mut at = 0;
@@ -191,13 +191,13 @@
 
     /// A statement of the corpus cut anywhere, or with a byte changed.
     #[test]
-    fn a_spoilt_statement_is_taken((text, _) in disguised(), cut in 0_usize..400, with in "\\PC") {
+    fn truncated_or_altered_statement_is_read_without_panic((text, _) in disguised(), cut in 0_usize..400, with in "\\PC") {
         let cut = (0..=cut.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         read(&text[..cut]);
-        let spoilt = format!("{}{with}{}", &text[..cut], &text[cut..]);
-        Normaliser::default().fingerprint(&spoilt);
-        let f = read(&spoilt);
-        prop_assert!(f.whole || f.may_write && f.load, "unknown is the careful side");
+        let altered = format!("{}{with}{}", &text[..cut], &text[cut..]);
+        Normaliser::default().fingerprint(&altered);
+        let f = read(&altered);
+        prop_assert!(f.is_complete || f.may_write && f.load, "unknown is the careful side");
     }
 }
 
@@ -207,7 +207,7 @@
     let deep = |open: &str, close: &str, n: usize| {
         format!("SELECT {}1{} FROM rates_17.lanes", open.repeat(n), close.repeat(n))
     };
-    for (text, whole) in [
+    for (text, is_complete) in [
         (deep("(", ")", 20), true),
         (deep("(", ")", 5_000), false),
         (deep("[", "", 3_000), false),
@@ -220,21 +220,21 @@
         (format!("SELECT '{}", "'".repeat(20_001)), false),
     ] {
         let f = read(&text);
-        assert_eq!(f.whole, whole, "{}", &text[..60]);
-        assert!(whole || f.may_write, "{}", &text[..60]);
+        assert_eq!(f.is_complete, is_complete, "{}", &text[..60]);
+        assert!(is_complete || f.may_write, "{}", &text[..60]);
         let mut n = Normaliser::default();
         n.fingerprint(&text);
     }
     let mut n = Normaliser::default();
     let long = format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(MAX_TEXT_BYTES));
     n.fingerprint(&long);
-    assert!(!n.whole());
+    assert!(!n.is_complete());
     // Lists of any length that fit have one shape.
     let list = |k: usize| format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(k));
     assert_eq!(n.fingerprint(&list(0)), n.fingerprint(&list(7_000)));
     assert_eq!(
         read(&list(5_000)).data_sets,
         [17],
-        "what is too long for the parser still tells its data set"
+        "the data set is known even if the statement is too long for the parser"
     );
 }
--- a/src/run/commands/shapes_explain.rs
+++ b/src/run/commands/shapes_explain.rs
@@ -18,7 +18,7 @@
 }
 
 fn print_facts(facts: &StatementFacts) {
-    let partial = match facts.whole {
+    let partial = match facts.is_complete {
         true => "",
         false => ", not read whole: what follows is certain, and there may be more",
     };
