--- a/crates/admin/src/connection.rs
+++ b/crates/admin/src/connection.rs
@@ -87,7 +87,7 @@
 
 fn farewell_after_error(error: &hyper::Error, progress: &RequestProgress) -> Farewell {
     if progress.is_parsed() {
-        debug!("operators: answer not written: {error}");
+        debug!(%error, "admin response not written");
         return Farewell::Drop;
     }
     if error.is_parse_too_large() {
@@ -182,7 +182,7 @@
     /// Sends a response that the HTTP library has no part in, then closes.
     async fn send(&self, mut stream: TcpStream, response: &AdminResponse) {
         self.service.count_limit(response.limit);
-        debug!("operators: {} {:?}", response.status, response.text);
+        debug!(status = response.status.as_u16(), text = response.text, "admin response sent");
         self.service.admission.borrow_mut().on_response_begin(self.service.now(), self.id);
         let bytes = response.to_bytes();
         select! {
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -41,7 +41,7 @@
             Err(error) if is_client_error(&error) => {}
             Err(error) => {
                 if pause == FIRST_PAUSE {
-                    warn!("operators: no caller can be accepted: {error}");
+                    warn!(%error, "admin server cannot accept connections");
                 }
                 connections.free_descriptor().await;
                 sleep(pause).await;
--- a/crates/admin/src/service.rs
+++ b/crates/admin/src/service.rs
@@ -59,7 +59,7 @@
             Route::Cordon => self.operations.cordon(&target),
             _ => self.operations.uncordon(&target),
         };
-        info!("operators: {route:?} {target:?}: {result:?}");
+        info!(operation = ?route, engine_id = target, ?result, "admin operation completed");
         AdminResponse::operation(result)
     }
 }
--- a/crates/capture/src/recorder/writer.rs
+++ b/crates/capture/src/recorder/writer.rs
@@ -124,7 +124,7 @@
         self.append_frame(FrameKind::Head, head)?;
         self.append_compressed(FrameKind::Checkpoint, checkpoint)?;
         self.shared.segments.fetch_add(1, Ordering::Relaxed);
-        info!(segment = name, "capture: segment {name} begun");
+        info!(segment = name, "capture segment started");
         Ok(())
     }
 
@@ -150,10 +150,9 @@
         let Err(error) = result else { return };
         if let Some(length) = self.open_length.take() {
             let truncated = self.store.truncate(length);
-            let left = if truncated.is_err() { ", and half a record stays behind" } else { "" };
-            warn!("capture: not written, the segment ends here{left}: {error}");
+            warn!(%error, truncated = truncated.is_ok(), "capture not written, segment ended");
         } else if !self.shared.is_segment_failed.load(Ordering::Relaxed) {
-            warn!("capture: not written: {error}");
+            warn!(%error, "capture not written");
         }
         self.shared.unreported_lost_events.fetch_add(events, Ordering::Relaxed);
         self.shared.lost_events.fetch_add(events, Ordering::Relaxed);
--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -51,7 +51,7 @@
     store(&plan.folder, faults.disk);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     println!("fanout on {}", listener.local_addr()?);
-    println!("serving on {}", listener.local_addr()?);
+    println!("accepting connections front=platform address={}", listener.local_addr()?);
     let journal = plan.folder.parent().ok_or("no folder above")?.join("journal.jsonl");
     let plan = Arc::new(plan);
     if plan.name == "n0" {
--- a/crates/cluster-harness/src/run/life.rs
+++ b/crates/cluster-harness/src/run/life.rs
@@ -67,7 +67,10 @@
             return;
         }
         let log = self.fleet.log(i);
-        let line = log.lines().find_map(|l| l.split_once("membership on ")).map(|(_, rest)| rest);
+        let line = log
+            .lines()
+            .find_map(|l| l.split_once("membership listening local_address="))
+            .map(|(_, rest)| rest);
         let real = line.and_then(|l| l.split([',', ' ']).next()).and_then(|a| a.parse().ok());
         if let Some(real) = real {
             self.real[i] = Some(real);
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -80,7 +80,7 @@
         let zone = HALLS.iter().position(|h| *h == w.zone).unwrap_or(0);
         let share = |(there, all): (usize, usize)| there as f64 / all.max(1) as f64;
         let end = scenario.seconds;
-        let lost = format!("failover: zone {} ejected", w.zone);
+        let lost = format!("failover state changed event=\"zone {} ejected", w.zone);
         let time =
             |l: &str| l.split(' ').next().and_then(|t| t.parse::<f64>().ok()).map(|t| t - began - w.from);
         let first =
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -28,7 +28,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::oneshot;
-use tracing::{debug, error, info, warn};
+use tracing::{debug, error, field, info, warn};
 
 mod attempts;
 mod cordons;
@@ -244,7 +244,7 @@
                 }
                 PolicyCommand::Reject { id, retry_after } => queue.extend(self.reject(id, retry_after)),
                 PolicyCommand::Fail { id, retry_after } => queue.extend(self.fail(id, retry_after)),
-                PolicyCommand::Log(text) => info!(from = "module", "{text}"),
+                PolicyCommand::Log(text) => info!(text, "policy event"),
             }
         }
         if self.requests.has_due_cancellation(now()) {
@@ -290,7 +290,7 @@
             }
             None => {
                 let request = super::attempt::format_id(id);
-                error!(request, "second response to {request} dropped");
+                error!(request, "second response dropped");
                 self.monitor.record_violation(now(), Invariant::SecondResponse, &request);
             }
         }
@@ -367,8 +367,8 @@
         if lost_in_all > self.logged_capture_losses {
             let lost = lost_in_all - self.logged_capture_losses;
             self.logged_capture_losses = lost_in_all;
-            let span = COUNTERS_LOG_INTERVAL.as_micros() / 1_000_000;
-            warn!(lost, "capture: {lost} events lost in {span} s");
+            let interval_s = COUNTERS_LOG_INTERVAL.as_micros() / 1_000_000;
+            warn!(lost, interval_s, "capture lost events");
         }
         let counters = std::mem::take(&mut self.counters);
         counters.log(self.requests.len(), pool.in_use());
@@ -411,13 +411,14 @@
     };
     debug!(
         request = super::attempt::format_id(id),
+        response = kind,
+        reason = reason.map(field::debug),
         class = request.class_name,
         attempts = request.attempts,
         elapsed_ms = (now() - request.arrived_at).as_millis(),
         time_left_ms = (request.deadline - now()).as_millis(),
-        last_outcome = ?request.last_outcome,
-        ?reason,
-        "request completed: {kind}"
+        last_outcome = request.last_outcome.map(field::debug),
+        "request completed"
     );
 }
 
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -55,7 +55,7 @@
         // Nothing is sent after the final response, whatever the policy wants.
         if !request.is_awaited() {
             let request = format_id(id);
-            error!(request, "send for completed request {request} dropped");
+            error!(request, "send for completed request dropped");
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
         let cost_ms = request.cost_ms;
@@ -150,10 +150,10 @@
         self.requests.schedule_cancellation(now(), id, number);
         debug!(
             request = format_id(id),
-            number = connection.engine,
+            engine = connection.engine,
             attempt = number,
             ?reason,
-            "attempt withdrawn before it was sent: {reason:?}"
+            "attempt withdrawn before it was sent"
         );
     }
 
@@ -221,7 +221,7 @@
             Withdrawal::Partial => {
                 let connection = Rc::clone(&attempt.connection);
                 let engine = connection.engine;
-                warn!(number = engine, "connection to engine {engine} closed: a request was sent in part");
+                warn!(engine, "engine connection closed because a request was sent in part");
                 self.close_connection(&connection, true)
             }
             Withdrawal::Complete => {
@@ -333,17 +333,17 @@
     outcome: AttemptOutcome,
     latency: TimeDelta,
 ) {
-    let latency_ms = latency.as_millis();
     debug!(
         request = format_id(id),
-        number = attempt.connection.engine,
+        engine = attempt.connection.engine,
         attempt = attempt.number,
+        ?outcome,
+        latency_ms = latency.as_millis(),
         class = request.class_name,
         priority = request.priority,
         time_left_ms = (request.deadline - now()).as_millis(),
         completed = !request.is_awaited(),
         in_flight = attempt.load_report.in_flight,
-        latency_ms,
-        "attempt ended as {outcome:?} after {latency_ms} ms"
+        "attempt ended"
     );
 }
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -25,7 +25,7 @@
     ) -> Result<CordonOutcome, CordonError> {
         let outcome = self.cordons.cordon(now(), &Target::Engine(id.to_owned()), request, reason)?;
         let cause = request.cause();
-        info!(engine = %id, %cause, ?outcome, "engine cordoned: {id} by {cause}, {outcome:?}");
+        info!(engine_id = id, %cause, ?outcome, "engine cordoned");
         self.reapply_entry(runtime, id);
         Ok(outcome)
     }
@@ -41,7 +41,7 @@
         cause: Cause,
     ) -> Result<CordonOutcome, CordonError> {
         let outcome = self.cordons.uncordon(now(), &Target::Engine(id.to_owned()), cause)?;
-        info!(engine = %id, %cause, ?outcome, "engine uncordoned: {id} by {cause}, {outcome:?}");
+        info!(engine_id = id, %cause, ?outcome, "engine uncordoned");
         self.reapply_entry(runtime, id);
         Ok(outcome)
     }
@@ -62,11 +62,7 @@
         let result = self.cordons.merge_records(now(), records);
         for change in &result.changes {
             let (target, outcome) = (&change.target, change.outcome);
-            info!(
-                cordon_target = %target,
-                ?outcome,
-                "cordon merged from another process: {target}, {outcome:?}"
-            );
+            info!(cordon_target = %target, ?outcome, "cordon merged from another process");
             if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
             }
@@ -75,9 +71,7 @@
             warn!(
                 over_limit = result.over_limit,
                 malformed = result.malformed,
-                "cordons of another process are not in force here: {} over the limit, {} malformed",
-                result.over_limit,
-                result.malformed
+                "cordons of another process are not in force here"
             );
         }
         result
@@ -87,7 +81,7 @@
     pub(in crate::core) fn expire_cordons(&mut self, runtime: &dyn ConnectionRuntime) {
         for change in self.cordons.expire(now()) {
             let (target, outcome) = (&change.target, change.outcome);
-            info!(cordon_target = %target, ?outcome, "cordon lease expired: {target}, {outcome:?}");
+            info!(cordon_target = %target, ?outcome, "cordon lease expired");
             if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
             }
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -191,17 +191,22 @@
     }
 }
 
-fn log_entry(number: usize, effective: &Endpoint, listed: &Endpoint) {
-    let (id, phase, address) = (&listed.id, listed.phase, &effective.address);
-    let cordon = if effective.phase == phase { "" } else { ", cordoned" };
-    info!(engine = %id, number, "engine {id} is {phase:?} at {address}, number {number}{cordon}");
+fn log_entry(engine: usize, effective: &Endpoint, listed: &Endpoint) {
+    info!(
+        engine_id = listed.id,
+        phase = ?listed.phase,
+        engine,
+        address = effective.address,
+        cordoned = effective.phase != listed.phase,
+        "endpoint updated"
+    );
 }
 
 fn log_connection_loss(connection: &EngineConnection, reason: &str) {
-    let number = connection.engine;
+    let engine = connection.engine;
     let attempts = connection.attempt_count();
-    warn!(number, attempts, reason, "connection to engine {number} ended with {attempts} attempts: {reason}");
+    warn!(engine, attempts, reason, "engine connection lost");
     for (request, attempt) in connection.attempts() {
-        debug!(number, request = format_id(request), attempt, "attempt was on the connection that ended");
+        debug!(engine, request = format_id(request), attempt, "attempt was on the lost connection");
     }
 }
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -70,13 +70,13 @@
     sleep(to_duration(watch.time_left(now()))).await;
     watch.on_poll_started(now());
     match poll(core, address, watch).await {
-        Ok(()) => warn!("feed lost: ended by the other side"),
-        Err(error) => warn!("feed lost: {}", with_causes(&error)),
+        Ok(()) => warn!(error = "ended by the other side", "feed lost"),
+        Err(error) => warn!(error = with_causes(&error), "feed lost"),
     }
     let backoff = watch.on_poll_ended(now());
     if backoff.was_rejected {
         let retry_after_ms = to_duration(backoff.delay).as_millis() as u64;
-        warn!(retry_after_ms, "feed rejected the poll: next in {retry_after_ms} ms");
+        warn!(retry_after_ms, "feed rejected the poll");
     }
 }
 
@@ -177,6 +177,6 @@
 
 /// Skips an event that cannot be read.
 fn skip(core: &Core, event: Option<u64>, error: &dyn std::error::Error) {
-    error!("feed event skipped: {error}");
+    error!(%error, "feed event skipped");
     event.into_iter().for_each(|number| core.skip_event(number));
 }
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -195,16 +195,12 @@
     }
 
     fn restart_numbering(&mut self, list: &ListEvent) {
-        let n = list.n;
-        let last = self.last_event;
-        let revision = list.revision;
-        let held = self.revision;
         warn!(
-            n,
-            last,
-            revision,
-            held,
-            "list {n} comes after {last}, but {revision} is a new revision: numbering restarts"
+            event = list.n,
+            last_event = self.last_event,
+            revision = list.revision,
+            held_revision = self.revision,
+            "event numbering restarted by a list of a new revision"
         );
         self.engines.iter_mut().for_each(|engine| engine.last_event = 0);
         self.last_event = list.n;
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -158,7 +158,7 @@
         }
         if self.logged.get() < MAX_LOGGED {
             self.logged.set(self.logged.get() + 1);
-            error!(?rule, detail, "invariant violated: {rule:?}: {detail}");
+            error!(?rule, detail, "invariant violated");
         }
     }
 
--- a/src/core/request_counters.rs
+++ b/src/core/request_counters.rs
@@ -38,14 +38,7 @@
             attempts = self.attempts,
             pending,
             buffers_in_use,
-            "request counters: submitted {}, served {}, rejected {}, failed {}, abandoned {}, attempts {}, \
-             pending {pending}, buffers in use {buffers_in_use}",
-            self.submitted,
-            self.served,
-            self.rejected,
-            self.failed,
-            self.abandoned,
-            self.attempts
+            "request counters"
         );
     }
 }
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -43,20 +43,14 @@
     /// Logs once that this manager has become ready; when to check again.
     pub(super) fn check_readiness(&mut self, now: Timestamp) -> Option<Timestamp> {
         if let Some(ready) = self.readiness.check(now) {
-            let after = ready.after.as_secs_f64();
-            let staged = self.dials.delayed_dials();
-            let rejected = self.admission.rejected();
             info!(
-                after,
-                feed = ready.feed_answered,
-                connection = ready.is_connected,
+                after_s = ready.after.as_secs_f64(),
+                feed_answered = ready.feed_answered,
+                connected = ready.is_connected,
                 engines = ready.engines,
-                staged,
-                rejected,
-                "ready after {after:.3} s: feed {}, connection {}, {} engines, {staged} dials staged, {rejected} requests rejected",
-                if ready.feed_answered { "answered" } else { "not yet" },
-                if ready.is_connected { "up" } else { "not yet" },
-                ready.engines
+                delayed_dials = self.dials.delayed_dials(),
+                rejected_requests = self.admission.rejected(),
+                "manager is ready"
             );
         }
         self.readiness.next_check_at()
@@ -70,21 +64,17 @@
         if !decision.is_stale && decision.contradictions == 0 {
             return None;
         }
-        let n = list.n;
-        let revision = list.revision;
-        let held = self.list_guard.revision();
-        let applied = decision.accepted.len();
-        let of = list.members.len();
-        let contradicted = decision.contradictions;
         warn!(
-            n,
-            revision,
-            held,
-            applied,
-            "list {n} of revision {revision}, {held} held: {applied} of {of} entries applied, {contradicted} contradicted"
+            event = list.n,
+            revision = list.revision,
+            held_revision = self.list_guard.revision(),
+            entries = list.members.len(),
+            applied = decision.accepted.len(),
+            contradicted = decision.contradictions,
+            "endpoint list applied in part"
         );
         let members = decision.accepted.iter().map(|i| list.members[*i].clone()).collect();
-        Some(ListEvent { n, revision, complete: decision.is_complete, members })
+        Some(ListEvent { n: list.n, revision: list.revision, complete: decision.is_complete, members })
     }
 }
 
--- a/src/core/wall_clock.rs
+++ b/src/core/wall_clock.rs
@@ -30,7 +30,7 @@
             }
             Some(current) => {
                 let step_ms = (offset - *current).as_millis();
-                warn!(step_ms, "wall clock stepped by {step_ms} ms");
+                warn!(step_ms, "wall clock stepped");
                 self.push(offset);
             }
             None => self.push(offset),
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -76,7 +76,7 @@
         let observations = self.summarize(engines, &listed, &responsiveness);
         let plan = self.failover.update(now(), &observations);
         self.log_events(&plan);
-        debug!("failover: shares {:?}, weights {:?}, of {observations:?}", plan.fractions, plan.weights);
+        debug!(fractions = ?plan.fractions, weights = ?plan.weights, ?observations, "failover evaluated");
         if !self.has_changed(&plan.weights) {
             return None;
         }
@@ -126,11 +126,11 @@
             .iter()
             .map(|zone| format!("{}:{:.2}", self.zone_name(zone.zone).unwrap_or("?"), zone.fraction))
             .collect();
-        let shares = fractions.join(" ");
+        let fractions = fractions.join(" ");
         if event.is_warning() {
-            warn!(shares, "failover: {event_text}; shares {shares}");
+            warn!(event = event_text, fractions, "failover state changed");
         } else {
-            info!(shares, "failover: {event_text}; shares {shares}");
+            info!(event = event_text, fractions, "failover state changed");
         }
     }
 
--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -108,6 +108,6 @@
 fn log_accept_error(last_logged: &mut Option<Timestamp>, error: &io::Error) {
     if last_logged.is_none_or(|at| now() - at > ACCEPT_LOG_INTERVAL) {
         *last_logged = Some(now());
-        warn!(%error, "accept failed: {error}");
+        warn!(%error, "accept failed");
     }
 }
--- a/src/front/session_end.rs
+++ b/src/front/session_end.rs
@@ -92,7 +92,7 @@
         if let Some(counter) = self.0.get(&reason) {
             counter.increment(1);
         }
-        debug!(session = process_id, ?reason, "session ended: {reason:?}");
+        debug!(session = process_id, ?reason, "session ended");
     }
 }
 
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -79,7 +79,7 @@
         let listener = listen(address).await.map_err(failed)?;
         let local_address = listener.local_addr().map_err(failed)?;
         spawn_local(sprucelink_admin::serve(listener, Rc::clone(self), limits));
-        info!("operators on {local_address}");
+        info!(address = %local_address, "admin server listening");
         Ok(())
     }
 
@@ -90,7 +90,7 @@
         outcome: Result<CordonOutcome, CordonError>,
     ) -> Result<OperationOutcome, OperationError> {
         let outcome = outcome.map_err(|error| {
-            warn!(engine = %engine, "operators: engine {engine}: {error}");
+            warn!(engine_id = engine, %error, "cordon call rejected");
             refusal(&error)
         });
         // Written before the answer: a cordon has to hold in the process that follows this one.
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -89,7 +89,9 @@
 async fn renew_forever(config: CertificateConfig, front: Rc<Front>, responses: ChallengeResponses) {
     let mut current = load_usable(&config);
     if let Some(certificate) = &current {
-        install(&front, certificate, "certificate loaded");
+        if install(&front, certificate) {
+            info!(not_after = certificate.not_after(), "certificate loaded");
+        }
     }
     let mut pause = config.retry.first;
     let mut is_saved = true;
@@ -109,13 +111,15 @@
         match ordered.unwrap_or(Err(OrderError::Timeout)) {
             Ok(certificate) => {
                 is_saved = save(&config, &certificate);
-                install(&front, &certificate, "certificate renewed");
+                if install(&front, &certificate) {
+                    info!(not_after = certificate.not_after(), "certificate renewed");
+                }
                 current = Some(certificate);
                 pause = config.retry.first;
             }
             Err(error) => {
-                let seconds = pause.as_secs_f64();
-                warn!("certificate not renewed, next try in {seconds} s: {}", with_causes(&error));
+                let retry_after_s = pause.as_secs_f64();
+                warn!(retry_after_s, error = with_causes(&error), "certificate not renewed");
                 sleep(pause.max(MIN_RETRY_PAUSE)).await;
                 pause = (pause * 2).min(config.retry.max);
             }
@@ -135,18 +139,21 @@
     let Some(folder) = &config.store else { return true };
     let saved = store::save(folder, certificate);
     if let Err(error) = &saved {
-        warn!("certificate not saved, tried again: {error}");
+        warn!(%error, "certificate not saved, trying again");
     }
     saved.is_ok()
 }
 
-/// Open sessions keep the certificate that they began with.
-fn install(front: &Front, certificate: &Certificate, event: &str) {
+/// Gives new sessions this certificate; open sessions keep the one that they began with. False if it is unusable.
+fn install(front: &Front, certificate: &Certificate) -> bool {
     match certificate.acceptor() {
         Ok(acceptor) => {
             front.set_certificate(acceptor);
-            info!("{event}, good until {}", certificate.not_after());
+            true
+        }
+        Err(error) => {
+            error!(error = with_causes(&error), "certificate unusable");
+            false
         }
-        Err(error) => error!("certificate unusable: {}", with_causes(&error)),
     }
 }
--- a/src/run/certificates/order.rs
+++ b/src/run/certificates/order.rs
@@ -71,7 +71,7 @@
         let credentials = serde_json::to_value(&credentials)?;
         // The certificate is worth more than the account: a folder that cannot be written must not hold it up.
         if let Err(error) = store::save_account(folder, &config.directory, credentials) {
-            warn!("account not saved, the next order makes another: {error}");
+            warn!(%error, "account not saved, the next order creates another");
         }
     }
     Ok(account)
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -7,7 +7,7 @@
 use crate::core::{machine_clock_offset, now, Core};
 use crate::front::Front;
 use sprucelink_hot_restart::{
-    usable_state, ClockReference, DiskFolder, FileAge, FolderScan, Instance, Phase, PhaseStatus, StateFile,
+    usable_state, ClockReference, DiskFolder, FolderScan, Instance, Phase, PhaseStatus, StateFile,
     StateFileDriver, StateSnapshot, WindowCounters, WindowSpans, WriteError, SCAN_INTERVAL,
 };
 use sprucelink_policy::Timestamp;
@@ -85,11 +85,7 @@
         let (state_files, scan) =
             StateFileDriver::open_with_clock(folder, instance, build, pid, now(), clock_reference());
         let generation = state_files.process().generation;
-        let found = scan.files.len();
-        info!(
-            pid,
-            generation, found, "hot restart: generation {generation} of {name}, found {found} state files"
-        );
+        info!(manager = name, pid, generation, state_files = scan.files.len(), "hot restart enabled");
         let driver = Rc::new(HotRestartDriver {
             core,
             state_files: RefCell::new(state_files),
@@ -146,7 +142,7 @@
     pub fn leave(&self) {
         let snapshot = self.snapshot();
         if let Err(error) = self.state_files.borrow_mut().write_last(now(), snapshot) {
-            warn!(%error, "hot restart: state file not written: {error}");
+            warn!(%error, "hot restart state file not written");
         }
     }
 
@@ -175,10 +171,10 @@
     /// Adopts what other processes have written, with a log line of this level for each file.
     fn adopt_files(&self, scan: FolderScan, level: Level) {
         for error in &scan.folder_errors {
-            warn!(%error, "hot restart: state folder failed: {error}");
+            warn!(%error, "hot restart state folder failed");
         }
         for (file, reason) in &scan.rejected {
-            warn!(%file, %reason, "hot restart: state file {file} rejected: {reason}");
+            warn!(%file, %reason, "hot restart state file rejected");
         }
         for file in scan.files {
             self.adopt_file(file, level);
@@ -191,22 +187,38 @@
         if file.phase == Phase::Terminated {
             self.ended.borrow_mut().insert(pid);
         }
-        let age = (now() - file.written_at).as_secs_f64();
+        let age_s = (now() - file.written_at).as_secs_f64();
         let usable = usable_state(now(), self.windows, file);
         let cordons = usable.cordons.len();
-        let ids = usable.known_ids.len();
+        let engine_ids = usable.known_ids.len();
         let warmup_sends = usable.warmup.len();
         let retries: u32 = usable.retries.iter().map(|(_, count)| count).sum();
         self.core.merge_cordons(&usable.cordons, &usable.known_ids);
-        let old = if usable.age == FileAge::Fresh { "" } else { ", not of now" };
-        let line = format!(
-            "hot restart: merged the state of pid {pid} (generation {generation}), {age:.2} s old{old}: {cordons} cordons, \
-             {ids} engine ids, {retries} retries, {warmup_sends} warm-up sends"
-        );
+        let age = usable.age;
         if level == Level::INFO {
-            info!(pid, generation, cordons, ids, retries, warmup_sends, "{line}");
+            info!(
+                pid,
+                generation,
+                age_s,
+                ?age,
+                cordons,
+                engine_ids,
+                retries,
+                warmup_sends,
+                "hot restart state merged"
+            );
         } else {
-            debug!(pid, generation, cordons, ids, retries, warmup_sends, "{line}");
+            debug!(
+                pid,
+                generation,
+                age_s,
+                ?age,
+                cordons,
+                engine_ids,
+                retries,
+                warmup_sends,
+                "hot restart state merged"
+            );
         }
     }
 
@@ -241,9 +253,9 @@
             return;
         }
         let LoggedState { phase, parts, is_unacknowledged } = state;
-        info!(?phase, parts, "hot restart: phase {phase:?}, 1 of {parts} budget parts");
+        info!(?phase, budget_parts = parts, "hot restart phase changed");
         if is_unacknowledged && phase == Phase::Serving {
-            warn!("hot restart: serving although other processes did not share their budgets");
+            warn!("hot restart serving although other processes did not share their budgets");
         }
     }
 
@@ -254,8 +266,7 @@
         let before = self.living.replace(living.clone());
         let ended = self.ended.borrow();
         for pid in before.difference(&living).filter(|pid| !ended.contains(*pid)) {
-            let alone = if living.is_empty() { ", no other process is left" } else { "" };
-            warn!(pid, "hot restart: pid {pid} is unresponsive{alone}");
+            warn!(remaining_processes = living.len(), pid, "hot restart process is unresponsive");
         }
     }
 
@@ -277,20 +288,20 @@
         match result {
             Ok(written) => {
                 if written.ids_left_out > 0 {
-                    let ids = written.ids_left_out;
-                    warn!(ids, "hot restart: {ids} engine ids left out of the state file");
+                    let engine_ids = written.ids_left_out;
+                    warn!(engine_ids, "engine ids left out of the hot restart state file");
                 }
-                let (bytes, removed) = (written.bytes, written.removed_files);
                 debug!(
-                    bytes,
-                    removed, "hot restart: state file written, {bytes} bytes, {removed} files removed"
+                    bytes = written.bytes,
+                    removed_files = written.removed_files,
+                    "hot restart state file written"
                 );
                 Ok(())
             }
             Err(error) => {
                 match reason {
-                    WriteReason::Cordon => error!(%error, "hot restart: state file not written: {error}"),
-                    WriteReason::Refresh => warn!(%error, "hot restart: state file not written: {error}"),
+                    WriteReason::Cordon => error!(%error, "hot restart state file not written"),
+                    WriteReason::Refresh => warn!(%error, "hot restart state file not written"),
                 }
                 Err(error)
             }
--- a/src/run/listen.rs
+++ b/src/run/listen.rs
@@ -22,7 +22,7 @@
     loop {
         match TcpListener::bind(address).await {
             Err(error) if may_pass(&error) && Instant::now() < deadline => {
-                warn!(%error, "cannot listen on {address} yet: {error}");
+                warn!(address, %error, "cannot listen yet");
                 sleep(RETRY_DELAY).await;
             }
             result => return result,
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -24,7 +24,7 @@
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Unix time in seconds, then the message; fields are left out, since the message holds them.
+    /// Unix time in seconds, the message, then the event's fields as `key=value`.
     #[default]
     Text,
     /// One JSON object a line: `timestamp`, `level`, `message` and the event's fields.
@@ -76,23 +76,42 @@
     }
 }
 
-/// The text format: time and message.
+/// The text format: time, message and fields.
 struct TextFormat;
 
-/// Writes the message of an event, and none of its fields.
-struct MessageWriter<'a, 'w> {
+/// The field that holds an event's message. The macros of `tracing` put it before all others.
+const MESSAGE_FIELD: &str = "message";
+
+/// Writes the message of an event as it is, and each of its fields as ` key=value`.
+struct FieldWriter<'a, 'w> {
     writer: &'a mut Writer<'w>,
+    /// The first failure; nothing is written after it.
     result: fmt::Result,
 }
 
-impl Visit for MessageWriter<'_, '_> {
-    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        if field.name() == "message" {
-            self.result = write!(self.writer, "{value:?}");
+impl Visit for FieldWriter<'_, '_> {
+    fn record_str(&mut self, field: &Field, value: &str) {
+        if self.result.is_err() {
+            return;
         }
+        self.result = match field.name() {
+            MESSAGE_FIELD => self.writer.write_str(value),
+            name if is_plain(value) => write!(self.writer, " {name}={value}"),
+            name => write!(self.writer, " {name}={value:?}"),
+        };
+    }
+
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        self.record_str(field, &format!("{value:?}"));
     }
 }
 
+/// Whether a value can stand without quotes: a reader that splits the line at spaces and `=` finds it in one piece.
+fn is_plain(value: &str) -> bool {
+    let needs_quotes = |c: char| c.is_whitespace() || c.is_control() || matches!(c, '"' | '=');
+    !value.is_empty() && !value.contains(needs_quotes)
+}
+
 impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
@@ -106,9 +125,9 @@
     ) -> fmt::Result {
         UnixTime.format_time(&mut writer)?;
         writer.write_char(' ')?;
-        let mut message = MessageWriter { writer: &mut writer, result: Ok(()) };
-        event.record(&mut message);
-        message.result?;
+        let mut fields = FieldWriter { writer: &mut writer, result: Ok(()) };
+        event.record(&mut fields);
+        fields.result?;
         writeln!(writer)
     }
 }
@@ -139,3 +158,6 @@
     };
     LogFlush(guard)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -91,7 +91,7 @@
         warm_up_budget: fleet.cold_budget_window,
         warm_up: fleet.slow_start_period,
     });
-    info!(%address, "membership on {local_address}, reached at {address}");
+    info!(%local_address, advertised_address = %address, "membership listening");
     let (leave, leave_requested) = oneshot::channel();
     let driver = MembershipDriver {
         core,
@@ -195,7 +195,7 @@
             Ok(message) => self.swim.receive(now(), message),
             Err(error) if self.invalid_datagram_lines < MAX_INVALID_DATAGRAM_LINES => {
                 self.invalid_datagram_lines += 1;
-                warn!(%sender, %error, "membership: datagram from {sender} rejected: {error}");
+                warn!(%sender, %error, "membership datagram rejected");
             }
             Err(_) => {}
         }
@@ -270,9 +270,13 @@
     fn log_changes(&mut self) {
         let live = self.swim.live_count();
         for change in self.swim.take_events() {
-            let what = describe(change.kind);
-            let (name, by) = (&change.member, &change.reported_by);
-            info!(member = %name, what, %by, live, "membership: {name} {what}, reported by {by}, {live} live members");
+            info!(
+                member = %change.member,
+                change = describe(change.kind),
+                reported_by = %change.reported_by,
+                live,
+                "membership changed"
+            );
         }
     }
 
@@ -285,17 +289,7 @@
         let live = self.swim.live_count();
         let local_health = self.swim.local_health();
         let MembershipCounters { sent, received, suspicions, refutations, stops, .. } = self.swim.counters();
-        info!(
-            live,
-            sent,
-            received,
-            suspicions,
-            refutations,
-            local_health,
-            stops,
-            "membership: {live} live members, sent {sent}, received {received}, suspicions {suspicions}, \
-             refutations {refutations}, local health {local_health}, stops {stops}"
-        );
+        info!(live, sent, received, suspicions, refutations, local_health, stops, "membership counters");
     }
 }
 
--- a/src/run/serve/error.rs
+++ b/src/run/serve/error.rs
@@ -1,5 +1,6 @@
 //! Why serving could not start, or ended early.
 
+use super::fronts::FrontName;
 use crate::run::admin::AdminListenError;
 use crate::run::certificates::CertificateError;
 use crate::run::error::BoxError;
@@ -32,8 +33,8 @@
     /// A front's own address could not be read from its socket.
     #[error("{front}")]
     LocalAddress {
-        /// The front, as log lines name it.
-        front: &'static str,
+        /// Which front.
+        front: FrontName,
         /// The operating system's reason.
         source: io::Error,
     },
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -4,15 +4,40 @@
 use crate::core::Core;
 use crate::front::{Front, FrontConfig};
 use crate::run::listen::listen;
+use std::fmt;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
 use tracing::info;
 
-/// The platform's front, as log lines name it.
-pub const PLATFORM: &str = "serving";
-/// The second front, as log lines name it.
-pub const SECOND: &str = "second front";
+/// Which front a listener belongs to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FrontName {
+    /// The platform's front, which every manager has.
+    Platform,
+    /// The second front, of the operator's file.
+    Second,
+}
+
+impl FrontName {
+    /// The name in log lines.
+    fn as_str(self) -> &'static str {
+        match self {
+            FrontName::Platform => "platform",
+            FrontName::Second => "second",
+        }
+    }
+}
+
+/// As a failed start names it on standard error.
+impl fmt::Display for FrontName {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            FrontName::Platform => "serving",
+            FrontName::Second => "second front",
+        })
+    }
+}
 
 /// A front that takes connections.
 pub struct OpenFront {
@@ -23,12 +48,12 @@
 }
 
 impl OpenFront {
-    /// Starts to accept connections on `listener`; `name` is how log lines call the front.
+    /// Starts to accept connections on `listener`; `name` is for log lines and errors.
     ///
     /// # Errors
     /// A listener whose own address cannot be read.
     pub fn open(
-        name: &'static str,
+        name: FrontName,
         core: &Rc<Core>,
         listener: TcpListener,
         setup: FrontConfig,
@@ -37,7 +62,7 @@
             listener.local_addr().map_err(|source| ServeError::LocalAddress { front: name, source })?;
         let front = Front::new(Rc::clone(core), setup);
         let accept_task = spawn_local(Rc::clone(&front).accept_connections(listener));
-        info!("{name} on {address}");
+        info!(front = name.as_str(), %address, "accepting connections");
         Ok(OpenFront { front, accept_task })
     }
 
--- a/src/run/serve/reload.rs
+++ b/src/run/serve/reload.rs
@@ -66,14 +66,14 @@
         loop {
             match self.read_feed_address().await {
                 Ok(address) => {
-                    info!("configuration read anew: feed at {address}");
+                    info!(feed_address = address, "configuration reloaded");
                     feed_address.send_if_modified(|current| replace(current, address));
                     return;
                 }
                 // A bad file must not disturb a process that serves: it goes on as it was.
                 Err(error) if !was_logged => {
                     was_logged = true;
-                    warn!("configuration not read anew, nothing changes: {}", with_causes(&error));
+                    warn!(error = with_causes(&error), "configuration not reloaded, nothing changes");
                 }
                 Err(_) if Instant::now() >= deadline => return,
                 Err(_) => {}
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -51,8 +51,7 @@
 
 /// Stops accepting, waits until everything is answered or time runs out, and stops the subsystems.
 pub async fn shut_down(mut server: Server) {
-    let open = server.core.pending_requests();
-    info!(open, "stopping: {open} open");
+    info!(open_requests = server.core.pending_requests(), "stopping");
     if let Some(hot_restart) = &server.hot_restart {
         hot_restart.begin_stop();
     }
@@ -74,8 +73,7 @@
     }
     server.core.set_recorder(None);
     server.core.check_nothing_pending();
-    let open = server.core.pending_requests();
-    info!(open, "stopped: {open} open");
+    info!(open_requests = server.core.pending_requests(), "stopped");
 }
 
 /// Waits until nothing is open for [`IDLE_CHECKS`] checks in a row, at most until the end of the schedule.
@@ -98,8 +96,8 @@
 
 /// Answers every open request with a failure.
 fn answer_all(server: &Server) {
-    let ended = server.core.complete_all();
-    if ended > 0 {
-        warn!(ended, "stopping: {ended} given up, for the time is over");
+    let answered = server.core.complete_all();
+    if answered > 0 {
+        warn!(answered, "open requests answered because the shutdown deadline passed");
     }
 }
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -1,6 +1,6 @@
 //! Starts the subsystems, in the order in which they depend on one another.
 
-use super::fronts::{bind, OpenFront, PLATFORM, SECOND};
+use super::fronts::{bind, FrontName, OpenFront};
 use super::reload::Reloader;
 use super::{ServeError, ServerConfig};
 use crate::core::buffer_pool::BufferPool;
@@ -69,7 +69,7 @@
         if let Some(address) = server.admin_address {
             admin.listen(&address, admin::limits(config.sockets)).await?;
         }
-        let platform_front = OpenFront::open(PLATFORM, &core, listener, config.front)?;
+        let platform_front = OpenFront::open(FrontName::Platform, &core, listener, config.front)?;
         // A process that shares the socket leaves connections to its predecessor until it is ready.
         platform_front.front.set_accepting(!is_shared);
         admin.set_ready();
@@ -111,11 +111,10 @@
     let Some(settings) = settings else { return };
     match Recorder::start(&settings, seed, now()) {
         Ok(recorder) => {
-            let dir = settings.dir.display();
-            info!(dir = %dir, "capture: recording to {dir}");
+            info!(directory = %settings.dir.display(), "capture started");
             core.set_recorder(Some(recorder));
         }
-        Err(error) => warn!("capture: not recording: {error}"),
+        Err(error) => warn!(%error, "capture not started"),
     }
 }
 
@@ -131,15 +130,15 @@
 fn endpoint_poller(cold_start: StartupConfig, config: &Config) -> EndpointPoller {
     let fleet = config.settings.gateways;
     let poller = EndpointPoller::new(cold_start.endpoint_poller, fleet, config.seed, now());
-    let window = poller.first_poll_window().as_secs_f64();
-    info!(window, fleet, "cold start: first call for lists within {window:.3} s, of {fleet} managers");
+    let window_s = poller.first_poll_window().as_secs_f64();
+    info!(window_s, managers = fleet, "first endpoint poll scheduled");
     poller
 }
 
 fn start_failover(core: &Core, settings: Option<FailoverConfig>, config: &Config) {
     let Some(settings) = settings.filter(|settings| settings.enabled) else { return };
     let home = config.settings.zone;
-    info!(?home, "failover: between {} zones", config.zone_names.len());
+    info!(home_zone = home, zones = config.zone_names.len(), "failover enabled");
     core.enable_zone_failover(&settings, home, config.zone_names.clone());
 }
 
@@ -181,7 +180,7 @@
 
 async fn open_second_front(core: &Rc<Core>, config: SecondFrontConfig) -> Result<OpenFront, ServeError> {
     let listener = bind(&config.listen).await?;
-    let second_front = OpenFront::open(SECOND, core, listener, config.front)?;
+    let second_front = OpenFront::open(FrontName::Second, core, listener, config.front)?;
     if let Some(certificates) = config.certificates {
         certificates::maintain(certificates, Rc::clone(&second_front.front)).await?;
     }
