--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -193,7 +193,7 @@
                 }
                 PolicyCommand::Reject { id, retry_after } => queue.extend(self.reject(id, retry_after)),
                 PolicyCommand::Fail { id, retry_after } => queue.extend(self.fail(id, retry_after)),
-                PolicyCommand::Log(text) => info!(from = "module", "{text}"),
+                PolicyCommand::Log(text) => info!(text, "policy event"),
             }
         }
         if self.requests.has_due_cancellation(now()) {
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -29,7 +29,7 @@
     ) -> Result<CordonOutcome, CordonError> {
         let outcome = self.cordons.cordon(now(), &Target::Engine(id.to_owned()), request, reason)?;
         let cause = request.cause();
-        info!(engine = %id, %cause, ?outcome, "engine cordoned: {id} by {cause}, {outcome:?}");
+        info!(engine_id = id, %cause, ?outcome, "engine cordoned");
         self.reapply_entry(runtime, id);
         Ok(outcome)
     }
@@ -45,7 +45,7 @@
         cause: Cause,
     ) -> Result<CordonOutcome, CordonError> {
         let outcome = self.cordons.uncordon(now(), &Target::Engine(id.to_owned()), cause)?;
-        info!(engine = %id, %cause, ?outcome, "engine uncordoned: {id} by {cause}, {outcome:?}");
+        info!(engine_id = id, %cause, ?outcome, "engine uncordoned");
         self.reapply_entry(runtime, id);
         Ok(outcome)
     }
@@ -68,11 +68,7 @@
         for change in &result.changes {
             let target = &change.target;
             let outcome = change.outcome;
-            info!(
-                cordon_target = %target,
-                ?outcome,
-                "cordon merged from another process: {target}, {outcome:?}"
-            );
+            info!(cordon_target = %target, ?outcome, "cordon merged from another process");
             if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
             }
@@ -81,9 +77,7 @@
             warn!(
                 over_limit = result.over_limit,
                 malformed = result.malformed,
-                "cordons of another process are not in force here: {} over the limit, {} malformed",
-                result.over_limit,
-                result.malformed
+                "cordons of another process are not in force here"
             );
         }
         result
@@ -94,7 +88,7 @@
         for change in self.cordons.expire(now()) {
             let target = &change.target;
             let outcome = change.outcome;
-            info!(cordon_target = %target, ?outcome, "cordon lease expired: {target}, {outcome:?}");
+            info!(cordon_target = %target, ?outcome, "cordon lease expired");
             if let Target::Engine(id) = target {
                 self.reapply_entry(runtime, id);
             }
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -13,7 +13,7 @@
 use crate::core::request::{RejectReason, Response, MIN_RETRY_AFTER};
 use crate::core::request_table::PendingRequest;
 use sprucelink_policy::TimeDelta;
-use tracing::{debug, error};
+use tracing::{debug, error, field};
 
 /// Time before the deadline of a request within which a rejection or failure is reported as
 /// [`RejectReason::DeadlineExceeded`].
@@ -52,7 +52,7 @@
             }
             None => {
                 let request = format_id(id);
-                error!(request, "second response to {request} dropped");
+                error!(request, "second response dropped");
                 self.monitor.record_violation(now(), Invariant::SecondResponse, &request);
             }
         }
@@ -120,12 +120,13 @@
     };
     debug!(
         request = format_id(id),
+        response = kind,
+        reason = reason.map(field::debug),
         class = request.class_name,
         attempts = request.attempts,
         elapsed_ms = (now() - request.arrived_at).as_millis(),
         time_left_ms = (request.deadline - now()).as_millis(),
-        last_outcome = ?request.last_outcome,
-        ?reason,
-        "request completed: {kind}"
+        last_outcome = request.last_outcome.map(field::debug),
+        "request completed"
     );
 }
--- a/src/core/request_statistics.rs
+++ b/src/core/request_statistics.rs
@@ -105,8 +105,8 @@
         if capture_losses > self.logged_capture_losses {
             let lost = capture_losses - self.logged_capture_losses;
             self.logged_capture_losses = capture_losses;
-            let span = LOG_INTERVAL.as_micros() / 1_000_000;
-            warn!(lost, "capture: {lost} events lost in {span} s");
+            let interval_s = LOG_INTERVAL.as_micros() / 1_000_000;
+            warn!(lost, interval_s, "capture lost events");
         }
         let counters = std::mem::take(&mut self.counters);
         counters.log(pending, buffers_in_use);
