--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -21,8 +21,7 @@
 const FULL_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
 /// Weight of a failure in an engine's failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// Weight of a success in an engine's failure rate; greater, so that an engine recovers sooner than it is
-/// ejected.
+/// Weight of a success in an engine's failure rate; greater, so that an engine recovers quickly.
 const SUCCESS_WEIGHT: f64 = 0.3;
 /// An engine this many times slower than the median is ejected.
 const MAX_SLOWNESS: f64 = 3.5;
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -120,8 +120,7 @@
 
 /// Threads on an engine: own ones, and those of others by its report, which fades into the mean as it ages.
 ///
-/// `mean_of_others`: threads of others on an engine like it; `even_of_others`: the same if all managers are
-/// alike.
+/// `mean_of_others`: threads of others on a similar engine; `even_of_others`: if all managers are alike.
 pub(crate) fn estimated_threads(
     own_threads: f64,
     mean_of_others: f64,
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,5 +1,4 @@
-//! Events: what a manager reports to the decision module. Instants are whole microseconds on the caller's
-//! clock.
+//! Events: what a manager reports to the decision module. Instants are on the caller's clock.
 
 use crate::ids::{ClassId, EngineId, RequestId};
 use serde::{Deserialize, Serialize};
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -5,8 +5,7 @@
 use crate::snapshot::StoredClass;
 use sprucelink_rate_limits::update_mean_and_variance;
 
-/// Increase of the grant by a note that all of the estimated memory was missing, as a fraction of the
-/// estimate.
+/// Increase of the grant by a note that all of the estimated memory was missing; fraction of the estimate.
 const SPILL_INCREASE: f64 = 0.1;
 /// Grant before anything was learned, as a fraction of the estimate.
 const INITIAL_GRANT: f64 = 1.15;
@@ -69,8 +68,7 @@
         self.ratio_from_spills = (self.ratio_from_spills - GRANT_DECAY).max(MIN_GRANT);
     }
 
-    /// The memory to grant, MB. The more harm too little memory does on these engines, the more is added to
-    /// the mean.
+    /// The memory to grant, MB: more above the mean, the more harm a shortage does on these engines.
     pub(crate) fn grant_mb(&self, estimated_mb: f64, shortage: MemoryShort) -> f64 {
         let deviations = match shortage {
             MemoryShort::Waits => DEVIATIONS_WHERE_QUERIES_WAIT,
--- a/crates/policy/src/own_load.rs
+++ b/crates/policy/src/own_load.rs
@@ -1,5 +1,4 @@
-//! This manager's own load, and its even share of the ready engines: what it may infer of the fleet from
-//! them.
+//! This manager's own load and its even share of the ready engines, and what follows from them for the fleet.
 
 use crate::policy::TICK;
 use crate::pricing::LEVELS;
@@ -25,8 +24,7 @@
         (self.ready_cores / self.managers).max(1.0)
     }
 
-    /// How much of the fleet's load the own load shows, 0 to 1: a manager with a small share sees few of the
-    /// requests.
+    /// How much of the fleet's load the own load shows, 0 to 1: with a small share it shows little.
     pub(crate) fn load_visibility(self) -> f64 {
         self.cores() / (self.cores() + HALF_VISIBLE_CORES)
     }
--- a/crates/policy/src/policy/arrivals.rs
+++ b/crates/policy/src/policy/arrivals.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its arrival to the queue.
+//! A request from its arrival to the queue: priced, admitted or rejected, and sent at once if possible.
 
 use crate::actions::Action;
 use crate::admission::{self, AdmissionDecision, FreeCapacity};
@@ -86,7 +86,7 @@
         admission::decide(quote, &value, secs_to_deadline, self.free_capacity(), engine_utilisation)
     }
 
-    /// What a request would pay now at the level that costs it least.
+    /// What a request would pay now at its cheapest level.
     pub(super) fn quote(&self, request: &Request) -> PriceQuote {
         self.prices.cheapest_level(
             request.class,
@@ -106,8 +106,7 @@
         AnswerValue::of(request, &self.settings.classes[request.class], &self.estimates[request.class])
     }
 
-    /// Samples the engines that a request chooses among, where it needs a sample, and probes those of unknown
-    /// load.
+    /// Samples a request's candidates, if it chooses among a few engines, and probes those of unknown load.
     pub(super) fn sample_candidates(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(pool) = candidate_pool(&self.fleet(), request) else { return };
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -1,5 +1,4 @@
-//! The way out: `send` is the only one to an engine, `respond` gives the only final response that no engine
-//! gave.
+//! The way out: only `send` forwards an attempt, and only `respond` gives a response that no engine gave.
 
 use crate::actions::Action;
 use crate::engine_eligibility::is_eligible;
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the module hears of engines: the endpoint list and load reports.
+//! What the module learns of engines from outside: the endpoint list and load reports.
 
 use crate::events::{EndpointUpdate, EngineEntry, LoadReport, Outcome};
 use crate::ids::EngineId;
--- a/crates/policy/src/policy/ticks.rs
+++ b/crates/policy/src/policy/ticks.rs
@@ -47,8 +47,7 @@
         threads_from_level
     }
 
-    /// Counts the work in the queue again: what was added for newcomers since the last tick may have been
-    /// sent.
+    /// Counts the queued work again: what was added for newcomers since the last tick may have been sent.
     fn count_queued_work(&mut self) {
         let mut queued_work = [0.0; LEVELS];
         for request in self.queue.ids().filter_map(|id| self.requests.get(&id)) {
--- a/crates/policy/src/pricing.rs
+++ b/crates/policy/src/pricing.rs
@@ -141,8 +141,7 @@
     }
 
     /// What one more thread-second a second at a level costs those who wait there, in value (eq. 6): the mean
-    /// wait there, by the slope of the delay at the utilisation from that level up, times the value lost a
-    /// second.
+    /// wait by the slope of the delay, at the utilisation from that level up, times the value lost a second.
     fn marginal_delay_cost(
         &self,
         level: usize,
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -129,8 +129,7 @@
     pub report_weight: f64,
 }
 
-/// What leaves an engine out of a draw, in the order in which it is checked. Explanations sum up three rules
-/// as `rules`.
+/// What leaves an engine out of a draw, in the order of the checks. Explanations call three of them `rules`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IneligibleReason {
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -23,8 +23,7 @@
 /// Fraction of its budget that a manager uses in its own first window: it does not know what it sent earlier.
 const FIRST_WINDOW_FRACTION: f64 = 0.5;
 
-/// Fraction of its capacity that an engine has: from the initial fraction up to 1, linearly over the slow
-/// start.
+/// Fraction of its capacity that an engine has: linear from the initial fraction to 1 over the slow start.
 pub(crate) fn capacity_fraction(now: Timestamp, started_at: Option<Timestamp>, settings: &Settings) -> f64 {
     let Some(started_at) = started_at else { return 1.0 };
     let duration_secs = settings.slow_start_duration.as_secs_f64().max(1e-3);
@@ -35,8 +34,7 @@
 /// Work that a query of a class charges to an engine's budget, thread-seconds: the mean of its class, because
 /// each of many managers would find a small query that fits.
 pub(crate) fn charge(class: &ClassSettings, estimates: &ClassEstimates, is_manager_new: bool) -> f64 {
-    // The first estimates of a class are more often too low than too high: a new manager adds a full-sized
-    // one.
+    // The first estimates of a class are mostly too low: a new manager adds a full-sized one.
     let prior = if is_manager_new { PRIOR_CHARGES } else { 0.0 };
     let samples = f64::from(estimates.cost_samples().max(1));
     let full_cost = class.latency_objective.as_secs_f64() * class.threads;
@@ -102,8 +100,7 @@
         capacity_secs * cores * USABLE_CORES * self.usable_fraction() / managers
     }
 
-    /// Fraction of its budget that a manager uses by its own age: it does not know what it sent before its
-    /// restart.
+    /// Fraction of its budget that a manager uses by its own age: it may have used some before its restart.
     fn usable_fraction(&self) -> f64 {
         match self.settings.restart_ramp {
             Some((initial, ramp_secs)) => (initial + self.manager_age.as_secs_f64() / ramp_secs).min(1.0),
@@ -125,8 +122,7 @@
         }
     }
 
-    /// Fraction of the managers that may send to an engine in one window: all, unless they do so by sampling
-    /// only.
+    /// Fraction of the managers that may send to an engine in one window; below 1 only with sampling.
     pub(crate) fn sender_fraction(&self, cores: f64, started_at: Option<Timestamp>) -> f64 {
         if capacity_fraction(self.now, started_at, self.settings) >= 1.0 {
             return 1.0;
