--- a/crates/policy/src/engine_eligibility/tests.rs
+++ b/crates/policy/src/engine_eligibility/tests.rs
@@ -1,24 +1,6 @@
 use super::{is_in_dedup_group, is_placement_allowed, is_trial, Place};
+use crate::settings::tests::class;
 use crate::settings::{ClassSettings, DedupGroup, Effect};
-use sprucelink_time::TimeDelta;
-
-fn class(effect: Effect, threads: f64) -> ClassSettings {
-    ClassSettings {
-        value: 1.0,
-        late_value_fraction: 0.0,
-        latency_objective: TimeDelta::from_secs(1),
-        objective_per_work: 0.0,
-        deadline: TimeDelta::from_secs(5),
-        effect,
-        group: DedupGroup::All,
-        repeat_window: TimeDelta::ZERO,
-        ordered_by_key: false,
-        threads,
-        loads_tables: false,
-        kinds: None,
-        zones: None,
-    }
-}
 
 #[test]
 fn class_runs_only_on_its_kinds_and_in_its_zones() {
--- a/crates/policy/src/final_response/tests.rs
+++ b/crates/policy/src/final_response/tests.rs
@@ -1,23 +1,10 @@
 use super::{retry_after, FinalResponse};
+use crate::settings::tests::class;
 use crate::settings::{ClassSettings, DedupGroup, Effect};
 use sprucelink_time::TimeDelta;
 
 fn response(effect: Effect, group: DedupGroup, may_have_run: bool) -> FinalResponse {
-    let class = ClassSettings {
-        value: 1.0,
-        late_value_fraction: 0.0,
-        latency_objective: TimeDelta::from_secs(1),
-        objective_per_work: 0.0,
-        deadline: TimeDelta::from_secs(5),
-        effect,
-        group,
-        repeat_window: TimeDelta::ZERO,
-        ordered_by_key: false,
-        threads: 1.0,
-        loads_tables: false,
-        kinds: None,
-        zones: None,
-    };
+    let class = ClassSettings { group, ..class(effect, 1.0) };
     FinalResponse::choose(&class, may_have_run)
 }
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -249,3 +249,6 @@
         }
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -1,33 +1,16 @@
 use super::{capacity_fraction, SlowStartBudget, SlowStartLimits};
 use crate::class_estimates::ClassEstimates;
-use crate::settings::{ClassSettings, DedupGroup, Effect, Settings};
+use crate::settings::tests::class;
+use crate::settings::{Effect, Settings};
 use sprucelink_stable_hash::SplitMix64;
 use sprucelink_time::{TimeDelta, Timestamp};
 
 const CORES: f64 = 10.0;
 
-fn class(threads: f64) -> ClassSettings {
-    ClassSettings {
-        value: 1.0,
-        late_value_fraction: 0.0,
-        latency_objective: TimeDelta::from_secs(1),
-        objective_per_work: 0.0,
-        deadline: TimeDelta::from_secs(5),
-        effect: Effect::Safe,
-        group: DedupGroup::All,
-        repeat_window: TimeDelta::ZERO,
-        ordered_by_key: false,
-        threads,
-        loads_tables: false,
-        kinds: None,
-        zones: None,
-    }
-}
-
 /// An engine begins with a tenth of its capacity, and has all of it after 10 s.
 fn settings(gateways: u32) -> Settings {
     Settings {
-        classes: vec![class(1.0), class(4.0)],
+        classes: vec![class(Effect::Safe, 1.0), class(Effect::Safe, 4.0)],
         gateways,
         slow_start_multiple: 2.0,
         slow_start_window: TimeDelta::from_secs(1),
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -115,11 +115,11 @@
             let file = path.to_str().expect("plain text").to_owned();
             match file.strip_suffix("/tests.rs") {
                 Some(module) => {
-                    let declaration = "\n#[cfg(test)]\nmod tests;\n";
-                    assert!(
-                        text(&format!("{module}.rs")).ends_with(declaration),
-                        "{file}: compiled for tests only"
-                    );
+                    let module = text(&format!("{module}.rs"));
+                    let is_for_tests_only = ["mod tests;", "pub(crate) mod tests;"]
+                        .iter()
+                        .any(|declaration| module.ends_with(&format!("\n#[cfg(test)]\n{declaration}\n")));
+                    assert!(is_for_tests_only, "{file}: compiled for tests only");
                 }
                 None => files.push(file),
             }
