--- a/crates/policy/src/outlier_detection/tests.rs
+++ b/crates/policy/src/outlier_detection/tests.rs
@@ -1,9 +1,12 @@
 use super::OutlierDetector;
 use crate::engine_health::OVERDUE_MULTIPLE;
-use crate::events::Outcome;
-use crate::ids::EngineId;
-use crate::request::Attempt;
-use sprucelink_time::Timestamp;
+use crate::engine_table::EngineTable;
+use crate::events::{Arrival, EndpointUpdate, EngineEntry, EngineState, Outcome};
+use crate::ids::{ClassId, EngineId, RequestId};
+use crate::request::{Attempt, OpenRequests, Request};
+use crate::settings::Settings;
+use sprucelink_stable_hash::SplitMix64;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 const ZONE: u32 = 7;
 
@@ -11,16 +14,20 @@
     Timestamp::from_millis(millis)
 }
 
-fn end(outliers: &mut OutlierDetector, engine: u32, sent_at: Timestamp, outcome: Outcome) {
-    let attempt = Attempt {
+fn attempt(engine: u32, sent_at: Timestamp) -> Attempt {
+    Attempt {
         engine: EngineId(engine),
         number: 0,
         sent_at,
         last_progress: sent_at,
-        expected_latency_secs: 0.1,
+        expected_latency_secs: 10.0,
         is_cancelled: false,
         next_overdue_multiple: OVERDUE_MULTIPLE,
-    };
+    }
+}
+
+fn end(outliers: &mut OutlierDetector, engine: u32, sent_at: Timestamp, outcome: Outcome) {
+    let attempt = attempt(engine, sent_at);
     outliers.record_send(sent_at, ZONE);
     outliers.record_outcome(sent_at, ZONE, &attempt, outcome);
 }
@@ -57,3 +64,56 @@
     }
     assert_eq!(outliers.next_trial_of_unreachable(ZONE), None);
 }
+
+/// Two engines of the zone, with an attempt in flight on each since 100 ms.
+fn two_engines_in_use(outliers: &mut OutlierDetector) -> (EngineTable, OpenRequests) {
+    let mut engines = EngineTable::default();
+    let entry = |n| EngineEntry {
+        engine: EngineId(n),
+        zone: ZONE,
+        kind: 0,
+        cell: 0,
+        state: EngineState::Ready,
+        since: None,
+    };
+    let entries = [entry(0), entry(1)];
+    let settings = Settings::default();
+    engines.update(at(0), EndpointUpdate::Complete, &entries, &settings, outliers, &mut SplitMix64::new(1));
+    let request = |n: u32| {
+        let arrival = Arrival {
+            id: RequestId(u64::from(n)),
+            class: ClassId(0),
+            tenant: 0,
+            tables: 0,
+            time_left: TimeDelta::from_secs(60),
+            cost: None,
+            memory_mb: None,
+            key: None,
+        };
+        let request = Request::new(&arrival, u64::from(n), at(100), 1.0);
+        (arrival.id, Request { in_flight: Some(attempt(n, at(100))), ..request })
+    };
+    (engines, [request(0), request(1)].into())
+}
+
+#[test]
+fn attempts_without_progress_notes_make_their_zone_unreachable_and_eject_its_engines() {
+    let mut outliers = OutlierDetector::new();
+    let (mut engines, mut requests) = two_engines_in_use(&mut outliers);
+    let interval = TimeDelta::from_millis(400);
+    let mut actions = Vec::new();
+    outliers.update(at(700), &mut engines, &mut requests, interval, &mut actions);
+    assert!(actions.is_empty(), "one and a half intervals");
+    outliers.update(at(701), &mut engines, &mut requests, interval, &mut actions);
+    assert_eq!(actions.len(), 2, "a log line for each engine: {actions:?}");
+    assert!(engines.iter().all(|(_, engine)| engine.health.is_ejected()));
+}
+
+#[test]
+fn engines_without_progress_notes_are_not_silent() {
+    let mut outliers = OutlierDetector::new();
+    let (mut engines, mut requests) = two_engines_in_use(&mut outliers);
+    let mut actions = Vec::new();
+    outliers.update(at(9_000), &mut engines, &mut requests, TimeDelta::ZERO, &mut actions);
+    assert!(actions.is_empty() && outliers.next_trial_of_unreachable(ZONE).is_none());
+}
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -84,6 +84,25 @@
     assert!(!limits.allows(light, CORES, started_at, &used), "one query a window");
 }
 
+/// With 12 managers a light query fits a part of the budget and a heavy one does not: some managers may send one.
+#[test]
+fn sampled_managers_send_a_heavy_query_where_only_light_ones_fit() {
+    let settings = settings(12);
+    let (limits, [light, heavy]) = limits(&settings);
+    let (cores, started_at) = (40.0, Some(at(100_000)));
+    let mut random = SplitMix64::new(2);
+    let mut used = SlowStartBudget::default();
+    let mut senders = 0;
+    for _ in 0..10_000 {
+        used.draw_sample(at(100_000), &settings, &mut random);
+        assert!(limits.allows(light, cores, started_at, &used));
+        senders += u32::from(limits.allows(heavy, cores, started_at, &used));
+    }
+    let expected = 0.35 * limits.budget(cores, started_at) / heavy * 10_000.0;
+    assert!((f64::from(senders) - expected).abs() < 0.1 * expected, "{senders} of 10,000, not {expected}");
+    assert_eq!(limits.sender_fraction(cores, started_at), 1.0, "all managers may send light queries");
+}
+
 #[test]
 fn restarted_manager_uses_part_of_its_budget() {
     let mut settings = settings(1);
