--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -384,8 +384,8 @@
     );
     assert_eq!(broken(vec![(0, arrived(), vec![]), (5_999, tick(), vec![])], Rule::Answered {}), 0);
     assert_eq!(broken(vec![(0, arrived(), vec![]), (6_001, tick(), vec![])], Rule::Answered {}), 1);
-    let refuse = || Action::Reject { id, retry_after: None };
-    assert_eq!(broken(vec![(0, arrived(), vec![refuse(), refuse()])], Rule::Answered {}), 1);
+    let reject = || Action::Reject { id, retry_after: None };
+    assert_eq!(broken(vec![(0, arrived(), vec![reject(), reject()])], Rule::Answered {}), 1);
     let again: Vec<_> = (0..5).map(|k| (6_000 + k, tick(), vec![send(0)])).collect();
     assert_eq!(broken(again.clone(), Rule::RetryBudget {}), 1, "one first, three free, one too many");
     assert_eq!(
@@ -403,7 +403,7 @@
         1
     );
     assert_eq!(
-        broken(vec![(0, arrived(), vec![refuse()])], Rule::RejectedRequests { min: 0, max: Some(0) }),
+        broken(vec![(0, arrived(), vec![reject()])], Rule::RejectedRequests { min: 0, max: Some(0) }),
         1
     );
     assert_eq!(broken(vec![(0, tick(), vec![])], Rule::EngineEjected { engine: 0, by_ms: 5.0 }), 1);
@@ -453,14 +453,14 @@
     for part in ["arrived: class", "priced:", "let in", "draw at", "drawn s-", "sent, attempt 0", "ended"] {
         assert!(text.contains(part), "{part} in:\n{text}");
     }
-    let refused = all.iter().flat_map(|s| &s.records).find_map(|r| match &r.answer {
+    let rejected = all.iter().flat_map(|s| &s.records).find_map(|r| match &r.answer {
         Answer::Complete(a) => a.iter().find_map(|a| match a {
             Action::Reject { id, .. } => Some(id.0),
             _ => None,
         }),
         _ => None,
     });
-    let text = explanation(&Question::Request(refused.expect("one was refused")));
+    let text = explanation(&Question::Request(rejected.expect("one was rejected")));
     assert!(text.contains("given up:") && text.contains("refused, come back in"), "{text}");
     let text = explanation(&Question::Engine("s-1".into()));
     for part in ["sent to it", "reported in hand", "believed", "looked at in", "ejected"] {
--- a/crates/metrics/src/registry/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn invalid_names_and_mismatched_kinds_are_refused() {
+fn invalid_names_and_mismatched_kinds_are_rejected() {
     let mut registry = Registry::default();
     registry.reserve("mine", AtomicValue::default()).unwrap();
     assert_eq!(registry.counter("mine").unwrap_err(), MetricError::ReservedName("mine".into()));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn full_registry_refuses_new_names_and_renders_within_its_bound() {
+fn full_registry_rejects_new_names_and_renders_within_its_bound() {
     let mut registry = Registry::default();
     for n in 0..MAX_METRICS {
         let name = format!("{n:0width$}", width = MAX_NAME_BYTES);
--- a/crates/metrics/tests/rendering.rs
+++ b/crates/metrics/tests/rendering.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn invalid_class_names_are_refused_at_construction() {
+fn invalid_class_names_are_rejected_at_construction() {
     let many: Vec<String> = (0..=MAX_CLASSES).map(|n| format!("c{n}")).collect();
     assert_eq!(Metrics::try_new(&many).unwrap_err(), MetricError::TooManyClasses(MAX_CLASSES + 1));
     assert!(Metrics::try_new(&many[1..]).is_ok());
--- a/crates/settings/src/settings_file.rs
+++ b/crates/settings/src/settings_file.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Why a settings file was refused. The caller adds the file's name.
+/// Why a settings file was rejected. The caller adds the file's name.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
     /// The text is no JSON5, or a field is unknown or of the wrong type.
--- a/crates/settings/tests/invalid_input.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Which input is accepted, which is refused, and that an error names its place.
+//! Which input is accepted, which is rejected, and that an error names its place.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -40,7 +40,7 @@
 
 /// Without the place of an error, operators would have to search a file of some hundred fields.
 #[test]
-fn invalid_json_value_is_refused_with_line_column_and_path() {
+fn invalid_json_value_is_rejected_with_line_column_and_path() {
     let of =
         |settings: &str| parse(&format!("{{{},\n{settings}}}", &MINIMAL[..MINIMAL.len() - 14])).unwrap_err();
     for (settings, expected) in [
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn invalid_pair_is_refused_with_its_path() {
+fn invalid_pair_is_rejected_with_its_path() {
     let error_place = |pair: &str| pairs::parse([pair].into_iter()).expect_err(pair).place;
     assert_eq!(error_place("invariants.cold=warm").path, "invariants.cold");
     assert_eq!(error_place("profiles.count=lots").path, "profiles");
@@ -102,7 +102,7 @@
 
 /// A count is a few bytes, an item some hundred; a path of a million parts would be a tree as deep.
 #[test]
-fn pairs_beyond_the_bounds_are_refused_or_skipped() {
+fn pairs_beyond_the_bounds_are_rejected_or_skipped() {
     let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
     assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().reason.to_string().contains("is over"));
     assert!(pairs::parse(["customers.count=1e300"].into_iter()).is_err());
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn invalid_environment_variable_is_refused_with_its_name() {
+fn invalid_environment_variable_is_rejected_with_its_name() {
     let read = |set: &[(&str, &str)]| {
         Environment::read(|name| set.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned()))
     };
--- a/crates/settings/tests/json_and_pairs.rs
+++ b/crates/settings/tests/json_and_pairs.rs
@@ -1,4 +1,4 @@
-//! Generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and where one is refused the
+//! Generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and where one is rejected the
 //! other is, too.
 
 use proptest::prelude::*;
@@ -181,7 +181,7 @@
 #[test]
 fn json_and_pairs_give_equal_settings() {
     let accepted = Cell::new(0);
-    let refused = Cell::new(0);
+    let rejected = Cell::new(0);
     let run = runner(500).run(&settings(), |value| {
         let mut lines = Vec::new();
         write("", &value, &mut lines);
@@ -193,7 +193,7 @@
             }
             // The two may find different errors first: members of an object come in different orders.
             (Err((path, placed)), Err(e)) => {
-                refused.set(refused.get() + 1);
+                rejected.set(rejected.get() + 1);
                 prop_assert!(
                     path.starts_with("settings.") && placed && !e.place.path.is_empty(),
                     "{} {}",
@@ -207,7 +207,7 @@
     });
     run.expect("holds");
     assert!(
-        accepted.get() > 100 && refused.get() > 50,
-        "both occur: {accepted:?} accepted, {refused:?} refused"
+        accepted.get() > 100 && rejected.get() > 50,
+        "both occur: {accepted:?} accepted, {rejected:?} rejected"
     );
 }
--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! Operators' settings files: what is refused, and that the error says where.
+//! Operators' settings files: what is rejected, and that the error says where.
 
 use serde::Deserialize;
 use sprucelink_settings::{check_range, InvalidField, SettingsFile, SettingsFileError, Violation};
@@ -36,25 +36,25 @@
 }
 
 #[test]
-fn unknown_field_is_refused_with_line_column_and_path() {
+fn unknown_field_is_rejected_with_line_column_and_path() {
     let text = error_text("{\n  limits: { bursts: 3 } }");
     assert!(text.starts_with("example: line 2, column 13: limits.bursts: unknown field `bursts`"), "{text}");
 }
 
 #[test]
-fn wrong_type_is_refused_with_line_column_and_path() {
+fn wrong_type_is_rejected_with_line_column_and_path() {
     let text = error_text("{ limits: { burst: 'many' } }");
     assert!(text.starts_with("example: line 1, column 20: limits.burst: error parsing number"), "{text}");
 }
 
 #[test]
-fn text_that_is_no_json5_is_refused_with_its_position() {
+fn text_that_is_no_json5_is_rejected_with_its_position() {
     let text = error_text("{ enabled: yes }");
     assert!(text.starts_with("example: line 1, column "), "{text}");
 }
 
 #[test]
-fn number_out_of_range_is_refused_with_field_bounds_and_value() {
+fn number_out_of_range_is_rejected_with_field_bounds_and_value() {
     let error = Example::parse("{ limits: { burst: 11 } }").expect_err("out of range");
     assert_eq!(error.to_string(), "example: limits.burst: must lie within 0 and 10, is 11");
     let SettingsFileError::InvalidField { invalid, .. } = error else { panic!("{error:?}") };
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn bounds_are_included_and_numbers_that_are_not_finite_are_refused() {
+fn bounds_are_included_and_numbers_that_are_not_finite_are_rejected() {
     assert!(check_range("x", 0.0, 0.0, 1.0).is_ok());
     assert!(check_range("x", 1.0, 0.0, 1.0).is_ok());
     for value in [f64::NAN, f64::INFINITY, -0.1, 1.1] {
