--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -15,7 +15,7 @@
 }
 
 /// What is wrong with a configuration, settings or an environment variable.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ErrorReason {
     /// The JSON library's message; the position that it ends with stands in [`Error::place`].
     #[error("{0}")]
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -45,7 +45,7 @@
 static ABSENT: Node<'static> = Node { text: None, below: BTreeMap::new() };
 
 /// Why a value of a pair could not be read; its path stands in [`Error::place`].
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PairError {
     /// A list of objects claims more than [`MAX_ITEMS`] items.
     #[error("count {0} is over {MAX_ITEMS}")]
--- a/src/simulator/codec/error.rs
+++ b/src/simulator/codec/error.rs
@@ -1,5 +1,7 @@
 //! Why a line cannot be read.
 
+use sprucelink_settings::ErrorReason;
+
 /// A line that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field} {reason} in line: {line}")]
@@ -43,6 +45,6 @@
     #[error("is not hex")]
     NotHex,
     /// A setting is invalid.
-    #[error("{0}")]
-    Setting(String),
+    #[error(transparent)]
+    Setting(ErrorReason),
 }
--- a/src/simulator/codec/fields.rs
+++ b/src/simulator/codec/fields.rs
@@ -147,7 +147,7 @@
         let pairs = self.parts.iter().skip(FIRST_SETTING).copied();
         match sprucelink_settings::pairs::parse(pairs) {
             Ok(settings) => Ok(settings.to_policy_settings()),
-            Err(error) => Err(self.error(&error.place.path, FieldError::Setting(error.reason.to_string()))),
+            Err(error) => Err(self.error(&error.place.path, FieldError::Setting(error.reason))),
         }
     }
 }
