--- a/crates/capture/benches/capture.rs
+++ b/crates/capture/benches/capture.rs
@@ -1,4 +1,4 @@
-//! What a checkpoint takes and how fast a replay goes; what recording adds is `examples/cost.rs`, in pairs.
+//! The duration of a checkpoint and the speed of a replay. The cost of recording is measured by `examples/cost.rs`.
 //! `cargo bench -p sprucelink-capture`.
 #![allow(missing_docs, reason = "the macros of criterion generate functions without documentation")]
 
@@ -19,9 +19,9 @@
         let open = simulation.policy.open_requests().len();
         let bytes = rmp_serde::to_vec_named(&simulation.policy).expect("saved").len();
         println!("{engines} engines, {open} requests open: {bytes} bytes");
-        // On the serving thread.
+        // This part runs on the serving thread.
         group.bench_function(BenchmarkId::new("copy", engines), |b| b.iter(|| simulation.policy.clone()));
-        // On the writer's.
+        // This part runs on the writer's thread.
         group.bench_function(BenchmarkId::new("write down", engines), |b| {
             b.iter(|| rmp_serde::to_vec_named(&simulation.policy).expect("saved"));
         });
--- a/crates/capture/examples/cost.rs
+++ b/crates/capture/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What recording adds to an event on the serving path, in pairs within one run: the same ten seconds at 110 requests
-//! a second, from the same state, fed to the policy alone and recorded, in turn.
+//! The time that recording adds to an event on the serving path: the same ten seconds at 110 requests a second are fed
+//! to a policy from the same state, without and with a recorder in turn.
 //! `cargo run --release -p sprucelink-capture --example cost`.
 
 #[path = "../tests/common/mod.rs"]
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// Files in memory, whose calls fail on demand.
+/// A store in memory, which fails on demand.
 #[derive(Clone, Default)]
 pub struct MemoryStore(pub Arc<Mutex<Files>>);
 
@@ -41,7 +41,7 @@
 impl SegmentStore for MemoryStore {
     fn list(&mut self) -> io::Result<Vec<RingFile>> {
         let files = self.0.lock().expect("unpoisoned");
-        // Every file as old as its name says.
+        // A file's age is that of the time in its name.
         let at = |name: &str| {
             Timestamp::from_micros(name.split('-').next().and_then(|t| t.parse().ok()).unwrap_or(0))
         };
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -1,4 +1,4 @@
-//! What is recorded replays to the bit; what fails is counted, named, and harms nothing else.
+//! Records replay bit for bit; failures are counted and reported, and harm nothing else.
 mod common;
 use common::*;
 use sprucelink_capture::cut::{check_case, cut_case, CaseSpan};
@@ -26,7 +26,7 @@
     simulation.advance(secs);
     let recorded = simulation.events;
     drop(simulation.recorder.take());
-    // The list at the very beginning came before the recorder.
+    // The first endpoint list was sent before the recorder started.
     (memory, recorded - 1)
 }
 
@@ -41,13 +41,13 @@
         let digests: Vec<Vec<u64>> = (0..10)
             .map(|_| {
                 let one = |s: &Segment| {
-                    let seen = replayed(s);
+                    let summary = replayed(s);
                     assert!(
-                        seen.first_divergence.is_none() && seen.panic.is_none(),
+                        summary.first_divergence.is_none() && summary.panic.is_none(),
                         "{:?}",
-                        seen.first_divergence
+                        summary.first_divergence
                     );
-                    seen.digest
+                    summary.digest
                 };
                 all.segments.iter().map(one).collect()
             })
@@ -56,7 +56,7 @@
     }
 }
 
-/// A changed answer, time or event is seen, and named with what was expected and what came.
+/// A changed answer is reported, with the expected and the replayed actions.
 #[test]
 fn divergence_is_reported_with_its_record_and_kinds() {
     let (memory, _) = record_simulation(6, 1.0, &recorder_settings());
@@ -73,13 +73,13 @@
         panic!("terms")
     };
     *mb = f64::from_bits(mb.to_bits() + 1);
-    let seen = replayed(&seg);
-    let first = seen.first_divergence.expect("diverged");
-    assert_eq!((seen.differing_events, first.record, first.kinds), (1, place, vec!["terms"]));
+    let summary = replayed(&seg);
+    let first = summary.first_divergence.expect("diverged");
+    assert_eq!((summary.differing_events, first.record, first.kinds), (1, place, vec!["terms"]));
     assert_ne!(first.expected, first.got);
 }
 
-/// A crash cuts a file off anywhere: what is whole is used, nothing is taken for damage, nothing panics.
+/// A crash truncates a file anywhere: complete frames are used, nothing counts as damage, nothing panics.
 #[test]
 fn segment_truncated_at_any_byte_replays_up_to_its_last_complete_record() {
     let memory = MemoryStore::default();
@@ -89,7 +89,7 @@
     simulation.advance(0.6);
     drop(simulation.recorder.take());
     let bytes = memory.bytes();
-    let whole = memory.contents().segments.remove(0);
+    let complete = memory.contents().segments.remove(0);
     let (mut usable, mut before) = (0, 0);
     for len in 0..bytes.len() {
         let Ok(contents) = parse(&bytes[..len], Path::new("cut")) else {
@@ -100,8 +100,8 @@
         assert!(contents.damage.is_empty(), "{len}: {:?}", contents.damage);
         let cut = &contents.segments[0];
         assert!(matches!(cut.end, SegmentEnd::Truncated { .. }), "{len}");
-        assert_eq!(cut.records, whole.records[..cut.records.len()]);
-        // Only whole frames add records: each new length is replayed once.
+        assert_eq!(cut.records, complete.records[..cut.records.len()]);
+        // Only complete frames add records: each new number of records is replayed once.
         if cut.records.len() != before {
             before = cut.records.len();
             assert_eq!(replayed(cut).differing_events, 0);
@@ -113,28 +113,28 @@
 #[test]
 fn damage_is_reported_and_later_segments_still_replay() {
     let (memory, _) = record_simulation(7, 3.0, &recorder_settings());
-    let whole = memory.contents();
+    let complete = memory.contents();
     let mut bytes = memory.bytes();
-    let (second, third) = (whole.segments[1].offset, whole.segments[2].offset);
-    // Inside a block: half way between the second segment's start and the third's.
-    let hit = (second + third) / 2;
-    bytes[hit] ^= 0x55;
-    let hurt = parse(&bytes, Path::new("hurt")).expect("a capture");
-    assert_eq!(hurt.segments.len(), whole.segments.len());
-    let at = &hurt.damage[0].offset;
-    assert!(*at > second && *at <= hit, "{at}");
-    let SegmentEnd::Damaged { offset, .. } = &hurt.segments[1].end else {
-        panic!("{:?}", hurt.segments[1].end)
+    let (second, third) = (complete.segments[1].offset, complete.segments[2].offset);
+    // Inside a block: half way between the starts of the second and the third segment.
+    let flipped = (second + third) / 2;
+    bytes[flipped] ^= 0x55;
+    let damaged = parse(&bytes, Path::new("damaged")).expect("a capture");
+    assert_eq!(damaged.segments.len(), complete.segments.len());
+    let at = &damaged.damage[0].offset;
+    assert!(*at > second && *at <= flipped, "{at}");
+    let SegmentEnd::Damaged { offset, .. } = &damaged.segments[1].end else {
+        panic!("{:?}", damaged.segments[1].end)
     };
     assert_eq!(offset, at);
-    assert!(hurt.segments[1].records.len() < whole.segments[1].records.len());
-    for s in &hurt.segments {
+    assert!(damaged.segments[1].records.len() < complete.segments[1].records.len());
+    for s in &damaged.segments {
         assert_eq!(replayed(s).differing_events, 0);
     }
 }
 
-/// A full disk: serving goes on, half a frame does not stay, the loss is counted, and once there is room again a
-/// new segment says how much is missing before it.
+/// On a full disk serving goes on, no partial frame stays, and the loss is counted; once there is space again, a new
+/// segment says how many events are missing before it.
 #[test]
 fn full_disk_loses_records_and_nothing_else() {
     let memory = MemoryStore::default();
@@ -143,7 +143,7 @@
     simulation.advance(1.0);
     wait(|| memory.bytes().len() > 5_000);
     memory.0.lock().expect("unpoisoned").free_bytes = Some(100);
-    // The writer is a thread of its own: time is given until it has met the full disk.
+    // The writer has a thread of its own: wait until it has reached the full disk.
     while simulation.counters().lost == 0 {
         simulation.advance(0.3);
         std::thread::sleep(Duration::from_millis(1));
@@ -161,15 +161,15 @@
     assert!(all.damage.is_empty(), "{:?}", all.damage);
     let kept: usize = all.segments.iter().map(|s| s.records.len()).sum();
     assert_eq!(kept + lost, events, "every event is kept or counted");
-    let said: u64 = all.segments.iter().map(|s| s.header.lost_events_before).sum();
-    assert!(said > 0 && said <= lost as u64, "the gap is said: {said} of {lost}");
+    let reported: u64 = all.segments.iter().map(|s| s.header.lost_events_before).sum();
+    assert!(reported > 0 && reported <= lost as u64, "the gap is recorded: {reported} of {lost}");
     all.segments.iter().for_each(|s| assert_eq!(replayed(s).differing_events, 0));
 }
 
 fn wait(mut done: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(30);
     while !done() {
-        assert!(Instant::now() < end, "it never came");
+        assert!(Instant::now() < end, "timed out");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -189,7 +189,7 @@
     assert!(memory.bytes().is_empty());
 }
 
-/// The serving path does not wait for a writer that stands still, and what waits for it is bounded.
+/// The serving path does not wait for a stalled writer, whose queue is bounded.
 #[test]
 fn stalled_writer_does_not_block_the_recorder() {
     let memory = MemoryStore::default();
@@ -197,7 +197,7 @@
     let set = RecorderSettings { queue_kb: 64, ..recorder_settings() };
     let hold = stall.lock().expect("unpoisoned");
     let mut simulation = Simulation::recorded(4, 3, &set, memory.clone());
-    // While the lock is held nothing is written: this would never come back if the module's side waited.
+    // While the lock is held nothing is written: this would block for ever if the serving path waited.
     simulation.advance(20.0);
     assert!(simulation.counters().lost > 0);
     drop(hold);
@@ -209,7 +209,7 @@
     drop(simulation.recorder.take());
     let all = memory.contents();
     let kept: usize = all.segments.iter().map(|s| s.records.len()).sum();
-    // What was counted after the last look belongs to the last hand-over.
+    // Events that were lost after the counters were read are missing here.
     assert!(kept + lost <= events && all.damage.is_empty());
     all.segments.iter().for_each(|s| assert_eq!(replayed(s).differing_events, 0));
 }
@@ -247,7 +247,7 @@
     all.segments.iter().for_each(|s| assert_eq!(replayed(s).differing_events, 0));
 }
 
-/// An event that the module does not come back from is the one to look at: it is there, unanswered.
+/// The event on which the policy panicked is the one to look at: it is recorded, without an answer.
 #[test]
 fn event_that_ended_the_program_is_recorded() {
     let memory = MemoryStore::default();
@@ -276,7 +276,7 @@
     parse(&write(&seg).expect("written"), Path::new("edited")).expect("read")
 }
 
-/// A build whose floating point rounds otherwise, another module, an older state, a newer format.
+/// A build whose floating point rounds otherwise, another policy, an older state, a newer format.
 #[test]
 fn captures_of_other_builds_are_read_or_rejected_with_a_reason() {
     let (memory, _) = record_simulation(8, 1.0, &recorder_settings());
@@ -286,7 +286,7 @@
     assert!(floats.segments[0].build_differences()[0].contains("round otherwise"));
     let module = edited(&seg, |s| s.header.policy_checksum ^= 1);
     assert!(module.segments[0].build_differences()[0].contains("another decision module"));
-    // An older module's state lacks a figure: it takes its default and the rest is used.
+    // The state of an older policy lacks a field, which takes its default.
     let older = edited(&seg, |s| {
         let mut state: serde_json::Value = rmp_serde::from_slice(&s.state).expect("a map");
         let map = state.as_object_mut().expect("a map");
@@ -294,7 +294,7 @@
         s.state = rmp_serde::to_vec_named(&state).expect("written");
     });
     assert!(older.segments[0].policy().is_ok());
-    // Half a state is no state.
+    // A truncated state is rejected.
     let half = edited(&seg, |s| s.state.truncate(s.state.len() / 2));
     assert!(half.segments[0].policy().err().is_some_and(|why| why.to_string().contains("cannot be read")));
     let mut newer = seg.clone();
@@ -336,7 +336,7 @@
     assert!(cut_case(&all, &lost).is_err());
 }
 
-/// The checks see each rule broken: by hand, on actions that no module gave.
+/// The actions are made by hand: no policy gives them.
 #[test]
 fn breach_of_each_rule_is_reported() {
     let (memory, _) = record_simulation(4, 2.0, &recorder_settings());
@@ -375,7 +375,7 @@
         let entry = EngineEntry { engine: EngineId(2), zone: 0, kind: 0, cell: 0, state, since: None };
         Event::EndpointsChanged { kind: EndpointUpdate::Changes, entries: vec![entry] }
     };
-    // A send within a millisecond of the drain's grace, on either side.
+    // An attempt at the end of the drain grace, and one a millisecond later.
     let near = |ms| vec![(0, drain(), vec![]), (ms, arrived(), vec![send(2)])];
     assert_eq!((broken(near(500), Rule::Drain {}), broken(near(501), Rule::Drain {})), (0, 1));
     assert_eq!(
@@ -409,7 +409,7 @@
     assert_eq!(broken(vec![(0, tick(), vec![])], Rule::EngineEjected { engine: 0, by_ms: 5.0 }), 1);
 }
 
-/// Both outcome policies give the recorded answers where nothing changed, and go on where something did.
+/// Both outcome policies give the recorded answers where nothing changed, and replay on where a setting did.
 #[test]
 fn changed_setting_diverges_under_both_outcome_policies() {
     let (memory, _) = record_simulation(11, 3.0, &recorder_settings());
@@ -427,9 +427,9 @@
             Ok(())
         };
         let options = ReplayOptions { outcome_policy, change: &change, ..ReplayOptions::default() };
-        let seen: Vec<ReplaySummary> =
+        let summary: Vec<ReplaySummary> =
             all.iter().map(|s| replay_segment(s, &options, &mut |_| {}).expect("replayed")).collect();
-        assert!(seen.iter().any(|o| o.differing_events > 0) && seen.iter().all(|o| o.panic.is_none()));
+        assert!(summary.iter().any(|o| o.differing_events > 0) && summary.iter().all(|o| o.panic.is_none()));
     }
 }
 
