--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -56,7 +56,8 @@
 pub use reasons::{Candidate, IneligibleReason, Reason};
 pub use retry::{AttemptHistory, RetryBudget, RetryDecision, RetryRule};
 pub use settings::{
-    ClassSettings, DedupGroup, Effect, MemoryShort, ReportVia, RetryBudgetSettings, Settings, TenantSettings,
+    ClassSettings, DedupGroup, Effect, MemoryShort, ReportVia, RestartRamp, RetryBudgetSettings, Settings,
+    TenantSettings,
 };
 pub use sprucelink_time::{TimeDelta, Timestamp};
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -106,6 +106,28 @@
     pub retries_per_request: f64,
 }
 
+/// The fraction of its part of a slow-start budget that a manager uses, by its own age. Stored as a pair.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct RestartRamp {
+    /// The fraction at the manager's start.
+    pub initial_fraction: f64,
+    /// Seconds in which the fraction would rise by one; it ends at one.
+    pub secs_to_rise_by_one: f64,
+}
+
+impl From<(f64, f64)> for RestartRamp {
+    fn from((initial_fraction, secs_to_rise_by_one): (f64, f64)) -> RestartRamp {
+        RestartRamp { initial_fraction, secs_to_rise_by_one }
+    }
+}
+
+impl From<RestartRamp> for (f64, f64) {
+    fn from(ramp: RestartRamp) -> (f64, f64) {
+        (ramp.initial_fraction, ramp.secs_to_rise_by_one)
+    }
+}
+
 /// All settings of a manager. A name that captures and `--set` use stands in its `serde(rename)`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
@@ -170,10 +192,10 @@
     /// Length of the slow start.
     #[serde(rename = "cold_for")]
     pub slow_start_duration: TimeDelta,
-    /// A manager that just started uses this fraction of its part of a starting engine's budget, rising
-    /// evenly to all of it over this number of seconds; `None`: half of it for one `slow_start_window`.
+    /// How a manager that just started raises its part of a starting engine's budget; `None`: it uses half of
+    /// its part for one `slow_start_window`.
     #[serde(rename = "cold_ramp")]
-    pub restart_ramp: Option<(f64, f64)>,
+    pub restart_ramp: Option<RestartRamp>,
     /// How long a key is blocked after an attempt that may still run.
     #[serde(rename = "order_settle")]
     pub key_settle_time: TimeDelta,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -103,7 +103,10 @@
     /// Fraction of its budget that a manager uses by its own age: it may have used some before its restart.
     fn usable_fraction(&self) -> f64 {
         match self.settings.restart_ramp {
-            Some((initial, ramp_secs)) => (initial + self.manager_age.as_secs_f64() / ramp_secs).min(1.0),
+            Some(ramp) => {
+                let rise = self.manager_age.as_secs_f64() / ramp.secs_to_rise_by_one;
+                (ramp.initial_fraction + rise).min(1.0)
+            }
             None if self.manager_age < self.settings.slow_start_window => FIRST_WINDOW_FRACTION,
             None => 1.0,
         }
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -114,7 +114,7 @@
     let full = budget(&settings, 100_000);
     assert!((budget(&settings, 999) - full / 2.0).abs() < 1e-12);
     assert!((budget(&settings, 1_000) - full).abs() < 1e-12);
-    settings.restart_ramp = Some((0.25, 4.0));
+    settings.restart_ramp = Some((0.25, 4.0).into());
     assert!((budget(&settings, 1_000) - full / 2.0).abs() < 1e-12, "a quarter and a quarter of the ramp");
     assert!((budget(&settings, 3_000) - full).abs() < 1e-12);
 }
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -206,7 +206,8 @@
             | "crates/policy/src/settings.rs"
             | "crates/policy/src/events.rs" => {
                 let known: &[&str] = match file.as_str() {
-                    "crates/policy/src/settings.rs" => &["zone_weight", "default"],
+                    // The pairs of `from` convert the stored form of the restart ramp.
+                    "crates/policy/src/settings.rs" => &["from", "from", "zone_weight", "default"],
                     "crates/policy/src/events.rs" => &["never_ran"],
                     _ => &[],
                 };
--- a/crates/policy/tests/recorded_decisions.rs
+++ b/crates/policy/tests/recorded_decisions.rs
@@ -124,7 +124,7 @@
         probe_price: 0.01,
         max_retry_after: secs(random.below(3) as f64),
         max_attempts: [1, 3, 6][random.below(3) as usize],
-        restart_ramp: random.one_in(2).then_some((0.25, 4.0)),
+        restart_ramp: random.one_in(2).then_some((0.25, 4.0).into()),
         key_settle_time: secs(0.3 * random.below(3) as f64),
         retry_budget: random.one_in(2).then_some(budget),
         zone: random.one_in(2).then_some(0),
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -100,7 +100,7 @@
 /// initial fraction to all of it, where that is configured, instead of by one step.
 #[test]
 fn slow_start_budget_of_a_restarted_manager_rises_by_the_ramp() {
-    let count = |ramp: Option<(f64, f64)>, wait: f64| {
+    let count = |ramp: Option<RestartRamp>, wait: f64| {
         let set = Settings { restart_ramp: ramp, ..settings(vec![class(Effect::Safe)]) };
         let mut manager = TestManager::new(set, 0);
         manager.advance(wait);
@@ -116,7 +116,7 @@
         }
         sends
     };
-    let ramp = Some((0.25, 4.0));
+    let ramp = Some(RestartRamp { initial_fraction: 0.25, secs_to_rise_by_one: 4.0 });
     let sends = [0.0, 1.0, 2.0, 3.1].map(|wait| count(ramp, wait));
     assert!(sends.windows(2).all(|w| w[0] < w[1]), "{sends:?}");
     assert_eq!(sends[3], count(None, 3.1), "at its end it is all of the part");
--- a/crates/startup/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -17,7 +17,7 @@
 /// Smallest rise of the fraction that a slope is computed from: a ramp that starts at 1 does not rise.
 const MIN_RISE: f64 = 1e-9;
 
-/// Settings of the ramp. The decision module applies it (`Settings::cold_ramp`).
+/// Settings of the ramp. The decision module applies it (`Settings::restart_ramp`).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FirstLoadConfig {
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -16,7 +16,7 @@
 use sprucelink_hot_restart::WindowSpans;
 use sprucelink_membership::MembershipConfig;
 use sprucelink_metrics::Metrics;
-use sprucelink_policy::TimeDelta;
+use sprucelink_policy::{RestartRamp, TimeDelta};
 use sprucelink_startup::config::StartupConfig;
 use sprucelink_startup::endpoint_poller::EndpointPoller;
 use sprucelink_zone_failover::config::FailoverConfig;
@@ -87,7 +87,8 @@
 
 fn build_core(config: &Config, cold_start: Option<&StartupConfig>) -> Result<Rc<Core>, ServeError> {
     let mut settings = config.settings.clone();
-    settings.restart_ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
+    let ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
+    settings.restart_ramp = ramp.map(RestartRamp::from);
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
     let metrics = Metrics::try_new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
     let core = Core::new(CoreConfig {
