--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -5,6 +5,7 @@
 
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{EngineConnection, Withdrawal};
+use super::request::format_request_id;
 use super::result_buffer::{ResultSet, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
 use crate::proto::engine_answer::{
     is_page, AnswerKind, EngineAnswer, EngineAnswerError, LoadStats, QueryCost, UpdateTopic,
@@ -150,7 +151,7 @@
         if self.is_served {
             return;
         }
-        let id = format_id(id);
+        let id = format_request_id(id);
         let priority = priority.to_string();
         self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), priority.as_bytes()]);
     }
@@ -176,7 +177,7 @@
             return;
         }
         let name = if self.is_served { command::RELEASE_RESULT } else { command::CANCEL };
-        self.connection.command(pool, &[name, format_id(id).as_bytes()]);
+        self.connection.command(pool, &[name, format_request_id(id).as_bytes()]);
         self.cancellation = Some(Cancellation { stream_end: self.connection.queued(), sent_at: None });
     }
 
@@ -254,7 +255,8 @@
         self.result.expect_pages(pages);
         for page in 1..pages {
             let page = page.to_string();
-            self.connection.command(pool, &[command::PAGE, format_id(id).as_bytes(), page.as_bytes()]);
+            self.connection
+                .command(pool, &[command::PAGE, format_request_id(id).as_bytes(), page.as_bytes()]);
         }
         Ok(self.store_page(pool, id, 0, answer.body))
     }
@@ -308,10 +310,5 @@
 
 /// Releases the result of a request at its engine, which keeps it until all pages were fetched.
 pub(super) fn release_result(connection: &EngineConnection, pool: &BufferPool, id: u64) {
-    connection.command(pool, &[command::RELEASE_RESULT, format_id(id).as_bytes()]);
-}
-
-/// A request's id as written in the engines' protocol and in the log: 16 hexadecimal digits.
-pub(super) fn format_id(id: u64) -> String {
-    format!("{id:016x}")
+    connection.command(pool, &[command::RELEASE_RESULT, format_request_id(id).as_bytes()]);
 }
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -4,14 +4,14 @@
 //! an event for the policy. Kept: nothing here; the attempt is part of its request's entry in the request table.
 
 use super::Coordinator;
-use crate::core::attempt::{format_id, release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
+use crate::core::attempt::{release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
 use crate::core::buffer_pool::BufferPool;
 use crate::core::clock::now;
 use crate::core::connection_runtime::ConnectionRuntime;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
 use crate::core::invariants::SentAttempt;
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
-use crate::core::request::Response;
+use crate::core::request::{format_request_id, Response};
 use crate::core::request_table::PendingRequest;
 use crate::core::send_guard::{OutgoingAttempt, SendRejection};
 use crate::proto::engine_answer::{read_answer, AnswerKind, EngineAnswerError, LoadStats, QueryCost};
@@ -59,7 +59,7 @@
         request.attempts += 1;
         // Nothing is sent after the final response, even if the policy requests it.
         if !request.is_awaited() {
-            let request = format_id(id);
+            let request = format_request_id(id);
             error!(request, "send for completed request dropped");
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
@@ -72,7 +72,7 @@
             Err(outcome) => return self.report_end(id, AttemptEnd::unsent(attempt, outcome)),
         };
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
-        let name = format_id(id);
+        let name = format_request_id(id);
         let fields = format_fields(request, time_left);
         if !connection.send(runtime.pool(), id, attempt, &query_command(request, &name, &fields)) {
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
@@ -150,7 +150,7 @@
         self.statistics.record_withdrawal(reason);
         self.requests.schedule_cancellation(now, id, attempt);
         debug!(
-            request = format_id(id),
+            request = format_request_id(id),
             engine = connection.engine,
             attempt,
             ?reason,
@@ -174,7 +174,7 @@
         }
         in_flight.sent_time_left = time_left;
         let attempt = in_flight.number;
-        let name = format_id(id);
+        let name = format_request_id(id);
         let fields = format_fields(request, time_left);
         connection.requeue(pool, id, attempt, &query_command(request, &name, &fields));
         true
@@ -384,7 +384,7 @@
     latency: TimeDelta,
 ) {
     debug!(
-        request = format_id(id),
+        request = format_request_id(id),
         engine = attempt.connection.engine,
         attempt = attempt.number,
         ?outcome,
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -4,12 +4,13 @@
 //! attempts that were withdrawn or interrupted. Kept: nothing here; the engine table holds the state.
 
 use super::Coordinator;
-use crate::core::attempt::{format_id, AttemptOutcome, CANCELLATION_GRACE};
+use crate::core::attempt::{AttemptOutcome, CANCELLATION_GRACE};
 use crate::core::clock::now;
 use crate::core::connection_runtime::ConnectionRuntime;
 use crate::core::endpoint_list::resolve_duplicates;
 use crate::core::engine_connection::{EngineConnection, Withdrawal};
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
+use crate::core::request::format_request_id;
 use crate::proto::events::{Endpoint, ListEvent};
 use std::rc::Rc;
 use tracing::{debug, info, warn};
@@ -212,6 +213,6 @@
     let attempts = connection.attempt_count();
     warn!(engine, attempts, reason, "engine connection lost");
     for (request, attempt) in connection.attempts() {
-        debug!(engine, request = format_id(request), attempt, "attempt was on the lost connection");
+        debug!(engine, request = format_request_id(request), attempt, "attempt was on the lost connection");
     }
 }
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -4,13 +4,13 @@
 //! and commands that follow. Kept: nothing here; the responder is part of the request's entry in the request table.
 
 use super::Coordinator;
-use crate::core::attempt::{format_id, AttemptOutcome, InFlightAttempt};
+use crate::core::attempt::{AttemptOutcome, InFlightAttempt};
 use crate::core::clock::now;
 use crate::core::connection_runtime::ConnectionRuntime;
 use crate::core::engine_connection::Withdrawal;
 use crate::core::invariants::Invariant;
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
-use crate::core::request::{RejectReason, Response, MIN_RETRY_AFTER};
+use crate::core::request::{format_request_id, RejectReason, Response, MIN_RETRY_AFTER};
 use crate::core::request_table::PendingRequest;
 use sprucelink_policy::TimeDelta;
 use tracing::{debug, error, field};
@@ -51,7 +51,7 @@
                 drop(responder.send(response));
             }
             None => {
-                let request = format_id(id);
+                let request = format_request_id(id);
                 error!(request, "second response dropped");
                 self.monitor.record_violation(now(), Invariant::SecondResponse, &request);
             }
@@ -77,7 +77,7 @@
     /// Counts the requests that clients still wait for when the process ends, as violations.
     pub(in crate::core) fn check_nothing_pending(&self) {
         for id in self.requests.awaited_ids() {
-            self.monitor.record_violation(now(), Invariant::PendingAtExit, &format_id(id));
+            self.monitor.record_violation(now(), Invariant::PendingAtExit, &format_request_id(id));
         }
     }
 }
@@ -119,7 +119,7 @@
         Response::Failed { reason, .. } => ("failed", Some(reason)),
     };
     debug!(
-        request = format_id(id),
+        request = format_request_id(id),
         response = kind,
         reason = reason.map(field::debug),
         class = request.class_name,
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -124,8 +124,8 @@
         })
     }
 
-    /// Whether an attempt of request `id` may be sent on it. Not if an earlier attempt of that request ended on it
-    /// unserved, because a late answer to the earlier one could not be distinguished from an answer to the new one.
+    /// Whether an attempt of request `id` may be sent on it. An earlier attempt of the request that ended on it unserved
+    /// prevents that: a late answer to it could not be distinguished from an answer to the new attempt.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
         !self.is_closed()
             && !self.is_retired.get()
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -8,7 +8,7 @@
 //! ([`RetryRule`], the limit of the retry budget), but compares them with records of its own, so that a fault in the
 //! enforcing code cannot hide itself. A violation changes no behaviour.
 
-use super::attempt::format_id;
+use super::request::format_request_id;
 use sprucelink_metrics::{Counter, Metrics};
 use sprucelink_policy::{Effect, RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use std::cell::Cell;
@@ -180,7 +180,7 @@
         if in_flight.is_some_and(|(attempt, _)| attempt == sent.attempt) {
             return;
         }
-        let name = format_id(sent.id);
+        let name = format_request_id(sent.id);
         if in_flight.is_some() {
             self.record_violation(now, Invariant::ConcurrentAttempt, &name);
         }
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -77,3 +77,8 @@
     /// The statement; at most [`MAX_STATEMENT_BYTES`].
     pub statement: Buffer,
 }
+
+/// A request's id as written in the engines' protocol and in the log: 16 hexadecimal digits.
+pub(super) fn format_request_id(id: u64) -> String {
+    format!("{id:016x}")
+}
