--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Whether an attempt of request `id` may be sent on it. An earlier attempt of the request that ended on it unserved
+    /// Whether it may carry an attempt of request `id`. An earlier attempt of the request that ended on it unserved
     /// prevents that: a late answer to it could not be distinguished from an answer to the new attempt.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
         !self.is_closed()
