--- a/crates/consensus/src/alarm.rs
+++ b/crates/consensus/src/alarm.rs
@@ -55,6 +55,6 @@
         /// The last entry in the log.
         last_index: u64,
     },
-    /// It was quarantined before a restart, as its disk says.
+    /// It was quarantined before a restart, as its disk shows.
     FoundEarlier,
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -69,7 +69,7 @@
         check_range("snapshot_every", snapshot_every, 16..=16_384)
     }
 
-    /// Shortest time without a heartbeat before an election. A leader that was not ticked for so long steps down.
+    /// Shortest time without a heartbeat before an election. A leader that was not ticked for this time steps down.
     pub(crate) fn election_timeout(&self) -> TimeDelta {
         TimeDelta::from_micros(self.tick.as_micros() * i64::from(self.election_ticks))
     }
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -75,7 +75,7 @@
 /// One member of the consensus group, as a state machine without input and output.
 ///
 /// The driver owns time, disk and network. It calls [`Node::tick`] at least every tick and [`Node::step`] with every frame,
-/// and after each call [`Node::ready`] until it returns `None`, doing what each [`crate::Ready`] says.
+/// and after each call [`Node::ready`] until it returns `None`, carrying out what each [`crate::Ready`] requests.
 pub struct Node {
     id: MemberId,
     timing: Timing,
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -26,7 +26,7 @@
 const FIRST_INDEX: u64 = 1;
 
 impl Node {
-    /// Starts a member from what its disk held. It has to rejoin first, unless its disk says that it is quarantined. The seed
+    /// Starts a member from what its disk held. It has to rejoin first, unless its disk marks it as quarantined. The seed
     /// decides the spread of election timeouts; it should differ from member to member and from start to start.
     ///
     /// # Errors
@@ -94,7 +94,7 @@
     ElectionTimeout::new(rng, shortest_ticks, longest_ticks)
 }
 
-/// A member rejoins first, unless its disk says that it is quarantined.
+/// A member rejoins first, unless its disk marks it as quarantined.
 fn initial_phase(
     config: &Config,
     is_quarantined: bool,
--- a/crates/consensus/src/proposal_dedup.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -86,7 +86,7 @@
 }
 
 impl ProposalDedup {
-    /// Records a proposal that is about to be applied and says whether it may be.
+    /// Records a proposal that is about to be applied and returns whether it may be.
     pub fn record(&mut self, id: ProposalId) -> Dedup {
         if !self.origins.contains_key(&id.origin) && self.origins.len() >= MAX_ORIGINS {
             return Dedup::TooManyOrigins;
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -6,7 +6,7 @@
 //! from its disk. The vote or the commit needed a majority, so at least half of the other voters. X gets responses from a
 //! majority of the other voters, so from at least one of those, H. Either H gave its vote or acknowledgement before it
 //! responded to X: then the response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then
-//! H's message says that X has restarted, and whoever counts votes or acknowledgements drops those of X. H must not itself
+//! H's message shows that X has restarted, and whoever counts votes or acknowledgements drops those of X. H must not itself
 //! have lost writes. That is true of established members, because they have rejoined in the same way; this is why normally
 //! only their responses count.
 
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -1,6 +1,6 @@
 //! A seeded simulator of a consensus group in virtual time: network, disks and processes with faults, and a checker.
 //!
-//! One seed replays a whole run. A [`Cluster`] holds the hosts, each a [`crate::Node`] over a write-ahead log on a disk with
+//! One seed replays a complete run. A [`Cluster`] holds the hosts, each a [`crate::Node`] over a write-ahead log on a disk with
 //! faults and a [`StateMachine`] that applies entries, and the network between them. A [`Simulation`] drives it: a nemesis
 //! injects faults as the [`Plan`] says, an operator replaces members, and a [`Checker`] examines what the hosts did after each step
 //! and ends the run at the first violation. Other crates' simulators build on it with a [`StateMachine`] and
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -24,7 +24,7 @@
 const PROPOSAL_BYTES: usize = 64;
 /// How long a stopped process' write waits before it is looked at again.
 const STOPPED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
-/// When a process restarts that could not go on after a failed write.
+/// When a process restarts that could not continue after a failed write.
 const RESTART_AFTER_FAILED_WRITE: TimeDelta = TimeDelta::from_millis(100);
 /// Shortest time until a process restarts that crashed with its lying disk.
 const MIN_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn frame_over_its_bound_or_of_another_version_is_refused() {
+fn frame_over_its_bound_or_of_another_version_is_rejected() {
     let mut decoder = Decoder::default();
     decoder.push(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
     assert_eq!(decoder.next_frame(), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden: logs and frames of three members, written by the program of before the readability work. The logs are read
+//! Golden: logs and frames of three members, written by an earlier release. The logs are read
 //! as what was written and members started on them agree as before; what is written and sent today has the same bytes.
 #![allow(missing_docs)]
 
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn logs_of_before_are_read_as_they_were_written() {
+fn logs_of_an_earlier_release_are_read_as_they_were_written() {
     for node in 1..=3 {
         let (_, restored) = Wal::open(golden_disk(node)).expect("a whole log");
         assert_eq!(restored.torn_tail, None);
@@ -212,9 +212,9 @@
     }
 }
 
-/// Members that are started on the logs of before apply what was committed, and go on from there.
+/// Members that are started on the logs of an earlier release apply what was committed, and continue from there.
 #[test]
-fn members_started_on_logs_of_before_agree_on_what_was_committed() {
+fn members_started_on_logs_of_an_earlier_release_agree_on_what_was_committed() {
     let mut world = World::start([1, 2, 3].map(golden_disk), Timestamp::from_micros(60_000_000));
     world.propose(28);
     world.tick();
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_history_writes_the_same_logs_as_before() {
+fn history_writes_the_same_logs_as_an_earlier_release() {
     for (index, node) in history().members.into_iter().enumerate() {
         let golden = golden_disk(index as u64 + 1);
         assert!(files(&node.log.into_disk()) == files(&golden), "the log of member {}", index + 1);
@@ -245,7 +245,7 @@
 
 /// All frames of the history, in order, each with its length in front as on a connection.
 #[test]
-fn a_history_sends_the_same_frames_as_before() {
+fn history_sends_the_same_frames_as_an_earlier_release() {
     let world = history();
     let bytes: Vec<u8> = world.sent.iter().flat_map(Frame::encode).collect();
     let golden = std::fs::read(golden("frames.bin")).expect("a golden file");
@@ -263,7 +263,7 @@
 
 /// A frame with every field of every body set, as it was encoded before.
 #[test]
-fn every_field_of_a_frame_has_the_bytes_of_before() {
+fn every_field_of_a_frame_has_the_bytes_of_an_earlier_release() {
     let bytes: Vec<u8> = every_body().into_iter().flat_map(|frame| frame.encode()).collect();
     let golden = std::fs::read(golden("bodies.bin")).expect("a golden file");
     assert!(bytes == golden, "{} and {} bytes", bytes.len(), golden.len());
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn no_violation_with_as_many_lying_disks_as_the_group_can_spare() {
+fn no_violation_with_a_minority_of_lying_disks() {
     assert_no_violation(Plan::liars(5).shorter(seconds(6)), 0..30);
 }
 
--- a/crates/cordon/src/error.rs
+++ b/crates/cordon/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a call was rejected; the state is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CordonError {
-    /// No endpoint list ever named the engine, or so long ago that it was forgotten
+    /// No endpoint list ever named the engine, or so long ago that its id was evicted
     /// ([`crate::CordonLimits::max_known_ids`]).
     #[error("never listed")]
     NeverListed,
--- a/crates/cordon/src/state.rs
+++ b/crates/cordon/src/state.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The endpoint list names the engine no longer, or says that it is gone. Cordons stay as they are, and so does the
+    /// The endpoint list names the engine no longer, or lists it as gone. Cordons stay as they are, and so does the
     /// memory that it was listed, within [`CordonLimits::max_known_ids`].
     pub fn note_unlisted(&mut self, id: &str) {
         self.known_ids.set_listed(engine_id_hash(id), false);
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -67,7 +67,7 @@
         matches!(self, Phase::Ready | Phase::Serving | Phase::ServingBesideSuccessor | Phase::Draining)
     }
 
-    /// Whether a process in this phase serves and will go on doing so.
+    /// Whether a process in this phase serves and will continue to serve.
     pub fn is_serving(self) -> bool {
         matches!(self, Phase::Serving | Phase::ServingBesideSuccessor)
     }
@@ -124,7 +124,7 @@
 pub struct ClockReference {
     /// Identifies one boot of the machine, as `/proc/sys/kernel/random/boot_id` does.
     pub boot_id: String,
-    /// The process's clock less the machine's monotonic clock, the same for the life of the process.
+    /// The process's clock less the machine's monotonic clock, the same while the process runs.
     pub offset: TimeDelta,
 }
 
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -143,7 +143,7 @@
         self.peers.live_peers(now)
     }
 
-    /// Whether a health check is to be answered positively: it serves, and its file says so, or could not be written.
+    /// Whether a health check is to be answered positively: it serves, and its file announces that, or could not be written.
     /// SIGTERM reaches the old process with that answer, which must then be able to read that its successor serves.
     pub fn is_healthy(&self) -> bool {
         self.status.has_served && self.has_announced_serving
@@ -253,7 +253,7 @@
     }
 
     /// Writes the own file, and then removes what dead processes left. What an operator waits for is on record once this
-    /// is `Ok`; otherwise it is in force in this process alone, and the caller says so or reverts it.
+    /// is `Ok`; otherwise it is in force in this process alone, and the caller reports that or reverts it.
     ///
     /// # Errors
     /// Contents that do not fit, or an error of the folder; the previous file is unchanged.
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -42,7 +42,7 @@
     pub work_ms: u32,
 }
 
-/// What still applies of a file. Counters cover the process's whole last seconds and are no increments: of one process
+/// What still applies of a file. Counters cover all of the process's last seconds and are no increments: of one process
 /// only the last file counts, and a reader replaces what it had of the one before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsableState {
--- a/crates/hot-restart/src/window_counters.rs
+++ b/crates/hot-restart/src/window_counters.rs
@@ -30,7 +30,7 @@
     engines_left_out: u64,
 }
 
-/// A window of as many whole slots as a file holds of one counter, one of which has just begun.
+/// A window of as many slots as a file holds of one counter.
 fn slot_window<T: Default>(span: TimeDelta) -> SlotWindow<T> {
     SlotWindow::new(span, BUCKET_SPAN, MAX_BUCKETS as u32)
 }
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden: state files written by the program of before the readability work. They are read as what they say, and
+//! Golden: state files written by an earlier release. They are read as what they say, and
 //! what is written today has the same bytes and the same names.
 
 use sprucelink_cordon::{Cause, CordonEntry, CordonRecord, Target};
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn state_files_of_before_are_read_as_they_were_written() {
+fn state_files_of_an_earlier_release_are_read_as_they_were_written() {
     for (name, expected) in files() {
         let bytes = std::fs::read(folder().join(&name)).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(decode(&bytes, &me()), Ok(expected), "{name}");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn state_files_are_written_byte_for_byte_as_before() {
+fn state_files_are_written_byte_for_byte_as_by_an_earlier_release() {
     for (name, content) in files() {
         let bytes = std::fs::read(folder().join(&name)).unwrap_or_else(|e| panic!("{name}: {e}"));
         let encoded = encode(&content).expect("small");
@@ -132,9 +132,9 @@
     }
 }
 
-/// A folder as a process of before left it: its successor finds the file by its name, and reads it.
+/// A folder as a process of an earlier release left it: its successor finds the file by its name, and reads it.
 #[test]
-fn a_process_finds_the_state_file_of_its_predecessor_of_before() {
+fn process_finds_the_state_file_of_a_predecessor_of_an_earlier_release() {
     let full = full();
     let name = StateFileName::new(&full.instance, &full.process).to_string();
     assert_eq!(name, "sprucelink.938a317b.74-1700000000000004.handover");
--- a/crates/hot-restart/tests/phase_machine.rs
+++ b/crates/hot-restart/tests/phase_machine.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn single_process_serves_as_soon_as_it_can_with_the_whole_budget() {
+fn single_process_serves_as_soon_as_it_can_with_the_full_budget() {
     let mut p = PhaseMachine::new(process(1), t(0));
     let stand = p.step(t(0), &[], false, false);
     assert_eq!((stand.phase, stand.accepts_connections, stand.has_served), (Phase::Starting, false, false));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn hot_restart_in_order_never_spends_more_than_one_managers_budget() {
+fn completed_hot_restart_never_spends_more_than_one_managers_budget() {
     let (mut old, mut new, seen) = pair();
     let n = new.step(t(100), from_ref(&seen), false, false);
     assert_eq!((n.phase, n.accepts_connections, n.has_served), (Phase::Starting, false, false));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn new_process_killed_before_it_is_healthy_leaves_the_old_one_the_whole_budget() {
+fn new_process_killed_before_it_is_healthy_leaves_the_old_one_the_full_budget() {
     let (mut old, mut new, seen) = pair();
     let n = new.step(t(300), from_ref(&seen), false, true);
     let e = old.step(t(400), &[peer_state(process(2), &n)], false, true);
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -41,7 +41,7 @@
     /// Members that a gossip round is sent to; 0 to 10.
     #[serde(rename = "fanout")]
     pub gossip_fanout: u32,
-    /// Interval of comparisons of the whole view with one other member (anti-entropy), in milliseconds; 200 to 600,000,
+    /// Interval of comparisons of the complete view with one other member (anti-entropy), in milliseconds; 200 to 600,000,
     /// randomized by a fifth either way. Dead members and seeds are contacted in turn, too, so that partitioned views
     /// merge.
     #[serde(rename = "rejoin_ms")]
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -14,7 +14,7 @@
 //! - A member is its *name and generation* (start time): a new process under an old name replaces the old one whatever
 //!   incarnation that had, and updates on an earlier generation are ignored.
 //! - Views are compared by a digest with one other member at a time ([`crate::MessageKind::Digest`]), and with the seeds
-//!   and the dead in turn, so that partitioned views merge (anti-entropy). What such a comparison says of dead members
+//!   and the dead in turn, so that partitioned views merge (anti-entropy). What such a comparison reports of dead members
 //!   counts as a suspicion, as in memberlist's push-pull: the accused gets to refute it.
 //! - A suspicion that is about to expire is sent to the suspect itself first (*final probes*), by each member that has
 //!   it: updates are sent a bounded number of times, and where datagrams get lost some member misses a refutation. The
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -1,4 +1,5 @@
-//! The corpus: every statement has the facts it says, a disguise changes nothing, and no two shapes collide.
+//! The corpus: every statement has the expected facts, other spellings have the same fingerprint, and no two different
+//! statements share one.
 
 use proptest::prelude::*;
 use sprucelink_query_fingerprint::facts::{data_set, named, read, StatementFacts, StatementKind};
@@ -22,7 +23,7 @@
     kind: StatementKind,
     sets: Vec<u64>,
     flags: String,
-    /// The statement and its disguises.
+    /// The statement and other spellings of it.
     texts: Vec<String>,
 }
 
@@ -39,8 +40,8 @@
         }
         let entry = all.last_mut().expect("a statement before");
         match line.strip_prefix("~ ") {
-            Some(disguise) => entry.texts.push(disguise.to_owned()),
-            // A disguise that goes on behind a line's end.
+            Some(spelling) => entry.texts.push(spelling.to_owned()),
+            // A spelling of several lines.
             None => {
                 let last = entry.texts.last_mut().expect("one");
                 last.push('\n');
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn every_statement_has_the_facts_it_says_in_every_disguise() {
+fn corpus_statement_has_the_expected_facts_in_every_spelling() {
     let mut wrong = Vec::new();
     for e in corpus() {
         for text in &e.texts {
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn disguises_share_a_fingerprint_and_different_statements_never_do() {
+fn spellings_share_a_fingerprint_and_different_statements_never_do() {
     let (mut n, mut seen, mut wrong) = (Normaliser::default(), BTreeMap::new(), Vec::new());
     for e in corpus() {
         let first = n.fingerprint(&e.texts[0]);
@@ -112,7 +113,7 @@
 }
 
 /// Any statement of the corpus, and a way to write it otherwise.
-fn disguised() -> impl Strategy<Value = (String, String)> {
+fn respelled() -> impl Strategy<Value = (String, String)> {
     let texts: Vec<String> = corpus().into_iter().flat_map(|e| e.texts).collect();
     let blank = prop::sample::select(vec![
         " ",
@@ -153,7 +154,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::with_cases(1500) })]
 
     #[test]
-    fn a_disguise_never_changes_the_fingerprint((text, other) in disguised()) {
+    fn another_spelling_never_changes_the_fingerprint((text, other) in respelled()) {
         let mut n = Normaliser::default();
         let first = n.fingerprint(&text);
         let normal = n.text().to_owned();
@@ -162,7 +163,7 @@
 
     /// The lexer and the parser agree on data sets wherever the parser reads the statement whole.
     #[test]
-    fn lexer_and_reader_agree_on_data_sets((text, other) in disguised()) {
+    fn lexer_and_reader_agree_on_data_sets((text, other) in respelled()) {
         let f = read(&other);
         prop_assert_eq!(&f.data_sets, &read(&text).data_sets);
         if f.is_complete {
@@ -191,7 +192,7 @@
 
     /// A statement of the corpus cut anywhere, or with a byte changed.
     #[test]
-    fn truncated_or_altered_statement_is_read_without_panic((text, _) in disguised(), cut in 0_usize..400, with in "\\PC") {
+    fn truncated_or_altered_statement_is_read_without_panic((text, _) in respelled(), cut in 0_usize..400, with in "\\PC") {
         let cut = (0..=cut.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
         read(&text[..cut]);
         let altered = format!("{}{with}{}", &text[..cut], &text[cut..]);
@@ -203,7 +204,7 @@
 
 /// What nests or goes on without end costs no stack and little time, and is unknown.
 #[test]
-fn what_is_deep_or_long_is_unknown_and_harmless() {
+fn deep_or_long_statement_is_unknown_and_costs_no_stack() {
     let deep = |open: &str, close: &str, n: usize| {
         format!("SELECT {}1{} FROM rates_17.lanes", open.repeat(n), close.repeat(n))
     };
--- a/crates/replicated-log/tests/proposal_dedup.rs
+++ b/crates/replicated-log/tests/proposal_dedup.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn least_recent_origin_is_forgotten_when_there_are_too_many() {
+fn oldest_origin_is_evicted_at_the_limit() {
     let mut dedup = ProposalDedup::default();
     (0..=MAX_ORIGINS).for_each(|origin| assert!(dedup.insert(&origin.to_string(), 1)));
     assert_eq!(dedup.export().len(), MAX_ORIGINS);
--- a/crates/schema-compat/src/comparison/context.rs
+++ b/crates/schema-compat/src/comparison/context.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The writer's field that stands for the reader's: by number and name, or by a number declared as former.
+    /// The writer's field that corresponds to the reader's: by number and name, or by a number declared as former.
     pub(crate) fn counterpart<'m>(&self, writer: &'m Message, reader: &Field) -> Option<&'m Field> {
         let moved = |field: &&Field| match self.direction {
             Direction::Down => field.former_numbers.contains(&reader.number),
--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -64,7 +64,7 @@
     pub(crate) direction: Direction,
     pub(crate) roots: Vec<RecordComparison>,
     pub(crate) nodes: Vec<MessageComparison>,
-    /// The comparison was cut off at a limit and proves nothing.
+    /// The comparison was stopped at a limit and proves nothing.
     pub(crate) exceeded: bool,
 }
 
--- a/crates/schema-compat/src/comparison/enum_values.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -73,7 +73,7 @@
         }
         let rule = if self.writer_is_newer { Rule::EnumValueAdded } else { Rule::EnumValueRemoved };
         let newer = if self.writer_is_newer { self.writer } else { self.reader };
-        if let Some(known) = stands_for(newer, self.reader, value) {
+        if let Some(known) = declared_replacement(newer, self.reader, value) {
             let detail = format!("reads as {}, as declared", known.name);
             self.add(rule, Impact::Translate, value, detail);
             self.mapped.push((value.number, known.number));
@@ -109,10 +109,10 @@
     }
 }
 
-/// The value known to the reader that stands for another, through as many declarations as it takes.
-fn stands_for<'e>(newer: &Enum, reader: &'e Enum, value: &EnumValue) -> Option<&'e EnumValue> {
+/// The value known to the reader that declarations give in place of another, through a chain of them if need be.
+fn declared_replacement<'e>(newer: &Enum, reader: &'e Enum, value: &EnumValue) -> Option<&'e EnumValue> {
     let mut name = value.name.as_str();
-    // A chain is no longer than the values there are: declarations in a circle end here.
+    // A chain cannot be longer than the number of values: this ends circular declarations.
     for _ in 0..=newer.values.len() + newer.removed.len() {
         let by_value = newer.named(name).and_then(|one| one.reads_as.as_deref());
         name = by_value.or_else(|| newer.removed.get(name).map(String::as_str))?;
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -44,7 +44,7 @@
     CardinalityChanged = "CARDINALITY_CHANGED",
     /// Readers distinguish an absent field from the default, writers do not.
     PresenceChanged = "PRESENCE_CHANGED",
-    /// Absent stands for another value.
+    /// An absent field means another value.
     DefaultChanged = "DEFAULT_CHANGED",
     /// Fields that may be set together are read as members of one oneof.
     OneofJoined = "ONEOF_JOINED",
@@ -68,7 +68,7 @@
     EnumValueAdded = "ENUM_VALUE_ADDED",
     /// New readers do not know a value that old records hold.
     EnumValueRemoved = "ENUM_VALUE_REMOVED",
-    /// An enum's number stands for another value.
+    /// An enum's number means another value.
     EnumNumberReused = "ENUM_NUMBER_REUSED",
     /// An enum's value has another number.
     EnumValueRenumbered = "ENUM_VALUE_RENUMBERED",
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -39,7 +39,7 @@
 }
 
 impl Translation {
-    /// The translation from `writer` to `reader`; `direction` says which of them is the newer.
+    /// The translation from `writer` to `reader`; `direction` gives which of them is the newer.
     #[must_use]
     pub fn between(writer: &Schema, reader: &Schema, direction: Direction) -> Self {
         Self::of(&compare(&writer.model, &reader.model, direction), reader)
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ReaderUsage {
     /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without fields stands
-    /// for the whole message, one that ends at a field of message type for all fields below it; map entries are not a step of their own
+    /// for the complete message, one that ends at a field of message type for all fields below it; map entries are not a step of their own
     /// (`fleet.View/members.zone`). None: everything.
     pub paths: Option<BTreeSet<String>>,
     /// Whether the reader tolerates unknown values of an open enum or a oneof where the schema does not specify it.
--- a/crates/stable-hash/tests/split_mix.rs
+++ b/crates/stable-hash/tests/split_mix.rs
@@ -3,7 +3,7 @@
 use sprucelink_stable_hash::{weighted_index, SplitMix64};
 
 #[test]
-fn the_numbers_are_those_of_the_reference_implementation() {
+fn numbers_are_those_of_the_reference_implementation() {
     // Seed 1234567: the test vector that Rosetta Code and others give for splitmix64.c.
     let mut generator = SplitMix64::new(1_234_567);
     let expected = [
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_index_is_drawn_in_proportion_to_its_weight() {
+fn index_is_drawn_in_proportion_to_its_weight() {
     let weights = [1.0, 0.0, 3.0];
     let drawn = |unit: f64| weighted_index(&weights, unit);
     assert_eq!([0.0, 0.25, 0.26, 0.999].map(drawn), [Some(0), Some(0), Some(2), Some(2)]);
--- a/crates/stable-hash/tests/stable_hash.rs
+++ b/crates/stable-hash/tests/stable_hash.rs
@@ -3,7 +3,7 @@
 use sprucelink_stable_hash::{stable_hash, unit};
 
 #[test]
-fn the_hash_is_stable_and_keeps_parts_apart() {
+fn hash_is_stable_and_keeps_parts_apart() {
     assert_ne!(stable_hash(&[b"ab", b"c"]), stable_hash(&[b"a", b"bc"]));
     // Pinned: a change of the hash would move every manager's slots.
     assert_eq!(stable_hash(&[b"n3", b"s-00c41f7a"]), 0xd407_a4ff_1046_8866);
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -12,7 +12,7 @@
 //! - a stale complete list that is still sent after `accept_stale_after_ms`, with nothing newer between, is accepted: the
 //!   service restarted its numbering (after a restore from a backup), and must not be ignored indefinitely.
 //!
-//! Only ids and states are kept, of at most [`MAX_ENGINES`] engines.
+//! Only ids and states are retained, of at most [`MAX_ENGINES`] engines.
 
 use crate::{from_millis, Timestamp};
 use serde::{Deserialize, Serialize};
--- a/crates/startup/src/endpoint_poller.rs
+++ b/crates/startup/src/endpoint_poller.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointPollerConfig {
-    /// Polls per second that the list service is expected to handle from the whole fleet; 1 to 100,000.
+    /// Polls per second that the list service is expected to handle from the complete fleet; 1 to 100,000.
     pub fleet_rate: f64,
     /// Engines reject work themselves while they drain, so that a drain honoured late breaks no rule: only then may
     /// `max_window_ms` exceed 250. Never so on the platform.
--- a/crates/startup/tests/admission.rs
+++ b/crates/startup/tests/admission.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn warm_up_ends_for_good_after_its_time_and_zero_disables_it() {
+fn warm_up_ends_permanently_after_its_time_and_zero_disables_it() {
     let mut admission = start(1);
     assert!(admission.admit(at(4_999), 500).is_err());
     assert!(admission.admit(at(5_000), 500).is_ok());
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused_by_name() {
+fn numbers_out_of_range_are_rejected_by_name() {
     let bad = AdmissionConfig { max_limit: 3.0, ..AdmissionConfig::default() };
     assert!(bad.validate().unwrap_err().path.starts_with("open_at"));
     assert!(AdmissionConfig { initial_limit: 0.0, ..AdmissionConfig::default() }.validate().is_err());
--- a/crates/startup/tests/backoff.rs
+++ b/crates/startup/tests/backoff.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused_by_name() {
+fn numbers_out_of_range_are_rejected_by_name() {
     let bad = BackoffConfig { multiplier: 0.5, ..BackoffConfig::GRPC };
     assert!(bad.validate().unwrap_err().path.starts_with("multiplier"));
     let bad = BackoffConfig { max_ms: 10.0, ..BackoffConfig::GRPC };
--- a/crates/startup/tests/config.rs
+++ b/crates/startup/tests/config.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn unknown_fields_and_numbers_out_of_range_are_refused_by_name() {
+fn unknown_fields_and_numbers_out_of_range_are_rejected_by_name() {
     let e = StartupConfig::parse("{ enabled: true, list: {} }").unwrap_err().to_string();
     assert!(e.contains("unknown field") && e.contains("list"), "{e}");
     let e = StartupConfig::parse("{ dials: { stage_ms: 900 } }").unwrap_err().to_string();
--- a/crates/startup/tests/endpoint_poller.rs
+++ b/crates/startup/tests/endpoint_poller.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused_by_name() {
+fn numbers_out_of_range_are_rejected_by_name() {
     let bad = EndpointPollerConfig { max_window_ms: 1_000.0, ..EndpointPollerConfig::default() };
     assert!(bad.validate().unwrap_err().path.starts_with("window_most_ms"));
     assert!(EndpointPollerConfig { engines_reject_while_draining: true, ..bad }.validate().is_ok());
--- a/crates/startup/tests/first_load.rs
+++ b/crates/startup/tests/first_load.rs
@@ -3,7 +3,7 @@
 use sprucelink_startup::first_load::FirstLoadConfig;
 
 #[test]
-fn ramp_reaches_the_whole_part_at_its_end() {
+fn ramp_reaches_the_full_fraction_at_its_end() {
     let (initial, seconds_to_rise_by_one) = FirstLoadConfig::default().ramp().expect("on");
     let fraction = |seconds: f64| (initial + seconds / seconds_to_rise_by_one).min(1.0);
     assert_eq!(fraction(0.0), 0.1);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused_by_name() {
+fn numbers_out_of_range_are_rejected_by_name() {
     let low = FirstLoadConfig { initial_fraction: 0.0, ramp_ms: 1.0 };
     assert!(low.validate().unwrap_err().path.starts_with("from"));
     let negative = FirstLoadConfig { initial_fraction: 0.5, ramp_ms: -1.0 };
--- a/crates/wal/src/directory_disk.rs
+++ b/crates/wal/src/directory_disk.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// A directory, with the file that was last appended to kept open.
+/// A directory. The file that was last appended to stays open.
 #[derive(Debug)]
 pub struct DirectoryDisk {
     path: PathBuf,
--- a/crates/wal/tests/golden.rs
+++ b/crates/wal/tests/golden.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_log_of_before_is_read_as_it_was_written() {
+fn log_of_an_earlier_release_is_read_as_it_was_written() {
     assert_eq!(opened("entries"), first_restored());
     let snapshot = Snapshot { index: 3, term: 2, data: b"all up to 3".to_vec() };
     let middle = Entry { index: 5, term: u64::MAX, data: vec![0, 255, 10] };
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_log_of_before_with_a_torn_last_write_is_cut_behind_the_one_before() {
+fn log_of_an_earlier_release_with_a_torn_last_write_is_truncated_behind_the_one_before() {
     let torn = opened("torn");
     let before = Recovered {
         sequence: 3,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_log_is_written_byte_for_byte_as_before() {
+fn log_is_written_byte_for_byte_as_by_an_earlier_release() {
     let dir = tempfile::tempdir().expect("a folder");
     written(dir.path(), &first_generation());
     assert_eq!(files(dir.path()), files(&golden("entries")));
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn directory_with_a_foreign_file_is_refused() {
+fn directory_with_a_foreign_file_is_rejected() {
     let directory = tempfile::tempdir().unwrap();
     std::fs::write(directory.path().join("notes.txt"), "mine").unwrap();
     let opened = Wal::open(DirectoryDisk::open(directory.path()).unwrap());
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn refused_write_leaves_nothing_and_can_be_repeated() {
+fn rejected_write_leaves_nothing_and_can_be_repeated() {
     let mut wal = filled_wal(FaultDisk::new(4), 3);
     wal.disk_mut().faults.disk_full = true;
     assert!(matches!(wal.write(&batch(4, 7, 2)), Err(WalError::WriteRejected(_))));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn lying_sync_loses_whole_batches_and_the_rest_is_recovered() {
+fn lying_sync_loses_complete_batches_and_the_rest_is_recovered() {
     let mut wal = filled_wal(FaultDisk::new(7), 4);
     wal.disk_mut().faults.lying_sync = true;
     wal.write(&batch(5, 9, 2)).unwrap();
--- a/crates/zone-failover/src/weights.rs
+++ b/crates/zone-failover/src/weights.rs
@@ -44,7 +44,7 @@
         by_health.min(by_load).clamp(0.0, 1.0)
     }
 
-    /// Cores that the zone can spare for others, with its overprovisioning kept free.
+    /// Cores that the zone can spare for others, with its overprovisioning left free.
     fn spare_cores(&self, config: &FailoverConfig) -> f64 {
         (self.healthy_cores / config.overprovisioning_factor - self.load).max(0.0)
     }
--- a/crates/zone-failover/src/zone_failover.rs
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -107,7 +107,7 @@
     }
 
     /// Updates whether this manager's own zone is isolated: all other zones are ejected while its own responds, so it is
-    /// this zone that is cut off, and not all the others that died.
+    /// this zone that is isolated, and not all the others that failed.
     fn update_isolation(&mut self, observations: &[ZoneObservation]) -> Option<FailoverEvent> {
         let zone = self.home?.zone;
         let own_responds = observations
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -147,7 +147,7 @@
         self.load
     }
 
-    /// Whether the zone was not listed for so long that nothing of it needs to be remembered.
+    /// Whether the zone has not been listed for [`CAPACITY_MEMORY`], so that its state can be dropped.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         now - self.known_cores_at > CAPACITY_MEMORY
     }
--- a/crates/zone-failover/tests/config.rs
+++ b/crates/zone-failover/tests/config.rs
@@ -4,7 +4,7 @@
 use sprucelink_zone_failover::config::FailoverConfig;
 
 #[test]
-fn settings_are_read_and_invalid_ones_are_refused_by_name() {
+fn settings_are_read_and_invalid_ones_are_rejected_by_name() {
     let text = "{ enabled: true, regions: { north: ['hall-a', 'hall-b'], south: ['hall-c'] } }";
     let config = FailoverConfig::parse(text).expect("read");
     let zones: Vec<String> = ["hall-a", "hall-c", "hall-b", "hall-d"].map(str::to_owned).to_vec();
--- a/crates/zone-failover/tests/failure_detector.rs
+++ b/crates/zone-failover/tests/failure_detector.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn suspicion_is_forgotten_after_its_longest_time() {
+fn suspicion_is_removed_at_its_maximum_age() {
     let mut detector = FailureDetector::default();
     detector.update(at(0), &[contact(1, 7, None, true)]);
     assert_eq!(detector.update(at(29_900), &[contact(1, 7, None, false)])[0], Unresponsive);
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -226,7 +226,7 @@
 /// From outside, a zone whose managers are alive but whose engines nobody reaches has lost its engines; one whose managers
 /// are gone, too, is isolated or dead.
 #[test]
-fn event_tells_whether_the_managers_of_an_ejected_zone_are_alive() {
+fn event_states_whether_the_managers_of_an_ejected_zone_are_alive() {
     for (live, note) in [(5, "its managers are alive"), (0, "its managers are silent, too")] {
         let mut failover = manager();
         play(&mut failover, 0, 1_000, &four());
