--- a/crates/membership/examples/model.rs
+++ b/crates/membership/examples/model.rs
@@ -3,10 +3,9 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Net, S};
+use common::SimulatedNetwork;
 use sprucelink_membership::MembershipEventKind;
 use sprucelink_membership::ProtocolConfig;
-use sprucelink_membership::TimeDelta;
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
     sorted
@@ -24,40 +23,43 @@
         };
         // Half an hour where that is affordable, less beyond: the line says what was run.
         let quiet: i64 = if n <= 200 { 1_800 } else { 120 };
-        let mut net = Net::new(n, ProtocolConfig::default(), 1);
-        let settled = net.converge(300).unwrap_or(f64::NAN);
-        let (bytes, messages, begun) = (net.bytes, net.messages, net.now);
-        net.run(net.now + TimeDelta::from_micros(60 * S));
-        let span = (net.now - begun).as_secs_f64() * n as f64;
-        let (bytes, messages) = ((net.bytes - bytes) as f64 / span, (net.messages - messages) as f64 / span);
+        let mut network = SimulatedNetwork::new(n, ProtocolConfig::default(), 1);
+        let settled = network.converge(300).unwrap_or(f64::NAN);
+        let (bytes, messages, begun) = (network.bytes, network.messages, network.now);
+        network.run_for(60);
+        let span = (network.now - begun).as_secs_f64() * n as f64;
+        let (bytes, messages) =
+            ((network.bytes - bytes) as f64 / span, (network.messages - messages) as f64 / span);
         // Crashes, one at a time.
         let crashes = 20.min(n / 2);
         let (mut first, mut all) = (Vec::new(), Vec::new());
         for k in 0..crashes {
-            let (i, at) = (n - 1 - k, net.now);
-            net.crash(i);
-            net.run(net.now + TimeDelta::from_micros(40 * S));
-            let reported = net.events_on(&format!("n{i}"), MembershipEventKind::Died, at);
+            let (i, at) = (n - 1 - k, network.now);
+            network.crash(i);
+            network.run_for(40);
+            let reported = network.events_on(&format!("n{i}"), MembershipEventKind::Died, at);
             first.extend(reported.iter().min().map(|t| (*t - at).as_secs_f64()));
             all.extend(reported.iter().max().map(|t| (*t - at).as_secs_f64()));
-            net.start(i);
-            net.converge(60);
+            network.start(i);
+            network.converge(60);
         }
         first.sort_by(f64::total_cmp);
         all.sort_by(f64::total_cmp);
         // One in ten lost.
-        net.loss = 0.1;
-        let since = net.now;
-        net.run(net.now + TimeDelta::from_micros(quiet * S));
-        let (dead, suspected) =
-            (net.count(MembershipEventKind::Died, since), net.count(MembershipEventKind::Suspected, since));
-        net.loss = 0.0;
-        net.converge(60);
+        network.loss = 0.1;
+        let since = network.now;
+        network.run_for(quiet);
+        let (dead, suspected) = (
+            network.event_count(MembershipEventKind::Died, since),
+            network.event_count(MembershipEventKind::Suspected, since),
+        );
+        network.loss = 0.0;
+        network.converge(60);
         // Two thirds and one third apart for a minute.
-        net.partition = Some((0..n).map(|i| i >= n * 2 / 3).collect());
-        net.run(net.now + TimeDelta::from_micros(60 * S));
-        net.partition = None;
-        let heal = net.converge(300).unwrap_or(f64::NAN);
+        network.partition = Some((0..n).map(|i| i >= n * 2 / 3).collect());
+        network.run_for(60);
+        network.partition = None;
+        let heal = network.converge(300).unwrap_or(f64::NAN);
         println!(
             "{n},{settled:.1},{crashes},{:.2},{:.2},{:.2},{:.2},{dead} in {quiet} s,{suspected},{bytes:.0},{messages:.1},{heal:.1}",
             quantile(&first, 0.5),
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,225 +1,290 @@
 //! A simulated network of members in virtual time: loss and delay by direction, partitions, crashes, stops and restarts,
-//! all from one seed. Messages pass through the codec where `coded` is set.
+//! all from one seed.
 #![allow(dead_code)]
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sprucelink_membership::{
     decode, encode, LocalMember, MembershipEvent, MembershipEventKind, Message, OutgoingMessage,
-    ProtocolConfig, SwimNode,
+    ProtocolConfig, SwimNode, TimeDelta, Timestamp,
 };
-use sprucelink_membership::{TimeDelta, Timestamp};
 use sprucelink_stable_hash::stable_hash;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
-pub const S: i64 = 1_000_000;
+/// Members in one simulated subnet.
+const SUBNET_MEMBERS: usize = 250;
+/// Messages that the socket buffer of a stopped member holds; further ones are lost.
+const SOCKET_BUFFER_MESSAGES: usize = 200;
+/// Shortest time between two ticks of a member.
+const MIN_TICK_INTERVAL: TimeDelta = TimeDelta::from_millis(1);
+/// Interval at which views are compared while a run waits for them to converge.
+const CONVERGENCE_CHECK: TimeDelta = TimeDelta::from_millis(100);
+/// Number of seeds of each member.
+const SEEDS: usize = 3;
+/// Delay of a datagram without faults, in microseconds.
+pub const USUAL_DELAY_MICROS: RangeInclusive<i64> = 500..=2_000;
 
-pub fn address(i: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250) as u8], 7_000))
+pub fn address(index: usize) -> SocketAddr {
+    let subnet = (index / SUBNET_MEMBERS) as u8;
+    let host = (index % SUBNET_MEMBERS) as u8;
+    SocketAddr::from(([10, 0, subnet, host], 7_000))
 }
 
-fn index(at: SocketAddr) -> usize {
-    match at {
-        SocketAddr::V4(a) => usize::from(a.ip().octets()[2]) * 250 + usize::from(a.ip().octets()[3]),
+fn index_of(address: SocketAddr) -> usize {
+    match address {
+        SocketAddr::V4(v4) => {
+            let [_, _, subnet, host] = v4.ip().octets();
+            usize::from(subnet) * SUBNET_MEMBERS + usize::from(host)
+        }
         SocketAddr::V6(_) => unreachable!("addresses of the model are IPv4"),
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
+    /// A tick of a member.
     Tick(usize),
-    Message(u64, usize),
+    /// The arrival of a message, by its key, at a member.
+    Arrival(u64, usize),
+}
+
+/// Loss of datagrams in one direction.
+pub struct DirectedLoss {
+    pub from: usize,
+    pub to: usize,
+    pub fraction: f64,
+}
+
+/// An event that a member reported.
+pub struct ObservedEvent {
+    pub observer: usize,
+    pub event: MembershipEvent,
 }
 
-pub struct Net {
+pub struct SimulatedNetwork {
     pub config: ProtocolConfig,
+    /// The members, `None` while their process does not run.
     pub nodes: Vec<Option<SwimNode>>,
     pub now: Timestamp,
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    pub delay: [i64; 2],
-    /// Fraction lost in one direction: from, to, fraction.
-    pub one_way: Vec<(usize, usize, f64)>,
+    pub delay_micros: RangeInclusive<i64>,
+    pub directed_loss: Option<DirectedLoss>,
     /// A partition: which members are on its second side.
     pub partition: Option<Vec<bool>>,
-    pub stopped: Vec<bool>,
-    pub coded: bool,
+    /// Members that are stopped, as by SIGSTOP.
+    pub is_stopped: Vec<bool>,
+    /// Whether messages pass through the codec.
+    pub uses_codec: bool,
     pub bytes: u64,
     pub messages: u64,
     /// A digest of all datagrams sent, in order.
-    pub trace: u64,
-    pub changes: Vec<(usize, MembershipEvent)>,
-    queue: BinaryHeap<Reverse<(Timestamp, u64, Due)>>,
-    flying: BTreeMap<u64, Message>,
-    waiting: Vec<Vec<Message>>,
+    pub datagram_digest: u64,
+    pub events: Vec<ObservedEvent>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, Scheduled)>>,
+    in_flight: BTreeMap<u64, Message>,
+    /// Messages that arrived at stopped members.
+    socket_buffers: Vec<Vec<Message>>,
     rng: ChaCha8Rng,
-    count: u64,
+    last_key: u64,
     seed: u64,
 }
 
-impl Net {
-    pub fn new(n: usize, config: ProtocolConfig, seed: u64) -> Net {
-        let mut net = Net {
+impl SimulatedNetwork {
+    /// All members start at time 0.
+    pub fn new(members: usize, config: ProtocolConfig, seed: u64) -> SimulatedNetwork {
+        let mut network = SimulatedNetwork {
             config,
-            nodes: (0..n).map(|_| None).collect(),
+            nodes: (0..members).map(|_| None).collect(),
             now: Timestamp::ZERO,
             loss: 0.0,
-            delay: [500, 2_000],
-            one_way: Vec::new(),
+            delay_micros: USUAL_DELAY_MICROS,
+            directed_loss: None,
             partition: None,
-            stopped: vec![false; n],
-            coded: false,
+            is_stopped: vec![false; members],
+            uses_codec: false,
             bytes: 0,
             messages: 0,
-            trace: 0,
-            changes: Vec::new(),
+            datagram_digest: 0,
+            events: Vec::new(),
             queue: BinaryHeap::new(),
-            flying: BTreeMap::new(),
-            waiting: (0..n).map(|_| Vec::new()).collect(),
+            in_flight: BTreeMap::new(),
+            socket_buffers: (0..members).map(|_| Vec::new()).collect(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            count: 0,
+            last_key: 0,
             seed,
         };
-        (0..n).for_each(|i| net.start(i));
-        net
-    }
-
-    /// Starts member `i`, or a new process under its name.
-    pub fn start(&mut self, i: usize) {
-        let generation = 1_000 + (self.now.as_micros() / 1_000) as u64;
-        let (name, zone) = (format!("n{i}"), format!("hall-{}", if i.is_multiple_of(2) { "a" } else { "b" }));
-        let me = LocalMember { name, generation, address: address(i), zone, region: "north".into() };
-        let seeds = (0..3).map(address).collect();
-        let seed = self.seed.wrapping_mul(31) ^ (i as u64) << 20 ^ generation;
-        self.nodes[i] = Some(SwimNode::new(me, seeds, self.config, seed, self.now));
-        self.stopped[i] = false;
-        self.push(self.now, Due::Tick(i));
-    }
-
-    pub fn crash(&mut self, i: usize) {
-        self.nodes[i] = None;
-    }
-
-    fn push(&mut self, at: Timestamp, due: Due) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count, due)));
-    }
-
-    fn passes(&mut self, from: usize, to: usize) -> bool {
-        let partition = self.partition.as_ref().is_some_and(|p| p[from] != p[to]);
-        let way = self.one_way.iter().find(|w| (w.0, w.1) == (from, to)).map_or(0.0, |w| w.2);
-        let lost = partition || self.rng.gen_bool(self.loss) || way > 0.0 && self.rng.gen_bool(way);
-        !lost
-    }
-
-    fn after(&mut self, i: usize) {
-        let Some(node) = &mut self.nodes[i] else { return };
-        self.changes.extend(node.take_events().into_iter().map(|c| (i, c)));
-        for OutgoingMessage { to, message } in node.take_outbox() {
-            let bytes = encode(&message).bytes;
-            (self.bytes, self.messages) = (self.bytes + bytes.len() as u64, self.messages + 1);
-            self.trace = stable_hash(&[&self.trace.to_be_bytes(), to.to_string().as_bytes(), &bytes]);
-            let message = if self.coded { decode(&bytes).expect("its own") } else { message };
-            let j = index(to);
-            if self.passes(i, j) {
-                let flight = self.rng.gen_range(self.delay[0]..=self.delay[1]);
-                self.count += 1;
-                let key = self.count;
-                self.flying.insert(key, message);
-                let at = Timestamp::from_micros(self.now.as_micros() + flight);
-                self.push(at, Due::Message(key, j));
-            }
+        (0..members).for_each(|index| network.start(index));
+        network
+    }
+
+    /// Starts a member, or a new process under its name.
+    pub fn start(&mut self, index: usize) {
+        let generation = 1_000 + self.now.as_millis() as u64;
+        let zone = if index.is_multiple_of(2) { "hall-a" } else { "hall-b" };
+        let local = LocalMember {
+            name: format!("n{index}"),
+            generation,
+            address: address(index),
+            zone: zone.into(),
+            region: "north".into(),
+        };
+        let seeds = (0..SEEDS).map(address).collect();
+        let rng_seed = self.seed.wrapping_mul(31) ^ (index as u64) << 20 ^ generation;
+        self.nodes[index] = Some(SwimNode::new(local, seeds, self.config, rng_seed, self.now));
+        self.is_stopped[index] = false;
+        self.schedule(self.now, Scheduled::Tick(index));
+    }
+
+    pub fn crash(&mut self, index: usize) {
+        self.nodes[index] = None;
+    }
+
+    fn next_key(&mut self) -> u64 {
+        self.last_key += 1;
+        self.last_key
+    }
+
+    fn schedule(&mut self, at: Timestamp, scheduled: Scheduled) {
+        let key = self.next_key();
+        self.queue.push(Reverse((at, key, scheduled)));
+    }
+
+    /// Whether a datagram arrives.
+    fn is_delivered(&mut self, from: usize, to: usize) -> bool {
+        if self.partition.as_ref().is_some_and(|side| side[from] != side[to]) {
+            return false;
+        }
+        if self.rng.gen_bool(self.loss) {
+            return false;
         }
-        if let Some(due) = self.nodes[i].as_ref().map(SwimNode::next_deadline) {
-            let at = due.max(Timestamp::from_micros(self.now.as_micros() + 1_000));
-            self.push(at, Due::Tick(i));
+        match &self.directed_loss {
+            Some(loss) if loss.from == from && loss.to == to => !self.rng.gen_bool(loss.fraction),
+            _ => true,
         }
     }
 
-    /// Resumes member `i` after a stop: what arrived meanwhile is read first, as from a socket's buffer.
-    pub fn resume(&mut self, i: usize) {
-        self.stopped[i] = false;
-        let waiting = std::mem::take(&mut self.waiting[i]);
-        if let Some(node) = &mut self.nodes[i] {
+    /// Takes a member's events and messages, and schedules its next tick.
+    fn collect_output(&mut self, index: usize) {
+        let Some(node) = &mut self.nodes[index] else { return };
+        let events = node.take_events();
+        let outbox = node.take_outbox();
+        let deadline = node.next_deadline();
+        self.events.extend(events.into_iter().map(|event| ObservedEvent { observer: index, event }));
+        for outgoing in outbox {
+            self.send(index, outgoing);
+        }
+        let at = deadline.max(self.now + MIN_TICK_INTERVAL);
+        self.schedule(at, Scheduled::Tick(index));
+    }
+
+    fn send(&mut self, from: usize, outgoing: OutgoingMessage) {
+        let OutgoingMessage { to, message } = outgoing;
+        let bytes = encode(&message).bytes;
+        self.bytes += bytes.len() as u64;
+        self.messages += 1;
+        let previous = self.datagram_digest.to_be_bytes();
+        self.datagram_digest = stable_hash(&[&previous, to.to_string().as_bytes(), &bytes]);
+        let message = if self.uses_codec { decode(&bytes).expect("its own") } else { message };
+        let receiver = index_of(to);
+        if self.is_delivered(from, receiver) {
+            let delay = TimeDelta::from_micros(self.rng.gen_range(self.delay_micros.clone()));
+            let key = self.next_key();
+            self.in_flight.insert(key, message);
+            self.schedule(self.now + delay, Scheduled::Arrival(key, receiver));
+        }
+    }
+
+    /// Resumes a member after a stop: it ticks, then reads what arrived meanwhile, as from a socket's buffer.
+    pub fn resume(&mut self, index: usize) {
+        self.is_stopped[index] = false;
+        let buffered = std::mem::take(&mut self.socket_buffers[index]);
+        if let Some(node) = &mut self.nodes[index] {
             node.tick(self.now);
-            waiting.into_iter().for_each(|m| node.receive(self.now, m));
+            for message in buffered {
+                node.receive(self.now, message);
+            }
         }
-        self.after(i);
+        self.collect_output(index);
     }
 
     /// Time passes, up to `until`.
     pub fn run(&mut self, until: Timestamp) {
-        while let Some(Reverse((at, _, _))) = self.queue.peek() {
-            if *at > until {
-                break;
-            }
-            let Some(Reverse((at, _, due))) = self.queue.pop() else { break };
+        while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= until) {
+            let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { break };
             self.now = self.now.max(at);
-            match due {
-                Due::Tick(i) => {
-                    let Some(node) = self.nodes[i].as_mut().filter(|_| !self.stopped[i]) else { continue };
-                    // Ticks scheduled before something else happened come too early and are skipped.
-                    if node.next_deadline() > self.now {
-                        continue;
-                    }
-                    node.tick(self.now);
-                    self.after(i);
-                }
-                Due::Message(key, i) => {
-                    let Some(message) = self.flying.remove(&key) else { continue };
-                    if self.stopped[i] {
-                        // A socket's buffer is bounded, too.
-                        if self.waiting[i].len() < 200 {
-                            self.waiting[i].push(message);
-                        }
-                        continue;
-                    }
-                    if let Some(node) = &mut self.nodes[i] {
-                        node.receive(self.now, message);
-                        self.after(i);
-                    }
-                }
+            match scheduled {
+                Scheduled::Tick(index) => self.tick(index),
+                Scheduled::Arrival(key, index) => self.deliver(key, index),
             }
         }
         self.now = until;
     }
 
-    pub fn live(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|i| self.nodes[*i].is_some()).collect()
+    /// Time passes by a number of seconds.
+    pub fn run_for(&mut self, seconds: i64) {
+        self.run(self.now + TimeDelta::from_secs(seconds));
+    }
+
+    fn tick(&mut self, index: usize) {
+        let Some(node) = self.nodes[index].as_mut().filter(|_| !self.is_stopped[index]) else { return };
+        // Ticks that were scheduled before something else happened come too early and are skipped.
+        if node.next_deadline() > self.now {
+            return;
+        }
+        node.tick(self.now);
+        self.collect_output(index);
+    }
+
+    fn deliver(&mut self, key: u64, index: usize) {
+        let Some(message) = self.in_flight.remove(&key) else { return };
+        if self.is_stopped[index] {
+            let buffer = &mut self.socket_buffers[index];
+            if buffer.len() < SOCKET_BUFFER_MESSAGES {
+                buffer.push(message);
+            }
+            return;
+        }
+        if let Some(node) = &mut self.nodes[index] {
+            node.receive(self.now, message);
+            self.collect_output(index);
+        }
     }
 
     /// Whether the view of every running member is the set of running members.
-    pub fn agree(&self) -> bool {
-        let live = self.live();
-        let views: Vec<(u64, usize)> = live
-            .iter()
-            .filter_map(|i| self.nodes[*i].as_ref())
-            .map(|s| (s.digest(), s.live_count()))
-            .collect();
-        views.iter().all(|v| v.0 == views[0].0 && v.1 == live.len())
-    }
-
-    /// Runs until all agree, at most this many seconds; returns how long that took.
-    pub fn converge(&mut self, max_s: i64) -> Option<f64> {
+    pub fn views_agree(&self) -> bool {
+        let running: Vec<&SwimNode> = self.nodes.iter().flatten().collect();
+        let Some(first) = running.first() else { return true };
+        let digest = first.digest();
+        running.iter().all(|node| node.digest() == digest && node.live_count() == running.len())
+    }
+
+    /// Runs until all views agree, at most this many seconds; returns how long that took, in seconds.
+    pub fn converge(&mut self, max_seconds: i64) -> Option<f64> {
         let begun = self.now;
-        for _ in 0..max_s * 10 {
-            if self.agree() {
+        let end = begun + TimeDelta::from_secs(max_seconds);
+        while self.now < end {
+            if self.views_agree() {
                 return Some((self.now - begun).as_secs_f64());
             }
-            self.run(self.now + TimeDelta::from_micros(S / 10));
+            self.run(self.now + CONVERGENCE_CHECK);
         }
         None
     }
 
-    /// When members reported an event on member `name`, from a time on.
+    /// When members reported an event on the member `name`, from a time on.
     pub fn events_on(&self, name: &str, kind: MembershipEventKind, since: Timestamp) -> Vec<Timestamp> {
-        let of = |c: &&(usize, MembershipEvent)| c.1.member == name && c.1.kind == kind && c.1.at >= since;
-        self.changes.iter().filter(of).map(|c| c.1.at).collect()
+        let events = self.events.iter().map(|observed| &observed.event);
+        let matching = events.filter(|event| event.member == name && event.kind == kind && event.at >= since);
+        matching.map(|event| event.at).collect()
     }
 
     /// The number of events of a kind from a time on.
-    pub fn count(&self, kind: MembershipEventKind, since: Timestamp) -> usize {
-        self.changes.iter().filter(|c| c.1.kind == kind && c.1.at >= since).count()
+    pub fn event_count(&self, kind: MembershipEventKind, since: Timestamp) -> usize {
+        let events = self.events.iter().map(|observed| &observed.event);
+        events.filter(|event| event.kind == kind && event.at >= since).count()
     }
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -2,7 +2,7 @@
 //! run sends the datagrams that it sent then.
 mod common;
 
-use common::{Net, S};
+use common::SimulatedNetwork;
 use sprucelink_membership::GossipPayload;
 use sprucelink_membership::ProtocolConfig;
 use sprucelink_membership::Timestamp;
@@ -95,21 +95,25 @@
         (77, (1_595_921, 20_007, 2_561, 0xd3ef_9589_8267_8a5b)),
     ];
     for (seed, expected) in recorded {
-        let mut net = Net::new(20, ProtocolConfig::default(), seed);
-        net.loss = 0.15;
-        net.coded = true;
-        net.run(Timestamp::from_micros(30 * S));
-        net.crash(7);
-        net.stopped[4] = true;
-        net.partition = Some((0..20).map(|i| i >= 14).collect());
-        net.run(Timestamp::from_micros(90 * S));
-        net.partition = None;
-        net.resume(4);
-        net.start(7);
-        if let Some(node) = &mut net.nodes[6] {
+        let mut network = SimulatedNetwork::new(20, ProtocolConfig::default(), seed);
+        network.loss = 0.15;
+        network.uses_codec = true;
+        network.run(Timestamp::from_secs(30));
+        network.crash(7);
+        network.is_stopped[4] = true;
+        network.partition = Some((0..20).map(|i| i >= 14).collect());
+        network.run(Timestamp::from_secs(90));
+        network.partition = None;
+        network.resume(4);
+        network.start(7);
+        if let Some(node) = &mut network.nodes[6] {
             node.leave();
         }
-        net.run(Timestamp::from_micros(150 * S));
-        assert_eq!((net.bytes, net.messages, net.changes.len(), net.trace), expected, "seed {seed}");
+        network.run(Timestamp::from_secs(150));
+        assert_eq!(
+            (network.bytes, network.messages, network.events.len(), network.datagram_digest),
+            expected,
+            "seed {seed}"
+        );
     }
 }
