--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -13,19 +13,36 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// Who asked for a cordon, as its record says.
+/// Origin of a cordon that its record names.
 const CORDON_ORIGIN: &str = "by the operators' address";
 
+/// The limit on descriptors is divided by this for the admin connections.
+const CONNECTIONS_DIVISOR: usize = 16;
+/// Fewest admin connections that the limit allows.
+const MIN_CONNECTIONS: usize = 4;
+/// Most admin connections that the limit allows.
+const MAX_CONNECTIONS: usize = 32;
+/// Longest time that an admin call may take to arrive.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time that its response may take to be written.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time that a connection is kept after its response, so that the caller can read it.
+const LINGER: Duration = Duration::from_millis(500);
+/// Admin connections accepted in a second, on average.
+const ACCEPTS_PER_SECOND: u32 = 500;
+/// Admin connections accepted at once after a quiet time.
+const ACCEPT_BURST: u32 = 256;
+
 /// Limits of the admin address in a process that may hold this many descriptors. Operators, health checks and scrapers
-/// are a handful, and each connection is a descriptor that clients and engines go without.
+/// need few connections, and each of them is a descriptor that clients and engines cannot use.
 pub fn limits(sockets: usize) -> Limits {
     Limits {
-        max_connections: (sockets / 16).clamp(4, 32),
-        request_timeout: Duration::from_secs(2),
-        response_timeout: Duration::from_secs(2),
-        linger: Duration::from_millis(500),
-        accepts_per_second: 500,
-        accept_burst: 256,
+        max_connections: (sockets / CONNECTIONS_DIVISOR).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS),
+        request_timeout: REQUEST_TIMEOUT,
+        response_timeout: RESPONSE_TIMEOUT,
+        linger: LINGER,
+        accepts_per_second: ACCEPTS_PER_SECOND,
+        accept_burst: ACCEPT_BURST,
     }
 }
 
@@ -83,7 +100,7 @@
         Ok(())
     }
 
-    /// Answers a call that changed, or was to change, a cordon.
+    /// The response to a call that sets or ends a cordon, after its result is recorded for a hot restart.
     fn complete(
         &self,
         engine: &str,
@@ -91,9 +108,9 @@
     ) -> Result<OperationOutcome, OperationError> {
         let outcome = outcome.map_err(|error| {
             warn!(engine_id = engine, %error, "cordon call rejected");
-            refusal(&error)
+            rejection(&error)
         });
-        // Written before the answer: a cordon has to hold in the process that follows this one.
+        // Written before the response: a confirmed cordon must survive the end of this process.
         if let (Ok(_), Some(hot_restart)) = (&outcome, &self.hot_restart) {
             hot_restart.record_cordons().map_err(|error| {
                 OperationError::Unavailable(format!("it holds here and is not on record: {error}"))
@@ -108,8 +125,8 @@
     }
 }
 
-/// The answer to a call that the cordons rejected.
-fn refusal(error: &CordonError) -> OperationError {
+/// The response to a call that the cordons rejected.
+fn rejection(error: &CordonError) -> OperationError {
     match error {
         CordonError::NeverListed | CordonError::InvalidTarget => OperationError::Unknown,
         CordonError::TooManyCordons | CordonError::InvalidLease => {
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -33,7 +33,7 @@
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Pause before a certificate that could not be saved is written again.
 const SAVE_RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// Longest sleep between two looks at the clock: machines are suspended, and clocks are set.
+/// Longest sleep before the wall clock is read again: a suspended machine or a clock that was set moves the renewal.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Pauses after failed orders: each is twice the one before.
@@ -134,7 +134,7 @@
     is_usable.then_some(certificate)
 }
 
-/// Writes the certificate to disk where there is a folder for it; false if it has to be tried again.
+/// Writes the certificate to disk where there is a folder for it; false if it has to be written again.
 fn save(config: &CertificateConfig, certificate: &Certificate) -> bool {
     let Some(folder) = &config.store else { return true };
     let saved = store::save(folder, certificate);
--- a/src/run/certificates/order.rs
+++ b/src/run/certificates/order.rs
@@ -69,7 +69,7 @@
     let (account, credentials) = created.map_err(OrderError::Account)?;
     if let Some(folder) = &config.store {
         let credentials = serde_json::to_value(&credentials)?;
-        // The certificate is worth more than the account: a folder that cannot be written must not hold it up.
+        // A folder that cannot be written must not delay the certificate: a lost account is replaced by the next order.
         if let Err(error) = store::save_account(folder, &config.directory, credentials) {
             warn!(%error, "account not saved, the next order creates another");
         }
--- a/src/run/certificates/store.rs
+++ b/src/run/certificates/store.rs
@@ -9,13 +9,13 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Key and certificate stand in one file, so that neither is ever there without the other.
+/// Name of the file of key and certificate: one file, so that neither is ever stored without the other.
 const CERTIFICATE_FILE: &str = "certificate.pem";
-/// The account and the directory of its authority, JSON.
+/// Name of the file of the account and the directory of its authority (JSON).
 const ACCOUNT_FILE: &str = "account.json";
-/// Between the key and the chain.
+/// Separates the key from the chain in the certificate file.
 const SEPARATOR: &str = "\n\n";
-/// Only the owner may read: the files hold keys.
+/// Mode of the files: only the owner may read them, since they hold keys.
 const FILE_MODE: u32 = 0o600;
 
 /// Reads the certificate.
@@ -37,7 +37,7 @@
     write_private(&folder.join(CERTIFICATE_FILE), &text)
 }
 
-/// The account, where it belongs to the authority of this directory: at another it is worth nothing.
+/// The account, where it belongs to the authority of this directory: another authority does not know it.
 pub fn load_account(folder: &Path, directory: &str) -> Option<AccountCredentials> {
     let text = std::fs::read_to_string(folder.join(ACCOUNT_FILE)).ok()?;
     let account: Value = serde_json::from_str(&text).ok()?;
--- a/src/run/cli/parser.rs
+++ b/src/run/cli/parser.rs
@@ -10,7 +10,7 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-/// Most replays that `--times` may ask for.
+/// Highest number of replays that `--times` accepts.
 const MAX_REPLAYS: u32 = 10_000;
 /// Seconds before and after a moment that `capture cut` keeps by default.
 const DEFAULT_CUT_S: f64 = 2.0;
@@ -30,7 +30,7 @@
             Arg::Short('h') => "help".to_owned(),
             Arg::Short('V') => "version".to_owned(),
             Arg::Value(value) => {
-                arguments.words.push(value.string()?);
+                arguments.positional.push(value.string()?);
                 continue;
             }
             other => return Err(other.unexpected().into()),
@@ -44,8 +44,8 @@
 /// All arguments as given; the options of all sub-commands together.
 #[derive(Default)]
 struct Arguments {
-    /// Arguments that are no options: the sub-command's name and what follows it.
-    words: Vec<String>,
+    /// Positional arguments: the sub-command's name and what follows it.
+    positional: Vec<String>,
     /// Names of the options given.
     options: Vec<String>,
     help: bool,
@@ -148,13 +148,13 @@
 
     /// The command that the arguments ask for, where they fit its sub-command.
     fn into_command(self) -> Result<Command, CliError> {
-        if self.version && self.words.is_empty() {
+        if self.version && self.positional.is_empty() {
             return Ok(Command::Version);
         }
-        if self.help && self.words.is_empty() {
+        if self.help && self.positional.is_empty() {
             return Ok(Command::Help(None));
         }
-        let (subcommand, arguments) = find_subcommand(&self.words)?;
+        let (subcommand, arguments) = find_subcommand(&self.positional)?;
         if self.help {
             return Ok(Command::Help(Some(subcommand.name)));
         }
@@ -230,15 +230,15 @@
     }
 }
 
-/// The sub-command that the words name, and the words behind its name.
-fn find_subcommand(words: &[String]) -> Result<(&'static Subcommand, &[String]), CliError> {
-    let first = words.first().ok_or(CliError::MissingCommand)?;
-    let first_two = words.get(1).map(|second| format!("{first} {second}"));
+/// The sub-command that the positional arguments name, and those that follow its name.
+fn find_subcommand(positional: &[String]) -> Result<(&'static Subcommand, &[String]), CliError> {
+    let first = positional.first().ok_or(CliError::MissingCommand)?;
+    let first_two = positional.get(1).map(|second| format!("{first} {second}"));
     if let Some(subcommand) = first_two.as_deref().and_then(Subcommand::by_name) {
-        return Ok((subcommand, &words[2..]));
+        return Ok((subcommand, &positional[2..]));
     }
     if let Some(subcommand) = Subcommand::by_name(first) {
-        return Ok((subcommand, &words[1..]));
+        return Ok((subcommand, &positional[1..]));
     }
     let is_family = FAMILIES.contains(&first.as_str());
     let unknown = first_two.filter(|_| is_family).unwrap_or_else(|| first.clone());
--- a/src/run/cli/subcommands.rs
+++ b/src/run/cli/subcommands.rs
@@ -33,7 +33,7 @@
     pub name: &'static str,
     /// Which one it is.
     pub id: SubcommandId,
-    /// Names of the options that it takes, without dashes.
+    /// Names of its options, without dashes.
     pub options: &'static [&'static str],
     /// Arguments behind its name, at most.
     pub max_arguments: usize,
@@ -49,7 +49,7 @@
         SUBCOMMANDS.iter().find(|subcommand| subcommand.name == name)
     }
 
-    /// Whether it takes an option, named without dashes.
+    /// Whether it has an option; `option` is the name without dashes.
     pub fn has_option(&self, option: &str) -> bool {
         self.options.contains(&option)
     }
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a whole capture for the sub-commands, and warns of what is damaged.
+//! Reads a complete capture for the sub-commands, and warns of damaged parts.
 
 use super::CaptureError;
 use crate::run::error::{with_causes, BoxError};
@@ -17,7 +17,7 @@
     pub reason: String,
 }
 
-/// A capture that was read whole.
+/// A capture that was read completely.
 pub struct Capture {
     /// Its segments, in order.
     pub segments: Vec<Segment>,
--- a/src/run/commands/capture_verify.rs
+++ b/src/run/commands/capture_verify.rs
@@ -13,7 +13,7 @@
 /// Checks each case of the files or folders; a mismatch is a rule that is broken.
 ///
 /// # Errors
-/// A file that cannot be read whole or replayed.
+/// A file that cannot be read completely or replayed.
 pub fn run(paths: &[PathBuf], as_json: bool) -> Result<CommandOutcome, CaptureError> {
     let mut all_hold = true;
     for path in paths {
--- a/src/run/commands/error.rs
+++ b/src/run/commands/error.rs
@@ -45,7 +45,7 @@
     /// The capture library rejected the capture or the question; its message names file and reason.
     #[error(transparent)]
     Library(#[from] BoxError),
-    /// No file of the capture holds a whole segment.
+    /// No file of the capture holds a complete segment.
     #[error("no segment can be used")]
     NoSegment,
     /// The span asked for lies outside the capture.
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -44,14 +44,14 @@
     capture.segments.iter().filter(overlaps).collect()
 }
 
-/// What all replays of all segments came to.
+/// The results of all replays of all segments.
 #[derive(Default)]
 struct ReplayReport {
     segments: usize,
     /// Sum over the segments of the first replay.
     total: ReplaySummary,
     /// The first divergence, and the number of its segment.
-    first: Option<(u64, Divergence)>,
+    first_divergence: Option<(u64, Divergence)>,
     /// Segments that diverged.
     diverged_segments: usize,
     /// Recorded time that was replayed.
@@ -61,7 +61,7 @@
     /// Seconds that one replay took, on average.
     duration_s: f64,
     /// How the build that recorded the first segment differs from this one.
-    other_build: Vec<String>,
+    build_differences: Vec<String>,
 }
 
 impl ReplayReport {
@@ -84,8 +84,9 @@
         for (kind, count) in summary.differing_by_kind {
             *self.total.differing_by_kind.entry(kind).or_default() += count;
         }
-        if self.first.is_none() {
-            self.first = summary.first_divergence.map(|divergence| (segment.head.segment, divergence));
+        if self.first_divergence.is_none() {
+            self.first_divergence =
+                summary.first_divergence.map(|divergence| (segment.head.segment, divergence));
         }
         if self.total.panic.is_none() {
             self.total.panic = summary.panic;
@@ -120,8 +121,8 @@
         report.digests.push(digest);
     }
     report.duration_s = began.elapsed().as_secs_f64() / f64::from(options.times);
-    if report.first.is_some() {
-        report.other_build = segments[0].build_differences();
+    if report.first_divergence.is_some() {
+        report.build_differences = segments[0].build_differences();
     }
     Ok(report)
 }
@@ -131,12 +132,12 @@
     let result = json!({
         "same": report.is_same(), "segments": report.segments, "events": total.events,
         "differ": total.differing_events, "segments_differ": report.diverged_segments, "by_kind": total.differing_by_kind,
-        "first": report.first.as_ref().map(|(_, divergence)| divergence),
+        "first": report.first_divergence.as_ref().map(|(_, divergence)| divergence),
         "digest": format!("{:016x}", report.digests[0]), "times": options.times,
         "alike": report.is_repeatable(),
         "panicked": total.panic.as_ref().map(|panic| &panic.message),
         "treatment": options.outcome_policy, "span_s": report.span.as_secs_f64(),
-        "took_s": report.duration_s, "other_build": report.other_build,
+        "took_s": report.duration_s, "other_build": report.build_differences,
     });
     print_line(&result.to_string());
 }
@@ -151,8 +152,8 @@
         span / report.duration_s.max(MIN_DURATION_S),
         report.digests[0]
     ));
-    if let Some((segment, divergence)) = &report.first {
-        print_divergence(*segment, divergence, &report.other_build);
+    if let Some((segment, divergence)) = &report.first_divergence {
+        print_divergence(*segment, divergence, &report.build_differences);
         if options.against {
             print_differences(report);
         }
@@ -168,7 +169,7 @@
     }
 }
 
-fn print_divergence(segment: u64, divergence: &Divergence, other_build: &[String]) {
+fn print_divergence(segment: u64, divergence: &Divergence, build_differences: &[String]) {
     print_line(&format!(
         "diverged in segment {segment} at record {}, {}:\n  event    {}\n  expected {}\n  got      {}",
         divergence.record,
@@ -177,7 +178,7 @@
         divergence.expected,
         divergence.got
     ));
-    other_build.iter().for_each(|reason| print_line(&format!("  {reason}")));
+    build_differences.iter().for_each(|reason| print_line(&format!("  {reason}")));
 }
 
 fn print_differences(report: &ReplayReport) {
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -25,6 +25,10 @@
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 1.0;
 /// Seconds after which an idle engine connection is closed where the configuration does not say.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
+/// The limit on descriptors is divided by this for the connections to one engine.
+const CONNECTIONS_PER_ENGINE_DIVISOR: usize = 32;
+/// Lowest limit on the connections to one engine.
+const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
 
 /// The endpoint events that a configuration holds.
 pub struct KnownEndpoints {
@@ -34,7 +38,7 @@
     pub events: Vec<ListEvent>,
 }
 
-/// Everything that a start needs of the configuration.
+/// Everything that a start needs from the configuration.
 pub struct Config {
     /// This manager's name, the same after a restart; empty where none is configured.
     pub name: String,
@@ -58,13 +62,13 @@
     pub kind_names: Vec<String>,
     /// Descriptors that the process may hold.
     pub sockets: usize,
-    /// How they are divided.
+    /// How the descriptors are divided.
     pub descriptors: DescriptorBudget,
     /// Limits of engine connections.
     pub connection_limits: ConnectionLimits,
-    /// What the platform's front is set up with.
+    /// Configuration of the platform's front.
     pub front: FrontConfig,
-    /// Buffers that the memory limit leaves room for.
+    /// Number of buffers that fit into the memory limit.
     pub buffers: usize,
 }
 
@@ -96,10 +100,10 @@
         let reason = ErrorReason::TooFewDescriptors { limit: error.limit, needed: error.sufficient };
         Error::at_path("limits.sockets", reason)
     })?;
-    let buffers = buffers(platform.limits.memory_mb.0)?;
+    let buffers = buffer_count(platform.limits.memory_mb.0)?;
     Ok(Config {
         connection_limits: connection_limits(&platform, &settings, sockets, &descriptors),
-        front: front_setup(&platform, &settings, &descriptors),
+        front: front_config(&platform, &settings, &descriptors),
         zone_names: names(&platform.settings.zone_names),
         kind_names: names(&platform.settings.kind_names),
         name: platform.name,
@@ -119,13 +123,13 @@
     })
 }
 
-/// Names of a list that has no gaps: empty names are left out.
-fn names(words: &[Text]) -> Vec<String> {
-    words.iter().filter(|word| !word.0.is_empty()).map(|word| word.0.clone()).collect()
+/// The names of a list; empty ones are left out.
+fn names(texts: &[Text]) -> Vec<String> {
+    texts.iter().filter(|text| !text.0.is_empty()).map(|text| text.0.clone()).collect()
 }
 
-/// Buffers for a memory limit in megabytes.
-fn buffers(memory_mb: Option<u64>) -> Result<usize, Error> {
+/// Number of buffers for a memory limit in megabytes.
+fn buffer_count(memory_mb: Option<u64>) -> Result<usize, Error> {
     if memory_mb == Some(0) {
         return Err(Error::at_path("limits.memory_mb", ErrorReason::NoMemory));
     }
@@ -145,12 +149,12 @@
         dial_timeout: TimeDelta::from_secs_f64(limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_S)),
         idle_timeout: TimeDelta::from_secs_f64(limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT_S)),
         note_interval: settings.progress_interval,
-        max_per_engine: (sockets / 32).max(2),
+        max_per_engine: (sockets / CONNECTIONS_PER_ENGINE_DIVISOR).max(MIN_CONNECTIONS_PER_ENGINE),
         max_total: descriptors.engine_connections,
     }
 }
 
-fn front_setup(
+fn front_config(
     platform: &PlatformConfig<events::ConfiguredEvent>,
     settings: &Settings,
     descriptors: &DescriptorBudget,
--- a/src/run/descriptor_budget.rs
+++ b/src/run/descriptor_budget.rs
@@ -1,11 +1,23 @@
 //! How the file descriptors that the process may hold are divided among those that use them.
 
-/// Descriptors that the process holds regardless of load, at most: three standard streams, seven of the runtime (its
+/// Descriptors that the process needs regardless of load, at most: three standard streams, seven of the runtime (its
 /// poll, the waker, signals), the clients' listener, the membership's socket, the connection to the control feed, and
 /// three files: a configuration read again, a capture, the hot restart's state.
 const OWN_DESCRIPTORS: usize = 16;
 /// Sixteenths of the shared descriptors that sessions may hold; engine connections get the rest.
 const SESSION_SIXTEENTHS: usize = 10;
+/// The limit is divided by this for connections without a session slot.
+const HANDSHAKES_DIVISOR: usize = 16;
+/// Fewest connections without a session slot.
+const MIN_HANDSHAKES: usize = 4;
+/// Most connections without a session slot.
+const MAX_HANDSHAKES: usize = 24;
+/// The limit is divided by this for sessions that are draining.
+const DRAINING_DIVISOR: usize = 64;
+/// Fewest descriptors for sessions that are draining.
+const MIN_DRAINING: usize = 2;
+/// Most descriptors for sessions that are draining.
+const MAX_DRAINING: usize = 8;
 /// Fewest shared descriptors that are enough to serve with: five sessions and three engine connections.
 const MIN_SHARED: usize = 8;
 
@@ -47,7 +59,7 @@
     pub sufficient: usize,
 }
 
-/// What is set aside before sessions and engine connections share the rest.
+/// Descriptors set aside before sessions and engine connections share the rest.
 struct FixedPart {
     handshakes: usize,
     draining: usize,
@@ -73,8 +85,8 @@
 impl FixedPart {
     /// The fixed part of a limit; `None` where it leaves too few to share.
     fn of(limit: usize, reserved: usize) -> Option<FixedPart> {
-        let handshakes = (limit / 16).clamp(4, 24);
-        let draining = (limit / 64).clamp(2, 8);
+        let handshakes = (limit / HANDSHAKES_DIVISOR).clamp(MIN_HANDSHAKES, MAX_HANDSHAKES);
+        let draining = (limit / DRAINING_DIVISOR).clamp(MIN_DRAINING, MAX_DRAINING);
         let shared = limit.checked_sub(OWN_DESCRIPTORS + reserved + handshakes + draining)?;
         (shared >= MIN_SHARED).then_some(FixedPart { handshakes, draining, shared })
     }
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -1,8 +1,8 @@
 //! Drives hot restarts: a second process beside the first, on the same listening socket, counting with it as one
 //! workload manager.
 //!
-//! `sprucelink_hot_restart` decides which process accepts connections and what each may spend, and keeps the files by
-//! which they know of each other; here its decisions are carried out.
+//! `sprucelink_hot_restart` decides which process accepts connections and which part of the budgets each may spend, and
+//! keeps the state files by which they know of each other; this driver carries its decisions out.
 
 use crate::core::{machine_clock_offset, now, Core};
 use crate::front::Front;
@@ -20,21 +20,21 @@
 use tokio::time::sleep;
 use tracing::{debug, error, info, warn, Level};
 
-/// Most hashes of engine ids that are handed on; a file has room for more, and cordons go before them.
+/// Most hashes of engine ids that a state file passes on, so that the cordons always fit into the file.
 const MAX_ENGINE_IDS: usize = 16_384;
 
-/// Tells one start of the machine from the next.
+/// File with an id that changes with each start of the machine.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
 /// Among how many processes the manager's budgets are divided, as last set in the core.
 #[derive(Clone, Copy)]
 struct BudgetParts {
     parts: u32,
-    /// Since when fewer would be enough.
+    /// Since when fewer parts would be enough.
     fewer_since: Option<Timestamp>,
 }
 
-/// What the last log line said of this process.
+/// The state that was last logged.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LoggedState {
     phase: Phase,
@@ -42,10 +42,10 @@
     is_unacknowledged: bool,
 }
 
-/// What a write was for; it decides how serious a failure is.
+/// Why the state file is written; it decides the log level of a failure.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteReason {
-    /// The regular refresh: the next one follows.
+    /// The regular refresh, which is repeated soon.
     Refresh,
     /// An operator's cordon, whose call waits for the answer.
     Cordon,
@@ -68,15 +68,15 @@
     budget_parts: Cell<BudgetParts>,
     logged: Cell<Option<LoggedState>>,
     /// Process ids of the other processes that were alive at the last scan.
-    living: RefCell<BTreeSet<u32>>,
-    /// Process ids of those whose last file announced their end.
-    ended: RefCell<BTreeSet<u32>>,
+    live_peers: RefCell<BTreeSet<u32>>,
+    /// Process ids of the other processes that announced their end.
+    terminated_peers: RefCell<BTreeSet<u32>>,
     wake: Notify,
 }
 
 impl HotRestartDriver {
-    /// Adopts what earlier processes have left, before anything is served. `name` and `listen` tell this manager from
-    /// others that share the folder.
+    /// Merges the state of earlier processes, before anything is served. `name` and `listen` distinguish this manager
+    /// from others that share the folder.
     pub fn start(core: Rc<Core>, name: &str, listen: &str, windows: WindowSpans) -> Rc<HotRestartDriver> {
         let instance = Instance { name: name.to_owned(), listen: listen.to_owned() };
         let pid = std::process::id();
@@ -94,11 +94,11 @@
             is_stopping: Cell::new(false),
             budget_parts: Cell::new(BudgetParts { parts: 1, fewer_since: None }),
             logged: Cell::new(None),
-            living: RefCell::default(),
-            ended: RefCell::default(),
+            live_peers: RefCell::default(),
+            terminated_peers: RefCell::default(),
             wake: Notify::new(),
         });
-        driver.adopt_files(scan, Level::INFO);
+        driver.merge_files(scan, Level::INFO);
         driver
     }
 
@@ -122,7 +122,7 @@
     /// Writes an operator's cordons, before the call is answered.
     ///
     /// # Errors
-    /// A file that could not be written: the cordon holds in this process alone.
+    /// A file that could not be written: the cordon is in force in this process alone.
     pub fn record_cordons(&self) -> Result<(), WriteError> {
         self.write(WriteReason::Cordon)
     }
@@ -148,14 +148,14 @@
 
     fn step(&self, front: &Front) {
         let scan = self.state_files.borrow_mut().scan(now());
-        self.adopt_files(scan, Level::DEBUG);
+        self.merge_files(scan, Level::DEBUG);
         self.core.expire_cordons();
         let is_stopping = self.is_stopping.get();
         let status = self.state_files.borrow_mut().step(now(), is_stopping, self.is_ready.get()).clone();
         self.log_state(&status);
         self.log_unresponsive();
-        // A process that drains sends hardly anything more, and its successor meets all that arrives: the division of
-        // budgets counts for the successor alone.
+        // A draining process sends hardly any more requests while its successor receives all new ones: the division of
+        // budgets limits the successor alone.
         let is_draining = matches!(status.phase, Phase::ServingBesideSuccessor | Phase::Draining);
         self.divide_budgets(if is_draining { status.budget_parts } else { 1 });
         front.set_accepting(status.accepts_connections);
@@ -163,13 +163,13 @@
             front.drain_sessions(idle);
         }
         if self.state_files.borrow().is_write_due(now()) {
-            // A failure is logged there, and the next refresh tries again.
+            // A failure is logged there, and the next refresh writes again.
             let _ = self.write(WriteReason::Refresh);
         }
     }
 
-    /// Adopts what other processes have written, with a log line of this level for each file.
-    fn adopt_files(&self, scan: FolderScan, level: Level) {
+    /// Merges the state of other processes, with a log line of this level for each file.
+    fn merge_files(&self, scan: FolderScan, level: Level) {
         for error in &scan.folder_errors {
             warn!(%error, "hot restart state folder failed");
         }
@@ -177,15 +177,15 @@
             warn!(%file, %reason, "hot restart state file rejected");
         }
         for file in scan.files {
-            self.adopt_file(file, level);
+            self.merge_file(file, level);
         }
     }
 
-    fn adopt_file(&self, file: StateFile, level: Level) {
+    fn merge_file(&self, file: StateFile, level: Level) {
         let pid = file.process.pid;
         let generation = file.process.generation;
         if file.phase == Phase::Terminated {
-            self.ended.borrow_mut().insert(pid);
+            self.terminated_peers.borrow_mut().insert(pid);
         }
         let age_s = (now() - file.written_at).as_secs_f64();
         let usable = usable_state(now(), self.windows, file);
@@ -222,8 +222,8 @@
         }
     }
 
-    /// Tells the core among how many processes the manager's budgets are divided. More count at once; fewer only after
-    /// the longest window of cold budgets, since what the other process sent still counts there.
+    /// Sets in the core among how many processes the manager's budgets are divided. More processes count at once; fewer
+    /// only after the slow-start window, since the requests of the other process still count in it.
     fn divide_budgets(&self, parts: u32) {
         let current = self.budget_parts.get();
         let applies = match (parts.cmp(&current.parts), current.fewer_since) {
@@ -261,12 +261,12 @@
 
     /// Logs other processes that stopped writing without announcing their end.
     fn log_unresponsive(&self) {
-        let others = self.state_files.borrow().live_peers(now());
-        let living: BTreeSet<u32> = others.iter().map(|other| other.process.pid).collect();
-        let before = self.living.replace(living.clone());
-        let ended = self.ended.borrow();
-        for pid in before.difference(&living).filter(|pid| !ended.contains(*pid)) {
-            warn!(remaining_processes = living.len(), pid, "hot restart process is unresponsive");
+        let peers = self.state_files.borrow().live_peers(now());
+        let live: BTreeSet<u32> = peers.iter().map(|peer| peer.process.pid).collect();
+        let previously_live = self.live_peers.replace(live.clone());
+        let terminated = self.terminated_peers.borrow();
+        for pid in previously_live.difference(&live).filter(|pid| !terminated.contains(*pid)) {
+            warn!(remaining_processes = live.len(), pid, "hot restart process is unresponsive");
         }
     }
 
--- a/src/run/listen.rs
+++ b/src/run/listen.rs
@@ -7,13 +7,13 @@
 use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-/// How long a start waits for an address: the platform gives it 10 s in all.
+/// How long a start waits for an address. The platform waits 10 s for the whole start.
 const LISTEN_PERIOD: Duration = Duration::from_secs(3);
-/// Pause between two tries.
+/// Pause between two attempts to bind.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listens on an address. What passes in a moment is waited for: a want of descriptors, or a predecessor on the address that
-/// has not ended yet.
+/// Listens on an address. Failures that are likely to pass are retried: no descriptor is free, or the address is still in use
+/// by a predecessor that is about to end.
 ///
 /// # Errors
 /// An address that cannot be bound within [`LISTEN_PERIOD`].
@@ -21,7 +21,7 @@
     let deadline = Instant::now() + LISTEN_PERIOD;
     loop {
         match TcpListener::bind(address).await {
-            Err(error) if may_pass(&error) && Instant::now() < deadline => {
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 warn!(address, %error, "cannot listen yet");
                 sleep(RETRY_DELAY).await;
             }
@@ -30,8 +30,8 @@
     }
 }
 
-/// Whether a listener may be made a moment later.
-fn may_pass(error: &io::Error) -> bool {
+/// Whether a later attempt may succeed.
+fn is_transient(error: &io::Error) -> bool {
     is_out_of_resources(error)
         || matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::Interrupted)
 }
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -1,5 +1,5 @@
-//! Drives the membership: a UDP socket and a clock around the SWIM state machine of `sprucelink_membership`, and what
-//! passes between it and the core. It decides nothing.
+//! Drives the membership: a UDP socket and a clock around the SWIM state machine of `sprucelink_membership`, and the
+//! exchange of summaries and budgets between it and the core. All decisions are the state machine's.
 
 use crate::core::zone_routing::Observer;
 use crate::core::{now, to_duration, Core, GossipWindows};
@@ -19,14 +19,14 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Datagrams read in one turn at most: the serving path gets its turn in between.
+/// Datagrams read at most before other tasks run: a flood of them must not delay requests.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
-/// Shortest pause between two turns of the clock.
+/// Shortest pause between two ticks of the state machine.
 const MIN_PAUSE: Duration = Duration::from_millis(2);
 /// Window of the shared counts where no retry budget is configured.
-const DEFAULT_BUDGET_WINDOW: TimeDelta = TimeDelta::from_micros(5_000_000);
+const DEFAULT_BUDGET_WINDOW: TimeDelta = TimeDelta::from_secs(5);
 /// Interval between two log lines of counters.
-const COUNTERS_INTERVAL: TimeDelta = TimeDelta::from_micros(60_000_000);
+const COUNTERS_INTERVAL: TimeDelta = TimeDelta::from_secs(60);
 /// Members beyond which summaries are sent less often.
 const LARGE_FLEET: usize = 100;
 /// Milliseconds that each member beyond [`LARGE_FLEET`] adds to the interval between summaries.
@@ -36,17 +36,17 @@
 /// How long the shutdown waits until the departure is sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Settings of the deployment that the members share budgets by.
+/// Settings of the deployment by which members divide budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// Managers, as configured.
+    /// Number of managers, as configured.
     pub managers: u32,
-    /// The retry budget of each.
+    /// The retry budget of each manager.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Window of the budgets for cold engines.
-    pub cold_budget_window: TimeDelta,
-    /// How long an engine counts as cold.
-    pub slow_start_period: TimeDelta,
+    /// Window of the slow-start budgets of engines.
+    pub slow_start_window: TimeDelta,
+    /// How long an engine is in slow start.
+    pub slow_start_duration: TimeDelta,
 }
 
 /// Why the membership could not start.
@@ -81,15 +81,15 @@
         bound.map_err(|source| MembershipStartError::Bind { address: settings.listen.clone(), source })?;
     let local_address = socket.local_addr().map_err(MembershipStartError::LocalAddress)?;
     let address = settings.advertise.as_ref().and_then(|a| a.parse().ok()).unwrap_or(local_address);
-    let me = local_member(&settings, manager_name, address);
+    let local = local_member(&settings, manager_name, address);
     let seeds = settings.seeds.iter().filter_map(|seed| seed.parse().ok()).collect();
-    let seed = seed ^ stable_hash(&[me.name.as_bytes()]);
-    let swim = SwimNode::new(me, seeds, settings.protocol, seed, now());
+    let seed = seed ^ stable_hash(&[local.name.as_bytes()]);
+    let swim = SwimNode::new(local, seeds, settings.protocol, seed, now());
     let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.window);
     core.enable_gossip(GossipWindows {
         retry_budget: budget_window,
-        warm_up_budget: fleet.cold_budget_window,
-        warm_up: fleet.slow_start_period,
+        warm_up_budget: fleet.slow_start_window,
+        warm_up: fleet.slow_start_duration,
     });
     info!(%local_address, advertised_address = %address, "membership listening");
     let (leave, leave_requested) = oneshot::channel();
@@ -108,7 +108,7 @@
     Ok(MembershipHandle { leave, task })
 }
 
-/// This manager as the others are to see it; without a name of its own it is called by its address.
+/// This manager as a member; without a configured name its address is its name.
 fn local_member(settings: &MembershipConfig, manager_name: &str, address: SocketAddr) -> LocalMember {
     let name = match manager_name.is_empty() {
         true => address.to_string(),
@@ -119,14 +119,14 @@
     LocalMember { name, generation, address, zone: settings.zone.clone(), region: settings.region.clone() }
 }
 
-/// A membership that runs.
+/// A running membership.
 pub struct MembershipHandle {
     leave: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
 
 impl MembershipHandle {
-    /// Tells the other members that this one leaves, and waits up to [`LEAVE_TIMEOUT`] until that is sent.
+    /// Notifies the other members of the departure, and waits up to [`LEAVE_TIMEOUT`] until that is sent.
     pub async fn leave(self) {
         if self.leave.send(()).is_ok() {
             let _ = timeout(LEAVE_TIMEOUT, self.task).await;
@@ -134,7 +134,7 @@
     }
 }
 
-/// Budgets as the core was last given them.
+/// The budgets that were last set in the core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct AppliedBudgets {
     managers: u32,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Handles a datagram, and those that wait behind it.
+    /// Handles a datagram, and those that are queued in the socket.
     fn receive(&mut self, mut received: io::Result<(usize, SocketAddr)>, buffer: &mut [u8]) {
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             // An error reports a closed port of another member: that member is probed all the same.
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Publishes this manager's summary, and gives the core those of the others.
+    /// Publishes this manager's summary, and passes those of the others to the core.
     fn exchange_summaries(&mut self) {
         if now() < self.next_summary {
             return;
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Gives the core its part of the fleet's budgets where it has changed.
+    /// Sets this manager's part of the fleet's budgets in the core where it has changed.
     fn apply_budgets(&mut self, members: usize) {
         let configured = self.fleet.managers;
         let managers = if self.settings.share.divide_by_live_members {
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -10,9 +10,9 @@
 
 /// Sessions at a time where the file does not say.
 const DEFAULT_MAX_SESSIONS: usize = 64;
-/// By default the second front has at most one in so many of the platform's sessions.
+/// The platform front's sessions are divided by this for the default number of the second front's.
 const SESSIONS_DIVISOR: usize = 4;
-/// Most sessions that the file may allow.
+/// Highest number of sessions that the file may allow.
 const MAX_SESSIONS: u64 = 256;
 /// Connections of the second front that hold no session slot.
 const MAX_HANDSHAKES: usize = 8;
@@ -32,12 +32,12 @@
 const ACME_FIELDS: [&str; 8] =
     ["directory", "trust_root", "names", "contact", "challenge_listen", "store", "renew_before_s", "retry_s"];
 
-/// What the file configures.
+/// The second front, as the file configures it.
 #[derive(Debug)]
 pub struct SecondFrontConfig {
     /// Where clients of the second front connect.
     pub listen: String,
-    /// What the front is set up with.
+    /// The front's configuration.
     pub front: FrontConfig,
     /// Where its certificates come from; without it there is no TLS.
     pub certificates: Option<CertificateConfig>,
@@ -122,7 +122,7 @@
     NotAnAddress,
 }
 
-/// Reads an operator's file; `platform` is the set-up of the platform's front.
+/// Reads an operator's file; `platform` is the configuration of the platform's front.
 ///
 /// # Errors
 /// The first field that is invalid.
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// A front that takes connections.
+/// A front that accepts connections.
 pub struct OpenFront {
     /// The front.
     pub front: Rc<Front>,
@@ -56,17 +56,17 @@
         name: FrontName,
         core: &Rc<Core>,
         listener: TcpListener,
-        setup: FrontConfig,
+        config: FrontConfig,
     ) -> Result<OpenFront, ServeError> {
         let address =
             listener.local_addr().map_err(|source| ServeError::LocalAddress { front: name, source })?;
-        let front = Front::new(Rc::clone(core), setup);
+        let front = Front::new(Rc::clone(core), config);
         let accept_task = spawn_local(Rc::clone(&front).accept_connections(listener));
         info!(front = name.as_str(), %address, "accepting connections");
         Ok(OpenFront { front, accept_task })
     }
 
-    /// Whether a session still has something to answer or to end.
+    /// Whether a request is open or a connection is being closed.
     pub fn is_busy(&self) -> bool {
         self.front.open_requests() > 0 || self.front.closing_connections() > 0
     }
--- a/src/run/serve/reload.rs
+++ b/src/run/serve/reload.rs
@@ -11,9 +11,9 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// How long a configuration that cannot be read or is invalid is tried again.
+/// How long a configuration that cannot be read or is invalid is read again.
 const RETRY_PERIOD: Duration = Duration::from_secs(5);
-/// Pause between two tries.
+/// Pause between two attempts to read it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Reads the configuration that the options name.
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Reads the file until it can be read and is valid, for [`RETRY_PERIOD`] at most: it may be half written yet, or not to
-    /// be opened for a moment, and there is no second signal.
+    /// Reads the file until it can be read and is valid, for [`RETRY_PERIOD`] at most: it may still be being written, or
+    /// fail to open for a moment, and no second signal announces that it is complete.
     async fn reload(&mut self, feed_address: &watch::Sender<Option<String>>) {
         let mut deadline = Instant::now() + RETRY_PERIOD;
         let mut was_logged = false;
@@ -70,7 +70,7 @@
                     feed_address.send_if_modified(|current| replace(current, address));
                     return;
                 }
-                // A bad file must not disturb a process that serves: it goes on as it was.
+                // An invalid file must not disturb a serving process: its settings stay as they were.
                 Err(error) if !was_logged => {
                     was_logged = true;
                     warn!(error = with_causes(&error), "configuration not reloaded, nothing changes");
@@ -78,7 +78,7 @@
                 Err(_) if Instant::now() >= deadline => return,
                 Err(_) => {}
             }
-            // A further signal is answered by the next look, and begins the period anew.
+            // Another SIGHUP may announce a corrected file: the retry period starts again.
             if timeout(RETRY_INTERVAL, self.hangup.recv()).await.is_ok() {
                 deadline = Instant::now() + RETRY_PERIOD;
                 was_logged = false;
@@ -93,7 +93,7 @@
         let read = spawn_blocking(move || read_config(&options)).await;
         let config = read.map_err(|_| ReloadError::ReaderFailed)??;
         let address = config.feed.ok_or(ReloadError::FeedMissing)?;
-        if is_callable(&address) {
+        if is_connectable(&address) {
             Ok(address)
         } else {
             Err(ReloadError::FeedAddress(address))
@@ -108,8 +108,8 @@
     changed
 }
 
-/// Whether an address can be called: it has a host, and a port other than 0.
-fn is_callable(address: &str) -> bool {
+/// Whether an address can be connected to: it has a host, and a port other than 0.
+fn is_connectable(address: &str) -> bool {
     let (host, port) = address.rsplit_once(':').unwrap_or_default();
     !host.is_empty() && matches!(port.parse::<u16>(), Ok(1..))
 }
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -20,7 +20,7 @@
 /// Interval between two checks of whether everything is answered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Consecutive checks that must find nothing open before the end: bytes that arrived while this process was not
-/// scheduled are read only now, and a new connection takes some turns of the loop until its first request is read.
+/// scheduled are read only now, and a new connection needs several polls of the event loop until its first request is read.
 const IDLE_CHECKS: u32 = 5;
 
 /// The instants of a shutdown.
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -70,7 +70,7 @@
             admin.listen(&address, admin::limits(config.sockets)).await?;
         }
         let platform_front = OpenFront::open(FrontName::Platform, &core, listener, config.front)?;
-        // A process that shares the socket leaves connections to its predecessor until it is ready.
+        // A process that shares the listening socket does not accept connections until it is ready.
         platform_front.front.set_accepting(!is_shared);
         admin.set_ready();
         if let Some(hot_restart) = &hot_restart {
@@ -106,7 +106,7 @@
     Ok(core)
 }
 
-/// Starts the recorder where its settings are given. One that fails is logged: serving goes on without it.
+/// Starts the recorder where its settings are given. A failure is logged: serving does not need the recorder.
 fn start_recorder(core: &Core, settings: Option<RecorderSettings>, seed: u64) {
     let Some(settings) = settings else { return };
     match Recorder::start(&settings, seed, now()) {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Applies the endpoint events that the configuration holds: the first one begins a whole list.
+/// Applies the endpoint events that the configuration holds: the first one begins a complete list.
 fn apply_known_endpoints(core: &Rc<Core>, config: &Config) {
     for (index, event) in config.known_endpoints.events.iter().enumerate() {
         core.on_endpoint_list(event, index == 0);
@@ -152,8 +152,8 @@
     let fleet = FleetSettings {
         managers: config.settings.gateways,
         retry_budget: config.settings.retry_budget,
-        cold_budget_window: config.settings.slow_start_window,
-        slow_start_period: config.settings.slow_start_duration,
+        slow_start_window: config.settings.slow_start_window,
+        slow_start_duration: config.settings.slow_start_duration,
     };
     let core = Rc::clone(core);
     Ok(Some(membership_driver::start(core, settings, &config.name, config.seed, fleet).await?))
