--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -11,15 +11,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// Pause after an accept that failed for want of descriptors or memory, or after several that failed otherwise.
+/// Pause after an accept that failed because no descriptor or memory was free, or after several other failures.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Accepts in a row that fail before a connection is evicted where descriptors or memory are wanting: the want may be the
-/// system's, and over in a moment.
+/// Consecutive failed accepts before a connection is evicted to free a descriptor or memory: another process may free them
+/// first.
 const FAILURES_BEFORE_EVICTION: u32 = 5;
-/// Accepts in a row that fail before a front that closes gives up the connections in its queue: about 0.5 s.
+/// Consecutive failed accepts after which a closing front abandons the connections in its queue: about 0.5 s.
 const FAILURES_BEFORE_GIVING_UP: u32 = 25;
 /// Minimum time between two log lines about failed accepts.
-const ACCEPT_LOG_INTERVAL: TimeDelta = TimeDelta::from_millis(5_000);
+const ACCEPT_LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(5);
 
 /// Counts a connection of the front until its descriptor is closed.
 pub(super) struct OpenConnection(Rc<Front>);
@@ -42,19 +42,19 @@
     /// Accepts connections until the front is closed, and then those that are in the listener's queue already.
     pub async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         let mut last_logged = None;
-        // Accepts in a row that failed.
+        // Consecutive failed accepts.
         let mut failures = 0;
         loop {
             let state_changed = self.state_changed.notified();
             let is_paused = self.is_paused.get();
-            let has_room = is_paused || self.open_connections.get() < self.config.max_connections();
-            if !has_room {
-                // One of those without a slot has to go before the next connection is accepted.
+            let has_capacity = is_paused || self.open_connections.get() < self.config.max_connections();
+            if !has_capacity {
+                // A connection without a slot must be closed before the next one is accepted.
                 self.sessionless.evict_one();
             }
             tokio::select! {
                 biased;
-                accepted = listener.accept(), if has_room && !is_paused => match accepted {
+                accepted = listener.accept(), if has_capacity && !is_paused => match accepted {
                     Ok((stream, _)) => {
                         failures = 0;
                         self.spawn_connection(stream).await;
@@ -68,8 +68,8 @@
                         self.wait_after_failure(&error, failures).await;
                     }
                 },
-                () = self.descriptor_released.notified(), if !has_room => {}
-                () = std::future::ready(()), if has_room && self.is_closing.get() => return,
+                () = self.descriptor_released.notified(), if !has_capacity => {}
+                () = std::future::ready(()), if has_capacity && self.is_closing.get() => return,
                 () = state_changed => {}
             }
         }
@@ -80,19 +80,19 @@
         let connection = Rc::clone(self).handle_connection(stream, open_connection);
         drop(tokio::task::spawn_local(connection));
         if self.open_connections.get() >= self.config.max_sessions {
-            // The connection that is evicted for this one has its turn before the next is accepted.
+            // The connection that is evicted for this one is closed before the next is accepted.
             tokio::task::yield_now().await;
         }
     }
 
-    /// Waits after an accept has failed. Where descriptors or memory are wanting for long, a connection is evicted: the
-    /// process has fewer descriptors than it was configured for, and those of clients are all that can be closed.
+    /// Waits after an accept has failed. If no descriptor or memory is free for long, a connection is evicted: the process
+    /// has fewer descriptors than it was configured for, and only those of clients can be closed.
     async fn wait_after_failure(&self, error: &io::Error, failures: u32) {
         if !is_out_of_resources(error) && failures < FAILURES_BEFORE_EVICTION {
-            // The new connection failed before it was accepted: the next one may do.
+            // The new connection failed before it was accepted: the next one may succeed.
             return tokio::task::yield_now().await;
         }
-        // The connections that were accepted last have a turn first.
+        // The connections that were accepted last run first: they may release their descriptors.
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
         if !is_out_of_resources(error) || failures < FAILURES_BEFORE_EVICTION {
             return;
--- a/src/front/cancel_signal.rs
+++ b/src/front/cancel_signal.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A session's cancel signal. A CancelRequest that arrives while a request is open, or stands unread in the connection,
-/// cancels that request. One that finds neither has no effect, on later requests neither.
+/// A session's cancel signal. A CancelRequest that arrives while a request is open, or is received and unread, cancels
+/// that request. Otherwise it has no effect, and must not cancel a later request.
 #[derive(Debug)]
 pub struct CancelSignal {
     /// The secret key of BackendKeyData.
--- a/src/front/client_connection/arrivals.rs
+++ b/src/front/client_connection/arrivals.rs
@@ -1,24 +1,25 @@
-//! When the bytes that a client sent have arrived.
+//! Arrival times of the bytes that a client sent.
 //!
-//! A request's time counts from its own last byte. Requests that stand behind an open one are read long before they are
-//! handled, and others may come behind them meanwhile.
+//! A request's time-out counts from the arrival of its last byte. Pipelined requests are read long before they are handled,
+//! and further ones may arrive meanwhile, so the time of the last read is not enough.
 
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// Reads closer together than this count as one, with the time of the first.
+/// Reads within this time of another are merged with it, under the time of the first.
 const MERGE_SPAN: TimeDelta = TimeDelta::from_millis(10);
-/// Reads that are remembered; beyond them the last one takes in what follows, which makes its requests older than they are.
+/// Maximum number of reads that are kept. Beyond it later reads are merged with the last one, and their requests count as
+/// older than they are.
 const MAX_READS: usize = 64;
 
-/// A read: where it ends in the stream, and when it was.
+/// One read: the stream position of its end, and its time.
 #[derive(Clone, Copy, Debug)]
 struct Read {
     end: u64,
     at: Timestamp,
 }
 
-/// The arrival of each byte that is held.
+/// Arrival times of the buffered bytes.
 #[derive(Debug)]
 pub(super) struct Arrivals {
     reads: VecDeque<Read>,
--- a/src/front/client_connection/input.rs
+++ b/src/front/client_connection/input.rs
@@ -12,10 +12,10 @@
 
 /// Bytes of one read, into a buffer on the stack; most messages are shorter.
 pub(super) const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Bytes that are read for one client before other tasks have a turn, so that a flood does not hold them up.
+/// Bytes that are read for one client before it yields to other tasks, so that a flood does not delay them.
 const MAX_BYTES_PER_TURN: usize = 128 * 1024;
 /// Bytes that may be discarded behind open requests. Beyond it the session is ended together with its open request:
-/// a client that never stops writing would keep it for ever.
+/// otherwise a client that never stops writing would keep the session for ever.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
@@ -30,15 +30,15 @@
     /// Those of the stream, which has ended then; and `StorageFull` if the input is full.
     pub async fn fill(&mut self) -> io::Result<usize> {
         self.yield_if_due().await;
-        poll_fn(|context| match self.input_room() {
+        poll_fn(|context| match self.free_input_bytes() {
             0 => Poll::Ready(Err(io::Error::new(io::ErrorKind::StorageFull, "the input is full"))),
-            room => self.poll_read(context, room),
+            free_bytes => self.poll_read(context, free_bytes),
         })
         .await
     }
 
     /// Reads on while a request is open; 0 at the end of the stream. What exceeds the read-ahead bounds is discarded,
-    /// so that the end of the stream is seen whatever stands before it.
+    /// so that the end of the stream is noticed whatever precedes it.
     ///
     /// # Errors
     /// Those of the stream, which has ended then.
@@ -54,7 +54,7 @@
     pub async fn read_available(&mut self) -> io::Result<bool> {
         while !self.is_at_end && !self.is_flooding() {
             self.yield_if_due().await;
-            // A task without budget would be told that no bytes are available, whatever the stream holds.
+            // Without budget the runtime reports that no bytes are available, even if there are some.
             consume_budget().await;
             match poll_fn(|context| Poll::Ready(self.poll_read(context, READ_CHUNK_BYTES))).await {
                 Poll::Ready(read) => drop(read?),
@@ -69,8 +69,8 @@
     /// # Errors
     /// Those of the stream, which has ended then.
     pub async fn probe_end(&mut self) -> io::Result<bool> {
-        while !self.is_at_end && self.overrun.is_none() && self.input_room() > 0 {
-            match poll_fn(|context| Poll::Ready(self.poll_read(context, self.input_room()))).await {
+        while !self.is_at_end && self.overrun.is_none() && self.free_input_bytes() > 0 {
+            match poll_fn(|context| Poll::Ready(self.poll_read(context, self.free_input_bytes()))).await {
                 Poll::Ready(read) => drop(read?),
                 Poll::Pending => break,
             }
@@ -78,8 +78,8 @@
         Ok(self.is_at_end)
     }
 
-    /// Bytes that fit the input; none while bytes that were read ahead are to follow it.
-    fn input_room(&self) -> usize {
+    /// Number of bytes that fit the input; 0 while bytes that were read ahead are to follow it.
+    fn free_input_bytes(&self) -> usize {
         if self.read_ahead.is_empty() {
             BUFFER_BYTES.saturating_sub(self.input().len())
         } else {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Yields to other tasks when this connection has read its part.
+    /// Yields to other tasks when this connection has read [`MAX_BYTES_PER_TURN`].
     pub(super) async fn yield_if_due(&mut self) {
         if self.bytes_this_turn >= MAX_BYTES_PER_TURN {
             self.bytes_this_turn = 0;
@@ -114,8 +114,8 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Stores what was read, within the bounds. Once a byte was discarded all later ones are: a message must not be put
-    /// together from parts that were not adjacent.
+    /// Stores what was read, within the bounds. After a discarded byte all later ones are discarded: a message must not be
+    /// assembled from parts that were not adjacent.
     fn store(&mut self, mut bytes: &[u8]) {
         if bytes.is_empty() || self.overrun.is_some() {
             self.discarded_bytes += bytes.len();
@@ -128,10 +128,10 @@
         self.store_ahead(bytes, received);
     }
 
-    /// Stores what does not fit the input, of `received` bytes in all.
+    /// Stores the bytes that do not fit the input; `received` is the length of the whole read.
     fn store_ahead(&mut self, mut bytes: &[u8], received: usize) {
         while !bytes.is_empty() {
-            if let Some(last) = self.read_ahead.back_mut().filter(|buffer| buffer.has_room()) {
+            if let Some(last) = self.read_ahead.back_mut().filter(|buffer| buffer.has_capacity()) {
                 bytes = last.append(bytes);
                 continue;
             }
--- a/src/front/client_connection/mod.rs
+++ b/src/front/client_connection/mod.rs
@@ -1,8 +1,8 @@
 //! A client's connection with its buffers, which are taken from the pool only while they hold bytes.
 //!
 //! Reading never pauses while a request is open or an answer is written: the end of the stream, which cancels the
-//! request, may stand behind what the client still sent. What is read ahead is kept up to a bound. Beyond it bytes are
-//! discarded, only to see the end of the stream; the session then ends behind the messages that it holds completely.
+//! request, may follow further input. Input that is read ahead is buffered up to a bound. Beyond it bytes are discarded,
+//! only to notice the end of the stream; the session then ends after the messages that are buffered completely.
 
 mod arrivals;
 mod input;
@@ -19,21 +19,21 @@
 
 pub use output::LingerTimeouts;
 
-/// A stream, what was read from it, and what is to be written to it.
+/// A client's stream with its input and output.
 pub struct ClientConnection<S> {
     stream: S,
     pool: BufferPool,
     input: Option<Buffer>,
-    /// Bytes at the front of `input` that are consumed.
+    /// Number of bytes at the front of `input` that are consumed.
     consumed: usize,
-    /// What was read behind `input`, in order.
+    /// Input that follows `input`, in order.
     read_ahead: VecDeque<ReadAheadBuffer>,
     budget: Rc<ReadAheadBudget>,
     overrun: Option<ReadAheadOverrun>,
     discarded_bytes: usize,
     /// The end of the stream was read, or an error of it.
     is_at_end: bool,
-    /// Bytes that were read since other tasks last had a turn.
+    /// Bytes that were read since this connection last yielded to other tasks.
     bytes_this_turn: usize,
     output: Option<Buffer>,
     arrivals: Arrivals,
@@ -63,12 +63,12 @@
         self.stream
     }
 
-    /// What was read and not consumed, as far as it is in the input buffer.
+    /// Input that is not consumed, as far as it is in the input buffer.
     pub fn input(&self) -> &[u8] {
         self.input.as_ref().map_or(&[], |buffer| &buffer[self.consumed..])
     }
 
-    /// When the last byte that was consumed arrived: of the message that is being answered.
+    /// When the last consumed byte arrived: the arrival of the message that is being answered.
     pub fn arrived(&self) -> Timestamp {
         self.arrivals.of_consumed()
     }
@@ -85,26 +85,26 @@
 
     /// Moves what was read ahead to the input, as far as it fits; whether any did.
     pub fn promote_read_ahead(&mut self) -> bool {
-        let mut any = false;
+        let mut has_promoted = false;
         while let Some(mut ahead) = self.read_ahead.pop_front() {
             let rest = self.extend_input(ahead.pending()).len();
             let promoted = ahead.buffer.len() - rest;
-            any |= promoted > ahead.promoted;
+            has_promoted |= promoted > ahead.promoted;
             if rest > 0 {
                 ahead.promoted = promoted;
                 self.read_ahead.push_front(ahead);
                 break;
             }
         }
-        any
+        has_promoted
     }
 
-    /// Which bound was exceeded, if bytes were discarded. All bytes that are held were read before those.
+    /// Which bound was exceeded, if bytes were discarded. All buffered bytes were read before the discarded ones.
     pub fn overrun(&self) -> Option<ReadAheadOverrun> {
         self.overrun
     }
 
-    /// Maximum number of bytes that are held.
+    /// Maximum number of buffered bytes.
     pub fn max_buffered(&self) -> usize {
         self.budget.max_buffered()
     }
--- a/src/front/client_connection/output.rs
+++ b/src/front/client_connection/output.rs
@@ -10,9 +10,9 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A client that accepts no bytes for this long is disconnected: its answer holds memory.
+/// Longest time in which a client accepts no bytes; it is disconnected then, since its answer takes memory.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes that are read and discarded after the final message, so that no client is read for ever.
+/// Maximum number of bytes that are read and discarded after the final message, so that no client is read for ever.
 const MAX_LINGER_BYTES: usize = 64 << 20;
 /// Bytes of one read while lingering.
 const LINGER_CHUNK_BYTES: usize = 32 * 1024;
@@ -28,13 +28,13 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    /// The buffer of what is to be written.
+    /// The output buffer.
     pub fn output(&mut self) -> &mut Vec<u8> {
         self.output.get_or_insert_with(|| self.pool.get_beyond_limit())
     }
 
-    /// Writes all output, and reads ahead while that has to wait: a client that has gone meanwhile must not have its
-    /// next request admitted.
+    /// Writes all output, and reads ahead while the write has to wait: if the client closes its side meanwhile, its next
+    /// request must not be admitted.
     ///
     /// # Errors
     /// Those of the stream; and a client that accepts no bytes for 10 s.
@@ -56,7 +56,7 @@
         timeout(WRITE_TIMEOUT, self.stream.flush()).await?
     }
 
-    /// Makes room for `count` more bytes of output, by a flush if need be.
+    /// Ensures that `count` more bytes fit the output, by a flush if necessary.
     ///
     /// # Errors
     /// As [`ClientConnection::flush`].
@@ -67,8 +67,8 @@
         self.flush().await
     }
 
-    /// Closes the connection without reading what the client still sends; there is no final message that a reset could
-    /// destroy.
+    /// Closes the connection without reading further input. To be used only where no final message could be lost by a
+    /// reset.
     ///
     /// # Errors
     /// Those of the stream, which has ended then.
@@ -76,8 +76,8 @@
         self.stream.shutdown().await
     }
 
-    /// Closes the connection so that its final message arrives: closes the writing half, and discards what the client
-    /// still sends, within bounds.
+    /// Closes the connection so that its final message arrives: closes the writing half, and discards further input,
+    /// within bounds.
     pub async fn close(mut self, linger: LingerTimeouts) {
         self.input = None;
         self.read_ahead.clear();
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// Writes some bytes (`Some`), or reads what is available where none can be written (`None`).
+    /// Writes some bytes (`Some`), or reads available input where none can be written (`None`).
     fn poll_write(&mut self, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<Option<usize>>> {
         if let Poll::Ready(written) = Pin::new(&mut self.stream).poll_write(context, bytes) {
             return Poll::Ready(written.map(Some));
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -51,12 +51,12 @@
 /// The buffer pool is exhausted.
 pub(super) fn no_buffer() -> ErrorResponse {
     let error = ErrorResponse::new("53200", "refused: no buffer is free");
-    with_retry_after(error, TimeDelta::from_millis(1_000))
+    with_retry_after(error, TimeDelta::from_secs(1))
 }
 
 /// All slots are in use, and no connection can be evicted.
 pub(super) fn too_many_sessions() -> ErrorResponse {
-    with_retry_after(ErrorResponse::new("53300", "too many sessions"), TimeDelta::from_millis(1_000))
+    with_retry_after(ErrorResponse::new("53300", "too many sessions"), TimeDelta::from_secs(1))
 }
 
 /// A message or packet of which only a part arrived in time.
@@ -70,9 +70,9 @@
     ErrorResponse::new("08P01", format!("field {field} {reason}")).hint(format!("Write {example}"))
 }
 
-/// The final error of a session whose client sent more behind an open request than may be held. SQLSTATE 54000, a
+/// The final error of a session whose client sent more behind an open request than may be buffered. SQLSTATE 54000, a
 /// limit of this program, where it is the session's own bound: the same input fails again. 53200, out of memory, where
-/// all sessions together hold too much: it may succeed later.
+/// all sessions together buffer too much: a retry may succeed.
 pub(super) fn read_ahead_overrun(overrun: ReadAheadOverrun, max_bytes: usize) -> ErrorResponse {
     let (code, excess) = match overrun {
         ReadAheadOverrun::Session => ("54000", format!("more than {max_bytes} bytes")),
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -28,13 +28,13 @@
 /// How long a connection lingers after its final message.
 const LINGER: LingerTimeouts =
     LingerTimeouts { total: Duration::from_secs(4), idle: Duration::from_millis(500) };
-/// The same where many connections are closed at a time: what the client sent before it saw the end arrives within
-/// 50 ms.
+/// How long a connection lingers after its final message where many are closed at a time: input that the client sent
+/// before it saw the end arrives within 50 ms.
 const SHORT_LINGER: LingerTimeouts =
     LingerTimeouts { total: Duration::from_millis(200), idle: Duration::from_millis(50) };
-/// An answer that was written this long ago has been delivered: nothing is lost where its connection is reset.
+/// Time after which a written answer counts as delivered: a reset of its connection loses nothing.
 const ANSWER_DELIVERY_TIME: TimeDelta = TimeDelta::from_millis(200);
-/// A final message that cannot be written in this time is dropped.
+/// Longest time for writing a final message; it is dropped then.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Front {
@@ -141,12 +141,12 @@
         guard: ConnectionGuard,
     ) {
         if error.is_none() && guard.idle_time().is_some_and(|idle| idle >= ANSWER_DELIVERY_TIME) {
-            // What crosses this end must not be read, and its client sends it again elsewhere.
+            // A request that arrives now must stay unread: its client then sends it again on another connection.
             drop(timeout(FINAL_WRITE_TIMEOUT, connection.close_unread()).await);
             return;
         }
         if let Some(error) = error {
-            pg::error(connection.output(), &error.fatal());
+            pg::write_error_response(connection.output(), &error.fatal());
         }
         let _closing = CountGuard::new(&self.closing_connections);
         let (guard, linger) = self.guard_for_closing(guard);
@@ -157,7 +157,7 @@
         };
         match guard {
             ConnectionGuard::Sessionless(sessionless) => tokio::select! {
-                // The write is tried once in any case: most final messages fit the socket's buffer.
+                // The write is attempted once in any case: most final messages fit the socket's buffer.
                 biased;
                 () = close => {}
                 () = sessionless.evicted() => {}
@@ -166,8 +166,9 @@
         }
     }
 
-    /// What a connection holds while it is closed, and how long it may linger. Its slot is released at once if there
-    /// is room among the connections without one, where it can be evicted; else it keeps the slot for a shorter time.
+    /// The guard of a connection while it is closed, and how long it may linger. Its slot is released at once if there
+    /// is capacity among the connections without one, where it can be evicted; else it keeps the slot for a shorter
+    /// time.
     fn guard_for_closing(&self, guard: ConnectionGuard) -> (ConnectionGuard, LingerTimeouts) {
         match guard {
             // No new connection needs its descriptor any more.
@@ -176,7 +177,7 @@
                 sessionless.set_closing();
                 (ConnectionGuard::Sessionless(sessionless), LINGER)
             }
-            ConnectionGuard::Slot(slot) if self.sessionless.has_room() => {
+            ConnectionGuard::Slot(slot) if self.sessionless.has_capacity() => {
                 drop(slot);
                 (self.enter_sessionless(SessionlessPhase::Closing), LINGER)
             }
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -17,8 +17,8 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// A connection cannot be evicted this soon after it was accepted, before the first request of its session, or within a
-/// message: what it sends next is probably on its way.
+/// How long a connection is protected from eviction after it was accepted, before the first request of its session, or
+/// within a message: its next bytes are probably on their way.
 const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
 /// Which connections may be evicted for another.
@@ -119,7 +119,7 @@
     max_evicted: usize,
     /// Notified when a slot is released.
     released: Notify,
-    /// Idle sessions can be evicted: they hold no state that their clients would miss.
+    /// Idle sessions can be evicted: they have no state that their clients would lose.
     may_evict_idle: bool,
 }
 
@@ -144,7 +144,7 @@
         })
     }
 
-    /// Acquires a slot, evicting another connection if need be; `None` if none can be evicted or too many evicted
+    /// Acquires a slot, evicting another connection if necessary; `None` if none can be evicted or too many evicted
     /// connections are still open.
     pub fn acquire(self: &Rc<Self>, scope: EvictionScope) -> Option<ConnectionSlot> {
         // An evicted session completes the request it has begun, and holds its descriptor until then.
--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -1,4 +1,4 @@
-//! What a session keeps between its messages: prepared statements, portals, and its time-out.
+//! State of a session between its messages: prepared statements, portals, and its time-out.
 
 use super::prepared::{Portal, PortalState, PreparedStatement};
 use super::statement_kind::{classify, Setting, StatementKind};
@@ -13,10 +13,10 @@
 const MAX_BYTES: usize = 256 * 1024;
 /// Maximum number of a session's statements, and of its portals.
 const MAX_OBJECTS: usize = 256;
-/// Maximum number of a session's suspended portals, each of which keeps a result in memory.
+/// Maximum number of a session's suspended portals, each of which retains a result in memory.
 const MAX_SUSPENDED_PORTALS: usize = 4;
 
-/// What is left to do for a message of the extended query protocol.
+/// What remains to be done for a message of the extended query protocol.
 pub enum ExtendedAction {
     /// Nothing.
     None,
@@ -29,7 +29,7 @@
     },
 }
 
-/// What a session keeps between its messages.
+/// Prepared statements, portals and settings of a session.
 #[derive(Default)]
 pub(crate) struct SessionObjects {
     statements: BTreeMap<String, Rc<PreparedStatement>>,
@@ -44,10 +44,10 @@
         SessionObjects { statement_timeout_ms, ..SessionObjects::default() }
     }
 
-    /// Handles a message of the extended query protocol, and answers it in `reply`; what needs an engine is left to do.
+    /// Handles a message of the extended query protocol, and answers it in `reply`; what needs an engine is returned as an action.
     ///
     /// # Errors
-    /// What the client is told.
+    /// The error for the client.
     pub(crate) fn handle_message(
         &mut self,
         reply: &mut Vec<u8>,
@@ -56,22 +56,22 @@
         match message {
             Message::Parse { name, sql, types } => {
                 self.parse(name, sql, types)?;
-                pg::bare(reply, pg::PARSE_COMPLETE);
+                pg::write_empty_message(reply, pg::PARSE_COMPLETE);
             }
-            Message::Bind { portal, statement, formats, values, results } => {
-                let bound = self.statement(statement)?.bind(&formats, &values, results)?;
+            Message::Bind { portal, statement, formats, values, result_formats } => {
+                let bound = self.statement(statement)?.bind(&formats, &values, result_formats)?;
                 self.add_portal(portal, bound)?;
-                pg::bare(reply, pg::BIND_COMPLETE);
+                pg::write_empty_message(reply, pg::BIND_COMPLETE);
             }
             Message::Describe(ObjectKind::Statement, name) => self.describe_statement(reply, name)?,
             Message::Describe(ObjectKind::Portal, name) => self.describe_portal(reply, name)?,
             Message::Close(kind, name) => {
                 self.close(kind, name);
-                pg::bare(reply, pg::CLOSE_COMPLETE);
+                pg::write_empty_message(reply, pg::CLOSE_COMPLETE);
             }
-            Message::Execute { portal, rows } => {
+            Message::Execute { portal, max_rows } => {
                 self.portal(portal)?;
-                return Ok(ExtendedAction::Execute { portal: portal.to_owned(), max_rows: rows });
+                return Ok(ExtendedAction::Execute { portal: portal.to_owned(), max_rows });
             }
             Message::Copy => return Err(ErrorResponse::new("0A000", "COPY is not supported")),
             Message::FunctionCall => {
@@ -103,11 +103,11 @@
         match classify(statement)? {
             StatementKind::Set(setting) => {
                 self.apply(setting);
-                pg::command_complete(reply, "SET");
+                pg::write_command_complete(reply, "SET");
                 Ok(true)
             }
             StatementKind::Empty => {
-                pg::bare(reply, pg::EMPTY_QUERY);
+                pg::write_empty_message(reply, pg::EMPTY_QUERY);
                 Ok(true)
             }
             StatementKind::Query => Ok(false),
@@ -135,7 +135,7 @@
         let is_suspended = |portal: &&Portal| matches!(portal.state, PortalState::Suspended { .. });
         let suspended = self.portals.values().filter(is_suspended).count();
         let Some(portal) = self.portals.get_mut(name) else { return Ok(()) };
-        portal.prepared.set_key_spent();
+        portal.prepared.set_key_used();
         portal.state = match next {
             Some(next) if suspended < MAX_SUSPENDED_PORTALS => PortalState::Suspended { result, next },
             Some(_) => {
@@ -196,7 +196,7 @@
 
     fn describe_statement(&self, reply: &mut Vec<u8>, name: &str) -> Result<(), ErrorResponse> {
         let prepared = self.statement(name)?;
-        pg::parameter_description(reply, &prepared.types);
+        pg::write_parameter_description(reply, &prepared.types);
         describe_result(reply, prepared.kind, &[]);
         Ok(())
     }
@@ -223,8 +223,8 @@
 /// RowDescription of a statement that has a result, else NoData.
 fn describe_result(reply: &mut Vec<u8>, kind: StatementKind, formats: &[u16]) {
     if kind == StatementKind::Query {
-        pg::row_description(reply, COLUMNS, formats);
+        pg::write_row_description(reply, COLUMNS, formats);
     } else {
-        pg::bare(reply, pg::NO_DATA);
+        pg::write_empty_message(reply, pg::NO_DATA);
     }
 }
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -21,11 +21,11 @@
     /// Types of its parameters.
     pub(super) types: Vec<u32>,
     pub(crate) kind: StatementKind,
-    /// The idempotency key in its text has served one request; later ones get keys of their own.
-    key_spent: Cell<bool>,
+    /// A request was served with the idempotency key in its text; later requests get keys of their own.
+    is_key_used: Cell<bool>,
 }
 
-/// Where a portal stands.
+/// Execution state of a portal.
 pub(crate) enum PortalState {
     /// It has not been run.
     Ready,
@@ -78,7 +78,7 @@
         }
         let kind = classify(statement)?;
         let statement = statement.to_owned();
-        Ok(PreparedStatement { pairs, statement, types, kind, key_spent: Cell::new(false) })
+        Ok(PreparedStatement { pairs, statement, types, kind, is_key_used: Cell::new(false) })
     }
 
     /// Bytes of its text.
@@ -88,11 +88,11 @@
     }
 
     /// A request was served with the idempotency key of its text.
-    pub(super) fn set_key_spent(&self) {
-        self.key_spent.set(true);
+    pub(super) fn set_key_used(&self) {
+        self.is_key_used.set(true);
     }
 
-    /// Makes a portal. Formats are none, one for all, or one each.
+    /// Creates a portal. Formats are none, one for all, or one each.
     ///
     /// # Errors
     /// Where a number does not fit the statement, a value not its type, or a field's value not the field.
@@ -148,7 +148,7 @@
 
 impl Portal {
     /// Its fields; without the idempotency key of the text where that has served a request: engines would drop the
-    /// next one as a repeat of it.
+    /// next request as a duplicate of it.
     ///
     /// # Errors
     /// Where a value does not fit its field.
@@ -160,8 +160,8 @@
             .pairs
             .iter()
             .any(|(name, value)| name == fields::name::IDEMPOTENCY_KEY && !value.starts_with('$'));
-        if is_key_in_text && self.prepared.key_spent.get() {
-            fields.opkey = None;
+        if is_key_in_text && self.prepared.is_key_used.get() {
+            fields.idempotency_key = None;
         }
         Ok(fields)
     }
--- a/src/front/extended/statement_kind.rs
+++ b/src/front/extended/statement_kind.rs
@@ -1,4 +1,4 @@
-//! What a statement is to the `extended` front, by its first words.
+//! The kind of a statement on the `extended` front, by its first words.
 
 use super::statement_timeout;
 use crate::proto::pg::ErrorResponse;
@@ -34,12 +34,12 @@
 ];
 /// Settings that clients may set and that have no effect.
 const IGNORED_SETTINGS: [&str; 3] = ["application_name", "client_min_messages", "extra_float_digits"];
-/// What may stand between a setting's name and its value.
+/// Tokens that may separate a setting's name from its value.
 const ASSIGNMENTS: [&str; 2] = ["=", "to"];
-/// Tokens of a statement that are looked at; no `SET` that is supported has more.
+/// Maximum number of tokens of a statement that are examined; no supported `SET` has more.
 const MAX_TOKENS: usize = 8;
 
-/// What a statement is.
+/// The kind of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatementKind {
     /// It holds nothing but white space and comments.
@@ -59,7 +59,7 @@
     StatementTimeout(Option<u64>),
 }
 
-/// What a statement is.
+/// The kind of a statement.
 ///
 /// # Errors
 /// For one that is not supported, and for more than one.
--- a/src/front/read_ahead.rs
+++ b/src/front/read_ahead.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How much the sessions of a front may read ahead, beyond one buffer each.
+/// Limit on the bytes that the sessions of a front may read ahead, beyond one buffer each.
 #[derive(Debug)]
 pub struct ReadAheadBudget {
     /// Maximum number of buffers of one session.
@@ -25,7 +25,7 @@
 /// A buffer of bytes that were read ahead; dropping it returns it to the budget.
 pub(super) struct ReadAheadBuffer {
     pub(super) buffer: Buffer,
-    /// Bytes at its front that have moved on to the input.
+    /// Number of bytes at its front that have moved on to the input.
     pub(super) promoted: usize,
     budget: Rc<ReadAheadBudget>,
 }
@@ -36,21 +36,21 @@
         Rc::new(ReadAheadBudget { max_buffers, free_buffers: Cell::new(total_buffers) })
     }
 
-    /// Maximum number of bytes that a session holds, its input buffer included.
+    /// Maximum number of bytes that a session buffers, its input buffer included.
     pub fn max_buffered(&self) -> usize {
         BUFFER_BYTES * (1 + self.max_buffers)
     }
 
-    /// One more buffer for a session that holds `held_buffers`.
+    /// One more buffer for a session that has `session_buffers`.
     ///
     /// # Errors
-    /// Which bound is exceeded by it.
+    /// The bound that it would exceed.
     pub(super) fn allocate(
         self: &Rc<Self>,
         pool: &BufferPool,
-        held_buffers: usize,
+        session_buffers: usize,
     ) -> Result<ReadAheadBuffer, ReadAheadOverrun> {
-        if held_buffers >= self.max_buffers {
+        if session_buffers >= self.max_buffers {
             return Err(ReadAheadOverrun::Session);
         }
         let free_buffers = self.free_buffers.get().checked_sub(1).ok_or(ReadAheadOverrun::Shared)?;
@@ -67,7 +67,7 @@
     }
 
     /// Whether one more byte fits.
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         self.buffer.has_capacity(1)
     }
 
@@ -86,8 +86,8 @@
 
 /// Appends as much as fits and returns the rest.
 pub(super) fn append<'a>(buffer: &mut Buffer, bytes: &'a [u8]) -> &'a [u8] {
-    let room = BUFFER_BYTES.saturating_sub(buffer.len());
-    let (fitting, rest) = bytes.split_at(bytes.len().min(room));
+    let free_bytes = BUFFER_BYTES.saturating_sub(buffer.len());
+    let (fitting, rest) = bytes.split_at(bytes.len().min(free_bytes));
     buffer.extend_from_slice(fitting);
     rest
 }
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -1,4 +1,4 @@
-//! From a statement and its fields to a request of the core.
+//! Builds a request of the core from a statement and its fields, and submits it.
 
 use super::client_error::{cancelled, invalid_field, no_buffer};
 use super::config::ClassConfig;
@@ -29,8 +29,8 @@
     /// Submits a statement to the core.
     ///
     /// # Errors
-    /// What the client is told: of a field that is missing or wrong, of its own cancel, of a statement that is too
-    /// long, of a want of buffers, or of a request id that is in use.
+    /// The error for the client: a field is missing or wrong, the client cancelled the request, the statement is too long,
+    /// no buffer is free, or the request id is in use.
     pub(super) fn submit(&self, submission: Submission<'_>) -> Result<RequestHandle, ErrorResponse> {
         let Submission { fields, statement, started, session_timeout_ms, is_cancelled } = submission;
         let class = self.class_index(fields)?;
@@ -48,8 +48,8 @@
             tenant,
             tables: tables::group(statement),
             time_left: started + timeout - now(),
-            cost_ms: fields.ms,
-            memory_mb: fields.heap_mb,
+            cost_ms: fields.work_ms,
+            memory_mb: fields.memory_mb,
         };
         if is_cancelled {
             self.core.metrics().start_request(class).abort();
@@ -66,14 +66,14 @@
     }
 
     fn class_index(&self, fields: &Fields) -> Result<usize, ErrorResponse> {
-        let name = fields.kind.as_deref().or(self.config.default_class.as_deref());
+        let name = fields.class.as_deref().or(self.config.default_class.as_deref());
         let name = name.ok_or_else(|| invalid_field("kind", "the statement's comment must name a class"))?;
         let index = self.config.classes.iter().position(|class| class.name == name);
         index.ok_or_else(|| invalid_field("kind", "names no class that is configured"))
     }
 
     fn tenant_index(&self, fields: &Fields) -> Result<usize, ErrorResponse> {
-        let name = fields.owner.as_deref().or(self.config.default_tenant.as_deref());
+        let name = fields.tenant.as_deref().or(self.config.default_tenant.as_deref());
         let Some(name) = name else { return Ok(0) };
         let index = self.config.tenants.iter().position(|tenant| tenant == name);
         index.ok_or_else(|| invalid_field("owner", "names no tenant that is configured"))
@@ -84,16 +84,16 @@
         if self.config.extended {
             return Ok(self.core.generate_id());
         }
-        fields.req.ok_or_else(|| invalid_field("req", "is missing"))
+        fields.request_id.ok_or_else(|| invalid_field("req", "is missing"))
     }
 
-    /// The idempotency key, for classes that carry one. Without one the platform's clients are rejected, since a
-    /// client's retry could not be told from a new request and would run twice; the `extended` front generates one.
+    /// The idempotency key, for classes that carry one. Without one the platform's clients are rejected: a client's
+    /// retry could not be distinguished from a new request and would run twice; the `extended` front generates one.
     fn idempotency_key(&self, fields: &Fields, class: &ClassConfig) -> Result<Option<String>, ErrorResponse> {
         if !class.has_idempotency_key {
             return Ok(None);
         }
-        match &fields.opkey {
+        match &fields.idempotency_key {
             Some(key) => Ok(Some(key.clone())),
             None if self.config.extended => {
                 Ok(Some(format!("{:016x}{:016x}", self.core.generate_id(), self.core.generate_id())))
--- a/src/front/result_rows.rs
+++ b/src/front/result_rows.rs
@@ -10,9 +10,9 @@
 
 /// The rows of one answer.
 pub(super) struct WrittenRows {
-    /// How many were written.
+    /// Number of rows that were written.
     pub(super) count: u64,
-    /// Position of the first that was not written, if any is left.
+    /// Position of the first row that was not written, if any is left.
     pub(super) next: Option<RowPosition>,
 }
 
@@ -32,7 +32,7 @@
             return Ok(WrittenRows { count, next: Some(position) });
         }
         connection.reserve_output(pg::data_row_size(line)).await?;
-        pg::data_row(connection.output(), line);
+        pg::write_data_row(connection.output(), line);
         count += 1;
         position = next;
     }
--- a/src/front/session/execute.rs
+++ b/src/front/session/execute.rs
@@ -13,7 +13,7 @@
 use crate::proto::pg;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Room in the output for CommandComplete or PortalSuspended.
+/// Bytes of output that CommandComplete or PortalSuspended needs at most.
 const COMPLETION_BYTES: usize = 64;
 
 impl Session<'_> {
@@ -27,26 +27,26 @@
         let Some(portal) = self.objects.portals.get(name) else { return Ok(()) };
         match portal.prepared.kind {
             StatementKind::Empty => {
-                pg::bare(connection.output(), pg::EMPTY_QUERY);
+                pg::write_empty_message(connection.output(), pg::EMPTY_QUERY);
                 return Ok(());
             }
             StatementKind::Set(setting) => {
                 self.objects.apply(setting);
-                pg::command_complete(connection.output(), "SET");
+                pg::write_command_complete(connection.output(), "SET");
                 return Ok(());
             }
             StatementKind::Query => {}
         }
         let is_cancelled = self.cancel.take();
         let Some((result, position)) = self.result_of(connection, name, is_cancelled).await? else {
-            pg::command_complete(connection.output(), "SELECT 0");
+            pg::write_command_complete(connection.output(), "SELECT 0");
             return Ok(());
         };
         let written = write_rows(connection, &result, position, max_rows).await?;
         connection.reserve_output(COMPLETION_BYTES).await?;
         match written.next {
-            None => pg::command_complete(connection.output(), &format!("SELECT {}", written.count)),
-            Some(_) => pg::bare(connection.output(), pg::PORTAL_SUSPENDED),
+            None => pg::write_command_complete(connection.output(), &format!("SELECT {}", written.count)),
+            Some(_) => pg::write_empty_message(connection.output(), pg::PORTAL_SUSPENDED),
         }
         self.objects.finish_execution(name, result, written.next)?;
         Ok(())
@@ -72,7 +72,7 @@
         }
         let fields = portal.fields()?;
         // A time-out in the fields counts from when the client sent the message. Any other counts from the start of
-        // this execution, whatever stood before it in the batch.
+        // this execution, whatever precedes it in the batch.
         let started = if fields.timeout_ms.is_some() { connection.arrived() } else { now() };
         if connection.read_available().await? {
             return Err(session_ended(connection));
--- a/src/front/session/input.rs
+++ b/src/front/session/input.rs
@@ -11,7 +11,7 @@
 use tokio::task::coop::consume_budget;
 use tokio::time::{sleep_until, Instant};
 
-/// A message must be complete this long after its first byte. The platform requires an answer within 3 s.
+/// Longest time from a message's first byte until it is complete. The platform requires an answer within 3 s.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Session<'_> {
@@ -51,8 +51,8 @@
         let state_changed = self.front.state_changed.notified();
         let ends_now = self.front.is_closing.get() && connection.input().is_empty();
         tokio::select! {
-            // Input that is available is read before anything else is looked at: it was accepted, and is owed an
-            // answer, also where the process had no turn for so long that it is to stop, or the slot evicted, by now.
+            // Available input is read first: it was accepted and must be answered, even if the process was not scheduled
+            // for so long that by now it is to stop or the slot is evicted.
             biased;
             read = connection.fill() => {
                 Ok(match read? {
@@ -83,16 +83,16 @@
         SessionFlow::End(SessionEnd { reason: SessionEndReason::Stopping, error })
     }
 
-    /// Handles a CancelRequest while no request is open. The request it is for may have been sent before it and be
-    /// still unread: what is available is read first. If there is nothing, the CancelRequest is for no request, and
-    /// must not cancel the next one.
+    /// Handles a CancelRequest while no request is open. Its request may have been sent before it and be still unread:
+    /// available input is read first. If there is none, the CancelRequest is for a completed request, and must not
+    /// cancel the next one.
     async fn handle_early_cancel<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
     ) -> io::Result<SessionFlow> {
         consume_budget().await;
-        let held = connection.input().len();
-        if !connection.probe_end().await? && connection.input().len() == held {
+        let previous_length = connection.input().len();
+        if !connection.probe_end().await? && connection.input().len() == previous_length {
             self.cancel.take();
         }
         Ok(SessionFlow::Continue)
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -26,7 +26,7 @@
 
 /// Start-up parameters with this prefix are protocol options, none of which is known here.
 const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
-/// What the session tells of the server at its start.
+/// Server parameters that a session reports at its start.
 const SERVER_PARAMETERS: [(&str, &str); 7] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -37,7 +37,7 @@
     ("TimeZone", "UTC"),
 ];
 
-/// What is left to do for a message.
+/// What remains to be done for a message.
 enum MessageAction {
     /// Nothing.
     None,
@@ -45,15 +45,15 @@
     Query(String),
     /// End a batch.
     Sync,
-    /// Write what is held back.
+    /// Write all output now.
     Flush,
     /// The rest of a message of the extended query protocol.
     Extended(ExtendedAction),
 }
 
-/// What the input holds next.
+/// The next message of the input.
 enum NextMessage {
-    /// A message of so many bytes, and what is left to do for it.
+    /// A complete message of `length` bytes, and what remains to be done for it.
     Complete { action: Result<MessageAction, ErrorResponse>, length: usize },
     /// A part of a message, or nothing.
     Incomplete,
@@ -112,14 +112,14 @@
     let names = start.parameters.iter().map(|(name, _)| name.as_str());
     let unknown_options: Vec<&str> = names.filter(|name| name.starts_with(PROTOCOL_OPTION_PREFIX)).collect();
     if start.minor > 0 || !unknown_options.is_empty() {
-        pg::negotiate_version(output, &unknown_options);
+        pg::write_negotiate_protocol_version(output, &unknown_options);
     }
-    pg::authentication_ok(output);
+    pg::write_authentication_ok(output);
     for (name, value) in SERVER_PARAMETERS {
-        pg::parameter_status(output, name, value);
+        pg::write_parameter_status(output, name, value);
     }
-    pg::backend_key(output, process_id, secret);
-    pg::ready(output);
+    pg::write_backend_key_data(output, process_id, secret);
+    pg::write_ready_for_query(output);
 }
 
 impl Session<'_> {
@@ -129,7 +129,7 @@
         connection: &mut ClientConnection<S>,
     ) -> io::Result<SessionEnd> {
         loop {
-            // A client that writes many short messages at once is read without waiting: others have their turn.
+            // Many short messages that were sent at once are handled without waiting: other tasks must run in between.
             consume_budget().await;
             match self.handle_message(connection).await? {
                 SessionFlow::Continue => {}
@@ -162,7 +162,7 @@
             connection.output().append(&mut reply);
         }
         self.scratch = reply;
-        // Counted until the answer is written: a stop of the process waits for it.
+        // Counted until the answer is written: a graceful shutdown waits for it.
         let front = Rc::clone(&self.front);
         let _open_request = CountGuard::new(&front.open_requests);
         match self.perform(connection, action).await {
@@ -174,7 +174,7 @@
             }
             Err(MessageError::Rejected(error)) => {
                 connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
-                pg::error(connection.output(), &error);
+                pg::write_error_response(connection.output(), &error);
                 // After an error in a batch the protocol skips all messages up to the next Sync.
                 self.skips_to_sync |= !is_simple;
             }
@@ -186,7 +186,7 @@
         Ok(SessionFlow::Continue)
     }
 
-    /// Reads the next message of `input`. What needs neither an engine nor the connection is done and answered in
+    /// Reads the next message of `input`. A message that needs neither an engine nor the connection is answered in
     /// `reply`.
     fn parse_next(&mut self, input: &[u8], reply: &mut Vec<u8>) -> NextMessage {
         let (message, length) = match pg::read_message(input, BUFFER_BYTES) {
@@ -239,12 +239,12 @@
         Ok(())
     }
 
-    /// Writes all output, with ReadyForQuery at its end. A CancelRequest that arrived before is for what this ends.
+    /// Writes all output, with ReadyForQuery at its end. A CancelRequest that arrived before it has no further effect.
     async fn write_ready<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
     ) -> io::Result<()> {
-        pg::ready(connection.output());
+        pg::write_ready_for_query(connection.output());
         connection.flush().await?;
         self.cancel.take();
         Ok(())
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -35,10 +35,10 @@
         self.slot.record_request();
         let result = self.wait_for_response(connection, request).await?;
         connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
-        pg::row_description(connection.output(), COLUMNS, &[]);
+        pg::write_row_description(connection.output(), COLUMNS, &[]);
         let written = write_rows(connection, &result, RowPosition::default(), 0).await?;
         connection.reserve_output(CONTROL_MESSAGE_BYTES).await?;
-        pg::command_complete(connection.output(), &format!("SELECT {}", written.count));
+        pg::write_command_complete(connection.output(), &format!("SELECT {}", written.count));
         Ok(())
     }
 
@@ -52,10 +52,10 @@
         if self.front.config.extended && self.objects.answer_simple_query(connection.output(), statement)? {
             return Ok(None);
         }
-        // The platform's health check is an empty text. A comment with no statement behind it is a request that was
-        // cut, and must not pass for one.
+        // The platform's health check is an empty text. A comment with no statement behind it is a truncated
+        // request, and must not be taken for a health check.
         if text.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
-            pg::bare(connection.output(), pg::EMPTY_QUERY);
+            pg::write_empty_message(connection.output(), pg::EMPTY_QUERY);
             return Ok(None);
         }
         if tables::is_empty(statement) {
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -1,4 +1,4 @@
-//! What a session knows, and how it waits for the response to a request.
+//! State of a session, and how it waits for the response to a request.
 
 use super::error::MessageError;
 use crate::core::result_buffer::ResultSet;
@@ -14,13 +14,13 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
-/// Room in the output for a message that is not a row: an error, or a description.
+/// Bytes of output that a message other than a row needs at most: an error, or a description.
 pub(super) const CONTROL_MESSAGE_BYTES: usize = 4096;
 
 /// State of a session.
 pub(super) struct Session<'a> {
     pub(super) front: Rc<Front>,
-    /// Its number in BackendKeyData, by which log lines name it.
+    /// Its process id in BackendKeyData, the field `session` of log lines.
     pub(super) process_id: u32,
     pub(super) cancel: Rc<CancelSignal>,
     pub(super) slot: &'a ConnectionSlot,
@@ -30,15 +30,15 @@
     pub(super) skips_to_sync: bool,
     /// Prepared statements and portals, and the session's settings.
     pub(super) objects: SessionObjects,
-    /// Holds the reply to a message until there is room for it in the output.
+    /// Buffer of the reply to a message, until it fits the output.
     pub(super) scratch: Vec<u8>,
     /// An answer was written since the input was last empty.
     pub(super) has_answered: bool,
 }
 
-/// Whether a session goes on.
+/// Whether a session continues.
 pub(super) enum SessionFlow {
-    /// It does.
+    /// It continues.
     Continue,
     /// It ends.
     End(SessionEnd),
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Waits for a request's response, its client's cancel, or the end of the connection. Input is read ahead all the
-    /// while, since the end may stand behind anything. A client that floods is disconnected with an error.
+    /// Waits for a request's response, its client's cancel, or the end of the connection. Input is read ahead
+    /// meanwhile, since the end may follow further input. A client that floods is disconnected with an error.
     ///
     /// # Errors
     /// The response, where it is not a result; and the end of the session.
@@ -104,7 +104,8 @@
     }
 }
 
-/// The end of a session whose client has gone, or floods and is told so. What it still sent is not admitted.
+/// The end of a session whose client closed its side, or floods, which its final error reports. Buffered requests are not
+/// admitted.
 pub(super) fn session_ended<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &ClientConnection<S>,
 ) -> MessageError {
--- a/src/front/session_end.rs
+++ b/src/front/session_end.rs
@@ -23,12 +23,12 @@
     Malformed,
     /// A message that did not become complete in time.
     TimedOut,
-    /// The client sent more than may be held.
+    /// The client sent more than may be buffered.
     Overrun,
 }
 
 impl SessionEndReason {
-    /// All of them.
+    /// All reasons.
     const ALL: [SessionEndReason; 7] = [
         SessionEndReason::ClientClosed,
         SessionEndReason::ConnectionFailed,
@@ -56,7 +56,7 @@
 /// The end of a session.
 #[derive(Debug)]
 pub(super) struct SessionEnd {
-    /// Why.
+    /// Why the session ends.
     pub(super) reason: SessionEndReason,
     /// The final message, if there is one.
     pub(super) error: Option<ErrorResponse>,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Checks that an error which ends a session with an open request is one of a connection whose client is out of reach.
+/// Checks that a session with an open request ends by an error only where its client is unreachable.
 pub(super) fn check_request_end(core: &Core, process_id: u32, error: &io::Error) {
     if !is_client_unreachable(error) {
         let detail = format!("session {process_id}: {error}");
@@ -104,7 +104,7 @@
     }
 }
 
-/// Whether nothing that is written to a connection can reach its client any more.
+/// Whether the error shows that no answer can reach the client any more.
 fn is_client_unreachable(error: &io::Error) -> bool {
     use io::ErrorKind::{
         BrokenPipe, ConnectionAborted, ConnectionReset, HostUnreachable, NetworkUnreachable, NotConnected,
--- a/src/front/sessionless.rs
+++ b/src/front/sessionless.rs
@@ -43,7 +43,7 @@
 }
 
 impl SessionlessConnections {
-    /// Room for `max_connections`, at least one.
+    /// Entries for at most `max_connections`, at least one.
     pub fn new(max_connections: usize) -> Rc<SessionlessConnections> {
         Rc::new(SessionlessConnections {
             states: RefCell::default(),
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Adds a connection, evicting one if need be, which may be the new one.
+    /// Adds a connection, evicting one if necessary, which may be the new one.
     pub fn enter(self: &Rc<Self>, phase: SessionlessPhase) -> SessionlessConnection {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -65,7 +65,7 @@
     }
 
     /// Whether one more can enter without an eviction.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.states.borrow().len() < self.max_connections
     }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// What counts a connection against its limit: at any time one of the two.
+/// Counts a connection against its limit: every connection has one of the two.
 #[derive(Debug)]
 pub enum ConnectionGuard {
     /// A slot for a session.
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -12,12 +12,12 @@
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 
-/// A connection that has not started a session in this time is closed. The platform requires an answer within 3 s.
+/// Longest time until a connection starts its session; it is closed then. The platform requires an answer within 3 s.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Answer to an SSLRequest that is agreed to.
+/// Answer to an SSLRequest that is accepted.
 const ENCRYPTION_ACCEPTED: u8 = b'S';
-/// Answer to a request for an encryption that is not offered.
-const ENCRYPTION_REFUSED: u8 = b'N';
+/// Answer to a request for encryption that is not offered.
+const ENCRYPTION_REJECTED: u8 = b'N';
 
 /// A StartupMessage.
 pub struct SessionStart {
@@ -36,7 +36,7 @@
     Tls,
 }
 
-/// What follows the packets before a session.
+/// How the packets before a session end.
 pub(super) enum StartupOutcome {
     /// A session.
     Session(SessionStart),
@@ -97,10 +97,10 @@
             let acceptor = self.tls.borrow().clone();
             match (opening, acceptor) {
                 (Opening::Ssl, Some(acceptor)) if transport == Transport::Plain => {
-                    return agree_to_tls(connection, acceptor).await;
+                    return accept_tls_request(connection, acceptor).await;
                 }
                 (Opening::Ssl | Opening::Gssenc, _) => {
-                    connection.output().push(ENCRYPTION_REFUSED);
+                    connection.output().push(ENCRYPTION_REJECTED);
                     connection.flush().await?;
                 }
                 (Opening::Cancel { session, secret }, _) => {
@@ -127,9 +127,9 @@
     }
 }
 
-/// Agrees to an SSLRequest. Bytes that arrive before the handshake are not accepted: an attacker could have injected
+/// Accepts an SSLRequest. Bytes that arrive before the handshake are rejected: an attacker could have injected
 /// them, and they would be read as if they had been encrypted.
-async fn agree_to_tls<S: AsyncRead + AsyncWrite + Unpin>(
+async fn accept_tls_request<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut ClientConnection<S>,
     acceptor: TlsAcceptor,
 ) -> io::Result<StartupOutcome> {
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -4,37 +4,54 @@
 
 /// Number of columns of a row.
 pub const COLUMNS: usize = 3;
-/// Maximum number of pages of a result; 48,000 bytes in whole rows take far fewer.
+/// Maximum number of pages of a result; a result of 48,000 bytes in complete rows needs far fewer.
 const MAX_PAGES: usize = 64;
 /// Stands for an empty list of fields.
 const NO_FIELDS: &str = "-";
 
-/// Words of the answers.
-mod word {
+/// Kinds of answers, the second part of an answer on the wire.
+mod answer_name {
+    /// The query has completed; fields and the first page follow.
     pub(super) const COMPLETED: &[u8] = b"served";
+    /// The engine is overloaded; the query did not run.
     pub(super) const OVERLOADED: &[u8] = b"overload";
+    /// The query failed at the engine; it may have run.
     pub(super) const CRASHED: &[u8] = b"crashed";
+    /// The attempt was unknown or cancelled; the query did not run.
     pub(super) const NOT_RUN: &[u8] = b"nobody";
+    /// A progress note of a query that is running.
     pub(super) const UPDATE: &[u8] = b"update";
+    /// A further page of a result.
     pub(super) const PAGE: &[u8] = b"rows";
+    /// The answer to a health check.
     pub(super) const PONG: &[u8] = b"green";
 }
 
-/// Names of the fields of an answer.
+/// Names of the fields of an answer on the wire.
 mod field {
+    /// Number of all pages of a result, from 1.
     pub(super) const PAGE_COUNT: &str = "batches";
+    /// Number of a further page of a result, from 1; the first page comes with [`answer_name::COMPLETED`].
     pub(super) const PAGE_NUMBER: &str = "batch";
+    /// The engine's load report: `name:value;name:value`.
     pub(super) const LOAD_REPORT: &str = "stats";
+    /// Work that the query took, in milliseconds on one core.
     pub(super) const CPU_MS: &str = "cpu";
+    /// Memory that the query used, in MB.
     pub(super) const MEMORY_MB: &str = "used";
+    /// Value of a progress note; its topic says what it measures.
     pub(super) const UPDATE_VALUE: &str = "num";
+    /// Topic of a progress note.
     pub(super) const UPDATE_TOPIC: &str = "how";
 }
 
-/// Values of the field `how`.
+/// Values of the field [`field::UPDATE_TOPIC`].
 mod topic {
+    /// Fraction of the work that is done, from 0 to 1.
     pub(super) const PROGRESS: &str = "so_far";
+    /// Memory that the query lacks, in MB.
     pub(super) const MISSING_MEMORY: &str = "lacking";
+    /// What the query waits for: 1 is memory, 2 a load.
     pub(super) const WAITING: &str = "waiting";
 }
 
@@ -170,27 +187,27 @@
 /// Decodes the parts of an array as an engine's answer. Unknown fields are ignored.
 ///
 /// # Errors
-/// Where a known field cannot be read: part of a result must not pass for the whole.
+/// Where a known field cannot be read: a part of a result must not be taken for the complete one.
 pub fn read_answer<'a>(parts: &[&'a [u8]]) -> Result<EngineAnswer<'a>, EngineAnswerError> {
-    let [id, word, rest @ ..] = parts else { return Err(EngineAnswerError::Missing("word")) };
+    let [id, name, rest @ ..] = parts else { return Err(EngineAnswerError::Missing("word")) };
     let text = rest.first().copied().unwrap_or(NO_FIELDS.as_bytes());
     let text = std::str::from_utf8(text).map_err(|_| EngineAnswerError::FieldsNotText)?;
     let body = rest.get(1).copied().unwrap_or(b"");
     let fields = read_fields(text)?;
-    let kind = match *word {
-        word::COMPLETED => {
+    let kind = match *name {
+        answer_name::COMPLETED => {
             let pages = fields.page_count.ok_or(EngineAnswerError::Missing(field::PAGE_COUNT))?;
             AnswerKind::Completed { pages }
         }
-        word::OVERLOADED => AnswerKind::Overloaded,
-        word::CRASHED => AnswerKind::Crashed,
-        word::NOT_RUN => AnswerKind::NotRun,
-        word::UPDATE => AnswerKind::Update { topic: fields.update_topic, value: fields.update_value },
-        word::PAGE => {
+        answer_name::OVERLOADED => AnswerKind::Overloaded,
+        answer_name::CRASHED => AnswerKind::Crashed,
+        answer_name::NOT_RUN => AnswerKind::NotRun,
+        answer_name::UPDATE => AnswerKind::Update { topic: fields.update_topic, value: fields.update_value },
+        answer_name::PAGE => {
             let number = fields.page_number.ok_or(EngineAnswerError::Missing(field::PAGE_NUMBER))?;
             AnswerKind::Page { number }
         }
-        word::PONG => AnswerKind::Pong,
+        answer_name::PONG => AnswerKind::Pong,
         _ => AnswerKind::Unknown,
     };
     let memory_mb = fields.memory_mb.unwrap_or(0.0);
@@ -234,17 +251,37 @@
     }
 }
 
-/// The load report `name:value;name:value`. The engines of both generations are read: some names have a short form.
+/// Names of the values of a load report on the wire. Engines of the other generation write the second names.
+mod load_report {
+    /// Queries in flight at the engine.
+    pub(super) const IN_FLIGHT: &str = "inflight";
+    /// Second name of [`IN_FLIGHT`].
+    pub(super) const IN_FLIGHT_ALIAS: &str = "rif";
+    /// Queries that wait for memory.
+    pub(super) const QUEUED: &str = "queue";
+    /// Second name of [`QUEUED`].
+    pub(super) const QUEUED_ALIAS: &str = "q";
+    /// Fraction of the cores in use, from 0 to 1.
+    pub(super) const CPU_UTILIZATION: &str = "util";
+    /// Second name of [`CPU_UTILIZATION`].
+    pub(super) const CPU_UTILIZATION_ALIAS: &str = "busy";
+    /// Fraction of the memory that is granted, from 0 to 1.
+    pub(super) const MEMORY_UTILIZATION: &str = "x0";
+    /// Fraction of the disks in use, from 0 to 1.
+    pub(super) const DISK_UTILIZATION: &str = "x1";
+}
+
+/// Reads a load report, `name:value;name:value`, in the names of both generations of engines.
 fn read_stats(text: &str) -> Result<LoadStats, EngineAnswerError> {
     let mut stats = LoadStats::default();
     for pair in split_pairs(text, ';', ':') {
         let (name, value) = pair?;
         let target = match name {
-            "inflight" | "rif" => &mut stats.in_flight,
-            "queue" | "q" => &mut stats.queued,
-            "util" | "busy" => &mut stats.cpu_utilization,
-            "x0" => &mut stats.memory_utilization,
-            "x1" => &mut stats.disk_utilization,
+            load_report::IN_FLIGHT | load_report::IN_FLIGHT_ALIAS => &mut stats.in_flight,
+            load_report::QUEUED | load_report::QUEUED_ALIAS => &mut stats.queued,
+            load_report::CPU_UTILIZATION | load_report::CPU_UTILIZATION_ALIAS => &mut stats.cpu_utilization,
+            load_report::MEMORY_UTILIZATION => &mut stats.memory_utilization,
+            load_report::DISK_UTILIZATION => &mut stats.disk_utilization,
             _ => continue,
         };
         *target = Some(read_number(field::LOAD_REPORT, value)?);
--- a/src/proto/engine_command.rs
+++ b/src/proto/engine_command.rs
@@ -1,4 +1,4 @@
-//! The engines' protocol: the words of commands, and the fields of the command that sends a query.
+//! The engines' protocol: the names of commands, and the fields of the command that sends a query.
 
 use std::fmt;
 
@@ -13,12 +13,17 @@
 /// Sets the priority of an attempt.
 pub const SET_PRIORITY: &[u8] = b"bump";
 
-/// Names of the fields of a query.
+/// Names of the fields of a query on the wire.
 mod field {
+    /// Name of the request's class.
     pub(super) const CLASS: &str = "class";
+    /// How long the client still waits, in milliseconds.
     pub(super) const TIME_LEFT_MS: &str = "wait";
+    /// The idempotency key.
     pub(super) const IDEMPOTENCY_KEY: &str = "once";
+    /// Memory that the query may use, in MB.
     pub(super) const MEMORY_GRANT_MB: &str = "mb";
+    /// The priority level, from 0 (lowest) to 3.
     pub(super) const PRIORITY: &str = "nice";
 }
 
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -4,36 +4,50 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The highest number of an event. Above it JSON's numbers (IEEE 754 doubles) are not told apart.
+/// The highest number of an event. Above it JSON's numbers (IEEE 754 doubles) are not distinct.
 pub const MAX_EVENT_NUMBER: u64 = (1 << 53) - 1;
 
-/// Names of the fields of an event.
+/// Names of the fields of an event on the wire.
 mod field {
+    /// The event's number, counted from 1 since the feed's start.
     pub(super) const NUMBER: &str = "n";
+    /// The change of the endpoint list; absent in events about something else.
     pub(super) const LIST: &str = "members";
+    /// The endpoints of a list.
     pub(super) const LIST_ENDPOINTS: &str = "members";
+    /// The revision of the list that the event leads to.
     pub(super) const LIST_REVISION: &str = "revision";
+    /// Whether the event holds the complete list, not only changes.
     pub(super) const LIST_IS_COMPLETE: &str = "complete";
+    /// An endpoint's id.
     pub(super) const ID: &str = "id";
+    /// The address that an endpoint listens on: host and port.
     pub(super) const ADDRESS: &str = "host_port";
+    /// Name of an endpoint's zone.
     pub(super) const ZONE: &str = "locality";
+    /// Name of an endpoint's machine kind.
     pub(super) const MACHINE_KIND: &str = "flavor";
+    /// Number of an endpoint's cell.
     pub(super) const CELL: &str = "cell";
+    /// Phase of an endpoint.
     pub(super) const PHASE: &str = "phase";
+    /// When an endpoint started, in Unix milliseconds, if that was late.
     pub(super) const UP_SINCE_MS: &str = "up_since_ms";
 }
 
-/// Values of the field `phase`.
+/// Values of the field [`field::PHASE`]; any other counts as ready.
 mod phase {
+    /// The endpoint completes the requests that it has.
     pub(super) const DRAINING: &str = "draining";
+    /// The endpoint is removed.
     pub(super) const GONE: &str = "gone";
 }
 
 /// Why a text is not an event.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The text holds U+FFFD, which the decoder of the stream puts in the place of bytes that are not UTF-8. A damaged
-    /// id would be that of another engine.
+    /// The text holds U+FFFD, which the decoder of the stream substitutes for bytes that are not UTF-8. A damaged
+    /// id could name another engine.
     #[error("field data is not UTF-8")]
     NotUtf8,
     /// The text is not JSON; the parser's message is part of this one.
@@ -90,7 +104,7 @@
     pub n: u64,
     /// The revision of the list that it leads to; 0 if it has none.
     pub revision: u64,
-    /// It holds the whole list, and not only what has changed.
+    /// Whether it holds the complete list, not only changes.
     pub complete: bool,
     /// The endpoints.
     pub members: Vec<Endpoint>,
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -3,27 +3,27 @@
 use super::pg::ErrorResponse;
 use thiserror::Error;
 
-/// Names of the fields.
+/// Names of the fields on the wire.
 pub mod name {
-    /// The class.
+    /// Name of the request's class.
     pub const CLASS: &str = "kind";
-    /// The request's id.
+    /// The request's id: 16 hexadecimal digits.
     pub const REQUEST_ID: &str = "req";
-    /// How long the client waits.
+    /// How long the client waits, in milliseconds.
     pub const TIMEOUT: &str = "timeout";
-    /// The tenant.
+    /// Name of the tenant.
     pub const TENANT: &str = "owner";
     /// Marks a client's retry.
     pub const RETRY: &str = "resent";
     /// The idempotency key.
     pub const IDEMPOTENCY_KEY: &str = "opkey";
-    /// The estimated work.
+    /// The estimated work, in milliseconds on one core.
     pub const WORK_MS: &str = "ms";
-    /// The estimated memory.
+    /// The estimated memory, in MB.
     pub const MEMORY_MB: &str = "heap_mb";
 }
 
-/// Value of the field `resent`.
+/// Value of the field [`name::RETRY`].
 const IS_RETRY: &str = "1";
 /// Hexadecimal digits of a request's id.
 const ID_DIGITS: usize = 16;
@@ -77,21 +77,21 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fields {
     /// Name of the class.
-    pub kind: Option<String>,
+    pub class: Option<String>,
     /// The request's id.
-    pub req: Option<u64>,
+    pub request_id: Option<u64>,
     /// How long the client waits, in milliseconds.
     pub timeout_ms: Option<u64>,
     /// Name of the tenant.
-    pub owner: Option<String>,
+    pub tenant: Option<String>,
     /// It is a client's retry.
-    pub resent: bool,
+    pub is_retry: bool,
     /// The idempotency key.
-    pub opkey: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The estimated work, in milliseconds on one core.
-    pub ms: Option<f64>,
+    pub work_ms: Option<f64>,
     /// The estimated memory, in MB.
-    pub heap_mb: Option<f64>,
+    pub memory_mb: Option<f64>,
 }
 
 /// Divides a text into its first comment, if that holds fields, and the statement without it. Only white space may
@@ -125,7 +125,7 @@
     comment.split(',').filter_map(|pair| pair.trim().split_once('='))
 }
 
-/// Whether a part of a comment is `name=value`, with no white space in the name. Other comments are the client's own.
+/// Whether a part of a comment is `name=value`, with no white space in the name. Other comments are no fields.
 fn is_pair(part: &str) -> bool {
     let part = part.trim();
     let name = part.split_once('=').map_or("", |(name, _)| name);
@@ -135,7 +135,7 @@
 /// Reads names and values; unknown names are ignored.
 ///
 /// # Errors
-/// Where a value does not fit its field, or a field is given twice: which of two was meant is not known.
+/// Where a value does not fit its field, or a field is given twice: it is unknown which of the two is meant.
 pub fn read<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Fields, FieldError> {
     let mut fields = Fields::default();
     let mut seen = Vec::new();
@@ -145,15 +145,15 @@
         }
         seen.push(name);
         match name {
-            name::CLASS => fields.kind = Some(value.to_owned()),
-            name::REQUEST_ID => fields.req = Some(read_id(value)?),
+            name::CLASS => fields.class = Some(value.to_owned()),
+            name::REQUEST_ID => fields.request_id = Some(read_id(value)?),
             name::TIMEOUT => fields.timeout_ms = Some(read_timeout(name::TIMEOUT, value)?),
-            name::TENANT => fields.owner = Some(value.to_owned()),
-            name::RETRY if value == IS_RETRY => fields.resent = true,
+            name::TENANT => fields.tenant = Some(value.to_owned()),
+            name::RETRY if value == IS_RETRY => fields.is_retry = true,
             name::RETRY => return Err(FieldError::InvalidRetry),
-            name::IDEMPOTENCY_KEY => fields.opkey = Some(read_key(value)?),
-            name::WORK_MS => fields.ms = Some(read_amount(name::WORK_MS, value, MAX_WORK_MS)?),
-            name::MEMORY_MB => fields.heap_mb = Some(read_amount(name::MEMORY_MB, value, MAX_MEMORY_MB)?),
+            name::IDEMPOTENCY_KEY => fields.idempotency_key = Some(read_key(value)?),
+            name::WORK_MS => fields.work_ms = Some(read_amount(name::WORK_MS, value, MAX_WORK_MS)?),
+            name::MEMORY_MB => fields.memory_mb = Some(read_amount(name::MEMORY_MB, value, MAX_MEMORY_MB)?),
             _ => {}
         }
     }
@@ -166,7 +166,7 @@
     id.ok_or(FieldError::InvalidId)
 }
 
-/// Checks an idempotency key: it is sent on in the engines' list of fields, which has no quotes.
+/// Checks an idempotency key: it is forwarded in the engines' list of fields, which has no quotes.
 fn read_key(value: &str) -> Result<String, FieldError> {
     let has_length = (1..=MAX_KEY_CHARACTERS).contains(&value.len());
     let is_plain = value.bytes().all(|byte| byte.is_ascii_graphic()) && !value.contains([',', '=']);
--- a/src/proto/literal/mod.rs
+++ b/src/proto/literal/mod.rs
@@ -10,17 +10,17 @@
 
 /// Format code of values in text.
 const TEXT_FORMAT: u16 = 0;
-/// Characters that may stand before a literal.
+/// Characters that may precede a literal without a space between.
 const MAY_PRECEDE: [char; 6] = [' ', '\t', '\n', '\r', '(', ','];
-/// Characters that may stand behind a literal.
+/// Characters that may follow a literal without a space between.
 const MAY_FOLLOW: [char; 7] = [' ', '\t', '\n', '\r', ')', ',', ';'];
 
 /// A bound parameter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
-    /// As it stands in a statement.
+    /// Its form in a statement.
     pub literal: String,
-    /// As it stands in a field; `None` for NULL.
+    /// Its form in a field; `None` for NULL.
     pub plain: Option<String>,
 }
 
--- a/src/proto/mod.rs
+++ b/src/proto/mod.rs
@@ -1,4 +1,4 @@
-//! Codecs of all that is spoken on sockets, without sockets or clocks (sans-io).
+//! Codecs of the protocols on sockets, without sockets or clocks (sans-io).
 //!
 //! Each codec is incremental (it says when it needs more bytes) and bounded (it rejects what exceeds its limits), and
 //! none panics, whatever bytes it is given. Each has its own error type, whose messages name the field that is wrong.
--- a/src/proto/pg/backend.rs
+++ b/src/proto/pg/backend.rs
@@ -1,15 +1,58 @@
-//! The messages to clients, each appended to a buffer.
+//! Writes the messages to clients, each appended to a buffer.
 
 use super::error::ErrorResponse;
 use super::TEXT;
 
 /// Bytes of a DataRow before its columns: type, length and number of columns.
 const DATA_ROW_HEADER_BYTES: usize = 7;
-/// Parts the columns of a page's line.
+/// Separates the columns of a page's line.
 const COLUMN_SEPARATOR: u8 = b'\t';
 
+/// Type bytes of the messages to clients.
+mod message_type {
+    /// AuthenticationOk.
+    pub(super) const AUTHENTICATION: u8 = b'R';
+    /// ParameterStatus.
+    pub(super) const PARAMETER_STATUS: u8 = b'S';
+    /// BackendKeyData.
+    pub(super) const BACKEND_KEY_DATA: u8 = b'K';
+    /// NegotiateProtocolVersion.
+    pub(super) const NEGOTIATE_PROTOCOL_VERSION: u8 = b'v';
+    /// ReadyForQuery.
+    pub(super) const READY_FOR_QUERY: u8 = b'Z';
+    /// RowDescription.
+    pub(super) const ROW_DESCRIPTION: u8 = b'T';
+    /// ParameterDescription.
+    pub(super) const PARAMETER_DESCRIPTION: u8 = b't';
+    /// DataRow.
+    pub(super) const DATA_ROW: u8 = b'D';
+    /// CommandComplete.
+    pub(super) const COMMAND_COMPLETE: u8 = b'C';
+    /// ErrorResponse.
+    pub(super) const ERROR_RESPONSE: u8 = b'E';
+}
+
+/// Type bytes of the fields of an ErrorResponse.
+mod error_field {
+    /// Severity, possibly localized.
+    pub(super) const SEVERITY: u8 = b'S';
+    /// Severity, never localized.
+    pub(super) const SEVERITY_NONLOCALIZED: u8 = b'V';
+    /// SQLSTATE.
+    pub(super) const CODE: u8 = b'C';
+    /// Message.
+    pub(super) const MESSAGE: u8 = b'M';
+    /// Detail.
+    pub(super) const DETAIL: u8 = b'D';
+    /// Hint.
+    pub(super) const HINT: u8 = b'H';
+}
+
+/// Transaction status of ReadyForQuery: outside any transaction.
+const IDLE: u8 = b'I';
+
 /// Appends a message: its type, its length, and what `write_body` writes.
-fn framed(output: &mut Vec<u8>, message_type: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
+fn write_message(output: &mut Vec<u8>, message_type: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
     output.push(message_type);
     let start = output.len();
     output.extend_from_slice(&[0; 4]);
@@ -18,71 +61,71 @@
     output[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends a string with a zero byte at its end, and none in it.
-fn text(output: &mut Vec<u8>, string: &str) {
+/// Appends a string and a zero byte at its end; zero bytes in it are left out.
+fn write_text(output: &mut Vec<u8>, string: &str) {
     output.extend(string.bytes().filter(|byte| *byte != 0));
     output.push(0);
 }
 
-/// AuthenticationOk.
-pub fn authentication_ok(output: &mut Vec<u8>) {
-    framed(output, b'R', |body| body.extend_from_slice(&[0; 4]));
+/// Appends AuthenticationOk.
+pub fn write_authentication_ok(output: &mut Vec<u8>) {
+    write_message(output, message_type::AUTHENTICATION, |body| body.extend_from_slice(&[0; 4]));
 }
 
-/// ParameterStatus.
-pub fn parameter_status(output: &mut Vec<u8>, name: &str, value: &str) {
-    framed(output, b'S', |body| {
-        text(body, name);
-        text(body, value);
+/// Appends ParameterStatus.
+pub fn write_parameter_status(output: &mut Vec<u8>, name: &str, value: &str) {
+    write_message(output, message_type::PARAMETER_STATUS, |body| {
+        write_text(body, name);
+        write_text(body, value);
     });
 }
 
-/// BackendKeyData: what a CancelRequest must carry.
-pub fn backend_key(output: &mut Vec<u8>, session: u32, secret: u32) {
-    framed(output, b'K', |body| {
+/// Appends BackendKeyData: what a CancelRequest must carry.
+pub fn write_backend_key_data(output: &mut Vec<u8>, session: u32, secret: u32) {
+    write_message(output, message_type::BACKEND_KEY_DATA, |body| {
         body.extend_from_slice(&session.to_be_bytes());
         body.extend_from_slice(&secret.to_be_bytes());
     });
 }
 
-/// NegotiateProtocolVersion: the version is 3.0, and these options are unknown.
-pub fn negotiate_version(output: &mut Vec<u8>, unknown: &[&str]) {
-    framed(output, b'v', |body| {
+/// Appends NegotiateProtocolVersion: the version is 3.0, and these options are unknown.
+pub fn write_negotiate_protocol_version(output: &mut Vec<u8>, unknown: &[&str]) {
+    write_message(output, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| {
         body.extend_from_slice(&[0; 4]);
         body.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
-        unknown.iter().for_each(|name| text(body, name));
+        unknown.iter().for_each(|name| write_text(body, name));
     });
 }
 
-/// ReadyForQuery, outside any transaction.
-pub fn ready(output: &mut Vec<u8>) {
-    framed(output, b'Z', |body| body.push(b'I'));
+/// Appends ReadyForQuery, outside any transaction.
+pub fn write_ready_for_query(output: &mut Vec<u8>) {
+    write_message(output, message_type::READY_FOR_QUERY, |body| body.push(IDLE));
 }
 
-/// A message without a body.
-pub fn bare(output: &mut Vec<u8>, message_type: u8) {
-    framed(output, message_type, |_| {});
+/// Appends a message without a body.
+pub fn write_empty_message(output: &mut Vec<u8>, message_type: u8) {
+    write_message(output, message_type, |_| {});
 }
 
-/// EmptyQueryResponse.
+/// Type of EmptyQueryResponse, for [`write_empty_message`].
 pub const EMPTY_QUERY: u8 = b'I';
-/// ParseComplete.
+/// Type of ParseComplete, for [`write_empty_message`].
 pub const PARSE_COMPLETE: u8 = b'1';
-/// BindComplete.
+/// Type of BindComplete, for [`write_empty_message`].
 pub const BIND_COMPLETE: u8 = b'2';
-/// CloseComplete.
+/// Type of CloseComplete, for [`write_empty_message`].
 pub const CLOSE_COMPLETE: u8 = b'3';
-/// NoData.
+/// Type of NoData, for [`write_empty_message`].
 pub const NO_DATA: u8 = b'n';
-/// PortalSuspended.
+/// Type of PortalSuspended, for [`write_empty_message`].
 pub const PORTAL_SUSPENDED: u8 = b's';
 
-/// RowDescription of `columns` text columns named c1, c2 and so on; formats are none, one for all, or one each.
-pub fn row_description(output: &mut Vec<u8>, columns: usize, formats: &[u16]) {
-    framed(output, b'T', |body| {
+/// Appends RowDescription of `columns` text columns named c1, c2 and so on; formats are none, one for all, or one each.
+pub fn write_row_description(output: &mut Vec<u8>, columns: usize, formats: &[u16]) {
+    write_message(output, message_type::ROW_DESCRIPTION, |body| {
         body.extend_from_slice(&(columns as u16).to_be_bytes());
         for index in 0..columns {
-            text(body, &format!("c{}", index + 1));
+            write_text(body, &format!("c{}", index + 1));
             // No table, and no column of one.
             body.extend_from_slice(&[0; 6]);
             body.extend_from_slice(&TEXT.to_be_bytes());
@@ -95,17 +138,17 @@
     });
 }
 
-/// ParameterDescription.
-pub fn parameter_description(output: &mut Vec<u8>, types: &[u32]) {
-    framed(output, b't', |body| {
+/// Appends ParameterDescription.
+pub fn write_parameter_description(output: &mut Vec<u8>, types: &[u32]) {
+    write_message(output, message_type::PARAMETER_DESCRIPTION, |body| {
         body.extend_from_slice(&(types.len() as u16).to_be_bytes());
-        types.iter().for_each(|t| body.extend_from_slice(&t.to_be_bytes()));
+        types.iter().for_each(|oid| body.extend_from_slice(&oid.to_be_bytes()));
     });
 }
 
-/// DataRow of one line of a page, whose columns are separated by tabs.
-pub fn data_row(output: &mut Vec<u8>, line: &[u8]) {
-    framed(output, b'D', |body| {
+/// Appends DataRow of one line of a page, whose columns are separated by tabs.
+pub fn write_data_row(output: &mut Vec<u8>, line: &[u8]) {
+    write_message(output, message_type::DATA_ROW, |body| {
         let columns = line.split(|byte| *byte == COLUMN_SEPARATOR).count() as u16;
         body.extend_from_slice(&columns.to_be_bytes());
         for column in line.split(|byte| *byte == COLUMN_SEPARATOR) {
@@ -115,32 +158,32 @@
     });
 }
 
-/// Upper bound of the bytes that [`data_row`] appends.
+/// Upper bound of the bytes that [`write_data_row`] appends.
 pub fn data_row_size(line: &[u8]) -> usize {
     DATA_ROW_HEADER_BYTES + line.len() + 4 * line.split(|byte| *byte == COLUMN_SEPARATOR).count()
 }
 
-/// CommandComplete.
-pub fn command_complete(output: &mut Vec<u8>, tag: &str) {
-    framed(output, b'C', |body| text(body, tag));
+/// Appends CommandComplete.
+pub fn write_command_complete(output: &mut Vec<u8>, tag: &str) {
+    write_message(output, message_type::COMMAND_COMPLETE, |body| write_text(body, tag));
 }
 
-/// ErrorResponse.
-pub fn error(output: &mut Vec<u8>, error: &ErrorResponse) {
-    framed(output, b'E', |body| {
+/// Appends ErrorResponse.
+pub fn write_error_response(output: &mut Vec<u8>, error: &ErrorResponse) {
+    write_message(output, message_type::ERROR_RESPONSE, |body| {
         let severity = if error.fatal { "FATAL" } else { "ERROR" };
         let fields = [
-            (b'S', Some(severity)),
-            (b'V', Some(severity)),
-            (b'C', Some(error.code)),
-            (b'M', Some(error.message.as_str())),
-            (b'D', error.detail.as_deref()),
-            (b'H', error.hint.as_deref()),
+            (error_field::SEVERITY, Some(severity)),
+            (error_field::SEVERITY_NONLOCALIZED, Some(severity)),
+            (error_field::CODE, Some(error.code)),
+            (error_field::MESSAGE, Some(error.message.as_str())),
+            (error_field::DETAIL, error.detail.as_deref()),
+            (error_field::HINT, error.hint.as_deref()),
         ];
         for (tag, value) in fields {
             if let Some(value) = value {
                 body.push(tag);
-                text(body, value);
+                write_text(body, value);
             }
         }
         body.push(0);
--- a/src/proto/pg/cursor.rs
+++ b/src/proto/pg/cursor.rs
@@ -3,10 +3,10 @@
 use super::error::PgError;
 use super::message::ObjectKind;
 
-/// Length of a value that is NULL.
+/// The length field of a value that is NULL: -1.
 const NULL_LENGTH: u32 = u32::MAX;
 
-/// The bytes of a message that were not read.
+/// The bytes of a message that are not read yet.
 pub(super) struct Cursor<'a>(pub(super) &'a [u8]);
 
 impl<'a> Cursor<'a> {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// What a Describe or Close is about.
+    /// The kind of the object of a Describe or Close.
     pub(super) fn object_kind(&mut self) -> Result<ObjectKind, PgError> {
         match self.bytes(1, "kind")?[0] {
             b'S' => Ok(ObjectKind::Statement),
--- a/src/proto/pg/message.rs
+++ b/src/proto/pg/message.rs
@@ -4,30 +4,44 @@
 use super::error::PgError;
 use thiserror::Error;
 
-/// Bytes of a message's type and length.
+/// Length of a message's type and length fields in bytes.
 const HEADER_BYTES: usize = 5;
-/// The length of a message counts itself.
+/// Lowest value of a message's length field, which counts its own 4 bytes.
 const MIN_LENGTH: usize = 4;
 
 /// Type bytes of the messages.
 mod message_type {
+    /// Query: a simple query.
     pub(super) const QUERY: u8 = b'Q';
+    /// Parse: prepares a statement.
     pub(super) const PARSE: u8 = b'P';
+    /// Bind: creates a portal from a statement and its parameters.
     pub(super) const BIND: u8 = b'B';
+    /// Describe: requests the parameters and columns of a statement or portal.
     pub(super) const DESCRIBE: u8 = b'D';
+    /// Close: closes a statement or portal.
     pub(super) const CLOSE: u8 = b'C';
+    /// Execute: runs a portal.
     pub(super) const EXECUTE: u8 = b'E';
+    /// Flush: requests the answers that are still buffered.
     pub(super) const FLUSH: u8 = b'H';
+    /// Sync: ends a batch.
     pub(super) const SYNC: u8 = b'S';
+    /// Terminate: ends the session.
     pub(super) const TERMINATE: u8 = b'X';
+    /// FunctionCall, which is not supported.
     pub(super) const FUNCTION_CALL: u8 = b'F';
+    /// CopyData: data of a COPY, which is not supported.
     pub(super) const COPY_DATA: u8 = b'd';
+    /// CopyDone: the end of a COPY, which is not supported.
     pub(super) const COPY_DONE: u8 = b'c';
+    /// CopyFail: the failure of a COPY, which is not supported.
     pub(super) const COPY_FAIL: u8 = b'f';
+    /// PasswordMessage, also of other authentication methods.
     pub(super) const PASSWORD: u8 = b'p';
 }
 
-/// What a Describe or Close is about.
+/// Kind of the object of a Describe or Close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectKind {
     /// A prepared statement.
@@ -50,7 +64,7 @@
         /// Object ids of the parameters' types, 0 where not specified.
         types: Vec<u32>,
     },
-    /// Makes a portal of a statement.
+    /// Creates a portal from a statement.
     Bind {
         /// The portal's name.
         portal: &'a str,
@@ -61,20 +75,20 @@
         /// Values of the parameters; `None` is NULL.
         values: Vec<Option<&'a [u8]>>,
         /// Format codes of the result's columns: none, one for all, or one each.
-        results: Vec<u16>,
+        result_formats: Vec<u16>,
     },
-    /// Asks for the parameters and columns of a statement or portal.
+    /// Requests the parameters and columns of a statement or portal.
     Describe(ObjectKind, &'a str),
     /// Runs a portal.
     Execute {
         /// The portal's name.
         portal: &'a str,
         /// Maximum number of rows to send; 0: all.
-        rows: u32,
+        max_rows: u32,
     },
     /// Closes a statement or portal.
     Close(ObjectKind, &'a str),
-    /// Asks for the answers that are held back.
+    /// Requests the answers that are still buffered.
     Flush,
     /// Ends a batch.
     Sync,
@@ -84,7 +98,7 @@
     Copy,
     /// A function call, which is not supported.
     FunctionCall,
-    /// A password, which is never asked for.
+    /// A password, which is never requested.
     Password,
 }
 
@@ -115,7 +129,7 @@
     }
     let Some(body) = bytes.get(HEADER_BYTES..=length) else { return Ok(None) };
     let total = length + 1;
-    // A type of zero is no message at all: the stream is not in step with the protocol.
+    // No message has the type zero: the client and this program disagree on where messages begin.
     let skippable = (header[0] != 0).then_some(total);
     let message =
         read_body(header[0], body).map_err(|error| MalformedMessage { error, length: skippable })?;
@@ -131,7 +145,7 @@
         message_type::DESCRIBE => Message::Describe(cursor.object_kind()?, cursor.text("name")?),
         message_type::CLOSE => Message::Close(cursor.object_kind()?, cursor.text("name")?),
         message_type::EXECUTE => {
-            Message::Execute { portal: cursor.text("portal name")?, rows: cursor.u32("row limit")? }
+            Message::Execute { portal: cursor.text("portal name")?, max_rows: cursor.u32("row limit")? }
         }
         message_type::FLUSH => Message::Flush,
         message_type::SYNC => Message::Sync,
@@ -162,6 +176,6 @@
     let statement = cursor.text("statement name")?;
     let formats = cursor.list("parameter format count", |cursor| cursor.format("parameter format"))?;
     let values = cursor.list("parameter count", |cursor| cursor.value("parameter value"))?;
-    let results = cursor.list("result format count", |cursor| cursor.format("result format"))?;
-    Ok(Message::Bind { portal, statement, formats, values, results })
+    let result_formats = cursor.list("result format count", |cursor| cursor.format("result format"))?;
+    Ok(Message::Bind { portal, statement, formats, values, result_formats })
 }
--- a/src/proto/pg/opening.rs
+++ b/src/proto/pg/opening.rs
@@ -3,15 +3,15 @@
 use super::cursor::Cursor;
 use super::error::PgError;
 
-/// Length of the shortest first packet: its length and a code.
+/// Length of the shortest first packet in bytes: its length and a code.
 const MIN_OPENING_BYTES: usize = 8;
-/// Length of the longest first packet that is accepted.
+/// Length of the longest first packet that is accepted, in bytes.
 const MAX_OPENING_BYTES: usize = 10_000;
-/// Code of a CancelRequest.
+/// Request code of a CancelRequest.
 const CANCEL_REQUEST: u32 = 80_877_102;
-/// Code of an SSLRequest.
+/// Request code of an SSLRequest.
 const SSL_REQUEST: u32 = 80_877_103;
-/// Code of a GSSENCRequest.
+/// Request code of a GSSENCRequest.
 const GSSENC_REQUEST: u32 = 80_877_104;
 /// The major version of the protocol.
 const MAJOR_VERSION: u32 = 3;
--- a/src/proto/resp.rs
+++ b/src/proto/resp.rs
@@ -10,7 +10,7 @@
 const ARRAY_MARK: u8 = b'*';
 /// First byte of a bulk string.
 const BULK_MARK: u8 = b'$';
-/// What ends a length, and a bulk string.
+/// Line break that ends a length, and a bulk string.
 const LINE_END: &[u8] = b"\r\n";
 
 /// Why bytes are not an array of bulk strings.
@@ -45,7 +45,7 @@
     pub length: usize,
 }
 
-/// A length, and where what it is the length of begins.
+/// A length, and the position behind it.
 struct Length {
     value: usize,
     end: usize,
--- a/src/proto/sse.rs
+++ b/src/proto/sse.rs
@@ -42,7 +42,7 @@
     data: Option<String>,
     /// The event that is incomplete is skipped up to its end.
     is_skipping: bool,
-    /// What came behind an event that was too long.
+    /// Bytes that followed an event that was too long.
     rest: Vec<u8>,
     completed: u64,
 }
@@ -77,12 +77,12 @@
         Ok(())
     }
 
-    /// Number of the event that is incomplete, if it came.
+    /// Number of the event that is incomplete, if it was received.
     pub fn id(&self) -> Option<u64> {
         self.id
     }
 
-    /// Skips the event that was too long up to its end, and decodes what came behind it.
+    /// Skips the event that was too long up to its end, and decodes the bytes behind it.
     ///
     /// # Errors
     /// As [`Decoder::decode`].
@@ -94,7 +94,7 @@
         self.decode(&rest, events)
     }
 
-    /// Number of events and comments that were complete. A stream on which it does not grow makes no progress.
+    /// Number of complete events and comments. A stream on which it does not grow makes no progress.
     pub fn completed(&self) -> u64 {
         self.completed
     }
@@ -126,7 +126,7 @@
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match name {
-            // A number that no feed reaches is ignored: every later event would count as seen before.
+            // A number that no feed reaches is ignored: every later event would count as a repeated one.
             ID_FIELD => self.id = value.parse().ok().filter(|number| *number <= MAX_EVENT_NUMBER),
             DATA_FIELD => match &mut self.data {
                 Some(data) => {
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -1,5 +1,5 @@
-//! Which group of tables a statement reads or writes: the number after the underscore in the name of its schema; and
-//! whether a text holds one statement.
+//! The group of tables that a statement reads or writes, which is the number after the underscore in the name of its
+//! schema; and whether a text holds one statement.
 
 use sprucelink_query_fingerprint::facts::data_set;
 use sprucelink_query_fingerprint::lex::{self, TokenKind};
@@ -39,15 +39,15 @@
     Some((kind, token.end))
 }
 
-/// Words that are followed by the name of a table.
-const BEFORE_TABLE: [&str; 8] = ["from", "into", "update", "join", "table", "copy", "only", "using"];
+/// Keywords that are followed by the name of a table.
+const TABLE_KEYWORDS: [&str; 8] = ["from", "into", "update", "join", "table", "copy", "only", "using"];
 
 /// The group of tables of a statement, 0 if no schema in it has a number. A schema that follows `FROM`, `INTO` and the
 /// like has precedence over any other, which may be a table's alias.
 pub fn group(statement: &str) -> u64 {
     let mut rest = statement;
     let mut fallback = None;
-    // The last name, unless it followed a point, and whether a word of `BEFORE_TABLE` stood before it.
+    // The last name, unless it followed a point, and whether a word of `TABLE_KEYWORDS` preceded it.
     let mut schema: Option<(&str, bool)> = None;
     let mut is_table_next = false;
     let mut is_after_point = false;
@@ -60,7 +60,7 @@
                 let name = text.trim_matches('"');
                 schema = (!is_after_point).then_some((name, is_table_next));
                 is_after_point = false;
-                is_table_next = BEFORE_TABLE.iter().any(|word| word.eq_ignore_ascii_case(name));
+                is_table_next = TABLE_KEYWORDS.iter().any(|word| word.eq_ignore_ascii_case(name));
             }
             _ if text == "." => {
                 match schema.take().and_then(|(name, is_certain)| Some((data_set(name)?, is_certain))) {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -131,8 +131,8 @@
         let cut = |n: usize| matches!(pg::read_message(&bytes[..n], 1 << 20), Ok(None));
         let whole = pg::read_message(&bytes, 1 << 20).expect("legal").expect("complete");
         let values: Vec<Option<&[u8]>> = values.iter().map(|v| v.as_deref()).collect();
-        let (formats, results) = (Vec::new(), Vec::new());
-        let wanted = pg::Message::Bind { portal: &name, statement: &sql, formats, values, results };
+        let (formats, result_formats) = (Vec::new(), Vec::new());
+        let wanted = pg::Message::Bind { portal: &name, statement: &sql, formats, values, result_formats };
         (0..bytes.len()).all(cut) && whole == (wanted, bytes.len())
     });
 }
@@ -193,10 +193,10 @@
     let text = "/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500,ms=820.0,heap_mb=96 */ SELECT day";
     let (f, statement) = fields::split(text).expect("legal");
     assert_eq!(
-        (f.kind.as_deref(), f.req, f.timeout_ms),
+        (f.class.as_deref(), f.request_id, f.timeout_ms),
         (Some("report"), Some(0x9b1f_03aa_5c7e_2d41), Some(1500))
     );
-    assert_eq!((f.ms, f.heap_mb, statement), (Some(820.0), Some(96.0), "SELECT day"));
+    assert_eq!((f.work_ms, f.memory_mb, statement), (Some(820.0), Some(96.0), "SELECT day"));
     let own = "/* a note, of mine */ SELECT 1";
     assert_eq!(fields::split(own).expect("legal"), (fields::Fields::default(), own));
     for (text, name) in [
