--- a/crates/membership/examples/model.rs
+++ b/crates/membership/examples/model.rs
@@ -4,68 +4,127 @@
 mod common;
 
 use common::SimulatedNetwork;
-use sprucelink_membership::MembershipEventKind;
-use sprucelink_membership::ProtocolConfig;
+use sprucelink_membership::{MembershipEventKind, ProtocolConfig, Timestamp};
+use std::ops::RangeInclusive;
 
-fn quantile(sorted: &[f64], q: f64) -> f64 {
-    sorted
-        .get(((sorted.len() as f64 * q) as usize).min(sorted.len().saturating_sub(1)))
-        .copied()
-        .unwrap_or(f64::NAN)
+/// Numbers of members that can be simulated.
+const MEMBERS: RangeInclusive<usize> = 4..=2_000;
+/// Largest number of crashes, one after another.
+const MAX_CRASHES: usize = 20;
+/// Fraction of datagrams lost while false positives are counted.
+const LOSS: f64 = 0.1;
+/// The columns of the output.
+const COLUMNS: &str = "members,settled_s,crashes,first_s_p50,first_s_p99,all_s_p50,all_s_p99,\
+                       false_deaths_10pct_30min,suspicions_10pct_30min,bytes_member_s,messages_member_s,heal_s";
+
+/// A quantile of ascending values; not a number without any.
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    let last = sorted.len().saturating_sub(1);
+    let index = ((sorted.len() as f64 * fraction) as usize).min(last);
+    sorted.get(index).copied().unwrap_or(f64::NAN)
+}
+
+/// What a member sends in a second without faults.
+struct Traffic {
+    bytes: f64,
+    messages: f64,
+}
+
+fn measure_traffic(network: &mut SimulatedNetwork) -> Traffic {
+    let begun = network.now;
+    let bytes_before = network.bytes;
+    let messages_before = network.messages;
+    network.run_for(60);
+    let member_seconds = (network.now - begun).as_secs_f64() * network.nodes.len() as f64;
+    Traffic {
+        bytes: (network.bytes - bytes_before) as f64 / member_seconds,
+        messages: (network.messages - messages_before) as f64 / member_seconds,
+    }
+}
+
+/// How long crashes take to be reported, in seconds, ascending.
+struct Detection {
+    by_the_first: Vec<f64>,
+    by_all: Vec<f64>,
+}
+
+fn measure_detection(network: &mut SimulatedNetwork, crashes: usize) -> Detection {
+    let mut detection = Detection { by_the_first: Vec::new(), by_all: Vec::new() };
+    for crash in 0..crashes {
+        let index = network.nodes.len() - 1 - crash;
+        let crashed_at = network.now;
+        network.crash(index);
+        network.run_for(40);
+        let reports = network.events_on(&format!("n{index}"), MembershipEventKind::Died, crashed_at);
+        let seconds = |reported_at: &Timestamp| (*reported_at - crashed_at).as_secs_f64();
+        detection.by_the_first.extend(reports.iter().min().map(seconds));
+        detection.by_all.extend(reports.iter().max().map(seconds));
+        network.start(index);
+        network.converge(60);
+    }
+    detection.by_the_first.sort_by(f64::total_cmp);
+    detection.by_all.sort_by(f64::total_cmp);
+    detection
+}
+
+/// Members that were declared dead or suspected although all ran.
+struct FalsePositives {
+    deaths: usize,
+    suspicions: usize,
+}
+
+fn count_false_positives(network: &mut SimulatedNetwork, seconds: i64) -> FalsePositives {
+    network.loss = LOSS;
+    let since = network.now;
+    network.run_for(seconds);
+    let counted = FalsePositives {
+        deaths: network.event_count(MembershipEventKind::Died, since),
+        suspicions: network.event_count(MembershipEventKind::Suspected, since),
+    };
+    network.loss = 0.0;
+    network.converge(60);
+    counted
+}
+
+/// How long views take to converge after two thirds and one third were partitioned for a minute, in seconds.
+fn measure_healing(network: &mut SimulatedNetwork) -> f64 {
+    let members = network.nodes.len();
+    network.partition = Some((0..members).map(|index| index >= members * 2 / 3).collect());
+    network.run_for(60);
+    network.partition = None;
+    network.converge(300).unwrap_or(f64::NAN)
+}
+
+fn simulate(members: usize) {
+    let mut network = SimulatedNetwork::new(members, ProtocolConfig::default(), 1);
+    let settled_s = network.converge(300).unwrap_or(f64::NAN);
+    let traffic = measure_traffic(&mut network);
+    let crashes = MAX_CRASHES.min(members / 2);
+    let detection = measure_detection(&mut network, crashes);
+    // Half an hour where that is affordable, less beyond: the line states what was run.
+    let quiet_s = if members <= 200 { 1_800 } else { 120 };
+    let false_positives = count_false_positives(&mut network, quiet_s);
+    let heal_s = measure_healing(&mut network);
+    println!(
+        "{members},{settled_s:.1},{crashes},{:.2},{:.2},{:.2},{:.2},{} in {quiet_s} s,{},{:.0},{:.1},{heal_s:.1}",
+        quantile(&detection.by_the_first, 0.5),
+        quantile(&detection.by_the_first, 0.99),
+        quantile(&detection.by_all, 0.5),
+        quantile(&detection.by_all, 0.99),
+        false_positives.deaths,
+        false_positives.suspicions,
+        traffic.bytes,
+        traffic.messages,
+    );
 }
 
 fn main() {
-    println!("members,settled_s,crashes,first_s_p50,first_s_p99,all_s_p50,all_s_p99,false_deaths_10pct_30min,suspicions_10pct_30min,bytes_member_s,messages_member_s,heal_s");
-    for arg in std::env::args().skip(1) {
-        let Some(n) = arg.parse::<usize>().ok().filter(|n| (4..=2_000).contains(n)) else {
-            eprintln!("members: 4 to 2000, not {arg:?}");
+    println!("{COLUMNS}");
+    for argument in std::env::args().skip(1) {
+        let Some(members) = argument.parse().ok().filter(|members| MEMBERS.contains(members)) else {
+            eprintln!("members: 4 to 2000, not {argument:?}");
             std::process::exit(2);
         };
-        // Half an hour where that is affordable, less beyond: the line says what was run.
-        let quiet: i64 = if n <= 200 { 1_800 } else { 120 };
-        let mut network = SimulatedNetwork::new(n, ProtocolConfig::default(), 1);
-        let settled = network.converge(300).unwrap_or(f64::NAN);
-        let (bytes, messages, begun) = (network.bytes, network.messages, network.now);
-        network.run_for(60);
-        let span = (network.now - begun).as_secs_f64() * n as f64;
-        let (bytes, messages) =
-            ((network.bytes - bytes) as f64 / span, (network.messages - messages) as f64 / span);
-        // Crashes, one at a time.
-        let crashes = 20.min(n / 2);
-        let (mut first, mut all) = (Vec::new(), Vec::new());
-        for k in 0..crashes {
-            let (i, at) = (n - 1 - k, network.now);
-            network.crash(i);
-            network.run_for(40);
-            let reported = network.events_on(&format!("n{i}"), MembershipEventKind::Died, at);
-            first.extend(reported.iter().min().map(|t| (*t - at).as_secs_f64()));
-            all.extend(reported.iter().max().map(|t| (*t - at).as_secs_f64()));
-            network.start(i);
-            network.converge(60);
-        }
-        first.sort_by(f64::total_cmp);
-        all.sort_by(f64::total_cmp);
-        // One in ten lost.
-        network.loss = 0.1;
-        let since = network.now;
-        network.run_for(quiet);
-        let (dead, suspected) = (
-            network.event_count(MembershipEventKind::Died, since),
-            network.event_count(MembershipEventKind::Suspected, since),
-        );
-        network.loss = 0.0;
-        network.converge(60);
-        // Two thirds and one third apart for a minute.
-        network.partition = Some((0..n).map(|i| i >= n * 2 / 3).collect());
-        network.run_for(60);
-        network.partition = None;
-        let heal = network.converge(300).unwrap_or(f64::NAN);
-        println!(
-            "{n},{settled:.1},{crashes},{:.2},{:.2},{:.2},{:.2},{dead} in {quiet} s,{suspected},{bytes:.0},{messages:.1},{heal:.1}",
-            quantile(&first, 0.5),
-            quantile(&first, 0.99),
-            quantile(&all, 0.5),
-            quantile(&all, 0.99)
-        );
+        simulate(members);
     }
 }
