--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -86,7 +86,7 @@
         }
         if self.first_divergence.is_none() {
             self.first_divergence =
-                summary.first_divergence.map(|divergence| (segment.head.segment, divergence));
+                summary.first_divergence.map(|divergence| (segment.header.number, divergence));
         }
         if self.total.panic.is_none() {
             self.total.panic = summary.panic;
