--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -17,7 +17,7 @@
 }
 
 /// A request that was rejected before it ran, so that a retry does no harm. On the platform's front all rejections are
-/// of class 53; the `extended` front tells an expired deadline from overload.
+/// of class 53; the `extended` front distinguishes an expired deadline from overload.
 pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
     let error = match reason {
         RejectReason::DeadlineExceeded if extended => {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -37,7 +37,7 @@
 
 pub use config::{ClassConfig, FrontConfig};
 
-/// Buffers that an `extended` session may read ahead, beyond one: its clients write whole batches before they read. The
+/// Buffers that an `extended` session may read ahead, beyond one: its clients write complete batches before they read. The
 /// platform's clients write one query at a time, for which one buffer is enough.
 const MAX_READ_AHEAD_BUFFERS: usize = 15;
 /// The read-ahead of all sessions takes at most the pool's buffers divided by this.
--- a/src/front/session/error.rs
+++ b/src/front/session/error.rs
@@ -8,7 +8,7 @@
 /// Why the handling of a message stops early.
 #[derive(Debug, Error)]
 pub(super) enum MessageError {
-    /// The client gets the error as its answer, and the session goes on.
+    /// The client gets the error as its answer, and the session continues.
     #[error("message rejected")]
     Rejected(#[source] ErrorResponse),
     /// The session ends, after the error if there is one.
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -61,7 +61,7 @@
         if tables::is_empty(statement) {
             return Err(ErrorResponse::new("08P01", "field query holds no statement behind its comment"));
         }
-        // One request is one statement: it gets one answer, and an engine runs it as a whole.
+        // One request is one statement: it gets one answer, and one engine runs it.
         tables::single(statement).map_err(|several| ErrorResponse::new("0A000", several.to_string()))?;
         Ok(Some((fields, statement)))
     }
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -24,7 +24,7 @@
     pub(super) process_id: u32,
     pub(super) cancel: Rc<CancelSignal>,
     pub(super) slot: &'a ConnectionSlot,
-    /// Since when the input has held a part of a message.
+    /// Since when the input has ended with an incomplete message.
     pub(super) partial_since: Option<Instant>,
     /// Messages are skipped up to the next Sync.
     pub(super) skips_to_sync: bool,
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -58,13 +58,13 @@
 /// Why an engine's answer cannot be used. The connection is closed then.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EngineAnswerError {
-    /// The answer has no such part, or not this field, which its word demands.
+    /// The answer lacks this part, or this field, which its kind requires.
     #[error("field {0} is missing")]
     Missing(&'static str),
     /// The id is not one that was sent.
     #[error("field id is not 16 hex digits")]
     InvalidId,
-    /// The word is unknown.
+    /// The kind of the answer is unknown.
     #[error("field word is not known")]
     UnknownWord,
     /// The fields are not UTF-8.
@@ -104,7 +104,7 @@
     Crashed,
     /// The attempt was unknown or cancelled; the query did not run.
     NotRun,
-    /// The query goes on.
+    /// A progress note: the query is still running.
     Update {
         /// What the update is about, if it is known.
         topic: Option<UpdateTopic>,
@@ -118,7 +118,7 @@
     },
     /// The answer to a health check.
     Pong,
-    /// An unknown word.
+    /// A kind of answer that is not known here.
     Unknown,
 }
 
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -111,7 +111,7 @@
     Ok((comment, statement.trim_start()))
 }
 
-/// A text's fields, and its statement without the comment that held them.
+/// A text's fields, and its statement without their comment.
 ///
 /// # Errors
 /// Where the fields cannot be used.
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -47,7 +47,7 @@
 pub fn group(statement: &str) -> u64 {
     let mut rest = statement;
     let mut fallback = None;
-    // The last name, unless it followed a point, and whether a word of `TABLE_KEYWORDS` preceded it.
+    // The last name, unless it followed a dot, and whether a word of `TABLE_KEYWORDS` preceded it.
     let mut schema: Option<(&str, bool)> = None;
     let mut is_table_next = false;
     let mut is_after_point = false;
@@ -81,7 +81,7 @@
     fallback.unwrap_or(0)
 }
 
-/// Checks that a text holds at most one statement. What stands behind a semicolon is another one, unless it is empty.
+/// Checks that a text holds at most one statement. Text behind a semicolon is another statement, unless it is empty.
 ///
 /// # Errors
 /// If it holds more than one.
--- a/src/run/cli/options.rs
+++ b/src/run/cli/options.rs
@@ -116,7 +116,7 @@
 /// A setting that is changed before a replay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingChange {
-    /// Where it stands: field names and list indices, joined by dots.
+    /// Path of the setting: field names and list indices, joined by dots.
     pub path: String,
     /// The new value: JSON, or a plain text.
     pub value: String,
--- a/src/run/commands/mod.rs
+++ b/src/run/commands/mod.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Carries out a command; its result goes to standard output.
+/// Carries out a command and prints its result to standard output.
 ///
 /// # Errors
 /// Files that cannot be used, a server that could not start, a manager that did not answer.
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Whether a value can stand without quotes: a reader that splits the line at spaces and `=` finds it in one piece.
+/// Whether a value needs no quotes: a line that is split at spaces and `=` has it in one piece.
 fn is_plain(value: &str) -> bool {
     let needs_quotes = |c: char| c.is_whitespace() || c.is_control() || matches!(c, '"' | '=');
     !value.is_empty() && !value.contains(needs_quotes)
@@ -144,12 +144,12 @@
     let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_WAITING_LINES).lossy(true);
     let (writer, guard) = builder.thread_name("log-writer").finish(std::io::stdout());
     // The library reports a line that it cannot write on standard error, and panics where that fails too: with both on a full
-    // disk, or their reader gone, the next line would end the process.
+    // disk, or their reader closed, the next line would end the process.
     let builder = tracing_subscriber::fmt()
         .with_max_level(logging.level)
         .with_writer(writer)
         .log_internal_errors(false);
-    // An error means that logging was started before: it goes on unchanged.
+    // An error means that logging was started before: it continues unchanged.
     let _ = match logging.format {
         Format::Text => builder.event_format(TextFormat).try_init(),
         Format::Json => {
