--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -85,8 +85,8 @@
             *self.total.differing_by_kind.entry(kind).or_default() += count;
         }
         if self.first_divergence.is_none() {
-            self.first_divergence =
-                summary.first_divergence.map(|divergence| (segment.header.number, divergence));
+            let number = segment.header.number;
+            self.first_divergence = summary.first_divergence.map(|divergence| (number, divergence));
         }
         if self.total.panic.is_none() {
             self.total.panic = summary.panic;
