--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -11,7 +11,7 @@
     ForwardAttempt {
         /// The request.
         id: RequestId,
-        /// Time-out; the client's deadline if absent.
+        /// Kept for the simulator's wire and for captures; always absent, since the client's deadline holds.
         timeout: Option<TimeDelta>,
         /// The engine.
         engine: EngineId,
--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -21,6 +21,7 @@
         match outcome {
             Outcome::Succeeded => HealthEvidence::Success,
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => HealthEvidence::None,
+            // An engine that rejects for its load counts as failing, so that the traffic moves to others.
             Outcome::EngineError
             | Outcome::RejectedByEngine
             | Outcome::ConnectFailed
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -68,7 +68,8 @@
 fn is_stuck(attempt: &RunningAttempt) -> bool {
     let is_overdue = attempt.age_secs > OVERDUE_MULTIPLE * attempt.expected_latency_secs;
     let is_lost = attempt.secs_since_progress > LOST_MULTIPLE * attempt.expected_latency_secs;
-    attempt.is_engine_ejected && is_overdue || is_lost
+    let is_stuck_on_ejected_engine = attempt.is_engine_ejected && is_overdue;
+    is_stuck_on_ejected_engine || is_lost
 }
 
 /// The level of a running request by the fraction of its latency objective that has passed. One that has
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -88,7 +88,7 @@
     }
 
     /// An attempt is sent to it. `charge`: its work, for the slow-start budget.
-    pub(crate) fn record_send(
+    pub(crate) fn charge_send(
         &mut self,
         now: Timestamp,
         threads: f64,
@@ -96,8 +96,8 @@
         table_group: u64,
         settings: &Settings,
     ) {
-        self.health.record_send(now, self.own_attempts == 0);
-        self.slow_start.record_send(now, charge, settings);
+        self.health.charge_send(now, self.own_attempts == 0);
+        self.slow_start.charge_send(now, charge, settings);
         self.last_send = Some(now);
         self.own_threads += threads;
         self.own_attempts += 1;
@@ -110,7 +110,8 @@
         self.own_attempts -= 1;
     }
 
-    /// Its slow start begins again.
+    /// Its slow start begins again: it probably restarts, which the list will say later. If the list then has an
+    /// earlier start than `now`, the new process is not seen as one, and its health is not reset.
     pub(crate) fn restart_slow_start(&mut self, now: Timestamp) {
         self.started_at = Some(now);
     }
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -96,7 +96,7 @@
     }
 
     /// An attempt is sent to it. Silence counts from the first attempt on that it has to answer.
-    pub(crate) fn record_send(&mut self, now: Timestamp, was_idle: bool) {
+    pub(crate) fn charge_send(&mut self, now: Timestamp, was_idle: bool) {
         if was_idle {
             self.last_response = now;
         }
--- a/crates/policy/src/engine_weight/tests.rs
+++ b/crates/policy/src/engine_weight/tests.rs
@@ -41,7 +41,7 @@
     let sent_at = Timestamp::from_millis(100_000);
     let mut engine = Engine::default();
     assert_eq!(price_of_use(sent_at, &settings, &engine), 0.5, "in its own zone, never used");
-    engine.record_send(sent_at, 1.0, 1.0, 0, &settings);
+    engine.charge_send(sent_at, 1.0, 1.0, 0, &settings);
     let much_later = Timestamp::from_millis(200_000);
     assert_eq!(price_of_use(much_later, &settings, &engine), 0.0, "an attempt is in flight");
     engine.record_end(1.0);
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -13,16 +13,18 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Progress notes that an attempt misses before it counts as silent.
+/// Progress notes that an attempt misses before it counts as silence of its zone. The core stops using a
+/// connection after more of them (`src/core/engine_connection.rs`).
 const MAX_MISSED_NOTES: f64 = 1.5;
 /// Silent engines from which their zone counts as unreachable.
 const MIN_SILENT_ENGINES: usize = 2;
 /// Engines of known slowness that a median needs.
 const MIN_ENGINES_FOR_MEDIAN: usize = 3;
 
-/// What is known of one zone.
+/// Whether a zone answers this manager. Its engines are ejected at once when it does not; zone failover
+/// (`crates/zone-failover`) judges zones apart from this, more slowly, and changes their weights only.
 #[derive(Clone, Default)]
-struct ZoneHealth {
+struct ZoneReachability {
     /// When an engine there last responded.
     last_response: Timestamp,
     /// Engines that have been silent on what was sent to them since.
@@ -33,7 +35,7 @@
     next_trial: Timestamp,
 }
 
-impl ZoneHealth {
+impl ZoneReachability {
     fn record_response(&mut self, now: Timestamp) {
         self.last_response = now;
         self.is_unreachable = false;
@@ -52,7 +54,7 @@
 /// The health of zones, and the slowness of the median engine.
 #[derive(Clone, Default)]
 pub(crate) struct OutlierDetector {
-    zones: BTreeMap<u32, ZoneHealth>,
+    zones: BTreeMap<u32, ZoneReachability>,
     /// Logarithm of the median engine's slowness; `None` if too few engines are known.
     median_log_slowness: Option<f64>,
 }
@@ -79,7 +81,7 @@
     }
 
     /// An attempt is sent to an engine of the zone.
-    pub(crate) fn record_send(&mut self, now: Timestamp, zone: u32) {
+    pub(crate) fn charge_send(&mut self, now: Timestamp, zone: u32) {
         self.zones.entry(zone).or_default().next_trial = now + TRIAL_INTERVAL;
     }
 
@@ -142,7 +144,7 @@
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
         stored.median_slowness = self.median_log_slowness.unwrap_or(f64::MAX);
-        let one = |zone: &ZoneHealth| StoredZone {
+        let one = |zone: &ZoneReachability| StoredZone {
             last_response: zone.last_response,
             silent_engines: zone.silent_engines.clone(),
             unreachable: zone.is_unreachable,
@@ -152,7 +154,7 @@
     }
 
     pub(crate) fn restore(stored: &mut StoredPolicy) -> OutlierDetector {
-        let one = |zone: StoredZone| ZoneHealth {
+        let one = |zone: StoredZone| ZoneReachability {
             last_response: zone.last_response,
             silent_engines: zone.silent_engines,
             is_unreachable: zone.unreachable,
--- a/crates/policy/src/own_load.rs
+++ b/crates/policy/src/own_load.rs
@@ -7,6 +7,8 @@
 
 /// Cores of this manager's share at which its own load shows half of the fleet's.
 const HALF_VISIBLE_CORES: f64 = 4.0;
+/// Cores of other managers' shares that are taken to serve this manager's queue, too.
+const SHARED_CORES: f64 = 4.0;
 /// The own load is averaged over the time that the manager's cores take for this work, thread-seconds.
 const LOAD_AVERAGE_WORK: f64 = 10.0;
 
@@ -32,7 +34,7 @@
     /// Seconds that queued work takes on the share; a manager with a small share shares its engines with
     /// others, so that a short queue of its own does not count as a long delay.
     pub(crate) fn delay_secs(self, queued_thread_seconds: f64) -> f64 {
-        queued_thread_seconds / (self.cores() + HALF_VISIBLE_CORES)
+        queued_thread_seconds / (self.cores() + SHARED_CORES)
     }
 }
 
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -144,6 +144,8 @@
                 let unloaded_secs = self.estimates[class].unloaded_latency_secs(cost, threads);
                 self.prices.record_wait(class, level, (age_secs - unloaded_secs).max(0.0));
             }
+            // Only an attempt whose deadline passed before its answer: what was answered 50 ms earlier
+            // (`RESPONSE_MARGIN`) ends as cancelled, and teaches no wait.
             Outcome::TimedOut => self.prices.record_wait(class, level, age_secs),
             _ => {}
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -96,7 +96,7 @@
         }
         let terms = self.execution_terms(id, request);
         let expected_secs = self.expected_latency_secs(request).max(MIN_EXPECTED_LATENCY_SECS);
-        self.record_send(id, engine, expected_secs);
+        self.charge_send(id, engine, expected_secs);
         if self.settings.priorities || self.settings.grants {
             out.push(terms);
         }
@@ -105,7 +105,7 @@
     }
 
     /// Charges an attempt to its engine and zone, the own load and the retry budget.
-    fn record_send(&mut self, id: RequestId, to: EngineId, expected_latency_secs: f64) {
+    fn charge_send(&mut self, id: RequestId, to: EngineId, expected_latency_secs: f64) {
         let limits = SlowStartLimits::new(self.now, self.started_at, &self.settings, &self.estimates);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let class = &self.settings.classes[request.class];
@@ -116,8 +116,8 @@
         }
         self.own_load.add(threads);
         let engine = &mut self.engines[to];
-        engine.record_send(self.now, threads, charge, request.table_group, &self.settings);
-        self.outliers.record_send(self.now, engine.zone());
+        engine.charge_send(self.now, threads, charge, request.table_group, &self.settings);
+        self.outliers.charge_send(self.now, engine.zone());
         request.in_flight = Some(Attempt {
             engine: to,
             number: request.attempts,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -71,7 +71,7 @@
 
     /// Whether a retry at `now` has no second effect, if the first attempt that may have run was sent at
     /// `may_have_run_since`; `None`: none may have run.
-    pub fn allows_retry(&self, now: Timestamp, may_have_run_since: Option<Timestamp>) -> bool {
+    pub fn may_run_again(&self, now: Timestamp, may_have_run_since: Option<Timestamp>) -> bool {
         let Some(since) = may_have_run_since else { return true };
         match self.effect {
             Effect::Safe => true,
@@ -82,7 +82,7 @@
 
     /// Whether a further attempt may be sent at `now`, the retry budget aside.
     pub fn decide(&self, now: Timestamp, history: &AttemptHistory, max_attempts: u32) -> RetryDecision {
-        if !self.allows_retry(now, history.may_have_run_since) {
+        if !self.may_run_again(now, history.may_have_run_since) {
             return match self.effect {
                 Effect::Keyed => RetryDecision::DedupWindowPassed,
                 Effect::Safe | Effect::Unsafe => RetryDecision::MayRunTwice,
@@ -109,7 +109,7 @@
     }
 
     /// Whether one more retry stays within the budget of a window with these numbers of requests and retries.
-    pub fn allows_retry(&self, requests: u64, retries: u64, spare_retries: f64) -> bool {
+    pub fn has_capacity(&self, requests: u64, retries: u64, spare_retries: f64) -> bool {
         (retries + 1) as f64 <= self.max_retries(requests, spare_retries)
     }
 }
@@ -148,7 +148,7 @@
         let window_start = now - budget.window;
         let requests = self.requests.count_after(window_start) as u64;
         let retries = self.retries.count_after(window_start - TICK) as u64;
-        budget.allows_retry(requests, retries, spare_retries)
+        budget.has_capacity(requests, retries, spare_retries)
     }
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -141,7 +141,7 @@
     pub over_quota_value_factor: f64,
     /// Number of managers in this tier, this one included.
     pub gateways: u32,
-    /// This manager's index among them.
+    /// This manager's index among them. Kept for captures; no rule reads it.
     pub position: u32,
     /// The endpoint list is sent in answer to a poll only.
     #[serde(rename = "must_ask")]
@@ -163,16 +163,16 @@
     /// Time between progress notes; zero where there are none.
     #[serde(rename = "progress_pace")]
     pub progress_interval: TimeDelta,
-    /// Answers report the work and memory that a query used.
+    /// Answers report the work and memory that a query used. Kept for captures; no rule reads it.
     #[serde(rename = "tells_cost")]
     pub reports_cost: bool,
     /// Attempts can be cancelled.
     pub cancel: bool,
     /// Load probes may be sent.
     pub probes: bool,
-    /// Managers may send each other messages.
+    /// Managers may send each other messages. Kept for captures; no rule reads it.
     pub peers: bool,
-    /// Rejections carry a Retry-After.
+    /// Rejections may carry a Retry-After. Kept for captures; no rule reads it: each response has one.
     pub retry_after: bool,
     /// Longest Retry-After; unbounded if zero.
     pub max_retry_after: TimeDelta,
@@ -183,7 +183,7 @@
     /// An engine in slow start fails when it is sent more than this multiple of its capacity in one window.
     #[serde(rename = "fall_multiple")]
     pub slow_start_multiple: f64,
-    /// Length of that window.
+    /// Length of that window: an engine fails when it is overloaded for so long, so that budgets are given for each.
     #[serde(rename = "fall_span")]
     pub slow_start_window: TimeDelta,
     /// Fraction of its capacity that an engine starts with.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -95,9 +95,9 @@
     pub(crate) fn budget(&self, cores: f64, started_at: Option<Timestamp>) -> f64 {
         let window = self.settings.slow_start_window;
         let capacity_fraction = capacity_fraction(self.now, started_at, self.settings);
-        let capacity_secs = self.settings.slow_start_multiple * capacity_fraction * window.as_secs_f64();
+        let secs_of_each_core = self.settings.slow_start_multiple * capacity_fraction * window.as_secs_f64();
         let managers = f64::from(self.settings.gateways);
-        capacity_secs * cores * USABLE_CORES * self.usable_fraction() / managers
+        secs_of_each_core * cores * USABLE_CORES * self.usable_fraction() / managers
     }
 
     /// Fraction of its budget that a manager uses by its own age: it may have used some before its restart.
@@ -113,7 +113,8 @@
     }
 
     /// Divides a budget: where a query is larger than a manager's part, a random fraction of the managers
-    /// sends one query a window instead, so that the engine is not idle.
+    /// sends one query a window instead, so that the engine is not idle. The parts may add up to more than the
+    /// budget: a sampled query is sent only by a manager that has sent nothing else in the window.
     fn parts(&self, budget: f64) -> BudgetParts {
         let fitting = FITTING_FRACTION * budget;
         if self.max_charge <= budget {
@@ -137,7 +138,9 @@
         (parts.sampled / self.min_charge).min(1.0)
     }
 
-    /// Whether an engine in slow start may be sent a query with this charge.
+    /// Whether an engine in slow start may be sent a query with this charge: it fits what is left of this
+    /// manager's part, or it is light for the fleet and this manager is sampled in this window, which it is with
+    /// probability `sampled / charge`.
     pub(crate) fn allows(
         &self,
         charge: f64,
@@ -152,7 +155,10 @@
         let fleet_budget = budget * f64::from(self.settings.gateways);
         let is_light = charge * MIN_QUERIES_IN_FLEET_BUDGET <= fleet_budget;
         let is_sampled = || spent <= 0.0 && used.sample * charge < parts.sampled;
-        fits || is_light && is_sampled()
+        if fits {
+            return true;
+        }
+        is_light && is_sampled()
     }
 }
 
@@ -178,7 +184,7 @@
         self.charges.sum(now, settings.slow_start_window)
     }
 
-    pub(crate) fn record_send(&mut self, now: Timestamp, charge: f64, settings: &Settings) {
+    pub(crate) fn charge_send(&mut self, now: Timestamp, charge: f64, settings: &Settings) {
         self.charges.record(now, charge, settings.slow_start_window);
     }
 
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -51,7 +51,7 @@
     assert!((limits.budget(CORES, started_at) - 1.12).abs() < 1e-12);
     let mut used = SlowStartBudget::default();
     assert!(limits.allows(light, CORES, started_at, &used) && limits.allows(heavy, CORES, started_at, &used));
-    used.record_send(at(100_000), heavy, &settings);
+    used.charge_send(at(100_000), heavy, &settings);
     assert!(!limits.allows(heavy, CORES, started_at, &used), "1 of 1.12 thread-seconds is spent");
     assert!(!limits.allows(light, CORES, started_at, &used));
 }
@@ -80,7 +80,7 @@
     }
     let expected = fraction * 10_000.0;
     assert!((f64::from(senders) - expected).abs() < 0.25 * expected, "{senders} of 10,000");
-    used.record_send(at(100_000), light, &settings);
+    used.charge_send(at(100_000), light, &settings);
     assert!(!limits.allows(light, CORES, started_at, &used), "one query a window");
 }
 
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -6,7 +6,7 @@
 //! The policy selected the engine some time ago. Since then the attempt may have waited for its connection, for a slow
 //! peer, or for the processor. Every rule on what is sent is checked here again, on the present state. An attempt that
 //! fails a check is withdrawn; it was never sent, so its request loses nothing but time. This is no second decision: the
-//! policy's own rules on retries apply ([`RetryRule`], [`RetryBudgetSettings::allows_retry`]).
+//! policy's own rules on retries apply ([`RetryRule`], [`RetryBudgetSettings::has_capacity`]).
 
 use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
@@ -132,7 +132,7 @@
 
     fn is_retryable(&self, now: Timestamp, attempt: &OutgoingAttempt) -> bool {
         let rule = self.retry_rules.get(attempt.class);
-        rule.is_none_or(|rule| rule.allows_retry(now, attempt.may_have_run_since))
+        rule.is_none_or(|rule| rule.may_run_again(now, attempt.may_have_run_since))
     }
 
     /// Whether a further retry stays within the budget. Of the slot in which the window starts, retries count and requests do
@@ -141,7 +141,7 @@
         let Some(budget) = &self.retry_budget else { return true };
         let requests = self.requests.count_within(now);
         let retries = self.retries.count_overlapping(now);
-        budget.allows_retry(requests, retries, spare_attempts)
+        budget.has_capacity(requests, retries, spare_attempts)
     }
 }
 
