--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -5,7 +5,11 @@
 use sprucelink_capture::recorder::{Recorder, RecorderCounters, SegmentStore};
 use sprucelink_capture::ring::RingFile;
 use sprucelink_capture::settings::Settings as RecorderSettings;
-use sprucelink_policy::*;
+use sprucelink_policy::{
+    Action, Arrival, ClassId, ClassSettings, DedupGroup, Effect, EndpointUpdate, EngineEntry, EngineId,
+    EngineState, Event, LoadReport, Outcome, Policy, QueryCost, ReportVia, RequestId, RetryBudgetSettings,
+    Settings, TenantSettings, TimeDelta, Timestamp,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -338,6 +338,7 @@
 
 /// The actions are made by hand: no policy gives them.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn breach_of_each_rule_is_reported() {
     let (memory, _) = record_simulation(4, 2.0, &recorder_settings());
     let seg = memory.contents().segments.remove(0);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -274,6 +274,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn every_body() -> Vec<Frame> {
     let witness = wire::AckState { writes: 1, term: 2, vote: 3, last_term: 4, last_index: 5 };
     let members = wire::Membership { voters: vec![1, 2], learners: vec![3] };
--- a/crates/policy/benches/event.rs
+++ b/crates/policy/benches/event.rs
@@ -2,10 +2,15 @@
 #![allow(missing_docs, reason = "the macros of criterion generate functions without documentation")]
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
-use sprucelink_policy::Policy;
-use sprucelink_policy::*;
+
+use sprucelink_policy::{
+    Arrival, ClassId, ClassSettings, DedupGroup, Effect, EndpointUpdate, EngineEntry, EngineId, EngineState,
+    Event, LoadReport, Outcome, Policy, QueryCost, ReportVia, RequestId, RetryBudgetSettings, Settings,
+    TimeDelta, Timestamp,
+};
 
 /// A module with so many engines and `open` requests, each sent, all half loaded.
+#[expect(clippy::too_many_lines, reason = "a measurement in one piece")]
 fn module(engines: u32, open: u64) -> (Policy, Timestamp) {
     let class = |threads: f64| ClassSettings {
         value: 1.0,
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -110,8 +110,8 @@
         self.own_attempts -= 1;
     }
 
-    /// Its slow start begins again: it probably restarts, which the list will say later. If the list then has an
-    /// earlier start than `now`, the new process is not seen as one, and its health is not reset.
+    /// Its slow start begins again: it probably restarts, which the list will say later. If the list then has
+    /// an earlier start than `now`, the new process is not seen as one, and its health is not reset.
     pub(crate) fn restart_slow_start(&mut self, now: Timestamp) {
         self.started_at = Some(now);
     }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -78,8 +78,8 @@
     /// Rejected by the engine at its limit; never executed.
     #[serde(rename = "Shed")]
     RejectedByEngine,
-    /// The client's deadline passed without a response; it may have executed or still execute. Attempts have no
-    /// time-out of their own: one that is stuck is cancelled, and a retry may follow.
+    /// The client's deadline passed without a response; it may have executed or still execute. Attempts have
+    /// no time-out of their own: one that is stuck is cancelled, and a retry may follow.
     #[serde(rename = "Expired")]
     TimedOut,
     /// No connection; never executed.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -183,7 +183,8 @@
     /// An engine in slow start fails when it is sent more than this multiple of its capacity in one window.
     #[serde(rename = "fall_multiple")]
     pub slow_start_multiple: f64,
-    /// Length of that window: an engine fails when it is overloaded for so long, so that budgets are given for each.
+    /// Length of that window: an engine fails when it is overloaded for that long, so that budgets are given
+    /// for each window.
     #[serde(rename = "fall_span")]
     pub slow_start_window: TimeDelta,
     /// Fraction of its capacity that an engine starts with.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -113,8 +113,7 @@
     }
 
     /// Divides a budget: where a query is larger than a manager's part, a random fraction of the managers
-    /// sends one query a window instead, so that the engine is not idle. The parts may add up to more than the
-    /// budget: a sampled query is sent only by a manager that has sent nothing else in the window.
+    /// sends one query a window, and nothing else in it, so that the engine is not idle.
     fn parts(&self, budget: f64) -> BudgetParts {
         let fitting = FITTING_FRACTION * budget;
         if self.max_charge <= budget {
@@ -138,9 +137,8 @@
         (parts.sampled / self.min_charge).min(1.0)
     }
 
-    /// Whether an engine in slow start may be sent a query with this charge: it fits what is left of this
-    /// manager's part, or it is light for the fleet and this manager is sampled in this window, which it is with
-    /// probability `sampled / charge`.
+    /// Whether an engine in slow start may be sent a query with this charge: it fits this manager's part, or
+    /// it is light for the fleet and this manager is sampled, with probability `sampled / charge`.
     pub(crate) fn allows(
         &self,
         charge: f64,
@@ -155,10 +153,7 @@
         let fleet_budget = budget * f64::from(self.settings.gateways);
         let is_light = charge * MIN_QUERIES_IN_FLEET_BUDGET <= fleet_budget;
         let is_sampled = || spent <= 0.0 && used.sample * charge < parts.sampled;
-        if fits {
-            return true;
-        }
-        is_light && is_sampled()
+        fits || (is_light && is_sampled())
     }
 }
 
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -338,6 +338,7 @@
 }
 
 /// Simulates `secs` from the engine's start.
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn play(gateways: u32, state: State, bias: f64, secs: f64, seed: u64) -> WindowSums {
     let set = settings(gateways);
     let seed = seed << 32;
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -182,6 +182,7 @@
 
 /// Every file of the module is named, or only records, reads or gives names: each of those by a check of its own.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn every_file_that_learns_or_decides_is_named() {
     let named = named(&text("deploy/balancer.toml")).expect("the deploy file names the module's files");
     let files = source_files();
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -164,6 +164,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn play(seed: u64) -> usize {
     let mut random = Random(seed);
     let effect = [Effect::Unsafe, Effect::Keyed][random.below(2) as usize];
@@ -317,6 +318,7 @@
 
 /// Few requests of one class, half of whose attempts fail, on three cells of two engines in two zones: attempts, and
 /// retries of requests that may have run.
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn play_with_failures(seed: u64, effect: Effect, group: DedupGroup, window: f64) -> (usize, usize) {
     let mut random = Random(seed);
     let repeat_window = TimeDelta::from_secs_f64(window);
--- a/crates/schema-compat/tests/common/edits.rs
+++ b/crates/schema-compat/tests/common/edits.rs
@@ -46,6 +46,7 @@
 }
 
 impl Shape {
+    #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
     pub fn apply(&mut self, edit: &Edit) {
         let next = self.next;
         self.next += 1;
--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -235,6 +235,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
     fn subscriber(&mut self, world: &World, n: usize, todo: &mut Vec<World>) {
         let (subscriber, publisher) = (format!("s{n}"), list());
         match world.minds[n] {
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -47,6 +47,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn compatible_change_loses_nothing_and_rejected_change_has_a_witness() {
     let mut seen: BTreeMap<(Severity, bool), u32> = BTreeMap::new();
     let strategy = (pair(), proptest::prelude::any::<bool>(), proptest::option::of(0..64u64));
--- a/crates/schema-compat/tests/registry.rs
+++ b/crates/schema-compat/tests/registry.rs
@@ -285,6 +285,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn snapshots_and_commands_round_trip_through_encoding() {
     let mut registry = Registry::new();
     let used = usage("tolerant json t.R/a");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -57,6 +57,7 @@
 }
 
 /// The scenario at one limit, which is configured and set on the process, and at which so many sessions must fit.
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn idle_clients_take_nobody_elses(limit: usize, sessions: usize) {
     let cut = Arc::new(AtomicBool::new(false));
     let once = Arc::clone(&cut);
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -227,6 +227,7 @@
 
 /// What is wrong with a configuration, in full: operators and their scripts read these lines.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn bad_configurations_end_with_2_and_their_reasons() {
     let place = Place::new();
     let head = r#""listen":"127.0.0.1:0","seed":"0a""#;
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -147,6 +147,7 @@
     client
 }
 
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn platform() -> Transcript {
     let engine = engine();
     let program = Program::start(&[("s-1", engine.address)], None, None);
@@ -250,6 +251,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn a_conversation_on_the_second_front_has_the_bytes_of_before() {
     let holds = std::sync::atomic::AtomicBool::new(false);
     let engine = Engine::start(move |seen| {
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -156,6 +156,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn unusable_file_is_reported_by_name_with_exit_status_2() {
     let dir = scratch();
     let put = |name: &str, bytes: &[u8]| {
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -29,6 +29,7 @@
 /// first request directly after the start-up packet. Requests take 200 ms, so the last of them are in flight when the
 /// program stops listening.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn input_arriving_after_a_stop_is_answered() {
     let engine = Paced::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
--- a/tests/support/authority.rs
+++ b/tests/support/authority.rs
@@ -151,6 +151,7 @@
 
 type Reply = (u16, Option<String>, Value);
 
+#[expect(clippy::too_many_lines, reason = "a stand-in answers each step of its protocol in one place")]
 fn serve(shared: &Shared, mut stream: StreamOwned<ServerConnection, TcpStream>) {
     let mut input = BufReader::new(&mut stream);
     let mut line = String::new();
@@ -213,6 +214,7 @@
 }
 
 /// Verifies a JWS and does what it asks for.
+#[expect(clippy::too_many_lines, reason = "a stand-in answers each step of its protocol in one place")]
 fn signed(shared: &Shared, path: &str, body: &[u8]) -> Result<Reply, (&'static str, String)> {
     let bad = |kind: &'static str, why: &str| (kind, why.to_owned());
     let jws: Value = serde_json::from_slice(body).map_err(|_| bad("malformed", "no JSON"))?;
