--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -301,13 +301,13 @@
         &self.limits
     }
 
-    fn may_send(self: &Rc<Self>, connection: &EngineConnection, id: u64, attempt: u32) -> bool {
-        let is_approved = self.coordinator.borrow_mut().approve_send(&self.pool, connection, id, attempt);
-        if !is_approved {
+    fn authorize_send(self: &Rc<Self>, connection: &EngineConnection, id: u64, attempt: u32) -> bool {
+        let is_authorized = self.coordinator.borrow_mut().authorize_send(&self.pool, connection, id, attempt);
+        if !is_authorized {
             // The end of a withdrawn attempt is reported by `process_due`.
             self.wake.notify_one();
         }
-        is_approved
+        is_authorized
     }
 
     fn on_attempts_sent(&self, attempts: u64) {
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -29,7 +29,8 @@
     EngineError,
     /// The engine rejected it because of its load; the attempt never ran.
     Overloaded,
-    /// The client's deadline passed.
+    /// The client's deadline passed while the attempt was in flight. Attempts have no timeout of their own: one that
+    /// makes no progress is cancelled by the policy (`cancellation::is_stuck`) and ends as [`AttemptOutcome::Cancelled`].
     Expired,
     /// No connection could be made; the attempt never ran.
     Unreachable,
@@ -101,8 +102,8 @@
     pub(super) sent_at: Timestamp,
     /// The time left that its command gives its engine.
     pub(super) sent_time_left: TimeDelta,
-    /// It was approved to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
-    pub(super) is_approved: bool,
+    /// It was authorized to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
+    pub(super) is_authorized: bool,
     /// The pages received.
     pub(super) result: ResultSet,
     /// The cost of the query, once the engine has reported it.
@@ -131,7 +132,7 @@
             connection,
             sent_at,
             sent_time_left,
-            is_approved: false,
+            is_authorized: false,
             result: ResultSet::default(),
             cost: None,
             load_report: LoadStats::default(),
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -52,9 +52,10 @@
     ) -> Result<(), EngineAnswerError>;
     /// The connection has ended. `reason` is empty if that is no fault; `is_local`: this process closed it.
     fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool);
-    /// Whether an attempt may be sent, checked just before its first byte; if not, the owner has withdrawn it. The
-    /// state may have changed since the engine was selected, while the attempt waited for a dial or behind a slow peer.
-    fn may_send(self: &Rc<Self>, _connection: &EngineConnection, _id: u64, _attempt: u32) -> bool {
+    /// Authorizes the sending of an attempt just before its first byte; returns false if it may not be sent, and then the
+    /// owner has withdrawn it or queued it again. The state may have changed since the engine was selected, while the
+    /// attempt waited for a dial or behind a slow peer.
+    fn authorize_send(self: &Rc<Self>, _connection: &EngineConnection, _id: u64, _attempt: u32) -> bool {
         true
     }
     /// Counts attempts that were sent completely.
@@ -177,7 +178,7 @@
         {
             return ConnectionEnd::remote("closed by the engine");
         }
-        if !may_send_all(owner, connection, offset, end) {
+        if !authorize_all(owner, connection, offset, end) {
             // The next iteration skips the withdrawn commands.
             continue;
         }
@@ -206,20 +207,21 @@
     }
 }
 
-/// Whether all attempts whose commands begin between two offsets may be sent; those that may not are withdrawn.
-fn may_send_all<O: ConnectionOwner>(
+/// Authorizes the sending of each attempt whose command begins between two offsets; returns whether all may be sent. The
+/// commands of the others are taken out of the stream by then.
+fn authorize_all<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
     from: u64,
     to: u64,
 ) -> bool {
     let mut offset = from;
-    let mut may_send = true;
+    let mut may_send_all = true;
     while let Some(command) = connection.next_attempt(offset, to) {
-        may_send &= owner.may_send(connection, command.id, command.attempt);
+        may_send_all &= owner.authorize_send(connection, command.id, command.attempt);
         offset = command.end;
     }
-    may_send
+    may_send_all
 }
 
 async fn read<O: ConnectionOwner>(
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -81,12 +81,13 @@
         Vec::new()
     }
 
-    /// Whether an attempt may be sent, checked just before its first byte: every attempt passes here.
+    /// Authorizes the sending of an attempt just before its first byte, and charges it to the retry budget; returns false
+    /// if it may not be sent. Every attempt passes here.
     ///
     /// One that may not be sent is withdrawn and ends as one that never ran; one that is no longer in flight is only
     /// withdrawn. One that has waited for too long is queued again with the time that is left, and is checked again
     /// then.
-    pub(in crate::core) fn approve_send(
+    pub(in crate::core) fn authorize_send(
         &mut self,
         pool: &BufferPool,
         connection: &EngineConnection,
@@ -99,7 +100,7 @@
             return false;
         };
         if let Err(reason) = self.send_guard.check(now, self.fleet.spare_attempts(), &outgoing) {
-            self.withdraw_unapproved(now, connection, id, attempt, reason);
+            self.withdraw_unauthorized(now, connection, id, attempt, reason);
             return false;
         }
         if self.requeue_if_delayed(now, pool, connection, id) {
@@ -127,15 +128,15 @@
             request_is_awaited: request.is_awaited(),
             deadline: request.deadline,
             class: request.class,
-            // An attempt that was approved before is counted in the retry budget already.
-            is_retry: attempt > 0 && !in_flight.is_approved,
+            // An attempt that was authorized before is counted in the retry budget already.
+            is_retry: attempt > 0 && !in_flight.is_authorized,
             may_have_run_since: request.may_have_run_since,
             engine_is_ready: self.engines.get(connection.engine).is_some_and(|engine| engine.is_ready),
         })
     }
 
     /// Withdraws an attempt that may not be sent; `process_due` reports its end.
-    fn withdraw_unapproved(
+    fn withdraw_unauthorized(
         &mut self,
         now: Timestamp,
         connection: &EngineConnection,
@@ -190,8 +191,8 @@
     ) {
         let unlisted_since = self.engines.get(connection.engine).and_then(|engine| engine.unlisted_since);
         let Some(in_flight) = self.requests.in_flight_mut(id) else { return };
-        let was_approved = in_flight.is_approved;
-        in_flight.is_approved = true;
+        let was_authorized = in_flight.is_authorized;
+        in_flight.is_authorized = true;
         let sent = SentAttempt {
             id,
             attempt: in_flight.number,
@@ -202,7 +203,7 @@
             unlisted_since,
             spare_attempts: self.fleet.spare_attempts(),
         };
-        if !was_approved {
+        if !was_authorized {
             self.send_guard.record_send(now, outgoing.is_retry);
         }
         self.monitor.record_send(now, &sent);
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -20,7 +20,8 @@
 const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl Coordinator {
-    /// Rejects a request: no attempt of it ran.
+    /// Rejects a request: a retry by its client does no harm. Either no attempt of it may have run, or its class is
+    /// idempotent and one may have run.
     pub(super) fn reject(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let is_late = request.deadline - now() < DEADLINE_MARGIN;
@@ -84,6 +85,10 @@
 
 /// The response to a request that is pending when this process shuts down. Its attempt is withdrawn if that is
 /// possible: a request whose only attempt was withdrawn cannot have run.
+///
+/// This goes by the number of attempts, not by `may_have_run_since` or the class. So these fail, too, although a retry by
+/// the client would do no harm: a request whose earlier attempts never ran (an engine rejected it for its load), and one
+/// of an idempotent class.
 fn shutdown_response(request: &PendingRequest, id: u64) -> Response {
     let is_withdrawn = |attempt: &InFlightAttempt| attempt.connection.withdraw(id) == Withdrawal::Complete;
     let was_withdrawn = request.in_flight.as_ref().is_some_and(is_withdrawn);
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -136,6 +136,9 @@
             time_left: request.time_left,
             cost: request.cost_ms.map(|ms| ms / 1e3).filter(|cost| *cost > 0.0),
             memory_mb: request.memory_mb.filter(|mb| *mb > 0.0),
+            // No ordering key is passed, although a request may carry an idempotency key. The policy's order by key
+            // (`ordered_by_key`, `KeyOrder`, `key_settle_time`) is therefore never in force here; only the simulator
+            // passes keys. A request that waits in the queue does not wait for another one of the same key.
             key: None,
         });
         self.handle(now, event)
@@ -252,8 +255,13 @@
             Some(PolicyCommand::Fail { id: id.0, retry_after: retry_after.unwrap_or_default() })
         }
         Action::Log(text) => Some(PolicyCommand::Log(text)),
-        // The endpoint list is watched all the time, neither engines nor peers are probed, and explanations are not
-        // logged.
+        // `StartTimer` is carried out by `PolicyDriver::handle`. The others have no effect in this program:
+        // - `WatchEndpoints`: the endpoint list is watched from the start to the end of the process.
+        // - `Probe`: no probe is sent, so that no reply to one arrives. If `limits.probes` is on and engines report their
+        //   load, the policy still spends its probe credit, and holds a request of several threads for `PROBE_WAIT`
+        //   before it selects an engine.
+        // - `BroadcastToPeers`: managers exchange their state by the membership's gossip instead.
+        // - `Explain`: explanations are written to captures (the recorder has them by now), not to the log.
         Action::StartTimer { .. }
         | Action::WatchEndpoints
         | Action::Probe { .. }
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -30,14 +30,15 @@
 pub enum Response {
     /// Served.
     Served(ResultSet),
-    /// Rejected before any attempt could run: a retry is harmless.
+    /// Rejected: a retry by the client does no harm. An attempt may have run if the class is idempotent.
     Rejected {
         /// Why.
         reason: RejectReason,
         /// When the client should retry.
         retry_after: TimeDelta,
     },
-    /// Failed: an attempt may have run.
+    /// Failed: an attempt may have run, and a retry by the client may run it twice. The responses that the core gives by
+    /// itself, at the deadline or the shutdown deadline, are of this kind whatever the class.
     Failed {
         /// Why.
         reason: RejectReason,
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -80,7 +80,7 @@
     Endpoint { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
 }
 
-/// An owner of connections that approves every attempt and ignores every answer.
+/// An owner of connections that authorizes every attempt and ignores every answer.
 pub(super) struct PermissiveOwner {
     pub(super) pool: BufferPool,
     pub(super) limits: ConnectionLimits,
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -16,8 +16,9 @@
     error.hint(format!("Come back in {millis} ms."))
 }
 
-/// A request that was rejected before it ran, so that a retry does no harm. On the platform's front all rejections are
-/// of class 53; the `extended` front distinguishes an expired deadline from overload.
+/// A request that was rejected, so that a retry by the client does no harm. An attempt of it may have run if its class
+/// is idempotent. On the platform's front all rejections are of class 53; the `extended` front distinguishes an expired
+/// deadline from overload.
 pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
     let error = match reason {
         RejectReason::DeadlineExceeded if extended => {
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -14,8 +14,8 @@
 const MAX_DEADLINE_WAIT: Duration = Duration::from_secs(3);
 /// The same where another process shares the listening socket (a hot restart).
 const MAX_DEADLINE_WAIT_AT_HOT_RESTART: Duration = Duration::from_secs(5);
-/// Time before the end at which every open request is answered with a failure: what SIGKILL finds unanswered is
-/// lost, and a slow process needs time to write the answers.
+/// Time before the end at which every open request gets its final response: what SIGKILL finds without one is lost, and
+/// a slow process needs time to write the responses.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
 /// Interval between two checks of whether everything is answered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -30,7 +30,7 @@
     deadline_wait: Duration,
     /// The process ends by now.
     stop_at: Instant,
-    /// Every open request is answered by now.
+    /// Every open request gets its final response by now.
     answer_at: Instant,
 }
 
@@ -84,7 +84,7 @@
         sleep(CHECK_INTERVAL).await;
         if !is_answered && Instant::now() >= schedule.answer_at {
             is_answered = true;
-            answer_all(server);
+            complete_all(server);
         }
         if server.fronts.iter().any(|front| front.is_busy()) {
             idle_checks = 0;
@@ -94,8 +94,8 @@
     }
 }
 
-/// Answers every open request with a failure.
-fn answer_all(server: &Server) {
+/// Gives every open request its final response: those that cannot have run are rejected, the others fail.
+fn complete_all(server: &Server) {
     let answered = server.core.complete_all();
     if answered > 0 {
         warn!(answered, "open requests answered because the shutdown deadline passed");
