--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -9,7 +9,7 @@
 use super::engine_table::EngineCounts;
 use super::gossip_facts::GossipWindows;
 use super::invariants::Invariant;
-use super::request::{RejectReason, Request, Response, MIN_RETRY_AFTER};
+use super::request::{Request, Response, UnservedReason, MIN_RETRY_AFTER};
 use super::zone_routing::{Observer, ZoneRouting};
 use crate::proto::engine_answer::EngineAnswerError;
 use crate::proto::events::ListEvent;
@@ -73,7 +73,7 @@
     /// The final response.
     pub async fn wait(&mut self) -> Response {
         // The sender stays in the request table until it is used, so the receiver never fails; this is its fallback.
-        let lost = Response::Failed { reason: RejectReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
+        let lost = Response::Failed { reason: UnservedReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
         (&mut self.response).await.unwrap_or(lost)
     }
 }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt in flight.
 //!
-//! Enters: the answers of its engine, and its cancellation. Leaves: commands to its engine, on its connection, and the
-//! [`AnswerEffect`] of each answer. Kept: the result so far, the load report, and the progress of a cancellation.
+//! Input: the answers of its engine, and its cancellation. Output: commands to its engine, on its connection, and the
+//! [`AnswerEffect`] of each answer. State: the result so far, the load report, and the progress of a cancellation.
 
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{EngineConnection, Withdrawal};
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -1,7 +1,7 @@
 //! The task of one connection to an engine.
 //!
-//! Enters: the commands queued on an [`EngineConnection`], and the bytes that its engine sends. Leaves: the commands,
-//! in order, and calls of the [`ConnectionOwner`] for each answer and for the end of the connection. Kept: the buffer
+//! Input: the commands queued on an [`EngineConnection`], and the bytes that its engine sends. Output: the commands,
+//! in order, and calls of the [`ConnectionOwner`] for each answer and for the end of the connection. State: the buffer
 //! that is being written and the answer that is being read.
 
 use super::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -1,7 +1,7 @@
 //! The coordinator connects the parts of the core.
 //!
-//! Enters: requests of the fronts, events of the endpoint list, events of connections, and timers. Leaves: events for
-//! the policy, and its commands, carried out on the request table, the engine table and the connections. Kept: the
+//! Input: requests of the fronts, events of the endpoint list, events of connections, and timers. Output: events for
+//! the policy, and its commands, carried out on the request table, the engine table and the connections. State: the
 //! parts, each of which owns its state.
 //!
 //! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event finds no
@@ -18,7 +18,7 @@
 use super::id_generator::IdGenerator;
 use super::invariants::InvariantMonitor;
 use super::policy_driver::{PolicyCommand, PolicyDriver, PolicyEvent};
-use super::request::{RejectReason, Request, Response, MIN_RETRY_AFTER};
+use super::request::{Request, Response, UnservedReason, MIN_RETRY_AFTER};
 use super::request_statistics::RequestStatistics;
 use super::request_table::{PendingRequest, RequestTable};
 use super::send_guard::SendGuard;
@@ -254,7 +254,7 @@
             self.execute(runtime, commands);
         }
         if self.requests.get(id).is_some_and(PendingRequest::is_awaited) {
-            let reason = RejectReason::DeadlineExceeded;
+            let reason = UnservedReason::DeadlineExceeded;
             let mut commands = self.complete(id, Response::Failed { reason, retry_after: MIN_RETRY_AFTER });
             commands.extend(self.policy.on_event(now(), PolicyEvent::RequestAbandoned { id }));
             self.execute(runtime, commands);
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,7 +1,7 @@
 //! The life of an attempt: each is sent once, cancelled at most once, and ends once.
 //!
-//! Enters: commands of the policy, and answers of engines. Leaves: commands to engines, and the end of each attempt as
-//! an event for the policy. Kept: nothing here; the attempt is part of its request's entry in the request table.
+//! Input: commands of the policy, and answers of engines. Output: commands to engines, and the end of each attempt as
+//! an event for the policy. State: nothing here; the attempt is part of its request's entry in the request table.
 
 use super::Coordinator;
 use crate::core::attempt::{release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -1,8 +1,8 @@
 //! Cordoned engines.
 //!
-//! Enters: calls of operators, cordons of other processes, and the ids of the endpoint list. Leaves: the list for the
+//! Input: calls of operators, cordons of other processes, and the ids of the endpoint list. Output: the list for the
 //! policy, in which a cordoned engine is draining whatever its entry says, so that a cordon is handled like every
-//! drain. Kept: nothing here; `sprucelink_cordon` holds the cordons and decides on them.
+//! drain. State: nothing here; `sprucelink_cordon` holds the cordons and decides on them.
 
 use super::Coordinator;
 use crate::core::clock::now;
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -1,7 +1,7 @@
 //! The endpoint list and the connections to its engines.
 //!
-//! Enters: events of the list, and connections that open or end. Leaves: events for the policy, dials, and the ends of
-//! attempts that were withdrawn or interrupted. Kept: nothing here; the engine table holds the state.
+//! Input: events of the list, and connections that open or end. Output: events for the policy, dials, and the ends of
+//! attempts that were withdrawn or interrupted. State: nothing here; the engine table holds the state.
 
 use super::Coordinator;
 use crate::core::attempt::{AttemptOutcome, CANCELLATION_GRACE};
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet: passes its changes to the policy, and the engines' state to gossip and to failover between zones.
 //!
-//! Enters: changes of the membership, and timers. Leaves: events for the policy and the gossip payload. Kept: nothing
+//! Input: changes of the membership, and timers. Output: events for the policy and the gossip payload. State: nothing
 //! here; the fleet's state is in `fleet_state`.
 
 use super::Coordinator;
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -1,7 +1,7 @@
 //! Final responses: each request gets one.
 //!
-//! Enters: the response to a request, or the policy's command to reject or fail it. Leaves: the response, to the front,
-//! and commands that follow. Kept: nothing here; the responder is part of the request's entry in the request table.
+//! Input: the response to a request, or the policy's command to reject or fail it. Output: the response, to the front,
+//! and commands that follow. State: nothing here; the responder is part of the request's entry in the request table.
 
 use super::Coordinator;
 use crate::core::attempt::{AttemptOutcome, InFlightAttempt};
@@ -10,13 +10,13 @@
 use crate::core::engine_connection::Withdrawal;
 use crate::core::invariants::Invariant;
 use crate::core::policy_driver::{PolicyCommand, PolicyEvent};
-use crate::core::request::{format_request_id, RejectReason, Response, MIN_RETRY_AFTER};
+use crate::core::request::{format_request_id, Response, UnservedReason, MIN_RETRY_AFTER};
 use crate::core::request_table::PendingRequest;
 use sprucelink_policy::TimeDelta;
 use tracing::{debug, error, field};
 
 /// Time before the deadline of a request within which a rejection or failure is reported as
-/// [`RejectReason::DeadlineExceeded`].
+/// [`UnservedReason::DeadlineExceeded`].
 const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl Coordinator {
@@ -25,13 +25,13 @@
     pub(super) fn reject(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let is_late = request.deadline - now() < DEADLINE_MARGIN;
-        let reason = if is_late { RejectReason::DeadlineExceeded } else { RejectReason::Overloaded };
+        let reason = if is_late { UnservedReason::DeadlineExceeded } else { UnservedReason::Overloaded };
         self.complete(id, Response::Rejected { reason, retry_after: retry_after.max(MIN_RETRY_AFTER) })
     }
 
     /// Fails a request: an attempt of it may have run.
     pub(super) fn fail(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
-        let reason = self.requests.get(id).map_or(RejectReason::Overloaded, failure_reason);
+        let reason = self.requests.get(id).map_or(UnservedReason::Overloaded, failure_reason);
         self.complete(id, Response::Failed { reason, retry_after: retry_after.max(MIN_RETRY_AFTER) })
     }
 
@@ -92,7 +92,7 @@
 fn shutdown_response(request: &PendingRequest, id: u64) -> Response {
     let is_withdrawn = |attempt: &InFlightAttempt| attempt.connection.withdraw(id) == Withdrawal::Complete;
     let was_withdrawn = request.in_flight.as_ref().is_some_and(is_withdrawn);
-    let reason = RejectReason::Overloaded;
+    let reason = UnservedReason::Overloaded;
     let retry_after = MIN_RETRY_AFTER;
     match request.attempts {
         0 => Response::Rejected { reason, retry_after },
@@ -102,18 +102,18 @@
 }
 
 /// Why a request fails, by its last attempt.
-fn failure_reason(request: &PendingRequest) -> RejectReason {
+fn failure_reason(request: &PendingRequest) -> UnservedReason {
     if request.deadline - now() < DEADLINE_MARGIN {
-        return RejectReason::DeadlineExceeded;
+        return UnservedReason::DeadlineExceeded;
     }
     match request.last_outcome {
-        Some(AttemptOutcome::EngineError) => RejectReason::EngineError,
+        Some(AttemptOutcome::EngineError) => UnservedReason::EngineError,
         Some(AttemptOutcome::ConnectionBroken | AttemptOutcome::ConnectionClosed) => {
-            RejectReason::ConnectionLost
+            UnservedReason::ConnectionLost
         }
-        Some(AttemptOutcome::Unreachable) => RejectReason::Unreachable,
-        Some(AttemptOutcome::Expired) => RejectReason::DeadlineExceeded,
-        _ => RejectReason::Overloaded,
+        Some(AttemptOutcome::Unreachable) => UnservedReason::Unreachable,
+        Some(AttemptOutcome::Expired) => UnservedReason::DeadlineExceeded,
+        _ => UnservedReason::Overloaded,
     }
 }
 
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -129,19 +129,19 @@
             drop(coordinator.complete(
                 1,
                 Response::Rejected {
-                    reason: RejectReason::Overloaded,
+                    reason: UnservedReason::Overloaded,
                     retry_after: TimeDelta::from_micros(5),
                 },
             ));
             drop(coordinator.complete(
                 1,
                 Response::Failed {
-                    reason: RejectReason::ConnectionLost,
+                    reason: UnservedReason::ConnectionLost,
                     retry_after: TimeDelta::from_micros(5),
                 },
             ));
         }
-        assert!(matches!(handle.wait().await, Response::Rejected { reason: RejectReason::Overloaded, .. }));
+        assert!(matches!(handle.wait().await, Response::Rejected { reason: UnservedReason::Overloaded, .. }));
         let mut other = request(&core, 1);
         other.statement.extend_from_slice(b"SELECT 2");
         assert!(core.submit(other).is_none(), "nor one that was recently used for another statement");
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -1,7 +1,7 @@
 //! The client of the control feed: one HTTP/1.1 poll at a time, which continues after the last event applied.
 //!
-//! Enters: the address of the feed, and the events of its responses. Leaves: endpoint lists, applied to the [`Core`].
-//! Kept: nothing; [`super::endpoint_watch`] decides when to poll and when to give a poll up.
+//! Input: the address of the feed, and the events of its responses. Output: endpoint lists, applied to the [`Core`].
+//! State: nothing; [`super::endpoint_watch`] decides when to poll and when to give a poll up.
 
 use super::endpoint_watch::{EndpointWatch, UnexpectedStatus};
 use super::socket::Socket;
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,8 +1,8 @@
 //! The state machine of the endpoint watch: when the control feed is polled, when a poll times out, and which events
 //! are requested again. The `endpoint_client` module drives it. It reads no clock and draws no random numbers.
 //!
-//! Enters: what a poll has reached, at an instant given by the caller. Leaves: the time left until the next step, and
-//! whether an unreadable event is requested again. Kept: the phase of the poll, each with a timeout, and the backoff.
+//! Input: what a poll has reached, at an instant given by the caller. Output: the time left until the next step, and
+//! whether an unreadable event is requested again. State: the phase of the poll, each with a timeout, and the backoff.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::endpoint_poller::{EndpointPoller, PollOutcome};
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -1,7 +1,7 @@
 //! The state of one connection to an engine.
 //!
-//! Enters: commands, and attempts with the command that sends each. Leaves: the buffers to write, and on close the
-//! attempts that were interrupted. Kept: the attempts on the connection with the offsets of their commands, and the
+//! Input: commands, and attempts with the command that sends each. Output: the buffers to write, and on close the
+//! attempts that were interrupted. State: the attempts on the connection with the offsets of their commands, and the
 //! requests whose attempts ended here unserved.
 //!
 //! A connection carries many attempts. It belongs to an engine's id and not to its address, because addresses are
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -1,6 +1,6 @@
 //! The send queue of a connection.
 //!
-//! Enters: commands, and the parts of the stream that are withdrawn. Leaves: buffers to write. Kept: the buffers not
+//! Input: commands, and the parts of the stream that are withdrawn. Output: buffers to write. State: the buffers not
 //! yet written and the commands that send attempts. Offsets count the bytes of the stream since the connection was
 //! made.
 
--- a/src/core/engine_indices.rs
+++ b/src/core/engine_indices.rs
@@ -1,7 +1,7 @@
 //! The indices of engines.
 //!
-//! Enters: the ids of engines, and those that are gone. Leaves: an index for each engine, and the changes for the
-//! recorder. Kept: the indices in use and the freed ones. Engines may appear under new ids without end, and every
+//! Input: the ids of engines, and those that are gone. Output: an index for each engine, and the changes for the
+//! recorder. State: the indices in use and the freed ones. Engines may appear under new ids without end, and every
 //! decision of the policy visits all indices, so freed indices are reused.
 
 use std::collections::BTreeMap;
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -1,7 +1,7 @@
 //! The engine table: the engines of the endpoint list, by index, and the connections to each.
 //!
-//! Enters: events of the endpoint list, and connections that open and close. Leaves: the part of an event that is new, and
-//! a connection for an attempt. Kept: each engine's last entry and connections, and the position in the list. The
+//! Input: events of the endpoint list, and connections that open and close. Output: the part of an event that is new, and
+//! a connection for an attempt. State: each engine's last entry and connections, and the position in the list. The
 //! `coordinator` module decides what follows from a change.
 
 use super::attempt::AttemptOutcome;
--- a/src/core/fleet_state.rs
+++ b/src/core/fleet_state.rs
@@ -1,8 +1,8 @@
 //! The fleet, as this manager sees it.
 //!
-//! Enters: the size of the fleet, this manager's own events, and the observations of other managers. Leaves: the number
+//! Input: the size of the fleet, this manager's own events, and the observations of other managers. Output: the number
 //! of processes that share the fleet's capacity, the spare retries, the gossip payload, and the weights of the zones.
-//! Kept: the size of the fleet, the facts to gossip, and the state of failover between zones.
+//! State: the size of the fleet, the facts to gossip, and the state of failover between zones.
 
 use super::engine_table::{Engine, EngineTable};
 use super::gossip_facts::{GossipFacts, GossipWindows};
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,7 +1,7 @@
 //! The facts that this manager gossips to the others.
 //!
-//! Enters: requests, attempts, and connections that opened or failed. Leaves: a [`GossipPayload`] with the recent
-//! requests and retries, the unreachable engines and the work sent to engines that are warming up. Kept: these events
+//! Input: requests, attempts, and connections that opened or failed. Output: a [`GossipPayload`] with the recent
+//! requests and retries, the unreachable engines and the work sent to engines that are warming up. State: these events
 //! within their windows. It only counts; `sprucelink_membership` decides when the payload is sent.
 
 use sprucelink_membership::{engine_hash, GossipPayload, WarmupWork};
--- a/src/core/id_generator.rs
+++ b/src/core/id_generator.rs
@@ -1,6 +1,6 @@
 //! Generated ids: of requests whose clients give none, and of sessions.
 //!
-//! Enters: the seed and the time. Leaves: ids. Kept: the state of the generator.
+//! Input: the seed and the time. Output: ids. State: the state of the generator.
 
 use sprucelink_policy::Timestamp;
 use sprucelink_stable_hash::SplitMix64;
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -1,7 +1,7 @@
 //! Run-time checks of the rules that the program must never break.
 //!
-//! Enters: requests, first bytes of attempts, and ends of attempts. Leaves: a counter for each rule, and an error in
-//! the log. Kept: the begun attempts and the retry budget's window.
+//! Input: requests, first bytes of attempts, and ends of attempts. Output: a counter for each rule, and an error in
+//! the log. State: the begun attempts and the retry budget's window.
 //!
 //! The rules are enforced elsewhere: the send guard and the policy decide what is sent, the coordinator gives final
 //! responses, the fronts close sessions. The [`InvariantMonitor`] takes the inputs of each rule from there
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The core: pending requests, the driver of the policy, the engines and the connections to them. It runs on one thread
 //! and is independent of the clients' protocols.
 //!
-//! Enters: requests from the fronts, events of the endpoint list, answers of engines. Leaves: one final response for
-//! each request, and commands to engines. Kept: pending requests, engines and connections, each by one module.
+//! Input: requests from the fronts, events of the endpoint list, answers of engines. Output: one final response for
+//! each request, and commands to engines. State: pending requests, engines and connections, each by one module.
 //!
 //! The fronts and drivers call [`Core`]. Behind it the `coordinator` connects the parts, each of which owns one kind of
 //! state: `request_table`, `attempt`, `engine_table`, [`engine_connection`], `send_guard` and [`policy_driver`].
@@ -46,4 +46,4 @@
 pub use clock::{machine_clock_offset, now, to_duration, unix};
 pub use engine_table::EngineCounts;
 pub use gossip_facts::GossipWindows;
-pub use request::{RejectReason, Request, RequestSpec, Response, MAX_STATEMENT_BYTES};
+pub use request::{Request, RequestSpec, Response, UnservedReason, MAX_STATEMENT_BYTES};
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -1,6 +1,6 @@
 //! The driver of the policy.
 //!
-//! Enters: the core's events. Leaves: the policy's actions as commands. Kept: the policy, its timers, and the index of
+//! Input: the core's events. Output: the policy's actions as commands. State: the policy, its timers, and the index of
 //! each engine. Engines are strings in the endpoint list and indices in the policy and the core; an index is reused
 //! once its engine is gone. The rest of the core does not use the policy's events and actions.
 
--- a/src/core/reason_counters.rs
+++ b/src/core/reason_counters.rs
@@ -1,10 +1,10 @@
 //! Counters by reason, for the admin address.
 //!
-//! Enters: the end or withdrawal of an attempt, and the final response to a request. Leaves: counters in the metrics,
+//! Input: the end or withdrawal of an attempt, and the final response to a request. Output: counters in the metrics,
 //! whose names are defined here. Nothing else is kept.
 
 use super::attempt::AttemptOutcome;
-use super::request::{RejectReason, Response};
+use super::request::{Response, UnservedReason};
 use super::send_guard::SendRejection;
 use sprucelink_metrics::{Counter, Metrics};
 use std::collections::BTreeMap;
@@ -30,17 +30,17 @@
     (SendRejection::RetryBudgetSpent, "attempts.withdrawn.retry_budget_spent"),
 ];
 /// The reasons why requests are rejected, and the names of their counters.
-const REJECTIONS: [(RejectReason, &str); 2] = [
-    (RejectReason::Overloaded, "responses.rejected.overloaded"),
-    (RejectReason::DeadlineExceeded, "responses.rejected.deadline_exceeded"),
+const REJECTIONS: [(UnservedReason, &str); 2] = [
+    (UnservedReason::Overloaded, "responses.rejected.overloaded"),
+    (UnservedReason::DeadlineExceeded, "responses.rejected.deadline_exceeded"),
 ];
 /// The reasons why requests fail, and the names of their counters.
-const FAILURES: [(RejectReason, &str); 5] = [
-    (RejectReason::Overloaded, "responses.failed.given_up"),
-    (RejectReason::DeadlineExceeded, "responses.failed.deadline_exceeded"),
-    (RejectReason::EngineError, "responses.failed.engine_error"),
-    (RejectReason::ConnectionLost, "responses.failed.connection_lost"),
-    (RejectReason::Unreachable, "responses.failed.unreachable"),
+const FAILURES: [(UnservedReason, &str); 5] = [
+    (UnservedReason::Overloaded, "responses.failed.given_up"),
+    (UnservedReason::DeadlineExceeded, "responses.failed.deadline_exceeded"),
+    (UnservedReason::EngineError, "responses.failed.engine_error"),
+    (UnservedReason::ConnectionLost, "responses.failed.connection_lost"),
+    (UnservedReason::Unreachable, "responses.failed.unreachable"),
 ];
 
 /// Counters by reason.
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -1,6 +1,6 @@
 //! The ids of recently submitted requests.
 //!
-//! Enters: the id and statement of each request. Leaves: whether the id may be used. Kept: a hash of the statement of
+//! Input: the id and statement of each request. Output: whether the id may be used. State: a hash of the statement of
 //! each recent id.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -12,7 +12,7 @@
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectReason {
+pub enum UnservedReason {
     /// The load is too high for the request to be served in time.
     Overloaded,
     /// The client's deadline has passed, or is too close.
@@ -33,7 +33,7 @@
     /// Rejected: a retry by the client does no harm. An attempt may have run if the class is idempotent.
     Rejected {
         /// Why.
-        reason: RejectReason,
+        reason: UnservedReason,
         /// When the client should retry.
         retry_after: TimeDelta,
     },
@@ -41,7 +41,7 @@
     /// itself, at the deadline or the shutdown deadline, are of this kind whatever the class.
     Failed {
         /// Why.
-        reason: RejectReason,
+        reason: UnservedReason,
         /// When the client should retry.
         retry_after: TimeDelta,
     },
--- a/src/core/request_statistics.rs
+++ b/src/core/request_statistics.rs
@@ -1,7 +1,7 @@
 //! Statistics of requests and attempts.
 //!
-//! Enters: what becomes of each request and attempt. Leaves: the metrics, and a log line of the counters in each
-//! interval. Kept: the counters since the last log line.
+//! Input: what becomes of each request and attempt. Output: the metrics, and a log line of the counters in each
+//! interval. State: the counters since the last log line.
 
 use super::attempt::AttemptOutcome;
 use super::reason_counters::ReasonCounters;
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,6 +1,6 @@
 //! The request table: the state of every pending request, and when each is due.
 //!
-//! Enters: new requests, and changes to them. Leaves: deadlines and cancellations that are due. Kept: each pending
+//! Input: new requests, and changes to them. Output: deadlines and cancellations that are due. State: each pending
 //! request with its attempt in flight, and the ids of recent requests. The `coordinator` module decides what happens to
 //! a request.
 
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -1,6 +1,6 @@
 //! The result of a request.
 //!
-//! Enters: pages, in any order. Leaves: rows, in order. Kept: all pages, until the client has received the last row.
+//! Input: pages, in any order. Output: rows, in order. State: all pages, until the client has received the last row.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use std::ops::Range;
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -1,7 +1,7 @@
 //! The send guard: the rules that an attempt must still meet just before its first byte is sent.
 //!
-//! Enters: the state of an attempt just before its first byte, and the requests and retries that are counted. Leaves:
-//! whether the attempt may be sent, with the reason if not. Kept: the retry budget's window and the shutdown deadline.
+//! Input: the state of an attempt just before its first byte, and the requests and retries that are counted. Output:
+//! whether the attempt may be sent, with the reason if not. State: the retry budget's window and the shutdown deadline.
 //!
 //! The policy selected the engine some time ago. Since then the attempt may have waited for its connection, for a slow
 //! peer, or for the processor. Every rule on what is sent is checked here again, on the present state. An attempt that
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -1,8 +1,8 @@
 //! Start-up control.
 //!
-//! Enters: requests and their responses, endpoint lists, connections that open. Leaves: the times of dials, whether a
+//! Input: requests and their responses, endpoint lists, connections that open. Output: the times of dials, whether a
 //! request is admitted while engines warm up, the part of an endpoint list that may be applied, and when this manager
-//! is ready. Kept: the state machines of `sprucelink_startup`, which decide all of it.
+//! is ready. State: the state machines of `sprucelink_startup`, which decide all of it.
 
 use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_policy::{TimeDelta, Timestamp};
--- a/src/core/wall_clock.rs
+++ b/src/core/wall_clock.rs
@@ -1,7 +1,7 @@
 //! The offset of the wall clock from the process's own clock, and its steps.
 //!
-//! Enters: readings of both clocks, and Unix times stamped by other machines. Leaves: those times on the process's
-//! clock. Kept: the recent offsets.
+//! Input: readings of both clocks, and Unix times stamped by other machines. Output: those times on the process's
+//! clock. State: the recent offsets.
 //!
 //! A time that another machine stamps is read some seconds later. If the wall clock steps in between, by an hour for
 //! instance, the time would seem an hour older or an hour ahead. So each recent offset gives a candidate for the
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -1,7 +1,7 @@
 //! Failover between zones.
 //!
-//! Enters: the policy's view of each engine, and the observations of other managers. Leaves: the weights of the zones,
-//! if they have changed. Kept: the state machines of `sprucelink_zone_failover`, which decide; this module only sums
+//! Input: the policy's view of each engine, and the observations of other managers. Output: the weights of the zones,
+//! if they have changed. State: the state machines of `sprucelink_zone_failover`, which decide; this module only sums
 //! the observations by zone.
 
 use super::clock::now;
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -1,7 +1,7 @@
 //! The errors that the fronts send to clients, with their SQLSTATEs (PostgreSQL, appendix A).
 
 use super::read_ahead::ReadAheadOverrun;
-use crate::core::RejectReason;
+use crate::core::UnservedReason;
 use crate::proto::pg::ErrorResponse;
 use sprucelink_time::TimeDelta;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 /// A request that was rejected, so that a retry by the client does no harm. An attempt of it may have run if its class
 /// is idempotent. On the platform's front all rejections are of class 53; the `extended` front distinguishes an expired
 /// deadline from overload.
-pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
+pub(super) fn rejected(reason: UnservedReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
     let error = match reason {
-        RejectReason::DeadlineExceeded if extended => {
+        UnservedReason::DeadlineExceeded if extended => {
             ErrorResponse::new("57014", "canceled: its time ran out; a repeat does no harm")
         }
-        RejectReason::DeadlineExceeded => {
+        UnservedReason::DeadlineExceeded => {
             ErrorResponse::new("53000", "refused: its time ran out; a repeat does no harm")
         }
         _ => ErrorResponse::new("53400", "refused: there is more to do than can be done in time"),
@@ -33,13 +33,13 @@
 }
 
 /// A request that failed and may have run.
-pub(super) fn failed(reason: RejectReason, retry_after: TimeDelta) -> ErrorResponse {
+pub(super) fn failed(reason: UnservedReason, retry_after: TimeDelta) -> ErrorResponse {
     let (code, message) = match reason {
-        RejectReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
-        RejectReason::EngineError => ("58000", "the engine failed; it may have run"),
-        RejectReason::ConnectionLost => ("08006", "the connection to the engine broke; it may have run"),
-        RejectReason::Unreachable => ("08001", "no engine could be reached"),
-        RejectReason::Overloaded => ("40003", "given up; it may have run"),
+        UnservedReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
+        UnservedReason::EngineError => ("58000", "the engine failed; it may have run"),
+        UnservedReason::ConnectionLost => ("08006", "the connection to the engine broke; it may have run"),
+        UnservedReason::Unreachable => ("08001", "no engine could be reached"),
+        UnservedReason::Overloaded => ("40003", "given up; it may have run"),
     };
     with_retry_after(ErrorResponse::new(code, message), retry_after)
 }
