--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -119,8 +119,8 @@
 
     /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to
     /// this one over its own retry budget.
-    pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_attempts: f64) {
-        self.coordinator.borrow_mut().set_fleet(self, managers, spare_attempts);
+    pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_retries: f64) {
+        self.coordinator.borrow_mut().set_fleet(self, managers, spare_retries);
     }
 
     /// Sets the number of this manager's processes, among which its part of the fleet is divided.
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -84,7 +84,7 @@
     /// A progress note.
     Progress {
         /// What it is about.
-        kind: UpdateTopic,
+        topic: UpdateTopic,
         /// Its value.
         value: f64,
     },
@@ -147,14 +147,14 @@
         std::ptr::eq(&*self.connection, connection)
     }
 
-    /// Sets the priority at its engine, unless it is served already.
-    pub(super) fn set_priority(&self, pool: &BufferPool, id: u64, priority: u8) {
+    /// Sets the priority level at its engine, unless it is served already.
+    pub(super) fn set_level(&self, pool: &BufferPool, id: u64, level: u8) {
         if self.is_served {
             return;
         }
         let id = format_request_id(id);
-        let priority = priority.to_string();
-        self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), priority.as_bytes()]);
+        let level = level.to_string();
+        self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), level.as_bytes()]);
     }
 
     /// Records that it was withdrawn before its first byte: it ends as [`AttemptOutcome::NeverRan`], and its end need
@@ -210,7 +210,7 @@
         answer: &EngineAnswer,
     ) -> Result<AnswerEffect, EngineAnswerError> {
         match answer.kind {
-            AnswerKind::Update { topic: Some(kind), value } => Ok(AnswerEffect::Progress { kind, value }),
+            AnswerKind::Update { topic: Some(topic), value } => Ok(AnswerEffect::Progress { topic, value }),
             AnswerKind::Update { topic: None, .. } | AnswerKind::Pong => Ok(AnswerEffect::None),
             AnswerKind::Unknown => Err(EngineAnswerError::UnknownWord),
             AnswerKind::Overloaded => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -180,8 +180,8 @@
         let mut queue = VecDeque::from(commands);
         while let Some(command) = queue.pop_front() {
             match command {
-                PolicyCommand::SetResources { id, memory_grant_mb, priority } => {
-                    self.set_resources(runtime.pool(), id, memory_grant_mb, priority);
+                PolicyCommand::SetResources { id, memory_grant_mb, level } => {
+                    self.set_resources(runtime.pool(), id, memory_grant_mb, level);
                 }
                 PolicyCommand::Send { id, engine } => queue.extend(self.send(runtime, id, engine)),
                 PolicyCommand::Cancel { id, attempt } => {
@@ -201,15 +201,15 @@
         }
     }
 
-    fn set_resources(&mut self, pool: &BufferPool, id: u64, memory_grant_mb: Option<f64>, priority: u8) {
+    fn set_resources(&mut self, pool: &BufferPool, id: u64, memory_grant_mb: Option<f64>, level: u8) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        if request.priority != priority {
+        if request.level != level {
             if let Some(attempt) = &request.in_flight {
-                attempt.set_priority(pool, id, priority);
+                attempt.set_level(pool, id, level);
             }
         }
         request.memory_grant_mb = memory_grant_mb;
-        request.priority = priority;
+        request.level = level;
     }
 
     /// Removes a request that has its final response and no attempt in flight.
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -99,7 +99,7 @@
             connection.withdraw(id);
             return false;
         };
-        if let Err(reason) = self.send_guard.check(now, self.fleet.spare_attempts(), &outgoing) {
+        if let Err(reason) = self.send_guard.check(now, self.fleet.spare_retries(), &outgoing) {
             self.withdraw_unauthorized(now, connection, id, attempt, reason);
             return false;
         }
@@ -201,7 +201,7 @@
             deadline: outgoing.deadline,
             sent_time_left: in_flight.sent_time_left,
             unlisted_since,
-            spare_attempts: self.fleet.spare_attempts(),
+            spare_retries: self.fleet.spare_retries(),
         };
         if !was_authorized {
             self.send_guard.record_send(now, outgoing.is_retry);
@@ -332,8 +332,8 @@
         };
         let commands = match effect {
             AnswerEffect::None => Vec::new(),
-            AnswerEffect::Progress { kind, value } => {
-                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt, kind, value })
+            AnswerEffect::Progress { topic, value } => {
+                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt, topic, value })
             }
             AnswerEffect::Ended(outcome) => self.end_attempt(id, outcome),
         };
@@ -372,7 +372,7 @@
         time_left_ms: time_left.as_millis(),
         idempotency_key: request.idempotency_key.as_deref(),
         memory_grant_mb: request.memory_grant_mb,
-        priority: request.priority,
+        priority: request.level,
     };
     fields.to_string()
 }
@@ -391,7 +391,7 @@
         ?outcome,
         latency_ms = latency.as_millis(),
         class = request.class_name,
-        priority = request.priority,
+        priority = request.level,
         time_left_ms = (request.deadline - now()).as_millis(),
         completed = !request.is_awaited(),
         in_flight = attempt.load_report.in_flight,
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -17,9 +17,9 @@
         &mut self,
         runtime: &dyn ConnectionRuntime,
         managers: u32,
-        spare_attempts: f64,
+        spare_retries: f64,
     ) {
-        self.fleet.set_managers(managers, spare_attempts);
+        self.fleet.set_managers(managers, spare_retries);
         self.report_fleet(runtime);
     }
 
@@ -30,9 +30,10 @@
     }
 
     fn report_fleet(&mut self, runtime: &dyn ConnectionRuntime) {
-        let gateways = self.fleet.gateways();
-        let spare_attempts = self.fleet.spare_attempts();
-        let commands = self.policy.on_event(now(), PolicyEvent::FleetChanged { gateways, spare_attempts });
+        let capacity_shares = self.fleet.capacity_shares();
+        let spare_retries = self.fleet.spare_retries();
+        let commands =
+            self.policy.on_event(now(), PolicyEvent::FleetChanged { capacity_shares, spare_retries });
         self.execute(runtime, commands);
         runtime.wake();
     }
--- a/src/core/fleet_state.rs
+++ b/src/core/fleet_state.rs
@@ -18,7 +18,7 @@
     /// The number of this manager's processes, among which its part of the fleet is divided.
     processes: u32,
     /// Retries that the other managers leave to this one, over its own retry budget.
-    spare_attempts: f64,
+    spare_retries: f64,
     /// The facts to gossip, if gossip is on.
     gossip: Option<GossipFacts>,
     /// Failover between zones, if it is on.
@@ -27,14 +27,14 @@
 
 impl FleetState {
     /// The fleet as configured, with this manager in one process, no gossip and no failover.
-    pub(super) fn new(managers: u32, spare_attempts: f64) -> FleetState {
-        FleetState { managers, processes: 1, spare_attempts, gossip: None, zone_routing: None }
+    pub(super) fn new(managers: u32, spare_retries: f64) -> FleetState {
+        FleetState { managers, processes: 1, spare_retries, gossip: None, zone_routing: None }
     }
 
     /// Sets the number of managers, this one included, and the retries that the others leave to this one.
-    pub(super) fn set_managers(&mut self, managers: u32, spare_attempts: f64) {
+    pub(super) fn set_managers(&mut self, managers: u32, spare_retries: f64) {
         self.managers = managers;
-        self.spare_attempts = spare_attempts;
+        self.spare_retries = spare_retries;
     }
 
     /// Sets the number of this manager's processes; at least one.
@@ -42,14 +42,15 @@
         self.processes = processes.max(1);
     }
 
-    /// The number of processes that share the fleet's capacity, this one included.
-    pub(super) fn gateways(&self) -> u32 {
+    /// The number of equal shares into which the fleet's capacity and budgets are divided: one for each process of each
+    /// manager, this one included.
+    pub(super) fn capacity_shares(&self) -> u32 {
         self.managers.saturating_mul(self.processes)
     }
 
     /// Retries that the other managers leave to this one, over its own retry budget.
-    pub(super) fn spare_attempts(&self) -> f64 {
-        self.spare_attempts
+    pub(super) fn spare_retries(&self) -> f64 {
+        self.spare_retries
     }
 
     /// Starts to count the facts that are gossiped to other managers.
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -97,7 +97,7 @@
     /// When its engine ceased to be ready; `None` if it is ready.
     pub(super) unlisted_since: Option<Timestamp>,
     /// Retries that other managers leave to this one.
-    pub(super) spare_attempts: f64,
+    pub(super) spare_retries: f64,
 }
 
 /// The record of a request with an attempt that was begun.
@@ -188,7 +188,7 @@
         let may_have_run_since = before.and_then(|begun| begun.may_have_run_since);
         self.check_effect(now, sent, may_have_run_since, &name);
         if sent.attempt > 0 {
-            self.check_budget(now, sent.spare_attempts, &name);
+            self.check_budget(now, sent.spare_retries, &name);
         }
         let in_flight = Some((sent.attempt, now));
         self.begun.insert(sent.id, BegunRequest { in_flight, may_have_run_since });
@@ -238,11 +238,11 @@
         }
     }
 
-    fn check_budget(&mut self, now: Timestamp, spare_attempts: f64, name: &str) {
+    fn check_budget(&mut self, now: Timestamp, spare_retries: f64, name: &str) {
         let Some(budget) = self.retry_budget else { return };
         record_event(&mut self.retries, now, budget.window);
         forget_before(&mut self.requests, now - budget.window);
-        let allowed = budget.max_retries(self.requests.len() as u64, spare_attempts);
+        let allowed = budget.max_retries(self.requests.len() as u64, spare_retries);
         if self.retries.len() as f64 > allowed {
             let detail = format!("{name}: {} retries, {allowed:.1} allowed", self.retries.len());
             self.record_violation(now, Invariant::RetryBudget, &detail);
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -57,7 +57,7 @@
         deadline: at(100.0),
         sent_time_left: span(10.0),
         unlisted_since: None,
-        spare_attempts: 0.0,
+        spare_retries: 0.0,
     }
 }
 
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -148,8 +148,8 @@
     pub fn on_event(&mut self, now: Timestamp, event: PolicyEvent) -> Vec<PolicyCommand> {
         let event = match event {
             PolicyEvent::EndpointList { list, is_cached } => self.list_event(list, is_cached),
-            PolicyEvent::Progress { id, attempt, kind, value } => {
-                Event::ProgressReported { id: RequestId(id), attempt, note: progress_note(kind, value) }
+            PolicyEvent::Progress { id, attempt, topic, value } => {
+                Event::ProgressReported { id: RequestId(id), attempt, note: progress_note(topic, value) }
             }
             PolicyEvent::AttemptEnded {
                 id,
@@ -170,8 +170,8 @@
             },
             PolicyEvent::RequestAbandoned { id } => Event::RequestAbandoned { id: RequestId(id) },
             PolicyEvent::ZoneWeights(weights) => Event::ZoneWeightsChanged(weights),
-            PolicyEvent::FleetChanged { gateways, spare_attempts } => {
-                Event::FleetChanged { gateways, spare_retries: spare_attempts }
+            PolicyEvent::FleetChanged { capacity_shares, spare_retries } => {
+                Event::FleetChanged { gateways: capacity_shares, spare_retries }
             }
         };
         self.handle(now, event)
@@ -245,7 +245,7 @@
             Some(PolicyCommand::Send { id: id.0, engine: engine.0 as usize })
         }
         Action::SetExecutionTerms { id, grant_mb, level } => {
-            Some(PolicyCommand::SetResources { id: id.0, memory_grant_mb: grant_mb, priority: level.0 })
+            Some(PolicyCommand::SetResources { id: id.0, memory_grant_mb: grant_mb, level: level.0 })
         }
         Action::Cancel { id, attempt } => Some(PolicyCommand::Cancel { id: id.0, attempt }),
         Action::Reject { id, retry_after } => {
@@ -271,8 +271,8 @@
 }
 
 /// The policy's form of a progress note. The value of a `waiting` note is 1 for memory and 2 for a load.
-fn progress_note(kind: UpdateTopic, value: f64) -> ProgressNote {
-    match kind {
+fn progress_note(topic: UpdateTopic, value: f64) -> ProgressNote {
+    match topic {
         UpdateTopic::Progress => ProgressNote::Progress(value),
         UpdateTopic::MissingMemory => ProgressNote::Spills(value),
         UpdateTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
--- a/src/core/policy_driver/messages.rs
+++ b/src/core/policy_driver/messages.rs
@@ -22,7 +22,7 @@
         /// The attempt's number.
         attempt: u32,
         /// The topic of the note.
-        kind: UpdateTopic,
+        topic: UpdateTopic,
         /// Its value.
         value: f64,
     },
@@ -51,9 +51,9 @@
     /// The view of the fleet has changed.
     FleetChanged {
         /// The number of processes that share the fleet's capacity, this one included.
-        gateways: u32,
+        capacity_shares: u32,
         /// Retries that the other managers leave to this one, over its own retry budget.
-        spare_attempts: f64,
+        spare_retries: f64,
     },
     /// The weights of the zones, by index.
     ZoneWeights(Vec<f64>),
@@ -62,14 +62,14 @@
 /// An action that the policy requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyCommand {
-    /// Set memory and priority of a request's next attempt, and the priority of the one in flight.
+    /// Set memory and priority level of a request's next attempt, and the level of the one in flight.
     SetResources {
         /// The request.
         id: u64,
         /// Memory in MB; `None`: the engine chooses.
         memory_grant_mb: Option<f64>,
         /// Priority level, 0 (lowest) to 3.
-        priority: u8,
+        level: u8,
     },
     /// Make an attempt of a request.
     Send {
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
 
-/// Priority of a request until the policy sets one.
-const INITIAL_PRIORITY: u8 = 1;
+/// Priority level of a request until the policy sets one.
+const INITIAL_LEVEL: u8 = 1;
 
 /// A request that has no final response yet, or whose last attempt has not ended.
 pub(super) struct PendingRequest {
@@ -35,7 +35,7 @@
     /// Memory granted to its next attempt, in MB; `None`: the engine chooses.
     pub(super) memory_grant_mb: Option<f64>,
     /// Priority level of its attempts, 0 (lowest) to 3.
-    pub(super) priority: u8,
+    pub(super) level: u8,
     /// The number of attempts made so far, which is the number of the next one.
     pub(super) attempts: u32,
     /// The attempt in flight, if any: one at a time.
@@ -68,7 +68,7 @@
             cost_ms: request.spec.cost_ms.unwrap_or(0.0),
             deadline,
             memory_grant_mb: None,
-            priority: INITIAL_PRIORITY,
+            level: INITIAL_LEVEL,
             attempts: 0,
             in_flight: None,
             last_outcome: None,
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Checks whether an attempt may be sent. `spare_attempts`: retries that other managers leave to this one.
+    /// Checks whether an attempt may be sent. `spare_retries`: retries that other managers leave to this one.
     ///
     /// # Errors
     /// The first rule that it would break.
     pub(super) fn check(
         &self,
         now: Timestamp,
-        spare_attempts: f64,
+        spare_retries: f64,
         attempt: &OutgoingAttempt,
     ) -> Result<(), SendRejection> {
         if !attempt.request_is_awaited {
@@ -124,7 +124,7 @@
         if !self.is_retryable(now, attempt) {
             return Err(SendRejection::NotRetryable);
         }
-        if attempt.is_retry && !self.has_retry_budget(now, spare_attempts) {
+        if attempt.is_retry && !self.has_retry_budget(now, spare_retries) {
             return Err(SendRejection::RetryBudgetSpent);
         }
         Ok(())
@@ -137,11 +137,11 @@
 
     /// Whether a further retry stays within the budget. Of the slot in which the window starts, retries count and requests do
     /// not, so that no exact window has more retries than the budget allows.
-    fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
+    fn has_retry_budget(&self, now: Timestamp, spare_retries: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
         let requests = self.requests.count_within(now);
         let retries = self.retries.count_overlapping(now);
-        budget.allows_retry(requests, retries, spare_attempts)
+        budget.allows_retry(requests, retries, spare_retries)
     }
 }
 
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -138,7 +138,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct AppliedBudgets {
     managers: u32,
-    spare_attempts: f64,
+    spare_retries: f64,
 }
 
 struct MembershipDriver {
@@ -241,15 +241,15 @@
         } else {
             configured
         };
-        let budgets = AppliedBudgets { managers, spare_attempts: self.spare_attempts(members) };
+        let budgets = AppliedBudgets { managers, spare_retries: self.spare_retries(members) };
         if self.applied != Some(budgets) {
             self.applied = Some(budgets);
-            self.core.set_fleet(budgets.managers, budgets.spare_attempts);
+            self.core.set_fleet(budgets.managers, budgets.spare_retries);
         }
     }
 
     /// Retries that the other members leave unused, as far as this one may use them.
-    fn spare_attempts(&self, members: usize) -> f64 {
+    fn spare_retries(&self, members: usize) -> f64 {
         let Some(budget) = self.fleet.retry_budget.filter(|_| self.settings.share.pool_retry_budgets) else {
             return 0.0;
         };
