--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -20,7 +20,8 @@
 const INITIAL_LATENCY: TimeDelta = TimeDelta::from_millis(200);
 /// Weight of one response in the mean latency (exponentially weighted).
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Shortest Retry-After: earlier, a client would meet the same conditions.
+/// Shortest Retry-After of a rejection here: earlier, a client would meet the same conditions. The core applies its own
+/// bound of the same length to all rejections and failures (`MIN_RETRY_AFTER` in its `request` module).
 pub const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
 /// Longest Retry-After: by then, warm-up has progressed.
 pub const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(2);
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -7,6 +7,19 @@
 //! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event finds no
 //! owner and does nothing.
 //!
+//! Attempts and requests end separately:
+//! - An attempt ends in `end_attempt`, which takes it out of its request and releases its connection. It calls
+//!   `report_end`, which tells the policy; an attempt that was never queued to a connection has only `report_end`. If
+//!   the attempt was served and its client still waits, `complete` follows; the policy's commands are carried out last.
+//! - A request ends in `complete`, the only place that gives a final response. It withdraws the attempt in flight if no
+//!   byte of it was sent.
+//! - `expire` acts at the deadline: it cancels the attempt, calls `end_attempt`, carries out the policy's commands, and
+//!   calls `complete` if these gave no response.
+//! - `abandon` acts when the client has gone. There is no response: an unsent attempt is withdrawn, and the policy gets
+//!   `RequestAbandoned`, on which it cancels one that was sent. `expire` and `complete_all` (the shutdown) send that event,
+//!   too, after `complete`.
+//! - `remove_if_done` removes a request that has ended and whose last attempt has ended.
+//!
 //! [`InFlightAttempt`]: super::attempt::InFlightAttempt
 
 use super::attempt::{AttemptOutcome, CANCELLATION_CHECK_INTERVAL};
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -106,7 +106,7 @@
         if self.requeue_if_delayed(now, pool, connection, id) {
             return false;
         }
-        self.record_send(now, connection, id, &outgoing);
+        self.record_first_byte(now, connection, id, &outgoing);
         true
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// Records that the first byte of an attempt is sent: in the retry budget, once, and for the run-time checks.
-    fn record_send(
+    fn record_first_byte(
         &mut self,
         now: Timestamp,
         connection: &EngineConnection,
@@ -204,9 +204,9 @@
             spare_retries: self.fleet.spare_retries(),
         };
         if !was_authorized {
-            self.send_guard.record_send(now, outgoing.is_retry);
+            self.send_guard.record_first_byte(now, outgoing.is_retry);
         }
-        self.monitor.record_send(now, &sent);
+        self.monitor.record_first_byte(now, &sent);
     }
 
     /// Reports the end of an attempt to the policy. The attempt is no longer in flight.
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -16,7 +16,8 @@
 use tracing::{debug, error, field};
 
 /// Time before the deadline of a request within which a rejection or failure is reported as
-/// [`UnservedReason::DeadlineExceeded`].
+/// [`UnservedReason::DeadlineExceeded`]. The policy responds to a request whose deadline is 50 ms away
+/// (`RESPONSE_MARGIN`); this is 10 ms more, so that each such response has this reason.
 const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl Coordinator {
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -24,8 +24,10 @@
 /// Fraction of the engines' idle timeout after which this process closes an idle connection. Engines close it at the
 /// full timeout, and an attempt that crosses their close would count as one that may have run.
 const IDLE_FRACTION: f64 = 0.8;
-/// Limit on consecutive missing progress notes: beyond it the connection accepts no further attempts.
-const MAX_MISSED_NOTES: i64 = 3;
+/// Limit on consecutive missing progress notes: beyond it the connection accepts no further attempts. This concerns one
+/// connection; the policy has shorter limits of its own for engines and zones that do not answer (`outlier_detection`,
+/// `engine_health`).
+const UNUSABLE_AFTER_MISSED_NOTES: i64 = 3;
 /// Limit on the attempts that end unserved on one connection: at this number it is retired.
 const MAX_UNSERVED: usize = 512;
 
@@ -137,7 +139,8 @@
     /// Whether progress notes on an attempt are missing: the connection of a machine that has failed stays open and
     /// silent.
     fn is_unresponsive(&self, limits: &ConnectionLimits) -> bool {
-        let max_silence = TimeDelta::from_micros(limits.note_interval.as_micros() * MAX_MISSED_NOTES);
+        let max_silence =
+            TimeDelta::from_micros(limits.note_interval.as_micros() * UNUSABLE_AFTER_MISSED_NOTES);
         let is_overdue =
             |attempt: &CarriedAttempt| now() - attempt.queued_at.max(self.last_active_at.get()) > max_silence;
         limits.note_interval > TimeDelta::ZERO && self.attempts.borrow().values().any(is_overdue)
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -38,6 +38,8 @@
 /// The recent events that are gossiped.
 pub(super) struct GossipFacts {
     windows: GossipWindows,
+    /// Requests, and retries when they are made, in the retry budget's window: from these counts the other managers compute
+    /// what this one leaves to them. They do not limit what this process sends; the policy and the send guard do.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
     warm_up_attempts: VecDeque<WarmUpAttempt>,
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -119,7 +119,8 @@
     /// By class: its effect and deduplication window. The check compares them itself.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
-    /// Times of requests and of retries in the budget's window.
+    /// Times of requests, and of retries at their first byte, in the budget's window. They are kept apart from the send
+    /// guard's window, so that a fault in that one shows here.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
     /// Requests with an attempt that was begun. Bounded by the pending requests.
@@ -174,7 +175,7 @@
     }
 
     /// Checks an attempt whose first byte is about to be sent. A further call for the same attempt does nothing.
-    pub(super) fn record_send(&mut self, now: Timestamp, sent: &SentAttempt) {
+    pub(super) fn record_first_byte(&mut self, now: Timestamp, sent: &SentAttempt) {
         let before = self.begun.get(&sent.id).copied();
         let in_flight = before.and_then(|begun| begun.in_flight);
         if in_flight.is_some_and(|(attempt, _)| attempt == sent.attempt) {
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -72,11 +72,11 @@
 fn attempt_within_all_rules_counts_nothing() {
     let (mut monitor, metrics) = monitor();
     monitor.record_request(at(50.0));
-    monitor.record_send(at(50.0), &sent(1, 0, 2));
+    monitor.record_first_byte(at(50.0), &sent(1, 0, 2));
     // Behind a slow peer, the first byte of the same attempt is about to be sent a second time.
-    monitor.record_send(at(50.1), &sent(1, 0, 2));
+    monitor.record_first_byte(at(50.1), &sent(1, 0, 2));
     monitor.record_end(1, 0, true);
-    monitor.record_send(at(50.2), &sent(1, 1, 2));
+    monitor.record_first_byte(at(50.2), &sent(1, 1, 2));
     assert_eq!(violated(&metrics), Vec::<&str>::new());
     assert_eq!(monitor.violations(), 0);
 }
@@ -84,24 +84,24 @@
 #[test]
 fn attempt_concurrent_with_another_is_counted() {
     let (mut monitor, metrics) = monitor();
-    monitor.record_send(at(50.0), &sent(1, 0, 0));
-    monitor.record_send(at(50.1), &sent(1, 1, 0));
+    monitor.record_first_byte(at(50.0), &sent(1, 0, 0));
+    monitor.record_first_byte(at(50.1), &sent(1, 1, 0));
     assert_eq!(violated(&metrics), ["invariant.concurrent_attempt"]);
 }
 
 #[test]
 fn attempt_for_a_completed_request_is_counted() {
     let (mut monitor, metrics) = monitor();
-    monitor.record_send(at(50.0), &SentAttempt { request_is_awaited: false, ..sent(1, 0, 0) });
+    monitor.record_first_byte(at(50.0), &SentAttempt { request_is_awaited: false, ..sent(1, 0, 0) });
     assert_eq!(violated(&metrics), ["invariant.send_after_end"]);
 }
 
 #[test]
 fn deadline_later_than_the_clients_is_counted() {
     let (mut monitor, metrics) = monitor();
-    monitor.record_send(at(90.1), &sent(1, 0, 0));
+    monitor.record_first_byte(at(90.1), &sent(1, 0, 0));
     assert_eq!(violated(&metrics), Vec::<&str>::new(), "within the slack");
-    monitor.record_send(at(90.2), &sent(2, 0, 0));
+    monitor.record_first_byte(at(90.2), &sent(2, 0, 0));
     assert_eq!(violated(&metrics), ["invariant.late_deadline"]);
 }
 
@@ -109,30 +109,30 @@
 fn attempt_at_an_engine_that_drains_for_longer_than_the_grace_is_counted() {
     let (mut monitor, metrics) = monitor();
     let draining = SentAttempt { unlisted_since: Some(at(49.5)), ..sent(1, 0, 0) };
-    monitor.record_send(at(50.0), &draining);
+    monitor.record_first_byte(at(50.0), &draining);
     assert_eq!(violated(&metrics), Vec::<&str>::new());
-    monitor.record_send(at(50.1), &SentAttempt { id: 2, ..draining });
+    monitor.record_first_byte(at(50.1), &SentAttempt { id: 2, ..draining });
     assert_eq!(violated(&metrics), ["invariant.send_to_unlisted"]);
 }
 
 #[test]
 fn retry_of_an_unsafe_class_is_counted_only_after_an_attempt_that_may_have_run() {
     let (mut monitor, metrics) = monitor();
-    monitor.record_send(at(50.0), &sent(1, 0, 2));
+    monitor.record_first_byte(at(50.0), &sent(1, 0, 2));
     monitor.record_end(1, 0, false);
-    monitor.record_send(at(50.1), &sent(1, 1, 2));
+    monitor.record_first_byte(at(50.1), &sent(1, 1, 2));
     assert_eq!(violated(&metrics), ["invariant.unsafe_retry"]);
 }
 
 #[test]
 fn retry_with_an_idempotency_key_is_counted_after_its_window() {
     let (mut monitor, metrics) = monitor();
-    monitor.record_send(at(50.0), &sent(1, 0, 1));
+    monitor.record_first_byte(at(50.0), &sent(1, 0, 1));
     monitor.record_end(1, 0, false);
-    monitor.record_send(at(51.9), &sent(1, 1, 1));
+    monitor.record_first_byte(at(51.9), &sent(1, 1, 1));
     monitor.record_end(1, 1, false);
     assert_eq!(violated(&metrics), Vec::<&str>::new());
-    monitor.record_send(at(57.1), &sent(1, 2, 1));
+    monitor.record_first_byte(at(57.1), &sent(1, 2, 1));
     assert_eq!(violated(&metrics), ["invariant.unsafe_retry"]);
 }
 
@@ -140,11 +140,11 @@
 fn retry_over_the_budget_is_counted() {
     let (mut monitor, metrics) = monitor();
     for id in 1..=2 {
-        monitor.record_send(at(50.0), &sent(id, 0, 0));
+        monitor.record_first_byte(at(50.0), &sent(id, 0, 0));
         monitor.record_end(id, 0, false);
     }
-    monitor.record_send(at(50.1), &sent(1, 1, 0));
+    monitor.record_first_byte(at(50.1), &sent(1, 1, 0));
     assert_eq!(violated(&metrics), Vec::<&str>::new());
-    monitor.record_send(at(55.0), &sent(2, 1, 0));
+    monitor.record_first_byte(at(55.0), &sent(2, 1, 0));
     assert_eq!(violated(&metrics), ["invariant.retry_budget"], "two within 5 s");
 }
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -7,7 +7,8 @@
 /// Longest statement, in bytes: the command that carries it must fit one buffer.
 pub const MAX_STATEMENT_BYTES: usize = BUFFER_BYTES - 2_048;
 
-/// Shortest Retry-After. A client that retries sooner would meet the same overload.
+/// Shortest Retry-After. A client that retries sooner would meet the same overload. The admission at warm-up has a bound
+/// of the same length for its own rejections (`sprucelink_startup::admission::MIN_RETRY_AFTER`).
 pub(super) const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
 
 /// Why a request was not served.
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -54,6 +54,8 @@
     /// By class.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
+    /// Requests, and retries at their first byte, in the retry budget's window. The policy has its own window
+    /// (`RetryBudget`), which counts a retry already at the decision, also if it is withdrawn before its first byte.
     requests: SlotWindow<u32>,
     retries: SlotWindow<u32>,
     /// The instant from which on this process rejects all requests, once it shuts down.
@@ -96,7 +98,7 @@
     }
 
     /// Counts an attempt whose first byte is being sent.
-    pub(super) fn record_send(&mut self, now: Timestamp, is_retry: bool) {
+    pub(super) fn record_first_byte(&mut self, now: Timestamp, is_retry: bool) {
         if is_retry && self.retry_budget.is_some() {
             self.retries.increment(now);
         }
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -108,7 +108,7 @@
             if guard.check(now, 0.0, &retry).is_err() {
                 continue;
             }
-            guard.record_send(now, true);
+            guard.record_first_byte(now, true);
             retries.push(now);
             // The budget holds at each retry, that retry included.
             let from = now - budget.window;
@@ -132,7 +132,7 @@
     for t in 0..60_000 {
         guard.record_request(at(t));
         if guard.check(at(t), 0.0, &retry).is_ok() {
-            guard.record_send(at(t), true);
+            guard.record_first_byte(at(t), true);
             sent += 1;
         }
     }
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -6,6 +6,8 @@
 use sprucelink_time::TimeDelta;
 use std::time::Duration;
 
+/// Retry-After where buffers or session slots are used up: they become free as requests end.
+const RETRY_AFTER_EXHAUSTION: TimeDelta = TimeDelta::from_secs(1);
 /// Characters of a client's text that messages show.
 const MAX_SHOWN_CHARACTERS: usize = 64;
 
@@ -52,12 +54,12 @@
 /// The buffer pool is exhausted.
 pub(super) fn no_buffer() -> ErrorResponse {
     let error = ErrorResponse::new("53200", "refused: no buffer is free");
-    with_retry_after(error, TimeDelta::from_secs(1))
+    with_retry_after(error, RETRY_AFTER_EXHAUSTION)
 }
 
 /// All slots are in use, and no connection can be evicted.
 pub(super) fn too_many_sessions() -> ErrorResponse {
-    with_retry_after(ErrorResponse::new("53300", "too many sessions"), TimeDelta::from_secs(1))
+    with_retry_after(ErrorResponse::new("53300", "too many sessions"), RETRY_AFTER_EXHAUSTION)
 }
 
 /// A message or packet of which only a part arrived in time.
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -7,7 +7,8 @@
 use tokio::time::{sleep, Instant};
 use tracing::{info, warn};
 
-/// After SIGTERM new connections and requests are still accepted for this long.
+/// After SIGTERM new connections and requests are still accepted for this long. The phases of a hot restart have a
+/// constant of the same length: `sprucelink_hot_restart::ACCEPT_GRACE`.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 /// Longest request deadline that is waited for after [`ACCEPT_PERIOD`]; SIGKILL is not expected before both have
 /// passed.
