--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -9,7 +9,7 @@
 use super::engine_table::EngineCounts;
 use super::gossip_facts::GossipWindows;
 use super::invariants::Invariant;
-use super::request::{RejectReason, Request, Response, MIN_RETRY_AFTER};
+use super::request::{Request, Response, UnservedReason, MIN_RETRY_AFTER};
 use super::zone_routing::{Observer, ZoneRouting};
 use crate::proto::engine_answer::EngineAnswerError;
 use crate::proto::events::ListEvent;
@@ -73,7 +73,7 @@
     /// The final response.
     pub async fn wait(&mut self) -> Response {
         // The sender stays in the request table until it is used, so the receiver never fails; this is its fallback.
-        let lost = Response::Failed { reason: RejectReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
+        let lost = Response::Failed { reason: UnservedReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
         (&mut self.response).await.unwrap_or(lost)
     }
 }
@@ -119,8 +119,8 @@
 
     /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to
     /// this one over its own retry budget.
-    pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_attempts: f64) {
-        self.coordinator.borrow_mut().set_fleet(self, managers, spare_attempts);
+    pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_retries: f64) {
+        self.coordinator.borrow_mut().set_fleet(self, managers, spare_retries);
     }
 
     /// Sets the number of this manager's processes, among which its part of the fleet is divided.
@@ -301,13 +301,13 @@
         &self.limits
     }
 
-    fn may_send(self: &Rc<Self>, connection: &EngineConnection, id: u64, attempt: u32) -> bool {
-        let is_approved = self.coordinator.borrow_mut().approve_send(&self.pool, connection, id, attempt);
-        if !is_approved {
+    fn authorize_send(self: &Rc<Self>, connection: &EngineConnection, id: u64, attempt: u32) -> bool {
+        let is_authorized = self.coordinator.borrow_mut().authorize_send(&self.pool, connection, id, attempt);
+        if !is_authorized {
             // The end of a withdrawn attempt is reported by `process_due`.
             self.wake.notify_one();
         }
-        is_approved
+        is_authorized
     }
 
     fn on_attempts_sent(&self, attempts: u64) {
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt in flight.
 //!
-//! Enters: the answers of its engine, and its cancellation. Leaves: commands to its engine, on its connection, and the
-//! [`AnswerEffect`] of each answer. Kept: the result so far, the load report, and the progress of a cancellation.
+//! Input: the answers of its engine, and its cancellation. Output: commands to its engine, on its connection, and the
+//! [`AnswerEffect`] of each answer. State: the result so far, the load report, and the progress of a cancellation.
 
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{EngineConnection, Withdrawal};
@@ -29,7 +29,8 @@
     EngineError,
     /// The engine rejected it because of its load; the attempt never ran.
     Overloaded,
-    /// The client's deadline passed.
+    /// The client's deadline passed while the attempt was in flight. Attempts have no timeout of their own: one that
+    /// makes no progress is cancelled by the policy (`cancellation::is_stuck`) and ends as [`AttemptOutcome::Cancelled`].
     Expired,
     /// No connection could be made; the attempt never ran.
     Unreachable,
@@ -83,7 +84,7 @@
     /// A progress note.
     Progress {
         /// What it is about.
-        kind: UpdateTopic,
+        topic: UpdateTopic,
         /// Its value.
         value: f64,
     },
@@ -101,8 +102,8 @@
     pub(super) sent_at: Timestamp,
     /// The time left that its command gives its engine.
     pub(super) sent_time_left: TimeDelta,
-    /// It was approved to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
-    pub(super) is_approved: bool,
+    /// It was authorized to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
+    pub(super) is_authorized: bool,
     /// The pages received.
     pub(super) result: ResultSet,
     /// The cost of the query, once the engine has reported it.
@@ -131,7 +132,7 @@
             connection,
             sent_at,
             sent_time_left,
-            is_approved: false,
+            is_authorized: false,
             result: ResultSet::default(),
             cost: None,
             load_report: LoadStats::default(),
@@ -146,14 +147,14 @@
         std::ptr::eq(&*self.connection, connection)
     }
 
-    /// Sets the priority at its engine, unless it is served already.
-    pub(super) fn set_priority(&self, pool: &BufferPool, id: u64, priority: u8) {
+    /// Sets the priority level at its engine, unless it is served already.
+    pub(super) fn set_level(&self, pool: &BufferPool, id: u64, level: u8) {
         if self.is_served {
             return;
         }
         let id = format_request_id(id);
-        let priority = priority.to_string();
-        self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), priority.as_bytes()]);
+        let level = level.to_string();
+        self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), level.as_bytes()]);
     }
 
     /// Records that it was withdrawn before its first byte: it ends as [`AttemptOutcome::NeverRan`], and its end need
@@ -209,7 +210,7 @@
         answer: &EngineAnswer,
     ) -> Result<AnswerEffect, EngineAnswerError> {
         match answer.kind {
-            AnswerKind::Update { topic: Some(kind), value } => Ok(AnswerEffect::Progress { kind, value }),
+            AnswerKind::Update { topic: Some(topic), value } => Ok(AnswerEffect::Progress { topic, value }),
             AnswerKind::Update { topic: None, .. } | AnswerKind::Pong => Ok(AnswerEffect::None),
             AnswerKind::Unknown => Err(EngineAnswerError::UnknownWord),
             AnswerKind::Overloaded => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -1,12 +1,25 @@
 //! The coordinator connects the parts of the core.
 //!
-//! Enters: requests of the fronts, events of the endpoint list, events of connections, and timers. Leaves: events for
-//! the policy, and its commands, carried out on the request table, the engine table and the connections. Kept: the
+//! Input: requests of the fronts, events of the endpoint list, events of connections, and timers. Output: events for
+//! the policy, and its commands, carried out on the request table, the engine table and the connections. State: the
 //! parts, each of which owns its state.
 //!
 //! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event finds no
 //! owner and does nothing.
 //!
+//! Attempts and requests end separately:
+//! - An attempt ends in `end_attempt`, which takes it out of its request and releases its connection. It calls
+//!   `report_end`, which tells the policy; an attempt that was never queued to a connection has only `report_end`. If
+//!   the attempt was served and its client still waits, `complete` follows; the policy's commands are carried out last.
+//! - A request ends in `complete`, the only place that gives a final response. It withdraws the attempt in flight if no
+//!   byte of it was sent.
+//! - `expire` acts at the deadline: it cancels the attempt, calls `end_attempt`, carries out the policy's commands, and
+//!   calls `complete` if these gave no response.
+//! - `abandon` acts when the client has gone. There is no response: an unsent attempt is withdrawn, and the policy gets
+//!   `RequestAbandoned`, on which it cancels one that was sent. `expire` and `complete_all` (the shutdown) send that event,
+//!   too, after `complete`.
+//! - `remove_if_done` removes a request that has ended and whose last attempt has ended.
+//!
 //! [`InFlightAttempt`]: super::attempt::InFlightAttempt
 
 use super::attempt::{AttemptOutcome, CANCELLATION_CHECK_INTERVAL};
@@ -18,7 +31,7 @@
 use super::id_generator::IdGenerator;
 use super::invariants::InvariantMonitor;
 use super::policy_driver::{PolicyCommand, PolicyDriver, PolicyEvent};
-use super::request::{RejectReason, Request, Response, MIN_RETRY_AFTER};
+use super::request::{Request, Response, UnservedReason, MIN_RETRY_AFTER};
 use super::request_statistics::RequestStatistics;
 use super::request_table::{PendingRequest, RequestTable};
 use super::send_guard::SendGuard;
@@ -180,8 +193,8 @@
         let mut queue = VecDeque::from(commands);
         while let Some(command) = queue.pop_front() {
             match command {
-                PolicyCommand::SetResources { id, memory_grant_mb, priority } => {
-                    self.set_resources(runtime.pool(), id, memory_grant_mb, priority);
+                PolicyCommand::SetResources { id, memory_grant_mb, level } => {
+                    self.set_resources(runtime.pool(), id, memory_grant_mb, level);
                 }
                 PolicyCommand::Send { id, engine } => queue.extend(self.send(runtime, id, engine)),
                 PolicyCommand::Cancel { id, attempt } => {
@@ -201,15 +214,15 @@
         }
     }
 
-    fn set_resources(&mut self, pool: &BufferPool, id: u64, memory_grant_mb: Option<f64>, priority: u8) {
+    fn set_resources(&mut self, pool: &BufferPool, id: u64, memory_grant_mb: Option<f64>, level: u8) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        if request.priority != priority {
+        if request.level != level {
             if let Some(attempt) = &request.in_flight {
-                attempt.set_priority(pool, id, priority);
+                attempt.set_level(pool, id, level);
             }
         }
         request.memory_grant_mb = memory_grant_mb;
-        request.priority = priority;
+        request.level = level;
     }
 
     /// Removes a request that has its final response and no attempt in flight.
@@ -254,7 +267,7 @@
             self.execute(runtime, commands);
         }
         if self.requests.get(id).is_some_and(PendingRequest::is_awaited) {
-            let reason = RejectReason::DeadlineExceeded;
+            let reason = UnservedReason::DeadlineExceeded;
             let mut commands = self.complete(id, Response::Failed { reason, retry_after: MIN_RETRY_AFTER });
             commands.extend(self.policy.on_event(now(), PolicyEvent::RequestAbandoned { id }));
             self.execute(runtime, commands);
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,7 +1,7 @@
 //! The life of an attempt: each is sent once, cancelled at most once, and ends once.
 //!
-//! Enters: commands of the policy, and answers of engines. Leaves: commands to engines, and the end of each attempt as
-//! an event for the policy. Kept: nothing here; the attempt is part of its request's entry in the request table.
+//! Input: commands of the policy, and answers of engines. Output: commands to engines, and the end of each attempt as
+//! an event for the policy. State: nothing here; the attempt is part of its request's entry in the request table.
 
 use super::Coordinator;
 use crate::core::attempt::{release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
@@ -81,12 +81,13 @@
         Vec::new()
     }
 
-    /// Whether an attempt may be sent, checked just before its first byte: every attempt passes here.
+    /// Authorizes the sending of an attempt just before its first byte, and charges it to the retry budget; returns false
+    /// if it may not be sent. Every attempt passes here.
     ///
     /// One that may not be sent is withdrawn and ends as one that never ran; one that is no longer in flight is only
     /// withdrawn. One that has waited for too long is queued again with the time that is left, and is checked again
     /// then.
-    pub(in crate::core) fn approve_send(
+    pub(in crate::core) fn authorize_send(
         &mut self,
         pool: &BufferPool,
         connection: &EngineConnection,
@@ -98,14 +99,14 @@
             connection.withdraw(id);
             return false;
         };
-        if let Err(reason) = self.send_guard.check(now, self.fleet.spare_attempts(), &outgoing) {
-            self.withdraw_unapproved(now, connection, id, attempt, reason);
+        if let Err(reason) = self.send_guard.check(now, self.fleet.spare_retries(), &outgoing) {
+            self.withdraw_unauthorized(now, connection, id, attempt, reason);
             return false;
         }
         if self.requeue_if_delayed(now, pool, connection, id) {
             return false;
         }
-        self.record_send(now, connection, id, &outgoing);
+        self.record_first_byte(now, connection, id, &outgoing);
         true
     }
 
@@ -127,15 +128,15 @@
             request_is_awaited: request.is_awaited(),
             deadline: request.deadline,
             class: request.class,
-            // An attempt that was approved before is counted in the retry budget already.
-            is_retry: attempt > 0 && !in_flight.is_approved,
+            // An attempt that was authorized before is counted in the retry budget already.
+            is_retry: attempt > 0 && !in_flight.is_authorized,
             may_have_run_since: request.may_have_run_since,
             engine_is_ready: self.engines.get(connection.engine).is_some_and(|engine| engine.is_ready),
         })
     }
 
     /// Withdraws an attempt that may not be sent; `process_due` reports its end.
-    fn withdraw_unapproved(
+    fn withdraw_unauthorized(
         &mut self,
         now: Timestamp,
         connection: &EngineConnection,
@@ -181,7 +182,7 @@
     }
 
     /// Records that the first byte of an attempt is sent: in the retry budget, once, and for the run-time checks.
-    fn record_send(
+    fn record_first_byte(
         &mut self,
         now: Timestamp,
         connection: &EngineConnection,
@@ -190,8 +191,8 @@
     ) {
         let unlisted_since = self.engines.get(connection.engine).and_then(|engine| engine.unlisted_since);
         let Some(in_flight) = self.requests.in_flight_mut(id) else { return };
-        let was_approved = in_flight.is_approved;
-        in_flight.is_approved = true;
+        let was_authorized = in_flight.is_authorized;
+        in_flight.is_authorized = true;
         let sent = SentAttempt {
             id,
             attempt: in_flight.number,
@@ -200,12 +201,12 @@
             deadline: outgoing.deadline,
             sent_time_left: in_flight.sent_time_left,
             unlisted_since,
-            spare_attempts: self.fleet.spare_attempts(),
+            spare_retries: self.fleet.spare_retries(),
         };
-        if !was_approved {
-            self.send_guard.record_send(now, outgoing.is_retry);
+        if !was_authorized {
+            self.send_guard.record_first_byte(now, outgoing.is_retry);
         }
-        self.monitor.record_send(now, &sent);
+        self.monitor.record_first_byte(now, &sent);
     }
 
     /// Reports the end of an attempt to the policy. The attempt is no longer in flight.
@@ -331,8 +332,8 @@
         };
         let commands = match effect {
             AnswerEffect::None => Vec::new(),
-            AnswerEffect::Progress { kind, value } => {
-                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt, kind, value })
+            AnswerEffect::Progress { topic, value } => {
+                self.policy.on_event(now(), PolicyEvent::Progress { id, attempt, topic, value })
             }
             AnswerEffect::Ended(outcome) => self.end_attempt(id, outcome),
         };
@@ -371,7 +372,7 @@
         time_left_ms: time_left.as_millis(),
         idempotency_key: request.idempotency_key.as_deref(),
         memory_grant_mb: request.memory_grant_mb,
-        priority: request.priority,
+        priority: request.level,
     };
     fields.to_string()
 }
@@ -390,7 +391,7 @@
         ?outcome,
         latency_ms = latency.as_millis(),
         class = request.class_name,
-        priority = request.priority,
+        priority = request.level,
         time_left_ms = (request.deadline - now()).as_millis(),
         completed = !request.is_awaited(),
         in_flight = attempt.load_report.in_flight,
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -1,7 +1,7 @@
 //! Run-time checks of the rules that the program must never break.
 //!
-//! Enters: requests, first bytes of attempts, and ends of attempts. Leaves: a counter for each rule, and an error in
-//! the log. Kept: the begun attempts and the retry budget's window.
+//! Input: requests, first bytes of attempts, and ends of attempts. Output: a counter for each rule, and an error in
+//! the log. State: the begun attempts and the retry budget's window.
 //!
 //! The rules are enforced elsewhere: the send guard and the policy decide what is sent, the coordinator gives final
 //! responses, the fronts close sessions. The [`InvariantMonitor`] takes the inputs of each rule from there
@@ -97,7 +97,7 @@
     /// When its engine ceased to be ready; `None` if it is ready.
     pub(super) unlisted_since: Option<Timestamp>,
     /// Retries that other managers leave to this one.
-    pub(super) spare_attempts: f64,
+    pub(super) spare_retries: f64,
 }
 
 /// The record of a request with an attempt that was begun.
@@ -119,7 +119,8 @@
     /// By class: its effect and deduplication window. The check compares them itself.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
-    /// Times of requests and of retries in the budget's window.
+    /// Times of requests, and of retries at their first byte, in the budget's window. They are kept apart from the send
+    /// guard's window, so that a fault in that one shows here.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
     /// Requests with an attempt that was begun. Bounded by the pending requests.
@@ -174,7 +175,7 @@
     }
 
     /// Checks an attempt whose first byte is about to be sent. A further call for the same attempt does nothing.
-    pub(super) fn record_send(&mut self, now: Timestamp, sent: &SentAttempt) {
+    pub(super) fn record_first_byte(&mut self, now: Timestamp, sent: &SentAttempt) {
         let before = self.begun.get(&sent.id).copied();
         let in_flight = before.and_then(|begun| begun.in_flight);
         if in_flight.is_some_and(|(attempt, _)| attempt == sent.attempt) {
@@ -188,7 +189,7 @@
         let may_have_run_since = before.and_then(|begun| begun.may_have_run_since);
         self.check_effect(now, sent, may_have_run_since, &name);
         if sent.attempt > 0 {
-            self.check_budget(now, sent.spare_attempts, &name);
+            self.check_budget(now, sent.spare_retries, &name);
         }
         let in_flight = Some((sent.attempt, now));
         self.begun.insert(sent.id, BegunRequest { in_flight, may_have_run_since });
@@ -238,11 +239,11 @@
         }
     }
 
-    fn check_budget(&mut self, now: Timestamp, spare_attempts: f64, name: &str) {
+    fn check_budget(&mut self, now: Timestamp, spare_retries: f64, name: &str) {
         let Some(budget) = self.retry_budget else { return };
         record_event(&mut self.retries, now, budget.window);
         forget_before(&mut self.requests, now - budget.window);
-        let allowed = budget.max_retries(self.requests.len() as u64, spare_attempts);
+        let allowed = budget.max_retries(self.requests.len() as u64, spare_retries);
         if self.retries.len() as f64 > allowed {
             let detail = format!("{name}: {} retries, {allowed:.1} allowed", self.retries.len());
             self.record_violation(now, Invariant::RetryBudget, &detail);
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -1,6 +1,6 @@
 //! The driver of the policy.
 //!
-//! Enters: the core's events. Leaves: the policy's actions as commands. Kept: the policy, its timers, and the index of
+//! Input: the core's events. Output: the policy's actions as commands. State: the policy, its timers, and the index of
 //! each engine. Engines are strings in the endpoint list and indices in the policy and the core; an index is reused
 //! once its engine is gone. The rest of the core does not use the policy's events and actions.
 
@@ -136,6 +136,9 @@
             time_left: request.time_left,
             cost: request.cost_ms.map(|ms| ms / 1e3).filter(|cost| *cost > 0.0),
             memory_mb: request.memory_mb.filter(|mb| *mb > 0.0),
+            // No ordering key is passed, although a request may carry an idempotency key. The policy's order by key
+            // (`ordered_by_key`, `KeyOrder`, `key_settle_time`) is therefore never in force here; only the simulator
+            // passes keys. A request that waits in the queue does not wait for another one of the same key.
             key: None,
         });
         self.handle(now, event)
@@ -145,8 +148,8 @@
     pub fn on_event(&mut self, now: Timestamp, event: PolicyEvent) -> Vec<PolicyCommand> {
         let event = match event {
             PolicyEvent::EndpointList { list, is_cached } => self.list_event(list, is_cached),
-            PolicyEvent::Progress { id, attempt, kind, value } => {
-                Event::ProgressReported { id: RequestId(id), attempt, note: progress_note(kind, value) }
+            PolicyEvent::Progress { id, attempt, topic, value } => {
+                Event::ProgressReported { id: RequestId(id), attempt, note: progress_note(topic, value) }
             }
             PolicyEvent::AttemptEnded {
                 id,
@@ -167,8 +170,8 @@
             },
             PolicyEvent::RequestAbandoned { id } => Event::RequestAbandoned { id: RequestId(id) },
             PolicyEvent::ZoneWeights(weights) => Event::ZoneWeightsChanged(weights),
-            PolicyEvent::FleetChanged { gateways, spare_attempts } => {
-                Event::FleetChanged { gateways, spare_retries: spare_attempts }
+            PolicyEvent::FleetChanged { capacity_shares, spare_retries } => {
+                Event::FleetChanged { gateways: capacity_shares, spare_retries }
             }
         };
         self.handle(now, event)
@@ -242,7 +245,7 @@
             Some(PolicyCommand::Send { id: id.0, engine: engine.0 as usize })
         }
         Action::SetExecutionTerms { id, grant_mb, level } => {
-            Some(PolicyCommand::SetResources { id: id.0, memory_grant_mb: grant_mb, priority: level.0 })
+            Some(PolicyCommand::SetResources { id: id.0, memory_grant_mb: grant_mb, level: level.0 })
         }
         Action::Cancel { id, attempt } => Some(PolicyCommand::Cancel { id: id.0, attempt }),
         Action::Reject { id, retry_after } => {
@@ -252,8 +255,13 @@
             Some(PolicyCommand::Fail { id: id.0, retry_after: retry_after.unwrap_or_default() })
         }
         Action::Log(text) => Some(PolicyCommand::Log(text)),
-        // The endpoint list is watched all the time, neither engines nor peers are probed, and explanations are not
-        // logged.
+        // `StartTimer` is carried out by `PolicyDriver::handle`. The others have no effect in this program:
+        // - `WatchEndpoints`: the endpoint list is watched from the start to the end of the process.
+        // - `Probe`: no probe is sent, so that no reply to one arrives. If `limits.probes` is on and engines report their
+        //   load, the policy still spends its probe credit, and holds a request of several threads for `PROBE_WAIT`
+        //   before it selects an engine.
+        // - `BroadcastToPeers`: managers exchange their state by the membership's gossip instead.
+        // - `Explain`: explanations are written to captures (the recorder has them by now), not to the log.
         Action::StartTimer { .. }
         | Action::WatchEndpoints
         | Action::Probe { .. }
@@ -263,8 +271,8 @@
 }
 
 /// The policy's form of a progress note. The value of a `waiting` note is 1 for memory and 2 for a load.
-fn progress_note(kind: UpdateTopic, value: f64) -> ProgressNote {
-    match kind {
+fn progress_note(topic: UpdateTopic, value: f64) -> ProgressNote {
+    match topic {
         UpdateTopic::Progress => ProgressNote::Progress(value),
         UpdateTopic::MissingMemory => ProgressNote::Spills(value),
         UpdateTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -7,12 +7,13 @@
 /// Longest statement, in bytes: the command that carries it must fit one buffer.
 pub const MAX_STATEMENT_BYTES: usize = BUFFER_BYTES - 2_048;
 
-/// Shortest Retry-After. A client that retries sooner would meet the same overload.
+/// Shortest Retry-After. A client that retries sooner would meet the same overload. The admission at warm-up has a bound
+/// of the same length for its own rejections (`sprucelink_startup::admission::MIN_RETRY_AFTER`).
 pub(super) const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectReason {
+pub enum UnservedReason {
     /// The load is too high for the request to be served in time.
     Overloaded,
     /// The client's deadline has passed, or is too close.
@@ -30,17 +31,18 @@
 pub enum Response {
     /// Served.
     Served(ResultSet),
-    /// Rejected before any attempt could run: a retry is harmless.
+    /// Rejected: a retry by the client does no harm. An attempt may have run if the class is idempotent.
     Rejected {
         /// Why.
-        reason: RejectReason,
+        reason: UnservedReason,
         /// When the client should retry.
         retry_after: TimeDelta,
     },
-    /// Failed: an attempt may have run.
+    /// Failed: an attempt may have run, and a retry by the client may run it twice. The responses that the core gives by
+    /// itself, at the deadline or the shutdown deadline, are of this kind whatever the class.
     Failed {
         /// Why.
-        reason: RejectReason,
+        reason: UnservedReason,
         /// When the client should retry.
         retry_after: TimeDelta,
     },
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -1,7 +1,7 @@
 //! The send guard: the rules that an attempt must still meet just before its first byte is sent.
 //!
-//! Enters: the state of an attempt just before its first byte, and the requests and retries that are counted. Leaves:
-//! whether the attempt may be sent, with the reason if not. Kept: the retry budget's window and the shutdown deadline.
+//! Input: the state of an attempt just before its first byte, and the requests and retries that are counted. Output:
+//! whether the attempt may be sent, with the reason if not. State: the retry budget's window and the shutdown deadline.
 //!
 //! The policy selected the engine some time ago. Since then the attempt may have waited for its connection, for a slow
 //! peer, or for the processor. Every rule on what is sent is checked here again, on the present state. An attempt that
@@ -54,6 +54,8 @@
     /// By class.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
+    /// Requests, and retries at their first byte, in the retry budget's window. The policy has its own window
+    /// (`RetryBudget`), which counts a retry already at the decision, also if it is withdrawn before its first byte.
     requests: SlotWindow<u32>,
     retries: SlotWindow<u32>,
     /// The instant from which on this process rejects all requests, once it shuts down.
@@ -96,20 +98,20 @@
     }
 
     /// Counts an attempt whose first byte is being sent.
-    pub(super) fn record_send(&mut self, now: Timestamp, is_retry: bool) {
+    pub(super) fn record_first_byte(&mut self, now: Timestamp, is_retry: bool) {
         if is_retry && self.retry_budget.is_some() {
             self.retries.increment(now);
         }
     }
 
-    /// Checks whether an attempt may be sent. `spare_attempts`: retries that other managers leave to this one.
+    /// Checks whether an attempt may be sent. `spare_retries`: retries that other managers leave to this one.
     ///
     /// # Errors
     /// The first rule that it would break.
     pub(super) fn check(
         &self,
         now: Timestamp,
-        spare_attempts: f64,
+        spare_retries: f64,
         attempt: &OutgoingAttempt,
     ) -> Result<(), SendRejection> {
         if !attempt.request_is_awaited {
@@ -124,7 +126,7 @@
         if !self.is_retryable(now, attempt) {
             return Err(SendRejection::NotRetryable);
         }
-        if attempt.is_retry && !self.has_retry_budget(now, spare_attempts) {
+        if attempt.is_retry && !self.has_retry_budget(now, spare_retries) {
             return Err(SendRejection::RetryBudgetSpent);
         }
         Ok(())
@@ -137,11 +139,11 @@
 
     /// Whether a further retry stays within the budget. Of the slot in which the window starts, retries count and requests do
     /// not, so that no exact window has more retries than the budget allows.
-    fn has_retry_budget(&self, now: Timestamp, spare_attempts: f64) -> bool {
+    fn has_retry_budget(&self, now: Timestamp, spare_retries: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
         let requests = self.requests.count_within(now);
         let retries = self.retries.count_overlapping(now);
-        budget.has_capacity(requests, retries, spare_attempts)
+        budget.has_capacity(requests, retries, spare_retries)
     }
 }
 
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -1,11 +1,13 @@
 //! The errors that the fronts send to clients, with their SQLSTATEs (PostgreSQL, appendix A).
 
 use super::read_ahead::ReadAheadOverrun;
-use crate::core::RejectReason;
+use crate::core::UnservedReason;
 use crate::proto::pg::ErrorResponse;
 use sprucelink_time::TimeDelta;
 use std::time::Duration;
 
+/// Retry-After where buffers or session slots are used up: they become free as requests end.
+const RETRY_AFTER_EXHAUSTION: TimeDelta = TimeDelta::from_secs(1);
 /// Characters of a client's text that messages show.
 const MAX_SHOWN_CHARACTERS: usize = 64;
 
@@ -16,14 +18,15 @@
     error.hint(format!("Come back in {millis} ms."))
 }
 
-/// A request that was rejected before it ran, so that a retry does no harm. On the platform's front all rejections are
-/// of class 53; the `extended` front distinguishes an expired deadline from overload.
-pub(super) fn rejected(reason: RejectReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
+/// A request that was rejected, so that a retry by the client does no harm. An attempt of it may have run if its class
+/// is idempotent. On the platform's front all rejections are of class 53; the `extended` front distinguishes an expired
+/// deadline from overload.
+pub(super) fn rejected(reason: UnservedReason, retry_after: TimeDelta, extended: bool) -> ErrorResponse {
     let error = match reason {
-        RejectReason::DeadlineExceeded if extended => {
+        UnservedReason::DeadlineExceeded if extended => {
             ErrorResponse::new("57014", "canceled: its time ran out; a repeat does no harm")
         }
-        RejectReason::DeadlineExceeded => {
+        UnservedReason::DeadlineExceeded => {
             ErrorResponse::new("53000", "refused: its time ran out; a repeat does no harm")
         }
         _ => ErrorResponse::new("53400", "refused: there is more to do than can be done in time"),
@@ -32,13 +35,13 @@
 }
 
 /// A request that failed and may have run.
-pub(super) fn failed(reason: RejectReason, retry_after: TimeDelta) -> ErrorResponse {
+pub(super) fn failed(reason: UnservedReason, retry_after: TimeDelta) -> ErrorResponse {
     let (code, message) = match reason {
-        RejectReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
-        RejectReason::EngineError => ("58000", "the engine failed; it may have run"),
-        RejectReason::ConnectionLost => ("08006", "the connection to the engine broke; it may have run"),
-        RejectReason::Unreachable => ("08001", "no engine could be reached"),
-        RejectReason::Overloaded => ("40003", "given up; it may have run"),
+        UnservedReason::DeadlineExceeded => ("57014", "canceled: its time ran out; it may have run"),
+        UnservedReason::EngineError => ("58000", "the engine failed; it may have run"),
+        UnservedReason::ConnectionLost => ("08006", "the connection to the engine broke; it may have run"),
+        UnservedReason::Unreachable => ("08001", "no engine could be reached"),
+        UnservedReason::Overloaded => ("40003", "given up; it may have run"),
     };
     with_retry_after(ErrorResponse::new(code, message), retry_after)
 }
@@ -51,12 +54,12 @@
 /// The buffer pool is exhausted.
 pub(super) fn no_buffer() -> ErrorResponse {
     let error = ErrorResponse::new("53200", "refused: no buffer is free");
-    with_retry_after(error, TimeDelta::from_secs(1))
+    with_retry_after(error, RETRY_AFTER_EXHAUSTION)
 }
 
 /// All slots are in use, and no connection can be evicted.
 pub(super) fn too_many_sessions() -> ErrorResponse {
-    with_retry_after(ErrorResponse::new("53300", "too many sessions"), TimeDelta::from_secs(1))
+    with_retry_after(ErrorResponse::new("53300", "too many sessions"), RETRY_AFTER_EXHAUSTION)
 }
 
 /// A message or packet of which only a part arrived in time.
