--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -3,11 +3,12 @@
 
 use lexopt::prelude::{Long, Short, Value, ValueExt as _};
 use sprucelink_cluster_harness::history;
-use sprucelink_cluster_harness::report::{chart, Report, Series, BUCKET};
-use sprucelink_cluster_harness::run::{self, Outcome, Program, Views};
-use sprucelink_cluster_harness::scenario::Scenario;
+use sprucelink_cluster_harness::report::{chart, ChartError, Report, Series, BUCKET};
+use sprucelink_cluster_harness::run::{self, Outcome, Program, RunError, Views};
+use sprucelink_cluster_harness::scenario::{Scenario, ScenarioError};
 use sprucelink_history_checker::CheckReport;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 const USAGE: &str = "\
 usage: sprucelink-cluster-harness run SCENARIO.json5 [--cold-start FILE] [--pair FILE] [--managers N] [--rate R]
@@ -38,6 +39,60 @@
 broken.
 ";
 
+/// Why a command line was rejected, or that it asks for help.
+#[derive(Debug, Error)]
+enum CommandLineError {
+    #[error("help")]
+    Help,
+    #[error(transparent)]
+    Syntax(#[from] lexopt::Error),
+    #[error("--{option}: {min} to {max}")]
+    OutOfRange { option: &'static str, min: String, max: String },
+    #[error("--share: none, ration, parts or all, not {0:?}")]
+    UnknownShare(String),
+    #[error("--format: csv or json, not {0:?}")]
+    UnknownFormat(String),
+    #[error("--failover: on or off, not {0:?}")]
+    UnknownFailover(String),
+    #[error("which SCENARIO.json5 and HISTORY.jsonl?")]
+    NoScenarioAndHistory,
+    #[error("which SCENARIO.json5?")]
+    NoScenario,
+    #[error("no command {0:?}")]
+    UnknownCommand(String),
+    #[error("which command?")]
+    NoCommand,
+}
+
+/// Why a scenario file could not be used.
+#[derive(Debug, Error)]
+enum ReadScenarioError {
+    #[error("{}: {source}", path.display())]
+    Read { path: PathBuf, source: std::io::Error },
+    #[error("{}: {source}", path.display())]
+    Parse { path: PathBuf, source: ScenarioError },
+}
+
+/// Why a run could not be carried out, or its results not be left where they were asked for.
+#[derive(Debug, Error)]
+enum HarnessError {
+    #[error(transparent)]
+    Run(#[from] RunError),
+    #[error(transparent)]
+    Chart(#[from] ChartError),
+    #[error("--history: the scenario records none")]
+    NoHistory,
+    #[error("{}: {source}", path.display())]
+    Io { path: PathBuf, source: std::io::Error },
+}
+
+impl HarnessError {
+    /// Names the file that the system answered an error for.
+    fn io(path: &Path) -> impl FnOnce(std::io::Error) -> HarnessError + '_ {
+        move |source| HarnessError::Io { path: path.to_owned(), source }
+    }
+}
+
 struct Ask {
     files: Vec<PathBuf>,
     settings: Vec<Option<String>>,
@@ -63,19 +118,23 @@
     Judge,
 }
 
-fn text(p: &mut lexopt::Parser) -> Result<String, String> {
-    p.value().map_err(|e| e.to_string())?.string().map_err(|e| format!("{e:?}"))
+fn text(p: &mut lexopt::Parser) -> Result<String, CommandLineError> {
+    Ok(p.value()?.string()?)
 }
 
 /// The option's value as a number within `low` and `high`; the error names the option and its range.
 fn number<T: std::str::FromStr + PartialOrd + std::fmt::Display>(
     p: &mut lexopt::Parser,
-    name: &str,
+    name: &'static str,
     low: T,
     high: T,
-) -> Result<T, String> {
+) -> Result<T, CommandLineError> {
     let v = text(p)?.parse::<T>().ok().filter(|v| *v >= low && *v <= high);
-    v.ok_or_else(|| format!("--{name}: {low} to {high}"))
+    v.ok_or_else(|| CommandLineError::OutOfRange {
+        option: name,
+        min: low.to_string(),
+        max: high.to_string(),
+    })
 }
 
 impl Default for Ask {
@@ -101,21 +160,21 @@
 }
 
 /// What of the fleet's budgets `--share` pools: retries, slow-start parts.
-fn parse_share(word: &str) -> Result<(bool, bool), String> {
+fn parse_share(word: &str) -> Result<(bool, bool), CommandLineError> {
     match word {
         "none" => Ok((false, false)),
         "ration" => Ok((true, false)),
         "parts" => Ok((false, true)),
         "all" => Ok((true, true)),
-        other => Err(format!("--share: none, ration, parts or all, not {other:?}")),
+        other => Err(CommandLineError::UnknownShare(other.to_owned())),
     }
 }
 
-fn parse() -> Result<Ask, String> {
+fn parse() -> Result<Ask, CommandLineError> {
     let mut p = lexopt::Parser::from_env();
     let mut ask = Ask::default();
     let mut command: Option<String> = None;
-    while let Some(arg) = p.next().map_err(|e| e.to_string())? {
+    while let Some(arg) = p.next()? {
         match arg {
             Long("cold-start") => ask.settings = vec![Some(text(&mut p)?)],
             Long("pair") => ask.settings = vec![None, Some(text(&mut p)?)],
@@ -127,7 +186,7 @@
             Long("format") => match text(&mut p)?.as_str() {
                 "csv" => ask.json = false,
                 "json" => ask.json = true,
-                other => return Err(format!("--format: csv or json, not {other:?}")),
+                other => return Err(CommandLineError::UnknownFormat(other.to_owned())),
             },
             Long("program") => ask.program = text(&mut p)?.into(),
             Long("keep-logs") => ask.logs = Some(text(&mut p)?.into()),
@@ -136,45 +195,46 @@
             Long("failover") => match text(&mut p)?.as_str() {
                 "on" => ask.no_failover = false,
                 "off" => ask.no_failover = true,
-                other => return Err(format!("--failover: on or off, not {other:?}")),
+                other => return Err(CommandLineError::UnknownFailover(other.to_owned())),
             },
             Long("share") => ask.share = Some(parse_share(&text(&mut p)?)?),
-            Long("help") | Short('h') => return Err("help".into()),
-            Value(v) if command.is_none() => command = Some(v.string().map_err(|e| format!("{e:?}"))?),
+            Long("help") | Short('h') => return Err(CommandLineError::Help),
+            Value(v) if command.is_none() => command = Some(v.string()?),
             Value(v) => ask.files.push(v.into()),
-            other => return Err(other.unexpected().to_string()),
+            other => return Err(other.unexpected().into()),
         }
     }
     with_command(ask, command.as_deref())
 }
 
 /// The command, with as many files as it takes.
-fn with_command(ask: Ask, command: Option<&str>) -> Result<Ask, String> {
+fn with_command(ask: Ask, command: Option<&str>) -> Result<Ask, CommandLineError> {
     match command {
         Some("run") if ask.files.len() == 1 => Ok(ask),
         Some("check") if !ask.files.is_empty() => Ok(Ask { command: Command::Check, ..ask }),
         Some("judge") if ask.files.len() > 1 => Ok(Ask { command: Command::Judge, ..ask }),
-        Some("judge") => Err("which SCENARIO.json5 and HISTORY.jsonl?".into()),
-        Some("run" | "check") => Err("which SCENARIO.json5?".into()),
-        Some(other) => Err(format!("no command {other:?}")),
-        None => Err("which command?".into()),
+        Some("judge") => Err(CommandLineError::NoScenarioAndHistory),
+        Some("run" | "check") => Err(CommandLineError::NoScenario),
+        Some(other) => Err(CommandLineError::UnknownCommand(other.to_owned())),
+        None => Err(CommandLineError::NoCommand),
     }
 }
 
-fn read(path: &Path) -> Result<Scenario, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
+fn read(path: &Path) -> Result<Scenario, ReadScenarioError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ReadScenarioError::Read { path: path.to_owned(), source })?;
+    Scenario::parse(&text).map_err(|source| ReadScenarioError::Parse { path: path.to_owned(), source })
 }
 
 fn main() {
     let ask = match parse() {
         Ok(ask) => ask,
-        Err(e) if e == "help" => return print!("{USAGE}"),
+        Err(CommandLineError::Help) => return print!("{USAGE}"),
         Err(e) => bad(&format!("{e}\n\n{USAGE}")),
     };
     let files = if ask.command == Command::Judge { &ask.files[..1] } else { &ask.files[..] };
     let scenarios: Vec<Scenario> =
-        files.iter().map(|f| read(f)).map(|s| s.unwrap_or_else(|e| bad(&e))).collect();
+        files.iter().map(|f| read(f)).map(|s| s.unwrap_or_else(|e| bad(&e.to_string()))).collect();
     if ask.command == Command::Judge {
         return judge(&scenarios[0], &ask.files[1..]);
     }
@@ -203,7 +263,7 @@
     if ask.history.is_some() {
         scenario.history.get_or_insert_default();
     }
-    scenario.check().unwrap_or_else(|e| bad(&e));
+    scenario.check().unwrap_or_else(|e| bad(&e.to_string()));
     match carry_out(&ask, &scenario) {
         Ok(true) => {}
         Ok(false) => std::process::exit(3),
@@ -234,7 +294,7 @@
     let Some(terms) = &scenario.check else { bad("the scenario has no `check`") };
     let mut passed = true;
     for file in files {
-        let lines = history::read(file).unwrap_or_else(|e| bad(&e));
+        let lines = history::read(file).unwrap_or_else(|e| bad(&e.to_string()));
         println!("{}: {} lines", file.display(), lines.len());
         passed &= tell(&sprucelink_history_checker::check(&lines, terms));
     }
@@ -249,7 +309,7 @@
 }
 
 /// Whether no rule was broken in any run.
-fn carry_out(ask: &Ask, scenario: &Scenario) -> Result<bool, String> {
+fn carry_out(ask: &Ask, scenario: &Scenario) -> Result<bool, HarnessError> {
     let mut passed = true;
     if !ask.json {
         println!("{},seed", Report::head());
@@ -276,7 +336,7 @@
                 false => println!("{},{}", got.report.line(), scenario.seed),
             }
             if let Some(out) = &ask.out {
-                std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
+                std::fs::create_dir_all(out).map_err(HarnessError::io(out))?;
                 let file = out.join(format!("{}-{}-{how}.svg", scenario.name, scenario.managers));
                 draw(&file, &scenario, how, &got)?;
             }
@@ -286,11 +346,10 @@
 }
 
 /// Leaves a run's history there.
-fn keep(got: &Outcome, file: &Path) -> Result<(), String> {
-    let Some(from) = &got.history else { return Err("--history: the scenario records none".into()) };
-    let named = |e: std::io::Error| format!("{}: {e}", file.display());
-    file.parent().map_or(Ok(()), std::fs::create_dir_all).map_err(named)?;
-    std::fs::copy(from, file).map(|_| ()).map_err(named)
+fn keep(got: &Outcome, file: &Path) -> Result<(), HarnessError> {
+    let Some(from) = &got.history else { return Err(HarnessError::NoHistory) };
+    file.parent().map_or(Ok(()), std::fs::create_dir_all).map_err(HarnessError::io(file))?;
+    std::fs::copy(from, file).map(|_| ()).map_err(HarnessError::io(file))
 }
 
 /// Managers asked, those whose view is right, and different views, each bucket with what was last seen.
@@ -311,7 +370,7 @@
     ]
 }
 
-fn draw(file: &Path, scenario: &Scenario, how: &str, got: &Outcome) -> Result<(), String> {
+fn draw(file: &Path, scenario: &Scenario, how: &str, got: &Outcome) -> Result<(), HarnessError> {
     let line = |name, values: &[u32]| Series { name, values: values.iter().map(|v| f64::from(*v)).collect() };
     let r = &got.requests;
     let requests = vec![
@@ -326,5 +385,5 @@
     if !got.views.is_empty() {
         panels.push(("views of the fleet", views(got)));
     }
-    chart(file, &title, &panels)
+    Ok(chart(file, &title, &panels)?)
 }
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -3,11 +3,54 @@
 //! history is none.
 
 use sprucelink_history_checker::event::{Event, HistoryEntry};
+use sprucelink_history_checker::read::parse_history;
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
+use thiserror::Error;
+
+/// Why a history cannot be used.
+#[derive(Debug, Error)]
+pub enum HistoryError {
+    /// The file could not be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the system answered.
+        source: std::io::Error,
+    },
+    /// A line of the file is no entry of a history.
+    #[error("{}: {}", path.display(), error_chain(source))]
+    Parse {
+        /// The file.
+        path: PathBuf,
+        /// The line and what is wrong with it.
+        source: sprucelink_history_checker::read::HistoryError,
+    },
+    /// Recording stopped before the run did.
+    #[error("the history was cut: {0}")]
+    Incomplete(#[source] RecordingStopped),
+}
+
+/// Why nothing more is recorded.
+#[derive(Debug, Error)]
+pub enum RecordingStopped {
+    /// An entry could not be encoded.
+    #[error("{0}")]
+    Encode(#[source] serde_json::Error),
+    /// The file has reached its bound.
+    #[error("it is full (history.most_mb)")]
+    Full,
+    /// The file could not be written.
+    #[error("{0}")]
+    Write(#[source] std::io::Error),
+    /// The history was ended.
+    #[error("it has ended")]
+    Ended,
+}
 
 /// The file's name in a run's folder.
 pub const NAME: &str = "history.jsonl";
@@ -21,7 +64,7 @@
     start: Instant,
     room: u64,
     /// Why no more is written, if so.
-    cut: Option<String>,
+    cut: Option<RecordingStopped>,
 }
 
 /// Where stand-ins note what they see; one that records nothing takes all and keeps none.
@@ -57,15 +100,15 @@
         }
         // The cast holds for half a million years.
         let at_us = i.start.elapsed().as_micros() as u64;
-        let line = serde_json::to_string(&HistoryEntry { at_us, event }).map_err(|e| e.to_string());
+        let line = serde_json::to_string(&HistoryEntry { at_us, event }).map_err(RecordingStopped::Encode);
         let written = line.and_then(|line| {
             let need = line.len() as u64 + 1;
-            let room = i.room.checked_sub(need).ok_or("it is full (history.most_mb)".to_owned())?;
+            let room = i.room.checked_sub(need).ok_or(RecordingStopped::Full)?;
             i.room = room;
             i.file
                 .write_all(line.as_bytes())
                 .and_then(|()| i.file.write_all(b"\n"))
-                .map_err(|e| e.to_string())
+                .map_err(RecordingStopped::Write)
         });
         i.cut = written.err();
     }
@@ -81,13 +124,13 @@
     ///
     /// # Errors
     /// Where it is not whole.
-    pub fn end(&self) -> Result<(), String> {
+    pub fn end(&self) -> Result<(), HistoryError> {
         let Some(inner) = &self.inner else { return Ok(()) };
         let mut i = inner.lock().unwrap_or_else(PoisonError::into_inner);
-        let flushed = i.file.flush().map_err(|e| e.to_string());
-        match i.cut.replace("it has ended".into()) {
-            Some(why) => Err(format!("the history was cut: {why}")),
-            None => flushed.map_err(|e| format!("the history was cut: {e}")),
+        let flushed = i.file.flush().map_err(RecordingStopped::Write);
+        match i.cut.replace(RecordingStopped::Ended) {
+            Some(reason) => Err(HistoryError::Incomplete(reason)),
+            None => flushed.map_err(HistoryError::Incomplete),
         }
     }
 }
@@ -102,10 +145,10 @@
 ///
 /// # Errors
 /// Its path, and the line and what is wrong with it.
-pub fn read(path: &PathBuf) -> Result<Vec<HistoryEntry>, String> {
-    let named = |e: String| format!("{}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-    sprucelink_history_checker::read::parse_history(text.lines()).map_err(|e| named(error_chain(&e)))
+pub fn read(path: &Path) -> Result<Vec<HistoryEntry>, HistoryError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| HistoryError::Read { path: path.to_owned(), source })?;
+    parse_history(text.lines()).map_err(|source| HistoryError::Parse { path: path.to_owned(), source })
 }
 
 #[cfg(test)]
--- a/crates/cluster-harness/src/history/tests.rs
+++ b/crates/cluster-harness/src/history/tests.rs
@@ -20,9 +20,9 @@
     assert_eq!(lines[49].event, up(49));
     let r = Recorder::start(&dir, Instant::now(), 100, false).expect("a file");
     (0..5).for_each(|i| r.note(up(i)));
-    assert!(r.end().unwrap_err().contains("full"));
+    assert!(r.end().unwrap_err().to_string().contains("full"));
     std::fs::remove_dir_all(&dir).expect("removed");
     let none = Recorder::default();
     none.note(up(1));
-    assert_eq!(none.end(), Ok(()));
+    none.end().expect("nothing was recorded");
 }
--- a/crates/cluster-harness/src/http.rs
+++ b/crates/cluster-harness/src/http.rs
@@ -10,6 +10,32 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+/// Why an HTTP call failed.
+#[derive(Debug, thiserror::Error)]
+pub enum HttpError {
+    /// The TCP connection failed.
+    #[error("no connection: {0}")]
+    Connect(#[source] std::io::Error),
+    /// The connection could not be used for HTTP.
+    #[error("{0}")]
+    Handshake(#[source] hyper::Error),
+    /// The request was sent and no answer came.
+    #[error("no answer: {0}")]
+    Request(#[source] hyper::Error),
+    /// The method or path of the request is invalid.
+    #[error("{0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// The body broke off or is too long.
+    #[error("{0}")]
+    Body(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The head of the answer did not come in time.
+    #[error("no answer in time")]
+    HeadTimeout,
+    /// The complete answer did not come in time.
+    #[error("no whole answer in time")]
+    CallTimeout,
+}
+
 /// A connection and the head of an answer must be there within this: far over a loopback's way, and under the time in
 /// which a run's steps follow one another.
 const LONGEST_HEAD: Duration = Duration::from_secs(5);
@@ -21,42 +47,42 @@
 /// Connects, asks, and gives the answer's head; its body comes as it is read. The connection ends with the body.
 ///
 /// # Errors
-/// In words: what did not come up or was not answered in time.
-pub async fn ask(at: SocketAddr, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, String> {
+/// The step that failed or timed out.
+pub async fn ask(at: SocketAddr, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
     let asked = async {
-        let stream = TcpStream::connect(at).await.map_err(|e| format!("no connection: {e}"))?;
+        let stream = TcpStream::connect(at).await.map_err(HttpError::Connect)?;
         let _ = stream.set_nodelay(true);
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(HttpError::Handshake)?;
         // It ends by itself when the answer's body is dropped or over.
         tokio::spawn(connection);
-        sender.send_request(request).await.map_err(|e| format!("no answer: {e}"))
+        sender.send_request(request).await.map_err(HttpError::Request)
     };
-    timeout(LONGEST_HEAD, asked).await.unwrap_or_else(|_| Err("no answer in time".into()))
+    timeout(LONGEST_HEAD, asked).await.unwrap_or_else(|_| Err(HttpError::HeadTimeout))
 }
 
 /// A whole call: the status and the body as text.
 ///
 /// # Errors
-/// In words, as for [`ask`], and where the answer is too long.
+/// As for [`ask`], and where the answer is too long.
 pub async fn call(
     at: SocketAddr,
     method: &str,
     path: &str,
     body: Option<String>,
-) -> Result<(u16, String), String> {
+) -> Result<(u16, String), HttpError> {
     let request = Request::builder().method(method).uri(path).header("host", at.to_string());
     let request = match &body {
         Some(_) => request.header("content-type", "application/json"),
         None => request,
     };
-    let request = request.body(Full::from(body.unwrap_or_default())).map_err(|e| e.to_string())?;
+    let request = request.body(Full::from(body.unwrap_or_default()))?;
     let whole = async {
         let answer = ask(at, request).await?;
         let status = answer.status().as_u16();
-        let body =
-            Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(|e| e.to_string())?;
+        let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(HttpError::Body)?;
         Ok((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
     };
-    timeout(LONGEST_CALL, whole).await.unwrap_or_else(|_| Err("no whole answer in time".into()))
+    timeout(LONGEST_CALL, whole).await.unwrap_or_else(|_| Err(HttpError::CallTimeout))
 }
--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -21,7 +21,6 @@
 pub mod lists;
 pub mod middle;
 pub mod procs;
-mod range;
 pub mod report;
 pub mod run;
 pub mod scenario;
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -24,6 +24,11 @@
 /// A stalled call is held for so long at most.
 const LONGEST_STALL: Duration = Duration::from_secs(30);
 
+/// The service has no room for a further event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a list service tells at most {MOST_EVENTS} events")]
+pub struct TooManyEvents;
+
 /// How the service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mood {
@@ -96,11 +101,11 @@
     ///
     /// # Errors
     /// Where the bound on events is reached.
-    pub fn tell(&self, json: impl FnOnce(u64) -> String) -> Result<u64, String> {
+    pub fn tell(&self, json: impl FnOnce(u64) -> String) -> Result<u64, TooManyEvents> {
         let n = {
             let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
             if events.len() >= MOST_EVENTS {
-                return Err(format!("a list service tells at most {MOST_EVENTS} events"));
+                return Err(TooManyEvents);
             }
             let n = events.len() as u64 + 1;
             events.push(json(n));
--- a/crates/cluster-harness/src/middle/mod.rs
+++ b/crates/cluster-harness/src/middle/mod.rs
@@ -20,10 +20,10 @@
 pub use tcp::{tcp, tcp_to, Target, TcpPath};
 pub use udp::UdpNet;
 
-use crate::range::within;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
+use sprucelink_settings::{check_range, InvalidField};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -77,12 +77,12 @@
     ///
     /// # Errors
     /// The field and its range.
-    pub fn check(&self) -> Result<(), String> {
-        within("delay_ms", self.delay_ms, 0.0, 60_000.0)?;
-        within("jitter_ms", self.jitter_ms, 0.0, 60_000.0)?;
-        within("drop", self.drop, 0.0, 1.0)?;
-        within("garble", self.garble, 0.0, 1.0)?;
-        within("bytes_s", self.bytes_s, 0.0, 1e9)
+    pub fn check(&self) -> Result<(), InvalidField> {
+        check_range("delay_ms", self.delay_ms, 0.0, 60_000.0)?;
+        check_range("jitter_ms", self.jitter_ms, 0.0, 60_000.0)?;
+        check_range("drop", self.drop, 0.0, 1.0)?;
+        check_range("garble", self.garble, 0.0, 1.0)?;
+        check_range("bytes_s", self.bytes_s, 0.0, 1e9)
     }
 
     /// Whether it keeps a party from being served: nothing passes, or nothing new.
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -4,7 +4,7 @@
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, BLACK, WHITE,
 };
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// Width of the chart's and the share's buckets.
@@ -206,6 +206,16 @@
     }
 }
 
+/// A chart could not be written.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {source}", path.display())]
+pub struct ChartError {
+    /// The chart's file.
+    pub path: PathBuf,
+    /// What went wrong.
+    pub source: Box<dyn std::error::Error>,
+}
+
 /// A line of a chart.
 pub struct Series<'a> {
     /// What it shows.
@@ -217,9 +227,9 @@
 /// Draws lines over time in buckets of [`BUCKET`], one panel below the other.
 ///
 /// # Errors
-/// In words, where the file cannot be written.
-pub fn chart(path: &Path, title: &str, panels: &[(&str, Vec<Series<'_>>)]) -> Result<(), String> {
-    draw(path, title, panels).map_err(|e| format!("{}: {e}", path.display()))
+/// Where the file cannot be written.
+pub fn chart(path: &Path, title: &str, panels: &[(&str, Vec<Series<'_>>)]) -> Result<(), ChartError> {
+    draw(path, title, panels).map_err(|source| ChartError { path: path.to_owned(), source })
 }
 
 fn draw(
--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -1,17 +1,28 @@
 //! An operator's calls of managers: each is made once, and what is answered goes into the history.
 
-use super::Rig;
+use super::{Rig, RunError};
 use crate::history::Recorder;
-use crate::http;
+use crate::http::{self, HttpError};
 use crate::runtime;
 use crate::scenario::Call;
 use serde_json::Value;
 use sprucelink_history_checker::cursor::Cursor;
 use sprucelink_history_checker::event::Event;
 
+/// Why a call was not answered.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    /// The manager does not listen on the port.
+    #[error("it has no such port")]
+    NoPort,
+    /// The call failed.
+    #[error(transparent)]
+    Http(HttpError),
+}
+
 impl Rig<'_> {
     /// Makes a call; it is not waited for.
-    pub(super) fn call(&mut self, call: &Call) -> Result<(), String> {
+    pub(super) fn call(&mut self, call: &Call) -> Result<(), RunError> {
         for i in self.who(&call.to) {
             let mut values = self.values(i);
             let op = call.op.as_ref().map(|op| {
@@ -29,8 +40,8 @@
             let (at, history) = (self.peers.real(&call.port, i), self.history.clone());
             runtime().spawn(async move {
                 let got = match at {
-                    Some(at) => http::call(at, &method, &path, body).await,
-                    None => Err("it has no such port".into()),
+                    Some(at) => http::call(at, &method, &path, body).await.map_err(CallError::Http),
+                    None => Err(CallError::NoPort),
                 };
                 note(&history, &format!("{method} {path}"), i, op, cursor_at.as_deref(), got);
             });
@@ -46,11 +57,11 @@
     i: usize,
     op: Option<String>,
     cursor_at: Option<&str>,
-    got: Result<(u16, String), String>,
+    got: Result<(u16, String), CallError>,
 ) {
     let word = match &got {
         Ok((status, _)) => format!("status {status}"),
-        Err(e) => e.clone(),
+        Err(error) => error.to_string(),
     };
     history.note(Event::NemesisAction { act: format!("call {what}: {word}"), on: vec![format!("n{i}")] });
     if let (Some(op), Ok((200..=299, body))) = (op, got) {
--- a/crates/cluster-harness/src/run/life.rs
+++ b/crates/cluster-harness/src/run/life.rs
@@ -1,6 +1,6 @@
 //! The managers' processes during a run: begun, looked after, started anew.
 
-use super::{Life, Rig, Seat};
+use super::{Life, Rig, RunError, Seat};
 use crate::procs::Ended;
 use sprucelink_history_checker::event::{Event, ExitCause, EXIT_STATUS_NEXT_VERSION};
 use std::sync::PoisonError;
@@ -79,7 +79,7 @@
     }
 
     /// Starts those anew that have ended after SIGTERM, and those that their supervisor brings back.
-    pub(super) fn come_back(&mut self) -> Result<(), String> {
+    pub(super) fn come_back(&mut self) -> Result<(), RunError> {
         for i in 0..self.fleet.managers.len() {
             let since = match self.lives[i] {
                 Life::Ending(since) => since,
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -2,6 +2,7 @@
 //! clients ask, and gathers what was counted. It ends every process it started, also when it fails half way.
 
 mod calls;
+mod error;
 mod figures;
 mod life;
 mod load;
@@ -14,6 +15,7 @@
 mod views;
 mod ways;
 
+pub use error::RunError;
 pub use outcome::{Outcome, Views};
 pub use process::NEXT_VERSION_FILE;
 
@@ -125,10 +127,6 @@
     draws: u64,
 }
 
-fn io(what: &str) -> impl Fn(std::io::Error) -> String + '_ {
-    move |e| format!("{what}: {e}")
-}
-
 fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis())
 }
@@ -136,8 +134,8 @@
 /// Carries a scenario out with a program.
 ///
 /// # Errors
-/// In words, where a stand-in, a file or a process could not be started.
-pub fn run(scenario: &Scenario, program: &Program) -> Result<Outcome, String> {
+/// Where a stand-in, a file or a process could not be started.
+pub fn run(scenario: &Scenario, program: &Program) -> Result<Outcome, RunError> {
     scenario.check()?;
     let began = unix_ms() as f64 / 1e3;
     let mut rig = Rig::new(scenario, program)?;
@@ -173,7 +171,7 @@
 }
 
 impl Rig<'_> {
-    fn play(&mut self, timeline: &mut Vec<(Duration, Act)>) -> Result<(), String> {
+    fn play(&mut self, timeline: &mut Vec<(Duration, Act)>) -> Result<(), RunError> {
         let end = Duration::from_secs_f64(self.scenario.seconds);
         let (mut next_logs, mut next_views) = (Instant::now(), Instant::now());
         while self.start.elapsed() < end {
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -1,5 +1,6 @@
 //! What a run gives, and what can be read from it afterwards.
 
+use super::RunError;
 use crate::history;
 use crate::ledger::Sent;
 use crate::report::{Outcomes, Report};
@@ -48,7 +49,7 @@
 
 impl Outcome {
     /// Holds the history against the scenario's terms.
-    pub(super) fn judge(&mut self, scenario: &Scenario, dir: &Path) -> Result<(), String> {
+    pub(super) fn judge(&mut self, scenario: &Scenario, dir: &Path) -> Result<(), RunError> {
         if !scenario.records() {
             return Ok(());
         }
--- a/crates/cluster-harness/src/run/peers.rs
+++ b/crates/cluster-harness/src/run/peers.rs
@@ -1,6 +1,6 @@
 //! The managers' TCP ports: where each party reaches each of them through the fault middle.
 
-use super::io;
+use super::RunError;
 use crate::middle::{tcp_to, Faults, Target, TcpPath};
 use crate::scenario::{Scenario, GROUPS};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 
 impl Peers {
     /// Opens the ways of a scenario.
-    pub(super) fn new(scenario: &Scenario, faults: &Faults) -> Result<Peers, String> {
+    pub(super) fn new(scenario: &Scenario, faults: &Faults) -> Result<Peers, RunError> {
         let mut sources = scenario.parties();
         if scenario.subscribers.count > 0 {
             sources.push(SUBSCRIBERS.into());
@@ -43,7 +43,7 @@
                 let mut row = Vec::new();
                 for (i, target) in targets.iter().enumerate() {
                     let path = tcp_to(faults, from, &format!("n{i}"), Target::clone(target));
-                    let path = path.map_err(io("fault middle"))?;
+                    let path = path.map_err(RunError::io("fault middle"))?;
                     row.push(path.address);
                     peers._paths.push(path);
                 }
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -1,6 +1,6 @@
 //! A manager's process: its folder and files, its start and its end, and what of it goes into the history.
 
-use super::{io, Life, Rig};
+use super::{Life, Rig, RunError};
 use crate::procs::{Ended, Tail};
 use crate::scenario::{GROUPS, HALLS};
 use crate::template::Values;
@@ -41,22 +41,24 @@
 
 impl Rig<'_> {
     /// Starts manager `i`, killed first where it runs.
-    pub(super) fn begin(&mut self, i: usize, emptied: bool) -> Result<(), String> {
+    pub(super) fn begin(&mut self, i: usize, emptied: bool) -> Result<(), RunError> {
         self.kill(i);
         self.lives[i] = Life::Starting;
         let folder = self.fleet.folder(i);
         if emptied {
             match std::fs::remove_dir_all(&folder) {
-                Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(io("a folder")(e)),
+                Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
+                    return Err(RunError::io("a folder")(e))
+                }
                 _ => {}
             }
         }
-        std::fs::create_dir_all(&folder).map_err(io("a folder"))?;
+        std::fs::create_dir_all(&folder).map_err(RunError::io("a folder"))?;
         self.scenario.ports.iter().for_each(|p| self.peers.bind(&p.name, i, None));
         let values = self.values(i);
         for (name, value) in &self.scenario.files {
             let text = values.fill_value(value)?.to_string();
-            std::fs::write(folder.join(name), text).map_err(io(name))?;
+            std::fs::write(folder.join(name), text).map_err(RunError::io(name))?;
         }
         self.write_faults(i, &folder)?;
         let config = self.config(i);
@@ -67,14 +69,14 @@
         self.real[i] = None;
         if let Some(m) = self.fleet.managers.get_mut(i) {
             m.args = args;
-            self.fleet.restart(i, &config).map_err(io("restart"))?;
+            self.fleet.restart(i, &config).map_err(RunError::io("restart"))?;
         } else {
-            self.fleet.start(&format!("n{i}"), &config, &args).map_err(io("start"))?;
+            self.fleet.start(&format!("n{i}"), &config, &args).map_err(RunError::io("start"))?;
         }
         let looked_for = !self.scenario.ports.is_empty() || !self.scenario.strikes.is_empty();
         let tail = self.fleet.log_file(i).filter(|_| looked_for).map(Tail::open).transpose();
         let p = &mut self.procs[i];
-        p.tail = tail.map_err(io("a log"))?;
+        p.tail = tail.map_err(RunError::io("a log"))?;
         p.unbound = (0..self.scenario.ports.len()).collect();
         p.alive = true;
         let (process, version) = (format!("n{i}"), p.version.clone());
@@ -104,13 +106,16 @@
     }
 
     /// The version that a process has named for its next start.
-    pub(super) fn next_version(&self, i: usize) -> Result<String, String> {
+    pub(super) fn next_version(&self, i: usize) -> Result<String, RunError> {
         let path = self.fleet.folder(i).join(NEXT_VERSION_FILE);
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let text = std::fs::read_to_string(&path).map_err(RunError::io_at(&path))?;
         let name = text.trim();
         let sign = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
         let good = !name.is_empty() && name.len() <= LONGEST_VERSION && name.chars().all(sign);
-        good.then(|| name.to_owned()).ok_or_else(|| format!("{}: no version's name", path.display()))
+        match good {
+            true => Ok(name.to_owned()),
+            false => Err(RunError::InvalidVersion { path }),
+        }
     }
 
     /// What stands for manager `i`'s templates.
@@ -135,53 +140,55 @@
     }
 
     /// Tells the process its faults: points armed for it, and its disk's. A folder without faults has no such file.
-    fn write_faults(&self, i: usize, folder: &Path) -> Result<(), String> {
+    fn write_faults(&self, i: usize, folder: &Path) -> Result<(), RunError> {
         let faults = FaultFile { points: self.strikes.armed(i), disk: self.procs[i].disk };
         let path = folder.join(fault_file::FILE_NAME);
         if faults == FaultFile::default() {
             return match std::fs::remove_file(&path) {
-                Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(io(fault_file::FILE_NAME)(e)),
+                Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
+                    Err(RunError::io(fault_file::FILE_NAME)(e))
+                }
                 _ => Ok(()),
             };
         }
-        let text = serde_json::to_string(&faults).map_err(|e| e.to_string())?;
-        std::fs::write(path, text).map_err(io(fault_file::FILE_NAME))
+        let text = serde_json::to_string(&faults)?;
+        std::fs::write(path, text).map_err(RunError::io(fault_file::FILE_NAME))
     }
 
-    fn must_be_down(&self, i: usize, what: &str) -> Result<(), String> {
+    fn must_be_down(&self, i: usize, step: &'static str) -> Result<(), RunError> {
         match self.procs[i].alive {
-            true => Err(format!("{what}: n{i} runs; kill it in a step before")),
+            true => Err(RunError::ManagerRuns { step, manager: i }),
             false => Ok(()),
         }
     }
 
     /// A file of manager `i`'s folder loses its last bytes.
-    pub(super) fn tear(&self, i: usize, file: &str, bytes: u64) -> Result<(), String> {
+    pub(super) fn tear(&self, i: usize, file: &str, bytes: u64) -> Result<(), RunError> {
         self.must_be_down(i, "tear")?;
         let path = self.fleet.folder(i).join(file);
         let torn = std::fs::OpenOptions::new().write(true).open(&path).and_then(|f| {
             let len = f.metadata()?.len();
             f.set_len(len.saturating_sub(bytes))
         });
-        torn.map_err(|e| format!("tear {}: {e}", path.display()))
+        torn.map_err(RunError::io(&format!("tear {}", path.display())))
     }
 
     /// Copies manager `i`'s folder; a process that runs is stopped meanwhile, so that the copy is of one moment.
-    pub(super) fn keep_copy(&self, i: usize) -> Result<(), String> {
+    pub(super) fn keep_copy(&self, i: usize) -> Result<(), RunError> {
         use nix::sys::signal::Signal;
         let runs = self.procs[i].alive && self.lives[i] != Life::Paused;
         if runs {
-            self.fleet.signal(i, Signal::SIGSTOP).map_err(|e| e.to_string())?;
+            self.fleet.signal(i, Signal::SIGSTOP)?;
         }
         let copied = replace(&self.fleet.folder(i), &self.copy_of(i));
         if runs {
-            self.fleet.signal(i, Signal::SIGCONT).map_err(|e| e.to_string())?;
+            self.fleet.signal(i, Signal::SIGCONT)?;
         }
         copied
     }
 
     /// Manager `i`'s folder is as it was when it was copied.
-    pub(super) fn put_back(&self, i: usize) -> Result<(), String> {
+    pub(super) fn put_back(&self, i: usize) -> Result<(), RunError> {
         self.must_be_down(i, "put_back")?;
         replace(&self.copy_of(i), &self.fleet.folder(i))
     }
@@ -192,34 +199,31 @@
 }
 
 /// A folder's files, its folders' too, in place of another folder.
-fn replace(from: &Path, to: &Path) -> Result<(), String> {
-    let named = |what: &Path| {
-        let what = what.display().to_string();
-        move |e: std::io::Error| format!("{what}: {e}")
-    };
+fn replace(from: &Path, to: &Path) -> Result<(), RunError> {
     match std::fs::remove_dir_all(to) {
-        Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(named(to)(e)),
+        Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(RunError::io_at(to)(e)),
         _ => {}
     }
     let (mut open, mut files, mut bytes) = (vec![(from.to_owned(), to.to_owned())], 0, 0);
     while let Some((from, to)) = open.pop() {
-        std::fs::create_dir_all(&to).map_err(named(&to))?;
-        for entry in std::fs::read_dir(&from).map_err(named(&from))? {
-            let entry = entry.map_err(named(&from))?;
+        std::fs::create_dir_all(&to).map_err(RunError::io_at(&to))?;
+        for entry in std::fs::read_dir(&from).map_err(RunError::io_at(&from))? {
+            let entry = entry.map_err(RunError::io_at(&from))?;
             let (here, there) = (entry.path(), to.join(entry.file_name()));
-            let meta = entry.metadata().map_err(named(&here))?;
+            let meta = entry.metadata().map_err(RunError::io_at(&here))?;
             files += 1;
             if meta.is_dir() {
                 open.push((here, there));
             } else {
                 bytes += meta.len();
                 if files > MOST_COPIED || bytes > MOST_COPIED_BYTES {
-                    return Err(format!(
-                        "{}: over {MOST_COPIED} files or {MOST_COPIED_BYTES} bytes",
-                        from.display()
-                    ));
+                    return Err(RunError::FolderTooLarge {
+                        path: from,
+                        max_files: MOST_COPIED,
+                        max_bytes: MOST_COPIED_BYTES,
+                    });
                 }
-                std::fs::copy(&here, &there).map_err(named(&here))?;
+                std::fs::copy(&here, &there).map_err(RunError::io_at(&here))?;
             }
         }
     }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -3,7 +3,7 @@
 use super::peers::{Peers, SUBSCRIBERS};
 use super::process::Proc;
 use super::strikes::Strikes;
-use super::{io, unix_ms, Engine, Life, Program, Rig};
+use super::{unix_ms, Engine, Life, Program, Rig, RunError};
 use crate::engines::{name_of, CountingEngine, Spec};
 use crate::history::Recorder;
 use crate::ledger::Ledger;
@@ -26,12 +26,12 @@
 const SEEDS: usize = 3;
 
 /// The history that the scenario asks for; one that records nothing if it asks for none.
-fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, String> {
+fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, RunError> {
     if !scenario.records() {
         return Ok(Recorder::default());
     }
     let History { engines, most_mb } = scenario.history.unwrap_or_default();
-    Recorder::start(&program.dir, start, most_mb << 20, engines).map_err(io("the history"))
+    Recorder::start(&program.dir, start, most_mb << 20, engines).map_err(RunError::io("the history"))
 }
 
 /// The managers' settings, with the scenario's zones.
@@ -41,10 +41,10 @@
 }
 
 impl<'a> Rig<'a> {
-    pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, String> {
+    pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, RunError> {
         let start = Instant::now();
         let faults = Faults::new(scenario.seed);
-        let fleet = Fleet::new(&program.path, &program.dir).map_err(io("the rig's folder"))?;
+        let fleet = Fleet::new(&program.path, &program.dir).map_err(RunError::io("the rig's folder"))?;
         let n = scenario.managers;
         let history = start_history(scenario, program, start)?;
         let peers = Peers::new(scenario, &faults)?;
@@ -92,7 +92,7 @@
     }
 
     /// The engines that are there from the beginning; the last ones are listed and do not run.
-    fn start_engines(&mut self) -> Result<(), String> {
+    fn start_engines(&mut self) -> Result<(), RunError> {
         let Engines { count, cold, missing, .. } = self.scenario.engines;
         for i in 0..count {
             self.add_engine(i < cold)?;
@@ -104,14 +104,15 @@
     }
 
     /// One list service for each group of managers, behind the fault proxy where the scenario has one.
-    fn start_list_services(&mut self) -> Result<(), String> {
+    fn start_list_services(&mut self) -> Result<(), RunError> {
         for (party, name) in self.scenario.parties().iter().enumerate() {
             let first = procs::event(1, 1, true, &self.rows(party));
             let service = ListService::start_as(first, self.start, name, self.history.clone());
-            let service = service.map_err(io("list service"))?;
+            let service = service.map_err(RunError::io("list service"))?;
             let mut feed = service.address;
             if self.scenario.through_middle() {
-                let path = middle::tcp(&self.faults, name, "lists", feed).map_err(io("fault middle"))?;
+                let path =
+                    middle::tcp(&self.faults, name, "lists", feed).map_err(RunError::io("fault middle"))?;
                 feed = path.address;
                 self.list_paths.push(path);
             }
@@ -122,13 +123,13 @@
     }
 
     /// The managers' addresses for membership messages, where the scenario has membership.
-    fn reserve_members(&mut self) -> Result<(), String> {
+    fn reserve_members(&mut self) -> Result<(), RunError> {
         if self.scenario.membership.is_none() {
             return Ok(());
         }
         self.net = UdpNet::new(&self.faults);
         for i in 0..self.scenario.managers {
-            self.members.push(self.net.reserve(&format!("n{i}")).map_err(io("fault middle"))?);
+            self.members.push(self.net.reserve(&format!("n{i}")).map_err(RunError::io("fault middle"))?);
         }
         Ok(())
     }
@@ -157,7 +158,7 @@
         self.history.note(Event::RunStarted { scenario, seed, managers, engines });
     }
 
-    pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), String> {
+    pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), RunError> {
         let e = &self.scenario.engines;
         let times = if self.engines.len() < e.slow { SLOW } else { 1.0 };
         let (light, heavy) = (times * e.light_ms / 1e3, times * e.heavy_ms / 1e3);
@@ -165,8 +166,8 @@
         let spec = Spec { cores: e.cores, light, heavy, cold_for, ..Spec::default() };
         let number = self.engines.len();
         let (ledger, history) = (self.ledger.clone(), self.history.clone());
-        let run =
-            CountingEngine::start_as(spec, number, ledger, history, self.start).map_err(io("engine"))?;
+        let run = CountingEngine::start_as(spec, number, ledger, history, self.start)
+            .map_err(RunError::io("engine"))?;
         let (mut at, mut paths) = (vec![run.address; self.parties.len()], Vec::new());
         if self.scenario.through_middle() {
             for (party, at) in at.iter_mut().enumerate() {
@@ -176,7 +177,7 @@
                     HALLS[number % self.scenario.zones],
                     run.address,
                 );
-                let path = path.map_err(io("fault middle"))?;
+                let path = path.map_err(RunError::io("fault middle"))?;
                 *at = path.address;
                 paths.push(path);
             }
@@ -209,7 +210,7 @@
     }
 
     /// Tells every party what changed.
-    pub(super) fn tell(&mut self, changed: &[usize]) -> Result<(), String> {
+    pub(super) fn tell(&mut self, changed: &[usize]) -> Result<(), RunError> {
         self.revision += 1;
         for group in 0..self.lists.len() {
             let rows: Vec<Row> = changed.iter().map(|i| self.row(group, *i)).collect();
@@ -246,11 +247,11 @@
     }
 
     /// A manager's arguments: its own file of the membership among them, where the fleet keeps a view.
-    pub(super) fn args(&self, i: usize) -> Result<Vec<String>, String> {
+    pub(super) fn args(&self, i: usize) -> Result<Vec<String>, RunError> {
         let mut args = self.program.args.clone();
         if let Some(failover) = &self.scenario.failover {
             let file = self.program.dir.join(format!("n{i}.failover.json5"));
-            std::fs::write(&file, failover.to_string()).map_err(io("failover"))?;
+            std::fs::write(&file, failover.to_string()).map_err(RunError::io("failover"))?;
             args.extend(["--failover".to_owned(), file.display().to_string()]);
         }
         if let Some(m) = &self.scenario.membership {
@@ -265,8 +266,8 @@
                 share: m.share,
             };
             let file = self.program.dir.join(format!("n{i}.membership.json5"));
-            let text = serde_json::to_string(&set).map_err(|e| e.to_string())?;
-            std::fs::write(&file, text).map_err(io("membership"))?;
+            let text = serde_json::to_string(&set)?;
+            std::fs::write(&file, text).map_err(RunError::io("membership"))?;
             args.extend(["--membership".to_owned(), file.display().to_string()]);
         }
         Ok(args)
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -2,7 +2,7 @@
 
 use super::life::STILL_COMING;
 use super::setup::COLD_FOR;
-use super::{unix_ms, Life, Rig};
+use super::{unix_ms, Life, Rig, RunError};
 use crate::procs::{self, Row};
 use crate::scenario::{Act, Part, Who, HALLS};
 use nix::sys::signal::Signal;
@@ -74,7 +74,7 @@
         self.history.note(Event::NemesisAction { act, on: on.unwrap_or_default() });
     }
 
-    pub(super) fn act(&mut self, act: &Act) -> Result<(), String> {
+    pub(super) fn act(&mut self, act: &Act) -> Result<(), RunError> {
         self.note_act(act);
         match act {
             Act::Restart(w) => self.who(w).into_iter().try_for_each(|i| self.begin(i, false))?,
@@ -121,23 +121,23 @@
     }
 
     /// Sends SIGTERM to a manager that runs; its clients keep sending for a while.
-    fn terminate(&mut self, manager: usize) -> Result<(), String> {
+    fn terminate(&mut self, manager: usize) -> Result<(), RunError> {
         if !matches!(self.lives[manager], Life::Up | Life::Starting) {
             return Ok(());
         }
         self.seat(manager, |s| s.until = Some(Instant::now() + STILL_COMING));
-        self.fleet.signal(manager, Signal::SIGTERM).map_err(|e| e.to_string())?;
+        self.fleet.signal(manager, Signal::SIGTERM)?;
         self.lives[manager] = Life::Ending(Instant::now());
         Ok(())
     }
 
-    fn start_cold_engines(&mut self, count: usize) -> Result<(), String> {
+    fn start_cold_engines(&mut self, count: usize) -> Result<(), RunError> {
         let from = self.engines.len();
         (0..count).try_for_each(|_| self.add_engine(true))?;
         self.tell(&(from..self.engines.len()).collect::<Vec<_>>())
     }
 
-    fn drain_engines(&mut self, part: &Part) -> Result<(), String> {
+    fn drain_engines(&mut self, part: &Part) -> Result<(), RunError> {
         let engines: Vec<usize> = part.of(self.engines.len()).collect();
         self.struck(&engines);
         engines.iter().for_each(|i| self.engines[*i].phase = "draining");
@@ -147,7 +147,7 @@
     }
 
     /// Engines that the list has as gone and that end then.
-    fn withdraw_engines(&mut self, part: &Part) -> Result<(), String> {
+    fn withdraw_engines(&mut self, part: &Part) -> Result<(), RunError> {
         let engines: Vec<usize> = part.of(self.engines.len()).collect();
         self.struck(&engines);
         engines.iter().for_each(|i| self.engines[*i].phase = "gone");
@@ -164,7 +164,7 @@
     }
 
     /// A complete list of revision 1, with the first engines only, all of them ready.
-    fn send_older_list(&mut self) -> Result<(), String> {
+    fn send_older_list(&mut self) -> Result<(), RunError> {
         let first = self.scenario.engines.count;
         for group in 0..self.lists.len() {
             let mut rows = self.rows(group);
@@ -176,7 +176,7 @@
     }
 
     /// A list that has the first engine as draining and as ready.
-    fn send_contradictory_list(&mut self) -> Result<(), String> {
+    fn send_contradictory_list(&mut self) -> Result<(), RunError> {
         self.engines[0].phase = "draining";
         self.revision += 1;
         for group in 0..self.lists.len() {
@@ -188,7 +188,7 @@
     }
 
     /// Restarts all engines of a zone, which are then in slow start.
-    fn restart_zone(&mut self, zone: &str) -> Result<(), String> {
+    fn restart_zone(&mut self, zone: &str) -> Result<(), RunError> {
         let is_there = |i: &usize| HALLS[i % self.scenario.zones] == zone;
         let engines: Vec<usize> = (0..self.engines.len()).filter(is_there).collect();
         for i in &engines {
--- a/crates/cluster-harness/src/run/strikes.rs
+++ b/crates/cluster-harness/src/run/strikes.rs
@@ -1,6 +1,6 @@
 //! Processes struck where they come to a named point, and what follows later.
 
-use super::{Life, Rig};
+use super::{Life, Rig, RunError};
 use crate::scenario::{Act, Blow, Scenario, Strike, Who};
 use nix::sys::signal::Signal;
 use sprucelink_failpoints::fault_file::Failpoints;
@@ -56,7 +56,7 @@
 
 impl Rig<'_> {
     /// Reads what logs tell of ports and points, and strikes at once.
-    pub(super) fn read_news(&mut self) -> Result<(), String> {
+    pub(super) fn read_news(&mut self) -> Result<(), RunError> {
         for i in 0..self.procs.len() {
             let wanted = !self.procs[i].unbound.is_empty() || self.strikes.awaits(i);
             let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
@@ -84,7 +84,7 @@
         });
     }
 
-    fn at_point(&mut self, i: usize, point: &str) -> Result<(), String> {
+    fn at_point(&mut self, i: usize, point: &str) -> Result<(), RunError> {
         let Some(strike) = self.strikes.take(i, point) else { return Ok(()) };
         self.history.note(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
         let back = match strike.blow {
@@ -99,7 +99,7 @@
         };
         if let Some(ms) = strike.back_ms {
             if self.later.len() >= MOST_LATER {
-                return Err(format!("at most {MOST_LATER} acts wait for their time"));
+                return Err(RunError::TooManyPendingActions { max: MOST_LATER });
             }
             self.later.push((Instant::now() + Duration::from_secs_f64(ms / 1e3), back));
         }
@@ -107,26 +107,26 @@
     }
 
     /// Stops manager `i` (SIGSTOP), whatever it is at.
-    pub(super) fn stop(&mut self, i: usize) -> Result<(), String> {
+    pub(super) fn stop(&mut self, i: usize) -> Result<(), RunError> {
         self.strike(i);
-        self.fleet.signal(i, Signal::SIGSTOP).map_err(|e| e.to_string())?;
+        self.fleet.signal(i, Signal::SIGSTOP)?;
         self.lives[i] = Life::Paused;
         self.history.note(Event::Suspended { process: format!("n{i}") });
         Ok(())
     }
 
     /// Lets manager `i` go on, if it is stopped.
-    pub(super) fn go_on(&mut self, i: usize) -> Result<(), String> {
+    pub(super) fn go_on(&mut self, i: usize) -> Result<(), RunError> {
         if self.lives[i] == Life::Paused {
             self.history.note(Event::Resumed { process: format!("n{i}") });
-            self.fleet.signal(i, Signal::SIGCONT).map_err(|e| e.to_string())?;
+            self.fleet.signal(i, Signal::SIGCONT)?;
             self.lives[i] = Life::Starting;
         }
         Ok(())
     }
 
     /// Does what is due of what follows strikes.
-    pub(super) fn follow_up(&mut self) -> Result<(), String> {
+    pub(super) fn follow_up(&mut self) -> Result<(), RunError> {
         let now = Instant::now();
         let (due, later) = std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= now);
         self.later = later;
--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -1,13 +1,13 @@
 //! What happens in a run: steps, acts, and on whom.
 
-use super::{Scenario, GROUPS};
+use super::{InvalidScenario, Scenario, GROUPS};
 use crate::middle::{Cut, Rule};
-use crate::range::within;
 use rand::seq::index::sample;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 use sprucelink_failpoints::fault_file::DiskFaults;
+use sprucelink_settings::check_range;
 use std::collections::BTreeMap;
 
 /// A step happens so many times at most.
@@ -33,12 +33,12 @@
         at(self.from)..at(self.to)
     }
 
-    pub(super) fn check(&self) -> Result<(), String> {
+    pub(super) fn check(&self) -> Result<(), InvalidScenario> {
         let good = self.from >= 0.0 && self.to >= self.from && self.to <= 1.0;
         if !good {
-            return Err(format!("must lie within 0 and 1, in order, is {} to {}", self.from, self.to));
+            return Err(InvalidScenario::UnorderedFractions { from: self.from, to: self.to });
         }
-        within("over_ms", self.over_ms, 0.0, 60_000.0)
+        Ok(check_range("over_ms", self.over_ms, 0.0, 60_000.0)?)
     }
 }
 
@@ -93,24 +93,24 @@
         part.of(n).collect()
     }
 
-    pub(super) fn check(&self, scenario: &Scenario) -> Result<(), String> {
-        within("over_ms", self.over_ms, 0.0, 60_000.0)?;
+    pub(super) fn check(&self, scenario: &Scenario) -> Result<(), InvalidScenario> {
+        check_range("over_ms", self.over_ms, 0.0, 60_000.0)?;
         let share = self.from.is_some() || self.to.is_some();
         let ways = [share, self.names.is_some(), self.group.is_some(), self.drawn.is_some()];
         if ways.iter().filter(|w| **w).count() != 1 {
-            return Err("on whom? one of from and to, names, group, drawn".into());
+            return Err(InvalidScenario::NotOneSelector);
         }
         if share {
             let (from, to) = (self.from.unwrap_or(0.0), self.to.unwrap_or(1.0));
             return Part { from, to, over_ms: self.over_ms }.check();
         }
         if let Some(bad) = self.names.iter().flatten().find(|n| scenario.number_of(n).is_none()) {
-            return Err(format!("{bad:?} is no manager: n0 to n{}", scenario.managers - 1));
+            return Err(InvalidScenario::UnknownManager { name: bad.clone(), last: scenario.managers - 1 });
         }
         if let Some(g) = self.group.as_ref().filter(|g| !scenario.groups_named().any(|n| n == g.as_str())) {
-            return Err(format!("{g:?} is no group of managers"));
+            return Err(InvalidScenario::UnknownManagerGroup(g.clone()));
         }
-        within("drawn", self.drawn.unwrap_or(1) as f64, 1.0, scenario.managers as f64)
+        Ok(check_range("drawn", self.drawn.unwrap_or(1) as f64, 1.0, scenario.managers as f64)?)
     }
 }
 
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -1,16 +1,17 @@
 //! What a run does, as a JSON5 file: how many managers and engines, what clients ask, and the steps in which
 //! things happen. A field that is not known is refused by name; every count and time has a bound.
-
 //!
 //! [`acts`] holds what happens, [`parts`] what there is.
 
 pub mod acts;
 mod check;
+mod error;
 pub mod parts;
 #[cfg(test)]
 mod tests;
 
 pub use acts::{Act, Blow, Call, Clocks, Lists, New, Part, Sides, Step, Strike, Subs, Who};
+pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
     Engines, HaltMark, History, Load, Marks, Membership, OverMark, Port, ReleaseMark, SchemaMark,
     Subscribers, Supervise, Watch,
@@ -136,9 +137,9 @@
     ///
     /// # Errors
     /// The line and field, or the field and rule.
-    pub fn parse(text: &str) -> Result<Scenario, String> {
-        let set: Scenario = json5::from_str(text).map_err(|e| format!("scenario: {e}"))?;
-        set.check().map_err(|e| format!("scenario: {e}"))?;
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
+        let set: Scenario = json5::from_str(text)?;
+        set.check()?;
         Ok(set)
     }
 
--- a/crates/cluster-harness/src/scenario/tests.rs
+++ b/crates/cluster-harness/src/scenario/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn what_cannot_be_meant_is_named() {
-    let wrong = |text: &str| Scenario::parse(text).unwrap_err();
+    let wrong = |text: &str| Scenario::parse(text).unwrap_err().to_string();
     assert!(wrong("{ managrs: 3 }").contains("managrs"));
     assert!(wrong("{ managers: 100000 }").contains("managers"));
     assert!(wrong("{ seconds: 1, steps: [ { at: 5, do: 'heal' } ] }").contains("steps[0]: at"));
@@ -81,7 +81,7 @@
         ("name: 'fanout'", "name: 'council'", "files"),
         ("count: 20", "count: 301", "subscribers.count"),
     ] {
-        let e = Scenario::parse(&good.replace(from, to)).unwrap_err();
+        let e = Scenario::parse(&good.replace(from, to)).unwrap_err().to_string();
         assert!(e.contains(named), "{to}: {e}");
     }
 }
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -87,6 +87,17 @@
     }
 }
 
+/// Why a stream cannot be read on.
+#[derive(Debug, thiserror::Error)]
+enum StreamError {
+    /// An event exceeds its bound.
+    #[error(transparent)]
+    EventTooLong(#[from] sse::EventTooLong),
+    /// An event has no cursor to resume from.
+    #[error(transparent)]
+    InvalidCursor(#[from] reader::InvalidEventCursor),
+}
+
 /// Why a connection is over, and what comes next.
 enum Over {
     /// It comes back to another manager after its backoff.
@@ -130,7 +141,7 @@
         None => request,
     };
     let request = request.body(Full::<Bytes>::default()).map_err(|_| Over::Lost("no request".into()))?;
-    let answer = http::ask(at, request).await.map_err(Over::Lost)?;
+    let answer = http::ask(at, request).await.map_err(|error| Over::Lost(error.to_string()))?;
     match answer.status().as_u16() {
         200 => Ok(answer.into_body()),
         GONE => Err(Over::Forgotten("status 410".into())),
@@ -176,7 +187,7 @@
                     Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 };
                 if let Err(e) = read(shared, reader, &mut stream, manager, &bytes) {
-                    return Over::Lost(e);
+                    return Over::Lost(e.to_string());
                 }
                 rests = Instant::now() + pause(bytes.len(), *slow);
             }
@@ -208,7 +219,7 @@
     stream: &mut sse::Stream,
     manager: &str,
     bytes: &[u8],
-) -> Result<(), String> {
+) -> Result<(), StreamError> {
     for told in stream.push(bytes)? {
         let cursor = reader.cursor;
         for event in reader.take(manager, told)? {
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -8,10 +8,19 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
-use sprucelink_history_checker::cursor::Cursor;
+use sprucelink_history_checker::cursor::{Cursor, ParseCursorError};
 use sprucelink_history_checker::event::Event;
 use std::time::Duration;
 
+/// An event's id is no cursor.
+#[derive(Debug, thiserror::Error)]
+#[error("event {event:?}: {source}")]
+pub struct InvalidEventCursor {
+    /// The event's name.
+    event: String,
+    source: ParseCursorError,
+}
+
 /// The name of an event that stands for all records up to its id.
 const SNAPSHOT: &str = "snapshot";
 /// A `retry` longer than this is taken as this: a manager cannot send a subscriber away for good.
@@ -67,7 +76,7 @@
     ///
     /// # Errors
     /// Where an event has no cursor for an id: nothing can be resumed behind it.
-    pub fn take(&mut self, manager: &str, told: Told) -> Result<Vec<Event>, String> {
+    pub fn take(&mut self, manager: &str, told: Told) -> Result<Vec<Event>, InvalidEventCursor> {
         let (name, id, data) = match told {
             Told::Retry(ms) => {
                 self.retry = Duration::from_millis(ms).min(LONGEST_RETRY);
@@ -75,7 +84,8 @@
             }
             Told::Event { name, id, data } => (name, id, data),
         };
-        let cursor: Cursor = id.parse().map_err(|e| format!("event {name:?}: {e}"))?;
+        let cursor: Cursor =
+            id.parse().map_err(|source| InvalidEventCursor { event: name.clone(), source })?;
         let value: Option<Value> = serde_json::from_str(&data).ok();
         let text = |at: &str| value.as_ref().and_then(|v| v.pointer(at)).and_then(Value::as_str);
         let (subscriber, manager) = (self.name.clone(), manager.to_owned());
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -4,6 +4,11 @@
 /// Bytes of one event at most, its lines together.
 pub const MOST_EVENT: usize = 1 << 20;
 
+/// An event exceeds [`MOST_EVENT`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("an event of over {MOST_EVENT} bytes")]
+pub struct EventTooLong;
+
 /// What a stream tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
@@ -37,7 +42,7 @@
     ///
     /// # Errors
     /// Where an event is over [`MOST_EVENT`]: the stream cannot be read on.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Told>, String> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Told>, EventTooLong> {
         let mut out = Vec::new();
         for b in bytes {
             let behind_cr = std::mem::replace(&mut self.after_cr, *b == b'\r');
@@ -50,7 +55,7 @@
                 b => self.line.push(*b),
             }
             if self.line.len() + self.data.len() > MOST_EVENT {
-                return Err(format!("an event of over {MOST_EVENT} bytes"));
+                return Err(EventTooLong);
             }
         }
         Ok(out)
--- a/crates/cluster-harness/src/subscribers/sse/tests.rs
+++ b/crates/cluster-harness/src/subscribers/sse/tests.rs
@@ -29,5 +29,5 @@
     let mut stream = Stream::default();
     stream.push(b"data: ").expect("read");
     let cut = (0..2_000).find_map(|_| stream.push(&[b'x'; 1_000]).err());
-    assert!(cut.expect("cut").contains("over"));
+    assert!(cut.expect("cut").to_string().contains("over"));
 }
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -7,6 +7,21 @@
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// Why a template cannot be filled.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum TemplateError {
+    /// The template is unknown, or its port is.
+    #[error("no template {{{0}}}, or no such port")]
+    Unknown(String),
+    /// The template has no value in this place.
+    #[error("nothing stands for {{{0}}} here")]
+    NoValue(String),
+    /// The scenario declares no such port.
+    #[error("no port {0:?}")]
+    UnknownPort(String),
+}
 
 /// What stands for a manager's templates.
 #[derive(Clone, Debug, Default)]
@@ -30,7 +45,10 @@
 }
 
 /// Replaces every template by what `word` gives for its inside.
-fn replace(text: &str, mut word: impl FnMut(&str) -> Result<String, String>) -> Result<String, String> {
+fn replace(
+    text: &str,
+    mut word: impl FnMut(&str) -> Result<String, TemplateError>,
+) -> Result<String, TemplateError> {
     let (mut out, mut rest) = (String::new(), text);
     while let Some(at) = rest.find('{') {
         out.push_str(&rest[..at]);
@@ -54,7 +72,7 @@
 ///
 /// # Errors
 /// The template.
-pub fn check(text: &str, port: &impl Fn(&str) -> bool) -> Result<(), String> {
+pub fn check(text: &str, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     let known = |inside: &str| {
         let mut parts = inside.split(':');
         match (parts.next(), parts.next(), parts.next(), parts.next()) {
@@ -66,7 +84,7 @@
     };
     let word = |inside: &str| match known(inside) {
         true => Ok(String::new()),
-        false => Err(format!("no template {{{inside}}}, or no such port")),
+        false => Err(TemplateError::Unknown(inside.to_owned())),
     };
     replace(text, word).map(|_| ())
 }
@@ -75,7 +93,7 @@
 ///
 /// # Errors
 /// The template.
-pub fn check_value(value: &Value, port: &impl Fn(&str) -> bool) -> Result<(), String> {
+pub fn check_value(value: &Value, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     match value {
         Value::String(text) => check(text, port),
         Value::Array(all) => all.iter().try_for_each(|v| check_value(v, port)),
@@ -85,7 +103,7 @@
 }
 
 impl Values {
-    fn word(&self, inside: &str) -> Result<String, String> {
+    fn word(&self, inside: &str) -> Result<String, TemplateError> {
         let known = || {
             if let Some(value) = self.words.get(inside) {
                 return Some(value.clone());
@@ -104,7 +122,7 @@
                 _ => None,
             }
         };
-        known().ok_or_else(|| format!("nothing stands for {{{inside}}} here"))
+        known().ok_or_else(|| TemplateError::NoValue(inside.to_owned()))
     }
 
     fn list(&self, port: &str) -> Option<Value> {
@@ -116,7 +134,7 @@
     ///
     /// # Errors
     /// A template that nothing stands for.
-    pub fn fill(&self, text: &str) -> Result<String, String> {
+    pub fn fill(&self, text: &str) -> Result<String, TemplateError> {
         replace(text, |inside| self.word(inside))
     }
 
@@ -124,7 +142,7 @@
     ///
     /// # Errors
     /// As for [`Values::fill`].
-    pub fn fill_value(&self, value: &Value) -> Result<Value, String> {
+    pub fn fill_value(&self, value: &Value) -> Result<Value, TemplateError> {
         Ok(match value {
             Value::String(text) => match template(text) {
                 Some((word, "")) if NUMBERS.contains(&word) => {
@@ -138,7 +156,7 @@
                 }
                 Some((word, "")) if word.starts_with("peers_json:") => {
                     let port = word.trim_start_matches("peers_json:");
-                    self.list(port).ok_or_else(|| format!("no port {port:?}"))?
+                    self.list(port).ok_or_else(|| TemplateError::UnknownPort(port.to_owned()))?
                 }
                 _ => Value::String(self.fill(text)?),
             },
@@ -147,7 +165,7 @@
             }
             Value::Object(all) => {
                 let filled = all.iter().map(|(k, v)| Ok((k.clone(), self.fill_value(v)?)));
-                Value::Object(filled.collect::<Result<_, String>>()?)
+                Value::Object(filled.collect::<Result<_, TemplateError>>()?)
             }
             other => other.clone(),
         })
