--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -27,22 +27,23 @@
     Lost,
 }
 
-/// A request as a client words it.
+/// A request of a client.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its id, new with every request.
     pub id: u64,
     /// A load of two threads, or a light query.
     pub heavy: bool,
     /// Its key, for loads.
     pub key: u64,
-    /// The client's estimate of the work on one core, in milliseconds; 0: none is told.
+    /// The client's estimate of the work on one core, in milliseconds; 0: the request carries none.
     pub ms: f64,
     /// How long the client waits.
     pub timeout: Duration,
 }
 
-fn words(ask: &Ask) -> Vec<u8> {
+/// The start-up message and the query, as bytes of the PostgreSQL protocol.
+fn encode(request: &ClientRequest) -> Vec<u8> {
     let mut startup = Vec::new();
     for part in [&b"user"[..], b"app", b"database", b"core", b""] {
         startup.extend_from_slice(part);
@@ -51,13 +52,15 @@
     let mut message = ((startup.len() + 8) as u32).to_be_bytes().to_vec();
     message.extend_from_slice(&196_608u32.to_be_bytes());
     message.extend_from_slice(&startup);
-    let (id, ms, key) = (ask.id, ask.timeout.as_millis(), ask.key);
-    let told = if ask.ms > 0.0 { format!(",ms={:.1}", ask.ms) } else { String::new() };
-    let sql = if ask.heavy {
-        format!("/* kind=tariff-load,req={id:016x},timeout={ms},owner=sud,opkey={key:032x}{told} */ INSERT INTO rates_3.lanes VALUES (1)\0")
+    let id = request.id;
+    let ms = request.timeout.as_millis();
+    let key = request.key;
+    let estimate = if request.ms > 0.0 { format!(",ms={:.1}", request.ms) } else { String::new() };
+    let sql = if request.heavy {
+        format!("/* kind=tariff-load,req={id:016x},timeout={ms},owner=sud,opkey={key:032x}{estimate} */ INSERT INTO rates_3.lanes VALUES (1)\0")
     } else {
         format!(
-            "/* kind=lane-rate,req={id:016x},timeout={ms},owner=sud{told} */ SELECT a FROM sales_17.orders\0"
+            "/* kind=lane-rate,req={id:016x},timeout={ms},owner=sud{estimate} */ SELECT a FROM sales_17.orders\0"
         )
     };
     message.push(b'Q');
@@ -102,17 +105,17 @@
 }
 
 /// Sends one request to a manager and waits for its end: what became of it, and how long that took.
-pub async fn ask(at: SocketAddr, ask: Ask) -> (Became, Duration) {
+pub async fn send(at: SocketAddr, request: ClientRequest) -> (Became, Duration) {
     let begun = Instant::now();
-    let asked = async {
+    let exchange = async {
         let Ok(mut stream) = TcpStream::connect(at).await else { return Became::NotTaken };
         let _ = stream.set_nodelay(true);
-        if stream.write_all(&words(&ask)).await.is_err() {
+        if stream.write_all(&encode(&request)).await.is_err() {
             return Became::NotTaken;
         }
         answer(&mut stream).await.unwrap_or(Became::Lost)
     };
-    let became = timeout(ask.timeout + LATE, asked).await.unwrap_or(Became::Lost);
+    let became = timeout(request.timeout + LATE, exchange).await.unwrap_or(Became::Lost);
     (became, begun.elapsed())
 }
 
@@ -120,9 +123,9 @@
 ///
 /// # Errors
 /// Where no connection came up, or it ended without a whole answer.
-pub fn ask_once(at: SocketAddr, id: u64) -> std::io::Result<bool> {
-    let one = Ask { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
-    match crate::runtime().block_on(ask(at, one)).0 {
+pub fn query_once(at: SocketAddr, id: u64) -> std::io::Result<bool> {
+    let request = ClientRequest { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
+    match crate::runtime().block_on(send(at, request)).0 {
         Became::NotTaken => Err(std::io::Error::other("no connection came up")),
         Became::Lost => Err(std::io::Error::other("no whole answer came")),
         became => Ok(became == Became::Served),
--- a/crates/cluster-harness/src/counted.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -63,9 +63,9 @@
 
 /// A count that many tasks note in. A panic of one does not stop the others from counting.
 #[derive(Clone, Debug, Default)]
-pub struct Tally(Arc<Mutex<Counted>>);
+pub struct Counter(Arc<Mutex<Counted>>);
 
-impl Tally {
+impl Counter {
     /// Notes one event that comes now.
     pub fn note(&self, start: Instant) {
         self.lock(|c| c.note(start, Instant::now()));
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -10,7 +10,7 @@
 
 pub use machine::{Machine, Spec};
 
-use crate::counted::Tally;
+use crate::counter::Counter;
 use crate::history::Recorder;
 use crate::ledger::{manager_of, Ledger};
 use crate::runtime;
@@ -33,8 +33,8 @@
     number: usize,
     start: Instant,
     machine: Mutex<Machine>,
-    dials: Tally,
-    work: Tally,
+    dials: Counter,
+    work: Counter,
     ledger: Ledger,
     history: Recorder,
     connections: AtomicUsize,
@@ -63,9 +63,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Every connection made to it, when it came.
-    pub dials: Tally,
+    pub dials: Counter,
     /// Every `do`, when it came.
-    pub work: Tally,
+    pub work: Counter,
     shared: Arc<Shared>,
     listening: tokio::task::JoinHandle<()>,
 }
@@ -97,8 +97,8 @@
             number,
             start,
             machine: Mutex::new(Machine::new(spec, Instant::now())),
-            dials: Tally::default(),
-            work: Tally::default(),
+            dials: Counter::default(),
+            work: Counter::default(),
             ledger,
             history,
             connections: AtomicUsize::new(0),
@@ -170,7 +170,7 @@
             engine.history.note_engine(|| Event::Command {
                 engine: engine.name(),
                 connection,
-                word: parts.first().map_or(String::new(), |w| word(w)),
+                word: parts.first().map_or(String::new(), |name| command_name(name)),
                 manager: id.map(|id| format!("n{}", manager_of(id))),
             });
             match (parts.first().map(Vec::as_slice), id) {
@@ -204,8 +204,8 @@
     engine.history.note_engine(|| Event::Disconnected { engine: engine.name(), connection });
 }
 
-/// A command's word as a history has it: words are short, and what is longer is none.
-fn word(bytes: &[u8]) -> String {
+/// A command's name as the history records it, cut after 16 bytes: longer than any name.
+fn command_name(bytes: &[u8]) -> String {
     String::from_utf8_lossy(&bytes[..bytes.len().min(16)]).into_owned()
 }
 
--- a/crates/cluster-harness/src/middle/mod.rs
+++ b/crates/cluster-harness/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A fault middle on loopback: TCP and UDP between groups of processes, with faults on command.
+//! A fault proxy on loopback: TCP and UDP between groups of processes, with faults on command.
 //!
 //! Every path goes from a *group* to a *group* (names such as `a`, `b`, `lists`, `engines`), one way each: a
 //! rule on `a -> lists` leaves `lists -> a` as it is, so that one-way loss and half-open connections can be
@@ -8,7 +8,7 @@
 //! A party may be named itself and have a group as its *home*: a rule for the very two comes before one for a party
 //! and a group, and that before one for two groups.
 //!
-//! What loopback cannot show: the kernel accepts a TCP connection before the middle can hold it back, so in a
+//! What loopback cannot show: the kernel accepts a TCP connection before the fault proxy can hold it back, so in a
 //! partition a connection comes up and then says nothing; a real one would not come up. And with one way parted
 //! what goes the other way arrives for good, where in a real network it would end for want of acknowledgements.
 
@@ -102,7 +102,7 @@
 /// One-off faults of connections that are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cut {
+pub enum ConnectionCut {
     /// Both ways end.
     Close,
     /// This way ends, the other stays open.
@@ -117,7 +117,7 @@
 struct Table {
     rules: HashMap<Pair, Rule>,
     /// The last cut of each pair, by its number among all.
-    cuts: HashMap<Pair, (u64, Cut)>,
+    cuts: HashMap<Pair, (u64, ConnectionCut)>,
     cuts_made: u64,
     /// The group that a party belongs to.
     homes: HashMap<String, String>,
@@ -185,7 +185,7 @@
     }
 
     /// Every TCP connection that is open from one group to another is cut.
-    pub fn cut(&self, from: &str, to: &str, how: Cut) {
+    pub fn cut(&self, from: &str, to: &str, how: ConnectionCut) {
         self.table(|t| {
             t.cuts_made += 1;
             t.cuts.insert((from.to_owned(), to.to_owned()), (t.cuts_made, how));
@@ -212,7 +212,7 @@
     }
 
     /// The last cut that is for two parties: its number, 0 for none, and how.
-    fn cuts(&self, from: &str, to: &str) -> (u64, Option<Cut>) {
+    fn cuts(&self, from: &str, to: &str) -> (u64, Option<ConnectionCut>) {
         self.table(|t| {
             if t.cuts.is_empty() {
                 return (0, None);
@@ -223,7 +223,7 @@
     }
 
     /// The last cut that is for two parties, unless it is the one numbered `known`.
-    fn cut_since(&self, from: &str, to: &str, known: u64) -> Option<Cut> {
+    fn cut_since(&self, from: &str, to: &str, known: u64) -> Option<ConnectionCut> {
         let (number, cut) = self.cuts(from, to);
         cut.filter(|_| number != known)
     }
--- a/crates/cluster-harness/src/middle/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -1,6 +1,6 @@
 //! TCP between groups.
 
-use super::{Cut, Faults, CHUNK};
+use super::{ConnectionCut, Faults, CHUNK};
 use crate::runtime;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -111,9 +111,12 @@
 }
 
 /// Waits for the next change of the faults; how the connection ends, if a cut or the end of the rig ends it.
-async fn wait_in_partition(cut: Option<Cut>, changed: &mut tokio::sync::watch::Receiver<u64>) -> Option<Way> {
+async fn wait_in_partition(
+    cut: Option<ConnectionCut>,
+    changed: &mut tokio::sync::watch::Receiver<u64>,
+) -> Option<Way> {
     match cut {
-        Some(Cut::Reset) => Some(Way::Reset),
+        Some(ConnectionCut::Reset) => Some(Way::Reset),
         Some(_) => Some(Way::Broken),
         None => changed.changed().await.is_err().then_some(Way::Broken),
     }
@@ -137,9 +140,9 @@
     let mut bytes = vec![0u8; CHUNK];
     loop {
         match cut() {
-            Some(Cut::Close) => return Way::Broken,
-            Some(Cut::Reset) => return Way::Reset,
-            Some(Cut::HalfClose) => return end_output(&mut output).await,
+            Some(ConnectionCut::Close) => return Way::Broken,
+            Some(ConnectionCut::Reset) => return Way::Reset,
+            Some(ConnectionCut::HalfClose) => return end_output(&mut output).await,
             None => {}
         }
         if faults.rule(from, to).partition {
--- a/crates/cluster-harness/src/middle/tests.rs
+++ b/crates/cluster-harness/src/fault_proxy/tests.rs
@@ -1,4 +1,4 @@
-//! The middle on real sockets.
+//! The fault proxy on real sockets.
 
 use super::*;
 use std::io::{Read, Write};
@@ -9,7 +9,7 @@
 /// What must not come is waited for this long: its absence cannot be shown otherwise.
 const QUIET: Duration = Duration::from_millis(150);
 
-/// A connection through the middle: the client's end and the server's.
+/// A connection through the fault proxy: the client's end and the server's.
 fn pair(faults: &Faults) -> (TcpPath, Stream, Stream) {
     let server = Listener::bind("127.0.0.1:0").expect("a port");
     let path = tcp(faults, "a", "s", server.local_addr().expect("an address")).expect("a path");
@@ -55,10 +55,10 @@
     let faults = Faults::new(1);
     let (_path, mut client, mut served) = pair(&faults);
     passes(&mut client, &mut served);
-    faults.cut("a", "s", Cut::HalfClose);
+    faults.cut("a", "s", ConnectionCut::HalfClose);
     assert_eq!(served.read(&mut [0; 8]).expect("the end"), 0);
     passes(&mut served, &mut client);
-    faults.cut("s", "a", Cut::Close);
+    faults.cut("s", "a", ConnectionCut::Close);
     assert!(matches!(client.read(&mut [0; 8]), Ok(0) | Err(_)), "the other way ends, too");
 }
 
@@ -153,7 +153,7 @@
     let faults = Faults::new(1);
     let (_path, mut client, mut served) = pair(&faults);
     passes(&mut client, &mut served);
-    faults.cut("a", "s", Cut::Reset);
+    faults.cut("a", "s", ConnectionCut::Reset);
     let ended = client.read(&mut [0; 8]).expect_err("no orderly end");
     assert_eq!(ended.kind(), std::io::ErrorKind::ConnectionReset);
 }
--- a/crates/cluster-harness/src/middle/udp.rs
+++ b/crates/cluster-harness/src/fault_proxy/udp.rs
@@ -16,14 +16,14 @@
 const MOST_MEMBERS: usize = 2_000;
 
 struct Member {
-    /// Its name in the middle's rules: its own, or its group's.
+    /// Its name in the fault proxy's rules: its own, or its group's.
     group: String,
     /// Where it sends and receives, once that is known.
     real: Mutex<Option<SocketAddr>>,
     socket: Arc<UdpSocket>,
 }
 
-/// UDP between members, each of which has an address in the middle: what one sends to another's address
+/// UDP between members, each of which has an address in the fault proxy: what one sends to another's address
 /// arrives from the sender's own, by the rules between their groups. What comes from nobody is dropped.
 #[derive(Clone)]
 pub struct UdpNet {
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -62,7 +62,7 @@
 struct Inner {
     file: BufWriter<File>,
     start: Instant,
-    room: u64,
+    remaining_bytes: u64,
     /// Why no more is written, if so.
     cut: Option<RecordingStopped>,
 }
@@ -82,7 +82,7 @@
     /// Those of making the file.
     pub fn start(dir: &Path, start: Instant, most: u64, engines: bool) -> std::io::Result<Recorder> {
         let file = BufWriter::with_capacity(BUFFER, File::create(dir.join(NAME))?);
-        let inner = Inner { file, start, room: most, cut: None };
+        let inner = Inner { file, start, remaining_bytes: most, cut: None };
         Ok(Recorder { inner: Some(Arc::new(Mutex::new(inner))), engines })
     }
 
@@ -103,8 +103,8 @@
         let line = serde_json::to_string(&HistoryEntry { at_us, event }).map_err(RecordingStopped::Encode);
         let written = line.and_then(|line| {
             let need = line.len() as u64 + 1;
-            let room = i.room.checked_sub(need).ok_or(RecordingStopped::Full)?;
-            i.room = room;
+            let remaining = i.remaining_bytes.checked_sub(need).ok_or(RecordingStopped::Full)?;
+            i.remaining_bytes = remaining;
             i.file
                 .write_all(line.as_bytes())
                 .and_then(|()| i.file.write_all(b"\n"))
--- a/crates/cluster-harness/src/http.rs
+++ b/crates/cluster-harness/src/http.rs
@@ -44,12 +44,12 @@
 /// Bytes of a call's answer at most.
 const MOST_ANSWER: usize = 1 << 20;
 
-/// Connects, asks, and gives the answer's head; its body comes as it is read. The connection ends with the body.
+/// Connects, sends a request and returns the head of the answer; the body follows as it is read. The connection ends with the body.
 ///
 /// # Errors
 /// The step that failed or timed out.
-pub async fn ask(at: SocketAddr, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
-    let asked = async {
+pub async fn send(at: SocketAddr, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
+    let exchange = async {
         let stream = TcpStream::connect(at).await.map_err(HttpError::Connect)?;
         let _ = stream.set_nodelay(true);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -59,13 +59,13 @@
         tokio::spawn(connection);
         sender.send_request(request).await.map_err(HttpError::Request)
     };
-    timeout(LONGEST_HEAD, asked).await.unwrap_or_else(|_| Err(HttpError::HeadTimeout))
+    timeout(LONGEST_HEAD, exchange).await.unwrap_or_else(|_| Err(HttpError::HeadTimeout))
 }
 
 /// A whole call: the status and the body as text.
 ///
 /// # Errors
-/// As for [`ask`], and where the answer is too long.
+/// As for [`send`], and where the answer is too long.
 pub async fn call(
     at: SocketAddr,
     method: &str,
@@ -78,11 +78,11 @@
         None => request,
     };
     let request = request.body(Full::from(body.unwrap_or_default()))?;
-    let whole = async {
-        let answer = ask(at, request).await?;
+    let exchange = async {
+        let answer = send(at, request).await?;
         let status = answer.status().as_u16();
         let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(HttpError::Body)?;
         Ok((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
     };
-    timeout(LONGEST_CALL, whole).await.unwrap_or_else(|_| Err(HttpError::CallTimeout))
+    timeout(LONGEST_CALL, exchange).await.unwrap_or_else(|_| Err(HttpError::CallTimeout))
 }
--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -1,9 +1,9 @@
 //! A fleet rig: many processes of the real program on kernel-chosen loopback ports, against stand-ins of the
-//! project's own that count what the fleet does to them, with a fault middle between.
+//! project's own that count what the fleet does to them, with a fault proxy between.
 //!
 //! - [`lists::ListService`]: the control feed; counts calls, refuses, stalls, tells older lists;
 //! - [`engines::CountingEngine`]: engines that count dials and threads, warm up, and fall over when pushed;
-//! - [`middle`]: TCP and UDP between groups of processes, with faults on command;
+//! - [`fault_proxy`]: TCP and UDP between groups of processes, with faults on command;
 //! - [`procs::Fleet`]: processes started, signalled and restarted by their own ids only;
 //! - [`client`]: open-loop clients of the platform's front;
 //! - [`subscribers`]: stand-in subscribers of the fleet's journal, over many managers;
@@ -13,13 +13,13 @@
 //! A run is bounded in time and in everything it counts, and ends every process it started.
 
 pub mod client;
-pub mod counted;
+pub mod counter;
 pub mod engines;
+pub mod fault_proxy;
 pub mod history;
 pub mod http;
 pub mod ledger;
 pub mod lists;
-pub mod middle;
 pub mod procs;
 pub mod report;
 pub mod run;
@@ -27,7 +27,7 @@
 pub mod subscribers;
 pub mod template;
 
-pub use client::ask_once;
+pub use client::query_once;
 
 use std::sync::OnceLock;
 use tokio::runtime::{Builder, Runtime};
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -3,7 +3,7 @@
 //! command it refuses (503) or stalls (takes the call and says nothing), and it tells whatever list it is given,
 //! older and contradictory ones too.
 
-use crate::counted::Tally;
+use crate::counter::Counter;
 use crate::history::Recorder;
 use crate::runtime;
 use sprucelink_history_checker::event::Event;
@@ -31,7 +31,7 @@
 
 /// How the service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum DiscoveryMode {
     /// It serves.
     Serving = 0,
     /// It answers 503 at once, and ends the calls that are open.
@@ -40,15 +40,15 @@
     Stalling = 2,
 }
 
-/// What calls look at: the mood, and how many events there are.
-type State = (Mood, usize);
+/// What calls look at: the mode, and how many events there are.
+type State = (DiscoveryMode, usize);
 
 /// The service, running on a port of its own until the process ends.
 pub struct ListService {
     /// Where it listens.
     pub address: SocketAddr,
     /// Every call, when it came.
-    pub calls: Tally,
+    pub calls: Counter,
     state: watch::Sender<State>,
     events: Arc<Mutex<Vec<String>>>,
 }
@@ -76,8 +76,8 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (state, look) = watch::channel((Mood::Serving, 1));
-        let (calls, events) = (Tally::default(), Arc::new(Mutex::new(vec![first])));
+        let (state, look) = watch::channel((DiscoveryMode::Serving, 1));
+        let (calls, events) = (Counter::default(), Arc::new(Mutex::new(vec![first])));
         let (c, e) = (calls.clone(), Arc::clone(&events));
         let seen = Arc::new((name.to_owned(), history));
         runtime().spawn(async move {
@@ -93,8 +93,8 @@
     }
 
     /// From now on calls are answered so.
-    pub fn set_mood(&self, mood: Mood) {
-        self.state.send_modify(|s| s.0 = mood);
+    pub fn set_discovery_mode(&self, mode: DiscoveryMode) {
+        self.state.send_modify(|s| s.0 = mode);
     }
 
     /// Tells one more event: `json` gets the event's number, the count of all events told so far.
@@ -135,11 +135,11 @@
 }
 
 /// The word that a history has for the answer to a poll.
-fn answer_name(mood: Mood) -> &'static str {
-    match mood {
-        Mood::Serving => "serving",
-        Mood::Refusing => "refusing",
-        Mood::Stalling => "stalling",
+fn answer_name(mode: DiscoveryMode) -> &'static str {
+    match mode {
+        DiscoveryMode::Serving => "serving",
+        DiscoveryMode::Refusing => "refusing",
+        DiscoveryMode::Stalling => "stalling",
     }
 }
 
@@ -157,7 +157,7 @@
 async fn serve(
     mut stream: TcpStream,
     start: Instant,
-    calls: &Tally,
+    calls: &Counter,
     mut look: watch::Receiver<State>,
     events: &Mutex<Vec<String>>,
     seen: &(String, Recorder),
@@ -166,35 +166,35 @@
     calls.note(start);
     let field =
         head.lines().find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id:").map(str::to_owned));
-    let mood = look.borrow().0;
+    let mode = look.borrow().0;
     seen.1.note(Event::ListCall {
         service: seen.0.clone(),
         cursor: field.as_ref().map(|v| v.trim().to_owned()),
-        answer: answer_name(mood).to_owned(),
+        answer: answer_name(mode).to_owned(),
     });
-    let mut told: usize = field.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
+    let mut sent: usize = field.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
     let mut opened = false;
     loop {
-        let (mood, n) = *look.borrow_and_update();
-        match mood {
-            Mood::Refusing if opened => return None,
-            Mood::Refusing => {
+        let (mode, n) = *look.borrow_and_update();
+        match mode {
+            DiscoveryMode::Refusing if opened => return None,
+            DiscoveryMode::Refusing => {
                 let refusal =
                     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
                 return stream.write_all(refusal).await.ok();
             }
-            Mood::Stalling => {
-                // Silent until its mood changes; a caller that gives up is noticed then.
+            DiscoveryMode::Stalling => {
+                // Silent until its mode changes; a caller that gives up is noticed then.
                 timeout(LONGEST_STALL, look.changed()).await.ok()?.ok()?;
                 continue;
             }
-            Mood::Serving => {}
+            DiscoveryMode::Serving => {}
         }
         let mut out = String::new();
         if !std::mem::replace(&mut opened, true) {
             out.push_str("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         }
-        told = append_events(&mut out, events, told, n);
+        sent = append_events(&mut out, events, sent, n);
         if out.is_empty() {
             out.push_str(": still here\n\n");
         }
--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -30,7 +30,7 @@
                 *n += 1;
                 format!("{op}-{}", *n - 1)
             });
-            values.words.insert("op", op.clone().unwrap_or_default());
+            values.variables.insert("op", op.clone().unwrap_or_default());
             let path = values.fill(&call.path)?;
             let body = match &call.body {
                 Value::Null => None,
@@ -59,14 +59,14 @@
     cursor_at: Option<&str>,
     got: Result<(u16, String), CallError>,
 ) {
-    let word = match &got {
+    let outcome = match &got {
         Ok((status, _)) => format!("status {status}"),
         Err(error) => error.to_string(),
     };
-    history.note(Event::NemesisAction { act: format!("call {what}: {word}"), on: vec![format!("n{i}")] });
+    history.note(Event::NemesisAction { act: format!("call {what}: {outcome}"), on: vec![format!("n{i}")] });
     if let (Some(op), Ok((200..=299, body))) = (op, got) {
-        let told: Option<Value> = serde_json::from_str(&body).ok();
-        let text = told.as_ref().zip(cursor_at).and_then(|(v, at)| v.pointer(at)).and_then(Value::as_str);
+        let answer: Option<Value> = serde_json::from_str(&body).ok();
+        let text = answer.as_ref().zip(cursor_at).and_then(|(v, at)| v.pointer(at)).and_then(Value::as_str);
         let cursor: Option<Cursor> = text.and_then(|t| t.parse().ok());
         history.note(Event::Acknowledged { op, cursor });
     }
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -2,7 +2,7 @@
 
 use super::{Outcome, Rig};
 use crate::client::Became;
-use crate::counted::Counted;
+use crate::counter::Counted;
 use crate::report::{Outcomes, Report, BUCKET};
 use hdrhistogram::Histogram;
 use std::sync::PoisonError;
--- a/crates/cluster-harness/src/run/life.rs
+++ b/crates/cluster-harness/src/run/life.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Lets the middle know where a manager that has come up listens for others.
+    /// Lets the fault proxy know where a manager that has come up listens for others.
     pub(super) fn bind(&mut self, i: usize) {
         if self.members.is_empty() {
             return;
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -1,7 +1,7 @@
-//! Clients that ask while a run goes on.
+//! The clients that send requests during a run.
 
 use super::{Rig, Seat};
-use crate::client::{self, Ask};
+use crate::client::{self, ClientRequest};
 use crate::ledger::request_id;
 use crate::runtime;
 use crate::scenario::Engines;
@@ -14,7 +14,7 @@
 
 /// Managers that a client of one that is down tries at most.
 const FOLLOWED: usize = 8;
-/// Requests of one manager that are open at once at most; more are not asked.
+/// Requests of one manager that are open at once at most; more are not sent.
 const MOST_OPEN: usize = 2_000;
 
 /// Where a seat's manager takes new requests now.
@@ -24,8 +24,8 @@
 }
 
 impl Rig<'_> {
-    /// Clients that ask every manager evenly, each a Poisson stream of its own.
-    pub(super) fn ask(&self) -> Vec<tokio::task::JoinHandle<()>> {
+    /// Starts the clients: each manager gets a Poisson stream of requests of its own.
+    pub(super) fn start_clients(&self) -> Vec<tokio::task::JoinHandle<()>> {
         let (load, Engines { light_ms, heavy_ms, .. }) = (self.scenario.load, self.scenario.engines);
         if load.rate <= 0.0 {
             return Vec::new();
@@ -61,10 +61,15 @@
                     }
                     let ended = Arc::clone(&ended);
                     let ms = if heavy { heavy_ms } else { light_ms };
-                    let ask =
-                        Ask { id, heavy, key, ms, timeout: Duration::from_secs_f64(load.timeout_ms / 1e3) };
+                    let request = ClientRequest {
+                        id,
+                        heavy,
+                        key,
+                        ms,
+                        timeout: Duration::from_secs_f64(load.timeout_ms / 1e3),
+                    };
                     tokio::spawn(async move {
-                        let (became, took) = client::ask(at, ask).await;
+                        let (became, took) = client::send(at, request).await;
                         let struck = seat.lock().unwrap_or_else(PoisonError::into_inner).struck;
                         let died = struck.is_some_and(|t| t >= due);
                         let row = (due.saturating_duration_since(start), became, died, took);
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -21,10 +21,10 @@
 
 use crate::client::Became;
 use crate::engines::CountingEngine;
+use crate::fault_proxy::{Faults, TcpPath, UdpNet};
 use crate::history::Recorder;
 use crate::ledger::Ledger;
 use crate::lists::ListService;
-use crate::middle::{Faults, TcpPath, UdpNet};
 use crate::procs::Fleet;
 use crate::scenario::{Act, Scenario};
 use crate::subscribers::Subscribers;
@@ -110,7 +110,7 @@
     real: Vec<Option<SocketAddr>>,
     views: Vec<Views>,
     ended: Arc<Mutex<Vec<Ended>>>,
-    /// Whom the middle tells apart among managers.
+    /// Whom the fault proxy tells apart among managers.
     parties: Vec<String>,
     history: Recorder,
     peers: Peers,
@@ -140,7 +140,7 @@
     let began = unix_ms() as f64 / 1e3;
     let mut rig = Rig::new(scenario, program)?;
     let mut timeline = rig.timeline();
-    let load = rig.ask();
+    let load = rig.start_clients();
     let done = rig.play(&mut timeline);
     load.iter().for_each(|t| t.abort());
     // What is asked has its end within its time; more is not waited for.
--- a/crates/cluster-harness/src/run/peers.rs
+++ b/crates/cluster-harness/src/run/peers.rs
@@ -1,13 +1,13 @@
-//! The managers' TCP ports: where each party reaches each of them through the fault middle.
+//! The managers' TCP ports: where each party reaches each of them through the fault proxy.
 
 use super::RunError;
-use crate::middle::{tcp_to, Faults, Target, TcpPath};
+use crate::fault_proxy::{tcp_to, Faults, Target, TcpPath};
 use crate::scenario::{Scenario, GROUPS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::PoisonError;
 
-/// The stand-in subscribers' name in the middle.
+/// The stand-in subscribers' name in the fault proxy.
 pub(super) const SUBSCRIBERS: &str = "subscribers";
 
 /// One port of all managers.
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -122,7 +122,7 @@
     pub(super) fn values(&self, i: usize) -> Values {
         let group = self.scenario.group_of(i);
         let starts = self.fleet.managers.get(i).map_or(0, |m| m.starts);
-        let words = [
+        let variables = [
             ("name", format!("n{i}")),
             ("number", i.to_string()),
             ("group", GROUPS[group].to_owned()),
@@ -136,7 +136,7 @@
         let seen =
             |name: &str| self.peers.seen(name, party).into_iter().map(|(n, a)| (n, a.to_string())).collect();
         let peers = self.scenario.ports.iter().map(|p| (p.name.clone(), seen(&p.name))).collect();
-        Values { words: words.into(), peers }
+        Values { variables: variables.into(), peers }
     }
 
     /// Tells the process its faults: points armed for it, and its disk's. A folder without faults has no such file.
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -5,10 +5,10 @@
 use super::strikes::Strikes;
 use super::{unix_ms, Engine, Life, Program, Rig, RunError};
 use crate::engines::{name_of, CountingEngine, Spec};
+use crate::fault_proxy::{self, Faults, UdpNet};
 use crate::history::Recorder;
 use crate::ledger::Ledger;
-use crate::lists::{ListService, Mood};
-use crate::middle::{self, Faults, UdpNet};
+use crate::lists::{DiscoveryMode, ListService};
 use crate::procs::{self, Fleet, Row};
 use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, HALLS};
 use crate::subscribers::Subscribers;
@@ -110,9 +110,9 @@
             let service = ListService::start_as(first, self.start, name, self.history.clone());
             let service = service.map_err(RunError::io("list service"))?;
             let mut feed = service.address;
-            if self.scenario.through_middle() {
-                let path =
-                    middle::tcp(&self.faults, name, "lists", feed).map_err(RunError::io("fault middle"))?;
+            if self.scenario.uses_fault_proxy() {
+                let path = fault_proxy::tcp(&self.faults, name, "lists", feed)
+                    .map_err(RunError::io("fault middle"))?;
                 feed = path.address;
                 self.list_paths.push(path);
             }
@@ -169,9 +169,9 @@
         let run = CountingEngine::start_as(spec, number, ledger, history, self.start)
             .map_err(RunError::io("engine"))?;
         let (mut at, mut paths) = (vec![run.address; self.parties.len()], Vec::new());
-        if self.scenario.through_middle() {
+        if self.scenario.uses_fault_proxy() {
             for (party, at) in at.iter_mut().enumerate() {
-                let path = middle::tcp(
+                let path = fault_proxy::tcp(
                     &self.faults,
                     &self.parties[party],
                     HALLS[number % self.scenario.zones],
@@ -220,12 +220,12 @@
     }
 
     pub(super) fn set_lists(&self, how: Lists) {
-        let mood = match how {
-            Lists::Serve => Mood::Serving,
-            Lists::Refuse => Mood::Refusing,
-            Lists::Stall => Mood::Stalling,
+        let mode = match how {
+            Lists::Serve => DiscoveryMode::Serving,
+            Lists::Refuse => DiscoveryMode::Refusing,
+            Lists::Stall => DiscoveryMode::Stalling,
         };
-        self.lists.iter().for_each(|l| l.set_mood(mood));
+        self.lists.iter().for_each(|l| l.set_discovery_mode(mode));
     }
 
     /// The seed of manager `i`'s process that follows so many starts.
--- a/crates/cluster-harness/src/run/ways.rs
+++ b/crates/cluster-harness/src/run/ways.rs
@@ -1,7 +1,7 @@
 //! What the nemesis does to ways between parties, and which engines it keeps from serving thereby.
 
 use super::Rig;
-use crate::middle::Rule;
+use crate::fault_proxy::Rule;
 use crate::scenario::{New, Sides, HALLS};
 use sprucelink_history_checker::event::Event;
 
--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -1,7 +1,7 @@
 //! What happens in a run: steps, acts, and on whom.
 
 use super::{InvalidScenario, Scenario, GROUPS};
-use crate::middle::{Cut, Rule};
+use crate::fault_proxy::{ConnectionCut, Rule};
 use rand::seq::index::sample;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -126,7 +126,7 @@
     Stall,
 }
 
-/// Two sides between which the fault middle lets nothing pass, or lets pass again.
+/// Two sides between which the fault proxy lets nothing pass, or lets pass again.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sides {
@@ -272,9 +272,9 @@
         /// The party to which.
         to: String,
         /// How.
-        how: Cut,
+        how: ConnectionCut,
     },
-    /// All rules of the fault middle are lifted.
+    /// All rules of the fault proxy are lifted.
     Heal,
     /// Managers are called.
     Call(Call),
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -28,7 +28,7 @@
 pub const LONGEST: f64 = 600.0;
 /// Stand-in subscribers at most.
 pub const MOST_SUBSCRIBERS: usize = 300;
-/// Managers at most where each is a party of its own in the middle: every two need a way for each port.
+/// Managers at most where each is a party of its own in the fault proxy: every two need a way for each port.
 pub const MOST_PAIRED: usize = 32;
 /// Zones of engines, by name; managers of group `a` are in the first, and so on, where managers are told their zone.
 pub const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
@@ -46,7 +46,7 @@
     /// They start one after the other over this time, in milliseconds; 0: at once.
     pub start_over_ms: f64,
     /// Shares of the managers by group (`a`, `b`, ...); with more than one, or with faults, all goes through the
-    /// fault middle.
+    /// fault proxy.
     pub groups: Vec<f64>,
     /// The engines at the start.
     pub engines: Engines,
@@ -58,7 +58,7 @@
     pub watch: Option<Watch>,
     /// Settings of failover between zones, as their JSON5 words them; absent: it is off.
     pub failover: Option<serde_json::Value>,
-    /// Managers keep a view of the fleet, by UDP through the fault middle; absent: they do not talk.
+    /// Managers keep a view of the fleet, by UDP through the fault proxy; absent: they do not talk.
     pub membership: Option<Membership>,
     /// What clients ask.
     pub load: Load,
@@ -75,7 +75,7 @@
     pub steps: Vec<Step>,
     /// The version under which managers are started at first.
     pub version: String,
-    /// Each manager is a party of its own in the middle, so that ways between two of them can have rules; at most
+    /// Each manager is a party of its own in the fault proxy, so that ways between two of them can have rules; at most
     /// [`MOST_PAIRED`] managers then. UDP has them always.
     pub pairs: bool,
     /// TCP ports that managers open for one another and for subscribers; at most 4.
@@ -143,8 +143,8 @@
         Ok(set)
     }
 
-    /// Whether what managers do goes through the fault middle.
-    pub fn through_middle(&self) -> bool {
+    /// Whether what managers do goes through the fault proxy.
+    pub fn uses_fault_proxy(&self) -> bool {
         let faulty = |s: &Step| matches!(s.act, Act::Fault { .. } | Act::Cut { .. } | Act::Part(_));
         let also = self.strikes.iter().flat_map(|s| &s.also);
         let struck =
@@ -175,7 +175,7 @@
         self.history.is_some() || self.check.is_some()
     }
 
-    /// The parties that the middle tells apart among managers: each by its name with `pairs`, else the groups.
+    /// The parties that the fault proxy tells apart among managers: each by its name with `pairs`, else the groups.
     pub fn parties(&self) -> Vec<String> {
         match self.pairs {
             true => (0..self.managers).map(|i| format!("n{i}")).collect(),
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -73,7 +73,7 @@
     pub share: SharingConfig,
 }
 
-/// A TCP port that every manager opens, and through which others reach it by the middle.
+/// A TCP port that every manager opens, and through which others reach it by the fault proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Port {
--- a/crates/cluster-harness/src/scenario/tests.rs
+++ b/crates/cluster-harness/src/scenario/tests.rs
@@ -13,7 +13,7 @@
     .expect("read");
     assert_eq!(s.steps.len(), 5);
     assert_eq!(s.steps[0].act, Act::Kill(Part { from: 0.0, to: 0.7, over_ms: 0.0 }.into()));
-    assert!(s.through_middle());
+    assert!(s.uses_fault_proxy());
     assert_eq!((s.group_of(0), s.group_of(6), s.group_of(7), s.group_of(9)), (0, 0, 1, 1));
     assert_eq!(Part { from: 0.25, to: 0.5, over_ms: 0.0 }.of(8), 2..4);
 }
@@ -67,7 +67,7 @@
                  { at: 3, do: { subscribers: { drop: 0.5 } } } ] }";
     let s = Scenario::parse(good).expect("read");
     assert_eq!((s.clock_of(0), s.clock_of(1), s.clock_of(4)), (0, -500, 3000));
-    assert!(s.through_middle() && s.records());
+    assert!(s.uses_fault_proxy() && s.records());
     for (from, to, named) in [
         ("'n2', 'b'", "'n1'", "on both sides"),
         ("n1: -500", "n9: 1", "clocks"),
--- a/crates/cluster-harness/src/subscribers/marks.rs
+++ b/crates/cluster-harness/src/subscribers/marks.rs
@@ -13,7 +13,7 @@
 pub struct Marked(BTreeMap<String, String>);
 
 /// A text or a number at a place.
-fn word(value: &Value, at: &str) -> Option<String> {
+fn text_at(value: &Value, at: &str) -> Option<String> {
     match value.pointer(at)? {
         Value::String(text) => Some(text.clone()),
         Value::Number(n) => Some(n.to_string()),
@@ -29,7 +29,7 @@
             return all;
         }
         if let Some(m) = marks.release.as_ref().filter(|m| m.record == name) {
-            if let Some((id, version)) = word(value, &m.id).zip(word(value, &m.version)) {
+            if let Some((id, version)) = text_at(value, &m.id).zip(text_at(value, &m.version)) {
                 if self.0.len() < MOST_RELEASES {
                     self.0.insert(id, version);
                 }
@@ -37,19 +37,19 @@
         }
         if let Some(m) = marks.halt.as_ref().filter(|m| m.record == name) {
             let version = match (&m.version, &m.release) {
-                (Some(at), _) => Some(word(value, at)),
-                (None, Some(at)) => word(value, at).and_then(|id| self.0.get(&id).cloned()).map(Some),
+                (Some(at), _) => Some(text_at(value, at)),
+                (None, Some(at)) => text_at(value, at).and_then(|id| self.0.get(&id).cloned()).map(Some),
                 (None, None) => Some(None),
             };
-            all.extend(word(value, &m.id).zip(version).map(|(id, version)| Event::Halted { id, version }));
+            all.extend(text_at(value, &m.id).zip(version).map(|(id, version)| Event::Halted { id, version }));
         }
         if let Some(m) = marks.halt_over.as_ref().filter(|m| m.record == name) {
-            all.extend(word(value, &m.id).map(|id| Event::HaltLifted { id }));
+            all.extend(text_at(value, &m.id).map(|id| Event::HaltLifted { id }));
         }
         if let Some(m) = marks.schema.as_ref().filter(|m| m.record == name) {
             let reads = value.pointer(&m.reads).and_then(Value::as_array);
             let reads = reads.map(|r| r.iter().filter_map(Value::as_str).map(str::to_owned).collect());
-            let publisher = word(value, &m.publisher);
+            let publisher = text_at(value, &m.publisher);
             all.extend(
                 publisher.zip(reads).map(|(publisher, reads)| Event::SchemaActivated { publisher, reads }),
             );
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -141,7 +141,7 @@
         None => request,
     };
     let request = request.body(Full::<Bytes>::default()).map_err(|_| Over::Lost("no request".into()))?;
-    let answer = http::ask(at, request).await.map_err(|error| Over::Lost(error.to_string()))?;
+    let answer = http::send(at, request).await.map_err(|error| Over::Lost(error.to_string()))?;
     match answer.status().as_u16() {
         200 => Ok(answer.into_body()),
         GONE => Err(Over::Forgotten("status 410".into())),
@@ -220,9 +220,9 @@
     manager: &str,
     bytes: &[u8],
 ) -> Result<(), StreamError> {
-    for told in stream.push(bytes)? {
+    for item in stream.push(bytes)? {
         let cursor = reader.cursor;
-        for event in reader.take(manager, told)? {
+        for event in reader.take(manager, item)? {
             let mark = matches!(
                 event,
                 Event::Halted { .. } | Event::HaltLifted { .. } | Event::SchemaActivated { .. }
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -2,7 +2,7 @@
 //! the history, where it goes next and when.
 
 use super::marks::Marked;
-use super::sse::Told;
+use super::sse::StreamItem;
 use crate::history::MOST_DATA;
 use crate::scenario::Subscribers as Spec;
 use rand::{Rng, SeedableRng};
@@ -76,13 +76,13 @@
     ///
     /// # Errors
     /// Where an event has no cursor for an id: nothing can be resumed behind it.
-    pub fn take(&mut self, manager: &str, told: Told) -> Result<Vec<Event>, InvalidEventCursor> {
-        let (name, id, data) = match told {
-            Told::Retry(ms) => {
+    pub fn take(&mut self, manager: &str, item: StreamItem) -> Result<Vec<Event>, InvalidEventCursor> {
+        let (name, id, data) = match item {
+            StreamItem::Retry(ms) => {
                 self.retry = Duration::from_millis(ms).min(LONGEST_RETRY);
                 return Ok(Vec::new());
             }
-            Told::Event { name, id, data } => (name, id, data),
+            StreamItem::Event { name, id, data } => (name, id, data),
         };
         let cursor: Cursor =
             id.parse().map_err(|source| InvalidEventCursor { event: name.clone(), source })?;
--- a/crates/cluster-harness/src/subscribers/reader/tests.rs
+++ b/crates/cluster-harness/src/subscribers/reader/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn told(name: &str, id: &str, data: &str) -> Told {
-    Told::Event { name: name.into(), id: id.into(), data: data.into() }
+fn told(name: &str, id: &str, data: &str) -> StreamItem {
+    StreamItem::Event { name: name.into(), id: id.into(), data: data.into() }
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let spec = Spec { hop_s: 2.0, ..Spec::default() };
     let run = |seed| {
         let mut r = Reader::new(&spec, 5, seed);
-        r.take("n0", Told::Retry(200)).expect("read");
+        r.take("n0", StreamItem::Retry(200)).expect("read");
         let waits: Vec<Duration> = (0..20).map(|_| r.wait()).collect();
         assert!(waits.iter().all(|w| (100..=300).contains(&w.as_millis())));
         (0..5).for_each(|_| r.hop(3));
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -11,7 +11,7 @@
 
 /// What a stream tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum StreamItem {
     /// An event.
     Event {
         /// Its name; empty where none was told.
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// Where an event is over [`MOST_EVENT`]: the stream cannot be read on.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Told>, EventTooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<StreamItem>, EventTooLong> {
         let mut out = Vec::new();
         for b in bytes {
             let behind_cr = std::mem::replace(&mut self.after_cr, *b == b'\r');
@@ -61,7 +61,7 @@
         Ok(out)
     }
 
-    fn end_line(&mut self, line: &[u8], out: &mut Vec<Told>) {
+    fn end_line(&mut self, line: &[u8], out: &mut Vec<StreamItem>) {
         let text = String::from_utf8_lossy(line);
         // One byte order mark may lead the stream.
         let text = if std::mem::replace(&mut self.begun, true) {
@@ -72,7 +72,7 @@
         if text.is_empty() {
             let (name, data) = (std::mem::take(&mut self.name), std::mem::take(&mut self.data));
             if std::mem::take(&mut self.has_data) {
-                out.push(Told::Event { name, id: self.id.clone(), data });
+                out.push(StreamItem::Event { name, id: self.id.clone(), data });
             }
             return;
         }
@@ -89,7 +89,7 @@
             }
             "id" if !value.contains('\0') => self.id = value.to_owned(),
             "retry" if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) => {
-                out.extend(value.parse().ok().map(Told::Retry));
+                out.extend(value.parse().ok().map(StreamItem::Retry));
             }
             // Comments (no name before the colon) and fields that are not known.
             _ => {}
--- a/crates/cluster-harness/src/subscribers/sse/tests.rs
+++ b/crates/cluster-harness/src/subscribers/sse/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-fn event(name: &str, id: &str, data: &str) -> Told {
-    Told::Event { name: name.into(), id: id.into(), data: data.into() }
+fn event(name: &str, id: &str, data: &str) -> StreamItem {
+    StreamItem::Event { name: name.into(), id: id.into(), data: data.into() }
 }
 
 #[test]
 fn a_stream_reads_the_same_in_any_pieces() {
     let text = "\u{feff}: hello\r\nretry: 250\nid: 1:1\nevent: permit\ndata: a\ndata:b\n\nid: 1:2\rdata\r\rdata: c\n\nevent: x\n\nid:\ndata: d\n\n";
     let want = [
-        Told::Retry(250),
+        StreamItem::Retry(250),
         event("permit", "1:1", "a\nb"),
         event("", "1:2", ""),
         event("", "1:2", "c"),
@@ -18,7 +18,7 @@
     ];
     for step in [1, 2, 3, 7, 1_000] {
         let mut stream = Stream::default();
-        let got: Vec<Told> =
+        let got: Vec<StreamItem> =
             text.as_bytes().chunks(step).flat_map(|c| stream.push(c).expect("read")).collect();
         assert_eq!(got, want, "in pieces of {step}");
     }
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -27,14 +27,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct Values {
     /// By name.
-    pub words: BTreeMap<&'static str, String>,
+    pub variables: BTreeMap<&'static str, String>,
     /// Where this manager reaches the others, by port: names and addresses.
     pub peers: BTreeMap<String, Vec<(String, String)>>,
 }
 
-const WORDS: [&str; 9] =
+/// Templates without arguments.
+const VARIABLES: [&str; 9] =
     ["name", "number", "group", "zone", "folder", "version", "seed", "clock_offset_ms", "op"];
-const NUMBERS: [&str; 3] = ["number", "seed", "clock_offset_ms"];
+/// Templates that become numbers where a text is nothing else.
+const NUMERIC_VARIABLES: [&str; 3] = ["number", "seed", "clock_offset_ms"];
 
 /// The template at the head of a text that begins with a brace: its inside and what follows.
 fn template(text: &str) -> Option<(&str, &str)> {
@@ -44,10 +46,10 @@
         .then_some((inside, rest))
 }
 
-/// Replaces every template by what `word` gives for its inside.
+/// Replaces every template by what `value_of` returns for the text between its braces.
 fn replace(
     text: &str,
-    mut word: impl FnMut(&str) -> Result<String, TemplateError>,
+    mut value_of: impl FnMut(&str) -> Result<String, TemplateError>,
 ) -> Result<String, TemplateError> {
     let (mut out, mut rest) = (String::new(), text);
     while let Some(at) = rest.find('{') {
@@ -55,7 +57,7 @@
         rest = &rest[at..];
         match template(rest) {
             Some((inside, behind)) => {
-                out.push_str(&word(inside)?);
+                out.push_str(&value_of(inside)?);
                 rest = behind;
             }
             None => {
@@ -76,17 +78,17 @@
     let known = |inside: &str| {
         let mut parts = inside.split(':');
         match (parts.next(), parts.next(), parts.next(), parts.next()) {
-            (Some(word), None, ..) => WORDS.contains(&word),
+            (Some(word), None, ..) => VARIABLES.contains(&word),
             (Some("peers" | "peers_json"), Some(p), None, _) => port(p),
             (Some("at"), Some(p), Some(_), None) => port(p),
             _ => false,
         }
     };
-    let word = |inside: &str| match known(inside) {
+    let value_of = |inside: &str| match known(inside) {
         true => Ok(String::new()),
         false => Err(TemplateError::Unknown(inside.to_owned())),
     };
-    replace(text, word).map(|_| ())
+    replace(text, value_of).map(|_| ())
 }
 
 /// As [`check`], of every text in a value.
@@ -103,9 +105,9 @@
 }
 
 impl Values {
-    fn word(&self, inside: &str) -> Result<String, TemplateError> {
+    fn value_of(&self, inside: &str) -> Result<String, TemplateError> {
         let known = || {
-            if let Some(value) = self.words.get(inside) {
+            if let Some(value) = self.variables.get(inside) {
                 return Some(value.clone());
             }
             let (word, port) = inside.split_once(':')?;
@@ -135,7 +137,7 @@
     /// # Errors
     /// A template that nothing stands for.
     pub fn fill(&self, text: &str) -> Result<String, TemplateError> {
-        replace(text, |inside| self.word(inside))
+        replace(text, |inside| self.value_of(inside))
     }
 
     /// A value with the templates of all its texts filled.
@@ -145,8 +147,8 @@
     pub fn fill_value(&self, value: &Value) -> Result<Value, TemplateError> {
         Ok(match value {
             Value::String(text) => match template(text) {
-                Some((word, "")) if NUMBERS.contains(&word) => {
-                    let filled = self.word(word)?;
+                Some((word, "")) if NUMERIC_VARIABLES.contains(&word) => {
+                    let filled = self.value_of(word)?;
                     // A seed may be over what a signed number holds.
                     let number = filled
                         .parse::<i64>()
--- a/crates/cluster-harness/src/template/tests.rs
+++ b/crates/cluster-harness/src/template/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn texts_and_values_are_filled_and_the_rest_stays() {
-    let words = [("name", "n2".to_owned()), ("clock_offset_ms", "-250".to_owned())].into();
+    let variables = [("name", "n2".to_owned()), ("clock_offset_ms", "-250".to_owned())].into();
     let peers = [("council".to_owned(), vec![("n0".to_owned(), "127.0.0.1:9".to_owned())])].into();
-    let v = Values { words, peers };
+    let v = Values { variables, peers };
     assert_eq!(v.fill("{name}/{a b}{ {peers:council}"), Ok("n2/{a b}{ n0=127.0.0.1:9".into()));
     assert_eq!(v.fill("{at:council:n0}"), Ok("127.0.0.1:9".into()));
     assert!(v.fill("{at:council:n7}").is_err() && v.fill("{folder}").is_err());
--- a/crates/cluster-harness/tests/planted.rs
+++ b/crates/cluster-harness/tests/planted.rs
@@ -127,7 +127,7 @@
 fn outages_and_acknowledgements_that_break_a_rule_fail_the_run() {
     std::thread::scope(|s| {
         s.spawn(|| breaks("rig-two-out", "next: 'v2', out_ms: { n1: 1500, n2: 1500 }", "", &[budget::NAME]));
-        // A crash in the middle of a permit breaks nothing; a permit in the middle of a crash does.
+        // A crash in the fault proxy of a permit breaks nothing; a permit in the fault proxy of a crash does.
         let crash = "steps: [ { at: 1.2, do: { kill: { names: ['n2'] } } } ]";
         s.spawn(move || breaks("rig-crash", "next: 'v2', out_ms: { n1: 2500 }", crash, &[budget::NAME]));
         s.spawn(|| breaks("rig-halt", "next: 'v2', halt_at: 10, out_ms: { n1: 2500 }", "", &[halt::NAME]));
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -2,7 +2,7 @@
 //! ready, and its settings are checked.
 mod support;
 
-use sprucelink_cluster_harness::lists::{ListService, Mood};
+use sprucelink_cluster_harness::lists::{DiscoveryMode, ListService};
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 /// The rig's list service, answering every call with 503 and noting when it came.
 fn refusing_feed() -> ListService {
     let feed = ListService::start(String::new(), Instant::now()).expect("a list service");
-    feed.set_mood(Mood::Refusing);
+    feed.set_discovery_mode(DiscoveryMode::Refusing);
     feed
 }
 
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -29,7 +29,7 @@
     for i in 0..3 {
         let at = fleet.serving(i).expect("an address");
         assert!(
-            sprucelink_cluster_harness::ask_once(at, 0x100 + i as u64).expect("an answer"),
+            sprucelink_cluster_harness::query_once(at, 0x100 + i as u64).expect("an answer"),
             "manager {i} served"
         );
     }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -1,5 +1,5 @@
 //! Failover between zones: several processes of the program, managers and engines in three zones, with faults between
-//! them by the rig's middle. What the rule says in every case is tested in `crates/zone-failover`; here it is seen to hold
+//! them by the rig's fault proxy. What the rule says in every case is tested in `crates/zone-failover`; here it is seen to hold
 //! for processes and sockets.
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
