--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -10,6 +10,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// The text of `--help`.
 const USAGE: &str = "\
 usage: sprucelink-cluster-harness run SCENARIO.json5 [--cold-start FILE] [--pair FILE] [--managers N] [--rate R]
                         [--seed N] [--repeat N] [--out DIR] [--format csv|json] [--program PATH]
--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest message that is read.
-const MOST_MESSAGE: usize = 1 << 20;
+/// Longest message of an answer that is read, in bytes.
+const MAX_MESSAGE: usize = 1 << 20;
 /// An answer that comes later than this after the request's time is lost.
 const LATE: Duration = Duration::from_millis(500);
 
@@ -82,7 +82,7 @@
         let mut head = [0u8; 5];
         stream.read_exact(&mut head).await.ok()?;
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; len.checked_sub(4).filter(|l| *l <= MOST_MESSAGE)?];
+        let mut body = vec![0; len.checked_sub(4).filter(|l| *l <= MAX_MESSAGE)?];
         stream.read_exact(&mut body).await.ok()?;
         match head[0] {
             b'D' => rows = true,
--- a/crates/cluster-harness/src/counter.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -3,8 +3,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Events kept at most: a run of ten minutes at 10,000 a second fits; beyond it events are counted, not dated.
-const MOST_EVENTS: usize = 6_000_000;
+/// Events whose time is kept; further ones are only counted. A run of ten minutes at 10,000 a second fits.
+const MAX_EVENTS: usize = 6_000_000;
 
 /// Events by when they came, counted from a start.
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
 impl Counted {
     /// Notes one event that came at `t`, counted from `start`.
     pub fn note(&mut self, start: Instant, t: Instant) {
-        if self.at.len() < MOST_EVENTS {
+        if self.at.len() < MAX_EVENTS {
             self.at.push(t.saturating_duration_since(start));
         } else {
             self.undated += 1;
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -49,7 +49,7 @@
     threads: f64,
     queries: u32,
     /// Threads at work at most so far.
-    pub most_threads: f64,
+    pub max_threads: f64,
     down_until: Option<Instant>,
 }
 
@@ -62,7 +62,7 @@
             sent: VecDeque::new(),
             threads: 0.0,
             queries: 0,
-            most_threads: 0.0,
+            max_threads: 0.0,
             down_until: None,
         }
     }
@@ -100,7 +100,7 @@
         }
         self.threads += threads;
         self.queries += 1;
-        self.most_threads = self.most_threads.max(self.threads);
+        self.max_threads = self.max_threads.max(self.threads);
         let crowding = (self.threads / (self.spec.cores * warmth)).max(1.0);
         Some(Duration::from_secs_f64(work / threads.max(1.0) * crowding))
     }
--- a/crates/cluster-harness/src/engines/machine/tests.rs
+++ b/crates/cluster-harness/src/engines/machine/tests.rs
@@ -23,5 +23,5 @@
     let runs: Vec<f64> = (0..4).map(|_| m.take(t, 0.1, 1.0).expect("taken").as_secs_f64()).collect();
     assert_eq!(runs, [0.1, 0.1, 0.15, 0.2]);
     (0..4).for_each(|_| m.release(1.0));
-    assert_eq!((m.threads(), m.most_threads), (0.0, 4.0));
+    assert_eq!((m.threads(), m.max_threads), (0.0, 4.0));
 }
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -26,8 +26,8 @@
 use tokio::time::sleep;
 use wire::{array, command};
 
-/// Connections an engine holds at most.
-const MOST_CONNECTIONS: usize = 5_000;
+/// Connections that an engine holds open; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 5_000;
 
 struct Shared {
     number: usize,
@@ -111,7 +111,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 engine.dials.note(engine.start);
                 let down = engine.machine(|m| m.down(Instant::now()));
-                if down || engine.connections.load(Ordering::Relaxed) >= MOST_CONNECTIONS {
+                if down || engine.connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                     continue;
                 }
                 engine.connections.fetch_add(1, Ordering::Relaxed);
@@ -135,16 +135,16 @@
     /// It starts anew on its port, as a process does: cold, and every connection ends.
     pub fn restart_cold(&self, cold_for: f64) {
         self.shared.machine(|m| {
-            let most = m.most_threads;
+            let most = m.max_threads;
             *m = Machine::new(Spec { cold_for, ..m.spec }, Instant::now());
-            m.most_threads = most;
+            m.max_threads = most;
         });
         self.shared.ends.send_modify(|n| *n += 1);
     }
 
     /// Threads at work at most so far.
-    pub fn most_threads(&self) -> f64 {
-        self.shared.machine(|m| m.most_threads)
+    pub fn max_threads(&self) -> f64 {
+        self.shared.machine(|m| m.max_threads)
     }
 
     /// Connections open now.
--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -9,8 +9,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// A connection that leads nowhere is held so long at most: the longest run.
-const LONGEST_SWALLOWED: Duration = Duration::from_secs(600);
+/// Time for which a connection of a black hole is kept open: as long as the longest run.
+const MAX_BLACKHOLE_TIME: Duration = Duration::from_secs(600);
 
 /// A way for one group to one target: connections to the returned address lead to `target`.
 pub struct TcpPath {
@@ -66,7 +66,7 @@
 
 /// A connection that leads nowhere: it is held, and nothing of it is read, until its client lets go.
 async fn swallow(client: TcpStream) {
-    let _ = timeout(LONGEST_SWALLOWED, client.ready(Interest::ERROR)).await;
+    let _ = timeout(MAX_BLACKHOLE_TIME, client.ready(Interest::ERROR)).await;
 }
 
 async fn carry(faults: &Faults, from: &str, to: &str, mut client: TcpStream, mut server: TcpStream) {
--- a/crates/cluster-harness/src/fault_proxy/udp.rs
+++ b/crates/cluster-harness/src/fault_proxy/udp.rs
@@ -10,10 +10,10 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Instant};
 
-/// Datagrams that wait for their delay at most, on one path; more are dropped.
-const MOST_WAITING: usize = 4_096;
-/// Members of one UDP net at most.
-const MOST_MEMBERS: usize = 2_000;
+/// Datagrams that are delayed at once on one path; further ones are dropped.
+const MAX_WAITING: usize = 4_096;
+/// Members of one UDP net.
+const MAX_MEMBERS: usize = 2_000;
 
 struct Member {
     /// Its name in the fault proxy's rules: its own, or its group's.
@@ -65,8 +65,8 @@
         let member = Arc::new(Member { group: group.to_owned(), real: Mutex::new(None), socket });
         {
             let mut reserved = self.reserved.lock().unwrap_or_else(PoisonError::into_inner);
-            if reserved.len() >= MOST_MEMBERS {
-                return Err(std::io::Error::other(format!("at most {MOST_MEMBERS} members")));
+            if reserved.len() >= MAX_MEMBERS {
+                return Err(std::io::Error::other(format!("at most {MAX_MEMBERS} members")));
             }
             reserved.insert(address, Arc::clone(&member));
         }
@@ -88,7 +88,7 @@
     /// Carries what is sent to one member's address.
     async fn relay(&self, to: &Arc<Member>) {
         let mut bytes = vec![0u8; CHUNK];
-        let waiting = Arc::new(tokio::sync::Semaphore::new(MOST_WAITING));
+        let waiting = Arc::new(tokio::sync::Semaphore::new(MAX_WAITING));
         loop {
             let Ok((n, source)) = to.socket.recv_from(&mut bytes).await else { continue };
             let members = || self.members.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -54,10 +54,10 @@
 
 /// The file's name in a run's folder.
 pub const NAME: &str = "history.jsonl";
-/// Bytes that wait to be written.
+/// Size of the write buffer, in bytes.
 const BUFFER: usize = 1 << 20;
-/// Bytes of a record's data that are kept at most, for whoever reads a history; judged is its digest.
-pub const MOST_DATA: usize = 1_024;
+/// Bytes that the history keeps of a record's data, for its readers; the checker compares the digest.
+pub const MAX_DATA_BYTES: usize = 1_024;
 
 struct Inner {
     file: BufWriter<File>,
--- a/crates/cluster-harness/src/http.rs
+++ b/crates/cluster-harness/src/http.rs
@@ -36,13 +36,12 @@
     CallTimeout,
 }
 
-/// A connection and the head of an answer must be there within this: far over a loopback's way, and under the time in
-/// which a run's steps follow one another.
-const LONGEST_HEAD: Duration = Duration::from_secs(5);
-/// And the whole answer of a call within this.
-const LONGEST_CALL: Duration = Duration::from_secs(10);
-/// Bytes of a call's answer at most.
-const MOST_ANSWER: usize = 1 << 20;
+/// Time within which a connection and the head of an answer must be there.
+const MAX_HEAD_TIME: Duration = Duration::from_secs(5);
+/// Time within which a call must be answered completely.
+const MAX_CALL_TIME: Duration = Duration::from_secs(10);
+/// Longest body of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Connects, sends a request and returns the head of the answer; the body follows as it is read. The connection ends with the body.
 ///
@@ -59,7 +58,7 @@
         tokio::spawn(connection);
         sender.send_request(request).await.map_err(HttpError::Request)
     };
-    timeout(LONGEST_HEAD, exchange).await.unwrap_or_else(|_| Err(HttpError::HeadTimeout))
+    timeout(MAX_HEAD_TIME, exchange).await.unwrap_or_else(|_| Err(HttpError::HeadTimeout))
 }
 
 /// A whole call: the status and the body as text.
@@ -81,8 +80,9 @@
     let exchange = async {
         let answer = send(at, request).await?;
         let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(HttpError::Body)?;
+        let body =
+            Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await.map_err(HttpError::Body)?;
         Ok((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
     };
-    timeout(LONGEST_CALL, exchange).await.unwrap_or_else(|_| Err(HttpError::CallTimeout))
+    timeout(MAX_CALL_TIME, exchange).await.unwrap_or_else(|_| Err(HttpError::CallTimeout))
 }
--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -8,9 +8,10 @@
 /// A send may reach a draining engine for so long after the drain was told (the settings' grace of 500 ms,
 /// and the protocol's 50 ms).
 pub const DRAIN_GRACE: Duration = Duration::from_millis(550);
-/// Requests open at once that the ledger follows at most, and ids it knows again.
-const MOST_OPEN: usize = 200_000;
-const MOST_SEEN: usize = 3_000_000;
+/// Requests in flight that the ledger follows; further ones are not checked for second attempts.
+const MAX_OPEN: usize = 200_000;
+/// Request ids that the ledger remembers; further ones count as first attempts.
+const MAX_SEEN: usize = 3_000_000;
 
 /// Counts of what broke a rule, and of what is priced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
@@ -27,9 +28,9 @@
     pub further: u64,
 }
 
-/// Sends that are dated at most.
-const MOST_SENDS: usize = 2_000_000;
-/// Where a request's id holds the number of the manager that it was asked of.
+/// Attempts whose time, manager and engine are kept; further ones are only counted.
+const MAX_SENDS: usize = 2_000_000;
+/// Bits of a request id below the number of the manager that the request was sent to.
 const MANAGER_SHIFT: u32 = 54;
 
 /// The id of a request that is asked of a manager, from something drawn.
@@ -102,17 +103,17 @@
     pub fn reached(&self, request: u64, engine: usize, connection: u64, at: Instant) {
         self.with(|l| {
             l.counts.attempts += 1;
-            if let Some(start) = l.start.filter(|_| l.sends.len() < MOST_SENDS) {
+            if let Some(start) = l.start.filter(|_| l.sends.len() < MAX_SENDS) {
                 let (manager, engine) = (manager_of(request), engine as u16);
                 l.sends.push(Sent { at: at.saturating_duration_since(start), manager, engine });
             }
-            let first = l.seen.len() >= MOST_SEEN || l.seen.insert(request);
+            let first = l.seen.len() >= MAX_SEEN || l.seen.insert(request);
             l.counts.further += u64::from(!first);
             l.counts.second_attempts += u64::from(l.out.contains_key(&request));
             let late =
                 l.draining.get(&engine).is_some_and(|told| at.saturating_duration_since(*told) > self.1);
             l.counts.after_drain += u64::from(late);
-            if l.out.len() < MOST_OPEN {
+            if l.out.len() < MAX_OPEN {
                 l.out.insert(request, (engine, connection));
             }
         });
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -15,18 +15,18 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Longest head of a call.
-const MOST_HEAD: usize = 16_384;
-/// Events kept at most.
-const MOST_EVENTS: usize = 10_000;
-/// A call lasts so long at most; the program then calls again.
-const LONGEST_CALL: Duration = Duration::from_secs(60);
-/// A stalled call is held for so long at most.
-const LONGEST_STALL: Duration = Duration::from_secs(30);
+/// Longest head of a request, in bytes.
+const MAX_HEAD: usize = 16_384;
+/// Events that the service keeps; a further one is an error.
+const MAX_EVENTS: usize = 10_000;
+/// Longest watch request; the manager then sends another.
+const MAX_CALL_TIME: Duration = Duration::from_secs(60);
+/// Longest time for which a request is left without an answer in [`DiscoveryMode::Stalling`].
+const MAX_STALL_TIME: Duration = Duration::from_secs(30);
 
 /// The service has no room for a further event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a list service tells at most {MOST_EVENTS} events")]
+#[error("a list service tells at most {MAX_EVENTS} events")]
 pub struct TooManyEvents;
 
 /// How the service answers calls.
@@ -85,7 +85,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let (c, e, look, seen) = (c.clone(), Arc::clone(&e), look.clone(), Arc::clone(&seen));
                 tokio::spawn(async move {
-                    let _ = timeout(LONGEST_CALL, serve(stream, start, &c, look, &e, &seen)).await;
+                    let _ = timeout(MAX_CALL_TIME, serve(stream, start, &c, look, &e, &seen)).await;
                 });
             }
         });
@@ -104,7 +104,7 @@
     pub fn tell(&self, json: impl FnOnce(u64) -> String) -> Result<u64, TooManyEvents> {
         let n = {
             let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
-            if events.len() >= MOST_EVENTS {
+            if events.len() >= MAX_EVENTS {
                 return Err(TooManyEvents);
             }
             let n = events.len() as u64 + 1;
@@ -127,7 +127,7 @@
     while !head.windows(4).any(|w| w == b"\r\n\r\n") {
         let n = stream.read(&mut bytes).await.ok().filter(|n| *n > 0)?;
         head.extend_from_slice(&bytes[..n]);
-        if head.len() > MOST_HEAD {
+        if head.len() > MAX_HEAD {
             return None;
         }
     }
@@ -185,7 +185,7 @@
             }
             DiscoveryMode::Stalling => {
                 // Silent until its mode changes; a caller that gives up is noticed then.
-                timeout(LONGEST_STALL, look.changed()).await.ok()?.ok()?;
+                timeout(MAX_STALL_TIME, look.changed()).await.ok()?.ok()?;
                 continue;
             }
             DiscoveryMode::Serving => {}
--- a/crates/cluster-harness/src/procs.rs
+++ b/crates/cluster-harness/src/procs.rs
@@ -11,13 +11,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Managers one rig starts at most: each holds a process, its descriptors and a log.
-pub const MOST_MANAGERS: usize = 1_000;
+/// Managers of one run: each is a process with its descriptors and a log.
+pub const MAX_MANAGERS: usize = 1_000;
 
-/// Bytes of a log that are read at most.
-const MOST_LOG: u64 = 4 << 20;
-/// Bytes of a log that one look at its news takes in at most.
-pub const MOST_NEWS: u64 = 1 << 20;
+/// Bytes that are read of a log.
+const MAX_LOG_BYTES: u64 = 4 << 20;
+/// Bytes that [`Tail::new_lines`] reads of a log at a time.
+pub const MAX_NEW_BYTES: u64 = 1 << 20;
 
 /// The settings of the rig's deployment for `managers` managers: two classes, two tenants, engines of 8
 /// cores, as the platform words them.
@@ -127,8 +127,8 @@
 
     /// Starts a manager with a configuration and further arguments of `serve`; its number.
     pub fn start(&mut self, name: &str, config: &str, args: &[String]) -> std::io::Result<usize> {
-        if self.managers.len() >= MOST_MANAGERS {
-            return Err(std::io::Error::other(format!("at most {MOST_MANAGERS} managers")));
+        if self.managers.len() >= MAX_MANAGERS {
+            return Err(std::io::Error::other(format!("at most {MAX_MANAGERS} managers")));
         }
         let path = self.dir.join(format!("{name}.json"));
         std::fs::write(&path, config)?;
@@ -199,10 +199,11 @@
         self.managers.get(i).map(|m| m.log.as_path())
     }
 
-    /// Manager `i`'s log of this start, up to [`MOST_LOG`] bytes of it.
+    /// Manager `i`'s log of this start, up to [`MAX_LOG_BYTES`] bytes of it.
     pub fn log(&self, i: usize) -> String {
         let mut log = Vec::new();
-        let read = File::open(&self.managers[i].log).and_then(|f| f.take(MOST_LOG).read_to_end(&mut log));
+        let read =
+            File::open(&self.managers[i].log).and_then(|f| f.take(MAX_LOG_BYTES).read_to_end(&mut log));
         read.map_or_else(|_| String::new(), |_| String::from_utf8_lossy(&log).into_owned())
     }
 
@@ -254,19 +255,19 @@
         Ok(Tail { file: File::open(log)?, part: Vec::new() })
     }
 
-    /// The lines that came since the last look, at most [`MOST_NEWS`] bytes of them; a longer line is cut there.
-    pub fn news(&mut self) -> Vec<String> {
-        let read = std::io::Read::by_ref(&mut self.file).take(MOST_NEWS).read_to_end(&mut self.part);
+    /// The lines that came since the last look, at most [`MAX_NEW_BYTES`] bytes of them; a longer line is cut there.
+    pub fn new_lines(&mut self) -> Vec<String> {
+        let read = std::io::Read::by_ref(&mut self.file).take(MAX_NEW_BYTES).read_to_end(&mut self.part);
         if !matches!(read, Ok(n) if n > 0) {
             return Vec::new();
         }
         let end = match self.part.iter().rposition(|b| *b == b'\n') {
             Some(at) => at + 1,
-            None if self.part.len() as u64 >= MOST_NEWS => self.part.len(),
+            None if self.part.len() as u64 >= MAX_NEW_BYTES => self.part.len(),
             None => return Vec::new(),
         };
-        let whole: Vec<u8> = self.part.drain(..end).collect();
-        String::from_utf8_lossy(&whole).lines().map(str::to_owned).collect()
+        let complete: Vec<u8> = self.part.drain(..end).collect();
+        String::from_utf8_lossy(&complete).lines().map(str::to_owned).collect()
     }
 }
 
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -101,7 +101,7 @@
     /// As above.
     pub dials_engine_100ms: usize,
     /// Threads at work on one engine at most.
-    pub most_threads: f64,
+    pub max_threads: f64,
     /// Share of attempts that crossed zones; 0 where managers are told none.
     pub crossing: f64,
     /// Of the zone that the run is about: attempts that crossed zones before it was lost, as a share.
@@ -162,7 +162,7 @@
             ("dials_100ms", self.dials_100ms.to_string()),
             ("dials_1s", self.dials_1s.to_string()),
             ("dials_engine_100ms", self.dials_engine_100ms.to_string()),
-            ("most_threads", format!("{:.0}", self.most_threads)),
+            ("most_threads", format!("{:.0}", self.max_threads)),
             ("crossing", format!("{:.4}", self.crossing)),
             ("crossed_before", format!("{:.4}", self.crossed_before)),
             ("left_s", format!("{:.2}", self.left_s)),
@@ -237,6 +237,7 @@
     title: &str,
     panels: &[(&str, Vec<Series<'_>>)],
 ) -> Result<(), Box<dyn std::error::Error>> {
+    /// Colours of a panel's lines, in their order.
     const COLOURS: [RGBColor; 6] = [
         RGBColor(31, 119, 180),
         RGBColor(214, 39, 40),
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -82,7 +82,7 @@
         for e in self.engines.iter().filter_map(|e| e.run.as_ref()) {
             let d = e.dials.read();
             r.dials_engine_100ms = r.dials_engine_100ms.max(d.peak(PEAK_100MS));
-            r.most_threads = r.most_threads.max(e.most_threads());
+            r.max_threads = r.max_threads.max(e.max_threads());
             dials.add(&d);
         }
         dials
--- a/crates/cluster-harness/src/run/life.rs
+++ b/crates/cluster-harness/src/run/life.rs
@@ -9,8 +9,8 @@
 /// A manager that is to end by SIGTERM gets no new requests from this long after it on: the platform's new
 /// connections go on for 0.2 to 0.4 s.
 pub(super) const STILL_COMING: Duration = Duration::from_millis(300);
-/// One that has not ended so long after SIGTERM is killed: the longest deadline of the rig's settings and more.
-const LONGEST_END: Duration = Duration::from_secs(30);
+/// A manager that is still running this long after SIGTERM is killed; longer than any deadline of the settings.
+const MAX_SHUTDOWN_TIME: Duration = Duration::from_secs(30);
 
 impl Rig<'_> {
     pub(super) fn seat<T>(&self, i: usize, f: impl FnOnce(&mut Seat) -> T) -> T {
@@ -55,7 +55,7 @@
         self.crashed += usize::from(next.is_none());
         self.procs[i].version = next.unwrap_or(std::mem::take(&mut self.procs[i].version));
         self.lives[i] = Life::Dead;
-        if back && self.procs[i].brought_back < supervise.most {
+        if back && self.procs[i].brought_back < supervise.max_restarts {
             self.procs[i].brought_back += 1;
             self.lives[i] = Life::Waiting(Instant::now() + Duration::from_secs_f64(supervise.back_ms / 1e3));
         }
@@ -96,7 +96,7 @@
                     self.begin(i, false)?;
                 }
                 // It had its time: it hangs, and that is a crash.
-                None if since.elapsed() > LONGEST_END => {
+                None if since.elapsed() > MAX_SHUTDOWN_TIME => {
                     self.crashed += 1;
                     self.begin(i, false)?;
                 }
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep_until;
 
-/// Managers that a client of one that is down tries at most.
-const FOLLOWED: usize = 8;
-/// Requests of one manager that are open at once at most; more are not sent.
-const MOST_OPEN: usize = 2_000;
+/// Further managers that a client tries when its own is down.
+const MAX_ALTERNATIVES: usize = 8;
+/// Requests in flight at one manager; while it has more, no further ones are sent.
+const MAX_OPEN: usize = 2_000;
 
 /// Where a seat's manager takes new requests now.
 fn where_at(seat: &Mutex<Seat>) -> Option<SocketAddr> {
@@ -49,14 +49,14 @@
                     let (id, key) = (request_id(i, rng.gen()), rng.gen::<u64>());
                     let heavy = rng.gen_bool(load.heavy);
                     let mut seat = Arc::clone(&own);
-                    for _ in 0..FOLLOWED {
+                    for _ in 0..MAX_ALTERNATIVES {
                         if where_at(&seat).is_some() || all.is_empty() {
                             break;
                         }
                         seat = all[rng.gen_range(0..all.len())].upgrade().unwrap_or(seat);
                     }
                     let Some(at) = where_at(&seat) else { continue };
-                    if Arc::strong_count(&seat) > MOST_OPEN {
+                    if Arc::strong_count(&seat) > MAX_OPEN {
                         continue;
                     }
                     let ended = Arc::clone(&ended);
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -37,10 +37,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use strikes::Strikes;
 
-/// Between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(5);
-/// Between two looks at the logs of managers that are coming up.
-const LOOK_LOGS: Duration = Duration::from_millis(25);
+/// Interval at which due steps, failpoints and open requests are checked.
+const STEP_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which the logs of starting managers are read.
+const LOG_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What to run, besides the scenario.
 #[derive(Clone, Debug)]
@@ -148,7 +148,7 @@
     let until = Instant::now() + last;
     while done.is_ok() && rig.open() > 0 && Instant::now() < until {
         rig.look();
-        std::thread::sleep(LOOK);
+        std::thread::sleep(STEP_INTERVAL);
     }
     let logs = (0..rig.fleet.managers.len()).map(|i| rig.fleet.log(i)).collect();
     let used: Vec<f64> = (0..rig.fleet.managers.len()).filter_map(|i| rig.fleet.cpu(i)).collect();
@@ -181,17 +181,17 @@
                 }
             }
             if Instant::now() >= next_logs {
-                next_logs = Instant::now() + LOOK_LOGS;
+                next_logs = Instant::now() + LOG_INTERVAL;
                 self.look();
                 self.come_back()?;
                 if self.scenario.membership.is_some() && Instant::now() >= next_views {
-                    next_views = Instant::now() + views::LOOK_VIEWS;
+                    next_views = Instant::now() + views::POLL_INTERVAL;
                     self.poll();
                 }
             }
-            self.read_news()?;
+            self.read_logs()?;
             self.follow_up()?;
-            std::thread::sleep(LOOK);
+            std::thread::sleep(STEP_INTERVAL);
         }
         Ok(())
     }
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -10,11 +10,12 @@
 
 /// The file in a process's folder that names the version its supervisor is to start next.
 pub const NEXT_VERSION_FILE: &str = "next-version";
-/// Longest name of a version.
-const LONGEST_VERSION: usize = 64;
-/// Files of a folder that are copied at most, and their bytes together.
-const MOST_COPIED: usize = 1_000;
-const MOST_COPIED_BYTES: u64 = 256 << 20;
+/// Longest name of a version, in bytes.
+const MAX_VERSION_BYTES: usize = 64;
+/// Files of a folder that is copied.
+const MAX_COPIED_FILES: usize = 1_000;
+/// Bytes of a folder that is copied, all files together.
+const MAX_COPIED_BYTES: u64 = 256 << 20;
 
 /// What the rig keeps of one manager beside its process.
 pub(super) struct Proc {
@@ -111,7 +112,7 @@
         let text = std::fs::read_to_string(&path).map_err(RunError::io_at(&path))?;
         let name = text.trim();
         let sign = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-        let good = !name.is_empty() && name.len() <= LONGEST_VERSION && name.chars().all(sign);
+        let good = !name.is_empty() && name.len() <= MAX_VERSION_BYTES && name.chars().all(sign);
         match good {
             true => Ok(name.to_owned()),
             false => Err(RunError::InvalidVersion { path }),
@@ -216,11 +217,11 @@
                 open.push((here, there));
             } else {
                 bytes += meta.len();
-                if files > MOST_COPIED || bytes > MOST_COPIED_BYTES {
+                if files > MAX_COPIED_FILES || bytes > MAX_COPIED_BYTES {
                     return Err(RunError::FolderTooLarge {
                         path: from,
-                        max_files: MOST_COPIED,
-                        max_bytes: MOST_COPIED_BYTES,
+                        max_files: MAX_COPIED_FILES,
+                        max_bytes: MAX_COPIED_BYTES,
                     });
                 }
                 std::fs::copy(&here, &there).map_err(RunError::io_at(&here))?;
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -19,10 +19,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long an engine is cold, in seconds: the settings' own. How much slower a slow one is.
+/// Duration of an engine's slow start, in seconds; the managers' settings say the same.
 pub(super) const COLD_FOR: f64 = 15.0;
-const SLOW: f64 = 10.0;
-/// Managers that all others know as seeds.
+/// Factor by which a query takes longer on a slow engine.
+const SLOW_FACTOR: f64 = 10.0;
+/// Managers that all others have as seeds of the membership.
 const SEEDS: usize = 3;
 
 /// The history that the scenario asks for; one that records nothing if it asks for none.
@@ -30,8 +31,8 @@
     if !scenario.records() {
         return Ok(Recorder::default());
     }
-    let History { engines, most_mb } = scenario.history.unwrap_or_default();
-    Recorder::start(&program.dir, start, most_mb << 20, engines).map_err(RunError::io("the history"))
+    let History { engines, max_mb } = scenario.history.unwrap_or_default();
+    Recorder::start(&program.dir, start, max_mb << 20, engines).map_err(RunError::io("the history"))
 }
 
 /// The managers' settings, with the scenario's zones.
@@ -160,7 +161,7 @@
 
     pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), RunError> {
         let e = &self.scenario.engines;
-        let times = if self.engines.len() < e.slow { SLOW } else { 1.0 };
+        let times = if self.engines.len() < e.slow { SLOW_FACTOR } else { 1.0 };
         let (light, heavy) = (times * e.light_ms / 1e3, times * e.heavy_ms / 1e3);
         let cold_for = if cold { COLD_FOR } else { 0.0 };
         let spec = Spec { cores: e.cores, light, heavy, cold_for, ..Spec::default() };
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -11,8 +11,8 @@
 use sprucelink_history_checker::event::Event;
 use std::time::{Duration, Instant};
 
-/// Letters of an act's words that a history keeps.
-const MOST_WORDS: usize = 400;
+/// Bytes of an action's text that the history keeps.
+const MAX_ACTION_TEXT: usize = 400;
 
 impl Rig<'_> {
     /// All that happens, in order: starts, and the steps with each manager's part of them.
@@ -68,7 +68,7 @@
             _ => None,
         };
         let mut act = format!("{act:?}");
-        if let Some(end) = (MOST_WORDS..act.len()).find(|i| act.is_char_boundary(*i)) {
+        if let Some(end) = (MAX_ACTION_TEXT..act.len()).find(|i| act.is_char_boundary(*i)) {
             act.truncate(end);
         }
         self.history.note(Event::NemesisAction { act, on: on.unwrap_or_default() });
--- a/crates/cluster-harness/src/run/strikes.rs
+++ b/crates/cluster-harness/src/run/strikes.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Acts that wait for their time at most.
-const MOST_LATER: usize = 1_000;
+/// Actions that wait for their time after a failpoint fault.
+const MAX_PENDING_ACTIONS: usize = 1_000;
 
 /// A strike and whom it still waits for.
 struct Waiting {
@@ -56,11 +56,11 @@
 
 impl Rig<'_> {
     /// Reads what logs tell of ports and points, and strikes at once.
-    pub(super) fn read_news(&mut self) -> Result<(), RunError> {
+    pub(super) fn read_logs(&mut self) -> Result<(), RunError> {
         for i in 0..self.procs.len() {
             let wanted = !self.procs[i].unbound.is_empty() || self.strikes.awaits(i);
             let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
-            for line in tail.news() {
+            for line in tail.new_lines() {
                 if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::HIT_LINE_PREFIX) {
                     self.at_point(i, point)?;
                 } else {
@@ -98,8 +98,8 @@
             }
         };
         if let Some(ms) = strike.back_ms {
-            if self.later.len() >= MOST_LATER {
-                return Err(RunError::TooManyPendingActions { max: MOST_LATER });
+            if self.later.len() >= MAX_PENDING_ACTIONS {
+                return Err(RunError::TooManyPendingActions { max: MAX_PENDING_ACTIONS });
             }
             self.later.push((Instant::now() + Duration::from_secs_f64(ms / 1e3), back));
         }
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -6,10 +6,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two rounds of asking managers for their views, how many ask at once, and rounds kept at most.
-pub(super) const LOOK_VIEWS: Duration = Duration::from_millis(250);
-const ASKERS: usize = 8;
-const MOST_VIEWS: usize = 10_000;
+/// Interval between two rounds of polling the managers for their views.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Threads that poll managers at once.
+const POLL_THREADS: usize = 8;
+/// Rounds of polling that are kept.
+const MAX_VIEWS: usize = 10_000;
 
 /// Names that a manager holds as here, its own among them; `None` where it did not answer.
 fn held_by(real: SocketAddr) -> Option<BTreeSet<String>> {
@@ -28,7 +30,7 @@
         let at = self.start.elapsed().as_secs_f64();
         let names: BTreeSet<String> = asked.iter().map(|(i, _)| format!("n{i}")).collect();
         let held: Vec<Option<BTreeSet<String>>> = std::thread::scope(|scope| {
-            let parts: Vec<_> = asked.chunks(asked.len().div_ceil(ASKERS).max(1)).collect();
+            let parts: Vec<_> = asked.chunks(asked.len().div_ceil(POLL_THREADS).max(1)).collect();
             let asking: Vec<_> = parts
                 .into_iter()
                 .map(|part| {
@@ -45,7 +47,7 @@
             wrong: held.iter().map(|h| h.symmetric_difference(&names).count()).sum(),
             different: held.iter().collect::<BTreeSet<_>>().len(),
         };
-        if self.views.len() < MOST_VIEWS {
+        if self.views.len() < MAX_VIEWS {
             self.views.push(row);
         }
     }
--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/acts.rs
@@ -10,8 +10,8 @@
 use sprucelink_settings::check_range;
 use std::collections::BTreeMap;
 
-/// A step happens so many times at most.
-pub(super) const MOST_TIMES: usize = 1_000;
+/// Repetitions of a step.
+pub(super) const MAX_TIMES: usize = 1_000;
 
 /// A part of the fleet (or of the engines), in shares of it: from the first up to, without, the second.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -1,32 +1,39 @@
 //! What a scenario may say: every count, time and name is held against its bound, and an error names its path.
 
-use super::acts::MOST_TIMES;
+use super::acts::MAX_TIMES;
 use super::{
-    Act, Call, InvalidScenario, Scenario, Sides, Step, Strike, Subs, GROUPS, HALLS, LONGEST, MOST_ENGINES,
-    MOST_PAIRED, MOST_SUBSCRIBERS,
+    Act, Call, InvalidScenario, Scenario, Sides, Step, Strike, Subs, GROUPS, HALLS, MAX_ENGINES,
+    MAX_PAIRED_MANAGERS, MAX_RUN_SECONDS, MAX_SUBSCRIBERS,
 };
-use crate::procs::MOST_MANAGERS;
+use crate::procs::MAX_MANAGERS;
 use crate::template;
 use sprucelink_failpoints::fault_file::{Failpoints, FaultFile};
 use sprucelink_settings::check_range;
 
-/// Steps at most, strikes, ports, files of each manager, further arguments, acts of one strike.
-const MOST_STEPS: usize = 200;
-const MOST_STRIKES: usize = 16;
-const MOST_PORTS: usize = 4;
-const MOST_FILES: usize = 8;
-const MOST_ARGS: usize = 32;
-const MOST_ALSO: usize = 8;
-/// A clock is off by a day at most, in milliseconds.
-const MOST_OFFSET_MS: i64 = 86_400_000;
-/// Versions, filters and pointers of the subscribers at most.
-const MOST_WORDS: usize = 64;
+/// Steps of a scenario.
+const MAX_STEPS: usize = 200;
+/// Faults at failpoints of a scenario.
+const MAX_FAILPOINT_FAULTS: usize = 16;
+/// TCP ports of a manager.
+const MAX_PORTS: usize = 4;
+/// Files that are written into a manager's folder.
+const MAX_FILES: usize = 8;
+/// Further arguments of a manager's process.
+const MAX_ARGS: usize = 32;
+/// Further actions of one fault at a failpoint.
+const MAX_FURTHER_ACTIONS: usize = 8;
+/// Largest clock offset, ahead or behind: a day, in milliseconds.
+const MAX_CLOCK_OFFSET_MS: i64 = 86_400_000;
+/// Entries of each list of the subscribers' section: versions, filters, pointers.
+const MAX_LIST_ENTRIES: usize = 64;
 
-fn plain_word(what: &str, word: &str) -> Result<(), InvalidScenario> {
-    let sign = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    let good = !word.is_empty() && word.len() <= 64 && word.chars().all(sign) && !word.starts_with('.');
-    good.then_some(())
-        .ok_or_else(|| InvalidScenario::InvalidName { path: what.to_owned(), name: word.to_owned() })
+fn check_name(path: &str, name: &str) -> Result<(), InvalidScenario> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+    let is_valid =
+        !name.is_empty() && name.len() <= 64 && name.chars().all(is_allowed) && !name.starts_with('.');
+    is_valid
+        .then_some(())
+        .ok_or_else(|| InvalidScenario::InvalidName { path: path.to_owned(), name: name.to_owned() })
 }
 
 fn pointer(what: &str, p: &str) -> Result<(), InvalidScenario> {
@@ -45,10 +52,10 @@
         if self.name.is_empty() || self.name.len() > 64 || !self.name.chars().all(plain) {
             return Err(InvalidScenario::InvalidScenarioName(self.name.clone()));
         }
-        let most = if self.pairs { MOST_PAIRED } else { MOST_MANAGERS };
-        check_range("managers", self.managers as f64, 1.0, most as f64)?;
+        let max_managers = if self.pairs { MAX_PAIRED_MANAGERS } else { MAX_MANAGERS };
+        check_range("managers", self.managers as f64, 1.0, max_managers as f64)?;
         check_range("start_over_ms", self.start_over_ms, 0.0, 60_000.0)?;
-        check_range("seconds", self.seconds, 0.5, LONGEST)?;
+        check_range("seconds", self.seconds, 0.5, MAX_RUN_SECONDS)?;
         check_range("drain_grace_ms", self.drain_grace_ms, 0.0, 60_000.0)?;
         self.check_engines()?;
         check_range("load.rate", self.load.rate, 0.0, 5_000.0)?;
@@ -60,17 +67,17 @@
         }
         check_range("groups", self.groups.len() as f64, 1.0, GROUPS.len() as f64)?;
         check_range("groups: their sum", self.groups.iter().sum(), 0.999, 1.001)?;
-        check_range("steps", self.steps.len() as f64, 0.0, MOST_STEPS as f64)?;
+        check_range("steps", self.steps.len() as f64, 0.0, MAX_STEPS as f64)?;
         for (i, step) in self.steps.iter().enumerate() {
             self.check_step(step).map_err(|e| e.at(format!("steps[{i}]")))?;
         }
         self.check_processes()?;
-        check_range("strikes", self.strikes.len() as f64, 0.0, MOST_STRIKES as f64)?;
+        check_range("strikes", self.strikes.len() as f64, 0.0, MAX_FAILPOINT_FAULTS as f64)?;
         for (i, strike) in self.strikes.iter().enumerate() {
             self.check_strike(strike).map_err(|e| e.at(format!("strikes[{i}]")))?;
         }
         if let Some(h) = self.history {
-            check_range("history.most_mb", h.most_mb as f64, 1.0, 1_024.0)?;
+            check_range("history.most_mb", h.max_mb as f64, 1.0, 1_024.0)?;
         }
         if let Some(terms) = &self.check {
             terms.check().map_err(InvalidScenario::Check)?;
@@ -85,7 +92,7 @@
             .iter()
             .map(|s| if let Act::EnginesCome(n) = s.act { n.saturating_mul(s.times) } else { 0 })
             .sum();
-        check_range("engines.count", e.count.saturating_add(come) as f64, 1.0, MOST_ENGINES as f64)?;
+        check_range("engines.count", e.count.saturating_add(come) as f64, 1.0, MAX_ENGINES as f64)?;
         check_range("engines.cold", e.cold as f64, 0.0, e.count as f64)?;
         check_range("engines.missing", e.missing as f64, 0.0, e.count as f64)?;
         check_range("engines.slow", e.slow as f64, 0.0, e.count as f64)?;
@@ -109,19 +116,19 @@
     }
 
     fn check_processes(&self) -> Result<(), InvalidScenario> {
-        plain_word("version", &self.version)?;
-        check_range("ports", self.ports.len() as f64, 0.0, MOST_PORTS as f64)?;
+        check_name("version", &self.version)?;
+        check_range("ports", self.ports.len() as f64, 0.0, MAX_PORTS as f64)?;
         for p in &self.ports {
-            plain_word("ports: name", &p.name)?;
+            check_name("ports: name", &p.name)?;
             if p.said.is_empty() || p.said.len() > 64 {
                 return Err(InvalidScenario::InvalidPortLogText);
             }
         }
-        check_range("files", self.files.len() as f64, 0.0, MOST_FILES as f64)?;
-        check_range("args", self.args.len() as f64, 0.0, MOST_ARGS as f64)?;
+        check_range("files", self.files.len() as f64, 0.0, MAX_FILES as f64)?;
+        check_range("args", self.args.len() as f64, 0.0, MAX_ARGS as f64)?;
         let port = |name: &str| self.ports.iter().any(|p| p.name == name);
         for (name, value) in &self.files {
-            plain_word("files", name)?;
+            check_name("files", name)?;
             template::check_value(value, &port)
                 .map_err(InvalidScenario::template(format!("files.{name}")))?;
         }
@@ -131,15 +138,15 @@
         for (who, ms) in &self.clocks {
             let known = self.number_of(who).is_some() || self.groups_named().any(|g| g == who);
             known.then_some(()).ok_or_else(|| InvalidScenario::UnknownClock(who.clone()))?;
-            check_range("clocks", *ms as f64, -MOST_OFFSET_MS as f64, MOST_OFFSET_MS as f64)?;
+            check_range("clocks", *ms as f64, -MAX_CLOCK_OFFSET_MS as f64, MAX_CLOCK_OFFSET_MS as f64)?;
         }
         check_range("supervise.back_ms", self.supervise.back_ms, 0.0, 60_000.0)?;
-        Ok(check_range("supervise.most", self.supervise.most as f64, 0.0, 1_000.0)?)
+        Ok(check_range("supervise.most", self.supervise.max_restarts as f64, 0.0, 1_000.0)?)
     }
 
     fn check_step(&self, step: &Step) -> Result<(), InvalidScenario> {
         check_range("at", step.at, 0.0, self.seconds)?;
-        check_range("times", step.times as f64, 1.0, MOST_TIMES as f64)?;
+        check_range("times", step.times as f64, 1.0, MAX_TIMES as f64)?;
         check_range("every", step.every, 0.0, self.seconds)?;
         check_range("spread", step.spread, 0.0, self.seconds)?;
         check_range(
@@ -162,7 +169,7 @@
 
     fn check_sides(&self, sides: &Sides) -> Result<(), InvalidScenario> {
         for (what, side) in [("from", &sides.from), ("to", &sides.to)] {
-            check_range(what, side.len() as f64, 1.0, MOST_PAIRED as f64)?;
+            check_range(what, side.len() as f64, 1.0, MAX_PAIRED_MANAGERS as f64)?;
             side.iter().try_for_each(|g| self.party(g))?;
         }
         match sides.from.iter().find(|g| sides.to.contains(g)) {
@@ -175,10 +182,10 @@
         call.to.check(self).map_err(|e| e.at("call.to"))?;
         let port = |name: &str| self.ports.iter().any(|p| p.name == name);
         port(&call.port).then_some(()).ok_or_else(|| InvalidScenario::UnknownCallPort(call.port.clone()))?;
-        plain_word("call.method", &call.method)?;
+        check_name("call.method", &call.method)?;
         template::check(&call.path, &port).map_err(InvalidScenario::template("call.path"))?;
         template::check_value(&call.body, &port).map_err(InvalidScenario::template("call.body"))?;
-        call.op.as_ref().map_or(Ok(()), |op| plain_word("call.op", op))?;
+        call.op.as_ref().map_or(Ok(()), |op| check_name("call.op", op))?;
         call.cursor_at.as_ref().map_or(Ok(()), |p| pointer("call.cursor_at", p))
     }
 
@@ -193,7 +200,7 @@
             }
             Act::Tear { who, file, bytes } => {
                 who.check(self)?;
-                plain_word("tear.file", file)?;
+                check_name("tear.file", file)?;
                 Ok(check_range("tear.bytes", *bytes as f64, 1.0, 1e9)?)
             }
             Act::EnginesDrain(p) | Act::EnginesGo(p) | Act::EnginesVanish(p) => p.check(),
@@ -227,20 +234,20 @@
         let arm = [(s.point.clone(), s.pass)].into();
         FaultFile { points: Failpoints { arm, wait_ms: s.wait_ms }, ..FaultFile::default() }.check()?;
         check_range("back_ms", s.back_ms.unwrap_or(0.0), 0.0, 600_000.0)?;
-        check_range("also", s.also.len() as f64, 0.0, MOST_ALSO as f64)?;
+        check_range("also", s.also.len() as f64, 0.0, MAX_FURTHER_ACTIONS as f64)?;
         s.also.iter().try_for_each(|a| self.check_act(a)).map_err(|e| e.at("also"))
     }
 
     fn check_subscribers(&self) -> Result<(), InvalidScenario> {
         let s = &self.subscribers;
-        check_range("count", s.count as f64, 0.0, MOST_SUBSCRIBERS as f64)?;
+        check_range("count", s.count as f64, 0.0, MAX_SUBSCRIBERS as f64)?;
         check_range("over_ms", s.over_ms, 0.0, 60_000.0)?;
-        check_range("hop_s", s.hop_s, 0.0, LONGEST)?;
+        check_range("hop_s", s.hop_s, 0.0, MAX_RUN_SECONDS)?;
         check_range("retry_ms", s.retry_ms, 1.0, 60_000.0)?;
         check_range("silent_ms", s.silent_ms, 100.0, 600_000.0)?;
-        check_range("versions", s.versions.len() as f64, 1.0, MOST_WORDS as f64)?;
-        check_range("filters", s.filters.len() as f64, 1.0, MOST_WORDS as f64)?;
-        s.versions.iter().try_for_each(|v| plain_word("versions", v))?;
+        check_range("versions", s.versions.len() as f64, 1.0, MAX_LIST_ENTRIES as f64)?;
+        check_range("filters", s.filters.len() as f64, 1.0, MAX_LIST_ENTRIES as f64)?;
+        s.versions.iter().try_for_each(|v| check_name("versions", v))?;
         s.to.as_ref().map_or(Ok(()), |w| w.check(self).map_err(|e| e.at("to")))?;
         if s.count > 0 {
             check_range("at", s.at, 0.0, self.seconds)?;
@@ -253,10 +260,10 @@
         pointer("prev_at", &s.prev_at)?;
         pointer("op_at", &s.op_at)?;
         let needs = || s.needs.values().flat_map(|n| n.values()).flatten();
-        check_range("needs", needs().count() as f64, 0.0, MOST_WORDS as f64)?;
+        check_range("needs", needs().count() as f64, 0.0, MAX_LIST_ENTRIES as f64)?;
         needs().try_for_each(|p| pointer("needs", p))?;
         let m = &s.marks;
-        check_range("marks.only", m.only.len() as f64, 0.0, MOST_WORDS as f64)?;
+        check_range("marks.only", m.only.len() as f64, 0.0, MAX_LIST_ENTRIES as f64)?;
         let only = m.only.keys().chain(m.release.iter().flat_map(|r| [&r.id, &r.version]));
         let halt =
             m.halt.iter().flat_map(|h| [Some(&h.id), h.version.as_ref(), h.release.as_ref()]).flatten();
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -22,14 +22,14 @@
 use sprucelink_history_checker::config::CheckConfig;
 use std::collections::BTreeMap;
 
-/// Engines of a run at most, those that come later included.
-pub const MOST_ENGINES: usize = 200;
+/// Engines of a run, those that are added later included.
+pub const MAX_ENGINES: usize = 200;
 /// Longest run, in seconds.
-pub const LONGEST: f64 = 600.0;
-/// Stand-in subscribers at most.
-pub const MOST_SUBSCRIBERS: usize = 300;
-/// Managers at most where each is a party of its own in the fault proxy: every two need a way for each port.
-pub const MOST_PAIRED: usize = 32;
+pub const MAX_RUN_SECONDS: f64 = 600.0;
+/// Stand-in subscribers of a run.
+pub const MAX_SUBSCRIBERS: usize = 300;
+/// Managers of a run in which each is a party of its own in the fault proxy: every two need a path for each port.
+pub const MAX_PAIRED_MANAGERS: usize = 32;
 /// Zones of engines, by name; managers of group `a` are in the first, and so on, where managers are told their zone.
 pub const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
 /// Groups of managers, by name.
@@ -76,7 +76,7 @@
     /// The version under which managers are started at first.
     pub version: String,
     /// Each manager is a party of its own in the fault proxy, so that ways between two of them can have rules; at most
-    /// [`MOST_PAIRED`] managers then. UDP has them always.
+    /// [`MAX_PAIRED_MANAGERS`] managers then. UDP has them always.
     pub pairs: bool,
     /// TCP ports that managers open for one another and for subscribers; at most 4.
     pub ports: Vec<Port>,
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -91,13 +91,14 @@
     pub crashed: bool,
     /// So many milliseconds later; 0 to 60,000.
     pub back_ms: f64,
-    /// So often in a run, each; then it stays down. 0 to 1,000.
-    pub most: usize,
+    /// Restarts of one manager in a run; after them it stays down. 0 to 1,000.
+    #[serde(rename = "most")]
+    pub max_restarts: usize,
 }
 
 impl Default for Supervise {
     fn default() -> Supervise {
-        Supervise { crashed: false, back_ms: 100.0, most: 100 }
+        Supervise { crashed: false, back_ms: 100.0, max_restarts: 100 }
     }
 }
 
@@ -107,13 +108,14 @@
 pub struct History {
     /// Every connection and command at the engines.
     pub engines: bool,
-    /// Its length in MB at most (1 to 1,024); a run that would write more fails.
-    pub most_mb: u64,
+    /// Its maximum length in MB (1 to 1,024); a run that would write more fails.
+    #[serde(rename = "most_mb")]
+    pub max_mb: u64,
 }
 
 impl Default for History {
     fn default() -> History {
-        History { engines: true, most_mb: 256 }
+        History { engines: true, max_mb: 256 }
     }
 }
 
--- a/crates/cluster-harness/src/subscribers/marks.rs
+++ b/crates/cluster-harness/src/subscribers/marks.rs
@@ -5,8 +5,8 @@
 use sprucelink_history_checker::event::Event;
 use std::collections::BTreeMap;
 
-/// Releases that a subscriber remembers at most; further ones it does not know.
-const MOST_RELEASES: usize = 1_000;
+/// Releases that a subscriber remembers; further ones it does not know.
+const MAX_RELEASES: usize = 1_000;
 
 /// What one subscriber has read of releases: their versions.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
         }
         if let Some(m) = marks.release.as_ref().filter(|m| m.record == name) {
             if let Some((id, version)) = text_at(value, &m.id).zip(text_at(value, &m.version)) {
-                if self.0.len() < MOST_RELEASES {
+                if self.0.len() < MAX_RELEASES {
                     self.0.insert(id, version);
                 }
             }
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -22,13 +22,13 @@
 use tokio::sync::broadcast;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Orders that a subscriber has not yet taken at most; one that misses some goes on with the next.
-const MOST_ORDERS: usize = 64;
+/// Commands queued for a subscriber; one that falls behind further misses the oldest.
+const MAX_ORDERS: usize = 64;
 /// The status that says of a cursor that it leads nowhere any more (RFC 9110, 410 Gone): the state is given up with it.
 const GONE: u16 = 410;
 
-/// Marks that are known again at most; further ones are noted by each subscriber that reads them.
-const MOST_MARKED: usize = 100_000;
+/// Marks that are remembered, so that each is noted once; further ones are noted by every subscriber that reads them.
+const MAX_MARKED: usize = 100_000;
 
 struct Shared {
     spec: Spec,
@@ -62,7 +62,7 @@
         history: Recorder,
     ) -> Subscribers {
         let spec = scenario.subscribers.clone();
-        let (orders, _) = broadcast::channel(MOST_ORDERS);
+        let (orders, _) = broadcast::channel(MAX_ORDERS);
         let (count, apart) = (spec.count, spec.over_ms / 1e3 / spec.count.max(1) as f64);
         let first = start + Duration::from_secs_f64(spec.at);
         let shared =
@@ -231,7 +231,7 @@
             let place = || format!("{:?} {:?}", reader.cursor.or(cursor), std::mem::discriminant(&event));
             let first = || {
                 let mut marked = shared.marked.lock().unwrap_or_else(PoisonError::into_inner);
-                marked.len() >= MOST_MARKED || marked.insert(place())
+                marked.len() >= MAX_MARKED || marked.insert(place())
             };
             if !mark || first() {
                 shared.history.note(event);
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -3,7 +3,7 @@
 
 use super::marks::Marked;
 use super::sse::StreamItem;
-use crate::history::MOST_DATA;
+use crate::history::MAX_DATA_BYTES;
 use crate::scenario::Subscribers as Spec;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,7 +24,7 @@
 /// The name of an event that stands for all records up to its id.
 const SNAPSHOT: &str = "snapshot";
 /// A `retry` longer than this is taken as this: a manager cannot send a subscriber away for good.
-const LONGEST_RETRY: Duration = Duration::from_secs(60);
+const MAX_RETRY: Duration = Duration::from_secs(60);
 
 /// One subscriber.
 #[derive(Debug)]
@@ -79,7 +79,7 @@
     pub fn take(&mut self, manager: &str, item: StreamItem) -> Result<Vec<Event>, InvalidEventCursor> {
         let (name, id, data) = match item {
             StreamItem::Retry(ms) => {
-                self.retry = Duration::from_millis(ms).min(LONGEST_RETRY);
+                self.retry = Duration::from_millis(ms).min(MAX_RETRY);
                 return Ok(Vec::new());
             }
             StreamItem::Event { name, id, data } => (name, id, data),
@@ -109,8 +109,8 @@
         let op = text(&self.spec.op_at).map(str::to_owned);
         let mut all = value.as_ref().map_or(Vec::new(), |v| self.marks.read(&self.spec.marks, &name, v));
         let mut data = data;
-        if data.len() > MOST_DATA {
-            let end = (0..=MOST_DATA).rev().find(|i| data.is_char_boundary(*i)).unwrap_or(0);
+        if data.len() > MAX_DATA_BYTES {
+            let end = (0..=MAX_DATA_BYTES).rev().find(|i| data.is_char_boundary(*i)).unwrap_or(0);
             data.truncate(end);
         }
         all.insert(
--- a/crates/cluster-harness/src/subscribers/reader/tests.rs
+++ b/crates/cluster-harness/src/subscribers/reader/tests.rs
@@ -36,7 +36,7 @@
     assert!(a.take("n0", told("permit", "8", "{}")).is_err(), "an id that is no cursor");
     let long = format!(r#"{{"a":"{}"}}"#, "é".repeat(2_000));
     match &a.take("n0", told("x", "1:9", &long)).expect("read")[0] {
-        Event::Record { data, .. } => assert!(data.len() <= MOST_DATA),
+        Event::Record { data, .. } => assert!(data.len() <= MAX_DATA_BYTES),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -1,12 +1,12 @@
 //! Server-sent events, read piece by piece as WHATWG's HTML standard words them ("Interpreting an event stream"):
 //! lines end in LF, CR or both; an event is over at an empty line; one without data is none.
 
-/// Bytes of one event at most, its lines together.
-pub const MOST_EVENT: usize = 1 << 20;
+/// Longest event, all its lines together, in bytes.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// An event exceeds [`MOST_EVENT`].
+/// An event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event of over {MOST_EVENT} bytes")]
+#[error("an event of over {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 /// What a stream tells.
@@ -41,7 +41,7 @@
     /// Takes the next bytes in and gives what they complete.
     ///
     /// # Errors
-    /// Where an event is over [`MOST_EVENT`]: the stream cannot be read on.
+    /// Where an event is over [`MAX_EVENT_BYTES`]: the stream cannot be read on.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<StreamItem>, EventTooLong> {
         let mut out = Vec::new();
         for b in bytes {
@@ -54,7 +54,7 @@
                 }
                 b => self.line.push(*b),
             }
-            if self.line.len() + self.data.len() > MOST_EVENT {
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
                 return Err(EventTooLong);
             }
         }
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -140,10 +140,10 @@
     let tight = "{ enabled: true, admission: { first: 2, gain: 0.01, open_at: 1000, warm_ms: 60000 } }";
     let warm = play("earned", scenario, Some(tight));
     // Two managers, two in hand each: never more than four threads at work, for four seconds.
-    assert!(warm.report.most_threads <= 5.0, "{} threads", warm.report.most_threads);
+    assert!(warm.report.max_threads <= 5.0, "{} threads", warm.report.max_threads);
     assert!(warm.report.refused > warm.report.served, "{:?}", warm.report);
     let plain = play("earned-off", scenario, None);
-    assert!(plain.report.most_threads >= 8.0, "without it: {} threads", plain.report.most_threads);
+    assert!(plain.report.max_threads >= 8.0, "without it: {} threads", plain.report.max_threads);
 }
 
 /// Managers that are killed and started again in their own warm-up, twice: each comes up, says once that it is
