--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -23,7 +23,7 @@
 impl Rig<'_> {
     /// Makes a call; it is not waited for.
     pub(super) fn call(&mut self, call: &Call) -> Result<(), RunError> {
-        for i in self.who(&call.to) {
+        for i in self.select_managers(&call.to) {
             let mut values = self.values(i);
             let op = call.op.as_ref().map(|op| {
                 let n = self.ops.entry(op.clone()).or_insert(0);
--- /dev/null
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -0,0 +1,136 @@
+//! Faults of processes that reach a failpoint, and the actions that follow later.
+
+use super::{Life, Rig, RunError};
+use crate::scenario::{Action, FailpointFault, ManagerSelector, ProcessFault, Scenario};
+use nix::sys::signal::Signal;
+use sprucelink_failpoints::fault_file::Failpoints;
+use sprucelink_history_checker::event::Event;
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+/// Actions that wait for their time after a failpoint fault.
+const MAX_PENDING_ACTIONS: usize = 1_000;
+
+/// A fault and the managers that have yet to reach its failpoint.
+struct ArmedFault {
+    fault: FailpointFault,
+    left: BTreeSet<usize>,
+}
+
+/// All failpoint faults of a run.
+#[derive(Default)]
+pub(super) struct FailpointFaults(Vec<ArmedFault>);
+
+impl FailpointFaults {
+    /// The failpoint faults of a scenario; managers that are drawn at random are drawn now.
+    pub(super) fn new(scenario: &Scenario) -> FailpointFaults {
+        let one = |(k, fault): (usize, &FailpointFault)| {
+            let left = fault.managers.select(scenario, 1 << 40 | k as u64).into_iter().collect();
+            ArmedFault { fault: fault.clone(), left }
+        };
+        FailpointFaults(scenario.failpoint_faults.iter().enumerate().map(one).collect())
+    }
+
+    /// The failpoints that are armed in manager `i`'s next process.
+    pub(super) fn armed(&self, i: usize) -> Failpoints {
+        let own: Vec<&ArmedFault> = self.0.iter().filter(|w| w.left.contains(&i)).collect();
+        let wait_ms = own.iter().map(|w| w.fault.wait_ms).max().unwrap_or(Failpoints::default().wait_ms);
+        Failpoints { arm: own.iter().map(|w| (w.fault.point.clone(), w.fault.pass)).collect(), wait_ms }
+    }
+
+    /// Whether manager `i` has yet to reach a failpoint.
+    fn awaits(&self, i: usize) -> bool {
+        self.0.iter().any(|w| w.left.contains(&i))
+    }
+
+    /// Removes and returns the fault of manager `i` at a failpoint that it has reached.
+    fn take(&mut self, i: usize, point: &str) -> Option<FailpointFault> {
+        let w = self.0.iter_mut().find(|w| w.fault.point == point && w.left.contains(&i))?;
+        w.left.remove(&i);
+        if w.fault.only_one {
+            w.left.clear();
+        }
+        Some(w.fault.clone())
+    }
+}
+
+impl Rig<'_> {
+    /// Reads ports and failpoints from the logs, and injects the faults at once.
+    pub(super) fn read_logs(&mut self) -> Result<(), RunError> {
+        for i in 0..self.procs.len() {
+            let wanted = !self.procs[i].unbound.is_empty() || self.failpoint_faults.awaits(i);
+            let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
+            for line in tail.new_lines() {
+                if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::HIT_LINE_PREFIX) {
+                    self.inject(i, point)?;
+                } else {
+                    self.find_ports(i, &line);
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// A line may say where the process listens.
+    fn find_ports(&mut self, i: usize, line: &str) {
+        let (ports, peers) = (&self.scenario.ports, &self.peers);
+        self.procs[i].unbound.retain(|p| {
+            let rest = line.split_once(ports[*p].said.as_str()).map(|(_, rest)| rest);
+            let real = rest.and_then(|r| r.split([',', ' ', '"']).next()).and_then(|a| a.parse().ok());
+            if real.is_some() {
+                peers.bind(&ports[*p].name, i, real);
+            }
+            real.is_none()
+        });
+    }
+
+    fn inject(&mut self, i: usize, point: &str) -> Result<(), RunError> {
+        let Some(fault) = self.failpoint_faults.take(i, point) else { return Ok(()) };
+        self.history.note(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
+        let back = match fault.fault {
+            ProcessFault::Kill => {
+                self.kill(i);
+                Action::Restart(ManagerSelector::single(i))
+            }
+            ProcessFault::Stop => {
+                self.pause(i)?;
+                Action::Resume(ManagerSelector::single(i))
+            }
+        };
+        if let Some(ms) = fault.resume_ms {
+            if self.pending.len() >= MAX_PENDING_ACTIONS {
+                return Err(RunError::TooManyPendingActions { max: MAX_PENDING_ACTIONS });
+            }
+            self.pending.push((Instant::now() + Duration::from_secs_f64(ms / 1e3), back));
+        }
+        fault.further_actions.iter().try_for_each(|action| self.perform(action))
+    }
+
+    /// Stops manager `i` (SIGSTOP), whatever it is at.
+    pub(super) fn pause(&mut self, i: usize) -> Result<(), RunError> {
+        self.strike(i);
+        self.fleet.signal(i, Signal::SIGSTOP)?;
+        self.lives[i] = Life::Paused;
+        self.history.note(Event::Suspended { process: format!("n{i}") });
+        Ok(())
+    }
+
+    /// Lets manager `i` go on, if it is stopped.
+    pub(super) fn resume(&mut self, i: usize) -> Result<(), RunError> {
+        if self.lives[i] == Life::Paused {
+            self.history.note(Event::Resumed { process: format!("n{i}") });
+            self.fleet.signal(i, Signal::SIGCONT)?;
+            self.lives[i] = Life::Starting;
+        }
+        Ok(())
+    }
+
+    /// Performs the pending actions that are due.
+    pub(super) fn perform_pending(&mut self) -> Result<(), RunError> {
+        let now = Instant::now();
+        let (due, pending) = std::mem::take(&mut self.pending).into_iter().partition(|(at, _)| *at <= now);
+        self.pending = pending;
+        let due: Vec<(Instant, Action)> = due;
+        due.iter().try_for_each(|(_, action)| self.perform(action))
+    }
+}
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -3,6 +3,7 @@
 
 mod calls;
 mod error;
+mod failpoint_faults;
 mod figures;
 mod life;
 mod load;
@@ -11,7 +12,6 @@
 mod process;
 mod setup;
 mod steps;
-mod strikes;
 mod views;
 mod ways;
 
@@ -26,8 +26,9 @@
 use crate::ledger::Ledger;
 use crate::lists::ListService;
 use crate::procs::Fleet;
-use crate::scenario::{Act, Scenario};
+use crate::scenario::{Action, Scenario};
 use crate::subscribers::Subscribers;
+use failpoint_faults::FailpointFaults;
 use peers::Peers;
 use process::Proc;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +36,6 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use strikes::Strikes;
 
 /// Interval at which due steps, failpoints and open requests are checked.
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
@@ -115,9 +115,9 @@
     history: Recorder,
     peers: Peers,
     procs: Vec<Proc>,
-    strikes: Strikes,
-    /// What follows strikes, and when.
-    later: Vec<(Instant, Act)>,
+    failpoint_faults: FailpointFaults,
+    /// Actions that follow failpoint faults, and when they are due.
+    pending: Vec<(Instant, Action)>,
     subscribers: Option<Subscribers>,
     /// Ways that are silent by a rule.
     silenced: BTreeSet<(String, String)>,
@@ -171,13 +171,13 @@
 }
 
 impl Rig<'_> {
-    fn play(&mut self, timeline: &mut Vec<(Duration, Act)>) -> Result<(), RunError> {
+    fn play(&mut self, timeline: &mut Vec<(Duration, Action)>) -> Result<(), RunError> {
         let end = Duration::from_secs_f64(self.scenario.seconds);
         let (mut next_logs, mut next_views) = (Instant::now(), Instant::now());
         while self.start.elapsed() < end {
             while timeline.last().is_some_and(|(at, _)| *at <= self.start.elapsed()) {
-                if let Some((_, act)) = timeline.pop() {
-                    self.act(&act)?;
+                if let Some((_, action)) = timeline.pop() {
+                    self.perform(&action)?;
                 }
             }
             if Instant::now() >= next_logs {
@@ -190,7 +190,7 @@
                 }
             }
             self.read_logs()?;
-            self.follow_up()?;
+            self.perform_pending()?;
             std::thread::sleep(STEP_INTERVAL);
         }
         Ok(())
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -74,7 +74,7 @@
         } else {
             self.fleet.start(&format!("n{i}"), &config, &args).map_err(RunError::io("start"))?;
         }
-        let looked_for = !self.scenario.ports.is_empty() || !self.scenario.strikes.is_empty();
+        let looked_for = !self.scenario.ports.is_empty() || !self.scenario.failpoint_faults.is_empty();
         let tail = self.fleet.log_file(i).filter(|_| looked_for).map(Tail::open).transpose();
         let p = &mut self.procs[i];
         p.tail = tail.map_err(RunError::io("a log"))?;
@@ -142,7 +142,7 @@
 
     /// Tells the process its faults: points armed for it, and its disk's. A folder without faults has no such file.
     fn write_faults(&self, i: usize, folder: &Path) -> Result<(), RunError> {
-        let faults = FaultFile { points: self.strikes.armed(i), disk: self.procs[i].disk };
+        let faults = FaultFile { points: self.failpoint_faults.armed(i), disk: self.procs[i].disk };
         let path = folder.join(fault_file::FILE_NAME);
         if faults == FaultFile::default() {
             return match std::fs::remove_file(&path) {
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -1,8 +1,8 @@
 //! The stand-ins and files of a run before it begins, and engines that come later.
 
+use super::failpoint_faults::FailpointFaults;
 use super::peers::{Peers, SUBSCRIBERS};
 use super::process::Proc;
-use super::strikes::Strikes;
 use super::{unix_ms, Engine, Life, Program, Rig, RunError};
 use crate::engines::{name_of, CountingEngine, Spec};
 use crate::fault_proxy::{self, Faults, UdpNet};
@@ -75,8 +75,8 @@
             history,
             peers,
             procs: (0..n).map(|_| Proc::new(&scenario.version)).collect(),
-            strikes: Strikes::new(scenario),
-            later: Vec::new(),
+            failpoint_faults: FailpointFaults::new(scenario),
+            pending: Vec::new(),
             subscribers: None,
             silenced: BTreeSet::new(),
             ops: BTreeMap::new(),
@@ -141,7 +141,7 @@
         if spec.count == 0 {
             return;
         }
-        let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| self.who(to));
+        let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| self.select_managers(to));
         let all = self.peers.seen(&spec.port, SUBSCRIBERS).into_iter().enumerate();
         let to =
             all.filter(|(i, _)| allowed.as_ref().is_none_or(|a| a.contains(i))).map(|(_, m)| m).collect();
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -4,7 +4,7 @@
 use super::setup::COLD_FOR;
 use super::{unix_ms, Life, Rig, RunError};
 use crate::procs::{self, Row};
-use crate::scenario::{Act, Part, Who, HALLS};
+use crate::scenario::{Action, FleetRange, ManagerSelector, HALLS};
 use nix::sys::signal::Signal;
 use rand::{Rng as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,16 +16,16 @@
 
 impl Rig<'_> {
     /// All that happens, in order: starts, and the steps with each manager's part of them.
-    pub(super) fn timeline(&self) -> Vec<(Duration, Act)> {
+    pub(super) fn timeline(&self) -> Vec<(Duration, Action)> {
         let mut all = Vec::new();
-        let starts = Part { from: 0.0, to: 1.0, over_ms: self.scenario.start_over_ms };
-        self.spread(&mut all, 0.0, &Act::Restart(starts.into()), 0);
+        let starts = FleetRange { from: 0.0, to: 1.0, over_ms: self.scenario.start_over_ms };
+        self.schedule(&mut all, 0.0, &Action::Restart(starts.into()), 0);
         let mut rng = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ 0x57e9 << 32);
         for (k, step) in self.scenario.steps.iter().enumerate() {
             for time in 0..step.times {
                 let late = if step.spread > 0.0 { rng.gen_range(0.0..step.spread) } else { 0.0 };
                 let at = step.at + step.every * time as f64 + late;
-                self.spread(&mut all, at, &step.act, (k as u64) << 20 | time as u64);
+                self.schedule(&mut all, at, &step.action, (k as u64) << 20 | time as u64);
             }
         }
         // Stable: what is due at once happens in the file's order.
@@ -35,87 +35,97 @@
     }
 
     /// An act, one manager after the other where it is on managers.
-    fn spread(&self, all: &mut Vec<(Duration, Act)>, at: f64, act: &Act, draw: u64) {
-        let (who, one): (&Who, fn(Who) -> Act) = match act {
-            Act::Kill(w) => (w, Act::Kill),
-            Act::Restart(w) => (w, Act::Restart),
-            Act::RestartEmpty(w) => (w, Act::RestartEmpty),
-            Act::Roll(w) => (w, Act::Roll),
-            Act::Pause(w) => (w, Act::Pause),
-            Act::Resume(w) => (w, Act::Resume),
+    fn schedule(&self, all: &mut Vec<(Duration, Action)>, at: f64, action: &Action, draw: u64) {
+        let (selector, with_selector): (&ManagerSelector, fn(ManagerSelector) -> Action) = match action {
+            Action::Kill(w) => (w, Action::Kill),
+            Action::Restart(w) => (w, Action::Restart),
+            Action::RestartEmpty(w) => (w, Action::RestartEmpty),
+            Action::Roll(w) => (w, Action::Roll),
+            Action::Pause(w) => (w, Action::Pause),
+            Action::Resume(w) => (w, Action::Resume),
             other => return all.push((Duration::from_secs_f64(at), other.clone())),
         };
-        let managers = who.of(self.scenario, draw);
-        let each = who.over_ms / 1e3 / managers.len().max(1) as f64;
+        let managers = selector.select(self.scenario, draw);
+        let each = selector.over_ms / 1e3 / managers.len().max(1) as f64;
         let due = |k: usize| Duration::from_secs_f64(at + each * k as f64);
-        all.extend(managers.iter().enumerate().map(|(k, i)| (due(k), one(Who::one(*i)))));
+        all.extend(
+            managers.iter().enumerate().map(|(k, i)| (due(k), with_selector(ManagerSelector::single(*i)))),
+        );
     }
 
     /// The managers that an act is on, drawn anew each time where they are drawn.
-    pub(super) fn who(&mut self, who: &Who) -> Vec<usize> {
+    pub(super) fn select_managers(&mut self, selector: &ManagerSelector) -> Vec<usize> {
         self.draws += 1;
-        who.of(self.scenario, 2 << 40 | self.draws)
+        selector.select(self.scenario, 2 << 40 | self.draws)
     }
 
     /// Notes what the nemesis does.
-    fn note_act(&mut self, act: &Act) {
+    fn note_action(&mut self, action: &Action) {
         if !self.history.on() {
             return;
         }
-        let on = match act {
-            Act::Kill(w) | Act::Restart(w) | Act::RestartEmpty(w) | Act::Roll(w) => w.names.clone(),
-            Act::Pause(w) | Act::Resume(w) => w.names.clone(),
+        let on = match action {
+            Action::Kill(w) | Action::Restart(w) | Action::RestartEmpty(w) | Action::Roll(w) => {
+                w.names.clone()
+            }
+            Action::Pause(w) | Action::Resume(w) => w.names.clone(),
             _ => None,
         };
-        let mut act = format!("{act:?}");
-        if let Some(end) = (MAX_ACTION_TEXT..act.len()).find(|i| act.is_char_boundary(*i)) {
-            act.truncate(end);
+        let mut text = format!("{action:?}");
+        if let Some(end) = (MAX_ACTION_TEXT..text.len()).find(|i| text.is_char_boundary(*i)) {
+            text.truncate(end);
         }
-        self.history.note(Event::NemesisAction { act, on: on.unwrap_or_default() });
+        self.history.note(Event::NemesisAction { act: text, on: on.unwrap_or_default() });
     }
 
-    pub(super) fn act(&mut self, act: &Act) -> Result<(), RunError> {
-        self.note_act(act);
-        match act {
-            Act::Restart(w) => self.who(w).into_iter().try_for_each(|i| self.begin(i, false))?,
-            Act::RestartEmpty(w) => self.who(w).into_iter().try_for_each(|i| self.begin(i, true))?,
-            Act::Kill(w) => self.who(w).into_iter().for_each(|i| self.kill(i)),
-            Act::Roll(w) => self.who(w).into_iter().try_for_each(|i| self.terminate(i))?,
-            Act::Pause(w) => {
-                for i in self.who(w) {
+    pub(super) fn perform(&mut self, action: &Action) -> Result<(), RunError> {
+        self.note_action(action);
+        match action {
+            Action::Restart(w) => {
+                self.select_managers(w).into_iter().try_for_each(|i| self.begin(i, false))?
+            }
+            Action::RestartEmpty(w) => {
+                self.select_managers(w).into_iter().try_for_each(|i| self.begin(i, true))?
+            }
+            Action::Kill(w) => self.select_managers(w).into_iter().for_each(|i| self.kill(i)),
+            Action::Roll(w) => self.select_managers(w).into_iter().try_for_each(|i| self.terminate(i))?,
+            Action::Pause(w) => {
+                for i in self.select_managers(w) {
                     if self.lives[i] == Life::Up {
-                        self.stop(i)?;
+                        self.pause(i)?;
                     }
                 }
             }
-            Act::Resume(w) => self.who(w).into_iter().try_for_each(|i| self.go_on(i))?,
-            Act::Disk { who, fault } => self.who(who).into_iter().for_each(|i| self.procs[i].disk = *fault),
-            Act::Tear { who, file, bytes } => {
-                self.who(who).into_iter().try_for_each(|i| self.tear(i, file, *bytes))?;
+            Action::Resume(w) => self.select_managers(w).into_iter().try_for_each(|i| self.resume(i))?,
+            Action::Disk { who, fault } => {
+                self.select_managers(who).into_iter().for_each(|i| self.procs[i].disk = *fault)
+            }
+            Action::Tear { who, file, bytes } => {
+                self.select_managers(who).into_iter().try_for_each(|i| self.tear(i, file, *bytes))?;
             }
-            Act::KeepCopy(w) => self.who(w).into_iter().try_for_each(|i| self.keep_copy(i))?,
-            Act::PutBack(w) => self.who(w).into_iter().try_for_each(|i| self.put_back(i))?,
-            Act::Call(call) => self.call(call)?,
-            Act::Subscribers(what) => {
+            Action::KeepCopy(w) => self.select_managers(w).into_iter().try_for_each(|i| self.keep_copy(i))?,
+            Action::PutBack(w) => self.select_managers(w).into_iter().try_for_each(|i| self.put_back(i))?,
+            Action::Call(call) => self.call(call)?,
+            Action::Subscribers(what) => {
                 if let Some(s) = &mut self.subscribers {
                     s.order(*what);
                 }
             }
-            Act::Lists(how) => self.set_lists(*how),
-            Act::EnginesCome(count) => self.start_cold_engines(*count)?,
-            Act::EnginesDrain(p) => self.drain_engines(p)?,
-            Act::EnginesGo(p) => self.withdraw_engines(p)?,
-            Act::EnginesVanish(p) => self.stop_engines(p),
-            Act::OlderList => self.send_older_list()?,
-            Act::ContradictoryList => self.send_contradictory_list()?,
-            Act::Fault { from, to, rule } => self.set_rule(from, to, *rule),
-            Act::Part(sides) => self.part(sides, true),
-            Act::Join(sides) => self.part(sides, false),
-            Act::Cut { from, to, how } => {
+            Action::Lists(how) => self.set_lists(*how),
+            Action::EnginesCome(count) => self.start_cold_engines(*count)?,
+            Action::EnginesDrain(p) => self.drain_engines(p)?,
+            Action::EnginesGo(p) => self.withdraw_engines(p)?,
+            Action::EnginesVanish(p) => self.stop_engines(p),
+            Action::OlderList => self.send_older_list()?,
+            Action::ContradictoryList => self.send_contradictory_list()?,
+            Action::Fault { from, to, rule } => self.set_rule(from, to, *rule),
+            Action::Part(sides) => self.part(sides, true),
+            Action::Join(sides) => self.part(sides, false),
+            Action::Cut { from, to, how } => {
                 self.ways(from, to).into_iter().for_each(|(from, to)| self.faults.cut(&from, &to, *how));
             }
-            Act::Heal => self.heal(),
-            Act::ZoneCold(zone) => self.restart_zone(zone)?,
+            Action::Heal => self.heal(),
+            Action::ZoneCold(zone) => self.restart_zone(zone)?,
         }
         Ok(())
     }
@@ -137,8 +147,8 @@
         self.tell(&(from..self.engines.len()).collect::<Vec<_>>())
     }
 
-    fn drain_engines(&mut self, part: &Part) -> Result<(), RunError> {
-        let engines: Vec<usize> = part.of(self.engines.len()).collect();
+    fn drain_engines(&mut self, range: &FleetRange) -> Result<(), RunError> {
+        let engines: Vec<usize> = range.indices(self.engines.len()).collect();
         self.struck(&engines);
         engines.iter().for_each(|i| self.engines[*i].phase = "draining");
         self.tell(&engines)?;
@@ -147,8 +157,8 @@
     }
 
     /// Engines that the list has as gone and that end then.
-    fn withdraw_engines(&mut self, part: &Part) -> Result<(), RunError> {
-        let engines: Vec<usize> = part.of(self.engines.len()).collect();
+    fn withdraw_engines(&mut self, range: &FleetRange) -> Result<(), RunError> {
+        let engines: Vec<usize> = range.indices(self.engines.len()).collect();
         self.struck(&engines);
         engines.iter().for_each(|i| self.engines[*i].phase = "gone");
         self.tell(&engines)?;
@@ -157,8 +167,8 @@
     }
 
     /// Engines that end, and stay on the list.
-    fn stop_engines(&mut self, part: &Part) {
-        let engines: Vec<usize> = part.of(self.engines.len()).collect();
+    fn stop_engines(&mut self, range: &FleetRange) {
+        let engines: Vec<usize> = range.indices(self.engines.len()).collect();
         self.struck(&engines);
         engines.into_iter().for_each(|i| self.stop_engine(i));
     }
--- a/crates/cluster-harness/src/scenario/acts.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -1,4 +1,4 @@
-//! What happens in a run: steps, acts, and on whom.
+//! What happens in a run: the steps, their actions and the managers that they apply to.
 
 use super::{InvalidScenario, Scenario, GROUPS};
 use crate::fault_proxy::{ConnectionCut, Rule};
@@ -9,26 +9,39 @@
 use sprucelink_failpoints::fault_file::DiskFaults;
 use sprucelink_settings::check_range;
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Repetitions of a step.
 pub(super) const MAX_TIMES: usize = 1_000;
 
-/// A part of the fleet (or of the engines), in shares of it: from the first up to, without, the second.
-#[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
+/// A range of the managers or engines, in fractions of their number; `to` is excluded.
+#[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part {
+pub struct FleetRange {
     /// Where it begins; 0 to 1.
     pub from: f64,
     /// Where it ends; `from` to 1.
     pub to: f64,
-    /// It happens one after the other, evenly over this time in milliseconds; 0 to 60,000.
+    /// The action is spread evenly over this time, in milliseconds; 0 to 60,000.
     #[serde(default)]
     pub over_ms: f64,
 }
 
-impl Part {
-    /// The numbers it covers, of `n`.
-    pub fn of(&self, n: usize) -> std::ops::Range<usize> {
+/// A history holds an action's debug form, in which a range is called `Part`.
+impl fmt::Debug for FleetRange {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Part")
+            .field("from", &self.from)
+            .field("to", &self.to)
+            .field("over_ms", &self.over_ms)
+            .finish()
+    }
+}
+
+impl FleetRange {
+    /// The indices that it covers, of `n`.
+    pub fn indices(&self, n: usize) -> std::ops::Range<usize> {
         let at = |share: f64| ((share * n as f64).round() as usize).min(n);
         at(self.from)..at(self.to)
     }
@@ -42,12 +55,12 @@
     }
 }
 
-/// Managers, told in one of four ways: a share of them (`from`, `to`), `names`, a `group`, or so many `drawn` by the
-/// scenario's seed, anew at each time.
-#[derive(Clone, Debug, Default, PartialEq, Deserialize)]
+/// Selects managers in one of four ways: a fraction of them (`from`, `to`), `names`, a `group`, or a number `drawn` at
+/// random by the scenario's seed, again for each time.
+#[derive(Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Who {
-    /// Where a share begins; 0 to 1.
+pub struct ManagerSelector {
+    /// Where the fraction begins; 0 to 1.
     pub from: Option<f64>,
     /// Where it ends; `from` to 1.
     pub to: Option<f64>,
@@ -55,26 +68,46 @@
     pub names: Option<Vec<String>>,
     /// A group: `a`, `b`, ...
     pub group: Option<String>,
-    /// So many, drawn.
+    /// How many are drawn at random.
     pub drawn: Option<usize>,
-    /// It happens to one after the other, evenly over this time in milliseconds; 0 to 60,000.
+    /// The action is spread evenly over this time, in milliseconds; 0 to 60,000.
     pub over_ms: f64,
 }
 
-impl From<Part> for Who {
-    fn from(p: Part) -> Who {
-        Who { from: Some(p.from), to: Some(p.to), over_ms: p.over_ms, ..Who::default() }
+/// A history holds an action's debug form, in which a selector is called `Who`.
+impl fmt::Debug for ManagerSelector {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("Who")
+            .field("from", &self.from)
+            .field("to", &self.to)
+            .field("names", &self.names)
+            .field("group", &self.group)
+            .field("drawn", &self.drawn)
+            .field("over_ms", &self.over_ms)
+            .finish()
     }
 }
 
-impl Who {
-    /// Just one manager.
-    pub fn one(i: usize) -> Who {
-        Who { names: Some(vec![format!("n{i}")]), ..Who::default() }
+impl From<FleetRange> for ManagerSelector {
+    fn from(p: FleetRange) -> ManagerSelector {
+        ManagerSelector {
+            from: Some(p.from),
+            to: Some(p.to),
+            over_ms: p.over_ms,
+            ..ManagerSelector::default()
+        }
+    }
+}
+
+impl ManagerSelector {
+    /// A single manager.
+    pub fn single(i: usize) -> ManagerSelector {
+        ManagerSelector { names: Some(vec![format!("n{i}")]), ..ManagerSelector::default() }
     }
 
-    /// The managers' numbers, without repeats; `draw` tells one time of drawing from another.
-    pub fn of(&self, scenario: &Scenario, draw: u64) -> Vec<usize> {
+    /// The managers' numbers, without duplicates; `draw` distinguishes one random draw from another.
+    pub fn select(&self, scenario: &Scenario, draw: u64) -> Vec<usize> {
         let n = scenario.managers;
         if let Some(names) = &self.names {
             let mut all: Vec<usize> = names.iter().filter_map(|name| scenario.number_of(name)).collect();
@@ -89,20 +122,20 @@
             let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xd4a3 << 40 ^ draw);
             return sample(&mut rng, n, drawn.min(n)).into_vec();
         }
-        let part = Part { from: self.from.unwrap_or(0.0), to: self.to.unwrap_or(1.0), over_ms: 0.0 };
-        part.of(n).collect()
+        let range = FleetRange { from: self.from.unwrap_or(0.0), to: self.to.unwrap_or(1.0), over_ms: 0.0 };
+        range.indices(n).collect()
     }
 
     pub(super) fn check(&self, scenario: &Scenario) -> Result<(), InvalidScenario> {
         check_range("over_ms", self.over_ms, 0.0, 60_000.0)?;
-        let share = self.from.is_some() || self.to.is_some();
-        let ways = [share, self.names.is_some(), self.group.is_some(), self.drawn.is_some()];
-        if ways.iter().filter(|w| **w).count() != 1 {
+        let by_fraction = self.from.is_some() || self.to.is_some();
+        let selectors = [by_fraction, self.names.is_some(), self.group.is_some(), self.drawn.is_some()];
+        if selectors.iter().filter(|given| **given).count() != 1 {
             return Err(InvalidScenario::NotOneSelector);
         }
-        if share {
+        if by_fraction {
             let (from, to) = (self.from.unwrap_or(0.0), self.to.unwrap_or(1.0));
-            return Part { from, to, over_ms: self.over_ms }.check();
+            return FleetRange { from, to, over_ms: self.over_ms }.check();
         }
         if let Some(bad) = self.names.iter().flatten().find(|n| scenario.number_of(n).is_none()) {
             return Err(InvalidScenario::UnknownManager { name: bad.clone(), last: scenario.managers - 1 });
@@ -161,7 +194,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Call {
     /// Whom; each gets a call of its own.
-    pub to: Who,
+    pub to: ManagerSelector,
     /// The port, by its name among the scenario's.
     pub port: String,
     /// The method.
@@ -191,62 +224,62 @@
     Drop(f64),
     /// A share of them go to another manager at once, without waiting: 0 to 1.
     Hop(f64),
-    /// From now on a share of them read so many bytes a second; 0: as fast as they can.
+    /// A fraction of them read at a limited rate from now on.
     Slow {
         /// Which share; 0 to 1.
         share: f64,
-        /// How fast.
+        /// Bytes a second; 0: no limit.
         bytes_s: f64,
     },
 }
 
-/// Something that happens.
+/// What a step does.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Act {
+pub enum Action {
     /// Managers are killed outright (SIGKILL).
-    Kill(Who),
-    /// Managers are started anew, killed first where they run, with their folders as they are.
-    Restart(Who),
+    Kill(ManagerSelector),
+    /// Managers are restarted, killed first where they run, with their folders as they are.
+    Restart(ManagerSelector),
     /// As `restart`, with their folders emptied.
-    RestartEmpty(Who),
-    /// Managers get SIGTERM and are started anew once they have ended.
-    Roll(Who),
-    /// Managers are stopped (SIGSTOP).
-    Pause(Who),
-    /// Managers go on (SIGCONT).
-    Resume(Who),
+    RestartEmpty(ManagerSelector),
+    /// Managers get SIGTERM and are restarted once they have exited.
+    Roll(ManagerSelector),
+    /// Managers are paused (SIGSTOP).
+    Pause(ManagerSelector),
+    /// Managers are resumed (SIGCONT).
+    Resume(ManagerSelector),
     /// From their next start on managers' stores have these faults.
     Disk {
         /// Whose.
-        who: Who,
+        who: ManagerSelector,
         /// Which.
         fault: DiskFaults,
     },
     /// A file in managers' folders loses its last bytes, as a torn write leaves it. They must be down.
     Tear {
         /// Whose.
-        who: Who,
+        who: ManagerSelector,
         /// The file, by its path in the folder.
         file: String,
         /// How many; at most the file's length.
         bytes: u64,
     },
     /// Managers' folders are copied, each stopped for that moment, in place of an earlier copy.
-    KeepCopy(Who),
+    KeepCopy(ManagerSelector),
     /// Managers' folders are as they were when copied: what was acknowledged since is lost. They must be down.
-    PutBack(Who),
+    PutBack(ManagerSelector),
     /// The list service answers so from now on.
     Lists(Lists),
     /// New engines come under new ids, cold, and the list tells them.
     EnginesCome(usize),
     /// The list tells that engines drain, by their number among all so far.
-    EnginesDrain(Part),
+    EnginesDrain(FleetRange),
     /// Engines end and the list tells it.
-    EnginesGo(Part),
+    EnginesGo(FleetRange),
     /// Engines end and nobody tells it.
-    EnginesVanish(Part),
-    /// The engines of a zone start anew, cold, under their ids, and the list tells it.
+    EnginesVanish(FleetRange),
+    /// The engines of a zone restart under their ids, in slow start, and the endpoint list says so.
     ZoneCold(String),
     /// The list service tells the first list again, as whole and under its old revision.
     OlderList,
@@ -282,63 +315,65 @@
     Subscribers(Subs),
 }
 
-/// A step: when something happens.
+/// A step: an action and when it is performed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// Seconds after the first start.
     pub at: f64,
-    /// It happens so many times.
+    /// How often the action is performed.
     #[serde(default = "once")]
     pub times: usize,
     /// Seconds from one time to the next.
     #[serde(default)]
     pub every: f64,
-    /// Each time comes up to so many seconds later, drawn by the seed.
+    /// Longest random delay of each time, in seconds, drawn by the seed.
     #[serde(default)]
     pub spread: f64,
-    /// What.
+    /// The action.
     #[serde(rename = "do")]
-    pub act: Act,
+    pub action: Action,
 }
 
 fn once() -> usize {
     1
 }
 
-/// What a process that has come to a named point meets.
+/// What happens to a process that reaches a failpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Blow {
+pub enum ProcessFault {
     /// It is killed (SIGKILL).
     Kill,
     /// It is stopped (SIGSTOP).
     Stop,
 }
 
-/// Managers struck where they come to a named point.
+/// A fault of managers that reach a failpoint.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Strike {
-    /// The point.
+pub struct FailpointFault {
+    /// The failpoint.
     pub point: String,
-    /// Whom; each once.
-    pub who: Who,
-    /// At which pass of the point in one process, from 1 on.
+    /// The managers; each once.
+    #[serde(rename = "who")]
+    pub managers: ManagerSelector,
+    /// At which pass of the failpoint in one process, from 1 on.
     #[serde(default = "first")]
     pub pass: u32,
-    /// Only the first of them that comes there is struck.
+    /// Only the first of them that reaches it has the fault.
     #[serde(default)]
     pub only_one: bool,
-    /// How.
+    /// What happens to the process.
     #[serde(rename = "do")]
-    pub blow: Blow,
-    /// So many milliseconds later it is started anew, or goes on; absent: never. 0 to 600,000.
-    pub back_ms: Option<f64>,
-    /// What else happens then and there: when one is struck.
-    #[serde(default)]
-    pub also: Vec<Act>,
-    /// How long a process waits at the point, in milliseconds; 0 to 10,000.
+    pub fault: ProcessFault,
+    /// Milliseconds after which it is restarted or resumed; absent: never. 0 to 600,000.
+    #[serde(rename = "back_ms")]
+    pub resume_ms: Option<f64>,
+    /// Further actions at the moment of the fault.
+    #[serde(default, rename = "also")]
+    pub further_actions: Vec<Action>,
+    /// How long a process waits at the failpoint, in milliseconds; 0 to 10,000.
     #[serde(default = "wait")]
     pub wait_ms: u64,
 }
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -1,8 +1,8 @@
 //! What a scenario may say: every count, time and name is held against its bound, and an error names its path.
 
-use super::acts::MAX_TIMES;
+use super::actions::MAX_TIMES;
 use super::{
-    Act, Call, InvalidScenario, Scenario, Sides, Step, Strike, Subs, GROUPS, HALLS, MAX_ENGINES,
+    Action, Call, FailpointFault, InvalidScenario, Scenario, Sides, Step, Subs, GROUPS, HALLS, MAX_ENGINES,
     MAX_PAIRED_MANAGERS, MAX_RUN_SECONDS, MAX_SUBSCRIBERS,
 };
 use crate::procs::MAX_MANAGERS;
@@ -72,9 +72,9 @@
             self.check_step(step).map_err(|e| e.at(format!("steps[{i}]")))?;
         }
         self.check_processes()?;
-        check_range("strikes", self.strikes.len() as f64, 0.0, MAX_FAILPOINT_FAULTS as f64)?;
-        for (i, strike) in self.strikes.iter().enumerate() {
-            self.check_strike(strike).map_err(|e| e.at(format!("strikes[{i}]")))?;
+        check_range("strikes", self.failpoint_faults.len() as f64, 0.0, MAX_FAILPOINT_FAULTS as f64)?;
+        for (i, fault) in self.failpoint_faults.iter().enumerate() {
+            self.check_failpoint_fault(fault).map_err(|e| e.at(format!("strikes[{i}]")))?;
         }
         if let Some(h) = self.history {
             check_range("history.most_mb", h.max_mb as f64, 1.0, 1_024.0)?;
@@ -90,7 +90,7 @@
         let come: usize = self
             .steps
             .iter()
-            .map(|s| if let Act::EnginesCome(n) = s.act { n.saturating_mul(s.times) } else { 0 })
+            .map(|s| if let Action::EnginesCome(n) = s.action { n.saturating_mul(s.times) } else { 0 })
             .sum();
         check_range("engines.count", e.count.saturating_add(come) as f64, 1.0, MAX_ENGINES as f64)?;
         check_range("engines.cold", e.cold as f64, 0.0, e.count as f64)?;
@@ -155,7 +155,7 @@
             0.0,
             self.seconds,
         )?;
-        self.check_act(&step.act)
+        self.check_action(&step.action)
     }
 
     fn party(&self, name: &String) -> Result<(), InvalidScenario> {
@@ -189,53 +189,61 @@
         call.cursor_at.as_ref().map_or(Ok(()), |p| pointer("call.cursor_at", p))
     }
 
-    fn check_act(&self, act: &Act) -> Result<(), InvalidScenario> {
-        match act {
-            Act::Kill(w) | Act::Restart(w) | Act::Roll(w) | Act::Pause(w) | Act::Resume(w) => w.check(self),
-            Act::RestartEmpty(w) | Act::KeepCopy(w) | Act::PutBack(w) => w.check(self),
-            Act::Disk { who, fault } => {
+    fn check_action(&self, action: &Action) -> Result<(), InvalidScenario> {
+        match action {
+            Action::Kill(w) | Action::Restart(w) | Action::Roll(w) | Action::Pause(w) | Action::Resume(w) => {
+                w.check(self)
+            }
+            Action::RestartEmpty(w) | Action::KeepCopy(w) | Action::PutBack(w) => w.check(self),
+            Action::Disk { who, fault } => {
                 who.check(self)?;
                 FaultFile { disk: *fault, ..FaultFile::default() }.check()?;
                 Ok(())
             }
-            Act::Tear { who, file, bytes } => {
+            Action::Tear { who, file, bytes } => {
                 who.check(self)?;
                 check_name("tear.file", file)?;
                 Ok(check_range("tear.bytes", *bytes as f64, 1.0, 1e9)?)
             }
-            Act::EnginesDrain(p) | Act::EnginesGo(p) | Act::EnginesVanish(p) => p.check(),
-            Act::Fault { from, to, rule } => {
+            Action::EnginesDrain(p) | Action::EnginesGo(p) | Action::EnginesVanish(p) => p.check(),
+            Action::Fault { from, to, rule } => {
                 self.party(from)?;
                 self.party(to)?;
                 Ok(rule.check()?)
             }
-            Act::Part(sides) | Act::Join(sides) => self.check_sides(sides),
-            Act::Cut { from, to, .. } => {
+            Action::Part(sides) | Action::Join(sides) => self.check_sides(sides),
+            Action::Cut { from, to, .. } => {
                 self.party(from)?;
                 self.party(to)
             }
-            Act::ZoneCold(zone) => self.party(zone),
-            Act::Call(call) => self.check_call(call),
-            Act::Subscribers(s) => match s {
+            Action::ZoneCold(zone) => self.party(zone),
+            Action::Call(call) => self.check_call(call),
+            Action::Subscribers(s) => match s {
                 Subs::Drop(share) | Subs::Hop(share) => Ok(check_range("subscribers", *share, 0.0, 1.0)?),
                 Subs::Slow { share, bytes_s } => {
                     check_range("subscribers.slow.share", *share, 0.0, 1.0)?;
                     Ok(check_range("subscribers.slow.bytes_s", *bytes_s, 0.0, 1e9)?)
                 }
             },
-            Act::EnginesCome(_) | Act::Lists(_) | Act::OlderList | Act::ContradictoryList | Act::Heal => {
-                Ok(())
-            }
+            Action::EnginesCome(_)
+            | Action::Lists(_)
+            | Action::OlderList
+            | Action::ContradictoryList
+            | Action::Heal => Ok(()),
         }
     }
 
-    fn check_strike(&self, s: &Strike) -> Result<(), InvalidScenario> {
-        s.who.check(self)?;
-        let arm = [(s.point.clone(), s.pass)].into();
-        FaultFile { points: Failpoints { arm, wait_ms: s.wait_ms }, ..FaultFile::default() }.check()?;
-        check_range("back_ms", s.back_ms.unwrap_or(0.0), 0.0, 600_000.0)?;
-        check_range("also", s.also.len() as f64, 0.0, MAX_FURTHER_ACTIONS as f64)?;
-        s.also.iter().try_for_each(|a| self.check_act(a)).map_err(|e| e.at("also"))
+    fn check_failpoint_fault(&self, fault: &FailpointFault) -> Result<(), InvalidScenario> {
+        fault.managers.check(self)?;
+        let arm = [(fault.point.clone(), fault.pass)].into();
+        FaultFile { points: Failpoints { arm, wait_ms: fault.wait_ms }, ..FaultFile::default() }.check()?;
+        check_range("back_ms", fault.resume_ms.unwrap_or(0.0), 0.0, 600_000.0)?;
+        check_range("also", fault.further_actions.len() as f64, 0.0, MAX_FURTHER_ACTIONS as f64)?;
+        fault
+            .further_actions
+            .iter()
+            .try_for_each(|action| self.check_action(action))
+            .map_err(|e| e.at("also"))
     }
 
     fn check_subscribers(&self) -> Result<(), InvalidScenario> {
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -1,16 +1,19 @@
 //! What a run does, as a JSON5 file: how many managers and engines, what clients ask, and the steps in which
 //! things happen. A field that is not known is refused by name; every count and time has a bound.
 //!
-//! [`acts`] holds what happens, [`parts`] what there is.
+//! [`actions`] holds what happens, [`parts`] what there is.
 
-pub mod acts;
+pub mod actions;
 mod check;
 mod error;
 pub mod parts;
 #[cfg(test)]
 mod tests;
 
-pub use acts::{Act, Blow, Call, Clocks, Lists, New, Part, Sides, Step, Strike, Subs, Who};
+pub use actions::{
+    Action, Call, Clocks, FailpointFault, FleetRange, Lists, ManagerSelector, New, ProcessFault, Sides, Step,
+    Subs,
+};
 pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
     Engines, HaltMark, History, Load, Marks, Membership, OverMark, Port, ReleaseMark, SchemaMark,
@@ -88,8 +91,9 @@
     pub clocks: Clocks,
     /// What is done with processes that end by themselves.
     pub supervise: Supervise,
-    /// Managers struck at named points.
-    pub strikes: Vec<Strike>,
+    /// Faults of managers that reach a failpoint.
+    #[serde(rename = "strikes")]
+    pub failpoint_faults: Vec<FailpointFault>,
     /// A history is recorded; absent: only where `check` is there.
     pub history: Option<History>,
     /// What the history is held against; absent: it is not.
@@ -124,7 +128,7 @@
             args: Vec::new(),
             clocks: Clocks::new(),
             supervise: Supervise::default(),
-            strikes: Vec::new(),
+            failpoint_faults: Vec::new(),
             history: None,
             check: None,
             subscribers: Subscribers::default(),
@@ -145,11 +149,11 @@
 
     /// Whether what managers do goes through the fault proxy.
     pub fn uses_fault_proxy(&self) -> bool {
-        let faulty = |s: &Step| matches!(s.act, Act::Fault { .. } | Act::Cut { .. } | Act::Part(_));
-        let also = self.strikes.iter().flat_map(|s| &s.also);
-        let struck =
-            also.into_iter().any(|a| matches!(a, Act::Fault { .. } | Act::Cut { .. } | Act::Part(_)));
-        self.groups.len() > 1 || self.pairs || struck || self.steps.iter().any(faulty)
+        let is_network_fault =
+            |action: &Action| matches!(action, Action::Fault { .. } | Action::Cut { .. } | Action::Part(_));
+        let in_steps = self.steps.iter().map(|step| &step.action);
+        let at_failpoints = self.failpoint_faults.iter().flat_map(|fault| &fault.further_actions);
+        self.groups.len() > 1 || self.pairs || in_steps.chain(at_failpoints).any(is_network_fault)
     }
 
     /// The names of the groups of managers.
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -1,6 +1,6 @@
 //! The parts of a scenario that say what there is.
 
-use super::acts::Who;
+use super::actions::ManagerSelector;
 use serde::Deserialize;
 use sprucelink_membership::{ProtocolConfig, SharingConfig};
 use std::collections::BTreeMap;
@@ -138,7 +138,7 @@
     /// Filters, over the subscribers in turn; empty: none.
     pub filters: Vec<String>,
     /// The managers they go to; absent: all.
-    pub to: Option<Who>,
+    pub to: Option<ManagerSelector>,
     /// They leave for another manager after so many seconds in the mean, drawn; 0: never by themselves.
     pub hop_s: f64,
     /// How long they wait before they come back, in milliseconds, until they are told (`retry`); half to once and a half
--- a/crates/cluster-harness/src/scenario/tests.rs
+++ b/crates/cluster-harness/src/scenario/tests.rs
@@ -12,10 +12,10 @@
     )
     .expect("read");
     assert_eq!(s.steps.len(), 5);
-    assert_eq!(s.steps[0].act, Act::Kill(Part { from: 0.0, to: 0.7, over_ms: 0.0 }.into()));
+    assert_eq!(s.steps[0].action, Action::Kill(FleetRange { from: 0.0, to: 0.7, over_ms: 0.0 }.into()));
     assert!(s.uses_fault_proxy());
     assert_eq!((s.group_of(0), s.group_of(6), s.group_of(7), s.group_of(9)), (0, 0, 1, 1));
-    assert_eq!(Part { from: 0.25, to: 0.5, over_ms: 0.0 }.of(8), 2..4);
+    assert_eq!(FleetRange { from: 0.25, to: 0.5, over_ms: 0.0 }.indices(8), 2..4);
 }
 
 #[test]
@@ -33,13 +33,13 @@
 #[test]
 fn whom_is_told_in_one_way_and_drawn_by_the_seed() {
     let s = Scenario::parse("{ managers: 8, groups: [0.5, 0.5] }").expect("read");
-    let who = |text: &str| json5::from_str::<Who>(text).expect("read");
-    assert_eq!(who("{ names: ['n7', 'n0', 'n7'] }").of(&s, 0), [7, 0]);
-    assert_eq!(who("{ group: 'b' }").of(&s, 0), [4, 5, 6, 7]);
-    assert_eq!(who("{ from: 0.25, to: 0.5 }").of(&s, 0), [2, 3]);
+    let who = |text: &str| json5::from_str::<ManagerSelector>(text).expect("read");
+    assert_eq!(who("{ names: ['n7', 'n0', 'n7'] }").select(&s, 0), [7, 0]);
+    assert_eq!(who("{ group: 'b' }").select(&s, 0), [4, 5, 6, 7]);
+    assert_eq!(who("{ from: 0.25, to: 0.5 }").select(&s, 0), [2, 3]);
     let drawn = who("{ drawn: 3 }");
-    assert_eq!(drawn.of(&s, 1), drawn.of(&s, 1), "the same each run");
-    let times: std::collections::BTreeSet<Vec<usize>> = (0..20).map(|k| drawn.of(&s, k)).collect();
+    assert_eq!(drawn.select(&s, 1), drawn.select(&s, 1), "the same each run");
+    let times: std::collections::BTreeSet<Vec<usize>> = (0..20).map(|k| drawn.select(&s, k)).collect();
     assert!(times.len() > 5, "and other ones each time");
     for bad in [
         "{}",
@@ -85,3 +85,17 @@
         assert!(e.contains(named), "{to}: {e}");
     }
 }
+
+/// A history holds this text, and readers of kept histories look for it.
+#[test]
+fn the_debug_form_of_actions_stays_as_histories_hold_it() {
+    assert_eq!(
+        format!("{:?}", Action::Kill(ManagerSelector::single(1))),
+        r#"Kill(Who { from: None, to: None, names: Some(["n1"]), group: None, drawn: None, over_ms: 0.0 })"#
+    );
+    let range = FleetRange { from: 0.0, to: 0.5, over_ms: 0.0 };
+    assert_eq!(
+        format!("{:?}", Action::EnginesDrain(range)),
+        "EnginesDrain(Part { from: 0.0, to: 0.5, over_ms: 0.0 })"
+    );
+}
