--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -12,7 +12,7 @@
 /// Time for which a connection of a black hole is kept open: as long as the longest run.
 const MAX_BLACKHOLE_TIME: Duration = Duration::from_secs(600);
 
-/// A way for one group to one target: connections to the returned address lead to `target`.
+/// A path from one group to one target: connections to the returned address lead to `target`.
 pub struct TcpPath {
     /// Where the group connects.
     pub address: SocketAddr,
@@ -25,10 +25,10 @@
     }
 }
 
-/// Where a way leads: nowhere as long as its process has not said where it listens.
+/// The address that a path leads to; `None` until the process has logged where it listens.
 pub type Target = Arc<Mutex<Option<SocketAddr>>>;
 
-/// Opens a way from `from` to `target`, which counts as of group `to`.
+/// Opens a path from `from` to `target`, which counts as of group `to`.
 ///
 /// # Errors
 /// Those of binding a loopback port.
@@ -71,19 +71,19 @@
 
 async fn carry(faults: &Faults, from: &str, to: &str, mut client: TcpStream, mut server: TcpStream) {
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
-    if joined(faults, from, to, &mut client, &mut server).await == Way::Reset {
+    if joined(faults, from, to, &mut client, &mut server).await == StreamEnd::Reset {
         let _ = (client.set_zero_linger(), server.set_zero_linger());
     }
 }
 
-/// Carries both ways until both have ended, or one was cut or broke.
+/// Forwards both directions until both have ended, or one was cut or failed.
 async fn joined(
     faults: &Faults,
     from: &str,
     to: &str,
     client: &mut TcpStream,
     server: &mut TcpStream,
-) -> Way {
+) -> StreamEnd {
     let (client_in, client_out) = client.split();
     let (server_in, server_out) = server.split();
     let there = pump(faults, from, to, client_in, server_out);
@@ -91,45 +91,49 @@
     tokio::pin!(there, back);
     let (mut there_over, mut back_over) = (false, false);
     while !(there_over && back_over) {
-        // A way that ended in order leaves the other open; one that was cut or broke ends both.
+        // A direction that ended in order leaves the other open; one that was cut or failed ends both.
         let ended = tokio::select! {
             e = &mut there, if !there_over => { there_over = true; e }
             e = &mut back, if !back_over => { back_over = true; e }
         };
-        if ended != Way::Ended {
+        if ended != StreamEnd::Ended {
             return ended;
         }
     }
-    Way::Ended
+    StreamEnd::Ended
 }
 
 /// Passes the end of one direction on.
-async fn end_output<W: AsyncWriteExt + Unpin>(output: &mut W) -> Way {
+async fn end_output<W: AsyncWriteExt + Unpin>(output: &mut W) -> StreamEnd {
     // A peer that is gone already needs no end.
     let _ = output.shutdown().await;
-    Way::Ended
+    StreamEnd::Ended
 }
 
 /// Waits for the next change of the faults; how the connection ends, if a cut or the end of the rig ends it.
 async fn wait_in_partition(
     cut: Option<ConnectionCut>,
     changed: &mut tokio::sync::watch::Receiver<u64>,
-) -> Option<Way> {
+) -> Option<StreamEnd> {
     match cut {
-        Some(ConnectionCut::Reset) => Some(Way::Reset),
-        Some(_) => Some(Way::Broken),
-        None => changed.changed().await.is_err().then_some(Way::Broken),
+        Some(ConnectionCut::Reset) => Some(StreamEnd::Reset),
+        Some(_) => Some(StreamEnd::Broken),
+        None => changed.changed().await.is_err().then_some(StreamEnd::Broken),
     }
 }
 
+/// How one direction of a connection ended.
 #[derive(PartialEq, Eq)]
-enum Way {
+enum StreamEnd {
+    /// In order: the other direction stays open.
     Ended,
+    /// By a failure or a cut: both directions end.
     Broken,
+    /// By a cut that resets the connection.
     Reset,
 }
 
-async fn pump<R, W>(faults: &Faults, from: &str, to: &str, mut input: R, mut output: W) -> Way
+async fn pump<R, W>(faults: &Faults, from: &str, to: &str, mut input: R, mut output: W) -> StreamEnd
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin,
@@ -140,14 +144,14 @@
     let mut bytes = vec![0u8; CHUNK];
     loop {
         match cut() {
-            Some(ConnectionCut::Close) => return Way::Broken,
-            Some(ConnectionCut::Reset) => return Way::Reset,
+            Some(ConnectionCut::Close) => return StreamEnd::Broken,
+            Some(ConnectionCut::Reset) => return StreamEnd::Reset,
             Some(ConnectionCut::HalfClose) => return end_output(&mut output).await,
             None => {}
         }
         if faults.rule(from, to).partition {
             if changed.changed().await.is_err() {
-                return Way::Broken;
+                return StreamEnd::Broken;
             }
             continue;
         }
@@ -156,13 +160,13 @@
             read = input.read(&mut bytes[..piece]) => read,
             c = changed.changed() => match c {
                 Ok(()) => continue,
-                Err(_) => return Way::Broken,
+                Err(_) => return StreamEnd::Broken,
             },
         };
         let n = match read {
             Ok(0) => return end_output(&mut output).await,
             Ok(n) => n,
-            Err(_) => return Way::Broken,
+            Err(_) => return StreamEnd::Broken,
         };
         let mut rule = faults.rule(from, to);
         let delay = faults.delay(&rule) + faults.pace(from, to, &rule, n);
@@ -170,14 +174,14 @@
             sleep(delay).await;
         }
         while rule.partition {
-            if let Some(way) = wait_in_partition(cut(), &mut changed).await {
-                return way;
+            if let Some(end) = wait_in_partition(cut(), &mut changed).await {
+                return end;
             }
             rule = faults.rule(from, to);
         }
         faults.garble(&rule, &mut bytes[..n]);
         if output.write_all(&bytes[..n]).await.is_err() {
-            return Way::Broken;
+            return StreamEnd::Broken;
         }
     }
 }
--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of processes that reach a failpoint, and the actions that follow later.
 
-use super::{Life, Rig, RunError};
+use super::{ProcessState, Rig, RunError};
 use crate::scenario::{Action, FailpointFault, ManagerSelector, ProcessFault, Scenario};
 use nix::sys::signal::Signal;
 use sprucelink_failpoints::fault_file::Failpoints;
@@ -108,19 +108,19 @@
 
     /// Stops manager `i` (SIGSTOP), whatever it is at.
     pub(super) fn pause(&mut self, i: usize) -> Result<(), RunError> {
-        self.strike(i);
+        self.mark_unavailable(i);
         self.fleet.signal(i, Signal::SIGSTOP)?;
-        self.lives[i] = Life::Paused;
+        self.process_states[i] = ProcessState::Paused;
         self.history.note(Event::Suspended { process: format!("n{i}") });
         Ok(())
     }
 
     /// Lets manager `i` go on, if it is stopped.
     pub(super) fn resume(&mut self, i: usize) -> Result<(), RunError> {
-        if self.lives[i] == Life::Paused {
+        if self.process_states[i] == ProcessState::Paused {
             self.history.note(Event::Resumed { process: format!("n{i}") });
             self.fleet.signal(i, Signal::SIGCONT)?;
-            self.lives[i] = Life::Starting;
+            self.process_states[i] = ProcessState::Starting;
         }
         Ok(())
     }
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -1,6 +1,6 @@
 //! The clients that send requests during a run.
 
-use super::{Rig, Seat};
+use super::{Availability, Rig};
 use crate::client::{self, ClientRequest};
 use crate::ledger::request_id;
 use crate::runtime;
@@ -17,10 +17,10 @@
 /// Requests in flight at one manager; while it has more, no further ones are sent.
 const MAX_OPEN: usize = 2_000;
 
-/// Where a seat's manager takes new requests now.
-fn where_at(seat: &Mutex<Seat>) -> Option<SocketAddr> {
-    let s = seat.lock().unwrap_or_else(PoisonError::into_inner);
-    s.at.filter(|_| s.until.is_none_or(|u| Instant::now() < u))
+/// Where a manager takes new requests now.
+fn open_address(availability: &Mutex<Availability>) -> Option<SocketAddr> {
+    let availability = availability.lock().unwrap_or_else(PoisonError::into_inner);
+    availability.address.filter(|_| availability.until.is_none_or(|u| Instant::now() < u))
 }
 
 impl Rig<'_> {
@@ -32,10 +32,10 @@
         }
         let gap = self.scenario.managers as f64 / load.rate;
         let end = self.start + Duration::from_secs_f64(self.scenario.seconds);
-        let one = |(i, seat): (usize, &Arc<Mutex<Seat>>)| {
-            let (own, ended, start) = (Arc::clone(seat), Arc::clone(&self.ended), self.start);
+        let one = |(i, availability): (usize, &Arc<Mutex<Availability>>)| {
+            let (own, ended, start) = (Arc::clone(availability), Arc::clone(&self.ended), self.start);
             let all: Vec<_> =
-                if load.follow { self.seats.iter().map(Arc::downgrade).collect() } else { Vec::new() };
+                if load.follow { self.availability.iter().map(Arc::downgrade).collect() } else { Vec::new() };
             let mut rng = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ (0xc11e << 32) ^ i as u64);
             runtime().spawn(async move {
                 let mut due = start;
@@ -48,15 +48,15 @@
                     sleep_until(due.into()).await;
                     let (id, key) = (request_id(i, rng.gen()), rng.gen::<u64>());
                     let heavy = rng.gen_bool(load.heavy);
-                    let mut seat = Arc::clone(&own);
+                    let mut target = Arc::clone(&own);
                     for _ in 0..MAX_ALTERNATIVES {
-                        if where_at(&seat).is_some() || all.is_empty() {
+                        if open_address(&target).is_some() || all.is_empty() {
                             break;
                         }
-                        seat = all[rng.gen_range(0..all.len())].upgrade().unwrap_or(seat);
+                        target = all[rng.gen_range(0..all.len())].upgrade().unwrap_or(target);
                     }
-                    let Some(at) = where_at(&seat) else { continue };
-                    if Arc::strong_count(&seat) > MAX_OPEN {
+                    let Some(at) = open_address(&target) else { continue };
+                    if Arc::strong_count(&target) > MAX_OPEN {
                         continue;
                     }
                     let ended = Arc::clone(&ended);
@@ -70,19 +70,20 @@
                     };
                     tokio::spawn(async move {
                         let (became, took) = client::send(at, request).await;
-                        let struck = seat.lock().unwrap_or_else(PoisonError::into_inner).struck;
-                        let died = struck.is_some_and(|t| t >= due);
+                        let unavailable_since =
+                            target.lock().unwrap_or_else(PoisonError::into_inner).unavailable_since;
+                        let died = unavailable_since.is_some_and(|t| t >= due);
                         let row = (due.saturating_duration_since(start), became, died, took);
                         ended.lock().unwrap_or_else(PoisonError::into_inner).push(row);
                     });
                 }
             })
         };
-        self.seats.iter().enumerate().map(one).collect()
+        self.availability.iter().enumerate().map(one).collect()
     }
 
-    /// Requests that are open: each holds its manager's seat.
+    /// Requests in flight: each holds a reference to its manager's availability.
     pub(super) fn open(&self) -> usize {
-        self.seats.iter().map(|s| Arc::strong_count(s).saturating_sub(1)).sum()
+        self.availability.iter().map(|s| Arc::strong_count(s).saturating_sub(1)).sum()
     }
 }
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -5,15 +5,15 @@
 mod error;
 mod failpoint_faults;
 mod figures;
-mod life;
 mod load;
 mod outcome;
+mod partitions;
 mod peers;
 mod process;
 mod setup;
 mod steps;
+mod supervision;
 mod views;
-mod ways;
 
 pub use error::RunError;
 pub use outcome::{Outcome, Views};
@@ -53,24 +53,29 @@
     pub dir: PathBuf,
 }
 
-/// Where a manager is reached now, and when it was last ended or stopped by the rig.
+/// Whether clients send requests to a manager.
 #[derive(Default)]
-struct Seat {
-    at: Option<SocketAddr>,
+struct Availability {
+    /// Where the manager serves; `None` while it is down or paused.
+    address: Option<SocketAddr>,
+    /// When clients stop sending to it, after SIGTERM.
     until: Option<Instant>,
-    struck: Option<Instant>,
+    /// When it last became unavailable: requests due before may be lost.
+    unavailable_since: Option<Instant>,
 }
 
+/// What the rig knows of a manager's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Unborn,
+enum ProcessState {
+    NotStarted,
     Starting,
     Up,
-    Ending(Instant),
+    /// It got SIGTERM at this instant.
+    Terminating(Instant),
     Paused,
-    /// It has ended by itself and is brought back then.
-    Waiting(Instant),
-    Dead,
+    /// It has exited by itself and is restarted at this instant.
+    RestartPending(Instant),
+    Down,
 }
 
 struct Engine {
@@ -83,7 +88,7 @@
     since_ms: u128,
 }
 
-/// One ended request: due, what became of it, how long it took.
+/// A completed request: when it was due, its outcome, whether its manager became unavailable, and its latency.
 type Ended = (Duration, Became, bool, Duration);
 
 struct Rig<'a> {
@@ -94,13 +99,13 @@
     ledger: Ledger,
     engines: Vec<Engine>,
     lists: Vec<ListService>,
-    /// Keeps the ways to the list services open.
+    /// Paths to the list services, which close when they are dropped.
     list_paths: Vec<TcpPath>,
     feeds: Vec<SocketAddr>,
     revision: u64,
     fleet: Fleet,
-    lives: Vec<Life>,
-    seats: Vec<Arc<Mutex<Seat>>>,
+    process_states: Vec<ProcessState>,
+    availability: Vec<Arc<Mutex<Availability>>>,
     up_once: Vec<bool>,
     crashed: usize,
     settings: String,
@@ -110,7 +115,7 @@
     real: Vec<Option<SocketAddr>>,
     views: Vec<Views>,
     ended: Arc<Mutex<Vec<Ended>>>,
-    /// Whom the fault proxy tells apart among managers.
+    /// The parties into which the fault proxy divides the managers.
     parties: Vec<String>,
     history: Recorder,
     peers: Peers,
@@ -119,11 +124,11 @@
     /// Actions that follow failpoint faults, and when they are due.
     pending: Vec<(Instant, Action)>,
     subscribers: Option<Subscribers>,
-    /// Ways that are silent by a rule.
+    /// Routes on which a rule lets nothing pass.
     silenced: BTreeSet<(String, String)>,
     /// Calls made so far, by the operation's name.
     ops: BTreeMap<String, u64>,
-    /// Times that managers were drawn.
+    /// Random draws of managers so far.
     draws: u64,
 }
 
@@ -143,17 +148,17 @@
     let load = rig.start_clients();
     let done = rig.play(&mut timeline);
     load.iter().for_each(|t| t.abort());
-    // What is asked has its end within its time; more is not waited for.
+    // Each request ends within its timeout and a second; do not wait longer.
     let last = Duration::from_secs_f64(scenario.load.timeout_ms / 1e3) + Duration::from_secs(1);
     let until = Instant::now() + last;
     while done.is_ok() && rig.open() > 0 && Instant::now() < until {
-        rig.look();
+        rig.observe_processes();
         std::thread::sleep(STEP_INTERVAL);
     }
     let logs = (0..rig.fleet.managers.len()).map(|i| rig.fleet.log(i)).collect();
     let used: Vec<f64> = (0..rig.fleet.managers.len()).filter_map(|i| rig.fleet.cpu(i)).collect();
     let cpu = used.iter().sum::<f64>() / used.len().max(1) as f64;
-    // What the rig ends now is no part of the run.
+    // The run is over: exits from here on do not belong into the history.
     rig.subscribers = None;
     let recorded = rig.history.end();
     rig.fleet.end_all();
@@ -173,7 +178,8 @@
 impl Rig<'_> {
     fn play(&mut self, timeline: &mut Vec<(Duration, Action)>) -> Result<(), RunError> {
         let end = Duration::from_secs_f64(self.scenario.seconds);
-        let (mut next_logs, mut next_views) = (Instant::now(), Instant::now());
+        let mut next_logs = Instant::now();
+        let mut next_views = Instant::now();
         while self.start.elapsed() < end {
             while timeline.last().is_some_and(|(at, _)| *at <= self.start.elapsed()) {
                 if let Some((_, action)) = timeline.pop() {
@@ -182,8 +188,8 @@
             }
             if Instant::now() >= next_logs {
                 next_logs = Instant::now() + LOG_INTERVAL;
-                self.look();
-                self.come_back()?;
+                self.observe_processes();
+                self.restart_exited()?;
                 if self.scenario.membership.is_some() && Instant::now() >= next_views {
                     next_views = Instant::now() + views::POLL_INTERVAL;
                     self.poll();
--- a/crates/cluster-harness/src/run/ways.rs
+++ b/crates/cluster-harness/src/run/partitions.rs
@@ -1,4 +1,4 @@
-//! What the nemesis does to ways between parties, and which engines it keeps from serving thereby.
+//! Faults on the routes between parties, and the engines that they keep from serving.
 
 use super::Rig;
 use crate::fault_proxy::Rule;
@@ -6,8 +6,8 @@
 use sprucelink_history_checker::event::Event;
 
 impl Rig<'_> {
-    /// The ways between two parties: `engines` are those of all zones.
-    pub(super) fn ways(&self, from: &str, to: &str) -> Vec<(String, String)> {
+    /// The routes between two parties; `engines` stands for the engines of all zones.
+    pub(super) fn routes(&self, from: &str, to: &str) -> Vec<(String, String)> {
         let all = |name: &str| -> Vec<String> {
             match name {
                 "engines" => HALLS[..self.scenario.zones].iter().map(|h| (*h).to_owned()).collect(),
@@ -18,16 +18,16 @@
         all(from).into_iter().flat_map(|f| to.iter().map(move |t| (f.clone(), t.clone()))).collect()
     }
 
-    /// From now on a rule holds from one party to another.
+    /// Sets the rule from one party to another.
     pub(super) fn set_rule(&mut self, from: &str, to: &str, rule: Rule) {
-        for (from, to) in self.ways(from, to) {
+        for (from, to) in self.routes(from, to) {
             self.faults.set(&from, &to, rule);
             self.silence(from, to, rule.silences());
         }
     }
 
-    /// The two sides are parted, or no more.
-    pub(super) fn part(&mut self, sides: &Sides, parted: bool) {
+    /// Starts or ends a partition between two sides.
+    pub(super) fn set_partition(&mut self, sides: &Sides, parted: bool) {
         let rule = Rule {
             partition: true,
             refuse: sides.new == New::Refuse,
@@ -42,7 +42,7 @@
                         self.set_rule(from, to, rule);
                         continue;
                     }
-                    for (from, to) in self.ways(from, to) {
+                    for (from, to) in self.routes(from, to) {
                         self.faults.lift(&from, &to);
                         self.silence(from, to, false);
                     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// All rules are lifted.
+    /// Removes all rules.
     pub(super) fn heal(&mut self) {
         self.faults.heal();
         for (from, to) in std::mem::take(&mut self.silenced) {
@@ -59,16 +59,16 @@
         }
     }
 
-    /// A way is silent, or no more.
+    /// Notes that a route is silent, or is no longer.
     fn silence(&mut self, from: String, to: String, silent: bool) {
-        let way = (from, to);
-        let changed = if silent { self.silenced.insert(way.clone()) } else { self.silenced.remove(&way) };
+        let route = (from, to);
+        let changed = if silent { self.silenced.insert(route.clone()) } else { self.silenced.remove(&route) };
         if changed {
-            self.note_engines(&way.0, &way.1, silent);
+            self.note_engines(&route.0, &route.1, silent);
         }
     }
 
-    /// Notes that the engines at either end of a way are kept from serving, or no more.
+    /// Records that the engines at either end of a route are kept from serving, or no longer.
     fn note_engines(&self, from: &str, to: &str, silent: bool) {
         for hall in [from, to] {
             let Some(zone) = HALLS.iter().position(|h| *h == hall) else { continue };
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Notes that engines are kept from serving for good.
-    pub(super) fn struck(&self, who: &[usize]) {
-        let on = who.iter().map(|i| self.engines[*i].id.clone()).collect();
+    /// Records that engines are kept from serving for good.
+    pub(super) fn note_engine_fault(&self, engines: &[usize]) {
+        let on = engines.iter().map(|i| self.engines[*i].id.clone()).collect();
         self.history.note(Event::FaultBegan { on });
     }
 }
--- a/crates/cluster-harness/src/run/peers.rs
+++ b/crates/cluster-harness/src/run/peers.rs
@@ -24,12 +24,12 @@
     ports: BTreeMap<String, Port>,
     /// Parties that reach managers, in the order of their numbers.
     sources: Vec<String>,
-    /// Keeps the ways open.
+    /// Paths through the fault proxy, which close when they are dropped.
     _paths: Vec<TcpPath>,
 }
 
 impl Peers {
-    /// Opens the ways of a scenario.
+    /// Opens the paths of a scenario.
     pub(super) fn new(scenario: &Scenario, faults: &Faults) -> Result<Peers, RunError> {
         let mut sources = scenario.parties();
         if scenario.subscribers.count > 0 {
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -1,6 +1,6 @@
-//! A manager's process: its folder and files, its start and its end, and what of it goes into the history.
+//! A manager's process: its folder and files, its start and its exit, and their entries in the history.
 
-use super::{Life, Rig, RunError};
+use super::{ProcessState, Rig, RunError};
 use crate::procs::{Ended, Tail};
 use crate::scenario::{GROUPS, HALLS};
 use crate::template::Values;
@@ -41,10 +41,10 @@
 }
 
 impl Rig<'_> {
-    /// Starts manager `i`, killed first where it runs.
-    pub(super) fn begin(&mut self, i: usize, emptied: bool) -> Result<(), RunError> {
+    /// Starts manager `i`; a running one is killed first.
+    pub(super) fn start_manager(&mut self, i: usize, emptied: bool) -> Result<(), RunError> {
         self.kill(i);
-        self.lives[i] = Life::Starting;
+        self.process_states[i] = ProcessState::Starting;
         let folder = self.fleet.folder(i);
         if emptied {
             match std::fs::remove_dir_all(&folder) {
@@ -90,16 +90,16 @@
         Ok(())
     }
 
-    /// Kills manager `i` outright, if it runs: nobody is sent to it any more.
+    /// Kills manager `i`, if it runs; clients send nothing more to it.
     pub(super) fn kill(&mut self, i: usize) {
-        self.strike(i);
+        self.mark_unavailable(i);
         self.fleet.kill(i);
-        self.over(i, Ended { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
-        self.lives[i] = Life::Dead;
+        self.note_exit(i, Ended { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
+        self.process_states[i] = ProcessState::Down;
     }
 
-    /// Notes a process's end, once.
-    pub(super) fn over(&mut self, i: usize, how: Ended, cause: ExitCause, next: Option<String>) {
+    /// Records the exit of a process, once.
+    pub(super) fn note_exit(&mut self, i: usize, how: Ended, cause: ExitCause, next: Option<String>) {
         if std::mem::take(&mut self.procs[i].alive) {
             let (process, Ended { status, signal }) = (format!("n{i}"), how);
             self.history.note(Event::Exited { process, status, signal, cause, next });
@@ -119,7 +119,7 @@
         }
     }
 
-    /// What stands for manager `i`'s templates.
+    /// The values of manager `i`'s templates.
     pub(super) fn values(&self, i: usize) -> Values {
         let group = self.scenario.group_of(i);
         let starts = self.fleet.managers.get(i).map_or(0, |m| m.starts);
@@ -140,7 +140,7 @@
         Values { variables: variables.into(), peers }
     }
 
-    /// Tells the process its faults: points armed for it, and its disk's. A folder without faults has no such file.
+    /// Writes the process's faults, failpoints and disk faults, into its folder; without faults there is no such file.
     fn write_faults(&self, i: usize, folder: &Path) -> Result<(), RunError> {
         let faults = FaultFile { points: self.failpoint_faults.armed(i), disk: self.procs[i].disk };
         let path = folder.join(fault_file::FILE_NAME);
@@ -177,7 +177,7 @@
     /// Copies manager `i`'s folder; a process that runs is stopped meanwhile, so that the copy is of one moment.
     pub(super) fn keep_copy(&self, i: usize) -> Result<(), RunError> {
         use nix::sys::signal::Signal;
-        let runs = self.procs[i].alive && self.lives[i] != Life::Paused;
+        let runs = self.procs[i].alive && self.process_states[i] != ProcessState::Paused;
         if runs {
             self.fleet.signal(i, Signal::SIGSTOP)?;
         }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -3,7 +3,7 @@
 use super::failpoint_faults::FailpointFaults;
 use super::peers::{Peers, SUBSCRIBERS};
 use super::process::Proc;
-use super::{unix_ms, Engine, Life, Program, Rig, RunError};
+use super::{unix_ms, Engine, ProcessState, Program, Rig, RunError};
 use crate::engines::{name_of, CountingEngine, Spec};
 use crate::fault_proxy::{self, Faults, UdpNet};
 use crate::history::Recorder;
@@ -61,8 +61,8 @@
             feeds: Vec::new(),
             revision: 1,
             fleet,
-            lives: vec![Life::Unborn; n],
-            seats: (0..n).map(|_| Arc::default()).collect(),
+            process_states: vec![ProcessState::NotStarted; n],
+            availability: (0..n).map(|_| Arc::default()).collect(),
             up_once: vec![false; n],
             crashed: 0,
             settings: settings_of(scenario),
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -1,8 +1,8 @@
-//! What happens in a run: the scenario's steps with each manager's part of them, in order and when due.
+//! The timeline of a run and the actions of its steps.
 
-use super::life::STILL_COMING;
 use super::setup::COLD_FOR;
-use super::{unix_ms, Life, Rig, RunError};
+use super::supervision::CLIENT_GRACE;
+use super::{unix_ms, ProcessState, Rig, RunError};
 use crate::procs::{self, Row};
 use crate::scenario::{Action, FleetRange, ManagerSelector, HALLS};
 use nix::sys::signal::Signal;
@@ -15,7 +15,7 @@
 const MAX_ACTION_TEXT: usize = 400;
 
 impl Rig<'_> {
-    /// All that happens, in order: starts, and the steps with each manager's part of them.
+    /// The starts and the steps in their order, one entry for each manager that a step applies to.
     pub(super) fn timeline(&self) -> Vec<(Duration, Action)> {
         let mut all = Vec::new();
         let starts = FleetRange { from: 0.0, to: 1.0, over_ms: self.scenario.start_over_ms };
@@ -28,13 +28,13 @@
                 self.schedule(&mut all, at, &step.action, (k as u64) << 20 | time as u64);
             }
         }
-        // Stable: what is due at once happens in the file's order.
+        // The sort is stable: actions that are due at once keep the scenario's order.
         all.sort_by_key(|a| a.0);
         all.reverse();
         all
     }
 
-    /// An act, one manager after the other where it is on managers.
+    /// Adds an action to the timeline, one manager after the other where it applies to managers.
     fn schedule(&self, all: &mut Vec<(Duration, Action)>, at: f64, action: &Action, draw: u64) {
         let (selector, with_selector): (&ManagerSelector, fn(ManagerSelector) -> Action) = match action {
             Action::Kill(w) => (w, Action::Kill),
@@ -53,13 +53,13 @@
         );
     }
 
-    /// The managers that an act is on, drawn anew each time where they are drawn.
+    /// The managers that an action applies to; where they are drawn at random, each time again.
     pub(super) fn select_managers(&mut self, selector: &ManagerSelector) -> Vec<usize> {
         self.draws += 1;
         selector.select(self.scenario, 2 << 40 | self.draws)
     }
 
-    /// Notes what the nemesis does.
+    /// Records an action in the history.
     fn note_action(&mut self, action: &Action) {
         if !self.history.on() {
             return;
@@ -82,16 +82,16 @@
         self.note_action(action);
         match action {
             Action::Restart(w) => {
-                self.select_managers(w).into_iter().try_for_each(|i| self.begin(i, false))?
+                self.select_managers(w).into_iter().try_for_each(|i| self.start_manager(i, false))?
             }
             Action::RestartEmpty(w) => {
-                self.select_managers(w).into_iter().try_for_each(|i| self.begin(i, true))?
+                self.select_managers(w).into_iter().try_for_each(|i| self.start_manager(i, true))?
             }
             Action::Kill(w) => self.select_managers(w).into_iter().for_each(|i| self.kill(i)),
             Action::Roll(w) => self.select_managers(w).into_iter().try_for_each(|i| self.terminate(i))?,
             Action::Pause(w) => {
                 for i in self.select_managers(w) {
-                    if self.lives[i] == Life::Up {
+                    if self.process_states[i] == ProcessState::Up {
                         self.pause(i)?;
                     }
                 }
@@ -119,10 +119,10 @@
             Action::OlderList => self.send_older_list()?,
             Action::ContradictoryList => self.send_contradictory_list()?,
             Action::Fault { from, to, rule } => self.set_rule(from, to, *rule),
-            Action::Part(sides) => self.part(sides, true),
-            Action::Join(sides) => self.part(sides, false),
+            Action::Part(sides) => self.set_partition(sides, true),
+            Action::Join(sides) => self.set_partition(sides, false),
             Action::Cut { from, to, how } => {
-                self.ways(from, to).into_iter().for_each(|(from, to)| self.faults.cut(&from, &to, *how));
+                self.routes(from, to).into_iter().for_each(|(from, to)| self.faults.cut(&from, &to, *how));
             }
             Action::Heal => self.heal(),
             Action::ZoneCold(zone) => self.restart_zone(zone)?,
@@ -132,12 +132,14 @@
 
     /// Sends SIGTERM to a manager that runs; its clients keep sending for a while.
     fn terminate(&mut self, manager: usize) -> Result<(), RunError> {
-        if !matches!(self.lives[manager], Life::Up | Life::Starting) {
+        if !matches!(self.process_states[manager], ProcessState::Up | ProcessState::Starting) {
             return Ok(());
         }
-        self.seat(manager, |s| s.until = Some(Instant::now() + STILL_COMING));
+        self.update_availability(manager, |availability| {
+            availability.until = Some(Instant::now() + CLIENT_GRACE)
+        });
         self.fleet.signal(manager, Signal::SIGTERM)?;
-        self.lives[manager] = Life::Ending(Instant::now());
+        self.process_states[manager] = ProcessState::Terminating(Instant::now());
         Ok(())
     }
 
@@ -149,7 +151,7 @@
 
     fn drain_engines(&mut self, range: &FleetRange) -> Result<(), RunError> {
         let engines: Vec<usize> = range.indices(self.engines.len()).collect();
-        self.struck(&engines);
+        self.note_engine_fault(&engines);
         engines.iter().for_each(|i| self.engines[*i].phase = "draining");
         self.tell(&engines)?;
         engines.iter().for_each(|i| self.ledger.drained(*i, Instant::now()));
@@ -159,7 +161,7 @@
     /// Engines that the list has as gone and that end then.
     fn withdraw_engines(&mut self, range: &FleetRange) -> Result<(), RunError> {
         let engines: Vec<usize> = range.indices(self.engines.len()).collect();
-        self.struck(&engines);
+        self.note_engine_fault(&engines);
         engines.iter().for_each(|i| self.engines[*i].phase = "gone");
         self.tell(&engines)?;
         engines.iter().for_each(|i| self.stop_engine(*i));
@@ -169,7 +171,7 @@
     /// Engines that end, and stay on the list.
     fn stop_engines(&mut self, range: &FleetRange) {
         let engines: Vec<usize> = range.indices(self.engines.len()).collect();
-        self.struck(&engines);
+        self.note_engine_fault(&engines);
         engines.into_iter().for_each(|i| self.stop_engine(i));
     }
 
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -1,6 +1,6 @@
 //! What managers hold of the fleet, asked of each while a run goes on.
 
-use super::{Life, Rig, Views};
+use super::{ProcessState, Rig, Views};
 use sprucelink_membership::{Member, MemberState};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     /// Asks every manager that runs for its view, some at once.
     pub(super) fn poll(&mut self) {
         let asked: Vec<(usize, SocketAddr)> = (0..self.members.len())
-            .filter(|i| self.lives[*i] == Life::Up)
+            .filter(|i| self.process_states[*i] == ProcessState::Up)
             .filter_map(|i| Some((i, self.real[i]?)))
             .collect();
         let at = self.start.elapsed().as_secs_f64();
