--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -55,7 +55,8 @@
     let journal = plan.folder.parent().ok_or("no folder above")?.join("journal.jsonl");
     let plan = Arc::new(plan);
     if plan.name == "n0" {
-        let (plan, journal) = (Arc::clone(&plan), journal.clone());
+        let plan = Arc::clone(&plan);
+        let journal = journal.clone();
         std::thread::spawn(move || publish(&plan, &journal));
     }
     if let Some(ms) = plan.out_ms.get(&plan.name).copied().filter(|_| plan.version == "v1") {
@@ -63,7 +64,8 @@
         std::thread::spawn(move || leave(&plan, ms));
     }
     for stream in listener.incoming() {
-        let (plan, journal) = (Arc::clone(&plan), journal.clone());
+        let plan = Arc::clone(&plan);
+        let journal = journal.clone();
         std::thread::spawn(move || stream.map(|s| serve(s, &plan, &journal)));
     }
     Ok(())
@@ -162,7 +164,9 @@
     mut sent: usize,
     only_permits: bool,
 ) -> std::io::Result<()> {
-    let (mut file, mut line_no, mut part) = (None, 0, String::new());
+    let mut file = None;
+    let mut line_no = 0;
+    let mut part = String::new();
     let mut next_word = Instant::now();
     loop {
         if file.is_none() {
@@ -172,7 +176,8 @@
             f.read_to_string(&mut part)?;
         }
         while let Some((line, rest)) = part.split_once('\n') {
-            let (line, rest) = (line.to_owned(), rest.to_owned());
+            let line = line.to_owned();
+            let rest = rest.to_owned();
             part = rest;
             line_no += 1;
             let (name, data) = line.split_once(' ').unwrap_or(("", "{}"));
--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -76,7 +76,9 @@
 }
 
 async fn answer(stream: &mut TcpStream) -> Option<Became> {
-    let (mut rows, mut became, mut ready) = (false, None, 0);
+    let mut rows = false;
+    let mut became = None;
+    let mut ready = 0;
     // Two ReadyForQuery: one after the start-up, one after the answer.
     while ready < 2 {
         let mut head = [0u8; 5];
--- a/crates/cluster-harness/src/counter.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -29,7 +29,8 @@
     pub fn peak(&self, width: Duration) -> usize {
         let mut at = self.at.clone();
         at.sort_unstable();
-        let (mut most, mut from) = (0, 0);
+        let mut most = 0;
+        let mut from = 0;
         for to in 0..at.len() {
             while at[to] - at[from] >= width {
                 from += 1;
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -93,9 +93,11 @@
         let bears = self.spec.fall_multiple * warmth * self.spec.cores * self.spec.fall_span;
         if warmth < 1.0 && recent > bears {
             // It comes back as cold as it was at first.
-            (self.down_until, self.born) = (Some(now + DOWN_FOR), now + DOWN_FOR);
+            self.down_until = Some(now + DOWN_FOR);
+            self.born = now + DOWN_FOR;
             self.sent.clear();
-            (self.threads, self.queries) = (0.0, 0);
+            self.threads = 0.0;
+            self.queries = 0;
             return None;
         }
         self.threads += threads;
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -122,7 +122,8 @@
                 });
             }
         });
-        let (dials, work) = (shared.dials.clone(), shared.work.clone());
+        let dials = shared.dials.clone();
+        let work = shared.work.clone();
         Ok(CountingEngine { address, dials, work, shared, listening })
     }
 
@@ -240,7 +241,9 @@
         return false;
     };
     open.lock().unwrap_or_else(PoisonError::into_inner).insert(id, threads);
-    let (engine, open, answers) = (Arc::clone(engine), Arc::clone(open), answers.clone());
+    let engine = Arc::clone(engine);
+    let open = Arc::clone(open);
+    let answers = answers.clone();
     tokio::spawn(async move {
         if runs > Duration::ZERO {
             sleep(runs).await;
--- a/crates/cluster-harness/src/fault_proxy/mod.rs
+++ b/crates/cluster-harness/src/fault_proxy/mod.rs
@@ -129,7 +129,8 @@
     /// The pairs under which a rule for two parties may stand, the nearest first.
     fn pairs(&self, from: &str, to: &str) -> Vec<Pair> {
         let home = |name: &str| self.homes.get(name).cloned();
-        let (from_home, to_home) = (home(from), home(to));
+        let from_home = home(from);
+        let to_home = home(to);
         let mut all = vec![(from.to_owned(), to.to_owned())];
         all.extend(to_home.iter().map(|t| (from.to_owned(), t.clone())));
         all.extend(from_home.iter().map(|f| (f.clone(), to.to_owned())));
--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -44,14 +44,18 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    let (faults, from, to) = (faults.clone(), from.to_owned(), to.to_owned());
+    let faults = faults.clone();
+    let from = from.to_owned();
+    let to = to.to_owned();
     let listening = runtime().spawn(async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
         while let Ok((client, _)) = listener.accept().await {
             let rule = faults.rule(&from, &to);
             let target = *target.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(target) = target.filter(|_| !rule.refuse) else { continue };
-            let (faults, from, to) = (faults.clone(), from.clone(), to.clone());
+            let faults = faults.clone();
+            let from = from.clone();
+            let to = to.clone();
             tokio::spawn(async move {
                 if rule.blackhole {
                     return swallow(client).await;
@@ -89,7 +93,8 @@
     let there = pump(faults, from, to, client_in, server_out);
     let back = pump(faults, to, from, server_in, client_out);
     tokio::pin!(there, back);
-    let (mut there_over, mut back_over) = (false, false);
+    let mut there_over = false;
+    let mut back_over = false;
     while !(there_over && back_over) {
         // A direction that ended in order leaves the other open; one that was cut or failed ends both.
         let ended = tokio::select! {
@@ -133,6 +138,32 @@
     Reset,
 }
 
+/// What ended a read, or what it returned.
+enum Read {
+    /// So many bytes came; 0: the sender has ended this direction.
+    Bytes(usize),
+    /// The faults changed meanwhile.
+    FaultsChanged,
+    /// The connection failed, or the rig has ended.
+    Failed,
+}
+
+/// Reads the next piece, unless the faults change first.
+async fn read_piece<R: AsyncReadExt + Unpin>(
+    input: &mut R,
+    piece: &mut [u8],
+    changed: &mut tokio::sync::watch::Receiver<u64>,
+) -> Read {
+    tokio::select! {
+        read = input.read(piece) => read.map_or(Read::Failed, Read::Bytes),
+        change = changed.changed() => match change {
+            Ok(()) => Read::FaultsChanged,
+            Err(_) => Read::Failed,
+        },
+    }
+}
+
+/// Forwards one direction of a connection until it ends, by the rules in force.
 async fn pump<R, W>(faults: &Faults, from: &str, to: &str, mut input: R, mut output: W) -> StreamEnd
 where
     R: AsyncReadExt + Unpin,
@@ -156,17 +187,11 @@
             continue;
         }
         let piece = faults.rule(from, to).piece();
-        let read = tokio::select! {
-            read = input.read(&mut bytes[..piece]) => read,
-            c = changed.changed() => match c {
-                Ok(()) => continue,
-                Err(_) => return StreamEnd::Broken,
-            },
-        };
-        let n = match read {
-            Ok(0) => return end_output(&mut output).await,
-            Ok(n) => n,
-            Err(_) => return StreamEnd::Broken,
+        let n = match read_piece(&mut input, &mut bytes[..piece], &mut changed).await {
+            Read::Bytes(0) => return end_output(&mut output).await,
+            Read::Bytes(n) => n,
+            Read::FaultsChanged => continue,
+            Read::Failed => return StreamEnd::Broken,
         };
         let mut rule = faults.rule(from, to);
         let delay = faults.delay(&rule) + faults.pace(from, to, &rule, n);
--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -104,7 +104,8 @@
         self.with(|l| {
             l.counts.attempts += 1;
             if let Some(start) = l.start.filter(|_| l.sends.len() < MAX_SENDS) {
-                let (manager, engine) = (manager_of(request), engine as u16);
+                let manager = manager_of(request);
+                let engine = engine as u16;
                 l.sends.push(Sent { at: at.saturating_duration_since(start), manager, engine });
             }
             let first = l.seen.len() >= MAX_SEEN || l.seen.insert(request);
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -16,7 +16,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Longest head of a request, in bytes.
-const MAX_HEAD: usize = 16_384;
+const MAX_HEAD_BYTES: usize = 16_384;
+/// Time within which the head of a request must be there.
+const MAX_HEAD_TIME: Duration = Duration::from_secs(5);
 /// Events that the service keeps; a further one is an error.
 const MAX_EVENTS: usize = 10_000;
 /// Longest watch request; the manager then sends another.
@@ -43,6 +45,16 @@
 /// What calls look at: the mode, and how many events there are.
 type State = (DiscoveryMode, usize);
 
+/// What all calls of a service share.
+struct Shared {
+    /// The party that the service is for.
+    name: String,
+    start: Instant,
+    calls: Counter,
+    events: Arc<Mutex<Vec<String>>>,
+    history: Recorder,
+}
+
 /// The service, running on a port of its own until the process ends.
 pub struct ListService {
     /// Where it listens.
@@ -76,16 +88,23 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (state, look) = watch::channel((DiscoveryMode::Serving, 1));
-        let (calls, events) = (Counter::default(), Arc::new(Mutex::new(vec![first])));
-        let (c, e) = (calls.clone(), Arc::clone(&events));
-        let seen = Arc::new((name.to_owned(), history));
+        let (state, watched_state) = watch::channel((DiscoveryMode::Serving, 1));
+        let calls = Counter::default();
+        let events = Arc::new(Mutex::new(vec![first]));
+        let shared = Arc::new(Shared {
+            name: name.to_owned(),
+            start,
+            calls: calls.clone(),
+            events: Arc::clone(&events),
+            history,
+        });
         runtime().spawn(async move {
             let Ok(listener) = TcpListener::from_std(listener) else { return };
             while let Ok((stream, _)) = listener.accept().await {
-                let (c, e, look, seen) = (c.clone(), Arc::clone(&e), look.clone(), Arc::clone(&seen));
+                let shared = Arc::clone(&shared);
+                let state = watched_state.clone();
                 tokio::spawn(async move {
-                    let _ = timeout(MAX_CALL_TIME, serve(stream, start, &c, look, &e, &seen)).await;
+                    let _ = timeout(MAX_CALL_TIME, serve(stream, &shared, state)).await;
                 });
             }
         });
@@ -123,11 +142,12 @@
 }
 
 async fn head(stream: &mut TcpStream) -> Option<String> {
-    let (mut head, mut bytes) = (Vec::new(), [0u8; 1024]);
+    let mut head = Vec::new();
+    let mut bytes = [0u8; 1024];
     while !head.windows(4).any(|w| w == b"\r\n\r\n") {
         let n = stream.read(&mut bytes).await.ok().filter(|n| *n > 0)?;
         head.extend_from_slice(&bytes[..n]);
-        if head.len() > MAX_HEAD {
+        if head.len() > MAX_HEAD_BYTES {
             return None;
         }
     }
@@ -154,28 +174,28 @@
     position
 }
 
-async fn serve(
-    mut stream: TcpStream,
-    start: Instant,
-    calls: &Counter,
-    mut look: watch::Receiver<State>,
-    events: &Mutex<Vec<String>>,
-    seen: &(String, Recorder),
-) -> Option<()> {
-    let head = timeout(Duration::from_secs(5), head(&mut stream)).await.ok()??;
-    calls.note(start);
-    let field =
+/// Counts and records a call; how many events the caller already has.
+fn note_call(shared: &Shared, head: &str, mode: DiscoveryMode) -> usize {
+    shared.calls.note(shared.start);
+    let cursor =
         head.lines().find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id:").map(str::to_owned));
-    let mode = look.borrow().0;
-    seen.1.note(Event::ListCall {
-        service: seen.0.clone(),
-        cursor: field.as_ref().map(|v| v.trim().to_owned()),
+    let cursor = cursor.map(|value| value.trim().to_owned());
+    shared.history.note(Event::ListCall {
+        service: shared.name.clone(),
+        cursor: cursor.clone(),
         answer: answer_name(mode).to_owned(),
     });
-    let mut sent: usize = field.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
+    cursor.and_then(|value| value.parse().ok()).unwrap_or(0)
+}
+
+/// Answers one call until it ends; `None` where it broke off.
+async fn serve(mut stream: TcpStream, shared: &Shared, mut state: watch::Receiver<State>) -> Option<()> {
+    let head = timeout(MAX_HEAD_TIME, head(&mut stream)).await.ok()??;
+    let mode = state.borrow().0;
+    let mut sent = note_call(shared, &head, mode);
     let mut opened = false;
     loop {
-        let (mode, n) = *look.borrow_and_update();
+        let (mode, n) = *state.borrow_and_update();
         match mode {
             DiscoveryMode::Refusing if opened => return None,
             DiscoveryMode::Refusing => {
@@ -185,7 +205,7 @@
             }
             DiscoveryMode::Stalling => {
                 // Silent until its mode changes; a caller that gives up is noticed then.
-                timeout(MAX_STALL_TIME, look.changed()).await.ok()?.ok()?;
+                timeout(MAX_STALL_TIME, state.changed()).await.ok()?.ok()?;
                 continue;
             }
             DiscoveryMode::Serving => {}
@@ -194,14 +214,14 @@
         if !std::mem::replace(&mut opened, true) {
             out.push_str("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         }
-        sent = append_events(&mut out, events, sent, n);
+        sent = append_events(&mut out, &shared.events, sent, n);
         if out.is_empty() {
             out.push_str(": still here\n\n");
         }
         stream.write_all(out.as_bytes()).await.ok()?;
         tokio::select! {
             () = sleep(Duration::from_secs(1)) => {}
-            changed = look.changed() => changed.ok()?,
+            changed = state.changed() => changed.ok()?,
         }
     }
 }
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -36,7 +36,9 @@
     /// Seconds from the start to the end of the last bucket in which less than [`SERVING`] was served of what was
     /// asked; 0 if there was none. Buckets with fewer than `least` requests are joined with those that follow.
     pub fn seconds_to_serving(&self, least: u32) -> f64 {
-        let (mut asked, mut served, mut late) = (0, 0, 0);
+        let mut asked = 0;
+        let mut served = 0;
+        let mut late = 0;
         for i in 0..self.asked.len() {
             asked += self.asked[i];
             served += self.served[i];
@@ -44,7 +46,8 @@
                 if f64::from(served) < SERVING * f64::from(asked) {
                     late = i + 1;
                 }
-                (asked, served) = (0, 0);
+                asked = 0;
+                served = 0;
             }
         }
         late as f64 * BUCKET.as_secs_f64()
--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -36,8 +36,10 @@
                 Value::Null => None,
                 body => Some(values.fill_value(body)?.to_string()),
             };
-            let (method, cursor_at) = (call.method.clone(), call.cursor_at.clone());
-            let (at, history) = (self.peers.real(&call.port, i), self.history.clone());
+            let method = call.method.clone();
+            let cursor_at = call.cursor_at.clone();
+            let at = self.peers.real(&call.port, i);
+            let history = self.history.clone();
             runtime().spawn(async move {
                 let got = match at {
                     Some(at) => http::call(at, &method, &path, body).await.map_err(CallError::Http),
--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -73,7 +73,8 @@
 
     /// A line may say where the process listens.
     fn find_ports(&mut self, i: usize, line: &str) {
-        let (ports, peers) = (&self.scenario.ports, &self.peers);
+        let ports = &self.scenario.ports;
+        let peers = &self.peers;
         self.procs[i].unbound.retain(|p| {
             let rest = line.split_once(ports[*p].said.as_str()).map(|(_, rest)| rest);
             let real = rest.and_then(|r| r.split([',', ' ', '"']).next()).and_then(|a| a.parse().ok());
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -61,15 +61,26 @@
             requests.asked[i] += 1;
             match became {
                 Became::Served => {
-                    (r.served, requests.served[i]) = (r.served + 1, requests.served[i] + 1);
+                    r.served += 1;
+                    requests.served[i] += 1;
                     took_us.saturating_record(took.as_micros() as u64);
                 }
                 Became::Refused => {
-                    (r.refused, requests.refused[i]) = (r.refused + 1, requests.refused[i] + 1)
+                    r.refused += 1;
+                    requests.refused[i] += 1;
+                }
+                Became::Failed => {
+                    r.failed += 1;
+                    requests.bad[i] += 1;
+                }
+                Became::NotTaken => {
+                    r.not_taken += 1;
+                    requests.bad[i] += 1;
+                }
+                Became::Lost => {
+                    r.lost += 1;
+                    requests.bad[i] += 1;
                 }
-                Became::Failed => (r.failed, requests.bad[i]) = (r.failed + 1, requests.bad[i] + 1),
-                Became::NotTaken => (r.not_taken, requests.bad[i]) = (r.not_taken + 1, requests.bad[i] + 1),
-                Became::Lost => (r.lost, requests.bad[i]) = (r.lost + 1, requests.bad[i] + 1),
             }
         }
         r.p50_ms = took_us.value_at_quantile(0.5) as f64 / 1e3;
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -1,14 +1,14 @@
 //! The clients that send requests during a run.
 
-use super::{Availability, Rig};
+use super::{Availability, Ended, Rig};
 use crate::client::{self, ClientRequest};
 use crate::ledger::request_id;
 use crate::runtime;
-use crate::scenario::Engines;
+use crate::scenario::{Engines, Load};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::{Duration, Instant};
 use tokio::time::sleep_until;
 
@@ -23,67 +23,116 @@
     availability.address.filter(|_| availability.until.is_none_or(|u| Instant::now() < u))
 }
 
+/// The clients of one manager: a Poisson stream of requests.
+struct ClientStream {
+    /// The manager's number.
+    manager: usize,
+    own: Arc<Mutex<Availability>>,
+    /// The managers that take over while the own one is down; empty where clients do not follow.
+    alternatives: Vec<Weak<Mutex<Availability>>>,
+    completed: Arc<Mutex<Vec<Ended>>>,
+    start: Instant,
+    end: Instant,
+    /// Mean interval between two requests, in seconds.
+    mean_interval: f64,
+    load: Load,
+    engines: Engines,
+    rng: ChaCha8Rng,
+}
+
+impl ClientStream {
+    /// Sends requests when they are due, until the end of the run; answers are not waited for.
+    async fn run(mut self) {
+        let mut due = self.start;
+        loop {
+            // An exponential interval; the draw is never zero.
+            due += Duration::from_secs_f64(-(1.0 - self.rng.gen::<f64>()).ln() * self.mean_interval);
+            if due >= self.end {
+                return;
+            }
+            sleep_until(due.into()).await;
+            let request = self.draw_request();
+            let target = self.choose_manager();
+            let Some(address) = open_address(&target) else { continue };
+            if Arc::strong_count(&target) > MAX_OPEN {
+                continue;
+            }
+            self.send(address, request, target, due);
+        }
+    }
+
+    fn draw_request(&mut self) -> ClientRequest {
+        let id = request_id(self.manager, self.rng.gen());
+        let key = self.rng.gen::<u64>();
+        let heavy = self.rng.gen_bool(self.load.heavy);
+        let ms = if heavy { self.engines.heavy_ms } else { self.engines.light_ms };
+        ClientRequest { id, heavy, key, ms, timeout: Duration::from_secs_f64(self.load.timeout_ms / 1e3) }
+    }
+
+    /// The own manager while it takes requests, else one drawn at random, which may be down as well.
+    fn choose_manager(&mut self) -> Arc<Mutex<Availability>> {
+        let mut target = Arc::clone(&self.own);
+        for _ in 0..MAX_ALTERNATIVES {
+            if open_address(&target).is_some() || self.alternatives.is_empty() {
+                break;
+            }
+            let drawn = self.rng.gen_range(0..self.alternatives.len());
+            target = self.alternatives[drawn].upgrade().unwrap_or(target);
+        }
+        target
+    }
+
+    /// Sends a request in a task of its own, which records how it completes.
+    fn send(
+        &self,
+        address: SocketAddr,
+        request: ClientRequest,
+        target: Arc<Mutex<Availability>>,
+        due: Instant,
+    ) {
+        let completed = Arc::clone(&self.completed);
+        let due_after = due.saturating_duration_since(self.start);
+        tokio::spawn(async move {
+            let (became, took) = client::send(address, request).await;
+            let unavailable_since = target.lock().unwrap_or_else(PoisonError::into_inner).unavailable_since;
+            let died = unavailable_since.is_some_and(|since| since >= due);
+            let row = (due_after, became, died, took);
+            completed.lock().unwrap_or_else(PoisonError::into_inner).push(row);
+        });
+    }
+}
+
 impl Rig<'_> {
     /// Starts the clients: each manager gets a Poisson stream of requests of its own.
     pub(super) fn start_clients(&self) -> Vec<tokio::task::JoinHandle<()>> {
-        let (load, Engines { light_ms, heavy_ms, .. }) = (self.scenario.load, self.scenario.engines);
-        if load.rate <= 0.0 {
+        if self.scenario.load.rate <= 0.0 {
             return Vec::new();
         }
-        let gap = self.scenario.managers as f64 / load.rate;
-        let end = self.start + Duration::from_secs_f64(self.scenario.seconds);
-        let one = |(i, availability): (usize, &Arc<Mutex<Availability>>)| {
-            let (own, ended, start) = (Arc::clone(availability), Arc::clone(&self.ended), self.start);
-            let all: Vec<_> =
-                if load.follow { self.availability.iter().map(Arc::downgrade).collect() } else { Vec::new() };
-            let mut rng = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ (0xc11e << 32) ^ i as u64);
-            runtime().spawn(async move {
-                let mut due = start;
-                loop {
-                    // An exponential gap; the draw is never zero.
-                    due += Duration::from_secs_f64(-(1.0 - rng.gen::<f64>()).ln() * gap);
-                    if due >= end {
-                        return;
-                    }
-                    sleep_until(due.into()).await;
-                    let (id, key) = (request_id(i, rng.gen()), rng.gen::<u64>());
-                    let heavy = rng.gen_bool(load.heavy);
-                    let mut target = Arc::clone(&own);
-                    for _ in 0..MAX_ALTERNATIVES {
-                        if open_address(&target).is_some() || all.is_empty() {
-                            break;
-                        }
-                        target = all[rng.gen_range(0..all.len())].upgrade().unwrap_or(target);
-                    }
-                    let Some(at) = open_address(&target) else { continue };
-                    if Arc::strong_count(&target) > MAX_OPEN {
-                        continue;
-                    }
-                    let ended = Arc::clone(&ended);
-                    let ms = if heavy { heavy_ms } else { light_ms };
-                    let request = ClientRequest {
-                        id,
-                        heavy,
-                        key,
-                        ms,
-                        timeout: Duration::from_secs_f64(load.timeout_ms / 1e3),
-                    };
-                    tokio::spawn(async move {
-                        let (became, took) = client::send(at, request).await;
-                        let unavailable_since =
-                            target.lock().unwrap_or_else(PoisonError::into_inner).unavailable_since;
-                        let died = unavailable_since.is_some_and(|t| t >= due);
-                        let row = (due.saturating_duration_since(start), became, died, took);
-                        ended.lock().unwrap_or_else(PoisonError::into_inner).push(row);
-                    });
-                }
-            })
+        (0..self.availability.len()).map(|i| runtime().spawn(self.client_stream(i).run())).collect()
+    }
+
+    fn client_stream(&self, manager: usize) -> ClientStream {
+        let load = self.scenario.load;
+        let alternatives = match load.follow {
+            true => self.availability.iter().map(Arc::downgrade).collect(),
+            false => Vec::new(),
         };
-        self.availability.iter().enumerate().map(one).collect()
+        ClientStream {
+            manager,
+            own: Arc::clone(&self.availability[manager]),
+            alternatives,
+            completed: Arc::clone(&self.ended),
+            start: self.start,
+            end: self.start + Duration::from_secs_f64(self.scenario.seconds),
+            mean_interval: self.scenario.managers as f64 / load.rate,
+            load,
+            engines: self.scenario.engines,
+            rng: ChaCha8Rng::seed_from_u64(self.scenario.seed ^ (0xc11e << 32) ^ manager as u64),
+        }
     }
 
     /// Requests in flight: each holds a reference to its manager's availability.
     pub(super) fn open(&self) -> usize {
-        self.availability.iter().map(|s| Arc::strong_count(s).saturating_sub(1)).sum()
+        self.availability.iter().map(|manager| Arc::strong_count(manager).saturating_sub(1)).sum()
     }
 }
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -97,8 +97,9 @@
         r.served_back = self.requests.served_share(w.to, (w.to + 10.0).min(end));
         r.home_first = share(self.sent(scenario, zone, zone, w.to, w.to + 1.0));
         r.home_last = share(self.sent(scenario, zone, zone, end - 5.0, end));
-        (r.said_lost, r.said_p50_s, r.said_p95_s) =
-            (said.len(), at(0.5).unwrap_or(f64::NAN), at(0.95).unwrap_or(f64::NAN));
+        r.said_lost = said.len();
+        r.said_p50_s = at(0.5).unwrap_or(f64::NAN);
+        r.said_p95_s = at(0.95).unwrap_or(f64::NAN);
         std::mem::swap(r, &mut self.report);
     }
 
@@ -130,7 +131,8 @@
                 self.sends.iter().filter(|s| s.manager == m && at(s) >= from && at(s) < to).collect();
             // The last half second in which more than one in ten went there.
             let busy = (0..((to - from) * 2.0) as usize).rev().find(|k| {
-                let (a, b) = (from + *k as f64 / 2.0, from + (*k + 1) as f64 / 2.0);
+                let a = from + *k as f64 / 2.0;
+                let b = from + (*k + 1) as f64 / 2.0;
                 let here: Vec<&&Sent> = own.iter().filter(|s| at(s) >= a && at(s) < b).collect();
                 here.iter().filter(|s| in_zone(s)).count() * 10 > here.len()
             });
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -35,7 +35,8 @@
 
 impl Proc {
     pub(super) fn new(version: &str) -> Proc {
-        let (version, disk) = (version.to_owned(), DiskFaults::default());
+        let version = version.to_owned();
+        let disk = DiskFaults::default();
         Proc { version, alive: false, brought_back: 0, tail: None, unbound: Vec::new(), disk }
     }
 }
@@ -80,7 +81,8 @@
         p.tail = tail.map_err(RunError::io("a log"))?;
         p.unbound = (0..self.scenario.ports.len()).collect();
         p.alive = true;
-        let (process, version) = (format!("n{i}"), p.version.clone());
+        let process = format!("n{i}");
+        let version = p.version.clone();
         self.history.note(Event::Started {
             process,
             version,
@@ -101,7 +103,8 @@
     /// Records the exit of a process, once.
     pub(super) fn note_exit(&mut self, i: usize, how: Ended, cause: ExitCause, next: Option<String>) {
         if std::mem::take(&mut self.procs[i].alive) {
-            let (process, Ended { status, signal }) = (format!("n{i}"), how);
+            let process = format!("n{i}");
+            let Ended { status, signal } = how;
             self.history.note(Event::Exited { process, status, signal, cause, next });
         }
     }
@@ -205,12 +208,15 @@
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(RunError::io_at(to)(e)),
         _ => {}
     }
-    let (mut open, mut files, mut bytes) = (vec![(from.to_owned(), to.to_owned())], 0, 0);
+    let mut open = vec![(from.to_owned(), to.to_owned())];
+    let mut files = 0;
+    let mut bytes = 0;
     while let Some((from, to)) = open.pop() {
         std::fs::create_dir_all(&to).map_err(RunError::io_at(&to))?;
         for entry in std::fs::read_dir(&from).map_err(RunError::io_at(&from))? {
             let entry = entry.map_err(RunError::io_at(&from))?;
-            let (here, there) = (entry.path(), to.join(entry.file_name()));
+            let here = entry.path();
+            let there = to.join(entry.file_name());
             let meta = entry.metadata().map_err(RunError::io_at(&here))?;
             files += 1;
             if meta.is_dir() {
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -154,22 +154,27 @@
             let group = self.scenario.group_of(i);
             FleetMember { name: format!("n{i}"), zone: HALLS[group].into(), pool: GROUPS[group].into() }
         };
-        let (managers, engines) = ((0..self.scenario.managers).map(manager).collect(), Vec::new());
-        let (scenario, seed) = (self.scenario.name.clone(), self.scenario.seed);
+        let managers = (0..self.scenario.managers).map(manager).collect();
+        let engines = Vec::new();
+        let scenario = self.scenario.name.clone();
+        let seed = self.scenario.seed;
         self.history.note(Event::RunStarted { scenario, seed, managers, engines });
     }
 
     pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), RunError> {
         let e = &self.scenario.engines;
         let times = if self.engines.len() < e.slow { SLOW_FACTOR } else { 1.0 };
-        let (light, heavy) = (times * e.light_ms / 1e3, times * e.heavy_ms / 1e3);
+        let light = times * e.light_ms / 1e3;
+        let heavy = times * e.heavy_ms / 1e3;
         let cold_for = if cold { COLD_FOR } else { 0.0 };
         let spec = Spec { cores: e.cores, light, heavy, cold_for, ..Spec::default() };
         let number = self.engines.len();
-        let (ledger, history) = (self.ledger.clone(), self.history.clone());
+        let ledger = self.ledger.clone();
+        let history = self.history.clone();
         let run = CountingEngine::start_as(spec, number, ledger, history, self.start)
             .map_err(RunError::io("engine"))?;
-        let (mut at, mut paths) = (vec![run.address; self.parties.len()], Vec::new());
+        let mut at = vec![run.address; self.parties.len()];
+        let mut paths = Vec::new();
         if self.scenario.uses_fault_proxy() {
             for (party, at) in at.iter_mut().enumerate() {
                 let path = fault_proxy::tcp(
@@ -185,7 +190,8 @@
         }
         let since_ms = if cold { unix_ms() } else { 0 };
         let id = name_of(number);
-        let (name, zone) = (id.clone(), HALLS[number % self.scenario.zones].into());
+        let name = id.clone();
+        let zone = HALLS[number % self.scenario.zones].into();
         self.history.note(Event::EngineAdded(FleetMember { name, zone, pool: "std".into() }));
         self.engines.push(Engine { id, run: Some(run), at, paths, phase: "ready", since_ms });
         Ok(())
@@ -235,7 +241,8 @@
     }
 
     pub(super) fn config(&self, i: usize) -> String {
-        let (group, party) = (self.scenario.group_of(i), self.scenario.party_of(i));
+        let group = self.scenario.group_of(i);
+        let party = self.scenario.party_of(i);
         let starts = self.fleet.managers.get(i).map_or(0, |m| m.starts);
         let seed = self.seed(i, starts);
         let known = self.lists[party].known();
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -78,6 +78,7 @@
         self.history.note(Event::NemesisAction { act: text, on: on.unwrap_or_default() });
     }
 
+    /// Records an action and performs it.
     pub(super) fn perform(&mut self, action: &Action) -> Result<(), RunError> {
         self.note_action(action);
         match action {
@@ -89,13 +90,7 @@
             }
             Action::Kill(w) => self.select_managers(w).into_iter().for_each(|i| self.kill(i)),
             Action::Roll(w) => self.select_managers(w).into_iter().try_for_each(|i| self.terminate(i))?,
-            Action::Pause(w) => {
-                for i in self.select_managers(w) {
-                    if self.process_states[i] == ProcessState::Up {
-                        self.pause(i)?;
-                    }
-                }
-            }
+            Action::Pause(w) => self.select_managers(w).into_iter().try_for_each(|i| self.pause_if_up(i))?,
             Action::Resume(w) => self.select_managers(w).into_iter().try_for_each(|i| self.resume(i))?,
             Action::Disk { who, fault } => {
                 self.select_managers(who).into_iter().for_each(|i| self.procs[i].disk = *fault)
@@ -107,9 +102,7 @@
             Action::PutBack(w) => self.select_managers(w).into_iter().try_for_each(|i| self.put_back(i))?,
             Action::Call(call) => self.call(call)?,
             Action::Subscribers(what) => {
-                if let Some(s) = &mut self.subscribers {
-                    s.order(*what);
-                }
+                self.subscribers.iter_mut().for_each(|subscribers| subscribers.order(*what));
             }
             Action::Lists(how) => self.set_lists(*how),
             Action::EnginesCome(count) => self.start_cold_engines(*count)?,
@@ -130,6 +123,13 @@
         Ok(())
     }
 
+    fn pause_if_up(&mut self, manager: usize) -> Result<(), RunError> {
+        match self.process_states[manager] {
+            ProcessState::Up => self.pause(manager),
+            _ => Ok(()),
+        }
+    }
+
     /// Sends SIGTERM to a manager that runs; its clients keep sending for a while.
     fn terminate(&mut self, manager: usize) -> Result<(), RunError> {
         if !matches!(self.process_states[manager], ProcessState::Up | ProcessState::Starting) {
--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -134,7 +134,8 @@
             return Err(InvalidScenario::NotOneSelector);
         }
         if by_fraction {
-            let (from, to) = (self.from.unwrap_or(0.0), self.to.unwrap_or(1.0));
+            let from = self.from.unwrap_or(0.0);
+            let to = self.to.unwrap_or(1.0);
             return FleetRange { from, to, over_ms: self.over_ms }.check();
         }
         if let Some(bad) = self.names.iter().flatten().find(|n| scenario.number_of(n).is_none()) {
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -63,12 +63,14 @@
     ) -> Subscribers {
         let spec = scenario.subscribers.clone();
         let (orders, _) = broadcast::channel(MAX_ORDERS);
-        let (count, apart) = (spec.count, spec.over_ms / 1e3 / spec.count.max(1) as f64);
+        let count = spec.count;
+        let apart = spec.over_ms / 1e3 / spec.count.max(1) as f64;
         let first = start + Duration::from_secs_f64(spec.at);
         let shared =
             Arc::new(Shared { spec, seed: scenario.seed, managers, history, marked: Mutex::default() });
         let one = |number: usize| {
-            let (shared, orders) = (Arc::clone(&shared), orders.subscribe());
+            let shared = Arc::clone(&shared);
+            let orders = orders.subscribe();
             let due = first + Duration::from_secs_f64(apart * number as f64);
             runtime().spawn(async move {
                 sleep_until(due.into()).await;
@@ -149,6 +151,25 @@
     }
 }
 
+/// Applies an order to a subscriber, if it is among those that the order is for; why its connection ends, if it does.
+fn apply_order(
+    shared: &Shared,
+    reader: &Reader<'_>,
+    number: u64,
+    order: Subs,
+    slow: &mut f64,
+) -> Option<Over> {
+    match order {
+        Subs::Drop(share) if reader.among(share, number, shared.seed) => Some(Over::Lost("dropped".into())),
+        Subs::Hop(share) if reader.among(share, number, shared.seed) => Some(Over::Hopped),
+        Subs::Slow { share, bytes_s } if reader.among(share, number, shared.seed) => {
+            *slow = bytes_s;
+            None
+        }
+        _ => None,
+    }
+}
+
 /// One connection, from its beginning to its end.
 async fn visit(
     shared: &Shared,
@@ -192,12 +213,9 @@
                 rests = Instant::now() + pause(bytes.len(), *slow);
             }
             order = orders.recv() => {
-                let Ok((n, what)) = order else { continue };
-                match what {
-                    Subs::Drop(share) if reader.among(share, n, shared.seed) => return Over::Lost("dropped".into()),
-                    Subs::Hop(share) if reader.among(share, n, shared.seed) => return Over::Hopped,
-                    Subs::Slow { share, bytes_s } if reader.among(share, n, shared.seed) => *slow = bytes_s,
-                    _ => {}
+                let Ok((number, order)) = order else { continue };
+                if let Some(over) = apply_order(shared, reader, number, order, slow) {
+                    return over;
                 }
             }
             () = sleep_until(leaves.unwrap_or(rests + silent * 10).into()), if leaves.is_some() => return Over::Hopped,
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -88,7 +88,8 @@
             id.parse().map_err(|source| InvalidEventCursor { event: name.clone(), source })?;
         let value: Option<Value> = serde_json::from_str(&data).ok();
         let text = |at: &str| value.as_ref().and_then(|v| v.pointer(at)).and_then(Value::as_str);
-        let (subscriber, manager) = (self.name.clone(), manager.to_owned());
+        let subscriber = self.name.clone();
+        let manager = manager.to_owned();
         let digest = digest(value.as_ref(), &data, &self.spec.prev_at);
         self.cursor = Some(cursor);
         if name == SNAPSHOT {
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -70,7 +70,8 @@
             text.trim_start_matches('\u{feff}')
         };
         if text.is_empty() {
-            let (name, data) = (std::mem::take(&mut self.name), std::mem::take(&mut self.data));
+            let name = std::mem::take(&mut self.name);
+            let data = std::mem::take(&mut self.data);
             if std::mem::take(&mut self.has_data) {
                 out.push(StreamItem::Event { name, id: self.id.clone(), data });
             }
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -51,7 +51,8 @@
     text: &str,
     mut value_of: impl FnMut(&str) -> Result<String, TemplateError>,
 ) -> Result<String, TemplateError> {
-    let (mut out, mut rest) = (String::new(), text);
+    let mut out = String::new();
+    let mut rest = text;
     while let Some(at) = rest.find('{') {
         out.push_str(&rest[..at]);
         rest = &rest[at..];
