--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -1,6 +1,6 @@
 //! A stand-in for a manager, for the rig's own tests: it fans a journal out, leaves for another version as planned, and
 //! tells points. The journal is one file that the process `n0` writes and all others read, so nothing of agreement is in
-//! it. `plant` names a rule that it breaks.
+//! it. The plan names a rule that it breaks.
 
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -33,18 +33,18 @@
     #[serde(default)]
     halt_at: usize,
     /// What it does wrong, and which process does; empty: all.
-    #[serde(default)]
-    plant: String,
-    #[serde(default)]
-    plant_at: String,
+    #[serde(default, rename = "plant")]
+    violation: String,
+    #[serde(default, rename = "plant_at")]
+    violating_process: String,
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args: Vec<String> = std::env::args().collect();
     let at = args.iter().position(|a| a == "--plan").ok_or("which --plan?")?;
     let mut plan: Plan = json5::from_str(&std::fs::read_to_string(args.get(at + 1).ok_or("which plan?")?)?)?;
-    if !plan.plant_at.is_empty() && plan.plant_at != plan.name {
-        plan.plant.clear();
+    if !plan.violating_process.is_empty() && plan.violating_process != plan.name {
+        plan.violation.clear();
     }
     let faults = sprucelink_failpoints::load_and_arm(&plan.folder)?;
     println!("version {}, clock off by {} ms", plan.version, plan.clock_offset_ms);
@@ -140,7 +140,7 @@
     let first = head.lines().next().unwrap_or("");
     if let Some(op) = first.strip_prefix("POST /v1/op/").and_then(|r| r.split(' ').next()) {
         let folder = journal.with_extension("ops");
-        if plan.plant != "lose" {
+        if plan.violation != "lose" {
             std::fs::create_dir_all(&folder)?;
             std::fs::write(folder.join(op), "")?;
         }
@@ -167,7 +167,7 @@
     let mut file = None;
     let mut line_no = 0;
     let mut part = String::new();
-    let mut next_word = Instant::now();
+    let mut next_comment = Instant::now();
     loop {
         if file.is_none() {
             file = std::fs::File::open(journal).ok();
@@ -184,36 +184,36 @@
             if line_no <= sent || only_permits && name != "permit" {
                 continue;
             }
-            for event in words(plan, name, data, line_no, sent) {
+            for event in events(plan, name, data, line_no, sent) {
                 stream.write_all(event.as_bytes())?;
             }
             sent = line_no;
         }
-        if next_word.elapsed() > Duration::from_millis(500) {
-            next_word = Instant::now();
+        if next_comment.elapsed() > Duration::from_millis(500) {
+            next_comment = Instant::now();
             stream.write_all(b": here\n\n")?;
         }
         std::thread::sleep(LOOK);
     }
 }
 
-/// A record as it is told, with what the plant makes of every tenth.
-fn words(plan: &Plan, name: &str, data: &str, n: usize, sent: usize) -> Vec<String> {
+/// The events of a record; every tenth breaks the rule that the plan names.
+fn events(plan: &Plan, name: &str, data: &str, n: usize, sent: usize) -> Vec<String> {
     let mut value: Value = serde_json::from_str(data).unwrap_or_default();
     value["prev"] = json!(format!("1:{sent}"));
-    let planted = n % 10 == 5;
-    match plan.plant.as_str() {
-        "skip" if planted => return Vec::new(),
-        "reword" if planted => value["n"] = json!(0),
-        "strip" if planted => _ = value.as_object_mut().and_then(|v| v.remove("n")),
+    let violates = n % 10 == 5;
+    match plan.violation.as_str() {
+        "skip" if violates => return Vec::new(),
+        "reword" if violates => value["n"] = json!(0),
+        "strip" if violates => _ = value.as_object_mut().and_then(|v| v.remove("n")),
         _ => {}
     }
     let event = |n: usize, v: &Value| format!("id: 1:{n}\nevent: {name}\ndata: {v}\n\n");
     let mut all = vec![event(n, &value)];
-    if planted && plan.plant == "repeat" {
+    if violates && plan.violation == "repeat" {
         all.push(event(n, &value));
     }
-    if planted && plan.plant == "early" {
+    if violates && plan.violation == "early" {
         all.push(event(n + 1, &json!({ "prev": format!("1:{n}"), "n": "never" })));
     }
     all
--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -94,7 +94,8 @@
     }
 }
 
-struct Ask {
+/// What the command line asks for.
+struct Options {
     files: Vec<PathBuf>,
     settings: Vec<Option<String>>,
     managers: Option<usize>,
@@ -138,9 +139,9 @@
     })
 }
 
-impl Default for Ask {
-    fn default() -> Ask {
-        Ask {
+impl Default for Options {
+    fn default() -> Options {
+        Options {
             files: Vec::new(),
             settings: vec![None],
             managers: None,
@@ -171,49 +172,49 @@
     }
 }
 
-fn parse() -> Result<Ask, CommandLineError> {
+fn parse() -> Result<Options, CommandLineError> {
     let mut p = lexopt::Parser::from_env();
-    let mut ask = Ask::default();
+    let mut options = Options::default();
     let mut command: Option<String> = None;
     while let Some(arg) = p.next()? {
         match arg {
-            Long("cold-start") => ask.settings = vec![Some(text(&mut p)?)],
-            Long("pair") => ask.settings = vec![None, Some(text(&mut p)?)],
-            Long("managers") => ask.managers = Some(number(&mut p, "managers", 1, 1_000)?),
-            Long("rate") => ask.rate = Some(number(&mut p, "rate", 0.0, 5_000.0)?),
-            Long("seed") => ask.seed = Some(number(&mut p, "seed", 0, u64::MAX)?),
-            Long("repeat") => ask.repeat = number(&mut p, "repeat", 1, 50)?,
-            Long("out") => ask.out = Some(text(&mut p)?.into()),
+            Long("cold-start") => options.settings = vec![Some(text(&mut p)?)],
+            Long("pair") => options.settings = vec![None, Some(text(&mut p)?)],
+            Long("managers") => options.managers = Some(number(&mut p, "managers", 1, 1_000)?),
+            Long("rate") => options.rate = Some(number(&mut p, "rate", 0.0, 5_000.0)?),
+            Long("seed") => options.seed = Some(number(&mut p, "seed", 0, u64::MAX)?),
+            Long("repeat") => options.repeat = number(&mut p, "repeat", 1, 50)?,
+            Long("out") => options.out = Some(text(&mut p)?.into()),
             Long("format") => match text(&mut p)?.as_str() {
-                "csv" => ask.json = false,
-                "json" => ask.json = true,
+                "csv" => options.json = false,
+                "json" => options.json = true,
                 other => return Err(CommandLineError::UnknownFormat(other.to_owned())),
             },
-            Long("program") => ask.program = text(&mut p)?.into(),
-            Long("keep-logs") => ask.logs = Some(text(&mut p)?.into()),
-            Long("history") => ask.history = Some(text(&mut p)?.into()),
-            Long("arg") if ask.args.len() < 32 => ask.args.push(text(&mut p)?),
+            Long("program") => options.program = text(&mut p)?.into(),
+            Long("keep-logs") => options.logs = Some(text(&mut p)?.into()),
+            Long("history") => options.history = Some(text(&mut p)?.into()),
+            Long("arg") if options.args.len() < 32 => options.args.push(text(&mut p)?),
             Long("failover") => match text(&mut p)?.as_str() {
-                "on" => ask.no_failover = false,
-                "off" => ask.no_failover = true,
+                "on" => options.no_failover = false,
+                "off" => options.no_failover = true,
                 other => return Err(CommandLineError::UnknownFailover(other.to_owned())),
             },
-            Long("share") => ask.share = Some(parse_share(&text(&mut p)?)?),
+            Long("share") => options.share = Some(parse_share(&text(&mut p)?)?),
             Long("help") | Short('h') => return Err(CommandLineError::Help),
             Value(v) if command.is_none() => command = Some(v.string()?),
-            Value(v) => ask.files.push(v.into()),
+            Value(v) => options.files.push(v.into()),
             other => return Err(other.unexpected().into()),
         }
     }
-    with_command(ask, command.as_deref())
+    with_command(options, command.as_deref())
 }
 
 /// The command, with as many files as it takes.
-fn with_command(ask: Ask, command: Option<&str>) -> Result<Ask, CommandLineError> {
+fn with_command(options: Options, command: Option<&str>) -> Result<Options, CommandLineError> {
     match command {
-        Some("run") if ask.files.len() == 1 => Ok(ask),
-        Some("check") if !ask.files.is_empty() => Ok(Ask { command: Command::Check, ..ask }),
-        Some("judge") if ask.files.len() > 1 => Ok(Ask { command: Command::Judge, ..ask }),
+        Some("run") if options.files.len() == 1 => Ok(options),
+        Some("check") if !options.files.is_empty() => Ok(Options { command: Command::Check, ..options }),
+        Some("judge") if options.files.len() > 1 => Ok(Options { command: Command::Judge, ..options }),
         Some("judge") => Err(CommandLineError::NoScenarioAndHistory),
         Some("run" | "check") => Err(CommandLineError::NoScenario),
         Some(other) => Err(CommandLineError::UnknownCommand(other.to_owned())),
@@ -228,18 +229,18 @@
 }
 
 fn main() {
-    let ask = match parse() {
-        Ok(ask) => ask,
+    let options = match parse() {
+        Ok(options) => options,
         Err(CommandLineError::Help) => return print!("{USAGE}"),
         Err(e) => bad(&format!("{e}\n\n{USAGE}")),
     };
-    let files = if ask.command == Command::Judge { &ask.files[..1] } else { &ask.files[..] };
+    let files = if options.command == Command::Judge { &options.files[..1] } else { &options.files[..] };
     let scenarios: Vec<Scenario> =
         files.iter().map(|f| read(f)).map(|s| s.unwrap_or_else(|e| bad(&e.to_string()))).collect();
-    if ask.command == Command::Judge {
-        return judge(&scenarios[0], &ask.files[1..]);
+    if options.command == Command::Judge {
+        return judge(&scenarios[0], &options.files[1..]);
     }
-    if ask.command == Command::Check {
+    if options.command == Command::Check {
         for s in &scenarios {
             println!(
                 "{} will do: {} managers, {} engines, {} s",
@@ -249,23 +250,23 @@
         return;
     }
     let mut scenario = scenarios[0].clone();
-    scenario.managers = ask.managers.unwrap_or(scenario.managers);
-    scenario.load.rate = ask.rate.unwrap_or(scenario.load.rate);
-    scenario.seed = ask.seed.unwrap_or(scenario.seed);
-    if ask.no_failover {
+    scenario.managers = options.managers.unwrap_or(scenario.managers);
+    scenario.load.rate = options.rate.unwrap_or(scenario.load.rate);
+    scenario.seed = options.seed.unwrap_or(scenario.seed);
+    if options.no_failover {
         scenario.failover = None;
         scenario.name.push_str("-off");
     }
-    if let Some((ration, parts)) = ask.share {
+    if let Some((ration, parts)) = options.share {
         let m = scenario.membership.get_or_insert_default();
         m.share.pool_retry_budgets = ration;
         m.share.divide_by_live_members = parts;
     }
-    if ask.history.is_some() {
+    if options.history.is_some() {
         scenario.history.get_or_insert_default();
     }
     scenario.check().unwrap_or_else(|e| bad(&e.to_string()));
-    match carry_out(&ask, &scenario) {
+    match carry_out(&options, &scenario) {
         Ok(true) => {}
         Ok(false) => std::process::exit(3),
         Err(e) => {
@@ -310,33 +311,33 @@
 }
 
 /// Whether no rule was broken in any run.
-fn carry_out(ask: &Ask, scenario: &Scenario) -> Result<bool, HarnessError> {
+fn carry_out(options: &Options, scenario: &Scenario) -> Result<bool, HarnessError> {
     let mut passed = true;
-    if !ask.json {
+    if !options.json {
         println!("{},seed", Report::head());
     }
-    for k in 0..ask.repeat {
+    for k in 0..options.repeat {
         let scenario = Scenario { seed: scenario.seed + k, ..scenario.clone() };
-        for settings in &ask.settings {
-            let mut args = ask.args.clone();
+        for settings in &options.settings {
+            let mut args = options.args.clone();
             args.extend(settings.iter().flat_map(|f| ["--cold-start".to_owned(), f.clone()]));
-            let dir = ask.logs.clone().unwrap_or_else(|| run::scratch(&scenario.name));
-            let program = Program { path: ask.program.clone(), args, dir: dir.clone() };
+            let dir = options.logs.clone().unwrap_or_else(|| run::scratch(&scenario.name));
+            let program = Program { path: options.program.clone(), args, dir: dir.clone() };
             let got = run::run(&scenario, &program);
             let how = if settings.is_some() { "on" } else { "off" };
-            if let (Some(out), Ok(got)) = (&ask.history, &got) {
+            if let (Some(out), Ok(got)) = (&options.history, &got) {
                 keep(got, &out.join(format!("{}-{}-{how}.jsonl", scenario.name, scenario.seed)))?;
             }
-            if ask.logs.is_none() {
+            if options.logs.is_none() {
                 run::clear(&dir);
             }
             let got = got?;
             passed &= got.verdict.as_ref().is_none_or(tell);
-            match ask.json {
+            match options.json {
                 true => println!("{}", got.report.json()),
                 false => println!("{},{}", got.report.line(), scenario.seed),
             }
-            if let Some(out) = &ask.out {
+            if let Some(out) = &options.out {
                 std::fs::create_dir_all(out).map_err(HarnessError::io(out))?;
                 let file = out.join(format!("{}-{}-{how}.svg", scenario.name, scenario.managers));
                 draw(&file, &scenario, how, &got)?;
@@ -365,7 +366,7 @@
         values: (0..n).map(|i| at(i).map_or(0.0, |v| of(v) as f64)).collect(),
     };
     vec![
-        series("managers asked", |v| v.asked),
+        series("managers asked", |v| v.polled),
         series("view right", |v| v.right),
         series("different views", |v| v.different),
     ]
@@ -375,7 +376,7 @@
     let line = |name, values: &[u32]| Series { name, values: values.iter().map(|v| f64::from(*v)).collect() };
     let r = &got.requests;
     let requests = vec![
-        line("asked", &r.asked),
+        line("asked", &r.issued),
         line("served", &r.served),
         line("refused", &r.refused),
         line("failed, lost", &r.bad),
--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -12,9 +12,9 @@
 /// An answer that comes later than this after the request's time is lost.
 const LATE: Duration = Duration::from_millis(500);
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Became {
+pub enum RequestOutcome {
     /// All rows came.
     Served,
     /// An error that says a repeat is harmless.
@@ -75,9 +75,9 @@
     std::str::from_utf8(&field[1..]).ok()
 }
 
-async fn answer(stream: &mut TcpStream) -> Option<Became> {
+async fn answer(stream: &mut TcpStream) -> Option<RequestOutcome> {
     let mut rows = false;
-    let mut became = None;
+    let mut outcome = None;
     let mut ready = 0;
     // Two ReadyForQuery: one after the start-up, one after the answer.
     while ready < 2 {
@@ -88,37 +88,37 @@
         stream.read_exact(&mut body).await.ok()?;
         match head[0] {
             b'D' => rows = true,
-            b'C' if rows => became = Some(Became::Served),
-            b'C' => became = Some(Became::Failed),
+            b'C' if rows => outcome = Some(RequestOutcome::Served),
+            b'C' => outcome = Some(RequestOutcome::Failed),
             b'E' => {
                 let state = sqlstate(&body).unwrap_or("");
                 let harmless = state.starts_with("53") || state == "57P03";
-                became = Some(if harmless { Became::Refused } else { Became::Failed });
+                outcome = Some(if harmless { RequestOutcome::Refused } else { RequestOutcome::Failed });
                 // A front that refuses a connection says so and closes it.
                 if ready == 0 {
-                    return became;
+                    return outcome;
                 }
             }
             b'Z' => ready += 1,
             _ => {}
         }
     }
-    became
+    outcome
 }
 
-/// Sends one request to a manager and waits for its end: what became of it, and how long that took.
-pub async fn send(at: SocketAddr, request: ClientRequest) -> (Became, Duration) {
+/// Sends one request to a manager and waits for its end: its outcome and its latency.
+pub async fn send(at: SocketAddr, request: ClientRequest) -> (RequestOutcome, Duration) {
     let begun = Instant::now();
     let exchange = async {
-        let Ok(mut stream) = TcpStream::connect(at).await else { return Became::NotTaken };
+        let Ok(mut stream) = TcpStream::connect(at).await else { return RequestOutcome::NotTaken };
         let _ = stream.set_nodelay(true);
         if stream.write_all(&encode(&request)).await.is_err() {
-            return Became::NotTaken;
+            return RequestOutcome::NotTaken;
         }
-        answer(&mut stream).await.unwrap_or(Became::Lost)
+        answer(&mut stream).await.unwrap_or(RequestOutcome::Lost)
     };
-    let became = timeout(request.timeout + LATE, exchange).await.unwrap_or(Became::Lost);
-    (became, begun.elapsed())
+    let outcome = timeout(request.timeout + LATE, exchange).await.unwrap_or(RequestOutcome::Lost);
+    (outcome, begun.elapsed())
 }
 
 /// Sends one light query and says whether it was served, from outside the rig's tasks. It waits five seconds.
@@ -128,8 +128,8 @@
 pub fn query_once(at: SocketAddr, id: u64) -> std::io::Result<bool> {
     let request = ClientRequest { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
     match crate::runtime().block_on(send(at, request)).0 {
-        Became::NotTaken => Err(std::io::Error::other("no connection came up")),
-        Became::Lost => Err(std::io::Error::other("no whole answer came")),
-        became => Ok(became == Became::Served),
+        RequestOutcome::NotTaken => Err(std::io::Error::other("no connection came up")),
+        RequestOutcome::Lost => Err(std::io::Error::other("no whole answer came")),
+        outcome => Ok(outcome == RequestOutcome::Served),
     }
 }
--- a/crates/cluster-harness/src/counter.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -29,15 +29,15 @@
     pub fn peak(&self, width: Duration) -> usize {
         let mut at = self.at.clone();
         at.sort_unstable();
-        let mut most = 0;
+        let mut max = 0;
         let mut from = 0;
         for to in 0..at.len() {
             while at[to] - at[from] >= width {
                 from += 1;
             }
-            most = most.max(to + 1 - from);
+            max = max.max(to + 1 - from);
         }
-        most
+        max
     }
 
     /// Events from `from` up to `to`, without its end.
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -1,12 +1,12 @@
-//! What an engine knows of itself, with time as argument.
+//! The state of an engine: slow start, queries in flight, overload. Time is an argument.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// An engine that was pushed over refuses for so long.
+/// Time for which an overloaded engine closes every connection.
 const DOWN_FOR: Duration = Duration::from_secs(2);
 
-/// What an engine is.
+/// The properties of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
     /// Its cores.
@@ -15,9 +15,9 @@
     pub light: f64,
     /// Work of a load (two threads), in seconds on one core.
     pub heavy: f64,
-    /// It starts cold: so many seconds to all of its cores. Zero: it is warm.
+    /// Duration of its slow start, in seconds; 0: none.
     pub cold_for: f64,
-    /// Share of its cores that it starts with.
+    /// Fraction of its cores that it starts with.
     pub start_share: f64,
     /// Work sent within `fall_span` over this multiple of what it can do in that span pushes it over while cold.
     pub fall_multiple: f64,
@@ -107,7 +107,7 @@
         Some(Duration::from_secs_f64(work / threads.max(1.0) * crowding))
     }
 
-    /// A query of so many threads has ended.
+    /// A query that used `threads` has ended.
     pub fn release(&mut self, threads: f64) {
         self.threads = (self.threads - threads).max(0.0);
         self.queries = self.queries.saturating_sub(1);
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -133,12 +133,12 @@
         self.shared.ends.send_modify(|n| *n += 1);
     }
 
-    /// It starts anew on its port, as a process does: cold, and every connection ends.
+    /// Restarts it on its port: all connections end, and it is in slow start.
     pub fn restart_cold(&self, cold_for: f64) {
         self.shared.machine(|m| {
-            let most = m.max_threads;
+            let max_threads = m.max_threads;
             *m = Machine::new(Spec { cold_for, ..m.spec }, Instant::now());
-            m.max_threads = most;
+            m.max_threads = max_threads;
         });
         self.shared.ends.send_modify(|n| *n += 1);
     }
--- a/crates/cluster-harness/src/fault_proxy/mod.rs
+++ b/crates/cluster-harness/src/fault_proxy/mod.rs
@@ -31,8 +31,8 @@
 
 /// Bytes carried at a time, each way; a datagram is no longer.
 const CHUNK: usize = 16 * 1024;
-/// A slow way carries pieces of at most this part of what it carries in a second: else it would go in bursts.
-const SLOW_PIECE: f64 = 20.0;
+/// Pieces a second into which a rate-limited route divides its data, so that it does not go in bursts.
+const SLOW_PIECES_PER_SECOND: f64 = 20.0;
 
 /// What happens to what goes one way between two groups.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
@@ -50,8 +50,7 @@
     pub partition: bool,
     /// New TCP connections are closed at once.
     pub refuse: bool,
-    /// New TCP connections come up and lead nowhere, for good: what is sent on them is read by nobody, and their target
-    /// sees nothing of them. Those open already go on.
+    /// New TCP connections are accepted and never forwarded. Open connections go on.
     pub blackhole: bool,
     /// Bytes a second that pass, all connections and datagrams between the two together; 0: no bound. At most 1e9.
     pub bytes_s: f64,
@@ -93,7 +92,7 @@
     /// Bytes that are carried at a time under it.
     fn piece(&self) -> usize {
         match self.bytes_s > 0.0 {
-            true => ((self.bytes_s / SLOW_PIECE) as usize).clamp(1, CHUNK),
+            true => ((self.bytes_s / SLOW_PIECES_PER_SECOND) as usize).clamp(1, CHUNK),
             false => CHUNK,
         }
     }
@@ -121,7 +120,7 @@
     cuts_made: u64,
     /// The group that a party belongs to.
     homes: HashMap<String, String>,
-    /// Until when the way between a pair is taken by what was sent, where a rule makes it slow.
+    /// When the route between a pair is free again, where a rule limits its rate.
     taken: HashMap<Pair, Instant>,
 }
 
@@ -229,8 +228,8 @@
         cut.filter(|_| number != known)
     }
 
-    /// How long `n` bytes that are sent now take on a slow way, those before them included.
-    fn pace(&self, from: &str, to: &str, rule: &Rule, n: usize) -> Duration {
+    /// How long `n` bytes that are sent now take at the rule's rate, behind the bytes before them.
+    fn transmission_delay(&self, from: &str, to: &str, rule: &Rule, n: usize) -> Duration {
         if rule.bytes_s <= 0.0 {
             return Duration::ZERO;
         }
--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -194,7 +194,7 @@
             Read::Failed => return StreamEnd::Broken,
         };
         let mut rule = faults.rule(from, to);
-        let delay = faults.delay(&rule) + faults.pace(from, to, &rule, n);
+        let delay = faults.delay(&rule) + faults.transmission_delay(from, to, &rule, n);
         if delay > Duration::ZERO {
             sleep(delay).await;
         }
--- a/crates/cluster-harness/src/fault_proxy/udp.rs
+++ b/crates/cluster-harness/src/fault_proxy/udp.rs
@@ -102,7 +102,8 @@
             }
             let mut piece = bytes[..n].to_vec();
             self.faults.garble(&rule, &mut piece);
-            let delay = self.faults.delay(&rule) + self.faults.pace(&from.group, &to.group, &rule, n);
+            let delay =
+                self.faults.delay(&rule) + self.faults.transmission_delay(&from.group, &to.group, &rule, n);
             if delay == Duration::ZERO {
                 let _ = from.socket.send_to(&piece, real).await;
                 continue;
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -59,7 +59,7 @@
 /// Bytes that the history keeps of a record's data, for its readers; the checker compares the digest.
 pub const MAX_DATA_BYTES: usize = 1_024;
 
-struct Inner {
+struct RecorderState {
     file: BufWriter<File>,
     start: Instant,
     remaining_bytes: u64,
@@ -70,7 +70,7 @@
 /// Where stand-ins note what they see; one that records nothing takes all and keeps none.
 #[derive(Clone, Default)]
 pub struct Recorder {
-    inner: Option<Arc<Mutex<Inner>>>,
+    inner: Option<Arc<Mutex<RecorderState>>>,
     engines: bool,
 }
 
@@ -82,7 +82,7 @@
     /// Those of making the file.
     pub fn start(dir: &Path, start: Instant, most: u64, engines: bool) -> std::io::Result<Recorder> {
         let file = BufWriter::with_capacity(BUFFER, File::create(dir.join(NAME))?);
-        let inner = Inner { file, start, remaining_bytes: most, cut: None };
+        let inner = RecorderState { file, start, remaining_bytes: most, cut: None };
         Ok(Recorder { inner: Some(Arc::new(Mutex::new(inner))), engines })
     }
 
@@ -91,7 +91,7 @@
         self.inner.is_some()
     }
 
-    /// Notes what is seen now. Times are taken in the order of the lines.
+    /// Records an event with the present time; times ascend with the lines.
     pub fn note(&self, event: Event) {
         let Some(inner) = &self.inner else { return };
         let mut i = inner.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Default)]
-struct Inner {
+struct LedgerState {
     start: Option<Instant>,
     sends: Vec<Sent>,
     out: HashMap<u64, (usize, u64)>,
@@ -66,7 +66,10 @@
 
 /// The ledger, shared by all engines of a rig.
 #[derive(Clone)]
-pub struct Ledger(Arc<Mutex<Inner>>, Duration);
+pub struct Ledger {
+    state: Arc<Mutex<LedgerState>>,
+    drain_grace: Duration,
+}
 
 impl Default for Ledger {
     fn default() -> Ledger {
@@ -77,11 +80,11 @@
 impl Ledger {
     /// A ledger that counts sends later than `grace` after a drain was told.
     pub fn with_grace(grace: Duration) -> Ledger {
-        Ledger(Arc::default(), grace)
+        Ledger { state: Arc::default(), drain_grace: grace }
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
-        f(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, f: impl FnOnce(&mut LedgerState) -> T) -> T {
+        f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// From now on sends are dated, from `start`.
@@ -111,8 +114,10 @@
             let first = l.seen.len() >= MAX_SEEN || l.seen.insert(request);
             l.counts.further += u64::from(!first);
             l.counts.second_attempts += u64::from(l.out.contains_key(&request));
-            let late =
-                l.draining.get(&engine).is_some_and(|told| at.saturating_duration_since(*told) > self.1);
+            let late = l
+                .draining
+                .get(&engine)
+                .is_some_and(|told| at.saturating_duration_since(*told) > self.drain_grace);
             l.counts.after_drain += u64::from(late);
             if l.out.len() < MAX_OPEN {
                 l.out.insert(request, (engine, connection));
--- a/crates/cluster-harness/src/procs.rs
+++ b/crates/cluster-harness/src/procs.rs
@@ -90,7 +90,7 @@
 
 /// How a process ended: its exit status, or the signal that ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct ProcessExit {
     /// Its status.
     pub status: Option<i32>,
     /// The signal.
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Kills manager `i` outright, if it runs, and starts it anew under its name with a configuration.
+    /// Kills manager `i`, if it runs, and starts it again under its name with a configuration.
     ///
     /// # Errors
     /// Those of writing its files and of starting it.
@@ -167,10 +167,10 @@
     }
 
     /// How manager `i` ended, if it has by itself.
-    pub fn ended(&mut self, i: usize) -> Option<Ended> {
+    pub fn ended(&mut self, i: usize) -> Option<ProcessExit> {
         let child = self.managers.get_mut(i)?.child.as_mut()?;
         let status = child.try_wait().ok().flatten()?;
-        Some(Ended { status: status.code(), signal: status.signal() })
+        Some(ProcessExit { status: status.code(), signal: status.signal() })
     }
 
     /// Processor time that manager `i`'s process has used so far, in seconds, as the kernel accounts it.
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -7,16 +7,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Width of the chart's and the share's buckets.
+/// Width of the buckets of charts and of [`Outcomes`].
 pub const BUCKET: Duration = Duration::from_millis(250);
-/// A start is over when this share of what is asked is served, and stays so.
+/// Fraction of the requests that must be served, from then on, for a start to be over.
 pub const SERVING: f64 = 0.95;
 
 /// Requests by what became of them, in buckets of when they were due.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcomes {
-    /// Asked.
-    pub asked: Vec<u32>,
+    /// Sent by clients.
+    pub issued: Vec<u32>,
     /// Served.
     pub served: Vec<u32>,
     /// Refused.
@@ -26,27 +26,27 @@
 }
 
 impl Outcomes {
-    /// Share served of what was asked from one time up to another, in seconds.
+    /// Fraction of the requests served from one time up to another, in seconds.
     pub fn served_share(&self, from: f64, to: f64) -> f64 {
         let within = |i: &usize| (from..to).contains(&(*i as f64 * BUCKET.as_secs_f64()));
         let sum = |of: &[u32]| (0..of.len()).filter(within).map(|i| f64::from(of[i])).sum::<f64>();
-        sum(&self.served) / sum(&self.asked).max(1.0)
+        sum(&self.served) / sum(&self.issued).max(1.0)
     }
 
-    /// Seconds from the start to the end of the last bucket in which less than [`SERVING`] was served of what was
-    /// asked; 0 if there was none. Buckets with fewer than `least` requests are joined with those that follow.
+    /// Seconds from the start to the end of the last bucket in which less than [`SERVING`] of the requests was
+    /// served; 0 if there was none. Buckets with fewer than `least` requests are joined with those that follow.
     pub fn seconds_to_serving(&self, least: u32) -> f64 {
-        let mut asked = 0;
+        let mut issued = 0;
         let mut served = 0;
         let mut late = 0;
-        for i in 0..self.asked.len() {
-            asked += self.asked[i];
+        for i in 0..self.issued.len() {
+            issued += self.issued[i];
             served += self.served[i];
-            if asked >= least.max(1) {
-                if f64::from(served) < SERVING * f64::from(asked) {
+            if issued >= least.max(1) {
+                if f64::from(served) < SERVING * f64::from(issued) {
                     late = i + 1;
                 }
-                asked = 0;
+                issued = 0;
                 served = 0;
             }
         }
@@ -67,8 +67,8 @@
     pub up: usize,
     /// Managers that ended by themselves without being asked to.
     pub crashed: usize,
-    /// Requests by what became of them.
-    pub asked: u64,
+    /// Requests that clients sent.
+    pub issued: u64,
     /// Served.
     pub served: u64,
     /// Refused.
@@ -85,7 +85,7 @@
     pub p50_ms: f64,
     /// As above.
     pub p99_ms: f64,
-    /// Seconds until 95% of what is asked is served, and stays so.
+    /// Seconds until 95% of the requests are served, from then on.
     pub serving_s: f64,
     /// Calls of the list service: all, most in 100 ms, most in 1 s, a second in the last third.
     pub calls: usize,
@@ -105,14 +105,14 @@
     pub dials_engine_100ms: usize,
     /// Threads at work on one engine at most.
     pub max_threads: f64,
-    /// Share of attempts that crossed zones; 0 where managers are told none.
+    /// Fraction of attempts that crossed zones; 0 where managers do not know their zone.
     pub crossing: f64,
     /// Of the zone that the run is about: attempts that crossed zones before it was lost, as a share.
     pub crossed_before: f64,
     /// Seconds from its loss until 95% of the managers that had sent there sent elsewhere; none if they never did. By
     /// what reached engines: where a partition lets nothing through, it says nothing.
     pub left_s: f64,
-    /// Share served of what was asked while it was away, and in the 10 s after its return.
+    /// Fraction of the requests served while it was away, and in the 10 s after its return.
     pub served_away: f64,
     /// As above.
     pub served_back: f64,
@@ -147,7 +147,7 @@
             ("managers", self.managers.to_string()),
             ("up", self.up.to_string()),
             ("crashed", self.crashed.to_string()),
-            ("asked", self.asked.to_string()),
+            ("asked", self.issued.to_string()),
             ("served", self.served.to_string()),
             ("refused", self.refused.to_string()),
             ("failed", self.failed.to_string()),
--- a/crates/cluster-harness/src/report/tests.rs
+++ b/crates/cluster-harness/src/report/tests.rs
@@ -12,11 +12,11 @@
 
 #[test]
 fn a_start_is_over_after_the_last_bad_bucket() {
-    let o = Outcomes { asked: vec![10; 6], served: vec![0, 10, 5, 10, 10, 10], ..Outcomes::default() };
+    let o = Outcomes { issued: vec![10; 6], served: vec![0, 10, 5, 10, 10, 10], ..Outcomes::default() };
     assert_eq!(o.seconds_to_serving(1), 0.75);
     // Joined by three: 15 of 30, then 30 of 30.
     assert_eq!(o.seconds_to_serving(30), 0.75);
-    let good = Outcomes { asked: vec![10; 3], served: vec![10; 3], ..Outcomes::default() };
+    let good = Outcomes { issued: vec![10; 3], served: vec![10; 3], ..Outcomes::default() };
     assert_eq!(good.seconds_to_serving(1), 0.0);
 }
 
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -1,7 +1,7 @@
 //! A run's figures, gathered from what stand-ins and clients counted.
 
 use super::{Outcome, Rig};
-use crate::client::Became;
+use crate::client::RequestOutcome;
 use crate::counter::Counted;
 use crate::report::{Outcomes, Report, BUCKET};
 use hdrhistogram::Histogram;
@@ -17,7 +17,7 @@
     pub(super) fn outcome(&self, logs: Vec<String>) -> Outcome {
         let buckets = (self.scenario.seconds / BUCKET.as_secs_f64()).ceil() as usize;
         let none = || vec![0u32; buckets];
-        let mut requests = Outcomes { asked: none(), served: none(), refused: none(), bad: none() };
+        let mut requests = Outcomes { issued: none(), served: none(), refused: none(), bad: none() };
         let mut r = Report {
             scenario: self.scenario.name.clone(),
             cold_start: self.program.args.iter().any(|a| a == "--cold-start"),
@@ -49,42 +49,42 @@
     /// Counts the requests by how they ended, in all and by bucket of time.
     fn count_requests(&self, r: &mut Report, requests: &mut Outcomes, buckets: usize) {
         // Bounds are valid constants: microseconds up to a minute, three digits.
-        let mut took_us = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
-        for (due, became, died, took) in self.ended.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-            let i = ((due.as_micros() / BUCKET.as_micros()) as usize).min(buckets - 1);
-            r.asked += 1;
-            let bad = matches!(became, Became::Lost | Became::NotTaken);
-            if *died && bad {
+        let mut latency_us = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
+        for request in self.ended.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+            let i = ((request.due.as_micros() / BUCKET.as_micros()) as usize).min(buckets - 1);
+            r.issued += 1;
+            let bad = matches!(request.outcome, RequestOutcome::Lost | RequestOutcome::NotTaken);
+            if request.manager_failed && bad {
                 r.died += 1;
                 continue;
             }
-            requests.asked[i] += 1;
-            match became {
-                Became::Served => {
+            requests.issued[i] += 1;
+            match request.outcome {
+                RequestOutcome::Served => {
                     r.served += 1;
                     requests.served[i] += 1;
-                    took_us.saturating_record(took.as_micros() as u64);
+                    latency_us.saturating_record(request.latency.as_micros() as u64);
                 }
-                Became::Refused => {
+                RequestOutcome::Refused => {
                     r.refused += 1;
                     requests.refused[i] += 1;
                 }
-                Became::Failed => {
+                RequestOutcome::Failed => {
                     r.failed += 1;
                     requests.bad[i] += 1;
                 }
-                Became::NotTaken => {
+                RequestOutcome::NotTaken => {
                     r.not_taken += 1;
                     requests.bad[i] += 1;
                 }
-                Became::Lost => {
+                RequestOutcome::Lost => {
                     r.lost += 1;
                     requests.bad[i] += 1;
                 }
             }
         }
-        r.p50_ms = took_us.value_at_quantile(0.5) as f64 / 1e3;
-        r.p99_ms = took_us.value_at_quantile(0.99) as f64 / 1e3;
+        r.p50_ms = latency_us.value_at_quantile(0.5) as f64 / 1e3;
+        r.p99_ms = latency_us.value_at_quantile(0.99) as f64 / 1e3;
     }
 
     /// All connections made to engines.
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -1,6 +1,6 @@
 //! The clients that send requests during a run.
 
-use super::{Availability, Ended, Rig};
+use super::{Availability, CompletedRequest, Rig};
 use crate::client::{self, ClientRequest};
 use crate::ledger::request_id;
 use crate::runtime;
@@ -30,7 +30,7 @@
     own: Arc<Mutex<Availability>>,
     /// The managers that take over while the own one is down; empty where clients do not follow.
     alternatives: Vec<Weak<Mutex<Availability>>>,
-    completed: Arc<Mutex<Vec<Ended>>>,
+    completed: Arc<Mutex<Vec<CompletedRequest>>>,
     start: Instant,
     end: Instant,
     /// Mean interval between two requests, in seconds.
@@ -93,11 +93,11 @@
         let completed = Arc::clone(&self.completed);
         let due_after = due.saturating_duration_since(self.start);
         tokio::spawn(async move {
-            let (became, took) = client::send(address, request).await;
+            let (outcome, latency) = client::send(address, request).await;
             let unavailable_since = target.lock().unwrap_or_else(PoisonError::into_inner).unavailable_since;
-            let died = unavailable_since.is_some_and(|since| since >= due);
-            let row = (due_after, became, died, took);
-            completed.lock().unwrap_or_else(PoisonError::into_inner).push(row);
+            let manager_failed = unavailable_since.is_some_and(|since| since >= due);
+            let request = CompletedRequest { due: due_after, outcome, manager_failed, latency };
+            completed.lock().unwrap_or_else(PoisonError::into_inner).push(request);
         });
     }
 }
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -19,7 +19,7 @@
 pub use outcome::{Outcome, Views};
 pub use process::NEXT_VERSION_FILE;
 
-use crate::client::Became;
+use crate::client::RequestOutcome;
 use crate::engines::CountingEngine;
 use crate::fault_proxy::{Faults, TcpPath, UdpNet};
 use crate::history::Recorder;
@@ -88,8 +88,15 @@
     since_ms: u128,
 }
 
-/// A completed request: when it was due, its outcome, whether its manager became unavailable, and its latency.
-type Ended = (Duration, Became, bool, Duration);
+/// A completed request.
+struct CompletedRequest {
+    /// When it was due, since the start of the run.
+    due: Duration,
+    outcome: RequestOutcome,
+    /// Its manager was killed or stopped after the request was due.
+    manager_failed: bool,
+    latency: Duration,
+}
 
 struct Rig<'a> {
     scenario: &'a Scenario,
@@ -114,7 +121,7 @@
     members: Vec<SocketAddr>,
     real: Vec<Option<SocketAddr>>,
     views: Vec<Views>,
-    ended: Arc<Mutex<Vec<Ended>>>,
+    ended: Arc<Mutex<Vec<CompletedRequest>>>,
     /// The parties into which the fault proxy divides the managers.
     parties: Vec<String>,
     history: Recorder,
@@ -192,7 +199,7 @@
                 self.restart_exited()?;
                 if self.scenario.membership.is_some() && Instant::now() >= next_views {
                     next_views = Instant::now() + views::POLL_INTERVAL;
-                    self.poll();
+                    self.poll_views();
                 }
             }
             self.read_logs()?;
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run gives, and what can be read from it afterwards.
+//! The result of a run.
 
 use super::RunError;
 use crate::history;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// What a run gives.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The figures.
@@ -28,7 +28,7 @@
     pub views: Vec<Views>,
     /// Where the history is, if one was recorded.
     pub history: Option<PathBuf>,
-    /// What the checker found in it, if it was held against terms.
+    /// The result of the history checker, if the scenario has checks.
     pub verdict: Option<CheckReport>,
 }
 
@@ -37,18 +37,18 @@
 pub struct Views {
     /// Seconds after the start.
     pub at: f64,
-    /// Managers that run and answered.
-    pub asked: usize,
-    /// Of them, so many hold just those that run.
+    /// Managers that were polled and answered.
+    pub polled: usize,
+    /// Managers whose view has exactly the running managers.
     pub right: usize,
-    /// Names that some hold although they do not run, and the other way round, over all views.
+    /// Members by which a view differs from the running managers, summed over all views.
     pub wrong: usize,
-    /// Different views.
+    /// Distinct views.
     pub different: usize,
 }
 
 impl Outcome {
-    /// Holds the history against the scenario's terms.
+    /// Checks the history by the scenario's checks.
     pub(super) fn judge(&mut self, scenario: &Scenario, dir: &Path) -> Result<(), RunError> {
         if !scenario.records() {
             return Ok(());
@@ -63,12 +63,12 @@
         Ok(())
     }
 
-    /// Share of the attempts that left from one time up to another, in seconds, which crossed zones; 0 where managers
-    /// are told none.
+    /// Fraction of the attempts from one time up to another, in seconds, that crossed zones; 0 where managers do not know
+    /// their zone.
     pub fn crossing(&self, scenario: &Scenario, from: f64, to: f64) -> f64 {
         let within = |s: &&Sent| (from..to).contains(&s.at.as_secs_f64());
         let all: Vec<&Sent> = self.sends.iter().filter(within).collect();
-        if !scenario.told_zone || all.is_empty() {
+        if !scenario.zone_aware || all.is_empty() {
             return 0.0;
         }
         let home =
@@ -149,8 +149,8 @@
     /// Seconds from `from` until all views were right, and stayed so up to `to`; none if they never were.
     pub fn agreed(&self, from: f64, to: f64) -> Option<f64> {
         let span: Vec<&Views> =
-            self.views.iter().filter(|v| v.at >= from && v.at < to && v.asked > 0).collect();
-        let last_wrong = span.iter().rposition(|v| v.right < v.asked);
+            self.views.iter().filter(|v| v.at >= from && v.at < to && v.polled > 0).collect();
+        let last_wrong = span.iter().rposition(|v| v.right < v.polled);
         let first_right = last_wrong.map_or(0, |i| i + 1);
         span.get(first_right).map(|v| v.at - from)
     }
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -1,7 +1,7 @@
 //! A manager's process: its folder and files, its start and its exit, and their entries in the history.
 
 use super::{ProcessState, Rig, RunError};
-use crate::procs::{Ended, Tail};
+use crate::procs::{ProcessExit, Tail};
 use crate::scenario::{GROUPS, HALLS};
 use crate::template::Values;
 use sprucelink_failpoints::fault_file::{self, DiskFaults, FaultFile};
@@ -96,15 +96,15 @@
     pub(super) fn kill(&mut self, i: usize) {
         self.mark_unavailable(i);
         self.fleet.kill(i);
-        self.note_exit(i, Ended { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
+        self.note_exit(i, ProcessExit { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
         self.process_states[i] = ProcessState::Down;
     }
 
     /// Records the exit of a process, once.
-    pub(super) fn note_exit(&mut self, i: usize, how: Ended, cause: ExitCause, next: Option<String>) {
+    pub(super) fn note_exit(&mut self, i: usize, how: ProcessExit, cause: ExitCause, next: Option<String>) {
         if std::mem::take(&mut self.procs[i].alive) {
             let process = format!("n{i}");
-            let Ended { status, signal } = how;
+            let ProcessExit { status, signal } = how;
             self.history.note(Event::Exited { process, status, signal, cause, next });
         }
     }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -235,7 +235,7 @@
         self.lists.iter().for_each(|l| l.set_discovery_mode(mode));
     }
 
-    /// The seed of manager `i`'s process that follows so many starts.
+    /// The seed of manager `i`'s process, by the number of its earlier starts.
     pub(super) fn seed(&self, i: usize, starts: u32) -> u64 {
         self.scenario.seed.wrapping_mul(1_000_003) ^ (i as u64) << 16 ^ u64::from(starts)
     }
@@ -246,7 +246,7 @@
         let starts = self.fleet.managers.get(i).map_or(0, |m| m.starts);
         let seed = self.seed(i, starts);
         let known = self.lists[party].known();
-        let settings = match self.scenario.told_zone {
+        let settings = match self.scenario.zone_aware {
             // The zone by number, as the platform words it.
             true => self.settings.replacen('{', &format!("{{\"az\":{group},"), 1),
             false => self.settings.clone(),
--- a/crates/cluster-harness/src/run/supervision.rs
+++ b/crates/cluster-harness/src/run/supervision.rs
@@ -1,7 +1,7 @@
 //! Supervision of the managers' processes: readiness, exits and restarts.
 
 use super::{Availability, ProcessState, Rig, RunError};
-use crate::procs::Ended;
+use crate::procs::ProcessExit;
 use sprucelink_history_checker::event::{Event, ExitCause, EXIT_STATUS_NEXT_VERSION};
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
@@ -51,7 +51,7 @@
     }
 
     /// A process has exited by itself: its restart is scheduled where the supervisor restarts it.
-    fn handle_exit(&mut self, i: usize, how: Ended) {
+    fn handle_exit(&mut self, i: usize, how: ProcessExit) {
         self.mark_unavailable(i);
         let requests_version = how.status == Some(EXIT_STATUS_NEXT_VERSION);
         let next = if requests_version { self.next_version(i).ok() } else { None };
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -1,4 +1,4 @@
-//! What managers hold of the fleet, asked of each while a run goes on.
+//! The managers' views of the fleet, polled during a run.
 
 use super::{ProcessState, Rig, Views};
 use sprucelink_membership::{Member, MemberState};
@@ -13,39 +13,39 @@
 /// Rounds of polling that are kept.
 const MAX_VIEWS: usize = 10_000;
 
-/// Names that a manager holds as here, its own among them; `None` where it did not answer.
-fn held_by(real: SocketAddr) -> Option<BTreeSet<String>> {
+/// The members that a manager has as alive or suspect, itself included; `None` where it did not answer.
+fn query_view(real: SocketAddr) -> Option<BTreeSet<String>> {
     let all = sprucelink_membership::query_members(real).ok()?;
     let here = |m: &Member| matches!(m.state, MemberState::Alive | MemberState::Suspect);
     Some(all.into_iter().filter(here).map(|m| m.name).collect())
 }
 
 impl Rig<'_> {
-    /// Asks every manager that runs for its view, some at once.
-    pub(super) fn poll(&mut self) {
-        let asked: Vec<(usize, SocketAddr)> = (0..self.members.len())
+    /// Polls every ready manager for its view.
+    pub(super) fn poll_views(&mut self) {
+        let ready: Vec<(usize, SocketAddr)> = (0..self.members.len())
             .filter(|i| self.process_states[*i] == ProcessState::Up)
             .filter_map(|i| Some((i, self.real[i]?)))
             .collect();
         let at = self.start.elapsed().as_secs_f64();
-        let names: BTreeSet<String> = asked.iter().map(|(i, _)| format!("n{i}")).collect();
-        let held: Vec<Option<BTreeSet<String>>> = std::thread::scope(|scope| {
-            let parts: Vec<_> = asked.chunks(asked.len().div_ceil(POLL_THREADS).max(1)).collect();
-            let asking: Vec<_> = parts
+        let names: BTreeSet<String> = ready.iter().map(|(i, _)| format!("n{i}")).collect();
+        let views: Vec<Option<BTreeSet<String>>> = std::thread::scope(|scope| {
+            let chunks: Vec<_> = ready.chunks(ready.len().div_ceil(POLL_THREADS).max(1)).collect();
+            let threads: Vec<_> = chunks
                 .into_iter()
-                .map(|part| {
-                    scope.spawn(move || part.iter().map(|(_, real)| held_by(*real)).collect::<Vec<_>>())
+                .map(|chunk| {
+                    scope.spawn(move || chunk.iter().map(|(_, real)| query_view(*real)).collect::<Vec<_>>())
                 })
                 .collect();
-            asking.into_iter().flat_map(|a| a.join().unwrap_or_default()).collect()
+            threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
         });
-        let held: Vec<BTreeSet<String>> = held.into_iter().flatten().collect();
+        let views: Vec<BTreeSet<String>> = views.into_iter().flatten().collect();
         let row = Views {
             at,
-            asked: held.len(),
-            right: held.iter().filter(|h| **h == names).count(),
-            wrong: held.iter().map(|h| h.symmetric_difference(&names).count()).sum(),
-            different: held.iter().collect::<BTreeSet<_>>().len(),
+            polled: views.len(),
+            right: views.iter().filter(|h| **h == names).count(),
+            wrong: views.iter().map(|h| h.symmetric_difference(&names).count()).sum(),
+            different: views.iter().collect::<BTreeSet<_>>().len(),
         };
         if self.views.len() < MAX_VIEWS {
             self.views.push(row);
--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -220,7 +220,7 @@
 /// What happens to stand-in subscribers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Subs {
+pub enum SubscriberAction {
     /// A share of them lose their connections at once, and come back by their backoff: 0 to 1.
     Drop(f64),
     /// A share of them go to another manager at once, without waiting: 0 to 1.
@@ -313,7 +313,7 @@
     /// Managers are called.
     Call(Call),
     /// Something happens to the stand-in subscribers.
-    Subscribers(Subs),
+    Subscribers(SubscriberAction),
 }
 
 /// A step: an action and when it is performed.
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -2,8 +2,8 @@
 
 use super::actions::MAX_TIMES;
 use super::{
-    Action, Call, FailpointFault, InvalidScenario, Scenario, Sides, Step, Subs, GROUPS, HALLS, MAX_ENGINES,
-    MAX_PAIRED_MANAGERS, MAX_RUN_SECONDS, MAX_SUBSCRIBERS,
+    Action, Call, FailpointFault, InvalidScenario, Scenario, Sides, Step, SubscriberAction, GROUPS, HALLS,
+    MAX_ENGINES, MAX_PAIRED_MANAGERS, MAX_RUN_SECONDS, MAX_SUBSCRIBERS,
 };
 use crate::procs::MAX_MANAGERS;
 use crate::template;
@@ -103,7 +103,7 @@
 
     fn check_zones(&self) -> Result<(), InvalidScenario> {
         check_range("zones", self.zones as f64, 1.0, HALLS.len() as f64)?;
-        if self.told_zone && self.groups.len() > self.zones {
+        if self.zone_aware && self.groups.len() > self.zones {
             return Err(InvalidScenario::MoreGroupsThanZones);
         }
         if let Some(w) = &self.watch {
@@ -219,8 +219,10 @@
             Action::ZoneCold(zone) => self.party(zone),
             Action::Call(call) => self.check_call(call),
             Action::Subscribers(s) => match s {
-                Subs::Drop(share) | Subs::Hop(share) => Ok(check_range("subscribers", *share, 0.0, 1.0)?),
-                Subs::Slow { share, bytes_s } => {
+                SubscriberAction::Drop(share) | SubscriberAction::Hop(share) => {
+                    Ok(check_range("subscribers", *share, 0.0, 1.0)?)
+                }
+                SubscriberAction::Slow { share, bytes_s } => {
                     check_range("subscribers.slow.share", *share, 0.0, 1.0)?;
                     Ok(check_range("subscribers.slow.bytes_s", *bytes_s, 0.0, 1e9)?)
                 }
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -12,7 +12,7 @@
 
 pub use actions::{
     Action, Call, Clocks, FailpointFault, FleetRange, Lists, ManagerSelector, New, ProcessFault, Sides, Step,
-    Subs,
+    SubscriberAction,
 };
 pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
@@ -33,7 +33,7 @@
 pub const MAX_SUBSCRIBERS: usize = 300;
 /// Managers of a run in which each is a party of its own in the fault proxy: every two need a path for each port.
 pub const MAX_PAIRED_MANAGERS: usize = 32;
-/// Zones of engines, by name; managers of group `a` are in the first, and so on, where managers are told their zone.
+/// Zones of engines, by name. Managers that know their zone are in the first as group `a`, in the second as `b`, ...
 pub const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
 /// Groups of managers, by name.
 pub const GROUPS: [&str; 4] = ["a", "b", "c", "d"];
@@ -55,8 +55,9 @@
     pub engines: Engines,
     /// Zones over which engines are spread in turn; 1 to 4.
     pub zones: usize,
-    /// Managers are told their zone: that of their group.
-    pub told_zone: bool,
+    /// Managers know their zone: that of their group.
+    #[serde(rename = "told_zone")]
+    pub zone_aware: bool,
     /// The zone that the run is about, and when it is away.
     pub watch: Option<Watch>,
     /// Settings of failover between zones, as their JSON5 words them; absent: it is off.
@@ -111,7 +112,7 @@
             groups: vec![1.0],
             engines: Engines::default(),
             zones: 2,
-            told_zone: false,
+            zone_aware: false,
             watch: None,
             failover: None,
             membership: None,
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a scenario that say what there is.
+//! The sections of a scenario: engines, load, membership, supervision, history, subscribers.
 
 use super::actions::ManagerSelector;
 use serde::Deserialize;
@@ -23,11 +23,11 @@
 pub struct Engines {
     /// How many.
     pub count: usize,
-    /// Of these, so many start cold with the run.
+    /// How many of them are in slow start when the run begins.
     pub cold: usize,
-    /// Of these, the last so many do not exist: the list names them and their ports are closed.
+    /// How many of them, the last ones, are on the endpoint list but do not run.
     pub missing: usize,
-    /// Of these, the first so many work ten times more slowly than they should.
+    /// How many of them, the first ones, are slower by a factor of ten.
     pub slow: usize,
     /// Cores of each.
     pub cores: f64,
@@ -53,7 +53,7 @@
     pub heavy: f64,
     /// How long clients wait, in milliseconds; 100 to 20,000.
     pub timeout_ms: f64,
-    /// Clients of a manager that is down go to another, drawn anew for each request; else they ask nobody.
+    /// While a manager is down, each request of its clients goes to another at random; else it is not sent.
     pub follow: bool,
 }
 
@@ -87,9 +87,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Supervise {
-    /// One that crashed is started anew, too; else only one that asked for another version (status 75).
+    /// Crashed processes are restarted, too; else only those that request another version (status 75).
     pub crashed: bool,
-    /// So many milliseconds later; 0 to 60,000.
+    /// Delay of a restart, in milliseconds; 0 to 60,000.
     pub back_ms: f64,
     /// Restarts of one manager in a run; after them it stays down. 0 to 1,000.
     #[serde(rename = "most")]
@@ -139,12 +139,11 @@
     pub filters: Vec<String>,
     /// The managers they go to; absent: all.
     pub to: Option<ManagerSelector>,
-    /// They leave for another manager after so many seconds in the mean, drawn; 0: never by themselves.
+    /// Mean time after which a subscriber moves to another manager, in seconds; 0: never.
     pub hop_s: f64,
-    /// How long they wait before they come back, in milliseconds, until they are told (`retry`); half to once and a half
-    /// of it, drawn.
+    /// Time until they reconnect, in milliseconds, until the stream sets it (`retry`); each time 0.5 to 1.5 times that.
     pub retry_ms: f64,
-    /// They take a connection that says nothing for so long for dead, in milliseconds.
+    /// Silence after which they take a connection as dead, in milliseconds.
     pub silent_ms: f64,
     /// Where a record's data, a JSON object, holds the position before it.
     pub prev_at: String,
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -8,10 +8,10 @@
 use crate::history::Recorder;
 use crate::http;
 use crate::runtime;
-use crate::scenario::{Scenario, Subs, Subscribers as Spec};
+use crate::scenario::{Scenario, SubscriberAction, Subscribers as Spec};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use hyper::body::Incoming;
+use hyper::body::{Frame, Incoming};
 use hyper::Request;
 use reader::Reader;
 use sprucelink_history_checker::event::Event;
@@ -20,6 +20,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::broadcast;
+use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout};
 
 /// Commands queued for a subscriber; one that falls behind further misses the oldest.
@@ -36,13 +37,13 @@
     /// Names and addresses of the managers they go to.
     managers: Vec<(String, SocketAddr)>,
     history: Recorder,
-    /// What the marks have told already: each subscriber reads the same halt.
+    /// Marks that are in the history already: each subscriber reads the same halt.
     marked: Mutex<BTreeSet<String>>,
 }
 
 /// All stand-in subscribers of a run; they end when this is dropped.
 pub struct Subscribers {
-    orders: broadcast::Sender<(u64, Subs)>,
+    orders: broadcast::Sender<(u64, SubscriberAction)>,
     given: u64,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -74,7 +75,7 @@
             let due = first + Duration::from_secs_f64(apart * number as f64);
             runtime().spawn(async move {
                 sleep_until(due.into()).await;
-                live(&shared, number, orders).await;
+                run_subscriber(&shared, number, orders).await;
             })
         };
         let tasks = (0..count).map(one).collect();
@@ -82,9 +83,9 @@
     }
 
     /// Something happens to them.
-    pub fn order(&mut self, what: Subs) {
+    pub fn order(&mut self, what: SubscriberAction) {
         self.given += 1;
-        // With nobody there nobody is told.
+        // Without subscribers nobody receives it, which is no error.
         let _ = self.orders.send((self.given, what));
     }
 }
@@ -101,7 +102,7 @@
 }
 
 /// Why a connection is over, and what comes next.
-enum Over {
+enum Disconnect {
     /// It comes back to another manager after its backoff.
     Lost(String),
     /// It goes to another manager at once.
@@ -110,7 +111,11 @@
     Forgotten(String),
 }
 
-async fn live(shared: &Shared, number: usize, mut orders: broadcast::Receiver<(u64, Subs)>) {
+async fn run_subscriber(
+    shared: &Shared,
+    number: usize,
+    mut orders: broadcast::Receiver<(u64, SubscriberAction)>,
+) {
     let mut reader = Reader::new(&shared.spec, number, shared.seed);
     let mut slow = 0.0;
     let all = shared.managers.len();
@@ -119,11 +124,11 @@
     }
     loop {
         let (manager, at) = shared.managers[reader.at % all].clone();
-        let over = visit(shared, &mut reader, &mut orders, &mut slow, &manager, at).await;
-        let (why, wait) = match over {
-            Over::Lost(why) => (why, reader.wait()),
-            Over::Hopped => ("left for another".into(), Duration::ZERO),
-            Over::Forgotten(why) => {
+        let disconnect = read_stream(shared, &mut reader, &mut orders, &mut slow, &manager, at).await;
+        let (why, wait) = match disconnect {
+            Disconnect::Lost(why) => (why, reader.wait()),
+            Disconnect::Hopped => ("left for another".into(), Duration::ZERO),
+            Disconnect::Forgotten(why) => {
                 reader.forget();
                 (why, reader.wait())
             }
@@ -135,19 +140,20 @@
 }
 
 /// Requests the stream from the reader's cursor on; an answer without one ends the visit.
-async fn open_stream(reader: &Reader<'_>, at: SocketAddr) -> Result<Incoming, Over> {
+async fn open_stream(reader: &Reader<'_>, at: SocketAddr) -> Result<Incoming, Disconnect> {
     let request =
         Request::get(reader.path()).header("host", at.to_string()).header("accept", "text/event-stream");
     let request = match reader.cursor {
         Some(c) => request.header("last-event-id", c.to_string()),
         None => request,
     };
-    let request = request.body(Full::<Bytes>::default()).map_err(|_| Over::Lost("no request".into()))?;
-    let answer = http::send(at, request).await.map_err(|error| Over::Lost(error.to_string()))?;
+    let request =
+        request.body(Full::<Bytes>::default()).map_err(|_| Disconnect::Lost("no request".into()))?;
+    let answer = http::send(at, request).await.map_err(|error| Disconnect::Lost(error.to_string()))?;
     match answer.status().as_u16() {
         200 => Ok(answer.into_body()),
-        GONE => Err(Over::Forgotten("status 410".into())),
-        other => Err(Over::Lost(format!("status {other}"))),
+        GONE => Err(Disconnect::Forgotten("status 410".into())),
+        other => Err(Disconnect::Lost(format!("status {other}"))),
     }
 }
 
@@ -156,13 +162,15 @@
     shared: &Shared,
     reader: &Reader<'_>,
     number: u64,
-    order: Subs,
+    order: SubscriberAction,
     slow: &mut f64,
-) -> Option<Over> {
+) -> Option<Disconnect> {
     match order {
-        Subs::Drop(share) if reader.among(share, number, shared.seed) => Some(Over::Lost("dropped".into())),
-        Subs::Hop(share) if reader.among(share, number, shared.seed) => Some(Over::Hopped),
-        Subs::Slow { share, bytes_s } if reader.among(share, number, shared.seed) => {
+        SubscriberAction::Drop(share) if reader.among(share, number, shared.seed) => {
+            Some(Disconnect::Lost("dropped".into()))
+        }
+        SubscriberAction::Hop(share) if reader.among(share, number, shared.seed) => Some(Disconnect::Hopped),
+        SubscriberAction::Slow { share, bytes_s } if reader.among(share, number, shared.seed) => {
             *slow = bytes_s;
             None
         }
@@ -170,18 +178,30 @@
     }
 }
 
+/// The data of the next frame, or why there is none.
+fn frame_data(
+    next: Result<Option<Result<Frame<Bytes>, hyper::Error>>, Elapsed>,
+) -> Result<Bytes, Disconnect> {
+    match next {
+        Err(_) => Err(Disconnect::Lost("silent".into())),
+        Ok(None) => Err(Disconnect::Lost("ended".into())),
+        Ok(Some(Err(error))) => Err(Disconnect::Lost(format!("broken: {error}"))),
+        Ok(Some(Ok(frame))) => Ok(frame.into_data().unwrap_or_default()),
+    }
+}
+
 /// One connection, from its beginning to its end.
-async fn visit(
+async fn read_stream(
     shared: &Shared,
     reader: &mut Reader<'_>,
-    orders: &mut broadcast::Receiver<(u64, Subs)>,
+    orders: &mut broadcast::Receiver<(u64, SubscriberAction)>,
     slow: &mut f64,
     manager: &str,
     at: SocketAddr,
-) -> Over {
+) -> Disconnect {
     let mut body = match open_stream(reader, at).await {
         Ok(body) => body,
-        Err(over) => return over,
+        Err(disconnect) => return disconnect,
     };
     shared.history.note(Event::SubscriberConnected {
         subscriber: reader.name.clone(),
@@ -201,29 +221,27 @@
         };
         tokio::select! {
             frame = next => {
-                let bytes = match frame {
-                    Err(_) => return Over::Lost("silent".into()),
-                    Ok(None) => return Over::Lost("ended".into()),
-                    Ok(Some(Err(e))) => return Over::Lost(format!("broken: {e}")),
-                    Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
+                let bytes = match frame_data(frame) {
+                    Ok(bytes) => bytes,
+                    Err(disconnect) => return disconnect,
                 };
                 if let Err(e) = read(shared, reader, &mut stream, manager, &bytes) {
-                    return Over::Lost(e.to_string());
+                    return Disconnect::Lost(e.to_string());
                 }
                 rests = Instant::now() + pause(bytes.len(), *slow);
             }
             order = orders.recv() => {
                 let Ok((number, order)) = order else { continue };
-                if let Some(over) = apply_order(shared, reader, number, order, slow) {
-                    return over;
+                if let Some(disconnect) = apply_order(shared, reader, number, order, slow) {
+                    return disconnect;
                 }
             }
-            () = sleep_until(leaves.unwrap_or(rests + silent * 10).into()), if leaves.is_some() => return Over::Hopped,
+            () = sleep_until(leaves.unwrap_or(rests + silent * 10).into()), if leaves.is_some() => return Disconnect::Hopped,
         }
     }
 }
 
-/// How long a reader of so many bytes a second takes for these.
+/// How long a subscriber takes for these bytes at its rate; a rate of 0 is no limit.
 fn pause(bytes: usize, a_second: f64) -> Duration {
     match a_second > 0.0 {
         true => Duration::from_secs_f64((bytes as f64 / a_second).min(600.0)).max(Duration::from_micros(1)),
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -121,7 +121,7 @@
         Ok(all)
     }
 
-    /// A manager has answered that its cursor leads nowhere any more: it begins anew, its state with it.
+    /// Drops the cursor, after a manager has answered that it is no longer valid.
     pub fn forget(&mut self) {
         self.cursor = None;
     }
@@ -134,7 +134,7 @@
         }
     }
 
-    /// How long it waits before it comes back: half to once and a half of what it was told.
+    /// Time until it reconnects: 0.5 to 1.5 times the retry time, drawn at random.
     pub fn wait(&mut self) -> Duration {
         self.retry.mul_f64(self.rng.gen_range(0.5..1.5))
     }
@@ -146,7 +146,7 @@
         (mean > 0.0).then(|| Duration::from_secs_f64(-(1.0 - self.rng.gen::<f64>()).ln() * mean))
     }
 
-    /// Whether it is among a share of the subscribers, drawn anew for each order of a run.
+    /// Whether it is in a random fraction of the subscribers; each order of a run draws its own.
     pub fn among(&self, share: f64, order: u64, seed: u64) -> bool {
         let drawn = ChaCha8Rng::seed_from_u64(seed ^ order << 20 ^ self.number as u64).gen::<f64>();
         drawn < share
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -67,8 +67,8 @@
     eprintln!("{}\n{}", Report::head(), got.report.line());
     let r = &got.report;
     assert_eq!((r.up, r.crashed), (r.managers, 0), "every manager came up and none ended by itself");
-    assert!(r.asked > 0, "clients asked");
-    assert_eq!(r.served + r.refused + r.failed + r.lost + r.not_taken + r.died, r.asked, "each has one end");
+    assert!(r.issued > 0, "clients asked");
+    assert_eq!(r.served + r.refused + r.failed + r.lost + r.not_taken + r.died, r.issued, "each has one end");
     assert_eq!((r.lost, r.breaches.second_attempts, r.breaches.pushed_over), (0, 0, 0), "no rule is broken");
     got
 }
@@ -87,7 +87,7 @@
     let first = got.calls.iter().position(with).expect("a first call");
     let last = got.calls.iter().rposition(with).expect("a last call");
     assert!(last - first >= 6, "over a second and a half at least: {:?}", got.calls);
-    assert_eq!(got.report.served, got.report.asked, "the list of the start serves meanwhile");
+    assert_eq!(got.report.served, got.report.issued, "the list of the start serves meanwhile");
 }
 
 /// Guards a list service that refuses while a fleet starts: calls come by gRPC's backoff (1 s, 1.6 s, ...), not
@@ -98,7 +98,7 @@
     let got = play("refused", scenario, Some("{ enabled: true }"));
     // At about 0, 1, 2.6 and 5.2 s, a fifth sooner at the soonest.
     assert!((6..=6 * 4).contains(&got.report.calls), "{} calls of 6 managers in 5 s", got.report.calls);
-    assert_eq!(got.report.served, got.report.asked);
+    assert_eq!(got.report.served, got.report.issued);
     let plain = play("refused-off", scenario, None);
     assert!(
         plain.report.calls >= 6 * 8,
@@ -113,7 +113,7 @@
 fn a_list_service_that_stalls_keeps_no_starting_fleet_out() {
     let scenario = "{ managers: 4, seconds: 5, lists: 'stall', load: { rate: 60 }, engines: { count: 2 } }";
     let got = play("stalled", scenario, Some("{ enabled: true, ready: { feed_wait_ms: 500 } }"));
-    assert_eq!(got.report.served, got.report.asked);
+    assert_eq!(got.report.served, got.report.issued);
     for log in &got.logs {
         assert!(log.contains("feed_answered=false connected=true"), "{log}");
     }
@@ -128,7 +128,7 @@
     let got = play("half", scenario, Some("{ enabled: true }"));
     let r = &got.report;
     assert_eq!(r.failed, 0, "what found no engine is refused, not failed");
-    assert!(r.served * 4 >= r.asked, "{} of {} served", r.served, r.asked);
+    assert!(r.served * 4 >= r.issued, "{} of {} served", r.served, r.issued);
 }
 
 /// A manager that starts on engines it knows nothing of takes in hand only what its warm-up has earned: at first
@@ -175,7 +175,12 @@
     };
     let got = play("rolling", &steps("roll"), Some("{ enabled: true }"));
     assert_eq!((got.report.died, got.report.breaches.after_drain), (0, 0));
-    assert!(got.report.served * 10 >= got.report.asked * 9, "{} of {}", got.report.served, got.report.asked);
+    assert!(
+        got.report.served * 10 >= got.report.issued * 9,
+        "{} of {}",
+        got.report.served,
+        got.report.issued
+    );
     let killed = play("rolling-killed", &steps("restart"), Some("{ enabled: true }"));
     assert!(killed.report.died > 0, "what a kill loses is seen");
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -15,7 +15,7 @@
     let got = run::run(&scenario, &program).expect("carried out");
     run::clear(&dir);
     for v in got.views.iter().step_by(4) {
-        eprintln!("{name} {:6.2} s: {} of {} right, {} views", v.at, v.right, v.asked, v.different);
+        eprintln!("{name} {:6.2} s: {} of {} right, {} views", v.at, v.right, v.polled, v.different);
     }
     assert_eq!((got.report.up, got.report.crashed), (got.report.managers, 0));
     assert_eq!(got.report.lost, 0, "what the managers serve is not touched");
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -97,7 +97,12 @@
     let got = play("zones-cut", &island);
     let (home, all) = got.sent(&island, 1, 1, 4.0, 9.0);
     assert!(all > 50 && home * 10 > all * 9, "{home} of {all} stayed at home");
-    assert!(got.report.served * 100 > got.report.asked * 97, "{} of {}", got.report.served, got.report.asked);
+    assert!(
+        got.report.served * 100 > got.report.issued * 97,
+        "{} of {}",
+        got.report.served,
+        got.report.issued
+    );
 }
 
 /// A region of two zones is lost: its managers go to the other region.
