--- a/crates/cluster-harness/src/middle/mod.rs
+++ b/crates/cluster-harness/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A fault middle on loopback: TCP and UDP between groups of processes, with faults on command.
+//! A fault proxy on loopback: TCP and UDP between groups of processes, with faults on command.
 //!
 //! Every path goes from a *group* to a *group* (names such as `a`, `b`, `lists`, `engines`), one way each: a
 //! rule on `a -> lists` leaves `lists -> a` as it is, so that one-way loss and half-open connections can be
@@ -8,7 +8,7 @@
 //! A party may be named itself and have a group as its *home*: a rule for the very two comes before one for a party
 //! and a group, and that before one for two groups.
 //!
-//! What loopback cannot show: the kernel accepts a TCP connection before the middle can hold it back, so in a
+//! What loopback cannot show: the kernel accepts a TCP connection before the fault proxy can hold it back, so in a
 //! partition a connection comes up and then says nothing; a real one would not come up. And with one way parted
 //! what goes the other way arrives for good, where in a real network it would end for want of acknowledgements.
 
@@ -20,10 +20,10 @@
 pub use tcp::{tcp, tcp_to, Target, TcpPath};
 pub use udp::UdpNet;
 
-use crate::range::within;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
+use sprucelink_settings::{check_range, InvalidField};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -31,8 +31,8 @@
 
 /// Bytes carried at a time, each way; a datagram is no longer.
 const CHUNK: usize = 16 * 1024;
-/// A slow way carries pieces of at most this part of what it carries in a second: else it would go in bursts.
-const SLOW_PIECE: f64 = 20.0;
+/// Pieces a second into which a rate-limited route divides its data, so that it does not go in bursts.
+const SLOW_PIECES_PER_SECOND: f64 = 20.0;
 
 /// What happens to what goes one way between two groups.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
@@ -50,8 +50,7 @@
     pub partition: bool,
     /// New TCP connections are closed at once.
     pub refuse: bool,
-    /// New TCP connections come up and lead nowhere, for good: what is sent on them is read by nobody, and their target
-    /// sees nothing of them. Those open already go on.
+    /// New TCP connections are accepted and never forwarded. Open connections go on.
     pub blackhole: bool,
     /// Bytes a second that pass, all connections and datagrams between the two together; 0: no bound. At most 1e9.
     pub bytes_s: f64,
@@ -77,12 +76,12 @@
     ///
     /// # Errors
     /// The field and its range.
-    pub fn check(&self) -> Result<(), String> {
-        within("delay_ms", self.delay_ms, 0.0, 60_000.0)?;
-        within("jitter_ms", self.jitter_ms, 0.0, 60_000.0)?;
-        within("drop", self.drop, 0.0, 1.0)?;
-        within("garble", self.garble, 0.0, 1.0)?;
-        within("bytes_s", self.bytes_s, 0.0, 1e9)
+    pub fn check(&self) -> Result<(), InvalidField> {
+        check_range("delay_ms", self.delay_ms, 0.0, 60_000.0)?;
+        check_range("jitter_ms", self.jitter_ms, 0.0, 60_000.0)?;
+        check_range("drop", self.drop, 0.0, 1.0)?;
+        check_range("garble", self.garble, 0.0, 1.0)?;
+        check_range("bytes_s", self.bytes_s, 0.0, 1e9)
     }
 
     /// Whether it keeps a party from being served: nothing passes, or nothing new.
@@ -93,7 +92,7 @@
     /// Bytes that are carried at a time under it.
     fn piece(&self) -> usize {
         match self.bytes_s > 0.0 {
-            true => ((self.bytes_s / SLOW_PIECE) as usize).clamp(1, CHUNK),
+            true => ((self.bytes_s / SLOW_PIECES_PER_SECOND) as usize).clamp(1, CHUNK),
             false => CHUNK,
         }
     }
@@ -102,7 +101,7 @@
 /// One-off faults of connections that are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cut {
+pub enum ConnectionCut {
     /// Both ways end.
     Close,
     /// This way ends, the other stays open.
@@ -117,11 +116,11 @@
 struct Table {
     rules: HashMap<Pair, Rule>,
     /// The last cut of each pair, by its number among all.
-    cuts: HashMap<Pair, (u64, Cut)>,
+    cuts: HashMap<Pair, (u64, ConnectionCut)>,
     cuts_made: u64,
     /// The group that a party belongs to.
     homes: HashMap<String, String>,
-    /// Until when the way between a pair is taken by what was sent, where a rule makes it slow.
+    /// When the route between a pair is free again, where a rule limits its rate.
     taken: HashMap<Pair, Instant>,
 }
 
@@ -129,7 +128,8 @@
     /// The pairs under which a rule for two parties may stand, the nearest first.
     fn pairs(&self, from: &str, to: &str) -> Vec<Pair> {
         let home = |name: &str| self.homes.get(name).cloned();
-        let (from_home, to_home) = (home(from), home(to));
+        let from_home = home(from);
+        let to_home = home(to);
         let mut all = vec![(from.to_owned(), to.to_owned())];
         all.extend(to_home.iter().map(|t| (from.to_owned(), t.clone())));
         all.extend(from_home.iter().map(|f| (f.clone(), to.to_owned())));
@@ -185,7 +185,7 @@
     }
 
     /// Every TCP connection that is open from one group to another is cut.
-    pub fn cut(&self, from: &str, to: &str, how: Cut) {
+    pub fn cut(&self, from: &str, to: &str, how: ConnectionCut) {
         self.table(|t| {
             t.cuts_made += 1;
             t.cuts.insert((from.to_owned(), to.to_owned()), (t.cuts_made, how));
@@ -212,7 +212,7 @@
     }
 
     /// The last cut that is for two parties: its number, 0 for none, and how.
-    fn cuts(&self, from: &str, to: &str) -> (u64, Option<Cut>) {
+    fn cuts(&self, from: &str, to: &str) -> (u64, Option<ConnectionCut>) {
         self.table(|t| {
             if t.cuts.is_empty() {
                 return (0, None);
@@ -223,13 +223,13 @@
     }
 
     /// The last cut that is for two parties, unless it is the one numbered `known`.
-    fn cut_since(&self, from: &str, to: &str, known: u64) -> Option<Cut> {
+    fn cut_since(&self, from: &str, to: &str, known: u64) -> Option<ConnectionCut> {
         let (number, cut) = self.cuts(from, to);
         cut.filter(|_| number != known)
     }
 
-    /// How long `n` bytes that are sent now take on a slow way, those before them included.
-    fn pace(&self, from: &str, to: &str, rule: &Rule, n: usize) -> Duration {
+    /// How long `n` bytes that are sent now take at the rule's rate, behind the bytes before them.
+    fn transmission_delay(&self, from: &str, to: &str, rule: &Rule, n: usize) -> Duration {
         if rule.bytes_s <= 0.0 {
             return Duration::ZERO;
         }
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -2,30 +2,33 @@
 //! clients ask, and gathers what was counted. It ends every process it started, also when it fails half way.
 
 mod calls;
+mod error;
+mod failpoint_faults;
 mod figures;
-mod life;
 mod load;
 mod outcome;
+mod partitions;
 mod peers;
 mod process;
 mod setup;
 mod steps;
-mod strikes;
+mod supervision;
 mod views;
-mod ways;
 
+pub use error::RunError;
 pub use outcome::{Outcome, Views};
 pub use process::NEXT_VERSION_FILE;
 
-use crate::client::Became;
+use crate::client::RequestOutcome;
 use crate::engines::CountingEngine;
+use crate::fault_proxy::{Faults, TcpPath, UdpNet};
 use crate::history::Recorder;
 use crate::ledger::Ledger;
 use crate::lists::ListService;
-use crate::middle::{Faults, TcpPath, UdpNet};
 use crate::procs::Fleet;
-use crate::scenario::{Act, Scenario};
+use crate::scenario::{Action, Scenario};
 use crate::subscribers::Subscribers;
+use failpoint_faults::FailpointFaults;
 use peers::Peers;
 use process::Proc;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,12 +36,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use strikes::Strikes;
 
-/// Between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(5);
-/// Between two looks at the logs of managers that are coming up.
-const LOOK_LOGS: Duration = Duration::from_millis(25);
+/// Interval at which due steps, failpoints and open requests are checked.
+const STEP_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which the logs of starting managers are read.
+const LOG_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What to run, besides the scenario.
 #[derive(Clone, Debug)]
@@ -51,24 +53,29 @@
     pub dir: PathBuf,
 }
 
-/// Where a manager is reached now, and when it was last ended or stopped by the rig.
+/// Whether clients send requests to a manager.
 #[derive(Default)]
-struct Seat {
-    at: Option<SocketAddr>,
+struct Availability {
+    /// Where the manager serves; `None` while it is down or paused.
+    address: Option<SocketAddr>,
+    /// When clients stop sending to it, after SIGTERM.
     until: Option<Instant>,
-    struck: Option<Instant>,
+    /// When it last became unavailable: requests due before may be lost.
+    unavailable_since: Option<Instant>,
 }
 
+/// What the rig knows of a manager's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Unborn,
+enum ProcessState {
+    NotStarted,
     Starting,
     Up,
-    Ending(Instant),
+    /// It got SIGTERM at this instant.
+    Terminating(Instant),
     Paused,
-    /// It has ended by itself and is brought back then.
-    Waiting(Instant),
-    Dead,
+    /// It has exited by itself and is restarted at this instant.
+    RestartPending(Instant),
+    Down,
 }
 
 struct Engine {
@@ -81,8 +88,15 @@
     since_ms: u128,
 }
 
-/// One ended request: due, what became of it, how long it took.
-type Ended = (Duration, Became, bool, Duration);
+/// A completed request.
+struct CompletedRequest {
+    /// When it was due, since the start of the run.
+    due: Duration,
+    outcome: RequestOutcome,
+    /// Its manager was killed or stopped after the request was due.
+    manager_failed: bool,
+    latency: Duration,
+}
 
 struct Rig<'a> {
     scenario: &'a Scenario,
@@ -92,13 +106,13 @@
     ledger: Ledger,
     engines: Vec<Engine>,
     lists: Vec<ListService>,
-    /// Keeps the ways to the list services open.
+    /// Paths to the list services, which close when they are dropped.
     list_paths: Vec<TcpPath>,
     feeds: Vec<SocketAddr>,
     revision: u64,
     fleet: Fleet,
-    lives: Vec<Life>,
-    seats: Vec<Arc<Mutex<Seat>>>,
+    process_states: Vec<ProcessState>,
+    availability: Vec<Arc<Mutex<Availability>>>,
     up_once: Vec<bool>,
     crashed: usize,
     settings: String,
@@ -107,28 +121,24 @@
     members: Vec<SocketAddr>,
     real: Vec<Option<SocketAddr>>,
     views: Vec<Views>,
-    ended: Arc<Mutex<Vec<Ended>>>,
-    /// Whom the middle tells apart among managers.
+    ended: Arc<Mutex<Vec<CompletedRequest>>>,
+    /// The parties into which the fault proxy divides the managers.
     parties: Vec<String>,
     history: Recorder,
     peers: Peers,
     procs: Vec<Proc>,
-    strikes: Strikes,
-    /// What follows strikes, and when.
-    later: Vec<(Instant, Act)>,
+    failpoint_faults: FailpointFaults,
+    /// Actions that follow failpoint faults, and when they are due.
+    pending: Vec<(Instant, Action)>,
     subscribers: Option<Subscribers>,
-    /// Ways that are silent by a rule.
+    /// Routes on which a rule lets nothing pass.
     silenced: BTreeSet<(String, String)>,
     /// Calls made so far, by the operation's name.
     ops: BTreeMap<String, u64>,
-    /// Times that managers were drawn.
+    /// Random draws of managers so far.
     draws: u64,
 }
 
-fn io(what: &str) -> impl Fn(std::io::Error) -> String + '_ {
-    move |e| format!("{what}: {e}")
-}
-
 fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis())
 }
@@ -136,26 +146,26 @@
 /// Carries a scenario out with a program.
 ///
 /// # Errors
-/// In words, where a stand-in, a file or a process could not be started.
-pub fn run(scenario: &Scenario, program: &Program) -> Result<Outcome, String> {
+/// Where a stand-in, a file or a process could not be started.
+pub fn run(scenario: &Scenario, program: &Program) -> Result<Outcome, RunError> {
     scenario.check()?;
     let began = unix_ms() as f64 / 1e3;
     let mut rig = Rig::new(scenario, program)?;
     let mut timeline = rig.timeline();
-    let load = rig.ask();
+    let load = rig.start_clients();
     let done = rig.play(&mut timeline);
     load.iter().for_each(|t| t.abort());
-    // What is asked has its end within its time; more is not waited for.
+    // Each request ends within its timeout and a second; do not wait longer.
     let last = Duration::from_secs_f64(scenario.load.timeout_ms / 1e3) + Duration::from_secs(1);
     let until = Instant::now() + last;
     while done.is_ok() && rig.open() > 0 && Instant::now() < until {
-        rig.look();
-        std::thread::sleep(LOOK);
+        rig.observe_processes();
+        std::thread::sleep(STEP_INTERVAL);
     }
     let logs = (0..rig.fleet.managers.len()).map(|i| rig.fleet.log(i)).collect();
     let used: Vec<f64> = (0..rig.fleet.managers.len()).filter_map(|i| rig.fleet.cpu(i)).collect();
     let cpu = used.iter().sum::<f64>() / used.len().max(1) as f64;
-    // What the rig ends now is no part of the run.
+    // The run is over: exits from here on do not belong into the history.
     rig.subscribers = None;
     let recorded = rig.history.end();
     rig.fleet.end_all();
@@ -173,27 +183,28 @@
 }
 
 impl Rig<'_> {
-    fn play(&mut self, timeline: &mut Vec<(Duration, Act)>) -> Result<(), String> {
+    fn play(&mut self, timeline: &mut Vec<(Duration, Action)>) -> Result<(), RunError> {
         let end = Duration::from_secs_f64(self.scenario.seconds);
-        let (mut next_logs, mut next_views) = (Instant::now(), Instant::now());
+        let mut next_logs = Instant::now();
+        let mut next_views = Instant::now();
         while self.start.elapsed() < end {
             while timeline.last().is_some_and(|(at, _)| *at <= self.start.elapsed()) {
-                if let Some((_, act)) = timeline.pop() {
-                    self.act(&act)?;
+                if let Some((_, action)) = timeline.pop() {
+                    self.perform(&action)?;
                 }
             }
             if Instant::now() >= next_logs {
-                next_logs = Instant::now() + LOOK_LOGS;
-                self.look();
-                self.come_back()?;
+                next_logs = Instant::now() + LOG_INTERVAL;
+                self.observe_processes();
+                self.restart_exited()?;
                 if self.scenario.membership.is_some() && Instant::now() >= next_views {
-                    next_views = Instant::now() + views::LOOK_VIEWS;
-                    self.poll();
+                    next_views = Instant::now() + views::POLL_INTERVAL;
+                    self.poll_views();
                 }
             }
-            self.read_news()?;
-            self.follow_up()?;
-            std::thread::sleep(LOOK);
+            self.read_logs()?;
+            self.perform_pending()?;
+            std::thread::sleep(STEP_INTERVAL);
         }
         Ok(())
     }
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -1,5 +1,6 @@
-//! What a run gives, and what can be read from it afterwards.
+//! The result of a run.
 
+use super::RunError;
 use crate::history;
 use crate::ledger::Sent;
 use crate::report::{Outcomes, Report};
@@ -8,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// What a run gives.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The figures.
@@ -27,7 +28,7 @@
     pub views: Vec<Views>,
     /// Where the history is, if one was recorded.
     pub history: Option<PathBuf>,
-    /// What the checker found in it, if it was held against terms.
+    /// The result of the history checker, if the scenario has checks.
     pub verdict: Option<CheckReport>,
 }
 
@@ -36,19 +37,19 @@
 pub struct Views {
     /// Seconds after the start.
     pub at: f64,
-    /// Managers that run and answered.
-    pub asked: usize,
-    /// Of them, so many hold just those that run.
+    /// Managers that were polled and answered.
+    pub polled: usize,
+    /// Managers whose view has exactly the running managers.
     pub right: usize,
-    /// Names that some hold although they do not run, and the other way round, over all views.
+    /// Members by which a view differs from the running managers, summed over all views.
     pub wrong: usize,
-    /// Different views.
+    /// Distinct views.
     pub different: usize,
 }
 
 impl Outcome {
-    /// Holds the history against the scenario's terms.
-    pub(super) fn judge(&mut self, scenario: &Scenario, dir: &Path) -> Result<(), String> {
+    /// Checks the history by the scenario's checks.
+    pub(super) fn judge(&mut self, scenario: &Scenario, dir: &Path) -> Result<(), RunError> {
         if !scenario.records() {
             return Ok(());
         }
@@ -62,12 +63,12 @@
         Ok(())
     }
 
-    /// Share of the attempts that left from one time up to another, in seconds, which crossed zones; 0 where managers
-    /// are told none.
+    /// Fraction of the attempts from one time up to another, in seconds, that crossed zones; 0 where managers do not know
+    /// their zone.
     pub fn crossing(&self, scenario: &Scenario, from: f64, to: f64) -> f64 {
         let within = |s: &&Sent| (from..to).contains(&s.at.as_secs_f64());
         let all: Vec<&Sent> = self.sends.iter().filter(within).collect();
-        if !scenario.told_zone || all.is_empty() {
+        if !scenario.zone_aware || all.is_empty() {
             return 0.0;
         }
         let home =
@@ -96,8 +97,9 @@
         r.served_back = self.requests.served_share(w.to, (w.to + 10.0).min(end));
         r.home_first = share(self.sent(scenario, zone, zone, w.to, w.to + 1.0));
         r.home_last = share(self.sent(scenario, zone, zone, end - 5.0, end));
-        (r.said_lost, r.said_p50_s, r.said_p95_s) =
-            (said.len(), at(0.5).unwrap_or(f64::NAN), at(0.95).unwrap_or(f64::NAN));
+        r.said_lost = said.len();
+        r.said_p50_s = at(0.5).unwrap_or(f64::NAN);
+        r.said_p95_s = at(0.95).unwrap_or(f64::NAN);
         std::mem::swap(r, &mut self.report);
     }
 
@@ -129,7 +131,8 @@
                 self.sends.iter().filter(|s| s.manager == m && at(s) >= from && at(s) < to).collect();
             // The last half second in which more than one in ten went there.
             let busy = (0..((to - from) * 2.0) as usize).rev().find(|k| {
-                let (a, b) = (from + *k as f64 / 2.0, from + (*k + 1) as f64 / 2.0);
+                let a = from + *k as f64 / 2.0;
+                let b = from + (*k + 1) as f64 / 2.0;
                 let here: Vec<&&Sent> = own.iter().filter(|s| at(s) >= a && at(s) < b).collect();
                 here.iter().filter(|s| in_zone(s)).count() * 10 > here.len()
             });
@@ -146,8 +149,8 @@
     /// Seconds from `from` until all views were right, and stayed so up to `to`; none if they never were.
     pub fn agreed(&self, from: f64, to: f64) -> Option<f64> {
         let span: Vec<&Views> =
-            self.views.iter().filter(|v| v.at >= from && v.at < to && v.asked > 0).collect();
-        let last_wrong = span.iter().rposition(|v| v.right < v.asked);
+            self.views.iter().filter(|v| v.at >= from && v.at < to && v.polled > 0).collect();
+        let last_wrong = span.iter().rposition(|v| v.right < v.polled);
         let first_right = last_wrong.map_or(0, |i| i + 1);
         span.get(first_right).map(|v| v.at - from)
     }
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -1,16 +1,20 @@
 //! What a run does, as a JSON5 file: how many managers and engines, what clients ask, and the steps in which
 //! things happen. A field that is not known is refused by name; every count and time has a bound.
-
 //!
-//! [`acts`] holds what happens, [`parts`] what there is.
+//! [`actions`] holds what happens, [`parts`] what there is.
 
-pub mod acts;
+pub mod actions;
 mod check;
+mod error;
 pub mod parts;
 #[cfg(test)]
 mod tests;
 
-pub use acts::{Act, Blow, Call, Clocks, Lists, New, Part, Sides, Step, Strike, Subs, Who};
+pub use actions::{
+    Action, Call, Clocks, FailpointFault, FleetRange, Lists, ManagerSelector, New, ProcessFault, Sides, Step,
+    SubscriberAction,
+};
+pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
     Engines, HaltMark, History, Load, Marks, Membership, OverMark, Port, ReleaseMark, SchemaMark,
     Subscribers, Supervise, Watch,
@@ -21,15 +25,15 @@
 use sprucelink_history_checker::config::CheckConfig;
 use std::collections::BTreeMap;
 
-/// Engines of a run at most, those that come later included.
-pub const MOST_ENGINES: usize = 200;
+/// Engines of a run, those that are added later included.
+pub const MAX_ENGINES: usize = 200;
 /// Longest run, in seconds.
-pub const LONGEST: f64 = 600.0;
-/// Stand-in subscribers at most.
-pub const MOST_SUBSCRIBERS: usize = 300;
-/// Managers at most where each is a party of its own in the middle: every two need a way for each port.
-pub const MOST_PAIRED: usize = 32;
-/// Zones of engines, by name; managers of group `a` are in the first, and so on, where managers are told their zone.
+pub const MAX_RUN_SECONDS: f64 = 600.0;
+/// Stand-in subscribers of a run.
+pub const MAX_SUBSCRIBERS: usize = 300;
+/// Managers of a run in which each is a party of its own in the fault proxy: every two need a path for each port.
+pub const MAX_PAIRED_MANAGERS: usize = 32;
+/// Zones of engines, by name. Managers that know their zone are in the first as group `a`, in the second as `b`, ...
 pub const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
 /// Groups of managers, by name.
 pub const GROUPS: [&str; 4] = ["a", "b", "c", "d"];
@@ -45,19 +49,20 @@
     /// They start one after the other over this time, in milliseconds; 0: at once.
     pub start_over_ms: f64,
     /// Shares of the managers by group (`a`, `b`, ...); with more than one, or with faults, all goes through the
-    /// fault middle.
+    /// fault proxy.
     pub groups: Vec<f64>,
     /// The engines at the start.
     pub engines: Engines,
     /// Zones over which engines are spread in turn; 1 to 4.
     pub zones: usize,
-    /// Managers are told their zone: that of their group.
-    pub told_zone: bool,
+    /// Managers know their zone: that of their group.
+    #[serde(rename = "told_zone")]
+    pub zone_aware: bool,
     /// The zone that the run is about, and when it is away.
     pub watch: Option<Watch>,
     /// Settings of failover between zones, as their JSON5 words them; absent: it is off.
     pub failover: Option<serde_json::Value>,
-    /// Managers keep a view of the fleet, by UDP through the fault middle; absent: they do not talk.
+    /// Managers keep a view of the fleet, by UDP through the fault proxy; absent: they do not talk.
     pub membership: Option<Membership>,
     /// What clients ask.
     pub load: Load,
@@ -74,8 +79,8 @@
     pub steps: Vec<Step>,
     /// The version under which managers are started at first.
     pub version: String,
-    /// Each manager is a party of its own in the middle, so that ways between two of them can have rules; at most
-    /// [`MOST_PAIRED`] managers then. UDP has them always.
+    /// Each manager is a party of its own in the fault proxy, so that ways between two of them can have rules; at most
+    /// [`MAX_PAIRED_MANAGERS`] managers then. UDP has them always.
     pub pairs: bool,
     /// TCP ports that managers open for one another and for subscribers; at most 4.
     pub ports: Vec<Port>,
@@ -87,8 +92,9 @@
     pub clocks: Clocks,
     /// What is done with processes that end by themselves.
     pub supervise: Supervise,
-    /// Managers struck at named points.
-    pub strikes: Vec<Strike>,
+    /// Faults of managers that reach a failpoint.
+    #[serde(rename = "strikes")]
+    pub failpoint_faults: Vec<FailpointFault>,
     /// A history is recorded; absent: only where `check` is there.
     pub history: Option<History>,
     /// What the history is held against; absent: it is not.
@@ -106,7 +112,7 @@
             groups: vec![1.0],
             engines: Engines::default(),
             zones: 2,
-            told_zone: false,
+            zone_aware: false,
             watch: None,
             failover: None,
             membership: None,
@@ -123,7 +129,7 @@
             args: Vec::new(),
             clocks: Clocks::new(),
             supervise: Supervise::default(),
-            strikes: Vec::new(),
+            failpoint_faults: Vec::new(),
             history: None,
             check: None,
             subscribers: Subscribers::default(),
@@ -136,19 +142,19 @@
     ///
     /// # Errors
     /// The line and field, or the field and rule.
-    pub fn parse(text: &str) -> Result<Scenario, String> {
-        let set: Scenario = json5::from_str(text).map_err(|e| format!("scenario: {e}"))?;
-        set.check().map_err(|e| format!("scenario: {e}"))?;
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
+        let set: Scenario = json5::from_str(text)?;
+        set.check()?;
         Ok(set)
     }
 
-    /// Whether what managers do goes through the fault middle.
-    pub fn through_middle(&self) -> bool {
-        let faulty = |s: &Step| matches!(s.act, Act::Fault { .. } | Act::Cut { .. } | Act::Part(_));
-        let also = self.strikes.iter().flat_map(|s| &s.also);
-        let struck =
-            also.into_iter().any(|a| matches!(a, Act::Fault { .. } | Act::Cut { .. } | Act::Part(_)));
-        self.groups.len() > 1 || self.pairs || struck || self.steps.iter().any(faulty)
+    /// Whether what managers do goes through the fault proxy.
+    pub fn uses_fault_proxy(&self) -> bool {
+        let is_network_fault =
+            |action: &Action| matches!(action, Action::Fault { .. } | Action::Cut { .. } | Action::Part(_));
+        let in_steps = self.steps.iter().map(|step| &step.action);
+        let at_failpoints = self.failpoint_faults.iter().flat_map(|fault| &fault.further_actions);
+        self.groups.len() > 1 || self.pairs || in_steps.chain(at_failpoints).any(is_network_fault)
     }
 
     /// The names of the groups of managers.
@@ -174,7 +180,7 @@
         self.history.is_some() || self.check.is_some()
     }
 
-    /// The parties that the middle tells apart among managers: each by its name with `pairs`, else the groups.
+    /// The parties that the fault proxy tells apart among managers: each by its name with `pairs`, else the groups.
     pub fn parties(&self) -> Vec<String> {
         match self.pairs {
             true => (0..self.managers).map(|i| format!("n{i}")).collect(),
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -7,19 +7,36 @@
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// Why a template cannot be filled.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum TemplateError {
+    /// The template is unknown, or its port is.
+    #[error("no template {{{0}}}, or no such port")]
+    Unknown(String),
+    /// The template has no value in this place.
+    #[error("nothing stands for {{{0}}} here")]
+    NoValue(String),
+    /// The scenario declares no such port.
+    #[error("no port {0:?}")]
+    UnknownPort(String),
+}
 
 /// What stands for a manager's templates.
 #[derive(Clone, Debug, Default)]
 pub struct Values {
     /// By name.
-    pub words: BTreeMap<&'static str, String>,
+    pub variables: BTreeMap<&'static str, String>,
     /// Where this manager reaches the others, by port: names and addresses.
     pub peers: BTreeMap<String, Vec<(String, String)>>,
 }
 
-const WORDS: [&str; 9] =
+/// Templates without arguments.
+const VARIABLES: [&str; 9] =
     ["name", "number", "group", "zone", "folder", "version", "seed", "clock_offset_ms", "op"];
-const NUMBERS: [&str; 3] = ["number", "seed", "clock_offset_ms"];
+/// Templates that become numbers where a text is nothing else.
+const NUMERIC_VARIABLES: [&str; 3] = ["number", "seed", "clock_offset_ms"];
 
 /// The template at the head of a text that begins with a brace: its inside and what follows.
 fn template(text: &str) -> Option<(&str, &str)> {
@@ -29,15 +46,19 @@
         .then_some((inside, rest))
 }
 
-/// Replaces every template by what `word` gives for its inside.
-fn replace(text: &str, mut word: impl FnMut(&str) -> Result<String, String>) -> Result<String, String> {
-    let (mut out, mut rest) = (String::new(), text);
+/// Replaces every template by what `value_of` returns for the text between its braces.
+fn replace(
+    text: &str,
+    mut value_of: impl FnMut(&str) -> Result<String, TemplateError>,
+) -> Result<String, TemplateError> {
+    let mut out = String::new();
+    let mut rest = text;
     while let Some(at) = rest.find('{') {
         out.push_str(&rest[..at]);
         rest = &rest[at..];
         match template(rest) {
             Some((inside, behind)) => {
-                out.push_str(&word(inside)?);
+                out.push_str(&value_of(inside)?);
                 rest = behind;
             }
             None => {
@@ -54,28 +75,28 @@
 ///
 /// # Errors
 /// The template.
-pub fn check(text: &str, port: &impl Fn(&str) -> bool) -> Result<(), String> {
+pub fn check(text: &str, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     let known = |inside: &str| {
         let mut parts = inside.split(':');
         match (parts.next(), parts.next(), parts.next(), parts.next()) {
-            (Some(word), None, ..) => WORDS.contains(&word),
+            (Some(word), None, ..) => VARIABLES.contains(&word),
             (Some("peers" | "peers_json"), Some(p), None, _) => port(p),
             (Some("at"), Some(p), Some(_), None) => port(p),
             _ => false,
         }
     };
-    let word = |inside: &str| match known(inside) {
+    let value_of = |inside: &str| match known(inside) {
         true => Ok(String::new()),
-        false => Err(format!("no template {{{inside}}}, or no such port")),
+        false => Err(TemplateError::Unknown(inside.to_owned())),
     };
-    replace(text, word).map(|_| ())
+    replace(text, value_of).map(|_| ())
 }
 
 /// As [`check`], of every text in a value.
 ///
 /// # Errors
 /// The template.
-pub fn check_value(value: &Value, port: &impl Fn(&str) -> bool) -> Result<(), String> {
+pub fn check_value(value: &Value, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     match value {
         Value::String(text) => check(text, port),
         Value::Array(all) => all.iter().try_for_each(|v| check_value(v, port)),
@@ -85,9 +106,9 @@
 }
 
 impl Values {
-    fn word(&self, inside: &str) -> Result<String, String> {
+    fn value_of(&self, inside: &str) -> Result<String, TemplateError> {
         let known = || {
-            if let Some(value) = self.words.get(inside) {
+            if let Some(value) = self.variables.get(inside) {
                 return Some(value.clone());
             }
             let (word, port) = inside.split_once(':')?;
@@ -104,7 +125,7 @@
                 _ => None,
             }
         };
-        known().ok_or_else(|| format!("nothing stands for {{{inside}}} here"))
+        known().ok_or_else(|| TemplateError::NoValue(inside.to_owned()))
     }
 
     fn list(&self, port: &str) -> Option<Value> {
@@ -116,19 +137,19 @@
     ///
     /// # Errors
     /// A template that nothing stands for.
-    pub fn fill(&self, text: &str) -> Result<String, String> {
-        replace(text, |inside| self.word(inside))
+    pub fn fill(&self, text: &str) -> Result<String, TemplateError> {
+        replace(text, |inside| self.value_of(inside))
     }
 
     /// A value with the templates of all its texts filled.
     ///
     /// # Errors
     /// As for [`Values::fill`].
-    pub fn fill_value(&self, value: &Value) -> Result<Value, String> {
+    pub fn fill_value(&self, value: &Value) -> Result<Value, TemplateError> {
         Ok(match value {
             Value::String(text) => match template(text) {
-                Some((word, "")) if NUMBERS.contains(&word) => {
-                    let filled = self.word(word)?;
+                Some((word, "")) if NUMERIC_VARIABLES.contains(&word) => {
+                    let filled = self.value_of(word)?;
                     // A seed may be over what a signed number holds.
                     let number = filled
                         .parse::<i64>()
@@ -138,7 +159,7 @@
                 }
                 Some((word, "")) if word.starts_with("peers_json:") => {
                     let port = word.trim_start_matches("peers_json:");
-                    self.list(port).ok_or_else(|| format!("no port {port:?}"))?
+                    self.list(port).ok_or_else(|| TemplateError::UnknownPort(port.to_owned()))?
                 }
                 _ => Value::String(self.fill(text)?),
             },
@@ -147,7 +168,7 @@
             }
             Value::Object(all) => {
                 let filled = all.iter().map(|(k, v)| Ok((k.clone(), self.fill_value(v)?)));
-                Value::Object(filled.collect::<Result<_, String>>()?)
+                Value::Object(filled.collect::<Result<_, TemplateError>>()?)
             }
             other => other.clone(),
         })
