--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -23,19 +23,19 @@
     /// The latest instant.
     pub const MAX: Timestamp = Timestamp(i64::MAX);
 
-    /// The instant so many microseconds after the clock's origin.
+    /// The instant a number of microseconds after the clock's origin.
     pub const fn from_micros(micros: i64) -> Timestamp {
         Timestamp(micros)
     }
-    /// The instant so many milliseconds after the clock's origin; saturates.
+    /// The instant a number of milliseconds after the clock's origin; saturates.
     pub const fn from_millis(millis: i64) -> Timestamp {
         Timestamp(millis.saturating_mul(1_000))
     }
-    /// The instant so many seconds after the clock's origin; saturates.
+    /// The instant a number of seconds after the clock's origin; saturates.
     pub const fn from_secs(secs: i64) -> Timestamp {
         Timestamp(secs.saturating_mul(1_000_000))
     }
-    /// The instant so many seconds after the clock's origin, to the nearest microsecond.
+    /// The instant a number of seconds after the clock's origin, to the nearest microsecond.
     pub fn from_secs_f64(secs: f64) -> Timestamp {
         Timestamp((secs * 1e6).round() as i64)
     }
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -31,7 +31,7 @@
 mod field {
     /// Number of all pages of a result, from 1.
     pub(super) const PAGE_COUNT: &str = "batches";
-    /// Number of a further page of a result, from 1; the first page comes with [`answer_name::COMPLETED`].
+    /// Number of a further page of a result, from 1; the first page comes with `answer_name::COMPLETED`.
     pub(super) const PAGE_NUMBER: &str = "batch";
     /// The engine's load report: `name:value;name:value`.
     pub(super) const LOAD_REPORT: &str = "stats";
