--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use support::paced::{look_up, Paced, BUSY};
+use support::timed_engine::{look_up, TimedEngine, BUSY};
 use support::*;
 
 /// Runs the program to its end: exit status, standard output, standard error.
@@ -28,7 +28,7 @@
 /// Ten replays in ten processes give the same answers, and the story of a request can be asked for.
 #[test]
 fn recorded_run_replays_identically_in_every_process() {
-    let (a, b, dir) = (Paced::start(), Paced::start(), scratch());
+    let (a, b, dir) = (TimedEngine::start(), TimedEngine::start(), scratch());
     let path = dir.to_str().expect("text");
     let engines = [("s-1", a.address), ("s-2", b.address)];
     let mut program = Program::launch(&engines, None, None, (192, 1024), BUSY, &["--capture", path]);
@@ -76,7 +76,7 @@
 /// A crash loses what was not handed over yet, and nothing else.
 #[test]
 fn truncated_or_damaged_capture_replays_up_to_the_fault_and_reports_it() {
-    let (a, dir) = (Paced::start(), scratch());
+    let (a, dir) = (TimedEngine::start(), scratch());
     let path = dir.to_str().expect("text");
     let mut program =
         Program::launch(&[("s-1", a.address)], None, None, (192, 1024), BUSY, &["--capture", path]);
@@ -110,7 +110,7 @@
 
 #[test]
 fn unusable_capture_folder_does_not_stop_serving() {
-    let (a, dir) = (Paced::start(), scratch());
+    let (a, dir) = (TimedEngine::start(), scratch());
     let file = dir.join("file");
     std::fs::write(&file, "no folder").expect("written");
     let path = file.join("below");
@@ -162,7 +162,7 @@
 /// Log lines as JSON: one object a line, with fields.
 #[test]
 fn log_lines_can_be_json() {
-    let a = Paced::start();
+    let a = TimedEngine::start();
     let more = ["--log-format", "json", "--log-level", "debug"];
     let engines = [("s-1", a.address)];
     let program = Program::launch(&engines, None, None, (192, 1024), BUSY, &more);
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use support::confined::{descriptors, Watched};
+use support::resource_limits::{descriptors, DescriptorWatch};
 use support::*;
 
 /// The program with a second front whose authority cannot be reached: it retries, and the listener is open. Its address
@@ -20,8 +20,8 @@
     );
     let file = dir.join("operator.json");
     std::fs::write(&file, operator).expect("written");
-    let config = confined::config(&[("s-1", engine.address)], None, 256, SETTINGS);
-    (confined::start(&config, Some(256), &["--operator", file.to_str().expect("text")]), challenges)
+    let config = resource_limits::config(&[("s-1", engine.address)], None, 256, SETTINGS);
+    (resource_limits::start(&config, Some(256), &["--operator", file.to_str().expect("text")]), challenges)
 }
 
 fn open(to: SocketAddr) -> TcpStream {
@@ -88,7 +88,7 @@
     let (program, at) = program(&engine);
     let mut raw = Raw::connect(program.platform);
     let before = descriptors(program.id());
-    let watched = Watched::process(program.id());
+    let watched = DescriptorWatch::process(program.id());
     let mut held = Vec::new();
     for i in 1..=300 {
         let mut caller = open(at);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use support::calls::figure;
+use support::admin_client::figure;
 use support::*;
 
 const OPERATOR: &str = r#"{"listen":"127.0.0.1:0","default_tenant":"sud"}"#;
@@ -134,7 +134,7 @@
 }
 
 /// The first command of a kind on each request.
-fn firsts(engine: &Engine, word: &str) -> Vec<Seen> {
+fn firsts(engine: &Engine, word: &str) -> Vec<ReceivedCommand> {
     let mut ids = std::collections::BTreeSet::new();
     engine.seen(word).into_iter().filter(|s| ids.insert(s.parts[1].clone())).collect()
 }
@@ -144,7 +144,7 @@
     until(|| (firsts(engine, word).len() >= n).then_some(()));
 }
 
-fn selected(seen: &Seen) -> &str {
+fn selected(seen: &ReceivedCommand) -> &str {
     seen.parts[3].split(' ').nth(1).unwrap_or_default()
 }
 
@@ -213,7 +213,7 @@
 #[test]
 fn disconnect_during_dial_sends_nothing() {
     each(|side, way| {
-        let late = Late::listen();
+        let late = DelayedListener::listen();
         let program = program(&[("s-1", late.address)], None, OPERATOR);
         let (mut raw, other) = (session(&program, side), session(&program, side));
         raw.send(&side.request(1, "gone", 1));
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use support::calls::*;
-use support::confined::{descriptors, Discovery, Door, Watched};
+use support::admin_client::*;
+use support::resource_limits::{descriptors, DescriptorWatch, DiscoveryMode, FeedGate};
 use support::*;
 
 fn sql(req: u64, text: &str) -> String {
@@ -68,15 +68,15 @@
     });
     let b = Engine::echo();
     let feed = Feed::start();
-    let door = Door::before(feed.address, Discovery::Down);
-    let config = confined::config(&[("s-1", a.address)], Some(door.address), limit, SETTINGS);
-    let mut program = confined::start(&config, Some(limit), &[]);
+    let door = FeedGate::before(feed.address, DiscoveryMode::Down);
+    let config = resource_limits::config(&[("s-1", a.address)], Some(door.address), limit, SETTINGS);
+    let mut program = resource_limits::start(&config, Some(limit), &[]);
     let (to, operators, process) = (program.platform, program.operators.expect("an address"), program.id());
     let mut served = Raw::connect(to);
     is_served(&mut served, 1, "a");
     until(|| (door.calls() >= 2).then_some(()));
     let before = descriptors(process);
-    let watched = Watched::process(process);
+    let watched = DescriptorWatch::process(process);
 
     let mut idlers = flood(to, limit / 2);
     is_served(&mut served, 2, "a");
@@ -105,7 +105,7 @@
     drop(one);
 
     // The feed returns, with one engine more and one less.
-    door.set(Discovery::Up);
+    door.set(DiscoveryMode::Up);
     feed.send(list(1, true, &[("s-1", a.address, "ready")]));
     feed.send(list(2, false, &[("s-2", b.address, "ready"), ("s-1", a.address, "draining")]));
     program.wait_line("engine_id=s-2 phase=Ready");
@@ -147,11 +147,11 @@
     let second = r#"{"listen":"127.0.0.1:0","max_sessions":16,"default_class":"lane-rate"}"#;
     let file = scratch().join("operator.json");
     std::fs::write(&file, second).expect("written");
-    let config = confined::config(&[("s-1", engine.address)], None, 128, SETTINGS);
-    let program = confined::start(&config, None, &["--operator", file.to_str().expect("text")]);
+    let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
+    let program = resource_limits::start(&config, None, &["--operator", file.to_str().expect("text")]);
     let (to, second) = (program.platform, program.second.expect("on"));
     let operators = program.operators.expect("an address");
-    let watched = Watched::process(program.id());
+    let watched = DescriptorWatch::process(program.id());
     let mut idlers = Vec::new();
     for _ in 0..4 {
         idlers.extend(flood(to, 32));
@@ -171,8 +171,8 @@
 #[test]
 fn accept_failure_without_descriptors_harms_no_session() {
     let engine = Engine::echo();
-    let config = confined::config(&[("s-1", engine.address)], None, 1024, SETTINGS);
-    let mut program = confined::start(&config, Some(64), &[]);
+    let config = resource_limits::config(&[("s-1", engine.address)], None, 1024, SETTINGS);
+    let mut program = resource_limits::start(&config, Some(64), &[]);
     let mut served = Raw::connect(program.platform);
     is_served(&mut served, 1, "a");
     let idlers: Vec<Raw> = (0..200).map(|_| Raw::open(program.platform)).collect();
@@ -195,8 +195,8 @@
 #[test]
 fn immediately_reset_connections_harm_no_session() {
     let engine = Engine::echo();
-    let config = confined::config(&[("s-1", engine.address)], None, 64, SETTINGS);
-    let program = confined::start(&config, Some(64), &[]);
+    let config = resource_limits::config(&[("s-1", engine.address)], None, 64, SETTINGS);
+    let program = resource_limits::start(&config, Some(64), &[]);
     let mut served = Raw::connect(program.platform);
     for i in 0..400 {
         let mut raw = Raw::open(program.platform);
@@ -221,8 +221,8 @@
     let file = scratch().join("operator.json");
     std::fs::write(&file, r#"{"listen":"127.0.0.1:0","max_sessions":1,"default_class":"lane-rate"}"#)
         .expect("written");
-    let config = confined::config(&[("s-1", engine.address)], None, 128, SETTINGS);
-    let program = confined::start(&config, Some(128), &["--operator", file.to_str().expect("text")]);
+    let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
+    let program = resource_limits::start(&config, Some(128), &["--operator", file.to_str().expect("text")]);
     let second = program.second.expect("on");
     let mut raw = Raw::connect(second);
     raw.send(&query(&sql(1, "hold")));
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -48,7 +48,7 @@
             assert_eq!(text, format!("SELECT price FROM rates_3.lanes WHERE lane = 'o''lane {i}'"));
         }
     });
-    let sent: Vec<Seen> = [a.seen("do"), b.seen("do")].concat();
+    let sent: Vec<ReceivedCommand> = [a.seen("do"), b.seen("do")].concat();
     let ids: BTreeSet<&str> = sent.iter().map(|s| s.parts[1].as_str()).collect();
     assert_eq!((sent.len(), ids.len()), (1000, 1000), "one attempt and one id for each");
 }
@@ -240,7 +240,7 @@
         assert_eq!(kinds(&got).matches('E').count(), 1, "one final answer each: {}", kinds(&got));
     }
     let windows = 1 + began.elapsed().as_secs() as usize / 5;
-    let sent: Vec<Seen> = [a.seen("do"), b.seen("do")].concat();
+    let sent: Vec<ReceivedCommand> = [a.seen("do"), b.seen("do")].concat();
     let firsts = sent.iter().map(|s| s.parts[1].as_str()).collect::<BTreeSet<_>>().len();
     let further = sent.len() - firsts;
     assert!(firsts <= asked && further > 0, "{firsts} first, {further} further");
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -11,7 +11,7 @@
 /// as the attempt leaves, not as it was chosen.
 #[test]
 fn deadline_told_to_an_engine_is_what_is_left_when_its_connection_comes_up() {
-    let late = Late::listen();
+    let late = DelayedListener::listen();
     let program = Program::start(&[("s-1", late.address)], None, None);
     let mut client = Raw::connect(program.platform);
     let sent = Instant::now();
@@ -48,7 +48,7 @@
     std::thread::sleep(Duration::from_millis(800));
     client.send(&ask("00000000000000a3"));
     // The first one may be sent twice, for it takes long.
-    let is_second = |seen: &Seen| seen.parts[1] == "00000000000000a2";
+    let is_second = |seen: &ReceivedCommand| seen.parts[1] == "00000000000000a2";
     let second = until(|| engine.seen("do").into_iter().find(is_second));
     let told = Duration::from_millis(second.field("wait").expect("a deadline").parse().expect("a number"));
     let left = Duration::from_millis(4_000).saturating_sub(second.at - second_sent);
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use std::net::SocketAddr;
-use support::calls::call;
+use support::admin_client::call;
 use support::*;
 
 /// Masks the digits behind a text.
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -6,7 +6,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::thread;
 use std::time::Duration;
-use support::paced::BUSY;
+use support::timed_engine::BUSY;
 use support::*;
 
 const ROUNDS: usize = 7;
@@ -72,7 +72,7 @@
             thread::spawn(move || {
                 let mut raw = Raw::connect(to);
                 for k in 0..n {
-                    let sql = support::paced::look_up((s << 40) + from + k, 5);
+                    let sql = support::timed_engine::look_up((s << 40) + from + k, 5);
                     assert_eq!(rows(&raw.ask(&sql)).len(), 1);
                 }
             })
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
-use support::calls::*;
+use support::admin_client::*;
 use support::*;
 
 fn sql(req: u64) -> String {
@@ -140,7 +140,7 @@
     let at = program.operators.expect("an address");
     let mut raw = Raw::connect(program.platform);
     assert_eq!(rows(&raw.ask(&sql(1))).len(), 1);
-    let before = confined::descriptors(program.id());
+    let before = resource_limits::descriptors(program.id());
     let says: [&[u8]; 5] = [
         b"",
         b"GET /admin/st",
@@ -158,7 +158,7 @@
             assert_eq!(rows(&raw.ask(&sql(req))).len(), 1);
         }
     }
-    until(|| (confined::descriptors(program.id()) <= before + 1).then_some(()));
+    until(|| (resource_limits::descriptors(program.id()) <= before + 1).then_some(()));
     assert_eq!(call(at, "GET", "/admin/health", "").0, 200);
     assert!(program.running());
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -170,7 +170,7 @@
 #[test]
 fn malformed_answers_are_retried_and_never_delivered() {
     use std::sync::atomic::{AtomicUsize, Ordering};
-    let spoilt = [
+    let malformed = [
         bulks(&["@", "served", "batches=x,cpu=5", "a\tb\tc\n"]),
         bulks(&["@", "served", "cpu=5", "a\tb\tc\n"]),
         bulks(&["@", "served", "batches=1,cpu=nan", "a\tb\tc\n"]),
@@ -183,8 +183,8 @@
         "*4\r\n$16\r\n@\r\n$6\r\nser".into(),
     ];
     // Three for each program: its retry budget.
-    for spoilt in spoilt.chunks(3) {
-        let (all, tries) = (spoilt.to_vec(), AtomicUsize::new(0));
+    for malformed in malformed.chunks(3) {
+        let (all, tries) = (malformed.to_vec(), AtomicUsize::new(0));
         // Every second answer is malformed, each in another way.
         let engine = Engine::start(move |_| {
             let n = tries.fetch_add(1, Ordering::SeqCst);
@@ -193,11 +193,11 @@
         });
         let program = Program::start(&[("s-1", engine.address)], None, None);
         let mut raw = Raw::connect(program.platform);
-        for (id, text) in spoilt.iter().enumerate() {
+        for (id, text) in malformed.iter().enumerate() {
             assert_eq!(rows(&raw.ask(&sql("lane-rate", id as u64, ""))), ["good|b|c"], "{text}");
         }
         let lines = program.lines();
-        assert_eq!(lines.iter().filter(|l| l.contains("unreadable")).count(), spoilt.len());
+        assert_eq!(lines.iter().filter(|l| l.contains("unreadable")).count(), malformed.len());
         assert!(lines.iter().all(|l| !l.contains("distrusted")), "no engine is left out for it");
     }
 }
@@ -306,7 +306,7 @@
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
     let drains = list(2, false, &[("s-1", engine.address, "draining")]);
-    feed.send_spoilt_once(&drains, &drains[..drains.len() / 2]);
+    feed.send_malformed_once(&drains, &drains[..drains.len() / 2]);
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
     program.wait_line("an event could not be read");
     program.wait_line("engine_id=s-1 phase=Draining");
@@ -444,7 +444,7 @@
 /// connections is full, so that the program's own is established only when this test accepts them.
 #[test]
 fn answered_request_is_not_sent_when_its_connection_opens_late() {
-    let late = Late::listen();
+    let late = DelayedListener::listen();
     let program = Program::start(&[("s-1", late.address)], None, None);
     let mut raw = Raw::connect(program.platform);
     // A request that the policy rejects.
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -7,7 +7,7 @@
 use std::sync::Barrier;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::confined::{Discovery, Door};
+use support::resource_limits::{DiscoveryMode, FeedGate};
 use support::*;
 
 /// The operators' bound.
@@ -22,7 +22,7 @@
 /// Starts the program: the time until its first empty query was answered, by the platform's sign of life.
 fn start(config: &str, more: &[&str]) -> (Program, Duration) {
     let begin = Instant::now();
-    let program = confined::start(config, None, more);
+    let program = resource_limits::start(config, None, more);
     assert_eq!(kinds(&Raw::connect(program.platform).ask("")), "IZ");
     (program, begin.elapsed())
 }
@@ -49,14 +49,14 @@
 #[test]
 fn start_is_ready_while_the_feed_refuses_connections() {
     let engine = Engine::echo();
-    is_ready(&confined::config(&[("s-1", engine.address)], Some(refusing()), 1024, SETTINGS));
+    is_ready(&resource_limits::config(&[("s-1", engine.address)], Some(refusing()), 1024, SETTINGS));
 }
 
 /// With a feed that takes calls and does no more than this.
-fn is_ready_behind(discovery: Discovery) {
+fn is_ready_behind(discovery: DiscoveryMode) {
     let engine = Engine::echo();
-    let door = Door::before(refusing(), discovery);
-    let config = confined::config(&[("s-1", engine.address)], Some(door.address), 1024, SETTINGS);
+    let door = FeedGate::before(refusing(), discovery);
+    let config = resource_limits::config(&[("s-1", engine.address)], Some(door.address), 1024, SETTINGS);
     // A program that is ended as soon as it is ready may not have polled the feed yet: the poll is awaited before.
     let mut starts = 0;
     is_ready_and(&config, || {
@@ -67,21 +67,21 @@
 
 #[test]
 fn start_is_ready_while_the_feed_never_answers() {
-    is_ready_behind(Discovery::Silent);
+    is_ready_behind(DiscoveryMode::Silent);
 }
 
 #[test]
 fn start_is_ready_while_the_feed_sends_only_its_head() {
-    is_ready_behind(Discovery::HeadOnly);
+    is_ready_behind(DiscoveryMode::HeadOnly);
 }
 
 /// Connections to these engines wait in the network, and never come up.
 #[test]
 fn start_is_ready_while_engines_never_accept() {
-    let late: Vec<Late> = (0..4).map(|_| Late::listen()).collect();
+    let late: Vec<DelayedListener> = (0..4).map(|_| DelayedListener::listen()).collect();
     let ids = ["s-1", "s-2", "s-3", "s-4"];
     let engines: Vec<_> = ids.iter().zip(&late).map(|(id, late)| (*id, late.address)).collect();
-    let config = confined::config(&engines, Some(refusing()), 1024, SETTINGS);
+    let config = resource_limits::config(&engines, Some(refusing()), 1024, SETTINGS);
     for more in OPTIONS {
         let (program, after) = start(&config, more);
         assert!(after < READY, "{after:?} with {more:?}");
@@ -101,9 +101,9 @@
 /// Thirty at once, with discovery down and an engine that never accepts: nine in ten within the bound.
 #[test]
 fn thirty_simultaneous_starts_are_ready() {
-    let (engine, late) = (Engine::echo(), Late::listen());
+    let (engine, late) = (Engine::echo(), DelayedListener::listen());
     let engines = [("s-1", engine.address), ("s-2", late.address)];
-    let config = confined::config(&engines, Some(refusing()), 1024, SETTINGS);
+    let config = resource_limits::config(&engines, Some(refusing()), 1024, SETTINGS);
     for more in OPTIONS {
         let all_here = Barrier::new(30);
         let begin = || {
@@ -125,7 +125,7 @@
 #[test]
 fn restart_on_the_same_address_is_ready() {
     let engine = Engine::echo();
-    let config = confined::config(&[("s-1", engine.address)], Some(refusing()), 1024, SETTINGS);
+    let config = resource_limits::config(&[("s-1", engine.address)], Some(refusing()), 1024, SETTINGS);
     let (mut program, _) = start(&config, OPTIONS[0]);
     let listen = program.platform.to_string();
     for round in 1..=5 {
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -1,4 +1,4 @@
-//! Records the runs that the cases in `captures/` are cut from: the program against paced stand-ins, in real time.
+//! Records the runs that the cases in `captures/` are cut from: the program against timed stand-ins, in real time.
 //! Not part of the suite: `cargo test --release --test record_cases -- --ignored --nocapture --test-threads 1`
 //! leaves one folder a run under `target/cases/`, and says the moment to cut around.
 mod support;
@@ -9,14 +9,14 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use support::paced::{look_up, Paced, BUSY};
+use support::timed_engine::{look_up, TimedEngine, BUSY};
 use support::*;
 
 /// Sessions that ask; more requests at a time wait for one of them.
 const SESSIONS: usize = 96;
 
 struct Run {
-    engines: Vec<Paced>,
+    engines: Vec<TimedEngine>,
     feed: Feed,
     program: Program,
     asks: SyncSender<(u64, u64)>,
@@ -30,7 +30,7 @@
     fn start(name: &str, engines: usize) -> Run {
         let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("target/cases").join(name);
         let _ = std::fs::remove_dir_all(&dir);
-        let engines: Vec<Paced> = (0..engines).map(|_| Paced::start()).collect();
+        let engines: Vec<TimedEngine> = (0..engines).map(|_| TimedEngine::start()).collect();
         let ids: Vec<String> = (1..=engines.len()).map(|n| format!("s-{n}")).collect();
         let named: Vec<(&str, std::net::SocketAddr)> =
             ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use support::paced::Paced;
+use support::timed_engine::TimedEngine;
 use support::*;
 
 /// The last moment after SIGTERM at which the platform opens a connection, and sends a request on an open one.
@@ -31,7 +31,7 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn input_arriving_after_a_stop_is_answered() {
-    let engine = Paced::start();
+    let engine = TimedEngine::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let next = AtomicU64::new(1);
     let mut open: Vec<Raw> = (0..8).map(|_| Raw::connect(program.platform)).collect();
@@ -91,7 +91,7 @@
 /// written to its connections meanwhile was accepted, and is owed an answer.
 #[test]
 fn input_received_while_the_process_was_suspended_is_answered() {
-    let engine = Paced::start();
+    let engine = TimedEngine::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let mut open: Vec<Raw> = (0..16).map(|_| Raw::connect(program.platform)).collect();
     let at = Instant::now();
@@ -133,12 +133,12 @@
 }
 
 /// A program that was stopped while a request of 1.5 s is in flight, and that request's client.
-fn stopped_with_one_out() -> (Paced, Program, Raw) {
-    let engine = Paced::start();
+fn stopped_with_one_out() -> (TimedEngine, Program, Raw) {
+    let engine = TimedEngine::start();
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = Raw::connect(program.platform);
     raw.send(&query(&sql(1, 1_500)));
-    until(|| (engine.in_hand() == 1).then_some(()));
+    until(|| (engine.queries_in_flight() == 1).then_some(()));
     program.terminate();
     (engine, program, raw)
 }
--- a/tests/support/calls.rs
+++ b/tests/support/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' address.
+//! Calls to the admin address.
 
 use super::PATIENCE;
 use std::io::{Read, Write};
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -2,10 +2,10 @@
 //! that speaks raw bytes. Everything is on loopback, on ports that the kernel chooses.
 #![allow(dead_code)]
 
-pub mod calls;
-pub mod confined;
+pub mod admin_client;
 pub mod golden;
-pub mod paced;
+pub mod resource_limits;
+pub mod timed_engine;
 
 use command_fds::{CommandFdExt, FdMapping};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -22,12 +22,12 @@
 
 /// One command as an engine saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCommand {
     pub at: Instant,
     pub parts: Vec<String>,
 }
 
-impl Seen {
+impl ReceivedCommand {
     pub fn field(&self, name: &str) -> Option<&str> {
         self.parts[2].split(',').filter_map(|p| p.split_once('=')).find(|p| p.0 == name).map(|p| p.1)
     }
@@ -53,18 +53,21 @@
 /// A stand-in engine.
 pub struct Engine {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<ReceivedCommand>>>,
 }
 
 impl Engine {
-    pub fn start(reply: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Engine {
+    pub fn start(reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static) -> Engine {
         Engine::behind(TcpListener::bind("127.0.0.1:0").expect("a port"), reply)
     }
 
     /// One that takes what comes to this listener.
-    fn behind(listener: TcpListener, reply: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Engine {
+    fn behind(
+        listener: TcpListener,
+        reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static,
+    ) -> Engine {
         let address = listener.local_addr().expect("an address");
-        let seen: Arc<Mutex<Vec<Seen>>> = Arc::default();
+        let seen: Arc<Mutex<Vec<ReceivedCommand>>> = Arc::default();
         let (log, reply) = (Arc::clone(&seen), Arc::new(reply));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -81,31 +84,31 @@
     }
 
     /// The commands of a word that it saw.
-    pub fn seen(&self, word: &str) -> Vec<Seen> {
+    pub fn seen(&self, word: &str) -> Vec<ReceivedCommand> {
         let seen = self.seen.lock().expect("unpoisoned");
         seen.iter().filter(|s| s.parts[0] == word).cloned().collect()
     }
 
     /// All commands that it saw, in order.
-    pub fn all_seen(&self) -> Vec<Seen> {
+    pub fn all_seen(&self) -> Vec<ReceivedCommand> {
         self.seen.lock().expect("unpoisoned").clone()
     }
 
     /// Waits until it has seen so many of a word.
-    pub fn wait_for(&self, word: &str, n: usize) -> Vec<Seen> {
+    pub fn wait_for(&self, word: &str, n: usize) -> Vec<ReceivedCommand> {
         until(|| Some(self.seen(word)).filter(|s| s.len() >= n))
     }
 }
 
 /// A stand-in engine whose machine takes no connection yet: those that come wait in the network.
-pub struct Late {
+pub struct DelayedListener {
     pub address: SocketAddr,
     listener: TcpListener,
     _filler: Vec<TcpStream>,
 }
 
-impl Late {
-    pub fn listen() -> Late {
+impl DelayedListener {
+    pub fn listen() -> DelayedListener {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
@@ -118,11 +121,11 @@
         let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
         let filler = (0..16).map_while(fill).collect::<Vec<_>>();
         assert!((1..16).contains(&filler.len()), "{} came up", filler.len());
-        Late { address, listener, _filler: filler }
+        DelayedListener { address, listener, _filler: filler }
     }
 
     /// From now on it takes them.
-    pub fn open(self, reply: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Engine {
+    pub fn open(self, reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static) -> Engine {
         Engine::behind(self.listener, reply)
     }
 }
@@ -164,12 +167,16 @@
     let _ = to.write_all(out.as_bytes());
 }
 
-fn serve_engine(stream: TcpStream, log: &Mutex<Vec<Seen>>, reply: &dyn Fn(&Seen) -> Reply) {
+fn serve_engine(
+    stream: TcpStream,
+    log: &Mutex<Vec<ReceivedCommand>>,
+    reply: &dyn Fn(&ReceivedCommand) -> Reply,
+) {
     let mut out = stream.try_clone().expect("a second handle");
     let mut input = BufReader::new(stream);
     let mut pages: std::collections::BTreeMap<String, Vec<String>> = Default::default();
     while let Some(parts) = read_command(&mut input) {
-        let seen = Seen { at: Instant::now(), parts };
+        let seen = ReceivedCommand { at: Instant::now(), parts };
         log.lock().expect("unpoisoned").push(seen.clone());
         let id = seen.parts.get(1).cloned().unwrap_or_default();
         match seen.parts[0].as_str() {
@@ -203,7 +210,7 @@
     pub calls: Arc<Mutex<Vec<u64>>>,
     cuts: Arc<AtomicU64>,
     open: Arc<AtomicU64>,
-    spoilt: Arc<Mutex<Option<(usize, String)>>>,
+    malformed: Arc<Mutex<Option<(usize, String)>>>,
 }
 
 impl Feed {
@@ -216,8 +223,8 @@
         let open: Arc<AtomicU64> = Arc::default();
         let (log, all, cut) = (Arc::clone(&calls), Arc::clone(&events), Arc::clone(&cuts));
         let held = Arc::clone(&open);
-        let spoilt: Arc<Mutex<Option<(usize, String)>>> = Arc::default();
-        let overlay = Arc::clone(&spoilt);
+        let malformed: Arc<Mutex<Option<(usize, String)>>> = Arc::default();
+        let overlay = Arc::clone(&malformed);
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut input = BufReader::new(stream.try_clone().expect("a second handle"));
@@ -256,7 +263,7 @@
                 });
             }
         });
-        Feed { address, events, calls, cuts, open, spoilt }
+        Feed { address, events, calls, cuts, open, malformed }
     }
 
     /// Calls that are open.
@@ -265,9 +272,9 @@
     }
 
     /// Sends an event that the first call to get it gets as another text.
-    pub fn send_spoilt_once(&self, event: impl Into<String>, spoilt: impl Into<String>) {
+    pub fn send_malformed_once(&self, event: impl Into<String>, malformed: impl Into<String>) {
         let mut events = self.events.lock().expect("unpoisoned");
-        *self.spoilt.lock().expect("unpoisoned") = Some((events.len() + 1, spoilt.into()));
+        *self.malformed.lock().expect("unpoisoned") = Some((events.len() + 1, malformed.into()));
         events.push(event.into());
     }
 
--- a/tests/support/confined.rs
+++ b/tests/support/resource_limits.rs
@@ -1,4 +1,4 @@
-//! The program under a real limit on descriptors, and a control feed that can be down.
+//! The program under a real limit on descriptors, and a gate before a control feed that can be closed.
 
 use super::*;
 use std::io::copy;
@@ -47,13 +47,13 @@
 }
 
 /// The most descriptors that a process was seen to have, looked at over and over until asked.
-pub struct Watched {
+pub struct DescriptorWatch {
     stop: Arc<AtomicU8>,
     most: thread::JoinHandle<usize>,
 }
 
-impl Watched {
-    pub fn process(process: u32) -> Watched {
+impl DescriptorWatch {
+    pub fn process(process: u32) -> DescriptorWatch {
         let stop: Arc<AtomicU8> = Arc::default();
         let told = Arc::clone(&stop);
         let most = thread::spawn(move || {
@@ -64,7 +64,7 @@
             }
             most
         });
-        Watched { stop, most }
+        DescriptorWatch { stop, most }
     }
 
     pub fn most(self) -> usize {
@@ -73,9 +73,9 @@
     }
 }
 
-/// How a feed behind a [`Door`] is to be met.
+/// How a feed behind a [`FeedGate`] is to be met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Each call is closed at once.
     Down,
     /// Each call is taken and never answered.
@@ -86,27 +86,27 @@
     Up,
 }
 
-/// What stands before a feed, at an address that stays: it can be down, and come back.
-pub struct Door {
+/// A gate before a feed, at an address that stays: the feed can be unreachable for a while.
+pub struct FeedGate {
     pub address: SocketAddr,
-    mood: Arc<AtomicU8>,
+    mode: Arc<AtomicU8>,
     calls: Arc<AtomicU64>,
 }
 
-impl Door {
-    pub fn before(feed: SocketAddr, mood: Discovery) -> Door {
+impl FeedGate {
+    pub fn before(feed: SocketAddr, mode: DiscoveryMode) -> FeedGate {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (mood, calls) = (Arc::new(AtomicU8::new(mood as u8)), Arc::new(AtomicU64::new(0)));
-        let (told, count) = (Arc::clone(&mood), Arc::clone(&calls));
+        let (mode, calls) = (Arc::new(AtomicU8::new(mode as u8)), Arc::new(AtomicU64::new(0)));
+        let (told, count) = (Arc::clone(&mode), Arc::clone(&calls));
         thread::spawn(move || {
             let mut held = Vec::new();
             for mut caller in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
                 match told.load(Ordering::SeqCst) {
-                    m if m == Discovery::Down as u8 => drop(caller),
-                    m if m == Discovery::Silent as u8 => held.push(caller),
-                    m if m == Discovery::HeadOnly as u8 => {
+                    m if m == DiscoveryMode::Down as u8 => drop(caller),
+                    m if m == DiscoveryMode::Silent as u8 => held.push(caller),
+                    m if m == DiscoveryMode::HeadOnly as u8 => {
                         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
                         // A caller that has gone is one that holds nothing.
                         if caller.write_all(head.as_bytes()).is_ok() {
@@ -117,11 +117,11 @@
                 }
             }
         });
-        Door { address, mood, calls }
+        FeedGate { address, mode, calls }
     }
 
-    pub fn set(&self, mood: Discovery) {
-        self.mood.store(mood as u8, Ordering::SeqCst);
+    pub fn set(&self, mode: DiscoveryMode) {
+        self.mode.store(mode as u8, Ordering::SeqCst);
     }
 
     /// Calls so far.
--- a/tests/support/paced.rs
+++ b/tests/support/timed_engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in engine that takes its time: it answers after the work it was asked for, slower by a factor that a
-//! test sets while it runs, tells its load in every answer, heeds undo, and can die.
+//! A stand-in engine that takes time: it answers after the work that a request needs, slower by a factor that a
+//! test sets while it runs, reports its load in every answer, heeds cancellations, and can end
 
 use super::{answer, read_command};
 use std::collections::BTreeMap;
@@ -15,14 +15,14 @@
 struct Shared {
     /// Thousandths of the usual time.
     slower: AtomicU64,
-    in_hand: AtomicU64,
+    queries_in_flight: AtomicU64,
     served: AtomicU64,
     dead: AtomicBool,
     open: Mutex<Vec<TcpStream>>,
 }
 
 /// The engine.
-pub struct Paced {
+pub struct TimedEngine {
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -32,8 +32,8 @@
     statement.rsplit(' ').next().and_then(|n| n.parse().ok()).unwrap_or(50)
 }
 
-impl Paced {
-    pub fn start() -> Paced {
+impl TimedEngine {
+    pub fn start() -> TimedEngine {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::<Shared>::default();
@@ -50,7 +50,7 @@
                 thread::spawn(move || serve(stream, &shared));
             }
         });
-        Paced { address, shared }
+        TimedEngine { address, shared }
     }
 
     /// So many times slower from now on.
@@ -72,8 +72,8 @@
     }
 
     /// Requests in hand.
-    pub fn in_hand(&self) -> u64 {
-        self.shared.in_hand.load(Ordering::SeqCst)
+    pub fn queries_in_flight(&self) -> u64 {
+        self.shared.queries_in_flight.load(Ordering::SeqCst)
     }
 
     /// Requests served.
@@ -92,12 +92,12 @@
             "do" => {
                 undone.lock().expect("unpoisoned").insert(id.clone(), false);
                 let (out, undone, shared) = (Arc::clone(&out), Arc::clone(&undone), Arc::clone(shared));
-                shared.in_hand.fetch_add(1, Ordering::SeqCst);
+                shared.queries_in_flight.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     let ms = work(&parts[3]);
                     let takes = ms * shared.slower.load(Ordering::SeqCst) / 1000;
                     thread::sleep(Duration::from_millis(takes));
-                    let left = shared.in_hand.fetch_sub(1, Ordering::SeqCst) - 1;
+                    let left = shared.queries_in_flight.fetch_sub(1, Ordering::SeqCst) - 1;
                     if undone.lock().expect("unpoisoned").remove(&id) != Some(false) {
                         return;
                     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
 use std::time::Duration;
-use support::calls::*;
-use support::paced::Paced;
+use support::admin_client::*;
+use support::timed_engine::TimedEngine;
 use support::*;
 
 fn sql(req: u64, ms: u64) -> String {
@@ -28,7 +28,7 @@
 
 /// Counts of responses that clients received.
 #[derive(Default)]
-struct Seen {
+struct ObservedEnds {
     served: AtomicU64,
     rejected: AtomicU64,
     /// Requests whose connection was closed without a response: retried once on a new one, as the platform does.
@@ -46,7 +46,7 @@
 
 /// A client like the platform's: it sends requests one after the other on a connection that it keeps for some time, and
 /// checks whether that was closed before it sends the next.
-fn client(to: SocketAddr, seen: &Seen, next: &AtomicU64, stop: &AtomicBool) {
+fn client(to: SocketAddr, seen: &ObservedEnds, next: &AtomicU64, stop: &AtomicBool) {
     let mut raw: Option<Raw> = None;
     while !stop.load(Ordering::SeqCst) {
         let id = next.fetch_add(1, Ordering::SeqCst);
@@ -87,14 +87,14 @@
 /// Three hot restarts in a row under load. No request is left without a response; at most a few cross a close.
 #[test]
 fn no_request_is_rejected_or_lost_in_hot_restarts_under_load() {
-    let engines: Vec<Paced> = (0..3).map(|_| Paced::start()).collect();
+    let engines: Vec<TimedEngine> = (0..3).map(|_| TimedEngine::start()).collect();
     let ids = ["s-1", "s-2", "s-3"];
     let at: Vec<(&str, SocketAddr)> = ids.iter().zip(&engines).map(|(id, e)| (*id, e.address)).collect();
     let (listener, to) = shared_listener();
     let folder = scratch();
     let mut serving = Program::beside(&listener, &folder, &at);
     until(|| healthy(&serving).then_some(()));
-    let (seen, next, stop) = (Seen::default(), AtomicU64::new(1), AtomicBool::new(false));
+    let (seen, next, stop) = (ObservedEnds::default(), AtomicU64::new(1), AtomicBool::new(false));
     thread::scope(|scope| {
         (0..12).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
         for round in 1..=3u64 {
@@ -162,13 +162,13 @@
 /// A new process that dies before it is healthy, and one that dies after: the old process goes on serving.
 #[test]
 fn old_process_goes_on_serving_when_the_new_one_dies() {
-    let engine = Paced::start();
+    let engine = TimedEngine::start();
     let at = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
     let folder = scratch();
     let mut first = Program::beside(&listener, &folder, &at);
     until(|| healthy(&first).then_some(()));
-    let (seen, next, stop) = (Seen::default(), AtomicU64::new(1), AtomicBool::new(false));
+    let (seen, next, stop) = (ObservedEnds::default(), AtomicU64::new(1), AtomicBool::new(false));
     thread::scope(|scope| {
         (0..4).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
         let served = |more: u64| {
@@ -197,7 +197,7 @@
 /// The old process is killed in the middle of a hot restart: the new one goes on serving alone.
 #[test]
 fn new_process_goes_on_serving_when_the_old_one_dies() {
-    let engine = Paced::start();
+    let engine = TimedEngine::start();
     let at = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
     let folder = scratch();
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -8,19 +8,19 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 use std::time::Duration;
-use support::calls::figure;
+use support::admin_client::figure;
 use support::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
 /// A feed whose calls the test takes.
-struct Watched {
+struct ScriptedFeed {
     address: SocketAddr,
     calls: Receiver<(u64, TcpStream)>,
 }
 
-impl Watched {
-    fn start() -> Watched {
+impl ScriptedFeed {
+    fn start() -> ScriptedFeed {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (tell, calls) = channel();
@@ -36,7 +36,7 @@
                 }
             }
         });
-        Watched { address, calls }
+        ScriptedFeed { address, calls }
     }
 
     /// The next call: the number after which it asks for events, and its connection.
@@ -72,7 +72,7 @@
 }
 
 /// The program with engine `s-1` by event 1, and its feed here.
-fn start(feed: &Watched) -> Program {
+fn start(feed: &ScriptedFeed) -> Program {
     let program = Program::start(&[("s-1", nowhere())], None, None);
     program.reload(&program.config_with_feed(feed.address));
     program
@@ -91,7 +91,7 @@
 /// Guards the rule on drains: one byte now and then kept a call that told nothing for ever.
 #[test]
 fn watch_that_only_trickles_is_polled_again() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
     thread::spawn(move || {
@@ -110,7 +110,7 @@
 /// Guards the rule on drains: a call that nobody answers costs no more than the time of one head.
 #[test]
 fn silent_watch_and_silent_poll_after_it_are_both_cancelled() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, silent) = feed.answer(": here\n\n");
     let (_, dumb) = feed.call();
@@ -130,7 +130,7 @@
 /// Guards the rule on drains: a feed that counts from 1 again was never heard any more.
 #[test]
 fn restarted_event_numbering_is_followed() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, first) = feed.answer(told(40, "s-2", "ready"));
     program.wait_line("engine_id=s-2 phase=Ready");
@@ -161,7 +161,7 @@
 /// later was said, and for no others.
 #[test]
 fn late_event_applies_where_no_later_one_was_received() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let both = list(3, false, &[("s-1", nowhere(), "draining"), ("s-2", nowhere(), "ready")]);
     let (_, first) = feed.answer(
@@ -178,7 +178,7 @@
 /// numbering.
 #[test]
 fn empty_list_starts_no_new_numbering() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (ready, gone, none) =
         (told(2, "s-2", "ready"), told(3, "s-2", "gone"), sent(4, &list(4, false, &[])));
@@ -196,7 +196,7 @@
 /// pass.
 #[test]
 fn event_counts_under_its_own_number() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let other = sent(
         2,
@@ -216,7 +216,7 @@
 }
 
 /// Answers so many calls alike, each of which goes on from the first event.
-fn ask_anew(feed: &Watched, answer: &str, calls: usize) {
+fn ask_anew(feed: &ScriptedFeed, answer: &str, calls: usize) {
     for _ in 0..calls {
         let (asked, stream) = feed.answer(answer);
         assert_eq!(asked, 1);
@@ -227,7 +227,7 @@
 /// Guards the rule on drains: one number that no feed counts up to let all that came after pass.
 #[test]
 fn implausible_event_number_skips_nothing() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     // It is asked for anew three times, and then passed over; what it is about plays no part.
     let both = format!(
@@ -246,7 +246,7 @@
 /// was ever read.
 #[test]
 fn two_unreadable_events_are_both_skipped_in_the_end() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let bad = format!("data: {{\n\n{}{}", sent(2, "{"), told(3, "s-1", "draining"));
     // Three calls for each that are given up, and one more that reads them.
@@ -259,7 +259,7 @@
 /// read.
 #[test]
 fn oversized_event_is_skipped_in_the_end() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let long = "x".repeat((1 << 20) + 10);
     let bad = format!("{}{}", sent(2, &long), told(3, "s-1", "draining"));
@@ -278,14 +278,14 @@
 /// Guards the rule on drains: bytes that are no UTF-8 became another engine's name, and that one's drain was ticked off.
 #[test]
 fn an_event_that_is_not_utf_8_is_asked_for_anew() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let mut spoilt = told(2, "s-1", "draining").into_bytes();
-    let at = spoilt.windows(3).position(|w| w == b"s-1").expect("its name");
-    spoilt[at + 1] = 0xff;
-    let (_, first) = feed.answer(&spoilt);
+    let mut malformed = told(2, "s-1", "draining").into_bytes();
+    let at = malformed.windows(3).position(|w| w == b"s-1").expect("its name");
+    malformed[at + 1] = 0xff;
+    let (_, first) = feed.answer(&malformed);
     let (asked, _second) = feed.answer(told(2, "s-1", "draining"));
-    assert_eq!(asked, 1, "what was spoilt on the way may not come so again");
+    assert_eq!(asked, 1, "what was malformed on the way may not come so again");
     program.wait_line("engine_id=s-1 phase=Draining");
     drop(first);
 }
@@ -296,7 +296,7 @@
 /// went out seconds later.
 #[test]
 fn engine_missing_from_a_full_list_gets_no_new_requests() {
-    let (feed, late, next) = (Watched::start(), Late::listen(), Engine::echo());
+    let (feed, late, next) = (ScriptedFeed::start(), DelayedListener::listen(), Engine::echo());
     let program = Program::with_operators(&[("s-1", late.address)], None, SETTINGS);
     let operators = program.operators.expect("an address");
     program.reload(&program.config_with_feed(feed.address));
@@ -317,7 +317,7 @@
 /// Guards the rule on drains: of two words on one engine in one list the later counted, whichever it was.
 #[test]
 fn more_cautious_of_two_entries_for_one_engine_counts() {
-    let (feed, engine, next) = (Watched::start(), Engine::echo(), Engine::echo());
+    let (feed, engine, next) = (ScriptedFeed::start(), Engine::echo(), Engine::echo());
     let program = Program::start(&[("s-1", engine.address)], None, None);
     program.reload(&program.config_with_feed(feed.address));
     let rows_of = [
@@ -339,7 +339,7 @@
 /// Guards the rule on drains: half an event of the old feed must neither count nor be told twice.
 #[test]
 fn half_an_event_of_the_old_feed_is_not_joined_with_the_new_one() {
-    let (old, new) = (Watched::start(), Watched::start());
+    let (old, new) = (ScriptedFeed::start(), ScriptedFeed::start());
     let program = start(&old);
     let drain = told(3, "s-1", "draining");
     let (half, rest) = drain.split_at(drain.len() - 1);
@@ -395,7 +395,7 @@
 /// Guards moves that follow on each other: while one file is read the next is put in its place, and that one counts.
 #[test]
 fn sighup_during_a_reload_causes_another_reload() {
-    let (old, new) = (Watched::start(), Watched::start());
+    let (old, new) = (ScriptedFeed::start(), ScriptedFeed::start());
     let program = Program::start(&[("s-1", nowhere())], None, None);
     let (first, second) = (program.config_with_feed(old.address), program.config_with_feed(new.address));
     let held = Held::hold(&program);
@@ -432,7 +432,7 @@
 /// Guards the feed against a file that names none: the old one stays.
 #[test]
 fn reload_with_an_invalid_feed_address_changes_nothing() {
-    let feed = Watched::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
     let good = program.config_with_feed(feed.address);
