--- a/crates/query-fingerprint/src/retry_guard.rs
+++ b/crates/query-fingerprint/src/retry_guard.rs
@@ -1,4 +1,7 @@
 //! Whether a statement may be retried: the stricter of what its class declares and what the statement does.
+//!
+//! This is not in the path of requests: no part of the manager calls it. The retries of requests are decided
+//! by `RetryRule` in the policy and by the core's send guard.
 
 use crate::facts::StatementFacts;
 use serde::Serialize;
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -175,17 +175,11 @@
         self.update_known_cores(now, observed.listed_cores);
         self.update_load(now, observed.load);
         let evidence = find_evidence(config, self.known_cores, observed);
-        let is_ejected = self.state == ZoneState::Ejected;
-        if evidence.is_some() == is_ejected {
+        if !self.is_contradicted(evidence) {
             self.contradicted_since = None;
             return self.complete_recovery(now, config);
         }
-        let since = *self.contradicted_since.get_or_insert(now);
-        let delay = match evidence {
-            Some(_) => from_millis(config.eject_after_ms),
-            None => self.recovery_delay(config),
-        };
-        if now - since < delay {
+        if !self.record_contradiction(now, config, evidence) {
             return None;
         }
         self.contradicted_since = None;
@@ -196,6 +190,28 @@
         })
     }
 
+    /// Whether the evidence speaks against the state: there is some against a zone that is healthy or recovering, or there
+    /// is none against one that is ejected.
+    fn is_contradicted(&self, evidence: Option<Evidence>) -> bool {
+        let is_ejected = self.state == ZoneState::Ejected;
+        evidence.is_some() != is_ejected
+    }
+
+    /// Records that the state is contradicted now; returns whether it has been for long enough to change.
+    fn record_contradiction(
+        &mut self,
+        now: Timestamp,
+        config: &FailoverConfig,
+        evidence: Option<Evidence>,
+    ) -> bool {
+        let since = *self.contradicted_since.get_or_insert(now);
+        let delay = match evidence {
+            Some(_) => from_millis(config.eject_after_ms),
+            None => self.recovery_delay(config),
+        };
+        now - since >= delay
+    }
+
     fn update_known_cores(&mut self, now: Timestamp, listed_cores: f64) {
         if listed_cores >= self.known_cores || self.is_expired(now) {
             self.known_cores = listed_cores;
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -196,7 +196,7 @@
                 PolicyCommand::SetResources { id, memory_grant_mb, level } => {
                     self.set_resources(runtime.pool(), id, memory_grant_mb, level);
                 }
-                PolicyCommand::Send { id, engine } => queue.extend(self.send(runtime, id, engine)),
+                PolicyCommand::Send { id, engine } => queue.extend(self.start_attempt(runtime, id, engine)),
                 PolicyCommand::Cancel { id, attempt } => {
                     if self.cancel_attempt(runtime.pool(), id, attempt) {
                         let check_at = now() + CANCELLATION_CHECK_INTERVAL;
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -47,8 +47,9 @@
 }
 
 impl Coordinator {
-    /// Makes an attempt of a request at an engine.
-    pub(super) fn send(
+    /// Makes an attempt of a request at an engine. The attempt gets its number in any case, also if it cannot be queued:
+    /// the policy has counted it and expects its end.
+    pub(super) fn start_attempt(
         &mut self,
         runtime: &dyn ConnectionRuntime,
         id: u64,
@@ -71,10 +72,22 @@
             Ok(connection) => connection,
             Err(outcome) => return self.report_end(id, AttemptEnd::unsent(attempt, outcome)),
         };
+        self.queue_command(runtime.pool(), id, attempt, connection, time_left)
+    }
+
+    /// Queues the command of an attempt to a connection: the attempt is in flight from then on.
+    fn queue_command(
+        &mut self,
+        pool: &BufferPool,
+        id: u64,
+        attempt: u32,
+        connection: Rc<EngineConnection>,
+        time_left: TimeDelta,
+    ) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
         let name = format_request_id(id);
         let fields = format_fields(request, time_left);
-        if !connection.send(runtime.pool(), id, attempt, &query_command(request, &name, &fields)) {
+        if !connection.send(pool, id, attempt, &query_command(request, &name, &fields)) {
             return self.report_end(id, AttemptEnd::unsent(attempt, AttemptOutcome::NeverRan));
         }
         request.in_flight = Some(InFlightAttempt::new(attempt, connection, now(), time_left));
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -61,13 +61,19 @@
 
     /// Evaluates the zones if that is due, and notifies the policy of their new weights.
     pub(in crate::core) fn check_zones(&mut self, runtime: &dyn ConnectionRuntime) {
-        let is_due = self.fleet.next_zone_check().is_some_and(|check_at| now() >= check_at);
-        let weights =
-            if is_due { self.fleet.check_zones(&self.engines, self.policy.engine_views()) } else { None };
-        let commands = match weights {
+        let commands = match self.due_zone_weights() {
             Some(weights) => self.policy.on_event(now(), PolicyEvent::ZoneWeights(weights)),
             None => Vec::new(),
         };
         self.execute(runtime, commands);
     }
+
+    /// The weights of the zones, if an evaluation is due and changes them.
+    fn due_zone_weights(&mut self) -> Option<Vec<f64>> {
+        let check_at = self.fleet.next_zone_check()?;
+        if now() < check_at {
+            return None;
+        }
+        self.fleet.check_zones(&self.engines, self.policy.engine_views())
+    }
 }
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,7 +1,7 @@
 //! The facts that this manager gossips to the others.
 //!
 //! Input: requests, attempts, and connections that opened or failed. Output: a [`GossipPayload`] with the recent
-//! requests and retries, the unreachable engines and the work sent to engines that are warming up. State: these events
+//! requests and retries, the unreachable engines and the work sent to engines in slow start. State: these events
 //! within their windows. It only counts; `sprucelink_membership` decides when the payload is sent.
 
 use sprucelink_membership::{engine_hash, GossipPayload, WarmupWork};
@@ -21,13 +21,13 @@
     /// Window of the retry budget.
     pub retry_budget: TimeDelta,
     /// Window of the slow-start budget.
-    pub warm_up_budget: TimeDelta,
-    /// Time for which an engine warms up after its start.
-    pub warm_up: TimeDelta,
+    pub slow_start_window: TimeDelta,
+    /// Time that the slow start of an engine takes.
+    pub slow_start_duration: TimeDelta,
 }
 
-/// An attempt at an engine that is warming up.
-struct WarmUpAttempt {
+/// An attempt at an engine in slow start.
+struct SlowStartAttempt {
     sent_at: Timestamp,
     /// The hash of the engine's id.
     engine: u64,
@@ -42,7 +42,7 @@
     /// what this one leaves to them. They do not limit what this process sends; the policy and the send guard do.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
-    warm_up_attempts: VecDeque<WarmUpAttempt>,
+    slow_start_attempts: VecDeque<SlowStartAttempt>,
     /// Engines to which the last connection failed, by the hash of their id, and when it failed.
     unreachable: BTreeMap<u64, Timestamp>,
 }
@@ -70,7 +70,7 @@
             windows,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
-            warm_up_attempts: VecDeque::new(),
+            slow_start_attempts: VecDeque::new(),
             unreachable: BTreeMap::new(),
         }
     }
@@ -92,9 +92,10 @@
         if is_retry {
             push_bounded(&mut self.retries, now);
         }
-        if started_at_ms > 0 && now - Timestamp::from_millis(started_at_ms) < self.windows.warm_up {
-            let attempt = WarmUpAttempt { sent_at: now, engine: engine_hash(engine), cost_ms };
-            push_bounded(&mut self.warm_up_attempts, attempt);
+        if started_at_ms > 0 && now - Timestamp::from_millis(started_at_ms) < self.windows.slow_start_duration
+        {
+            let attempt = SlowStartAttempt { sent_at: now, engine: engine_hash(engine), cost_ms };
+            push_bounded(&mut self.slow_start_attempts, attempt);
         }
     }
 
@@ -112,7 +113,7 @@
     pub(super) fn payload(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> GossipPayload {
         let admitted_requests = count_recent(&mut self.requests, now, self.windows.retry_budget);
         let retries = count_recent(&mut self.retries, now, self.windows.retry_budget);
-        let warmup_work = self.warm_up_work(now);
+        let warmup_work = self.slow_start_work(now);
         self.unreachable.retain(|_, failed_at| now - *failed_at <= UNREACHABLE_FOR);
         let unreachable: BTreeSet<u64> = self.unreachable.keys().copied().chain(unresponsive).collect();
         let unreachable_engines = unreachable.into_iter().collect();
@@ -122,14 +123,15 @@
         payload
     }
 
-    /// The work that was sent to each engine that is warming up, in complete milliseconds.
-    fn warm_up_work(&mut self, now: Timestamp) -> Vec<WarmupWork> {
-        let window = self.windows.warm_up_budget;
-        while self.warm_up_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
-            self.warm_up_attempts.pop_front();
+    /// The work that was sent to each engine in slow start, in complete milliseconds. Other managers decode it, but
+    /// nothing uses it yet: the slow-start budget is divided evenly among the processes of all managers.
+    fn slow_start_work(&mut self, now: Timestamp) -> Vec<WarmupWork> {
+        let window = self.windows.slow_start_window;
+        while self.slow_start_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
+            self.slow_start_attempts.pop_front();
         }
         let mut by_engine: BTreeMap<u64, f64> = BTreeMap::new();
-        for attempt in &self.warm_up_attempts {
+        for attempt in &self.slow_start_attempts {
             *by_engine.entry(attempt.engine).or_default() += attempt.cost_ms;
         }
         let to_millis = |ms: f64| ms.clamp(0.0, f64::from(u32::MAX)) as u32;
--- a/src/core/gossip_facts/tests.rs
+++ b/src/core/gossip_facts/tests.rs
@@ -12,7 +12,8 @@
 
 #[test]
 fn events_older_than_their_window_are_not_counted() {
-    let windows = GossipWindows { retry_budget: span(5), warm_up_budget: span(2), warm_up: span(15) };
+    let windows =
+        GossipWindows { retry_budget: span(5), slow_start_window: span(2), slow_start_duration: span(15) };
     let mut gossip = GossipFacts::new(windows);
     gossip.record_request(at(0));
     gossip.record_request(at(4));
--- a/src/front/session/input.rs
+++ b/src/front/session/input.rs
@@ -32,8 +32,9 @@
             self.slot.set_executing(false);
             self.partial_since = None;
             let has_answered = std::mem::take(&mut self.has_answered);
+            let ends_after_answer = has_answered && self.front.end_after_answer.get();
             // No request is open here, and the client may send the next one to another connection.
-            if self.slot.is_evicted() || has_answered && self.front.end_after_answer.get() {
+            if self.slot.is_evicted() || ends_after_answer {
                 return Ok(SessionFlow::End(SessionEnd::silent(SessionEndReason::Evicted)));
             }
         } else {
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -272,6 +272,8 @@
 
     fn snapshot(&self) -> StateSnapshot {
         let (cordons, known_ids) = self.core.export_cordons(MAX_ENGINE_IDS);
+        // Nothing counts into these yet, so that the counts of retries and of work for engines in slow start that a
+        // state file holds are always 0. A reader of the file logs its retries and `warmup_sends`, and uses neither.
         let counters = WindowCounters::new(self.windows.retry_budget, self.windows.warmup);
         StateSnapshot {
             cordons,
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -88,8 +88,8 @@
     let budget_window = fleet.retry_budget.map_or(DEFAULT_BUDGET_WINDOW, |budget| budget.window);
     core.enable_gossip(GossipWindows {
         retry_budget: budget_window,
-        warm_up_budget: fleet.slow_start_window,
-        warm_up: fleet.slow_start_duration,
+        slow_start_window: fleet.slow_start_window,
+        slow_start_duration: fleet.slow_start_duration,
     });
     info!(%local_address, advertised_address = %address, "membership listening");
     let (leave, leave_requested) = oneshot::channel();
