--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -16,8 +16,8 @@
 pub struct WindowSpans {
     /// Of the retry budget.
     pub retry_budget: TimeDelta,
-    /// Of the warm-up budget of engines.
-    pub warmup: TimeDelta,
+    /// Of the slow-start budget of engines.
+    pub slow_start: TimeDelta,
 }
 
 /// How old a file is.
@@ -92,13 +92,13 @@
         retries,
         admitted,
         warmup: usable_warmup(&snapshot.warmup, |start| {
-            Some(latest(start)).filter(|at| is_within(*at, spans.warmup))
+            Some(latest(start)).filter(|at| is_within(*at, spans.slow_start))
         }),
     }
 }
 
 fn file_age(now: Timestamp, spans: WindowSpans, written_at: Timestamp, clock_lead: TimeDelta) -> FileAge {
-    let longest_span = spans.retry_budget.max(spans.warmup);
+    let longest_span = spans.retry_budget.max(spans.slow_start);
     if clock_lead > CLOCK_SLACK {
         FileAge::Future
     } else if now - written_at > longest_span {
--- a/crates/hot-restart/src/usable_state/tests.rs
+++ b/crates/hot-restart/src/usable_state/tests.rs
@@ -7,7 +7,7 @@
 const SECOND: i64 = 1_000_000;
 const SPANS: WindowSpans = WindowSpans {
     retry_budget: TimeDelta::from_micros(5 * SECOND),
-    warmup: TimeDelta::from_micros(2 * SECOND),
+    slow_start: TimeDelta::from_micros(2 * SECOND),
 };
 const WRITTEN_AT: Timestamp = Timestamp::from_micros(100 * SECOND);
 
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -12,7 +12,7 @@
 pub const ENGINES: [&str; 3] = ["s-1", "s-2", "s-3"];
 const SPANS: WindowSpans = WindowSpans {
     retry_budget: TimeDelta::from_micros(5_000 * MS),
-    warmup: TimeDelta::from_micros(2_000 * MS),
+    slow_start: TimeDelta::from_micros(2_000 * MS),
 };
 
 #[derive(Clone, Debug)]
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -5,6 +5,9 @@
 //! overrules a manager's own connections; then its own connections. A state changes only when evidence
 //! has persisted for a while, and a zone that is ejected again soon after it recovered must be without evidence for longer
 //! each time, as in Envoy's outlier detection.
+//!
+//! This ejects a zone as a whole: it lowers the zone's weight and ejects no engine. The policy has another rule
+//! (`outlier_detection`), which ejects each engine of a zone that this manager cannot reach, at once and without failover.
 
 use crate::config::FailoverConfig;
 use crate::{TimeDelta, Timestamp, ZoneObservation};
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -165,8 +165,8 @@
         Some(response)
     }
 
-    /// The Retry-After of a request that is rejected because this process shuts down or engines still warm up; `None`
-    /// if the policy decides.
+    /// The Retry-After of a request that is rejected because this process shuts down, or still warms up after its start;
+    /// `None` if the policy decides.
     fn rejection_before_policy(&mut self, now: Timestamp, pending: usize) -> Option<TimeDelta> {
         if self.send_guard.is_closed(now) {
             return Some(MIN_RETRY_AFTER);
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -100,7 +100,7 @@
     }
 
     /// When an engine started, from the list's Unix milliseconds; `None` if these are 0. The instant stays the same for
-    /// as long as the list's value does, so that a step of the wall clock does not make an engine warm up again.
+    /// as long as the list's value does, so that a step of the wall clock does not begin an engine's slow start again.
     fn started_at(&mut self, id: &str, listed_ms: i64) -> Option<Timestamp> {
         let index = self.engine_indices.get_or_assign(id);
         if listed_ms <= 0 {
--- a/src/core/policy_driver/tests.rs
+++ b/src/core/policy_driver/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// If its start moved with the clock, an engine would warm up again.
+/// If its start moved with the clock, an engine's slow start would begin again.
 #[test]
 fn start_that_is_listed_again_is_the_same_instant() {
     let mut driver = PolicyDriver::new(Settings::default(), 1, Vec::new(), Vec::new(), Timestamp::ZERO);
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -1,7 +1,7 @@
 //! Start-up control.
 //!
 //! Input: requests and their responses, endpoint lists, connections that open. Output: the times of dials, whether a
-//! request is admitted while engines warm up, the part of an endpoint list that may be applied, and when this manager
+//! request is admitted while this manager warms up, the part of an endpoint list that may be applied, and when this manager
 //! is ready. State: the state machines of `sprucelink_startup`, which decide all of it.
 
 use crate::proto::events::{EndpointPhase, ListEvent};
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Admits a request, or rejects it while engines warm up. `pending`: the number of pending requests.
+    /// Admits a request, or rejects it while this manager warms up. `pending`: the number of pending requests.
     ///
     /// # Errors
     /// The Retry-After of a rejected request.
--- a/src/core/wall_clock.rs
+++ b/src/core/wall_clock.rs
@@ -6,7 +6,7 @@
 //! A time that another machine stamps is read some seconds later. If the wall clock steps in between, by an hour for
 //! instance, the time would seem an hour older or an hour ahead. So each recent offset gives a candidate for the
 //! instant that is meant, and the latest one that is not in the future is taken: an engine then counts as started too
-//! late rather than too early, and warms up for longer.
+//! late rather than too early, and its slow start ends later.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -234,7 +234,7 @@
             (Ordering::Less, None) => {
                 return self.budget_parts.set(BudgetParts { fewer_since: Some(now()), ..current });
             }
-            (Ordering::Less, Some(since)) => now() - since >= self.windows.warmup,
+            (Ordering::Less, Some(since)) => now() - since >= self.windows.slow_start,
         };
         if applies {
             self.budget_parts.set(BudgetParts { parts, fewer_since: None });
@@ -274,7 +274,7 @@
         let (cordons, known_ids) = self.core.export_cordons(MAX_ENGINE_IDS);
         // Nothing counts into these yet, so that the counts of retries and of work for engines in slow start that a
         // state file holds are always 0. A reader of the file logs its retries and `warmup_sends`, and uses neither.
-        let counters = WindowCounters::new(self.windows.retry_budget, self.windows.warmup);
+        let counters = WindowCounters::new(self.windows.retry_budget, self.windows.slow_start);
         StateSnapshot {
             cordons,
             known_ids,
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -174,7 +174,7 @@
     let retry_budget = config.settings.retry_budget.as_ref();
     let windows = WindowSpans {
         retry_budget: retry_budget.map_or(TimeDelta::ZERO, |budget| budget.window),
-        warmup: config.settings.slow_start_window,
+        slow_start: config.settings.slow_start_window,
     };
     HotRestartDriver::start(Rc::clone(core), &config.name, &config.listen, windows)
 }
