--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -7,14 +7,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest message that is read.
-const MOST_MESSAGE: usize = 1 << 20;
+/// Longest message of an answer that is read, in bytes.
+const MAX_MESSAGE: usize = 1 << 20;
 /// An answer that comes later than this after the request's time is lost.
 const LATE: Duration = Duration::from_millis(500);
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Became {
+pub enum RequestOutcome {
     /// All rows came.
     Served,
     /// An error that says a repeat is harmless.
@@ -27,22 +27,23 @@
     Lost,
 }
 
-/// A request as a client words it.
+/// A request of a client.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its id, new with every request.
     pub id: u64,
     /// A load of two threads, or a light query.
     pub heavy: bool,
     /// Its key, for loads.
     pub key: u64,
-    /// The client's estimate of the work on one core, in milliseconds; 0: none is told.
+    /// The client's estimate of the work on one core, in milliseconds; 0: the request carries none.
     pub ms: f64,
     /// How long the client waits.
     pub timeout: Duration,
 }
 
-fn words(ask: &Ask) -> Vec<u8> {
+/// The start-up message and the query, as bytes of the PostgreSQL protocol.
+fn encode(request: &ClientRequest) -> Vec<u8> {
     let mut startup = Vec::new();
     for part in [&b"user"[..], b"app", b"database", b"core", b""] {
         startup.extend_from_slice(part);
@@ -51,13 +52,15 @@
     let mut message = ((startup.len() + 8) as u32).to_be_bytes().to_vec();
     message.extend_from_slice(&196_608u32.to_be_bytes());
     message.extend_from_slice(&startup);
-    let (id, ms, key) = (ask.id, ask.timeout.as_millis(), ask.key);
-    let told = if ask.ms > 0.0 { format!(",ms={:.1}", ask.ms) } else { String::new() };
-    let sql = if ask.heavy {
-        format!("/* kind=tariff-load,req={id:016x},timeout={ms},owner=sud,opkey={key:032x}{told} */ INSERT INTO rates_3.lanes VALUES (1)\0")
+    let id = request.id;
+    let ms = request.timeout.as_millis();
+    let key = request.key;
+    let estimate = if request.ms > 0.0 { format!(",ms={:.1}", request.ms) } else { String::new() };
+    let sql = if request.heavy {
+        format!("/* kind=tariff-load,req={id:016x},timeout={ms},owner=sud,opkey={key:032x}{estimate} */ INSERT INTO rates_3.lanes VALUES (1)\0")
     } else {
         format!(
-            "/* kind=lane-rate,req={id:016x},timeout={ms},owner=sud{told} */ SELECT a FROM sales_17.orders\0"
+            "/* kind=lane-rate,req={id:016x},timeout={ms},owner=sud{estimate} */ SELECT a FROM sales_17.orders\0"
         )
     };
     message.push(b'Q');
@@ -72,59 +75,61 @@
     std::str::from_utf8(&field[1..]).ok()
 }
 
-async fn answer(stream: &mut TcpStream) -> Option<Became> {
-    let (mut rows, mut became, mut ready) = (false, None, 0);
+async fn answer(stream: &mut TcpStream) -> Option<RequestOutcome> {
+    let mut rows = false;
+    let mut outcome = None;
+    let mut ready = 0;
     // Two ReadyForQuery: one after the start-up, one after the answer.
     while ready < 2 {
         let mut head = [0u8; 5];
         stream.read_exact(&mut head).await.ok()?;
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; len.checked_sub(4).filter(|l| *l <= MOST_MESSAGE)?];
+        let mut body = vec![0; len.checked_sub(4).filter(|l| *l <= MAX_MESSAGE)?];
         stream.read_exact(&mut body).await.ok()?;
         match head[0] {
             b'D' => rows = true,
-            b'C' if rows => became = Some(Became::Served),
-            b'C' => became = Some(Became::Failed),
+            b'C' if rows => outcome = Some(RequestOutcome::Served),
+            b'C' => outcome = Some(RequestOutcome::Failed),
             b'E' => {
                 let state = sqlstate(&body).unwrap_or("");
                 let harmless = state.starts_with("53") || state == "57P03";
-                became = Some(if harmless { Became::Refused } else { Became::Failed });
+                outcome = Some(if harmless { RequestOutcome::Refused } else { RequestOutcome::Failed });
                 // A front that refuses a connection says so and closes it.
                 if ready == 0 {
-                    return became;
+                    return outcome;
                 }
             }
             b'Z' => ready += 1,
             _ => {}
         }
     }
-    became
+    outcome
 }
 
-/// Sends one request to a manager and waits for its end: what became of it, and how long that took.
-pub async fn ask(at: SocketAddr, ask: Ask) -> (Became, Duration) {
+/// Sends one request to a manager and waits for its end: its outcome and its latency.
+pub async fn send(at: SocketAddr, request: ClientRequest) -> (RequestOutcome, Duration) {
     let begun = Instant::now();
-    let asked = async {
-        let Ok(mut stream) = TcpStream::connect(at).await else { return Became::NotTaken };
+    let exchange = async {
+        let Ok(mut stream) = TcpStream::connect(at).await else { return RequestOutcome::NotTaken };
         let _ = stream.set_nodelay(true);
-        if stream.write_all(&words(&ask)).await.is_err() {
-            return Became::NotTaken;
+        if stream.write_all(&encode(&request)).await.is_err() {
+            return RequestOutcome::NotTaken;
         }
-        answer(&mut stream).await.unwrap_or(Became::Lost)
+        answer(&mut stream).await.unwrap_or(RequestOutcome::Lost)
     };
-    let became = timeout(ask.timeout + LATE, asked).await.unwrap_or(Became::Lost);
-    (became, begun.elapsed())
+    let outcome = timeout(request.timeout + LATE, exchange).await.unwrap_or(RequestOutcome::Lost);
+    (outcome, begun.elapsed())
 }
 
 /// Sends one light query and says whether it was served, from outside the rig's tasks. It waits five seconds.
 ///
 /// # Errors
 /// Where no connection came up, or it ended without a whole answer.
-pub fn ask_once(at: SocketAddr, id: u64) -> std::io::Result<bool> {
-    let one = Ask { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
-    match crate::runtime().block_on(ask(at, one)).0 {
-        Became::NotTaken => Err(std::io::Error::other("no connection came up")),
-        Became::Lost => Err(std::io::Error::other("no whole answer came")),
-        became => Ok(became == Became::Served),
+pub fn query_once(at: SocketAddr, id: u64) -> std::io::Result<bool> {
+    let request = ClientRequest { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
+    match crate::runtime().block_on(send(at, request)).0 {
+        RequestOutcome::NotTaken => Err(std::io::Error::other("no connection came up")),
+        RequestOutcome::Lost => Err(std::io::Error::other("no whole answer came")),
+        outcome => Ok(outcome == RequestOutcome::Served),
     }
 }
--- a/crates/cluster-harness/src/counted.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -3,8 +3,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Events kept at most: a run of ten minutes at 10,000 a second fits; beyond it events are counted, not dated.
-const MOST_EVENTS: usize = 6_000_000;
+/// Events whose time is kept; further ones are only counted. A run of ten minutes at 10,000 a second fits.
+const MAX_EVENTS: usize = 6_000_000;
 
 /// Events by when they came, counted from a start.
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
 impl Counted {
     /// Notes one event that came at `t`, counted from `start`.
     pub fn note(&mut self, start: Instant, t: Instant) {
-        if self.at.len() < MOST_EVENTS {
+        if self.at.len() < MAX_EVENTS {
             self.at.push(t.saturating_duration_since(start));
         } else {
             self.undated += 1;
@@ -29,14 +29,15 @@
     pub fn peak(&self, width: Duration) -> usize {
         let mut at = self.at.clone();
         at.sort_unstable();
-        let (mut most, mut from) = (0, 0);
+        let mut max = 0;
+        let mut from = 0;
         for to in 0..at.len() {
             while at[to] - at[from] >= width {
                 from += 1;
             }
-            most = most.max(to + 1 - from);
+            max = max.max(to + 1 - from);
         }
-        most
+        max
     }
 
     /// Events from `from` up to `to`, without its end.
@@ -63,9 +64,9 @@
 
 /// A count that many tasks note in. A panic of one does not stop the others from counting.
 #[derive(Clone, Debug, Default)]
-pub struct Tally(Arc<Mutex<Counted>>);
+pub struct Counter(Arc<Mutex<Counted>>);
 
-impl Tally {
+impl Counter {
     /// Notes one event that comes now.
     pub fn note(&self, start: Instant) {
         self.lock(|c| c.note(start, Instant::now()));
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -1,12 +1,12 @@
-//! What an engine knows of itself, with time as argument.
+//! The state of an engine: slow start, queries in flight, overload. Time is an argument.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// An engine that was pushed over refuses for so long.
+/// Time for which an overloaded engine closes every connection.
 const DOWN_FOR: Duration = Duration::from_secs(2);
 
-/// What an engine is.
+/// The properties of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
     /// Its cores.
@@ -15,9 +15,9 @@
     pub light: f64,
     /// Work of a load (two threads), in seconds on one core.
     pub heavy: f64,
-    /// It starts cold: so many seconds to all of its cores. Zero: it is warm.
+    /// Duration of its slow start, in seconds; 0: none.
     pub cold_for: f64,
-    /// Share of its cores that it starts with.
+    /// Fraction of its cores that it starts with.
     pub start_share: f64,
     /// Work sent within `fall_span` over this multiple of what it can do in that span pushes it over while cold.
     pub fall_multiple: f64,
@@ -49,7 +49,7 @@
     threads: f64,
     queries: u32,
     /// Threads at work at most so far.
-    pub most_threads: f64,
+    pub max_threads: f64,
     down_until: Option<Instant>,
 }
 
@@ -62,7 +62,7 @@
             sent: VecDeque::new(),
             threads: 0.0,
             queries: 0,
-            most_threads: 0.0,
+            max_threads: 0.0,
             down_until: None,
         }
     }
@@ -93,19 +93,21 @@
         let bears = self.spec.fall_multiple * warmth * self.spec.cores * self.spec.fall_span;
         if warmth < 1.0 && recent > bears {
             // It comes back as cold as it was at first.
-            (self.down_until, self.born) = (Some(now + DOWN_FOR), now + DOWN_FOR);
+            self.down_until = Some(now + DOWN_FOR);
+            self.born = now + DOWN_FOR;
             self.sent.clear();
-            (self.threads, self.queries) = (0.0, 0);
+            self.threads = 0.0;
+            self.queries = 0;
             return None;
         }
         self.threads += threads;
         self.queries += 1;
-        self.most_threads = self.most_threads.max(self.threads);
+        self.max_threads = self.max_threads.max(self.threads);
         let crowding = (self.threads / (self.spec.cores * warmth)).max(1.0);
         Some(Duration::from_secs_f64(work / threads.max(1.0) * crowding))
     }
 
-    /// A query of so many threads has ended.
+    /// A query that used `threads` has ended.
     pub fn release(&mut self, threads: f64) {
         self.threads = (self.threads - threads).max(0.0);
         self.queries = self.queries.saturating_sub(1);
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -10,7 +10,7 @@
 
 pub use machine::{Machine, Spec};
 
-use crate::counted::Tally;
+use crate::counter::Counter;
 use crate::history::Recorder;
 use crate::ledger::{manager_of, Ledger};
 use crate::runtime;
@@ -26,15 +26,15 @@
 use tokio::time::sleep;
 use wire::{array, command};
 
-/// Connections an engine holds at most.
-const MOST_CONNECTIONS: usize = 5_000;
+/// Connections that an engine holds open; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 5_000;
 
 struct Shared {
     number: usize,
     start: Instant,
     machine: Mutex<Machine>,
-    dials: Tally,
-    work: Tally,
+    dials: Counter,
+    work: Counter,
     ledger: Ledger,
     history: Recorder,
     connections: AtomicUsize,
@@ -63,9 +63,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Every connection made to it, when it came.
-    pub dials: Tally,
+    pub dials: Counter,
     /// Every `do`, when it came.
-    pub work: Tally,
+    pub work: Counter,
     shared: Arc<Shared>,
     listening: tokio::task::JoinHandle<()>,
 }
@@ -97,8 +97,8 @@
             number,
             start,
             machine: Mutex::new(Machine::new(spec, Instant::now())),
-            dials: Tally::default(),
-            work: Tally::default(),
+            dials: Counter::default(),
+            work: Counter::default(),
             ledger,
             history,
             connections: AtomicUsize::new(0),
@@ -111,7 +111,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 engine.dials.note(engine.start);
                 let down = engine.machine(|m| m.down(Instant::now()));
-                if down || engine.connections.load(Ordering::Relaxed) >= MOST_CONNECTIONS {
+                if down || engine.connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                     continue;
                 }
                 engine.connections.fetch_add(1, Ordering::Relaxed);
@@ -122,7 +122,8 @@
                 });
             }
         });
-        let (dials, work) = (shared.dials.clone(), shared.work.clone());
+        let dials = shared.dials.clone();
+        let work = shared.work.clone();
         Ok(CountingEngine { address, dials, work, shared, listening })
     }
 
@@ -132,19 +133,19 @@
         self.shared.ends.send_modify(|n| *n += 1);
     }
 
-    /// It starts anew on its port, as a process does: cold, and every connection ends.
+    /// Restarts it on its port: all connections end, and it is in slow start.
     pub fn restart_cold(&self, cold_for: f64) {
         self.shared.machine(|m| {
-            let most = m.most_threads;
+            let max_threads = m.max_threads;
             *m = Machine::new(Spec { cold_for, ..m.spec }, Instant::now());
-            m.most_threads = most;
+            m.max_threads = max_threads;
         });
         self.shared.ends.send_modify(|n| *n += 1);
     }
 
     /// Threads at work at most so far.
-    pub fn most_threads(&self) -> f64 {
-        self.shared.machine(|m| m.most_threads)
+    pub fn max_threads(&self) -> f64 {
+        self.shared.machine(|m| m.max_threads)
     }
 
     /// Connections open now.
@@ -170,7 +171,7 @@
             engine.history.note_engine(|| Event::Command {
                 engine: engine.name(),
                 connection,
-                word: parts.first().map_or(String::new(), |w| word(w)),
+                word: parts.first().map_or(String::new(), |name| command_name(name)),
                 manager: id.map(|id| format!("n{}", manager_of(id))),
             });
             match (parts.first().map(Vec::as_slice), id) {
@@ -204,8 +205,8 @@
     engine.history.note_engine(|| Event::Disconnected { engine: engine.name(), connection });
 }
 
-/// A command's word as a history has it: words are short, and what is longer is none.
-fn word(bytes: &[u8]) -> String {
+/// A command's name as the history records it, cut after 16 bytes: longer than any name.
+fn command_name(bytes: &[u8]) -> String {
     String::from_utf8_lossy(&bytes[..bytes.len().min(16)]).into_owned()
 }
 
@@ -240,7 +241,9 @@
         return false;
     };
     open.lock().unwrap_or_else(PoisonError::into_inner).insert(id, threads);
-    let (engine, open, answers) = (Arc::clone(engine), Arc::clone(open), answers.clone());
+    let engine = Arc::clone(engine);
+    let open = Arc::clone(open);
+    let answers = answers.clone();
     tokio::spawn(async move {
         if runs > Duration::ZERO {
             sleep(runs).await;
--- a/crates/cluster-harness/src/run/peers.rs
+++ b/crates/cluster-harness/src/run/peers.rs
@@ -1,13 +1,13 @@
-//! The managers' TCP ports: where each party reaches each of them through the fault middle.
+//! The managers' TCP ports: where each party reaches each of them through the fault proxy.
 
-use super::io;
-use crate::middle::{tcp_to, Faults, Target, TcpPath};
+use super::RunError;
+use crate::fault_proxy::{tcp_to, Faults, Target, TcpPath};
 use crate::scenario::{Scenario, GROUPS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::PoisonError;
 
-/// The stand-in subscribers' name in the middle.
+/// The stand-in subscribers' name in the fault proxy.
 pub(super) const SUBSCRIBERS: &str = "subscribers";
 
 /// One port of all managers.
@@ -24,13 +24,13 @@
     ports: BTreeMap<String, Port>,
     /// Parties that reach managers, in the order of their numbers.
     sources: Vec<String>,
-    /// Keeps the ways open.
+    /// Paths through the fault proxy, which close when they are dropped.
     _paths: Vec<TcpPath>,
 }
 
 impl Peers {
-    /// Opens the ways of a scenario.
-    pub(super) fn new(scenario: &Scenario, faults: &Faults) -> Result<Peers, String> {
+    /// Opens the paths of a scenario.
+    pub(super) fn new(scenario: &Scenario, faults: &Faults) -> Result<Peers, RunError> {
         let mut sources = scenario.parties();
         if scenario.subscribers.count > 0 {
             sources.push(SUBSCRIBERS.into());
@@ -43,7 +43,7 @@
                 let mut row = Vec::new();
                 for (i, target) in targets.iter().enumerate() {
                     let path = tcp_to(faults, from, &format!("n{i}"), Target::clone(target));
-                    let path = path.map_err(io("fault middle"))?;
+                    let path = path.map_err(RunError::io("fault middle"))?;
                     row.push(path.address);
                     peers._paths.push(path);
                 }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -1,14 +1,14 @@
 //! The stand-ins and files of a run before it begins, and engines that come later.
 
+use super::failpoint_faults::FailpointFaults;
 use super::peers::{Peers, SUBSCRIBERS};
 use super::process::Proc;
-use super::strikes::Strikes;
-use super::{io, unix_ms, Engine, Life, Program, Rig};
+use super::{unix_ms, Engine, ProcessState, Program, Rig, RunError};
 use crate::engines::{name_of, CountingEngine, Spec};
+use crate::fault_proxy::{self, Faults, UdpNet};
 use crate::history::Recorder;
 use crate::ledger::Ledger;
-use crate::lists::{ListService, Mood};
-use crate::middle::{self, Faults, UdpNet};
+use crate::lists::{DiscoveryMode, ListService};
 use crate::procs::{self, Fleet, Row};
 use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, HALLS};
 use crate::subscribers::Subscribers;
@@ -19,19 +19,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long an engine is cold, in seconds: the settings' own. How much slower a slow one is.
+/// Duration of an engine's slow start, in seconds; the managers' settings say the same.
 pub(super) const COLD_FOR: f64 = 15.0;
-const SLOW: f64 = 10.0;
-/// Managers that all others know as seeds.
+/// Factor by which a query takes longer on a slow engine.
+const SLOW_FACTOR: f64 = 10.0;
+/// Managers that all others have as seeds of the membership.
 const SEEDS: usize = 3;
 
 /// The history that the scenario asks for; one that records nothing if it asks for none.
-fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, String> {
+fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, RunError> {
     if !scenario.records() {
         return Ok(Recorder::default());
     }
-    let History { engines, most_mb } = scenario.history.unwrap_or_default();
-    Recorder::start(&program.dir, start, most_mb << 20, engines).map_err(io("the history"))
+    let History { engines, max_mb } = scenario.history.unwrap_or_default();
+    Recorder::start(&program.dir, start, max_mb << 20, engines).map_err(RunError::io("the history"))
 }
 
 /// The managers' settings, with the scenario's zones.
@@ -41,10 +42,10 @@
 }
 
 impl<'a> Rig<'a> {
-    pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, String> {
+    pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, RunError> {
         let start = Instant::now();
         let faults = Faults::new(scenario.seed);
-        let fleet = Fleet::new(&program.path, &program.dir).map_err(io("the rig's folder"))?;
+        let fleet = Fleet::new(&program.path, &program.dir).map_err(RunError::io("the rig's folder"))?;
         let n = scenario.managers;
         let history = start_history(scenario, program, start)?;
         let peers = Peers::new(scenario, &faults)?;
@@ -60,8 +61,8 @@
             feeds: Vec::new(),
             revision: 1,
             fleet,
-            lives: vec![Life::Unborn; n],
-            seats: (0..n).map(|_| Arc::default()).collect(),
+            process_states: vec![ProcessState::NotStarted; n],
+            availability: (0..n).map(|_| Arc::default()).collect(),
             up_once: vec![false; n],
             crashed: 0,
             settings: settings_of(scenario),
@@ -74,8 +75,8 @@
             history,
             peers,
             procs: (0..n).map(|_| Proc::new(&scenario.version)).collect(),
-            strikes: Strikes::new(scenario),
-            later: Vec::new(),
+            failpoint_faults: FailpointFaults::new(scenario),
+            pending: Vec::new(),
             subscribers: None,
             silenced: BTreeSet::new(),
             ops: BTreeMap::new(),
@@ -92,7 +93,7 @@
     }
 
     /// The engines that are there from the beginning; the last ones are listed and do not run.
-    fn start_engines(&mut self) -> Result<(), String> {
+    fn start_engines(&mut self) -> Result<(), RunError> {
         let Engines { count, cold, missing, .. } = self.scenario.engines;
         for i in 0..count {
             self.add_engine(i < cold)?;
@@ -104,14 +105,15 @@
     }
 
     /// One list service for each group of managers, behind the fault proxy where the scenario has one.
-    fn start_list_services(&mut self) -> Result<(), String> {
+    fn start_list_services(&mut self) -> Result<(), RunError> {
         for (party, name) in self.scenario.parties().iter().enumerate() {
             let first = procs::event(1, 1, true, &self.rows(party));
             let service = ListService::start_as(first, self.start, name, self.history.clone());
-            let service = service.map_err(io("list service"))?;
+            let service = service.map_err(RunError::io("list service"))?;
             let mut feed = service.address;
-            if self.scenario.through_middle() {
-                let path = middle::tcp(&self.faults, name, "lists", feed).map_err(io("fault middle"))?;
+            if self.scenario.uses_fault_proxy() {
+                let path = fault_proxy::tcp(&self.faults, name, "lists", feed)
+                    .map_err(RunError::io("fault middle"))?;
                 feed = path.address;
                 self.list_paths.push(path);
             }
@@ -122,13 +124,13 @@
     }
 
     /// The managers' addresses for membership messages, where the scenario has membership.
-    fn reserve_members(&mut self) -> Result<(), String> {
+    fn reserve_members(&mut self) -> Result<(), RunError> {
         if self.scenario.membership.is_none() {
             return Ok(());
         }
         self.net = UdpNet::new(&self.faults);
         for i in 0..self.scenario.managers {
-            self.members.push(self.net.reserve(&format!("n{i}")).map_err(io("fault middle"))?);
+            self.members.push(self.net.reserve(&format!("n{i}")).map_err(RunError::io("fault middle"))?);
         }
         Ok(())
     }
@@ -139,7 +141,7 @@
         if spec.count == 0 {
             return;
         }
-        let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| self.who(to));
+        let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| self.select_managers(to));
         let all = self.peers.seen(&spec.port, SUBSCRIBERS).into_iter().enumerate();
         let to =
             all.filter(|(i, _)| allowed.as_ref().is_none_or(|a| a.contains(i))).map(|(_, m)| m).collect();
@@ -152,38 +154,44 @@
             let group = self.scenario.group_of(i);
             FleetMember { name: format!("n{i}"), zone: HALLS[group].into(), pool: GROUPS[group].into() }
         };
-        let (managers, engines) = ((0..self.scenario.managers).map(manager).collect(), Vec::new());
-        let (scenario, seed) = (self.scenario.name.clone(), self.scenario.seed);
+        let managers = (0..self.scenario.managers).map(manager).collect();
+        let engines = Vec::new();
+        let scenario = self.scenario.name.clone();
+        let seed = self.scenario.seed;
         self.history.note(Event::RunStarted { scenario, seed, managers, engines });
     }
 
-    pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), String> {
+    pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), RunError> {
         let e = &self.scenario.engines;
-        let times = if self.engines.len() < e.slow { SLOW } else { 1.0 };
-        let (light, heavy) = (times * e.light_ms / 1e3, times * e.heavy_ms / 1e3);
+        let times = if self.engines.len() < e.slow { SLOW_FACTOR } else { 1.0 };
+        let light = times * e.light_ms / 1e3;
+        let heavy = times * e.heavy_ms / 1e3;
         let cold_for = if cold { COLD_FOR } else { 0.0 };
         let spec = Spec { cores: e.cores, light, heavy, cold_for, ..Spec::default() };
         let number = self.engines.len();
-        let (ledger, history) = (self.ledger.clone(), self.history.clone());
-        let run =
-            CountingEngine::start_as(spec, number, ledger, history, self.start).map_err(io("engine"))?;
-        let (mut at, mut paths) = (vec![run.address; self.parties.len()], Vec::new());
-        if self.scenario.through_middle() {
+        let ledger = self.ledger.clone();
+        let history = self.history.clone();
+        let run = CountingEngine::start_as(spec, number, ledger, history, self.start)
+            .map_err(RunError::io("engine"))?;
+        let mut at = vec![run.address; self.parties.len()];
+        let mut paths = Vec::new();
+        if self.scenario.uses_fault_proxy() {
             for (party, at) in at.iter_mut().enumerate() {
-                let path = middle::tcp(
+                let path = fault_proxy::tcp(
                     &self.faults,
                     &self.parties[party],
                     HALLS[number % self.scenario.zones],
                     run.address,
                 );
-                let path = path.map_err(io("fault middle"))?;
+                let path = path.map_err(RunError::io("fault middle"))?;
                 *at = path.address;
                 paths.push(path);
             }
         }
         let since_ms = if cold { unix_ms() } else { 0 };
         let id = name_of(number);
-        let (name, zone) = (id.clone(), HALLS[number % self.scenario.zones].into());
+        let name = id.clone();
+        let zone = HALLS[number % self.scenario.zones].into();
         self.history.note(Event::EngineAdded(FleetMember { name, zone, pool: "std".into() }));
         self.engines.push(Engine { id, run: Some(run), at, paths, phase: "ready", since_ms });
         Ok(())
@@ -209,7 +217,7 @@
     }
 
     /// Tells every party what changed.
-    pub(super) fn tell(&mut self, changed: &[usize]) -> Result<(), String> {
+    pub(super) fn tell(&mut self, changed: &[usize]) -> Result<(), RunError> {
         self.revision += 1;
         for group in 0..self.lists.len() {
             let rows: Vec<Row> = changed.iter().map(|i| self.row(group, *i)).collect();
@@ -219,25 +227,26 @@
     }
 
     pub(super) fn set_lists(&self, how: Lists) {
-        let mood = match how {
-            Lists::Serve => Mood::Serving,
-            Lists::Refuse => Mood::Refusing,
-            Lists::Stall => Mood::Stalling,
+        let mode = match how {
+            Lists::Serve => DiscoveryMode::Serving,
+            Lists::Refuse => DiscoveryMode::Refusing,
+            Lists::Stall => DiscoveryMode::Stalling,
         };
-        self.lists.iter().for_each(|l| l.set_mood(mood));
+        self.lists.iter().for_each(|l| l.set_discovery_mode(mode));
     }
 
-    /// The seed of manager `i`'s process that follows so many starts.
+    /// The seed of manager `i`'s process, by the number of its earlier starts.
     pub(super) fn seed(&self, i: usize, starts: u32) -> u64 {
         self.scenario.seed.wrapping_mul(1_000_003) ^ (i as u64) << 16 ^ u64::from(starts)
     }
 
     pub(super) fn config(&self, i: usize) -> String {
-        let (group, party) = (self.scenario.group_of(i), self.scenario.party_of(i));
+        let group = self.scenario.group_of(i);
+        let party = self.scenario.party_of(i);
         let starts = self.fleet.managers.get(i).map_or(0, |m| m.starts);
         let seed = self.seed(i, starts);
         let known = self.lists[party].known();
-        let settings = match self.scenario.told_zone {
+        let settings = match self.scenario.zone_aware {
             // The zone by number, as the platform words it.
             true => self.settings.replacen('{', &format!("{{\"az\":{group},"), 1),
             false => self.settings.clone(),
@@ -246,11 +255,11 @@
     }
 
     /// A manager's arguments: its own file of the membership among them, where the fleet keeps a view.
-    pub(super) fn args(&self, i: usize) -> Result<Vec<String>, String> {
+    pub(super) fn args(&self, i: usize) -> Result<Vec<String>, RunError> {
         let mut args = self.program.args.clone();
         if let Some(failover) = &self.scenario.failover {
             let file = self.program.dir.join(format!("n{i}.failover.json5"));
-            std::fs::write(&file, failover.to_string()).map_err(io("failover"))?;
+            std::fs::write(&file, failover.to_string()).map_err(RunError::io("failover"))?;
             args.extend(["--failover".to_owned(), file.display().to_string()]);
         }
         if let Some(m) = &self.scenario.membership {
@@ -265,8 +274,8 @@
                 share: m.share,
             };
             let file = self.program.dir.join(format!("n{i}.membership.json5"));
-            let text = serde_json::to_string(&set).map_err(|e| e.to_string())?;
-            std::fs::write(&file, text).map_err(io("membership"))?;
+            let text = serde_json::to_string(&set)?;
+            std::fs::write(&file, text).map_err(RunError::io("membership"))?;
             args.extend(["--membership".to_owned(), file.display().to_string()]);
         }
         Ok(args)
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -1,6 +1,6 @@
-//! The parts of a scenario that say what there is.
+//! The sections of a scenario: engines, load, membership, supervision, history, subscribers.
 
-use super::acts::Who;
+use super::actions::ManagerSelector;
 use serde::Deserialize;
 use sprucelink_membership::{ProtocolConfig, SharingConfig};
 use std::collections::BTreeMap;
@@ -23,11 +23,11 @@
 pub struct Engines {
     /// How many.
     pub count: usize,
-    /// Of these, so many start cold with the run.
+    /// How many of them are in slow start when the run begins.
     pub cold: usize,
-    /// Of these, the last so many do not exist: the list names them and their ports are closed.
+    /// How many of them, the last ones, are on the endpoint list but do not run.
     pub missing: usize,
-    /// Of these, the first so many work ten times more slowly than they should.
+    /// How many of them, the first ones, are slower by a factor of ten.
     pub slow: usize,
     /// Cores of each.
     pub cores: f64,
@@ -53,7 +53,7 @@
     pub heavy: f64,
     /// How long clients wait, in milliseconds; 100 to 20,000.
     pub timeout_ms: f64,
-    /// Clients of a manager that is down go to another, drawn anew for each request; else they ask nobody.
+    /// While a manager is down, each request of its clients goes to another at random; else it is not sent.
     pub follow: bool,
 }
 
@@ -73,7 +73,7 @@
     pub share: SharingConfig,
 }
 
-/// A TCP port that every manager opens, and through which others reach it by the middle.
+/// A TCP port that every manager opens, and through which others reach it by the fault proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Port {
@@ -87,17 +87,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Supervise {
-    /// One that crashed is started anew, too; else only one that asked for another version (status 75).
+    /// Crashed processes are restarted, too; else only those that request another version (status 75).
     pub crashed: bool,
-    /// So many milliseconds later; 0 to 60,000.
+    /// Delay of a restart, in milliseconds; 0 to 60,000.
     pub back_ms: f64,
-    /// So often in a run, each; then it stays down. 0 to 1,000.
-    pub most: usize,
+    /// Restarts of one manager in a run; after them it stays down. 0 to 1,000.
+    #[serde(rename = "most")]
+    pub max_restarts: usize,
 }
 
 impl Default for Supervise {
     fn default() -> Supervise {
-        Supervise { crashed: false, back_ms: 100.0, most: 100 }
+        Supervise { crashed: false, back_ms: 100.0, max_restarts: 100 }
     }
 }
 
@@ -107,13 +108,14 @@
 pub struct History {
     /// Every connection and command at the engines.
     pub engines: bool,
-    /// Its length in MB at most (1 to 1,024); a run that would write more fails.
-    pub most_mb: u64,
+    /// Its maximum length in MB (1 to 1,024); a run that would write more fails.
+    #[serde(rename = "most_mb")]
+    pub max_mb: u64,
 }
 
 impl Default for History {
     fn default() -> History {
-        History { engines: true, most_mb: 256 }
+        History { engines: true, max_mb: 256 }
     }
 }
 
@@ -136,13 +138,12 @@
     /// Filters, over the subscribers in turn; empty: none.
     pub filters: Vec<String>,
     /// The managers they go to; absent: all.
-    pub to: Option<Who>,
-    /// They leave for another manager after so many seconds in the mean, drawn; 0: never by themselves.
+    pub to: Option<ManagerSelector>,
+    /// Mean time after which a subscriber moves to another manager, in seconds; 0: never.
     pub hop_s: f64,
-    /// How long they wait before they come back, in milliseconds, until they are told (`retry`); half to once and a half
-    /// of it, drawn.
+    /// Time until they reconnect, in milliseconds, until the stream sets it (`retry`); each time 0.5 to 1.5 times that.
     pub retry_ms: f64,
-    /// They take a connection that says nothing for so long for dead, in milliseconds.
+    /// Silence after which they take a connection as dead, in milliseconds.
     pub silent_ms: f64,
     /// Where a record's data, a JSON object, holds the position before it.
     pub prev_at: String,
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -2,20 +2,29 @@
 //! the history, where it goes next and when.
 
 use super::marks::Marked;
-use super::sse::Told;
-use crate::history::MOST_DATA;
+use super::sse::StreamItem;
+use crate::history::MAX_DATA_BYTES;
 use crate::scenario::Subscribers as Spec;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
-use sprucelink_history_checker::cursor::Cursor;
+use sprucelink_history_checker::cursor::{Cursor, ParseCursorError};
 use sprucelink_history_checker::event::Event;
 use std::time::Duration;
 
+/// An event's id is no cursor.
+#[derive(Debug, thiserror::Error)]
+#[error("event {event:?}: {source}")]
+pub struct InvalidEventCursor {
+    /// The event's name.
+    event: String,
+    source: ParseCursorError,
+}
+
 /// The name of an event that stands for all records up to its id.
 const SNAPSHOT: &str = "snapshot";
 /// A `retry` longer than this is taken as this: a manager cannot send a subscriber away for good.
-const LONGEST_RETRY: Duration = Duration::from_secs(60);
+const MAX_RETRY: Duration = Duration::from_secs(60);
 
 /// One subscriber.
 #[derive(Debug)]
@@ -67,18 +76,20 @@
     ///
     /// # Errors
     /// Where an event has no cursor for an id: nothing can be resumed behind it.
-    pub fn take(&mut self, manager: &str, told: Told) -> Result<Vec<Event>, String> {
-        let (name, id, data) = match told {
-            Told::Retry(ms) => {
-                self.retry = Duration::from_millis(ms).min(LONGEST_RETRY);
+    pub fn take(&mut self, manager: &str, item: StreamItem) -> Result<Vec<Event>, InvalidEventCursor> {
+        let (name, id, data) = match item {
+            StreamItem::Retry(ms) => {
+                self.retry = Duration::from_millis(ms).min(MAX_RETRY);
                 return Ok(Vec::new());
             }
-            Told::Event { name, id, data } => (name, id, data),
+            StreamItem::Event { name, id, data } => (name, id, data),
         };
-        let cursor: Cursor = id.parse().map_err(|e| format!("event {name:?}: {e}"))?;
+        let cursor: Cursor =
+            id.parse().map_err(|source| InvalidEventCursor { event: name.clone(), source })?;
         let value: Option<Value> = serde_json::from_str(&data).ok();
         let text = |at: &str| value.as_ref().and_then(|v| v.pointer(at)).and_then(Value::as_str);
-        let (subscriber, manager) = (self.name.clone(), manager.to_owned());
+        let subscriber = self.name.clone();
+        let manager = manager.to_owned();
         let digest = digest(value.as_ref(), &data, &self.spec.prev_at);
         self.cursor = Some(cursor);
         if name == SNAPSHOT {
@@ -99,8 +110,8 @@
         let op = text(&self.spec.op_at).map(str::to_owned);
         let mut all = value.as_ref().map_or(Vec::new(), |v| self.marks.read(&self.spec.marks, &name, v));
         let mut data = data;
-        if data.len() > MOST_DATA {
-            let end = (0..=MOST_DATA).rev().find(|i| data.is_char_boundary(*i)).unwrap_or(0);
+        if data.len() > MAX_DATA_BYTES {
+            let end = (0..=MAX_DATA_BYTES).rev().find(|i| data.is_char_boundary(*i)).unwrap_or(0);
             data.truncate(end);
         }
         all.insert(
@@ -110,7 +121,7 @@
         Ok(all)
     }
 
-    /// A manager has answered that its cursor leads nowhere any more: it begins anew, its state with it.
+    /// Drops the cursor, after a manager has answered that it is no longer valid.
     pub fn forget(&mut self) {
         self.cursor = None;
     }
@@ -123,7 +134,7 @@
         }
     }
 
-    /// How long it waits before it comes back: half to once and a half of what it was told.
+    /// Time until it reconnects: 0.5 to 1.5 times the retry time, drawn at random.
     pub fn wait(&mut self) -> Duration {
         self.retry.mul_f64(self.rng.gen_range(0.5..1.5))
     }
@@ -135,7 +146,7 @@
         (mean > 0.0).then(|| Duration::from_secs_f64(-(1.0 - self.rng.gen::<f64>()).ln() * mean))
     }
 
-    /// Whether it is among a share of the subscribers, drawn anew for each order of a run.
+    /// Whether it is in a random fraction of the subscribers; each order of a run draws its own.
     pub fn among(&self, share: f64, order: u64, seed: u64) -> bool {
         let drawn = ChaCha8Rng::seed_from_u64(seed ^ order << 20 ^ self.number as u64).gen::<f64>();
         drawn < share
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -1,12 +1,17 @@
 //! Server-sent events, read piece by piece as WHATWG's HTML standard words them ("Interpreting an event stream"):
 //! lines end in LF, CR or both; an event is over at an empty line; one without data is none.
 
-/// Bytes of one event at most, its lines together.
-pub const MOST_EVENT: usize = 1 << 20;
+/// Longest event, all its lines together, in bytes.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
+
+/// An event exceeds [`MAX_EVENT_BYTES`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("an event of over {MAX_EVENT_BYTES} bytes")]
+pub struct EventTooLong;
 
 /// What a stream tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum StreamItem {
     /// An event.
     Event {
         /// Its name; empty where none was told.
@@ -36,8 +41,8 @@
     /// Takes the next bytes in and gives what they complete.
     ///
     /// # Errors
-    /// Where an event is over [`MOST_EVENT`]: the stream cannot be read on.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Told>, String> {
+    /// Where an event is over [`MAX_EVENT_BYTES`]: the stream cannot be read on.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<StreamItem>, EventTooLong> {
         let mut out = Vec::new();
         for b in bytes {
             let behind_cr = std::mem::replace(&mut self.after_cr, *b == b'\r');
@@ -49,14 +54,14 @@
                 }
                 b => self.line.push(*b),
             }
-            if self.line.len() + self.data.len() > MOST_EVENT {
-                return Err(format!("an event of over {MOST_EVENT} bytes"));
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
+                return Err(EventTooLong);
             }
         }
         Ok(out)
     }
 
-    fn end_line(&mut self, line: &[u8], out: &mut Vec<Told>) {
+    fn end_line(&mut self, line: &[u8], out: &mut Vec<StreamItem>) {
         let text = String::from_utf8_lossy(line);
         // One byte order mark may lead the stream.
         let text = if std::mem::replace(&mut self.begun, true) {
@@ -65,9 +70,10 @@
             text.trim_start_matches('\u{feff}')
         };
         if text.is_empty() {
-            let (name, data) = (std::mem::take(&mut self.name), std::mem::take(&mut self.data));
+            let name = std::mem::take(&mut self.name);
+            let data = std::mem::take(&mut self.data);
             if std::mem::take(&mut self.has_data) {
-                out.push(Told::Event { name, id: self.id.clone(), data });
+                out.push(StreamItem::Event { name, id: self.id.clone(), data });
             }
             return;
         }
@@ -84,7 +90,7 @@
             }
             "id" if !value.contains('\0') => self.id = value.to_owned(),
             "retry" if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) => {
-                out.extend(value.parse().ok().map(Told::Retry));
+                out.extend(value.parse().ok().map(StreamItem::Retry));
             }
             // Comments (no name before the colon) and fields that are not known.
             _ => {}
