--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -165,8 +165,8 @@
         Some(response)
     }
 
-    /// The Retry-After of a request that is rejected because this process shuts down or engines still warm up; `None`
-    /// if the policy decides.
+    /// The Retry-After of a request that is rejected because this process shuts down, or still warms up after its start;
+    /// `None` if the policy decides.
     fn rejection_before_policy(&mut self, now: Timestamp, pending: usize) -> Option<TimeDelta> {
         if self.send_guard.is_closed(now) {
             return Some(MIN_RETRY_AFTER);
@@ -196,7 +196,7 @@
                 PolicyCommand::SetResources { id, memory_grant_mb, level } => {
                     self.set_resources(runtime.pool(), id, memory_grant_mb, level);
                 }
-                PolicyCommand::Send { id, engine } => queue.extend(self.send(runtime, id, engine)),
+                PolicyCommand::Send { id, engine } => queue.extend(self.start_attempt(runtime, id, engine)),
                 PolicyCommand::Cancel { id, attempt } => {
                     if self.cancel_attempt(runtime.pool(), id, attempt) {
                         let check_at = now() + CANCELLATION_CHECK_INTERVAL;
