--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -4,7 +4,7 @@
 use crate::history;
 use crate::ledger::Sent;
 use crate::report::{Outcomes, Report};
-use crate::scenario::{Scenario, Watch, HALLS};
+use crate::scenario::{Scenario, Watch, ZONES};
 use sprucelink_history_checker::CheckReport;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -78,7 +78,7 @@
 
     /// Fills the table's figures on the zone that a run is about; `began`: the run's start, in Unix seconds.
     pub(super) fn watched(&mut self, scenario: &Scenario, w: &Watch, began: f64) {
-        let zone = HALLS.iter().position(|h| *h == w.zone).unwrap_or(0);
+        let zone = ZONES.iter().position(|h| *h == w.zone).unwrap_or(0);
         let share = |(there, all): (usize, usize)| there as f64 / all.max(1) as f64;
         let end = scenario.seconds;
         let lost = format!("failover state changed event=\"zone {} ejected", w.zone);
--- a/crates/cluster-harness/src/run/partitions.rs
+++ b/crates/cluster-harness/src/run/partitions.rs
@@ -2,7 +2,7 @@
 
 use super::Rig;
 use crate::fault_proxy::Rule;
-use crate::scenario::{New, Sides, HALLS};
+use crate::scenario::{NewConnections, Sides, ZONES};
 use sprucelink_history_checker::event::Event;
 
 impl Rig<'_> {
@@ -10,7 +10,7 @@
     pub(super) fn routes(&self, from: &str, to: &str) -> Vec<(String, String)> {
         let all = |name: &str| -> Vec<String> {
             match name {
-                "engines" => HALLS[..self.scenario.zones].iter().map(|h| (*h).to_owned()).collect(),
+                "engines" => ZONES[..self.scenario.zones].iter().map(|h| (*h).to_owned()).collect(),
                 one => vec![one.to_owned()],
             }
         };
@@ -30,8 +30,8 @@
     pub(super) fn set_partition(&mut self, sides: &Sides, parted: bool) {
         let rule = Rule {
             partition: true,
-            refuse: sides.new == New::Refuse,
-            blackhole: sides.new == New::Blackhole,
+            refuse: sides.new == NewConnections::Refuse,
+            blackhole: sides.new == NewConnections::Blackhole,
             ..Rule::default()
         };
         for a in &sides.from {
@@ -70,8 +70,8 @@
 
     /// Records that the engines at either end of a route are kept from serving, or no longer.
     fn note_engines(&self, from: &str, to: &str, silent: bool) {
-        for hall in [from, to] {
-            let Some(zone) = HALLS.iter().position(|h| *h == hall) else { continue };
+        for party in [from, to] {
+            let Some(zone) = ZONES.iter().position(|name| *name == party) else { continue };
             let here = self.engines.iter().enumerate().filter(|(i, _)| i % self.scenario.zones == zone);
             let on = here.map(|(_, e)| e.id.clone()).collect();
             self.history.note(if silent { Event::FaultBegan { on } } else { Event::FaultEnded { on } });
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -2,7 +2,7 @@
 
 use super::{ProcessState, Rig, RunError};
 use crate::procs::{ProcessExit, Tail};
-use crate::scenario::{GROUPS, HALLS};
+use crate::scenario::{GROUPS, ZONES};
 use crate::template::Values;
 use sprucelink_failpoints::fault_file::{self, DiskFaults, FaultFile};
 use sprucelink_history_checker::event::{Event, ExitCause};
@@ -130,7 +130,7 @@
             ("name", format!("n{i}")),
             ("number", i.to_string()),
             ("group", GROUPS[group].to_owned()),
-            ("zone", HALLS[group].to_owned()),
+            ("zone", ZONES[group].to_owned()),
             ("folder", self.fleet.folder(i).display().to_string()),
             ("version", self.procs[i].version.clone()),
             ("seed", self.seed(i, starts).to_string()),
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -10,7 +10,7 @@
 use crate::ledger::Ledger;
 use crate::lists::{DiscoveryMode, ListService};
 use crate::procs::{self, Fleet, Row};
-use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, HALLS};
+use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, ZONES};
 use crate::subscribers::Subscribers;
 use sprucelink_history_checker::event::{Event, FleetMember};
 use sprucelink_membership::MembershipConfig as Membership;
@@ -37,7 +37,7 @@
 
 /// The managers' settings, with the scenario's zones.
 fn settings_of(scenario: &Scenario) -> String {
-    let zones = format!(r#""zones":{:?}"#, &HALLS[..scenario.zones]);
+    let zones = format!(r#""zones":{:?}"#, &ZONES[..scenario.zones]);
     procs::settings(scenario.managers).replace(r#""zones":["hall-a","hall-b"]"#, &zones)
 }
 
@@ -152,7 +152,7 @@
     fn note_run(&self) {
         let manager = |i: usize| {
             let group = self.scenario.group_of(i);
-            FleetMember { name: format!("n{i}"), zone: HALLS[group].into(), pool: GROUPS[group].into() }
+            FleetMember { name: format!("n{i}"), zone: ZONES[group].into(), pool: GROUPS[group].into() }
         };
         let managers = (0..self.scenario.managers).map(manager).collect();
         let engines = Vec::new();
@@ -180,7 +180,7 @@
                 let path = fault_proxy::tcp(
                     &self.faults,
                     &self.parties[party],
-                    HALLS[number % self.scenario.zones],
+                    ZONES[number % self.scenario.zones],
                     run.address,
                 );
                 let path = path.map_err(RunError::io("fault middle"))?;
@@ -191,7 +191,7 @@
         let since_ms = if cold { unix_ms() } else { 0 };
         let id = name_of(number);
         let name = id.clone();
-        let zone = HALLS[number % self.scenario.zones].into();
+        let zone = ZONES[number % self.scenario.zones].into();
         self.history.note(Event::EngineAdded(FleetMember { name, zone, pool: "std".into() }));
         self.engines.push(Engine { id, run: Some(run), at, paths, phase: "ready", since_ms });
         Ok(())
@@ -212,7 +212,7 @@
 
     pub(super) fn row(&self, party: usize, i: usize) -> Row {
         let e = &self.engines[i];
-        let zone = HALLS[i % self.scenario.zones].into();
+        let zone = ZONES[i % self.scenario.zones].into();
         Row { id: e.id.clone(), at: e.at[party], zone, phase: e.phase, since_ms: e.since_ms }
     }
 
@@ -268,7 +268,7 @@
                 listen: "127.0.0.1:0".into(),
                 advertise: Some(self.members[i].to_string()),
                 seeds: self.members.iter().take(SEEDS).map(SocketAddr::to_string).collect(),
-                zone: HALLS[self.scenario.group_of(i)].into(),
+                zone: ZONES[self.scenario.group_of(i)].into(),
                 region: "rig".into(),
                 protocol: m.protocol,
                 share: m.share,
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -4,7 +4,7 @@
 use super::supervision::CLIENT_GRACE;
 use super::{unix_ms, ProcessState, Rig, RunError};
 use crate::procs::{self, Row};
-use crate::scenario::{Action, FleetRange, ManagerSelector, HALLS};
+use crate::scenario::{Action, FleetRange, ManagerSelector, ZONES};
 use nix::sys::signal::Signal;
 use rand::{Rng as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -201,7 +201,7 @@
 
     /// Restarts all engines of a zone, which are then in slow start.
     fn restart_zone(&mut self, zone: &str) -> Result<(), RunError> {
-        let is_there = |i: &usize| HALLS[i % self.scenario.zones] == zone;
+        let is_there = |i: &usize| ZONES[i % self.scenario.zones] == zone;
         let engines: Vec<usize> = (0..self.engines.len()).filter(is_there).collect();
         for i in &engines {
             self.engines[*i].since_ms = unix_ms();
--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -174,13 +174,13 @@
     /// What a parted side's new TCP connections meet: they come up and say nothing (`hold`, until it is over; the
     /// default), lead nowhere for good (`blackhole`) or are closed (`refuse`).
     #[serde(default)]
-    pub new: New,
+    pub new: NewConnections,
 }
 
 /// What new TCP connections meet in a partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum New {
+pub enum NewConnections {
     /// They come up and are carried once it is over.
     #[default]
     Hold,
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -2,8 +2,8 @@
 
 use super::actions::MAX_TIMES;
 use super::{
-    Action, Call, FailpointFault, InvalidScenario, Scenario, Sides, Step, SubscriberAction, GROUPS, HALLS,
-    MAX_ENGINES, MAX_PAIRED_MANAGERS, MAX_RUN_SECONDS, MAX_SUBSCRIBERS,
+    Action, Call, FailpointFault, InvalidScenario, Scenario, Sides, Step, SubscriberAction, GROUPS,
+    MAX_ENGINES, MAX_PAIRED_MANAGERS, MAX_RUN_SECONDS, MAX_SUBSCRIBERS, ZONES,
 };
 use crate::procs::MAX_MANAGERS;
 use crate::template;
@@ -102,12 +102,12 @@
     }
 
     fn check_zones(&self) -> Result<(), InvalidScenario> {
-        check_range("zones", self.zones as f64, 1.0, HALLS.len() as f64)?;
+        check_range("zones", self.zones as f64, 1.0, ZONES.len() as f64)?;
         if self.zone_aware && self.groups.len() > self.zones {
             return Err(InvalidScenario::MoreGroupsThanZones);
         }
         if let Some(w) = &self.watch {
-            let known = HALLS[..self.zones].contains(&w.zone.as_str());
+            let known = ZONES[..self.zones].contains(&w.zone.as_str());
             known.then_some(()).ok_or_else(|| InvalidScenario::UnknownWatchZone(w.zone.clone()))?;
             check_range("watch.from", w.from, 0.0, self.seconds)?;
             check_range("watch.to", w.to, w.from, self.seconds)?;
@@ -160,10 +160,10 @@
 
     fn party(&self, name: &String) -> Result<(), InvalidScenario> {
         let managers = self.groups_named().any(|g| g == name);
-        let hall = HALLS[..self.zones.min(HALLS.len())].contains(&name.as_str());
+        let zone = ZONES[..self.zones.min(ZONES.len())].contains(&name.as_str());
         let one = self.number_of(name).is_some() && (self.pairs || self.membership.is_some());
         let subscribers = name == "subscribers" && self.subscribers.count > 0;
-        let named = managers || hall || one || subscribers || name == "lists" || name == "engines";
+        let named = managers || zone || one || subscribers || name == "lists" || name == "engines";
         named.then_some(()).ok_or_else(|| InvalidScenario::UnknownParty(name.clone()))
     }
 
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -11,8 +11,8 @@
 mod tests;
 
 pub use actions::{
-    Action, Call, Clocks, FailpointFault, FleetRange, Lists, ManagerSelector, New, ProcessFault, Sides, Step,
-    SubscriberAction,
+    Action, Call, Clocks, FailpointFault, FleetRange, Lists, ManagerSelector, NewConnections, ProcessFault,
+    Sides, Step, SubscriberAction,
 };
 pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
@@ -34,7 +34,7 @@
 /// Managers of a run in which each is a party of its own in the fault proxy: every two need a path for each port.
 pub const MAX_PAIRED_MANAGERS: usize = 32;
 /// Zones of engines, by name. Managers that know their zone are in the first as group `a`, in the second as `b`, ...
-pub const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
+pub const ZONES: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
 /// Groups of managers, by name.
 pub const GROUPS: [&str; 4] = ["a", "b", "c", "d"];
 
--- a/crates/cluster-harness/tests/planted.rs
+++ b/crates/cluster-harness/tests/injected_violations.rs
@@ -1,5 +1,5 @@
 //! The rig on a stand-in for managers: its faults do what they say, a run without a broken rule passes, and one with a
-//! rule broken by a planted fault fails for that rule.
+//! rule broken by an injected violation fails for it.
 use sprucelink_cluster_harness::history;
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
