--- a/crates/capture/src/rules/checker.rs
+++ b/crates/capture/src/rules/checker.rs
@@ -226,7 +226,7 @@
         if window_start < self.start {
             return;
         }
-        let allowed = budget.free_retries + budget.retries_per_request * self.arrivals.len() as f64;
+        let allowed = budget.max_retries(self.arrivals.len() as u64, 0.0);
         if self.retries.len() as f64 > allowed {
             let retries = self.retries.len();
             let why = format!("{retries} further attempts in a span that allows {allowed:.1}");
