--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -20,6 +20,7 @@
     pub(crate) fn of(outcome: Outcome) -> HealthEvidence {
         match outcome {
             Outcome::Succeeded => HealthEvidence::Success,
+            // An attempt that is stuck ends as cancelled; `OutlierDetector` judges silence.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => HealthEvidence::None,
             // An engine that rejects for its load counts as failing, so that the traffic moves to others.
             Outcome::EngineError
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::snapshot::StoredEngine;
 use sprucelink_rate_limits::RecentSet;
 use sprucelink_stable_hash::SplitMix64;
-use sprucelink_time::Timestamp;
+use sprucelink_time::{TimeDelta, Timestamp};
 
 /// Table groups sent to an engine last that are taken to be cached there: engines do not report them.
 const CACHED_TABLE_GROUPS: usize = 4;
@@ -96,7 +96,7 @@
         table_group: u64,
         settings: &Settings,
     ) {
-        self.health.charge_send(now, self.own_attempts == 0);
+        self.health.record_send(now, self.own_attempts == 0);
         self.slow_start.charge_send(now, charge, settings);
         self.last_send = Some(now);
         self.own_threads += threads;
@@ -110,10 +110,20 @@
         self.own_attempts -= 1;
     }
 
-    /// Its slow start begins again: it probably restarts, which the list will say later. If the list then has
-    /// an earlier start than `now`, the new process is not seen as one, and its health is not reset.
-    pub(crate) fn restart_slow_start(&mut self, now: Timestamp) {
-        self.started_at = Some(now);
+    /// A connection to it failed. After enough failures it probably restarts, which the list will say later:
+    /// its slow start begins again. If the list then has an earlier start than `now`, the new process is not
+    /// seen as one, and its health is not reset.
+    pub(crate) fn record_connect_failure(&mut self, now: Timestamp, slow_start_duration: TimeDelta) {
+        self.health.record_connect_failure(now);
+        if self.health.has_probably_restarted() && slow_start_duration > TimeDelta::ZERO {
+            self.started_at = Some(now);
+        }
+    }
+
+    /// It rejected a request for its load.
+    pub(crate) fn record_rejection(&mut self, now: Timestamp) {
+        self.load.assume_full(now, self.cores);
+        self.health.back_off_from_full_engine(now);
     }
 
     /// The record of an engine that came back after the list had it as gone. Another engine may come under
@@ -147,7 +157,7 @@
         if is_new_process {
             self.health.reset_for_new_process(now);
             self.recent_tables.clear();
-            self.slow_start.draw_sample(now, settings, random);
+            self.slow_start.draw_sender(now, settings, random);
         }
         self.is_listed = entry.state == EngineState::Ready;
         self.zone = entry.zone;
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -40,7 +40,7 @@
     last_response: Timestamp,
     /// When it may get a trial while it is ejected.
     next_trial: Timestamp,
-    /// Nothing is sent before.
+    /// Nothing is sent before, unless no eligible engine is healthy.
     backoff_until: Timestamp,
     /// Failed connections in a row.
     connect_failures: u32,
@@ -51,7 +51,7 @@
     overdue_attempts: u32,
     /// Fraction of recent attempts that failed.
     failure_rate: MovingAverage,
-    /// It gets a trial now and then only.
+    /// It gets a trial now and then only, unless no eligible engine is healthy.
     is_ejected: bool,
 }
 
@@ -96,7 +96,7 @@
     }
 
     /// An attempt is sent to it. Silence counts from the first attempt on that it has to answer.
-    pub(crate) fn charge_send(&mut self, now: Timestamp, was_idle: bool) {
+    pub(crate) fn record_send(&mut self, now: Timestamp, was_idle: bool) {
         if was_idle {
             self.last_response = now;
         }
--- a/crates/policy/src/engine_health/tests.rs
+++ b/crates/policy/src/engine_health/tests.rs
@@ -62,7 +62,7 @@
 #[test]
 fn engine_most_of_whose_attempts_are_overdue_is_unresponsive_until_it_answers() {
     let mut health = EngineHealth::default();
-    health.charge_send(at(0), true);
+    health.record_send(at(0), true);
     let mut attempts = [attempt(at(0)), attempt(at(0)), attempt(at(700))];
     let mut update = |health: &mut EngineHealth, now: Timestamp| {
         health.clear_overdue_attempts();
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -187,7 +187,7 @@
         outcome: Outcome,
         /// Time since it was sent.
         latency: TimeDelta,
-        /// The client has its response.
+        /// The request is over: its client has the response, or has gone.
         complete: bool,
         /// The resources it used, where reported.
         #[serde(rename = "bill")]
@@ -228,7 +228,7 @@
     /// over.
     #[serde(rename = "Fleet")]
     FleetChanged {
-        /// Gateways, this one included.
+        /// Managers that share the capacity, this one included; in a hot restart each process counts.
         gateways: u32,
         /// Retries left over by others.
         #[serde(rename = "spare")]
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -81,7 +81,7 @@
     }
 
     /// An attempt is sent to an engine of the zone.
-    pub(crate) fn charge_send(&mut self, now: Timestamp, zone: u32) {
+    pub(crate) fn record_send(&mut self, now: Timestamp, zone: u32) {
         self.zones.entry(zone).or_default().next_trial = now + TRIAL_INTERVAL;
     }
 
--- a/crates/policy/src/outlier_detection/tests.rs
+++ b/crates/policy/src/outlier_detection/tests.rs
@@ -28,7 +28,7 @@
 
 fn end(outliers: &mut OutlierDetector, engine: u32, sent_at: Timestamp, outcome: Outcome) {
     let attempt = attempt(engine, sent_at);
-    outliers.charge_send(sent_at, ZONE);
+    outliers.record_send(sent_at, ZONE);
     outliers.record_outcome(sent_at, ZONE, &attempt, outcome);
 }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -125,7 +125,13 @@
                 self.dispatch_queued(out);
             }
             Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } => {
-                let ended = attempts::EndedAttempt { outcome, latency, complete, query_cost, report };
+                let ended = attempts::EndedAttempt {
+                    outcome,
+                    latency,
+                    is_request_over: complete,
+                    query_cost,
+                    report,
+                };
                 self.on_attempt_end(id, attempt, &ended, out);
                 self.dispatch_queued(out);
             }
@@ -154,8 +160,8 @@
         }
     }
 
-    fn on_fleet_change(&mut self, managers: u32, spare_retries: f64) {
-        self.settings.gateways = managers.max(1);
+    fn on_fleet_change(&mut self, capacity_shares: u32, spare_retries: f64) {
+        self.settings.gateways = capacity_shares.max(1);
         self.settings.spare_retries = spare_retries;
     }
 
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -14,8 +14,8 @@
     pub(super) outcome: Outcome,
     /// Time since it was sent.
     pub(super) latency: TimeDelta,
-    /// The client has its response.
-    pub(super) complete: bool,
+    /// The request is over: its client has the response, or has gone.
+    pub(super) is_request_over: bool,
     /// The resources that it used, where reported.
     pub(super) query_cost: Option<QueryCost>,
     /// The engine's load report.
@@ -87,7 +87,8 @@
             request.may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
         }
         request.errors += u32::from(ended.outcome == Outcome::EngineError);
-        request.is_answered |= ended.complete;
+        request.is_answered |= ended.is_request_over;
+        // In force in the simulator only: the program gives its policy requests without a key.
         if let Some(key) = request.key.as_ref().filter(|_| may_still_run(ended.outcome)) {
             self.key_order.block(key, self.now + self.settings.key_settle_time);
         }
@@ -113,18 +114,9 @@
         let engine = &mut self.engines[attempt.engine];
         match ended.outcome {
             Outcome::ConnectFailed => {
-                engine.health.record_connect_failure(self.now);
-                if engine.health.has_probably_restarted()
-                    && self.settings.slow_start_duration > TimeDelta::ZERO
-                {
-                    engine.restart_slow_start(self.now);
-                }
-            }
-            Outcome::RejectedByEngine => {
-                let cores = engine.cores();
-                engine.load.assume_full(self.now, cores);
-                engine.health.back_off_from_full_engine(self.now);
+                engine.record_connect_failure(self.now, self.settings.slow_start_duration);
             }
+            Outcome::RejectedByEngine => engine.record_rejection(self.now),
             _ => {}
         }
     }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -117,7 +117,7 @@
         self.own_load.add(threads);
         let engine = &mut self.engines[to];
         engine.charge_send(self.now, threads, charge, request.table_group, &self.settings);
-        self.outliers.charge_send(self.now, engine.zone());
+        self.outliers.record_send(self.now, engine.zone());
         request.in_flight = Some(Attempt {
             engine: to,
             number: request.attempts,
--- a/crates/policy/src/policy/ticks.rs
+++ b/crates/policy/src/policy/ticks.rs
@@ -33,7 +33,7 @@
         for (_, engine) in self.engines.iter_mut() {
             let own_threads = engine.own_threads();
             engine.load.update_average(own_threads);
-            engine.slow_start.draw_sample_if_due(self.now, &self.settings, &mut self.random);
+            engine.slow_start.redraw_sender_if_due(self.now, &self.settings, &mut self.random);
         }
     }
 
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -14,6 +14,7 @@
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
     pub(crate) number: u32,
+    /// When the policy sent it; its first byte may leave later.
     pub(crate) sent_at: Timestamp,
     /// When its last progress note came, otherwise when it was sent.
     pub(crate) last_progress: Timestamp,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -139,7 +139,7 @@
     /// Factor on the value of a request beyond its tenant's quota.
     #[serde(rename = "over_share_worth")]
     pub over_quota_value_factor: f64,
-    /// Number of managers in this tier, this one included.
+    /// Managers that share the fleet's capacity, this one included; in a hot restart each process counts.
     pub gateways: u32,
     /// This manager's index among them. Kept for captures; no rule reads it.
     pub position: u32,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -152,8 +152,8 @@
         let fits = spent + charge <= parts.fitting;
         let fleet_budget = budget * f64::from(self.settings.gateways);
         let is_light = charge * MIN_QUERIES_IN_FLEET_BUDGET <= fleet_budget;
-        let is_sampled = || spent <= 0.0 && used.sample * charge < parts.sampled;
-        fits || (is_light && is_sampled())
+        let is_sampled_sender = || spent <= 0.0 && used.sender_draw * charge < parts.sampled;
+        fits || (is_light && is_sampled_sender())
     }
 }
 
@@ -164,8 +164,8 @@
     charges: SumWindow,
     /// A random number from 0 to 1, drawn for each window: the manager may send where it lies below the
     /// fraction of managers that may.
-    sample: f64,
-    next_sample: Timestamp,
+    sender_draw: f64,
+    next_sender_draw: Timestamp,
 }
 
 impl SlowStartBudget {
@@ -184,34 +184,34 @@
     }
 
     /// Draws the number for the window that starts now.
-    pub(crate) fn draw_sample(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
-        self.sample = random.next_unit();
-        self.next_sample = now + settings.slow_start_window;
+    pub(crate) fn draw_sender(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
+        self.sender_draw = random.next_unit();
+        self.next_sender_draw = now + settings.slow_start_window;
     }
 
     /// Draws a new number once its window has passed.
-    pub(crate) fn draw_sample_if_due(
+    pub(crate) fn redraw_sender_if_due(
         &mut self,
         now: Timestamp,
         settings: &Settings,
         random: &mut SplitMix64,
     ) {
-        if now >= self.next_sample {
-            self.draw_sample(now, settings, random);
+        if now >= self.next_sender_draw {
+            self.draw_sender(now, settings, random);
         }
     }
 
     pub(crate) fn store(&self, stored: &mut StoredEngine) {
         stored.recent_charges = self.charges.clone();
-        stored.lottery = self.sample;
-        stored.next_lottery = self.next_sample;
+        stored.lottery = self.sender_draw;
+        stored.next_lottery = self.next_sender_draw;
     }
 
     pub(crate) fn restore(stored: &mut StoredEngine) -> SlowStartBudget {
         SlowStartBudget {
             charges: std::mem::take(&mut stored.recent_charges),
-            sample: stored.lottery,
-            next_sample: stored.next_lottery,
+            sender_draw: stored.lottery,
+            next_sender_draw: stored.next_lottery,
         }
     }
 }
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -75,7 +75,7 @@
     let mut used = SlowStartBudget::default();
     let mut senders = 0;
     for _ in 0..10_000 {
-        used.draw_sample(at(100_000), &settings, &mut random);
+        used.draw_sender(at(100_000), &settings, &mut random);
         senders += u32::from(limits.allows(light, CORES, started_at, &used));
     }
     let expected = fraction * 10_000.0;
@@ -94,7 +94,7 @@
     let mut used = SlowStartBudget::default();
     let mut senders = 0;
     for _ in 0..10_000 {
-        used.draw_sample(at(100_000), &settings, &mut random);
+        used.draw_sender(at(100_000), &settings, &mut random);
         assert!(limits.allows(light, cores, started_at, &used));
         senders += u32::from(limits.allows(heavy, cores, started_at, &used));
     }
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -196,8 +196,8 @@
         self.coordinator.borrow_mut().set_shutdown_deadline(deadline);
     }
 
-    /// Gives every pending request its final response now, because this process shuts down: those that cannot have run
-    /// are rejected, the others fail. Returns their number.
+    /// Gives every pending request its final response now, because this process shuts down, as
+    /// `shutdown_response` chooses it. Returns their number.
     pub fn complete_all(self: &Rc<Self>) -> usize {
         self.coordinator.borrow_mut().complete_all(self)
     }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -99,7 +99,7 @@
     /// The connection that carries it.
     pub(super) connection: Rc<EngineConnection>,
     /// When it was queued to its connection.
-    pub(super) sent_at: Timestamp,
+    pub(super) queued_at: Timestamp,
     /// The time left that its command gives its engine.
     pub(super) sent_time_left: TimeDelta,
     /// It was authorized to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
@@ -119,18 +119,18 @@
 }
 
 impl InFlightAttempt {
-    /// An attempt that was queued to a connection at `sent_at`, with a command that gives `sent_time_left` as its
+    /// An attempt that was queued to a connection at `queued_at`, with a command that gives `sent_time_left` as its
     /// deadline.
     pub(super) fn new(
         number: u32,
         connection: Rc<EngineConnection>,
-        sent_at: Timestamp,
+        queued_at: Timestamp,
         sent_time_left: TimeDelta,
     ) -> InFlightAttempt {
         InFlightAttempt {
             number,
             connection,
-            sent_at,
+            queued_at,
             sent_time_left,
             is_authorized: false,
             result: ResultSet::default(),
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -253,11 +253,11 @@
     pub(super) fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Vec<PolicyCommand> {
         let Some(attempt) = self.requests.take_in_flight(id) else { return Vec::new() };
         attempt.connection.release(id, outcome != AttemptOutcome::Served);
-        let latency = now() - attempt.sent_at;
+        let latency = now() - attempt.queued_at;
         if let Some(request) = self.requests.get_mut(id) {
             log_end(id, request, &attempt, outcome, latency);
             if !outcome.never_ran() {
-                request.may_have_run_since.get_or_insert(attempt.sent_at);
+                request.may_have_run_since.get_or_insert(attempt.queued_at);
             }
         }
         let end = AttemptEnd {
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -62,8 +62,8 @@
         commands
     }
 
-    /// Gives every pending request its final response, because this process shuts down: those that cannot have run are
-    /// rejected, the others fail. Returns their number.
+    /// Gives every pending request its final response, because this process shuts down ([`shutdown_response`]). Returns
+    /// their number.
     pub(in crate::core) fn complete_all(&mut self, runtime: &dyn ConnectionRuntime) -> usize {
         let ids = self.requests.awaited_ids();
         for id in &ids {
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -38,8 +38,8 @@
         /// When the client should retry.
         retry_after: TimeDelta,
     },
-    /// Failed: an attempt may have run, and a retry by the client may run it twice. The responses that the core gives by
-    /// itself, at the deadline or the shutdown deadline, are of this kind whatever the class.
+    /// Failed: an attempt may have run, and a retry by the client may run it twice. The response that the core gives by
+    /// itself at the deadline is of this kind always, the one at a shutdown by `shutdown_response`.
     Failed {
         /// Why.
         reason: UnservedReason,
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -30,7 +30,7 @@
     pub(super) arrived_at: Timestamp,
     /// The client's estimate of its work, in milliseconds on one core, or 0.
     pub(super) cost_ms: f64,
-    /// When its client stops waiting or this process ends, whichever is first.
+    /// When its client stops waiting. For a request submitted after SIGTERM: at the latest the shutdown deadline.
     pub(super) deadline: Timestamp,
     /// Memory granted to its next attempt, in MB; `None`: the engine chooses.
     pub(super) memory_grant_mb: Option<f64>,
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -4,9 +4,11 @@
 //! whether the attempt may be sent, with the reason if not. State: the retry budget's window and the shutdown deadline.
 //!
 //! The policy selected the engine some time ago. Since then the attempt may have waited for its connection, for a slow
-//! peer, or for the processor. Every rule on what is sent is checked here again, on the present state. An attempt that
-//! fails a check is withdrawn; it was never sent, so its request loses nothing but time. This is no second decision: the
-//! policy's own rules on retries apply ([`RetryRule`], [`RetryBudgetSettings::has_capacity`]).
+//! peer, or for the processor. Five rules are checked here again, on the present state: the request is open, the deadline
+//! has not passed, the engine is ready, the class allows a retry ([`RetryRule::may_run_again`]), and the retry budget has
+//! capacity ([`RetryBudgetSettings::has_capacity`]). The others hold from the selection: number of attempts,
+//! deduplication group, slow start, health. An attempt that fails a check is withdrawn; it was never sent, so its request
+//! loses nothing but time.
 
 use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -24,14 +24,14 @@
 /// scheduled are read only now, and a new connection needs several polls of the event loop until its first request is read.
 const IDLE_CHECKS: u32 = 5;
 
-/// The instants of a shutdown.
+/// The instants of a shutdown, and the span that they depend on.
 #[derive(Clone, Copy)]
 struct Schedule {
     /// The longest deadline of an open request, as far as it is waited for.
     deadline_wait: Duration,
-    /// The process ends by now.
+    /// The process ends at this instant at the latest.
     stop_at: Instant,
-    /// Every open request gets its final response by now.
+    /// Every request that is still open at this instant gets its final response.
     answer_at: Instant,
 }
 
@@ -43,7 +43,7 @@
         Schedule { deadline_wait, stop_at, answer_at: stop_at - ANSWER_MARGIN }
     }
 
-    /// Time until [`Schedule::answer_at`], counted from the start of the shutdown.
+    /// Time until [`Schedule::answer_at`], counted from the start of the shutdown: the core has a clock of its own.
     fn answer_period(&self) -> TimeDelta {
         let period = ACCEPT_PERIOD + self.deadline_wait - ANSWER_MARGIN;
         TimeDelta::from_micros(period.as_micros() as i64)
@@ -57,7 +57,7 @@
         hot_restart.begin_stop();
     }
     let schedule = Schedule::new(server.longest_deadline, server.hot_restart.is_some());
-    // A request that could not complete by then is not forwarded any more.
+    // From then on nothing is forwarded. Requests that arrive until then get it as their deadline.
     server.core.set_shutdown_deadline(now() + schedule.answer_period());
     sleep(ACCEPT_PERIOD).await;
     // The timer may fire before the sockets are polled where this process was not scheduled in between.
@@ -95,7 +95,7 @@
     }
 }
 
-/// Gives every open request its final response: those that cannot have run are rejected, the others fail.
+/// Gives every open request its final response, as `shutdown_response` of the core chooses it.
 fn complete_all(server: &Server) {
     let answered = server.core.complete_all();
     if answered > 0 {
