--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -2,7 +2,7 @@
 //! once, write slowly, leave early or cancel.
 
 use crate::judge::Rule;
-use crate::manager::ManagerEndpoint;
+use crate::manager_endpoint::ManagerEndpoint;
 use crate::world::{World, CLASSES};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`world`]: what is known of every request, engine and manager while a run goes on;
 //! - [`engine`], [`feed`], [`client`]: the stand-ins;
-//! - [`manager`]: processes, by their own ids only;
+//! - [`manager`]: processes, by their own ids only; [`manager_endpoint`]: what clients know of one;
 //! - [`shim`]: the library in `shim/syscall_faults.c`, and which calls it fails;
 //! - [`nemesis`]: what goes wrong when, drawn from the seed;
 //! - [`judge`]: the rules;
@@ -18,6 +18,7 @@
 pub mod feed;
 pub mod judge;
 pub mod manager;
+pub mod manager_endpoint;
 pub mod nemesis;
 pub mod shim;
 pub mod soak;
--- a/crates/fault-soak/src/manager.rs
+++ b/crates/fault-soak/src/manager.rs
@@ -2,6 +2,7 @@
 
 use crate::client;
 use crate::judge::Rule;
+use crate::manager_endpoint::{Incarnation, ManagerEndpoint};
 use crate::shim::{SyscallFaults, VARIABLE};
 use crate::world::World;
 use nix::sys::signal::{kill, Signal};
@@ -11,85 +12,13 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// A process that starts must serve within this.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 /// After SIGTERM a process that has not ended is killed after the longest deadline (3 s at most), and 0.7 s more.
 const END_WITHIN: Duration = Duration::from_millis(3_700);
-/// New connections come for this long after SIGTERM.
-const CONNECTIONS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// Requests on open connections come for this long after SIGTERM.
-const REQUESTS_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// A request that comes later than this after SIGTERM needs no answer.
-const ANSWERED_AFTER_SIGTERM: Duration = Duration::from_millis(700);
-
-/// One process of a manager, from its start on.
-#[derive(Clone, Copy, Debug)]
-struct Incarnation {
-    started_at: Instant,
-    is_up: bool,
-    terminated_at: Option<Instant>,
-    was_killed: bool,
-}
-
-/// What clients know of a manager.
-pub struct ManagerEndpoint {
-    /// Its number.
-    pub number: usize,
-    /// Where its clients connect, the same after a restart.
-    pub address: SocketAddr,
-    /// Its processes, in order.
-    incarnations: Mutex<Vec<Incarnation>>,
-}
-
-impl ManagerEndpoint {
-    fn incarnations(&self) -> MutexGuard<'_, Vec<Incarnation>> {
-        self.incarnations.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Its last process.
-    fn incarnation(&self) -> Option<Incarnation> {
-        self.incarnations().last().copied()
-    }
-
-    fn change(&self, change: impl FnOnce(&mut Incarnation)) {
-        if let Some(incarnation) = self.incarnations().last_mut() {
-            change(incarnation);
-        }
-    }
-
-    /// Whether it serves, and SIGTERM came less than this ago, if it did.
-    fn is_up_until(&self, after_sigterm: Duration) -> bool {
-        let is_within = |incarnation: &Incarnation| {
-            incarnation.terminated_at.is_none_or(|at| at.elapsed() < after_sigterm)
-        };
-        self.incarnation().is_some_and(|incarnation| incarnation.is_up && is_within(&incarnation))
-    }
-
-    /// Whether clients make new connections to it.
-    pub fn takes_connections(&self) -> bool {
-        self.is_up_until(CONNECTIONS_AFTER_SIGTERM)
-    }
-
-    /// Whether clients send requests on open connections.
-    pub fn takes_requests(&self) -> bool {
-        self.is_up_until(REQUESTS_AFTER_SIGTERM)
-    }
-
-    /// Whether it must answer a request that was sent at this time, on a connection that was opened at `opened`.
-    pub fn must_answer(&self, opened: Instant, sent: Instant) -> bool {
-        let incarnations = self.incarnations();
-        let Some(incarnation) =
-            incarnations.iter().rev().find(|incarnation| incarnation.started_at <= opened)
-        else {
-            return false;
-        };
-        !incarnation.was_killed
-            && incarnation.terminated_at.is_none_or(|at| sent <= at + ANSWERED_AFTER_SIGTERM)
-    }
-}
 
 /// What all managers of a run share.
 pub struct Deployment {
@@ -124,7 +53,7 @@
     /// No free port.
     pub fn new(number: usize, world: &Arc<World>) -> io::Result<Manager> {
         let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let endpoint = ManagerEndpoint { number, address, incarnations: Mutex::default() };
+        let endpoint = ManagerEndpoint::new(number, address);
         let name = format!("n{number}");
         Ok(Manager { endpoint: Arc::new(endpoint), name, child: None, starts: 0, world: Arc::clone(world) })
     }
