--- a/crates/cordon/src/state.rs
+++ b/crates/cordon/src/state.rs
@@ -64,7 +64,7 @@
     }
 
     /// The endpoint list names the engine, in whatever phase. Cordons stay as they are.
-    pub fn note_listed(&mut self, id: &str) {
+    pub fn mark_listed(&mut self, id: &str) {
         // A list with names that no call could hold must not fill the memory of ids.
         if validate_engine_id(id).is_ok() {
             self.known_ids.set_listed(engine_id_hash(id), true);
@@ -73,7 +73,7 @@
 
     /// The endpoint list names the engine no longer, or lists it as gone. Cordons stay as they are, and so does the
     /// memory that it was listed, within [`CordonLimits::max_known_ids`].
-    pub fn note_unlisted(&mut self, id: &str) {
+    pub fn mark_unlisted(&mut self, id: &str) {
         self.known_ids.set_listed(engine_id_hash(id), false);
     }
 
--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -25,7 +25,7 @@
 #[test]
 fn cordon_is_rejected_at_the_limit_and_a_repeat_is_accepted() {
     let mut state = small_state();
-    ["a", "b", "c", "d"].iter().for_each(|id| state.note_listed(id));
+    ["a", "b", "c", "d"].iter().for_each(|id| state.mark_listed(id));
     for id in ["a", "b", "c"] {
         assert_eq!(state.cordon(NOW, &engine(id), CordonRequest::Operator, ""), Ok(CordonOutcome::Cordoned));
     }
@@ -47,8 +47,8 @@
     let mut state = small_state();
     let long = "x".repeat(15);
     let other = "y".repeat(15);
-    state.note_listed(&long);
-    state.note_listed(&other);
+    state.mark_listed(&long);
+    state.mark_listed(&other);
     state.cordon(NOW, &engine(&long), CordonRequest::Operator, "").expect("fits");
     assert_eq!(
         state.cordon(NOW, &engine(&other), CordonRequest::Operator, ""),
@@ -65,7 +65,7 @@
 fn tombstone_of_the_lowest_version_is_evicted_first() {
     let mut state = small_state();
     for (n, id) in ["a", "b", "c"].iter().enumerate() {
-        state.note_listed(id);
+        state.mark_listed(id);
         state
             .uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), Cause::Operator)
             .expect("accepted");
@@ -79,7 +79,7 @@
 fn merge_over_the_limit_reports_how_many_records_it_left_out() {
     let mut large = CordonState::new(CordonLimits::default());
     for i in 0..5 {
-        large.note_listed(&format!("{i}"));
+        large.mark_listed(&format!("{i}"));
         large.cordon(NOW, &engine(&format!("{i}")), CordonRequest::Operator, "").expect("accepted");
     }
     let mut state = small_state();
@@ -92,14 +92,14 @@
 fn invalid_targets_and_leases_are_rejected_and_long_reasons_truncated() {
     let mut state = CordonState::new(CordonLimits::default());
     let longest = "e".repeat(MAX_ENGINE_ID_BYTES);
-    state.note_listed(&longest);
-    state.note_listed("e");
+    state.mark_listed(&longest);
+    state.mark_listed("e");
     assert_eq!(
         state.cordon(NOW, &engine(&longest), CordonRequest::Operator, ""),
         Ok(CordonOutcome::Cordoned)
     );
     for id in ["", "a\nb", &"e".repeat(MAX_ENGINE_ID_BYTES + 1)] {
-        state.note_listed(id);
+        state.mark_listed(id);
         assert_eq!(
             state.cordon(NOW, &engine(id), CordonRequest::Operator, ""),
             Err(CordonError::InvalidTarget)
@@ -129,7 +129,7 @@
 #[test]
 fn cordon_lasts_until_uncordoned_whatever_the_list_says() {
     let mut state = CordonState::new(CordonLimits::default());
-    state.note_listed("e");
+    state.mark_listed("e");
     assert_eq!(state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"), Ok(CordonOutcome::Cordoned));
     let permit = CordonRequest::Fleet { permit: 3, lease_expires_at: NOW + TimeDelta::from_micros(1_000) };
     assert_eq!(state.cordon(NOW, &engine("e"), permit, "release"), Ok(CordonOutcome::AlreadyCordoned));
@@ -137,9 +137,9 @@
         state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"),
         Ok(CordonOutcome::AlreadyCordoned)
     );
-    state.note_unlisted("e");
+    state.mark_unlisted("e");
     assert!(state.is_engine_cordoned("e") && state.cordoned_engine_count() == 1);
-    state.note_listed("e");
+    state.mark_listed("e");
     assert!(state.is_engine_cordoned("e"));
     let outcome = state.uncordon(NOW, &engine("e"), Cause::Operator);
     assert_eq!(
@@ -147,7 +147,7 @@
         Ok(CordonOutcome::StillCordoned { cause: Cause::Fleet { permit: 3 } }),
         "the fleet's stays active"
     );
-    state.note_unlisted("e");
+    state.mark_unlisted("e");
     assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Fleet { permit: 3 }), Ok(CordonOutcome::Uncordoned));
     assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Operator), Ok(CordonOutcome::NotCordoned));
     assert!(!state.is_engine_cordoned("e") && state.cordoned_engine_count() == 0);
@@ -157,12 +157,12 @@
 #[test]
 fn cordoned_id_is_remembered_past_the_limit() {
     let mut state = small_state();
-    state.note_listed("e");
+    state.mark_listed("e");
     state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("accepted");
-    state.note_unlisted("e");
+    state.mark_unlisted("e");
     for i in 0..50 {
-        state.note_listed(&format!("{i}"));
-        state.note_unlisted(&format!("{i}"));
+        state.mark_listed(&format!("{i}"));
+        state.mark_unlisted(&format!("{i}"));
     }
     assert!(state.was_ever_listed("e") && !state.was_ever_listed("0") && state.was_ever_listed("49"));
     assert_eq!(state.sizes().known_ids, 8);
--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -73,7 +73,7 @@
     ) {
         let mut processes = [CordonState::new(CordonLimits::default()), CordonState::new(CordonLimits::default())];
         for process in &mut processes {
-            (1..4).for_each(|index| process.note_listed(&format!("s-{index}")));
+            (1..4).for_each(|index| process.mark_listed(&format!("s-{index}")));
         }
         let mut last_call = [false; 4];
         for (number, (at, index, cordoned, exchange)) in calls.iter().enumerate() {
@@ -112,7 +112,7 @@
 
 fn state_with(listed: &[&str]) -> CordonState {
     let mut state = CordonState::new(CordonLimits::default());
-    listed.iter().for_each(|id| state.note_listed(id));
+    listed.iter().for_each(|id| state.mark_listed(id));
     state
 }
 
--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -193,10 +193,10 @@
             let at = Timestamp::from_micros(now);
             match &step {
                 Step::Listed(index) => {
-                    real.note_listed(&format!("s-{index}"));
+                    real.mark_listed(&format!("s-{index}"));
                     model.ever_listed.insert(*index);
                 }
-                Step::Unlisted(index) => real.note_unlisted(&format!("s-{index}")),
+                Step::Unlisted(index) => real.mark_unlisted(&format!("s-{index}")),
                 Step::Cordon(index, permit, lease) => {
                     let lease = i64::from(*lease) * TICK;
                     let expected = model.cordon(*index, *permit, now, lease);
--- a/crates/hot-restart/examples/cost.rs
+++ b/crates/hot-restart/examples/cost.rs
@@ -29,7 +29,7 @@
 fn cordon_state(engines: usize, cordons: usize, now: Timestamp) -> CordonState {
     let mut state = CordonState::new(CordonLimits::default());
     for i in 0..engines {
-        state.note_listed(&format!("s-{i:08x}"));
+        state.mark_listed(&format!("s-{i:08x}"));
     }
     for i in 0..cordons {
         let target = Target::Engine(format!("s-{i:08x}"));
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -215,7 +215,7 @@
     let reason = "w".repeat(MAX_REASON_BYTES);
     for (index, permit) in permits.enumerate() {
         let id = format!("{index:0id_bytes$}");
-        state.note_listed(&id);
+        state.mark_listed(&id);
         let request = CordonRequest::Fleet { permit, lease_expires_at: after(1) };
         state.cordon(now, &Target::Engine(id), request, &reason).expect("within the limits");
     }
@@ -226,7 +226,7 @@
         let target = Target::Engine(format!("{index:0id_bytes$}"));
         state.cordon(after(3), &target, request, &reason).expect("within the limits");
     }
-    (0..limits.max_known_ids).for_each(|index| state.note_listed(&format!("s-{index}")));
+    (0..limits.max_known_ids).for_each(|index| state.mark_listed(&format!("s-{index}")));
     state
 }
 
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -125,7 +125,7 @@
             disturbed_at: 0,
             is_dead: false,
         };
-        ENGINES.iter().for_each(|id| process.cordons.note_listed(id));
+        ENGINES.iter().for_each(|id| process.cordons.mark_listed(id));
         process.merge_scan(Timestamp::from_micros(self.now), scan);
         self.processes.push(process);
     }
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -116,14 +116,14 @@
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
-                EndpointPhase::Gone => self.cordons.note_unlisted(&member.id),
-                EndpointPhase::Ready | EndpointPhase::Draining => self.cordons.note_listed(&member.id),
+                EndpointPhase::Gone => self.cordons.mark_unlisted(&member.id),
+                EndpointPhase::Ready | EndpointPhase::Draining => self.cordons.mark_listed(&member.id),
             }
         }
         if list.complete {
             let named: BTreeSet<&str> = list.members.iter().map(|member| member.id.as_str()).collect();
             let omitted = self.engines.iter().filter(|e| e.is_listed() && !named.contains(e.id.as_str()));
-            omitted.for_each(|engine| self.cordons.note_unlisted(&engine.id));
+            omitted.for_each(|engine| self.cordons.mark_unlisted(&engine.id));
         }
     }
 
