--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -31,7 +31,7 @@
 }
 
 /// A hash as a fraction, in [0, 1): a multiple of 2^-53, which an `f64` represents exactly.
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     let mantissa = hash >> (u64::BITS - f64::MANTISSA_DIGITS);
     mantissa as f64 / (1u64 << f64::MANTISSA_DIGITS) as f64
 }
--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -37,7 +37,7 @@
 
     /// The next number in [0, 1), a multiple of 2^-53.
     pub fn next_unit(&mut self) -> f64 {
-        crate::unit(self.next_u64())
+        crate::unit_interval(self.next_u64())
     }
 
     /// Draws up to `count` items without replacement, each of those left with an equal chance; the last item of the
--- a/crates/startup/src/dial_pacer.rs
+++ b/crates/startup/src/dial_pacer.rs
@@ -10,7 +10,7 @@
 use crate::{from_millis, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
-use sprucelink_stable_hash::{stable_hash, unit};
+use sprucelink_stable_hash::{stable_hash, unit_interval};
 
 /// Settings of new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
 
     /// Where in the window this manager's slot for `engine` lies, as a fraction of it.
     pub fn slot_fraction(&self, engine: &str) -> f64 {
-        unit(stable_hash(&[&self.manager_name, engine.as_bytes()]))
+        unit_interval(stable_hash(&[&self.manager_name, engine.as_bytes()]))
     }
 
     /// Reserves a dial to `engine` that is wanted now, and returns when it may start.
