--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -22,4 +22,4 @@
 pub use event::{Capacity, FailoverEvent};
 pub use observation::ZoneObservation;
 pub use sprucelink_time::{TimeDelta, Timestamp};
-pub use zone_failover::{Home, RoutingPlan, ZoneFailover, ZoneFraction, MAX_ZONES};
+pub use zone_failover::{Locality, RoutingPlan, ZoneFailover, ZoneFraction, MAX_ZONES};
--- a/crates/zone-failover/src/zone_failover.rs
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -14,7 +14,7 @@
 
 /// Where a manager runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Locality {
     /// The number of its zone.
     pub zone: u32,
     /// The number of its region.
@@ -51,7 +51,7 @@
 pub struct ZoneFailover {
     config: FailoverConfig,
     /// `None` where it is not configured: then no zone is nearer than another.
-    home: Option<Home>,
+    locality: Option<Locality>,
     zones: BTreeMap<u32, ZoneHealth>,
     is_isolated: bool,
     is_panic: bool,
@@ -59,8 +59,8 @@
 
 impl ZoneFailover {
     /// The failover of a manager that starts now.
-    pub fn new(config: FailoverConfig, home: Option<Home>) -> ZoneFailover {
-        ZoneFailover { config, home, zones: BTreeMap::new(), is_isolated: false, is_panic: false }
+    pub fn new(config: FailoverConfig, locality: Option<Locality>) -> ZoneFailover {
+        ZoneFailover { config, locality, zones: BTreeMap::new(), is_isolated: false, is_panic: false }
     }
 
     /// A zone's state; zones that are not tracked count as healthy.
@@ -109,7 +109,7 @@
     /// Updates whether this manager's own zone is isolated: all other zones are ejected while its own responds, so it is
     /// this zone that is isolated, and not all the others that failed.
     fn update_isolation(&mut self, observations: &[ZoneObservation]) -> Option<FailoverEvent> {
-        let zone = self.home?.zone;
+        let zone = self.locality?.zone;
         let own_responds = observations
             .iter()
             .find(|observed| observed.zone == zone)
@@ -149,9 +149,9 @@
             let known_cores: f64 = zones.iter().map(|zone| zone.known_cores).sum();
             return zones.iter().map(|zone| zone.known_cores / known_cores).collect();
         }
-        match self.home {
-            Some(home) if self.is_isolated => {
-                zones.iter().map(|zone| if zone.zone == home.zone { 1.0 } else { 0.0 }).collect()
+        match self.locality {
+            Some(locality) if self.is_isolated => {
+                zones.iter().map(|zone| if zone.zone == locality.zone { 1.0 } else { 0.0 }).collect()
             }
             _ => request_fractions(&self.config, zones),
         }
@@ -171,9 +171,9 @@
     }
 
     fn distance(&self, observed: &ZoneObservation) -> Distance {
-        match self.home {
-            Some(home) if home.zone == observed.zone => Distance::Local,
-            Some(home) if home.region == observed.region => Distance::SameRegion,
+        match self.locality {
+            Some(locality) if locality.zone == observed.zone => Distance::Local,
+            Some(locality) if locality.region == observed.region => Distance::SameRegion,
             Some(_) => Distance::OtherRegion,
             None => Distance::Local,
         }
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -2,7 +2,7 @@
 
 use sprucelink_zone_failover::config::FailoverConfig;
 use sprucelink_zone_failover::zone_health::ZoneState;
-use sprucelink_zone_failover::{Home, RoutingPlan, Timestamp, ZoneFailover, ZoneObservation, MAX_ZONES};
+use sprucelink_zone_failover::{Locality, RoutingPlan, Timestamp, ZoneFailover, ZoneObservation, MAX_ZONES};
 
 const MS: i64 = 1_000;
 
@@ -36,7 +36,7 @@
 }
 
 fn manager() -> ZoneFailover {
-    ZoneFailover::new(FailoverConfig::default(), Some(Home { zone: 0, region: 0 }))
+    ZoneFailover::new(FailoverConfig::default(), Some(Locality { zone: 0, region: 0 }))
 }
 
 /// Updates every 100 ms from `from` up to `to`; the last plan.
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -13,7 +13,7 @@
 use sprucelink_zone_failover::failure_detector::{
     current_responsiveness, EngineContact, FailureDetector, Responsiveness,
 };
-use sprucelink_zone_failover::{FailoverEvent, Home, RoutingPlan, ZoneFailover, ZoneObservation};
+use sprucelink_zone_failover::{FailoverEvent, Locality, RoutingPlan, ZoneFailover, ZoneObservation};
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, info, warn};
 
@@ -48,7 +48,7 @@
 impl ZoneRouting {
     /// Failover as configured. `home`: the index of this manager's zone.
     pub(super) fn new(config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) -> ZoneRouting {
-        let home = home.map(|zone| Home { zone, region: config.region(&zones, zone as usize) });
+        let home = home.map(|zone| Locality { zone, region: config.region(&zones, zone as usize) });
         ZoneRouting {
             failover: ZoneFailover::new(config.clone(), home),
             config: config.clone(),
