--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -1,57 +1,64 @@
-//! Failover settings: a JSON5 file of the operator's, such as `deploy/failover.json5`.
+//! Failover settings, read from the operator's JSON5 file, such as `deploy/failover.json5`.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField, SettingsFile, Violation};
 use std::collections::BTreeMap;
 
-/// Largest number of zones named in regions.
+/// Largest number of zones that all regions together may name.
 const MAX_ZONES_IN_REGIONS: usize = 64;
 
-/// Settings of the failover, and which zones form which regions.
+/// Settings of the failover, and the zones of each region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailoverConfig {
     /// Whether requests are weighted by zone.
     pub enabled: bool,
-    /// A zone can serve all its requests while its healthy cores times this cover its known ones, and its load may take
-    /// the inverse of this as a fraction of its healthy cores (Envoy's overprovisioning factor: 1.4); 1 to 10.
+    /// Overprovisioning factor (Envoy's default: 1.4); 1 to 10. A zone can serve all its requests while its
+    /// healthy cores times this factor reach its known cores, and its load is at most its healthy cores
+    /// divided by this factor.
     #[serde(rename = "overprovision")]
     pub overprovisioning_factor: f64,
-    /// With less than this fraction of all known cores healthy, the states of zones are ignored (Envoy's panic threshold:
-    /// 0.5); 0 to 1.
+    /// While less than this fraction of all known cores is healthy, the states of zones are ignored (Envoy's
+    /// panic threshold: 0.5); 0 to 1.
     #[serde(rename = "panic_below")]
     pub panic_threshold: f64,
     /// A zone is ejected when the endpoint list names less than this fraction of its known cores; 0 to 1.
     #[serde(rename = "lost_below")]
     pub min_listed_fraction: f64,
-    /// Engines that must be unresponsive for this manager's own observations to eject their zone; 1 to 1,000.
+    /// Smallest number of unresponsive engines for which this manager's own observations eject their zone; 1
+    /// to 1,000.
     #[serde(rename = "mute_least")]
     pub min_unresponsive_engines: u32,
-    /// The fraction of the responsive and unresponsive engines that these must be; 0.5 to 1.
+    /// Smallest fraction of unresponsive engines, among the responsive and unresponsive ones, for which this
+    /// manager's own observations eject their zone; 0.5 to 1.
     #[serde(rename = "mute_share")]
     pub min_unresponsive_fraction: f64,
-    /// Managers outside a zone that must report on it for their quorum to decide; 1 to 10,000.
+    /// Smallest number of managers outside a zone that must report on it for their quorum to decide; 1 to
+    /// 10,000.
     #[serde(rename = "quorum_least")]
     pub min_observers: u32,
-    /// The fraction of them that must not reach it; 0.5 to 1.
+    /// Fraction of the reporting managers that must find the zone unreachable; 0.5 to 1.
     #[serde(rename = "quorum")]
     pub quorum_fraction: f64,
     /// How long evidence must persist until a zone is ejected, in milliseconds; 0 to 60,000.
     #[serde(rename = "hold_ms")]
     pub eject_after_ms: f64,
-    /// How long evidence must be absent until a zone recovers, in milliseconds; 0 to 600,000. Each ejection soon after a
-    /// recovery doubles it, up to `max_recover_after_ms`.
+    /// How long evidence must be absent until a zone recovers, in milliseconds; 0 to 600,000. Each ejection
+    /// soon after a recovery doubles this time, up to `max_recover_after_ms`.
     #[serde(rename = "back_ms")]
     pub recover_after_ms: f64,
-    /// Longest such time, in milliseconds; `recover_after_ms` to 3,600,000.
+    /// Longest time for which evidence must be absent until a zone recovers, in milliseconds;
+    /// `recover_after_ms` to 3,600,000.
     #[serde(rename = "back_most_ms")]
     pub max_recover_after_ms: f64,
-    /// Time over which a recovering zone gets its fraction back evenly, in milliseconds; 0 to 600,000.
+    /// Time over which a recovering zone's capacity rises linearly to its full value, in milliseconds; 0 to
+    /// 600,000.
     pub ramp_ms: f64,
-    /// Smallest weight of a zone: requests that no other zone can take may still go there; 1e-6 to 1.
+    /// Smallest weight of a zone, so that requests that no other zone can take may still go to it; 1e-6 to 1.
     #[serde(rename = "least_weight")]
     pub min_weight: f64,
-    /// Regions by name: the zones in each, by name. A zone that is named in none is a region of its own.
+    /// Names of the zones in each region, by the region's name. A zone that no region names is a region of
+    /// its own.
     pub regions: BTreeMap<String, Vec<String>>,
 }
 
@@ -77,7 +84,7 @@
 }
 
 impl SettingsFile for FailoverConfig {
-    /// What error messages call these settings.
+    /// Name of these settings in error messages.
     const SUBJECT: &'static str = "failover";
 
     fn validate(&self) -> Result<(), InvalidField> {
@@ -111,7 +118,8 @@
         }
     }
 
-    /// The number of a zone's region: zones of one region share it; a zone named in none has its own.
+    /// The index of the region of a zone, given by its index in `zone_names`. Zones of one region share it; a
+    /// zone that no region names has a region index of its own.
     pub fn region(&self, zone_names: &[String], zone: usize) -> u32 {
         let name = zone_names.get(zone);
         let region = self.regions.values().position(|zones| name.is_some_and(|name| zones.contains(name)));
--- a/crates/zone-failover/src/event.rs
+++ b/crates/zone-failover/src/event.rs
@@ -1,4 +1,4 @@
-//! Changes of the failover's state, for the log.
+//! Changes of the failover's state, as they are logged.
 
 use crate::zone_health::HealthChange;
 
@@ -7,38 +7,38 @@
 pub enum FailoverEvent {
     /// A zone's state changed.
     Zone {
-        /// The zone's number.
+        /// Index of the zone.
         zone: u32,
         /// The change, with its reason.
         change: HealthChange,
     },
     /// This manager's own zone became isolated from all others.
     Isolated {
-        /// The zone's number.
+        /// Index of the zone.
         zone: u32,
     },
     /// This manager's own zone is no longer isolated.
     Rejoined {
-        /// The zone's number.
+        /// Index of the zone.
         zone: u32,
     },
-    /// Too little is healthy anywhere: the states of zones are ignored.
+    /// Too few of all zones' cores are healthy: the states of zones are ignored from now on.
     PanicEntered(Capacity),
-    /// Enough is healthy again.
+    /// Enough cores are healthy again: the states of zones count again.
     PanicLeft(Capacity),
 }
 
-/// Cores of all zones together.
+/// Sums of cores over all zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Healthy cores.
+    /// Healthy, warm cores; those of zones that are ejected or recovering count only in part.
     pub healthy_cores: f64,
-    /// Known cores.
+    /// Known cores: for each zone, the maximum that was listed recently.
     pub known_cores: f64,
 }
 
 impl FailoverEvent {
-    /// Whether capacity is lost, so that operators are warned.
+    /// Whether the event reports a loss of capacity, which is logged as a warning.
     pub fn is_warning(&self) -> bool {
         match self {
             FailoverEvent::Zone { change, .. } => matches!(change, HealthChange::Ejected { .. }),
@@ -47,7 +47,8 @@
         }
     }
 
-    /// The event as text; `zone_name` gives a zone's name by its number, where it has one.
+    /// The event as log text. `zone_name` returns the name of the zone at an index; a zone without one is
+    /// given by its index.
     pub fn describe<'a>(&self, zone_name: impl Fn(u32) -> Option<&'a str>) -> String {
         let name = |zone: &u32| zone_name(*zone).map_or_else(|| zone.to_string(), str::to_owned);
         match self {
@@ -55,7 +56,7 @@
             FailoverEvent::Isolated { zone } => {
                 format!("own zone {} isolated from all others: requests stay in it", name(zone))
             }
-            FailoverEvent::Rejoined { zone } => format!("own zone {} isolated no more", name(zone)),
+            FailoverEvent::Rejoined { zone } => format!("own zone {} no longer isolated", name(zone)),
             FailoverEvent::PanicEntered(capacity) => {
                 format!("panic mode entered, states of zones are ignored: {}", capacity.describe())
             }
--- a/crates/zone-failover/src/failure_detector.rs
+++ b/crates/zone-failover/src/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Which engines are unresponsive to a manager, and how long that is remembered.
+//! Detects engines that do not respond to this manager, and remembers them as suspected for a limited time.
 //!
-//! An attempt that gets no response is cancelled, and with it the only sign that its engine is unresponsive. If that were
-//! discarded each time, a zone that is completely unresponsive would look unknown. So an engine counts as unresponsive
-//! until any engine of its zone responds.
+//! An attempt that gets no response is cancelled, and with it goes the only evidence that its engine is
+//! unresponsive. If that evidence were discarded each time, the state of a completely unresponsive zone would
+//! look unknown. So an engine counts as unresponsive until any engine of its zone responds, for 30 s at most.
 
 use crate::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -14,33 +14,34 @@
 /// Longest time for which an engine is remembered as unresponsive.
 const MAX_SUSPICION_AGE: TimeDelta = TimeDelta::from_secs(30);
 
-/// What a manager knows of an engine's responses.
+/// A manager's observations of the responses of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineContact {
-    /// The engine's number.
+    /// Index of the engine.
     pub engine: u32,
-    /// The number of its zone.
+    /// Index of the engine's zone.
     pub zone: u32,
-    /// When the engine last sent anything; `None` if it never did.
+    /// Time at which the engine last sent anything; `None` if it never did.
     pub last_response_at: Option<Timestamp>,
-    /// It accepts work and responds to none, or no connection to it comes up.
+    /// The engine accepts work but never responds, or no connection to it can be established.
     pub is_silent: bool,
-    /// Attempts on it are overdue.
+    /// Attempts on the engine are overdue.
     pub has_overdue_attempts: bool,
 }
 
 /// Whether an engine responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Responsiveness {
-    /// It does not respond.
+    /// The engine does not respond.
     Unresponsive,
-    /// It responded recently.
+    /// The engine responded recently.
     Responsive,
-    /// Neither: nothing was sent to it.
+    /// The engine has neither responded recently nor failed to respond, for example because nothing was sent
+    /// to it.
     Unknown,
 }
 
-/// Whether an engine responds now, apart from what is remembered of it.
+/// Whether an engine responds now, without regard to earlier suspicions.
 pub fn current_responsiveness(now: Timestamp, contact: &EngineContact) -> Responsiveness {
     let responded_within = |span: TimeDelta| contact.last_response_at.is_some_and(|at| now - at < span);
     let is_overdue = contact.has_overdue_attempts && !responded_within(UNRESPONSIVE_AFTER);
@@ -60,7 +61,7 @@
     since: Timestamp,
 }
 
-/// Remembers unresponsive engines: at most as many as there are engines.
+/// Remembers unresponsive engines, with at most one entry per engine.
 #[derive(Clone, Debug, Default)]
 pub struct FailureDetector {
     suspected: BTreeMap<u32, Suspicion>,
@@ -72,7 +73,8 @@
         self.suspected.contains_key(&engine)
     }
 
-    /// Whether each engine responds, in the order given, with what is remembered; remembers those newly unresponsive.
+    /// Returns whether each engine responds, in the order of `contacts`: an engine that is still suspected
+    /// counts as unresponsive. Engines that are found unresponsive now become suspected.
     pub fn update(&mut self, now: Timestamp, contacts: &[EngineContact]) -> Vec<Responsiveness> {
         self.remove_outdated(now, contacts);
         contacts.iter().map(|contact| self.update_engine(now, contact)).collect()
@@ -87,9 +89,9 @@
             *latest = responded_at.max(*latest);
         }
         self.suspected.retain(|_, suspicion| {
-            let is_silent_since =
+            let has_stayed_silent =
                 zone_responded_at.get(&suspicion.zone).is_none_or(|at| *at < suspicion.since);
-            is_silent_since && now - suspicion.since < MAX_SUSPICION_AGE
+            has_stayed_silent && now - suspicion.since < MAX_SUSPICION_AGE
         });
     }
 
--- a/crates/zone-failover/src/observation.rs
+++ b/crates/zone-failover/src/observation.rs
@@ -1,30 +1,31 @@
-//! What a manager observes of a zone.
+//! A manager's observations of a zone.
 
 /// Observations of one zone at one instant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneObservation {
-    /// The zone's number.
+    /// Index of the zone.
     pub zone: u32,
-    /// The number of its region.
+    /// Index of the zone's region.
     pub region: u32,
-    /// Cores of the engines that the endpoint list names as taking work.
+    /// Cores of the engines that the endpoint list names as accepting work.
     pub listed_cores: f64,
-    /// Of these, the cores of healthy engines, each times the fraction of its capacity that is warm.
+    /// Cores of the healthy engines among the listed ones, each engine's cores times the fraction of its
+    /// capacity that is warm.
     pub healthy_cores: f64,
-    /// Threads estimated to run on them.
+    /// Estimated number of threads that run on the listed engines.
     pub load: f64,
-    /// Engines listed.
+    /// Number of listed engines.
     pub engines: u32,
-    /// Of these, engines that do not respond to this manager.
+    /// Listed engines that do not respond to this manager.
     pub unresponsive: u32,
-    /// Of these, engines that responded to it recently.
+    /// Listed engines that responded to this manager recently.
     pub responsive: u32,
-    /// Managers outside the zone that report what they observe of it, without this one.
+    /// Managers outside the zone that report observations of it, not counting this manager.
     pub observers: u32,
-    /// Of these, managers that cannot reach most of its engines.
+    /// Reporting managers that cannot reach most of the zone's engines.
     pub unreachable_for: u32,
     /// Known managers inside the zone, dead ones included.
     pub managers: u32,
-    /// Of these, managers that are alive.
+    /// Managers inside the zone that are alive.
     pub live_managers: u32,
 }
--- a/crates/zone-failover/src/weights.rs
+++ b/crates/zone-failover/src/weights.rs
@@ -1,40 +1,43 @@
-//! What fraction of a manager's requests goes to which zone, and the weights by which requests are routed there.
+//! The fraction of a manager's requests for each zone, and the routing weights that yield these fractions.
 
 use crate::config::FailoverConfig;
 use crate::MAX_ZONES;
 
-/// Fractions and cores below this count as none.
+/// A fraction of requests up to this counts as zero; also the smallest divisor, so that nothing is divided by
+/// zero.
 const EPSILON: f64 = 1e-9;
 
-/// How near a zone is to the manager's own.
+/// Distance of a zone from the manager's own zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// The manager's own zone; every zone, where its own is not configured.
+    /// The manager's own zone; every zone, if the manager's own zone is not configured.
     Local,
-    /// Another zone of its region.
+    /// Another zone of the manager's region.
     SameRegion,
     /// A zone of another region.
     OtherRegion,
 }
 
-/// A zone's capacity, by its state.
+/// Capacity of a zone, reduced according to its state, and its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneCapacity {
-    /// The zone's number.
+    /// Index of the zone.
     pub zone: u32,
-    /// How near it is.
+    /// Distance from the manager's own zone.
     pub distance: Distance,
-    /// Known cores.
+    /// Known cores: the maximum that was listed recently.
     pub known_cores: f64,
-    /// Healthy, warm cores that count by its state.
+    /// Healthy, warm cores: none of them count while the zone is ejected, and a rising fraction while it
+    /// recovers.
     pub healthy_cores: f64,
     /// Load in threads.
     pub load: f64,
 }
 
 impl ZoneCapacity {
-    /// Fraction of its own requests that the zone can serve: its healthy cores times the overprovisioning factor against
-    /// its known ones, and no more load than its healthy cores divided by the factor.
+    /// Fraction of its own requests that the zone can serve, at most 1: the smaller of its healthy cores
+    /// times the overprovisioning factor relative to its known cores, and its healthy cores divided by that
+    /// factor relative to its load.
     fn serviceable_fraction(&self, config: &FailoverConfig) -> f64 {
         if self.known_cores <= 0.0 || self.healthy_cores <= 0.0 {
             return 0.0;
@@ -44,14 +47,16 @@
         by_health.min(by_load).clamp(0.0, 1.0)
     }
 
-    /// Cores that the zone can spare for others, with its overprovisioning left free.
+    /// Cores that the zone can spare for other zones: its healthy cores divided by the overprovisioning
+    /// factor, minus its load.
     fn spare_cores(&self, config: &FailoverConfig) -> f64 {
         (self.healthy_cores / config.overprovisioning_factor - self.load).max(0.0)
     }
 }
 
-/// The fraction of requests for each zone, in the order given: as much as the local zones can serve, the rest to the next
-/// nearest in proportion to their spare cores. They add up to 1 where anything is healthy anywhere.
+/// The fraction of requests for each zone, in the order of `zones`: local zones get as much as they can
+/// serve, and the next nearest zones get the rest in proportion to their spare cores. The fractions add up to
+/// 1 if any zone has healthy cores.
 pub fn request_fractions(config: &FailoverConfig, zones: &[ZoneCapacity]) -> Vec<f64> {
     let mut fractions = vec![0.0; zones.len()];
     let mut remaining = 1.0 - assign_local(config, zones, &mut fractions);
@@ -66,13 +71,14 @@
     fractions
 }
 
-fn at_distance(zones: &[ZoneCapacity], distance: Distance) -> Vec<usize> {
+fn indices_at_distance(zones: &[ZoneCapacity], distance: Distance) -> Vec<usize> {
     (0..zones.len()).filter(|index| zones[*index].distance == distance).collect()
 }
 
-/// Assigns what the local zones can serve, by their healthy cores; returns its sum.
+/// Assigns the fraction of requests that the local zones can serve, in proportion to their healthy cores;
+/// returns the total assigned.
 fn assign_local(config: &FailoverConfig, zones: &[ZoneCapacity], fractions: &mut [f64]) -> f64 {
-    let local = at_distance(zones, Distance::Local);
+    let local = indices_at_distance(zones, Distance::Local);
     let healthy: f64 = local.iter().map(|index| zones[*index].healthy_cores).sum();
     let healthy = healthy.max(EPSILON);
     let weighted = |index: &usize| zones[*index].serviceable_fraction(config) * zones[*index].healthy_cores;
@@ -83,7 +89,8 @@
     serviceable
 }
 
-/// Assigns of the remaining requests what the zones at a distance can serve, by their spare cores; returns its sum.
+/// Assigns as much of the remaining fraction as the zones at a distance can serve, in proportion to their
+/// spare cores; returns the total assigned.
 fn assign_spare(
     config: &FailoverConfig,
     zones: &[ZoneCapacity],
@@ -91,7 +98,7 @@
     remaining: f64,
     fractions: &mut [f64],
 ) -> f64 {
-    let indices = at_distance(zones, distance);
+    let indices = indices_at_distance(zones, distance);
     let sum =
         |value: &dyn Fn(&ZoneCapacity) -> f64| indices.iter().map(|index| value(&zones[*index])).sum::<f64>();
     let spare = sum(&|zone| zone.spare_cores(config));
@@ -100,15 +107,16 @@
     }
     let known = sum(&|zone| zone.known_cores);
     let healthy = sum(&|zone| zone.healthy_cores);
-    let health = (config.overprovisioning_factor * healthy / known.max(EPSILON)).min(1.0);
-    let assigned = remaining * health;
+    let serviceable = (config.overprovisioning_factor * healthy / known.max(EPSILON)).min(1.0);
+    let assigned = remaining * serviceable;
     for index in &indices {
         fractions[*index] = assigned * zones[*index].spare_cores(config) / spare;
     }
     assigned
 }
 
-/// No zone can spare anything: the remaining requests go where cores are healthy, near or far.
+/// Assigns the remaining fraction in proportion to healthy cores at any distance, where no zone has spare
+/// cores.
 fn assign_by_cores(zones: &[ZoneCapacity], remaining: f64, fractions: &mut [f64]) {
     let healthy: f64 = zones.iter().map(|zone| zone.healthy_cores).sum();
     if healthy <= 0.0 {
@@ -119,8 +127,9 @@
     }
 }
 
-/// Routing weights, by zone number. The decision module picks engines by cores, so a zone's weight is its fraction of
-/// requests relative to its healthy cores; the largest is 1, none is below the configured minimum.
+/// Routing weights, indexed by zone. The decision module picks engines by cores, so a zone's weight is its
+/// fraction of requests relative to its healthy cores; the largest weight is 1, and none is below the
+/// configured minimum.
 pub fn routing_weights(config: &FailoverConfig, zones: &[ZoneCapacity], fractions: &[f64]) -> Vec<f64> {
     let mut weights = equal_weights(zones);
     let per_core: Vec<f64> = zones
@@ -140,7 +149,7 @@
     weights
 }
 
-/// A weight of 1 for each zone number up to the highest: the states of zones are ignored.
+/// A weight of 1 for each zone index up to the highest, so that the states of zones have no effect.
 pub fn equal_weights(zones: &[ZoneCapacity]) -> Vec<f64> {
     let length = zones.iter().map(|zone| zone.zone as usize + 1).max().unwrap_or(0);
     vec![1.0; length.min(MAX_ZONES)]
--- a/crates/zone-failover/src/zone_failover.rs
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -1,4 +1,4 @@
-//! The failover of one manager: from observations of zones to routing weights.
+//! The failover state machine of one manager: derives routing weights from observations of zones.
 
 use crate::config::FailoverConfig;
 use crate::event::Capacity;
@@ -7,24 +7,24 @@
 use crate::{FailoverEvent, Timestamp, ZoneObservation};
 use std::collections::BTreeMap;
 
-/// Largest number of zones tracked; further ones are ignored.
+/// Largest number of zones tracked; further zones are ignored.
 pub const MAX_ZONES: usize = 64;
-/// Smallest number of other zones for this manager's own to count as isolated from all of them.
+/// Smallest number of other zones, all ejected, for which this manager's own zone counts as isolated.
 const MIN_OTHER_ZONES: usize = 2;
 
-/// Where a manager runs.
+/// Zone and region in which a manager runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Locality {
-    /// The number of its zone.
+    /// Index of the manager's zone.
     pub zone: u32,
-    /// The number of its region.
+    /// Index of the manager's region.
     pub region: u32,
 }
 
-/// The fraction of a manager's requests for a zone.
+/// The fraction of a manager's requests that goes to one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneFraction {
-    /// The zone's number.
+    /// Index of the zone.
     pub zone: u32,
     /// The fraction, from 0 to 1.
     pub fraction: f64,
@@ -33,24 +33,25 @@
 /// How a manager routes its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingPlan {
-    /// Fraction of requests for each zone, in the order of the observations; they add up to 1, or all are 0 where nothing
-    /// is known.
+    /// Fraction of requests for each zone, in the order of the observations. The fractions add up to 1, or
+    /// are all 0 if no cores are known.
     pub fractions: Vec<ZoneFraction>,
-    /// Routing weights by zone number: 1 for the most favoured, never 0.
+    /// Routing weights, indexed by zone: 1 for the zone with the largest weight, never 0.
     pub weights: Vec<f64>,
-    /// Too little is healthy anywhere: the states of zones are ignored, and all count by their cores.
+    /// Too few of all zones' cores are healthy: the states of zones are ignored, and requests are spread by
+    /// known cores.
     pub is_panic: bool,
     /// This manager's own zone is isolated from all others: requests stay in it.
     pub is_isolated: bool,
-    /// What changed with this update.
+    /// Changes of state caused by this update.
     pub events: Vec<FailoverEvent>,
 }
 
-/// The failover of one manager.
+/// The failover state machine of one manager.
 #[derive(Clone, Debug)]
 pub struct ZoneFailover {
     config: FailoverConfig,
-    /// `None` where it is not configured: then no zone is nearer than another.
+    /// `None` if the manager's zone is not configured: all zones then count as equally near.
     locality: Option<Locality>,
     zones: BTreeMap<u32, ZoneHealth>,
     is_isolated: bool,
@@ -63,12 +64,12 @@
         ZoneFailover { config, locality, zones: BTreeMap::new(), is_isolated: false, is_panic: false }
     }
 
-    /// A zone's state; zones that are not tracked count as healthy.
+    /// State of a zone; a zone that is not tracked counts as healthy.
     pub fn zone_state(&self, zone: u32) -> ZoneState {
         self.zones.get(&zone).map_or(ZoneState::Healthy, ZoneHealth::state)
     }
 
-    /// Updates the states of all zones by what is observed now, and derives how to route.
+    /// Updates the states of all zones from current observations, and derives the routing plan.
     pub fn update(&mut self, now: Timestamp, observations: &[ZoneObservation]) -> RoutingPlan {
         let observations = &observations[..observations.len().min(MAX_ZONES)];
         let mut events = self.update_zones(now, observations);
@@ -106,8 +107,8 @@
         events
     }
 
-    /// Updates whether this manager's own zone is isolated: all other zones are ejected while its own responds, so it is
-    /// this zone that is isolated, and not all the others that failed.
+    /// Updates whether this manager's own zone is isolated: all other zones are ejected while its own
+    /// responds, so it is this zone that is isolated, and not all the others that failed.
     fn update_isolation(&mut self, observations: &[ZoneObservation]) -> Option<FailoverEvent> {
         let zone = self.locality?.zone;
         let own_responds = observations
@@ -125,7 +126,8 @@
         Some(if is_isolated { FailoverEvent::Isolated { zone } } else { FailoverEvent::Rejoined { zone } })
     }
 
-    /// Updates panic mode. An isolated zone sees little healthy anywhere, which is no panic: its own serves its requests.
+    /// Updates panic mode. An isolated manager finds few healthy cores in other zones, which does not start
+    /// panic mode: its own zone serves its requests.
     fn update_panic(&mut self, zones: &[ZoneCapacity]) -> Option<FailoverEvent> {
         let known_cores: f64 = zones.iter().map(|zone| zone.known_cores).sum();
         let healthy_cores: f64 = zones.iter().map(|zone| zone.healthy_cores).sum();
@@ -145,7 +147,7 @@
 
     fn fractions(&self, zones: &[ZoneCapacity]) -> Vec<f64> {
         if self.is_panic {
-            // Panic implies that some cores are known.
+            // Panic mode implies that some cores are known, so the sum is not zero.
             let known_cores: f64 = zones.iter().map(|zone| zone.known_cores).sum();
             return zones.iter().map(|zone| zone.known_cores / known_cores).collect();
         }
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -1,13 +1,14 @@
-//! Whether a zone is ejected: evidence, and a state with hysteresis.
+//! Decides, from evidence and with hysteresis, whether a zone is ejected.
 //!
-//! Evidence is ranked, so that managers with the same information come to the same state: first the endpoint list (most of
-//! the zone's cores are gone from it); then, where enough managers outside the zone report on it, their quorum, which
-//! overrules a manager's own connections; then its own connections. A state changes only when evidence
-//! has persisted for a while, and a zone that is ejected again soon after it recovered must be without evidence for longer
-//! each time, as in Envoy's outlier detection.
+//! Evidence is ranked, so that managers with the same information come to the same state: first the endpoint
+//! list (most of the zone's cores are gone from it); then, where enough managers outside the zone report on
+//! it, their quorum, which overrules a manager's own connections; else the manager's own connections. A state
+//! changes only when evidence has persisted for a while, and a zone that is ejected again soon after it
+//! recovered must be without evidence for longer each time, as in Envoy's outlier detection.
 //!
-//! This ejects a zone as a whole: it lowers the zone's weight and ejects no engine. The policy has another rule
-//! (`outlier_detection`), which ejects each engine of a zone that this manager cannot reach, at once and without failover.
+//! This module ejects a zone as a whole: it lowers the zone's weight and ejects no engine. The policy has
+//! another rule (`outlier_detection`), which ejects each engine of a zone that this manager cannot reach, at
+//! once and without failover.
 
 use crate::config::FailoverConfig;
 use crate::{TimeDelta, Timestamp, ZoneObservation};
@@ -15,34 +16,35 @@
 
 /// A zone's known cores are the maximum that was listed within this span.
 const CAPACITY_MEMORY: TimeDelta = TimeDelta::from_secs(120);
-/// A zone that is ejected within this span after it recovered is flapping: its next recovery takes twice as long.
+/// A zone that is ejected within this span after its recovery began is flapping: its next recovery takes
+/// twice as long.
 const FLAPPING_WITHIN: TimeDelta = TimeDelta::from_secs(60);
 /// Largest number of doublings of the recovery time.
 const MAX_DOUBLINGS: u32 = 16;
 /// Time constant over which a zone's load is smoothed, in seconds.
 const LOAD_SMOOTHING_S: f64 = 3.0;
-/// Fraction of its capacity with which a recovering zone begins.
+/// Fraction of its capacity that counts when a zone begins to recover.
 const INITIAL_FRACTION: f64 = 0.1;
 
 /// State of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneState {
-    /// It serves its requests.
+    /// The zone serves its requests.
     Healthy,
-    /// It gets no requests but those that no other zone can take.
+    /// The zone gets only requests that no other zone can take.
     Ejected,
-    /// It is back, and gets its fraction of requests gradually.
+    /// The zone is reachable again, and its fraction of requests rises gradually.
     Recovering,
 }
 
-/// What indicates that a zone must be ejected.
+/// Evidence that a zone must be ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// The endpoint list names too few of its cores.
+    /// The endpoint list names too few of the zone's cores.
     EndpointList,
-    /// A quorum of managers outside it cannot reach it.
+    /// A quorum of managers outside the zone cannot reach it.
     Quorum,
-    /// Its engines do not respond to this manager.
+    /// The zone's engines do not respond to this manager.
     OwnConnections,
 }
 
@@ -51,25 +53,25 @@
 pub enum HealthChange {
     /// The zone was ejected.
     Ejected {
-        /// What indicated it.
+        /// Evidence for the ejection.
         evidence: Evidence,
-        /// Its known cores.
+        /// Known cores of the zone.
         known_cores: f64,
-        /// What was observed of it.
+        /// Observation of the zone at the change.
         observation: ZoneObservation,
     },
     /// The zone began to recover.
     Recovering {
-        /// Its known cores.
+        /// Known cores of the zone.
         known_cores: f64,
-        /// What was observed of it.
+        /// Observation of the zone at the change.
         observation: ZoneObservation,
     },
     /// The zone has its full fraction of requests again.
     Healthy,
 }
 
-/// The strongest evidence against a zone with this many known cores; `None` where there is none.
+/// The strongest evidence against a zone with this many known cores, if there is any.
 pub fn find_evidence(
     config: &FailoverConfig,
     known_cores: f64,
@@ -93,7 +95,7 @@
         && unresponsive >= config.min_unresponsive_fraction * contacted
 }
 
-/// Whether a quorum of managers cannot reach a zone. This manager is one of them if it contacted the zone.
+/// Whether a quorum of managers cannot reach a zone. This manager votes, too, if it has contacted the zone.
 fn has_quorum(config: &FailoverConfig, observed: &ZoneObservation, is_unresponsive: bool) -> bool {
     let has_contact = observed.unresponsive > 0 || observed.responsive > 0;
     let voters = observed.observers + u32::from(has_contact);
@@ -101,16 +103,16 @@
     f64::from(votes) >= config.quorum_fraction * f64::from(voters)
 }
 
-/// The state of one zone, and what it is derived from.
+/// The state of one zone, and the history from which it is derived.
 #[derive(Clone, Debug)]
 pub struct ZoneHealth {
     state: ZoneState,
-    /// Since when the state has held.
+    /// Time of the last change of `state`.
     state_since: Timestamp,
-    /// Since when the evidence has contradicted the state.
+    /// Time since which the evidence has contradicted the state; `None` if it does not.
     contradicted_since: Option<Timestamp>,
     recovered_at: Option<Timestamp>,
-    /// Ejections in a row, each soon after a recovery.
+    /// Consecutive ejections that each came soon after a recovery.
     flaps: u32,
     known_cores: f64,
     known_cores_at: Timestamp,
@@ -120,7 +122,7 @@
 }
 
 impl ZoneHealth {
-    /// A zone observed for the first time, with this many cores listed.
+    /// The state of a zone that is observed for the first time, with this many cores listed.
     pub fn new(listed_cores: f64) -> ZoneHealth {
         ZoneHealth {
             state: ZoneState::Healthy,
@@ -145,17 +147,19 @@
         self.known_cores
     }
 
-    /// The zone's load in threads, smoothed, since single reports scatter.
+    /// The zone's load in threads, smoothed, since single load reports vary widely.
     pub fn load(&self) -> f64 {
         self.load
     }
 
-    /// Whether the zone has not been listed for [`CAPACITY_MEMORY`], so that its state can be dropped.
+    /// Whether the zone's listed cores last reached the known cores longer than [`CAPACITY_MEMORY`] ago, so
+    /// that the known cores are outdated; if the zone is no longer observed either, its state can be dropped.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         now - self.known_cores_at > CAPACITY_MEMORY
     }
 
-    /// The fraction of its healthy capacity that counts: none while it is ejected, rising while it recovers.
+    /// The fraction of the zone's healthy capacity that counts: 0 while it is ejected, rising linearly while
+    /// it recovers.
     pub fn capacity_fraction(&self, now: Timestamp, config: &FailoverConfig) -> f64 {
         match self.state {
             ZoneState::Healthy => 1.0,
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Updates the zone's state by an observation; returns its change.
+    /// Updates the zone's state from an observation; returns the change of state, if there is one.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -193,14 +197,15 @@
         })
     }
 
-    /// Whether the evidence speaks against the state: there is some against a zone that is healthy or recovering, or there
-    /// is none against one that is ejected.
+    /// Whether the evidence contradicts the state: there is evidence against a zone that is healthy or
+    /// recovering, or there is none against a zone that is ejected.
     fn is_contradicted(&self, evidence: Option<Evidence>) -> bool {
         let is_ejected = self.state == ZoneState::Ejected;
         evidence.is_some() != is_ejected
     }
 
-    /// Records that the state is contradicted now; returns whether it has been for long enough to change.
+    /// Records that the state is contradicted now; returns whether the contradiction has lasted long enough
+    /// to change it.
     fn record_contradiction(
         &mut self,
         now: Timestamp,
@@ -268,13 +273,13 @@
             HealthChange::Ejected { evidence, known_cores, observation } => {
                 f.write_str("ejected by ")?;
                 write_reason(f, *evidence, *known_cores, observation)?;
-                f.write_str(managers_note(observation))
+                f.write_str(managers_suffix(observation))
             }
             HealthChange::Recovering { known_cores, observation } => {
                 let ZoneObservation { responsive, healthy_cores: healthy, .. } = observation;
                 write!(f, "recovering: {responsive} engines responsive, {healthy:.1} of {known_cores:.1} cores healthy")
             }
-            HealthChange::Healthy => f.write_str("healthy: it has its whole share again"),
+            HealthChange::Healthy => f.write_str("healthy: gets its full fraction of requests again"),
         }
     }
 }
@@ -303,8 +308,9 @@
     }
 }
 
-/// Distinguishes, by the state of the zone's managers, whether only its engines or the complete zone are unreachable.
-fn managers_note(observed: &ZoneObservation) -> &'static str {
+/// States, from the liveness of the zone's managers, whether only its engines or the complete zone is
+/// unreachable.
+fn managers_suffix(observed: &ZoneObservation) -> &'static str {
     match (observed.managers, observed.live_managers) {
         (0, _) => "",
         (_, 0) => "; its managers are silent, too: isolated or dead",
