--- a/crates/zone-failover/tests/config.rs
+++ b/crates/zone-failover/tests/config.rs
@@ -6,7 +6,7 @@
 #[test]
 fn settings_are_read_and_invalid_ones_are_rejected_by_name() {
     let text = "{ enabled: true, regions: { north: ['hall-a', 'hall-b'], south: ['hall-c'] } }";
-    let config = FailoverConfig::parse(text).expect("read");
+    let config = FailoverConfig::parse(text).expect("valid settings");
     let zones: Vec<String> = ["hall-a", "hall-c", "hall-b", "hall-d"].map(str::to_owned).to_vec();
     let regions: Vec<u32> = (0..4).map(|zone| config.region(&zones, zone)).collect();
     assert_eq!(regions, [0, 1, 0, 5]);
--- a/crates/zone-failover/tests/weights.rs
+++ b/crates/zone-failover/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Fractions of requests by zone, and routing weights.
+//! Tests of the fractions of requests by zone, and of the routing weights.
 
 use quickcheck::{Gen, QuickCheck};
 use sprucelink_zone_failover::config::FailoverConfig;
@@ -12,17 +12,20 @@
 #[test]
 fn load_beyond_the_margin_spills_to_the_same_region_by_spare_cores() {
     let config = FailoverConfig::default();
-    // 32 cores take 22.9 threads with the margin; 40 are there: 57% stay.
+    // With the margin, 32 cores take 22.9 of the zone's 40 threads, so 57% of the requests stay.
     let zones = [
         capacity(0, Local, 32.0, 40.0),
         capacity(1, SameRegion, 32.0, 10.0),
         capacity(2, SameRegion, 32.0, 20.0),
         capacity(3, OtherRegion, 32.0, 0.0),
     ];
-    let got = request_fractions(&config, &zones);
-    assert!((got[0] - 32.0 / 1.4 / 40.0).abs() < 1e-9, "{got:?}");
+    let fractions = request_fractions(&config, &zones);
+    assert!((fractions[0] - 32.0 / 1.4 / 40.0).abs() < 1e-9, "{fractions:?}");
     let spare = [32.0 / 1.4 - 10.0, 32.0 / 1.4 - 20.0];
-    assert!((got[1] / got[2] - spare[0] / spare[1]).abs() < 1e-9 && got[3] == 0.0, "{got:?}");
+    assert!(
+        (fractions[1] / fractions[2] - spare[0] / spare[1]).abs() < 1e-9 && fractions[3] == 0.0,
+        "{fractions:?}"
+    );
 }
 
 #[test]
@@ -34,7 +37,7 @@
         capacity(2, OtherRegion, 32.0, 0.0),
     ];
     assert_eq!(request_fractions(&config, &zones), [0.0, 0.0, 1.0]);
-    // No zone has spare cores: by healthy cores.
+    // No zone has spare cores: requests are divided by healthy cores.
     let zones = [
         capacity(0, Local, 0.0, 0.0),
         capacity(1, SameRegion, 32.0, 40.0),
@@ -43,10 +46,10 @@
     assert_eq!(request_fractions(&config, &zones), [0.0, 0.5, 0.5]);
 }
 
-/// For any zones: fractions lie within 0 and 1, add up to 1 where anything is healthy, and are 0 for zones that are not;
-/// weights lie within the minimum and 1.
+/// For any zones, fractions lie within 0 and 1, add up to 1 if any zone has healthy cores, and are 0 for
+/// zones without healthy cores; weights lie within the configured minimum and 1.
 #[test]
-fn fractions_add_up_and_go_to_healthy_zones() {
+fn fractions_add_up_to_one_and_go_only_to_healthy_zones() {
     fn holds(zones: Vec<(u8, u8, u8)>) -> bool {
         let zones: Vec<ZoneCapacity> = zones
             .iter()
@@ -65,16 +68,16 @@
             })
             .collect();
         let config = FailoverConfig::default();
-        let got = request_fractions(&config, &zones);
-        let sum: f64 = got.iter().sum();
+        let fractions = request_fractions(&config, &zones);
+        let sum: f64 = fractions.iter().sum();
         let is_any_healthy = zones.iter().any(|zone| zone.healthy_cores > 0.0);
-        let go_to_healthy = got.iter().zip(&zones).all(|(fraction, zone)| {
+        let only_healthy_get_requests = fractions.iter().zip(&zones).all(|(fraction, zone)| {
             (-1e-9..=1.0 + 1e-9).contains(fraction) && (zone.healthy_cores > 0.0 || *fraction == 0.0)
         });
-        let weights = routing_weights(&config, &zones, &got);
+        let weights = routing_weights(&config, &zones, &fractions);
         let are_bounded = weights.iter().all(|weight| (config.min_weight..=1.0 + 1e-9).contains(weight));
-        let add_up = if is_any_healthy { (sum - 1.0).abs() < 1e-6 } else { sum == 0.0 };
-        go_to_healthy && are_bounded && add_up
+        let is_sum_correct = if is_any_healthy { (sum - 1.0).abs() < 1e-6 } else { sum == 0.0 };
+        only_healthy_get_requests && are_bounded && is_sum_correct
     }
     QuickCheck::new()
         .tests(2_000)
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -1,13 +1,11 @@
-//! The failover of one manager, played step by step.
+//! Tests of the failover of one manager over sequences of observations.
 
 use sprucelink_zone_failover::config::FailoverConfig;
 use sprucelink_zone_failover::zone_health::ZoneState;
 use sprucelink_zone_failover::{Locality, RoutingPlan, Timestamp, ZoneFailover, ZoneObservation, MAX_ZONES};
 
-const MS: i64 = 1_000;
-
-fn at(ms: i64) -> Timestamp {
-    Timestamp::from_micros(ms * MS)
+fn at_millis(millis: i64) -> Timestamp {
+    Timestamp::from_millis(millis)
 }
 
 fn zone(zone: u32, region: u32) -> ZoneObservation {
@@ -23,98 +21,108 @@
     }
 }
 
-fn four() -> Vec<ZoneObservation> {
+fn four_zones() -> Vec<ZoneObservation> {
     vec![zone(0, 0), zone(1, 0), zone(2, 1), zone(3, 1)]
 }
 
-fn silenced(s: &ZoneObservation) -> ZoneObservation {
-    ZoneObservation { healthy_cores: 0.0, unresponsive: 4, responsive: 0, ..*s }
+fn unresponsive(observation: &ZoneObservation) -> ZoneObservation {
+    ZoneObservation { healthy_cores: 0.0, unresponsive: 4, responsive: 0, ..*observation }
 }
 
 fn fraction(plan: &RoutingPlan, zone: u32) -> f64 {
-    plan.fractions.iter().find(|f| f.zone == zone).expect("it is observed").fraction
+    plan.fractions.iter().find(|entry| entry.zone == zone).expect("the zone is observed").fraction
 }
 
-fn manager() -> ZoneFailover {
+fn failover_in_zone_0() -> ZoneFailover {
     ZoneFailover::new(FailoverConfig::default(), Some(Locality { zone: 0, region: 0 }))
 }
 
-/// Updates every 100 ms from `from` up to `to`; the last plan.
-fn play(failover: &mut ZoneFailover, from: i64, to: i64, seen: &[ZoneObservation]) -> RoutingPlan {
-    (from / 100..=to / 100).map(|k| failover.update(at(k * 100), seen)).last().expect("a plan")
+/// Updates the failover every 100 ms from `start_ms` to `end_ms`, both included; returns the last plan.
+fn run(
+    failover: &mut ZoneFailover,
+    start_ms: i64,
+    end_ms: i64,
+    observations: &[ZoneObservation],
+) -> RoutingPlan {
+    (start_ms / 100..=end_ms / 100)
+        .map(|step| failover.update(at_millis(step * 100), observations))
+        .last()
+        .expect("at least one update")
 }
 
 #[test]
 fn requests_stay_in_the_home_zone_while_nothing_fails() {
-    let plan = play(&mut manager(), 0, 5_000, &four());
+    let plan = run(&mut failover_in_zone_0(), 0, 5_000, &four_zones());
     assert_eq!(fraction(&plan, 0), 1.0);
     assert_eq!(plan.weights[0], 1.0);
-    assert!(plan.weights[1..].iter().all(|w| *w < 0.01), "{plan:?}");
+    assert!(plan.weights[1..].iter().all(|weight| *weight < 0.01), "{plan:?}");
     assert!(!plan.is_panic && !plan.is_isolated);
 }
 
 #[test]
 fn requests_leave_an_ejected_zone_for_the_nearest_within_half_a_second() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[0] = silenced(&seen[0]);
-    let plan = play(&mut failover, 1_100, 1_600, &seen);
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[0] = unresponsive(&observations[0]);
+    let plan = run(&mut failover, 1_100, 1_600, &observations);
     assert_eq!(failover.zone_state(0), ZoneState::Ejected);
     assert_eq!(fraction(&plan, 0), 0.0);
-    assert!(fraction(&plan, 1) > 0.99, "its neighbour has room for all: {plan:?}");
+    assert!(fraction(&plan, 1) > 0.99, "the neighbouring zone can take all requests: {plan:?}");
 }
 
 #[test]
 fn requests_leave_a_region_when_all_its_zones_are_ejected() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    (0..2).for_each(|i| seen[i] = silenced(&seen[i]));
-    let plan = play(&mut failover, 1_100, 2_000, &seen);
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    (0..2).for_each(|zone| observations[zone] = unresponsive(&observations[zone]));
+    let plan = run(&mut failover, 1_100, 2_000, &observations);
     assert!((fraction(&plan, 2) - 0.5).abs() < 0.01 && (fraction(&plan, 3) - 0.5).abs() < 0.01, "{plan:?}");
 }
 
-/// Single load reports scatter: an estimate that swings from half to all of a zone's capacity each half second moves few
-/// requests across zones.
+/// Single load reports vary widely. A load estimate that swings from half to all of a zone's capacity every
+/// half second moves few requests to other zones.
 #[test]
-fn load_that_swings_is_smoothed() {
-    let mut failover = manager();
-    let crossed: Vec<f64> = (0..100)
-        .map(|k| {
-            let mut seen = four();
-            seen[0].load = if k / 5 % 2 == 0 { 12.0 } else { 30.0 };
-            1.0 - fraction(&failover.update(at(k * 100), &seen), 0)
+fn oscillating_load_moves_few_requests_to_other_zones() {
+    let mut failover = failover_in_zone_0();
+    let moved: Vec<f64> = (0..100)
+        .map(|step| {
+            let mut observations = four_zones();
+            observations[0].load = if step / 5 % 2 == 0 { 12.0 } else { 30.0 };
+            1.0 - fraction(&failover.update(at_millis(step * 100), &observations), 0)
         })
         .collect();
-    assert!(crossed.iter().all(|c| *c < 0.1), "{crossed:?}");
+    assert!(moved.iter().all(|fraction| *fraction < 0.1), "{moved:?}");
 }
 
 #[test]
 fn one_unresponsive_engine_of_eight_causes_no_failover() {
-    let mut failover = manager();
-    let mut seen = four();
-    seen[0] = ZoneObservation {
+    let mut failover = failover_in_zone_0();
+    let mut observations = four_zones();
+    observations[0] = ZoneObservation {
         engines: 8,
         listed_cores: 64.0,
         healthy_cores: 56.0,
         unresponsive: 1,
         responsive: 7,
         load: 20.0,
-        ..seen[0]
+        ..observations[0]
     };
-    let plan = play(&mut failover, 0, 10_000, &seen);
+    let plan = run(&mut failover, 0, 10_000, &observations);
     assert_eq!((failover.zone_state(0), fraction(&plan, 0)), (ZoneState::Healthy, 1.0));
 }
 
-/// Half of a zone is gone: the overprovisioning factor covers a part of it, the rest goes to the next zone.
+/// Half of a zone's cores fail: the overprovisioning factor covers a part of them, and the rest of the
+/// requests go to the next zone.
 #[test]
 fn missing_capacity_spills_to_the_next_zone_in_proportion() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[0] = ZoneObservation { healthy_cores: 16.0, unresponsive: 2, responsive: 2, ..seen[0] };
-    let plan = play(&mut failover, 1_100, 3_000, &seen);
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[0] =
+        ZoneObservation { healthy_cores: 16.0, unresponsive: 2, responsive: 2, ..observations[0] };
+    let plan = run(&mut failover, 1_100, 3_000, &observations);
     assert_eq!(failover.zone_state(0), ZoneState::Healthy);
     assert!((fraction(&plan, 0) - 0.7).abs() < 1e-9, "half of the cores times 1.4: {plan:?}");
     assert!((fraction(&plan, 1) - 0.3).abs() < 1e-9);
@@ -122,147 +130,152 @@
 
 #[test]
 fn recovering_zone_gets_its_fraction_back_gradually() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[0] = silenced(&seen[0]);
-    play(&mut failover, 1_100, 6_000, &seen);
-    // It is back, cold: three tenths of its capacity, rising over 15 s.
-    let mut last = 0.0;
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[0] = unresponsive(&observations[0]);
+    run(&mut failover, 1_100, 6_000, &observations);
+    // The zone is back with cold engines: three tenths of its capacity, rising to all of it over 15 s.
+    let mut previous = 0.0;
     let mut steps = Vec::new();
-    for k in 61..260 {
-        let warm = (0.3 + 0.7 * (k - 61) as f64 / 150.0).min(1.0);
-        let mut back = four();
-        back[0] = ZoneObservation { healthy_cores: 32.0 * warm, ..back[0] };
-        let plan = failover.update(at(k * 100), &back);
-        let now = fraction(&plan, 0);
-        steps.push(now - last);
-        last = now;
-        if k < 61 + 15 {
-            assert_eq!(now, 0.0, "not before it has stayed back: {k}");
+    for step in 61..260 {
+        let warm = (0.3 + 0.7 * (step - 61) as f64 / 150.0).min(1.0);
+        let mut observations = four_zones();
+        observations[0] = ZoneObservation { healthy_cores: 32.0 * warm, ..observations[0] };
+        let plan = failover.update(at_millis(step * 100), &observations);
+        let current = fraction(&plan, 0);
+        steps.push(current - previous);
+        previous = current;
+        if step < 61 + 15 {
+            assert_eq!(current, 0.0, "no requests before the recovery time has passed: step {step}");
         }
     }
-    assert_eq!((failover.zone_state(0), last), (ZoneState::Healthy, 1.0));
-    assert!(steps.iter().all(|s| *s < 0.12), "never all at once: {steps:?}");
+    assert_eq!((failover.zone_state(0), previous), (ZoneState::Healthy, 1.0));
+    assert!(steps.iter().all(|rise| *rise < 0.12), "the fraction rises gradually: {steps:?}");
 }
 
 #[test]
 fn flapping_zone_stays_ejected() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
     let mut changes = 0;
     for second in 1..30 {
-        let mut seen = four();
+        let mut observations = four_zones();
         if second % 2 == 1 {
-            seen[0] = silenced(&seen[0]);
+            observations[0] = unresponsive(&observations[0]);
         }
-        for k in 0..10 {
-            changes += failover.update(at(second * 1_000 + k * 100), &seen).events.len();
+        for step in 0..10 {
+            changes += failover.update(at_millis(second * 1_000 + step * 100), &observations).events.len();
         }
     }
     assert_eq!(failover.zone_state(0), ZoneState::Ejected);
     assert!(changes <= 2, "{changes} changes of state in 29 s of flapping");
 }
 
-/// A late list names a zone's engines as ready for seconds while they do not respond, and as gone while they do.
+/// An outdated endpoint list names a zone's engines as ready for seconds after they stopped responding, or as
+/// gone while they still respond.
 #[test]
-fn own_connections_alone_and_the_list_alone_eject_a_zone() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[1] = silenced(&seen[1]);
-    play(&mut failover, 1_100, 1_600, &seen);
-    assert_eq!(failover.zone_state(1), ZoneState::Ejected, "the list still names all four as ready");
-    let mut seen = four();
-    seen[2] = ZoneObservation {
+fn zone_is_ejected_by_own_connections_alone_or_by_the_list_alone() {
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[1] = unresponsive(&observations[1]);
+    run(&mut failover, 1_100, 1_600, &observations);
+    assert_eq!(failover.zone_state(1), ZoneState::Ejected, "the list still names all four engines as ready");
+    let mut observations = four_zones();
+    observations[2] = ZoneObservation {
         listed_cores: 0.0,
         healthy_cores: 0.0,
         engines: 0,
         responsive: 0,
         unresponsive: 0,
         load: 0.0,
-        ..seen[2]
+        ..observations[2]
     };
-    play(&mut failover, 1_700, 2_300, &seen);
-    assert_eq!(failover.zone_state(2), ZoneState::Ejected, "the list names none there any more");
+    run(&mut failover, 1_700, 2_300, &observations);
+    assert_eq!(failover.zone_state(2), ZoneState::Ejected, "the list no longer names any engine of the zone");
 }
 
-/// One manager cannot reach a zone that all others reach: where they report, its own observation changes no state; where
-/// most of them report the same, it does.
+/// One manager cannot reach a zone. While the other managers report that they reach it, its own observation
+/// changes no state; once most of them report the same, the zone is ejected.
 #[test]
-fn single_false_alarm_is_outvoted_by_other_managers() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[1] = ZoneObservation { observers: 9, unreachable_for: 0, ..silenced(&seen[1]) };
-    play(&mut failover, 1_100, 4_000, &seen);
+fn false_alarm_of_one_manager_is_outvoted_by_other_managers() {
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[1] = ZoneObservation { observers: 9, unreachable_for: 0, ..unresponsive(&observations[1]) };
+    run(&mut failover, 1_100, 4_000, &observations);
     assert_eq!(failover.zone_state(1), ZoneState::Healthy);
-    seen[1].unreachable_for = 6;
-    play(&mut failover, 4_100, 4_700, &seen);
+    observations[1].unreachable_for = 6;
+    run(&mut failover, 4_100, 4_700, &observations);
     assert_eq!(failover.zone_state(1), ZoneState::Ejected);
-    // Where this manager has not contacted the zone at all, the reports of the others suffice.
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[1] = ZoneObservation { observers: 9, unreachable_for: 8, responsive: 0, ..seen[1] };
-    play(&mut failover, 1_100, 1_600, &seen);
+    // If this manager has not contacted the zone at all, the reports of the other managers suffice.
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[1] = ZoneObservation { observers: 9, unreachable_for: 8, responsive: 0, ..observations[1] };
+    run(&mut failover, 1_100, 1_600, &observations);
     assert_eq!(failover.zone_state(1), ZoneState::Ejected);
 }
 
-/// From inside an isolated zone, all others are unresponsive and its own responds: requests stay, and the others are not
-/// taken for dead.
+/// To a manager inside an isolated zone, all other zones are unresponsive and its own responds: requests stay
+/// in it, and the failures of the other zones start no panic mode.
 #[test]
 fn isolated_zone_keeps_its_requests() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    (1..4).for_each(|i| seen[i] = silenced(&seen[i]));
-    let plan = play(&mut failover, 1_100, 1_700, &seen);
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    (1..4).for_each(|zone| observations[zone] = unresponsive(&observations[zone]));
+    let plan = run(&mut failover, 1_100, 1_700, &observations);
     assert!(plan.is_isolated && !plan.is_panic && fraction(&plan, 0) == 1.0, "{plan:?}");
-    let plan = play(&mut failover, 1_800, 2_500, &four());
+    let plan = run(&mut failover, 1_800, 2_500, &four_zones());
     assert_eq!(fraction(&plan, 0), 1.0);
 }
 
-/// From outside, a zone whose managers are alive but whose engines nobody reaches has lost its engines; one whose managers
-/// are gone, too, is isolated or dead.
+/// A zone whose managers are alive but whose engines no manager reaches has lost its engines; a zone whose
+/// managers are not alive either is isolated or dead.
 #[test]
 fn event_states_whether_the_managers_of_an_ejected_zone_are_alive() {
-    for (live, note) in [(5, "its managers are alive"), (0, "its managers are silent, too")] {
-        let mut failover = manager();
-        play(&mut failover, 0, 1_000, &four());
-        let mut seen = four();
-        seen[1] = ZoneObservation {
+    for (live_managers, expected) in [(5, "its managers are alive"), (0, "its managers are silent, too")] {
+        let mut failover = failover_in_zone_0();
+        run(&mut failover, 0, 1_000, &four_zones());
+        let mut observations = four_zones();
+        observations[1] = ZoneObservation {
             observers: 9,
             unreachable_for: 9,
             managers: 5,
-            live_managers: live,
-            ..silenced(&seen[1])
+            live_managers,
+            ..unresponsive(&observations[1])
         };
         let events: Vec<String> = (11..17)
-            .flat_map(|k| failover.update(at(k * 100), &seen).events)
+            .flat_map(|step| failover.update(at_millis(step * 100), &observations).events)
             .map(|event| event.describe(|_| None))
             .collect();
-        assert!(events.iter().any(|e| e.contains("zone 1 ejected") && e.contains(note)), "{events:?}");
+        assert!(
+            events.iter().any(|event| event.contains("zone 1 ejected") && event.contains(expected)),
+            "{events:?}"
+        );
     }
 }
 
 #[test]
 fn panic_mode_ignores_the_states_of_zones() {
-    let mut failover = manager();
-    play(&mut failover, 0, 1_000, &four());
-    let mut seen = four();
-    seen[0] = ZoneObservation { responsive: 0, unresponsive: 4, healthy_cores: 0.0, ..seen[0] };
-    (1..4).for_each(|i| seen[i] = silenced(&seen[i]));
-    let plan = play(&mut failover, 1_100, 2_000, &seen);
+    let mut failover = failover_in_zone_0();
+    run(&mut failover, 0, 1_000, &four_zones());
+    let mut observations = four_zones();
+    observations[0] =
+        ZoneObservation { responsive: 0, unresponsive: 4, healthy_cores: 0.0, ..observations[0] };
+    (1..4).for_each(|zone| observations[zone] = unresponsive(&observations[zone]));
+    let plan = run(&mut failover, 1_100, 2_000, &observations);
     assert!(plan.is_panic);
-    assert!(plan.weights.iter().all(|w| (*w - 1.0).abs() < 1e-9), "{plan:?}");
+    assert!(plan.weights.iter().all(|weight| (*weight - 1.0).abs() < 1e-9), "{plan:?}");
 }
 
 #[test]
 fn zones_beyond_the_maximum_are_ignored() {
-    let mut failover = manager();
-    let many: Vec<ZoneObservation> = (0..200).map(|i| zone(i, i / 2)).collect();
-    let plan = failover.update(at(0), &many);
+    let mut failover = failover_in_zone_0();
+    let observations: Vec<ZoneObservation> = (0..200).map(|index| zone(index, index / 2)).collect();
+    let plan = failover.update(at_millis(0), &observations);
     assert_eq!(plan.fractions.len(), MAX_ZONES);
-    assert_eq!(failover.update(at(100), &[]).fractions.len(), 0);
+    assert_eq!(failover.update(at_millis(100), &[]).fractions.len(), 0);
 }
