--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -1,14 +1,16 @@
-//! Admission during warm-up: how many requests a manager that has just started accepts at a time.
+//! Admission control during warm-up: limits the pending requests of a manager that has just started.
 //!
-//! A manager that starts knows neither the speed of engines nor the cost of classes; what it admits at once depends
-//! on initial estimates, and hundreds that start together estimate alike. So a starting manager has at most `initial_limit`
-//! requests pending. Each request served raises the limit by `increase` (with 1 it doubles about once per round trip, as
-//! TCP slow start does, RFC 5681 section 3.1), and each sign that engines are full multiplies it by `decrease_factor`
-//! (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit reaches `max_limit`: from then on the
-//! decision module alone admits and rejects.
+//! A manager that starts knows neither the speed of engines nor the cost of classes. How many requests it
+//! admits at once depends on initial estimates, and hundreds of managers that start together make the same
+//! estimates. So a starting manager has at most `initial_limit` requests pending. Each request served raises
+//! the limit by `increase` (with 1 it doubles about once per round trip, as TCP slow start does, RFC 5681
+//! section 3.1), and each attempt that an engine rejects as full or fails multiplies it by `decrease_factor`
+//! (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit reaches `max_limit`: from then
+//! on the decision module alone admits and rejects.
 //!
-//! A request over the limit is rejected at once with a Retry-After: the time in which the pending requests complete at
-//! the mean latency seen, jittered by half either way so that clients rejected together do not return together.
+//! A request over the limit is rejected at once with a Retry-After: the time in which the pending requests
+//! complete at the mean latency so far, with a jitter of plus or minus half so that clients rejected together
+//! do not return together.
 
 use crate::{from_millis, TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -18,15 +20,16 @@
 
 /// Mean latency assumed before the first response.
 const INITIAL_LATENCY: TimeDelta = TimeDelta::from_millis(200);
-/// Weight of one response in the mean latency (exponentially weighted).
+/// Weight of one response in the exponentially weighted mean latency.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Shortest Retry-After of a rejection here: earlier, a client would meet the same conditions. The core applies its own
-/// bound of the same length to all rejections and failures (`MIN_RETRY_AFTER` in its `request` module).
+/// Shortest Retry-After of a rejection during warm-up: a client that returned earlier would meet the same
+/// conditions. The core applies its own bound of the same length to all rejections and failures
+/// (`MIN_RETRY_AFTER` in its `request` module).
 pub const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
-/// Longest Retry-After: by then, warm-up has progressed.
+/// Longest Retry-After of a rejection during warm-up: after this time, warm-up has progressed.
 pub const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(2);
-/// The limit on pending requests never falls below this: at least one pending request is needed to see whether conditions
-/// improve.
+/// The limit on pending requests never falls below this: at least one pending request is needed to see
+/// whether conditions improve.
 const MIN_LIMIT: f64 = 1.0;
 /// Distinguishes this generator from others that are seeded with the manager's seed.
 const RNG_STREAM: u64 = 0xad31_5510;
@@ -41,7 +44,8 @@
     /// Increase of the limit per request served; 0.01 to 10.
     #[serde(rename = "gain")]
     pub increase: f64,
-    /// Factor on the limit when an engine rejects an attempt as full or fails it; 0.1 to 1.
+    /// Factor by which the limit is multiplied when an engine rejects an attempt as full or fails it; 0.1 to
+    /// 1.
     #[serde(rename = "cut")]
     pub decrease_factor: f64,
     /// Longest warm-up after the start, in milliseconds; 0 (off) to 120,000.
@@ -65,10 +69,10 @@
 }
 
 impl AdmissionConfig {
-    /// Checks each number against its range.
+    /// Checks that each number is within its range.
     ///
     /// # Errors
-    /// The first field out of its range, by its name in the file.
+    /// Returns the first field that is out of its range, by its name in the settings file.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("first", self.initial_limit, 1.0, 10_000.0)?;
         check_range("gain", self.increase, 0.01, 10.0)?;
@@ -92,7 +96,7 @@
 }
 
 impl WarmupAdmission {
-    /// Admission control of a manager that starts now; `seed` is for the jitter of Retry-After.
+    /// Admission control of a manager that starts now; `seed` seeds the jitter of Retry-After.
     pub fn new(config: AdmissionConfig, seed: u64, now: Timestamp) -> WarmupAdmission {
         WarmupAdmission {
             warmup_ends_at: now + from_millis(config.warmup_ms),
@@ -105,10 +109,10 @@
         }
     }
 
-    /// Admits or rejects a request that arrives while `pending` others are.
+    /// Admits or rejects a request that arrives while `pending` other requests are pending.
     ///
     /// # Errors
-    /// The Retry-After where the request is rejected.
+    /// Returns the Retry-After if the request is rejected.
     pub fn admit(&mut self, now: Timestamp, pending: usize) -> Result<(), TimeDelta> {
         self.finished |= now >= self.warmup_ends_at;
         if self.finished || (pending as f64) < self.limit {
@@ -132,12 +136,12 @@
         self.limit = (self.limit * self.config.decrease_factor).max(MIN_LIMIT);
     }
 
-    /// Whether warm-up is over, so that nothing is rejected here any more.
+    /// Whether warm-up is over, so that [`WarmupAdmission::admit`] rejects no more requests.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Requests rejected here so far.
+    /// Requests rejected since the start.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/crates/startup/src/backoff.rs
+++ b/crates/startup/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Exponential backoff with jitter, after gRPC's connection backoff (grpc/doc/connection-backoff.md).
 //!
-//! The first delay is multiplied after each failure up to a maximum; each is spread by a fraction either way, so that
-//! clients that failed together do not return together.
+//! The delay is multiplied after each failure up to a maximum. Each delay is jittered by plus or minus a
+//! fraction, so that clients that failed together do not return together.
 
 use crate::TimeDelta;
 use rand::Rng;
@@ -18,9 +18,9 @@
 pub struct BackoffConfig {
     /// First delay, in milliseconds (gRPC: 1,000); 1 to 3,600,000.
     pub initial_ms: f64,
-    /// Each further delay is this many times the last (gRPC: 1.6); 1 to 10.
+    /// Factor from each delay to the next (gRPC: 1.6); 1 to 10.
     pub multiplier: f64,
-    /// Each delay is spread evenly by this fraction either way (gRPC: 0.2); 0 to 1.
+    /// Each delay is spread uniformly by plus or minus this fraction (gRPC: 0.2); 0 to 1.
     pub jitter: f64,
     /// Longest delay before jitter, in milliseconds (gRPC: 120,000); `initial_ms` to 3,600,000.
     pub max_ms: f64,
@@ -31,10 +31,10 @@
     pub const GRPC: BackoffConfig =
         BackoffConfig { initial_ms: 1_000.0, multiplier: 1.6, jitter: 0.2, max_ms: 120_000.0 };
 
-    /// Checks each number against its range.
+    /// Checks that each number is within its range.
     ///
     /// # Errors
-    /// The first field out of its range.
+    /// Returns the first field that is out of its range.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("initial_ms", self.initial_ms, 1.0, 3_600_000.0)?;
         check_range("multiplier", self.multiplier, 1.0, 10.0)?;
--- a/crates/startup/src/config.rs
+++ b/crates/startup/src/config.rs
@@ -1,4 +1,4 @@
-//! Start-up settings: a JSON5 file of the operator's, such as `deploy/cold-start.json5`.
+//! Start-up settings, read from the operator's JSON5 file, such as `deploy/cold-start.json5`.
 //!
 //! Every field has a default. Unknown fields and numbers out of range are rejected by name.
 
@@ -20,23 +20,23 @@
     /// Polls of the endpoint list.
     #[serde(rename = "lists")]
     pub endpoint_poller: EndpointPollerConfig,
-    /// New connections to engines.
+    /// Pacing of new connections to engines.
     #[serde(rename = "dials")]
     pub dial_pacer: DialPacerConfig,
-    /// First load on cold engines.
+    /// Ramp of the first load on cold engines.
     pub first_load: FirstLoadConfig,
-    /// Requests admitted during warm-up.
+    /// Admission of requests during warm-up.
     pub admission: AdmissionConfig,
-    /// Endpoint lists that are older than the current one.
+    /// Treatment of endpoint lists that are older than the current one.
     #[serde(rename = "held")]
     pub endpoint_list_guard: EndpointListGuardConfig,
-    /// When the manager reports that it is ready.
+    /// Conditions for the manager to report that it is ready.
     #[serde(rename = "ready")]
     pub readiness: ReadinessConfig,
 }
 
 impl SettingsFile for StartupConfig {
-    /// What error messages call these settings.
+    /// Name of these settings in error messages.
     const SUBJECT: &'static str = "cold start";
 
     fn validate(&self) -> Result<(), InvalidField> {
--- a/crates/startup/src/dial_pacer.rs
+++ b/crates/startup/src/dial_pacer.rs
@@ -1,30 +1,30 @@
-//! When a manager may dial a new connection to an engine.
+//! Paces a manager's new connections to engines.
 //!
-//! Managers that start together (a release, a crash of most of the fleet) would dial their engines in the same
-//! milliseconds, and an engine's accept queue and session table see the sum. So during a manager's warm-up each new
-//! connection waits for its slot: a point in a window of `window_ms`, given by a hash of the manager's name and the
-//! engine's id. The dials of all managers to one engine then spread evenly over the window, and those of one manager over
-//! its engines. At all times a rate limit applies to new connections; a dial never waits longer than one window and one
-//! interval of the rate.
+//! Managers that start together (a release, a crash of most of the fleet) would dial their engines in the
+//! same milliseconds, and an engine's accept queue and session table must take them all at once. So during a
+//! manager's warm-up each new connection waits for its slot: a point in a window of `window_ms`, given by a
+//! hash of the manager's name and the engine's id. The dials of all managers to one engine then spread evenly
+//! over the window, and so do the dials of one manager to its engines. At all times a rate limit applies to
+//! new connections; a dial never waits longer than one window and one interval of the rate limit.
 
 use crate::{from_millis, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 use sprucelink_stable_hash::{stable_hash, unit_interval};
 
-/// Settings of new connections.
+/// Settings of the pacing of new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DialPacerConfig {
-    /// Window over which first dials spread, in milliseconds; 0 (off) to 500.
+    /// Window over which the dials during warm-up are spread, in milliseconds; 0 (off) to 500.
     #[serde(rename = "stage_ms")]
     pub window_ms: f64,
-    /// How long after the start dials wait for their slots, in milliseconds; 0 to 120,000.
+    /// Time after the start during which dials wait for their slots, in milliseconds; 0 to 120,000.
     #[serde(rename = "warm_ms")]
     pub warmup_ms: f64,
-    /// New connections per second that one manager may open, beyond its burst; 1 to 10,000.
+    /// New connections per second that one manager may open after its burst is used up; 1 to 10,000.
     pub rate: f64,
-    /// New connections that may open in a row; 1 to 1,000.
+    /// New connections that one manager may open in a row without waiting for the rate; 1 to 1,000.
     pub burst: f64,
 }
 
@@ -35,10 +35,10 @@
 }
 
 impl DialPacerConfig {
-    /// Checks each number against its range.
+    /// Checks that each number is within its range.
     ///
     /// # Errors
-    /// The first field out of its range, by its name in the file.
+    /// Returns the first field that is out of its range, by its name in the settings file.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("stage_ms", self.window_ms, 0.0, 500.0)?;
         check_range("warm_ms", self.warmup_ms, 0.0, 120_000.0)?;
@@ -53,7 +53,8 @@
     config: DialPacerConfig,
     manager_name: Vec<u8>,
     started_at: Timestamp,
-    /// Theoretical arrival time of the generic cell rate algorithm (ITU-T I.371): the token bucket as one instant.
+    /// Theoretical arrival time of the generic cell rate algorithm (ITU-T I.371), which represents the token
+    /// bucket by a single timestamp.
     theoretical_arrival: Timestamp,
     delayed_dials: u64,
 }
@@ -70,15 +71,16 @@
         }
     }
 
-    /// Where in the window this manager's slot for `engine` lies, as a fraction of it.
+    /// Position of this manager's slot for `engine` in the window, as a fraction of the window, from 0 to
+    /// below 1.
     pub fn slot_fraction(&self, engine: &str) -> f64 {
         unit_interval(stable_hash(&[&self.manager_name, engine.as_bytes()]))
     }
 
-    /// Reserves a dial to `engine` that is wanted now, and returns when it may start.
+    /// Reserves a dial to `engine` that is requested now, and returns the time at which it may start.
     ///
-    /// While dials are wanted no faster than the rate, that is `now` or later by at most one window and one interval of
-    /// the rate.
+    /// As long as dials are requested no faster than the rate, that time is `now`, or later by at most one
+    /// window and one interval of the rate.
     pub fn reserve_dial(&mut self, now: Timestamp, engine: &str) -> Timestamp {
         let slot = self.next_slot(now, engine);
         self.delayed_dials += u64::from(slot > now);
@@ -89,7 +91,8 @@
         dial_at
     }
 
-    /// The first occurrence of the engine's slot from `now` on; `now` outside warm-up.
+    /// The first occurrence of the engine's slot at or after `now`; `now` itself after warm-up or without a
+    /// window.
     fn next_slot(&self, now: Timestamp, engine: &str) -> Timestamp {
         let window = from_millis(self.config.window_ms);
         let is_warming_up = now - self.started_at < from_millis(self.config.warmup_ms);
@@ -100,12 +103,12 @@
         let offset = TimeDelta::from_micros((self.slot_fraction(engine) * window_micros as f64) as i64);
         let first_slot = self.started_at + offset;
         let since_first_slot = (now - first_slot).as_micros();
-        let windows =
+        let elapsed_windows =
             if since_first_slot <= 0 { 0 } else { (since_first_slot + window_micros - 1) / window_micros };
-        first_slot + TimeDelta::from_micros(windows * window_micros)
+        first_slot + TimeDelta::from_micros(elapsed_windows * window_micros)
     }
 
-    /// Dials that had to wait for their slot so far.
+    /// Dials since the start that had to wait for their slot.
     pub fn delayed_dials(&self) -> u64 {
         self.delayed_dials
     }
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -1,16 +1,18 @@
-//! What a new endpoint list may change of the current one.
+//! Decides which changes of a new endpoint list are applied to the current one.
 //!
-//! While a list service recovers (from a backup, or as one of several replicas that lag) it may send a list that is older
-//! than the current one, or that contradicts itself. Applied as it is, such a list brings back engines that are gone and
-//! removes those that came since: hundreds of managers would dial dead engines and drop live ones in the same second.
-//! The rules are those that are safe whoever is right:
+//! While a list service recovers (from a backup, or as one of several replicas that lag) it may send a list
+//! that is older than the current one, or that contradicts itself. Applied unchecked, such a list brings back
+//! engines that are gone and removes those that were added since: hundreds of managers would dial dead
+//! engines and drop live ones in the same second. The rules are safe whether the new or the current list is
+//! right:
 //!
-//! - an event whose revision is below the highest seen is *stale*. A drain or removal in it is applied at once (a needless
-//!   drain costs capacity, a missed one breaks a rule), an engine that it lists as ready is ignored, and an engine that it
-//!   does not list stays;
-//! - of an engine that is listed twice in one event the more cautious state counts;
-//! - a stale complete list that is still sent after `accept_stale_after_ms`, with nothing newer between, is accepted: the
-//!   service restarted its numbering (after a restore from a backup), and must not be ignored indefinitely.
+//! - an event whose revision is below that of the current list is *stale*. A drain or removal in it is
+//!   applied at once (a needless drain costs capacity, a missed one breaks a rule), an engine that it lists
+//!   as ready is ignored, and an engine that it does not list stays;
+//! - if one event lists an engine twice, the more cautious state counts;
+//! - a stale complete list that is still sent after `accept_stale_after_ms`, with no newer event in between,
+//!   is accepted: the service restarted its numbering (after a restore from a backup), and must not be
+//!   ignored indefinitely.
 //!
 //! Only ids and states are retained, of at most [`MAX_ENGINES`] engines.
 
@@ -22,17 +24,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Largest number of engines tracked; further ones are applied unchecked. Twice the largest fleet planned for.
+/// Largest number of engines tracked; entries of further engines are applied unchecked. Twice the largest
+/// fleet planned for.
 pub const MAX_ENGINES: usize = 10_000;
 
 /// State of an engine in an endpoint list, in ascending order of caution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointState {
-    /// It takes work.
+    /// The engine accepts work.
     Ready,
-    /// It completes the work it has.
+    /// The engine accepts no new work and completes the work in progress.
     Draining,
-    /// It is removed.
+    /// The engine is removed.
     Gone,
 }
 
@@ -40,8 +43,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointListGuardConfig {
-    /// A stale complete list is accepted when it is still sent after this, in milliseconds; 0 (at once: the guard is off)
-    /// to 60,000.
+    /// Time after which a stale complete list that is still sent is accepted, in milliseconds; 0 (at once:
+    /// the guard is off) to 60,000.
     #[serde(rename = "older_for_ms")]
     pub accept_stale_after_ms: f64,
 }
@@ -53,25 +56,25 @@
 }
 
 impl EndpointListGuardConfig {
-    /// Checks the number against its range.
+    /// Checks that the number is within its range.
     ///
     /// # Errors
-    /// The field, by its name in the file, if it is out of its range.
+    /// Returns the field, by its name in the settings file, if it is out of its range.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("older_for_ms", self.accept_stale_after_ms, 0.0, 60_000.0)
     }
 }
 
-/// What to apply of an event.
+/// The entries of an event to apply, and how to apply them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListDecision {
     /// Indices of the event's entries to apply, ascending.
     pub accepted: Vec<usize>,
-    /// Whether to apply it as a complete list: engines that it does not list are gone.
+    /// Whether to apply the event as a complete list: engines that it does not list are gone.
     pub is_complete: bool,
     /// The event is older than the current list.
     pub is_stale: bool,
-    /// Entries that contradict another of the same event.
+    /// Number of entries that contradict an earlier entry of the same engine in the event.
     pub contradictions: usize,
 }
 
@@ -81,12 +84,12 @@
     config: EndpointListGuardConfig,
     revision: u64,
     states: BTreeMap<String, EndpointState>,
-    /// Since when stale complete lists have arrived with nothing newer between.
+    /// Time of the first of the stale complete lists that have arrived with no newer event in between.
     stale_since: Option<Timestamp>,
 }
 
 impl EndpointListGuard {
-    /// A guard without a list.
+    /// A guard that has no current list yet.
     pub fn new(config: EndpointListGuardConfig) -> EndpointListGuard {
         EndpointListGuard { config, revision: 0, states: BTreeMap::new(), stale_since: None }
     }
@@ -96,8 +99,8 @@
         self.revision
     }
 
-    /// Decides what to apply of an event with a revision, which may claim to be complete and lists engines by id. What is
-    /// accepted becomes part of the current list.
+    /// Decides which entries of an event to apply. The event has a revision, may claim to be a complete list,
+    /// and lists engines by id. Accepted entries become part of the current list.
     pub fn evaluate(
         &mut self,
         now: Timestamp,
@@ -124,14 +127,14 @@
             self.track(id, state);
         }
         if self.states.len() >= MAX_ENGINES {
-            // Ids are not used again: engines that are gone are tracked only while there is capacity.
+            // Engine ids are not reused, so engines that are gone are tracked only while there is capacity.
             self.states.retain(|_, state| *state != EndpointState::Gone);
         }
         ListDecision { accepted, is_complete, is_stale, contradictions: selection.contradictions }
     }
 
-    /// Whether an event is older than the current list. A stale complete list stops being so once it has been sent for
-    /// long enough.
+    /// Whether an event is stale. A complete list that is older than the current one stops being stale once
+    /// such lists have been sent for long enough.
     fn is_stale(&mut self, now: Timestamp, revision: u64, is_complete: bool) -> bool {
         let is_older = revision < self.revision && self.config.accept_stale_after_ms > 0.0;
         if !is_older || !is_complete {
@@ -141,7 +144,8 @@
         now - since < from_millis(self.config.accept_stale_after_ms)
     }
 
-    /// Whether a state is more cautious than the tracked one. An engine that is not tracked may have gone since.
+    /// Whether a state is more cautious than the tracked state of the engine. An engine that is not tracked
+    /// may have been removed since the stale event, so no state of it counts as more cautious.
     fn is_more_cautious(&self, id: &str, state: EndpointState) -> bool {
         self.states.get(id).is_some_and(|current| state > *current)
     }
@@ -155,10 +159,10 @@
     }
 }
 
-/// An entry of an event.
+/// An entry selected from an event.
 #[derive(Clone, Copy, Debug)]
 struct SelectedEntry {
-    /// Its index in the event.
+    /// Index of the entry in the event.
     index: usize,
     state: EndpointState,
 }
@@ -167,7 +171,7 @@
 #[derive(Debug, Default)]
 struct CautiousSelection<'a> {
     by_engine: BTreeMap<&'a str, SelectedEntry>,
-    /// Number of entries that contradict another of the same engine.
+    /// Number of entries that contradict an earlier entry of the same engine.
     contradictions: usize,
 }
 
--- a/crates/startup/src/endpoint_poller.rs
+++ b/crates/startup/src/endpoint_poller.rs
@@ -1,20 +1,21 @@
-//! When a manager polls the list service (the control feed) for its endpoint list.
+//! Schedules a manager's polls of the list service (the control feed) for its endpoint list.
 //!
-//! A manager alone may poll at once at its start, and again 20 ms after an answer ends. Hundreds of managers that start,
-//! or lose the service, together would poll it in the same milliseconds. Hence:
+//! A single manager may poll at once at its start, and again 20 ms after an answer ends. Hundreds of managers
+//! that start together, or lose the service together, would poll it in the same milliseconds. Hence:
 //!
-//! - the first poll is spread by full jitter over a window that grows with the configured fleet size: `fleet /
-//!   fleet_rate` seconds, at most `max_window_ms`;
-//! - each poll takes a token from a bucket that refills at this manager's part of the fleet's rate, `fleet_rate / fleet`
-//!   per second, and holds `burst` tokens;
-//! - a poll that failed is retried by the backoff `failed` (short: most failures pass), one that the service rejected
-//!   (HTTP 429 or 503) by the backoff `rejected` (gRPC's values);
-//! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed is longer
-//!   than `max_delay_ms`, whatever the token bucket says: both at most 250 ms. An event counts as delivered when it would
-//!   have arrived had the manager been polling, and a drain must be honoured within 500 ms of that. Only an explicit
-//!   rejection may delay for longer, since the service is up and reports that it cannot answer.
+//! - the first poll is spread by full jitter over a window that grows with the configured fleet size: `fleet
+//!   / fleet_rate` seconds, at most `max_window_ms`;
+//! - each poll takes a token from a bucket that refills at this manager's share of the fleet's rate,
+//!   `fleet_rate / fleet` per second, and holds `burst` tokens;
+//! - a failed poll is retried with the backoff `failed` (short, since most failures are transient), and a
+//!   poll that the service rejected (HTTP 429 or 503) with the backoff `rejected` (gRPC's values);
+//! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed
+//!   is longer than `max_delay_ms`, regardless of the token bucket: both at most 250 ms. An event counts as
+//!   delivered when it would have arrived had the manager been polling, and a drain must be honoured within
+//!   500 ms of that. Only an explicit rejection may delay for longer, since the service is up and reports
+//!   that it cannot answer.
 //!
-//! The last endpoint list stays in force meanwhile; [`EndpointPoller::time_since_success`] is its age.
+//! Between polls the last endpoint list stays in force; [`EndpointPoller::time_since_success`] is its age.
 
 use crate::backoff::{Backoff, BackoffConfig};
 use crate::{from_millis, TimeDelta, Timestamp};
@@ -23,46 +24,49 @@
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// Longest first wait and delay, in milliseconds: half the drain grace of 500 ms, so that a manager that learns of a
-/// drain at the end of a delay still stops sending within the grace.
+/// Upper bound of `max_window_ms` and `max_delay_ms`, in milliseconds: half the drain grace period of 500 ms,
+/// so that a manager that learns of a drain at the end of a delay still stops sending within the grace
+/// period.
 pub const MAX_DRAIN_DELAY_MS: f64 = 250.0;
-/// Longest window over which first polls may spread where late drains break no rule, in milliseconds.
+/// Upper bound of `max_window_ms` if drains that are honoured late break no rule, in milliseconds.
 const MAX_WINDOW_MS: f64 = 120_000.0;
 
-/// How a poll ended.
+/// Outcome of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// It was answered (the head of a good response arrived), and then the answer ended or broke.
+    /// The poll was answered (the head of a successful response arrived), and then the answer ended or broke
+    /// off.
     Answered,
-    /// No connection, no head in time, a bad head, or silence before any answer.
+    /// The poll got no connection, no response head in time, an invalid response head, or no data before any
+    /// answer.
     Failed,
-    /// The service rejected it: HTTP 429 or 503.
+    /// The service rejected the poll: HTTP 429 or 503.
     Rejected,
 }
 
-/// Settings of polls.
+/// Settings of the schedule of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointPollerConfig {
     /// Polls per second that the list service is expected to handle from the complete fleet; 1 to 100,000.
     pub fleet_rate: f64,
-    /// Engines reject work themselves while they drain, so that a drain honoured late breaks no rule: only then may
-    /// `max_window_ms` exceed 250. Never so on the platform.
+    /// Engines reject work themselves while they drain, so that a drain honoured late breaks no rule.
+    /// `max_window_ms` may exceed 250 only if this is set. Never the case on the platform.
     #[serde(rename = "engines_refuse_drained")]
     pub engines_reject_while_draining: bool,
-    /// Tokens a manager may hold: polls in a row without waiting for the rate; 1 to 100.
+    /// Tokens that a manager's bucket holds, that is, polls in a row without waiting for the rate; 1 to 100.
     pub burst: f64,
-    /// Longest window over which first polls spread, in milliseconds; 0 to 250 (drains), or to 120,000 with
-    /// `engines_reject_while_draining`.
+    /// Longest window over which first polls are spread, in milliseconds; 0 to 250 (bound by drains), or to
+    /// 120,000 with `engines_reject_while_draining`.
     #[serde(rename = "window_most_ms")]
     pub max_window_ms: f64,
-    /// Longest delay after an answered or failed poll, in milliseconds; 20 to 250 (drains).
+    /// Longest delay after an answered or failed poll, in milliseconds; 20 to 250 (bound by drains).
     #[serde(rename = "rest_most_ms")]
     pub max_delay_ms: f64,
     /// Shortest delay after an answered poll, before jitter, in milliseconds; 0 to `max_delay_ms`.
     #[serde(rename = "again_least_ms")]
     pub min_delay_ms: f64,
-    /// Backoff after polls that failed.
+    /// Backoff after failed polls.
     pub failed: BackoffConfig,
     /// Backoff after polls that the service rejected.
     #[serde(rename = "refused")]
@@ -85,10 +89,10 @@
 }
 
 impl EndpointPollerConfig {
-    /// Checks each number against its range.
+    /// Checks that each number is within its range.
     ///
     /// # Errors
-    /// The first field out of its range, by its name in the file.
+    /// Returns the first field that is out of its range, by its name in the settings file.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("fleet_rate", self.fleet_rate, 1.0, 100_000.0)?;
         check_range("burst", self.burst, 1.0, 100.0)?;
@@ -110,19 +114,19 @@
     fleet: f64,
     rng: ChaCha8Rng,
     next_poll_at: Timestamp,
-    /// Tokens in the bucket; negative after polls that went without one.
+    /// Tokens in the bucket; negative after polls that started without a token.
     tokens: f64,
     refilled_at: Timestamp,
     failed: Backoff,
     rejected: Backoff,
     in_flight: bool,
-    last_answer: Option<Timestamp>,
+    last_answered_at: Option<Timestamp>,
     started_at: Timestamp,
     polls: u64,
 }
 
 impl EndpointPoller {
-    /// The schedule of a manager that starts now, in a fleet of `fleet` managers as configured (at least 1).
+    /// The schedule of a manager that starts now, in a fleet configured with `fleet` managers; 0 counts as 1.
     pub fn new(config: EndpointPollerConfig, fleet: u32, seed: u64, now: Timestamp) -> EndpointPoller {
         let mut poller = EndpointPoller {
             config,
@@ -134,7 +138,7 @@
             failed: Backoff::new(config.failed),
             rejected: Backoff::new(config.rejected),
             in_flight: false,
-            last_answer: None,
+            last_answered_at: None,
             started_at: now,
             polls: 0,
         };
@@ -149,13 +153,13 @@
         TimeDelta::from_secs_f64(fleet_seconds.min(self.config.max_window_ms / 1_000.0))
     }
 
-    /// When the next poll may start; `None` while one is in flight.
+    /// Time at which the next poll may start; `None` while a poll is in flight.
     pub fn next_poll_at(&self) -> Option<Timestamp> {
         (!self.in_flight).then_some(self.next_poll_at)
     }
 
-    /// Starts a poll if one is due; whether it did. It takes a token, or goes without one where the bucket would delay it
-    /// beyond its bound (drains take precedence).
+    /// Starts a poll if one is due; returns whether it did. The poll takes a token, or starts without a token
+    /// if the bucket would delay it beyond its bound (drains take precedence).
     pub fn try_start(&mut self, now: Timestamp) -> bool {
         if self.in_flight || now < self.next_poll_at {
             return false;
@@ -167,14 +171,14 @@
         true
     }
 
-    /// Records how the poll in flight ended; returns when the next may start.
+    /// Records the outcome of the poll in flight; returns the time at which the next poll may start.
     pub fn complete(&mut self, now: Timestamp, outcome: PollOutcome) -> Timestamp {
         self.in_flight = false;
         self.refill(now);
         let max_delay = from_millis(self.config.max_delay_ms);
         let delay = match outcome {
             PollOutcome::Answered => {
-                self.last_answer = Some(now);
+                self.last_answered_at = Some(now);
                 self.failed.reset();
                 self.rejected.reset();
                 self.delay_after_answer(max_delay)
@@ -192,8 +196,8 @@
         self.next_poll_at
     }
 
-    /// Full jitter over the fleet's window, so that an end that reached all managers at once (a restart of the service) is
-    /// not followed by polls from all at once.
+    /// The delay after an answered poll: full jitter over the fleet's window, so that when the answers to all
+    /// managers end at once (a restart of the service) they do not all poll again at once.
     fn delay_after_answer(&mut self, max_delay: TimeDelta) -> TimeDelta {
         let min_delay = from_millis(self.config.min_delay_ms);
         let window = self.first_poll_window().min(max_delay);
@@ -214,7 +218,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// How long until the bucket holds one token.
+    /// Time until the bucket holds one token.
     fn token_wait(&self) -> TimeDelta {
         if self.tokens >= 1.0 {
             return TimeDelta::ZERO;
@@ -222,17 +226,17 @@
         TimeDelta::from_secs_f64((1.0 - self.tokens) / self.manager_rate())
     }
 
-    /// This manager's part of the fleet's rate, in polls per second.
+    /// This manager's share of the fleet's rate, in polls per second.
     fn manager_rate(&self) -> f64 {
         self.config.fleet_rate / self.fleet
     }
 
-    /// Time since the last answered poll; since the start if none was.
+    /// Time since the last answered poll, or since the start if no poll was answered yet.
     pub fn time_since_success(&self, now: Timestamp) -> TimeDelta {
-        now - self.last_answer.unwrap_or(self.started_at)
+        now - self.last_answered_at.unwrap_or(self.started_at)
     }
 
-    /// Polls started so far.
+    /// Polls started since the manager's start.
     pub fn polls(&self) -> u64 {
         self.polls
     }
--- a/crates/startup/src/readiness.rs
+++ b/crates/startup/src/readiness.rs
@@ -1,14 +1,15 @@
-//! When a starting manager reports that it is ready.
+//! Decides when a starting manager reports that it is ready.
 //!
-//! A manager is ready when it has an endpoint list (the configured one or one from the feed); the feed has answered once,
-//! or `max_feed_wait_ms` have passed since the start (a feed that is down must not keep a manager out of service); and a
-//! connection to an engine is up, or `max_connection_wait_ms` have passed. This is reported once, with its reasons.
+//! A manager is ready when it has an endpoint list (the configured one or one from the feed); the feed has
+//! answered once, or `max_feed_wait_ms` have passed since the start (a feed that is down must not keep a
+//! manager out of service); and a connection to an engine is up, or `max_connection_wait_ms` have passed.
+//! Readiness is reported once, with its reasons.
 
 use crate::{from_millis, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// Settings of readiness.
+/// Settings of the conditions for readiness.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReadinessConfig {
@@ -27,26 +28,26 @@
 }
 
 impl ReadinessConfig {
-    /// Checks each number against its range.
+    /// Checks that each number is within its range.
     ///
     /// # Errors
-    /// The first field out of its range, by its name in the file.
+    /// Returns the first field that is out of its range, by its name in the settings file.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("feed_wait_ms", self.max_feed_wait_ms, 0.0, 30_000.0)?;
         check_range("link_wait_ms", self.max_connection_wait_ms, 0.0, 30_000.0)
     }
 }
 
-/// The manager became ready, and why.
+/// Reports that the manager became ready, and by which conditions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BecameReady {
-    /// How long after the start.
+    /// Time from the start until the manager became ready.
     pub after: TimeDelta,
-    /// The feed had answered; else its wait had passed.
+    /// Whether the feed had answered; if not, `max_feed_wait_ms` had passed.
     pub feed_answered: bool,
-    /// A connection to an engine was up; else its wait had passed.
+    /// Whether a connection to an engine was up; if not, `max_connection_wait_ms` had passed.
     pub is_connected: bool,
-    /// Engines in the endpoint list.
+    /// Number of engines in the endpoint list that accept work.
     pub engines: usize,
 }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Records an endpoint list, configured or from the feed, with this many engines that take work.
+    /// Records an endpoint list, configured or from the feed, with this many engines that accept work.
     pub fn record_endpoint_list(&mut self, engines: usize) {
         self.engines = engines;
     }
@@ -89,7 +90,7 @@
         self.is_connected = true;
     }
 
-    /// Checks whether the manager is ready; `Some` once, when it becomes so.
+    /// Checks whether the manager is ready; returns `Some` once, when it becomes ready.
     pub fn check(&mut self, now: Timestamp) -> Option<BecameReady> {
         if self.is_ready || self.engines == 0 {
             return None;
@@ -113,7 +114,8 @@
         self.is_ready
     }
 
-    /// When to check again at the latest: the next wait that passes. `None` where none is left, or it is ready.
+    /// Time of the next check: the earliest deadline of a condition that is not met. `None` if both
+    /// conditions are met or the manager is ready.
     pub fn next_check_at(&self) -> Option<Timestamp> {
         if self.is_ready {
             return None;
