--- a/crates/startup/tests/backoff.rs
+++ b/crates/startup/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff with jitter.
+//! Tests of exponential backoff with jitter.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +13,7 @@
         let delay = backoff.record_failure(&mut rng).as_micros() as f64 / 1_000.0;
         assert!(
             delay >= expected * 0.8 - 1e-6 && delay <= expected * 1.2 + 1e-6,
-            "{delay} against {expected}"
+            "delay of {delay} ms, expected {expected} ms plus or minus 20%"
         );
         expected = (expected * 1.6).min(120_000.0);
     }
@@ -32,14 +32,14 @@
     let mut distinct: Vec<i64> = (0..50).map(first_delay).collect();
     distinct.sort_unstable();
     distinct.dedup();
-    assert!(distinct.len() > 45, "{} distinct of 50", distinct.len());
+    assert!(distinct.len() > 45, "{} of 50 delays are distinct", distinct.len());
 }
 
 #[test]
 fn numbers_out_of_range_are_rejected_by_name() {
-    let bad = BackoffConfig { multiplier: 0.5, ..BackoffConfig::GRPC };
-    assert!(bad.validate().unwrap_err().path.starts_with("multiplier"));
-    let bad = BackoffConfig { max_ms: 10.0, ..BackoffConfig::GRPC };
-    assert!(bad.validate().unwrap_err().path.starts_with("max_ms"));
+    let invalid = BackoffConfig { multiplier: 0.5, ..BackoffConfig::GRPC };
+    assert!(invalid.validate().unwrap_err().path.starts_with("multiplier"));
+    let invalid = BackoffConfig { max_ms: 10.0, ..BackoffConfig::GRPC };
+    assert!(invalid.validate().unwrap_err().path.starts_with("max_ms"));
     assert!(BackoffConfig::GRPC.validate().is_ok());
 }
--- a/crates/startup/tests/first_load.rs
+++ b/crates/startup/tests/first_load.rs
@@ -1,17 +1,17 @@
-//! The ramp of first load on cold engines.
+//! Tests of the ramp of first load on cold engines.
 
 use sprucelink_startup::first_load::FirstLoadConfig;
 
 #[test]
 fn ramp_reaches_the_full_fraction_at_its_end() {
-    let (initial, seconds_to_rise_by_one) = FirstLoadConfig::default().ramp().expect("on");
+    let (initial, seconds_to_rise_by_one) = FirstLoadConfig::default().ramp().expect("the ramp is on");
     let fraction = |seconds: f64| (initial + seconds / seconds_to_rise_by_one).min(1.0);
     assert_eq!(fraction(0.0), 0.1);
-    assert!((fraction(2.0) - 0.55).abs() < 1e-9, "half way: {}", fraction(2.0));
+    assert!((fraction(2.0) - 0.55).abs() < 1e-9, "halfway: {}", fraction(2.0));
     assert!(fraction(3.9) < 1.0 && (fraction(4.0) - 1.0).abs() < 1e-9);
     assert_eq!(FirstLoadConfig { ramp_ms: 0.0, ..Default::default() }.ramp(), None);
     let flat = FirstLoadConfig { initial_fraction: 1.0, ..Default::default() };
-    assert!(flat.ramp().expect("on").1.is_finite());
+    assert!(flat.ramp().expect("the ramp is on").1.is_finite());
 }
 
 #[test]
