--- a/crates/rate-limits/src/event_window.rs
+++ b/crates/rate-limits/src/event_window.rs
@@ -4,14 +4,15 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// The instants of the events of one sliding window, oldest first.
+/// Timestamps of the events in one sliding window, oldest first.
 ///
-/// Memory grows with the events of a window; where that has no bound, [`SlotWindow`](crate::SlotWindow) counts by slot.
+/// Memory grows with the number of events in the window. Where that number is not bounded, use
+/// [`SlotWindow`](crate::SlotWindow), which counts events by slot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EventWindow(VecDeque<Timestamp>);
 
 impl EventWindow {
-    /// Records an event at `now` and drops those that are older than `span`.
+    /// Records an event at `now` and drops events that are older than `span`.
     pub fn record(&mut self, now: Timestamp, span: TimeDelta) {
         self.0.push_back(now);
         while self.0.front().is_some_and(|time| now - *time > span) {
@@ -19,7 +20,7 @@
         }
     }
 
-    /// The number of recorded events after `start`, that instant excluded.
+    /// The number of recorded events later than `start`.
     pub fn count_after(&self, start: Timestamp) -> usize {
         self.0.iter().rev().take_while(|time| **time > start).count()
     }
--- a/crates/rate-limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -1,7 +1,8 @@
-//! Plain data structures for limits over time and for what was used last: they count, sum and average, and decide
-//! nothing.
+//! Data structures for rate limits and usage statistics: token bucket, sliding windows, moving averages and
+//! an LRU set.
 //!
-//! No structure reads a clock: each call takes the current time. What a caller does with a count is its own concern.
+//! They hold no policy: callers decide what to do with a count, a sum or an average. None of them reads a
+//! clock: each call takes the current time as an argument.
 
 pub mod event_window;
 pub mod moving_average;
--- a/crates/rate-limits/src/recent_set.rs
+++ b/crates/rate-limits/src/recent_set.rs
@@ -1,14 +1,15 @@
-//! The distinct keys that were used last.
+//! A bounded set of the most recently used keys.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A bounded set of keys of which the one used longest ago makes room for a new one (LRU).
+/// A bounded set of keys that evicts the least recently used key (LRU).
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RecentSet(VecDeque<u64>);
 
 impl RecentSet {
-    /// Marks a key as the one used last, and drops those used longest ago beyond `capacity`.
+    /// Inserts a key as the most recently used one, and evicts the least recently used keys beyond
+    /// `capacity`.
     pub fn touch(&mut self, key: u64, capacity: usize) {
         self.0.retain(|other| *other != key);
         self.0.push_back(key);
@@ -22,7 +23,7 @@
         self.0.contains(&key)
     }
 
-    /// Drops all keys.
+    /// Removes all keys.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/rate-limits/src/slot_window.rs
+++ b/crates/rate-limits/src/slot_window.rs
@@ -1,22 +1,22 @@
-//! A sliding window that counts by slots of time, so that its memory is bounded whatever the rate of events.
+//! A sliding window that counts events by time slot, so that its memory is bounded at any rate of events.
 
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// One slot of a window: what happened within one slot width of its start.
+/// One time slot of a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slot<T> {
-    /// When the slot begins: a multiple of the slot width.
+    /// Start of the slot, a multiple of the slot width.
     pub start: Timestamp,
-    /// What was counted in it.
+    /// Value accumulated within one slot width from `start`.
     pub value: T,
 }
 
-/// A sliding window over slots of equal width, oldest first. Slots in which nothing happened are not stored.
+/// A sliding window over slots of equal width, oldest first. Slots without events are not stored.
 ///
-/// The begin of the window usually falls inside a slot. A caller that must not count too little reads
-/// [`overlapping`](SlotWindow::overlapping), which has that slot whole; one that must not count too much reads
-/// [`within`](SlotWindow::within), which leaves it out.
+/// The start of the window usually falls inside a slot. A caller that must not count too few events reads
+/// [`overlapping`](SlotWindow::overlapping), which includes that slot whole; a caller that must not count too
+/// many reads [`within`](SlotWindow::within), which excludes it.
 #[derive(Clone, Debug, Default)]
 pub struct SlotWindow<T> {
     span: TimeDelta,
@@ -25,10 +25,11 @@
 }
 
 impl<T: Default> SlotWindow<T> {
-    /// An empty window of length `span`, in slots of `min_width` or, where that would make more than `max_slots` of
-    /// them, as wide as it takes. The slots at both ends may be cut, so that up to two more are stored.
+    /// An empty window of length `span`, in slots of `min_width` or, if that would make more than `max_slots`
+    /// slots, in slots of `span / max_slots`. The window may cover the slots at its ends only in part, so
+    /// that up to two more slots are stored.
     ///
-    /// `min_width` and `max_slots` count as at least 1.
+    /// A `max_slots` of 0 counts as 1, and a slot is at least one microsecond wide.
     pub fn new(span: TimeDelta, min_width: TimeDelta, max_slots: u32) -> SlotWindow<T> {
         let even_width = span.as_micros() / i64::from(max_slots.max(1));
         let width = TimeDelta::from_micros(even_width.max(min_width.as_micros()).max(1));
@@ -40,16 +41,17 @@
         self.width
     }
 
-    /// The start of the slot that `time` lies in.
+    /// The start of the slot that contains `time`.
     pub fn slot_start(&self, time: Timestamp) -> Timestamp {
         let offset = time.as_micros().rem_euclid(self.width.as_micros());
         time - TimeDelta::from_micros(offset)
     }
 
-    /// The value of the slot that `now` lies in, which is begun if need be; slots that have left the window are dropped.
+    /// The value of the slot that contains `now`, which is created if necessary. Slots that have left the
+    /// window are dropped.
     ///
-    /// If `now` lies before the newest slot, because the clock was set back, the value of the newest slot is given. See
-    /// [`shift_back`](SlotWindow::shift_back).
+    /// If `now` lies before the newest slot, because the clock was set back, returns the value of the newest
+    /// slot. See [`shift_back`](SlotWindow::shift_back).
     pub fn slot_mut(&mut self, now: Timestamp) -> &mut T {
         self.drop_expired(now);
         let start = self.slot_start(now);
@@ -60,32 +62,33 @@
         &mut self.slots[newest].value
     }
 
-    /// The slots that overlap the window that ends at `now`, oldest first.
+    /// The slots that overlap the window ending at `now`, oldest first.
     pub fn overlapping(&self, now: Timestamp) -> impl Iterator<Item = &Slot<T>> {
         let window_start = now - self.span;
         self.slots.iter().filter(move |slot| slot.start + self.width > window_start)
     }
 
-    /// The slots that begin after the window that ends at `now` begins, oldest first.
+    /// The slots that start after the start of the window ending at `now`, oldest first.
     pub fn within(&self, now: Timestamp) -> impl Iterator<Item = &Slot<T>> {
         let window_start = now - self.span;
         self.slots.iter().filter(move |slot| slot.start > window_start)
     }
 
-    /// The newest slot that is stored, whether or not it still lies in the window.
+    /// The newest stored slot, which may have left the window.
     pub fn newest(&self) -> Option<&Slot<T>> {
         self.slots.back()
     }
 
-    /// Moves all slots back in time by a multiple of the slot width, for a clock that was set back: else they would
-    /// stay in the future, and in the window, for as long as the clock was set back by.
+    /// Moves all slots back in time after the clock was set back; `by` must be a multiple of the slot width.
+    /// Otherwise the slots would lie in the future, and stay in the window for as long as the clock was set
+    /// back by.
     pub fn shift_back(&mut self, by: TimeDelta) {
         for slot in &mut self.slots {
             slot.start = slot.start - by;
         }
     }
 
-    /// The number of slots stored.
+    /// The number of stored slots.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
@@ -104,18 +107,20 @@
 }
 
 impl SlotWindow<u32> {
-    /// Counts one event at `now`; a slot's count saturates.
+    /// Counts one event at `now`. The count of a slot saturates.
     pub fn increment(&mut self, now: Timestamp) {
         let count = self.slot_mut(now);
         *count = count.saturating_add(1);
     }
 
-    /// Events of the window that ends at `now`, with all of those in the slot that its begin cuts.
+    /// The number of events in the window ending at `now`, including all events of the slot that contains its
+    /// start.
     pub fn count_overlapping(&self, now: Timestamp) -> u64 {
         self.overlapping(now).map(|slot| u64::from(slot.value)).sum()
     }
 
-    /// Events of the window that ends at `now`, without those in the slot that its begin cuts.
+    /// The number of events in the window ending at `now`, excluding all events of the slot that contains its
+    /// start.
     pub fn count_within(&self, now: Timestamp) -> u64 {
         self.within(now).map(|slot| u64::from(slot.value)).sum()
     }
