--- a/crates/cordon/src/cause.rs
+++ b/crates/cordon/src/cause.rs
@@ -1,18 +1,18 @@
-//! Who keeps a target cordoned, and the request that makes them do so.
+//! The causes that keep a target cordoned, and the requests that activate them.
 
 use crate::error::CordonError;
 use crate::limits::MAX_LEASE;
 use crate::Timestamp;
 use std::fmt;
 
-/// Who keeps a target cordoned. Causes are independent: ending one leaves the others active.
+/// A cause that keeps a target cordoned. Causes are independent: ending one leaves the others active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// The operator: one cause, however many calls.
+    /// The operator. Any number of operator calls on a target counts as one cause.
     Operator,
     /// A permit that the fleet agreed on.
     Fleet {
-        /// The permit's number.
+        /// Identifier of the permit.
         permit: u64,
     },
 }
@@ -26,16 +26,16 @@
     }
 }
 
-/// A request to cordon a target: for which cause, and for how long.
+/// A request to cordon a target for a cause, until it is uncordoned or a lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CordonRequest {
-    /// The operator's: until it is uncordoned.
+    /// A request of the operator: the target stays cordoned until it is uncordoned.
     Operator,
-    /// The fleet's: until it is uncordoned or the lease expires.
+    /// A request of the fleet: the target stays cordoned until it is uncordoned or the lease expires.
     Fleet {
-        /// The permit's number.
+        /// Identifier of the permit.
         permit: u64,
-        /// When the lease expires; a later request with the same permit replaces it.
+        /// Time at which the lease expires; a later request with the same permit replaces it.
         lease_expires_at: Timestamp,
     },
 }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// When the cordon ends by itself.
+    /// Time at which the lease expires; `None` for the operator, whose cordons have no lease.
     pub fn lease_expires_at(self) -> Option<Timestamp> {
         match self {
             CordonRequest::Operator => None,
--- a/crates/cordon/src/cause_register.rs
+++ b/crates/cordon/src/cause_register.rs
@@ -5,8 +5,9 @@
 use crate::Timestamp;
 use std::collections::BTreeMap;
 
-/// The register of one cause, and whether its lease is known to have expired. An expired entry is retained unchanged
-/// until it has aged: otherwise an older entry with a longer lease would win over it.
+/// The register of one cause, and whether its lease is known to have expired. An expired entry is retained
+/// unchanged for the retention time of tombstones: otherwise an older entry with a longer lease would win
+/// over it.
 #[derive(Clone, Debug)]
 pub(crate) struct CauseState {
     entry: CordonEntry,
@@ -19,17 +20,17 @@
         CauseState { entry, is_lease_expired }
     }
 
-    /// The same entry, once its lease is known to have expired.
+    /// The same entry, marked as having an expired lease.
     pub(crate) fn with_expired_lease(&self) -> CauseState {
         CauseState { entry: self.entry.clone(), is_lease_expired: true }
     }
 
-    /// The last call of the cause.
+    /// The entry of the cause's last call.
     pub(crate) fn entry(&self) -> &CordonEntry {
         &self.entry
     }
 
-    /// Whether the cause is active under a lease that has expired by now.
+    /// Whether the cause is still active although its lease has expired at `now`.
     pub(crate) fn is_lease_due(&self, now: Timestamp) -> bool {
         self.is_active() && self.entry.lease_expires_at.is_some_and(|expiry| expiry <= now)
     }
@@ -39,7 +40,7 @@
         self.entry.cordoned && !self.is_lease_expired
     }
 
-    /// Since when the cause is inactive, by the clock of whoever made the call.
+    /// Time since which the cause is inactive, by the clock of the process that made the call.
     pub(crate) fn inactive_since(&self) -> Timestamp {
         let changed_at = self.entry.changed_at;
         self.entry.lease_expires_at.unwrap_or(changed_at).max(changed_at)
@@ -71,7 +72,7 @@
         self.0.is_empty()
     }
 
-    /// A cause that is active, the operator first.
+    /// The first active cause: the operator if active, else the permit with the lowest identifier.
     pub(crate) fn first_active(&self) -> Option<Cause> {
         self.0.iter().find(|(_, state)| state.is_active()).map(|(cause, _)| *cause)
     }
--- a/crates/cordon/src/cordon_record.rs
+++ b/crates/cordon/src/cordon_record.rs
@@ -11,45 +11,46 @@
 
 /// The last call of one cause on one target.
 ///
-/// Of two entries for the same target and cause the greater wins, in the order of the fields: the higher version; on a
-/// tie the one that cordons; then the longer lease; the remaining fields only make the order total, so that merging is
-/// associative, commutative and idempotent whatever was received.
+/// Of two entries for the same target and cause the greater wins, compared in the order of the fields: the
+/// higher version; on a tie the entry that cordons; then the longer lease. The remaining fields only make the
+/// order total, so that merging is associative, commutative and idempotent for any records.
 ///
-/// A version is a Lamport clock that runs no slower than the Unix clock: the call's microsecond, or one more than the
-/// highest version that the process has seen, whichever is higher (Lamport 1978; hybrid logical clocks, Kulkarni
-/// et al. 2014). A call made after another was seen always wins over it, even where the clock was set back, and
-/// of two calls that did not see each other the later one wins by the clock that both processes share.
+/// A version is the value of a Lamport clock that runs no slower than the Unix clock: the time of the call in
+/// microseconds, or one more than the highest version that the process has seen, whichever is higher (Lamport
+/// 1978; hybrid logical clocks, Kulkarni et al. 2014). A call made by a process that has seen another call
+/// always wins over that call, even if the clock was set back. Of two concurrent calls, the later one wins by
+/// the clock that both processes share.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CordonEntry {
-    /// Which of two entries is the newer.
+    /// Version of the entry: of two entries, the one with the higher version is newer.
     pub version: u64,
     /// Whether the call cordons the target; otherwise it uncordons it.
     pub cordoned: bool,
-    /// For the fleet's cordons: when the lease expires.
+    /// Time at which the lease expires; only cordons of the fleet have one.
     pub lease_expires_at: Option<Timestamp>,
-    /// When the call was made.
+    /// Time of the call.
     pub changed_at: Timestamp,
-    /// The reason given: at most [`MAX_REASON_BYTES`] bytes, no control characters.
+    /// The reason given with the call: at most [`MAX_REASON_BYTES`] bytes, no control characters.
     pub reason: String,
 }
 
-/// An entry with its key: what goes from process to process. Entries that uncordon are among them (`cordoned` is
-/// false), so that they win over older cordons.
+/// An entry with its key, as exchanged between processes. Entries that uncordon (`cordoned` is false) are
+/// exchanged, too, so that they win over older cordons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CordonRecord {
-    /// What the entry applies to.
+    /// Target of the call.
     pub target: Target,
-    /// Whose call it was.
+    /// Cause that the call activated or ended.
     pub cause: Cause,
-    /// The call.
+    /// The entry of the call.
     pub entry: CordonEntry,
 }
 
 impl CordonRecord {
-    /// Checks a record that came from another process.
+    /// Checks a record received from another process.
     ///
     /// # Errors
-    /// The first field that no call could have produced.
+    /// Returns the first field with a value that no call could have produced.
     pub fn validate(&self) -> Result<(), RecordError> {
         self.target.validate().map_err(RecordError::Target)?;
         let entry = &self.entry;
@@ -67,8 +68,8 @@
     }
 }
 
-/// A reason as it is retained: control characters become spaces, so that it stays one log line, and it is truncated at
-/// [`MAX_REASON_BYTES`] bytes.
+/// The reason in the form in which it is retained: control characters become spaces, so that it stays on one
+/// log line, and it is truncated to at most [`MAX_REASON_BYTES`] bytes.
 pub(crate) fn sanitize_reason(reason: &str) -> String {
     let mut sanitized = String::new();
     for character in reason.trim().chars() {
--- a/crates/cordon/src/cordon_record/tests.rs
+++ b/crates/cordon/src/cordon_record/tests.rs
@@ -1,4 +1,4 @@
-//! Reasons as retained, and records as validated.
+//! Tests of the sanitizing of reasons and of the validation of records.
 
 use super::*;
 
@@ -19,10 +19,10 @@
         changed_at: Timestamp::from_micros(7),
         reason: "swap".into(),
     };
-    let good = CordonRecord { target: Target::Engine("e".into()), cause: Cause::Operator, entry };
-    assert_eq!(good.validate(), Ok(()));
+    let valid = CordonRecord { target: Target::Engine("e".into()), cause: Cause::Operator, entry };
+    assert_eq!(valid.validate(), Ok(()));
     let error_of = |change: fn(&mut CordonRecord)| {
-        let mut record = good.clone();
+        let mut record = valid.clone();
         change(&mut record);
         record.validate().expect_err("malformed").to_string()
     };
--- a/crates/cordon/src/counters.rs
+++ b/crates/cordon/src/counters.rs
@@ -15,18 +15,18 @@
     pub invalid_target: u64,
     /// Requests rejected: [`crate::CordonError::InvalidLease`].
     pub invalid_lease: u64,
-    /// Leases that expired.
+    /// Leases that expired while their cause was active.
     pub leases_expired: u64,
-    /// Records of another process that changed something here.
+    /// Records of another process that replaced an older entry or added one.
     pub records_merged: u64,
-    /// Records of another process left out because the bound on active cordons was reached.
+    /// Records of another process not merged because the bound on active cordons was reached.
     pub merge_over_limit: u64,
-    /// Records of another process left out as malformed.
+    /// Records of another process not merged because they are malformed.
     pub merge_malformed: u64,
     /// Tombstones evicted before their retention time because of their bound.
     pub tombstones_evicted: u64,
     /// Engine ids evicted because of their bound.
     pub ids_evicted: u64,
-    /// Engine ids not noted because listed and cordoned ones fill the bound.
+    /// Engine ids not recorded because listed and cordoned ids fill the bound.
     pub ids_over_limit: u64,
 }
--- a/crates/cordon/src/error.rs
+++ b/crates/cordon/src/error.rs
@@ -2,10 +2,10 @@
 
 use thiserror::Error;
 
-/// Why a call was rejected; the state is unchanged.
+/// Reason for which a call was rejected; the cordons are unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CordonError {
-    /// No endpoint list ever named the engine, or so long ago that its id was evicted
+    /// No endpoint list ever named the engine, or the last one did so long ago that its id was evicted
     /// ([`crate::CordonLimits::max_known_ids`]).
     #[error("never listed")]
     NeverListed,
@@ -14,29 +14,30 @@
     #[error("too many bans")]
     TooManyCordons,
     /// The engine id is empty, longer than [`crate::MAX_ENGINE_ID_BYTES`], or holds control characters.
-    #[error("an id has 1 to 256 bytes and no control characters")]
+    #[error("invalid engine id: expected 1 to 256 bytes without control characters")]
     InvalidTarget,
     /// The lease has already expired, or is longer than [`crate::MAX_LEASE`].
     #[error("the lease has ended, or is longer than a day")]
     InvalidLease,
 }
 
-/// Why a record from another process is malformed. Each message begins with the field.
+/// Reason for which a record from another process is malformed. Each message begins with the name of the
+/// field in the hot-restart state file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// No call could name this target.
-    #[error("target: empty, too long, or with control characters")]
+    /// The target's engine id is empty, too long, or holds control characters.
+    #[error("target: expected 1 to 256 bytes without control characters")]
     Target(#[source] CordonError),
-    /// Above [`crate::MAX_VERSION`].
-    #[error("version: higher than any clock gives")]
+    /// The version is above [`crate::MAX_VERSION`].
+    #[error("version: expected at most 2^62")]
     Version,
-    /// Longer than [`crate::MAX_REASON_BYTES`], or with control characters.
-    #[error("why: too long, or with control characters")]
+    /// The reason is longer than [`crate::MAX_REASON_BYTES`], or holds control characters.
+    #[error("why: expected at most 64 bytes without control characters")]
     Reason,
-    /// The fleet's active cordon has no lease.
-    #[error("until: a fleet's ban has a lease")]
+    /// An active cordon of the fleet has no lease.
+    #[error("until: missing, a fleet cordon requires a lease")]
     MissingLease,
-    /// A lease where there can be none: on an operator's entry, or on one that ends a cordon.
-    #[error("until: only a fleet's ban has a lease")]
+    /// An entry that cannot have a lease has one: an operator's entry, or an entry that ends a cordon.
+    #[error("until: unexpected, only an active fleet cordon has a lease")]
     UnexpectedLease,
 }
--- a/crates/cordon/src/known_ids.rs
+++ b/crates/cordon/src/known_ids.rs
@@ -1,4 +1,4 @@
-//! The engine ids ever listed, as 64-bit hashes in bounded memory.
+//! Remembers the engine ids that were ever listed, as 64-bit hashes in bounded memory.
 
 use sprucelink_stable_hash::stable_hash;
 use std::collections::BTreeMap;
@@ -6,8 +6,9 @@
 #[cfg(test)]
 mod tests;
 
-/// The hash of an engine id. It is the same on every machine and in every release, because it goes from process to
-/// process. With 16,384 ids remembered, one that was never listed collides with one of them with probability 2^-50.
+/// The hash of an engine id. It is the same on every machine and in every release, because processes exchange
+/// it. With 16,384 ids remembered, an id that was never listed collides with one of them with probability
+/// 2^-50.
 pub fn engine_id_hash(id: &str) -> u64 {
     stable_hash(&[id.as_bytes()])
 }
@@ -16,7 +17,7 @@
 struct KnownId {
     is_listed: bool,
     is_cordoned: bool,
-    /// Position in the order of eviction; the lowest goes first.
+    /// Position in the order of eviction; the id with the lowest rank is evicted first.
     eviction_rank: u64,
 }
 
@@ -26,13 +27,13 @@
     }
 }
 
-/// Engine ids by hash. Those that are listed now or cordoned stay; of the others the one that has been neither for the
-/// longest time is evicted first.
+/// Engine ids by hash. Ids that are listed now or cordoned are never evicted. Of the other ids, the one that
+/// has been neither listed nor cordoned for the longest time is evicted first.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownIds {
     max_ids: usize,
     ids: BTreeMap<u64, KnownId>,
-    /// Hashes that may be evicted, by rank.
+    /// Hashes that may be evicted, by eviction rank.
     evictable: BTreeMap<u64, u64>,
     last_rank: u64,
     evicted: u64,
@@ -59,17 +60,18 @@
         self.ids.len()
     }
 
-    /// Ids evicted because of the bound.
+    /// Number of ids evicted because of the bound.
     pub(crate) fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Ids not noted because retained ones fill the bound.
+    /// Number of ids not recorded because listed and cordoned ids fill the bound.
     pub(crate) fn over_limit(&self) -> u64 {
         self.over_limit
     }
 
-    /// Changes an id's flags. A new id is noted if there is capacity or some can be freed; returns whether it is noted.
+    /// Changes the flags of an id. A new id is recorded if there is capacity or another id can be evicted;
+    /// returns whether the id is recorded.
     fn update(&mut self, hash: u64, change: impl FnOnce(&mut KnownId)) -> bool {
         let existing = self.ids.get(&hash).copied();
         if existing.is_none() && !self.reserve_slot() {
@@ -88,7 +90,7 @@
         true
     }
 
-    /// Makes sure that one more id fits, by evicting one if need be.
+    /// Makes room for one more id, evicting another if necessary; returns whether there is room.
     fn reserve_slot(&mut self) -> bool {
         if self.ids.len() < self.max_ids {
             return true;
@@ -99,7 +101,7 @@
         true
     }
 
-    /// Notes whether the endpoint list names the id.
+    /// Records whether the endpoint list names the id; returns whether the id is recorded.
     pub(crate) fn set_listed(&mut self, hash: u64, is_listed: bool) -> bool {
         if !is_listed && !self.contains(hash) {
             return false;
@@ -107,7 +109,7 @@
         self.update(hash, |known| known.is_listed = is_listed)
     }
 
-    /// Notes whether the id is cordoned.
+    /// Records whether the id is cordoned; returns whether the id is recorded.
     pub(crate) fn set_cordoned(&mut self, hash: u64, is_cordoned: bool) -> bool {
         match self.ids.get(&hash) {
             None if !is_cordoned => false,
@@ -116,15 +118,17 @@
         }
     }
 
-    /// Notes an id that another process has seen listed.
+    /// Records an id that was listed at another process.
     pub(crate) fn add_remote(&mut self, hash: u64) {
-        // The other process's ids only fill spare capacity: they must not evict what was listed here.
+        // Ids of the other process only fill spare capacity: they must not evict ids that were listed at this
+        // process.
         if !self.contains(hash) && self.ids.len() < self.max_ids {
             self.update(hash, |_| {});
         }
     }
 
-    /// At most `max_hashes` hashes: first those that are listed or cordoned, then the most recently unlisted.
+    /// At most `max_hashes` hashes: first those of listed or cordoned ids, then those of the most recently
+    /// unlisted ids.
     pub(crate) fn export(&self, max_hashes: usize) -> Vec<u64> {
         let retained = self.ids.iter().filter(|(_, known)| known.is_retained()).map(|(hash, _)| *hash);
         let newest_first = self.evictable.values().rev().copied();
--- a/crates/cordon/src/known_ids/tests.rs
+++ b/crates/cordon/src/known_ids/tests.rs
@@ -1,9 +1,9 @@
-//! Eviction of known ids.
+//! Tests of the eviction of known ids.
 
 use super::*;
 
 #[test]
-fn id_unlisted_longest_ago_is_evicted_first_and_listed_or_cordoned_ones_never() {
+fn id_unlisted_longest_ago_is_evicted_first_and_listed_or_cordoned_ids_never_are() {
     let mut known = KnownIds::new(4);
     for id in 1..=4 {
         assert!(known.set_listed(id, true));
@@ -32,7 +32,7 @@
     known.set_listed(1, false);
     (2..9).for_each(|id| known.add_remote(id));
     assert!(known.contains(1) && known.contains(2) && known.contains(3) && !known.contains(4));
-    assert_eq!(known.export(2), [3, 2], "the most recent first");
+    assert_eq!(known.export(2), [3, 2], "the most recently added first");
     known.set_listed(1, true);
     assert_eq!(known.export(9), [1, 3, 2], "listed ids before all others");
 }
--- a/crates/cordon/src/lib.rs
+++ b/crates/cordon/src/lib.rs
@@ -1,20 +1,24 @@
-//! Cordons: engines that an operator or the fleet takes out of service, and the state of this manager itself.
+//! Cordons: takes engines or this manager itself out of service on behalf of an operator or the fleet.
 //!
-//! An engine is *cordoned* while at least one [`Cause`] is active on it: the operator ([`Cause::Operator`]) or a permit
-//! that the fleet agreed on ([`Cause::Fleet`]). Causes are independent of each other; the engine returns to service
-//! once none is active. Events of the endpoint list (gone, draining, ready again, restarted under the same id) change
-//! no cordon. The same code serves the operator's address of one manager and permits of the fleet's replicated log.
+//! An engine is *cordoned* while at least one [`Cause`] is active on it: the operator ([`Cause::Operator`])
+//! or a permit that the fleet agreed on ([`Cause::Fleet`]). Causes are independent of each other; the engine
+//! returns to service once none is active. Events of the endpoint list (gone, draining, ready again,
+//! restarted under the same id) change no cordon. The same code serves calls at one manager's operator
+//! address and permits of the fleet's replicated log.
 //!
-//! The state is a state-based CRDT, a map of last-writer-wins registers (Shapiro et al. 2011, "A comprehensive study of
-//! Convergent and Commutative Replicated Data Types"): one register, [`CordonEntry`], for each pair of target and cause,
-//! versioned by a Lamport clock. Merging is associative, commutative and idempotent. During a hot restart calls may
-//! reach either of two processes, and after both have read each other's records both hold the newest call.
+//! The state is a state-based CRDT, a map of last-writer-wins registers (Shapiro et al. 2011, "A
+//! comprehensive study of Convergent and Commutative Replicated Data Types"): one register, [`CordonEntry`],
+//! for each pair of target and cause, versioned by a Lamport clock. Merging is associative, commutative and
+//! idempotent. During a hot restart, calls may reach either of two processes; after each has merged the
+//! other's records, both hold the newest call.
 //!
-//! - [`CordonState`]: active cordons, the engine ids ever listed, and this manager's own state ([`ManagerState`]).
-//! - [`CordonRecord`]: one register with its key, as it goes from process to process.
-//! - [`CordonLimits`]: every bound, with what happens at it.
+//! - [`CordonState`]: active cordons, the engine ids ever listed, and this manager's own state
+//!   ([`ManagerState`]).
+//! - [`CordonRecord`]: one register with its key, as exchanged between processes.
+//! - [`CordonLimits`]: every bound on retained state, with the behaviour at the bound.
 //!
-//! Nothing here performs I/O or reads a clock: time is an argument, a Unix time. docs/design/cordon.md holds the rules.
+//! This crate performs no I/O and reads no clock: the current Unix time is an argument. docs/design/cordon.md
+//! holds the rules.
 
 mod cause;
 mod cause_register;
--- a/crates/cordon/src/manager_state.rs
+++ b/crates/cordon/src/manager_state.rs
@@ -8,16 +8,17 @@
 /// Whether this workload manager accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ManagerState {
-    /// It accepts new connections and requests.
+    /// The manager accepts new connections and requests.
     Serving,
-    /// It accepts no new connections and finishes what is in flight.
+    /// The manager accepts no new connections and completes the requests in flight.
     Quiescing {
-        /// Since when.
+        /// Time of the cordon; if the manager was quiesced and has work in flight again, the time at which it
+        /// became quiesced.
         since: Timestamp,
     },
-    /// It accepts no new connections and has nothing in flight.
+    /// The manager accepts no new connections and has nothing in flight.
     Quiesced {
-        /// Since when it has nothing in flight.
+        /// Time since which nothing is in flight.
         since: Timestamp,
     },
 }
@@ -28,7 +29,7 @@
         self == ManagerState::Serving
     }
 
-    /// The state once the manager is cordoned or not. A further cause changes nothing of what is under way.
+    /// The state after the manager's cordon is set or ended. A further cause does not restart quiescing.
     pub(crate) fn with_cordon(self, now: Timestamp, cordoned: bool) -> ManagerState {
         match (self, cordoned) {
             (_, false) => ManagerState::Serving,
@@ -37,8 +38,8 @@
         }
     }
 
-    /// The state with this many requests and sessions in flight. A quiesced manager may have work in flight again: from
-    /// a connection that was accepted before the call.
+    /// The state with this many requests and sessions in flight. A quiesced manager may have work in flight
+    /// again, from a connection that was accepted before the call.
     pub(crate) fn with_in_flight(self, now: Timestamp, count: usize) -> ManagerState {
         match (self, count) {
             (ManagerState::Quiescing { .. }, 0) => ManagerState::Quiesced { since: now },
--- a/crates/cordon/src/manager_state/tests.rs
+++ b/crates/cordon/src/manager_state/tests.rs
@@ -1,17 +1,22 @@
-//! Transitions of the manager's state.
+//! Tests of the transitions of the manager's state.
 
 use super::*;
 
 #[test]
 fn cordoned_manager_quiesces_until_idle_and_serves_once_uncordoned() {
-    let at = Timestamp::from_micros;
-    let state = ManagerState::Serving.with_in_flight(at(1), 0);
+    let at_micros = Timestamp::from_micros;
+    let state = ManagerState::Serving.with_in_flight(at_micros(1), 0);
     assert!(state.is_accepting(), "an idle manager is not quiesced");
-    let state = state.with_cordon(at(2), true).with_cordon(at(3), true).with_in_flight(at(4), 5);
-    assert_eq!(state, ManagerState::Quiescing { since: at(2) }, "a second cause does not restart it");
-    let state = state.with_in_flight(at(5), 0).with_in_flight(at(6), 0);
-    assert_eq!(state, ManagerState::Quiesced { since: at(5) });
+    let state =
+        state.with_cordon(at_micros(2), true).with_cordon(at_micros(3), true).with_in_flight(at_micros(4), 5);
+    assert_eq!(
+        state,
+        ManagerState::Quiescing { since: at_micros(2) },
+        "a second cause does not restart quiescing"
+    );
+    let state = state.with_in_flight(at_micros(5), 0).with_in_flight(at_micros(6), 0);
+    assert_eq!(state, ManagerState::Quiesced { since: at_micros(5) });
     assert!(!state.is_accepting());
-    assert_eq!(state.with_in_flight(at(7), 1), ManagerState::Quiescing { since: at(5) });
-    assert_eq!(state.with_cordon(at(8), false), ManagerState::Serving);
+    assert_eq!(state.with_in_flight(at_micros(7), 1), ManagerState::Quiescing { since: at_micros(5) });
+    assert_eq!(state.with_cordon(at_micros(8), false), ManagerState::Serving);
 }
--- a/crates/cordon/src/outcome.rs
+++ b/crates/cordon/src/outcome.rs
@@ -1,22 +1,23 @@
-//! What calls, expiry and merges changed.
+//! Results of calls, of expiry and of merges.
 
 use crate::cause::Cause;
 use crate::target::Target;
 
-/// What an accepted call did to its target.
+/// Effect of an accepted call on its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CordonOutcome {
     /// The target was in service and is now cordoned.
     Cordoned,
-    /// It was cordoned already, by this cause or another; this cause is active, too.
+    /// The target was cordoned already, by this cause or another; this cause is now active, too.
     AlreadyCordoned,
-    /// It was cordoned and is now in service.
+    /// The target was cordoned and is now in service.
     Uncordoned,
-    /// It was not cordoned. The call is recorded all the same: another process may hold an older cordon.
+    /// The target was not cordoned. The call is recorded nevertheless, since another process may hold an
+    /// older cordon.
     NotCordoned,
-    /// This cause is no longer active, but another is.
+    /// The call's cause is no longer active, but another cause is.
     StillCordoned {
-        /// One that is: the operator first, then the permit with the lowest number.
+        /// An active cause: the operator if active, else the permit with the lowest identifier.
         cause: Cause,
     },
 }
@@ -24,20 +25,21 @@
 /// A target that was cordoned or uncordoned without a call at this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetChange {
-    /// Which.
+    /// The target that changed.
     pub target: Target,
-    /// [`CordonOutcome::Cordoned`], [`CordonOutcome::Uncordoned`], or, where a lease expired and another cause is active,
-    /// [`CordonOutcome::StillCordoned`].
+    /// [`CordonOutcome::Cordoned`], [`CordonOutcome::Uncordoned`], or, where a lease expired and another
+    /// cause is active, [`CordonOutcome::StillCordoned`].
     pub outcome: CordonOutcome,
 }
 
-/// What a merge of another process's records did.
+/// Result of a merge of another process's records.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergeResult {
-    /// Targets that were cordoned or uncordoned by it.
+    /// Targets that were cordoned or uncordoned by the merge.
     pub changes: Vec<TargetChange>,
-    /// Records left out because the bound on active cordons is reached. Those cordons are not in force here.
+    /// Number of records not merged because the bound on active cordons is reached. Their cordons are not in
+    /// force at this process.
     pub over_limit: usize,
-    /// Records left out as malformed.
+    /// Number of records not merged because they are malformed.
     pub malformed: usize,
 }
--- a/crates/cordon/src/record_usage.rs
+++ b/crates/cordon/src/record_usage.rs
@@ -1,4 +1,4 @@
-//! What records use of their bounds.
+//! Usage of the bounds on records.
 
 /// The number of records, and the bytes of their engine ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -14,7 +14,7 @@
         self.id_bytes += id_bytes;
     }
 
-    /// Counts one record less.
+    /// Counts one record fewer.
     pub(crate) fn remove(&mut self, id_bytes: usize) {
         self.records -= 1;
         self.id_bytes -= id_bytes;
--- a/crates/cordon/src/register_table.rs
+++ b/crates/cordon/src/register_table.rs
@@ -1,4 +1,4 @@
-//! The registers of all targets, and what they use of their bounds.
+//! The registers of all targets, and their usage of the bounds.
 
 use crate::cause::Cause;
 use crate::cause_register::{CauseMap, CauseState};
@@ -11,8 +11,8 @@
 /// The key of one register.
 pub(crate) type RegisterKey = (Target, Cause);
 
-/// One register for each pair of target and cause. Active ones and tombstones are counted against bounds of their own;
-/// whoever stores a register checks [`RegisterTable::has_capacity`] first.
+/// One register for each pair of target and cause. Active registers and tombstones are counted against
+/// separate bounds; callers check [`RegisterTable::has_capacity`] before they store an active register.
 #[derive(Clone, Debug)]
 pub(crate) struct RegisterTable {
     limits: CordonLimits,
@@ -51,7 +51,8 @@
         self.causes(target).and_then(|causes| causes.get(cause))
     }
 
-    /// A cause that is active on the target, the operator first.
+    /// The first active cause on the target: the operator if active, else the permit with the lowest
+    /// identifier.
     pub(crate) fn first_active(&self, target: &Target) -> Option<Cause> {
         self.causes(target).and_then(CauseMap::first_active)
     }
@@ -60,12 +61,12 @@
         self.causes(target).is_some_and(CauseMap::is_any_active)
     }
 
-    /// Whether any call or record has named the engine, and its register is retained.
+    /// Whether a register of the engine is retained, from a call or from a merged record.
     pub(crate) fn contains_engine(&self, id: &str) -> bool {
         self.engines.contains_key(id)
     }
 
-    /// Whether an engine is cordoned. One map look-up without allocation.
+    /// Whether an engine is cordoned. Takes one map look-up and no allocation.
     pub(crate) fn is_engine_cordoned(&self, id: &str) -> bool {
         self.engines.get(id).is_some_and(CauseMap::is_any_active)
     }
@@ -84,7 +85,7 @@
         self.tombstone_usage.records
     }
 
-    /// Whether one more active cordon is within the bounds; one that is active already always is.
+    /// Whether an active cordon is within the bounds; a cordon that is active already always is.
     pub(crate) fn has_capacity(&self, target: &Target, cause: Cause) -> bool {
         if self.get(target, cause).is_some_and(CauseState::is_active) {
             return true;
@@ -93,7 +94,7 @@
         self.active_usage.records < self.limits.max_cordons && id_bytes <= self.limits.max_cordon_id_bytes
     }
 
-    /// Replaces a register, whatever it was before.
+    /// Inserts a register, replacing any previous one.
     pub(crate) fn insert(&mut self, target: &Target, cause: Cause, state: CauseState) {
         let id_bytes = target.id_bytes();
         let is_active = state.is_active();
@@ -104,7 +105,7 @@
         self.usage_mut(is_active).add(id_bytes);
     }
 
-    /// Removes a register, and its target once it has none.
+    /// Removes a register, and its engine's entry once no register is left.
     pub(crate) fn remove(&mut self, target: &Target, cause: Cause) {
         let removed = self.causes_mut(target).remove(cause);
         if let Some(removed) = removed {
@@ -117,17 +118,17 @@
         }
     }
 
-    /// Active registers whose lease has expired.
+    /// Keys of the active registers whose lease has expired.
     pub(crate) fn due_leases(&self, now: Timestamp) -> Vec<RegisterKey> {
         self.keys_where(|state| state.is_lease_due(now))
     }
 
-    /// Inactive registers older than [`TOMBSTONE_RETENTION`].
+    /// Keys of the registers that have been inactive for longer than [`TOMBSTONE_RETENTION`].
     pub(crate) fn aged_tombstones(&self, now: Timestamp) -> Vec<RegisterKey> {
         self.keys_where(|state| !state.is_active() && now - state.inactive_since() > TOMBSTONE_RETENTION)
     }
 
-    /// Inactive registers, the lowest version first.
+    /// Keys of the inactive registers, the lowest version first.
     pub(crate) fn tombstones_by_version(&self) -> Vec<RegisterKey> {
         let mut tombstones: Vec<(u64, Target, Cause)> = Vec::new();
         for (target, causes) in self.targets() {
@@ -144,10 +145,10 @@
         usage.records > self.limits.max_tombstones || usage.id_bytes > self.limits.max_tombstone_id_bytes
     }
 
-    fn keys_where(&self, is_wanted: impl Fn(&CauseState) -> bool) -> Vec<RegisterKey> {
+    fn keys_where(&self, predicate: impl Fn(&CauseState) -> bool) -> Vec<RegisterKey> {
         let mut keys = Vec::new();
         for (target, causes) in self.targets() {
-            for (cause, _) in causes.iter().filter(|(_, state)| is_wanted(state)) {
+            for (cause, _) in causes.iter().filter(|(_, state)| predicate(state)) {
                 keys.push((target.clone(), cause));
             }
         }
--- a/crates/cordon/src/state.rs
+++ b/crates/cordon/src/state.rs
@@ -1,4 +1,5 @@
-//! The cordons in force: owns the registers, the ids ever listed and the manager's state, and keeps them consistent.
+//! The cordons in force: the registers, the engine ids ever listed and the manager's state, which this module
+//! keeps consistent.
 
 use crate::cause::Cause;
 use crate::cause_register::CauseState;
@@ -18,30 +19,30 @@
 /// One cause that keeps a target cordoned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveCordon<'a> {
-    /// What is cordoned.
+    /// The cordoned target.
     pub target: Target,
-    /// Who cordoned it.
+    /// The cause that is active on the target.
     pub cause: Cause,
-    /// When its last call was made.
+    /// Time of the cause's last call.
     pub changed_at: Timestamp,
-    /// When its lease expires, for the fleet's.
+    /// Time at which the lease expires; only cordons of the fleet have one.
     pub lease_expires_at: Option<Timestamp>,
-    /// The reason given.
+    /// The reason given with the cause's last call; may be empty.
     pub reason: &'a str,
 }
 
-/// How much is retained.
+/// Number of retained items of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CordonSizes {
     /// Active cordons, over all targets and causes.
     pub active_cordons: usize,
     /// Entries of inactive causes.
     pub tombstones: usize,
-    /// Engine ids remembered as ever listed.
+    /// Remembered engine ids that were ever listed.
     pub known_ids: usize,
 }
 
-/// Which engines are cordoned at this manager and by whom, and whether the manager itself is.
+/// The engines that are cordoned at this manager with their causes, and the state of the manager itself.
 #[derive(Clone, Debug)]
 pub struct CordonState {
     registers: RegisterTable,
@@ -52,7 +53,7 @@
 }
 
 impl CordonState {
-    /// Nothing cordoned, nothing listed, this manager serving.
+    /// The initial state: no engine is listed or cordoned, and this manager is serving.
     pub fn new(limits: CordonLimits) -> CordonState {
         CordonState {
             registers: RegisterTable::new(limits),
@@ -63,31 +64,31 @@
         }
     }
 
-    /// The endpoint list names the engine, in whatever phase. Cordons stay as they are.
+    /// Records that the endpoint list names the engine, ready or draining. Cordons are unchanged.
     pub fn mark_listed(&mut self, id: &str) {
-        // A list with names that no call could hold must not fill the memory of ids.
+        // Invalid ids of an endpoint list, which no call could name, must not use up the capacity for ids.
         if validate_engine_id(id).is_ok() {
             self.known_ids.set_listed(engine_id_hash(id), true);
         }
     }
 
-    /// The endpoint list names the engine no longer, or lists it as gone. Cordons stay as they are, and so does the
-    /// memory that it was listed, within [`CordonLimits::max_known_ids`].
+    /// Records that the endpoint list no longer names the engine, or lists it as gone. Cordons are unchanged,
+    /// and the engine remains known as ever listed, within [`CordonLimits::max_known_ids`].
     pub fn mark_unlisted(&mut self, id: &str) {
         self.known_ids.set_listed(engine_id_hash(id), false);
     }
 
-    /// Whether the engine was ever listed, here or at a process whose ids were merged.
+    /// Whether the engine was ever listed, at this process or at a process whose ids or records were merged.
     pub fn was_ever_listed(&self, id: &str) -> bool {
         self.known_ids.contains(engine_id_hash(id)) || self.registers.contains_engine(id)
     }
 
-    /// Whether an engine is cordoned. One map look-up without allocation.
+    /// Whether an engine is cordoned. Takes one map look-up and no allocation.
     pub fn is_engine_cordoned(&self, id: &str) -> bool {
         self.registers.is_engine_cordoned(id)
     }
 
-    /// Every active cause, one item each: this manager first, then engines by id.
+    /// One item for each active cause: those of this manager first, then those of engines by id.
     pub fn active_cordons(&self) -> impl Iterator<Item = ActiveCordon<'_>> {
         self.registers.targets().flat_map(|(target, causes)| {
             let active = causes.iter().filter(|(_, state)| state.is_active());
@@ -101,7 +102,7 @@
         })
     }
 
-    /// The number of engines that are cordoned, on the list or not.
+    /// The number of cordoned engines, whether the endpoint list names them or not.
     pub fn cordoned_engine_count(&self) -> usize {
         self.registers.cordoned_engine_count()
     }
@@ -111,12 +112,13 @@
         self.manager_state
     }
 
-    /// Notes the number of connections and requests in flight: a quiescing manager with none is quiesced.
+    /// Updates the number of connections and requests in flight: a quiescing manager with none becomes
+    /// quiesced.
     pub fn set_in_flight(&mut self, now: Timestamp, count: usize) {
         self.manager_state = self.manager_state.with_in_flight(now, count);
     }
 
-    /// Counters so far.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> CordonCounters {
         CordonCounters {
             ids_evicted: self.known_ids.evicted(),
@@ -125,7 +127,7 @@
         }
     }
 
-    /// How much is retained now.
+    /// Number of items that are retained now.
     pub fn sizes(&self) -> CordonSizes {
         CordonSizes {
             active_cordons: self.registers.active_count(),
@@ -134,19 +136,20 @@
         }
     }
 
-    /// Replaces a cause's entry, whatever it was before.
+    /// Stores the register of a cause, replacing any previous one.
     fn store(&mut self, now: Timestamp, target: &Target, cause: Cause, state: CauseState) {
         self.registers.insert(target, cause, state);
         self.apply_to_target(now, target);
     }
 
-    /// Removes a cause's entry.
+    /// Removes the register of a cause.
     fn remove(&mut self, now: Timestamp, target: &Target, cause: Cause) {
         self.registers.remove(target, cause);
         self.apply_to_target(now, target);
     }
 
-    /// Updates what depends on whether the target is cordoned.
+    /// Updates the state that depends on whether the target is cordoned: the manager's state or the retention
+    /// of the engine's id.
     fn apply_to_target(&mut self, now: Timestamp, target: &Target) {
         let is_cordoned = self.registers.is_cordoned(target);
         match target {
--- a/crates/cordon/src/state/commands.rs
+++ b/crates/cordon/src/state/commands.rs
@@ -10,11 +10,12 @@
 use crate::Timestamp;
 
 impl CordonState {
-    /// Cordons a target. A target that is cordoned already is no error. The reason is truncated at
-    /// [`crate::MAX_REASON_BYTES`] bytes.
+    /// Cordons a target. Cordoning a target that is cordoned already is not an error. The reason is truncated
+    /// to at most [`crate::MAX_REASON_BYTES`] bytes.
     ///
     /// # Errors
-    /// Why the request is rejected; it is counted, and the state is unchanged otherwise.
+    /// Returns the reason for which the request is rejected. The rejection is counted; the state is unchanged
+    /// otherwise.
     pub fn cordon(
         &mut self,
         now: Timestamp,
@@ -36,11 +37,13 @@
         Ok(if was_cordoned { CordonOutcome::AlreadyCordoned } else { CordonOutcome::Cordoned })
     }
 
-    /// Ends a cause, however often it was requested. The call is recorded even where nothing was cordoned, for
-    /// [`crate::TOMBSTONE_RETENTION`]: another process may hold an older cordon.
+    /// Ends a cause, no matter how often it was requested. The call is recorded for
+    /// [`crate::TOMBSTONE_RETENTION`] even if the target was not cordoned, since another process may hold an
+    /// older cordon.
     ///
     /// # Errors
-    /// Why the request is rejected; it is counted, and the state is unchanged otherwise.
+    /// Returns the reason for which the request is rejected. The rejection is counted; the state is unchanged
+    /// otherwise.
     pub fn uncordon(
         &mut self,
         now: Timestamp,
--- a/crates/cordon/src/state/expiry.rs
+++ b/crates/cordon/src/state/expiry.rs
@@ -1,4 +1,4 @@
-//! What ends by the passing of time or for a bound: leases and tombstones.
+//! Expiry of leases, and removal of tombstones by age or at their bounds.
 
 use crate::cause::Cause;
 use crate::cause_register::CauseState;
@@ -9,8 +9,9 @@
 use std::collections::BTreeMap;
 
 impl CordonState {
-    /// Ends leases that have expired, and removes tombstones older than [`crate::TOMBSTONE_RETENTION`]. To be called
-    /// about once a second, and before metrics are read.
+    /// Ends leases that have expired, and removes tombstones older than [`crate::TOMBSTONE_RETENTION`].
+    /// Returns the targets with an expired lease. Must be called about once per second, and before metrics
+    /// are read.
     pub fn expire(&mut self, now: Timestamp) -> Vec<TargetChange> {
         let due_leases = self.registers.due_leases(now);
         let aged_tombstones = self.registers.aged_tombstones(now);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Keeps tombstones within their bounds: the lowest version goes first.
+    /// Evicts tombstones until they are within their bounds, the lowest version first.
     pub(super) fn evict_tombstones(&mut self) {
         if !self.registers.is_over_tombstone_limit() {
             return;
@@ -47,7 +48,8 @@
             if !self.registers.is_over_tombstone_limit() {
                 return;
             }
-            // Removing an inactive entry changes nothing of what is cordoned, so the time is irrelevant.
+            // Removing an inactive entry does not change whether the target is cordoned, so the time is
+            // irrelevant.
             self.remove(Timestamp::ZERO, &target, cause);
             self.counters.tombstones_evicted += 1;
         }
--- a/crates/cordon/src/state/merge.rs
+++ b/crates/cordon/src/state/merge.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 
 impl CordonState {
-    /// The register of every cause, tombstones included, for another process: this manager first, then engines by id.
+    /// All registers, tombstones included, as records for another process: those of this manager first, then
+    /// those of engines by id.
     pub fn export_records(&self) -> Vec<CordonRecord> {
         let mut records = Vec::new();
         for (target, causes) in self.registers.targets() {
@@ -22,8 +23,8 @@
     }
 
     /// Merges another process's records: of two entries for the same target and cause the greater wins
-    /// ([`crate::CordonEntry`]). As long as no bound is reached the result does not depend on the order of merges, and
-    /// merging a record twice changes nothing. Engine ids of records count as ever listed.
+    /// ([`crate::CordonEntry`]). As long as no bound is reached, the result does not depend on the order of
+    /// merges, and merging a record twice has no further effect. Engine ids of records count as ever listed.
     pub fn merge_records(&mut self, now: Timestamp, records: &[CordonRecord]) -> MergeResult {
         let mut result = MergeResult::default();
         let mut was_cordoned: BTreeMap<Target, bool> = BTreeMap::new();
@@ -71,14 +72,15 @@
         changes
     }
 
-    /// At most `max_hashes` hashes of the engine ids ever listed ([`crate::engine_id_hash`]): first those that are listed
-    /// or cordoned now, then those unlisted most recently.
+    /// At most `max_hashes` hashes ([`crate::engine_id_hash`]) of the engine ids ever listed: first those of
+    /// ids that are listed or cordoned now, then those of the most recently unlisted ids.
     pub fn export_known_ids(&self, max_hashes: usize) -> Vec<u64> {
         self.known_ids.export(max_hashes)
     }
 
-    /// Merges engine ids that were listed at another process, in the order of [`CordonState::export_known_ids`]. They
-    /// fill spare capacity and evict none of those listed here.
+    /// Merges hashes of engine ids that were listed at another process, in the order of
+    /// [`CordonState::export_known_ids`]. They only fill spare capacity and evict no id that was listed at
+    /// this process.
     pub fn merge_known_ids(&mut self, hashes: &[u64]) {
         for hash in hashes.iter().rev() {
             self.known_ids.add_remote(*hash);
--- a/crates/cordon/src/target.rs
+++ b/crates/cordon/src/target.rs
@@ -1,13 +1,13 @@
-//! What a cordon applies to.
+//! The targets of cordons.
 
 use crate::error::CordonError;
 use std::fmt;
 
-/// Longest engine id, in bytes: endpoint lists name engines by some dozen characters, and ids are retained and written
-/// to a file with every cordon.
+/// Longest engine id, in bytes: endpoint lists name engines by some dozen characters, and ids are retained
+/// and written to a file with every cordon.
 pub const MAX_ENGINE_ID_BYTES: usize = 256;
 
-/// What is cordoned.
+/// A target that can be cordoned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// An engine, by its id in the endpoint list.
@@ -20,7 +20,7 @@
     /// Checks the engine id: 1 to [`MAX_ENGINE_ID_BYTES`] bytes and no control characters.
     ///
     /// # Errors
-    /// [`CordonError::InvalidTarget`].
+    /// Returns [`CordonError::InvalidTarget`] if the id is invalid.
     pub fn validate(&self) -> Result<(), CordonError> {
         match self {
             Target::Manager => Ok(()),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Bytes that count towards the bounds on engine ids.
+    /// Number of bytes that count towards the bounds on engine ids.
     pub(crate) fn id_bytes(&self) -> usize {
         match self {
             Target::Manager => 0,
@@ -37,7 +37,8 @@
     }
 }
 
-/// Guards the log and the hot-restart state file against ids that no endpoint list would hold.
+/// Checks an engine id, so that ids that no endpoint list would hold get neither into the log nor into the
+/// hot-restart state file.
 pub(crate) fn validate_engine_id(id: &str) -> Result<(), CordonError> {
     if id.is_empty() || id.len() > MAX_ENGINE_ID_BYTES || id.chars().any(char::is_control) {
         return Err(CordonError::InvalidTarget);
