--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Limits, and what happens at each.
+//! Tests of the behaviour at each limit.
 
 use sprucelink_cordon::{
     Cause, CordonError, CordonLimits, CordonOutcome, CordonRequest, CordonState, Target, TimeDelta,
@@ -11,7 +11,7 @@
     Target::Engine(id.into())
 }
 
-/// A state with limits that a few calls reach.
+/// A state with limits so low that a few calls reach them.
 fn small_state() -> CordonState {
     CordonState::new(CordonLimits {
         max_known_ids: 8,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn cordon_is_rejected_at_the_limit_and_a_repeat_is_accepted() {
+fn cordon_is_rejected_at_the_limit_but_a_repeat_is_accepted() {
     let mut state = small_state();
     ["a", "b", "c", "d"].iter().for_each(|id| state.mark_listed(id));
     for id in ["a", "b", "c"] {
@@ -45,13 +45,13 @@
 #[test]
 fn cordon_is_rejected_when_id_bytes_are_used_up() {
     let mut state = small_state();
-    let long = "x".repeat(15);
-    let other = "y".repeat(15);
-    state.mark_listed(&long);
-    state.mark_listed(&other);
-    state.cordon(NOW, &engine(&long), CordonRequest::Operator, "").expect("fits");
+    let first = "x".repeat(15);
+    let second = "y".repeat(15);
+    state.mark_listed(&first);
+    state.mark_listed(&second);
+    state.cordon(NOW, &engine(&first), CordonRequest::Operator, "").expect("fits");
     assert_eq!(
-        state.cordon(NOW, &engine(&other), CordonRequest::Operator, ""),
+        state.cordon(NOW, &engine(&second), CordonRequest::Operator, ""),
         Err(CordonError::TooManyCordons)
     );
     assert_eq!(
@@ -64,10 +64,10 @@
 #[test]
 fn tombstone_of_the_lowest_version_is_evicted_first() {
     let mut state = small_state();
-    for (n, id) in ["a", "b", "c"].iter().enumerate() {
+    for (index, id) in ["a", "b", "c"].iter().enumerate() {
         state.mark_listed(id);
         state
-            .uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), Cause::Operator)
+            .uncordon(NOW + TimeDelta::from_micros(index as i64), &engine(id), Cause::Operator)
             .expect("accepted");
     }
     let retained: Vec<Target> = state.export_records().into_iter().map(|record| record.target).collect();
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn merge_over_the_limit_reports_how_many_records_it_left_out() {
+fn merge_over_the_limit_reports_the_number_of_records_not_merged() {
     let mut large = CordonState::new(CordonLimits::default());
-    for i in 0..5 {
-        large.mark_listed(&format!("{i}"));
-        large.cordon(NOW, &engine(&format!("{i}")), CordonRequest::Operator, "").expect("accepted");
+    for index in 0..5 {
+        large.mark_listed(&format!("{index}"));
+        large.cordon(NOW, &engine(&format!("{index}")), CordonRequest::Operator, "").expect("accepted");
     }
     let mut state = small_state();
     let result = state.merge_records(NOW, &large.export_records());
@@ -125,9 +125,10 @@
     );
 }
 
-/// An engine is cordoned twice, restarted meanwhile, and uncordoned once.
+/// An engine is cordoned by two causes, leaves the endpoint list and returns, and is uncordoned once for each
+/// cause.
 #[test]
-fn cordon_lasts_until_uncordoned_whatever_the_list_says() {
+fn cordon_lasts_until_uncordoned_regardless_of_the_endpoint_list() {
     let mut state = CordonState::new(CordonLimits::default());
     state.mark_listed("e");
     assert_eq!(state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"), Ok(CordonOutcome::Cordoned));
@@ -145,7 +146,7 @@
     assert_eq!(
         outcome,
         Ok(CordonOutcome::StillCordoned { cause: Cause::Fleet { permit: 3 } }),
-        "the fleet's stays active"
+        "the fleet's cordon stays active"
     );
     state.mark_unlisted("e");
     assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Fleet { permit: 3 }), Ok(CordonOutcome::Uncordoned));
@@ -153,16 +154,16 @@
     assert!(!state.is_engine_cordoned("e") && state.cordoned_engine_count() == 0);
 }
 
-/// A cordoned id is never evicted, and uncordoning it is accepted however long ago it was listed.
+/// A cordoned id is never evicted, and uncordoning it is accepted no matter how long ago it was listed.
 #[test]
 fn cordoned_id_is_remembered_past_the_limit() {
     let mut state = small_state();
     state.mark_listed("e");
     state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("accepted");
     state.mark_unlisted("e");
-    for i in 0..50 {
-        state.mark_listed(&format!("{i}"));
-        state.mark_unlisted(&format!("{i}"));
+    for index in 0..50 {
+        state.mark_listed(&format!("{index}"));
+        state.mark_unlisted(&format!("{index}"));
     }
     assert!(state.was_ever_listed("e") && !state.was_ever_listed("0") && state.was_ever_listed("49"));
     assert_eq!(state.sizes().known_ids, 8);
--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -1,4 +1,5 @@
-//! Merging records of two processes: the result does not depend on the order, and the newest call wins at both.
+//! Tests of merging the records of two processes: the result does not depend on the order of merges, and the
+//! newest call wins at both processes.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -7,16 +8,16 @@
     Target, TimeDelta, Timestamp, TOMBSTONE_RETENTION,
 };
 
-/// In microseconds.
-const SECOND: i64 = 1_000_000;
-const NOW: Timestamp = Timestamp::from_micros(1_700_000_000 * SECOND);
+/// Microseconds per second.
+const MICROS_PER_SEC: i64 = 1_000_000;
+const NOW: Timestamp = Timestamp::from_micros(1_700_000_000 * MICROS_PER_SEC);
 
-/// Records with few targets, causes, versions and leases, so that ties of every kind occur.
+/// Records with few distinct targets, causes, versions and leases, so that ties of every kind occur.
 fn record() -> impl Strategy<Value = CordonRecord> {
     (0_u8..4, 0_u8..3, 0_u64..4, any::<bool>(), 1_i64..4, 0_i64..3, 0_u8..2).prop_map(
         |(index, permit, version, cordoned, lease, age, reason)| {
             let is_fleet = permit > 0;
-            let expiry = Timestamp::from_micros(NOW.as_micros() + lease * SECOND);
+            let expiry = Timestamp::from_micros(NOW.as_micros() + lease * MICROS_PER_SEC);
             CordonRecord {
                 target: if index == 0 { Target::Manager } else { Target::Engine(format!("s-{index}")) },
                 cause: if is_fleet { Cause::Fleet { permit: u64::from(permit) } } else { Cause::Operator },
@@ -36,7 +37,7 @@
     prop::collection::vec(record(), 0..12)
 }
 
-/// All records of a new process after it has merged these sets in this order.
+/// All records of a new process after it has merged these sets of records in this order.
 fn merge(sets: &[&[CordonRecord]]) -> Vec<CordonRecord> {
     let mut state = CordonState::new(CordonLimits::default());
     for set in sets {
@@ -61,42 +62,45 @@
         prop_assert_eq!(&merge(&[&ab, &ab, &b]), &ab);
         let mut reversed = a.clone();
         reversed.reverse();
-        prop_assert_eq!(merge(&[&a]), merge(&[&reversed]), "the order within one set does not matter either");
+        prop_assert_eq!(merge(&[&a]), merge(&[&reversed]), "the order within one set has no effect either");
     }
 
-    /// Calls reach either of two processes, records are exchanged now and then, and both share one clock. Once both have
-    /// merged each other's last records, each target is as the last call on it says.
+    /// Calls reach either of two processes, which exchange records from time to time and share one clock.
+    /// Once both have merged each other's last records, each target is in the state that the last call on it
+    /// requested.
     #[test]
     fn last_call_wins_at_both_processes(
         calls in prop::collection::vec((any::<bool>(), 1_u8..4, any::<bool>(), 0_u8..4), 1..40),
         clock_step in 0_i64..3,
     ) {
-        let mut processes = [CordonState::new(CordonLimits::default()), CordonState::new(CordonLimits::default())];
+        let mut processes =
+            [CordonState::new(CordonLimits::default()), CordonState::new(CordonLimits::default())];
         for process in &mut processes {
             (1..4).for_each(|index| process.mark_listed(&format!("s-{index}")));
         }
         let mut last_call = [false; 4];
-        for (number, (at, index, cordoned, exchange)) in calls.iter().enumerate() {
-            let here = usize::from(*at);
-            let there = usize::from(!*at);
-            // A clock set back does no harm where the call has seen those before it: the other's records are merged first.
+        for (call, (is_second_process, index, cordoned, exchange)) in calls.iter().enumerate() {
+            let called = usize::from(*is_second_process);
+            let other = usize::from(!*is_second_process);
+            // A clock that was set back does no harm if the process has seen all earlier calls, so the
+            // records of the other process are merged first.
             let is_clock_set_back = *exchange == 3;
             if is_clock_set_back {
-                let records = processes[there].export_records();
-                processes[here].merge_records(NOW, &records);
+                let records = processes[other].export_records();
+                processes[called].merge_records(NOW, &records);
             }
             let set_back = if is_clock_set_back { clock_step * 5 } else { 0 };
-            let now = Timestamp::from_micros(NOW.as_micros() + number as i64 * 10 - set_back);
+            let now = Timestamp::from_micros(NOW.as_micros() + call as i64 * 10 - set_back);
             let target = Target::Engine(format!("s-{index}"));
             if *cordoned {
-                processes[here].cordon(now, &target, CordonRequest::Operator, "").expect("listed");
+                processes[called].cordon(now, &target, CordonRequest::Operator, "").expect("listed");
             } else {
-                processes[here].uncordon(now, &target, Cause::Operator).expect("listed");
+                processes[called].uncordon(now, &target, Cause::Operator).expect("listed");
             }
             last_call[usize::from(*index)] = *cordoned;
             if *exchange > 1 {
-                let records = processes[here].export_records();
-                processes[there].merge_records(now, &records);
+                let records = processes[called].export_records();
+                processes[other].merge_records(now, &records);
             }
         }
         let records = [processes[0].export_records(), processes[1].export_records()];
@@ -120,10 +124,10 @@
     Target::Engine(id.into())
 }
 
-/// An uncordon at the new process wins over the old process's cordon even where the new one has not merged that yet, and
-/// an older cordon that is merged late must not undo it.
+/// An uncordon at the new process wins over the old process's cordon even if the new process has not merged
+/// that cordon yet, and merging the older cordon later must not undo the uncordon.
 #[test]
-fn newer_uncordon_wins_over_older_cordon_that_was_never_seen() {
+fn newer_uncordon_wins_over_older_cordon_that_was_not_merged_before() {
     let mut old = state_with(&["e"]);
     let mut new = state_with(&["e"]);
     old.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap").expect("accepted");
@@ -141,7 +145,7 @@
     let mut state = state_with(&["e"]);
     state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("accepted");
     let records = state.export_records();
-    let earlier = Timestamp::from_micros(NOW.as_micros() - 3_600 * SECOND);
+    let earlier = Timestamp::from_micros(NOW.as_micros() - 3_600 * MICROS_PER_SEC);
     assert_eq!(state.uncordon(earlier, &engine("e"), Cause::Operator), Ok(CordonOutcome::Uncordoned));
     state.merge_records(earlier, &records);
     assert!(!state.is_engine_cordoned("e"));
@@ -165,7 +169,7 @@
     }
 }
 
-/// A tombstone is retained for its time and no longer; a cordon has no such end.
+/// A tombstone is retained for its retention time and no longer; a cordon is retained indefinitely.
 #[test]
 fn tombstones_are_removed_after_ten_minutes_and_cordons_never() {
     let mut state = state_with(&["e", "f"]);
@@ -175,23 +179,24 @@
     assert_eq!(state.sizes(), CordonSizes { active_cordons: 1, tombstones: 1, known_ids: 2 });
     state.expire(NOW + TOMBSTONE_RETENTION + TimeDelta::from_micros(1));
     assert_eq!(state.sizes(), CordonSizes { active_cordons: 1, tombstones: 0, known_ids: 2 });
-    state.expire(NOW + TimeDelta::from_micros(1_000_000 * SECOND));
+    state.expire(NOW + TimeDelta::from_micros(1_000_000 * MICROS_PER_SEC));
     assert!(state.is_engine_cordoned("f"));
 }
 
-/// An expired lease is not revived by an older entry with a longer one.
+/// An older entry with a longer lease does not reactivate a cordon whose lease has expired.
 #[test]
-fn expired_lease_wins_over_an_older_and_longer_one() {
-    let mut a = state_with(&["e"]);
-    let mut b = state_with(&["e"]);
+fn expired_lease_wins_over_an_older_entry_with_a_longer_lease() {
+    let mut older = state_with(&["e"]);
+    let mut newer = state_with(&["e"]);
     let after = |micros: i64| NOW + TimeDelta::from_micros(micros);
-    let lease = |seconds: i64| CordonRequest::Fleet { permit: 7, lease_expires_at: after(seconds * SECOND) };
-    a.cordon(NOW, &engine("e"), lease(60), "").expect("accepted");
-    b.cordon(after(1), &engine("e"), lease(5), "").expect("accepted");
-    b.expire(after(6 * SECOND));
-    assert!(!b.is_engine_cordoned("e"));
-    b.merge_records(after(6 * SECOND), &a.export_records());
-    assert!(!b.is_engine_cordoned("e"), "the shorter lease was the newer entry");
-    a.merge_records(after(6 * SECOND), &b.export_records());
-    assert!(!a.is_engine_cordoned("e"));
+    let lease =
+        |seconds: i64| CordonRequest::Fleet { permit: 7, lease_expires_at: after(seconds * MICROS_PER_SEC) };
+    older.cordon(NOW, &engine("e"), lease(60), "").expect("accepted");
+    newer.cordon(after(1), &engine("e"), lease(5), "").expect("accepted");
+    newer.expire(after(6 * MICROS_PER_SEC));
+    assert!(!newer.is_engine_cordoned("e"));
+    newer.merge_records(after(6 * MICROS_PER_SEC), &older.export_records());
+    assert!(!newer.is_engine_cordoned("e"), "the entry with the shorter lease is the newer one");
+    older.merge_records(after(6 * MICROS_PER_SEC), &newer.export_records());
+    assert!(!older.is_engine_cordoned("e"));
 }
--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -1,4 +1,4 @@
-//! Any sequence of calls, list events and time against a reference model.
+//! Compares any sequence of calls, endpoint list events and time steps with a reference model.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -12,12 +12,14 @@
 enum Step {
     Listed(u8),
     Unlisted(u8),
-    /// Target, permit (0: the operator), and lease in ticks.
+    /// Target index, permit (0: the operator), and lease in ticks.
     Cordon(u8, u8, i8),
+    /// Target index and permit (0: the operator).
     Uncordon(u8, u8),
+    /// Number of requests in flight.
     InFlight(u8),
     Expire,
-    /// All state goes through export and merge into a new process.
+    /// Exports all state and merges it into a new process.
     HotRestart,
 }
 
@@ -26,15 +28,16 @@
     prop_oneof![
         2 => id.clone().prop_map(Step::Listed),
         1 => id.clone().prop_map(Step::Unlisted),
-        5 => (id.clone(), permit.clone(), -1_i8..9).prop_map(|(i, p, l)| Step::Cordon(i, p, l)),
-        4 => (id, permit).prop_map(|(i, p)| Step::Uncordon(i, p)),
+        5 => (id.clone(), permit.clone(), -1_i8..9)
+            .prop_map(|(id, permit, lease)| Step::Cordon(id, permit, lease)),
+        4 => (id, permit).prop_map(|(id, permit)| Step::Uncordon(id, permit)),
         1 => (0_u8..3).prop_map(Step::InFlight),
         2 => Just(Step::Expire),
         1 => Just(Step::HotRestart),
     ]
 }
 
-/// Target 0 is this manager, the others are engines.
+/// Target 0 is this manager; all other targets are engines.
 fn target(index: u8) -> Target {
     if index == 0 {
         Target::Manager
@@ -51,8 +54,8 @@
     }
 }
 
-/// A reference implementation that is as plain as can be: which engines were ever listed, and which causes are active
-/// until when.
+/// A reference implementation that is as simple as possible: the engines that were ever listed, and the
+/// expiry time of each active cause.
 #[derive(Default)]
 struct ReferenceModel {
     ever_listed: BTreeSet<u8>,
@@ -106,12 +109,12 @@
         for key in &expired {
             self.active.remove(key);
         }
-        let touched: BTreeSet<u8> = expired.iter().map(|(index, _)| *index).collect();
+        let affected: BTreeSet<u8> = expired.iter().map(|(index, _)| *index).collect();
         let outcome = |index: u8| match self.active_causes(index).first() {
             Some(cause) => CordonOutcome::StillCordoned { cause: *cause },
             None => CordonOutcome::Uncordoned,
         };
-        touched.iter().map(|index| (target(*index), outcome(*index))).collect()
+        affected.iter().map(|index| (target(*index), outcome(*index))).collect()
     }
 
     fn set_in_flight(&mut self, now: i64, count: u8) {
@@ -142,11 +145,11 @@
     }
 
     fn manager_state(&self) -> ManagerState {
-        let at = Timestamp::from_micros;
+        let at_micros = Timestamp::from_micros;
         match (self.is_cordoned(0), self.quiescing_since, self.quiesced_since) {
             (false, ..) => ManagerState::Serving,
-            (true, _, Some(since)) => ManagerState::Quiesced { since: at(since) },
-            (true, since, None) => ManagerState::Quiescing { since: at(since.unwrap_or(0)) },
+            (true, _, Some(since)) => ManagerState::Quiesced { since: at_micros(since) },
+            (true, since, None) => ManagerState::Quiescing { since: at_micros(since.unwrap_or(0)) },
         }
     }
 }
@@ -190,7 +193,7 @@
         let mut now = 1_700_000_000_000_000_i64;
         for step in steps {
             now += TICK;
-            let at = Timestamp::from_micros(now);
+            let timestamp = Timestamp::from_micros(now);
             match &step {
                 Step::Listed(index) => {
                     real.mark_listed(&format!("s-{index}"));
@@ -201,29 +204,32 @@
                     let lease = i64::from(*lease) * TICK;
                     let expected = model.cordon(*index, *permit, now, lease);
                     let request = request(*permit, now + lease);
-                    prop_assert_eq!(real.cordon(at, &target(*index), request, "why"), expected);
+                    prop_assert_eq!(real.cordon(timestamp, &target(*index), request, "why"), expected);
                 }
                 Step::Uncordon(index, permit) => {
                     let expected = model.uncordon(*index, *permit);
-                    prop_assert_eq!(real.uncordon(at, &target(*index), cause(*permit)), expected);
+                    prop_assert_eq!(real.uncordon(timestamp, &target(*index), cause(*permit)), expected);
                 }
                 Step::InFlight(count) => {
-                    real.set_in_flight(at, usize::from(*count));
+                    real.set_in_flight(timestamp, usize::from(*count));
                     model.set_in_flight(now, *count);
                 }
                 Step::Expire => {
                     let expected = model.expire(now);
                     let mut changes: Vec<(Target, CordonOutcome)> =
-                        real.expire(at).into_iter().map(|change| (change.target, change.outcome)).collect();
+                        real.expire(timestamp)
+                            .into_iter()
+                            .map(|change| (change.target, change.outcome))
+                            .collect();
                     changes.sort_by_key(|(target, _)| (*target != Target::Manager, target.to_string()));
                     prop_assert_eq!(changes, expected);
                 }
                 Step::HotRestart => {
                     let mut successor = CordonState::new(CordonLimits::default());
                     successor.merge_known_ids(&real.export_known_ids(usize::MAX));
-                    let result = successor.merge_records(at, &real.export_records());
+                    let result = successor.merge_records(timestamp, &real.export_records());
                     prop_assert_eq!((result.over_limit, result.malformed), (0, 0));
-                    // A lease that expires at this very instant is not activated first.
+                    // The new process never activates a cordon whose lease expires at the time of the merge.
                     model.active.retain(|_, expires_at| *expires_at > now);
                     model.reset_manager();
                     real = successor;
