--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,8 +1,8 @@
-//! Instants and spans of time in whole microseconds.
+//! Timestamps and signed time spans in whole microseconds.
 //!
-//! [`Timestamp`] is a point on the caller's clock, [`TimeDelta`] a signed span between two of them (the name is that of
-//! the `chrono` crate; `std::time::Duration` cannot be negative). Both are serialized as a bare integer. This crate
-//! reads no clock: every state machine takes the current time as an argument.
+//! [`Timestamp`] is a point on the caller's clock, [`TimeDelta`] a signed span between two timestamps (the
+//! name is that of the `chrono` crate; `std::time::Duration` cannot be negative). Both are serialized as a
+//! bare integer. This crate reads no clock: every state machine takes the current time as an argument.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Neg, Sub};
@@ -20,22 +20,23 @@
 impl Timestamp {
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
-    /// The latest instant.
+    /// The latest representable timestamp.
     pub const MAX: Timestamp = Timestamp(i64::MAX);
 
-    /// The instant a number of microseconds after the clock's origin.
+    /// The timestamp `micros` microseconds after the clock's origin.
     pub const fn from_micros(micros: i64) -> Timestamp {
         Timestamp(micros)
     }
-    /// The instant a number of milliseconds after the clock's origin; saturates.
+    /// The timestamp `millis` milliseconds after the clock's origin; saturates.
     pub const fn from_millis(millis: i64) -> Timestamp {
         Timestamp(millis.saturating_mul(1_000))
     }
-    /// The instant a number of seconds after the clock's origin; saturates.
+    /// The timestamp `secs` seconds after the clock's origin; saturates.
     pub const fn from_secs(secs: i64) -> Timestamp {
         Timestamp(secs.saturating_mul(1_000_000))
     }
-    /// The instant a number of seconds after the clock's origin, to the nearest microsecond.
+    /// The timestamp `secs` seconds after the clock's origin, rounded to the nearest microsecond. NaN counts
+    /// as zero; values out of range saturate.
     pub fn from_secs_f64(secs: f64) -> Timestamp {
         Timestamp((secs * 1e6).round() as i64)
     }
@@ -47,7 +48,7 @@
     pub const fn as_millis(self) -> i64 {
         self.0 / 1_000
     }
-    /// Seconds since the clock's origin.
+    /// Seconds since the clock's origin, with their fraction.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -56,7 +57,7 @@
 impl TimeDelta {
     /// The empty span.
     pub const ZERO: TimeDelta = TimeDelta(0);
-    /// The longest span.
+    /// The longest representable span.
     pub const MAX: TimeDelta = TimeDelta(i64::MAX);
 
     /// A span of whole microseconds.
@@ -71,19 +72,20 @@
     pub const fn from_secs(secs: i64) -> TimeDelta {
         TimeDelta(secs.saturating_mul(1_000_000))
     }
-    /// A span from seconds, to the nearest microsecond; what is not a number counts as zero, infinities as the bounds.
+    /// A span of seconds, rounded to the nearest microsecond. NaN counts as zero; values out of range
+    /// saturate.
     pub fn from_secs_f64(secs: f64) -> TimeDelta {
         TimeDelta((secs * 1e6).round() as i64)
     }
-    /// Whole microseconds.
+    /// The span in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
-    /// Whole milliseconds, rounded towards zero.
+    /// The span in whole milliseconds, rounded towards zero.
     pub const fn as_millis(self) -> i64 {
         self.0 / 1_000
     }
-    /// Seconds.
+    /// The span in seconds, with their fraction.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
--- a/crates/time/tests/arithmetic.rs
+++ b/crates/time/tests/arithmetic.rs
@@ -1,9 +1,9 @@
-//! Conversions and arithmetic of instants and spans.
+//! Tests of conversions and arithmetic of timestamps and spans.
 
 use sprucelink_time::{TimeDelta, Timestamp};
 
 #[test]
-fn a_span_added_to_an_instant_and_subtracted_again_gives_the_instant() {
+fn span_added_to_a_timestamp_and_subtracted_again_gives_the_timestamp() {
     let start = Timestamp::from_millis(5);
     let span = TimeDelta::from_micros(250);
     assert_eq!((start + span).as_micros(), 5_250);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn seconds_round_to_the_nearest_microsecond_and_not_a_number_is_zero() {
+fn seconds_round_to_the_nearest_microsecond_and_nan_counts_as_zero() {
     assert_eq!(TimeDelta::from_secs_f64(1.000_000_6).as_micros(), 1_000_001);
     assert_eq!(TimeDelta::from_secs_f64(f64::NAN), TimeDelta::ZERO);
     assert!((TimeDelta::from_millis(1_500).as_secs_f64() - 1.5).abs() < 1e-12);
