--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -1,5 +1,7 @@
-//! A stable hash: every process, machine and release computes the same value. Nothing here keeps state or does input or
-//! output.
+//! A stable hash and a seeded random number generator: every process, machine and release computes the same
+//! values.
+//!
+//! This crate performs no I/O; its only state is that of a generator.
 
 mod split_mix;
 
@@ -9,11 +11,12 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The multiplier of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Hashed after each part, so that ("ab", "c") and ("a", "bc") differ. No UTF-8 text holds this byte.
+/// Hashed after each part, so that ("ab", "c") and ("a", "bc") differ. This byte never occurs in UTF-8 text.
 const PART_SEPARATOR: u8 = 0xff;
 
-/// A stable 64-bit hash of bytes (FNV-1a, then a SplitMix64 finaliser so that near names spread): the
-/// same on every machine and release, unlike the standard library's hasher, whose output may change.
+/// A stable 64-bit hash of byte strings (FNV-1a, then the SplitMix64 finaliser, so that the hashes of similar
+/// names spread evenly). It is the same on every machine and release, unlike that of the standard library's
+/// hasher, whose output may change.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for part in parts {
@@ -25,12 +28,12 @@
     split_mix::mix(hash)
 }
 
-/// One byte of FNV-1a.
+/// Adds one byte to an FNV-1a hash.
 fn fnv_step(hash: u64, byte: u8) -> u64 {
     (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
 }
 
-/// A hash as a fraction, in [0, 1): a multiple of 2^-53, which an `f64` represents exactly.
+/// Maps a hash to the interval [0, 1): its upper 53 bits times 2^-53, which an `f64` represents exactly.
 pub fn unit_interval(hash: u64) -> f64 {
     let mantissa = hash >> (u64::BITS - f64::MANTISSA_DIGITS);
     mantissa as f64 / (1u64 << f64::MANTISSA_DIGITS) as f64
--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -1,12 +1,12 @@
-//! SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014): a seeded generator of
-//! which the same seed gives the same numbers on every machine and release.
+//! SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014): a seeded
+//! generator that gives the same numbers for the same seed on every machine and release.
 
 use serde::{Deserialize, Serialize};
 
-/// The increment of the generator's state: the golden ratio in 64 bits.
+/// Increment of the generator's state: 2^64 divided by the golden ratio, as an odd integer.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The finaliser of SplitMix64: spreads each bit of the input over all bits of the output, one to one.
+/// The finaliser of SplitMix64: a bijection that spreads each bit of the input over all bits of the output.
 pub(crate) fn mix(input: u64) -> u64 {
     let mut mixed = input;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -14,7 +14,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// A seeded pseudorandom number generator. Not for secrets.
+/// A seeded pseudorandom number generator. Not cryptographically secure.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SplitMix64(u64);
 
@@ -24,7 +24,7 @@
         SplitMix64(seed)
     }
 
-    /// The next number, from all of 64 bits.
+    /// The next number, uniform over all `u64` values.
     pub fn next_u64(&mut self) -> u64 {
         self.next_u64_with(0)
     }
@@ -40,8 +40,8 @@
         crate::unit_interval(self.next_u64())
     }
 
-    /// Draws up to `count` items without replacement, each of those left with an equal chance; the last item of the
-    /// pool takes the place of one that was drawn.
+    /// Draws up to `count` items without replacement, each of the remaining items with equal probability. The
+    /// last item of the pool takes the place of each drawn item.
     pub fn draw<T>(&mut self, pool: &mut Vec<T>, count: usize) -> Vec<T> {
         let mut drawn = Vec::new();
         for _ in 0..pool.len().min(count) {
@@ -52,9 +52,11 @@
     }
 }
 
-/// The index drawn by `unit`, a number in [0, 1), where each index has a chance in proportion to its weight.
+/// The index drawn by `unit`, a uniform random number in [0, 1), where the probability of each index is
+/// proportional to its weight.
 ///
-/// Weights are not negative. Where rounding leaves the draw beyond the last one, that is taken; `None` for no weights.
+/// Weights must not be negative. If rounding puts the draw beyond the last weight, or a weight is NaN,
+/// returns the last index. Returns `None` if there are no weights.
 pub fn weighted_index(weights: &[f64], unit: f64) -> Option<usize> {
     let mut remaining = unit * weights.iter().sum::<f64>();
     let drawn = weights.iter().position(|weight| {
--- a/crates/stable-hash/src/split_mix/tests.rs
+++ b/crates/stable-hash/src/split_mix/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the generator's sequence.
+//! Tests of salted numbers.
 
 use super::*;
 
