--- a/crates/startup/src/endpoint_poller.rs
+++ b/crates/startup/src/endpoint_poller.rs
@@ -3,8 +3,8 @@
 //! A single manager may poll at once at its start, and again 20 ms after an answer ends. Hundreds of managers
 //! that start together, or lose the service together, would poll it in the same milliseconds. Hence:
 //!
-//! - the first poll is spread by full jitter over a window that grows with the configured fleet size: `fleet
-//!   / fleet_rate` seconds, at most `max_window_ms`;
+//! - the first poll is spread by full jitter over a window that grows with the configured fleet size:
+//!   `fleet / fleet_rate` seconds, at most `max_window_ms`;
 //! - each poll takes a token from a bucket that refills at this manager's share of the fleet's rate,
 //!   `fleet_rate / fleet` per second, and holds `burst` tokens;
 //! - a failed poll is retried with the backoff `failed` (short, since most failures are transient), and a
@@ -12,8 +12,8 @@
 //! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed
 //!   is longer than `max_delay_ms`, regardless of the token bucket: both at most 250 ms. An event counts as
 //!   delivered when it would have arrived had the manager been polling, and a drain must be honoured within
-//!   500 ms of that. Only an explicit rejection may delay for longer, since the service is up and reports
-//!   that it cannot answer.
+//!   500 ms of that time. Only an explicit rejection may delay for longer, since the service is up and
+//!   reports that it cannot answer.
 //!
 //! Between polls the last endpoint list stays in force; [`EndpointPoller::time_since_success`] is its age.
 
--- a/crates/startup/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -6,8 +6,8 @@
 //! fleet starts at once, all managers take that step in the same second. With this ramp the share rises
 //! linearly instead, from `initial_fraction` to 1 over `ramp_ms` after the start. The sum over all managers
 //! never exceeds the engine's budget, whatever they sent before their restart, as long as the initial
-//! fraction and the slope allow it: with `ramp_ms` of two spans, a manager sends less than `initial_fraction
-//! + 0.5` of its share within one span of its start.
+//! fraction and the slope allow it: with `ramp_ms` of two spans, a manager sends less than
+//! `initial_fraction + 0.5` of its share within one span of its start.
 //!
 //! Envoy's slow start and HAProxy's `slowstart` ramp the weight of a server that came up, independently in
 //! each proxy. This ramp applies to a manager that came up, in addition to the slow start of each server.
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -28,7 +28,7 @@
 
 pub use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Converts a setting in milliseconds.
+/// Converts a setting in milliseconds to a time span.
 fn from_millis(millis: f64) -> TimeDelta {
     TimeDelta::from_secs_f64(millis / 1_000.0)
 }
