--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -1,23 +1,24 @@
 //! The coordinator connects the parts of the core.
 //!
-//! Input: requests of the fronts, events of the endpoint list, events of connections, and timers. Output: events for
-//! the policy, and its commands, carried out on the request table, the engine table and the connections. State: the
-//! parts, each of which owns its state.
+//! Input: requests of the fronts, events of the endpoint list, events of connections, and timers. Output:
+//! events for the policy, and its commands, carried out on the request table, the engine table and the
+//! connections. State: the parts, each of which owns its state.
 //!
-//! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event finds no
-//! owner and does nothing.
+//! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event
+//! finds no owner and does nothing.
 //!
 //! Attempts and requests end separately:
-//! - An attempt ends in `end_attempt`, which takes it out of its request and releases its connection. It calls
-//!   `report_end`, which tells the policy; an attempt that was never queued to a connection has only `report_end`. If
-//!   the attempt was served and its client still waits, `complete` follows; the policy's commands are carried out last.
-//! - A request ends in `complete`, the only place that gives a final response. It withdraws the attempt in flight if no
-//!   byte of it was sent.
-//! - `expire` acts at the deadline: it cancels the attempt, calls `end_attempt`, carries out the policy's commands, and
-//!   calls `complete` if these gave no response.
-//! - `abandon` acts when the client has gone. There is no response: an unsent attempt is withdrawn, and the policy gets
-//!   `RequestAbandoned`, on which it cancels one that was sent. `expire` and `complete_all` (the shutdown) send that event,
-//!   too, after `complete`.
+//! - An attempt ends in `end_attempt`, which takes it out of its request and releases its connection. It
+//!   calls `report_end`, which notifies the policy; for an attempt that was never queued to a connection,
+//!   only `report_end` is called. If the attempt was served and its client still waits, `complete` follows;
+//!   the policy's commands are carried out last.
+//! - A request ends in `complete`, the only place that gives a final response. It withdraws the attempt in
+//!   flight if no byte of it was sent.
+//! - `expire` acts at the deadline: it cancels the attempt, calls `end_attempt`, carries out the policy's
+//!   commands, and calls `complete` if these gave no response.
+//! - `abandon` acts when the client has gone. There is no response: an unsent attempt is withdrawn, and the
+//!   policy gets `RequestAbandoned`, on which it cancels an attempt that was sent. `expire` and
+//!   `complete_all` (the shutdown) also send that event, after `complete`.
 //! - `remove_if_done` removes a request that has ended and whose last attempt has ended.
 //!
 //! [`InFlightAttempt`]: super::attempt::InFlightAttempt
@@ -51,7 +52,7 @@
 mod fleet;
 mod responses;
 
-/// The settings with which a coordinator starts.
+/// Settings of a new coordinator.
 pub(super) struct CoordinatorConfig {
     /// Settings of the policy.
     pub(super) settings: Settings,
@@ -63,18 +64,18 @@
     pub(super) kinds: Vec<String>,
 }
 
-/// The parts of the core.
+/// The parts of the core, and the calls between them.
 pub(super) struct Coordinator {
     pub(super) requests: RequestTable,
     pub(super) engines: EngineTable,
     pub(super) policy: PolicyDriver,
     send_guard: SendGuard,
-    /// Checks on records of its own that the other parts keep the rules.
+    /// Checks at run time, with its own records, that the other parts keep the rules.
     pub(super) monitor: InvariantMonitor,
     statistics: RequestStatistics,
     fleet: FleetState,
     cordons: CordonState,
-    /// Start-up control, if it is on.
+    /// Start-up control; `None` if it is off.
     startup: Option<StartupControl>,
     /// Seed of start-up control.
     seed: u64,
@@ -82,7 +83,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator without engines.
+    /// Creates a coordinator without engines.
     pub(super) fn new(config: CoordinatorConfig, metrics: &Metrics) -> Coordinator {
         let CoordinatorConfig { settings, seed, zones, kinds } = config;
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max();
@@ -110,12 +111,12 @@
         self.startup = Some(StartupControl::new(settings, name, self.seed, listed, now()));
     }
 
-    /// Start-up control, if it is on.
+    /// Start-up control; `None` if it is off.
     pub(super) fn startup_mut(&mut self) -> Option<&mut StartupControl> {
         self.startup.as_mut()
     }
 
-    /// A random id; two of one process are equal only by chance.
+    /// Generates a random id. Two ids of one process are equal only by chance.
     pub(super) fn generate_id(&mut self) -> u64 {
         self.ids.next_id(now())
     }
@@ -126,13 +127,13 @@
         self.policy.set_recorder(recorder)
     }
 
-    /// Sets the instant from which on this process rejects all requests and sends nothing to an engine.
+    /// Sets the time from which this process rejects all requests and sends nothing to an engine.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         self.send_guard.set_shutdown_deadline(deadline);
     }
 
-    /// Adds a request; `None` if its id is pending or was recently used for another statement. The receiver gets the
-    /// final response.
+    /// Adds a request; returns the receiver of its final response, or `None` if its id is pending or was
+    /// recently used for another statement.
     pub(super) fn submit(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -165,8 +166,8 @@
         Some(response)
     }
 
-    /// The Retry-After of a request that is rejected because this process shuts down, or still warms up after its start;
-    /// `None` if the policy decides.
+    /// The Retry-After of a request that is rejected because this process is shutting down, or still warming
+    /// up after its start; `None` if the policy decides.
     fn rejection_before_policy(&mut self, now: Timestamp, pending: usize) -> Option<TimeDelta> {
         if self.send_guard.is_closed(now) {
             return Some(MIN_RETRY_AFTER);
@@ -174,8 +175,8 @@
         self.startup.as_mut()?.admit(now, pending).err()
     }
 
-    /// The client of a request has disconnected or, if `was_cancelled`, has cancelled it and gets a response from its
-    /// front.
+    /// Ends a request whose client has disconnected or, if `was_cancelled`, has cancelled it. The front
+    /// responds to a cancellation.
     pub(super) fn abandon(&mut self, runtime: &dyn ConnectionRuntime, id: u64, was_cancelled: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.responder.take().is_none() {
@@ -188,7 +189,7 @@
         self.remove_if_done(id);
     }
 
-    /// Carries out commands of the policy, and those that follow from them.
+    /// Carries out commands of the policy, and the commands that follow from them.
     pub(super) fn execute(&mut self, runtime: &dyn ConnectionRuntime, commands: Vec<PolicyCommand>) {
         let mut queue = VecDeque::from(commands);
         while let Some(command) = queue.pop_front() {
@@ -200,7 +201,7 @@
                 PolicyCommand::Cancel { id, attempt } => {
                     if self.cancel_attempt(runtime.pool(), id, attempt) {
                         let check_at = now() + CANCELLATION_CHECK_INTERVAL;
-                        self.requests.schedule_cancellation(check_at, id, attempt);
+                        self.requests.schedule_cancellation_check(check_at, id, attempt);
                         runtime.wake();
                     }
                 }
@@ -209,7 +210,7 @@
                 PolicyCommand::Log(text) => info!(text, "policy event"),
             }
         }
-        if self.requests.has_due_cancellation(now()) {
+        if self.requests.has_due_cancellation_check(now()) {
             runtime.wake();
         }
     }
@@ -232,7 +233,7 @@
         }
     }
 
-    /// When [`Coordinator::process_due`] is to be called next.
+    /// Time at which [`Coordinator::process_due`] must be called next.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         let timer = self.policy.next_due();
         let request = self.requests.next_due();
@@ -240,7 +241,7 @@
         timer.into_iter().chain(request).chain(zone_check).min()
     }
 
-    /// Does all that is due: log lines, timers of the policy, cancellations and deadlines.
+    /// Processes everything that is due: log lines, timers of the policy, cancellations and deadlines.
     pub(super) fn process_due(&mut self, runtime: &dyn ConnectionRuntime) {
         self.policy.observe_wall_clock();
         if self.statistics.is_log_due(now()) {
@@ -250,7 +251,7 @@
         }
         let commands = self.policy.fire_timers(now());
         self.execute(runtime, commands);
-        while let Some((id, attempt)) = self.requests.pop_due_cancellation(now()) {
+        while let Some((id, attempt)) = self.requests.pop_due_cancellation_check(now()) {
             self.check_cancellation(runtime, id, attempt);
         }
         while let Some(id) = self.requests.pop_expired(now()) {
@@ -258,8 +259,8 @@
         }
     }
 
-    /// Responds to a request whose deadline has passed. Usually the policy responds before; this is for when it did
-    /// not.
+    /// Responds to a request whose deadline has passed. Usually the policy has responded before the deadline;
+    /// this function covers the case that it has not.
     fn expire(&mut self, runtime: &dyn ConnectionRuntime, id: u64) {
         if let Some(attempt) = self.requests.in_flight(id).map(|attempt| attempt.number) {
             self.cancel_attempt(runtime.pool(), id, attempt);
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,7 +1,8 @@
 //! The life of an attempt: each is sent once, cancelled at most once, and ends once.
 //!
-//! Input: commands of the policy, and answers of engines. Output: commands to engines, and the end of each attempt as
-//! an event for the policy. State: nothing here; the attempt is part of its request's entry in the request table.
+//! Input: commands of the policy, and answers of engines. Output: commands to engines, and the end of each
+//! attempt as an event for the policy. State: nothing here; the attempt is part of its request's entry in the
+//! request table.
 
 use super::Coordinator;
 use crate::core::attempt::{release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
@@ -20,21 +21,21 @@
 use std::rc::Rc;
 use tracing::{debug, error, warn};
 
-/// Time by which the deadline that an unsent command gives to its engine may exceed its client's; beyond it the command
-/// is queued again with the time that is left. It has to stay below the platform's slack on deadlines, and above the
-/// usual delays of a busy machine, which would otherwise queue commands repeatedly.
+/// Time by which the deadline that an unsent command gives to its engine may exceed its client's; beyond it
+/// the command is queued again with the time that is left. It has to stay below the platform's slack on
+/// deadlines, and above the usual delays of a busy machine, which would otherwise queue commands repeatedly.
 const MAX_DEADLINE_EXCESS: TimeDelta = TimeDelta::from_millis(50);
 
-/// The end of an attempt, for the policy.
+/// The end of an attempt, as reported to the policy.
 struct AttemptEnd {
-    /// The attempt's number.
+    /// The attempt's number among its request's attempts, from 0.
     attempt: u32,
     outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// Time since the attempt was queued to its connection; zero if it never was.
     latency: TimeDelta,
     /// The cost of the query, if the engine has reported it.
     cost: Option<QueryCost>,
-    /// The engine's load report.
+    /// The engine's last load report on this attempt.
     load_report: LoadStats,
 }
 
@@ -47,8 +48,8 @@
 }
 
 impl Coordinator {
-    /// Makes an attempt of a request at an engine. The attempt gets its number in any case, also if it cannot be queued:
-    /// the policy has counted it and expects its end.
+    /// Starts an attempt of a request at an engine. An attempt that cannot be queued also gets a number: the
+    /// policy has counted it and expects its end.
     pub(super) fn start_attempt(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -94,12 +95,12 @@
         Vec::new()
     }
 
-    /// Authorizes the sending of an attempt just before its first byte, and charges it to the retry budget; returns false
-    /// if it may not be sent. Every attempt passes here.
+    /// Authorizes the sending of an attempt just before its first byte, and charges a retry to the retry
+    /// budget; returns false if the attempt may not be sent. No attempt is sent without this check.
     ///
-    /// One that may not be sent is withdrawn and ends as one that never ran; one that is no longer in flight is only
-    /// withdrawn. One that has waited for too long is queued again with the time that is left, and is checked again
-    /// then.
+    /// An attempt that may not be sent is withdrawn and ends as one that never ran. An attempt that is no
+    /// longer in flight is only withdrawn. An attempt that has waited for too long is queued again with the
+    /// time that is left, and is checked again before its new first byte.
     pub(in crate::core) fn authorize_send(
         &mut self,
         pool: &BufferPool,
@@ -123,7 +124,7 @@
         true
     }
 
-    /// The present state of an attempt that is about to be sent; `None` if it is no longer in flight on this
+    /// The current state of an attempt that is about to be sent; `None` if it is no longer in flight on this
     /// connection, or is cancelled.
     fn outgoing_attempt(
         &self,
@@ -141,7 +142,7 @@
             request_is_awaited: request.is_awaited(),
             deadline: request.deadline,
             class: request.class,
-            // An attempt that was authorized before is counted in the retry budget already.
+            // An attempt that was authorized before is already counted in the retry budget.
             is_retry: attempt > 0 && !in_flight.is_authorized,
             may_have_run_since: request.may_have_run_since,
             engine_is_ready: self.engines.get(connection.engine).is_some_and(|engine| engine.is_ready),
@@ -162,7 +163,7 @@
         }
         connection.withdraw(id);
         self.statistics.record_withdrawal(reason);
-        self.requests.schedule_cancellation(now, id, attempt);
+        self.requests.schedule_cancellation_check(now, id, attempt);
         debug!(
             request = format_request_id(id),
             engine = connection.engine,
@@ -172,7 +173,8 @@
         );
     }
 
-    /// Queues the command of an attempt again if the deadline in it has become too late; returns whether it did.
+    /// Queues the command of an attempt again, with the time that is left, if the deadline in the command has
+    /// become too late. Returns whether it was queued again.
     fn requeue_if_delayed(
         &mut self,
         now: Timestamp,
@@ -194,7 +196,8 @@
         true
     }
 
-    /// Records that the first byte of an attempt is sent: in the retry budget, once, and for the run-time checks.
+    /// Records the first byte of an attempt: once in the retry budget, and at each call in the invariant
+    /// monitor.
     fn record_first_byte(
         &mut self,
         now: Timestamp,
@@ -276,8 +279,9 @@
         commands
     }
 
-    /// Withdraws the attempt of a completed request if it was not sent; `process_due` reports its end. An attempt that
-    /// was sent in part can only be stopped by closing its connection. Returns the commands that follow.
+    /// Withdraws the attempt of a completed request if it was not sent; `process_due` reports its end. An
+    /// attempt that was sent in part can only be stopped by closing its connection. Returns the commands that
+    /// follow.
     pub(super) fn withdraw_attempt(&mut self, id: u64) -> Vec<PolicyCommand> {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return Vec::new() };
         match attempt.connection.withdraw(id) {
@@ -292,13 +296,13 @@
                 let now = now();
                 attempt.mark_withdrawn(now);
                 let number = attempt.number;
-                self.requests.schedule_cancellation(now, id, number);
+                self.requests.schedule_cancellation_check(now, id, number);
                 Vec::new()
             }
         }
     }
 
-    /// Cancels an attempt; false if it is not in flight or is cancelled already.
+    /// Cancels an attempt; returns false if it is not in flight or already cancelled.
     pub(super) fn cancel_attempt(&mut self, pool: &BufferPool, id: u64, attempt: u32) -> bool {
         let in_flight = self.requests.attempt_mut(id, attempt).filter(|a| a.cancellation.is_none());
         let Some(in_flight) = in_flight else { return false };
@@ -312,15 +316,15 @@
         let Some(delay) = in_flight.cancellation_delay(now()) else { return };
         let outcome = in_flight.cancelled_outcome;
         if delay > TimeDelta::ZERO {
-            self.requests.schedule_cancellation(now() + delay, id, attempt);
+            self.requests.schedule_cancellation_check(now() + delay, id, attempt);
             return;
         }
         let commands = self.end_attempt(id, outcome);
         self.execute(runtime, commands);
     }
 
-    /// Applies an answer that an engine gave on a connection. Only an answer to an attempt on this connection is
-    /// parsed; others, such as those to duplicates, are skipped whatever their content.
+    /// Applies an answer that an engine sent on a connection. Only an answer to an attempt on this connection
+    /// is parsed; others, such as those to duplicates, are skipped whatever their content.
     ///
     /// # Errors
     /// If the answer violates the protocol: nothing else on the connection can be trusted then.
@@ -362,7 +366,8 @@
     id.ok_or(EngineAnswerError::InvalidId)
 }
 
-/// Releases the result that a late answer to an ended attempt announces, which the engine would keep otherwise.
+/// Releases the result that a late answer to an ended attempt announces, which the engine would keep
+/// otherwise.
 fn release_late_result(pool: &BufferPool, connection: &EngineConnection, id: u64, parts: &[&[u8]]) {
     if !connection.has_ended_unserved(id) {
         return;
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -1,8 +1,8 @@
 //! Cordoned engines.
 //!
-//! Input: calls of operators, cordons of other processes, and the ids of the endpoint list. Output: the list for the
-//! policy, in which a cordoned engine is draining whatever its entry says, so that a cordon is handled like every
-//! drain. State: nothing here; `sprucelink_cordon` holds the cordons and decides on them.
+//! Input: calls of operators, cordons of other processes, and the ids of the endpoint list. Output: the list
+//! for the policy, in which a cordoned engine is draining whatever its entry says, so that a cordon is
+//! handled like any drain. State: nothing here; `sprucelink_cordon` holds the cordons and decides on them.
 
 use super::Coordinator;
 use crate::core::clock::now;
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 
 impl Coordinator {
-    /// Cordons an engine; `Ok` also if it is cordoned already.
+    /// Cordons an engine; `Ok` also if it is already cordoned.
     ///
     /// # Errors
     /// If the id was never listed, or the call exceeds the limits on cordons.
@@ -50,8 +50,8 @@
         Ok(outcome)
     }
 
-    /// The records of all cordons and at most `max_ids` hashes of engine ids ever listed, for the process that replaces
-    /// this one in a hot restart.
+    /// The records of all cordons and at most `max_ids` hashes of engine ids ever listed, for the process
+    /// that replaces this one in a hot restart.
     pub(in crate::core) fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
         (self.cordons.export_records(), self.cordons.export_known_ids(max_ids))
     }
@@ -77,13 +77,13 @@
             warn!(
                 over_limit = result.over_limit,
                 malformed = result.malformed,
-                "cordons of another process are not in force here"
+                "cordons of another process were not applied"
             );
         }
         result
     }
 
-    /// Ends cordons whose lease has expired; to be called about once a second.
+    /// Ends cordons whose lease has expired. Must be called about once per second.
     pub(in crate::core) fn expire_cordons(&mut self, runtime: &dyn ConnectionRuntime) {
         for change in self.cordons.expire(now()) {
             let target = &change.target;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The number of listed engines, and of those among them that get no requests.
+    /// The number of listed engines, and the number of listed engines that get no requests.
     pub(in crate::core) fn engine_counts(&self) -> EngineCounts {
         let views = self.policy.engine_views();
         let is_avoided = |index: usize, id: &str| {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Records which engines a list names, so that calls of operators can refer to them.
+    /// Records which engines a list names, so that operators can cordon and uncordon them.
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A list with the cordoned engines as draining; `None` if that changes nothing.
+    /// Returns a list with its cordoned engines set to draining; `None` if no entry changes.
     pub(super) fn apply_cordons(&self, list: &ListEvent) -> Option<ListEvent> {
         let is_cordoned = |member: &Endpoint| {
             member.phase == EndpointPhase::Ready && self.cordons.is_engine_cordoned(&member.id)
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -1,7 +1,8 @@
 //! The endpoint list and the connections to its engines.
 //!
-//! Input: events of the list, and connections that open or end. Output: events for the policy, dials, and the ends of
-//! attempts that were withdrawn or interrupted. State: nothing here; the engine table holds the state.
+//! Input: events of the list, and connections that open or end. Output: events for the policy, dials, and the
+//! ends of attempts that were withdrawn or interrupted. State: nothing here; the engine table holds the
+//! state.
 
 use super::Coordinator;
 use crate::core::attempt::{AttemptOutcome, CANCELLATION_GRACE};
@@ -16,8 +17,8 @@
 use tracing::{debug, info, warn};
 
 impl Coordinator {
-    /// Applies an event of the endpoint list, or the part of it that is new if it is late. `is_cached`: the list was
-    /// stored before this process started and may be out of date.
+    /// Applies an event of the endpoint list or, if the event arrives late, the part of it that is new.
+    /// `is_cached`: the list was stored before this process started and may be out of date.
     pub(in crate::core) fn on_endpoint_list(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Records the last event that named each engine, and the list's revision, also of a list without engines.
+    /// Records the last event that named each engine, and the list's revision, also of a list without
+    /// engines.
     fn record_event_number(&mut self, list: &ListEvent) {
         self.engines.record_revision(list.revision);
         for member in &list.members {
@@ -70,13 +72,14 @@
             let engine = self.engines.get_or_insert(index);
             engine.listed_entry = Some(listed.clone());
             if engine.apply(entry, now()) {
-                // Attempts for the former process would reach the restarted one, or another engine at its address.
+                // An attempt for the former process would reach the restarted process, or another engine at
+                // the address.
                 commands.extend(self.withdraw_unsent(index));
             }
             log_entry(index, entry, listed);
         }
-        // No attempt may be sent to a draining engine, but those that wait for a connection or behind a slow peer would
-        // be.
+        // No attempt may be sent to a draining engine. Attempts that wait for a connection or behind a slow
+        // peer would still be sent.
         for index in 0..self.engines.len() {
             if self.engines.get(index).is_some_and(|engine| !engine.is_ready) {
                 commands.extend(self.withdraw_unsent(index));
@@ -85,15 +88,15 @@
         commands
     }
 
-    /// Withdraws the unsent attempts at an engine and cancels its dials. These attempts never ran, so they are retried
-    /// whatever the class of their request.
+    /// Withdraws the unsent attempts at an engine and cancels its dials. These attempts never ran, so they
+    /// are retried whatever the class of their request.
     fn withdraw_unsent(&mut self, engine: usize) -> Vec<PolicyCommand> {
         let mut commands = Vec::new();
         let connections = self.engines.get(engine).map(|engine| engine.connections.clone());
         for connection in connections.unwrap_or_default() {
             for id in connection.unsent_ids() {
-                let is_here = self.requests.in_flight(id).is_some_and(|a| a.is_on(&connection));
-                if is_here && connection.withdraw(id) == Withdrawal::Complete {
+                let is_on_connection = self.requests.in_flight(id).is_some_and(|a| a.is_on(&connection));
+                if is_on_connection && connection.withdraw(id) == Withdrawal::Complete {
                     commands.extend(self.end_attempt(id, AttemptOutcome::NeverRan));
                 }
             }
@@ -104,10 +107,10 @@
         commands
     }
 
-    /// A connection to an engine for a request: an existing one, or a new one.
+    /// Returns a connection to an engine for a request: an existing one or a new one.
     ///
     /// # Errors
-    /// The outcome of the attempt, if there can be no connection for it.
+    /// The outcome of the attempt, if no connection is available for it.
     pub(super) fn connection_for(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -129,7 +132,7 @@
         Ok(connection)
     }
 
-    /// A connection has opened.
+    /// Records that a connection has opened.
     pub(in crate::core) fn on_connection_up(&mut self, connection: &EngineConnection) {
         if let Some(startup) = &mut self.startup {
             startup.record_connection();
@@ -137,7 +140,8 @@
         self.fleet.record_connection(now(), self.engines.get(connection.engine), true);
     }
 
-    /// A connection has ended. `reason` is empty if that is no fault; `is_local`: this process closed it.
+    /// Handles the end of a connection. `reason` is empty if the end is not a fault; `is_local`: this process
+    /// closed the connection.
     pub(in crate::core) fn on_connection_down(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -158,9 +162,10 @@
 
     /// Closes a connection and ends every attempt on it, each once.
     ///
-    /// An attempt that was not sent completely never ran. A lost connection counts as one fault of its engine, however
-    /// many attempts were in flight. If this process closes the connection (`is_local`), the sent attempts stay in
-    /// flight until the close has reached the engine; otherwise the next attempts could run concurrently with them.
+    /// An attempt that was not sent completely never ran. A lost connection counts as one fault of its
+    /// engine, however many attempts were in flight. If this process closes the connection (`is_local`), the
+    /// sent attempts stay in flight until the close has reached the engine; otherwise the next attempts could
+    /// run concurrently with them.
     pub(super) fn close_connection(
         &mut self,
         connection: &Rc<EngineConnection>,
@@ -176,7 +181,7 @@
             let in_flight = self.requests.attempt_mut(id, attempt).filter(|a| a.is_on(connection));
             let Some(in_flight) = in_flight else { continue };
             let outcome = match interrupted.is_unsent {
-                // A dial that failed for a local reason is no fault of the engine.
+                // A dial that failed for a local reason is not a fault of the engine.
                 true if was_dialing && !is_local => AttemptOutcome::Unreachable,
                 true => AttemptOutcome::NeverRan,
                 false if fault_is_counted => AttemptOutcome::ConnectionClosed,
@@ -188,7 +193,7 @@
             if is_local && !interrupted.is_unsent {
                 let now = now();
                 in_flight.mark_closed(outcome, now);
-                self.requests.schedule_cancellation(now + CANCELLATION_GRACE, id, attempt);
+                self.requests.schedule_cancellation_check(now + CANCELLATION_GRACE, id, attempt);
             } else {
                 commands.extend(self.end_attempt(id, outcome));
             }
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -1,7 +1,8 @@
-//! The fleet: passes its changes to the policy, and the engines' state to gossip and to failover between zones.
+//! The fleet: passes its changes to the policy, and the engines' state to gossip and to failover between
+//! zones.
 //!
-//! Input: changes of the membership, and timers. Output: events for the policy and the gossip payload. State: nothing
-//! here; the fleet's state is in `fleet_state`.
+//! Input: changes of the membership, and timers. Output: events for the policy and the gossip payload. State:
+//! nothing here; the fleet's state is in `fleet_state`.
 
 use super::Coordinator;
 use crate::core::clock::now;
@@ -12,7 +13,7 @@
 use sprucelink_membership::GossipPayload;
 
 impl Coordinator {
-    /// The view of the fleet has changed.
+    /// Sets the number of managers and the retries that the other managers leave to this one.
     pub(in crate::core) fn set_fleet(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -23,7 +24,7 @@
         self.report_fleet(runtime);
     }
 
-    /// The number of this manager's processes has changed.
+    /// Sets the number of this manager's processes.
     pub(in crate::core) fn set_process_count(&mut self, runtime: &dyn ConnectionRuntime, processes: u32) {
         self.fleet.set_process_count(processes);
         self.report_fleet(runtime);
@@ -38,7 +39,7 @@
         runtime.wake();
     }
 
-    /// Starts to count the facts that are gossiped to other managers.
+    /// Starts counting the facts that are gossiped to other managers.
     pub(in crate::core) fn enable_gossip(&mut self, windows: GossipWindows) {
         self.fleet.enable_gossip(windows);
     }
@@ -68,7 +69,7 @@
         self.execute(runtime, commands);
     }
 
-    /// The weights of the zones, if an evaluation is due and changes them.
+    /// The weights of the zones, if an evaluation is due and has changed them.
     fn due_zone_weights(&mut self) -> Option<Vec<f64>> {
         let check_at = self.fleet.next_zone_check()?;
         if now() < check_at {
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -1,7 +1,8 @@
 //! Final responses: each request gets one.
 //!
-//! Input: the response to a request, or the policy's command to reject or fail it. Output: the response, to the front,
-//! and commands that follow. State: nothing here; the responder is part of the request's entry in the request table.
+//! Input: the response to a request, or the policy's command to reject or fail it. Output: the response, to
+//! the front, and commands that follow. State: nothing here; the responder is part of the request's entry in
+//! the request table.
 
 use super::Coordinator;
 use crate::core::attempt::{AttemptOutcome, InFlightAttempt};
@@ -21,8 +22,8 @@
 const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl Coordinator {
-    /// Rejects a request: a retry by its client does no harm. Either no attempt of it may have run, or its class is
-    /// idempotent and one may have run.
+    /// Rejects a request: a retry by its client does no harm. Either no attempt of the request can have run,
+    /// or its class is idempotent and an attempt may have run.
     pub(super) fn reject(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let is_late = request.deadline - now() < DEADLINE_MARGIN;
@@ -30,14 +31,15 @@
         self.complete(id, Response::Rejected { reason, retry_after: retry_after.max(MIN_RETRY_AFTER) })
     }
 
-    /// Fails a request: an attempt of it may have run.
+    /// Fails a request: an attempt of the request may have run.
     pub(super) fn fail(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
         let reason = self.requests.get(id).map_or(UnservedReason::Overloaded, failure_reason);
         self.complete(id, Response::Failed { reason, retry_after: retry_after.max(MIN_RETRY_AFTER) })
     }
 
-    /// Gives a request its final response; returns the commands that follow. No other place does so: the responder is
-    /// taken out of the request's entry, so that there is none for a second response. An unsent attempt is withdrawn.
+    /// Gives a request its final response; returns the commands that follow. No other function gives one: the
+    /// responder is taken out of the request's entry, so that a second response cannot be sent. An unsent
+    /// attempt is withdrawn.
     pub(in crate::core) fn complete(&mut self, id: u64, response: Response) -> Vec<PolicyCommand> {
         let commands = self.withdraw_attempt(id);
         let Some(request) = self.requests.get_mut(id) else { return commands };
@@ -62,8 +64,8 @@
         commands
     }
 
-    /// Gives every pending request its final response, because this process shuts down ([`shutdown_response`]). Returns
-    /// their number.
+    /// Gives every pending request its final response, because this process shuts down
+    /// ([`shutdown_response`]). Returns their number.
     pub(in crate::core) fn complete_all(&mut self, runtime: &dyn ConnectionRuntime) -> usize {
         let ids = self.requests.awaited_ids();
         for id in &ids {
@@ -76,7 +78,7 @@
         ids.len()
     }
 
-    /// Counts the requests that clients still wait for when the process ends, as violations.
+    /// Counts as violations the requests that clients still wait for when the process ends.
     pub(in crate::core) fn check_nothing_pending(&self) {
         for id in self.requests.awaited_ids() {
             self.monitor.record_violation(now(), Invariant::PendingAtExit, &format_request_id(id));
@@ -84,12 +86,12 @@
     }
 }
 
-/// The response to a request that is pending when this process shuts down. Its attempt is withdrawn if that is
-/// possible: a request whose only attempt was withdrawn cannot have run.
+/// The response to a request that is pending when this process shuts down. Its attempt is withdrawn if that
+/// is possible: a request whose only attempt was withdrawn cannot have run.
 ///
-/// This goes by the number of attempts, not by `may_have_run_since` or the class. So these fail, too, although a retry by
-/// the client would do no harm: a request whose earlier attempts never ran (an engine rejected it for its load), and one
-/// of an idempotent class.
+/// The response depends on the number of attempts, not on `may_have_run_since` or the class. Two kinds of
+/// requests therefore fail although a retry by the client would do no harm: a request whose earlier attempts
+/// never ran (an engine rejected them because of its load), and a request of an idempotent class.
 fn shutdown_response(request: &PendingRequest, id: u64) -> Response {
     let is_withdrawn = |attempt: &InFlightAttempt| attempt.connection.withdraw(id) == Withdrawal::Complete;
     let was_withdrawn = request.in_flight.as_ref().is_some_and(is_withdrawn);
@@ -102,7 +104,7 @@
     }
 }
 
-/// Why a request fails, by its last attempt.
+/// The reason for the failure of a request, from the outcome of its last attempt.
 fn failure_reason(request: &PendingRequest) -> UnservedReason {
     if request.deadline - now() < DEADLINE_MARGIN {
         return UnservedReason::DeadlineExceeded;
--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -1,5 +1,5 @@
-//! Tests of attempts that are still unsent when the state changes, because they wait for a connection or behind a peer
-//! that reads nothing.
+//! Tests of attempts that are still unsent when the state changes, because they wait for a connection or
+//! behind a peer that reads nothing.
 
 use super::*;
 use crate::core::engine_connection::EngineConnection;
@@ -35,22 +35,22 @@
 
 /// The ids of the requests that a peer received completely, up to the end of the connection.
 async fn received_ids(peer: &mut TcpStream) -> Vec<u64> {
-    let mut got = Vec::new();
-    // An error ends the connection, too.
-    while peer.read_buf(&mut got).await.is_ok_and(|n| n > 0) {}
+    let mut received = Vec::new();
+    // A read error also ends the connection.
+    while peer.read_buf(&mut received).await.is_ok_and(|n| n > 0) {}
     let mut ids = Vec::new();
-    while let Ok(Some(resp::Array { parts, length: len })) = resp::read_array(&got, usize::MAX) {
+    while let Ok(Some(resp::Array { parts, length: len })) = resp::read_array(&received, usize::MAX) {
         if parts[0] == b"do" {
             let id = std::str::from_utf8(parts[1]).expect("text");
             ids.push(u64::from_str_radix(id, 16).expect("an id"));
         }
-        got.drain(..len);
+        received.drain(..len);
     }
     ids
 }
 
-/// Submits large requests until more than 20 attempts stay unsent; returns the requests and the connection that carries
-/// their attempts.
+/// Submits large requests until more than 20 attempts stay unsent; returns the requests and the connection
+/// that carries their attempts.
 async fn submit_until_unsent(core: &Rc<Core>) -> (Vec<RequestHandle>, Rc<EngineConnection>) {
     let mut handles = Vec::new();
     let mut connection = None;
@@ -68,14 +68,14 @@
     (handles, connection.expect("a connection"))
 }
 
-/// Nothing may be sent to a draining engine. Attempts behind a peer that reads nothing would be sent once it reads
-/// again, minutes later. They never ran, so they are retried.
+/// Nothing may be sent to a draining engine. Attempts queued behind a peer that reads nothing would be sent
+/// once it reads again, minutes later. They never ran, so they are retried.
 #[test]
 fn attempts_behind_a_slow_peer_are_withdrawn_when_their_engine_drains() {
     run_local(async {
         let listen = || {
             let socket = TcpSocket::new_v4().expect("a socket");
-            // Connections inherit it, so that the peer's side buffers little.
+            // Connections inherit this size, so that the peer's side buffers little.
             socket.set_recv_buffer_size(4_096).expect("set");
             socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
             socket.listen(16).expect("listening")
@@ -83,34 +83,37 @@
         let (core, listeners) = core_with(vec![listen()], 4_000, 4_000.0);
         let (handles, connection) = submit_until_unsent(&core).await;
         let (mut peer, _) = listeners[0].accept().await.expect("the connection");
-        let mut before = 0;
-        while before != connection.written() {
-            before = connection.written();
+        let mut written = 0;
+        while written != connection.written() {
+            written = connection.written();
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let waiting = connection.unsent_ids();
-        assert!(waiting.len() > 10, "{} wait", waiting.len());
+        let unsent = connection.unsent_ids();
+        assert!(unsent.len() > 10, "{} attempts are unsent", unsent.len());
         let address = listeners[0].local_addr().expect("an address").to_string();
         let drain = vec![member("s-1", address, EndpointPhase::Draining, 0)];
         core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: false, members: drain }, false);
         // Only the attempt that was sent in part stays on the connection.
-        let begun = connection.unsent_ids();
-        assert!(begun.len() <= 1, "{begun:?} of {waiting:?}");
+        let partly_sent = connection.unsent_ids();
+        assert!(partly_sent.len() <= 1, "{partly_sent:?} of {unsent:?}");
         let reader = tokio::task::spawn_local(async move { received_ids(&mut peer).await });
         wait_until(|| connection.unsent_ids().is_empty()).await;
         connection.retire();
-        let withdrawn: Vec<u64> = waiting.into_iter().filter(|id| !begun.contains(id)).collect();
-        assert!(withdrawn.iter().all(|id| connection_of(&core, *id).is_none()), "none of them is in flight");
+        let withdrawn: Vec<u64> = unsent.into_iter().filter(|id| !partly_sent.contains(id)).collect();
+        assert!(
+            withdrawn.iter().all(|id| connection_of(&core, *id).is_none()),
+            "no withdrawn attempt is in flight"
+        );
         drop(handles);
         let commands = core.coordinator.borrow_mut().close_connection(&connection, true);
         core.coordinator.borrow_mut().execute(&core, commands);
-        let got = reader.await.expect("read");
-        assert!(withdrawn.iter().all(|id| !got.contains(id)), "{got:?}");
+        let received = reader.await.expect("read");
+        assert!(withdrawn.iter().all(|id| !received.contains(id)), "{received:?}");
     });
 }
 
-/// An attempt that waits for a connection to an engine that has restarted, or whose address another engine has now,
-/// would reach a process that was not selected for it.
+/// An attempt that waits for a connection to an engine that has restarted, or whose address another engine
+/// has now, would reach a process that was not selected for it.
 #[test]
 fn unsent_attempt_is_withdrawn_when_its_engine_moves() {
     run_local(async {
@@ -124,7 +127,7 @@
             vec![member(&format!("s-{}", first.engine + 1), address, EndpointPhase::Ready, started)];
         core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: false, members: restarted }, false);
         let next = connection_of(&core, 1).expect("in flight again");
-        assert!(!Rc::ptr_eq(&first, &next), "it does not wait on the old connection");
+        assert!(!Rc::ptr_eq(&first, &next), "the attempt still waits on the old connection");
         assert!(first.unsent_ids().is_empty() && first.attempt_count() == 0);
         let coordinator = core.coordinator.borrow();
         assert!(coordinator.requests.pending(1).may_have_run_since.is_none(), "it never ran");
@@ -147,8 +150,8 @@
     });
 }
 
-/// Whatever has changed since its engine was selected, an attempt is checked just before its first byte, and not after
-/// that.
+/// The state may change after the policy has selected an engine, so an attempt is checked just before its
+/// first byte. It is not checked after that.
 #[test]
 fn attempt_is_checked_just_before_its_first_byte() {
     run_local(async {
@@ -156,18 +159,18 @@
         tokio::task::spawn_local(Rc::clone(&core).run());
         let mut handle = core.submit(request(&core, 1)).expect("accepted");
         let connection = connection_of(&core, 1).expect("in flight");
-        // No list event withdraws it: only the send guard prevents it from being sent.
+        // No list event withdraws the attempt: only the send guard prevents it from being sent.
         core.coordinator.borrow_mut().engines.get_or_insert(connection.engine).is_ready = false;
         let (mut peer, _) = listeners[connection.engine].accept().await.expect("the connection");
         wait_until(|| connection_of(&core, 1).is_some_and(|other| other.engine != connection.engine)).await;
         assert!(core.coordinator.borrow().requests.pending(1).may_have_run_since.is_none(), "it never ran");
         connection.close();
         assert_eq!(received_ids(&mut peer).await, Vec::<u64>::new());
-        // It is sent to the other engine, which answers it.
+        // The next attempt is sent to the other engine, which answers it.
         let (mut peer, _) = listeners[1 - connection.engine].accept().await.expect("the other connection");
-        let mut got = Vec::new();
-        while peer.read_buf(&mut got).await.is_ok_and(|n| n > 0) {
-            if let Ok(Some(resp::Array { parts, .. })) = resp::read_array(&got, usize::MAX) {
+        let mut received = Vec::new();
+        while peer.read_buf(&mut received).await.is_ok_and(|n| n > 0) {
+            if let Ok(Some(resp::Array { parts, .. })) = resp::read_array(&received, usize::MAX) {
                 assert_eq!((parts[0], parts[1]), (&b"do"[..], &b"0000000000000001"[..]));
                 break;
             }
@@ -177,7 +180,8 @@
     });
 }
 
-/// An attempt that was withdrawn before its first byte did not run, and the policy retries it as such.
+/// An attempt that was withdrawn before its first byte did not run, so the policy may retry its request in
+/// any class.
 #[test]
 fn attempt_that_is_cancelled_before_it_is_sent_never_ran() {
     run_local(async {
@@ -199,48 +203,49 @@
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let connection = connection_of(&core, 1).expect("in flight");
         let (mut peer, _) = listeners[connection.engine].accept().await.expect("the connection");
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         peer.write_all(b"*4\r\n$16\r\n0000000000000001\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$5000\r\n")
             .await
             .expect("written");
-        let mut left = 5_000;
+        let mut bytes_left = 5_000;
         while core.coordinator.borrow().requests.get(1).is_some()
             && connection_of(&core, 1).is_some_and(|other| Rc::ptr_eq(&other, &connection))
         {
             if peer.write_all(b"x").await.is_err() {
                 break;
             }
-            left -= 1;
-            assert!(left > 0, "{:?}", begun.elapsed());
+            bytes_left -= 1;
+            assert!(bytes_left > 0, "{:?}", started_at.elapsed());
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        // Much earlier than the rest of its bytes would have arrived.
-        assert!(left > 1_000, "{:?}", begun.elapsed());
+        // The connection ended much earlier than the rest of the answer would have arrived.
+        assert!(bytes_left > 1_000, "{:?}", started_at.elapsed());
     });
 }
 
-/// An engine may close an idle connection just before it is used: the close has arrived, this process has not polled
-/// the socket yet, and an attempt written now would count as one that may have run.
+/// An engine may close an idle connection just before it is used: the close has arrived, this process has not
+/// polled the socket yet, and an attempt written now would count as one that may have run.
 #[test]
-fn attempt_that_meets_the_close_of_an_idle_connection_never_ran_and_is_sent_elsewhere() {
+fn attempt_on_an_idle_connection_closed_by_its_engine_never_ran_and_is_retried() {
     run_local(async {
         let (core, listeners) = core().await;
         tokio::task::spawn_local(Rc::clone(&core).run());
         let mut first = core.submit(request(&core, 1)).expect("accepted");
         let connection = connection_of(&core, 1).expect("in flight");
         let (mut peer, _) = listeners[connection.engine].accept().await.expect("the connection");
-        // Read all of it: a close with unread bytes would be a reset, which the next write reports.
-        let mut got = Vec::new();
-        while resp::read_array(&got, usize::MAX).expect("a command").is_none() {
-            assert!(peer.read_buf(&mut got).await.expect("read") > 0);
+        // Read the whole command: a close with unread bytes would be a reset, which the next write reports.
+        let mut received = Vec::new();
+        while resp::read_array(&received, usize::MAX).expect("a command").is_none() {
+            assert!(peer.read_buf(&mut received).await.expect("read") > 0);
         }
         peer.write_all(SERVED).await.expect("written");
         assert!(matches!(first.wait().await, Response::Served(_)));
-        // Submits requests until one is on that connection, for the policy selects engines at random.
+        // Submits requests until one is on that connection, because the policy selects engines at random.
         let mut handles = Vec::new();
         let mut closing = Some(peer);
         for id in 2..200 {
-            // On loopback the close has arrived when this returns, and no task of this process has run since.
+            // On loopback the close has arrived when `drop` returns, and no task of this process has run
+            // since.
             drop(closing.take());
             handles.push(core.submit(request(&core, id)).expect("accepted"));
             if connection_of(&core, id).is_some_and(|other| Rc::ptr_eq(&other, &connection)) {
@@ -249,7 +254,7 @@
                 let coordinator = core.coordinator.borrow();
                 assert!(
                     coordinator.requests.pending(id).may_have_run_since.is_none(),
-                    "it counts as one that may have run"
+                    "the attempt counts as one that may have run"
                 );
                 assert!(
                     coordinator.requests.pending(id).attempts > 1
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The next attempt is sent right after the cancellation, on another connection, and may overtake it: two attempts of
-/// one request would run concurrently.
+/// The next attempt is sent right after the cancellation, on another connection, and may overtake it. Two
+/// attempts of one request would then run concurrently.
 #[test]
 fn cancelled_attempt_stays_in_flight_until_its_cancellation_has_arrived() {
     run_local(async {
@@ -53,21 +53,22 @@
     });
 }
 
-/// Two attempts must not run concurrently if this process is slow: the cancellation waits for its connection, so the
-/// next attempt waits for the cancellation.
+/// Two attempts must not run concurrently if this process is slow: the cancellation waits for its connection,
+/// so the next attempt waits for the cancellation.
 #[test]
 fn cancellation_that_was_not_sent_has_not_arrived() {
     run_local(async {
         let (core, _engines) = core().await;
         let _handle = core.submit(request(&core, 1)).expect("accepted");
-        let undialled = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
+        let undialed_connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         let (attempt, stream_end) = {
             let mut coordinator = core.coordinator.borrow_mut();
             let in_flight = coordinator.requests.in_flight_mut(1).expect("in flight");
-            undialled.command(core.pool(), &[b"undo"]);
-            in_flight.cancellation = Some(Cancellation { stream_end: undialled.queued(), sent_at: None });
-            in_flight.connection = Rc::clone(&undialled);
-            (in_flight.number, undialled.queued())
+            undialed_connection.command(core.pool(), &[b"undo"]);
+            in_flight.cancellation =
+                Some(Cancellation { stream_end: undialed_connection.queued(), sent_at: None });
+            in_flight.connection = Rc::clone(&undialed_connection);
+            (in_flight.number, undialed_connection.queued())
         };
         let has_ended = || {
             core.coordinator.borrow_mut().check_cancellation(&core, 1, attempt);
@@ -79,18 +80,18 @@
                 .as_ref()
                 .is_none_or(|in_flight| in_flight.number != attempt)
         };
-        assert!(!has_ended() && !undialled.has_passed(stream_end));
+        assert!(!has_ended() && !undialed_connection.has_passed(stream_end));
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert!(!has_ended(), "it is still in the queue");
-        undialled.close();
-        assert!(!has_ended(), "it was sent only now");
+        assert!(!has_ended(), "the cancellation is still in the queue");
+        undialed_connection.close();
+        assert!(!has_ended(), "the cancellation was sent only now");
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert!(has_ended());
     });
 }
 
-/// Engines may appear under new ids without end, and every decision visits all indices: memory and time per request
-/// must stay bounded.
+/// Engines may appear under new ids without end, and every decision visits all indices: memory and time per
+/// request must stay bounded.
 #[test]
 fn indices_of_gone_engines_are_reused() {
     run_local(async {
@@ -104,7 +105,7 @@
             tokio::time::sleep(Duration::from_micros(10)).await;
         }
         assert!(core.coordinator.borrow().engines.len() < 10, "{}", core.coordinator.borrow().engines.len());
-        // A complete list that names one engine only: the others are gone, and that one is used.
+        // A complete list names only one engine: the others are gone, and the named engine is used.
         let members = vec![member(499, EndpointPhase::Ready)];
         core.on_endpoint_list(&ListEvent { n: 500, revision: 0, complete: true, members }, false);
         let _handle = core.submit(request(&core, 1)).expect("accepted");
@@ -117,7 +118,7 @@
     });
 }
 
-/// A second response is dropped, whichever part gives it.
+/// A second response is dropped, whichever part of the core gives it.
 #[test]
 fn request_has_one_final_response() {
     run_local(async {
@@ -144,11 +145,15 @@
         assert!(matches!(handle.wait().await, Response::Rejected { reason: UnservedReason::Overloaded, .. }));
         let mut other = request(&core, 1);
         other.statement.extend_from_slice(b"SELECT 2");
-        assert!(core.submit(other).is_none(), "nor one that was recently used for another statement");
+        assert!(
+            core.submit(other).is_none(),
+            "an id that was recently used for another statement is not accepted"
+        );
     });
 }
 
-/// Nothing may be sent to a draining engine. An attempt that waits for its connection never ran, so it is retried.
+/// Nothing may be sent to a draining engine. An attempt that waits for its connection never ran, so it is
+/// retried.
 #[test]
 fn unsent_attempt_is_sent_elsewhere_when_its_engine_drains() {
     run_local(async {
@@ -174,7 +179,7 @@
         );
         assert_eq!(engine(&core), 1 - first);
         assert_eq!(core.coordinator.borrow().requests.pending(1).attempts, 2);
-        // The same event arrives again after a reconnect and is skipped.
+        // An event with the same number arrives again after a reconnect and is skipped.
         let again = ListEvent { n: 2, revision: 0, complete: true, members: Vec::new() };
         core.on_endpoint_list(&again, false);
         assert_eq!(engine(&core), 1 - first);
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,8 +1,8 @@
 //! The request table: the state of every pending request, and when each is due.
 //!
-//! Input: new requests, and changes to them. Output: deadlines and cancellations that are due. State: each pending
-//! request with its attempt in flight, and the ids of recent requests. The `coordinator` module decides what happens to
-//! a request.
+//! Input: new requests, and changes to them. Output: deadlines and cancellations that are due. State: each
+//! pending request with its attempt in flight, and the ids of recent requests. The `coordinator` module
+//! decides what happens to a request.
 
 use super::attempt::{AttemptOutcome, InFlightAttempt};
 use super::buffer_pool::Buffer;
@@ -30,7 +30,8 @@
     pub(super) arrived_at: Timestamp,
     /// The client's estimate of its work, in milliseconds on one core, or 0.
     pub(super) cost_ms: f64,
-    /// When its client stops waiting. For a request submitted after SIGTERM: at the latest the shutdown deadline.
+    /// When its client stops waiting. For a request submitted after SIGTERM: at the latest the shutdown
+    /// deadline.
     pub(super) deadline: Timestamp,
     /// Memory granted to its next attempt, in MB; `None`: the engine chooses.
     pub(super) memory_grant_mb: Option<f64>,
@@ -89,14 +90,15 @@
 pub(super) struct RequestTable {
     requests: BTreeMap<u64, PendingRequest>,
     deadlines: BTreeSet<(Timestamp, u64)>,
-    /// Cancelled attempts (request and attempt number), by when to check whether the cancellation has taken effect.
+    /// Cancelled attempts (request and attempt number), by when to check whether the cancellation has taken
+    /// effect.
     cancellations: BTreeSet<(Timestamp, u64, u32)>,
     recent: RecentRequests,
 }
 
 impl RequestTable {
-    /// Whether a new request may use this id: it is not pending and was not recently used for another statement. If so,
-    /// the id is recorded as used.
+    /// Whether a new request may use this id: it is not pending and was not recently used for another
+    /// statement. If so, the id is recorded as used.
     pub(super) fn reserve_id(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
         !self.requests.contains_key(&id) && self.recent.insert(id, statement, now)
     }
@@ -138,7 +140,8 @@
         self.requests.get_mut(&id)?.in_flight.as_mut()
     }
 
-    /// The attempt in flight of a request, if it has this number. A late event on an ended attempt finds none.
+    /// The attempt in flight of a request, if it has this number. A late event on an ended attempt finds
+    /// none.
     pub(super) fn attempt_mut(&mut self, id: u64, attempt: u32) -> Option<&mut InFlightAttempt> {
         self.in_flight_mut(id).filter(|in_flight| in_flight.number == attempt)
     }
@@ -167,18 +170,18 @@
     }
 
     /// Schedules a check of whether the cancellation of an attempt has taken effect.
-    pub(super) fn schedule_cancellation(&mut self, at: Timestamp, id: u64, attempt: u32) {
+    pub(super) fn schedule_cancellation_check(&mut self, at: Timestamp, id: u64, attempt: u32) {
         self.cancellations.insert((at, id, attempt));
     }
 
     /// Whether the check of a cancellation is due.
-    pub(super) fn has_due_cancellation(&self, now: Timestamp) -> bool {
+    pub(super) fn has_due_cancellation_check(&self, now: Timestamp) -> bool {
         self.cancellations.first().is_some_and(|(at, ..)| *at <= now)
     }
 
     /// Removes the first cancellation whose check is due; returns its request and attempt number.
-    pub(super) fn pop_due_cancellation(&mut self, now: Timestamp) -> Option<(u64, u32)> {
-        if !self.has_due_cancellation(now) {
+    pub(super) fn pop_due_cancellation_check(&mut self, now: Timestamp) -> Option<(u64, u32)> {
+        if !self.has_due_cancellation_check(now) {
             return None;
         }
         self.cancellations.pop_first().map(|(_, id, attempt)| (id, attempt))
