--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -1,8 +1,9 @@
 //! The driver of the policy.
 //!
-//! Input: the core's events. Output: the policy's actions as commands. State: the policy, its timers, and the index of
-//! each engine. Engines are strings in the endpoint list and indices in the policy and the core; an index is reused
-//! once its engine is gone. The rest of the core does not use the policy's events and actions.
+//! Input: the core's events. Output: the policy's actions as commands. State: the policy, its timers, and the
+//! index of each engine. Engines are identified by strings in the endpoint list and by indices in the policy
+//! and the core; an index is reused once its engine is gone. The rest of the core does not use the policy's
+//! events and actions.
 
 use super::clock::{now, unix};
 use super::engine_indices::EngineIndices;
@@ -23,12 +24,13 @@
 
 pub use messages::{PolicyCommand, PolicyEvent};
 
-/// The start of an engine, as listed and on this process's clock. It is converted once, so that a step of the system
-/// clock does not move it.
+/// The start time of an engine, as listed and on this process's clock. It is converted once, so that a step
+/// of the system clock does not move it.
 struct EngineStart {
-    /// In Unix milliseconds.
+    /// Start time in the endpoint list, in Unix milliseconds.
     listed_ms: i64,
-    at: Timestamp,
+    /// The same time on this process's clock.
+    started_at: Timestamp,
 }
 
 /// The policy with its timers, its recorder and the indices of engines.
@@ -39,13 +41,13 @@
     zones: Vec<String>,
     /// Names of the machine kinds, in the order of their indices.
     kinds: Vec<String>,
-    /// Timers by due time, with the token that the policy gave each.
+    /// Timers by due time, with the token that the policy assigned to each.
     timers: BinaryHeap<Reverse<(Timestamp, u64)>>,
     /// Scratch space for the policy's actions.
     actions: Vec<Action>,
     recorder: Option<Recorder>,
-    /// The start of each engine that is listed with one, by index.
-    starts: BTreeMap<u32, EngineStart>,
+    /// Start time of each engine that is listed with one, by engine index.
+    engine_starts: BTreeMap<u32, EngineStart>,
     wall_clock: WallClock,
 }
 
@@ -55,7 +57,8 @@
 }
 
 impl PolicyDriver {
-    /// A policy that starts now. `zones`, `kinds`: names in the order of their indices.
+    /// Creates a driver with a policy that starts at `now`. `zones`, `kinds`: names in the order of their
+    /// indices.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -71,12 +74,13 @@
             timers: BinaryHeap::new(),
             actions: Vec::new(),
             recorder: None,
-            starts: BTreeMap::new(),
+            engine_starts: BTreeMap::new(),
             wall_clock: WallClock::default(),
         }
     }
 
-    /// Records all events and actions from now on; `None` ends that. Returns the previous recorder.
+    /// Sets the recorder of all further events and actions; `None` stops the recording. Returns the previous
+    /// recorder.
     pub fn set_recorder(&mut self, recorder: Option<Recorder>) -> Option<Recorder> {
         self.engine_indices.set_recorded(recorder.is_some());
         std::mem::replace(&mut self.recorder, recorder)
@@ -87,7 +91,7 @@
         self.recorder.as_ref().map(Recorder::counters)
     }
 
-    /// The index of an engine, assigned if it has none yet.
+    /// The index of an engine; assigns one if the engine has none yet.
     pub fn engine_index(&mut self, id: &str) -> usize {
         self.engine_indices.get_or_assign(id) as usize
     }
@@ -95,28 +99,30 @@
     /// Frees the index of an engine that is gone and that no request refers to.
     pub fn forget_engine(&mut self, engine: usize) {
         let index = engine as u32;
-        self.starts.remove(&index);
+        self.engine_starts.remove(&index);
         self.engine_indices.release(index);
     }
 
-    /// When an engine started, from the list's Unix milliseconds; `None` if these are 0. The instant stays the same for
-    /// as long as the list's value does, so that a step of the wall clock does not begin an engine's slow start again.
+    /// Time at which an engine started, from the list's Unix milliseconds; `None` if these are not positive.
+    /// The result stays the same for as long as the list's value does, so that a step of the wall clock does
+    /// not begin an engine's slow start again.
     fn started_at(&mut self, id: &str, listed_ms: i64) -> Option<Timestamp> {
         let index = self.engine_indices.get_or_assign(id);
         if listed_ms <= 0 {
-            self.starts.remove(&index);
+            self.engine_starts.remove(&index);
             return None;
         }
-        let known = self.starts.get(&index).filter(|start| start.listed_ms == listed_ms);
-        let at = match known {
-            Some(start) => start.at,
+        let known = self.engine_starts.get(&index).filter(|start| start.listed_ms == listed_ms);
+        let started_at = match known {
+            Some(start) => start.started_at,
             None => self.wall_clock.process_time_of(Timestamp::from_millis(listed_ms), unix(), now()),
         };
-        self.starts.insert(index, EngineStart { listed_ms, at });
-        Some(at)
+        self.engine_starts.insert(index, EngineStart { listed_ms, started_at });
+        Some(started_at)
     }
 
-    /// Records the offset of the wall clock; to be called often, so that each of its steps is seen.
+    /// Records the offset of the wall clock. Must be called often, so that every step of the wall clock is
+    /// detected.
     pub fn observe_wall_clock(&mut self) {
         self.wall_clock.observe(unix(), now());
     }
@@ -136,9 +142,10 @@
             time_left: request.time_left,
             cost: request.cost_ms.map(|ms| ms / 1e3).filter(|cost| *cost > 0.0),
             memory_mb: request.memory_mb.filter(|mb| *mb > 0.0),
-            // No ordering key is passed, although a request may carry an idempotency key. The policy's order by key
-            // (`ordered_by_key`, `KeyOrder`, `key_settle_time`) is therefore never in force here; only the simulator
-            // passes keys. A request that waits in the queue does not wait for another one of the same key.
+            // No ordering key is passed, although a request may carry an idempotency key. The policy's order
+            // by key (`ordered_by_key`, `KeyOrder`, `key_settle_time`) is therefore never applied by this
+            // program; only the simulator passes keys. A request in the queue does not wait for another
+            // request with the same key.
             key: None,
         });
         self.handle(now, event)
@@ -208,7 +215,7 @@
         commands
     }
 
-    /// When the next timer of the policy is due.
+    /// Time at which the next timer of the policy is due.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.timers.peek().map(|Reverse((due, _))| *due)
     }
@@ -238,7 +245,7 @@
     }
 }
 
-/// The command of a policy's action; `None` if there is nothing to do.
+/// The command for an action of the policy; `None` if the core has nothing to do.
 fn command_of(action: Action) -> Option<PolicyCommand> {
     match action {
         Action::ForwardAttempt { id, engine, .. } => {
@@ -257,11 +264,11 @@
         Action::Log(text) => Some(PolicyCommand::Log(text)),
         // `StartTimer` is carried out by `PolicyDriver::handle`. The others have no effect in this program:
         // - `WatchEndpoints`: the endpoint list is watched from the start to the end of the process.
-        // - `Probe`: no probe is sent, so that no reply to one arrives. If `limits.probes` is on and engines report their
-        //   load, the policy still spends its probe credit, and holds a request of several threads for `PROBE_WAIT`
-        //   before it selects an engine.
+        // - `Probe`: no probe is sent, so that no reply to one arrives. If `limits.probes` is on and engines
+        //   report their load, the policy still spends its probe credit, and holds a request of several
+        //   threads for `PROBE_WAIT` before it selects an engine.
         // - `BroadcastToPeers`: managers exchange their state by the membership's gossip instead.
-        // - `Explain`: explanations are written to captures (the recorder has them by now), not to the log.
+        // - `Explain`: explanations are written to captures (the recorder already has them), not to the log.
         Action::StartTimer { .. }
         | Action::WatchEndpoints
         | Action::Probe { .. }
@@ -270,7 +277,8 @@
     }
 }
 
-/// The policy's form of a progress note. The value of a `waiting` note is 1 for memory and 2 for a load.
+/// Converts a progress note to the policy's type. The value of a `waiting` note is 1 for memory and 2 for a
+/// load.
 fn progress_note(topic: UpdateTopic, value: f64) -> ProgressNote {
     match topic {
         UpdateTopic::Progress => ProgressNote::Progress(value),
@@ -280,12 +288,12 @@
     }
 }
 
-/// The policy's form of a query's cost, with work in thread-seconds.
+/// Converts the cost of a query to the policy's type, with work in thread-seconds.
 fn policy_query_cost(cost: QueryCost) -> sprucelink_policy::QueryCost {
     sprucelink_policy::QueryCost { work: cost.work_ms / 1e3, memory_mb: cost.memory_mb }
 }
 
-/// The policy's form of a load report.
+/// Converts a load report to the policy's type.
 fn policy_report(stats: &LoadStats) -> LoadReport {
     LoadReport {
         queries_in_flight: stats.in_flight,
--- a/src/core/policy_driver/messages.rs
+++ b/src/core/policy_driver/messages.rs
@@ -1,4 +1,5 @@
-//! The messages between the core and the driver of the policy: events enter the policy, commands leave it. Plain data.
+//! The messages between the core and the driver of the policy: events enter the policy, commands leave it.
+//! Plain data.
 
 use crate::core::attempt::AttemptOutcome;
 use crate::proto::engine_answer::{LoadStats, QueryCost, UpdateTopic};
@@ -12,47 +13,47 @@
     EndpointList {
         /// The update, with cordoned engines as draining.
         list: &'a ListEvent,
-        /// The list was stored before this process started and may be out of date.
+        /// Whether the list was stored before this process started and may be out of date.
         is_cached: bool,
     },
     /// A progress note on an attempt in flight.
     Progress {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The attempt's number.
+        /// Number of the attempt among its request's attempts, from 0.
         attempt: u32,
-        /// The topic of the note.
+        /// Topic of the note.
         topic: UpdateTopic,
-        /// Its value.
+        /// Value of the note; its meaning depends on the topic.
         value: f64,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The attempt's number.
+        /// Number of the attempt among its request's attempts, from 0.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
-        /// Time since it was sent.
+        /// Time since the attempt was queued to its connection; zero if it never was.
         latency: TimeDelta,
-        /// The request has its final response, by this or before.
+        /// Whether the request has its final response, from this attempt or from before.
         request_complete: bool,
         /// The cost of the query, if the engine has reported it.
         cost: Option<QueryCost>,
-        /// The engine's load report.
+        /// The engine's last load report on this attempt.
         load_report: LoadStats,
     },
-    /// The client of a request does not wait for it any more.
+    /// The client of a request no longer waits for a response.
     RequestAbandoned {
-        /// The request.
+        /// Id of the request.
         id: u64,
     },
     /// The view of the fleet has changed.
     FleetChanged {
         /// The number of processes that share the fleet's capacity, this one included.
         capacity_shares: u32,
-        /// Retries that the other managers leave to this one, over its own retry budget.
+        /// Retries that the other managers leave to this manager, in addition to its own retry budget.
         spare_retries: f64,
     },
     /// The weights of the zones, by index.
@@ -62,43 +63,44 @@
 /// An action that the policy requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyCommand {
-    /// Set memory and priority level of a request's next attempt, and the level of the one in flight.
+    /// Set memory and priority level of a request's next attempt, and the priority level of the attempt in
+    /// flight.
     SetResources {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// Memory in MB; `None`: the engine chooses.
+        /// Memory in MB; `None` if the engine chooses.
         memory_grant_mb: Option<f64>,
         /// Priority level, 0 (lowest) to 3.
         level: u8,
     },
     /// Make an attempt of a request.
     Send {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The index of the engine.
+        /// Index of the engine.
         engine: usize,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The attempt's number.
+        /// Number of the attempt among its request's attempts, from 0.
         attempt: u32,
     },
     /// Give the final response that a request is rejected.
     Reject {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// When the client should retry.
+        /// Delay after which the client should retry.
         retry_after: TimeDelta,
     },
     /// Give the final response that a request has failed.
     Fail {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// When the client should retry.
+        /// Delay after which the client should retry.
         retry_after: TimeDelta,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -1,19 +1,21 @@
-//! The send guard: the rules that an attempt must still meet just before its first byte is sent.
+//! The send guard: the rules that an attempt must still satisfy just before its first byte is sent.
 //!
-//! Input: the state of an attempt just before its first byte, and the requests and retries that are counted. Output:
-//! whether the attempt may be sent, with the reason if not. State: the retry budget's window and the shutdown deadline.
+//! Input: the state of an attempt just before its first byte, and the requests and retries to count. Output:
+//! whether the attempt may be sent, with the reason if not. State: the retry budget's window and the shutdown
+//! deadline.
 //!
-//! The policy selected the engine some time ago. Since then the attempt may have waited for its connection, for a slow
-//! peer, or for the processor. Five rules are checked here again, on the present state: the request is open, the deadline
-//! has not passed, the engine is ready, the class allows a retry ([`RetryRule::may_run_again`]), and the retry budget has
-//! capacity ([`RetryBudgetSettings::has_capacity`]). The others hold from the selection: number of attempts,
-//! deduplication group, slow start, health. An attempt that fails a check is withdrawn; it was never sent, so its request
-//! loses nothing but time.
+//! The policy selected the engine some time ago. Since then the attempt may have waited for its connection,
+//! for a slow peer, or for the processor. Five rules are therefore checked again on the current state: the
+//! request is open, the deadline has not passed, the engine is ready, the class allows a retry
+//! ([`RetryRule::may_run_again`]), and the retry budget has capacity ([`RetryBudgetSettings::has_capacity`]).
+//! The other rules are checked only when the engine is selected: number of attempts, deduplication group,
+//! slow start, health. An attempt that fails a check is withdrawn; it was never sent, so its request loses
+//! nothing but time.
 
 use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
 
-/// Smallest width of a slot in which events are counted, as a span of time. Longer windows have wider slots.
+/// Smallest width of the slots in which events are counted. Longer windows have wider slots.
 const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_millis(20);
 /// Limit on the number of slots of a window.
 const MAX_SLOTS: u32 = 1_024;
@@ -21,51 +23,53 @@
 /// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendRejection {
-    /// Its request has its final response, or its client has disconnected.
+    /// The request has its final response, or its client has disconnected.
     RequestOver,
-    /// Its client's deadline or the shutdown deadline has passed.
+    /// The client's deadline or the shutdown deadline has passed.
     DeadlinePassed,
-    /// Its engine is draining, gone or cordoned.
+    /// The engine is draining, gone or cordoned.
     EngineNotReady,
-    /// Its class may not be retried, or its deduplication window has ended.
+    /// The request's class may not be retried, or its deduplication window has ended.
     NotRetryable,
     /// The retry budget is exhausted.
     RetryBudgetSpent,
 }
 
-/// The present state of an attempt that is about to be sent.
+/// The current state of an attempt that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutgoingAttempt {
-    /// Its request has no final response, and its client is present.
+    /// Whether the request has no final response and its client is still connected.
     pub(super) request_is_awaited: bool,
-    /// When its client stops waiting.
+    /// Time at which the client stops waiting.
     pub(super) deadline: Timestamp,
-    /// The index of its class.
+    /// Index of the request's class.
     pub(super) class: usize,
-    /// Its request had attempts before.
+    /// Whether the attempt has to be charged to the retry budget: it is a retry and was not charged before.
     pub(super) is_retry: bool,
-    /// When the first attempt that may have run was sent.
+    /// Time at which the first attempt of the request that may have run was queued; `None` if none may have
+    /// run.
     pub(super) may_have_run_since: Option<Timestamp>,
-    /// Its engine is listed as ready and not cordoned.
+    /// Whether the engine is listed as ready and not cordoned.
     pub(super) engine_is_ready: bool,
 }
 
 /// The rules on what is sent, and the counts that they need.
 #[derive(Debug)]
 pub(super) struct SendGuard {
-    /// By class.
+    /// Retry rules by class index.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
     /// Requests, and retries at their first byte, in the retry budget's window. The policy has its own window
-    /// (`RetryBudget`), which counts a retry already at the decision, also if it is withdrawn before its first byte.
+    /// (`RetryBudget`), which counts a retry when it is decided, even if the attempt is withdrawn before its
+    /// first byte.
     requests: SlotWindow<u32>,
     retries: SlotWindow<u32>,
-    /// The instant from which on this process rejects all requests, once it shuts down.
+    /// Time from which this process rejects all requests; `None` until it shuts down.
     shutdown_deadline: Option<Timestamp>,
 }
 
 impl SendGuard {
-    /// A guard with the rules of the policy's settings that has counted nothing.
+    /// Creates a guard with the rules of the policy's settings, with all counts at zero.
     pub(super) fn new(settings: &Settings) -> SendGuard {
         let span = settings.retry_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.window);
         SendGuard {
@@ -77,12 +81,12 @@
         }
     }
 
-    /// Sets the instant from which on this process rejects all requests and sends nothing.
+    /// Sets the time from which this process rejects all requests and sends nothing.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = Some(deadline);
     }
 
-    /// When a request must have its response, if its client waits until `deadline`.
+    /// Time by which a request must have its response, if its client waits until `deadline`.
     pub(super) fn response_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.shutdown_deadline.map_or(deadline, |shutdown| shutdown.min(deadline))
     }
@@ -92,7 +96,7 @@
         self.shutdown_deadline.is_some_and(|shutdown| now >= shutdown)
     }
 
-    /// Counts a request.
+    /// Counts a request, which increases the retry budget.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if self.retry_budget.is_some() {
             self.requests.increment(now);
@@ -106,10 +110,11 @@
         }
     }
 
-    /// Checks whether an attempt may be sent. `spare_retries`: retries that other managers leave to this one.
+    /// Checks whether an attempt may be sent. `spare_retries`: retries that other managers leave to this
+    /// manager.
     ///
     /// # Errors
-    /// The first rule that it would break.
+    /// The first rule that the attempt would break.
     pub(super) fn check(
         &self,
         now: Timestamp,
@@ -139,8 +144,8 @@
         rule.is_none_or(|rule| rule.may_run_again(now, attempt.may_have_run_since))
     }
 
-    /// Whether a further retry stays within the budget. Of the slot in which the window starts, retries count and requests do
-    /// not, so that no exact window has more retries than the budget allows.
+    /// Whether a further retry stays within the budget. In the slot in which the window starts, retries are
+    /// counted and requests are not, so that no exact window has more retries than the budget allows.
     fn has_retry_budget(&self, now: Timestamp, spare_retries: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
         let requests = self.requests.count_within(now);
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -8,12 +8,12 @@
     ClassSettings {
         value: 1.0,
         late_value_fraction: 0.5,
-        latency_objective: ms(1),
+        latency_objective: millis(1),
         objective_per_work: 0.0,
-        deadline: ms(20_000),
+        deadline: millis(20_000),
         effect,
         group: DedupGroup::All,
-        repeat_window: ms(window_ms),
+        repeat_window: millis(window_ms),
         ordered_by_key: false,
         threads: 1.0,
         loads_tables: false,
@@ -22,12 +22,12 @@
     }
 }
 
-fn ms(t: i64) -> TimeDelta {
-    TimeDelta::from_millis(t)
+fn millis(value: i64) -> TimeDelta {
+    TimeDelta::from_millis(value)
 }
 
-fn at(t: i64) -> Timestamp {
-    Timestamp::from_millis(t)
+fn time_ms(value: i64) -> Timestamp {
+    Timestamp::from_millis(value)
 }
 
 fn guard(budget: Option<RetryBudgetSettings>) -> SendGuard {
@@ -35,7 +35,7 @@
     SendGuard::new(&Settings { classes, retry_budget: budget, ..Settings::default() })
 }
 
-const FIRST: OutgoingAttempt = OutgoingAttempt {
+const FIRST_ATTEMPT: OutgoingAttempt = OutgoingAttempt {
     request_is_awaited: true,
     deadline: Timestamp::from_secs(2),
     class: 0,
@@ -47,15 +47,15 @@
 #[test]
 fn nothing_is_sent_for_a_completed_or_late_request_or_to_a_draining_engine() {
     let guard = guard(None);
-    assert_eq!(guard.check(at(1), 0.0, &FIRST), Ok(()));
+    assert_eq!(guard.check(time_ms(1), 0.0, &FIRST_ATTEMPT), Ok(()));
     assert_eq!(
-        guard.check(at(1), 0.0, &OutgoingAttempt { request_is_awaited: false, ..FIRST }),
+        guard.check(time_ms(1), 0.0, &OutgoingAttempt { request_is_awaited: false, ..FIRST_ATTEMPT }),
         Err(SendRejection::RequestOver)
     );
-    assert_eq!(guard.check(at(1_999), 0.0, &FIRST), Ok(()));
-    assert_eq!(guard.check(at(2_000), 0.0, &FIRST), Err(SendRejection::DeadlinePassed));
+    assert_eq!(guard.check(time_ms(1_999), 0.0, &FIRST_ATTEMPT), Ok(()));
+    assert_eq!(guard.check(time_ms(2_000), 0.0, &FIRST_ATTEMPT), Err(SendRejection::DeadlinePassed));
     assert_eq!(
-        guard.check(at(1), 0.0, &OutgoingAttempt { engine_is_ready: false, ..FIRST }),
+        guard.check(time_ms(1), 0.0, &OutgoingAttempt { engine_is_ready: false, ..FIRST_ATTEMPT }),
         Err(SendRejection::EngineNotReady)
     );
 }
@@ -63,17 +63,17 @@
 #[test]
 fn retry_is_sent_within_its_window_and_never_for_an_unsafe_class() {
     let guard = guard(None);
-    let retry = OutgoingAttempt { is_retry: true, may_have_run_since: Some(at(100)), ..FIRST };
-    assert_eq!(guard.check(at(1_000), 0.0, &retry), Ok(()), "a safe class has no window");
+    let retry = OutgoingAttempt { is_retry: true, may_have_run_since: Some(time_ms(100)), ..FIRST_ATTEMPT };
+    assert_eq!(guard.check(time_ms(1_000), 0.0, &retry), Ok(()), "a safe class has no window");
     let keyed = OutgoingAttempt { class: 1, ..retry };
-    assert_eq!(guard.check(at(499), 0.0, &keyed), Ok(()));
-    assert_eq!(guard.check(at(500), 0.0, &keyed), Err(SendRejection::NotRetryable));
+    assert_eq!(guard.check(time_ms(499), 0.0, &keyed), Ok(()));
+    assert_eq!(guard.check(time_ms(500), 0.0, &keyed), Err(SendRejection::NotRetryable));
     let never_ran = OutgoingAttempt { may_have_run_since: None, ..keyed };
-    assert_eq!(guard.check(at(1_500), 0.0, &never_ran), Ok(()));
+    assert_eq!(guard.check(time_ms(1_500), 0.0, &never_ran), Ok(()));
     let unsafe_retry = OutgoingAttempt { class: 2, ..retry };
-    assert_eq!(guard.check(at(101), 0.0, &unsafe_retry), Err(SendRejection::NotRetryable));
+    assert_eq!(guard.check(time_ms(101), 0.0, &unsafe_retry), Err(SendRejection::NotRetryable));
     assert_eq!(
-        guard.check(at(101), 0.0, &OutgoingAttempt { may_have_run_since: None, ..unsafe_retry }),
+        guard.check(time_ms(101), 0.0, &OutgoingAttempt { may_have_run_since: None, ..unsafe_retry }),
         Ok(())
     );
 }
@@ -81,36 +81,40 @@
 #[test]
 fn nothing_is_sent_after_the_shutdown_deadline() {
     let mut guard = guard(None);
-    assert!(!guard.is_closed(at(5_000)));
-    guard.set_shutdown_deadline(at(700));
-    assert_eq!((guard.response_deadline(at(500)), guard.response_deadline(at(900))), (at(500), at(700)));
-    assert_eq!(guard.check(at(699), 0.0, &FIRST), Ok(()));
-    assert_eq!(guard.check(at(700), 0.0, &FIRST), Err(SendRejection::DeadlinePassed));
-    assert!(!guard.is_closed(at(699)) && guard.is_closed(at(700)));
+    assert!(!guard.is_closed(time_ms(5_000)));
+    guard.set_shutdown_deadline(time_ms(700));
+    assert_eq!(
+        (guard.response_deadline(time_ms(500)), guard.response_deadline(time_ms(900))),
+        (time_ms(500), time_ms(700))
+    );
+    assert_eq!(guard.check(time_ms(699), 0.0, &FIRST_ATTEMPT), Ok(()));
+    assert_eq!(guard.check(time_ms(700), 0.0, &FIRST_ATTEMPT), Err(SendRejection::DeadlinePassed));
+    assert!(!guard.is_closed(time_ms(699)) && guard.is_closed(time_ms(700)));
 }
 
-/// Whenever requests arrive and retries are sent, no retry exceeds the budget of the window before it.
+/// For any times of requests and retries, no retry exceeds the budget of the window that ends with it.
 #[test]
-fn no_window_holds_more_retries_than_its_budget() {
-    fn holds(steps: Vec<(u8, bool)>) -> TestResult {
-        let budget = RetryBudgetSettings { window: ms(1_000), free_retries: 3.0, retries_per_request: 0.1 };
+fn no_window_has_more_retries_than_its_budget() {
+    fn stays_within_budget(steps: Vec<(u8, bool)>) -> TestResult {
+        let budget =
+            RetryBudgetSettings { window: millis(1_000), free_retries: 3.0, retries_per_request: 0.1 };
         let mut guard = guard(Some(budget));
-        let mut now = at(50_000);
+        let mut now = time_ms(50_000);
         let mut requests = Vec::new();
         let mut retries = Vec::new();
         for (half_millis, is_request) in steps {
-            now = now + ms(i64::from(half_millis) / 2);
+            now = now + millis(i64::from(half_millis) / 2);
             if is_request {
                 guard.record_request(now);
                 requests.push(now);
             }
-            let retry = OutgoingAttempt { is_retry: true, deadline: now + ms(1), ..FIRST };
+            let retry = OutgoingAttempt { is_retry: true, deadline: now + millis(1), ..FIRST_ATTEMPT };
             if guard.check(now, 0.0, &retry).is_err() {
                 continue;
             }
             guard.record_first_byte(now, true);
             retries.push(now);
-            // The budget holds at each retry, that retry included.
+            // Each retry, itself included, must be within the budget.
             let from = now - budget.window;
             let count = |all: &[Timestamp]| all.iter().filter(|at| **at > from).count() as f64;
             if count(&retries) > budget.free_retries + budget.retries_per_request * count(&requests) + 1e-9 {
@@ -120,24 +124,31 @@
         TestResult::passed()
     }
     let rng = Gen::from_size_and_seed(400, 11);
-    QuickCheck::new().rng(rng).tests(300).quickcheck(holds as fn(Vec<(u8, bool)>) -> TestResult);
+    QuickCheck::new()
+        .rng(rng)
+        .tests(300)
+        .quickcheck(stays_within_budget as fn(Vec<(u8, bool)>) -> TestResult);
 }
 
 #[test]
-fn retry_budget_is_used_up_and_its_counts_stay_bounded() {
-    let budget = RetryBudgetSettings { window: ms(5_000), free_retries: 3.0, retries_per_request: 0.1 };
+fn retries_use_the_whole_budget_and_its_counts_stay_bounded() {
+    let budget = RetryBudgetSettings { window: millis(5_000), free_retries: 3.0, retries_per_request: 0.1 };
     let mut guard = guard(Some(budget));
-    let retry = OutgoingAttempt { is_retry: true, deadline: Timestamp::MAX, ..FIRST };
+    let retry = OutgoingAttempt { is_retry: true, deadline: Timestamp::MAX, ..FIRST_ATTEMPT };
     let mut sent = 0;
-    for t in 0..60_000 {
-        guard.record_request(at(t));
-        if guard.check(at(t), 0.0, &retry).is_ok() {
-            guard.record_first_byte(at(t), true);
+    for now_ms in 0..60_000 {
+        guard.record_request(time_ms(now_ms));
+        if guard.check(time_ms(now_ms), 0.0, &retry).is_ok() {
+            guard.record_first_byte(time_ms(now_ms), true);
             sent += 1;
         }
     }
     // A tenth of the 60,000 requests, and the free retries of each window.
     assert!((5_800..=6_100).contains(&sent), "{sent}");
     assert!(guard.requests.len() <= MAX_SLOTS as usize && guard.retries.len() <= MAX_SLOTS as usize);
-    assert_eq!(guard.check(at(60_000), 1e9, &retry), Ok(()), "the spare retries of other managers allow it");
+    assert_eq!(
+        guard.check(time_ms(60_000), 1e9, &retry),
+        Ok(()),
+        "spare retries of other managers extend the budget"
+    );
 }
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -1,8 +1,9 @@
 //! Start-up control.
 //!
-//! Input: requests and their responses, endpoint lists, connections that open. Output: the times of dials, whether a
-//! request is admitted while this manager warms up, the part of an endpoint list that may be applied, and when this manager
-//! is ready. State: the state machines of `sprucelink_startup`, which decide all of it.
+//! Input: requests and their responses, endpoint lists, connections that open. Output: the times of dials,
+//! whether a request is admitted while this manager warms up, the part of an endpoint list that may be
+//! applied, and when this manager is ready. State: the state machines of `sprucelink_startup`, which make
+//! these decisions.
 
 use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_policy::{TimeDelta, Timestamp};
@@ -22,8 +23,8 @@
 }
 
 impl StartupControl {
-    /// A start-up that begins now. `name`: this manager's configured name. `listed_engines`: the number of engines
-    /// known so far.
+    /// Creates the control of a start-up that begins at `now`. `name`: this manager's configured name.
+    /// `listed_engines`: the number of engines known so far.
     pub(super) fn new(
         settings: &StartupConfig,
         name: &str,
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Admits a request, or rejects it while this manager warms up. `pending`: the number of pending requests.
+    /// Admits a request, or rejects it while this manager warms up. `pending`: the number of pending
+    /// requests.
     ///
     /// # Errors
     /// The Retry-After of a rejected request.
@@ -59,7 +61,7 @@
         self.admission.record_backpressure();
     }
 
-    /// Reserves a dial of an engine; returns when it may be made.
+    /// Reserves a dial of an engine; returns the time at which the dial may be made.
     pub(super) fn reserve_dial(&mut self, now: Timestamp, engine_id: &str) -> Timestamp {
         self.dials.reserve_dial(now, engine_id)
     }
@@ -74,12 +76,13 @@
         self.readiness.record_connection();
     }
 
-    /// Records that an endpoint list was applied, and the number of engines listed since.
+    /// Records that an endpoint list was applied, and the number of engines that are listed after it.
     pub(super) fn record_endpoint_list(&mut self, listed_engines: usize) {
         self.readiness.record_endpoint_list(listed_engines);
     }
 
-    /// Logs once that this manager has become ready; returns when to check again.
+    /// Logs once that this manager has become ready; returns the time of the next check, or `None` if none is
+    /// needed.
     pub(super) fn check_readiness(&mut self, now: Timestamp) -> Option<Timestamp> {
         if let Some(ready) = self.readiness.check(now) {
             info!(
@@ -95,8 +98,8 @@
         self.readiness.next_check_at()
     }
 
-    /// The part that may be applied of a list that is older than the current one or contradicts itself; `None`: all of
-    /// it.
+    /// Returns the part of a list that may be applied, if the list is older than the current one or
+    /// contradicts itself; `None` if the whole list may be applied.
     pub(super) fn filter_list(&mut self, list: &ListEvent, now: Timestamp) -> Option<ListEvent> {
         let entries: Vec<(&str, EndpointState)> =
             list.members.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -1,8 +1,8 @@
 //! Failover between zones.
 //!
-//! Input: the policy's view of each engine, and the observations of other managers. Output: the weights of the zones,
-//! if they have changed. State: the state machines of `sprucelink_zone_failover`, which decide; this module only sums
-//! the observations by zone.
+//! Input: the policy's view of each engine, and the observations of other managers. Output: the weights of
+//! the zones, if they have changed. State: the state machines of `sprucelink_zone_failover`, which decide;
+//! this module only sums the observations by zone.
 
 use super::clock::now;
 use super::engine_table::EngineTable;
@@ -22,17 +22,17 @@
 /// Smallest relative change of a weight of which the policy is notified.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
-/// Another manager, as the membership reports it.
+/// Another manager, which observes engines too, as the membership reports it.
 pub struct Observer {
-    /// The name of its zone.
+    /// Name of the manager's zone.
     pub zone: String,
-    /// It is alive.
+    /// Whether the membership considers the manager alive.
     pub is_alive: bool,
-    /// Its last gossip payload, if there is one.
+    /// The manager's last gossip payload; `None` if none was received.
     pub payload: Option<GossipPayload>,
 }
 
-/// Failover between zones.
+/// Drives the failover between zones with the observations of this manager and the other managers.
 pub(super) struct ZoneRouting {
     failover: ZoneFailover,
     config: FailoverConfig,
@@ -41,12 +41,12 @@
     observers: Vec<Observer>,
     failure_detector: FailureDetector,
     next_check: Timestamp,
-    /// The weights of which the policy was last notified.
+    /// Weights of which the policy was last notified, by zone index.
     reported_weights: Vec<f64>,
 }
 
 impl ZoneRouting {
-    /// Failover as configured. `home`: the index of this manager's zone.
+    /// Creates the failover as configured. `home`: the index of this manager's zone.
     pub(super) fn new(config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) -> ZoneRouting {
         let home = home.map(|zone| Home { zone, region: config.region(&zones, zone as usize) });
         ZoneRouting {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// When [`ZoneRouting::check`] is due.
+    /// Time at which [`ZoneRouting::check`] is due.
     pub(super) fn next_check(&self) -> Timestamp {
         self.next_check
     }
@@ -95,7 +95,7 @@
         pairs.any(|(new, old)| (new - old).abs() > MIN_WEIGHT_CHANGE * old.max(MIN_WEIGHT_CHANGE))
     }
 
-    /// Sums the observations by zone.
+    /// Sums this manager's and the other managers' observations by zone.
     fn summarize(
         &self,
         engines: &EngineTable,
@@ -109,8 +109,8 @@
         }
         let engines_by_zone = add_engines(&mut zones, engines, views, responsiveness);
         for observer in &self.observers {
-            let own_zone = self.zones.iter().position(|zone| *zone == observer.zone);
-            add_observer(&mut zones, &engines_by_zone, observer, own_zone.map(|zone| zone as u32));
+            let observer_zone = self.zones.iter().position(|zone| *zone == observer.zone);
+            add_observer(&mut zones, &engines_by_zone, observer, observer_zone.map(|zone| zone as u32));
         }
         zones.into_values().collect()
     }
@@ -151,39 +151,41 @@
 ) -> BTreeMap<u32, BTreeSet<u64>> {
     let mut engines_by_zone: BTreeMap<u32, BTreeSet<u64>> = BTreeMap::new();
     for (view, responsiveness) in views.iter().zip(responsiveness) {
-        let Some(sum) = zones.get_mut(&view.zone) else { continue };
+        let Some(observation) = zones.get_mut(&view.zone) else { continue };
         let is_unresponsive = *responsiveness == Responsiveness::Unresponsive;
-        sum.listed_cores += view.cores;
-        sum.engines += 1;
-        sum.unresponsive += u32::from(is_unresponsive);
-        sum.responsive += u32::from(*responsiveness == Responsiveness::Responsive);
-        sum.load += view.estimated_threads;
+        observation.listed_cores += view.cores;
+        observation.engines += 1;
+        observation.unresponsive += u32::from(is_unresponsive);
+        observation.responsive += u32::from(*responsiveness == Responsiveness::Responsive);
+        observation.load += view.estimated_threads;
         if !is_unresponsive && !view.ejected {
-            sum.healthy_cores += view.cores * view.capacity_fraction;
+            observation.healthy_cores += view.cores * view.capacity_fraction;
         }
         engines_by_zone.entry(view.zone).or_default().extend(gossip_id(engines, view));
     }
     engines_by_zone
 }
 
-/// Adds the observations of another manager to the zones. In its own zone only the manager itself counts.
+/// Adds the observations of another manager to the zones. In the manager's own zone, only the manager's
+/// liveness is counted.
 fn add_observer(
     zones: &mut BTreeMap<u32, ZoneObservation>,
     engines_by_zone: &BTreeMap<u32, BTreeSet<u64>>,
     observer: &Observer,
-    own_zone: Option<u32>,
+    observer_zone: Option<u32>,
 ) {
-    if let Some(sum) = own_zone.and_then(|zone| zones.get_mut(&zone)) {
-        sum.managers += 1;
-        sum.live_managers += u32::from(observer.is_alive);
+    if let Some(observation) = observer_zone.and_then(|zone| zones.get_mut(&zone)) {
+        observation.managers += 1;
+        observation.live_managers += u32::from(observer.is_alive);
     }
     let Some(payload) = observer.payload.as_ref().filter(|_| observer.is_alive) else { return };
-    for sum in zones.values_mut().filter(|sum| Some(sum.zone) != own_zone) {
-        let engines = engines_by_zone.get(&sum.zone);
+    for observation in zones.values_mut().filter(|observation| Some(observation.zone) != observer_zone) {
+        let engines = engines_by_zone.get(&observation.zone);
         let is_in_zone = |engine: &&u64| engines.is_some_and(|engines| engines.contains(engine));
         let unreachable = payload.unreachable_engines.iter().filter(is_in_zone).count();
-        sum.observers += 1;
-        sum.unreachable_for += u32::from(sum.engines > 0 && unreachable * 2 >= sum.engines as usize);
+        observation.observers += 1;
+        observation.unreachable_for +=
+            u32::from(observation.engines > 0 && unreachable * 2 >= observation.engines as usize);
     }
 }
 
@@ -194,13 +196,13 @@
     views: &[EngineView],
 ) -> Vec<u64> {
     let is_unresponsive = |view: &&EngineView| {
-        let is_known = routing.is_some_and(|routing| routing.failure_detector.is_suspected(view.engine));
-        view.listed && (is_known || is_unresponsive_now(engines, view))
+        let is_suspected = routing.is_some_and(|routing| routing.failure_detector.is_suspected(view.engine));
+        view.listed && (is_suspected || is_unresponsive_now(engines, view))
     };
     views.iter().filter(is_unresponsive).filter_map(|view| gossip_id(engines, view)).collect()
 }
 
-/// The hash of an engine's id, by which managers identify it to each other.
+/// The hash of an engine's id, by which managers identify the engine in gossip.
 fn gossip_id(engines: &EngineTable, view: &EngineView) -> Option<u64> {
     engines.get(view.engine as usize).map(|engine| engine_hash(&engine.id))
 }
