--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,7 +1,8 @@
 //! One attempt in flight.
 //!
-//! Input: the answers of its engine, and its cancellation. Output: commands to its engine, on its connection, and the
-//! [`AnswerEffect`] of each answer. State: the result so far, the load report, and the progress of a cancellation.
+//! Input: the answers of its engine, and its cancellation. Output: commands to its engine, on its connection,
+//! and the [`AnswerEffect`] of each answer. State: the result so far, the load report, and the progress of a
+//! cancellation.
 
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{EngineConnection, Withdrawal};
@@ -14,39 +15,41 @@
 use sprucelink_policy::{Outcome, TimeDelta, Timestamp};
 use std::rc::Rc;
 
-/// Time that a cancelled attempt stays in flight after its cancellation was sent. The cancellation has to reach its
-/// engine before the next attempt reaches another one, or both would run.
+/// Time that a cancelled attempt stays in flight after its cancellation was sent. The cancellation has to
+/// reach its engine before the next attempt reaches another one, or both would run.
 pub(super) const CANCELLATION_GRACE: TimeDelta = TimeDelta::from_millis(10);
 /// Time between two checks of whether a cancellation was sent.
 pub(super) const CANCELLATION_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(1);
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served, and the complete result is here.
+    /// The engine served the request, and the complete result was received.
     Served,
     /// The engine answered with an error.
     EngineError,
-    /// The engine rejected it because of its load; the attempt never ran.
+    /// The engine rejected the attempt because of its load; the attempt never ran.
     Overloaded,
-    /// The client's deadline passed while the attempt was in flight. Attempts have no timeout of their own: one that
-    /// makes no progress is cancelled by the policy (`cancellation::is_stuck`) and ends as [`AttemptOutcome::Cancelled`].
+    /// The client's deadline passed while the attempt was in flight. Attempts have no timeout of their own:
+    /// one that makes no progress is cancelled by the policy (`cancellation::is_stuck`) and ends as
+    /// [`AttemptOutcome::Cancelled`].
     Expired,
     /// No connection could be made; the attempt never ran.
     Unreachable,
-    /// The connection broke while it was in flight.
+    /// The connection broke while the attempt was in flight.
     ConnectionBroken,
-    /// The connection was closed locally or because of another request. The attempt may have executed; the engine is
-    /// not penalised.
+    /// The connection was closed locally or because of another request. The attempt may have executed; the
+    /// engine is not penalised.
     ConnectionClosed,
-    /// Cancelled.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Withdrawn before it was sent, not sent because a limit was reached, or rejected by the engine as already ended.
+    /// Withdrawn before it was sent, not sent because a limit was reached, or rejected by the engine as
+    /// already ended.
     NeverRan,
 }
 
 impl AttemptOutcome {
-    /// Whether it is certain that no engine ran any of it.
+    /// Whether it is certain that no engine ran any part of the attempt.
     pub fn never_ran(self) -> bool {
         Outcome::from(self).never_ran()
     }
@@ -70,22 +73,22 @@
 /// A cancellation that has not taken effect yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cancellation {
-    /// Offset in the connection's stream at which its command ends, in bytes.
+    /// Offset in the connection's stream at which the cancellation command ends, in bytes.
     pub(super) stream_end: u64,
-    /// When it was first seen to have been sent.
+    /// Time at which the cancellation was first found to have been sent; `None` before.
     pub(super) sent_at: Option<Timestamp>,
 }
 
-/// What an engine's answer means for an attempt.
+/// The effect of an engine's answer on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AnswerEffect {
     /// Nothing to do.
     None,
     /// A progress note.
     Progress {
-        /// What it is about.
+        /// Topic of the note.
         topic: UpdateTopic,
-        /// Its value.
+        /// Value of the note; its meaning depends on the topic.
         value: f64,
     },
     /// The attempt has ended.
@@ -94,33 +97,34 @@
 
 /// The attempt of a request that is in flight.
 pub(super) struct InFlightAttempt {
-    /// Its number among its request's attempts, from 0.
+    /// Number of the attempt among its request's attempts, from 0.
     pub(super) number: u32,
-    /// The connection that carries it.
+    /// Connection that carries the attempt.
     pub(super) connection: Rc<EngineConnection>,
-    /// When it was queued to its connection.
+    /// Time at which the attempt was queued to its connection.
     pub(super) queued_at: Timestamp,
-    /// The time left that its command gives its engine.
+    /// Time left until the deadline, as given to the engine in the command.
     pub(super) sent_time_left: TimeDelta,
-    /// It was authorized to be sent and counts in the retry budget. Its first byte may still wait for a slow peer.
+    /// Whether the attempt was authorized to be sent; a retry then counts in the retry budget. Its first byte may
+    /// still wait for a slow peer.
     pub(super) is_authorized: bool,
-    /// The pages received.
+    /// The pages of the result received so far.
     pub(super) result: ResultSet,
     /// The cost of the query, once the engine has reported it.
     pub(super) cost: Option<QueryCost>,
     /// The engine's last load report.
     pub(super) load_report: LoadStats,
-    /// The first page of its result is here.
+    /// Whether the first page of the result was received.
     pub(super) is_served: bool,
-    /// Its cancellation, if it was cancelled.
+    /// The cancellation in progress; `None` if the attempt is not cancelled.
     pub(super) cancellation: Option<Cancellation>,
-    /// The outcome with which it ends once its cancellation has taken effect.
+    /// Outcome with which the attempt ends once its cancellation has taken effect.
     pub(super) cancelled_outcome: AttemptOutcome,
 }
 
 impl InFlightAttempt {
-    /// An attempt that was queued to a connection at `queued_at`, with a command that gives `sent_time_left` as its
-    /// deadline.
+    /// Creates an attempt that was queued to a connection at `queued_at`, with a command whose deadline is
+    /// `sent_time_left` away.
     pub(super) fn new(
         number: u32,
         connection: Rc<EngineConnection>,
@@ -142,12 +146,12 @@
         }
     }
 
-    /// Whether this connection carries it.
+    /// Whether this connection carries the attempt.
     pub(super) fn is_on(&self, connection: &EngineConnection) -> bool {
         std::ptr::eq(&*self.connection, connection)
     }
 
-    /// Sets the priority level at its engine, unless it is served already.
+    /// Sets the priority level at the engine, unless the attempt is already served.
     pub(super) fn set_level(&self, pool: &BufferPool, id: u64, level: u8) {
         if self.is_served {
             return;
@@ -157,21 +161,22 @@
         self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), level.as_bytes()]);
     }
 
-    /// Records that it was withdrawn before its first byte: it ends as [`AttemptOutcome::NeverRan`], and its end need
-    /// not wait for a cancellation to reach its engine.
+    /// Records that the attempt was withdrawn before its first byte: it ends as [`AttemptOutcome::NeverRan`],
+    /// without waiting for a cancellation to reach the engine.
     pub(super) fn mark_withdrawn(&mut self, now: Timestamp) {
         self.cancelled_outcome = AttemptOutcome::NeverRan;
         self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now - CANCELLATION_GRACE) });
     }
 
-    /// Records that this process closed its connection: it ends with `outcome` once the close has reached the engine.
+    /// Records that this process closed the connection: the attempt ends with `outcome` once the close has
+    /// reached the engine.
     pub(super) fn mark_closed(&mut self, outcome: AttemptOutcome, now: Timestamp) {
         self.cancelled_outcome = outcome;
         self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now) });
     }
 
-    /// Cancels it at its engine, or withdraws it if no byte of it was sent. Until the cancellation has taken effect,
-    /// the attempt may still end by itself.
+    /// Cancels the attempt at its engine, or withdraws it if no byte of it was sent. Until the cancellation
+    /// has taken effect, the attempt may still end by itself.
     pub(super) fn cancel(&mut self, pool: &BufferPool, id: u64, now: Timestamp) {
         if self.connection.withdraw(id) == Withdrawal::Complete {
             self.mark_withdrawn(now);
@@ -182,10 +187,11 @@
         self.cancellation = Some(Cancellation { stream_end: self.connection.queued(), sent_at: None });
     }
 
-    /// How long until its cancellation may have taken effect; zero or less if it has, `None` if it is not cancelled.
+    /// Time until the cancellation has to be checked again; zero or less if it has taken effect, `None` if
+    /// the attempt is not cancelled.
     ///
-    /// The grace starts only once the cancellation was sent: one that still waits for its connection would be overtaken
-    /// by the next attempt, and both would run.
+    /// The grace starts only once the cancellation was sent: the next attempt would overtake a cancellation
+    /// that still waits for its connection, and both attempts would run.
     pub(super) fn cancellation_delay(&mut self, now: Timestamp) -> Option<TimeDelta> {
         let cancellation = self.cancellation.as_mut()?;
         let delay = match cancellation.sent_at {
@@ -199,10 +205,10 @@
         Some(delay)
     }
 
-    /// Applies an answer of its engine.
+    /// Applies an answer of the engine.
     ///
     /// # Errors
-    /// If the answer violates the protocol: nothing else on its connection can be trusted then.
+    /// If the answer violates the protocol: nothing else on the connection can be trusted then.
     pub(super) fn on_answer(
         &mut self,
         pool: &BufferPool,
@@ -224,7 +230,8 @@
         }
     }
 
-    /// The engine rejected it. If it is served already, this can only be the answer to a duplicate.
+    /// Applies a rejection by the engine. If the attempt is already served, this can only be the answer to a
+    /// duplicate.
     fn on_rejection(&mut self, outcome: AttemptOutcome, answer: &EngineAnswer) -> AnswerEffect {
         if self.is_served {
             return AnswerEffect::None;
@@ -241,7 +248,7 @@
         answer: &EngineAnswer,
     ) -> Result<AnswerEffect, EngineAnswerError> {
         if self.cancellation.is_some() && pages > 1 {
-            // Nobody reads the further pages.
+            // The further pages are not needed.
             self.release_result(pool, id);
             return Ok(AnswerEffect::None);
         }
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -1,12 +1,12 @@
 //! Run-time checks of the rules that the program must never break.
 //!
-//! Input: requests, first bytes of attempts, and ends of attempts. Output: a counter for each rule, and an error in
-//! the log. State: the begun attempts and the retry budget's window.
+//! Input: requests, first bytes of attempts, and ends of attempts. Output: a counter for each rule, and an
+//! error in the log. State: the attempts whose first byte was sent, and the retry budget's window.
 //!
-//! The rules are enforced elsewhere: the send guard and the policy decide what is sent, the coordinator gives final
-//! responses, the fronts close sessions. The [`InvariantMonitor`] takes the inputs of each rule from there
-//! ([`RetryRule`], the limit of the retry budget), but compares them with records of its own, so that a fault in the
-//! enforcing code cannot hide itself. A violation changes no behaviour.
+//! The rules are enforced elsewhere: the send guard and the policy decide what is sent, the coordinator gives
+//! final responses, the fronts close sessions. The [`InvariantMonitor`] takes the inputs of each rule from
+//! there ([`RetryRule`], the limit of the retry budget), but compares them with records of its own, so that a
+//! fault in the enforcing code cannot hide itself. A violation changes no behaviour.
 
 use super::request::format_request_id;
 use sprucelink_metrics::{Counter, Metrics};
@@ -15,15 +15,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::error;
 
-/// Time by which an engine's deadline may exceed its client's, as the platform allows.
+/// Time by which the platform allows the deadline given to an engine to exceed the client's.
 const DEADLINE_SLACK: TimeDelta = TimeDelta::from_millis(150);
-/// Time that the platform's protocol adds to the drain grace.
+/// Time that the platform's protocol allows in addition to the drain grace.
 const DRAIN_SLACK: TimeDelta = TimeDelta::from_millis(50);
-/// Limit on the kept events of one kind in the retry budget's window; the oldest are dropped first.
+/// Limit on the recorded events of one kind in the retry budget's window; the oldest are dropped first.
 const MAX_WINDOW_EVENTS: usize = 65_536;
 /// Limit on the violations logged in one [`LOG_WINDOW`]; all are counted.
 const MAX_LOGGED: u32 = 20;
-/// Time for which [`MAX_LOGGED`] applies.
+/// Window to which [`MAX_LOGGED`] applies.
 const LOG_WINDOW: TimeDelta = TimeDelta::from_secs(10);
 
 /// A rule whose violations are counted.
@@ -35,9 +35,9 @@
     SendAfterEnd,
     /// A request has one attempt in flight at a time.
     ConcurrentAttempt,
-    /// Nothing new is sent to an engine that has been draining or gone for the drain's grace.
+    /// No attempt is sent to an engine that has been draining or gone for longer than the drain grace.
     SendToUnlisted,
-    /// A request that may have run is retried only as its class allows.
+    /// A request that may have run is retried only if its class allows it.
     UnsafeRetry,
     /// Retries stay within the budget in every window.
     RetryBudget,
@@ -50,7 +50,7 @@
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants, in the order of declaration.
     pub const ALL: [Invariant; 9] = [
         Invariant::SecondResponse,
         Invariant::SendAfterEnd,
@@ -63,7 +63,7 @@
         Invariant::PendingAtExit,
     ];
 
-    /// The name of its counter, rendered as `edge.invariant.NAME`.
+    /// Name of the invariant's counter, which the metrics render as `edge.invariant.NAME`.
     pub fn counter_name(self) -> &'static str {
         match self {
             Invariant::SecondResponse => "invariant.second_response",
@@ -79,56 +79,57 @@
     }
 }
 
-/// An attempt whose first byte is sent now.
+/// An attempt whose first byte is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentAttempt {
-    /// Its request.
+    /// Id of the request.
     pub(super) id: u64,
-    /// Its number among the request's attempts, from 0.
+    /// Number of the attempt among its request's attempts, from 0.
     pub(super) attempt: u32,
-    /// The index of the request's class.
+    /// Index of the request's class.
     pub(super) class: usize,
-    /// The request has no final response, and its client is present.
+    /// Whether the request has no final response and its client is still connected.
     pub(super) request_is_awaited: bool,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub(super) deadline: Timestamp,
-    /// The time left that was sent to the engine.
+    /// Time left until the deadline, as given to the engine in the command.
     pub(super) sent_time_left: TimeDelta,
-    /// When its engine ceased to be ready; `None` if it is ready.
+    /// Time at which the engine ceased to be ready; `None` if it is ready.
     pub(super) unlisted_since: Option<Timestamp>,
-    /// Retries that other managers leave to this one.
+    /// Retries that the other managers leave to this manager, in addition to its own retry budget.
     pub(super) spare_retries: f64,
 }
 
-/// The record of a request with an attempt that was begun.
+/// A request with at least one attempt whose first byte was sent.
 #[derive(Clone, Copy, Debug)]
-struct BegunRequest {
-    /// The attempt in flight: its number, and when its first byte was sent.
+struct SentRequest {
+    /// The attempt in flight: its number, and the time at which its first byte was sent.
     in_flight: Option<(u32, Timestamp)>,
-    /// When the first attempt that may have run was begun.
+    /// Time at which the first byte of the first attempt that may have run was sent.
     may_have_run_since: Option<Timestamp>,
 }
 
-/// Checks what is sent and answered against the rules, and counts violations.
+/// Checks attempts, retries and responses against the rules, and counts violations.
 pub(super) struct InvariantMonitor {
     counters: BTreeMap<Invariant, Counter>,
     violations: Cell<u64>,
     logged_since: Cell<Timestamp>,
     logged: Cell<u32>,
     drain_grace: TimeDelta,
-    /// By class: its effect and deduplication window. The check compares them itself.
+    /// Effect and deduplication window of each class. The monitor compares them itself and doesn't call
+    /// [`RetryRule::may_run_again`].
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
-    /// Times of requests, and of retries at their first byte, in the budget's window. They are kept apart from the send
-    /// guard's window, so that a fault in that one shows here.
+    /// Times of requests, and of retries at their first byte, in the budget's window. They are kept apart
+    /// from the send guard's window, so that a fault in that window is detected.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
-    /// Requests with an attempt that was begun. Bounded by the pending requests.
-    begun: BTreeMap<u64, BegunRequest>,
+    /// Requests with an attempt whose first byte was sent, by id. Bounded by the pending requests.
+    sent_requests: BTreeMap<u64, SentRequest>,
 }
 
 impl InvariantMonitor {
-    /// A monitor of these settings that counts in these metrics.
+    /// Creates a monitor that checks the rules of `settings` and counts violations in `metrics`.
     pub(super) fn new(settings: &Settings, metrics: &Metrics) -> InvariantMonitor {
         let counter = |name| metrics.counter(name).unwrap_or_else(|_| Counter::noop());
         InvariantMonitor {
@@ -141,17 +142,17 @@
             retry_budget: settings.retry_budget,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
-            begun: BTreeMap::new(),
+            sent_requests: BTreeMap::new(),
         }
     }
 
-    /// Violations so far.
+    /// Number of violations of all rules so far.
     #[cfg(test)]
     pub(super) fn violations(&self) -> u64 {
         self.violations.get()
     }
 
-    /// Counts a violation and logs it. `detail`: ids and values.
+    /// Counts a violation and logs it. `detail`: ids and values for the log.
     pub(super) fn record_violation(&self, now: Timestamp, rule: Invariant, detail: &str) {
         self.violations.set(self.violations.get() + 1);
         if let Some(counter) = self.counters.get(&rule) {
@@ -174,10 +175,11 @@
         }
     }
 
-    /// Checks an attempt whose first byte is about to be sent. A further call for the same attempt does nothing.
+    /// Checks an attempt whose first byte is about to be sent. A further call for the same attempt does
+    /// nothing.
     pub(super) fn record_first_byte(&mut self, now: Timestamp, sent: &SentAttempt) {
-        let before = self.begun.get(&sent.id).copied();
-        let in_flight = before.and_then(|begun| begun.in_flight);
+        let before = self.sent_requests.get(&sent.id).copied();
+        let in_flight = before.and_then(|request| request.in_flight);
         if in_flight.is_some_and(|(attempt, _)| attempt == sent.attempt) {
             return;
         }
@@ -186,27 +188,28 @@
             self.record_violation(now, Invariant::ConcurrentAttempt, &name);
         }
         self.check_state(now, sent, &name);
-        let may_have_run_since = before.and_then(|begun| begun.may_have_run_since);
+        let may_have_run_since = before.and_then(|request| request.may_have_run_since);
         self.check_effect(now, sent, may_have_run_since, &name);
         if sent.attempt > 0 {
             self.check_budget(now, sent.spare_retries, &name);
         }
         let in_flight = Some((sent.attempt, now));
-        self.begun.insert(sent.id, BegunRequest { in_flight, may_have_run_since });
+        self.sent_requests.insert(sent.id, SentRequest { in_flight, may_have_run_since });
     }
 
-    /// Records the end of an attempt. If it was begun it may have run, unless `never_ran`.
+    /// Records the end of an attempt. If its first byte was sent, the attempt may have run, unless
+    /// `never_ran`.
     pub(super) fn record_end(&mut self, id: u64, attempt: u32, never_ran: bool) {
-        let Some(begun) = self.begun.get_mut(&id) else { return };
-        let Some((_, began_at)) = begun.in_flight.take_if(|(begun, _)| *begun == attempt) else { return };
+        let Some(request) = self.sent_requests.get_mut(&id) else { return };
+        let Some((_, sent_at)) = request.in_flight.take_if(|(number, _)| *number == attempt) else { return };
         if !never_ran {
-            begun.may_have_run_since.get_or_insert(began_at);
+            request.may_have_run_since.get_or_insert(sent_at);
         }
     }
 
     /// Drops the record of a request that has its final response and no attempt in flight.
     pub(super) fn forget(&mut self, id: u64) {
-        self.begun.remove(&id);
+        self.sent_requests.remove(&id);
     }
 
     fn check_state(&self, now: Timestamp, sent: &SentAttempt, name: &str) {
@@ -216,12 +219,13 @@
         let engine_deadline = now + sent.sent_time_left;
         if engine_deadline > sent.deadline + DEADLINE_SLACK {
             let excess_ms = (engine_deadline - sent.deadline).as_millis();
-            let detail = format!("{name}: {excess_ms} ms more than its client has left");
+            let detail = format!("{name}: engine deadline {excess_ms} ms after the client's");
             self.record_violation(now, Invariant::LateDeadline, &detail);
         }
         if let Some(since) = sent.unlisted_since.filter(|since| now - *since > self.drain_grace + DRAIN_SLACK)
         {
-            let detail = format!("{name}: {} ms after the list", (now - since).as_millis());
+            let detail =
+                format!("{name}: sent {} ms after the engine ceased to be ready", (now - since).as_millis());
             self.record_violation(now, Invariant::SendToUnlisted, &detail);
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,11 +1,13 @@
-//! The core: pending requests, the driver of the policy, the engines and the connections to them. It runs on one thread
-//! and is independent of the clients' protocols.
+//! The core: pending requests, the driver of the policy, the engines and the connections to them. It runs on
+//! one thread and is independent of the clients' protocols.
 //!
-//! Input: requests from the fronts, events of the endpoint list, answers of engines. Output: one final response for
-//! each request, and commands to engines. State: pending requests, engines and connections, each by one module.
+//! Input: requests from the fronts, events of the endpoint list, answers of engines. Output: one final
+//! response for each request, and commands to engines. State: pending requests, engines and connections, each
+//! owned by one module.
 //!
-//! The fronts and drivers call [`Core`]. Behind it the `coordinator` connects the parts, each of which owns one kind of
-//! state: `request_table`, `attempt`, `engine_table`, [`engine_connection`], `send_guard` and [`policy_driver`].
+//! The fronts and drivers call [`Core`]. Behind it the `coordinator` connects the parts, each of which owns
+//! one kind of state: `request_table`, `attempt`, `engine_table`, [`engine_connection`], `send_guard` and
+//! [`policy_driver`].
 
 mod api;
 mod attempt;
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -7,8 +7,8 @@
 /// Longest statement, in bytes: the command that carries it must fit one buffer.
 pub const MAX_STATEMENT_BYTES: usize = BUFFER_BYTES - 2_048;
 
-/// Shortest Retry-After. A client that retries sooner would meet the same overload. The admission at warm-up has a bound
-/// of the same length for its own rejections (`sprucelink_startup::admission::MIN_RETRY_AFTER`).
+/// Shortest Retry-After. A client that retries sooner would meet the same overload. The admission at warm-up
+/// has a bound of the same length for its own rejections (`sprucelink_startup::admission::MIN_RETRY_AFTER`).
 pub(super) const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
 
 /// Why a request was not served.
@@ -16,7 +16,7 @@
 pub enum UnservedReason {
     /// The load is too high for the request to be served in time.
     Overloaded,
-    /// The client's deadline has passed, or is too close.
+    /// The client's deadline has passed or is too close.
     DeadlineExceeded,
     /// The engine answered with an error.
     EngineError,
@@ -29,21 +29,22 @@
 /// The final response to a request.
 #[derive(Debug)]
 pub enum Response {
-    /// Served.
+    /// Served, with the complete result.
     Served(ResultSet),
     /// Rejected: a retry by the client does no harm. An attempt may have run if the class is idempotent.
     Rejected {
-        /// Why.
+        /// Reason why the request was not served.
         reason: UnservedReason,
-        /// When the client should retry.
+        /// Delay after which the client should retry.
         retry_after: TimeDelta,
     },
-    /// Failed: an attempt may have run, and a retry by the client may run it twice. The response that the core gives by
-    /// itself at the deadline is of this kind always, the one at a shutdown by `shutdown_response`.
+    /// Failed: an attempt may have run, and a retry by the client may run the request twice. The response
+    /// that the core itself gives at the deadline is always of this kind; `shutdown_response` chooses the
+    /// kind at a shutdown.
     Failed {
-        /// Why.
+        /// Reason why the request was not served.
         reason: UnservedReason,
-        /// When the client should retry.
+        /// Delay after which the client should retry.
         retry_after: TimeDelta,
     },
 }
@@ -51,19 +52,19 @@
 /// The attributes of a request that the policy decides on.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// The id, unique among pending requests.
+    /// Id, unique among pending requests.
     pub id: u64,
-    /// The index of the class.
+    /// Index of the class.
     pub class: usize,
-    /// The index of the tenant.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// The identifier of the set of tables that it reads or writes.
+    /// Identifier of the set of tables that the request reads or writes.
     pub tables: u64,
-    /// Time until the client stops waiting.
+    /// Time from the submission until the client stops waiting.
     pub time_left: TimeDelta,
-    /// Estimated work, in milliseconds on one core.
+    /// The client's estimate of the work, in milliseconds on one core; `None` if it gives none.
     pub cost_ms: Option<f64>,
-    /// Estimated memory, in MB.
+    /// The client's estimate of the memory, in MB; `None` if it gives none.
     pub memory_mb: Option<f64>,
 }
 
@@ -72,7 +73,7 @@
 pub struct Request {
     /// The attributes that the policy decides on.
     pub spec: RequestSpec,
-    /// The class, by name.
+    /// Name of the class.
     pub class_name: String,
     /// The idempotency key, for classes that have one.
     pub idempotency_key: Option<String>,
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,4 +1,4 @@
-//! The request table: the state of every pending request, and when each is due.
+//! The request table: the state of every pending request, with its deadline and cancellations.
 //!
 //! Input: new requests, and changes to them. Output: deadlines and cancellations that are due. State: each
 //! pending request with its attempt in flight, and the ids of recent requests. The `coordinator` module
@@ -13,46 +13,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
 
-/// Priority level of a request until the policy sets one.
+/// Priority level of a request until the policy sets it.
 const INITIAL_LEVEL: u8 = 1;
 
 /// A request that has no final response yet, or whose last attempt has not ended.
 pub(super) struct PendingRequest {
-    /// The class, by name.
+    /// Name of the class.
     pub(super) class_name: String,
-    /// The index of the class.
+    /// Index of the class.
     pub(super) class: usize,
     /// The idempotency key, for classes that have one.
     pub(super) idempotency_key: Option<String>,
-    /// The statement.
     pub(super) statement: Buffer,
-    /// When it was submitted.
+    /// Time at which the request was submitted.
     pub(super) arrived_at: Timestamp,
-    /// The client's estimate of its work, in milliseconds on one core, or 0.
+    /// The client's estimate of the work, in milliseconds on one core; 0 if there is none.
     pub(super) cost_ms: f64,
-    /// When its client stops waiting. For a request submitted after SIGTERM: at the latest the shutdown
-    /// deadline.
+    /// Time at which the client stops waiting. For a request submitted after SIGTERM: at the latest the
+    /// shutdown deadline.
     pub(super) deadline: Timestamp,
-    /// Memory granted to its next attempt, in MB; `None`: the engine chooses.
+    /// Memory granted to the next attempt, in MB; `None` if the engine chooses.
     pub(super) memory_grant_mb: Option<f64>,
-    /// Priority level of its attempts, 0 (lowest) to 3.
+    /// Priority level of the request's attempts, 0 (lowest) to 3.
     pub(super) level: u8,
-    /// The number of attempts made so far, which is the number of the next one.
+    /// Number of attempts made so far, which is also the number of the next attempt.
     pub(super) attempts: u32,
-    /// The attempt in flight, if any: one at a time.
+    /// The attempt in flight; there is at most one at a time.
     pub(super) in_flight: Option<InFlightAttempt>,
-    /// How the last attempt ended.
+    /// Outcome of the last attempt that has ended.
     pub(super) last_outcome: Option<AttemptOutcome>,
-    /// When the first attempt that may have run was sent.
+    /// Time at which the first attempt that may have run was queued; `None` if none may have run.
     pub(super) may_have_run_since: Option<Timestamp>,
-    /// The sender of the final response; `None` once it was given, or the client has disconnected.
+    /// Sender of the final response; `None` once the response was sent or the client has disconnected.
     pub(super) responder: Option<oneshot::Sender<Response>>,
-    /// Its entry in the metrics, until it is completed.
+    /// The request's entry in the metrics; `None` once the request was completed or abandoned.
     pub(super) accounting: Option<ActiveRequest>,
 }
 
 impl PendingRequest {
-    /// A request that was submitted at `arrived_at`, with no attempt made.
+    /// Creates the entry of a request that was submitted at `arrived_at`, with no attempt made.
     pub(super) fn new(
         request: Request,
         arrived_at: Timestamp,
@@ -85,13 +84,13 @@
     }
 }
 
-/// All pending requests by id, with their deadlines and the cancellations under way.
+/// All pending requests by id, with their deadlines and the cancellations in progress.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<u64, PendingRequest>,
     deadlines: BTreeSet<(Timestamp, u64)>,
-    /// Cancelled attempts (request and attempt number), by when to check whether the cancellation has taken
-    /// effect.
+    /// Cancelled attempts (request id and attempt number), by the time of the next check of whether the
+    /// cancellation has taken effect.
     cancellations: BTreeSet<(Timestamp, u64, u32)>,
     recent: RecentRequests,
 }
@@ -103,7 +102,6 @@
         !self.requests.contains_key(&id) && self.recent.insert(id, statement, now)
     }
 
-    /// Adds a request.
     pub(super) fn insert(&mut self, id: u64, request: PendingRequest) {
         self.deadlines.insert((request.deadline, id));
         self.requests.insert(id, request);
@@ -114,17 +112,15 @@
         self.requests.len()
     }
 
-    /// A pending request.
     pub(super) fn get(&self, id: u64) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A pending request.
     pub(super) fn get_mut(&mut self, id: u64) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// A request that must be pending.
+    /// A pending request; panics if there is none with this id.
     #[cfg(test)]
     pub(super) fn pending(&self, id: u64) -> &PendingRequest {
         &self.requests[&id]
@@ -140,8 +136,8 @@
         self.requests.get_mut(&id)?.in_flight.as_mut()
     }
 
-    /// The attempt in flight of a request, if it has this number. A late event on an ended attempt finds
-    /// none.
+    /// The attempt in flight of a request, if it has this number; `None` for a late event on an ended
+    /// attempt.
     pub(super) fn attempt_mut(&mut self, id: u64, attempt: u32) -> Option<&mut InFlightAttempt> {
         self.in_flight_mut(id).filter(|in_flight| in_flight.number == attempt)
     }
@@ -157,7 +153,8 @@
         awaited.map(|(id, _)| *id).collect()
     }
 
-    /// Removes a request that has its final response and no attempt in flight; returns whether it did.
+    /// Removes a request that has its final response and no attempt in flight; returns whether it was
+    /// removed.
     pub(super) fn remove_if_done(&mut self, id: u64) -> bool {
         let is_done = self.requests.get(&id).is_some_and(|r| !r.is_awaited() && r.in_flight.is_none());
         if !is_done {
@@ -179,7 +176,7 @@
         self.cancellations.first().is_some_and(|(at, ..)| *at <= now)
     }
 
-    /// Removes the first cancellation whose check is due; returns its request and attempt number.
+    /// Removes the first cancellation whose check is due; returns the request id and attempt number.
     pub(super) fn pop_due_cancellation_check(&mut self, now: Timestamp) -> Option<(u64, u32)> {
         if !self.has_due_cancellation_check(now) {
             return None;
@@ -187,7 +184,7 @@
         self.cancellations.pop_first().map(|(_, id, attempt)| (id, attempt))
     }
 
-    /// Removes the first deadline that has passed; returns its request.
+    /// Removes the first deadline that has passed; returns the request id.
     pub(super) fn pop_expired(&mut self, now: Timestamp) -> Option<u64> {
         let (deadline, _) = self.deadlines.first()?;
         if *deadline > now {
@@ -196,7 +193,7 @@
         self.deadlines.pop_first().map(|(_, id)| id)
     }
 
-    /// When the next deadline or cancellation is due.
+    /// Time at which the next deadline or check of a cancellation is due.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let cancellation = self.cancellations.first().map(|(at, ..)| *at);
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -1,4 +1,4 @@
-//! Shared by the core's tests: a core with listeners in place of engines.
+//! Helpers of the core's tests: a core with listeners in place of engines.
 
 use super::buffer_pool::BufferPool;
 use super::connection_task::ConnectionOwner;
@@ -43,7 +43,8 @@
     core_with(listeners, 32, 8.0)
 }
 
-/// A core with an engine of `cores` cores behind each listener, and at most `max_streams` attempts on a connection.
+/// A core with an engine of `cores` cores behind each listener, and at most `max_streams` attempts on a
+/// connection.
 pub(super) fn core_with(
     listeners: Vec<TcpListener>,
     max_streams: usize,
