--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -105,8 +105,8 @@
     pub(super) queued_at: Timestamp,
     /// Time left until the deadline, as given to the engine in the command.
     pub(super) sent_time_left: TimeDelta,
-    /// Whether the attempt was authorized to be sent; a retry then counts in the retry budget. Its first byte may
-    /// still wait for a slow peer.
+    /// Whether the attempt was authorized to be sent; a retry then counts in the retry budget. Its first byte
+    /// may still wait for a slow peer.
     pub(super) is_authorized: bool,
     /// The pages of the result received so far.
     pub(super) result: ResultSet,
--- a/src/core/buffer_pool.rs
+++ b/src/core/buffer_pool.rs
@@ -1,7 +1,7 @@
 //! A pool of reusable buffers of one size.
 //!
-//! The pool is bounded: a request that finds it empty is rejected, so that overload costs rejections and not the memory
-//! of the process.
+//! The pool is bounded: a request that finds it empty is rejected, so that overload leads to rejections and
+//! does not exhaust the memory of the process.
 
 use bytes::BufMut;
 use std::cell::{Cell, RefCell};
@@ -13,10 +13,11 @@
 use std::task::{ready, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, ReadBuf};
 
-/// Size of every buffer in bytes. The largest result and its framing fit one.
+/// Size of every buffer in bytes. The largest result and its framing fit into one buffer.
 pub const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Size of the first read into a buffer, in bytes. It goes through the stack, and most messages are shorter.
+/// Size of the first read into a buffer, in bytes. The bytes go through the stack, and most messages are
+/// shorter.
 const FIRST_READ_BYTES: usize = 2_048;
 
 #[derive(Debug)]
@@ -38,7 +39,7 @@
 }
 
 impl BufferPool {
-    /// A pool of at most `max_buffers` in use at a time.
+    /// Creates a pool with at most `max_buffers` in use at a time.
     pub fn new(max_buffers: usize) -> BufferPool {
         BufferPool(Rc::new(PoolState { free: RefCell::new(Vec::new()), in_use: Cell::new(0), max_buffers }))
     }
@@ -51,9 +52,10 @@
         Some(self.get_beyond_limit())
     }
 
-    /// An empty buffer, also when all are in use: for what cannot be rejected, such as a cancellation, an error to a
-    /// client or bytes that were received. Each connection and each session has two at most, so their limits bound
-    /// these buffers too. They count as in use, so that new requests are rejected meanwhile.
+    /// An empty buffer, even when all are in use: for data that cannot be rejected, such as a cancellation,
+    /// an error to a client or received bytes. Each connection and each session has at most two, so the
+    /// limits on connections and sessions also bound these buffers. They count as in use, so that new
+    /// requests are rejected meanwhile.
     pub fn get_beyond_limit(&self) -> Buffer {
         self.0.in_use.set(self.0.in_use.get() + 1);
         let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_BYTES));
@@ -65,7 +67,7 @@
         self.0.max_buffers
     }
 
-    /// Buffers in use.
+    /// The number of buffers in use, including those beyond the limit.
     pub fn in_use(&self) -> usize {
         self.0.in_use.get()
     }
@@ -103,11 +105,12 @@
     }
 }
 
-/// Reads the bytes that have arrived and returns their number, 0 at the end of the stream. A buffer is taken from the
-/// pool only once there are bytes: idle connections would occupy every buffer otherwise.
+/// Reads the bytes that have arrived and returns their number, 0 at the end of the stream. A buffer is taken
+/// from the pool only once there are bytes: idle connections would occupy every buffer otherwise.
 ///
 /// # Errors
-/// Those of the stream, and a full buffer: a reader that paused there would never see the end of the stream.
+/// The errors of the stream, and a full buffer: a reader that paused on a full buffer would never see the end
+/// of the stream.
 pub async fn read_into<S: AsyncRead + Unpin>(
     pool: &BufferPool,
     stream: &mut S,
@@ -121,8 +124,8 @@
         return stream.read_buf(&mut (&mut **buffer).limit(capacity)).await;
     }
     poll_fn(|cx| {
-        let mut first = [0; FIRST_READ_BYTES];
-        let mut read = ReadBuf::new(&mut first);
+        let mut stack_buffer = [0; FIRST_READ_BYTES];
+        let mut read = ReadBuf::new(&mut stack_buffer);
         ready!(Pin::new(&mut *stream).poll_read(cx, &mut read))?;
         if !read.filled().is_empty() {
             buffer.insert(pool.get_beyond_limit()).extend_from_slice(read.filled());
--- a/src/core/connection_runtime.rs
+++ b/src/core/connection_runtime.rs
@@ -1,10 +1,10 @@
-//! The interface between the coordinator and the tasks that run connections and timers. Nothing is kept.
+//! The interface between the coordinator and the tasks that run connections and timers. Stateless.
 
 use super::buffer_pool::BufferPool;
 use super::engine_connection::{ConnectionLimits, EngineConnection};
 use std::rc::Rc;
 
-/// The tasks around a coordinator, and the resources that they share.
+/// Starts and wakes the tasks of a coordinator, and provides the resources that they share.
 pub(super) trait ConnectionRuntime {
     /// The pool of buffers.
     fn pool(&self) -> &BufferPool;
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -1,8 +1,8 @@
 //! The task of one connection to an engine.
 //!
-//! Input: the commands queued on an [`EngineConnection`], and the bytes that its engine sends. Output: the commands,
-//! in order, and calls of the [`ConnectionOwner`] for each answer and for the end of the connection. State: the buffer
-//! that is being written and the answer that is being read.
+//! Input: the commands queued on an [`EngineConnection`], and the bytes that its engine sends. Output: the
+//! commands, in order, and calls of the [`ConnectionOwner`] for each answer and for the end of the
+//! connection. State: the buffer that is being written and the answer that is being read.
 
 use super::buffer_pool::{read_into, Buffer, BufferPool, BUFFER_BYTES};
 use super::clock::{now, to_duration};
@@ -22,17 +22,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// Time for which a dial that fails for a local reason is repeated. Its attempts end after that and may go to another
-/// engine.
+/// Time for which a dial that fails for a local reason is repeated. The attempts that wait for it end after
+/// that and may be retried at another engine.
 const MAX_LOCAL_FAILURE: Duration = Duration::from_millis(300);
 /// Backoff before a dial that failed for a local reason is repeated.
 const DIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Time between two checks of whether a connection has been idle for too long.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which an incomplete answer may receive no further byte before its connection is closed. Engines write an
-/// answer at once, so the rest of a stalled one does not come.
+/// Time without a further byte of an incomplete answer after which its connection is closed. Engines write an
+/// answer at once, so the rest of a stalled answer will not arrive.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time from the first byte of an answer until it must be complete: all attempts on the connection wait behind it.
+/// Time from the first byte of an answer until it must be complete: all attempts on the connection wait
+/// behind it.
 const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 
 /// The owner of the attempts on a connection.
@@ -50,34 +51,35 @@
         connection: &EngineConnection,
         parts: &[&[u8]],
     ) -> Result<(), EngineAnswerError>;
-    /// The connection has ended. `reason` is empty if that is no fault; `is_local`: this process closed it.
+    /// Handles the end of the connection. `reason` is empty if the end is not a fault; `is_local`: this
+    /// process closed the connection or could not make it.
     fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool);
-    /// Authorizes the sending of an attempt just before its first byte; returns false if it may not be sent, and then the
-    /// owner has withdrawn it or queued it again. The state may have changed since the engine was selected, while the
-    /// attempt waited for a dial or behind a slow peer.
+    /// Authorizes the sending of an attempt just before its first byte. Returns false if the attempt may not
+    /// be sent; the owner has then withdrawn it or queued it again. The state may have changed since the
+    /// engine was selected, while the attempt waited for a dial or behind a slow peer.
     fn authorize_send(self: &Rc<Self>, _connection: &EngineConnection, _id: u64, _attempt: u32) -> bool {
         true
     }
     /// Counts attempts that were sent completely.
     fn on_attempts_sent(&self, _attempts: u64) {}
-    /// The connection has opened.
+    /// Records that the connection has opened.
     fn on_connection_up(self: &Rc<Self>, _connection: &EngineConnection) {}
 }
 
 /// Why a connection ended.
 struct ConnectionEnd {
     reason: String,
-    /// This process closed it, or could not make it.
+    /// This process closed the connection, or could not make it.
     is_local: bool,
 }
 
 impl ConnectionEnd {
-    /// The engine or the network ended it, or a dial timed out.
+    /// The engine or the network ended the connection, or a dial timed out.
     fn remote(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: false }
     }
 
-    /// This process closed it, or could not make it.
+    /// This process closed the connection, or could not make it.
     fn local(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: true }
     }
@@ -96,23 +98,23 @@
     }
     let dial_timeout = to_duration(owner.limits().dial_timeout);
     // A cancelled dial releases its file descriptor at once.
-    let dialled = tokio::select! {
-        dialled = dial(connection.address(), dial_timeout) => dialled,
+    let dial_result = tokio::select! {
+        result = dial(connection.address(), dial_timeout) => result,
         () = connection.wait_closed() => return owner.on_connection_down(&connection, "", true),
     };
-    let end = match dialled {
+    let end = match dial_result {
         Ok(stream) if connection.is_dialing() => serve(&owner, &connection, stream).await,
-        Ok(_) => ConnectionEnd::remote("not wanted any more"),
+        Ok(_) => ConnectionEnd::remote("closed before it opened"),
         Err(end) => end,
     };
     owner.on_connection_down(&connection, &end.reason, end.is_local);
 }
 
-/// Makes a connection. A failure for a local reason is transient and says nothing about the engine, so the dial is
-/// repeated for [`MAX_LOCAL_FAILURE`].
+/// Makes a connection. A failure for a local reason is transient and says nothing about the engine, so the
+/// dial is repeated for [`MAX_LOCAL_FAILURE`].
 async fn dial(address: SocketAddr, dial_timeout: Duration) -> Result<TcpStream, ConnectionEnd> {
-    let started = Instant::now();
-    let deadline = started + dial_timeout;
+    let started_at = Instant::now();
+    let deadline = started_at + dial_timeout;
     loop {
         let error = match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => return Ok(stream),
@@ -122,8 +124,8 @@
         if !is_local_dial_failure(&error) {
             return Err(ConnectionEnd::remote(format!("no connection: {error}")));
         }
-        if started.elapsed() >= MAX_LOCAL_FAILURE.min(dial_timeout) {
-            return Err(ConnectionEnd::local(format!("no connection could be made here: {error}")));
+        if started_at.elapsed() >= MAX_LOCAL_FAILURE.min(dial_timeout) {
+            return Err(ConnectionEnd::local(format!("no connection for a local reason: {error}")));
         }
         sleep(DIAL_RETRY_DELAY).await;
     }
@@ -137,19 +139,20 @@
     if let Err(error) = stream.set_nodelay(true) {
         return ConnectionEnd::remote(error);
     }
-    connection.set_up();
+    connection.mark_open();
     owner.on_connection_up(connection);
     let (reader, writer) = stream.into_split();
     tokio::select! {
-        // Read first: if the engine has closed the connection, the queued attempts count as never sent.
+        // Reads are polled first: if the engine has closed the connection, the queued attempts count as never
+        // sent.
         biased;
         end = read(owner, connection, SocketReader::new(reader)) => end,
         end = write(owner, connection, writer) => end,
     }
 }
 
-/// Writes the queued commands. The next bytes are looked up before each write and never kept across a wait, for their
-/// attempt may be withdrawn meanwhile.
+/// Writes the queued commands. The next bytes are looked up before each write and never kept across a wait,
+/// because their attempt may be withdrawn in the meantime.
 async fn write<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
@@ -158,7 +161,7 @@
     let mut current: Option<QueuedBuffer> = None;
     loop {
         if connection.is_closed() {
-            return ConnectionEnd::remote("closed here");
+            return ConnectionEnd::remote("closed by this process");
         }
         let limit = connection.skip_withdrawn();
         let offset = connection.written();
@@ -196,9 +199,9 @@
     }
 }
 
-/// Whether the peer has closed a connection with nothing in flight. The socket itself is checked, because the runtime
-/// sees the close only at its next poll: an attempt written to a connection that its engine has just closed as idle
-/// would count as one that may have run.
+/// Whether the peer has closed a connection with nothing in flight. The socket itself is checked, because the
+/// runtime sees the close only at its next poll: an attempt written to a connection that its engine has just
+/// closed as idle would count as one that may have run.
 fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     match retry_interrupted(|| SockRef::from(stream).peek(&mut byte)) {
@@ -207,8 +210,8 @@
     }
 }
 
-/// Authorizes the sending of each attempt whose command begins between two offsets; returns whether all may be sent. The
-/// commands of the others are taken out of the stream by then.
+/// Authorizes the sending of each attempt whose command begins between two offsets; returns whether all may
+/// be sent. The commands of attempts that may not be sent are then withdrawn from the stream or queued again.
 fn authorize_all<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
@@ -230,7 +233,7 @@
     mut reader: SocketReader,
 ) -> ConnectionEnd {
     let mut received = None;
-    // When the first byte of the incomplete answer arrived, if there is one.
+    // Time at which the first byte of the incomplete answer arrived, if there is an incomplete answer.
     let mut answer_began_at: Option<Timestamp> = None;
     loop {
         let read_timeout = match answer_began_at {
@@ -242,7 +245,7 @@
             Ok(Ok(_)) => {}
             Ok(Err(error)) => return ConnectionEnd::remote(error),
             Err(_) if received.is_some() => {
-                return ConnectionEnd::unreadable("an answer does not become whole");
+                return ConnectionEnd::unreadable("incomplete answer timed out");
             }
             Err(_) if connection.is_idle(owner.limits()) => return ConnectionEnd::remote(""),
             Err(_) => continue,
@@ -258,14 +261,14 @@
             received = None;
             answer_began_at = None;
         } else if !buffer.has_capacity(1) {
-            return ConnectionEnd::unreadable("an answer longer than any may be");
+            return ConnectionEnd::unreadable("answer exceeds the maximum length");
         } else if consumed > 0 || answer_began_at.is_none() {
             answer_began_at = Some(now());
         }
     }
 }
 
-/// Passes the complete answers in a buffer to the owner; returns their length in bytes.
+/// Passes the complete answers in a buffer to the owner; returns their total length in bytes.
 fn process_answers<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -1,11 +1,12 @@
 //! The state of one connection to an engine.
 //!
-//! Input: commands, and attempts with the command that sends each. Output: the buffers to write, and on close the
-//! attempts that were interrupted. State: the attempts on the connection with the offsets of their commands, and the
-//! requests whose attempts ended here unserved.
+//! Input: commands, and attempts with the command that sends each. Output: the buffers to write, and on close
+//! the attempts that were interrupted. State: the attempts on the connection with the offsets of their
+//! commands, and the requests whose attempts ended unserved on the connection.
 //!
-//! A connection carries many attempts. It belongs to an engine's id and not to its address, because addresses are
-//! reused. When it breaks, each attempt on it ends once. The `connection_task` module dials and serves it.
+//! A connection carries many attempts. It belongs to an engine's id and not to its address, because addresses
+//! are reused. When it breaks, each attempt on it ends once. The `connection_task` module dials and serves
+//! it.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use super::clock::now;
@@ -21,14 +22,15 @@
 
 pub(super) use send_queue::{QueuedBuffer, UnsentCommand};
 
-/// Fraction of the engines' idle timeout after which this process closes an idle connection. Engines close it at the
-/// full timeout, and an attempt that crosses their close would count as one that may have run.
+/// Fraction of the engines' idle timeout after which this process closes an idle connection. Engines close an
+/// idle connection at the full timeout, and an attempt that crosses their close would count as one that may
+/// have run.
 const IDLE_FRACTION: f64 = 0.8;
-/// Limit on consecutive missing progress notes: beyond it the connection accepts no further attempts. This concerns one
-/// connection; the policy has shorter limits of its own for engines and zones that do not answer (`outlier_detection`,
-/// `engine_health`).
-const UNUSABLE_AFTER_MISSED_NOTES: i64 = 3;
-/// Limit on the attempts that end unserved on one connection: at this number it is retired.
+/// Limit on consecutive missing progress notes: beyond it, the connection accepts no further attempts. The
+/// limit applies to one connection; the policy has shorter limits of its own for engines and zones that do
+/// not answer (`outlier_detection`, `engine_health`).
+const MAX_MISSED_NOTES: i64 = 3;
+/// Number of attempts ended unserved on one connection at which the connection is retired.
 const MAX_UNSERVED: usize = 512;
 
 /// Limits and timeouts of connections to engines.
@@ -36,7 +38,7 @@
 pub struct ConnectionLimits {
     /// Limit on the attempts on one connection at a time.
     pub max_streams: usize,
-    /// Time until a dial fails.
+    /// Time after which a dial fails.
     pub dial_timeout: TimeDelta,
     /// Time after which an engine closes an idle connection.
     pub idle_timeout: TimeDelta,
@@ -58,59 +60,60 @@
 /// An attempt on a connection, and the offsets of its command in the stream, in bytes.
 #[derive(Clone, Copy, Debug)]
 struct CarriedAttempt {
-    /// Its number among the attempts of its request, from 0.
+    /// Number of the attempt among its request's attempts, from 0.
     attempt: u32,
     start: u64,
     end: u64,
     queued_at: Timestamp,
-    /// It was withdrawn before its first byte was sent.
+    /// Whether the attempt was withdrawn before its first byte was sent.
     is_withdrawn: bool,
 }
 
 /// The result of withdrawing an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// No byte of it was sent, and none will be.
+    /// No byte of the attempt's command was sent, and none will be.
     Complete,
-    /// A part of it was sent: only closing the connection stops the rest.
+    /// A part of the command was sent: only closing the connection stops the rest.
     Partial,
-    /// All of it was sent.
+    /// The whole command was sent, or the attempt is not on the connection.
     TooLate,
 }
 
 /// An attempt that was on a connection when it was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InterruptedAttempt {
-    /// Its request.
+    /// Id of the request.
     pub id: u64,
-    /// Its number among the attempts of its request, from 0.
+    /// Number of the attempt among its request's attempts, from 0.
     pub attempt: u32,
-    /// Its command was not sent completely. An engine runs complete commands only, so it never ran.
+    /// Whether the command was not sent completely. An engine runs only complete commands, so the attempt
+    /// never ran.
     pub is_unsent: bool,
 }
 
 /// One connection to an engine.
 #[derive(Debug)]
 pub struct EngineConnection {
-    /// The index of its engine.
+    /// Index of the engine.
     pub engine: usize,
     address: SocketAddr,
     state: Cell<State>,
     is_retired: Cell<bool>,
     send_queue: RefCell<SendQueue>,
-    /// By request.
+    /// Attempts by request id.
     attempts: RefCell<BTreeMap<u64, CarriedAttempt>>,
-    /// Requests whose attempt ended here unserved: their engine may still answer.
+    /// Requests whose attempt ended unserved on this connection: the engine may still answer.
     unserved: RefCell<BTreeSet<u64>>,
-    /// When the engine last sent bytes, or the last attempt ended.
+    /// Time at which the engine last sent bytes or the last attempt ended, whichever is later.
     last_active_at: Cell<Timestamp>,
-    /// When it may be dialled.
+    /// Time from which the connection may be dialed.
     dial_time: Cell<Timestamp>,
     wake: Notify,
 }
 
 impl EngineConnection {
-    /// A connection that is about to be dialled.
+    /// Creates a connection that is about to be dialed.
     pub fn new(engine: usize, address: SocketAddr) -> Rc<EngineConnection> {
         Rc::new(EngineConnection {
             engine,
@@ -126,8 +129,9 @@
         })
     }
 
-    /// Whether it may carry an attempt of request `id`. An earlier attempt of the request that ended on it unserved
-    /// prevents that: a late answer to it could not be distinguished from an answer to the new attempt.
+    /// Whether the connection may carry an attempt of request `id`. It may not if an earlier attempt of the
+    /// request ended unserved on it: a late answer to that attempt could not be distinguished from an answer
+    /// to the new attempt.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
         !self.is_closed()
             && !self.is_retired.get()
@@ -136,38 +140,37 @@
             && !self.has_ended_unserved(id)
     }
 
-    /// Whether progress notes on an attempt are missing: the connection of a machine that has failed stays open and
-    /// silent.
+    /// Whether progress notes on an attempt are missing: the connection of a machine that has failed stays
+    /// open and silent.
     fn is_unresponsive(&self, limits: &ConnectionLimits) -> bool {
-        let max_silence =
-            TimeDelta::from_micros(limits.note_interval.as_micros() * UNUSABLE_AFTER_MISSED_NOTES);
+        let max_silence = TimeDelta::from_micros(limits.note_interval.as_micros() * MAX_MISSED_NOTES);
         let is_overdue =
             |attempt: &CarriedAttempt| now() - attempt.queued_at.max(self.last_active_at.get()) > max_silence;
         limits.note_interval > TimeDelta::ZERO && self.attempts.borrow().values().any(is_overdue)
     }
 
-    /// Sets when it may be dialled; commands queued before that wait.
+    /// Sets the time from which the connection may be dialed; commands queued before that time wait.
     pub fn set_dial_time(&self, at: Timestamp) {
         self.dial_time.set(at);
     }
 
-    /// Makes it accept no further attempts, because its engine has restarted, moved or gone.
+    /// Makes the connection accept no further attempts, because its engine has restarted, moved or gone.
     pub fn retire(&self) {
         self.is_retired.set(true);
     }
 
-    /// When it may be dialled.
+    /// Time from which the connection may be dialed.
     pub(super) fn dial_time(&self) -> Timestamp {
         self.dial_time.get()
     }
 
-    /// Where its engine listens.
+    /// Address at which the engine listens.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Records that it is open.
-    pub(super) fn set_up(&self) {
+    /// Records that the connection is open.
+    pub(super) fn mark_open(&self) {
         self.state.set(State::Up);
     }
 
@@ -181,33 +184,34 @@
         self.wake.notified().await;
     }
 
-    /// Whether this process has closed it.
+    /// Whether this process has closed the connection.
     pub(super) fn is_closed(&self) -> bool {
         self.state.get() == State::Closed
     }
 
-    /// Whether it is still being dialled.
+    /// Whether the connection is still being dialed.
     pub fn is_dialing(&self) -> bool {
         self.state.get() == State::Dialing
     }
 
-    /// The number of attempts on it.
+    /// The number of attempts on the connection.
     pub fn attempt_count(&self) -> usize {
         self.attempts.borrow().len()
     }
 
-    /// The attempts on it: request and attempt number.
+    /// The attempts on the connection: request id and attempt number of each.
     pub fn attempts(&self) -> Vec<(u64, u32)> {
         self.attempts.borrow().iter().map(|(id, carried)| (*id, carried.attempt)).collect()
     }
 
-    /// The number of a request's attempt that is on it.
+    /// The number of a request's attempt on the connection; `None` if there is none.
     pub fn attempt_of(&self, id: u64) -> Option<u32> {
         self.attempts.borrow().get(&id).map(|carried| carried.attempt)
     }
 
-    /// Queues a command on an attempt, unless the connection is closed. It takes a buffer even beyond the limit of the
-    /// pool: without its cancellation, an attempt would run concurrently with the next one.
+    /// Queues a command on an attempt, unless the connection is closed. The command takes a buffer even
+    /// beyond the limit of the pool: without its cancellation, an attempt would run concurrently with the
+    /// next one.
     pub fn command(&self, pool: &BufferPool, parts: &[&[u8]]) {
         if !self.is_closed() {
             self.queue_command(parts, || Some(pool.get_beyond_limit()));
@@ -222,7 +226,7 @@
         is_queued
     }
 
-    /// Queues the command that sends an attempt; false if the pool has no buffer for it.
+    /// Queues the command that sends an attempt; returns false if the pool has no buffer for it.
     pub fn send(&self, pool: &BufferPool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
         let start = self.queued();
         if !self.queue_command(parts, || pool.get()) {
@@ -235,9 +239,9 @@
         true
     }
 
-    /// Queues a new command for an attempt behind all others, in place of one of which no byte was sent; false if a
-    /// byte was sent. It takes a buffer even beyond the limit of the pool, for the old command's is released once it is
-    /// skipped.
+    /// Replaces the command of an attempt by a new command behind all others; returns false if the connection
+    /// is closed or a byte of the old command was sent. The new command takes a buffer even beyond the limit
+    /// of the pool, because the buffer of the old command is released once the old command is skipped.
     pub fn requeue(&self, pool: &BufferPool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
         if self.is_closed() || self.withdraw(id) != Withdrawal::Complete {
             return false;
@@ -264,12 +268,12 @@
         self.send_queue.borrow().written()
     }
 
-    /// Whether the stream was sent or skipped up to an offset, or ends before it.
+    /// Whether the stream was sent or skipped up to an offset, or the connection is closed.
     pub fn has_passed(&self, offset: u64) -> bool {
         self.written() >= offset || self.is_closed()
     }
 
-    /// Whether the command that sends a request's attempt is not sent completely yet.
+    /// Whether the command that sends a request's attempt is not yet sent completely.
     pub fn is_unsent(&self, id: u64) -> bool {
         let written = self.written();
         let attempts = self.attempts.borrow();
@@ -277,13 +281,13 @@
             && attempts.get(&id).is_some_and(|attempt| !attempt.is_withdrawn && attempt.end > written)
     }
 
-    /// The requests whose attempts are not sent completely yet.
+    /// The ids of the requests whose attempts are not yet sent completely.
     pub fn unsent_ids(&self) -> Vec<u64> {
         self.send_queue.borrow().unsent_ids()
     }
 
-    /// Withdraws the command that sends a request's attempt, if no byte of it was sent: its bytes are skipped.
-    /// Otherwise a connection that opens late would send requests that have their final response.
+    /// Withdraws the command that sends a request's attempt, if no byte of it was sent: its bytes are
+    /// skipped. Otherwise a connection that opens late would send requests that have their final response.
     pub fn withdraw(&self, id: u64) -> Withdrawal {
         if self.attempts.borrow().get(&id).is_some_and(|attempt| attempt.is_withdrawn) {
             return Withdrawal::Complete;
@@ -301,8 +305,8 @@
         Withdrawal::Complete
     }
 
-    /// Removes an attempt that has ended. `is_unserved`: the engine may still answer it, or answer it again as a
-    /// duplicate.
+    /// Removes an attempt that has ended. `is_unserved`: the engine may still answer the attempt, or answer
+    /// it again as a duplicate.
     pub fn release(&self, id: u64, is_unserved: bool) {
         let was_carried = self.attempts.borrow_mut().remove(&id).is_some();
         if was_carried && is_unserved {
@@ -318,12 +322,12 @@
         }
     }
 
-    /// Whether an attempt of a request was on it and ended unserved.
+    /// Whether an attempt of a request ended unserved on the connection.
     pub fn has_ended_unserved(&self, id: u64) -> bool {
         self.unserved.borrow().contains(&id)
     }
 
-    /// Closes it; returns the attempts that were on it.
+    /// Closes the connection; returns the attempts that were on it.
     pub fn close(&self) -> Vec<InterruptedAttempt> {
         self.state.set(State::Closed);
         self.send_queue.borrow_mut().clear();
@@ -338,14 +342,14 @@
         interrupted.collect()
     }
 
-    /// Waits until this process closes it.
+    /// Waits until this process closes the connection.
     pub(super) async fn wait_closed(&self) {
         while !self.is_closed() {
             self.wake.notified().await;
         }
     }
 
-    /// Whether no byte of any attempt on it was sent.
+    /// Whether no byte of any attempt on the connection was sent.
     pub(super) fn has_nothing_in_flight(&self) -> bool {
         let written = self.written();
         self.attempts.borrow().values().all(|attempt| attempt.is_withdrawn || attempt.start >= written)
@@ -361,18 +365,18 @@
         self.send_queue.borrow().next_attempt(from, to)
     }
 
-    /// Skips withdrawn bytes at the head of the stream; returns the offset up to which may be written, if there is a
-    /// limit.
+    /// Skips withdrawn bytes at the head of the stream; returns the offset up to which bytes may be written,
+    /// if there is a limit.
     pub(super) fn skip_withdrawn(&self) -> Option<u64> {
         self.send_queue.borrow_mut().skip_withdrawn()
     }
 
-    /// Advances the written offset; returns the number of attempts that are sent completely by it.
+    /// Advances the written offset by `bytes`; returns the number of attempts that this completes.
     pub(super) fn record_written(&self, bytes: usize) -> u64 {
         self.send_queue.borrow_mut().record_written(bytes)
     }
 
-    /// Whether it has no attempt and is retired or has been inactive for too long.
+    /// Whether the connection has no attempt and is retired or has been inactive for too long.
     pub(super) fn is_idle(&self, limits: &ConnectionLimits) -> bool {
         let max_idle =
             TimeDelta::from_micros((limits.idle_timeout.as_micros() as f64 * IDLE_FRACTION) as i64);
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -1,8 +1,8 @@
 //! The send queue of a connection.
 //!
-//! Input: commands, and the parts of the stream that are withdrawn. Output: buffers to write. State: the buffers not
-//! yet written and the commands that send attempts. Offsets count the bytes of the stream since the connection was
-//! made.
+//! Input: commands, and the parts of the stream that are withdrawn. Output: buffers to write. State: the
+//! buffers not yet written and the commands that send attempts. Offsets count the bytes of the stream since
+//! the connection was made.
 
 use crate::core::buffer_pool::Buffer;
 use crate::proto::resp;
@@ -14,13 +14,13 @@
 /// A command that sends an attempt and was not sent completely.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core) struct UnsentCommand {
-    /// The request.
+    /// Id of the request.
     pub(in crate::core) id: u64,
-    /// The attempt's number, from 0.
+    /// Number of the attempt among its request's attempts, from 0.
     pub(in crate::core) attempt: u32,
-    /// The offset of its first byte.
+    /// Offset of the command's first byte in the stream.
     pub(in crate::core) start: u64,
-    /// The offset behind its last byte.
+    /// Offset after the command's last byte in the stream.
     pub(in crate::core) end: u64,
 }
 
@@ -28,17 +28,17 @@
 #[derive(Debug)]
 pub(in crate::core) struct QueuedBuffer {
     bytes: Buffer,
-    /// The offset of its first byte.
+    /// Offset of the buffer's first byte in the stream.
     start: u64,
 }
 
 impl QueuedBuffer {
-    /// The offset behind its last byte.
+    /// Offset after the buffer's last byte in the stream.
     pub(in crate::core) fn end(&self) -> u64 {
         self.start + self.bytes.len() as u64
     }
 
-    /// Its bytes from an offset on, up to the offset `limit` if there is one.
+    /// The buffer's bytes from offset `from`, up to offset `limit` if there is one.
     pub(in crate::core) fn slice(&self, from: u64, limit: Option<u64>) -> &[u8] {
         let to = limit.map_or(self.end(), |limit| limit.min(self.end()));
         &self.bytes[(from - self.start) as usize..(to - self.start) as usize]
@@ -55,15 +55,15 @@
     written: u64,
     /// Offset up to which buffers were taken off the queue.
     taken: u64,
-    /// Withdrawn parts of the stream: the start and end of each.
+    /// Withdrawn parts of the stream: end offsets by start offset.
     withdrawn: BTreeMap<u64, u64>,
     /// Commands that send attempts and were not sent completely, in the stream's order.
     unsent: VecDeque<UnsentCommand>,
 }
 
 impl SendQueue {
-    /// Queues a command, in the last buffer if it has capacity and otherwise in one from `buffer`; false if there is
-    /// none.
+    /// Queues a command, in the last buffer if it has capacity and otherwise in a buffer from `buffer`;
+    /// returns false if no buffer has capacity.
     pub(super) fn push_command(&mut self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buffer>) -> bool {
         let size = FRAMING_BYTES + parts.iter().map(|part| part.len() + FRAMING_BYTES).sum::<usize>();
         if !self.buffers.back().is_some_and(|last| last.has_capacity(size)) {
@@ -93,7 +93,7 @@
         self.written
     }
 
-    /// The requests whose commands were not sent completely.
+    /// The ids of the requests whose commands were not sent completely.
     pub(super) fn unsent_ids(&self) -> Vec<u64> {
         self.unsent.iter().map(|command| command.id).collect()
     }
@@ -117,7 +117,8 @@
         self.unsent.retain(|command| command.end != end);
     }
 
-    /// Skips withdrawn bytes at the head of the stream; returns the start of the next withdrawn part, if there is one.
+    /// Skips withdrawn bytes at the head of the stream; returns the start of the next withdrawn part, if
+    /// there is one.
     pub(super) fn skip_withdrawn(&mut self) -> Option<u64> {
         while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written) {
             self.written = self.written.max(part.remove());
@@ -125,7 +126,7 @@
         self.withdrawn.first_key_value().map(|(start, _)| *start)
     }
 
-    /// Advances the written offset; returns the number of attempts that are sent completely by it.
+    /// Advances the written offset by `bytes`; returns the number of attempts that this completes.
     pub(super) fn record_written(&mut self, bytes: usize) -> u64 {
         self.written += bytes as u64;
         let mut sent = 0;
@@ -136,7 +137,7 @@
         sent
     }
 
-    /// Drops all commands that are not sent yet.
+    /// Drops all commands that are not yet sent.
     pub(super) fn clear(&mut self) {
         self.buffers.clear();
         self.unsent.clear();
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -20,9 +20,9 @@
     }
 }
 
-/// A late answer to an earlier attempt must not be taken for one to the next.
+/// A late answer to an earlier attempt must not be taken for an answer to the next attempt.
 #[test]
-fn connection_rejects_a_request_whose_attempt_ended_unserved_on_it() {
+fn connection_rejects_a_request_whose_earlier_attempt_ended_unserved_on_it() {
     run_local(async {
         let (core, _engines) = core().await;
         let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
@@ -39,20 +39,20 @@
         let (core, _engines) = core().await;
         let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
         assert!(connection.send(core.pool(), 5, 0, &[b"do"]));
-        let noting = ConnectionLimits { note_interval: TimeDelta::from_millis(1), ..limits() };
+        let limits_with_notes = ConnectionLimits { note_interval: TimeDelta::from_millis(1), ..limits() };
         tokio::time::sleep(Duration::from_millis(20)).await;
-        assert!(!connection.accepts(6, &noting), "three notes are missing");
-        assert!(connection.accepts(6, &limits()), "without progress notes none is missing");
+        assert!(!connection.accepts(6, &limits_with_notes), "three notes are missing");
+        assert!(connection.accepts(6, &limits()), "engines that send no progress notes miss none");
         connection.release(5, false);
-        assert!(connection.accepts(6, &noting), "no attempt is in flight, so no note is missing");
+        assert!(connection.accepts(6, &limits_with_notes), "no attempt is in flight, so no note is missing");
     });
 }
 
-/// The memory limit: an empty pool has no buffer for an attempt, and a released buffer is reused.
+/// The pool limits memory: an empty pool has no buffer for an attempt, and a released buffer is reused.
 #[test]
 fn attempt_needs_a_free_buffer_and_a_cancellation_does_not() {
     let pool = BufferPool::new(1);
-    let only_buffer = pool.get().expect("the only one");
+    let only_buffer = pool.get().expect("the only buffer");
     assert!(pool.get().is_none());
     let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
     assert!(!connection.send(&pool, 1, 0, &[b"do"]) && connection.attempt_count() == 0);
@@ -62,10 +62,11 @@
     drop(only_buffer);
     assert!(connection.send(&pool, 1, 0, &[b"do"]));
     let interrupted = InterruptedAttempt { id: 1, attempt: 0, is_unsent: true };
-    assert_eq!(connection.close(), [interrupted], "it was not sent, so it never ran");
+    assert_eq!(connection.close(), [interrupted], "the attempt was not sent, so it never ran");
 }
 
-/// The ids of the requests that a peer receives, up to the one of `last`; each has a statement of `statement_bytes`.
+/// The ids of the requests that a peer receives, up to `last`. Checks that each has a statement of
+/// `statement_bytes`.
 async fn received_ids(peer: &mut TcpStream, last: u64, statement_bytes: usize) -> Vec<u64> {
     let mut received = Vec::new();
     let mut ids = Vec::new();
@@ -101,18 +102,18 @@
         let owner = Rc::new(PermissiveOwner { pool: pool.clone(), limits: limits() });
         tokio::task::spawn_local(run(owner, Rc::clone(&connection)));
         let (mut peer, _) = listeners[0].accept().await.expect("a connection");
-        // More than the kernel buffers of both sides hold, while the peer reads nothing.
+        // Sends more than the kernel buffers of both sides hold, while the peer reads nothing.
         (4..1_000).for_each(send);
-        let mut before = 0;
-        while connection.is_unsent(1) || before != connection.written() {
-            before = connection.written();
+        let mut written = 0;
+        while connection.is_unsent(1) || written != connection.written() {
+            written = connection.written();
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let unsent: Vec<u64> = (4..1_000).filter(|id| connection.is_unsent(*id)).collect();
         assert!(unsent.len() > 2, "all commands were sent");
         let withdraw = |id: &u64| connection.withdraw(*id);
-        let first = withdraw(&unsent[0]);
-        assert!(matches!(first, Withdrawal::Partial | Withdrawal::Complete));
+        let first_withdrawal = withdraw(&unsent[0]);
+        assert!(matches!(first_withdrawal, Withdrawal::Partial | Withdrawal::Complete));
         let withdrawn: Vec<u64> = unsent[1..].iter().copied().filter(|id| id % 2 == 0).collect();
         assert!(withdrawn.iter().map(withdraw).all(|result| result == Withdrawal::Complete));
         assert_eq!(connection.withdraw(3), Withdrawal::TooLate);
@@ -120,7 +121,7 @@
         let is_expected = |id: &u64| {
             ![0, 2].contains(id)
                 && !withdrawn.contains(id)
-                && (*id != unsent[0] || first == Withdrawal::Partial)
+                && (*id != unsent[0] || first_withdrawal == Withdrawal::Partial)
         };
         assert_eq!(ids, (0..1_000).filter(is_expected).collect::<Vec<_>>());
     });
@@ -142,16 +143,16 @@
         let owner = Rc::new(PermissiveOwner { pool: pool.clone(), limits: limits() });
         tokio::task::spawn_local(run(owner, Rc::clone(&connection)));
         let (_peer, _) = listeners[0].accept().await.expect("a connection");
-        let mut before = u64::MAX;
-        while before != connection.written() {
-            before = connection.written();
+        let mut written = u64::MAX;
+        while written != connection.written() {
+            written = connection.written();
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let waiting = connection.unsent_ids();
-        assert!(!waiting.is_empty(), "all commands were sent");
-        let ended = connection.close();
-        for attempt in ended {
-            assert_eq!(attempt.is_unsent, waiting.contains(&attempt.id), "request {}", attempt.id);
+        let unsent = connection.unsent_ids();
+        assert!(!unsent.is_empty(), "all commands were sent");
+        let interrupted = connection.close();
+        for attempt in interrupted {
+            assert_eq!(attempt.is_unsent, unsent.contains(&attempt.id), "request {}", attempt.id);
         }
     });
 }
@@ -164,12 +165,12 @@
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let listener = socket.listen(0).expect("listening");
         let address = listener.local_addr().expect("an address");
-        // Until a further connection is not accepted: the listen queue is full then.
+        // Connects until a further connection is not accepted, because the listen queue is full.
         let mut filler = Vec::new();
-        while let Ok(Ok(one)) =
+        while let Ok(Ok(stream)) =
             tokio::time::timeout(Duration::from_millis(200), TcpStream::connect(address)).await
         {
-            filler.push(one);
+            filler.push(stream);
             assert!(filler.len() < 16);
         }
         let owner = Rc::new(PermissiveOwner {
@@ -183,7 +184,7 @@
         connection.close();
         tokio::time::timeout(Duration::from_secs(60), dial)
             .await
-            .expect("it ends in time")
+            .expect("the dial ends in time")
             .expect("no panic");
     });
 }
--- a/src/core/socket.rs
+++ b/src/core/socket.rs
@@ -1,10 +1,11 @@
 //! TCP connections that wait for readiness only after a call that would block.
 //!
-//! tokio's own streams take a read or write of fewer bytes than requested as a sign that the socket is empty or full,
-//! and wait for the next readiness event. If the socket is not, that event never arrives, and the reader or writer
-//! waits until its timeout: a signal may shorten a call, and the end of a stream that arrives with the last bytes may
-//! be reported by a separate flag, which not every layer below a program passes on. A call that a signal interrupts
-//! before it has transferred a byte is repeated. Nothing is kept beside the socket.
+//! tokio's own streams treat a read or write of fewer bytes than requested as evidence that the socket is
+//! empty or full, and wait for the next readiness event. If the socket is neither, that event never arrives,
+//! and the reader or writer waits until its timeout. This happens because a signal may shorten a call, and
+//! because the end of a stream that arrives with the last bytes may be reported by a separate flag, which not
+//! every layer below a program passes on. A call that a signal interrupts before it has transferred a byte is
+//! repeated. State: only the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -13,11 +14,11 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::TcpStream;
 
-/// A TCP connection.
+/// A TCP connection whose reads and writes are tried before it waits for readiness.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
-/// The reading half of a TCP connection.
+/// The reading half of a TCP connection, with the same behaviour as [`Socket`].
 #[derive(Debug)]
 pub struct SocketReader(OwnedReadHalf);
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Repeats a call until it is not interrupted.
+/// Repeats a system call for as long as a signal interrupts it.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Reads what is available.
+/// Reads the available bytes.
 fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
