--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -1,7 +1,7 @@
 //! The client of the control feed: one HTTP/1.1 poll at a time, which continues after the last event applied.
 //!
-//! Input: the address of the feed, and the events of its responses. Output: endpoint lists, applied to the [`Core`].
-//! State: nothing; [`super::endpoint_watch`] decides when to poll and when to give a poll up.
+//! Input: the address of the feed, and the events of its responses. Output: endpoint lists, applied to the
+//! [`Core`]. State: none; [`super::endpoint_watch`] decides when to poll and when a poll times out.
 
 use super::endpoint_watch::{EndpointWatch, UnexpectedStatus};
 use super::socket::Socket;
@@ -24,11 +24,11 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, warn};
 
-/// Size of the read buffer of a poll in bytes, and so the limit on the head of a response. It is the smallest size that
-/// the library accepts.
+/// Size of the read buffer of a poll in bytes, which also limits the head of a response. It is the smallest
+/// size that the library accepts.
 const READ_AHEAD_BYTES: usize = 8192;
 
-/// Why a poll ended before its response did.
+/// Why a poll ended before its response was complete.
 #[derive(Debug, thiserror::Error)]
 enum PollError {
     #[error("{0}")]
@@ -47,8 +47,9 @@
     Event(#[source] events::EventError),
 }
 
-/// Watches the endpoint list without end, one poll at a time. If the address of the feed changes, the new one is polled
-/// at once and the poll of the old one is dropped. A start-up `schedule` sets the times of polls and their backoffs.
+/// Watches the endpoint list without end, one poll at a time. If the address of the feed changes, the new
+/// address is polled at once and the poll of the old address is dropped. A start-up `schedule` sets the times
+/// of polls and their backoffs.
 pub async fn follow(
     core: Rc<Core>,
     mut address: watch::Receiver<Option<String>>,
@@ -66,7 +67,7 @@
     }
 }
 
-/// A backoff and the poll after it.
+/// Waits for the end of the backoff, then polls the feed once and logs why the poll ended.
 async fn wait_and_poll(core: &Rc<Core>, address: Option<&str>, watch: &mut EndpointWatch) {
     let Some(address) = address else { return std::future::pending().await };
     sleep(to_duration(watch.time_left(now()))).await;
@@ -93,7 +94,7 @@
     }
 }
 
-/// An error with its causes, on one line.
+/// The text of an error and its causes, on one line.
 fn with_causes(error: &dyn Error) -> String {
     let causes = std::iter::successors(error.source(), |cause| (*cause).source());
     causes.fold(error.to_string(), |text, cause| format!("{text}: {cause}"))
@@ -104,7 +105,8 @@
     let stream = within(watch, TcpStream::connect(address)).await?;
     watch.on_connected(now());
     let mut client = http1::Builder::new();
-    // Only the status and the framing of the response are used. A poll is short enough for one plain write.
+    // Only the status and the framing of the response are used. The request is short enough for one plain
+    // write.
     client.max_buf_size(READ_AHEAD_BYTES).ignore_invalid_headers_in_responses(true).writev(false);
     let (mut sender, connection) =
         within(watch, client.handshake::<_, Empty<Bytes>>(TokioIo::new(Socket::new(stream)))).await?;
@@ -154,8 +156,8 @@
     Ok(())
 }
 
-/// Applies one event; returns an error if a further poll has to request it again. The number of the event, from which
-/// the next poll continues, overrides the one in its data.
+/// Applies one event; returns an error if the next poll has to request the event again. The number of the
+/// event, from which the next poll continues, overrides the one in its data.
 fn apply(core: &Rc<Core>, event: &sse::ServerSentEvent, watch: &mut EndpointWatch) -> Result<(), PollError> {
     let last_event = core.last_event();
     match events::parse(&event.data) {
@@ -164,7 +166,7 @@
             core.on_endpoint_list(&list, false);
         }
         Ok(None) => event.id.into_iter().for_each(|number| core.skip_event(number)),
-        // The event was applied before; nothing is lost by a damaged copy.
+        // The event was already applied, so a damaged copy loses nothing.
         Err(_) if event.id.is_some_and(|number| number <= last_event) => {}
         Err(error) if watch.should_retry_event(event.id) => return Err(PollError::Event(error)),
         // An unreadable event would otherwise stop every poll.
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! Duplicate entries in an update of the endpoint list. A list enters and leaves; nothing is kept.
+//! Removes duplicate entries from an update of the endpoint list. Stateless.
 
 use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use std::collections::BTreeMap;
 
-/// Keeps one entry of each engine that a list names more than once: the one with the most severe phase, and of several
-/// such entries the last.
+/// Keeps one entry of each engine that a list names more than once: the last entry with the most severe
+/// phase.
 pub(super) fn resolve_duplicates(list: &mut ListEvent) {
     let mut max_severity: BTreeMap<String, u8> = BTreeMap::new();
     for member in &list.members {
@@ -20,7 +20,7 @@
     list.members = members;
 }
 
-/// The severity of an entry's phase: the higher, the fewer attempts its engine may get.
+/// The severity of an entry's phase: the higher the severity, the fewer attempts the engine may get.
 fn severity_of(member: &Endpoint) -> u8 {
     match member.phase {
         EndpointPhase::Ready => 0,
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,29 +1,32 @@
-//! The state machine of the endpoint watch: when the control feed is polled, when a poll times out, and which events
-//! are requested again. The `endpoint_client` module drives it. It reads no clock and draws no random numbers.
+//! The state machine of the endpoint watch: when the control feed is polled, when a poll times out, and which
+//! events are requested again. The `endpoint_client` module drives it. It reads no clock and draws no random
+//! numbers.
 //!
-//! Input: what a poll has reached, at an instant given by the caller. Output: the time left until the next step, and
-//! whether an unreadable event is requested again. State: the phase of the poll, each with a timeout, and the backoff.
+//! Input: the progress of a poll, with the current time from the caller. Output: the time left until the next
+//! step, and whether an unreadable event is requested again. State: the phase of the poll, each with a
+//! timeout, and the backoff.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::endpoint_poller::{EndpointPoller, PollOutcome};
 
-/// Shortest backoff between two polls. The events of the feed count as delivered even while no poll is open, and a
-/// drain must be obeyed within 500 ms, so the backoffs have to stay well below that.
+/// Shortest backoff between two polls. The events of the feed count as delivered even while no poll is open,
+/// and a drain must be obeyed within 500 ms, so the backoffs have to stay well below that.
 pub const MIN_BACKOFF: TimeDelta = TimeDelta::from_millis(20);
 /// Longest backoff between two polls.
 pub const MAX_BACKOFF: TimeDelta = TimeDelta::from_millis(250);
-/// Time without a byte after which a response is given up. The feed sends a comment each second.
+/// Time without a byte after which a response times out. The feed sends one comment per second.
 pub const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_500);
-/// Time between two complete events or comments after which a response is given up, for single bytes could keep it open
-/// without end. Longer than [`IDLE_TIMEOUT`], because a long list may arrive in several parts.
+/// Time between two complete events or comments after which a response times out; otherwise single bytes
+/// could keep it open without end. Longer than [`IDLE_TIMEOUT`], because a long list may arrive in several
+/// parts.
 pub const EVENT_TIMEOUT: TimeDelta = TimeDelta::from_secs(4);
 /// Timeout of the head of a response, if the previous poll was answered. After an unanswered poll it is
 /// [`IDLE_TIMEOUT`], so that a slow feed can still answer.
 pub const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
-/// Timeout of a connection to the feed.
+/// Timeout of a dial of the feed.
 pub const DIAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
-/// Times that an unreadable event is requested again before it is skipped. If it was damaged in transit, a further copy
-/// may be intact.
+/// Number of times that an unreadable event is requested again before it is skipped. If it was damaged in
+/// transit, a further copy may be intact.
 pub const MAX_EVENT_RETRIES: u32 = 3;
 
 /// HTTP status of a response with events (RFC 9110, 15.3.1).
@@ -38,26 +41,26 @@
 enum Phase {
     /// Between two polls.
     BackingOff {
-        /// When the next poll begins.
+        /// Time at which the next poll begins.
         until: Timestamp,
-        /// The length of this backoff.
+        /// Length of the backoff.
         delay: TimeDelta,
     },
     /// A connection is being made.
     Dialing {
-        /// When the dial began.
+        /// Time at which the dial began.
         since: Timestamp,
     },
     /// The request was sent; no response has arrived.
     AwaitingResponse {
-        /// When the request was sent.
+        /// Time at which the request was sent.
         since: Timestamp,
     },
     /// The response is being read.
     Reading {
-        /// When the last byte arrived.
+        /// Time at which the last byte arrived.
         last_byte_at: Timestamp,
-        /// When the last event or comment was complete.
+        /// Time at which the last event or comment was complete.
         last_event_at: Timestamp,
     },
 }
@@ -65,30 +68,30 @@
 /// The backoff after a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// Its length.
+    /// Length of the backoff.
     pub delay: TimeDelta,
-    /// The feed rejected the poll, and the start-up schedule set the delay for that.
+    /// Whether the feed rejected the poll and the start-up schedule set the delay for that.
     pub was_rejected: bool,
 }
 
-/// The state of the endpoint watch. A start-up schedule, if there is one, sets the time of the first poll and the
-/// backoffs.
+/// The state of the endpoint watch. A start-up schedule, if there is one, sets the time of the first poll and
+/// the backoffs.
 #[derive(Clone, Debug)]
 pub struct EndpointWatch {
     phase: Phase,
     schedule: Option<EndpointPoller>,
     backoff: TimeDelta,
     was_rejected: bool,
-    /// The number of the last unreadable event.
+    /// Number of the last unreadable event; 0 if there was none.
     unreadable_event: u64,
-    /// How often that event was unreadable.
+    /// Number of times that the last unreadable event was unreadable.
     unreadable_count: u32,
-    /// How often an event without a number was unreadable since the last event that was applied.
+    /// Number of unreadable events without a number since the last event that was applied.
     unnumbered_unreadable_count: u32,
 }
 
 impl EndpointWatch {
-    /// A watch that starts now.
+    /// Creates a watch that starts at `now`.
     pub fn new(schedule: Option<EndpointPoller>, now: Timestamp) -> EndpointWatch {
         let until = schedule.as_ref().and_then(EndpointPoller::next_poll_at).unwrap_or(now);
         EndpointWatch {
@@ -102,8 +105,8 @@
         }
     }
 
-    /// The time until the phase ends if nothing happens: a backoff is over then, or the poll has timed out. Never
-    /// negative, and never longer than the timeout of the phase, even if the clock is set back.
+    /// The time until the phase ends if nothing happens: the backoff is then over, or the poll has timed out.
+    /// Never negative, and never longer than the timeout of the phase, even if the clock is set back.
     pub fn time_left(&self, now: Timestamp) -> TimeDelta {
         let (until, bound) = match self.phase {
             Phase::BackingOff { until, delay } => (until, delay),
@@ -127,7 +130,7 @@
         }
     }
 
-    /// A poll begins.
+    /// Records that a poll begins.
     pub fn on_poll_started(&mut self, now: Timestamp) {
         if let Some(schedule) = &mut self.schedule {
             schedule.try_start(now);
@@ -136,15 +139,15 @@
         self.was_rejected = false;
     }
 
-    /// The connection is up and the request is sent.
+    /// Records that the connection is open and the request is being sent.
     pub fn on_connected(&mut self, now: Timestamp) {
         self.phase = Phase::AwaitingResponse { since: now };
     }
 
-    /// The head of a response arrived, with this status.
+    /// Records that the head of a response arrived, with this status.
     ///
     /// # Errors
-    /// If the status is not 200, the only one with events: the poll is over. 429 and 503 reject the poll.
+    /// If the status is not 200, the only status with events: the poll is over. 429 and 503 reject the poll.
     pub fn on_response(&mut self, status: u16, now: Timestamp) -> Result<(), UnexpectedStatus> {
         self.was_rejected = matches!(status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
         if status != STATUS_OK {
@@ -154,7 +157,7 @@
         Ok(())
     }
 
-    /// Bytes of a response arrived; `completes_event`: they complete an event or a comment.
+    /// Records that bytes of a response arrived. `completes_event`: they complete an event or a comment.
     pub fn on_bytes(&mut self, completes_event: bool, now: Timestamp) {
         if let Phase::Reading { last_byte_at, last_event_at } = &mut self.phase {
             *last_byte_at = now;
@@ -164,9 +167,9 @@
         }
     }
 
-    /// An event was unreadable. Whether the poll is given up and the event requested again; otherwise it is skipped.
-    /// Events without a number share one counter of their own: two unreadable events in one response must not reset
-    /// each other's.
+    /// Records that an event was unreadable. Returns whether the poll ends and the event is requested again;
+    /// otherwise the event is skipped. Events without a number share a separate counter: two unreadable
+    /// events in one response must not reset each other's count.
     pub fn should_retry_event(&mut self, event: Option<u64>) -> bool {
         let count = match event {
             Some(number) => {
@@ -182,13 +185,14 @@
         *count <= MAX_EVENT_RETRIES
     }
 
-    /// A new event was applied.
+    /// Records that a new event was applied.
     pub fn on_event_applied(&mut self) {
         self.unnumbered_unreadable_count = 0;
     }
 
-    /// The poll has ended. Backoffs double with each unanswered poll and are reset by an answered one, even without an
-    /// event: the feed may end a response at any time.
+    /// Records that the poll has ended; returns the backoff before the next poll. Backoffs double with each
+    /// unanswered poll and are reset by an answered poll, even without an event: the feed may end a response
+    /// at any time.
     pub fn on_poll_ended(&mut self, now: Timestamp) -> Backoff {
         let was_answered = matches!(self.phase, Phase::Reading { .. });
         self.backoff =
@@ -207,7 +211,8 @@
         backoff
     }
 
-    /// The address of the feed has changed: it is polled at once, and a poll of the old address is dropped.
+    /// Records that the address of the feed has changed: the new address is polled at once, and a poll of the
+    /// old address is dropped.
     pub fn on_address_changed(&mut self, now: Timestamp) {
         if !matches!(self.phase, Phase::BackingOff { .. }) {
             if let Some(schedule) = &mut self.schedule {
@@ -219,7 +224,7 @@
     }
 }
 
-/// A response without events.
+/// The HTTP status of a response without events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field status is not 200: {0}")]
 pub struct UnexpectedStatus(pub u16);
--- a/src/core/endpoint_watch/tests.rs
+++ b/src/core/endpoint_watch/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the endpoint watch with feeds of every behaviour, in virtual time.
+//! Tests of the endpoint watch with generated and fixed behaviours of the feed, in virtual time.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,29 +9,36 @@
 #[derive(Clone, Debug)]
 struct FeedBehavior {
     dial_delay: i64,
-    /// The delay of the head of its response, and the status.
+    /// Delay of the head of the response, and the HTTP status.
     response: (i64, u16),
     event_gaps: Vec<i64>,
-    /// The number of steps after which the feed's address changes, if it does.
-    moves: Option<usize>,
+    /// Number of steps after which the feed's address changes; `None` if it does not change.
+    address_changes_after: Option<usize>,
 }
 
 /// Spans shorter and longer than a bound, in microseconds.
 fn around(bound: TimeDelta) -> impl Strategy<Value = i64> {
-    prop_oneof![4 => 0..bound.as_micros() / 10, 1 => bound.as_micros() - 2..bound.as_micros() + 2, 1 => Just(i64::MAX / 4)]
+    let micros = bound.as_micros();
+    prop_oneof![4 => 0..micros / 10, 1 => micros - 2..micros + 2, 1 => Just(i64::MAX / 4)]
 }
 
 fn feed_behavior() -> impl Strategy<Value = FeedBehavior> {
     let status =
         prop_oneof![6 => Just(200u16), 1 => Just(503), 1 => Just(429), 1 => Just(302), 1 => Just(500)];
     let event_gaps = proptest::collection::vec(around(IDLE_TIMEOUT), 0..6);
-    let moves = proptest::option::weighted(0.1, 0usize..4);
-    (around(DIAL_TIMEOUT), (around(IDLE_TIMEOUT), status), event_gaps, moves).prop_map(
-        |(dial_delay, response, event_gaps, moves)| FeedBehavior { dial_delay, response, event_gaps, moves },
+    let address_changes_after = proptest::option::weighted(0.1, 0usize..4);
+    (around(DIAL_TIMEOUT), (around(IDLE_TIMEOUT), status), event_gaps, address_changes_after).prop_map(
+        |(dial_delay, response, event_gaps, address_changes_after)| FeedBehavior {
+            dial_delay,
+            response,
+            event_gaps,
+            address_changes_after,
+        },
     )
 }
 
-/// Advances the time by `span`, or to the timeout of the phase if that is earlier; returns `false` for a timeout.
+/// Advances the time by `span`, or to the timeout of the phase if that is earlier; returns `false` for a
+/// timeout.
 fn step(watch: &EndpointWatch, now: &mut Timestamp, span: i64) -> bool {
     let time_left = watch.time_left(*now);
     let is_in_time = TimeDelta::from_micros(span) <= time_left;
@@ -49,12 +56,12 @@
 /// Simulates one poll from its start.
 fn simulate_poll(watch: &mut EndpointWatch, now: &mut Timestamp, feed: &FeedBehavior) -> PollEnd {
     let mut steps = 0;
-    let mut moves = || {
+    let mut address_changes = || {
         steps += 1;
-        feed.moves == Some(steps - 1)
+        feed.address_changes_after == Some(steps - 1)
     };
     watch.on_poll_started(*now);
-    if moves() {
+    if address_changes() {
         return PollEnd::AddressChanged;
     }
     if !step(watch, now, feed.dial_delay) {
@@ -62,7 +69,7 @@
         return PollEnd::Completed(None);
     }
     watch.on_connected(*now);
-    if moves() {
+    if address_changes() {
         return PollEnd::AddressChanged;
     }
     if !step(watch, now, feed.response.0) {
@@ -73,7 +80,7 @@
         return PollEnd::Completed(Some(feed.response.1));
     }
     for gap in &feed.event_gaps {
-        if moves() {
+        if address_changes() {
             return PollEnd::AddressChanged;
         }
         if !step(watch, now, *gap) {
@@ -84,10 +91,11 @@
     PollEnd::Completed(Some(200))
 }
 
-/// A drain must be obeyed in time: whatever the feed does, the backoff after a poll that was not rejected is at most
-/// 250 ms, no poll lasts longer than its timeouts, and a feed whose address has changed is polled at once.
+/// A drain must be obeyed in time: for any behaviour of the feed, the backoff after a poll that was not
+/// rejected is at most 250 ms, no poll lasts longer than its timeouts, and a feed whose address has changed
+/// is polled at once.
 #[test]
-fn poll_follows_within_the_backoff_whatever_the_feed_does() {
+fn next_poll_starts_within_the_maximum_backoff_for_any_feed_behavior() {
     let runner = TestRunner::new(Config {
         cases: 500,
         failure_persistence: None,
@@ -96,11 +104,12 @@
         ..Config::default()
     });
     let cases = (proptest::collection::vec(feed_behavior(), 1..40), any::<bool>(), any::<u64>());
-    let run = { runner }.run(&cases, |(feeds, scheduled, seed)| check_polls(&feeds, scheduled, seed));
-    run.expect("the property holds");
+    let result = { runner }.run(&cases, |(feeds, scheduled, seed)| check_polls(&feeds, scheduled, seed));
+    result.expect("the property holds");
 }
 
-/// Simulates one poll for each feed behaviour, with or without a start-up schedule, and checks the backoff after each.
+/// Simulates one poll for each feed behaviour, with or without a start-up schedule, and checks the backoff
+/// after each.
 fn check_polls(feeds: &[FeedBehavior], scheduled: bool, seed: u64) -> Result<(), TestCaseError> {
     let mut now = Timestamp::from_secs(1_000_000);
     let schedule = scheduled.then(|| EndpointPoller::new(EndpointPollerConfig::default(), 300, seed, now));
@@ -113,7 +122,7 @@
     for feed in feeds {
         now = now + watch.time_left(now);
         prop_assert_eq!(watch.time_left(now), TimeDelta::ZERO);
-        let began = now;
+        let poll_started_at = now;
         let end = simulate_poll(&mut watch, &mut now, feed);
         if end == PollEnd::AddressChanged {
             watch.on_address_changed(now);
@@ -125,9 +134,9 @@
             expected_backoff = MIN_BACKOFF;
             continue;
         }
-        let longest =
+        let max_duration =
             DIAL_TIMEOUT.as_micros() + IDLE_TIMEOUT.as_micros() * (feed.event_gaps.len() as i64 + 2);
-        prop_assert!((now - began).as_micros() <= longest, "a poll ends within its timeouts");
+        prop_assert!((now - poll_started_at).as_micros() <= max_duration, "a poll ends within its timeouts");
         let backoff = watch.on_poll_ended(now);
         prop_assert_eq!(backoff.delay, watch.time_left(now), "the time left is the backoff");
         let was_rejected = matches!(end, PollEnd::Completed(Some(429 | 503)));
@@ -151,7 +160,8 @@
     Ok(())
 }
 
-/// A feed that often ends its responses without an event must be polled again well before a drain has to be obeyed.
+/// A feed that often ends its responses without an event must be polled again well before a drain has to be
+/// obeyed.
 #[test]
 fn backoff_grows_only_while_polls_are_not_answered() {
     let mut now = Timestamp::ZERO;
@@ -172,7 +182,7 @@
     assert_eq!(poll(Some(200)), 20);
 }
 
-/// An unreadable event must not stop every poll, and one that was damaged in transit must not be lost.
+/// An unreadable event must not end every poll, and an event that was damaged in transit must not be lost.
 #[test]
 fn unreadable_event_is_requested_again_three_times() {
     let mut watch = EndpointWatch::new(None, Timestamp::ZERO);
@@ -182,7 +192,7 @@
     }
 }
 
-/// The failure of a poll after the feed became silent.
+/// How a poll fails after the feed has become silent.
 #[derive(Clone, Copy, Debug)]
 enum FailedPoll {
     /// No connection is made.
@@ -193,7 +203,8 @@
     EventsMissing,
 }
 
-/// The time from the last event of a silent feed until a poll is answered, if these polls fail before.
+/// The time from the last event of a silent feed until the next answered poll starts, if these polls fail
+/// before it.
 fn time_until_answered(failed_polls: &[FailedPoll]) -> TimeDelta {
     let mut now = Timestamp::ZERO;
     let mut watch = EndpointWatch::new(None, now);
@@ -221,15 +232,15 @@
     now - Timestamp::ZERO
 }
 
-/// An event of the feed counts as delivered after 7 s, whether it arrived or not: failed polls must take less time than
-/// that.
+/// An event of the feed counts as delivered after 7 s, even if it did not arrive: the next poll has to start
+/// before that, even after failed polls.
 #[test]
 fn silent_feed_is_polled_again_before_its_events_count_as_delivered() {
     use FailedPoll::{ConnectionFailed, EventsMissing, ResponseMissing};
-    let ms = |failed_polls: &[FailedPoll]| time_until_answered(failed_polls).as_millis();
-    assert_eq!(ms(&[]), 2_520);
+    let millis = |failed_polls: &[FailedPoll]| time_until_answered(failed_polls).as_millis();
+    assert_eq!(millis(&[]), 2_520);
     assert_eq!(
-        (ms(&[ConnectionFailed]), ms(&[ResponseMissing]), ms(&[EventsMissing])),
+        (millis(&[ConnectionFailed]), millis(&[ResponseMissing]), millis(&[EventsMissing])),
         (3_060, 4_060, 5_040)
     );
     for failed_polls in [
@@ -240,12 +251,12 @@
         &[EventsMissing, ConnectionFailed],
         &[ConnectionFailed; 5],
     ] {
-        assert!(ms(failed_polls) < 7_000, "{failed_polls:?}: {} ms", ms(failed_polls));
+        assert!(millis(failed_polls) < 7_000, "{failed_polls:?}: {} ms", millis(failed_polls));
     }
 }
 
-/// A response of single bytes completes no event and must time out. A comment each second keeps it open, also while a
-/// long event arrives in parts.
+/// A response of single bytes completes no event and must time out. A comment per second keeps it open, even
+/// while a long event arrives in parts.
 #[test]
 fn response_that_completes_no_event_times_out() {
     let mut now = Timestamp::ZERO;
@@ -253,23 +264,30 @@
     watch.on_poll_started(now);
     watch.on_connected(now);
     watch.on_response(200, now).expect("answered");
-    for i in 1..=40 {
+    for half_second in 1..=40 {
         now = now + TimeDelta::from_millis(500);
-        assert!(watch.time_left(now - TimeDelta::from_micros(1)) > TimeDelta::ZERO, "half second {i}");
-        watch.on_bytes(i % 7 == 0, now);
+        assert!(
+            watch.time_left(now - TimeDelta::from_micros(1)) > TimeDelta::ZERO,
+            "half second {half_second}"
+        );
+        watch.on_bytes(half_second % 7 == 0, now);
     }
     let half_seconds = (1..100).take_while(|_| {
         now = now + TimeDelta::from_millis(500);
         watch.on_bytes(false, now);
         watch.time_left(now) > TimeDelta::ZERO
     });
-    assert_eq!(half_seconds.count(), 2, "the third one is 4 s after the 35th half second");
+    assert_eq!(
+        half_seconds.count(),
+        2,
+        "the third one ends 4 s after half second 35, the last with a complete event"
+    );
     assert_eq!(watch.timeout_reason(), "silent");
 }
 
 /// A clock that is set back by an hour must not keep the feed from being polled for that hour.
 #[test]
-fn clock_that_is_set_back_prolongs_no_phase() {
+fn clock_set_back_does_not_prolong_a_phase() {
     let late = Timestamp::from_secs(10_000);
     let mut watch = EndpointWatch::new(None, late);
     let early = late - TimeDelta::from_secs(3_600);
