--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -1,4 +1,4 @@
-//! [`Core`]: what the fronts and the drivers of the program call.
+//! [`Core`]: the interface of the core for the fronts and the drivers of the program.
 
 use super::buffer_pool::BufferPool;
 use super::clock::{now, to_duration};
@@ -25,10 +25,10 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, Notify};
 
-/// Longest time that [`Core::run`] sleeps when nothing is due, in real time.
+/// Longest time for which [`Core::run`] sleeps when nothing is due, in real time.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// The settings and shared resources with which a [`Core`] starts.
+/// Settings and shared resources of a new [`Core`].
 #[derive(Debug)]
 pub struct CoreConfig {
     /// Settings of the policy.
@@ -41,9 +41,9 @@
     pub kinds: Vec<String>,
     /// Bounds and timeouts of connections to engines.
     pub limits: ConnectionLimits,
-    /// The pool of buffers.
+    /// The pool of buffers for requests, results and connections.
     pub pool: BufferPool,
-    /// The metrics.
+    /// The metrics in which requests and violations are counted.
     pub metrics: Metrics,
 }
 
@@ -65,14 +65,15 @@
 }
 
 impl RequestHandle {
-    /// Cancels the request because its client asked for that: it counts as failed, not as abandoned.
+    /// Cancels the request because its client requested that. The request counts as failed, not as abandoned.
     pub fn cancel(mut self) {
         self.was_cancelled = true;
     }
 
-    /// The final response.
+    /// Waits for the final response.
     pub async fn wait(&mut self) -> Response {
-        // The sender stays in the request table until it is used, so the receiver never fails; this is its fallback.
+        // The sender stays in the request table until it is used, so the receiver never fails. This response
+        // is a fallback.
         let lost = Response::Failed { reason: UnservedReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
         (&mut self.response).await.unwrap_or(lost)
     }
@@ -86,7 +87,7 @@
 }
 
 impl Core {
-    /// A core that knows no engine yet.
+    /// Creates a core without engines.
     pub fn new(config: CoreConfig) -> Rc<Core> {
         let CoreConfig { settings, seed, zones, kinds, limits, pool, metrics } = config;
         let coordinator = Coordinator::new(CoordinatorConfig { settings, seed, zones, kinds }, &metrics);
@@ -94,36 +95,37 @@
     }
 
     /// Enables start-up control: of dials, admission, endpoint lists and readiness. `name` is this manager's
-    /// configured name. To be called before the first endpoint list, so that the list guard sees all of them.
+    /// configured name. Must be called before the first endpoint list, so that the list guard sees every
+    /// list.
     pub fn enable_startup_control(&self, settings: &StartupConfig, name: &str) {
         self.coordinator.borrow_mut().enable_startup_control(settings, name);
         self.wake.notify_one();
     }
 
-    /// The control feed has answered a poll.
+    /// Records that the control feed has answered a poll.
     pub fn on_control_feed_answered(&self) {
         if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
             startup.record_feed_answer();
         }
     }
 
-    /// Starts to count the facts that are gossiped to other managers.
+    /// Starts counting the facts that are gossiped to other managers.
     pub fn enable_gossip(&self, windows: GossipWindows) {
         self.coordinator.borrow_mut().enable_gossip(windows);
     }
 
-    /// The current gossip payload; `None` where gossip is off.
+    /// The current gossip payload; `None` if gossip is off.
     pub fn gossip_payload(&self) -> Option<GossipPayload> {
         self.coordinator.borrow_mut().gossip_payload()
     }
 
-    /// The view of the fleet has changed: its managers, this one included, and the retries that the others leave to
-    /// this one over its own retry budget.
+    /// Sets the number of managers, this one included, and the retries that the other managers leave to this
+    /// manager in addition to its own retry budget.
     pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_retries: f64) {
         self.coordinator.borrow_mut().set_fleet(self, managers, spare_retries);
     }
 
-    /// Sets the number of this manager's processes, among which its part of the fleet is divided.
+    /// Sets the number of this manager's processes, among which its share of the fleet is divided.
     pub fn set_process_count(self: &Rc<Self>, processes: u32) {
         self.coordinator.borrow_mut().set_process_count(self, processes);
     }
@@ -134,7 +136,7 @@
         self.wake.notify_one();
     }
 
-    /// Replaces the other managers' observations; `observers` is called only where failover is on.
+    /// Replaces the other managers' observations; `observers` is called only if failover is on.
     pub fn set_observers(&self, observers: impl FnOnce() -> Vec<Observer>) {
         self.coordinator.borrow_mut().set_observers(observers);
     }
@@ -149,7 +151,7 @@
         &self.metrics
     }
 
-    /// Pending requests.
+    /// The number of pending requests.
     pub fn pending_requests(&self) -> usize {
         self.coordinator.borrow().requests.len()
     }
@@ -159,30 +161,32 @@
         self.coordinator.borrow().engines.last_event()
     }
 
-    /// Records the number of an event that changes nothing here, so that the next poll starts after it.
+    /// Records the number of an event that changes nothing in this process, so that the next poll starts
+    /// after it.
     pub fn skip_event(&self, event: u64) {
         self.coordinator.borrow_mut().engines.skip_event(event);
     }
 
-    /// Applies an event of the endpoint list. `is_cached`: the list was stored before this process started and
-    /// may be out of date.
+    /// Applies an event of the endpoint list. `is_cached`: the list was stored before this process started
+    /// and may be out of date.
     pub fn on_endpoint_list(self: &Rc<Self>, list: &ListEvent, is_cached: bool) {
         self.coordinator.borrow_mut().on_endpoint_list(self, list, is_cached);
     }
 
-    /// A random id; two of one process are equal only by chance.
+    /// Generates a random id. Two ids of one process are equal only by chance.
     pub fn generate_id(&self) -> u64 {
         self.coordinator.borrow_mut().generate_id()
     }
 
-    /// Records the policy's events and actions from now on; `None` ends that and waits a little for the writer.
+    /// Sets the recorder of the policy's further events and actions; `None` stops the recording and waits a
+    /// little for the writer.
     pub fn set_recorder(&self, recorder: Option<Recorder>) {
         let previous = self.coordinator.borrow_mut().set_recorder(recorder);
-        // Dropped after the borrow has ended: this waits for the writer.
+        // Dropped after the borrow has ended, because the drop waits for the writer.
         drop(previous);
     }
 
-    /// Submits a request. `None` if its id is pending or was recently used for another statement.
+    /// Submits a request; returns `None` if its id is pending or was recently used for another statement.
     pub fn submit(self: &Rc<Self>, request: Request) -> Option<RequestHandle> {
         let id = request.spec.id;
         let class = request.spec.class;
@@ -191,28 +195,28 @@
         Some(RequestHandle { core: Rc::clone(self), id, response, was_cancelled: false })
     }
 
-    /// Sets the instant from which on this process rejects all requests and sends nothing to an engine.
+    /// Sets the time from which this process rejects all requests and sends nothing to an engine.
     pub fn set_shutdown_deadline(&self, deadline: Timestamp) {
         self.coordinator.borrow_mut().set_shutdown_deadline(deadline);
     }
 
-    /// Gives every pending request its final response now, because this process shuts down, as
-    /// `shutdown_response` chooses it. Returns their number.
+    /// Gives every pending request its final response now, because this process is shutting down;
+    /// `shutdown_response` chooses the response. Returns the number of requests.
     pub fn complete_all(self: &Rc<Self>) -> usize {
         self.coordinator.borrow_mut().complete_all(self)
     }
 
-    /// Counts a violation that was observed outside of the core. `detail`: ids and values for the log.
+    /// Counts a violation that was detected outside the core. `detail`: ids and values for the log.
     pub fn record_violation(&self, rule: Invariant, detail: &str) {
         self.coordinator.borrow().monitor.record_violation(now(), rule, detail);
     }
 
-    /// Counts the requests that clients still wait for when the process ends, as violations.
+    /// Counts as violations the requests that clients still wait for when the process ends.
     pub fn check_nothing_pending(&self) {
         self.coordinator.borrow().check_nothing_pending();
     }
 
-    /// Cordons an engine; `Ok` also if it is cordoned already.
+    /// Cordons an engine; `Ok` also if it is already cordoned.
     ///
     /// # Errors
     /// If the id was never listed, or the call exceeds the limits on cordons.
@@ -233,8 +237,8 @@
         self.coordinator.borrow_mut().uncordon_engine(self, id, cause)
     }
 
-    /// The records of all cordons and at most `max_ids` hashes of engine ids ever listed, for the process that replaces
-    /// this one in a hot restart.
+    /// The records of all cordons and at most `max_ids` hashes of engine ids ever listed, for the process
+    /// that replaces this one in a hot restart.
     pub fn export_cordons(&self, max_ids: usize) -> (Vec<CordonRecord>, Vec<u64>) {
         self.coordinator.borrow().export_cordons(max_ids)
     }
@@ -244,12 +248,12 @@
         self.coordinator.borrow_mut().merge_cordons(self, records, ids)
     }
 
-    /// Ends cordons whose lease has expired; to be called about once a second.
+    /// Ends cordons whose lease has expired. Must be called about once per second.
     pub fn expire_cordons(self: &Rc<Self>) {
         self.coordinator.borrow_mut().expire_cordons(self);
     }
 
-    /// The number of listed engines, and of those among them that get no requests.
+    /// The number of listed engines, and the number of listed engines that get no requests.
     pub fn engine_counts(&self) -> EngineCounts {
         self.coordinator.borrow().engine_counts()
     }
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,4 +1,5 @@
-//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. Nothing else is kept.
+//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. There is no
+//! other state.
 
 use nix::time::{clock_gettime, ClockId};
 use sprucelink_policy::{TimeDelta, Timestamp};
@@ -15,8 +16,8 @@
     *started_at + TimeDelta::from_micros(elapsed)
 }
 
-/// The difference between [`now`] and the machine's monotonic clock, which all processes of the machine share. It is
-/// constant within a process.
+/// The difference between [`now`] and the machine's monotonic clock, which all processes of the machine
+/// share. It is constant within a process.
 pub fn machine_clock_offset() -> TimeDelta {
     static OFFSET: OnceLock<TimeDelta> = OnceLock::new();
     *OFFSET.get_or_init(|| {
--- a/src/core/engine_indices.rs
+++ b/src/core/engine_indices.rs
@@ -1,18 +1,18 @@
 //! The indices of engines.
 //!
-//! Input: the ids of engines, and those that are gone. Output: an index for each engine, and the changes for the
-//! recorder. State: the indices in use and the freed ones. Engines may appear under new ids without end, and every
-//! decision of the policy visits all indices, so freed indices are reused.
+//! Input: the ids of engines, and the indices of gone engines. Output: an index for each engine, and the
+//! changes for the recorder. State: the indices in use and the freed ones. Engines may appear under new ids
+//! without end, and every decision of the policy visits all indices, so freed indices are reused.
 
 use std::collections::BTreeMap;
 
 /// An index that was assigned or freed.
 pub(super) struct IndexChange {
-    /// The engine's id.
+    /// Id of the engine.
     pub(super) id: String,
-    /// Its index.
+    /// Index of the engine.
     pub(super) index: u32,
-    /// It was freed.
+    /// Whether the index was freed; otherwise it was assigned.
     pub(super) is_freed: bool,
 }
 
@@ -25,7 +25,7 @@
     /// The lowest index that was never assigned.
     next: u32,
     is_recorded: bool,
-    /// Changes that the recorder has not got yet.
+    /// Changes that were not yet taken for the recorder.
     changes: Vec<IndexChange>,
 }
 
@@ -35,7 +35,7 @@
         self.is_recorded = is_recorded;
     }
 
-    /// The index of an engine. An engine that is not known yet gets one: the last that was freed, or a new one.
+    /// The index of an engine. A new engine is assigned the index that was freed last, or else a new index.
     pub(super) fn get_or_assign(&mut self, id: &str) -> u32 {
         if let Some(index) = self.by_id.get(id) {
             return *index;
@@ -61,7 +61,7 @@
         self.by_id.iter().map(|(id, index)| (id.as_str(), *index)).collect()
     }
 
-    /// Removes the changes since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<IndexChange> {
         std::mem::take(&mut self.changes)
     }
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -1,8 +1,8 @@
 //! The engine table: the engines of the endpoint list, by index, and the connections to each.
 //!
-//! Input: events of the endpoint list, and connections that open and close. Output: the part of an event that is new, and
-//! a connection for an attempt. State: each engine's last entry and connections, and the position in the list. The
-//! `coordinator` module decides what follows from a change.
+//! Input: events of the endpoint list, and connections that open and close. Output: the part of an event that
+//! is new, and a connection for an attempt. State: each engine's last entry and connections, and the position
+//! in the list. The `coordinator` module decides what follows from a change.
 
 use super::attempt::AttemptOutcome;
 use super::engine_connection::{ConnectionLimits, EngineConnection};
@@ -13,48 +13,48 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// The numbers of engines.
+/// The number of listed engines, and how many of them get no requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Engines that are listed.
+    /// Number of listed engines.
     pub listed: usize,
-    /// Those of them that get no requests: cordoned, or avoided by the policy.
+    /// Number of listed engines that get no requests: cordoned, or avoided by the policy.
     pub avoided: usize,
 }
 
 /// An engine of the endpoint list.
 #[derive(Default)]
 pub(super) struct Engine {
-    /// Its id in the list. Indices differ between managers, ids do not.
+    /// Id of the engine in the list. Indices differ between managers, ids do not.
     pub(super) id: String,
-    /// Its address; `None` if the one in the list cannot be parsed.
+    /// Address of the engine; `None` if the address in the list cannot be parsed.
     pub(super) address: Option<SocketAddr>,
-    /// Its last start as listed, in Unix milliseconds; 0 if the list has none.
+    /// Last start of the engine as listed, in Unix milliseconds; 0 if the list has none.
     pub(super) started_at_ms: i64,
-    /// Its connections that are open or being dialled.
+    /// Connections to the engine that are open or being dialed.
     pub(super) connections: Vec<Rc<EngineConnection>>,
-    /// When it was removed from the list.
+    /// Time at which the engine was removed from the list; `None` if it is listed.
     pub(super) removed_at: Option<Timestamp>,
-    /// When it ceased to be listed as ready, or was cordoned; `None` while it is ready.
+    /// Time at which the engine ceased to be listed as ready or was cordoned; `None` while it is ready.
     pub(super) unlisted_since: Option<Timestamp>,
-    /// When it last answered.
+    /// Time at which the engine last answered.
     pub(super) last_answered_at: Option<Timestamp>,
-    /// Its last entry in the list, before cordons are applied.
+    /// The engine's last entry in the list, before cordons are applied.
     pub(super) listed_entry: Option<Endpoint>,
-    /// It is listed as ready and not cordoned, so attempts may be sent to it.
+    /// Whether the engine is listed as ready and not cordoned, so that attempts may be sent to it.
     pub(super) is_ready: bool,
-    /// The number of the last event that named it.
+    /// Number of the last event that named the engine.
     pub(super) last_event: u64,
 }
 
 impl Engine {
-    /// Whether the list has it with an address and not as gone.
+    /// Whether the list has the engine with a valid address and not as gone.
     pub(super) fn is_listed(&self) -> bool {
         self.address.is_some() && self.removed_at.is_none()
     }
 
-    /// Applies its entry in the list, with cordons applied. Returns whether the engine has moved or restarted; its
-    /// connections are retired then, because they lead to another process.
+    /// Applies the engine's entry in the list, with cordons applied. Returns whether the engine has moved or
+    /// restarted; its connections are then retired, because they lead to another process.
     pub(super) fn apply(&mut self, entry: &Endpoint, now: Timestamp) -> bool {
         let address = entry.address.parse().ok();
         let has_moved = self.address != address || self.started_at_ms != entry.up_since_ms;
@@ -70,23 +70,24 @@
         has_moved
     }
 
-    /// A connection that accepts a request: the one with the most attempts, so that the others become idle.
+    /// A connection that accepts a request: the connection with the most attempts, so that the others become
+    /// idle.
     pub(super) fn reusable_connection(
         &self,
         id: u64,
         limits: &ConnectionLimits,
     ) -> Option<Rc<EngineConnection>> {
         let accepting = self.connections.iter().filter(|connection| connection.accepts(id, limits));
-        let fullest =
+        let most_used =
             accepting.max_by_key(|connection| (!connection.is_dialing(), connection.attempt_count()));
-        fullest.map(Rc::clone)
+        most_used.map(Rc::clone)
     }
 
-    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `has_capacity`: the
-    /// connections to all engines are below their limit.
+    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `has_capacity`:
+    /// whether the connections to all engines are below their limit.
     ///
     /// # Errors
-    /// The outcome of the attempt, if there can be no connection for it.
+    /// The outcome of the attempt, if no connection is available for it.
     pub(super) fn add_connection(
         &mut self,
         engine: usize,
@@ -94,7 +95,8 @@
         has_capacity: bool,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let address = self.address.ok_or(AttemptOutcome::Unreachable)?;
-        // Connections to engines have file descriptors of their own, so that they cannot exhaust those of clients.
+        // Connections to engines have a separate limit of file descriptors, so that they cannot exhaust those
+        // of clients.
         if self.connections.len() >= limits.max_per_engine || !has_capacity {
             return Err(AttemptOutcome::NeverRan);
         }
@@ -109,14 +111,15 @@
     engines: Vec<Engine>,
     /// The number of the last event of the list.
     last_event: u64,
-    /// The highest revision of the list so far. It remains after the engines of that list are removed.
+    /// The highest revision of the list so far. It is kept after the engines of that list are removed.
     revision: u64,
-    /// Time for which an engine is kept after its removal from the list: no request is pending for longer.
+    /// Time for which an engine is kept after its removal from the list. No request is pending for longer
+    /// than that.
     retention: TimeDelta,
 }
 
 impl EngineTable {
-    /// A table without engines.
+    /// Creates a table without engines.
     pub(super) fn new(retention: TimeDelta) -> EngineTable {
         EngineTable { engines: Vec::new(), last_event: 0, revision: 0, retention }
     }
@@ -136,7 +139,7 @@
         self.engines.get_mut(engine)
     }
 
-    /// An engine by index, added if there is none.
+    /// An engine by index; adds it if there is none.
     pub(super) fn get_or_insert(&mut self, engine: usize) -> &mut Engine {
         let len = self.engines.len().max(engine + 1);
         self.engines.resize_with(len, Engine::default);
@@ -168,16 +171,17 @@
         self.last_event
     }
 
-    /// Records the number of an event that changes nothing here.
+    /// Records the number of an event that does not change the table.
     pub(super) fn skip_event(&mut self, event: u64) {
         self.last_event = self.last_event.max(event);
     }
 
-    /// The part of an event that is new, or `None`; its number becomes the last one if it is higher.
+    /// The part of an event that is new; `None` if nothing is new. Records the event's number if it is higher
+    /// than the last one.
     ///
-    /// An event with a lower number is new in two cases. If its revision is higher than all before, the feed has
-    /// restarted its numbering, and by numbers alone every further event would be ignored. If it arrives out of order,
-    /// it applies to the known engines that no later event has named.
+    /// An event with a lower number is new in two cases. If its revision is higher than all earlier
+    /// revisions, the feed has restarted its numbering, and every further event would be ignored because of
+    /// its number. If it arrives out of order, it applies to the known engines that no later event has named.
     pub(super) fn accept_event(&mut self, list: &ListEvent) -> Option<ListEvent> {
         if list.n > self.last_event {
             self.last_event = list.n;
@@ -228,7 +232,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Removes the engines whose retention is over and that have no connection; returns their indices.
+    /// Removes the engines whose retention has ended and that have no connection; returns their indices.
     pub(super) fn remove_expired(&mut self, now: Timestamp) -> Vec<usize> {
         let mut removed = Vec::new();
         for (index, engine) in self.engines.iter_mut().enumerate() {
--- a/src/core/fleet_state.rs
+++ b/src/core/fleet_state.rs
@@ -1,8 +1,9 @@
-//! The fleet, as this manager sees it.
+//! This manager's view of the fleet.
 //!
-//! Input: the size of the fleet, this manager's own events, and the observations of other managers. Output: the number
-//! of processes that share the fleet's capacity, the spare retries, the gossip payload, and the weights of the zones.
-//! State: the size of the fleet, the facts to gossip, and the state of failover between zones.
+//! Input: the size of the fleet, this manager's own events, and the observations of other managers. Output:
+//! the number of processes that share the fleet's capacity, the spare retries, the gossip payload, and the
+//! weights of the zones. State: the size of the fleet, the facts to gossip, and the state of failover between
+//! zones.
 
 use super::engine_table::{Engine, EngineTable};
 use super::gossip_facts::{GossipFacts, GossipWindows};
@@ -11,22 +12,22 @@
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::Timestamp;
 
-/// The fleet, and this manager's part in it.
+/// The size of the fleet and this manager's share of it, gossip, and failover between zones.
 pub(super) struct FleetState {
     /// The number of managers, this one included.
     managers: u32,
-    /// The number of this manager's processes, among which its part of the fleet is divided.
+    /// The number of this manager's processes, among which its share of the fleet is divided.
     processes: u32,
     /// Retries that the other managers leave to this one, over its own retry budget.
     spare_retries: f64,
-    /// The facts to gossip, if gossip is on.
+    /// The facts to gossip; `None` if gossip is off.
     gossip: Option<GossipFacts>,
-    /// Failover between zones, if it is on.
+    /// Failover between zones; `None` if it is off.
     zone_routing: Option<ZoneRouting>,
 }
 
 impl FleetState {
-    /// The fleet as configured, with this manager in one process, no gossip and no failover.
+    /// Creates the fleet as configured, with one process of this manager, without gossip and failover.
     pub(super) fn new(managers: u32, spare_retries: f64) -> FleetState {
         FleetState { managers, processes: 1, spare_retries, gossip: None, zone_routing: None }
     }
@@ -42,8 +43,8 @@
         self.processes = processes.max(1);
     }
 
-    /// The number of equal shares into which the fleet's capacity and budgets are divided: one for each process of each
-    /// manager, this one included.
+    /// The number of equal shares into which the fleet's capacity and budgets are divided: one for each
+    /// process of each manager, this one included.
     pub(super) fn capacity_shares(&self) -> u32 {
         self.managers.saturating_mul(self.processes)
     }
@@ -53,19 +54,19 @@
         self.spare_retries
     }
 
-    /// Starts to count the facts that are gossiped to other managers.
+    /// Starts counting the facts that are gossiped to other managers.
     pub(super) fn enable_gossip(&mut self, windows: GossipWindows) {
         self.gossip = Some(GossipFacts::new(windows));
     }
 
-    /// Counts a request for gossip, if that is on.
+    /// Counts a request for gossip, if gossip is on.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if let Some(gossip) = &mut self.gossip {
             gossip.record_request(now);
         }
     }
 
-    /// Counts an attempt for gossip, if that is on. `engine`: its engine, if that is known.
+    /// Counts an attempt for gossip, if gossip is on. `engine`: the engine, if it is known.
     pub(super) fn record_attempt(
         &mut self,
         now: Timestamp,
@@ -79,7 +80,8 @@
         gossip.record_attempt(now, is_retry, id, started_at_ms, cost_ms);
     }
 
-    /// Counts a connection that opened or failed for gossip, if that is on. `engine`: its engine, if that is known.
+    /// Counts for gossip, if it is on, a connection that opened or failed. `engine`: the engine, if it is
+    /// known.
     pub(super) fn record_connection(&mut self, now: Timestamp, engine: Option<&Engine>, is_up: bool) {
         if let (Some(gossip), Some(engine)) = (&mut self.gossip, engine) {
             gossip.record_connection(now, &engine.id, is_up);
@@ -110,7 +112,7 @@
         }
     }
 
-    /// When the zones are to be evaluated next; `None` if failover is off.
+    /// Time at which the zones must be evaluated next; `None` if failover is off.
     pub(super) fn next_zone_check(&self) -> Option<Timestamp> {
         self.zone_routing.as_ref().map(ZoneRouting::next_check)
     }
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,17 +1,19 @@
 //! The facts that this manager gossips to the others.
 //!
-//! Input: requests, attempts, and connections that opened or failed. Output: a [`GossipPayload`] with the recent
-//! requests and retries, the unreachable engines and the work sent to engines in slow start. State: these events
-//! within their windows. It only counts; `sprucelink_membership` decides when the payload is sent.
+//! Input: requests, attempts, and connections that opened or failed. Output: a [`GossipPayload`] with the
+//! recent requests and retries, the unreachable engines and the work sent to engines in slow start. State:
+//! these events within their windows. It only counts; `sprucelink_membership` decides when the payload is
+//! sent.
 
 use sprucelink_membership::{engine_hash, GossipPayload, WarmupWork};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Limit on the kept events of one kind; the oldest are dropped first.
+/// Limit on the recorded events of one kind; the oldest are dropped first.
 const MAX_EVENTS: usize = 20_000;
-/// Time for which an engine counts as unreachable after a connection to it failed, unless a later one opens.
-const UNREACHABLE_FOR: TimeDelta = TimeDelta::from_secs(10);
+/// Time for which an engine counts as unreachable after a connection to it failed, unless a later connection
+/// opens.
+const UNREACHABLE_DURATION: TimeDelta = TimeDelta::from_secs(10);
 /// Limit on the engines recorded as unreachable at a time.
 const MAX_UNREACHABLE: usize = 256;
 
@@ -31,19 +33,20 @@
     sent_at: Timestamp,
     /// The hash of the engine's id.
     engine: u64,
-    /// Its estimated work in milliseconds on one core.
+    /// Estimated work of the attempt, in milliseconds on one core.
     cost_ms: f64,
 }
 
 /// The recent events that are gossiped.
 pub(super) struct GossipFacts {
     windows: GossipWindows,
-    /// Requests, and retries when they are made, in the retry budget's window: from these counts the other managers compute
-    /// what this one leaves to them. They do not limit what this process sends; the policy and the send guard do.
+    /// Requests, and retries when they are made, in the retry budget's window: from these counts the other
+    /// managers compute the retries that this manager leaves to them. They do not limit the retries that this
+    /// process sends; the policy and the send guard do.
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
     slow_start_attempts: VecDeque<SlowStartAttempt>,
-    /// Engines to which the last connection failed, by the hash of their id, and when it failed.
+    /// Engines to which the last connection failed, by the hash of their id, with the time of the failure.
     unreachable: BTreeMap<u64, Timestamp>,
 }
 
@@ -55,7 +58,7 @@
     queue.push_back(event);
 }
 
-/// Drops events that are older than a window; returns the number of the others.
+/// Drops events that are older than a window; returns the number of the remaining events.
 fn count_recent(events: &mut VecDeque<Timestamp>, now: Timestamp, window: TimeDelta) -> u32 {
     while events.front().is_some_and(|at| now - *at > window) {
         events.pop_front();
@@ -64,7 +67,7 @@
 }
 
 impl GossipFacts {
-    /// Facts of a manager that has counted no event yet.
+    /// Creates facts without events.
     pub(super) fn new(windows: GossipWindows) -> GossipFacts {
         GossipFacts {
             windows,
@@ -80,7 +83,8 @@
         push_bounded(&mut self.requests, now);
     }
 
-    /// Counts an attempt at an engine: its id, its start in Unix milliseconds or 0, and the work in milliseconds.
+    /// Counts an attempt. `engine`: the engine's id; `started_at_ms`: the engine's start in Unix
+    /// milliseconds, 0 if unknown; `cost_ms`: the estimated work in milliseconds on one core.
     pub(super) fn record_attempt(
         &mut self,
         now: Timestamp,
@@ -108,13 +112,13 @@
         }
     }
 
-    /// The current payload. `unresponsive`: engines that do not answer, added to those to which no connection could be
-    /// made. The membership sets the version.
+    /// The current payload. `unresponsive`: engines that do not answer, added to the engines to which no
+    /// connection could be made. The membership sets the version.
     pub(super) fn payload(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> GossipPayload {
         let admitted_requests = count_recent(&mut self.requests, now, self.windows.retry_budget);
         let retries = count_recent(&mut self.retries, now, self.windows.retry_budget);
         let warmup_work = self.slow_start_work(now);
-        self.unreachable.retain(|_, failed_at| now - *failed_at <= UNREACHABLE_FOR);
+        self.unreachable.retain(|_, failed_at| now - *failed_at <= UNREACHABLE_DURATION);
         let unreachable: BTreeSet<u64> = self.unreachable.keys().copied().chain(unresponsive).collect();
         let unreachable_engines = unreachable.into_iter().collect();
         let mut payload =
@@ -123,8 +127,8 @@
         payload
     }
 
-    /// The work that was sent to each engine in slow start, in complete milliseconds. Other managers decode it, but
-    /// nothing uses it yet: the slow-start budget is divided evenly among the processes of all managers.
+    /// The work that was sent to each engine in slow start, in whole milliseconds. Other managers decode it,
+    /// but nothing uses it yet: the slow-start budget is divided evenly among the processes of all managers.
     fn slow_start_work(&mut self, now: Timestamp) -> Vec<WarmupWork> {
         let window = self.windows.slow_start_window;
         while self.slow_start_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
--- a/src/core/id_generator.rs
+++ b/src/core/id_generator.rs
@@ -1,4 +1,4 @@
-//! Generated ids: of requests whose clients give none, and of sessions.
+//! Generated ids: for requests whose clients give none, and for sessions.
 //!
 //! Input: the seed and the time. Output: ids. State: the state of the generator.
 
@@ -11,14 +11,15 @@
 }
 
 impl IdGenerator {
-    /// A generator that starts at `seed`.
+    /// Creates a generator that starts at `seed`.
     pub(super) fn new(seed: u64) -> IdGenerator {
         IdGenerator { sequence: SplitMix64::new(seed) }
     }
 
-    /// The next id. The time is part of it, so that a process that starts again with the same seed gives other ids.
+    /// The next id. It depends on the time, so that a process that restarts with the same seed generates
+    /// other ids.
     pub(super) fn next_id(&mut self, now: Timestamp) -> u64 {
-        // The low bits of the time change fastest: they are moved away from the low bits of the sequence.
+        // The low bits of the time change fastest, so they are moved away from the low bits of the sequence.
         let salt = (now.as_micros() as u64).rotate_left(32);
         self.sequence.next_u64_with(salt)
     }
--- a/src/core/id_generator/tests.rs
+++ b/src/core/id_generator/tests.rs
@@ -4,7 +4,7 @@
 use sprucelink_policy::TimeDelta;
 
 #[test]
-fn ids_are_those_of_split_mix_salted_with_the_time() {
+fn ids_are_split_mix_values_salted_with_the_time() {
     let mut ids = IdGenerator::new(7);
     let now = Timestamp::from_secs(1_700_000_000);
     assert_eq!(ids.next_id(now), 0x9a2e_5425_c71d_3dfc);
--- a/src/core/reason_counters.rs
+++ b/src/core/reason_counters.rs
@@ -1,7 +1,7 @@
 //! Counters by reason, for the admin address.
 //!
-//! Input: the end or withdrawal of an attempt, and the final response to a request. Output: counters in the metrics,
-//! whose names are defined here. Nothing else is kept.
+//! Input: the end or withdrawal of an attempt, and the final response to a request. Output: counters in the
+//! metrics, whose names are defined in this module. State: only the counters.
 
 use super::attempt::AttemptOutcome;
 use super::request::{Response, UnservedReason};
@@ -49,7 +49,7 @@
 }
 
 impl ReasonCounters {
-    /// Counters in these metrics, all at zero.
+    /// Creates the counters in `metrics`, all at zero.
     pub(super) fn new(metrics: &Metrics) -> ReasonCounters {
         let names = OUTCOMES.iter().map(|(_, name)| *name);
         let names = names.chain(WITHDRAWALS.iter().map(|(_, name)| *name));
@@ -68,7 +68,7 @@
         self.increment(&WITHDRAWALS, reason);
     }
 
-    /// Counts a final response, unless it is a result.
+    /// Counts a rejection or failure by its reason; a served response is not counted.
     pub(super) fn record_response(&self, response: &Response) {
         match response {
             Response::Served(_) => {}
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -1,22 +1,22 @@
 //! The ids of recently submitted requests.
 //!
-//! Input: the id and statement of each request. Output: whether the id may be used. State: a hash of the statement of
-//! each recent id.
+//! Input: the id and statement of each request. Output: whether the id may be used. State: a hash of the
+//! statement of each recent id.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 
-/// Time for which an id is kept.
+/// Time for which an id and the hash of its statement are kept.
 const RETENTION: TimeDelta = TimeDelta::from_secs(30);
 /// Limit on the kept ids; the oldest are dropped first.
 const MAX_IDS: usize = 20_000;
 
 /// The ids of recently submitted requests, each with a hash of its statement.
 ///
-/// An id must not be reused for another statement soon after the first request has ended: an engine or a client could
-/// take the response to one for the response to the other. The same statement with the same id is a client that
-/// retries.
+/// An id must not be reused for another statement soon after the first request has ended: an engine or a
+/// client could take the response to one request for the response to the other. The same statement with the
+/// same id is a retry by the client.
 #[derive(Default)]
 pub(super) struct RecentRequests {
     statement_hashes: BTreeMap<u64, u64>,
@@ -24,7 +24,7 @@
 }
 
 impl RecentRequests {
-    /// Records an id; false if it was recently used for another statement.
+    /// Records an id; returns false if it was recently used for another statement.
     pub(super) fn insert(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
         self.remove_old(now);
         let mut hasher = DefaultHasher::new();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Drops the ids that are older than [`RETENTION`], and the oldest ones if there are [`MAX_IDS`].
+    /// Drops the ids that are older than [`RETENTION`], and the oldest id if there are [`MAX_IDS`].
     fn remove_old(&mut self, now: Timestamp) {
         while let Some((inserted_at, id)) = self.by_age.front().copied() {
             if now - inserted_at <= RETENTION && self.by_age.len() < MAX_IDS {
--- a/src/core/request_counters.rs
+++ b/src/core/request_counters.rs
@@ -1,19 +1,19 @@
-//! Counters of requests between two log lines. Counts enter; a log line leaves; the counters are kept.
+//! Counters of requests between two log lines. Input: counts. Output: a log line. State: the counters.
 
 use tracing::info;
 
 /// The counters since the last log line.
 #[derive(Default)]
 pub(super) struct RequestCounters {
-    /// Submitted.
+    /// Requests submitted.
     pub(super) submitted: u32,
-    /// Completed with a result.
+    /// Requests completed with a result.
     pub(super) served: u32,
-    /// Rejected: no attempt ran.
+    /// Requests rejected: a retry by the client does no harm.
     pub(super) rejected: u32,
-    /// Failed: an attempt may have run.
+    /// Requests failed: an attempt may have run.
     pub(super) failed: u32,
-    /// Abandoned by their clients.
+    /// Requests abandoned or cancelled by their clients.
     pub(super) abandoned: u32,
     /// Attempts made.
     pub(super) attempts: u32,
--- a/src/core/request_statistics.rs
+++ b/src/core/request_statistics.rs
@@ -1,7 +1,7 @@
 //! Statistics of requests and attempts.
 //!
-//! Input: what becomes of each request and attempt. Output: the metrics, and a log line of the counters in each
-//! interval. State: the counters since the last log line.
+//! Input: the submission and outcome of each request and attempt. Output: the metrics, and a log line of the
+//! counters in each interval. State: the counters since the last log line.
 
 use super::attempt::AttemptOutcome;
 use super::reason_counters::ReasonCounters;
@@ -15,19 +15,19 @@
 /// Time between two log lines of the counters.
 const LOG_INTERVAL: TimeDelta = TimeDelta::from_secs(10);
 
-/// Counts what becomes of requests and attempts, for the metrics and for the log.
+/// Counts requests and attempts by their outcomes, for the metrics and for the log.
 pub(super) struct RequestStatistics {
-    /// By reason, in the metrics.
+    /// Counters by reason, in the metrics.
     reasons: ReasonCounters,
-    /// Since the last log line.
+    /// Counters since the last log line.
     counters: RequestCounters,
     next_log_at: Timestamp,
-    /// Events that the recorder had lost when that was last logged.
+    /// Number of events that the recorder had lost when the loss was last logged.
     logged_capture_losses: u64,
 }
 
 impl RequestStatistics {
-    /// Statistics that count in these metrics. The first log line is due an interval from now.
+    /// Creates statistics that count in `metrics`. The first log line is due [`LOG_INTERVAL`] after `now`.
     pub(super) fn new(metrics: &Metrics, now: Timestamp) -> RequestStatistics {
         RequestStatistics {
             reasons: ReasonCounters::new(metrics),
@@ -42,7 +42,7 @@
         self.counters.submitted += 1;
     }
 
-    /// Counts a request that its client has abandoned or, if `was_cancelled`, cancelled.
+    /// Counts a request that was abandoned or, if `was_cancelled`, cancelled by its client.
     pub(super) fn record_abandonment(&mut self, accounting: Option<ActiveRequest>, was_cancelled: bool) {
         if let Some(accounting) = accounting {
             if was_cancelled {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Starts the count of lost events again, for a new recorder.
+    /// Resets the count of lost events, for a new recorder.
     pub(super) fn reset_capture_losses(&mut self) {
         self.logged_capture_losses = 0;
     }
@@ -98,8 +98,8 @@
         now >= self.next_log_at
     }
 
-    /// Logs the counters of the last interval and resets them. `capture_losses`: events that the recorder has lost so
-    /// far.
+    /// Logs the counters of the last interval and resets them. `capture_losses`: events that the recorder has
+    /// lost so far.
     pub(super) fn log(&mut self, now: Timestamp, pending: usize, buffers_in_use: usize, capture_losses: u64) {
         self.next_log_at = now + LOG_INTERVAL;
         if capture_losses > self.logged_capture_losses {
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -1,6 +1,7 @@
 //! The result of a request.
 //!
-//! Input: pages, in any order. Output: rows, in order. State: all pages, until the client has received the last row.
+//! Input: pages, in any order. Output: rows, in order. State: all pages, until the client has received the
+//! last row.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use std::ops::Range;
@@ -10,21 +11,21 @@
 /// Limit on the length of a result, in bytes.
 pub(super) const MAX_RESULT_BYTES: usize = 48_000;
 
-/// The place of a page.
+/// The location of a page.
 #[derive(Clone, Debug)]
 struct Page {
-    /// The index of its buffer in [`ResultSet::buffers`].
+    /// Index of the page's buffer in [`ResultSet::buffers`].
     buffer: usize,
-    /// The bytes in it.
+    /// Range of the page's bytes in the buffer.
     bytes: Range<usize>,
 }
 
 /// The position of a row in a result. The default is the first row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RowPosition {
-    /// The number of the page.
+    /// Number of the page, from 0.
     page: usize,
-    /// The offset of the row in the page, in bytes.
+    /// Offset of the row in the page, in bytes.
     byte: usize,
 }
 
@@ -32,17 +33,17 @@
 #[derive(Debug, Default)]
 pub struct ResultSet {
     buffers: Vec<Buffer>,
-    /// By page number; `None` until the page has arrived.
+    /// Locations by page number; `None` until the page has arrived.
     pages: Vec<Option<Page>>,
 }
 
 impl ResultSet {
-    /// Sets the number of pages, none of which has arrived.
+    /// Sets the number of pages; none of them has arrived yet.
     pub(super) fn expect_pages(&mut self, pages: usize) {
         self.pages = vec![None; pages];
     }
 
-    /// Whether a page has arrived; `None` if the result has no page of this number.
+    /// Whether a page has arrived; `None` if the result has no page with this number.
     pub(super) fn has_page(&self, page: usize) -> Option<bool> {
         self.pages.get(page).map(Option::is_some)
     }
@@ -52,7 +53,7 @@
         self.pages.iter().all(Option::is_some)
     }
 
-    /// Stores an expected page; false if the pool has no buffer for it.
+    /// Stores an expected page; returns false if the pool has no buffer for it.
     pub(super) fn insert_page(&mut self, pool: &BufferPool, page: usize, body: &[u8]) -> bool {
         if !self.buffers.last().is_some_and(|buffer| buffer.has_capacity(body.len())) {
             let Some(buffer) = pool.get() else { return false };
@@ -70,7 +71,8 @@
         self.pages.iter().flatten().map(|page| page.bytes.len()).sum()
     }
 
-    /// The row at a position, without its line feed, and the position of the next one; `None` after the last row.
+    /// The row at a position, without its line feed, and the position of the next row; `None` after the last
+    /// row.
     pub fn row(&self, position: RowPosition) -> Option<(&[u8], RowPosition)> {
         let RowPosition { mut page, mut byte } = position;
         loop {
--- a/src/core/system_error.rs
+++ b/src/core/system_error.rs
@@ -1,8 +1,9 @@
-//! Classes of errors of system calls on sockets (Linux, accept(2), connect(2), socket(2)). Nothing is kept.
+//! Classes of errors of system calls on sockets (Linux, accept(2), connect(2), socket(2)). Stateless.
 
 use std::io;
 
-/// Error numbers without a kind in the standard library, as on all common architectures of Linux.
+/// Error numbers that have no kind in the standard library, with the values of all common architectures of
+/// Linux.
 mod errno {
     /// No descriptor is left in the system.
     pub(super) const ENFILE: i32 = 23;
@@ -16,8 +17,8 @@
     pub(super) const EADDRNOTAVAIL: i32 = 99;
 }
 
-/// Whether a call failed because this machine or this process lacks a resource at the moment. It says nothing about the
-/// peer.
+/// Whether a call failed because this machine or this process currently lacks a resource. Such an error says
+/// nothing about the peer.
 pub fn is_out_of_resources(error: &io::Error) -> bool {
     use errno::{EMFILE, ENFILE, ENOBUFS, ENOMEM};
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM))
--- a/src/core/wall_clock.rs
+++ b/src/core/wall_clock.rs
@@ -1,12 +1,13 @@
 //! The offset of the wall clock from the process's own clock, and its steps.
 //!
-//! Input: readings of both clocks, and Unix times stamped by other machines. Output: those times on the process's
-//! clock. State: the recent offsets.
+//! Input: readings of both clocks, and Unix times stamped by other machines. Output: those times on the
+//! process's clock. State: the recent offsets.
 //!
-//! A time that another machine stamps is read some seconds later. If the wall clock steps in between, by an hour for
-//! instance, the time would seem an hour older or an hour ahead. So each recent offset gives a candidate for the
-//! instant that is meant, and the latest one that is not in the future is taken: an engine then counts as started too
-//! late rather than too early, and its slow start ends later.
+//! A time that another machine stamps is read some seconds later. If the wall clock steps in between, by an
+//! hour for instance, the time would seem an hour older or an hour ahead. Each recent offset therefore gives
+//! a candidate for the stamped time on the process's clock, and the latest candidate that is not in the
+//! future is used: an engine then counts as started too late rather than too early, and its slow start ends
+//! later.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
@@ -14,7 +15,8 @@
 
 /// Limit on the kept offsets; the oldest are dropped first.
 const MAX_OFFSETS: usize = 8;
-/// Smallest change of the offset that counts as a step. A smaller one is slewing, or the time between the two readings.
+/// Smallest change of the offset that counts as a step. A smaller change is slewing, or the time between the
+/// two readings.
 const MIN_STEP: TimeDelta = TimeDelta::from_millis(100);
 
 /// The offsets of the wall clock from the process's own clock, the current one last.
@@ -24,7 +26,8 @@
 }
 
 impl WallClock {
-    /// Records a reading of both clocks. To be called often: a step that is reversed between two calls is not seen.
+    /// Records a reading of both clocks. Must be called often: a step that is reversed between two calls is
+    /// not detected.
     pub(super) fn observe(&mut self, unix_now: Timestamp, now: Timestamp) {
         let offset = unix_now - now;
         match self.offsets.back_mut() {
@@ -47,7 +50,8 @@
         self.offsets.push_back(offset);
     }
 
-    /// The instant on the process's own clock that another machine stamped with a Unix time; never in the future.
+    /// Converts a Unix time stamped by another machine to the process's own clock; the result is never in the
+    /// future.
     pub(super) fn process_time_of(
         &mut self,
         unix_time: Timestamp,
