--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -5,7 +5,7 @@
 //! connections. State: the parts, each of which owns its state.
 //!
 //! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event
-//! finds no owner and does nothing.
+//! finds no owner and has no effect.
 //!
 //! Attempts and requests end separately:
 //! - An attempt ends in `end_attempt`, which takes it out of its request and releases its connection. It
@@ -70,7 +70,7 @@
     pub(super) engines: EngineTable,
     pub(super) policy: PolicyDriver,
     send_guard: SendGuard,
-    /// Checks at run time, with its own records, that the other parts keep the rules.
+    /// Checks at run time, with its own records, that the other parts obey the rules.
     pub(super) monitor: InvariantMonitor,
     statistics: RequestStatistics,
     fleet: FleetState,
@@ -175,7 +175,7 @@
         self.startup.as_mut()?.admit(now, pending).err()
     }
 
-    /// Ends a request whose client has disconnected or, if `was_cancelled`, has cancelled it. The front
+    /// Abandons a request whose client has disconnected or, if `was_cancelled`, has cancelled it. The front
     /// responds to a cancellation.
     pub(super) fn abandon(&mut self, runtime: &dyn ConnectionRuntime, id: u64, was_cancelled: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,8 +1,8 @@
 //! The life of an attempt: each is sent once, cancelled at most once, and ends once.
 //!
 //! Input: commands of the policy, and answers of engines. Output: commands to engines, and the end of each
-//! attempt as an event for the policy. State: nothing here; the attempt is part of its request's entry in the
-//! request table.
+//! attempt as an event for the policy. State: none in this module; the attempt is part of its request's entry
+//! in the request table.
 
 use super::Coordinator;
 use crate::core::attempt::{release_result, AnswerEffect, AttemptOutcome, InFlightAttempt};
@@ -100,7 +100,7 @@
     ///
     /// An attempt that may not be sent is withdrawn and ends as one that never ran. An attempt that is no
     /// longer in flight is only withdrawn. An attempt that has waited for too long is queued again with the
-    /// time that is left, and is checked again before its new first byte.
+    /// time that is left, and is checked again before its first byte.
     pub(in crate::core) fn authorize_send(
         &mut self,
         pool: &BufferPool,
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -2,7 +2,8 @@
 //!
 //! Input: calls of operators, cordons of other processes, and the ids of the endpoint list. Output: the list
 //! for the policy, in which a cordoned engine is draining whatever its entry says, so that a cordon is
-//! handled like any drain. State: nothing here; `sprucelink_cordon` holds the cordons and decides on them.
+//! handled like any drain. State: none in this module; `sprucelink_cordon` holds the cordons and decides on
+//! them.
 
 use super::Coordinator;
 use crate::core::clock::now;
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -1,8 +1,8 @@
 //! The endpoint list and the connections to its engines.
 //!
 //! Input: events of the list, and connections that open or end. Output: events for the policy, dials, and the
-//! ends of attempts that were withdrawn or interrupted. State: nothing here; the engine table holds the
-//! state.
+//! ends of attempts that were withdrawn or interrupted. State: none in this module; the engine table holds
+//! the state.
 
 use super::Coordinator;
 use crate::core::attempt::{AttemptOutcome, CANCELLATION_GRACE};
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -2,7 +2,7 @@
 //! zones.
 //!
 //! Input: changes of the membership, and timers. Output: events for the policy and the gossip payload. State:
-//! nothing here; the fleet's state is in `fleet_state`.
+//! none in this module; the fleet's state is in `fleet_state`.
 
 use super::Coordinator;
 use crate::core::clock::now;
@@ -13,7 +13,8 @@
 use sprucelink_membership::GossipPayload;
 
 impl Coordinator {
-    /// Sets the number of managers and the retries that the other managers leave to this one.
+    /// Sets the number of managers and the retries that the other managers leave to this one, and notifies
+    /// the policy.
     pub(in crate::core) fn set_fleet(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -24,7 +25,7 @@
         self.report_fleet(runtime);
     }
 
-    /// Sets the number of this manager's processes.
+    /// Sets the number of this manager's processes and notifies the policy.
     pub(in crate::core) fn set_process_count(&mut self, runtime: &dyn ConnectionRuntime, processes: u32) {
         self.fleet.set_process_count(processes);
         self.report_fleet(runtime);
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -1,8 +1,8 @@
 //! Final responses: each request gets one.
 //!
 //! Input: the response to a request, or the policy's command to reject or fail it. Output: the response, to
-//! the front, and commands that follow. State: nothing here; the responder is part of the request's entry in
-//! the request table.
+//! the front, and commands that follow. State: none in this module; the responder is part of the request's
+//! entry in the request table.
 
 use super::Coordinator;
 use crate::core::attempt::{AttemptOutcome, InFlightAttempt};
@@ -64,8 +64,8 @@
         commands
     }
 
-    /// Gives every pending request its final response, because this process shuts down
-    /// ([`shutdown_response`]). Returns their number.
+    /// Gives every pending request its final response ([`shutdown_response`]), because this process is
+    /// shutting down. Returns the number of requests.
     pub(in crate::core) fn complete_all(&mut self, runtime: &dyn ConnectionRuntime) -> usize {
         let ids = self.requests.awaited_ids();
         for id in &ids {
