--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,34 +1,33 @@
-//! Admission: whether a request is admitted or rejected, from its quote, the value of its answer, its
+//! Admission: whether a request is admitted or rejected, from its price quote, the value of its answer, its
 //! deadline and the free capacity (Konana et al., section 3.2).
 
 use crate::answer_value::AnswerValue;
 use crate::pricing::PriceQuote;
 
-/// Threads a core below which the engine drawn for a request counts as idle.
+/// Threads per core below which the engine selected for a request counts as idle.
 const IDLE_UTILISATION: f64 = 0.7;
 
 /// Whether a request is admitted, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// Admitted: cores are free for it and its answer comes in time, so that it delays nobody.
+    /// Admitted: cores are free and the answer is expected in time, so the request delays no other.
     AdmittedForFreeCapacity,
-    /// Admitted: its answer is worth at least the delay that it causes others.
+    /// Admitted: the net value of the answer is at least the price, the delay that it causes others.
     AdmittedForValue,
-    /// Rejected: its answer is worth less than the delay that it causes others.
+    /// Rejected: the net value of the answer is less than the price.
     RejectedForPrice,
 }
 
 impl AdmissionDecision {
-    /// Whether the request is admitted.
     pub(crate) fn is_admitted(self) -> bool {
         self != AdmissionDecision::RejectedForPrice
     }
 }
 
-/// The capacity that a request would find.
+/// This manager's load and its share of the fleet's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FreeCapacity {
-    /// Own threads in flight.
+    /// Threads of this manager's attempts in flight.
     pub(crate) own_threads: f64,
     /// Cores of this manager's share.
     pub(crate) share_cores: f64,
@@ -41,8 +40,9 @@
     }
 }
 
-/// Decides on a request. `engine_utilisation` gives the threads a core on the engine that would be drawn for
-/// it; it is asked only where that decides.
+/// Decides whether to admit a request. `engine_utilisation` returns the threads per core on the engine that
+/// would be selected for it, or `None` without such an engine; it is called only if the decision depends on
+/// it.
 pub(crate) fn decide(
     quote: &PriceQuote,
     value: &AnswerValue,
--- a/crates/policy/src/pricing.rs
+++ b/crates/policy/src/pricing.rs
@@ -1,7 +1,7 @@
-//! Pricing: what a request pays at each priority level for the delay that it causes others, and how long it
-//! is expected to wait there, from admitted rates, learned waits, threads in flight by level, and cores.
+//! Pricing: the price of a request at each priority level for the delay that it causes others, and its
+//! expected wait at that level, from admitted rates, learned waits, threads in flight by level, and cores.
 //!
-//! After Konana et al., sections 3.2 to 3.4. The paper's symbols stand in the comments.
+//! After Konana et al., sections 3.2 to 3.4. Comments give the paper's symbols.
 
 use crate::class_estimates::ClassEstimates;
 use crate::level_price::LevelPrice;
@@ -14,20 +14,20 @@
 pub(crate) const LEVELS: usize = 4;
 /// Time between two updates of the prices.
 pub(crate) const PRICING_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
-/// Minimum deadline of a class that a delay cost is divided by, seconds.
+/// Minimum class deadline that the delay cost is calculated with, seconds.
 pub(crate) const MIN_DEADLINE_SECS: f64 = 1e-3;
-/// Waits learned in an interval from which its evidence is full.
+/// Number of waits learned in an interval at which unobserved waits decay in full.
 const FULL_EVIDENCE_WAITS: f64 = 10.0;
-/// Maximum utilisation that counts in the slope of the delay, which has no bound as it nears 1.
+/// Maximum utilisation in the slope of the delay, which grows without bound as utilisation approaches 1.
 const MAX_SLOPE_UTILISATION: f64 = 0.9;
 
-/// What a request would pay at its cheapest level.
+/// Price quote of a request: the level with the lowest total cost for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PriceQuote {
     pub(crate) level: usize,
     /// Expected time to the answer, seconds (the paper's tau).
     pub(crate) expected_secs: f64,
-    /// What it pays for the delay of others, in value (the paper's toll).
+    /// Price for the delay that it causes others, in value (the paper's toll).
     pub(crate) price: f64,
 }
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Default)]
 pub(crate) struct PriceTable {
     classes: Vec<[LevelPrice; LEVELS]>,
-    /// Waits learned since prices were updated.
+    /// Waits learned since the last price update.
     recent_waits: u32,
 }
 
@@ -65,24 +65,24 @@
         self.classes[class][level].record_admission();
     }
 
-    /// Learns from how long a request waited.
+    /// Learns from the wait of one request.
     ///
-    /// Departure from the paper: levels above wait no longer than this one, because engines serve them first,
-    /// and an old wait would otherwise keep light requests at a low level.
+    /// Departure from the paper: the waits of higher levels are limited to that of this level, because
+    /// engines serve them first, and an outdated wait would otherwise keep light requests at a low level.
     pub(crate) fn record_wait(&mut self, class: usize, level: usize, wait_secs: f64) {
         self.recent_waits += 1;
         let levels = &mut self.classes[class];
         levels[level].observe_wait(wait_secs);
         let observed_secs = levels[level].wait_secs();
-        for above in &mut levels[level..] {
-            above.limit_wait(observed_secs);
+        for level_price in &mut levels[level..] {
+            level_price.limit_wait(observed_secs);
         }
     }
 
-    /// The level at which a request's own delay cost and its price have the lowest sum.
+    /// Quotes the level at which the sum of a request's own delay cost and its price is lowest.
     ///
-    /// Departure from the paper: work queued at a level and above counts as a wait, because a queue shows
-    /// overload before answers do.
+    /// Departure from the paper: the time to process the work queued at a level and above counts as a wait,
+    /// because a queue shows overload before answers do.
     pub(crate) fn cheapest_level(
         &self,
         class: usize,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes the interval's admissions into the rates, and lets waits decay that were not observed in it.
+    /// Updates the admitted rates from the interval's admissions, and decays the waits not observed in it.
     fn end_interval(&mut self) {
         let evidence = (f64::from(self.recent_waits) / FULL_EVIDENCE_WAITS).min(1.0);
         self.recent_waits = 0;
@@ -140,8 +140,9 @@
         }
     }
 
-    /// What one more thread-second a second at a level costs those who wait there, in value (eq. 6): the mean
-    /// wait by the slope of the delay, at the utilisation from that level up, times the value lost a second.
+    /// Cost of one more thread-second per second at a level to the requests that wait there, in value (eq.
+    /// 6): the mean wait times the slope of the delay, at the utilisation by that level and above, times the
+    /// value lost per second.
     fn marginal_delay_cost(
         &self,
         level: usize,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Value lost for each second that a request waits (the paper's delta): its value over its deadline.
+/// Value lost per second that a request waits (the paper's delta): its value divided by its deadline.
 fn delay_cost_per_sec(class: &ClassSettings) -> f64 {
     class.value / class.deadline.as_secs_f64().max(MIN_DEADLINE_SECS)
 }
