--- a/crates/policy/src/request_queue.rs
+++ b/crates/policy/src/request_queue.rs
@@ -1,5 +1,5 @@
 //! The queue of admitted requests: which is next, from priority level and order of arrival; and the order of
-//! requests with one idempotency key, which run one at a time.
+//! requests with the same idempotency key, which run one at a time.
 
 use crate::ids::RequestId;
 use crate::pricing::LEVELS;
@@ -25,14 +25,14 @@
 #[derive(Clone, Default)]
 pub(crate) struct RequestQueue {
     waiting: BTreeMap<QueuePosition, RequestId>,
-    /// Work that waits at each level, thread-seconds: counted at each tick, and raised by newcomers between
-    /// ticks.
+    /// Queued work at each level, thread-seconds: recounted at each tick, and increased by newly queued
+    /// requests between ticks.
     queued_work: [f64; LEVELS],
     last_sequence: u64,
 }
 
 impl RequestQueue {
-    /// The number that orders a new request among those of its level.
+    /// Sequence number that orders a new request among those of its level.
     pub(crate) fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
@@ -50,7 +50,7 @@
         self.waiting.contains_key(&position)
     }
 
-    /// The first `count` requests.
+    /// The first `count` requests, next one first.
     pub(crate) fn first(&self, count: usize) -> Vec<(QueuePosition, RequestId)> {
         self.waiting.iter().take(count).map(|(position, id)| (*position, *id)).collect()
     }
@@ -63,12 +63,12 @@
         self.waiting.len()
     }
 
-    /// Work that waits at each level, thread-seconds.
+    /// Queued work at each level, thread-seconds.
     pub(crate) fn queued_work(&self) -> &[f64; LEVELS] {
         &self.queued_work
     }
 
-    /// Work that waits at all levels, thread-seconds.
+    /// Queued work at all levels, thread-seconds.
     pub(crate) fn total_queued_work(&self) -> f64 {
         self.queued_work.iter().sum::<f64>()
     }
@@ -84,26 +84,27 @@
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
         stored.queued_work = self.queued_work;
         stored.last_sequence = self.last_sequence;
-        let position = |at: &QueuePosition| (at.levels_below_top, at.sequence);
-        stored.queue = self.waiting.iter().map(|(at, id)| (position(at), *id)).collect();
+        let to_pair = |position: &QueuePosition| (position.levels_below_top, position.sequence);
+        stored.queue = self.waiting.iter().map(|(position, id)| (to_pair(position), *id)).collect();
     }
 
     pub(crate) fn restore(stored: &mut StoredPolicy) -> RequestQueue {
         let waiting = std::mem::take(&mut stored.queue).into_iter();
-        let position = |(levels_below_top, sequence)| QueuePosition { levels_below_top, sequence };
+        let from_pair = |(levels_below_top, sequence)| QueuePosition { levels_below_top, sequence };
         RequestQueue {
-            waiting: waiting.map(|(at, id)| (position(at), id)).collect(),
+            waiting: waiting.map(|(pair, id)| (from_pair(pair), id)).collect(),
             queued_work: stored.queued_work,
             last_sequence: stored.last_sequence,
         }
     }
 }
 
-/// The requests with one idempotency key.
+/// Open requests with the same idempotency key.
 #[derive(Clone, Default)]
 struct KeyQueue {
     /// In order of arrival; the first may be in flight.
     open: VecDeque<RequestId>,
+    /// No request with the key is sent before this time.
     blocked_until: Timestamp,
 }
 
@@ -114,49 +115,50 @@
 }
 
 impl KeyOrder {
-    /// A request with this key has arrived.
+    /// Appends a request that arrived with this key.
     pub(crate) fn join(&mut self, key: &str, id: RequestId) {
         self.keys.entry(key.to_owned()).or_default().open.push_back(id);
     }
 
-    /// A request with this key has ended.
+    /// Removes a request with this key that has ended.
     pub(crate) fn leave(&mut self, key: &str, id: RequestId) {
         if let Some(queue) = self.keys.get_mut(key) {
             queue.open.retain(|other| *other != id);
         }
     }
 
-    /// Sends nothing with this key before `until`, because an attempt may still run on its engine.
+    /// Blocks requests with this key until `until`, because an attempt may still run on its engine.
     pub(crate) fn block(&mut self, key: &str, until: Timestamp) {
         if let Some(queue) = self.keys.get_mut(key) {
             queue.blocked_until = until;
         }
     }
 
-    /// Whether a request is the first with its key and the key is not blocked. Requests without a key have no
-    /// order.
+    /// Whether a request is the first with its key and the key is not blocked; always true without a key,
+    /// since such requests are not ordered.
     pub(crate) fn is_next(&self, now: Timestamp, id: RequestId, key: Option<&str>) -> bool {
         let Some(queue) = key.and_then(|key| self.keys.get(key)) else { return true };
         queue.open.front() == Some(&id) && now >= queue.blocked_until
     }
 
-    /// Drops the keys without open requests whose block has passed.
+    /// Removes the keys that have no open request and are no longer blocked.
     pub(crate) fn forget_idle_keys(&mut self, now: Timestamp) {
         self.keys.retain(|_, queue| !queue.open.is_empty() || now < queue.blocked_until);
     }
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
-        let one = |queue: &KeyQueue| StoredKeyQueue {
+        let to_stored = |queue: &KeyQueue| StoredKeyQueue {
             open: queue.open.clone(),
             blocked_until: queue.blocked_until,
         };
-        stored.keys = self.keys.iter().map(|(key, queue)| (key.clone(), one(queue))).collect();
+        stored.keys = self.keys.iter().map(|(key, queue)| (key.clone(), to_stored(queue))).collect();
     }
 
     pub(crate) fn restore(stored: &mut StoredPolicy) -> KeyOrder {
-        let one = |queue: StoredKeyQueue| KeyQueue { open: queue.open, blocked_until: queue.blocked_until };
+        let from_stored =
+            |queue: StoredKeyQueue| KeyQueue { open: queue.open, blocked_until: queue.blocked_until };
         let keys = std::mem::take(&mut stored.keys).into_iter();
-        KeyOrder { keys: keys.map(|(key, queue)| (key, one(queue))).collect() }
+        KeyOrder { keys: keys.map(|(key, queue)| (key, from_stored(queue))).collect() }
     }
 }
 
--- a/crates/policy/src/request_queue/tests.rs
+++ b/crates/policy/src/request_queue/tests.rs
@@ -7,7 +7,7 @@
 const FIRST: RequestId = RequestId(1);
 const SECOND: RequestId = RequestId(2);
 
-fn at(millis: i64) -> Timestamp {
+fn at_millis(millis: i64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
@@ -36,36 +36,36 @@
 }
 
 #[test]
-fn requests_of_one_key_are_next_one_at_a_time() {
+fn requests_with_the_same_key_are_next_one_at_a_time() {
     let mut order = KeyOrder::default();
     order.join("a", FIRST);
     order.join("a", SECOND);
-    assert!(order.is_next(at(0), FIRST, Some("a")));
-    assert!(!order.is_next(at(0), SECOND, Some("a")));
-    assert!(order.is_next(at(0), SECOND, None), "without a key there is no order");
+    assert!(order.is_next(at_millis(0), FIRST, Some("a")));
+    assert!(!order.is_next(at_millis(0), SECOND, Some("a")));
+    assert!(order.is_next(at_millis(0), SECOND, None), "requests without a key are not ordered");
     order.leave("a", FIRST);
-    assert!(order.is_next(at(0), SECOND, Some("a")));
+    assert!(order.is_next(at_millis(0), SECOND, Some("a")));
 }
 
 #[test]
-fn blocked_key_has_no_next_request_until_its_time() {
+fn no_request_is_next_until_the_block_of_its_key_ends() {
     let mut order = KeyOrder::default();
     order.join("a", FIRST);
-    order.block("a", at(300));
-    assert!(!order.is_next(at(299), FIRST, Some("a")));
-    assert!(order.is_next(at(300), FIRST, Some("a")));
+    order.block("a", at_millis(300));
+    assert!(!order.is_next(at_millis(299), FIRST, Some("a")));
+    assert!(order.is_next(at_millis(300), FIRST, Some("a")));
 }
 
 #[test]
-fn idle_key_is_forgotten_only_after_its_block() {
+fn idle_key_is_removed_only_after_its_block_ends() {
     let mut order = KeyOrder::default();
     order.join("a", FIRST);
-    order.block("a", at(300));
+    order.block("a", at_millis(300));
     order.leave("a", FIRST);
-    order.forget_idle_keys(at(299));
+    order.forget_idle_keys(at_millis(299));
     order.join("a", SECOND);
-    assert!(!order.is_next(at(299), SECOND, Some("a")), "its block was kept");
+    assert!(!order.is_next(at_millis(299), SECOND, Some("a")), "the block still applies");
     order.leave("a", SECOND);
-    order.forget_idle_keys(at(300));
+    order.forget_idle_keys(at_millis(300));
     assert!(order.keys.is_empty());
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,8 +1,8 @@
 //! Retries: whether a further attempt of a request is allowed, from its class's effect, its earlier attempts,
 //! its deadline and the retry budget.
 //!
-//! The send guard (`src/core/send_guard.rs`) applies [`RetryRule`] and the budget's bound once more before
-//! the first byte of an attempt.
+//! The send guard (`src/core/send_guard.rs`) checks [`RetryRule`] and the limit of the retry budget again
+//! before the first byte of an attempt is sent.
 
 use crate::final_response::RESPONSE_MARGIN;
 use crate::policy::TICK;
@@ -11,38 +11,38 @@
 use sprucelink_rate_limits::EventWindow;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// What a class allows once an attempt of a request may have run.
+/// Retry rule of a class: which further attempts it allows once an attempt of a request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryRule {
     effect: Effect,
     dedup_window: TimeDelta,
 }
 
-/// The earlier attempts of a request, as far as they decide on a further one.
+/// Earlier attempts and deadline of a request, as the retry rule needs them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptHistory {
     /// Attempts sent so far.
     pub attempts: u32,
-    /// An attempt is in flight.
+    /// Whether an attempt is in flight.
     pub is_in_flight: bool,
-    /// When the first attempt that may have run was sent.
+    /// Time at which the first attempt that may have run was sent; `None` if none may have run.
     pub may_have_run_since: Option<Timestamp>,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
 }
 
-/// Whether a further attempt is allowed, and what forbids it.
+/// Whether a further attempt is allowed, and otherwise the reason why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Nothing forbids it.
+    /// The attempt is allowed.
     Allowed,
     /// The request is not idempotent, and an earlier attempt may run or have run.
     MayRunTwice,
     /// Engines no longer recognise the idempotency key of the first attempt that may have run.
     DedupWindowPassed,
-    /// All attempts of the request are used.
+    /// The request has had its maximum number of attempts.
     AttemptsExhausted,
-    /// The client stops waiting before an answer could reach it.
+    /// The client will stop waiting before an answer could reach it.
     DeadlineTooNear,
 }
 
@@ -54,23 +54,24 @@
 }
 
 impl RetryRule {
-    /// The rule of a class.
+    /// Takes the rule from a class's settings.
     pub fn of_class(class: &ClassSettings) -> RetryRule {
         RetryRule { effect: class.effect, dedup_window: class.repeat_window }
     }
 
-    /// What a retry of the class may do.
+    /// Idempotency of the class.
     pub fn effect(&self) -> Effect {
         self.effect
     }
 
-    /// For keyed classes: how long after the first attempt that may have run a retry is deduplicated.
+    /// For keyed classes: time after the first attempt that may have run within which engines deduplicate a
+    /// retry.
     pub fn dedup_window(&self) -> TimeDelta {
         self.dedup_window
     }
 
-    /// Whether a retry at `now` has no second effect, if the first attempt that may have run was sent at
-    /// `may_have_run_since`; `None`: none may have run.
+    /// Whether a retry at `now` cannot take effect a second time. `may_have_run_since`: time at which the
+    /// first attempt that may have run was sent; `None` if none may have run.
     pub fn may_run_again(&self, now: Timestamp, may_have_run_since: Option<Timestamp>) -> bool {
         let Some(since) = may_have_run_since else { return true };
         match self.effect {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether a further attempt may be sent at `now`, the retry budget aside.
+    /// Decides whether a further attempt may be sent at `now`, without regard to the retry budget.
     pub fn decide(&self, now: Timestamp, history: &AttemptHistory, max_attempts: u32) -> RetryDecision {
         if !self.may_run_again(now, history.may_have_run_since) {
             return match self.effect {
@@ -102,8 +103,8 @@
 }
 
 impl RetryBudgetSettings {
-    /// Maximum retries in a window with this number of requests. `spare_retries`: what other managers leave
-    /// to this one.
+    /// Maximum number of retries in a window with this number of requests. `spare_retries`: retries that
+    /// other managers leave to this one.
     pub fn max_retries(&self, requests: u64, spare_retries: f64) -> f64 {
         self.free_retries + self.retries_per_request * requests as f64 + spare_retries
     }
@@ -124,20 +125,20 @@
 impl RetryBudget {
     /// Counts a request received at `now`.
     pub fn record_request(&mut self, now: Timestamp, settings: Option<&RetryBudgetSettings>) {
-        let span = settings.map_or(TimeDelta::ZERO, |budget| budget.window);
-        self.requests.record(now, span);
+        let window = settings.map_or(TimeDelta::ZERO, |budget| budget.window);
+        self.requests.record(now, window);
     }
 
     /// Counts a retry sent at `now`.
     pub fn record_retry(&mut self, now: Timestamp, settings: Option<&RetryBudgetSettings>) {
-        let span = settings.map_or(TimeDelta::ZERO, |budget| budget.window + TICK);
-        self.retries.record(now, span);
+        let window = settings.map_or(TimeDelta::ZERO, |budget| budget.window + TICK);
+        self.retries.record(now, window);
     }
 
-    /// Whether one more retry may be sent at `now`; always, without a budget.
+    /// Whether one more retry may be sent at `now`; always `true` without a budget.
     ///
-    /// Retries count for a tick longer than requests, so that no exact window holds more than the budget
-    /// allows.
+    /// Retries count for one tick longer than requests, so that no window of exactly the configured length
+    /// has more retries than the budget allows.
     pub fn has_capacity(
         &self,
         now: Timestamp,
