--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -1,18 +1,19 @@
-//! The end of an attempt: what its outcome says of its engine, whether it may still run, and what happens to
-//! its request next.
+//! The end of an attempt: what its outcome says about the health of its engine, whether it may still run, and
+//! the next step of its request.
 
 use crate::events::Outcome;
 use crate::retry::RetryDecision;
 
-/// Engine errors that end a request: what two engines cannot do is most likely the request's own fault.
+/// Number of engine errors after which a request is not retried: if two engines fail, the request itself is
+/// most likely the cause.
 const MAX_ENGINE_ERRORS: u32 = 2;
 
-/// What an outcome says of the engine's health.
+/// What an outcome says about the engine's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthEvidence {
     Success,
     Failure,
-    /// Nothing: the attempt may have been slow by itself, or was not the engine's to answer.
+    /// No evidence: the attempt may have been slow by itself, or the engine was not expected to answer it.
     None,
 }
 
@@ -20,9 +21,10 @@
     pub(crate) fn of(outcome: Outcome) -> HealthEvidence {
         match outcome {
             Outcome::Succeeded => HealthEvidence::Success,
-            // An attempt that is stuck ends as cancelled; `OutlierDetector` judges silence.
+            // A stuck attempt ends as cancelled; `OutlierDetector` detects engines that do not respond.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => HealthEvidence::None,
-            // An engine that rejects for its load counts as failing, so that the traffic moves to others.
+            // An engine that rejects requests because of its load counts as failing, so that traffic moves to
+            // other engines.
             Outcome::EngineError
             | Outcome::RejectedByEngine
             | Outcome::ConnectFailed
@@ -31,24 +33,25 @@
     }
 }
 
-/// Whether an attempt may still run on its engine although it has ended here, so that its key must be
+/// Whether an attempt that has ended for this manager may still run on its engine, so that its key must be
 /// blocked.
 pub(crate) fn may_still_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled)
 }
 
-/// What happens to a request whose attempt has ended.
+/// Next step of a request whose attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextStep {
-    /// It has its response and is forgotten.
+    /// The request has its response and is removed.
     Finish,
-    /// It is queued for a further attempt.
+    /// The request is queued for a further attempt.
     Retry,
-    /// It gets a final response.
+    /// The request gets a final response from this manager.
     Respond,
 }
 
-/// Decides on the next step. `engine_errors`: the request's attempts that ended with an engine's error.
+/// Decides the next step. `engine_errors`: number of the request's attempts that ended with an engine error.
+/// `retry` is called only if everything else allows a retry.
 pub(crate) fn next_step(
     outcome: Outcome,
     is_answered: bool,
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -1,25 +1,26 @@
-//! Review of open requests: cancel an attempt that is stuck, raise the level of a late one, respond to a
-//! request whose time or value is gone; from its progress, age, expected latency and value.
+//! Review of open requests: whether to cancel a stuck attempt, to raise the level of a late one, or to
+//! respond to a request whose time or value has run out; from progress, age, expected latency and value.
 
 use crate::answer_value::AnswerValue;
 use crate::engine_health::OVERDUE_MULTIPLE;
 
-/// Fractions of the latency objective after which a running query is raised to levels 1 and 2; none is raised
-/// to 3.
+/// Fractions of the latency objective after which a running query is raised to levels 1 and 2; no query is
+/// raised to level 3.
 const RAISE_AFTER_OBJECTIVE: [f64; 2] = [0.35, 0.6];
-/// Multiple of its expected latency without progress after which an attempt counts as lost.
+/// Multiple of its expected latency after which an attempt without progress counts as lost.
 const LOST_MULTIPLE: f64 = 5.0;
-/// Multiple of a new attempt's latency that must remain of a running one before a new attempt replaces it.
+/// Multiple of a new attempt's latency that the remaining time of a running attempt must exceed before a new
+/// attempt replaces it.
 const RESTART_MULTIPLE: f64 = 3.0;
-/// Minimum fraction done that a remaining time is extrapolated from.
+/// Smaller fractions done count as this one where the remaining time is extrapolated.
 const MIN_FRACTION_DONE: f64 = 0.01;
 
-/// What is done with an open request.
+/// Result of the review of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReviewDecision {
-    /// Nothing.
+    /// The request is left as it is.
     Keep,
-    /// Its attempt is cancelled, and a new one may be sent.
+    /// Its attempt is cancelled, and a new one may be sent for the request.
     CancelAttempt,
     /// Its attempt runs at this level from now on.
     RaiseLevel(usize),
@@ -27,25 +28,26 @@
     Respond,
 }
 
-/// An attempt in flight, as a review sees it.
+/// An attempt in flight, as the review rules need it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RunningAttempt {
-    /// Since it was sent.
+    /// Time since the attempt was sent.
     pub(crate) age_secs: f64,
-    /// Since its last progress note, otherwise since it was sent.
+    /// Time since its last progress note, or since it was sent if there was none.
     pub(crate) secs_since_progress: f64,
     pub(crate) expected_latency_secs: f64,
     pub(crate) is_engine_ejected: bool,
-    /// Since its request arrived.
+    /// Time since its request arrived.
     pub(crate) request_age_secs: f64,
-    /// Its request's latency objective.
+    /// Latency objective of its request.
     pub(crate) objective_secs: f64,
-    /// Its request's level.
+    /// Priority level of its request.
     pub(crate) level: usize,
 }
 
-/// Reviews a request with an attempt in flight. `load_visibility`: how much of the fleet's load is visible;
-/// the less, the later a level is raised. `may_retry` is asked only for an attempt that is stuck.
+/// Reviews a request with an attempt in flight. `load_visibility`: fraction of the fleet's load that is
+/// visible, 0 to 1; the smaller it is, the later a level is raised. `may_retry` is called only for a stuck
+/// attempt.
 pub(crate) fn review_running(
     attempt: &RunningAttempt,
     load_visibility: f64,
@@ -63,8 +65,8 @@
     ReviewDecision::Keep
 }
 
-/// Whether an attempt is overdue on an ejected engine, or has made no progress for so long that it counts as
-/// lost.
+/// Whether an attempt is overdue on an ejected engine, or has been without progress for so long that it
+/// counts as lost.
 fn is_stuck(attempt: &RunningAttempt) -> bool {
     let is_overdue = attempt.age_secs > OVERDUE_MULTIPLE * attempt.expected_latency_secs;
     let is_lost = attempt.secs_since_progress > LOST_MULTIPLE * attempt.expected_latency_secs;
@@ -72,23 +74,23 @@
     is_stuck_on_ejected_engine || is_lost
 }
 
-/// The level of a running request by the fraction of its latency objective that has passed. One that has
-/// missed it is not raised: it would delay others for nothing.
+/// The level of a running request by the fraction of its latency objective that has passed. A request that
+/// has missed its objective is not raised, because it would delay others for nothing.
 fn level_by_age(objective_passed: f64, load_visibility: f64) -> usize {
     let is_reached =
         |fraction: &&f64| objective_passed * load_visibility > **fraction && objective_passed < 1.0;
     RAISE_AFTER_OBJECTIVE.iter().filter(is_reached).count()
 }
 
-/// Reviews a queued request that may still be sent. `expected_secs`: from its arrival to its answer if it is
-/// sent now. `price` is asked only for a late answer.
+/// Reviews a queued request that may still be sent. `expected_secs`: time from its arrival to its answer if
+/// it is sent now. `price` is called only without free cores, and only if the answer would be late.
 pub(crate) fn review_queued(
     value: &AnswerValue,
     expected_secs: f64,
     has_free_cores: bool,
     price: impl FnOnce() -> f64,
 ) -> ReviewDecision {
-    // While cores are free any value is worth waiting for: late is better than never.
+    // While cores are free, an answer of any value is worth waiting for: a late answer is better than none.
     let is_value_left = if has_free_cores {
         value.gross(expected_secs) > 0.0
     } else {
@@ -101,9 +103,9 @@
     }
 }
 
-/// Whether an attempt that reports its progress is worth replacing by a new one: its plan is bad or its
-/// engine slow, it will be late, and a new attempt, expected to take `new_attempt_secs`, would be far quicker
-/// than what is left.
+/// Whether an attempt that reports its progress is worth replacing by a new one, because its query plan is
+/// bad or its engine slow: it will be late, and a new attempt, expected to take `new_attempt_secs`, would be
+/// far quicker than the remaining time.
 pub(crate) fn is_restart_worthwhile(
     attempt: &RunningAttempt,
     fraction_done: f64,
--- a/crates/policy/src/final_response/tests.rs
+++ b/crates/policy/src/final_response/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn retry_after_is_the_longer_wait_within_its_bound() {
+fn retry_after_is_the_longer_wait_up_to_the_maximum() {
     assert_eq!(retry_after(1.2, 0.4, TimeDelta::ZERO), TimeDelta::from_millis(1_200));
     assert_eq!(retry_after(0.4, 1.2, TimeDelta::ZERO), TimeDelta::from_millis(1_200));
     assert_eq!(retry_after(1.2, 0.4, TimeDelta::from_secs(1)), TimeDelta::from_secs(1));
