--- a/crates/policy/src/class_estimates.rs
+++ b/crates/policy/src/class_estimates.rs
@@ -1,11 +1,11 @@
-//! What a request of a class costs and how long it takes, learned from the estimates that requests bring and
-//! from the latency and work of their answers.
+//! Cost and latency of a class's requests, learned from the estimates that requests carry and from the
+//! latency and work of their answers.
 
 use crate::settings::ClassSettings;
 use crate::snapshot::StoredClass;
 use sprucelink_rate_limits::MovingAverage;
 
-/// Estimates that count in a class's mean cost; later ones replace earlier ones gradually.
+/// Maximum number of estimates that count in a class's mean cost; later ones replace earlier ones gradually.
 const MAX_COST_SAMPLES: u32 = 200;
 /// Mean cost before the first estimate, as a fraction of the latency objective on all of the query's threads.
 const INITIAL_COST_FRACTION: f64 = 0.25;
@@ -15,7 +15,7 @@
 const WORK_RATIO_WEIGHT: f64 = 0.02;
 /// Maximum ratio of reported to estimated work that counts.
 const MAX_WORK_RATIO: f64 = 4.0;
-/// Weight of one answer in the present ratio of latency to estimate.
+/// Weight of one answer in the current ratio of latency to estimate.
 const LATENCY_WEIGHT: f64 = 0.05;
 /// Maximum ratio of latency to estimate that counts.
 const MAX_LATENCY_RATIO: f64 = 20.0;
@@ -24,22 +24,22 @@
 /// Ratio of latency to estimate on an engine without load, before the first answer.
 const INITIAL_UNLOADED_RATIO: f64 = 1.0;
 /// Factor on the unloaded ratio for an answer that is slower than it; with [`QUANTILE_DOWN`], three quicker
-/// answers weigh as much as one slower one, so that the ratio rests near the lower quartile.
+/// answers weigh as much as one slower one, so the ratio settles near the lower quartile.
 const QUANTILE_UP: f64 = 1.01;
 /// Factor on the unloaded ratio for an answer that is quicker than it.
 const QUANTILE_DOWN: f64 = 0.97;
 
-/// The learned costs and latencies of one class. Ratios are against a request's estimated cost.
+/// The learned costs and latencies of one class. Ratios are relative to a request's estimated cost.
 #[derive(Clone, Default)]
 pub(crate) struct ClassEstimates {
     /// Mean of the estimated costs, thread-seconds.
     mean_cost: f64,
     cost_samples: u32,
-    /// Work reported in answers over the estimate.
+    /// Ratio of the work reported in answers to the estimate.
     work_ratio: MovingAverage,
-    /// Latency times threads over the estimate, at the lower quartile: as on an engine without load.
+    /// Ratio of latency times threads to the estimate, at the lower quartile: as on an engine without load.
     unloaded_ratio: f64,
-    /// The same at present, in the mean.
+    /// Moving average of the same ratio: at the current load.
     latency_ratio: MovingAverage,
 }
 
@@ -60,12 +60,12 @@
         self.mean_cost
     }
 
-    /// Estimates that count in the mean cost.
+    /// Number of estimates that count in the mean cost.
     pub(crate) fn cost_samples(&self) -> u32 {
         self.cost_samples
     }
 
-    /// Work that answers report over the work that was estimated.
+    /// Ratio of the work that answers report to the estimated work.
     pub(crate) fn work_ratio(&self) -> f64 {
         self.work_ratio.value()
     }
@@ -75,18 +75,18 @@
         cost * self.unloaded_ratio / threads
     }
 
-    /// Latency at the present load, seconds, of a request of this cost (thread-seconds).
+    /// Latency at the current load, seconds, of a request of this cost (thread-seconds).
     pub(crate) fn expected_latency_secs(&self, cost: f64, threads: f64) -> f64 {
         cost * self.latency_ratio.value().max(self.unloaded_ratio) / threads
     }
 
-    /// Learns from the cost that a request is estimated at, thread-seconds.
+    /// Learns from the estimated cost of a request, thread-seconds.
     pub(crate) fn record_estimate(&mut self, cost: f64) {
         self.cost_samples = (self.cost_samples + 1).min(MAX_COST_SAMPLES);
         self.mean_cost += (cost - self.mean_cost) / f64::from(self.cost_samples);
     }
 
-    /// Learns from the work that an answer reports, against the estimate; both in thread-seconds.
+    /// Learns from the work that an answer reports and its estimate, both in thread-seconds.
     pub(crate) fn record_work(&mut self, reported: f64, estimated: f64) {
         self.work_ratio.update((reported / estimated).min(MAX_WORK_RATIO), WORK_RATIO_WEIGHT);
     }
--- a/crates/policy/src/class_estimates/tests.rs
+++ b/crates/policy/src/class_estimates/tests.rs
@@ -8,16 +8,16 @@
 }
 
 #[test]
-fn unloaded_latency_rests_near_the_lower_quartile() {
+fn unloaded_latency_settles_near_the_lower_quartile() {
     let mut estimates = estimates();
     // Every fourth answer takes 0.5 s, the others 1 s.
-    for n in 0..4_000 {
-        estimates.record_latency(if n % 4 == 0 { 0.5 } else { 1.0 }, THREADS, COST);
+    for answer in 0..4_000 {
+        estimates.record_latency(if answer % 4 == 0 { 0.5 } else { 1.0 }, THREADS, COST);
     }
     let unloaded_secs = estimates.unloaded_latency_secs(COST, THREADS);
     let expected_secs = estimates.expected_latency_secs(COST, THREADS);
     assert!((0.45..1.05).contains(&unloaded_secs), "{unloaded_secs}");
-    assert!((expected_secs - 0.875).abs() < 0.15, "{expected_secs}: the mean");
+    assert!((expected_secs - 0.875).abs() < 0.15, "{expected_secs}: near the mean");
 }
 
 #[test]
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn work_ratio_follows_reports_within_its_bound() {
+fn work_ratio_follows_reports_up_to_its_maximum() {
     let mut estimates = estimates();
     (0..2_000).for_each(|_| estimates.record_work(100.0, COST));
     assert!((estimates.work_ratio() - 4.0).abs() < 1e-9);
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -1,39 +1,41 @@
-//! Memory grants: how much memory a request is sent with, from the memory that answers of its class reported
-//! and the spills that its attempts noted.
+//! Memory grants: how much memory a request is granted, from the memory use that answers of its class
+//! reported and the spills that progress notes reported.
 
 use crate::settings::MemoryShort;
 use crate::snapshot::StoredClass;
 use sprucelink_rate_limits::update_mean_and_variance;
 
-/// Increase of the grant by a note that all of the estimated memory was missing; fraction of the estimate.
+/// Increase of the grant after a note that all of the estimated memory was missing, as a fraction of the
+/// estimate.
 const SPILL_INCREASE: f64 = 0.1;
-/// Grant before anything was learned, as a fraction of the estimate.
+/// Grant before the first answer or note, as a fraction of the estimate.
 const INITIAL_GRANT: f64 = 1.15;
 /// Decrease of the grant with each answer, as a fraction of the estimate.
 const GRANT_DECAY: f64 = 0.001;
-/// Minimum grant that spills and answers lead to, as a fraction of the estimate.
+/// Minimum grant learned from spills and answers, as a fraction of the estimate.
 const MIN_GRANT: f64 = 0.5;
-/// Answers with the memory used that count in its mean; later ones replace earlier ones gradually.
+/// Maximum number of memory reports that count in the mean; later ones replace earlier ones gradually.
 const MAX_MEMORY_SAMPLES: u32 = 50;
 /// Variance of the logarithm of memory used over estimated, before the first answer.
 const INITIAL_MEMORY_VARIANCE: f64 = 0.25;
-/// Standard deviations by which a grant exceeds the mean where a query waits for memory that is short.
+/// Standard deviations by which a grant exceeds the mean where a query waits while memory is short.
 const DEVIATIONS_WHERE_QUERIES_WAIT: f64 = 0.5;
-/// Standard deviations by which a grant exceeds the mean where a query gets less memory and spills.
+/// Standard deviations by which a grant exceeds the mean where a query gets less memory than granted and
+/// spills.
 const DEVIATIONS_WHERE_GRANTS_SHRINK: f64 = 0.7;
 /// Standard deviations by which a grant exceeds the mean where all queries slow down once memory is short.
 const DEVIATIONS_WHERE_ENGINES_PAGE: f64 = 2.0;
 
-/// Learns the memory that queries of one class need, against their estimates.
+/// Learns how much memory queries of one class use, relative to their estimates.
 #[derive(Clone, Default)]
 pub(crate) struct GrantEstimator {
-    /// Answers that reported the memory used, up to a bound.
+    /// Answers that reported the memory used, at most [`MAX_MEMORY_SAMPLES`].
     samples: u32,
-    /// Mean natural logarithm of the memory used over the estimate.
+    /// Mean natural logarithm of the ratio of memory used to the estimate.
     mean_log_ratio: f64,
     /// Variance of that logarithm.
     log_ratio_variance: f64,
-    /// Grant over the estimate as notes of spills suggest it, used until answers report the memory.
+    /// Ratio of grant to estimate learned from spills; used until answers report the memory used.
     ratio_from_spills: f64,
 }
 
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Learns from the memory that an answer reported; a report of none says nothing.
+    /// Learns from the memory that an answer reported; a report of zero is ignored.
     pub(crate) fn record_memory_used(&mut self, used_mb: f64, estimated_mb: f64) {
         let ratio = used_mb / estimated_mb;
         if ratio > 0.0 {
@@ -63,22 +65,22 @@
         self.ratio_from_spills += SPILL_INCREASE * (missing_mb / estimated_mb.max(1.0)).min(1.0);
     }
 
-    /// Learns from an answer: without further spills the grant falls.
+    /// Learns from an answer: the grant falls slightly, so that it declines while there are no spills.
     pub(crate) fn record_answer(&mut self) {
         self.ratio_from_spills = (self.ratio_from_spills - GRANT_DECAY).max(MIN_GRANT);
     }
 
-    /// The memory to grant, MB: more above the mean, the more harm a shortage does on these engines.
+    /// The memory to grant, MB: the more harm a shortage does on these engines, the further above the mean.
     pub(crate) fn grant_mb(&self, estimated_mb: f64, shortage: MemoryShort) -> f64 {
         let deviations = match shortage {
             MemoryShort::Waits => DEVIATIONS_WHERE_QUERIES_WAIT,
             MemoryShort::Shrinks => DEVIATIONS_WHERE_GRANTS_SHRINK,
             MemoryShort::Pages => DEVIATIONS_WHERE_ENGINES_PAGE,
         };
-        let slack = deviations * self.log_ratio_variance.sqrt();
+        let margin = deviations * self.log_ratio_variance.sqrt();
         let ratio = match self.samples {
             0 => self.ratio_from_spills,
-            _ => (self.mean_log_ratio + slack).exp(),
+            _ => (self.mean_log_ratio + margin).exp(),
         };
         estimated_mb * ratio
     }
--- a/crates/policy/src/memory_grant/tests.rs
+++ b/crates/policy/src/memory_grant/tests.rs
@@ -12,9 +12,9 @@
     estimator.record_spill(50.0, 100.0);
     assert!((grant(&estimator) - 120.0).abs() < 1e-9, "half of the memory was missing");
     estimator.record_spill(900.0, 100.0);
-    assert!((grant(&estimator) - 130.0).abs() < 1e-9, "no spill counts for more than all of the memory");
+    assert!((grant(&estimator) - 130.0).abs() < 1e-9, "a spill counts for the estimated memory at most");
     (0..2_000).for_each(|_| estimator.record_answer());
-    assert!((grant(&estimator) - 50.0).abs() < 1e-9, "half of the estimate is the least");
+    assert!((grant(&estimator) - 50.0).abs() < 1e-9, "the minimum is half of the estimate");
 }
 
 #[test]
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn report_of_no_memory_says_nothing() {
+fn report_of_zero_memory_is_ignored() {
     let mut estimator = GrantEstimator::new();
     estimator.record_memory_used(0.0, 100.0);
     assert_eq!(grant(&estimator), 100.0 * 1.15);
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! Records of open requests and of their attempts in flight. Nothing here decides or learns.
+//! Records of open requests and of their attempts in flight. No function of this module decides or learns.
 
 use crate::events::Arrival;
 use crate::ids::{EngineId, RequestId};
@@ -14,20 +14,20 @@
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
     pub(crate) number: u32,
-    /// When the policy sent it; its first byte may leave later.
+    /// Time at which the policy sent it; its first byte may be sent later.
     pub(crate) sent_at: Timestamp,
-    /// When its last progress note came, otherwise when it was sent.
+    /// Time of its last progress note, or of its send if there was none.
     pub(crate) last_progress: Timestamp,
     pub(crate) expected_latency_secs: f64,
     pub(crate) is_cancelled: bool,
-    /// The multiple of the expected latency at which being overdue counts next as an outcome of its engine.
+    /// Multiple of the expected latency at which the overdue attempt next counts as an outcome of its engine.
     pub(crate) next_overdue_multiple: f64,
 }
 
 /// A request without a final response, or with an attempt still in flight.
 #[derive(Clone)]
 pub(crate) struct Request {
-    /// Its class, by index.
+    /// Index of its class.
     pub(crate) class: usize,
     /// Orders it among the requests of its level.
     pub(crate) sequence: u64,
@@ -47,22 +47,22 @@
     pub(crate) attempts: u32,
     /// Attempts that ended with an engine's error.
     pub(crate) errors: u32,
-    /// The first attempt that may have run: when it was sent, and where.
+    /// Send time and engine of the first attempt that may have run.
     pub(crate) may_have_run: Option<(Timestamp, EngineId)>,
     pub(crate) in_flight: Option<Attempt>,
     pub(crate) last_engine: Option<EngineId>,
-    /// Until when it waits for the load probes that were sent for it.
+    /// Time until which it waits for the load probes that were sent for it.
     pub(crate) probes_until: Timestamp,
-    /// The engines that it chooses among; all if empty.
+    /// The engines sampled for it; if empty, it may be sent to any engine.
     pub(crate) candidates: Vec<EngineId>,
-    /// When these were sampled.
+    /// Time at which the candidates were sampled.
     pub(crate) sampled_at: Timestamp,
-    /// It has its final response.
+    /// Whether it has its final response.
     pub(crate) is_answered: bool,
 }
 
 impl Request {
-    /// A request as it arrives: without a price, a level or an attempt.
+    /// A request on arrival: not yet priced, at level 0 and without attempts.
     pub(crate) fn new(arrival: &Arrival, sequence: u64, now: Timestamp, cost: f64) -> Request {
         Request {
             class: arrival.class.0,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Its earlier attempts, as the retry rule reads them.
+    /// Its earlier attempts and deadline, as the retry rule needs them.
     pub(crate) fn history(&self) -> AttemptHistory {
         AttemptHistory {
             attempts: self.attempts,
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -6,15 +6,16 @@
 use sprucelink_rate_limits::TokenBucket;
 use sprucelink_time::Timestamp;
 
-/// Minimum depth of a tenant's token bucket, in requests; a bucket otherwise holds one second of the quota.
+/// Minimum depth of a tenant's token bucket, in requests; otherwise the depth is one second of the quota.
 const MIN_BURST_REQUESTS: f64 = 6.0;
 
-/// How a request stands to its tenant's quota.
+/// Whether a request is within its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaUse {
-    /// The tenant has a token for it, or no quota.
+    /// The tenant has a token left for the request, or has no quota.
     WithinQuota,
-    /// The tenant's tokens are used up: the request counts for less, and is not rejected for that alone.
+    /// The tenant's tokens are used up: the request has a lower value, but is not rejected for that reason
+    /// alone.
     OverQuota,
 }
 
