--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,6 +1,6 @@
-//! The decision module of one manager: owns the parts, routes each event to them and collects their actions.
-//! It decides nothing itself: each rule is a function of its part, and the files of this folder gather its
-//! inputs.
+//! The decision module of one manager: owns the state, routes each event to the rules and collects their
+//! actions. It decides nothing itself: each rule is a function of its own module, and the files of this
+//! folder gather its inputs.
 
 mod arrivals;
 mod attempts;
@@ -36,12 +36,12 @@
 use sprucelink_stable_hash::SplitMix64;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Time between two reviews of all open requests: short against every deadline.
+/// Time between two reviews of all open requests: short compared with every deadline.
 pub(crate) const TICK: TimeDelta = TimeDelta::from_millis(20);
 
-/// Approximate size of what an engine's record refers to, bytes.
+/// Approximate heap size of an engine's record, bytes.
 const ENGINE_HEAP_BYTES: usize = 256;
-/// Approximate size of what a request's record refers to, bytes.
+/// Approximate heap size of a request's record, bytes.
 const REQUEST_HEAP_BYTES: usize = 64;
 
 /// The decision module of one manager.
@@ -51,20 +51,20 @@
     settings: Settings,
     random: SplitMix64,
     now: Timestamp,
-    /// When this module was created.
+    /// Time at which this module was created.
     started_at: Timestamp,
     is_timer_started: bool,
     next_pricing: Timestamp,
-    /// When the endpoint list is to be watched.
+    /// Time at which the endpoint list is to be requested; `None` while no request is due.
     next_watch: Option<Timestamp>,
     engines: EngineTable,
     outliers: OutlierDetector,
     load: LoadEstimator,
     own_load: OwnLoad,
     prices: PriceTable,
-    /// By class.
+    /// Indexed by class.
     estimates: Vec<ClassEstimates>,
-    /// By class.
+    /// Indexed by class.
     grants: Vec<GrantEstimator>,
     tenant_quotas: TenantQuotas,
     requests: OpenRequests,
@@ -72,12 +72,12 @@
     key_order: KeyOrder,
     retry_budget: RetryBudget,
     probe_credit: ProbeCredit,
-    /// Reasons are given, too; no decision depends on it.
+    /// Whether reasons are given along with the actions; no decision depends on it.
     is_explaining: bool,
 }
 
 impl Policy {
-    /// A manager that starts now and knows its settings only.
+    /// Creates the module of a manager that starts at `now` and has learned nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Policy {
         let classes = &settings.classes;
         Policy {
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Processes one event and appends the resulting actions to `out`. A `now` before that of an earlier
+    /// event counts as the latter.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.is_timer_started {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Approximate size of a copy in bytes, for bounds on queues.
+    /// Approximate size of a copy of this module in bytes, for size limits of queues that hold copies.
     pub fn estimated_bytes(&self) -> u64 {
         let engine = size_of::<Engine>() + ENGINE_HEAP_BYTES;
         let request = size_of::<Request>() + REQUEST_HEAP_BYTES;
@@ -171,7 +172,7 @@
         FleetShare { managers, ready_cores: self.engines.ready_cores() }
     }
 
-    /// The fleet as the rules on engines see it now.
+    /// The current view of the fleet for the rules on engines.
     fn fleet(&self) -> FleetView<'_> {
         let share = self.share();
         FleetView {
--- a/crates/policy/src/policy/arrivals.rs
+++ b/crates/policy/src/policy/arrivals.rs
@@ -1,4 +1,5 @@
-//! A request from its arrival to the queue: priced, admitted or rejected, and sent at once if possible.
+//! Handling of a request from arrival to the queue: it is priced, admitted or rejected, and sent at once if
+//! possible.
 
 use crate::actions::Action;
 use crate::admission::{self, AdmissionDecision, FreeCapacity};
@@ -29,10 +30,10 @@
         self.admit(id, out);
     }
 
-    /// Makes the request of an arrival: its cost, its value by the tenant's quota, and its key.
+    /// Creates the request of an arrival: its cost, its value (lower beyond the tenant's quota) and its key.
     fn new_request(&mut self, arrival: Arrival) -> Request {
         let managers = f64::from(self.settings.gateways);
-        let quota = self.tenant_quotas.take(self.now, arrival.tenant, &self.settings.tenants, managers);
+        let quota_use = self.tenant_quotas.take(self.now, arrival.tenant, &self.settings.tenants, managers);
         let estimates = &mut self.estimates[arrival.class.0];
         let cost = arrival.cost.unwrap_or(estimates.mean_cost());
         if arrival.cost.is_some() {
@@ -41,7 +42,7 @@
         self.probe_credit.earn(self.settings.probe_price);
         let mut request = Request::new(&arrival, self.queue.next_sequence(), self.now, cost);
         let class = &self.settings.classes[request.class];
-        let quota_factor = match quota {
+        let quota_factor = match quota_use {
             QuotaUse::WithinQuota => 1.0,
             QuotaUse::OverQuota => self.settings.over_quota_value_factor,
         };
@@ -69,7 +70,7 @@
         let position = QueuePosition::of(request);
         self.prices.record_admission(request.class, quote.level);
         self.queue.insert(id, request);
-        self.dispatch_newcomer(id, out);
+        self.dispatch_new_request(id, out);
         if self.queue.contains(position) {
             self.queue.add_queued_work(quote.level, queued_work);
         }
@@ -86,7 +87,7 @@
         admission::decide(quote, &value, secs_to_deadline, self.free_capacity(), engine_utilisation)
     }
 
-    /// What a request would pay now at its cheapest level.
+    /// The current price quote of a request, at its cheapest level.
     pub(super) fn quote(&self, request: &Request) -> PriceQuote {
         self.prices.cheapest_level(
             request.class,
@@ -106,7 +107,8 @@
         AnswerValue::of(request, &self.settings.classes[request.class], &self.estimates[request.class])
     }
 
-    /// Samples a request's candidates, if it chooses among a few engines, and probes those of unknown load.
+    /// Samples the candidates of a request that chooses among a few engines, and probes those of unknown
+    /// load.
     pub(super) fn sample_candidates(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(pool) = candidate_pool(&self.fleet(), request) else { return };
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: their progress notes, and what their ends teach and lead to.
+//! Progress notes and ends of attempts: what the module learns from them, and the next step of the request.
 
 use crate::actions::Action;
 use crate::attempt_outcome::{may_still_run, next_step, HealthEvidence, NextStep};
@@ -9,16 +9,16 @@
 use crate::request::Attempt;
 use sprucelink_time::TimeDelta;
 
-/// How an attempt ended.
+/// Result of an ended attempt.
 pub(super) struct EndedAttempt {
     pub(super) outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub(super) latency: TimeDelta,
-    /// The request is over: its client has the response, or has gone.
+    /// Whether the request is over: its client has the response, or has disconnected.
     pub(super) is_request_over: bool,
-    /// The resources that it used, where reported.
+    /// Resources that the attempt used, if reported.
     pub(super) query_cost: Option<QueryCost>,
-    /// The engine's load report.
+    /// Load report of the engine.
     pub(super) report: LoadReport,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Cancels the attempt in flight, where engines take cancellations.
+    /// Cancels the attempt in flight, if attempts can be cancelled on engines.
     pub(super) fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.explain_cancellation(id, out);
         if !self.settings.cancel {
@@ -88,7 +88,7 @@
         }
         request.errors += u32::from(ended.outcome == Outcome::EngineError);
         request.is_answered |= ended.is_request_over;
-        // In force in the simulator only: the program gives its policy requests without a key.
+        // Takes effect in the simulator only: the program passes requests to its policy without a key.
         if let Some(key) = request.key.as_ref().filter(|_| may_still_run(ended.outcome)) {
             self.key_order.block(key, self.now + self.settings.key_settle_time);
         }
@@ -98,7 +98,7 @@
         self.continue_after_attempt(id, ended.outcome, out);
     }
 
-    /// Learns what an ended attempt says of its engine: load, health and the health of its zone.
+    /// Learns from an ended attempt the load and health of its engine and the health of the engine's zone.
     fn record_engine_outcome(&mut self, attempt: &Attempt, threads: f64, ended: &EndedAttempt) {
         self.own_load.remove(threads);
         self.load.record_run(threads, ended.latency.as_secs_f64());
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Learns what an ended attempt says of its class.
+    /// Learns from an ended attempt the wait, cost and latency of its class.
     fn record_wait_and_answer(&mut self, id: RequestId, attempt: &Attempt, ended: &EndedAttempt) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = request.class;
@@ -136,8 +136,9 @@
                 let unloaded_secs = self.estimates[class].unloaded_latency_secs(cost, threads);
                 self.prices.record_wait(class, level, (age_secs - unloaded_secs).max(0.0));
             }
-            // Only an attempt whose deadline passed before its answer: what was answered 50 ms earlier
-            // (`RESPONSE_MARGIN`) ends as cancelled, and teaches no wait.
+            // Only an attempt whose deadline passed before the request got a response: a request that got its
+            // final response 50 ms before the deadline (`RESPONSE_MARGIN`) has its attempt cancelled, and no
+            // wait is learned.
             Outcome::TimedOut => self.prices.record_wait(class, level, age_secs),
             _ => {}
         }
@@ -166,7 +167,7 @@
         grant.record_answer();
         let engine = &mut self.engines[attempt.engine];
         engine.health.record_answer(self.now);
-        // A load waits for the locks of its tables: its latency says nothing of the engine.
+        // A load waits for the locks of its tables, so its latency says nothing about the engine.
         if !settings.loads_tables {
             engine.health.record_latency(latency_secs / attempt.expected_latency_secs);
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -1,4 +1,5 @@
-//! The way out: only `send` forwards an attempt, and only `respond` gives a response that no engine gave.
+//! Dispatch of attempts and final responses: only `send` forwards an attempt, and only `respond` gives a
+//! response that does not come from an engine.
 
 use crate::actions::Action;
 use crate::engine_eligibility::is_eligible;
@@ -13,13 +14,13 @@
 use crate::slow_start::SlowStartLimits;
 use sprucelink_time::TimeDelta;
 
-/// Queued requests that are tried after one event; the rest waits for the next event.
+/// Maximum number of queued requests that are tried after one event; the others wait for the next event.
 const MAX_TRIED_PER_EVENT: usize = 200;
-/// Minimum latency that is expected of an attempt, seconds.
+/// Minimum expected latency of an attempt, seconds.
 const MIN_EXPECTED_LATENCY_SECS: f64 = 0.05;
 
 impl Policy {
-    /// Sends what is queued as engines have capacity, in the order of the queue.
+    /// Sends queued requests for which engines have capacity, in the order of the queue.
     pub(super) fn dispatch_queued(&mut self, out: &mut Vec<Action>) {
         for (position, id) in self.queue.first(MAX_TRIED_PER_EVENT) {
             self.try_dispatch(position, id, out);
@@ -27,14 +28,14 @@
     }
 
     /// Sends a request that was just queued, if an engine has capacity.
-    pub(super) fn dispatch_newcomer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn dispatch_new_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(&id) {
             self.try_dispatch(QueuePosition::of(request), id, out);
         }
     }
 
     fn try_dispatch(&mut self, position: QueuePosition, id: RequestId, out: &mut Vec<Action>) {
-        // Drawn in any case, so that the numbers that other requests get do not depend on this one.
+        // Drawn in any case, so that the random numbers of other requests do not depend on this one.
         let random_unit = self.random.next_unit();
         let Some(request) = self.requests.get(&id) else { return };
         if !self.is_next_of_key(id, request) || !self.is_within_retry_budget(request) {
@@ -57,7 +58,7 @@
         self.key_order.is_next(self.now, id, request.key.as_deref())
     }
 
-    /// Whether the retry budget allows the request's next attempt; it does not bind first attempts.
+    /// Whether the retry budget allows the request's next attempt; it does not apply to first attempts.
     fn is_within_retry_budget(&self, request: &Request) -> bool {
         request.attempts == 0 || self.has_retry_budget()
     }
@@ -67,7 +68,7 @@
         self.retry_budget.has_capacity(self.now, settings.retry_budget.as_ref(), settings.spare_retries)
     }
 
-    /// Whether the rules allow a further attempt, the retry budget aside.
+    /// Decides whether the retry rule allows a further attempt, without regard to the retry budget.
     pub(super) fn decide_retry(&self, request: &Request) -> RetryDecision {
         let rule = RetryRule::of_class(&self.settings.classes[request.class]);
         rule.decide(self.now, &request.history(), self.settings.max_attempts)
@@ -88,7 +89,7 @@
             && is_eligible(&self.fleet(), request, &self.engines[engine])
     }
 
-    /// The only way out to an engine; `false` where a rule forbids it.
+    /// Sends an attempt to an engine; `false` if a rule forbids it. Every attempt is sent by this function.
     fn send(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         if !self.may_send(id, request, engine) {
@@ -104,8 +105,8 @@
         true
     }
 
-    /// Charges an attempt to its engine and zone, the own load and the retry budget.
-    fn charge_send(&mut self, id: RequestId, to: EngineId, expected_latency_secs: f64) {
+    /// Charges a sent attempt to its engine and zone, to this manager's own load and to the retry budget.
+    fn charge_send(&mut self, id: RequestId, engine_id: EngineId, expected_latency_secs: f64) {
         let limits = SlowStartLimits::new(self.now, self.started_at, &self.settings, &self.estimates);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let class = &self.settings.classes[request.class];
@@ -115,11 +116,11 @@
             self.retry_budget.record_retry(self.now, self.settings.retry_budget.as_ref());
         }
         self.own_load.add(threads);
-        let engine = &mut self.engines[to];
+        let engine = &mut self.engines[engine_id];
         engine.charge_send(self.now, threads, charge, request.table_group, &self.settings);
         self.outliers.record_send(self.now, engine.zone());
         request.in_flight = Some(Attempt {
-            engine: to,
+            engine: engine_id,
             number: request.attempts,
             sent_at: self.now,
             last_progress: self.now,
@@ -128,10 +129,10 @@
             next_overdue_multiple: OVERDUE_MULTIPLE,
         });
         request.attempts += 1;
-        request.last_engine = Some(to);
+        request.last_engine = Some(engine_id);
     }
 
-    /// The level and, where engines obey grants, the memory that a request is sent with.
+    /// The level of a request and, if engines obey memory grants, its grant.
     pub(super) fn execution_terms(&self, id: RequestId, request: &Request) -> Action {
         let estimated_mb = request.memory_mb.filter(|_| self.settings.grants);
         let grant = &self.grants[request.class];
@@ -139,13 +140,13 @@
         Action::SetExecutionTerms { id, grant_mb, level: Level(request.level as u8) }
     }
 
-    /// Latency that is expected of an attempt of the request now, seconds.
+    /// Currently expected latency of an attempt of the request, seconds.
     pub(super) fn expected_latency_secs(&self, request: &Request) -> f64 {
         let threads = self.settings.classes[request.class].threads;
         self.estimates[request.class].expected_latency_secs(request.cost, threads)
     }
 
-    /// Seconds that the queued work takes this manager's share of the cores.
+    /// Time that this manager's share of the cores needs for the queued work, seconds.
     pub(super) fn queue_delay_secs(&self) -> f64 {
         self.share().delay_secs(self.queue.total_queued_work())
     }
@@ -165,8 +166,8 @@
         retry_after(wait_secs, self.queue_delay_secs(), self.settings.max_retry_after)
     }
 
-    /// Ends a request that has its response or whose client has gone; an attempt in flight is cancelled, and
-    /// its end forgets the request.
+    /// Ends a request that has its response or whose client has disconnected. An attempt in flight is
+    /// cancelled, and the request is removed when that attempt ends.
     pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_answered = true;
--- a/crates/policy/src/policy/explanations.rs
+++ b/crates/policy/src/policy/explanations.rs
@@ -1,5 +1,5 @@
-//! The reasons of decisions, given only while they are asked for. Nothing here decides: each function repeats
-//! the inputs of a decision that the caller makes.
+//! Reasons of decisions, given only while explanations are on. No function of this module decides: each one
+//! repeats the inputs of a decision that its caller makes.
 
 use crate::actions::Action;
 use crate::admission::AdmissionDecision;
@@ -15,12 +15,11 @@
 use crate::request::Request;
 
 impl Policy {
-    /// The request, while reasons are asked for.
+    /// The request, if explanations are on.
     fn request_to_explain(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id).filter(|_| self.is_explaining)
     }
 
-    /// Gives the reason why a request is admitted or rejected.
     pub(super) fn explain_admission(
         &self,
         id: RequestId,
@@ -49,13 +48,14 @@
         );
     }
 
-    /// Gives each engine's part in a draw; called just before the draw, with its arguments.
+    /// Explains the selection of an engine; called just before the selection, with its arguments.
     pub(super) fn explain_draw(&self, id: RequestId, random_unit: f64, out: &mut Vec<Action>) {
         let Some(request) = self.request_to_explain(id) else { return };
         let fleet = self.fleet();
         let preference = Preference::of(&fleet, request);
         let listed = self.engines.iter().filter(|(_, engine)| !engine.is_gone());
-        let among = listed.map(|(id, engine)| candidate(&fleet, request, &preference, id, engine)).collect();
+        let candidates =
+            listed.map(|(id, engine)| candidate(&fleet, request, &preference, id, engine)).collect();
         push(
             out,
             Reason::Drawn {
@@ -63,12 +63,12 @@
                 random_unit,
                 max_utilisation: MAX_UTILISATION[request.level],
                 chosen: select_engine(&fleet, request, CapacityCheck::Required, random_unit),
-                candidates: among,
+                candidates,
             },
         );
     }
 
-    /// Gives the reason why a request is rejected or failed.
+    /// Explains why a request is rejected or failed.
     pub(super) fn explain_response(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.request_to_explain(id) else { return };
         let expected_secs = request.age_secs(self.now) + self.expected_latency_secs(request);
@@ -89,7 +89,6 @@
         );
     }
 
-    /// Gives the reason why an attempt is cancelled.
     pub(super) fn explain_cancellation(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.request_to_explain(id) else { return };
         let Some(attempt) = &request.in_flight else { return };
@@ -113,26 +112,26 @@
     out.push(Action::Explain(Box::new(reason)));
 }
 
-/// What a draw prefers, where it can.
+/// Which engines a selection prefers, as far as there are such engines.
 struct Preference {
-    /// Only healthy engines.
-    healthy: bool,
-    /// Not the engine that just failed the request.
-    other: bool,
+    /// Only healthy engines are selected.
+    only_healthy: bool,
+    /// The engine that just failed the request is not selected.
+    excludes_last_engine: bool,
 }
 
 impl Preference {
     fn of(fleet: &FleetView, request: &Request) -> Preference {
         let eligible = || fleet.engines.iter().filter(|(_, engine)| is_eligible(fleet, request, engine));
-        let healthy = eligible().any(|(_, engine)| is_healthy_for(fleet, request, engine));
-        let is_preferred = |engine: &Engine| !healthy || is_healthy_for(fleet, request, engine);
+        let has_healthy = eligible().any(|(_, engine)| is_healthy_for(fleet, request, engine));
+        let is_preferred = |engine: &Engine| !has_healthy || is_healthy_for(fleet, request, engine);
         let is_other = |id: EngineId| request.last_engine != Some(id);
         let has_other = eligible().any(|(id, engine)| is_preferred(engine) && is_other(id));
-        Preference { healthy, other: request.errors > 0 && has_other }
+        Preference { only_healthy: has_healthy, excludes_last_engine: request.errors > 0 && has_other }
     }
 }
 
-/// What leaves an engine out of a draw.
+/// The reason that excludes an engine from a selection; `None` if it takes part.
 fn exclusion(
     fleet: &FleetView,
     request: &Request,
@@ -143,10 +142,10 @@
     if let Some(reason) = ineligible_reason(fleet, request, engine) {
         return Some(reason);
     }
-    if preference.healthy && !is_healthy_for(fleet, request, engine) {
+    if preference.only_healthy && !is_healthy_for(fleet, request, engine) {
         return Some(IneligibleReason::Health);
     }
-    if preference.other && request.last_engine == Some(id) {
+    if preference.excludes_last_engine && request.last_engine == Some(id) {
         return Some(IneligibleReason::JustFailed);
     }
     draw_exclusion(fleet, request, id, engine)
--- a/crates/policy/src/policy/review.rs
+++ b/crates/policy/src/policy/review.rs
@@ -8,7 +8,8 @@
 use crate::request::{Attempt, Request};
 
 impl Policy {
-    /// Responds to what is due or not worth its price, cancels stuck attempts, raises the level of late ones.
+    /// Responds to requests that are due or not worth their price, cancels stuck attempts, and raises the
+    /// level of late ones.
     pub(super) fn review_requests(&mut self, out: &mut Vec<Action>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         let has_free_cores = self.free_capacity().has_free_cores();
@@ -43,7 +44,7 @@
         review_queued(&self.answer_value(request), expected_secs, has_free_cores, price)
     }
 
-    /// An attempt in flight as the review rules see it.
+    /// An attempt in flight as the review rules need it.
     pub(super) fn running_attempt(&self, request: &Request, attempt: &Attempt) -> RunningAttempt {
         RunningAttempt {
             age_secs: (self.now - attempt.sent_at).as_secs_f64(),
--- a/crates/policy/src/policy/stored.rs
+++ b/crates/policy/src/policy/stored.rs
@@ -1,4 +1,4 @@
-//! The stored form of the whole module, part by part.
+//! Conversion of the whole module to and from its stored form, field by field.
 
 use crate::class_estimates::ClassEstimates;
 use crate::engine_table::EngineTable;
@@ -33,11 +33,19 @@
             next_pricing: policy.next_pricing,
             next_watch: policy.next_watch,
             classes: policy.estimates.iter().map(|_| StoredClass::default()).collect(),
-            requests: policy.requests.iter().map(|(id, r)| (*id, StoredRequest::from(r))).collect(),
+            requests: policy
+                .requests
+                .iter()
+                .map(|(id, request)| (*id, StoredRequest::from(request)))
+                .collect(),
             ..StoredPolicy::default()
         };
-        policy.estimates.iter().zip(&mut stored.classes).for_each(|(part, class)| part.store(class));
-        policy.grants.iter().zip(&mut stored.classes).for_each(|(part, class)| part.store(class));
+        policy
+            .estimates
+            .iter()
+            .zip(&mut stored.classes)
+            .for_each(|(estimates, class)| estimates.store(class));
+        policy.grants.iter().zip(&mut stored.classes).for_each(|(grant, class)| grant.store(class));
         policy.prices.store(&mut stored);
         policy.engines.store(&mut stored);
         policy.outliers.store(&mut stored);
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -53,7 +53,7 @@
     pub(crate) last_engine: Option<EngineId>,
     /// Time until which it waits for the load probes that were sent for it.
     pub(crate) probes_until: Timestamp,
-    /// The engines sampled for it; if empty, it may be sent to any engine.
+    /// The engines sampled for it; if empty, it chooses among all engines.
     pub(crate) candidates: Vec<EngineId>,
     /// Time at which the candidates were sampled.
     pub(crate) sampled_at: Timestamp,
