--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -1,45 +1,46 @@
-//! Actions: what the decision module has a manager do.
+//! Actions: what the decision module instructs a manager to do.
 
 use crate::ids::{EngineId, Level, RequestId};
 use crate::reasons::Reason;
 use sprucelink_time::TimeDelta;
 
-/// An action, in the order in which they are to be done.
+/// An action. A manager carries actions out in the order in which they are given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of the request to an engine.
     ForwardAttempt {
         /// The request.
         id: RequestId,
-        /// Kept for the simulator's wire and for captures; always absent, since the client's deadline holds.
+        /// Always absent, since the client's deadline applies; kept for the simulator's wire protocol and for
+        /// captures.
         timeout: Option<TimeDelta>,
         /// The engine.
         engine: EngineId,
     },
-    /// Memory grant and level, for the next attempt and the one in flight.
+    /// Set the memory grant and level of a request, for its next attempt and the one in flight.
     SetExecutionTerms {
         /// The request.
         id: RequestId,
         /// Memory in MB; the engine chooses if absent.
         grant_mb: Option<f64>,
-        /// The level.
+        /// Priority level.
         level: Level,
     },
     /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Final response: rejected; a retry by the client does no harm.
+    /// Give the final response rejected: a retry by the client does no harm.
     Reject {
         /// The request.
         id: RequestId,
         /// Retry-After, if one is given.
         retry_after: Option<TimeDelta>,
     },
-    /// Final response: failed; the request may have executed.
+    /// Give the final response failed: the request may have executed.
     Fail {
         /// The request.
         id: RequestId,
@@ -48,9 +49,9 @@
     },
     /// Set a timer.
     StartTimer {
-        /// From now.
+        /// Time from now until the timer is due.
         delay: TimeDelta,
-        /// Comes back with the event.
+        /// Returned in [`Event::Timer`](crate::Event::Timer).
         token: u64,
     },
     /// Send a load probe to an engine.
@@ -63,11 +64,11 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// Request the endpoint list and its changes from now on.
+    /// Request the endpoint list and, from now on, its changes.
     WatchEndpoints,
-    /// A log line for operators.
+    /// Write a log line for operators.
     Log(String),
-    /// The reason of a decision, given only while [`Policy::set_explaining`](crate::Policy::set_explaining)
-    /// asks for it.
+    /// Reason for a decision, given only while it is turned on by
+    /// [`Policy::set_explaining`](crate::Policy::set_explaining).
     Explain(Box<Reason>),
 }
--- a/crates/policy/src/pricing.rs
+++ b/crates/policy/src/pricing.rs
@@ -162,7 +162,7 @@
     }
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
-        stored.recent_outcomes = self.recent_waits;
+        stored.recent_waits = self.recent_waits;
         for (levels, class) in self.classes.iter().zip(&mut stored.classes) {
             class.levels = levels.map(LevelPrice::to_stored);
         }
@@ -171,7 +171,7 @@
     pub(crate) fn restore(stored: &StoredPolicy) -> PriceTable {
         let levels = |class: &StoredClass| class.levels.map(LevelPrice::from_stored);
         let classes = stored.classes.iter().map(levels).collect();
-        PriceTable { classes, recent_waits: stored.recent_outcomes }
+        PriceTable { classes, recent_waits: stored.recent_waits }
     }
 }
 
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -1,4 +1,4 @@
-//! Reasons of decisions, given only where they are asked for.
+//! Reasons for decisions, given only while explanations are turned on.
 
 use crate::ids::{EngineId, RequestId};
 use serde::Serialize;
@@ -7,135 +7,136 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Reason {
-    /// A request was priced, given a level, and admitted or rejected.
+    /// A request was priced, assigned a level, and admitted or rejected.
     Priced {
         /// The request.
         id: RequestId,
-        /// Its class.
+        /// Index of its class.
         class: usize,
-        /// The level at which its delay cost and price are least in sum.
+        /// Level at which the sum of its delay cost and price is lowest.
         level: u8,
-        /// Its cost as estimated.
+        /// Its estimated cost.
         cost: f64,
-        /// Expected time to its answer there (the paper's tau).
+        /// Expected time to its answer at that level (the paper's tau).
         #[serde(rename = "tau")]
         expected_time: f64,
-        /// The price there (the paper's toll), in value.
+        /// Price at that level (the paper's toll), in value.
         #[serde(rename = "toll")]
         price: f64,
-        /// Its value less its delay cost.
+        /// Value of its answer less its delay cost.
         #[serde(rename = "worth")]
         net_value: f64,
         /// Its latency objective.
         #[serde(rename = "wanted")]
         latency_objective: f64,
-        /// Own threads in flight.
+        /// Threads of this manager's attempts in flight.
         #[serde(rename = "own")]
         own_threads: f64,
         /// This manager's share of the ready engines' cores.
         #[serde(rename = "share")]
         core_share: f64,
-        /// It is admitted because cores are free.
+        /// Whether it is admitted because cores are free.
         #[serde(rename = "free")]
         has_free_cores: bool,
-        /// It is admitted.
+        /// Whether it is admitted.
         #[serde(rename = "enters")]
         admitted: bool,
     },
-    /// An engine is drawn for a request.
+    /// An engine was to be selected for a request, at random by weight.
     Drawn {
         /// The request.
         id: RequestId,
-        /// The number drawn, 0 to 1.
+        /// Random number of the selection, 0 to 1.
         #[serde(rename = "dice")]
         random_unit: f64,
-        /// Threads a core up to which its level may fill an engine.
+        /// Threads per core up to which requests of its level may fill an engine.
         #[serde(rename = "fill")]
         max_utilisation: f64,
-        /// The engine drawn; `None`: it stays queued.
+        /// Engine selected; `None` if the request stays queued.
         chosen: Option<EngineId>,
-        /// Every engine that the list does not have as gone.
+        /// Every engine that the endpoint list does not have as gone.
         #[serde(rename = "among")]
         candidates: Vec<Candidate>,
     },
-    /// A request is rejected or failed.
+    /// A request was rejected or failed.
     Answered {
         /// The request.
         id: RequestId,
-        /// Attempts made.
+        /// Number of attempts sent.
         attempts: u32,
-        /// Attempts that ended with an engine's error.
+        /// Number of attempts that ended with an engine error.
         errors: u32,
-        /// Time left to its client.
+        /// Time until its client stops waiting.
         #[serde(rename = "left")]
         time_left: f64,
-        /// The rules would allow it a retry.
+        /// Whether the retry rule would allow a further attempt.
         #[serde(rename = "may_repeat")]
         retry_allowed: bool,
-        /// The retry budget allows one more.
+        /// Whether the retry budget allows one more retry.
         #[serde(rename = "budget")]
         has_retry_budget: bool,
-        /// Time to an answer, from its arrival, if it were sent now.
+        /// Time from its arrival to an answer if it were sent now.
         #[serde(rename = "in_all")]
         expected_total_time: f64,
-        /// The value of that answer less its delay cost.
+        /// Value of that answer less its delay cost.
         #[serde(rename = "worth")]
         net_value: f64,
-        /// The least price now.
+        /// Current price at its cheapest level.
         #[serde(rename = "toll")]
         price: f64,
-        /// Time that the queued work takes this manager's share of the cores.
+        /// Time that this manager's share of the cores needs for the queued work.
         #[serde(rename = "jam")]
         queue_delay: f64,
     },
-    /// An attempt is cancelled.
+    /// An attempt is to be cancelled. Given also where attempts cannot be cancelled.
     Cancelled {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// Where it is.
+        /// Engine that it was sent to.
         engine: EngineId,
-        /// How long it has been in flight.
+        /// Time since it was sent.
         age: f64,
         /// Its expected latency.
         #[serde(rename = "expected")]
         expected_latency: f64,
-        /// Time since its last progress note.
+        /// Time since its last progress note, or since it was sent if there was none.
         #[serde(rename = "unheard")]
         since_progress: f64,
-        /// Its engine is ejected.
+        /// Whether its engine is ejected.
         #[serde(rename = "distrusted")]
         ejected: bool,
-        /// Its request has its final response.
+        /// Whether its request has its final response.
         answered: bool,
     },
 }
 
-/// An engine as a draw sees it.
+/// An engine in a selection.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Candidate {
-    /// Which.
+    /// The engine.
     pub engine: EngineId,
-    /// What leaves it out of the draw.
+    /// Reason that excludes it from the selection; `None` if it takes part.
     #[serde(rename = "bar")]
     pub ineligible: Option<IneligibleReason>,
-    /// Its weight, 0 where it is left out.
+    /// Its weight in the selection; 0 if it is excluded.
     pub weight: f64,
-    /// Estimated threads a core.
+    /// Estimated threads per core.
     pub utilisation: f64,
-    /// How much the last report of its load still counts, 0 to 1.
+    /// Remaining weight of its last load report, 0 to 1.
     #[serde(rename = "trust")]
     pub report_weight: f64,
 }
 
-/// What leaves an engine out of a draw, in the order of the checks. Explanations call three of them `rules`.
+/// Reasons that exclude an engine from a selection, in the order of the checks. Explanations write three of
+/// them as `rules`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IneligibleReason {
     /// The endpoint list does not have it as ready.
     NotListed,
-    /// The class runs on other machine kinds or in other zones.
+    /// The class may not run on its machine kind or in its zone.
     #[serde(rename = "rules")]
     WrongPlacement,
     /// It would not recognise the idempotency key of an attempt that may have run elsewhere.
@@ -144,11 +145,11 @@
     /// It is in slow start, and the rest of its budget is too small for the request.
     #[serde(rename = "rules")]
     SlowStartBudgetSpent,
-    /// It is ejected or backed off from.
+    /// It is ejected or in backoff.
     Health,
     /// It just failed this request.
     JustFailed,
-    /// Others were sampled for this request.
+    /// Other engines were sampled for this request.
     #[serde(rename = "not_among_few")]
     NotSampled,
     /// It has no capacity for the request's level, by its estimated load.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,15 +1,15 @@
-//! The settings of a manager. Spans are in whole microseconds, work is in thread-seconds, memory in MB, and
+//! The settings of a manager. Durations are in whole microseconds, work in thread-seconds, memory in MB, and
 //! value in the unit of the service's score.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_time::TimeDelta;
 
-/// What a retry of a request may do (its idempotency).
+/// Idempotency of a request: whether a retry may take effect a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
     /// Idempotent: a retry does no harm.
     Safe,
-    /// Has an idempotency key: retries are deduplicated within a group of engines, for a while.
+    /// Has an idempotency key: retries are deduplicated within a group of engines for a limited time.
     Keyed,
     /// Not idempotent: must never run twice.
     Unsafe,
@@ -35,26 +35,26 @@
     /// Fraction of the value that a late answer still earns, 0 to 1.
     #[serde(rename = "late_worth")]
     pub late_value_fraction: f64,
-    /// Latency objective, before the stretch for the request's own work.
+    /// Latency objective, before the extension for the request's own work.
     #[serde(rename = "aim")]
     pub latency_objective: TimeDelta,
-    /// The objective grows by this times the request's work over its threads.
+    /// The objective is extended by this factor times the request's work divided by its threads.
     #[serde(rename = "aim_stretch")]
     pub objective_per_work: f64,
-    /// How long a client waits at most.
+    /// Maximum time that a client waits.
     pub deadline: TimeDelta,
-    /// What a retry may do.
+    /// Idempotency of the class.
     pub effect: Effect,
-    /// For keyed classes: where retries are deduplicated.
+    /// For keyed classes: engines among which retries are deduplicated.
     pub group: DedupGroup,
-    /// For keyed classes: how long retries are deduplicated.
+    /// For keyed classes: time within which retries are deduplicated.
     pub repeat_window: TimeDelta,
-    /// Requests with one key run one at a time, in order of arrival.
+    /// Whether requests with the same key run one at a time, in order of arrival.
     #[serde(rename = "in_turn")]
     pub ordered_by_key: bool,
     /// Threads that a query of the class runs on.
     pub threads: f64,
-    /// The query is a load: it locks its group of tables on its engine while it runs.
+    /// Whether the query is a load, which locks its group of tables on its engine while it runs.
     #[serde(rename = "load")]
     pub loads_tables: bool,
     /// Machine kinds that may run the class; all if absent.
@@ -66,18 +66,19 @@
 /// A tenant's quota.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second, over all managers.
+    /// Requests per second, over all managers.
     pub quota_per_s: f64,
 }
 
-/// What an engine does once the memory granted exceeds what it has.
+/// What an engine does when the memory granted exceeds its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemoryShort {
-    /// A query waits in the engine's queue.
+    /// The query waits in the engine's queue.
     Waits,
-    /// It gets what is left, and spills.
+    /// The query gets the memory that is left, and spills.
     Shrinks,
-    /// It runs; all queries slow down once the memory in use, grant or need, exceeds what there is.
+    /// The query runs; all queries slow down once the memory in use, by grant or by need, exceeds that of the
+    /// engine.
     Pages,
 }
 
@@ -92,13 +93,13 @@
     Silent,
 }
 
-/// The retry budget: a sliding window of retries against requests.
+/// The retry budget: limits the retries in a sliding window by the requests received in it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct RetryBudgetSettings {
     /// Length of the sliding window.
     #[serde(rename = "span")]
     pub window: TimeDelta,
-    /// Retries allowed in any case.
+    /// Retries allowed in a window whatever the number of requests.
     #[serde(rename = "free")]
     pub free_retries: f64,
     /// Retries allowed for each request received.
@@ -106,13 +107,14 @@
     pub retries_per_request: f64,
 }
 
-/// The fraction of its part of a slow-start budget that a manager uses, by its own age. Stored as a pair.
+/// The fraction of its part of a slow-start budget that a manager uses, by the time since its own start.
+/// Stored as a pair.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct RestartRamp {
     /// The fraction at the manager's start.
     pub initial_fraction: f64,
-    /// Seconds in which the fraction would rise by one; it ends at one.
+    /// Seconds in which the fraction would rise by one; it is one at most.
     pub secs_to_rise_by_one: f64,
 }
 
@@ -128,7 +130,7 @@
     }
 }
 
-/// All settings of a manager. A name that captures and `--set` use stands in its `serde(rename)`.
+/// All settings of a manager. Where a field has a `serde(rename)`, captures and `--set` use that name.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Settings {
@@ -141,53 +143,54 @@
     pub over_quota_value_factor: f64,
     /// Managers that share the fleet's capacity, this one included; in a hot restart each process counts.
     pub gateways: u32,
-    /// This manager's index among them. Kept for captures; no rule reads it.
+    /// This manager's index among these managers. Kept for captures; no rule reads it.
     pub position: u32,
-    /// The endpoint list is sent in answer to a poll only.
+    /// Whether the endpoint list is sent only in answer to a poll.
     #[serde(rename = "must_ask")]
     pub must_poll_endpoints: bool,
-    /// How load reports come.
+    /// How engines report their load.
     pub report_via: ReportVia,
-    /// Reports have the queries in progress or the busy cores.
+    /// Whether load reports have the queries in progress or the busy cores.
     pub reports_load: bool,
-    /// Cores, for each machine kind.
+    /// Cores of an engine, by machine kind.
     pub kind_cores: Vec<f64>,
-    /// Memory in MB, for each machine kind.
+    /// Memory of an engine in MB, by machine kind.
     pub kind_memory_mb: Vec<f64>,
-    /// Engines obey memory grants.
+    /// Whether engines obey memory grants.
     pub grants: bool,
     /// What happens when grants exceed an engine's memory.
     pub memory_short: MemoryShort,
-    /// Engines obey priority levels.
+    /// Whether engines obey priority levels.
     pub priorities: bool,
-    /// Time between progress notes; zero where there are none.
+    /// Time between progress notes; zero if engines send none.
     #[serde(rename = "progress_pace")]
     pub progress_interval: TimeDelta,
-    /// Answers report the work and memory that a query used. Kept for captures; no rule reads it.
+    /// Whether answers report the work and memory that a query used. Kept for captures; no rule reads it.
     #[serde(rename = "tells_cost")]
     pub reports_cost: bool,
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub cancel: bool,
-    /// Load probes may be sent.
+    /// Whether load probes may be sent.
     pub probes: bool,
-    /// Managers may send each other messages. Kept for captures; no rule reads it.
+    /// Whether managers may send each other messages. Kept for captures; no rule reads it.
     pub peers: bool,
-    /// Rejections may carry a Retry-After. Kept for captures; no rule reads it: each response has one.
+    /// Whether rejections may carry a Retry-After. Kept for captures; no rule reads it: each response has
+    /// one.
     pub retry_after: bool,
-    /// Longest Retry-After; unbounded if zero.
+    /// Maximum Retry-After; unbounded if zero.
     pub max_retry_after: TimeDelta,
     /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Attempts on a draining engine must end within this.
+    /// Time within which attempts on a draining engine must end.
     pub drain_grace: TimeDelta,
     /// An engine in slow start fails when it is sent more than this multiple of its capacity in one window.
     #[serde(rename = "fall_multiple")]
     pub slow_start_multiple: f64,
-    /// Length of that window: an engine fails when it is overloaded for that long, so that budgets are given
-    /// for each window.
+    /// Length of that window: an engine fails when it is overloaded for this long, so budgets are given per
+    /// window.
     #[serde(rename = "fall_span")]
     pub slow_start_window: TimeDelta,
-    /// Fraction of its capacity that an engine starts with.
+    /// Fraction of its capacity that an engine has at its start.
     #[serde(rename = "start_share")]
     pub initial_capacity_fraction: f64,
     /// Length of the slow start.
@@ -197,21 +200,22 @@
     /// its part for one `slow_start_window`.
     #[serde(rename = "cold_ramp")]
     pub restart_ramp: Option<RestartRamp>,
-    /// How long a key is blocked after an attempt that may still run.
+    /// Time for which a key is blocked after the end of an attempt that may still run.
     #[serde(rename = "order_settle")]
     pub key_settle_time: TimeDelta,
     /// The retry budget, if there is one.
     #[serde(rename = "attempt_budget")]
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Further attempts that others leave to this manager over its own budget, where the fleet spends
-    /// together.
+    /// Retries beyond its own budget that other managers leave to this one, where the fleet shares its
+    /// budgets.
     #[serde(rename = "spare")]
     pub spare_retries: f64,
     /// Price of one load probe, in the value of one query.
     pub probe_price: f64,
-    /// This manager's zone, by number; `None` where it is not configured.
+    /// Number of this manager's zone; `None` if it is not configured.
     pub zone: Option<u32>,
-    /// Weights of zones in the draw, by number, where failover between zones is on; 1 for zones beyond it.
+    /// Weights of zones in the selection of engines, by zone number, where failover between zones is on; a
+    /// zone that is not in the list has weight 1.
     pub zone_weights: Vec<f64>,
     /// Price of one attempt in another zone, in the value of one query.
     pub cross_zone_price: f64,
@@ -223,14 +227,14 @@
 }
 
 impl Settings {
-    /// A zone's weight in the draw.
+    /// A zone's weight in the selection of engines; 1 unless configured otherwise.
     pub fn zone_weight(&self, zone: u32) -> f64 {
         self.zone_weights.get(zone as usize).copied().unwrap_or(1.0)
     }
 }
 
 impl Default for Settings {
-    /// One manager, no classes, nothing allowed beyond plain sends, no limit of a rule set.
+    /// One manager without classes: nothing is allowed beyond plain sends, and no rule has a limit.
     fn default() -> Settings {
         Settings {
             classes: Vec::new(),
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -1,7 +1,8 @@
 use super::{ClassSettings, DedupGroup, Effect, Settings};
 use sprucelink_time::TimeDelta;
 
-/// A class of this effect and these threads, without bounds on its placement, for the unit tests of all parts.
+/// A class with this effect and number of threads that may run on all engines, for the unit tests of all
+/// modules.
 pub(crate) fn class(effect: Effect, threads: f64) -> ClassSettings {
     ClassSettings {
         value: 1.0,
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn zone_without_a_weight_counts_in_full() {
+fn zone_without_a_configured_weight_has_weight_1() {
     let settings = Settings { zone_weights: vec![0.5, 0.0], ..Settings::default() };
     assert_eq!([0, 1, 2].map(|zone| settings.zone_weight(zone)), [0.5, 0.0, 1.0]);
 }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,9 +1,10 @@
-//! The stored form of the module's state: the names under which captures hold it. Nothing here decides or
+//! The stored form of the module's state: the names under which captures hold it. It neither decides nor
 //! learns.
 //!
-//! A name of an old capture stands here alone, as a `serde(rename)`; each part converts its own fields. The
-//! order of the fields and their names must not change. Units are those of the parts' fields: work in
-//! thread-seconds, loads in threads or threads a core, ratios against the estimate.
+//! The names of the state in old captures appear only here, as `serde(rename)`; each module of the state
+//! converts its own fields. The order of the fields and their stored names must not change. Units are those
+//! of the converted fields: work in thread-seconds, loads in threads or threads per core, ratios relative to
+//! the estimate.
 
 mod requests;
 
@@ -17,7 +18,7 @@
 
 pub(crate) use requests::StoredRequest;
 
-/// The whole state. A field that an older capture lacks takes its default.
+/// The whole state. A field that an older capture lacks gets its default.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredPolicy {
@@ -33,7 +34,7 @@
     #[serde(rename = "above")]
     pub(crate) threads_above: [MovingAverage; 4],
     #[serde(rename = "outcomes")]
-    pub(crate) recent_outcomes: u32,
+    pub(crate) recent_waits: u32,
     #[serde(rename = "armed")]
     pub(crate) timer_armed: bool,
     #[serde(rename = "seq")]
@@ -68,7 +69,7 @@
     pub(crate) recent_retries: EventWindow,
 }
 
-/// What is learned of a class.
+/// Learned state of a class.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredClass {
@@ -105,7 +106,7 @@
     pub(crate) observed: bool,
 }
 
-/// What is known of an engine.
+/// State of an engine.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredEngine {
@@ -161,7 +162,7 @@
     pub(crate) recent_tables: RecentSet,
 }
 
-/// What is known of a zone.
+/// State of a zone.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredZone {
@@ -175,7 +176,7 @@
     pub(crate) next_trial: Timestamp,
 }
 
-/// The requests with one idempotency key.
+/// Open requests with the same idempotency key.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredKeyQueue {
