--- a/crates/policy/tests/recorded_decisions.rs
+++ b/crates/policy/tests/recorded_decisions.rs
@@ -1,7 +1,7 @@
-//! Decisions and stored states over random events, held to those that an earlier version recorded.
+//! Decisions and stored states over random events, compared with those that an earlier version recorded.
 //!
-//! `golden/decisions.txt` has a digest for each seed; `golden/checkpoint.msgpack` is a state that an earlier version
-//! stored. `WRITE_GOLDEN=1` writes both anew, for a change that is meant.
+//! `golden/decisions.txt` has a digest for each seed; `golden/checkpoint.msgpack` is a state that an earlier
+//! version stored. `WRITE_GOLDEN=1` rewrites both, for an intended change.
 mod common;
 
 use common::{class, entry, settings};
@@ -17,10 +17,10 @@
 const STEPS: u32 = 700;
 const ENGINES: u32 = 9;
 const CLASSES: u64 = 4;
-/// The seed whose state is kept as the golden checkpoint, and the step after which.
+/// The seed whose state is kept as the golden checkpoint, and the step after which the state is taken.
 const CHECKPOINT: (u64, u32) = (8, 333);
 
-/// A linear congruential generator, independent of the module's own.
+/// A linear congruential generator, independent of the random numbers of the module.
 struct Random(u64);
 
 impl Random {
@@ -38,7 +38,7 @@
     }
 }
 
-/// FNV-1a.
+/// A 64-bit FNV-1a hash.
 struct Digest(u64);
 
 impl Digest {
@@ -52,9 +52,9 @@
         self.add(&rmp_serde::to_vec_named(policy).expect("the state is stored"));
     }
 
-    /// The action by its kind and figures, so that renaming a variant changes nothing.
+    /// Adds an action by a fixed name and its figures, so that renaming a variant does not change the digest.
     fn add_action(&mut self, action: &Action) {
-        let micros = |span: &Option<TimeDelta>| span.map_or(-1, TimeDelta::as_micros);
+        let micros = |duration: &Option<TimeDelta>| duration.map_or(-1, TimeDelta::as_micros);
         match action {
             Action::ForwardAttempt { id, timeout, engine } => {
                 self.add(format!("send {} {} {}", id.0, engine.0, micros(timeout)).as_bytes());
@@ -105,8 +105,8 @@
     ]
 }
 
-fn unusual_settings(random: &mut Random) -> Settings {
-    let budget = RetryBudgetSettings { window: secs(2.0), free_retries: 3.0, retries_per_request: 0.1 };
+fn random_settings(random: &mut Random) -> Settings {
+    let retry_budget = RetryBudgetSettings { window: secs(2.0), free_retries: 3.0, retries_per_request: 0.1 };
     Settings {
         tenants: vec![TenantSettings { quota_per_s: 8.0 }, TenantSettings { quota_per_s: 30.0 }],
         over_quota_value_factor: 0.2,
@@ -126,7 +126,7 @@
         max_attempts: [1, 3, 6][random.below(3) as usize],
         restart_ramp: random.one_in(2).then_some((0.25, 4.0).into()),
         key_settle_time: secs(0.3 * random.below(3) as f64),
-        retry_budget: random.one_in(2).then_some(budget),
+        retry_budget: random.one_in(2).then_some(retry_budget),
         zone: random.one_in(2).then_some(0),
         cross_zone_price: 0.02,
         handshake_price: 0.01,
@@ -135,28 +135,31 @@
     }
 }
 
-/// The outside of a module: engines and clients that behave at random.
-struct World {
+/// A decision module with engines and clients that behave at random.
+struct Simulation {
     random: Random,
     policy: Policy,
     now: Timestamp,
     engines: Vec<EngineEntry>,
+    /// Attempts in flight: number, engine and send time.
     in_flight: BTreeMap<RequestId, (u32, EngineId, Timestamp)>,
+    /// Number of the next attempt of each request.
     next_attempt: BTreeMap<RequestId, u32>,
     requests: u64,
-    sick: Option<EngineId>,
+    /// The engine that fails more often and answers later than the others.
+    impaired_engine: Option<EngineId>,
     digest: Digest,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut random = Random(seed);
-        let set = unusual_settings(&mut random);
+        let settings = random_settings(&mut random);
         let now = Timestamp::from_secs_f64(100.0);
-        let mut policy = Policy::new(set, seed, now);
+        let mut policy = Policy::new(settings, seed, now);
         policy.set_explaining(seed.is_multiple_of(2));
         let engines = (0..ENGINES).map(|n| EngineEntry { kind: n % 2, zone: n / 3, cell: n / 2, ..entry(n) });
-        World {
+        Simulation {
             random,
             policy,
             now,
@@ -164,12 +167,12 @@
             in_flight: BTreeMap::new(),
             next_attempt: BTreeMap::new(),
             requests: 0,
-            sick: None,
+            impaired_engine: None,
             digest: Digest(0xcbf2_9ce4_8422_2325),
         }
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -182,19 +185,19 @@
         }
     }
 
-    fn report(&mut self) -> LoadReport {
-        let unknown = self.random.one_in(4);
-        let by_cores = self.random.one_in(3);
+    fn load_report(&mut self) -> LoadReport {
+        let is_load_unknown = self.random.one_in(4);
+        let is_load_in_cores = self.random.one_in(3);
         let load = self.random.unit();
         LoadReport {
-            queries_in_flight: (!unknown && !by_cores).then_some((load * 12.0).floor()),
+            queries_in_flight: (!is_load_unknown && !is_load_in_cores).then_some((load * 12.0).floor()),
             queries_waiting_for_memory: self.random.one_in(5).then_some(2.0),
-            busy_core_fraction: (!unknown && by_cores).then_some(load),
+            busy_core_fraction: (!is_load_unknown && is_load_in_cores).then_some(load),
             ..LoadReport::default()
         }
     }
 
-    fn arrive(&mut self) {
+    fn submit_request(&mut self) {
         self.requests += 1;
         let class = self.random.below(CLASSES);
         let cost = [0.03, 0.2, 0.9, 2.5][self.random.below(4) as usize];
@@ -208,7 +211,7 @@
             memory_mb: (!self.random.one_in(6)).then_some(100.0 * cost),
             key: (class >= 2).then(|| format!("t/{}", self.random.below(4))),
         };
-        self.give(Event::RequestArrived(arrival));
+        self.handle(Event::RequestArrived(arrival));
     }
 
     fn change_endpoints(&mut self) {
@@ -224,11 +227,11 @@
             1 => Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries: self.engines.clone() },
             _ => Event::EndpointsChanged { kind: EndpointUpdate::Changes, entries: changed },
         };
-        self.give(event);
+        self.handle(event);
     }
 
     fn outcome(&mut self, engine: EngineId) -> Outcome {
-        let bad = [
+        let failures = [
             Outcome::EngineError,
             Outcome::TimedOut,
             Outcome::ConnectionLost,
@@ -237,9 +240,9 @@
             Outcome::NeverSent,
             Outcome::RejectedByEngine,
         ];
-        let is_bad = self.random.one_in(if self.sick == Some(engine) { 2 } else { 7 });
-        if is_bad {
-            bad[self.random.below(bad.len() as u64) as usize]
+        let is_failure = self.random.one_in(if self.impaired_engine == Some(engine) { 2 } else { 7 });
+        if is_failure {
+            failures[self.random.below(failures.len() as u64) as usize]
         } else {
             Outcome::Succeeded
         }
@@ -253,38 +256,38 @@
                 1 => ProgressNote::WaitsForMemory,
                 _ => ProgressNote::Progress(self.random.unit()),
             };
-            self.give(Event::ProgressReported { id, attempt, note });
+            self.handle(Event::ProgressReported { id, attempt, note });
         }
-        // A sick engine answers late.
-        let is_sick = self.sick == Some(engine);
-        if !self.random.one_in(if is_sick { 40 } else { 9 }) || !self.in_flight.contains_key(&id) {
+        // The impaired engine answers late.
+        let is_impaired = self.impaired_engine == Some(engine);
+        if !self.random.one_in(if is_impaired { 40 } else { 9 }) || !self.in_flight.contains_key(&id) {
             return;
         }
         let outcome = self.outcome(engine);
         self.in_flight.remove(&id);
-        let used = QueryCost { work: self.random.unit(), memory_mb: self.random.unit() * 150.0 };
-        let query_cost = (outcome == Outcome::Succeeded && self.random.one_in(2)).then_some(used);
-        let report = self.report();
+        let reported_cost = QueryCost { work: self.random.unit(), memory_mb: self.random.unit() * 150.0 };
+        let query_cost = (outcome == Outcome::Succeeded && self.random.one_in(2)).then_some(reported_cost);
+        let report = self.load_report();
         let latency = self.now - sent_at;
         let complete = outcome == Outcome::Succeeded;
-        self.give(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report });
+        self.handle(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report });
     }
 
     fn step(&mut self, step: u32) {
         if step == 2 {
             let entries = self.engines.clone();
-            self.give(Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries });
+            self.handle(Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries });
         }
         if step < STEPS * 3 / 4 {
             for _ in 0..self.random.below(4) {
-                self.arrive();
+                self.submit_request();
             }
         }
         if self.random.one_in(15) {
             self.change_endpoints();
         }
         if self.random.one_in(60) {
-            self.sick = Some(EngineId(self.random.below(u64::from(ENGINES)) as u32));
+            self.impaired_engine = Some(EngineId(self.random.below(u64::from(ENGINES)) as u32));
         }
         for id in self.in_flight.keys().copied().collect::<Vec<_>>() {
             self.continue_attempt(id);
@@ -292,13 +295,13 @@
         if self.random.one_in(4) && step > 2 {
             let engine = EngineId(self.random.below(u64::from(ENGINES)) as u32);
             let outcome = [Outcome::Succeeded, Outcome::TimedOut][self.random.below(2) as usize];
-            let report = self.report();
-            self.give(Event::ProbeCompleted { engine, outcome, report });
+            let report = self.load_report();
+            self.handle(Event::ProbeCompleted { engine, outcome, report });
         }
         if self.random.one_in(20) {
             let id = RequestId(1 + self.random.below(self.requests.max(1)));
             let is_started = self.random.one_in(2);
-            self.give(if is_started {
+            self.handle(if is_started {
                 Event::ResponseStarted { id }
             } else {
                 Event::RequestAbandoned { id }
@@ -307,82 +310,85 @@
         if self.random.one_in(120) {
             let gateways = 1 + self.random.below(30) as u32;
             let spare_retries = self.random.unit() * 3.0;
-            self.give(Event::FleetChanged { gateways, spare_retries });
+            self.handle(Event::FleetChanged { gateways, spare_retries });
             let weights = (0..3).map(|_| self.random.unit()).collect();
-            self.give(Event::ZoneWeightsChanged(weights));
+            self.handle(Event::ZoneWeightsChanged(weights));
         }
         self.now = self.now + TimeDelta::from_millis(20);
-        self.give(Event::Timer { token: 0 });
+        self.handle(Event::Timer { token: 0 });
     }
 }
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-fn is_writing() -> bool {
+fn must_write_golden_files() -> bool {
     std::env::var_os("WRITE_GOLDEN").is_some()
 }
 
 #[test]
-fn decisions_and_stored_states_are_those_recorded_before() {
-    let mut text = String::new();
+fn decisions_and_stored_states_equal_the_recorded_ones() {
+    let mut digests = String::new();
     for seed in 1..=SEEDS {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for step in 0..STEPS {
-            world.step(step);
+            simulation.step(step);
             if step % 10 == 0 {
-                world.digest.add_state(&world.policy);
+                simulation.digest.add_state(&simulation.policy);
             }
             if step % 50 == 0 {
-                let views = rmp_serde::to_vec_named(&(world.policy.engine_views(), world.policy.overview()));
-                world.digest.add(&views.expect("views are stored"));
+                let views = rmp_serde::to_vec_named(&(
+                    simulation.policy.engine_views(),
+                    simulation.policy.overview(),
+                ));
+                simulation.digest.add(&views.expect("views are stored"));
             }
-            if (seed, step) == CHECKPOINT && is_writing() {
-                let state = rmp_serde::to_vec_named(&world.policy).expect("the state is stored");
-                std::fs::write(golden("checkpoint.msgpack"), state).expect("written");
+            if (seed, step) == CHECKPOINT && must_write_golden_files() {
+                let state = rmp_serde::to_vec_named(&simulation.policy).expect("the state is stored");
+                std::fs::write(golden_path("checkpoint.msgpack"), state).expect("golden file is written");
             }
         }
-        let attempts: u32 = world.next_attempt.values().sum();
-        text.push_str(&format!(
+        let attempts: u32 = simulation.next_attempt.values().sum();
+        digests.push_str(&format!(
             "{seed}: {} requests, {attempts} attempts, {:016x}\n",
-            world.requests, world.digest.0
+            simulation.requests, simulation.digest.0
         ));
     }
-    if is_writing() {
-        std::fs::write(golden("decisions.txt"), &text).expect("written");
+    if must_write_golden_files() {
+        std::fs::write(golden_path("decisions.txt"), &digests).expect("golden file is written");
     }
-    let before = std::fs::read_to_string(golden("decisions.txt")).expect("the recorded digests");
-    assert_eq!(text, before);
+    let recorded = std::fs::read_to_string(golden_path("decisions.txt")).expect("the recorded digests");
+    assert_eq!(digests, recorded);
 }
 
-/// Captures of earlier versions are read, and those of this one by earlier versions: names and order of the stored
-/// fields are the same.
+/// This version reads captures of earlier versions, and earlier versions read those of this one, because the
+/// names and the order of the stored fields are the same.
 #[test]
-fn stored_state_is_written_byte_for_byte_as_it_was_read() {
-    let before = std::fs::read(golden("checkpoint.msgpack")).expect("the recorded state");
-    let policy: Policy = rmp_serde::from_slice(&before).expect("a state of an earlier version");
-    assert!(policy.open_requests().len() > 5, "the state is not a trivial one");
-    assert_eq!(rmp_serde::to_vec_named(&policy).expect("the state is stored"), before);
+fn recorded_state_is_written_back_byte_for_byte() {
+    let recorded = std::fs::read(golden_path("checkpoint.msgpack")).expect("the recorded state");
+    let policy: Policy = rmp_serde::from_slice(&recorded).expect("a state of an earlier version");
+    assert!(policy.open_requests().len() > 5, "the state has open requests");
+    assert_eq!(rmp_serde::to_vec_named(&policy).expect("the state is stored"), recorded);
 }
 
-/// A replay goes on from a checkpoint as the recorded module did.
+/// A replay from a checkpoint makes the same decisions as the recorded module.
 #[test]
-fn module_read_from_its_stored_state_decides_as_before() {
-    let mut world = World::new(8);
+fn module_restored_from_its_stored_state_decides_like_the_original() {
+    let mut simulation = Simulation::new(8);
     for step in 0..CHECKPOINT.1 {
-        world.step(step);
+        simulation.step(step);
     }
-    let state = rmp_serde::to_vec_named(&world.policy).expect("the state is stored");
-    let mut copy: Policy = rmp_serde::from_slice(&state).expect("its own state");
-    copy.set_explaining(true);
-    let start = world.now;
+    let state = rmp_serde::to_vec_named(&simulation.policy).expect("the state is stored");
+    let mut restored: Policy = rmp_serde::from_slice(&state).expect("the state is read back");
+    restored.set_explaining(true);
+    let start = simulation.now;
     for step in 1..200 {
         let now = start + TimeDelta::from_millis(20 * step);
         let mut actions = Vec::new();
-        let mut actions_of_copy = Vec::new();
-        world.policy.handle(now, Event::Timer { token: 0 }, &mut actions);
-        copy.handle(now, Event::Timer { token: 0 }, &mut actions_of_copy);
-        assert_eq!(actions, actions_of_copy, "step {step}");
+        let mut restored_actions = Vec::new();
+        simulation.policy.handle(now, Event::Timer { token: 0 }, &mut actions);
+        restored.handle(now, Event::Timer { token: 0 }, &mut restored_actions);
+        assert_eq!(actions, restored_actions, "step {step}");
     }
 }
