--- a/crates/policy/benches/event.rs
+++ b/crates/policy/benches/event.rs
@@ -1,5 +1,6 @@
-//! What an event costs the decision module, by engines: the project's baseline. `cargo bench -p sprucelink-policy`.
-#![allow(missing_docs, reason = "the macros of criterion generate functions without documentation")]
+//! Time that the decision module takes for an event, by number of engines: the project's baseline. Run with
+//! `cargo bench -p sprucelink-policy`.
+#![allow(missing_docs, reason = "criterion's macros generate functions without documentation")]
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 
@@ -9,9 +10,10 @@
     TimeDelta, Timestamp,
 };
 
-/// A module with so many engines and `open` requests, each sent, all half loaded.
-#[expect(clippy::too_many_lines, reason = "a measurement in one piece")]
-fn module(engines: u32, open: u64) -> (Policy, Timestamp) {
+/// A module with this many engines and open requests. Every request is sent to an engine; the engines are
+/// half loaded.
+#[expect(clippy::too_many_lines, reason = "the setup of one measurement, kept in one place")]
+fn loaded_policy(engine_count: u32, open_requests: u64) -> (Policy, Timestamp) {
     let class = |threads: f64| ClassSettings {
         value: 1.0,
         late_value_fraction: 0.3,
@@ -27,7 +29,7 @@
         kinds: None,
         zones: None,
     };
-    let set = Settings {
+    let settings = Settings {
         classes: vec![class(1.0), class(3.0)],
         gateways: 3,
         report_via: ReportVia::Answers,
@@ -49,20 +51,20 @@
         ..Settings::default()
     };
     let mut now = Timestamp::from_secs_f64(1_000.0);
-    let (mut policy, mut out) = (Policy::new(set, 7, now), Vec::new());
-    let entry = |n| {
-        let (engine, state) = (EngineId(n), EngineState::Ready);
-        EngineEntry { engine, zone: 0, kind: 0, cell: n, state, since: None }
+    let (mut policy, mut out) = (Policy::new(settings, 7, now), Vec::new());
+    let entry = |number| {
+        let (engine, state) = (EngineId(number), EngineState::Ready);
+        EngineEntry { engine, zone: 0, kind: 0, cell: number, state, since: None }
     };
     policy.handle(
         now,
         Event::EndpointsChanged {
             kind: EndpointUpdate::Complete,
-            entries: (0..engines).map(entry).collect(),
+            entries: (0..engine_count).map(entry).collect(),
         },
         &mut out,
     );
-    for id in 0..open {
+    for id in 0..open_requests {
         now = now + TimeDelta::from_micros(1_000);
         policy.handle(now, arrival(id), &mut out);
     }
@@ -82,23 +84,23 @@
     })
 }
 
-/// A copy by way of its saved state: the module has no other.
-fn copy(saved: &[u8]) -> Policy {
-    rmp_serde::from_slice(saved).expect("its own state")
+/// Restores a module from its stored state, so that each measurement starts from a copy.
+fn restore(stored: &[u8]) -> Policy {
+    rmp_serde::from_slice(stored).expect("the stored state is read back")
 }
 
-fn events(c: &mut Criterion) {
-    let mut group = c.benchmark_group("module");
-    for engines in [8, 64, 512] {
-        // Four requests open an engine, as on a busy day, and no more than a front has sessions for.
-        let (policy, now) = module(engines, u64::from(engines * 4).min(640));
-        let saved = rmp_serde::to_vec_named(&policy).expect("saved");
+fn event_benchmarks(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("module");
+    for engine_count in [8, 64, 512] {
+        // Four open requests per engine, as on a busy day, but no more than a front has sessions for.
+        let (policy, now) = loaded_policy(engine_count, u64::from(engine_count * 4).min(640));
+        let stored = rmp_serde::to_vec_named(&policy).expect("the state is stored");
         let later = now + TimeDelta::from_micros(1_000);
         let mut out = Vec::new();
-        group.bench_function(BenchmarkId::new("arrived and ended", engines), |b| {
-            let mut policy = copy(&saved);
+        group.bench_function(BenchmarkId::new("arrived and ended", engine_count), |bencher| {
+            let mut policy = restore(&stored);
             let mut id = 1 << 32;
-            b.iter(|| {
+            bencher.iter(|| {
                 id += 1;
                 out.clear();
                 policy.handle(later, arrival(id), &mut out);
@@ -114,9 +116,9 @@
                 policy.handle(later, ended, &mut out);
             });
         });
-        group.bench_function(BenchmarkId::new("timer", engines), |b| {
-            b.iter_batched_ref(
-                || copy(&saved),
+        group.bench_function(BenchmarkId::new("timer", engine_count), |bencher| {
+            bencher.iter_batched_ref(
+                || restore(&stored),
                 |policy| {
                     out.clear();
                     policy.handle(later, Event::Timer { token: 0 }, &mut out);
@@ -128,5 +130,5 @@
     group.finish();
 }
 
-criterion_group!(benches, events);
+criterion_group!(benches, event_benchmarks);
 criterion_main!(benches);
