--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -4,8 +4,8 @@
 use crate::events::Outcome;
 use crate::retry::RetryDecision;
 
-/// Number of engine errors after which a request is not retried: if two engines fail, the request itself is
-/// most likely the cause.
+/// Number of engine errors after which a request is not retried: if it fails on two engines, the request
+/// itself is most likely the cause.
 const MAX_ENGINE_ERRORS: u32 = 2;
 
 /// What an outcome says about the engine's health.
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -42,7 +42,7 @@
         #[serde(rename = "enters")]
         admitted: bool,
     },
-    /// An engine was to be selected for a request, at random by weight.
+    /// An engine was selected for a request at random by weight, or none could take it.
     Drawn {
         /// The request.
         id: RequestId,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -70,7 +70,7 @@
     pub quota_per_s: f64,
 }
 
-/// What an engine does when the memory granted exceeds its own.
+/// What an engine does when more memory is granted than it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemoryShort {
     /// The query waits in the engine's queue.
