--- a/crates/policy/src/class_estimates.rs
+++ b/crates/policy/src/class_estimates.rs
@@ -23,8 +23,8 @@
 const INITIAL_LATENCY_RATIO: f64 = 2.0;
 /// Ratio of latency to estimate on an engine without load, before the first answer.
 const INITIAL_UNLOADED_RATIO: f64 = 1.0;
-/// Factor on the unloaded ratio for an answer that is slower than it; with [`QUANTILE_DOWN`], three quicker
-/// answers weigh as much as one slower one, so the ratio settles near the lower quartile.
+/// Factor on the unloaded ratio for an answer that is slower than it; with [`QUANTILE_DOWN`], one quicker
+/// answer weighs as much as three slower ones, so the ratio settles near the lower quartile.
 const QUANTILE_UP: f64 = 1.01;
 /// Factor on the unloaded ratio for an answer that is quicker than it.
 const QUANTILE_DOWN: f64 = 0.97;
