--- a/crates/policy/src/engine_eligibility.rs
+++ b/crates/policy/src/engine_eligibility.rs
@@ -1,5 +1,5 @@
-//! Eligibility: whether an engine may take a request, from the endpoint list, the class's placement, the
-//! deduplication of keyed retries and the slow-start budget; and whether it is healthy enough.
+//! Eligibility: whether an engine may be sent a request, by the endpoint list, the class's placement, the
+//! deduplication of keyed retries and the slow-start budget; and whether the engine is healthy enough.
 
 use crate::engine::Engine;
 use crate::fleet_view::FleetView;
@@ -8,7 +8,7 @@
 use crate::settings::{ClassSettings, DedupGroup, Effect};
 use sprucelink_time::Timestamp;
 
-/// The rule that forbids a request on an engine; `None` if the engine is eligible.
+/// The first rule that excludes an engine for a request; `None` if the engine is eligible.
 pub(crate) fn ineligible_reason(
     fleet: &FleetView,
     request: &Request,
@@ -31,35 +31,34 @@
     None
 }
 
-/// Whether the rules allow a request on an engine.
 pub(crate) fn is_eligible(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
     ineligible_reason(fleet, request, engine).is_none()
 }
 
-/// Whether the class may run on this machine kind and in this zone.
+/// Whether a class may run on engines of a machine kind in a zone.
 pub(crate) fn is_placement_allowed(class: &ClassSettings, kind: u32, zone: u32) -> bool {
     let is_kind_allowed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&kind));
     let is_zone_allowed = class.zones.as_ref().is_none_or(|zones| zones.contains(&zone));
     is_kind_allowed && is_zone_allowed
 }
 
-/// Whether an engine recognises the idempotency key of the first attempt that may have run, on the engine
-/// `first`. Classes without keys are not deduplicated, and need not be.
+/// Whether an engine would recognise a retry of the first attempt that may have run, on the engine `first`,
+/// by its idempotency key. Classes without keys are not deduplicated and don't need to be.
 fn is_retry_deduplicated(class: &ClassSettings, first: Option<&Engine>, engine: &Engine) -> bool {
     let Some(first) = first.filter(|_| class.effect == Effect::Keyed) else { return true };
-    let place = |engine: &Engine| Place { zone: engine.zone(), cell: engine.cell() };
-    is_in_dedup_group(class.group, place(first), place(engine))
+    let locality = |engine: &Engine| Locality { zone: engine.zone(), cell: engine.cell() };
+    is_in_dedup_group(class.group, locality(first), locality(engine))
 }
 
-/// Where an engine stands.
+/// The zone and cell of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Locality {
     pub(crate) zone: u32,
     pub(crate) cell: u32,
 }
 
-/// Whether two engines share the idempotency keys that they have seen.
-pub(crate) fn is_in_dedup_group(group: DedupGroup, first: Place, other: Place) -> bool {
+/// Whether two engines share their records of idempotency keys.
+pub(crate) fn is_in_dedup_group(group: DedupGroup, first: Locality, other: Locality) -> bool {
     match group {
         DedupGroup::All => true,
         DedupGroup::Zone => first.zone == other.zone,
@@ -67,7 +66,7 @@
     }
 }
 
-/// Whether an engine is past its slow start, or its budget has room for the request.
+/// Whether an engine is past its slow start, or its slow-start budget has room for the request.
 fn has_slow_start_capacity(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
     if fleet.is_warm(engine) {
         return true;
@@ -76,8 +75,8 @@
     fleet.slow_start.allows(charge, engine.cores(), engine.started_at(), &engine.slow_start)
 }
 
-/// Whether an engine is healthy enough for a request: not backed off from, and not ejected unless the request
-/// may be its trial.
+/// Whether an engine is healthy enough for a request: its backoff is over, and it is not ejected unless the
+/// request may be its trial.
 pub(crate) fn is_healthy_for(fleet: &FleetView, request: &Request, engine: &Engine) -> bool {
     if fleet.now < engine.health.backoff_until() {
         return false;
@@ -89,11 +88,11 @@
     }
 }
 
-/// Whether a request may be the trial of an ejected engine: one that is light, that may be retried if the
-/// trial fails, and that is the only attempt there.
-pub(crate) fn is_trial(class: &ClassSettings, attempts_there: u32, is_trial_due: bool) -> bool {
+/// Whether a request may be the trial of an ejected engine: the request is light and may be retried if the
+/// trial fails, and this manager has no other attempt in flight on the engine.
+pub(crate) fn is_trial(class: &ClassSettings, own_attempts: u32, is_trial_due: bool) -> bool {
     let is_light = class.effect == Effect::Safe && class.threads <= 1.0;
-    is_light && attempts_there == 0 && is_trial_due
+    is_light && own_attempts == 0 && is_trial_due
 }
 
 #[cfg(test)]
--- a/crates/policy/src/engine_weight.rs
+++ b/crates/policy/src/engine_weight.rs
@@ -7,15 +7,16 @@
 use crate::settings::Settings;
 use sprucelink_time::Timestamp;
 
-/// Exponent of the load factor, for each thread a core: a twelfth of a thread a core halves the weight.
+/// Exponent of the load factor for one thread per core: a twelfth of a thread per core halves the weight.
 const LOAD_EXPONENT: f64 = 8.0;
-/// Threads a core that a price of one query's value counts as, where nothing of the fleet's load is visible.
+/// Threads per core that a price of one query's value counts as where none of the fleet's load is visible.
 const PRICE_AS_THREADS_PER_CORE: f64 = 17.0;
-/// Minimum fraction of attempts that are taken to succeed.
+/// Minimum success rate assumed of an engine, so that one that always fails can still be drawn.
 const MIN_SUCCESS_RATE: f64 = 0.01;
-/// Factor for an engine that has read the request's tables lately.
+/// Factor for an engine that was recently sent requests that read the same tables.
 const CACHED_FACTOR: f64 = 1.6;
-/// Factor for an engine that had the request's last attempt, or that loads the tables that the request loads.
+/// Factor for the engine of the request's last attempt, and for one that already loads the tables that the
+/// request loads.
 const AVOIDED_FACTOR: f64 = 1e-3;
 
 /// The factors of an engine's weight for one request.
@@ -34,7 +35,7 @@
         let engine = &fleet.engines[id];
         let class = fleet.class_of(request);
         let is_cached = !class.loads_tables && engine.has_cached(request.table_group);
-        let is_loading = class.loads_tables && has_load_of_tables(fleet, request.table_group, id);
+        let is_loading = class.loads_tables && is_loading_tables(fleet, request.table_group, id);
         let slowness = engine.health.slowness().relative_to(fleet.outliers.median_log_slowness());
         EngineWeight {
             cores: engine.cores(),
@@ -53,19 +54,20 @@
     }
 }
 
-/// Falls steeply with the load, in threads a core, so that nearly all requests go to the least loaded
-/// engines, and yet not all managers to the same one.
+/// Falls steeply with the load, in threads per core, so that nearly all requests go to the least loaded
+/// engines, but not those of all managers to the same one.
 fn load_factor(threads_per_core: f64) -> f64 {
     (-LOAD_EXPONENT * threads_per_core).exp()
 }
 
-/// Falls with the square of failures and slowness. An engine that is faster than the median gains nothing.
+/// The square of the success rate over the slowness. An engine that is faster than the median gets no bonus.
 fn health_factor(failure_rate: f64, relative_slowness: f64) -> f64 {
     let success_rate = (1.0 - failure_rate).max(MIN_SUCCESS_RATE);
     (success_rate / relative_slowness.max(1.0)).powi(2)
 }
 
-/// Nearly excludes the engine of the last attempt, and one where a load of the same tables holds their lock.
+/// Nearly excludes the engine of the last attempt, and an engine where a load of the same tables holds their
+/// lock.
 fn avoidance_factor(had_last_attempt: bool, loads_same_tables: bool) -> f64 {
     if had_last_attempt || loads_same_tables {
         AVOIDED_FACTOR
@@ -74,7 +76,8 @@
     }
 }
 
-/// Estimated threads a core with this request on the engine, and the price of using it as if it were load.
+/// Estimated threads per core with this request on the engine, plus the price of using the engine expressed
+/// as load.
 fn threads_per_core_after_send(fleet: &FleetView, request: &Request, engine: &Engine) -> f64 {
     let request_load = fleet.class_of(request).threads / engine.cores().max(1.0);
     let price_as_load =
@@ -82,8 +85,8 @@
     fleet.utilisation(engine) + request_load + price_as_load
 }
 
-/// The price of sending an attempt to an engine, in the value of one query: for another zone, and for a
-/// handshake if no connection to it is open.
+/// The price of sending an attempt to an engine, in values of one query: for crossing into another zone, and
+/// for a handshake if no connection to the engine is open.
 fn price_of_use(now: Timestamp, settings: &Settings, engine: &Engine) -> f64 {
     let is_in_other_zone = settings.zone.is_some_and(|zone| zone != engine.zone());
     let is_idle_connection_closed = engine.last_send().is_none_or(|time| now - time >= settings.idle_timeout);
@@ -93,18 +96,19 @@
     zone_price + handshake_price
 }
 
-/// A price in threads a core. The more of the fleet's load is visible, the less it counts against a
-/// difference in load.
+/// A price expressed in threads per core. The more of the fleet's load is visible, the less the price counts
+/// against a difference in load.
 fn price_as_load(price: f64, load_visibility: f64) -> f64 {
     PRICE_AS_THREADS_PER_CORE * (1.0 - load_visibility).powi(2) * price
 }
 
-/// Whether an own attempt on this engine loads these tables.
-fn has_load_of_tables(fleet: &FleetView, table_group: u64, id: EngineId) -> bool {
-    let is_load =
+/// Whether an attempt of this manager on the engine loads these tables.
+fn is_loading_tables(fleet: &FleetView, table_group: u64, id: EngineId) -> bool {
+    let loads_tables =
         |request: &Request| request.table_group == table_group && fleet.class_of(request).loads_tables;
-    let is_there = |request: &Request| request.in_flight.as_ref().is_some_and(|attempt| attempt.engine == id);
-    fleet.requests.values().any(|request| is_load(request) && is_there(request))
+    let is_on_engine =
+        |request: &Request| request.in_flight.as_ref().is_some_and(|attempt| attempt.engine == id);
+    fleet.requests.values().any(|request| loads_tables(request) && is_on_engine(request))
 }
 
 #[cfg(test)]
--- a/crates/policy/src/engine_weight/tests.rs
+++ b/crates/policy/src/engine_weight/tests.rs
@@ -4,16 +4,16 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 
 #[test]
-fn twelfth_of_a_thread_a_core_halves_the_weight() {
+fn twelfth_of_a_thread_per_core_halves_the_weight() {
     let ratio = load_factor(1.0 / 12.0) / load_factor(0.0);
     assert!((0.5..0.52).contains(&ratio), "{ratio}");
 }
 
 #[test]
-fn failures_and_slowness_count_by_their_square() {
+fn health_factor_is_the_square_of_success_rate_over_slowness() {
     assert_eq!(health_factor(0.5, 1.0), 0.25);
     assert_eq!(health_factor(0.0, 2.0), 0.25);
-    assert_eq!(health_factor(0.0, 0.5), 1.0, "a quick engine gains nothing");
+    assert_eq!(health_factor(0.0, 0.5), 1.0, "a fast engine gets no bonus");
     assert!(health_factor(1.0, 1.0) > 0.0, "an engine that always fails can still be drawn");
 }
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn handshake_is_paid_where_no_connection_is_open() {
+fn handshake_price_applies_where_no_connection_is_open() {
     let settings = Settings {
         zone: Some(0),
         cross_zone_price: 0.25,
@@ -40,7 +40,7 @@
     };
     let sent_at = Timestamp::from_millis(100_000);
     let mut engine = Engine::default();
-    assert_eq!(price_of_use(sent_at, &settings, &engine), 0.5, "in its own zone, never used");
+    assert_eq!(price_of_use(sent_at, &settings, &engine), 0.5, "same zone, engine never used");
     engine.charge_send(sent_at, 1.0, 1.0, 0, &settings);
     let much_later = Timestamp::from_millis(200_000);
     assert_eq!(price_of_use(much_later, &settings, &engine), 0.0, "an attempt is in flight");
