--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -123,7 +123,7 @@
     /// It rejected a request for its load.
     pub(crate) fn record_rejection(&mut self, now: Timestamp) {
         self.load.assume_full(now, self.cores);
-        self.health.back_off_from_full_engine(now);
+        self.health.record_overload_rejection(now);
     }
 
     /// The record of an engine that came back after the list had it as gone. Another engine may come under
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -1,5 +1,5 @@
-//! The health of one engine, learned from its outcomes, latencies and silence: its failure rate, its
-//! slowness, its backoff, and whether it is ejected.
+//! The health of one engine: its failure rate, slowness and backoff, and whether it is ejected. Learned from
+//! the outcomes and latencies of attempts and from silence.
 
 use crate::engine_slowness::EngineSlowness;
 use crate::request::Attempt;
@@ -11,47 +11,48 @@
 pub(crate) const TRIAL_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 /// An attempt in flight for more than this many times its expected latency is overdue.
 pub(crate) const OVERDUE_MULTIPLE: f64 = 3.0;
-/// Backoff after the first of several failed connections; it doubles with each.
+/// Backoff after the first of several failed connections in a row; doubles with each further one.
 const CONNECT_BACKOFF: TimeDelta = TimeDelta::from_millis(500);
-/// Doublings of that backoff.
+/// Maximum number of doublings of [`CONNECT_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Failed connections in a row after which an engine counts as restarted.
-const CONNECT_FAILURES_OF_A_RESTART: u32 = 2;
-/// Backoff after an engine rejected a request for its load.
-const FULL_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
+/// Failed connections in a row after which an engine is assumed to restart.
+const CONNECT_FAILURES_FOR_RESTART: u32 = 2;
+/// Backoff after an engine rejected a request because it was overloaded.
+const OVERLOAD_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
 /// Weight of a failure in an engine's failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// Weight of a success in an engine's failure rate; greater, so that an engine recovers quickly.
+/// Weight of a success in an engine's failure rate; greater than that of a failure, so that an engine
+/// recovers quickly.
 const SUCCESS_WEIGHT: f64 = 0.3;
 /// An engine this many times slower than the median is ejected.
 const MAX_SLOWNESS: f64 = 3.5;
 /// Fraction of failed attempts from which an engine is ejected.
 const MAX_FAILURE_RATE: f64 = 0.4;
-/// Part of a bound below which an ejected engine is readmitted.
+/// Fraction of the ejection bounds below which an ejected engine is readmitted.
 const READMISSION_FACTOR: f64 = 0.5;
-/// Silence from which an engine most of whose attempts are overdue counts as unresponsive.
+/// Maximum silence of an engine with mostly overdue attempts before it counts as unresponsive.
 const MAX_SILENCE: TimeDelta = TimeDelta::from_millis(700);
-/// Overdue attempts from which an engine may count as unresponsive.
+/// Minimum number of overdue attempts for an engine to count as unresponsive.
 const MIN_OVERDUE_ATTEMPTS: u32 = 2;
 
-/// What this manager learned of an engine's health.
+/// What this manager learned about an engine's health.
 #[derive(Clone, Default)]
 pub(crate) struct EngineHealth {
     last_response: Timestamp,
-    /// When it may get a trial while it is ejected.
+    /// Earliest time of the next trial while the engine is ejected.
     next_trial: Timestamp,
-    /// Nothing is sent before, unless no eligible engine is healthy.
+    /// Nothing is sent to the engine before this time, unless no eligible engine is healthy.
     backoff_until: Timestamp,
     /// Failed connections in a row.
     connect_failures: u32,
     slowness: EngineSlowness,
-    /// It takes requests and answers none.
+    /// The engine accepts requests and answers none.
     is_unresponsive: bool,
-    /// Own attempts there that are overdue, counted at each tick.
+    /// Overdue attempts of this manager on the engine, counted at each tick.
     overdue_attempts: u32,
     /// Fraction of recent attempts that failed.
     failure_rate: MovingAverage,
-    /// It gets a trial now and then only, unless no eligible engine is healthy.
+    /// The engine gets only a trial at intervals, unless no eligible engine is healthy.
     is_ejected: bool,
 }
 
@@ -85,7 +86,7 @@
         self.slowness
     }
 
-    /// Its process is a new one: what was learned of the old one does not hold.
+    /// The engine has a new process: what was learned about the old one no longer applies.
     pub(crate) fn reset_for_new_process(&mut self, now: Timestamp) {
         self.slowness = EngineSlowness::default();
         self.connect_failures = 0;
@@ -95,7 +96,8 @@
         self.backoff_until = now;
     }
 
-    /// An attempt is sent to it. Silence counts from the first attempt on that it has to answer.
+    /// An attempt is sent to the engine. `was_idle`: no other attempt was in flight, so that its silence
+    /// counts from now.
     pub(crate) fn record_send(&mut self, now: Timestamp, was_idle: bool) {
         if was_idle {
             self.last_response = now;
@@ -111,24 +113,25 @@
         self.failure_rate.update(1.0, FAILURE_WEIGHT);
     }
 
-    /// It sent a progress note.
+    /// The engine sent a progress note.
     pub(crate) fn record_progress(&mut self, now: Timestamp) {
         self.last_response = now;
     }
 
-    /// It sent an answer.
+    /// The engine sent an answer.
     pub(crate) fn record_answer(&mut self, now: Timestamp) {
         self.connect_failures = 0;
         self.is_unresponsive = false;
         self.last_response = now;
     }
 
-    /// Learns from the latency of an answer over the expected one.
+    /// Learns from an answer. `latency_ratio`: its latency as a multiple of the expected one.
     pub(crate) fn record_latency(&mut self, latency_ratio: f64) {
         self.slowness.record(latency_ratio);
     }
 
-    /// A connection to it failed: backs off, longer each time. Failures within one backoff count as one.
+    /// A connection to the engine failed: starts a backoff, longer each time. Further failures within a
+    /// backoff are not counted.
     pub(crate) fn record_connect_failure(&mut self, now: Timestamp) {
         if now >= self.backoff_until {
             let doublings = self.connect_failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -138,22 +141,22 @@
         }
     }
 
-    /// Whether enough connections failed in a row to conclude that it restarts.
+    /// Whether enough connections failed in a row to assume that the engine restarts.
     pub(crate) fn has_probably_restarted(&self) -> bool {
-        self.connect_failures >= CONNECT_FAILURES_OF_A_RESTART
+        self.connect_failures >= CONNECT_FAILURES_FOR_RESTART
     }
 
-    /// It rejected a request for its load.
-    pub(crate) fn back_off_from_full_engine(&mut self, now: Timestamp) {
-        self.backoff_until = now + FULL_BACKOFF;
+    /// The engine rejected a request because it was overloaded.
+    pub(crate) fn record_overload_rejection(&mut self, now: Timestamp) {
+        self.backoff_until = now + OVERLOAD_BACKOFF;
     }
 
     pub(crate) fn clear_overdue_attempts(&mut self) {
         self.overdue_attempts = 0;
     }
 
-    /// Counts an attempt there if it is overdue; `true` if that counts as an outcome, which it does at 3, 6,
-    /// 12 times its expected latency, and so on.
+    /// Counts an attempt on the engine if it is overdue. `true` if that also counts as an outcome: at 3, 6,
+    /// 12 times the expected latency, and so on.
     pub(crate) fn record_overdue(&mut self, now: Timestamp, attempt: &mut Attempt) -> bool {
         let ratio = (now - attempt.sent_at).as_secs_f64() / attempt.expected_latency_secs;
         self.overdue_attempts += u32::from(ratio > OVERDUE_MULTIPLE);
@@ -165,8 +168,9 @@
         is_outcome
     }
 
-    /// Ejects the engine if it is down, unresponsive, failing or far slower than the rest, and readmits it
-    /// otherwise; `true` if that changed. An ejected engine must do clearly better than the bounds.
+    /// Ejects the engine if it is down, unresponsive, failing or far slower than the median, and readmits it
+    /// otherwise; `true` if its state changed. To be readmitted, an engine must do clearly better than the
+    /// bounds of ejection.
     pub(crate) fn update_ejection(
         &mut self,
         now: Timestamp,
