--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,5 +1,5 @@
 //! Outlier detection over the fleet: which engines are ejected or readmitted and which zones are unreachable,
-//! from outcomes, latencies against the median engine, and silence. `engine_health` has the rule for one
+//! from outcomes, latencies relative to the median engine, and silence. `engine_health` has the rule for one
 //! engine.
 
 use crate::actions::Action;
@@ -13,25 +13,26 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Progress notes that an attempt misses before it counts as silence of its zone. The core stops using a
-/// connection after more of them (`src/core/engine_connection.rs`).
-const MAX_MISSED_NOTES: f64 = 1.5;
-/// Silent engines from which their zone counts as unreachable.
+/// Progress notes that an attempt may miss before it counts as silence of its zone. The core stops
+/// sending attempts on a connection after more of them (`src/core/engine_connection.rs`).
+const MAX_MISSED_PROGRESS_NOTES: f64 = 1.5;
+/// Minimum number of silent engines for their zone to count as unreachable.
 const MIN_SILENT_ENGINES: usize = 2;
-/// Engines of known slowness that a median needs.
+/// Minimum number of engines of known slowness for a median.
 const MIN_ENGINES_FOR_MEDIAN: usize = 3;
 
-/// Whether a zone answers this manager. Its engines are ejected at once when it does not; zone failover
-/// (`crates/zone-failover`) judges zones apart from this, more slowly, and changes their weights only.
+/// Whether a zone answers this manager. If it does not, its engines are ejected at once. Zone failover
+/// (`crates/zone-failover`) judges zones independently of this and more slowly, and changes only their
+/// weights.
 #[derive(Clone, Default)]
 struct ZoneReachability {
-    /// When an engine there last responded.
+    /// Time of the last response of any engine in the zone.
     last_response: Timestamp,
-    /// Engines that have been silent on what was sent to them since.
+    /// Engines that have not responded to attempts sent after `last_response`.
     silent_engines: BTreeSet<u32>,
-    /// No engine there can be reached.
+    /// At least [`MIN_SILENT_ENGINES`] engines have been silent since the last response.
     is_unreachable: bool,
-    /// When one of its engines may get a trial.
+    /// Earliest time of the next trial on any of its engines.
     next_trial: Timestamp,
 }
 
@@ -42,7 +43,8 @@
         self.silent_engines.clear();
     }
 
-    /// An attempt there met silence; that counts where no engine there has responded since it was sent.
+    /// An attempt in the zone got no response. It counts only if no engine of the zone has responded since
+    /// the attempt was sent.
     fn record_silence(&mut self, engine: EngineId, sent_at: Timestamp) {
         if sent_at > self.last_response {
             self.silent_engines.insert(engine.0);
@@ -55,22 +57,22 @@
 #[derive(Clone, Default)]
 pub(crate) struct OutlierDetector {
     zones: BTreeMap<u32, ZoneReachability>,
-    /// Logarithm of the median engine's slowness; `None` if too few engines are known.
+    /// Natural logarithm of the median engine's slowness; `None` if the slowness of too few engines is known.
     median_log_slowness: Option<f64>,
 }
 
 impl OutlierDetector {
-    /// Before the first tick engines are compared with an engine of exactly the expected latencies.
+    /// Until the first tick, engines are compared with one that has exactly the expected latencies.
     pub(crate) fn new() -> OutlierDetector {
         OutlierDetector { zones: BTreeMap::new(), median_log_slowness: Some(0.0) }
     }
 
-    /// Logarithm of the median engine's slowness; `None` if too few engines are known.
+    /// Natural logarithm of the median engine's slowness; `None` if the slowness of too few engines is known.
     pub(crate) fn median_log_slowness(&self) -> Option<f64> {
         self.median_log_slowness
     }
 
-    /// When a zone may get a trial, if it is unreachable.
+    /// Earliest time of the next trial in a zone; `None` if the zone is reachable.
     pub(crate) fn next_trial_of_unreachable(&self, zone: u32) -> Option<Timestamp> {
         self.zones.get(&zone).filter(|zone| zone.is_unreachable).map(|zone| zone.next_trial)
     }
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Ejects and readmits engines, at a tick. `progress_interval`: zero where engines send no progress
-    /// notes.
+    /// Ejects and readmits engines, at a tick. `progress_interval`: time between progress notes, zero where
+    /// engines send none.
     pub(crate) fn update(
         &mut self,
         now: Timestamp,
@@ -126,7 +128,7 @@
         requests: &mut OpenRequests,
         progress_interval: TimeDelta,
     ) {
-        let max_silence_secs = MAX_MISSED_NOTES * progress_interval.as_secs_f64();
+        let max_silence_secs = MAX_MISSED_PROGRESS_NOTES * progress_interval.as_secs_f64();
         engines.iter_mut().for_each(|(_, engine)| engine.health.clear_overdue_attempts());
         for attempt in requests.values_mut().filter_map(|request| request.in_flight.as_mut()) {
             let engine = &mut engines[attempt.engine];
@@ -144,17 +146,17 @@
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
         stored.median_slowness = self.median_log_slowness.unwrap_or(f64::MAX);
-        let one = |zone: &ZoneReachability| StoredZone {
+        let to_stored = |zone: &ZoneReachability| StoredZone {
             last_response: zone.last_response,
             silent_engines: zone.silent_engines.clone(),
             unreachable: zone.is_unreachable,
             next_trial: zone.next_trial,
         };
-        stored.zones = self.zones.iter().map(|(number, zone)| (*number, one(zone))).collect();
+        stored.zones = self.zones.iter().map(|(number, zone)| (*number, to_stored(zone))).collect();
     }
 
     pub(crate) fn restore(stored: &mut StoredPolicy) -> OutlierDetector {
-        let one = |zone: StoredZone| ZoneReachability {
+        let from_stored = |zone: StoredZone| ZoneReachability {
             last_response: zone.last_response,
             silent_engines: zone.silent_engines,
             is_unreachable: zone.unreachable,
@@ -162,13 +164,13 @@
         };
         let zones = std::mem::take(&mut stored.zones).into_iter();
         OutlierDetector {
-            zones: zones.map(|(number, zone)| (number, one(zone))).collect(),
+            zones: zones.map(|(number, zone)| (number, from_stored(zone))).collect(),
             median_log_slowness: Some(stored.median_slowness).filter(|median| *median < f64::MAX),
         }
     }
 }
 
-/// The median of what is known of the listed engines.
+/// The median over the listed engines whose slowness is known.
 fn median_log_slowness(engines: &EngineTable) -> Option<f64> {
     let listed = engines.iter().filter(|(_, engine)| engine.is_listed());
     let mut known: Vec<f64> =
