--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: how much work an engine that started recently may be sent, from its age, the work charged to
-//! it in the last window, and the number of managers that divide its budget.
+//! Slow start: how much work an engine that started recently may be sent, from the age of the engine, the
+//! work charged to it in the last window, and the number of managers that divide its budget.
 
 use crate::class_estimates::ClassEstimates;
 use crate::settings::{ClassSettings, Settings};
@@ -10,17 +10,17 @@
 
 /// Fraction of the listed cores that counts as capacity: machines may be slow, and cores are never all busy.
 const USABLE_CORES: f64 = 0.56;
-/// Estimates that the first guess of a class's charge weighs as much as, on a manager that started recently.
-const PRIOR_CHARGES: f64 = 1.0;
-/// Fraction of the budget that is given by sampling where no query fits a manager's part of it.
-const SAMPLED_FRACTION_ALONE: f64 = 0.7;
-/// Fraction of the budget for the queries that fit it, where others do not.
+/// Weight of the prior of a class's charge, in samples of the estimate, on a manager that started recently.
+const PRIOR_SAMPLES: f64 = 1.0;
+/// Fraction of the budget that is given to sampled managers where no query fits a manager's part of it.
+const SAMPLED_FRACTION_WITHOUT_FITTING: f64 = 0.7;
+/// Fraction of the budget for queries that fit it, where other queries do not.
 const FITTING_FRACTION: f64 = 0.75;
-/// Fraction of the budget that is then given by sampling to the others.
-const SAMPLED_FRACTION_BESIDE: f64 = 0.35;
-/// A query may be sent by sampling if the budget of all managers is at least this many times its charge.
+/// Fraction of the budget that is given to sampled managers for queries that do not fit, where others do.
+const SAMPLED_FRACTION_WITH_FITTING: f64 = 0.35;
+/// A sampled manager may send a query if the budget of all managers is at least this many times its charge.
 const MIN_QUERIES_IN_FLEET_BUDGET: f64 = 4.0;
-/// Fraction of its budget that a manager uses in its own first window: it does not know what it sent earlier.
+/// Fraction of its budget that a manager uses in its first window: it does not know what it sent earlier.
 const FIRST_WINDOW_FRACTION: f64 = 0.5;
 
 /// Fraction of its capacity that an engine has: linear from the initial fraction to 1 over the slow start.
@@ -32,22 +32,22 @@
 }
 
 /// Work that a query of a class charges to an engine's budget, thread-seconds: the mean of its class, because
-/// each of many managers would find a small query that fits.
+/// otherwise each of many managers would find a small query that fits.
 pub(crate) fn charge(class: &ClassSettings, estimates: &ClassEstimates, is_manager_new: bool) -> f64 {
-    // The first estimates of a class are mostly too low: a new manager adds a full-sized one.
-    let prior = if is_manager_new { PRIOR_CHARGES } else { 0.0 };
+    // The first estimates of a class are mostly too low: a new manager adds a sample of the full cost.
+    let prior = if is_manager_new { PRIOR_SAMPLES } else { 0.0 };
     let samples = f64::from(estimates.cost_samples().max(1));
     let full_cost = class.latency_objective.as_secs_f64() * class.threads;
     let total = estimates.mean_cost() * samples + full_cost * prior;
     total / (samples + prior) * estimates.work_ratio().max(1.0)
 }
 
-/// What bounds the work for engines in slow start, at one moment.
+/// Limits on the work that engines in slow start may be sent, at one moment.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStartLimits<'a> {
     settings: &'a Settings,
     now: Timestamp,
-    /// How long this manager has run.
+    /// Time since this manager started.
     manager_age: TimeDelta,
     /// Charge of the lightest class, thread-seconds.
     min_charge: f64,
@@ -55,12 +55,12 @@
     max_charge: f64,
 }
 
-/// A manager's budget for one engine and window, by who may use it; thread-seconds.
+/// A manager's budget for one engine and window, divided by the queries that may use it; thread-seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct BudgetParts {
-    /// For queries whose charges fit it in sum.
+    /// Budget for queries whose charges fit it in sum.
     fitting: f64,
-    /// For one query of a sampled manager.
+    /// Budget for one query of a sampled manager.
     sampled: f64,
 }
 
@@ -91,16 +91,17 @@
         charge(class, estimates, self.manager_age < self.settings.slow_start_duration)
     }
 
-    /// This manager's even part of what an engine may be sent in one window, thread-seconds.
+    /// This manager's equal part of the work that an engine may be sent in one window, thread-seconds.
     pub(crate) fn budget(&self, cores: f64, started_at: Option<Timestamp>) -> f64 {
         let window = self.settings.slow_start_window;
         let capacity_fraction = capacity_fraction(self.now, started_at, self.settings);
-        let secs_of_each_core = self.settings.slow_start_multiple * capacity_fraction * window.as_secs_f64();
+        let secs_per_core = self.settings.slow_start_multiple * capacity_fraction * window.as_secs_f64();
         let managers = f64::from(self.settings.gateways);
-        secs_of_each_core * cores * USABLE_CORES * self.usable_fraction() / managers
+        secs_per_core * cores * USABLE_CORES * self.usable_fraction() / managers
     }
 
-    /// Fraction of its budget that a manager uses by its own age: it may have used some before its restart.
+    /// Fraction of its budget that a manager uses, by its own age: it may have used some of the budget
+    /// before it was restarted.
     fn usable_fraction(&self) -> f64 {
         match self.settings.restart_ramp {
             Some(ramp) => {
@@ -112,20 +113,20 @@
         }
     }
 
-    /// Divides a budget: where a query is larger than a manager's part, a random fraction of the managers
-    /// sends one query a window, and nothing else in it, so that the engine is not idle.
+    /// Divides a budget. Where a query is larger than a manager's part, a random fraction of the managers may
+    /// send one query per window, and nothing else in that window, so that the engine is not idle.
     fn parts(&self, budget: f64) -> BudgetParts {
         let fitting = FITTING_FRACTION * budget;
         if self.max_charge <= budget {
             BudgetParts { fitting: budget, sampled: 0.0 }
         } else if self.min_charge <= fitting {
-            BudgetParts { fitting, sampled: SAMPLED_FRACTION_BESIDE * budget }
+            BudgetParts { fitting, sampled: SAMPLED_FRACTION_WITH_FITTING * budget }
         } else {
-            BudgetParts { fitting: 0.0, sampled: SAMPLED_FRACTION_ALONE * budget }
+            BudgetParts { fitting: 0.0, sampled: SAMPLED_FRACTION_WITHOUT_FITTING * budget }
         }
     }
 
-    /// Fraction of the managers that may send to an engine in one window; below 1 only with sampling.
+    /// Fraction of the managers that may send to an engine in one window; below 1 only if no query fits.
     pub(crate) fn sender_fraction(&self, cores: f64, started_at: Option<Timestamp>) -> f64 {
         if capacity_fraction(self.now, started_at, self.settings) >= 1.0 {
             return 1.0;
@@ -144,32 +145,32 @@
         charge: f64,
         cores: f64,
         started_at: Option<Timestamp>,
-        used: &SlowStartBudget,
+        usage: &SlowStartBudget,
     ) -> bool {
         let budget = self.budget(cores, started_at);
         let parts = self.parts(budget);
-        let spent = used.spent(self.now, self.settings);
+        let spent = usage.spent(self.now, self.settings);
         let fits = spent + charge <= parts.fitting;
         let fleet_budget = budget * f64::from(self.settings.gateways);
         let is_light = charge * MIN_QUERIES_IN_FLEET_BUDGET <= fleet_budget;
-        let is_sampled_sender = || spent <= 0.0 && used.sender_draw * charge < parts.sampled;
+        let is_sampled_sender = || spent <= 0.0 && usage.sender_draw * charge < parts.sampled;
         fits || (is_light && is_sampled_sender())
     }
 }
 
-/// What one engine was sent in the last window, and whether this manager is among its sampled senders.
+/// The work that one engine was sent in the last window, and whether this manager is a sampled sender to it.
 #[derive(Clone, Default)]
 pub(crate) struct SlowStartBudget {
-    /// Work sent lately, by time; thread-seconds.
+    /// Work sent in recent windows, by time; thread-seconds.
     charges: SumWindow,
-    /// A random number from 0 to 1, drawn for each window: the manager may send where it lies below the
-    /// fraction of managers that may.
+    /// A random number from 0 to 1, drawn for each window: the manager may send if the number is below the
+    /// fraction of managers that may send.
     sender_draw: f64,
     next_sender_draw: Timestamp,
 }
 
 impl SlowStartBudget {
-    /// A budget of an engine whose record starts again: what was sent still counts.
+    /// The budget of an engine whose record is reset: the work that was sent earlier still counts.
     pub(crate) fn with_charges_of(earlier: SlowStartBudget) -> SlowStartBudget {
         SlowStartBudget { charges: earlier.charges, ..SlowStartBudget::default() }
     }
@@ -183,13 +184,13 @@
         self.charges.record(now, charge, settings.slow_start_window);
     }
 
-    /// Draws the number for the window that starts now.
+    /// Draws the random number for the window that starts now.
     pub(crate) fn draw_sender(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
         self.sender_draw = random.next_unit();
         self.next_sender_draw = now + settings.slow_start_window;
     }
 
-    /// Draws a new number once its window has passed.
+    /// Draws a new random number once the window of the last one has passed.
     pub(crate) fn redraw_sender_if_due(
         &mut self,
         now: Timestamp,
