--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -1,5 +1,5 @@
-//! The load of one engine: its threads, from its last load report, this manager's own attempts there and the
-//! mean load of the fleet.
+//! The load of one engine: an estimate of its threads from its last load report, this manager's own attempts
+//! on it and the mean load of the fleet.
 
 use crate::events::LoadReport;
 use crate::load_estimate::MeanLoad;
@@ -9,27 +9,27 @@
 
 /// Seconds in which the weight of an engine's load report falls to 1/e.
 pub(crate) const REPORT_DECAY_SECS: f64 = 4.0;
-/// Fraction of busy cores from which a report of cores does not tell how many threads wait for them.
+/// Fraction of busy cores above which a report of cores alone does not show how many threads wait for them.
 const SATURATED_CORE_FRACTION: f64 = 0.85;
-/// Threads a core that are assumed on an engine that rejected a request or answers nothing.
+/// Threads per core assumed on an engine that rejected a request or does not answer.
 const FULL_THREADS_PER_CORE: f64 = 4.0;
-/// Weight of a tick in the average of own threads on an engine.
+/// Weight of one tick in the average of own threads on an engine.
 const OWN_THREADS_WEIGHT: f64 = 0.1;
-/// Age of a load report from which an overdue attempt outweighs it.
+/// Maximum age of a load report that outweighs an overdue attempt.
 const MAX_TRUSTED_REPORT_AGE: TimeDelta = TimeDelta::from_secs(1);
 
-/// The load of one engine, as far as other managers cause it.
+/// The load of one engine that other managers cause.
 #[derive(Clone, Default)]
 pub(crate) struct EngineLoad {
     /// Threads of other managers by the last report.
     others_threads: f64,
-    /// When that report came.
+    /// Time of the last report, or of the last event after which the engine was assumed to be full.
     reported_at: Option<Timestamp>,
     /// Queries that wait for memory by the last report.
     queries_waiting: f64,
-    /// The last report had only busy cores, and nearly all of them were.
+    /// The last report had no number of queries, only the fraction of busy cores, and that was nearly all.
     is_saturated: bool,
-    /// Own threads there, averaged over ticks, because reports lag behind.
+    /// Own threads on the engine, averaged over ticks because reports lag behind.
     average_own_threads: MovingAverage,
 }
 
@@ -44,34 +44,35 @@
         self.queries_waiting
     }
 
-    /// Whether the last report had only busy cores, and nearly all of them were.
+    /// Whether the last report had no number of queries, only the fraction of busy cores, and that was nearly
+    /// all.
     pub(crate) fn is_saturated(&self) -> bool {
         self.is_saturated
     }
 
-    /// Seconds since the last report.
+    /// Seconds since the last report; `None` if there was none.
     pub(crate) fn report_age_secs(&self, now: Timestamp) -> Option<f64> {
         self.reported_at.map(|time| (now - time).as_secs_f64())
     }
 
-    /// How much the last report still counts, from 1 (it has just come) to 0 (there is none).
+    /// Weight of the last report, from 1 (just received) to 0 (no report).
     pub(crate) fn report_weight(&self, now: Timestamp) -> f64 {
         self.report_age_secs(now).map_or(0.0, |age_secs| (-age_secs / REPORT_DECAY_SECS).exp())
     }
 
-    /// Takes own threads into their average, at a tick.
+    /// Updates the average of own threads, at a tick.
     pub(crate) fn update_average(&mut self, own_threads: f64) {
         self.average_own_threads.update(own_threads, OWN_THREADS_WEIGHT);
     }
 
-    /// The engine has rejected a request for its load or let a load probe time out: it counts as full.
+    /// The engine has rejected a request because of overload or let a load probe time out: it counts as full.
     pub(crate) fn assume_full(&mut self, now: Timestamp, cores: f64) {
         self.others_threads = FULL_THREADS_PER_CORE * cores;
         self.reported_at = Some(now);
     }
 
-    /// An attempt there is overdue. An engine that answers nothing reports nothing either, and would count as
-    /// one of mean load.
+    /// An attempt on the engine is overdue: it counts as full unless its last report is recent. An engine
+    /// that answers nothing reports nothing either, and would otherwise count as one of mean load.
     pub(crate) fn assume_full_unless_reported(&mut self, now: Timestamp, cores: f64) {
         if self.reported_at.is_none_or(|time| now - time > MAX_TRUSTED_REPORT_AGE) {
             self.others_threads = self.others_threads.max(FULL_THREADS_PER_CORE * cores);
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Takes a load report. `threads`: all threads there, by it; without them those of others count as mean.
+    /// Records a load report. `threads`: all threads on the engine by the report; if `None`, the mean load is
+    /// assumed for the threads of other managers.
     pub(crate) fn record_report(
         &mut self,
         now: Timestamp,
@@ -118,9 +120,11 @@
     }
 }
 
-/// Threads on an engine: own ones, and those of others by its report, which fades into the mean as it ages.
+/// Estimated threads on an engine: own threads, and those of other managers by the last report, which fades
+/// into the mean as it ages.
 ///
-/// `mean_of_others`: threads of others on a similar engine; `even_of_others`: if all managers are alike.
+/// `mean_of_others`: mean threads of other managers on a similar engine; `even_of_others`: the same if every
+/// manager has as many threads in flight as this one.
 pub(crate) fn estimated_threads(
     own_threads: f64,
     mean_of_others: f64,
@@ -128,7 +132,8 @@
     report_weight: f64,
     load: &EngineLoad,
 ) -> f64 {
-    // A report of cores alone, nearly all of them busy, does not tell how many threads wait for them.
+    // A report of nearly all cores busy, without a number of queries, does not show how many threads wait for
+    // the cores.
     let reported_of_others = match load.is_saturated {
         true => load.others_threads.max(even_of_others),
         false => load.others_threads,
--- a/crates/policy/src/load_estimate.rs
+++ b/crates/policy/src/load_estimate.rs
@@ -1,4 +1,4 @@
-//! Load estimation over the fleet: the mean load of an engine and the threads of a query, from all load
+//! Load estimation over the fleet: the mean load of an engine and the mean threads of a query, from all load
 //! reports, this manager's own attempts and its share of the fleet. `engine_load` has the load of one engine.
 
 use crate::engine_load::{EngineLoad, REPORT_DECAY_SECS};
@@ -8,37 +8,40 @@
 use sprucelink_rate_limits::MovingAverage;
 use sprucelink_time::Timestamp;
 
-/// Seconds in which the weight of the fleet's mean load, as reported, falls to 1/e.
+/// Seconds in which the weight of the fleet's reported mean load falls to 1/e.
 const MEAN_DECAY_SECS: f64 = 2.0 * REPORT_DECAY_SECS;
-/// Weight of a report in the mean load of the fleet.
+/// Weight of one report in the mean load of the fleet.
 const REPORT_WEIGHT: f64 = 0.1;
-/// Seconds that each class counts as run, in the mean threads of a query, before any has ended.
+/// Seconds that each class counts as having run, in the mean threads of a query, before any attempt has
+/// ended.
 const PRIOR_RUN_SECS: f64 = 2.0;
 
-/// Threads a core of other managers on an engine about which nothing is known.
+/// Threads per core of other managers on an engine without a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct MeanLoad {
-    /// If every manager has as many threads in flight as this one.
+    /// Threads per core if every manager has as many threads in flight as this one.
     pub(crate) even_per_core: f64,
-    /// By the reports of all engines, which fade into the even load as far as the fleet's load is visible.
+    /// Threads per core by the reports of all engines, which fade into the even load multiplied by the load
+    /// visibility.
     pub(crate) others_per_core: f64,
 }
 
 /// Learns the mean load of the fleet from load reports, and the threads of a query from attempts that ended.
 #[derive(Clone, Default)]
 pub(crate) struct LoadEstimator {
-    /// Threads a core of other managers, the average of recent reports.
+    /// Threads per core of other managers, averaged over recent reports.
     reported_per_core: MovingAverage,
-    /// When the last of these reports came.
+    /// Time of the last report that had a load.
     last_report: Timestamp,
-    /// Threads of ended attempts, each times how long it ran; seconds.
+    /// Sum over ended attempts of threads times running time, thread-seconds.
     thread_seconds: f64,
-    /// How long ended attempts ran, seconds.
+    /// Total running time of ended attempts, seconds.
     query_seconds: f64,
 }
 
 impl LoadEstimator {
-    /// Before any attempt has ended, classes count as running equally often. `threads`: of each class.
+    /// Before any attempt has ended, all classes count as running equally often. `threads`: the threads of a
+    /// query, for each class.
     pub(crate) fn new(threads: impl ExactSizeIterator<Item = f64>) -> LoadEstimator {
         LoadEstimator {
             query_seconds: threads.len() as f64 * PRIOR_RUN_SECS,
@@ -47,12 +50,12 @@
         }
     }
 
-    /// Threads a core of other managers, the average of recent reports.
+    /// Threads per core of other managers, averaged over recent reports.
     pub(crate) fn reported_per_core(&self) -> f64 {
         self.reported_per_core.value()
     }
 
-    /// Learns from an attempt that ended after this time.
+    /// Learns from an attempt that ended after `latency_secs`.
     pub(crate) fn record_run(&mut self, threads: f64, latency_secs: f64) {
         self.thread_seconds += threads * latency_secs;
         self.query_seconds += latency_secs;
@@ -67,7 +70,8 @@
         MeanLoad { even_per_core, others_per_core }
     }
 
-    /// Takes an engine's load report; one without a load says nothing.
+    /// Records an engine's load report. One without queries in flight and busy cores leaves the mean load as
+    /// it is.
     pub(crate) fn record_report(
         &mut self,
         now: Timestamp,
@@ -105,7 +109,7 @@
     }
 }
 
-/// Whether a report has a load at all.
+/// Whether a report has any figure of the load; reports of memory or disks alone have none.
 pub(crate) fn has_load(report: &LoadReport) -> bool {
     report.queries_in_flight.is_some()
         || report.busy_core_fraction.is_some()
--- a/crates/policy/src/own_load.rs
+++ b/crates/policy/src/own_load.rs
@@ -1,18 +1,19 @@
-//! This manager's own load and its even share of the ready engines, and what follows from them for the fleet.
+//! This manager's own load and its equal share of the ready engines, and what they show of the fleet's load.
 
 use crate::policy::TICK;
 use crate::pricing::LEVELS;
 use crate::snapshot::StoredPolicy;
 use sprucelink_rate_limits::MovingAverage;
 
-/// Cores of this manager's share at which its own load shows half of the fleet's.
+/// Cores of this manager's share at which its load visibility is one half.
 const HALF_VISIBLE_CORES: f64 = 4.0;
-/// Cores of other managers' shares that are taken to serve this manager's queue, too.
+/// Cores of other managers' shares that are assumed to serve this manager's queue as well.
 const SHARED_CORES: f64 = 4.0;
-/// The own load is averaged over the time that the manager's cores take for this work, thread-seconds.
+/// Work that sets the averaging time of the own load, thread-seconds: the time that the manager's share of
+/// the cores takes for it.
 const LOAD_AVERAGE_WORK: f64 = 10.0;
 
-/// This manager's even share of the ready engines' cores.
+/// This manager's equal share of the ready engines' cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FleetShare {
     pub(crate) managers: f64,
@@ -26,13 +27,14 @@
         (self.ready_cores / self.managers).max(1.0)
     }
 
-    /// How much of the fleet's load the own load shows, 0 to 1: with a small share it shows little.
+    /// Fraction of the fleet's load that the own load shows, 0 to 1; small for a small share.
     pub(crate) fn load_visibility(self) -> f64 {
         self.cores() / (self.cores() + HALF_VISIBLE_CORES)
     }
 
-    /// Seconds that queued work takes on the share; a manager with a small share shares its engines with
-    /// others, so that a short queue of its own does not count as a long delay.
+    /// Seconds that queued work takes on the share. Cores of other managers are added because a manager with
+    /// a small share shares its engines with them, so that its own short queue does not count as a long
+    /// delay.
     pub(crate) fn delay_secs(self, queued_thread_seconds: f64) -> f64 {
         queued_thread_seconds / (self.cores() + SHARED_CORES)
     }
@@ -70,7 +72,7 @@
         self.average_from_level(0)
     }
 
-    /// Takes, at a tick, the threads in flight by level and above into the averages.
+    /// Updates the averages, at a tick. `threads_from_level`: threads in flight at each level and above.
     pub(crate) fn update_averages(&mut self, threads_from_level: [f64; LEVELS], share: FleetShare) {
         let weight = (TICK.as_secs_f64() * share.cores() / LOAD_AVERAGE_WORK).min(1.0);
         for (average, threads) in self.average_from_level.iter_mut().zip(threads_from_level) {
--- a/crates/policy/src/own_load/tests.rs
+++ b/crates/policy/src/own_load/tests.rs
@@ -1,7 +1,7 @@
 use super::{FleetShare, OwnLoad};
 
 #[test]
-fn share_is_even_and_at_least_one_core() {
+fn share_is_equal_among_managers_and_at_least_one_core() {
     let share = |managers| FleetShare { managers, ready_cores: 40.0 };
     assert_eq!(share(4.0).cores(), 10.0);
     assert_eq!(share(200.0).cores(), 1.0);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn averages_follow_the_threads_of_each_level_and_above() {
+fn averages_follow_the_threads_at_each_level_and_above() {
     let share = FleetShare { managers: 1.0, ready_cores: 50.0 };
     let mut load = OwnLoad::default();
     load.update_averages([8.0, 4.0, 2.0, 0.0], share);
