--- a/crates/policy/src/candidate_sampling.rs
+++ b/crates/policy/src/candidate_sampling.rs
@@ -9,25 +9,24 @@
 use sprucelink_stable_hash::SplitMix64;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Weight of a load report from which its engine needs no probe.
+/// Minimum weight of a load report whose engine needs no probe.
 const FRESH_REPORT_WEIGHT: f64 = 0.7;
-/// A query that is still queued after this chooses among other engines.
+/// Time after which a query that is still queued gets a new sample of engines.
 const SAMPLE_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// How long a query waits for the probes sent for it.
+/// Time that a query waits for the results of the probes sent for it.
 pub(crate) const PROBE_WAIT: TimeDelta = TimeDelta::from_millis(15);
 
-/// The engines to sample from.
+/// The engines from which the candidates for a request are drawn.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct CandidatePool {
-    /// In slow start: all are candidates.
+    /// Engines in slow start: all of them are candidates.
     starting: Vec<EngineId>,
-    /// Past it: `count` of them are.
+    /// Engines past their slow start: `count` of them become candidates.
     warm: Vec<EngineId>,
     count: usize,
 }
 
 impl CandidatePool {
-    /// Draws the candidates.
     pub(crate) fn draw(mut self, random: &mut SplitMix64) -> Vec<EngineId> {
         let warm = random.draw(&mut self.warm, self.count);
         self.starting.extend(warm);
@@ -35,17 +34,17 @@
     }
 }
 
-/// The pool for a request; `None` if it chooses among all engines, or keeps its sample for now.
+/// The pool for a request; `None` if the request chooses among all engines, or keeps its sample for now.
 pub(crate) fn candidate_pool(fleet: &FleetView, request: &Request) -> Option<CandidatePool> {
     let needs_sample = needs_load_reports(fleet.settings, fleet.class_of(request));
     if !needs_sample || !is_sample_due(fleet.now, request.sampled_at) {
         return None;
     }
-    let usable = fleet
+    let healthy = fleet
         .engines
         .iter()
         .filter(|(_, engine)| is_eligible(fleet, request, engine) && is_healthy_for(fleet, request, engine));
-    let (warm, starting): (Vec<_>, Vec<_>) = usable.partition(|(_, engine)| fleet.is_warm(engine));
+    let (warm, starting): (Vec<_>, Vec<_>) = healthy.partition(|(_, engine)| fleet.is_warm(engine));
     let ids = |engines: Vec<(EngineId, _)>| engines.into_iter().map(|(id, _)| id).collect::<Vec<_>>();
     let count = sample_size(warm.len(), fleet.share.managers);
     Some(CandidatePool { starting: ids(starting), warm: ids(warm), count })
@@ -55,12 +54,12 @@
     now > sampled_at + SAMPLE_INTERVAL
 }
 
-/// The more managers choose at once, the fewer engines each chooses among.
+/// The more managers choose at the same time, the fewer candidates each gets.
 fn sample_size(engines: usize, managers: f64) -> usize {
     MIN_CANDIDATES.max((engines as f64 / managers.sqrt()) as usize)
 }
 
-/// The candidates whose load is to be probed: those without a fresh report, if there is credit for probes.
+/// The candidates to probe: those without a fresh load report, if there is credit for probes.
 pub(crate) fn candidates_to_probe(
     fleet: &FleetView,
     request: &Request,
--- a/crates/policy/src/engine_slowness.rs
+++ b/crates/policy/src/engine_slowness.rs
@@ -1,18 +1,18 @@
-//! How slow an engine is: its latencies over the expected ones, compared with the median engine.
+//! The slowness of an engine: its latencies as multiples of the expected ones, relative to the median engine.
 
 use crate::snapshot::StoredEngine;
 use sprucelink_rate_limits::update_mean;
 
 /// Minimum weight of one outcome in the slowness.
 const SLOWNESS_WEIGHT: f64 = 0.1;
-/// Minimum multiple of its expected latency that an outcome counts as.
+/// Lower bound of the latency ratio that an outcome counts as.
 const MIN_LATENCY_RATIO: f64 = 0.05;
-/// Maximum multiple of its expected latency that an outcome counts as.
+/// Upper bound of the latency ratio that an outcome counts as.
 const MAX_LATENCY_RATIO: f64 = 50.0;
-/// Outcomes from which an engine's slowness is known.
+/// Minimum number of outcomes for an engine's slowness to be known.
 const MIN_SLOWNESS_SAMPLES: u32 = 6;
 
-/// The mean natural logarithm of an engine's latencies over the expected ones.
+/// Mean natural logarithm of an engine's latency ratios (actual over expected latency).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EngineSlowness {
     mean_log_ratio: f64,
@@ -20,19 +20,20 @@
 }
 
 impl EngineSlowness {
-    /// Learns from the latency of an answer, or of an attempt that is overdue, over the expected one.
+    /// Learns from an answer or an overdue attempt. `latency_ratio`: its latency as a multiple of the
+    /// expected one.
     pub(crate) fn record(&mut self, latency_ratio: f64) {
         let sample = latency_ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO).ln();
         update_mean(&mut self.mean_log_ratio, &mut self.samples, sample, SLOWNESS_WEIGHT);
     }
 
-    /// The logarithm, once enough outcomes are known.
+    /// The mean logarithm; `None` until there are enough outcomes.
     pub(crate) fn known_log_ratio(self) -> Option<f64> {
         (self.samples >= MIN_SLOWNESS_SAMPLES).then_some(self.mean_log_ratio)
     }
 
-    /// How many times slower the engine is than the median, so that what slows all engines ejects none; 1 if
-    /// either is not known.
+    /// How many times slower the engine is than the median, so that a slowdown of all engines ejects none; 1
+    /// if either slowness is not known.
     pub(crate) fn relative_to(self, median_log_ratio: Option<f64>) -> f64 {
         let log_ratio = match (self.known_log_ratio(), median_log_ratio) {
             (Some(log_ratio), Some(median)) => log_ratio - median,
--- a/crates/policy/src/probe_credit.rs
+++ b/crates/policy/src/probe_credit.rs
@@ -1,4 +1,4 @@
-//! Load probes: how many may be sent, from the requests received and the price of a probe.
+//! Credit for load probes: how many may be sent, from the requests received and the price of a probe.
 
 use crate::settings::{ClassSettings, Settings};
 use crate::snapshot::StoredPolicy;
@@ -7,17 +7,18 @@
 const PROBE_BUDGET: f64 = 0.01;
 /// Minimum number of engines that a query of several threads chooses among.
 pub(crate) const MIN_CANDIDATES: usize = 2;
-/// Samples of [`MIN_CANDIDATES`] engines for which unused probes are kept.
+/// Limit on unused probes, in samples of [`MIN_CANDIDATES`] engines.
 const MAX_SAVED_SAMPLES: f64 = 4.0;
 
-/// The load probes that requests have earned.
+/// The load probes that requests have earned and that were not sent yet.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ProbeCredit {
     probes: f64,
 }
 
 impl ProbeCredit {
-    /// A request has come: it earns probes, the more the cheaper they are, and never more than it could use.
+    /// A request has arrived: it earns probes, the more the cheaper they are, up to a sample of
+    /// [`MIN_CANDIDATES`], which is what it could use.
     pub(crate) fn earn(&mut self, probe_price: f64) {
         let min_candidates = MIN_CANDIDATES as f64;
         let earned = PROBE_BUDGET / probe_price.max(PROBE_BUDGET / min_candidates);
@@ -28,7 +29,7 @@
         self.probes -= probes as f64;
     }
 
-    /// Whether the engines that a request of the class chooses among may be probed first.
+    /// Whether the candidates of a request of the class may be probed before one is chosen.
     pub(crate) fn can_probe(&self, settings: &Settings, class: &ClassSettings) -> bool {
         settings.probes && needs_load_reports(settings, class) && self.probes >= MIN_CANDIDATES as f64
     }
@@ -42,8 +43,8 @@
     }
 }
 
-/// Whether engines for a class are chosen by their reports: a query of several threads does harm on a full
-/// one.
+/// Whether engines for a class are chosen by their load reports: a query of several threads does harm on a
+/// full engine.
 pub(crate) fn needs_load_reports(settings: &Settings, class: &ClassSettings) -> bool {
     settings.reports_load && class.threads > 1.0
 }
--- a/crates/policy/src/probe_credit/tests.rs
+++ b/crates/policy/src/probe_credit/tests.rs
@@ -1,12 +1,12 @@
 use super::ProbeCredit;
 
 #[test]
-fn requests_earn_probes_by_their_price_up_to_four_samples() {
+fn requests_earn_probes_by_the_probe_price_up_to_four_samples() {
     let mut credit = ProbeCredit::default();
     credit.earn(0.01);
-    assert_eq!(credit.probes, 1.0, "a hundredth of the value at a hundredth a probe");
+    assert_eq!(credit.probes, 1.0, "a hundredth of the value at a price of a hundredth per probe");
     credit.earn(0.0);
-    assert_eq!(credit.probes, 3.0, "never more than one sample of two engines");
+    assert_eq!(credit.probes, 3.0, "a request earns at most one sample of two engines");
     (0..10).for_each(|_| credit.earn(0.0));
     assert_eq!(credit.probes, 8.0);
     credit.spend(2);
