--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,5 +1,5 @@
-//! One engine: what the endpoint list says of it, and what this manager has in flight there. Its load, health
-//! and slow-start budget are parts with rules of their own.
+//! One engine: its entry in the endpoint list and the attempts that this manager has in flight on it. Load,
+//! health and slow-start budget have modules and rules of their own.
 
 use crate::engine_health::EngineHealth;
 use crate::engine_load::EngineLoad;
@@ -11,15 +11,16 @@
 use sprucelink_stable_hash::SplitMix64;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Table groups sent to an engine last that are taken to be cached there: engines do not report them.
+/// Number of table groups last sent to an engine that are assumed to be in its cache: engines do not report
+/// them.
 const CACHED_TABLE_GROUPS: usize = 4;
 
-/// What is known of one engine.
+/// The record of one engine.
 #[derive(Clone, Default)]
 pub(crate) struct Engine {
-    /// The endpoint list has it as ready.
+    /// The endpoint list has the engine as ready.
     is_listed: bool,
-    /// The endpoint list has it as gone.
+    /// The endpoint list has the engine as gone.
     is_gone: bool,
     zone: u32,
     kind: u32,
@@ -36,12 +37,12 @@
 }
 
 impl Engine {
-    /// Whether the endpoint list has it as ready.
+    /// Whether the endpoint list has the engine as ready.
     pub(crate) fn is_listed(&self) -> bool {
         self.is_listed
     }
 
-    /// Whether the endpoint list has it as gone.
+    /// Whether the endpoint list has the engine as gone.
     pub(crate) fn is_gone(&self) -> bool {
         self.is_gone
     }
@@ -62,32 +63,32 @@
         self.cores
     }
 
-    /// When its slow start began, if it had one.
+    /// Start of the latest slow start; `None` if there was none.
     pub(crate) fn started_at(&self) -> Option<Timestamp> {
         self.started_at
     }
 
-    /// Threads of own attempts in flight there.
+    /// Threads of own attempts in flight on the engine.
     pub(crate) fn own_threads(&self) -> f64 {
         self.own_threads
     }
 
-    /// Own attempts in flight there.
+    /// Number of own attempts in flight on the engine.
     pub(crate) fn own_attempts(&self) -> u32 {
         self.own_attempts
     }
 
-    /// When it was last sent an attempt.
+    /// Time at which the engine was last sent an attempt; `None` if it never was.
     pub(crate) fn last_send(&self) -> Option<Timestamp> {
         self.last_send
     }
 
-    /// Whether it was recently sent requests that read these tables.
+    /// Whether the engine was recently sent requests on these tables.
     pub(crate) fn has_cached(&self, table_group: u64) -> bool {
         self.recent_tables.contains(table_group)
     }
 
-    /// An attempt is sent to it. `charge`: its work, for the slow-start budget.
+    /// An attempt is sent to the engine. `charge`: work charged to the slow-start budget, thread-seconds.
     pub(crate) fn charge_send(
         &mut self,
         now: Timestamp,
@@ -104,15 +105,15 @@
         self.recent_tables.touch(table_group, CACHED_TABLE_GROUPS);
     }
 
-    /// An attempt there has ended.
+    /// An attempt on the engine has ended.
     pub(crate) fn record_end(&mut self, threads: f64) {
         self.own_threads -= threads;
         self.own_attempts -= 1;
     }
 
-    /// A connection to it failed. After enough failures it probably restarts, which the list will say later:
-    /// its slow start begins again. If the list then has an earlier start than `now`, the new process is not
-    /// seen as one, and its health is not reset.
+    /// A connection to the engine failed. After enough failures the engine probably restarts, which the
+    /// endpoint list will show later: the slow start begins again now. If the list then has an earlier start
+    /// than `now`, the new process is not recognised as one, and the health is not reset.
     pub(crate) fn record_connect_failure(&mut self, now: Timestamp, slow_start_duration: TimeDelta) {
         self.health.record_connect_failure(now);
         if self.health.has_probably_restarted() && slow_start_duration > TimeDelta::ZERO {
@@ -120,28 +121,28 @@
         }
     }
 
-    /// It rejected a request for its load.
+    /// The engine rejected a request because it was overloaded.
     pub(crate) fn record_rejection(&mut self, now: Timestamp) {
         self.load.assume_full(now, self.cores);
         self.health.record_overload_rejection(now);
     }
 
-    /// The record of an engine that came back after the list had it as gone. Another engine may come under
-    /// its number: only what is in flight is still true. It may also be the same one, after a list that came
-    /// late: what it was sent in the slow-start window still counts.
-    fn forget_all_but_sends(&mut self) {
+    /// Resets the record of an engine that is listed again after the list had it as gone. Another engine may
+    /// now have its number, so that only the attempts in flight are still valid. It may also be the same
+    /// engine, after a delayed list, so that the work sent in the slow-start window still counts.
+    fn reset_except_sends(&mut self) {
         let earlier = std::mem::take(self);
         self.own_threads = earlier.own_threads;
         self.own_attempts = earlier.own_attempts;
         self.slow_start = SlowStartBudget::with_charges_of(earlier.slow_start);
     }
 
-    /// A complete list does not name it as ready.
+    /// A complete endpoint list does not have the engine as ready.
     pub(crate) fn unlist(&mut self) {
         self.is_listed = false;
     }
 
-    /// Takes its entry of the endpoint list; `true` if its process is a new one.
+    /// Applies the engine's entry of the endpoint list; `true` if the engine has a new process.
     pub(crate) fn update(
         &mut self,
         now: Timestamp,
@@ -150,7 +151,7 @@
         random: &mut SplitMix64,
     ) -> bool {
         if self.is_gone {
-            self.forget_all_but_sends();
+            self.reset_except_sends();
         }
         self.is_gone = entry.state == EngineState::Gone;
         let is_new_process = entry.since > self.started_at;
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -54,8 +54,8 @@
 }
 
 /// The eligible engines, reduced to the healthy ones if any is healthy, and without the engine of the last
-/// attempt if the request has failed before and another engine is left. An engine that fails requests at once
-/// looks idle, and would otherwise be drawn again for the request that it failed.
+/// attempt if an attempt ended with an engine error and another engine is left. An engine that fails requests
+/// at once looks idle, and would otherwise be drawn again for the request that it failed.
 fn preferred_engines(fleet: &FleetView, request: &Request) -> Vec<EngineId> {
     let eligible = fleet.engines.iter().filter(|(_, engine)| is_eligible(fleet, request, engine));
     let mut engines: Vec<EngineId> = eligible.map(|(id, _)| id).collect();
--- a/crates/policy/src/engine_table.rs
+++ b/crates/policy/src/engine_table.rs
@@ -1,5 +1,5 @@
-//! The engines by number, as the endpoint list has them. It decides nothing but which entries of the list
-//! mean a new process.
+//! The table of engines by number, as the endpoint list has them. The only decision made here is which
+//! entries of the list mean a new process.
 
 use crate::engine::Engine;
 use crate::events::{EndpointUpdate, EngineEntry};
@@ -11,7 +11,7 @@
 use sprucelink_time::Timestamp;
 use std::ops::{Index, IndexMut};
 
-/// All engines that the endpoint list ever had, by number.
+/// All engines that have ever been on the endpoint list, indexed by number.
 #[derive(Clone, Default)]
 pub(crate) struct EngineTable {
     engines: Vec<Engine>,
@@ -33,17 +33,17 @@
         self.engines.get(id.0 as usize)
     }
 
-    /// Every engine with its number, in that order.
+    /// Every engine with its number, in the order of the numbers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (EngineId, &Engine)> {
-        self.engines.iter().enumerate().map(|(i, engine)| (EngineId(i as u32), engine))
+        self.engines.iter().enumerate().map(|(index, engine)| (EngineId(index as u32), engine))
     }
 
-    /// Every engine with its number, in that order.
+    /// Every engine with its number, in the order of the numbers.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (EngineId, &mut Engine)> {
-        self.engines.iter_mut().enumerate().map(|(i, engine)| (EngineId(i as u32), engine))
+        self.engines.iter_mut().enumerate().map(|(index, engine)| (EngineId(index as u32), engine))
     }
 
-    /// Takes an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn update(
         &mut self,
         now: Timestamp,
@@ -53,7 +53,7 @@
         outliers: &mut OutlierDetector,
         random: &mut SplitMix64,
     ) {
-        // A complete list says by omission which engines are not ready.
+        // An engine that a complete list omits is not ready.
         if kind != EndpointUpdate::Changes {
             self.engines.iter_mut().for_each(Engine::unlist);
         }
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -1,4 +1,5 @@
-//! The fleet as the rules on engines see it at one moment. It decides nothing: it joins what the parts know.
+//! A read-only view of the fleet at one moment for the rules on engines. It joins the state of the parts and
+//! decides nothing.
 
 use crate::class_estimates::ClassEstimates;
 use crate::engine::Engine;
@@ -13,7 +14,7 @@
 use crate::slow_start::{capacity_fraction, SlowStartLimits};
 use sprucelink_time::Timestamp;
 
-/// What the rules on engines read.
+/// The inputs of the rules on engines.
 pub(crate) struct FleetView<'a> {
     pub(crate) now: Timestamp,
     pub(crate) settings: &'a Settings,
@@ -44,12 +45,12 @@
         self.capacity_fraction(engine) >= 1.0
     }
 
-    /// How much an engine's last load report still counts, 0 to 1.
+    /// Weight of an engine's last load report, 0 to 1.
     pub(crate) fn report_weight(&self, engine: &Engine) -> f64 {
         engine.load.report_weight(self.now)
     }
 
-    /// Threads of other managers that an engine like it has in the mean.
+    /// Mean threads of other managers on an engine with the same cores and start.
     pub(crate) fn mean_of_others(&self, engine: &Engine) -> f64 {
         let fraction = self.capacity_fraction(engine);
         let sender_fraction = self.slow_start.sender_fraction(engine.cores(), engine.started_at());
@@ -67,7 +68,7 @@
         )
     }
 
-    /// Estimated threads for each core that an engine has by now.
+    /// Estimated threads per core, counting only the cores that the slow start gives the engine so far.
     pub(crate) fn utilisation(&self, engine: &Engine) -> f64 {
         let cores = engine.cores() * self.capacity_fraction(engine);
         self.estimated_threads(engine) / cores.max(1e-3)
