--- a/crates/policy/src/level_price.rs
+++ b/crates/policy/src/level_price.rs
@@ -1,4 +1,5 @@
-//! One class at one priority level: its price, admitted rate and expected wait, from admissions and answers.
+//! The price, admitted rate and expected wait of one class at one priority level, from admissions and
+//! answers.
 
 use crate::snapshot::StoredLevel;
 use sprucelink_rate_limits::MovingAverage;
@@ -8,23 +9,23 @@
 const PRICE_WEIGHT: f64 = 0.1;
 /// Weight of one interval in a level's admitted rate.
 const RATE_WEIGHT: f64 = 0.2;
-/// Weight of one answer in a level's wait.
+/// Weight of one answer in a level's expected wait.
 const WAIT_WEIGHT: f64 = 0.2;
-/// Factor on the wait of an unobserved level after an interval with full evidence of others.
+/// Factor on the expected wait of an unobserved level after an interval with full evidence from others.
 const WAIT_DECAY: f64 = 0.5;
 
-/// One class at one level.
+/// Pricing state of one class at one level.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LevelPrice {
     /// Price of a request of mean cost, in value.
     price: f64,
-    /// Requests admitted a second.
+    /// Requests admitted per second.
     admitted_rate: MovingAverage,
     /// Expected wait beyond the unloaded latency, seconds.
     wait_secs: f64,
-    /// Requests admitted since prices were updated.
+    /// Requests admitted since the last update of the prices.
     admitted: u32,
-    /// A wait was learned since prices were updated.
+    /// Whether a wait was observed since the last update of the prices.
     is_observed: bool,
 }
 
@@ -34,7 +35,7 @@
         self.price
     }
 
-    /// Requests admitted a second.
+    /// Requests admitted per second.
     pub(crate) fn admitted_rate(self) -> f64 {
         self.admitted_rate.value()
     }
@@ -48,13 +49,13 @@
         self.admitted += 1;
     }
 
-    /// Learns from a wait at this level.
+    /// Learns from the wait of a request at this level.
     pub(crate) fn observe_wait(&mut self, wait_secs: f64) {
         self.wait_secs += WAIT_WEIGHT * (wait_secs - self.wait_secs);
         self.is_observed = true;
     }
 
-    /// Learns from the wait at a level below.
+    /// Limits the expected wait to that of a level below, since engines serve this level first.
     pub(crate) fn limit_wait(&mut self, max_secs: f64) {
         self.wait_secs = self.wait_secs.min(max_secs);
     }
@@ -64,10 +65,11 @@
         self.price += PRICE_WEIGHT * (new_price - self.price);
     }
 
-    /// Ends a pricing interval. `evidence`: how far waits were learned at all in it, 0 to 1.
+    /// Ends a pricing interval. `evidence`: from 0, no wait of any class was observed in it, to 1, enough
+    /// were.
     ///
-    /// Departure from the paper: an unobserved wait decays only as far as others were observed, because an
-    /// interval without answers says nothing.
+    /// Departure from the paper: an unobserved wait decays only to the extent that others were observed,
+    /// because an interval without answers has no information.
     pub(crate) fn end_interval(&mut self, interval: TimeDelta, evidence: f64) {
         let rate = f64::from(self.admitted) / interval.as_secs_f64();
         self.admitted_rate.update(rate, RATE_WEIGHT);
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the module learns of engines from outside: the endpoint list and load reports.
+//! Handling of the endpoint list and of load reports.
 
 use crate::events::{EndpointUpdate, EngineEntry, LoadReport, Outcome};
 use crate::ids::EngineId;
@@ -6,7 +6,7 @@
 use crate::policy::Policy;
 use sprucelink_time::TimeDelta;
 
-/// Time until a failed request for the endpoint list is made again.
+/// Delay before a failed request for the endpoint list is retried.
 const WATCH_RETRY_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
 impl Policy {
--- a/crates/policy/src/policy/ticks.rs
+++ b/crates/policy/src/policy/ticks.rs
@@ -1,5 +1,5 @@
-//! What is done at each tick: the endpoint list is watched, prices and averages are updated, engines are
-//! ejected or readmitted, and all open requests are reviewed.
+//! Work done at each tick: requests the endpoint list if due, updates prices and averages, ejects or readmits
+//! engines, and reviews all open requests.
 
 use crate::actions::Action;
 use crate::policy::Policy;
@@ -47,7 +47,8 @@
         threads_from_level
     }
 
-    /// Counts the queued work again: what was added for newcomers since the last tick may have been sent.
+    /// Recounts the queued work: work added for new requests since the last tick may have been sent
+    /// meanwhile.
     fn count_queued_work(&mut self) {
         let mut queued_work = [0.0; LEVELS];
         for request in self.queue.ids().filter_map(|id| self.requests.get(&id)) {
--- a/crates/policy/src/policy/views.rs
+++ b/crates/policy/src/policy/views.rs
@@ -1,4 +1,4 @@
-//! Views of the module's state for operators and captures. Nothing here decides.
+//! Views of the module's state for operators and captures. No rule depends on them.
 
 use crate::diagnostics::{EngineView, OpenRequest, Overview};
 use crate::engine::Engine;
@@ -9,42 +9,42 @@
 use crate::settings::Settings;
 
 impl Policy {
-    /// Whether reasons ([`Action::Explain`](crate::Action::Explain)) are given from now on. No decision
-    /// depends on it.
-    pub fn set_explaining(&mut self, on: bool) {
-        self.is_explaining = on;
+    /// Turns explanations ([`Action::Explain`](crate::Action::Explain)) on or off. No decision depends on it.
+    pub fn set_explaining(&mut self, is_explaining: bool) {
+        self.is_explaining = is_explaining;
     }
 
-    /// The present settings.
+    /// The current settings, with the changes that events made to them.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Replaces the settings, for replays of what would have been. `false`, and nothing changes, unless there
-    /// are as many classes and tenants as before.
+    /// Replaces the settings, for a replay with other settings than recorded. Returns `false` and changes
+    /// nothing unless there are as many classes and tenants as before.
     pub fn replace_settings(&mut self, settings: Settings) -> bool {
-        let is_alike = settings.classes.len() == self.settings.classes.len()
+        let has_same_lengths = settings.classes.len() == self.settings.classes.len()
             && settings.tenants.len() == self.settings.tenants.len();
-        if is_alike {
+        if has_same_lengths {
             self.settings = settings;
         }
-        is_alike
+        has_same_lengths
     }
 
-    /// The number and engine of a request's attempt in flight.
+    /// The number and engine of a request's attempt in flight; `None` if the request is unknown or has none.
     pub fn in_flight_attempt(&self, id: RequestId) -> Option<(u32, EngineId)> {
         let attempt = self.requests.get(&id)?.in_flight.as_ref()?;
         Some((attempt.number, attempt.engine))
     }
 
-    /// The price of a class at a level: that of a query of mean cost, in value; `None` for an unknown one.
+    /// The price of a query of mean cost of a class at a level, in value; `None` for an unknown class or
+    /// level.
     pub fn price(&self, class: ClassId, level: Level) -> Option<f64> {
         self.prices.price(class.0, usize::from(level.0))
     }
 
-    /// All open requests.
+    /// All requests without a final response or with an attempt in flight.
     pub fn open_requests(&self) -> Vec<OpenRequest> {
-        let one = |(id, request): (&RequestId, &Request)| OpenRequest {
+        let open_request = |(id, request): (&RequestId, &Request)| OpenRequest {
             id: *id,
             deadline: request.deadline,
             attempts: request.attempts,
@@ -52,7 +52,7 @@
             level: request.level as u8,
             answered: request.is_answered,
         };
-        self.requests.iter().map(one).collect()
+        self.requests.iter().map(open_request).collect()
     }
 
     /// Every engine, by number.
@@ -61,12 +61,12 @@
         self.engines.iter().map(|(id, engine)| engine_view(&fleet, id, engine)).collect()
     }
 
-    /// One engine; `None` if the list never had it.
+    /// One engine; `None` if the endpoint list never had it.
     pub fn engine_view(&self, id: EngineId) -> Option<EngineView> {
         Some(engine_view(&self.fleet(), id, self.engines.get(id)?))
     }
 
-    /// Totals.
+    /// Totals over all engines, classes and requests of this manager.
     pub fn overview(&self) -> Overview {
         Overview {
             own_threads: self.own_load.threads(),
