--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -1,6 +1,5 @@
-//! What operators and captures are shown of the module: views of its state, and the log line of an ejection.
-//!
-//! Nothing here decides.
+//! Diagnostics for operators and captures: the types of the views of the module's state, and the log line of
+//! an ejection. No decision depends on them.
 
 use crate::actions::Action;
 use crate::engine_health::EngineHealth;
@@ -9,125 +8,124 @@
 use serde::Serialize;
 use sprucelink_time::Timestamp;
 
-/// An engine as the module sees it.
+/// The state of one engine, as this manager's decision module has it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EngineView {
-    /// Its number.
+    /// Number of the engine, as in [`EngineId`].
     pub engine: u32,
-    /// The endpoint list has it as ready.
+    /// Whether the endpoint list has the engine as ready.
     pub listed: bool,
-    /// The endpoint list has it as gone.
+    /// Whether the endpoint list has the engine as gone.
     #[serde(rename = "gone")]
     pub withdrawn: bool,
-    /// Its zone.
+    /// Number of its zone, by the endpoint list.
     pub zone: u32,
-    /// Its machine kind.
+    /// Machine kind: index in [`Settings::kind_cores`](crate::Settings::kind_cores).
     pub kind: u32,
-    /// Its cores.
+    /// Cores of its machine kind; at least 1.
     pub cores: f64,
-    /// Own threads in flight there.
+    /// Threads of this manager's attempts in flight on the engine.
     pub threads: f64,
-    /// Own attempts in flight there.
+    /// Number of this manager's attempts in flight on the engine.
     #[serde(rename = "flying")]
     pub attempts_in_flight: u32,
-    /// Threads that others had there by the last report.
+    /// Threads of other managers on the engine by the last report.
     #[serde(rename = "others")]
     pub others_threads: f64,
-    /// Queries waiting for memory there by the last report.
+    /// Queries that waited for memory on the engine by the last report.
     #[serde(rename = "waiting")]
     pub queries_waiting_for_memory: f64,
-    /// The last report had only busy cores, and nearly all of them were.
+    /// The last report had no number of queries, only the fraction of busy cores, and that was nearly all.
     #[serde(rename = "full")]
     pub saturated: bool,
-    /// Seconds since the last load report.
+    /// Seconds since the last load report; `None` if there was none.
     pub report_age: Option<f64>,
-    /// How much that report still counts, 0 to 1.
+    /// Weight of the last load report, which falls from 1 towards 0 with its age.
     #[serde(rename = "trust_in_report")]
     pub report_weight: f64,
-    /// Threads of other managers that an engine of its size has in the mean.
+    /// Mean threads of other managers on an engine with the same cores and start.
     #[serde(rename = "usual")]
     pub mean_others_threads: f64,
-    /// Estimated threads in all.
+    /// Estimated threads of all managers on the engine.
     #[serde(rename = "load")]
     pub estimated_threads: f64,
-    /// The same for each core that it has by now.
+    /// Estimated threads per core, counting only the cores that the slow start gives the engine so far.
     pub utilisation: f64,
-    /// Fraction of its capacity that it has by now.
+    /// Fraction of its capacity that the slow start gives the engine so far; 1 after the slow start.
     #[serde(rename = "warmth")]
     pub capacity_fraction: f64,
-    /// How many times slower it is than the median.
+    /// How many times slower the engine is than the median engine; 1 if either slowness is not known.
     pub slowness: f64,
     /// Fraction of recent attempts that failed.
     #[serde(rename = "failing")]
     pub failure_rate: f64,
-    /// It takes requests and answers none.
+    /// The engine accepts requests and answers none.
     #[serde(rename = "silent")]
     pub unresponsive: bool,
-    /// Own attempts there that are overdue.
+    /// Attempts of this manager on the engine that are overdue, as of the last tick.
     pub overdue: u32,
-    /// It gets a trial now and then only.
+    /// The engine gets only a trial at intervals, unless no eligible engine is healthy.
     #[serde(rename = "distrusted")]
     pub ejected: bool,
     /// Remaining backoff, seconds.
     #[serde(rename = "rests")]
     pub backoff_secs: f64,
-    /// Work charged to its slow-start budget, and the budget; thread-seconds.
+    /// Work charged to its slow-start budget in the last window, and the budget; thread-seconds.
     #[serde(rename = "cold")]
     pub slow_start_charged_and_budget: (f64, f64),
 }
 
-/// An open request as the module sees it.
+/// The state of an open request, as this manager's decision module has it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OpenRequest {
-    /// Which.
+    /// Id given in its [`Arrival`](crate::Arrival).
     pub id: RequestId,
-    /// When its client stops waiting.
+    /// Time at which its client stops waiting.
     pub deadline: Timestamp,
-    /// Attempts so far.
+    /// Number of attempts sent so far.
     pub attempts: u32,
-    /// The attempt in flight, and its engine.
+    /// Number and engine of the attempt in flight; `None` if there is none.
     #[serde(rename = "out")]
     pub in_flight: Option<(u32, EngineId)>,
-    /// Its level.
+    /// Current priority level, 0 (lowest) to 3.
     pub level: u8,
-    /// It has its final response.
+    /// Whether its final response was given or has begun.
     pub answered: bool,
 }
 
-/// The module's totals.
+/// Totals over all engines, classes and requests of this manager.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Overview {
-    /// Own threads in flight.
+    /// Threads of this manager's attempts in flight.
     #[serde(rename = "own")]
     pub own_threads: f64,
-    /// This manager's share of the ready engines' cores.
+    /// Cores of this manager's equal share of the ready engines; at least 1.
     #[serde(rename = "share")]
     pub core_share: f64,
-    /// Threads a core of other managers, as reported.
+    /// Threads per core of other managers, averaged over recent load reports.
     #[serde(rename = "fleet")]
     pub others_load: f64,
-    /// Queued work, thread-seconds, by level.
+    /// Queued work by level, thread-seconds.
     #[serde(rename = "held")]
     pub queued_work: [f64; LEVELS],
-    /// Prices by class, then level, of a query of mean cost.
+    /// Prices of a query of mean cost, by class, then level, in value.
     pub prices: Vec<[f64; LEVELS]>,
-    /// Waits by class, then level, seconds.
+    /// Expected waits beyond the unloaded latency, by class, then level, in seconds.
     pub waits: Vec<[f64; LEVELS]>,
-    /// Mean cost by class, thread-seconds.
+    /// Mean cost of a query, by class, thread-seconds.
     #[serde(rename = "means")]
     pub mean_costs: Vec<f64>,
-    /// Requests open.
+    /// Number of requests without a final response or with an attempt in flight.
     #[serde(rename = "open")]
     pub open_requests: usize,
-    /// Requests queued.
+    /// Number of requests in the queue.
     #[serde(rename = "waiting")]
     pub queued_requests: usize,
 }
 
-/// Logs that an engine was ejected or readmitted, with the figures behind it.
+/// Logs that an engine was ejected or readmitted, with the figures behind the decision.
 ///
-/// Captures hold the log lines of their day word for word, and a replay compares them: the text must not
-/// change.
+/// Captures hold the log lines word for word, and a replay compares them: the text must not change.
 pub(crate) fn log_ejection_change(
     engine: EngineId,
     health: &EngineHealth,
@@ -135,9 +133,11 @@
     out: &mut Vec<Action>,
 ) {
     let state = if health.is_ejected() { "distrusted" } else { "trusted" };
-    let silent = health.is_unresponsive();
-    let overdue = health.overdue_attempts();
-    let failing = health.failure_rate();
-    let why = format!("silent {silent}, {overdue} overdue, slowness {slowness:.1}, failing {failing:.2}");
-    out.push(Action::Log(format!("engine {} {state}: {why}", engine.0)));
+    let is_unresponsive = health.is_unresponsive();
+    let overdue_attempts = health.overdue_attempts();
+    let figures = format!(
+        "silent {is_unresponsive}, {overdue_attempts} overdue, slowness {slowness:.1}, failing {:.2}",
+        health.failure_rate()
+    );
+    out.push(Action::Log(format!("engine {} {state}: {figures}", engine.0)));
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,4 +1,4 @@
-//! Events: what a manager reports to the decision module. Instants are on the caller's clock.
+//! Events: the inputs that a manager reports to the decision module. Times are on the caller's clock.
 
 use crate::ids::{ClassId, EngineId, RequestId};
 use serde::{Deserialize, Serialize};
@@ -7,46 +7,46 @@
 /// An engine's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineState {
-    /// Accepts requests.
+    /// The engine accepts requests.
     Ready,
-    /// Finishes its requests and accepts no others.
+    /// The engine finishes its requests and accepts no others.
     Draining,
-    /// Withdrawn.
+    /// The engine was withdrawn; its number may be given to another engine.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineEntry {
-    /// Which engine.
+    /// The engine that the entry describes.
     pub engine: EngineId,
-    /// Its zone.
+    /// Number of the zone that the engine runs in.
     pub zone: u32,
-    /// Its machine kind.
+    /// Machine kind: index in [`Settings::kind_cores`](crate::Settings::kind_cores).
     pub kind: u32,
-    /// Its cell.
+    /// Number of its cell, the group of [`DedupGroup::Cell`](crate::DedupGroup::Cell).
     pub cell: u32,
-    /// Its state.
+    /// Whether the engine accepts requests.
     pub state: EngineState,
-    /// When its process started, if that was recently.
+    /// Start time of its process; `None` if the process did not start recently.
     pub since: Option<Timestamp>,
 }
 
-/// What kind of update of the endpoint list came.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointUpdate {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// The complete list.
+    /// The complete list: engines that it omits are not ready.
     #[serde(rename = "Whole")]
     Complete,
-    /// The list as last cached, possibly out of date.
+    /// The complete list as last cached, possibly out of date.
     Remembered,
-    /// A request for the list failed; the old one stays.
+    /// A request for the list failed: the last list stays valid, and the request is retried later.
     Failed,
 }
 
-/// A load report. What an engine does not report is absent.
+/// A load report of an engine. Figures that the engine does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Queries in progress.
@@ -66,32 +66,32 @@
     pub busy_disk_fraction: Option<f64>,
 }
 
-/// How an attempt or a load probe ended.
+/// Outcome of an attempt or a load probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// The engine served the request.
     #[serde(rename = "Delivered")]
     Succeeded,
     /// The engine responded with an error; the attempt may have executed.
     #[serde(rename = "Error")]
     EngineError,
-    /// Rejected by the engine at its limit; never executed.
+    /// The engine rejected the attempt because it was at its limit; never executed.
     #[serde(rename = "Shed")]
     RejectedByEngine,
-    /// The client's deadline passed without a response; it may have executed or still execute. Attempts have
-    /// no time-out of their own: one that is stuck is cancelled, and a retry may follow.
+    /// The client's deadline passed without a response; the attempt may have executed or may still execute.
+    /// Attempts have no timeout of their own: one that is stuck is cancelled, and a retry may follow.
     #[serde(rename = "Expired")]
     TimedOut,
-    /// No connection; never executed.
+    /// No connection could be opened; never executed.
     #[serde(rename = "DialFailed")]
     ConnectFailed,
     /// The connection broke; it may have executed.
     #[serde(rename = "Dropped")]
     ConnectionLost,
-    /// Cancelled; it may have executed.
+    /// The manager cancelled the attempt; it may have executed.
     #[serde(rename = "Revoked")]
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     #[serde(rename = "Unused")]
     NeverSent,
 }
@@ -112,68 +112,68 @@
     pub memory_mb: f64,
 }
 
-/// A note on a running attempt.
+/// A progress note of an engine on a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProgressNote {
-    /// Fraction done, roughly, 0 to 1.
+    /// Approximate fraction of the query that is done, 0 to 1.
     Progress(f64),
-    /// It spills to disk because it lacks this much memory, MB.
+    /// The query spills to disk because it lacks this much memory, in MB.
     Spills(f64),
-    /// It waits for memory.
+    /// The query waits for memory.
     WaitsForMemory,
-    /// It waits for a load on its tables to end.
+    /// The query waits for a load of its tables to end.
     WaitsForLoad,
 }
 
 /// A request as it arrives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Its id.
+    /// Id chosen by the caller, unique while its manager runs.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant of the client: index in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
-    /// The group of tables it reads or writes.
+    /// Number of the group of tables that the request reads or writes.
     pub tables: u64,
-    /// How long its client will wait from now.
+    /// Time from now until the client stops waiting.
     pub time_left: TimeDelta,
-    /// Estimated work in thread-seconds.
+    /// Estimated work in thread-seconds; `None` without an estimate.
     pub cost: Option<f64>,
-    /// Estimated memory in MB.
+    /// Estimated memory in MB; `None` without an estimate.
     pub memory_mb: Option<f64>,
-    /// Its idempotency key, for classes that keep order.
+    /// Idempotency key, for classes whose requests are ordered by key.
     pub key: Option<String>,
 }
 
-/// An event.
+/// An event that the decision module responds to with actions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An update of the endpoint list.
     #[serde(rename = "List")]
     EndpointsChanged {
-        /// What kind of update.
+        /// Kind of the update.
         kind: EndpointUpdate,
-        /// Its entries.
+        /// Entries of the engines that the update covers.
         entries: Vec<EngineEntry>,
     },
-    /// A client's request came in.
+    /// A client's request arrived.
     #[serde(rename = "Arrived")]
     RequestArrived(Arrival),
-    /// A streamed answer began: it has reached the client, so that nothing is retried from here on.
+    /// A streamed answer began: part of it has reached the client, so that the request is no longer retried.
     #[serde(rename = "Started")]
     ResponseStarted {
         /// The request.
         id: RequestId,
     },
-    /// A note on a running attempt.
+    /// An engine sent a progress note on a running attempt.
     #[serde(rename = "Noted")]
     ProgressReported {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// The note.
+        /// The progress note.
         note: ProgressNote,
     },
     /// An attempt ended.
@@ -183,16 +183,16 @@
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         latency: TimeDelta,
-        /// The request is over: its client has the response, or has gone.
+        /// Whether the request is over: its client has the response or has disconnected.
         complete: bool,
-        /// The resources it used, where reported.
+        /// Resources that the query used; `None` if the engine reported none.
         #[serde(rename = "bill")]
         query_cost: Option<QueryCost>,
-        /// The engine's load report.
+        /// Load report that came with the answer; empty if there was none.
         report: LoadReport,
     },
     /// The client cancelled or disconnected.
@@ -203,38 +203,38 @@
     },
     /// A timer is due.
     Timer {
-        /// The token it was set with.
+        /// Token given in [`Action::StartTimer`](crate::Action::StartTimer).
         token: u64,
     },
     /// A load probe ended.
     #[serde(rename = "Probed")]
     ProbeCompleted {
-        /// The engine.
+        /// The engine that was probed.
         engine: EngineId,
-        /// How it ended.
+        /// Outcome of the probe.
         outcome: Outcome,
-        /// Its load report.
+        /// Load report in the answer; empty if there was no answer.
         report: LoadReport,
     },
-    /// Another manager's message.
+    /// A message from another manager was received.
     #[serde(rename = "Heard")]
     PeerMessageReceived {
-        /// Its number.
+        /// Number of the sending manager.
         from: u32,
-        /// The message.
+        /// The message; the module ignores it.
         message: Vec<u8>,
     },
-    /// The fleet as gossip has it: how many managers share budgets, and the retries that the others leave
-    /// over.
+    /// The fleet changed, by gossip: the number of managers that share budgets, and the retries that the
+    /// other managers leave unused.
     #[serde(rename = "Fleet")]
     FleetChanged {
         /// Managers that share the capacity, this one included; in a hot restart each process counts.
         gateways: u32,
-        /// Retries left over by others.
+        /// Retries that the other managers leave to this one.
         #[serde(rename = "spare")]
         spare_retries: f64,
     },
-    /// Zone failover: the zones' weights in the draw, by number.
+    /// Zone failover changed the weights of the zones in the draw of an engine, by zone number.
     #[serde(rename = "Zones")]
     ZoneWeightsChanged(Vec<f64>),
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers that name engines, requests, classes and levels.
+//! Identifiers of engines, requests, classes and priority levels.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineId(pub u32);
 
-/// A request, unique while its manager runs.
+/// A request; the number is unique while its manager runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,12 +1,13 @@
-//! The decision module of the workload manager: events and the time go in, actions come out. It does no input
-//! or output and reads no clock.
+//! The decision module of the workload manager: takes events and the current time, returns actions. It does
+//! no input or output and reads no clock.
 //!
 //! [`Policy`] owns the parts and routes events to them; each part has private fields and states its rules as
-//! functions of their inputs. `events`, `actions`, `reasons` and `settings` are the vocabulary. A request is
-//! priced (`pricing`) and admitted or rejected (`admission`), queued (`request_queue`), and sent to an engine
-//! drawn for it (`engine_eligibility`, `engine_selection`, `engine_weight`) as soon as one has capacity. The
-//! end of an attempt leads to a retry or a response (`attempt_outcome`, `retry`, `final_response`); every
-//! tick reviews what is open (`cancellation`). `docs/ARCHITECTURE.md` has a table of all rules.
+//! functions of their inputs. `events`, `actions`, `reasons` and `settings` have the types of the interface.
+//! A request is priced (`pricing`) and admitted or rejected (`admission`), queued (`request_queue`), and sent
+//! to an engine drawn for it (`engine_eligibility`, `engine_selection`, `engine_weight`) as soon as one has
+//! capacity. The end of an attempt leads to a retry or a response (`attempt_outcome`, `retry`,
+//! `final_response`); every tick reviews what is open (`cancellation`). `docs/ARCHITECTURE.md` has a table of
+//! all rules.
 //!
 //! Every file that learns or decides is named under `policy` in `deploy/balancer.toml`.
 
@@ -61,8 +62,8 @@
 };
 pub use sprucelink_time::{TimeDelta, Timestamp};
 
-/// The text of all that decisions depend on, this crate's sources and those of the data structures in use,
-/// for who must tell one version of the module from another.
+/// The source text that decisions depend on: the files of this crate and of the data structures that it uses.
+/// Captures identify the version of the module by a hash of it.
 pub const SOURCES: [&str; 52] = [
     include_str!("actions.rs"),
     include_str!("admission.rs"),
