--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A manager under test: feeds its decision module events and gives back the actions.
+//! Test fixture: a manager that passes events to its decision module and returns the actions.
 #![allow(dead_code)]
 
 use sprucelink_policy::Policy;
@@ -7,9 +7,9 @@
 pub struct TestManager {
     pub policy: Policy,
     pub now: Timestamp,
-    /// How long clients wait, seconds.
+    /// Seconds that clients wait for an answer.
     pub client_patience_secs: f64,
-    next: u64,
+    next_id: u64,
 }
 
 pub fn class(effect: Effect) -> ClassSettings {
@@ -48,13 +48,14 @@
 pub fn many_managers_with_probes() -> Settings {
     let heavy = ClassSettings { threads: 4.0, ..class(Effect::Safe) };
     let (report_via, reports_load) = (ReportVia::Answers, true);
-    let set = settings(vec![class(Effect::Safe), heavy]);
-    Settings { gateways: 200, probes: true, reports_load, report_via, probe_price: 0.01, ..set }
+    let base = settings(vec![class(Effect::Safe), heavy]);
+    Settings { gateways: 200, probes: true, reports_load, report_via, probe_price: 0.01, ..base }
 }
 
-pub fn entry(n: u32) -> EngineEntry {
-    let (engine, state) = (EngineId(n), EngineState::Ready);
-    EngineEntry { engine, zone: 0, kind: 0, cell: n, state, since: None }
+/// An endpoint list entry of a ready engine in zone 0, in a cell of its own.
+pub fn entry(number: u32) -> EngineEntry {
+    let (engine, state) = (EngineId(number), EngineState::Ready);
+    EngineEntry { engine, zone: 0, kind: 0, cell: number, state, since: None }
 }
 
 impl TestManager {
@@ -63,8 +64,12 @@
     }
     pub fn seeded(settings: Settings, seed: u64, engines: u32) -> TestManager {
         let now = Timestamp::from_secs_f64(100.0);
-        let mut manager =
-            TestManager { policy: Policy::new(settings, seed, now), now, client_patience_secs: 5.0, next: 0 };
+        let mut manager = TestManager {
+            policy: Policy::new(settings, seed, now),
+            now,
+            client_patience_secs: 5.0,
+            next_id: 0,
+        };
         manager.change_endpoints(EndpointUpdate::Remembered, (0..engines).map(entry).collect());
         manager
     }
@@ -77,8 +82,8 @@
         self.handle(Event::EndpointsChanged { kind, entries })
     }
     pub fn submit(&mut self, class: usize, cost: f64, key: Option<&str>) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.next_id += 1;
+        let id = RequestId(self.next_id);
         let event = Event::RequestArrived(Arrival {
             id,
             class: ClassId(class),
@@ -96,7 +101,7 @@
         let (latency, report) = (TimeDelta::from_secs_f64(0.1), LoadReport::default());
         self.handle(Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost: None, report })
     }
-    /// The first attempt succeeds; its load report has this many queries in flight.
+    /// The first attempt of a request succeeds; its load report has this many queries in flight.
     pub fn succeed(&mut self, id: RequestId, queries_in_flight: f64) -> Vec<Action> {
         let report = LoadReport { queries_in_flight: Some(queries_in_flight), ..LoadReport::default() };
         let (latency, attempt, outcome) = (TimeDelta::from_secs_f64(0.1), 0, Outcome::Succeeded);
@@ -110,7 +115,7 @@
             report,
         })
     }
-    /// A few light queries come and succeed, without load reports.
+    /// Eight light queries arrive and succeed, without load reports.
     pub fn warm_up(&mut self) {
         for _ in 0..8 {
             let (id, _) = self.submit(0, 0.05, None);
@@ -122,7 +127,7 @@
         let report = LoadReport { queries_in_flight: Some(queries_in_flight), ..LoadReport::default() };
         self.handle(Event::ProbeCompleted { engine, outcome: Outcome::Succeeded, report })
     }
-    /// Advances the clock in steps of the module's own timer.
+    /// Advances the clock in steps of the module's timer; returns all actions.
     pub fn advance(&mut self, secs: f64) -> Vec<Action> {
         let until = self.now + TimeDelta::from_secs_f64(secs);
         let mut out = Vec::new();
@@ -134,18 +139,19 @@
     }
 }
 
+/// The request and engine of each attempt that was forwarded.
 pub fn forwarded(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
-    let pick = |a: &Action| match a {
+    let forwarded_attempt = |action: &Action| match action {
         Action::ForwardAttempt { id, engine, .. } => Some((*id, *engine)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(forwarded_attempt).collect()
 }
 
 pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
+    actions.iter().any(|action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id))
 }
 
 pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if *i == id))
+    actions.iter().any(|action| matches!(action, Action::Fail { id: failed, .. } if *failed == id))
 }
