--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -1,78 +1,80 @@
-//! A starting engine and a whole fleet: what all processes of all managers together send it in one slow-start window,
-//! counted in requests of mean work, as the operators count it. Beyond a budget of N of them only 2 root N + 2 is chance.
+//! Slow start over a whole fleet: the work that all processes of all managers together send to a starting
+//! engine in one slow-start window, counted in requests of mean work, as the operators count it. For a budget
+//! of N requests, an excess of up to 2 root N + 2 counts as chance.
 //!
-//! The engine is the only one listed and reports in each answer that it is idle, and every process has requests of every
-//! class queued at all times: only the slow-start budget limits what is sent. The sums are therefore the maximum of any
-//! day, whatever the load and the selection of engines.
+//! The engine is the only one listed and reports in each answer that it is idle, and every process has
+//! requests of every class queued at all times: only the slow-start budget limits what is sent. The sums are
+//! therefore an upper bound for any load and any selection of engines.
 mod common;
 use common::class;
 use sprucelink_policy::Policy;
 use sprucelink_policy::*;
 use std::collections::VecDeque;
 
-/// Cores of the engine.
-const CORES: f64 = 12.0;
+const ENGINE_CORES: f64 = 12.0;
 /// Fraction of the cores that counts as an engine's capacity.
 const USABLE_FRACTION: f64 = 0.85;
 const TICK: TimeDelta = TimeDelta::from_micros(20_000);
-/// Between a send and its answer: short, so that the engine always has capacity.
-const ANSWERED_IN: TimeDelta = TimeDelta::from_micros(40_000);
+/// Time between a send and its answer: short, so that the engine always has capacity.
+const RESPONSE_TIME: TimeDelta = TimeDelta::from_micros(40_000);
 const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
-/// A class of the site: its fraction of the requests, mean work in thread-seconds and its coefficient of variation,
-/// threads and latency objective in seconds.
+/// A request class of the simulated site.
 struct SiteClass {
+    /// Share of the requests, relative to those of the other classes.
     share: f64,
-    mean: f64,
-    variation: f64,
+    /// Mean work, thread-seconds.
+    mean_work: f64,
+    /// Coefficient of variation of the work.
+    work_variation: f64,
     threads: f64,
-    latency_objective: f64,
+    latency_objective_secs: f64,
     effect: Effect,
 }
 
-/// Middles of the site's ranges for look-ups, reports and loads.
+/// Lookups, reports and loads, each with the middle of the site's ranges.
 const SITE_CLASSES: [SiteClass; 3] = [
     SiteClass {
         share: 14.0,
-        mean: 0.245,
-        variation: 1.0,
+        mean_work: 0.245,
+        work_variation: 1.0,
         threads: 1.0,
-        latency_objective: 1.2,
+        latency_objective_secs: 1.2,
         effect: Effect::Safe,
     },
     SiteClass {
         share: 2.5,
-        mean: 4.1,
-        variation: 1.6,
+        mean_work: 4.1,
+        work_variation: 1.6,
         threads: 3.0,
-        latency_objective: 1.5,
+        latency_objective_secs: 1.5,
         effect: Effect::Safe,
     },
     SiteClass {
         share: 0.9,
-        mean: 3.9,
-        variation: 0.7,
+        mean_work: 3.9,
+        work_variation: 0.7,
         threads: 2.0,
-        latency_objective: 4.0,
+        latency_objective_secs: 4.0,
         effect: Effect::Keyed,
     },
 ];
 
 fn settings(gateways: u32) -> Settings {
-    let one = |k: &SiteClass| ClassSettings {
-        latency_objective: TimeDelta::from_secs_f64(k.latency_objective),
+    let class_settings = |site_class: &SiteClass| ClassSettings {
+        latency_objective: TimeDelta::from_secs_f64(site_class.latency_objective_secs),
         objective_per_work: 2.0,
         deadline: TimeDelta::from_secs_f64(25.0),
         late_value_fraction: 0.5,
-        threads: k.threads,
+        threads: site_class.threads,
         group: DedupGroup::All,
         repeat_window: TimeDelta::from_secs_f64(15.0),
-        ..class(k.effect)
+        ..class(site_class.effect)
     };
     Settings {
-        classes: SITE_CLASSES.iter().map(one).collect(),
+        classes: SITE_CLASSES.iter().map(class_settings).collect(),
         gateways,
-        kind_cores: vec![CORES],
+        kind_cores: vec![ENGINE_CORES],
         report_via: ReportVia::Answers,
         reports_load: true,
         priorities: true,
@@ -91,6 +93,7 @@
     }
 }
 
+/// A linear congruential generator of random numbers.
 struct Random(u64);
 
 impl Random {
@@ -99,124 +102,130 @@
         ((self.0 >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
     fn class(&mut self) -> usize {
-        let mut at = self.unit() * SITE_CLASSES.iter().map(|k| k.share).sum::<f64>();
-        let hit = SITE_CLASSES.iter().position(|k| {
-            at -= k.share;
-            at <= 0.0
+        let mut remaining = self.unit() * SITE_CLASSES.iter().map(|class| class.share).sum::<f64>();
+        let drawn = SITE_CLASSES.iter().position(|class| {
+            remaining -= class.share;
+            remaining <= 0.0
         });
-        hit.unwrap_or(0)
+        drawn.unwrap_or(0)
     }
-    /// Lognormal of that mean and coefficient of variation (Box and Muller's normal numbers).
-    fn work(&mut self, k: &SiteClass) -> f64 {
+    /// Work of one request: lognormal with the mean and coefficient of variation of the class, from a normal
+    /// number by the Box-Muller transform.
+    fn work(&mut self, class: &SiteClass) -> f64 {
         let normal = (-2.0 * self.unit().ln()).sqrt() * (std::f64::consts::TAU * self.unit()).cos();
-        let square = (1.0 + k.variation * k.variation).ln();
-        k.mean * (square.sqrt() * normal - square / 2.0).exp()
+        let log_variance = (1.0 + class.work_variation * class.work_variation).ln();
+        class.mean_work * (log_variance.sqrt() * normal - log_variance / 2.0).exp()
     }
 }
 
-/// What the fleet did before the engine starts, and what happens to it then.
+/// State of the fleet when the engine starts, and what happens to the fleet from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
-    /// Every manager has served for minutes, and is notified at once.
+enum FleetState {
+    /// Every manager has served 150 requests, and is notified of the start immediately.
     Settled,
-    /// All start with the engine, and know nothing but the settings.
+    /// All managers start at the same time as the engine, and know nothing but the settings.
     NewlyStarted,
-    /// Every manager has served for minutes, and seven in ten are killed and start again a second after the engine's
-    /// start: what they sent is forgotten, and the engine still has it.
+    /// Every manager has served 150 requests, and seven in ten are killed and restarted one second after the
+    /// engine's start: they have lost the record of what they sent, and the engine still has that work.
     Mixed,
-    /// As settled, but every other manager is notified between half a second and three after the start, each at its own
-    /// moment; before that it does not know the engine.
+    /// As [`Settled`](Self::Settled), but every other manager is notified at a random time from 0.5 to 3 s
+    /// after the start. Until then it does not know the engine.
     NotifiedLate,
-    /// The same, but all know the engine from before, warm, and failed to connect while it was down for a second: those
-    /// notified late have only that to go by until they are.
+    /// As [`NotifiedLate`](Self::NotifiedLate), but all managers know the engine, which was warm, and failed
+    /// to connect while it was down for one second. Until they are notified, managers notified late know only
+    /// of those failures.
     NotifiedLateOfRestart,
-    /// As settled, and within the first second each manager starts a second process, which knows of no other and divides
-    /// by the managers configured (`src/run/hot_restart_driver.rs`). Up to half a second later the first is notified that
-    /// parts are halved, and goes on with the sessions it has. After four seconds half of the second processes die; the
-    /// first is notified of that one slow-start window later.
+    /// As [`Settled`](Self::Settled), and within the first second each manager starts a second process, which
+    /// knows of no other process and divides the budget by the number of managers configured
+    /// (`src/run/hot_restart_driver.rs`). From 0.1 to 0.5 s later the first process is notified that its part
+    /// is halved, and keeps serving its sessions. Four seconds after the start of the engine half of the
+    /// second processes die; the first process is notified of that more than one slow-start window later.
     Upgrade,
 }
 
-const STATES: [State; 6] = [
-    State::Settled,
-    State::NewlyStarted,
-    State::Mixed,
-    State::NotifiedLate,
-    State::NotifiedLateOfRestart,
-    State::Upgrade,
+const FLEET_STATES: [FleetState; 6] = [
+    FleetState::Settled,
+    FleetState::NewlyStarted,
+    FleetState::Mixed,
+    FleetState::NotifiedLate,
+    FleetState::NotifiedLateOfRestart,
+    FleetState::Upgrade,
 ];
 
-/// Latest moment at which a manager is notified late, after the start.
-const LATEST: TimeDelta = TimeDelta::from_micros(3_000_000);
-/// How long an engine that is restarted refuses connections.
-const DOWN_FOR: TimeDelta = TimeDelta::from_micros(1_000_000);
+/// Maximum time between the start of the engine and the notification of a manager.
+const MAX_NOTIFICATION_DELAY: TimeDelta = TimeDelta::from_micros(3_000_000);
+/// Time for which an engine that is restarted refuses connections.
+const DOWNTIME: TimeDelta = TimeDelta::from_micros(1_000_000);
 
-/// What happens to one process.
+/// An event in the life of one process.
 #[derive(Clone, Copy)]
 enum ProcessEvent {
-    /// It is notified of the engine's start.
+    /// The process is notified of the engine's start.
     Notified,
-    /// It is killed, and starts again.
+    /// The process is killed and restarted.
     Restart,
-    /// It starts; until now it did not exist.
+    /// The process starts; until now it did not exist.
     Start,
-    /// It dies for good.
+    /// The process dies and is not restarted.
     Die,
-    /// It is notified among how many processes the slow-start budget is divided.
+    /// The process is notified of the number of processes among which the slow-start budget is divided.
     BudgetDivided(u32),
 }
 
+/// One process of a manager and the requests of its clients.
 struct Process {
     policy: Policy,
     random: Random,
     is_running: bool,
-    next: u64,
-    class_of: Vec<usize>,
-    cost_of: Vec<f64>,
-    out: VecDeque<(Timestamp, RequestId, u32, Outcome)>,
-    /// Requests without a first attempt.
-    waiting: usize,
-    /// By request: it is one of these.
-    untried: Vec<bool>,
+    next_id: u64,
+    /// Class of each request, by id.
+    classes: Vec<usize>,
+    /// Actual work of each request in thread-seconds, by id.
+    works: Vec<f64>,
+    /// Attempts in flight by time of their end, with request, number and outcome.
+    in_flight: VecDeque<(Timestamp, RequestId, u32, Outcome)>,
+    /// Number of requests without a first attempt.
+    untried_requests: usize,
+    /// Whether the request has no first attempt yet, by id.
+    is_untried: Vec<bool>,
     events: VecDeque<(Timestamp, ProcessEvent)>,
 }
 
-/// The engine under test; another represents the warm ones before it.
-const STARTING: EngineId = EngineId(1);
+/// The engine under test. Unless the case is a restart of it, `EngineId(0)` stands for the warm engines
+/// before it starts.
+const STARTING_ENGINE: EngineId = EngineId(1);
 
 impl Process {
-    fn new(set: &Settings, seed: u64, now: Timestamp) -> Process {
-        let policy = Policy::new(set.clone(), seed, now);
-        let (next, class_of, cost_of, out) = (0, Vec::new(), Vec::new(), VecDeque::new());
-        let (random, is_running, events) = (Random(seed ^ 0x5151), true, VecDeque::new());
+    fn new(settings: &Settings, seed: u64, now: Timestamp) -> Process {
         Process {
-            policy,
-            random,
-            is_running,
-            next,
-            class_of,
-            cost_of,
-            out,
-            waiting: 0,
-            untried: Vec::new(),
-            events,
+            policy: Policy::new(settings.clone(), seed, now),
+            random: Random(seed ^ 0x5151),
+            is_running: true,
+            next_id: 0,
+            classes: Vec::new(),
+            works: Vec::new(),
+            in_flight: VecDeque::new(),
+            untried_requests: 0,
+            is_untried: Vec::new(),
+            events: VecDeque::new(),
         }
     }
 
-    /// Takes an event; adds the classes of what is sent to the starting engine. An engine that is down refuses.
-    fn handle(&mut self, now: Timestamp, event: Event, down: bool, sent_classes: &mut Vec<usize>) {
+    /// Passes an event to the policy and adds the classes of the requests sent to the starting engine to
+    /// `sent_classes`. While that engine is down, it refuses connections.
+    fn handle(&mut self, now: Timestamp, event: Event, is_down: bool, sent_classes: &mut Vec<usize>) {
         let mut out = Vec::new();
         self.policy.handle(now, event, &mut out);
         for action in out {
             match action {
                 Action::ForwardAttempt { id, engine, .. } => {
-                    let refused = down && engine == STARTING;
-                    if engine == STARTING && !refused {
-                        sent_classes.push(self.class_of[id.0 as usize]);
+                    let is_refused = is_down && engine == STARTING_ENGINE;
+                    if engine == STARTING_ENGINE && !is_refused {
+                        sent_classes.push(self.classes[id.0 as usize]);
                     }
-                    let attempt = self.policy.in_flight_attempt(id).expect("it was just sent").0;
-                    let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Succeeded };
-                    self.out.push_back((now + ANSWERED_IN, id, attempt, outcome));
+                    let attempt = self.policy.in_flight_attempt(id).expect("the attempt was just sent").0;
+                    let outcome = if is_refused { Outcome::ConnectFailed } else { Outcome::Succeeded };
+                    self.in_flight.push_back((now + RESPONSE_TIME, id, attempt, outcome));
                     self.mark_tried(id);
                 }
                 Action::Reject { id, .. } | Action::Fail { id, .. } => self.mark_tried(id),
@@ -225,109 +234,118 @@
         }
     }
 
-    /// A request no longer waits for its first attempt. One that was refused waits for a retry and is not counted, so that
-    /// new ones come.
+    /// A request no longer waits for its first attempt. A request whose connection was refused waits for a
+    /// retry and is not counted, so that new requests are submitted.
     fn mark_tried(&mut self, id: RequestId) {
-        self.waiting -= usize::from(std::mem::take(&mut self.untried[id.0 as usize]));
+        self.untried_requests -= usize::from(std::mem::take(&mut self.is_untried[id.0 as usize]));
     }
 
-    /// One request of a random class; `bias`: its estimated over its actual work.
-    fn submit(&mut self, now: Timestamp, bias: f64, down: bool, sent_classes: &mut Vec<usize>) {
+    /// Submits one request of a random class. `bias`: ratio of its estimated to its actual work.
+    fn submit(&mut self, now: Timestamp, bias: f64, is_down: bool, sent_classes: &mut Vec<usize>) {
         let class = self.random.class();
-        let cost = self.random.work(&SITE_CLASSES[class]);
-        let id = RequestId(self.next);
-        self.next += 1;
-        self.class_of.push(class);
-        self.cost_of.push(cost);
-        self.waiting += 1;
-        self.untried.push(true);
+        let work = self.random.work(&SITE_CLASSES[class]);
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        self.classes.push(class);
+        self.works.push(work);
+        self.untried_requests += 1;
+        self.is_untried.push(true);
         let arrival = Arrival {
             id,
             class: ClassId(class),
             tenant: 0,
             tables: id.0 % 7,
             time_left: TimeDelta::from_secs_f64(25.0),
-            cost: Some(cost * bias),
+            cost: Some(work * bias),
             memory_mb: None,
             key: None,
         };
-        self.handle(now, Event::RequestArrived(arrival), down, sent_classes);
+        self.handle(now, Event::RequestArrived(arrival), is_down, sent_classes);
     }
 
-    /// Completes the attempts that are due, on an engine that is idle.
-    fn complete_due_attempts(&mut self, now: Timestamp, down: bool, sent_classes: &mut Vec<usize>) {
-        while let Some((_, id, attempt, outcome)) = self.out.front().copied().filter(|o| o.0 <= now) {
-            self.out.pop_front();
-            let work = self.cost_of[id.0 as usize];
-            let delivered = outcome == Outcome::Succeeded;
+    /// Completes the attempts that are due; their load reports have no queries in flight.
+    fn complete_due_attempts(&mut self, now: Timestamp, is_down: bool, sent_classes: &mut Vec<usize>) {
+        while let Some((_, id, attempt, outcome)) =
+            self.in_flight.front().copied().filter(|attempt| attempt.0 <= now)
+        {
+            self.in_flight.pop_front();
+            let work = self.works[id.0 as usize];
+            let is_success = outcome == Outcome::Succeeded;
             let event = Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
-                latency: ANSWERED_IN,
-                complete: delivered,
-                query_cost: delivered.then_some(QueryCost { work, memory_mb: 0.0 }),
-                report: LoadReport { queries_in_flight: delivered.then_some(0.0), ..LoadReport::default() },
+                latency: RESPONSE_TIME,
+                complete: is_success,
+                query_cost: is_success.then_some(QueryCost { work, memory_mb: 0.0 }),
+                report: LoadReport { queries_in_flight: is_success.then_some(0.0), ..LoadReport::default() },
             };
-            self.handle(now, event, down, sent_classes);
+            self.handle(now, event, is_down, sent_classes);
         }
     }
 
-    /// One tick: attempts that are due, new requests until enough of every class are queued, the module's timer.
-    fn tick(&mut self, now: Timestamp, bias: f64, down: bool, sent_classes: &mut Vec<usize>) {
-        self.complete_due_attempts(now, down, sent_classes);
-        // A process that knows no engine for them rejects them at once; the number of attempts to queue one is bounded.
-        for _ in self.waiting..12 {
-            self.submit(now, bias, down, sent_classes);
+    /// Runs one tick: completes attempts that are due, submits requests until enough of every class are
+    /// queued, and passes the module's timer event.
+    fn tick(&mut self, now: Timestamp, bias: f64, is_down: bool, sent_classes: &mut Vec<usize>) {
+        self.complete_due_attempts(now, is_down, sent_classes);
+        // A process that knows no engine rejects requests at once, so the number of submissions per tick is
+        // bounded.
+        for _ in self.untried_requests..12 {
+            self.submit(now, bias, is_down, sent_classes);
         }
-        self.handle(now, Event::Timer { token: 0 }, down, sent_classes);
+        self.handle(now, Event::Timer { token: 0 }, is_down, sent_classes);
     }
 }
 
-/// What the fleet sent to the engine, over all windows that end before its slow start does.
+/// The work that the fleet sent to the engine, over all simulated windows, which end before its slow start
+/// does.
+#[derive(Default)]
 struct WindowSums {
-    /// Maximum in one window over what the engine may get then, N + 2 root N + 2; at most 1 where the rule holds.
+    /// Maximum over the windows of the work divided by the bound, N + 2 root N + 2; at most 1 where the rule
+    /// holds.
     max_over_bound: f64,
-    /// That maximum, in requests of mean work; N then; and when the window began, in seconds after the start.
-    max: f64,
-    n: f64,
-    at: f64,
-    /// The mean of all windows over N, from when all are notified.
-    mean: f64,
+    /// Work in the window of that maximum, in requests of mean work.
+    work_at_max: f64,
+    /// N of that window.
+    budget_at_max: f64,
+    /// Begin of that window, in seconds after the start of the engine.
+    start_secs_of_max: f64,
+    /// Mean over the windows of the work divided by N, from when all managers are notified.
+    mean_over_budget: f64,
 }
 
-/// What happens to manager `i`: to its first process and to its second, if it gets one.
+/// The events of the first process of a manager, and of its second process if it gets one.
 fn events_of_manager(
-    state: State,
-    i: usize,
+    state: FleetState,
+    manager: usize,
     gateways: u32,
     since: Timestamp,
     random: &mut Random,
 ) -> [VecDeque<(Timestamp, ProcessEvent)>; 2] {
-    let mut after =
-        |least: f64, max: f64| since + TimeDelta::from_secs_f64(least + (max - least) * random.unit());
+    let mut random_time =
+        |min: f64, max: f64| since + TimeDelta::from_secs_f64(min + (max - min) * random.unit());
     let notified = (since, ProcessEvent::Notified);
     let (first, second) = match state {
-        State::Settled | State::NewlyStarted => (vec![notified], vec![]),
-        State::Mixed if i % 10 < 7 => {
+        FleetState::Settled | FleetState::NewlyStarted => (vec![notified], vec![]),
+        FleetState::Mixed if manager % 10 < 7 => {
             (vec![notified, (since + TimeDelta::from_micros(1_000_000), ProcessEvent::Restart)], vec![])
         }
-        State::Mixed => (vec![notified], vec![]),
-        State::NotifiedLate | State::NotifiedLateOfRestart if i % 2 == 1 => {
-            (vec![(after(0.5, LATEST.as_secs_f64()), ProcessEvent::Notified)], vec![])
+        FleetState::Mixed => (vec![notified], vec![]),
+        FleetState::NotifiedLate | FleetState::NotifiedLateOfRestart if manager % 2 == 1 => {
+            (vec![(random_time(0.5, MAX_NOTIFICATION_DELAY.as_secs_f64()), ProcessEvent::Notified)], vec![])
         }
-        State::NotifiedLate | State::NotifiedLateOfRestart => (vec![notified], vec![]),
-        State::Upgrade => {
-            let (start, seen) = (after(0.0, 1.0), after(0.1, 0.5) - since);
+        FleetState::NotifiedLate | FleetState::NotifiedLateOfRestart => (vec![notified], vec![]),
+        FleetState::Upgrade => {
+            let (start, notification_delay) = (random_time(0.0, 1.0), random_time(0.1, 0.5) - since);
             let (mut first, mut second) = (
-                vec![notified, (start + seen, ProcessEvent::BudgetDivided(2 * gateways))],
+                vec![notified, (start + notification_delay, ProcessEvent::BudgetDivided(2 * gateways))],
                 vec![(start, ProcessEvent::Start)],
             );
-            if i % 2 == 1 {
-                let dies = since + TimeDelta::from_micros(4_000_000);
-                second.push((dies, ProcessEvent::Die));
+            if manager % 2 == 1 {
+                let death = since + TimeDelta::from_micros(4_000_000);
+                second.push((death, ProcessEvent::Die));
                 first.push((
-                    dies + seen + TimeDelta::from_micros(2_000_000),
+                    death + notification_delay + TimeDelta::from_micros(2_000_000),
                     ProcessEvent::BudgetDivided(gateways),
                 ));
             }
@@ -339,11 +357,11 @@
 
 /// Simulates `secs` from the engine's start.
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-fn play(gateways: u32, state: State, bias: f64, secs: f64, seed: u64) -> WindowSums {
-    let set = settings(gateways);
+fn simulate(gateways: u32, state: FleetState, bias: f64, secs: f64, seed: u64) -> WindowSums {
+    let settings = settings(gateways);
     let seed = seed << 32;
-    let mut all: Vec<Process> =
-        (0..gateways).map(|i| Process::new(&set, seed + 77 + u64::from(i), START)).collect();
+    let mut processes: Vec<Process> =
+        (0..gateways).map(|index| Process::new(&settings, seed + 77 + u64::from(index), START)).collect();
     let entry = |engine: EngineId, since: Option<Timestamp>| EngineEntry {
         engine,
         zone: 0,
@@ -352,139 +370,153 @@
         state: EngineState::Ready,
         since,
     };
-    let restarted = state == State::NotifiedLateOfRestart;
+    let is_restart = state == FleetState::NotifiedLateOfRestart;
     let mut now = START;
-    let mut ignored = Vec::new();
-    if state != State::NewlyStarted {
-        let before = entry(if restarted { STARTING } else { EngineId(0) }, None);
-        for g in &mut all {
-            let list = Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries: vec![before] };
-            g.handle(now, list, false, &mut ignored);
+    let mut ignored_classes = Vec::new();
+    if state != FleetState::NewlyStarted {
+        let warm_engine = entry(if is_restart { STARTING_ENGINE } else { EngineId(0) }, None);
+        for process in &mut processes {
+            let list = Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries: vec![warm_engine] };
+            process.handle(now, list, false, &mut ignored_classes);
         }
-        // Some hundred requests each, on an engine that is warm.
+        // Each process serves 150 requests on a warm engine.
         for _ in 0..150 {
             now = now + TICK;
-            for g in &mut all {
-                g.complete_due_attempts(now, false, &mut ignored);
-                g.submit(now, bias, false, &mut ignored);
-                g.handle(now, Event::Timer { token: 0 }, false, &mut ignored);
+            for process in &mut processes {
+                process.complete_due_attempts(now, false, &mut ignored_classes);
+                process.submit(now, bias, false, &mut ignored_classes);
+                process.handle(now, Event::Timer { token: 0 }, false, &mut ignored_classes);
             }
         }
-        let starts = now + DOWN_FOR;
-        while restarted && now < starts {
+        let end_of_downtime = now + DOWNTIME;
+        while is_restart && now < end_of_downtime {
             now = now + TICK;
-            all.iter_mut().for_each(|g| g.tick(now, bias, true, &mut ignored));
+            processes.iter_mut().for_each(|process| process.tick(now, bias, true, &mut ignored_classes));
         }
     }
     let since = now;
     let mut random = Random(seed ^ 0xfa7e);
-    for i in 0..all.len() {
-        let [first, second] = events_of_manager(state, i, gateways, since, &mut random);
-        all[i].events = first;
+    for index in 0..processes.len() {
+        let [first, second] = events_of_manager(state, index, gateways, since, &mut random);
+        processes[index].events = first;
         if !second.is_empty() {
-            let mut p = Process::new(&set, seed + 9_000 + i as u64, now);
-            (p.is_running, p.events) = (false, second);
-            all.push(p);
+            let mut process = Process::new(&settings, seed + 9_000 + index as u64, now);
+            (process.is_running, process.events) = (false, second);
+            processes.push(process);
         }
     }
-    let mean_work = SITE_CLASSES.iter().map(|k| k.share * k.mean).sum::<f64>()
-        / SITE_CLASSES.iter().map(|k| k.share).sum::<f64>();
+    let mean_work = SITE_CLASSES.iter().map(|class| class.share * class.mean_work).sum::<f64>()
+        / SITE_CLASSES.iter().map(|class| class.share).sum::<f64>();
     // Work sent in each tick, in requests of mean work.
-    let mut sends: Vec<f64> = Vec::new();
+    let mut work_by_tick: Vec<f64> = Vec::new();
     while now < since + TimeDelta::from_secs_f64(secs) {
         let mut sent_classes = Vec::new();
-        for (i, p) in all.iter_mut().enumerate() {
-            while let Some((_, process_event)) = p.events.front().copied().filter(|a| a.0 <= now) {
-                p.events.pop_front();
-                let list =
-                    |kind| Event::EndpointsChanged { kind, entries: vec![entry(STARTING, Some(since))] };
-                let kind = if state == State::NewlyStarted {
+        for (index, process) in processes.iter_mut().enumerate() {
+            while let Some((_, process_event)) =
+                process.events.front().copied().filter(|event| event.0 <= now)
+            {
+                process.events.pop_front();
+                let list = |kind| Event::EndpointsChanged {
+                    kind,
+                    entries: vec![entry(STARTING_ENGINE, Some(since))],
+                };
+                let kind = if state == FleetState::NewlyStarted {
                     EndpointUpdate::Remembered
                 } else {
                     EndpointUpdate::Complete
                 };
                 match process_event {
-                    ProcessEvent::Notified => p.handle(now, list(kind), false, &mut sent_classes),
+                    ProcessEvent::Notified => process.handle(now, list(kind), false, &mut sent_classes),
                     ProcessEvent::Restart | ProcessEvent::Start => {
-                        let events = std::mem::take(&mut p.events);
-                        *p = Process { events, ..Process::new(&set, seed + 7_000 + i as u64, now) };
-                        p.handle(now, list(EndpointUpdate::Remembered), false, &mut sent_classes);
+                        let events = std::mem::take(&mut process.events);
+                        let restarted = Process::new(&settings, seed + 7_000 + index as u64, now);
+                        *process = Process { events, ..restarted };
+                        process.handle(now, list(EndpointUpdate::Remembered), false, &mut sent_classes);
                     }
-                    ProcessEvent::Die => p.is_running = false,
-                    ProcessEvent::BudgetDivided(n) => p.handle(
+                    ProcessEvent::Die => process.is_running = false,
+                    ProcessEvent::BudgetDivided(processes) => process.handle(
                         now,
-                        Event::FleetChanged { gateways: n, spare_retries: 0.0 },
+                        Event::FleetChanged { gateways: processes, spare_retries: 0.0 },
                         false,
                         &mut sent_classes,
                     ),
                 }
             }
-            if p.is_running {
-                p.tick(now, bias, false, &mut sent_classes);
+            if process.is_running {
+                process.tick(now, bias, false, &mut sent_classes);
             }
         }
-        sends.push(sent_classes.iter().map(|c| SITE_CLASSES[*c].mean / mean_work).sum());
+        work_by_tick.push(sent_classes.iter().map(|class| SITE_CLASSES[*class].mean_work / mean_work).sum());
         now = now + TICK;
     }
-    let capacity = |at: TimeDelta| {
-        let capacity_fraction = set.initial_capacity_fraction
-            + (1.0 - set.initial_capacity_fraction)
-                * (at.as_secs_f64() / set.slow_start_duration.as_secs_f64()).min(1.0);
-        set.slow_start_multiple
+    let window_budget = |time_since_start: TimeDelta| {
+        let capacity_fraction = settings.initial_capacity_fraction
+            + (1.0 - settings.initial_capacity_fraction)
+                * (time_since_start.as_secs_f64() / settings.slow_start_duration.as_secs_f64()).min(1.0);
+        settings.slow_start_multiple
             * capacity_fraction
-            * CORES
+            * ENGINE_CORES
             * USABLE_FRACTION
-            * set.slow_start_window.as_secs_f64()
+            * settings.slow_start_window.as_secs_f64()
             / mean_work
     };
-    let ticks_per_window = (set.slow_start_window.as_micros() / TICK.as_micros()) as usize;
-    let late = matches!(state, State::NotifiedLate | State::NotifiedLateOfRestart);
-    let all_notified = if late { LATEST } else { TimeDelta::ZERO };
-    let (mut sums, mut spans) =
-        (WindowSums { max_over_bound: 0.0, max: 0.0, n: 0.0, at: 0.0, mean: 0.0 }, 0.0);
-    for (i, span) in sends.windows(ticks_per_window).enumerate() {
-        let (from, sum) = (TimeDelta::from_micros(i as i64 * TICK.as_micros()), span.iter().sum::<f64>());
-        // What it may get at the window's begin: the minimum over the window.
-        let n = capacity(from);
-        let against = sum / (n + 2.0 * n.sqrt() + 2.0);
-        if against > sums.max_over_bound {
-            (sums.max_over_bound, sums.max, sums.n, sums.at) = (against, sum, n, from.as_secs_f64());
+    let ticks_per_window = (settings.slow_start_window.as_micros() / TICK.as_micros()) as usize;
+    let is_notified_late = matches!(state, FleetState::NotifiedLate | FleetState::NotifiedLateOfRestart);
+    let all_notified = if is_notified_late { MAX_NOTIFICATION_DELAY } else { TimeDelta::ZERO };
+    let mut sums = WindowSums::default();
+    let mut windows = 0.0;
+    for (first_tick, window) in work_by_tick.windows(ticks_per_window).enumerate() {
+        let start = TimeDelta::from_micros(first_tick as i64 * TICK.as_micros());
+        let work = window.iter().sum::<f64>();
+        // The budget at the begin of the window is the minimum over the window.
+        let budget = window_budget(start);
+        let over_bound = work / (budget + 2.0 * budget.sqrt() + 2.0);
+        if over_bound > sums.max_over_bound {
+            (sums.max_over_bound, sums.work_at_max) = (over_bound, work);
+            (sums.budget_at_max, sums.start_secs_of_max) = (budget, start.as_secs_f64());
         }
-        if from >= all_notified {
-            sums.mean += sum / n;
-            spans += 1.0;
+        if start >= all_notified {
+            sums.mean_over_budget += work / budget;
+            windows += 1.0;
         }
     }
-    sums.mean /= spans;
+    sums.mean_over_budget /= windows;
     sums
 }
 
-/// Simulates a fleet in one state, with estimates that are `bias` times the actual work.
-fn fleet(gateways: u32, state: State, bias: f64, secs: f64, seed: u64) -> WindowSums {
-    let s = play(gateways, state, bias, secs, seed);
+/// Simulates a fleet in one state, with estimates that are `bias` times the actual work, and prints the sums.
+fn simulate_and_print(gateways: u32, state: FleetState, bias: f64, secs: f64, seed: u64) -> WindowSums {
+    let sums = simulate(gateways, state, bias, secs, seed);
     println!(
         "{state:?}, {gateways} managers, estimates of {bias}, seed {seed}: at most {:.1} requests of mean work in one \
          window, where N was {:.1}, {:.1} s after the start, {:.2} of the bound; {:.2} of N in the mean",
-        s.max, s.n, s.at, s.max_over_bound, s.mean
+        sums.work_at_max,
+        sums.budget_at_max,
+        sums.start_secs_of_max,
+        sums.max_over_bound,
+        sums.mean_over_budget
     );
-    s
+    sums
 }
 
-/// The operators' bound, in all states, with unbiased estimates; and the engine must not be idle either.
+/// Checks the operators' bound in all states, with unbiased estimates, and that the engine is not idle
+/// either.
 fn check_fleet(gateways: u32, secs: f64, seeds: u64) {
     let mut violations = Vec::new();
-    for state in STATES {
+    for state in FLEET_STATES {
         for seed in 0..seeds {
-            let s = fleet(gateways, state, 1.0, secs, seed);
-            if s.max_over_bound > 1.0 {
+            let sums = simulate_and_print(gateways, state, 1.0, secs, seed);
+            if sums.max_over_bound > 1.0 {
                 violations.push(format!(
                     "{state:?}, seed {seed}: {:.1} requests of mean work where N was {:.1}",
-                    s.max, s.n
+                    sums.work_at_max, sums.budget_at_max
                 ));
             }
-            if s.mean <= 0.3 {
-                violations
-                    .push(format!("{state:?}, seed {seed}: it is idle, {:.2} of N in the mean", s.mean));
+            if sums.mean_over_budget <= 0.3 {
+                violations.push(format!(
+                    "{state:?}, seed {seed}: the engine is idle, {:.2} of N in the mean",
+                    sums.mean_over_budget
+                ));
             }
         }
     }
@@ -516,15 +548,16 @@
     check_fleet(300, 5.5, 1);
 }
 
-/// A measurement to run by hand, without an assertion: how far the estimates of all classes may be too low before the sum
-/// exceeds the bound. `cargo test --release -p sprucelink-policy --test cold_fleet -- --ignored --nocapture`
+/// A measurement without an assertion, to run by hand: how far the estimates of all classes may be too low
+/// before the sum exceeds the bound.
+/// `cargo test --release -p sprucelink-policy --test cold_fleet -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement, run by hand"]
 fn load_of_a_starting_engine_by_bias_of_estimates() {
     for gateways in [3, 60, 300] {
         for bias in [1.0, 0.8, 0.7, 0.6, 0.5] {
-            for state in STATES {
-                fleet(gateways, state, bias, 15.0, 0);
+            for state in FLEET_STATES {
+                simulate_and_print(gateways, state, bias, 15.0, 0);
             }
         }
     }
