--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -24,9 +24,9 @@
 /// Weight of a success in an engine's failure rate; greater than that of a failure, so that an engine
 /// recovers quickly.
 const SUCCESS_WEIGHT: f64 = 0.3;
-/// An engine this many times slower than the median is ejected.
+/// An engine more than this many times slower than the median is ejected.
 const MAX_SLOWNESS: f64 = 3.5;
-/// Fraction of failed attempts from which an engine is ejected.
+/// Fraction of failed attempts above which an engine is ejected.
 const MAX_FAILURE_RATE: f64 = 0.4;
 /// Fraction of the ejection bounds below which an ejected engine is readmitted.
 const READMISSION_FACTOR: f64 = 0.5;
