--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -30,8 +30,8 @@
     assert!(hits <= 5, "{hits} of 100");
 }
 
-/// Requests that no engine could execute had six attempts each: they used up most of the retry budget, which
-/// was then missing for requests that a retry would have helped.
+/// Dozens of requests that no engine could execute had six attempts each: they used up most of the retry
+/// budget, which was then missing for requests that a retry would have helped.
 #[test]
 fn request_ends_after_engine_errors_on_two_engines() {
     for seed in 0..20 {
