--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -5,7 +5,7 @@
 use super::client_error::{incomplete_in_time, too_many_sessions};
 use super::sessionless::ConnectionGuard;
 use super::Front;
-use crate::proto::pg::{self, ErrorResponse, Opening};
+use crate::proto::pg::{self, ErrorResponse, StartupPacket};
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -81,10 +81,10 @@
         transport: Transport,
     ) -> io::Result<StartupOutcome> {
         loop {
-            let opening = match pg::read_opening(connection.input()) {
-                Ok(Some((opening, length))) => {
+            let packet = match pg::read_startup_packet(connection.input()) {
+                Ok(Some((packet, length))) => {
                     connection.consume(length);
-                    opening
+                    packet
                 }
                 Ok(None) => {
                     if connection.fill().await? == 0 {
@@ -95,24 +95,24 @@
                 Err(malformed) => return Ok(StartupOutcome::reject(malformed.into())),
             };
             let acceptor = self.tls.borrow().clone();
-            match (opening, acceptor) {
-                (Opening::Ssl, Some(acceptor)) if transport == Transport::Plain => {
+            match (packet, acceptor) {
+                (StartupPacket::Ssl, Some(acceptor)) if transport == Transport::Plain => {
                     return accept_tls_request(connection, acceptor).await;
                 }
-                (Opening::Ssl | Opening::Gssenc, _) => {
+                (StartupPacket::Ssl | StartupPacket::Gssenc, _) => {
                     connection.output().push(ENCRYPTION_REJECTED);
                     connection.flush().await?;
                 }
-                (Opening::Cancel { session, secret }, _) => {
+                (StartupPacket::Cancel { session, secret }, _) => {
                     self.request_cancel(session, secret);
                     return Ok(StartupOutcome::Close(None));
                 }
-                (Opening::Startup { .. }, acceptor)
+                (StartupPacket::Startup { .. }, acceptor)
                     if self.config.require_tls && transport == Transport::Plain =>
                 {
                     return Ok(StartupOutcome::reject(tls_required(acceptor.is_some())));
                 }
-                (Opening::Startup { minor, parameters }, _) => {
+                (StartupPacket::Startup { minor, parameters }, _) => {
                     return Ok(StartupOutcome::Session(SessionStart { minor, parameters }));
                 }
             }
--- a/src/proto/pg/error.rs
+++ b/src/proto/pg/error.rs
@@ -5,10 +5,10 @@
 /// Why a client's bytes are not a message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PgError {
-    /// The length of the first packet is out of bounds.
+    /// The length of a start-up packet is out of bounds.
     #[error("field length of the start-up packet is not a legal one")]
-    OpeningLength,
-    /// The first packet asks for another version of the protocol.
+    StartupPacketLength,
+    /// The client asks for an unsupported version of the protocol.
     #[error("field version is not 3.0 but {major}.{minor}")]
     Version {
         /// The major version.
--- a/src/proto/pg/mod.rs
+++ b/src/proto/pg/mod.rs
@@ -4,7 +4,7 @@
 mod cursor;
 mod error;
 mod message;
-mod opening;
+mod startup_packet;
 
 pub use backend::{
     data_row_size, write_authentication_ok, write_backend_key_data, write_command_complete, write_data_row,
@@ -14,7 +14,7 @@
 };
 pub use error::{ErrorResponse, PgError};
 pub use message::{is_simple_query, read_message, MalformedMessage, Message, ObjectKind};
-pub use opening::{read_opening, Opening};
+pub use startup_packet::{read_startup_packet, StartupPacket};
 
 /// Object id of the type `text`.
 pub const TEXT: u32 = 25;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -61,7 +61,7 @@
             assert!(array.length <= bytes.len() && array.length <= 64);
             drop(engine_answer::read_answer(&array.parts));
         }
-        drop(pg::read_opening(&bytes));
+        drop(pg::read_startup_packet(&bytes));
         if let Ok(Some((_, n))) | Err(pg::MalformedMessage { length: Some(n), .. }) =
             pg::read_message(&bytes, 4096)
         {
@@ -218,7 +218,7 @@
     use fields::FieldError;
     use pg::PgError;
     let texts = [
-        (PgError::OpeningLength.to_string(), "field length of the start-up packet is not a legal one"),
+        (PgError::StartupPacketLength.to_string(), "field length of the start-up packet is not a legal one"),
         (PgError::Version { major: 2, minor: 7 }.to_string(), "field version is not 3.0 but 2.7"),
         (PgError::MessageLength.to_string(), "field length of the message is not a legal one"),
         (PgError::TrailingBytes.to_string(), "field length counts more bytes than the message has fields"),
