--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -103,8 +103,8 @@
                     connection.output().push(ENCRYPTION_REJECTED);
                     connection.flush().await?;
                 }
-                (StartupPacket::Cancel { session, secret }, _) => {
-                    self.request_cancel(session, secret);
+                (StartupPacket::Cancel { process_id, secret }, _) => {
+                    self.request_cancel(process_id, secret);
                     return Ok(StartupOutcome::Close(None));
                 }
                 (StartupPacket::Startup { .. }, acceptor)
@@ -120,8 +120,8 @@
     }
 
     /// Handles a CancelRequest. The client gets no answer, whether the session exists or not.
-    fn request_cancel(&self, session: u32, secret: u32) {
-        if let Some(cancel) = self.sessions.borrow().get(&session) {
+    fn request_cancel(&self, process_id: u32, secret: u32) {
+        if let Some(cancel) = self.sessions.borrow().get(&process_id) {
             cancel.request(secret);
         }
     }
--- a/src/proto/pg/backend.rs
+++ b/src/proto/pg/backend.rs
@@ -1,11 +1,11 @@
-//! Writes the messages to clients, each appended to a buffer.
+//! Encodes the messages to clients. Each function appends one message to a buffer.
 
 use super::error::ErrorResponse;
 use super::TEXT;
 
 /// Bytes of a DataRow before its columns: type, length and number of columns.
 const DATA_ROW_HEADER_BYTES: usize = 7;
-/// Separates the columns of a page's line.
+/// Separates the columns in a line of a result page.
 const COLUMN_SEPARATOR: u8 = b'\t';
 
 /// Type bytes of the messages to clients.
@@ -51,17 +51,17 @@
 /// Transaction status of ReadyForQuery: outside any transaction.
 const IDLE: u8 = b'I';
 
-/// Appends a message: its type, its length, and what `write_body` writes.
+/// Appends a message: its type, its length, and the body that `write_body` writes.
 fn write_message(output: &mut Vec<u8>, message_type: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
     output.push(message_type);
-    let start = output.len();
+    let length_start = output.len();
     output.extend_from_slice(&[0; 4]);
     write_body(output);
-    let length = (output.len() - start) as u32;
-    output[start..start + 4].copy_from_slice(&length.to_be_bytes());
+    let length = (output.len() - length_start) as u32;
+    output[length_start..length_start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends a string and a zero byte at its end; zero bytes in it are left out.
+/// Appends a string and its terminating zero byte. Zero bytes in the string are omitted: they would end it early.
 fn write_text(output: &mut Vec<u8>, string: &str) {
     output.extend(string.bytes().filter(|byte| *byte != 0));
     output.push(0);
@@ -72,7 +72,7 @@
     write_message(output, message_type::AUTHENTICATION, |body| body.extend_from_slice(&[0; 4]));
 }
 
-/// Appends ParameterStatus.
+/// Appends ParameterStatus: a server parameter and its value.
 pub fn write_parameter_status(output: &mut Vec<u8>, name: &str, value: &str) {
     write_message(output, message_type::PARAMETER_STATUS, |body| {
         write_text(body, name);
@@ -80,20 +80,20 @@
     });
 }
 
-/// Appends BackendKeyData: what a CancelRequest must carry.
-pub fn write_backend_key_data(output: &mut Vec<u8>, session: u32, secret: u32) {
+/// Appends BackendKeyData: the process id and secret key that a CancelRequest must carry.
+pub fn write_backend_key_data(output: &mut Vec<u8>, process_id: u32, secret: u32) {
     write_message(output, message_type::BACKEND_KEY_DATA, |body| {
-        body.extend_from_slice(&session.to_be_bytes());
+        body.extend_from_slice(&process_id.to_be_bytes());
         body.extend_from_slice(&secret.to_be_bytes());
     });
 }
 
-/// Appends NegotiateProtocolVersion: the version is 3.0, and these options are unknown.
-pub fn write_negotiate_protocol_version(output: &mut Vec<u8>, unknown: &[&str]) {
+/// Appends NegotiateProtocolVersion: the newest supported version is 3.0, and `unknown_options` are not recognized.
+pub fn write_negotiate_protocol_version(output: &mut Vec<u8>, unknown_options: &[&str]) {
     write_message(output, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| {
         body.extend_from_slice(&[0; 4]);
-        body.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
-        unknown.iter().for_each(|name| write_text(body, name));
+        body.extend_from_slice(&(unknown_options.len() as u32).to_be_bytes());
+        unknown_options.iter().for_each(|name| write_text(body, name));
     });
 }
 
@@ -120,13 +120,14 @@
 /// Type of PortalSuspended, for [`write_empty_message`].
 pub const PORTAL_SUSPENDED: u8 = b's';
 
-/// Appends RowDescription of `columns` text columns named c1, c2 and so on; formats are none, one for all, or one each.
+/// Appends RowDescription of `columns` text columns named c1, c2 and so on. `formats` holds no format code (all columns
+/// are sent as text), one for all columns, or one per column.
 pub fn write_row_description(output: &mut Vec<u8>, columns: usize, formats: &[u16]) {
     write_message(output, message_type::ROW_DESCRIPTION, |body| {
         body.extend_from_slice(&(columns as u16).to_be_bytes());
         for index in 0..columns {
             write_text(body, &format!("c{}", index + 1));
-            // No table, and no column of one.
+            // Table id and column number are 0: the column belongs to no table.
             body.extend_from_slice(&[0; 6]);
             body.extend_from_slice(&TEXT.to_be_bytes());
             // Variable length, and no type modifier.
@@ -138,7 +139,7 @@
     });
 }
 
-/// Appends ParameterDescription.
+/// Appends ParameterDescription with the object ids of the parameters' types.
 pub fn write_parameter_description(output: &mut Vec<u8>, types: &[u32]) {
     write_message(output, message_type::PARAMETER_DESCRIPTION, |body| {
         body.extend_from_slice(&(types.len() as u16).to_be_bytes());
@@ -146,7 +147,7 @@
     });
 }
 
-/// Appends DataRow of one line of a page, whose columns are separated by tabs.
+/// Appends DataRow for one line of a result page; tabs separate the columns of the line.
 pub fn write_data_row(output: &mut Vec<u8>, line: &[u8]) {
     write_message(output, message_type::DATA_ROW, |body| {
         let columns = line.split(|byte| *byte == COLUMN_SEPARATOR).count() as u16;
@@ -158,17 +159,17 @@
     });
 }
 
-/// Upper bound of the bytes that [`write_data_row`] appends.
+/// Upper bound on the number of bytes that [`write_data_row`] appends.
 pub fn data_row_size(line: &[u8]) -> usize {
     DATA_ROW_HEADER_BYTES + line.len() + 4 * line.split(|byte| *byte == COLUMN_SEPARATOR).count()
 }
 
-/// Appends CommandComplete.
+/// Appends CommandComplete with a command tag such as `SELECT 3`.
 pub fn write_command_complete(output: &mut Vec<u8>, tag: &str) {
     write_message(output, message_type::COMMAND_COMPLETE, |body| write_text(body, tag));
 }
 
-/// Appends ErrorResponse.
+/// Appends ErrorResponse; an absent detail or hint is omitted.
 pub fn write_error_response(output: &mut Vec<u8>, error: &ErrorResponse) {
     write_message(output, message_type::ERROR_RESPONSE, |body| {
         let severity = if error.fatal { "FATAL" } else { "ERROR" };
--- a/src/proto/pg/cursor.rs
+++ b/src/proto/pg/cursor.rs
@@ -3,10 +3,10 @@
 use super::error::PgError;
 use super::message::ObjectKind;
 
-/// The length field of a value that is NULL: -1.
+/// Length field of a NULL value: -1.
 const NULL_LENGTH: u32 = u32::MAX;
 
-/// The bytes of a message that are not read yet.
+/// The unread bytes of a message.
 pub(super) struct Cursor<'a>(pub(super) &'a [u8]);
 
 impl<'a> Cursor<'a> {
@@ -24,7 +24,7 @@
         self.bytes(4, field).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
     }
 
-    /// A string that ends with a zero byte.
+    /// Reads a string that is terminated by a zero byte.
     pub(super) fn text(&mut self, field: &'static str) -> Result<&'a str, PgError> {
         let end = self.0.iter().position(|byte| *byte == 0).ok_or(PgError::Unterminated(field))?;
         let text = std::str::from_utf8(&self.0[..end]).map_err(|_| PgError::NotUtf8(field))?;
@@ -32,7 +32,7 @@
         Ok(text)
     }
 
-    /// A format code: 0 is text, 1 binary.
+    /// Reads a format code: 0 is text, 1 is binary.
     pub(super) fn format(&mut self, field: &'static str) -> Result<u16, PgError> {
         match self.u16(field)? {
             format @ (0 | 1) => Ok(format),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A value behind its length; `None` is NULL.
+    /// Reads a length and a value of that length; `None` is NULL.
     pub(super) fn value(&mut self, field: &'static str) -> Result<Option<&'a [u8]>, PgError> {
         match self.u32(field)? {
             NULL_LENGTH => Ok(None),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The kind of the object of a Describe or Close.
+    /// Reads the kind of object that a Describe or Close refers to.
     pub(super) fn object_kind(&mut self) -> Result<ObjectKind, PgError> {
         match self.bytes(1, "kind")?[0] {
             b'S' => Ok(ObjectKind::Statement),
@@ -57,13 +57,13 @@
         }
     }
 
-    /// A list: its length, and its elements as `read` reads them.
+    /// Reads a list: the number of elements, then each element with `read_element`.
     pub(super) fn list<T>(
         &mut self,
         field: &'static str,
-        mut read: impl FnMut(&mut Self) -> Result<T, PgError>,
+        mut read_element: impl FnMut(&mut Self) -> Result<T, PgError>,
     ) -> Result<Vec<T>, PgError> {
         let count = self.u16(field)?;
-        (0..count).map(|_| read(self)).collect()
+        (0..count).map(|_| read_element(self)).collect()
     }
 }
--- a/src/proto/pg/error.rs
+++ b/src/proto/pg/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the protocol, and errors as clients see them.
+//! Errors of the decoder, and the ErrorResponse that clients receive.
 
 use thiserror::Error;
 
@@ -19,22 +19,22 @@
     /// The length of a message is out of bounds.
     #[error("field length of the message is not a legal one")]
     MessageLength,
-    /// The message has bytes behind its last field.
+    /// The message has bytes after its last field.
     #[error("field length counts more bytes than the message has fields")]
     TrailingBytes,
-    /// The type byte is not one of the protocol's.
+    /// The type byte is not defined by the protocol.
     #[error("field type is unknown: 0x{0:02x}")]
     UnknownType(u8),
     /// The message ends within the field.
     #[error("field {0} is cut short")]
     Truncated(&'static str),
-    /// The field is a string without an end.
+    /// The field is a string without a terminating zero byte.
     #[error("field {0} is not ended by a zero byte")]
     Unterminated(&'static str),
     /// The field is not UTF-8.
     #[error("field {0} is not UTF-8")]
     NotUtf8(&'static str),
-    /// The field is neither the text format nor the binary one.
+    /// The field is a format code that is neither text (0) nor binary (1).
     #[error("field {0} is neither 0 nor 1")]
     UnknownFormat(&'static str),
     /// A Describe or Close names neither a statement nor a portal.
@@ -48,13 +48,13 @@
 pub struct ErrorResponse {
     /// The SQLSTATE.
     pub code: &'static str,
-    /// What happened.
+    /// Message for people.
     pub message: String,
-    /// For programs: `name=value`.
+    /// Detail for programs, in the form `name=value`.
     pub detail: Option<String>,
     /// What the client can do.
     pub hint: Option<String>,
-    /// The session ends with it.
+    /// Whether the session ends after this error.
     pub fatal: bool,
 }
 
@@ -64,17 +64,17 @@
         ErrorResponse { code, message: message.into(), detail: None, hint: None, fatal: false }
     }
 
-    /// An error in the form of a message or of a field in it (SQLSTATE 08P01, protocol violation).
+    /// An error for a malformed message or field (SQLSTATE 08P01, protocol violation).
     pub fn malformed(reason: impl std::fmt::Display) -> ErrorResponse {
         ErrorResponse::new("08P01", format!("malformed message: {reason}"))
     }
 
-    /// The same error with a hint.
+    /// Returns the error with a hint.
     pub fn hint(self, hint: impl Into<String>) -> ErrorResponse {
         ErrorResponse { hint: Some(hint.into()), ..self }
     }
 
-    /// The same error as the end of its session.
+    /// Returns the error marked as fatal: the session ends after it.
     pub fn fatal(self) -> ErrorResponse {
         ErrorResponse { fatal: true, ..self }
     }
--- a/src/proto/pg/message.rs
+++ b/src/proto/pg/message.rs
@@ -1,4 +1,4 @@
-//! The messages of clients.
+//! Decodes the messages of clients.
 
 use super::cursor::Cursor;
 use super::error::PgError;
@@ -6,7 +6,7 @@
 
 /// Length of a message's type and length fields in bytes.
 const HEADER_BYTES: usize = 5;
-/// Lowest value of a message's length field, which counts its own 4 bytes.
+/// Minimum value of a message's length field, which counts its own 4 bytes.
 const MIN_LENGTH: usize = 4;
 
 /// Type bytes of the messages.
@@ -37,11 +37,11 @@
     pub(super) const COPY_DONE: u8 = b'c';
     /// CopyFail: the failure of a COPY, which is not supported.
     pub(super) const COPY_FAIL: u8 = b'f';
-    /// PasswordMessage, also of other authentication methods.
+    /// PasswordMessage; the messages of other authentication methods have the same type byte.
     pub(super) const PASSWORD: u8 = b'p';
 }
 
-/// Kind of the object of a Describe or Close.
+/// Kind of object that a Describe or Close refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectKind {
     /// A prepared statement.
@@ -57,9 +57,9 @@
     Query(&'a str),
     /// Prepares a statement.
     Parse {
-        /// The statement's name; empty: unnamed.
+        /// The statement's name; empty for the unnamed statement.
         name: &'a str,
-        /// Its text.
+        /// The statement's text.
         sql: &'a str,
         /// Object ids of the parameters' types, 0 where not specified.
         types: Vec<u32>,
@@ -70,11 +70,11 @@
         portal: &'a str,
         /// The statement's name.
         statement: &'a str,
-        /// Format codes of the parameters: none, one for all, or one each.
+        /// Format codes of the parameters: none (all are text), one for all, or one per parameter.
         formats: Vec<u16>,
         /// Values of the parameters; `None` is NULL.
         values: Vec<Option<&'a [u8]>>,
-        /// Format codes of the result's columns: none, one for all, or one each.
+        /// Format codes of the result's columns: none (all are text), one for all, or one per column.
         result_formats: Vec<u16>,
     },
     /// Requests the parameters and columns of a statement or portal.
@@ -83,7 +83,7 @@
     Execute {
         /// The portal's name.
         portal: &'a str,
-        /// Maximum number of rows to send; 0: all.
+        /// Maximum number of rows to send; 0 means all rows.
         max_rows: u32,
     },
     /// Closes a statement or portal.
@@ -106,9 +106,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{error}")]
 pub struct MalformedMessage {
-    /// What is wrong with it.
+    /// Why the message cannot be read.
     pub error: PgError,
-    /// Its length, if the next message can be read behind it.
+    /// Length of the message in bytes; `None` if the start of the next message is unknown.
     pub length: Option<usize>,
 }
 
@@ -120,7 +120,7 @@
 /// Reads one message from the front of `bytes`, and returns it with its length; `None` if more bytes are needed.
 ///
 /// # Errors
-/// Where the message is malformed, or not shorter than `limit`.
+/// If the message is malformed, or its length field is `limit` or more.
 pub fn read_message(bytes: &[u8], limit: usize) -> Result<Option<(Message<'_>, usize)>, MalformedMessage> {
     let Some(header) = bytes.get(..HEADER_BYTES) else { return Ok(None) };
     let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
@@ -129,7 +129,8 @@
     }
     let Some(body) = bytes.get(HEADER_BYTES..=length) else { return Ok(None) };
     let total = length + 1;
-    // No message has the type zero: the client and this program disagree on where messages begin.
+    // No message has the type zero: the client and this program disagree on where messages start, so the next
+    // message cannot be located.
     let skippable = (header[0] != 0).then_some(total);
     let message =
         read_body(header[0], body).map_err(|error| MalformedMessage { error, length: skippable })?;
--- a/src/proto/pg/startup_packet.rs
+++ b/src/proto/pg/startup_packet.rs
@@ -27,7 +27,7 @@
     /// CancelRequest: the open request of another session is to be cancelled.
     Cancel {
         /// The process id of the session whose request is to be cancelled.
-        session: u32,
+        process_id: u32,
         /// The secret key of that session.
         secret: u32,
     },
@@ -56,7 +56,7 @@
         SSL_REQUEST => StartupPacket::Ssl,
         GSSENC_REQUEST => StartupPacket::Gssenc,
         CANCEL_REQUEST => {
-            StartupPacket::Cancel { session: cursor.u32("process id")?, secret: cursor.u32("secret key")? }
+            StartupPacket::Cancel { process_id: cursor.u32("process id")?, secret: cursor.u32("secret key")? }
         }
         code if code >> 16 == MAJOR_VERSION => {
             StartupPacket::Startup { minor: code as u16, parameters: read_parameters(&mut cursor)? }
