--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -1,15 +1,15 @@
-//! The engines' protocol: the answers `ID WORD FIELDS BODY`.
+//! Decodes the answers of the engines' protocol, each an array of the parts `ID WORD FIELDS BODY`.
 
 use thiserror::Error;
 
-/// Number of columns of a row.
+/// Number of columns in each row of a result.
 pub const COLUMNS: usize = 3;
 /// Maximum number of pages of a result; a result of 48,000 bytes in complete rows needs far fewer.
 const MAX_PAGES: usize = 64;
-/// Stands for an empty list of fields.
+/// Placeholder for an empty list of fields.
 const NO_FIELDS: &str = "-";
 
-/// Kinds of answers, the second part of an answer on the wire.
+/// Names of the kinds of answers: the second part of an answer on the wire.
 mod answer_name {
     /// The query has completed; fields and the first page follow.
     pub(super) const COMPLETED: &[u8] = b"served";
@@ -29,17 +29,18 @@
 
 /// Names of the fields of an answer on the wire.
 mod field {
-    /// Number of all pages of a result, from 1.
+    /// Number of pages of a result, at least 1.
     pub(super) const PAGE_COUNT: &str = "batches";
-    /// Number of a further page of a result, from 1; the first page comes with `answer_name::COMPLETED`.
+    /// Index of a further page of a result, from 1; the first page has index 0 and comes with
+    /// `answer_name::COMPLETED`.
     pub(super) const PAGE_NUMBER: &str = "batch";
     /// The engine's load report: `name:value;name:value`.
     pub(super) const LOAD_REPORT: &str = "stats";
-    /// Work that the query took, in milliseconds on one core.
+    /// Work of the query, in milliseconds on one core.
     pub(super) const CPU_MS: &str = "cpu";
     /// Memory that the query used, in MB.
     pub(super) const MEMORY_MB: &str = "used";
-    /// Value of a progress note; its topic says what it measures.
+    /// Value of a progress note; the note's topic defines its meaning and unit.
     pub(super) const UPDATE_VALUE: &str = "num";
     /// Topic of a progress note.
     pub(super) const UPDATE_TOPIC: &str = "how";
@@ -47,18 +48,18 @@
 
 /// Values of the field [`field::UPDATE_TOPIC`].
 mod topic {
-    /// Fraction of the work that is done, from 0 to 1.
+    /// Completed fraction of the work, from 0 to 1.
     pub(super) const PROGRESS: &str = "so_far";
     /// Memory that the query lacks, in MB.
     pub(super) const MISSING_MEMORY: &str = "lacking";
-    /// What the query waits for: 1 is memory, 2 a load.
+    /// Reason why the query waits: 1 for memory, 2 for a load on its tables.
     pub(super) const WAITING: &str = "waiting";
 }
 
-/// Why an engine's answer cannot be used. The connection is closed then.
+/// Reason why an engine's answer cannot be used. The connection that it came on is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EngineAnswerError {
-    /// The answer lacks this part, or this field, which its kind requires.
+    /// The answer lacks this part, or this field, which answers of its kind require.
     #[error("field {0} is missing")]
     Missing(&'static str),
     /// The id is not one that was sent.
@@ -79,7 +80,7 @@
     /// The field is not from 1 to the maximum number of pages.
     #[error("field {0} is no number of a page")]
     InvalidPageNumber(&'static str),
-    /// The page is not one of the result's.
+    /// The page's index is not less than the number of pages of the result.
     #[error("field batch is out of place")]
     PageOutOfRange,
     /// The body is not UTF-8 text in complete rows, or is too long.
@@ -90,12 +91,12 @@
     ResultTooLong,
 }
 
-/// What an engine answers about an attempt.
+/// Kind of an engine's answer, with the values of that kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerKind {
     /// The query has completed; the body is the first page.
     Completed {
-        /// Number of all pages, the first included.
+        /// Number of pages of the result, including the first.
         pages: usize,
     },
     /// The engine is overloaded; the query did not run.
@@ -106,49 +107,49 @@
     NotRun,
     /// A progress note: the query is still running.
     Update {
-        /// What the update is about, if it is known.
+        /// Quantity that the update reports; `None` if the topic is unknown.
         topic: Option<UpdateTopic>,
-        /// Its value.
+        /// Value of the quantity, in the unit of the topic.
         value: f64,
     },
     /// One more page of a result.
     Page {
-        /// The page's number; the first page has 0.
+        /// Index of the page; the first page has 0.
         number: usize,
     },
     /// The answer to a health check.
     Pong,
-    /// A kind of answer that is not known here.
+    /// An answer of an unknown kind.
     Unknown,
 }
 
-/// What an update is about.
+/// Quantity that an update reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateTopic {
-    /// The fraction of the work that is done.
+    /// Completed fraction of the work, from 0 to 1.
     Progress,
-    /// The megabytes of memory that are missing.
+    /// Memory that the query lacks, in MB.
     MissingMemory,
-    /// What the query waits for: 1 is memory, 2 a load.
+    /// Reason why the query waits: 1 for memory, 2 for a load on its tables.
     Waiting,
 }
 
-/// The load report of an engine.
+/// The load report of an engine; values that it omits are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadStats {
-    /// Queries that are admitted.
+    /// Number of queries in flight at the engine.
     pub in_flight: Option<f64>,
-    /// Queries that wait for memory.
+    /// Number of queries that wait for memory.
     pub queued: Option<f64>,
-    /// Fraction of the cores in use.
+    /// Fraction of the cores in use, from 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Fraction of the memory that is granted.
+    /// Fraction of the memory that is granted, from 0 to 1.
     pub memory_utilization: Option<f64>,
-    /// Fraction of the disks in use.
+    /// Fraction of the disks in use, from 0 to 1.
     pub disk_utilization: Option<f64>,
 }
 
-/// What a query needed, as its engine reports it.
+/// Resources that a query used, as its engine reports them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryCost {
     /// Work in milliseconds on one core.
@@ -162,13 +163,13 @@
 pub struct EngineAnswer<'a> {
     /// The request's id, as it was sent.
     pub id: &'a [u8],
-    /// What is answered.
+    /// Kind of the answer, with the values of that kind.
     pub kind: AnswerKind,
-    /// The load report.
+    /// The engine's load report; empty if the answer has none.
     pub stats: LoadStats,
-    /// What the query needed.
+    /// Resources that the query used, if the engine reports them.
     pub cost: Option<QueryCost>,
-    /// A page, or nothing.
+    /// A page of the result; empty in answers without one.
     pub body: &'a [u8],
 }
 
@@ -187,7 +188,7 @@
 /// Decodes the parts of an array as an engine's answer. Unknown fields are ignored.
 ///
 /// # Errors
-/// Where a known field cannot be read: a part of a result must not be taken for the complete one.
+/// If a known field cannot be read. Ignoring it could present a part of a result as the complete result.
 pub fn read_answer<'a>(parts: &[&'a [u8]]) -> Result<EngineAnswer<'a>, EngineAnswerError> {
     let [id, name, rest @ ..] = parts else { return Err(EngineAnswerError::Missing("word")) };
     let text = rest.first().copied().unwrap_or(NO_FIELDS.as_bytes());
@@ -215,7 +216,8 @@
     Ok(EngineAnswer { id, kind, stats: fields.stats, cost, body })
 }
 
-/// Whether a page's body is UTF-8 text in complete rows of [`COLUMNS`] columns, as the engines' protocol demands.
+/// Whether a page's body is UTF-8 text in complete rows of [`COLUMNS`] columns, as the engines' protocol
+/// requires.
 pub fn is_page(body: &[u8]) -> bool {
     let columns = |row: &[u8]| row.iter().filter(|byte| **byte == b'\t').count() + 1;
     let mut rows = body.split_inclusive(|byte| *byte == b'\n');
@@ -251,19 +253,20 @@
     }
 }
 
-/// Names of the values of a load report on the wire. Engines of the other generation write the second names.
+/// Names of the values of a load report on the wire. One generation of engines writes the names, the other
+/// the aliases.
 mod load_report {
     /// Queries in flight at the engine.
     pub(super) const IN_FLIGHT: &str = "inflight";
-    /// Second name of [`IN_FLIGHT`].
+    /// Alias of [`IN_FLIGHT`].
     pub(super) const IN_FLIGHT_ALIAS: &str = "rif";
     /// Queries that wait for memory.
     pub(super) const QUEUED: &str = "queue";
-    /// Second name of [`QUEUED`].
+    /// Alias of [`QUEUED`].
     pub(super) const QUEUED_ALIAS: &str = "q";
     /// Fraction of the cores in use, from 0 to 1.
     pub(super) const CPU_UTILIZATION: &str = "util";
-    /// Second name of [`CPU_UTILIZATION`].
+    /// Alias of [`CPU_UTILIZATION`].
     pub(super) const CPU_UTILIZATION_ALIAS: &str = "busy";
     /// Fraction of the memory that is granted, from 0 to 1.
     pub(super) const MEMORY_UTILIZATION: &str = "x0";
@@ -289,7 +292,7 @@
     Ok(stats)
 }
 
-/// Names and values of a list.
+/// Splits a list into names and values.
 fn split_pairs(
     text: &str,
     separator: char,
--- a/src/proto/engine_command.rs
+++ b/src/proto/engine_command.rs
@@ -8,7 +8,7 @@
 pub const CANCEL: &[u8] = b"undo";
 /// Releases the result of a served attempt at its engine.
 pub const RELEASE_RESULT: &[u8] = b"forget";
-/// Asks for a further page of a result.
+/// Requests a further page of a result.
 pub const PAGE: &[u8] = b"page";
 /// Sets the priority of an attempt.
 pub const SET_PRIORITY: &[u8] = b"bump";
@@ -32,13 +32,13 @@
 pub struct QueryFields<'a> {
     /// Name of the request's class.
     pub class: &'a str,
-    /// How long the client still waits, in milliseconds.
+    /// How long the client still waits, in milliseconds; written as at least 1.
     pub time_left_ms: i64,
     /// The idempotency key, for classes that carry one.
     pub idempotency_key: Option<&'a str>,
     /// The memory that is granted, in MB; written as a whole number of at least 1.
     pub memory_grant_mb: Option<f64>,
-    /// The priority.
+    /// The priority level, from 0 (lowest) to 3.
     pub priority: u8,
 }
 
--- a/src/proto/resp.rs
+++ b/src/proto/resp.rs
@@ -1,4 +1,5 @@
-//! Framing of the engines' protocol: arrays of bulk strings, as in RESP version 2 (the Redis serialization protocol).
+//! Framing of the engines' protocol: arrays of bulk strings, as in RESP version 2 (the Redis serialization
+//! protocol).
 
 use thiserror::Error;
 
@@ -6,14 +7,14 @@
 const MAX_PARTS: usize = 8;
 /// Maximum number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 7;
-/// First byte of an array.
-const ARRAY_MARK: u8 = b'*';
-/// First byte of a bulk string.
-const BULK_MARK: u8 = b'$';
+/// Type byte of an array.
+const ARRAY_TYPE: u8 = b'*';
+/// Type byte of a bulk string.
+const BULK_STRING_TYPE: u8 = b'$';
 /// Line break that ends a length, and a bulk string.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Why bytes are not an array of bulk strings.
+/// Reason why bytes are not an array of bulk strings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RespError {
     /// The array is empty, or has more parts than an answer can have.
@@ -25,13 +26,13 @@
     /// A bulk string does not end where its length says.
     #[error("field bulk does not end with a line break")]
     NoLineEnd,
-    /// A length does not begin with the mark of an array or of a bulk string.
+    /// A length does not follow the type byte of an array or of a bulk string.
     #[error("field length does not begin with its mark")]
-    NoMark,
+    UnexpectedType,
     /// A length has too many digits.
     #[error("field length is too long")]
     LengthTooLong,
-    /// A length has no digits, or no line break behind them.
+    /// A length has no digits, or no line break after them.
     #[error("field length is not a number")]
     LengthNotNumber,
 }
@@ -39,13 +40,13 @@
 /// An array at the front of the bytes that were read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Array<'a> {
-    /// Its bulk strings.
+    /// Bulk strings of the array.
     pub parts: Vec<&'a [u8]>,
-    /// Bytes that it takes.
+    /// Length of the encoded array in bytes.
     pub length: usize,
 }
 
-/// A length, and the position behind it.
+/// A decoded length, and the position after it.
 struct Length {
     value: usize,
     end: usize,
@@ -64,16 +65,16 @@
 /// Reads one array from the front of `bytes`; `None` if more bytes are needed.
 ///
 /// # Errors
-/// Where the bytes are no array of bulk strings, or one longer than `limit` bytes.
+/// If the bytes are not an array of bulk strings, or the array is longer than `limit` bytes.
 pub fn read_array(bytes: &[u8], limit: usize) -> Result<Option<Array<'_>>, RespError> {
-    let Some(count) = read_length(bytes, 0, ARRAY_MARK)? else { return Ok(None) };
+    let Some(count) = read_length(bytes, 0, ARRAY_TYPE)? else { return Ok(None) };
     if count.value == 0 || count.value > MAX_PARTS {
         return Err(RespError::PartCount);
     }
     let mut parts = Vec::with_capacity(count.value);
     let mut position = count.end;
     for _ in 0..count.value {
-        let Some(length) = read_length(bytes, position, BULK_MARK)? else { return Ok(None) };
+        let Some(length) = read_length(bytes, position, BULK_STRING_TYPE)? else { return Ok(None) };
         let start = length.end;
         let end = start.saturating_add(length.value);
         if end.saturating_add(LINE_END.len()) > limit {
@@ -90,11 +91,11 @@
     Ok(Some(Array { parts, length: position }))
 }
 
-/// Reads a mark, digits and a line break at `position`; `None` if more bytes are needed.
-fn read_length(bytes: &[u8], position: usize, mark: u8) -> Result<Option<Length>, RespError> {
+/// Reads a type byte, digits and a line break at `position`; `None` if more bytes are needed.
+fn read_length(bytes: &[u8], position: usize, type_byte: u8) -> Result<Option<Length>, RespError> {
     let Some(rest) = bytes.get(position..).filter(|rest| !rest.is_empty()) else { return Ok(None) };
-    if rest[0] != mark {
-        return Err(RespError::NoMark);
+    if rest[0] != type_byte {
+        return Err(RespError::UnexpectedType);
     }
     let digits = rest[1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
     if digits > MAX_LENGTH_DIGITS {
