--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -1,21 +1,21 @@
-//! The control feed's events: changes of the endpoint list, as JSON.
+//! Decodes the control feed's events: changes of the endpoint list, as JSON.
 
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use thiserror::Error;
 
-/// The highest number of an event. Above it JSON's numbers (IEEE 754 doubles) are not distinct.
+/// Maximum number of an event. Above it, different integers can be the same JSON number (IEEE 754 double).
 pub const MAX_EVENT_NUMBER: u64 = (1 << 53) - 1;
 
 /// Names of the fields of an event on the wire.
 mod field {
     /// The event's number, counted from 1 since the feed's start.
     pub(super) const NUMBER: &str = "n";
-    /// The change of the endpoint list; absent in events about something else.
+    /// The change of the endpoint list; absent from other events.
     pub(super) const LIST: &str = "members";
     /// The endpoints of a list.
     pub(super) const LIST_ENDPOINTS: &str = "members";
-    /// The revision of the list that the event leads to.
+    /// Revision of the list after the event.
     pub(super) const LIST_REVISION: &str = "revision";
     /// Whether the event holds the complete list, not only changes.
     pub(super) const LIST_IS_COMPLETE: &str = "complete";
@@ -31,29 +31,29 @@
     pub(super) const CELL: &str = "cell";
     /// Phase of an endpoint.
     pub(super) const PHASE: &str = "phase";
-    /// When an endpoint started, in Unix milliseconds, if that was late.
+    /// Start time of an endpoint, in Unix milliseconds; absent unless the endpoint started late.
     pub(super) const UP_SINCE_MS: &str = "up_since_ms";
 }
 
 /// Values of the field [`field::PHASE`]; any other counts as ready.
 mod phase {
-    /// The endpoint completes the requests that it has.
+    /// The endpoint completes its requests and accepts no others.
     pub(super) const DRAINING: &str = "draining";
     /// The endpoint is removed.
     pub(super) const GONE: &str = "gone";
 }
 
-/// Why a text is not an event.
+/// Reason why a text is not an event.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// The text holds U+FFFD, which the decoder of the stream substitutes for bytes that are not UTF-8. A damaged
-    /// id could name another engine.
+    /// The text holds U+FFFD, which the decoder of the stream substitutes for bytes that are not UTF-8. A
+    /// damaged id could name another engine.
     #[error("field data is not UTF-8")]
     NotUtf8,
-    /// The text is not JSON; the parser's message is part of this one.
+    /// The text is not JSON; the message includes the parser's.
     #[error("field data is not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// The event has no number.
+    /// The event's number is missing or not a number.
     #[error("field n is missing or no number")]
     NoNumber,
     /// The event's number is above [`MAX_EVENT_NUMBER`].
@@ -67,50 +67,50 @@
     NoId,
 }
 
-/// State of an endpoint.
+/// Phase of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointPhase {
-    /// It accepts requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It completes the requests that it has.
+    /// The endpoint completes its requests and accepts no others.
     Draining,
-    /// It is removed.
+    /// The endpoint is removed.
     Gone,
 }
 
 /// An engine of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id. Addresses are reused, ids are not.
+    /// Id of the engine. Ids are not reused; addresses are.
     pub id: String,
-    /// The address that it listens on.
+    /// The address that the engine listens on: host and port.
     pub address: String,
-    /// Name of its zone.
+    /// Name of the engine's zone.
     pub zone: String,
-    /// Name of its machine kind.
+    /// Name of the engine's machine kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of the engine's cell.
     pub cell: u32,
-    /// Its state.
+    /// Phase of the endpoint.
     pub phase: EndpointPhase,
-    /// When it started, in Unix milliseconds, if that was late; else 0.
+    /// Start time of the engine, in Unix milliseconds; 0 unless the engine started late.
     pub up_since_ms: i64,
 }
 
 /// A numbered change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
-    /// Its number, counted from 1 since the feed's start.
+    /// Number of the event, counted from 1 since the feed's start.
     pub n: u64,
-    /// The revision of the list that it leads to; 0 if it has none.
+    /// Revision of the list after the event; 0 if the event gives none.
     pub revision: u64,
-    /// Whether it holds the complete list, not only changes.
+    /// Whether the event holds the complete list, not only changes.
     pub complete: bool,
-    /// The endpoints.
+    /// The endpoints of the complete list, or those that changed.
     pub members: Vec<Endpoint>,
 }
 
-/// An event of the configuration; `None` for one about something else.
+/// An event in the configuration; `None` if it does not change the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredEvent(pub Option<ListEvent>);
 
@@ -121,10 +121,10 @@
     }
 }
 
-/// Decodes an event's text; `None` for an event about something else.
+/// Decodes an event's text; `None` if the event does not change the endpoint list.
 ///
 /// # Errors
-/// Where the text is no event.
+/// If the text is not an event.
 pub fn parse(text: &str) -> Result<Option<ListEvent>, EventError> {
     if text.contains(char::REPLACEMENT_CHARACTER) {
         return Err(EventError::NotUtf8);
@@ -133,18 +133,18 @@
     decode(&value)
 }
 
-/// Decodes an event; `None` for one about something else.
+/// Decodes an event; `None` if it does not change the endpoint list.
 ///
 /// # Errors
-/// Where the value is no event.
+/// If the value is not an event.
 pub fn decode(value: &Value) -> Result<Option<ListEvent>, EventError> {
     let n = value[field::NUMBER].as_u64().ok_or(EventError::NoNumber)?;
     if n > MAX_EVENT_NUMBER {
         return Err(EventError::NumberTooLarge);
     }
     let Some(list) = value.get(field::LIST) else { return Ok(None) };
-    let rows = list[field::LIST_ENDPOINTS].as_array().ok_or(EventError::NoEndpoints)?;
-    let members = rows.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
+    let entries = list[field::LIST_ENDPOINTS].as_array().ok_or(EventError::NoEndpoints)?;
+    let members = entries.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
     Ok(Some(ListEvent {
         n,
         revision: list[field::LIST_REVISION].as_u64().unwrap_or(0),
@@ -153,8 +153,8 @@
     }))
 }
 
-fn decode_endpoint(row: &Value) -> Result<Endpoint, EventError> {
-    let text = |name: &str| row[name].as_str().unwrap_or("").to_owned();
+fn decode_endpoint(entry: &Value) -> Result<Endpoint, EventError> {
+    let text = |name: &str| entry[name].as_str().unwrap_or("").to_owned();
     let id = text(field::ID);
     if id.is_empty() {
         return Err(EventError::NoId);
@@ -164,13 +164,13 @@
         address: text(field::ADDRESS),
         zone: text(field::ZONE),
         kind: text(field::MACHINE_KIND),
-        cell: row[field::CELL].as_u64().unwrap_or(0) as u32,
-        phase: match row[field::PHASE].as_str() {
+        cell: entry[field::CELL].as_u64().unwrap_or(0) as u32,
+        phase: match entry[field::PHASE].as_str() {
             Some(phase::DRAINING) => EndpointPhase::Draining,
             Some(phase::GONE) => EndpointPhase::Gone,
-            // An endpoint of an unknown state is listed, and so it is used.
+            // An endpoint with an unknown phase is in the list, so it is used.
             _ => EndpointPhase::Ready,
         },
-        up_since_ms: row[field::UP_SINCE_MS].as_i64().unwrap_or(0),
+        up_since_ms: entry[field::UP_SINCE_MS].as_i64().unwrap_or(0),
     })
 }
--- a/src/proto/sse.rs
+++ b/src/proto/sse.rs
@@ -1,8 +1,8 @@
-//! The control feed's stream: server-sent events (HTML standard, section 9.2), with the fields `id` and `data` alone
-//! and lines that end in a line feed, with or without a carriage return.
+//! The control feed's stream: server-sent events (HTML standard, section 9.2), with the fields `id` and
+//! `data` alone and lines that end in a line feed, with or without a carriage return.
 //!
-//! The decoder is the project's own since no maintained crate for event streams is bounded
-//! (docs/measurements/plumbing.md has the figures): a feed that never ends a line or an event would fill the memory.
+//! No crate is used because no maintained crate for event streams is bounded (docs/measurements/plumbing.md
+//! has the figures): a feed that never ends a line or an event would exhaust the memory.
 
 use super::events::MAX_EVENT_NUMBER;
 use thiserror::Error;
@@ -22,27 +22,27 @@
     TooLong,
 }
 
-/// One event.
+/// One event of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// Its number.
+    /// Number of the event, from its field `id`; `None` if the field is absent or invalid.
     pub id: Option<u64>,
-    /// Its data, with its lines joined by line feeds.
+    /// Values of the fields `data` of the event, joined by line feeds.
     pub data: String,
 }
 
 /// Decodes a stream of events piece by piece.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    /// The line that is incomplete.
+    /// The bytes of the incomplete line.
     line: Vec<u8>,
-    /// Number of the event that is incomplete.
+    /// Number of the incomplete event.
     id: Option<u64>,
-    /// Data of the event that is incomplete.
+    /// Data of the incomplete event.
     data: Option<String>,
-    /// The event that is incomplete is skipped up to its end.
+    /// Whether the incomplete event is skipped up to its end.
     is_skipping: bool,
-    /// Bytes that followed an event that was too long.
+    /// Undecoded bytes after the piece at which an event became too long.
     rest: Vec<u8>,
     completed: u64,
 }
@@ -51,7 +51,7 @@
     /// Decodes the next bytes, and appends the events that they complete.
     ///
     /// # Errors
-    /// Where an event is too long; [`Decoder::skip_event`] must be called before any other bytes are decoded.
+    /// If an event is too long; [`Decoder::skip_event`] must be called before any other bytes are decoded.
     pub fn decode(&mut self, bytes: &[u8], events: &mut Vec<ServerSentEvent>) -> Result<(), SseError> {
         let mut decoded = 0;
         for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
@@ -77,12 +77,12 @@
         Ok(())
     }
 
-    /// Number of the event that is incomplete, if it was received.
+    /// Number of the incomplete event, if its field `id` was received.
     pub fn id(&self) -> Option<u64> {
         self.id
     }
 
-    /// Skips the event that was too long up to its end, and decodes the bytes behind it.
+    /// Skips the event that was too long up to its end, and decodes the bytes after it.
     ///
     /// # Errors
     /// As [`Decoder::decode`].
@@ -94,7 +94,7 @@
         self.decode(&rest, events)
     }
 
-    /// Number of complete events and comments. A stream on which it does not grow makes no progress.
+    /// Number of complete events and comments. While this number does not grow, the stream makes no progress.
     pub fn completed(&self) -> u64 {
         self.completed
     }
@@ -104,7 +104,8 @@
         self.line.len() > MAX_EVENT_BYTES || data_bytes > MAX_EVENT_BYTES
     }
 
-    /// Keeps of a line only whether it is empty, which would end the event.
+    /// Shortens an overlong line to a placeholder that preserves whether the line is empty: an empty line
+    /// ends the event.
     fn shorten_line(&mut self) {
         let is_empty = self.line.iter().all(|byte| matches!(byte, b'\r' | b'\n'));
         self.line.clear();
@@ -126,7 +127,8 @@
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match name {
-            // A number that no feed reaches is ignored: every later event would count as a repeated one.
+            // A number above the maximum is ignored: if it were accepted, every later event would count as a
+            // repetition.
             ID_FIELD => self.id = value.parse().ok().filter(|number| *number <= MAX_EVENT_NUMBER),
             DATA_FIELD => match &mut self.data {
                 Some(data) => {
