--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -140,7 +140,7 @@
     match value.strip_prefix('$').and_then(|number| number.parse::<usize>().ok()) {
         Some(number) => {
             let parameter = parameters.get(number.wrapping_sub(1));
-            parameter.and_then(|parameter| parameter.plain.clone())
+            parameter.and_then(|parameter| parameter.text.clone())
         }
         None => Some(value.to_owned()),
     }
--- a/src/front/extended/statement_kind.rs
+++ b/src/front/extended/statement_kind.rs
@@ -2,7 +2,7 @@
 
 use super::statement_timeout;
 use crate::proto::pg::ErrorResponse;
-use crate::proto::tables::{self, token, Token};
+use crate::proto::tables::{self, first_token, Token};
 
 /// First words of the statements that are not supported.
 const UNSUPPORTED_STATEMENTS: [&str; 25] = [
@@ -67,7 +67,8 @@
     if tables::is_empty(statement) {
         return Ok(StatementKind::Empty);
     }
-    tables::single(statement).map_err(|several| ErrorResponse::new("0A000", several.to_string()))?;
+    tables::check_single_statement(statement)
+        .map_err(|error| ErrorResponse::new("0A000", error.to_string()))?;
     let tokens = first_tokens(statement);
     if let Some(setting) = parse_set(&tokens)? {
         return Ok(StatementKind::Set(setting));
@@ -85,7 +86,7 @@
 fn first_tokens(statement: &str) -> Vec<&str> {
     let mut rest = statement;
     let mut tokens = Vec::new();
-    while let Some((kind, length)) = token(rest) {
+    while let Some((kind, length)) = first_token(rest) {
         let (head, tail) = rest.split_at(length.min(rest.len()));
         let is_comment = kind == Token::Opaque && tables::is_comment(head);
         if kind != Token::Space && !is_comment && head != ";" && tokens.len() < MAX_TOKENS {
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -62,7 +62,8 @@
             return Err(ErrorResponse::new("08P01", "field query holds no statement behind its comment"));
         }
         // One request is one statement: it gets one answer, and one engine runs it.
-        tables::single(statement).map_err(|several| ErrorResponse::new("0A000", several.to_string()))?;
+        tables::check_single_statement(statement)
+            .map_err(|error| ErrorResponse::new("0A000", error.to_string()))?;
         Ok(Some((fields, statement)))
     }
 }
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -1,4 +1,5 @@
-//! The comment before a statement, which carries a request's fields: `/* name=value,name=value */ SELECT ...`.
+//! Reads the comment before a statement, which carries the request's fields:
+//! `/* name=value,name=value */ SELECT ...`.
 
 use super::pg::ErrorResponse;
 use thiserror::Error;
@@ -13,7 +14,7 @@
     pub const TIMEOUT: &str = "timeout";
     /// Name of the tenant.
     pub const TENANT: &str = "owner";
-    /// Marks a client's retry.
+    /// Whether the request is a client's retry.
     pub const RETRY: &str = "resent";
     /// The idempotency key.
     pub const IDEMPOTENCY_KEY: &str = "opkey";
@@ -23,7 +24,7 @@
     pub const MEMORY_MB: &str = "heap_mb";
 }
 
-/// Value of the field [`name::RETRY`].
+/// The only valid value of the field [`name::RETRY`].
 const IS_RETRY: &str = "1";
 /// Hexadecimal digits of a request's id.
 const ID_DIGITS: usize = 16;
@@ -36,10 +37,10 @@
 /// Maximum memory of an estimate, in MB: a hundred terabytes.
 const MAX_MEMORY_MB: f64 = 1e8;
 
-/// Why the fields of a statement cannot be used.
+/// Reason why the fields of a statement cannot be used.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FieldError {
-    /// The comment has no end.
+    /// The comment is not closed.
     #[error("field comment is not closed")]
     OpenComment,
     /// A field is given twice.
@@ -48,10 +49,11 @@
     /// The request's id is not 16 hexadecimal digits.
     #[error("field req is not 16 hex digits")]
     InvalidId,
-    /// The mark of a retry is not 1.
+    /// The value of [`name::RETRY`] is not 1.
     #[error("field resent is not 1")]
     InvalidRetry,
-    /// The idempotency key is empty, too long, or has characters that the engines' list of fields cannot hold.
+    /// The idempotency key is empty, too long, or has characters that the engines' list of fields cannot
+    /// hold.
     #[error("field opkey is not 1 to 128 plain characters")]
     InvalidKey,
     /// The field is not a number of milliseconds of at most a day.
@@ -60,9 +62,9 @@
     /// The field is not a number within its range.
     #[error("field {field} is not a number from 0 to {max:.0}")]
     OutOfRange {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The end of its range.
+        /// Maximum value of the field; the minimum is 0.
         max: f64,
     },
 }
@@ -84,7 +86,7 @@
     pub timeout_ms: Option<u64>,
     /// Name of the tenant.
     pub tenant: Option<String>,
-    /// It is a client's retry.
+    /// Whether the request is a client's retry.
     pub is_retry: bool,
     /// The idempotency key.
     pub idempotency_key: Option<String>,
@@ -94,14 +96,14 @@
     pub memory_mb: Option<f64>,
 }
 
-/// Divides a text into its first comment, if that holds fields, and the statement without it. Only white space may
-/// stand before the comment.
+/// Splits a text into its leading comment, empty unless it holds fields, and the statement after it. Only
+/// white space may precede the comment.
 ///
 /// # Errors
-/// Where the comment has no end.
+/// If the comment is not closed.
 pub fn split_comment(text: &str) -> Result<(&str, &str), FieldError> {
-    let start = text.trim_start();
-    let Some(rest) = start.strip_prefix("/*") else { return Ok(("", text)) };
+    let trimmed = text.trim_start();
+    let Some(rest) = trimmed.strip_prefix("/*") else { return Ok(("", text)) };
     let Some((comment, statement)) = rest.split_once("*/") else {
         return Err(FieldError::OpenComment);
     };
@@ -111,10 +113,10 @@
     Ok((comment, statement.trim_start()))
 }
 
-/// A text's fields, and its statement without their comment.
+/// Reads the fields of a text, and returns them with the statement after their comment.
 ///
 /// # Errors
-/// Where the fields cannot be used.
+/// If the comment is not closed, or a field is invalid or duplicated.
 pub fn split(text: &str) -> Result<(Fields, &str), FieldError> {
     let (comment, statement) = split_comment(text)?;
     Ok((read(pairs(comment))?, statement))
@@ -125,7 +127,8 @@
     comment.split(',').filter_map(|pair| pair.trim().split_once('='))
 }
 
-/// Whether a part of a comment is `name=value`, with no white space in the name. Other comments are no fields.
+/// Whether a part of a comment is `name=value`, with no white space in the name. A comment with any other
+/// part holds no fields.
 fn is_pair(part: &str) -> bool {
     let part = part.trim();
     let name = part.split_once('=').map_or("", |(name, _)| name);
@@ -135,15 +138,16 @@
 /// Reads names and values; unknown names are ignored.
 ///
 /// # Errors
-/// Where a value does not fit its field, or a field is given twice: it is unknown which of the two is meant.
+/// If a value is invalid for its field, or a field is given twice: which of the two values is meant is
+/// unknown.
 pub fn read<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Fields, FieldError> {
     let mut fields = Fields::default();
-    let mut seen = Vec::new();
+    let mut names_read = Vec::new();
     for (name, value) in pairs {
-        if seen.contains(&name) {
+        if names_read.contains(&name) {
             return Err(FieldError::Duplicate(name.to_owned()));
         }
-        seen.push(name);
+        names_read.push(name);
         match name {
             name::CLASS => fields.class = Some(value.to_owned()),
             name::REQUEST_ID => fields.request_id = Some(read_id(value)?),
@@ -166,11 +170,12 @@
     id.ok_or(FieldError::InvalidId)
 }
 
-/// Checks an idempotency key: it is forwarded in the engines' list of fields, which has no quotes.
+/// Checks an idempotency key. It is forwarded in the engines' list of fields, which has no quoting: the key
+/// must not hold the list's separators.
 fn read_key(value: &str) -> Result<String, FieldError> {
-    let has_length = (1..=MAX_KEY_CHARACTERS).contains(&value.len());
+    let has_valid_length = (1..=MAX_KEY_CHARACTERS).contains(&value.len());
     let is_plain = value.bytes().all(|byte| byte.is_ascii_graphic()) && !value.contains([',', '=']);
-    if has_length && is_plain {
+    if has_valid_length && is_plain {
         Ok(value.to_owned())
     } else {
         Err(FieldError::InvalidKey)
@@ -182,8 +187,8 @@
     millis.ok_or(FieldError::InvalidTimeout(field))
 }
 
-/// A number from 0 to `max`. Engines close a connection, with all that is in flight on it, on a number that they cannot
-/// use.
+/// Reads a number from 0 to `max`. An engine that receives a number it cannot use closes the connection, with
+/// all attempts in flight on it.
 fn read_amount(field: &'static str, value: &str, max: f64) -> Result<f64, FieldError> {
     let amount = value.parse::<f64>().ok().filter(|amount| (0.0..=max).contains(amount));
     amount.ok_or(FieldError::OutOfRange { field, max })
--- a/src/proto/literal/binary.rs
+++ b/src/proto/literal/binary.rs
@@ -1,6 +1,6 @@
-//! Values in PostgreSQL's binary format.
+//! Decodes values in PostgreSQL's binary format.
 
-use super::date::{date, timestamp};
+use super::date::{format_date, format_timestamp};
 use super::decode_text;
 use super::type_oid::{
     BOOL, BYTEA, DATE, FLOAT4, FLOAT8, INT2, INT4, INT8, OID, TEXT_TYPES, TIMESTAMP, TIMESTAMPTZ, UUID,
@@ -15,13 +15,13 @@
     let text = match oid {
         BOOL => decode_bool(bytes),
         INT2 | INT4 | INT8 | OID => decode_integer(oid, bytes).map(|integer| integer.to_string()),
-        FLOAT4 => sized(bytes).map(|bytes| f32::from_be_bytes(bytes).to_string()),
-        FLOAT8 => sized(bytes).map(|bytes| f64::from_be_bytes(bytes).to_string()),
-        BYTEA => Some(format!("\\x{}", hex(bytes))),
-        UUID => sized::<16>(bytes).map(|bytes| uuid(&bytes)),
-        DATE => decode_integer(oid, bytes).map(date_text),
-        TIMESTAMP => decode_integer(oid, bytes).map(|micros| timestamp_text(micros, "")),
-        TIMESTAMPTZ => decode_integer(oid, bytes).map(|micros| timestamp_text(micros, "+00")),
+        FLOAT4 => to_array(bytes).map(|bytes| f32::from_be_bytes(bytes).to_string()),
+        FLOAT8 => to_array(bytes).map(|bytes| f64::from_be_bytes(bytes).to_string()),
+        BYTEA => Some(format!("\\x{}", to_hex(bytes))),
+        UUID => to_array::<16>(bytes).map(|bytes| format_uuid(&bytes)),
+        DATE => decode_integer(oid, bytes).map(date_or_infinity),
+        TIMESTAMP => decode_integer(oid, bytes).map(|micros| timestamp_or_infinity(micros, "")),
+        TIMESTAMPTZ => decode_integer(oid, bytes).map(|micros| timestamp_or_infinity(micros, "+00")),
         _ => {
             let message = format!("field parameter ${number}: type {oid} is not understood in binary");
             return Err(ErrorResponse::new("0A000", message).hint("Bind it as text."));
@@ -33,7 +33,7 @@
     })
 }
 
-fn sized<const N: usize>(bytes: &[u8]) -> Option<[u8; N]> {
+fn to_array<const N: usize>(bytes: &[u8]) -> Option<[u8; N]> {
     bytes.try_into().ok()
 }
 
@@ -45,40 +45,40 @@
     }
 }
 
-/// An integer, or what is counted by one.
+/// Decodes an integer, the days of a date, or the microseconds of a timestamp.
 fn decode_integer(oid: u32, bytes: &[u8]) -> Option<i64> {
     match oid {
-        INT2 => sized(bytes).map(|bytes| i64::from(i16::from_be_bytes(bytes))),
-        INT4 | DATE => sized(bytes).map(|bytes| i64::from(i32::from_be_bytes(bytes))),
-        OID => sized(bytes).map(|bytes| i64::from(u32::from_be_bytes(bytes))),
-        _ => sized(bytes).map(i64::from_be_bytes),
+        INT2 => to_array(bytes).map(|bytes| i64::from(i16::from_be_bytes(bytes))),
+        INT4 | DATE => to_array(bytes).map(|bytes| i64::from(i32::from_be_bytes(bytes))),
+        OID => to_array(bytes).map(|bytes| i64::from(u32::from_be_bytes(bytes))),
+        _ => to_array(bytes).map(i64::from_be_bytes),
     }
 }
 
-fn date_text(days: i64) -> String {
+fn date_or_infinity(days: i64) -> String {
     if days == i64::from(i32::MAX) {
         "infinity".into()
     } else if days == i64::from(i32::MIN) {
         "-infinity".into()
     } else {
-        date(days)
+        format_date(days)
     }
 }
 
-fn timestamp_text(micros: i64, zone: &str) -> String {
+fn timestamp_or_infinity(micros: i64, zone: &str) -> String {
     match micros {
         i64::MAX => "infinity".into(),
         i64::MIN => "-infinity".into(),
-        micros => timestamp(micros, zone),
+        micros => format_timestamp(micros, zone),
     }
 }
 
-fn uuid(bytes: &[u8; 16]) -> String {
-    let digits = hex(bytes);
+fn format_uuid(bytes: &[u8; 16]) -> String {
+    let digits = to_hex(bytes);
     let groups = [&digits[..8], &digits[8..12], &digits[12..16], &digits[16..20], &digits[20..]];
     groups.join("-")
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/src/proto/literal/date.rs
+++ b/src/proto/literal/date.rs
@@ -1,17 +1,17 @@
-//! PostgreSQL's dates and timestamps as text.
+//! Formats PostgreSQL's dates and timestamps as text.
 
-/// Days from 1970-01-01 to 2000-01-01, where PostgreSQL's dates begin.
+/// Days from 1970-01-01 to 2000-01-01, the epoch of PostgreSQL's dates.
 const EPOCH_DAYS: i64 = 10_957;
-/// Days from 0000-03-01, where the years of the algorithm begin, to 1970-01-01.
+/// Days from 0000-03-01, the epoch of the algorithm, to 1970-01-01.
 const CIVIL_EPOCH_DAYS: i64 = 719_468;
-/// Days of 400 years.
+/// Days in 400 years.
 const ERA_DAYS: i64 = 146_097;
-/// Microseconds of a day.
+/// Microseconds in a day.
 const DAY_MICROS: i64 = 86_400_000_000;
 
-/// A day in the Gregorian calendar, counted from 2000-01-01 (Howard Hinnant, "chrono-Compatible Low-Level Date
-/// Algorithms", `civil_from_days`).
-pub(super) fn date(days: i64) -> String {
+/// Formats a day in the Gregorian calendar, counted from 2000-01-01 (Howard Hinnant, "chrono-Compatible
+/// Low-Level Date Algorithms", `civil_from_days`).
+pub(super) fn format_date(days: i64) -> String {
     let days = days + EPOCH_DAYS + CIVIL_EPOCH_DAYS;
     let era = days.div_euclid(ERA_DAYS);
     let day_of_era = days.rem_euclid(ERA_DAYS);
@@ -28,15 +28,16 @@
     }
 }
 
-/// A timestamp, counted in microseconds from 2000-01-01; `zone` is its offset from UTC as text.
-pub(super) fn timestamp(micros: i64, zone: &str) -> String {
-    let date = date(micros.div_euclid(DAY_MICROS));
-    let of_day = micros.rem_euclid(DAY_MICROS);
-    let seconds = of_day / 1_000_000;
-    let fraction = of_day % 1_000_000;
-    let clock = format!("{:02}:{:02}:{:02}.{fraction:06}", seconds / 3600, seconds / 60 % 60, seconds % 60);
+/// Formats a timestamp, counted in microseconds from 2000-01-01; `zone` is its offset from UTC as text.
+pub(super) fn format_timestamp(micros: i64, zone: &str) -> String {
+    let date = format_date(micros.div_euclid(DAY_MICROS));
+    let micros_of_day = micros.rem_euclid(DAY_MICROS);
+    let seconds = micros_of_day / 1_000_000;
+    let fraction = micros_of_day % 1_000_000;
+    let time_of_day =
+        format!("{:02}:{:02}:{:02}.{fraction:06}", seconds / 3600, seconds / 60 % 60, seconds % 60);
     match date.strip_suffix(" BC") {
-        Some(date) => format!("{date} {clock}{zone} BC"),
-        None => format!("{date} {clock}{zone}"),
+        Some(date) => format!("{date} {time_of_day}{zone} BC"),
+        None => format!("{date} {time_of_day}{zone}"),
     }
 }
--- a/src/proto/pg/backend.rs
+++ b/src/proto/pg/backend.rs
@@ -61,7 +61,8 @@
     output[length_start..length_start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends a string and its terminating zero byte. Zero bytes in the string are omitted: they would end it early.
+/// Appends a string and its terminating zero byte. Zero bytes in the string are omitted: they would end it
+/// early.
 fn write_text(output: &mut Vec<u8>, string: &str) {
     output.extend(string.bytes().filter(|byte| *byte != 0));
     output.push(0);
@@ -88,7 +89,8 @@
     });
 }
 
-/// Appends NegotiateProtocolVersion: the newest supported version is 3.0, and `unknown_options` are not recognized.
+/// Appends NegotiateProtocolVersion: the newest supported version is 3.0, and `unknown_options` are not
+/// recognized.
 pub fn write_negotiate_protocol_version(output: &mut Vec<u8>, unknown_options: &[&str]) {
     write_message(output, message_type::NEGOTIATE_PROTOCOL_VERSION, |body| {
         body.extend_from_slice(&[0; 4]);
@@ -120,8 +122,8 @@
 /// Type of PortalSuspended, for [`write_empty_message`].
 pub const PORTAL_SUSPENDED: u8 = b's';
 
-/// Appends RowDescription of `columns` text columns named c1, c2 and so on. `formats` holds no format code (all columns
-/// are sent as text), one for all columns, or one per column.
+/// Appends RowDescription of `columns` text columns named c1, c2 and so on. `formats` holds no format code
+/// (all columns are sent as text), one for all columns, or one per column.
 pub fn write_row_description(output: &mut Vec<u8>, columns: usize, formats: &[u16]) {
     write_message(output, message_type::ROW_DESCRIPTION, |body| {
         body.extend_from_slice(&(columns as u16).to_be_bytes());
--- a/src/proto/pg/message.rs
+++ b/src/proto/pg/message.rs
@@ -117,7 +117,8 @@
     bytes.first() == Some(&message_type::QUERY)
 }
 
-/// Reads one message from the front of `bytes`, and returns it with its length; `None` if more bytes are needed.
+/// Reads one message from the front of `bytes`, and returns it with its length; `None` if more bytes are
+/// needed.
 ///
 /// # Errors
 /// If the message is malformed, or its length field is `limit` or more.
--- a/src/proto/pg/mod.rs
+++ b/src/proto/pg/mod.rs
@@ -1,4 +1,5 @@
-//! The clients' protocol: PostgreSQL's frontend/backend protocol, version 3.0 ("Message Formats" in its documentation).
+//! The clients' protocol: PostgreSQL's frontend/backend protocol, version 3.0 ("Message Formats" in its
+//! documentation).
 
 mod backend;
 mod cursor;
--- a/src/proto/pg/startup_packet.rs
+++ b/src/proto/pg/startup_packet.rs
@@ -40,7 +40,8 @@
     },
 }
 
-/// Reads a start-up packet from the front of `bytes`, and returns it with its length; `None` if more bytes are needed.
+/// Reads a start-up packet from the front of `bytes`, and returns it with its length; `None` if more bytes
+/// are needed.
 ///
 /// # Errors
 /// If the bytes are not a start-up packet of protocol version 3.
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -1,5 +1,5 @@
-//! The group of tables that a statement reads or writes, which is the number after the underscore in the name of its
-//! schema; and whether a text holds one statement.
+//! Finds the group of tables that a statement reads or writes (the number after the underscore in the name of
+//! its schema), and checks that a text holds only one statement.
 
 use sprucelink_query_fingerprint::facts::data_set;
 use sprucelink_query_fingerprint::lex::{self, TokenKind};
@@ -15,18 +15,18 @@
 pub enum Token {
     /// A name, bare or in double quotes.
     Name,
-    /// A string or a comment, whose text has no meaning here.
+    /// A string or a comment; its text is not interpreted.
     Opaque,
-    /// `$1` and the like.
+    /// A parameter, such as `$1`.
     Parameter,
     /// A number, an operator, or any other single character.
-    Mark,
+    Other,
     /// White space.
     Space,
 }
 
 /// The first token of a statement and its length in bytes; `None` at the end.
-pub fn token(text: &str) -> Option<(Token, usize)> {
+pub fn first_token(text: &str) -> Option<(Token, usize)> {
     let token = lex::token(text, 0)?;
     let kind = match token.kind {
         TokenKind::Word | TokenKind::Quoted => Token::Name,
@@ -34,7 +34,7 @@
         TokenKind::Blank if text.starts_with(['-', '/']) => Token::Opaque,
         TokenKind::Blank => Token::Space,
         TokenKind::Parameter => Token::Parameter,
-        TokenKind::Number | TokenKind::Operator | TokenKind::Mark => Token::Mark,
+        TokenKind::Number | TokenKind::Operator | TokenKind::Mark => Token::Other,
     };
     Some((kind, token.end))
 }
@@ -42,24 +42,24 @@
 /// Keywords that are followed by the name of a table.
 const TABLE_KEYWORDS: [&str; 8] = ["from", "into", "update", "join", "table", "copy", "only", "using"];
 
-/// The group of tables of a statement, 0 if no schema in it has a number. A schema that follows `FROM`, `INTO` and the
-/// like has precedence over any other, which may be a table's alias.
+/// The group of tables of a statement, 0 if no schema in it has a number. A name that follows one of
+/// [`TABLE_KEYWORDS`] is certainly a schema and has precedence; any other may be a table's alias.
 pub fn group(statement: &str) -> u64 {
     let mut rest = statement;
     let mut fallback = None;
-    // The last name, unless it followed a dot, and whether a word of `TABLE_KEYWORDS` preceded it.
+    // The last name, unless it followed a dot, and whether it followed one of `TABLE_KEYWORDS`.
     let mut schema: Option<(&str, bool)> = None;
     let mut is_table_next = false;
-    let mut is_after_point = false;
-    while let Some((kind, length)) = token(rest) {
+    let mut is_after_dot = false;
+    while let Some((kind, length)) = first_token(rest) {
         let Some(text) = rest.get(..length) else { return fallback.unwrap_or(0) };
         rest = &rest[length..];
         match kind {
             Token::Space | Token::Opaque => {}
             Token::Name => {
                 let name = text.trim_matches('"');
-                schema = (!is_after_point).then_some((name, is_table_next));
-                is_after_point = false;
+                schema = (!is_after_dot).then_some((name, is_table_next));
+                is_after_dot = false;
                 is_table_next = TABLE_KEYWORDS.iter().any(|word| word.eq_ignore_ascii_case(name));
             }
             _ if text == "." => {
@@ -68,12 +68,12 @@
                     Some((group, false)) => fallback = fallback.or(Some(group)),
                     None => {}
                 }
-                is_after_point = true;
+                is_after_dot = true;
                 is_table_next = false;
             }
             _ => {
                 schema = None;
-                is_after_point = false;
+                is_after_dot = false;
                 is_table_next = false;
             }
         }
@@ -81,14 +81,15 @@
     fallback.unwrap_or(0)
 }
 
-/// Checks that a text holds at most one statement. Text behind a semicolon is another statement, unless it is empty.
+/// Checks that a text holds at most one statement. Text after a semicolon counts as another statement unless
+/// it is empty (see [`is_empty`]).
 ///
 /// # Errors
-/// If it holds more than one.
-pub fn single(mut text: &str) -> Result<(), SeveralStatements> {
-    while let Some((kind, length)) = token(text) {
+/// If the text holds more than one statement.
+pub fn check_single_statement(mut text: &str) -> Result<(), SeveralStatements> {
+    while let Some((kind, length)) = first_token(text) {
         let (head, tail) = text.split_at_checked(length).unwrap_or((text, ""));
-        if head == ";" && kind == Token::Mark && !is_empty(tail) {
+        if head == ";" && kind == Token::Other && !is_empty(tail) {
             return Err(SeveralStatements);
         }
         text = tail;
@@ -98,7 +99,7 @@
 
 /// Whether a text holds no statement, but only white space, comments and semicolons.
 pub fn is_empty(mut text: &str) -> bool {
-    while let Some((kind, length)) = token(text) {
+    while let Some((kind, length)) = first_token(text) {
         let (Some(head), Some(rest)) = (text.get(..length), text.get(length..)) else { return false };
         let is_ignored = match kind {
             Token::Space => true,
@@ -113,7 +114,7 @@
     true
 }
 
-/// Whether an opaque token is a comment, and not a string.
+/// Whether an opaque token is a comment rather than a string.
 pub fn is_comment(token: &str) -> bool {
     token.starts_with("--") || token.starts_with("/*")
 }
