--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -11,10 +11,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// Pause after an accept that failed because no descriptor or memory was free, or after several other failures.
+/// Delay after an accept that failed because no descriptor or memory was free, or after several other
+/// failures.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Consecutive failed accepts before a connection is evicted to free a descriptor or memory: another process may free them
-/// first.
+/// Consecutive failed accepts before a connection is evicted to free a descriptor or memory. Another process
+/// may free them first.
 const FAILURES_BEFORE_EVICTION: u32 = 5;
 /// Consecutive failed accepts after which a closing front abandons the connections in its queue: about 0.5 s.
 const FAILURES_BEFORE_GIVING_UP: u32 = 25;
@@ -39,11 +40,11 @@
 }
 
 impl Front {
-    /// Accepts connections until the front is closed, and then those that are in the listener's queue already.
+    /// Accepts connections until the front is closed, and then those that are already in the listener's
+    /// queue.
     pub async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         let mut last_logged = None;
-        // Consecutive failed accepts.
-        let mut failures = 0;
+        let mut consecutive_failures = 0;
         loop {
             let state_changed = self.state_changed.notified();
             let is_paused = self.is_paused.get();
@@ -56,16 +57,16 @@
                 biased;
                 accepted = listener.accept(), if has_capacity && !is_paused => match accepted {
                     Ok((stream, _)) => {
-                        failures = 0;
+                        consecutive_failures = 0;
                         self.spawn_connection(stream).await;
                     }
                     Err(error) => {
                         log_accept_error(&mut last_logged, &error);
-                        failures += 1;
-                        if self.is_closing.get() && failures >= FAILURES_BEFORE_GIVING_UP {
+                        consecutive_failures += 1;
+                        if self.is_closing.get() && consecutive_failures >= FAILURES_BEFORE_GIVING_UP {
                             return;
                         }
-                        self.wait_after_failure(&error, failures).await;
+                        self.wait_after_failure(&error, consecutive_failures).await;
                     }
                 },
                 () = self.descriptor_released.notified(), if !has_capacity => {}
@@ -85,16 +86,16 @@
         }
     }
 
-    /// Waits after an accept has failed. If no descriptor or memory is free for long, a connection is evicted: the process
-    /// has fewer descriptors than it was configured for, and only those of clients can be closed.
-    async fn wait_after_failure(&self, error: &io::Error, failures: u32) {
-        if !is_out_of_resources(error) && failures < FAILURES_BEFORE_EVICTION {
+    /// Waits after an accept has failed. If no descriptor or memory becomes free, a connection is evicted:
+    /// the process has fewer descriptors than it was configured for, and only those of clients can be closed.
+    async fn wait_after_failure(&self, error: &io::Error, consecutive_failures: u32) {
+        if !is_out_of_resources(error) && consecutive_failures < FAILURES_BEFORE_EVICTION {
             // The new connection failed before it was accepted: the next one may succeed.
             return tokio::task::yield_now().await;
         }
         // The connections that were accepted last run first: they may release their descriptors.
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
-        if !is_out_of_resources(error) || failures < FAILURES_BEFORE_EVICTION {
+        if !is_out_of_resources(error) || consecutive_failures < FAILURES_BEFORE_EVICTION {
             return;
         }
         self.sessionless.evict_one();
--- a/src/front/cancel_signal.rs
+++ b/src/front/cancel_signal.rs
@@ -1,11 +1,11 @@
-//! The effect of CancelRequests on a session.
+//! Delivers CancelRequests to sessions.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A session's cancel signal. A CancelRequest that arrives while a request is open, or is received and unread, cancels
-/// that request. Otherwise it has no effect, and must not cancel a later request.
+/// A session's cancel signal. A CancelRequest that arrives while a request is open, or has been received but
+/// not read, cancels that request. Otherwise it has no effect, and must not cancel a later request.
 #[derive(Debug)]
 pub struct CancelSignal {
     /// The secret key of BackendKeyData.
@@ -15,12 +15,12 @@
 }
 
 impl CancelSignal {
-    /// The signal of a session whose BackendKeyData holds this secret key.
+    /// Creates the signal of a session whose BackendKeyData holds this secret key.
     pub(super) fn new(secret: u32) -> Rc<CancelSignal> {
         Rc::new(CancelSignal { secret, is_requested: Cell::new(false), requested: Notify::new() })
     }
 
-    /// A CancelRequest arrived; it is ignored if its key is wrong.
+    /// Records a CancelRequest; one with a wrong key is ignored.
     pub(super) fn request(&self, secret: u32) {
         if self.secret == secret {
             self.is_requested.set(true);
@@ -28,14 +28,14 @@
         }
     }
 
-    /// Completes when there is a CancelRequest that was not taken.
+    /// Completes when there is a CancelRequest that has not been taken.
     pub(super) async fn requested(&self) {
         while !self.is_requested.get() {
             self.requested.notified().await;
         }
     }
 
-    /// Takes the CancelRequest, if there is one: it has no further effect.
+    /// Takes the CancelRequest, so that it has no further effect; false if there is none.
     pub(super) fn take(&self) -> bool {
         self.is_requested.replace(false)
     }
--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -2,12 +2,12 @@
 
 use sprucelink_time::TimeDelta;
 
-/// A request class, as far as the fronts need to know it.
+/// The settings of a request class that the fronts use.
 #[derive(Clone, Debug)]
 pub struct ClassConfig {
     /// The name that a request gives in its field `kind`.
     pub name: String,
-    /// Requests of this class carry an idempotency key.
+    /// Whether requests of this class carry an idempotency key.
     pub has_idempotency_key: bool,
     /// How long a client waits when neither its request nor its session sets a time-out.
     pub default_timeout: TimeDelta,
@@ -16,29 +16,31 @@
 /// Configuration of one front.
 #[derive(Clone, Debug)]
 pub struct FrontConfig {
-    /// Request classes, by their index.
+    /// Request classes; the position is the class's index in the core.
     pub classes: Vec<ClassConfig>,
-    /// Names of the tenants, by their index.
+    /// Names of the tenants; the position is the tenant's index in the core.
     pub tenants: Vec<String>,
     /// Maximum number of connections that hold a slot and have not been evicted.
     pub max_sessions: usize,
-    /// Maximum number of evicted connections, beyond `max_sessions`, that still finish what they had begun.
+    /// Maximum number of evicted connections, beyond `max_sessions`, that still complete a request or message
+    /// they had begun.
     pub max_evicted: usize,
-    /// Maximum number of connections without a slot: those in the handshake, those that cancel a request, and those
-    /// that are being closed.
+    /// Maximum number of connections without a slot: those in the handshake, those that cancel a request, and
+    /// those that are being closed.
     pub max_sessionless: usize,
-    /// Accepts the extended query protocol and session settings, and generates request ids (the operator's front).
+    /// Whether the front accepts the extended query protocol and session settings, and generates request ids
+    /// (the operator's front).
     pub extended: bool,
-    /// Sessions without TLS are rejected.
+    /// Whether sessions without TLS are rejected.
     pub require_tls: bool,
-    /// Class of a statement that names none.
+    /// Class of a statement that names none; such a statement is rejected if this is `None`.
     pub default_class: Option<String>,
-    /// Tenant of a statement that names none.
+    /// Tenant of a statement that names none; the first tenant if this is `None`.
     pub default_tenant: Option<String>,
 }
 
 impl FrontConfig {
-    /// Maximum number of descriptors that the connections of the front hold; no connection is accepted beyond it.
+    /// Maximum number of descriptors that the front's connections hold; no connection is accepted beyond it.
     pub fn max_connections(&self) -> usize {
         self.max_sessions.saturating_add(self.max_evicted).saturating_add(self.max_sessionless)
     }
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection from accept to close: start-up, TLS, the slot for its session, and the final error.
+//! One client's connection from accept to close: start-up, TLS, the slot for its session, and the final
+//! error.
 
 use super::accept::OpenConnection;
 use super::client_connection::{ClientConnection, LingerTimeouts};
@@ -23,26 +24,27 @@
 
 /// Maximum duration of the TLS handshake, which takes some round trips and a signature.
 const TLS_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a new connection waits for the slot of one that has sent no request, before a session that has is evicted.
+/// How long a new connection waits for the slot of a connection that has sent no request. After that, a
+/// session that has sent requests is evicted.
 const SLOT_WAIT: TimeDelta = TimeDelta::from_millis(500);
 /// How long a connection lingers after its final message.
 const LINGER: LingerTimeouts =
     LingerTimeouts { total: Duration::from_secs(4), idle: Duration::from_millis(500) };
-/// How long a connection lingers after its final message where many are closed at a time: input that the client sent
-/// before it saw the end arrives within 50 ms.
+/// How long a connection lingers after its final message where many are closed at a time: input that the
+/// client sent before it saw the end arrives within 50 ms.
 const SHORT_LINGER: LingerTimeouts =
     LingerTimeouts { total: Duration::from_millis(200), idle: Duration::from_millis(50) };
-/// Time after which a written answer counts as delivered: a reset of its connection loses nothing.
+/// Time after which a written answer counts as delivered: a later reset of its connection loses nothing.
 const ANSWER_DELIVERY_TIME: TimeDelta = TimeDelta::from_millis(200);
-/// Longest time for writing a final message; it is dropped then.
+/// Maximum time for writing a final message; after it the message is dropped.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Front {
     /// Serves a connection to its end.
     pub(super) async fn handle_connection(self: Rc<Self>, stream: TcpStream, _open: OpenConnection) {
         let mut connection = self.buffered(Socket::new(stream));
-        // A CancelRequest needs no slot, and must get through when all are in use: so the first packet of a connection
-        // is read even if there is no slot for it.
+        // A CancelRequest needs no slot, and must get through when all are in use: so the first packet of a
+        // connection is read even if there is no slot for it.
         let slot = self.slots.acquire(EvictionScope::WithoutRequest);
         let guard =
             slot.map_or_else(|| self.enter_sessionless(SessionlessPhase::Handshaking), ConnectionGuard::Slot);
@@ -69,7 +71,7 @@
         match outcome {
             StartupOutcome::Session(start) => self.run_session(connection, start, guard).await,
             StartupOutcome::Close(error) => self.close_connection(connection, error, guard).await,
-            // TLS inside of TLS is never agreed to.
+            // A TLS handshake within TLS is never accepted.
             StartupOutcome::StartTls(_) => {}
         }
     }
@@ -100,14 +102,14 @@
                 }
             },
         };
-        // An error here is one of the connection, which has ended.
+        // An error means that the connection has ended.
         if let Ok(error) = session::serve(Rc::clone(self), &mut connection, start, &slot).await {
             self.close_connection(connection, error, ConnectionGuard::Slot(slot)).await;
         }
     }
 
-    /// Acquires a slot for a connection that asked for a session; `None` if there is none. A session that has sent
-    /// requests is evicted for it only if no other connection can be, or after [`SLOT_WAIT`].
+    /// Acquires a slot for a connection that asked for a session; `None` if there is none. A session that has
+    /// sent requests is evicted for it only if no other connection can be, or after [`SLOT_WAIT`].
     async fn acquire_slot(&self, sessionless: &SessionlessConnection) -> Option<ConnectionSlot> {
         let deadline = now() + SLOT_WAIT;
         loop {
@@ -120,8 +122,8 @@
             }
             let evictable_in = self.slots.time_until_evictable();
             let remaining = deadline - now();
-            let is_hopeless = evictable_in.is_none() && !self.slots.is_at_hard_limit();
-            if remaining <= TimeDelta::ZERO || is_hopeless {
+            let is_wait_useless = evictable_in.is_none() && !self.slots.is_at_hard_limit();
+            if remaining <= TimeDelta::ZERO || is_wait_useless {
                 return self.slots.acquire(EvictionScope::WithoutOpenRequest);
             }
             let wait = evictable_in.map_or(remaining, |evictable_in| evictable_in.min(remaining));
@@ -141,7 +143,8 @@
         guard: ConnectionGuard,
     ) {
         if error.is_none() && guard.idle_time().is_some_and(|idle| idle >= ANSWER_DELIVERY_TIME) {
-            // A request that arrives now must stay unread: its client then sends it again on another connection.
+            // A request that arrives now must stay unread: its client then sends it again on another
+            // connection.
             drop(timeout(FINAL_WRITE_TIMEOUT, connection.close_unread()).await);
             return;
         }
@@ -166,9 +169,9 @@
         }
     }
 
-    /// The guard of a connection while it is closed, and how long it may linger. Its slot is released at once if there
-    /// is capacity among the connections without one, where it can be evicted; else it keeps the slot for a shorter
-    /// time.
+    /// Returns the guard of a connection while it is closed, and how long it may linger. If there is capacity
+    /// among the connections without a slot, where it can be evicted, its slot is released at once; otherwise
+    /// it keeps the slot and lingers for a shorter time.
     fn guard_for_closing(&self, guard: ConnectionGuard) -> (ConnectionGuard, LingerTimeouts) {
         match guard {
             // No new connection needs its descriptor any more.
@@ -186,7 +189,8 @@
     }
 }
 
-/// The server's side of a TLS handshake; `None` if it fails, takes too long, or the connection is evicted.
+/// Runs the server's side of a TLS handshake; `None` if it fails, takes too long, or the connection is
+/// evicted.
 async fn accept_tls<S: AsyncRead + AsyncWrite + Unpin>(
     acceptor: &TlsAcceptor,
     stream: S,
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -1,13 +1,13 @@
 //! Slots for sessions, and the choice of the connection that is evicted when all of them are in use.
 //!
-//! Connections that have not sent a start-up packet are evicted first, then sessions that have never sent a request,
-//! then the session that has been idle for longest. A connection whose request is executing is never evicted. A new
-//! connection is rejected only when none can be evicted for it. Without eviction, clients that connect and stay idle
-//! would lock out all others.
+//! Connections that have not sent a start-up packet are evicted first, then sessions that have never sent a
+//! request, then the session that has been idle for longest. A connection whose request is executing is never
+//! evicted. A new connection is rejected only when none can be evicted for it. Without eviction, clients that
+//! connect and stay idle would lock out all others.
 //!
 //! Every connection holds either a [`ConnectionSlot`] or a
-//! [`SessionlessConnection`](super::sessionless::SessionlessConnection). Both are bounded, and so is the number of
-//! descriptors that clients hold.
+//! [`SessionlessConnection`](super::sessionless::SessionlessConnection). Both are bounded, and so is the
+//! number of descriptors that clients hold.
 
 use crate::core::now;
 use sprucelink_time::{TimeDelta, Timestamp};
@@ -17,29 +17,29 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// How long a connection is protected from eviction after it was accepted, before the first request of its session, or
-/// within a message: its next bytes are probably on their way.
+/// How long a connection is protected from eviction after it was accepted, before the first request of its
+/// session, or within a message: its next bytes are probably on their way.
 const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
 /// Which connections may be evicted for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionScope {
-    /// Those of which no request has been admitted.
+    /// Connections of which no request has been admitted.
     WithoutRequest,
-    /// Also sessions of which requests have been admitted, if none is open.
+    /// Also sessions of which requests have been admitted, if no request is open.
     WithoutOpenRequest,
 }
 
 /// What a connection that holds a slot is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlotActivity {
-    /// It has not started a session.
+    /// The connection has not started a session.
     Handshaking,
-    /// Its session has no open request.
+    /// The session has no open request.
     Idle,
-    /// Its session has received a part of a message.
+    /// The session has received a part of a message.
     ReceivingMessage,
-    /// Its session has an open request.
+    /// The session has an open request.
     Executing,
 }
 
@@ -47,9 +47,9 @@
 #[derive(Debug)]
 struct SlotState {
     activity: Cell<SlotActivity>,
-    /// When `activity` last changed.
-    since: Cell<Timestamp>,
-    /// A request of the session has been admitted.
+    /// Time at which `activity` last changed.
+    activity_since: Cell<Timestamp>,
+    /// Whether a request of the session has been admitted.
     has_requested: Cell<bool>,
     is_evicted: Cell<bool>,
     evicted: Notify,
@@ -59,7 +59,7 @@
     fn new() -> SlotState {
         SlotState {
             activity: Cell::new(SlotActivity::Handshaking),
-            since: Cell::new(now()),
+            activity_since: Cell::new(now()),
             has_requested: Cell::new(false),
             is_evicted: Cell::new(false),
             evicted: Notify::new(),
@@ -71,10 +71,10 @@
         self.evicted.notify_one();
     }
 
-    /// Whether the connection can be evicted now; a session only if `may_evict_idle`.
+    /// Whether the connection can be evicted now. Sessions can be evicted only if `may_evict_idle`.
     fn is_evictable(&self, scope: EvictionScope, may_evict_idle: bool) -> bool {
         let may_evict_served = scope == EvictionScope::WithoutOpenRequest;
-        let in_grace = now() - self.since.get() <= EVICTION_GRACE;
+        let in_grace = now() - self.activity_since.get() <= EVICTION_GRACE;
         match self.activity.get() {
             _ if self.is_evicted.get() => false,
             SlotActivity::Handshaking => !in_grace,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether the connection becomes evictable for any newcomer once its grace period is over.
+    /// Whether the connection becomes evictable for any new connection once its grace period is over.
     fn is_evictable_after_grace(&self, may_evict_idle: bool) -> bool {
         match self.activity.get() {
             _ if self.is_evicted.get() => false,
@@ -119,11 +119,11 @@
     max_evicted: usize,
     /// Notified when a slot is released.
     released: Notify,
-    /// Idle sessions can be evicted: they have no state that their clients would lose.
+    /// Whether idle sessions can be evicted, since they have no state that their clients would lose.
     may_evict_idle: bool,
 }
 
-/// A slot in use; dropping it releases it.
+/// A slot in use; it is released on drop.
 #[derive(Debug)]
 pub struct ConnectionSlot {
     slots: Rc<ConnectionSlots>,
@@ -132,7 +132,7 @@
 }
 
 impl ConnectionSlots {
-    /// `max_slots` slots, and `max_evicted` more that only evicted connections can make use of.
+    /// Creates `max_slots` slots, and `max_evicted` more that only evicted connections can occupy.
     pub fn new(max_slots: usize, max_evicted: usize, may_evict_idle: bool) -> Rc<ConnectionSlots> {
         Rc::new(ConnectionSlots {
             states: RefCell::default(),
@@ -144,8 +144,8 @@
         })
     }
 
-    /// Acquires a slot, evicting another connection if necessary; `None` if none can be evicted or too many evicted
-    /// connections are still open.
+    /// Acquires a slot, evicting another connection if necessary; `None` if none can be evicted or too many
+    /// evicted connections are still open.
     pub fn acquire(self: &Rc<Self>, scope: EvictionScope) -> Option<ConnectionSlot> {
         // An evicted session completes the request it has begun, and holds its descriptor until then.
         if self.is_at_hard_limit() {
@@ -161,7 +161,7 @@
         Some(ConnectionSlot { slots: Rc::clone(self), number, state })
     }
 
-    /// Whether all slots are in use, with those that only evicted connections can make use of.
+    /// Whether all slots are in use, including those that only evicted connections can occupy.
     pub fn is_at_hard_limit(&self) -> bool {
         self.occupied() >= self.max_slots.saturating_add(self.max_evicted)
     }
@@ -171,22 +171,22 @@
         self.released.notified()
     }
 
-    /// Evicts the best candidate; false if there is none.
+    /// Evicts the connection with the lowest eviction rank; false if no connection can be evicted.
     pub fn evict_one(&self, scope: EvictionScope) -> bool {
         let states = self.states.borrow();
         let candidate = states
             .values()
             .filter(|state| state.is_evictable(scope, self.may_evict_idle))
-            .min_by_key(|state| (state.eviction_rank(), state.since.get()));
+            .min_by_key(|state| (state.eviction_rank(), state.activity_since.get()));
         candidate.inspect(|state| state.evict()).is_some()
     }
 
-    /// Time until the next connection without a request becomes evictable, zero if one is now; `None` if there is no
-    /// such connection.
+    /// Time until the next connection without a request becomes evictable, zero if one is now; `None` if
+    /// there is no such connection.
     pub fn time_until_evictable(&self) -> Option<TimeDelta> {
         let states = self.states.borrow();
         let candidates = states.values().filter(|state| state.is_evictable_after_grace(self.may_evict_idle));
-        let remaining = candidates.map(|state| state.since.get() + EVICTION_GRACE - now()).min();
+        let remaining = candidates.map(|state| state.activity_since.get() + EVICTION_GRACE - now()).min();
         remaining.map(|remaining| remaining.max(TimeDelta::ZERO))
     }
 
@@ -196,14 +196,14 @@
             // A message that has begun to arrive is still answered, and the session ends after the answer.
             let is_busy =
                 matches!(state.activity.get(), SlotActivity::Executing | SlotActivity::ReceivingMessage);
-            let is_idle = !is_busy && now() - state.since.get() >= min_idle;
+            let is_idle = !is_busy && now() - state.activity_since.get() >= min_idle;
             if is_idle && !state.is_evicted.get() {
                 state.evict();
             }
         }
     }
 
-    /// Number of slots in use, with those of evicted connections.
+    /// Number of slots in use, including those of evicted connections.
     pub fn occupied(&self) -> usize {
         self.states.borrow().len()
     }
@@ -215,28 +215,29 @@
 }
 
 impl ConnectionSlot {
-    /// The session has an open request, or has none.
+    /// Records whether the session has an open request.
     pub fn set_executing(&self, is_executing: bool) {
         self.set_activity(if is_executing { SlotActivity::Executing } else { SlotActivity::Idle });
     }
 
-    /// The session has received a part of its next message.
+    /// Records that the session has received a part of its next message.
     pub fn set_receiving(&self) {
         self.set_activity(SlotActivity::ReceivingMessage);
     }
 
-    /// A request of the session has been admitted.
+    /// Records that a request of the session has been admitted.
     pub fn record_request(&self) {
         self.state.has_requested.set(true);
     }
 
-    /// How long the session has had no open request; `None` where it has one, or has received a part of a message.
+    /// How long the session has had no open request; `None` if it has one, or has received a part of a
+    /// message.
     pub fn idle_time(&self) -> Option<TimeDelta> {
         let is_idle = self.state.activity.get() == SlotActivity::Idle;
-        is_idle.then(|| now() - self.state.since.get())
+        is_idle.then(|| now() - self.state.activity_since.get())
     }
 
-    /// Whether the connection has been evicted. Requests that arrived before are still answered.
+    /// Whether the connection has been evicted. Requests that arrived before the eviction are still answered.
     pub fn is_evicted(&self) -> bool {
         self.state.is_evicted.get()
     }
@@ -248,7 +249,7 @@
 
     fn set_activity(&self, activity: SlotActivity) {
         if self.state.activity.replace(activity) != activity {
-            self.state.since.set(now());
+            self.state.activity_since.set(now());
         }
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,7 +1,8 @@
-//! The fronts: what clients connect to.
+//! The fronts, which accept the clients' connections and run their sessions.
 //!
-//! Both fronts submit their requests to the same core. The platform's front speaks simple queries; the operator's front
-//! (`extended`) also speaks the extended query protocol, generates request ids, and knows session settings.
+//! Both fronts submit their requests to the same core. The platform's front speaks simple queries; the
+//! operator's front (`extended`) also speaks the extended query protocol, generates request ids, and supports
+//! session settings.
 //!
 //! A connection runs through `accept`, `connection`, `startup` and `session`, in that order.
 
@@ -37,35 +38,36 @@
 
 pub use config::{ClassConfig, FrontConfig};
 
-/// Buffers that an `extended` session may read ahead, beyond one: its clients write complete batches before they read. The
-/// platform's clients write one query at a time, for which one buffer is enough.
+/// Buffers that a session of an `extended` front may read ahead, in addition to its input buffer: its clients
+/// write complete batches before they read. The platform's clients write one query at a time, for which the
+/// input buffer is enough.
 const MAX_READ_AHEAD_BUFFERS: usize = 15;
-/// The read-ahead of all sessions takes at most the pool's buffers divided by this.
+/// The sessions of a front together read ahead at most the number of buffers in the pool divided by this.
 const READ_AHEAD_POOL_DIVISOR: usize = 8;
 
-/// One front.
+/// A front: it accepts clients' connections, runs their sessions, and submits their requests to the core.
 pub struct Front {
-    /// The core that its requests are submitted to.
+    /// Core that the front submits requests to.
     pub core: Rc<Core>,
-    /// Its configuration.
+    /// Configuration of the front.
     pub config: FrontConfig,
-    /// The sessions' cancel signals, by the process id that BackendKeyData gave.
+    /// Cancel signals of the sessions, by the process id in BackendKeyData.
     sessions: RefCell<BTreeMap<u32, Rc<CancelSignal>>>,
     session_ends: SessionEndCounters,
     slots: Rc<ConnectionSlots>,
     sessionless: Rc<SessionlessConnections>,
     read_ahead: Rc<ReadAheadBudget>,
-    /// Connections whose descriptors are open.
+    /// Number of connections whose descriptors are open.
     open_connections: Cell<usize>,
-    /// Notified when a descriptor was closed, or its connection became one that can be evicted for another.
+    /// Notified when a descriptor is closed, or its connection can now be evicted for another.
     descriptor_released: Notify,
-    /// Connections that are being closed.
+    /// Number of connections that are being closed.
     closing_connections: Cell<usize>,
     open_requests: Cell<usize>,
     is_closing: Cell<bool>,
-    /// Connections are left in the listener's queue, for another process to accept.
+    /// Whether connections are left in the listener's queue, for another process to accept.
     is_paused: Cell<bool>,
-    /// Sessions end after their next answer.
+    /// Whether sessions end after their next answer.
     end_after_answer: Cell<bool>,
     /// Notified when `is_closing` or `is_paused` changes.
     state_changed: Notify,
@@ -73,7 +75,7 @@
 }
 
 impl Front {
-    /// A front that submits its requests to `core`.
+    /// Creates a front that submits its requests to `core`.
     pub fn new(core: Rc<Core>, config: FrontConfig) -> Rc<Front> {
         let max_buffers = if config.extended { MAX_READ_AHEAD_BUFFERS } else { 0 };
         let total_buffers = core.pool().max_buffers() / READ_AHEAD_POOL_DIVISOR;
@@ -97,27 +99,27 @@
         })
     }
 
-    /// Accepts connections, or leaves them in the listener's queue.
+    /// Sets whether connections are accepted or left in the listener's queue.
     pub fn set_accepting(&self, is_accepting: bool) {
         if self.is_paused.replace(!is_accepting) == is_accepting {
             self.state_changed.notify_waiters();
         }
     }
 
-    /// Ends the sessions that have had no open request for `min_idle`, and the others after their next answer: the end
-    /// follows the answer directly, before their clients can send another request.
+    /// Ends the sessions that have had no open request for `min_idle`, and the others after their next
+    /// answer. A session ends directly after its answer, before its client can send another request.
     pub fn drain_sessions(&self, min_idle: TimeDelta) {
         self.end_after_answer.set(true);
         self.slots.evict_idle(min_idle);
     }
 
-    /// Accepts no more connections, and ends each session as soon as it has no open request.
+    /// Stops accepting connections, and ends each session as soon as it has no open request.
     pub fn close(&self) {
         self.is_closing.set(true);
         self.state_changed.notify_waiters();
     }
 
-    /// New sessions use this certificate from now on.
+    /// Sets the certificate for the TLS handshakes that begin from now on.
     pub fn set_certificate(&self, acceptor: TlsAcceptor) {
         self.tls.replace(Some(acceptor));
     }
@@ -127,8 +129,8 @@
         self.slots.occupied()
     }
 
-    /// Number of connections whose final message is written and whose client has not closed them. If the process
-    /// stopped now they would be reset, and the message might be lost.
+    /// Number of connections that are being closed: their final message may not have arrived yet. If the
+    /// process stopped now, they would be reset and the message might be lost.
     pub fn closing_connections(&self) -> usize {
         self.closing_connections.get()
     }
--- a/src/front/session_end.rs
+++ b/src/front/session_end.rs
@@ -1,4 +1,4 @@
-//! Why sessions end: the reason of each end is counted and logged.
+//! Reasons why sessions end, which are counted and logged.
 
 use crate::core::invariants::Invariant;
 use crate::core::Core;
@@ -8,7 +8,7 @@
 use std::io;
 use tracing::debug;
 
-/// Why a session ends.
+/// Reason why a session ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SessionEndReason {
     /// The client closed its side, or sent Terminate.
@@ -19,9 +19,9 @@
     Evicted,
     /// The process stops.
     Stopping,
-    /// A message that cannot be read.
+    /// A message could not be read.
     Malformed,
-    /// A message that did not become complete in time.
+    /// A message was not complete in time.
     TimedOut,
     /// The client sent more than may be buffered.
     Overrun,
@@ -39,7 +39,7 @@
         SessionEndReason::Overrun,
     ];
 
-    /// The name of its counter, rendered as `edge.NAME`.
+    /// Name of the reason's counter, rendered as `edge.NAME`.
     fn counter_name(self) -> &'static str {
         match self {
             SessionEndReason::ClientClosed => "sessions.ended.client_closed",
@@ -56,19 +56,19 @@
 /// The end of a session.
 #[derive(Debug)]
 pub(super) struct SessionEnd {
-    /// Why the session ends.
+    /// Reason why the session ends.
     pub(super) reason: SessionEndReason,
-    /// The final message, if there is one.
+    /// The final error for the client, if there is one.
     pub(super) error: Option<ErrorResponse>,
 }
 
 impl SessionEnd {
-    /// An end without a final message.
+    /// An end without a final error.
     pub(super) fn silent(reason: SessionEndReason) -> SessionEnd {
         SessionEnd { reason, error: None }
     }
 
-    /// An end with a final message.
+    /// An end with a final error.
     pub(super) fn with_error(reason: SessionEndReason, error: ErrorResponse) -> SessionEnd {
         SessionEnd { reason, error: Some(error) }
     }
@@ -78,7 +78,7 @@
 pub(super) struct SessionEndCounters(BTreeMap<SessionEndReason, Counter>);
 
 impl SessionEndCounters {
-    /// Counters in these metrics.
+    /// Creates one counter per reason in `metrics`.
     pub(super) fn new(metrics: &Metrics) -> SessionEndCounters {
         let counter = |reason: &SessionEndReason| {
             let counter = metrics.counter(reason.counter_name());
@@ -87,7 +87,7 @@
         SessionEndCounters(SessionEndReason::ALL.iter().map(counter).collect())
     }
 
-    /// A session ended.
+    /// Counts and logs the end of a session.
     pub(super) fn record(&self, process_id: u32, reason: SessionEndReason) {
         if let Some(counter) = self.0.get(&reason) {
             counter.increment(1);
@@ -96,7 +96,8 @@
     }
 }
 
-/// Checks that a session with an open request ends by an error only where its client is unreachable.
+/// Checks that a session with an open request fails only if its client is unreachable, and otherwise records
+/// a violation of [`Invariant::ClosedUnanswered`].
 pub(super) fn check_request_end(core: &Core, process_id: u32, error: &io::Error) {
     if !is_client_unreachable(error) {
         let detail = format!("session {process_id}: {error}");
--- a/src/front/sessionless.rs
+++ b/src/front/sessionless.rs
@@ -1,8 +1,8 @@
-//! Connections without a session slot: new ones, whose first packet may be a CancelRequest that needs none, and those
-//! that are being closed with a final error.
+//! Connections without a session slot: new ones, whose first packet may be a CancelRequest that needs none,
+//! and those that are being closed with a final error.
 //!
-//! When their number exceeds its maximum one of them is closed: first those that are being closed anyway, and among
-//! equals the oldest.
+//! When their number exceeds its maximum, one of them is evicted: first those that are already being closed,
+//! and within a phase the oldest.
 
 use super::connection_slots::ConnectionSlot;
 use sprucelink_time::TimeDelta;
@@ -14,9 +14,9 @@
 /// What a connection without a slot is doing. The order is the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SessionlessPhase {
-    /// It is being closed; its final error may still be on its way.
+    /// The connection is being closed; its final error may not have arrived yet.
     Closing,
-    /// It has not sent its start-up packet, or waits for a slot.
+    /// The connection has not sent its start-up packet, or waits for a slot.
     Handshaking,
 }
 
@@ -34,7 +34,7 @@
     evicted: CancellationToken,
 }
 
-/// One connection's entry; dropping it removes it.
+/// Entry of one connection; it is removed on drop.
 #[derive(Debug)]
 pub struct SessionlessConnection {
     connections: Rc<SessionlessConnections>,
@@ -43,7 +43,7 @@
 }
 
 impl SessionlessConnections {
-    /// Entries for at most `max_connections`, at least one.
+    /// Creates a table of at most `max_connections` entries, at least one.
     pub fn new(max_connections: usize) -> Rc<SessionlessConnections> {
         Rc::new(SessionlessConnections {
             states: RefCell::default(),
@@ -64,12 +64,12 @@
         SessionlessConnection { connections: Rc::clone(self), number, state }
     }
 
-    /// Whether one more can enter without an eviction.
+    /// Whether one more connection can be added without an eviction.
     pub fn has_capacity(&self) -> bool {
         self.states.borrow().len() < self.max_connections
     }
 
-    /// Evicts the best candidate; false if there is no connection.
+    /// Evicts the connection that is first in the order of eviction; false if there is no connection.
     pub fn evict_one(&self) -> bool {
         let mut states = self.states.borrow_mut();
         let candidate = states.iter().min_by_key(|(number, state)| (state.phase.get(), **number));
@@ -81,7 +81,7 @@
 }
 
 impl SessionlessConnection {
-    /// The connection is being closed from now on.
+    /// Records that the connection is being closed.
     pub fn set_closing(&self) {
         self.state.phase.set(SessionlessPhase::Closing);
     }
@@ -91,7 +91,7 @@
         self.state.evicted.is_cancelled()
     }
 
-    /// Completes when the connection is evicted, or has been.
+    /// Completes when the connection has been evicted.
     pub async fn evicted(&self) {
         self.state.evicted.cancelled().await;
     }
@@ -103,7 +103,8 @@
     }
 }
 
-/// Counts a connection against its limit: every connection has one of the two.
+/// Counts a connection against its limit: every connection holds either a slot or an entry among those
+/// without one.
 #[derive(Debug)]
 pub enum ConnectionGuard {
     /// A slot for a session.
@@ -121,7 +122,8 @@
         }
     }
 
-    /// How long the connection's session has had no open request; `None` where it has one, or there is no session.
+    /// How long the connection's session has had no open request; `None` if it has one, or there is no
+    /// session.
     pub fn idle_time(&self) -> Option<TimeDelta> {
         match self {
             ConnectionGuard::Slot(slot) => slot.idle_time(),
--- a/src/front/sessionless/tests.rs
+++ b/src/front/sessionless/tests.rs
@@ -1,13 +1,13 @@
-//! Which connection without a slot is evicted.
+//! Tests of the order in which connections without a slot are evicted.
 
 use super::SessionlessPhase::{Closing, Handshaking};
 use super::*;
 
-/// Connections that linger after their final error must not take the room of CancelRequests and of new connections.
+/// Connections that linger after their final error must not displace CancelRequests and new connections.
 #[test]
 fn closing_connections_are_evicted_before_the_oldest_in_handshake() {
     let connections = SessionlessConnections::new(3);
-    // Each with the one that is evicted for it.
+    // The phase of each new connection, and the index of the connection that is evicted for it.
     let entries = [
         (Handshaking, None),
         (Handshaking, None),
@@ -31,7 +31,7 @@
     assert!(held[6].is_evicted() && !held[3].is_evicted() && !held[4].is_evicted());
     drop(held.remove(3));
     let _newest = connections.enter(Handshaking);
-    assert!(!held[3].is_evicted(), "there was room");
+    assert!(!held[3].is_evicted(), "no eviction was necessary");
     assert!(connections.evict_one() && connections.evict_one() && connections.evict_one());
     assert!(!connections.evict_one());
 }
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -1,5 +1,5 @@
-//! The packets before a session: SSLRequest, GSSENCRequest, CancelRequest and StartupMessage (PostgreSQL, "Message
-//! Flow", "Start-up").
+//! Handles the packets before a session: SSLRequest, GSSENCRequest, CancelRequest and StartupMessage
+//! (PostgreSQL, "Message Flow", "Start-up").
 
 use super::client_connection::ClientConnection;
 use super::client_error::{incomplete_in_time, too_many_sessions};
@@ -12,18 +12,19 @@
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 
-/// Longest time until a connection starts its session; it is closed then. The platform requires an answer within 3 s.
+/// Maximum time until a connection starts its session; after it the connection is closed. The platform
+/// requires an answer within 3 s.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Answer to an SSLRequest that is accepted.
 const ENCRYPTION_ACCEPTED: u8 = b'S';
 /// Answer to a request for encryption that is not offered.
 const ENCRYPTION_REJECTED: u8 = b'N';
 
-/// A StartupMessage.
+/// The content of a StartupMessage.
 pub struct SessionStart {
     /// The minor version of the protocol that the client asks for.
     pub minor: u16,
-    /// Names and values of the parameters.
+    /// Names and values of the start-up parameters.
     pub parameters: Vec<(String, String)>,
 }
 
@@ -36,13 +37,13 @@
     Tls,
 }
 
-/// How the packets before a session end.
+/// Outcome of the packets before a session.
 pub(super) enum StartupOutcome {
-    /// A session.
+    /// The client starts a session.
     Session(SessionStart),
-    /// A TLS handshake.
+    /// A TLS handshake follows.
     StartTls(TlsAcceptor),
-    /// The end of the connection, after an error if there is one.
+    /// The connection is closed, after an error if there is one.
     Close(Option<ErrorResponse>),
 }
 
@@ -127,8 +128,8 @@
     }
 }
 
-/// Accepts an SSLRequest. Bytes that arrive before the handshake are rejected: an attacker could have injected
-/// them, and they would be read as if they had been encrypted.
+/// Accepts an SSLRequest. Bytes that arrive before the handshake are rejected: an attacker could have
+/// injected them, and they would be read as if they had been encrypted.
 async fn accept_tls_request<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut ClientConnection<S>,
     acceptor: TlsAcceptor,
