--- a/src/front/read_ahead.rs
+++ b/src/front/read_ahead.rs
@@ -1,4 +1,5 @@
-//! Buffers for what clients send while their request is open, with a bound for each session and one for all.
+//! Buffers for the bytes that clients send while their request is open, with a limit per session and one for
+//! all sessions.
 
 use crate::core::buffer_pool::{Buffer, BufferPool, BUFFER_BYTES};
 use std::cell::Cell;
@@ -9,29 +10,29 @@
 pub struct ReadAheadBudget {
     /// Maximum number of buffers of one session.
     max_buffers: usize,
-    /// Buffers that are left for all sessions.
+    /// Number of buffers that are free for all sessions.
     free_buffers: Cell<usize>,
 }
 
-/// Which bound a session has exceeded.
+/// Limit that a session has exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAheadOverrun {
-    /// Its own.
+    /// The limit of a single session.
     Session,
-    /// That of all sessions, or of the buffer pool.
+    /// The limit of all sessions, or of the buffer pool.
     Shared,
 }
 
-/// A buffer of bytes that were read ahead; dropping it returns it to the budget.
+/// A buffer of bytes that were read ahead; it is returned to the budget on drop.
 pub(super) struct ReadAheadBuffer {
     pub(super) buffer: Buffer,
-    /// Number of bytes at its front that have moved on to the input.
+    /// Number of bytes at the front of the buffer that were moved to the input.
     pub(super) promoted: usize,
     budget: Rc<ReadAheadBudget>,
 }
 
 impl ReadAheadBudget {
-    /// `max_buffers` for one session, `total_buffers` for all of them.
+    /// Creates a budget of `max_buffers` per session and `total_buffers` for all sessions.
     pub fn new(max_buffers: usize, total_buffers: usize) -> Rc<ReadAheadBudget> {
         Rc::new(ReadAheadBudget { max_buffers, free_buffers: Cell::new(total_buffers) })
     }
@@ -41,10 +42,10 @@
         BUFFER_BYTES * (1 + self.max_buffers)
     }
 
-    /// One more buffer for a session that has `session_buffers`.
+    /// Allocates one more buffer for a session that has `session_buffers`.
     ///
     /// # Errors
-    /// The bound that it would exceed.
+    /// The limit that the buffer would exceed.
     pub(super) fn allocate(
         self: &Rc<Self>,
         pool: &BufferPool,
@@ -71,7 +72,7 @@
         self.buffer.has_capacity(1)
     }
 
-    /// The bytes that have not moved on to the input.
+    /// The bytes that were not moved to the input.
     pub(super) fn pending(&self) -> &[u8] {
         &self.buffer[self.promoted..]
     }
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -13,15 +13,15 @@
 
 /// A statement that a session submits.
 pub(super) struct Submission<'a> {
-    /// The fields of its comment.
+    /// Fields of the statement's comment.
     pub(super) fields: &'a Fields,
-    /// Its text without them.
+    /// Text of the statement without the comment.
     pub(super) statement: &'a str,
-    /// When its time-out begins.
+    /// Time at which the statement's time-out begins.
     pub(super) started: Timestamp,
     /// The session's time-out in milliseconds, if it has one.
     pub(super) session_timeout_ms: Option<u64>,
-    /// Its client cancelled it before it was submitted.
+    /// Whether the client cancelled the statement before it was submitted.
     pub(super) is_cancelled: bool,
 }
 
@@ -29,8 +29,8 @@
     /// Submits a statement to the core.
     ///
     /// # Errors
-    /// The error for the client: a field is missing or wrong, the client cancelled the request, the statement is too long,
-    /// no buffer is free, or the request id is in use.
+    /// The error for the client: a field is missing or wrong, the client cancelled the request, the statement
+    /// is too long, no buffer is free, or the request id is in use.
     pub(super) fn submit(&self, submission: Submission<'_>) -> Result<RequestHandle, ErrorResponse> {
         let Submission { fields, statement, started, session_timeout_ms, is_cancelled } = submission;
         let class = self.class_index(fields)?;
@@ -87,8 +87,9 @@
         fields.request_id.ok_or_else(|| invalid_field("req", "is missing"))
     }
 
-    /// The idempotency key, for classes that carry one. Without one the platform's clients are rejected: a client's
-    /// retry could not be distinguished from a new request and would run twice; the `extended` front generates one.
+    /// The idempotency key, for classes that carry one. A request without one is rejected on the platform's
+    /// front, since a client's retry could not be distinguished from a new request and would run twice. The
+    /// `extended` front generates one.
     fn idempotency_key(&self, fields: &Fields, class: &ClassConfig) -> Result<Option<String>, ErrorResponse> {
         if !class.has_idempotency_key {
             return Ok(None);
--- a/src/front/result_rows.rs
+++ b/src/front/result_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of a result as DataRow messages.
+//! Writes rows of a result as DataRow messages.
 
 use super::client_connection::ClientConnection;
 use crate::core::result_buffer::{ResultSet, RowPosition};
@@ -8,7 +8,7 @@
 
 pub(super) use crate::proto::engine_answer::COLUMNS;
 
-/// The rows of one answer.
+/// The rows that were written in one answer.
 pub(super) struct WrittenRows {
     /// Number of rows that were written.
     pub(super) count: u64,
@@ -16,10 +16,10 @@
     pub(super) next: Option<RowPosition>,
 }
 
-/// Writes rows from `position` on, at most `max_rows` of them (0: all).
+/// Writes rows from `position` on, at most `max_rows` of them (0 means all).
 ///
 /// # Errors
-/// Those of the connection.
+/// An error of the connection.
 pub(super) async fn write_rows<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut ClientConnection<S>,
     result: &ResultSet,
