--- a/src/front/client_connection/input.rs
+++ b/src/front/client_connection/input.rs
@@ -1,4 +1,4 @@
-//! Reading from a client.
+//! Reads input from a client.
 
 use super::{ClientConnection, ReadAheadOverrun};
 use crate::core::buffer_pool::BUFFER_BYTES;
@@ -10,24 +10,25 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::task::{coop::consume_budget, yield_now};
 
-/// Bytes of one read, into a buffer on the stack; most messages are shorter.
+/// Maximum number of bytes of one read, into a buffer on the stack; most messages are shorter.
 pub(super) const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Bytes that are read for one client before it yields to other tasks, so that a flood does not delay them.
+/// Maximum number of bytes that are read for one client before its task yields, so that a flood does not
+/// delay other tasks.
 const MAX_BYTES_PER_TURN: usize = 128 * 1024;
-/// Bytes that may be discarded behind open requests. Beyond it the session is ended together with its open request:
-/// otherwise a client that never stops writing would keep the session for ever.
+/// Maximum number of bytes that are discarded after open requests. Beyond it the session is ended together
+/// with its open request: otherwise a client that never stops writing would keep the session forever.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    /// Whether more bytes were discarded than any session may send behind its open requests.
+    /// Whether more bytes were discarded than a session may send after its open requests.
     pub fn is_flooding(&self) -> bool {
         self.discarded_bytes > MAX_DISCARDED_BYTES
     }
 
-    /// Reads what is available and fits the input; 0 at the end of the stream.
+    /// Reads the available bytes that fit the input, and returns their number; 0 at the end of the stream.
     ///
     /// # Errors
-    /// Those of the stream, which has ended then; and `StorageFull` if the input is full.
+    /// An error of the stream, which has then ended; or `StorageFull` if the input is full.
     pub async fn fill(&mut self) -> io::Result<usize> {
         self.yield_if_due().await;
         poll_fn(|context| match self.free_input_bytes() {
@@ -37,24 +38,27 @@
         .await
     }
 
-    /// Reads on while a request is open; 0 at the end of the stream. What exceeds the read-ahead bounds is discarded,
-    /// so that the end of the stream is noticed whatever precedes it.
+    /// Reads ahead while a request is open, and returns the number of bytes; 0 at the end of the stream.
+    /// Bytes beyond the read-ahead limits are discarded, so that the end of the stream is noticed whatever
+    /// precedes it.
     ///
     /// # Errors
-    /// Those of the stream, which has ended then.
+    /// An error of the stream, which has then ended.
     pub async fn read_ahead(&mut self) -> io::Result<usize> {
         self.yield_if_due().await;
         poll_fn(|context| self.poll_read(context, READ_CHUNK_BYTES)).await
     }
 
-    /// Reads ahead all bytes that are available, without waiting for more; whether the stream has ended, or floods.
+    /// Reads ahead all bytes that are available, without waiting for more; returns whether the stream has
+    /// ended or the client is flooding.
     ///
     /// # Errors
-    /// Those of the stream, which has ended then.
+    /// An error of the stream, which has then ended.
     pub async fn read_available(&mut self) -> io::Result<bool> {
         while !self.is_at_end && !self.is_flooding() {
             self.yield_if_due().await;
-            // Without budget the runtime reports that no bytes are available, even if there are some.
+            // Without cooperative budget the runtime reports that no bytes are available, even if there are
+            // some.
             consume_budget().await;
             match poll_fn(|context| Poll::Ready(self.poll_read(context, READ_CHUNK_BYTES))).await {
                 Poll::Ready(read) => drop(read?),
@@ -64,10 +68,11 @@
         Ok(true)
     }
 
-    /// Reads what is available and fits the input, without waiting; whether the stream is known to have ended.
+    /// Reads the available bytes that fit the input, without waiting; returns whether the stream is known to
+    /// have ended.
     ///
     /// # Errors
-    /// Those of the stream, which has ended then.
+    /// An error of the stream, which has then ended.
     pub async fn probe_end(&mut self) -> io::Result<bool> {
         while !self.is_at_end && self.overrun.is_none() && self.free_input_bytes() > 0 {
             match poll_fn(|context| Poll::Ready(self.poll_read(context, self.free_input_bytes()))).await {
@@ -78,7 +83,8 @@
         Ok(self.is_at_end)
     }
 
-    /// Number of bytes that fit the input; 0 while bytes that were read ahead are to follow it.
+    /// Number of bytes that fit the input; 0 while there are bytes that were read ahead, which must follow
+    /// the input in order.
     fn free_input_bytes(&self) -> usize {
         if self.read_ahead.is_empty() {
             BUFFER_BYTES.saturating_sub(self.input().len())
@@ -114,8 +120,8 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Stores what was read, within the bounds. After a discarded byte all later ones are discarded: a message must not be
-    /// assembled from parts that were not adjacent.
+    /// Stores bytes that were read, within the limits. After a discarded byte all later ones are discarded: a
+    /// message must not be assembled from parts that were not adjacent.
     fn store(&mut self, mut bytes: &[u8]) {
         if bytes.is_empty() || self.overrun.is_some() {
             self.discarded_bytes += bytes.len();
--- a/src/front/client_connection/mod.rs
+++ b/src/front/client_connection/mod.rs
@@ -1,8 +1,9 @@
 //! A client's connection with its buffers, which are taken from the pool only while they hold bytes.
 //!
-//! Reading never pauses while a request is open or an answer is written: the end of the stream, which cancels the
-//! request, may follow further input. Input that is read ahead is buffered up to a bound. Beyond it bytes are discarded,
-//! only to notice the end of the stream; the session then ends after the messages that are buffered completely.
+//! Reading never pauses while a request is open or an answer is written: the end of the stream, which cancels
+//! the request, may follow further input. Input that is read ahead is buffered up to a bound. Beyond it bytes
+//! are discarded, so that the end of the stream is still noticed; the session then ends after the messages
+//! that are buffered completely.
 
 mod arrivals;
 mod input;
@@ -24,23 +25,23 @@
     stream: S,
     pool: BufferPool,
     input: Option<Buffer>,
-    /// Number of bytes at the front of `input` that are consumed.
+    /// Number of consumed bytes at the front of `input`.
     consumed: usize,
     /// Input that follows `input`, in order.
     read_ahead: VecDeque<ReadAheadBuffer>,
     budget: Rc<ReadAheadBudget>,
     overrun: Option<ReadAheadOverrun>,
     discarded_bytes: usize,
-    /// The end of the stream was read, or an error of it.
+    /// Whether the stream has ended or failed.
     is_at_end: bool,
-    /// Bytes that were read since this connection last yielded to other tasks.
+    /// Number of bytes that were read since this connection last yielded to other tasks.
     bytes_this_turn: usize,
     output: Option<Buffer>,
     arrivals: Arrivals,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    /// A connection from which nothing was read.
+    /// Creates a connection from whose stream nothing was read.
     pub fn new(stream: S, pool: BufferPool, budget: Rc<ReadAheadBudget>) -> ClientConnection<S> {
         ClientConnection {
             stream,
@@ -63,14 +64,14 @@
         self.stream
     }
 
-    /// Input that is not consumed, as far as it is in the input buffer.
+    /// The unconsumed bytes of the input buffer.
     pub fn input(&self) -> &[u8] {
         self.input.as_ref().map_or(&[], |buffer| &buffer[self.consumed..])
     }
 
-    /// When the last consumed byte arrived: the arrival of the message that is being answered.
+    /// Time at which the last consumed byte arrived, and so the message that is being answered.
     pub fn arrived(&self) -> Timestamp {
-        self.arrivals.of_consumed()
+        self.arrivals.last_consumed_arrival()
     }
 
     /// Consumes `count` bytes of the input.
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Moves what was read ahead to the input, as far as it fits; whether any did.
+    /// Moves bytes that were read ahead to the input, as many as fit; returns whether any were moved.
     pub fn promote_read_ahead(&mut self) -> bool {
         let mut has_promoted = false;
         while let Some(mut ahead) = self.read_ahead.pop_front() {
@@ -99,7 +100,8 @@
         has_promoted
     }
 
-    /// Which bound was exceeded, if bytes were discarded. All buffered bytes were read before the discarded ones.
+    /// The limit that was exceeded, if bytes were discarded. All buffered bytes were read before the
+    /// discarded ones.
     pub fn overrun(&self) -> Option<ReadAheadOverrun> {
         self.overrun
     }
--- a/src/front/client_connection/output.rs
+++ b/src/front/client_connection/output.rs
@@ -1,4 +1,4 @@
-//! Writing to a client, and the end of its connection.
+//! Writes output to a client, and closes its connection.
 
 use super::input::READ_CHUNK_BYTES;
 use super::ClientConnection;
@@ -10,18 +10,20 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Longest time in which a client accepts no bytes; it is disconnected then, since its answer takes memory.
+/// Maximum time in which a client accepts no bytes; after it the client is disconnected, since its answer
+/// occupies memory.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum number of bytes that are read and discarded after the final message, so that no client is read for ever.
+/// Maximum number of bytes that are read and discarded after the final message, so that no client is read
+/// forever.
 const MAX_LINGER_BYTES: usize = 64 << 20;
-/// Bytes of one read while lingering.
+/// Maximum number of bytes of one read while lingering.
 const LINGER_CHUNK_BYTES: usize = 32 * 1024;
 
-/// How long a connection lingers after its final message. A socket that is closed with unread input sends a reset,
-/// which may destroy the message where the client writes before it reads.
+/// How long a connection lingers after its final message. A socket that is closed with unread input sends a
+/// reset, which may destroy the message if the client writes before it reads.
 #[derive(Clone, Copy, Debug)]
 pub struct LingerTimeouts {
-    /// Maximum time in all.
+    /// Maximum total time.
     pub total: Duration,
     /// Maximum time without any input.
     pub idle: Duration,
@@ -33,11 +35,11 @@
         self.output.get_or_insert_with(|| self.pool.get_beyond_limit())
     }
 
-    /// Writes all output, and reads ahead while the write has to wait: if the client closes its side meanwhile, its next
-    /// request must not be admitted.
+    /// Writes all output, and reads ahead while the write has to wait: if the client closes its side
+    /// meanwhile, its next request must not be admitted.
     ///
     /// # Errors
-    /// Those of the stream; and a client that accepts no bytes for 10 s.
+    /// An error of the stream; or `TimedOut` if the client accepts no bytes for 10 s.
     pub async fn flush(&mut self) -> io::Result<()> {
         let Some(output) = self.output.take() else { return Ok(()) };
         let mut rest = &output[..];
@@ -56,7 +58,7 @@
         timeout(WRITE_TIMEOUT, self.stream.flush()).await?
     }
 
-    /// Ensures that `count` more bytes fit the output, by a flush if necessary.
+    /// Ensures that `count` more bytes fit the output, and flushes it if necessary.
     ///
     /// # Errors
     /// As [`ClientConnection::flush`].
@@ -67,17 +69,17 @@
         self.flush().await
     }
 
-    /// Closes the connection without reading further input. To be used only where no final message could be lost by a
-    /// reset.
+    /// Closes the connection without reading further input. To be used only where no final message could be
+    /// lost by a reset.
     ///
     /// # Errors
-    /// Those of the stream, which has ended then.
+    /// An error of the stream, which has then ended.
     pub async fn close_unread(mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// Closes the connection so that its final message arrives: closes the writing half, and discards further input,
-    /// within bounds.
+    /// Closes the connection so that its final message arrives: closes the writing half, and discards further
+    /// input, within bounds.
     pub async fn close(mut self, linger: LingerTimeouts) {
         self.input = None;
         self.read_ahead.clear();
@@ -98,7 +100,7 @@
         Ok(())
     }
 
-    /// Writes some bytes (`Some`), or reads available input where none can be written (`None`).
+    /// Writes some bytes (`Some`), or reads available input if none can be written (`None`).
     fn poll_write(&mut self, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<Option<usize>>> {
         if let Poll::Ready(written) = Pin::new(&mut self.stream).poll_write(context, bytes) {
             return Poll::Ready(written.map(Some));
