--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -44,7 +44,8 @@
         SessionObjects { statement_timeout_ms, ..SessionObjects::default() }
     }
 
-    /// Handles a message of the extended query protocol, and answers it in `reply`; what needs an engine is returned as an action.
+    /// Handles a message of the extended query protocol, and answers it in `reply`; what needs an engine is
+    /// returned as an action.
     ///
     /// # Errors
     /// The error for the client.
@@ -88,8 +89,8 @@
         Ok(ExtendedAction::None)
     }
 
-    /// Answers a simple query that needs no engine; false for one that does. As the protocol demands it, a simple query
-    /// closes the unnamed statement and portal.
+    /// Answers a simple query that needs no engine; false for one that does. As the protocol demands it, a
+    /// simple query closes the unnamed statement and portal.
     ///
     /// # Errors
     /// For a statement that is not supported.
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -147,8 +147,8 @@
 }
 
 impl Portal {
-    /// Its fields; without the idempotency key of the text where that has served a request: engines would drop the
-    /// next request as a duplicate of it.
+    /// Its fields; without the idempotency key of the text where that has served a request: engines would
+    /// drop the next request as a duplicate of it.
     ///
     /// # Errors
     /// Where a value does not fit its field.
@@ -171,8 +171,8 @@
         self.statement.len()
     }
 
-    /// Takes the rows that are left. A portal that has not been run stays ready: it can be executed again after a
-    /// rejection.
+    /// Takes the rows that are left. A portal that has not been run stays ready: it can be executed again
+    /// after a rejection.
     pub(crate) fn take_state(&mut self) -> PortalState {
         match self.state {
             PortalState::Ready => PortalState::Ready,
--- a/src/front/extended/statement_kind.rs
+++ b/src/front/extended/statement_kind.rs
@@ -101,8 +101,8 @@
     tokens.get(index).map_or(String::new(), |token| token.to_ascii_lowercase())
 }
 
-/// The effect of `SET [SESSION] name { = | TO } value`; `None` for a setting that is not supported, or another
-/// statement.
+/// The effect of `SET [SESSION] name { = | TO } value`; `None` for a setting that is not supported, or
+/// another statement.
 fn parse_set(tokens: &[&str]) -> Result<Option<Setting>, ErrorResponse> {
     if lower_case(tokens, 0) != "set" {
         return Ok(None);
--- a/src/front/session/error.rs
+++ b/src/front/session/error.rs
@@ -1,11 +1,11 @@
-//! Why the handling of a message stops early.
+//! Errors that stop the handling of a message.
 
 use crate::front::session_end::SessionEnd;
 use crate::proto::pg::ErrorResponse;
 use std::io;
 use thiserror::Error;
 
-/// Why the handling of a message stops early.
+/// Reason why the handling of a message stops early.
 #[derive(Debug, Error)]
 pub(super) enum MessageError {
     /// The client gets the error as its answer, and the session continues.
--- a/src/front/session/execute.rs
+++ b/src/front/session/execute.rs
@@ -1,4 +1,4 @@
-//! Execute messages: running a portal, with a row limit if there is one.
+//! Handles Execute messages, which run a portal, with an optional row limit.
 
 use super::error::MessageError;
 use super::state::{session_ended, Session};
@@ -13,7 +13,7 @@
 use crate::proto::pg;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Bytes of output that CommandComplete or PortalSuspended needs at most.
+/// Maximum number of output bytes of CommandComplete or PortalSuspended.
 const COMPLETION_BYTES: usize = 64;
 
 impl Session<'_> {
@@ -38,7 +38,7 @@
             StatementKind::Query => {}
         }
         let is_cancelled = self.cancel.take();
-        let Some((result, position)) = self.result_of(connection, name, is_cancelled).await? else {
+        let Some((result, position)) = self.portal_result(connection, name, is_cancelled).await? else {
             pg::write_command_complete(connection.output(), "SELECT 0");
             return Ok(());
         };
@@ -52,9 +52,9 @@
         Ok(())
     }
 
-    /// A portal's result and the position of the next row to send, from an engine where the portal has not been run;
-    /// `None` if all rows have been sent.
-    async fn result_of<S: AsyncRead + AsyncWrite + Unpin>(
+    /// Returns a portal's result and the position of the next row to send; `None` if all rows have been sent.
+    /// A portal that has not been run is first executed by an engine.
+    async fn portal_result<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
         name: &str,
@@ -71,8 +71,8 @@
             PortalState::Ready => {}
         }
         let fields = portal.fields()?;
-        // A time-out in the fields counts from when the client sent the message. Any other counts from the start of
-        // this execution, whatever precedes it in the batch.
+        // A time-out in the fields counts from the arrival of the message. Any other time-out counts from the
+        // start of this execution, so that earlier messages of the batch do not shorten it.
         let started = if fields.timeout_ms.is_some() { connection.arrived() } else { now() };
         if connection.read_available().await? {
             return Err(session_ended(connection));
--- a/src/front/session/input.rs
+++ b/src/front/session/input.rs
@@ -1,4 +1,4 @@
-//! How a session waits for its next message.
+//! Waits for a session's next message.
 
 use super::state::{Session, SessionFlow};
 use crate::front::client_connection::ClientConnection;
@@ -11,11 +11,11 @@
 use tokio::task::coop::consume_budget;
 use tokio::time::{sleep_until, Instant};
 
-/// Longest time from a message's first byte until it is complete. The platform requires an answer within 3 s.
+/// Maximum time from a message's first byte until it is complete. The platform requires an answer within 3 s.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Session<'_> {
-    /// Provides more input: what was read ahead, or else what the client sends next.
+    /// Provides more input: bytes that were read ahead, or else the next bytes from the client.
     pub(super) async fn await_input<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
@@ -33,7 +33,7 @@
             self.partial_since = None;
             let has_answered = std::mem::take(&mut self.has_answered);
             let ends_after_answer = has_answered && self.front.end_after_answer.get();
-            // No request is open here, and the client may send the next one to another connection.
+            // No request is open here, and the client can send its next one on another connection.
             if self.slot.is_evicted() || ends_after_answer {
                 return Ok(SessionFlow::End(SessionEnd::silent(SessionEndReason::Evicted)));
             }
@@ -52,8 +52,8 @@
         let state_changed = self.front.state_changed.notified();
         let ends_now = self.front.is_closing.get() && connection.input().is_empty();
         tokio::select! {
-            // Available input is read first: it was accepted and must be answered, even if the process was not scheduled
-            // for so long that by now it is to stop or the slot is evicted.
+            // Available input is read first: it was accepted and must be answered, even if the process was
+            // not scheduled for so long that the stop or the eviction of the slot is already due.
             biased;
             read = connection.fill() => {
                 Ok(match read? {
@@ -63,7 +63,7 @@
             }
             () = std::future::ready(()), if ends_now => Ok(self.end_for_stop()),
             () = state_changed => Ok(SessionFlow::Continue),
-            // An incomplete message does not keep an evicted connection's slot.
+            // An incomplete message does not let an evicted connection keep its slot.
             () = self.slot.evicted(), if deadline.is_some() => {
                 let error = too_many_sessions();
                 Ok(SessionFlow::End(SessionEnd::with_error(SessionEndReason::Evicted, error)))
@@ -77,16 +77,17 @@
         }
     }
 
-    /// The end of an idle session where the process stops. Clients of the platform's front expect no message.
+    /// The end of an idle session because the process stops. Clients of the platform's front expect no
+    /// message.
     fn end_for_stop(&self) -> SessionFlow {
         let error = ErrorResponse::new("57P01", "the server is stopping").hint("Connect again.");
         let error = self.front.config.extended.then_some(error);
         SessionFlow::End(SessionEnd { reason: SessionEndReason::Stopping, error })
     }
 
-    /// Handles a CancelRequest while no request is open. Its request may have been sent before it and be still unread:
-    /// available input is read first. If there is none, the CancelRequest is for a completed request, and must not
-    /// cancel the next one.
+    /// Handles a CancelRequest while no request is open. The request that it is for may have been sent before
+    /// it and still be unread, so available input is read first. If there is none, the CancelRequest is for a
+    /// completed request, and must not cancel the next one.
     async fn handle_early_cancel<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -1,4 +1,4 @@
-//! One client's session: the greeting, the message loop, simple queries, and the execution of portals.
+//! Runs one client's session: the greeting, the message loop, simple queries, and the execution of portals.
 
 mod error;
 mod execute;
@@ -24,7 +24,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::task::coop::consume_budget;
 
-/// Start-up parameters with this prefix are protocol options, none of which is known here.
+/// Start-up parameters with this prefix are protocol options, none of which is supported.
 const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
 /// Server parameters that a session reports at its start.
 const SERVER_PARAMETERS: [(&str, &str); 7] = [
@@ -37,9 +37,9 @@
     ("TimeZone", "UTC"),
 ];
 
-/// What remains to be done for a message.
+/// Remaining work for a message that was parsed.
 enum MessageAction {
-    /// Nothing.
+    /// No further work.
     None,
     /// Answer a simple query.
     Query(String),
@@ -53,9 +53,9 @@
 
 /// The next message of the input.
 enum NextMessage {
-    /// A complete message of `length` bytes, and what remains to be done for it.
+    /// A complete message of `length` bytes, and the remaining work for it.
     Complete { action: Result<MessageAction, ErrorResponse>, length: usize },
-    /// A part of a message, or nothing.
+    /// A part of a message, or no input.
     Incomplete,
     /// The end of the session.
     End(SessionEnd),
@@ -73,11 +73,11 @@
     }
 }
 
-/// Serves a session to its end, and returns its final error, if there is one. Once its slot is evicted it ends as soon
-/// as no request is open.
+/// Serves a session to its end, and returns its final error, if there is one. Once its slot is evicted, the
+/// session ends as soon as no request is open.
 ///
 /// # Errors
-/// Those of the connection.
+/// An error of the connection.
 pub(super) async fn serve<S: AsyncRead + AsyncWrite + Unpin>(
     front: Rc<Front>,
     connection: &mut ClientConnection<S>,
@@ -107,7 +107,7 @@
     end.map(|end| end.error)
 }
 
-/// The messages from the start of a session to its first ReadyForQuery.
+/// Writes the messages from the start of a session to its first ReadyForQuery.
 fn greet(output: &mut Vec<u8>, start: &SessionStart, process_id: u32, secret: u32) {
     let names = start.parameters.iter().map(|(name, _)| name.as_str());
     let unknown_options: Vec<&str> = names.filter(|name| name.starts_with(PROTOCOL_OPTION_PREFIX)).collect();
@@ -129,7 +129,8 @@
         connection: &mut ClientConnection<S>,
     ) -> io::Result<SessionEnd> {
         loop {
-            // Many short messages that were sent at once are handled without waiting: other tasks must run in between.
+            // Many short messages that were sent at once are handled without waiting for input: other tasks
+            // must run in between.
             consume_budget().await;
             match self.handle_message(connection).await? {
                 SessionFlow::Continue => {}
@@ -162,7 +163,7 @@
             connection.output().append(&mut reply);
         }
         self.scratch = reply;
-        // Counted until the answer is written: a graceful shutdown waits for it.
+        // The request is counted until its answer is written: a graceful shutdown waits for it.
         let front = Rc::clone(&self.front);
         let _open_request = CountGuard::new(&front.open_requests);
         match self.perform(connection, action).await {
@@ -186,8 +187,8 @@
         Ok(SessionFlow::Continue)
     }
 
-    /// Reads the next message of `input`. A message that needs neither an engine nor the connection is answered in
-    /// `reply`.
+    /// Reads the next message of `input`. A message that needs neither an engine nor the connection is
+    /// answered in `reply`.
     fn parse_next(&mut self, input: &[u8], reply: &mut Vec<u8>) -> NextMessage {
         let (message, length) = match pg::read_message(input, BUFFER_BYTES) {
             Ok(Some(read)) => read,
@@ -239,7 +240,8 @@
         Ok(())
     }
 
-    /// Writes all output, with ReadyForQuery at its end. A CancelRequest that arrived before it has no further effect.
+    /// Writes all output, with ReadyForQuery at its end. A CancelRequest that arrived before it has no
+    /// further effect.
     async fn write_ready<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -1,4 +1,4 @@
-//! Simple queries (PostgreSQL, "Message Flow", "Simple Query").
+//! Handles simple queries (PostgreSQL, "Message Flow", "Simple Query").
 
 use super::error::MessageError;
 use super::state::{session_ended, Session, CONTROL_MESSAGE_BYTES};
@@ -42,7 +42,8 @@
         Ok(())
     }
 
-    /// The fields and the statement of a simple query; `None` for one that needs no engine and is answered.
+    /// Reads the fields and the statement of a simple query; `None` if the query needs no engine and has been
+    /// answered.
     fn read_simple_query<'t, S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
@@ -52,7 +53,7 @@
         if self.front.config.extended && self.objects.answer_simple_query(connection.output(), statement)? {
             return Ok(None);
         }
-        // The platform's health check is an empty text. A comment with no statement behind it is a truncated
+        // The platform's health check is an empty text. A comment without a statement after it is a truncated
         // request, and must not be taken for a health check.
         if text.trim_matches(|c: char| c.is_whitespace() || c == ';').is_empty() {
             pg::write_empty_message(connection.output(), pg::EMPTY_QUERY);
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -1,4 +1,4 @@
-//! State of a session, and how it waits for the response to a request.
+//! State of a session, and the wait for the response to a request.
 
 use super::error::MessageError;
 use crate::core::result_buffer::ResultSet;
@@ -14,38 +14,38 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
-/// Bytes of output that a message other than a row needs at most: an error, or a description.
+/// Maximum number of output bytes of a message other than a row: an error, or a description.
 pub(super) const CONTROL_MESSAGE_BYTES: usize = 4096;
 
 /// State of a session.
 pub(super) struct Session<'a> {
     pub(super) front: Rc<Front>,
-    /// Its process id in BackendKeyData, the field `session` of log lines.
+    /// Process id of the session in BackendKeyData; the field `session` of log lines.
     pub(super) process_id: u32,
     pub(super) cancel: Rc<CancelSignal>,
     pub(super) slot: &'a ConnectionSlot,
-    /// Since when the input has ended with an incomplete message.
+    /// Time since which the input has ended with an incomplete message.
     pub(super) partial_since: Option<Instant>,
-    /// Messages are skipped up to the next Sync.
+    /// Whether messages are skipped up to the next Sync.
     pub(super) skips_to_sync: bool,
     /// Prepared statements and portals, and the session's settings.
     pub(super) objects: SessionObjects,
     /// Buffer of the reply to a message, until it fits the output.
     pub(super) scratch: Vec<u8>,
-    /// An answer was written since the input was last empty.
+    /// Whether an answer was written since the input was last empty.
     pub(super) has_answered: bool,
 }
 
 /// Whether a session continues.
 pub(super) enum SessionFlow {
-    /// It continues.
+    /// The session continues.
     Continue,
-    /// It ends.
+    /// The session ends.
     End(SessionEnd),
 }
 
 impl<'a> Session<'a> {
-    /// A session that has not received a message.
+    /// Creates a session that has not received a message.
     pub(super) fn new(
         front: Rc<Front>,
         process_id: u32,
@@ -66,11 +66,12 @@
         }
     }
 
-    /// Waits for a request's response, its client's cancel, or the end of the connection. Input is read ahead
-    /// meanwhile, since the end may follow further input. A client that floods is disconnected with an error.
+    /// Waits for a request's response, a CancelRequest, or the end of the connection. Input is read ahead
+    /// meanwhile, since the end of the stream may follow further input. A client that floods is disconnected
+    /// with an error.
     ///
     /// # Errors
-    /// The response, where it is not a result; and the end of the session.
+    /// The response if it is not a result, a cancellation, or the end of the session.
     pub(super) async fn wait_for_response<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
@@ -104,8 +105,8 @@
     }
 }
 
-/// The end of a session whose client closed its side, or floods, which its final error reports. Buffered requests are not
-/// admitted.
+/// The end of a session whose client closed its side, or floods; a flooding client gets a final error.
+/// Buffered requests are not admitted.
 pub(super) fn session_ended<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &ClientConnection<S>,
 ) -> MessageError {
