--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -16,15 +16,15 @@
 /// Maximum number of a session's suspended portals, each of which retains a result in memory.
 const MAX_SUSPENDED_PORTALS: usize = 4;
 
-/// What remains to be done for a message of the extended query protocol.
+/// Remaining work for a message of the extended query protocol that was parsed.
 pub enum ExtendedAction {
-    /// Nothing.
+    /// No further work.
     None,
     /// Run a portal.
     Execute {
         /// The portal's name.
         portal: String,
-        /// Maximum number of rows to send; 0: all.
+        /// Maximum number of rows to send; 0 means all rows.
         max_rows: u32,
     },
 }
@@ -34,18 +34,19 @@
 pub(crate) struct SessionObjects {
     statements: BTreeMap<String, Rc<PreparedStatement>>,
     pub(crate) portals: BTreeMap<String, Portal>,
-    /// Time-out of requests that have none, in milliseconds; `None`: that of the request's class.
+    /// Time-out of requests that set none, in milliseconds; if `None`, the default of the request's class
+    /// applies.
     pub(crate) statement_timeout_ms: Option<u64>,
 }
 
 impl SessionObjects {
-    /// No statements and portals.
+    /// Creates the state of a session without statements and portals.
     pub(crate) fn new(statement_timeout_ms: Option<u64>) -> SessionObjects {
         SessionObjects { statement_timeout_ms, ..SessionObjects::default() }
     }
 
-    /// Handles a message of the extended query protocol, and answers it in `reply`; what needs an engine is
-    /// returned as an action.
+    /// Handles a message of the extended query protocol, and appends the answer to `reply`. Work that needs
+    /// an engine is returned as an action.
     ///
     /// # Errors
     /// The error for the client.
@@ -89,11 +90,11 @@
         Ok(ExtendedAction::None)
     }
 
-    /// Answers a simple query that needs no engine; false for one that does. As the protocol demands it, a
-    /// simple query closes the unnamed statement and portal.
+    /// Answers a simple query that needs no engine; returns false for one that does. As the protocol
+    /// requires, a simple query closes the unnamed statement and portal.
     ///
     /// # Errors
-    /// For a statement that is not supported.
+    /// If the statement is not supported.
     pub(crate) fn answer_simple_query(
         &mut self,
         reply: &mut Vec<u8>,
@@ -123,10 +124,11 @@
         }
     }
 
-    /// A portal was served, and the row at `next` is the first that was not sent.
+    /// Records that a portal was executed; `next` is the position of the first row that was not sent, if any
+    /// is left.
     ///
     /// # Errors
-    /// Where too many portals are suspended already; the rows that are left are lost.
+    /// If too many portals are already suspended; the rows that are left are then lost.
     pub(crate) fn finish_execution(
         &mut self,
         name: &str,
@@ -171,7 +173,8 @@
         Ok(())
     }
 
-    /// Checks that one more object of `added_bytes` fits the limits.
+    /// Checks that one more object of `added_bytes` stays within the limits; `count` is the number of
+    /// existing objects of its kind.
     fn check_limits(&self, count: usize, added_bytes: usize) -> Result<(), ErrorResponse> {
         if count < MAX_OBJECTS && self.total_bytes() + added_bytes <= MAX_BYTES {
             return Ok(());
@@ -208,7 +211,7 @@
         Ok(())
     }
 
-    /// Closes a statement with all of its portals, or a portal. It is no error if there is none.
+    /// Closes a statement with all of its portals, or a portal. A name that does not exist is not an error.
     fn close(&mut self, kind: ObjectKind, name: &str) {
         match kind {
             ObjectKind::Statement => {
@@ -221,7 +224,7 @@
     }
 }
 
-/// RowDescription of a statement that has a result, else NoData.
+/// Appends RowDescription if the statement has a result, else NoData.
 fn describe_result(reply: &mut Vec<u8>, kind: StatementKind, formats: &[u16]) {
     if kind == StatementKind::Query {
         pg::write_row_description(reply, COLUMNS, formats);
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -15,25 +15,25 @@
 
 /// A prepared statement.
 pub(crate) struct PreparedStatement {
-    /// The fields of its comment. A value that begins with `$` is a parameter's number.
+    /// Fields of the statement's comment. A value that begins with `$` refers to a parameter by number.
     pairs: Vec<(String, String)>,
     statement: String,
-    /// Types of its parameters.
+    /// Object ids of the parameters' types.
     pub(super) types: Vec<u32>,
     pub(crate) kind: StatementKind,
-    /// A request was served with the idempotency key in its text; later requests get keys of their own.
+    /// Whether a request was served with the idempotency key in the text; later requests get generated keys.
     is_key_used: Cell<bool>,
 }
 
 /// Execution state of a portal.
 pub(crate) enum PortalState {
-    /// It has not been run.
+    /// The portal has not been run.
     Ready,
-    /// Its row limit was reached, and rows are left.
+    /// The row limit of an execution was reached, and rows are left.
     Suspended {
-        /// All rows.
+        /// The complete result.
         result: ResultSet,
-        /// Position of the first that was not sent.
+        /// Position of the first row that was not sent.
         next: RowPosition,
     },
     /// All rows have been sent.
@@ -43,31 +43,31 @@
 /// A portal: a prepared statement with its parameters.
 pub(crate) struct Portal {
     pub(crate) prepared: Rc<PreparedStatement>,
-    /// The fields, with their parameters; `None` for NULL.
+    /// Fields of the statement's comment, with parameters substituted; `None` for NULL.
     pairs: Vec<(String, Option<String>)>,
-    /// The statement's text, with its parameters.
+    /// Text of the statement, with parameters substituted.
     pub(crate) statement: String,
-    /// Formats of the result's columns.
+    /// Format codes of the result's columns: none, one for all, or one per column.
     pub(super) formats: Vec<u16>,
     pub(crate) state: PortalState,
 }
 
 impl PreparedStatement {
-    /// Prepares a text.
+    /// Prepares a statement from its text and the types of its parameters.
     ///
     /// # Errors
-    /// Where its fields are wrong, it is not supported, or it has too many parameters.
+    /// If the fields are invalid, the statement is not supported, or it has too many parameters.
     pub(super) fn new(sql: &str, mut types: Vec<u32>) -> Result<PreparedStatement, ErrorResponse> {
         let (comment, statement) = fields::split_comment(sql).map_err(ErrorResponse::from)?;
         let pairs: Vec<(String, String)> =
             fields::pairs(comment).map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
         // Values in the text are checked now, and parameters when they are bound.
-        let in_text = pairs.iter().filter(|(_, value)| !value.starts_with('$'));
-        fields::read(in_text.map(|(name, value)| (name.as_str(), value.as_str())))
+        let text_pairs = pairs.iter().filter(|(_, value)| !value.starts_with('$'));
+        fields::read(text_pairs.map(|(name, value)| (name.as_str(), value.as_str())))
             .map_err(ErrorResponse::from)?;
-        let in_fields = pairs.iter().filter_map(|(_, value)| value.strip_prefix('$'));
-        let in_fields = in_fields.map(|number| number.parse::<usize>().unwrap_or(usize::MAX)).max();
-        let count = literal::max_parameter(statement).max(in_fields.unwrap_or(0)).max(types.len());
+        let references = pairs.iter().filter_map(|(_, value)| value.strip_prefix('$'));
+        let max_reference = references.map(|number| number.parse::<usize>().unwrap_or(usize::MAX)).max();
+        let count = literal::max_parameter(statement).max(max_reference.unwrap_or(0)).max(types.len());
         if count > MAX_PARAMETERS {
             let message = format!("a statement has at most {MAX_PARAMETERS} parameters");
             return Err(ErrorResponse::new("54000", message));
@@ -87,15 +87,17 @@
         self.statement.len() + pairs.sum::<usize>()
     }
 
-    /// A request was served with the idempotency key of its text.
+    /// Records that a request was served with the idempotency key in the text.
     pub(super) fn set_key_used(&self) {
         self.is_key_used.set(true);
     }
 
-    /// Creates a portal. Formats are none, one for all, or one each.
+    /// Creates a portal. `formats` and `result_formats` hold no format code, one for all values, or one per
+    /// value.
     ///
     /// # Errors
-    /// Where a number does not fit the statement, a value not its type, or a field's value not the field.
+    /// If the number of values or formats does not fit the statement, a value does not fit its type, or a
+    /// field's value does not fit the field.
     pub(super) fn bind(
         self: &Rc<Self>,
         formats: &[u16],
@@ -131,11 +133,11 @@
     }
 }
 
-fn wrong_count(name: &str, count: usize, wanted: usize) -> ErrorResponse {
-    ErrorResponse::malformed(format!("field {name} is {count}, but the statement wants {wanted}"))
+fn wrong_count(name: &str, count: usize, expected: usize) -> ErrorResponse {
+    ErrorResponse::malformed(format!("field {name} is {count}, but the statement wants {expected}"))
 }
 
-/// A field's value: as in the text, or that of its parameter.
+/// A field's value: the text itself, or the value of the parameter that it refers to.
 fn field_value(value: &str, parameters: &[Parameter]) -> Option<String> {
     match value.strip_prefix('$').and_then(|number| number.parse::<usize>().ok()) {
         Some(number) => {
@@ -147,11 +149,11 @@
 }
 
 impl Portal {
-    /// Its fields; without the idempotency key of the text where that has served a request: engines would
-    /// drop the next request as a duplicate of it.
+    /// The fields of the next request. An idempotency key in the text is omitted once a request was served
+    /// with it: engines would drop the next request as a duplicate.
     ///
     /// # Errors
-    /// Where a value does not fit its field.
+    /// If a value does not fit its field.
     pub(crate) fn fields(&self) -> Result<fields::Fields, ErrorResponse> {
         let present = self.pairs.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_deref()?)));
         let mut fields = fields::read(present).map_err(ErrorResponse::from)?;
@@ -171,8 +173,8 @@
         self.statement.len()
     }
 
-    /// Takes the rows that are left. A portal that has not been run stays ready: it can be executed again
-    /// after a rejection.
+    /// Takes the portal's state with the rows that are left, and marks the portal as completed. A portal that
+    /// has not been run stays ready: it can be executed again after a rejection.
     pub(crate) fn take_state(&mut self) -> PortalState {
         match self.state {
             PortalState::Ready => PortalState::Ready,
--- a/src/front/extended/statement_kind.rs
+++ b/src/front/extended/statement_kind.rs
@@ -1,10 +1,10 @@
-//! The kind of a statement on the `extended` front, by its first words.
+//! Classifies statements on the `extended` front by their first words.
 
 use super::statement_timeout;
 use crate::proto::pg::ErrorResponse;
 use crate::proto::tables::{self, first_token, Token};
 
-/// First words of the statements that are not supported.
+/// First words of unsupported statements.
 const UNSUPPORTED_STATEMENTS: [&str; 25] = [
     "abort",
     "begin",
@@ -32,9 +32,9 @@
     "unlisten",
     "vacuum",
 ];
-/// Settings that clients may set and that have no effect.
+/// Settings that clients may set without effect.
 const IGNORED_SETTINGS: [&str; 3] = ["application_name", "client_min_messages", "extra_float_digits"];
-/// Tokens that may separate a setting's name from its value.
+/// Tokens that separate a setting's name from its value.
 const ASSIGNMENTS: [&str; 2] = ["=", "to"];
 /// Maximum number of tokens of a statement that are examined; no supported `SET` has more.
 const MAX_TOKENS: usize = 8;
@@ -42,7 +42,7 @@
 /// The kind of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatementKind {
-    /// It holds nothing but white space and comments.
+    /// The text holds only white space, comments and semicolons.
     Empty,
     /// A `SET` that is answered without an engine.
     Set(Setting),
@@ -53,16 +53,16 @@
 /// The effect of a `SET`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Setting {
-    /// None.
+    /// No effect.
     Ignored,
-    /// The session's time-out in milliseconds from now on; `None`: that of each request's class.
+    /// Sets the session's time-out in milliseconds; `None` restores the default of each request's class.
     StatementTimeout(Option<u64>),
 }
 
-/// The kind of a statement.
+/// Determines the kind of a statement.
 ///
 /// # Errors
-/// For one that is not supported, and for more than one.
+/// If the statement is not supported, or the text holds more than one statement.
 pub(super) fn classify(statement: &str) -> Result<StatementKind, ErrorResponse> {
     if tables::is_empty(statement) {
         return Ok(StatementKind::Empty);
@@ -73,10 +73,10 @@
     if let Some(setting) = parse_set(&tokens)? {
         return Ok(StatementKind::Set(setting));
     }
-    let first = lower_case(&tokens, 0);
-    if UNSUPPORTED_STATEMENTS.contains(&first.as_str()) {
-        let first = first.to_uppercase();
-        let message = format!("{first} is not supported: there are no transactions, cursors or COPY");
+    let first_word = lower_case(&tokens, 0);
+    if UNSUPPORTED_STATEMENTS.contains(&first_word.as_str()) {
+        let first_word = first_word.to_uppercase();
+        let message = format!("{first_word} is not supported: there are no transactions, cursors or COPY");
         return Err(ErrorResponse::new("0A000", message));
     }
     Ok(StatementKind::Query)
--- a/src/front/extended/statement_timeout.rs
+++ b/src/front/extended/statement_timeout.rs
@@ -1,17 +1,18 @@
-//! The setting `statement_timeout` as clients write it.
+//! Parses the setting `statement_timeout` as clients write it.
 
 use crate::front::client_error::quoted;
 use crate::proto::pg::ErrorResponse;
 
 /// The setting's name.
 pub(super) const NAME: &str = "statement_timeout";
-/// The longest time-out, in milliseconds: one day.
+/// Maximum time-out, in milliseconds: one day.
 const MAX_TIMEOUT_MS: u64 = 86_400_000;
 
-/// The session's time-out in milliseconds as its start-up parameters give it.
+/// Reads the session's time-out in milliseconds from its start-up parameters; `None` if they set none, 0 or
+/// DEFAULT.
 ///
 /// # Errors
-/// Where one is not a time-out.
+/// If a value is not a valid time-out.
 pub(crate) fn timeout_of_startup(parameters: &[(String, String)]) -> Result<Option<u64>, ErrorResponse> {
     let mut timeout = None;
     for (name, value) in parameters {
@@ -30,7 +31,7 @@
     Ok(timeout)
 }
 
-/// Milliseconds of `1500`, `'1500'`, `'2s'`, `'1min'`; `None` for 0 and DEFAULT.
+/// Converts `1500`, `'1500'`, `'2s'` or `'1min'` to milliseconds; `None` for 0 and DEFAULT.
 pub(super) fn parse(text: &str) -> Result<Option<u64>, ErrorResponse> {
     let text = text.trim().trim_matches('\'').trim();
     if text.eq_ignore_ascii_case("default") {
