--- a/src/bin/sprucelink-simhost.rs
+++ b/src/bin/sprucelink-simhost.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: answers batches on standard input with actions on standard output. With `--capture DIR` each
-//! instance is recorded into a folder of its own below DIR.
+//! The simulator's adapter: reads batches of events from standard input and writes the resulting actions to
+//! standard output. With `--capture DIR` each instance is recorded in a directory of its own below DIR.
 
 use sprucelink::run::error::with_causes;
 use sprucelink::simulator::adapter::{self, AdapterError};
@@ -7,10 +7,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status of a command line or an input that cannot be used.
+/// Exit status after an invalid command line, an invalid input, or a failure of the input or output.
 const FAILURE: u8 = 2;
 
-/// Why the program ended early.
+/// Reason why the program failed.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error(transparent)]
@@ -19,7 +19,7 @@
     Adapter(#[from] AdapterError),
 }
 
-/// The folder of `--capture DIR`, if given.
+/// Reads the directory of `--capture DIR` from the command line, if given.
 fn read_capture_dir() -> Result<Option<PathBuf>, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let mut capture_dir = None;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,11 @@
-//! sprucelink is a workload manager: it decides, in front of query engines with limited memory,
-//! which queries are admitted, at which priority level and to which engine they go, and what is
-//! done when an attempt ends badly; and it carries that out on sockets.
+//! sprucelink is a workload manager in front of query engines with limited memory. It decides which queries
+//! are admitted, at which priority level they run, to which engine they go, and how a failed attempt is
+//! handled, and it carries out these decisions on network connections.
 //!
-//! The decision module and its vocabulary are a crate of their own, `sprucelink-policy`. [`simulator`] is the
-//! simulator's wire and adapter, [`proto`] the protocols, [`core`] requests, attempts and engines,
-//! [`front`] what clients connect to, [`run`] command line, start and stop.
+//! The decision module and its types are a separate crate, `sprucelink-policy`. [`simulator`] connects it to
+//! the simulator; [`proto`] holds the codecs of the network protocols; [`core`] manages requests, attempts
+//! and engines; [`front`] serves the clients' connections; [`run`] holds the command line, start-up and
+//! shutdown.
 
 pub mod core;
 pub mod front;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,10 +1,10 @@
-//! The workload manager's program: `sprucelink help` prints how to call it.
+//! The workload manager's program: `sprucelink help` prints its usage.
 
 use sprucelink::run::error::with_causes;
 use sprucelink::run::{cli, commands};
 use std::process::ExitCode;
 
-/// Exit status of a command line that cannot be understood.
+/// Exit status after an invalid command line.
 const INVALID_COMMAND_LINE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,6 +1,7 @@
-//! Hosts many instances of the policy on the simulator's wire.
+//! Hosts many instances of the policy, driven by the simulator's line protocol.
 //!
-//! Instances share nothing. The host reads batches of lines and answers each batch at once; it decides nothing.
+//! Instances share no state. The host reads batches of lines and answers each batch before it reads the next;
+//! all decisions are the policy's.
 
 use super::codec::{parse_line, print_action, print_batch_end, print_panic, Line, ListedEngine, WireError};
 use sprucelink_capture::recorder::Recorder;
@@ -14,30 +15,31 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::PathBuf;
 
-/// Kilobytes that a recorder's queue holds: simulated time runs far faster than the recorder's disk.
+/// Capacity of a recorder's queue in kilobytes, large because simulated time runs far faster than the
+/// recorder's disk.
 const RECORDER_QUEUE_KB: u64 = 65_536;
-/// Kilobytes a second that a recorder writes, so high that it is no bound on simulated time.
+/// Maximum write rate of a recorder in kilobytes per second, so high that it does not limit simulated time.
 const RECORDER_RATE_KB_S: u64 = 1_000_000;
-/// Megabytes of an instance's capture.
+/// Maximum size of an instance's capture in megabytes.
 const RECORDER_RING_MB: u64 = 1_000;
 
-/// Why the host stopped.
+/// Reason why the host stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// A line could not be read.
     #[error("line {line}")]
     Read {
-        /// Its number, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// The operating system's reason.
+        /// The error of the input.
         source: io::Error,
     },
-    /// A line is invalid, or does not fit those before it.
+    /// A line is invalid, or contradicts the lines before it.
     #[error("line {line}")]
     Line {
-        /// Its number, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Reason why the line is rejected.
         source: LineError,
     },
     /// A reply could not be written.
@@ -45,27 +47,28 @@
     Write(#[source] io::Error),
 }
 
-/// What is wrong with a line.
+/// Reason why a line is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It cannot be parsed.
+    /// The line cannot be parsed.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// A list has fewer entries than it announced.
+    /// An engine list has fewer entries than it announced.
     #[error("field elements counts more ENGINE lines than follow")]
     ListIncomplete,
-    /// An entry follows no list that is open.
+    /// An entry is not part of an engine list.
     #[error("an ENGINE line stands outside any POOL")]
     EntryOutsideList,
-    /// A list is named that was never sent.
+    /// An endpoint update refers to an engine list that was never sent.
     #[error("field page names no POOL: {0} in MEMBERS")]
     UnknownList(usize),
 }
 
-/// Reads batches until the input ends, and answers each. Every instance is recorded below `capture_dir`, if given.
+/// Reads and answers batches until the input ends. Every instance is recorded in a directory of its own below
+/// `capture_dir`, if given.
 ///
 /// # Errors
-/// The first line that is invalid, or an input or output that fails.
+/// The first invalid line, or a failure of the input or output.
 pub fn run(
     input: impl BufRead,
     mut output: impl Write,
@@ -86,16 +89,17 @@
     Ok(())
 }
 
-/// What a line led to.
+/// Result of handling a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// The batch goes on.
+    /// The batch continues.
     Continue,
     /// The batch is complete: its reply is due.
     BatchComplete,
 }
 
-/// One instance of the policy, with the engine names that it has seen, in order of first sight.
+/// One instance of the policy, with the names of the engines that it knows. An engine's number is its
+/// position in `engine_names`, in the order in which the names were received.
 struct Instance {
     policy: Policy,
     recorder: Option<Recorder>,
@@ -108,7 +112,7 @@
         Instance { policy, recorder, engine_names: Vec::new(), engine_ids: BTreeMap::new() }
     }
 
-    /// The number of an engine; one that is new gets the next.
+    /// Returns the number of an engine, and assigns the next one to a new name.
     fn engine_id(&mut self, name: &str) -> EngineId {
         if let Some(&id) = self.engine_ids.get(name) {
             return id;
@@ -119,7 +123,7 @@
         id
     }
 
-    /// The name of an engine as the wire has it.
+    /// The name of an engine on the wire.
     fn engine_name(&self, id: EngineId) -> &str {
         self.engine_names.get(id.0 as usize).map_or("-", String::as_str)
     }
@@ -139,30 +143,30 @@
     }
 }
 
-/// A list of engines that is being received.
+/// An engine list that is being received.
 #[derive(Clone, Copy)]
 struct OpenList {
     list: usize,
-    /// Entries that are still to come.
+    /// Number of entries that have not been received.
     remaining: usize,
 }
 
 #[derive(Default)]
 struct Host {
     now: Timestamp,
-    /// Number of the present batch.
+    /// Number of the current batch.
     batch: String,
     instances: BTreeMap<String, Instance>,
-    /// Lists of engines, by number.
+    /// Engine lists, by number.
     lists: BTreeMap<usize, Vec<ListedEngine>>,
     open_list: Option<OpenList>,
-    /// The reply to the present batch so far.
+    /// The reply to the current batch so far.
     reply: String,
     capture_dir: Option<PathBuf>,
 }
 
 impl Host {
-    /// Handles a line; empty and unknown ones are skipped.
+    /// Handles a line; empty lines and lines with unknown names are skipped.
     fn handle_text(&mut self, text: &str) -> Result<Step, LineError> {
         if text.is_empty() {
             return Ok(Step::Continue);
@@ -178,11 +182,11 @@
             return Err(LineError::ListIncomplete);
         }
         match line {
-            Line::Clock { now, batch } => {
+            Line::BatchBegin { now, batch } => {
                 self.now = now;
                 self.batch = batch;
             }
-            Line::Commit => return Ok(Step::BatchComplete),
+            Line::BatchEnd => return Ok(Step::BatchComplete),
             Line::ListBegin { list, entries } => {
                 self.lists.insert(list, Vec::new());
                 self.open_list = (entries > 0).then_some(OpenList { list, remaining: entries });
@@ -192,18 +196,18 @@
             Line::Stop { instance } => {
                 self.instances.remove(&instance);
             }
-            Line::Members { instance, kind: EndpointUpdate::Failed, .. } => {
+            Line::EndpointsChanged { instance, kind: EndpointUpdate::Failed, .. } => {
                 self.handle_event(
                     &instance,
                     Event::EndpointsChanged { kind: EndpointUpdate::Failed, entries: Vec::new() },
                 );
             }
-            Line::Members { instance, kind, list } => {
+            Line::EndpointsChanged { instance, kind, list } => {
                 if let Some(entries) = self.list_for(&instance, list)? {
                     self.handle_event(&instance, Event::EndpointsChanged { kind, entries });
                 }
             }
-            Line::Probed { instance, engine, outcome, report } => {
+            Line::ProbeCompleted { instance, engine, outcome, report } => {
                 self.handle_probe(&instance, &engine, outcome, report);
             }
             Line::Event { instance, event } => self.handle_event(&instance, event),
@@ -211,7 +215,7 @@
         Ok(Step::Continue)
     }
 
-    /// The reply to the batch that is complete.
+    /// Completes and returns the reply to the current batch.
     fn take_reply(&mut self) -> String {
         print_batch_end(&mut self.reply, &self.batch);
         std::mem::take(&mut self.reply)
@@ -235,10 +239,13 @@
         }
     }
 
-    /// A recorder for an instance that starts now, if there is to be one.
+    /// Starts a recorder for a new instance, if captures are requested; a failure is printed and the instance
+    /// is not recorded.
     fn start_recorder(&self, instance: &str, seed: u64) -> Option<Recorder> {
-        let folder: String =
-            instance.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
+        let folder: String = instance
+            .chars()
+            .map(|character| if character.is_ascii_alphanumeric() { character } else { '_' })
+            .collect();
         let settings = RecorderSettings {
             queue_kb: RECORDER_QUEUE_KB,
             rate_kb_s: RECORDER_RATE_KB_S,
@@ -249,7 +256,7 @@
         recorder.map_err(|e| eprintln!("sprucelink-simhost: not recording {instance}: {e}")).ok()
     }
 
-    /// The entries of a list with an instance's own engine numbers; `None` where there is no such instance.
+    /// The entries of a list with the engine numbers of `instance`; `None` if there is no such instance.
     fn list_for(&mut self, instance: &str, list: usize) -> Result<Option<Vec<EngineEntry>>, LineError> {
         let list = self.lists.get(&list).ok_or(LineError::UnknownList(list))?;
         let Some(instance) = self.instances.get_mut(instance) else { return Ok(None) };
@@ -258,7 +265,7 @@
         Ok(Some(list.iter().map(numbered).collect()))
     }
 
-    /// A probe of an engine that the instance has never seen is ignored.
+    /// Handles the end of a load probe; a probe of an engine that is unknown to the instance is ignored.
     fn handle_probe(&mut self, instance: &str, engine: &str, outcome: Outcome, report: LoadReport) {
         let known = self.instances.get(instance).and_then(|instance| instance.engine_ids.get(engine));
         if let Some(&engine) = known {
@@ -266,7 +273,7 @@
         }
     }
 
-    /// Gives an event to an instance, and adds its actions to the reply.
+    /// Passes an event to an instance, and appends the resulting actions to the reply.
     fn handle_event(&mut self, name: &str, event: Event) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(name) else { return };
@@ -284,14 +291,14 @@
         }
     }
 
-    /// Reports to the simulator that an instance's policy panicked.
+    /// Appends to the reply that an instance's policy panicked.
     fn reply_panic(&mut self, instance: &str, cause: Box<dyn Any + Send>) {
-        print_panic(&mut self.reply, instance, &panic_text(cause.as_ref()));
+        print_panic(&mut self.reply, instance, &panic_message(cause.as_ref()));
     }
 }
 
 /// The message of a panic.
-fn panic_text(cause: &(dyn Any + Send)) -> String {
+fn panic_message(cause: &(dyn Any + Send)) -> String {
     if let Some(text) = cause.downcast_ref::<&str>() {
         return (*text).to_owned();
     }
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -1,8 +1,9 @@
-//! The simulator's wire: lines of tab-separated fields to events, and actions to lines.
+//! Codec of the simulator's line protocol: decodes lines of tab-separated fields to events, and encodes
+//! actions as lines.
 //!
-//! Here the wire's [`names`] become standard terms, and go no deeper. Unknown settings, load report values and engine
-//! states are skipped; a malformed line is an error that names the field. [`parse`] reads lines by their [`fields`],
-//! [`print`](mod@print) writes actions.
+//! The wire's [`names`] are translated to standard terms and are not used outside this codec. Unknown
+//! settings, load report values and engine states are skipped; a malformed line is an error that names the
+//! field. [`parse`] reads lines by their [`fields`], [`print`](mod@print) writes actions.
 
 mod error;
 mod fields;
@@ -16,12 +17,12 @@
 
 use sprucelink_policy::{EndpointUpdate, EngineEntry, Event, LoadReport, Outcome, Settings, Timestamp};
 
-/// An entry of an engine list, its engine still by name.
+/// An entry of an engine list, with the engine's name instead of its number.
 #[derive(Clone, Debug)]
 pub struct ListedEngine {
     /// The engine's name.
     pub name: String,
-    /// The rest of the entry; its engine number is not set yet.
+    /// The rest of the entry; its engine number is a placeholder.
     pub entry: EngineEntry,
 }
 
@@ -29,17 +30,17 @@
 #[derive(Clone, Debug)]
 pub enum Line {
     /// A batch begins.
-    Clock {
+    BatchBegin {
         /// The simulated time.
         now: Timestamp,
-        /// The batch's number, as the reply repeats it.
+        /// The batch's number, which the reply repeats.
         batch: String,
     },
     /// A batch ends.
-    Commit,
+    BatchEnd,
     /// An engine list begins.
     ListBegin {
-        /// Its number.
+        /// Number of the list.
         list: usize,
         /// How many entries follow.
         entries: usize,
@@ -48,41 +49,41 @@
     ListEntry(ListedEngine),
     /// An instance starts.
     Start {
-        /// Its name.
+        /// The instance's name.
         instance: String,
-        /// Its seed.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// The instance's settings.
         settings: Box<Settings>,
     },
     /// An instance ends.
     Stop {
-        /// Its name.
+        /// The instance's name.
         instance: String,
     },
-    /// An instance is given an endpoint list.
-    Members {
-        /// The instance.
+    /// An instance receives an update of the endpoint list.
+    EndpointsChanged {
+        /// The instance's name.
         instance: String,
-        /// How the list came.
+        /// Kind of the update.
         kind: EndpointUpdate,
-        /// The list's number.
+        /// Number of the engine list; 0 if the update has failed.
         list: usize,
     },
     /// A load probe of an instance ended.
-    Probed {
-        /// The instance.
+    ProbeCompleted {
+        /// The instance's name.
         instance: String,
         /// The engine's name.
         engine: String,
-        /// How the probe ended.
+        /// Outcome of the probe.
         outcome: Outcome,
-        /// What the engine reported.
+        /// The engine's load report.
         report: LoadReport,
     },
     /// Any other event of an instance.
     Event {
-        /// The instance.
+        /// The instance's name.
         instance: String,
         /// The event.
         event: Event,
--- a/src/simulator/codec/error.rs
+++ b/src/simulator/codec/error.rs
@@ -1,47 +1,47 @@
-//! Why a line cannot be read.
+//! Errors of lines that cannot be parsed.
 
 use sprucelink_settings::ErrorReason;
 
-/// A line that cannot be read.
+/// A line cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field} {reason} in line: {line}")]
 pub struct WireError {
-    /// The field's name.
+    /// Name of the first invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: FieldError,
-    /// The beginning of the line.
+    /// The beginning of the line, for the message.
     pub line: String,
 }
 
 /// What is wrong with a field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// It is absent or empty.
+    /// The field is absent or empty.
     #[error("is missing")]
     Missing,
-    /// It is no finite number.
+    /// The field is not a finite number.
     #[error("is not a number")]
     NotANumber,
-    /// It is no whole number of 0 or more.
+    /// The field is not a whole number of 0 or more.
     #[error("is not a whole number")]
     NotAWholeNumber,
-    /// It is no truth value.
+    /// The field is not a Boolean.
     #[error("is neither 1 nor 0")]
     NotAFlag,
-    /// It is no request id.
+    /// The field is not a request id.
     #[error("is not 16 hex digits")]
     NotARequestId,
-    /// Its word has no meaning here.
+    /// The field's value is not one of those defined for it.
     #[error("is unknown")]
     UnknownWord,
     /// An item of a list lacks its name or value.
     #[error("holds no name:value pair")]
     NotAPair,
-    /// A value of a list is no finite number.
+    /// A value of a list is not a finite number.
     #[error("holds no number")]
     ValueNotANumber,
-    /// It is no sequence of bytes in hex.
+    /// The field is not a sequence of bytes in hex.
     #[error("is not hex")]
     NotHex,
     /// A setting is invalid.
--- a/src/simulator/codec/fields.rs
+++ b/src/simulator/codec/fields.rs
@@ -1,21 +1,21 @@
-//! Reads single fields of a line.
+//! Parses single fields of a line.
 
 use super::names::{field, load_report, outcome};
 use super::{FieldError, WireError};
 use sprucelink_policy::{LoadReport, Outcome, QueryCost, RequestId, Settings};
 
-/// Characters of a malformed line that its error quotes.
+/// Maximum number of characters of a malformed line that the error quotes.
 const MAX_QUOTED_CHARS: usize = 120;
-/// Digits of a request id.
+/// Number of digits of a request id.
 const REQUEST_ID_DIGITS: usize = 16;
-/// A query's cost is one number: what remains of it by this divisor counts memory in units of
-/// [`COST_MEMORY_UNIT_MB`], the quotient counts thread-milliseconds of work.
+/// A query's cost is encoded as one number. Divided by this, its remainder is the memory in units of
+/// [`COST_MEMORY_UNIT_MB`], and its quotient the work in thread-milliseconds.
 const COST_MEMORY_VALUES: u64 = 4096;
 /// The unit of a cost's memory, in MB.
 const COST_MEMORY_UNIT_MB: f64 = 4.0;
 /// Thread-milliseconds in a thread-second.
 const MILLIS_PER_SECOND: f64 = 1e3;
-/// The first field of an `INIT` line that holds a setting.
+/// Index of the first field of an `INIT` line that holds a setting.
 const FIRST_SETTING: usize = 3;
 
 /// The fields of a line. An empty field and `-` count as absent.
@@ -76,12 +76,12 @@
         }
     }
 
-    /// The instance, which always stands first.
+    /// The instance, which is always the first field after the line's name.
     pub(super) fn instance(&self) -> Result<String, WireError> {
         self.text(1, field::INSTANCE).map(str::to_owned)
     }
 
-    /// The request id, which always stands behind the instance.
+    /// The request id, which always follows the instance.
     pub(super) fn request_id(&self) -> Result<RequestId, WireError> {
         let text = self.text(2, field::REQUEST_ID)?;
         let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == REQUEST_ID_DIGITS);
@@ -102,7 +102,7 @@
         })
     }
 
-    /// A load report: `name:value` pairs with commas between them.
+    /// A load report: `name:value` pairs separated by commas.
     pub(super) fn report(&self, index: usize) -> Result<LoadReport, WireError> {
         let mut report = LoadReport::default();
         let pairs = self.optional_text(index).unwrap_or("").split(',').filter(|pair| !pair.is_empty());
@@ -123,7 +123,7 @@
         Ok(report)
     }
 
-    /// The cost that an engine reports for a query; 0 is none.
+    /// The cost that an engine reports for a query; `None` if it is absent or 0.
     pub(super) fn query_cost(&self, index: usize) -> Result<Option<QueryCost>, WireError> {
         let cost = self.optional_integer(index, field::QUERY_COST)?.filter(|cost| *cost > 0);
         Ok(cost.map(|cost| QueryCost {
@@ -132,7 +132,7 @@
         }))
     }
 
-    /// Bytes in hex; an absent field is no bytes.
+    /// Bytes in hex; an absent field is an empty sequence.
     pub(super) fn bytes(&self, index: usize, name: &str) -> Result<Vec<u8>, WireError> {
         let hex = self.optional_text(index).unwrap_or("");
         let bytes: Option<Vec<u8>> = (0..hex.len())
@@ -142,7 +142,7 @@
         bytes.ok_or_else(|| self.error(name, FieldError::NotHex))
     }
 
-    /// The settings of the pairs that a line ends with.
+    /// The settings, given as pairs in the last fields of the line.
     pub(super) fn settings(&self) -> Result<Settings, WireError> {
         let pairs = self.parts.iter().skip(FIRST_SETTING).copied();
         match sprucelink_settings::pairs::parse(pairs) {
--- a/src/simulator/codec/names.rs
+++ b/src/simulator/codec/names.rs
@@ -1,4 +1,4 @@
-//! The wire's names, each with the standard term that it stands for. No name of the wire goes deeper than this codec.
+//! The names on the wire, each with its standard term. They are not used outside this codec.
 
 /// Names of the lines that the simulator sends: the first field of each.
 pub(super) mod received {
@@ -14,7 +14,7 @@
     pub(crate) const START: &str = "INIT";
     /// An instance ends.
     pub(crate) const STOP: &str = "HALT";
-    /// An instance is given an endpoint list.
+    /// An instance receives an update of the endpoint list.
     pub(crate) const ENDPOINTS_CHANGED: &str = "MEMBERS";
     /// A load probe ended.
     pub(crate) const PROBE_COMPLETED: &str = "PROBED";
@@ -64,7 +64,7 @@
     pub(crate) const REPLY_END: &str = "EOR";
 }
 
-/// Names of fields, as errors quote them.
+/// Names of fields, which errors quote.
 pub(super) mod field {
     /// The instance that a line concerns.
     pub(crate) const INSTANCE: &str = "who";
@@ -76,7 +76,7 @@
     pub(crate) const BATCH: &str = "n";
     /// An engine list's number.
     pub(crate) const LIST: &str = "page";
-    /// How many entries an engine list has.
+    /// Number of entries of an engine list.
     pub(crate) const LIST_ENTRIES: &str = "elements";
     /// An instance's seed.
     pub(crate) const SEED: &str = "randomSeed";
@@ -88,7 +88,7 @@
     pub(crate) const MACHINE_KIND: &str = "machine";
     /// An engine's cell.
     pub(crate) const CELL: &str = "pod";
-    /// When an engine's process started, in seconds.
+    /// Start time of an engine's process, in seconds.
     pub(crate) const STARTED_AT: &str = "since";
     /// The kind of an endpoint update.
     pub(crate) const UPDATE_KIND: &str = "form";
@@ -96,7 +96,7 @@
     pub(crate) const TENANT: &str = "billing";
     /// The group of tables that a request reads or writes.
     pub(crate) const TABLES: &str = "sourceSet";
-    /// How long a request's client will wait, in seconds.
+    /// Time that a request's client will still wait, in seconds.
     pub(crate) const TIME_LEFT: &str = "timeLeft";
     /// A request's class.
     pub(crate) const CLASS: &str = "profile";
@@ -110,11 +110,11 @@
     pub(crate) const NOTE_KIND: &str = "topic";
     /// The value of a progress note.
     pub(crate) const NOTE_VALUE: &str = "value";
-    /// How an attempt or a load probe ended.
+    /// Outcome of an attempt or a load probe.
     pub(crate) const OUTCOME: &str = "disposition";
-    /// How long an attempt took, in seconds.
+    /// Latency of an attempt, in seconds.
     pub(crate) const LATENCY: &str = "lag";
-    /// The client has its response.
+    /// Whether the client has received its response.
     pub(crate) const COMPLETE: &str = "complete";
     /// The resources that a query used.
     pub(crate) const QUERY_COST: &str = "bill";
@@ -122,7 +122,7 @@
     pub(crate) const LOAD_REPORT: &str = "pressure";
     /// The token of a timer.
     pub(crate) const TIMER_TOKEN: &str = "handle";
-    /// The manager that a message is from.
+    /// The manager that sent a message.
     pub(crate) const SENDER: &str = "src";
     /// A message's bytes, in hex.
     pub(crate) const MESSAGE: &str = "blob";
@@ -130,19 +130,19 @@
 
 /// Values of an engine's state.
 pub(super) mod engine_state {
-    /// Finishes its requests and accepts no others.
+    /// The engine completes its requests and accepts no others.
     pub(crate) const DRAINING: &str = "draining";
-    /// Withdrawn.
+    /// The engine is removed.
     pub(crate) const GONE: &str = "gone";
 }
 
 /// Values of an endpoint update's kind.
 pub(super) mod update_kind {
-    /// Only what changed.
+    /// Only the entries that changed.
     pub(crate) const CHANGES: &str = "changes";
     /// The complete list.
     pub(crate) const COMPLETE: &str = "all";
-    /// The list as last cached.
+    /// The complete list as last cached.
     pub(crate) const REMEMBERED: &str = "remembered";
     /// The request for the list failed.
     pub(crate) const FAILED: &str = "refused";
@@ -150,41 +150,41 @@
 
 /// Values of a progress note's kind.
 pub(super) mod note_kind {
-    /// The fraction done.
+    /// Completed fraction of the work.
     pub(crate) const PROGRESS: u64 = 1;
     /// Memory that the query lacks, in MB.
     pub(crate) const SPILLS: u64 = 2;
-    /// The query waits; the note's value says for what.
+    /// The query waits; the note's value gives the reason.
     pub(crate) const WAITS: u64 = 3;
-    /// Least value of [`WAITS`] that means a load on the query's tables; any less means memory.
+    /// Minimum value of a [`WAITS`] note that means a load on the query's tables; a lower value means memory.
     pub(crate) const MIN_WAITS_FOR_LOAD: f64 = 2.0;
 }
 
 /// Values of an outcome.
 pub(super) mod outcome {
-    /// Served.
+    /// The query was served.
     pub(crate) const SUCCEEDED: &str = "delivered";
     /// The engine responded with an error.
     pub(crate) const ENGINE_ERROR: &str = "app_error";
-    /// Rejected by the engine at its limit.
+    /// The engine rejected the query because it was at its limit.
     pub(crate) const REJECTED_BY_ENGINE: &str = "shed";
-    /// No response in time.
+    /// No response arrived in time.
     pub(crate) const TIMED_OUT: &str = "expired";
-    /// No connection.
+    /// No connection could be established.
     pub(crate) const CONNECT_FAILED: &str = "dial_failed";
-    /// The connection broke.
+    /// The connection was lost.
     pub(crate) const CONNECTION_LOST: &str = "dropped";
-    /// Cancelled.
+    /// The attempt was cancelled.
     pub(crate) const CANCELLED: &str = "revoked";
-    /// Never sent.
+    /// The attempt was never sent.
     pub(crate) const NEVER_SENT: &str = "unused";
 }
 
 /// Names of the values in a load report.
 pub(super) mod load_report {
-    /// Queries in flight.
+    /// Number of queries in flight.
     pub(crate) const QUERIES_IN_FLIGHT: &str = "rif";
-    /// Queries that wait for memory.
+    /// Number of queries that wait for memory.
     pub(crate) const QUERIES_WAITING_FOR_MEMORY: &str = "q";
     /// Fraction of the cores in use, 0 to 1.
     pub(crate) const BUSY_CORE_FRACTION: &str = "busy";
--- a/src/simulator/codec/parse.rs
+++ b/src/simulator/codec/parse.rs
@@ -1,4 +1,4 @@
-//! Reads lines.
+//! Parses lines.
 
 use super::fields::Fields;
 use super::names::{engine_state, field, note_kind, received, update_kind};
@@ -8,18 +8,18 @@
     Timestamp,
 };
 
-/// Reads one line; `None` where its first field is unknown.
+/// Parses one line; `None` if its first field is unknown.
 ///
 /// # Errors
 /// The first field that is missing or invalid.
 pub fn parse_line(line: &str) -> Result<Option<Line>, WireError> {
     let fields = Fields::split(line);
     let parsed = match fields.name() {
-        received::BATCH_BEGIN => Line::Clock {
+        received::BATCH_BEGIN => Line::BatchBegin {
             now: Timestamp::from_secs_f64(fields.number(1, field::NOW)?),
             batch: fields.text(2, field::BATCH)?.to_owned(),
         },
-        received::BATCH_END => Line::Commit,
+        received::BATCH_END => Line::BatchEnd,
         received::ENGINE_LIST => Line::ListBegin {
             list: fields.integer(1, field::LIST)? as usize,
             entries: fields.integer(2, field::LIST_ENTRIES)? as usize,
@@ -32,7 +32,7 @@
         },
         received::STOP => Line::Stop { instance: fields.instance()? },
         received::ENDPOINTS_CHANGED => parse_endpoint_update(&fields)?,
-        received::PROBE_COMPLETED => Line::Probed {
+        received::PROBE_COMPLETED => Line::ProbeCompleted {
             instance: fields.instance()?,
             engine: fields.text(2, field::ENGINE)?.to_owned(),
             outcome: fields.outcome(3)?,
@@ -66,7 +66,7 @@
         zone: fields.optional_integer(2, field::ZONE)?.unwrap_or(0) as u32,
         kind: fields.optional_integer(3, field::MACHINE_KIND)?.unwrap_or(0) as u32,
         cell: fields.optional_integer(4, field::CELL)?.unwrap_or(0) as u32,
-        // An unknown state says no more than that the engine is listed.
+        // An engine with an unknown state is in the list, so it counts as ready.
         state: match fields.optional_text(5) {
             Some(engine_state::DRAINING) => EngineState::Draining,
             Some(engine_state::GONE) => EngineState::Gone,
@@ -89,7 +89,7 @@
         _ => return Err(fields.error(field::UPDATE_KIND, FieldError::UnknownWord)),
     };
     let list = if kind == EndpointUpdate::Failed { 0 } else { fields.integer(4, field::LIST)? as usize };
-    Ok(Line::Members { instance: fields.instance()?, kind, list })
+    Ok(Line::EndpointsChanged { instance: fields.instance()?, kind, list })
 }
 
 fn parse_arrival(fields: &Fields) -> Result<Line, WireError> {
@@ -107,7 +107,7 @@
     Ok(Line::Event { instance, event: Event::RequestArrived(arrival) })
 }
 
-/// A progress note on an attempt; `None` where its kind is unknown.
+/// Parses a progress note on an attempt; `None` if its kind is unknown.
 fn parse_progress_note(fields: &Fields) -> Result<Option<Line>, WireError> {
     let value = fields.optional_number(6, field::NOTE_VALUE)?.unwrap_or(0.0);
     let note = match fields.integer(5, field::NOTE_KIND)? {
--- a/src/simulator/codec/print.rs
+++ b/src/simulator/codec/print.rs
@@ -7,27 +7,27 @@
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Appends a span as seconds with six decimals.
-fn write_seconds(out: &mut String, span: TimeDelta) {
-    let micros = span.as_micros().unsigned_abs();
-    let sign = if span.as_micros() < 0 { "-" } else { "" };
+/// Appends a duration in seconds with six decimals.
+fn write_seconds(out: &mut String, duration: TimeDelta) {
+    let micros = duration.as_micros().unsigned_abs();
+    let sign = if duration.as_micros() < 0 { "-" } else { "" };
     let _ = write!(out, "{sign}{}.{:06}", micros / MICROS_PER_SECOND, micros % MICROS_PER_SECOND);
 }
 
-/// Appends a span as seconds; an absent one is `0`.
-fn write_optional_seconds(out: &mut String, span: Option<TimeDelta>) {
-    match span {
-        Some(span) => write_seconds(out, span),
+/// Appends a duration in seconds; an absent one is written as `0`.
+fn write_optional_seconds(out: &mut String, duration: Option<TimeDelta>) {
+    match duration {
+        Some(duration) => write_seconds(out, duration),
         None => out.push('0'),
     }
 }
 
-/// Replaces control characters, which would break the line.
+/// Replaces control characters by spaces: a line feed or tab would break the line's format.
 fn without_control_characters(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect()
 }
 
-/// Appends the first two fields of a line: its name, and the instance or batch that it concerns.
+/// Appends the first two fields of a line: its name, and the instance or batch that it refers to.
 fn begin_line(out: &mut String, name: &str, subject: &str) {
     out.push_str(name);
     out.push('\t');
@@ -40,7 +40,7 @@
     let _ = write!(out, "\t{:016x}", id.0);
 }
 
-/// Appends an action of an instance as a line; `engine_name` gives an engine's name on the wire.
+/// Appends an action of an instance as a line; `engine_name` returns an engine's name on the wire.
 pub fn print_action<'a>(
     out: &mut String,
     instance: &str,
@@ -75,7 +75,7 @@
             let _ = write!(out, "\t{}", engine_name(*engine));
         }
         Action::BroadcastToPeers { message } => print_broadcast(out, instance, message),
-        // The wire has no line for diagnostics.
+        // The wire has no line for explanations, which are diagnostics.
         Action::Explain(_) => return,
         Action::WatchEndpoints => {
             begin_line(out, sent::WATCH_ENDPOINTS, instance);
@@ -102,7 +102,7 @@
     write_bytes(out, message);
 }
 
-/// Appends bytes in hex; no bytes are `-`.
+/// Appends bytes in hex; an empty sequence is written as `-`.
 fn write_bytes(out: &mut String, bytes: &[u8]) {
     if bytes.is_empty() {
         out.push('-');
@@ -112,7 +112,7 @@
     }
 }
 
-/// Appends the line that says that an instance panicked, and with which message.
+/// Appends the line that reports an instance's panic and its message.
 pub fn print_panic(out: &mut String, instance: &str, message: &str) {
     begin_line(out, sent::PANICKED, instance);
     out.push('\t');
@@ -120,7 +120,7 @@
     out.push('\n');
 }
 
-/// Appends the line that ends the reply to a batch; `batch` is the number that the batch came with.
+/// Appends the line that ends the reply to a batch; `batch` is the number of the batch.
 pub fn print_batch_end(out: &mut String, batch: &str) {
     begin_line(out, sent::REPLY_END, batch);
     out.push('\n');
