--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 /// How long a connection is protected from eviction after it was accepted, before the first request of its
-/// session, or within a message: its next bytes are probably on their way.
+/// session, or within a message: its next bytes are probably in transit.
 const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
 /// Which connections may be evicted for another.
--- a/src/front/count_guard.rs
+++ b/src/front/count_guard.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-/// Adds one to a counter for as long as it lives.
+/// Keeps a counter incremented by one until it is dropped.
 pub(super) struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,8 +1,8 @@
 //! The fronts, which accept the clients' connections and run their sessions.
 //!
-//! Both fronts submit their requests to the same core. The platform's front speaks simple queries; the
-//! operator's front (`extended`) also speaks the extended query protocol, generates request ids, and supports
-//! session settings.
+//! Both fronts submit their requests to the same core. The platform's front supports simple queries only; the
+//! operator's front (`extended`) also supports the extended query protocol and session settings, and
+//! generates request ids.
 //!
 //! A connection runs through `accept`, `connection`, `startup` and `session`, in that order.
 
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -77,7 +77,7 @@
     /// The field is not a finite number of 0 or more.
     #[error("field {0} is not a number of 0 or more")]
     InvalidNumber(&'static str),
-    /// The field is not from 1 to the maximum number of pages.
+    /// The field is not a whole number from 1 to the maximum number of pages.
     #[error("field {0} is no number of a page")]
     InvalidPageNumber(&'static str),
     /// The page's index is not less than the number of pages of the result.
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -30,7 +30,7 @@
 const ID_DIGITS: usize = 16;
 /// Maximum number of characters of an idempotency key.
 const MAX_KEY_CHARACTERS: usize = 128;
-/// The longest time-out, in milliseconds: one day.
+/// Maximum time-out, in milliseconds: one day.
 const MAX_TIMEOUT_MS: u64 = 86_400_000;
 /// Maximum work of an estimate, in milliseconds on one core: eleven days.
 const MAX_WORK_MS: f64 = 1e9;
--- a/src/proto/pg/backend.rs
+++ b/src/proto/pg/backend.rs
@@ -12,23 +12,14 @@
 mod message_type {
     /// AuthenticationOk.
     pub(super) const AUTHENTICATION: u8 = b'R';
-    /// ParameterStatus.
     pub(super) const PARAMETER_STATUS: u8 = b'S';
-    /// BackendKeyData.
     pub(super) const BACKEND_KEY_DATA: u8 = b'K';
-    /// NegotiateProtocolVersion.
     pub(super) const NEGOTIATE_PROTOCOL_VERSION: u8 = b'v';
-    /// ReadyForQuery.
     pub(super) const READY_FOR_QUERY: u8 = b'Z';
-    /// RowDescription.
     pub(super) const ROW_DESCRIPTION: u8 = b'T';
-    /// ParameterDescription.
     pub(super) const PARAMETER_DESCRIPTION: u8 = b't';
-    /// DataRow.
     pub(super) const DATA_ROW: u8 = b'D';
-    /// CommandComplete.
     pub(super) const COMMAND_COMPLETE: u8 = b'C';
-    /// ErrorResponse.
     pub(super) const ERROR_RESPONSE: u8 = b'E';
 }
 
@@ -40,11 +31,8 @@
     pub(super) const SEVERITY_NONLOCALIZED: u8 = b'V';
     /// SQLSTATE.
     pub(super) const CODE: u8 = b'C';
-    /// Message.
     pub(super) const MESSAGE: u8 = b'M';
-    /// Detail.
     pub(super) const DETAIL: u8 = b'D';
-    /// Hint.
     pub(super) const HINT: u8 = b'H';
 }
 
--- a/src/proto/resp.rs
+++ b/src/proto/resp.rs
@@ -26,7 +26,7 @@
     /// A bulk string does not end where its length says.
     #[error("field bulk does not end with a line break")]
     NoLineEnd,
-    /// A length does not follow the type byte of an array or of a bulk string.
+    /// The type byte of an array or of a bulk string is missing before a length.
     #[error("field length does not begin with its mark")]
     UnexpectedType,
     /// A length has too many digits.
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -43,7 +43,7 @@
         source: LineError,
     },
     /// A reply could not be written.
-    #[error("writing the reply")]
+    #[error("failed to write the reply")]
     Write(#[source] io::Error),
 }
 
@@ -54,13 +54,13 @@
     #[error(transparent)]
     Wire(#[from] WireError),
     /// An engine list has fewer entries than it announced.
-    #[error("field elements counts more ENGINE lines than follow")]
+    #[error("field elements announces more ENGINE lines than follow")]
     ListIncomplete,
     /// An entry is not part of an engine list.
-    #[error("an ENGINE line stands outside any POOL")]
+    #[error("an ENGINE line does not belong to a POOL")]
     EntryOutsideList,
     /// An endpoint update refers to an engine list that was never sent.
-    #[error("field page names no POOL: {0} in MEMBERS")]
+    #[error("field page names an unknown POOL: {0} in MEMBERS")]
     UnknownList(usize),
 }
 
@@ -203,7 +203,7 @@
                 );
             }
             Line::EndpointsChanged { instance, kind, list } => {
-                if let Some(entries) = self.list_for(&instance, list)? {
+                if let Some(entries) = self.list_entries(&instance, list)? {
                     self.handle_event(&instance, Event::EndpointsChanged { kind, entries });
                 }
             }
@@ -257,7 +257,7 @@
     }
 
     /// The entries of a list with the engine numbers of `instance`; `None` if there is no such instance.
-    fn list_for(&mut self, instance: &str, list: usize) -> Result<Option<Vec<EngineEntry>>, LineError> {
+    fn list_entries(&mut self, instance: &str, list: usize) -> Result<Option<Vec<EngineEntry>>, LineError> {
         let list = self.lists.get(&list).ok_or(LineError::UnknownList(list))?;
         let Some(instance) = self.instances.get_mut(instance) else { return Ok(None) };
         let numbered =
