--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -1,29 +1,30 @@
-//! The packets before a session: SSLRequest, GSSENCRequest, CancelRequest and StartupMessage (PostgreSQL, "Message
-//! Flow", "Start-up").
+//! Handles the packets before a session: SSLRequest, GSSENCRequest, CancelRequest and StartupMessage
+//! (PostgreSQL, "Message Flow", "Start-up").
 
 use super::client_connection::ClientConnection;
 use super::client_error::{incomplete_in_time, too_many_sessions};
 use super::sessionless::ConnectionGuard;
 use super::Front;
-use crate::proto::pg::{self, ErrorResponse, Opening};
+use crate::proto::pg::{self, ErrorResponse, StartupPacket};
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 
-/// Longest time until a connection starts its session; it is closed then. The platform requires an answer within 3 s.
+/// Maximum time until a connection starts its session; after it the connection is closed. The platform
+/// requires an answer within 3 s.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Answer to an SSLRequest that is accepted.
 const ENCRYPTION_ACCEPTED: u8 = b'S';
 /// Answer to a request for encryption that is not offered.
 const ENCRYPTION_REJECTED: u8 = b'N';
 
-/// A StartupMessage.
+/// The content of a StartupMessage.
 pub struct SessionStart {
     /// The minor version of the protocol that the client asks for.
     pub minor: u16,
-    /// Names and values of the parameters.
+    /// Names and values of the start-up parameters.
     pub parameters: Vec<(String, String)>,
 }
 
@@ -36,13 +37,13 @@
     Tls,
 }
 
-/// How the packets before a session end.
+/// Outcome of the packets before a session.
 pub(super) enum StartupOutcome {
-    /// A session.
+    /// The client starts a session.
     Session(SessionStart),
-    /// A TLS handshake.
+    /// A TLS handshake follows.
     StartTls(TlsAcceptor),
-    /// The end of the connection, after an error if there is one.
+    /// The connection is closed, after an error if there is one.
     Close(Option<ErrorResponse>),
 }
 
@@ -81,10 +82,10 @@
         transport: Transport,
     ) -> io::Result<StartupOutcome> {
         loop {
-            let opening = match pg::read_opening(connection.input()) {
-                Ok(Some((opening, length))) => {
+            let packet = match pg::read_startup_packet(connection.input()) {
+                Ok(Some((packet, length))) => {
                     connection.consume(length);
-                    opening
+                    packet
                 }
                 Ok(None) => {
                     if connection.fill().await? == 0 {
@@ -95,24 +96,24 @@
                 Err(malformed) => return Ok(StartupOutcome::reject(malformed.into())),
             };
             let acceptor = self.tls.borrow().clone();
-            match (opening, acceptor) {
-                (Opening::Ssl, Some(acceptor)) if transport == Transport::Plain => {
+            match (packet, acceptor) {
+                (StartupPacket::Ssl, Some(acceptor)) if transport == Transport::Plain => {
                     return accept_tls_request(connection, acceptor).await;
                 }
-                (Opening::Ssl | Opening::Gssenc, _) => {
+                (StartupPacket::Ssl | StartupPacket::Gssenc, _) => {
                     connection.output().push(ENCRYPTION_REJECTED);
                     connection.flush().await?;
                 }
-                (Opening::Cancel { session, secret }, _) => {
-                    self.request_cancel(session, secret);
+                (StartupPacket::Cancel { process_id, secret }, _) => {
+                    self.request_cancel(process_id, secret);
                     return Ok(StartupOutcome::Close(None));
                 }
-                (Opening::Startup { .. }, acceptor)
+                (StartupPacket::Startup { .. }, acceptor)
                     if self.config.require_tls && transport == Transport::Plain =>
                 {
                     return Ok(StartupOutcome::reject(tls_required(acceptor.is_some())));
                 }
-                (Opening::Startup { minor, parameters }, _) => {
+                (StartupPacket::Startup { minor, parameters }, _) => {
                     return Ok(StartupOutcome::Session(SessionStart { minor, parameters }));
                 }
             }
@@ -120,15 +121,15 @@
     }
 
     /// Handles a CancelRequest. The client gets no answer, whether the session exists or not.
-    fn request_cancel(&self, session: u32, secret: u32) {
-        if let Some(cancel) = self.sessions.borrow().get(&session) {
+    fn request_cancel(&self, process_id: u32, secret: u32) {
+        if let Some(cancel) = self.sessions.borrow().get(&process_id) {
             cancel.request(secret);
         }
     }
 }
 
-/// Accepts an SSLRequest. Bytes that arrive before the handshake are rejected: an attacker could have injected
-/// them, and they would be read as if they had been encrypted.
+/// Accepts an SSLRequest. Bytes that arrive before the handshake are rejected: an attacker could have
+/// injected them, and they would be read as if they had been encrypted.
 async fn accept_tls_request<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut ClientConnection<S>,
     acceptor: TlsAcceptor,
