--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -31,7 +31,7 @@
     /// Size of all entries, bytes.
     bytes: u64,
     /// Size of the entries behind the snapshot, bytes.
-    bytes_behind_snapshot: u64,
+    bytes_after_snapshot: u64,
     /// The memberships, oldest first; the last one is in force.
     memberships: VecDeque<VersionedMembership>,
     /// A member needs a newer snapshot than there is.
@@ -83,7 +83,7 @@
         let bytes = entry_bytes(entry);
         self.bytes += bytes;
         if entry.index > self.snapshot_index() {
-            self.bytes_behind_snapshot += bytes;
+            self.bytes_after_snapshot += bytes;
         }
     }
 
@@ -91,7 +91,7 @@
         let bytes = entry_bytes(entry);
         self.bytes = self.bytes.saturating_sub(bytes);
         if entry.index > self.snapshot_index() {
-            self.bytes_behind_snapshot = self.bytes_behind_snapshot.saturating_sub(bytes);
+            self.bytes_after_snapshot = self.bytes_after_snapshot.saturating_sub(bytes);
         }
     }
 
@@ -99,7 +99,7 @@
     pub fn install(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.bytes = 0;
-        self.bytes_behind_snapshot = 0;
+        self.bytes_after_snapshot = 0;
         self.compacted = snapshot.position();
         self.memberships.clear();
         self.memberships.push_back(VersionedMembership {
@@ -122,7 +122,7 @@
         self.drop_entries_before(index);
         self.snapshot = Some(Snapshot { index, term, membership, data });
         let entries_behind = self.entries.iter().filter(|entry| entry.index > index);
-        self.bytes_behind_snapshot = entries_behind.map(entry_bytes).sum();
+        self.bytes_after_snapshot = entries_behind.map(entry_bytes).sum();
         self.is_snapshot_wanted.set(false);
         true
     }
@@ -139,7 +139,7 @@
     }
 
     /// All entries behind the snapshot: what goes to disk beside it.
-    pub fn entries_behind_snapshot(&self) -> Vec<wire::Entry> {
+    pub fn entries_after_snapshot(&self) -> Vec<wire::Entry> {
         let index = self.snapshot_index();
         self.entries.iter().filter(|entry| entry.index > index).map(convert::entry_to_wire).collect()
     }
@@ -153,8 +153,8 @@
         self.snapshot.as_ref()
     }
 
-    pub fn bytes_behind_snapshot(&self) -> u64 {
-        self.bytes_behind_snapshot
+    pub fn bytes_after_snapshot(&self) -> u64 {
+        self.bytes_after_snapshot
     }
 
     /// Whether a member needs a newer snapshot than there is.
--- a/crates/consensus/src/node/apply.rs
+++ b/crates/consensus/src/node/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries: handing them out, and learning that they are on disk and applied.
+//! Hands out committed entries, and tracks which are on disk and applied.
 
 use super::Node;
 use crate::convert;
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Applies a membership change, unless it breaks a rule at its place in the log: then it has no effect at any member.
+    /// Applies a membership change. One that breaks a rule at its place in the log has no effect at any
+    /// member.
     fn apply_conf_change(&mut self, index: u64, change: ConfChange, ready: &mut Ready) {
         let mut membership = self.current_membership().membership.clone();
         if membership.check(change).is_err() {
@@ -59,14 +60,14 @@
         let current = VersionedMembership { index, membership: membership.clone() };
         self.raw_node.mut_store().push_membership(current);
         if !membership.contains(self.id) && self.raw_node.raft.state == StateRole::Leader {
-            // An earlier leader removed this member, which came to lead meanwhile: the library would continue
-            // and panic when it looks for its own progress.
+            // An earlier leader proposed the removal of this member, which has become leader since. If it
+            // continued to lead, the library would panic when it looks up its own progress.
             self.step_down();
         }
         ready.membership = Some(membership);
     }
 
-    /// The batch of this number and all before it are on disk.
+    /// Reports that batch `number` and all batches before it are on disk.
     pub fn persisted(&mut self, now: Timestamp, number: u64) {
         self.now = self.now.max(now);
         let ready_number = self.persistence.batch_on_disk(number);
@@ -76,8 +77,9 @@
         self.advance_applied();
     }
 
-    /// All entries up to this one are applied. A digest of the state after it, if one is given, is compared with the
-    /// peers'; it is of use only where several members give one after the same entry.
+    /// Reports that all entries up to `index` are applied. A digest of the state after that entry, if given,
+    /// is compared with the digests of the peers; digests are comparable only where several members give one
+    /// after the same entry.
     pub fn applied(&mut self, index: u64, state_digest: Option<u64>) {
         let index = index.min(self.progress.handed_out);
         self.progress.reported = self.progress.reported.max(index);
@@ -87,7 +89,7 @@
         self.advance_applied();
     }
 
-    /// Reports to the raft library what is applied, as far as it is on disk.
+    /// Reports the applied index to the raft library, up to the last entry that is on disk.
     fn advance_applied(&mut self) {
         let log = &self.raw_node.raft.raft_log;
         let index = self.progress.reported.min(log.committed).min(log.persisted);
--- a/crates/consensus/src/node/conf_change.rs
+++ b/crates/consensus/src/node/conf_change.rs
@@ -11,15 +11,16 @@
     /// Adds a member without a vote. An incarnation that was a member before is rejected.
     ///
     /// # Errors
-    /// When the change was not started.
+    /// The change was not proposed.
     pub fn add_learner(&mut self, member: MemberId) -> Result<(), ConfChangeError> {
         self.propose_conf_change(ConfChange { kind: ConfChangeKind::AddLearner, member })
     }
 
-    /// Makes a learner a voter, once it has nearly all entries.
+    /// Makes a learner a voter. Rejected while the learner lacks more than [`MAX_PROMOTION_LAG`] committed
+    /// entries.
     ///
     /// # Errors
-    /// When the change was not started.
+    /// The change was not proposed.
     pub fn promote(&mut self, member: MemberId) -> Result<(), ConfChangeError> {
         self.check_leads()?;
         let progress = self.raw_node.raft.prs().get(member.raw());
@@ -35,7 +36,7 @@
     /// Removes a member permanently: its incarnation can't be added again.
     ///
     /// # Errors
-    /// When the change was not started; a leader transfers its leadership before it is removed.
+    /// The change was not proposed. A leader must transfer its leadership before it can be removed.
     pub fn remove(&mut self, member: MemberId) -> Result<(), ConfChangeError> {
         if member == self.id {
             return Err(ConfChangeError::RemovesLeader);
--- a/crates/consensus/src/node/election_timeout.rs
+++ b/crates/consensus/src/node/election_timeout.rs
@@ -1,39 +1,39 @@
-//! The spread of election timeouts.
+//! Random election timeouts.
 
 use raft::StateRole;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Draws election timeouts from the member's seed. The raft library draws its own from a generator that can't be
-/// seeded; the timeout drawn here is set in its place, and drawn again whenever term or role change.
+/// Draws election timeouts from the member's seed. The raft library draws its own from a generator that can't
+/// be seeded, so its timeout is replaced by one of these, which is drawn again whenever term or role change.
 #[derive(Debug)]
 pub(super) struct ElectionTimeout {
     rng: ChaCha8Rng,
     shortest: usize,
     longest: usize,
-    drawn: Option<Drawn>,
+    drawn: Option<DrawnTimeout>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Drawn {
+struct DrawnTimeout {
     term: u64,
     role: StateRole,
     ticks: usize,
 }
 
 impl ElectionTimeout {
-    /// Timeouts between two bounds in ticks, both included.
+    /// Draws timeouts between two inclusive bounds, in ticks.
     pub fn new(rng: ChaCha8Rng, shortest: usize, longest: usize) -> Self {
         ElectionTimeout { rng, shortest, longest, drawn: None }
     }
 
-    /// The timeout of a term and role, in ticks.
+    /// The timeout for a term and role, in ticks; the same until either changes.
     pub fn ticks(&mut self, term: u64, role: StateRole) -> usize {
         match self.drawn {
             Some(drawn) if drawn.term == term && drawn.role == role => drawn.ticks,
             _ => {
                 let ticks = self.rng.gen_range(self.shortest..=self.longest);
-                self.drawn = Some(Drawn { term, role, ticks });
+                self.drawn = Some(DrawnTimeout { term, role, ticks });
                 ticks
             }
         }
--- a/crates/consensus/src/node/errors.rs
+++ b/crates/consensus/src/node/errors.rs
@@ -1,4 +1,4 @@
-//! Why a member could not start, or did not do what it was asked.
+//! Errors of a member: failed starts and rejected calls.
 
 use crate::config::ConfigError;
 use crate::ids::MemberId;
@@ -11,7 +11,7 @@
     /// The configuration is invalid.
     #[error("invalid configuration")]
     Config(#[source] ConfigError),
-    /// The store knows entries to be committed that it does not hold.
+    /// The commit index in the store is beyond the last entry in it.
     #[error("the store lacks committed entries: {commit} are committed, the last one is {last}")]
     MissingCommittedEntries {
         /// Index of the last entry known to be committed.
@@ -22,9 +22,9 @@
     /// The entries in the store have a gap.
     #[error("the store has entry {found} where entry {expected} is expected")]
     EntryGap {
-        /// The index that is expected.
+        /// The expected index.
         expected: u64,
-        /// The index of the entry.
+        /// The index of the entry found instead.
         found: u64,
     },
     /// The raft library rejected its configuration.
@@ -32,7 +32,7 @@
     Raft(#[source] raft::Error),
 }
 
-/// Why a proposal was rejected. It was not sent anywhere.
+/// Why a proposal was rejected. It was neither appended nor forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
     /// This member does not lead, and knows of no leader, or is not established.
@@ -41,13 +41,13 @@
         /// The leader, if it is known.
         leader: Option<MemberId>,
     },
-    /// Too many proposals are open, or the log is at its bound: to be proposed again later.
+    /// Too many proposals are pending, or the log is full. The proposal may be retried later.
     #[error("too many proposals are pending")]
     TooManyPending,
     /// The proposal is longer than [`MAX_PROPOSAL_BYTES`].
-    #[error("over {MAX_PROPOSAL_BYTES} bytes")]
+    #[error("the proposal is longer than {MAX_PROPOSAL_BYTES} bytes")]
     TooLarge,
-    /// A proposal with this id is open.
+    /// A proposal with this id is pending.
     #[error("a proposal with this id is pending")]
     AlreadyPending,
     /// This member is quarantined.
@@ -96,7 +96,7 @@
     /// The learner's log is behind.
     #[error("the learner lacks {missing_entries} entries")]
     LearnerBehind {
-        /// Number of committed entries that it lacks.
+        /// Number of committed entries that the learner lacks.
         missing_entries: u64,
     },
     /// The raft library did not accept the proposal.
@@ -108,12 +108,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The snapshot is longer than [`MAX_SNAPSHOT_BYTES`].
-    #[error("over {MAX_SNAPSHOT_BYTES} bytes")]
+    #[error("the snapshot is longer than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
-    /// The snapshot's entry is not applied, or not behind the last snapshot.
-    #[error("entry {index} is not applied, or not behind the last snapshot")]
+    /// The snapshot's entry is not applied, or not after the last snapshot.
+    #[error("entry {index} is not applied, or not after the last snapshot")]
     InvalidIndex {
-        /// The snapshot's index.
+        /// Index of the last entry in the rejected snapshot.
         index: u64,
     },
 }
--- a/crates/consensus/src/node/leadership.rs
+++ b/crates/consensus/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! Elections and transfers of leadership that an operator asks for.
+//! Elections and leadership transfers that an operator requests.
 
 use super::{LeadershipError, Node};
 use crate::ids::MemberId;
@@ -7,7 +7,7 @@
     /// Starts an election now, if this member may campaign.
     ///
     /// # Errors
-    /// When it may not: it has no vote, or its log is behind its floors.
+    /// The member may not campaign: it has no vote, or its log is behind its floors.
     pub fn campaign(&mut self) -> Result<(), LeadershipError> {
         if !self.may_campaign() || !self.raw_node.raft.promotable() {
             return Err(LeadershipError::NotElectable);
@@ -15,10 +15,11 @@
         self.raw_node.campaign().map_err(|_| LeadershipError::Dropped)
     }
 
-    /// Transfers leadership to another voter once that one has all entries; abandoned after an election timeout.
+    /// Transfers leadership to another voter as soon as that voter has all entries. The transfer is abandoned
+    /// after an election timeout.
     ///
     /// # Errors
-    /// When this member does not lead, or the other one has no vote.
+    /// This member does not lead, or the other member has no vote.
     pub fn transfer_leadership(&mut self, to: MemberId) -> Result<(), LeadershipError> {
         if !self.is_leading() {
             return Err(LeadershipError::NotLeader { leader: self.leader() });
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -38,14 +38,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Whether a member takes part.
+/// Phase of a member between its start and taking part in the protocol.
 #[derive(Debug)]
 enum Phase {
-    /// It has restarted and waits for the others' responses.
+    /// The member has restarted and waits for the rejoin responses of the other members.
     Rejoining { quorum: RejoinQuorum, next_request_at: Timestamp },
-    /// It takes part.
+    /// The member votes, acknowledges entries and may lead.
     Established,
-    /// It was found to have lost acknowledged writes.
+    /// The member was found to have lost acknowledged writes.
     Quarantined(QuarantineReason),
 }
 
@@ -55,27 +55,28 @@
 /// The messages for the next [`crate::Ready`].
 #[derive(Debug, Default)]
 struct Outbox {
-    /// May be sent at once.
+    /// Messages that may be sent at once.
     immediate: Vec<Outgoing>,
-    /// Must wait for the next batch.
+    /// Messages that must wait until the next batch is on disk.
     after_persist: Vec<Outgoing>,
 }
 
-/// How far the log is applied.
+/// Progress of applying the log, as entry indexes.
 #[derive(Debug)]
 struct ApplyProgress {
-    /// The last entry handed out.
+    /// The last entry handed out to the driver.
     handed_out: u64,
-    /// The last entry that the driver reported to be applied.
+    /// The last entry that the driver reported as applied.
     reported: u64,
-    /// The last entry that the raft library knows to be applied: one that is reported and on disk.
+    /// The last entry reported to the raft library as applied: only entries that are also on disk.
     applied: u64,
 }
 
-/// One member of the consensus group, as a state machine without input and output.
+/// One member of the consensus group, as a state machine that does no input or output.
 ///
-/// The driver owns time, disk and network. It calls [`Node::tick`] at least every tick and [`Node::step`] with every frame,
-/// and after each call [`Node::ready`] until it returns `None`, carrying out what each [`crate::Ready`] requests.
+/// The driver owns time, disk and network. It calls [`Node::tick`] at least once per tick and [`Node::step`]
+/// with every frame. After each call it calls [`Node::ready`] until that returns `None`, and carries out the
+/// work in each [`crate::Ready`].
 pub struct Node {
     id: MemberId,
     timing: Timing,
@@ -87,7 +88,7 @@
     boot: u64,
     /// Random number of this boot.
     nonce: u64,
-    /// The members to send requests to while the log names none.
+    /// The members to send rejoin requests to while the log contains no membership.
     contacts: VersionedMembership,
     peers: PeerTable,
     persistence: Persistence,
@@ -99,11 +100,11 @@
     digests: StateDigests,
     progress: ApplyProgress,
     leading_since: Option<Timestamp>,
-    /// The role as last handed out.
+    /// The role that was last handed out.
     role: Option<RoleChange>,
-    /// A snapshot was requested and not yet taken.
+    /// Whether a snapshot was requested from the driver and not yet taken.
     is_snapshot_requested: bool,
-    /// When the snapshots that are being sent were last sent, by raw member.
+    /// Time at which each snapshot in transfer was last sent, by raw member number.
     snapshots_sent_at: BTreeMap<u64, Timestamp>,
 }
 
@@ -127,9 +128,9 @@
         self.is_established() && self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// Whether this member may request votes: its log must not be behind its floors.
+    /// Whether this member may request votes: its log must have reached its floors.
     fn may_campaign(&self) -> bool {
-        // Between the arrival of a snapshot and its being applied the library would look for entries that are gone.
+        // While a received snapshot is not yet applied, the library would look for entries that were dropped.
         let is_snapshot_applied = self.progress.applied >= self.raw_node.store().snapshot_index();
         self.is_established() && is_snapshot_applied && self.has_reached_log_floors()
     }
@@ -138,7 +139,7 @@
         self.last_position() >= self.floors.log()
     }
 
-    /// The last entry in memory.
+    /// The position of the last entry in memory.
     fn last_position(&self) -> LogPosition {
         let log = &self.raw_node.raft.raft_log;
         LogPosition::new(log.last_term(), log.last_index())
--- a/crates/consensus/src/node/operator.rs
+++ b/crates/consensus/src/node/operator.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the applied state, and what an operator may override.
+//! Snapshots of the applied state, and the overrides of the rejoin protocol that an operator may issue.
 
 use super::{Node, Phase, SnapshotError};
 use crate::alarm::Alarm;
@@ -7,10 +7,11 @@
 use crate::rejoin::{RejoinFloors, RejoinOutcome};
 
 impl Node {
-    /// Takes the applied state up to and including an entry; the log before it is dropped, except for some entries.
+    /// Stores a snapshot of the applied state up to and including entry `index`. The log before that entry is
+    /// dropped, except for [`crate::limits::RETAINED_ENTRIES`].
     ///
     /// # Errors
-    /// When the snapshot is not acceptable; then the log stays as it is.
+    /// The snapshot was not accepted; the log is unchanged.
     pub fn snapshot_taken(&mut self, index: u64, state: Vec<u8>) -> Result<(), SnapshotError> {
         self.is_snapshot_requested = false;
         if state.len() > MAX_SNAPSHOT_BYTES {
@@ -26,9 +27,10 @@
         Ok(())
     }
 
-    /// An operator declares the disk of a rejoining member complete, or lifts the log floors of an established one. To be
-    /// used only where members are permanently lost and the disk is known to hold all that was acknowledged, which rejoining
-    /// otherwise establishes. False when there was nothing to lift.
+    /// Operator override: ends the rejoining of this member without floors, or removes the log floors of an
+    /// established member. To be used only where members are permanently lost and this member's disk is known
+    /// to hold everything that the member acknowledged, which rejoining otherwise ensures. Returns false when
+    /// nothing was overridden.
     pub fn trust_disk(&mut self) -> bool {
         match self.phase {
             Phase::Rejoining { .. } => {
@@ -41,9 +43,10 @@
         true
     }
 
-    /// An operator declares a member's store permanently lost, so that nobody waits for what it held. A rejoining member
-    /// counts it as a response; an established one lifts the floor that it set. To be used where the remaining members are
-    /// too few to rejoin by themselves: an entry that only that store still held is then lost.
+    /// Operator override: declares a member's store permanently lost, so that this member doesn't wait for
+    /// its contents. While rejoining, this member counts it as a response; once established, it removes the
+    /// floor that the lost member set. To be used where too few members remain to rejoin by themselves. An
+    /// entry that only the lost store held is then lost.
     pub fn declare_lost(&mut self, member: MemberId) {
         match &mut self.phase {
             Phase::Rejoining { quorum, .. } => quorum.declare_lost(member),
--- a/crates/consensus/src/node/peer_liveness.rs
+++ b/crates/consensus/src/node/peer_liveness.rs
@@ -1,5 +1,5 @@
-//! What every frame carries beside its body: the boots of the members that its sender knows of, what the sender
-//! acknowledged, and a digest of its state.
+//! Handling of the fields that every frame contains beside its body: the boots of the members that the sender
+//! knows, what the sender acknowledged, and a digest of its state.
 
 use super::{Node, Phase};
 use crate::alarm::Alarm;
@@ -9,7 +9,7 @@
 use raft::StateRole;
 
 impl Node {
-    /// Notes all that a frame carries beside its body.
+    /// Records the fields of a frame other than its body.
     pub(super) fn observe_envelope(&mut self, from: MemberId, envelope: &Envelope) {
         if let Some(ack) = &envelope.acknowledged {
             self.peers.observe_ack(from, ack);
@@ -17,41 +17,43 @@
         for boot in envelope.boots.iter().filter(|boot| boot.boot <= MAX_COUNT) {
             self.learn_boot(MemberId::from_raw(boot.member), boot.boot, boot.nonce);
         }
-        if let Some(digest) = envelope.digest.filter(|digest| self.digests.contradicts(digest)) {
+        if let Some(digest) = envelope.digest.filter(|digest| self.digests.differs_from(digest)) {
             self.raise_alarm(Alarm::Diverged { peer: from, index: digest.index });
         }
     }
 
-    /// Learns of a boot, of a peer or of this member.
+    /// Records a boot of a peer or of this member itself, as known to another member.
     pub(super) fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) {
         if member == self.id {
-            let is_other_with_same_number = boot == self.boot && nonce != 0 && nonce != self.nonce;
-            if boot > self.boot || is_other_with_same_number {
+            let is_other_boot_with_same_number = boot == self.boot && nonce != 0 && nonce != self.nonce;
+            if boot > self.boot || is_other_boot_with_same_number {
                 self.raise_boot_above(boot);
             }
         } else if self.peers.learn_boot(member, boot, nonce) {
-            self.peer_restarted(member);
+            self.handle_peer_restart(member);
         }
     }
 
-    /// A peer knows another boot of this member with the same or a higher number: the counter on the disk was lost.
+    /// Raises this member's boot number above one that a peer knows for another boot of this member: the
+    /// counter on the disk was lost.
     pub(super) fn raise_boot_above(&mut self, known: u64) {
         self.boot = known + 1;
         if let Phase::Rejoining { quorum, next_request_at } = &mut self.phase {
             quorum.restart();
             *next_request_at = self.now;
         } else {
-            // The response that would have said so was lost. What this boot acknowledged still counts; it only takes a
-            // higher number, so that peers accept its frames again. Where another process runs under this member's id the
-            // alarm is raised again.
+            // The rejoin response with that number was lost. What this boot acknowledged still counts; the
+            // boot only takes a higher number, so that peers accept its frames again. If another process runs
+            // under this member's id, the alarm is raised repeatedly.
             self.persistence.is_state_due = true;
             self.raise_alarm(Alarm::DuplicateInstance { boot: known });
         }
     }
 
-    /// A peer has restarted: what it acknowledged before no longer counts. A leader discards it and probes the peer's
-    /// log again; a candidate, which may hold the peer's vote, steps down.
-    pub(super) fn peer_restarted(&mut self, member: MemberId) {
+    /// Handles the restart of a peer: what the peer acknowledged before no longer counts. A leader discards
+    /// those acknowledgements and probes the peer's log again; a candidate, which may hold the peer's vote,
+    /// steps down.
+    pub(super) fn handle_peer_restart(&mut self, member: MemberId) {
         if let Phase::Rejoining { quorum, .. } = &mut self.phase {
             quorum.discard_response(member);
         }
--- a/crates/consensus/src/node/persistence.rs
+++ b/crates/consensus/src/node/persistence.rs
@@ -1,4 +1,4 @@
-//! What is on disk, what is on its way there, and what has to be written next.
+//! Tracks the batches of a member: on disk, in flight to disk, and due next.
 
 use crate::ids::LogPosition;
 use crate::ready::Batch;
@@ -6,36 +6,36 @@
 use sprucelink_time::Timestamp;
 use std::collections::VecDeque;
 
-/// A batch on its way to disk.
+/// A batch that was handed out and is not yet on disk.
 #[derive(Debug)]
 struct InFlightBatch {
     number: u64,
-    /// The raft library's number of the newest ready that rests on it.
+    /// Number of the raft library's newest `Ready` that this batch makes durable; 0 when there is none.
     raft_ready: u64,
-    /// What is acknowledged once it is on disk.
+    /// State that the member acknowledges once the batch is on disk.
     ack: AckState,
 }
 
-/// The batches of a member.
+/// Persistence state of a member.
 #[derive(Debug)]
 pub(super) struct Persistence {
-    /// What the disk held at the start.
+    /// State that the disk held at the start.
     pub recovered: AckState,
-    /// What is on disk now.
+    /// State that is on disk now.
     pub durable: AckState,
     /// Number of the last batch handed out.
     pub last_batch: u64,
     in_flight: VecDeque<InFlightBatch>,
-    /// The next batch carries the snapshot and all entries behind it.
+    /// Whether the next batch has to contain the snapshot and all entries after it.
     pub is_snapshot_due: bool,
-    /// A batch is due, whether or not the raft library has anything to write.
+    /// Whether a batch is due even if the raft library has nothing to write.
     pub is_state_due: bool,
-    /// From when on a batch is due if the peer table has changed.
+    /// Time from which a batch is due if the peer table has changed.
     pub peers_due_at: Timestamp,
 }
 
 impl Persistence {
-    /// Starts with what the disk held.
+    /// Starts with the state that the disk held and the number of the last batch on it.
     pub fn new(recovered: AckState, last_batch: u64, peers_due_at: Timestamp) -> Self {
         Persistence {
             recovered,
@@ -52,17 +52,18 @@
         self.in_flight.len()
     }
 
-    /// The last batch in flight; 0 when there is none.
+    /// Number of the last batch in flight; 0 when there is none.
     pub fn last_in_flight(&self) -> u64 {
         self.in_flight.back().map_or(0, |batch| batch.number)
     }
 
-    /// What is acknowledged once all batches in flight are on disk.
+    /// State that is acknowledged once all batches in flight are on disk.
     pub fn pending_ack(&self) -> AckState {
         self.in_flight.back().map_or(self.durable, |batch| batch.ack)
     }
 
-    /// A batch is handed out; a ready of the raft library rests on it if `raft_ready` is not 0.
+    /// Records a batch that is handed out. It makes the raft library's `Ready` number `raft_ready` durable,
+    /// if that is not 0.
     pub fn batch_handed_out(&mut self, batch: &Batch, last: LogPosition, raft_ready: u64) {
         let ack = AckState {
             writes: batch.number,
@@ -74,7 +75,8 @@
         self.in_flight.push_back(InFlightBatch { number: batch.number, raft_ready, ack });
     }
 
-    /// A ready of the raft library needs no batch of its own: it rests on the last one in flight. False when there is none.
+    /// Attaches a `Ready` of the raft library that has nothing to write to the last batch in flight. False
+    /// when no batch is in flight.
     pub fn attach_to_last(&mut self, raft_ready: u64) -> bool {
         match self.in_flight.back_mut() {
             Some(batch) => {
@@ -85,7 +87,8 @@
         }
     }
 
-    /// A batch and all before it are on disk. Returns the newest ready of the raft library that rests on them, or 0.
+    /// Records that a batch and all before it are on disk. Returns the number of the raft library's newest
+    /// `Ready` that this makes durable, or 0.
     pub fn batch_on_disk(&mut self, number: u64) -> u64 {
         let mut raft_ready = 0;
         while let Some(batch) = self.in_flight.front().filter(|batch| batch.number <= number) {
--- a/crates/consensus/src/node/propose.rs
+++ b/crates/consensus/src/node/propose.rs
@@ -1,4 +1,4 @@
-//! Proposals, by this member's own driver and forwarded by other members.
+//! Proposals of this member's own driver, and proposals that other members forward to the leader.
 
 use super::{Node, Phase, ProposeError};
 use crate::ids::{MemberId, ProposalId};
@@ -8,18 +8,19 @@
 use prost::Message as _;
 use raft::StateRole;
 
-/// Reasons in a [`ProposalRejection`], for the receiver's log only.
+/// Reason in a [`ProposalRejection`], for the receiver's log only: this member doesn't lead in the requested
+/// term.
 const REJECTED_NOT_LEADER: u32 = 1;
-/// See [`REJECTED_NOT_LEADER`].
+/// Reason in a [`ProposalRejection`], for the receiver's log only: the leader can't append more entries now.
 const REJECTED_TOO_MANY: u32 = 2;
 
 impl Node {
-    /// Proposes an entry. A leader appends it; another member forwards it to the leader that it knows of. What
-    /// becomes of it is reported as a [`crate::ProposalOutcome`]; proposed again under the same id it counts once where it is
-    /// applied ([`crate::ProposalDedup`]).
+    /// Proposes an entry. A leader appends it; another member forwards it to the leader that it knows of. The
+    /// outcome is reported as a [`crate::ProposalOutcome`]. A proposal that is proposed again under the same
+    /// id is applied only once ([`crate::ProposalDedup`]).
     ///
     /// # Errors
-    /// When the proposal was not sent anywhere.
+    /// The proposal was neither appended nor forwarded.
     pub fn propose(&mut self, bytes: Vec<u8>, id: ProposalId) -> Result<(), ProposeError> {
         self.check_proposal(&bytes, id)?;
         let proposal = Proposal { origin: id.origin, sequence: id.sequence, data: bytes };
@@ -60,8 +61,9 @@
         self.raw_node.propose(Vec::new(), data).map_err(|_| ProposeError::TooManyPending)
     }
 
-    /// A proposal that another member forwarded. It may be appended only in the term for which it was meant: so its
-    /// proposer knows, once an entry of a later term is committed, that it never will be.
+    /// Handles a proposal that another member forwarded. It may be appended only in the term for which it was
+    /// forwarded: so once an entry of a later term is committed, the proposer knows that the proposal will
+    /// never be appended.
     pub(super) fn handle_forwarded_proposal(&mut self, from: MemberId, forwarded: ForwardedProposal) {
         let Some(proposal) = forwarded.proposal else { return };
         let reason = if !self.is_leading() || forwarded.term != self.raw_node.raft.term {
--- a/crates/consensus/src/node/ready.rs
+++ b/crates/consensus/src/node/ready.rs
@@ -1,4 +1,4 @@
-//! Handing out what has to be done.
+//! Hands out the pending work of a member to its driver.
 
 use super::{Node, Outgoing, Phase};
 use crate::convert;
@@ -13,18 +13,18 @@
 use raft::eraftpb;
 use raft::StateRole;
 
-/// What the raft library wants to be written.
+/// Writes that the raft library requests.
 #[derive(Default)]
 struct RaftWrites {
-    /// The library's number of its ready; 0 when it had none.
+    /// Number of the library's `Ready`; 0 when the library had none.
     ready_number: u64,
     must_sync: bool,
     entries: Vec<eraftpb::Entry>,
 }
 
 impl Node {
-    /// Hands out what has to be done; `None` when there is nothing, or [`MAX_BATCHES_IN_FLIGHT`] batches are on their way to
-    /// disk. To be called after every other call until it returns `None`.
+    /// Hands out the pending work; `None` when there is none, or when [`MAX_BATCHES_IN_FLIGHT`] batches are
+    /// not yet on disk. To be called after every other call until it returns `None`.
     pub fn ready(&mut self) -> Option<Ready> {
         if self.persistence.in_flight() >= MAX_BATCHES_IN_FLIGHT {
             return None;
@@ -49,11 +49,11 @@
         ready.alarms = std::mem::take(&mut self.alarms);
         ready.role = self.role_change();
         ready.snapshot_due = self.is_snapshot_due();
-        let nothing = Ready { send_after_batch: ready.send_after_batch, ..Ready::default() };
-        (ready != nothing).then_some(ready)
+        let empty = Ready { send_after_batch: ready.send_after_batch, ..Ready::default() };
+        (ready != empty).then_some(ready)
     }
 
-    /// Takes entries, hard state, snapshot and committed entries from a ready of the raft library.
+    /// Takes entries, hard state, snapshot and committed entries from a `Ready` of the raft library.
     fn take_raft_writes(&mut self, mut raft_ready: raft::Ready, ready: &mut Ready) -> RaftWrites {
         let writes = RaftWrites {
             ready_number: raft_ready.number(),
@@ -88,12 +88,13 @@
             || self.persistence.is_state_due
     }
 
-    /// The next batch, with new entries or, when a snapshot of this member's own is due, all entries behind it.
+    /// The next batch, with the new entries or, when this member's own snapshot is due, all entries after
+    /// that snapshot.
     fn next_batch(&mut self, new_entries: &[eraftpb::Entry], has_received_snapshot: bool) -> Batch {
         let storage = self.raw_node.store();
         let has_own_snapshot = self.persistence.is_snapshot_due && !has_received_snapshot;
         let entries = if has_own_snapshot {
-            storage.entries_behind_snapshot()
+            storage.entries_after_snapshot()
         } else {
             new_entries.iter().map(convert::entry_to_wire).collect()
         };
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Remembers which ready of the raft library rests on which batch.
+    /// Records which batch has to be on disk before a `Ready` of the raft library counts as persisted.
     fn track_writes(&mut self, batch: Option<&Batch>, ready_number: u64) {
         if let Some(batch) = batch {
             let last = self.raw_node.store().last_position();
@@ -151,7 +152,7 @@
         messages.into_iter().filter(|(to, _)| *to != self.id).map(frame).collect()
     }
 
-    /// The role, term and leader, when they changed since the last call.
+    /// The role, term and leader, if they changed since the last call.
     fn role_change(&mut self) -> Option<RoleChange> {
         let change =
             RoleChange { role: self.current_role(), term: self.raw_node.raft.term, leader: self.leader() };
@@ -182,13 +183,14 @@
         }
     }
 
-    /// Whether a snapshot should be taken. True once; then again when the snapshot was given or one was installed.
+    /// Whether the driver should take a snapshot. Returns true once per request: it can return true again
+    /// only after the driver has passed a snapshot or one from the leader was installed.
     fn is_snapshot_due(&mut self) -> bool {
         let storage = self.raw_node.store();
         let snapshot_index = storage.snapshot_index();
         let applied = self.progress.applied;
         let is_log_long = applied >= snapshot_index + self.timing.snapshot_every
-            || storage.bytes_behind_snapshot() >= SNAPSHOT_EVERY_BYTES;
+            || storage.bytes_after_snapshot() >= SNAPSHOT_EVERY_BYTES;
         let is_useful = is_log_long || storage.is_snapshot_wanted();
         let is_due = is_useful && applied > snapshot_index && !self.is_snapshot_requested;
         self.is_snapshot_requested |= is_due;
--- a/crates/consensus/src/node/rejoin_exchange.rs
+++ b/crates/consensus/src/node/rejoin_exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of the rejoin protocol ([`crate::rejoin`]), and its end.
+//! Requests and responses of the rejoin protocol ([`crate::rejoin`]), and the transitions that end it.
 
 use super::{Node, Phase};
 use crate::alarm::{Alarm, QuarantineReason};
@@ -19,7 +19,7 @@
         }
         let Some(status) = self.peers.rejoin_request(from, boot, request.nonce) else { return };
         if status == BootStatus::New {
-            self.peer_restarted(from);
+            self.handle_peer_restart(from);
         }
         let membership = self.membership_for_response();
         let is_voter = membership.membership.voters.contains(&from);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes a response to this member's own request.
+    /// Handles a response to this member's own request.
     pub(super) fn handle_rejoin_response(&mut self, from: MemberId, response: wire::RejoinResponse) {
         let Phase::Rejoining { quorum, .. } = &mut self.phase else { return };
         if response.nonce != self.nonce || !has_valid_numbers(&response) {
@@ -99,7 +99,7 @@
         self.establish(outcome);
     }
 
-    /// Takes part from now on, under the given floors.
+    /// Makes this member take part from now on, under the given floors.
     pub(super) fn establish(&mut self, outcome: RejoinOutcome) {
         if outcome.is_weak {
             self.raise_alarm(Alarm::WeakRejoinQuorum);
@@ -115,7 +115,7 @@
         self.last_tick = self.now;
     }
 
-    /// Takes no part any more, under this incarnation.
+    /// Excludes this member permanently under this incarnation.
     pub(super) fn quarantine(&mut self, reason: QuarantineReason) {
         self.step_down();
         self.raise_alarm(Alarm::Quarantined(reason.clone()));
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Starting a member from what its disk held.
+//! Starts a member from the state recovered from its disk.
 
 use super::election_timeout::ElectionTimeout;
 use super::persistence::Persistence;
@@ -26,8 +26,9 @@
 const FIRST_INDEX: u64 = 1;
 
 impl Node {
-    /// Starts a member from what its disk held. It has to rejoin first, unless its disk marks it as quarantined. The seed
-    /// decides the spread of election timeouts; it should differ from member to member and from start to start.
+    /// Starts a member from the state recovered from its disk. The member has to rejoin first, unless its
+    /// disk marks it as quarantined. The seed determines the random election timeouts; it should differ
+    /// between members and between starts.
     ///
     /// # Errors
     /// The configuration is invalid, or the store is inconsistent.
@@ -108,8 +109,8 @@
     Phase::Rejoining { quorum, next_request_at: now }
 }
 
-/// The log that was on disk. At a founder with an empty store it starts with the founders as a snapshot, so that members
-/// that join later get them as such.
+/// Opens the log that was on disk. At a founder with an empty store the log starts with a snapshot that
+/// contains the founders, so that members that join later receive them in a snapshot.
 fn open_log(recovered: RecoveredState, founders: &[MemberId]) -> Result<LogStorage, StartError> {
     let last_index = recovered.last_position().index;
     let mut hard_state = HardState {
@@ -145,7 +146,8 @@
         id: config.member.raw(),
         election_tick: election_ticks,
         min_election_tick: election_ticks,
-        // The range that the library allows; it leaves out the upper end, so this is one more than is ever drawn.
+        // The upper end of the library's range is exclusive, so it is one more than the longest timeout
+        // drawn.
         max_election_tick: election_ticks + config.timing.spread_ticks as usize + 1,
         heartbeat_tick: config.timing.heartbeat_ticks as usize,
         applied,
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a member knows about itself and the group.
+//! Status of a member: its role, term, log progress and membership.
 
 use super::{Node, Phase};
 use crate::alarm::QuarantineReason;
@@ -8,32 +8,32 @@
 use raft::StateRole;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// How far a member's log reaches, as its leader knows.
+/// Replication progress of a member's log, as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberProgress {
     /// The member.
     pub member: MemberId,
-    /// Index of the last entry that it is known to hold.
+    /// Index of the last entry that the member is known to hold.
     pub matched: u64,
 }
 
 impl Node {
-    /// This member's id.
+    /// Id of this member: its node and the incarnation of its store.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// The term.
+    /// The current raft term.
     pub fn term(&self) -> u64 {
         self.raw_node.raft.term
     }
 
-    /// The role, as last handed out.
+    /// The role that was last handed out; `None` before the first [`Node::ready`].
     pub fn role(&self) -> Option<Role> {
         self.role.map(|change| change.role)
     }
 
-    /// The leader that this member knows of. A hint: it may no longer lead.
+    /// The leader that this member knows of. A hint: that member may no longer lead.
     pub fn leader(&self) -> Option<MemberId> {
         if !self.is_established() {
             return None;
@@ -41,7 +41,8 @@
         MemberId::from_raft(self.raw_node.raft.leader_id)
     }
 
-    /// How long this member has led, by its own clock. A hint and not a lease: another member may lead by now.
+    /// Time for which this member has led, by its own clock; `None` when it doesn't lead. A hint and not a
+    /// lease: another member may lead by now.
     pub fn leading_for(&self, now: Timestamp) -> Option<TimeDelta> {
         self.leading_since.map(|since| (now - since).max(TimeDelta::ZERO))
     }
@@ -59,7 +60,8 @@
         self.raw_node.raft.raft_log.committed
     }
 
-    /// The term of an entry in this member's log, committed or not; `None` when it is compacted or does not exist.
+    /// The term of an entry in this member's log, committed or not; `None` when it is compacted or does not
+    /// exist.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         self.raw_node.raft.raft_log.term(index).ok().filter(|&term| term > 0)
     }
@@ -69,12 +71,12 @@
         self.current_membership().membership.clone()
     }
 
-    /// The membership as of the last entry handed out, and the entry from which it is in force.
+    /// The membership as of the last entry handed out, and the index of the entry that made it effective.
     pub fn versioned_membership(&self) -> VersionedMembership {
         self.current_membership().clone()
     }
 
-    /// At a leader: how far each member's log reaches.
+    /// Replication progress of each member; empty unless this member leads.
     pub fn progress(&self) -> Vec<MemberProgress> {
         if self.raw_node.raft.state != StateRole::Leader {
             return Vec::new();
@@ -88,7 +90,7 @@
             .collect()
     }
 
-    /// One line about this member, for whoever examines a run.
+    /// One line with the state of this member, for debugging a run.
     pub fn describe(&self) -> String {
         let current = self.current_membership();
         format!(
--- a/crates/consensus/src/node/step.rs
+++ b/crates/consensus/src/node/step.rs
@@ -1,4 +1,4 @@
-//! Frames that reach a member.
+//! Handling of the frames that a member receives.
 
 use super::{Node, Phase};
 use crate::alarm::{Alarm, QuarantineReason};
@@ -13,8 +13,8 @@
 use sprucelink_time::Timestamp;
 
 impl Node {
-    /// Takes a frame that arrived on the connection of `from`. It is dropped when it is not for this member, not sent by `from`,
-    /// or of an earlier boot of `from`.
+    /// Handles a frame received on the connection of `from`. The frame is dropped when it is not addressed to
+    /// this member, not sent by `from`, or from an earlier boot of `from`.
     pub fn step(&mut self, now: Timestamp, from: MemberId, frame: Frame) {
         self.advance_clock(now);
         let envelope = frame.0;
@@ -33,7 +33,7 @@
         self.learn_boot(from, envelope.boot, envelope.nonce);
         self.observe_envelope(from, &envelope);
         if let Phase::Rejoining { quorum, .. } = &mut self.phase {
-            quorum.note_sender(from);
+            quorum.record_sender(from);
         }
         self.handle_body(from, envelope);
     }
@@ -78,14 +78,15 @@
         if is_deferred {
             return;
         }
-        // The library rejects a message that is of no use to it, such as one of a former member: nothing is to be done.
+        // The library returns an error for a message that it can't use, such as one from a former member.
+        // There is nothing to do about it.
         let _ = self.raw_node.step(message);
         if !self.floors.logs.is_empty() && self.has_reached_log_floors() {
             self.floors.logs.clear();
         }
     }
 
-    /// Whether disk or log are too far behind to accept entries.
+    /// Whether too many batches wait for the disk, or the log is full, so that no entries are accepted.
     fn is_busy(&self) -> bool {
         self.persistence.in_flight() >= BUSY_BATCHES_IN_FLIGHT || self.raw_node.store().is_full()
     }
--- a/crates/consensus/src/node/tick.rs
+++ b/crates/consensus/src/node/tick.rs
@@ -1,4 +1,4 @@
-//! The passage of time at a member.
+//! Timers of a member: raft ticks, rejoin requests and snapshot retries.
 
 use super::{Node, Phase};
 use crate::alarm::Alarm;
@@ -9,8 +9,8 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 
 impl Node {
-    /// Passes the time. To be called at least every tick; a longer gap counts as a stop of the process, and a
-    /// leader that was stopped for an election timeout steps down at once.
+    /// Advances the timers to `now`. Must be called at least once per tick. A longer gap counts as a pause of
+    /// the process; a leader that was paused for an election timeout steps down at once.
     pub fn tick(&mut self, now: Timestamp) {
         self.advance_clock(now);
         self.proposals.tick(now);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Advances the clock; a leader that was stopped steps down before it does anything else.
+    /// Advances the clock. A leader that was paused steps down before it does anything else.
     pub(super) fn advance_clock(&mut self, now: Timestamp) {
         let since_tick = now - self.last_tick;
         if since_tick >= self.timing.election_timeout() && self.raw_node.raft.state == StateRole::Leader {
@@ -66,13 +66,14 @@
             let timeout = self.election_timeout.ticks(raft.term, raft.state);
             raft.set_randomized_election_timeout(timeout);
         } else {
-            // The lease of a silent leader runs out here, so that others can be elected, but this member never campaigns.
+            // The lease of a silent leader still expires at this member, so that it votes for others; but the
+            // election timeout never elapses, so the member doesn't campaign itself.
             raft.election_elapsed = raft.election_elapsed.min(self.election_timeout.shortest());
             raft.set_randomized_election_timeout(self.election_timeout.longest());
         }
     }
 
-    /// Sends snapshots again that got no response in time.
+    /// Makes the raft library resend the snapshots that got no response in time.
     fn retry_snapshots(&mut self, now: Timestamp) {
         if self.raw_node.raft.state != StateRole::Leader {
             self.snapshots_sent_at.clear();
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The members, as raw numbers, that a snapshot is being sent to.
+    /// Raw member numbers of the members to which a snapshot is being sent.
     fn snapshot_receivers(&self) -> Vec<u64> {
         let progress = self.raw_node.raft.prs().iter();
         let receiving = progress.filter(|(_, progress)| progress.state == ProgressState::Snapshot);
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -103,7 +103,7 @@
 
     /// A peer sent something. If the membership does not list it, the membership may be old, and the peer gets a request
     /// too.
-    pub fn note_sender(&mut self, peer: MemberId) {
+    pub fn record_sender(&mut self, peer: MemberId) {
         if self.unlisted.len() < MAX_UNLISTED_PEERS && !self.membership().voters.contains(&peer) {
             self.unlisted.insert(peer);
         }
--- a/crates/consensus/src/state_digests.rs
+++ b/crates/consensus/src/state_digests.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether a peer's digest differs from the own one after the same entry.
-    pub fn contradicts(&self, peer_digest: &StateDigest) -> bool {
+    pub fn differs_from(&self, peer_digest: &StateDigest) -> bool {
         self.digests.iter().any(|own| own.index == peer_digest.index && own.digest != peer_digest.digest)
     }
 }
