--- a/crates/consensus/build.rs
+++ b/crates/consensus/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the consensus crate's protobuf description without an outside compiler.
+//! Compiles the consensus crate's protobuf description without an external protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/consensus.proto");
--- a/crates/consensus/src/alarm.rs
+++ b/crates/consensus/src/alarm.rs
@@ -9,26 +9,28 @@
 pub enum Alarm {
     /// This member was found to have lost acknowledged writes.
     Quarantined(QuarantineReason),
-    /// A peer has another state after the same entry, or another entry where this member's is committed.
+    /// A peer has a different state after the same entry, or a different entry at an index that this member
+    /// has committed.
     Diverged {
-        /// The peer.
+        /// The peer that differs.
         peer: MemberId,
-        /// The entry.
+        /// Index of the entry.
         index: u64,
     },
-    /// A peer knows another boot of this member with the same or a higher number. Once after a start: an earlier start did
-    /// not get beyond rejoining. Repeatedly: another process runs under this member's id.
+    /// A peer knows another boot of this member with the same or a higher number. Raised once after a start,
+    /// it means that an earlier start did not finish rejoining. Raised repeatedly, it means that another
+    /// process runs under this member's id.
     DuplicateInstance {
         /// The number of the other boot.
         boot: u64,
     },
-    /// This leader was not ticked for long, and stepped down.
+    /// This leader was not ticked for an election timeout or longer, and stepped down.
     LeaderPaused {
-        /// How long it was not ticked.
+        /// Time since the last tick.
         paused_for: TimeDelta,
     },
-    /// Responses of members that were themselves rejoining had to count: two disks that lost the same writes go
-    /// undetected.
+    /// Responses of members that were themselves rejoining had to count: if two disks lost the same writes,
+    /// the loss may stay undetected.
     WeakRejoinQuorum,
     /// An operator overrode the rejoin protocol.
     OperatorOverride,
@@ -37,24 +39,24 @@
 /// Why a member is quarantined.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuarantineReason {
-    /// A peer saw it acknowledge more than its disk held at its start.
+    /// A peer observed that this member acknowledged more than its disk held at its start.
     LostAcknowledgedWrites {
         /// The peer.
         observed_by: MemberId,
-        /// What the peer saw acknowledged.
+        /// State that the peer observed as acknowledged.
         observed: AckState,
-        /// What the disk held.
+        /// State that the disk held.
         recovered: AckState,
     },
-    /// A leader counts on an entry that it acknowledged and does not have.
+    /// A leader relies on an entry that this member acknowledged and no longer has.
     MissingLogEntry {
         /// The leader.
         leader: MemberId,
-        /// The entry that the leader counts on.
+        /// Index of the entry that the leader relies on.
         index: u64,
-        /// The last entry in the log.
+        /// Index of the last entry in this member's log.
         last_index: u64,
     },
-    /// It was quarantined before a restart, as its disk shows.
+    /// The member was quarantined before a restart, as its disk shows.
     FoundEarlier,
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,32 +1,34 @@
-//! What a member is started with: its id, the group's first members, and its times with their ranges.
+//! Configuration of a member: its id, the group's first members, and its timing with the allowed ranges.
 
 use crate::ids::MemberId;
 use crate::limits::{MAX_VOTERS, MIN_VOTERS};
 use sprucelink_time::TimeDelta;
 use std::ops::RangeInclusive;
 
-/// The times of a member. Safety does not depend on them, only how soon the group agrees.
+/// Timing of a member. Safety does not depend on it, only how soon the group agrees. Each field has its
+/// range, and its default in parentheses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
-    /// One tick: 10 to 200 ms (50 ms).
+    /// Length of a tick: 10 to 200 ms (50 ms).
     pub tick: TimeDelta,
-    /// A leader's heartbeat, in ticks: 1 to 10 (2).
+    /// Interval of a leader's heartbeats, in ticks: 1 to 10 (2).
     pub heartbeat_ticks: u32,
-    /// Shortest time without a heartbeat before an election, in ticks: 5 to 100 (10), and at least three heartbeats, so that
-    /// two lost ones do no harm.
+    /// Shortest time without a heartbeat before an election, in ticks: 5 to 100 (10), and at least three
+    /// heartbeats, so that two lost heartbeats don't cause an election.
     pub election_ticks: u32,
-    /// How much longer that time may be, drawn from the seed, in ticks: 5 to 100 (10).
+    /// Largest random addition to the election timeout, drawn from the seed, in ticks: 5 to 100 (10).
     pub spread_ticks: u32,
-    /// How often a rejoining member sends requests to the others: 20 ms to 10 s (100 ms).
+    /// Interval of a rejoining member's requests to the other members: 20 ms to 10 s (100 ms).
     pub rejoin_request_every: TimeDelta,
-    /// How long a rejoining member waits for a majority of established members before responses of other rejoining members
-    /// count: 1 s to 10 min (10 s).
+    /// Time for which a rejoining member waits for responses of a majority of established members, before
+    /// responses of other rejoining members count: 1 s to 10 min (10 s).
     pub rejoin_patience: TimeDelta,
-    /// When the outcome of an open proposal is reported as unknown: 100 ms to 60 s (2 s).
+    /// Time after which the outcome of a pending proposal is reported as unknown: 100 ms to 60 s (2 s).
     pub proposal_timeout: TimeDelta,
-    /// When a snapshot without a response is sent again: 500 ms to 60 s (2 s).
+    /// Time without a response after which a snapshot is sent again: 500 ms to 60 s (2 s).
     pub snapshot_retry: TimeDelta,
-    /// How often what the peers acknowledged is written to disk when nothing else is: 500 ms to 10 min (5 s).
+    /// Interval of writing the peers' acknowledgements to disk when nothing else is written: 500 ms to 10 min
+    /// (5 s).
     pub peer_acks_every: TimeDelta,
     /// Number of entries since the last snapshot at which a new one is due: 16 to 16384 (4096).
     pub snapshot_every: u64,
@@ -50,7 +52,7 @@
 }
 
 impl Timing {
-    /// Checks every range.
+    /// Checks that every setting is within its range.
     ///
     /// # Errors
     /// The first setting out of its range, with the range.
@@ -69,7 +71,8 @@
         check_range("snapshot_every", snapshot_every, 16..=16_384)
     }
 
-    /// Shortest time without a heartbeat before an election. A leader that was not ticked for this time steps down.
+    /// Shortest time without a heartbeat before an election. A leader that was not ticked for this time steps
+    /// down.
     pub(crate) fn election_timeout(&self) -> TimeDelta {
         TimeDelta::from_micros(self.tick.as_micros() * i64::from(self.election_ticks))
     }
@@ -92,22 +95,23 @@
     check_range(setting, value.as_micros(), low.as_micros()..=high.as_micros())
 }
 
-/// What a member is configured with.
+/// Configuration of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
-    /// Its own id.
+    /// Id of the member itself.
     pub member: MemberId,
-    /// The first voters, the same list at each of them. Counts only where the store is empty; empty at a member that
-    /// joins an existing group.
+    /// The first voters, the same list at each of them. Used only where the store is empty. The list is empty
+    /// at a member that joins an existing group.
     pub founders: Vec<MemberId>,
-    /// The members that a member without a log sends rejoin requests to when it starts: the voters of the group that it joins.
+    /// The members that a member without a log sends rejoin requests to when it starts: the voters of the
+    /// group that it joins.
     pub contacts: Vec<MemberId>,
-    /// The times.
+    /// Timing of the member.
     pub timing: Timing,
 }
 
 impl Config {
-    /// Checks ids, founders and times.
+    /// Checks ids, founders and timing.
     ///
     /// # Errors
     /// The first rule that is broken.
@@ -137,11 +141,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// A value out of its range; times in microseconds.
-    #[error("{setting} is {value}, allowed is {low} to {high}")]
+    #[error("invalid {setting} {value}: expected {low} to {high}")]
     OutOfRange {
         /// The setting's name.
         setting: &'static str,
-        /// Its value.
+        /// The rejected value.
         value: i64,
         /// Lowest value allowed.
         low: i64,
@@ -151,8 +155,11 @@
     /// Nodes and incarnations count from 1.
     #[error("nodes and incarnations count from 1")]
     InvalidMember,
-    /// The founders have to be [`MIN_VOTERS`] to [`MAX_VOTERS`] different nodes, or none to join an existing group.
-    #[error("{count} founders: {MIN_VOTERS} to {MAX_VOTERS} different nodes, or none to join a group")]
+    /// The founders have to be [`MIN_VOTERS`] to [`MAX_VOTERS`] different nodes, or none to join an existing
+    /// group.
+    #[error(
+        "{count} founders: expected {MIN_VOTERS} to {MAX_VOTERS} different nodes, or none to join a group"
+    )]
     InvalidFounders {
         /// Number of founders.
         count: usize,
--- a/crates/consensus/src/convert.rs
+++ b/crates/consensus/src/convert.rs
@@ -1,5 +1,5 @@
-//! Conversion between the wire messages and those of the `raft` crate. Only the kinds that members send each other have a
-//! number on the wire; bytes from outside are never decoded by the `raft` crate's own protobuf code.
+//! Conversion between the wire messages and those of the `raft` crate. Only the kinds that members send each
+//! other have a number on the wire. Received bytes are never decoded by the `raft` crate's own protobuf code.
 
 use crate::ids::MemberId;
 use crate::limits::MAX_COUNT;
@@ -23,8 +23,8 @@
     MessageType::MsgRequestPreVoteResponse,
 ];
 
-/// An entry with a membership change carries it in the context, in the wire form. The `raft` crate's own form beside it is made
-/// where the entry is proposed, and read nowhere else.
+/// An entry with a membership change contains it in its context, in the wire form. The `raft` crate's own
+/// form in the data is made when the entry is proposed, and is not read anywhere else.
 pub(crate) fn entry_to_wire(entry: &eraftpb::Entry) -> wire::Entry {
     let is_conf_change = entry.get_entry_type() != EntryType::EntryNormal;
     let data = if is_conf_change { entry.get_context() } else { entry.get_data() };
@@ -53,8 +53,8 @@
     raft_change
 }
 
-/// The membership change in an entry, if it is one and well formed.
-pub(crate) fn conf_change_of(entry: &eraftpb::Entry) -> Option<ConfChange> {
+/// The membership change in an entry; `None` when it contains none or it is malformed.
+pub(crate) fn decode_conf_change(entry: &eraftpb::Entry) -> Option<ConfChange> {
     if entry.get_entry_type() == EntryType::EntryNormal {
         return None;
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// `None` when a part is missing or out of its bounds.
+    /// `None` when a part is missing or out of bounds.
     pub(crate) fn from_wire(snapshot: wire::Snapshot) -> Option<Self> {
         let membership = Membership::from_wire(snapshot.membership.as_ref()?, &snapshot.incarnations)?;
         let is_position_valid =
@@ -92,7 +92,8 @@
         Some(Snapshot { index: snapshot.index, term: snapshot.term, membership, data: snapshot.data })
     }
 
-    /// For the `raft` crate the complete snapshot is opaque data, beside the three fields that it reads.
+    /// The `raft` crate gets the complete snapshot as opaque data, and the index, term and membership that it
+    /// reads.
     pub(crate) fn to_raft(&self) -> eraftpb::Snapshot {
         let data = self.to_wire().encode_to_vec().into();
         let mut raft_snapshot = eraftpb::Snapshot { data, ..eraftpb::Snapshot::default() };
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -13,13 +13,15 @@
 use crate::wire::{Envelope, ForwardedProposal, RaftMessage, RejoinResponse};
 use prost::Message;
 
-/// The protocol version. Frames of another version are rejected: a new version comes with a release that supports both.
+/// The protocol version. Frames of another version are rejected: a new version requires a release that
+/// supports both.
 pub const VERSION: u32 = 1;
 
-/// Length of the length in front of an envelope, bytes.
+/// Size of the length field in front of an envelope, bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Largest number of boots in an envelope: twice the voters, for a membership and the one that replaces it.
+/// Largest number of boots in an envelope: twice the largest number of voters, for a membership and its
+/// successor.
 pub(crate) const MAX_BOOTS: usize = 2 * MAX_VOTERS;
 
 /// A message from one member to another.
@@ -27,17 +29,17 @@
 pub struct Frame(pub Envelope);
 
 impl Frame {
-    /// The sender.
+    /// The member that the envelope names as its sender.
     pub fn from(&self) -> MemberId {
         MemberId::from_raw(self.0.from)
     }
 
-    /// The receiver.
+    /// The member that the envelope is addressed to.
     pub fn to(&self) -> MemberId {
         MemberId::from_raw(self.0.to)
     }
 
-    /// The frame's bytes.
+    /// Encodes the frame: the length, then the envelope.
     pub fn encode(&self) -> Vec<u8> {
         let length = self.0.encoded_len();
         let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
@@ -47,7 +49,7 @@
     }
 }
 
-/// Why a connection's bytes can't be decoded: the connection has to be closed.
+/// Why the bytes of a connection can't be decoded. The connection has to be closed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The frame is longer than [`MAX_FRAME_BYTES`].
@@ -59,26 +61,26 @@
     /// The envelope has no body.
     #[error("envelope without a body")]
     EmptyEnvelope,
-    /// The sender speaks another version.
-    #[error("version {0} is not supported, version {VERSION} is")]
+    /// The envelope has another protocol version.
+    #[error("unsupported version {0}: expected version {VERSION}")]
     UnsupportedVersion(u32),
-    /// A part of the envelope is over its bound.
-    #[error("{0}: over the bound")]
+    /// This part of the envelope is over its bound.
+    #[error("{0}: bound exceeded")]
     OutOfBounds(&'static str),
 }
 
-/// Decodes frames from bytes as they arrive. After an error it returns that error always.
+/// Decodes frames from bytes as they arrive. After an error it always returns that error.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
-    /// Number of bytes at the front of the buffer that are decoded.
+    /// Number of bytes at the front of the buffer that are already decoded.
     consumed: usize,
     failure: Option<FrameError>,
 }
 
 impl Decoder {
-    /// Adds bytes. The buffer is bounded by one frame and the bytes of one call when [`Decoder::next_frame`] is called
-    /// until it returns `None` after each call.
+    /// Adds received bytes. If [`Decoder::next_frame`] is called until it returns `None` after each call, the
+    /// buffer is bounded by one frame and the bytes of one call.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.failure.is_none() {
             self.buffer.drain(..self.consumed);
@@ -90,7 +92,7 @@
     /// The next complete frame, if there is one.
     ///
     /// # Errors
-    /// What is wrong with the bytes.
+    /// The bytes are not a valid frame; no more frames can be decoded.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         if let Some(error) = &self.failure {
             return Err(error.clone());
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -4,8 +4,8 @@
 
 /// A member of the consensus group: a node and one of its incarnations.
 ///
-/// An incarnation is one store. A node whose store was lost, replaced or quarantined comes back under a higher
-/// incarnation; an incarnation that was once a member is never added again.
+/// An incarnation is one store. A node whose store was lost, replaced or quarantined comes back under a
+/// higher incarnation; an incarnation that was once a member is never added again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
     /// The node's number, from 1.
@@ -15,22 +15,22 @@
 }
 
 impl MemberId {
-    /// The member of a node and an incarnation.
+    /// The member with the given node and incarnation.
     pub const fn new(node: u32, incarnation: u32) -> Self {
         MemberId { node, incarnation }
     }
 
-    /// The member as one number: the node in the upper half. Never 0 for a node from 1.
+    /// The member as one number, with the node in the upper 32 bits. Never 0, because nodes count from 1.
     pub const fn raw(self) -> u64 {
         (self.node as u64) << 32 | self.incarnation as u64
     }
 
-    /// The member of a number that [`MemberId::raw`] returned.
+    /// The member with a number that [`MemberId::raw`] returned.
     pub const fn from_raw(raw: u64) -> Self {
         MemberId { node: (raw >> 32) as u32, incarnation: raw as u32 }
     }
 
-    /// The member of a raw number, where the raft library writes 0 for no member.
+    /// The member with a raw number of the raft library, which uses 0 for no member.
     pub(crate) fn from_raft(raw: u64) -> Option<Self> {
         (raw != 0).then(|| Self::from_raw(raw))
     }
@@ -42,13 +42,13 @@
     }
 }
 
-/// Identifies a proposal: its proposer and a number that the proposer chose. The pair is part of the log entry, so that
-/// whoever applies entries can drop duplicates ([`crate::ProposalDedup`]).
+/// Identifies a proposal: its proposer and a number that the proposer chose. The pair is part of the log
+/// entry, so that the state machine can drop duplicates ([`crate::ProposalDedup`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
-    /// The proposer. One that restarts without its counter takes a new origin.
+    /// The proposer. A proposer that restarts without its counter uses a new origin.
     pub origin: u64,
-    /// Counts the proposer's proposals.
+    /// Number of the proposal, counted by the proposer.
     pub sequence: u64,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl LogPosition {
-    /// The position of a term and an index.
+    /// The position with the given term and index.
     pub const fn new(term: u64, index: u64) -> Self {
         LogPosition { term, index }
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,34 +1,39 @@
 //! Consensus among 3 to 7 managers on an ordered log of opaque proposals.
 //!
-//! [`Node`] is one member's state machine: it is driven by ticks and messages, takes the time as an argument and its
-//! randomness from a seed, and does no input or output. [`Node::ready`] hands out what has to be written to disk, which
-//! messages may be sent at once and which only afterwards, and which entries are committed. The protocol is Raft (Ongaro,
-//! Ousterhout: "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014) by the `raft` crate, with pre-vote and
-//! check-quorum, one membership change at a time through learners, and no lease reads: safety does not rest on clocks.
+//! [`Node`] is one member's state machine: it is driven by ticks and messages, takes the time as an argument
+//! and its randomness from a seed, and does no input or output. [`Node::ready`] hands out the batch to write
+//! to disk, the messages that may be sent at once or only after that write, and the committed entries. The
+//! protocol is Raft (Ongaro, Ousterhout: "In Search of an Understandable Consensus Algorithm", USENIX ATC
+//! 2014) by the `raft` crate, with pre-vote and check-quorum, one membership change at a time through
+//! learners, and no lease reads: safety does not rest on clocks.
 //!
 //! # Disks that lose acknowledged writes
 //!
-//! Raft is safe only if what a member acknowledged is still on its disk after a restart. Two mechanisms protect the group
-//! from disks that lose acknowledged writes:
+//! Raft is safe only if everything that a member acknowledged is still on its disk after a restart. Two
+//! mechanisms protect the group from disks that lose acknowledged writes:
 //!
-//! - **Acknowledgement check.** Every message carries what its sender has acknowledged ([`AckState`]): the number of its last
-//!   synced batch, its term, vote and last entry. Members remember the highest that they saw of each other, write it to disk
-//!   with their own batches, and send it to a member that restarts. A member whose disk holds less is quarantined
-//!   permanently: it neither votes nor acknowledges, and has to come back under a new incarnation.
-//! - **Floors and crash vectors.** Those that respond may not have seen what was lost. So a restarted member takes part
-//!   only when a majority of the others have sent it their terms and last entries. It then votes in no term up to the
-//!   highest of these, for no candidate whose log is behind the furthest of these, and does not campaign before its own log
-//!   is as far ([`rejoin`]). Every message carries the newest boot of each member that its sender knows of; a
-//!   leader that learns of a member's newer boot discards what that member acknowledged before it, and a candidate steps
-//!   down. This is the recovery of Viewstamped Replication Revisited (Liskov, Cowling, 2012) as corrected with crash
-//!   vectors by Michael, Ports, Sharma and Szekeres ("Recovering Shared Objects Without Stable Storage", DISC 2017).
+//! - **Acknowledgement check.** Every message contains the state that its sender has acknowledged
+//!   ([`AckState`]): the number of its last synced batch, its term, vote and last entry. Members record the
+//!   highest state received from each peer, write it to disk with their own batches, and send it to a peer
+//!   that restarts. A member whose disk holds less is quarantined permanently: it neither votes nor
+//!   acknowledges, and has to come back under a new incarnation.
+//! - **Floors and crash vectors.** The responding members may not have received the acknowledgements that
+//!   were lost. So a restarted member takes part only when a majority of the others have sent it their terms
+//!   and last entries. It then votes in no term up to the highest of these terms, votes for no candidate
+//!   whose log is behind the furthest of these entries, and does not campaign before its own log has reached
+//!   that entry ([`rejoin`]). Every message contains the newest boot of each member that its sender knows of;
+//!   a leader that learns of a member's newer boot discards what that member acknowledged before it, and a
+//!   candidate steps down. This is the recovery of Viewstamped Replication Revisited (Liskov, Cowling, 2012)
+//!   as corrected with crash vectors by Michael, Ports, Sharma and Szekeres ("Recovering Shared Objects
+//!   Without Stable Storage", DISC 2017).
 //!
-//! The remaining risk: normally only responses of members that are themselves established count. When too many have
-//! restarted at once for such a majority, responses of rejoining members count too (at once when all that can respond are
-//! rejoining, else after [`Timing::rejoin_patience`]). Then one disk that lost writes is still compensated for, whatever it
-//! lost; two that lost the same entry are not, unless what a third one observed shows it.
+//! The remaining risk: normally only responses of established members count. When too many members have
+//! restarted at once for a majority of established ones, responses of rejoining members count too (at once
+//! when such a majority can't be reached any more, otherwise after [`Timing::rejoin_patience`]). Then one
+//! disk that lost writes is still compensated for, whatever it lost. Two disks that lost the same entry are
+//! not, unless the acknowledgements that a third member observed show the loss.
 //!
-//! Bounds are in [`limits`]; `docs/design/consensus.md` weighs the options.
+//! Bounds are in [`limits`]; `docs/design/consensus.md` compares the design options.
 
 mod alarm;
 mod config;
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -1,5 +1,5 @@
-//! The log as the `raft` crate reads it: in memory, bounded, filled from disk at the start and from then on ahead of the disk
-//! (the crate itself keeps track of what is on disk).
+//! The in-memory log that the `raft` crate reads. It is bounded, filled from disk at the start, and
+//! afterwards ahead of the disk (the `raft` crate itself tracks which entries are on disk).
 
 use crate::convert;
 use crate::ids::{LogPosition, MemberId};
@@ -12,10 +12,10 @@
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// What an entry counts beside its data, bytes.
+/// Size that an entry counts in addition to its data, bytes.
 const ENTRY_OVERHEAD_BYTES: u64 = 16;
 
-/// What an entry counts in all, bytes.
+/// Size that an entry counts in total, bytes.
 fn entry_bytes(entry: &eraftpb::Entry) -> u64 {
     entry.get_data().len() as u64 + entry.get_context().len() as u64 + ENTRY_OVERHEAD_BYTES
 }
@@ -25,21 +25,21 @@
 pub(crate) struct LogStorage {
     hard_state: HardState,
     snapshot: Option<Snapshot>,
-    /// The entry before the first one in `entries`.
+    /// Position of the entry before the first one in `entries`.
     compacted: LogPosition,
     entries: VecDeque<eraftpb::Entry>,
     /// Size of all entries, bytes.
     bytes: u64,
-    /// Size of the entries behind the snapshot, bytes.
+    /// Size of the entries after the snapshot, bytes.
     bytes_after_snapshot: u64,
-    /// The memberships, oldest first; the last one is in force.
+    /// The memberships since the snapshot, oldest first; the last one is in force.
     memberships: VecDeque<VersionedMembership>,
-    /// A member needs a newer snapshot than there is.
+    /// Whether a member needs a newer snapshot than the last one.
     is_snapshot_wanted: Cell<bool>,
 }
 
 impl LogStorage {
-    /// The log that was on disk.
+    /// Restores the log that was on disk.
     pub fn recovered(hard_state: HardState, snapshot: Option<Snapshot>, entries: Vec<wire::Entry>) -> Self {
         let mut storage = LogStorage { hard_state, ..LogStorage::default() };
         if let Some(snapshot) = snapshot {
@@ -70,16 +70,16 @@
         let retained = first.index.saturating_sub(self.compacted.index + 1);
         while self.entries.len() as u64 > retained {
             if let Some(removed) = self.entries.pop_back() {
-                self.uncount(&removed);
+                self.subtract_size(&removed);
             }
         }
         for entry in entries {
-            self.count(entry);
+            self.add_size(entry);
             self.entries.push_back(entry.clone());
         }
     }
 
-    fn count(&mut self, entry: &eraftpb::Entry) {
+    fn add_size(&mut self, entry: &eraftpb::Entry) {
         let bytes = entry_bytes(entry);
         self.bytes += bytes;
         if entry.index > self.snapshot_index() {
@@ -87,7 +87,7 @@
         }
     }
 
-    fn uncount(&mut self, entry: &eraftpb::Entry) {
+    fn subtract_size(&mut self, entry: &eraftpb::Entry) {
         let bytes = entry_bytes(entry);
         self.bytes = self.bytes.saturating_sub(bytes);
         if entry.index > self.snapshot_index() {
@@ -110,8 +110,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes the state machine's own snapshot after an applied entry, and retains some entries before it. False when the entry
-    /// is not retained.
+    /// Stores a snapshot that the state machine took after an applied entry, and drops the entries before it
+    /// except for the last [`RETAINED_ENTRIES`]. False when the entry itself is no longer in the log.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> bool {
         let Some(term) = self.term_at(index) else { return false };
         while self.memberships.get(1).is_some_and(|later| later.index <= index) {
@@ -121,8 +121,8 @@
         let membership = current.membership.clone();
         self.drop_entries_before(index);
         self.snapshot = Some(Snapshot { index, term, membership, data });
-        let entries_behind = self.entries.iter().filter(|entry| entry.index > index);
-        self.bytes_after_snapshot = entries_behind.map(entry_bytes).sum();
+        let entries_after = self.entries.iter().filter(|entry| entry.index > index);
+        self.bytes_after_snapshot = entries_after.map(entry_bytes).sum();
         self.is_snapshot_wanted.set(false);
         true
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// All entries behind the snapshot: what goes to disk beside it.
+    /// All entries after the snapshot, to be written to disk together with it.
     pub fn entries_after_snapshot(&self) -> Vec<wire::Entry> {
         let index = self.snapshot_index();
         self.entries.iter().filter(|entry| entry.index > index).map(convert::entry_to_wire).collect()
@@ -157,7 +157,7 @@
         self.bytes_after_snapshot
     }
 
-    /// Whether a member needs a newer snapshot than there is.
+    /// Whether a member needs a newer snapshot than the last one.
     pub fn is_snapshot_wanted(&self) -> bool {
         self.is_snapshot_wanted.get()
     }
@@ -172,12 +172,12 @@
         self.memberships.back()
     }
 
-    /// The membership as of the last entry that the disk shows to be committed: until entries are applied again, the one in
-    /// force is still that of the snapshot.
+    /// The membership as of the last entry that the disk shows to be committed. Until entries are applied
+    /// again after a start, [`LogStorage::membership`] is still that of the snapshot.
     pub fn membership_on_disk(&self) -> Option<VersionedMembership> {
         let mut current = self.memberships.back().cloned()?;
         for entry in self.entries.iter().take_while(|entry| entry.index <= self.hard_state.commit) {
-            let Some(change) = convert::conf_change_of(entry) else { continue };
+            let Some(change) = convert::decode_conf_change(entry) else { continue };
             if entry.index > current.index && current.membership.check(change).is_ok() {
                 current.membership.apply(change);
                 current.index = entry.index;
@@ -248,7 +248,8 @@
         Ok(self.last_position().index)
     }
 
-    /// A snapshot is of use only to a member that is in its membership: for one that was added since, a new one is wanted.
+    /// A snapshot is useful only to a member that its membership contains. For a member that was added later,
+    /// a new snapshot is requested.
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
         let to = MemberId::from_raw(to);
         match &self.snapshot {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! The members of the group, as committed entries change them: the same steps at every member.
+//! The members of the group. Committed entries change them, in the same order at every member.
 
 use crate::ids::MemberId;
 use crate::limits::{MAX_LEARNERS, MAX_NODES, MAX_VOTERS, MIN_VOTERS};
@@ -8,20 +8,20 @@
 /// A change of one member, the only kind of membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfChange {
-    /// What happens.
+    /// Kind of the change.
     pub kind: ConfChangeKind,
-    /// To which member.
+    /// The member that is added, promoted or removed.
     pub member: MemberId,
 }
 
-/// What happens to a member.
+/// Kind of a membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfChangeKind {
-    /// It is added as a learner, which follows without a vote.
+    /// The member is added as a learner, which follows without a vote.
     AddLearner,
     /// A learner becomes a voter.
     Promote,
-    /// It is removed permanently under this incarnation.
+    /// The member is removed permanently under this incarnation.
     Remove,
 }
 
@@ -34,17 +34,17 @@
     /// This incarnation of the node, or a later one, was a member before.
     #[error("this incarnation, or a later one, was a member before")]
     IncarnationReused,
-    /// There are [`MAX_LEARNERS`].
-    #[error("there are {MAX_LEARNERS} learners")]
+    /// There are already [`MAX_LEARNERS`].
+    #[error("there are already {MAX_LEARNERS} learners")]
     TooManyLearners,
-    /// The incarnations of [`MAX_NODES`] nodes are remembered.
-    #[error("the incarnations of {MAX_NODES} nodes are remembered")]
+    /// The incarnations of [`MAX_NODES`] nodes are already recorded, and the node is a new one.
+    #[error("the incarnations of {MAX_NODES} nodes are already recorded")]
     TooManyNodes,
     /// Only a learner can be promoted.
     #[error("not a learner")]
     NotALearner,
-    /// There are [`MAX_VOTERS`].
-    #[error("there are {MAX_VOTERS} voters")]
+    /// There are already [`MAX_VOTERS`].
+    #[error("there are already {MAX_VOTERS} voters")]
     TooManyVoters,
     /// Only a member can be removed.
     #[error("not a member")]
@@ -83,22 +83,22 @@
     pub voters: Vec<MemberId>,
     /// Members without a vote, sorted.
     pub learners: Vec<MemberId>,
-    /// The highest incarnation that each node ever had as a member.
+    /// The highest incarnation under which each node was ever a member, by node.
     pub incarnations: BTreeMap<u32, u32>,
 }
 
-/// A membership and the entry from which it is in force.
+/// A membership and the entry that made it effective.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct VersionedMembership {
-    /// Index of the entry; 0 where it comes from the settings.
+    /// Index of the entry; 0 for the configured contacts.
     pub index: u64,
     /// The membership.
     pub membership: Membership,
 }
 
 impl Membership {
-    /// The membership of a new group.
-    pub(crate) fn of_voters(voters: &[MemberId]) -> Self {
+    /// A membership with these voters and no learners.
+    pub(crate) fn from_voters(voters: &[MemberId]) -> Self {
         let incarnations = voters.iter().map(|member| (member.node, member.incarnation)).collect();
         let mut voters = voters.to_vec();
         voters.sort_unstable();
@@ -110,7 +110,7 @@
         self.voters.contains(&member) || self.learners.contains(&member)
     }
 
-    /// Checks a change. The same rules apply at the proposer and wherever the entry is applied.
+    /// Checks a change. The same rules apply when it is proposed and at every member that applies it.
     ///
     /// # Errors
     /// The first rule that the change breaks.
@@ -183,7 +183,7 @@
         wire::Membership { voters: raw(&self.voters), learners: raw(&self.learners) }
     }
 
-    /// `None` when a list is over its bound, or a member is invalid or listed twice.
+    /// `None` when a list is over its bound, or a member is invalid or appears twice.
     pub(crate) fn from_wire(membership: &wire::Membership, incarnations: &[u64]) -> Option<Self> {
         let voters = sorted_members(&membership.voters);
         let learners = sorted_members(&membership.learners);
@@ -200,7 +200,7 @@
         Some(Membership { voters, learners, incarnations })
     }
 
-    /// The highest incarnations as raw members.
+    /// The highest incarnation of each node, as raw member numbers.
     pub(crate) fn incarnations_raw(&self) -> Vec<u64> {
         self.incarnations.iter().map(|(&node, &incarnation)| MemberId::new(node, incarnation).raw()).collect()
     }
--- a/crates/consensus/src/message_check.rs
+++ b/crates/consensus/src/message_check.rs
@@ -1,5 +1,6 @@
-//! What a Raft message must satisfy before the `raft` crate sees it. The crate trusts its peers and panics where a message
-//! can't be true; here such a message is dropped, or treated as evidence of lost or diverged entries.
+//! Checks of Raft messages before they are passed to the `raft` crate. That crate trusts its peers and panics
+//! on an impossible message. Such a message is dropped here, or treated as evidence of lost or diverged
+//! entries.
 
 use crate::ids::LogPosition;
 use crate::limits::MAX_COUNT;
@@ -11,17 +12,18 @@
 /// What to do with a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MessageCheck {
-    /// Pass it to the `raft` crate.
+    /// The message is passed to the `raft` crate.
     Accept,
-    /// It is malformed, or below a floor.
+    /// The message is malformed or below a floor, and is dropped.
     Drop,
-    /// A leader counts on an entry that this member does not have and must have acknowledged: the log has lost it.
+    /// The leader relies on an entry that this member must have acknowledged and does not have: the log has
+    /// lost it.
     EntryLost,
-    /// A leader holds another entry than this member at a committed index.
+    /// The leader has a different entry than this member at this committed index.
     Diverged(u64),
 }
 
-/// Checks a message against the own log, term and floors.
+/// Checks a message against this member's log, term and floors.
 pub(crate) fn check(
     log: &RaftLog<LogStorage>,
     term: u64,
@@ -30,7 +32,8 @@
 ) -> MessageCheck {
     let last_index = log.last_index();
     match message.get_msg_type() {
-        // A request of a lower term is only answered with the term, and a pre-vote binds nobody to its term.
+        // A request of a lower term is only answered with the current term. A pre-vote doesn't bind its
+        // sender or receiver to its term, so no vote floor applies to it.
         MessageType::MsgRequestVote | MessageType::MsgRequestPreVote if message.term >= term => {
             check_vote_request(floors, message)
         }
@@ -65,7 +68,7 @@
     if message.index < committed {
         return MessageCheck::Accept;
     }
-    // The entry before the new ones is the committed one or behind it, so its term can't be lower.
+    // The entry before the new ones is the last committed entry or a later one, so its term can't be lower.
     let (_, committed_term) = log.commit_info();
     let is_other_committed_entry = message.index == committed && message.log_term != committed_term;
     if message.log_term < committed_term || is_other_committed_entry {
--- a/crates/consensus/src/node/apply.rs
+++ b/crates/consensus/src/node/apply.rs
@@ -30,7 +30,7 @@
     pub(super) fn hand_out_entries(&mut self, entries: &[eraftpb::Entry], ready: &mut Ready) {
         for entry in entries {
             let mut id = None;
-            if let Some(change) = convert::conf_change_of(entry) {
+            if let Some(change) = convert::decode_conf_change(entry) {
                 self.apply_conf_change(entry.index, change, ready);
             } else if !entry.get_data().is_empty() {
                 let committed = committed_entry(entry);
--- a/crates/consensus/src/node/errors.rs
+++ b/crates/consensus/src/node/errors.rs
@@ -12,7 +12,9 @@
     #[error("invalid configuration")]
     Config(#[source] ConfigError),
     /// The commit index in the store is beyond the last entry in it.
-    #[error("the store lacks committed entries: {commit} are committed, the last one is {last}")]
+    #[error(
+        "the store lacks committed entries: entry {commit} is committed, the last stored entry is {last}"
+    )]
     MissingCommittedEntries {
         /// Index of the last entry known to be committed.
         commit: u64,
@@ -68,7 +70,7 @@
     #[error("this member must not lead now")]
     NotElectable,
     /// Leadership can be transferred only to another voter.
-    #[error("not another voter")]
+    #[error("the target is not another voter")]
     NotAnotherVoter,
     /// The raft library did not start an election.
     #[error("the raft library did not start an election")]
--- a/crates/consensus/src/node/ready.rs
+++ b/crates/consensus/src/node/ready.rs
@@ -104,7 +104,7 @@
         self.persistence.is_snapshot_due = false;
         self.persistence.is_state_due = false;
         self.persistence.peers_due_at = self.now + self.timing.peer_acks_every;
-        self.peers.saved();
+        self.peers.mark_saved();
         Batch { number: self.persistence.last_batch, state: self.persistent_state(), snapshot, entries }
     }
 
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -45,7 +45,8 @@
         let is_founding = last_batch == 0 && config.founders.contains(&config.member);
         let storage = open_log(recovered, if is_founding { &config.founders } else { &[] })?;
         let snapshot_index = storage.snapshot_index();
-        let contacts = VersionedMembership { index: 0, membership: Membership::of_voters(&config.contacts) };
+        let contacts =
+            VersionedMembership { index: 0, membership: Membership::from_voters(&config.contacts) };
         let own_membership = storage.membership_on_disk().unwrap_or_else(|| contacts.clone());
         let raw_node = new_raft_node(&config, storage)?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -121,7 +122,7 @@
     };
     let mut snapshot = recovered.snapshot;
     if !founders.is_empty() {
-        let membership = Membership::of_voters(founders);
+        let membership = Membership::from_voters(founders);
         snapshot = Some(Snapshot { index: FIRST_INDEX, term: FIRST_INDEX, membership, data: Vec::new() });
         hard_state.term = FIRST_INDEX;
         hard_state.commit = FIRST_INDEX;
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -1,4 +1,5 @@
-//! What a member knows of its peers beside the log: their newest boot, and the most that they were seen to acknowledge.
+//! Table of a member's peers: the newest boot of each, and the highest state that each was observed to
+//! acknowledge.
 
 use crate::frame::MAX_BOOTS;
 use crate::ids::MemberId;
@@ -9,26 +10,27 @@
 
 #[derive(Debug, Clone, Default)]
 struct Peer {
-    /// Number of its newest known boot.
+    /// Number of the peer's newest known boot.
     boot: u64,
-    /// The random number of that boot; 0 when it is not known.
+    /// Nonce of that boot; 0 when it is not known.
     nonce: u64,
-    /// When it last sent a rejoin request, as a count of all requests; 0 when it did not since this member started.
+    /// Sequence number of the peer's last rejoin request among all requests received; 0 when it has sent none
+    /// since this member started.
     last_request: u64,
-    /// The most that it was seen to acknowledge.
+    /// The highest state that the peer was observed to acknowledge.
     observed_ack: AckState,
 }
 
 /// What a rejoin request shows about its sender's boot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BootStatus {
-    /// Newer than the known one.
+    /// The boot is newer than the known one.
     New,
-    /// The known one, asking again.
+    /// The boot is the known one, and repeats its request.
     Known,
-    /// Older than the known one, or another with its number.
+    /// The boot is older than the known one, or another boot with the same number.
     Stale {
-        /// The number that the sender has to go beyond.
+        /// The known boot number; the sender has to take a higher one.
         known: u64,
     },
 }
@@ -38,21 +40,23 @@
 pub(crate) struct PeerTable {
     peers: BTreeMap<MemberId, Peer>,
     /// Number of rejoin requests received.
-    requests: u64,
-    /// Whether something changed that is not yet on disk.
+    request_count: u64,
+    /// Whether there are changes that are not yet part of a batch.
     pub has_unsaved_changes: bool,
-    /// Whether a boot was learned from the peer itself: it has to be on disk before the response is sent.
+    /// Whether a boot was learned from the peer itself. That boot has to be on disk before the response is
+    /// sent.
     pub must_save_now: bool,
 }
 
-/// Whether a peer observed more acknowledged batches than a disk holds, or other ones.
+/// Whether a peer observed that more batches were acknowledged than a disk holds, or that the last one was
+/// different.
 pub(crate) fn is_ahead_of(observed: &AckState, recovered: &AckState) -> bool {
     let differs = observed.writes == recovered.writes && observed.writes > 0 && observed != recovered;
     observed.writes > recovered.writes || differs
 }
 
 impl PeerTable {
-    /// The table that was on disk.
+    /// Restores the table from the boots and acknowledgements on disk.
     pub fn recovered(boots: &[Boot], observed_acks: &[ObservedAck]) -> Self {
         let mut table = PeerTable::default();
         for boot in boots {
@@ -67,12 +71,12 @@
         table
     }
 
-    /// The most that a peer was seen to acknowledge.
+    /// The highest state that a peer was observed to acknowledge.
     pub fn observed_ack(&self, member: MemberId) -> AckState {
         self.peers.get(&member).map_or_else(AckState::default, |peer| peer.observed_ack)
     }
 
-    /// The entry of a peer; `None` when it is new and there are [`MAX_PEERS`].
+    /// The entry of a peer; `None` when the peer is new and the table already has [`MAX_PEERS`].
     fn entry(&mut self, member: MemberId) -> Option<&mut Peer> {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&member) {
             return None;
@@ -80,14 +84,14 @@
         Some(self.peers.entry(member).or_default())
     }
 
-    /// Whether a frame is of the newest known boot of its sender, or of a newer one.
+    /// Whether a frame is from the newest known boot of its sender, or from a newer one.
     pub fn is_current(&self, member: MemberId, boot: u64, nonce: u64) -> bool {
         let Some(known) = self.peers.get(&member) else { return true };
         let is_same_nonce = known.nonce == 0 || nonce == known.nonce;
         boot > known.boot || (boot == known.boot && is_same_nonce)
     }
 
-    /// Learns of a boot, from any peer. True when it is newer than the known one.
+    /// Records a boot that any peer reported. True when it is newer than the known one.
     pub fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) -> bool {
         let Some(known) = self.entry(member) else { return false };
         if boot == known.boot && known.nonce == 0 {
@@ -102,23 +106,25 @@
         true
     }
 
-    /// Learns of a boot from the rejoin request of the peer itself. A boot with the known number counts only under the known
-    /// nonce: the peer's disk may have lost the counter, and two boots with one number must not be confused.
+    /// Records a boot from the rejoin request of the peer itself; `None` when the table is full. A boot with
+    /// the known number counts only with the known nonce: the peer's disk may have lost the counter, and two
+    /// boots with the same number must not be confused.
     pub fn rejoin_request(&mut self, member: MemberId, boot: u64, nonce: u64) -> Option<BootStatus> {
-        self.requests += 1;
-        let request = self.requests;
+        self.request_count += 1;
+        let request_number = self.request_count;
         let known = self.entry(member)?;
         if boot > known.boot {
             known.boot = boot;
             known.nonce = nonce;
-            known.last_request = request;
+            known.last_request = request_number;
             self.require_save();
             return Some(BootStatus::New);
         }
         if boot == known.boot && nonce == known.nonce && nonce != 0 {
             if known.last_request == 0 {
-                // Known from other peers so far; like a new one it has to be on disk before the response.
-                known.last_request = request;
+                // The boot was known only from other peers. Like a new one, it has to be on disk before the
+                // response.
+                known.last_request = request_number;
                 self.require_save();
             }
             return Some(BootStatus::Known);
@@ -131,13 +137,13 @@
         self.must_save_now = true;
     }
 
-    /// The table is part of the next batch.
-    pub fn saved(&mut self) {
+    /// Records that the table is part of a batch.
+    pub fn mark_saved(&mut self) {
         self.has_unsaved_changes = false;
         self.must_save_now = false;
     }
 
-    /// Remembers what a peer acknowledges, if it is more than was seen before.
+    /// Records the state that a peer acknowledges, if it is higher than any observed before.
     pub fn observe_ack(&mut self, member: MemberId, ack: &AckState) {
         let Some(peer) = self.entry(member) else { return };
         if ack.writes > peer.observed_ack.writes {
@@ -146,17 +152,18 @@
         }
     }
 
-    /// Forgets a removed member.
+    /// Removes a member that has left the group.
     pub fn forget(&mut self, member: MemberId) {
         self.peers.remove(&member);
     }
 
-    /// The newest boots for every frame: those of the voters, then of the peers that last sent a rejoin request, for a
-    /// member that is behind may not know yet that they are voters. At most [`MAX_BOOTS`].
+    /// The newest boots to include in every frame: those of the voters, then those of the peers that sent the
+    /// latest rejoin requests, because a member that is behind may not know yet that they are voters. At most
+    /// [`MAX_BOOTS`].
     pub fn boots_to_send(&self, voters: &[MemberId]) -> Vec<Boot> {
-        let is_recent_other =
+        let is_recent_non_voter =
             |(member, peer): &(&MemberId, &Peer)| !voters.contains(member) && peer.last_request > 0;
-        let mut others: Vec<(&MemberId, &Peer)> = self.peers.iter().filter(is_recent_other).collect();
+        let mut others: Vec<(&MemberId, &Peer)> = self.peers.iter().filter(is_recent_non_voter).collect();
         others.sort_unstable_by_key(|(_, peer)| Reverse(peer.last_request));
         let voters = voters.iter().filter_map(|voter| self.peers.get_key_value(voter));
         let known = voters.chain(others).filter(|(_, peer)| peer.boot > 0);
@@ -168,7 +175,7 @@
         self.peers.iter().map(boot_to_wire).collect()
     }
 
-    /// All that was seen acknowledged, for the disk.
+    /// The observed acknowledgements of all peers, for the disk.
     pub fn observed_acks(&self) -> Vec<ObservedAck> {
         let to_wire = |(member, peer): (&MemberId, &Peer)| ObservedAck {
             member: member.raw(),
--- a/crates/consensus/src/pending_proposals.rs
+++ b/crates/consensus/src/pending_proposals.rs
@@ -8,19 +8,21 @@
 /// The outcome of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It is in the log.
+    /// The proposal is committed.
     Committed {
         /// The proposal.
         id: ProposalId,
-        /// Its index.
+        /// Index of the proposal's entry in the log.
         index: u64,
     },
-    /// It will never be in the log: an entry of a later term is committed, and it was offered to one term's leader only.
+    /// The proposal will never be in the log: it was sent to the leader of one term only, and an entry of a
+    /// later term is committed.
     Dropped {
         /// The proposal.
         id: ProposalId,
     },
-    /// It may still enter the log. Proposed again under the same id it counts once, however often it is committed.
+    /// The proposal may still be committed. If it is proposed again under the same id, it is applied only
+    /// once, however often it is committed.
     Unknown {
         /// The proposal.
         id: ProposalId,
@@ -32,11 +34,11 @@
 /// Why the outcome of a proposal is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownReason {
-    /// It was not committed within the proposal timeout.
+    /// The proposal was not committed within the proposal timeout.
     TimedOut,
-    /// The leader rejected it (a copy of it may still be on the way).
+    /// The leader rejected the proposal (a duplicate message may still reach a leader).
     RejectedByLeader,
-    /// A snapshot covers the part of the log where it may be.
+    /// A snapshot covers the part of the log where the proposal may be.
     CoveredBySnapshot,
     /// This member is quarantined.
     Quarantined,
@@ -44,13 +46,13 @@
 
 #[derive(Debug)]
 struct PendingProposal {
-    /// The term whose leader it was offered to.
+    /// Term of the leader that the proposal was sent to.
     term: u64,
-    /// When its outcome is reported as unknown.
+    /// Time at which the outcome is reported as unknown.
     deadline: Timestamp,
 }
 
-/// The proposals whose outcome is open, at most [`MAX_PENDING_PROPOSALS`], and the outcomes not yet taken.
+/// The proposals whose outcome is pending, at most [`MAX_PENDING_PROPOSALS`], and the outcomes not yet taken.
 #[derive(Debug, Default)]
 pub(crate) struct PendingProposals {
     pending: BTreeMap<ProposalId, PendingProposal>,
@@ -75,8 +77,8 @@
         std::mem::take(&mut self.outcomes)
     }
 
-    /// An entry is committed. Terms never decrease along the log, so no proposal that was offered to an earlier term's
-    /// leader can follow it.
+    /// Handles a committed entry. Terms never decrease along the log, so no proposal that was sent to the
+    /// leader of an earlier term can be committed after it.
     pub fn entry_committed(&mut self, index: u64, term: u64, id: Option<ProposalId>) {
         if let Some(id) = id.filter(|id| self.pending.remove(id).is_some()) {
             self.outcomes.push(ProposalOutcome::Committed { id, index });
@@ -84,7 +86,7 @@
         self.resolve(|pending| pending.term < term, |id| ProposalOutcome::Dropped { id });
     }
 
-    /// The leader rejected a proposal.
+    /// Resolves a proposal that the leader rejected.
     pub fn rejected(&mut self, id: ProposalId) {
         if self.pending.remove(&id).is_some() {
             self.outcomes.push(ProposalOutcome::Unknown { id, reason: UnknownReason::RejectedByLeader });
--- a/crates/consensus/src/proposal_dedup.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -1,39 +1,41 @@
-//! Detecting duplicates of a proposal, for whoever applies entries. A part of the applied state: the same at every member,
-//! and to be stored in its snapshots.
+//! Detects duplicates of a proposal when entries are applied. The table is part of the applied state: it is
+//! the same at every member and has to be stored in the snapshots.
 
 use crate::ids::ProposalId;
 use crate::limits::MAX_ORIGINS;
 use std::collections::BTreeMap;
 
-/// How far below an origin's highest sequence duplicates can still be recognised, in sequences.
+/// Number of sequences up to an origin's highest within which duplicates are still recognised.
 pub const SEQUENCE_WINDOW: u64 = 512;
 /// Number of sequences in one block of the window's bitset: the bits of a `u64`.
 const BLOCK_BITS: u64 = u64::BITS as u64;
 /// Number of blocks in the bitset of an origin's window.
 const WINDOW_BLOCKS: usize = (SEQUENCE_WINDOW / BLOCK_BITS) as usize;
-/// Number of 64-bit numbers of one origin when encoded: the origin, its highest sequence, and its window's blocks.
+/// Number of 64-bit numbers in the encoding of one origin: the origin, its highest sequence, and its window's
+/// blocks.
 const ORIGIN_NUMBERS: usize = 2 + WINDOW_BLOCKS;
-/// Length of one origin when encoded, bytes.
+/// Length of the encoding of one origin, bytes.
 const ORIGIN_BYTES: usize = ORIGIN_NUMBERS * size_of::<u64>();
 
 /// Whether a proposal is a duplicate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dedup {
-    /// It is new: to be applied.
+    /// The proposal is new and has to be applied.
     New,
-    /// It was recorded before: to be dropped.
+    /// The proposal was recorded before and has to be dropped.
     Duplicate,
-    /// It is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it is not known whether it was recorded: to be
-    /// dropped. A proposer with at most `MAX_PENDING_PROPOSALS` (256) open proposals never gets this for one that was not
-    /// applied.
+    /// The sequence is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it is not known whether the
+    /// proposal was recorded, and it has to be dropped. A proposer with at most `MAX_PENDING_PROPOSALS` (256)
+    /// pending proposals never gets this for a proposal that was not applied.
     TooOld,
-    /// It has a new origin and [`MAX_ORIGINS`] are remembered: to be dropped. Old origins should be retired.
+    /// The origin is new and [`MAX_ORIGINS`] are recorded, so the proposal has to be dropped. Old origins
+    /// should be retired.
     TooManyOrigins,
 }
 
 /// The bytes are not an encoded [`ProposalDedup`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{bytes} bytes are no table of up to {MAX_ORIGINS} origins with {ORIGIN_BYTES} bytes each")]
+#[error("invalid length of {bytes} bytes: expected up to {MAX_ORIGINS} origins of {ORIGIN_BYTES} bytes each")]
 pub struct DedupDecodeError {
     /// Number of bytes.
     pub bytes: usize,
@@ -42,8 +44,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct OriginWindow {
     highest: u64,
-    /// Bit `sequence % SEQUENCE_WINDOW` represents a sequence, for the last [`SEQUENCE_WINDOW`] of them.
-    seen: [u64; WINDOW_BLOCKS],
+    /// Bitset of the recorded sequences among the last [`SEQUENCE_WINDOW`]: bit `sequence % SEQUENCE_WINDOW`
+    /// is set for a recorded one.
+    recorded: [u64; WINDOW_BLOCKS],
 }
 
 impl OriginWindow {
@@ -52,7 +55,7 @@
         (sequence % SEQUENCE_WINDOW / BLOCK_BITS) as usize
     }
 
-    /// The bit in that block.
+    /// The bit that represents a sequence in its block.
     fn bit_mask(sequence: u64) -> u64 {
         1 << (sequence % BLOCK_BITS)
     }
@@ -60,10 +63,10 @@
     /// Moves the window up to a higher sequence.
     fn advance_to(&mut self, sequence: u64) {
         if sequence - self.highest >= SEQUENCE_WINDOW {
-            self.seen = [0; WINDOW_BLOCKS];
+            self.recorded = [0; WINDOW_BLOCKS];
         } else {
             for skipped in self.highest + 1..=sequence {
-                self.seen[Self::block_index(skipped)] &= !Self::bit_mask(skipped);
+                self.recorded[Self::block_index(skipped)] &= !Self::bit_mask(skipped);
             }
         }
         self.highest = sequence;
@@ -71,7 +74,7 @@
 
     /// Records a sequence within the window; false if it was recorded before.
     fn insert(&mut self, sequence: u64) -> bool {
-        let block = &mut self.seen[Self::block_index(sequence)];
+        let block = &mut self.recorded[Self::block_index(sequence)];
         let bit = Self::bit_mask(sequence);
         let is_new = *block & bit == 0;
         *block |= bit;
@@ -79,14 +82,15 @@
     }
 }
 
-/// Which proposals were applied: for each origin its highest sequence and which of the [`SEQUENCE_WINDOW`] up to it.
+/// The proposals that were applied: for each origin the highest sequence, and which of the
+/// [`SEQUENCE_WINDOW`] sequences up to it were applied.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ProposalDedup {
     origins: BTreeMap<u64, OriginWindow>,
 }
 
 impl ProposalDedup {
-    /// Records a proposal that is about to be applied and returns whether it may be.
+    /// Records a proposal that is about to be applied, and returns whether it may be applied.
     pub fn record(&mut self, id: ProposalId) -> Dedup {
         if !self.origins.contains_key(&id.origin) && self.origins.len() >= MAX_ORIGINS {
             return Dedup::TooManyOrigins;
@@ -109,12 +113,12 @@
         self.origins.remove(&origin);
     }
 
-    /// Encodes the table for a snapshot: for each origin its number, its highest sequence and its window, as little-endian
-    /// 64-bit numbers.
+    /// Encodes the table for a snapshot: for each origin its number, its highest sequence and its window, as
+    /// little-endian 64-bit numbers.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.origins.len() * ORIGIN_BYTES);
         for (origin, window) in &self.origins {
-            for number in [*origin, window.highest].iter().chain(&window.seen) {
+            for number in [*origin, window.highest].iter().chain(&window.recorded) {
                 bytes.extend_from_slice(&number.to_le_bytes());
             }
         }
@@ -124,7 +128,7 @@
     /// Decodes what [`ProposalDedup::encode`] returned.
     ///
     /// # Errors
-    /// When the length is not that of a table.
+    /// The length is not that of an encoded table.
     pub fn decode(bytes: &[u8]) -> Result<Self, DedupDecodeError> {
         let has_partial_origin = !bytes.len().is_multiple_of(ORIGIN_BYTES);
         if has_partial_origin || bytes.len() / ORIGIN_BYTES > MAX_ORIGINS {
@@ -138,8 +142,8 @@
                 buffer.copy_from_slice(number_bytes);
                 *number = u64::from_le_bytes(buffer);
             }
-            let [origin, highest, seen @ ..] = numbers;
-            dedup.origins.insert(origin, OriginWindow { highest, seen });
+            let [origin, highest, recorded @ ..] = numbers;
+            dedup.origins.insert(origin, OriginWindow { highest, recorded });
         }
         Ok(dedup)
     }
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -1,14 +1,16 @@
-//! The responses that a restarted member needs before it takes part, and the restrictions under which it then does.
+//! The rejoin protocol: the responses that a restarted member needs before it takes part, and the
+//! restrictions under which it then takes part.
 //!
 //! # Why this compensates for a disk that lost writes
 //!
-//! Let a member X have voted in a term, or acknowledged an entry that was committed, before its restart, and lost that
-//! from its disk. The vote or the commit needed a majority, so at least half of the other voters. X gets responses from a
-//! majority of the other voters, so from at least one of those, H. Either H gave its vote or acknowledgement before it
-//! responded to X: then the response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then
-//! H's message shows that X has restarted, and whoever counts votes or acknowledgements drops those of X. H must not itself
-//! have lost writes. That is true of established members, because they have rejoined in the same way; this is why normally
-//! only their responses count.
+//! Suppose that a member X voted in a term, or acknowledged an entry that was committed, before its restart,
+//! and that its disk lost the vote or entry. The election or the commit needed a majority, so at least half
+//! of the other voters contributed to it. X gets responses from a majority of the other voters, so from at
+//! least one of these contributors, H. Either H gave its vote or acknowledgement before it responded to X:
+//! then the response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then
+//! H's message shows that X has restarted, and the member that counts votes or acknowledgements drops those
+//! of X. H must not have lost writes itself. That holds for established members, because they have rejoined
+//! in the same way; this is why normally only their responses count.
 
 use crate::ids::{LogPosition, MemberId};
 use crate::limits::MAX_UNLISTED_PEERS;
@@ -16,72 +18,74 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a member's log reached when it said so.
+/// The last entry in a member's log when the member reported it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogFloor {
-    /// The member.
+    /// The member that reported its log.
     pub member: MemberId,
-    /// Its last entry.
+    /// Position of the member's last entry.
     pub last: LogPosition,
 }
 
 /// One member's response to a rejoin request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinResponse {
-    /// Its term, or its own floor for votes if that is higher.
+    /// The responding member's term, or its own floor for votes if that is higher.
     pub term: u64,
-    /// Its last entry.
+    /// Position of the responding member's last entry.
     pub last: LogPosition,
-    /// The floors that it was itself given at its start and has not reached yet.
+    /// The floors that the responding member took over when it rejoined and has not reached yet.
     pub floors: Vec<LogFloor>,
-    /// Whether it is established: it has itself rejoined since its start.
+    /// Whether the responding member is established, which means that it has itself rejoined since its start.
     pub is_established: bool,
-    /// Whether it is quarantined; then its floors are ignored.
+    /// Whether the responding member is quarantined; then its floors are ignored.
     pub is_quarantined: bool,
-    /// The membership that it knows.
+    /// The newest membership that the responding member knows.
     pub membership: VersionedMembership,
 }
 
 /// The restrictions under which a member takes part after it has rejoined.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RejoinFloors {
-    /// It votes in no term up to this one.
+    /// The member does not vote in any term up to this one.
     pub vote_term: u64,
-    /// It votes for no candidate whose last entry is behind any of these, and does not campaign while its own is.
+    /// The member votes for no candidate whose last entry is behind any of these floors, and does not
+    /// campaign while its own last entry is behind one.
     pub logs: Vec<LogFloor>,
 }
 
 impl RejoinFloors {
-    /// The furthest of the log floors.
+    /// The furthest of the log floors; zeros when there is none.
     pub fn log(&self) -> LogPosition {
         self.logs.iter().map(|floor| floor.last).max().unwrap_or_default()
     }
 }
 
-/// How a member has rejoined.
+/// Outcome of the rejoin protocol for a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinOutcome {
-    /// The restrictions under which it takes part.
+    /// The restrictions under which the member takes part.
     pub floors: RejoinFloors,
     /// Whether responses of members that were themselves rejoining had to count.
     pub is_weak: bool,
 }
 
-/// The responses to the rejoin requests of one start.
+/// The responses to the rejoin requests of one start, and the decision whether they are a quorum.
 #[derive(Debug, Clone)]
 pub struct RejoinQuorum {
     member: MemberId,
     started_at: Timestamp,
     patience: TimeDelta,
-    /// The membership as the own disk holds it, or the configured contacts.
+    /// The membership on this member's own disk, or the configured contacts.
     own: VersionedMembership,
     responses: BTreeMap<MemberId, RejoinResponse>,
-    /// Peers outside of the membership that sent something: they may know a newer membership.
+    /// Peers outside the membership that sent a frame: they may know a newer membership.
     unlisted: BTreeSet<MemberId>,
 }
 
 impl RejoinQuorum {
-    /// Starts with no responses; `own` is the membership as the own disk holds it, or the configured contacts.
+    /// Starts with no responses; `own` is the membership on this member's own disk, or the configured
+    /// contacts. After `patience`, responses of rejoining members count too.
     pub fn new(member: MemberId, own: VersionedMembership, now: Timestamp, patience: TimeDelta) -> Self {
         RejoinQuorum {
             member,
@@ -101,15 +105,16 @@
         members
     }
 
-    /// A peer sent something. If the membership does not list it, the membership may be old, and the peer gets a request
-    /// too.
+    /// Records that a peer sent a frame. If the known membership doesn't contain the peer, that membership
+    /// may be outdated, and the peer gets a request too.
     pub fn record_sender(&mut self, peer: MemberId) {
         if self.unlisted.len() < MAX_UNLISTED_PEERS && !self.membership().voters.contains(&peer) {
             self.unlisted.insert(peer);
         }
     }
 
-    /// Takes a response; it replaces an earlier one of the same member.
+    /// Adds a response; it replaces an earlier one of the same member. A response is ignored when its sender
+    /// got no request and doesn't know a newer membership.
     pub fn add_response(&mut self, from: MemberId, response: RejoinResponse) {
         let has_newer_membership = response.membership.index > self.newest().index;
         if has_newer_membership || self.request_targets().contains(&from) {
@@ -117,7 +122,8 @@
         }
     }
 
-    /// An operator declares a member's store permanently lost: that counts as a response without floors.
+    /// Operator override: counts a member whose store is permanently lost as a response without floors, and
+    /// removes the floors that other members report for it.
     pub fn declare_lost(&mut self, member: MemberId) {
         let response = RejoinResponse {
             term: 0,
@@ -133,18 +139,19 @@
         }
     }
 
-    /// A member has restarted: its earlier response no longer counts.
+    /// Discards the response of a member that has restarted since.
     pub fn discard_response(&mut self, member: MemberId) {
         self.responses.remove(&member);
     }
 
-    /// The number of the own boot has changed: all members must be sent requests again.
+    /// Discards all responses, after the number of this member's own boot has changed: all members must get
+    /// requests again.
     pub fn restart(&mut self) {
         self.responses.clear();
     }
 
-    /// The newest membership known: the own disk's, or one in a response. Whoever has the entry that made it has all
-    /// entries before it, so older memberships have nothing to add.
+    /// The newest membership known, from this member's own disk or from a response. A member that has the
+    /// entry of that membership has all entries before it, so older memberships add no information.
     fn newest(&self) -> &VersionedMembership {
         let trusted = self.responses.values().filter(|response| !response.is_quarantined);
         let memberships = trusted.map(|response| &response.membership).chain([&self.own]);
@@ -172,16 +179,17 @@
         let established = responses.iter().filter(is_trusted).count();
         let is_weak = established < quorum;
         if is_weak {
-            let is_patient = now - self.started_at < self.patience;
+            let is_within_patience = now - self.started_at < self.patience;
             let can_reach_quorum = established + (others.len() - response_count) >= quorum;
-            if response_count < quorum || (is_patient && can_reach_quorum) {
+            if response_count < quorum || (is_within_patience && can_reach_quorum) {
                 return None;
             }
         }
         Some(RejoinOutcome { floors: self.floors(&others), is_weak })
     }
 
-    /// The floors that the responses of the voters set. Votes and acknowledgements of non-voters are never counted.
+    /// The floors from the responses of the voters. Votes and acknowledgements of non-voters are never
+    /// counted.
     fn floors(&self, voters: &[MemberId]) -> RejoinFloors {
         let mut vote_term = 0;
         let mut logs: BTreeMap<MemberId, LogPosition> = BTreeMap::new();
@@ -190,8 +198,9 @@
                 continue;
             }
             vote_term = vote_term.max(response.term);
-            // What a member reports of itself, and what others received from it, whichever is further. A floor of this
-            // member itself changes nothing if it has lost nothing, and is needed if it has.
+            // The floor of a member is the furthest position among the one that it reports itself and those
+            // that others report for it. A floor for this member itself has no effect if its disk has lost
+            // nothing, and is needed if it has.
             let own_floor = LogFloor { member: from, last: response.last };
             for floor in response.floors.iter().chain([&own_floor]) {
                 let furthest = logs.entry(floor.member).or_insert(floor.last);
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -2,31 +2,32 @@
 
 use crate::ids::MemberId;
 
-/// The role of a member.
+/// The role of a member in the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Restarted, and not yet allowed to take part ([`crate::rejoin`]).
+    /// The member has restarted and may not take part yet ([`crate::rejoin`]).
     Rejoining,
-    /// Found to have lost acknowledged writes; excluded permanently under this incarnation.
+    /// The member was found to have lost acknowledged writes; it is excluded permanently under this
+    /// incarnation.
     Quarantined,
-    /// Not a member, as far as it knows.
+    /// The newest membership that this process knows doesn't contain it.
     NonMember,
-    /// Follows without a vote.
+    /// The member follows the leader and has no vote.
     Learner,
-    /// Follows.
+    /// The member follows the leader and votes in elections.
     Follower,
-    /// Requests votes.
+    /// The member requests votes or pre-votes.
     Candidate,
-    /// Leads.
+    /// The member leads its term.
     Leader,
 }
 
 /// A member's role, its term and the leader that it knows of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoleChange {
-    /// The role.
+    /// The new role.
     pub role: Role,
-    /// The term.
+    /// The member's current term.
     pub term: u64,
     /// The leader, if one is known.
     pub leader: Option<MemberId>,
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -6,7 +6,7 @@
 /// The state of the applied log up to and including an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Index of the last entry in it.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
     /// That entry's term.
     pub term: u64,
@@ -17,7 +17,7 @@
 }
 
 impl Snapshot {
-    /// The position of the last entry in it.
+    /// The position of the last entry that the snapshot covers.
     pub(crate) fn position(&self) -> LogPosition {
         LogPosition::new(self.term, self.index)
     }
--- a/crates/consensus/src/state_digests.rs
+++ b/crates/consensus/src/state_digests.rs
@@ -1,4 +1,4 @@
-//! Comparing state machines: members that applied the same entries must have the same state.
+//! Compares the state machines of members: after the same entries they must have the same state.
 
 use crate::limits::RETAINED_DIGESTS;
 use crate::wire::StateDigest;
@@ -11,7 +11,8 @@
 }
 
 impl StateDigests {
-    /// Adds the digest of the state after an entry; the oldest one goes when there are [`RETAINED_DIGESTS`].
+    /// Adds the digest of the state after an entry; the oldest one is dropped when there are
+    /// [`RETAINED_DIGESTS`].
     pub fn push(&mut self, index: u64, digest: u64) {
         if self.digests.len() == RETAINED_DIGESTS {
             self.digests.pop_front();
@@ -24,7 +25,7 @@
         self.digests.back().copied()
     }
 
-    /// Whether a peer's digest differs from the own one after the same entry.
+    /// Whether a peer's digest differs from this member's own digest after the same entry.
     pub fn differs_from(&self, peer_digest: &StateDigest) -> bool {
         self.digests.iter().any(|own| own.index == peer_digest.index && own.digest != peer_digest.digest)
     }
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -1,4 +1,4 @@
-//! Batches as those of the write-ahead log, and what the write-ahead log recovers as [`RecoveredState`].
+//! Conversion of batches to those of the write-ahead log, and of its recovered content to [`RecoveredState`].
 
 use crate::ready::Batch;
 use crate::recovered_state::RecoveredState;
@@ -7,22 +7,24 @@
 use prost::Message as _;
 use sprucelink_wal as wal;
 
-/// The write-ahead log is intact but does not hold a member's state: it is of another version, or a program is at fault.
+/// The write-ahead log is intact but does not contain a member's state: it was written by another version or
+/// by a faulty program.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The state beside the log can't be decoded.
+    /// The persistent state other than the log can't be decoded.
     #[error("undecodable member state")]
     State(#[source] prost::DecodeError),
     /// The snapshot can't be decoded.
     #[error("undecodable snapshot")]
     Snapshot(#[source] prost::DecodeError),
-    /// A part of the snapshot is missing, out of its bounds, or not that of the write-ahead log's snapshot.
+    /// A part of the snapshot is missing or out of bounds, or its position differs from the write-ahead
+    /// log's.
     #[error("invalid snapshot at entry {index}")]
     InvalidSnapshot {
         /// The snapshot's index.
         index: u64,
     },
-    /// The entry is of an unknown kind.
+    /// The kind of the entry is missing or unknown.
     #[error("invalid entry {index}")]
     InvalidEntry {
         /// The entry's index.
@@ -30,7 +32,7 @@
     },
 }
 
-/// A batch as the write-ahead log takes it. An entry's data starts with one byte for its kind.
+/// Converts a batch to one of the write-ahead log. An entry's data starts with one byte for its kind.
 pub fn to_wal(batch: &Batch) -> wal::WriteBatch {
     let snapshot = batch.snapshot.as_ref().map(|snapshot| wal::Snapshot {
         index: snapshot.index,
@@ -52,10 +54,10 @@
     wal::Entry { index: entry.index, term: entry.term, data }
 }
 
-/// What a member starts from, as the write-ahead log recovered it.
+/// Converts the content that the write-ahead log recovered to the state that a member starts from.
 ///
 /// # Errors
-/// When it is not a member's state.
+/// The content is not a member's state.
 pub fn recover(recovered: wal::Recovered) -> Result<RecoveredState, StoreError> {
     let state = wire::PersistentState::decode(recovered.state.as_slice()).map_err(StoreError::State)?;
     let snapshot = recovered.snapshot.map(snapshot_from_wal).transpose()?;
--- a/crates/replicated-log/build.rs
+++ b/crates/replicated-log/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the records of the replicated log without an outside compiler.
+//! Compiles the records of the replicated log without an external protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto");
--- a/crates/wal/build.rs
+++ b/crates/wal/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the protobuf description of the records without an outside compiler.
+//! Compiles the protobuf description of the records without an external protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/wal.proto");
