--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -16,7 +16,7 @@
     let (kind, members) = name.split_once(':')?;
     let members = members.parse().ok().filter(|members| (3..=7).contains(members))?;
     match kind {
-        "honest" => Some(Plan::honest(members)),
+        "honest" => Some(Plan::correct_disks(members)),
         "liar" => Some(Plan::one_liar(members)),
         "liars" => Some(Plan::liars(members)),
         "leader" => Some(Plan::leader_dies(members)),
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -83,7 +83,7 @@
     }
 
     /// All faults, but disks keep what they acknowledged; any number of members may be down at once.
-    pub fn honest(members: u32) -> Plan {
+    pub fn correct_disks(members: u32) -> Plan {
         Plan { members, ..Plan::default() }
     }
 
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -136,7 +136,7 @@
 
 impl HealthyGroup {
     fn new() -> Self {
-        let plan = Plan { fault_every: TimeDelta::ZERO, ..Plan::honest(3) };
+        let plan = Plan { fault_every: TimeDelta::ZERO, ..Plan::correct_disks(3) };
         let mut simulation = Simulation::new(plan, 5, |_| ProposalRecorder::default());
         simulation.run_until(seconds(3));
         simulation.heal();
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -68,9 +68,9 @@
 
 #[test]
 fn no_violation_with_honest_disks() {
-    assert_no_violation(Plan::honest(3).shorter(seconds(6)), 0..40);
-    assert_no_violation(Plan::honest(5).shorter(seconds(6)), 0..40);
-    assert_no_violation(Plan::honest(7).shorter(seconds(6)), 0..10);
+    assert_no_violation(Plan::correct_disks(3).shorter(seconds(6)), 0..40);
+    assert_no_violation(Plan::correct_disks(5).shorter(seconds(6)), 0..40);
+    assert_no_violation(Plan::correct_disks(7).shorter(seconds(6)), 0..10);
 }
 
 #[test]
@@ -119,7 +119,7 @@
         faults: vec![Fault::Crash, Fault::CrashMany, Fault::CrashLeader, Fault::Partition, Fault::Isolate],
         fault_every: TimeDelta::from_millis(400),
         max_sync_time: TimeDelta::from_millis(20),
-        ..Plan::honest(members).shorter(seconds(8))
+        ..Plan::correct_disks(members).shorter(seconds(8))
     }
 }
 
@@ -146,7 +146,7 @@
     let plan = Plan {
         bugs: vec![InjectedBug::DuplicatesApplied],
         duplicate_per_mille: 200,
-        ..Plan::honest(3).shorter(seconds(4))
+        ..Plan::correct_disks(3).shorter(seconds(4))
     };
     assert_bug_is_found(plan, 40, |kind| matches!(kind, ViolationKind::AppliedRepeatedly { .. }));
 }
