--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -17,7 +17,7 @@
     let members = members.parse().ok().filter(|members| (3..=7).contains(members))?;
     match kind {
         "honest" => Some(Plan::correct_disks(members)),
-        "liar" => Some(Plan::one_liar(members)),
+        "liar" => Some(Plan::one_lying_disk(members)),
         "liars" => Some(Plan::liars(members)),
         "leader" => Some(Plan::leader_dies(members)),
         _ => None,
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -88,7 +88,7 @@
     }
 
     /// One disk lies or rots, and any number of members may be down at once.
-    pub fn one_liar(members: u32) -> Plan {
+    pub fn one_lying_disk(members: u32) -> Plan {
         let mut faults = Fault::ALL_BUT_LYING_DISKS.to_vec();
         faults.extend([Fault::LyingDisk, Fault::LyingDisk, Fault::BitFlip, Fault::CrashLeader]);
         Plan { members, lying_disks: 1, faults, ..Plan::default() }
@@ -98,7 +98,7 @@
     /// majority as long as it takes.
     pub fn liars(members: u32) -> Plan {
         let minority = (members - 1) / 2;
-        let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_liar(members) };
+        let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_lying_disk(members) };
         plan.timing.rejoin_patience = TimeDelta::from_secs(600);
         plan
     }
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -75,8 +75,8 @@
 
 #[test]
 fn no_violation_with_one_lying_disk_whatever_restarts() {
-    assert_no_violation(Plan::one_liar(3).shorter(seconds(6)), 0..60);
-    assert_no_violation(Plan::one_liar(5).shorter(seconds(6)), 0..30);
+    assert_no_violation(Plan::one_lying_disk(3).shorter(seconds(6)), 0..60);
+    assert_no_violation(Plan::one_lying_disk(5).shorter(seconds(6)), 0..30);
 }
 
 #[test]
@@ -87,7 +87,7 @@
 /// To the last message.
 #[test]
 fn same_seed_gives_the_same_run() {
-    let run = || Simulation::run(Plan::one_liar(5).shorter(seconds(6)), 77);
+    let run = || Simulation::run(Plan::one_lying_disk(5).shorter(seconds(6)), 77);
     let first = run();
     let second = run();
     assert_eq!(
@@ -137,7 +137,7 @@
 
 #[test]
 fn lying_disk_without_acknowledgement_check_and_floors_is_found() {
-    let plan = Plan { bugs: vec![InjectedBug::TrustDisk], ..Plan::one_liar(3).shorter(seconds(8)) };
+    let plan = Plan { bugs: vec![InjectedBug::TrustDisk], ..Plan::one_lying_disk(3).shorter(seconds(8)) };
     assert_bug_is_found(plan, 400, |_| true);
 }
 
