--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -18,7 +18,7 @@
     match kind {
         "honest" => Some(Plan::correct_disks(members)),
         "liar" => Some(Plan::one_lying_disk(members)),
-        "liars" => Some(Plan::liars(members)),
+        "liars" => Some(Plan::minority_lying_disks(members)),
         "leader" => Some(Plan::leader_dies(members)),
         _ => None,
     }
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -96,7 +96,7 @@
 
     /// A minority of the disks lie, while a majority takes part all the time; rejoining members wait for that
     /// majority as long as it takes.
-    pub fn liars(members: u32) -> Plan {
+    pub fn minority_lying_disks(members: u32) -> Plan {
         let minority = (members - 1) / 2;
         let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_lying_disk(members) };
         plan.timing.rejoin_patience = TimeDelta::from_secs(600);
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -81,7 +81,7 @@
 
 #[test]
 fn no_violation_with_a_minority_of_lying_disks() {
-    assert_no_violation(Plan::liars(5).shorter(seconds(6)), 0..30);
+    assert_no_violation(Plan::minority_lying_disks(5).shorter(seconds(6)), 0..30);
 }
 
 /// To the last message.
