--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -19,7 +19,7 @@
         "honest" => Some(Plan::correct_disks(members)),
         "liar" => Some(Plan::one_lying_disk(members)),
         "liars" => Some(Plan::minority_lying_disks(members)),
-        "leader" => Some(Plan::leader_dies(members)),
+        "leader" => Some(Plan::leader_crashes(members)),
         _ => None,
     }
 }
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -104,7 +104,7 @@
     }
 
     /// Only the leader crashes, again and again, in an otherwise healthy group: for the time to a new leader.
-    pub fn leader_dies(members: u32) -> Plan {
+    pub fn leader_crashes(members: u32) -> Plan {
         Plan {
             members,
             fault_time: TimeDelta::from_secs(120),
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -106,7 +106,7 @@
 /// The leader crashes in a group that is otherwise whole.
 #[test]
 fn another_member_leads_within_two_seconds_after_a_crash() {
-    let runs = run_seeds(&Plan::leader_dies(5).shorter(seconds(60)), 0..4, false);
+    let runs = run_seeds(&Plan::leader_crashes(5).shorter(seconds(60)), 0..4, false);
     let times: Vec<TimeDelta> = runs.iter().flat_map(|run| run.report.elections.iter().copied()).collect();
     assert!(times.len() >= 20, "only {} elections", times.len());
     assert!(times.iter().all(|&time| time < seconds(2)), "{times:?}");
