--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether the member is permanently out.
-    pub fn is_out(&self) -> bool {
+    pub fn is_excluded(&self) -> bool {
         self.store_error.is_some() || self.role == Some(Role::Quarantined)
     }
 
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -63,7 +63,7 @@
         let running: Vec<MemberId> =
             hosts.filter(|host| host.is_up() && !host.is_stopped).map(|host| host.id).collect();
         let hosts = cluster.hosts.values();
-        let down = hosts.filter(|host| !host.is_out() && !host.is_established()).count() as u32;
+        let down = hosts.filter(|host| !host.is_excluded() && !host.is_established()).count() as u32;
         let Some(&target) = running.choose(&mut cluster.rng) else { return Vec::new() };
         let Some(&fault) = cluster.plan.faults.choose(&mut cluster.rng) else { return Vec::new() };
         let max_more_down = cluster.plan.max_down.saturating_sub(down);
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -65,7 +65,7 @@
 
     /// Plans to replace members that are permanently out by new incarnations on the same nodes.
     fn plan_replacements<A: StateMachine>(&mut self, cluster: &Cluster<A>) {
-        for host in cluster.hosts.values().filter(|host| host.is_out()) {
+        for host in cluster.hosts.values().filter(|host| host.is_excluded()) {
             let old = host.id;
             if !self.replacements.iter().any(|replacement| replacement.old == old) {
                 let new = MemberId::new(old.node, old.incarnation + 1);
@@ -81,7 +81,7 @@
         leader: MemberId,
         Replacement { old, new }: Replacement,
     ) {
-        let is_old_out = cluster.current_host(old).is_none_or(|host| host.is_out());
+        let is_old_out = cluster.current_host(old).is_none_or(|host| host.is_excluded());
         let Some(node) = cluster.host_mut(leader).node.as_mut() else { return };
         let membership = node.membership();
         let voters = membership.voters.len();
@@ -114,7 +114,7 @@
             return;
         }
         self.last_led = cluster.now();
-        let out = cluster.hosts.values().filter(|host| host.is_out()).map(|host| host.id);
+        let out = cluster.hosts.values().filter(|host| host.is_excluded()).map(|host| host.id);
         let lost: Vec<MemberId> = out.chain(self.lost.iter().copied()).collect();
         for node in cluster.hosts.values_mut().filter_map(|host| host.node.as_mut()) {
             let id = node.id();
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -107,7 +107,7 @@
         let Some(newest) = memberships.max_by_key(|membership| membership.index) else { return false };
         let voters = newest.membership.voters;
         let can_vote =
-            |voter: &&MemberId| self.cluster.current_host(**voter).is_some_and(|host| !host.is_out());
+            |voter: &&MemberId| self.cluster.current_host(**voter).is_some_and(|host| !host.is_excluded());
         voters.iter().filter(can_vote).count() > voters.len() / 2
     }
 
