--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -129,7 +129,7 @@
         let run = ProcessRun { member: id, starts: host.starts };
         let first_tick = draw::span(&mut self.rng, TimeDelta::from_micros(1), MAX_FIRST_TICK);
         self.queue.push(self.now + first_tick, Event::Tick(run));
-        self.work(id);
+        self.process_ready(id);
     }
 
     /// A process crashes.
@@ -178,16 +178,16 @@
         let id = ProposalId { origin: member.raw(), sequence: self.proposals };
         // A rejected proposal went nowhere: there is nothing to check.
         let _ = self.host_mut(member).propose(bytes, id);
-        self.work(member);
+        self.process_ready(member);
         id
     }
 
     /// Does what a member's node wants done, and sends its messages.
-    pub fn work(&mut self, id: MemberId) {
+    pub fn process_ready(&mut self, id: MemberId) {
         let mut outgoing = Vec::new();
         let Some(host) = self.hosts.get_mut(&id.node) else { return };
         let sync_due_before = host.sync_due;
-        host.work(self.now, &self.plan, &mut self.rng, &mut self.checker, &mut outgoing);
+        host.process_ready(self.now, &self.plan, &mut self.rng, &mut self.checker, &mut outgoing);
         let run = ProcessRun { member: id, starts: host.starts };
         if let Some(at) = host.sync_due.filter(|_| host.sync_due != sync_due_before) {
             self.queue.push(at, Event::Synced(run));
@@ -222,7 +222,7 @@
         if let Some(host) = self.hosts.get_mut(&to.node) {
             host.deliver(self.now, from, frame, &self.plan);
         }
-        self.work(to);
+        self.process_ready(to);
     }
 
     /// The write of a running process is on disk, or rejected. False when the process can't continue.
@@ -239,7 +239,7 @@
         if let Some(host) = self.hosts.get_mut(&id.node) {
             host.wake(self.now, &mut self.rng, &self.plan);
         }
-        self.work(id);
+        self.process_ready(id);
     }
 
     /// A line for each host, for whoever examines a run.
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -298,7 +298,7 @@
     }
 
     /// Does all that the node wants done; frames that may be sent are added to `outgoing`.
-    pub(super) fn work(
+    pub(super) fn process_ready(
         &mut self,
         now: Timestamp,
         plan: &Plan,
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -137,7 +137,7 @@
         }
         let now = self.cluster.now;
         self.cluster.host_mut(run.member).tick(now);
-        self.cluster.work(run.member);
+        self.cluster.process_ready(run.member);
         let next = draw::span(&mut self.cluster.rng, MIN_TICK, MAX_TICK);
         self.schedule(next, Event::Tick(run));
     }
@@ -151,7 +151,7 @@
             return;
         }
         if self.cluster.synced(run.member) {
-            self.cluster.work(run.member);
+            self.cluster.process_ready(run.member);
         } else {
             self.cluster.crash(run.member, true);
             self.schedule(RESTART_AFTER_FAILED_WRITE, Event::EndFault(FaultEnd::Restart(run.member)));
@@ -172,7 +172,7 @@
     fn operate(&mut self) {
         self.operator.step(&mut self.cluster);
         for id in self.cluster.members() {
-            self.cluster.work(id);
+            self.cluster.process_ready(id);
         }
         self.schedule(OPERATE_EVERY, Event::Operate);
     }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -43,7 +43,7 @@
     }
 
     /// Does what is to be done; the frames that go out.
-    fn work(&mut self, now: Timestamp) -> Vec<Frame> {
+    fn process_ready(&mut self, now: Timestamp) -> Vec<Frame> {
         let mut sent = Vec::new();
         while let Some(ready) = self.node.ready() {
             if let Some(batch) = &ready.persist {
@@ -93,7 +93,7 @@
         let mut under_way = VecDeque::new();
         loop {
             for member in &mut self.members {
-                under_way.extend(member.work(self.now));
+                under_way.extend(member.process_ready(self.now));
             }
             let Some(frame) = under_way.pop_front() else { return };
             self.sent.push(frame.clone());
