--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -1,5 +1,5 @@
-//! What must hold, whatever fails. The checker examines what hosts did: the frames that left them, the entries that they
-//! applied, the roles that they had.
+//! Invariants that must hold under all faults. The checker examines the frames that hosts send, the entries
+//! that they apply, and their roles, outcomes and alarms.
 
 use super::recorder::chain_entry;
 use crate::alarm::Alarm;
@@ -14,19 +14,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Number of the newest committed entries that a new leader is checked for.
+/// Number of newest committed entries that a new leader is checked for.
 const CHECKED_ENTRIES: usize = 256;
-/// Number of a vote request on the wire: a vote for oneself.
+/// Kind of a vote request on the wire: a vote for the sender itself.
 const VOTE_REQUEST: u32 = 3;
-/// Number of a vote response on the wire: a vote for its receiver, unless it rejects.
+/// Kind of a vote response on the wire: a vote for its receiver, unless it rejects.
 const VOTE_RESPONSE: u32 = 4;
 
-/// An invariant that was violated.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// When.
+    /// Time of the violation.
     pub at: Timestamp,
-    /// How.
+    /// The violated invariant, with details.
     pub kind: ViolationKind,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// How an invariant was violated.
+/// Kind of a violation, by invariant.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ViolationKind {
     /// Election safety: two leaders in one term.
@@ -44,7 +44,7 @@
     TwoLeaders {
         /// The first leader.
         first: MemberId,
-        /// The other leader.
+        /// The second leader.
         second: MemberId,
         /// The term.
         term: u64,
@@ -56,13 +56,13 @@
         leader: MemberId,
         /// Its term.
         term: u64,
-        /// The committed entry.
+        /// Index of the committed entry.
         index: u64,
         /// That entry's term.
         entry_term: u64,
     },
     /// State machine safety: two members apply different entries at one index.
-    #[error("{member} applies another entry at {index} than was applied there")]
+    #[error("{member} applies a different entry at {index} than an earlier member")]
     DivergentEntry {
         /// The member that applied the entry later.
         member: MemberId,
@@ -70,13 +70,13 @@
         index: u64,
     },
     /// A member reports that a peer's state differs from its own.
-    #[error("{member} and {peer} differ at {index}")]
+    #[error("the states of {member} and {peer} differ after entry {index}")]
     DivergentState {
         /// The member.
         member: MemberId,
         /// The peer.
         peer: MemberId,
-        /// The entry.
+        /// Index of the entry.
         index: u64,
     },
     /// A proposal was reported as dropped and is committed.
@@ -85,8 +85,8 @@
         /// The proposal.
         id: ProposalId,
     },
-    /// A proposal was reported as committed and nobody has applied it.
-    #[error("a proposal reported as committed at {index} was applied by nobody: {id:?}")]
+    /// A proposal was reported as committed and no member has applied it.
+    #[error("a proposal reported as committed at {index} was not applied by any member: {id:?}")]
     CommittedButNotApplied {
         /// The proposal.
         id: ProposalId,
@@ -94,7 +94,7 @@
         index: u64,
     },
     /// A quarantined member sends Raft messages.
-    #[error("{member} is quarantined and takes part")]
+    #[error("{member} is quarantined and sends Raft messages")]
     QuarantinedMemberActive {
         /// The member.
         member: MemberId,
@@ -110,7 +110,7 @@
     /// The group has no leader after the recovery time.
     #[error("no leader at the end\n{hosts}")]
     NoLeader {
-        /// A line for each host.
+        /// One line with the state of each host.
         hosts: String,
     },
     /// A member lacks a committed proposal at the end.
@@ -132,23 +132,23 @@
         member: MemberId,
         /// The proposal.
         id: ProposalId,
-        /// How often.
+        /// Number of times that it was applied.
         count: u32,
     },
 }
 
-/// Number of proposals by their reported outcome.
+/// Number of proposals by reported outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Reported as committed.
+    /// Number of proposals reported as committed.
     pub committed: u64,
-    /// Reported as dropped.
+    /// Number of proposals reported as dropped.
     pub dropped: u64,
-    /// Reported as unknown.
+    /// Number of proposals whose outcome was reported as unknown.
     pub unknown: u64,
 }
 
-/// What makes one vote: a member, a term, and the boot where that matters.
+/// Identifies a vote: a member, a term, and the boot for members that lost writes (otherwise 0).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct VoteKey {
     member: MemberId,
@@ -163,19 +163,20 @@
     digest: u64,
 }
 
-/// What is known of the run so far. The first violation stays.
+/// Checks the invariants during a run and keeps the first violation.
 #[derive(Debug, Default)]
 pub struct Checker {
     now: Timestamp,
-    /// The first violation.
+    /// The first violation, if there was one.
     pub violation: Option<Violation>,
     leaders: BTreeMap<u64, MemberId>,
     votes: BTreeMap<VoteKey, u64>,
-    /// Members whose disks lost acknowledged writes: each of their boots has one vote a term, and the older boot's is void.
+    /// Members whose disks lost acknowledged writes: each of their boots has one vote per term, and the votes
+    /// of older boots don't count.
     pub(super) members_with_lost_writes: BTreeSet<MemberId>,
     committed: BTreeMap<u64, AppliedEntry>,
     committed_ids: BTreeSet<ProposalId>,
-    /// The proposals that were reported as committed, and at which index.
+    /// The proposals that were reported as committed, with the reported index.
     pub reported_committed: BTreeMap<ProposalId, u64>,
     reported_dropped: BTreeSet<ProposalId>,
     quarantined: BTreeSet<MemberId>,
@@ -190,14 +191,15 @@
         self.now = now;
     }
 
-    /// Fails the run, unless it has failed already.
+    /// Records a violation, unless there already is one.
     pub fn fail(&mut self, kind: ViolationKind) {
         let at = self.now;
         self.violation.get_or_insert(Violation { at, kind });
     }
 
-    /// A member's role changed.
-    pub(super) fn role_changed(&mut self, member: MemberId, change: &RoleChange, node: &Node) {
+    /// Checks a role change of a member: a new leader must be the only one of its term and have all committed
+    /// entries.
+    pub(super) fn check_role_change(&mut self, member: MemberId, change: &RoleChange, node: &Node) {
         match change.role {
             Role::Quarantined => {
                 self.quarantined.insert(member);
@@ -213,7 +215,7 @@
             self.fail(ViolationKind::TwoLeaders { first, second: leader, term });
         }
         let newest = self.committed.iter().rev().take(CHECKED_ENTRIES);
-        // What the leader has compacted was committed when it was compacted.
+        // Entries that the leader has compacted were committed in its log.
         let lacks = |index: u64, entry: &AppliedEntry| match node.term_at(index) {
             Some(leader_term) => leader_term != entry.term,
             None => index > node.commit_index(),
@@ -225,8 +227,8 @@
         }
     }
 
-    /// A member applied an entry.
-    pub(super) fn applied(&mut self, member: MemberId, entry: &CommittedEntry) {
+    /// Checks an entry that a member applied: every member must apply the same entry at an index.
+    pub(super) fn check_applied_entry(&mut self, member: MemberId, entry: &CommittedEntry) {
         let applied = AppliedEntry { term: entry.term, digest: chain_entry(0, entry) };
         let first = *self.committed.entry(entry.index).or_insert(applied);
         if first != applied {
@@ -238,8 +240,8 @@
         }
     }
 
-    /// A proposer learned an outcome.
-    pub(super) fn outcome_reported(&mut self, outcome: &ProposalOutcome) {
+    /// Checks a reported outcome of a proposal against the applied entries.
+    pub(super) fn check_outcome(&mut self, outcome: &ProposalOutcome) {
         match *outcome {
             ProposalOutcome::Committed { id, index } => {
                 self.reported_committed.insert(id, index);
@@ -259,8 +261,9 @@
         }
     }
 
-    /// A frame leaves a host: a quarantined member takes no part, and a member has one vote a term, through restarts.
-    pub(super) fn sent(&mut self, frame: &Frame) {
+    /// Checks a frame that a host sends: a quarantined member must send no Raft messages, and a member has
+    /// one vote per term, also across restarts.
+    pub(super) fn check_sent_frame(&mut self, frame: &Frame) {
         let Some(Body::Raft(message)) = &frame.0.body else { return };
         let member = frame.from();
         if self.quarantined.contains(&member) {
@@ -278,8 +281,8 @@
         }
     }
 
-    /// A member raised an alarm.
-    pub(super) fn alarm_raised(&mut self, member: MemberId, alarm: &Alarm) {
+    /// Counts an alarm of a member; a reported divergence is a violation.
+    pub(super) fn check_alarm(&mut self, member: MemberId, alarm: &Alarm) {
         let kind = match alarm {
             Alarm::Quarantined(_) => "quarantined",
             Alarm::Diverged { .. } => "diverged",
@@ -294,7 +297,7 @@
         }
     }
 
-    /// Whether a proposal was committed anywhere.
+    /// Whether any member has applied a proposal.
     pub fn is_committed(&self, id: ProposalId) -> bool {
         self.committed_ids.contains(&id)
     }
--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -1,4 +1,4 @@
-//! The hosts, the network between them, and the events to come.
+//! The hosts, the network between them, and the queue of events.
 
 use super::checker::Checker;
 use super::draw;
@@ -15,7 +15,7 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Latest time of a process' first tick.
+/// Longest time from the start of a process to its first tick.
 const MAX_FIRST_TICK: TimeDelta = TimeDelta::from_millis(50);
 
 /// Makes the state machine of a host that starts.
@@ -24,21 +24,21 @@
 /// Hosts, network, time and checker of one run.
 pub struct Cluster<A> {
     pub(super) rng: ChaCha8Rng,
-    /// The plan of the run.
+    /// Parameters of the run.
     pub plan: Plan,
-    /// The hosts, one for each node.
+    /// The hosts by node, one for each.
     pub hosts: BTreeMap<u32, Host<A>>,
-    /// The network.
+    /// The network between the hosts.
     pub network: Network,
-    /// The checker.
+    /// Checker of the invariants, with the first violation.
     pub checker: Checker,
     founders: Vec<MemberId>,
-    /// The members that a node which joined sends rejoin requests to, by node.
+    /// Members to which a node that joined later sends rejoin requests, by node.
     contacts: BTreeMap<u32, Vec<MemberId>>,
     pub(super) queue: EventQueue,
     pub(super) now: Timestamp,
-    proposals: u64,
-    /// When the leader crashed, until there is another one.
+    proposal_count: u64,
+    /// Time at which the leader crashed; `None` once there is another leader.
     leaderless_since: Option<Timestamp>,
     /// Times from a leader's crash to the next leader.
     pub(super) elections: Vec<TimeDelta>,
@@ -46,7 +46,7 @@
 }
 
 impl<A: StateMachine> Cluster<A> {
-    /// The founders, all started at time 0.
+    /// A cluster of the founders, all started at time 0.
     pub(super) fn new(plan: Plan, seed: u64, make_state_machine: MakeStateMachine<A>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
@@ -62,7 +62,7 @@
             contacts: BTreeMap::new(),
             queue: EventQueue::default(),
             now: Timestamp::ZERO,
-            proposals: 0,
+            proposal_count: 0,
             leaderless_since: None,
             elections: Vec::new(),
             make_state_machine,
@@ -75,27 +75,28 @@
         cluster
     }
 
-    /// The time.
+    /// Current virtual time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// A node's host.
+    /// The host of a member's node.
     pub fn host(&self, id: MemberId) -> &Host<A> {
         &self.hosts[&id.node]
     }
 
-    /// A node's host. What is done to its raft node shows at its next event.
+    /// The host of a member's node. Work that a call causes in its raft node is processed at the host's next
+    /// event.
     pub fn host_mut(&mut self, id: MemberId) -> &mut Host<A> {
         self.hosts.get_mut(&id.node).expect("every node has a host")
     }
 
-    /// A member's host, if the node still has that member.
+    /// The host of a member, if the member is still the current one of its node.
     pub(super) fn current_host(&self, id: MemberId) -> Option<&Host<A>> {
         self.hosts.get(&id.node).filter(|host| host.id == id)
     }
 
-    /// Whether a process still runs.
+    /// Whether this run of a process is still the current one.
     pub(super) fn is_running(&self, run: ProcessRun) -> bool {
         self.current_host(run.member).is_some_and(|host| host.starts == run.starts && host.is_up())
     }
@@ -105,14 +106,14 @@
         self.hosts.values().map(|host| host.id).collect()
     }
 
-    /// The running member that leads in the highest term, as it believes itself.
+    /// The running member whose own role is leader; the one with the highest term if there are several.
     pub fn leader(&self) -> Option<MemberId> {
         let leads = |host: &&Host<A>| host.is_up() && !host.is_stopped && host.role == Some(Role::Leader);
         let term = |host: &&Host<A>| host.node.as_ref().map_or(0, |node| node.term());
         self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
     }
 
-    /// Starts a node's process, if its disk allows it.
+    /// Starts a member's process, unless it runs, its store is damaged, or the node has another member.
     pub fn start(&mut self, id: MemberId) {
         let state_machine = (self.make_state_machine)(id);
         let contacts = self.contacts.get(&id.node);
@@ -127,12 +128,12 @@
         }
         host.start(self.now, &options, state_machine);
         let run = ProcessRun { member: id, starts: host.starts };
-        let first_tick = draw::span(&mut self.rng, TimeDelta::from_micros(1), MAX_FIRST_TICK);
+        let first_tick = draw::duration(&mut self.rng, TimeDelta::from_micros(1), MAX_FIRST_TICK);
         self.queue.push(self.now + first_tick, Event::Tick(run));
         self.process_ready(id);
     }
 
-    /// A process crashes.
+    /// Crashes a process.
     pub fn crash(&mut self, id: MemberId, torn_writes: bool) {
         if self.leader() == Some(id) {
             self.leaderless_since = Some(self.now);
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Adds a host for a member that is to join: a new node, or one whose disk is emptied. False when it has one already.
+    /// Adds a host for a member that is to join, on a new node or on one whose disk is erased. False when the
+    /// member already has a host.
     pub(super) fn add_host(&mut self, id: MemberId, contacts: Vec<MemberId>) -> bool {
         if self.current_host(id).is_some() {
             return false;
@@ -169,20 +171,20 @@
         }
     }
 
-    /// Proposes at a host drawn from the seed.
+    /// Makes a proposal at a host drawn from the seed.
     pub fn propose(&mut self, bytes: Vec<u8>) -> ProposalId {
         let nodes: Vec<u32> = self.hosts.keys().copied().collect();
         let node = nodes[self.rng.gen_range(0..nodes.len())];
         let member = self.hosts[&node].id;
-        self.proposals += 1;
-        let id = ProposalId { origin: member.raw(), sequence: self.proposals };
-        // A rejected proposal went nowhere: there is nothing to check.
+        self.proposal_count += 1;
+        let id = ProposalId { origin: member.raw(), sequence: self.proposal_count };
+        // A rejected proposal was not sent to any member, so there is nothing to check.
         let _ = self.host_mut(member).propose(bytes, id);
         self.process_ready(member);
         id
     }
 
-    /// Does what a member's node wants done, and sends its messages.
+    /// Carries out the pending work of a member's node, and sends its messages.
     pub fn process_ready(&mut self, id: MemberId) {
         let mut outgoing = Vec::new();
         let Some(host) = self.hosts.get_mut(&id.node) else { return };
@@ -204,45 +206,46 @@
             if self.plan.has(InjectedBug::NoCrashVectors) {
                 frame.0.boots.clear();
             }
-            self.checker.sent(&frame);
+            self.checker.check_sent_frame(&frame);
             for at in self.network.arrivals(&mut self.rng, frame.from(), frame.to(), self.now) {
                 self.queue.push(at, Event::Deliver(Box::new(frame.clone())));
             }
         }
     }
 
-    /// A frame arrives, if its receiver is still there.
+    /// Delivers a frame, if its receiver is still a member of its node.
     pub(super) fn deliver(&mut self, frame: Frame) {
         let from = frame.from();
         let to = frame.to();
         if self.current_host(to).is_none() {
             return;
         }
-        let frame = self.network.pass(&mut self.rng, frame);
+        let frame = self.network.transmit(&mut self.rng, frame);
         if let Some(host) = self.hosts.get_mut(&to.node) {
             host.deliver(self.now, from, frame, &self.plan);
         }
         self.process_ready(to);
     }
 
-    /// The write of a running process is on disk, or rejected. False when the process can't continue.
-    pub(super) fn synced(&mut self, id: MemberId) -> bool {
+    /// Completes or rejects the write in progress of a running process. False when the process can't
+    /// continue.
+    pub(super) fn complete_write(&mut self, id: MemberId) -> bool {
         let mut outgoing = Vec::new();
         let Some(host) = self.hosts.get_mut(&id.node) else { return true };
-        let can_continue = host.synced(self.now, &self.plan, &mut outgoing);
+        let can_continue = host.complete_write(self.now, &self.plan, &mut outgoing);
         self.send(outgoing);
         can_continue
     }
 
-    /// A stopped process resumes.
-    pub(super) fn wake(&mut self, id: MemberId) {
+    /// Resumes a stopped process.
+    pub(super) fn resume(&mut self, id: MemberId) {
         if let Some(host) = self.hosts.get_mut(&id.node) {
-            host.wake(self.now, &mut self.rng, &self.plan);
+            host.resume(self.now, &mut self.rng, &self.plan);
         }
         self.process_ready(id);
     }
 
-    /// A line for each host, for whoever examines a run.
+    /// One line with the state of each host, for debugging a run.
     pub fn describe(&self) -> String {
         self.hosts.values().map(describe_host).collect()
     }
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is going to happen, in virtual time.
+//! Queue of the scheduled events, in virtual time.
 
 use super::faults::FaultEnd;
 use crate::frame::Frame;
@@ -8,78 +8,79 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// One run of a host's process: events of an earlier run are dropped.
+/// One run of a host's process. Events of an earlier run are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessRun {
     pub member: MemberId,
-    /// How often the process had been started.
+    /// Number of starts of the process up to this run.
     pub starts: u64,
 }
 
-/// Something that happens.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum Event {
     /// A process is ticked.
     Tick(ProcessRun),
-    /// A frame arrives.
+    /// A frame arrives at its receiver.
     Deliver(Box<Frame>),
-    /// The write of a process is on disk, or rejected.
+    /// The write in progress of a process completes or is rejected.
     Synced(ProcessRun),
-    /// Something is proposed at some host.
+    /// A proposal is made at a random host.
     Propose,
     /// The nemesis injects a fault.
     InjectFault,
     /// A fault ends.
     EndFault(FaultEnd),
-    /// The operator looks.
-    Operate,
+    /// The operator takes its next step.
+    OperatorStep,
 }
 
 #[derive(Debug)]
-struct Scheduled {
+struct ScheduledEvent {
     at: Timestamp,
-    /// Events at one time happen in the order in which they were scheduled.
-    number: u64,
+    /// Number of the event in the order of scheduling, which is the order of events at the same time.
+    sequence: u64,
     event: Event,
 }
 
-impl Scheduled {
+impl ScheduledEvent {
     fn key(&self) -> (Timestamp, u64) {
-        (self.at, self.number)
+        (self.at, self.sequence)
     }
 }
 
-impl PartialEq for Scheduled {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
-impl Eq for Scheduled {}
-impl PartialOrd for Scheduled {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Scheduled {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         self.key().cmp(&other.key())
     }
 }
 
-/// The events to come.
+/// The events that have not happened yet.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
-    events: BinaryHeap<Reverse<Scheduled>>,
-    scheduled: u64,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
+    scheduled_count: u64,
 }
 
 impl EventQueue {
     pub fn push(&mut self, at: Timestamp, event: Event) {
-        self.scheduled += 1;
-        self.events.push(Reverse(Scheduled { at, number: self.scheduled, event }));
+        self.scheduled_count += 1;
+        self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
     }
 
-    /// The next event, if it happens by `end`.
+    /// Removes the next event, if it is due by `end`.
     pub fn pop_until(&mut self, end: Timestamp) -> Option<(Timestamp, Event)> {
         if self.events.peek().is_none_or(|Reverse(next)| next.at > end) {
             return None;
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that the nemesis may inject, and how each ends.
+//! The faults that the nemesis may inject, and the events that end them.
 
 use crate::ids::MemberId;
 
@@ -7,36 +7,36 @@
 pub enum Fault {
     /// One process crashes and restarts.
     Crash,
-    /// Several processes crash at once, perhaps all.
+    /// Several or all processes crash at once.
     CrashMany,
     /// The leader crashes.
     CrashLeader,
     /// The network is partitioned in two.
     Partition,
-    /// One link carries nothing, in one direction.
+    /// One link loses all messages, in one direction.
     OneWay,
-    /// A member receives from nobody, or reaches nobody.
+    /// All incoming links of a member are cut, or all outgoing ones.
     Isolate,
     /// A process is stopped, as by SIGSTOP, and resumes later.
     Stop,
-    /// A member's messages take ten times as long.
+    /// The messages to and from a member are ten times slower.
     SlowLinks,
-    /// A disk's syncs take up to a second.
+    /// The syncs of a disk take up to a second.
     SlowSync,
-    /// A disk is full for a while.
+    /// A disk is temporarily full.
     DiskFull,
-    /// A disk's syncs lie for a while, and then the process crashes.
+    /// The syncs of a disk succeed without making data durable; later the process crashes.
     LyingDisk,
-    /// A bit flips on the disk of a crashed process.
+    /// A process crashes, and a bit on its disk flips.
     BitFlip,
     /// A member is replaced by a new one.
     Replace,
-    /// Leadership is transferred.
+    /// Leadership is transferred to a running member.
     Transfer,
 }
 
 impl Fault {
-    /// All but those of disks that lose acknowledged writes, which have a count of their own.
+    /// All faults except those that make a disk lose acknowledged writes, whose number is limited separately.
     pub const ALL_BUT_LYING_DISKS: [Fault; 12] = [
         Fault::Crash,
         Fault::CrashMany,
@@ -53,7 +53,7 @@
     ];
 }
 
-/// One direction between two nodes.
+/// One direction of the connection between two nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
     /// The sending node.
@@ -75,13 +75,13 @@
     /// A crashed process restarts.
     Restart(MemberId),
     /// A process whose disk lies crashes.
-    CrashLiar(MemberId),
-    /// Links work again.
+    CrashWithLyingDisk(MemberId),
+    /// Cut links deliver messages again.
     RestoreLinks(Vec<Link>),
     /// A stopped process resumes.
-    Wake(MemberId),
-    /// A node's links are fast again.
+    Resume(MemberId),
+    /// The links of a node have their normal speed again.
     RestoreSpeed(u32),
-    /// A disk has space and syncs fast again.
+    /// A disk has space and its normal speed again.
     RestoreDisk(MemberId),
 }
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -1,4 +1,4 @@
-//! One process with its disk: the driver of a node, as it is in the program, in virtual time.
+//! A simulated process with its disk: drives a node in virtual time, as the program does in real time.
 
 use super::checker::Checker;
 use super::draw;
@@ -20,30 +20,31 @@
 use sprucelink_wal::{FaultDisk, Faults, Wal, WalError, WriteBatch};
 use std::collections::VecDeque;
 
-/// Largest number of frames that wait at a stopped process, as in its sockets' buffers; further ones are lost.
+/// Largest number of frames that wait for a stopped process, as in its sockets' buffers; further ones are
+/// lost.
 const MAX_WAITING_FRAMES: usize = 2000;
-/// Largest difference of a host's clock, milliseconds.
+/// Largest offset of a host's clock, milliseconds.
 const MAX_CLOCK_OFFSET_MILLIS: i64 = 3_600_000;
 /// Interval of the retries of a write to a full disk.
 const FULL_DISK_RETRY: TimeDelta = TimeDelta::from_millis(50);
-/// What a sync takes beyond the drawn time, so that it is never done at once.
+/// Time of a sync in addition to the drawn time, so that no sync completes at once.
 const MIN_SYNC_TIME: TimeDelta = TimeDelta::from_micros(1);
-/// A state digest is given for every entry whose index is a multiple of this.
+/// Interval, in entries, of the state digests that a host gives to its node.
 const DIGEST_EVERY: u64 = 16;
 
-/// Frames that wait for a batch.
+/// Frames that may be sent only when a batch is on disk.
 struct DelayedFrames {
     after_batch: u64,
     frames: Vec<Frame>,
 }
 
-/// A snapshot that waits for its batch.
+/// A received snapshot that is installed when its batch is on disk.
 struct DelayedSnapshot {
     after_batch: u64,
     snapshot: Snapshot,
 }
 
-/// A frame that waits at a stopped process.
+/// A frame that waits for a stopped process.
 struct WaitingFrame {
     from: MemberId,
     frame: Frame,
@@ -51,44 +52,44 @@
 
 /// A process, running or not, with its disk.
 pub struct Host<A> {
-    /// The member.
+    /// The member that the host runs.
     pub id: MemberId,
-    /// What applies entries; a new one with each start of the process.
+    /// State machine that applies the entries; a new one at each start of the process.
     pub state_machine: A,
     /// The node, while the process runs.
     pub node: Option<Node>,
     wal: Option<Wal<FaultDisk>>,
     /// The disk, while the process does not run.
     disk: Option<FaultDisk>,
-    /// Stopped as by SIGSTOP: nothing is done, and frames wait.
+    /// Whether the process is stopped, as by SIGSTOP: it does nothing, and frames wait.
     pub is_stopped: bool,
     waiting_frames: Vec<WaitingFrame>,
     writing: VecDeque<Batch>,
     delayed_frames: VecDeque<DelayedFrames>,
     delayed_snapshot: Option<DelayedSnapshot>,
     applied: u64,
-    /// How often it was started.
+    /// Number of starts of the process.
     pub starts: u64,
-    /// Why the store could not be opened: the member is permanently out.
+    /// Why the store could not be opened; the member is then permanently excluded.
     pub store_error: Option<WalError>,
-    /// The role, as last handed out.
+    /// The role that the node last handed out.
     pub role: Option<Role>,
-    /// How far its clock is ahead.
+    /// Offset of the host's clock from the virtual time.
     pub clock_offset: TimeDelta,
-    /// Longest time of a sync now.
+    /// Current longest duration of a sync.
     pub max_sync_time: TimeDelta,
-    /// Whether the disk is full now.
+    /// Whether the disk is currently full.
     pub is_disk_full: bool,
-    /// Whether the disk's syncs lie now.
+    /// Whether syncs currently succeed without making data durable.
     pub is_disk_lying: bool,
-    /// Whether the disk has lied.
+    /// Whether a sync has ever succeeded without making data durable.
     pub has_disk_lied: bool,
-    /// When the write in progress is on disk.
+    /// Time at which the write in progress completes.
     pub sync_due: Option<Timestamp>,
     seed: u64,
 }
 
-/// What a host is started with.
+/// Parameters of the start of a host.
 pub(super) struct StartOptions<'a> {
     pub founders: &'a [MemberId],
     pub contacts: &'a [MemberId],
@@ -129,12 +130,12 @@
         self.node.is_some()
     }
 
-    /// Whether the process runs and takes part.
+    /// Whether the process runs and its node takes part.
     pub fn is_established(&self) -> bool {
         self.is_up() && !matches!(self.role, None | Some(Role::Rejoining | Role::Quarantined))
     }
 
-    /// Whether the member is permanently out.
+    /// Whether the member is permanently excluded: its store is damaged, or it is quarantined.
     pub fn is_excluded(&self) -> bool {
         self.store_error.is_some() || self.role == Some(Role::Quarantined)
     }
@@ -154,7 +155,7 @@
         self.starts += 1;
         self.state_machine = state_machine;
         self.role = None;
-        let recovered = store::recover(recovered).expect("the log holds what was written");
+        let recovered = store::recover(recovered).expect("the store contains a member's state");
         self.applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         if let Some(snapshot) = &recovered.snapshot {
             self.state_machine.install(&snapshot.data);
@@ -166,7 +167,7 @@
             timing: options.plan.timing.clone(),
         };
         let node = Node::new(config, recovered, self.seed ^ self.starts, now + self.clock_offset);
-        let mut node = node.expect("a node starts from what was written");
+        let mut node = node.expect("a node starts from a recovered store");
         if options.plan.has(InjectedBug::TrustDisk) {
             node.trust_disk();
         }
@@ -174,7 +175,7 @@
         self.wal = Some(wal);
     }
 
-    /// The process and the machine's memory are lost: what no sync covered may be lost.
+    /// Crashes the process and its machine. Data that no sync covered may be lost.
     pub(super) fn crash(&mut self, torn_writes: bool) {
         let Some(mut wal) = self.wal.take() else { return };
         if torn_writes {
@@ -196,7 +197,8 @@
         self.is_stopped = false;
     }
 
-    /// A bit of the newest segment flips, at a place drawn from the seed. Only while the process does not run.
+    /// Flips a bit of the newest segment, at a position drawn from the seed. Has an effect only while the
+    /// process does not run.
     pub fn flip_bit(&mut self) {
         if let Some(disk) = &mut self.disk {
             if let Some(segment) = disk.newest_segment() {
@@ -228,8 +230,8 @@
         node.step(now + self.clock_offset, from, frame);
     }
 
-    /// A stopped process resumes; whether it looks at the clock or at its sockets first is drawn from the seed.
-    pub(super) fn wake(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
+    /// Resumes a stopped process. Whether it reads the clock or its sockets first is drawn from the seed.
+    pub(super) fn resume(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
         self.is_stopped = false;
         if rng.gen() {
             self.tick(now);
@@ -239,21 +241,21 @@
         }
     }
 
-    /// Proposes, as the process' own code would.
+    /// Makes a proposal, as the process itself would.
     ///
     /// # Errors
-    /// Those of [`Node::propose`]; a process that does not run knows of no leader.
+    /// Those of [`Node::propose`]; `NotLeader` without a leader when the process does not run or is stopped.
     pub fn propose(&mut self, bytes: Vec<u8>, id: ProposalId) -> Result<(), ProposeError> {
         let running = self.node.as_mut().filter(|_| !self.is_stopped);
         running.map_or(Err(ProposeError::NotLeader { leader: None }), |node| node.propose(bytes, id))
     }
 
-    /// The write in progress is done, or rejected. False when the process can't continue.
-    pub(super) fn synced(&mut self, now: Timestamp, plan: &Plan, outgoing: &mut Vec<Frame>) -> bool {
+    /// Completes or rejects the write in progress. False when the process can't continue.
+    pub(super) fn complete_write(&mut self, now: Timestamp, plan: &Plan, outgoing: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
         let Some(batch) = self.writing.front() else { return true };
         let number = batch.number;
-        let write = self.write_of(batch, plan);
+        let write = self.batch_for_disk(batch, plan);
         let Some(wal) = &mut self.wal else { return true };
         wal.disk_mut().faults =
             Faults { disk_full: self.is_disk_full, lying_sync: self.is_disk_lying, ..Faults::default() };
@@ -268,8 +270,8 @@
         true
     }
 
-    /// The batch as it goes to disk.
-    fn write_of(&self, batch: &Batch, plan: &Plan) -> WriteBatch {
+    /// The batch as it is written to disk, without the vote if the plan has that bug.
+    fn batch_for_disk(&self, batch: &Batch, plan: &Plan) -> WriteBatch {
         let mut write = store::to_wal(batch);
         if plan.has(InjectedBug::VoteNotPersisted) {
             let mut state = batch.state.clone();
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Does all that the node wants done; frames that may be sent are added to `outgoing`.
+    /// Carries out the node's pending work; frames that may be sent are added to `outgoing`.
     pub(super) fn process_ready(
         &mut self,
         now: Timestamp,
@@ -316,7 +318,7 @@
             let sync_time = if self.is_disk_full {
                 FULL_DISK_RETRY
             } else {
-                draw::span(rng, TimeDelta::ZERO, self.max_sync_time)
+                draw::duration(rng, TimeDelta::ZERO, self.max_sync_time)
             };
             self.sync_due = Some(now + sync_time + MIN_SYNC_TIME);
         }
@@ -342,7 +344,7 @@
         if ready.snapshot_due {
             self.take_snapshot();
         }
-        self.report(&ready, checker);
+        self.report_to_checker(&ready, checker);
         if let Some(number) = batch_number.filter(|_| acks_early) {
             self.batch_on_disk(now, number, outgoing);
         }
@@ -360,7 +362,7 @@
 
     fn apply_entries(&mut self, now: Timestamp, ready: &Ready, has_snapshot: bool, checker: &mut Checker) {
         for entry in &ready.committed_entries {
-            checker.applied(self.id, entry);
+            checker.check_applied_entry(self.id, entry);
             self.state_machine.apply(now, entry);
             if entry.index.is_multiple_of(DIGEST_EVERY) {
                 let digest = self.state_machine.digest();
@@ -383,24 +385,24 @@
         }
         let state = self.state_machine.snapshot();
         if let Some(node) = &mut self.node {
-            // A snapshot that is not acceptable now is requested again.
+            // If the snapshot is rejected now, the node requests another one later.
             let _ = node.snapshot_taken(self.applied, state);
         }
     }
 
-    fn report(&mut self, ready: &Ready, checker: &mut Checker) {
+    fn report_to_checker(&mut self, ready: &Ready, checker: &mut Checker) {
         for outcome in &ready.outcomes {
-            checker.outcome_reported(outcome);
+            checker.check_outcome(outcome);
         }
         for alarm in &ready.alarms {
-            checker.alarm_raised(self.id, alarm);
+            checker.check_alarm(self.id, alarm);
         }
         if let (Some(change), Some(node)) = (&ready.role, &self.node) {
             self.role = Some(change.role);
             if change.role == Role::Quarantined {
                 self.delayed_frames.clear();
             }
-            checker.role_changed(self.id, change, node);
+            checker.check_role_change(self.id, change, node);
         }
     }
 }
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -1,12 +1,14 @@
-//! A seeded simulator of a consensus group in virtual time: network, disks and processes with faults, and a checker.
+//! A seeded simulator of a consensus group in virtual time: network, disks and processes with faults, and a
+//! checker.
 //!
-//! One seed replays a complete run. A [`Cluster`] holds the hosts, each a [`crate::Node`] over a write-ahead log on a disk with
-//! faults and a [`StateMachine`] that applies entries, and the network between them. A [`Simulation`] drives it: a nemesis
-//! injects faults as the [`Plan`] says, an operator replaces members, and a [`Checker`] examines what the hosts did after each step
-//! and ends the run at the first violation. Other crates' simulators build on it with a [`StateMachine`] and
-//! commands of their own ([`Simulation::run_until`], [`Cluster::host_mut`], [`Cluster::propose`]).
+//! A run is determined by its plan and seed. A [`Cluster`] holds the network and the hosts. Each host has a
+//! [`crate::Node`], a write-ahead log on a disk with faults, and a [`StateMachine`] that applies entries. A
+//! [`Simulation`] drives the cluster: a nemesis injects the faults of the [`Plan`], an operator replaces
+//! members, and a [`Checker`] examines the actions of the hosts and ends the run at the first violation.
+//! Simulators of other crates can use it with a [`StateMachine`] and commands of their own
+//! ([`Simulation::run_until`], [`Cluster::host_mut`], [`Cluster::propose`]).
 //!
-//! [`InjectedBug`] puts a bug into the hosts (never into the node) to show that the checker can fail.
+//! [`InjectedBug`] adds a bug to the hosts (never to the node) to show that the checker detects it.
 
 mod checker;
 mod cluster;
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -1,4 +1,4 @@
-//! Which faults are injected, when, and for how long.
+//! The nemesis: draws faults from the seed and injects them.
 
 use super::cluster::Cluster;
 use super::draw;
@@ -11,24 +11,24 @@
 use rand::Rng;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Shortest time of a fault that lasts.
+/// Shortest duration of a fault.
 const MIN_FAULT_TIME: TimeDelta = TimeDelta::from_millis(50);
-/// Longest time of a fault that lasts.
+/// Longest duration of a fault.
 const MAX_FAULT_TIME: TimeDelta = TimeDelta::from_millis(3_000);
 /// Shortest time until a crashed process restarts.
 const MIN_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
 /// Longest time until a crashed process restarts.
 const MAX_DOWN_TIME: TimeDelta = TimeDelta::from_millis(2_000);
-/// Longest time of a slow disk's sync.
+/// Longest duration of a sync on a slow disk.
 const SLOW_SYNC_TIME: TimeDelta = TimeDelta::from_millis(1_000);
 
-/// The end of an injected fault, and when.
+/// The end of an injected fault, and its time.
 pub(super) struct ScheduledEnd {
     pub at: Timestamp,
     pub end: FaultEnd,
 }
 
-/// Injects faults.
+/// Injects the faults of a plan.
 #[derive(Debug)]
 pub(super) struct Nemesis {
     /// Number of disks that may still be made to lose acknowledged writes.
@@ -37,13 +37,13 @@
     pub injected: u64,
 }
 
-/// What was drawn for one fault.
+/// Parameters drawn for one fault.
 struct DrawnFault {
-    /// The member that it is injected into.
+    /// The member to inject the fault into.
     target: MemberId,
-    /// When it ends, if it lasts.
+    /// Time at which the fault ends, for faults that last.
     until: Timestamp,
-    /// How many more members may be down.
+    /// Number of members that may still be crashed.
     max_more_down: u32,
 }
 
@@ -52,13 +52,13 @@
         Nemesis { lying_disks_left: plan.lying_disks, injected: 0 }
     }
 
-    /// Injects one fault, if there is one that may be; returns how and when it ends.
+    /// Injects one fault, if the plan and the state of the cluster allow it. Returns the events that end it.
     pub fn inject<A: StateMachine>(
         &mut self,
         cluster: &mut Cluster<A>,
         operator: &mut Operator,
     ) -> Vec<ScheduledEnd> {
-        let until = cluster.now() + draw::span(&mut cluster.rng, MIN_FAULT_TIME, MAX_FAULT_TIME);
+        let until = cluster.now() + draw::duration(&mut cluster.rng, MIN_FAULT_TIME, MAX_FAULT_TIME);
         let hosts = cluster.hosts.values();
         let running: Vec<MemberId> =
             hosts.filter(|host| host.is_up() && !host.is_stopped).map(|host| host.id).collect();
@@ -111,7 +111,7 @@
         if fault == Fault::LyingDisk && !cluster.host(target).has_disk_lied {
             self.lying_disks_left -= 1;
             cluster.host_mut(target).is_disk_lying = true;
-            return vec![ScheduledEnd { at: drawn.until, end: FaultEnd::CrashLiar(target) }];
+            return vec![ScheduledEnd { at: drawn.until, end: FaultEnd::CrashWithLyingDisk(target) }];
         }
         Vec::new()
     }
@@ -140,13 +140,13 @@
     }
 }
 
-/// Crashes processes; each restarts after a time of its own.
+/// Crashes processes; each restarts after a separately drawn time.
 fn crash_all<A: StateMachine>(cluster: &mut Cluster<A>, members: Vec<MemberId>) -> Vec<ScheduledEnd> {
     let torn_writes = cluster.rng.gen();
     let mut ends = Vec::new();
     for member in members {
         cluster.crash(member, torn_writes);
-        let at = cluster.now() + draw::span(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
+        let at = cluster.now() + draw::duration(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
         ends.push(ScheduledEnd { at, end: FaultEnd::Restart(member) });
     }
     ends
@@ -181,10 +181,10 @@
     left.shuffle(&mut cluster.rng);
     let right = left.split_off(left.len() / 2 + cluster.rng.gen_range(0..=1));
     let mut links = Vec::new();
-    for &one in &left {
-        for &other in &right {
-            links.push(Link::new(one, other));
-            links.push(Link::new(other, one));
+    for &left_node in &left {
+        for &right_node in &right {
+            links.push(Link::new(left_node, right_node));
+            links.push(Link::new(right_node, left_node));
         }
     }
     links
@@ -199,7 +199,7 @@
     let end = match fault {
         Fault::Stop => {
             cluster.host_mut(target).is_stopped = true;
-            FaultEnd::Wake(target)
+            FaultEnd::Resume(target)
         }
         Fault::SlowLinks => {
             cluster.network.slow_nodes.insert(target.node);
--- a/crates/consensus/src/sim/network.rs
+++ b/crates/consensus/src/sim/network.rs
@@ -1,5 +1,5 @@
-//! The network: every message has a delay of its own, so they overtake each other; some are lost, some are delivered twice, and
-//! links may be cut, each direction by itself.
+//! The simulated network. Every message has its own delay, so messages are reordered; some are lost, some are
+//! delivered twice, and links may be cut in each direction separately.
 
 use super::faults::Link;
 use super::plan::Plan;
@@ -12,19 +12,19 @@
 
 /// Shortest delay of a message.
 const MIN_DELAY: TimeDelta = TimeDelta::from_micros(100);
-/// Smallest value of the longest delay of a message.
+/// Lower bound of the configured longest delay of a message.
 const MIN_LONGEST_DELAY: TimeDelta = TimeDelta::from_micros(200);
-/// How much longer messages of slow nodes take.
+/// Factor by which messages to and from slow nodes are delayed longer.
 const SLOW_FACTOR: i64 = 10;
-/// One message in this many is encoded and decoded.
+/// Number of messages of which one is encoded and decoded.
 const ENCODED_ONE_IN: u64 = 16;
 
 /// The links and their faults.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Links that carry nothing.
+    /// Links that lose all messages.
     pub cut_links: BTreeSet<Link>,
-    /// Nodes all of whose messages are slow.
+    /// Nodes whose messages, sent and received, are slow.
     pub slow_nodes: BTreeSet<u32>,
     loss_per_mille: u32,
     duplicate_per_mille: u32,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// When the copies of a message arrive, if any do.
+    /// Arrival times of the copies of a message; empty when it is lost.
     pub(super) fn arrivals(
         &mut self,
         rng: &mut ChaCha8Rng,
@@ -68,8 +68,9 @@
         (0..copies).map(|_| now + delay()).collect()
     }
 
-    /// Forwards a message; one in sixteen is encoded, and decoded in two parts.
-    pub(super) fn pass(&mut self, rng: &mut ChaCha8Rng, frame: Frame) -> Frame {
+    /// Returns the message as its receiver gets it. One message in sixteen is encoded, and decoded in two
+    /// parts, to test the codec.
+    pub(super) fn transmit(&mut self, rng: &mut ChaCha8Rng, frame: Frame) -> Frame {
         if !self.sent.is_multiple_of(ENCODED_ONE_IN) {
             return frame;
         }
@@ -78,14 +79,14 @@
         let mut decoder = Decoder::default();
         let split = rng.gen_range(0..bytes.len());
         decoder.push(&bytes[..split]);
-        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame was decoded as a complete one");
+        assert_eq!(decoder.next_frame(), Ok(None), "a part of a frame was decoded as a complete frame");
         decoder.push(&bytes[split..]);
         let decoded = decoder.next_frame();
-        assert_eq!(decoded.as_ref(), Ok(&Some(frame)), "a frame was decoded to another one");
+        assert_eq!(decoded.as_ref(), Ok(&Some(frame)), "a decoded frame differs from the encoded one");
         decoded.ok().flatten().unwrap_or_else(|| unreachable!("compared above"))
     }
 
-    /// Restores all links; no messages are lost or duplicated any more.
+    /// Restores all links and their speed, and stops losing and duplicating messages.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         self.slow_nodes.clear();
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -1,5 +1,6 @@
-//! The operator: replaces members that are permanently out, or that the nemesis wants replaced, and transfers leadership,
-//! step by step through whoever leads. Where nobody can lead, declares which members are permanently lost.
+//! The simulated operator. Step by step, through commands to the leader, it replaces members that are
+//! permanently excluded or chosen by the nemesis, and transfers leadership. While there is no leader for
+//! long, it declares the stores of excluded members permanently lost.
 
 use super::cluster::Cluster;
 use super::state_machine::StateMachine;
@@ -7,7 +8,7 @@
 use crate::limits::{MAX_VOTERS, MIN_VOTERS};
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// How long there is no leader before the operator declares which members are lost.
+/// Time without a leader after which the operator declares members lost.
 const MAX_TIME_WITHOUT_LEADER: TimeDelta = TimeDelta::from_secs(8);
 
 /// A member that is to be replaced, and its successor.
@@ -17,29 +18,29 @@
     new: MemberId,
 }
 
-/// What the operator wants and has not yet done.
+/// Pending work of the operator.
 #[derive(Debug, Default)]
 pub(super) struct Operator {
-    /// Done one after another.
+    /// Pending replacements, done one after another.
     replacements: Vec<Replacement>,
     transfer_to: Option<MemberId>,
-    /// Members whose stores are lost.
+    /// Members whose stores were erased by a replacement on the same node.
     lost: Vec<MemberId>,
-    /// When there last was a leader, or the lost members were declared.
-    last_led: Timestamp,
+    /// Time at which there last was a leader, or members were declared lost.
+    last_leader_at: Timestamp,
     /// Number of members replaced so far.
     pub replaced: u64,
 }
 
 impl Operator {
-    /// Replaces a healthy member by one on another node, unless a replacement is in progress.
+    /// Requests to replace a healthy member by one on another node, unless a replacement is in progress.
     pub fn replace(&mut self, old: MemberId, new: MemberId) {
         if self.replacements.is_empty() {
             self.replacements.push(Replacement { old, new });
         }
     }
 
-    /// Transfers leadership.
+    /// Requests a transfer of leadership at the next step.
     pub fn transfer_leadership(&mut self, to: MemberId) {
         self.transfer_to = Some(to);
     }
@@ -51,7 +52,7 @@
             self.declare_lost_members(cluster);
             return;
         };
-        self.last_led = cluster.now();
+        self.last_leader_at = cluster.now();
         if let Some(to) = self.transfer_to.take() {
             if let Some(node) = cluster.host_mut(leader).node.as_mut() {
                 // A transfer that is rejected now is not repeated.
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Plans to replace members that are permanently out by new incarnations on the same nodes.
+    /// Plans to replace permanently excluded members by new incarnations on the same nodes.
     fn plan_replacements<A: StateMachine>(&mut self, cluster: &Cluster<A>) {
         for host in cluster.hosts.values().filter(|host| host.is_excluded()) {
             let old = host.id;
@@ -81,7 +82,7 @@
         leader: MemberId,
         Replacement { old, new }: Replacement,
     ) {
-        let is_old_out = cluster.current_host(old).is_none_or(|host| host.is_excluded());
+        let is_old_excluded = cluster.current_host(old).is_none_or(|host| host.is_excluded());
         let Some(node) = cluster.host_mut(leader).node.as_mut() else { return };
         let membership = node.membership();
         let voters = membership.voters.len();
@@ -89,8 +90,10 @@
             if let Some(&other) = membership.voters.iter().find(|&&voter| voter != old) {
                 let _ = node.transfer_leadership(other);
             }
-        } else if membership.contains(old) && voters > MIN_VOTERS && (is_old_out || voters == MAX_VOTERS) {
-            // Removed first: it only makes the majority harder to reach, or the voters are at their limit.
+        } else if membership.contains(old) && voters > MIN_VOTERS && (is_old_excluded || voters == MAX_VOTERS)
+        {
+            // The old member is removed first if it only makes a majority harder to reach, or if the number
+            // of voters is at its limit.
             let _ = node.remove(old);
         } else if !membership.contains(new) {
             let _ = node.add_learner(new);
@@ -108,14 +111,15 @@
         }
     }
 
-    /// Nobody leads: after a while the lost members' stores are declared lost at every running member.
+    /// After [`MAX_TIME_WITHOUT_LEADER`], declares the stores of excluded and replaced members lost at every
+    /// running member.
     fn declare_lost_members<A: StateMachine>(&mut self, cluster: &mut Cluster<A>) {
-        if cluster.now() - self.last_led < MAX_TIME_WITHOUT_LEADER {
+        if cluster.now() - self.last_leader_at < MAX_TIME_WITHOUT_LEADER {
             return;
         }
-        self.last_led = cluster.now();
-        let out = cluster.hosts.values().filter(|host| host.is_excluded()).map(|host| host.id);
-        let lost: Vec<MemberId> = out.chain(self.lost.iter().copied()).collect();
+        self.last_leader_at = cluster.now();
+        let excluded = cluster.hosts.values().filter(|host| host.is_excluded()).map(|host| host.id);
+        let lost: Vec<MemberId> = excluded.chain(self.lost.iter().copied()).collect();
         for node in cluster.hosts.values_mut().filter_map(|host| host.node.as_mut()) {
             let id = node.id();
             for &member in lost.iter().filter(|&&member| member != id) {
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -1,15 +1,15 @@
-//! What a run is like, and the named plans of CI and of the long runs.
+//! Parameters of a run, and the named plans of CI and of the long runs.
 
 use super::faults::Fault;
 use crate::config::Timing;
 use sprucelink_time::TimeDelta;
 
-/// A bug put into every host on purpose.
+/// A bug added to every host on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// The vote, and a term beyond the last entry's, are left out of what goes to disk.
+    /// The vote, and a term above that of the last committed entry, are not written to disk.
     VoteNotPersisted,
-    /// Messages are sent, and the batch counts as written, before it is on disk.
+    /// Messages are sent, and a batch counts as written, before it is on disk.
     AckBeforeSync,
     /// A member trusts its disk when it starts: no acknowledgement check and no floors.
     TrustDisk,
@@ -17,45 +17,46 @@
     NoCrashVectors,
     /// The state machine does not drop duplicates.
     DuplicatesApplied,
-    /// A leader accepts proposals that were meant for another term.
+    /// A leader accepts forwarded proposals that were sent to the leader of another term.
     AnyTermProposals,
 }
 
-/// What a run is like.
+/// Parameters of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// Number of founders, 3 to 7.
     pub members: u32,
-    /// How long faults are injected.
+    /// Duration of the phase in which faults are injected.
     pub fault_time: TimeDelta,
-    /// How long the group then has to recover.
+    /// Duration of the following phase without faults, in which the group has to recover.
     pub recovery_time: TimeDelta,
-    /// Time between proposals, on average.
+    /// Average time between proposals.
     pub propose_every: TimeDelta,
-    /// Time between faults, on average; zero for none.
+    /// Average time between faults; zero for no faults.
     pub fault_every: TimeDelta,
-    /// The faults to choose from; one that is listed several times is chosen more often.
+    /// Faults to choose from; a fault that occurs several times is chosen more often.
     pub faults: Vec<Fault>,
-    /// How many members' disks may lie or rot, one after another; each lies at most once.
+    /// Number of faults that make a member's disk lose acknowledged writes (lying syncs or a flipped bit); a
+    /// disk lies at most once.
     pub lying_disks: u32,
-    /// How many members may be down or rejoining at a time before no more are crashed.
+    /// Number of members that are down or rejoining at which no more are crashed.
     pub max_down: u32,
-    /// Fraction of messages that are lost, in thousandths.
+    /// Fraction of messages that are lost, per mille.
     pub loss_per_mille: u32,
-    /// Fraction of messages that are delivered twice, in thousandths.
+    /// Fraction of messages that are delivered twice, per mille.
     pub duplicate_per_mille: u32,
-    /// Longest delay of a message; the shortest is a tenth of a millisecond.
+    /// Longest delay of a message; the shortest is 0.1 ms.
     pub max_delay: TimeDelta,
-    /// Longest time of a sync without faults.
+    /// Longest duration of a sync on a disk without faults.
     pub max_sync_time: TimeDelta,
-    /// The members' times.
+    /// Timing of the members.
     pub timing: Timing,
-    /// Bugs put in on purpose.
+    /// Bugs added on purpose.
     pub bugs: Vec<InjectedBug>,
 }
 
 impl Default for Plan {
-    /// Five members through 20 s of all faults but lying disks.
+    /// Five members, and 20 s of all faults except those that lose acknowledged writes.
     fn default() -> Self {
         Plan {
             members: 5,
@@ -77,25 +78,25 @@
 }
 
 impl Plan {
-    /// Whether a bug is put in.
+    /// Whether the plan contains a bug.
     pub fn has(&self, bug: InjectedBug) -> bool {
         self.bugs.contains(&bug)
     }
 
-    /// All faults, but disks keep what they acknowledged; any number of members may be down at once.
+    /// All faults except disks that lose acknowledged writes; any number of members may be down at once.
     pub fn correct_disks(members: u32) -> Plan {
         Plan { members, ..Plan::default() }
     }
 
-    /// One disk lies or rots, and any number of members may be down at once.
+    /// One disk loses acknowledged writes, and any number of members may be down at once.
     pub fn one_lying_disk(members: u32) -> Plan {
         let mut faults = Fault::ALL_BUT_LYING_DISKS.to_vec();
         faults.extend([Fault::LyingDisk, Fault::LyingDisk, Fault::BitFlip, Fault::CrashLeader]);
         Plan { members, lying_disks: 1, faults, ..Plan::default() }
     }
 
-    /// A minority of the disks lie, while a majority takes part all the time; rejoining members wait for that
-    /// majority as long as it takes.
+    /// A minority of the disks lose acknowledged writes, while a majority of the members takes part all the
+    /// time. Rejoining members wait for that majority (up to 10 min).
     pub fn minority_lying_disks(members: u32) -> Plan {
         let minority = (members - 1) / 2;
         let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_lying_disk(members) };
@@ -103,7 +104,8 @@
         plan
     }
 
-    /// Only the leader crashes, again and again, in an otherwise healthy group: for the time to a new leader.
+    /// Only the leader crashes, repeatedly, in an otherwise healthy group. Used to measure the time to a new
+    /// leader.
     pub fn leader_crashes(members: u32) -> Plan {
         Plan {
             members,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// A shorter run, for many seeds in little time.
+    /// The same plan with shorter phases and fewer proposals, to run many seeds.
     pub fn shorter(self, fault_time: TimeDelta) -> Plan {
         Plan {
             fault_time,
--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -1,4 +1,5 @@
-//! The plain state machine: records which proposals it applied, how often, and a chained digest over all of them.
+//! The simulator's own state machine: records which proposals it applied and how often, and a chained digest
+//! over them.
 
 use super::state_machine::StateMachine;
 use crate::ids::ProposalId;
@@ -16,19 +17,19 @@
 /// Length of one applied proposal in a snapshot: origin, sequence, count.
 const PROPOSAL_BYTES: usize = 3 * NUMBER_BYTES;
 
-/// Applies proposals by recording them.
+/// State machine that only records the applied proposals.
 #[derive(Debug, Clone, Default)]
 pub struct ProposalRecorder {
     dedup: ProposalDedup,
-    /// How often each proposal was applied.
+    /// Number of times that each proposal was applied.
     pub applied: BTreeMap<ProposalId, u32>,
     digest: u64,
-    /// Whether duplicates are applied too: an injected bug.
+    /// Whether duplicates are applied too, as an injected bug.
     applies_duplicates: bool,
 }
 
 impl ProposalRecorder {
-    /// A recorder that drops duplicates, or does not.
+    /// An empty recorder; it drops duplicates unless `applies_duplicates` is set.
     pub fn new(applies_duplicates: bool) -> Self {
         ProposalRecorder { applies_duplicates, ..ProposalRecorder::default() }
     }
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run: what must hold at its end, and the sums.
+//! The result of a run: the checks at its end, and the totals.
 
 use super::checker::{OutcomeCounts, Violation, ViolationKind};
 use super::plan::{InjectedBug, Plan};
@@ -9,7 +9,7 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// How long nothing is proposed at the end of a run, so that all members come to the same state.
+/// Time without proposals at the end of a run, in which all members reach the same state.
 const QUIET_TIME: TimeDelta = TimeDelta::from_secs(3);
 
 /// The result of a run.
@@ -19,7 +19,7 @@
     pub violation: Option<Violation>,
     /// Times from a leader's crash to the next leader.
     pub elections: Vec<TimeDelta>,
-    /// Number of proposals by their reported outcome.
+    /// Number of proposals by reported outcome.
     pub outcomes: OutcomeCounts,
     /// Number of faults injected.
     pub faults_injected: u64,
@@ -27,7 +27,7 @@
     pub replaced: u64,
     /// Number of messages sent.
     pub messages: u64,
-    /// Their size, estimated from one in sixteen, bytes.
+    /// Size of the messages, bytes, estimated from one in sixteen.
     pub bytes: u64,
     /// Number of alarms by kind.
     pub alarms: BTreeMap<&'static str, u64>,
@@ -35,12 +35,12 @@
     pub damaged: u64,
     /// Index of the last committed proposal.
     pub last_committed: u64,
-    /// Too many members were permanently out at the end for anybody to lead.
+    /// Whether too many members were permanently excluded at the end for a leader to be elected.
     pub is_unavailable: bool,
 }
 
 impl Simulation<ProposalRecorder> {
-    /// Runs a plan under a seed, with the plain state machine.
+    /// Runs a plan with a seed, with [`ProposalRecorder`] as the state machine.
     pub fn run(plan: Plan, seed: u64) -> Report {
         let applies_duplicates = plan.has(InjectedBug::DuplicatesApplied);
         let healed_at = Timestamp::ZERO + plan.fault_time;
@@ -55,14 +55,14 @@
         simulation.report()
     }
 
-    /// Checks what must hold once all faults have ended: every member that takes part has applied all that was reported as
-    /// committed, once.
+    /// Checks the invariants that must hold after all faults have ended: there is a leader, and every member
+    /// that takes part has applied every proposal reported as committed exactly once.
     pub fn check_end(&mut self) {
         if self.cluster.checker.violation.is_some() {
             return;
         }
         let Some(leader) = self.cluster.leader() else {
-            if self.could_lead() {
+            if self.has_electable_majority() {
                 let hosts = self.cluster.describe();
                 self.cluster.checker.fail(ViolationKind::NoLeader { hosts });
             } else {
@@ -100,8 +100,9 @@
 }
 
 impl<A: StateMachine> Simulation<A> {
-    /// Whether a majority of the voters, by the newest membership that any member has, is not permanently out.
-    fn could_lead(&self) -> bool {
+    /// Whether a majority of the voters, by the newest membership that any member has, is not permanently
+    /// excluded.
+    fn has_electable_majority(&self) -> bool {
         let nodes = self.cluster.hosts.values().filter_map(|host| host.node.as_ref());
         let memberships = nodes.map(|node| node.versioned_membership());
         let Some(newest) = memberships.max_by_key(|membership| membership.index) else { return false };
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -1,4 +1,4 @@
-//! A run: events in virtual time, driven by one seed.
+//! A simulated run: handles the events in virtual time.
 
 use super::cluster::Cluster;
 use super::draw;
@@ -12,47 +12,48 @@
 use rand::Rng;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// How often the operator looks.
-const OPERATE_EVERY: TimeDelta = TimeDelta::from_millis(200);
+/// Interval of the operator's steps.
+const OPERATOR_STEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
 /// Shortest time between two ticks of a process.
 const MIN_TICK: TimeDelta = TimeDelta::from_millis(45);
 /// Longest time between two ticks of a process.
 const MAX_TICK: TimeDelta = TimeDelta::from_millis(55);
-/// When the first fault is injected.
+/// Time from the start of the run to the first fault.
 const FIRST_FAULT: TimeDelta = TimeDelta::from_secs(1);
-/// Bound of a proposal's length, bytes.
+/// Upper bound of a proposal's length (exclusive), bytes.
 const PROPOSAL_BYTES: usize = 64;
-/// How long a stopped process' write waits before it is looked at again.
+/// Interval of checking whether a stopped process has resumed, so that its write can complete.
 const STOPPED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
-/// When a process restarts that could not continue after a failed write.
+/// Time until a process restarts that could not continue after a failed write.
 const RESTART_AFTER_FAILED_WRITE: TimeDelta = TimeDelta::from_millis(100);
 /// Shortest time until a process restarts that crashed with its lying disk.
-const MIN_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
+const MIN_LYING_DISK_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
 /// Longest time until a process restarts that crashed with its lying disk.
-const MAX_LIAR_DOWN_TIME: TimeDelta = TimeDelta::from_secs(1);
+const MAX_LYING_DISK_DOWN_TIME: TimeDelta = TimeDelta::from_secs(1);
 
-/// One run: a cluster, and what is done to it.
+/// One run: a cluster, the nemesis and the operator.
 pub struct Simulation<A> {
     /// The hosts and the network.
     pub cluster: Cluster<A>,
     nemesis: Nemesis,
     operator: Operator,
     injects_faults: bool,
-    /// Whether proposals are made.
+    /// Whether proposals are still made.
     pub is_proposing: bool,
-    /// Whether nobody could lead at the end, because too many members were permanently out.
+    /// Whether no leader could be elected at the end, because too many members were permanently excluded.
     pub(super) is_unavailable: bool,
 }
 
 impl<A: StateMachine> Simulation<A> {
-    /// A group of founders, all started at time 0; `make_state_machine` gives a new state machine at each start of a host.
+    /// A group of founders, all started at time 0; `make_state_machine` makes a new state machine at each
+    /// start of a host.
     pub fn new(plan: Plan, seed: u64, make_state_machine: impl Fn(MemberId) -> A + Send + 'static) -> Self {
         let nemesis = Nemesis::new(&plan);
         let injects_faults = plan.fault_every > TimeDelta::ZERO;
         let is_proposing = plan.propose_every > TimeDelta::ZERO;
         let mut cluster = Cluster::new(plan, seed, Box::new(make_state_machine));
         cluster.queue.push(Timestamp::ZERO, Event::Propose);
-        cluster.queue.push(Timestamp::ZERO + OPERATE_EVERY, Event::Operate);
+        cluster.queue.push(Timestamp::ZERO + OPERATOR_STEP_EVERY, Event::OperatorStep);
         cluster.queue.push(Timestamp::ZERO + FIRST_FAULT, Event::InjectFault);
         Simulation {
             cluster,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Runs to a time, or to the first violation.
+    /// Runs until a time, or until the first violation.
     pub fn run_until(&mut self, end: Timestamp) {
         while self.cluster.checker.violation.is_none() {
             let Some((at, event)) = self.cluster.queue.pop_until(end) else { break };
@@ -75,7 +76,7 @@
         self.cluster.now = self.cluster.now.max(end);
     }
 
-    /// Ends all faults of links, disks and processes; no more are injected.
+    /// Ends all faults of links, disks and processes, and stops injecting faults.
     pub fn heal(&mut self) {
         self.injects_faults = false;
         self.cluster.network.heal();
@@ -91,7 +92,8 @@
         host.is_disk_full = false;
         let loses_writes = host.is_disk_lying && host.is_up();
         if loses_writes {
-            // The disk is truthful from here on; what it did not write is lost with the machine's memory.
+            // From now on the disk syncs correctly. Data that it did not write is lost with the machine's
+            // memory.
             host.crash(true);
         }
         host.is_disk_lying = false;
@@ -100,7 +102,7 @@
             self.cluster.checker.members_with_lost_writes.insert(id);
         }
         if is_stopped {
-            self.cluster.wake(id);
+            self.cluster.resume(id);
         }
         self.cluster.start(id);
     }
@@ -119,11 +121,11 @@
         match event {
             Event::Tick(run) => self.tick(run),
             Event::Deliver(frame) => self.cluster.deliver(*frame),
-            Event::Synced(run) => self.synced(run),
+            Event::Synced(run) => self.complete_write(run),
             Event::Propose => self.propose(),
             Event::InjectFault => self.inject_fault(),
             Event::EndFault(end) => self.end_fault(end),
-            Event::Operate => self.operate(),
+            Event::OperatorStep => self.step_operator(),
         }
     }
 
@@ -138,11 +140,11 @@
         let now = self.cluster.now;
         self.cluster.host_mut(run.member).tick(now);
         self.cluster.process_ready(run.member);
-        let next = draw::span(&mut self.cluster.rng, MIN_TICK, MAX_TICK);
+        let next = draw::duration(&mut self.cluster.rng, MIN_TICK, MAX_TICK);
         self.schedule(next, Event::Tick(run));
     }
 
-    fn synced(&mut self, run: ProcessRun) {
+    fn complete_write(&mut self, run: ProcessRun) {
         if !self.cluster.is_running(run) {
             return;
         }
@@ -150,7 +152,7 @@
             self.schedule(STOPPED_SYNC_RETRY, Event::Synced(run));
             return;
         }
-        if self.cluster.synced(run.member) {
+        if self.cluster.complete_write(run.member) {
             self.cluster.process_ready(run.member);
         } else {
             self.cluster.crash(run.member, true);
@@ -165,16 +167,16 @@
         let byte: u8 = self.cluster.rng.gen();
         let length = self.cluster.rng.gen_range(0..PROPOSAL_BYTES);
         self.cluster.propose(vec![byte; length]);
-        let next = draw::span_around(&mut self.cluster.rng, self.cluster.plan.propose_every);
+        let next = draw::duration_around(&mut self.cluster.rng, self.cluster.plan.propose_every);
         self.schedule(next, Event::Propose);
     }
 
-    fn operate(&mut self) {
+    fn step_operator(&mut self) {
         self.operator.step(&mut self.cluster);
         for id in self.cluster.members() {
             self.cluster.process_ready(id);
         }
-        self.schedule(OPERATE_EVERY, Event::Operate);
+        self.schedule(OPERATOR_STEP_EVERY, Event::OperatorStep);
     }
 
     fn inject_fault(&mut self) {
@@ -184,7 +186,7 @@
         for scheduled in self.nemesis.inject(&mut self.cluster, &mut self.operator) {
             self.cluster.queue.push(scheduled.at, Event::EndFault(scheduled.end));
         }
-        let next = draw::span_around(&mut self.cluster.rng, self.cluster.plan.fault_every);
+        let next = draw::duration_around(&mut self.cluster.rng, self.cluster.plan.fault_every);
         self.schedule(next, Event::InjectFault);
     }
 
@@ -199,9 +201,9 @@
             FaultEnd::RestoreSpeed(node) => {
                 self.cluster.network.slow_nodes.remove(&node);
             }
-            FaultEnd::Wake(id) => {
+            FaultEnd::Resume(id) => {
                 if self.cluster.current_host(id).is_some_and(|host| host.is_stopped) {
-                    self.cluster.wake(id);
+                    self.cluster.resume(id);
                 }
             }
             FaultEnd::RestoreDisk(id) => {
@@ -211,17 +213,18 @@
                     host.max_sync_time = max_sync_time;
                 }
             }
-            FaultEnd::CrashLiar(id) => self.crash_liar(id),
+            FaultEnd::CrashWithLyingDisk(id) => self.crash_with_lying_disk(id),
         }
     }
 
-    fn crash_liar(&mut self, id: MemberId) {
+    fn crash_with_lying_disk(&mut self, id: MemberId) {
         if !self.cluster.current_host(id).is_some_and(|host| host.is_disk_lying) {
             return;
         }
         self.cluster.crash(id, true);
         self.cluster.host_mut(id).is_disk_lying = false;
-        let down_time = draw::span(&mut self.cluster.rng, MIN_LIAR_DOWN_TIME, MAX_LIAR_DOWN_TIME);
+        let down_time =
+            draw::duration(&mut self.cluster.rng, MIN_LYING_DISK_DOWN_TIME, MAX_LYING_DISK_DOWN_TIME);
         self.schedule(down_time, Event::EndFault(FaultEnd::Restart(id)));
     }
 }
