--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -1,5 +1,6 @@
-//! Runs many seeds of the simulator: `seeds PLAN FROM COUNT [THREADS]`, where PLAN is one of honest, liar, liars, leader
-//! and a number of members behind a colon (`honest:5`). Prints violations and sums. The exit status is 1 on a violation.
+//! Runs many seeds of the simulator: `seeds PLAN FROM COUNT [THREADS]`, where PLAN is one of honest, liar,
+//! liars, leader, followed by a colon and the number of members (`honest:5`). Prints violations and totals.
+//! The exit status is 1 on a violation, 2 for wrong arguments.
 
 use sprucelink_consensus::sim::{OutcomeCounts, Plan, Report, Simulation};
 use sprucelink_consensus::TimeDelta;
@@ -9,7 +10,7 @@
 use std::sync::{Mutex, PoisonError};
 
 const USAGE: &str = "seeds honest|liar|liars|leader:MEMBERS FROM COUNT [THREADS]";
-/// Number of threads when none is given.
+/// Number of threads when THREADS is not given.
 const DEFAULT_THREADS: u64 = 4;
 
 fn parse_plan(name: &str) -> Option<Plan> {
@@ -70,16 +71,16 @@
         println!(
             "{} elections after a leader's crash, ms: p50 {} p90 {} p99 {} p99.9 {} max {}",
             self.elections.len(),
-            self.election_per_mille(500),
-            self.election_per_mille(900),
-            self.election_per_mille(990),
-            self.election_per_mille(999),
+            self.election_quantile(500),
+            self.election_quantile(900),
+            self.election_quantile(990),
+            self.election_quantile(999),
             self.elections.last().map_or(0, |time| time.as_millis())
         );
     }
 
-    /// The quantile of the election times in milliseconds; they must be sorted.
-    fn election_per_mille(&self, per_mille: usize) -> i64 {
+    /// The quantile of the election times, milliseconds; the times must be sorted.
+    fn election_quantile(&self, per_mille: usize) -> i64 {
         self.elections.get(self.elections.len() * per_mille / 1000).map_or(0, |time| time.as_millis())
     }
 }
@@ -104,7 +105,7 @@
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let number = |at: usize| args.get(at).and_then(|arg| arg.parse::<u64>().ok());
+    let number = |index: usize| args.get(index).and_then(|arg| arg.parse::<u64>().ok());
     let plan = args.first().and_then(|name| parse_plan(name));
     let (Some(plan), Some(from), Some(count)) = (plan, number(1), number(2)) else {
         eprintln!("{USAGE}");
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,5 +1,5 @@
-//! Frames from outside: whatever the bytes are, decoding gives a result and never panics, and a node that gets the frames
-//! goes on.
+//! Untrusted frames: decoding arbitrary bytes returns a frame or an error and never panics, and a node that
+//! receives arbitrary messages never panics.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,7 +22,7 @@
     MemberId::new(node, 1)
 }
 
-/// A node that takes part.
+/// A node that has rejoined and takes part.
 fn established_node() -> Node {
     let founders = vec![member(1), member(2), member(3)];
     let config = Config { member: member(1), founders, contacts: vec![], timing: Timing::default() };
@@ -40,7 +40,7 @@
         }
         node.applied(ready.apply_through, None);
     }
-    panic!("the node always has something to do");
+    panic!("the node still has pending work after 100 calls");
 }
 
 fn frame(from: u32, boot: u64, body: Body) -> Frame {
@@ -85,10 +85,10 @@
     assert_eq!(decoder.next_frame(), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
     decoder.push(&frame(2, 1, Body::RejoinRequest(RejoinRequest::default())).encode());
     assert!(decoder.next_frame().is_err(), "after an error nothing more is decoded");
-    let mut other = frame(2, 1, Body::RejoinRequest(RejoinRequest::default()));
-    other.0.version = 2;
+    let mut other_version = frame(2, 1, Body::RejoinRequest(RejoinRequest::default()));
+    other_version.0.version = 2;
     let mut decoder = Decoder::default();
-    decoder.push(&other.encode());
+    decoder.push(&other_version.encode());
     assert_eq!(decoder.next_frame(), Err(FrameError::UnsupportedVersion(2)));
 }
 
@@ -100,41 +100,42 @@
         let mut decoder = Decoder::default();
         let mut rest = bytes.as_slice();
         for cut in cuts {
-            let (now, later) = rest.split_at(cut.min(rest.len()));
-            decoder.push(now);
-            rest = later;
+            let (part, remaining) = rest.split_at(cut.min(rest.len()));
+            decoder.push(part);
+            rest = remaining;
             while let Ok(Some(_)) = decoder.next_frame() {}
         }
     }
 
-    /// However the bytes are split; a flipped bit gives an error or another frame.
+    /// The frames are decoded regardless of how the bytes are split. A flipped bit gives an error or another
+    /// frame.
     #[test]
-    fn frames_are_decoded_as_encoded(nonces in proptest::collection::vec(any::<u64>(), 1..6), cut in 1usize..50, flip in any::<usize>()) {
+    fn frames_are_decoded_as_encoded(nonces in proptest::collection::vec(any::<u64>(), 1..6), part_length in 1usize..50, flip in any::<usize>()) {
         let frames: Vec<Frame> = nonces.iter().map(|&nonce| frame(2, 3, Body::RejoinRequest(RejoinRequest { nonce, term: 4 }))).collect();
         let bytes: Vec<u8> = frames.iter().flat_map(Frame::encode).collect();
         let mut decoder = Decoder::default();
-        let mut read = Vec::new();
-        for part in bytes.chunks(cut) {
+        let mut decoded = Vec::new();
+        for part in bytes.chunks(part_length) {
             decoder.push(part);
             while let Some(frame) = decoder.next_frame().unwrap() {
-                read.push(frame);
+                decoded.push(frame);
             }
         }
-        prop_assert_eq!(read, frames);
+        prop_assert_eq!(decoded, frames);
         let mut flipped = bytes;
-        let at = flip % flipped.len();
-        flipped[at] ^= 1 << (flip % 8);
+        let position = flip % flipped.len();
+        flipped[position] ^= 1 << (flip % 8);
         let mut decoder = Decoder::default();
         decoder.push(&flipped);
         while let Ok(Some(_)) = decoder.next_frame() {}
     }
 
-    /// Messages that no member would send are dropped, or taken for what they prove.
+    /// Messages that no member would send are dropped, or treated as evidence of lost or diverged entries.
     #[test]
     fn established_node_does_not_panic_on_arbitrary_messages(messages in proptest::collection::vec((2u32..5, raft_message()), 1..40)) {
         let mut node = established_node();
-        for (at, (from, message)) in messages.into_iter().enumerate() {
-            let now = Timestamp::from_millis(at as i64 * 20);
+        for (index, (from, message)) in messages.into_iter().enumerate() {
+            let now = Timestamp::from_millis(index as i64 * 20);
             node.step(now, member(from), frame(from, 1, Body::Raft(message)));
             drain(&mut node);
             node.tick(now);
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Responses of any kind to a rejoining member.
+    /// Arbitrary responses to a rejoining member.
     #[test]
     fn rejoining_node_does_not_panic_on_arbitrary_responses(responses in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
         let founders = vec![member(1), member(2), member(3)];
@@ -153,11 +154,11 @@
             _ => None,
         });
         let nonce = request.unwrap().nonce;
-        for (at, (boot, term, last_term, last_index, established, accepted)) in responses.into_iter().enumerate() {
-            let from = 2 + at as u32 % 2;
+        for (index, (boot, term, last_term, last_index, established, accepted)) in responses.into_iter().enumerate() {
+            let from = 2 + index as u32 % 2;
             let known_boot = if accepted { 1 } else { boot };
             let response = RejoinResponse { nonce, known_boot, term, last_term, last_index, established, accepted, ..RejoinResponse::default() };
-            node.step(Timestamp::from_micros(at as i64), member(from), frame(from, 1, Body::RejoinResponse(response)));
+            node.step(Timestamp::from_micros(index as i64), member(from), frame(from, 1, Body::RejoinResponse(response)));
             drain(&mut node);
         }
     }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden: logs and frames of three members, written by an earlier release. The logs are read
-//! as what was written and members started on them agree as before; what is written and sent today has the same bytes.
+//! Golden tests with the logs and frames of three members, written by an earlier release. The logs are
+//! recovered with the same content, members started on them agree as before, and the current version writes
+//! and sends the same bytes.
 #![allow(missing_docs)]
 
 use sprucelink_consensus::wire::{self, envelope::Body};
@@ -11,7 +12,7 @@
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 
-/// From one tick to the next.
+/// Time from one tick to the next.
 const TICK: TimeDelta = TimeDelta::from_micros(50_000);
 
 fn golden(name: &str) -> PathBuf {
@@ -22,12 +23,12 @@
     MemberId::new(node, 1)
 }
 
-/// A member on its log, whose disk is as fast as memory.
+/// A member with its log on an in-memory disk, on which every write completes at once.
 struct Member {
     node: Node,
     log: Wal<FaultDisk>,
     applied: Vec<CommittedEntry>,
-    through: u64,
+    applied_through: u64,
     role: Option<Role>,
 }
 
@@ -36,13 +37,13 @@
         let founders = (1..=3).map(member).collect();
         let timing = Timing { snapshot_every: 16, ..Timing::default() };
         let config = Config { member: id, founders, contacts: vec![], timing };
-        let (log, restored) = Wal::open(disk).expect("a whole log");
-        let restored = store::recover(restored).expect("a member's log");
-        let node = Node::new(config, restored, u64::from(id.node), now).expect("started");
-        Member { node, log, applied: Vec::new(), through: 0, role: None }
+        let (log, recovered) = Wal::open(disk).expect("an intact log");
+        let recovered = store::recover(recovered).expect("a member's log");
+        let node = Node::new(config, recovered, u64::from(id.node), now).expect("started");
+        Member { node, log, applied: Vec::new(), applied_through: 0, role: None }
     }
 
-    /// Does what is to be done; the frames that go out.
+    /// Carries out the node's pending work and returns the frames to send.
     fn process_ready(&mut self, now: Timestamp) -> Vec<Frame> {
         let mut sent = Vec::new();
         while let Some(ready) = self.node.ready() {
@@ -54,12 +55,12 @@
             sent.extend(ready.persisted_messages);
             self.applied.extend(ready.committed_entries);
             if ready.apply_through > 0 {
-                self.through = ready.apply_through;
+                self.applied_through = ready.apply_through;
                 self.node.applied(ready.apply_through, Some(ready.apply_through * 3));
             }
             if ready.snapshot_due {
                 let state = format!("{} records", self.applied.len()).into_bytes();
-                self.node.snapshot_taken(self.through, state).expect("taken");
+                self.node.snapshot_taken(self.applied_through, state).expect("taken");
             }
             self.role = ready.role.map(|change| change.role).or(self.role);
         }
@@ -67,17 +68,17 @@
     }
 }
 
-/// Three members and what they sent each other.
-struct World {
+/// Three members and all frames that they sent each other.
+struct Group {
     members: Vec<Member>,
     now: Timestamp,
     sent: Vec<Frame>,
 }
 
-impl World {
-    fn start(disks: [FaultDisk; 3], now: Timestamp) -> World {
+impl Group {
+    fn start(disks: [FaultDisk; 3], now: Timestamp) -> Group {
         let node = |(index, disk)| Member::start(member(index as u32 + 1), disk, now);
-        World { members: disks.into_iter().enumerate().map(node).collect(), now, sent: Vec::new() }
+        Group { members: disks.into_iter().enumerate().map(node).collect(), now, sent: Vec::new() }
     }
 
     fn tick(&mut self) {
@@ -85,17 +86,17 @@
         for member in &mut self.members {
             member.node.tick(self.now);
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    /// Until nobody has anything to do.
-    fn settle(&mut self) {
-        let mut under_way = VecDeque::new();
+    /// Delivers frames until no member has pending work.
+    fn deliver_all(&mut self) {
+        let mut in_flight = VecDeque::new();
         loop {
             for member in &mut self.members {
-                under_way.extend(member.process_ready(self.now));
+                in_flight.extend(member.process_ready(self.now));
             }
-            let Some(frame) = under_way.pop_front() else { return };
+            let Some(frame) = in_flight.pop_front() else { return };
             self.sent.push(frame.clone());
             let to = frame.to().node as usize - 1;
             let from = frame.from();
@@ -107,12 +108,12 @@
 
     fn leader(&mut self) -> usize {
         for _ in 0..200 {
-            if let Some(at) = self.members.iter().position(|node| node.role == Some(Role::Leader)) {
-                return at;
+            if let Some(leader) = self.members.iter().position(|member| member.role == Some(Role::Leader)) {
+                return leader;
             }
             self.tick();
         }
-        panic!("nobody leads");
+        panic!("no leader after 200 ticks");
     }
 
     fn propose(&mut self, sequence: u64) {
@@ -120,39 +121,39 @@
         let id = ProposalId { origin: 7, sequence };
         let record = format!("record {sequence}").into_bytes();
         self.members[leader].node.propose(record, id).expect("proposed");
-        self.settle();
+        self.deliver_all();
     }
 }
 
-/// A history with an election, records, a learner that comes and goes, and a snapshot.
-fn history() -> World {
-    let mut world = World::start([1, 2, 3].map(FaultDisk::new), Timestamp::from_micros(1_000_000));
-    (1..=20).for_each(|sequence| world.propose(sequence));
-    let leader = world.leader();
-    world.members[leader].node.add_learner(MemberId::new(4, 2)).expect("begun");
-    world.settle();
-    (21..=24).for_each(|sequence| world.propose(sequence));
-    world.members[leader].node.remove(MemberId::new(4, 2)).expect("begun");
-    world.settle();
-    (0..4).for_each(|_| world.tick());
-    (25..=27).for_each(|sequence| world.propose(sequence));
-    world
+/// A history with an election, records, a learner that is added and removed, and a snapshot.
+fn history() -> Group {
+    let mut group = Group::start([1, 2, 3].map(FaultDisk::new), Timestamp::from_micros(1_000_000));
+    (1..=20).for_each(|sequence| group.propose(sequence));
+    let leader = group.leader();
+    group.members[leader].node.add_learner(MemberId::new(4, 2)).expect("proposed");
+    group.deliver_all();
+    (21..=24).for_each(|sequence| group.propose(sequence));
+    group.members[leader].node.remove(MemberId::new(4, 2)).expect("proposed");
+    group.deliver_all();
+    (0..4).for_each(|_| group.tick());
+    (25..=27).for_each(|sequence| group.propose(sequence));
+    group
 }
 
-/// The files on a disk: names and bytes.
+/// Names and contents of the files on a disk.
 fn files(disk: &FaultDisk) -> Vec<(String, Vec<u8>)> {
     let mut names = disk.list().expect("names");
     names.sort();
     names.into_iter().map(|name| (name.clone(), disk.read(&name).expect("read"))).collect()
 }
 
-/// A member's golden log, on a disk.
+/// A disk with a member's golden log.
 fn golden_disk(node: u64) -> FaultDisk {
     let mut disk = FaultDisk::new(node);
-    for entry in std::fs::read_dir(golden(&format!("member-{node}"))).expect("a folder") {
+    for entry in std::fs::read_dir(golden(&format!("member-{node}"))).expect("a directory") {
         let path = entry.expect("an entry").path();
         let name = path.file_name().and_then(|name| name.to_str()).expect("a name");
-        disk.create(name).expect("made");
+        disk.create(name).expect("created");
         disk.append(name, &std::fs::read(&path).expect("read")).expect("written");
         disk.sync(name).expect("synced");
         disk.sync_directory().expect("synced");
@@ -160,25 +161,25 @@
     disk
 }
 
-/// What a log says, a line for each part.
-fn told(restored: &RecoveredState) -> String {
-    let state = &restored.state;
+/// The recovered content of a log as text, one line for each part.
+fn describe_recovered(recovered: &RecoveredState) -> String {
+    let state = &recovered.state;
     let mut lines = vec![
-        format!("writes {}", restored.last_batch),
+        format!("writes {}", recovered.last_batch),
         format!("term {} vote {:x} commit {}", state.term, state.vote, state.commit),
         format!("boot {} quarantined {}", state.boot, state.quarantined),
     ];
     for boot in &state.boots {
         lines.push(format!("boot of {:x}: {} nonce {:x}", boot.member, boot.boot, boot.nonce));
     }
-    for seen in &state.observed_acks {
-        let witness = seen.ack.unwrap_or_default();
+    for observed in &state.observed_acks {
+        let ack = observed.ack.unwrap_or_default();
         lines.push(format!(
             "seen of {:x}: writes {} term {} vote {:x} last {}.{}",
-            seen.member, witness.writes, witness.term, witness.vote, witness.last_term, witness.last_index
+            observed.member, ack.writes, ack.term, ack.vote, ack.last_term, ack.last_index
         ));
     }
-    if let Some(snapshot) = &restored.snapshot {
+    if let Some(snapshot) = &recovered.snapshot {
         lines.push(format!("snapshot {}.{}", snapshot.term, snapshot.index));
         lines.push(format!(
             "voters {:?}",
@@ -191,7 +192,7 @@
         lines.push(format!("incarnations {:?}", snapshot.membership.incarnations));
         lines.push(format!("data {:?}", String::from_utf8_lossy(&snapshot.data)));
     }
-    for entry in &restored.entries {
+    for entry in &recovered.entries {
         let data = String::from_utf8_lossy(&entry.data);
         lines.push(format!("entry {}.{} kind {} {data:?}", entry.term, entry.index, entry.kind));
     }
@@ -203,30 +204,31 @@
 }
 
 #[test]
-fn logs_of_an_earlier_release_are_read_as_they_were_written() {
+fn logs_of_an_earlier_release_are_recovered_as_they_were_written() {
     for node in 1..=3 {
-        let (_, restored) = Wal::open(golden_disk(node)).expect("a whole log");
-        assert_eq!(restored.torn_tail, None);
-        let restored = store::recover(restored).expect("a member's log");
-        assert_eq!(told(&restored), expected(&format!("member-{node}.txt")));
+        let (_, recovered) = Wal::open(golden_disk(node)).expect("an intact log");
+        assert_eq!(recovered.torn_tail, None);
+        let recovered = store::recover(recovered).expect("a member's log");
+        assert_eq!(describe_recovered(&recovered), expected(&format!("member-{node}.txt")));
     }
 }
 
-/// Members that are started on the logs of an earlier release apply what was committed, and continue from there.
+/// Members that are started on the logs of an earlier release apply the entries that were committed, and
+/// continue after them.
 #[test]
 fn members_started_on_logs_of_an_earlier_release_agree_on_what_was_committed() {
-    let mut world = World::start([1, 2, 3].map(golden_disk), Timestamp::from_micros(60_000_000));
-    world.propose(28);
-    world.tick();
-    world.tick();
+    let mut group = Group::start([1, 2, 3].map(golden_disk), Timestamp::from_micros(60_000_000));
+    group.propose(28);
+    group.tick();
+    group.tick();
     let mut lines = String::new();
-    for node in &world.members {
-        for entry in &node.applied {
+    for member in &group.members {
+        for entry in &member.applied {
             let data = String::from_utf8_lossy(&entry.bytes);
             let (origin, sequence) = (entry.id.origin, entry.id.sequence);
             lines.push_str(&format!(
                 "{} {}.{}: {origin}.{sequence} {data}\n",
-                node.node.id(),
+                member.node.id(),
                 entry.term,
                 entry.index
             ));
@@ -237,17 +239,17 @@
 
 #[test]
 fn history_writes_the_same_logs_as_an_earlier_release() {
-    for (index, node) in history().members.into_iter().enumerate() {
+    for (index, member) in history().members.into_iter().enumerate() {
         let golden = golden_disk(index as u64 + 1);
-        assert!(files(&node.log.into_disk()) == files(&golden), "the log of member {}", index + 1);
+        assert!(files(&member.log.into_disk()) == files(&golden), "the log of member {}", index + 1);
     }
 }
 
-/// All frames of the history, in order, each with its length in front as on a connection.
+/// Compares all frames of the history, in order, each with its length in front as on a connection.
 #[test]
 fn history_sends_the_same_frames_as_an_earlier_release() {
-    let world = history();
-    let bytes: Vec<u8> = world.sent.iter().flat_map(Frame::encode).collect();
+    let group = history();
+    let bytes: Vec<u8> = group.sent.iter().flat_map(Frame::encode).collect();
     let golden = std::fs::read(golden("frames.bin")).expect("a golden file");
     let mut decoder = Decoder::default();
     decoder.push(&golden);
@@ -255,13 +257,13 @@
     while let Some(frame) = decoder.next_frame().expect("a frame") {
         frames.push(frame);
     }
-    for (number, (now, before)) in world.sent.iter().zip(&frames).enumerate() {
-        assert_eq!(now, before, "frame {number}");
+    for (index, (sent, expected)) in group.sent.iter().zip(&frames).enumerate() {
+        assert_eq!(sent, expected, "frame {index}");
     }
     assert!(bytes == golden, "{} and {} bytes", bytes.len(), golden.len());
 }
 
-/// A frame with every field of every body set, as it was encoded before.
+/// Compares the encoding of frames with every field of every kind of body set.
 #[test]
 fn every_field_of_a_frame_has_the_bytes_of_an_earlier_release() {
     let bytes: Vec<u8> = every_body().into_iter().flat_map(|frame| frame.encode()).collect();
@@ -274,15 +276,15 @@
     }
 }
 
-#[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
+#[expect(clippy::too_many_lines, reason = "a literal of every message")]
 fn every_body() -> Vec<Frame> {
-    let witness = wire::AckState { writes: 1, term: 2, vote: 3, last_term: 4, last_index: 5 };
-    let members = wire::Membership { voters: vec![1, 2], learners: vec![3] };
+    let ack = wire::AckState { writes: 1, term: 2, vote: 3, last_term: 4, last_index: 5 };
+    let membership = wire::Membership { voters: vec![1, 2], learners: vec![3] };
     let entry = wire::Entry { index: 21, term: 22, kind: 1, data: b"entry".to_vec() };
     let snapshot = wire::Snapshot {
         index: 31,
         term: 32,
-        membership: Some(members.clone()),
+        membership: Some(membership.clone()),
         incarnations: vec![33, 34],
         data: b"snapshot".to_vec(),
     };
@@ -299,26 +301,26 @@
         entries: vec![entry],
         snapshot: Some(snapshot),
     };
-    let welcome = wire::RejoinResponse {
+    let response = wire::RejoinResponse {
         nonce: 51,
         known_boot: 52,
         accepted: true,
-        observed_ack: Some(witness),
+        observed_ack: Some(ack),
         term: 53,
         last_term: 54,
         last_index: 55,
         established: true,
         quarantined: true,
-        membership: Some(members),
+        membership: Some(membership),
         membership_index: 56,
         floors: vec![wire::LogFloor { member: 57, term: 58, index: 59 }],
     };
-    let record = wire::Proposal { origin: 61, sequence: 62, data: b"record".to_vec() };
+    let proposal = wire::Proposal { origin: 61, sequence: 62, data: b"record".to_vec() };
     let bodies = [
         Body::Raft(raft),
         Body::RejoinRequest(wire::RejoinRequest { nonce: 71, term: 72 }),
-        Body::RejoinResponse(welcome),
-        Body::ForwardedProposal(wire::ForwardedProposal { term: 73, proposal: Some(record) }),
+        Body::RejoinResponse(response),
+        Body::ForwardedProposal(wire::ForwardedProposal { term: 73, proposal: Some(proposal) }),
         Body::ProposalRejection(wire::ProposalRejection { origin: 74, sequence: 75, reason: 76 }),
     ];
     let envelope = |body| wire::Envelope {
@@ -327,7 +329,7 @@
         to: member(2).raw(),
         boot: 81,
         nonce: 82,
-        acknowledged: Some(witness),
+        acknowledged: Some(ack),
         boots: vec![wire::Boot { member: 83, boot: 84, nonce: 85 }],
         digest: Some(wire::StateDigest { index: 86, digest: 87 }),
         body: Some(body),
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of rejoining, membership, configuration and commands, one by one.
+//! Tests of single rules of rejoining, membership, configuration and commands.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -26,7 +26,7 @@
     Timestamp::from_secs(seconds)
 }
 
-fn answer(term: u64, last: (u64, u64), is_established: bool) -> RejoinResponse {
+fn rejoin_response(term: u64, last: (u64, u64), is_established: bool) -> RejoinResponse {
     RejoinResponse {
         term,
         last: LogPosition::new(last.0, last.1),
@@ -46,12 +46,12 @@
 fn member_rejoins_with_the_floors_of_a_majority_of_the_others() {
     let mut quorum = rejoin_quorum();
     assert_eq!(quorum.request_targets(), [2, 3, 4, 5].map(member));
-    quorum.add_response(member(2), answer(7, (6, 40), true));
-    quorum.add_response(member(3), answer(9, (5, 90), true));
-    assert_eq!(quorum.outcome(seconds(1)), None, "two of four others are no majority");
-    quorum.add_response(member(9), answer(20, (20, 20), true));
-    assert_eq!(quorum.outcome(seconds(1)), None, "the response of a non-member counts for nothing");
-    quorum.add_response(member(4), answer(8, (6, 30), true));
+    quorum.add_response(member(2), rejoin_response(7, (6, 40), true));
+    quorum.add_response(member(3), rejoin_response(9, (5, 90), true));
+    assert_eq!(quorum.outcome(seconds(1)), None, "two of four others are not a majority");
+    quorum.add_response(member(9), rejoin_response(20, (20, 20), true));
+    assert_eq!(quorum.outcome(seconds(1)), None, "the response of a non-member doesn't count");
+    quorum.add_response(member(4), rejoin_response(8, (6, 30), true));
     let outcome = quorum.outcome(seconds(1)).unwrap();
     assert!(!outcome.is_weak);
     assert_eq!((outcome.floors.vote_term, outcome.floors.log()), (9, LogPosition::new(6, 40)));
@@ -63,12 +63,13 @@
 fn responses_of_rejoining_members_count_late_or_when_no_majority_is_established() {
     let mut quorum = rejoin_quorum();
     for node in 2..=4 {
-        quorum.add_response(member(node), answer(3, (3, 3), node == 2));
+        quorum.add_response(member(node), rejoin_response(3, (3, 3), node == 2));
     }
-    // One is established, one has not responded: there can't be three, so nothing is waited for.
+    // One member is established and one has not responded. Three established ones are impossible, so there is
+    // no wait.
     assert!(quorum.outcome(Timestamp::ZERO).is_some_and(|outcome| outcome.is_weak));
-    quorum.add_response(member(3), answer(3, (3, 3), true));
-    assert_eq!(quorum.outcome(seconds(9)), None, "the fifth may be established");
+    quorum.add_response(member(3), rejoin_response(3, (3, 3), true));
+    assert_eq!(quorum.outcome(seconds(9)), None, "the fifth member may be established");
     assert!(quorum.outcome(seconds(10)).is_some_and(|outcome| outcome.is_weak));
 }
 
@@ -77,7 +78,7 @@
     let mut quorum = rejoin_quorum();
     let newer = |last| RejoinResponse {
         membership: VersionedMembership { index: 50, membership: membership(1..=3) },
-        ..answer(4, last, true)
+        ..rejoin_response(4, last, true)
     };
     quorum.add_response(member(2), newer((4, 60)));
     assert_eq!(quorum.outcome(Timestamp::ZERO), None);
@@ -86,7 +87,7 @@
     assert_eq!(
         quorum.outcome(Timestamp::ZERO).unwrap().floors.log(),
         LogPosition::new(4, 99),
-        "what 2 told 3, though 2 has lost it since"
+        "the last entry that member 2 reported to member 3, though 2 has lost it since"
     );
     quorum.declare_lost(member(2));
     let outcome = quorum.outcome(Timestamp::ZERO).unwrap();
@@ -127,7 +128,7 @@
     assert_eq!(config(vec![]).check(), Ok(()));
 }
 
-/// A group of three without faults after four seconds, the last one without proposals.
+/// A group of three members after four seconds without faults, the last of them without proposals.
 struct HealthyGroup {
     cluster: Cluster<ProposalRecorder>,
     leader: MemberId,
@@ -153,12 +154,13 @@
     }
 }
 
-/// What the floors alone don't cover: a leader that counts what a member acknowledged before it restarted.
+/// Guards against a leader that still counts acknowledgements that a member sent before its restart. Floors
+/// alone don't prevent this.
 #[test]
-fn leader_forgets_what_a_member_acknowledged_before_its_restart() {
+fn leader_discards_acknowledgements_of_a_member_from_before_its_restart() {
     let mut group = HealthyGroup::new();
     let leader = group.leader;
-    let [teller, restarted] = group.followers;
+    let [sender, restarted] = group.followers;
     let now = group.cluster.now() + group.cluster.host(leader).clock_offset;
     let node = group.node(leader);
     let matched = |node: &Node| {
@@ -169,23 +171,23 @@
     };
     assert!(matched(node).unwrap() > 1);
     let boots = vec![Boot { member: restarted.raw(), boot: 1000, nonce: 7 }];
-    // Every frame carries boots; this one is a rejoin request that itself asks for nothing new.
+    // Every frame contains boots. This one is a rejoin request, so its body changes nothing at the leader.
     let frame = Frame(Envelope {
         version: 1,
-        from: teller.raw(),
+        from: sender.raw(),
         to: leader.raw(),
         boot: 1,
         boots,
         body: Some(Body::RejoinRequest(RejoinRequest { nonce: 1, term: 1 })),
         ..Envelope::default()
     });
-    node.step(now, teller, frame);
+    node.step(now, sender, frame);
     assert_eq!(node.role(), Some(Role::Leader));
     assert_eq!(matched(node), Some(0));
 }
 
 #[test]
-fn leader_that_was_stopped_steps_down_before_it_does_anything() {
+fn leader_that_was_paused_steps_down_before_any_other_action() {
     let mut group = HealthyGroup::new();
     let leader = group.leader;
     let offset = group.cluster.host(leader).clock_offset;
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn command_that_is_not_possible_is_rejected_with_the_reason() {
+fn invalid_command_is_rejected_with_the_reason() {
     let mut group = HealthyGroup::new();
     let leader = group.leader;
     let follower = group.followers[0];
@@ -228,20 +230,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Compared with a plain set: new proposals are recognised, duplicates never pass, in any order within the window.
+    /// Compared with a plain set as the model: in any order within the window, new proposals are recognised
+    /// and duplicates are dropped.
     #[test]
     fn duplicate_proposal_is_recognised(steps in proptest::collection::vec((0u64..3, 0u64..400), 1..200), jump in 1u64..2000) {
         let mut dedup = ProposalDedup::default();
-        let mut seen: BTreeSet<ProposalId> = BTreeSet::new();
-        for (at, (origin, sequence)) in steps.into_iter().enumerate() {
-            let id = ProposalId { origin, sequence: sequence + (at as u64 / 100) * jump };
+        let mut recorded_ids: BTreeSet<ProposalId> = BTreeSet::new();
+        for (step, (origin, sequence)) in steps.into_iter().enumerate() {
+            let id = ProposalId { origin, sequence: sequence + (step as u64 / 100) * jump };
             let recorded = dedup.record(id);
-            prop_assert_eq!(recorded == Dedup::New, recorded != Dedup::TooOld && !seen.contains(&id));
+            prop_assert_eq!(recorded == Dedup::New, recorded != Dedup::TooOld && !recorded_ids.contains(&id));
             if recorded == Dedup::New {
-                seen.insert(id);
+                recorded_ids.insert(id);
             }
             if recorded == Dedup::TooOld {
-                prop_assert!(seen.iter().any(|other| other.origin == origin && other.sequence >= id.sequence + 512));
+                prop_assert!(recorded_ids.iter().any(|other| other.origin == origin && other.sequence >= id.sequence + 512));
             }
             dedup = ProposalDedup::decode(&dedup.encode()).unwrap();
         }
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -1,4 +1,5 @@
-//! Seeded runs of whole groups in virtual time. CI runs a few hundred seeds; `examples/seeds.rs` runs as many as wanted.
+//! Seeded runs of complete groups in virtual time. CI runs a few hundred seeds; `examples/seeds.rs` runs any
+//! number.
 
 use sprucelink_consensus::sim::{Fault, InjectedBug, Plan, Report, Simulation, ViolationKind};
 use sprucelink_consensus::TimeDelta;
@@ -24,7 +25,7 @@
     TimeDelta::from_secs(seconds)
 }
 
-/// Runs seeds, until one shows a violation when that is what is looked for.
+/// Runs seeds; with `stops_at_violation`, only until one has a violation.
 fn run_seeds(plan: &Plan, seeds: Range<u64>, stops_at_violation: bool) -> Vec<Run> {
     let next_seed = AtomicU64::new(seeds.start);
     let runs: Mutex<Vec<Run>> = Mutex::new(Vec::new());
@@ -44,7 +45,8 @@
     runs.into_inner().unwrap()
 }
 
-/// Runs seeds that must all end without a violation, and must have had faults and committed proposals.
+/// Runs seeds, which must all end without a violation. On average, each must have at least 3 faults and 20
+/// committed proposals, so that the runs test something.
 fn assert_no_violation(plan: Plan, seeds: Range<u64>) {
     let runs = run_seeds(&plan, seeds, false);
     let violations: Vec<String> = runs
@@ -55,26 +57,26 @@
     let faults: u64 = runs.iter().map(|run| run.report.faults_injected).sum();
     let committed: u64 = runs.iter().map(|run| run.report.outcomes.committed).sum();
     let count = runs.len() as u64;
-    assert!(faults >= 3 * count && committed >= 20 * count, "{faults} {committed}");
+    assert!(faults >= 3 * count && committed >= 20 * count, "{faults} faults, {committed} committed");
 }
 
-/// An injected bug must be found within so many seeds, by a violation of the expected kind.
-fn assert_bug_is_found(plan: Plan, seeds: u64, is_expected: impl Fn(&ViolationKind) -> bool) {
-    let runs = run_seeds(&plan, 0..seeds, true);
+/// An injected bug must be found within `seed_count` seeds, by a violation of the expected kind.
+fn assert_bug_is_found(plan: Plan, seed_count: u64, is_expected: impl Fn(&ViolationKind) -> bool) {
+    let runs = run_seeds(&plan, 0..seed_count, true);
     let violations = runs.iter().filter_map(|run| run.report.violation.as_ref());
     let kinds: Vec<&ViolationKind> = violations.map(|violation| &violation.kind).collect();
     assert!(kinds.iter().any(|kind| is_expected(kind)), "{} seeds, found: {kinds:?}", runs.len());
 }
 
 #[test]
-fn no_violation_with_honest_disks() {
+fn no_violation_with_correct_disks() {
     assert_no_violation(Plan::correct_disks(3).shorter(seconds(6)), 0..40);
     assert_no_violation(Plan::correct_disks(5).shorter(seconds(6)), 0..40);
     assert_no_violation(Plan::correct_disks(7).shorter(seconds(6)), 0..10);
 }
 
 #[test]
-fn no_violation_with_one_lying_disk_whatever_restarts() {
+fn no_violation_with_one_lying_disk_and_any_restarts() {
     assert_no_violation(Plan::one_lying_disk(3).shorter(seconds(6)), 0..60);
     assert_no_violation(Plan::one_lying_disk(5).shorter(seconds(6)), 0..30);
 }
@@ -84,7 +86,8 @@
     assert_no_violation(Plan::minority_lying_disks(5).shorter(seconds(6)), 0..30);
 }
 
-/// To the last message.
+/// The seed determines the whole run: the number and size of the messages, outcomes, elections and alarms are
+/// equal.
 #[test]
 fn same_seed_gives_the_same_run() {
     let run = || Simulation::run(Plan::one_lying_disk(5).shorter(seconds(6)), 77);
@@ -103,7 +106,7 @@
     );
 }
 
-/// The leader crashes in a group that is otherwise whole.
+/// The leader crashes repeatedly in an otherwise healthy group.
 #[test]
 fn another_member_leads_within_two_seconds_after_a_crash() {
     let runs = run_seeds(&Plan::leader_crashes(5).shorter(seconds(60)), 0..4, false);
@@ -112,7 +115,7 @@
     assert!(times.iter().all(|&time| time < seconds(2)), "{times:?}");
 }
 
-/// A short plan with crashes and cut links only, frequent enough for an injected bug to show.
+/// A short plan with only crashes and cut links, frequent enough for an injected bug to cause a violation.
 fn crash_plan(members: u32, bugs: &[InjectedBug]) -> Plan {
     Plan {
         bugs: bugs.to_vec(),
@@ -153,7 +156,7 @@
 
 #[test]
 fn proposal_that_is_accepted_in_another_term_is_found() {
-    // The late copy must find the member that led leading again, in a later term.
+    // The delayed copy of a proposal must arrive when the former leader leads again in a later term.
     let plan = Plan {
         faults: vec![Fault::Transfer, Fault::Transfer, Fault::SlowLinks, Fault::Isolate],
         max_delay: TimeDelta::from_millis(100),
--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Frames, stored batches and snapshots of the released version are read, and written to the same bytes. The files in
-//! `data` were written before the crate's types were renamed; every field in them is set.
+//! Frames, stored batches and snapshots of the released version are decoded, and encoded to the same bytes.
+//! The files in `data` were written before the crate's types were renamed; every field in them is set.
 
 use prost::Message;
 use sprucelink_consensus::wire::{self, AckState, Boot, ObservedAck};
@@ -41,7 +41,7 @@
     Snapshot { index: 10, term: 3, membership, data: b"applied state".to_vec() }
 }
 
-/// A proposal, a change of members, and an empty entry.
+/// A proposal, a membership change, and an empty entry.
 fn entries() -> [wire::Entry; 3] {
     let proposal = wire::Proposal { origin: 9, sequence: 3, data: b"record".to_vec() };
     let change = wire::ConfChange { kind: 1, member: member(4, 1).raw() };
@@ -57,14 +57,14 @@
     let mut decoder = Decoder::default();
     decoder.push(FRAMES);
     let mut encoded = Vec::new();
-    let mut frames = 0;
+    let mut frame_count = 0;
     while let Some(frame) = decoder.next_frame().unwrap() {
         assert_eq!((frame.from(), frame.to()), (member(2, 1), member(1, 1)));
         assert!(frame.0.body.is_some() && frame.0.acknowledged.is_some() && frame.0.digest.is_some());
         encoded.extend(Frame::encode(&frame));
-        frames += 1;
+        frame_count += 1;
     }
-    assert_eq!(frames, 5, "one of each body");
+    assert_eq!(frame_count, 5, "one frame with each kind of body");
     assert_eq!(encoded, FRAMES);
 }
 
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn batches_are_stored_as_the_same_bytes() {
+fn batches_are_stored_as_the_bytes_of_the_released_version() {
     let [proposal, change, empty] = entries();
     let with_snapshot =
         Batch { number: 1, state: state(1), snapshot: Some(snapshot()), entries: vec![proposal, change] };
