--- a/crates/wal/examples/append_throughput.rs
+++ b/crates/wal/examples/append_throughput.rs
@@ -1,5 +1,6 @@
-//! The write-ahead log against `redb` in the same directory: synced appends per second, and bytes on disk.
-//! `append_throughput DIRECTORY [APPENDS]`; both do the same work in turn, and the ratio is what counts.
+//! Compares the write-ahead log with `redb` in the same directory: synced appends per second, and bytes on
+//! disk. `append_throughput DIRECTORY [APPENDS]`; both stores do the same work in turn, and only the ratio of
+//! their rates is meaningful.
 
 use redb::{Database, Durability, TableDefinition};
 use sprucelink_wal::{DirectoryDisk, Entry, Wal, WriteBatch};
--- a/crates/wal/src/directory_disk.rs
+++ b/crates/wal/src/directory_disk.rs
@@ -1,4 +1,4 @@
-//! A directory of the file system as the log's disk.
+//! The log's disk as a directory of the file system.
 
 use crate::disk::{Disk, DiskError};
 use crate::limits::MAX_FILES;
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// A directory. The file that was last appended to stays open.
+/// A [`Disk`] that is a directory of the file system. The file that was last written stays open.
 #[derive(Debug)]
 pub struct DirectoryDisk {
     path: PathBuf,
@@ -17,7 +17,7 @@
     /// Opens a directory and creates it if it does not exist.
     ///
     /// # Errors
-    /// When the directory cannot be created.
+    /// The directory cannot be created.
     pub fn open(path: &Path) -> Result<Self, DiskError> {
         fs::create_dir_all(path)?;
         Ok(DirectoryDisk { path: path.to_owned(), open_file: None })
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file operations that the log needs: the interface at which tests and simulators inject faults.
+//! The file operations that the log needs. Tests and simulators inject faults at this interface.
 
 use std::io;
 use std::sync::Arc;
@@ -6,7 +6,8 @@
 /// Why a file operation failed.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum DiskError {
-    /// No space is left, or the write was rejected; part of the bytes may be in the file.
+    /// There is no space left, a quota is used up, or the file is too large; part of the bytes may be in the
+    /// file.
     #[error("no space left")]
     NoSpace,
     /// The file does not exist.
@@ -31,14 +32,14 @@
 
 /// The file operations of one directory. Names are plain file names chosen by the log.
 ///
-/// The contract is that of a POSIX file system: appended bytes survive a crash only after [`Disk::sync`] of the file, a
-/// file's name (created, renamed, removed) only after [`Disk::sync_directory`].
+/// The contract is that of a POSIX file system: appended bytes survive a crash only after [`Disk::sync`] of
+/// the file, a file's name (created, renamed, removed) only after [`Disk::sync_directory`].
 pub trait Disk {
     /// The names of all files, in any order.
     fn list(&self) -> Result<Vec<String>, DiskError>;
     /// All bytes of a file.
     fn read(&self, name: &str) -> Result<Vec<u8>, DiskError>;
-    /// Creates an empty file; an existing file of that name is emptied.
+    /// Creates an empty file; an existing file of that name is truncated.
     fn create(&mut self, name: &str) -> Result<(), DiskError>;
     /// Appends bytes. After an error part of them may be in the file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError>;
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,4 +1,4 @@
-//! What each failure of the log means for the member.
+//! Errors of the log, and what each means for the member.
 
 use crate::disk::DiskError;
 use crate::limits::MAX_FILES;
@@ -7,31 +7,33 @@
 /// Why the log could not be opened or written.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum WalError {
-    /// The directory holds a file that is not the log's.
-    #[error("not a directory of a write-ahead log: it holds {name}")]
+    /// The directory contains a file that doesn't belong to the log.
+    #[error("not a directory of a write-ahead log: it contains {name}")]
     ForeignFile {
-        /// The file.
+        /// Name of the file.
         name: String,
     },
-    /// The directory holds more than [`MAX_FILES`] files.
-    #[error("not a directory of a write-ahead log: it holds over {MAX_FILES} files")]
+    /// The directory contains more than [`MAX_FILES`] files.
+    #[error("not a directory of a write-ahead log: it contains more than {MAX_FILES} files")]
     TooManyFiles,
-    /// A record before the last one is damaged, so nothing in the directory can be trusted. The member stays out until it
-    /// is removed and added again with an empty directory and a new incarnation.
+    /// A record before the last one is damaged, so nothing in the directory can be trusted. The member can't
+    /// take part until it is removed and added again with an empty directory and a new incarnation.
     #[error("{segment} is corrupt at byte {offset}")]
     Corrupt {
-        /// The segment's file.
+        /// File name of the segment.
         segment: String,
-        /// Where the damaged record starts, bytes.
+        /// Offset at which the damaged record starts, bytes.
         offset: u64,
-        /// What is wrong there.
+        /// Kind of the damage.
         #[source]
         reason: Corruption,
     },
-    /// Nothing of the batch is on disk. It may be written again; no message that rests on it may be sent.
+    /// Nothing of the batch is on disk. The batch may be written again; no message that depends on it may be
+    /// sent.
     #[error("the write was rejected")]
     WriteRejected(#[source] DiskError),
-    /// The segment is at [`crate::limits::MAX_SEGMENT_BYTES`], or the batch is over its bound: a batch with a snapshot is due.
+    /// The segment would exceed [`crate::limits::MAX_SEGMENT_BYTES`], or the batch is longer than
+    /// [`crate::limits::MAX_RECORD_BYTES`]. The next batch has to contain a snapshot.
     #[error("the log is full: a snapshot is due")]
     Full,
     /// It is unknown what is on disk. The process must stop and open the log again: a failed sync must not be
@@ -39,11 +41,11 @@
     #[error("it is unknown what is on disk")]
     Failed(#[source] DiskError),
     /// The batch's sequence number is not the next one.
-    #[error("batch {found} was written where batch {expected} is due")]
+    #[error("unexpected batch {found}: the next batch is {expected}")]
     OutOfOrder {
-        /// The number that is due.
+        /// The expected number.
         expected: u64,
-        /// The number of the batch.
+        /// The number of the rejected batch.
         found: u64,
     },
 }
--- a/crates/wal/src/fault_disk.rs
+++ b/crates/wal/src/fault_disk.rs
@@ -1,8 +1,9 @@
 //! An in-memory disk whose faults are drawn from a seed, for simulators and tests.
 //!
-//! What it models: bytes and names that no sync has covered can be lost at a crash, partly or completely; a lying sync
-//! succeeds and covers nothing; an append can fail with part of it written; a bit can flip. Slow syncs are
-//! the simulator's part: it delays the report that a batch is on disk.
+//! It models these faults: bytes and names that no sync has covered can be lost at a crash, partly or
+//! completely; a lying sync succeeds and makes nothing durable; an append can fail after part of the bytes is
+//! written; a bit can flip. Slow syncs are modelled by the simulator, which delays the report that a batch is
+//! on disk.
 
 use crate::disk::{Disk, DiskError};
 use crate::segment;
@@ -11,34 +12,35 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Size of a disk sector, bytes: one may stay zero in a torn tail.
+/// Size of a disk sector, bytes: one sector of a torn tail may be zero.
 const SECTOR_BYTES: usize = 512;
 
-/// Names one file, whatever it is renamed to.
+/// Identifies a file across renames.
 type FileId = u64;
 
 #[derive(Debug, Clone, Default)]
 struct File {
-    /// What a read returns.
+    /// Content that a read returns.
     content: Vec<u8>,
-    /// What survives a crash.
+    /// Content that survives a crash.
     synced: Vec<u8>,
 }
 
-/// Which faults are on. With all off, the disk is correct and loses all unsynced bytes at a crash.
+/// The active faults. Without any, the disk is correct and loses all unsynced bytes at a crash.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Syncs succeed and make nothing durable, until this is off again and another sync is called.
+    /// Syncs succeed and make nothing durable. The data becomes durable at the next sync after this is unset.
     pub lying_sync: bool,
-    /// Appends fail with part of the bytes written.
+    /// Appends fail after part of the bytes is written.
     pub disk_full: bool,
     /// Syncs fail.
     pub failing_sync: bool,
-    /// At a crash part of the unsynced bytes survives; the last append may be torn in the middle.
+    /// Part of the unsynced bytes survives a crash; the last append may be torn.
     pub torn_writes: bool,
 }
 
-/// The disk. After [`FaultDisk::crash`] it holds what a restarted process finds.
+/// An in-memory [`Disk`] with faults. After [`FaultDisk::crash`] it has the content that a restarted process
+/// finds.
 #[derive(Debug, Clone)]
 pub struct FaultDisk {
     files: BTreeMap<FileId, File>,
@@ -46,7 +48,7 @@
     synced_names: BTreeMap<String, FileId>,
     last_file_id: FileId,
     rng: ChaCha8Rng,
-    /// The faults from here on.
+    /// The faults that are active now.
     pub faults: Faults,
     /// Number of syncs that succeeded without making anything durable.
     pub lied_syncs: u64,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The process or the machine crashes: what no true sync covered is lost or torn.
+    /// Crashes the process or the machine: data that no successful, non-lying sync covered is lost or torn.
     pub fn crash(&mut self) {
         let torn_writes = self.faults.torn_writes;
         if torn_writes && !self.faults.lying_sync && self.rng.gen_bool(0.5) {
@@ -88,7 +90,8 @@
         self.drop_unnamed_files();
     }
 
-    /// Flips one bit of a file below `limit` bytes, at a place drawn from the seed. False when there is no such byte.
+    /// Flips one bit of the first `limit` bytes of a file, at a position drawn from the seed. False when
+    /// there is no such byte.
     pub fn flip_bit(&mut self, name: &str, limit: u64) -> bool {
         let Some(file) = self.names.get(name).and_then(|id| self.files.get_mut(id)) else { return false };
         let limit = file.synced.len().min(usize::try_from(limit).unwrap_or(usize::MAX));
@@ -116,7 +119,7 @@
         self.files.retain(|id, _| named.contains(id));
     }
 
-    /// Whether a sync is to make anything durable: false for a lying sync.
+    /// Whether a sync makes data durable; false for a lying sync.
     fn begin_sync(&mut self) -> Result<bool, DiskError> {
         if self.faults.failing_sync {
             return Err(io::Error::other("injected sync failure").into());
@@ -129,7 +132,8 @@
     }
 }
 
-/// Adds part of the unsynced bytes of `content` to the `survived` ones; a sector of them may have stayed empty.
+/// Appends part of the unsynced bytes of `content` to the `survived` ones; up to a sector of them may be
+/// zero.
 fn extend_with_torn_tail(survived: &mut Vec<u8>, content: &[u8], rng: &mut ChaCha8Rng) {
     let synced_length = survived.len();
     if content.len() <= synced_length || !content.starts_with(survived) {
@@ -138,8 +142,8 @@
     let torn_length = rng.gen_range(synced_length..content.len());
     survived.extend_from_slice(&content[synced_length..torn_length]);
     if torn_length > synced_length && rng.gen_bool(0.3) {
-        let hole = rng.gen_range(synced_length..torn_length);
-        survived[hole..].iter_mut().take(SECTOR_BYTES).for_each(|byte| *byte = 0);
+        let hole_start = rng.gen_range(synced_length..torn_length);
+        survived[hole_start..].iter_mut().take(SECTOR_BYTES).for_each(|byte| *byte = 0);
     }
 }
 
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -5,8 +5,8 @@
 //! | 4 | magic `SLR1` |
 //! | 4 | length of the payload, little-endian |
 //! | 8 | sequence number of the batch, little-endian |
-//! | 4 | checksum of the record before it in this segment, little-endian; 0 for the first record |
-//! | 4 | CRC-32 (IEEE, as in zlib) over the 16 bytes of length, sequence number and previous checksum, then the payload |
+//! | 4 | checksum of the previous record in this segment, little-endian; 0 for the first record |
+//! | 4 | CRC-32 (IEEE, as in zlib) of length, sequence number, previous checksum (16 bytes) and payload |
 //! | n | payload: [`WriteBatch`] in protobuf |
 
 use crate::limits::MAX_RECORD_BYTES;
@@ -33,7 +33,7 @@
 /// Offset of the record's own checksum in the header, bytes.
 const CHECKSUM_OFFSET: usize = 20;
 
-/// In place of the previous record's checksum in the first record of a segment.
+/// Value of the previous record's checksum in the first record of a segment.
 pub(crate) const FIRST_PREVIOUS_CHECKSUM: u32 = 0;
 
 /// An encoded record.
@@ -43,7 +43,7 @@
     pub checksum: u32,
 }
 
-/// A record whose own checksum is right.
+/// A decoded record whose own checksum is valid.
 #[derive(Debug)]
 pub(crate) struct Record<'a> {
     pub sequence: u64,
@@ -72,12 +72,12 @@
     bytes.extend_from_slice(&previous_checksum.to_le_bytes());
     bytes.extend_from_slice(&[0; HEADER_BYTES - CHECKSUM_OFFSET]);
     bytes.extend_from_slice(&batch.encode_to_vec());
-    let checksum = checksum_of(&bytes);
+    let checksum = compute_checksum(&bytes);
     bytes[CHECKSUM_OFFSET..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
     Some(EncodedRecord { bytes, checksum })
 }
 
-/// Decodes the record at the front of `bytes`; `None` when there is no complete record with a right checksum.
+/// Decodes the record at the front of `bytes`; `None` when there is no complete record with a valid checksum.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
     if bytes.len() < HEADER_BYTES || bytes[..MAGIC.len()] != MAGIC {
         return None;
@@ -88,7 +88,7 @@
     }
     let record = &bytes[..HEADER_BYTES + payload_length];
     let checksum = read_u32(bytes, CHECKSUM_OFFSET);
-    if checksum_of(record) != checksum {
+    if compute_checksum(record) != checksum {
         return None;
     }
     Some(Record {
@@ -99,7 +99,7 @@
     })
 }
 
-fn checksum_of(record: &[u8]) -> u32 {
+fn compute_checksum(record: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&record[LENGTH_OFFSET..CHECKSUM_OFFSET]);
     hasher.update(&record[HEADER_BYTES..]);
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,13 +1,13 @@
-//! Reading a segment back: its intact records, and whether what follows them is a torn tail or damage.
+//! Reads a segment: its intact records, and whether the bytes after them are a torn tail or damage.
 
 use crate::record::{self, Entry, Record, Snapshot, WriteBatch, HEADER_BYTES, MAGIC};
 use prost::Message;
 
-/// What is wrong with a damaged record.
+/// Kind of damage of a record.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// The record is damaged and a later one is intact, so it was not torn by a crash.
-    #[error("the record is damaged, but batch {later} behind it is intact")]
+    #[error("the record is damaged, but the later batch {later} is intact")]
     DamagedBeforeTail {
         /// Sequence number of the intact record.
         later: u64,
@@ -16,29 +16,29 @@
     #[error("the first record of the segment is incomplete")]
     FirstRecordIncomplete,
     /// The record's sequence number is not the next one.
-    #[error("batch {found} where batch {expected} is expected")]
+    #[error("unexpected batch {found}: expected batch {expected}")]
     UnexpectedSequence {
-        /// The number that is expected.
+        /// The expected number.
         expected: u64,
         /// The number in the record.
         found: u64,
     },
-    /// The record does not hold the checksum of the one before it.
-    #[error("the record does not follow the one before it")]
+    /// The record does not contain the checksum of the previous record.
+    #[error("the record does not contain the checksum of the previous record")]
     BrokenChain,
     /// The payload is not a batch.
     #[error("the payload cannot be decoded")]
     Payload(#[source] prost::DecodeError),
-    /// Header and payload disagree on the sequence number.
-    #[error("the header says batch {header}, the payload says batch {payload}")]
+    /// Header and payload have different sequence numbers.
+    #[error("the header is of batch {header}, the payload of batch {payload}")]
     SequenceMismatch {
         /// The number in the header.
         header: u64,
         /// The number in the payload.
         payload: u64,
     },
-    /// An entry is not within the log or next to its end.
-    #[error("entry {index} where {lowest} to {highest} are allowed")]
+    /// An entry is neither within the log nor directly after its end.
+    #[error("unexpected entry {index}: expected {lowest} to {highest}")]
     EntryOutOfRange {
         /// The entry's index.
         index: u64,
@@ -49,26 +49,27 @@
     },
 }
 
-/// A damaged record, and where it starts.
+/// A damaged record and its offset.
 #[derive(Debug)]
 pub(crate) struct CorruptRecord {
-    /// Offset in the segment, bytes.
+    /// Offset in the segment at which the record starts, bytes.
     pub offset: u64,
     pub reason: Corruption,
 }
 
-/// What was truncated from the end of a segment: the rest of a batch whose write was interrupted by a crash.
+/// The end of a segment that was truncated: the partial record of a batch whose write was interrupted by a
+/// crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TornTail {
-    /// The sequence number that the lost batch had.
+    /// Sequence number of the lost batch.
     pub sequence: u64,
-    /// Where the intact records end, bytes.
+    /// Offset at which the intact records end, bytes.
     pub offset: u64,
-    /// Length of what was truncated, bytes.
+    /// Number of truncated bytes.
     pub bytes: u64,
 }
 
-/// What the intact records of a segment hold.
+/// Content of the intact records of a segment.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentContent {
     /// Sequence number of the last record.
@@ -84,7 +85,7 @@
 }
 
 impl SegmentContent {
-    /// Checks a record against those before it and applies its batch.
+    /// Checks a record against the previous ones and applies its batch.
     fn add_record(&mut self, record: &Record<'_>, expected_sequence: u64) -> Result<(), Corruption> {
         if record.sequence != expected_sequence {
             return Err(Corruption::UnexpectedSequence {
@@ -170,7 +171,7 @@
     Ok(content)
 }
 
-/// The sequence number of an intact record that starts behind the first byte and is newer than `sequence`.
+/// The sequence number of an intact record that starts after the first byte and is newer than `sequence`.
 fn find_later_record(bytes: &[u8], sequence: u64) -> Option<u64> {
     (1..bytes.len().saturating_sub(HEADER_BYTES - 1)).find_map(|offset| {
         let candidate = &bytes[offset..];
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -1,11 +1,12 @@
-//! The names of the log's files.
+//! Names of the log's files.
 
 use crate::error::WalError;
 use crate::limits::MAX_FILES;
 
 /// Name of a segment while its first record is being written.
 pub(crate) const TEMPORARY_NAME: &str = "aside";
-/// Start of a segment's name; [`SEQUENCE_DIGITS`] hexadecimal digits of its first batch's sequence number follow.
+/// Start of a segment's name; [`SEQUENCE_DIGITS`] hexadecimal digits of its first batch's sequence number
+/// follow.
 pub(crate) const PREFIX: &str = "gen-";
 /// Number of digits in a segment's name.
 const SEQUENCE_DIGITS: usize = 16;
@@ -28,7 +29,7 @@
     pub name: String,
 }
 
-/// What a directory of the log holds.
+/// The files in a directory of the log.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     pub newest: Option<Segment>,
@@ -37,7 +38,7 @@
 }
 
 impl Listing {
-    /// Sorts the names of a directory's files.
+    /// Classifies the names of a directory's files.
     ///
     /// # Errors
     /// [`WalError::ForeignFile`] or [`WalError::TooManyFiles`].
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -1,4 +1,4 @@
-//! The log itself: opening it and writing to it.
+//! The write-ahead log: opening and writing.
 
 use crate::disk::{Disk, DiskError};
 use crate::error::WalError;
@@ -7,27 +7,27 @@
 use crate::recovery::{self, CorruptRecord, TornTail};
 use crate::segment::{self, Listing, Segment, TEMPORARY_NAME};
 
-/// What an opened log holds.
+/// Content of an opened log.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Recovered {
     /// Sequence number of the last intact batch; 0 for a new directory.
     pub sequence: u64,
     /// The state in the last intact batch.
     pub state: Vec<u8>,
-    /// The last snapshot.
+    /// The last snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
-    /// The entries behind the snapshot, without gaps.
+    /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
-    /// What was truncated from the end, if anything was.
+    /// The torn tail that was truncated, if there was one.
     pub torn_tail: Option<TornTail>,
 }
 
-/// Where the next record goes.
+/// The end of the log, where the next record is appended.
 #[derive(Debug, Default)]
 struct Tail {
-    /// The segment's name; `None` before the first batch.
+    /// Name of the current segment; `None` before the first batch.
     segment: Option<String>,
-    /// Length of the segment, bytes.
+    /// Length of the current segment, bytes.
     length: u64,
     /// Sequence number of the last batch.
     sequence: u64,
@@ -35,7 +35,8 @@
     checksum: u32,
 }
 
-/// An open write-ahead log. Batches are written in the order of their sequence numbers, each synced before the call returns.
+/// An open write-ahead log. Batches are written in the order of their sequence numbers, each synced before
+/// the call returns.
 #[derive(Debug)]
 pub struct Wal<D> {
     disk: D,
@@ -44,11 +45,12 @@
 }
 
 impl<D: Disk> Wal<D> {
-    /// Opens the directory, recovers what it holds, and removes what a crash between two segments left behind.
+    /// Opens the directory, recovers its content, and removes files that a crash during a change of segments
+    /// left behind.
     ///
     /// # Errors
-    /// [`WalError::ForeignFile`], [`WalError::TooManyFiles`], [`WalError::Corrupt`] or [`WalError::Failed`]; each keeps the
-    /// member out.
+    /// [`WalError::ForeignFile`], [`WalError::TooManyFiles`], [`WalError::Corrupt`] or [`WalError::Failed`];
+    /// after each of them the member can't take part.
     pub fn open(disk: D) -> Result<(Self, Recovered), WalError> {
         let names = disk.list().map_err(WalError::Failed)?;
         let listing = Listing::parse(names)?;
@@ -57,7 +59,8 @@
             Some(segment) => wal.recover(segment)?,
             None => Recovered::default(),
         };
-        // The rename of the newest segment is on disk, so older segments hold nothing that is not in it.
+        // The rename of the newest segment is on disk, and the segment contains everything needed from older
+        // ones.
         wal.remove_all(&listing.leftovers).map_err(WalError::Failed)?;
         Ok((wal, recovered))
     }
@@ -100,11 +103,12 @@
         self.disk.sync_directory()
     }
 
-    /// Writes one batch and syncs it. Only after `Ok` may a message be sent that rests on it.
+    /// Writes one batch and syncs it. A message that depends on the batch may be sent only after `Ok`.
     ///
     /// # Errors
-    /// [`WalError::WriteRejected`] and [`WalError::Full`]: nothing was written, the same number may be written again.
-    /// [`WalError::OutOfOrder`]: a fault of the caller. [`WalError::Failed`]: from then on always.
+    /// [`WalError::WriteRejected`] and [`WalError::Full`]: nothing was written; a batch with the same number
+    /// may be written again. [`WalError::OutOfOrder`]: the caller passed a wrong number.
+    /// [`WalError::Failed`]: every later call fails too.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), WalError> {
         if let Some(error) = &self.failure {
             return Err(WalError::Failed(error.clone()));
@@ -126,7 +130,7 @@
             return Err(WalError::Full);
         }
         if let Err(error) = self.disk.append(&segment, &record.bytes) {
-            // Part of the record may be in the file. Unless it is truncated, nothing may be written behind it.
+            // Part of the record may be in the file. Unless it is truncated, nothing may be written after it.
             return Err(match self.disk.truncate(&segment, self.tail.length) {
                 Ok(()) => WalError::WriteRejected(error),
                 Err(_) => self.fail(error),
@@ -144,7 +148,8 @@
         let record = record::encode(batch, FIRST_PREVIOUS_CHECKSUM).ok_or(WalError::Full)?;
         let name = segment::name(batch.sequence);
         if let Err(error) = self.write_temporary(&record.bytes) {
-            // The old segment is unchanged. A temporary file that can't be removed now is removed when the log is opened.
+            // The old segment is unchanged. A temporary file that can't be removed now is removed when the
+            // log is next opened.
             let _ = self.disk.remove(TEMPORARY_NAME);
             return Err(WalError::WriteRejected(error));
         }
@@ -159,7 +164,7 @@
             checksum: record.checksum,
         };
         if let Some(old_segment) = old_segment {
-            // Only to free space: a segment that is left behind is removed when the log is opened.
+            // This only frees space: a segment that remains is removed when the log is next opened.
             let _ = self.disk.remove(&old_segment);
         }
         Ok(())
@@ -191,7 +196,7 @@
         self.tail.sequence
     }
 
-    /// Returns the disk.
+    /// Closes the log and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
--- a/crates/wal/tests/on_disk_format.rs
+++ b/crates/wal/tests/on_disk_format.rs
@@ -1,5 +1,5 @@
-//! The bytes on disk are those of released versions: `data/gen-0000000000000002` was written before the crate's types
-//! were renamed.
+//! The bytes on disk are the same as those of the released version: `data/gen-0000000000000002` was written
+//! before the crate's types were renamed.
 
 use sprucelink_wal::{Disk, Entry, FaultDisk, Recovered, Snapshot, Wal, WriteBatch};
 
@@ -14,7 +14,7 @@
     Snapshot { index: 2, term: 1, data: b"snapshot at 2".to_vec() }
 }
 
-/// The batches that the segment was written with; the first one is in a segment before it.
+/// The batches that were written to the log; the first one is in the segment before this one.
 fn batches() -> [WriteBatch; 4] {
     let batch = |sequence, state: &[u8], snapshot, entries| WriteBatch {
         sequence,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn batches_are_written_to_the_same_bytes() {
+fn batches_are_written_as_the_bytes_of_the_released_version() {
     let (mut wal, _) = Wal::open(FaultDisk::new(1)).unwrap();
     for batch in &batches() {
         wal.write(batch).unwrap();
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! The log against the faults of its disk, and as a state machine against a plain model.
+//! Recovery of the log after faults of its disk, and a comparison of the log with a simple model in random
+//! runs.
 
 use proptest::prelude::*;
 use sprucelink_wal::{
@@ -27,8 +28,8 @@
 #[test]
 fn log_in_a_directory_is_recovered_as_written() {
     let directory = tempfile::tempdir().unwrap();
-    let (mut wal, fresh) = Wal::open(DirectoryDisk::open(directory.path()).unwrap()).unwrap();
-    assert_eq!(fresh, Recovered::default());
+    let (mut wal, empty) = Wal::open(DirectoryDisk::open(directory.path()).unwrap()).unwrap();
+    assert_eq!(empty, Recovered::default());
     wal.write(&batch(1, 1, 3)).unwrap();
     wal.write(&batch(2, 3, 2)).unwrap(); // entry 3 is overwritten
     drop(wal);
@@ -65,7 +66,7 @@
 #[test]
 fn directory_with_a_foreign_file_is_rejected() {
     let directory = tempfile::tempdir().unwrap();
-    std::fs::write(directory.path().join("notes.txt"), "mine").unwrap();
+    std::fs::write(directory.path().join("notes.txt"), "not a segment").unwrap();
     let opened = Wal::open(DirectoryDisk::open(directory.path()).unwrap());
     assert!(matches!(opened, Err(WalError::ForeignFile { name }) if name == "notes.txt"));
 }
@@ -78,7 +79,7 @@
         let length = wal.segment_bytes();
         let mut disk = wal.into_disk();
         let name = disk.newest_segment().unwrap();
-        // Below the last record, which starts well inside the last tenth of the file.
+        // The flipped bit is before the last record, which starts within the last tenth of the file.
         assert!(disk.flip_bit(&name, length * 9 / 10));
         match Wal::open(disk) {
             Err(WalError::Corrupt { segment, offset, .. }) => {
@@ -101,7 +102,10 @@
         // The crash interrupts this batch: its bytes were appended, its sync failed.
         wal.disk_mut().faults.failing_sync = true;
         assert!(matches!(wal.write(&batch(6, 11, 2)), Err(WalError::Failed(_))));
-        assert!(matches!(wal.write(&batch(6, 11, 2)), Err(WalError::Failed(_))), "a failed log stays failed");
+        assert!(
+            matches!(wal.write(&batch(6, 11, 2)), Err(WalError::Failed(_))),
+            "every write after a failure fails"
+        );
         let mut disk = wal.into_disk();
         disk.crash();
         disk.faults = Faults::default();
@@ -113,11 +117,14 @@
         let (_, reopened) = Wal::open(wal.into_disk()).unwrap();
         assert_eq!((reopened.sequence, reopened.torn_tail, reopened.entries.len()), (6, None, 11));
     }
-    assert!(torn_tails > 50, "only {torn_tails} of 200 crashes left a torn tail: the fault is not as meant");
+    assert!(
+        torn_tails > 50,
+        "only {torn_tails} of 200 crashes left a torn tail: the fault is not injected as intended"
+    );
 }
 
 #[test]
-fn rejected_write_leaves_nothing_and_can_be_repeated() {
+fn rejected_write_leaves_no_bytes_and_can_be_repeated() {
     let mut wal = filled_wal(FaultDisk::new(4), 3);
     wal.disk_mut().faults.disk_full = true;
     assert!(matches!(wal.write(&batch(4, 7, 2)), Err(WalError::WriteRejected(_))));
@@ -145,23 +152,33 @@
     assert_eq!(
         (recovered.sequence, recovered.entries.len(), recovered.snapshot),
         (4, 8, None),
-        "recovered is what the last true sync covered"
+        "the batches that the last correct sync covered are recovered"
     );
 }
 
-/// A step of the state machine test.
+/// A step of a random run.
 #[derive(Debug, Clone)]
 enum Step {
-    Append(u64, u64),
-    Snapshot(u64),
+    /// Writes a batch of `count` entries that overwrites the last `overwritten` ones.
+    Append {
+        overwritten: u64,
+        count: u64,
+    },
+    /// Writes a snapshot that leaves this number of the last entries after it.
+    Snapshot {
+        retained: u64,
+    },
     RejectedWrite,
-    Crash { torn: bool, during_write: bool },
+    Crash {
+        torn: bool,
+        during_write: bool,
+    },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => (0u64..4, 0u64..5).prop_map(|(back, count)| Step::Append(back, count)),
-        1 => (0u64..6).prop_map(Step::Snapshot),
+        6 => (0u64..4, 0u64..5).prop_map(|(overwritten, count)| Step::Append { overwritten, count }),
+        1 => (0u64..6).prop_map(|retained| Step::Snapshot { retained }),
         1 => Just(Step::RejectedWrite),
         2 => (any::<bool>(), any::<bool>()).prop_map(|(torn, during_write)| Step::Crash { torn, during_write }),
     ];
@@ -171,7 +188,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// In any order of writes, snapshots, refused writes and crashes, what was written successfully is recovered.
+    /// In any order of writes, snapshots, rejected writes and crashes, every batch that was written
+    /// successfully is recovered.
     #[test]
     fn acknowledged_batches_are_recovered(seed in 0u64..1000, steps in steps()) {
         let (mut wal, mut model) = Wal::open(FaultDisk::new(seed)).unwrap();
@@ -180,8 +198,8 @@
             let lowest = model.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
             let sequence = model.sequence + 1;
             match step {
-                Step::Append(back, count) => {
-                    let first = last.saturating_sub(back).max(lowest) + 1;
+                Step::Append { overwritten, count } => {
+                    let first = last.saturating_sub(overwritten).max(lowest) + 1;
                     let batch = batch(sequence, first, count);
                     wal.write(&batch).unwrap();
                     if count > 0 {
@@ -191,8 +209,8 @@
                     model.sequence = sequence;
                     model.state = batch.state;
                 }
-                Step::Snapshot(back) => {
-                    let index = last.saturating_sub(back).max(lowest);
+                Step::Snapshot { retained } => {
+                    let index = last.saturating_sub(retained).max(lowest);
                     model.snapshot = Some(Snapshot { index, term: sequence, data: vec![sequence as u8; 40] });
                     model.entries.retain(|entry| entry.index > index);
                     model.sequence = sequence;
@@ -229,13 +247,13 @@
         }
     }
 
-    /// Arbitrary bytes behind a segment's records give a result, never a panic.
+    /// Arbitrary bytes after a segment's records give a result, never a panic.
     #[test]
-    fn open_does_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), keep in 0usize..400) {
+    fn open_does_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), kept_bytes in 0usize..400) {
         let mut disk = filled_wal(FaultDisk::new(3), 2).into_disk();
         let name = disk.newest_segment().unwrap();
         let mut content = disk.read(&name).unwrap();
-        content.truncate(keep);
+        content.truncate(kept_bytes);
         content.extend(bytes);
         disk.create(&name).unwrap();
         disk.append(&name, &content).unwrap();
