--- a/crates/replicated-log/src/entry.rs
+++ b/crates/replicated-log/src/entry.rs
@@ -1,10 +1,10 @@
-//! Entries as bytes, with the checks that every entry has to pass.
+//! Encoding and decoding of entries, with the checks that every entry has to pass.
 
 use crate::Entry;
 use prost::Message;
 
-/// Largest encoded entry, bytes: it has to fit into one consensus message beside others, and into every subscriber's
-/// buffer.
+/// Largest encoded entry, bytes: it has to fit into one consensus message together with other entries, and
+/// into every subscriber's buffer.
 pub const MAX_ENTRY_BYTES: usize = 256 * 1024;
 
 /// Why an entry can't be encoded or decoded.
@@ -13,7 +13,7 @@
     /// The encoded entry is longer than [`MAX_ENTRY_BYTES`].
     #[error("entry of {bytes} bytes, at most {MAX_ENTRY_BYTES} are allowed")]
     TooLong {
-        /// The entry's length, bytes.
+        /// Length of the entry, bytes.
         bytes: usize,
     },
     /// The bytes are not an encoded entry.
@@ -34,11 +34,11 @@
     Ok(entry.encode_to_vec())
 }
 
-/// Decodes an entry. A body that this version does not know is decoded as none: such an entry has a position and no
-/// effect here.
+/// Decodes an entry. A body that this version does not know is decoded as `None`: such an entry has a
+/// position, but no effect at this version.
 ///
 /// # Errors
-/// The bytes are too many or not an entry, or the entry has no origin or sequence.
+/// There are too many bytes, the bytes are not an entry, or the entry has no origin or sequence.
 pub fn decode(bytes: &[u8]) -> Result<Entry, EntryError> {
     check_length(bytes.len())?;
     let entry = Entry::decode(bytes).map_err(EntryError::Undecodable)?;
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,9 +1,9 @@
 //! The records of the fleet's replicated log, and positions in it.
 //!
-//! An [`Entry`] is proposed by a manager or an operator, agreed on by the consensus crate, and applied by every manager
-//! in the same order. An applied entry is a [`Record`]: the entry, its [`Position`] and its [`Outcome`]. An outcome
-//! depends on the records before it and on nothing else, so it is the same everywhere. How entries are agreed on, what
-//! they mean and who reads them is not this crate's concern.
+//! An [`Entry`] is proposed by a manager or an operator, agreed on by the consensus crate, and applied by
+//! every manager in the same order. An applied entry is a [`Record`]: the entry, its [`Position`] and its
+//! [`Outcome`]. An outcome depends only on the records before it, so it is the same at every manager. How
+//! entries are agreed on, what they mean and who reads them is outside the scope of this crate.
 
 mod entry;
 mod position;
@@ -25,19 +25,19 @@
 pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/replicated_log.fds"));
 
 impl Record {
-    /// The record's position.
+    /// Position of the record: its epoch and index.
     pub fn position(&self) -> Position {
         Position { epoch: self.epoch, index: self.index }
     }
 }
 
 impl Outcome {
-    /// The entry took effect and was assigned a number (0: none).
+    /// Outcome of an entry that took effect and was assigned a number (0: none).
     pub fn applied(assigned_number: u64) -> Outcome {
         Outcome { kind: v1::outcome::Kind::Applied as i32, assigned_number, ..Outcome::default() }
     }
 
-    /// The entry broke a rule, given by its stable name and an explanation.
+    /// Outcome of an entry that broke a rule, with the rule's stable name and an explanation.
     pub fn rejected(rule: &str, explanation: impl Into<String>) -> Outcome {
         Outcome {
             kind: v1::outcome::Kind::Rejected as i32,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The entry's proposal had taken effect before.
+    /// Outcome of an entry whose proposal had already taken effect.
     pub fn duplicate() -> Outcome {
         Outcome { kind: v1::outcome::Kind::Duplicate as i32, ..Outcome::default() }
     }
--- a/crates/replicated-log/src/position.rs
+++ b/crates/replicated-log/src/position.rs
@@ -1,25 +1,25 @@
-//! Positions in the log, and their text form for cursors.
+//! Positions in the log, and their text form, which is used as a cursor.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// The position of a record. It is the same at every manager, across leaders, restarts, snapshots and compaction.
-/// Its text form is `EPOCH:INDEX`, both decimal.
+/// The position of a record. It is the same at every manager, across leaders, restarts, snapshots and
+/// compaction. Its text form is `EPOCH:INDEX`, both decimal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The generation of the log, from 1; 0 is before every log.
+    /// Generation of the log, from 1; 0 is before every log.
     pub epoch: u64,
-    /// The record's number in its epoch, from 1; 0 is before the first.
+    /// Number of the record in its epoch, from 1; 0 is before the first record.
     pub index: u64,
 }
 
-/// The text is not a position.
+/// The text is not a valid position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a position is EPOCH:INDEX, two decimal numbers")]
+#[error("invalid position: expected EPOCH:INDEX, two decimal numbers")]
 pub struct ParsePositionError;
 
 impl Position {
-    /// The position after it in the same epoch; `None` when the index would overflow.
+    /// The next position in the same epoch; `None` when the index would overflow.
     pub fn next(self) -> Option<Position> {
         self.index.checked_add(1).map(|index| Position { index, ..self })
     }
@@ -34,8 +34,8 @@
 impl FromStr for Position {
     type Err = ParsePositionError;
 
-    /// Parses only what [`Position`] itself displays: no signs, spaces or leading zeros, so that one position has one
-    /// text form.
+    /// Accepts only the form that [`Position`] displays: no signs, spaces or leading zeros, so that each
+    /// position has exactly one text form.
     fn from_str(text: &str) -> Result<Position, ParsePositionError> {
         let (epoch, index) = text.split_once(':').ok_or(ParsePositionError)?;
         Ok(Position { epoch: parse_number(epoch)?, index: parse_number(index)? })
--- a/crates/replicated-log/src/proposal_dedup.rs
+++ b/crates/replicated-log/src/proposal_dedup.rs
@@ -1,13 +1,14 @@
-//! Detecting proposals that have taken effect before: a proposer that gets no answer proposes again, and both proposals
-//! may be committed.
+//! Detects proposals that have already taken effect: a proposer that gets no response proposes again, and
+//! both proposals may be committed.
 
 use std::collections::BTreeMap;
 
-/// Largest number of origins that are remembered. Beyond it the one whose last proposal is the oldest is evicted: the
-/// managers and operators of the largest fleet are a few thousand.
+/// Largest number of origins that are recorded. At this number a new origin evicts the one whose last
+/// proposal is the oldest. The managers and operators of the largest fleet are a few thousand.
 pub const MAX_ORIGINS: usize = 8_192;
 
-/// How far below an origin's highest sequence others are remembered. A proposer has fewer proposals undecided.
+/// Number of sequences below an origin's highest within which duplicates are recognised. A proposer has fewer
+/// pending proposals than this.
 pub const SEQUENCE_WINDOW: u64 = 64;
 
 /// The proposals of one origin that have taken effect.
@@ -17,7 +18,7 @@
     highest: u64,
     /// Bit `n` represents the sequence `n + 1` below the highest.
     mask: u64,
-    /// When the origin last proposed, as a count of all proposals.
+    /// Number of the origin's last proposal in the order of all proposals.
     last_used: u64,
 }
 
@@ -44,38 +45,41 @@
     }
 }
 
-/// What is remembered of one origin, for a snapshot.
+/// The recorded proposals of one origin, for a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OriginHistory {
-    /// The proposer.
+    /// The proposer, as named in its entries.
     pub origin: String,
     /// The highest sequence that took effect.
     pub highest: u64,
-    /// Which sequences below it took effect: bit `n` represents the sequence `n + 1` below the highest.
+    /// Bitset of the sequences below the highest that took effect: bit `n` represents the sequence `n + 1`
+    /// below it.
     pub mask: u64,
-    /// When the origin last proposed, as a count of all proposals.
+    /// Number of the origin's last proposal in the order of all proposals; the lowest one is evicted first.
     pub last_used: u64,
 }
 
-/// The proposals that have taken effect, by origin. A part of the applied state: the same at every manager.
+/// The proposals that have taken effect, by origin. The table is part of the applied state: it is the same at
+/// every manager.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProposalDedup {
     origins: BTreeMap<String, OriginWindow>,
-    proposals: u64,
+    /// Number of proposals so far, including duplicates.
+    proposal_count: u64,
 }
 
 impl ProposalDedup {
     /// Records a proposal; false if it was recorded before, or is so old that it may have been.
     pub fn insert(&mut self, origin: &str, sequence: u64) -> bool {
-        self.proposals += 1;
+        self.proposal_count += 1;
         if let Some(window) = self.origins.get_mut(origin) {
-            window.last_used = self.proposals;
+            window.last_used = self.proposal_count;
             return window.insert(sequence);
         }
         if self.origins.len() >= MAX_ORIGINS {
             self.evict_oldest_origin();
         }
-        let window = OriginWindow { highest: sequence, mask: 0, last_used: self.proposals };
+        let window = OriginWindow { highest: sequence, mask: 0, last_used: self.proposal_count };
         self.origins.insert(origin.to_owned(), window);
         true
     }
@@ -88,7 +92,7 @@
         }
     }
 
-    /// All that is remembered, for a snapshot.
+    /// The recorded proposals of all origins, for a snapshot.
     pub fn export(&self) -> Vec<OriginHistory> {
         let history = |(origin, window): (&String, &OriginWindow)| OriginHistory {
             origin: origin.clone(),
@@ -99,15 +103,16 @@
         self.origins.iter().map(history).collect()
     }
 
-    /// Restores what [`ProposalDedup::export`] returned; origins over [`MAX_ORIGINS`] are left out.
+    /// Restores the result of [`ProposalDedup::export`]. Origins beyond the first [`MAX_ORIGINS`] are
+    /// dropped.
     pub fn import(histories: Vec<OriginHistory>) -> ProposalDedup {
-        let proposals = histories.iter().map(|history| history.last_used).max().unwrap_or(0);
+        let proposal_count = histories.iter().map(|history| history.last_used).max().unwrap_or(0);
         let window = |history: OriginHistory| {
             let window =
                 OriginWindow { highest: history.highest, mask: history.mask, last_used: history.last_used };
             (history.origin, window)
         };
         let origins = histories.into_iter().take(MAX_ORIGINS).map(window).collect();
-        ProposalDedup { origins, proposals }
+        ProposalDedup { origins, proposal_count }
     }
 }
--- a/crates/replicated-log/tests/entries.rs
+++ b/crates/replicated-log/tests/entries.rs
@@ -1,4 +1,4 @@
-//! Entries as bytes: what is accepted, what is rejected, and that the encoding is that of released versions.
+//! Encoding and decoding of entries: accepted and rejected ones, and compatibility with the released version.
 
 use sprucelink_replicated_log::prost::Message;
 use sprucelink_replicated_log::v1::{self, entry::Body};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn entry_is_decoded_as_encoded_and_errors_name_the_field() {
+fn entry_is_decoded_as_encoded_and_an_invalid_one_is_rejected() {
     let entry = note_entry();
     let bytes = encode(&entry).expect("encoded");
     assert_eq!(decode(&bytes), Ok(entry.clone()));
@@ -27,7 +27,8 @@
     assert!(matches!(decode(&bytes[..bytes.len() - 1]), Err(EntryError::Undecodable(_))));
 }
 
-/// Old managers meet new records: what they do not know has a position and no effect.
+/// An old manager may receive an entry with a body of a later version. It must decode the entry, so that its
+/// position counts, with no body and thus no effect.
 #[test]
 fn body_of_a_later_version_is_decoded_as_none() {
     let mut bytes = Entry { origin: "m1".into(), sequence: 1, ..Entry::default() }.encode_to_vec();
@@ -36,20 +37,20 @@
     assert_eq!(decode(&bytes).expect("decoded").body, None);
 }
 
-/// `data/records.hex` holds a record of each body, written before the messages were renamed. Every field is set, so one
-/// that was dropped or renumbered changes the bytes.
+/// `data/records.hex` contains a record with each kind of body, written before the messages were renamed.
+/// Every field is set, so a field that was dropped or renumbered changes the bytes.
 #[test]
 fn records_of_the_released_version_are_decoded_and_encoded_to_the_same_bytes() {
-    let mut bodies = 0;
+    let mut record_count = 0;
     for line in include_str!("data/records.hex").lines() {
         let bytes: Vec<u8> = (0..line.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&line[at..at + 2], 16).expect("hexadecimal"))
+            .map(|start| u8::from_str_radix(&line[start..start + 2], 16).expect("hexadecimal"))
             .collect();
         let record = Record::decode(bytes.as_slice()).expect("decoded");
         assert!(record.entry.as_ref().is_some_and(|entry| entry.body.is_some()), "{line}");
         assert_eq!(record.encode_to_vec(), bytes);
-        bodies += 1;
+        record_count += 1;
     }
-    assert_eq!(bodies, 19);
+    assert_eq!(record_count, 19);
 }
--- a/crates/replicated-log/tests/proposal_dedup.rs
+++ b/crates/replicated-log/tests/proposal_dedup.rs
@@ -1,9 +1,9 @@
-//! Detecting repeated proposals.
+//! Detection of duplicate proposals.
 
 use sprucelink_replicated_log::{ProposalDedup, MAX_ORIGINS, SEQUENCE_WINDOW};
 use std::collections::BTreeSet;
 
-/// Compared with a plain set as the model.
+/// Random proposals of three origins, compared with a plain set as the model.
 #[test]
 fn proposal_takes_effect_once_in_any_order() {
     let mut dedup = ProposalDedup::default();
@@ -31,6 +31,6 @@
     let mut dedup = ProposalDedup::default();
     (0..=MAX_ORIGINS).for_each(|origin| assert!(dedup.insert(&origin.to_string(), 1)));
     assert_eq!(dedup.export().len(), MAX_ORIGINS);
-    assert!(!dedup.insert("1", 1), "1 is remembered");
-    assert!(dedup.insert("0", 1), "0 was forgotten");
+    assert!(!dedup.insert("1", 1), "origin 1 is recorded");
+    assert!(dedup.insert("0", 1), "origin 0 was evicted");
 }
