--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -5,7 +5,7 @@
 //! to disk, the messages that may be sent at once or only after that write, and the committed entries. The
 //! protocol is Raft (Ongaro, Ousterhout: "In Search of an Understandable Consensus Algorithm", USENIX ATC
 //! 2014) by the `raft` crate, with pre-vote and check-quorum, one membership change at a time through
-//! learners, and no lease reads: safety does not rest on clocks.
+//! learners, and no lease reads: safety does not depend on clocks.
 //!
 //! # Disks that lose acknowledged writes
 //!
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -32,7 +32,7 @@
     bytes: u64,
     /// Size of the entries after the snapshot, bytes.
     bytes_after_snapshot: u64,
-    /// The memberships since the snapshot, oldest first; the last one is in force.
+    /// The memberships since the snapshot, oldest first; the last one is current.
     memberships: VecDeque<VersionedMembership>,
     /// Whether a member needs a newer snapshot than the last one.
     is_snapshot_wanted: Cell<bool>,
@@ -167,7 +167,7 @@
         self.entries.len() as u64 >= MAX_LOG_ENTRIES || self.bytes >= MAX_LOG_BYTES
     }
 
-    /// The membership in force.
+    /// The current membership; `None` while there is neither a snapshot nor a membership change.
     pub fn membership(&self) -> Option<&VersionedMembership> {
         self.memberships.back()
     }
@@ -186,7 +186,7 @@
         Some(current)
     }
 
-    /// Puts a membership in force.
+    /// Makes a membership the current one.
     pub fn push_membership(&mut self, membership: VersionedMembership) {
         self.memberships.push_back(membership);
     }
--- a/crates/consensus/src/message_check.rs
+++ b/crates/consensus/src/message_check.rs
@@ -9,7 +9,7 @@
 use raft::eraftpb::{EntryType, Message, MessageType};
 use raft::RaftLog;
 
-/// What to do with a message.
+/// Result of checking a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MessageCheck {
     /// The message is passed to the `raft` crate.
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -145,7 +145,7 @@
         LogPosition::new(log.last_term(), log.last_index())
     }
 
-    /// The membership in force; before the first entry the configured contacts.
+    /// The current membership; the configured contacts while the log contains no membership.
     fn current_membership(&self) -> &VersionedMembership {
         self.raw_node.store().membership().unwrap_or(&self.contacts)
     }
--- a/crates/consensus/src/node/peer_liveness.rs
+++ b/crates/consensus/src/node/peer_liveness.rs
@@ -1,5 +1,5 @@
-//! Handling of the fields that every frame contains beside its body: the boots of the members that the sender
-//! knows, what the sender acknowledged, and a digest of its state.
+//! Handling of the fields that every frame contains in addition to its body: the boots of the members that
+//! the sender knows, what the sender acknowledged, and a digest of its state.
 
 use super::{Node, Phase};
 use crate::alarm::Alarm;
--- a/crates/consensus/src/node/rejoin_exchange.rs
+++ b/crates/consensus/src/node/rejoin_exchange.rs
@@ -17,7 +17,7 @@
         if request.term > MAX_COUNT || boot > MAX_COUNT {
             return;
         }
-        let Some(status) = self.peers.rejoin_request(from, boot, request.nonce) else { return };
+        let Some(status) = self.peers.record_rejoin_request(from, boot, request.nonce) else { return };
         if status == BootStatus::New {
             self.handle_peer_restart(from);
         }
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -21,7 +21,7 @@
     observed_ack: AckState,
 }
 
-/// What a rejoin request shows about its sender's boot.
+/// How the boot in a rejoin request compares with the known boot of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BootStatus {
     /// The boot is newer than the known one.
@@ -86,22 +86,22 @@
 
     /// Whether a frame is from the newest known boot of its sender, or from a newer one.
     pub fn is_current(&self, member: MemberId, boot: u64, nonce: u64) -> bool {
-        let Some(known) = self.peers.get(&member) else { return true };
-        let is_same_nonce = known.nonce == 0 || nonce == known.nonce;
-        boot > known.boot || (boot == known.boot && is_same_nonce)
+        let Some(peer) = self.peers.get(&member) else { return true };
+        let is_same_nonce = peer.nonce == 0 || nonce == peer.nonce;
+        boot > peer.boot || (boot == peer.boot && is_same_nonce)
     }
 
     /// Records a boot that any peer reported. True when it is newer than the known one.
     pub fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) -> bool {
-        let Some(known) = self.entry(member) else { return false };
-        if boot == known.boot && known.nonce == 0 {
-            known.nonce = nonce;
+        let Some(peer) = self.entry(member) else { return false };
+        if boot == peer.boot && peer.nonce == 0 {
+            peer.nonce = nonce;
         }
-        if boot <= known.boot {
+        if boot <= peer.boot {
             return false;
         }
-        known.boot = boot;
-        known.nonce = nonce;
+        peer.boot = boot;
+        peer.nonce = nonce;
         self.has_unsaved_changes = true;
         true
     }
@@ -109,27 +109,27 @@
     /// Records a boot from the rejoin request of the peer itself; `None` when the table is full. A boot with
     /// the known number counts only with the known nonce: the peer's disk may have lost the counter, and two
     /// boots with the same number must not be confused.
-    pub fn rejoin_request(&mut self, member: MemberId, boot: u64, nonce: u64) -> Option<BootStatus> {
+    pub fn record_rejoin_request(&mut self, member: MemberId, boot: u64, nonce: u64) -> Option<BootStatus> {
         self.request_count += 1;
         let request_number = self.request_count;
-        let known = self.entry(member)?;
-        if boot > known.boot {
-            known.boot = boot;
-            known.nonce = nonce;
-            known.last_request = request_number;
+        let peer = self.entry(member)?;
+        if boot > peer.boot {
+            peer.boot = boot;
+            peer.nonce = nonce;
+            peer.last_request = request_number;
             self.require_save();
             return Some(BootStatus::New);
         }
-        if boot == known.boot && nonce == known.nonce && nonce != 0 {
-            if known.last_request == 0 {
+        if boot == peer.boot && nonce == peer.nonce && nonce != 0 {
+            if peer.last_request == 0 {
                 // The boot was known only from other peers. Like a new one, it has to be on disk before the
                 // response.
-                known.last_request = request_number;
+                peer.last_request = request_number;
                 self.require_save();
             }
             return Some(BootStatus::Known);
         }
-        Some(BootStatus::Stale { known: known.boot })
+        Some(BootStatus::Stale { known: peer.boot })
     }
 
     fn require_save(&mut self) {
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -38,10 +38,10 @@
 
 /// Work to be done by the driver.
 ///
-/// `persist` goes to disk first. `messages` may be sent at any time; `persisted_messages` when all batches up
-/// to [`Ready::send_after_batch`] are on disk, and not at all once the role is [`crate::Role::Quarantined`].
-/// `snapshot` is installed when its own batch is on disk, before anything later is applied.
-/// `committed_entries` may be applied at any time.
+/// `persist` is written to disk first. `messages` may be sent at any time; `persisted_messages` when all
+/// batches up to [`Ready::send_after_batch`] are on disk, and not at all once the role is
+/// [`crate::Role::Quarantined`]. `snapshot` is installed when its own batch is on disk, before anything later
+/// is applied. `committed_entries` may be applied at any time.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Ready {
     /// Batch to write to disk; once it is synced, [`crate::Node::persisted`] is called with its number.
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -173,7 +173,8 @@
         let quorum = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
         let responses: Vec<&RejoinResponse> =
             others.iter().filter_map(|other| self.responses.get(other)).collect();
-        // A quarantined member is not waited for: its response counts here, and adds nothing to the floors.
+        // The quorum doesn't wait for a quarantined member: its response counts, but adds nothing to the
+        // floors.
         let response_count = responses.len();
         let is_trusted = |response: &&&RejoinResponse| response.is_established && !response.is_quarantined;
         let established = responses.iter().filter(is_trusted).count();
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -54,7 +54,7 @@
     IncompleteLeader {
         /// The leader.
         leader: MemberId,
-        /// Its term.
+        /// Term of the leader.
         term: u64,
         /// Index of the committed entry.
         index: u64,
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -13,7 +13,7 @@
     AckBeforeSync,
     /// A member trusts its disk when it starts: no acknowledgement check and no floors.
     TrustDisk,
-    /// Messages don't carry the boots of the members.
+    /// Messages don't contain the boots of the members.
     NoCrashVectors,
     /// The state machine does not drop duplicates.
     DuplicatesApplied,
--- a/crates/wal/examples/append_throughput.rs
+++ b/crates/wal/examples/append_throughput.rs
@@ -63,14 +63,14 @@
     for round in 0..3 {
         for (name, append_all) in stores {
             let path = Path::new(&directory).join(format!("{name}-{round}"));
-            let before = resident_kib();
+            let resident_before = resident_kib();
             let elapsed = append_all(&path, appends)?;
             let rate = appends as f64 / elapsed.as_secs_f64();
             println!(
                 "{name}: {rate:.0} synced appends per second, {:.0} us each, {} bytes on disk, memory +{} KiB",
                 elapsed.as_micros() as f64 / appends as f64,
                 directory_bytes(&path),
-                resident_kib().saturating_sub(before)
+                resident_kib().saturating_sub(resident_before)
             );
             std::fs::remove_dir_all(&path)?;
         }
