--- a/src/run/mod.rs
+++ b/src/run/mod.rs
@@ -1,8 +1,9 @@
-//! The program around the serving core: command line, configuration, start and stop.
+//! The program around the serving core: command line, configuration, startup and shutdown.
 //!
-//! [`cli`] reads the arguments, [`commands`] carries out a sub-command, [`startup_files`] reads what a start names,
-//! and [`serve`] starts the subsystems and stops them. The drivers connect state machines of other crates to sockets,
-//! files and the clock: [`membership_driver`], [`hot_restart_driver`], [`certificates`], [`admin`].
+//! [`cli`] reads the arguments, [`commands`] runs a sub-command, [`startup_files`] reads the files that the
+//! options name, and [`serve`] starts and stops the subsystems. The drivers connect state machines of other
+//! crates to sockets, files and the clock: [`membership_driver`], [`hot_restart_driver`], [`certificates`],
+//! [`admin`].
 
 pub mod admin;
 pub mod certificates;
--- a/src/run/serve/error.rs
+++ b/src/run/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why serving could not start, or ended early.
+//! Errors that prevent serving or end it early.
 
 use super::fronts::FrontName;
 use crate::run::admin::AdminListenError;
@@ -7,7 +7,7 @@
 use crate::run::membership_driver::MembershipStartError;
 use std::io;
 
-/// A start that failed, or a server that could not go on.
+/// Why the server could not start, or had to stop while serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The async runtime could not be built.
@@ -30,24 +30,24 @@
     /// The inherited listening socket could not be used.
     #[error("EDGE_FD")]
     InheritedListener(#[source] io::Error),
-    /// A front's own address could not be read from its socket.
+    /// The local address of a front's listener could not be read.
     #[error("{front}")]
     LocalAddress {
-        /// Which front.
+        /// The front that the listener belongs to.
         front: FrontName,
         /// The operating system's reason.
         source: io::Error,
     },
-    /// The membership could not start.
+    /// The membership's socket could not be opened.
     #[error(transparent)]
     Membership(#[from] MembershipStartError),
-    /// The admin listener could not start.
+    /// The admin address could not be listened on.
     #[error(transparent)]
     Admin(#[from] AdminListenError),
-    /// The listener for certificate challenges could not start.
+    /// The address for certificate challenges could not be listened on.
     #[error(transparent)]
     Certificates(#[from] CertificateError),
-    /// The task that drives the core's clock ended while serving.
+    /// The task that drives the core's clock ended while serving; without it no request reaches its deadline.
     #[error("the core's clock has stopped")]
     CoreStopped,
 }
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -10,12 +10,12 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tracing::info;
 
-/// Which front a listener belongs to.
+/// The front that a listener belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontName {
     /// The platform's front, which every manager has.
     Platform,
-    /// The second front, of the operator's file.
+    /// The second front, which the operator's file configures.
     Second,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// As a failed start names it on standard error.
+/// The name in the message of a failed start on standard error.
 impl fmt::Display for FrontName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -41,17 +41,17 @@
 
 /// A front that accepts connections.
 pub struct OpenFront {
-    /// The front.
+    /// Serves the connections, and stops accepting at [`OpenFront::close`].
     pub front: Rc<Front>,
     /// The task that accepts its connections.
     pub accept_task: JoinHandle<()>,
 }
 
 impl OpenFront {
-    /// Starts to accept connections on `listener`; `name` is for log lines and errors.
+    /// Starts accepting connections on `listener`; `name` identifies the front in log lines and errors.
     ///
     /// # Errors
-    /// A listener whose own address cannot be read.
+    /// A listener whose local address cannot be read.
     pub fn open(
         name: FrontName,
         core: &Rc<Core>,
@@ -71,15 +71,15 @@
         self.front.open_requests() > 0 || self.front.closing_connections() > 0
     }
 
-    /// Stops accepting, and waits until the accepting task has ended.
+    /// Stops accepting connections, and waits until the accept task has ended.
     pub async fn close(&mut self) {
         self.front.close();
-        // A task that failed accepts nothing any more either.
+        // A task that panicked no longer accepts connections either.
         let _ = (&mut self.accept_task).await;
     }
 }
 
-/// Listens on an address.
+/// Listens on an address; a failure names it as configured.
 ///
 /// # Errors
 /// An address that cannot be bound.
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -1,7 +1,7 @@
-//! Serving clients, from the configuration to the last answer after SIGTERM.
+//! Serves clients, from the configuration to the last response after SIGTERM.
 //!
 //! [`startup`] starts the subsystems in order, [`fronts`] opens the listening sockets, [`reload`] reads the
-//! configuration again at SIGHUP, and [`shutdown`] answers what is open before the process ends.
+//! configuration again at SIGHUP, and [`shutdown`] responds to all open requests before the process exits.
 
 mod error;
 mod fronts;
@@ -23,31 +23,31 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
-/// Everything that a start has read: the configuration and the optional files beside it.
+/// The configuration and the optional settings files, as read at startup.
 pub struct ServerConfig {
-    /// The configuration.
+    /// The platform's configuration; each other field comes from a file of its own or from the environment.
     pub config: Config,
-    /// Address of the admin listener; without it there is none.
+    /// Address of the admin listener; `None` disables it.
     pub admin_address: Option<String>,
-    /// The clients' listening socket where the platform holds it; otherwise this process opens its own.
+    /// The clients' listening socket if the platform passed one on; otherwise this process opens its own.
     pub inherited_listener: Option<std::net::TcpListener>,
-    /// The second front; without it that front is off.
+    /// Settings of the second front; `None` disables it.
     pub second_front: Option<SecondFrontConfig>,
-    /// The recorder; without it nothing is recorded.
+    /// Settings of the capture recorder; `None` disables recording.
     pub recorder: Option<RecorderSettings>,
-    /// Start-up pacing; off where it is absent or not enabled.
+    /// Startup pacing; off if absent or not enabled.
     pub cold_start: Option<StartupConfig>,
-    /// Gossip between managers; off where it is absent or not enabled.
+    /// Gossip between managers; off if absent or not enabled.
     pub membership: Option<MembershipConfig>,
-    /// Failover between zones; off where it is absent or not enabled.
+    /// Failover between zones; off if absent or not enabled.
     pub failover: Option<FailoverConfig>,
 }
 
-/// Serves until SIGTERM or SIGINT. At SIGHUP the configuration is read again by `read_config` from the files of
-/// `options`.
+/// Serves until SIGTERM or SIGINT. At SIGHUP `read_config` reads the configuration again from the file that
+/// `options` name.
 ///
 /// # Errors
-/// A start that failed, or a policy clock that stopped while serving.
+/// A failed start, or a core clock that stopped while serving.
 pub fn serve(
     config: ServerConfig,
     options: ServeOptions,
@@ -55,10 +55,10 @@
 ) -> Result<(), ServeError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ServeError::Runtime)?;
-    let served = LocalSet::new().block_on(&runtime, run(config, options, read_config));
+    let result = LocalSet::new().block_on(&runtime, run(config, options, read_config));
     // A blocking thread that still reads a file must not delay the exit.
     runtime.shutdown_background();
-    served
+    result
 }
 
 async fn run(
@@ -67,15 +67,15 @@
     read_config: ConfigReader,
 ) -> Result<(), ServeError> {
     // Before the first await: a signal without a handler would end the process.
-    let hangup = register(SignalKind::hangup())?;
-    let mut terminate = register(SignalKind::terminate())?;
-    let mut interrupt = register(SignalKind::interrupt())?;
+    let hangup = register_signal(SignalKind::hangup())?;
+    let mut terminate = register_signal(SignalKind::terminate())?;
+    let mut interrupt = register_signal(SignalKind::interrupt())?;
     let reloader = reload::Reloader { hangup, options, read_config };
     let mut server = Server::start(config, reloader).await?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        // Without its clock the core would end no request any more.
+        // Without its clock the core would never time out a request.
         _ = &mut server.core_task => {
             server.core.set_recorder(None);
             return Err(ServeError::CoreStopped);
@@ -85,6 +85,6 @@
     Ok(())
 }
 
-fn register(kind: SignalKind) -> Result<Signal, ServeError> {
+fn register_signal(kind: SignalKind) -> Result<Signal, ServeError> {
     signal(kind).map_err(ServeError::Signals)
 }
--- a/src/run/serve/reload.rs
+++ b/src/run/serve/reload.rs
@@ -11,22 +11,22 @@
 use tokio::time::{timeout, Instant};
 use tracing::{info, warn};
 
-/// How long a configuration that cannot be read or is invalid is read again.
+/// How long reading is retried when the configuration is unreadable or invalid.
 const RETRY_PERIOD: Duration = Duration::from_secs(5);
-/// Pause between two attempts to read it.
+/// Pause between two attempts to read the configuration.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reads the configuration that the options name.
+/// Function that reads the configuration that the options name; it may block.
 pub type ConfigReader = fn(&ServeOptions) -> Result<Config, StartupFileError>;
 
-/// Why the configuration was not read again.
+/// Why the configuration could not be reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The file could not be read or is invalid.
     #[error(transparent)]
     Config(#[from] StartupFileError),
     /// The thread that read the file panicked.
-    #[error("the reader failed")]
+    #[error("the thread that reads the configuration panicked")]
     ReaderFailed,
     /// The configuration names no control feed.
     #[error("configuration: feed: missing")]
@@ -38,28 +38,29 @@
 
 /// Reads the configuration again whenever SIGHUP arrives.
 pub struct Reloader {
-    /// Notifies of SIGHUP.
+    /// Receives SIGHUP.
     pub hangup: Signal,
-    /// The files to read.
+    /// Options of the process, which name the configuration file.
     pub options: ServeOptions,
-    /// How they are read.
+    /// Reads the configuration, on a blocking thread.
     pub read_config: ConfigReader,
 }
 
 impl Reloader {
-    /// Handles one SIGHUP after the other until the signal stream ends, and sends the control feed's address to
-    /// `feed_address` where it has changed. Signals that arrive while a file is read are merged into one, so the
-    /// last version of the file is always read.
+    /// Handles each SIGHUP until the signal stream ends, and sends the control feed's address to
+    /// `feed_address` if it has changed. Signals that arrive while a file is being read are merged into one,
+    /// so the last version of the file is always read.
     ///
-    /// Only the feed's address changes in a running process: no session, request or engine connection is touched.
+    /// Only the feed's address changes in a running process: sessions, requests and engine connections are
+    /// not affected.
     pub async fn run(mut self, feed_address: watch::Sender<Option<String>>) {
         while self.hangup.recv().await.is_some() {
             self.reload(&feed_address).await;
         }
     }
 
-    /// Reads the file until it can be read and is valid, for [`RETRY_PERIOD`] at most: it may still be being written, or
-    /// fail to open for a moment, and no second signal announces that it is complete.
+    /// Reads the file until it is readable and valid, for [`RETRY_PERIOD`] at most: it may still be being
+    /// written, or fail to open for a moment, and no second signal announces that it is complete.
     async fn reload(&mut self, feed_address: &watch::Sender<Option<String>>) {
         let mut deadline = Instant::now() + RETRY_PERIOD;
         let mut was_logged = false;
@@ -67,13 +68,13 @@
             match self.read_feed_address().await {
                 Ok(address) => {
                     info!(feed_address = address, "configuration reloaded");
-                    feed_address.send_if_modified(|current| replace(current, address));
+                    feed_address.send_if_modified(|current| replace_address(current, address));
                     return;
                 }
                 // An invalid file must not disturb a serving process: its settings stay as they were.
                 Err(error) if !was_logged => {
                     was_logged = true;
-                    warn!(error = with_causes(&error), "configuration not reloaded, nothing changes");
+                    warn!(error = with_causes(&error), "configuration not reloaded; keeping the current one");
                 }
                 Err(_) if Instant::now() >= deadline => return,
                 Err(_) => {}
@@ -93,7 +94,7 @@
         let read = spawn_blocking(move || read_config(&options)).await;
         let config = read.map_err(|_| ReloadError::ReaderFailed)??;
         let address = config.feed.ok_or(ReloadError::FeedMissing)?;
-        if is_connectable(&address) {
+        if has_host_and_port(&address) {
             Ok(address)
         } else {
             Err(ReloadError::FeedAddress(address))
@@ -101,15 +102,15 @@
     }
 }
 
-/// Puts the new address in place; true if it differs from the current one.
-fn replace(current: &mut Option<String>, address: String) -> bool {
+/// Stores the new address; true if it differs from the current one.
+fn replace_address(current: &mut Option<String>, address: String) -> bool {
     let changed = current.as_ref() != Some(&address);
     *current = Some(address);
     changed
 }
 
-/// Whether an address can be connected to: it has a host, and a port other than 0.
-fn is_connectable(address: &str) -> bool {
+/// Whether an address has a host, and a port other than 0.
+fn has_host_and_port(address: &str) -> bool {
     let (host, port) = address.rsplit_once(':').unwrap_or_default();
     !host.is_empty() && matches!(port.parse::<u16>(), Ok(1..))
 }
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: what is open is answered, then the process ends.
+//! Graceful shutdown: every open request gets its response, then the process exits.
 
 use super::startup::Server;
 use crate::core::{now, to_duration};
@@ -7,27 +7,28 @@
 use tokio::time::{sleep, Instant};
 use tracing::{info, warn};
 
-/// After SIGTERM new connections and requests are still accepted for this long. The phases of a hot restart have a
-/// constant of the same length: `sprucelink_hot_restart::ACCEPT_GRACE`.
+/// How long new connections and requests are still accepted after SIGTERM. The phases of a hot restart use an
+/// equal constant: `sprucelink_hot_restart::ACCEPT_GRACE`.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Longest request deadline that is waited for after [`ACCEPT_PERIOD`]; SIGKILL is not expected before both have
-/// passed.
+/// Maximum wait after [`ACCEPT_PERIOD`] for open requests to reach their deadlines; SIGKILL is not expected
+/// before both have passed.
 const MAX_DEADLINE_WAIT: Duration = Duration::from_secs(3);
-/// The same where another process shares the listening socket (a hot restart).
+/// [`MAX_DEADLINE_WAIT`] if another process shares the listening socket (a hot restart).
 const MAX_DEADLINE_WAIT_AT_HOT_RESTART: Duration = Duration::from_secs(5);
-/// Time before the end at which every open request gets its final response: what SIGKILL finds without one is lost, and
-/// a slow process needs time to write the responses.
+/// Time before the end at which every open request gets its final response: SIGKILL would leave the remaining
+/// requests without one, and a slow process needs time to write the responses.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
-/// Interval between two checks of whether everything is answered.
+/// Interval between two checks of whether all requests have their responses.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Consecutive checks that must find nothing open before the end: bytes that arrived while this process was not
-/// scheduled are read only now, and a new connection needs several polls of the event loop until its first request is read.
+/// Consecutive checks that must find no open request before the process exits: bytes that arrived while this
+/// process was not scheduled are read only now, and a new connection needs several polls of the event loop
+/// until its first request is read.
 const IDLE_CHECKS: u32 = 5;
 
-/// The instants of a shutdown, and the span that they depend on.
+/// Instants of a shutdown, and the wait that they are computed from.
 #[derive(Clone, Copy)]
 struct Schedule {
-    /// The longest deadline of an open request, as far as it is waited for.
+    /// The longest configured request deadline, limited by the maximum wait.
     deadline_wait: Duration,
     /// The process ends at this instant at the latest.
     stop_at: Instant,
@@ -43,24 +44,26 @@
         Schedule { deadline_wait, stop_at, answer_at: stop_at - ANSWER_MARGIN }
     }
 
-    /// Time until [`Schedule::answer_at`], counted from the start of the shutdown: the core has a clock of its own.
+    /// Time from the start of the shutdown to [`Schedule::answer_at`], as a duration because the core has a
+    /// clock of its own.
     fn answer_period(&self) -> TimeDelta {
         let period = ACCEPT_PERIOD + self.deadline_wait - ANSWER_MARGIN;
         TimeDelta::from_micros(period.as_micros() as i64)
     }
 }
 
-/// Stops accepting, waits until everything is answered or time runs out, and stops the subsystems.
+/// Stops accepting, waits until all requests have their responses or the schedule ends, and stops the
+/// subsystems.
 pub async fn shut_down(mut server: Server) {
     info!(open_requests = server.core.pending_requests(), "stopping");
     if let Some(hot_restart) = &server.hot_restart {
         hot_restart.begin_stop();
     }
     let schedule = Schedule::new(server.longest_deadline, server.hot_restart.is_some());
-    // From then on nothing is forwarded. Requests that arrive until then get it as their deadline.
+    // From this deadline on no request is forwarded. Requests that arrive before it get it as their deadline.
     server.core.set_shutdown_deadline(now() + schedule.answer_period());
     sleep(ACCEPT_PERIOD).await;
-    // The timer may fire before the sockets are polled where this process was not scheduled in between.
+    // If this process was not scheduled meanwhile, the timer may fire before the sockets are polled.
     sleep(CHECK_INTERVAL).await;
     for front in &mut server.fronts {
         front.close().await;
@@ -77,14 +80,14 @@
     info!(open_requests = server.core.pending_requests(), "stopped");
 }
 
-/// Waits until nothing is open for [`IDLE_CHECKS`] checks in a row, at most until the end of the schedule.
+/// Waits until no front is busy for [`IDLE_CHECKS`] checks in a row, at most until [`Schedule::stop_at`].
 async fn wait_until_idle(server: &Server, schedule: Schedule) {
     let mut idle_checks = 0;
-    let mut is_answered = false;
+    let mut are_all_answered = false;
     while idle_checks < IDLE_CHECKS && Instant::now() < schedule.stop_at {
         sleep(CHECK_INTERVAL).await;
-        if !is_answered && Instant::now() >= schedule.answer_at {
-            is_answered = true;
+        if !are_all_answered && Instant::now() >= schedule.answer_at {
+            are_all_answered = true;
             complete_all(server);
         }
         if server.fronts.iter().any(|front| front.is_busy()) {
@@ -95,7 +98,7 @@
     }
 }
 
-/// Gives every open request its final response, as `shutdown_response` of the core chooses it.
+/// Sends every open request its final response, which the core's `shutdown_response` chooses.
 fn complete_all(server: &Server) {
     let answered = server.core.complete_all();
     if answered > 0 {
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the subsystems, in the order in which they depend on one another.
+//! Starts the subsystems in the order of their dependencies.
 
 use super::fronts::{bind, FrontName, OpenFront};
 use super::reload::Reloader;
@@ -26,19 +26,19 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tracing::{info, warn};
 
-/// Everything that runs from the start to the shutdown.
+/// The subsystems that run from startup to shutdown.
 pub struct Server {
-    /// Requests, attempts and engines.
+    /// Owns requests, attempts and engines.
     pub core: Rc<Core>,
-    /// The task that drives the core's clock; it ends only by a fault.
+    /// The task that drives the core's clock; it ends only on a fault.
     pub core_task: JoinHandle<()>,
-    /// Gossip between managers, where it is on.
+    /// Gossip between managers, if enabled.
     pub membership: Option<MembershipHandle>,
-    /// This process's side of a hot restart, where the platform holds the listening socket.
+    /// This process's part in hot restarts; present if the platform passed on the listening socket.
     pub hot_restart: Option<Rc<HotRestartDriver>>,
-    /// The platform's front, then the second one where it is on.
+    /// The platform's front, then the second front if it is enabled.
     pub fronts: Vec<OpenFront>,
-    /// The longest deadline that a request may have.
+    /// The longest deadline of all request classes.
     pub longest_deadline: TimeDelta,
 }
 
@@ -101,13 +101,14 @@
         metrics,
     });
     if let Some(cold_start) = cold_start {
-        // Before the first endpoint list: the limits have to hold from the start.
+        // Enabled before the first endpoint list, so that the limits apply from the first connection.
         core.enable_startup_control(cold_start, &config.name);
     }
     Ok(core)
 }
 
-/// Starts the recorder where its settings are given. A failure is logged: serving does not need the recorder.
+/// Starts the recorder if there are settings for it. A failure is only logged: serving does not depend on the
+/// recorder.
 fn start_recorder(core: &Core, settings: Option<RecorderSettings>, seed: u64) {
     let Some(settings) = settings else { return };
     match Recorder::start(&settings, seed, now()) {
@@ -119,7 +120,7 @@
     }
 }
 
-/// Applies the endpoint events that the configuration holds: the first one begins a complete list.
+/// Applies the endpoint events in the configuration; the first event begins a complete list.
 fn apply_known_endpoints(core: &Rc<Core>, config: &Config) {
     for (index, event) in config.known_endpoints.events.iter().enumerate() {
         core.on_endpoint_list(event, index == 0);
@@ -127,7 +128,7 @@
     core.skip_event(config.known_endpoints.last_event);
 }
 
-/// The schedule by which this manager polls for endpoint lists.
+/// Creates the schedule on which this manager polls for endpoint lists.
 fn endpoint_poller(cold_start: StartupConfig, config: &Config) -> EndpointPoller {
     let fleet = config.settings.gateways;
     let poller = EndpointPoller::new(cold_start.endpoint_poller, fleet, config.seed, now());
@@ -143,7 +144,7 @@
     core.enable_zone_failover(&settings, home, config.zone_names.clone());
 }
 
-/// Starts the membership where it is enabled.
+/// Starts the membership if it is enabled.
 async fn start_membership(
     core: &Rc<Core>,
     settings: Option<MembershipConfig>,
