--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -1,4 +1,5 @@
-//! The admin address: what its calls do in this program. `sprucelink_admin` speaks HTTP and bounds the callers.
+//! The admin address: implements its operations on the core. `sprucelink_admin` speaks HTTP and bounds the
+//! clients.
 
 use super::hot_restart_driver::HotRestartDriver;
 use super::listen::listen;
@@ -13,28 +14,28 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// Origin of a cordon that its record names.
+/// Origin in the record of a cordon that an operator set.
 const CORDON_ORIGIN: &str = "by the operators' address";
 
-/// The limit on descriptors is divided by this for the admin connections.
+/// Divisor of the limit on descriptors that gives the limit on admin connections.
 const CONNECTIONS_DIVISOR: usize = 16;
-/// Fewest admin connections that the limit allows.
+/// Lowest limit on admin connections.
 const MIN_CONNECTIONS: usize = 4;
-/// Most admin connections that the limit allows.
+/// Highest limit on admin connections.
 const MAX_CONNECTIONS: usize = 32;
-/// Longest time that an admin call may take to arrive.
+/// Longest time that an admin request may take to arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time that its response may take to be written.
+/// Longest time that the response may take to be written.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time that a connection is kept after its response, so that the caller can read it.
+/// Longest time that a connection is kept after its response, so that the client can read it.
 const LINGER: Duration = Duration::from_millis(500);
-/// Admin connections accepted in a second, on average.
+/// Admin connections accepted per second, on average.
 const ACCEPTS_PER_SECOND: u32 = 500;
-/// Admin connections accepted at once after a quiet time.
+/// Admin connections accepted at once after an idle period.
 const ACCEPT_BURST: u32 = 256;
 
-/// Limits of the admin address in a process that may hold this many descriptors. Operators, health checks and scrapers
-/// need few connections, and each of them is a descriptor that clients and engines cannot use.
+/// Limits of the admin address in a process that may hold `sockets` descriptors. Operators, health checks and
+/// scrapers need few connections, and each connection takes a descriptor that clients and engines cannot use.
 pub fn limits(sockets: usize) -> Limits {
     Limits {
         max_connections: (sockets / CONNECTIONS_DIVISOR).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS),
@@ -46,7 +47,7 @@
     }
 }
 
-/// An admin address that cannot be listened on.
+/// The admin address cannot be listened on.
 #[derive(Debug, thiserror::Error)]
 #[error("operators: listen on {address}")]
 pub struct AdminListenError {
@@ -56,23 +57,23 @@
     pub source: io::Error,
 }
 
-/// The counter of a limit that callers reach.
+/// The counter of how often clients reach a limit.
 struct LimitCounter {
     limit: LimitReached,
     counter: Counter,
 }
 
-/// The program, as admin calls see it.
+/// The operations of the admin address on this process.
 pub struct AdminOperations {
     core: Rc<Core>,
     is_ready: Cell<bool>,
-    /// This process's side of a hot restart, where there may be one.
+    /// This process's part in hot restarts, if the platform passed on the listening socket.
     hot_restart: Option<Rc<HotRestartDriver>>,
     limit_counters: Vec<LimitCounter>,
 }
 
 impl AdminOperations {
-    /// Operations on a core; health checks fail until [`AdminOperations::set_ready`].
+    /// Creates the operations on `core`; health checks fail until [`AdminOperations::set_ready`].
     pub fn new(core: Rc<Core>, hot_restart: Option<Rc<HotRestartDriver>>) -> Rc<AdminOperations> {
         let counter = |limit: &LimitReached| {
             let counter = core.metrics().counter(limit.counter_name());
@@ -82,12 +83,12 @@
         Rc::new(AdminOperations { core, is_ready: Cell::new(false), hot_restart, limit_counters })
     }
 
-    /// From now on this process can serve.
+    /// Marks this process as ready: health checks succeed, unless a hot restart makes them fail.
     pub fn set_ready(&self) {
         self.is_ready.set(true);
     }
 
-    /// Listens for admin calls within these limits.
+    /// Listens on `address` and serves admin requests within `limits`, in a task of the current `LocalSet`.
     ///
     /// # Errors
     /// An address that cannot be listened on.
@@ -100,7 +101,7 @@
         Ok(())
     }
 
-    /// The response to a call that sets or ends a cordon, after its result is recorded for a hot restart.
+    /// The response to a request that sets or ends a cordon, after the result is recorded for a hot restart.
     fn complete(
         &self,
         engine: &str,
@@ -110,7 +111,7 @@
             warn!(engine_id = engine, %error, "cordon call rejected");
             rejection(&error)
         });
-        // Written before the response: a confirmed cordon must survive the end of this process.
+        // Written before the response: a confirmed cordon must survive the exit of this process.
         if let (Ok(_), Some(hot_restart)) = (&outcome, &self.hot_restart) {
             hot_restart.record_cordons().map_err(|error| {
                 OperationError::Unavailable(format!("it holds here and is not on record: {error}"))
@@ -125,7 +126,7 @@
     }
 }
 
-/// The response to a call that the cordons rejected.
+/// The response to a request whose cordon was rejected.
 fn rejection(error: &CordonError) -> OperationError {
     match error {
         CordonError::NeverListed | CordonError::InvalidTarget => OperationError::Unknown,
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -1,6 +1,6 @@
 //! The platform's configuration as the program uses it.
 //!
-//! `sprucelink_settings` reads the text into types; here they become limits, names and settings.
+//! `sprucelink_settings` reads the text into types; this module turns them into limits, names and settings.
 
 use super::admin;
 use super::descriptor_budget::{DescriptorBudget, TooFewDescriptors};
@@ -11,58 +11,58 @@
 use sprucelink_settings::{Environment, Error, ErrorReason, PlatformConfig, Text, WireClass};
 use std::net::SocketAddr;
 
-/// Limit on descriptors where the configuration names none.
+/// Limit on file descriptors if the configuration has none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory limit in megabytes where the configuration names none.
+/// Memory limit in megabytes if the configuration has none.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Lowest memory limit in megabytes that buffers are computed from.
+/// Lower bound of the memory limit in megabytes when the number of buffers is computed.
 const MIN_MEMORY_MB: usize = 16;
-/// Buffers of 64 KiB for each megabyte of the memory limit: half of the memory.
+/// Buffers of 64 KiB per megabyte of the memory limit: half of the memory.
 const BUFFERS_PER_MB: usize = 8;
-/// Attempts that one engine connection carries where the configuration does not say.
+/// Concurrent attempts on one engine connection if the configuration has no limit.
 const DEFAULT_MAX_STREAMS: f64 = 32.0;
-/// Seconds that an engine connection may take to be established where the configuration does not say.
+/// Connect timeout of an engine connection in seconds if the configuration has none.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 1.0;
-/// Seconds after which an idle engine connection is closed where the configuration does not say.
+/// Seconds after which an idle engine connection is closed if the configuration has no timeout.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
-/// The limit on descriptors is divided by this for the connections to one engine.
+/// Divisor of the limit on descriptors that gives the limit on connections to one engine.
 const CONNECTIONS_PER_ENGINE_DIVISOR: usize = 32;
 /// Lowest limit on the connections to one engine.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
 
-/// The endpoint events that a configuration holds.
+/// The endpoint events in a configuration, so that a start needs no answer of the control feed.
 pub struct KnownEndpoints {
-    /// Number of the last event.
+    /// Sequence number of the last event, after which the control feed is polled.
     pub last_event: u64,
     /// The events, oldest first.
     pub events: Vec<ListEvent>,
 }
 
-/// Everything that a start needs from the configuration.
+/// The platform's configuration, converted for the subsystems of the program.
 pub struct Config {
-    /// This manager's name, the same after a restart; empty where none is configured.
+    /// This manager's name, the same after a restart; empty if none is configured.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: String,
-    /// Address of the control feed.
+    /// Address of the control feed; `None` if none is configured.
     pub feed: Option<String>,
-    /// Address of the admin listener; without it there is none.
+    /// Address of the admin listener; `None` disables it.
     pub admin_address: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
+    /// Descriptor of the clients' listening socket, if the platform passed one on.
     pub inherited_listener: Option<u32>,
-    /// Endpoint events up to now.
+    /// Endpoint events up to the start.
     pub known_endpoints: KnownEndpoints,
-    /// The policy's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// Seed for random numbers.
+    /// Seed of all random number generators of the process.
     pub seed: u64,
-    /// Names of zones, by number.
+    /// Names of zones, by zone index.
     pub zone_names: Vec<String>,
-    /// Names of machine kinds, by number.
+    /// Names of machine kinds, by kind index.
     pub kind_names: Vec<String>,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may hold (`limits.sockets`).
     pub sockets: usize,
-    /// How the descriptors are divided.
+    /// Division of the descriptors among their users.
     pub descriptors: DescriptorBudget,
     /// Limits of engine connections.
     pub connection_limits: ConnectionLimits,
@@ -76,7 +76,7 @@
     /// Reserves `count` more descriptors; sessions and engine connections get fewer.
     ///
     /// # Errors
-    /// The limit that would be enough, where this one is not.
+    /// A limit that is too low for the reservation; the error holds the lowest sufficient one.
     pub fn reserve_descriptors(&mut self, count: usize) -> Result<(), TooFewDescriptors> {
         self.descriptors = DescriptorBudget::divide(self.sockets, self.descriptors.reserved + count)?;
         self.connection_limits.max_total = self.descriptors.engine_connections;
@@ -85,10 +85,11 @@
     }
 }
 
-/// Reads a configuration. The environment supplies the admin address where the text has none, and the inherited socket.
+/// Reads a configuration. The environment supplies the inherited socket, and the admin address if the text
+/// has none.
 ///
 /// # Errors
-/// The first field that is invalid: by line, column and path.
+/// The first invalid field, with its line, column and path.
 pub fn parse(text: &str, environment: &Environment) -> Result<Config, Error> {
     let platform: PlatformConfig<events::ConfiguredEvent> = PlatformConfig::parse(text)?;
     let settings = platform.settings.to_policy_settings();
@@ -123,7 +124,7 @@
     })
 }
 
-/// The names of a list; empty ones are left out.
+/// The names in a list, without empty ones.
 fn names(texts: &[Text]) -> Vec<String> {
     texts.iter().filter(|text| !text.0.is_empty()).map(|text| text.0.clone()).collect()
 }
--- a/src/run/config/tests.rs
+++ b/src/run/config/tests.rs
@@ -1,15 +1,15 @@
-//! What a configuration becomes: defaults, bounds, and the place of an invalid field.
+//! Conversion of a configuration: defaults, bounds, and the location of an invalid field in the error.
 
 use super::*;
 
 const MINIMAL: &str = r#""listen":"10.0.0.4:7001","seed":"a","settings":{}"#;
 
-fn parse_with(more: &str, environment: &Environment) -> Result<Config, String> {
-    parse(&format!("{{{MINIMAL}{more}}}"), environment).map_err(|e| e.to_string())
+fn parse_with(extra_fields: &str, environment: &Environment) -> Result<Config, String> {
+    parse(&format!("{{{MINIMAL}{extra_fields}}}"), environment).map_err(|e| e.to_string())
 }
 
-fn parse_valid(more: &str, environment: &Environment) -> Config {
-    parse_with(more, environment).unwrap_or_else(|e| panic!("{e}"))
+fn parse_valid(extra_fields: &str, environment: &Environment) -> Config {
+    parse_with(extra_fields, environment).unwrap_or_else(|e| panic!("{e}"))
 }
 
 fn environment_with_admin() -> Environment {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn invalid_event_is_named_by_line_and_path() {
+fn invalid_event_is_rejected_with_line_and_path() {
     let text =
         format!("{{{MINIMAL},\n\"known\":{{\"n\":2,\"events\":[{{\"n\":1}},\n{{\"members\":{{}}}}]}}}}");
     let e = parse(&text, &Environment::default()).err().map(|e| e.to_string()).unwrap_or_default();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn limits_that_are_too_low_are_rejected_by_name() {
+fn limits_that_are_too_low_are_rejected_with_their_path() {
     let no_admin = Environment::default();
     let admin = environment_with_admin();
     for (limits, environment, message) in [
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn lowest_limits_and_absent_limits_are_used() {
+fn lowest_limits_are_accepted_and_absent_limits_get_defaults() {
     let config = parse_valid(r#","limits":{"sockets":36,"memory_mb":1}"#, &environment_with_admin());
     assert_eq!((config.front.max_sessions, config.connection_limits.max_total, config.buffers), (5, 3, 128));
     for absent in ["null", "{}", r#"{"sockets":null,"memory_mb":null}"#] {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The second front's connections count against the limit too.
+/// Guards against a second front whose connections are not counted: the process would exceed its limit.
 #[test]
 fn reserved_descriptors_are_taken_from_sessions_and_engine_connections() {
     let mut config = parse_valid("", &Environment::default());
--- a/src/run/descriptor_budget/tests.rs
+++ b/src/run/descriptor_budget/tests.rs
@@ -12,7 +12,7 @@
         + budget.engine_connections
 }
 
-/// One side must not hold descriptors that another counts on: clients could take the control feed's.
+/// Guards against one user taking descriptors that another depends on: clients could take the control feed's.
 #[test]
 fn budget_never_exceeds_the_limit() {
     for limit in (0..=2_048).chain([4_096, 65_536, 1 << 40]) {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn documented_table_is_what_is_computed() {
+fn budgets_match_the_documented_table() {
     let with_admin = |limit| {
         let reserved = admin::limits(limit).descriptors();
         let budget = DescriptorBudget::divide(limit, reserved).expect("enough");
--- a/src/run/error.rs
+++ b/src/run/error.rs
@@ -1,13 +1,13 @@
-//! How an error and its causes are shown on standard error and in log lines.
+//! Formats an error and its causes for standard error and log lines.
 
 use std::error::Error;
 
-/// An error of another crate, kept as the cause of one of ours.
+/// An error of another crate, kept as the cause of an error of this one.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// The message of an error followed by those of its causes, joined by `": "`.
 ///
-/// Some libraries put the text of the cause into their own message; such a cause is not shown again.
+/// Some libraries include the text of the cause in their own message; such a cause is not repeated.
 pub fn with_causes(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/src/run/error/tests.rs
+++ b/src/run/error/tests.rs
@@ -1,4 +1,4 @@
-//! The text of an error with its causes.
+//! Messages of errors with their causes.
 
 use super::*;
 use std::io;
@@ -21,6 +21,6 @@
 }
 
 #[test]
-fn a_cause_that_the_message_already_holds_is_shown_once() {
+fn cause_that_the_message_already_contains_is_shown_once() {
     assert_eq!(with_causes(&Sample::Repeats(io::Error::other("broken"))), "reading: broken");
 }
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -1,8 +1,9 @@
-//! Drives hot restarts: a second process beside the first, on the same listening socket, counting with it as one
-//! workload manager.
+//! Drives hot restarts: a second process runs beside the first on the same listening socket, and both
+//! together count as one workload manager.
 //!
-//! `sprucelink_hot_restart` decides which process accepts connections and which part of the budgets each may spend, and
-//! keeps the state files by which they know of each other; this driver carries its decisions out.
+//! `sprucelink_hot_restart` decides which process accepts connections and which part of the budgets each may
+//! spend, and maintains the state files through which the processes discover each other; this driver applies
+//! its decisions.
 
 use crate::core::{machine_clock_offset, now, Core};
 use crate::front::Front;
@@ -20,21 +21,22 @@
 use tokio::time::sleep;
 use tracing::{debug, error, info, warn, Level};
 
-/// Most hashes of engine ids that a state file passes on, so that the cordons always fit into the file.
+/// Maximum number of engine id hashes in a state file, so that the cordons always fit into the file.
 const MAX_ENGINE_IDS: usize = 16_384;
 
 /// File with an id that changes with each start of the machine.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
-/// Among how many processes the manager's budgets are divided, as last set in the core.
+/// Division of the manager's budgets, as last set in the core.
 #[derive(Clone, Copy)]
 struct BudgetParts {
+    /// Number of processes that share the budgets.
     parts: u32,
-    /// Since when fewer parts would be enough.
+    /// Time since which fewer parts would be enough; `None` if the current number is needed.
     fewer_since: Option<Timestamp>,
 }
 
-/// The state that was last logged.
+/// The state in the last log line about the phase.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LoggedState {
     phase: Phase,
@@ -42,41 +44,41 @@
     is_unacknowledged: bool,
 }
 
-/// Why the state file is written; it decides the log level of a failure.
+/// Why the state file is written; determines the log level of a failure.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteReason {
-    /// The regular refresh, which is repeated soon.
+    /// The periodic refresh; a failed write is soon repeated.
     Refresh,
-    /// An operator's cordon, whose call waits for the answer.
+    /// An operator's cordon; its response waits for the write.
     Cordon,
 }
 
-/// The clock of this process; `None` where the machine does not tell its start.
+/// The clock of this process; `None` if the boot id of the machine cannot be read.
 fn clock_reference() -> Option<ClockReference> {
     let boot_id = std::fs::read_to_string(BOOT_ID_FILE).ok()?.trim().to_owned();
     Some(ClockReference { boot_id, offset: machine_clock_offset() })
 }
 
-/// One process's side of a hot restart.
+/// This process's part in hot restarts.
 pub struct HotRestartDriver {
     core: Rc<Core>,
     state_files: RefCell<StateFileDriver<DiskFolder>>,
-    /// Windows of the budgets.
+    /// Windows over which the budgets count.
     windows: WindowSpans,
     is_ready: Cell<bool>,
     is_stopping: Cell<bool>,
     budget_parts: Cell<BudgetParts>,
     logged: Cell<Option<LoggedState>>,
-    /// Process ids of the other processes that were alive at the last scan.
+    /// Ids of the other processes that were alive at the last scan.
     live_peers: RefCell<BTreeSet<u32>>,
-    /// Process ids of the other processes that announced their end.
+    /// Ids of the other processes that announced their termination.
     terminated_peers: RefCell<BTreeSet<u32>>,
-    wake: Notify,
+    step_requested: Notify,
 }
 
 impl HotRestartDriver {
-    /// Merges the state of earlier processes, before anything is served. `name` and `listen` distinguish this manager
-    /// from others that share the folder.
+    /// Merges the state of earlier processes; call it before serving begins. `name` and `listen` distinguish
+    /// this manager from others that share the folder.
     pub fn start(core: Rc<Core>, name: &str, listen: &str, windows: WindowSpans) -> Rc<HotRestartDriver> {
         let instance = Instance { name: name.to_owned(), listen: listen.to_owned() };
         let pid = std::process::id();
@@ -96,49 +98,49 @@
             logged: Cell::new(None),
             live_peers: RefCell::default(),
             terminated_peers: RefCell::default(),
-            wake: Notify::new(),
+            step_requested: Notify::new(),
         });
         driver.merge_files(scan, Level::INFO);
         driver
     }
 
-    /// This process can serve from now on.
+    /// Marks this process as ready to serve.
     pub fn set_ready(&self) {
         self.is_ready.set(true);
-        self.wake.notify_one();
+        self.step_requested.notify_one();
     }
 
-    /// SIGTERM has arrived.
+    /// Begins the phases that end this process; called at SIGTERM.
     pub fn begin_stop(&self) {
         self.is_stopping.set(true);
-        self.wake.notify_one();
+        self.step_requested.notify_one();
     }
 
-    /// Whether a health check is to succeed.
+    /// Whether health checks of this process should succeed in its current phase.
     pub fn is_healthy(&self) -> bool {
         self.state_files.borrow().is_healthy()
     }
 
-    /// Writes an operator's cordons, before the call is answered.
+    /// Writes the cordons to the state file, before the operator's call is answered.
     ///
     /// # Errors
-    /// A file that could not be written: the cordon is in force in this process alone.
+    /// A state file that could not be written: the cordon is in effect in this process only.
     pub fn record_cordons(&self) -> Result<(), WriteError> {
         self.write(WriteReason::Cordon)
     }
 
-    /// Scans the files and carries out what follows from them, until the process ends.
+    /// Scans the state files periodically and applies the resulting phase, until the process exits.
     pub async fn run(self: Rc<Self>, front: Rc<Front>) {
         loop {
             self.step(&front);
             tokio::select! {
                 () = sleep(Duration::from_micros(SCAN_INTERVAL.as_micros() as u64)) => {}
-                () = self.wake.notified() => {}
+                () = self.step_requested.notified() => {}
             }
         }
     }
 
-    /// Writes the last file, at the end of the process.
+    /// Writes the last state file, before the process exits.
     pub fn leave(&self) {
         let snapshot = self.snapshot();
         if let Err(error) = self.state_files.borrow_mut().write_last(now(), snapshot) {
@@ -154,8 +156,8 @@
         let status = self.state_files.borrow_mut().step(now(), is_stopping, self.is_ready.get()).clone();
         self.log_state(&status);
         self.log_unresponsive();
-        // A draining process sends hardly any more requests while its successor receives all new ones: the division of
-        // budgets limits the successor alone.
+        // A draining process sends hardly any more requests while its successor receives all new ones, so the
+        // division of budgets limits the successor only.
         let is_draining = matches!(status.phase, Phase::ServingBesideSuccessor | Phase::Draining);
         self.divide_budgets(if is_draining { status.budget_parts } else { 1 });
         front.set_accepting(status.accepts_connections);
@@ -163,12 +165,12 @@
             front.drain_sessions(idle);
         }
         if self.state_files.borrow().is_write_due(now()) {
-            // A failure is logged there, and the next refresh writes again.
+            // `write` logs a failure, and the next refresh writes again.
             let _ = self.write(WriteReason::Refresh);
         }
     }
 
-    /// Merges the state of other processes, with a log line of this level for each file.
+    /// Merges the state of other processes, with a log line at `level` for each file.
     fn merge_files(&self, scan: FolderScan, level: Level) {
         for error in &scan.folder_errors {
             warn!(%error, "hot restart state folder failed");
@@ -222,8 +224,9 @@
         }
     }
 
-    /// Sets in the core among how many processes the manager's budgets are divided. More processes count at once; fewer
-    /// only after the slow-start window, since the requests of the other process still count in it.
+    /// Sets in the core the number of processes that share the manager's budgets. An increase takes effect at
+    /// once, a decrease only after the slow-start window, since the requests of the other process still count
+    /// in it.
     fn divide_budgets(&self, parts: u32) {
         let current = self.budget_parts.get();
         let applies = match (parts.cmp(&current.parts), current.fewer_since) {
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Logs the phase and the division of budgets where they have changed.
+    /// Logs the phase and the division of budgets if they have changed.
     fn log_state(&self, status: &PhaseStatus) {
         let state = LoggedState {
             phase: status.phase,
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Logs other processes that stopped writing without announcing their end.
+    /// Logs other processes that stopped writing without announcing their termination.
     fn log_unresponsive(&self) {
         let peers = self.state_files.borrow().live_peers(now());
         let live: BTreeSet<u32> = peers.iter().map(|peer| peer.process.pid).collect();
@@ -272,8 +275,9 @@
 
     fn snapshot(&self) -> StateSnapshot {
         let (cordons, known_ids) = self.core.export_cordons(MAX_ENGINE_IDS);
-        // Nothing counts into these yet, so that the counts of retries and of work for engines in slow start that a
-        // state file holds are always 0. A reader of the file logs its retries and `warmup_sends`, and uses neither.
+        // Nothing is counted in these counters yet, so the counts of retries and of work for engines in slow
+        // start in a state file are always 0. A reader of the file logs its retries and `warmup_sends`, and
+        // uses neither.
         let counters = WindowCounters::new(self.windows.retry_budget, self.windows.slow_start);
         StateSnapshot {
             cordons,
--- a/src/run/listen.rs
+++ b/src/run/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets of a start.
+//! Opens the listening sockets at startup.
 
 use crate::core::system_error::is_out_of_resources;
 use std::io;
@@ -7,13 +7,13 @@
 use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-/// How long a start waits for an address. The platform waits 10 s for the whole start.
+/// How long startup retries to bind an address. The platform waits 10 s for the whole startup.
 const LISTEN_PERIOD: Duration = Duration::from_secs(3);
 /// Pause between two attempts to bind.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listens on an address. Failures that are likely to pass are retried: no descriptor is free, or the address is still in use
-/// by a predecessor that is about to end.
+/// Listens on an address. Transient failures are retried: no descriptor is free, or the address is still in
+/// use by a predecessor that is about to exit.
 ///
 /// # Errors
 /// An address that cannot be bound within [`LISTEN_PERIOD`].
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: through `tracing`, as text or as JSON lines, on standard output.
+//! Logging through `tracing`, as text or JSON lines on standard output.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,24 +10,24 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// A log setting that does not exist.
+/// An invalid log setting.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoggingError {
-    /// No such format.
+    /// The format is neither `text` nor `json`.
     #[error("{0:?} is neither text nor json")]
     Format(String),
-    /// No such level.
+    /// The level is not one that [`parse_level`] reads.
     #[error("{0:?} is none of error, warn, info, debug, trace")]
     Level(String),
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Unix time in seconds, the message, then the event's fields as `key=value`.
+    /// One line per event: Unix time in seconds, the message, then the event's fields as `key=value`.
     #[default]
     Text,
-    /// One JSON object a line: `timestamp`, `level`, `message` and the event's fields.
+    /// One JSON object per line: `timestamp`, `level`, `message` and the event's fields.
     Json,
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// How log lines are written, and from which level on.
+/// Format and minimum level of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Logging {
-    /// Text or JSON.
+    /// Text or JSON; text by default.
     pub format: Format,
-    /// The least severe level that is written.
+    /// The least severe level that is written; `INFO` by default.
     pub level: Level,
 }
 
@@ -61,7 +61,7 @@
 /// Reads a level: `error`, `warn`, `info`, `debug` or `trace`.
 ///
 /// # Errors
-/// Any other text.
+/// Any other string.
 pub fn parse_level(text: &str) -> Result<Level, LoggingError> {
     text.parse().map_err(|_| LoggingError::Level(text.to_owned()))
 }
@@ -82,10 +82,10 @@
 /// The field that holds an event's message. The macros of `tracing` put it before all others.
 const MESSAGE_FIELD: &str = "message";
 
-/// Writes the message of an event as it is, and each of its fields as ` key=value`.
+/// Writes the message of an event unchanged, and each other field as ` key=value`.
 struct FieldWriter<'a, 'w> {
     writer: &'a mut Writer<'w>,
-    /// The first failure; nothing is written after it.
+    /// The first failed write, after which nothing is written.
     result: fmt::Result,
 }
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// Whether a value needs no quotes: a line that is split at spaces and `=` has it in one piece.
+/// Whether a value needs no quotes: splitting the line at spaces and `=` leaves it in one piece.
 fn is_plain(value: &str) -> bool {
     let needs_quotes = |c: char| c.is_whitespace() || c.is_control() || matches!(c, '"' | '=');
     !value.is_empty() && !value.contains(needs_quotes)
@@ -132,24 +132,27 @@
     }
 }
 
-/// Lines that wait to be written; further ones are dropped. A reader that is stuck must not hold up what is served.
+/// Maximum number of lines that wait to be written; further lines are dropped. A stuck reader must not block
+/// serving.
 const MAX_WAITING_LINES: usize = 4_096;
 
-/// Writes the lines that wait, for a second at most, when it is dropped: at the end of the process.
+/// Guard that flushes the waiting lines, for at most a second, when it is dropped before the process exits.
 #[must_use]
-pub struct LogFlush(#[expect(dead_code, reason = "it is there to be dropped")] WorkerGuard);
+pub struct LogFlush(#[expect(dead_code, reason = "only its drop matters")] WorkerGuard);
 
-/// Starts logging for the life of the process. Lines are written by a thread of their own. A second call changes nothing.
+/// Starts logging for the lifetime of the process. A dedicated thread writes the lines. A second call has no
+/// effect on the format or level.
 pub fn start(logging: Logging) -> LogFlush {
     let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_WAITING_LINES).lossy(true);
     let (writer, guard) = builder.thread_name("log-writer").finish(std::io::stdout());
-    // The library reports a line that it cannot write on standard error, and panics where that fails too: with both on a full
-    // disk, or their reader closed, the next line would end the process.
+    // By default the library reports a line that it cannot write on standard error, and panics if that fails
+    // too: with both streams on a full disk, or with their readers closed, the next line would end the
+    // process.
     let builder = tracing_subscriber::fmt()
         .with_max_level(logging.level)
         .with_writer(writer)
         .log_internal_errors(false);
-    // An error means that logging was started before: it continues unchanged.
+    // An error means that logging was started before; it continues unchanged.
     let _ = match logging.format {
         Format::Text => builder.event_format(TextFormat).try_init(),
         Format::Json => {
--- a/src/run/logging/tests.rs
+++ b/src/run/logging/tests.rs
@@ -1,10 +1,10 @@
-//! What a line of the text format holds.
+//! Lines in the text format.
 
 use super::TextFormat;
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
-/// Keeps what is written.
+/// Writer that collects its output.
 #[derive(Clone, Default)]
 struct Output(Arc<Mutex<Vec<u8>>>);
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// What the text format writes for the events of `log`, without the time.
+/// The output of the text format for the events of `log`, without the time.
 fn text_line(log: impl FnOnce()) -> String {
     let output = Output::default();
     let writer = output.clone();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn value_that_a_reader_could_not_split_off_is_quoted() {
+fn value_with_separators_or_no_characters_is_quoted() {
     let error = io::Error::other("no route\nto \"s-1\"");
     let line = text_line(|| tracing::warn!(%error, pair = "a=b", empty = "", "feed lost"));
     assert_eq!(line, "feed lost error=\"no route\\nto \\\"s-1\\\"\" pair=\"a=b\" empty=\"\"\n");
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -1,5 +1,5 @@
-//! Drives the membership: a UDP socket and a clock around the SWIM state machine of `sprucelink_membership`, and the
-//! exchange of summaries and budgets between it and the core. All decisions are the state machine's.
+//! Drives the membership: connects the SWIM state machine of `sprucelink_membership` to a UDP socket and the
+//! clock, and exchanges summaries and budgets between it and the core. The state machine makes all decisions.
 
 use crate::core::zone_routing::Observer;
 use crate::core::{now, to_duration, Core, GossipWindows};
@@ -19,40 +19,40 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Datagrams read at most before other tasks run: a flood of them must not delay requests.
+/// Maximum number of datagrams read before other tasks run: a flood of datagrams must not delay requests.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
 /// Shortest pause between two ticks of the state machine.
 const MIN_PAUSE: Duration = Duration::from_millis(2);
-/// Window of the shared counts where no retry budget is configured.
+/// Window of the shared counts if no retry budget is configured.
 const DEFAULT_BUDGET_WINDOW: TimeDelta = TimeDelta::from_secs(5);
 /// Interval between two log lines of counters.
 const COUNTERS_INTERVAL: TimeDelta = TimeDelta::from_secs(60);
-/// Members beyond which summaries are sent less often.
+/// Number of members above which summaries are sent less often.
 const LARGE_FLEET: usize = 100;
-/// Milliseconds that each member beyond [`LARGE_FLEET`] adds to the interval between summaries.
+/// Milliseconds that each member above [`LARGE_FLEET`] adds to the interval between summaries.
 const EXTRA_MS_PER_MEMBER: f64 = 10.0;
-/// Invalid datagrams that are logged between two log lines of counters.
+/// Maximum number of invalid datagrams logged between two log lines of counters.
 const MAX_INVALID_DATAGRAM_LINES: u32 = 10;
-/// How long the shutdown waits until the departure is sent.
+/// How long the shutdown waits for the departure to be sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Settings of the deployment by which members divide budgets.
+/// Settings of the deployment by which the members divide budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// Number of managers, as configured.
+    /// Configured number of managers.
     pub managers: u32,
-    /// The retry budget of each manager.
+    /// Retry budget of each manager; `None` if there is no budget.
     pub retry_budget: Option<RetryBudgetSettings>,
     /// Window of the slow-start budgets of engines.
     pub slow_start_window: TimeDelta,
-    /// How long an engine is in slow start.
+    /// Length of an engine's slow start.
     pub slow_start_duration: TimeDelta,
 }
 
 /// Why the membership could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipStartError {
-    /// The address cannot be bound.
+    /// The listen address cannot be bound.
     #[error("membership on {address}")]
     Bind {
         /// The address as configured.
@@ -60,12 +60,12 @@
         /// The operating system's reason.
         source: io::Error,
     },
-    /// The socket's own address cannot be read.
+    /// The socket's local address cannot be read.
     #[error("membership")]
     LocalAddress(#[source] io::Error),
 }
 
-/// Binds the socket and starts the task that drives the membership.
+/// Binds the socket and starts the task that drives the membership, on the current `LocalSet`.
 ///
 /// # Errors
 /// An address that cannot be bound.
@@ -102,19 +102,19 @@
         next_summary: now(),
         next_counters: now() + COUNTERS_INTERVAL,
         invalid_datagram_lines: 0,
-        applied: None,
+        applied_budgets: None,
     };
     let task = tokio::task::spawn_local(driver.run(leave_requested));
     Ok(MembershipHandle { leave, task })
 }
 
-/// This manager as a member; without a configured name its address is its name.
+/// This manager as a member; if no name is configured, its address serves as its name.
 fn local_member(settings: &MembershipConfig, manager_name: &str, address: SocketAddr) -> LocalMember {
     let name = match manager_name.is_empty() {
         true => address.to_string(),
         false => manager_name.chars().take(MAX_NAME_BYTES).collect(),
     };
-    // Two processes of one name differ by the millisecond in which they started.
+    // The start time in milliseconds distinguishes two processes with the same name.
     let generation = now().as_millis().max(1) as u64;
     LocalMember { name, generation, address, zone: settings.zone.clone(), region: settings.region.clone() }
 }
@@ -126,7 +126,8 @@
 }
 
 impl MembershipHandle {
-    /// Notifies the other members of the departure, and waits up to [`LEAVE_TIMEOUT`] until that is sent.
+    /// Notifies the other members of the departure, and waits up to [`LEAVE_TIMEOUT`] for the messages to be
+    /// sent.
     pub async fn leave(self) {
         if self.leave.send(()).is_ok() {
             let _ = timeout(LEAVE_TIMEOUT, self.task).await;
@@ -134,7 +135,7 @@
     }
 }
 
-/// The budgets that were last set in the core.
+/// The budgets last set in the core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct AppliedBudgets {
     managers: u32,
@@ -149,9 +150,9 @@
     socket: UdpSocket,
     next_summary: Timestamp,
     next_counters: Timestamp,
-    /// Lines about invalid datagrams since the last counters.
+    /// Log lines about invalid datagrams since the last log line of counters.
     invalid_datagram_lines: u32,
-    applied: Option<AppliedBudgets>,
+    applied_budgets: Option<AppliedBudgets>,
 }
 
 impl MembershipDriver {
@@ -177,10 +178,11 @@
         }
     }
 
-    /// Handles a datagram, and those that are queued in the socket.
+    /// Handles a datagram, then those that are queued in the socket.
     fn receive(&mut self, mut received: io::Result<(usize, SocketAddr)>, buffer: &mut [u8]) {
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
-            // An error reports a closed port of another member: that member is probed all the same.
+            // An error reports that another member's port is closed; the failure detector finds that out by
+            // its probes.
             let Ok((length, sender)) = received else { return };
             self.handle_datagram(&buffer[..length], sender);
             received = match self.socket.try_recv_from(buffer) {
@@ -204,12 +206,12 @@
     async fn send(&mut self) {
         for OutgoingMessage { to, message } in self.swim.take_outbox() {
             let datagram = encode(&message).bytes;
-            // A datagram that cannot be sent counts as lost.
+            // A datagram that cannot be sent counts as lost; the protocol tolerates loss.
             let _ = self.socket.send_to(&datagram, to).await;
         }
     }
 
-    /// Publishes this manager's summary, and passes those of the others to the core.
+    /// Publishes this manager's summary, and passes the summaries of the other members to the core.
     fn exchange_summaries(&mut self) {
         if now() < self.next_summary {
             return;
@@ -225,7 +227,7 @@
         let observer = |member: &Member| Observer {
             zone: member.zone.clone(),
             is_alive: member.state.is_live(),
-            payload: payloads.get(&member.name).map(|held| held.payload.clone()),
+            payload: payloads.get(&member.name).map(|entry| entry.payload.clone()),
         };
         self.core.set_observers(|| self.swim.members().map(observer).collect());
         if self.settings.share.pool_retry_budgets || self.settings.share.divide_by_live_members {
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Sets this manager's part of the fleet's budgets in the core where it has changed.
+    /// Sets this manager's part of the fleet's budgets in the core if it has changed.
     fn apply_budgets(&mut self, members: usize) {
         let configured = self.fleet.managers;
         let managers = if self.settings.share.divide_by_live_members {
@@ -242,13 +244,13 @@
             configured
         };
         let budgets = AppliedBudgets { managers, spare_retries: self.spare_retries(members) };
-        if self.applied != Some(budgets) {
-            self.applied = Some(budgets);
+        if self.applied_budgets != Some(budgets) {
+            self.applied_budgets = Some(budgets);
             self.core.set_fleet(budgets.managers, budgets.spare_retries);
         }
     }
 
-    /// Retries that the other members leave unused, as far as this one may use them.
+    /// Retries that the other members leave unused and this manager may use; 0 if budgets are not pooled.
     fn spare_retries(&self, members: usize) -> f64 {
         let Some(budget) = self.fleet.retry_budget.filter(|_| self.settings.share.pool_retry_budgets) else {
             return 0.0;
@@ -258,7 +260,7 @@
             .swim
             .live_members()
             .filter_map(|member| payloads.get(&member.name))
-            .map(|held| &held.payload)
+            .map(|entry| &entry.payload)
             .collect();
         spare_retries(
             RetryBudget { min_retries: budget.free_retries, retry_ratio: budget.retries_per_request },
@@ -293,7 +295,7 @@
     }
 }
 
-/// A change of a member's state, as log lines name it.
+/// Name of a membership change in log lines.
 fn describe(change: MembershipEventKind) -> &'static str {
     match change {
         MembershipEventKind::Joined => "joined",
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -1,4 +1,4 @@
-//! The operator's file: the second front's settings. Without the file that front is off.
+//! The operator's file: settings of the second front. Without the file the second front is off.
 
 use super::certificates::{self, CertificateConfig, RetryBackoff};
 use crate::front::FrontConfig;
@@ -8,23 +8,23 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Sessions at a time where the file does not say.
+/// Maximum number of sessions if the file has none.
 const DEFAULT_MAX_SESSIONS: usize = 64;
-/// The platform front's sessions are divided by this for the default number of the second front's.
+/// Divisor of the platform front's sessions that bounds the default number of the second front's.
 const SESSIONS_DIVISOR: usize = 4;
-/// Highest number of sessions that the file may allow.
+/// Highest value of `max_sessions` in the file.
 const MAX_SESSIONS: u64 = 256;
-/// Connections of the second front that hold no session slot.
+/// Maximum number of connections of the second front without a session slot.
 const MAX_HANDSHAKES: usize = 8;
-/// Sessions of the second front that were asked to end and have something to complete first.
+/// Maximum number of evicted sessions of the second front that still complete what they had begun.
 const MAX_DRAINING: usize = 2;
-/// A certificate is renewed this many seconds before it expires where the file does not say: 30 days.
+/// Seconds before expiry at which a certificate is renewed if the file has no value: 30 days.
 const DEFAULT_RENEW_BEFORE_S: f64 = 30.0 * 86_400.0;
-/// Seconds of the first pause after a failed order where the file does not say.
+/// Seconds of the first pause after a failed order if the file has no value.
 const DEFAULT_FIRST_RETRY_S: f64 = 60.0;
-/// Seconds of the longest pause after failed orders where the file does not say.
+/// Seconds of the longest pause after failed orders if the file has no value.
 const DEFAULT_MAX_RETRY_S: f64 = 3_600.0;
-/// Longest span in seconds that the file may name: a leap year.
+/// Longest duration in the file, in seconds: a leap year.
 const MAX_SECONDS: f64 = 366.0 * 86_400.0;
 /// Fields of the file.
 const FIELDS: [&str; 6] = ["listen", "max_sessions", "default_class", "default_tenant", "tls", "acme"];
@@ -32,19 +32,20 @@
 const ACME_FIELDS: [&str; 8] =
     ["directory", "trust_root", "names", "contact", "challenge_listen", "store", "renew_before_s", "retry_s"];
 
-/// The second front, as the file configures it.
+/// Configuration of the second front.
 #[derive(Debug)]
 pub struct SecondFrontConfig {
-    /// Where clients of the second front connect.
+    /// Address on which clients of the second front connect.
     pub listen: String,
-    /// The front's configuration.
+    /// Limits, defaults and TLS mode of the front; classes and tenants are the platform's.
     pub front: FrontConfig,
-    /// Where its certificates come from; without it there is no TLS.
+    /// Source of the certificates; without it there is no TLS.
     pub certificates: Option<CertificateConfig>,
 }
 
 impl SecondFrontConfig {
-    /// Descriptors that the second front holds at most: its listener, its connections, and those for certificates.
+    /// Maximum number of descriptors that the second front holds: its listener, its connections, and those
+    /// for certificates.
     pub fn descriptors(&self) -> usize {
         let certificates = self.certificates.as_ref().map_or(0, |_| certificates::MAX_DESCRIPTORS);
         1 + self.front.max_connections() + certificates
@@ -54,7 +55,7 @@
 /// Why an operator's file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SecondFrontError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("operator's file")]
     Json(#[source] serde_json::Error),
     /// A field is invalid.
@@ -65,15 +66,15 @@
         /// What is wrong with it.
         reason: FieldError,
     },
-    /// The limit on descriptors is too low for the front.
+    /// The limit on descriptors is too low for the second front.
     #[error(
         "operator's file: max_sessions: the second front needs {needed} descriptors: limits.sockets is {limit}, and \
          {sufficient} would do", limit = .too_few.limit, sufficient = .too_few.sufficient
     )]
     TooManyDescriptors {
-        /// Descriptors that the front holds at most.
+        /// Maximum number of descriptors that the second front holds.
         needed: usize,
-        /// The limit, and the one that would be enough.
+        /// The configured limit, and the lowest sufficient one.
         too_few: TooFewDescriptors,
     },
 }
@@ -81,51 +82,52 @@
 /// What is wrong with a field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// The field is absent or no text.
+    /// The field is absent or not a string.
     #[error("missing")]
     Missing,
-    /// There is no such field.
+    /// The file's format has no such field.
     #[error("is not known")]
     Unknown,
     /// An object is expected.
     #[error("is no object")]
     NotAnObject,
-    /// A list of texts is expected.
-    #[error("is no list of texts")]
+    /// A list of strings is expected.
+    #[error("is not a list of strings")]
     NotAListOfTexts,
-    /// A class or tenant is named that the configuration does not have.
+    /// The configuration has no class or tenant of this name.
     #[error("names none that is configured")]
     NotConfigured,
     /// The number of sessions is out of its range.
     #[error("is no number from 1 to {MAX_SESSIONS}")]
     SessionCount,
-    /// A span is out of its range.
-    #[error("is no number of seconds of a year or less")]
+    /// A duration is out of its range.
+    #[error("is not a number of seconds from 0 to a leap year")]
     Seconds,
-    /// The TLS mode is unknown, or required without certificates.
+    /// The TLS mode is unknown, or it is `required` without certificates.
     #[error("is neither allowed nor required, or acme is missing")]
     TlsMode,
     /// The authority's directory is absent or not reached over HTTPS.
     #[error("is missing, or not https")]
     Directory,
-    /// No name to certify.
+    /// The list of names to certify is empty.
     #[error("holds no name")]
     NoName,
     /// A file or folder does not exist.
     #[error("does not exist")]
     NoSuchPath,
-    /// A text is no socket address.
+    /// A string is not a socket address.
     #[error("{0:?} is no address")]
     InvalidAddress(String),
-    /// A field is absent or no socket address.
+    /// A field is absent or not a socket address.
     #[error("is no address")]
     NotAnAddress,
 }
 
-/// Reads an operator's file; `platform` is the configuration of the platform's front.
+/// Reads an operator's file; `platform` is the configuration of the platform's front, which supplies classes
+/// and tenants.
 ///
 /// # Errors
-/// The first field that is invalid.
+/// The first invalid field.
 pub fn parse(text: &str, platform: &FrontConfig) -> Result<SecondFrontConfig, SecondFrontError> {
     let json: Value = serde_json::from_str(text).map_err(SecondFrontError::Json)?;
     let file = Section { prefix: "", json: &json };
@@ -158,7 +160,7 @@
     acme.check_fields(&ACME_FIELDS)?;
     let directory = json["directory"].as_str().filter(|directory| directory.starts_with("https://"));
     let directory = directory.ok_or_else(|| acme.error("directory", FieldError::Directory))?.to_owned();
-    let names = acme.texts("names")?;
+    let names = acme.strings("names")?;
     if names.is_empty() {
         return Err(acme.error("names", FieldError::NoName));
     }
@@ -167,7 +169,7 @@
         trust_root: acme.existing_path("trust_root")?,
         names,
         store: acme.existing_path("store")?,
-        contact: acme.texts("contact")?,
+        contact: acme.strings("contact")?,
         challenge_listen: acme
             .address("challenge_listen")
             .map_err(|_| acme.error("challenge_listen", FieldError::NotAnAddress))?,
@@ -179,7 +181,7 @@
     })
 }
 
-/// An object of the file, and the path of its fields.
+/// An object in the file, and the prefix of its fields' paths.
 struct Section<'a> {
     prefix: &'static str,
     json: &'a Value,
@@ -190,7 +192,7 @@
         SecondFrontError::Field { field: format!("{}{field}", self.prefix), reason }
     }
 
-    /// Rejects a field that is not in `fields`.
+    /// Checks that every field of the object is in `fields`.
     fn check_fields(&self, fields: &[&str]) -> Result<(), SecondFrontError> {
         let map = self.json.as_object().ok_or_else(|| self.error("", FieldError::NotAnObject))?;
         match map.keys().find(|key| !fields.contains(&key.as_str())) {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// A name that the configuration must have, where the field is given.
+    /// The name in a field, which the configuration must have; `None` if the field is absent.
     fn configured_name(
         &self,
         field: &str,
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Whether sessions must use TLS; by default they must where there are certificates.
+    /// Whether sessions must use TLS; by default they must if there are certificates.
     fn require_tls(&self, has_certificates: bool) -> Result<bool, SecondFrontError> {
         match &self.json["tls"] {
             Value::Null => Ok(has_certificates),
@@ -240,11 +242,12 @@
         }
     }
 
-    /// A list of texts; empty where the field is no list.
-    fn texts(&self, field: &str) -> Result<Vec<String>, SecondFrontError> {
+    /// The strings in a list; empty if the field is absent or not a list.
+    fn strings(&self, field: &str) -> Result<Vec<String>, SecondFrontError> {
         let list = self.json[field].as_array().map_or(&[][..], Vec::as_slice);
-        let texts: Option<Vec<String>> = list.iter().map(|value| value.as_str().map(str::to_owned)).collect();
-        texts.ok_or_else(|| self.error(field, FieldError::NotAListOfTexts))
+        let strings: Option<Vec<String>> =
+            list.iter().map(|value| value.as_str().map(str::to_owned)).collect();
+        strings.ok_or_else(|| self.error(field, FieldError::NotAListOfTexts))
     }
 
     fn seconds(&self, field: &str, value: &Value, default: f64) -> Result<Duration, SecondFrontError> {
@@ -256,7 +259,7 @@
         Ok(Duration::from_secs_f64(seconds))
     }
 
-    /// A file or folder that must exist, where the field is given.
+    /// The file or folder in a field, which must exist; `None` if the field is absent.
     fn existing_path(&self, field: &str) -> Result<Option<PathBuf>, SecondFrontError> {
         let Some(path) = self.json[field].as_str().map(PathBuf::from) else { return Ok(None) };
         match path.exists() {
--- a/src/run/socket_activation.rs
+++ b/src/run/socket_activation.rs
@@ -1,5 +1,5 @@
-//! The clients' listening socket where the platform holds it: inherited as a descriptor, so that a second process can
-//! accept connections from the same queue while the first one drains.
+//! Socket activation: the clients' listening socket is inherited as a descriptor from the platform, so that a
+//! second process can accept connections from the same queue while the first one drains.
 
 use listenfd::ListenFd;
 use std::io;
@@ -8,7 +8,7 @@
 /// The first descriptor that is not a standard stream.
 const FIRST_DESCRIPTOR: u32 = 3;
 
-/// Why the inherited socket cannot be used.
+/// Why the inherited listening socket cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketActivationError {
     /// Descriptors 0 to 2 are the standard streams.
@@ -17,24 +17,24 @@
     /// The descriptor is closed, or of another type.
     #[error("EDGE_FD: descriptor {descriptor}")]
     Descriptor {
-        /// The descriptor.
+        /// The descriptor in `EDGE_FD`.
         descriptor: u32,
         /// The operating system's reason.
         source: io::Error,
     },
-    /// The descriptor is no listening socket.
-    #[error("EDGE_FD: descriptor {0} is no listening socket")]
+    /// The descriptor is not a listening socket.
+    #[error("EDGE_FD: descriptor {0} is not a listening socket")]
     NotListening(u32),
 }
 
-/// The listening socket at a descriptor of this process.
+/// Takes ownership of the listening socket at a descriptor of this process.
 ///
-/// `listenfd` checks that the descriptor is a listening TCP socket before it takes ownership. It reads the number of
-/// inherited descriptors from `LISTEN_FDS` (systemd's sd_listen_fds), so that variable is set here: call this once,
-/// before any thread is started.
+/// `listenfd` checks that the descriptor is a listening TCP socket before it takes ownership. It reads the
+/// number of inherited descriptors from `LISTEN_FDS` (systemd's sd_listen_fds), so this function sets that
+/// variable: call it once, before any thread is started.
 ///
 /// # Errors
-/// A descriptor below 3, or one that is no listening TCP socket.
+/// A descriptor below 3, or one that is not a listening TCP socket.
 pub fn listener(descriptor: u32) -> Result<TcpListener, SocketActivationError> {
     let index =
         descriptor.checked_sub(FIRST_DESCRIPTOR).ok_or(SocketActivationError::StandardStream(descriptor))?;
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -1,4 +1,4 @@
-//! Reads the files that a start names: the configuration and the optional settings beside it.
+//! Reads the files that the command line names: the configuration and the optional settings files.
 
 use super::cli::ServeOptions;
 use super::config::{self, Config};
@@ -13,10 +13,10 @@
 use sprucelink_zone_failover::config::FailoverConfig;
 use std::io;
 
-/// A file of the start, or the environment, that cannot be used.
+/// Why a file or an environment variable cannot be used at startup.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupFileError {
-    /// A variable of the environment is invalid.
+    /// An environment variable is invalid.
     #[error(transparent)]
     Environment(#[from] sprucelink_settings::Error),
     /// Neither the command line nor the environment names a configuration.
@@ -25,7 +25,7 @@
     /// A file cannot be read.
     #[error("{path}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The operating system's reason.
         source: io::Error,
@@ -33,9 +33,9 @@
     /// A file's content is invalid.
     #[error("{path}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Line, column, field and reason.
+        /// Location in the file, field and reason.
         source: BoxError,
     },
     /// The inherited listening socket cannot be used.
@@ -43,7 +43,7 @@
     InheritedListener(#[from] SocketActivationError),
 }
 
-/// Reads all files that the options name.
+/// Reads all files that the options name, and takes over the inherited listening socket.
 ///
 /// # Errors
 /// The first file that cannot be used.
@@ -67,7 +67,7 @@
     })
 }
 
-/// Reads the configuration that the options name, otherwise the one that `EDGE_CONFIG` names.
+/// Reads the configuration that the options name, or else the one that `EDGE_CONFIG` names.
 ///
 /// # Errors
 /// A configuration that is missing, unreadable or invalid.
@@ -94,8 +94,8 @@
     Ok(second_front)
 }
 
-/// The recorder's settings; `None` where nothing is to be recorded. A folder of the command line takes precedence over
-/// the file's.
+/// Reads the recorder's settings; `None` if nothing is to be recorded. The folder on the command line takes
+/// precedence over the file's.
 fn read_recorder(options: &ServeOptions) -> Result<Option<RecorderSettings>, StartupFileError> {
     let folder = options.capture.as_deref();
     let Some(settings) = read_optional(options.recorder.as_ref(), RecorderSettings::parse)? else {
@@ -107,7 +107,7 @@
     }))
 }
 
-/// Reads a settings file where one is named.
+/// Reads the settings file at `path`, if there is one.
 fn read_optional<T, E: Into<BoxError>>(
     path: Option<&String>,
     parse: impl FnOnce(&str) -> Result<T, E>,
