--- a/src/run/certificates/certificate.rs
+++ b/src/run/certificates/certificate.rs
@@ -1,4 +1,4 @@
-//! A certificate chain and its key.
+//! A certificate chain with its private key.
 
 use super::error::InvalidCertificate;
 use std::sync::Arc;
@@ -11,22 +11,23 @@
 use x509_parser::certificate::X509Certificate;
 use x509_parser::extensions::GeneralName;
 
-/// A certificate is renewed with at least this fraction of its lifetime left, however short that is.
-const MIN_REMAINING_LIFETIME: f64 = 1.0 / 3.0;
+/// Upper limit of the time before expiry at which a certificate is renewed, as a fraction of its lifetime: a
+/// certificate with a short lifetime must not be due as soon as it is issued.
+const MAX_RENEW_BEFORE_FRACTION: f64 = 1.0 / 3.0;
 
-/// A certificate chain and its key, both PEM.
+/// A certificate chain and its private key, both PEM.
 pub struct Certificate {
     chain: String,
     key: String,
-    /// Unix seconds.
+    /// Start of the validity, in Unix seconds.
     not_before: i64,
-    /// Unix seconds.
+    /// End of the validity, in Unix seconds.
     not_after: i64,
     dns_names: Vec<String>,
 }
 
 impl Certificate {
-    /// Reads the validity and names from the first certificate of the chain.
+    /// Reads the validity and the DNS names from the first certificate of the chain; the key is not checked.
     ///
     /// # Errors
     /// A chain whose first certificate cannot be read.
@@ -40,42 +41,42 @@
         Ok(Certificate { chain, key, not_before, not_after, dns_names })
     }
 
-    /// The chain, PEM.
+    /// The chain in PEM, as the authority issued it.
     pub fn chain(&self) -> &str {
         &self.chain
     }
 
-    /// The key, PEM.
+    /// The private key in PEM.
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// When it expires, in Unix seconds.
+    /// Time at which the certificate expires, in Unix seconds.
     pub fn not_after(&self) -> i64 {
         self.not_after
     }
 
-    /// Whether it has expired at `now`, in Unix seconds.
+    /// Whether the certificate has expired at `now`, in Unix seconds.
     pub fn is_expired(&self, now: i64) -> bool {
         self.not_after <= now
     }
 
-    /// Whether all names are on it.
+    /// Whether all `names` are DNS names of the certificate.
     pub fn covers(&self, names: &[String]) -> bool {
         names.iter().all(|name| self.dns_names.contains(name))
     }
 
-    /// When it is to be renewed, in Unix seconds.
+    /// Time at which the certificate is due for renewal, in Unix seconds.
     pub fn renew_at(&self, renew_before: Duration) -> i64 {
         let lifetime = (self.not_after - self.not_before) as f64;
-        let min_remaining = (lifetime * MIN_REMAINING_LIFETIME) as i64;
-        self.not_after - min_remaining.min(renew_before.as_secs() as i64)
+        let max_renew_before = (lifetime * MAX_RENEW_BEFORE_FRACTION) as i64;
+        self.not_after - max_renew_before.min(renew_before.as_secs() as i64)
     }
 
-    /// A TLS acceptor that presents it.
+    /// A TLS acceptor that presents this certificate.
     ///
     /// # Errors
-    /// A chain or key that cannot be read, or that do not belong together.
+    /// A chain or key that cannot be read, or a key that does not match the chain.
     pub fn acceptor(&self) -> Result<TlsAcceptor, InvalidCertificate> {
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(self.chain.as_bytes()).collect();
         let chain = chain.map_err(InvalidCertificate::Pem)?;
@@ -88,7 +89,7 @@
     }
 }
 
-/// DNS names of a certificate's subject alternative names.
+/// The DNS names among a certificate's subject alternative names.
 fn dns_names(certificate: &X509Certificate) -> Vec<String> {
     let Ok(Some(extension)) = certificate.subject_alternative_name() else { return Vec::new() };
     let names = extension.value.general_names.iter().filter_map(|name| match name {
--- a/src/run/certificates/challenge_listener.rs
+++ b/src/run/certificates/challenge_listener.rs
@@ -1,4 +1,4 @@
-//! Answers the authority's validation requests (RFC 8555, section 8.3): plain HTTP, open to anybody.
+//! Answers the authority's validation requests (RFC 8555, section 8.3): plain HTTP, open to any client.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,17 +10,18 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Requests in progress at a time: a new one displaces the oldest. An authority validates from a few places at once.
+/// Maximum number of concurrent requests; a further request evicts the oldest. An authority validates from a
+/// few places at once.
 pub const MAX_REQUESTS: usize = 16;
-/// Longest head of a request in bytes.
+/// Maximum length of a request's head in bytes.
 const MAX_HEAD_BYTES: usize = 4096;
-/// Bytes read from a request at once.
+/// Bytes read from a connection at once.
 const READ_BYTES: usize = 512;
-/// Longest duration of one request.
+/// Maximum duration of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// The path below which tokens are looked up.
+/// Prefix of the path, which the token of a challenge follows.
 const CHALLENGE_PATH: &str = "/.well-known/acme-challenge/";
 
 /// Responses to open challenges, by token; clones share them.
@@ -28,12 +29,12 @@
 pub struct ChallengeResponses(Rc<RefCell<BTreeMap<String, String>>>);
 
 impl ChallengeResponses {
-    /// Sets the response for a token.
+    /// Sets the response for `token`, which is served from then on.
     pub fn insert(&self, token: String, response: String) {
         self.0.borrow_mut().insert(token, response);
     }
 
-    /// Forgets all tokens.
+    /// Removes all tokens.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
@@ -43,7 +44,7 @@
     }
 }
 
-/// Accepts validation requests until it is dropped.
+/// Accepts validation requests until the future is dropped.
 pub async fn run(listener: TcpListener, responses: ChallengeResponses) {
     let mut requests: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
@@ -51,11 +52,11 @@
             Ok((stream, _)) => {
                 requests.retain(|request| !request.is_finished());
                 if requests.len() >= MAX_REQUESTS {
-                    end_oldest(&mut requests).await;
+                    evict_oldest(&mut requests).await;
                 }
                 let responses = responses.clone();
                 requests.push_back(spawn_local(async move {
-                    // A client that fails or is too slow gets nothing more.
+                    // A client whose connection fails or that is too slow gets no response.
                     let _ = timeout(REQUEST_TIMEOUT, answer(stream, responses)).await;
                 }));
             }
@@ -64,11 +65,11 @@
     }
 }
 
-/// Bounds the descriptors: anybody may connect here and send nothing.
-async fn end_oldest(requests: &mut VecDeque<JoinHandle<()>>) {
+/// Evicts the oldest request. This bounds the descriptors: any client may connect and send nothing.
+async fn evict_oldest(requests: &mut VecDeque<JoinHandle<()>>) {
     if let Some(oldest) = requests.pop_front() {
         oldest.abort();
-        // The error of an aborted task only says that it has ended.
+        // The error of an aborted task only reports that it was aborted.
         let _ = oldest.await;
     }
 }
@@ -89,16 +90,16 @@
     stream.write_all(response.as_bytes()).await
 }
 
-/// Reads up to the end of the head; `None` where it is too long, or ends before it is complete.
+/// Reads up to the end of the head; `None` if the head is too long or incomplete at the end of the stream.
 async fn read_head(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let mut head = Vec::new();
     while !head.windows(4).any(|window| window == b"\r\n\r\n") {
-        let mut piece = [0; READ_BYTES];
-        let count = stream.read(&mut piece).await?;
+        let mut buffer = [0; READ_BYTES];
+        let count = stream.read(&mut buffer).await?;
         if count == 0 || head.len() + count > MAX_HEAD_BYTES {
             return Ok(None);
         }
-        head.extend_from_slice(&piece[..count]);
+        head.extend_from_slice(&buffer[..count]);
     }
     Ok(Some(String::from_utf8_lossy(&head).into_owned()))
 }
--- a/src/run/certificates/error.rs
+++ b/src/run/certificates/error.rs
@@ -1,8 +1,8 @@
-//! Why certificates cannot be served or ordered.
+//! Errors in loading, ordering and serving certificates.
 
 use std::io;
 
-/// A start without certificates.
+/// Why the maintenance of certificates could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum CertificateError {
     /// The challenge address cannot be listened on.
@@ -15,59 +15,59 @@
     },
 }
 
-/// A certificate and key that cannot be used.
+/// Why a certificate and its key cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidCertificate {
-    /// The chain is no PEM.
+    /// The chain is not PEM.
     #[error("certificate")]
     Pem(#[source] tokio_rustls::rustls::pki_types::pem::Error),
-    /// The first certificate of the chain is no X.509.
+    /// The first certificate of the chain is not X.509.
     #[error("certificate")]
     X509(#[source] x509_parser::nom::Err<x509_parser::error::X509Error>),
-    /// The key is no PEM.
+    /// The key is not PEM.
     #[error("key")]
     Key(#[source] tokio_rustls::rustls::pki_types::pem::Error),
-    /// The TLS library rejects the pair.
+    /// The TLS library rejects the certificate or the key, or they do not match.
     #[error(transparent)]
     Tls(#[from] tokio_rustls::rustls::Error),
 }
 
-/// A certificate that is not on disk, or not as it was written.
+/// Why the certificate could not be loaded from disk.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// The file lacks a part.
-    #[error("no key and certificate")]
+    /// The file lacks the key or the certificate.
+    #[error("key or certificate missing")]
     Incomplete,
-    /// The content is invalid.
+    /// The certificate in the file is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidCertificate),
 }
 
-/// An order that failed.
+/// Why an order for a certificate failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
-    /// It was not complete in time.
-    #[error("the order took too long")]
+    /// The order was not complete in time.
+    #[error("the order timed out")]
     Timeout,
-    /// The account cannot be used or created.
+    /// The account at the authority cannot be used or created.
     #[error("account")]
     Account(#[source] instant_acme::Error),
-    /// The account has no JSON form.
+    /// The account's credentials cannot be serialized as JSON.
     #[error(transparent)]
     AccountFormat(#[from] serde_json::Error),
     /// The authority failed or rejected a step.
     #[error(transparent)]
     Authority(#[from] instant_acme::Error),
-    /// The authority validates by other challenges only.
+    /// The authority only offers other types of challenges.
     #[error("the authority offers no http-01 challenge")]
     NoHttpChallenge,
-    /// The authority did not accept the challenges.
-    #[error("the order is {0:?}")]
+    /// The authority did not accept the responses to its challenges.
+    #[error("the order has status {0:?}, expected Ready")]
     NotReady(instant_acme::OrderStatus),
-    /// What the authority issued is unusable.
+    /// The certificate that the authority issued is unusable.
     #[error(transparent)]
     Invalid(#[from] InvalidCertificate),
 }
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -1,8 +1,9 @@
-//! Certificates for the second front, by ACME (RFC 8555, challenge http-01).
+//! Certificates for the second front, obtained by ACME (RFC 8555, challenge http-01).
 //!
-//! A certificate is ordered at the start and renewed before it expires; a failed order is retried with exponential
-//! backoff while the old certificate serves. [`order`] speaks to the authority, [`challenge_listener`] answers its
-//! validation requests, [`store`] keeps the account and the certificate on disk.
+//! A certificate is ordered at startup and renewed before it expires; a failed order is retried with
+//! exponential backoff while the old certificate stays in use. [`order`] communicates with the authority,
+//! [`challenge_listener`] answers its validation requests, [`store`] keeps the account and the certificate on
+//! disk.
 
 mod certificate;
 mod challenge_listener;
@@ -24,43 +25,46 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, info, warn};
 
-/// Descriptors that certificates need at most: the listener, its requests and one just accepted, two connections to the
-/// authority and a file.
+/// Maximum number of descriptors that certificates need: the listener, its requests and a request just
+/// accepted, two connections to the authority and a file.
 pub const MAX_DESCRIPTORS: usize = 1 + MAX_REQUESTS + 1 + 2 + 1;
-/// Longest duration of one order.
+/// Maximum duration of one order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
-/// Shortest pause after a failed order, whatever is configured: an authority that rejects must not be flooded.
+/// Minimum pause after a failed order for any configuration: an authority that rejects orders must not be
+/// flooded.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Pause before a certificate that could not be saved is written again.
+/// Pause before saving a certificate is retried.
 const SAVE_RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// Longest sleep before the wall clock is read again: a suspended machine or a clock that was set moves the renewal.
+/// Maximum sleep before the wall clock is read again: suspending the machine or setting its clock changes the
+/// time left until the renewal.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Pauses after failed orders: each is twice the one before.
+/// Pauses after failed orders; each is twice as long as the previous one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBackoff {
-    /// After the first failure.
+    /// Pause after the first failure.
     pub first: Duration,
-    /// The longest.
+    /// Upper limit of the pauses.
     pub max: Duration,
 }
 
-/// Where certificates come from.
+/// How certificates are obtained and where they are stored.
 #[derive(Clone, Debug)]
 pub struct CertificateConfig {
     /// URL of the authority's directory.
     pub directory: String,
-    /// File of the root that the authority's own certificate is verified by; otherwise the system's roots.
+    /// File with the root certificate that verifies the authority's own certificate; otherwise the system's
+    /// roots do.
     pub trust_root: Option<PathBuf>,
-    /// DNS names on the certificate.
+    /// DNS names that the certificate must cover.
     pub names: Vec<String>,
-    /// Contact URLs of the account.
+    /// Contact URLs for a new account at the authority.
     pub contact: Vec<String>,
-    /// Address on which the authority's validation requests arrive.
+    /// Listen address for the authority's validation requests.
     pub challenge_listen: String,
-    /// Folder for the account, the key and the certificate; without it each start orders again.
+    /// Folder for the account, the key and the certificate; without it each start orders a new certificate.
     pub store: Option<PathBuf>,
-    /// A certificate is renewed this long before it expires.
+    /// Time before expiry at which a certificate is renewed.
     pub renew_before: Duration,
     /// Pauses after failed orders.
     pub retry: RetryBackoff,
@@ -71,7 +75,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs() as i64)
 }
 
-/// Keeps a front supplied with certificates, in tasks that never end.
+/// Supplies a front with certificates, in tasks that never end.
 ///
 /// # Errors
 /// A challenge address that cannot be listened on.
@@ -93,14 +97,14 @@
             info!(not_after = certificate.not_after(), "certificate loaded");
         }
     }
-    let mut pause = config.retry.first;
+    let mut retry_pause = config.retry.first;
     let mut is_saved = true;
     loop {
         let due = current.as_ref().map_or(0, |certificate| certificate.renew_at(config.renew_before));
         let now = unix_seconds();
         if now < due {
-            let longest = if is_saved { CLOCK_CHECK_INTERVAL } else { SAVE_RETRY_PAUSE };
-            sleep(Duration::from_secs((due - now) as u64).min(longest)).await;
+            let max_sleep = if is_saved { CLOCK_CHECK_INTERVAL } else { SAVE_RETRY_PAUSE };
+            sleep(Duration::from_secs((due - now) as u64).min(max_sleep)).await;
             if let Some(certificate) = current.as_ref().filter(|_| !is_saved) {
                 is_saved = save(&config, certificate);
             }
@@ -115,36 +119,38 @@
                     info!(not_after = certificate.not_after(), "certificate renewed");
                 }
                 current = Some(certificate);
-                pause = config.retry.first;
+                retry_pause = config.retry.first;
             }
             Err(error) => {
-                let retry_after_s = pause.as_secs_f64();
+                let retry_after_s = retry_pause.as_secs_f64();
                 warn!(retry_after_s, error = with_causes(&error), "certificate not renewed");
-                sleep(pause.max(MIN_RETRY_PAUSE)).await;
-                pause = (pause * 2).min(config.retry.max);
+                sleep(retry_pause.max(MIN_RETRY_PAUSE)).await;
+                retry_pause = (retry_pause * 2).min(config.retry.max);
             }
         }
     }
 }
 
-/// The certificate on disk, unless it has expired or lacks a name that is configured now.
+/// Loads the certificate on disk; `None` if it is missing or invalid, has expired, or lacks a configured
+/// name.
 fn load_usable(config: &CertificateConfig) -> Option<Certificate> {
     let certificate = store::load(config.store.as_deref()?).ok()?;
     let is_usable = !certificate.is_expired(unix_seconds()) && certificate.covers(&config.names);
     is_usable.then_some(certificate)
 }
 
-/// Writes the certificate to disk where there is a folder for it; false if it has to be written again.
+/// Writes the certificate to disk if a folder is configured; false if the write failed and must be retried.
 fn save(config: &CertificateConfig, certificate: &Certificate) -> bool {
     let Some(folder) = &config.store else { return true };
     let saved = store::save(folder, certificate);
     if let Err(error) = &saved {
-        warn!(%error, "certificate not saved, trying again");
+        warn!(%error, "certificate not saved; retrying");
     }
     saved.is_ok()
 }
 
-/// Gives new sessions this certificate; open sessions keep the one that they began with. False if it is unusable.
+/// Sets the certificate for new sessions; open sessions keep the one that they began with. False if the
+/// certificate is unusable.
 fn install(front: &Front, certificate: &Certificate) -> bool {
     match certificate.acceptor() {
         Ok(acceptor) => {
--- a/src/run/certificates/order.rs
+++ b/src/run/certificates/order.rs
@@ -10,7 +10,8 @@
 };
 use tracing::warn;
 
-/// Orders a certificate for the configured names; `responses` is where the authority finds its challenges answered.
+/// Orders a certificate for the configured names; the listener serves the challenge responses that this adds
+/// to `responses`.
 ///
 /// # Errors
 /// The first step that failed.
@@ -47,7 +48,7 @@
     Ok(())
 }
 
-/// The account on disk where it belongs to this authority, otherwise a new one.
+/// Opens the account on disk if it belongs to the configured authority, and otherwise creates one.
 async fn open_account(config: &CertificateConfig) -> Result<Account, OrderError> {
     let builder = match &config.trust_root {
         Some(root) => Account::builder_with_root(root),
@@ -69,9 +70,10 @@
     let (account, credentials) = created.map_err(OrderError::Account)?;
     if let Some(folder) = &config.store {
         let credentials = serde_json::to_value(&credentials)?;
-        // A folder that cannot be written must not delay the certificate: a lost account is replaced by the next order.
+        // A folder that cannot be written must not delay the certificate: the next order replaces the lost
+        // account.
         if let Err(error) = store::save_account(folder, &config.directory, credentials) {
-            warn!(%error, "account not saved, the next order creates another");
+            warn!(%error, "account not saved; the next order creates another");
         }
     }
     Ok(account)
--- a/src/run/certificates/store.rs
+++ b/src/run/certificates/store.rs
@@ -1,4 +1,4 @@
-//! The account and the certificate on disk.
+//! Stores the account and the certificate on disk.
 
 use super::certificate::Certificate;
 use super::error::LoadError;
@@ -9,16 +9,17 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Name of the file of key and certificate: one file, so that neither is ever stored without the other.
+/// Name of the file with the key and the certificate: one file, so that neither is ever stored without the
+/// other.
 const CERTIFICATE_FILE: &str = "certificate.pem";
-/// Name of the file of the account and the directory of its authority (JSON).
+/// Name of the file with the account's credentials and the directory of its authority (JSON).
 const ACCOUNT_FILE: &str = "account.json";
 /// Separates the key from the chain in the certificate file.
 const SEPARATOR: &str = "\n\n";
-/// Mode of the files: only the owner may read them, since they hold keys.
+/// Mode of the files: only the owner may read them, since they contain keys.
 const FILE_MODE: u32 = 0o600;
 
-/// Reads the certificate.
+/// Reads the certificate and its key from `folder`.
 ///
 /// # Errors
 /// A file that is absent or invalid.
@@ -28,7 +29,7 @@
     Ok(Certificate::parse(chain.to_owned(), key.to_owned())?)
 }
 
-/// Writes the certificate.
+/// Writes the certificate and its key to `folder`.
 ///
 /// # Errors
 /// A folder that cannot be written.
@@ -37,7 +38,8 @@
     write_private(&folder.join(CERTIFICATE_FILE), &text)
 }
 
-/// The account, where it belongs to the authority of this directory: another authority does not know it.
+/// The account's credentials, if the account belongs to the authority with this directory: another authority
+/// does not know it.
 pub fn load_account(folder: &Path, directory: &str) -> Option<AccountCredentials> {
     let text = std::fs::read_to_string(folder.join(ACCOUNT_FILE)).ok()?;
     let account: Value = serde_json::from_str(&text).ok()?;
@@ -47,7 +49,7 @@
     serde_json::from_value(account["credentials"].clone()).ok()
 }
 
-/// Writes the account.
+/// Writes the account's credentials and the directory of its authority to `folder`.
 ///
 /// # Errors
 /// A folder that cannot be written.
@@ -58,9 +60,10 @@
 
 /// Replaces a file atomically.
 fn write_private(path: &Path, text: &str) -> io::Result<()> {
-    let draft = path.with_extension("new");
-    let mut file = OpenOptions::new().write(true).create(true).truncate(true).mode(FILE_MODE).open(&draft)?;
+    let temporary = path.with_extension("new");
+    let mut file =
+        OpenOptions::new().write(true).create(true).truncate(true).mode(FILE_MODE).open(&temporary)?;
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
-    std::fs::rename(&draft, path)
+    std::fs::rename(&temporary, path)
 }
--- a/src/run/cli/error.rs
+++ b/src/run/cli/error.rs
@@ -1,12 +1,12 @@
-//! Why a command line was rejected.
+//! Errors in the command line.
 
 use crate::run::error::BoxError;
 use crate::run::logging::LoggingError;
 
-/// A command line that cannot be carried out.
+/// Why a command line was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The arguments are malformed: an option without its value, a text that is not Unicode.
+    /// The arguments are malformed: an option lacks its value, or an argument is not Unicode.
     #[error(transparent)]
     Arguments(#[from] lexopt::Error),
     /// An option's value is invalid.
@@ -23,7 +23,7 @@
     /// No sub-command is given.
     #[error("a command is missing")]
     MissingCommand,
-    /// There is no such sub-command.
+    /// The sub-command does not exist.
     #[error("no such command: {0}")]
     UnknownCommand(String),
     /// The option belongs to other sub-commands.
@@ -39,7 +39,7 @@
     UnexpectedArgument {
         /// The sub-command.
         command: &'static str,
-        /// The first argument too many.
+        /// The first excess argument.
         argument: String,
     },
     /// An argument or option that the sub-command needs is absent.
@@ -53,8 +53,8 @@
     /// `explain` needs exactly one of its three queries.
     #[error("explain: give one of --request, --engine and --at")]
     AmbiguousQuery,
-    /// An argument that should be a socket address is none.
-    #[error("{command}: {argument:?} is no address and port")]
+    /// An argument is not a socket address.
+    #[error("{command}: invalid address {argument:?}: expected IP:PORT")]
     InvalidAddress {
         /// The sub-command.
         command: &'static str,
@@ -67,27 +67,27 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
     /// The number of replays is out of its range.
-    #[error("is no number from 1 to {max}")]
+    #[error("expected a number from 1 to {max}")]
     ReplayCount {
-        /// The highest number.
+        /// The highest number allowed.
         max: u32,
     },
-    /// Neither form of a moment.
+    /// The value has neither form of an instant.
     #[error("{0:?} is neither Unix seconds nor +SECONDS")]
     Moment(String),
-    /// No number of seconds, or more than a day.
-    #[error("{0:?} is no number of seconds up to a day")]
+    /// The value is not a number of seconds, or more than a day.
+    #[error("{0:?} is not a number of seconds up to a day")]
     Seconds(String),
-    /// No equals sign.
-    #[error("{0:?} is no PATH=VALUE")]
+    /// The value has no equals sign.
+    #[error("invalid setting change {0:?}: expected PATH=VALUE")]
     SettingChange(String),
-    /// No request id.
+    /// The value is not a request id.
     #[error("{0:?} is not 16 hex digits")]
     RequestId(String),
     /// A log format or level that does not exist.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// An outcome policy or a rule that the capture tools do not know.
+    /// The capture tools do not know the outcome policy or the rule.
     #[error(transparent)]
     Capture(BoxError),
 }
--- a/src/run/cli/help.rs
+++ b/src/run/cli/help.rs
@@ -1,8 +1,8 @@
-//! Help texts, made from the table of sub-commands.
+//! Help texts, generated from the table of sub-commands.
 
 use super::subcommands::{Subcommand, SUBCOMMANDS};
 
-/// How to call the program, or one sub-command of it.
+/// The help text of a sub-command; without a known sub-command, that of the program.
 pub fn usage(subcommand: Option<&str>) -> String {
     match subcommand.and_then(Subcommand::by_name) {
         Some(subcommand) => format!("usage: {}\n\n{}", usage_line(subcommand), subcommand.help),
@@ -23,7 +23,7 @@
     )
 }
 
-/// The call of a sub-command; further lines of options are indented below the first.
+/// The usage line of a sub-command; further lines of options are indented below the first.
 fn usage_line(subcommand: &Subcommand) -> String {
     let arguments = subcommand.usage.replace('\n', "\n         ");
     format!("sprucelink {} {arguments}", subcommand.name).trim_end().to_owned()
--- a/src/run/cli/mod.rs
+++ b/src/run/cli/mod.rs
@@ -1,5 +1,5 @@
 //! The command line: [`subcommands`] is the table of sub-commands with their options, [`parser`] reads the
-//! arguments into a [`Command`], and [`help`] prints how to call the program.
+//! arguments into a [`Command`], and [`help`] makes the help texts.
 
 mod error;
 mod help;
--- a/src/run/cli/options.rs
+++ b/src/run/cli/options.rs
@@ -1,4 +1,4 @@
-//! What the command line asks for, as types.
+//! Types for the sub-commands and their options.
 
 use crate::run::logging::Logging;
 use sprucelink_capture::explain::Question;
@@ -17,11 +17,11 @@
     Check(ServeOptions),
     /// Feed a capture to the policy and compare its actions.
     Replay(ReplayOptions),
-    /// Print what a capture holds of a request, an engine or a moment.
+    /// Print what a capture holds about a request, an engine or an instant.
     Explain {
         /// The capture: a file or a folder.
         capture: PathBuf,
-        /// What is asked.
+        /// The request, engine or instant to explain.
         query: ExplainQuery,
         /// Print JSON lines.
         json: bool,
@@ -37,7 +37,7 @@
     CaptureCut(CutOptions),
     /// Replay test cases and check their rules.
     CaptureVerify {
-        /// The cases: files, or folders of them.
+        /// The cases: files, or folders of files.
         cases: Vec<PathBuf>,
         /// Print JSON lines.
         json: bool,
@@ -49,43 +49,43 @@
         /// Print JSON.
         json: bool,
     },
-    /// Print the members that a running manager knows.
+    /// Print the members in the view of a running manager.
     FleetMembers {
-        /// Where its membership listens.
+        /// Address on which the manager's membership listens.
         address: SocketAddr,
         /// Print JSON lines.
         json: bool,
     },
     /// Print the version.
     Version,
-    /// Print how to call the program, or one sub-command of it.
+    /// Print the help text of the program, or of one sub-command.
     Help(Option<&'static str>),
 }
 
-/// The files that a start reads, and what the command line sets beside them.
+/// The files to read at startup, and the settings on the command line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServeOptions {
     /// The configuration file; otherwise `EDGE_CONFIG` names it.
     pub config: Option<String>,
-    /// Address to listen on in place of the configuration's.
+    /// Address to listen on instead of the configuration's.
     pub listen: Option<String>,
-    /// The second front's settings file; without it that front is off.
+    /// The second front's settings file; without it the second front is off.
     pub operator: Option<String>,
-    /// Folder to record to; without it and `recorder` nothing is recorded.
+    /// Folder for the capture; without it and `recorder` nothing is recorded.
     pub capture: Option<String>,
     /// The recorder's settings file (JSON5).
     pub recorder: Option<String>,
-    /// The settings file of start-up pacing (JSON5); without it start-up is not paced.
+    /// The settings file of startup pacing (JSON5); without it startup is not paced.
     pub cold_start: Option<String>,
     /// The membership's settings file (JSON5); without it managers do not gossip.
     pub membership: Option<String>,
     /// The failover's settings file (JSON5); without it there is no failover between zones.
     pub failover: Option<String>,
-    /// How log lines are written.
+    /// Format and level of log lines.
     pub logging: Logging,
 }
 
-/// An instant as the command line names it.
+/// An instant, as given on the command line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Moment {
     /// Unix seconds.
@@ -95,7 +95,7 @@
 }
 
 impl Moment {
-    /// The instant, for a capture whose first checkpoint is at `start`.
+    /// Converts to a timestamp, for a capture whose first checkpoint is at `start`.
     pub fn resolve(self, start: Timestamp) -> Timestamp {
         match self {
             Moment::Unix(seconds) => Timestamp::from_secs_f64(seconds),
@@ -104,12 +104,12 @@
     }
 }
 
-/// What `explain` asks of a capture.
+/// The subject of `explain`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExplainQuery {
     /// A request or an engine.
     Subject(Question),
-    /// A moment.
+    /// An instant, to be resolved against the start of the capture.
     Moment(Moment),
 }
 
@@ -118,46 +118,46 @@
 pub struct SettingChange {
     /// Path of the setting: field names and list indices, joined by dots.
     pub path: String,
-    /// The new value: JSON, or a plain text.
+    /// The new value: JSON, or a string without quotes.
     pub value: String,
 }
 
-/// How a capture is replayed.
+/// Options of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayOptions {
     /// The capture: a file or a folder.
     pub capture: PathBuf,
     /// Number of replays, 1 or more.
     pub times: u32,
-    /// Start with the segment that holds this moment.
+    /// Start with the segment that contains this instant.
     pub from: Option<Moment>,
-    /// Stop at this moment.
+    /// Stop at this instant.
     pub until: Option<Moment>,
-    /// Count all differences in place of stopping at the first.
+    /// Count all differences instead of stopping at the first.
     pub against: bool,
     /// Settings to change before the replay.
     pub changes: Vec<SettingChange>,
-    /// What becomes of outcomes of decisions that this build did not take.
+    /// How to treat outcomes of decisions that this build did not take.
     pub outcome_policy: OutcomePolicy,
     /// Print JSON.
     pub json: bool,
 }
 
-/// What is cut out of a capture.
+/// Options of cutting a test case out of a capture.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CutOptions {
     /// The capture: a file or a folder.
     pub capture: PathBuf,
-    /// The moment that matters.
+    /// The instant around which the case is cut.
     pub around: Moment,
-    /// Seconds before it.
+    /// Seconds kept before `around`.
     pub before_s: f64,
-    /// Seconds after it.
+    /// Seconds kept after `around`.
     pub after_s: f64,
     /// The file to write.
     pub out: PathBuf,
-    /// Rules that the case must hold.
+    /// Rules that a replay of the case must satisfy.
     pub rules: Vec<Rule>,
-    /// A free text.
+    /// Free-form description of the case; may be empty.
     pub note: String,
 }
--- a/src/run/cli/parser.rs
+++ b/src/run/cli/parser.rs
@@ -12,12 +12,12 @@
 
 /// Highest number of replays that `--times` accepts.
 const MAX_REPLAYS: u32 = 10_000;
-/// Seconds before and after a moment that `capture cut` keeps by default.
+/// Seconds that `capture cut` keeps before and after its instant by default.
 const DEFAULT_CUT_S: f64 = 2.0;
-/// Longest span in seconds that an option may name: a day.
+/// Longest duration that an option may have, in seconds: a day.
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// Reads the arguments behind the program's name.
+/// Reads the arguments after the program's name.
 ///
 /// # Errors
 /// The first argument that is unknown, missing or invalid.
@@ -41,10 +41,10 @@
     arguments.into_command()
 }
 
-/// All arguments as given; the options of all sub-commands together.
+/// The arguments of the process, with the options of all sub-commands.
 #[derive(Default)]
 struct Arguments {
-    /// Positional arguments: the sub-command's name and what follows it.
+    /// Positional arguments: the sub-command's name and its arguments.
     positional: Vec<String>,
     /// Names of the options given.
     options: Vec<String>,
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// The command that the arguments ask for, where they fit its sub-command.
+    /// Builds the command, after checking that the sub-command takes all the options and arguments given.
     fn into_command(self) -> Result<Command, CliError> {
         if self.version && self.positional.is_empty() {
             return Ok(Command::Version);
@@ -230,7 +230,7 @@
     }
 }
 
-/// The sub-command that the positional arguments name, and those that follow its name.
+/// The sub-command that the positional arguments name, and the arguments after its name.
 fn find_subcommand(positional: &[String]) -> Result<(&'static Subcommand, &[String]), CliError> {
     let first = positional.first().ok_or(CliError::MissingCommand)?;
     let first_two = positional.get(1).map(|second| format!("{first} {second}"));
@@ -245,7 +245,7 @@
     Err(CliError::UnknownCommand(unknown))
 }
 
-/// `help`: of all, of a family, or of one sub-command.
+/// `help` for the program, a family of sub-commands, or one sub-command.
 fn build_help(arguments: &[String]) -> Result<Command, CliError> {
     let name = arguments.join(" ");
     let subcommand = Subcommand::by_name(&name);
@@ -255,7 +255,7 @@
     Ok(Command::Help(subcommand.map(|subcommand| subcommand.name)))
 }
 
-/// The first argument behind the sub-command's name.
+/// The first argument after the sub-command's name; `what` names it in the error.
 fn argument<'a>(
     command: &'static str,
     arguments: &'a [String],
@@ -268,12 +268,12 @@
     argument(command, arguments, "a capture").map(PathBuf::from)
 }
 
-/// Names the option whose value is invalid.
+/// Converts the error of an invalid value, adding the option's name.
 fn invalid<E: Into<ValueError>>(option: &str) -> impl FnOnce(E) -> CliError + '_ {
     |error| CliError::Value { option: option.to_owned(), source: error.into() }
 }
 
-/// The same, for values that the capture tools read.
+/// Does the same as [`invalid`] for values that the capture tools parse.
 fn invalid_for_capture<E: Into<crate::run::error::BoxError>>(
     option: &str,
 ) -> impl FnOnce(E) -> CliError + '_ {
--- a/src/run/cli/subcommands.rs
+++ b/src/run/cli/subcommands.rs
@@ -1,6 +1,6 @@
 //! The table of sub-commands: name, options, number of arguments and help text of each.
 
-/// Which sub-command is meant.
+/// Identifier of a sub-command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubcommandId {
     /// `serve`
@@ -29,33 +29,33 @@
 
 /// One sub-command.
 pub struct Subcommand {
-    /// Its name: one word, or a family's and its own.
+    /// Name on the command line: one word, or the name of a family and a second word.
     pub name: &'static str,
-    /// Which one it is.
+    /// Identifier by which the parser builds the command.
     pub id: SubcommandId,
-    /// Names of its options, without dashes.
+    /// Names of the options, without dashes.
     pub options: &'static [&'static str],
-    /// Arguments behind its name, at most.
+    /// Maximum number of arguments after the name.
     pub max_arguments: usize,
     /// Arguments and options as the usage line shows them.
     pub usage: &'static str,
-    /// Its help text.
+    /// Description and options, printed below the usage line.
     pub help: &'static str,
 }
 
 impl Subcommand {
-    /// The sub-command of this name.
+    /// The sub-command with this name; `None` if there is none.
     pub fn by_name(name: &str) -> Option<&'static Subcommand> {
         SUBCOMMANDS.iter().find(|subcommand| subcommand.name == name)
     }
 
-    /// Whether it has an option; `option` is the name without dashes.
+    /// Whether the sub-command has an option; `option` is the name without dashes.
     pub fn has_option(&self, option: &str) -> bool {
         self.options.contains(&option)
     }
 }
 
-/// First words of the sub-commands whose names have two.
+/// First words of the sub-commands whose names have two words.
 pub const FAMILIES: [&str; 3] = ["capture", "shapes", "fleet"];
 
 /// Options of `serve`.
--- a/src/run/cli/tests.rs
+++ b/src/run/cli/tests.rs
@@ -1,4 +1,4 @@
-//! The table of sub-commands, and what the parser makes of arguments.
+//! The table of sub-commands, and parsing of arguments.
 
 use super::subcommands::SUBCOMMANDS;
 use super::*;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn invalid_arguments_are_rejected_by_name() {
+fn invalid_arguments_are_rejected_with_their_names() {
     for (words, message) in [
         (&[][..], "a command is missing"),
         (&["serv"], "no such command: serv"),
@@ -50,19 +50,19 @@
         ),
         (&["serve", "--log-format", "xml"], "--log-format: \"xml\" is neither text nor json"),
         (&["replay"], "replay: a capture is missing"),
-        (&["replay", "a", "--times", "0"], "--times: is no number from 1 to 10000"),
+        (&["replay", "a", "--times", "0"], "--times: expected a number from 1 to 10000"),
         (&["replay", "a", "--from", "-1"], "--from: \"-1\" is neither Unix seconds nor +SECONDS"),
-        (&["replay", "a", "--set", "x"], "--set: \"x\" is no PATH=VALUE"),
+        (&["replay", "a", "--set", "x"], "--set: invalid setting change \"x\": expected PATH=VALUE"),
         (&["explain", "a"], "explain: give one of --request, --engine and --at"),
         (&["explain", "a", "--request", "g"], "--request: \"g\" is not 16 hex digits"),
         (&["capture", "cut", "a"], "capture cut: --around is missing"),
         (&["capture", "cut", "a", "--around", "1"], "capture cut: --out is missing"),
         (
             &["capture", "cut", "a", "--before", "90000"],
-            "--before: \"90000\" is no number of seconds up to a day",
+            "--before: \"90000\" is not a number of seconds up to a day",
         ),
         (&["shapes", "explain"], "shapes explain: a statement is missing"),
-        (&["fleet", "members", "x"], "fleet members: \"x\" is no address and port"),
+        (&["fleet", "members", "x"], "fleet members: invalid address \"x\": expected IP:PORT"),
     ] {
         assert_eq!(parse_words(words), Err(message.to_owned()), "{words:?}");
     }
--- a/src/run/commands/capture_cut.rs
+++ b/src/run/commands/capture_cut.rs
@@ -13,11 +13,11 @@
 use std::io;
 use std::path::Path;
 
-/// Writes the case, and prints its size and whether it holds its rules. A rule that is broken is no error: the case
-/// may be cut to show just that.
+/// Writes the case, and prints its size and whether it satisfies its rules. A broken rule is not an error:
+/// the case may be cut to show the violation.
 ///
 /// # Errors
-/// A capture that cannot be used or does not hold the moment, or a file that cannot be written.
+/// A capture that cannot be used or does not contain the instant, or a file that cannot be written.
 pub fn run(options: &CutOptions) -> Result<(), CaptureError> {
     let capture = Capture::read(&options.capture)?;
     let rules = if options.rules.is_empty() { Rule::service_rules() } else { options.rules.clone() };
@@ -39,12 +39,12 @@
         format_timestamp(case.at),
         format_timestamp(case.until())
     ));
-    let breaches = check_case(&case).map_err(BoxError::from)?;
-    print_breaches(&options.out, &breaches, false);
+    let violations = check_case(&case).map_err(BoxError::from)?;
+    print_breaches(&options.out, &violations, false);
     Ok(())
 }
 
-/// Writes a file, and makes its folder where that is missing.
+/// Writes a file, and creates its folder if necessary.
 fn write_case(path: &Path, bytes: &[u8]) -> Result<(), CaptureError> {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder).map_err(|e| file_error(folder, e))?;
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -9,25 +9,25 @@
 
 /// A part of a capture that could not be read.
 pub struct Damage {
-    /// The file.
+    /// File with the damage.
     pub file: PathBuf,
-    /// Where it cannot be read, in bytes.
+    /// Offset in bytes at which the file cannot be read.
     pub offset: usize,
-    /// What is wrong there.
+    /// What is wrong at the offset.
     pub reason: String,
 }
 
-/// A capture that was read completely.
+/// The readable segments of a capture, and its damage.
 pub struct Capture {
-    /// Its segments, in order.
+    /// Segments in recording order.
     pub segments: Vec<Segment>,
-    /// What could not be read.
+    /// Parts that could not be read.
     pub damage: Vec<Damage>,
 }
 
 impl Capture {
-    /// Reads a file or a folder of them. Damage, segments that are cut off, and unusable files among several are
-    /// reported on standard error.
+    /// Reads a file, or a folder of files. Damage, truncated segments, and unusable files among several files
+    /// are reported on standard error.
     ///
     /// # Errors
     /// A capture without a single usable segment.
@@ -40,7 +40,7 @@
                 Ok(contents) => capture.append(file, contents),
                 Err(error) => {
                     if files.len() > 1 {
-                        eprintln!("sprucelink: passed over: {}", with_causes(&error));
+                        eprintln!("sprucelink: file skipped: {}", with_causes(&error));
                     }
                     last_error = Some(CaptureError::Library(error.into()));
                 }
@@ -54,7 +54,7 @@
         Ok(capture)
     }
 
-    /// The time of the first checkpoint.
+    /// Time of the first checkpoint.
     pub fn start(&self) -> Timestamp {
         self.segments.first().map_or(Timestamp::ZERO, |segment| segment.at)
     }
@@ -75,9 +75,9 @@
     fn report_cut_segments(&self) {
         for segment in &self.segments {
             let SegmentEnd::Truncated { inside_frame } = segment.end else { continue };
-            let place = if inside_frame { "inside a frame" } else { "behind a whole frame" };
+            let place = if inside_frame { "inside a frame" } else { "after a complete frame" };
             eprintln!(
-                "sprucelink: {}: segment {} is cut off {place}: {} whole records are used",
+                "sprucelink: {}: segment {} is cut off {place}: {} complete records are used",
                 segment.file.display(),
                 segment.header.number,
                 segment.records.len()
--- a/src/run/commands/capture_show.rs
+++ b/src/run/commands/capture_show.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Prints every segment: its place, span, events by kind, gaps and damage.
+/// Prints each segment: file, offset, time span, events by kind, gaps and damage.
 ///
 /// # Errors
 /// A capture that cannot be used.
@@ -31,7 +31,7 @@
     counts
 }
 
-/// How a segment ended, in words.
+/// Description of how a segment ended.
 fn describe_end(end: &SegmentEnd) -> String {
     match end {
         SegmentEnd::Closed { .. } => "closed".to_owned(),
--- a/src/run/commands/capture_verify.rs
+++ b/src/run/commands/capture_verify.rs
@@ -10,7 +10,7 @@
 use sprucelink_policy::Timestamp;
 use std::path::{Path, PathBuf};
 
-/// Checks each case of the files or folders; a mismatch is a rule that is broken.
+/// Checks each case in the files or folders; a broken rule is a mismatch.
 ///
 /// # Errors
 /// A file that cannot be read completely or replayed.
@@ -24,7 +24,7 @@
     Ok(CommandOutcome::from_match(all_hold))
 }
 
-/// Whether all cases of a file hold.
+/// Whether all cases in a file satisfy their rules.
 fn verify_file(file: &Path, as_json: bool) -> Result<bool, CaptureError> {
     let contents = reader::read_file(file).map_err(BoxError::from)?;
     if let Some(reader::Damage { offset, reason }) = contents.damage.into_iter().next() {
@@ -40,7 +40,7 @@
     Ok(all_hold)
 }
 
-/// Prints whether a case holds, and each breach of a rule.
+/// Prints whether a case satisfies its rules, and each violation.
 pub fn print_breaches(file: &Path, breaches: &[Breach], as_json: bool) {
     if as_json {
         let line = json!({"case": file, "holds": breaches.is_empty(), "breaches": breaches});
--- a/src/run/commands/check.rs
+++ b/src/run/commands/check.rs
@@ -1,4 +1,4 @@
-//! `sprucelink check`: prints what the files of a start would switch on.
+//! `sprucelink check`: prints which features the startup files would enable.
 
 use crate::run::second_front::SecondFrontConfig;
 use crate::run::serve::ServerConfig;
--- a/src/run/commands/error.rs
+++ b/src/run/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a sub-command failed, and the exit status that says so.
+//! Errors of the sub-commands, and the exit status for each.
 
 use crate::run::error::BoxError;
 use crate::run::serve::ServeError;
@@ -7,24 +7,24 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A command that could not be carried out.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A file of the start cannot be used.
+    /// A startup file cannot be used.
     #[error(transparent)]
     StartupFile(#[from] StartupFileError),
-    /// The server did not start, or could not go on.
+    /// The server could not start, or had to stop while serving.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// A capture cannot be used as asked.
+    /// A capture cannot be used as requested.
     #[error(transparent)]
     Capture(#[from] CaptureError),
     /// A manager's membership did not answer.
     #[error("{address}")]
     FleetMembers {
-        /// Where it was asked.
+        /// Address of the membership.
         address: SocketAddr,
-        /// Why there is no answer.
+        /// Why no answer arrived.
         source: io::Error,
     },
 }
@@ -39,29 +39,29 @@
     }
 }
 
-/// A capture that cannot be used as asked.
+/// Why a capture cannot be used as requested.
 #[derive(Debug, thiserror::Error)]
 pub enum CaptureError {
     /// The capture library rejected the capture or the question; its message names file and reason.
     #[error(transparent)]
     Library(#[from] BoxError),
-    /// No file of the capture holds a complete segment.
-    #[error("no segment can be used")]
+    /// No file of the capture contains a complete segment.
+    #[error("the capture has no usable segment")]
     NoSegment,
-    /// The span asked for lies outside the capture.
-    #[error("no segment lies in that span")]
+    /// The requested time span lies outside the capture.
+    #[error("no segment overlaps the requested time span")]
     SpanOutsideCapture,
-    /// The capture holds nothing of the request, engine or moment.
-    #[error("the capture tells nothing of that")]
+    /// The capture holds nothing about the request, engine or instant.
+    #[error("the capture holds nothing about the requested subject")]
     NothingFound,
     /// A case is damaged.
     #[error("{file}: damaged at byte {offset}: {reason}", file = file.display())]
     Damaged {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Where it cannot be read, in bytes.
+        /// Offset in bytes at which the file cannot be read.
         offset: usize,
-        /// What is wrong there.
+        /// What is wrong at the offset.
         reason: String,
     },
     /// A file or folder cannot be written, or a case cannot be checked.
@@ -69,7 +69,7 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// Why the write or the check failed.
         source: BoxError,
     },
 }
--- a/src/run/commands/explain.rs
+++ b/src/run/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `sprucelink explain`: what a capture holds of a request, an engine or a moment.
+//! `sprucelink explain`: prints what a capture holds about a request, an engine or an instant.
 
 use super::capture_reader::Capture;
 use super::output::{format_timestamp, print_line};
@@ -13,7 +13,7 @@
 /// Prints the explanation line by line.
 ///
 /// # Errors
-/// A capture that cannot be used, or that holds nothing of what is asked.
+/// A capture that cannot be used, or that holds nothing about the subject of the query.
 pub fn run(path: &Path, query: &ExplainQuery, as_json: bool) -> Result<(), CaptureError> {
     let capture = Capture::read(path)?;
     let question = match query {
--- a/src/run/commands/fleet_members.rs
+++ b/src/run/commands/fleet_members.rs
@@ -1,11 +1,11 @@
-//! `sprucelink fleet members`: the members that a running manager knows.
+//! `sprucelink fleet members`: prints the members in the view of a running manager.
 
 use super::CommandError;
 use serde_json::json;
 use sprucelink_membership::Member;
 use std::net::SocketAddr;
 
-/// Asks the membership at `address` and prints its members.
+/// Queries the membership at `address` and prints its members.
 ///
 /// # Errors
 /// A membership that does not answer.
--- a/src/run/commands/mod.rs
+++ b/src/run/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The sub-commands, a module each. [`run`] carries one out.
+//! The sub-commands, one module per sub-command. [`run`] executes a command.
 
 mod capture_cut;
 mod capture_reader;
@@ -18,17 +18,17 @@
 use super::cli::{self, Command, ServeOptions};
 use super::{logging, serve, startup_files};
 
-/// How a command that was carried out ended.
+/// Outcome of a command that ran without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It is done, and what it compared is equal.
+    /// The command is complete, and its comparison, if any, found no difference.
     Success,
     /// A comparison failed: a replay diverged, or a case broke a rule.
     Mismatch,
 }
 
 impl CommandOutcome {
-    /// [`CommandOutcome::Success`] where the comparison holds.
+    /// [`CommandOutcome::Success`] if the comparison found no difference.
     fn from_match(matches: bool) -> CommandOutcome {
         match matches {
             true => CommandOutcome::Success,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Carries out a command and prints its result to standard output.
+/// Executes a command and prints its result to standard output.
 ///
 /// # Errors
 /// Files that cannot be used, a server that could not start, a manager that did not answer.
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -11,10 +11,10 @@
 use sprucelink_policy::{Policy, TimeDelta, Timestamp};
 use std::time::Instant;
 
-/// Shortest duration of a replay that a speed is computed from, in seconds.
+/// Lower bound in seconds of the duration by which the speed of a replay is computed.
 const MIN_DURATION_S: f64 = 1e-9;
 
-/// Replays the segments and prints the result; a mismatch is a replay that diverged.
+/// Replays the segments and prints the result; a replay that diverged is a mismatch.
 ///
 /// # Errors
 /// A capture or settings that cannot be used.
@@ -36,7 +36,7 @@
     Ok(CommandOutcome::from_match(report.is_same()))
 }
 
-/// The segments that overlap a span.
+/// The segments that overlap the time span from `from` to `until`.
 fn select_segments(capture: &Capture, from: Option<Timestamp>, until: Option<Timestamp>) -> Vec<&Segment> {
     let overlaps = |segment: &&Segment| {
         from.is_none_or(|from| segment.until() >= from) && until.is_none_or(|until| segment.at <= until)
@@ -44,38 +44,38 @@
     capture.segments.iter().filter(overlaps).collect()
 }
 
-/// The results of all replays of all segments.
+/// Results of all replays of all segments.
 #[derive(Default)]
 struct ReplayReport {
     segments: usize,
-    /// Sum over the segments of the first replay.
+    /// Sums over all segments, from the first replay.
     total: ReplaySummary,
     /// The first divergence, and the number of its segment.
     first_divergence: Option<(u64, Divergence)>,
-    /// Segments that diverged.
+    /// Number of segments that diverged.
     diverged_segments: usize,
     /// Recorded time that was replayed.
     span: TimeDelta,
-    /// A digest of all actions for each replay.
+    /// Digest of all actions, one per replay.
     digests: Vec<u64>,
-    /// Seconds that one replay took, on average.
+    /// Average duration of one replay in seconds.
     duration_s: f64,
     /// How the build that recorded the first segment differs from this one.
     build_differences: Vec<String>,
 }
 
 impl ReplayReport {
-    /// Whether the replays were equal among themselves.
+    /// Whether all replays gave the same actions.
     fn is_repeatable(&self) -> bool {
         self.digests.iter().all(|digest| *digest == self.digests[0])
     }
 
-    /// Whether all actions were as recorded.
+    /// Whether all actions were as recorded, in every replay.
     fn is_same(&self) -> bool {
         self.total.differing_events == 0 && self.is_repeatable() && self.total.panic.is_none()
     }
 
-    /// Adds a segment of the first replay.
+    /// Adds the result of a segment in the first replay.
     fn add(&mut self, segment: &Segment, summary: ReplaySummary) {
         self.span = self.span + (segment.until() - segment.at);
         self.total.events += summary.events;
@@ -108,7 +108,7 @@
         change: &change,
     };
     let mut report = ReplayReport { segments: segments.len(), ..ReplayReport::default() };
-    let began = Instant::now();
+    let started = Instant::now();
     for repetition in 0..options.times {
         let mut digest = 0_u64;
         for segment in segments {
@@ -120,7 +120,7 @@
         }
         report.digests.push(digest);
     }
-    report.duration_s = began.elapsed().as_secs_f64() / f64::from(options.times);
+    report.duration_s = started.elapsed().as_secs_f64() / f64::from(options.times);
     if report.first_divergence.is_some() {
         report.build_differences = segments[0].build_differences();
     }
--- a/src/run/commands/shapes_explain.rs
+++ b/src/run/commands/shapes_explain.rs
@@ -1,4 +1,4 @@
-//! `sprucelink shapes explain`: the fingerprint of a statement and what is known of it.
+//! `sprucelink shapes explain`: prints the fingerprint of a statement and the facts derived from it.
 
 use super::output::print_line;
 use serde_json::json;
@@ -8,13 +8,14 @@
 
 /// Prints the fingerprint, the normal form and the facts.
 pub fn run(statement: &str, as_json: bool) {
-    let shape = StatementCache::new(Bounds { entries: 1, bytes: usize::MAX }).get_or_read(statement);
+    let statement_shape =
+        StatementCache::new(Bounds { entries: 1, bytes: usize::MAX }).get_or_read(statement);
     if as_json {
-        return print_line(&json!(*shape).to_string());
+        return print_line(&json!(*statement_shape).to_string());
     }
-    print_line(&format!("fingerprint  {}", shape.fingerprint));
-    print_line(&format!("normal form  {}", shape.text));
-    print_facts(&shape.facts);
+    print_line(&format!("fingerprint  {}", statement_shape.fingerprint));
+    print_line(&format!("normal form  {}", statement_shape.text));
+    print_facts(&statement_shape.facts);
 }
 
 fn print_facts(facts: &StatementFacts) {
@@ -31,7 +32,7 @@
     print_line(&format!("it           {}", join_or_none(&properties(facts))));
 }
 
-/// The properties that a statement has, in words.
+/// Descriptions of the properties that a statement has.
 fn properties(facts: &StatementFacts) -> Vec<String> {
     let properties = [
         (facts.may_write, "may write"),
