--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -30,7 +30,7 @@
 /// Lowest limit on the connections to one engine.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
 
-/// The endpoint events in a configuration, so that a start needs no answer of the control feed.
+/// The endpoint events in a configuration, which are applied before the control feed is polled.
 pub struct KnownEndpoints {
     /// Sequence number of the last event, after which the control feed is polled.
     pub last_event: u64,
@@ -54,7 +54,7 @@
     pub known_endpoints: KnownEndpoints,
     /// Settings of the policy.
     pub settings: Settings,
-    /// Seed of all random number generators of the process.
+    /// Seed of the random number generators.
     pub seed: u64,
     /// Names of zones, by zone index.
     pub zone_names: Vec<String>,
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -25,7 +25,7 @@
 
 /// The configuration and the optional settings files, as read at startup.
 pub struct ServerConfig {
-    /// The platform's configuration; each other field comes from a file of its own or from the environment.
+    /// The platform's configuration.
     pub config: Config,
     /// Address of the admin listener; `None` disables it.
     pub admin_address: Option<String>,
