--- a/crates/settings/src/environment.rs
+++ b/crates/settings/src/environment.rs
@@ -1,16 +1,16 @@
-//! Settings in the process's environment.
+//! Settings in the environment variables of the process.
 
 use crate::{Error, ErrorReason};
 use std::net::SocketAddr;
 
-/// Smallest number of an inherited descriptor: those below are the standard streams.
+/// Lowest inherited descriptor: those below are the standard streams.
 pub const MIN_DESCRIPTOR: u32 = 3;
 
 /// Variable with the path of the configuration file.
 const CONFIG: &str = "EDGE_CONFIG";
 /// Variable with the address of the admin listener.
 const ADMIN_ADDRESS: &str = "EDGE_OPERATOR";
-/// Variable with the number of the descriptor on which clients connect.
+/// Variable with the descriptor of the clients' listening socket.
 const LISTENER: &str = "EDGE_FD";
 
 /// The environment variables that the program reads. An empty one counts as absent.
@@ -20,15 +20,15 @@
     pub config: Option<String>,
     /// Address of the admin listener (`EDGE_OPERATOR`); the configuration's own takes precedence.
     pub admin_address: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform passes one on (`EDGE_FD`).
+    /// Descriptor of the clients' listening socket, if the platform passes one on (`EDGE_FD`).
     pub listener: Option<u32>,
 }
 
 impl Environment {
-    /// Reads the variables; `get` returns the value of one by its name.
+    /// Reads the variables; `get` returns the value of the variable with the given name.
     ///
     /// # Errors
-    /// The name of the variable whose value is invalid, and the value.
+    /// An invalid value, with the name of its variable.
     pub fn read(get: impl Fn(&str) -> Option<String>) -> Result<Environment, Error> {
         let get = |name: &str| get(name).filter(|value| !value.is_empty());
         let admin_address = get(ADMIN_ADDRESS).map(parse_admin_address).transpose()?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,13 +1,14 @@
-//! Settings of a workload manager, read into types.
+//! Settings of a workload manager, parsed into types.
 //!
-//! The platform's settings come in two forms: as nested JSON in its configuration ([`PlatformConfig`]), and as
-//! `path=value` pairs on the simulator's wire ([`pairs`]). Both are deserialized into [`WireSettings`], which holds the
-//! wire's names as serde renames, and [`WireSettings::to_policy_settings`] translates that into the decision module's vocabulary.
-//! Unknown fields are skipped, since the platform may add some. A known field of the wrong type is an [`Error`] that names
-//! the path, and in JSON the line and column. No input panics; memory is bounded by the text's own length and by
-//! [`pairs::MAX_ITEMS`].
+//! The platform's settings come in two forms: as nested JSON in its configuration ([`PlatformConfig`]), and
+//! as `path=value` pairs on the simulator's wire ([`pairs`]). Both are deserialized into [`WireSettings`],
+//! whose serde renames hold the names on the wire, and [`WireSettings::to_policy_settings`] converts it to
+//! the policy's settings. Unknown fields are skipped, since the platform may add fields. A known field of the
+//! wrong type is an [`Error`] that names the path, and in JSON the line and column. No input causes a panic;
+//! memory is bounded by the text's own length and by [`pairs::MAX_ITEMS`].
 //!
-//! Operators' own settings files are JSON5 and strict: [`SettingsFile`]. Environment variables: [`Environment`].
+//! Operators' own settings files are JSON5 and strict: [`SettingsFile`]. Environment variables:
+//! [`Environment`].
 
 mod environment;
 mod error;
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -1,8 +1,8 @@
-//! Settings as `path=value` pairs, the form of the simulator's wire.
+//! Settings as `path=value` pairs, the simulator's wire format.
 //!
-//! The parts of a path are separated by points, the items of a list of plain values by commas. A list of objects has its
-//! length under `count` and its items under `0`, `1` and so on. The pairs form a tree, which is a serde deserializer, so
-//! that the derived types read it as they read JSON.
+//! The parts of a path are separated by dots, the items of a list of plain values by commas. A list of
+//! objects has its length under `count` and its items under `0`, `1` and so on. The pairs form a tree, which
+//! is a serde deserializer, so that the derived types read it as they read JSON.
 
 use crate::{Error, ErrorReason, WireSettings};
 use serde::de::value::StrDeserializer;
@@ -10,14 +10,16 @@
 use std::collections::btree_map::{self, BTreeMap};
 use std::fmt;
 
-/// Largest number of items in a list of objects: a `count` of a few bytes would otherwise allocate without bound.
+/// Maximum number of items in a list of objects: a `count` of a few bytes would otherwise allocate without
+/// bound.
 pub const MAX_ITEMS: usize = 65_536;
 
-/// Largest number of parts in a path: those of the settings have three, and a tree as deep as a line is long would overflow
-/// the stack. A longer path is skipped, as any unknown one.
+/// Maximum number of parts in a path: paths of the settings have three, and a tree as deep as a line is long
+/// would overflow the stack. A longer path is skipped, like any unknown path.
 const MAX_PATH_PARTS: usize = 8;
 
-/// Reads the settings from pairs. An item without `=` is skipped; of two with the same path the later counts.
+/// Parses settings from pairs. An item without `=` is skipped; of two pairs with the same path, the later one
+/// counts.
 ///
 /// # Errors
 /// The first known path with an invalid value.
@@ -34,26 +36,26 @@
         .map_err(|e| Error::at_path(&e.path().to_string(), ErrorReason::Pair(e.into_inner())))
 }
 
-/// A path's value, and the paths below it.
+/// The value of a path, and the paths below it.
 #[derive(Debug, Default)]
 struct Node<'a> {
     text: Option<&'a str>,
     below: BTreeMap<&'a str, Node<'a>>,
 }
 
-/// The node of a path that does not occur.
+/// Node of a path that does not occur.
 static ABSENT: Node<'static> = Node { text: None, below: BTreeMap::new() };
 
-/// Why a value of a pair could not be read; its path stands in [`Error::place`].
+/// Why the value of a pair is invalid; [`Error::place`] holds the path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PairError {
-    /// A list of objects claims more than [`MAX_ITEMS`] items.
+    /// A list of objects has a `count` above [`MAX_ITEMS`].
     #[error("count {0} is over {MAX_ITEMS}")]
     TooManyItems(String),
-    /// A list's `count` is no finite number.
+    /// The `count` of a list is not a finite number.
     #[error("count {0:?} is not a number")]
     CountNotANumber(String),
-    /// The value is not what the field's type expects.
+    /// The value does not match the field's type; the message says what was expected.
     #[error("{0}")]
     InvalidValue(String),
 }
@@ -84,7 +86,7 @@
 impl<'de> Deserializer<'de> for &'de Node<'de> {
     type Error = PairError;
 
-    /// A plain value is its text.
+    /// A plain value is passed on as its text.
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.text {
             Some(text) => visitor.visit_borrowed_str(text),
@@ -138,7 +140,7 @@
     }
 }
 
-/// Items of a list of objects; those that do not occur are absent.
+/// Items of a list of objects; items without pairs are absent.
 struct ObjectItems<'de> {
     node: &'de Node<'de>,
     next: usize,
@@ -169,7 +171,7 @@
     }
 }
 
-/// Paths below a path.
+/// Entries of a map: the paths below a path.
 struct Children<'de> {
     remaining: btree_map::Iter<'de, &'de str, Node<'de>>,
     value: &'de Node<'de>,
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -1,16 +1,17 @@
-//! A place in a settings text, as errors name it.
+//! The location of an error in a settings text.
 
 use std::fmt;
 
-/// The path by which `serde_path_to_error` names a text as a whole.
+/// Path in `serde_path_to_error` of a text as a whole.
 pub const ROOT: &str = ".";
 
-/// A place in a settings text; shown as `line 2, column 5: lists.burst: `, or as nothing where nothing is known of it.
+/// A location in a settings text; displayed as `line 2, column 5: lists.burst: `, or as the empty string if
+/// it is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Line and column, from 1 (column 0: before the first character); `None` where the text has no lines.
+    /// Line and column, from 1 (column 0: before the first character); `None` if the text has no lines.
     pub position: Option<(usize, usize)>,
-    /// The field's path; empty or [`ROOT`] where the text as a whole is at fault.
+    /// The field's path; empty or [`ROOT`] if the text as a whole is invalid.
     pub path: String,
 }
 
--- a/crates/settings/src/platform_config.rs
+++ b/crates/settings/src/platform_config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: a JSON object, whose unknown fields are skipped.
+//! The platform's configuration: a JSON object whose unknown fields are skipped.
 
 use crate::value::{object, or_default, section, Object, UnsignedInteger};
 use crate::{Error, WireSettings};
@@ -7,12 +7,12 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The configuration that the platform starts a manager with. `E` is an event of the control feed, whose format the feed's
-/// reader knows.
+/// The configuration with which the platform starts a manager. `E` is the type of an event of the control
+/// feed, whose format the feed's client knows.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
 pub struct PlatformConfig<E> {
-    /// The manager's name, the same after a restart; empty where it is absent.
+    /// The manager's name, the same after a restart; empty if absent.
     #[serde(default, deserialize_with = "or_default")]
     pub name: String,
     /// Address on which clients connect.
@@ -25,23 +25,23 @@
     /// Address of the control feed (the endpoint list).
     #[serde(default)]
     pub feed: Option<String>,
-    /// Address of the admin listener, if there is one.
+    /// Address of the admin listener; `None` if the configuration has none.
     #[serde(rename = "operator", default)]
     pub admin_address: Option<SocketAddr>,
     /// The control feed's events up to the start.
     #[serde(rename = "known", default = "KnownEvents::none", deserialize_with = "known_events")]
     pub known_events: KnownEvents<E>,
-    /// The settings, in the form of the simulator's first message.
+    /// The settings, with the same fields as in the simulator's first message.
     #[serde(deserialize_with = "object")]
     pub settings: WireSettings,
 }
 
 impl<E: for<'de> Deserialize<'de>> PlatformConfig<E> {
-    /// Reads a configuration's text.
+    /// Parses the text of a configuration.
     ///
     /// # Errors
-    /// Where the text is no JSON, a required field is missing (`listen`, `seed`, `settings`) or a known one has an
-    /// invalid value: by line, column and path.
+    /// A text that is not JSON, a required field that is missing (`listen`, `seed`, `settings`) or a known
+    /// field with an invalid value, with line, column and path.
     pub fn parse(text: &str) -> Result<PlatformConfig<E>, Error> {
         let mut json = serde_json::Deserializer::from_str(text);
         let result = serde_path_to_error::deserialize(&mut json);
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// Memory in MB, beyond which the process is killed.
+    /// Memory in MB above which the process is killed.
     pub memory_mb: UnsignedInteger,
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     #[serde(rename = "sockets")]
     pub descriptors: UnsignedInteger,
 }
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
 pub struct KnownEvents<E> {
-    /// Number of the last event; absent where there are no events.
+    /// Sequence number of the last event; absent if there are no events.
     #[serde(rename = "n", default)]
     pub last_event: UnsignedInteger,
     /// The events, in order.
@@ -83,8 +83,8 @@
 fn known_events<'de, D: Deserializer<'de>, E: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<KnownEvents<E>, D::Error> {
-    // A number without events is ignored: polled from that number on, the feed would never send the complete list,
-    // which is in its first event.
+    // A sequence number without events is ignored: polled from that number on, the feed would never send the
+    // complete list, which is in its first event.
     let known = Option::<KnownEvents<E>>::deserialize(deserializer)?;
     Ok(known.filter(|known| !known.events.is_empty()).unwrap_or_else(KnownEvents::none))
 }
--- a/crates/settings/src/policy_settings.rs
+++ b/crates/settings/src/policy_settings.rs
@@ -1,5 +1,5 @@
-//! What the settings of the wire mean to the decision module. An absent value gets its default here, and a word that is
-//! unknown takes the most restrictive meaning.
+//! Converts the settings on the wire to the policy's settings. An absent value gets its default here, and an
+//! unknown word takes the most restrictive meaning.
 
 use crate::{NumberList, WireClass, WireEngines, WireSettings, WireTenant};
 use sprucelink_policy::{
@@ -7,7 +7,7 @@
 };
 use sprucelink_time::TimeDelta;
 
-/// `loadReport.fields`: the values of which either one shows how busy an engine is.
+/// `loadReport.fields`: values either of which shows the load of an engine.
 const LOAD_FIELDS: [&str; 2] = ["rif", "busy"];
 /// `loadReport.via`: reports come with each answer.
 const VIA_ANSWERS: &str = "piggyback";
@@ -15,9 +15,9 @@
 const VIA_PROBES: &str = "pull";
 /// `discovery`: the endpoint list must be polled.
 const POLLED_DISCOVERY: &str = "ask";
-/// `specifics.memoryShort`: a query gets what memory is left, and spills.
+/// `specifics.memoryShort`: a query gets the remaining memory, and spills to disk.
 const MEMORY_SHORT_SHRINKS: &str = "trim";
-/// `specifics.memoryShort`: a query runs, and its engine pages.
+/// `specifics.memoryShort`: a query runs, and the engine pages memory out.
 const MEMORY_SHORT_PAGES: &str = "swap";
 /// `profiles[].effect`: idempotent.
 const EFFECT_IDEMPOTENT: &str = "read_like";
@@ -29,8 +29,8 @@
 const DEDUP_ZONE: &str = "zone";
 
 impl WireSettings {
-    /// The decision module's settings. What has no counterpart on the wire keeps the default of [`Settings`]: the
-    /// start-up ramp, the fleet's shared budgets, weights of zones.
+    /// The policy's settings. Settings without a counterpart on the wire keep the defaults of [`Settings`]:
+    /// the startup ramp, the fleet's shared budgets, weights of zones.
     pub fn to_policy_settings(&self) -> Settings {
         let engines = &self.engines;
         let limits = &self.limits;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The retry budget; `None` where its window is absent.
+    /// The retry budget; `None` if its window is absent.
     fn retry_budget(&self) -> Option<RetryBudgetSettings> {
         let rules = &self.invariants;
         rules.retry_window.0.map(|seconds| RetryBudgetSettings {
@@ -103,7 +103,7 @@
 }
 
 impl WireClass {
-    /// The settings of the class with number `class`.
+    /// The settings of the class with index `class`.
     fn to_policy(&self, class: usize, engines: &WireEngines) -> ClassSettings {
         ClassSettings {
             value: self.value.unwrap_or(1.0),
--- a/crates/settings/src/settings_file.rs
+++ b/crates/settings/src/settings_file.rs
@@ -1,23 +1,24 @@
-//! Reader of the operator's own settings files, such as `deploy/failover.json5`: JSON5, strict, checked as a whole.
+//! Parser of the operator's settings files, such as `deploy/failover.json5`: JSON5 in which unknown fields
+//! are errors and the values are validated.
 
 use crate::{InvalidField, Place};
 use serde::de::DeserializeOwned;
 
-/// Settings that an operator keeps in a JSON5 file of their own.
+/// Settings in a JSON5 file of the operator.
 pub trait SettingsFile: DeserializeOwned {
-    /// What the file configures; each error text begins with it.
+    /// Subject of the settings; each error message begins with it.
     const SUBJECT: &'static str;
 
-    /// Checks what the types alone do not: ranges, and rules between fields.
+    /// Checks the rules that the types do not enforce: ranges, and rules between fields.
     ///
     /// # Errors
     /// The first field that breaks a rule.
     fn validate(&self) -> Result<(), InvalidField>;
 
-    /// Reads and validates the text of a file.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
-    /// Where the text is no JSON5, a field is unknown or of the wrong type, or a value breaks a rule.
+    /// A text that is not JSON5, a field that is unknown or of the wrong type, or a value that breaks a rule.
     fn parse(text: &str) -> Result<Self, SettingsFileError> {
         let settings: Self = deserialize(text)?;
         settings
@@ -30,12 +31,12 @@
 /// Why a settings file was rejected. The caller adds the file's name.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
-    /// The text is no JSON5, or a field is unknown or of the wrong type.
+    /// The text is not JSON5, or a field is unknown or of the wrong type.
     #[error("{subject}: {place}{message}")]
     Json5 {
-        /// What the file configures.
+        /// Subject of the settings.
         subject: &'static str,
-        /// Where in the text.
+        /// Location of the error in the text.
         place: Place,
         /// The JSON5 library's message.
         message: String,
@@ -43,9 +44,9 @@
     /// A value breaks a rule of the settings.
     #[error("{subject}: {invalid}")]
     InvalidField {
-        /// What the file configures.
+        /// Subject of the settings.
         subject: &'static str,
-        /// The field and the rule.
+        /// The field, and the rule that it breaks.
         invalid: InvalidField,
     },
 }
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Rules that a setting must keep beyond its type: ranges, lengths, uniqueness.
+//! Rules for settings that their types do not enforce: ranges, lengths, uniqueness.
 
 /// A settings field whose value breaks a rule.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -16,51 +16,51 @@
     /// The number is not finite or lies outside its bounds.
     #[error("must lie within {min} and {max}, is {value}")]
     OutOfRange {
-        /// Lower bound, included.
+        /// Lower bound, inclusive.
         min: f64,
-        /// Upper bound, included.
+        /// Upper bound, inclusive.
         max: f64,
-        /// The number found.
+        /// The configured number.
         value: f64,
     },
-    /// The text is no IPv4 socket address.
+    /// The value is not an IPv4 socket address.
     #[error("must be an IPv4 address and port, is {value:?}")]
     NotIpv4SocketAddress {
-        /// The text found.
+        /// The configured value.
         value: String,
     },
-    /// The text is too long.
+    /// The value is too long.
     #[error("{max} bytes at most, is {length}")]
     TooLong {
-        /// Longest length in bytes.
+        /// Maximum length in bytes.
         max: usize,
-        /// The length found, in bytes.
+        /// Length of the configured value in bytes.
         length: usize,
     },
     /// A name that must be unique occurs twice.
     #[error("{item} {name:?} stands in two places")]
     Duplicate {
-        /// What the name is of, such as `zone`.
+        /// Kind of item that has the name, such as `zone`.
         item: &'static str,
-        /// The name.
+        /// The name that occurs twice.
         name: String,
     },
 }
 
 impl InvalidField {
-    /// The field at `path` breaks a rule.
+    /// Creates an error for the field at `path`.
     pub fn new(path: impl Into<String>, violation: Violation) -> InvalidField {
         InvalidField { path: path.into(), violation }
     }
 
-    /// The same violation as seen from the section that contains the field.
+    /// The same violation with `section` put before the field's path.
     #[must_use]
     pub fn in_section(self, section: &str) -> InvalidField {
         InvalidField { path: format!("{section}.{}", self.path), ..self }
     }
 }
 
-/// Checks that a number is finite and lies within `min` and `max`, both included.
+/// Checks that a number is finite and lies between `min` and `max`, both inclusive.
 ///
 /// # Errors
 /// [`Violation::OutOfRange`] at `field`.
--- a/crates/settings/src/value/mod.rs
+++ b/crates/settings/src/value/mod.rs
@@ -1,4 +1,4 @@
-//! Plain values of the settings: in JSON of their own types, on the simulator's wire as text. Empty text, `-` and JSON's
+//! Plain values of the settings: typed in JSON, text on the simulator's wire. An empty text, `-` and JSON's
 //! null mark an absent value.
 
 mod number;
--- a/crates/settings/src/value/number.rs
+++ b/crates/settings/src/value/number.rs
@@ -17,11 +17,11 @@
 pub struct Number(pub Option<f64>);
 
 impl Number {
-    /// The number, or `absent` where there is none.
-    pub fn unwrap_or(self, absent: f64) -> f64 {
-        self.0.unwrap_or(absent)
+    /// The number, or `default` if it is absent.
+    pub fn unwrap_or(self, default: f64) -> f64 {
+        self.0.unwrap_or(default)
     }
-    /// The number of seconds as a span; zero where it is absent.
+    /// The number as a duration in seconds; zero if it is absent.
     pub fn as_time_delta(self) -> TimeDelta {
         TimeDelta::from_secs_f64(self.unwrap_or(0.0))
     }
@@ -58,18 +58,18 @@
     }
 }
 
-/// A list of numbers. Empty texts among them are skipped; no other item may be absent.
+/// A list of numbers. Empty texts in the list are skipped; no other item may be absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NumberList(pub Vec<f64>);
 
 impl NumberList {
-    /// The numbers as indices of another list; negative numbers become 0.
+    /// The numbers as indices into another list: fractions are truncated, negative numbers become 0.
     pub fn as_indices(&self) -> Vec<u32> {
         self.0.iter().map(|v| *v as u32).collect()
     }
 }
 
-/// One item of a list of numbers; `None` for an empty text.
+/// An item of a list of numbers; `None` for an empty text.
 struct ListNumber(Option<f64>);
 
 impl<'de> Deserialize<'de> for ListNumber {
@@ -107,7 +107,7 @@
     }
 }
 
-/// An integer from 0 that may be absent; fractions are cut off.
+/// An unsigned integer that may be absent; fractions are truncated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnsignedInteger(pub Option<u64>);
 
--- a/crates/settings/src/value/text.rs
+++ b/crates/settings/src/value/text.rs
@@ -1,28 +1,28 @@
-//! Texts and flags.
+//! Text values and flags.
 
 use super::is_absent;
 use serde::de::{self, Deserializer, Visitor};
 use serde::Deserialize;
 use std::fmt;
 
-/// A flag: `true` and `1` are true; absent and anything else is false.
+/// A flag: `true` and `1` are true; an absent value and any other value are false.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flag(pub bool);
 
 impl<'de> Deserialize<'de> for Flag {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Flag, D::Error> {
-        Text::deserialize(d).map(|w| Flag(matches!(w.0.as_str(), "true" | "1")))
+        Text::deserialize(d).map(|text| Flag(matches!(text.0.as_str(), "true" | "1")))
     }
 }
 
-/// A text, such as a name; a number or boolean counts as its text. Empty where it is absent.
+/// A text, such as a name; a number or boolean is converted to text. Empty if it is absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Text(pub String);
 
 impl Text {
-    /// The text, unless it is absent.
+    /// The text; `None` if it is absent (`-` included).
     pub fn get(&self) -> Option<&str> {
-        Some(self.0.as_str()).filter(|w| !is_absent(w))
+        Some(self.0.as_str()).filter(|text| !is_absent(text))
     }
 }
 
@@ -47,7 +47,7 @@
                 Ok(Text(v.to_string()))
             }
             fn visit_f64<E: de::Error>(self, v: f64) -> Result<Text, E> {
-                // With its decimal point, so that 1.0 does not read as a zone's number.
+                // Formatted with the decimal point, so that 1.0 is not taken for the index of a zone.
                 Ok(Text(format!("{v:?}")))
             }
             fn visit_unit<E: de::Error>(self) -> Result<Text, E> {
--- a/crates/settings/src/wire_settings.rs
+++ b/crates/settings/src/wire_settings.rs
@@ -1,180 +1,183 @@
-//! The settings as the wire has them. A field bears its standard name; where the wire has another one, a serde rename
-//! beside the field gives it. What the values mean to the decision module stands in `policy_settings`.
+//! The settings as they are on the wire. Each field has its standard name; a serde rename gives the name on
+//! the wire where it differs. `policy_settings` converts the values to the policy's settings.
 
 use crate::value::{objects, or_default, present, section, Flag, Number, NumberList, Text};
 use serde::Deserialize;
 
-/// The settings that the program uses. Times are in seconds, fractions and prices parts of one, unless said otherwise.
+/// The settings that the program uses. Times are in seconds, and fractions and prices relative to one, unless
+/// stated otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireSettings {
-    /// Classes of requests, in the order in which they are numbered.
+    /// Request classes, in the order of their indices.
     #[serde(rename = "profiles", deserialize_with = "objects")]
     pub classes: Vec<WireClass>,
-    /// Tenants, in the order in which they are numbered.
+    /// Tenants, in the order of their indices.
     #[serde(rename = "customers", deserialize_with = "objects")]
     pub tenants: Vec<WireTenant>,
-    /// Factor on the value of a request beyond its tenant's quota; absent: 1.
+    /// Factor on the value of a request above its tenant's quota; absent: 1.
     #[serde(rename = "overShareWorth")]
     pub over_quota_value_factor: Number,
-    /// Managers in the fleet; absent or under 1: 1.
+    /// Number of managers in the fleet; absent or below 1: 1.
     #[serde(rename = "siblings")]
     pub managers: Number,
-    /// This manager's number among them, from 0.
+    /// This manager's index in the fleet, from 0.
     pub position: Number,
-    /// `ask` where the endpoint list must be polled; anything else: it is pushed.
+    /// `ask` if the endpoint list must be polled; any other value: it is pushed.
     pub discovery: Text,
-    /// Number of this manager's own zone; a text that is no whole number counts as absent.
+    /// Index of this manager's own zone; a text that is not a whole number counts as absent.
     #[serde(rename = "az")]
     pub zone: Text,
-    /// Names of zones, by number.
+    /// Names of zones, by zone index.
     #[serde(rename = "zones", deserialize_with = "or_default")]
     pub zone_names: Vec<Text>,
-    /// Names of machine kinds, by number.
+    /// Names of machine kinds, by kind index.
     #[serde(rename = "shapes", deserialize_with = "or_default")]
     pub kind_names: Vec<Text>,
-    /// Load reports.
+    /// How engines report their load.
     #[serde(deserialize_with = "section")]
     pub load_report: WireLoadReport,
-    /// Engines, and the classes on them.
+    /// Properties of engines, and of the classes on them.
     #[serde(rename = "specifics", deserialize_with = "section")]
     pub engines: WireEngines,
-    /// Limits of the site.
+    /// What the site allows, and its limits on attempts and connections.
     #[serde(deserialize_with = "section")]
     pub limits: WireLimits,
-    /// What the site's rules demand of each manager.
+    /// Rules of the site that each manager must obey.
     #[serde(deserialize_with = "section")]
     pub invariants: WireInvariants,
-    /// Penalties.
+    /// Penalties for probes, cross-zone attempts and new connections.
     #[serde(deserialize_with = "section")]
     pub prices: WirePrices,
-    /// How clients behave.
+    /// Behavior of clients.
     #[serde(deserialize_with = "section")]
     pub clients: WireClients,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireClass {
-    /// Its name.
+    /// Name that clients send with a request.
     pub name: Text,
-    /// Value of a request that is answered in time; absent: 1.
+    /// Value of a request whose response is in time; absent: 1.
     pub value: Number,
     /// Fraction of the value that a late response earns.
     #[serde(rename = "lateWorth")]
     pub late_value_fraction: Number,
-    /// Latency objective.
+    /// Latency objective, without the part that depends on the work.
     #[serde(rename = "aim")]
     pub latency_objective: Number,
-    /// The latency objective grows by this times the work over the threads.
+    /// The latency objective grows by this factor times the work per thread.
     #[serde(rename = "aimStretch")]
     pub objective_per_work: Number,
-    /// How long a client waits for the response.
+    /// How long a client waits for a response.
     pub deadline: Number,
-    /// `read_like` or `idempotency_key`; anything else counts as not idempotent.
+    /// `read_like` or `idempotency_key`; any other value counts as not idempotent.
     pub effect: Text,
-    /// Scope of deduplication by idempotency key: `all`, `zone`; anything else: one cell.
+    /// Scope of deduplication by idempotency key: `all` or `zone`; any other value: one cell.
     pub dedup_scope: Text,
-    /// For how long duplicates are dropped.
+    /// How long duplicates are dropped.
     pub repeat_window: Number,
     /// Requests with the same key run one at a time.
     #[serde(rename = "inTurn")]
     pub ordered_by_key: Flag,
-    /// Machine kinds, by number, that the class is restricted to; an empty list, too, restricts it.
+    /// Indices of the machine kinds that the class is restricted to; an empty list is a restriction, too.
     #[serde(rename = "allowedOn", deserialize_with = "present")]
     pub kinds: Option<NumberList>,
-    /// Zones, by number, that the class is restricted to; an empty list, too, restricts it.
+    /// Indices of the zones that the class is restricted to; an empty list is a restriction, too.
     #[serde(rename = "runsIn", deserialize_with = "present")]
     pub zones: Option<NumberList>,
 }
 
-/// A tenant.
+/// A tenant of the site.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireTenant {
-    /// Its name.
+    /// Name that clients send with a request.
     pub name: Text,
-    /// Quota in requests a second; absent: none.
+    /// Quota in requests per second; absent: unlimited.
     pub quota_per_s: Number,
 }
 
-/// Load reports.
+/// How engines report their load.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireLoadReport {
-    /// `piggyback` or `pull`; anything else: there are none.
+    /// `piggyback` (with each answer) or `pull` (with load probes only); any other value: there are no load
+    /// reports.
     pub via: Text,
-    /// Names of the values.
+    /// Names of the values in a load report.
     #[serde(deserialize_with = "or_default")]
     pub fields: Vec<Text>,
 }
 
-/// What is known of engines and of the classes on them (`specifics`).
+/// Properties of engines, and of the classes on them (`specifics`).
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireEngines {
-    /// Threads that a query of each class runs on; absent or under 1: 1.
+    /// Threads that a query of each class runs on, by class index; absent or below 1: 1.
     pub class_threads: NumberList,
-    /// Whether each class holds its tables while it runs.
+    /// Whether a query of each class holds its tables while it runs, by class index.
     #[serde(rename = "loads", deserialize_with = "or_default")]
     pub class_loads_tables: Vec<Flag>,
-    /// Cores of each machine kind.
+    /// Cores of each machine kind, by kind index.
     #[serde(rename = "sizeCores")]
     pub kind_cores: NumberList,
-    /// Memory of each machine kind, in MB.
+    /// Memory of each machine kind in MB, by kind index.
     #[serde(rename = "ramOfKindMb")]
     pub kind_memory_mb: NumberList,
-    /// Engines apply memory grants.
+    /// Whether engines apply memory grants.
     #[serde(rename = "takesGrants")]
     pub applies_grants: Flag,
-    /// What queries do when memory is short: `trim` or `swap`; anything else: they wait.
+    /// What queries do when memory is short: `trim` or `swap`; any other value: they wait.
     pub memory_short: Text,
-    /// Engines apply priorities.
+    /// Whether engines apply priorities.
     pub priorities: Flag,
-    /// Interval of progress messages; 0: there are none.
+    /// Interval of progress notes; 0: there are none.
     #[serde(rename = "progressPace")]
     pub progress_interval: Number,
-    /// Responses report a query's cost.
+    /// Whether responses report the cost of a query.
     #[serde(rename = "tellsCost")]
     pub reports_cost: Flag,
 }
 
-/// Limits of the site (`limits` of the settings; the process's own are [`crate::ProcessLimits`]).
+/// What the site allows, and its limits on attempts and connections (`limits` in the settings; limits on the
+/// process are [`crate::ProcessLimits`]).
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireLimits {
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub cancel: Flag,
-    /// Load probes are allowed.
+    /// Whether load probes are allowed.
     pub probes: Flag,
-    /// Managers may send each other messages.
+    /// Whether managers may send each other messages.
     pub peers: Flag,
-    /// Rejections carry a Retry-After.
+    /// Whether rejections carry a Retry-After.
     pub retry_after: Flag,
     /// Longest Retry-After.
     pub max_retry_after: Number,
-    /// Attempts allowed for one request; absent: 1.
+    /// Maximum number of attempts per request; absent: 1.
     pub max_attempts: Number,
-    /// Concurrent attempts on one connection.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams: Number,
-    /// Connect timeout.
+    /// Time that a connection to an engine may take to open.
     pub connect_timeout: Number,
-    /// Idle timeout of a connection.
+    /// Time after which an idle connection to an engine is closed.
     #[serde(rename = "connIdle")]
     pub idle_timeout: Number,
 }
 
-/// What the site's rules demand of each manager.
+/// Rules of the site that each manager must obey.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireInvariants {
-    /// Grace period after a drain notice, within which sends to the engine must stop.
+    /// Grace period after a drain notice, within which attempts to the engine must stop.
     pub drain_grace: Number,
-    /// An engine in slow start fails when it is sent more than this multiple of its capacity; absent: 1.
+    /// Multiple of its capacity above which load makes an engine in slow start fail; absent: 1.
     #[serde(rename = "fallMultiple")]
     pub slow_start_multiple: Number,
-    /// For how long it must be overloaded until it fails.
+    /// Time for which an engine in slow start must be overloaded before it fails.
     #[serde(rename = "overloadFor")]
     pub slow_start_window: Number,
     /// Fraction of its capacity that an engine starts with; absent: 1.
@@ -183,21 +186,21 @@
     /// Length of an engine's slow start.
     #[serde(rename = "cold")]
     pub slow_start_duration: Number,
-    /// Pause of an idempotency key after an attempt that may still run.
+    /// Pause before the next attempt with an idempotency key after an attempt that may still run.
     #[serde(rename = "orderSettle")]
     pub key_settle_time: Number,
     /// Window of the retry budget; absent: there is no budget.
     #[serde(rename = "ratioSpan")]
     pub retry_window: Number,
-    /// Retries allowed in any case.
+    /// Retries per window that are allowed regardless of the number of requests.
     #[serde(rename = "freeResends")]
     pub free_retries: Number,
-    /// Retries allowed for each admitted request.
+    /// Retries allowed per admitted request.
     #[serde(rename = "budgetShare")]
     pub retries_per_request: Number,
 }
 
-/// Penalties.
+/// Penalties for probes, cross-zone attempts and new connections.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WirePrices {
@@ -209,10 +212,10 @@
     pub handshake: Number,
 }
 
-/// How clients behave.
+/// Behavior of clients.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireClients {
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     pub marks_retry: Flag,
 }
--- a/crates/settings/tests/invalid_input.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Which input is accepted, which is rejected, and that an error names its place.
+//! Valid and invalid input, and the location that an error names.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -13,35 +13,38 @@
 
 #[test]
 fn minimal_configuration_gets_defaults() {
-    let p = parse(&format!("{{{MINIMAL}}}")).expect("read");
-    assert_eq!((p.name.as_str(), p.listen.to_string().as_str()), ("", "10.0.0.4:7001"));
-    assert_eq!((p.seed, p.feed, p.admin_address), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
+    let config = parse(&format!("{{{MINIMAL}}}")).expect("read");
+    assert_eq!((config.name.as_str(), config.listen.to_string().as_str()), ("", "10.0.0.4:7001"));
+    assert_eq!((config.seed, config.feed, config.admin_address), (Seed(0x8c1f_30d2_7a5b_e964), None, None));
     assert_eq!(
-        (p.limits.descriptors.0, p.limits.memory_mb.0, p.known_events.last_event.0),
+        (config.limits.descriptors.0, config.limits.memory_mb.0, config.known_events.last_event.0),
         (None, None, None)
     );
-    assert!(p.known_events.events.is_empty() && p.settings.to_policy_settings() == Default::default());
+    assert!(
+        config.known_events.events.is_empty() && config.settings.to_policy_settings() == Default::default()
+    );
     let nulls = r#""name":null,"feed":null,"operator":null,"limits":null,"known":null,"to_come":[{"a":1}]"#;
     assert_eq!(parse(&format!("{{{MINIMAL},{nulls}}}")).expect("read").known_events.events.len(), 0);
 }
 
 #[test]
 fn full_configuration_is_read() {
-    let more = r#""name":"n3","operator":"10.0.0.4:7002","feed":"10.2.0.1:7070","known":{"n":3,"events":[{},{}]},
+    let optional_fields = r#""name":"n3","operator":"10.0.0.4:7002","feed":"10.2.0.1:7070","known":{"n":3,"events":[{},{}]},
         "limits":{"cores":1.0,"memory_mb":32.0,"sockets":4096}"#;
-    let p = parse(&format!("{{{MINIMAL},{more}}}")).expect("read");
-    assert_eq!((p.name.as_str(), p.feed.as_deref()), ("n3", Some("10.2.0.1:7070")));
-    assert_eq!(p.admin_address.map(|a| a.port()), Some(7002));
-    assert_eq!((p.known_events.last_event.0, p.known_events.events.len()), (Some(3), 2));
-    assert_eq!((p.limits.memory_mb.0, p.limits.descriptors.0), (Some(32), Some(4096)));
+    let config = parse(&format!("{{{MINIMAL},{optional_fields}}}")).expect("read");
+    assert_eq!((config.name.as_str(), config.feed.as_deref()), ("n3", Some("10.2.0.1:7070")));
+    assert_eq!(config.admin_address.map(|a| a.port()), Some(7002));
+    assert_eq!((config.known_events.last_event.0, config.known_events.events.len()), (Some(3), 2));
+    assert_eq!((config.limits.memory_mb.0, config.limits.descriptors.0), (Some(32), Some(4096)));
     let number = MINIMAL.replace("\"8c1f30d27a5be964\"", "18446744073709551615");
     assert_eq!(parse(&format!("{{{number}}}")).expect("read").seed, Seed(u64::MAX));
 }
 
-/// Without the place of an error, operators would have to search a file of some hundred fields.
+/// Guards against an error without its location: operators would have to search a file with some hundred
+/// fields.
 #[test]
 fn invalid_json_value_is_rejected_with_line_column_and_path() {
-    let of =
+    let error_for =
         |settings: &str| parse(&format!("{{{},\n{settings}}}", &MINIMAL[..MINIMAL.len() - 14])).unwrap_err();
     for (settings, expected) in [
         (
@@ -74,7 +77,7 @@
         (r#""limits":{}"#, "missing field `settings`"),
         (r#""settings":{}} x"#, "line 2, column 16: trailing characters"),
     ] {
-        let e = of(settings);
+        let e = error_for(settings);
         assert!(e.contains(expected), "{settings}: {e}");
         assert!(e.starts_with("line "), "{e}");
     }
@@ -100,7 +103,8 @@
     assert_eq!(pairs::parse(invalid.into_iter()).unwrap_err().place.path, "profiles[0].allowedOn[0]");
 }
 
-/// A count is a few bytes, an item some hundred; a path of a million parts would be a tree as deep.
+/// Guards against input that allocates far more than its own length: a count takes a few bytes, each item
+/// some hundred. A path of a million parts would also make a tree of that depth.
 #[test]
 fn pairs_beyond_the_bounds_are_rejected_or_skipped() {
     let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
@@ -115,25 +119,40 @@
 }
 
 #[test]
-fn absent_values_have_defined_meanings() {
-    let set = |pairs: &[&str]| pairs::parse(pairs.iter().copied()).expect("read").to_policy_settings();
-    assert_eq!(set(&[]), Default::default());
-    let one = |pair: &str| set(&["profiles.count=1", pair]).classes.remove(0);
-    // A list that is present restricts its class, even if it is empty.
+fn absent_values_get_their_defaults() {
+    let parse_settings =
+        |pairs: &[&str]| pairs::parse(pairs.iter().copied()).expect("read").to_policy_settings();
+    assert_eq!(parse_settings(&[]), Default::default());
+    let class_with = |pair: &str| parse_settings(&["profiles.count=1", pair]).classes.remove(0);
+    // A list that is present restricts the class, even if it is empty.
     assert_eq!(
-        (one("profiles.0.runsIn=").zones, one("profiles.0.runsIn=-").zones),
+        (class_with("profiles.0.runsIn=").zones, class_with("profiles.0.runsIn=-").zones),
         (Some(vec![]), Some(vec![]))
     );
-    assert_eq!((one("x=y").zones, one("profiles.0.runsIn=1,,0").zones), (None, Some(vec![1, 0])));
-    assert!(!one("specifics.loads=,true").loads_tables && one("specifics.loads=1").loads_tables);
     assert_eq!(
-        (one("specifics.classThreads=0").threads, one("specifics.classThreads=,4").threads),
+        (class_with("x=y").zones, class_with("profiles.0.runsIn=1,,0").zones),
+        (None, Some(vec![1, 0]))
+    );
+    assert!(
+        !class_with("specifics.loads=,true").loads_tables && class_with("specifics.loads=1").loads_tables
+    );
+    assert_eq!(
+        (class_with("specifics.classThreads=0").threads, class_with("specifics.classThreads=,4").threads),
         (1.0, 4.0)
     );
-    assert_eq!(set(&["customers.count=1"]).tenants[0].quota_per_s, f64::MAX);
-    assert_eq!((set(&["az=1"]).zone, set(&["az=1.0"]).zone, set(&["az=-"]).zone), (Some(1), None, None));
-    assert_eq!((set(&["siblings=-4"]).gateways, set(&["invariants.ratioSpan=-"]).retry_budget), (1, None));
-    assert!(set(&["loadReport.fields=x0,busy"]).reports_load && !set(&["loadReport.fields=q"]).reports_load);
+    assert_eq!(parse_settings(&["customers.count=1"]).tenants[0].quota_per_s, f64::MAX);
+    assert_eq!(
+        (parse_settings(&["az=1"]).zone, parse_settings(&["az=1.0"]).zone, parse_settings(&["az=-"]).zone),
+        (Some(1), None, None)
+    );
+    assert_eq!(
+        (parse_settings(&["siblings=-4"]).gateways, parse_settings(&["invariants.ratioSpan=-"]).retry_budget),
+        (1, None)
+    );
+    assert!(
+        parse_settings(&["loadReport.fields=x0,busy"]).reports_load
+            && !parse_settings(&["loadReport.fields=q"]).reports_load
+    );
 }
 
 #[test]
@@ -153,7 +172,7 @@
 }
 
 #[test]
-fn arbitrary_text_panics_neither_reader() {
+fn arbitrary_text_does_not_panic_either_parser() {
     let words =
         ["{", "}", "[", "]", "\"listen\":", "\"settings\":", "\"profiles\":", "null", "1e9", ",", "=", "."];
     let words =
--- a/crates/settings/tests/json_and_pairs.rs
+++ b/crates/settings/tests/json_and_pairs.rs
@@ -1,5 +1,5 @@
-//! Generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and where one is rejected the
-//! other is, too.
+//! Generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and if one form
+//! is rejected, so is the other.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -61,22 +61,23 @@
         1 => Just(json!("")), 1 => Just(json!("x"))])
 }
 
-/// An object with some of these fields, and an unknown one.
+/// An object with some of these fields, and an unknown field.
 fn object(fields: Vec<(&'static str, BoxedStrategy<Value>)>) -> BoxedStrategy<Value> {
-    let some: Vec<_> = fields
+    let optional_fields: Vec<_> = fields
         .into_iter()
         .map(|(name, value)| proptest::option::weighted(0.8, value).prop_map(move |v| v.map(|v| (name, v))))
         .collect();
-    some.prop_map(|fields| {
-        let mut map: Map<String, Value> =
-            fields.into_iter().flatten().map(|(k, v)| (k.to_owned(), v)).collect();
-        map.insert("brandNew".into(), json!({"deep": [1, {"er": "x"}]}));
-        Value::Object(map)
-    })
-    .boxed()
+    optional_fields
+        .prop_map(|fields| {
+            let mut map: Map<String, Value> =
+                fields.into_iter().flatten().map(|(k, v)| (k.to_owned(), v)).collect();
+            map.insert("brandNew".into(), json!({"deep": [1, {"er": "x"}]}));
+            Value::Object(map)
+        })
+        .boxed()
 }
 
-/// A section: an object of some of these fields, or null.
+/// A section: an object with some of these fields, or null.
 fn section(fields: Vec<(&'static str, BoxedStrategy<Value>)>) -> BoxedStrategy<Value> {
     prop_oneof![30 => object(fields), 1 => Just(Value::Null)].boxed()
 }
@@ -149,7 +150,7 @@
 }
 
 /// Writes settings as pairs, as the simulator does.
-fn write(path: &str, value: &Value, out: &mut Vec<String>) {
+fn write_pairs(path: &str, value: &Value, out: &mut Vec<String>) {
     let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     let plain = |v: &Value| match v {
         Value::String(s) => s.clone(),
@@ -157,10 +158,10 @@
         other => other.to_string(),
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, v)| write(&below(key), v, out)),
+        Value::Object(map) => map.iter().for_each(|(key, v)| write_pairs(&below(key), v, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             out.push(format!("{}={}", below("count"), items.len()));
-            items.iter().enumerate().for_each(|(i, v)| write(&below(&i.to_string()), v, out));
+            items.iter().enumerate().for_each(|(i, v)| write_pairs(&below(&i.to_string()), v, out));
         }
         Value::Array(items) => {
             out.push(format!("{path}={}", items.iter().map(plain).collect::<Vec<_>>().join(",")))
@@ -184,14 +185,15 @@
     let rejected = Cell::new(0);
     let run = runner(500).run(&settings(), |value| {
         let mut lines = Vec::new();
-        write("", &value, &mut lines);
+        write_pairs("", &value, &mut lines);
         match (from_json(&value), pairs::parse(lines.iter().map(String::as_str))) {
             (Ok(a), Ok(b)) => {
                 accepted.set(accepted.get() + 1);
                 prop_assert_eq!(a.to_policy_settings(), b.to_policy_settings());
                 prop_assert_eq!(a.limits, b.limits);
             }
-            // The two may find different errors first: members of an object come in different orders.
+            // The two parsers may find different errors first, since they visit the fields of an object in
+            // different orders.
             (Err((path, placed)), Err(e)) => {
                 rejected.set(rejected.get() + 1);
                 prop_assert!(
--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! Operators' settings files: what is rejected, and that the error says where.
+//! Operators' settings files: rejected input, and the location in the error.
 
 use serde::Deserialize;
 use sprucelink_settings::{check_range, InvalidField, SettingsFile, SettingsFileError, Violation};
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn text_that_is_no_json5_is_rejected_with_its_position() {
+fn text_that_is_not_json5_is_rejected_with_its_position() {
     let text = error_text("{ enabled: yes }");
     assert!(text.starts_with("example: line 1, column "), "{text}");
 }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn bounds_are_included_and_numbers_that_are_not_finite_are_rejected() {
+fn bounds_are_inclusive_and_non_finite_numbers_are_rejected() {
     assert!(check_range("x", 0.0, 0.0, 1.0).is_ok());
     assert!(check_range("x", 1.0, 0.0, 1.0).is_ok());
     for value in [f64::NAN, f64::INFINITY, -0.1, 1.1] {
--- a/crates/settings/tests/unusual_sites.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -1,5 +1,5 @@
-//! Sites with unusual names, effects and limits: the settings are translated by their values alone, and one configuration
-//! leaves no state for the next.
+//! Sites with unusual names, effects and limits: only the values determine the converted settings, and
+//! parsing one configuration leaves no state for the next.
 
 use serde_json::{json, Value};
 use sprucelink_policy::{DedupGroup, Effect, TimeDelta};
@@ -10,7 +10,7 @@
     PlatformConfig::parse(&text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// A site whose names need quoting, are prefixes of each other, or are values of the settings themselves.
+/// A site whose names need quoting, are prefixes of each other, or equal values of other settings.
 fn unusual_site() -> Value {
     let class = |name: &str, effect: &str, scope: &str, window: f64| json!({"name": name, "effect": effect, "dedupScope": scope, "repeatWindow": window, "deadline": 3.0});
     json!({
@@ -31,26 +31,30 @@
 }
 
 #[test]
-fn classes_of_an_unusual_site_are_translated_by_their_own_values() {
+fn classes_of_an_unusual_site_are_converted_by_their_own_values() {
     let wire = read(&unusual_site()).settings;
     let set = wire.to_policy_settings();
     let effects: Vec<Effect> = set.classes.iter().map(|c| c.effect).collect();
     use Effect::{Keyed, Safe, Unsafe};
-    assert_eq!(effects, [Safe, Keyed, Keyed, Unsafe, Keyed, Unsafe], "what is not known is not repeated");
+    assert_eq!(effects, [Safe, Keyed, Keyed, Unsafe, Keyed, Unsafe], "an unknown effect is not retried");
     let groups: Vec<DedupGroup> = set.classes.iter().map(|c| c.group).collect();
     use DedupGroup::{All, Cell, Zone};
-    assert_eq!(groups, [All, Zone, Cell, All, All, Cell], "what is not known is the narrowest");
+    assert_eq!(groups, [All, Zone, Cell, All, All, Cell], "an unknown scope is the narrowest");
     let windows: Vec<i64> = set.classes.iter().map(|c| c.repeat_window.as_micros()).collect();
-    // Shorter than the deadline, none, and longer: as configured.
+    // Windows shorter than the deadline, zero, and longer are used as configured.
     assert_eq!(windows, [0, 0, 1_000_000, 5_000_000, 30_000_000, 1_000_000]);
     let names: Vec<&str> = wire.classes.iter().map(|p| p.name.0.as_str()).collect();
-    assert_eq!(names, ["rate", "rate-2", "ra\"te\\\n,=\u{e9}", "all", "-", "true"], "names are names");
+    assert_eq!(
+        names,
+        ["rate", "rate-2", "ra\"te\\\n,=\u{e9}", "all", "-", "true"],
+        "names are not interpreted"
+    );
     assert!(!set.classes[0].loads_tables && set.classes[1].loads_tables && !set.classes[5].loads_tables);
     assert!(set.classes.iter().all(|c| c.threads == 1.0));
     let quotas: Vec<f64> = set.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [f64::MAX, 0.0, 0.5]);
     assert_eq!(wire.zone_names.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
-    // A limit of zero is a limit, and not an absent one.
+    // A limit of zero differs from an absent limit.
     assert_eq!((set.idle_timeout, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
     let retry_budget = set.retry_budget.expect("configured");
     assert_eq!(
@@ -59,7 +63,7 @@
     );
 }
 
-/// A site without tenants, zones, limits and hints.
+/// The site has no tenants, zones, limits and load reports.
 #[test]
 fn site_without_optional_sections_gets_defaults() {
     let set = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
@@ -71,22 +75,27 @@
     assert!(set.classes[0].zones.is_none() && set.classes[0].kinds.is_none());
 }
 
-/// Guards restarts, reloads and the simulator's many instances in one process.
+/// Guards against state shared by parses: configurations are reloaded, and the simulator runs many instances
+/// in one process.
 #[test]
 fn parsing_one_configuration_leaves_no_state_for_the_next() {
-    let (first, least) = (unusual_site(), json!({}));
-    let (one, none) = (read(&first), read(&least));
+    let (unusual, empty) = (unusual_site(), json!({}));
+    let (unusual_config, empty_config) = (read(&unusual), read(&empty));
     for _ in 0..3 {
-        assert_eq!(read(&first), one);
-        assert_eq!(read(&least), none);
+        assert_eq!(read(&unusual), unusual_config);
+        assert_eq!(read(&empty), empty_config);
         let wire = pairs::parse(["customers.count=1", "customers.0.name=x", "siblings=3"].into_iter());
         assert_eq!(wire.expect("read").to_policy_settings().gateways, 3);
         let wire = pairs::parse(std::iter::empty()).expect("read");
-        assert_eq!((wire.to_policy_settings(), wire.tenants.len()), (none.settings.to_policy_settings(), 0));
+        assert_eq!(
+            (wire.to_policy_settings(), wire.tenants.len()),
+            (empty_config.settings.to_policy_settings(), 0)
+        );
     }
 }
 
-/// Polled from a number on whose events are missing, the feed would never send the whole list, which is in its first event.
+/// Guards against polling the feed from a sequence number whose events are missing: it would never send the
+/// complete list, which is in its first event.
 #[test]
 fn event_number_without_events_is_ignored() {
     let known = |text: &str| {
