--- a/crates/admin/src/admission.rs
+++ b/crates/admin/src/admission.rs
@@ -1,24 +1,26 @@
-//! Which connections are admitted, for how long, and which is evicted when all slots are taken. It does no I/O and reads
-//! no clock: time is an argument, counted from any one point.
+//! Decides which connections are admitted and for how long, and which connection is evicted when all slots
+//! are taken. This module does no I/O and reads no clock: time is an argument, counted from a fixed origin of
+//! the caller's choice.
 //!
-//! Every new connection gets a slot. When all are taken, one is evicted: first the one that has had its response for
-//! longest, then the one with an incomplete request that has been silent for longest, last the one that has been
-//! reading its response for longest. Clients that connect and send nothing, or half a request, therefore evict one
-//! another, however many there are, while one that sends its request at once is answered.
+//! Every new connection gets a slot. When all slots are taken, a connection is evicted: first the connection
+//! that got its response the longest ago, then the one with an incomplete request that has been silent the
+//! longest, last the one that has been reading its response the longest. Any number of clients that connect
+//! and send nothing, or a partial request, therefore evict each other, while a client that sends its request
+//! at once is answered.
 
 use crate::accept_pacer::AcceptPacer;
 use crate::limits::{Limits, PEAK_ACCEPTS_PER_SECOND};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A connection, numbered in order of arrival.
+/// Identifier of a connection; ids ascend in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(u64);
 
-/// How far a connection is; lower stages are evicted first.
+/// Progress of a connection; lower stages are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// The response is sent, and only the client's side is still open.
+    /// The response is sent, and only the client's side of the connection is still open.
     Closing,
     /// The request is incomplete.
     ReadingRequest,
@@ -29,18 +31,18 @@
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     stage: Stage,
-    /// When bytes of the request last arrived, or the stage began.
+    /// Time at which bytes of the request last arrived, or the stage began.
     since: Duration,
-    /// When the stage times out.
+    /// Time at which the stage times out.
     deadline: Duration,
 }
 
-/// The slot of a new connection.
+/// Result of admitting a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// The connection.
+    /// The new connection.
     pub id: ConnectionId,
-    /// The connection that is evicted for it.
+    /// The connection that was evicted to free its slot; `None` if a slot was free.
     pub evicted: Option<ConnectionId>,
 }
 
@@ -50,14 +52,14 @@
     limits: Limits,
     connections: BTreeMap<ConnectionId, Connection>,
     next_id: u64,
-    /// Bounds the rate over short spans.
+    /// Bounds the rate over short periods.
     peak_pacer: AcceptPacer,
     /// Bounds the rate in the long run.
     sustained_pacer: AcceptPacer,
 }
 
 impl Admission {
-    /// No connection yet.
+    /// Creates the slots, all free.
     pub fn new(limits: Limits) -> Admission {
         let half_of_slots = u32::try_from(limits.max_connections / 2).unwrap_or(u32::MAX);
         Admission {
@@ -69,19 +71,19 @@
         }
     }
 
-    /// Number of connections; never more than [`Limits::max_connections`] (or 1, where that is 0).
+    /// Number of connections; at most [`Limits::max_connections`] (or 1 if that is 0).
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// When the next connection may be accepted: now, or later while they arrive faster than
-    /// [`PEAK_ACCEPTS_PER_SECOND`] after a burst of half the slots, or than [`Limits::accepts_per_second`] after
-    /// [`Limits::accept_burst`].
+    /// Time at which the next connection may be accepted: now, or later while connections arrive faster than
+    /// [`PEAK_ACCEPTS_PER_SECOND`] after a burst of half the slots, or than [`Limits::accepts_per_second`]
+    /// after [`Limits::accept_burst`].
     pub fn accept_at(&self, now: Duration) -> Duration {
         now.max(self.peak_pacer.next_at()).max(self.sustained_pacer.next_at())
     }
 
-    /// Gives a connection that was accepted its slot.
+    /// Assigns a slot to a connection that was accepted.
     pub fn admit(&mut self, now: Duration) -> Admitted {
         self.peak_pacer.count(now);
         self.sustained_pacer.count(now);
@@ -94,18 +96,18 @@
         Admitted { id, evicted }
     }
 
-    /// Evicts a connection, if there is any; its slot is free at once. Also for the case that the kernel has no
-    /// descriptor for a new one.
+    /// Evicts a connection, if there is any; its slot is free at once. Also called when the kernel has no
+    /// descriptor for a new connection.
     pub fn evict(&mut self) -> Option<ConnectionId> {
-        let rank =
+        let eviction_rank =
             |(id, connection): &(&ConnectionId, &Connection)| (connection.stage, connection.since, **id);
-        let id = self.connections.iter().min_by_key(rank).map(|(id, _)| *id)?;
+        let id = self.connections.iter().min_by_key(eviction_rank).map(|(id, _)| *id)?;
         self.connections.remove(&id);
         Some(id)
     }
 
-    /// Bytes of a request arrived. The connection becomes the last to be evicted among those with incomplete requests,
-    /// and gets no more time.
+    /// Records that bytes of a request arrived. Among the connections with incomplete requests, this one is
+    /// now evicted last; its deadline does not change.
     pub fn on_request_bytes(&mut self, now: Duration, id: ConnectionId) {
         let reading = self.connections.get_mut(&id).filter(|c| c.stage == Stage::ReadingRequest);
         if let Some(connection) = reading {
@@ -113,13 +115,13 @@
         }
     }
 
-    /// The request is complete, or known to be invalid: its response is being written.
+    /// Records that the request is complete, or known to be invalid, and that its response is being written.
     pub fn on_response_begin(&mut self, now: Duration, id: ConnectionId) {
         let timeout = self.limits.response_timeout;
         self.advance(now, id, Stage::ReadingRequest, Stage::WritingResponse, timeout);
     }
 
-    /// The kernel has taken the response.
+    /// Records that the kernel has taken the whole response.
     pub fn on_response_sent(&mut self, now: Duration, id: ConnectionId) {
         self.advance(now, id, Stage::WritingResponse, Stage::Closing, self.limits.linger);
     }
@@ -130,18 +132,20 @@
         }
     }
 
-    /// When the present stage of a connection times out; `None` once it has ended.
+    /// Time at which the current stage of a connection times out; `None` once the connection has ended or was
+    /// evicted.
     pub fn deadline(&self, id: ConnectionId) -> Option<Duration> {
         self.connections.get(&id).map(|connection| connection.deadline)
     }
 
-    /// The stage in which a connection has timed out, if it has.
+    /// The stage in which a connection has timed out; `None` if its deadline has not passed or it has no
+    /// slot.
     pub fn timed_out(&self, now: Duration, id: ConnectionId) -> Option<Stage> {
         let connection = self.connections.get(&id).filter(|connection| now >= connection.deadline)?;
         Some(connection.stage)
     }
 
-    /// A connection has ended; one that was evicted has no slot any more.
+    /// Releases the slot of a connection that has ended; without effect after an eviction.
     pub fn remove(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
--- a/crates/admin/src/connection.rs
+++ b/crates/admin/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, from its admission to its close.
+//! Serves one connection, from its admission to its close.
 
 use crate::admission::{ConnectionId, Stage};
 use crate::limits::{MAX_DISCARDED_BYTES, MAX_HEAD_BYTES};
@@ -23,17 +23,17 @@
 use tokio::time::{sleep_until, timeout};
 use tracing::debug;
 
-/// Size of the buffer for what is read and discarded after a response, in bytes.
+/// Size in bytes of the buffer for input that is discarded after a response.
 const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
-/// How a connection is asked to end, and reports that it has ended.
+/// Requests the end of a connection, and reports that the connection has ended.
 #[derive(Debug, Default)]
 pub(crate) struct Eviction {
     pub(crate) requested: Notify,
     pub(crate) completed: Notify,
 }
 
-/// A connection that holds a slot; the slot is released when this is dropped.
+/// A connection with a slot; dropping it releases the slot.
 pub(crate) struct Connection<O> {
     pub(crate) service: Rc<Service<O>>,
     pub(crate) id: ConnectionId,
@@ -47,9 +47,9 @@
     }
 }
 
-/// How the HTTP library's part of a connection ended.
+/// Outcome of the HTTP library's part of a connection.
 enum HttpEnd {
-    /// The library is done with the connection.
+    /// The library has finished serving the connection.
     Finished(hyper::Result<()>),
     /// The connection timed out in this stage.
     TimedOut(Stage),
@@ -57,17 +57,17 @@
     Evicted,
 }
 
-/// How a connection is closed once the HTTP library's part has ended.
+/// How to close a connection after the HTTP library's part.
 enum CloseAction {
-    /// Send this response, then close.
+    /// Send this response, then close the connection.
     Respond(AdminResponse),
-    /// The response is sent: close when the client does.
+    /// The response is sent: close once the client has closed its side.
     Close,
     /// Close at once.
     Drop,
-    /// Discard what the kernel has not sent yet: it would keep it long after the close.
+    /// Reset the connection: otherwise the kernel would keep unsent bytes long after the close.
     Reset,
-    /// Send as much as the kernel takes at once, then close: another connection needs the slot.
+    /// Write the response of an eviction without waiting, then close: another connection needs the slot.
     Evict,
 }
 
@@ -75,7 +75,7 @@
     fn close_action(self, progress: &RequestProgress) -> CloseAction {
         match self {
             HttpEnd::Finished(Ok(())) if progress.is_parsed() => CloseAction::Close,
-            // Checks of an open port connect and send nothing.
+            // Port checks connect and send nothing.
             HttpEnd::Finished(Ok(())) => CloseAction::Drop,
             HttpEnd::Finished(Err(error)) => close_action_after_error(&error, progress),
             HttpEnd::TimedOut(Stage::ReadingRequest) => {
@@ -121,24 +121,26 @@
         }
     }
 
-    /// Lets the HTTP library serve until it is done, the present stage times out, or the slot is needed.
+    /// Lets the HTTP library serve until it has finished, the current stage times out, or the connection is
+    /// evicted.
     async fn serve_http(&self, stream: TcpStream, progress: &Rc<RequestProgress>) -> (TcpStream, HttpEnd) {
         let handle = |request: Request<Incoming>| self.handle(request, progress);
         let on_bytes = || self.service.admission.borrow_mut().on_request_bytes(self.service.now(), self.id);
         let observed = TokioIo::new(ObservedStream::new(stream, Rc::clone(progress), on_bytes));
         let mut http = http1::Builder::new();
-        // One request a connection. A client that closes its side behind its request is answered all the same.
+        // One request per connection. A client that closes its side after its request still gets the
+        // response.
         http.keep_alive(false).half_close(true).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
         let mut connection = http.serve_connection(observed, service_fn(handle));
         let end = loop {
             select! {
-                // Bytes that have arrived are read before the clock is asked: a request must not time out because the
-                // loop was late.
+                // Bytes that have arrived are read before the clock is checked: a request must not time out
+                // because the event loop was late.
                 biased;
                 result = &mut connection => break HttpEnd::Finished(result),
                 _ = self.eviction.requested.notified() => break HttpEnd::Evicted,
                 _ = self.stage_timeout() => {
-                    // A stage that began meanwhile has its own time.
+                    // A stage that began meanwhile has its own deadline.
                     if let Some(stage) = self.timed_out() {
                         break HttpEnd::TimedOut(stage);
                     }
@@ -148,7 +150,7 @@
         (connection.into_parts().io.into_inner().into_stream(), end)
     }
 
-    /// Called by the HTTP library once the head of a request was parsed.
+    /// Handles a request; the HTTP library calls this once the head is parsed.
     async fn handle(
         &self,
         request: Request<Incoming>,
@@ -161,12 +163,12 @@
         Ok(response.into_http())
     }
 
-    /// Ends when the present stage times out.
+    /// Waits until the current stage times out.
     async fn stage_timeout(&self) {
         let deadline = self.service.admission.borrow().deadline(self.id);
         match deadline {
             Some(deadline) => sleep_until(self.service.started + deadline).await,
-            // The connection was evicted, and is notified of that.
+            // The connection was evicted, which `Eviction::requested` reports.
             None => pending().await,
         }
     }
@@ -175,13 +177,13 @@
         self.service.admission.borrow().timed_out(self.service.now(), self.id)
     }
 
-    /// Time until the present stage times out.
+    /// Time left until the current stage times out.
     fn remaining(&self) -> Duration {
         let deadline = self.service.admission.borrow().deadline(self.id);
         deadline.unwrap_or(Duration::ZERO).saturating_sub(self.service.now())
     }
 
-    /// Sends a response that the HTTP library has no part in, then closes.
+    /// Sends a response without the HTTP library, then closes the connection.
     async fn send(&self, mut stream: TcpStream, response: &AdminResponse) {
         self.service.count_limit(response.limit);
         debug!(status = response.status.as_u16(), text = response.text, "admin response sent");
@@ -198,7 +200,7 @@
         self.linger(stream).await;
     }
 
-    /// Sends the client the response of an eviction, without waiting. A client that sent nothing gets no response.
+    /// Writes the response of an eviction without waiting. A client that sent nothing gets no response.
     fn evict(&self, stream: &TcpStream, progress: &RequestProgress) {
         let response = AdminResponse::evicted();
         self.service.count_limit(response.limit);
@@ -207,8 +209,8 @@
         }
     }
 
-    /// Closes this side, and waits a moment for the client's. The kernel resets a connection that is closed with unread
-    /// bytes on it, and the response would be lost with it.
+    /// Closes this side, and waits up to [`crate::Limits::linger`] for the client to close its side. The
+    /// kernel resets a connection that is closed with unread bytes, and the client could lose the response.
     async fn linger(&self, mut stream: TcpStream) {
         self.service.admission.borrow_mut().on_response_sent(self.service.now(), self.id);
         if stream.shutdown().await.is_err() {
@@ -221,7 +223,7 @@
     }
 }
 
-/// Reads and discards until the client closes its side, up to [`MAX_DISCARDED_BYTES`].
+/// Reads and discards bytes until the client closes its side, up to [`MAX_DISCARDED_BYTES`].
 async fn discard(stream: &mut TcpStream) {
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
     let mut discarded = 0;
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,12 +1,14 @@
-//! The admin address: HTTP/1.1, one request a connection, in plain text.
+//! The admin address: HTTP/1.1, one request per connection, plain text responses.
 //!
-//! `GET /admin/health`, `GET /admin/stats`, `POST /admin/cordon` and `POST /admin/uncordon` with `{"target":"ID"}`. What the
-//! operations do is the program's ([`Operations`]); this crate speaks HTTP (by hyper), bounds its clients ([`Limits`])
-//! and gives every invalid request a clear status.
+//! Requests are `GET /admin/health`, `GET /admin/stats`, `POST /admin/cordon` and `POST /admin/uncordon`, the
+//! last two with the body `{"target":"ID"}`. The program implements the operations ([`Operations`]); this
+//! crate speaks HTTP (with hyper), bounds the clients ([`Limits`]) and answers every invalid request with a
+//! specific status.
 //!
-//! [`admission`], [`routes`], [`target`] and [`response`] decide, do no I/O and read no clock; [`serve`] drives the sockets.
-//! It runs on the serving loop's thread, within a `LocalSet`: responses wait for nothing but that loop, and what abusive
-//! clients can cost it is bounded by the slots and by the rate at which connections are accepted.
+//! [`admission`], [`routes`], [`target`] and [`response`] make the decisions, do no I/O and read no clock;
+//! [`serve`] drives the sockets. It runs on the thread of the program's event loop, within a `LocalSet`:
+//! responses wait only for that loop, and the slots and the rate of accepting connections bound the load that
+//! abusive clients can put on the loop.
 
 mod accept_pacer;
 pub mod admission;
--- a/crates/admin/src/limits.rs
+++ b/crates/admin/src/limits.rs
@@ -1,41 +1,46 @@
-//! The bounds of the admin address, each with its reason.
+//! Limits of the admin address, and the reason for each.
 
 use std::time::Duration;
 
-/// Longest head of a request in bytes, its first line and headers together; beyond it the response is 431. Operators'
-/// requests have a few hundred; it is also the smallest buffer that the HTTP library accepts.
+/// Maximum length in bytes of a request's head, request line and headers together; above it the response is
+/// 431. Operators' requests have a few hundred bytes; this is also the smallest buffer that the HTTP library
+/// accepts.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest body of a request in bytes; beyond it the response is 413. A body names one engine.
+/// Maximum length in bytes of a request's body; above it the response is 413. A body names one engine.
 pub const MAX_BODY_BYTES: usize = 4 * 1024;
-/// Longest engine id in bytes; beyond it the response is 400. Ids on the endpoint list have about ten.
+/// Maximum length in bytes of an engine id; above it the response is 400. Ids on the endpoint list have about
+/// ten bytes.
 pub const MAX_TARGET_BYTES: usize = 128;
-/// Longest body of a response in bytes: it waits in memory for each client that reads slowly. The metrics take 61 KiB at
-/// most.
+/// Maximum length in bytes of a response's body, which stays in memory for each client that reads slowly. The
+/// metrics take at most 61 KiB.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// Bytes that are read and discarded after a response at most. Closing a connection with unread bytes resets it, and the
-/// client might lose the response; a client that sends without end is not read for ever.
+/// Maximum number of bytes read and discarded after a response. Closing a connection with unread bytes resets
+/// it, and the client could lose the response; the limit stops reading from a client that never stops
+/// sending.
 pub const MAX_DISCARDED_BYTES: usize = 64 * 1024;
-/// Most connections accepted a second at any time, after half the slots at once: a new one has some 30 ms for its request
-/// before others can evict it, however many arrive.
+/// Maximum number of connections accepted per second, after a burst of half the slots: a new connection has
+/// some 30 ms for its request before others can evict it, however many arrive.
 pub const PEAK_ACCEPTS_PER_SECOND: u32 = 1_000;
 
 /// Limits on the clients of the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at a time, 1 or more (64): operators, health checks and scrapers are a handful.
+    /// Maximum number of concurrent connections, 1 or more (64): operators, health checks and scrapers need
+    /// only a few.
     pub max_connections: usize,
-    /// Time from accepting a connection to a complete request (2 s); then the response is 408.
+    /// Time from accepting a connection to a complete request (2 s); after it the response is 408.
     pub request_timeout: Duration,
-    /// Time that a client has to read its response (2 s); then the connection is reset.
+    /// Time in which a client must read its response (2 s); after it the connection is reset.
     pub response_timeout: Duration,
-    /// Time that a client has to close its side after the response (500 ms); then the connection is closed.
+    /// Time in which a client must close its side after the response (500 ms); after it the connection is
+    /// closed.
     pub linger: Duration,
-    /// Connections accepted a second in the long run, 1 or more (500); others wait in the kernel's queue. A connection
-    /// costs the loop that serves requests some 100 us, however little it sends: a flood costs it a twentieth of a core
-    /// at most.
+    /// Connections accepted per second in the long run, 1 or more (500); further connections wait in the
+    /// kernel's queue. A connection costs the event loop that serves requests some 100 us, however little it
+    /// sends, so a flood costs at most a twentieth of a core.
     pub accepts_per_second: u32,
-    /// Connections accepted before that rate applies, 1 or more (512): a burst is served within the second in which
-    /// operators expect a response.
+    /// Connections accepted before [`Limits::accepts_per_second`] applies, 1 or more (512): a burst is served
+    /// within the second in which operators expect a response.
     pub accept_burst: u32,
 }
 
@@ -53,8 +58,9 @@
 }
 
 impl Limits {
-    /// File descriptors that the admin address holds at most: one for each connection, the listener's, and one for a
-    /// connection that was accepted before the one it evicts has ended. The program reserves these.
+    /// Maximum number of file descriptors that the admin address holds: one per connection, one for the
+    /// listener, and one for a connection that was accepted before the evicted one has ended. The program
+    /// reserves them.
     pub fn descriptors(&self) -> usize {
         self.max_connections.max(1).saturating_add(2)
     }
--- a/crates/admin/src/observed_stream.rs
+++ b/crates/admin/src/observed_stream.rs
@@ -1,8 +1,8 @@
-//! A connection as the HTTP library sees it: arriving bytes are observed, and nothing is written before a request's head
-//! was parsed.
+//! Wraps a connection for the HTTP library: observes arriving bytes, and writes nothing before the head of a
+//! request is parsed.
 //!
-//! The library answers bytes that are no request by itself, without a reason. Its bytes are dropped here, and the client
-//! gets a response of [`crate::response`] instead.
+//! The library itself answers bytes that are not a request, and gives no reason. This wrapper drops that
+//! answer, and the client gets a response from [`crate::response`] instead.
 
 use std::cell::Cell;
 use std::io;
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How far a request is, as known on both sides of the HTTP library.
+/// Progress of a request, shared by the stream below the HTTP library and the handler above it.
 #[derive(Debug, Default)]
 pub(crate) struct RequestProgress {
     has_bytes: Cell<bool>,
@@ -25,18 +25,18 @@
         self.has_bytes.get()
     }
 
-    /// Whether the head of a request was parsed: what is written from then on is its response.
+    /// Whether the head of a request was parsed; bytes written from then on are the response.
     pub(crate) fn is_parsed(&self) -> bool {
         self.is_parsed.get()
     }
 
-    /// The head of a request was parsed.
+    /// Marks the head of the request as parsed.
     pub(crate) fn set_parsed(&self) {
         self.is_parsed.set(true);
     }
 }
 
-/// The connection; `on_bytes` is called whenever bytes arrive.
+/// A connection that calls `on_bytes` whenever bytes arrive.
 pub(crate) struct ObservedStream<F> {
     stream: TcpStream,
     progress: Rc<RequestProgress>,
@@ -59,13 +59,13 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
-        let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
-        if buffer.filled().len() > before {
+        let filled_before = buffer.filled().len();
+        let result = Pin::new(&mut self.stream).poll_read(cx, buffer);
+        if buffer.filled().len() > filled_before {
             self.progress.has_bytes.set(true);
             (self.on_bytes)();
         }
-        read
+        result
     }
 }
 
--- a/crates/admin/src/operations.rs
+++ b/crates/admin/src/operations.rs
@@ -1,12 +1,12 @@
-//! What the admin address needs of the program.
+//! Operations that the program implements for the admin address.
 
-/// The program, as admin requests see it. All methods are called on the loop that serves requests and must return at
-/// once: they must not wait, compute at length or read from outside.
+/// The operations of the admin address. All methods are called on the event loop that serves requests, so
+/// they must return at once: they must not block, compute at length or wait for input.
 pub trait Operations {
-    /// Whether this process can serve.
+    /// Whether this process can serve; the response to a health check is 200 or 503.
     fn is_healthy(&self) -> bool;
 
-    /// The metrics, a line each; beyond [`crate::MAX_RESPONSE_BYTES`] the response is 500.
+    /// The metrics, one line per metric; above [`crate::MAX_RESPONSE_BYTES`] the response is 500.
     fn stats(&self) -> String;
 
     /// Takes an engine out of use until it is uncordoned.
@@ -25,22 +25,22 @@
     fn on_limit_reached(&self, _limit: LimitReached) {}
 }
 
-/// What an operation did. Both are a success: requests may be repeated.
+/// Result of a successful operation. Both variants are a success, so that requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// It changed something.
+    /// The operation changed the state.
     Changed,
-    /// The state was as requested already.
+    /// The state was already as requested.
     Unchanged,
 }
 
 /// Why an operation was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperationError {
-    /// No engine of this id was ever listed: 404.
+    /// No engine with this id was ever listed; the response is 404.
     #[error("target: no engine of this id was ever listed")]
     Unknown,
-    /// It cannot be done now: 503. The reason goes to the client.
+    /// The operation is not possible now; the response is 503 and contains the reason.
     #[error("{0}")]
     Unavailable(String),
 }
@@ -50,20 +50,20 @@
 pub enum LimitReached {
     /// All slots were taken: a connection was evicted.
     Evicted,
-    /// A request was incomplete when its time was over.
+    /// A request was incomplete at its timeout.
     RequestTimeout,
     /// A client did not read its response in time.
     ResponseTimeout,
     /// The head or body of a request was too long.
     RequestTooLong,
-    /// Bytes were no request.
+    /// A client sent bytes that are not a valid request.
     Malformed,
     /// The kernel had no descriptor or memory for a new connection.
     OutOfDescriptors,
 }
 
 impl LimitReached {
-    /// All of them, for registering counters at the start.
+    /// All limits, for registering their counters at startup.
     pub const ALL: [LimitReached; 6] = [
         LimitReached::Evicted,
         LimitReached::RequestTimeout,
@@ -73,7 +73,7 @@
         LimitReached::OutOfDescriptors,
     ];
 
-    /// The counter's name on `/admin/stats`, behind `edge.`.
+    /// Name of the limit's counter on `/admin/stats`, without the prefix `edge.`.
     pub fn counter_name(self) -> &'static str {
         match self {
             LimitReached::Evicted => "admin.displaced",
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -1,4 +1,4 @@
-//! What a client is sent: a status and a short plain text that says what is wrong.
+//! Responses: a status and a short plain text, which gives the reason for an error.
 
 use crate::limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_RESPONSE_BYTES};
 use crate::operations::{LimitReached, OperationError, OperationOutcome};
@@ -12,16 +12,16 @@
 /// The content type of every response.
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 
-/// A response.
+/// A response to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body, ending in a line feed.
+    /// Body, which ends with a line feed.
     pub text: String,
-    /// The methods that the path takes, with 405.
+    /// Methods that the path takes, for the `Allow` header of a 405.
     pub allow: Option<&'static str>,
-    /// The limit that this client reached, if that is the reason.
+    /// The limit that the client reached, if it is the reason for the response; the caller counts it.
     pub limit: Option<LimitReached>,
 }
 
@@ -34,7 +34,7 @@
         AdminResponse { limit: Some(limit), ..AdminResponse::new(status, line) }
     }
 
-    /// Whether the process can serve.
+    /// The response to a health check: 200 or 503.
     pub fn health(is_healthy: bool) -> AdminResponse {
         match is_healthy {
             true => AdminResponse::new(StatusCode::OK, "ok"),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The metrics.
+    /// The response with the metrics; 500 if `text` exceeds [`MAX_RESPONSE_BYTES`].
     pub fn stats(text: String) -> AdminResponse {
         if text.len() > MAX_RESPONSE_BYTES {
             let line = format!("figures: {} bytes, more than {MAX_RESPONSE_BYTES}", text.len());
@@ -51,7 +51,7 @@
         AdminResponse { text, ..AdminResponse::new(StatusCode::OK, "") }
     }
 
-    /// The result of an operation on an engine.
+    /// The response to an operation on an engine.
     pub fn operation(result: Result<OperationOutcome, OperationError>) -> AdminResponse {
         let status = match &result {
             Ok(_) => StatusCode::OK,
@@ -65,19 +65,20 @@
         }
     }
 
-    /// A body that was not read to its end.
+    /// The response to a body that could not be read to its end.
     pub fn broken_body() -> AdminResponse {
         let line = "body: its framing is broken, or it ended before it was whole";
         AdminResponse::limited(StatusCode::BAD_REQUEST, line, LimitReached::Malformed)
     }
 
-    /// A body that is too long.
+    /// The response to a body that is too long.
     pub fn body_too_long() -> AdminResponse {
         let line = format!("body: more than {MAX_BODY_BYTES} bytes");
         AdminResponse::limited(StatusCode::PAYLOAD_TOO_LARGE, &line, LimitReached::RequestTooLong)
     }
 
-    /// A head that is too long, or that announces a body beyond all bounds: the HTTP library does not distinguish them.
+    /// The response to a head that is too long, or that announces a body whose length the HTTP library
+    /// rejects: the library does not distinguish the two.
     pub fn head_too_long() -> AdminResponse {
         let line = format!(
             "call: too long: a head may have {MAX_HEAD_BYTES} bytes and 100 headers, a body {MAX_BODY_BYTES} bytes"
@@ -86,30 +87,30 @@
         AdminResponse::limited(status, &line, LimitReached::RequestTooLong)
     }
 
-    /// Bytes that are no HTTP request.
+    /// The response to bytes that are not an HTTP request.
     pub fn not_http() -> AdminResponse {
         AdminResponse::limited(StatusCode::BAD_REQUEST, "call: not HTTP/1.1", LimitReached::Malformed)
     }
 
-    /// The client closed its side within a request.
+    /// The response to a client that closed its side within a request.
     pub fn incomplete_request() -> AdminResponse {
         let line = "call: ended before it was whole";
         AdminResponse::limited(StatusCode::BAD_REQUEST, line, LimitReached::Malformed)
     }
 
-    /// The request was incomplete when its time was over.
+    /// The response to a request that was incomplete at its timeout.
     pub fn request_timeout() -> AdminResponse {
         let line = "call: not whole in time";
         AdminResponse::limited(StatusCode::REQUEST_TIMEOUT, line, LimitReached::RequestTimeout)
     }
 
-    /// The connection was evicted.
+    /// The response on a connection that was evicted.
     pub fn evicted() -> AdminResponse {
         let line = "too many callers: this one had been silent for longest";
         AdminResponse::limited(StatusCode::SERVICE_UNAVAILABLE, line, LimitReached::Evicted)
     }
 
-    /// The response for the HTTP library, which adds the length and `connection: close`.
+    /// Converts to the HTTP library's type; the library adds the length and `connection: close`.
     pub fn into_http(self) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(Bytes::from(self.text)));
         *response.status_mut() = self.status;
@@ -120,7 +121,7 @@
         response
     }
 
-    /// The response as bytes, for a client whose request the HTTP library never parsed.
+    /// The response as bytes, for a client whose request the HTTP library has not parsed.
     pub fn to_bytes(&self) -> Vec<u8> {
         let head = format!(
             "HTTP/1.1 {} {}\r\nconnection: close\r\ncontent-type: {PLAIN_TEXT}\r\ncontent-length: {}\r\n\r\n",
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which operation a method and path mean.
+//! Maps a method and path to an operation.
 
 use hyper::Method;
 
@@ -15,7 +15,7 @@
     Uncordon,
 }
 
-/// A method and path that mean nothing here.
+/// Why a method and path have no operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// No operation has this path.
@@ -24,22 +24,22 @@
     /// The path takes other methods.
     #[error("method: this path takes {allowed}")]
     MethodNotAllowed {
-        /// Its methods, as the `Allow` header lists them.
+        /// Methods of the path, as listed in the `Allow` header.
         allowed: &'static str,
     },
 }
 
 /// Methods of operations that only read. HEAD is GET without the body (RFC 9110, section 9.3.2).
 const READ_METHODS: &str = "GET, HEAD";
-/// Methods of operations that change something.
+/// Methods of operations that change state.
 const WRITE_METHODS: &str = "POST";
 
 impl Route {
-    /// The operation of a method and path. The path is compared as it stands: escapes are not decoded, nothing is trimmed,
-    /// and case matters; a query is no part of it.
+    /// The operation for a method and path. The path is compared byte by byte: escapes are not decoded,
+    /// nothing is trimmed, and case matters. It must not include the query.
     ///
     /// # Errors
-    /// A path that is unknown, or a method that it does not take.
+    /// An unknown path, or a method that the path does not take.
     pub fn resolve(method: &Method, path: &str) -> Result<Route, RouteError> {
         let (route, allowed) = match path {
             "/admin/health" => (Route::Health, READ_METHODS),
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts connections as admission allows, and survives a shortage of descriptors.
+//! Accepts connections at the rate that admission allows, and continues after a shortage of descriptors.
 
 use crate::admission::{Admission, ConnectionId};
 use crate::connection::{Connection, Eviction};
@@ -15,24 +15,27 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::warn;
 
-/// First backoff after the kernel had no descriptor for a new connection; doubled each time in a row.
+/// First backoff after the kernel had no descriptor for a new connection; doubled on each consecutive
+/// failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
-/// Longest backoff: operators expect a response within 1 s, and the new connection waits meanwhile.
+/// Maximum backoff: operators expect a response within 1 s, and the new connection waits meanwhile.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
 
-/// Serves admin requests on this listener until it is dropped, which closes the listener and all connections at once. A
-/// response is produced in one turn of the loop, so that a stop loses only what clients have not read yet.
+/// Serves admin requests on `listener` until the future is dropped, which closes the listener and all
+/// connections at once. A response is produced in one turn of the event loop, so dropping loses only what
+/// clients have not read yet.
 ///
 /// # Panics
 ///
-/// Outside a `tokio` runtime with clock and I/O enabled, or outside a `LocalSet`: its tasks stay on this thread.
+/// Panics outside a `tokio` runtime with time and I/O enabled, or outside a `LocalSet`: the tasks stay on
+/// this thread.
 pub async fn serve<O: Operations + 'static>(listener: TcpListener, operations: Rc<O>, limits: Limits) {
     let admission = RefCell::new(Admission::new(limits));
     let service = Rc::new(Service { operations, admission, started: Instant::now() });
     let mut connections = Connections { service, evictions: BTreeMap::new(), tasks: JoinSet::new() };
     let mut backoff = INITIAL_BACKOFF;
     loop {
-        connections.wait_for_turn().await;
+        connections.wait_for_pacing().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 backoff = INITIAL_BACKOFF;
@@ -48,8 +51,8 @@
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
-        // Admitted connections get their turn before the next is accepted; otherwise a good request could be evicted
-        // unread by many that arrive at once.
+        // Admitted connections run before the next one is accepted; otherwise many connections that arrive at
+        // once could evict a connection whose complete request was not read yet.
         yield_now().await;
     }
 }
@@ -57,42 +60,42 @@
 /// The open connections and their tasks.
 struct Connections<O> {
     service: Rc<Service<O>>,
-    /// How each connection that may still be open is asked to end; as many as there are slots.
+    /// Evictions of the connections that may still be open, at most one per slot.
     evictions: BTreeMap<ConnectionId, Rc<Eviction>>,
     tasks: JoinSet<()>,
 }
 
 impl<O: Operations + 'static> Connections<O> {
     /// Waits until the next connection may be accepted.
-    async fn wait_for_turn(&self) {
-        let at = self.service.admission.borrow().accept_at(self.service.now());
-        sleep_until(self.service.started + at).await;
+    async fn wait_for_pacing(&self) {
+        let accept_at = self.service.admission.borrow().accept_at(self.service.now());
+        sleep_until(self.service.started + accept_at).await;
     }
 
-    /// Gives a new connection its slot, if need be by evicting another, and starts to serve it.
+    /// Assigns a slot to a new connection, evicting another connection if necessary, and starts to serve it.
     async fn admit(&mut self, stream: TcpStream) {
         let admitted = self.service.admission.borrow_mut().admit(self.service.now());
-        self.end(admitted.evicted).await;
+        self.end_evicted(admitted.evicted).await;
         let eviction = Rc::new(Eviction::default());
         self.evictions.insert(admitted.id, Rc::clone(&eviction));
         let connection = Connection { service: Rc::clone(&self.service), id: admitted.id, eviction };
         self.tasks.spawn_local(async move { connection.serve(stream).await });
-        // A task that panicked has released its slot all the same.
+        // A task that panicked has also released its slot, by dropping its `Connection`.
         while self.tasks.try_join_next().is_some() {}
         let admission = self.service.admission.borrow();
         self.evictions.retain(|id, _| admission.deadline(*id).is_some());
     }
 
-    /// Evicts a connection because the kernel has no descriptor for a new one.
+    /// Evicts a connection because the kernel has no descriptor for a new connection.
     async fn free_descriptor(&mut self) {
         self.service.operations.on_limit_reached(LimitReached::OutOfDescriptors);
         let evicted = self.service.admission.borrow_mut().evict();
-        self.end(evicted).await;
+        self.end_evicted(evicted).await;
     }
 
-    /// Ends an evicted connection and waits until it has: its descriptor must be free before the next is held. It waits
-    /// for nothing but the connection's turn on the loop.
-    async fn end(&mut self, evicted: Option<ConnectionId>) {
+    /// Ends an evicted connection and waits until it has ended: its descriptor must be free before another
+    /// one is held. The wait lasts only until the event loop runs the connection's task.
+    async fn end_evicted(&mut self, evicted: Option<ConnectionId>) {
         if let Some(eviction) = evicted.and_then(|id| self.evictions.remove(&id)) {
             eviction.requested.notify_one();
             eviction.completed.notified().await;
@@ -100,7 +103,8 @@
     }
 }
 
-/// Whether a failed accept concerns that client alone (it had gone before it was accepted): the next may succeed.
+/// Whether a failed accept concerns only its client, which had disconnected before it was accepted: the next
+/// accept may succeed.
 fn is_client_error(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
 }
--- a/crates/admin/src/service.rs
+++ b/crates/admin/src/service.rs
@@ -1,4 +1,4 @@
-//! Turns a request into a response, and holds what all connections share.
+//! Processes requests, and holds the state that all connections share.
 
 use crate::admission::Admission;
 use crate::limits::MAX_BODY_BYTES;
@@ -15,28 +15,28 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// What all connections share.
+/// State that all connections share.
 pub(crate) struct Service<O> {
     pub(crate) operations: Rc<O>,
     pub(crate) admission: RefCell<Admission>,
-    /// The origin of the times that admission counts.
+    /// Origin of the times in `admission`.
     pub(crate) started: Instant,
 }
 
 impl<O: Operations> Service<O> {
-    /// The time as admission counts it.
+    /// The current time in `admission`.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Counts the limit that a response reports, if any.
+    /// Counts the limit that a client reached, if any.
     pub(crate) fn count_limit(&self, limit: Option<LimitReached>) {
         if let Some(limit) = limit {
             self.operations.on_limit_reached(limit);
         }
     }
 
-    /// The response to a request whose head was parsed.
+    /// Processes a request whose head was parsed, and returns the response.
     pub(crate) async fn respond(&self, request: Request<Incoming>) -> AdminResponse {
         match Route::resolve(request.method(), request.uri().path()) {
             Err(error) => error.into(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Carries out an operation on the engine that the body names.
+    /// Performs an operation on the engine that the body names.
     fn operate(&self, route: Route, body: &[u8]) -> AdminResponse {
         let target = match parse_target(body) {
             Ok(target) => target,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The whole body of a request, or the response that says why it was not read.
+/// Reads the complete body of a request; the error is the response to a body that was not read.
 async fn read_body(body: Incoming) -> Result<Bytes, AdminResponse> {
     // A body that announces too many bytes is not read at all.
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
--- a/crates/admin/src/target.rs
+++ b/crates/admin/src/target.rs
@@ -1,37 +1,38 @@
-//! The engine that a request names: `{"target":"ID"}`.
+//! Parses the body that names an engine: `{"target":"ID"}`.
 
 use crate::limits::MAX_TARGET_BYTES;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Characters of the JSON library's message that go into a response: it may quote what the client sent.
+/// Maximum number of characters of the JSON library's message in a response: the message may quote the
+/// client's input.
 const MAX_QUOTED_CHARS: usize = 120;
 
-/// Why a body names no engine; each message is one line that names the field and the rule.
+/// Why a body names no engine; each message is one line with the field and the rule.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TargetError {
-    /// There is no body.
+    /// The body is empty.
     #[error("body: empty, expected {{\"target\":\"ID\"}}")]
     EmptyBody,
-    /// The body is no JSON object, or names the field twice.
+    /// The body is not a JSON object, or contains the field twice.
     #[error("body: {0}")]
     InvalidJson(String),
     /// The field is absent or null.
     #[error("target: missing")]
     Missing,
-    /// The field is an empty text.
+    /// The field is an empty string.
     #[error("target: empty")]
     Empty,
-    /// The field is longer than any id.
+    /// The field is longer than [`MAX_TARGET_BYTES`]; its length.
     #[error("target: {0} bytes, at most {MAX_TARGET_BYTES}")]
     TooLong(usize),
-    /// The field is no text.
+    /// The field is not a string.
     #[error("target: not a string")]
     NotAString,
 }
 
-/// The body of a request. Unknown fields are ignored: an operator's tool may add who asks and why, and an engine must
-/// not stay in use for that.
+/// The body of a request. Unknown fields are ignored: an operator's tool may add its user and a reason, and
+/// an engine must not stay in use because of that.
 #[derive(Deserialize)]
 struct Body {
     target: Option<Value>,
--- a/crates/admin/tests/admission.rs
+++ b/crates/admin/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission as a state machine: its bounds hold in any order of events.
+//! Admission as a state machine: the limits hold in any order of events.
 
 use proptest::prelude::*;
 use sprucelink_admin::admission::{Admission, ConnectionId, Stage};
@@ -55,15 +55,22 @@
     since: Duration,
 }
 
-/// The evicted connection comes first in the order of eviction: by stage, then by how long it has been silent.
+/// Checks that the evicted connection was the first in eviction order: by stage, then by the time it has been
+/// silent.
 fn check_eviction_order(
     model: &BTreeMap<ConnectionId, ConnectionModel>,
     evicted: ConnectionId,
 ) -> Result<(), TestCaseError> {
-    let rank = |s: &ConnectionModel| (s.stage, s.since);
-    let lowest = model[&evicted];
+    let eviction_rank = |connection: &ConnectionModel| (connection.stage, connection.since);
+    let first = model[&evicted];
     for (id, other) in model {
-        prop_assert!(rank(&lowest) <= rank(other), "{:?} was evicted before {:?} {:?}", lowest, id, other);
+        prop_assert!(
+            eviction_rank(&first) <= eviction_rank(other),
+            "{:?} was evicted before {:?} {:?}",
+            first,
+            id,
+            other
+        );
     }
     Ok(())
 }
@@ -72,18 +79,18 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn slots_timeouts_and_eviction_order_hold(ops in prop::collection::vec(operation(), 1..300)) {
+    fn slots_timeouts_and_eviction_order_hold(operations in prop::collection::vec(operation(), 1..300)) {
         let mut admission = Admission::new(limits());
         let mut model: BTreeMap<ConnectionId, ConnectionModel> = BTreeMap::new();
         let mut now = Duration::ZERO;
         let pick = |model: &BTreeMap<ConnectionId, ConnectionModel>, n: usize| model.keys().nth(n % model.len().max(1)).copied();
-        for op in ops {
-            match op {
+        for operation in operations {
+            match operation {
                 Operation::Advance(n) => now += millis(n),
                 Operation::Admit => {
-                    let full = model.len() == SLOTS;
+                    let is_full = model.len() == SLOTS;
                     let admitted = admission.admit(now);
-                    prop_assert_eq!(admitted.evicted.is_some(), full, "a connection is evicted only when all slots are taken");
+                    prop_assert_eq!(admitted.evicted.is_some(), is_full, "a connection is evicted only when all slots are taken");
                     if let Some(evicted) = admitted.evicted {
                         check_eviction_order(&model, evicted)?;
                         model.remove(&evicted);
@@ -98,19 +105,19 @@
                     None => prop_assert!(model.is_empty()),
                 },
                 Operation::ReceiveBytes(n) => if let Some(id) = pick(&model, n) {
-                    let due = admission.deadline(id);
+                    let deadline = admission.deadline(id);
                     admission.on_request_bytes(now, id);
-                    prop_assert_eq!(admission.deadline(id), due, "bytes do not extend the deadline");
-                    let s = model.get_mut(&id).unwrap();
-                    if s.stage == Stage::ReadingRequest { s.since = now }
+                    prop_assert_eq!(admission.deadline(id), deadline, "bytes do not extend the deadline");
+                    let connection = model.get_mut(&id).unwrap();
+                    if connection.stage == Stage::ReadingRequest { connection.since = now }
                 },
                 Operation::BeginResponse(n) | Operation::FinishResponse(n) => if let Some(id) = pick(&model, n) {
-                    let s = model.get_mut(&id).unwrap();
-                    let (from, to) = match op {
+                    let connection = model.get_mut(&id).unwrap();
+                    let (from, to) = match operation {
                         Operation::BeginResponse(_) => { admission.on_response_begin(now, id); (Stage::ReadingRequest, Stage::WritingResponse) }
                         _ => { admission.on_response_sent(now, id); (Stage::WritingResponse, Stage::Closing) }
                     };
-                    if s.stage == from { s.stage = to; s.since = now }
+                    if connection.stage == from { connection.stage = to; connection.since = now }
                 },
                 Operation::Remove(n) => if let Some(id) = pick(&model, n) {
                     admission.remove(id);
@@ -120,15 +127,15 @@
             }
             prop_assert!(admission.connections() == model.len() && model.len() <= SLOTS);
             let limits = limits();
-            for (id, s) in &model {
-                let time = match s.stage {
+            for (id, connection) in &model {
+                let timeout = match connection.stage {
                     Stage::ReadingRequest => limits.request_timeout,
                     Stage::WritingResponse => limits.response_timeout,
                     Stage::Closing => limits.linger,
                 };
-                let begun = if s.stage == Stage::ReadingRequest { s.accepted } else { s.since };
-                prop_assert_eq!(admission.deadline(*id), Some(begun + time));
-                prop_assert_eq!(admission.timed_out(now, *id), (now >= begun + time).then_some(s.stage));
+                let started = if connection.stage == Stage::ReadingRequest { connection.accepted } else { connection.since };
+                prop_assert_eq!(admission.deadline(*id), Some(started + timeout));
+                prop_assert_eq!(admission.timed_out(now, *id), (now >= started + timeout).then_some(connection.stage));
             }
         }
     }
@@ -137,9 +144,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(19), failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
-    /// Clients that connect as fast as they are accepted: never more than either burst and its rate, in any span.
+    /// Clients connect as fast as they are accepted: in any period, the connections exceed neither burst and
+    /// its rate.
     #[test]
-    fn accepts_are_paced(pauses in prop::collection::vec(prop_oneof![6 => Just(0_u64), 1 => 0..200_u64], 130..220)) {
+    fn accepts_never_exceed_either_burst_and_rate(pauses in prop::collection::vec(prop_oneof![6 => Just(0_u64), 1 => 0..200_u64], 130..220)) {
         let mut admission = Admission::new(Limits { max_connections: 40, ..limits() });
         let (mut now, mut times) = (Duration::ZERO, Vec::new());
         for pause in pauses {
@@ -156,8 +164,8 @@
         }
     }
 
-    /// However many others connect at the accepted rate, and whatever partial requests they send, a client whose request is
-    /// complete within the time that this rate leaves it keeps its slot.
+    /// Guards against partial requests that evict a complete one: a client whose request is complete within
+    /// the 30 ms that the peak rate leaves it keeps its slot, however many others connect at that rate.
     #[test]
     fn connection_with_a_complete_request_keeps_its_slot(before in 0..200_usize, sends_bytes in prop::collection::vec(any::<bool>(), 300)) {
         let limits = Limits { max_connections: 64, accept_burst: 512, ..Limits::default() };
@@ -170,19 +178,19 @@
         };
         (0..before).for_each(|n| admit_other(&mut admission, &mut now, n));
         now = admission.accept_at(now);
-        let good = admission.admit(now).id;
-        let within = now + millis(30);
+        let complete = admission.admit(now).id;
+        let completed_at = now + millis(30);
         let mut n = 0;
-        while admission.accept_at(now) < within {
+        while admission.accept_at(now) < completed_at {
             admit_other(&mut admission, &mut now, before + n);
             n += 1;
         }
         prop_assert!(n >= 29, "{} others connected meanwhile", n);
-        prop_assert!(admission.deadline(good).is_some(), "evicted by {} others in 30 ms", n);
-        admission.on_response_begin(within, good);
-        // From now on it is evicted last.
+        prop_assert!(admission.deadline(complete).is_some(), "evicted by {} others in 30 ms", n);
+        admission.on_response_begin(completed_at, complete);
+        // From now on this connection is evicted last.
         (0..500).for_each(|m| admit_other(&mut admission, &mut now, m));
-        prop_assert_eq!(admission.deadline(good), Some(within + limits.response_timeout));
+        prop_assert_eq!(admission.deadline(complete), Some(completed_at + limits.response_timeout));
     }
 }
 
--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A program behind the admin address, and clients that write bytes.
+//! A test program behind the admin address, and clients that write bytes.
 #![allow(dead_code)]
 
 use sprucelink_admin::{serve, LimitReached, Limits, OperationError, OperationOutcome, Operations};
@@ -12,17 +12,17 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// How long a test waits for a response at most, far longer than any may take.
+/// Maximum time that a test waits for a response, far longer than any response may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The name of the thread that serves.
+/// Name of the thread that serves the admin address.
 pub const SERVING_THREAD: &str = "operators";
 
-/// Engines `s-1` and `s-2`, metrics, and the faults that a real program may have.
+/// Operations on the engines `s-1` and `s-2`, with metrics, and with the faults that a real program may have.
 struct TestOperations {
     cordoned: RefCell<BTreeSet<String>>,
     metrics: Metrics,
-    /// Bytes that are added to the metrics.
+    /// Number of bytes that are appended to the metrics.
     padding: usize,
 }
 
@@ -57,8 +57,9 @@
     }
 }
 
-/// Starts the admin address on a thread of its own, for as long as the test runs. `send_buffer` bounds what the kernel
-/// takes of a response that nobody reads.
+/// Starts the admin address on a thread of its own, for as long as the test runs. `padding` is the number of
+/// bytes appended to the metrics; `send_buffer` limits the bytes that the kernel takes of a response that is
+/// not read.
 pub fn start(limits: Limits, padding: usize, send_buffer: Option<u32>) -> SocketAddr {
     let (sender, address) = mpsc::channel();
     let thread = std::thread::Builder::new().name(SERVING_THREAD.into());
@@ -80,7 +81,7 @@
     address.recv().unwrap()
 }
 
-/// With the default limits.
+/// Starts the admin address with the default limits.
 pub fn start_with_default_limits() -> SocketAddr {
     start(Limits::default(), 0, None)
 }
@@ -93,7 +94,7 @@
     pub body: String,
 }
 
-/// A client's connection.
+/// Connects a client.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_nodelay(true).unwrap();
@@ -101,7 +102,8 @@
     stream
 }
 
-/// Reads until the server closes; returns the one response, which must be complete and announce the close.
+/// Reads until the server closes the connection; returns the only response, which must be complete and
+/// announce the close.
 pub fn read_response(stream: &mut TcpStream) -> Response {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
@@ -110,24 +112,24 @@
 
 pub fn parse(bytes: &[u8]) -> Response {
     let text = std::str::from_utf8(bytes).unwrap();
-    let (head, body) = text.split_once("\r\n\r\n").unwrap_or_else(|| panic!("no answer in {text:?}"));
+    let (head, body) = text.split_once("\r\n\r\n").unwrap_or_else(|| panic!("no response in {text:?}"));
     let status =
         head.strip_prefix("HTTP/1.1 ").or(head.strip_prefix("HTTP/1.0 ")).unwrap()[..3].parse().unwrap();
     let length: usize =
         head.lines().find_map(|l| l.strip_prefix("content-length: ")).unwrap().parse().unwrap();
-    assert!(body.len() == length || body.is_empty(), "a second answer or a part of one: {text:?}");
+    assert!(body.len() == length || body.is_empty(), "a second response or a part of one: {text:?}");
     assert!(head.contains("\r\nconnection: close") || head.starts_with("HTTP/1.0"), "{head}");
     Response { status, head: head.into(), body: body.into() }
 }
 
-/// The response to these bytes. Writing may fail after an early response.
+/// Sends `bytes` and returns the response. The write may fail after an early response.
 pub fn send(address: SocketAddr, bytes: &[u8]) -> Response {
     let mut stream = connect(address);
     let _ = stream.write_all(bytes);
     read_response(&mut stream)
 }
 
-/// The response to these bytes, after which the client shuts down its side.
+/// Sends `bytes`, shuts down the client's side and returns the response.
 pub fn send_and_shut_down(address: SocketAddr, bytes: &[u8]) -> Response {
     let mut stream = connect(address);
     stream.write_all(bytes).unwrap();
@@ -148,7 +150,7 @@
     send(address, post_request(path, body).as_bytes())
 }
 
-/// The value of a metric, as the admin address reports it.
+/// The value of a metric on `/admin/stats`; 0 if it is absent.
 pub fn metric(address: SocketAddr, name: &str) -> u64 {
     let stats = get(address, "/admin/stats");
     let line = stats.body.lines().find_map(|l| l.strip_prefix(&format!("edge.{name}=")).map(str::to_owned));
--- a/crates/admin/tests/measure.rs
+++ b/crates/admin/tests/measure.rs
@@ -1,4 +1,4 @@
-//! What the admin address costs. Run by hand:
+//! Measures the cost of the admin address. Run by hand:
 //! `cargo test --release -p sprucelink-admin --test measure -- --ignored --nocapture`
 
 mod common;
@@ -10,24 +10,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Processor time of the serving threads so far.
+/// Processor time that the serving threads have used so far.
 fn serving_cpu_time() -> Duration {
     let tasks = std::fs::read_dir("/proc/self/task").unwrap().flatten().map(|t| t.path());
-    let serving =
-        |t: &std::path::PathBuf| std::fs::read_to_string(t.join("comm")).unwrap().trim() == SERVING_THREAD;
-    let on = |task: std::path::PathBuf| -> u64 {
+    let is_serving = |task: &std::path::PathBuf| {
+        std::fs::read_to_string(task.join("comm")).unwrap().trim() == SERVING_THREAD
+    };
+    let cpu_nanos = |task: std::path::PathBuf| -> u64 {
         let schedstat = std::fs::read_to_string(task.join("schedstat")).unwrap();
         schedstat.split(' ').next().unwrap().parse().unwrap()
     };
-    Duration::from_nanos(tasks.filter(serving).map(on).sum())
+    Duration::from_nanos(tasks.filter(is_serving).map(cpu_nanos).sum())
 }
 
-/// Sends requests for this time, one every `gap`: their number, and the median and the longest latency.
-fn measure_requests(at: SocketAddr, time: Duration, gap: Duration) -> (usize, Duration, Duration) {
+/// Sends requests for `duration`, pausing for `gap` after each; returns their number, and the median and the
+/// longest latency.
+fn measure_requests(address: SocketAddr, duration: Duration, gap: Duration) -> (usize, Duration, Duration) {
     let (begin, mut latencies) = (Instant::now(), Vec::new());
-    while begin.elapsed() < time {
+    while begin.elapsed() < duration {
         let start = Instant::now();
-        assert_eq!(get(at, "/admin/stats").status, 200);
+        assert_eq!(get(address, "/admin/stats").status, 200);
         latencies.push(start.elapsed());
         std::thread::sleep(gap);
     }
@@ -35,59 +37,60 @@
     (latencies.len(), latencies[latencies.len() / 2], latencies[latencies.len() - 1])
 }
 
-/// Connects clients that write `bytes` and stay, `rate` a second, until `is_over` or at the maximum; returns their number.
-fn flood(at: SocketAddr, bytes: &[u8], rate: f64, max_connections: u32, is_over: &AtomicBool) -> u32 {
-    let (begin, mut open, mut n) = (Instant::now(), VecDeque::<TcpStream>::new(), 0);
+/// Connects clients that write `bytes` and stay connected, `rate` per second, until `is_over` or up to
+/// `max_connections`; returns their number.
+fn flood(address: SocketAddr, bytes: &[u8], rate: f64, max_connections: u32, is_over: &AtomicBool) -> u32 {
+    let (begin, mut open, mut connected) = (Instant::now(), VecDeque::<TcpStream>::new(), 0);
     while !is_over.load(Ordering::Relaxed) {
-        if n == max_connections {
+        if connected == max_connections {
             std::thread::sleep(Duration::from_millis(5));
             continue;
         }
-        let mut client = connect(at);
+        let mut client = connect(address);
         let _ = client.write_all(bytes);
         open.push_back(client);
-        n += 1;
+        connected += 1;
         if open.len() > 1_000 {
             open.pop_front();
         }
-        let due = Duration::from_secs_f64(f64::from(n) / rate);
+        let due = Duration::from_secs_f64(f64::from(connected) / rate);
         std::thread::sleep(due.saturating_sub(begin.elapsed()));
     }
-    n
+    connected
 }
 
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_calls_and_of_a_flood() {
-    let at = start_with_default_limits();
-    let time = Duration::from_secs(3);
+fn cost_of_requests_and_of_a_flood() {
+    let address = start_with_default_limits();
+    let duration = Duration::from_secs(3);
     let before = serving_cpu_time();
-    let (calls, median, longest) = measure_requests(at, time, Duration::ZERO);
-    let each = (serving_cpu_time() - before) / calls as u32;
+    let (requests, median, longest) = measure_requests(address, duration, Duration::ZERO);
+    let cpu_per_request = (serving_cpu_time() - before) / requests as u32;
     println!(
-        "alone: {} calls/s, each {each:?} of the loop's processor, median {median:?}, longest {longest:?}",
-        calls / 3
+        "no flood: {} requests/s, {cpu_per_request:?} of processor time each, median {median:?}, longest {longest:?}",
+        requests / 3
     );
     let partial_request = b"GET /admin/hea";
     let floods: [(&str, &[u8], f64, u32); 7] = [
         ("100 silent at once", b"", f64::MAX, 100),
         ("300 silent at once", b"", f64::MAX, 300),
-        ("600 with half a call at once", partial_request, f64::MAX, 600),
-        ("300 a second, silent", b"", 300.0, u32::MAX),
-        ("300 a second, half a call", partial_request, 300.0, u32::MAX),
-        ("300 a second, garbage", b"\x16\x03\x01\r\n\r\n", 300.0, u32::MAX),
+        ("600 with a partial request at once", partial_request, f64::MAX, 600),
+        ("300 per second, silent", b"", 300.0, u32::MAX),
+        ("300 per second, partial request", partial_request, 300.0, u32::MAX),
+        ("300 per second, malformed", b"\x16\x03\x01\r\n\r\n", 300.0, u32::MAX),
         ("as fast as they can, silent", b"", f64::MAX, u32::MAX),
     ];
-    for (what, bytes, rate, max_connections) in floods {
-        let (at, is_over) = (start_with_default_limits(), AtomicBool::new(false));
+    for (description, bytes, rate, max_connections) in floods {
+        let (address, is_over) = (start_with_default_limits(), AtomicBool::new(false));
         let before = serving_cpu_time();
         std::thread::scope(|s| {
-            let flooding = s.spawn(|| flood(at, bytes, rate, max_connections, &is_over));
-            let (calls, median, longest) = measure_requests(at, time, Duration::from_millis(20));
+            let flooding = s.spawn(|| flood(address, bytes, rate, max_connections, &is_over));
+            let (requests, median, longest) = measure_requests(address, duration, Duration::from_millis(20));
             is_over.store(true, Ordering::Relaxed);
             let connected = flooding.join().unwrap();
-            let share = (serving_cpu_time() - before).as_secs_f64() / time.as_secs_f64();
-            println!("{what}: {connected} came, {share:.3} of a core; {calls} good calls, median {median:?}, longest {longest:?}");
+            let cores = (serving_cpu_time() - before).as_secs_f64() / duration.as_secs_f64();
+            println!("{description}: {connected} connected, {cores:.3} cores; {requests} requests, median {median:?}, longest {longest:?}");
         });
     }
 }
--- a/crates/admin/tests/target.rs
+++ b/crates/admin/tests/target.rs
@@ -1,15 +1,15 @@
-//! The engine that a body names.
+//! Parsing of the body that names an engine.
 
 use proptest::prelude::*;
 use sprucelink_admin::target::parse_target;
 use sprucelink_admin::MAX_TARGET_BYTES;
 
 #[test]
-fn target_is_read_and_invalid_bodies_are_rejected_by_field() {
+fn target_is_parsed_and_invalid_bodies_are_rejected_with_their_field() {
     assert_eq!(parse_target(br#"{"target":"s-00c41f7a"}"#).unwrap(), "s-00c41f7a");
     assert_eq!(parse_target(br#" {"why":["a",{}],"target":"\u0073-1"} "#).unwrap(), "s-1");
-    let long = format!("{{\"target\":\"{}\"}}", "x".repeat(MAX_TARGET_BYTES + 1));
-    for (body, starts) in [
+    let long_target = format!("{{\"target\":\"{}\"}}", "x".repeat(MAX_TARGET_BYTES + 1));
+    for (body, expected_start) in [
         ("", "body: empty"),
         ("{", "body: "),
         ("no", "body: "),
@@ -22,10 +22,10 @@
         ("{\"target\":[\"s-1\"]}", "target: not a string"),
         ("{\"target\":\"a\",\"target\":\"b\"}", "body: duplicate field `target`"),
         ("{\"target\":\"a\"} x", "body: "),
-        (long.as_str(), "target: 129 bytes"),
+        (long_target.as_str(), "target: 129 bytes"),
     ] {
-        let why = parse_target(body.as_bytes()).unwrap_err().to_string();
-        assert!(why.starts_with(starts), "{body:?}: {why:?}");
+        let message = parse_target(body.as_bytes()).unwrap_err().to_string();
+        assert!(message.starts_with(expected_start), "{body:?}: {message:?}");
     }
     assert!(parse_target(b"{\"target\":\"\xff\"}").unwrap_err().to_string().starts_with("body: "));
 }
@@ -33,7 +33,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
-    /// Whatever bytes come, the answer is an id within its bound or one short line.
+    /// For any bytes, the result is an id within its limit or an error of one short line.
     #[test]
     fn any_bytes_give_an_id_or_a_short_line(body in prop_oneof![
         prop::collection::vec(any::<u8>(), 0..200),
