--- a/crates/metrics/benches/update.rs
+++ b/crates/metrics/benches/update.rs
@@ -1,4 +1,4 @@
-//! Cost of updates and of a rendering. `cargo bench -p sprucelink-metrics`.
+//! Benchmarks of updates and of rendering. Run with `cargo bench -p sprucelink-metrics`.
 #![allow(missing_docs, reason = "the macros of criterion generate functions without documentation")]
 
 use criterion::{criterion_group, criterion_main, Criterion};
--- a/crates/metrics/src/error.rs
+++ b/crates/metrics/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the registry.
+//! Errors in registering metrics.
 
 use crate::{MAX_CLASSES, MAX_METRICS, MAX_NAME_BYTES};
 
@@ -8,22 +8,22 @@
     /// The name is empty.
     #[error("a metric's name is empty")]
     EmptyName,
-    /// The name is longer than [`MAX_NAME_BYTES`]; its length.
+    /// The name is longer than [`MAX_NAME_BYTES`]; the field is its length in bytes.
     #[error("a metric's name has {0} bytes, more than {MAX_NAME_BYTES}")]
     NameTooLong(usize),
-    /// White space, a control character or `=` in the name would break its line.
+    /// The name has white space, a control character or `=`, which would break its line.
     #[error("metric {0:?}: white space, control characters and = are not allowed")]
     InvalidName(String),
-    /// The name is that of a metric which only this crate updates.
+    /// The name belongs to a metric that only this crate updates, or is already registered.
     #[error("metric {0:?} is reserved")]
     ReservedName(String),
-    /// The name is a counter's, and a gauge was requested, or the other way round.
-    #[error("metric {0:?} is of the other kind")]
+    /// A gauge was requested with the name of a counter, or a counter with the name of a gauge.
+    #[error("metric {0:?} is registered with another kind")]
     KindMismatch(String),
-    /// [`MAX_METRICS`] are registered already.
+    /// [`MAX_METRICS`] metrics are already registered.
     #[error("there are {MAX_METRICS} metrics already")]
     RegistryFull,
-    /// More than [`MAX_CLASSES`] request classes; their number.
+    /// There are more than [`MAX_CLASSES`] request classes; the field is their number.
     #[error("{0} classes, more than {MAX_CLASSES}")]
     TooManyClasses(usize),
 }
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,17 +1,18 @@
-//! Metrics of the running program: a bounded registry of counters and gauges, accounting of requests, and the platform's
-//! text form, one line per metric: `edge.results.CLASS.succeeded=812`.
+//! Metrics of the program: a bounded registry of counters and gauges, accounting of requests, and the
+//! platform's text format, one line per metric: `edge.results.CLASS.succeeded=812`.
 //!
-//! [`Metrics`] is made once, from the names of the request classes. The serving path calls its methods and completes its
-//! requests through a guard ([`ActiveRequest`]), so that `outstanding` is always the number started less the number
-//! completed. Other subsystems get a [`Counter`] or a [`Gauge`] by name; where there are no metrics, [`Counter::noop`].
+//! [`Metrics`] is created once, from the names of the request classes. The serving path calls its methods and
+//! completes requests through a guard ([`ActiveRequest`]), so that `outstanding` is always the number of
+//! requests started minus the number completed. Other subsystems get a [`Counter`] or a [`Gauge`] by name;
+//! without metrics they use [`Counter::noop`].
 //!
-//! The library is `metrics`, the facade alone: its handles and atomic storage are all that is needed, cost one uncontended
-//! atomic addition per update, take no lock and may go to other threads. The registry of `metrics-util` (sharded hash maps
-//! behind locks) leaves names to be sorted and bounded here all the same; `prometheus-client` and `prometheus` render their
-//! own text form and hide the values behind it.
+//! The only metrics library used is the `metrics` facade: its handles and atomic storage are sufficient, cost
+//! one uncontended atomic addition per update, take no lock and may be sent to other threads. With the
+//! registry of `metrics-util` (sharded hash maps behind locks), this crate would still have to sort and bound
+//! the names; `prometheus-client` and `prometheus` render their own text format and do not expose the values.
 //!
-//! [`Metrics`], the guards and the rendering belong to one thread (`Rc`, no lock), that of the serving loop. Counters and
-//! gauges handed out by name may be updated from any thread; the next rendering shows them.
+//! [`Metrics`], the guards and the rendering belong to one thread, that of the event loop (`Rc`, no lock).
+//! Counters and gauges obtained by name may be updated from any thread; the next rendering shows the update.
 //!
 //! ```
 //! # use sprucelink_metrics::Metrics;
@@ -35,10 +36,10 @@
 use registry::{AtomicValue, Registry};
 use std::cell::RefCell;
 
-/// Largest number of request classes: with more, their lines would leave no room for other metrics.
+/// Maximum number of request classes: the lines of more classes would leave no room for other metrics.
 pub const MAX_CLASSES: usize = 64;
 
-/// The metrics of one process. They start at zero with it and are never reset.
+/// The metrics of a process. They are zero when the process starts and are never reset.
 #[derive(Debug)]
 pub struct Metrics {
     registry: RefCell<Registry>,
@@ -50,7 +51,8 @@
 }
 
 impl Metrics {
-    /// Metrics for these request classes, in the order by which [`Metrics::start_request`] numbers them.
+    /// Creates the metrics for these request classes, whose order gives the indices for
+    /// [`Metrics::start_request`].
     ///
     /// # Errors
     /// More than [`MAX_CLASSES`] classes, a name that occurs twice, or one that is not a valid metric name.
@@ -83,8 +85,9 @@
         Ok(Metrics { registry, requests, forwards, outstanding, discovered, ejected })
     }
 
-    /// Counts a request of a class as started. The guard counts how it completes; dropped without that, the request counts
-    /// as aborted. A number that is no class's counts as outstanding, too, and on completion in `edge.unclassed`.
+    /// Counts a request of a class as started. The guard counts how the request completes; a request whose
+    /// guard is dropped without completion counts as aborted. A request with an invalid class index also
+    /// counts as outstanding, and on completion in `edge.unclassed`.
     pub fn start_request(&self, class: usize) -> ActiveRequest {
         self.requests.start(class)
     }
@@ -99,40 +102,42 @@
         self.discovered.set(engines as u64);
     }
 
-    /// Sets the number of listed engines that get no requests, ejected or cordoned.
+    /// Sets the number of listed engines that get no requests because they are ejected or cordoned.
     pub fn set_ejected(&self, engines: usize) {
         self.ejected.set(engines as u64);
     }
 
-    /// Requests started and not yet completed.
+    /// Number of requests started and not yet completed.
     pub fn outstanding(&self) -> u64 {
         self.requests.outstanding()
     }
 
-    /// How the requests of a class have completed so far; `None` where there is no such class.
+    /// Number of completed requests of a class, by outcome; `None` for an invalid class index.
     pub fn request_counts(&self, class: usize) -> Option<RequestCounts> {
         self.requests.counts(class)
     }
 
-    /// The counter of this name, rendered as `edge.NAME`; made at the first call. The handle may go to another thread.
+    /// The counter with this name, rendered as `edge.NAME`; registered at the first call. The handle may be
+    /// sent to another thread.
     ///
     /// # Errors
-    /// An invalid name, one that this crate reserves, a gauge's, or any new one beyond [`MAX_METRICS`]. The caller goes on
-    /// with [`Counter::noop`].
+    /// An invalid or reserved name, the name of a gauge, or a new name when there are [`MAX_METRICS`]
+    /// already. The caller can use [`Counter::noop`] instead.
     pub fn counter(&self, name: &str) -> Result<Counter, MetricError> {
         self.registry.borrow_mut().counter(name)
     }
 
-    /// The gauge of this name; made at the first call. It is rendered as an unsigned integer: fractions are cut off,
-    /// negative values and NaN are shown as 0.
+    /// The gauge with this name; registered at the first call. It is rendered as an unsigned integer:
+    /// fractions are truncated, negative values and NaN are shown as 0.
     ///
     /// # Errors
-    /// As for [`Metrics::counter`].
+    /// The same as for [`Metrics::counter`], with the kinds exchanged.
     pub fn gauge(&self, name: &str) -> Result<Gauge, MetricError> {
         self.registry.borrow_mut().gauge(name)
     }
 
-    /// All metrics, zeros included, one line each, sorted by name: at most [`MAX_RENDERED_BYTES`] bytes.
+    /// Renders all metrics, including zeros, one line per metric, sorted by name: at most
+    /// [`MAX_RENDERED_BYTES`] bytes.
     pub fn render(&self) -> String {
         self.outstanding.set(self.requests.outstanding());
         self.registry.borrow().render()
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -1,4 +1,4 @@
-//! Names and values of all metrics, in the order in which they are rendered.
+//! The registry: names and values of all metrics, sorted by name for rendering.
 
 use crate::MetricError;
 use metrics::atomics::AtomicU64;
@@ -8,18 +8,20 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Largest number of metrics, the program's own included: names derived from clients' input must not grow the registry.
+/// Maximum number of metrics, including the reserved ones: names derived from clients' input must not grow
+/// the registry without bound.
 pub const MAX_METRICS: usize = 512;
-/// Largest length of a metric's name in bytes, without the prefix.
+/// Maximum length of a metric's name in bytes, without the prefix.
 pub const MAX_NAME_BYTES: usize = 96;
-/// Largest length of a rendering in bytes: each line has the prefix, a name, `=`, at most 20 digits and a line feed.
+/// Maximum length of a rendering in bytes: each line has the prefix, a name, `=`, at most 20 digits and a
+/// line feed.
 pub const MAX_RENDERED_BYTES: usize = MAX_METRICS * (PREFIX.len() + MAX_NAME_BYTES + 22);
 /// Prefix of each name in a rendering.
 const PREFIX: &str = "edge.";
-/// Expected length of a line in bytes, to allocate a rendering.
+/// Expected length of a line in bytes, by which a rendering is allocated.
 const TYPICAL_LINE_BYTES: usize = 48;
 
-/// An integer that the program's own metrics are updated through.
+/// Shared value of a reserved metric, which only this crate updates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AtomicValue(Arc<AtomicU64>);
 
@@ -37,14 +39,14 @@
     }
 }
 
-/// Where a metric's value is stored.
+/// Value of a metric, by kind.
 #[derive(Debug)]
 enum Metric {
-    /// One of the program's own, which only this crate updates.
+    /// A reserved metric, which only this crate updates.
     Reserved(AtomicValue),
-    /// A counter that was handed out.
+    /// A counter obtained by name.
     Counter(Arc<AtomicU64>),
-    /// A gauge that was handed out: the bits of an `f64`, as the `metrics` library stores it.
+    /// A gauge obtained by name: the bits of an `f64`, as the `metrics` library stores it.
     Gauge(Arc<AtomicU64>),
 }
 
@@ -55,7 +57,7 @@
 }
 
 impl Registry {
-    /// Registers one of the program's own metrics.
+    /// Registers a reserved metric.
     pub(crate) fn reserve(&mut self, name: &str, value: AtomicValue) -> Result<(), MetricError> {
         if self.metrics.contains_key(name) {
             return Err(MetricError::ReservedName(name.to_owned()));
@@ -63,7 +65,7 @@
         self.insert(name, Metric::Reserved(value))
     }
 
-    /// The counter of this name, registered if necessary.
+    /// The counter with this name, registered if necessary.
     pub(crate) fn counter(&mut self, name: &str) -> Result<Counter, MetricError> {
         if !self.metrics.contains_key(name) {
             self.insert(name, Metric::Counter(Arc::default()))?;
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The gauge of this name, registered if necessary.
+    /// The gauge with this name, registered if necessary.
     pub(crate) fn gauge(&mut self, name: &str) -> Result<Gauge, MetricError> {
         if !self.metrics.contains_key(name) {
             self.insert(name, Metric::Gauge(Arc::default()))?;
@@ -96,7 +98,7 @@
         Ok(())
     }
 
-    /// One line per metric.
+    /// Renders one line per metric.
     pub(crate) fn render(&self) -> String {
         let mut text = String::with_capacity(self.metrics.len() * TYPICAL_LINE_BYTES);
         for (name, metric) in &self.metrics {
--- a/crates/metrics/src/registry/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -1,14 +1,14 @@
-//! The registry of metrics.
+//! Tests of the registry.
 
 use super::*;
 
 #[test]
 fn same_name_gives_the_same_metric_from_any_thread() {
     let mut registry = Registry::default();
-    let here = registry.counter("a.b").unwrap();
-    let there = registry.counter("a.b").unwrap();
-    std::thread::spawn(move || there.increment(4)).join().unwrap();
-    here.increment(1);
+    let local = registry.counter("a.b").unwrap();
+    let sent = registry.counter("a.b").unwrap();
+    std::thread::spawn(move || sent.increment(4)).join().unwrap();
+    local.increment(1);
     registry.gauge("g").unwrap().set(2.9);
     registry.gauge("low").unwrap().set(-3.0);
     registry.gauge("none").unwrap().set(f64::NAN);
@@ -22,8 +22,8 @@
     assert_eq!(registry.counter("mine").unwrap_err(), MetricError::ReservedName("mine".into()));
     assert!(registry.gauge("g").is_ok());
     assert_eq!(registry.counter("g").unwrap_err(), MetricError::KindMismatch("g".into()));
-    for bad in ["a b", "a\nb", "a=b", "a\u{7f}", "a\u{2028}b"] {
-        assert_eq!(registry.counter(bad).unwrap_err(), MetricError::InvalidName(bad.into()));
+    for name in ["a b", "a\nb", "a=b", "a\u{7f}", "a\u{2028}b"] {
+        assert_eq!(registry.counter(name).unwrap_err(), MetricError::InvalidName(name.into()));
     }
     assert_eq!(registry.counter("").unwrap_err(), MetricError::EmptyName);
     assert_eq!(
--- a/crates/metrics/src/request_accounting.rs
+++ b/crates/metrics/src/request_accounting.rs
@@ -1,26 +1,26 @@
-//! Accounting of requests: each is started once and completes once.
+//! Accounting of requests: each request is started once and completes once.
 //!
-//! The number outstanding is not stored: it is the number started less the number completed. A request is held as a guard,
-//! which each way of completing consumes. So a path on which the core forgets a request (a cancelled task, an early return)
-//! cannot make the metrics drift from what is open.
+//! The number of outstanding requests is not stored: it is the number started minus the number completed.
+//! Each request has a guard, which completion consumes. A path on which the core drops a request (a cancelled
+//! task, an early return) therefore cannot make the metrics differ from the number of open requests.
 
 use crate::registry::AtomicValue;
 use std::rc::Rc;
 
-/// How a request completed.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Completion {
-    /// Served.
+    /// The request was served.
     Succeeded,
-    /// Rejected; a retry is harmless.
+    /// The request was rejected; a retry is harmless.
     Rejected,
-    /// Failed, or dropped without completion.
+    /// The request failed, or its guard was dropped without completion.
     Aborted,
-    /// The client stopped waiting before a response was owed.
+    /// The client stopped waiting before a response was due.
     Abandoned,
 }
 
-/// Counters of one class.
+/// Counters of a class.
 #[derive(Debug, Default)]
 struct Account {
     started: AtomicValue,
@@ -31,7 +31,8 @@
 }
 
 impl Account {
-    /// Never below 0: each completion comes from a guard, and each guard was counted when it was made.
+    /// The difference is never negative: each completion comes from a guard, and each guard was counted at
+    /// its creation.
     fn outstanding(&self) -> u64 {
         let completed =
             self.succeeded.get() + self.rejected.get() + self.aborted.get() + self.abandoned.get();
@@ -39,39 +40,39 @@
     }
 }
 
-/// How the requests of a class have completed so far.
+/// Number of completed requests of a class, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Served.
+    /// Requests that were served.
     pub succeeded: u64,
-    /// Rejected: a retry is harmless (`declined` on the wire).
+    /// Requests that were rejected; a retry is harmless (`declined` in the rendering).
     pub rejected: u64,
-    /// Failed, or dropped without completion.
+    /// Requests that failed, or whose guards were dropped without completion.
     pub aborted: u64,
-    /// Their clients stopped waiting before a response was owed.
+    /// Requests whose clients stopped waiting before a response was due.
     pub abandoned: u64,
 }
 
-/// The counters that a class's lines render.
+/// The counters of a class that are rendered.
 pub(crate) struct ClassCounters {
     pub(crate) succeeded: AtomicValue,
     pub(crate) rejected: AtomicValue,
     pub(crate) aborted: AtomicValue,
 }
 
-/// Accounts of all classes, and one for requests of no class.
+/// Accounts of all classes, and an account for requests with an invalid class index.
 #[derive(Debug)]
 pub struct RequestAccounting {
     accounts: Vec<Rc<Account>>,
     unclassed_account: Rc<Account>,
-    /// Of all classes together: the platform's form has no line per class for it.
+    /// Abandoned requests of all classes: the platform's format has no line per class for them.
     abandoned: AtomicValue,
-    /// Completed requests of no class.
+    /// Completed requests with an invalid class index.
     unclassed: AtomicValue,
 }
 
 impl RequestAccounting {
-    /// Accounting for a number of classes.
+    /// Creates the accounting for this number of classes.
     pub fn new(classes: usize) -> RequestAccounting {
         RequestAccounting {
             accounts: (0..classes).map(|_| Rc::default()).collect(),
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Requests started and not yet completed, of all classes and of none.
+    /// Number of requests started and not yet completed, including those with an invalid class index.
     pub fn outstanding(&self) -> u64 {
         let classed: u64 = self.accounts.iter().map(|account| account.outstanding()).sum();
         classed + self.unclassed_account.outstanding()
     }
 
-    /// How the requests of a class have completed; `None` where there is no such class.
+    /// Number of completed requests of a class, by outcome; `None` for an invalid class index.
     pub fn counts(&self, class: usize) -> Option<RequestCounts> {
         self.accounts.get(class).map(|account| RequestCounts {
             succeeded: account.succeeded.get(),
@@ -127,36 +128,38 @@
     }
 }
 
-/// Guard of a request that was started and has not completed. Each way of completing consumes it; dropped, the request
-/// counts as aborted. It belongs to the thread of its [`RequestAccounting`], which it may outlive.
+/// Guard of a request that was started and has not completed. Each method that completes the request consumes
+/// the guard; if the guard is dropped, the request counts as aborted. The guard belongs to the thread of its
+/// [`RequestAccounting`], which it may outlive.
 #[derive(Debug)]
 #[must_use = "a request whose guard is dropped counts as aborted"]
 pub struct ActiveRequest {
     account: Rc<Account>,
     abandoned: AtomicValue,
-    /// The counter of completed requests of no class, if this is one.
+    /// The counter of completed requests with an invalid class index, if this request has one.
     unclassed: Option<AtomicValue>,
-    /// Counted when the guard is dropped.
+    /// The outcome that is counted when the guard is dropped.
     completion: Completion,
 }
 
 impl ActiveRequest {
-    /// The request was served.
+    /// Counts the request as served.
     pub fn succeed(self) {
         self.complete(Completion::Succeeded);
     }
 
-    /// The request was rejected; a retry is harmless.
+    /// Counts the request as rejected; a retry is harmless.
     pub fn reject(self) {
         self.complete(Completion::Rejected);
     }
 
-    /// The request failed.
+    /// Counts the request as failed.
     pub fn abort(self) {
         self.complete(Completion::Aborted);
     }
 
-    /// The client stopped waiting before a response was owed. It counts in `edge.abandoned` and under no class.
+    /// Counts the request as abandoned: its client stopped waiting before a response was due. It counts in
+    /// `edge.abandoned` and in no line of a class.
     pub fn abandon(self) {
         self.complete(Completion::Abandoned);
     }
--- a/crates/metrics/src/request_accounting/tests.rs
+++ b/crates/metrics/src/request_accounting/tests.rs
@@ -1,40 +1,41 @@
-//! Accounting of requests, against a model.
+//! Accounting of requests, compared with a model.
 
 use super::*;
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Op {
+enum Operation {
     Start(usize),
     Complete(usize, u8),
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        (0..5_usize).prop_map(Op::Start),
-        (any::<usize>(), 0..5_u8).prop_map(|(n, e)| Op::Complete(n, e))
+        (0..5_usize).prop_map(Operation::Start),
+        (any::<usize>(), 0..5_u8).prop_map(|(index, outcome)| Operation::Complete(index, outcome))
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
-    /// In any order of starts and completions, outstanding is the number of guards, and each completion counts in one place.
+    /// In any order of starts and completions, the number of outstanding requests is the number of guards,
+    /// and each completion counts in one counter of its class.
     #[test]
-    fn outstanding_is_the_number_of_guards(ops in prop::collection::vec(op(), 0..200)) {
+    fn outstanding_is_the_number_of_guards(operations in prop::collection::vec(operation(), 0..200)) {
         const CLASSES: usize = 3;
         let accounting = RequestAccounting::new(CLASSES);
         let mut active: Vec<(usize, ActiveRequest)> = Vec::new();
         let mut model = [RequestCounts::default(); CLASSES];
         let (mut abandoned, mut unclassed) = (0, 0);
-        for op in ops {
-            match op {
-                Op::Start(class) => active.push((class, accounting.start(class))),
-                Op::Complete(n, end) if !active.is_empty() => {
-                    let (class, request) = active.swap_remove(n % active.len());
-                    let mut none = RequestCounts::default();
-                    let counts = model.get_mut(class).unwrap_or(&mut none);
-                    match end {
+        for operation in operations {
+            match operation {
+                Operation::Start(class) => active.push((class, accounting.start(class))),
+                Operation::Complete(index, outcome) if !active.is_empty() => {
+                    let (class, request) = active.swap_remove(index % active.len());
+                    let mut unclassed_counts = RequestCounts::default();
+                    let counts = model.get_mut(class).unwrap_or(&mut unclassed_counts);
+                    match outcome {
                         0 => { request.succeed(); counts.succeeded += 1 }
                         1 => { request.reject(); counts.rejected += 1 }
                         2 => { request.abort(); counts.aborted += 1 }
@@ -43,7 +44,7 @@
                     }
                     unclassed += u64::from(class >= CLASSES);
                 }
-                Op::Complete(..) => {}
+                Operation::Complete(..) => {}
             }
             prop_assert_eq!(accounting.outstanding(), active.len() as u64);
             for (class, counts) in model.iter().enumerate() {
--- a/crates/metrics/tests/rendering.rs
+++ b/crates/metrics/tests/rendering.rs
@@ -1,4 +1,4 @@
-//! Metrics as the platform reads them.
+//! Rendering of the metrics in the platform's format.
 
 use sprucelink_metrics::{MetricError, Metrics, MAX_CLASSES};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn all_metrics_are_rendered_from_the_start_in_the_platforms_form() {
+fn all_metrics_are_rendered_from_the_start_in_the_platforms_format() {
     let metrics = Metrics::try_new(&names(&["lane-rate", "tariff-load"])).unwrap();
     let zeros = "edge.abandoned=0\nedge.discovered=0\nedge.ejected=0\nedge.forwards=0\nedge.outstanding=0\n\
                  edge.results.lane-rate.aborted=0\nedge.results.lane-rate.declined=0\n\
@@ -44,9 +44,9 @@
 
 #[test]
 fn invalid_class_names_are_rejected_at_construction() {
-    let many: Vec<String> = (0..=MAX_CLASSES).map(|n| format!("c{n}")).collect();
-    assert_eq!(Metrics::try_new(&many).unwrap_err(), MetricError::TooManyClasses(MAX_CLASSES + 1));
-    assert!(Metrics::try_new(&many[1..]).is_ok());
+    let many_classes: Vec<String> = (0..=MAX_CLASSES).map(|n| format!("c{n}")).collect();
+    assert_eq!(Metrics::try_new(&many_classes).unwrap_err(), MetricError::TooManyClasses(MAX_CLASSES + 1));
+    assert!(Metrics::try_new(&many_classes[1..]).is_ok());
     assert!(matches!(Metrics::try_new(&names(&["a", "a"])), Err(MetricError::ReservedName(_))));
     assert!(matches!(Metrics::try_new(&names(&["a=1\nb"])), Err(MetricError::InvalidName(_))));
     assert_eq!(Metrics::try_new(&names(&[""])).unwrap_err(), MetricError::EmptyName);
