--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -29,7 +29,7 @@
         if path.split('.').nth(MAX_PATH_PARTS).is_some() {
             continue;
         }
-        let leaf = path.split('.').fold(&mut root, |node, key| node.below.entry(key).or_default());
+        let leaf = path.split('.').fold(&mut root, |node, key| node.children.entry(key).or_default());
         leaf.text = Some(value);
     }
     serde_path_to_error::deserialize(&root)
@@ -40,11 +40,11 @@
 #[derive(Debug, Default)]
 struct Node<'a> {
     text: Option<&'a str>,
-    below: BTreeMap<&'a str, Node<'a>>,
+    children: BTreeMap<&'a str, Node<'a>>,
 }
 
 /// Node of a path that does not occur.
-static ABSENT: Node<'static> = Node { text: None, below: BTreeMap::new() };
+static ABSENT: Node<'static> = Node { text: None, children: BTreeMap::new() };
 
 /// Why the value of a pair is invalid; [`Error::place`] holds the path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -68,12 +68,12 @@
 
 impl<'a> Node<'a> {
     fn is_empty(&self) -> bool {
-        self.below.is_empty() && matches!(self.text, None | Some("" | "-"))
+        self.children.is_empty() && matches!(self.text, None | Some("" | "-"))
     }
 
     /// The length of a list of objects; `None` for a list of plain values.
     fn count(&self) -> Result<Option<usize>, PairError> {
-        let Some(count) = self.below.get("count") else { return Ok(None) };
+        let Some(count) = self.children.get("count") else { return Ok(None) };
         let text = count.text.filter(|t| !matches!(*t, "" | "-")).unwrap_or("0");
         match text.parse::<f64>() {
             Ok(n) if n.is_finite() && n as usize <= MAX_ITEMS => Ok(Some(n as usize)),
@@ -110,7 +110,7 @@
     }
 
     fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
-        visitor.visit_map(Children { remaining: self.below.iter(), value: &ABSENT })
+        visitor.visit_map(Children { remaining: self.children.iter(), value: &ABSENT })
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
@@ -153,7 +153,7 @@
         if self.next == self.count {
             return Ok(None);
         }
-        let item = self.node.below.get(self.next.to_string().as_str()).unwrap_or(&ABSENT);
+        let item = self.node.children.get(self.next.to_string().as_str()).unwrap_or(&ABSENT);
         self.next += 1;
         seed.deserialize(item).map(Some)
     }
--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -93,9 +93,9 @@
     /// # Errors
     /// An address that cannot be listened on.
     pub async fn listen(self: &Rc<Self>, address: &str, limits: Limits) -> Result<(), AdminListenError> {
-        let failed = |source| AdminListenError { address: address.to_owned(), source };
-        let listener = listen(address).await.map_err(failed)?;
-        let local_address = listener.local_addr().map_err(failed)?;
+        let listen_error = |source| AdminListenError { address: address.to_owned(), source };
+        let listener = listen(address).await.map_err(listen_error)?;
+        let local_address = listener.local_addr().map_err(listen_error)?;
         spawn_local(sprucelink_admin::serve(listener, Rc::clone(self), limits));
         info!(address = %local_address, "admin server listening");
         Ok(())
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a complete capture for the sub-commands, and warns of damaged parts.
+//! Reads a whole capture for the sub-commands, and warns about damaged parts.
 
 use super::CaptureError;
 use crate::run::error::{with_causes, BoxError};
@@ -47,7 +47,7 @@
             }
         }
         capture.report_damage();
-        capture.report_cut_segments();
+        capture.report_truncated_segments();
         if capture.segments.is_empty() {
             return Err(last_error.unwrap_or(CaptureError::NoSegment));
         }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn report_cut_segments(&self) {
+    fn report_truncated_segments(&self) {
         for segment in &self.segments {
             let SegmentEnd::Truncated { inside_frame } = segment.end else { continue };
             let place = if inside_frame { "inside a frame" } else { "after a complete frame" };
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -105,8 +105,8 @@
     Ok(Config {
         connection_limits: connection_limits(&platform, &settings, sockets, &descriptors),
         front: front_config(&platform, &settings, &descriptors),
-        zone_names: names(&platform.settings.zone_names),
-        kind_names: names(&platform.settings.kind_names),
+        zone_names: non_empty_names(&platform.settings.zone_names),
+        kind_names: non_empty_names(&platform.settings.kind_names),
         name: platform.name,
         listen: platform.listen.to_string(),
         feed: platform.feed,
@@ -125,7 +125,7 @@
 }
 
 /// The names in a list, without empty ones.
-fn names(texts: &[Text]) -> Vec<String> {
+fn non_empty_names(texts: &[Text]) -> Vec<String> {
     texts.iter().filter(|text| !text.0.is_empty()).map(|text| text.0.clone()).collect()
 }
 
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Listens on an address; a failure names it as configured.
+/// Listens on an address; the error contains the address as configured.
 ///
 /// # Errors
 /// An address that cannot be bound.
--- a/src/run/socket_activation.rs
+++ b/src/run/socket_activation.rs
@@ -42,8 +42,8 @@
     std::env::set_var("LISTEN_FDS", (index + 1).to_string());
     let taken = ListenFd::from_env().take_tcp_listener(index as usize);
     std::env::remove_var("LISTEN_FDS");
-    let failed = |source| SocketActivationError::Descriptor { descriptor, source };
-    let listener = taken.map_err(failed)?.ok_or(SocketActivationError::NotListening(descriptor))?;
-    listener.set_nonblocking(true).map_err(failed)?;
+    let descriptor_error = |source| SocketActivationError::Descriptor { descriptor, source };
+    let listener = taken.map_err(descriptor_error)?.ok_or(SocketActivationError::NotListening(descriptor))?;
+    listener.set_nonblocking(true).map_err(descriptor_error)?;
     Ok(listener)
 }
