--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,52 +1,57 @@
-//! Settings of the membership: a JSON5 file such as `deploy/membership.json5`.
+//! Settings of the membership protocol: a JSON5 file such as `deploy/membership.json5`.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField, SettingsFile, Violation};
 use std::net::SocketAddr;
 
-/// Longest name, zone and region, in bytes: the updates of a datagram stay small.
+/// Maximum length of a name, zone or region, in bytes; it keeps the updates in a datagram small.
 pub const MAX_NAME_BYTES: usize = 32;
-/// Maximum number of seeds.
+/// Maximum number of seeds in the settings.
 pub const MAX_SEEDS: usize = 16;
 
-/// The parameters of the protocol. Names in files are those of `serde(rename)`, where a field has one.
+/// Parameters of the protocol. A field with `serde(rename)` has that name in settings files.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProtocolConfig {
     /// SWIM's protocol period, in which one member is probed, in milliseconds; 50 to 60,000.
     pub period_ms: f64,
-    /// How long the answer to a direct probe is awaited before others are asked to probe, in milliseconds; 10 to
+    /// Time-out of a direct probe, after which other members are requested to probe, in milliseconds; 10 to
     /// `period_ms`.
     pub timeout_ms: f64,
-    /// How many members are asked to probe on one's behalf; 0 to 10 (SWIM's k).
+    /// Number of members that are requested to probe on this member's behalf; 0 to 10 (SWIM's k).
     #[serde(rename = "indirect")]
     pub indirect_probes: u32,
-    /// A suspicion lasts at least this many periods times the logarithm (base 10) of the fleet; 1 to 20.
+    /// Minimum duration of a suspicion: this many periods, multiplied by the base-10 logarithm of the number
+    /// of live members; 1 to 20.
     #[serde(rename = "suspicion_least")]
     pub suspicion_multiplier: f64,
-    /// Until others confirm it, a suspicion lasts this many times its minimum; 1 to 20 (Lifeguard's β).
+    /// Maximum duration of a suspicion, which applies while no other member confirms it, as a multiple of the
+    /// minimum; 1 to 20 (Lifeguard's β).
     #[serde(rename = "suspicion_most")]
     pub max_suspicion_multiplier: f64,
-    /// Confirmations by others that bring a suspicion to its minimum; 0 to 10 (Lifeguard's k).
+    /// Number of confirmations by other members that reduce a suspicion's duration to its minimum; 0 to 10
+    /// (Lifeguard's k).
     pub confirmations: u32,
-    /// Bound of the local health score: periods and time-outs grow to 1 + this times themselves; 0 to 16 (Lifeguard's S).
+    /// Maximum of the local health score. Periods and time-outs are multiplied by 1 + the score; 0 to 16
+    /// (Lifeguard's S).
     #[serde(rename = "health_most")]
     pub max_local_health: u32,
-    /// An update is sent this many times the logarithm (base 10) of the fleet, each time to another; 1 to 20.
+    /// Number of transmissions of an update, each to a different member: this factor times the base-10
+    /// logarithm of the number of live members; 1 to 20.
     #[serde(rename = "retransmit")]
     pub retransmit_multiplier: f64,
     /// Interval of gossip rounds, in milliseconds; 20 to 60,000.
     #[serde(rename = "gossip_ms")]
     pub gossip_interval_ms: f64,
-    /// Members that a gossip round is sent to; 0 to 10.
+    /// Number of members that each gossip round is sent to; 0 to 10.
     #[serde(rename = "fanout")]
     pub gossip_fanout: u32,
-    /// Interval of comparisons of the complete view with one other member (anti-entropy), in milliseconds; 200 to 600,000,
-    /// randomized by a fifth either way. Dead members and seeds are contacted in turn, too, so that partitioned views
-    /// merge.
+    /// Interval at which the complete view is compared with one other member's (anti-entropy), in
+    /// milliseconds; 200 to 600,000, with a jitter of ±20%. Every other comparison is with a seed or a dead
+    /// member, so that partitioned views merge.
     #[serde(rename = "rejoin_ms")]
     pub anti_entropy_interval_ms: f64,
-    /// How long dead members are remembered, in seconds; 1 to 86,400.
+    /// Time for which dead members are retained in the view, in seconds; 1 to 86,400.
     #[serde(rename = "keep_dead_s")]
     pub dead_retention_s: f64,
 }
@@ -71,10 +76,10 @@
 }
 
 impl ProtocolConfig {
-    /// Checks each number against its range.
+    /// Checks each parameter against its range.
     ///
     /// # Errors
-    /// The first field outside its range, by its name in files.
+    /// The first field outside its range, by its name in settings files.
     pub fn validate(&self) -> Result<(), InvalidField> {
         check_range("period_ms", self.period_ms, 50.0, 60_000.0)?;
         check_range("timeout_ms", self.timeout_ms, 10.0, self.period_ms)?;
@@ -91,19 +96,21 @@
     }
 }
 
-/// What members publish, and what the fleet spends together.
+/// Settings of published payloads and of budgets shared by the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SharingConfig {
-    /// Whether the retry budget is spent as a fleet: a part of what others have left may be used.
+    /// Whether the fleet pools its retry budgets: a manager may then use a part of the retries that others
+    /// have left.
     #[serde(rename = "ration")]
     pub pool_retry_budgets: bool,
-    /// Whether warm-up budgets, this manager's fraction of cores and tenants' quotas are divided among the live members
-    /// instead of the configured number of managers.
+    /// Whether warm-up budgets, this manager's fraction of cores and tenants' quotas are divided among the
+    /// live members instead of the configured number of managers.
     #[serde(rename = "parts")]
     pub divide_by_live_members: bool,
-    /// Interval of a member's payloads, in milliseconds; 200 to 60,000. In fleets of more than a hundred members it grows
-    /// by 10 ms a member, so that the rate at which each member receives payloads stays bounded.
+    /// Interval at which a member publishes its payload, in milliseconds; 200 to 60,000. In fleets of more
+    /// than a hundred members it grows by 10 ms per member, so that the rate at which each member receives
+    /// payloads stays bounded.
     #[serde(rename = "every_ms")]
     pub payload_interval_ms: f64,
 }
@@ -118,31 +125,32 @@
     }
 }
 
-/// All settings of the membership.
+/// All settings of the membership protocol.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipConfig {
-    /// Whether managers exchange messages; never on the platform.
+    /// Whether managers exchange membership messages; never enabled on the platform.
     pub enabled: bool,
-    /// Where this manager listens (UDP, IPv4): `address:port`; with port 0 the kernel chooses one.
+    /// UDP address (IPv4) on which this manager listens, as `address:port`; with port 0 the kernel chooses a
+    /// port.
     pub listen: String,
-    /// Where others reach it, if that is not where it listens.
+    /// Address at which other managers reach this one, if it differs from `listen`.
     pub advertise: Option<String>,
-    /// Members that are contacted first, and again to heal partitions; at most [`MAX_SEEDS`]. This manager's own address
-    /// may be among them.
+    /// Addresses of members that are contacted at the start, and again to merge partitioned views; at most
+    /// [`MAX_SEEDS`]. This manager's own address may be among them.
     pub seeds: Vec<String>,
-    /// Its zone; empty where there is none. At most [`MAX_NAME_BYTES`].
+    /// This manager's zone, at most [`MAX_NAME_BYTES`] bytes; empty if it has none.
     pub zone: String,
-    /// Its region; likewise.
+    /// This manager's region, at most [`MAX_NAME_BYTES`] bytes; empty if it has none.
     pub region: String,
-    /// The parameters of the protocol.
+    /// Parameters of the protocol.
     pub protocol: ProtocolConfig,
-    /// What is published and shared.
+    /// Settings of payloads and shared budgets.
     pub share: SharingConfig,
 }
 
 impl SettingsFile for MembershipConfig {
-    /// What error messages call these settings.
+    /// Name of these settings in error messages.
     const SUBJECT: &'static str = "membership";
 
     fn validate(&self) -> Result<(), InvalidField> {
--- a/crates/membership/src/decoder.rs
+++ b/crates/membership/src/decoder.rs
@@ -1,5 +1,5 @@
-//! Decoding of datagrams ([`crate::wire`]). Bounded by the datagram's length; never panics, and accepts no field beyond
-//! its bound: whatever comes from the network may be hostile.
+//! Decoding of datagrams ([`crate::wire`]). Datagrams come from the network and may be hostile: decoding is
+//! bounded by the datagram's length, never panics, and rejects every field beyond its bound.
 
 use crate::config::MAX_NAME_BYTES;
 use crate::gossip_payload::{GossipPayload, WarmupWork, MAX_ENGINES};
@@ -12,22 +12,22 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Length of the shortest datagram, in bytes: magic number, version, kind and checksum.
+/// Minimum length of a datagram, in bytes: magic number, version, kind and checksum.
 const MIN_DATAGRAM_BYTES: usize = 8;
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Not of this protocol, or of another version.
+    /// The datagram is not of this protocol, or of another version of it.
     #[error("not a message of this protocol and version")]
     ForeignProtocol,
     /// The checksum does not match.
-    #[error("its checksum does not fit")]
+    #[error("the checksum does not match")]
     ChecksumMismatch,
     /// A field is missing, longer than its bound, or has a value that no message has.
     #[error("field {field} is missing, too long or out of range")]
     InvalidField {
-        /// The field.
+        /// Name of the field in the wire format.
         field: &'static str,
     },
 }
@@ -35,10 +35,10 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// Why it is rejected; nothing of it is to be used then.
+/// The reason for the rejection; no part of a rejected datagram is used.
 pub fn decode(datagram: &[u8]) -> Result<Message, DecodeError> {
-    let is_right_length = (MIN_DATAGRAM_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
-    if !is_right_length || !datagram.starts_with(&MAGIC) || datagram[VERSION_OFFSET] != VERSION {
+    let is_valid_length = (MIN_DATAGRAM_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
+    if !is_valid_length || !datagram.starts_with(&MAGIC) || datagram[VERSION_OFFSET] != VERSION {
         return Err(DecodeError::ForeignProtocol);
     }
     let (body, crc) = datagram.split_at(datagram.len() - CRC_BYTES);
--- a/crates/membership/src/encoder.rs
+++ b/crates/membership/src/encoder.rs
@@ -13,12 +13,12 @@
 /// Initial capacity for an encoded update, in bytes: more than nearly all updates take.
 const TYPICAL_UPDATE_BYTES: usize = 128;
 
-/// A message as a datagram.
+/// A message encoded as a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedDatagram {
-    /// The bytes, at most [`MAX_DATAGRAM_BYTES`].
+    /// Bytes of the datagram, at most [`MAX_DATAGRAM_BYTES`].
     pub bytes: Vec<u8>,
-    /// The number of updates that did not fit; the last ones of the message's.
+    /// Number of updates that did not fit; these are the last ones of the message.
     pub updates_left_out: usize,
 }
 
@@ -34,26 +34,26 @@
     writer.kind_fields(&message.kind);
     let count_offset = writer.0.len();
     writer.u8(0);
-    let mut written = 0;
+    let mut written_count = 0;
     for update in message.updates.iter().take(MAX_UPDATES) {
-        let before = writer.0.len();
+        let update_offset = writer.0.len();
         writer.update(update);
         if writer.0.len() + CRC_BYTES > MAX_DATAGRAM_BYTES {
-            writer.0.truncate(before);
+            writer.0.truncate(update_offset);
             break;
         }
-        written += 1;
+        written_count += 1;
     }
-    writer.0[count_offset] = written as u8;
+    writer.0[count_offset] = written_count as u8;
     if matches!(message.kind, MessageKind::Query { .. }) {
         writer.0.resize(MAX_DATAGRAM_BYTES - CRC_BYTES, 0);
     }
     let crc = crc32fast::hash(&writer.0);
     writer.u32(crc);
-    EncodedDatagram { bytes: writer.0, updates_left_out: message.updates.len() - written }
+    EncodedDatagram { bytes: writer.0, updates_left_out: message.updates.len() - written_count }
 }
 
-/// Bytes that an update takes in a datagram.
+/// Size of an update in a datagram, in bytes.
 pub fn encoded_size(update: &Update) -> usize {
     let mut writer = Writer(Vec::with_capacity(TYPICAL_UPDATE_BYTES));
     writer.update(update);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,22 @@
-//! A view of the fleet that its managers keep themselves: which are alive, suspected or dead, and a small payload of what
-//! each of them publishes.
+//! Fleet membership: each manager maintains a view of which managers are alive, suspected or dead, and of the
+//! small payload that each manager publishes.
 //!
-//! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", DSN 2002) with suspicion, incarnation numbers and piggybacked updates, and the three
-//! refinements of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure
-//! Detection", DSN-W 2018): local health (an overloaded member probes more slowly), dogpile (a suspicion that others
-//! confirm expires sooner), and the buddy system (a suspect is notified first).
+//! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
+//! Group Membership Protocol", DSN 2002) with suspicion, incarnation numbers and piggybacked updates, and the
+//! three refinements of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More
+//! Accurate Failure Detection", DSN-W 2018): local health (an overloaded member probes more slowly), dogpile
+//! (a suspicion that other members confirm expires sooner), and the buddy system (a suspect is notified
+//! first).
 //!
-//! - [`SwimNode`]: the protocol as a state machine without I/O. Time is an argument, randomness comes from a seed, and
-//!   messages to send are taken from an outbox.
-//! - [`Message`], [`encode`], [`decode`]: the datagrams, read within bounds.
-//! - [`GossipPayload`], [`PayloadTable`]: what members publish, merged by version.
-//! - [`spare_retries`], [`budget_divisor`]: how budgets are shared among the members.
+//! - [`SwimNode`]: the protocol as a state machine without I/O. Time is an argument, randomness comes from a
+//!   seed, and messages to send are taken from an outbox.
+//! - [`Message`], [`encode`], [`decode`]: the messages and their encoding as datagrams; decoding checks all
+//!   bounds.
+//! - [`GossipPayload`], [`PayloadTable`]: the payloads that members publish, merged by version.
+//! - [`spare_retries`], [`budget_divisor`]: how members share retry budgets and divide other budgets.
 //! - [`MembershipConfig`]: the settings.
 //!
-//! Nothing here performs I/O except [`query_members`], by which a program outside the fleet reads a member's view.
+//! Only [`query_members`] performs I/O: a program outside the fleet reads a member's view with it.
 
 mod config;
 mod decoder;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -3,16 +3,16 @@
 use crate::gossip_payload::GossipPayload;
 use std::net::SocketAddr;
 
-/// The state of a member.
+/// State of a member in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It did not answer a probe, and may refute the suspicion.
+    /// The member did not answer a probe, and may refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion before it expired.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it is leaving.
     Left,
 }
 
@@ -26,116 +26,119 @@
 /// A member as updates describe it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name: the same after a restart.
+    /// Name of the member; a restart does not change it.
     pub name: String,
-    /// The generation of its process: when it started, in Unix milliseconds.
+    /// Generation of the member's process: its start time in Unix milliseconds.
     pub generation: u64,
-    /// The number of its refutations within that generation (SWIM 4.2).
+    /// Incarnation number (SWIM 4.2): the member raises it with each refutation, and each generation starts
+    /// at 0.
     pub incarnation: u32,
-    /// Its state.
+    /// State that the update reports.
     pub state: MemberState,
-    /// Where it is reached.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the member; empty if it has none.
     pub zone: String,
-    /// Its region.
+    /// Region of the member; empty if it has none.
     pub region: String,
 }
 
-/// An update that messages carry.
+/// An update piggybacked on a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
     /// The state of a member.
     Member {
-        /// The member.
+        /// The member and its reported state.
         member: Member,
-        /// Who reported it first: suspicions are counted by reporter.
+        /// Name of the member that reported this state first: a suspicion counts each reporter once.
         reported_by: String,
     },
     /// A member's payload.
     Payload {
-        /// The member's name.
+        /// Name of the member that published the payload.
         member: String,
-        /// The generation of its process.
+        /// Generation of the publishing process.
         generation: u64,
-        /// The payload.
+        /// The published payload.
         payload: GossipPayload,
     },
 }
 
-/// What a message is for.
+/// Kind of a message, with the fields of that kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// A probe of the member named, answered by `Ack` with its sequence number.
+    /// A probe, answered by an `Ack` with the same sequence number.
     Ping {
-        /// The sequence number.
+        /// Sequence number, chosen by the sender.
         sequence: u32,
-        /// The member probed.
+        /// Name of the probed member; a different member at the address does not answer.
         target: String,
     },
     /// The answer to a probe.
     Ack {
-        /// The probe's sequence number.
+        /// Sequence number of the probe.
         sequence: u32,
     },
-    /// SWIM's ping-req: probe this member on the sender's behalf. Answered by `Ack` or `Nack` with this sequence number.
+    /// SWIM's ping-req: a request to probe a member on the sender's behalf, answered by an `Ack` or `Nack`
+    /// with the same sequence number.
     PingRequest {
-        /// The sequence number.
+        /// Sequence number, chosen by the sender.
         sequence: u32,
-        /// The member to probe.
+        /// Name of the member to probe.
         target: String,
-        /// Its address.
+        /// Address of the member to probe.
         address: SocketAddr,
     },
-    /// Lifeguard's nack: the target did not answer the helper either; the helper is well.
+    /// Lifeguard's nack: the target did not answer the helper either. It shows that the helper itself is
+    /// reachable.
     Nack {
-        /// The ping request's sequence number.
+        /// Sequence number of the ping request.
         sequence: u32,
     },
-    /// Updates only.
+    /// A message that only carries updates.
     Gossip,
-    /// The digest and size of the sender's view. A receiver whose view differs sends its own.
+    /// Digest and size of the sender's view. A receiver whose view differs sends its complete view.
     Digest {
-        /// The digest ([`crate::SwimNode::digest`]).
+        /// Digest of the live members ([`crate::SwimNode::digest`]).
         digest: u64,
-        /// The number of live members.
+        /// Number of live members, the sender included.
         member_count: u32,
-        /// Whether the sender has sent its view already: the receiver then does not answer with a digest.
+        /// Whether the sender has already sent its view: the receiver then does not answer with a digest.
         is_reply: bool,
     },
-    /// A program outside the fleet asks for a page of the view; the datagram must be padded to
+    /// Request of a program outside the fleet for a page of the view. The datagram must be padded to
     /// [`crate::MAX_DATAGRAM_BYTES`], so that an answer is never larger than its query.
     Query {
-        /// The position of the first member wanted.
+        /// Position in the view of the first requested member.
         offset: u32,
     },
-    /// A page of the view; the members are the updates.
+    /// A page of the view; its members are in the message's updates.
     View {
-        /// The position of its first member.
+        /// Position in the view of the page's first member.
         offset: u32,
-        /// The number of members in the complete view.
+        /// Number of members in the complete view.
         total: u32,
     },
 }
 
-/// The sender of a message.
+/// Sender of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sender {
-    /// Its name.
+    /// Name of the sending member.
     pub name: String,
-    /// The generation of its process.
+    /// Generation of the sending process.
     pub generation: u64,
-    /// Its advertised address.
+    /// Advertised address of the sender, to which answers are sent.
     pub address: SocketAddr,
 }
 
-/// A message.
+/// A message of the protocol; each is one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Who sends it.
+    /// Member that sent the message.
     pub sender: Sender,
-    /// What it is for.
+    /// Kind of the message, with its fields.
     pub kind: MessageKind,
-    /// Updates that it carries.
+    /// Updates piggybacked on the message.
     pub updates: Vec<Update>,
 }
--- a/crates/membership/src/query_client.rs
+++ b/crates/membership/src/query_client.rs
@@ -1,4 +1,4 @@
-//! Reads the view of a running member from outside the fleet: one datagram a query, one an answer.
+//! Reads the view of a running member from outside the fleet. Each query and each answer is one datagram.
 
 use crate::decoder::decode;
 use crate::encoder::encode;
@@ -9,24 +9,24 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// How long one attempt waits for the answer.
+/// Time-out of one attempt.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Maximum number of attempts for one page: datagrams get lost.
+/// Maximum number of attempts for each page, because datagrams may be lost.
 const MAX_ATTEMPTS: u32 = 5;
-/// The sender's name in queries.
+/// Sender name in queries.
 const CLIENT_NAME: &str = "?";
 
 /// A page of a member's view.
 struct ViewPage {
     members: Vec<Member>,
-    /// The number of members in the complete view.
+    /// Number of members in the complete view.
     total: u32,
 }
 
-/// All members in the view of the member at `address`, itself first.
+/// Queries the member at `address` for all members in its view; the queried member comes first.
 ///
 /// # Errors
-/// Those of the socket; `TimedOut` where no answer arrived.
+/// An error of the socket, or `TimedOut` if no answer arrived.
 pub fn query_members(address: SocketAddr) -> io::Result<Vec<Member>> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.connect(address)?;
@@ -55,7 +55,7 @@
     Err(io::Error::new(io::ErrorKind::TimedOut, "no answer: is a member listening there?"))
 }
 
-/// The page at an offset; `None` where it did not arrive in time.
+/// Receives the page at an offset; `None` if it did not arrive within the time-out.
 fn receive_page(socket: &UdpSocket, wanted_offset: u32) -> io::Result<Option<ViewPage>> {
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
@@ -66,7 +66,7 @@
             }
             Err(error) => return Err(error),
         };
-        // Anything else is ignored: a late answer to an earlier query, or a datagram from elsewhere.
+        // Late answers to earlier queries and datagrams from other senders are ignored.
         let Ok(Message { kind: MessageKind::View { offset, total }, updates, .. }) =
             decode(&buffer[..length])
         else {
--- a/crates/membership/src/retry_budget_pool/tests.rs
+++ b/crates/membership/src/retry_budget_pool/tests.rs
@@ -1,4 +1,4 @@
-//! Spare retries, and partitioned fleets.
+//! Tests of spare retries, and of the budget divisor in partitioned fleets.
 
 use super::*;
 use quickcheck::{Gen, QuickCheck};
@@ -6,7 +6,7 @@
 const BUDGET: RetryBudget = RetryBudget { min_retries: 3.0, retry_ratio: 0.1 };
 
 #[test]
-fn member_gets_a_part_of_what_others_have_left() {
+fn member_gets_an_equal_part_of_the_retries_that_others_have_left() {
     let idle = GossipPayload { admitted_requests: 100, ..GossipPayload::default() };
     let exhausted = GossipPayload { admitted_requests: 100, retries: 13, ..GossipPayload::default() };
     assert_eq!(spare_retries(BUDGET, &[], 1), 0.0);
@@ -15,11 +15,11 @@
     assert!((spare - 13.0 * 2.0 * 0.5 / 4.0).abs() < 1e-9);
 }
 
-/// Whatever the payloads say, all members together get no more than what is left, so that the fleet stays within the sum
-/// of its budgets.
+/// For any payloads, all members together get no more than the remaining retries, so that the fleet stays
+/// within the sum of its budgets.
 #[test]
 fn fleet_stays_within_the_sum_of_its_budgets() {
-    fn holds(fleet: Vec<(u16, u16)>) -> bool {
+    fn is_within_budgets(fleet: Vec<(u16, u16)>) -> bool {
         let payload = |(admitted, retries): &(u16, u16)| GossipPayload {
             admitted_requests: u32::from(*admitted),
             retries: u32::from(*retries),
@@ -39,7 +39,9 @@
         }
         total_spare <= total_remaining * USABLE_FRACTION + 1e-6
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(50, 9)).quickcheck(holds as fn(Vec<(u16, u16)>) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(50, 9))
+        .quickcheck(is_within_budgets as fn(Vec<(u16, u16)>) -> bool);
 }
 
 #[test]
