--- a/crates/membership/src/swim/anti_entropy.rs
+++ b/crates/membership/src/swim/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: with whom views are compared, and how many complete views may be sent.
+//! Anti-entropy: the choice of peers to compare views with, and the rate limit on sent views.
 
 use super::member_table::MemberTable;
 use crate::message::MemberState;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Maximum number of complete views sent in a second: enough for a flood of joins, and low enough that forged digests
+/// Maximum rate of complete views sent: enough for a flood of joins, and low enough that forged digests
 /// cannot use this member as an amplifier.
 const MAX_VIEWS_PER_SECOND: f64 = 50.0;
 
@@ -36,20 +36,20 @@
     }
 }
 
-/// When views are compared next, and with whom.
+/// Schedule and peers of view comparisons.
 #[derive(Clone, Debug)]
 pub(super) struct AntiEntropy {
     seeds: Vec<SocketAddr>,
     next_at: Timestamp,
-    /// Whether the last comparison was one with a seed or a dead member.
-    compared_outside: bool,
+    /// Whether the last comparison was with a seed or a dead member instead of a live one.
+    last_was_reconnect: bool,
     view_limiter: ViewRateLimiter,
 }
 
 impl AntiEntropy {
-    /// The first comparison is due now.
+    /// Creates a schedule whose first comparison is due now.
     pub(super) fn new(seeds: Vec<SocketAddr>, now: Timestamp) -> AntiEntropy {
-        AntiEntropy { seeds, next_at: now, compared_outside: true, view_limiter: ViewRateLimiter::new(now) }
+        AntiEntropy { seeds, next_at: now, last_was_reconnect: true, view_limiter: ViewRateLimiter::new(now) }
     }
 
     pub(super) fn next_at(&self) -> Timestamp {
@@ -64,24 +64,28 @@
         self.next_at = next_at;
     }
 
-    /// The addresses to compare views with now: in turn that of a live member, and of a seed or a dead one.
+    /// Addresses of the peers to compare views with now: alternately a live member, and a seed or dead
+    /// member.
     pub(super) fn next_peers(&mut self, members: &MemberTable, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
-        self.compared_outside = !self.compared_outside;
+        self.last_was_reconnect = !self.last_was_reconnect;
         let live: BTreeSet<SocketAddr> = members.live().map(|member| member.address).collect();
         let dead = members.all().filter(|member| member.state == MemberState::Dead);
         let dead = dead.map(|member| member.address);
-        let outside: Vec<SocketAddr> =
+        let reconnect_addresses: Vec<SocketAddr> =
             self.seeds.iter().copied().chain(dead).filter(|address| !live.contains(address)).collect();
-        // A member that knows no live one contacts every seed: any single one may be down.
+        // A member that knows no live member contacts all addresses, because any single one may be down.
         if live.is_empty() {
-            return outside;
+            return reconnect_addresses;
         }
-        let candidates =
-            if self.compared_outside && !outside.is_empty() { outside } else { live.into_iter().collect() };
+        let candidates = if self.last_was_reconnect && !reconnect_addresses.is_empty() {
+            reconnect_addresses
+        } else {
+            live.into_iter().collect()
+        };
         candidates.choose(rng).copied().into_iter().collect()
     }
 
-    /// Whether a complete view may be sent now, which then counts.
+    /// Returns whether a complete view may be sent now, and if so counts it against the rate limit.
     pub(super) fn try_acquire_view(&mut self, now: Timestamp) -> bool {
         self.view_limiter.try_acquire(now)
     }
--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -1,44 +1,44 @@
-//! What a member reports of its view: events and counters.
+//! Events and counters that a member reports about its view.
 
 use crate::Timestamp;
 use std::collections::VecDeque;
 
-/// Maximum number of events retained until they are taken; the oldest are dropped first.
+/// Maximum number of events retained until the caller takes them; the oldest are dropped first.
 const MAX_EVENTS: usize = 1_024;
 
-/// What happened to a member of the view.
+/// Change of a member's state in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipEventKind {
-    /// It joined, or joined again.
+    /// The member joined, or joined again.
     Joined,
-    /// It is a new process under a known name.
+    /// A new process under the name of a known member replaced the earlier one.
     Restarted,
-    /// It did not answer a probe.
+    /// The member did not answer a probe.
     Suspected,
-    /// It refuted a suspicion, or was declared dead and is not.
+    /// The member refuted a suspicion, or was wrongly declared dead.
     Refuted,
-    /// It was declared dead.
+    /// The member was declared dead.
     Died,
-    /// It announced that it leaves, and left.
+    /// The member announced that it is leaving, and left.
     Left,
-    /// Another, later process has this member's own name.
+    /// A later process has this member's own name.
     Superseded,
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipEvent {
-    /// When.
+    /// Time at which this member's view changed.
     pub at: Timestamp,
-    /// The member.
+    /// Name of the member whose state changed.
     pub member: String,
-    /// What happened to it.
+    /// Kind of the change.
     pub kind: MembershipEventKind,
-    /// Who reported it first, where that is known.
+    /// Name of the member that reported the change first; empty if unknown.
     pub reported_by: String,
 }
 
-/// Counters, for log lines.
+/// Counters for log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Messages put into the outbox.
@@ -47,19 +47,19 @@
     pub received: u64,
     /// Direct probes that were not answered in time.
     pub indirect_probes: u64,
-    /// Suspicions that were begun by this member's own probes.
+    /// Suspicions that this member's own probes began.
     pub suspicions: u64,
-    /// Updates on itself that this member refuted.
+    /// Accusations of this member that it refuted.
     pub refutations: u64,
-    /// Times that this member found itself stopped.
+    /// Number of times that this member detected that its process had been stopped.
     pub stops: u64,
     /// Complete views sent.
     pub views_sent: u64,
-    /// Members ignored because of [`crate::swim::MAX_MEMBERS`].
+    /// Members ignored because the view held [`crate::swim::MAX_MEMBERS`] members.
     pub members_over_limit: u64,
 }
 
-/// Events that were not taken yet.
+/// Events that the caller has not taken yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EventLog {
     events: VecDeque<MembershipEvent>,
--- a/crates/membership/src/swim/gossip_queue.rs
+++ b/crates/membership/src/swim/gossip_queue.rs
@@ -5,19 +5,19 @@
 use crate::message::{Member, Update};
 use std::collections::BTreeMap;
 
-/// Smallest size of an update, in bytes: with fewer left a datagram is full.
+/// Minimum size of an update, in bytes: a datagram with fewer free bytes is full.
 const MIN_UPDATE_BYTES: usize = 48;
 
-/// What an update is about; states come before payloads.
+/// Key of a queued update; states are ordered before payloads.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
+enum UpdateKey {
     State(String),
     Payload(String),
 }
 
-impl Subject {
+impl UpdateKey {
     fn is_payload(&self) -> bool {
-        matches!(self, Subject::Payload(_))
+        matches!(self, UpdateKey::Payload(_))
     }
 }
 
@@ -27,10 +27,11 @@
     transmissions: u32,
 }
 
-/// At most one update of a member's state and one of its payload: a newer one replaces an older one.
+/// Queue with at most one state update and one payload update of each member: a newer one replaces an older
+/// one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipQueue {
-    updates: BTreeMap<Subject, QueuedUpdate>,
+    updates: BTreeMap<UpdateKey, QueuedUpdate>,
 }
 
 impl GossipQueue {
@@ -39,35 +40,35 @@
     }
 
     pub(super) fn enqueue_member(&mut self, member: Member, reported_by: String) {
-        let subject = Subject::State(member.name.clone());
-        self.enqueue(subject, Update::Member { member, reported_by });
+        let key = UpdateKey::State(member.name.clone());
+        self.enqueue(key, Update::Member { member, reported_by });
     }
 
     pub(super) fn enqueue_payload(&mut self, member: String, generation: u64, payload: GossipPayload) {
-        let subject = Subject::Payload(member.clone());
-        self.enqueue(subject, Update::Payload { member, generation, payload });
+        let key = UpdateKey::Payload(member.clone());
+        self.enqueue(key, Update::Payload { member, generation, payload });
     }
 
     pub(super) fn remove_payload(&mut self, member: &str) {
-        self.updates.remove(&Subject::Payload(member.to_owned()));
+        self.updates.remove(&UpdateKey::Payload(member.to_owned()));
     }
 
-    fn enqueue(&mut self, subject: Subject, update: Update) {
-        self.updates.insert(subject, QueuedUpdate { update, transmissions: 0 });
+    fn enqueue(&mut self, key: UpdateKey, update: Update) {
+        self.updates.insert(key, QueuedUpdate { update, transmissions: 0 });
     }
 
-    /// Updates that fit into this many bytes, for one message: states before payloads, then those with the fewest
-    /// transmissions.
-    /// Each counts as transmitted; it leaves the queue at `max_transmissions`.
+    /// Takes the updates for one message that fit into `free_bytes`: states before payloads, and among each
+    /// those with the fewest transmissions first. Each counts as transmitted and is removed from the queue at
+    /// `max_transmissions`.
     pub(super) fn take_for_message(&mut self, mut free_bytes: usize, max_transmissions: u32) -> Vec<Update> {
-        let mut order: Vec<(bool, u32, Subject)> = Vec::with_capacity(self.updates.len());
-        for (subject, queued) in &self.updates {
-            order.push((subject.is_payload(), queued.transmissions, subject.clone()));
+        let mut order: Vec<(bool, u32, UpdateKey)> = Vec::with_capacity(self.updates.len());
+        for (key, queued) in &self.updates {
+            order.push((key.is_payload(), queued.transmissions, key.clone()));
         }
         order.sort_unstable();
         let mut taken = Vec::new();
-        for (_, _, subject) in order {
-            let Some(queued) = self.updates.get_mut(&subject) else { continue };
+        for (_, _, key) in order {
+            let Some(queued) = self.updates.get_mut(&key) else { continue };
             let size = encoded_size(&queued.update);
             if size > free_bytes {
                 if free_bytes < MIN_UPDATE_BYTES {
@@ -79,7 +80,7 @@
             taken.push(queued.update.clone());
             queued.transmissions += 1;
             if queued.transmissions >= max_transmissions {
-                self.updates.remove(&subject);
+                self.updates.remove(&key);
             }
         }
         taken
--- a/crates/membership/src/swim/local_member.rs
+++ b/crates/membership/src/swim/local_member.rs
@@ -1,20 +1,20 @@
-//! This member: how it describes itself, and how it answers updates that others send about it.
+//! This member: its own description, and its reactions to updates that other members send about it.
 
 use crate::message::{Member, MemberState, Sender, Update};
 use std::net::SocketAddr;
 
-/// This member.
+/// Identity of this member.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
-    /// Its name.
+    /// Name of the member, unique in the fleet; a restart does not change it.
     pub name: String,
-    /// The generation of this process: when it started, in Unix milliseconds.
+    /// Generation of this process: its start time in Unix milliseconds.
     pub generation: u64,
-    /// Where it is reached.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the member; empty if it has none.
     pub zone: String,
-    /// Its region.
+    /// Region of the member; empty if it has none.
     pub region: String,
 }
 
@@ -40,7 +40,7 @@
         self.identity.generation
     }
 
-    /// This member as the sender of a message.
+    /// The sender fields of this member's messages.
     pub(super) fn sender(&self) -> Sender {
         Sender {
             name: self.identity.name.clone(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// This member as it describes itself.
+    /// This member with its current state, alive or left.
     pub(super) fn member(&self) -> Member {
         self.member_as(if self.has_left { MemberState::Left } else { MemberState::Alive })
     }
@@ -72,17 +72,18 @@
         self.report(self.member_as(MemberState::Alive))
     }
 
-    /// An update of a member, as reported by this one.
+    /// An update about a member, reported by this member.
     pub(super) fn report(&self, member: Member) -> Update {
         Update::Member { member, reported_by: self.identity.name.clone() }
     }
 
-    /// Whether it neither probes nor compares views any more: it has left, or a later process has its name.
+    /// Whether this member no longer probes or compares views, because it has left or a later process has its
+    /// name.
     pub(super) fn is_inactive(&self) -> bool {
         self.has_left || self.is_superseded
     }
 
-    /// This member leaves.
+    /// Marks this member as having left.
     pub(super) fn leave(&mut self) {
         self.has_left = true;
     }
@@ -94,7 +95,8 @@
             && member.state != MemberState::Alive
     }
 
-    /// Refutes a false accusation by a higher incarnation (SWIM 4.2); returns whether it did.
+    /// Refutes a false accusation by raising the incarnation above the accused one (SWIM 4.2); returns
+    /// whether it did.
     pub(super) fn refute(&mut self, member: &Member) -> bool {
         let is_current = member.incarnation >= self.incarnation;
         if !self.is_accusation(member) || !is_current || self.has_left {
@@ -104,7 +106,8 @@
         true
     }
 
-    /// A process under this member's name was seen. A later one takes its place; returns whether that is new.
+    /// Processes the generation of a process under this member's name. A later one supersedes this process;
+    /// returns whether it does so for the first time.
     pub(super) fn supersede(&mut self, generation: u64) -> bool {
         let is_new = generation > self.identity.generation && !self.is_superseded;
         self.is_superseded |= is_new;
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -1,4 +1,4 @@
-//! The other members, and how updates and time change their states.
+//! The other members, and the changes of their states by updates and expired suspicions.
 
 use super::event::MembershipEventKind;
 use super::suspicion::{final_probe_interval, Suspicion};
@@ -9,38 +9,39 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of members in the view, the dead included; others are ignored.
+/// Maximum number of members in the view, including dead ones; further members are ignored.
 pub const MAX_MEMBERS: usize = 4_096;
-/// How long gossip is also sent to a dead member, so that one wrongly declared dead receives it and refutes.
-const GOSSIP_TO_DEAD: TimeDelta = TimeDelta::from_secs(30);
+/// Time for which gossip is still sent to a dead member, so that a member wrongly declared dead receives and
+/// refutes it.
+const GOSSIP_TO_DEAD_TIME: TimeDelta = TimeDelta::from_secs(30);
 
-/// What follows from a change of the view. [`super::SwimNode`] carries it out.
+/// An action that follows from a change of the view and that [`super::SwimNode`] performs.
 #[derive(Clone, Debug)]
 pub(super) enum ViewAction {
     /// Record an event.
     RecordEvent {
-        /// The member.
+        /// Name of the member.
         member: String,
-        /// What happened to it.
+        /// Kind of the event.
         kind: MembershipEventKind,
-        /// Who reported it first.
+        /// Name of the member that reported the change first.
         reported_by: String,
     },
     /// Disseminate an update.
     Disseminate {
-        /// The member as it is now known.
+        /// The member with its new state.
         member: Member,
-        /// Who reported it first.
+        /// Name of the member that reported the state first.
         reported_by: String,
     },
-    /// Remove the payload of an earlier process of this member.
+    /// Remove the payload of an earlier process of a member.
     RemovePayload {
-        /// Its name.
+        /// Name of the member.
         member: String,
     },
-    /// Remove a member's payload, and disseminate it no longer.
+    /// Remove a member's payload and stop disseminating it.
     RetractPayload {
-        /// Its name.
+        /// Name of the member.
         member: String,
     },
     /// Count a member that was ignored because of [`MAX_MEMBERS`].
@@ -51,7 +52,7 @@
 #[derive(Clone, Debug)]
 struct MemberEntry {
     member: Member,
-    /// When its state last changed.
+    /// Time at which the member's state last changed.
     changed_at: Timestamp,
     suspicion: Option<Suspicion>,
 }
@@ -63,7 +64,7 @@
 
     fn receives_gossip(&self, now: Timestamp) -> bool {
         let is_dead = self.member.state == MemberState::Dead;
-        self.is_live() || (is_dead && now - self.changed_at < GOSSIP_TO_DEAD)
+        self.is_live() || (is_dead && now - self.changed_at < GOSSIP_TO_DEAD_TIME)
     }
 }
 
@@ -79,17 +80,17 @@
         self.entries.values().filter(|entry| entry.is_live()).map(|entry| &entry.member)
     }
 
-    /// All members, the dead too.
+    /// All members, including dead ones.
     pub(super) fn all(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// The number of all members, the dead too.
+    /// Number of all members, including dead ones.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The number of live members, this one included: the size of the fleet.
+    /// Size of the fleet: the number of live members, this one included.
     pub(super) fn fleet_size(&self) -> usize {
         self.live().count() + 1
     }
@@ -106,7 +107,7 @@
         self.entries.get(name).is_some_and(|entry| entry.suspicion.is_some())
     }
 
-    /// Addresses of the live and the recently dead.
+    /// Addresses of live and recently dead members.
     pub(super) fn gossip_addresses(&self, now: Timestamp) -> Vec<SocketAddr> {
         let receivers = self.entries.values().filter(|entry| entry.receives_gossip(now));
         receivers.map(|entry| entry.member.address).collect()
@@ -127,7 +128,7 @@
         config: &ProtocolConfig,
     ) -> Vec<ViewAction> {
         let Some(entry) = self.entries.get(&member.name) else {
-            return self.add_unknown(now, member, reported_by, config);
+            return self.add_unknown_member(now, member, reported_by, config);
         };
         match member.generation.cmp(&entry.member.generation) {
             Ordering::Equal => self.apply_same_generation(now, member, reported_by, config),
@@ -138,14 +139,15 @@
         }
     }
 
-    fn add_unknown(
+    fn add_unknown_member(
         &mut self,
         now: Timestamp,
         member: Member,
         reported_by: String,
         config: &ProtocolConfig,
     ) -> Vec<ViewAction> {
-        // Members that are gone are not added: an update of their end matters only to those who knew them.
+        // Dead members and those that left are not added: their updates only matter to members that knew
+        // them.
         if !member.state.is_live() {
             return Vec::new();
         }
@@ -155,7 +157,7 @@
         self.insert(now, member, reported_by, MembershipEventKind::Joined, config)
     }
 
-    /// Applies an update on a known process; of two updates the one with the higher incarnation counts (SWIM 4.2).
+    /// Applies an update about a known process; an update with a lower incarnation is outdated (SWIM 4.2).
     fn apply_same_generation(
         &mut self,
         now: Timestamp,
@@ -181,7 +183,7 @@
                 self.end_membership(now, member, reported_by)
             }
             (MemberState::Suspect | MemberState::Dead, MemberState::Alive) if !is_current => {
-                // Outdated: whoever reports it has missed the refutation.
+                // Outdated: the reporter missed the refutation, so it is disseminated again.
                 let refutation = known.clone();
                 vec![ViewAction::Disseminate { member: refutation, reported_by }]
             }
@@ -232,7 +234,7 @@
         actions
     }
 
-    /// Begins to suspect a member.
+    /// Marks a member as suspected and begins its suspicion.
     fn begin_suspicion(
         &mut self,
         now: Timestamp,
@@ -256,7 +258,7 @@
         ]
     }
 
-    /// Another member has the same suspicion: it expires sooner.
+    /// Adds a confirmation by another member, after which the suspicion expires sooner.
     fn confirm_suspicion(&mut self, member: Member, reported_by: String) -> Vec<ViewAction> {
         let Some(entry) = self.entries.get_mut(&member.name) else { return Vec::new() };
         let Some(suspicion) = &mut entry.suspicion else { return Vec::new() };
@@ -267,7 +269,7 @@
         vec![ViewAction::Disseminate { member, reported_by }]
     }
 
-    /// A member is dead or has left.
+    /// Marks a member as dead or as having left.
     fn end_membership(&mut self, now: Timestamp, member: Member, reported_by: String) -> Vec<ViewAction> {
         let Some(entry) = self.entries.get_mut(&member.name) else { return Vec::new() };
         entry.member.state = member.state;
@@ -285,14 +287,14 @@
         ]
     }
 
-    /// When the next final probe or expiry of a suspicion is due.
+    /// Time of the next final probe or expiry of any suspicion; `None` without suspicions.
     pub(super) fn next_suspicion_deadline(&self, config: &ProtocolConfig) -> Option<Timestamp> {
         let interval = final_probe_interval(config);
         let suspicions = self.entries.values().filter_map(|entry| entry.suspicion.as_ref());
         suspicions.map(|suspicion| suspicion.next_deadline(interval)).min()
     }
 
-    /// Suspects that are due a final probe, which then counts as sent.
+    /// Returns the suspects for which a final probe is due, and counts these probes as sent.
     pub(super) fn take_final_probe_targets(
         &mut self,
         now: Timestamp,
@@ -324,7 +326,7 @@
         actions
     }
 
-    /// Extends all suspicions by time in which this member was stopped.
+    /// Extends all suspicions by the time for which this member was stopped.
     pub(super) fn extend_suspicions(&mut self, by: TimeDelta) {
         for suspicion in self.entries.values_mut().filter_map(|entry| entry.suspicion.as_mut()) {
             suspicion.extend(by);
--- a/crates/membership/src/swim/node.rs
+++ b/crates/membership/src/swim/node.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member: what it does when a message arrives and when time passes.
+//! The state machine of one member: its reactions to received messages and to the passage of time.
 
 use super::anti_entropy::AntiEntropy;
 use super::duration::duration_from_ms;
@@ -22,19 +22,19 @@
 mod updates;
 mod view_exchange;
 
-/// Time between two ticks from which a member concludes that it was stopped, in protocol periods.
-const STOPPED_PERIODS: f64 = 3.0;
-/// What a stop adds to the local health score.
+/// Time between two ticks above which a member concludes that its process was stopped, in protocol periods.
+const STOP_DETECTION_PERIODS: f64 = 3.0;
+/// Increase of the local health score after a stop.
 const STOP_HEALTH_PENALTY: u32 = 2;
-/// Rounds of gossip that a leaving member sends at once.
-const LEAVE_ROUNDS: usize = 3;
+/// Number of gossip rounds that a leaving member sends at once.
+const LEAVE_GOSSIP_ROUNDS: usize = 3;
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// Where to.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The message.
+    /// Message to encode and send.
     pub message: Message,
 }
 
@@ -58,14 +58,14 @@
     counters: MembershipCounters,
 }
 
-/// A random part of a span.
+/// A random delay, uniform between 0 and `max_ms`.
 fn random_delay(rng: &mut ChaCha8Rng, max_ms: f64) -> TimeDelta {
     TimeDelta::from_secs_f64(max_ms / 1e3 * rng.gen::<f64>())
 }
 
 impl SwimNode {
-    /// A member that starts now and knows its seeds only; it contacts them at the first tick. One seed of the random
-    /// numbers and one sequence of calls give one sequence of messages.
+    /// Creates a member that starts now and knows only its seeds, which it contacts at the first tick. The
+    /// same `rng_seed` and sequence of calls always produce the same sequence of messages.
     pub fn new(
         local: LocalMember,
         seeds: Vec<SocketAddr>,
@@ -75,7 +75,7 @@
     ) -> SwimNode {
         let seeds = seeds.into_iter().filter(|seed| *seed != local.address).collect();
         let mut rng = ChaCha8Rng::seed_from_u64(rng_seed);
-        // Random, so that members that start together do not probe and gossip at the same times.
+        // Random delays, so that members that start together do not probe and gossip at the same times.
         let first_probe_at = now + random_delay(&mut rng, config.period_ms);
         let first_gossip_at = now + random_delay(&mut rng, config.gossip_interval_ms);
         let mut node = SwimNode {
@@ -99,46 +99,46 @@
         node
     }
 
-    /// Members that are alive or suspected, except this one.
+    /// Other members that are alive or suspected.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.members.live()
     }
 
-    /// All members of the view, the dead too, except this one.
+    /// All other members of the view, including dead ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.all()
     }
 
-    /// The number of live members, this one included: the size of the fleet as it sees it.
+    /// Number of live members in the view, this one included.
     pub fn live_count(&self) -> usize {
         self.members.fleet_size()
     }
 
-    /// A digest of the live members, this one included: equal digests are equal views.
+    /// Digest of the live members, this one included: members with equal digests have equal views.
     pub fn digest(&self) -> u64 {
-        let digest_of =
+        let member_digest =
             |name: &str, generation: u64| stable_hash(&[name.as_bytes(), &generation.to_be_bytes()]);
-        let own = digest_of(self.local.name(), self.local.generation());
-        let others = self.live_members().map(|member| digest_of(&member.name, member.generation));
+        let own = member_digest(self.local.name(), self.local.generation());
+        let others = self.live_members().map(|member| member_digest(&member.name, member.generation));
         others.fold(own, u64::wrapping_add)
     }
 
-    /// This member as it describes itself.
+    /// This member's own description and state.
     pub fn own_member(&self) -> Member {
         self.local.member()
     }
 
-    /// The other members' payloads.
+    /// Payloads of the other members.
     pub fn payloads(&self) -> &PayloadTable {
         &self.payloads
     }
 
-    /// The local health score: 0 is healthy; periods and time-outs are multiplied by 1 + the score.
+    /// Local health score: 0 is healthy; periods and time-outs are multiplied by 1 + the score.
     pub fn local_health(&self) -> u32 {
         self.local_health.score()
     }
 
-    /// Counters so far.
+    /// Counters since this member was created.
     pub fn counters(&self) -> MembershipCounters {
         self.counters
     }
@@ -153,14 +153,14 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// When [`SwimNode::tick`] is to be called next at the latest.
+    /// Latest time at which [`SwimNode::tick`] must be called next.
     pub fn next_deadline(&self) -> Timestamp {
         let periodic = self.prober.next_deadline().min(self.next_gossip_at).min(self.anti_entropy.next_at());
         let suspicion = self.members.next_suspicion_deadline(&self.config);
         suspicion.map_or(periodic, |deadline| deadline.min(periodic))
     }
 
-    /// Replaces this member's payload: its next version is disseminated.
+    /// Replaces this member's payload and disseminates it as the next version.
     pub fn set_payload(&mut self, mut payload: GossipPayload) {
         payload.truncate();
         payload.version = self.own_payload.version.wrapping_add(1);
@@ -169,19 +169,19 @@
         self.gossip_queue.enqueue_payload(name, self.local.generation(), payload);
     }
 
-    /// This member leaves the fleet: others are notified at once, and nothing is probed any more.
+    /// Leaves the fleet: other members are notified at once, and this member stops probing.
     pub fn leave(&mut self) {
         self.local.leave();
         self.disseminate_own_state(MemberState::Left);
-        let fanout = (self.config.gossip_fanout as usize).max(1) * LEAVE_ROUNDS;
+        let fanout = (self.config.gossip_fanout as usize).max(1) * LEAVE_GOSSIP_ROUNDS;
         self.gossip(fanout);
     }
 
-    /// Time has passed.
+    /// Advances time to `now`: sends due messages and expires suspicions.
     pub fn tick(&mut self, now: Timestamp) {
         let elapsed = now - self.last_tick;
         self.last_tick = now;
-        if elapsed.as_secs_f64() > STOPPED_PERIODS * self.config.period_ms / 1e3 {
+        if elapsed.as_secs_f64() > STOP_DETECTION_PERIODS * self.config.period_ms / 1e3 {
             self.recover_from_stop(now, elapsed);
         }
         if self.local.is_inactive() {
@@ -196,12 +196,12 @@
         self.run_anti_entropy(now);
     }
 
-    /// A message arrived.
+    /// Processes a received message.
     pub fn receive(&mut self, now: Timestamp, message: Message) {
         self.counters.received += 1;
         let sender = message.sender;
         if sender.name == self.local.name() {
-            // Its own messages come back, or another process has its name.
+            // The message is one of its own that came back, or another process has its name.
             self.check_superseded(now, sender.generation);
             return;
         }
@@ -209,7 +209,7 @@
         let is_accused = self.apply_updates(now, message.updates, is_view);
         match message.kind {
             MessageKind::Ping { sequence, target } => {
-                // Another member had the address before: the one that is probed is not here.
+                // A probe for a different member that had this address before is not answered.
                 if target == self.local.name() {
                     self.answer(sender.address, MessageKind::Ack { sequence }, is_accused);
                 }
@@ -228,7 +228,7 @@
         }
     }
 
-    /// A member that has left or was superseded only sends the gossip that is queued.
+    /// Tick of a member that has left or was superseded: it only sends queued gossip.
     fn tick_inactive(&mut self, now: Timestamp) {
         let next_period = now + duration_from_ms(self.config.period_ms);
         self.prober.schedule(next_period);
@@ -253,7 +253,7 @@
         }
     }
 
-    /// This process was stopped: nothing is concluded from the silence in between.
+    /// Recovers after this process was stopped: no conclusions are drawn from answers that are missing since.
     fn recover_from_stop(&mut self, now: Timestamp, elapsed: TimeDelta) {
         self.counters.stops += 1;
         self.prober.abandon_probes();
--- a/crates/membership/src/swim/node/probing.rs
+++ b/crates/membership/src/swim/node/probing.rs
@@ -1,4 +1,5 @@
-//! The messages of failure detection: probes, indirect probes, final probes, and the answers to others' probes.
+//! The messages of failure detection: probes, indirect probes, final probes, and the answers to probes of
+//! other members.
 
 use super::SwimNode;
 use crate::message::{Member, MemberState, MessageKind};
@@ -8,12 +9,12 @@
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// A probe on another's behalf is answered by a nack after this fraction of the time-out, so that the nack arrives before
-/// the origin's period ends.
+/// Fraction of the probe time-out after which an unanswered probe on another member's behalf is answered by a
+/// nack, so that the nack arrives before the requester's period ends.
 const NACK_TIMEOUT_FRACTION: f64 = 0.8;
 
 impl SwimNode {
-    /// Continues the probe under way, and begins the next one when its period has ended.
+    /// Continues the current probe, and begins the next one when the period has ended.
     pub(super) fn run_probe(&mut self, now: Timestamp) {
         if let Some(indirect_probe) = self.prober.due_indirect_probe(now) {
             self.probe_indirectly(indirect_probe);
@@ -36,7 +37,7 @@
         let address = member.address;
         let mut updates = Vec::new();
         if self.members.is_suspected(&target) {
-            // Lifeguard's buddy system: a suspect learns of the suspicion first, and with its probe.
+            // Lifeguard's buddy system: the probe of a suspect carries the suspicion ahead of other updates.
             updates.push(self.local.report(member));
         }
         self.send_with_updates(address, MessageKind::Ping { sequence, target }, updates);
@@ -52,13 +53,13 @@
                 (target, target_generation, health_penalty)
             }
         };
-        // Where helpers are silent, too, the fault may be on this side.
+        // If helpers did not answer either, this member itself may be at fault.
         self.local_health.worsen(health_penalty);
         let Some(member) = self.members.get(&target) else { return };
         if member.generation != target_generation || !member.state.is_live() {
             return;
         }
-        // A member that is suspected already has not answered this one either: that confirms the suspicion.
+        // For a member that is already suspected, this unanswered probe confirms the suspicion.
         if member.state == MemberState::Alive {
             self.counters.suspicions += 1;
         }
@@ -75,7 +76,7 @@
         helpers.shuffle(&mut self.rng);
         helpers.truncate(self.config.indirect_probes as usize);
         self.counters.indirect_probes += 1;
-        self.prober.note_helpers(helpers.len());
+        self.prober.set_helper_count(helpers.len());
         for helper in helpers {
             self.send(helper, MessageKind::PingRequest { sequence, target: target.clone(), address });
         }
@@ -92,36 +93,36 @@
         }
     }
 
-    /// Another member requests a probe of a target on its behalf.
+    /// Probes a target on behalf of the member that requested it.
     pub(super) fn start_ping_request(
         &mut self,
         now: Timestamp,
-        origin: SocketAddr,
-        origin_sequence: u32,
+        requester: SocketAddr,
+        requester_sequence: u32,
         target: String,
         target_address: SocketAddr,
     ) {
         let nack_at = now + self.scaled_by_health(self.config.timeout_ms * NACK_TIMEOUT_FRACTION);
-        if let Some(sequence) = self.prober.add_ping_request(origin, origin_sequence, nack_at) {
+        if let Some(sequence) = self.prober.add_ping_request(requester, requester_sequence, nack_at) {
             self.send(target_address, MessageKind::Ping { sequence, target });
         }
     }
 
-    /// Answers probes on others' behalf that were not answered in time.
+    /// Sends a nack for each probe on another member's behalf that was not answered in time.
     pub(super) fn send_nacks(&mut self, now: Timestamp) {
         for request in self.prober.take_unanswered_ping_requests(now) {
-            self.send(request.origin, MessageKind::Nack { sequence: request.origin_sequence });
+            self.send(request.requester, MessageKind::Nack { sequence: request.requester_sequence });
         }
     }
 
-    /// A probe was answered: this member's own, or one on another's behalf.
+    /// Processes the answer to this member's own probe, or to one on another member's behalf.
     pub(super) fn on_ack(&mut self, sequence: u32) {
         if let Some(request) = self.prober.on_ack(sequence) {
-            self.send(request.origin, MessageKind::Ack { sequence: request.origin_sequence });
+            self.send(request.requester, MessageKind::Ack { sequence: request.requester_sequence });
         }
     }
 
-    /// A span that is longer the worse this member's own health is.
+    /// A duration multiplied according to the local health score.
     fn scaled_by_health(&self, ms: f64) -> TimeDelta {
         duration_from_ms(ms * self.local_health.multiplier())
     }
--- a/crates/membership/src/swim/node/updates.rs
+++ b/crates/membership/src/swim/node/updates.rs
@@ -1,4 +1,4 @@
-//! Updates that arrive with messages, on other members and on this one.
+//! Processing of received updates, about other members and about this one.
 
 use super::SwimNode;
 use crate::gossip_payload::GossipPayload;
@@ -42,7 +42,8 @@
         self.check_superseded(now, member.generation);
         if self.local.refute(member) {
             self.counters.refutations += 1;
-            // Others did not receive its answers in time: that may be its own fault (Lifeguard's local health).
+            // Other members did not receive its answers in time, possibly through its own fault (Lifeguard's
+            // local health).
             self.local_health.worsen(1);
             self.disseminate_own_state(MemberState::Alive);
         }
@@ -62,7 +63,8 @@
         self.gossip_queue.enqueue_member(member, self.local.name().to_owned());
     }
 
-    /// A later process under this member's name takes its place: this one stops probing.
+    /// Checks whether a later process has this member's name; if so, this process is superseded and stops
+    /// probing.
     pub(super) fn check_superseded(&mut self, now: Timestamp, generation: u64) {
         if self.local.supersede(generation) {
             let member = self.local.name().to_owned();
@@ -77,7 +79,7 @@
         self.perform(now, actions);
     }
 
-    /// Carries out what follows from changes of the view.
+    /// Performs the actions that follow from changes of the view.
     fn perform(&mut self, now: Timestamp, actions: Vec<ViewAction>) {
         for action in actions {
             match action {
--- a/crates/membership/src/swim/node/view_exchange.rs
+++ b/crates/membership/src/swim/node/view_exchange.rs
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 
 impl SwimNode {
-    /// Sends this member's digest to whoever views are compared with next.
+    /// Sends this member's digest to the next peers to compare views with.
     pub(super) fn compare_views(&mut self) {
         for address in self.anti_entropy.next_peers(&self.members, &mut self.rng) {
             self.send_digest(address, false);
         }
     }
 
-    /// A digest arrived: where views differ the sender gets this member's.
+    /// Processes a received digest: if the views differ, this member's complete view is sent back.
     pub(super) fn on_digest(&mut self, now: Timestamp, from: SocketAddr, digest: u64, is_reply: bool) {
         if digest == self.digest() || !self.anti_entropy.try_acquire_view(now) {
             return;
@@ -29,12 +29,12 @@
     fn send_digest(&mut self, to: SocketAddr, is_reply: bool) {
         let kind =
             MessageKind::Digest { digest: self.digest(), member_count: self.live_count() as u32, is_reply };
-        // With its own state: a member that has just started becomes known by it.
+        // Carries this member's own state, by which a member that has just started becomes known.
         let own = self.local.alive_update();
         self.send_with_updates(to, kind, vec![own]);
     }
 
-    /// Sends the complete view, in as many messages as it takes.
+    /// Sends the complete view, split over as many messages as necessary.
     fn send_view(&mut self, to: SocketAddr) {
         self.counters.views_sent += 1;
         let total = self.members.len() as u32 + 1;
@@ -44,7 +44,7 @@
         let mut offset = 0;
         let members: Vec<Member> = self.members().cloned().collect();
         for (index, member) in members.into_iter().enumerate() {
-            // A suspicion is reported as this member's own: as a confirmation it counts once.
+            // Suspicions are reported in this member's name, so that its confirmation counts once.
             let update = self.local.report(member);
             let size = encoded_size(&update);
             if size > free_bytes {
--- a/crates/membership/src/swim/prober.rs
+++ b/crates/membership/src/swim/prober.rs
@@ -1,4 +1,5 @@
-//! Failure detection: one member is probed in each period, directly and then through others (SWIM 3.1).
+//! Failure detection: one member is probed in each period, directly and then through other members (SWIM
+//! 3.1).
 
 use super::member_table::MemberTable;
 use crate::Timestamp;
@@ -7,84 +8,84 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of probes on others' behalf that are in flight; further requests are ignored.
+/// Maximum number of probes in flight on behalf of other members; further requests are ignored.
 const MAX_PING_REQUESTS: usize = 256;
-/// How often the order of probes is drawn in search of one target: the second draw covers members that died since the
-/// first.
-const MAX_DRAWS: usize = 2;
+/// Maximum number of times that the probe order is shuffled to find a target: the members left in the first
+/// order may have died since it was shuffled.
+const MAX_SHUFFLES: usize = 2;
 
-/// The probe under way.
+/// The current probe.
 #[derive(Clone, Debug)]
 struct Probe {
     target: String,
     target_generation: u64,
     sequence: u32,
-    /// When other members are requested to probe.
+    /// Time at which other members are requested to probe.
     indirect_at: Timestamp,
     ends_at: Timestamp,
-    /// Members that were requested to probe.
-    helpers: u32,
+    /// Number of members that were requested to probe.
+    helper_count: u32,
     nacks: u32,
     is_acked: bool,
 }
 
 impl Probe {
-    fn awaits_helpers(&self) -> bool {
-        !self.is_acked && self.helpers == 0
+    fn needs_helpers(&self) -> bool {
+        !self.is_acked && self.helper_count == 0
     }
 
-    /// Helpers that did not even answer with a nack; 1 where there were no helpers.
-    fn silent_helpers(&self) -> u32 {
-        if self.helpers == 0 {
+    /// Number of helpers that sent neither an ack nor a nack; 1 if there were no helpers.
+    fn silent_helper_count(&self) -> u32 {
+        if self.helper_count == 0 {
             1
         } else {
-            self.helpers.saturating_sub(self.nacks)
+            self.helper_count.saturating_sub(self.nacks)
         }
     }
 }
 
-/// How a probe ended.
+/// Outcome of a probe.
 #[derive(Clone, Debug)]
 pub(super) enum ProbeOutcome {
     /// The target answered.
     Answered,
-    /// It did not.
+    /// The target did not answer.
     Unanswered {
-        /// The target's name.
+        /// Name of the target.
         target: String,
-        /// The generation of the process that was probed.
+        /// Generation of the probed process.
         target_generation: u64,
-        /// What the missing answers add to the local health score (Lifeguard).
+        /// Increase of the local health score because of the missing answers (Lifeguard).
         health_penalty: u32,
     },
 }
 
-/// What an indirect probe is to ask of helpers.
+/// An indirect probe to request from helpers.
 #[derive(Clone, Debug)]
 pub(super) struct IndirectProbe {
-    /// The member to probe.
+    /// Name of the member to probe.
     pub(super) target: String,
-    /// The sequence number of the probe.
+    /// Sequence number of the probe.
     pub(super) sequence: u32,
 }
 
 /// A probe on another member's behalf.
 #[derive(Clone, Debug)]
 pub(super) struct PingRequest {
-    /// Who requested it.
-    pub(super) origin: SocketAddr,
-    /// The origin's sequence number.
-    pub(super) origin_sequence: u32,
+    /// Address of the member that requested the probe.
+    pub(super) requester: SocketAddr,
+    /// Sequence number of the ping request, which the answer repeats.
+    pub(super) requester_sequence: u32,
     nack_at: Timestamp,
 }
 
-/// The member's own probe, one in each period, and its probes on others' behalf.
+/// This member's own probe, one in each period, and its probes on behalf of other members.
 #[derive(Clone, Debug)]
 pub(super) struct Prober {
     /// Members still to be probed in this round, the next one last.
     probe_order: Vec<String>,
     probe: Option<Probe>,
-    /// Probes on others' behalf, by sequence number.
+    /// Probes on behalf of other members, by the sequence number of this member's probe.
     ping_requests: BTreeMap<u32, PingRequest>,
     last_sequence: u32,
     next_probe_at: Timestamp,
@@ -101,10 +102,10 @@
         }
     }
 
-    /// When something is due next: a probe, an indirect probe, or a nack.
+    /// Time at which the next probe, indirect probe or nack is due.
     pub(super) fn next_deadline(&self) -> Timestamp {
-        let awaiting = self.probe.as_ref().filter(|probe| probe.awaits_helpers());
-        let indirect_probe = awaiting.map(|probe| probe.indirect_at);
+        let unassisted = self.probe.as_ref().filter(|probe| probe.needs_helpers());
+        let indirect_probe = unassisted.map(|probe| probe.indirect_at);
         let nack = self.ping_requests.values().map(|request| request.nack_at).min();
         [indirect_probe, nack].into_iter().flatten().fold(self.next_probe_at, Timestamp::min)
     }
@@ -114,56 +115,57 @@
         self.last_sequence
     }
 
-    /// Whether the period of the probe under way has ended.
+    /// Whether the period of the current probe has ended.
     pub(super) fn is_period_over(&self, now: Timestamp) -> bool {
         now >= self.next_probe_at
     }
 
-    /// Sets when the next probe begins.
+    /// Sets the time at which the next probe begins.
     pub(super) fn schedule(&mut self, next_probe_at: Timestamp) {
         self.next_probe_at = next_probe_at;
     }
 
-    /// Drops the probe under way and all probes on others' behalf, without a conclusion.
+    /// Drops the current probe and all probes on behalf of other members, without an outcome.
     pub(super) fn abandon_probes(&mut self) {
         self.probe = None;
         self.ping_requests.clear();
     }
 
-    /// The indirect probe that is due: the target has not answered in time, and nobody was requested to help yet.
+    /// The indirect probe that is due if the target has not answered in time and no helper was requested yet.
     pub(super) fn due_indirect_probe(&self, now: Timestamp) -> Option<IndirectProbe> {
         let is_due =
-            |probe: &&Probe| probe.awaits_helpers() && now >= probe.indirect_at && now < probe.ends_at;
+            |probe: &&Probe| probe.needs_helpers() && now >= probe.indirect_at && now < probe.ends_at;
         let probe = self.probe.as_ref().filter(is_due)?;
         Some(IndirectProbe { target: probe.target.clone(), sequence: probe.sequence })
     }
 
-    /// Notes how many helpers are requested to probe.
-    pub(super) fn note_helpers(&mut self, helpers: usize) {
+    /// Sets the number of helpers that were requested to probe.
+    pub(super) fn set_helper_count(&mut self, helper_count: usize) {
         let Some(probe) = &mut self.probe else { return };
-        probe.helpers = helpers as u32;
-        if helpers == 0 {
-            // There is no helper: the request is not repeated before the period ends.
+        probe.helper_count = helper_count as u32;
+        if helper_count == 0 {
+            // Without a helper, the indirect probe is not attempted again before the period ends.
             probe.indirect_at = probe.ends_at;
         }
     }
 
-    /// Ends the probe under way.
+    /// Ends the current probe and returns its outcome; `None` if there is no probe.
     pub(super) fn conclude(&mut self) -> Option<ProbeOutcome> {
         let probe = self.probe.take()?;
         if probe.is_acked {
             return Some(ProbeOutcome::Answered);
         }
         Some(ProbeOutcome::Unanswered {
-            health_penalty: probe.silent_helpers().min(1 + probe.helpers),
+            health_penalty: probe.silent_helper_count().min(1 + probe.helper_count),
             target: probe.target,
             target_generation: probe.target_generation,
         })
     }
 
-    /// The next member to probe: each live one once a round, in an order drawn for each round (SWIM 4.3).
+    /// The next member to probe: each live member once per round, in an order that is shuffled for each round
+    /// (SWIM 4.3).
     pub(super) fn next_target(&mut self, members: &MemberTable, rng: &mut ChaCha8Rng) -> Option<String> {
-        for _ in 0..MAX_DRAWS {
+        for _ in 0..MAX_SHUFFLES {
             while let Some(name) = self.probe_order.pop() {
                 if members.is_live(&name) {
                     return Some(name);
@@ -175,7 +177,7 @@
         None
     }
 
-    /// Begins a probe that lasts until the next one; returns its sequence number.
+    /// Begins a probe that lasts until the next scheduled one; returns its sequence number.
     pub(super) fn begin(&mut self, target: &str, target_generation: u64, indirect_at: Timestamp) -> u32 {
         let sequence = self.next_sequence();
         self.probe = Some(Probe {
@@ -184,29 +186,29 @@
             sequence,
             indirect_at,
             ends_at: self.next_probe_at,
-            helpers: 0,
+            helper_count: 0,
             nacks: 0,
             is_acked: false,
         });
         sequence
     }
 
-    /// Notes a probe on another member's behalf; returns its sequence number, or `None` at the limit.
+    /// Adds a probe on another member's behalf; returns its sequence number, or `None` at the limit.
     pub(super) fn add_ping_request(
         &mut self,
-        origin: SocketAddr,
-        origin_sequence: u32,
+        requester: SocketAddr,
+        requester_sequence: u32,
         nack_at: Timestamp,
     ) -> Option<u32> {
         if self.ping_requests.len() >= MAX_PING_REQUESTS {
             return None;
         }
         let sequence = self.next_sequence();
-        self.ping_requests.insert(sequence, PingRequest { origin, origin_sequence, nack_at });
+        self.ping_requests.insert(sequence, PingRequest { requester, requester_sequence, nack_at });
         Some(sequence)
     }
 
-    /// Takes the probes on others' behalf that were not answered in time.
+    /// Removes and returns the probes on behalf of other members that were not answered in time.
     pub(super) fn take_unanswered_ping_requests(&mut self, now: Timestamp) -> Vec<PingRequest> {
         let mut unanswered = Vec::new();
         self.ping_requests.retain(|_, request| {
@@ -219,7 +221,7 @@
         unanswered
     }
 
-    /// A probe was answered: this member's own, or one on another's behalf, which is returned.
+    /// Processes the answer to a probe. If the probe was on another member's behalf, its request is returned.
     pub(super) fn on_ack(&mut self, sequence: u32) -> Option<PingRequest> {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.is_acked = true;
@@ -227,7 +229,7 @@
         self.ping_requests.remove(&sequence)
     }
 
-    /// A helper got no answer from the target either.
+    /// Counts the nack of a helper that got no answer from the target either.
     pub(super) fn on_nack(&mut self, sequence: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.nacks += 1;
