--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is written is read, and hostile ones are read within bounds or rejected.
+//! Encoding and decoding of datagrams, including hostile ones.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sprucelink_membership::{
@@ -7,7 +7,7 @@
 };
 use std::net::SocketAddr;
 
-/// Bytes of the checksum at the end of a datagram.
+/// Length of the checksum at the end of a datagram, in bytes.
 const CRC_BYTES: usize = 4;
 
 fn address(port: u16) -> SocketAddr {
@@ -21,7 +21,7 @@
 fn arbitrary_member(source: &mut Gen) -> Member {
     let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     Member {
-        state: *source.choose(&states).expect("one"),
+        state: *source.choose(&states).expect("the list is not empty"),
         generation: u64::arbitrary(source),
         incarnation: u32::arbitrary(source),
         zone: arbitrary_name(source),
@@ -90,7 +90,7 @@
 
 #[test]
 fn encoded_message_is_decoded_unchanged() {
-    fn holds(message: AnyMessage) -> bool {
+    fn is_unchanged(message: AnyMessage) -> bool {
         let encoded = encode(&message.0);
         let mut expected = message.0.clone();
         expected.updates.truncate(expected.updates.len() - encoded.updates_left_out);
@@ -99,22 +99,27 @@
     QuickCheck::new()
         .tests(500)
         .rng(Gen::from_size_and_seed(40, 3))
-        .quickcheck(holds as fn(AnyMessage) -> bool);
+        .quickcheck(is_unchanged as fn(AnyMessage) -> bool);
 }
 
-/// Any bytes, and any valid message with some bytes changed and a matching checksum, are decoded or rejected: no panic,
-/// and never more than a datagram can hold.
+/// Any bytes, and any valid message with some bytes changed and a matching checksum, are decoded or rejected
+/// without a panic, and a decoded message never exceeds the limits of a datagram.
 #[test]
 fn hostile_datagram_is_decoded_within_bounds_or_rejected() {
-    fn holds(message: AnyMessage, changes: Vec<(usize, u8)>, cut: usize, noise: Vec<u8>) -> bool {
-        let _ = decode(&noise);
+    fn is_bounded(
+        message: AnyMessage,
+        changes: Vec<(usize, u8)>,
+        removed_bytes: usize,
+        garbage: Vec<u8>,
+    ) -> bool {
+        let _ = decode(&garbage);
         let mut bytes = encode(&message.0).bytes;
         bytes.truncate(bytes.len() - CRC_BYTES);
         for (position, value) in changes {
             let length = bytes.len();
             bytes[position % length] = value;
         }
-        bytes.truncate(bytes.len().saturating_sub(cut % 40));
+        bytes.truncate(bytes.len().saturating_sub(removed_bytes % 40));
         let crc = crc32fast::hash(&bytes);
         bytes.extend_from_slice(&crc.to_be_bytes());
         match decode(&bytes) {
@@ -125,11 +130,11 @@
     QuickCheck::new()
         .tests(3_000)
         .rng(Gen::from_size_and_seed(60, 4))
-        .quickcheck(holds as fn(AnyMessage, Vec<(usize, u8)>, usize, Vec<u8>) -> bool);
+        .quickcheck(is_bounded as fn(AnyMessage, Vec<(usize, u8)>, usize, Vec<u8>) -> bool);
 }
 
 #[test]
-fn changed_byte_is_detected_and_a_query_is_as_long_as_any_answer() {
+fn changed_byte_is_detected_and_a_query_is_as_long_as_the_longest_answer() {
     let sender = Sender { name: "n1".to_owned(), generation: 5, address: address(9) };
     let ack = Message { sender: sender.clone(), kind: MessageKind::Ack { sequence: 1 }, updates: Vec::new() };
     let bytes = encode(&ack).bytes;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network of members in virtual time: loss and delay by direction, partitions, crashes, stops and restarts,
-//! all from one seed.
+//! A simulated network of members in virtual time, with datagram loss (also in one direction), delays,
+//! partitions, crashes, stops and restarts. All randomness comes from one seed.
 #![allow(dead_code)]
 
 use rand::{Rng, SeedableRng};
@@ -14,32 +14,32 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Members in one simulated subnet.
-const SUBNET_MEMBERS: usize = 250;
-/// Messages that the socket buffer of a stopped member holds; further ones are lost.
+/// Number of members in one simulated subnet.
+const MEMBERS_PER_SUBNET: usize = 250;
+/// Maximum number of messages in the socket buffer of a stopped member; further ones are lost.
 const SOCKET_BUFFER_MESSAGES: usize = 200;
-/// Shortest time between two ticks of a member.
+/// Minimum time between two ticks of a member.
 const MIN_TICK_INTERVAL: TimeDelta = TimeDelta::from_millis(1);
-/// Interval at which views are compared while a run waits for them to converge.
-const CONVERGENCE_CHECK: TimeDelta = TimeDelta::from_millis(100);
+/// Interval at which the simulation checks whether views have converged.
+const CONVERGENCE_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
 /// Number of seeds of each member.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 /// Delay of a datagram without faults, in microseconds.
-pub const USUAL_DELAY_MICROS: RangeInclusive<i64> = 500..=2_000;
+pub const DEFAULT_DELAY_MICROS: RangeInclusive<i64> = 500..=2_000;
 
 pub fn address(index: usize) -> SocketAddr {
-    let subnet = (index / SUBNET_MEMBERS) as u8;
-    let host = (index % SUBNET_MEMBERS) as u8;
+    let subnet = (index / MEMBERS_PER_SUBNET) as u8;
+    let host = (index % MEMBERS_PER_SUBNET) as u8;
     SocketAddr::from(([10, 0, subnet, host], 7_000))
 }
 
-fn index_of(address: SocketAddr) -> usize {
+fn member_index(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(v4) => {
             let [_, _, subnet, host] = v4.ip().octets();
-            usize::from(subnet) * SUBNET_MEMBERS + usize::from(host)
+            usize::from(subnet) * MEMBERS_PER_SUBNET + usize::from(host)
         }
-        SocketAddr::V6(_) => unreachable!("addresses of the model are IPv4"),
+        SocketAddr::V6(_) => unreachable!("simulated addresses are IPv4"),
     }
 }
 
@@ -51,14 +51,14 @@
     Arrival(u64, usize),
 }
 
-/// Loss of datagrams in one direction.
+/// Loss of datagrams from one member to another.
 pub struct DirectedLoss {
     pub from: usize,
     pub to: usize,
     pub fraction: f64,
 }
 
-/// An event that a member reported.
+/// A membership event and the index of the member that reported it.
 pub struct ObservedEvent {
     pub observer: usize,
     pub event: MembershipEvent,
@@ -73,20 +73,20 @@
     pub loss: f64,
     pub delay_micros: RangeInclusive<i64>,
     pub directed_loss: Option<DirectedLoss>,
-    /// A partition: which members are on its second side.
+    /// A partition: for each member, whether it is on the second side.
     pub partition: Option<Vec<bool>>,
-    /// Members that are stopped, as by SIGSTOP.
+    /// For each member, whether it is stopped, as by SIGSTOP.
     pub is_stopped: Vec<bool>,
-    /// Whether messages pass through the codec.
+    /// Whether messages are encoded and decoded on the way.
     pub uses_codec: bool,
     pub bytes: u64,
     pub messages: u64,
-    /// A digest of all datagrams sent, in order.
+    /// Digest of all datagrams sent, in order.
     pub datagram_digest: u64,
     pub events: Vec<ObservedEvent>,
     queue: BinaryHeap<Reverse<(Timestamp, u64, Scheduled)>>,
     in_flight: BTreeMap<u64, Message>,
-    /// Messages that arrived at stopped members.
+    /// Messages that arrived at stopped members, by member.
     socket_buffers: Vec<Vec<Message>>,
     rng: ChaCha8Rng,
     last_key: u64,
@@ -94,14 +94,14 @@
 }
 
 impl SimulatedNetwork {
-    /// All members start at time 0.
+    /// Creates a network whose members all start at time 0.
     pub fn new(members: usize, config: ProtocolConfig, seed: u64) -> SimulatedNetwork {
         let mut network = SimulatedNetwork {
             config,
             nodes: (0..members).map(|_| None).collect(),
             now: Timestamp::ZERO,
             loss: 0.0,
-            delay_micros: USUAL_DELAY_MICROS,
+            delay_micros: DEFAULT_DELAY_MICROS,
             directed_loss: None,
             partition: None,
             is_stopped: vec![false; members],
@@ -132,7 +132,7 @@
             zone: zone.into(),
             region: "north".into(),
         };
-        let seeds = (0..SEEDS).map(address).collect();
+        let seeds = (0..SEED_COUNT).map(address).collect();
         let rng_seed = self.seed.wrapping_mul(31) ^ (index as u64) << 20 ^ generation;
         self.nodes[index] = Some(SwimNode::new(local, seeds, self.config, rng_seed, self.now));
         self.is_stopped[index] = false;
@@ -153,9 +153,9 @@
         self.queue.push(Reverse((at, key, scheduled)));
     }
 
-    /// Whether a datagram arrives.
+    /// Whether a datagram is delivered; draws random loss.
     fn is_delivered(&mut self, from: usize, to: usize) -> bool {
-        if self.partition.as_ref().is_some_and(|side| side[from] != side[to]) {
+        if self.partition.as_ref().is_some_and(|is_second_side| is_second_side[from] != is_second_side[to]) {
             return false;
         }
         if self.rng.gen_bool(self.loss) {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes a member's events and messages, and schedules its next tick.
+    /// Collects a member's events, sends its messages, and schedules its next tick.
     fn collect_output(&mut self, index: usize) {
         let Some(node) = &mut self.nodes[index] else { return };
         let events = node.take_events();
@@ -188,8 +188,9 @@
         self.messages += 1;
         let previous = self.datagram_digest.to_be_bytes();
         self.datagram_digest = stable_hash(&[&previous, to.to_string().as_bytes(), &bytes]);
-        let message = if self.uses_codec { decode(&bytes).expect("its own") } else { message };
-        let receiver = index_of(to);
+        let message =
+            if self.uses_codec { decode(&bytes).expect("encoded by this version") } else { message };
+        let receiver = member_index(to);
         if self.is_delivered(from, receiver) {
             let delay = TimeDelta::from_micros(self.rng.gen_range(self.delay_micros.clone()));
             let key = self.next_key();
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Resumes a member after a stop: it ticks, then reads what arrived meanwhile, as from a socket's buffer.
+    /// Resumes a member after a stop: it ticks, then receives the messages in its socket buffer.
     pub fn resume(&mut self, index: usize) {
         self.is_stopped[index] = false;
         let buffered = std::mem::take(&mut self.socket_buffers[index]);
@@ -211,7 +212,7 @@
         self.collect_output(index);
     }
 
-    /// Time passes, up to `until`.
+    /// Advances time to `until` and processes all events due by then.
     pub fn run(&mut self, until: Timestamp) {
         while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= until) {
             let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { break };
@@ -224,14 +225,14 @@
         self.now = until;
     }
 
-    /// Time passes by a number of seconds.
+    /// Advances time by a number of seconds.
     pub fn run_for(&mut self, seconds: i64) {
         self.run(self.now + TimeDelta::from_secs(seconds));
     }
 
     fn tick(&mut self, index: usize) {
         let Some(node) = self.nodes[index].as_mut().filter(|_| !self.is_stopped[index]) else { return };
-        // Ticks that were scheduled before something else happened come too early and are skipped.
+        // Skips a tick whose deadline moved to a later time after it was scheduled.
         if node.next_deadline() > self.now {
             return;
         }
@@ -262,27 +263,28 @@
         running.iter().all(|node| node.digest() == digest && node.live_count() == running.len())
     }
 
-    /// Runs until all views agree, at most this many seconds; returns how long that took, in seconds.
+    /// Runs until all views agree, for at most `max_seconds`; returns the elapsed time in seconds, or `None`
+    /// if they do not agree by then.
     pub fn converge(&mut self, max_seconds: i64) -> Option<f64> {
-        let begun = self.now;
-        let end = begun + TimeDelta::from_secs(max_seconds);
+        let started_at = self.now;
+        let end = started_at + TimeDelta::from_secs(max_seconds);
         while self.now < end {
             if self.views_agree() {
-                return Some((self.now - begun).as_secs_f64());
+                return Some((self.now - started_at).as_secs_f64());
             }
-            self.run(self.now + CONVERGENCE_CHECK);
+            self.run(self.now + CONVERGENCE_CHECK_INTERVAL);
         }
         None
     }
 
-    /// When members reported an event on the member `name`, from a time on.
+    /// Times at which members reported an event about the member `name`, from `since` on.
     pub fn events_on(&self, name: &str, kind: MembershipEventKind, since: Timestamp) -> Vec<Timestamp> {
         let events = self.events.iter().map(|observed| &observed.event);
         let matching = events.filter(|event| event.member == name && event.kind == kind && event.at >= since);
         matching.map(|event| event.at).collect()
     }
 
-    /// The number of events of a kind from a time on.
+    /// Number of events of a kind from `since` on.
     pub fn event_count(&self, kind: MembershipEventKind, since: Timestamp) -> usize {
         let events = self.events.iter().map(|observed| &observed.event);
         events.filter(|event| event.kind == kind && event.at >= since).count()
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,14 +1,14 @@
-//! Members in virtual time: what loopback cannot reproduce. Each fault's test names the part of the protocol that handles
-//! it, and fails without it.
+//! Simulations of members in virtual time, with faults that loopback cannot reproduce. Each test of a fault
+//! names the part of the protocol that handles it, and fails without that part.
 mod common;
 
-use common::{DirectedLoss, SimulatedNetwork, USUAL_DELAY_MICROS};
+use common::{DirectedLoss, SimulatedNetwork, DEFAULT_DELAY_MICROS};
 use sprucelink_membership::GossipPayload;
 use sprucelink_membership::MembershipEventKind;
 use sprucelink_membership::ProtocolConfig;
 use sprucelink_membership::Timestamp;
 
-fn converged(members: usize, seed: u64) -> SimulatedNetwork {
+fn converged_network(members: usize, seed: u64) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(members, ProtocolConfig::default(), seed);
     network.uses_codec = true;
     assert!(network.converge(60).is_some(), "views of {members} members converge");
@@ -19,57 +19,61 @@
 fn flood_of_joins_converges() {
     let mut network = SimulatedNetwork::new(10, ProtocolConfig::default(), 1);
     network.uses_codec = true;
-    network.converge(60).expect("ten converge");
+    network.converge(60).expect("ten members converge");
     let mut network = SimulatedNetwork::new(110, ProtocolConfig::default(), 2);
-    let took = network.converge(60).expect("a hundred more at once converge, too");
-    assert!(took < 30.0, "{took} s");
+    let elapsed_s = network.converge(60).expect("110 members that join at once converge");
+    assert!(elapsed_s < 30.0, "{elapsed_s} s");
     assert_eq!(network.event_count(MembershipEventKind::Died, Timestamp::ZERO), 0);
 }
 
-/// A crash is reported by all within the suspicion's duration and some rounds of gossip.
+/// All members report a crash within the suspicion's duration and some rounds of gossip.
 #[test]
-fn crash_is_detected_by_all_and_nobody_else_is_declared_dead() {
-    let mut network = converged(20, 3);
+fn crash_is_detected_by_all_and_no_other_member_is_declared_dead() {
+    let mut network = converged_network(20, 3);
     let since = network.now;
     network.crash(7);
     network.run_for(60);
     assert_eq!(network.events_on("n7", MembershipEventKind::Died, since).len(), 19);
-    assert_eq!(network.event_count(MembershipEventKind::Died, since), 19, "nobody else died");
+    assert_eq!(
+        network.event_count(MembershipEventKind::Died, since),
+        19,
+        "only the crashed member was declared dead"
+    );
     assert!(network.views_agree());
 }
 
-/// With one in ten datagrams lost nobody is declared dead in ten minutes: indirect probes and refutation. With neither (no
-/// helpers, suspicions that expire at once) members are declared dead all the time.
+/// With 10% datagram loss no member is declared dead in ten minutes, because of indirect probes and
+/// refutation. Without both (no helpers, and suspicions that expire at once) members are often declared dead.
 #[test]
-fn nobody_is_declared_dead_at_ten_per_cent_loss_except_without_indirect_probes_and_suspicion() {
-    let mut network = converged(30, 4);
+fn members_are_declared_dead_at_ten_per_cent_loss_only_without_indirect_probes_and_suspicion() {
+    let mut network = converged_network(30, 4);
     let since = network.now;
     network.loss = 0.1;
     network.run_for(600);
     assert_eq!(network.event_count(MembershipEventKind::Died, since), 0);
-    let bare = ProtocolConfig {
+    let unprotected = ProtocolConfig {
         indirect_probes: 0,
         suspicion_multiplier: 1.0,
         max_suspicion_multiplier: 1.0,
         max_local_health: 0,
         ..ProtocolConfig::default()
     };
-    let bare = ProtocolConfig { retransmit_multiplier: 1.0, gossip_fanout: 0, ..bare };
-    let mut network = SimulatedNetwork::new(30, bare, 4);
+    let unprotected = ProtocolConfig { retransmit_multiplier: 1.0, gossip_fanout: 0, ..unprotected };
+    let mut network = SimulatedNetwork::new(30, unprotected, 4);
     network.converge(120);
     let since = network.now;
     network.loss = 0.1;
     network.run_for(600);
     assert!(
         network.event_count(MembershipEventKind::Died, since) > 0,
-        "without them somebody is declared dead"
+        "without indirect probes and suspicion, members are declared dead"
     );
 }
 
-/// Thirty per cent lost: members may be suspected, and refute; those declared dead come back.
+/// With 30% datagram loss members may be suspected and refute; members that were declared dead rejoin.
 #[test]
 fn suspicions_at_thirty_per_cent_loss_are_refuted_and_views_converge_afterwards() {
-    let mut network = converged(30, 5);
+    let mut network = converged_network(30, 5);
     let since = network.now;
     network.loss = 0.3;
     network.run_for(300);
@@ -78,112 +82,118 @@
             && network.event_count(MembershipEventKind::Refuted, since) > 0
     );
     network.loss = 0.0;
-    network.converge(60).expect("one view again");
+    network.converge(60).expect("views converge again");
 }
 
-/// All datagrams lost in one direction: the two cannot probe each other, others can on their behalf.
+/// All datagrams in one direction are lost: the two members cannot probe each other, but others can on their
+/// behalf.
 #[test]
 fn one_way_loss_between_two_members_is_bridged_by_indirect_probes() {
-    let mut network = converged(12, 6);
+    let mut network = converged_network(12, 6);
     let since = network.now;
     network.directed_loss = Some(DirectedLoss { from: 2, to: 3, fraction: 1.0 });
     network.run_for(300);
     assert_eq!(network.event_count(MembershipEventKind::Died, since), 0);
     let mut network =
         SimulatedNetwork::new(12, ProtocolConfig { indirect_probes: 0, ..ProtocolConfig::default() }, 6);
-    network.converge(120).expect("converged");
+    network.converge(120).expect("views converge");
     let since = network.now;
     network.directed_loss = Some(DirectedLoss { from: 2, to: 3, fraction: 1.0 });
     network.run_for(300);
     assert!(
         network.event_count(MembershipEventKind::Suspected, since) > 0,
-        "without indirect probes it is suspected again and again"
+        "without indirect probes the member is suspected"
     );
 }
 
-/// Members whose answers are slow for a while are probed with longer time-outs, and none is declared dead.
+/// During delay spikes members probe with longer time-outs, and none is declared dead.
 #[test]
-fn nobody_is_declared_dead_in_delay_spikes() {
-    let mut network = converged(30, 7);
+fn no_member_is_declared_dead_in_delay_spikes() {
+    let mut network = converged_network(30, 7);
     let since = network.now;
     for _ in 0..5 {
         network.delay_micros = 400_000..=900_000;
         network.run_for(5);
-        network.delay_micros = USUAL_DELAY_MICROS;
+        network.delay_micros = DEFAULT_DELAY_MICROS;
         network.run_for(20);
     }
     assert_eq!(network.event_count(MembershipEventKind::Died, since), 0);
 }
 
-/// Two thirds and one third partitioned for two minutes: each side declares the other dead, and afterwards views converge
-/// without a restart. Without comparisons with seeds and dead members they never do.
+/// A partition into two thirds and one third lasts two minutes: each side declares the other dead, and
+/// afterwards views converge without a restart. Without comparisons with seeds and dead members they never
+/// converge.
 #[test]
 fn views_converge_after_a_partition() {
-    let heal = |config: ProtocolConfig| {
+    let converge_after_partition = |config: ProtocolConfig| {
         let mut network = SimulatedNetwork::new(30, config, 8);
         network.uses_codec = true;
-        network.converge(120).expect("converged");
+        network.converge(120).expect("views converge");
         network.partition = Some((0..30).map(|i| i >= 20).collect());
         network.run_for(120);
-        let sizes: Vec<usize> = network.nodes.iter().flatten().map(|node| node.live_count()).collect();
+        let live_counts: Vec<usize> = network.nodes.iter().flatten().map(|node| node.live_count()).collect();
         assert!(
-            sizes[..20].iter().all(|size| *size == 20) && sizes[20..].iter().all(|size| *size == 10),
-            "{sizes:?}"
+            live_counts[..20].iter().all(|count| *count == 20)
+                && live_counts[20..].iter().all(|count| *count == 10),
+            "{live_counts:?}"
         );
         network.partition = None;
         network.converge(90)
     };
-    let took = heal(ProtocolConfig::default()).expect("one view again");
-    assert!(took < 60.0, "{took} s");
+    let elapsed_s = converge_after_partition(ProtocolConfig::default()).expect("views converge again");
+    assert!(elapsed_s < 60.0, "{elapsed_s} s");
     assert_eq!(
-        heal(ProtocolConfig { anti_entropy_interval_ms: 600_000.0, ..ProtocolConfig::default() }),
+        converge_after_partition(ProtocolConfig {
+            anti_entropy_interval_ms: 600_000.0,
+            ..ProtocolConfig::default()
+        }),
         None,
         "without anti-entropy views never converge"
     );
 }
 
-/// A member stopped for longer than a suspicion lasts is declared dead; when it resumes it declares nobody dead, refutes,
-/// and all agree again.
+/// A member stopped for longer than a suspicion lasts is declared dead. When it resumes it declares no other
+/// member dead, refutes its own death, and all views agree again.
 #[test]
 fn stopped_member_resumes_and_refutes() {
-    let mut network = converged(20, 9);
+    let mut network = converged_network(20, 9);
     let since = network.now;
     network.is_stopped[4] = true;
     network.run_for(60);
     assert_eq!(network.events_on("n4", MembershipEventKind::Died, since).len(), 19);
-    let back = network.now;
+    let resumed_at = network.now;
     network.resume(4);
-    network.converge(60).expect("one view again");
+    network.converge(60).expect("views converge again");
     assert_eq!(
-        network.event_count(MembershipEventKind::Died, back),
+        network.event_count(MembershipEventKind::Died, resumed_at),
         0,
-        "it declared nobody dead for its own stop"
+        "the resumed member declares no other member dead"
     );
-    assert!(!network.events_on("n4", MembershipEventKind::Refuted, back).is_empty());
-    assert_eq!(network.nodes[4].as_ref().expect("it is running").counters().stops, 1);
+    assert!(!network.events_on("n4", MembershipEventKind::Refuted, resumed_at).is_empty());
+    assert_eq!(network.nodes[4].as_ref().expect("the member runs").counters().stops, 1);
 }
 
-/// A new process under a crashed member's name replaces it, even before the crash was suspected.
+/// A new process under a crashed member's name replaces the old process, even before the crash is suspected.
 #[test]
-fn later_process_takes_over_a_name() {
-    let mut network = converged(20, 10);
+fn later_process_replaces_the_earlier_one_under_the_same_name() {
+    let mut network = converged_network(20, 10);
     let since = network.now;
     network.crash(5);
     network.run_for(1);
     network.start(5);
-    network.converge(60).expect("one view");
+    network.converge(60).expect("views converge");
     assert_eq!(network.events_on("n5", MembershipEventKind::Restarted, since).len(), 19);
     network.run_for(60);
     assert_eq!(
         network.event_count(MembershipEventKind::Died, since),
         0,
-        "updates on the old process apply to nobody"
+        "updates about the old process are ignored"
     );
 }
 
 #[test]
 fn member_that_left_is_not_suspected() {
-    let mut network = converged(20, 11);
+    let mut network = converged_network(20, 11);
     let since = network.now;
     if let Some(node) = &mut network.nodes[6] {
         node.leave();
@@ -200,13 +210,13 @@
     );
 }
 
-/// Payloads reach all, the newest wins, and a dead member's payload is removed.
+/// Payloads reach all members, the newest version is stored, and a dead member's payload is removed.
 #[test]
-fn payloads_reach_all_and_are_removed_with_their_member() {
-    let mut network = converged(20, 12);
+fn payloads_reach_all_members_and_are_removed_with_their_member() {
+    let mut network = converged_network(20, 12);
     network.loss = 0.1;
     for (i, node) in network.nodes.iter_mut().enumerate() {
-        let node = node.as_mut().expect("it is running");
+        let node = node.as_mut().expect("the member runs");
         node.set_payload(GossipPayload { admitted_requests: 1, ..GossipPayload::default() });
         node.set_payload(GossipPayload {
             admitted_requests: i as u32,
@@ -216,23 +226,23 @@
     }
     network.run_for(20);
     let payload_count = |network: &SimulatedNetwork, i: usize| {
-        network.nodes[i].as_ref().expect("it is running").payloads().len()
+        network.nodes[i].as_ref().expect("the member runs").payloads().len()
     };
-    let complete = (0..20).filter(|i| payload_count(&network, *i) == 19).count();
+    let complete_count = (0..20).filter(|i| payload_count(&network, *i) == 19).count();
     assert!(
-        complete >= 18,
-        "{complete} of 20 have all: an update may be lost with its last copy, later versions replace it"
+        complete_count >= 18,
+        "{complete_count} of 20 members have all payloads: the last transmission of an update may be lost"
     );
-    let at3 = network.nodes[3].as_ref().expect("it is running").payloads();
+    let payloads_of_n3 = network.nodes[3].as_ref().expect("the member runs").payloads();
     let is_newest =
         |payload: &GossipPayload| (payload.admitted_requests, payload.retries, payload.version) == (9, 2, 2);
-    assert!(at3.get("n9").is_none_or(|stored| is_newest(&stored.payload)));
+    assert!(payloads_of_n3.get("n9").is_none_or(|stored| is_newest(&stored.payload)));
     network.loss = 0.0;
     network.crash(9);
     network.run_for(60);
     assert!((0..20).filter(|i| *i != 9).all(|i| network.nodes[i]
         .as_ref()
-        .expect("it is running")
+        .expect("the member runs")
         .payloads()
         .get("n9")
         .is_none()));
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The wire format stays bit for bit: datagrams of an earlier release are read and written unchanged, and a simulated
-//! run sends the datagrams that it sent then.
+//! The wire format must not change: datagrams of an earlier release are decoded and encoded bit for bit, and
+//! a simulated run sends the same datagrams as with that release.
 mod common;
 
 use common::SimulatedNetwork;
@@ -11,14 +11,14 @@
 };
 use std::net::SocketAddr;
 
-/// One datagram of each kind, written by an earlier release: `kind hex` a line.
+/// One datagram of each kind, written by an earlier release. Each line is `kind hex`.
 const EARLIER_DATAGRAMS: &str = include_str!("golden/datagrams-v1.txt");
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, 3], port))
 }
 
-fn member(state: MemberState, name: &str) -> Update {
+fn member_update(state: MemberState, name: &str) -> Update {
     let member = Member {
         name: name.into(),
         generation: 1_700_000_000_123,
@@ -40,10 +40,10 @@
         warmup_work: vec![WarmupWork { engine: 5, work_ms: 900 }, WarmupWork { engine: 6, work_ms: 1 }],
     };
     vec![
-        member(MemberState::Alive, "n1"),
-        member(MemberState::Suspect, "n2"),
-        member(MemberState::Dead, "n3"),
-        member(MemberState::Left, "é"),
+        member_update(MemberState::Alive, "n1"),
+        member_update(MemberState::Suspect, "n2"),
+        member_update(MemberState::Dead, "n3"),
+        member_update(MemberState::Left, "é"),
         Update::Payload { member: "n4".into(), generation: 1_700_000_000_456, payload },
     ]
 }
@@ -68,26 +68,27 @@
     }
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let byte = |index| u8::from_str_radix(&hex[index..index + 2], 16).expect("hex digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
-fn datagram_of_an_earlier_release_is_read_and_written_bit_for_bit() {
-    let mut kinds = 0;
+fn datagram_of_an_earlier_release_is_decoded_and_encoded_bit_for_bit() {
+    let mut kind_count = 0;
     for line in EARLIER_DATAGRAMS.lines() {
         let (kind, hex) = line.split_once(' ').expect("kind and hex");
-        let bytes = bytes_of(hex);
+        let bytes = decode_hex(hex);
         assert_eq!(decode(&bytes).as_ref(), Ok(&message(kind)), "{kind}");
         let expected = EncodedDatagram { bytes, updates_left_out: 0 };
         assert_eq!(encode(&message(kind)), expected, "{kind}");
-        kinds += 1;
+        kind_count += 1;
     }
-    assert_eq!(kinds, 8);
+    assert_eq!(kind_count, 8);
 }
 
-/// Bytes, datagrams, changes of the view, and a digest over all datagrams, recorded with an earlier release.
+/// The expected values were recorded with an earlier release: the number of bytes, datagrams and membership
+/// events, and a digest of all datagrams.
 #[test]
 fn simulated_run_sends_the_same_datagrams_as_an_earlier_release() {
     let recorded = [
