--- a/crates/hot-restart/src/peer_state.rs
+++ b/crates/hot-restart/src/peer_state.rs
@@ -71,7 +71,7 @@
 
 impl PeerTable {
     /// Notes a file that is new or has changed since the last scan.
-    pub fn note_read(&mut self, now: Timestamp, name: &str, read: &Result<StateFile, StateFileError>) {
+    pub fn record_read(&mut self, now: Timestamp, name: &str, read: &Result<StateFile, StateFileError>) {
         let tracked = match read {
             Ok(file) => TrackedFile::Peer {
                 state: PeerState {
@@ -92,7 +92,7 @@
     }
 
     /// Notes a temporary file: one that is being written, or whose writer died during the write.
-    pub fn note_temporary(&mut self, now: Timestamp, name: &str) {
+    pub fn record_temporary_file(&mut self, now: Timestamp, name: &str) {
         self.files.entry(name.to_owned()).or_insert(TrackedFile::Damaged { since: now });
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Notes that the own file was written after everything that was read had been merged.
-    pub fn note_own_write(&mut self) {
+    pub fn record_own_write(&mut self) {
         for tracked in self.files.values_mut() {
             if let TrackedFile::Peer { is_merged, .. } = tracked {
                 *is_merged = true;
--- a/crates/hot-restart/src/peer_state/tests.rs
+++ b/crates/hot-restart/src/peer_state/tests.rs
@@ -25,21 +25,21 @@
 #[test]
 fn process_is_alive_while_its_file_changes_and_the_file_is_removable_once_merged() {
     let mut peers = PeerTable::default();
-    peers.note_read(at(100), "a", &file(1, at(100), Phase::Serving));
+    peers.record_read(at(100), "a", &file(1, at(100), Phase::Serving));
     assert_eq!(peers.live_peers(at(100) + PEER_TIMEOUT).len(), 1);
     let late = at(100) + PEER_TIMEOUT + TimeDelta::from_micros(1);
     assert!(peers.live_peers(late).is_empty());
     let much_later = at(200);
     assert!(peers.removable_files(much_later).is_empty(), "not merged");
-    peers.note_own_write();
+    peers.record_own_write();
     assert!(peers.removable_files(at(100) + DEAD_FILE_RETENTION).is_empty());
     assert_eq!(peers.removable_files(much_later), ["a"]);
     // A process that was stopped and resumes.
-    peers.note_read(much_later, "a", &file(1, at(200), Phase::Serving));
+    peers.record_read(much_later, "a", &file(1, at(200), Phase::Serving));
     assert_eq!((peers.live_peers(much_later).len(), peers.removable_files(much_later).len()), (1, 0));
-    peers.note_read(much_later, "a", &file(1, at(200), Phase::Terminated));
+    peers.record_read(much_later, "a", &file(1, at(200), Phase::Terminated));
     assert!(peers.live_peers(much_later).is_empty() && peers.removable_files(much_later).is_empty());
-    peers.note_own_write();
+    peers.record_own_write();
     assert_eq!(peers.removable_files(much_later), ["a"], "a terminated process's file at once");
     peers.retain_listed(&BTreeSet::new());
     assert!(peers.removable_files(much_later).is_empty());
@@ -49,7 +49,7 @@
 #[test]
 fn process_with_a_file_from_the_future_times_out_as_well() {
     let mut peers = PeerTable::default();
-    peers.note_read(at(100), "a", &file(1, at(9_000), Phase::Serving));
+    peers.record_read(at(100), "a", &file(1, at(9_000), Phase::Serving));
     assert_eq!(peers.live_peers(at(100)).len(), 1);
     assert!(peers.live_peers(at(102)).is_empty());
 }
@@ -58,10 +58,10 @@
 fn damaged_files_are_removable_after_their_retention_and_foreign_ones_never() {
     let mut peers = PeerTable::default();
     let names = ["1", "2", "3", "4", "5", "6"];
-    names.iter().for_each(|name| peers.note_read(at(0), name, &Err(StateFileError::Damaged("cut"))));
-    peers.note_read(at(0), "7", &Err(StateFileError::NewerFormat { format: 9 }));
-    peers.note_temporary(at(0), "8");
-    peers.note_temporary(at(50), "8");
+    names.iter().for_each(|name| peers.record_read(at(0), name, &Err(StateFileError::Damaged("cut"))));
+    peers.record_read(at(0), "7", &Err(StateFileError::NewerFormat { format: 9 }));
+    peers.record_temporary_file(at(0), "8");
+    peers.record_temporary_file(at(50), "8");
     assert!(peers.removable_files(at(0) + DAMAGED_FILE_RETENTION).is_empty());
     let after = at(0) + DAMAGED_FILE_RETENTION + TimeDelta::from_micros(1);
     assert_eq!(peers.removable_files(after), names[..MAX_REMOVALS_PER_WRITE], "a few at a time");
@@ -72,8 +72,8 @@
 #[test]
 fn live_process_whose_file_cannot_be_read_once_stays_alive() {
     let mut peers = PeerTable::default();
-    peers.note_read(at(0), "a", &file(1, at(0), Phase::Serving));
-    peers.note_read(at(1), "a", &Err(StateFileError::Damaged("cut")));
+    peers.record_read(at(0), "a", &file(1, at(0), Phase::Serving));
+    peers.record_read(at(1), "a", &Err(StateFileError::Damaged("cut")));
     assert_eq!(peers.live_peers(at(1)).len(), 1);
     assert!(peers.live_peers(at(2)).is_empty());
 }
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -165,7 +165,7 @@
         let mut present = BTreeSet::new();
         for (parts, name) in peer_files {
             if parts.is_temporary {
-                self.peers.note_temporary(now, &name);
+                self.peers.record_temporary_file(now, &name);
             } else if let Err(error) = self.scan_file(now, parts, &name, &mut scan) {
                 if error.kind() == io::ErrorKind::NotFound {
                     // Another process has removed it since the listing.
@@ -219,7 +219,7 @@
             // An unchanged invalid file is reported once, not at every scan.
             return Ok(());
         }
-        self.peers.note_read(now, name, &read);
+        self.peers.record_read(now, name, &read);
         match read {
             Ok(file) => scan.files.push(file),
             Err(error) => scan.rejected.push((name.to_owned(), error)),
@@ -265,7 +265,7 @@
         self.sequence += 1;
         let encoded = encode(&self.own_file(now, snapshot)).map_err(WriteError::Encode)?;
         self.folder.replace(&self.file_name, &encoded.bytes).map_err(WriteError::Folder)?;
-        self.peers.note_own_write();
+        self.peers.record_own_write();
         let removable = self.peers.removable_files(now);
         let removed_files = removable.iter().filter(|name| self.folder.remove(name).is_ok()).count();
         Ok(WriteReport { bytes: encoded.bytes.len(), ids_left_out: encoded.ids_left_out, removed_files })
