--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -280,7 +280,7 @@
 fn tell(verdict: &CheckReport) -> bool {
     for (name, found) in &verdict.invariants {
         for v in &found.violations {
-            eprintln!("{name}: {:.6} s: {}", v.at_us as f64 / 1e6, v.what);
+            eprintln!("{name}: {:.6} s: {}", v.at_us as f64 / 1e6, v.description);
         }
         if found.dropped > 0 {
             eprintln!("{name}: {} more", found.dropped);
--- a/crates/history-checker/src/invariants/acknowledged.rs
+++ b/crates/history-checker/src/invariants/acknowledged.rs
@@ -29,14 +29,14 @@
         report.examined += 1;
         match (positions.get(op.as_str()), cursor) {
             (Some(found), Some(acknowledged)) if !found.contains(acknowledged) => {
-                let what =
+                let description =
                     format!("operation {op} was acknowledged at {acknowledged} and is held at {found:?}");
-                report.add(NAME, *at_us, what);
+                report.add(NAME, *at_us, description);
             }
             (None, _) if at_us + config.settle_ms * 1_000 <= last_record_us => {
                 let place = cursor.map_or(String::new(), |cursor| format!(" at {cursor}"));
-                let what = format!("operation {op} was acknowledged{place} and no record holds it");
-                report.add(NAME, *at_us, what);
+                let description = format!("operation {op} was acknowledged{place} and no record holds it");
+                report.add(NAME, *at_us, description);
             }
             _ => {}
         }
--- a/crates/history-checker/src/invariants/halt.rs
+++ b/crates/history-checker/src/invariants/halt.rs
@@ -41,7 +41,7 @@
     let mut report = InvariantReport { examined: halts.len() as u64, ..InvariantReport::default() };
     for outage in outages(history, config).iter().filter(|outage| outage.planned) {
         for halt in halts.iter().filter(|halt| halt.forbids(outage, config)) {
-            let what = format!(
+            let description = format!(
                 "{} became unavailable ({}) {} ms after halt {} was observed, at most {}",
                 outage.member,
                 outage.next_version.as_deref().unwrap_or("no version named"),
@@ -49,7 +49,7 @@
                 halt.id,
                 config.halt_ms
             );
-            report.add(NAME, outage.from, what);
+            report.add(NAME, outage.from, description);
         }
     }
     report
--- a/crates/history-checker/src/invariants/order.rs
+++ b/crates/history-checker/src/invariants/order.rs
@@ -28,8 +28,9 @@
                 report.examined += 1;
                 let last = last_read.insert(subscriber, Some(*cursor)).flatten();
                 if let Some(last) = last.filter(|last| cursor < last) {
-                    let what = format!("{subscriber}: a snapshot of {cursor} from {manager} behind {last}");
-                    report.add(NAME, entry.at_us, what);
+                    let description =
+                        format!("{subscriber}: a snapshot of {cursor} from {manager} behind {last}");
+                    report.add(NAME, entry.at_us, description);
                 }
             }
             Event::Record { subscriber, manager, cursor, prev, .. } => {
@@ -39,8 +40,9 @@
                 if let Some(fault) = find_fault(last, *cursor, *prev, is_filtered) {
                     let last = last.map_or("nothing".to_owned(), |last| last.to_string());
                     let prev = prev.map_or(String::new(), |prev| format!(" (behind {prev})"));
-                    let what = format!("{subscriber}: {fault}: {cursor}{prev} from {manager} after {last}");
-                    report.add(NAME, entry.at_us, what);
+                    let description =
+                        format!("{subscriber}: {fault}: {cursor}{prev} from {manager} after {last}");
+                    report.add(NAME, entry.at_us, description);
                 }
             }
             _ => {}
--- a/crates/history-checker/src/invariants/schema.rs
+++ b/crates/history-checker/src/invariants/schema.rs
@@ -42,21 +42,21 @@
                 report.examined += 1;
                 if let Some(reason) = unreadable {
                     let version = leases.get(subscriber.as_str()).map_or("?", |lease| lease.version);
-                    let what = format!(
+                    let description = format!(
                         "{subscriber} of version {version} could not read {cursor} from {manager}: {reason}"
                     );
-                    report.add(NAME, *at_us, what);
+                    report.add(NAME, *at_us, description);
                 }
             }
             Event::SchemaActivated { publisher, reads } => {
                 let is_excluded = |lease: &Lease<'_>| !reads.iter().any(|version| version == lease.version);
                 for (subscriber, lease) in &leases {
                     if lease.is_valid(*at_us, config) && is_excluded(lease) {
-                        let what = format!(
+                        let description = format!(
                             "a schema of {publisher} excludes {subscriber} of version {}, which has a lease",
                             lease.version
                         );
-                        report.add(NAME, *at_us, what);
+                        report.add(NAME, *at_us, description);
                     }
                 }
             }
--- a/crates/history-checker/src/invariants/uncommitted.rs
+++ b/crates/history-checker/src/invariants/uncommitted.rs
@@ -65,11 +65,11 @@
     for (record, senders) in &observations.records {
         let Some(sender) = senders.managers.first().filter(|_| senders.managers.len() == 1) else { continue };
         if let Some(other) = observations.manager_that_passed(record, sender) {
-            let what = format!(
+            let description = format!(
                 "{}: {sender} sent {} at {}; {other} passed it without it, and no other manager holds it",
                 senders.first_reader, record.digest, record.cursor
             );
-            report.add(NAME, senders.first_read_us, what);
+            report.add(NAME, senders.first_read_us, description);
         }
     }
     report
--- a/crates/history-checker/src/report.rs
+++ b/crates/history-checker/src/report.rs
@@ -10,8 +10,8 @@
     pub invariant: &'static str,
     /// When it was observed, in microseconds of the run.
     pub at_us: u64,
-    /// What happened, with the names and positions that are needed to find it.
-    pub what: String,
+    /// What happened, with the names and positions needed to find it in the history.
+    pub description: String,
 }
 
 /// The result of one invariant.
@@ -27,9 +27,9 @@
 
 impl InvariantReport {
     /// Adds a violation, or counts it once the bound is reached.
-    pub fn add(&mut self, invariant: &'static str, at_us: u64, what: String) {
+    pub fn add(&mut self, invariant: &'static str, at_us: u64, description: String) {
         if self.violations.len() < MAX_VIOLATIONS {
-            self.violations.push(Violation { invariant, at_us, what });
+            self.violations.push(Violation { invariant, at_us, description });
         } else {
             self.dropped += 1;
         }
