--- a/crates/history-checker/src/config.rs
+++ b/crates/history-checker/src/config.rs
@@ -23,8 +23,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DisruptionBudget {
-    /// What is counted.
-    pub of: MemberKind,
+    /// Kind of members that the budget counts.
+    #[serde(rename = "of")]
+    pub member_kind: MemberKind,
     /// Count only members of this zone.
     #[serde(default)]
     pub zone: Option<String>,
--- a/crates/history-checker/src/invariants/budget.rs
+++ b/crates/history-checker/src/invariants/budget.rs
@@ -39,7 +39,7 @@
     let is_match = |wanted: &Option<String>, actual: Option<&String>| {
         wanted.as_ref().is_none_or(|wanted| actual == Some(wanted))
     };
-    outage.kind == budget.of
+    outage.kind == budget.member_kind
         && is_match(&budget.zone, member.map(|member| &member.zone))
         && is_match(&budget.pool, member.map(|member| &member.pool))
 }
@@ -70,7 +70,7 @@
         "{} became unavailable while {} of {scope} ({:?}) were unavailable too, at most {}: {unavailable:?}",
         planned.member,
         unavailable.len() - 1,
-        budget.of,
+        budget.member_kind,
         budget.max_unavailable
     )
 }
--- a/crates/history-checker/tests/common/mod.rs
+++ b/crates/history-checker/tests/common/mod.rs
@@ -13,7 +13,7 @@
 
 /// One manager and one engine out at a time when a permit is given.
 pub fn terms() -> CheckConfig {
-    let budget = |of| DisruptionBudget { of, zone: None, pool: None, max_unavailable: 1 };
+    let budget = |member_kind| DisruptionBudget { member_kind, zone: None, pool: None, max_unavailable: 1 };
     CheckConfig {
         budgets: vec![budget(MemberKind::Managers), budget(MemberKind::Engines)],
         notice_ms: 0,
