--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -36,9 +36,9 @@
 pub struct WarmupSend {
     /// The engine's id.
     pub engine: String,
-    /// When, at the latest.
-    pub at: Timestamp,
-    /// In milliseconds of one thread.
+    /// Latest time at which the work can have been sent.
+    pub sent_at: Timestamp,
+    /// Work in milliseconds of one thread.
     pub work_ms: u32,
 }
 
@@ -108,13 +108,17 @@
     }
 }
 
-/// The sends whose time `sent_at` gives for the beginning of their bucket, if they are within the window.
-fn usable_warmup(loads: &[WarmupLoad], sent_at: impl Fn(Timestamp) -> Option<Timestamp>) -> Vec<WarmupSend> {
+/// The sends within the window. `usable_time` converts the start of a bucket to the time of its sends, or to `None` if
+/// they are outside the window.
+fn usable_warmup(
+    loads: &[WarmupLoad],
+    usable_time: impl Fn(Timestamp) -> Option<Timestamp>,
+) -> Vec<WarmupSend> {
     let mut sends = Vec::new();
     for load in loads {
         for bucket in load.buckets.iter().filter(|bucket| bucket.work_ms > 0) {
-            if let Some(at) = sent_at(bucket.start) {
-                sends.push(WarmupSend { engine: load.engine.clone(), at, work_ms: bucket.work_ms });
+            if let Some(sent_at) = usable_time(bucket.start) {
+                sends.push(WarmupSend { engine: load.engine.clone(), sent_at, work_ms: bucket.work_ms });
             }
         }
     }
--- a/crates/hot-restart/src/usable_state/tests.rs
+++ b/crates/hot-restart/src/usable_state/tests.rs
@@ -47,7 +47,7 @@
     let usable = usable_state(now, SPANS, file());
     assert_eq!(usable.known_ids, [1, 2, 3], "ids apply at any age");
     assert!(usable.retries.iter().chain(&usable.admitted).all(|(at, _)| *at <= now));
-    assert!(usable.warmup.iter().all(|send| send.at <= now));
+    assert!(usable.warmup.iter().all(|send| send.sent_at <= now));
     (usable.age, usable.retries.len(), usable.admitted.len(), usable.warmup.len())
 }
 
