--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -1,4 +1,4 @@
-//! The bytes of a state file.
+//! The binary format of a state file.
 //!
 //! ```text
 //! magic   4 bytes  "SLHO"
@@ -8,7 +8,8 @@
 //! body    length bytes, protocol buffers
 //! ```
 //!
-//! The header is the same in every format, so that a file of a newer one is distinguished from a damaged file.
+//! The header is the same in every format version, so that a file of a newer version can be distinguished
+//! from a damaged file.
 
 use crate::error::{InvalidState, StateFileError};
 use crate::format::{FORMAT_VERSION, HEADER_BYTES, MAX_FILE_BYTES, MIN_FORMAT_VERSION};
@@ -19,7 +20,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The first bytes of every file.
+/// Magic number at the start of every file.
 const MAGIC: [u8; 4] = *b"SLHO";
 /// Offset of the format version in the header, in bytes.
 const FORMAT_OFFSET: usize = 4;
@@ -27,22 +28,22 @@
 const LENGTH_OFFSET: usize = 8;
 /// Offset of the checksum in the header, in bytes.
 const CRC_OFFSET: usize = 12;
-/// Bytes reserved for the tag and length of the field of hashes.
+/// Bytes reserved for the tag and length of the field of engine id hashes.
 const IDS_HEADER_BYTES: usize = 8;
 
 /// An encoded state file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedFile {
-    /// The bytes, at most [`MAX_FILE_BYTES`].
+    /// Bytes of the file, at most [`MAX_FILE_BYTES`].
     pub bytes: Vec<u8>,
-    /// Hashes of engine ids that did not fit; the last ones of the snapshot's.
+    /// Number of engine id hashes that did not fit; these are the last ones of the snapshot.
     pub ids_left_out: usize,
 }
 
-/// Encodes a state file. Nothing but hashes of engine ids is ever left out.
+/// Encodes a state file. If it does not fit, only hashes of engine ids are left out.
 ///
 /// # Errors
-/// [`StateFileError::TooLarge`] where it does not fit even without any hashes.
+/// [`StateFileError::TooLarge`] if the contents do not fit even without any hashes.
 pub fn encode(file: &StateFile) -> Result<EncodedFile, StateFileError> {
     let mut message = StateFileMessage::from(file);
     let ids = std::mem::take(&mut message.known_ids);
@@ -58,7 +59,7 @@
     Ok(EncodedFile { bytes: with_header(&message.encode_to_vec()), ids_left_out })
 }
 
-/// The bytes of a file: header and body.
+/// Prepends the header to a body.
 fn with_header(body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
@@ -70,10 +71,10 @@
     bytes
 }
 
-/// Decodes a state file of this instance. Never panics, whatever the bytes.
+/// Decodes a state file of this instance. Never panics, for any bytes.
 ///
 /// # Errors
-/// Why the bytes are rejected; nothing of them is to be used then.
+/// The reason for the rejection; no part of a rejected file is used.
 pub fn decode(bytes: &[u8], instance: &Instance) -> Result<StateFile, StateFileError> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(StateFileError::TooLarge { bytes: bytes.len() });
@@ -88,16 +89,16 @@
     Ok(file)
 }
 
-/// The body of a file whose header and checksum are right and whose format is read.
+/// Checks the header, checksum and format version of a file and returns its body.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], StateFileError> {
     let Some((header, body)) = bytes.split_at_checked(HEADER_BYTES) else {
-        return Err(StateFileError::Damaged("shorter than its head"));
+        return Err(StateFileError::Damaged("shorter than the header"));
     };
     if !header.starts_with(&MAGIC) {
-        return Err(StateFileError::Damaged("it does not begin as such a file does"));
+        return Err(StateFileError::Damaged("wrong magic number"));
     }
     if read_u32(header, LENGTH_OFFSET) as usize != body.len() {
-        return Err(StateFileError::Damaged("it is not as long as it says"));
+        return Err(StateFileError::Damaged("length differs from the length in the header"));
     }
     if checksum(&header[FORMAT_OFFSET..CRC_OFFSET], body) != read_u32(header, CRC_OFFSET) {
         return Err(StateFileError::Damaged("the checksum does not match"));
--- a/crates/hot-restart/src/codec/tests.rs
+++ b/crates/hot-restart/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Files with a right checksum that are rejected, and what newer builds may add.
+//! Tests of files that are rejected despite a valid checksum, and of fields added by newer builds.
 
 use super::*;
 use crate::state::{Phase, Process, StateSnapshot};
@@ -23,8 +23,8 @@
     }
 }
 
-/// A file with any format version and body under a right checksum: what another build may have written.
-fn framed(format: u32, body: &[u8]) -> Vec<u8> {
+/// A file with any format version and body and a valid checksum, as another build may have written it.
+fn file_with_body(format: u32, body: &[u8]) -> Vec<u8> {
     let mut bytes = [MAGIC, format.to_le_bytes(), (body.len() as u32).to_le_bytes()].concat();
     let crc = checksum(&bytes[FORMAT_OFFSET..CRC_OFFSET], body);
     bytes.extend_from_slice(&crc.to_le_bytes());
@@ -34,32 +34,36 @@
 
 #[test]
 fn complete_files_that_cannot_be_used_are_rejected_by_kind() {
-    let good = encode(&small_file("n3", 1)).expect("small").bytes;
-    assert_eq!(decode(&good, &instance()), Ok(small_file("n3", 1)));
-    let other = encode(&small_file("n4", 1)).expect("small").bytes;
-    assert!(matches!(decode(&other, &instance()), Err(StateFileError::OtherInstance(of)) if of.name == "n4"));
+    let own_file = encode(&small_file("n3", 1)).expect("small").bytes;
+    assert_eq!(decode(&own_file, &instance()), Ok(small_file("n3", 1)));
+    let other_file = encode(&small_file("n4", 1)).expect("small").bytes;
+    let rejected = decode(&other_file, &instance());
+    assert!(matches!(rejected, Err(StateFileError::OtherInstance(instance)) if instance.name == "n4"));
     let newer = FORMAT_VERSION + 1;
-    assert_eq!(decode(&framed(newer, b"?"), &instance()), Err(StateFileError::NewerFormat { format: newer }));
+    assert_eq!(
+        decode(&file_with_body(newer, b"?"), &instance()),
+        Err(StateFileError::NewerFormat { format: newer })
+    );
     let older = MIN_FORMAT_VERSION - 1;
     let unsupported = Err(StateFileError::UnsupportedFormat { format: older });
-    assert_eq!(decode(&framed(older, b"?"), &instance()), unsupported);
-    let garbage = decode(&framed(FORMAT_VERSION, b"\xff\xff"), &instance());
+    assert_eq!(decode(&file_with_body(older, b"?"), &instance()), unsupported);
+    let garbage = decode(&file_with_body(FORMAT_VERSION, b"\xff\xff"), &instance());
     assert!(matches!(garbage, Err(StateFileError::Invalid(InvalidState::Protobuf(_)))));
-    let empty = decode(&framed(FORMAT_VERSION, b""), &instance()).expect_err("rejected");
+    let empty = decode(&file_with_body(FORMAT_VERSION, b""), &instance()).expect_err("rejected");
     assert_eq!(empty, StateFileError::Invalid(InvalidState::MissingProcess));
     assert_eq!(empty.to_string(), "invalid: process: missing");
-    let large = vec![0; MAX_FILE_BYTES + 1];
-    assert_eq!(decode(&large, &instance()), Err(StateFileError::TooLarge { bytes: MAX_FILE_BYTES + 1 }));
+    let too_large = vec![0; MAX_FILE_BYTES + 1];
+    assert_eq!(decode(&too_large, &instance()), Err(StateFileError::TooLarge { bytes: MAX_FILE_BYTES + 1 }));
     assert!(matches!(decode(b"", &instance()), Err(StateFileError::Damaged(_))));
     assert!(matches!(decode(b"a text that is no such file", &instance()), Err(StateFileError::Damaged(_))));
 }
 
-/// A newer build of the same format may add fields.
+/// Newer builds may add fields to the same format version.
 #[test]
 fn unknown_fields_are_skipped() {
     // Field 3 (process) with an empty message, then field 100, a varint.
     let body = [0x1a, 0, 0xa0, 0x06, 7];
-    let unnamed = Instance { name: "".into(), listen: "".into() };
-    let read = decode(&framed(FORMAT_VERSION, &body), &unnamed);
-    assert_eq!(read.map(|file| file.phase), Ok(Phase::Starting));
+    let empty_instance = Instance { name: "".into(), listen: "".into() };
+    let decoded = decode(&file_with_body(FORMAT_VERSION, &body), &empty_instance);
+    assert_eq!(decoded.map(|file| file.phase), Ok(Phase::Starting));
 }
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -9,80 +9,81 @@
 /// Why the bytes of a state file are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateFileError {
-    /// Longer than [`MAX_FILE_BYTES`]: not a state file.
-    #[error("{bytes} bytes, at most {MAX_FILE_BYTES} are read")]
+    /// The file is longer than [`MAX_FILE_BYTES`], so it is not a state file.
+    #[error("{bytes} bytes: at most {MAX_FILE_BYTES} are supported")]
     TooLarge {
-        /// Its length, or a lower bound of it.
+        /// Length of the file in bytes, or a lower bound of it.
         bytes: usize,
     },
-    /// Truncated, corrupted, or something else altogether.
+    /// The file is truncated or corrupted, or not a state file at all.
     #[error("damaged: {0}")]
     Damaged(&'static str),
-    /// Complete, and of a format that only newer builds read.
-    #[error("format {format} of a newer build")]
+    /// The file is complete, but only newer builds support its format.
+    #[error("format {format} is only supported by newer builds")]
     NewerFormat {
-        /// Its format version.
+        /// Format version of the file.
         format: u32,
     },
-    /// Complete, and of a format that is no longer read.
-    #[error("format {format}, the oldest that is read is {MIN_FORMAT_VERSION}")]
+    /// The file is complete, but its format is no longer supported.
+    #[error("format {format} is no longer supported; the oldest supported format is {MIN_FORMAT_VERSION}")]
     UnsupportedFormat {
-        /// Its format version.
+        /// Format version of the file.
         format: u32,
     },
-    /// Complete, with contents that no build of this format writes.
+    /// The file is complete, but has contents that no build of this format writes.
     #[error("invalid: {0}")]
     Invalid(#[source] InvalidState),
-    /// Complete, and of another workload manager.
-    #[error("of another manager: {} at {}", .0.name, .0.listen)]
+    /// The file is complete, but belongs to another workload manager.
+    #[error("written by another manager: {} at {}", .0.name, .0.listen)]
     OtherInstance(Instance),
 }
 
-/// What no build of this format writes: the field and the rule.
+/// The field and the rule that the contents of a file violate; no build of this format writes such a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidState {
-    /// The body is no protocol buffers message.
+    /// The body is not a valid protocol buffers message.
     #[error("{0}")]
     Protobuf(#[source] prost::DecodeError),
     /// A field is longer than its bound.
     #[error("{field}: at most {max} {unit}")]
     TooLong {
-        /// Its path.
+        /// Path of the field in the file format.
         field: &'static str,
-        /// The bound.
+        /// Maximum length, in `unit`.
         max: usize,
-        /// What the bound counts.
+        /// Unit of the maximum length.
         unit: &'static str,
     },
-    /// The writing process is not named.
+    /// The field that identifies the writing process is missing.
     #[error("process: missing")]
     MissingProcess,
-    /// No phase has this number.
-    #[error("phase: not known")]
+    /// The number of the phase is not that of any known phase.
+    #[error("phase: unknown phase number")]
     UnknownPhase,
-    /// A cordon record that no call could have produced.
+    /// A cordon record is invalid: no call could have produced it.
     #[error("bans.{index}.{source}")]
     Cordon {
-        /// Its position in the file.
+        /// Index of the record in the file.
         index: usize,
-        /// The field and the rule.
+        /// The field of the record and the rule that it violates.
         source: RecordError,
     },
     /// The two lists of a warming engine's buckets (start times and work) differ in length.
-    #[error("cold: as many times as works")]
+    #[error("cold: the numbers of start times and work values differ")]
     UnevenBuckets,
-    /// The file is a copy: its name belongs to another process.
-    #[error("process: not the one that the file is named after")]
+    /// The file's name belongs to a different process, so the file is a copy.
+    #[error("process: differs from the process in the file name")]
     OtherProcess,
 }
 
-/// Why the own state file was not written; the previous one is unchanged.
+/// Why a process could not write its own state file; the previous file is unchanged.
 #[derive(Debug, Error)]
 pub enum WriteError {
-    /// The contents do not fit: more cordons than [`sprucelink_cordon::CordonLimits`] allows.
+    /// The contents do not fit into a file: there are more cordons than [`sprucelink_cordon::CordonLimits`]
+    /// allows.
     #[error("{0}")]
     Encode(#[source] StateFileError),
-    /// The folder failed.
+    /// The file could not be replaced in the folder.
     #[error("{0}")]
     Folder(#[source] io::Error),
 }
--- a/crates/hot-restart/src/faulty_folder.rs
+++ b/crates/hot-restart/src/faulty_folder.rs
@@ -1,4 +1,4 @@
-//! A folder in memory with injected faults, for tests of what uses a [`StateFolder`].
+//! A folder in memory with injected faults, for tests of code that uses a [`StateFolder`].
 
 use crate::file_name::StateFileName;
 use crate::folder::StateFolder;
@@ -10,28 +10,29 @@
 /// A fault of one write or read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FolderFault {
-    /// The writer dies after this many bytes: a temporary file is left, the file itself is unchanged.
+    /// The writer dies after this many bytes: a temporary file remains, and the file itself is unchanged.
     TornWrite(usize),
-    /// The file itself is truncated to this many bytes, and the writer gets no error: what a machine crash leaves on a
-    /// file system without an atomic rename.
+    /// The file itself is truncated to this many bytes, and the writer gets no error, as after a machine
+    /// crash on a file system without an atomic rename.
     TornFile(usize),
     /// The file system is full.
     NoSpace,
     /// The temporary file is written, and the rename is denied.
     RenameDenied,
-    /// A read returns these bytes.
+    /// A read returns these bytes instead of the file's.
     ForeignBytes(Vec<u8>),
     /// A read fails.
     Unreadable,
 }
 
 impl FolderFault {
-    fn is_of_read(&self) -> bool {
+    fn affects_reads(&self) -> bool {
         matches!(self, FolderFault::ForeignBytes(_) | FolderFault::Unreadable)
     }
 }
 
-/// An in-memory folder. Each handle on the same files has faults of its own: two processes, two handles.
+/// An in-memory folder. Each handle on the same files has its own faults, so that each simulated process uses
+/// its own handle.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyFolder {
     files: Rc<RefCell<BTreeMap<String, Vec<u8>>>>,
@@ -39,44 +40,45 @@
 }
 
 impl FaultyFolder {
-    /// An empty folder.
+    /// Creates an empty folder.
     pub fn new() -> FaultyFolder {
         FaultyFolder::default()
     }
 
-    /// A handle on the same files with no faults yet.
+    /// Creates another handle on the same files, without faults.
     pub fn handle(&self) -> FaultyFolder {
         FaultyFolder { files: Rc::clone(&self.files), faults: Rc::default() }
     }
 
-    /// Injects a fault into the next write or read through this handle, whichever it is of; faults queue up.
+    /// Injects a fault into the next write or read through this handle, depending on the fault's kind.
+    /// Several faults are queued.
     pub fn fail_next(&self, fault: FolderFault) {
         self.faults.borrow_mut().push_back(fault);
     }
 
-    /// The number of faults that have not occurred yet.
+    /// Number of injected faults that have not occurred yet.
     pub fn pending_faults(&self) -> usize {
         self.faults.borrow().len()
     }
 
-    /// Puts bytes under a name, whatever they are.
+    /// Creates or replaces a file with any name and bytes.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         self.files.borrow_mut().insert(name.to_owned(), bytes.to_owned());
     }
 
-    /// A file's bytes.
+    /// Bytes of a file; `None` if it does not exist.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         self.files.borrow().get(name).cloned()
     }
 
-    /// The names of all files.
+    /// Names of all files, including those that are not state files.
     pub fn names(&self) -> Vec<String> {
         self.files.borrow().keys().cloned().collect()
     }
 
-    fn take_fault(&self, of_read: bool) -> Option<FolderFault> {
+    fn take_fault(&self, is_read: bool) -> Option<FolderFault> {
         let mut faults = self.faults.borrow_mut();
-        let index = faults.iter().position(|fault| fault.is_of_read() == of_read)?;
+        let index = faults.iter().position(|fault| fault.affects_reads() == is_read)?;
         faults.remove(index)
     }
 }
--- a/crates/hot-restart/src/file_name.rs
+++ b/crates/hot-restart/src/file_name.rs
@@ -1,8 +1,9 @@
 //! Names of state files: `sprucelink.INSTANCE.PID-START.handover`.
 //!
-//! The name identifies the writer without opening the file: a folder that many managers share (a test rig's) holds
-//! hundreds of files, and each process opens only those of its own instance. The start time distinguishes processes that
-//! got the same pid: the first process of a container has the same pid at each start.
+//! The name identifies the writer without opening the file: a folder shared by many managers (on a test rig)
+//! contains hundreds of files, and each process opens only those of its own instance. The start time
+//! distinguishes processes with the same pid: the first process of a container has the same pid at each
+//! start.
 
 use crate::state::{Instance, Process};
 use crate::Timestamp;
@@ -11,32 +12,32 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum number of directory entries that one listing reads. A private folder holds a dozen; beyond this bound the
-/// listing ends, and a file that was not reached is not seen.
+/// Maximum number of directory entries that one listing reads; files beyond it are ignored. A private folder
+/// contains a dozen entries.
 pub const MAX_LISTED_ENTRIES: usize = 4_096;
 
-/// First part of every state file's name.
+/// Prefix of every state file's name.
 const PREFIX: &str = "sprucelink.";
-/// Last part of every complete state file's name.
+/// Suffix of every complete state file's name.
 const SUFFIX: &str = ".handover";
-/// Appended to the name while a file is being written.
+/// Suffix appended to the name while a file is being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
 /// The parts of a file's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateFileName {
-    /// The low 32 bits of a hash of the instance.
+    /// Low 32 bits of a hash of the instance's name and listen address.
     pub instance_hash: u32,
-    /// The process's id.
+    /// Process id of the writer.
     pub pid: u32,
-    /// When the process started.
+    /// Start time of the writer.
     pub started_at: Timestamp,
-    /// Whether the file is still being written, or its writer died over it.
+    /// Whether the file is still being written, or its writer died during the write.
     pub is_temporary: bool,
 }
 
 impl StateFileName {
-    /// The name of a process's file.
+    /// The parts of the name of a process's complete file.
     pub fn new(instance: &Instance, process: &Process) -> StateFileName {
         let hash = stable_hash(&[instance.name.as_bytes(), instance.listen.as_bytes()]);
         StateFileName {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Parses a name; `None` if it is not one of a state file.
+    /// Parses a name; `None` if it is not the name of a state file.
     pub fn parse(name: &str) -> Option<StateFileName> {
         let (final_name, is_temporary) = match name.strip_suffix(TEMPORARY_SUFFIX) {
             Some(stripped) => (stripped, true),
@@ -62,11 +63,11 @@
             started_at: Timestamp::from_micros(started_at.parse().ok()?),
             is_temporary,
         };
-        // A second spelling of a name ("+7", "007") is rejected: each file has exactly one name.
+        // Rejects alternative spellings of a number ("+7", "007"), so that each file has exactly one name.
         (parsed.to_string() == final_name).then_some(parsed)
     }
 
-    /// The name of a file while it is being written.
+    /// The temporary name of a file while it is being written.
     pub(crate) fn temporary(name: &str) -> String {
         format!("{name}{TEMPORARY_SUFFIX}")
     }
--- a/crates/hot-restart/src/file_name/tests.rs
+++ b/crates/hot-restart/src/file_name/tests.rs
@@ -1,9 +1,9 @@
-//! Parsing of file names.
+//! Tests of parsing file names.
 
 use super::*;
 
 #[test]
-fn written_name_is_parsed_and_any_other_rejected() {
+fn formatted_name_is_parsed_and_invalid_names_are_rejected() {
     let instance = Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
     let started_at = Timestamp::from_micros(1_700_000_000_000_000);
     let process = Process { generation: 9, started_at, pid: 7 };
@@ -13,9 +13,9 @@
     assert_eq!(StateFileName::parse(&name), Some(parts));
     let temporary = StateFileName { is_temporary: true, ..parts };
     assert_eq!(StateFileName::parse(&StateFileName::temporary(&name)), Some(temporary));
-    let other = StateFileName::new(&Instance { name: "n30".into(), ..instance.clone() }, &process);
-    assert_ne!(other.instance_hash, parts.instance_hash);
-    for bad in [
+    let other_instance = StateFileName::new(&Instance { name: "n30".into(), ..instance.clone() }, &process);
+    assert_ne!(other_instance.instance_hash, parts.instance_hash);
+    for invalid in [
         "",
         "sprucelink.handover",
         "sprucelink.00000001.7.handover",
@@ -26,7 +26,7 @@
         "../sprucelink.00000001.7-1.handover",
         "sprucelink.00000001.7-99999999999999999999.handover",
     ] {
-        assert_eq!(StateFileName::parse(bad), None, "{bad}");
+        assert_eq!(StateFileName::parse(invalid), None, "{invalid}");
     }
     assert!(StateFileName::parse("sprucelink.00000001.7-1.handover").is_some());
 }
--- a/crates/hot-restart/src/folder.rs
+++ b/crates/hot-restart/src/folder.rs
@@ -6,68 +6,67 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A folder with files that are replaced atomically. Names are those of [`StateFileName`]; an error leaves every file as
-/// it was.
+/// A folder with files that are replaced atomically. File names have the format of [`StateFileName`]; after
+/// an error every file is unchanged.
 pub trait StateFolder {
-    /// The first `max_bytes` bytes of a file and one more of them, so that a longer file shows as longer.
+    /// Reads at most `max_bytes + 1` bytes of a file: the additional byte shows that the file is longer.
     ///
     /// # Errors
-    /// A name that is no state file's, no regular file, or an error of the file system.
+    /// A name that is not a state file's, a file that is not regular, or an error of the file system.
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<Vec<u8>>;
-    /// Replaces or creates a file: a reader sees the old bytes or the new ones, complete.
+    /// Replaces or creates a file: a reader sees either the complete old bytes or the complete new ones.
     ///
     /// # Errors
-    /// A name that is no state file's, or an error of the file system.
+    /// A name that is not a state file's, or an error of the file system.
     fn replace(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Removes a file; one that does not exist is no error.
+    /// Removes a file; a missing file is not an error.
     ///
     /// # Errors
-    /// A name that is no state file's, or an error of the file system.
+    /// A name that is not a state file's, or an error of the file system.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Names of the state files in the folder, temporary ones among them, in any order.
+    /// Names of the state files in the folder, including temporary ones, in any order.
     ///
     /// # Errors
     /// An error of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
 }
 
-/// A folder of the file system: `$TMPDIR` on the platform, which is in memory.
+/// A folder of the file system: on the platform it is `$TMPDIR`, which is in memory.
 ///
-/// Files are written under a temporary name and renamed, so that a process killed at any point leaves the old file or
-/// the new one. Nothing is synced: the files only have to survive the end of a process, after which the kernel still has
-/// every byte; a machine crash loses the folder, or, on a real disk, may leave a truncated file, which the checksum
-/// rejects.
+/// Files are written under a temporary name and renamed, so that a process killed at any point leaves the old
+/// file or the new one. Files are not synced: they only have to survive the end of the process, which does
+/// not lose data in the kernel's page cache. A machine crash loses the folder or, on a real disk, may leave a
+/// truncated file, which the checksum detects.
 #[derive(Clone, Debug)]
 pub struct DiskFolder {
     path: PathBuf,
 }
 
 impl DiskFolder {
-    /// The folder at a path, which need not exist yet.
+    /// Creates a handle on the folder at `path`, which need not exist yet.
     pub fn new(path: impl Into<PathBuf>) -> DiskFolder {
         DiskFolder { path: path.into() }
     }
 
-    /// `$TMPDIR`, or `/tmp` where that is not set.
+    /// Creates a handle on `$TMPDIR`, or on `/tmp` if it is not set.
     pub fn tmpdir() -> DiskFolder {
         DiskFolder::new(std::env::temp_dir())
     }
 
-    /// Its path.
+    /// Path of the folder, as given.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Guards against names that lead out of the folder or to other programs' files.
+    /// Path of a state file. Rejects names that lead out of the folder or to other programs' files.
     fn path_of(&self, name: &str) -> io::Result<PathBuf> {
         match StateFileName::parse(name) {
             Some(_) => Ok(self.path.join(name)),
-            None => Err(io::Error::new(io::ErrorKind::InvalidInput, "no handover's name")),
+            None => Err(io::Error::new(io::ErrorKind::InvalidInput, "not the name of a state file")),
         }
     }
 }
 
-/// Removes a file; one that does not exist is no error.
 fn remove_if_exists(path: &Path) -> io::Result<()> {
     match fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
@@ -84,9 +83,9 @@
 impl StateFolder for DiskFolder {
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<Vec<u8>> {
         let path = self.path_of(name)?;
-        // Guards against a pipe or a link under the name: opening a pipe would wait for its writer.
+        // Rejects pipes and links under the name: opening a pipe would block until it has a writer.
         if !fs::symlink_metadata(&path)?.is_file() {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "no regular file"));
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, "not a regular file"));
         }
         let mut bytes = Vec::new();
         fs::File::open(&path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
@@ -96,11 +95,13 @@
     fn replace(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let path = self.path_of(name)?;
         let temporary = self.path_of(&StateFileName::temporary(name))?;
-        // What an earlier write left, or somebody else put under the name, is removed and never followed.
+        // Removes whatever an earlier write or another program left under the temporary name; a link is not
+        // followed.
         remove_if_exists(&temporary)?;
         let result = write_and_rename(&temporary, &path, bytes);
         if result.is_err() {
-            // Gives a full folder its space back; if that fails, too, the file is seen and removed in time.
+            // Frees the space in a full folder. If this fails too, a later scan finds the file and removes
+            // it.
             let _ = fs::remove_file(&temporary);
         }
         result
--- a/crates/hot-restart/src/format.rs
+++ b/crates/hot-restart/src/format.rs
@@ -1,11 +1,12 @@
-//! Versions and sizes of the file format, which the codec and its errors share.
+//! Versions and sizes of the file format, shared by the codec and its errors.
 
-/// The format version that is written.
+/// Format version of written files.
 pub const FORMAT_VERSION: u32 = 1;
-/// The oldest format version that is read.
+/// Oldest supported format version.
 pub const MIN_FORMAT_VERSION: u32 = 1;
-/// Longest file, in bytes: it counts as memory, twice while it is replaced. All cordons with their longest ids and
-/// reasons fit into it by the bounds of [`sprucelink_cordon::CordonLimits`]; hashes of ids take the space that is left.
+/// Maximum length of a file, in bytes. A file counts as memory, and twice while it is replaced. The bounds of
+/// [`sprucelink_cordon::CordonLimits`] ensure that all cordons with their longest ids and reasons fit; hashes
+/// of ids take the remaining space.
 pub const MAX_FILE_BYTES: usize = 256 << 10;
 /// Length of the header before the body, in bytes.
 pub(crate) const HEADER_BYTES: usize = 16;
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,24 +1,27 @@
-//! Hot restart: the state that passes from one process of a workload manager to its successor.
+//! Hot restart: the state that a process of a workload manager passes to its successor.
 //!
-//! During a hot restart a second process, the *new* one, starts beside the running, *old* one. Both share the listening
-//! socket and a folder (`$TMPDIR`), and for every rule and limit they count as one workload manager. Each process keeps
-//! one state file of its own in that folder, replaces it atomically, and reads the others'. From these files both derive
-//! who accepts connections, what fraction of the manager's budgets each may spend, and which engines are cordoned.
+//! During a hot restart a second process, the *new* one, starts beside the running, *old* one. Both share the
+//! listening socket and a folder (`$TMPDIR`), and for every rule and limit they count as one workload
+//! manager. Each process maintains its own state file in that folder, replaces it atomically, and reads the
+//! files of the other processes. From these files both processes derive which of them accepts connections,
+//! what fraction of the manager's budgets each may spend, and which engines are cordoned.
 //!
 //! The state machines perform no I/O and read no clock:
 //!
-//! - [`StateFile`], [`encode`], [`decode`]: the contents of a file, its bytes, and why bytes are rejected
-//!   ([`StateFileError`]).
-//! - [`usable_state`](mod@usable_state): what of another process's file still applies, by its age.
+//! - [`StateFile`], [`encode`], [`decode`]: the contents of a file, their encoding, and the reasons for
+//!   rejecting a file ([`StateFileError`]).
+//! - [`usable_state`](mod@usable_state): the part of another process's file that still applies, given the
+//!   file's age.
 //! - [`WindowCounters`]: retries, admitted requests and work sent to warming engines, in buckets of 250 ms.
-//! - [`PeerTable`]: which of the files read belong to live processes, and which may be removed.
-//! - [`PhaseMachine`]: the phases of a process and what follows from them ([`PhaseStatus`]).
+//! - [`PeerTable`]: which files belong to live processes, and which may be removed.
+//! - [`PhaseMachine`]: the phases of a process and the permissions that follow from them ([`PhaseStatus`]).
 //!
-//! The driver is thin: a [`StateFolder`], on disk ([`DiskFolder`]) or with injected faults for tests ([`FaultyFolder`]),
-//! and the [`StateFileDriver`], which reads and writes when the state machines say so.
+//! I/O is limited to a [`StateFolder`], on disk ([`DiskFolder`]) or with injected faults for tests
+//! ([`FaultyFolder`]), and the [`StateFileDriver`], which reads and writes when the state machines require
+//! it.
 //!
-//! Instants are Unix times. docs/design/hot-restart.md holds the rules, docs/operators/hot-restart.md the log lines and
-//! what to do about them.
+//! All timestamps are Unix times. docs/design/hot-restart.md describes the rules,
+//! docs/operators/hot-restart.md the log lines and the operator's response to them.
 
 mod codec;
 mod error;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,7 +1,7 @@
-//! The contents of a state file as protocol buffers (proto3 encoding, by prost).
+//! The contents of a state file as protocol buffers messages (proto3 encoding, by prost).
 //!
-//! A field is never given another meaning or another tag; new ones are added with new tags, which older builds skip.
-//! What an older build would misread needs a new [`crate::FORMAT_VERSION`].
+//! The meaning and tag of a field never change; new fields get new tags, which older builds skip. A change
+//! that an older build would misread needs a new [`crate::FORMAT_VERSION`].
 
 use crate::error::InvalidState;
 use crate::state::{
@@ -41,7 +41,7 @@
     warmup: Vec<WarmupMessage>,
     #[prost(uint64, tag = "14")]
     last_event: u64,
-    /// The writer's clock less the machine's monotonic clock, in microseconds.
+    /// Offset of the writer's clock from the machine's monotonic clock, in microseconds.
     #[prost(int64, optional, tag = "15")]
     clock_offset: Option<i64>,
     #[prost(string, tag = "16")]
@@ -60,10 +60,10 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct CordonMessage {
-    /// Absent: this manager.
+    /// Id of the cordoned engine; absent if the manager itself is cordoned.
     #[prost(string, optional, tag = "1")]
     engine: Option<String>,
-    /// Absent: the operator.
+    /// Permit of a cordon by the fleet; absent if the operator cordoned.
     #[prost(uint64, optional, tag = "2")]
     permit: Option<u64>,
     #[prost(uint64, tag = "3")]
@@ -98,7 +98,7 @@
     work_ms: Vec<u32>,
 }
 
-/// Phases by number; numbers are part of the format.
+/// Phases by their number in the format.
 const PHASES: [Phase; 6] = [
     Phase::Starting,
     Phase::Ready,
@@ -203,8 +203,8 @@
         if message.start.len() != message.work_ms.len() {
             return Err(InvalidState::UnevenBuckets);
         }
-        let pairs = message.start.iter().zip(&message.work_ms);
-        let buckets = pairs.map(|(start, work_ms)| WarmupBucket {
+        let start_and_work = message.start.iter().zip(&message.work_ms);
+        let buckets = start_and_work.map(|(start, work_ms)| WarmupBucket {
             start: Timestamp::from_micros(*start),
             work_ms: *work_ms,
         });
@@ -239,7 +239,8 @@
 impl TryFrom<StateFileMessage> for StateFile {
     type Error = InvalidState;
 
-    /// Checks every bound: what reads the file relies on them. Errors name the fields as they are called in the format.
+    /// Checks every bound, because readers of the file rely on them. Errors use the field names of the
+    /// format.
     fn try_from(message: StateFileMessage) -> Result<StateFile, InvalidState> {
         check_bytes("name", &message.name)?;
         check_bytes("listen", &message.listen)?;
--- a/crates/hot-restart/src/phase.rs
+++ b/crates/hot-restart/src/phase.rs
@@ -1,4 +1,4 @@
-//! The phases of a process, and what follows from them.
+//! The phases of a process, and the permissions that follow from them.
 //!
 //! ```text
 //!             can serve,              all peers share their budgets,
@@ -15,53 +15,58 @@
 use crate::state::{Phase, Process, MAX_SHARING_PEERS};
 use crate::{TimeDelta, Timestamp};
 
-/// How long a new process that could serve waits for its peers to share their budgets; then it serves without. They read
-/// files every 100 ms, so one that has not answered within this time is overloaded or stuck, and a hot restart must not
-/// wait for it.
+/// Time for which a new process that can serve waits for its peers to share their budgets; then it serves
+/// without their acknowledgement. Peers read files every 100 ms, so a peer that has not acknowledged within
+/// this time is overloaded or stuck, and a hot restart must not wait for it.
 pub const ACK_TIMEOUT: TimeDelta = TimeDelta::from_secs(1);
-/// How long after SIGTERM new connections are still accepted while no newer process serves: clients still open them.
+/// Time after SIGTERM for which new connections are still accepted while no newer process serves, because
+/// clients still open them.
 pub const ACCEPT_GRACE: TimeDelta = TimeDelta::from_millis(700);
-/// During [`IDLE_GRACE`] only sessions that have been idle this long are closed: a client that has just received its
-/// response may be writing its next request, which would be lost if the session were closed.
+/// Minimum time for which a session must have been idle to be closed during [`IDLE_GRACE`]: a client that has
+/// just received its response may be writing its next request, which would be lost if the session were
+/// closed.
 pub const MIN_IDLE_TIME: TimeDelta = TimeDelta::from_millis(100);
-/// This long after SIGTERM any idle session is closed at once: a request that arrives after [`ACCEPT_GRACE`] may be cut
-/// off by SIGKILL.
+/// Time after SIGTERM from which any idle session is closed at once: a request that arrives after
+/// [`ACCEPT_GRACE`] may be interrupted by SIGKILL.
 pub const IDLE_GRACE: TimeDelta = TimeDelta::from_millis(500);
 
-/// The phase of a process, and what it may do in it.
+/// The phase of a process, and its permissions in this phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PhaseStatus {
-    /// The phase.
+    /// Current phase of the process.
     pub phase: Phase,
-    /// Since when.
+    /// Time at which the phase began.
     pub since: Timestamp,
-    /// Whether it accepts new connections from the shared listening socket. Whether this manager quiesces
-    /// ([`sprucelink_cordon::ManagerState`]) is checked besides.
+    /// Whether the process accepts new connections from the shared listening socket. The caller checks
+    /// separately whether the manager quiesces ([`sprucelink_cordon::ManagerState`]).
     pub accepts_connections: bool,
-    /// Whether it has ever started to serve: the answer to a health check, which never becomes negative again.
+    /// Whether the process has ever started to serve. This determines the answer to health checks, which
+    /// never becomes negative again.
     pub has_served: bool,
-    /// The number of processes among which the manager's budgets are divided: this one may spend `1 / budget_parts` of
-    /// the warm-up budget and of the manager's fraction of the engines' cores. Over all live processes that spend at all
-    /// these fractions add up to no more than 1, except while a process has not read another's file for [`ACK_TIMEOUT`]
-    /// or is considered dead while it is alive.
+    /// Number of processes among which the manager's budgets are divided: this process may spend `1 /
+    /// budget_parts` of the warm-up budget and of the manager's fraction of the engines' cores. The fractions
+    /// of all live processes that spend budgets add up to at most 1, except while a process has not read
+    /// another's file for [`ACK_TIMEOUT`] or is considered dead while it is alive.
     pub budget_parts: u32,
-    /// Whether it started to serve only because peers did not share their budgets within [`ACK_TIMEOUT`].
+    /// Whether the process started to serve without acknowledgement, because peers did not share their
+    /// budgets within [`ACK_TIMEOUT`].
     pub is_unacknowledged: bool,
-    /// Sessions without an open request that have been idle this long are to be closed; `None`: none are.
+    /// Idle time after which sessions without an open request are to be closed; `None` if no sessions are to
+    /// be closed.
     pub close_idle_after: Option<TimeDelta>,
-    /// The processes that it shares its budgets with, oldest first, to be written to its file: each of them counts in
-    /// `budget_parts`.
+    /// Processes with which this process shares its budgets, oldest first. They are written to its file, and
+    /// each counts in `budget_parts`.
     pub shares_with: Vec<Process>,
 }
 
-/// What the phase depends on in the peers' files.
+/// The information in the peers' files on which the phase depends.
 struct PeerView {
     shares_with: Vec<Process>,
-    /// A newer process is active.
+    /// Whether a newer process is active.
     has_active_successor: bool,
-    /// A newer process serves.
+    /// Whether a newer process serves.
     has_serving_successor: bool,
-    /// Every peer that may spend the budgets shares them with this process.
+    /// Whether every peer that may spend the budgets shares them with this process.
     is_acknowledged: bool,
 }
 
@@ -72,8 +77,8 @@
         let mut shares_with: Vec<Process> = active.map(|peer| peer.process).collect();
         shares_with.sort_unstable();
         shares_with.truncate(MAX_SHARING_PEERS);
-        // Peers that may spend, or may without asking this process: an old process that starts does not wait for a newer
-        // one.
+        // Peers that may spend budgets now, or start to without an acknowledgement by this process: an older
+        // process that starts does not wait for a newer one.
         let mut relevant = others().filter(|peer| peer.phase.is_active() || peer.process < process);
         PeerView {
             has_active_successor: shares_with.last().is_some_and(|newest| *newest > process),
@@ -97,7 +102,7 @@
 }
 
 impl PhaseMachine {
-    /// A process that starts now.
+    /// Creates the state machine of a process that starts now.
     pub fn new(process: Process, now: Timestamp) -> PhaseMachine {
         PhaseMachine {
             process,
@@ -110,8 +115,9 @@
         }
     }
 
-    /// Applies the peers' states (as their files were last read), whether SIGTERM was received, and whether this process
-    /// could serve. To be called after each scan of the files, at SIGTERM and when it becomes able to serve.
+    /// Determines the phase from the peers' states (from the last scan of their files), whether SIGTERM was
+    /// received, and whether this process can serve. Must be called after each scan of the files, at SIGTERM,
+    /// and when the process becomes able to serve.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -140,7 +146,7 @@
         }
     }
 
-    /// The process has ended: the phase of its last file.
+    /// Enters [`Phase::Terminated`], the phase of the last file of a process.
     pub fn terminate(&mut self, now: Timestamp) {
         self.phase = Phase::Terminated;
         self.since = now;
@@ -176,10 +182,11 @@
         match (self.phase, self.sigterm_at) {
             (Phase::Serving, _) => true,
             (Phase::ServingBesideSuccessor, _) => !has_serving_successor,
-            // A successor that died after SIGTERM leaves connections in the accept queue; accepted after the grace
-            // period, they would be cut off by SIGKILL with requests in flight, which is worse.
-            (Phase::Draining, Some(at)) => {
-                self.has_served && !has_serving_successor && now - at < ACCEPT_GRACE
+            // A successor that died after SIGTERM leaves connections in the accept queue. If they were
+            // accepted after the grace period, SIGKILL would close them with requests in flight, which is
+            // worse.
+            (Phase::Draining, Some(sigterm_at)) => {
+                self.has_served && !has_serving_successor && now - sigterm_at < ACCEPT_GRACE
             }
             _ => false,
         }
@@ -188,7 +195,7 @@
     fn close_idle_after(&self, now: Timestamp, has_serving_successor: bool) -> Option<TimeDelta> {
         let sigterm_at = self.sigterm_at.filter(|_| self.phase == Phase::Draining)?;
         let elapsed = now - sigterm_at;
-        // Without a successor it still accepts requests that arrive, on open sessions, too.
+        // Without a successor, requests are still accepted, also on open sessions.
         if !has_serving_successor && elapsed < ACCEPT_GRACE {
             return None;
         }
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -1,4 +1,4 @@
-//! The driver: one process's own state file, and its scans of the others'.
+//! The driver of a process: it writes the process's own state file and scans those of other processes.
 
 use crate::codec::{decode, encode};
 use crate::error::{InvalidState, StateFileError, WriteError};
@@ -13,23 +13,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// Interval of scans of the others' files: a cordon that the other process has accepted takes effect here within the
-/// drain's grace of 500 ms, with headroom for a late scan.
+/// Interval of scans of other processes' files. A cordon that another process has accepted takes effect in
+/// this process within the drain's grace period of 500 ms, with headroom for a late scan.
 pub const SCAN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// Interval of writes of the own file; it is also written at once with each cordon and each change of the phase.
+/// Interval of writes of the process's own file, which is also written at once after each cordon and each
+/// change of the phase.
 pub const WRITE_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
 
-/// The header of a file. It holds the checksum, so that two versions of a file differ in it.
+/// The header of a file. It contains the checksum, so that two versions of a file have different headers.
 type Header = [u8; HEADER_BYTES];
 
-/// What was read of a file at the last scan.
+/// The result of reading a file at the last scan.
 #[derive(Clone, Copy, Debug)]
 struct ScannedFile {
     header: Header,
     is_valid: bool,
 }
 
-/// The last attempt to write the own file, and what it announced.
+/// The last attempt to write the process's own file, and the phase and sharing that it announced.
 #[derive(Clone, Debug)]
 struct WriteAttempt {
     at: Timestamp,
@@ -37,33 +38,35 @@
     shares_with: Vec<Process>,
 }
 
-/// What a scan of the folder found.
+/// Result of a scan of the folder.
 #[derive(Debug, Default)]
 pub struct FolderScan {
-    /// Files that are new or have changed: to be merged, all of them, before the own file is written next.
+    /// Files that are new or have changed. All of them must be merged before the process's own file is
+    /// written next.
     pub files: Vec<StateFile>,
-    /// Files that are new or have changed and cannot be used, by name.
+    /// Files that are new or have changed and cannot be used: name and reason.
     pub rejected: Vec<(String, StateFileError)>,
-    /// Errors of the folder; the files not read stay as they were known.
+    /// Errors of the folder; for files that could not be read, the earlier contents stay valid.
     pub folder_errors: Vec<io::Error>,
-    /// The number of files of this instance beyond [`MAX_PEER_FILES`], which were not read.
+    /// Number of files of this instance beyond [`MAX_PEER_FILES`], which were not read.
     pub ignored: usize,
 }
 
-/// What a write did.
+/// Result of a write of the process's own file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteReport {
-    /// Bytes of the file.
+    /// Length of the file in bytes.
     pub bytes: usize,
-    /// Hashes of engine ids that did not fit.
+    /// Number of engine id hashes that did not fit.
     pub ids_left_out: usize,
-    /// Files of dead processes that were removed after it.
+    /// Number of files of dead processes that were removed after the write.
     pub removed_files: usize,
 }
 
-/// One process's side of the hot restart. The order of calls, every [`SCAN_INTERVAL`] and at SIGTERM:
-/// [`StateFileDriver::scan`], merge all that was read, [`StateFileDriver::step`], and [`StateFileDriver::write`] where it
-/// [`StateFileDriver::is_write_due`]. With a cordon that an operator waits for: [`StateFileDriver::write`] at once.
+/// One process's part of the hot restart. The caller makes these calls in order, every [`SCAN_INTERVAL`] and
+/// at SIGTERM: [`StateFileDriver::scan`], after which it merges all files read, [`StateFileDriver::step`],
+/// and [`StateFileDriver::write`] if [`StateFileDriver::is_write_due`]. After a cordon whose operator waits
+/// for the result it calls [`StateFileDriver::write`] at once.
 #[derive(Debug)]
 pub struct StateFileDriver<F> {
     folder: F,
@@ -77,14 +80,14 @@
     status: PhaseStatus,
     scanned: BTreeMap<String, ScannedFile>,
     last_attempt: Option<WriteAttempt>,
-    /// Whether a file that announces that this process serves was written, or could not be.
+    /// Whether this process has written, or tried to write, a file that announces that it serves.
     has_announced_serving: bool,
     sequence: u64,
 }
 
 impl<F: StateFolder> StateFileDriver<F> {
-    /// A process that starts now, with a first scan of the folder: what it found is to be merged. Times of others are taken
-    /// as they are; see [`StateFileDriver::open_with_clock`].
+    /// Creates the driver of a process that starts now and scans the folder; the caller must merge the files
+    /// found. Times in other processes' files are not converted; see [`StateFileDriver::open_with_clock`].
     pub fn open(
         folder: F,
         instance: Instance,
@@ -95,8 +98,9 @@
         StateFileDriver::open_with_clock(folder, instance, build, pid, now, None)
     }
 
-    /// The same with the clock of this process: the times in others' files are converted to it, so that they are right
-    /// even if the wall clock was stepped between their start and this one.
+    /// Like [`StateFileDriver::open`], but converts the times in other processes' files to this process's
+    /// `clock`, so that they are correct even if the wall clock was stepped between the starts of the
+    /// processes.
     pub fn open_with_clock(
         folder: F,
         instance: Instance,
@@ -128,28 +132,29 @@
         (driver, scan)
     }
 
-    /// This process.
+    /// Identity of this process.
     pub fn process(&self) -> Process {
         self.process
     }
 
-    /// The phase of this process at the last step, and what it may do.
+    /// Phase and permissions of this process at the last step.
     pub fn status(&self) -> &PhaseStatus {
         &self.status
     }
 
-    /// The other processes of this instance that are alive, as of the last scan.
+    /// Other live processes of this instance, as of the last scan.
     pub fn live_peers(&self, now: Timestamp) -> Vec<PeerState> {
         self.peers.live_peers(now)
     }
 
-    /// Whether a health check is to be answered positively: it serves, and its file announces that, or could not be written.
-    /// SIGTERM reaches the old process with that answer, which must then be able to read that its successor serves.
+    /// Whether a health check is to be answered positively: the process serves, and its file announces that
+    /// or could not be written. A positive answer leads to SIGTERM for the old process, which must then be
+    /// able to read that its successor serves.
     pub fn is_healthy(&self) -> bool {
         self.status.has_served && self.has_announced_serving
     }
 
-    /// Reads the others' files.
+    /// Reads the files of other processes that are new or have changed.
     pub fn scan(&mut self, now: Timestamp) -> FolderScan {
         let mut scan = FolderScan::default();
         let names = match self.folder.list() {
@@ -168,7 +173,7 @@
                 self.peers.record_temporary_file(now, &name);
             } else if let Err(error) = self.scan_file(now, parts, &name, &mut scan) {
                 if error.kind() == io::ErrorKind::NotFound {
-                    // Another process has removed it since the listing.
+                    // Another process removed the file after the listing.
                     continue;
                 }
                 scan.folder_errors.push(error);
@@ -180,7 +185,8 @@
         scan
     }
 
-    /// The files of this instance's other processes: the newest first, complete files before temporary ones.
+    /// Files of this instance's other processes: complete files before temporary ones, and the newest process
+    /// first.
     fn peer_files(&self, names: Vec<String>) -> Vec<(StateFileName, String)> {
         let instance_hash = StateFileName::new(&self.instance, &self.process).instance_hash;
         let own_temporary = StateFileName::temporary(&self.file_name);
@@ -210,17 +216,17 @@
         let header = header_of(&bytes);
         let unchanged = self.scanned.get(name).copied().filter(|scanned| scanned.header == header);
         if unchanged.is_some_and(|scanned| scanned.is_valid) {
-            // Decoding a file of many ids takes long, so an unchanged one is not decoded again.
+            // Decoding a file with many ids is slow, so an unchanged file is not decoded again.
             return Ok(());
         }
-        let read = self.decode_file(&bytes, parts);
-        self.scanned.insert(name.to_owned(), ScannedFile { header, is_valid: read.is_ok() });
-        if read.is_err() && unchanged.is_some() {
-            // An unchanged invalid file is reported once, not at every scan.
+        let decoded = self.decode_file(&bytes, parts);
+        self.scanned.insert(name.to_owned(), ScannedFile { header, is_valid: decoded.is_ok() });
+        if decoded.is_err() && unchanged.is_some() {
+            // An unchanged invalid file is only reported once, not at every scan.
             return Ok(());
         }
-        self.peers.record_read(now, name, &read);
-        match read {
+        self.peers.record_read(now, name, &decoded);
+        match decoded {
             Ok(file) => scan.files.push(file),
             Err(error) => scan.rejected.push((name.to_owned(), error)),
         }
@@ -230,33 +236,35 @@
     fn decode_file(&self, bytes: &[u8], parts: StateFileName) -> Result<StateFile, StateFileError> {
         let mut file = decode(bytes, &self.instance)?;
         if file.process.pid != parts.pid || file.process.started_at != parts.started_at {
-            // A copy under another name would stay alive beside its original.
+            // A copy under another name would count as a second live process.
             return Err(StateFileError::Invalid(InvalidState::OtherProcess));
         }
         file.convert_to_clock(self.clock.as_ref());
         Ok(file)
     }
 
-    /// Updates the phase from the files, SIGTERM and whether this process could serve.
+    /// Updates the phase from the scanned files, whether SIGTERM was received, and whether this process can
+    /// serve.
     pub fn step(&mut self, now: Timestamp, is_sigterm_received: bool, can_serve: bool) -> &PhaseStatus {
         let peers = self.live_peers(now);
         self.status = self.phase_machine.step(now, &peers, is_sigterm_received, can_serve);
         &self.status
     }
 
-    /// Whether the own file is to be written: its interval has passed, or something has changed that the other process
-    /// waits for. A failed write is retried after the interval.
+    /// Whether the process's own file is to be written: its interval has passed, or a change has not been
+    /// announced that another process waits for. A failed write is retried after the interval.
     pub fn is_write_due(&self, now: Timestamp) -> bool {
         let Some(last) = &self.last_attempt else { return true };
         let is_announced = last.phase == self.status.phase && last.shares_with == self.status.shares_with;
         !is_announced || now - last.at >= WRITE_INTERVAL || now < last.at
     }
 
-    /// Writes the own file, and then removes what dead processes left. What an operator waits for is on record once this
-    /// is `Ok`; otherwise it is in force in this process alone, and the caller reports that or reverts it.
+    /// Writes the process's own file, and then removes the files of dead processes. If the result is `Ok`,
+    /// other processes can read a cordon that an operator waits for; otherwise the cordon is only in force in
+    /// this process, and the caller reports that or reverts it.
     ///
     /// # Errors
-    /// Contents that do not fit, or an error of the folder; the previous file is unchanged.
+    /// The contents do not fit, or the folder returned an error; the previous file is unchanged.
     pub fn write(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
         let status = &self.status;
         self.last_attempt =
@@ -286,8 +294,8 @@
         }
     }
 
-    /// Writes the last file of a process that ends, in phase [`Phase::Terminated`]: it stays for whichever process comes
-    /// next, and the process that merges it removes it.
+    /// Writes the last file of a process that ends, in phase [`Phase::Terminated`]. It remains for the next
+    /// process, which removes it after merging it.
     ///
     /// # Errors
     /// As for [`StateFileDriver::write`].
@@ -300,11 +308,11 @@
     }
 }
 
-/// The first bytes of a file; zeros where it is shorter.
+/// The header of a file; a shorter file is padded with zeros.
 fn header_of(bytes: &[u8]) -> Header {
     let mut header = Header::default();
-    for (to, from) in header.iter_mut().zip(bytes) {
-        *to = *from;
+    for (target, source) in header.iter_mut().zip(bytes) {
+        *target = *source;
     }
     header
 }
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -1,4 +1,4 @@
-//! What of another process's file still applies, by its age.
+//! The part of another process's file that still applies, given the file's age.
 
 use crate::state::{Process, StateFile, WarmupLoad, BUCKET_SPAN};
 use crate::{TimeDelta, Timestamp};
@@ -7,34 +7,34 @@
 #[cfg(test)]
 mod tests;
 
-/// A file from further ahead of the reader's clock than this was written before that clock was set back. Smaller
-/// differences come from the order in which a clock is read and a file written.
+/// Maximum time by which a file can be ahead of the reader's clock without that clock having been set back.
+/// Smaller differences result from the order in which the clock is read and the file is written.
 pub const CLOCK_SLACK: TimeDelta = TimeDelta::from_secs(1);
 
-/// Lengths of the windows that the rules count over.
+/// Durations of the windows over which the rules count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowSpans {
-    /// Of the retry budget.
+    /// Window of the retry budget.
     pub retry_budget: TimeDelta,
-    /// Of the slow-start budget of engines.
+    /// Window of the engines' slow-start budget.
     pub slow_start: TimeDelta,
 }
 
-/// How old a file is.
+/// Age of a file relative to the windows of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileAge {
-    /// Within a window of the rules.
+    /// The file was written within the longest window of the rules.
     Fresh,
-    /// Older: cordons and engine ids alone still apply.
+    /// The file is older: only its cordons and engine ids still apply.
     Stale,
-    /// From the future: the clock was set back since, so its counters are taken to be as recent as they can be.
+    /// The file is from the future, because the clock was set back since: its counters count as most recent.
     Future,
 }
 
-/// Work sent to a warming engine.
+/// Work that another process sent to a warming engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WarmupSend {
-    /// The engine's id.
+    /// Id of the engine.
     pub engine: String,
     /// Latest time at which the work can have been sent.
     pub sent_at: Timestamp,
@@ -42,40 +42,42 @@
     pub work_ms: u32,
 }
 
-/// What still applies of a file. Counters cover all of the process's last seconds and are no increments: of one process
-/// only the last file counts, and a reader replaces what it had of the one before.
+/// The part of a file that still applies. Counters cover all of the process's last seconds and are not
+/// increments: for each process only the last file counts, and a reader replaces the values from the previous
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsableState {
-    /// The process that wrote it.
+    /// Process that wrote the file.
     pub process: Process,
-    /// How old it is.
+    /// Age of the file.
     pub age: FileAge,
-    /// For [`sprucelink_cordon::CordonState::merge_records`]: all records, however old, for a cordon lasts until it is
-    /// uncordoned; leases that have expired are recognized there.
+    /// All cordon records, for [`sprucelink_cordon::CordonState::merge_records`]. They apply at any age,
+    /// because a cordon lasts until it is uncordoned; the merge handles expired leases.
     pub cordons: Vec<CordonRecord>,
-    /// For [`sprucelink_cordon::CordonState::merge_known_ids`]: all of them.
+    /// All hashes of engine ids, for [`sprucelink_cordon::CordonState::merge_known_ids`].
     pub known_ids: Vec<u64>,
-    /// Retries within the retry budget's window: when, at the latest, and how many.
+    /// Retries within the retry budget's window: latest possible time and count.
     pub retries: Vec<(Timestamp, u32)>,
-    /// Requests admitted within it: when, at the earliest, and how many. None of a file from the future: they enlarge
-    /// the budget, and nothing is known of when they arrived.
+    /// Requests admitted within the retry budget's window: earliest possible time and count. Empty for a file
+    /// from the future: these requests enlarge the budget, and their times are unknown.
     pub admitted: Vec<(Timestamp, u32)>,
-    /// Work sent to warming engines within their window.
+    /// Work sent to warming engines within the slow-start window.
     pub warmup: Vec<WarmupSend>,
 }
 
-/// What still applies of a file at `now`. Where the exact time is unknown the conservative bound is taken: what consumes
-/// a budget as late as it can have been, what enlarges one as early.
+/// Returns the part of a file that still applies at `now`. If the exact time of a count is unknown, the
+/// conservative bound is used: the latest possible time for counts that consume a budget, and the earliest
+/// for counts that enlarge it.
 pub fn usable_state(now: Timestamp, spans: WindowSpans, file: StateFile) -> UsableState {
     let clock_lead = (file.written_at - now).max(TimeDelta::ZERO);
     let age = file_age(now, spans, file.written_at, clock_lead);
-    let latest = |start: Timestamp| (start - clock_lead + BUCKET_SPAN).min(now);
+    let latest_time = |start: Timestamp| (start - clock_lead + BUCKET_SPAN).min(now);
     let is_within = |at: Timestamp, span: TimeDelta| at > now - span;
     let snapshot = file.snapshot;
     let mut retries = Vec::new();
     let mut admitted = Vec::new();
     for bucket in &snapshot.retry_budget {
-        let retried_at = latest(bucket.start);
+        let retried_at = latest_time(bucket.start);
         if bucket.retries > 0 && is_within(retried_at, spans.retry_budget) {
             retries.push((retried_at, bucket.retries));
         }
@@ -92,7 +94,7 @@
         retries,
         admitted,
         warmup: usable_warmup(&snapshot.warmup, |start| {
-            Some(latest(start)).filter(|at| is_within(*at, spans.slow_start))
+            Some(latest_time(start)).filter(|sent_at| is_within(*sent_at, spans.slow_start))
         }),
     }
 }
@@ -108,8 +110,8 @@
     }
 }
 
-/// The sends within the window. `usable_time` converts the start of a bucket to the time of its sends, or to `None` if
-/// they are outside the window.
+/// The sends within the window. `usable_time` converts the start of a bucket to the time of its sends, or to
+/// `None` if they are outside the window.
 fn usable_warmup(
     loads: &[WarmupLoad],
     usable_time: impl Fn(Timestamp) -> Option<Timestamp>,
--- a/crates/hot-restart/src/window_counters.rs
+++ b/crates/hot-restart/src/window_counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the last seconds, in buckets, for the successor.
+//! Counters of the last seconds, in buckets, which a process passes to its successor.
 
 use crate::state::{
     RetryBudgetBucket, WarmupBucket, WarmupLoad, BUCKET_SPAN, MAX_BUCKETS, MAX_WARMING_ENGINES,
@@ -10,27 +10,27 @@
 #[cfg(test)]
 mod tests;
 
-/// What was counted of the retry budget in one slot.
+/// Counts of the retry budget in one slot.
 #[derive(Clone, Copy, Debug, Default)]
 struct RetryCounts {
     retries: u32,
     admitted: u32,
 }
 
-/// What this process did within the windows of the rules: retries and admitted requests of the retry budget, and work
-/// sent to warming engines.
+/// Counters of this process within the windows of the rules: retries and admitted requests of the retry
+/// budget, and work sent to warming engines.
 #[derive(Clone, Debug)]
 pub struct WindowCounters {
     retry_budget: SlotWindow<RetryCounts>,
     warmup_span: TimeDelta,
-    /// Milliseconds of work, by engine.
+    /// Work in milliseconds, by engine id.
     warmup: BTreeMap<String, SlotWindow<u32>>,
-    /// The beginning of the newest slot.
+    /// Start of the newest slot.
     newest_start: Timestamp,
     engines_left_out: u64,
 }
 
-/// A window of as many slots as a file holds of one counter.
+/// A window with as many slots as a file can contain buckets of one counter.
 fn slot_window<T: Default>(span: TimeDelta) -> SlotWindow<T> {
     SlotWindow::new(span, BUCKET_SPAN, MAX_BUCKETS as u32)
 }
@@ -46,7 +46,8 @@
 }
 
 impl WindowCounters {
-    /// Nothing counted yet. Takes the windows of the retry budget and of the warm-up budget, 15 s of each at most.
+    /// Creates empty counters with the windows of the retry budget and of the warm-up budget, each limited to
+    /// 15 s.
     pub fn new(retry_budget_span: TimeDelta, warmup_span: TimeDelta) -> WindowCounters {
         WindowCounters {
             retry_budget: slot_window(bounded_span(retry_budget_span)),
@@ -64,7 +65,7 @@
         counts.admitted = counts.admitted.saturating_add(1);
     }
 
-    /// Counts an attempt beyond its request's first.
+    /// Counts a retry: an attempt beyond the first of its request.
     pub fn count_retry(&mut self, now: Timestamp) {
         self.follow_clock(now);
         let counts = self.retry_budget.slot_mut(now);
@@ -76,7 +77,7 @@
         self.follow_clock(now);
         if !self.warmup.contains_key(engine) {
             if self.warmup.len() >= MAX_WARMING_ENGINES {
-                self.evict_stalest_engine();
+                self.evict_least_recent_engine();
             }
             self.warmup.insert(engine.to_owned(), slot_window(self.warmup_span));
         }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The retry budget's counters within its window, oldest first.
+    /// Counters of the retry budget within its window, oldest first.
     pub fn retry_budget(&self, now: Timestamp) -> Vec<RetryBudgetBucket> {
         let bucket = |slot: &Slot<RetryCounts>| RetryBudgetBucket {
             start: slot.start,
@@ -96,7 +97,8 @@
         self.retry_budget.overlapping(now).map(bucket).collect()
     }
 
-    /// Work sent to warming engines within their window, by id; at most [`MAX_WARMING_ENGINES`] engines.
+    /// Work sent to warming engines within the warm-up window, ordered by engine id; at most
+    /// [`MAX_WARMING_ENGINES`] engines.
     pub fn warmup(&self, now: Timestamp) -> Vec<WarmupLoad> {
         let mut loads = Vec::new();
         for (engine, window) in &self.warmup {
@@ -110,13 +112,13 @@
         loads
     }
 
-    /// Engines left out so far because [`MAX_WARMING_ENGINES`] others were sent work later.
+    /// Number of engines left out so far because [`MAX_WARMING_ENGINES`] other engines were sent work later.
     pub fn engines_left_out(&self) -> u64 {
         self.engines_left_out
     }
 
-    /// Where the clock was set back, the retained slots are moved back with it: otherwise they would stay in the future and
-    /// count for longer than their window.
+    /// If the clock was set back, moves the retained slots back with it: otherwise they would be in the
+    /// future and count for longer than their window.
     fn follow_clock(&mut self, now: Timestamp) {
         let start = self.retry_budget.slot_start(now);
         if start < self.newest_start {
@@ -130,12 +132,12 @@
     }
 
     /// Evicts the engine that was sent work longest ago.
-    fn evict_stalest_engine(&mut self) {
-        let stalest = self.warmup.iter().min_by_key(|(_, window)| newest_start(window));
-        let Some(engine) = stalest.map(|(engine, _)| engine.clone()) else { return };
+    fn evict_least_recent_engine(&mut self) {
+        let least_recent = self.warmup.iter().min_by_key(|(_, window)| newest_start(window));
+        let Some(engine) = least_recent.map(|(engine, _)| engine.clone()) else { return };
         let evicted_start = self.warmup.remove(&engine).and_then(|window| newest_start(&window));
         let window_start = self.newest_start - self.warmup_span;
-        // What is older than the window is no loss.
+        // An engine whose work is older than the window is not counted as left out.
         if evicted_start.is_some_and(|start| start + BUCKET_SPAN > window_start) {
             self.engines_left_out += 1;
         }
