--- a/crates/hot-restart/examples/cost.rs
+++ b/crates/hot-restart/examples/cost.rs
@@ -1,6 +1,7 @@
-//! What the state files of hot restarts cost: `cargo run --release -p sprucelink-hot-restart --example cost -- /dev/shm`.
+//! Measures the cost of hot-restart state files in a folder:
+//! `cargo run --release -p sprucelink-hot-restart --example cost -- /dev/shm`.
 //!
-//! Medians of many runs, for a usual snapshot (80 engines, 3 cordons) and for one at its bounds.
+//! Prints medians of many runs, for a typical snapshot (80 engines, 3 cordons) and for one at its bounds.
 
 use sprucelink_cordon::{CordonLimits, CordonRequest, CordonState, Target};
 use sprucelink_hot_restart::{
@@ -14,16 +15,16 @@
 /// Number of runs of each measurement.
 const RUNS: usize = 2_000;
 
-/// The median time of a run, in microseconds; the closure gets the run's number.
-fn median(mut run: impl FnMut(i64)) -> f64 {
-    let mut times = Vec::with_capacity(RUNS);
-    for number in 0..RUNS as i64 {
-        let began = Instant::now();
-        run(number);
-        times.push(began.elapsed().as_secs_f64() * 1e6);
+/// Median time of [`RUNS`] runs, in microseconds; the closure receives the index of the run.
+fn median_us(mut run: impl FnMut(i64)) -> f64 {
+    let mut times_us = Vec::with_capacity(RUNS);
+    for index in 0..RUNS as i64 {
+        let started_at = Instant::now();
+        run(index);
+        times_us.push(started_at.elapsed().as_secs_f64() * 1e6);
     }
-    times.sort_unstable_by(f64::total_cmp);
-    times[RUNS / 2]
+    times_us.sort_unstable_by(f64::total_cmp);
+    times_us[RUNS / 2]
 }
 
 fn cordon_state(engines: usize, cordons: usize, now: Timestamp) -> CordonState {
@@ -48,96 +49,102 @@
     }
 }
 
-/// A size of the state that is measured.
-struct Load {
+/// A size of the state to measure.
+struct StateSize {
     name: &'static str,
     engines: usize,
     cordons: usize,
     warming_engines: usize,
 }
 
-/// A usual state, and one at its bounds.
-const LOADS: [Load; 2] = [
-    Load { name: "usual", engines: 80, cordons: 3, warming_engines: 8 },
-    Load { name: "at its bounds", engines: 16_384, cordons: 1_024, warming_engines: MAX_WARMING_ENGINES },
+/// A typical state, and one at its bounds.
+const STATE_SIZES: [StateSize; 2] = [
+    StateSize { name: "usual", engines: 80, cordons: 3, warming_engines: 8 },
+    StateSize {
+        name: "at its bounds",
+        engines: 16_384,
+        cordons: 1_024,
+        warming_engines: MAX_WARMING_ENGINES,
+    },
 ];
-/// The time of the first write.
-const NOW: Timestamp = Timestamp::from_secs(1_700_000_000);
-/// How long counters are filled before it, in milliseconds.
+/// Time of the first write.
+const START: Timestamp = Timestamp::from_secs(1_700_000_000);
+/// Time before [`START`] in which events are counted, in milliseconds.
 const COUNTED_MS: i64 = 5_000;
-/// Writes of the own file in a second.
+/// Rate at which a process writes its own file, per second.
 const WRITES_PER_SECOND: f64 = 4.0;
-/// Scans of the others' files in a second.
+/// Rate at which a process scans the files of other processes, per second.
 const SCANS_PER_SECOND: f64 = 10.0;
-/// Look-ups in one run, so that a run is long enough to be measured.
-const LOOKUPS: usize = 1_000;
+/// Number of lookups in one run, so that a run is long enough to be measured.
+const LOOKUPS_PER_RUN: usize = 1_000;
 
-fn at(millis: i64) -> Timestamp {
-    NOW + TimeDelta::from_millis(millis)
+fn at_ms(millis: i64) -> Timestamp {
+    START + TimeDelta::from_millis(millis)
 }
 
 fn counters(warming_engines: usize) -> WindowCounters {
     let mut counters = WindowCounters::new(TimeDelta::from_secs(5), TimeDelta::from_secs(4));
     for millis in (0..COUNTED_MS).step_by(10) {
         let engine = millis as usize / 10 % warming_engines;
-        counters.count_admitted(at(millis - COUNTED_MS));
-        counters.count_warmup(at(millis - COUNTED_MS), &format!("s-{engine:08x}"), 40);
+        counters.count_admitted(at_ms(millis - COUNTED_MS));
+        counters.count_warmup(at_ms(millis - COUNTED_MS), &format!("s-{engine:08x}"), 40);
     }
     counters
 }
 
-/// The median of scans that each find a new file; the writes before them are not counted.
-fn median_scan_of_a_new_file(
+/// Median time of a scan that finds a new file, in microseconds; the write before each scan is not measured.
+fn median_new_file_scan_us(
     writer: &mut StateFileDriver<DiskFolder>,
     reader: &mut StateFileDriver<DiskFolder>,
     snapshot: &StateSnapshot,
 ) -> f64 {
-    let mut scans = Vec::with_capacity(RUNS);
+    let mut times_us = Vec::with_capacity(RUNS);
     for run in 0..RUNS as i64 {
-        let now = at(10_000 + run);
+        let now = at_ms(10_000 + run);
         writer.write(now, snapshot.clone()).expect("written");
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(reader.scan(now).files.len(), 1);
-        scans.push(began.elapsed().as_secs_f64() * 1e6);
+        times_us.push(started_at.elapsed().as_secs_f64() * 1e6);
     }
-    scans.sort_unstable_by(f64::total_cmp);
-    scans[RUNS / 2]
+    times_us.sort_unstable_by(f64::total_cmp);
+    times_us[RUNS / 2]
 }
 
-fn measure(load: &Load, directory: &Path) {
+fn measure(size: &StateSize, directory: &Path) {
     let folder = DiskFolder::new(directory);
     let instance = Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() };
     let build = "sprucelink 0.1.0";
-    let state = cordon_state(load.engines, load.cordons, NOW);
-    let counters = counters(load.warming_engines);
-    let (mut writer, _) = StateFileDriver::open(folder.clone(), instance.clone(), build, 1, NOW);
-    let (mut reader, _) = StateFileDriver::open(folder, instance, build, 2, at(1));
-    let complete = snapshot(&state, &counters, NOW);
-    let bytes = writer.write(NOW, complete.clone()).expect("written").bytes;
-    let gather_us = median(|_| _ = black_box(snapshot(&state, &counters, NOW)));
-    let write_us = median(|run| _ = writer.write(at(run), complete.clone()).expect("written"));
-    // The same bytes over the old ones, neither atomically nor with a checksum: the minimum that a file costs.
+    let state = cordon_state(size.engines, size.cordons, START);
+    let counters = counters(size.warming_engines);
+    let (mut writer, _) = StateFileDriver::open(folder.clone(), instance.clone(), build, 1, START);
+    let (mut reader, _) = StateFileDriver::open(folder, instance, build, 2, at_ms(1));
+    let full_snapshot = snapshot(&state, &counters, START);
+    let bytes = writer.write(START, full_snapshot.clone()).expect("written").bytes;
+    let gather_us = median_us(|_| _ = black_box(snapshot(&state, &counters, START)));
+    let write_us = median_us(|run| _ = writer.write(at_ms(run), full_snapshot.clone()).expect("written"));
+    // Overwrites a file of the same size, neither atomically nor with a checksum: the minimum cost of writing
+    // a file.
     let raw_bytes = vec![7_u8; bytes];
     let raw_path = directory.join("raw");
-    let raw_write_us = median(|_| std::fs::write(&raw_path, &raw_bytes).expect("written"));
-    let idle_scan_us = median(|run| _ = black_box(reader.scan(at(run))));
-    let new_file_scan_us = median_scan_of_a_new_file(&mut writer, &mut reader, &complete);
-    let merge_us = median(|_| {
+    let raw_write_us = median_us(|_| std::fs::write(&raw_path, &raw_bytes).expect("written"));
+    let idle_scan_us = median_us(|run| _ = black_box(reader.scan(at_ms(run))));
+    let new_file_scan_us = median_new_file_scan_us(&mut writer, &mut reader, &full_snapshot);
+    let merge_us = median_us(|_| {
         let mut other = CordonState::new(CordonLimits::default());
-        other.merge_records(NOW, &complete.cordons);
+        other.merge_records(START, &full_snapshot.cordons);
         black_box(&other);
     });
-    let last_engine = format!("s-{:08x}", load.engines - 1);
-    let lookups_us = median(|_| {
-        for _ in 0..LOOKUPS {
+    let last_engine = format!("s-{:08x}", size.engines - 1);
+    let lookups_us = median_us(|_| {
+        for _ in 0..LOOKUPS_PER_RUN {
             black_box(state.is_engine_cordoned(black_box(&last_engine)));
         }
     });
-    let alone_us = (gather_us + write_us) * WRITES_PER_SECOND + idle_scan_us * SCANS_PER_SECOND;
-    let beside_us = alone_us + (new_file_scan_us - idle_scan_us + merge_us) * WRITES_PER_SECOND;
+    let alone_us_per_s = (gather_us + write_us) * WRITES_PER_SECOND + idle_scan_us * SCANS_PER_SECOND;
+    let beside_us_per_s = alone_us_per_s + (new_file_scan_us - idle_scan_us + merge_us) * WRITES_PER_SECOND;
     println!(
         "{}: {bytes} bytes, {} ids, {} cordons, {} warming engines",
-        load.name, load.engines, load.cordons, load.warming_engines
+        size.name, size.engines, size.cordons, size.warming_engines
     );
     println!("  snapshot taken      {gather_us:9.1} us");
     println!(
@@ -147,18 +154,18 @@
     println!("  scan, nothing new   {idle_scan_us:9.1} us");
     println!("  scan, a new file    {new_file_scan_us:9.1} us");
     println!("  merged into empty   {merge_us:9.1} us");
-    println!("  is_engine_cordoned  {:9.1} ns", lookups_us * 1e3 / LOOKUPS as f64);
-    println!("  of a core: alone {:.3}%, beside another {:.3}%", alone_us / 1e4, beside_us / 1e4);
+    println!("  is_engine_cordoned  {:9.1} ns", lookups_us * 1e3 / LOOKUPS_PER_RUN as f64);
+    println!("  of a core: alone {:.3}%, beside another {:.3}%", alone_us_per_s / 1e4, beside_us_per_s / 1e4);
 }
 
 fn main() {
     let root = std::env::args().nth(1).unwrap_or_else(|| "/dev/shm".into());
     let directory = Path::new(&root).join(format!("sprucelink-cost-{}", std::process::id()));
     std::fs::create_dir(&directory).expect("a folder");
-    for load in &LOADS {
-        measure(load, &directory);
+    for size in &STATE_SIZES {
+        measure(size, &directory);
         for entry in std::fs::read_dir(&directory).expect("listed").flatten() {
-            // What can't be removed makes the removal of the folder fail.
+            // If a file cannot be removed, removing the folder below fails.
             let _ = std::fs::remove_file(entry.path());
         }
     }
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -1,4 +1,4 @@
-//! State files: what is written is read, today's files stay readable, and nothing else is accepted.
+//! Tests of encoding and decoding state files, including those of earlier releases and invalid ones.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -8,7 +8,7 @@
 };
 use sprucelink_hot_restart::*;
 
-/// Files written by the release before the fields got their present names, one phase a line: `name hex`.
+/// Files written by a release before the fields got their current names. Each line is one phase: `name hex`.
 const EARLIER_FILES: &str = include_str!("golden/state-file-v1.txt");
 
 fn instance() -> Instance {
@@ -38,7 +38,7 @@
     }
 }
 
-fn cordon() -> impl Strategy<Value = CordonRecord> {
+fn arbitrary_cordon() -> impl Strategy<Value = CordonRecord> {
     let target = prop_oneof![Just(Target::Manager), "[a-z0-9é-]{1,40}".prop_map(Target::Engine)];
     let entry = (any::<bool>(), 0..=MAX_VERSION, any::<i64>(), any::<i64>(), "[ -~]{0,64}");
     (target, prop::option::of(any::<u64>()), entry).prop_map(
@@ -57,7 +57,7 @@
     )
 }
 
-fn snapshot() -> impl Strategy<Value = StateSnapshot> {
+fn arbitrary_snapshot() -> impl Strategy<Value = StateSnapshot> {
     let retry_bucket = (any::<i64>(), any::<u32>(), any::<u32>()).prop_map(|(start, retries, admitted)| {
         RetryBudgetBucket { start: Timestamp::from_micros(start), retries, admitted }
     });
@@ -66,7 +66,7 @@
     let warmup_load = ("[a-z]{0,20}", prop::collection::vec(warmup_bucket, 0..MAX_BUCKETS))
         .prop_map(|(engine, buckets)| WarmupLoad { engine, buckets });
     (
-        prop::collection::vec(cordon(), 0..12),
+        prop::collection::vec(arbitrary_cordon(), 0..12),
         prop::collection::vec(any::<u64>(), 0..40),
         prop::collection::vec(retry_bucket, 0..MAX_BUCKETS),
         prop::collection::vec(warmup_load, 0..6),
@@ -93,7 +93,7 @@
     #![proptest_config(config(51, 300))]
 
     #[test]
-    fn written_file_is_read_back_unchanged(snapshot in snapshot()) {
+    fn encoded_file_is_decoded_unchanged(snapshot in arbitrary_snapshot()) {
         let file = state_file(snapshot);
         let encoded = encode(&file).expect("small");
         prop_assert_eq!(encoded.ids_left_out, 0);
@@ -101,13 +101,13 @@
     }
 
     #[test]
-    fn garbage_is_rejected_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_rejected_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(decode(&bytes, &instance()).is_err());
     }
 
-    /// A body of any bytes under a right header, as a faulty build might write it, is read or rejected.
+    /// A body of any bytes with a valid header, as a faulty build might write it, is decoded or rejected.
     #[test]
-    fn any_body_under_a_right_checksum_causes_no_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_body_with_a_valid_checksum_causes_no_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut bytes = encode(&state_file(StateSnapshot::default())).expect("small").bytes[..8].to_vec();
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         let crc = crc32fast::hash(&[&bytes[4..12], &body[..]].concat());
@@ -123,7 +123,7 @@
     #![proptest_config(config(52, 6))]
 
     #[test]
-    fn every_flipped_bit_and_every_truncation_is_rejected_as_damage(snapshot in snapshot()) {
+    fn every_flipped_bit_and_every_truncation_is_rejected_as_damaged(snapshot in arbitrary_snapshot()) {
         let is_damaged =
             |bytes: &[u8]| matches!(decode(bytes, &instance()), Err(StateFileError::Damaged(_)));
         let bytes = encode(&state_file(snapshot)).expect("small").bytes;
@@ -137,12 +137,13 @@
             flipped[bit / 8] ^= 1 << (bit % 8);
         }
         flipped.push(0);
-        prop_assert!(is_damaged(&flipped), "one byte more");
+        prop_assert!(is_damaged(&flipped), "one additional byte");
     }
 }
 
 fn earlier_file(name: &str) -> Vec<u8> {
-    let line = EARLIER_FILES.lines().find(|line| line.split(' ').next() == Some(name)).expect("listed");
+    let line =
+        EARLIER_FILES.lines().find(|line| line.split(' ').next() == Some(name)).expect("a line for the name");
     let hex = line.split(' ').nth(1).expect("hex");
     let byte = |index| u8::from_str_radix(&hex[index..index + 2], 16).expect("hex digits");
     (0..hex.len()).step_by(2).map(byte).collect()
@@ -187,9 +188,9 @@
     }
 }
 
-/// Both ways: this build reads an earlier build's file, and writes the same bytes for the same contents.
+/// This build decodes an earlier release's file, and encodes the same contents as the same bytes.
 #[test]
-fn file_of_an_earlier_release_is_read_and_written_bit_for_bit() {
+fn file_of_an_earlier_release_is_decoded_and_encoded_bit_for_bit() {
     let phases = [
         ("starting", Phase::Starting),
         ("ready", Phase::Ready),
@@ -206,42 +207,44 @@
     }
 }
 
-/// A state with as many cordons and tombstones as its limits allow.
+/// A cordon state with as many cordons, tombstones and known ids as its limits allow.
 fn full_cordon_state(limits: CordonLimits, now: Timestamp) -> CordonState {
     let mut state = CordonState::new(limits);
-    let after = |micros| now + TimeDelta::from_micros(micros);
+    let micros_later = |micros| now + TimeDelta::from_micros(micros);
     let permits = (u64::MAX - limits.max_cordons as u64..).take(limits.max_cordons);
     let id_bytes = limits.max_cordon_id_bytes / limits.max_cordons;
     let reason = "w".repeat(MAX_REASON_BYTES);
     for (index, permit) in permits.enumerate() {
         let id = format!("{index:0id_bytes$}");
         state.note_listed(&id);
-        let request = CordonRequest::Fleet { permit, lease_expires_at: after(1) };
+        let request = CordonRequest::Fleet { permit, lease_expires_at: micros_later(1) };
         state.cordon(now, &Target::Engine(id), request, &reason).expect("within the limits");
     }
-    // The leases expire: as many tombstones as are retained, and then as many cordons again.
-    state.expire(after(2));
+    // The leases expire, which leaves the maximum number of tombstones; then the maximum number of cordons is
+    // set again.
+    state.expire(micros_later(2));
     for index in 0..limits.max_cordons {
-        let request = CordonRequest::Fleet { permit: u64::MAX, lease_expires_at: after(80_000_000_000) };
+        let request =
+            CordonRequest::Fleet { permit: u64::MAX, lease_expires_at: micros_later(80_000_000_000) };
         let target = Target::Engine(format!("{index:0id_bytes$}"));
-        state.cordon(after(3), &target, request, &reason).expect("within the limits");
+        state.cordon(micros_later(3), &target, request, &reason).expect("within the limits");
     }
     (0..limits.max_known_ids).for_each(|index| state.note_listed(&format!("s-{index}")));
     state
 }
 
-/// Whatever the limits of cordons allow fits into a file, and hashes take what is left.
+/// All cordons that the limits allow fit into a file, and hashes of ids take the remaining space.
 #[test]
 fn largest_snapshot_fits_into_a_file() {
     let limits = CordonLimits::default();
     let now = Timestamp::from_micros(1_700_000_000_000_000);
     let cordons = full_cordon_state(limits, now);
-    let full = CordonSizes {
+    let max_sizes = CordonSizes {
         active_cordons: limits.max_cordons,
         tombstones: limits.max_tombstones,
         known_ids: limits.max_known_ids,
     };
-    assert_eq!(cordons.sizes(), full);
+    assert_eq!(cordons.sizes(), max_sizes);
     let warmup_load = |index: usize| WarmupLoad {
         engine: format!("{index:0MAX_ENGINE_ID_BYTES$}"),
         buckets: vec![WarmupBucket { start: now, work_ms: u32::MAX }; 18],
@@ -257,16 +260,20 @@
     let encoded = encode(&file).expect("fits");
     let length = encoded.bytes.len();
     assert!(length <= MAX_FILE_BYTES && length > MAX_FILE_BYTES - 32, "{length}");
-    let read = decode(&encoded.bytes, &instance()).expect("read");
-    assert_eq!(read.snapshot.cordons, file.snapshot.cordons);
-    let kept = limits.max_known_ids - encoded.ids_left_out;
-    let first_ids = &file.snapshot.known_ids[..kept];
-    assert!(kept > 1_000 && read.snapshot.known_ids == first_ids, "the first {kept} ids");
+    let decoded = decode(&encoded.bytes, &instance()).expect("valid");
+    assert_eq!(decoded.snapshot.cordons, file.snapshot.cordons);
+    let encoded_ids = limits.max_known_ids - encoded.ids_left_out;
+    let first_ids = &file.snapshot.known_ids[..encoded_ids];
+    assert!(
+        encoded_ids > 1_000 && decoded.snapshot.known_ids == first_ids,
+        "the first {encoded_ids} ids are encoded"
+    );
 }
 
-/// A complete file with a cordon that no call could make is rejected by field and rule: nothing of it is used.
+/// A complete file with a cordon that no call could produce is rejected as a whole; the error names the field
+/// and the rule.
 #[test]
-fn impossible_cordon_is_rejected_with_its_field() {
+fn invalid_cordon_is_rejected_with_its_field() {
     let entry = CordonEntry {
         version: 1,
         cordoned: true,
@@ -280,8 +287,8 @@
         entry: entry.clone(),
     };
     let cordons = vec![record("e"), record("")];
-    let bytes = encode(&state_file(StateSnapshot { cordons, ..StateSnapshot::default() }));
-    let rejected = decode(&bytes.expect("small").bytes, &instance());
+    let encoded = encode(&state_file(StateSnapshot { cordons, ..StateSnapshot::default() }));
+    let rejected = decode(&encoded.expect("small").bytes, &instance());
     assert!(
         matches!(&rejected, Err(StateFileError::Invalid(rule)) if rule.to_string().starts_with("bans.1.target")),
         "{rejected:?}"
@@ -290,45 +297,49 @@
 
 #[test]
 fn contents_that_do_not_fit_are_rejected_with_their_length() {
-    let long = WarmupLoad { engine: "x".repeat(MAX_FILE_BYTES), buckets: Vec::new() };
-    let rejected = encode(&state_file(StateSnapshot { warmup: vec![long], ..StateSnapshot::default() }));
+    let too_long = WarmupLoad { engine: "x".repeat(MAX_FILE_BYTES), buckets: Vec::new() };
+    let rejected = encode(&state_file(StateSnapshot { warmup: vec![too_long], ..StateSnapshot::default() }));
     assert!(matches!(rejected, Err(StateFileError::TooLarge { bytes }) if bytes > MAX_FILE_BYTES));
 }
 
-/// Two processes whose clocks began before and behind a step of the wall clock: times are read by real time, except from
-/// before the machine's last start, and from builds that tell no clock.
+/// The wall clock is stepped between the starts of writer and reader: times are converted to the reader's
+/// clock, except those from before the machine's last boot, and those of builds that write no clock
+/// reference.
 #[test]
-fn times_are_read_by_the_clock_of_the_reader() {
-    let clock = |boot: &str, offset: i64| ClockReference {
-        boot_id: boot.into(),
-        offset: TimeDelta::from_micros(offset * 1_000_000),
+fn times_are_converted_to_the_clock_of_the_reader() {
+    let clock = |boot_id: &str, offset_s: i64| ClockReference {
+        boot_id: boot_id.into(),
+        offset: TimeDelta::from_micros(offset_s * 1_000_000),
     };
-    let lease = CordonEntry {
+    let leased_entry = CordonEntry {
         version: 1,
         cordoned: true,
         lease_expires_at: Some(Timestamp::from_micros(1_700_000_060_000_000)),
         changed_at: Timestamp::from_micros(1_700_000_000_000_000),
         reason: String::new(),
     };
-    let cordon =
-        CordonRecord { target: Target::Manager, cause: Cause::Fleet { permit: 1 }, entry: lease.clone() };
+    let cordon = CordonRecord {
+        target: Target::Manager,
+        cause: Cause::Fleet { permit: 1 },
+        entry: leased_entry.clone(),
+    };
     let snapshot = StateSnapshot { cordons: vec![cordon], ..StateSnapshot::default() };
     let file = StateFile { clock: Some(clock("a", 1_000)), ..state_file(snapshot) };
     let hour = TimeDelta::from_micros(3_600_000_000);
-    let mut read = decode(&encode(&file).expect("fits").bytes, &instance()).expect("read");
-    assert_eq!(read, file);
-    read.convert_to_clock(Some(&clock("a", 4_600)));
-    assert_eq!((read.written_at - file.written_at, read.phase_since - file.phase_since), (hour, hour));
-    let entry = &read.snapshot.cordons[0].entry;
-    assert_eq!(entry.lease_expires_at, lease.lease_expires_at.map(|at| at + hour));
-    assert_eq!(read.process, file.process, "it names the process, by whatever clock");
+    let mut decoded = decode(&encode(&file).expect("fits").bytes, &instance()).expect("valid");
+    assert_eq!(decoded, file);
+    decoded.convert_to_clock(Some(&clock("a", 4_600)));
+    assert_eq!((decoded.written_at - file.written_at, decoded.phase_since - file.phase_since), (hour, hour));
+    let entry = &decoded.snapshot.cordons[0].entry;
+    assert_eq!(entry.lease_expires_at, leased_entry.lease_expires_at.map(|expiry| expiry + hour));
+    assert_eq!(decoded.process, file.process, "the start time identifies the process and is not converted");
     for (writer, reader) in [
         (Some(clock("a", 1_000)), Some(clock("b", 4_600))),
         (None, Some(clock("a", 4_600))),
         (Some(clock("a", 1_000)), None),
     ] {
-        let mut read = StateFile { clock: writer, ..file.clone() };
-        read.convert_to_clock(reader.as_ref());
-        assert_eq!(read.written_at, file.written_at);
+        let mut converted = StateFile { clock: writer, ..file.clone() };
+        converted.convert_to_clock(reader.as_ref());
+        assert_eq!(converted.written_at, file.written_at);
     }
 }
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,19 +1,19 @@
-//! Golden: state files written by an earlier release. They are read as what they say, and
-//! what is written today has the same bytes and the same names.
+//! Golden tests with state files written by an earlier release: their contents are decoded unchanged, and the
+//! same contents are encoded with the same bytes and file names.
 
 use sprucelink_cordon::{Cause, CordonEntry, CordonRecord, Target};
 use sprucelink_hot_restart::*;
 use std::path::{Path, PathBuf};
 
-fn folder() -> PathBuf {
+fn golden_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
-fn me() -> Instance {
+fn instance() -> Instance {
     Instance { name: "n3".into(), listen: "127.0.0.1:7001".into() }
 }
 
-/// A moment, this many microseconds after the first.
+/// The timestamp `micros` microseconds after the first one.
 fn at(micros: i64) -> Timestamp {
     Timestamp::from_micros(1_700_000_000_000_000 + micros)
 }
@@ -39,13 +39,16 @@
     CordonRecord { target, cause, entry }
 }
 
-/// A file in which every field holds something.
-fn full() -> StateFile {
+/// A file in which all fields of that release are set.
+fn full_file() -> StateFile {
     let engine = |id: &str| Target::Engine(id.into());
-    let ration =
-        |n: u32| RetryBudgetBucket { start: at(250_000 * i64::from(n)), retries: n, admitted: 100 + 3 * n };
+    let retry_bucket = |index: u32| RetryBudgetBucket {
+        start: at(250_000 * i64::from(index)),
+        retries: index,
+        admitted: 100 + 3 * index,
+    };
     StateFile {
-        instance: me(),
+        instance: instance(),
         process: process(4),
         build: "sprucelink 0.1.0".into(),
         clock: None,
@@ -68,7 +71,7 @@
                 cordon(Target::Manager, Cause::Fleet { permit: 0 }, true, Some(at(1)), "x"),
             ],
             known_ids: vec![0, 1, 0x9b1f_03aa_5c7e_2d41, u64::MAX],
-            retry_budget: (0..20).map(ration).collect(),
+            retry_budget: (0..20).map(retry_bucket).collect(),
             warmup: vec![
                 WarmupLoad { engine: "s-9".into(), buckets: vec![] },
                 WarmupLoad {
@@ -84,10 +87,10 @@
     }
 }
 
-/// A file without content, in a phase.
-fn bare(phase: Phase) -> StateFile {
+/// A file with an empty snapshot, in the given phase.
+fn empty_file(phase: Phase) -> StateFile {
     StateFile {
-        instance: me(),
+        instance: instance(),
         process: process(1),
         build: String::new(),
         clock: None,
@@ -100,7 +103,8 @@
     }
 }
 
-fn files() -> Vec<(String, StateFile)> {
+/// Names and expected contents of the golden files.
+fn golden_files() -> Vec<(String, StateFile)> {
     let phases = [
         ("starting", Phase::Starting),
         ("ready", Phase::Ready),
@@ -109,38 +113,41 @@
         ("leaving", Phase::Draining),
         ("gone", Phase::Terminated),
     ];
-    let bare = phases.map(|(name, phase)| (format!("{name}.handover"), bare(phase)));
-    let full = full();
-    let name = StateFileName::new(&full.instance, &full.process).to_string();
-    bare.into_iter().chain([(name, full)]).collect()
+    let empty_files = phases.map(|(name, phase)| (format!("{name}.handover"), empty_file(phase)));
+    let full_file = full_file();
+    let name = StateFileName::new(&full_file.instance, &full_file.process).to_string();
+    empty_files.into_iter().chain([(name, full_file)]).collect()
 }
 
 #[test]
-fn state_files_of_an_earlier_release_are_read_as_they_were_written() {
-    for (name, expected) in files() {
-        let bytes = std::fs::read(folder().join(&name)).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(decode(&bytes, &me()), Ok(expected), "{name}");
+fn state_files_of_an_earlier_release_are_decoded_unchanged() {
+    for (name, expected) in golden_files() {
+        let bytes =
+            std::fs::read(golden_folder().join(&name)).unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(decode(&bytes, &instance()), Ok(expected), "{name}");
     }
 }
 
 #[test]
-fn state_files_are_written_byte_for_byte_as_by_an_earlier_release() {
-    for (name, content) in files() {
-        let bytes = std::fs::read(folder().join(&name)).unwrap_or_else(|e| panic!("{name}: {e}"));
-        let encoded = encode(&content).expect("small");
+fn state_files_are_encoded_byte_for_byte_as_by_an_earlier_release() {
+    for (name, contents) in golden_files() {
+        let bytes =
+            std::fs::read(golden_folder().join(&name)).unwrap_or_else(|error| panic!("{name}: {error}"));
+        let encoded = encode(&contents).expect("small");
         assert_eq!((encoded.bytes, encoded.ids_left_out), (bytes, 0), "{name}");
     }
 }
 
-/// A folder as a process of an earlier release left it: its successor finds the file by its name, and reads it.
+/// A process finds the file of a predecessor of an earlier release by its name, and decodes it.
 #[test]
 fn process_finds_the_state_file_of_a_predecessor_of_an_earlier_release() {
-    let full = full();
-    let name = StateFileName::new(&full.instance, &full.process).to_string();
+    let full_file = full_file();
+    let name = StateFileName::new(&full_file.instance, &full_file.process).to_string();
     assert_eq!(name, "sprucelink.938a317b.74-1700000000000004.handover");
-    let dir = tempfile::tempdir().expect("a folder");
-    std::fs::copy(folder().join(&name), dir.path().join(&name)).expect("copied");
-    let (driver, scan) = StateFileDriver::open(DiskFolder::new(dir.path()), me(), "test", 7, at(9_100_000));
-    assert_eq!(scan.files, [full]);
+    let dir = tempfile::tempdir().expect("temporary folder");
+    std::fs::copy(golden_folder().join(&name), dir.path().join(&name)).expect("copied");
+    let (driver, scan) =
+        StateFileDriver::open(DiskFolder::new(dir.path()), instance(), "test", 7, at(9_100_000));
+    assert_eq!(scan.files, [full_file]);
     assert_eq!(driver.process().generation, 5);
 }
