--- a/crates/failpoints/src/fault_file.rs
+++ b/crates/failpoints/src/fault_file.rs
@@ -1,4 +1,4 @@
-//! The fault file of a process, `faults.json5` in its folder. Unknown fields are rejected.
+//! The fault file `faults.json5` in the folder of a process. Unknown fields are rejected.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,20 +6,21 @@
 
 /// Name of the fault file within a process's folder.
 pub const FILE_NAME: &str = "faults.json5";
-/// Longest time that an armed failpoint blocks, in milliseconds: a test whose harness does not react must still end.
+/// Maximum time for which an armed failpoint blocks, in milliseconds: a test must end even if its harness
+/// does not react.
 pub const MAX_WAIT_MS: u64 = 10_000;
 /// Maximum number of failpoints armed at once.
 pub const MAX_ARMED_POINTS: usize = 32;
-/// Longest name of a failpoint, in bytes.
+/// Maximum length of a failpoint's name, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
-/// Maximum number of writes that a faulty disk may delay.
+/// Maximum number of writes that a faulty disk may delay at once.
 pub const MAX_DELAYED_WRITES: u32 = 1_000;
 
 /// All faults of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultFile {
-    /// Failpoints to arm.
+    /// Failpoints to arm in the process.
     pub points: Failpoints,
     /// Faults of the disk under the store.
     pub disk: DiskFaults,
@@ -29,9 +30,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Failpoints {
-    /// By failpoint: the pass of this process, counted from 1, at which it prints its name and blocks, once.
+    /// For each failpoint, the number of the pass, counted from 1, at which it prints its name and blocks. It
+    /// does so once.
     pub arm: BTreeMap<String, u32>,
-    /// How long an armed failpoint blocks, in milliseconds; 0 to [`MAX_WAIT_MS`].
+    /// Time for which an armed failpoint blocks, in milliseconds; 0 to [`MAX_WAIT_MS`].
     pub wait_ms: u64,
 }
 
@@ -42,7 +44,7 @@
 }
 
 impl Failpoints {
-    /// Counts one pass of a failpoint and returns whether it is the pass that it is armed for.
+    /// Counts one pass of a failpoint and returns whether the failpoint is armed for this pass.
     pub fn count_pass(&mut self, name: &str) -> bool {
         match self.arm.get_mut(name) {
             Some(remaining) if *remaining <= 1 => {
@@ -74,7 +76,7 @@
     }
 }
 
-/// The error of a write that a faulty disk rejects.
+/// Error of a write that a faulty disk rejects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiskErrorKind {
@@ -89,44 +91,46 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiskFaults {
-    /// Bytes accepted before writes fail; the write that crosses the bound is written up to it. `None`: no bound.
+    /// Number of bytes accepted before writes fail; the write that exceeds this capacity is written up to it.
+    /// `None`: no limit.
     pub full_after: Option<u64>,
-    /// The error of such a write.
+    /// Error of a write that exceeds `full_after`.
     #[serde(rename = "refusal")]
     pub write_error: DiskErrorKind,
-    /// Number of the latest writes that are acknowledged but not yet in the file: a crash loses them. 0 to
-    /// [`MAX_DELAYED_WRITES`].
+    /// Number of latest writes that are acknowledged but not yet in the file, so that a crash loses them; 0
+    /// to [`MAX_DELAYED_WRITES`].
     #[serde(rename = "hold_back")]
     pub delayed_writes: u32,
-    /// Number of bytes at the end of the last write that reach the file only with the next write: a crash tears it.
+    /// Number of bytes at the end of the last write that only reach the file with the next write, so that a
+    /// crash tears it.
     pub torn: u64,
 }
 
-/// Why a fault file was rejected.
+/// Reason for rejecting a fault file.
 #[derive(Debug, Error)]
 pub enum FaultFileError {
-    /// The text is not JSON5 of the expected form; names line and field.
+    /// The text is not JSON5 of the expected structure. The error contains the line and the field.
     #[error(transparent)]
     Syntax(#[from] json5::Error),
     /// A failpoint would block for too long.
-    #[error("points.wait_ms: 0 to {MAX_WAIT_MS}, is {0}")]
+    #[error("points.wait_ms: expected 0 to {MAX_WAIT_MS}, got {0}")]
     WaitTooLong(u64),
     /// Too many failpoints are armed.
-    #[error("points.arm: at most {MAX_ARMED_POINTS} points, are {0}")]
+    #[error("points.arm: expected at most {MAX_ARMED_POINTS} points, got {0}")]
     TooManyPoints(usize),
     /// A failpoint's name or pass is out of range.
     #[error(
-        "points.arm: a name of up to {MAX_NAME_LENGTH} letters, digits, dots and dashes, and a pass from 1 on, not \
-         {name:?} at {pass}"
+        "points.arm: expected a name of up to {MAX_NAME_LENGTH} letters, digits, dots, dashes and underscores, and a \
+         pass of at least 1, got {name:?} at pass {pass}"
     )]
     InvalidPoint {
-        /// The name as given.
+        /// Name in the fault file.
         name: String,
-        /// The pass as given.
+        /// Pass in the fault file.
         pass: u32,
     },
     /// Too many writes are delayed.
-    #[error("disk.hold_back: 0 to {MAX_DELAYED_WRITES}, is {0}")]
+    #[error("disk.hold_back: expected 0 to {MAX_DELAYED_WRITES}, got {0}")]
     TooManyDelayedWrites(u32),
 }
 
@@ -134,7 +138,7 @@
     /// Parses and checks the text of a fault file.
     ///
     /// # Errors
-    /// The line and field, or the field and its range.
+    /// The line and field of a syntax error, or the first field out of range and its range.
     pub fn parse(text: &str) -> Result<FaultFile, FaultFileError> {
         let faults: FaultFile = json5::from_str(text)?;
         faults.check()?;
@@ -144,7 +148,7 @@
     /// Checks all ranges.
     ///
     /// # Errors
-    /// The first field that is out of its range.
+    /// The first field that is out of range.
     pub fn check(&self) -> Result<(), FaultFileError> {
         self.points.check()?;
         if self.disk.delayed_writes > MAX_DELAYED_WRITES {
--- a/crates/failpoints/src/faulty_disk.rs
+++ b/crates/failpoints/src/faulty_disk.rs
@@ -1,11 +1,12 @@
-//! A state machine that distorts the writes of a store as a faulty disk would. It performs no I/O: the store passes each
-//! write in and carries out the writes that come back, in order. Without a fault every write comes back unchanged.
+//! A state machine that delays, tears or fails the writes of a store as a faulty disk would. It performs no
+//! I/O: the store passes each write in and performs the returned writes in order. Without a fault every write
+//! is returned unchanged.
 
 use crate::fault_file::{DiskErrorKind, DiskFaults};
 use std::collections::VecDeque;
 use std::io;
 
-/// Maximum number of bytes in delayed writes; beyond it the oldest writes reach the file.
+/// Maximum total size of delayed writes, in bytes; beyond it the oldest writes reach the file.
 pub const MAX_DELAYED_BYTES: usize = 16 << 20;
 
 /// Bytes to be written at an offset of a file.
@@ -13,28 +14,28 @@
 pub struct Write {
     /// Offset from the beginning of the file.
     pub offset: u64,
-    /// The bytes.
+    /// Bytes to be written.
     pub bytes: Vec<u8>,
 }
 
 impl Write {
-    /// Offset just behind the last byte.
+    /// Offset of the end (exclusive).
     fn end(&self) -> u64 {
         self.offset + self.bytes.len() as u64
     }
 }
 
-/// A write that failed: the store must carry out `partial` and then return the error.
+/// A failed write: the store must perform the writes in `partial` and then return the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedWrite {
-    /// What reaches the file nevertheless.
+    /// Writes that reach the file before the error.
     pub partial: Vec<Write>,
-    /// The kind of error.
+    /// Kind of the error.
     pub kind: DiskErrorKind,
 }
 
 impl FailedWrite {
-    /// The error as a file would return it.
+    /// Converts to the error that a file would return.
     pub fn to_io_error(&self) -> io::Error {
         match self.kind {
             DiskErrorKind::Enospc => {
@@ -45,7 +46,7 @@
     }
 }
 
-/// A disk with faults, under one file.
+/// A faulty disk that holds one file.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk {
     faults: DiskFaults,
@@ -55,7 +56,7 @@
 }
 
 impl FaultyDisk {
-    /// A disk with the given faults at the opening of the store.
+    /// Creates a disk with the given faults when the store is opened.
     pub fn new(faults: DiskFaults) -> FaultyDisk {
         FaultyDisk { faults, ..FaultyDisk::default() }
     }
@@ -63,7 +64,7 @@
     /// Accepts a write and returns the writes that reach the file now.
     ///
     /// # Errors
-    /// If the disk is full or fails: the part that still reaches the file.
+    /// The disk is full or fails; the error contains the writes that still reach the file.
     pub fn write(&mut self, offset: u64, bytes: &[u8]) -> Result<Vec<Write>, FailedWrite> {
         let capacity = self.remaining_capacity();
         if bytes.len() as u64 > capacity {
@@ -79,25 +80,27 @@
         Ok(vec![Write { offset, bytes: bytes.to_vec() }])
     }
 
-    /// Applies delayed writes to `read`, the content of the file from `offset`: a store sees its own writes.
-    pub fn overlay(&self, offset: u64, read: &mut [u8]) {
-        let read_end = offset + read.len() as u64;
+    /// Applies delayed writes to `contents`, which were read from the file at `offset`, so that a store reads
+    /// its own writes.
+    pub fn overlay(&self, offset: u64, contents: &mut [u8]) {
+        let contents_end = offset + contents.len() as u64;
         for write in &self.delayed {
-            let from = write.offset.max(offset);
-            let to = write.end().min(read_end);
-            if from < to {
-                let range_from = |base: u64| (from - base) as usize..(to - base) as usize;
-                read[range_from(offset)].copy_from_slice(&write.bytes[range_from(write.offset)]);
+            let start = write.offset.max(offset);
+            let end = write.end().min(contents_end);
+            if start < end {
+                let range_from = |base: u64| (start - base) as usize..(end - base) as usize;
+                contents[range_from(offset)].copy_from_slice(&write.bytes[range_from(write.offset)]);
             }
         }
     }
 
-    /// The length of the file as the store must see it, given the length that has reached the disk.
+    /// Length of the file including delayed writes, as the store must see it; `file_length` is the length on
+    /// disk.
     pub fn visible_length(&self, file_length: u64) -> u64 {
         self.delayed.iter().map(Write::end).fold(file_length, u64::max)
     }
 
-    /// Removes and returns the delayed writes, in order: a clean shutdown writes them, a crash loses them.
+    /// Removes and returns the delayed writes in order. A clean shutdown performs them; a crash loses them.
     pub fn drain(&mut self) -> Vec<Write> {
         self.delayed_bytes = 0;
         self.delayed.drain(..).collect()
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Releases all delayed writes and as much of this write as fits.
+    /// Releases all delayed writes, and the part of this write that fits.
     fn fail_write(&mut self, offset: u64, bytes: &[u8], capacity: u64) -> FailedWrite {
         self.accepted_bytes += capacity;
         let mut partial = self.drain();
@@ -120,7 +123,7 @@
         FailedWrite { partial, kind: self.faults.write_error }
     }
 
-    /// Delays this write and returns those that are no longer among the latest ones.
+    /// Delays this write and releases those that are no longer among the latest ones.
     fn delay_write(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
         self.push_delayed(Write { offset, bytes: bytes.to_vec() });
         let mut released = Vec::new();
@@ -132,7 +135,8 @@
         released
     }
 
-    /// Delays the end of this write and returns its beginning, after the end of the write before.
+    /// Delays the end of this write, and releases the end of the previous write and the beginning of this
+    /// one.
     fn tear(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
         let mut released = self.drain();
         let torn = usize::try_from(self.faults.torn).unwrap_or(usize::MAX);
--- a/crates/failpoints/src/lib.rs
+++ b/crates/failpoints/src/lib.rs
@@ -1,15 +1,18 @@
 //! Failpoints and disk faults for tests of crash recovery.
 //!
-//! A failpoint is a named place in the program where a crash is most likely to expose a fault, for example between a vote that was
-//! decided and its write to disk. The program marks it by `sprucelink_failpoints::hit("consensus.vote.unsynced")`. When
-//! the point is armed, the call prints the line `point consensus.vote.unsynced` to standard error, flushes, and blocks
-//! for a bounded time, so that the test harness that reads the line can kill the process exactly there.
+//! A failpoint is a named place in the program where a crash is most likely to expose a fault, for example
+//! between the decision on a vote and its write to disk. The program marks it by
+//! `sprucelink_failpoints::hit("consensus.vote.unsynced")`. If the failpoint is armed, the call prints the
+//! line `point consensus.vote.unsynced` to standard error, flushes, and blocks for a bounded time, so that
+//! the test harness that reads the line can kill the process exactly there.
 //!
-//! Armed points and disk faults come from the file `faults.json5` in the process's folder ([`fault_file::FaultFile`]),
-//! which the harness writes before it starts the process. Without the cargo feature `hits`, [`hit`] is an empty function
-//! and [`arm`] fails: a release build cannot be made to wait.
+//! Armed points and disk faults come from the file `faults.json5` in the process's folder
+//! ([`fault_file::FaultFile`]), which the harness writes before it starts the process. Without the cargo
+//! feature `hits`, [`hit`] is an empty function and [`arm`] fails, so that a release build cannot be made to
+//! block.
 //!
-//! The set of armed points is the one piece of global state: failpoints are in code that has no access to the harness.
+//! The set of armed points is the only global state, because failpoints are in code that has no access to the
+//! harness.
 
 mod error;
 pub mod fault_file;
@@ -24,14 +27,14 @@
 use std::io;
 use std::path::Path;
 
-/// Prefix of the line that a hit failpoint prints; the point's name follows.
+/// Prefix of the line that an armed failpoint prints; the failpoint's name follows.
 pub const HIT_LINE_PREFIX: &str = "point ";
 
-/// Arms failpoints for the whole process and disarms those armed before.
+/// Arms failpoints for the whole process and disarms any armed before.
 ///
 /// # Errors
-/// [`FailpointError::NotBuiltIn`] in a build without the feature `hits`, unless `points` is empty: an armed point that
-/// is never hit would let a test pass without its fault.
+/// [`FailpointError::NotBuiltIn`] in a build without the feature `hits`, unless `points` is empty: an armed
+/// point that is never hit would let a test pass without its fault.
 pub fn arm(points: Failpoints) -> Result<(), FailpointError> {
     #[cfg(feature = "hits")]
     {
@@ -46,8 +49,8 @@
     }
 }
 
-/// Marks a failpoint. If it is armed for this pass, prints its name and blocks the thread for the configured time, at
-/// most [`fault_file::MAX_WAIT_MS`]; else does nothing.
+/// Marks a failpoint. If it is armed for this pass, prints its name and blocks the thread for the configured
+/// time, at most [`fault_file::MAX_WAIT_MS`]; otherwise does nothing.
 #[inline]
 pub fn hit(name: &str) {
     #[cfg(feature = "hits")]
@@ -56,11 +59,12 @@
     let _ = name;
 }
 
-/// Reads the fault file of a process's folder and arms its failpoints. Without such a file there are no faults.
+/// Reads the fault file of a process's folder and arms its failpoints. Without such a file there are no
+/// faults.
 ///
 /// # Errors
-/// The file's path and what is wrong with it. In a build without the feature `hits` the presence of the file is an
-/// error and it is not read: a release build must not lose writes because of a file.
+/// The path of the file and the reason for rejecting it. In a build without the feature `hits` the presence
+/// of the file is an error and the file is not read: a release build must not lose writes because of a file.
 pub fn load_and_arm(folder: &Path) -> Result<FaultFile, FailpointError> {
     let path = folder.join(fault_file::FILE_NAME);
     if cfg!(not(feature = "hits")) {
--- a/crates/failpoints/tests/failpoints.rs
+++ b/crates/failpoints/tests/failpoints.rs
@@ -1,4 +1,4 @@
-//! Failpoints as the program meets them: armed from the fault file, hit once at the configured pass.
+//! Tests of failpoints that are armed from the fault file and hit once, at the configured pass.
 
 #[cfg(feature = "hits")]
 use sprucelink_failpoints::fault_file::FaultFile;
@@ -10,7 +10,7 @@
 #[test]
 fn fault_file_is_rejected_by_a_build_without_failpoints() {
     let folder = std::env::temp_dir().join(format!("sprucelink-no-points-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("temporary folder");
     assert!(load_and_arm(&folder).is_ok());
     std::fs::write(folder.join("faults.json5"), "{}").expect("written");
     assert!(load_and_arm(&folder).unwrap_err().to_string().contains("takes no faults"));
@@ -25,15 +25,15 @@
 #[test]
 fn armed_failpoint_blocks_once_at_its_pass_and_others_do_not() {
     let folder = std::env::temp_dir().join(format!("sprucelink-failpoints-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    assert_eq!(load_and_arm(&folder).expect("no file, no fault"), FaultFile::default());
+    std::fs::create_dir_all(&folder).expect("temporary folder");
+    assert_eq!(load_and_arm(&folder).expect("without a file there are no faults"), FaultFile::default());
     std::fs::write(folder.join("faults.json5"), "{ points: { arm: { 'a.b': 2 }, wait_ms: 300 } }")
         .expect("written");
     load_and_arm(&folder).expect("armed");
     let blocks = |name: &str| {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         hit(name);
-        begun.elapsed() >= Duration::from_millis(300)
+        started_at.elapsed() >= Duration::from_millis(300)
     };
     assert_eq!([blocks("a.b"), blocks("x"), blocks("a.b"), blocks("a.b")], [false, false, true, false]);
     std::fs::write(folder.join("faults.json5"), "{ point: 1 }").expect("written");
--- a/crates/failpoints/tests/fault_file.rs
+++ b/crates/failpoints/tests/fault_file.rs
@@ -1,20 +1,20 @@
-//! The fault file: defaults, the pass that a failpoint is armed for, and rejected values.
+//! Tests of the fault file: defaults, the pass for which a failpoint is armed, and rejected values.
 
 use sprucelink_failpoints::fault_file::FaultFile;
 
 #[test]
 fn missing_fields_take_their_defaults() {
     let text = "{ points: { arm: { 'vote.unsynced': 2 } }, disk: { torn: 3 } }";
-    let faults = FaultFile::parse(text).expect("read");
+    let faults = FaultFile::parse(text).expect("valid");
     assert_eq!((faults.points.wait_ms, faults.disk.torn, faults.disk.delayed_writes), (2_000, 3, 0));
 }
 
 #[test]
-fn failpoint_is_due_once_at_the_pass_it_is_armed_for() {
-    let faults = FaultFile::parse("{ points: { arm: { 'vote.unsynced': 2 } } }").expect("read");
+fn failpoint_is_hit_once_at_the_pass_for_which_it_is_armed() {
+    let faults = FaultFile::parse("{ points: { arm: { 'vote.unsynced': 2 } } }").expect("valid");
     let mut points = faults.points;
     let passes = [1, 2, 3].map(|_| points.count_pass("vote.unsynced"));
-    assert_eq!(passes, [false, true, false], "the second pass, once");
+    assert_eq!(passes, [false, true, false], "only at the second pass");
     assert!(!points.count_pass("other"));
 }
 
--- a/crates/failpoints/tests/faulty_disk.rs
+++ b/crates/failpoints/tests/faulty_disk.rs
@@ -1,4 +1,5 @@
-//! A faulty disk: what a file holds after a crash, and what the store reads before it.
+//! Tests of the faulty disk: the contents of a file after a crash, and those that the store reads before the
+//! crash.
 
 use sprucelink_failpoints::fault_file::DiskFaults;
 use sprucelink_failpoints::faulty_disk::{FaultyDisk, Write};
@@ -6,14 +7,15 @@
 
 fn apply(file: &mut Vec<u8>, writes: Vec<Write>) {
     for write in writes {
-        let from = write.offset as usize;
-        let to = from + write.bytes.len();
-        file.resize(file.len().max(to), 0);
-        file[from..to].copy_from_slice(&write.bytes);
+        let start = write.offset as usize;
+        let end = start + write.bytes.len();
+        file.resize(file.len().max(end), 0);
+        file[start..end].copy_from_slice(&write.bytes);
     }
 }
 
-/// Appends three times; returns the file after a crash and what the store read before it.
+/// Appends three times; returns the contents of the file after a crash, and those that the store read before
+/// it.
 fn append_three_times(faults: DiskFaults) -> (Vec<u8>, Vec<u8>) {
     let mut disk = FaultyDisk::new(faults);
     let mut file = Vec::new();
@@ -21,10 +23,10 @@
         let writes = disk.write(offset, bytes).expect("accepted");
         apply(&mut file, writes);
     }
-    let mut read = file.clone();
-    read.resize(disk.visible_length(file.len() as u64) as usize, 0);
-    disk.overlay(0, &mut read);
-    (file, read)
+    let mut contents = file.clone();
+    contents.resize(disk.visible_length(file.len() as u64) as usize, 0);
+    disk.overlay(0, &mut contents);
+    (file, contents)
 }
 
 #[test]
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn full_disk_accepts_what_fits_and_then_nothing() {
+fn full_disk_accepts_the_bytes_that_fit_and_rejects_further_writes() {
     let faults = DiskFaults { full_after: Some(4), delayed_writes: 1, ..DiskFaults::default() };
     let mut disk = FaultyDisk::new(faults);
     assert_eq!(disk.write(0, b"abc"), Ok(vec![]), "delayed");
