--- a/crates/history-checker/src/config.rs
+++ b/crates/history-checker/src/config.rs
@@ -1,59 +1,61 @@
-//! What a run is checked against: disruption budgets and time bounds, as the `check` section of a scenario gives them.
+//! The disruption budgets and time bounds that a run must satisfy, from the `check` section of a scenario.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Most disruption budgets of a run.
+/// Maximum number of disruption budgets of a run.
 const MAX_BUDGETS: usize = 64;
-/// Longest time bound, in milliseconds: the harness's longest run.
+/// Maximum time bound, in milliseconds: the duration of the harness's longest run.
 const MAX_BOUND_MS: u64 = 600_000;
 
-/// What a disruption budget counts.
+/// Kind of members that a disruption budget counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberKind {
-    /// Managers.
+    /// The managers of the fleet.
     Managers,
-    /// Engines.
+    /// The engines behind the fleet.
     Engines,
 }
 
-/// Bound on how many members may be unavailable at any instant: of the fleet, of a zone, of a pool, or of a zone's part
-/// of a pool.
+/// Maximum number of members of the fleet, of a zone, of a pool, or of a zone's part of a pool that may be
+/// unavailable at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DisruptionBudget {
     /// Kind of members that the budget counts.
     #[serde(rename = "of")]
     pub member_kind: MemberKind,
-    /// Count only members of this zone.
+    /// Zone whose members are counted; `None` counts all zones.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Count only members of this pool.
+    /// Pool whose members are counted; `None` counts all pools.
     #[serde(default)]
     pub pool: Option<String>,
-    /// Most members that may be unavailable.
+    /// Maximum number of members that may be unavailable at the same time.
     #[serde(rename = "most", alias = "max_unavailable")]
     pub max_unavailable: usize,
 }
 
-/// Budgets and time bounds, the latter 0 to 600,000 ms.
+/// Disruption budgets and time bounds; each time bound is 0 to 600,000 ms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CheckConfig {
     /// Disruption budgets, at most 64.
     pub budgets: Vec<DisruptionBudget>,
-    /// How long the fleet may take to detect an unplanned outage, in milliseconds: only then does the outage count when
-    /// a planned one is permitted.
+    /// Time that the fleet may take to detect an unplanned outage, in milliseconds. Until then the outage
+    /// does not count when the fleet permits a planned one.
     pub notice_ms: u64,
-    /// How long after a halt was observed as committed a permit may still take effect, in milliseconds.
+    /// Time after a halt was observed as committed in which a permit may still take effect, in milliseconds.
     pub halt_ms: u64,
-    /// An engine without a command for longer than this is unavailable since its last one, in milliseconds; 0 disables
-    /// the rule. The bound must be far above the gaps that the run's load leaves at one engine.
+    /// Time without a command after which an engine counts as unavailable since its last command, in
+    /// milliseconds; 0 disables the rule. It must be far longer than the gaps between an engine's commands
+    /// under the run's load.
     pub quiet_ms: u64,
-    /// How long a subscriber's lease outlives its connection, in milliseconds.
+    /// Time for which a subscriber's lease remains valid after its connection is closed, in milliseconds.
     pub lease_ms: u64,
-    /// How long after its acknowledgement an operation may still be missing from every record, in milliseconds.
+    /// Time after an operation's acknowledgement in which the operation may still be missing from all
+    /// records, in milliseconds.
     pub settle_ms: u64,
 }
 
@@ -70,18 +72,18 @@
     }
 }
 
-/// Why a [`CheckConfig`] was rejected.
+/// Reason for rejecting a [`CheckConfig`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CheckConfigError {
-    /// There are too many budgets.
-    #[error("budgets: at most {MAX_BUDGETS}, are {0}")]
+    /// There are too many disruption budgets.
+    #[error("budgets: expected at most {MAX_BUDGETS}, got {0}")]
     TooManyBudgets(usize),
     /// A time bound is out of range.
-    #[error("{field}: 0 to {MAX_BOUND_MS}, is {value}")]
+    #[error("{field}: expected 0 to {MAX_BOUND_MS}, got {value}")]
     BoundOutOfRange {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value in milliseconds.
+        /// Value of the field in milliseconds.
         value: u64,
     },
 }
@@ -90,7 +92,7 @@
     /// Checks all ranges.
     ///
     /// # Errors
-    /// The first field that is out of its range.
+    /// The first field that is out of range.
     pub fn check(&self) -> Result<(), CheckConfigError> {
         if self.budgets.len() > MAX_BUDGETS {
             return Err(CheckConfigError::TooManyBudgets(self.budgets.len()));
--- a/crates/history-checker/src/cursor.rs
+++ b/crates/history-checker/src/cursor.rs
@@ -5,25 +5,25 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A position: `EPOCH:INDEX` in decimal. Indexes are dense from 1 within an epoch; index 0 is before the first record. A
-/// later epoch is a later position.
+/// A position in the log, written as `EPOCH:INDEX` in decimal. Indexes are dense from 1 within an epoch;
+/// index 0 is the position before the first record. Positions are ordered by epoch, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cursor {
-    /// The log's epoch.
+    /// Epoch of the log.
     pub epoch: u64,
-    /// The record's index within the epoch.
+    /// Index of the record within the epoch.
     pub index: u64,
 }
 
-/// A text is not a cursor.
+/// Error of parsing a text that is not a cursor.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("a cursor is EPOCH:INDEX in decimal, not {text:?}")]
+#[error("invalid cursor {text:?}: expected EPOCH:INDEX in decimal")]
 pub struct ParseCursorError {
     text: String,
 }
 
 impl Cursor {
-    /// A position.
+    /// The position of `index` in `epoch`.
     pub fn new(epoch: u64, index: u64) -> Cursor {
         Cursor { epoch, index }
     }
@@ -35,8 +35,8 @@
 }
 
 impl fmt::Display for Cursor {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}", self.epoch, self.index)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}:{}", self.epoch, self.index)
     }
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Parses a number without sign or leading zeros: a position has exactly one textual form.
+/// Parses a number without sign or leading zeros, so that each position has exactly one textual form.
 fn parse_canonical(digits: &str) -> Option<u64> {
     let number = digits.parse::<u64>().ok()?;
     (number.to_string() == digits).then_some(number)
--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -1,46 +1,48 @@
-//! The events of a history. Each is one JSON object on a line of its own: `at_us`, `kind`, and the fields of that kind.
-//! The words of the JSON form are older than the names of the variants; stored histories are read by them.
+//! The events of a history. Each is one line with a JSON object: `at_us`, `kind`, and the fields of that
+//! kind. The names in JSON differ from those of the variants and must not change, because stored histories
+//! use them.
 
 use crate::cursor::Cursor;
 use serde::{Deserialize, Serialize};
 
-/// An event and when it was observed.
+/// An event and the time at which it was observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// Microseconds since the start of the run, on the harness's one monotonic clock.
+    /// Time since the start of the run, in microseconds on the harness's monotonic clock.
     pub at_us: u64,
-    /// What was observed.
+    /// The observed event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A manager or an engine, with the zone and pool by which disruption budgets count it.
+/// A manager or an engine, with its zone and pool, by which disruption budgets count it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetMember {
-    /// Its name.
+    /// Name of the member, unique in the run.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member; empty if it has none.
     #[serde(default)]
     pub zone: String,
-    /// Its pool.
+    /// Pool of the member; empty if it has none.
     #[serde(default)]
     pub pool: String,
 }
 
-/// Who caused a process to exit.
+/// Cause of a process's exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// The process itself: on purpose with status 0 or [`EXIT_STATUS_NEXT_VERSION`], else by a fault of its own.
+    /// The process exited by itself: intentionally with status 0 or [`EXIT_STATUS_NEXT_VERSION`], otherwise
+    /// by its own fault.
     Own,
     /// The nemesis killed it or asked it to exit.
     Nemesis,
 }
 
-/// Exit status by which a process asks its supervisor to start the version that its folder names.
+/// Exit status by which a process requests its supervisor to start the version named in the process's folder.
 pub const EXIT_STATUS_NEXT_VERSION: i32 = 75;
 
-/// Something observed from outside the processes.
+/// An event observed from outside the processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Event {
@@ -49,14 +51,14 @@
     RunStarted {
         /// Name of the scenario.
         scenario: String,
-        /// Seed of the run.
+        /// Seed of the run's randomness.
         seed: u64,
-        /// All managers.
+        /// All managers of the run.
         managers: Vec<FleetMember>,
-        /// The engines at the start.
+        /// Engines at the start of the run.
         engines: Vec<FleetMember>,
     },
-    /// An engine was added later.
+    /// An engine was added during the run.
     #[serde(rename = "engine")]
     EngineAdded(FleetMember),
     /// A process was started.
@@ -64,11 +66,11 @@
     Started {
         /// Name of the process.
         process: String,
-        /// The version it was started as.
+        /// Version as which it was started.
         version: String,
-        /// Offset of its clock from the harness's, in milliseconds.
+        /// Offset of the process's clock from the harness's, in milliseconds.
         clock_offset_ms: i64,
-        /// Whether its folder was emptied first.
+        /// Whether the process's folder was emptied before the start.
         emptied: bool,
     },
     /// A process has begun to serve.
@@ -82,13 +84,13 @@
     Exited {
         /// Name of the process.
         process: String,
-        /// Its exit status; `None` if a signal ended it.
+        /// Exit status; `None` if a signal ended the process.
         status: Option<i32>,
-        /// The signal that ended it.
+        /// Signal that ended the process; `None` if it exited.
         signal: Option<i32>,
-        /// Who caused the exit.
+        /// Cause of the exit.
         cause: ExitCause,
-        /// The version that it asked to be started as.
+        /// Version as which the process requested to be started again.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         next: Option<String>,
     },
@@ -112,169 +114,170 @@
         /// Name of the failpoint.
         point: String,
     },
-    /// The nemesis acted. This alone changes nothing in a check.
+    /// The nemesis performed an action. This event alone does not affect any check.
     #[serde(rename = "act")]
     NemesisAction {
-        /// The action, as the scenario words it.
+        /// The action as written in the scenario.
         act: String,
-        /// Its targets.
+        /// Targets of the action.
         on: Vec<String>,
     },
-    /// From now on the nemesis keeps these engines from serving: an unplanned outage.
+    /// The nemesis began to prevent engines from serving: an unplanned outage of each.
     #[serde(rename = "struck")]
     FaultBegan {
-        /// The engines.
+        /// Names of the engines.
         on: Vec<String>,
     },
-    /// The nemesis no longer keeps these engines from serving.
+    /// The nemesis stopped preventing engines from serving.
     #[serde(rename = "lifted")]
     FaultEnded {
-        /// The engines.
+        /// Names of the engines.
         on: Vec<String>,
     },
     /// A connection to an engine was opened.
     #[serde(rename = "dial")]
     Connected {
-        /// The engine.
+        /// Name of the engine.
         engine: String,
         /// Number of the connection at this engine.
         connection: u64,
     },
     /// A command reached an engine.
     Command {
-        /// The engine.
+        /// Name of the engine.
         engine: String,
-        /// The connection that carried it.
+        /// Number of the connection that carried the command.
         connection: u64,
-        /// Its first word.
+        /// First word of the command.
         word: String,
-        /// The manager that sent it, where the command names one.
+        /// Name of the manager that sent the command; `None` if the command does not name it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         manager: Option<String>,
     },
     /// A connection to an engine was closed.
     #[serde(rename = "hangup")]
     Disconnected {
-        /// The engine.
+        /// Name of the engine.
         engine: String,
         /// Number of the connection at this engine.
         connection: u64,
     },
     /// A discovery service received a request for the endpoint list.
     ListCall {
-        /// The group whose service it is.
+        /// Group to which the service belongs.
         service: String,
-        /// The request's `Last-Event-ID`, verbatim.
+        /// `Last-Event-ID` of the request, verbatim.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cursor: Option<String>,
-        /// `serving`, `refusing` or `stalling`.
+        /// Kind of the answer: `serving`, `refusing` or `stalling`.
         answer: String,
     },
     /// A subscriber connected to a manager.
     #[serde(rename = "join")]
     SubscriberConnected {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The manager.
+        /// Name of the manager.
         manager: String,
-        /// The cursor it resumed from; `None` the very first time.
+        /// Cursor from which the subscriber resumed; `None` at its first connection.
         cursor: Option<Cursor>,
-        /// The protocol version it speaks.
+        /// Protocol version of the subscriber.
         version: String,
-        /// Its filter; empty if it reads all records.
+        /// Filter of the subscriber; empty if it reads all records.
         #[serde(default)]
         filter: String,
     },
     /// A subscriber read a record.
     Record {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The manager that sent it.
+        /// Name of the manager that sent it.
         manager: String,
-        /// The record's position.
+        /// Position of the record.
         cursor: Cursor,
-        /// Position of the record before it that passes the subscriber's filter, as the manager claims.
+        /// Position of the previous record that passes the subscriber's filter, according to the manager.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         prev: Option<Cursor>,
-        /// The record's name.
+        /// Name of the record.
         #[serde(default)]
         name: String,
-        /// Digest of its content without `prev`.
+        /// Digest of the record's content without `prev`.
         digest: String,
-        /// Its data, truncated at the recorder's bound.
+        /// Data of the record, truncated at the recorder's limit.
         #[serde(default)]
         data: String,
-        /// The operation it carries out.
+        /// Operation that the record carries out.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         op: Option<String>,
-        /// Why the subscriber could not decode it by the rules of its version, if so.
+        /// Reason why the subscriber could not decode the record by the rules of its version; `None` if it
+        /// could.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unreadable: Option<String>,
     },
-    /// A subscriber received a snapshot, marked as such, in place of the records up to a position.
+    /// A subscriber received a snapshot, marked as such, instead of the records up to a position.
     Snapshot {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The manager that sent it.
+        /// Name of the manager that sent it.
         manager: String,
-        /// The last position that the snapshot covers.
+        /// Last position that the snapshot covers.
         cursor: Cursor,
-        /// Digest of its content.
+        /// Digest of the snapshot's content.
         digest: String,
     },
     /// A subscriber's connection was closed or could not be opened.
     #[serde(rename = "left")]
     SubscriberDisconnected {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The manager.
+        /// Name of the manager.
         manager: String,
-        /// The reason.
+        /// Reason for the disconnection.
         why: String,
     },
-    /// A manager's log, read from outside, holds a record at a position.
+    /// A manager's log, read from outside, contains a record at a position.
     #[serde(rename = "held")]
     JournalRecord {
-        /// The manager.
+        /// Name of the manager.
         manager: String,
-        /// The position.
+        /// Position of the record.
         cursor: Cursor,
-        /// Digest of the content, as in [`Event::Record`] of version "".
+        /// Digest of the record's content, as in [`Event::Record`] for version "".
         digest: String,
-        /// The operation it carries out.
+        /// Operation that the record carries out.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         op: Option<String>,
     },
     /// An operation was acknowledged to its caller.
     #[serde(rename = "ack")]
     Acknowledged {
-        /// The operation.
+        /// Id of the operation.
         op: String,
-        /// The position returned with the acknowledgement.
+        /// Position returned with the acknowledgement.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cursor: Option<Cursor>,
     },
     /// A halt of a release was observed as committed.
     #[serde(rename = "halt")]
     Halted {
-        /// Its id; a second halt with the same id while it is in force changes nothing.
+        /// Id of the halt; a second halt with the same id has no effect while the first is in force.
         id: String,
-        /// The version whose release is halted; `None`: all releases and all drains.
+        /// Version whose release is halted; `None` halts all releases and all drains.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         version: Option<String>,
     },
     /// A halt is no longer in force.
     #[serde(rename = "halt_over")]
     HaltLifted {
-        /// Its id.
+        /// Id of the halt.
         id: String,
     },
-    /// From now on a schema is in force that these subscriber versions can read.
+    /// A schema came into force that the given subscriber versions can read.
     #[serde(rename = "schema")]
     SchemaActivated {
-        /// The publisher.
+        /// Publisher of the schema.
         publisher: String,
-        /// Versions of subscribers that can read it.
+        /// Versions of subscribers that can read the schema.
         reads: Vec<String>,
     },
 }
--- a/crates/history-checker/src/invariants/acknowledged.rs
+++ b/crates/history-checker/src/invariants/acknowledged.rs
@@ -1,5 +1,5 @@
-//! No acknowledged operation is lost: some record that a subscriber reads or a manager holds carries it out, at the
-//! position that was acknowledged, once the configured time to settle is over.
+//! No acknowledged operation is lost: after the configured settling time, a record that a subscriber read or
+//! that a manager's log contains carries the operation out, at the acknowledged position.
 
 use crate::config::CheckConfig;
 use crate::cursor::Cursor;
@@ -7,14 +7,14 @@
 use crate::InvariantReport;
 use std::collections::BTreeMap;
 
-/// Name of the invariant.
+/// Name of the invariant in reports.
 pub const NAME: &str = "acknowledged-lost";
 
-/// Checks a history.
+/// Checks a history for violations of the invariant.
 pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
     let mut report = InvariantReport::default();
     let mut positions: BTreeMap<&str, Vec<Cursor>> = BTreeMap::new();
-    // The time of the last record: later acknowledgements cannot show up any more.
+    // Time of the last record: operations acknowledged later cannot appear in a record of this history.
     let mut last_record_us = 0;
     for entry in history {
         if let Event::Record { cursor, op, .. } | Event::JournalRecord { cursor, op, .. } = &entry.event {
@@ -28,14 +28,16 @@
         let Event::Acknowledged { op, cursor } = event else { continue };
         report.examined += 1;
         match (positions.get(op.as_str()), cursor) {
-            (Some(found), Some(acknowledged)) if !found.contains(acknowledged) => {
-                let description =
-                    format!("operation {op} was acknowledged at {acknowledged} and is held at {found:?}");
+            (Some(recorded), Some(acknowledged)) if !recorded.contains(acknowledged) => {
+                let description = format!(
+                    "operation {op} was acknowledged at {acknowledged}, but is recorded at {recorded:?}"
+                );
                 report.add(NAME, *at_us, description);
             }
             (None, _) if at_us + config.settle_ms * 1_000 <= last_record_us => {
-                let place = cursor.map_or(String::new(), |cursor| format!(" at {cursor}"));
-                let description = format!("operation {op} was acknowledged{place} and no record holds it");
+                let position = cursor.map_or(String::new(), |cursor| format!(" at {cursor}"));
+                let description =
+                    format!("operation {op} was acknowledged{position}, but no record contains it");
                 report.add(NAME, *at_us, description);
             }
             _ => {}
--- a/crates/history-checker/src/invariants/budget.rs
+++ b/crates/history-checker/src/invariants/budget.rs
@@ -1,6 +1,7 @@
-//! Planned outages stay within every disruption budget: at the instant a planned outage begins, the members unavailable by
-//! then, planned and unplanned together and itself included, are within each budget that counts it. An unplanned outage
-//! counts from the configured time to detect it; by itself it violates nothing, for nobody decided it.
+//! Planned outages stay within every disruption budget: when a planned outage begins, the number of
+//! unavailable members, planned and unplanned and including the new one, is within each budget that counts
+//! the member. An unplanned outage counts once the configured detection time has passed; it never violates a
+//! budget by itself, because the fleet did not decide on it.
 
 use crate::config::{CheckConfig, DisruptionBudget, MemberKind};
 use crate::event::{FleetMember, HistoryEntry};
@@ -8,10 +9,10 @@
 use crate::InvariantReport;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Name of the invariant.
+/// Name of the invariant in reports.
 pub const NAME: &str = "outage-budget";
 
-/// Checks a history.
+/// Checks a history for violations of the invariant.
 pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
     let outages = outages(history, config);
     let members = members(history);
@@ -36,8 +37,8 @@
     members: &BTreeMap<String, (MemberKind, FleetMember)>,
 ) -> bool {
     let member = members.get(&outage.member).map(|(_, member)| member);
-    let is_match = |wanted: &Option<String>, actual: Option<&String>| {
-        wanted.as_ref().is_none_or(|wanted| actual == Some(wanted))
+    let is_match = |expected: &Option<String>, actual: Option<&String>| {
+        expected.as_ref().is_none_or(|expected| actual == Some(expected))
     };
     outage.kind == budget.member_kind
         && is_match(&budget.zone, member.map(|member| &member.zone))
@@ -52,7 +53,7 @@
     members: &BTreeMap<String, (MemberKind, FleetMember)>,
     detection_us: u64,
 ) -> BTreeSet<&'a str> {
-    // The outages are ordered by their beginning: all that began by then come first.
+    // Outages are ordered by their start: all that began before or with the planned one come first.
     let begun = outages.iter().take_while(|other| other.from <= planned.from);
     let mut unavailable: BTreeSet<&str> = begun
         .filter(|other| other.to > planned.from && is_counted(other, budget, members))
--- a/crates/history-checker/src/invariants/halt.rs
+++ b/crates/history-checker/src/invariants/halt.rs
@@ -1,16 +1,16 @@
-//! No permit takes effect after a halt: no planned outage begins later than the configured bound after the halt was first
-//! observed as committed and before it is lifted. A rollback is no permit of the halted release: with a halt that names a
-//! version, a manager may exit to be started as another version.
+//! No permit takes effect after a halt: from the configured time after the halt was first observed as
+//! committed until it is lifted, no planned outage begins. A rollback is not part of the halted release:
+//! under a halt of one version, a manager may exit to be started as another version.
 
 use crate::config::CheckConfig;
 use crate::event::{Event, HistoryEntry};
 use crate::outages::{outages, Outage, NEVER};
 use crate::InvariantReport;
 
-/// Name of the invariant.
+/// Name of the invariant in reports.
 pub const NAME: &str = "permit-after-halt";
 
-/// A halt and the time for which it was in force, in microseconds of the run.
+/// A halt and the period in which it was in force, in microseconds of the run.
 struct Halt<'a> {
     id: &'a str,
     from: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Checks a history.
+/// Checks a history for violations of the invariant.
 pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
     let halts = halts(history);
     let mut report = InvariantReport { examined: halts.len() as u64, ..InvariantReport::default() };
@@ -55,7 +55,7 @@
     report
 }
 
-/// All halts of a history. A halt whose id is in force already changes nothing.
+/// All halts of a history. A halt is ignored while one with the same id is in force.
 fn halts(history: &[HistoryEntry]) -> Vec<Halt<'_>> {
     let mut halts: Vec<Halt<'_>> = Vec::new();
     for HistoryEntry { at_us, event } in history {
--- a/crates/history-checker/src/invariants/mod.rs
+++ b/crates/history-checker/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! The invariants, one module each. An invariant is applied to a whole history and reports where it is violated.
+//! The invariants, one module each. An invariant is applied to a complete history and reports its violations.
 
 pub mod acknowledged;
 pub mod agreement;
@@ -27,7 +27,7 @@
     (acknowledged::NAME, acknowledged::check),
 ];
 
-/// Names of the invariants.
+/// Names of all invariants, in the order of [`ALL`].
 pub const NAMES: [&str; 7] = [
     agreement::NAME,
     budget::NAME,
--- a/crates/history-checker/src/invariants/order.rs
+++ b/crates/history-checker/src/invariants/order.rs
@@ -1,7 +1,7 @@
-//! Each subscriber reads every record that passes its filter exactly once and in order, starting from its cursor. A
-//! record's `prev` must be the position read last; without it positions are dense. A snapshot, marked as such, may skip
-//! forward, never back. Records that a subscriber reads again because it resumed from an older cursor are no duplicates:
-//! its state is as old as its cursor.
+//! Each subscriber reads every record that passes its filter exactly once and in order, starting from its
+//! cursor. A record's `prev` must be the position read last; without `prev`, positions must be dense. A
+//! snapshot, marked as such, may skip forward but never back. Records that a subscriber reads again because
+//! it resumed from an older cursor are not duplicates: its state is as old as its cursor.
 
 use super::subscribers::SubscriberDeclarations;
 use crate::config::CheckConfig;
@@ -10,10 +10,10 @@
 use crate::InvariantReport;
 use std::collections::BTreeMap;
 
-/// Name of the invariant.
+/// Name of the invariant in reports.
 pub const NAME: &str = "subscriber-order";
 
-/// Checks a history.
+/// Checks a history for violations of the invariant.
 pub fn check(history: &[HistoryEntry], _: &CheckConfig) -> InvariantReport {
     let mut report = InvariantReport::default();
     let mut declarations = SubscriberDeclarations::default();
@@ -29,7 +29,7 @@
                 let last = last_read.insert(subscriber, Some(*cursor)).flatten();
                 if let Some(last) = last.filter(|last| cursor < last) {
                     let description =
-                        format!("{subscriber}: a snapshot of {cursor} from {manager} behind {last}");
+                        format!("{subscriber}: snapshot at {cursor} from {manager} is older than {last}");
                     report.add(NAME, entry.at_us, description);
                 }
             }
@@ -37,9 +37,9 @@
                 report.examined += 1;
                 let last = last_read.insert(subscriber, Some(*cursor)).flatten();
                 let is_filtered = !declarations.is_unfiltered(subscriber);
-                if let Some(fault) = find_fault(last, *cursor, *prev, is_filtered) {
+                if let Some(fault) = sequence_fault(last, *cursor, *prev, is_filtered) {
                     let last = last.map_or("nothing".to_owned(), |last| last.to_string());
-                    let prev = prev.map_or(String::new(), |prev| format!(" (behind {prev})"));
+                    let prev = prev.map_or(String::new(), |prev| format!(" (prev {prev})"));
                     let description =
                         format!("{subscriber}: {fault}: {cursor}{prev} from {manager} after {last}");
                     report.add(NAME, entry.at_us, description);
@@ -51,8 +51,8 @@
     report
 }
 
-/// What is wrong with a record, given the position read last, if anything.
-fn find_fault(
+/// The fault in the position of a record that was read after `last`; `None` if there is none.
+fn sequence_fault(
     last: Option<Cursor>,
     cursor: Cursor,
     prev: Option<Cursor>,
@@ -66,13 +66,14 @@
         (Some(last), _) if cursor < last => Some("reordered or duplicate"),
         (Some(last), Some(prev)) if prev > last => Some("gap"),
         (Some(last), Some(prev)) if prev < last => Some("does not follow the record read last"),
-        // Unfiltered, `prev` must be dense too: a manager that skips a record and admits it skips it all the same.
+        // Without a filter, positions must be dense even if `prev` names a gap: a manager that reports that
+        // it skipped a record has still skipped it.
         (Some(last), _) if !is_filtered && last.epoch == cursor.epoch && !last.is_followed_by(cursor) => {
             Some("gap")
         }
         (Some(last), None) if last.epoch != cursor.epoch => Some("new epoch without prev or snapshot"),
         (Some(_), None) if is_filtered => Some("filtered record without prev"),
-        // The very first record: from the beginning of the log, or after a snapshot.
+        // The first record of a subscriber must be at the start of the log or follow a snapshot.
         (None, Some(prev)) if prev.index != 0 => Some("gap"),
         (None, None) if !is_filtered && cursor.index != 1 => Some("gap"),
         _ => None,
--- a/crates/history-checker/src/invariants/schema.rs
+++ b/crates/history-checker/src/invariants/schema.rs
@@ -1,29 +1,31 @@
-//! No active schema breaks a subscriber with a lease: no subscriber reads a record that its version cannot decode, and no
-//! schema becomes active that excludes the version of a subscriber that is connected or was within the lease.
+//! No active schema breaks a subscriber with a lease: no subscriber reads a record that its version cannot
+//! decode, and no schema becomes active that excludes the version of a subscriber that is connected, or was
+//! connected within the lease time.
 
 use crate::config::CheckConfig;
 use crate::event::{Event, HistoryEntry};
 use crate::InvariantReport;
 use std::collections::BTreeMap;
 
-/// Name of the invariant.
+/// Name of the invariant in reports.
 pub const NAME: &str = "schema-lease";
 
 /// A subscriber's lease.
 struct Lease<'a> {
     version: &'a str,
-    /// When its connection was closed, in microseconds of the run; `None` while it is connected.
+    /// Time at which the subscriber's connection was closed, in microseconds of the run; `None` while it is
+    /// connected.
     disconnected_us: Option<u64>,
 }
 
 impl Lease<'_> {
-    /// Whether the lease is valid at an instant.
+    /// Whether the lease is valid at `at_us`.
     fn is_valid(&self, at_us: u64, config: &CheckConfig) -> bool {
-        self.disconnected_us.is_none_or(|end| at_us < end + config.lease_ms * 1_000)
+        self.disconnected_us.is_none_or(|disconnected_us| at_us < disconnected_us + config.lease_ms * 1_000)
     }
 }
 
-/// Checks a history.
+/// Checks a history for violations of the invariant.
 pub fn check(history: &[HistoryEntry], config: &CheckConfig) -> InvariantReport {
     let mut report = InvariantReport::default();
     let mut leases: BTreeMap<&str, Lease<'_>> = BTreeMap::new();
--- a/crates/history-checker/src/invariants/subscribers.rs
+++ b/crates/history-checker/src/invariants/subscribers.rs
@@ -1,9 +1,9 @@
-//! What subscribers declared when they connected last.
+//! The declarations of subscribers at their last connection.
 
 use crate::event::{Event, HistoryEntry};
 use std::collections::BTreeMap;
 
-/// A subscriber's declaration.
+/// Declaration of one subscriber.
 #[derive(Clone, Copy)]
 struct Declaration<'a> {
     version: &'a str,
@@ -15,19 +15,19 @@
 pub(super) struct SubscriberDeclarations<'a>(BTreeMap<&'a str, Declaration<'a>>);
 
 impl<'a> SubscriberDeclarations<'a> {
-    /// Reads one entry of the history.
+    /// Processes the next entry of the history.
     pub(super) fn observe(&mut self, entry: &'a HistoryEntry) {
         if let Event::SubscriberConnected { subscriber, version, filter, .. } = &entry.event {
             self.0.insert(subscriber, Declaration { version, filter });
         }
     }
 
-    /// A subscriber's protocol version; empty if it never connected.
+    /// Protocol version of a subscriber; empty if it never connected.
     pub(super) fn version(&self, subscriber: &str) -> &'a str {
         self.0.get(subscriber).map_or("", |declaration| declaration.version)
     }
 
-    /// A subscriber's filter; empty if it reads all records.
+    /// Filter of a subscriber; empty if it reads all records or never connected.
     pub(super) fn filter(&self, subscriber: &str) -> &'a str {
         self.0.get(subscriber).map_or("", |declaration| declaration.filter)
     }
--- a/crates/history-checker/src/invariants/uncommitted.rs
+++ b/crates/history-checker/src/invariants/uncommitted.rs
@@ -1,6 +1,7 @@
-//! No subscriber reads an uncommitted record: one that a single manager sent and that no other manager ever holds at that
-//! position although others passed it. A manager passed a position if, unfiltered or in its log as read from outside, it
-//! sent the record before it or began right there, and went on to a later one.
+//! No subscriber reads an uncommitted record: a record that only one manager sent, and that no other manager
+//! has at its position although another passed the position. A manager passed a position if, without a filter
+//! or in its log as read from outside, it sent the previous record or began directly there, and then
+//! continued with a later record.
 
 use super::subscribers::SubscriberDeclarations;
 use crate::config::CheckConfig;
@@ -9,20 +10,20 @@
 use crate::InvariantReport;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Name of the invariant.
+/// Name of the invariant in reports.
 pub const NAME: &str = "uncommitted-record";
 
-/// Stands for the reader of records that the harness read from a manager's log.
+/// Reader name of records that the harness read from a manager's log.
 const HARNESS: &str = "the harness";
 
-/// Records that one manager sent without a gap: after position `from`, up to and including `to`.
+/// Range of records that one manager sent without a gap: after position `from`, up to and including `to`.
 #[derive(Clone, Copy)]
 struct Span {
     from: Cursor,
     to: Cursor,
 }
 
-/// A stream of records: which manager sent it, in which protocol version, to whom.
+/// A stream of records, identified by the sending manager, the protocol version and the reader.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Stream<'a> {
     manager: &'a str,
@@ -30,7 +31,7 @@
     reader: &'a str,
 }
 
-/// A record as it was sent: its position, protocol version and digest.
+/// A sent record, identified by its position, protocol version and digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SentRecord<'a> {
     cursor: Cursor,
@@ -38,7 +39,7 @@
     digest: &'a str,
 }
 
-/// Which managers sent a record, and who read it first and when.
+/// The managers that sent a record, with its first reader and the time of that reading.
 struct Senders<'a> {
     managers: BTreeSet<&'a str>,
     first_reader: &'a str,
@@ -52,7 +53,7 @@
     spans: BTreeMap<Stream<'a>, Vec<Span>>,
 }
 
-/// Checks a history.
+/// Checks a history for violations of the invariant.
 pub fn check(history: &[HistoryEntry], _: &CheckConfig) -> InvariantReport {
     let mut declarations = SubscriberDeclarations::default();
     let mut observations = Observations::default();
@@ -66,7 +67,8 @@
         let Some(sender) = senders.managers.first().filter(|_| senders.managers.len() == 1) else { continue };
         if let Some(other) = observations.manager_that_passed(record, sender) {
             let description = format!(
-                "{}: {sender} sent {} at {}; {other} passed it without it, and no other manager holds it",
+                "{}: {sender} sent {} at {}; {other} passed this position without the record, and no other \
+                 manager has it",
                 senders.first_reader, record.digest, record.cursor
             );
             report.add(NAME, senders.first_read_us, description);
@@ -108,12 +110,12 @@
         &mut self,
         manager: &'a str,
         subscriber: &'a str,
-        at: Cursor,
+        position: Cursor,
         declarations: &SubscriberDeclarations<'a>,
     ) {
         if declarations.is_unfiltered(subscriber) {
             let stream = Stream { manager, version: declarations.version(subscriber), reader: subscriber };
-            self.spans.entry(stream).or_default().push(Span { from: at, to: at });
+            self.spans.entry(stream).or_default().push(Span { from: position, to: position });
         }
     }
 
@@ -136,7 +138,7 @@
     }
 }
 
-/// Extends the last span by a record that follows it, or begins a new one.
+/// Extends the last span by a record that directly follows it, or begins a new span.
 fn extend_spans(spans: &mut Vec<Span>, cursor: Cursor, prev: Option<Cursor>) {
     let follows = |last: Cursor| {
         last.is_followed_by(cursor) || last.index == 0 && cursor.index == 1 || prev == Some(last)
--- a/crates/history-checker/src/lib.rs
+++ b/crates/history-checker/src/lib.rs
@@ -1,16 +1,17 @@
-//! Checks whether a recorded run kept the invariants of the fleet's replicated log.
+//! Checks whether a recorded run satisfies the invariants of the fleet's replicated log.
 //!
-//! The input is what processes *did* as seen from outside (starts, exits, connections, commands, records at subscribers),
-//! not what they claim. The crate performs no I/O.
+//! The input is the behaviour of processes as observed from outside (starts, exits, connections, commands,
+//! records at subscribers), not what the processes report about themselves. The crate performs no I/O.
 //!
-//! - [`event`]: the events of a history, one JSON line each; [`read`] parses them;
+//! - [`event`]: the events of a history, one JSON object per line; [`read`] parses them;
 //! - [`cursor`]: positions in the log, `EPOCH:INDEX`;
-//! - [`config`]: disruption budgets and time bounds that a run is checked against;
-//! - [`outages`]: which members were unavailable when, planned or not;
+//! - [`config`]: the disruption budgets and time bounds that a run must satisfy;
+//! - [`outages`]: the planned and unplanned outages of members;
 //! - [`invariants`]: one module for each invariant, with a stable name.
 //!
-//! A history cannot show what did not happen in it: [`CheckReport::examined`] counts what each invariant was applied to,
-//! so that a run that passes because nothing happened is distinguishable from one that passes.
+//! An invariant can only be checked for events that occurred in the run: [`CheckReport::examined`] counts the
+//! cases to which each invariant was applied, so that a run that passes because nothing happened can be
+//! distinguished from one that was really checked.
 
 pub mod config;
 pub mod cursor;
--- a/crates/history-checker/src/outages.rs
+++ b/crates/history-checker/src/outages.rs
@@ -1,28 +1,29 @@
-//! Which members were unavailable when, derived from what processes and engines did.
+//! Outages of members, derived from the observed events of processes and engines.
 //!
-//! A manager is unavailable from its exit or suspension until it serves again; before it has served for the first time
-//! it does not count. An engine is unavailable while it receives nothing (if the configuration enables that rule), and
-//! while the nemesis keeps it from serving. An outage is *planned* if the fleet caused it: a manager that exited on
-//! purpose, or an engine that receives nothing although nothing keeps it from serving.
+//! A manager is unavailable from its exit or suspension until it serves again; it does not count before it
+//! has served for the first time. An engine is unavailable while it receives no commands (if the
+//! configuration enables that rule), and while the nemesis prevents it from serving. An outage is *planned*
+//! if the fleet caused it: a manager that exited intentionally, or an engine that receives no commands
+//! although no fault prevents it from serving.
 
 use crate::config::{CheckConfig, MemberKind};
 use crate::event::{Event, ExitCause, FleetMember, HistoryEntry, EXIT_STATUS_NEXT_VERSION};
 use std::collections::BTreeMap;
 
-/// A member was unavailable for a time.
+/// A period in which a member was unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// Name of the member.
     pub member: String,
-    /// Manager or engine.
+    /// Whether the member is a manager or an engine.
     pub kind: MemberKind,
-    /// Its beginning, in microseconds of the run.
+    /// Start of the outage, in microseconds of the run.
     pub from: u64,
-    /// Its end (exclusive); [`NEVER`] if the history ends first.
+    /// End of the outage (exclusive), in microseconds of the run; [`NEVER`] if the history ends first.
     pub to: u64,
-    /// Whether the fleet caused it.
+    /// Whether the fleet caused the outage.
     pub planned: bool,
-    /// The version that a manager's process asked to be started as.
+    /// Version as which a manager's process requested to be started again; `None` if it named none.
     pub next_version: Option<String>,
 }
 
@@ -48,7 +49,7 @@
     members
 }
 
-/// All outages of a history, ordered by their beginning.
+/// All outages of a history, ordered by their start.
 pub fn outages(history: &[HistoryEntry], config: &CheckConfig) -> Vec<Outage> {
     let mut outages = manager_outages(history);
     outages.extend(injected_faults(history));
@@ -59,20 +60,20 @@
     outages
 }
 
-/// What is known of a manager while its events are read.
+/// The state of a manager after the events read so far.
 #[derive(Default)]
 struct ManagerState {
     has_served: bool,
-    current: Option<Outage>,
+    current_outage: Option<Outage>,
 }
 
 impl ManagerState {
-    /// Begins an outage, unless the manager is unavailable already or never served.
+    /// Begins an outage, unless the manager is already unavailable or has never served.
     fn begin(&mut self, process: &str, from: u64, planned: bool, next_version: Option<&String>) {
-        if !self.has_served || self.current.is_some() {
+        if !self.has_served || self.current_outage.is_some() {
             return;
         }
-        self.current = Some(Outage {
+        self.current_outage = Some(Outage {
             member: process.to_owned(),
             kind: MemberKind::Managers,
             from,
@@ -84,7 +85,7 @@
 
     /// Ends the current outage, if there is one.
     fn end(&mut self, to: u64) -> Option<Outage> {
-        let outage = self.current.take()?;
+        let outage = self.current_outage.take()?;
         Some(Outage { to, ..outage })
     }
 }
@@ -102,8 +103,8 @@
             // A process that is killed while it is suspended is never resumed.
             Event::Resumed { process } => ended.extend(managers.entry(process).or_default().end(*at_us)),
             Event::Exited { process, status, cause, next, .. } => {
-                let on_purpose = matches!(status, Some(0 | EXIT_STATUS_NEXT_VERSION));
-                let planned = *cause == ExitCause::Own && on_purpose;
+                let is_intentional = matches!(status, Some(0 | EXIT_STATUS_NEXT_VERSION));
+                let planned = *cause == ExitCause::Own && is_intentional;
                 managers.entry(process).or_default().begin(process, *at_us, planned, next.as_ref());
             }
             Event::Suspended { process } => {
@@ -112,7 +113,7 @@
             _ => {}
         }
     }
-    ended.extend(managers.into_values().filter_map(|manager| manager.current));
+    ended.extend(managers.into_values().filter_map(|manager| manager.current_outage));
     ended
 }
 
@@ -121,42 +122,41 @@
     Outage { member: engine.to_owned(), kind: MemberKind::Engines, from, to, planned, next_version: None }
 }
 
-/// Outages of engines that the nemesis caused. Several faults of one engine may overlap: they count as one outage.
+/// Outages of engines that the nemesis caused. Overlapping faults of one engine count as one outage.
 fn injected_faults(history: &[HistoryEntry]) -> Vec<Outage> {
-    /// The beginning of the first fault in force, and the number of faults in force.
-    struct Current {
+    /// Start of the first active fault, and the number of active faults.
+    struct ActiveFaults {
         from: u64,
-        faults: u32,
+        count: u32,
     }
-    let mut current: BTreeMap<&str, Current> = BTreeMap::new();
+    let mut active: BTreeMap<&str, ActiveFaults> = BTreeMap::new();
     let mut ended = Vec::new();
     for HistoryEntry { at_us, event } in history {
         match event {
             Event::FaultBegan { on } => {
                 for engine in on {
-                    current.entry(engine).or_insert(Current { from: *at_us, faults: 0 }).faults += 1;
+                    active.entry(engine).or_insert(ActiveFaults { from: *at_us, count: 0 }).count += 1;
                 }
             }
             Event::FaultEnded { on } => {
                 for engine in on {
-                    let Some(outage) = current.get_mut(engine.as_str()) else { continue };
-                    outage.faults -= 1;
-                    if outage.faults == 0 {
-                        ended.push(engine_outage(engine, outage.from, *at_us, false));
-                        current.remove(engine.as_str());
+                    let Some(faults) = active.get_mut(engine.as_str()) else { continue };
+                    faults.count -= 1;
+                    if faults.count == 0 {
+                        ended.push(engine_outage(engine, faults.from, *at_us, false));
+                        active.remove(engine.as_str());
                     }
                 }
             }
             _ => {}
         }
     }
-    ended
-        .extend(current.into_iter().map(|(engine, outage)| engine_outage(engine, outage.from, NEVER, false)));
+    ended.extend(active.into_iter().map(|(engine, faults)| engine_outage(engine, faults.from, NEVER, false)));
     ended
 }
 
-/// Gaps between an engine's commands that are longer than `threshold_us` and overlap no injected fault. The time before
-/// an engine's first command is no gap: nobody has used the engine yet.
+/// Gaps between an engine's commands that are longer than `threshold_us` and overlap no injected fault. The
+/// time before an engine's first command is not a gap, because the engine has not been used yet.
 fn idle_engines(history: &[HistoryEntry], threshold_us: u64) -> Vec<Outage> {
     let faults = injected_faults(history);
     let overlaps_fault = |gap: &Outage| {
@@ -170,7 +170,8 @@
             gaps.push(engine_outage(engine, from, *at_us, true));
         }
     }
-    // The load of a run ends at some time: a gap up to the end counts only while another engine still receives commands.
+    // The load ends before the history does: a gap at the end only counts while another engine still receives
+    // commands.
     let end_of_load = last_command.values().copied().max().unwrap_or(0);
     gaps.extend(last_command.iter().map(|(engine, from)| engine_outage(engine, *from, end_of_load, true)));
     gaps.retain(|gap| gap.to - gap.from > threshold_us && !overlaps_fault(gap));
--- a/crates/history-checker/src/read.rs
+++ b/crates/history-checker/src/read.rs
@@ -1,41 +1,41 @@
-//! Reads a history from its lines.
+//! Parsing of a history from its lines.
 
 use crate::event::HistoryEntry;
 use thiserror::Error;
 
-/// Most entries of a history that is checked.
+/// Maximum number of entries in a history.
 pub const MAX_ENTRIES: usize = 5_000_000;
 
-/// Why a text is not a history.
+/// Reason why a text is not a valid history.
 #[derive(Debug, Error)]
 pub enum HistoryError {
-    /// It is too long.
-    #[error("a history of over {MAX_ENTRIES} lines is not checked")]
+    /// The history has more than [`MAX_ENTRIES`] lines.
+    #[error("the history is too long: expected at most {MAX_ENTRIES} lines")]
     TooLong,
     /// A line is not an event.
     #[error("line {line} is not an event")]
     Malformed {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Error of parsing the line.
         source: serde_json::Error,
     },
-    /// A line is earlier than the one above it.
-    #[error("line {line}: {at_us} us is before the line above, {previous_us} us")]
+    /// The time of a line is before that of the previous line.
+    #[error("line {line}: {at_us} us is before the time of the previous line, {previous_us} us")]
     OutOfOrder {
         /// Number of the line, from 1.
         line: usize,
-        /// Its time, in microseconds of the run.
+        /// Time of the line, in microseconds of the run.
         at_us: u64,
-        /// The time of the line above.
+        /// Time of the previous line, in microseconds of the run.
         previous_us: u64,
     },
 }
 
-/// Parses a history: one event a line, in the order of their times.
+/// Parses a history: one event per line, in the order of their times.
 ///
 /// # Errors
-/// The first line that is malformed or out of order, or that the history is too long.
+/// The first line that is malformed or out of order, or the history is too long.
 pub fn parse_history<'a>(
     lines: impl IntoIterator<Item = &'a str>,
 ) -> Result<Vec<HistoryEntry>, HistoryError> {
--- a/crates/history-checker/tests/common/mod.rs
+++ b/crates/history-checker/tests/common/mod.rs
@@ -1,4 +1,6 @@
-//! Good histories, made from a list of choices so that what fails shrinks to few of them.
+//! Histories without violations, generated from a list of choices, so that a failing history shrinks to few
+//! choices.
+
 use sprucelink_history_checker::config::{CheckConfig, DisruptionBudget, MemberKind};
 use sprucelink_history_checker::cursor::Cursor;
 use sprucelink_history_checker::event::{
@@ -7,12 +9,12 @@
 
 const MANAGERS: usize = 4;
 const ENGINES: usize = 3;
-/// Subscribers: the first three read all, the others by a filter.
+/// Number of subscribers: the first three read all records, the others use a filter.
 const SUBSCRIBERS: usize = 5;
 const TICK_US: u64 = 50_000;
 
-/// One manager and one engine out at a time when a permit is given.
-pub fn terms() -> CheckConfig {
+/// At most one manager and one engine may be unavailable when a planned outage begins.
+pub fn check_config() -> CheckConfig {
     let budget = |member_kind| DisruptionBudget { member_kind, zone: None, pool: None, max_unavailable: 1 };
     CheckConfig {
         budgets: vec![budget(MemberKind::Managers), budget(MemberKind::Engines)],
@@ -23,95 +25,105 @@
     }
 }
 
-struct Reader {
-    at: usize,
+struct Subscriber {
+    /// Index of the manager to which it is connected.
+    manager: usize,
     cursor: Option<Cursor>,
     filter: &'static str,
 }
 
-struct World {
-    all: Vec<HistoryEntry>,
-    now: u64,
-    journal: Vec<(Cursor, &'static str)>,
-    readers: Vec<Reader>,
-    planned: Option<usize>,
-    crashed: Option<usize>,
-    quiet: Option<usize>,
-    turn: usize,
+struct Fleet {
+    history: Vec<HistoryEntry>,
+    now_us: u64,
+    /// Committed records: position and name.
+    log: Vec<(Cursor, &'static str)>,
+    subscribers: Vec<Subscriber>,
+    /// Index of the manager in a planned outage.
+    restarting_manager: Option<usize>,
+    /// Index of the manager that crashed.
+    crashed_manager: Option<usize>,
+    /// Index of the engine that receives no commands.
+    drained_engine: Option<usize>,
+    /// Round-robin state of the choice of a serving manager.
+    last_choice: usize,
 }
 
-impl World {
-    fn note(&mut self, event: Event) {
-        self.all.push(HistoryEntry { at_us: self.now, event });
+impl Fleet {
+    fn record(&mut self, event: Event) {
+        self.history.push(HistoryEntry { at_us: self.now_us, event });
     }
 
-    fn out(&self, m: usize) -> bool {
-        self.planned == Some(m) || self.crashed == Some(m)
+    fn is_unavailable(&self, manager: usize) -> bool {
+        self.restarting_manager == Some(manager) || self.crashed_manager == Some(manager)
     }
 
-    /// The next manager that serves.
-    fn serving(&mut self) -> usize {
-        self.turn += 1;
-        (0..MANAGERS).map(|k| (self.turn + k) % MANAGERS).find(|m| !self.out(*m)).expect("one serves")
+    /// The next manager that serves, in round-robin order.
+    fn next_serving_manager(&mut self) -> usize {
+        self.last_choice += 1;
+        let mut candidates = (0..MANAGERS).map(|offset| (self.last_choice + offset) % MANAGERS);
+        candidates.find(|manager| !self.is_unavailable(*manager)).expect("a manager serves")
     }
 
-    fn join(&mut self, s: usize) {
-        let (cursor, filter) = (self.readers[s].cursor, self.readers[s].filter);
-        let m = self.serving();
-        self.readers[s].at = m;
-        self.note(Event::SubscriberConnected {
-            subscriber: format!("s{s}"),
-            manager: format!("n{m}"),
+    fn connect(&mut self, index: usize) {
+        let (cursor, filter) = (self.subscribers[index].cursor, self.subscribers[index].filter);
+        let manager = self.next_serving_manager();
+        self.subscribers[index].manager = manager;
+        self.record(Event::SubscriberConnected {
+            subscriber: format!("s{index}"),
+            manager: format!("n{manager}"),
             cursor,
             version: "1".into(),
             filter: filter.into(),
         });
     }
 
-    fn hop(&mut self, s: usize) {
-        let manager = format!("n{}", self.readers[s].at);
-        self.note(Event::SubscriberDisconnected {
-            subscriber: format!("s{s}"),
+    fn reconnect(&mut self, index: usize) {
+        let manager = format!("n{}", self.subscribers[index].manager);
+        self.record(Event::SubscriberDisconnected {
+            subscriber: format!("s{index}"),
             manager,
             why: "ended".into(),
         });
-        self.join(s);
+        self.connect(index);
     }
 
-    fn exits(&mut self, m: usize, cause: ExitCause, next: Option<&str>) {
+    /// Ends a manager's process; its subscribers reconnect to other managers.
+    fn exit(&mut self, manager: usize, cause: ExitCause, next: Option<&str>) {
         let (status, signal) =
             if cause == ExitCause::Own { (Some(EXIT_STATUS_NEXT_VERSION), None) } else { (None, Some(9)) };
         let next = next.map(str::to_owned);
-        self.note(Event::Exited { process: format!("n{m}"), status, signal, cause, next });
+        self.record(Event::Exited { process: format!("n{manager}"), status, signal, cause, next });
         (0..SUBSCRIBERS)
-            .filter(|s| self.readers[*s].at == m)
+            .filter(|index| self.subscribers[*index].manager == manager)
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|s| self.hop(s));
+            .for_each(|index| self.reconnect(index));
     }
 
-    fn up(&mut self, m: usize) {
-        self.note(Event::Ready { process: format!("n{m}") });
+    fn become_ready(&mut self, manager: usize) {
+        self.record(Event::Ready { process: format!("n{manager}") });
     }
 
-    fn commit(&mut self, new_epoch: bool) {
-        let last = self.journal.last().map_or(Cursor::new(1, 0), |r| r.0);
-        let cursor = match new_epoch {
-            true => Cursor::new(last.epoch + 1, 1),
-            false => Cursor::new(last.epoch, last.index + 1),
+    /// Commits a record and sends it to all subscribers whose filter it passes.
+    fn commit(&mut self, begins_epoch: bool) {
+        let last = self.log.last().map_or(Cursor::new(1, 0), |(cursor, _)| *cursor);
+        let cursor = if begins_epoch {
+            Cursor::new(last.epoch + 1, 1)
+        } else {
+            Cursor::new(last.epoch, last.index + 1)
         };
-        let name = ["permit", "note"][self.journal.len() % 2];
-        self.journal.push((cursor, name));
-        for s in 0..SUBSCRIBERS {
-            let r = &self.readers[s];
-            if !r.filter.is_empty() && r.filter != name {
+        let name = ["permit", "note"][self.log.len() % 2];
+        self.log.push((cursor, name));
+        for index in 0..SUBSCRIBERS {
+            let subscriber = &mut self.subscribers[index];
+            if !subscriber.filter.is_empty() && subscriber.filter != name {
                 continue;
             }
-            let (prev, at) = (r.cursor.unwrap_or_default(), r.at);
-            self.readers[s].cursor = Some(cursor);
-            self.note(Event::Record {
-                subscriber: format!("s{s}"),
-                manager: format!("n{at}"),
+            let prev = subscriber.cursor.replace(cursor).unwrap_or_default();
+            let manager = subscriber.manager;
+            self.record(Event::Record {
+                subscriber: format!("s{index}"),
+                manager: format!("n{manager}"),
                 cursor,
                 prev: Some(prev),
                 name: name.into(),
@@ -121,15 +133,16 @@
                 unreadable: None,
             });
         }
-        self.note(Event::Acknowledged { op: format!("op{cursor}"), cursor: Some(cursor) });
+        self.record(Event::Acknowledged { op: format!("op{cursor}"), cursor: Some(cursor) });
     }
 
+    /// Advances time by one tick, in which each engine that is not drained receives a command.
     fn tick(&mut self) {
-        self.now += TICK_US;
-        let quiet = self.quiet;
-        for e in (0..ENGINES).filter(|e| quiet != Some(*e)) {
-            self.note(Event::Command {
-                engine: format!("e{e}"),
+        self.now_us += TICK_US;
+        let drained_engine = self.drained_engine;
+        for engine in (0..ENGINES).filter(|engine| drained_engine != Some(*engine)) {
+            self.record(Event::Command {
+                engine: format!("e{engine}"),
                 connection: 1,
                 word: "do".into(),
                 manager: None,
@@ -137,72 +150,75 @@
         }
     }
 
+    /// Performs the action that `choice` selects; restarts start version `next`.
     fn step(&mut self, choice: u16, next: &str) {
         self.tick();
-        let pick = usize::from(choice / 10);
+        let selection = usize::from(choice / 10);
         match choice % 10 {
             0..=3 => self.commit(false),
-            4 => self.commit(pick.is_multiple_of(4) && !self.journal.is_empty()),
-            5 | 6 => self.hop(pick % SUBSCRIBERS),
-            7 => match self.planned.take() {
-                Some(m) => self.up(m),
-                None if self.crashed.is_none() => {
-                    self.planned = Some(pick % MANAGERS);
-                    self.exits(pick % MANAGERS, ExitCause::Own, Some(next));
+            4 => self.commit(selection.is_multiple_of(4) && !self.log.is_empty()),
+            5 | 6 => self.reconnect(selection % SUBSCRIBERS),
+            7 => match self.restarting_manager.take() {
+                Some(manager) => self.become_ready(manager),
+                None if self.crashed_manager.is_none() => {
+                    self.restarting_manager = Some(selection % MANAGERS);
+                    self.exit(selection % MANAGERS, ExitCause::Own, Some(next));
                 }
                 None => {}
             },
-            8 => match self.crashed.take() {
-                Some(m) => self.up(m),
-                None if self.planned != Some(pick % MANAGERS) => {
-                    self.crashed = Some(pick % MANAGERS);
-                    self.exits(pick % MANAGERS, ExitCause::Nemesis, None);
+            8 => match self.crashed_manager.take() {
+                Some(manager) => self.become_ready(manager),
+                None if self.restarting_manager != Some(selection % MANAGERS) => {
+                    self.crashed_manager = Some(selection % MANAGERS);
+                    self.exit(selection % MANAGERS, ExitCause::Nemesis, None);
                 }
                 None => {}
             },
-            // An engine is drained and comes back: out for four ticks. After the halt none is.
+            // An engine is drained for four ticks and then receives commands again. No engine is drained
+            // after the halt.
             _ if next != "v2" => {}
             _ => {
-                self.quiet = Some(pick % ENGINES);
+                self.drained_engine = Some(selection % ENGINES);
                 (0..4).for_each(|_| self.tick());
-                self.quiet = None;
+                self.drained_engine = None;
                 self.tick();
             }
         }
     }
 }
 
-/// A run that keeps every rule: the release, a halt, the way back.
-pub fn good(choices: &[u16]) -> Vec<HistoryEntry> {
-    let readers =
-        (0..SUBSCRIBERS).map(|s| Reader { at: 0, cursor: None, filter: ["", "", "", "permit", "note"][s] });
-    let mut w = World {
-        all: Vec::new(),
-        now: 0,
-        journal: Vec::new(),
-        readers: readers.collect(),
-        planned: None,
-        crashed: None,
-        quiet: None,
-        turn: 0,
+/// A history without violations: a release, a halt, and a rollback.
+pub fn valid_history(choices: &[u16]) -> Vec<HistoryEntry> {
+    let filters = ["", "", "", "permit", "note"];
+    let subscribers =
+        (0..SUBSCRIBERS).map(|index| Subscriber { manager: 0, cursor: None, filter: filters[index] });
+    let mut fleet = Fleet {
+        history: Vec::new(),
+        now_us: 0,
+        log: Vec::new(),
+        subscribers: subscribers.collect(),
+        restarting_manager: None,
+        crashed_manager: None,
+        drained_engine: None,
+        last_choice: 0,
     };
-    let named = |letter: &str, n: usize| {
-        (0..n)
-            .map(|i| FleetMember { name: format!("{letter}{i}"), ..FleetMember::default() })
+    let members = |prefix: &str, count: usize| {
+        (0..count)
+            .map(|index| FleetMember { name: format!("{prefix}{index}"), ..FleetMember::default() })
             .collect::<Vec<_>>()
     };
-    let (managers, engines) = (named("n", MANAGERS), named("e", ENGINES));
-    w.note(Event::RunStarted { scenario: "good".into(), seed: 1, managers, engines });
-    (0..MANAGERS).for_each(|m| w.up(m));
-    (0..SUBSCRIBERS).for_each(|s| w.join(s));
-    w.note(Event::SchemaActivated { publisher: "fleet".into(), reads: vec!["1".into(), "2".into()] });
-    w.commit(false);
+    let (managers, engines) = (members("n", MANAGERS), members("e", ENGINES));
+    fleet.record(Event::RunStarted { scenario: "valid".into(), seed: 1, managers, engines });
+    (0..MANAGERS).for_each(|manager| fleet.become_ready(manager));
+    (0..SUBSCRIBERS).for_each(|index| fleet.connect(index));
+    fleet.record(Event::SchemaActivated { publisher: "fleet".into(), reads: vec!["1".into(), "2".into()] });
+    fleet.commit(false);
     let half = choices.len() / 2;
-    choices[..half].iter().for_each(|c| w.step(*c, "v2"));
-    w.note(Event::Halted { id: "h1".into(), version: Some("v2".into()) });
-    (0..5).for_each(|_| w.tick());
-    choices[half..].iter().for_each(|c| w.step(*c, "v1"));
-    (0..60).for_each(|_| w.tick());
-    w.commit(false);
-    w.all
+    choices[..half].iter().for_each(|choice| fleet.step(*choice, "v2"));
+    fleet.record(Event::Halted { id: "h1".into(), version: Some("v2".into()) });
+    (0..5).for_each(|_| fleet.tick());
+    choices[half..].iter().for_each(|choice| fleet.step(*choice, "v1"));
+    (0..60).for_each(|_| fleet.tick());
+    fleet.commit(false);
+    fleet.history
 }
--- a/crates/history-checker/tests/formats.rs
+++ b/crates/history-checker/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The textual forms of cursors and histories.
+//! Tests of the textual formats of cursors and histories.
 
 use sprucelink_history_checker::cursor::Cursor;
 use sprucelink_history_checker::event::{Event, HistoryEntry};
@@ -8,8 +8,8 @@
 #[test]
 fn cursor_is_parsed_strictly_and_ordered_by_epoch_first() {
     assert_eq!("3:17".parse(), Ok(Cursor::new(3, 17)));
-    for bad in ["", "3", "3:", ":1", "+3:1", "3:-1", "3:1:2", "03:1", "18446744073709551616:1", " 3:1"] {
-        assert!(bad.parse::<Cursor>().is_err(), "{bad:?}");
+    for invalid in ["", "3", "3:", ":1", "+3:1", "3:-1", "3:1:2", "03:1", "18446744073709551616:1", " 3:1"] {
+        assert!(invalid.parse::<Cursor>().is_err(), "{invalid:?}");
     }
     assert!(Cursor::new(2, 1) > Cursor::new(1, 900));
     assert!(Cursor::new(1, 1).is_followed_by(Cursor::new(1, 2)));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn entry_is_parsed_as_it_was_written_and_a_bad_line_is_named() {
+fn serialized_entry_is_parsed_unchanged_and_an_invalid_line_is_reported_by_number() {
     let entry = HistoryEntry {
         at_us: 7,
         event: Event::SubscriberConnected {
@@ -29,11 +29,11 @@
             filter: String::new(),
         },
     };
-    let text = serde_json::to_string(&entry).expect("written");
+    let text = serde_json::to_string(&entry).expect("serializable");
     assert!(text.contains(r#""kind":"join""#) && text.contains(r#""cursor":"1:4""#), "{text}");
-    assert_eq!(parse_history([text.as_str()]).expect("read"), [entry]);
-    let early = text.replace("\"at_us\":7", "\"at_us\":6");
-    let error = parse_history([text.as_str(), &early]).unwrap_err().to_string();
+    assert_eq!(parse_history([text.as_str()]).expect("valid"), [entry]);
+    let earlier = text.replace("\"at_us\":7", "\"at_us\":6");
+    let error = parse_history([text.as_str(), &earlier]).unwrap_err().to_string();
     assert!(error.starts_with("line 2: 6 us is before"), "{error}");
     let error = parse_history(["{}"]).unwrap_err().to_string();
     assert!(error.starts_with("line 1"), "{error}");
