--- a/crates/history-checker/src/invariants/budget.rs
+++ b/crates/history-checker/src/invariants/budget.rs
@@ -54,8 +54,8 @@
     detection_us: u64,
 ) -> BTreeSet<&'a str> {
     // Outages are ordered by their start: all that began before or with the planned one come first.
-    let begun = outages.iter().take_while(|other| other.from <= planned.from);
-    let mut unavailable: BTreeSet<&str> = begun
+    let begun_outages = outages.iter().take_while(|other| other.from <= planned.from);
+    let mut unavailable: BTreeSet<&str> = begun_outages
         .filter(|other| other.to > planned.from && is_counted(other, budget, members))
         .filter(|other| other.planned || other.from + detection_us <= planned.from)
         .map(|other| other.member.as_str())
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,6 +1,6 @@
 //! Hot restart: the state that a process of a workload manager passes to its successor.
 //!
-//! During a hot restart a second process, the *new* one, starts beside the running, *old* one. Both share the
+//! During a hot restart a second process, the *new* one, starts beside the running *old* one. Both share the
 //! listening socket and a folder (`$TMPDIR`), and for every rule and limit they count as one workload
 //! manager. Each process maintains its own state file in that folder, replaces it atomically, and reads the
 //! files of the other processes. From these files both processes derive which of them accepts connections,
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -24,7 +24,7 @@
     min_duration: TimeDelta,
     max_duration: TimeDelta,
     /// Confirmations that bring the duration to its minimum (Lifeguard's k).
-    wanted_confirmations: u32,
+    required_confirmations: u32,
     /// Names of the members that suspect it, including the first.
     reporters: BTreeSet<String>,
     /// Maximum number of reporters; further ones are not counted.
@@ -45,14 +45,14 @@
         // Without this limit, a suspicion in a small fleet would always last its maximum: too few members can
         // confirm it.
         let possible_confirmations = (live_count as u32).saturating_sub(2);
-        let wanted_confirmations = config.confirmations.min(possible_confirmations);
+        let required_confirmations = config.confirmations.min(possible_confirmations);
         let max_ms =
-            if wanted_confirmations == 0 { min_ms } else { min_ms * config.max_suspicion_multiplier };
+            if required_confirmations == 0 { min_ms } else { min_ms * config.max_suspicion_multiplier };
         Suspicion {
             began_at: now,
             min_duration: duration_from_ms(min_ms),
             max_duration: duration_from_ms(max_ms),
-            wanted_confirmations,
+            required_confirmations,
             reporters: BTreeSet::from([reporter]),
             max_reporters: config.confirmations as usize + 1,
             final_probes_sent: 0,
@@ -63,10 +63,10 @@
     /// its minimum once enough others have confirmed, and in between by the logarithm of the number of
     /// confirmations.
     pub(super) fn expires_at(&self) -> Timestamp {
-        let wanted = self.wanted_confirmations;
-        let confirmations = (self.reporters.len().saturating_sub(1) as f64).min(f64::from(wanted));
+        let required = self.required_confirmations;
+        let confirmations = (self.reporters.len().saturating_sub(1) as f64).min(f64::from(required));
         let fraction =
-            if wanted == 0 { 1.0 } else { (confirmations + 1.0).ln() / f64::from(wanted + 1).ln() };
+            if required == 0 { 1.0 } else { (confirmations + 1.0).ln() / f64::from(required + 1).ln() };
         let min_s = self.min_duration.as_secs_f64();
         let max_s = self.max_duration.as_secs_f64();
         let duration_s = max_s - (max_s - min_s) * fraction;
