--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipEvent {
     /// Time at which this member's view changed.
-    pub at: Timestamp,
+    pub occurred_at: Timestamp,
     /// Name of the member whose state changed.
     pub member: String,
     /// Kind of the change.
--- a/crates/membership/src/swim/node/updates.rs
+++ b/crates/membership/src/swim/node/updates.rs
@@ -69,7 +69,7 @@
         if self.local.supersede(generation) {
             let member = self.local.name().to_owned();
             let kind = MembershipEventKind::Superseded;
-            self.events.push(MembershipEvent { at: now, member, kind, reported_by: String::new() });
+            self.events.push(MembershipEvent { occurred_at: now, member, kind, reported_by: String::new() });
         }
     }
 
@@ -84,7 +84,7 @@
         for action in actions {
             match action {
                 ViewAction::RecordEvent { member, kind, reported_by } => {
-                    self.events.push(MembershipEvent { at: now, member, kind, reported_by });
+                    self.events.push(MembershipEvent { occurred_at: now, member, kind, reported_by });
                 }
                 ViewAction::Disseminate { member, reported_by } => {
                     self.gossip_queue.enqueue_member(member, reported_by);
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -280,13 +280,14 @@
     /// Times at which members reported an event about the member `name`, from `since` on.
     pub fn events_on(&self, name: &str, kind: MembershipEventKind, since: Timestamp) -> Vec<Timestamp> {
         let events = self.events.iter().map(|observed| &observed.event);
-        let matching = events.filter(|event| event.member == name && event.kind == kind && event.at >= since);
-        matching.map(|event| event.at).collect()
+        let matching =
+            events.filter(|event| event.member == name && event.kind == kind && event.occurred_at >= since);
+        matching.map(|event| event.occurred_at).collect()
     }
 
     /// Number of events of a kind from `since` on.
     pub fn event_count(&self, kind: MembershipEventKind, since: Timestamp) -> usize {
         let events = self.events.iter().map(|observed| &observed.event);
-        events.filter(|event| event.kind == kind && event.at >= since).count()
+        events.filter(|event| event.kind == kind && event.occurred_at >= since).count()
     }
 }
