--- a/crates/failpoints/src/fault_file.rs
+++ b/crates/failpoints/src/fault_file.rs
@@ -120,8 +120,8 @@
     TooManyPoints(usize),
     /// A failpoint's name or pass is out of range.
     #[error(
-        "points.arm: expected a name of up to {MAX_NAME_LENGTH} letters, digits, dots, dashes and underscores, \
-         and a pass of at least 1, got {name:?} at pass {pass}"
+        "points.arm: expected a name of up to {MAX_NAME_LENGTH} letters, digits, dots, dashes and \
+         underscores, and a pass of at least 1, got {name:?} at pass {pass}"
     )]
     InvalidPoint {
         /// Name in the fault file.
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -231,7 +231,8 @@
     let complete_count = (0..20).filter(|i| payload_count(&network, *i) == 19).count();
     assert!(
         complete_count >= 18,
-        "{complete_count} of 20 members have all payloads: the last transmission of an update may be lost, and a later version replaces it"
+        "{complete_count} of 20 members have all payloads: the last transmission of an update may be lost, \
+         and a later version replaces it"
     );
     let payloads_of_n3 = network.nodes[3].as_ref().expect("the member runs").payloads();
     let is_newest =
