--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -123,8 +123,8 @@
     for token in lexed {
         let text = &statement[token.at..token.end];
         match token.kind {
-            TokenKind::Mark if matches!(text, "(" | "[") => depth += 1,
-            TokenKind::Mark if matches!(text, ")" | "]") => depth = depth.saturating_sub(1),
+            TokenKind::Punctuation if matches!(text, "(" | "[") => depth += 1,
+            TokenKind::Punctuation if matches!(text, ")" | "]") => depth = depth.saturating_sub(1),
             TokenKind::Word if text.eq_ignore_ascii_case("case") => depth += 1,
             TokenKind::Word if text.eq_ignore_ascii_case("end") => depth = depth.saturating_sub(1),
             _ => {}
--- a/crates/query-fingerprint/src/facts/lexed.rs
+++ b/crates/query-fingerprint/src/facts/lexed.rs
@@ -84,8 +84,8 @@
 fn track_table_lists(kind: TokenKind, text: &str, in_table_list: &mut Vec<bool>) {
     let is_in_list = in_table_list.last().is_some_and(|in_list| *in_list);
     match kind {
-        TokenKind::Mark if text == "(" => in_table_list.push(is_in_list),
-        TokenKind::Mark if text == ")" && in_table_list.len() > 1 => {
+        TokenKind::Punctuation if text == "(" => in_table_list.push(is_in_list),
+        TokenKind::Punctuation if text == ")" && in_table_list.len() > 1 => {
             in_table_list.pop();
         }
         TokenKind::Word => {
@@ -101,7 +101,7 @@
 }
 
 fn is_name(token: &Token) -> bool {
-    matches!(token.kind, TokenKind::Word | TokenKind::Quoted)
+    matches!(token.kind, TokenKind::Word | TokenKind::QuotedIdentifier)
 }
 
 fn is_any_of(text: &str, words: &[&str]) -> bool {
--- a/crates/query-fingerprint/src/lex.rs
+++ b/crates/query-fingerprint/src/lex.rs
@@ -6,20 +6,20 @@
 pub enum TokenKind {
     /// A keyword or a name without quotes.
     Word,
-    /// A name in double quotes, with the quotes.
-    Quoted,
-    /// A string of any form, with its quotes and prefix.
-    Text,
+    /// An identifier in double quotes, with the quotes.
+    QuotedIdentifier,
+    /// A string literal of any form, with its quotes and prefix.
+    StringLiteral,
     /// A number, without sign.
     Number,
     /// `$1` and the like.
     Parameter,
-    /// One of `( ) [ ] , ; .`, or a single character that is nothing else.
-    Mark,
+    /// One of `( ) [ ] , ; .`, or a single character that begins no other token.
+    Punctuation,
     /// An operator of one character or more.
     Operator,
     /// White space of any kind, or a comment.
-    Blank,
+    Trivia,
 }
 
 /// A token, by its position in the text.
@@ -60,20 +60,22 @@
     let second = bytes.get(at + 1).copied();
     let third = bytes.get(at + 2).copied();
     let (kind, end) = match (first, second) {
-        (byte, _) if byte.is_ascii_whitespace() => (TokenKind::Blank, ascii_space_end(bytes, at)),
-        (b'-', Some(b'-')) => (TokenKind::Blank, line_comment_end(bytes, at)),
-        (b'/', Some(b'*')) => (TokenKind::Blank, block_comment_end(bytes, at)),
-        (b'\'', _) => (TokenKind::Text, quoted_end(bytes, at, Escapes::None)),
-        (b'"', _) => (TokenKind::Quoted, quoted_end(bytes, at, Escapes::None)),
-        (b'e' | b'E', Some(b'\'')) => (TokenKind::Text, quoted_end(bytes, at + 1, Escapes::Backslash)),
+        (byte, _) if byte.is_ascii_whitespace() => (TokenKind::Trivia, ascii_space_end(bytes, at)),
+        (b'-', Some(b'-')) => (TokenKind::Trivia, line_comment_end(bytes, at)),
+        (b'/', Some(b'*')) => (TokenKind::Trivia, block_comment_end(bytes, at)),
+        (b'\'', _) => (TokenKind::StringLiteral, quoted_end(bytes, at, Escapes::None)),
+        (b'"', _) => (TokenKind::QuotedIdentifier, quoted_end(bytes, at, Escapes::None)),
+        (b'e' | b'E', Some(b'\'')) => {
+            (TokenKind::StringLiteral, quoted_end(bytes, at + 1, Escapes::Backslash))
+        }
         (b'b' | b'B' | b'x' | b'X' | b'n' | b'N', Some(b'\'')) => {
-            (TokenKind::Text, quoted_end(bytes, at + 1, Escapes::None))
+            (TokenKind::StringLiteral, quoted_end(bytes, at + 1, Escapes::None))
         }
         (b'u' | b'U', Some(b'&')) if third == Some(b'\'') => {
-            (TokenKind::Text, quoted_end(bytes, at + 2, Escapes::None))
+            (TokenKind::StringLiteral, quoted_end(bytes, at + 2, Escapes::None))
         }
         (b'u' | b'U', Some(b'&')) if third == Some(b'"') => {
-            (TokenKind::Quoted, quoted_end(bytes, at + 2, Escapes::None))
+            (TokenKind::QuotedIdentifier, quoted_end(bytes, at + 2, Escapes::None))
         }
         (b'$', _) => dollar(bytes, at),
         (byte, _) if byte.is_ascii_digit() => (TokenKind::Number, number_end(bytes, at)),
@@ -82,7 +84,7 @@
         }
         (byte, _) if begins_name(byte) => name_or_space(text.get(at..)?, at),
         (byte, _) if OPERATORS.contains(&byte) => (TokenKind::Operator, operator_end(bytes, at)),
-        _ => (TokenKind::Mark, at + 1),
+        _ => (TokenKind::Punctuation, at + 1),
     };
     Some(Token { kind, at, end: end.min(bytes.len()) })
 }
@@ -157,12 +159,12 @@
     let is_tag_byte = |byte: &&u8| begins_name(**byte) || byte.is_ascii_digit();
     let tag_length = bytes[at + 1..].iter().take_while(is_tag_byte).count();
     if bytes.get(at + 1 + tag_length) != Some(&b'$') {
-        return (TokenKind::Mark, at + 1);
+        return (TokenKind::Punctuation, at + 1);
     }
     let delimiter = &bytes[at..at + tag_length + 2];
     let body = at + delimiter.len();
     let close = bytes[body..].windows(delimiter.len()).position(|window| window == delimiter);
-    (TokenKind::Text, close.map_or(bytes.len(), |offset| body + offset + delimiter.len()))
+    (TokenKind::StringLiteral, close.map_or(bytes.len(), |offset| body + offset + delimiter.len()))
 }
 
 /// A keyword or name, or white space beyond ASCII, whose bytes look like those of a name: its kind and the position behind it.
@@ -174,7 +176,7 @@
         return (TokenKind::Word, at + name);
     }
     let space: usize = rest.chars().take_while(|c| is_space(*c)).map(char::len_utf8).sum();
-    (TokenKind::Blank, at + space.max(1))
+    (TokenKind::Trivia, at + space.max(1))
 }
 
 /// The position behind an operator. It ends before a comment, and before a sign that a number may have.
@@ -223,7 +225,7 @@
     let mut at = 0;
     while let Some(next) = token(text, at) {
         at = next.end;
-        if next.kind != TokenKind::Blank {
+        if next.kind != TokenKind::Trivia {
             if out.len() >= max_tokens {
                 return false;
             }
--- a/crates/query-fingerprint/src/normal.rs
+++ b/crates/query-fingerprint/src/normal.rs
@@ -45,7 +45,7 @@
     }
 
     fn is_mark(&self, mark: &str) -> bool {
-        matches!(self.kind, TokenKind::Mark | TokenKind::Operator) && self.raw == mark
+        matches!(self.kind, TokenKind::Punctuation | TokenKind::Operator) && self.raw == mark
     }
 
     fn is_any_of(&self, words: &[&str]) -> bool {
@@ -53,7 +53,7 @@
     }
 
     fn is_name(&self) -> bool {
-        matches!(self.kind, TokenKind::Word | TokenKind::Quoted)
+        matches!(self.kind, TokenKind::Word | TokenKind::QuotedIdentifier)
     }
 }
 
@@ -153,13 +153,13 @@
             may_use_column_aliases = false;
         }
         match part.kind {
-            TokenKind::Text | TokenKind::Number | TokenKind::Parameter => push(out, VALUE),
+            TokenKind::StringLiteral | TokenKind::Number | TokenKind::Parameter => push(out, VALUE),
             TokenKind::Operator if is_sign(parts, index) => {}
-            TokenKind::Operator | TokenKind::Mark => push(out, part.raw),
-            TokenKind::Word | TokenKind::Quoted => {
+            TokenKind::Operator | TokenKind::Punctuation => push(out, part.raw),
+            TokenKind::Word | TokenKind::QuotedIdentifier => {
                 write_name(parts, index, aliases, may_use_column_aliases, out);
             }
-            TokenKind::Blank => {}
+            TokenKind::Trivia => {}
         }
         index += 1;
     }
@@ -200,7 +200,7 @@
         push(out, &alias_text(number));
         return;
     }
-    if part.kind == TokenKind::Quoted && !is_plain_identifier(&name) {
+    if part.kind == TokenKind::QuotedIdentifier && !is_plain_identifier(&name) {
         push(out, &format!("\"{name}\""));
     } else {
         push(out, &name);
@@ -265,7 +265,9 @@
     match index.checked_sub(1).map(|before| &parts[before]) {
         None => true,
         Some(previous) if previous.kind == TokenKind::Operator => !previous.raw.ends_with("::"),
-        Some(previous) if previous.kind == TokenKind::Mark => matches!(previous.raw, "(" | "[" | "," | ";"),
+        Some(previous) if previous.kind == TokenKind::Punctuation => {
+            matches!(previous.raw, "(" | "[" | "," | ";")
+        }
         Some(previous) => previous.is_any_of(BEFORE_SIGN),
     }
 }
@@ -301,10 +303,11 @@
         if part.is_mark(close) {
             return has_value.then_some(index + 1);
         }
-        let is_value = matches!(part.kind, TokenKind::Text | TokenKind::Number | TokenKind::Parameter)
-            || part.is_any_of(LITERAL_KEYWORDS)
-            || part.is("default")
-            || part.kind == TokenKind::Operator && is_sign(parts, index);
+        let is_value =
+            matches!(part.kind, TokenKind::StringLiteral | TokenKind::Number | TokenKind::Parameter)
+                || part.is_any_of(LITERAL_KEYWORDS)
+                || part.is("default")
+                || part.kind == TokenKind::Operator && is_sign(parts, index);
         if !is_value && !part.is_mark(",") {
             return None;
         }
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -29,12 +29,12 @@
 pub fn token(text: &str) -> Option<(Token, usize)> {
     let token = lex::token(text, 0)?;
     let kind = match token.kind {
-        TokenKind::Word | TokenKind::Quoted => Token::Name,
-        TokenKind::Text => Token::Opaque,
-        TokenKind::Blank if text.starts_with(['-', '/']) => Token::Opaque,
-        TokenKind::Blank => Token::Space,
+        TokenKind::Word | TokenKind::QuotedIdentifier => Token::Name,
+        TokenKind::StringLiteral => Token::Opaque,
+        TokenKind::Trivia if text.starts_with(['-', '/']) => Token::Opaque,
+        TokenKind::Trivia => Token::Space,
         TokenKind::Parameter => Token::Parameter,
-        TokenKind::Number | TokenKind::Operator | TokenKind::Mark => Token::Mark,
+        TokenKind::Number | TokenKind::Operator | TokenKind::Punctuation => Token::Mark,
     };
     Some((kind, token.end))
 }
