--- a/crates/capture/src/codec.rs
+++ b/crates/capture/src/codec.rs
@@ -1,7 +1,8 @@
-//! Headers, inputs and actions to the messages of the file format, and back.
+//! Converts headers, inputs and actions to the protobuf messages of the file format, and back.
 //!
-//! Here the format's names (`proto/capture.proto`) become the policy's terms, and go no deeper. Every number is kept to
-//! the bit. A message that lacks a field, or holds a value that this build does not know, is a [`DecodeError`].
+//! The names of the format (`proto/capture.proto`) are used only in this module; the rest of the crate uses
+//! the policy's terms. Every number keeps its exact bits. A message that lacks a field, or holds a value that
+//! this build does not know, gives a [`DecodeError`].
 
 mod actions;
 mod headers;
@@ -12,10 +13,10 @@
 pub use headers::{decode_engine, decode_header, encode_engine, encode_header};
 pub use inputs::{decode_input, encode_event, encode_input};
 
-/// A message that is no event or action of this build.
+/// A message that does not decode to an event or action of this build.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("field {field} is missing or holds what this build does not know")]
+#[error("field {field} is missing or holds a value that this build does not know")]
 pub struct DecodeError {
-    /// The field, as the format names it.
+    /// Name of the field in the file format.
     pub field: &'static str,
 }
--- a/crates/capture/src/codec/actions.rs
+++ b/crates/capture/src/codec/actions.rs
@@ -1,4 +1,4 @@
-//! Actions of the policy.
+//! Converts actions of the policy, and computes the digest of an answer.
 
 use super::DecodeError;
 use crate::pb;
@@ -7,7 +7,7 @@
 use sprucelink_policy::{Action, EngineId, Level, RequestId, TimeDelta};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An action as the format has it; `None` for an explanation, which is not recorded.
+/// Encodes an action; `None` for an explanation, which is not recorded.
 pub fn encode_action(action: &Action) -> Option<pb::Action> {
     let kind = match action {
         Action::ForwardAttempt { id, timeout, engine } => ActionKind::Send(pb::Send {
@@ -37,15 +37,15 @@
     pb::Final { id: id.0, retry_after_us: retry_after.map(TimeDelta::as_micros) }
 }
 
-/// Actions as the format has them; explanations are left out.
+/// Encodes actions, without explanations.
 pub fn encode_actions(actions: &[Action]) -> Vec<pb::Action> {
     actions.iter().filter_map(encode_action).collect()
 }
 
-/// The action that a message holds.
+/// Decodes an action.
 ///
 /// # Errors
-/// A field that is missing or unknown.
+/// A field is missing or holds an unknown value.
 pub fn decode_action(action: pb::Action) -> Result<Action, DecodeError> {
     Ok(match action.what.ok_or(DecodeError { field: "action" })? {
         ActionKind::Send(send) => Action::ForwardAttempt {
@@ -77,7 +77,8 @@
     })
 }
 
-/// Digest of actions: XXH3-64 of their protobuf, each behind its length. `buffer` is reused from call to call.
+/// Digest of actions: XXH3-64 of their length-delimited protobuf encodings. `buffer` is scratch space that
+/// callers reuse.
 pub fn digest_actions(actions: &[pb::Action], buffer: &mut Vec<u8>) -> u64 {
     buffer.clear();
     for action in actions {
--- a/crates/capture/src/codec/headers.rs
+++ b/crates/capture/src/codec/headers.rs
@@ -1,11 +1,11 @@
-//! Headers of segments, and the engines' numbers in their checkpoints.
+//! Converts the headers of segments, and the engines' numbers in their checkpoints.
 
 use crate::engine_numbers::EngineNumber;
 use crate::pb;
 use crate::segment::SegmentHeader;
 use sprucelink_policy::Timestamp;
 
-/// A header as the format has it.
+/// Encodes a header.
 pub fn encode_header(header: &SegmentHeader) -> pb::Head {
     pb::Head {
         format: header.format,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The header that a message holds.
+/// Decodes a header.
 pub fn decode_header(head: pb::Head) -> SegmentHeader {
     SegmentHeader {
         format: head.format,
@@ -39,12 +39,12 @@
     }
 }
 
-/// An engine's number as a checkpoint has it.
+/// Encodes an engine's id and number for a checkpoint.
 pub fn encode_engine(id: &str, number: u32) -> pb::Numbered {
     pb::Numbered { id: id.to_owned(), number, freed: false }
 }
 
-/// The engine's number that a checkpoint holds.
+/// Decodes an engine's id and number from a checkpoint.
 pub fn decode_engine(numbered: pb::Numbered) -> EngineNumber {
     EngineNumber { id: numbered.id, number: numbered.number }
 }
--- a/crates/capture/src/codec/inputs.rs
+++ b/crates/capture/src/codec/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the policy.
+//! Converts the inputs of records.
 
 use super::values::{
     decode_report, decode_value, encode_report, encode_value, ENDPOINT_UPDATES, ENGINE_STATES, OUTCOMES,
@@ -6,14 +6,14 @@
 use super::DecodeError;
 use crate::input::RecordedInput;
 use crate::pb;
-use pb::noted::Note as EncodedNote;
+use pb::noted::Note as ProgressNoteKind;
 use pb::record::What as InputKind;
 use sprucelink_policy::{
     Arrival, ClassId, EngineEntry, EngineId, Event, LoadReport, Outcome, ProgressNote, QueryCost, RequestId,
     TimeDelta, Timestamp,
 };
 
-/// An input as the format has it.
+/// Encodes an input.
 pub fn encode_input(input: &RecordedInput) -> InputKind {
     match input {
         RecordedInput::Event(event) => encode_event(event),
@@ -23,18 +23,20 @@
     }
 }
 
-/// An event as the format has it.
+/// Encodes an event.
 pub fn encode_event(event: &Event) -> InputKind {
     match event {
         Event::EndpointsChanged { kind, entries } => InputKind::List(pb::List {
             kind: encode_value(&ENDPOINT_UPDATES, kind),
-            entries: entries.iter().map(encode_entry).collect(),
+            entries: entries.iter().map(encode_endpoint).collect(),
         }),
         Event::RequestArrived(arrival) => InputKind::Arrived(encode_arrival(arrival)),
         Event::ResponseStarted { id } => InputKind::Started(id.0),
-        Event::ProgressReported { id, attempt, note } => {
-            InputKind::Noted(pb::Noted { id: id.0, attempt: *attempt, note: Some(encode_note(note)) })
-        }
+        Event::ProgressReported { id, attempt, note } => InputKind::Noted(pb::Noted {
+            id: id.0,
+            attempt: *attempt,
+            note: Some(encode_progress_note(note)),
+        }),
         Event::AttemptEnded { id, attempt, outcome, latency, complete, query_cost, report } => {
             InputKind::Ended(pb::Ended {
                 id: id.0,
@@ -50,7 +52,7 @@
         Event::RequestAbandoned { id } => InputKind::GivenUp(id.0),
         Event::Timer { token } => InputKind::Timer(*token),
         Event::ProbeCompleted { engine, outcome, report } => {
-            InputKind::Probed(encode_probe(*engine, *outcome, report))
+            InputKind::Probed(encode_probe_result(*engine, *outcome, report))
         }
         Event::ZoneWeightsChanged(weights) => InputKind::Zones(pb::Zones { weights: weights.clone() }),
         Event::FleetChanged { gateways, spare_retries } => {
@@ -62,7 +64,7 @@
     }
 }
 
-fn encode_entry(entry: &EngineEntry) -> pb::Entry {
+fn encode_endpoint(entry: &EngineEntry) -> pb::Entry {
     pb::Entry {
         engine: entry.engine.0,
         zone: entry.zone,
@@ -86,32 +88,32 @@
     }
 }
 
-fn encode_note(note: &ProgressNote) -> EncodedNote {
+fn encode_progress_note(note: &ProgressNote) -> ProgressNoteKind {
     match note {
-        ProgressNote::Progress(fraction) => EncodedNote::Progress(*fraction),
-        ProgressNote::Spills(missing_mb) => EncodedNote::Spills(*missing_mb),
-        ProgressNote::WaitsForMemory => EncodedNote::WaitsForLoad(false),
-        ProgressNote::WaitsForLoad => EncodedNote::WaitsForLoad(true),
+        ProgressNote::Progress(fraction) => ProgressNoteKind::Progress(*fraction),
+        ProgressNote::Spills(missing_mb) => ProgressNoteKind::Spills(*missing_mb),
+        ProgressNote::WaitsForMemory => ProgressNoteKind::WaitsForLoad(false),
+        ProgressNote::WaitsForLoad => ProgressNoteKind::WaitsForLoad(true),
     }
 }
 
-fn encode_probe(engine: EngineId, outcome: Outcome, report: &LoadReport) -> pb::Probed {
+fn encode_probe_result(engine: EngineId, outcome: Outcome, report: &LoadReport) -> pb::Probed {
     pb::Probed { engine: engine.0, outcome: encode_value(&OUTCOMES, &outcome), report: encode_report(report) }
 }
 
-/// The input that a record holds.
+/// Decodes an input.
 ///
 /// # Errors
-/// The first field that is missing or unknown.
+/// A field is missing or holds an unknown value; the error names the first one.
 pub fn decode_input(input: InputKind) -> Result<RecordedInput, DecodeError> {
     let event = match input {
-        InputKind::List(list) => decode_list(list)?,
+        InputKind::List(list) => decode_endpoint_update(list)?,
         InputKind::Arrived(arrived) => Event::RequestArrived(decode_arrival(arrived)),
         InputKind::Started(id) => Event::ResponseStarted { id: RequestId(id) },
         InputKind::Noted(noted) => Event::ProgressReported {
             id: RequestId(noted.id),
             attempt: noted.attempt,
-            note: decode_note(noted.note.ok_or(DecodeError { field: "noted.note" })?),
+            note: decode_progress_note(noted.note.ok_or(DecodeError { field: "noted.note" })?),
         },
         InputKind::Ended(ended) => decode_attempt_end(ended)?,
         InputKind::GivenUp(id) => Event::RequestAbandoned { id: RequestId(id) },
@@ -133,12 +135,12 @@
     Ok(RecordedInput::Event(event))
 }
 
-fn decode_list(list: pb::List) -> Result<Event, DecodeError> {
-    let entries = list.entries.into_iter().map(decode_entry).collect::<Result<_, _>>()?;
+fn decode_endpoint_update(list: pb::List) -> Result<Event, DecodeError> {
+    let entries = list.entries.into_iter().map(decode_endpoint).collect::<Result<_, _>>()?;
     Ok(Event::EndpointsChanged { kind: decode_value(&ENDPOINT_UPDATES, list.kind, "list.kind")?, entries })
 }
 
-fn decode_entry(entry: pb::Entry) -> Result<EngineEntry, DecodeError> {
+fn decode_endpoint(entry: pb::Entry) -> Result<EngineEntry, DecodeError> {
     Ok(EngineEntry {
         engine: EngineId(entry.engine),
         zone: entry.zone,
@@ -162,12 +164,12 @@
     }
 }
 
-fn decode_note(note: EncodedNote) -> ProgressNote {
+fn decode_progress_note(note: ProgressNoteKind) -> ProgressNote {
     match note {
-        EncodedNote::Progress(fraction) => ProgressNote::Progress(fraction),
-        EncodedNote::Spills(missing_mb) => ProgressNote::Spills(missing_mb),
-        EncodedNote::WaitsForLoad(false) => ProgressNote::WaitsForMemory,
-        EncodedNote::WaitsForLoad(true) => ProgressNote::WaitsForLoad,
+        ProgressNoteKind::Progress(fraction) => ProgressNote::Progress(fraction),
+        ProgressNoteKind::Spills(missing_mb) => ProgressNote::Spills(missing_mb),
+        ProgressNoteKind::WaitsForLoad(false) => ProgressNote::WaitsForMemory,
+        ProgressNoteKind::WaitsForLoad(true) => ProgressNote::WaitsForLoad,
     }
 }
 
--- a/crates/capture/src/codec/values.rs
+++ b/crates/capture/src/codec/values.rs
@@ -1,19 +1,19 @@
-//! Enumerations and load reports. The format stores the position of a value in its list, so that lists may grow at their
-//! ends only.
+//! Converts enumerations and load reports. The format stores an enumeration value as its index in one of the
+//! lists in this file: new values may only be appended, or older captures would be decoded wrongly.
 
 use super::DecodeError;
 use crate::pb;
 use sprucelink_policy::{EndpointUpdate, EngineState, LoadReport, Outcome};
 
-/// Kinds of endpoint updates, in the format's order.
+/// Kinds of endpoint updates, in the order of the format.
 pub(super) const ENDPOINT_UPDATES: [EndpointUpdate; 4] =
     [EndpointUpdate::Changes, EndpointUpdate::Complete, EndpointUpdate::Remembered, EndpointUpdate::Failed];
 
-/// States of engines, in the format's order.
+/// States of engines, in the order of the format.
 pub(super) const ENGINE_STATES: [EngineState; 3] =
     [EngineState::Ready, EngineState::Draining, EngineState::Gone];
 
-/// Outcomes, in the format's order.
+/// Outcomes of attempts, in the order of the format.
 pub(super) const OUTCOMES: [Outcome; 8] = [
     Outcome::Succeeded,
     Outcome::EngineError,
@@ -25,21 +25,17 @@
     Outcome::NeverSent,
 ];
 
-/// The position of a value in its list.
+/// Index of a value in its list.
 pub(super) fn encode_value<T: PartialEq>(values: &[T], value: &T) -> u32 {
     values.iter().position(|candidate| candidate == value).unwrap_or(values.len()) as u32
 }
 
-/// The value at a position of its list; `field` names it in the error.
-pub(super) fn decode_value<T: Copy>(
-    values: &[T],
-    position: u32,
-    field: &'static str,
-) -> Result<T, DecodeError> {
-    values.get(position as usize).copied().ok_or(DecodeError { field })
+/// The value at an index of its list. `field` is the name of the field in the error.
+pub(super) fn decode_value<T: Copy>(values: &[T], index: u32, field: &'static str) -> Result<T, DecodeError> {
+    values.get(index as usize).copied().ok_or(DecodeError { field })
 }
 
-/// A load report; `None` for one that says nothing.
+/// Encodes a load report; `None` if it has no values.
 pub(super) fn encode_report(report: &LoadReport) -> Option<pb::Report> {
     if *report == LoadReport::default() {
         return None;
--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -1,5 +1,5 @@
-//! Cuts a small test case out of a capture: the policy's state a little before a moment, the records up to a little
-//! after it, and the rules that must hold over them.
+//! Cuts a small test case out of a capture: the policy's state shortly before a moment, the records from then
+//! until shortly after it, and the rules that a replay of them must hold.
 
 use crate::engine_numbers::EngineNumbers;
 use crate::error::{CheckError, CutError};
@@ -8,23 +8,23 @@
 use crate::segment::{Answer, Record, Segment, SegmentHeader};
 use sprucelink_policy::{Action, TimeDelta, Timestamp};
 
-/// The name of the rule that a panic breaks, as a breach has it.
+/// Rule of the [`Breach`] that reports a panic of the policy, as JSON.
 const NO_PANIC_RULE: &str = "\"no panic\"";
-/// The resolution of timestamps.
+/// Resolution of timestamps.
 const ONE_MICROSECOND: TimeDelta = TimeDelta::from_micros(1);
 
-/// What is cut out of a capture.
+/// The part of a capture that becomes a case.
 #[derive(Clone, Debug)]
 pub struct CaseSpan {
-    /// The moment.
+    /// The moment that the case shows.
     pub around: Timestamp,
-    /// Time before the moment at which the case begins.
+    /// Time from the start of the case to the moment.
     pub before: TimeDelta,
-    /// Time after the moment at which the case ends.
+    /// Time from the moment to the end of the case.
     pub after: TimeDelta,
-    /// The rules that must hold.
+    /// Rules that a replay of the case must hold.
     pub rules: Vec<Rule>,
-    /// What the case shows, in words.
+    /// Description of the case for its readers.
     pub note: String,
 }
 
@@ -40,24 +40,25 @@
 
 /// The point of a segment at which a case begins.
 struct CaseStart {
-    /// The number of the case's first record in the segment.
+    /// Index of the case's first record in the segment.
     first_record: usize,
-    /// The time of the policy's state.
+    /// Time of the policy's state.
     at: Timestamp,
-    /// The policy's state, in MessagePack.
+    /// The policy's state in MessagePack.
     state: Vec<u8>,
     engines: EngineNumbers,
 }
 
-/// Cuts a case out of segments that follow each other.
+/// Cuts a case out of the consecutive segments of a capture.
 ///
 /// # Errors
-/// No segment covers the moment, the replay diverges from the record before it, or the span holds no record.
+/// No segment covers the moment, the replay diverges from the recording before it, the span holds no record,
+/// or the recorded digests differ from the replay's, so that complete answers cannot be restored.
 pub fn cut_case(segments: &[Segment], span: &CaseSpan) -> Result<Segment, CutError> {
-    let first = find_segment(segments, span).ok_or(CutError::MomentNotRecorded)?;
-    let segment = &segments[first];
+    let first_segment = find_segment(segments, span).ok_or(CutError::MomentNotRecorded)?;
+    let segment = &segments[first_segment];
     let start = replay_to_start(segment, span)?;
-    let records = collect_records(&segments[first..], start.first_record, span.end());
+    let records = collect_records(&segments[first_segment..], start.first_record, span.end());
     if records.is_empty() {
         return Err(CutError::NothingRecorded);
     }
@@ -75,15 +76,15 @@
     Ok(case)
 }
 
-/// The number of the segment in which a case begins: the last that covers the case's start, or else the first that
-/// covers the moment.
+/// Index of the segment in which a case begins: the last one that covers the case's start, or else the first
+/// one that covers the moment.
 fn find_segment(segments: &[Segment], span: &CaseSpan) -> Option<usize> {
     let covers = |segment: &Segment, time: Timestamp| segment.at <= time && segment.until() >= time;
     let covering_start = segments.iter().rposition(|segment| covers(segment, span.start()));
     covering_start.or_else(|| segments.iter().position(|segment| covers(segment, span.around)))
 }
 
-/// Replays a segment up to a case's start. The records before it are part of the state.
+/// Replays a segment up to the start of a case: the records before the start are part of the case's state.
 fn replay_to_start(segment: &Segment, span: &CaseSpan) -> Result<CaseStart, CutError> {
     let records = &segment.records;
     let first_record = records.iter().position(|record| record.at >= span.start()).unwrap_or(records.len());
@@ -102,23 +103,27 @@
     };
     let options = ReplayOptions { until: Some(span.start() - ONE_MICROSECOND), ..ReplayOptions::default() };
     let summary = replay_segment(segment, &options, &mut on_step)?;
-    if let Some(first) = summary.first_divergence {
-        return Err(CutError::Diverged { record: first.record, got: first.got, expected: first.expected });
+    if let Some(divergence) = summary.first_divergence {
+        return Err(CutError::Diverged {
+            record: divergence.record,
+            got: divergence.got,
+            expected: divergence.expected,
+        });
     }
     let state = state.transpose().map_err(CutError::State)?.unwrap_or_else(|| segment.state.clone());
     Ok(CaseStart { first_record, at: records[last_before].at, state, engines })
 }
 
-/// The records up to a time, from this one of the first segment on; into later segments, as long as nothing was lost
-/// between them.
+/// The records from `first_record` of the first segment up to `until`. Continues into later segments as long
+/// as no events were lost between them.
 fn collect_records(segments: &[Segment], first_record: usize, until: Timestamp) -> Vec<Record> {
     let is_within = |record: &&Record| record.at <= until;
     let mut records: Vec<Record> =
         segments[0].records[first_record..].iter().filter(is_within).cloned().collect();
     for pair in segments.windows(2) {
         let [segment, next] = pair else { break };
-        let is_over = segment.until() > until || next.at > until;
-        if is_over || !follows(next, segment) || next.header.lost_events_before > 0 {
+        let is_past_end = segment.until() > until || next.at > until;
+        if is_past_end || !follows(next, segment) || next.header.lost_events_before > 0 {
             break;
         }
         records.extend(next.records.iter().filter(is_within).cloned());
@@ -126,13 +131,14 @@
     records
 }
 
-/// Whether a segment is the next one of the same recorder.
+/// Whether the same recorder wrote `next` directly after `segment`.
 fn follows(next: &Segment, segment: &Segment) -> bool {
     next.header.policy_started_at == segment.header.policy_started_at
         && next.header.number == segment.header.number + 1
 }
 
-/// Replaces digests by the complete answers, where the replay gives the same.
+/// Replaces the recorded digests by the replay's complete answers. Fails if the replay's answers differ from
+/// the digests.
 fn complete_answers(case: &mut Segment) -> Result<(), CutError> {
     if !case.records.iter().any(|record| matches!(record.answer, Answer::Digest { .. })) {
         return Ok(());
@@ -143,16 +149,16 @@
     if summary.differing_events > 0 {
         return Err(CutError::DigestsDiverged);
     }
-    for (number, actions) in answers {
-        case.records[number].answer = Answer::Complete(actions);
+    for (record_index, actions) in answers {
+        case.records[record_index].answer = Answer::Complete(actions);
     }
     Ok(())
 }
 
-/// Replays a case and checks its rules: returns the breaches, none where all rules hold.
+/// Replays a case and checks its rules. Returns the breaches; a panic of the policy is one of them.
 ///
 /// # Errors
-/// A case without rules, or one that cannot be replayed.
+/// The case has no rules or an invalid one, or it cannot be replayed.
 pub fn check_case(case: &Segment) -> Result<Vec<Breach>, CheckError> {
     let rules = case.header.rules.iter().map(|text| Rule::parse(text)).collect::<Result<Vec<_>, _>>()?;
     if rules.is_empty() {
--- a/crates/capture/src/engine_numbers.rs
+++ b/crates/capture/src/engine_numbers.rs
@@ -1,13 +1,14 @@
-//! Which number stands for which engine. The policy knows engines by numbers only; explanations name them.
+//! The numbers that the policy uses for engines, with the engines' ids. The policy knows engines only by
+//! number; explanations print their ids.
 
 use crate::input::RecordedInput;
 
 /// An engine's id in the endpoint list, and its number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineNumber {
-    /// The engine's id.
+    /// The engine's id in the endpoint list.
     pub id: String,
-    /// Its number.
+    /// Number by which the policy knows the engine ([`sprucelink_policy::EngineId`]).
     pub number: u32,
 }
 
@@ -16,22 +17,22 @@
 pub struct EngineNumbers(Vec<EngineNumber>);
 
 impl EngineNumbers {
-    /// The engines in the order in which they were numbered.
+    /// Iterates over the engines in the order in which they got their numbers.
     pub fn iter(&self) -> impl Iterator<Item = &EngineNumber> {
         self.0.iter()
     }
 
-    /// How many engines there are.
+    /// Number of engines that have a number.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are no engines.
+    /// Whether no engine has a number.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Follows a record: an engine that is numbered, or whose number is freed.
+    /// Applies a record in which an engine gets or frees its number; other inputs change nothing.
     pub fn apply(&mut self, input: &RecordedInput) {
         let RecordedInput::EngineNumbered { id, number, freed } = input else { return };
         self.0.retain(|engine| engine.id != *id);
@@ -40,12 +41,12 @@
         }
     }
 
-    /// The number of an engine.
+    /// The number of the engine with this id; `None` if it has none.
     pub fn number_of(&self, id: &str) -> Option<u32> {
         self.0.iter().find(|engine| engine.id == id).map(|engine| engine.number)
     }
 
-    /// An engine in words: its id and number, or the number alone where no id is known.
+    /// Text for an engine: its id and number, or the number alone if the id is unknown.
     pub fn describe(&self, number: u32) -> String {
         match self.0.iter().find(|engine| engine.number == number) {
             Some(engine) => format!("{} (#{number})", engine.id),
