--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -1,11 +1,11 @@
-//! Why captures, cases, rules and settings are rejected.
+//! Errors of this crate: for captures, cases, rules and settings that cannot be used.
 
 use crate::file_name::SUFFIX;
 use std::error::Error;
 use std::io;
 use std::path::PathBuf;
 
-/// An error of a caller, kept as the source of an error of this crate.
+/// An error from a caller's callback, kept as the source of an error of this crate.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// A capture that cannot be read at all.
@@ -16,54 +16,54 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// The file is longer than any capture.
-    #[error("{path}: longer than any capture", path = path.display())]
+    /// The file is larger than the reader accepts.
+    #[error("{path}: too large for a capture file", path = path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
     },
-    /// The folder holds no capture file.
+    /// The folder contains no capture file.
     #[error("{path}: no file that ends in {SUFFIX}", path = path.display())]
     NoFiles {
         /// The folder.
         path: PathBuf,
     },
-    /// The file's bytes hold no capture that this build reads.
+    /// The content of the file is not a capture that this build can read.
     #[error("{path}", path = path.display())]
     Content {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// What is wrong with the content.
         source: ParseError,
     },
 }
 
-/// Bytes that hold no capture, or one of a newer format.
+/// Bytes that are not a capture, or one in a newer format.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     /// There are no bytes.
     #[error("is empty")]
     Empty,
     /// The bytes end before the first checkpoint.
-    #[error("holds no whole segment: cut off in its first frames")]
+    #[error("holds no complete segment: cut off in its first frames")]
     CutOff,
-    /// A newer build wrote it.
+    /// The capture was written by a newer build.
     #[error("written in format {format}; this build reads up to {supported}")]
     NewerFormat {
-        /// The format of the file.
+        /// Format version of the file.
         format: u32,
-        /// The newest format that this build reads.
+        /// Newest format version that this build reads.
         supported: u32,
     },
-    /// Nothing in it can be read as a capture.
-    #[error("is no capture: at byte {offset}: {reason}")]
+    /// No part of the bytes can be read as a capture.
+    #[error("is not a capture: at byte {offset}: {reason}")]
     NotACapture {
-        /// The first place that cannot be read, in bytes.
+        /// Offset of the first unreadable part, in bytes.
         offset: usize,
-        /// What is wrong there.
+        /// What is wrong at that offset.
         reason: String,
     },
 }
@@ -72,17 +72,17 @@
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
     /// A frame would be longer than [`crate::frame::MAX_BODY_BYTES`].
-    #[error("a frame longer than any may be")]
+    #[error("a frame exceeds the maximum length")]
     FrameTooLong,
     /// A frame cannot be compressed.
     #[error("a frame cannot be compressed")]
     Compression(#[source] io::Error),
     /// The segment holds digests in place of actions.
-    #[error("answers are digests: replay them whole first")]
+    #[error("the segment holds digests of answers: replay it to get the complete answers first")]
     DigestsOnly,
 }
 
-/// The policy's state in a checkpoint is not one that this build reads.
+/// A state of the policy, in a checkpoint, that this build cannot read.
 #[derive(Debug, thiserror::Error)]
 #[error("the module's state cannot be read")]
 pub struct StateError(#[source] pub(crate) rmp_serde::decode::Error);
@@ -90,7 +90,7 @@
 /// A segment that cannot be replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// Its checkpoint cannot be read.
+    /// The checkpoint of the segment cannot be read.
     #[error(transparent)]
     State(#[from] StateError),
     /// The caller's change of the policy, before the replay, failed.
@@ -105,23 +105,26 @@
     #[error("no segment holds that moment")]
     MomentNotRecorded,
     /// The replay up to the moment gives other answers than were recorded.
-    #[error("the module parts from the record before that moment, at record {record}: {got} instead of {expected}")]
+    #[error(
+        "the replay diverges from the recording before that moment, at record {record}: got {got}, \
+         expected {expected}"
+    )]
     Diverged {
-        /// The record's number in its segment, from 0.
+        /// Index of the record in its segment, from 0.
         record: usize,
         /// The replayed actions.
         got: String,
         /// The recorded actions.
         expected: String,
     },
-    /// The policy's state at the moment cannot be written.
+    /// The policy's state at the start of the case cannot be serialised.
     #[error("the module's state cannot be written")]
     State(#[source] rmp_serde::encode::Error),
     /// No event was recorded in the span.
-    #[error("nothing was told around that moment")]
+    #[error("no event was recorded around that moment")]
     NothingRecorded,
-    /// The capture holds digests of answers, and the replay gives other ones.
-    #[error("answers are digests here, and the replay gives others")]
+    /// The capture holds digests of answers, and the replay's answers do not match them.
+    #[error("the capture holds digests of answers, and the replay's answers do not match them")]
     DigestsDiverged,
     /// A segment cannot be replayed.
     #[error(transparent)]
@@ -131,62 +134,62 @@
 /// A case that cannot be checked.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// It has no rules.
-    #[error("it names nothing that must hold")]
+    /// The case has no rules.
+    #[error("the case has no rules")]
     NoRules,
-    /// One of its rules cannot be read.
+    /// A rule of the case cannot be parsed.
     #[error(transparent)]
     Rule(#[from] RuleError),
-    /// Its checkpoint cannot be read.
+    /// The checkpoint of the case cannot be read.
     #[error(transparent)]
     State(#[from] StateError),
-    /// It cannot be replayed.
+    /// The case cannot be replayed.
     #[error(transparent)]
     Replay(#[from] ReplayError),
 }
 
-/// A rule that cannot be read.
+/// A rule that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("rule {text:?}")]
 pub struct RuleError {
     /// The rule as given.
     pub text: String,
-    /// What is wrong in it.
+    /// Error of the JSON5 parser.
     pub source: json5::Error,
 }
 
-/// The recorder's settings cannot be used.
+/// Settings of the recorder that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is no JSON5, or a field is unknown, missing or of the wrong type.
+    /// The text is not valid JSON5, or a field is unknown, missing or of the wrong type.
     #[error(transparent)]
     Syntax(#[from] json5::Error),
     /// A field is out of its range.
     #[error("{field}: {value} is not from {min} to {max}")]
     OutOfRange {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: u64,
-        /// The lowest value allowed.
+        /// Lowest allowed value.
         min: u64,
-        /// The highest value allowed.
+        /// Highest allowed value.
         max: u64,
     },
-    /// The folder has no name.
-    #[error("dir: names no folder")]
+    /// The path of the folder is empty.
+    #[error("dir: the path is empty")]
     NoDirectory,
     /// A segment may be larger than all files together.
     #[error("segment_mb: {segment_mb} is more than ring_mb, {ring_mb}")]
     SegmentExceedsRing {
-        /// The size of a segment, in MB.
+        /// Size of a segment, in MB.
         segment_mb: u64,
-        /// The size of all files together, in MB.
+        /// Size of all files together, in MB.
         ring_mb: u64,
     },
 }
 
-/// An outcome policy that does not exist.
+/// A text that is not the name of an outcome policy.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is neither recorded nor matched")]
 pub struct UnknownOutcomePolicy(pub String);
--- a/crates/capture/src/frame.rs
+++ b/crates/capture/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames of a capture file: magic bytes, length, kind, checksum and body. Nothing here does input or output.
+//! Encodes and decodes the frames of a capture file in memory: magic bytes, length, kind, checksum and body.
 //!
 //! ```text
 //! magic 4 bytes  "SLF1"
@@ -8,55 +8,56 @@
 //! body  len bytes
 //! ```
 //!
-//! A file is a sequence of frames, so concatenated files are a file, too. After damage a reader searches for the next
-//! intact frame ([`find_frame`]).
+//! A file is a sequence of frames, so concatenated capture files form a valid capture file. After damage a
+//! reader searches for the next intact frame ([`find_frame`]).
 
 /// The first bytes of every frame.
 pub const MAGIC: [u8; 4] = *b"SLF1";
 /// Length of a frame's header, in bytes.
 pub const HEADER_BYTES: usize = 16;
-/// Longest body, in bytes. The state of a policy with 5,000 engines and 20,000 requests is under 10 MB before
-/// compression; a longer length in a file counts as damage.
+/// Maximum length of a body, in bytes. The state of a policy with 5,000 engines and 20,000 requests is under
+/// 10 MB before compression; a longer length in a file counts as damage.
 pub const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// What the body of a frame is.
+/// Kind of a frame, which says how its body is encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// The head of a segment ([`crate::pb::Head`]).
     Head,
-    /// The state of the policy ([`crate::pb::Checkpoint`]), compressed; once, after the head.
+    /// The state of the policy ([`crate::pb::Checkpoint`]), compressed; one follows each head.
     Checkpoint,
     /// Records ([`crate::pb::Block`]), compressed.
     Block,
-    /// The end of a segment that was closed in order ([`crate::pb::Tail`]).
+    /// The end of a segment that was closed regularly ([`crate::pb::Tail`]).
     Tail,
 }
 
-/// The kinds in the order of their numbers in a file, which begin with 1.
+/// Kinds of frames in the order of their numbers in a file, which begin with 1.
 const FRAME_KINDS: [FrameKind; 4] =
     [FrameKind::Head, FrameKind::Checkpoint, FrameKind::Block, FrameKind::Tail];
 
-/// What a file holds at a byte offset.
+/// Result of reading a frame at a byte offset of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameRead<'a> {
     /// An intact frame.
     Frame {
-        /// What it is.
+        /// Kind of the frame.
         kind: FrameKind,
-        /// Its body.
+        /// Body of the frame, as stored.
         body: &'a [u8],
-        /// The offset after it, in bytes.
+        /// Offset of the first byte after the frame.
         end: usize,
     },
-    /// The beginning of a frame at the end of the file: what a crash leaves.
+    /// The file ends inside the frame, as after a crash of the writer.
     Truncated,
-    /// No intact frame, and why.
+    /// There is no intact frame, for this reason.
     Damaged(&'static str),
-    /// The end of the file.
+    /// The offset is the end of the file.
     EndOfFile,
 }
 
-/// Appends a frame. A body longer than [`MAX_BODY_BYTES`] gives `false`, and nothing is written.
+/// Appends a frame to `out`. Returns `false` and appends nothing if the body is longer than
+/// [`MAX_BODY_BYTES`].
 pub fn append_frame(out: &mut Vec<u8>, kind: FrameKind, body: &[u8]) -> bool {
     if body.len() > MAX_BODY_BYTES {
         return false;
@@ -78,13 +79,13 @@
     hasher.finalize()
 }
 
-fn read_u32(bytes: &[u8], at: usize) -> u32 {
-    bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes)
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
+    bytes.get(offset..offset + 4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes)
 }
 
-/// Reads the frame at a byte offset of a file that is held in memory.
-pub fn read_frame(bytes: &[u8], at: usize) -> FrameRead<'_> {
-    let rest = bytes.get(at..).unwrap_or_default();
+/// Reads the frame that begins at a byte offset of a file's content.
+pub fn read_frame(bytes: &[u8], offset: usize) -> FrameRead<'_> {
+    let rest = bytes.get(offset..).unwrap_or_default();
     if rest.is_empty() {
         return FrameRead::EndOfFile;
     }
@@ -97,41 +98,46 @@
     }
     let len = read_u32(rest, 4) as usize;
     if len > MAX_BODY_BYTES {
-        return FrameRead::Damaged("the length is more than any frame has");
+        return FrameRead::Damaged("the length exceeds the maximum");
     }
     let Some(kind) = (read_u32(rest, 8) as usize).checked_sub(1).and_then(|k| FRAME_KINDS.get(k)) else {
-        return FrameRead::Damaged("the kind is not known");
+        return FrameRead::Damaged("the frame kind is unknown");
     };
     let Some(body) = rest.get(HEADER_BYTES..HEADER_BYTES + len) else {
         // A damaged length may reach beyond the end of the file: an intact frame after it shows that the file was
         // not truncated here.
-        return match find_frame(bytes, at + 1) {
-            Some(_) => FrameRead::Damaged("the length reaches over what follows"),
+        return match find_frame(bytes, offset + 1) {
+            Some(_) => FrameRead::Damaged("the length extends over an intact frame"),
             None => FrameRead::Truncated,
         };
     };
     if checksum(&rest[4..8], &rest[8..12], body) != read_u32(rest, 12) {
         return FrameRead::Damaged("the checksum does not match");
     }
-    FrameRead::Frame { kind: *kind, body, end: at + HEADER_BYTES + len }
+    FrameRead::Frame { kind: *kind, body, end: offset + HEADER_BYTES + len }
 }
 
-/// The offset of the next intact frame at or after `from`, in bytes.
+/// Byte offset of the next intact frame at or after `from`.
 pub fn find_frame(bytes: &[u8], from: usize) -> Option<usize> {
-    let mut at = from;
-    while let Some(hit) = bytes.get(at..).and_then(|b| b.windows(MAGIC.len()).position(|w| w == MAGIC)) {
-        at += hit;
-        let len = read_u32(bytes, at + 4) as usize;
-        let body = bytes.get(at + HEADER_BYTES..(at + HEADER_BYTES).saturating_add(len.min(MAX_BODY_BYTES)));
+    let mut offset = from;
+    while let Some(distance) =
+        bytes.get(offset..).and_then(|b| b.windows(MAGIC.len()).position(|w| w == MAGIC))
+    {
+        offset += distance;
+        let len = read_u32(bytes, offset + 4) as usize;
+        let body_start = offset + HEADER_BYTES;
+        let body = bytes.get(body_start..body_start.saturating_add(len.min(MAX_BODY_BYTES)));
         let is_intact = len <= MAX_BODY_BYTES
-            && bytes.len() >= at + HEADER_BYTES + len
+            && bytes.len() >= body_start + len
             && body.is_some_and(|b| {
-                checksum(&bytes[at + 4..at + 8], &bytes[at + 8..at + 12], b) == read_u32(bytes, at + 12)
+                let (len_field, kind_field) =
+                    (&bytes[offset + 4..offset + 8], &bytes[offset + 8..offset + 12]);
+                checksum(len_field, kind_field, b) == read_u32(bytes, offset + 12)
             });
         if is_intact {
-            return Some(at);
+            return Some(offset);
         }
-        at += 1;
+        offset += 1;
     }
     None
 }
--- a/crates/capture/src/input.rs
+++ b/crates/capture/src/input.rs
@@ -1,4 +1,4 @@
-//! What the policy was given: its events, and which number stands for which engine.
+//! Inputs of records: events of the policy, and changes of the engines' numbers.
 
 use sprucelink_policy::Event;
 
@@ -7,19 +7,19 @@
 pub enum RecordedInput {
     /// An event, as given to the policy.
     Event(Event),
-    /// An engine's id got a number, or (`freed`) gave it back.
+    /// An engine was given a number, or its number was freed.
     EngineNumbered {
         /// The engine's id in the endpoint list.
         id: String,
-        /// Its number.
+        /// Number by which the policy knows the engine.
         number: u32,
-        /// The number was given back.
+        /// The number was freed; otherwise it was assigned.
         freed: bool,
     },
 }
 
 impl RecordedInput {
-    /// The event, unless the input is the numbering of an engine.
+    /// The event; `None` for a change of an engine's number.
     pub fn event(&self) -> Option<&Event> {
         match self {
             RecordedInput::Event(event) => Some(event),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The name of the input's kind, as `sprucelink capture show` prints it.
+    /// Name of the input's kind, as `sprucelink capture show` prints it.
     pub fn kind_name(&self) -> &'static str {
         let RecordedInput::Event(event) = self else { return "numbered" };
         match event {
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,12 +1,12 @@
-//! Capture and replay of the decision module: what the policy was given and what it answered, in order, in a ring of
-//! files that each replay alone.
+//! Capture and replay of the decision module: the events that the policy was given and the actions that it
+//! answered with, in order, in a ring of files, each of which can be replayed without the others.
 //!
-//! | module | what it does | input and output |
+//! | module | purpose | input and output |
 //! | --- | --- | --- |
-//! | [`input`], [`engine_numbers`], [`segment`] | a capture as types | none |
-//! | [`codec`] | inputs and actions to protobuf and back | none |
-//! | [`frame`] | frames of a file: length, checksum, search behind damage | none |
-//! | [`ring`] | decides when a segment ends, what is dropped, which files are removed | none |
+//! | [`input`], [`engine_numbers`], [`segment`] | the types of a capture | none |
+//! | [`codec`] | converts inputs and actions to protobuf and back | none |
+//! | [`frame`] | frames of a file: length, checksum, search for the next frame after damage | none |
+//! | [`ring`] | decides when a segment ends, which records are dropped and which files are removed | none |
 //! | [`settings`] | the recorder's settings, JSON5 | none |
 //! | [`recorder`] | the recorder on the serving path, and its writer's thread | files |
 //! | [`reader`] | reads files, reports damage | files |
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads captures segment by segment. Intact segments are used; damage is reported with its offset in the file.
+//! Reads captures segment by segment. Intact segments are returned; damage is reported with its offset in the
+//! file.
 
 use crate::codec::{decode_action, decode_engine, decode_header, decode_input};
 use crate::error::{ParseError, ReadError};
@@ -12,76 +13,76 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// Longest body after decompression, in bytes; a longer one counts as damage.
+/// Maximum length of a body after decompression, in bytes; a longer one counts as damage.
 const MAX_DECOMPRESSED_BYTES: u64 = 256 << 20;
-/// Longest file that is read, in bytes: a file holds one segment, or a few that were concatenated.
+/// Maximum length of a file, in bytes: a file holds one segment, or a few that were concatenated.
 const MAX_FILE_BYTES: u64 = 4 << 30;
 
 /// A part of a file that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// Its offset, in bytes.
+    /// Offset in the file, in bytes.
     pub offset: usize,
-    /// What is wrong there.
+    /// What is wrong at that offset.
     pub reason: String,
 }
 
 /// The contents of a capture file.
 #[derive(Debug, Default)]
 pub struct CaptureContents {
-    /// Segments, in order.
+    /// Segments in the order of the file.
     pub segments: Vec<Segment>,
-    /// What could not be read.
+    /// Parts that could not be read.
     pub damage: Vec<Damage>,
 }
 
-/// The files of a capture: those of a folder, oldest first, or the one file.
+/// The files of a capture: the capture files in a folder, oldest first, or `path` itself if it is a file.
 ///
 /// # Errors
 /// A path that cannot be read, or a folder without capture files.
 pub fn list_files(path: &Path) -> Result<Vec<PathBuf>, ReadError> {
-    let fault = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
-    if !std::fs::metadata(path).map_err(fault)?.is_dir() {
+    let file_error = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
+    if !std::fs::metadata(path).map_err(file_error)?.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
-    let mut all = Vec::new();
-    for entry in std::fs::read_dir(path).map_err(fault)? {
-        let file = entry.map_err(fault)?.path();
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(path).map_err(file_error)? {
+        let file = entry.map_err(file_error)?.path();
         if file.to_string_lossy().ends_with(SUFFIX) {
-            all.push(file);
+            files.push(file);
         }
     }
-    all.sort();
-    if all.is_empty() {
+    files.sort();
+    if files.is_empty() {
         return Err(ReadError::NoFiles { path: path.to_owned() });
     }
-    Ok(all)
+    Ok(files)
 }
 
-/// Reads a file.
+/// Reads a capture file. Damage in a part of the file is not an error: it is listed in the result.
 ///
 /// # Errors
-/// A file that cannot be read, is no capture at all, or is in a newer format.
+/// The file cannot be read, contains no segment, or is in a newer format.
 pub fn read_file(path: &Path) -> Result<CaptureContents, ReadError> {
-    let fault = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
-    let size = std::fs::metadata(path).map_err(fault)?.len();
+    let file_error = |source: std::io::Error| ReadError::File { path: path.to_owned(), source };
+    let size = std::fs::metadata(path).map_err(file_error)?.len();
     if size > MAX_FILE_BYTES {
         return Err(ReadError::TooLong { path: path.to_owned() });
     }
-    let bytes = std::fs::read(path).map_err(fault)?;
+    let bytes = std::fs::read(path).map_err(file_error)?;
     parse(&bytes, path).map_err(|source| ReadError::Content { path: path.to_owned(), source })
 }
 
-/// Reads the bytes of a file; `path` is what the segments say that they are from.
+/// Reads the content of a capture file. `path` only becomes [`Segment::file`].
 ///
 /// # Errors
-/// Bytes that are no capture at all, or in a newer format.
+/// The bytes contain no segment, or are in a newer format.
 pub fn parse(bytes: &[u8], path: &Path) -> Result<CaptureContents, ParseError> {
     let mut contents = CaptureContents::default();
     let mut open: Option<OpenSegment> = None;
-    let mut at = 0;
+    let mut offset = 0;
     loop {
-        match frame::read_frame(bytes, at) {
+        match frame::read_frame(bytes, offset) {
             FrameRead::EndOfFile => {
                 close(&mut contents, open.take(), SegmentEnd::Truncated { inside_frame: false });
                 break;
@@ -90,22 +91,24 @@
                 close(&mut contents, open.take(), SegmentEnd::Truncated { inside_frame: true });
                 break;
             }
-            FrameRead::Damaged(why) => {
-                add_damage(&mut contents, open.take(), at, why);
-                match frame::find_frame(bytes, at + 1) {
-                    Some(next) => at = next,
+            FrameRead::Damaged(reason) => {
+                add_damage(&mut contents, open.take(), offset, reason);
+                match frame::find_frame(bytes, offset + 1) {
+                    Some(next) => offset = next,
                     None => break,
                 }
             }
             FrameRead::Frame { kind, body, end } => {
-                match read_body(&mut contents, &mut open, kind, body, (path, at)) {
+                match read_body(&mut contents, &mut open, kind, body, (path, offset)) {
                     Ok(()) => {}
                     Err(BodyError::NewerFormat(format)) => {
                         return Err(ParseError::NewerFormat { format, supported: identity::FORMAT })
                     }
-                    Err(BodyError::Damaged(reason)) => add_damage(&mut contents, open.take(), at, &reason),
+                    Err(BodyError::Damaged(reason)) => {
+                        add_damage(&mut contents, open.take(), offset, &reason)
+                    }
                 }
-                at = end;
+                offset = end;
             }
         }
     }
@@ -119,18 +122,20 @@
     Ok(contents)
 }
 
-/// A segment that is being read. It counts once its checkpoint was read.
+/// A segment that is being read.
 struct OpenSegment {
     header: SegmentHeader,
+    /// Offset of the head in the file, in bytes.
     offset: usize,
+    /// `None` until the checkpoint was read; without a checkpoint the segment is not returned.
     segment: Option<Segment>,
 }
 
 /// Why a frame's body cannot be used.
 enum BodyError {
-    /// It is in this newer format.
+    /// The segment is in this newer format.
     NewerFormat(u32),
-    /// It is damaged.
+    /// The body is damaged, for this reason.
     Damaged(String),
 }
 
@@ -139,7 +144,7 @@
 }
 
 fn close(contents: &mut CaptureContents, open: Option<OpenSegment>, end: SegmentEnd) {
-    if let Some(segment) = open.and_then(|o| o.segment) {
+    if let Some(segment) = open.and_then(|open| open.segment) {
         contents.segments.push(Segment { end, ..segment });
     }
 }
@@ -154,12 +159,12 @@
     let decoder = zstd::stream::read::Decoder::new(body).map_err(damaged)?;
     decoder.take(MAX_DECOMPRESSED_BYTES + 1).read_to_end(&mut out).map_err(damaged)?;
     if out.len() as u64 > MAX_DECOMPRESSED_BYTES {
-        return Err(damaged("unpacks to more than any frame holds"));
+        return Err(damaged("the decompressed body exceeds the maximum length"));
     }
     Ok(out)
 }
 
-/// Adds the body of a frame to what was read.
+/// Decodes the body of the frame at `offset` and adds it to the contents or to the open segment.
 fn read_body(
     contents: &mut CaptureContents,
     open: &mut Option<OpenSegment>,
@@ -187,7 +192,7 @@
 fn read_header(body: &[u8]) -> Result<SegmentHeader, BodyError> {
     let header = decode_header(pb::Head::decode(body).map_err(damaged)?);
     if header.format == 0 {
-        return Err(damaged("the head names no format"));
+        return Err(damaged("the head has no format version"));
     }
     if header.format > identity::FORMAT {
         return Err(BodyError::NewerFormat(header.format));
@@ -197,7 +202,7 @@
 
 fn read_checkpoint(open: Option<&mut OpenSegment>, body: &[u8], path: &Path) -> Result<(), BodyError> {
     let Some(open) = open.filter(|open| open.segment.is_none()) else {
-        return Err(damaged("a checkpoint without its head"));
+        return Err(damaged("a checkpoint without a head before it"));
     };
     let checkpoint = pb::Checkpoint::decode(&decompress(body)?[..]).map_err(damaged)?;
     open.segment = Some(Segment {
@@ -215,7 +220,7 @@
 
 fn read_block(open: &mut OpenSegment, body: &[u8]) -> Result<(), BodyError> {
     let Some(segment) = &mut open.segment else {
-        return Err(damaged("records without a checkpoint"));
+        return Err(damaged("records without a checkpoint before them"));
     };
     let block = pb::Block::decode(&decompress(body)?[..]).map_err(damaged)?;
     for record in block.records {
@@ -225,19 +230,20 @@
     Ok(())
 }
 
-/// The tail of the open segment; its count must be that of the records read.
+/// Decodes the tail of the open segment, and checks its number of records against those that were read.
 fn read_tail(open: Option<&OpenSegment>, body: &[u8]) -> Result<pb::Tail, BodyError> {
     let tail = pb::Tail::decode(body).map_err(damaged)?;
     let Some(segment) = open.and_then(|open| open.segment.as_ref()) else { return Ok(tail) };
     let records = segment.records.len() as u64;
     if records != tail.records {
-        return Err(damaged(format!("{} records were written, {records} are here", tail.records)));
+        return Err(damaged(format!("{} records were written, {records} were read", tail.records)));
     }
     Ok(tail)
 }
 
 fn to_record(record: pb::Record, at: Timestamp, complete_answers: bool) -> Result<Record, BodyError> {
-    let input = decode_input(record.what.ok_or_else(|| damaged("a record of nothing"))?).map_err(damaged)?;
+    let input =
+        decode_input(record.what.ok_or_else(|| damaged("a record without an input"))?).map_err(damaged)?;
     let answer = if record.unanswered {
         Answer::None
     } else if complete_answers {
