--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,6 +1,6 @@
-//! The recorder: on the serving path it appends each event and its answer to a batch and queues full batches; a thread
-//! compresses and writes them. The serving path never waits: records that find no room are dropped and counted, and
-//! end the segment.
+//! The recorder: on the serving path it appends each event and its answer to a batch and queues full batches;
+//! a writer thread compresses and writes them. The serving path never waits: records for which the queue has
+//! no room are dropped and counted, and the segment ends there.
 
 mod store;
 mod writer;
@@ -25,12 +25,14 @@
 use std::time::{Duration, Instant};
 use writer::{Job, Shared, Writer};
 
-/// Size of a batch that goes to the writer, in bytes: small enough to be on disk soon, large enough to compress well.
+/// Size at which a batch is queued for the writer, in bytes: small enough to reach the disk soon, large
+/// enough to compress well.
 const BLOCK_BYTES: usize = 32 * 1024;
-/// Jobs that the queue holds, besides its bound in bytes. Blocks that are flushed by time may be small: a writer that
-/// stalls for ten seconds gets fifty of them.
+/// Maximum number of jobs in the queue, in addition to its bound in bytes. Blocks that are flushed by age may
+/// be small: fifty of them accumulate while the writer stalls for ten seconds.
 const MAX_QUEUED_JOBS: usize = 256;
-/// How long the writer may take for its queue at the end: a disk that hangs must not delay the shutdown.
+/// Maximum time that the writer has for the rest of its queue when the recorder is dropped: a disk that hangs
+/// must not delay the shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The protobuf key of `Block.records`: field 1, length-delimited.
 const RECORDS_KEY: u8 = 0x0a;
@@ -40,65 +42,67 @@
 pub struct RecorderCounters {
     /// Bytes written to files.
     pub bytes: u64,
-    /// Segments begun.
+    /// Segments that were started.
     pub segments: u64,
-    /// Events lost: the queue was full, the rate exceeded, or a file not written.
+    /// Events that were lost because the queue was full, the write rate was exceeded or a file could not be
+    /// written.
     pub lost: u64,
 }
 
-/// Records the events that a policy is given and the actions that it answers with.
+/// Records the events that a policy is given and its answers. Dropping it writes the rest of the queue and
+/// closes the segment.
 pub struct Recorder {
     ring: Ring,
     answers: AnswerFormat,
-    /// Bound of the queue, in bytes.
+    /// Maximum size of the queue, in bytes.
     max_queued_bytes: u64,
-    /// Age at which a batch is queued, full or not.
+    /// Age at which a batch is queued even if it is not full.
     flush_interval: TimeDelta,
-    /// The header of the next segment.
     next_header: SegmentHeader,
-    /// Records that are not queued yet, encoded.
+    /// Encoded records that are not queued yet.
     batch: Vec<u8>,
     batch_events: u64,
     batch_begun_at: Timestamp,
     last_record_at: Timestamp,
-    /// Records queued for the open segment.
+    /// Number of records queued for the open segment.
     segment_records: u64,
-    /// An event that the policy has not answered yet.
+    /// The event that the policy has not answered yet.
     unanswered: Option<UnansweredEvent>,
-    /// A buffer that is reused from record to record.
+    /// Buffer for the actions of a record, reused.
     actions: Vec<pb::Action>,
-    /// A buffer that is reused from digest to digest.
+    /// Buffer for the computation of digests, reused.
     digest_buffer: Vec<u8>,
     shared: Arc<Shared>,
-    /// `None` once the recorder is closed.
+    /// `None` only while the recorder is dropped.
     writer: Option<WriterThread>,
 }
 
-/// An event that was given to the policy.
+/// An event for which the policy's answer was not recorded yet.
 struct UnansweredEvent {
     at: Timestamp,
     event: InputKind,
 }
 
-/// The writer's thread, and the queue that it reads.
+/// The writer thread, and the sending side of its queue.
 struct WriterThread {
     jobs: SyncSender<Job>,
     thread: JoinHandle<()>,
 }
 
 impl Recorder {
-    /// Starts a recorder into the directory of the settings, for a policy that started at `started_at` with `seed`.
+    /// Starts a recorder that writes to the directory of the settings, for a policy that started at
+    /// `started_at` with `seed`.
     ///
     /// # Errors
-    /// The writer's thread cannot be started.
+    /// The writer thread cannot be started.
     pub fn start(settings: &Settings, seed: u64, started_at: Timestamp) -> io::Result<Recorder> {
         Recorder::with_store(settings, Box::new(DirectoryStore::new(&settings.dir)), seed, started_at)
     }
 
-    /// The same into any store.
+    /// Starts a recorder that writes to `store`; otherwise like [`Recorder::start`].
     ///
     /// # Errors
-    /// The writer's thread cannot be started.
+    /// The writer thread cannot be started.
     pub fn with_store(
         settings: &Settings,
         store: Box<dyn SegmentStore>,
@@ -141,8 +145,9 @@
         })
     }
 
-    /// Notes an event that the policy is about to be given. `engines` lists the engines' ids and numbers; it is called
-    /// only when a segment begins.
+    /// Starts the record of an event, before the policy handles the event. Begins a new segment with a
+    /// checkpoint of the policy if one is due; only then `engines` is called for the engines' ids and
+    /// numbers.
     pub fn record_event<'a>(
         &mut self,
         now: Timestamp,
@@ -156,7 +161,7 @@
         self.unanswered = Some(UnansweredEvent { at: now, event: encode_event(event) });
     }
 
-    /// Records the policy's answer to the last event, with the event.
+    /// Completes the record of the last event with the policy's answer.
     pub fn record_answer(&mut self, actions: &[Action]) {
         let Some(UnansweredEvent { at, event }) = self.unanswered.take() else { return };
         let mut encoded = std::mem::take(&mut self.actions);
@@ -179,14 +184,15 @@
         self.append(now, pb::Record { what: Some(numbered), ..pb::Record::default() });
     }
 
-    /// Counters since the start.
+    /// Counters since the recorder started.
     pub fn counters(&self) -> RecorderCounters {
-        let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let Shared { written_bytes, segments, lost_events, .. } = &*self.shared;
-        RecorderCounters { bytes: get(written_bytes), segments: get(segments), lost: get(lost_events) }
+        RecorderCounters { bytes: load(written_bytes), segments: load(segments), lost: load(lost_events) }
     }
 
-    /// Appends a record to the batch, and sets the time since the record before it.
+    /// Sets a record's time since the previous record, and appends the record to the batch. Queues the batch
+    /// if it is full or old, or if the clock was set back.
     fn append(&mut self, now: Timestamp, mut record: pb::Record) {
         if self.batch_events == 0 {
             self.batch_begun_at = now;
@@ -206,7 +212,8 @@
         }
     }
 
-    /// Queues the batch for the writer, or drops it.
+    /// Queues the batch for the writer, or drops it if no segment is open, the write rate is exceeded or the
+    /// queue is full.
     fn flush(&mut self, now: Timestamp) {
         let events = std::mem::take(&mut self.batch_events);
         if self.shared.is_segment_failed.swap(false, Ordering::Relaxed) {
@@ -229,8 +236,8 @@
         self.shared.lost_events.fetch_add(events, Ordering::Relaxed);
     }
 
-    /// Queues a job, unless the queue would exceed its bound. A job that exceeds the bound by itself is accepted by an
-    /// empty queue.
+    /// Queues a job; returns `false` if the queue is full or closed. An empty queue accepts a job that alone
+    /// exceeds the bound in bytes.
     fn send(&self, job: Job) -> bool {
         let Some(writer) = &self.writer else { return false };
         let bytes = job.queued_bytes();
@@ -248,7 +255,7 @@
         }
     }
 
-    /// Ends the open segment, if there is one, and begins another with a checkpoint of the policy.
+    /// Ends the open segment, if there is one, and begins a new one with a checkpoint of the policy.
     fn begin_segment(&mut self, now: Timestamp, policy: &Policy, engines: Vec<(&str, u32)>) {
         if self.batch_events > 0 {
             self.flush(now);
@@ -274,7 +281,7 @@
 impl Drop for Recorder {
     fn drop(&mut self) {
         if let Some(UnansweredEvent { at, event }) = self.unanswered.take() {
-            // The policy panicked on it: that is the event to look at.
+            // The policy panicked while it handled this event: the record is needed to reproduce the panic.
             let record = pb::Record { what: Some(event), unanswered: true, ..pb::Record::default() };
             self.append(at, record);
         }
@@ -282,12 +289,12 @@
             self.flush(self.last_record_at);
         }
         let tail = pb::Tail { records: self.segment_records, lost: self.ring.lost_events() };
-        // After a panic there is no tail, as after a crash.
+        // No tail is written after a panic: readers report the segment as cut off, as after a crash.
         if !std::thread::panicking() {
             self.send(Job::EndSegment(tail));
         }
         let Some(WriterThread { jobs, thread }) = self.writer.take() else { return };
-        // Closing the queue ends the thread.
+        // The thread ends when its queue is closed.
         drop(jobs);
         let deadline = Instant::now() + CLOSE_TIMEOUT;
         while !thread.is_finished() && Instant::now() < deadline {
--- a/crates/capture/src/recorder/store.rs
+++ b/crates/capture/src/recorder/store.rs
@@ -1,4 +1,4 @@
-//! The storage of the recorder's files: a trait, and a directory.
+//! Storage of the recorder's files: a trait, and its implementation by a directory.
 
 use crate::file_name::SUFFIX;
 use crate::ring::RingFile;
@@ -6,15 +6,16 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Stores the files of a ring. A trait, so that tests can make every call fail.
+/// Stores the files of a ring. It is a trait so that tests can make every call fail.
 pub trait SegmentStore: Send {
     /// The files of the ring, oldest first.
     fn list(&mut self) -> io::Result<Vec<RingFile>>;
-    /// Creates a file, to which later calls append.
+    /// Creates a file. Later calls of [`append`](SegmentStore::append) and
+    /// [`truncate`](SegmentStore::truncate) apply to it.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Appends to the file created last.
+    /// Appends to the file that was created last.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Truncates the file created last to a length in bytes.
+    /// Truncates the file that was created last to a length in bytes.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
@@ -23,11 +24,12 @@
 /// A directory of capture files.
 pub struct DirectoryStore {
     dir: PathBuf,
+    /// The file that was created last.
     file: Option<std::fs::File>,
 }
 
 impl DirectoryStore {
-    /// A directory, which is created with the first file if it does not exist.
+    /// A store in `dir`, which is created with the first file if it does not exist.
     pub fn new(dir: &Path) -> DirectoryStore {
         DirectoryStore { dir: dir.to_owned(), file: None }
     }
@@ -49,7 +51,7 @@
                 files.push(RingFile { name, bytes: metadata.len(), modified_at });
             }
         }
-        // Names begin with the time in a fixed width, so that their order is that of time.
+        // Names begin with the time in a fixed width, so they sort by time.
         files.sort();
         Ok(files)
     }
--- a/crates/capture/src/recorder/writer.rs
+++ b/crates/capture/src/recorder/writer.rs
@@ -1,4 +1,5 @@
-//! The writer's thread: compresses what the recorder queues and appends it to the files of the ring.
+//! The writer thread: compresses the blocks that the recorder queues, and appends them to the files of the
+//! ring.
 
 use super::store::SegmentStore;
 use crate::frame::{self, FrameKind};
@@ -12,13 +13,14 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// The zstd level: a fast one, at which records still shrink to a fifth.
+/// zstd level: fast, and records still shrink to a fifth of their size.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// A job for the writer's thread.
+/// A job for the writer thread.
 pub(super) enum Job {
-    /// Begin a segment, after ending the one before. The copy of the policy is serialized here and not by the
-    /// recorder: that takes ten times as long as copying, milliseconds with hundreds of engines.
+    /// Write `tail` to the open segment, if there is one, and begin a new segment. The writer serializes the
+    /// copy of the policy: that takes ten times as long as copying, milliseconds with hundreds of engines,
+    /// which the serving path must not spend.
     BeginSegment {
         name: String,
         now: Timestamp,
@@ -29,12 +31,12 @@
     },
     /// Append a block of records.
     AppendBlock { bytes: Vec<u8>, events: u64 },
-    /// End the segment.
+    /// End the open segment.
     EndSegment(pb::Tail),
 }
 
 impl Job {
-    /// The memory that it takes in the queue, in bytes.
+    /// Approximate memory of the job in the queue, in bytes.
     pub(super) fn queued_bytes(&self) -> u64 {
         match self {
             Job::BeginSegment { head, policy, .. } => head.len() as u64 + policy.estimated_bytes(),
@@ -44,34 +46,34 @@
     }
 }
 
-/// The state that the recorder and the writer's thread share.
+/// State that the recorder and the writer thread share.
 #[derive(Default)]
 pub(super) struct Shared {
     /// Bytes of the jobs in the queue.
     pub(super) queued_bytes: AtomicU64,
-    /// A write failed, so the segment is over; cleared by the recorder.
+    /// A write failed and ended the segment; the recorder clears it at its next flush.
     pub(super) is_segment_failed: AtomicBool,
-    /// Events that the writer lost since the recorder last asked.
+    /// Events that the writer lost and the recorder has not taken into account yet.
     pub(super) unreported_lost_events: AtomicU64,
-    /// Bytes written to files since the start.
+    /// Bytes written to files since the recorder started.
     pub(super) written_bytes: AtomicU64,
-    /// Segments begun since the start.
+    /// Segments that were started since the recorder started.
     pub(super) segments: AtomicU64,
-    /// Events lost since the start.
+    /// Events that the recorder or the writer lost since the recorder started.
     pub(super) lost_events: AtomicU64,
 }
 
-/// The writer, which runs on a thread of its own until the recorder closes the queue.
+/// The writer, which runs on its own thread until the recorder closes the queue.
 pub(super) struct Writer {
     pub(super) store: Box<dyn SegmentStore>,
     pub(super) limits: RingLimits,
     pub(super) shared: Arc<Shared>,
-    /// Length of the open file, in bytes.
+    /// Length of the open file, in bytes; `None` while no segment is open.
     pub(super) open_length: Option<u64>,
 }
 
 impl Writer {
-    /// Carries out jobs until the queue is closed.
+    /// Executes jobs until the queue is closed.
     pub(super) fn run(mut self, jobs: &Receiver<Job>) {
         for job in jobs {
             let queued_bytes = job.queued_bytes();
@@ -113,7 +115,7 @@
         checkpoint: &[u8],
     ) -> io::Result<()> {
         self.open_length = None;
-        // A directory that does not exist yet holds nothing to remove.
+        // Listing fails if the directory does not exist yet; then there is nothing to remove.
         let files = self.store.list().unwrap_or_default();
         let expired = count_expired(&self.limits, &files, self.limits.segment_bytes, now);
         for file in &files[..expired] {
@@ -136,7 +138,7 @@
     fn append_frame(&mut self, kind: FrameKind, body: &[u8]) -> io::Result<()> {
         let mut out = Vec::with_capacity(frame::HEADER_BYTES + body.len());
         if !frame::append_frame(&mut out, kind, body) {
-            return Err(io::Error::other("a frame longer than any may be"));
+            return Err(io::Error::other("a frame exceeds the maximum length"));
         }
         self.store.append(&out)?;
         self.open_length = self.open_length.map(|length| length + out.len() as u64);
@@ -144,8 +146,9 @@
         Ok(())
     }
 
-    /// After an error the file is truncated to its last complete frame, so that a full disk leaves no partial one, and
-    /// the segment is over. Only the first of several losses in a row is logged; counters count all.
+    /// Handles the result of a write of `events` records. After an error the file is truncated to its last
+    /// complete frame, so that a full disk leaves no partial frame, and the segment ends. Of several losses
+    /// in a row only the first is logged; the counters include all of them.
     fn handle_result(&mut self, result: io::Result<()>, events: u64) {
         let Err(error) = result else { return };
         if let Some(length) = self.open_length.take() {
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,41 +1,44 @@
-//! Decides for the recorder when a segment ends, which records are dropped and which files are removed. It does no
-//! input or output and reads no clock.
+//! Decides for the recorder when a segment ends, which records are dropped and which files are removed. This
+//! module does no input or output, and callers pass the time.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 
-/// The bounds of a recorder.
+/// Limits of a recorder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RingLimits {
     /// Size of all files together, in bytes.
     pub ring_bytes: u64,
-    /// A file whose last write is older than this is removed, the newest excepted.
+    /// A file whose last write is older than this is removed, except the newest file.
     pub ring_age: TimeDelta,
-    /// A segment ends once this many bytes of records were written to it, counted before compression.
+    /// Size of the records, in bytes before compression, at which a segment ends.
     pub segment_bytes: u64,
-    /// A segment ends once it is this old.
+    /// Age at which a segment ends.
     pub segment_age: TimeDelta,
-    /// Bytes of records a second, before compression. A burst may use several seconds of it at once.
+    /// Maximum rate of records, in bytes per second before compression. A burst may use several seconds of
+    /// the rate at once.
     pub bytes_per_second: f64,
 }
 
-/// Capacity of the write rate's token bucket, in seconds of the rate: bursts of requests are what captures are read for.
+/// Capacity of the write rate's token bucket, in seconds of the rate: captures are mostly read to explain
+/// bursts of requests, so the records of a burst should not be dropped.
 const BURST_S: f64 = 4.0;
-/// Time between a loss and the next segment: each segment costs a checkpoint.
+/// Minimum time between a loss and the next segment, since each segment costs a checkpoint.
 pub const RETRY_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 
-/// What is to be done with a batch of records.
+/// Decision about a batch of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchDecision {
-    /// Write it to the open segment.
+    /// Write the batch to the open segment.
     Write,
-    /// Drop it: no segment is open.
+    /// Drop the batch: no segment is open, or the write rate is exceeded.
     Drop,
 }
 
 /// A segment that is being written.
 #[derive(Clone, Copy, Debug)]
 struct OpenSegment {
-    since: Timestamp,
+    begun_at: Timestamp,
+    /// Size of the records written so far, before compression.
     bytes: u64,
 }
 
@@ -45,12 +48,12 @@
     limits: RingLimits,
     /// `None` before the first segment and after a loss.
     open: Option<OpenSegment>,
-    /// The token bucket of the write rate, in bytes.
+    /// Tokens in the bucket of the write rate, in bytes.
     tokens: f64,
     refilled_at: Timestamp,
-    /// No segment begins before this.
-    not_before: Timestamp,
-    /// Events lost since the last segment began.
+    /// Earliest time at which the next segment may begin after a loss.
+    retry_at: Timestamp,
+    /// Number of events lost since the last segment began.
     lost_events: u64,
 }
 
@@ -58,28 +61,29 @@
     /// A ring without an open segment.
     pub fn new(limits: RingLimits, now: Timestamp) -> Ring {
         let tokens = limits.bytes_per_second * BURST_S;
-        Ring { limits, open: None, tokens, refilled_at: now, not_before: now, lost_events: 0 }
+        Ring { limits, open: None, tokens, refilled_at: now, retry_at: now, lost_events: 0 }
     }
 
-    /// Whether a new segment is to begin now, in place of the open one if there is one.
+    /// Whether a new segment is to begin now. It replaces the open one, if there is one.
     pub fn is_segment_due(&self, now: Timestamp) -> bool {
         let Some(open) = self.open else {
-            // A clock that was set back must not delay the next segment for longer than the pause.
-            return now >= self.not_before || self.not_before - now > RETRY_INTERVAL;
+            // A clock that was set back must not delay the next segment for longer than the retry interval.
+            return now >= self.retry_at || self.retry_at - now > RETRY_INTERVAL;
         };
-        let age = now - open.since;
+        let age = now - open.begun_at;
         let is_full = open.bytes >= self.limits.segment_bytes;
         let is_clock_set_back = age < TimeDelta::ZERO;
         is_full || age >= self.limits.segment_age || is_clock_set_back
     }
 
-    /// Notes that a segment began, and returns the number of events that were lost before it.
+    /// Records the start of a segment. Returns the number of events lost since the previous segment began.
     pub fn segment_begun(&mut self, now: Timestamp) -> u64 {
-        self.open = Some(OpenSegment { since: now, bytes: 0 });
+        self.open = Some(OpenSegment { begun_at: now, bytes: 0 });
         std::mem::take(&mut self.lost_events)
     }
 
-    /// Decides on a batch of records. Dropping it ends the segment.
+    /// Decides whether a batch of `bytes` bytes and `events` records is written. Dropping it ends the
+    /// segment.
     pub fn admit(&mut self, now: Timestamp, bytes: u64, events: u64) -> BatchDecision {
         self.refill(now);
         let Some(open) = &mut self.open else {
@@ -102,14 +106,15 @@
         self.tokens = (self.tokens + elapsed_s * self.limits.bytes_per_second).min(capacity);
     }
 
-    /// Notes that events were lost, for lack of room or because a file could not be written. The segment ends.
+    /// Records the loss of events, for example because the queue was full or a file could not be written, and
+    /// ends the segment.
     pub fn records_lost(&mut self, now: Timestamp, events: u64) {
         self.open = None;
         self.lost_events += events;
-        self.not_before = now + RETRY_INTERVAL;
+        self.retry_at = now + RETRY_INTERVAL;
     }
 
-    /// Events lost since the last segment began.
+    /// Number of events lost since the last segment began.
     pub fn lost_events(&self) -> u64 {
         self.lost_events
     }
@@ -118,16 +123,16 @@
 /// A file of the ring.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RingFile {
-    /// Its name in the ring's folder; names sort by the time at which their segments began.
+    /// File name in the ring's folder. Names sort in the order in which the segments began.
     pub name: String,
-    /// Its size in bytes.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it was last written to.
+    /// Time of the last write.
     pub modified_at: Timestamp,
 }
 
-/// How many files, oldest first, are to be removed so that `needed_bytes` more fit and no file is too old. The newest
-/// file always stays: the segment that begins after it holds little yet.
+/// Number of files to remove, oldest first, so that `needed_bytes` more fit and no file is too old. The
+/// newest file is never removed, since the segment that is about to begin has hardly any records yet.
 pub fn count_expired(limits: &RingLimits, files: &[RingFile], needed_bytes: u64, now: Timestamp) -> usize {
     let mut total_bytes = files.iter().map(|file| file.bytes).sum::<u64>() + needed_bytes;
     let mut expired = 0;
--- a/crates/capture/src/ring/tests.rs
+++ b/crates/capture/src/ring/tests.rs
@@ -1,4 +1,4 @@
-//! The decisions of the ring, one by one and over random runs.
+//! Decisions of the ring in single cases and in random sequences.
 
 use super::*;
 use proptest::prelude::*;
@@ -10,36 +10,39 @@
 
 #[test]
 fn segment_is_due_by_size_by_age_and_when_clock_is_set_back() {
-    let at = Timestamp::from_micros(1_000_000_000);
-    let mut ring = Ring::new(limits(), at);
-    assert!(ring.is_segment_due(at));
-    assert_eq!(ring.admit(at, 10, 2), BatchDecision::Drop, "nothing is open");
-    assert_eq!(ring.segment_begun(at), 2);
+    let start = Timestamp::from_micros(1_000_000_000);
+    let mut ring = Ring::new(limits(), start);
+    assert!(ring.is_segment_due(start));
+    assert_eq!(ring.admit(start, 10, 2), BatchDecision::Drop, "no segment is open");
+    assert_eq!(ring.segment_begun(start), 2);
     assert!(
-        !ring.is_segment_due(at + TimeDelta::from_micros(59_999_999))
-            && ring.is_segment_due(at + TimeDelta::from_micros(60_000_000))
+        !ring.is_segment_due(start + TimeDelta::from_micros(59_999_999))
+            && ring.is_segment_due(start + TimeDelta::from_micros(60_000_000))
     );
-    assert!(ring.is_segment_due(at - TimeDelta::from_micros(1)));
-    assert_eq!(ring.admit(at, 399, 1), BatchDecision::Write);
-    assert!(!ring.is_segment_due(at));
-    assert_eq!(ring.admit(at, 1, 1), BatchDecision::Write);
-    assert!(ring.is_segment_due(at));
+    assert!(ring.is_segment_due(start - TimeDelta::from_micros(1)));
+    assert_eq!(ring.admit(start, 399, 1), BatchDecision::Write);
+    assert!(!ring.is_segment_due(start));
+    assert_eq!(ring.admit(start, 1, 1), BatchDecision::Write);
+    assert!(ring.is_segment_due(start));
 }
 
 #[test]
 fn lost_events_are_counted_and_next_segment_is_delayed() {
-    let at = Timestamp::from_micros(1_000_000_000);
-    let mut ring = Ring::new(limits(), at);
-    ring.segment_begun(at);
-    assert_eq!(ring.admit(at, 401, 7), BatchDecision::Drop, "over the burst");
+    let start = Timestamp::from_micros(1_000_000_000);
+    let mut ring = Ring::new(limits(), start);
+    ring.segment_begun(start);
+    assert_eq!(ring.admit(start, 401, 7), BatchDecision::Drop, "exceeds the burst");
     assert!(
-        !ring.is_segment_due(at + TimeDelta::from_micros(RETRY_INTERVAL.as_micros() - 1))
-            && ring.is_segment_due(at + RETRY_INTERVAL)
+        !ring.is_segment_due(start + TimeDelta::from_micros(RETRY_INTERVAL.as_micros() - 1))
+            && ring.is_segment_due(start + RETRY_INTERVAL)
     );
-    assert!(ring.is_segment_due(at - TimeDelta::from_micros(5_000_000)), "a clock set back holds nothing up");
-    assert_eq!(ring.admit(at, 1, 3), BatchDecision::Drop);
+    assert!(
+        ring.is_segment_due(start - TimeDelta::from_micros(5_000_000)),
+        "a clock set back does not delay the next segment"
+    );
+    assert_eq!(ring.admit(start, 1, 3), BatchDecision::Drop);
     assert_eq!(
-        (ring.lost_events(), ring.segment_begun(at + RETRY_INTERVAL), ring.lost_events()),
+        (ring.lost_events(), ring.segment_begun(start + RETRY_INTERVAL), ring.lost_events()),
         (10, 10, 0)
     );
 }
@@ -47,38 +50,38 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
-    /// Over any run of offers no more is written than the rate and its burst allow, and every event is
+    /// For any sequence of batches, the bytes written stay within the rate and its burst, and every event is
     /// either written or counted as lost.
     #[test]
-    fn write_rate_is_kept_and_every_event_is_written_or_counted_as_lost(offers in prop::collection::vec((0_i64..500_000, 0_u64..300, 1_u64..9), 1..200)) {
+    fn write_rate_is_kept_and_every_event_is_written_or_counted_as_lost(batches in prop::collection::vec((0_i64..500_000, 0_u64..300, 1_u64..9), 1..200)) {
         let start = Timestamp::from_micros(1_000_000_000);
         let (mut ring, mut now) = (Ring::new(limits(), start), start);
-        let (mut bytes_in, mut seen, mut written, mut lost) = (0, 0, 0, 0);
-        for (gap, bytes, events) in offers {
-            now = now + TimeDelta::from_micros(gap);
+        let (mut written_bytes, mut offered_events, mut written_events, mut lost_events) = (0, 0, 0, 0);
+        for (gap_us, bytes, events) in batches {
+            now = now + TimeDelta::from_micros(gap_us);
             if ring.is_segment_due(now) {
-                lost += ring.segment_begun(now);
+                lost_events += ring.segment_begun(now);
             }
-            seen += events;
+            offered_events += events;
             if ring.admit(now, bytes, events) == BatchDecision::Write {
-                (bytes_in, written) = (bytes_in + bytes, written + events);
+                (written_bytes, written_events) = (written_bytes + bytes, written_events + events);
             }
         }
-        let allowed = limits().bytes_per_second * ((now - start).as_secs_f64() + BURST_S);
-        prop_assert!(bytes_in as f64 <= allowed + 1e-6);
-        prop_assert_eq!(seen, written + lost + ring.lost_events());
+        let allowed_bytes = limits().bytes_per_second * ((now - start).as_secs_f64() + BURST_S);
+        prop_assert!(written_bytes as f64 <= allowed_bytes + 1e-6);
+        prop_assert_eq!(offered_events, written_events + lost_events + ring.lost_events());
     }
 
-    /// What stays fits, or is the newest alone.
+    /// The files that remain fit within the limits, or only the newest remains.
     #[test]
-    fn expired_files_leave_the_newest_and_keep_the_bounds(files in prop::collection::vec((0_u64..600, 0_i64..2_000_000_000), 0..12), more in 0_u64..500) {
+    fn expired_files_leave_the_newest_and_keep_the_bounds(files in prop::collection::vec((0_u64..600, 0_i64..2_000_000_000), 0..12), needed_bytes in 0_u64..500) {
         let now = Timestamp::from_micros(2_000_000_000);
         let file = |(bytes, modified_at)| RingFile { name: String::new(), bytes, modified_at: Timestamp::from_micros(modified_at) };
         let files: Vec<RingFile> = files.into_iter().map(file).collect();
-        let expired = count_expired(&limits(), &files, more, now);
-        let left = &files[expired..];
-        let fits = left.iter().map(|f| f.bytes).sum::<u64>() + more <= limits().ring_bytes;
-        prop_assert!(left.len() <= 1 || fits && now - left[0].modified_at <= limits().ring_age);
-        prop_assert!(files.is_empty() || !left.is_empty());
+        let expired = count_expired(&limits(), &files, needed_bytes, now);
+        let remaining = &files[expired..];
+        let fits = remaining.iter().map(|file| file.bytes).sum::<u64>() + needed_bytes <= limits().ring_bytes;
+        prop_assert!(remaining.len() <= 1 || fits && now - remaining[0].modified_at <= limits().ring_age);
+        prop_assert!(files.is_empty() || !remaining.is_empty());
     }
 }
