--- a/crates/capture/src/cut.rs
+++ b/crates/capture/src/cut.rs
@@ -97,7 +97,7 @@
     };
     let mut state = None;
     let mut on_step = |step: Step| {
-        if step.number == last_before {
+        if step.record_index == last_before {
             state = Some(rmp_serde::to_vec_named(step.policy));
         }
     };
@@ -144,7 +144,7 @@
         return Ok(());
     }
     let mut answers: Vec<(usize, Vec<Action>)> = Vec::new();
-    let mut on_step = |step: Step| answers.push((step.number, step.actions.to_vec()));
+    let mut on_step = |step: Step| answers.push((step.record_index, step.actions.to_vec()));
     let summary = replay_segment(case, &ReplayOptions::default(), &mut on_step)?;
     if summary.differing_events > 0 {
         return Err(CutError::DigestsDiverged);
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,6 +1,8 @@
-//! Feeds a capture to the policy again and compares its actions, one by one and bit by bit.
+//! Feeds the events of a capture to the policy again and compares its actions with the recorded ones, bit for
+//! bit.
 //!
-//! Enters: a [`Segment`] and [`ReplayOptions`]. Leaves: a [`ReplaySummary`], and each [`Step`] to the caller's callback.
+//! The input is a [`Segment`] and [`ReplayOptions`]; the result is a [`ReplaySummary`]. Each [`Step`] is
+//! passed to the caller's callback.
 
 mod actions;
 mod outcome_policy;
@@ -17,76 +19,77 @@
 use sprucelink_policy::{Action, Policy, Timestamp};
 use std::collections::BTreeMap;
 
-/// The first place where replayed and recorded actions differ.
+/// The first record at which the replayed and the recorded actions differ.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Divergence {
-    /// The record's number in its segment, from 0.
+    /// Index of the record in its segment, from 0.
     pub record: usize,
-    /// When the policy was given the event, in Unix microseconds.
+    /// Time at which the policy was given the event, in Unix microseconds.
     pub at_us: i64,
-    /// The event.
+    /// Debug text of the event.
     pub event: String,
-    /// The recorded actions.
+    /// Text of the recorded actions.
     pub expected: String,
-    /// The replayed actions.
+    /// Text of the replayed actions.
     pub got: String,
-    /// Kinds of actions of which there are more or fewer, or other ones: `send`, `terms`, ...
+    /// Kinds of actions that differ in number or content: `send`, `terms`, ... ([`action_kind`]); `order` if
+    /// only the order differs, `unknown` if only a digest was recorded.
     pub kinds: Vec<&'static str>,
 }
 
 /// A panic of the policy during a replay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyPanic {
-    /// The number of the record that it was given, in its segment, from 0.
+    /// Index in its segment of the record at which the policy panicked, from 0.
     pub record: usize,
-    /// The panic's message.
+    /// Message of the panic.
     pub message: String,
 }
 
 /// The result of the replay of a segment.
 #[derive(Clone, Debug, Default)]
 pub struct ReplaySummary {
-    /// Events given to the policy.
+    /// Number of events that were given to the policy.
     pub events: usize,
-    /// Events to which the policy's answer differs from the recorded one.
+    /// Number of events for which the policy's answer differs from the recorded one.
     pub differing_events: usize,
-    /// The first of them.
+    /// The first difference; `None` if all answers are the recorded ones.
     pub first_divergence: Option<Divergence>,
-    /// How many of them differ in each kind of action.
+    /// Number of differing events by kind of action; an event may count under several kinds.
     pub differing_by_kind: BTreeMap<&'static str, usize>,
     /// Digest of all replayed answers, in order.
     pub digest: u64,
-    /// The policy's panic, if it had one; the replay ends there.
+    /// Panic of the policy, at which the replay ended.
     pub panic: Option<PolicyPanic>,
 }
 
-/// Is called after each step of a replay.
+/// Callback for each step of a replay, after the policy has handled it.
 pub type StepCallback<'a, 'b> = &'a mut (dyn FnMut(Step<'_>) + 'b);
 
 /// One input of a replay.
 pub struct Step<'a> {
-    /// The record's number in its segment, from 0.
-    pub number: usize,
-    /// The record, with the event as it was given to the policy.
+    /// Index of the record in its segment, from 0.
+    pub record_index: usize,
+    /// The record, with the event that the replayed policy was given, which may differ from the recorded one.
     pub record: &'a Record,
-    /// The policy after the event.
+    /// The policy after it handled the event.
     pub policy: &'a Policy,
-    /// The policy's actions, explanations among them where [`ReplayOptions::explain`] asks for them.
+    /// The policy's actions, including explanations if [`ReplayOptions::explain`] is set.
     pub actions: &'a [Action],
 }
 
-/// A change of the policy before it is given the first event.
+/// Changes the policy before it is given the first event.
 pub type PolicyChange<'a> = &'a dyn Fn(&mut Policy) -> Result<(), BoxError>;
 
-/// How a segment is replayed.
+/// Options of a replay.
 pub struct ReplayOptions<'a> {
-    /// What becomes of outcomes of decisions that the replayed policy did not take.
+    /// Treatment of recorded outcomes of decisions that the replayed policy did not make.
     pub outcome_policy: OutcomePolicy,
-    /// The time up to which records are replayed; all if absent.
+    /// Time up to which records are replayed; all if absent.
     pub until: Option<Timestamp>,
-    /// The policy explains its decisions.
+    /// Whether the policy adds explanations of its decisions to its actions.
     pub explain: bool,
-    /// What is changed of the policy.
+    /// Change of the policy before the replay, for example of its settings.
     pub change: PolicyChange<'a>,
 }
 
@@ -101,10 +104,10 @@
     }
 }
 
-/// Replays a segment from its checkpoint.
+/// Replays a segment from its checkpoint. A panic of the policy ends the replay and is part of the summary.
 ///
 /// # Errors
-/// A checkpoint that this build cannot read, or a change of the policy that fails.
+/// This build cannot read the checkpoint, or the change of the policy fails.
 pub fn replay_segment(
     segment: &Segment,
     options: &ReplayOptions,
--- a/crates/capture/src/replay/actions.rs
+++ b/crates/capture/src/replay/actions.rs
@@ -5,7 +5,7 @@
 use crate::segment::Answer;
 use sprucelink_policy::Action;
 
-/// The name of an action's kind, as captures' tools print it.
+/// Name of an action's kind, as `sprucelink replay` and `sprucelink explain` print it.
 pub fn action_kind(action: &Action) -> &'static str {
     match action {
         Action::ForwardAttempt { .. } => "send",
@@ -22,12 +22,13 @@
     }
 }
 
-/// The kind of a divergence of which only a digest was recorded.
+/// Kind of a divergence for which only a digest was recorded.
 const UNKNOWN_KIND: &str = "unknown";
-/// The kind of a divergence in nothing but the order of the actions.
+/// Kind of a divergence in only the order of the actions.
 const ORDER_KIND: &str = "order";
 
-/// Whether replayed actions are the recorded ones, bit for bit.
+/// Whether the replayed actions equal the recorded ones bit for bit. `buffer` is scratch space that callers
+/// reuse.
 pub(super) fn is_same_answer(answer: &Answer, replayed: &[pb::Action], buffer: &mut Vec<u8>) -> bool {
     match answer {
         Answer::Complete(expected) => {
@@ -42,13 +43,13 @@
     }
 }
 
-/// The kinds in which two answers differ.
+/// Kinds of actions in which the replayed answer differs from the recorded one.
 pub(super) fn differing_kinds(answer: &Answer, replayed: &[Action]) -> Vec<&'static str> {
     let Answer::Complete(expected) = answer else { return vec![UNKNOWN_KIND] };
     let mut kinds: Vec<&'static str> = Vec::new();
     for action in expected.iter().chain(replayed).filter(|action| !matches!(action, Action::Explain(_))) {
         let kind = action_kind(action);
-        if !kinds.contains(&kind) && texts_of_kind(expected, kind) != texts_of_kind(replayed, kind) {
+        if !kinds.contains(&kind) && describe_kind(expected, kind) != describe_kind(replayed, kind) {
             kinds.push(kind);
         }
     }
@@ -58,12 +59,13 @@
     kinds
 }
 
-fn texts_of_kind(actions: &[Action], kind: &str) -> Vec<String> {
+/// Debug texts of the actions of one kind.
+fn describe_kind(actions: &[Action], kind: &str) -> Vec<String> {
     let of_kind = actions.iter().filter(|action| action_kind(action) == kind);
     of_kind.map(|action| format!("{action:?}")).collect()
 }
 
-/// A recorded answer in words.
+/// Text for a recorded answer.
 pub(super) fn describe_answer(answer: &Answer) -> String {
     match answer {
         Answer::Complete(actions) => describe_actions(actions),
@@ -72,7 +74,7 @@
     }
 }
 
-/// Actions in words, one behind the other; explanations are left out.
+/// Text for actions, separated by semicolons and without explanations.
 pub(super) fn describe_actions(actions: &[Action]) -> String {
     let without_explanations = actions.iter().filter(|action| !matches!(action, Action::Explain(_)));
     let texts: Vec<String> = without_explanations.map(|action| format!("{action:?}")).collect();
--- a/crates/capture/src/replay/outcome_policy.rs
+++ b/crates/capture/src/replay/outcome_policy.rs
@@ -1,5 +1,6 @@
-//! Outcomes were recorded for the decisions of the day. Where the replayed policy decides differently, an
-//! [`OutcomePolicy`] says which of them it is given.
+//! Selects the recorded outcomes that a replayed policy is given. They were recorded for the decisions of the
+//! original policy; where the replayed policy makes other decisions, an [`OutcomePolicy`] says which outcomes
+//! still apply.
 
 use super::recorded_attempts::RecordedAttempts;
 use crate::error::UnknownOutcomePolicy;
@@ -7,17 +8,19 @@
 use sprucelink_policy::{Event, LoadReport, Outcome, Policy};
 use std::str::FromStr;
 
-/// Which recorded outcomes the replayed policy is given, where they belong to a decision that it did not take.
+/// Treatment of recorded outcomes that belong to a decision that the replayed policy did not make.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OutcomePolicy {
-    /// All, unchanged. The policy ignores an attempt that it does not have in flight; an attempt that it forwarded to
-    /// another engine under the same number gets the outcome, latency and load report of the recorded one.
+    /// The policy is given all outcomes unchanged. It ignores those of attempts that it does not have in
+    /// flight. An attempt that it forwarded to another engine under the same number gets the outcome, latency
+    /// and load report of the recorded attempt.
     #[default]
     Recorded,
-    /// Only what belongs to the request, not what belongs to the engine. An attempt on another engine ends at the
-    /// recorded time, as succeeded or as cancelled, with its own cost and no load report, and its progress reports are
-    /// left out. An attempt that was not recorded ends only when the policy cancels it.
+    /// The policy is given what depends on the request, but not what depends on the engine. An attempt on
+    /// another engine ends at the recorded time, as succeeded or as cancelled, with the recorded query cost
+    /// and without a load report, and its progress notes are left out. An attempt that was not recorded ends
+    /// only when the policy cancels it.
     Matched,
 }
 
@@ -32,14 +35,15 @@
     }
 }
 
-/// The event that a replayed policy is given in place of a recorded one under [`OutcomePolicy::Matched`]; `None` where
-/// the event is left out.
+/// The event that a replayed policy is given in place of a recorded one under [`OutcomePolicy::Matched`];
+/// `None` if the event is left out.
 pub(super) fn match_event(event: &Event, policy: &Policy, recorded: &RecordedAttempts) -> Option<Event> {
     let (Event::ProgressReported { id, attempt, .. } | Event::AttemptEnded { id, attempt, .. }) = event
     else {
         return Some(event.clone());
     };
-    // Of an attempt that was not recorded, or only by a digest, the engine is unknown: the number has to do.
+    // The engine is unknown if the attempt was not recorded, or only as part of a digest: the event then applies
+    // to the attempt with the same number.
     let Some(recorded_engine) = recorded.engine_of(*id, *attempt) else { return Some(event.clone()) };
     let (own_attempt, own_engine) = policy.in_flight_attempt(*id)?;
     if own_attempt == *attempt && own_engine == recorded_engine {
--- a/crates/capture/src/replay/recorded_attempts.rs
+++ b/crates/capture/src/replay/recorded_attempts.rs
@@ -1,20 +1,20 @@
-//! The attempts that were in flight when the capture was recorded.
+//! Tracks the attempts that were in flight when the capture was recorded.
 
 use crate::segment::Answer;
 use sprucelink_policy::{Action, EngineId, Event, Policy, RequestId};
 use std::collections::BTreeMap;
 
-/// Follows the recorded attempts, so that a recorded outcome can be attributed to an engine.
+/// The recorded attempts in flight, which attribute a recorded outcome to an engine.
 #[derive(Default)]
 pub(super) struct RecordedAttempts {
-    /// Engine of each attempt in flight, by request and number.
+    /// Engine of each attempt in flight, by request and attempt number.
     engines: BTreeMap<(RequestId, u32), EngineId>,
     /// Number of each request's next attempt.
     next_attempt: BTreeMap<RequestId, u32>,
 }
 
 impl RecordedAttempts {
-    /// The attempts in flight at a checkpoint, which the record and its replay have in common.
+    /// The attempts in flight at a checkpoint, which are the same in the recording and in its replay.
     pub(super) fn at_checkpoint(policy: &Policy) -> RecordedAttempts {
         let mut attempts = RecordedAttempts::default();
         for request in policy.open_requests() {
@@ -31,7 +31,7 @@
         self.engines.get(&(id, attempt)).copied()
     }
 
-    /// Follows a recorded event and its answer.
+    /// Applies a recorded event and its answer.
     pub(super) fn apply(&mut self, event: &Event, answer: &Answer) {
         if let Answer::Complete(actions) = answer {
             self.add_forwarded(actions);
--- a/crates/capture/src/replay/replayer.rs
+++ b/crates/capture/src/replay/replayer.rs
@@ -1,4 +1,4 @@
-//! A policy in replay.
+//! Gives recorded events to a policy and compares its answers with the recorded ones.
 
 use super::actions::{describe_actions, describe_answer, differing_kinds, is_same_answer};
 use super::outcome_policy::{match_event, OutcomePolicy};
@@ -13,32 +13,32 @@
 use std::ops::ControlFlow;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// How long an attempt takes to end that the replayed policy cancels and the recorded one did not: the round trip of a
-/// cancellation.
+/// Time from a cancellation that was not recorded to the end of its attempt: the round trip to the engine.
 const CANCELLATION_LATENCY: TimeDelta = TimeDelta::from_millis(10);
-/// Bits by which the digest of all answers is rotated before the next answer's digest is added.
+/// Number of bits by which the digest of all answers is rotated before the next answer's digest is added, so
+/// that the order of the answers counts.
 const DIGEST_ROTATION: u32 = 1;
 
-/// A cancellation that no record completes.
+/// A cancellation that was not recorded, so that no record ends its attempt.
 #[derive(Clone, Copy)]
 struct PendingCancellation {
-    /// When the attempt ends.
+    /// Time at which the attempt ends.
     due: Timestamp,
     id: RequestId,
     attempt: u32,
 }
 
-/// Gives records to a policy and compares its answers.
+/// The replay of one segment.
 pub(super) struct Replayer<'a, 'b> {
     policy: Policy,
     outcome_policy: OutcomePolicy,
     recorded: RecordedAttempts,
     summary: ReplaySummary,
-    /// The policy's actions on the last event.
+    /// The policy's actions for the last event.
     actions: Vec<Action>,
-    /// A buffer that is reused from digest to digest.
+    /// Buffer for the computation of digests, reused.
     digest_buffer: Vec<u8>,
-    /// In the order in which they are due.
+    /// Pending cancellations, earliest first.
     cancellations: VecDeque<PendingCancellation>,
     on_step: StepCallback<'a, 'b>,
 }
@@ -62,61 +62,63 @@
         }
     }
 
-    /// Replays the records of a segment up to a time, or up to a panic of the policy.
+    /// Replays the records of a segment up to `until`, or up to a panic of the policy.
     pub(super) fn run(mut self, segment: &Segment, until: Option<Timestamp>) -> ReplaySummary {
-        for (number, record) in segment.records.iter().enumerate() {
+        for (record_index, record) in segment.records.iter().enumerate() {
             if until.is_some_and(|until| record.at > until) {
                 break;
             }
-            if self.replay_record(number, record).is_break() {
+            if self.replay_record(record_index, record).is_break() {
                 break;
             }
         }
         self.summary
     }
 
-    fn replay_record(&mut self, number: usize, record: &Record) -> ControlFlow<()> {
+    fn replay_record(&mut self, record_index: usize, record: &Record) -> ControlFlow<()> {
         let is_matched = self.outcome_policy == OutcomePolicy::Matched;
         if is_matched {
-            self.complete_due_cancellations(number, record.at)?;
+            self.complete_due_cancellations(record_index, record.at)?;
         }
         let RecordedInput::Event(event) = &record.input else {
             self.actions.clear();
-            self.report_step(number, record.at, record.input.clone(), &record.answer);
+            self.report_step(record_index, record.at, record.input.clone(), &record.answer);
             return ControlFlow::Continue(());
         };
-        let given =
+        let replayed_event =
             if is_matched { match_event(event, &self.policy, &self.recorded) } else { Some(event.clone()) };
         self.recorded.apply(event, &record.answer);
-        let Some(given) = given else { return ControlFlow::Continue(()) };
-        self.give(number, record.at, given.clone())?;
+        let Some(replayed_event) = replayed_event else { return ControlFlow::Continue(()) };
+        self.handle_event(record_index, record.at, replayed_event.clone())?;
         if is_matched {
             self.add_cancellations(record.at, &record.answer);
         }
-        self.compare(number, record, event);
-        self.report_step(number, record.at, RecordedInput::Event(given), &record.answer);
+        self.compare(record_index, record, event);
+        self.report_step(record_index, record.at, RecordedInput::Event(replayed_event), &record.answer);
         ControlFlow::Continue(())
     }
 
-    /// Gives the policy an event; breaks if the policy panics.
-    fn give(&mut self, number: usize, at: Timestamp, event: Event) -> ControlFlow<()> {
+    /// Lets the policy handle an event; breaks if the policy panics.
+    fn handle_event(&mut self, record_index: usize, at: Timestamp, event: Event) -> ControlFlow<()> {
         self.actions.clear();
         let policy = &mut self.policy;
         let actions = &mut self.actions;
         let Err(cause) = catch_unwind(AssertUnwindSafe(|| policy.handle(at, event, actions))) else {
             return ControlFlow::Continue(());
         };
-        self.summary.panic = Some(PolicyPanic { record: number, message: panic_message(cause.as_ref()) });
+        self.summary.panic =
+            Some(PolicyPanic { record: record_index, message: panic_message(cause.as_ref()) });
         ControlFlow::Break(())
     }
 
-    fn report_step(&mut self, number: usize, at: Timestamp, input: RecordedInput, answer: &Answer) {
+    /// Passes a step to the caller's callback.
+    fn report_step(&mut self, record_index: usize, at: Timestamp, input: RecordedInput, answer: &Answer) {
         let record = Record { at, input, answer: answer.clone() };
-        (self.on_step)(Step { number, record: &record, policy: &self.policy, actions: &self.actions });
+        (self.on_step)(Step { record_index, record: &record, policy: &self.policy, actions: &self.actions });
     }
 
     /// Ends the attempts whose cancellation is due.
-    fn complete_due_cancellations(&mut self, number: usize, now: Timestamp) -> ControlFlow<()> {
+    fn complete_due_cancellations(&mut self, record_index: usize, now: Timestamp) -> ControlFlow<()> {
         while let Some(&cancellation) = self.cancellations.front().filter(|pending| pending.due <= now) {
             self.cancellations.pop_front();
             let PendingCancellation { due, id, attempt } = cancellation;
@@ -132,14 +134,15 @@
                 query_cost: None,
                 report: LoadReport::default(),
             };
-            self.give(number, due, ended.clone())?;
-            self.report_step(number, due, RecordedInput::Event(ended), &Answer::None);
+            self.handle_event(record_index, due, ended.clone())?;
+            self.report_step(record_index, due, RecordedInput::Event(ended), &Answer::None);
             self.add_cancellations(due, &Answer::None);
         }
         ControlFlow::Continue(())
     }
 
-    /// Adds the cancellations that were not recorded; the others have their attempt's end in the record.
+    /// Schedules the end of attempts whose cancellation was not recorded. For recorded cancellations the
+    /// capture holds the end of the attempt.
     fn add_cancellations(&mut self, at: Timestamp, answer: &Answer) {
         for action in &self.actions {
             let Action::Cancel { id, attempt } = action else { continue };
@@ -151,7 +154,8 @@
         }
     }
 
-    fn compare(&mut self, number: usize, record: &Record, event: &Event) {
+    /// Compares the policy's answer with the recorded one, and updates the summary.
+    fn compare(&mut self, record_index: usize, record: &Record, event: &Event) {
         self.summary.events += 1;
         let replayed = encode_actions(&self.actions);
         let digest = digest_actions(&replayed, &mut self.digest_buffer);
@@ -166,7 +170,7 @@
         }
         let actions = &self.actions;
         self.summary.first_divergence.get_or_insert_with(|| Divergence {
-            record: number,
+            record: record_index,
             at_us: record.at.as_micros(),
             event: format!("{event:?}"),
             expected: describe_answer(&record.answer),
@@ -176,7 +180,7 @@
     }
 }
 
-/// The message of a panic.
+/// Message of a panic, if its payload is a string.
 fn panic_message(cause: &(dyn Any + Send)) -> String {
     if let Some(text) = cause.downcast_ref::<&str>() {
         return (*text).to_owned();
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -1,7 +1,8 @@
-//! Rules that a replay must hold: those of service, and a case's own expectations.
+//! Rules that a replay must hold: service rules, which apply to any capture, and expectations of a single
+//! case.
 //!
-//! Rules are checked on the actions of the replayed policy, not on the recorded ones: a case still holds when the policy
-//! decides differently and better.
+//! Rules are checked on the actions of the replayed policy, not on the recorded ones: a case still holds when
+//! a changed policy makes different, better decisions.
 
 mod checker;
 mod expectations;
@@ -11,7 +12,7 @@
 use crate::error::RuleError;
 use serde::{Deserialize, Serialize};
 
-/// One rule, written in a case as JSON such as `{"rule": "drain"}`.
+/// A rule, which a case stores as JSON such as `{"rule": "drain"}`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "rule", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Rule {
@@ -26,78 +27,78 @@
     RetryBudget {},
     /// Each request has one final response, before its client's deadline.
     Answered {},
-    /// A case's own expectation: how many attempts are forwarded between two moments.
+    /// Expectation of a case: the number of attempts that are forwarded in a period is within bounds.
     #[serde(rename = "sends")]
     ForwardedAttempts {
-        /// Counts attempts on this engine only, by number.
+        /// Number of the engine whose attempts count; all engines if absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         engine: Option<u32>,
-        /// Counts attempts of this request only, 16 hex digits.
+        /// Id of the request whose attempts count, as 16 hexadecimal digits; all requests if absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         request: Option<String>,
-        /// Milliseconds after the checkpoint, from which attempts count.
+        /// Start of the period, in milliseconds after the checkpoint.
         #[serde(default)]
         from_ms: f64,
-        /// Milliseconds after the checkpoint, up to which attempts count; to the end if absent.
+        /// End of the period, in milliseconds after the checkpoint; the end of the case if absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         until_ms: Option<f64>,
-        /// The lowest count that holds.
+        /// Lowest count that satisfies the rule.
         #[serde(rename = "at_least", default)]
         min: usize,
-        /// The highest count that holds; any if absent.
+        /// Highest count that satisfies the rule; unlimited if absent.
         #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
         max: Option<usize>,
     },
-    /// A case's own expectation: how many requests the policy rejects or fails.
+    /// Expectation of a case: the number of requests that the policy rejects or fails is within bounds.
     #[serde(rename = "turned_away")]
     RejectedRequests {
-        /// The lowest count that holds.
+        /// Lowest count that satisfies the rule.
         #[serde(rename = "at_least", default)]
         min: usize,
-        /// The highest count that holds; any if absent.
+        /// Highest count that satisfies the rule; unlimited if absent.
         #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
         max: Option<usize>,
     },
-    /// A case's own expectation: an engine is ejected by this moment at the latest.
+    /// Expectation of a case: an engine is ejected by a given time.
     #[serde(rename = "distrusted")]
     EngineEjected {
-        /// The engine, by number.
+        /// Number of the engine.
         engine: u32,
-        /// Milliseconds after the checkpoint.
+        /// Latest time of the ejection, in milliseconds after the checkpoint.
         by_ms: f64,
     },
 }
 
 impl Rule {
-    /// Reads a rule; words without braces stand for rules without arguments.
+    /// Parses a rule: JSON5, or only the name of a rule that has no parameters.
     ///
     /// # Errors
-    /// A text that is no rule.
+    /// The text is not a valid rule.
     pub fn parse(text: &str) -> Result<Rule, RuleError> {
         let text = text.trim();
         let json = if text.starts_with('{') { text.to_owned() } else { format!("{{\"rule\":\"{text}\"}}") };
         json5::from_str(&json).map_err(|source| RuleError { text: text.to_owned(), source })
     }
 
-    /// The rule as a case stores it.
+    /// The rule as JSON, as a case stores it.
     pub fn text(&self) -> String {
-        // Cannot fail: a rule holds plain values only.
+        // Cannot fail: a rule contains only plain values.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// All rules of service, without a case's own expectations.
+    /// All service rules, without expectations of a case.
     pub fn service_rules() -> Vec<Rule> {
         vec![Rule::Drain {}, Rule::SingleAttempt {}, Rule::RetryBudget {}, Rule::Answered {}]
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule in a replay.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
-    /// The rule, as text.
+    /// The violated rule, as JSON.
     pub rule: String,
-    /// When, in Unix microseconds.
+    /// Time of the violation, in Unix microseconds.
     pub at_us: i64,
-    /// How.
+    /// Description of the violation.
     pub why: String,
 }
--- a/crates/capture/src/rules/checker.rs
+++ b/crates/capture/src/rules/checker.rs
@@ -1,4 +1,4 @@
-//! Checks the rules of service over a replay, step by step.
+//! Checks rules over a replay, step by step.
 
 use super::expectations::{to_ms, Expectations};
 use super::{Breach, Rule};
@@ -9,37 +9,38 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A request that is open, or has an attempt in flight.
+/// State of a request that has no final response yet, or has an attempt in flight.
 #[derive(Default)]
 struct RequestState {
     deadline: Timestamp,
+    /// Number of attempts forwarded so far.
     attempts: u32,
-    /// Number of the attempt in flight.
+    /// Number of the attempt in flight, from 0.
     in_flight: Option<u32>,
     final_responses: u32,
 }
 
-/// Checks rules over a replay, a step at a time.
+/// Checks rules over a replay, one step at a time.
 pub struct Checker {
     rules: Vec<Rule>,
     settings: Settings,
-    /// The time of the checkpoint.
+    /// Time of the checkpoint.
     start: Timestamp,
     requests: BTreeMap<RequestId, RequestState>,
     /// Deadlines of the requests without a final response.
     deadlines: BTreeSet<(Timestamp, RequestId)>,
-    /// When the policy was told that an engine drains or is withdrawn.
+    /// Time at which the policy was told that an engine drains or is withdrawn.
     unlisted_since: BTreeMap<EngineId, Timestamp>,
-    /// Arrivals within the window of the retry budget.
+    /// Times of the arrivals within the window of the retry budget.
     arrivals: VecDeque<Timestamp>,
-    /// Retries within the window of the retry budget.
+    /// Times of the retries within the window of the retry budget.
     retries: VecDeque<Timestamp>,
     expectations: Expectations,
     breaches: Vec<Breach>,
 }
 
 impl Checker {
-    /// A checker for a replay that begins with this policy at this time.
+    /// A checker for a replay that begins with `policy`, the state of the checkpoint, at `start`.
     pub fn new(rules: Vec<Rule>, policy: &Policy, start: Timestamp) -> Checker {
         let mut requests = BTreeMap::new();
         let mut deadlines = BTreeSet::new();
@@ -105,9 +106,9 @@
 
     fn apply_endpoints(&mut self, now: Timestamp, kind: EndpointUpdate, entries: &[EngineEntry]) {
         if matches!(kind, EndpointUpdate::Complete | EndpointUpdate::Remembered) {
-            // An engine that a complete list does not name is withdrawn.
-            let absent = |engine: &EngineId| !entries.iter().any(|entry| entry.engine == *engine);
-            for engine in (0..self.unlisted_engine_bound()).map(EngineId).filter(absent) {
+            // An engine that is missing from a complete list is withdrawn.
+            let is_absent = |engine: &EngineId| !entries.iter().any(|entry| entry.engine == *engine);
+            for engine in (0..self.unlisted_engine_bound()).map(EngineId).filter(is_absent) {
                 self.unlisted_since.entry(engine).or_insert(now);
             }
         }
@@ -155,7 +156,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Bounds the memory: a request that is answered and has no attempt in flight is forgotten.
+    /// Removes a request that has a final response and no attempt in flight, to bound the memory.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = |request: &RequestState| request.final_responses > 0 && request.in_flight.is_none();
         if self.requests.get(&id).is_some_and(is_finished) {
@@ -173,7 +174,7 @@
 
     fn check_final_response(&mut self, now: Timestamp, id: RequestId) {
         self.expectations.add_rejected_request();
-        let second_response = || format!("request {:016x} has a second answer", id.0);
+        let second_response = || format!("request {:016x} has a second final response", id.0);
         let Some(request) = self.requests.get_mut(&id) else {
             return self.add_breach(&Rule::Answered {}, now, second_response());
         };
@@ -195,7 +196,7 @@
         request.in_flight = Some(request.attempts);
         request.attempts += 1;
         if has_other_attempt {
-            let why = format!("request {:016x} has two attempts out", id.0);
+            let why = format!("request {:016x} has two attempts in flight", id.0);
             self.add_breach(&Rule::SingleAttempt {}, now, why);
         }
         if is_retry {
@@ -209,7 +210,10 @@
         let elapsed = now - unlisted_at;
         if elapsed > self.settings.drain_grace {
             let ms = to_ms(elapsed);
-            let why = format!("request {:016x} went to engine {} {ms} ms after the word", id.0, engine.0);
+            let why = format!(
+                "request {:016x} was forwarded to engine {} {ms} ms after its drain or withdrawal",
+                id.0, engine.0
+            );
             self.add_breach(&Rule::Drain {}, now, why);
         }
     }
@@ -222,14 +226,15 @@
                 times.pop_front();
             }
         }
-        // Arrivals before the checkpoint are unknown: a window that reaches back over it proves nothing.
+        // Arrivals before the checkpoint are unknown, so the budget of a window that begins before it is
+        // unknown, too.
         if window_start < self.start {
             return;
         }
         let allowed = budget.max_retries(self.arrivals.len() as u64, 0.0);
         if self.retries.len() as f64 > allowed {
             let retries = self.retries.len();
-            let why = format!("{retries} further attempts in a span that allows {allowed:.1}");
+            let why = format!("{retries} retries in a window that allows {allowed:.1}");
             self.add_breach(&Rule::RetryBudget {}, now, why);
         }
     }
@@ -242,7 +247,8 @@
         }
     }
 
-    /// Ends the replay at this time, and returns every breach.
+    /// Checks the expectations that are known only at the end of the replay, at `now`, and returns all
+    /// breaches.
     pub fn finish(mut self, now: Timestamp) -> Vec<Breach> {
         for (rule, why) in self.expectations.unmet(&self.rules) {
             self.add_breach(&rule, now, why);
--- a/crates/capture/src/rules/expectations.rs
+++ b/crates/capture/src/rules/expectations.rs
@@ -1,4 +1,4 @@
-//! A case's own expectations: counts and times that are known only when the replay ends.
+//! Expectations of a case: counts and times that are known only when the replay ends.
 
 use super::Rule;
 use sprucelink_policy::diagnostics::EngineView;
@@ -8,29 +8,32 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// What a replay is counted by.
+/// Counts and times of a replay, for the rules that are expectations.
 pub(super) struct Expectations {
     start: Timestamp,
-    /// Attempts counted by each [`Rule::ForwardedAttempts`], in the order of the rules.
+    /// A counter for each [`Rule::ForwardedAttempts`], in the order of the rules.
     attempt_counters: Vec<AttemptCounter>,
+    /// Number of requests that the policy rejected or failed.
     rejected_requests: usize,
-    /// When each engine was ejected first, by number.
+    /// Time of the first ejection of each engine, by its number.
     ejected_at: BTreeMap<u32, Timestamp>,
 }
 
-/// The attempts that one rule counts.
+/// Counts the attempts that one rule is about.
 struct AttemptCounter {
+    /// A [`Rule::ForwardedAttempts`].
     rule: Rule,
     attempts: usize,
 }
 
 impl AttemptCounter {
-    /// Whether the rule counts an attempt that is forwarded this many milliseconds after the checkpoint.
-    fn counts(&self, elapsed_ms: f64, id: RequestId, to: EngineId) -> bool {
+    /// Whether the rule counts an attempt on engine `target` that is forwarded `elapsed_ms` after the
+    /// checkpoint.
+    fn counts(&self, elapsed_ms: f64, id: RequestId, target: EngineId) -> bool {
         let Rule::ForwardedAttempts { engine, request, from_ms, until_ms, .. } = &self.rule else {
             return false;
         };
-        engine.is_none_or(|engine| engine == to.0)
+        engine.is_none_or(|engine| engine == target.0)
             && request.as_ref().is_none_or(|request| *request == format!("{:016x}", id.0))
             && elapsed_ms >= *from_ms
             && until_ms.is_none_or(|until_ms| elapsed_ms <= until_ms)
@@ -38,12 +41,12 @@
 }
 
 impl Expectations {
-    /// Expectations of a replay that begins with these engines at this time.
+    /// Starts counting for a replay that begins with `engines` at `start`.
     pub(super) fn new(rules: &[Rule], engines: &[EngineView], start: Timestamp) -> Expectations {
-        let counted = rules.iter().filter(|rule| matches!(rule, Rule::ForwardedAttempts { .. }));
+        let counted_rules = rules.iter().filter(|rule| matches!(rule, Rule::ForwardedAttempts { .. }));
         let mut expectations = Expectations {
             start,
-            attempt_counters: counted
+            attempt_counters: counted_rules
                 .map(|rule| AttemptCounter { rule: rule.clone(), attempts: 0 })
                 .collect(),
             rejected_requests: 0,
@@ -72,7 +75,8 @@
         }
     }
 
-    /// The rules whose expectation is not met, and why: first those that count attempts, then the others.
+    /// The expectations that are not met, each with a description: first those that count attempts, then the
+    /// others.
     pub(super) fn unmet(&self, rules: &[Rule]) -> Vec<(Rule, String)> {
         let counters = self.attempt_counters.iter().filter_map(unmet_count);
         let others = rules.iter().filter_map(|rule| self.unmet_expectation(rule));
@@ -82,7 +86,7 @@
     fn unmet_expectation(&self, rule: &Rule) -> Option<(Rule, String)> {
         match rule {
             Rule::RejectedRequests { min, max } if !is_within(self.rejected_requests, *min, *max) => {
-                Some((rule.clone(), format!("{} turned away", self.rejected_requests)))
+                Some((rule.clone(), format!("{} requests rejected or failed", self.rejected_requests)))
             }
             Rule::EngineEjected { engine, by_ms } => {
                 let ejected_ms = self.ejected_at.get(engine).map(|at| to_ms(*at - self.start));
@@ -90,7 +94,7 @@
                     return None;
                 }
                 let when = ejected_ms.map_or("never".to_owned(), |ms| format!("after {ms} ms"));
-                Some((rule.clone(), format!("engine {engine} was distrusted {when}")))
+                Some((rule.clone(), format!("engine {engine} was ejected {when}")))
             }
             _ => None,
         }
@@ -109,7 +113,7 @@
     count >= min && max.is_none_or(|max| count <= max)
 }
 
-/// A span in milliseconds, with its fraction.
+/// A time span in milliseconds, with its fraction.
 pub(super) fn to_ms(span: TimeDelta) -> f64 {
     span.as_micros() as f64 / MICROS_PER_MILLI
 }
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -353,7 +353,7 @@
                 answer: Answer::None,
             };
             checker.check_step(&sprucelink_capture::replay::Step {
-                number: 0,
+                record_index: 0,
                 record: &record,
                 policy: &module,
                 actions: &actions,
