--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -1,8 +1,9 @@
 //! Explains from a capture what happened to a request, to an engine, or around a moment.
 //!
-//! The capture is replayed with the policy's explanations switched on. Where the replay diverges from the record, a line
-//! says so: the explanations after it are the replay's, and not those of the day. Each view has a file: [`request`],
-//! [`engine`], [`moment`]; [`texts`] holds the words.
+//! The capture is replayed with the policy's explanations switched on. If the replay diverges from the
+//! recording, a line says so: the explanations after it describe decisions of the replay, which may differ
+//! from the recorded ones. Each view has a module: [`request`], [`engine`], [`moment`]; [`texts`] and
+//! [`engine_texts`] have the texts.
 
 mod engine;
 mod engine_texts;
@@ -19,49 +20,50 @@
 use serde_json::{json, Value};
 use sprucelink_policy::{TimeDelta, Timestamp};
 
-/// Time on either side of a moment of which events are explained, too.
+/// Time before and after a moment whose events are explained, too.
 const MOMENT_MARGIN: TimeDelta = TimeDelta::from_millis(50);
 
-/// What is to be explained.
+/// The subject of an explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// What happened to a request, by its id.
+    /// The request with this id.
     Request(u64),
-    /// What happened to an engine, by its id in the endpoint list or, with `#` before it, by its number.
+    /// The engine with this id in the endpoint list, or with this number if the text begins with `#`.
     Engine(String),
-    /// The policy's state at a moment, and what it was given just before and after.
+    /// The policy's state at a moment, and the events just before and after it.
     At(Timestamp),
 }
 
 /// One line of an explanation.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Unix microseconds.
+    /// Time of the event or decision, in Unix microseconds.
     pub at_us: i64,
-    /// In words.
+    /// Explanation for people.
     pub text: String,
-    /// The same as data.
+    /// The content of the line as JSON, for tools.
     pub data: Value,
 }
 
-/// Explains line by line, and returns how many lines there were.
+/// Passes the lines of an explanation to `on_line`. Returns their number, which is 0 if the capture has
+/// nothing about the subject.
 ///
 /// # Errors
-/// A checkpoint that this build cannot read.
+/// This build cannot read a checkpoint.
 pub fn explain(
     segments: &[Segment],
     question: &Question,
     on_line: &mut dyn FnMut(Line),
 ) -> Result<usize, ReplayError> {
     let mut explanation = Explanation::new(question, on_line);
-    for segment in segments.iter().filter(|segment| may_answer(segment, question)) {
+    for segment in segments.iter().filter(|segment| may_cover(segment, question)) {
         explain_segment(&mut explanation, segment)?;
     }
     Ok(explanation.line_count())
 }
 
-/// Whether a segment may hold what is asked for.
-fn may_answer(segment: &Segment, question: &Question) -> bool {
+/// Whether a segment may contain events about the subject of a question.
+fn may_cover(segment: &Segment, question: &Question) -> bool {
     let Question::At(moment) = question else { return true };
     segment.until() + MOMENT_MARGIN >= *moment && segment.at <= *moment + MOMENT_MARGIN
 }
@@ -70,14 +72,14 @@
     explanation.begin_segment(segment)?;
     let options = ReplayOptions { explain: true, ..ReplayOptions::default() };
     let summary = replay_segment(segment, &options, &mut |step| explanation.add_step(&step))?;
-    if let Some(first) = summary.first_divergence {
+    if let Some(divergence) = summary.first_divergence {
         let text = format!(
             "the replay parts from the record at record {} of segment {}: what stands behind it is the \
              replay's, not the day's",
-            first.record, segment.header.number
+            divergence.record, segment.header.number
         );
-        let at = Timestamp::from_micros(first.at_us);
-        explanation.add_line(at, text, json!({"kind": "diverged", "first": first}));
+        let at = Timestamp::from_micros(divergence.at_us);
+        explanation.add_line(at, text, json!({"kind": "diverged", "first": divergence}));
     }
     if let Some(panic) = summary.panic {
         let at = segment.records.get(panic.record).map_or(segment.at, |record| record.at);
--- a/crates/capture/src/explain/engine.rs
+++ b/crates/capture/src/explain/engine.rs
@@ -1,4 +1,5 @@
-//! The view of one engine: what happened to it, how often it was considered, and how loaded the policy believed it to be.
+//! The view of one engine: the events about it, how often engine selection considered it, and its load as the
+//! policy estimated it.
 
 use super::engine_texts::{describe_engine_state, ineligible_text};
 use super::explanation::Explanation;
@@ -9,20 +10,20 @@
 use sprucelink_policy::{Action, EngineId, Event, Reason, Timestamp};
 use std::collections::BTreeMap;
 
-/// Change of the estimated utilisation beyond which it gets a line of its own, in threads a core.
+/// Change of the estimated utilisation above which a line is added, in threads per core.
 const MIN_UTILISATION_CHANGE: f64 = 0.25;
-/// What a draw is counted under in which the engine was eligible.
+/// Name under which draws are counted in which the engine was eligible.
 const ELIGIBLE: &str = "in the draw";
-/// A utilisation from which every real one differs, as before the first line.
+/// Utilisation before the first line: it differs enough from every real one that a line is added.
 const NO_UTILISATION: f64 = -1.0;
 
-/// The engine that an explanation is about.
+/// State of an explanation of one engine.
 pub(super) struct EngineTracker {
-    /// Its number, once it is known.
+    /// Number of the engine, once it is known.
     pub(super) number: Option<u32>,
-    /// Its estimated utilisation in the last line about it, in threads a core.
+    /// Estimated utilisation in the last line about the engine, in threads per core.
     last_utilisation: f64,
-    /// Draws that considered it since the last line about it.
+    /// Draws that considered the engine since the last line about it.
     draws: DrawCounts,
 }
 
@@ -30,7 +31,7 @@
 #[derive(Default)]
 struct DrawCounts {
     total: u32,
-    /// By the reason that excluded the engine, or [`ELIGIBLE`].
+    /// Number of draws by the reason that excluded the engine, or [`ELIGIBLE`].
     by_reason: BTreeMap<&'static str, u32>,
 }
 
@@ -78,7 +79,7 @@
         self.add_engine_lines(step.record.at, texts, &view);
     }
 
-    /// What an input says about the engine.
+    /// Texts for what an input says about the engine.
     fn describe_engine_input(&self, engine: EngineId, input: &RecordedInput) -> Vec<String> {
         match input {
             RecordedInput::Event(Event::EndpointsChanged { entries, .. }) => entries
@@ -89,14 +90,14 @@
             RecordedInput::Event(event @ Event::AttemptEnded { id, attempt, .. })
                 if self.engine_of(*id, *attempt) == Some(engine.0) =>
             {
-                let text = self.describe_input(event);
+                let text = self.describe_request_event(event);
                 text.map(|text| format!("request {:016x}: {text}", id.0)).into_iter().collect()
             }
             _ => Vec::new(),
         }
     }
 
-    /// What an action does to the engine.
+    /// Text for an action that is about the engine.
     fn describe_engine_action(&self, engine: EngineId, action: &Action) -> Option<String> {
         match action {
             Action::ForwardAttempt { id, engine: chosen, .. } if *chosen == engine => {
--- a/crates/capture/src/explain/engine_texts.rs
+++ b/crates/capture/src/explain/engine_texts.rs
@@ -1,10 +1,11 @@
-//! The words for engines: their state as the policy estimates it, and why one is not eligible.
+//! Texts about engines in explanations: their state as the policy estimates it, and why an engine is not
+//! eligible. Like those in [`super::texts`] they are an interface.
 
 use super::texts::describe_optional;
 use sprucelink_policy::diagnostics::EngineView;
 use sprucelink_policy::IneligibleReason;
 
-/// The state of an engine, as the policy estimates it, in words.
+/// Text for the state of an engine, as the policy estimates it.
 pub(super) fn describe_engine_state(engine: &EngineView) -> String {
     let mut text = format!(
         "believed {:.2} threads a core (own {:.0}, others {:.1} by a report {} s old that counts {:.2}, usual {:.1}, \
@@ -32,7 +33,7 @@
     text
 }
 
-/// Why an engine is not eligible, in words.
+/// Text for the reason why an engine is not eligible.
 pub(super) fn ineligible_text(reason: IneligibleReason) -> &'static str {
     match reason {
         IneligibleReason::NotListed => "not listed",
--- a/crates/capture/src/explain/explanation.rs
+++ b/crates/capture/src/explain/explanation.rs
@@ -1,4 +1,4 @@
-//! An explanation in progress: which engine and which attempts it has seen, and the lines that it adds.
+//! An explanation in progress: it tracks engines and attempts over the replay and adds lines.
 
 use super::engine::EngineTracker;
 use super::texts::{describe_attempt_end, describe_event, describe_optional, describe_reason};
@@ -12,17 +12,17 @@
 use sprucelink_policy::{Action, Event, Reason, RequestId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// An explanation that is being written.
+/// State of an explanation over the replay of the segments.
 pub(super) struct Explanation<'a> {
     question: &'a Question,
     pub(super) engines: EngineNumbers,
-    /// Number of the engine that is asked about, once it is known, and what was seen of it.
+    /// The engine that a [`Question::Engine`] is about.
     pub(super) tracked_engine: EngineTracker,
-    /// Engine of each attempt in flight, by request and attempt.
+    /// Number of the engine of each attempt in flight, by request and attempt number.
     attempt_engines: BTreeMap<(RequestId, u32), u32>,
     /// Number of each request's next attempt.
     next_attempt: BTreeMap<RequestId, u32>,
-    /// The state at the moment that is asked about was described.
+    /// Whether the lines about the policy's state at the moment of a [`Question::At`] were added.
     pub(super) is_moment_described: bool,
     on_line: &'a mut dyn FnMut(Line),
     line_count: usize,
@@ -51,7 +51,8 @@
         (self.on_line)(Line { at_us: at.as_micros(), text, data });
     }
 
-    /// Begins a segment: takes the engines and the attempts in flight from its checkpoint.
+    /// Begins a segment: takes the engines and the attempts in flight from its checkpoint. For a request a
+    /// line reports events that were lost before the segment.
     pub(super) fn begin_segment(&mut self, segment: &Segment) -> Result<(), StateError> {
         self.engines.clone_from(&segment.engines);
         let policy = segment.policy()?;
@@ -73,11 +74,11 @@
         Ok(())
     }
 
-    /// Finds the number of the engine that is asked about.
+    /// Sets the number of the engine that a [`Question::Engine`] is about, if it is known.
     fn find_engine(&mut self) {
-        let Question::Engine(asked) = self.question else { return };
-        let by_number = || asked.strip_prefix('#').and_then(|number| number.parse().ok());
-        if let Some(number) = self.engines.number_of(asked).or_else(by_number) {
+        let Question::Engine(name) = self.question else { return };
+        let by_number = || name.strip_prefix('#').and_then(|number| number.parse().ok());
+        if let Some(number) = self.engines.number_of(name).or_else(by_number) {
             self.tracked_engine.number = Some(number);
         }
     }
@@ -93,10 +94,10 @@
             Question::Engine(_) => self.add_engine_step(step),
             Question::At(moment) => self.add_moment_step(*moment, step),
         }
-        self.follow_attempts(step);
+        self.track_attempts(step);
     }
 
-    fn follow_attempts(&mut self, step: &Step) {
+    fn track_attempts(&mut self, step: &Step) {
         if let RecordedInput::Event(Event::AttemptEnded { id, attempt, .. }) = &step.record.input {
             self.attempt_engines.remove(&(*id, *attempt));
         }
@@ -109,25 +110,25 @@
         }
     }
 
-    /// The engine of an attempt in flight.
+    /// Number of the engine of an attempt; `None` if the attempt is not in flight.
     pub(super) fn engine_of(&self, id: RequestId, attempt: u32) -> Option<u32> {
         self.attempt_engines.get(&(id, attempt)).copied()
     }
 
-    /// The number of a request's next attempt.
+    /// Number of a request's next attempt, from 0.
     pub(super) fn next_attempt_of(&self, id: RequestId) -> u32 {
         self.next_attempt.get(&id).copied().unwrap_or(0)
     }
 
-    /// An event in words; `None` for one that is about no request.
-    pub(super) fn describe_input(&self, event: &Event) -> Option<String> {
+    /// Text for an event; `None` if the event is not about a request.
+    pub(super) fn describe_request_event(&self, event: &Event) -> Option<String> {
         let Event::AttemptEnded { id, attempt, .. } = event else { return describe_event(event) };
         let engine = self.engine_of(*id, *attempt);
         let engine = engine.map_or("an engine".to_owned(), |number| self.engines.describe(number));
         describe_attempt_end(event, &engine)
     }
 
-    /// An action in words.
+    /// Text for an action.
     pub(super) fn describe_action(&self, action: &Action) -> String {
         let seconds = |span: &Option<TimeDelta>| describe_optional(span.map(TimeDelta::as_secs_f64));
         match action {
@@ -152,7 +153,7 @@
     }
 }
 
-/// The request that an action is about.
+/// The request that an action is about; `None` for other actions.
 pub(super) fn request_of(action: &Action) -> Option<RequestId> {
     match action {
         Action::ForwardAttempt { id, .. }
--- a/crates/capture/src/explain/moment.rs
+++ b/crates/capture/src/explain/moment.rs
@@ -1,4 +1,4 @@
-//! The view of one moment: the policy's state, and all that it was given and did just before and after.
+//! The view of one moment: the policy's state, and all events and actions just before and after.
 
 use super::engine_texts::describe_engine_state;
 use super::explanation::{request_of, Explanation};
@@ -19,7 +19,7 @@
             return;
         }
         if let Some(event) = step.record.input.event() {
-            let text = self.describe_input(event).unwrap_or_else(|| format!("{event:?}"));
+            let text = self.describe_request_event(event).unwrap_or_else(|| format!("{event:?}"));
             self.add_line(now, format!("told: {text}"), json!({"kind": "told", "event": event}));
         }
         for action in step.actions.iter().filter(|action| !matches!(action, Action::StartTimer { .. })) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds the policy's state: a line for the whole, and one for each engine that the list has.
+    /// Adds the policy's state: a line for its overall state, and one for each engine that is not withdrawn.
     fn add_state(&mut self, step: &Step) {
         let now = step.record.at;
         let overview = step.policy.overview();
--- a/crates/capture/src/explain/request.rs
+++ b/crates/capture/src/explain/request.rs
@@ -1,4 +1,4 @@
-//! The view of one request: its events and the actions on it.
+//! The view of one request: its events, and the policy's actions and reasons.
 
 use super::explanation::{request_of, Explanation};
 use crate::replay::{action_kind, Step};
@@ -9,7 +9,7 @@
     pub(super) fn add_request_step(&mut self, id: RequestId, step: &Step) {
         let at = step.record.at;
         if let Some(event) = step.record.input.event().filter(|event| request_of_event(event) == Some(id)) {
-            if let Some(text) = self.describe_input(event) {
+            if let Some(text) = self.describe_request_event(event) {
                 self.add_line(at, text, json!({"kind": "told", "event": event}));
             }
         }
@@ -24,7 +24,7 @@
     }
 }
 
-/// The request that an event is about.
+/// The request that an event is about; `None` for other events.
 fn request_of_event(event: &Event) -> Option<RequestId> {
     match event {
         Event::RequestArrived(arrival) => Some(arrival.id),
--- a/crates/capture/src/explain/texts.rs
+++ b/crates/capture/src/explain/texts.rs
@@ -1,5 +1,5 @@
-//! The words of explanations. Operators' tools read them and golden tests hold them: they are an interface, whose terms
-//! stay as they are.
+//! Texts of explanations. They are an interface: operators' tools parse them and golden tests compare them,
+//! so their terms must not change, even where the code uses other terms.
 
 use super::engine_texts::ineligible_text;
 use crate::engine_numbers::EngineNumbers;
@@ -11,8 +11,8 @@
     number.map_or("-".to_owned(), |number| format!("{number:.2}"))
 }
 
-/// An event about a request in words; `None` for any other. The end of an attempt has its own function
-/// ([`describe_attempt_end`]), since it names an engine.
+/// Text for an event about a request; `None` for other events. The end of an attempt has its own function,
+/// [`describe_attempt_end`], since its text names an engine.
 pub(super) fn describe_event(event: &Event) -> Option<String> {
     match event {
         Event::RequestArrived(arrival) => Some(describe_arrival(arrival)),
@@ -35,7 +35,7 @@
     )
 }
 
-/// The end of an attempt on the engine of this name, in words; `None` for any other event.
+/// Text for the end of an attempt on the engine with this name; `None` for other events.
 pub(super) fn describe_attempt_end(event: &Event, engine: &str) -> Option<String> {
     let Event::AttemptEnded { attempt, outcome, latency, complete, query_cost, report, .. } = event else {
         return None;
@@ -52,7 +52,7 @@
     ))
 }
 
-/// The name that explanations have for an outcome.
+/// Name of an outcome in explanations.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Succeeded => "Delivered",
@@ -82,7 +82,7 @@
     format!("reported {}", reported.join(", "))
 }
 
-/// The policy's state as a whole, in words.
+/// Text for the overall state of the policy.
 pub(super) fn describe_overview(overview: &Overview) -> String {
     format!(
         "{} open, {} of them in the line; own threads {:.0} of a share of {:.1} cores; others {:.2} threads a core \
@@ -98,7 +98,7 @@
     )
 }
 
-/// The reason of a decision in words.
+/// Text for the reason of a decision.
 pub(super) fn describe_reason(reason: &Reason, engines: &EngineNumbers) -> String {
     match reason {
         Reason::Priced { .. } => describe_pricing(reason),
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,4 +1,5 @@
-//! A segment of a capture: a checkpoint of the policy and the records after it. Each segment replays alone.
+//! A segment of a capture: a checkpoint of the policy and the records after it. Each segment can be replayed
+//! without the others.
 
 use crate::engine_numbers::EngineNumbers;
 use crate::error::StateError;
@@ -10,115 +11,118 @@
 /// The policy's answer to an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The actions.
+    /// The actions, without explanations.
     Complete(Vec<Action>),
-    /// What the actions are compared by, where only that was recorded.
+    /// Number and digest of the actions, which are enough to compare them with a replay's.
     Digest {
-        /// How many actions there were.
+        /// Number of actions.
         count: u32,
-        /// The digest of their encoded form.
+        /// Digest of the encoded actions ([`crate::codec::digest_actions`]).
         digest: u64,
     },
-    /// None: the program ended before the policy had answered.
+    /// No answer: the program ended before the policy had answered.
     None,
 }
 
-/// An input with the policy's answer to it.
+/// An input of the policy and its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// When it happened.
+    /// Time at which the policy was given the input. After a step of the clock it may be earlier than that of
+    /// the previous record.
     pub at: Timestamp,
-    /// What happened.
+    /// The event, or a change of an engine's number.
     pub input: RecordedInput,
-    /// What the policy answered.
+    /// The policy's answer.
     pub answer: Answer,
 }
 
-/// How a segment ended.
+/// The way in which a segment ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SegmentEnd {
-    /// Closed in order.
+    /// The recorder closed the segment.
     Closed {
-        /// Events lost after it.
+        /// Number of events lost after the last record.
         lost_events: u64,
     },
     /// The file ends without a tail: the program is still writing, or was killed.
     Truncated {
-        /// The last frame is incomplete.
+        /// Whether the last frame is incomplete.
         inside_frame: bool,
     },
-    /// Damaged from a byte offset on.
+    /// The file is damaged from a byte offset on.
     Damaged {
-        /// The offset in the file, in bytes.
+        /// Offset in the file, in bytes.
         offset: usize,
-        /// What is wrong there.
+        /// What is wrong at that offset.
         reason: String,
     },
 }
 
-/// What a segment says of itself and of its recorder.
+/// Metadata of a segment and of its recorder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SegmentHeader {
     /// Version of the file format.
     pub format: u32,
-    /// The program that recorded: name, version and target.
+    /// Name, version and target of the program that recorded.
     pub build: String,
     /// Checksum of the recording policy's source text ([`identity::policy_checksum`]).
     pub policy_checksum: u32,
     /// Digest of the recording build's floating-point functions ([`identity::float_digest`]).
     pub float_digest: u64,
-    /// The segment's number since the recorder started, from 0.
+    /// Sequence number of the segment since the recorder started, from 0.
     pub number: u64,
-    /// When the policy started.
+    /// Time at which the policy started.
     pub policy_started_at: Timestamp,
-    /// The seed that the policy started with.
+    /// Seed with which the policy started.
     pub seed: u64,
-    /// Events lost between the segment before and this one.
+    /// Number of events lost between the previous segment and this one.
     pub lost_events_before: u64,
-    /// The rules that a replay must hold, each as JSON; none, unless the segment is a case.
+    /// Rules that a replay must hold, each as JSON; empty unless the segment is a case.
     pub rules: Vec<String>,
-    /// Answers are recorded completely; otherwise as digests.
+    /// Whether answers are recorded completely; otherwise they are recorded as digests.
     pub has_complete_answers: bool,
-    /// What a case shows, in words.
+    /// Description of a case; empty for other segments.
     pub note: String,
 }
 
-/// A part of a capture that replays alone.
+/// A part of a capture that can be replayed without the others.
 #[derive(Clone, Debug)]
 pub struct Segment {
-    /// Its file.
+    /// File that the segment was read from.
     pub file: PathBuf,
-    /// Its offset in the file, in bytes.
+    /// Offset of the segment in the file, in bytes.
     pub offset: usize,
-    /// Its header.
+    /// Metadata of the segment and its recorder.
     pub header: SegmentHeader,
-    /// When its checkpoint was taken.
+    /// Time of the checkpoint.
     pub at: Timestamp,
-    /// The state of the policy then, in MessagePack.
+    /// State of the policy at the checkpoint, in MessagePack.
     pub state: Vec<u8>,
-    /// Numbers of the engines then.
+    /// Numbers of the engines at the checkpoint.
     pub engines: EngineNumbers,
-    /// The records after the checkpoint.
+    /// Records after the checkpoint, in the order in which the policy was given the inputs.
     pub records: Vec<Record>,
-    /// How it ended.
+    /// The way in which the segment ends.
     pub end: SegmentEnd,
 }
 
 impl Segment {
-    /// The policy as it was at the checkpoint. Fields that an older state lacks take their defaults.
+    /// The policy as it was at the checkpoint. Fields that are missing from the state of an older build get
+    /// their defaults.
     ///
     /// # Errors
-    /// A state that this build cannot read.
+    /// This build cannot read the state.
     pub fn policy(&self) -> Result<Policy, StateError> {
         rmp_serde::from_slice(&self.state).map_err(StateError)
     }
 
-    /// The time of its last record, otherwise of its checkpoint.
+    /// Time of the last record, or of the checkpoint if there are no records.
     pub fn until(&self) -> Timestamp {
         self.records.last().map_or(self.at, |record| record.at)
     }
 
-    /// How the build that recorded it differs from this one, in words; empty where both decide alike.
+    /// Texts for the differences between the recording build and this one; empty if both make the same
+    /// decisions.
     pub fn build_differences(&self) -> Vec<String> {
         let mut differences = Vec::new();
         let own_checksum = identity::policy_checksum();
@@ -130,7 +134,7 @@
         }
         if self.header.float_digest != identity::float_digest() {
             differences.push(
-                "recorded by a build whose exp, ln or powf round otherwise: decisions may part in the last bit of \
+                "recorded by a build whose exp, ln or powf round otherwise: decisions may differ in the last bit of \
                  a weight"
                     .to_owned(),
             );
--- a/crates/capture/src/segment_writer.rs
+++ b/crates/capture/src/segment_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a segment as a file, for cases that were cut out of a capture.
+//! Encodes a segment as a file, for cases that were cut out of a capture.
 
 use crate::codec::{encode_actions, encode_engine, encode_header, encode_input};
 use crate::error::WriteError;
@@ -8,13 +8,13 @@
 use prost::Message;
 use sprucelink_policy::TimeDelta;
 
-/// The zstd level of cases: small files, which are written rarely.
+/// zstd level of cases: it gives small files, and cases are written rarely.
 const COMPRESSION_LEVEL: i32 = 19;
 
-/// The bytes of a file with this one segment, in the recorder's format.
+/// The content of a file that holds only this segment, in the recorder's format.
 ///
 /// # Errors
-/// A frame that is too long or cannot be compressed, or answers that are digests.
+/// A frame is too long or cannot be compressed, or the answers are recorded as digests.
 pub fn write(segment: &Segment) -> Result<Vec<u8>, WriteError> {
     let mut file = Vec::new();
     let head = pb::Head { whole_answers: true, ..encode_header(&segment.header) };
@@ -53,7 +53,7 @@
     Ok(records)
 }
 
-/// A record as the format has it; `after` is the time since the record before it.
+/// Encodes a record; `after` is the time since the previous record.
 fn encode_record(record: &Record, after: TimeDelta) -> Result<pb::Record, WriteError> {
     let actions = match &record.answer {
         Answer::Complete(actions) => encode_actions(actions),
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -6,18 +6,17 @@
 use sprucelink_policy::TimeDelta;
 use std::path::PathBuf;
 
-/// Bytes in a megabyte, as the settings count.
+/// Bytes per megabyte in the settings.
 const BYTES_PER_MB: u64 = 1 << 20;
-/// Bytes in a kilobyte, as the settings count.
+/// Bytes per kilobyte in the settings.
 const BYTES_PER_KB: f64 = 1024.0;
-/// Seconds in a minute.
 const SECONDS_PER_MINUTE: i64 = 60;
 
 /// The settings of the recorder.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The folder of the ring's files; created if it does not exist.
+    /// Folder of the ring's files, which is created if it does not exist.
     pub dir: PathBuf,
     /// Size of all files together, in MB: 1 to 1,000,000.
     #[serde(default = "ring_mb")]
@@ -32,30 +31,32 @@
     /// Age at which a segment ends, in seconds: 1 to 86,400.
     #[serde(default = "segment_s")]
     pub segment_s: u64,
-    /// Kilobytes of records a second, before compression: 1 to 1,000,000. More is dropped, and leaves a gap.
+    /// Maximum rate of records, in KB per second before compression: 1 to 1,000,000. Records beyond it are
+    /// dropped, which ends the segment.
     #[serde(default = "rate_kb_s")]
     pub rate_kb_s: u64,
-    /// Kilobytes queued for the writer's thread at most: 64 to 65,536. More is dropped, and leaves a gap.
+    /// Maximum size of the queue to the writer thread, in KB: 64 to 65,536. Records beyond it are dropped,
+    /// which ends the segment.
     #[serde(default = "queue_kb")]
     pub queue_kb: u64,
-    /// Time after which a batch of records goes to the writer's thread, full or not, in milliseconds: 10 to 10,000.
-    /// A crash loses this much.
+    /// Age at which a batch of records is queued for the writer thread even if it is not full, in
+    /// milliseconds: 10 to 10,000. A crash loses the records of about this time.
     #[serde(default = "flush_ms")]
     pub flush_ms: u64,
-    /// How the policy's answers are recorded.
+    /// Form in which the policy's answers are recorded.
     #[serde(default)]
     pub answers: AnswerFormat,
 }
 
-/// How the policy's answers are recorded.
+/// Form in which the policy's answers are recorded.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum AnswerFormat {
-    /// Complete: a divergence in a replay shows what was expected.
+    /// All actions: a divergence in a replay shows the recorded actions, too.
     #[default]
     #[serde(rename = "whole")]
     Complete,
-    /// As a digest: fewer bytes, and a divergence shows only the replay's answer.
+    /// A digest: it takes fewer bytes, but a divergence shows only the replayed actions.
     Digest,
 }
 
@@ -79,23 +80,23 @@
     60
 }
 
-/// Default bound of the write rate, in KB a second: 500 requests a second take some 150 of them.
+/// Default limit of the write rate, in KB per second: 500 requests per second take about 150 KB per second.
 fn rate_kb_s() -> u64 {
     2_048
 }
 
-/// Default bound of the writer's queue, in KB.
+/// Default limit of the writer's queue, in KB.
 fn queue_kb() -> u64 {
     1_024
 }
 
-/// Default age at which a batch goes to the writer, in milliseconds.
+/// Default age at which a batch is queued for the writer, in milliseconds.
 fn flush_ms() -> u64 {
     200
 }
 
 impl Settings {
-    /// The defaults, with this folder.
+    /// The default settings with this folder.
     pub fn in_dir(dir: impl Into<PathBuf>) -> Settings {
         Settings {
             dir: dir.into(),
@@ -110,10 +111,11 @@
         }
     }
 
-    /// Parses and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Text that is no JSON5, by line; an unknown field, one of the wrong type or out of its range, by name.
+    /// The text is not valid JSON5 (the error names the line), or a field is unknown, has the wrong type or
+    /// is out of its range (the error names the field).
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = json5::from_str(text)?;
         let bounds = [
@@ -142,7 +144,7 @@
         Ok(settings)
     }
 
-    /// The bounds of the ring that the settings stand for.
+    /// The limits of the ring, converted to the units that it uses.
     pub fn limits(&self) -> RingLimits {
         RingLimits {
             ring_bytes: self.ring_mb * BYTES_PER_MB,
--- a/crates/capture/src/settings/tests.rs
+++ b/crates/capture/src/settings/tests.rs
@@ -1,13 +1,13 @@
-//! Settings that are rejected name the field.
+//! Errors of invalid settings name the field or the line.
 
 use super::*;
 
 #[test]
-fn invalid_settings_are_rejected_with_the_field() {
-    let good =
-        Settings::parse("{ dir: '/var/cap', /* short */ segment_s: 5, answers: 'digest' }").expect("good");
-    assert_eq!((good.segment_s, good.answers, good.ring_mb), (5, AnswerFormat::Digest, ring_mb()));
-    for (text, name) in [
+fn invalid_settings_are_rejected_with_an_error_that_names_the_field() {
+    let valid = Settings::parse("{ dir: '/var/cap', /* short */ segment_s: 5, answers: 'digest' }")
+        .expect("valid settings");
+    assert_eq!((valid.segment_s, valid.answers, valid.ring_mb), (5, AnswerFormat::Digest, ring_mb()));
+    for (text, expected) in [
         ("{}", "dir"),
         ("{dir: ''}", "dir"),
         ("{dir: 'x', ring_mb: 0}", "ring_mb"),
@@ -18,7 +18,7 @@
         ("{dir: 'x', flush_ms: -1}", "-1"),
         ("{dir: 'x'", "line 1"),
     ] {
-        let why = Settings::parse(text).expect_err(text).to_string();
-        assert!(why.contains(name), "{text}: {why}");
+        let error = Settings::parse(text).expect_err(text).to_string();
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
