--- a/crates/capture/build.rs
+++ b/crates/capture/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the format's protobuf description without an outside compiler.
+//! Compiles the protobuf description of the file format without an installed protobuf compiler.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/capture.proto");
--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -1,5 +1,5 @@
-//! How well a manager's load estimates match the engines' reports: over a capture, how long engines were estimated to be
-//! busy while the manager had no attempt there, and what the next report said.
+//! Compares a manager's load estimates with the engines' load reports over captures: how long engines were
+//! estimated to be busy while the manager had no attempt on them, and the load in the next report. Run with
 //! `cargo run --release -p sprucelink-capture --example belief -- CAPTURE...`.
 
 use sprucelink_capture::input::RecordedInput;
@@ -12,47 +12,58 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Utilisation from which an engine has no capacity for any priority level, in threads a core.
-const FULL: f64 = 2.1;
-/// Utilisation from which an engine has no capacity for the lowest priority level, in threads a core.
-const BUSY: f64 = 1.5;
-/// Ages of reports are counted in steps of a quarter of a second.
+/// Utilisation from which an engine has no capacity for any priority level, in threads per core.
+const FULL_UTILISATION: f64 = 2.1;
+/// Utilisation from which an engine has no capacity for the lowest priority level, in threads per core.
+const BUSY_UTILISATION: f64 = 1.5;
+/// Resolution of the ages of reports: steps of a quarter of a second.
 const AGE_STEPS_PER_SECOND: f64 = 4.0;
-/// The last step of the ages, which counts all older reports.
+/// Last step of the ages, in which all older reports are counted, too.
 const MAX_AGE_STEP: f64 = 40.0;
 
-/// A time during which an engine was estimated to be busy without an attempt of this manager, up to a report.
-struct IdleSpell {
+/// A period in which an engine was estimated to be busy without an attempt of this manager, ended by a load
+/// report.
+struct IdlePeriod {
     duration_s: f64,
-    /// Estimated just before the report, in threads a core.
+    /// Utilisation estimated just before the report, in threads per core.
     estimated: f64,
-    /// Reported, in threads a core.
+    /// Load from other managers in the report, in threads per core.
     reported: f64,
 }
 
-/// Estimates against reports, for reports of one age.
+/// Differences between the estimated and the reported load from other managers, for previous reports of one
+/// age. Sums are in threads per core.
 #[derive(Default)]
 struct EstimateErrors {
+    /// Number of reports.
     reports: u64,
+    /// Sum of estimated less reported load.
     sum: f64,
+    /// Sum of the absolute differences.
     absolute_sum: f64,
 }
 
 /// Sums over all captures. Times are in engine-seconds.
 #[derive(Default)]
 struct Totals {
+    /// Listed and not ejected.
     listed: f64,
+    /// Estimated to be busy.
     busy: f64,
+    /// Busy without an attempt of this manager.
     busy_idle: f64,
+    /// Full without an attempt of this manager.
     full_idle: f64,
     /// Busy without an attempt of this manager, while requests were queued.
     busy_idle_queued: f64,
+    /// Number of rejected requests.
     rejected: u64,
-    /// Rejected while an engine was busy without an attempt of this manager.
+    /// Number of requests rejected while an engine was busy without an attempt of this manager.
     rejected_with_idle: u64,
+    /// Number of requests.
     arrived: u64,
-    idle_spells: Vec<IdleSpell>,
-    /// By the age of the report before, in steps.
+    idle_periods: Vec<IdlePeriod>,
+    /// Errors by the age of the previous report, in steps.
     errors_by_age: BTreeMap<u32, EstimateErrors>,
 }
 
@@ -66,7 +77,7 @@
     attempt_engines: BTreeMap<(RequestId, u32), EngineId>,
     /// Number of each request's next attempt.
     next_attempt: BTreeMap<RequestId, u32>,
-    /// Since when each engine has been busy without an attempt of this manager.
+    /// Time since which each engine, by number, has been busy without an attempt of this manager.
     idle_since: BTreeMap<u32, Timestamp>,
 }
 
@@ -80,7 +91,7 @@
         }
     }
     print_times(&totals);
-    print_idle_spells(&totals.idle_spells);
+    print_idle_periods(&totals.idle_periods);
     print_errors(&totals);
     Ok(())
 }
@@ -88,40 +99,40 @@
 fn print_times(totals: &Totals) {
     let percent = |time: f64| 100.0 * time / totals.listed.max(1e-9);
     println!(
-        "{:.0} engine-seconds listed; {} arrived, {} refused",
+        "{:.0} engine-seconds listed; {} requests arrived, {} rejected",
         totals.listed, totals.arrived, totals.rejected
     );
-    println!("taken to be busy (over {BUSY} threads a core): {:.1}%", percent(totals.busy));
+    println!("estimated to be busy (over {BUSY_UTILISATION} threads per core): {:.1}%", percent(totals.busy));
     println!(
-        "  with nothing of its own there: {:.1}%, over {FULL}: {:.1}%",
+        "  without an attempt of this manager: {:.1}%, over {FULL_UTILISATION}: {:.1}%",
         percent(totals.busy_idle),
         percent(totals.full_idle)
     );
-    println!("  and with requests in the line: {:.1}%", percent(totals.busy_idle_queued));
-    println!("refused while such an engine was there: {} of {}", totals.rejected_with_idle, totals.rejected);
+    println!("  and with requests in the queue: {:.1}%", percent(totals.busy_idle_queued));
+    println!("rejected while there was such an engine: {} of {}", totals.rejected_with_idle, totals.rejected);
 }
 
-fn print_idle_spells(spells: &[IdleSpell]) {
-    let count = spells.len().max(1) as f64;
-    let mean = |value: fn(&IdleSpell) -> f64| spells.iter().map(value).sum::<f64>() / count;
-    let free = spells.iter().filter(|spell| spell.reported < 1.0).count();
+fn print_idle_periods(periods: &[IdlePeriod]) {
+    let count = periods.len().max(1) as f64;
+    let mean = |value: fn(&IdlePeriod) -> f64| periods.iter().map(value).sum::<f64>() / count;
+    let free = periods.iter().filter(|period| period.reported < 1.0).count();
     println!(
-        "{} spells that a report ended: {:.2} s, believed {:.2} threads a core at their end, reported {:.2}; {:.0}% \
-         reported under 1",
-        spells.len(),
-        mean(|spell| spell.duration_s),
-        mean(|spell| spell.estimated),
-        mean(|spell| spell.reported),
+        "{} such periods were ended by a report: on average {:.2} s, estimated {:.2} threads per core, reported {:.2}; \
+         {:.0}% reported under 1",
+        periods.len(),
+        mean(|period| period.duration_s),
+        mean(|period| period.estimated),
+        mean(|period| period.reported),
         100.0 * free as f64 / count
     );
 }
 
 fn print_errors(totals: &Totals) {
-    println!("age of the report before   reports   believed less reported   size of the error");
+    println!("age of previous report     reports   estimated less reported   absolute error");
     for (age, errors) in &totals.errors_by_age {
         let reports = errors.reports;
         println!(
-            "{:>6.2} s {reports:>26} {:>24.2} {:>19.2}",
+            "{:>6.2} s {reports:>25} {:>25.2} {:>16.2}",
             f64::from(*age) / AGE_STEPS_PER_SECOND,
             errors.sum / reports as f64,
             errors.absolute_sum / reports as f64
@@ -150,9 +161,12 @@
     Ok(())
 }
 
-/// Whether an engine is estimated to be busy while the manager has no attempt there.
+/// Whether an engine is estimated to be busy while the manager has no attempt on it.
 fn is_busy_and_idle(engine: &EngineView) -> bool {
-    engine.listed && !engine.ejected && engine.attempts_in_flight == 0 && engine.utilisation > BUSY
+    engine.listed
+        && !engine.ejected
+        && engine.attempts_in_flight == 0
+        && engine.utilisation > BUSY_UTILISATION
 }
 
 impl Measurement<'_> {
@@ -174,7 +188,7 @@
     fn add_times(&mut self, now: Timestamp, elapsed: f64) {
         for engine in self.engines.iter().filter(|engine| engine.listed && !engine.ejected) {
             self.totals.listed += elapsed;
-            if engine.utilisation > BUSY {
+            if engine.utilisation > BUSY_UTILISATION {
                 self.totals.busy += elapsed;
             }
             if !is_busy_and_idle(engine) {
@@ -182,7 +196,7 @@
             }
             self.idle_since.entry(engine.engine).or_insert(now);
             self.totals.busy_idle += elapsed;
-            if engine.utilisation > FULL {
+            if engine.utilisation > FULL_UTILISATION {
                 self.totals.full_idle += elapsed;
             }
             if self.queued_requests > 0 {
@@ -219,8 +233,8 @@
         }
         if let Some(since) = self.idle_since.remove(&before.engine) {
             let duration_s = (step.record.at - since).as_secs_f64();
-            let spell = IdleSpell { duration_s, estimated: before.utilisation, reported };
-            self.totals.idle_spells.push(spell);
+            let period = IdlePeriod { duration_s, estimated: before.utilisation, reported };
+            self.totals.idle_periods.push(period);
         }
     }
 
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A policy in a simulated fleet, with a recorder that writes to memory.
+//! A policy with simulated clients and engines, and a recorder that writes to memory.
 #![allow(dead_code)]
 
 use sprucelink_capture::reader::{parse, CaptureContents};
@@ -16,20 +16,23 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// A store in memory, which fails on demand.
+/// A store in memory that can be made to fail.
 #[derive(Clone, Default)]
 pub struct MemoryStore(pub Arc<Mutex<Files>>);
 
 #[derive(Default)]
 pub struct Files {
+    /// Contents of the files, by name.
     pub files: BTreeMap<String, Vec<u8>>,
+    /// Name of the file that was created last.
     pub open: String,
-    /// Bytes that still fit; of an append that does not fit, half is written before the error, as on a full disk.
+    /// Free space; unlimited if absent. An append that does not fit writes half of its bytes before the
+    /// error, as on a full disk.
     pub free_bytes: Option<usize>,
-    /// No file can be created.
-    pub unwritable: bool,
-    /// The writer waits for this lock before each append.
-    pub stall: Arc<Mutex<()>>,
+    /// Whether the creation of files fails.
+    pub is_unwritable: bool,
+    /// Each append waits for this lock.
+    pub append_lock: Arc<Mutex<()>>,
 }
 
 impl MemoryStore {
@@ -38,27 +41,27 @@
         files.files.values().flatten().copied().collect()
     }
     pub fn contents(&self) -> CaptureContents {
-        parse(&self.bytes(), Path::new("memory")).expect("a capture")
+        parse(&self.bytes(), Path::new("memory")).expect("a readable capture")
     }
 }
 
 impl SegmentStore for MemoryStore {
     fn list(&mut self) -> io::Result<Vec<RingFile>> {
         let files = self.0.lock().expect("unpoisoned");
-        // A file's age is that of the time in its name.
-        let at = |name: &str| {
-            Timestamp::from_micros(name.split('-').next().and_then(|t| t.parse().ok()).unwrap_or(0))
+        // The time in a file's name counts as the time of its last write.
+        let time_in_name = |name: &str| {
+            Timestamp::from_micros(name.split('-').next().and_then(|time| time.parse().ok()).unwrap_or(0))
         };
         let file = |(name, bytes): (&String, &Vec<u8>)| RingFile {
             name: name.clone(),
             bytes: bytes.len() as u64,
-            modified_at: at(name),
+            modified_at: time_in_name(name),
         };
         Ok(files.files.iter().map(file).collect())
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut files = self.0.lock().expect("unpoisoned");
-        if files.unwritable {
+        if files.is_unwritable {
             return Err(io::ErrorKind::PermissionDenied.into());
         }
         files.open = name.to_owned();
@@ -66,8 +69,8 @@
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let stall = Arc::clone(&self.0.lock().expect("unpoisoned").stall);
-        drop(stall.lock().expect("unpoisoned"));
+        let append_lock = Arc::clone(&self.0.lock().expect("unpoisoned").append_lock);
+        drop(append_lock.lock().expect("unpoisoned"));
         let mut files = self.0.lock().expect("unpoisoned");
         let fits = files.free_bytes.is_none_or(|free| bytes.len() <= free);
         let written = if fits { bytes.len() } else { bytes.len() / 2 };
@@ -80,10 +83,10 @@
             Err(io::ErrorKind::StorageFull.into())
         }
     }
-    fn truncate(&mut self, len: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         let mut files = self.0.lock().expect("unpoisoned");
         let open = files.open.clone();
-        files.files.entry(open).or_default().truncate(len as usize);
+        files.files.entry(open).or_default().truncate(length as usize);
         Ok(())
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -92,13 +95,13 @@
     }
 }
 
-/// The simulation's random numbers: a linear congruential generator.
+/// Random numbers of the simulation: a linear congruential generator.
 pub struct Rng(pub u64);
 
 impl Rng {
-    pub fn below(&mut self, n: u64) -> u64 {
+    pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % n
+        (self.0 >> 33) % bound
     }
 }
 
@@ -153,11 +156,11 @@
     }
 }
 
-/// The end of an attempt that is still to come, in the order of time.
+/// The scheduled end of an attempt. Ends are ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptEnd {
     due: Timestamp,
-    /// Orders ends that are due at the same time.
+    /// Order of ends that are due at the same time.
     sequence: u64,
     id: u64,
     attempt: u32,
@@ -165,25 +168,28 @@
     is_cancelled: bool,
 }
 
-/// How long a cancelled attempt takes to end, in microseconds.
+/// Time from a cancellation to the end of the attempt, in microseconds.
 const CANCELLATION_US: i64 = 10_000;
 
-/// A policy, and engines that answer after a while, some slow, some failing.
+/// A policy with engines that answer after a random time. Some answers are errors, and single engines can be
+/// slowed down.
 pub struct Simulation {
     pub policy: Policy,
     pub recorder: Option<Recorder>,
     pub now: Timestamp,
+    /// Number of engines.
     pub engines: u32,
     pub rng: Rng,
-    /// How many times slower an engine is, by number.
-    pub slowness: BTreeMap<u32, f64>,
-    /// Requests a second.
+    /// Factor on the latency of slow engines, by engine number.
+    pub latency_factors: BTreeMap<u32, f64>,
+    /// Requests per second.
     pub rate: u64,
     last_request: u64,
+    /// Number of attempts of each request.
     attempts: BTreeMap<u64, u32>,
     attempt_ends: BinaryHeap<Reverse<AttemptEnd>>,
     last_sequence: u64,
-    /// Events that the policy was given.
+    /// Number of events that the policy was given.
     pub events: usize,
 }
 
@@ -197,7 +203,7 @@
             now: START,
             engines,
             rng: Rng(seed),
-            slowness: BTreeMap::new(),
+            latency_factors: BTreeMap::new(),
             rate: 110,
             last_request: 0,
             attempts: BTreeMap::new(),
@@ -208,27 +214,28 @@
         simulation.send_endpoint_list();
         simulation
     }
-    pub fn recorded(engines: u32, seed: u64, set: &RecorderSettings, store: MemoryStore) -> Simulation {
+    pub fn recorded(engines: u32, seed: u64, settings: &RecorderSettings, store: MemoryStore) -> Simulation {
         let mut simulation = Simulation::new(engines, seed);
         simulation.recorder =
-            Some(Recorder::with_store(set, Box::new(store), seed, START).expect("a thread"));
+            Some(Recorder::with_store(settings, Box::new(store), seed, START).expect("a writer thread"));
         simulation.send_endpoint_list();
         simulation
     }
     pub fn counters(&self) -> RecorderCounters {
-        self.recorder.as_ref().expect("recorded").counters()
+        self.recorder.as_ref().expect("a recorder").counters()
     }
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
-        let ids: Vec<String> = (0..self.engines).map(|n| format!("s-{n}")).collect();
-        if let Some(r) = &mut self.recorder {
-            r.record_event(self.now, &self.policy, &event, || {
-                ids.iter().zip(0..).map(|(id, n)| (id.as_str(), n)).collect()
+    /// Gives the policy an event, records it, and schedules the end of new and cancelled attempts.
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        let ids: Vec<String> = (0..self.engines).map(|number| format!("s-{number}")).collect();
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_event(self.now, &self.policy, &event, || {
+                ids.iter().zip(0..).map(|(id, number)| (id.as_str(), number)).collect()
             });
         }
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
-        if let Some(r) = &mut self.recorder {
-            r.record_answer(&actions);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_answer(&actions);
         }
         self.events += 1;
         for action in &actions {
@@ -238,8 +245,8 @@
                     let attempt = *next_attempt;
                     *next_attempt += 1;
                     let base_us = 80_000.0 + self.rng.below(400_000) as f64;
-                    let slowness = self.slowness.get(&engine.0).copied().unwrap_or(1.0);
-                    self.schedule_end(id.0, attempt, (base_us * slowness) as i64, false);
+                    let factor = self.latency_factors.get(&engine.0).copied().unwrap_or(1.0);
+                    self.schedule_end(id.0, attempt, (base_us * factor) as i64, false);
                 }
                 Action::Cancel { id, attempt } => {
                     self.schedule_end(id.0, *attempt, CANCELLATION_US, true);
@@ -261,16 +268,16 @@
         }));
     }
     pub fn send_endpoint_list(&mut self) {
-        let entry = |n| EngineEntry {
-            engine: EngineId(n),
+        let entry = |number| EngineEntry {
+            engine: EngineId(number),
             zone: 0,
             kind: 0,
-            cell: n,
+            cell: number,
             state: EngineState::Ready,
             since: None,
         };
         let entries = (0..self.engines).map(entry).collect();
-        self.give(Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries });
+        self.handle_event(Event::EndpointsChanged { kind: EndpointUpdate::Complete, entries });
     }
     pub fn send_request(&mut self) -> (RequestId, Vec<Action>) {
         self.last_request += 1;
@@ -287,7 +294,7 @@
             memory_mb: Some(200.0),
             key: None,
         });
-        (id, self.give(event))
+        (id, self.handle_event(event))
     }
     fn end_due_attempts(&mut self) {
         while let Some(Reverse(end)) = self.attempt_ends.peek().copied() {
@@ -302,35 +309,35 @@
                 2 => Outcome::RejectedByEngine,
                 _ => Outcome::Succeeded,
             };
-            let served = outcome == Outcome::Succeeded;
+            let succeeded = outcome == Outcome::Succeeded;
             let report = LoadReport {
                 queries_in_flight: Some(self.rng.below(20) as f64),
                 queries_waiting_for_memory: Some(0.0),
                 granted_memory_fraction: Some(0.3),
                 ..LoadReport::default()
             };
-            let query_cost = served.then_some(QueryCost { work: 0.3, memory_mb: 180.0 });
-            self.give(Event::AttemptEnded {
+            let query_cost = succeeded.then_some(QueryCost { work: 0.3, memory_mb: 180.0 });
+            self.handle_event(Event::AttemptEnded {
                 id: RequestId(end.id),
                 attempt: end.attempt,
                 outcome,
                 latency: TimeDelta::from_micros(end.latency_us),
-                complete: served,
+                complete: succeeded,
                 query_cost,
                 report,
             });
         }
     }
-    /// Advances time in steps of 20 ms, with requests arriving.
-    pub fn advance(&mut self, secs: f64) {
-        let until = self.now + TimeDelta::from_secs_f64(secs);
+    /// Advances time in steps of 20 ms, while requests arrive at the rate and attempts end.
+    pub fn advance(&mut self, duration_s: f64) {
+        let until = self.now + TimeDelta::from_secs_f64(duration_s);
         while self.now < until {
             self.now = self.now + TimeDelta::from_micros(20_000);
             self.end_due_attempts();
             for _ in 0..(self.rate / 50 + u64::from(self.rng.below(50) < self.rate % 50)) {
                 self.send_request();
             }
-            self.give(Event::Timer { token: 0 });
+            self.handle_event(Event::Timer { token: 0 });
         }
     }
 }
