--- a/crates/query-fingerprint/src/cache.rs
+++ b/crates/query-fingerprint/src/cache.rs
@@ -1,8 +1,10 @@
-//! A cache that a scan of one-off statements cannot flush: S3-FIFO (Yang and others, "FIFO queues are all you need for
-//! cache eviction", SOSP 2023). New entries enter a small queue, a tenth of the capacity; only those that are read again
-//! move to the main queue. The keys of recently evicted entries are retained (ghosts), and such an entry enters the
-//! main queue at once. A scan flushes an LRU cache, and W-TinyLFU needs a sketch of counts that is sized and aged;
-//! these queues need no sketch, and a hit moves nothing.
+//! A cache that a scan of one-off statements cannot flush: S3-FIFO (Yang and others, "FIFO queues are all you
+//! need for cache eviction", SOSP 2023). New entries enter a small queue with a tenth of the capacity; only
+//! entries that are read again move to the main queue. The keys of entries that were recently evicted from
+//! the small queue are retained (ghosts), and an entry with such a key enters the main queue at once.
+//!
+//! A scan flushes an LRU cache, and W-TinyLFU needs a frequency sketch that must be sized and aged; S3-FIFO
+//! needs no sketch, and a hit does not move the entry.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +13,8 @@
 
 /// Fraction of the maximum number of entries that the small queue may hold.
 const SMALL_QUEUE_FRACTION: f64 = 0.1;
-/// Maximum number of hits counted of an entry: how often it returns to the back of the main queue without a read.
+/// Maximum hit count of an entry, which is the number of times that the entry returns to the back of the main
+/// queue without another read.
 const MAX_HITS: u8 = 3;
 
 /// Bounds of a cache.
@@ -19,22 +22,22 @@
 pub struct Bounds {
     /// Maximum number of entries.
     pub entries: usize,
-    /// Maximum number of bytes, as given with each entry.
+    /// Maximum sum of the sizes of the entries, in bytes.
     pub bytes: usize,
 }
 
-/// What a cache has done so far.
+/// Counters of a cache since its creation, and its current size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Reads that found an entry.
+    /// Number of reads that found an entry.
     pub hits: u64,
-    /// Reads that found none.
+    /// Number of reads that did not find an entry.
     pub misses: u64,
-    /// Entries evicted to stay within the bounds.
+    /// Number of entries evicted to stay within the bounds.
     pub evictions: u64,
-    /// Number of entries now.
+    /// Current number of entries.
     pub entries: usize,
-    /// Bytes of the entries now.
+    /// Current sum of the sizes of the entries, in bytes.
     pub bytes: usize,
 }
 
@@ -43,11 +46,11 @@
     value: V,
     bytes: usize,
     hits: u8,
-    /// Whether its key is in the main queue.
+    /// Whether the key is in the main queue; otherwise it is in the small queue.
     is_in_main: bool,
 }
 
-/// The cache.
+/// An S3-FIFO cache with bounds on its number of entries and their sizes.
 #[derive(Debug)]
 pub struct Cache<K, V> {
     bounds: Bounds,
@@ -56,7 +59,7 @@
     main_queue: VecDeque<K>,
     /// Keys that were recently evicted from the small queue, oldest first.
     ghost_queue: VecDeque<K>,
-    /// How often each key is in the ghost queue.
+    /// Number of occurrences of each key in the ghost queue.
     ghost_counts: BTreeMap<K, u32>,
     bytes: usize,
     counters: Counters,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// The value of a key; counts as a read.
+    /// The value of a key. It counts as a read, which delays the eviction of the entry.
     pub fn get(&mut self, key: K) -> Option<&mut V> {
         let slot = self.slots.get_mut(&key);
         match slot {
@@ -98,8 +101,8 @@
         self.slots.get(&key).map(|slot| &slot.value)
     }
 
-    /// Stores a value of `bytes` bytes. Returns whether the cache holds it afterwards; a value larger than the byte
-    /// bound is not stored.
+    /// Stores a value whose size is `bytes`, and evicts entries to stay within the bounds. Returns whether
+    /// the cache holds the key afterwards; a value larger than the bound is not stored.
     pub fn put(&mut self, key: K, value: V, bytes: usize) -> bool {
         if bytes > self.bounds.bytes || self.bounds.entries == 0 {
             return false;
@@ -121,17 +124,18 @@
         self.slots.contains_key(&key)
     }
 
-    /// Every entry, by key.
+    /// Iterates over all entries in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.slots.iter().map(|(key, slot)| (key, &slot.value))
     }
 
-    /// Counters so far.
+    /// Counters since the creation of the cache, and its current size.
     pub fn counters(&self) -> Counters {
         Counters { entries: self.slots.len(), bytes: self.bytes, ..self.counters }
     }
 
-    /// Takes one step towards an eviction: evicts an entry, or moves one that was read to the main queue's back.
+    /// Takes one step towards an eviction: evicts an entry, or moves an entry that was read to the back of
+    /// the main queue.
     fn evict(&mut self) {
         let max_small = (self.bounds.entries as f64 * SMALL_QUEUE_FRACTION).max(1.0) as usize;
         if self.small_queue.len() > max_small || self.main_queue.is_empty() {
@@ -154,7 +158,8 @@
         self.add_ghost(key);
     }
 
-    /// Remembers an evicted key. There are at most as many ghosts as entries: a key takes a hundredth of an entry's memory.
+    /// Adds an evicted key to the ghosts. Their number is bounded by the maximum number of entries; a key
+    /// takes a hundredth of the memory of an entry.
     fn add_ghost(&mut self, key: K) {
         self.ghost_queue.push_back(key);
         *self.ghost_counts.entry(key).or_default() += 1;
--- a/crates/query-fingerprint/src/cost.rs
+++ b/crates/query-fingerprint/src/cost.rs
@@ -1,32 +1,35 @@
-//! Learned cost of each fingerprint: work and memory as reported by answers, robust to single bad plans, weighted by
-//! age, and shrunk to the mean of its class while there are few answers. Where a client gives estimates, the ratio of
-//! reported to estimated cost is learned.
+//! Learned cost of each fingerprint: the mean of the work and memory that answers report. It is robust to
+//! single bad plans, weighted by age, and shrunk to the mean of its class while there are few answers. If a
+//! client gives estimates, the ratio of reported to estimated cost is learned, too.
 
 use crate::cache::{Bounds, Cache, Counters};
 use crate::normal::Fingerprint;
 
-/// Weight of the class's mean, in answers: after this many, a fingerprint's own mean weighs as much.
+/// Weight of the mean of the class, in answers: after this many answers the mean of the fingerprint has the
+/// same weight.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Smallest weight of one answer in the running mean, as a fraction: about the last thirty answers count.
+/// Minimum weight of one answer in the running mean, as a fraction: about the last thirty answers count.
 const MIN_STEP: f64 = 1.0 / 30.0;
-/// Deviation up to which an answer counts in full, in spreads; a larger one counts as much as this one, so that a plan
-/// that costs 25 times more moves the mean no more than one that costs a little more (Huber's function).
+/// Deviation up to which an answer counts in full, in multiples of the spread. A larger deviation is clamped
+/// to it (Huber's function), so that a plan that costs 25 times more moves the mean no more than one that
+/// costs a little more.
 const HUBER_LIMIT: f64 = 1.5;
-/// Smallest spread assumed, as a difference of logarithms: answers of one fingerprint vary by a tenth at least.
+/// Minimum spread, as a difference of logarithms: answers of one fingerprint vary by at least a tenth.
 const MIN_SPREAD: f64 = 0.1;
-/// Spread assumed at first, as a difference of logarithms: a factor of two either way.
+/// Initial spread, as a difference of logarithms: a factor of two up or down.
 const INITIAL_SPREAD: f64 = 0.7;
 /// Number of consecutive answers beyond the spread on one side after which the cost counts as changed. With one bad plan
 /// in twenty, six in a row happen once in 64 million.
 const SHIFT_RUN: u32 = 6;
-/// Time in which what was learned of a fingerprint loses half its weight, in seconds: tables grow by the day.
+/// Half-life of the weight of a learned mean, in seconds: tables grow from day to day.
 const HALF_LIFE_S: f64 = 12.0 * 3600.0;
-/// Largest factor between one answer and the estimate or mean that it is compared with; a larger one is a fault of the
-/// reporter.
+/// Maximum factor between an answer and the estimate or mean with which it is compared. A larger factor is an
+/// error of the reporter and is clamped.
 const MAX_FACTOR: f64 = 1e4;
-/// Largest absolute logarithm of an estimate.
+/// Maximum absolute value of the logarithm of an estimate.
 const MAX_LOG: f64 = 50.0;
-/// Smallest work in milliseconds and memory in MB that a logarithm is taken of.
+/// Minimum work in milliseconds and memory in MB; smaller values are raised to it before the logarithm is
+/// taken.
 const MIN_COST: f64 = 1e-3;
 /// Approximate size of one entry, in bytes.
 const ENTRY_BYTES: usize = 256;
@@ -35,29 +38,30 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RobustMean {
     mean: f64,
+    /// Running mean of the absolute deviations, each of which is clamped.
     spread: f64,
-    /// Number of answers, aged.
+    /// Number of answers, discounted by age.
     weight: f64,
-    /// Consecutive answers beyond the spread: above if positive, below if negative.
+    /// Number of consecutive answers beyond the limit of the deviation, negative if they are below the mean.
     run: i32,
-    /// When it last learned, in seconds.
-    at: f64,
+    /// Time of the last answer, in seconds.
+    updated_at: f64,
 }
 
 impl RobustMean {
     fn new(prior: f64, now: f64) -> RobustMean {
-        RobustMean { mean: prior, spread: INITIAL_SPREAD, weight: 0.0, run: 0, at: now }
+        RobustMean { mean: prior, spread: INITIAL_SPREAD, weight: 0.0, run: 0, updated_at: now }
     }
 
-    /// Its weight by now.
+    /// The weight at `now`, discounted by the time since the last answer.
     fn aged_weight(&self, now: f64) -> f64 {
-        // A clock that was set back ages nothing.
-        self.weight * 0.5_f64.powf((now - self.at).max(0.0) / HALF_LIFE_S)
+        // If the clock was set back, the weight stays as it is.
+        self.weight * 0.5_f64.powf((now - self.updated_at).max(0.0) / HALF_LIFE_S)
     }
 
     fn learn(&mut self, answer: f64, now: f64) {
         self.weight = self.aged_weight(now);
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
         let deviation = answer - self.mean;
         self.run = self.next_run(deviation);
         if self.run.unsigned_abs() >= SHIFT_RUN {
@@ -81,41 +85,42 @@
         }
     }
 
-    /// The cost has changed: starts from the latest answer, with half the weight of the run.
+    /// Starts again from the latest answer, with half the weight of the run, because the cost has changed.
     fn restart_from(&mut self, answer: f64) {
         let weight = f64::from(SHIFT_RUN) / 2.0;
-        *self = RobustMean { mean: answer, spread: INITIAL_SPREAD, weight, run: 0, at: self.at };
+        *self =
+            RobustMean { mean: answer, spread: INITIAL_SPREAD, weight, run: 0, updated_at: self.updated_at };
     }
 
     /// The mean, shrunk to a prior while there are few answers.
-    fn shrunk(&self, prior: f64, now: f64) -> f64 {
+    fn shrunk_mean(&self, prior: f64, now: f64) -> f64 {
         let weight = self.aged_weight(now);
         (weight * self.mean + PRIOR_WEIGHT * prior) / (weight + PRIOR_WEIGHT)
     }
 }
 
-/// What costs are learned by: a fingerprint, its class, and whether its data set was expected to be warm.
+/// Key of a learned cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     /// The fingerprint of the statement.
     pub fingerprint: Fingerprint,
-    /// The class.
+    /// Class of the request.
     pub class: u16,
-    /// The engine was expected to have the data set warm.
+    /// Whether the data set was expected to be warm on the engine.
     pub warm: bool,
 }
 
-/// Work in milliseconds on one core, and memory in MB.
+/// Cost of a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
-    /// Work.
+    /// Work in milliseconds on one core.
     pub work_ms: f64,
-    /// Memory.
+    /// Memory in MB.
     pub memory_mb: f64,
 }
 
 impl Cost {
-    /// Whether both are positive numbers.
+    /// Whether work and memory are finite and positive.
     fn is_valid(&self) -> bool {
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         is_positive(self.work_ms) && is_positive(self.memory_mb)
@@ -127,30 +132,32 @@
     }
 }
 
-/// An estimate, and the number of answers behind it.
+/// An expected cost, and the number of answers on which it is based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The estimated cost.
+    /// Expected cost.
     pub cost: Cost,
-    /// Number of answers that it is based on, aged; 0 if it is based on the class alone.
+    /// Number of answers for the fingerprint, discounted by age; 0 if the estimate is based on the class
+    /// alone.
     pub weight: f64,
 }
 
-/// What was learned of the cost of one key, or of one class. Work comes first, memory second.
+/// Learned cost of one key or one class. Arrays hold work first and memory second.
 #[derive(Clone, Copy, Debug)]
 struct CostModel {
     /// Logarithms of reported cost.
     absolute: [RobustMean; 2],
-    /// Logarithms of reported over estimated cost, from answers to requests with an estimate.
+    /// Logarithms of the ratio of reported to estimated cost, from answers to requests with a client's
+    /// estimate.
     ratio: [RobustMean; 2],
 }
 
-fn means(of: &[RobustMean; 2]) -> [f64; 2] {
-    of.map(|robust| robust.mean)
+fn means(estimators: &[RobustMean; 2]) -> [f64; 2] {
+    estimators.map(|estimator| estimator.mean)
 }
 
-fn shrunk(of: &[RobustMean; 2], priors: [f64; 2], now: f64) -> [f64; 2] {
-    [of[0].shrunk(priors[0], now), of[1].shrunk(priors[1], now)]
+fn shrunk_means(estimators: &[RobustMean; 2], priors: [f64; 2], now: f64) -> [f64; 2] {
+    [estimators[0].shrunk_mean(priors[0], now), estimators[1].shrunk_mean(priors[1], now)]
 }
 
 fn sum(left: [f64; 2], right: [f64; 2]) -> [f64; 2] {
@@ -169,7 +176,7 @@
         }
     }
 
-    /// Learns from the logarithms of a reported cost, and of the estimate where there was one.
+    /// Learns from the logarithms of a reported cost and of the client's estimate, if there was one.
     fn learn(&mut self, reported: [f64; 2], estimated: Option<[f64; 2]>, now: f64) {
         for resource in 0..2 {
             let prior = self.absolute[resource].mean;
@@ -189,15 +196,16 @@
 }
 
 impl Costs {
-    /// Starts with an initial cost for each class; the costs of at most `entries` keys are retained.
+    /// Starts with the initial costs of the classes, in their order. At most `entries` keys are retained.
     pub fn new(classes: &[Cost], entries: usize) -> Costs {
-        let class = |cost: &Cost| CostModel::new(0.0, cost.logs(), [0.0, 0.0]);
+        let new_model = |cost: &Cost| CostModel::new(0.0, cost.logs(), [0.0, 0.0]);
         let bounds = Bounds { entries, bytes: entries.saturating_mul(ENTRY_BYTES) };
-        Costs { classes: classes.iter().map(class).collect(), fingerprints: Cache::new(bounds) }
+        Costs { classes: classes.iter().map(new_model).collect(), fingerprints: Cache::new(bounds) }
     }
 
-    /// The expected cost of a request at `now`, in seconds: the client's own estimate, corrected by the ratio learned for
-    /// such estimates, or the learned cost where the client gives none. `None` for an unknown class.
+    /// The expected cost of a request at the time `now`, in seconds: the client's estimate `given`, corrected
+    /// by the learned ratio, or the learned cost if the client gives no estimate. `None` for an unknown
+    /// class.
     pub fn estimate(&mut self, key: Key, given: Option<Cost>, now: f64) -> Option<Estimate> {
         let class = self.classes.get(usize::from(key.class))?;
         let class_absolute = means(&class.absolute);
@@ -205,21 +213,22 @@
         let known = self.fingerprints.get(key);
         let (logs, weight) = match (given, known) {
             (Some(given), Some(known)) => {
-                let ratio = shrunk(&known.ratio, class_ratio, now);
+                let ratio = shrunk_means(&known.ratio, class_ratio, now);
                 (sum(given.logs(), ratio), known.ratio[0].aged_weight(now))
             }
             (Some(given), None) => (sum(given.logs(), class_ratio), 0.0),
             (None, Some(known)) => {
-                (shrunk(&known.absolute, class_absolute, now), known.absolute[0].aged_weight(now))
+                (shrunk_means(&known.absolute, class_absolute, now), known.absolute[0].aged_weight(now))
             }
             (None, None) => (class_absolute, 0.0),
         };
-        // A client's estimate may be any number: the result stays finite.
+        // A client's estimate may be any number; the clamp keeps the result finite.
         let [work_ms, memory_mb] = logs.map(|log| log.clamp(-MAX_LOG, MAX_LOG).exp());
         Some(Estimate { cost: Cost { work_ms, memory_mb }, weight })
     }
 
-    /// Learns from the cost that an answer reported. An invalid one is ignored.
+    /// Learns from the cost that an answer reported at the time `now`, in seconds. Costs that are not finite
+    /// and positive are ignored.
     pub fn learn(&mut self, key: Key, given: Option<Cost>, reported: Cost, now: f64) {
         if !reported.is_valid() {
             return;
@@ -237,7 +246,7 @@
         self.fingerprints.put(key, model, ENTRY_BYTES);
     }
 
-    /// Counters of the cache of fingerprints.
+    /// Counters of the cache that holds the costs by key.
     pub fn counters(&self) -> Counters {
         self.fingerprints.counters()
     }
--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -1,26 +1,30 @@
-//! Facts of a statement: its kind, the tables and data sets that it reads and writes, and what it may do. The parser
-//! of `sqlparser` reads it, within bounds. A statement that it cannot read completely is of unknown kind, with the
-//! facts that the lexer finds, and is assumed to write and to load in bulk.
+//! Facts of a statement: its kind, the tables and data sets that it reads and writes, and the effects that it
+//! may have. They come from the parser of `sqlparser`, within bounds. A statement that it cannot parse
+//! completely is of unknown kind, has the facts that the lexer finds, and is assumed to write and to load in
+//! bulk.
 
 mod function_names;
 mod lexed;
 mod parsed;
 
-pub use lexed::{named, QualifiedTable};
+pub use lexed::{qualified_tables, QualifiedTable};
 
 use crate::lex::{tokens, Token, TokenKind};
-use lexed::certain;
-use parsed::parse;
+use lexed::lexed_facts;
+use parsed::parsed_facts;
 use serde::Serialize;
 
-/// Maximum length of a text that is parsed, in bytes. Longer texts are mostly long lists of values.
+/// Maximum length of a statement that is parsed, in bytes. Longer statements consist mostly of long lists of
+/// values.
 pub const MAX_PARSED_BYTES: usize = 16 * 1024;
-/// Maximum number of tokens of a text that is parsed. A chain such as `1+1+1` gives a tree half as deep as it has tokens,
-/// and the tree is visited recursively.
+/// Maximum number of tokens of a statement that is parsed. The depth of the syntax tree of a chain such as
+/// `1+1+1` is half its number of tokens, and the tree is visited recursively.
 pub const MAX_PARSED_TOKENS: usize = 2_000;
-/// Maximum nesting of brackets and CASE in a text that is parsed; clients commonly nest up to a dozen deep.
+/// Maximum nesting depth of brackets and CASE in a statement that is parsed; clients commonly use up to a
+/// dozen levels.
 const MAX_DEPTH: usize = 48;
-/// Maximum number of data sets and relations reported for one statement; a statement with more is unknown.
+/// Maximum number of data sets and relations reported for one statement; the kind of a statement with more is
+/// unknown.
 const MAX_NAMES: usize = 64;
 
 /// The kind of a statement.
@@ -35,15 +39,15 @@
     Update,
     /// Deletes rows.
     Delete,
-    /// Inserts, updates or deletes, row by row.
+    /// Inserts, updates or deletes each row by a condition.
     Merge,
-    /// Moves rows in bulk.
+    /// Transfers rows in bulk.
     Copy,
-    /// Changes tables.
+    /// Creates, changes or drops tables, views or indexes, or truncates tables.
     Ddl,
-    /// Sets, shows, explains: touches no rows.
+    /// Neither reads nor writes rows: SET, SHOW, EXPLAIN.
     Utility,
-    /// The parser could not read it completely.
+    /// The parser could not parse the statement completely.
     #[default]
     Unknown,
 }
@@ -51,36 +55,39 @@
 /// The facts of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StatementFacts {
-    /// Its kind.
+    /// Kind of the statement.
     pub kind: StatementKind,
-    /// The parser read it completely; otherwise the other fields hold only what the lexer found.
+    /// Whether the parser parsed the statement completely; otherwise the other fields hold only what the
+    /// lexer found.
     #[serde(rename = "whole")]
     pub is_complete: bool,
-    /// Tables that it reads, `schema.table`, sorted.
+    /// Names of the tables that the statement only reads, such as `schema.table`, sorted.
     pub reads: Vec<String>,
-    /// Tables that it writes.
+    /// Names of the tables that the statement writes, sorted.
     pub writes: Vec<String>,
-    /// Data sets that it names: numbers of schemas such as `rates_17`, sorted.
+    /// Data sets of the tables, by the numbers in schema names such as `rates_17`, sorted ([`data_set`]).
     pub data_sets: Vec<u64>,
-    /// It changes rows or tables, or may.
+    /// Whether the statement changes rows or tables, or may change them.
     pub may_write: bool,
-    /// It takes locks on rows or tables.
+    /// Whether the statement locks rows or tables.
     pub locks: bool,
-    /// It writes in bulk, or may: INSERT ... SELECT, many rows, COPY, MERGE, CREATE TABLE AS, TRUNCATE.
+    /// Whether the statement writes in bulk, or may: INSERT ... SELECT, many rows, COPY, MERGE, CREATE TABLE
+    /// AS, TRUNCATE.
     pub load: bool,
-    /// Functions that it calls which are not known to write nothing.
+    /// Names of the functions in the statement that are not known to be read-only, sorted.
     pub calls: Vec<String>,
-    /// Joins, also by commas.
+    /// Number of joins, including those by commas.
     pub joins: u32,
-    /// It groups or aggregates.
+    /// Whether the statement groups or aggregates rows.
     pub aggregates: bool,
-    /// It sorts.
+    /// Whether the statement sorts rows.
     pub sorts: bool,
-    /// It has a LIMIT or FETCH clause.
+    /// Whether the statement has a LIMIT or FETCH clause.
     pub limit: bool,
 }
 
-/// The data set of a schema: the number behind its last underscore; none of `staging`.
+/// The data set of a schema: the number after the last underscore of its name. `None` if there is no such
+/// number, or if the name without the number is `staging`.
 pub fn data_set(schema: &str) -> Option<u64> {
     let (name, digits) = schema.rsplit_once('_')?;
     let is_number = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
@@ -90,38 +97,39 @@
     digits.parse().ok()
 }
 
-/// Reads a statement: by the parser if possible, otherwise by the lexer alone.
-pub fn read(statement: &str) -> StatementFacts {
+/// Determines the facts of a statement, by the parser if possible and otherwise by the lexer alone.
+pub fn read_statement(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
     let is_short = statement.len() <= MAX_PARSED_BYTES && tokens(statement, MAX_PARSED_TOKENS, &mut lexed);
-    if is_short && nesting(statement, &lexed) <= MAX_DEPTH {
-        if let Some(facts) = parse(&normalise_spaces(statement, &lexed)) {
+    if is_short && nesting_depth(statement, &lexed) <= MAX_DEPTH {
+        if let Some(facts) = parsed_facts(&normalise_spaces(statement, &lexed)) {
             return facts;
         }
     }
-    certain(statement)
+    lexed_facts(statement)
 }
 
-/// The statement without comments, and with one plain space for any white space: the parser knows fewer kinds of it.
+/// The statement without comments and with a single ASCII space for any white space, since the parser accepts
+/// fewer kinds of white space than PostgreSQL.
 fn normalise_spaces(statement: &str, lexed: &[Token]) -> String {
     let mut normalised = String::with_capacity(statement.len());
     let mut previous_end = 0;
     for token in lexed {
-        if token.at > previous_end && !normalised.is_empty() {
+        if token.start > previous_end && !normalised.is_empty() {
             normalised.push(' ');
         }
-        normalised.push_str(&statement[token.at..token.end]);
+        normalised.push_str(&statement[token.start..token.end]);
         previous_end = token.end;
     }
     normalised
 }
 
-/// How deep brackets and CASE nest, counted without recursion.
-fn nesting(statement: &str, lexed: &[Token]) -> usize {
+/// Maximum nesting depth of brackets and CASE, counted without recursion.
+fn nesting_depth(statement: &str, lexed: &[Token]) -> usize {
     let mut depth = 0_usize;
     let mut deepest = 0;
     for token in lexed {
-        let text = &statement[token.at..token.end];
+        let text = &statement[token.start..token.end];
         match token.kind {
             TokenKind::Punctuation if matches!(text, "(" | "[") => depth += 1,
             TokenKind::Punctuation if matches!(text, ")" | "]") => depth = depth.saturating_sub(1),
--- a/crates/query-fingerprint/src/facts/function_names.rs
+++ b/crates/query-fingerprint/src/facts/function_names.rs
@@ -1,6 +1,6 @@
-//! Names of PostgreSQL functions, sorted by what they do.
+//! Names of PostgreSQL functions by their effect.
 
-/// Functions of PostgreSQL that write nothing.
+/// PostgreSQL functions that do not write.
 pub(super) const READ_ONLY_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
@@ -109,7 +109,7 @@
     "version",
     "width_bucket",
 ];
-/// Aggregate functions of PostgreSQL.
+/// PostgreSQL functions that aggregate rows.
 pub(super) const AGGREGATE_FUNCTIONS: &[&str] = &[
     "array_agg",
     "avg",
--- a/crates/query-fingerprint/src/facts/parsed.rs
+++ b/crates/query-fingerprint/src/facts/parsed.rs
@@ -1,4 +1,4 @@
-//! Facts of a statement from its syntax tree, as `sqlparser` parses it.
+//! Facts of a statement from its syntax tree, which `sqlparser` builds.
 
 use super::function_names::{AGGREGATE_FUNCTIONS, READ_ONLY_FUNCTIONS};
 use super::{data_set, StatementFacts, StatementKind, MAX_DEPTH, MAX_NAMES};
@@ -11,30 +11,30 @@
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
 
-/// Number of rows of VALUES from which an INSERT counts as a bulk load.
+/// Minimum number of rows in VALUES for which an INSERT counts as a bulk load.
 const MIN_LOAD_ROWS: usize = 100;
 
-/// The facts of a statement; `None` where the parser rejects it, where there is more than one statement, or where
-/// it names more than [`MAX_NAMES`] relations.
-pub(super) fn parse(statement: &str) -> Option<StatementFacts> {
+/// The facts of a statement; `None` if the parser rejects it, if there is more than one statement, or if it
+/// names more than [`MAX_NAMES`] relations.
+pub(super) fn parsed_facts(statement: &str) -> Option<StatementFacts> {
     let parser = Parser::new(&PostgreSqlDialect {}).with_recursion_limit(2 * MAX_DEPTH);
     let statements = parser.try_with_sql(statement).ok()?.parse_statements().ok()?;
     let [statement] = &statements[..] else { return None };
     let mut visitor = FactsVisitor::default();
     visitor.facts.is_complete = true;
-    visitor.facts.kind = kind(statement);
-    // This visitor never breaks off, so there is no result.
+    visitor.facts.kind = statement_kind(statement);
+    // The visitor always visits the whole tree, so the result is of no use.
     let _ = statement.visit(&mut visitor);
     visitor.finish()
 }
 
-fn kind(statement: &Statement) -> StatementKind {
+fn statement_kind(statement: &Statement) -> StatementKind {
     match statement {
         Statement::Query(query) => match &*query.body {
             SetExpr::Insert(inner)
             | SetExpr::Update(inner)
             | SetExpr::Delete(inner)
-            | SetExpr::Merge(inner) => kind(inner),
+            | SetExpr::Merge(inner) => statement_kind(inner),
             _ => StatementKind::Select,
         },
         Statement::Insert(_) => StatementKind::Insert,
@@ -52,25 +52,27 @@
             StatementKind::Utility
         }
         Statement::Explain { analyze: false, .. } => StatementKind::Utility,
-        Statement::Explain { statement, .. } => kind(statement),
+        Statement::Explain { statement, .. } => statement_kind(statement),
         _ => StatementKind::Unknown,
     }
 }
 
-/// Collects facts from a statement's tree.
+/// Collects facts from the syntax tree of a statement.
 #[derive(Default)]
 struct FactsVisitor {
     facts: StatementFacts,
-    /// All relations that are named.
+    /// Names of all relations in the statement.
     relations: BTreeSet<String>,
+    /// Names of the relations that the statement writes.
     written: BTreeSet<String>,
-    /// Names that are no tables: common table expressions and functions in FROM lists.
+    /// Names in FROM lists that do not belong to tables: common table expressions and functions.
     not_tables: BTreeSet<String>,
+    /// Names of the functions that are not known to be read-only.
     calls: BTreeSet<String>,
 }
 
-/// An identifier as PostgreSQL resolves it.
-fn resolved(identifier: &Ident) -> String {
+/// An identifier as PostgreSQL resolves it: in lower case unless it is quoted.
+fn resolved_identifier(identifier: &Ident) -> String {
     if identifier.quote_style.is_some() {
         identifier.value.clone()
     } else {
@@ -78,13 +80,14 @@
     }
 }
 
-/// A name with its qualifiers, separated by dots.
+/// A name with its qualifiers, joined by dots.
 fn full_name(name: &ObjectName) -> String {
-    let part_text = |part: &ObjectNamePart| part.as_ident().map_or_else(|| part.to_string(), resolved);
+    let part_text =
+        |part: &ObjectNamePart| part.as_ident().map_or_else(|| part.to_string(), resolved_identifier);
     name.0.iter().map(part_text).collect::<Vec<_>>().join(".")
 }
 
-/// The data set of a table, by its schema.
+/// The data set of a table, from the name of its schema.
 fn data_set_of(table: &str) -> Option<u64> {
     let (schema_path, _) = table.rsplit_once('.')?;
     schema_path.rsplit('.').next().and_then(data_set)
@@ -141,7 +144,7 @@
         }
     }
 
-    /// COPY from a table only reads it, COPY to a table writes it in bulk.
+    /// Adds a COPY: COPY ... TO only reads the table, COPY ... FROM writes it in bulk.
     fn add_copy(&mut self, source: &CopySource, reads_table: bool) {
         if let CopySource::Table { table_name, .. } = source {
             self.relations.insert(full_name(table_name));
@@ -153,7 +156,7 @@
         self.facts.load |= !reads_table;
     }
 
-    /// A change of a table or of what depends on it: every relation that was named so far counts as written.
+    /// Adds a change of a table, view or index. Every relation that was visited so far counts as written.
     fn add_schema_change(&mut self) {
         self.facts.may_write = true;
         self.facts.locks = true;
@@ -161,7 +164,7 @@
         self.written.extend(self.relations.iter().cloned());
     }
 
-    /// The facts; `None` where more than [`MAX_NAMES`] relations are named.
+    /// The collected facts; `None` if there are more than [`MAX_NAMES`] relations.
     fn finish(mut self) -> Option<StatementFacts> {
         let is_table = |name: &&String| !self.not_tables.contains(*name);
         let writes: Vec<String> = self.written.iter().filter(is_table).cloned().collect();
@@ -241,7 +244,7 @@
         facts.sorts |= query.order_by.is_some();
         facts.limit |= query.limit_clause.is_some() || query.fetch.is_some();
         for cte in query.with.iter().flat_map(|with| &with.cte_tables) {
-            self.not_tables.insert(resolved(&cte.alias.name));
+            self.not_tables.insert(resolved_identifier(&cte.alias.name));
         }
         ControlFlow::Continue(())
     }
@@ -256,7 +259,7 @@
         };
         self.facts.aggregates |= is_grouped || select.distinct.is_some();
         if let Some(into) = &select.into {
-            // The parser gives targets as expressions: a name, or a qualified one.
+            // The parser represents the target tables as expressions: names, with or without qualifiers.
             let target_name = |target: &Expr| target.to_string().to_lowercase();
             self.written.extend(into.targets.iter().map(target_name));
             self.facts.may_write = true;
--- a/crates/query-fingerprint/src/lex.rs
+++ b/crates/query-fingerprint/src/lex.rs
@@ -1,18 +1,18 @@
-//! A bounded lexer of PostgreSQL's SQL: every byte of a text belongs to one token, whatever the bytes; only comments nest,
-//! and those are counted without recursion.
+//! A lexer of PostgreSQL's SQL that accepts any text: each byte belongs to exactly one token. Only comments
+//! nest, and their depth is counted without recursion.
 
 /// The kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenKind {
-    /// A keyword or a name without quotes.
+    /// A keyword or an identifier without quotes.
     Word,
     /// An identifier in double quotes, with the quotes.
     QuotedIdentifier,
     /// A string literal of any form, with its quotes and prefix.
     StringLiteral,
-    /// A number, without sign.
+    /// A number without its sign.
     Number,
-    /// `$1` and the like.
+    /// A parameter such as `$1`.
     Parameter,
     /// One of `( ) [ ] , ; .`, or a single character that begins no other token.
     Punctuation,
@@ -22,88 +22,88 @@
     Trivia,
 }
 
-/// A token, by its position in the text.
+/// A token by its byte offsets in the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Its kind.
+    /// Kind of the token.
     pub kind: TokenKind,
-    /// Position of its first byte.
-    pub at: usize,
-    /// Position behind its last byte.
+    /// Offset of the first byte in the text.
+    pub start: usize,
+    /// Offset after the last byte in the text.
     pub end: usize,
 }
 
-/// Characters of operators. A `-` before a digit is an operator, too: the normaliser recognises signs.
+/// Characters of operators. The sign of a number is an operator, too; [`crate::normal`] recognises signs.
 const OPERATORS: &[u8] = b"+-*/<>=~!@#%^&|`?:";
 
-/// Whether a character is white space, within ASCII or beyond it: no-break and ideographic spaces, line and paragraph
-/// separators, the byte order mark.
+/// Whether a character is white space, in ASCII or Unicode: also no-break, ideographic and zero-width spaces,
+/// line and paragraph separators, and the byte order mark.
 pub fn is_space(c: char) -> bool {
     c.is_whitespace() || matches!(c, '\u{feff}' | '\u{200b}' | '\u{2060}' | '\u{180e}')
 }
 
-/// Whether a name may begin with this byte.
+/// Whether an identifier may begin with this byte.
 fn begins_name(byte: u8) -> bool {
     byte.is_ascii_alphabetic() || byte == b'_' || byte >= 0x80
 }
 
-/// Whether a name may contain this byte behind its first.
+/// Whether an identifier may contain this byte after its first byte.
 fn continues_name(byte: u8) -> bool {
     begins_name(byte) || byte.is_ascii_digit() || byte == b'$'
 }
 
-/// The token that begins at `at`; `None` at the end of the text. A comment or quoted text that is not closed extends to
-/// the end.
-pub fn token(text: &str, at: usize) -> Option<Token> {
+/// The token that begins at the byte offset `start`; `None` at the end of the text. A comment or quoted text
+/// that is not closed extends to the end of the text.
+pub fn token(text: &str, start: usize) -> Option<Token> {
     let bytes = text.as_bytes();
-    let first = *bytes.get(at)?;
-    let second = bytes.get(at + 1).copied();
-    let third = bytes.get(at + 2).copied();
+    let first = *bytes.get(start)?;
+    let second = bytes.get(start + 1).copied();
+    let third = bytes.get(start + 2).copied();
     let (kind, end) = match (first, second) {
-        (byte, _) if byte.is_ascii_whitespace() => (TokenKind::Trivia, ascii_space_end(bytes, at)),
-        (b'-', Some(b'-')) => (TokenKind::Trivia, line_comment_end(bytes, at)),
-        (b'/', Some(b'*')) => (TokenKind::Trivia, block_comment_end(bytes, at)),
-        (b'\'', _) => (TokenKind::StringLiteral, quoted_end(bytes, at, Escapes::None)),
-        (b'"', _) => (TokenKind::QuotedIdentifier, quoted_end(bytes, at, Escapes::None)),
+        (byte, _) if byte.is_ascii_whitespace() => (TokenKind::Trivia, ascii_space_end(bytes, start)),
+        (b'-', Some(b'-')) => (TokenKind::Trivia, line_comment_end(bytes, start)),
+        (b'/', Some(b'*')) => (TokenKind::Trivia, block_comment_end(bytes, start)),
+        (b'\'', _) => (TokenKind::StringLiteral, quoted_end(bytes, start, Escapes::None)),
+        (b'"', _) => (TokenKind::QuotedIdentifier, quoted_end(bytes, start, Escapes::None)),
         (b'e' | b'E', Some(b'\'')) => {
-            (TokenKind::StringLiteral, quoted_end(bytes, at + 1, Escapes::Backslash))
+            (TokenKind::StringLiteral, quoted_end(bytes, start + 1, Escapes::Backslash))
         }
         (b'b' | b'B' | b'x' | b'X' | b'n' | b'N', Some(b'\'')) => {
-            (TokenKind::StringLiteral, quoted_end(bytes, at + 1, Escapes::None))
+            (TokenKind::StringLiteral, quoted_end(bytes, start + 1, Escapes::None))
         }
         (b'u' | b'U', Some(b'&')) if third == Some(b'\'') => {
-            (TokenKind::StringLiteral, quoted_end(bytes, at + 2, Escapes::None))
+            (TokenKind::StringLiteral, quoted_end(bytes, start + 2, Escapes::None))
         }
         (b'u' | b'U', Some(b'&')) if third == Some(b'"') => {
-            (TokenKind::QuotedIdentifier, quoted_end(bytes, at + 2, Escapes::None))
+            (TokenKind::QuotedIdentifier, quoted_end(bytes, start + 2, Escapes::None))
         }
-        (b'$', _) => dollar(bytes, at),
-        (byte, _) if byte.is_ascii_digit() => (TokenKind::Number, number_end(bytes, at)),
-        (b'.', Some(digit)) if digit.is_ascii_digit() && !is_after_name(bytes, at) => {
-            (TokenKind::Number, number_end(bytes, at))
+        (b'$', _) => dollar_token(bytes, start),
+        (byte, _) if byte.is_ascii_digit() => (TokenKind::Number, number_end(bytes, start)),
+        (b'.', Some(digit)) if digit.is_ascii_digit() && !is_after_name(bytes, start) => {
+            (TokenKind::Number, number_end(bytes, start))
         }
-        (byte, _) if begins_name(byte) => name_or_space(text.get(at..)?, at),
-        (byte, _) if OPERATORS.contains(&byte) => (TokenKind::Operator, operator_end(bytes, at)),
-        _ => (TokenKind::Punctuation, at + 1),
+        (byte, _) if begins_name(byte) => name_or_space(text.get(start..)?, start),
+        (byte, _) if OPERATORS.contains(&byte) => (TokenKind::Operator, operator_end(bytes, start)),
+        _ => (TokenKind::Punctuation, start + 1),
     };
-    Some(Token { kind, at, end: end.min(bytes.len()) })
+    Some(Token { kind, start, end: end.min(bytes.len()) })
 }
 
-/// The position behind a run of ASCII white space.
-fn ascii_space_end(bytes: &[u8], at: usize) -> usize {
-    at + bytes[at..].iter().take_while(|byte| byte.is_ascii_whitespace()).count()
+/// Offset after a sequence of ASCII white space.
+fn ascii_space_end(bytes: &[u8], start: usize) -> usize {
+    start + bytes[start..].iter().take_while(|byte| byte.is_ascii_whitespace()).count()
 }
 
-/// The position behind a comment that ends with its line.
-fn line_comment_end(bytes: &[u8], at: usize) -> usize {
-    let line_end = bytes[at..].iter().position(|byte| matches!(byte, b'\n' | b'\r'));
-    line_end.map_or(bytes.len(), |length| at + length + 1)
+/// Offset after a comment that ends with its line.
+fn line_comment_end(bytes: &[u8], start: usize) -> usize {
+    let line_end = bytes[start..].iter().position(|byte| matches!(byte, b'\n' | b'\r'));
+    line_end.map_or(bytes.len(), |length| start + length + 1)
 }
 
-/// The position behind a comment in `/*` and `*/`, which may contain others.
-fn block_comment_end(bytes: &[u8], at: usize) -> usize {
+/// Offset after a comment in `/*` and `*/`, which may contain other such comments.
+fn block_comment_end(bytes: &[u8], start: usize) -> usize {
     let mut depth = 0_usize;
-    let mut position = at;
+    let mut position = start;
     while position < bytes.len() {
         match bytes.get(position..position + 2) {
             Some(b"/*") => {
@@ -123,18 +123,18 @@
     bytes.len()
 }
 
-/// Whether a quoted text has escapes.
+/// Escape sequences in a quoted text.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Escapes {
     None,
     Backslash,
 }
 
-/// The position behind a quoted text whose opening quote is at `at`. A doubled quote does not close it, nor does an
-/// escaped one.
-fn quoted_end(bytes: &[u8], at: usize, escapes: Escapes) -> usize {
-    let quote = bytes[at];
-    let mut position = at + 1;
+/// Offset after a quoted text whose opening quote is at `start`. Neither a doubled nor an escaped quote
+/// closes it.
+fn quoted_end(bytes: &[u8], start: usize, escapes: Escapes) -> usize {
+    let quote = bytes[start];
+    let mut position = start + 1;
     while position < bytes.len() {
         let is_escape = escapes == Escapes::Backslash && bytes[position] == b'\\';
         let is_quote = bytes[position] == quote;
@@ -150,38 +150,41 @@
     bytes.len()
 }
 
-/// A parameter such as `$1`, a text in dollar quotes, or a single `$`: its kind and the position behind it.
-fn dollar(bytes: &[u8], at: usize) -> (TokenKind, usize) {
-    let digits = bytes[at + 1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
+/// Kind of the token that begins with `$` (a parameter, a text in dollar quotes, or a single `$`), and the
+/// offset after it.
+fn dollar_token(bytes: &[u8], start: usize) -> (TokenKind, usize) {
+    let digits = bytes[start + 1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
     if digits > 0 {
-        return (TokenKind::Parameter, at + 1 + digits);
+        return (TokenKind::Parameter, start + 1 + digits);
     }
     let is_tag_byte = |byte: &&u8| begins_name(**byte) || byte.is_ascii_digit();
-    let tag_length = bytes[at + 1..].iter().take_while(is_tag_byte).count();
-    if bytes.get(at + 1 + tag_length) != Some(&b'$') {
-        return (TokenKind::Punctuation, at + 1);
+    let tag_length = bytes[start + 1..].iter().take_while(is_tag_byte).count();
+    if bytes.get(start + 1 + tag_length) != Some(&b'$') {
+        return (TokenKind::Punctuation, start + 1);
     }
-    let delimiter = &bytes[at..at + tag_length + 2];
-    let body = at + delimiter.len();
+    let delimiter = &bytes[start..start + tag_length + 2];
+    let body = start + delimiter.len();
     let close = bytes[body..].windows(delimiter.len()).position(|window| window == delimiter);
     (TokenKind::StringLiteral, close.map_or(bytes.len(), |offset| body + offset + delimiter.len()))
 }
 
-/// A keyword or name, or white space beyond ASCII, whose bytes look like those of a name: its kind and the position behind it.
-fn name_or_space(rest: &str, at: usize) -> (TokenKind, usize) {
+/// Kind of a token that begins with a byte of an identifier, and the offset after it. The token may also be
+/// white space beyond ASCII, whose bytes are in the same range.
+fn name_or_space(rest: &str, start: usize) -> (TokenKind, usize) {
     let is_name_character =
         |c: &char| !is_space(*c) && (!c.is_ascii() || u8::try_from(*c).is_ok_and(continues_name));
-    let name: usize = rest.chars().take_while(is_name_character).map(char::len_utf8).sum();
-    if name > 0 {
-        return (TokenKind::Word, at + name);
+    let name_length: usize = rest.chars().take_while(is_name_character).map(char::len_utf8).sum();
+    if name_length > 0 {
+        return (TokenKind::Word, start + name_length);
     }
-    let space: usize = rest.chars().take_while(|c| is_space(*c)).map(char::len_utf8).sum();
-    (TokenKind::Trivia, at + space.max(1))
+    let space_length: usize = rest.chars().take_while(|c| is_space(*c)).map(char::len_utf8).sum();
+    (TokenKind::Trivia, start + space_length.max(1))
 }
 
-/// The position behind an operator. It ends before a comment, and before a sign that a number may have.
-fn operator_end(bytes: &[u8], at: usize) -> usize {
-    let mut end = at + 1;
+/// Offset after an operator. It ends before a comment, and before `-` or `+`, which may be the sign of a
+/// number.
+fn operator_end(bytes: &[u8], start: usize) -> usize {
+    let mut end = start + 1;
     while bytes.get(end).is_some_and(|byte| OPERATORS.contains(byte) && !matches!(byte, b'-' | b'+')) {
         if bytes[end] == b'/' && bytes.get(end + 1) == Some(&b'*') {
             break;
@@ -191,21 +194,23 @@
     end
 }
 
-/// Whether a dot at `at` follows a name or a closing bracket, so that what is behind it is no fraction.
-fn is_after_name(bytes: &[u8], at: usize) -> bool {
-    at > 0 && (continues_name(bytes[at - 1]) || matches!(bytes[at - 1], b'"' | b')' | b']'))
+/// Whether the dot at `start` follows an identifier or a closing bracket, so that the digits after it are not
+/// a fraction.
+fn is_after_name(bytes: &[u8], start: usize) -> bool {
+    start > 0 && (continues_name(bytes[start - 1]) || matches!(bytes[start - 1], b'"' | b')' | b']'))
 }
 
-/// The position behind a number: digits, a fraction, an exponent with its sign, hexadecimal and underscores.
-fn number_end(bytes: &[u8], at: usize) -> usize {
+/// Offset after a number: digits with underscores, a fraction, and an exponent with its sign; or a
+/// hexadecimal, octal or binary number.
+fn number_end(bytes: &[u8], start: usize) -> usize {
     let run_end = |from: usize, belongs: fn(&u8) -> bool| {
         from + bytes.get(from..).map_or(0, |rest| rest.iter().take_while(|byte| belongs(byte)).count())
     };
     let is_digit: fn(&u8) -> bool = |byte| byte.is_ascii_digit() || *byte == b'_';
-    if bytes[at] == b'0' && matches!(bytes.get(at + 1), Some(b'x' | b'X' | b'o' | b'O' | b'b' | b'B')) {
-        return run_end(at + 2, |byte| byte.is_ascii_alphanumeric() || *byte == b'_');
+    if bytes[start] == b'0' && matches!(bytes.get(start + 1), Some(b'x' | b'X' | b'o' | b'O' | b'b' | b'B')) {
+        return run_end(start + 2, |byte| byte.is_ascii_alphanumeric() || *byte == b'_');
     }
-    let mut end = run_end(at, is_digit);
+    let mut end = run_end(start, is_digit);
     if bytes.get(end) == Some(&b'.') && bytes.get(end + 1) != Some(&b'.') {
         end = run_end(end + 1, is_digit);
     }
@@ -218,13 +223,13 @@
     end
 }
 
-/// Replaces the content of `out` by the tokens of a text without blanks; false where there are more than `max_tokens`, of
-/// which `out` then holds the first.
+/// Replaces the content of `out` by the tokens of a text, without [`TokenKind::Trivia`]. Returns `false` if
+/// there are more than `max_tokens`; `out` then holds the first `max_tokens`.
 pub fn tokens(text: &str, max_tokens: usize, out: &mut Vec<Token>) -> bool {
     out.clear();
-    let mut at = 0;
-    while let Some(next) = token(text, at) {
-        at = next.end;
+    let mut offset = 0;
+    while let Some(next) = token(text, offset) {
+        offset = next.end;
         if next.kind != TokenKind::Trivia {
             if out.len() >= max_tokens {
                 return false;
--- a/crates/query-fingerprint/src/normal.rs
+++ b/crates/query-fingerprint/src/normal.rs
@@ -1,5 +1,5 @@
-//! The normal form of a statement and its fingerprint: what differs only in comments, spacing, case, values, lengths
-//! of lists or chosen aliases has one form.
+//! The normal form of a statement and its fingerprint. Statements that differ only in comments, spacing,
+//! case, values, lengths of lists or names of aliases have the same normal form.
 
 mod aliases;
 
@@ -7,9 +7,11 @@
 use aliases::{find_aliases, Aliases};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Length of the longest text that is normalised, in bytes: the longest statement that clients may send is shorter.
+/// Maximum length of a text that is normalised, in bytes: the longest statement that clients may send is
+/// shorter.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
-/// Maximum number of its tokens; a longer text has the fingerprint of its head, and its facts are unknown.
+/// Maximum number of tokens that are normalised: a text with more has the fingerprint of its beginning, and
+/// its facts are unknown.
 pub const MAX_TOKENS: usize = 16 * 1024;
 
 /// The fingerprint of a statement: XXH3-64 of its normal form.
@@ -22,7 +24,7 @@
     }
 }
 
-/// Normalises statements; its buffers are reused from one to the next.
+/// Normalises statements. It reuses its buffers, and keeps the normal form of the last statement.
 #[derive(Debug, Default)]
 pub struct Normaliser {
     tokens: Vec<Token>,
@@ -30,26 +32,27 @@
     is_complete: bool,
 }
 
-/// Words after which a table is named.
-pub(crate) const BEFORE_TABLE: &[&str] = &["from", "join", "update", "into", "using", "only", "table"];
+/// Keywords that are followed by the name of a table.
+pub(crate) const TABLE_KEYWORDS: &[&str] = &["from", "join", "update", "into", "using", "only", "table"];
 
-/// A token and its text in the statement.
+/// A token of a statement with its text.
 struct SourceToken<'a> {
     kind: TokenKind,
+    /// Text of the token as in the statement.
     raw: &'a str,
 }
 
 impl SourceToken<'_> {
-    fn is(&self, word: &str) -> bool {
+    fn is_word(&self, word: &str) -> bool {
         self.kind == TokenKind::Word && self.raw.eq_ignore_ascii_case(word)
     }
 
-    fn is_mark(&self, mark: &str) -> bool {
-        matches!(self.kind, TokenKind::Punctuation | TokenKind::Operator) && self.raw == mark
+    fn is_symbol(&self, symbol: &str) -> bool {
+        matches!(self.kind, TokenKind::Punctuation | TokenKind::Operator) && self.raw == symbol
     }
 
     fn is_any_of(&self, words: &[&str]) -> bool {
-        words.iter().any(|word| self.is(word))
+        words.iter().any(|word| self.is_word(word))
     }
 
     fn is_name(&self) -> bool {
@@ -57,7 +60,7 @@
     }
 }
 
-/// A name as PostgreSQL resolves it: without its quotes, or in lower case where it has none.
+/// An identifier as PostgreSQL resolves it: without its quotes, or in lower case if it is not quoted.
 pub fn plain_name(raw: &str) -> String {
     match raw.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')) {
         Some(inner) => inner.replace("\"\"", "\""),
@@ -66,8 +69,9 @@
 }
 
 impl Normaliser {
-    /// The fingerprint of a statement. Of what is longer than [`MAX_TEXT_BYTES`] or [`MAX_TOKENS`] only the head
-    /// counts, and [`is_complete`](Normaliser::is_complete) is false.
+    /// Normalises a statement and returns its fingerprint. If the statement exceeds [`MAX_TEXT_BYTES`] or
+    /// [`MAX_TOKENS`], only its beginning is used, and [`is_complete`](Normaliser::is_complete) returns
+    /// `false`.
     pub fn fingerprint(&mut self, statement: &str) -> Fingerprint {
         let mut end = statement.len().min(MAX_TEXT_BYTES);
         while !statement.is_char_boundary(end) {
@@ -78,15 +82,15 @@
         let parts: Vec<SourceToken> = self
             .tokens
             .iter()
-            .map(|token| SourceToken { kind: token.kind, raw: &head[token.at..token.end] })
+            .map(|token| SourceToken { kind: token.kind, raw: &head[token.start..token.end] })
             .collect();
         let aliases = find_aliases(&parts);
         self.text.clear();
-        write(&parts, &aliases, &mut self.text);
+        write_normal_form(&parts, &aliases, &mut self.text);
         Fingerprint(xxh3_64(self.text.as_bytes()))
     }
 
-    /// The normal form of the last statement.
+    /// Normal form of the last statement.
     pub fn text(&self) -> &str {
         &self.text
     }
@@ -97,15 +101,15 @@
     }
 }
 
-/// The placeholder for a literal.
-const VALUE: &str = "?";
-/// Keywords that are literals.
+/// Placeholder for a literal.
+const PLACEHOLDER: &str = "?";
+/// Keywords that are literal values.
 const LITERAL_KEYWORDS: &[&str] = &["null", "true", "false"];
-/// Words after which NULL, TRUE or FALSE is part of a test such as IS NOT NULL, and no value.
+/// Keywords after which NULL, TRUE or FALSE is part of a test such as IS NOT NULL and not a value.
 const BEFORE_TEST: &[&str] = &["is", "not", "distinct", "from"];
-/// Words that begin the clauses in which aliases of columns may be used.
+/// Keywords that begin the clauses in which aliases of columns may be used.
 const ALIAS_CLAUSES: &[&str] = &["order", "group", "having"];
-/// Words after which `-` or `+` is the sign of a number.
+/// Keywords after which `-` or `+` is the sign of a number.
 const BEFORE_SIGN: &[&str] = &[
     "select",
     "where",
@@ -133,17 +137,17 @@
     "any",
 ];
 
-/// Writes the normal form.
-fn write(parts: &[SourceToken], aliases: &Aliases, out: &mut String) {
+/// Writes the normal form of a statement to `out`.
+fn write_normal_form(parts: &[SourceToken], aliases: &Aliases, out: &mut String) {
     let mut index = 0;
     let mut may_use_column_aliases = false;
     while index < parts.len() {
         let part = &parts[index];
-        if part.is_mark(";") && parts[index..].iter().all(|rest| rest.is_mark(";")) {
+        if part.is_symbol(";") && parts[index..].iter().all(|rest| rest.is_symbol(";")) {
             break;
         }
         if let Some(end) = folded_list_end(parts, index) {
-            push(out, if part.is_mark("[") { "[?]" } else { "(?)" });
+            push_token(out, if part.is_symbol("[") { "[?]" } else { "(?)" });
             index = end;
             continue;
         }
@@ -153,9 +157,11 @@
             may_use_column_aliases = false;
         }
         match part.kind {
-            TokenKind::StringLiteral | TokenKind::Number | TokenKind::Parameter => push(out, VALUE),
+            TokenKind::StringLiteral | TokenKind::Number | TokenKind::Parameter => {
+                push_token(out, PLACEHOLDER)
+            }
             TokenKind::Operator if is_sign(parts, index) => {}
-            TokenKind::Operator | TokenKind::Punctuation => push(out, part.raw),
+            TokenKind::Operator | TokenKind::Punctuation => push_token(out, part.raw),
             TokenKind::Word | TokenKind::QuotedIdentifier => {
                 write_name(parts, index, aliases, may_use_column_aliases, out);
             }
@@ -165,15 +171,16 @@
     }
 }
 
-/// Appends a token, separated by a space.
-fn push(out: &mut String, text: &str) {
+/// Appends a token, separated by a space from the previous one.
+fn push_token(out: &mut String, text: &str) {
     if !out.is_empty() {
         out.push(' ');
     }
     out.push_str(text);
 }
 
-/// Writes a word or a name: an alias as its number, a literal as the placeholder. AS before an alias is left out.
+/// Writes a keyword or an identifier: an alias as its number, a literal as the placeholder. AS before an
+/// alias is omitted.
 fn write_name(
     parts: &[SourceToken],
     index: usize,
@@ -182,51 +189,51 @@
     out: &mut String,
 ) {
     let part = &parts[index];
-    if part.is("as") && aliases.declared.contains_key(&(index + 1)) {
+    if part.is_word("as") && aliases.declared.contains_key(&(index + 1)) {
         return;
     }
     if let Some(number) = aliases.declared.get(&index) {
-        push(out, &alias_text(*number));
+        push_token(out, &alias_text(*number));
         return;
     }
-    let previous = index.checked_sub(1).map(|before| &parts[before]);
+    let previous = index.checked_sub(1).map(|previous_index| &parts[previous_index]);
     let is_test = previous.is_some_and(|previous| previous.is_any_of(BEFORE_TEST));
     if part.is_any_of(LITERAL_KEYWORDS) && !is_test {
-        push(out, VALUE);
+        push_token(out, PLACEHOLDER);
         return;
     }
     let name = plain_name(part.raw);
-    if let Some(number) = used_alias(parts, index, &name, aliases, may_use_column_aliases) {
-        push(out, &alias_text(number));
+    if let Some(number) = referenced_alias(parts, index, &name, aliases, may_use_column_aliases) {
+        push_token(out, &alias_text(number));
         return;
     }
     if part.kind == TokenKind::QuotedIdentifier && !is_plain_identifier(&name) {
-        push(out, &format!("\"{name}\""));
+        push_token(out, &format!("\"{name}\""));
     } else {
-        push(out, &name);
+        push_token(out, &name);
     }
 }
 
-/// An alias in the normal form.
+/// Text for an alias in the normal form.
 fn alias_text(number: usize) -> String {
     format!("a{number}")
 }
 
-/// The number of the alias that a name at `index` refers to, if it refers to one.
-fn used_alias(
+/// The number of the alias that the name at `index` refers to; `None` if it does not refer to an alias.
+fn referenced_alias(
     parts: &[SourceToken],
     index: usize,
     name: &str,
     aliases: &Aliases,
     may_use_column_aliases: bool,
 ) -> Option<usize> {
-    let previous = index.checked_sub(1).map(|before| &parts[before]);
+    let previous = index.checked_sub(1).map(|previous_index| &parts[previous_index]);
     let next = parts.get(index + 1);
-    let is_qualified = previous.is_some_and(|previous| previous.is_mark("."));
-    let is_qualifier = next.is_some_and(|next| next.is_mark("."));
-    let is_call = next.is_some_and(|next| next.is_mark("("));
+    let is_qualified = previous.is_some_and(|previous| previous.is_symbol("."));
+    let is_qualifier = next.is_some_and(|next| next.is_symbol("."));
+    let is_call = next.is_some_and(|next| next.is_symbol("("));
     let names_table = is_qualifier
-        || previous.is_some_and(|previous| previous.is_any_of(BEFORE_TABLE) || previous.is_mark(","));
+        || previous.is_some_and(|previous| previous.is_any_of(TABLE_KEYWORDS) || previous.is_symbol(","));
     if names_table && !is_qualified {
         if let Some(number) = aliases.tables.get(name) {
             return Some(*number);
@@ -241,7 +248,8 @@
     None
 }
 
-/// Whether a name is the same with and without quotes: they preserve neither case nor a special character.
+/// Whether a name means the same with and without quotes, since it has neither upper-case letters nor special
+/// characters.
 fn is_plain_identifier(name: &str) -> bool {
     let is_plain = |(position, c): (usize, char)| {
         c == '_' || c.is_alphabetic() && !c.is_uppercase() || position > 0 && c.is_ascii_digit()
@@ -249,7 +257,8 @@
     !name.is_empty() && name.chars().enumerate().all(is_plain)
 }
 
-/// Whether an operator at `index` is the sign of a number: there is nothing before it that it could join.
+/// Whether the operator at `index` is the sign of a number and not a binary operator: a number follows, and
+/// no operand precedes.
 fn is_sign(parts: &[SourceToken], index: usize) -> bool {
     if !matches!(parts[index].raw, "-" | "+") {
         return false;
@@ -262,7 +271,7 @@
     if !is_followed_by_number {
         return false;
     }
-    match index.checked_sub(1).map(|before| &parts[before]) {
+    match index.checked_sub(1).map(|previous_index| &parts[previous_index]) {
         None => true,
         Some(previous) if previous.kind == TokenKind::Operator => !previous.raw.ends_with("::"),
         Some(previous) if previous.kind == TokenKind::Punctuation => {
@@ -272,20 +281,20 @@
     }
 }
 
-/// The position behind a list of values that is folded into one: `(…)` behind IN and VALUES, with its further rows, and
-/// `[…]` behind ARRAY.
+/// Index after a list of values that the normal form folds into one value: `(…)` after IN, `(…)` after VALUES
+/// including further rows, and `[…]` after ARRAY. `None` if no such list begins at `index`.
 fn folded_list_end(parts: &[SourceToken], index: usize) -> Option<usize> {
     let previous = &parts[index.checked_sub(1)?];
-    let is_array = parts[index].is_mark("[") && previous.is("array");
-    let is_list = parts[index].is_mark("(") && previous.is_any_of(&["in", "values"]);
+    let is_array = parts[index].is_symbol("[") && previous.is_word("array");
+    let is_list = parts[index].is_symbol("(") && previous.is_any_of(&["in", "values"]);
     if !is_array && !is_list {
         return None;
     }
     let mut end = value_list_end(parts, index)?;
-    let has_rows = previous.is("values");
+    let has_rows = previous.is_word("values");
     while has_rows
-        && parts.get(end).is_some_and(|part| part.is_mark(","))
-        && parts.get(end + 1).is_some_and(|part| part.is_mark("("))
+        && parts.get(end).is_some_and(|part| part.is_symbol(","))
+        && parts.get(end + 1).is_some_and(|part| part.is_symbol("("))
     {
         match value_list_end(parts, end + 1) {
             Some(row_end) => end = row_end,
@@ -295,20 +304,21 @@
     Some(end)
 }
 
-/// The position behind a bracket that holds values only, and at least one.
+/// Index after the list in brackets that begins at `open`; `None` unless the list holds only values, and at
+/// least one.
 fn value_list_end(parts: &[SourceToken], open: usize) -> Option<usize> {
-    let close = if parts[open].is_mark("[") { "]" } else { ")" };
+    let close = if parts[open].is_symbol("[") { "]" } else { ")" };
     let mut has_value = false;
     for (index, part) in parts.iter().enumerate().skip(open + 1) {
-        if part.is_mark(close) {
+        if part.is_symbol(close) {
             return has_value.then_some(index + 1);
         }
         let is_value =
             matches!(part.kind, TokenKind::StringLiteral | TokenKind::Number | TokenKind::Parameter)
                 || part.is_any_of(LITERAL_KEYWORDS)
-                || part.is("default")
+                || part.is_word("default")
                 || part.kind == TokenKind::Operator && is_sign(parts, index);
-        if !is_value && !part.is_mark(",") {
+        if !is_value && !part.is_symbol(",") {
             return None;
         }
         has_value |= is_value;
--- a/crates/query-fingerprint/src/normal/aliases.rs
+++ b/crates/query-fingerprint/src/normal/aliases.rs
@@ -1,13 +1,13 @@
-//! Finds the aliases of a statement by their positions among its tokens.
+//! Finds the aliases of a statement by the positions of its tokens.
 
-use super::{plain_name, SourceToken, BEFORE_TABLE};
+use super::{plain_name, SourceToken, TABLE_KEYWORDS};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of aliases of one statement that are renamed; further ones keep their names.
+/// Maximum number of aliases of one statement that are replaced by numbers; further ones keep their names.
 const MAX_ALIASES: usize = 64;
 
-/// Words that may follow a table in a FROM list and are no alias.
-const NO_ALIAS: &[&str] = &[
+/// Keywords that may follow a table in a FROM list and are not an alias.
+const NOT_ALIASES: &[&str] = &[
     "as",
     "on",
     "using",
@@ -72,17 +72,17 @@
     "skip",
     "of",
 ];
-/// Words behind WITH that are not the name of a common table expression.
-const NO_CTE: &[&str] = &["time", "local", "cascaded", "check", "ordinality", "no", "ties"];
+/// Keywords after WITH that are not the name of a common table expression.
+const NOT_CTE_NAMES: &[&str] = &["time", "local", "cascaded", "check", "ordinality", "no", "ties"];
 
-/// Words behind AS that begin a sub-select or a hint, and are no alias.
-const AFTER_CTE_AS: &[&str] =
+/// Keywords after AS that begin a sub-select or a hint and are not an alias.
+const NOT_ALIASES_AFTER_AS: &[&str] =
     &["materialized", "not", "select", "with", "values", "insert", "update", "delete", "merge"];
-/// Functions in whose brackets AS is followed by a type.
-const CASTS: &[&str] = &["cast", "xmlserialize", "try_cast"];
-/// Words that begin a list of tables.
+/// Functions in whose arguments AS is followed by a type.
+const CAST_FUNCTIONS: &[&str] = &["cast", "xmlserialize", "try_cast"];
+/// Keywords that begin a list of tables.
 const BEGIN_TABLE_LIST: &[&str] = &["from", "join", "update", "using", "into"];
-/// Words that end a list of tables.
+/// Keywords that end a list of tables.
 const END_TABLE_LIST: &[&str] = &[
     "where",
     "group",
@@ -97,19 +97,22 @@
     "union",
     "window",
 ];
-/// Words between the keyword that begins a list of tables and the table's name.
+/// Keywords between the keyword that begins a list of tables and the name of a table.
 const TABLE_PREFIXES: &[&str] = &["only", "lateral", "into", "table"];
-/// Words in the position of a table's name that are none.
-const NO_TABLE: &[&str] = &["select", "values", "with", "set"];
+/// Keywords in the position of a table's name that are not a name.
+const NOT_TABLE_NAMES: &[&str] = &["select", "values", "with", "set"];
 
-/// Aliases of tables, common table expressions and columns, each with its number in order of first occurrence.
+/// Aliases of tables, common table expressions and columns. They are numbered in the order of their first
+/// occurrence.
 #[derive(Default)]
 pub(super) struct Aliases {
+    /// Numbers of the aliases of tables and common table expressions, by name.
     pub(super) tables: BTreeMap<String, usize>,
+    /// Numbers of the aliases of columns, by name.
     pub(super) columns: BTreeMap<String, usize>,
-    /// Those of the tables that name a sub-select: their columns may have aliases, too.
+    /// Names in `tables` that belong to a sub-select, whose columns may have aliases, too.
     pub(super) derived: BTreeSet<String>,
-    /// The numbers of aliases by the index of the token that declares them.
+    /// Numbers of aliases by the index of the token that declares them.
     pub(super) declared: BTreeMap<usize, usize>,
     next_number: usize,
 }
@@ -144,8 +147,8 @@
     }
 }
 
-/// Finds aliases by their positions: behind a table in a FROM list, behind a closing bracket there, behind AS (except in
-/// a cast), and common table expressions.
+/// Finds aliases by their positions: after a table or a closing bracket in a FROM list, after AS (except in a
+/// cast), and as names of common table expressions.
 pub(super) fn find_aliases(parts: &[SourceToken]) -> Aliases {
     let mut finder =
         AliasFinder { parts, aliases: Aliases::default(), open_casts: Vec::new(), in_from: vec![false] };
@@ -170,25 +173,25 @@
     /// Handles the token at `index`, perhaps with some behind it; returns the index of the last one handled.
     fn step(&mut self, index: usize) -> usize {
         let part = &self.parts[index];
-        if part.is_mark("(") {
-            let is_cast = index > 0 && self.parts[index - 1].is_any_of(CASTS);
+        if part.is_symbol("(") {
+            let is_cast = index > 0 && self.parts[index - 1].is_any_of(CAST_FUNCTIONS);
             self.open_casts.push(is_cast);
             self.in_from.push(false);
             index
-        } else if part.is_mark(")") {
+        } else if part.is_symbol(")") {
             self.close_bracket(index)
         } else if self.begins_cte(index) {
             self.add_cte(index + 1);
             index
-        } else if part.is("as") && !self.is_in_cast() {
+        } else if part.is_word("as") && !self.is_in_cast() {
             self.add_explicit_alias(index)
-        } else if part.is_any_of(BEFORE_TABLE) || part.is_mark(",") && self.is_in_from() {
+        } else if part.is_any_of(TABLE_KEYWORDS) || part.is_symbol(",") && self.is_in_from() {
             if part.is_any_of(BEGIN_TABLE_LIST) {
                 self.set_in_from(true);
             }
             self.add_table_alias(index + 1).saturating_sub(1).max(index)
         } else {
-            // ON ends the list, too: a further join begins it again.
+            // ON ends the list of tables, too; another JOIN begins a new one.
             if part.is_any_of(END_TABLE_LIST) {
                 self.set_in_from(false);
             }
@@ -210,13 +213,13 @@
         self.open_casts.last().is_some_and(|is_cast| *is_cast)
     }
 
-    /// A sub-select or function in a FROM list has its alias behind its bracket.
+    /// Closes a bracket. In a FROM list the alias of a sub-select or function follows it.
     fn close_bracket(&mut self, index: usize) -> usize {
         self.open_casts.pop();
         if self.in_from.len() > 1 {
             self.in_from.pop();
         }
-        let next = self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(NO_ALIAS));
+        let next = self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(NOT_ALIASES));
         match next {
             Some(alias) if self.is_in_from() => {
                 self.aliases.add_derived(alias.raw, index + 1);
@@ -226,42 +229,44 @@
         }
     }
 
-    /// Whether a common table expression follows the token at `index`: WITH, or a comma between two of them.
+    /// Whether a common table expression follows the token at `index`, which is WITH or the comma between two
+    /// of them.
     fn begins_cte(&self, index: usize) -> bool {
         let part = &self.parts[index];
-        let is_with =
-            part.is("with") && !self.parts.get(index + 1).is_some_and(|next| next.is_any_of(NO_CTE));
-        is_with || part.is_mark(",") && self.is_cte_at(index + 1)
+        let is_with = part.is_word("with")
+            && !self.parts.get(index + 1).is_some_and(|next| next.is_any_of(NOT_CTE_NAMES));
+        is_with || part.is_symbol(",") && self.is_cte_at(index + 1)
     }
 
-    /// Whether a common table expression begins at `index`: a name, perhaps columns, AS and a bracket.
+    /// Whether a common table expression begins at `index`: a name, optional columns, AS and a bracket.
     fn is_cte_at(&self, index: usize) -> bool {
         if !self.parts.get(index).is_some_and(SourceToken::is_name) {
             return false;
         }
         let mut position = index + 1;
-        if self.parts.get(position).is_some_and(|part| part.is_mark("(")) {
-            while position < self.parts.len() && !self.parts[position].is_mark(")") {
+        if self.parts.get(position).is_some_and(|part| part.is_symbol("(")) {
+            while position < self.parts.len() && !self.parts[position].is_symbol(")") {
                 position += 1;
             }
             position += 1;
         }
-        let is_body = |part: &SourceToken| part.is_mark("(") || part.is_any_of(&["materialized", "not"]);
-        self.parts.get(position).is_some_and(|part| part.is("as"))
+        let is_body = |part: &SourceToken| part.is_symbol("(") || part.is_any_of(&["materialized", "not"]);
+        self.parts.get(position).is_some_and(|part| part.is_word("as"))
             && self.parts.get(position + 1).is_some_and(is_body)
     }
 
     fn add_cte(&mut self, index: usize) {
-        let is_recursive = self.parts.get(index).is_some_and(|part| part.is("recursive"));
+        let is_recursive = self.parts.get(index).is_some_and(|part| part.is_word("recursive"));
         let index = index + usize::from(is_recursive);
         if let Some(name) = self.parts.get(index).filter(|part| part.is_name()) {
             self.aliases.add_derived(name.raw, index);
         }
     }
 
-    /// An alias behind AS: of a sub-select in a FROM list, elsewhere of a column.
+    /// Adds the alias after AS: in a FROM list it belongs to a sub-select, elsewhere to a column.
     fn add_explicit_alias(&mut self, index: usize) -> usize {
-        let next = self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(AFTER_CTE_AS));
+        let next =
+            self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(NOT_ALIASES_AFTER_AS));
         let Some(alias) = next else { return index };
         if self.is_in_from() {
             self.aliases.add_derived(alias.raw, index + 1);
@@ -271,7 +276,8 @@
         index + 1
     }
 
-    /// Passes over a table's name that begins at `start` and adds the alias behind it; returns the index behind both.
+    /// Skips the name of a table that begins at `start` and adds the alias after it. Returns the index after
+    /// both.
     fn add_table_alias(&mut self, start: usize) -> usize {
         let parts = self.parts;
         let mut index = start;
@@ -279,22 +285,22 @@
             index += 1;
         }
         let Some(first) = parts.get(index) else { return index };
-        if !first.is_name() || first.is_any_of(NO_TABLE) {
+        if !first.is_name() || first.is_any_of(NOT_TABLE_NAMES) {
             return index;
         }
         index += 1;
-        while parts.get(index).is_some_and(|part| part.is_mark("."))
+        while parts.get(index).is_some_and(|part| part.is_symbol("."))
             && parts.get(index + 1).is_some_and(SourceToken::is_name)
         {
             index += 2;
         }
-        if parts.get(index).is_some_and(|part| part.is_mark("*")) {
+        if parts.get(index).is_some_and(|part| part.is_symbol("*")) {
             index += 1;
         }
-        let has_as = parts.get(index).is_some_and(|part| part.is("as"));
+        let has_as = parts.get(index).is_some_and(|part| part.is_word("as"));
         let alias_index = index + usize::from(has_as);
         match parts.get(alias_index) {
-            Some(alias) if alias.is_name() && (has_as || !alias.is_any_of(NO_ALIAS)) => {
+            Some(alias) if alias.is_name() && (has_as || !alias.is_any_of(NOT_ALIASES)) => {
                 self.aliases.add_table(alias.raw, alias_index);
                 alias_index + 1
             }
--- a/crates/query-fingerprint/src/retry_guard.rs
+++ b/crates/query-fingerprint/src/retry_guard.rs
@@ -1,54 +1,60 @@
-//! Whether a statement may be retried: the stricter of what its class declares and what the statement does.
+//! Decides whether a statement may be retried: the stricter of the effect that its class declares and the
+//! effect that the statement may have.
 //!
-//! This is not in the path of requests: no part of the manager calls it. The retries of requests are decided
-//! by `RetryRule` in the policy and by the core's send guard.
+//! The manager does not call this module: retries of requests are decided by `RetryRule` in the policy and by
+//! the send guard in the core.
 
 use crate::facts::StatementFacts;
 use serde::Serialize;
 
-/// What a class declares about running its requests more than once.
+/// Effect of running a request more than once, as declared by its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeclaredEffect {
     /// Safe to repeat.
     Safe,
-    /// Repeats with the same key are dropped by engines.
+    /// Engines drop repeats with the same idempotency key.
     Keyed,
-    /// Must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// What is done with a statement that may write under a class declared safe to repeat.
+/// Treatment of a statement that may write although its class is declared safe to repeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnMismatch {
-    /// It is sent as its class declares, as the platform's protocol specifies.
+    /// Send the statement as its class declares, as the platform's protocol specifies.
     #[default]
     Trust,
-    /// It is sent once at most.
+    /// Send the statement at most once.
     Once,
-    /// It is rejected before it is sent.
+    /// Reject the statement before it is sent.
     Refuse,
 }
 
-/// How often a statement may be sent.
+/// Decision how often a statement may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryDecision {
-    /// As its class declares.
+    /// As often as its class declares.
     AsDeclared,
-    /// Once at most.
+    /// At most once.
     Once,
-    /// Not at all.
+    /// Never: the statement is rejected.
     Refuse,
 }
 
-/// The stricter of what a class declares and what a statement is. An unknown statement may write; under `once` and
-/// `refuse` it is treated as one that does.
-pub fn guard(facts: &StatementFacts, declared: DeclaredEffect, on: OnMismatch) -> RetryDecision {
-    match (declared, facts.may_write, on) {
+/// Decides by the stricter of the declared effect and the facts of a statement. A statement that could not be
+/// parsed counts as one that may write.
+pub fn decide_retry(
+    facts: &StatementFacts,
+    declared: DeclaredEffect,
+    on_mismatch: OnMismatch,
+) -> RetryDecision {
+    match (declared, facts.may_write, on_mismatch) {
         (DeclaredEffect::Safe, true, OnMismatch::Once) => RetryDecision::Once,
-        // A rejection needs certainty: a statement that merely could not be parsed is sent once instead.
+        // Only a statement that certainly may write is rejected; one that could not be parsed is sent at most
+        // once.
         (DeclaredEffect::Safe, true, OnMismatch::Refuse) if facts.is_complete => RetryDecision::Refuse,
         (DeclaredEffect::Safe, true, OnMismatch::Refuse) => RetryDecision::Once,
         _ => RetryDecision::AsDeclared,
--- a/crates/query-fingerprint/src/statement_cache.rs
+++ b/crates/query-fingerprint/src/statement_cache.rs
@@ -1,27 +1,29 @@
-//! Fingerprinted statements: each form is read once and then found by its fingerprint.
+//! A cache of analysed statements: each normal form is analysed once and then found by its fingerprint.
 
 use crate::cache::{Bounds, Cache, Counters};
-use crate::facts::{read, StatementFacts};
+use crate::facts::{read_statement, StatementFacts};
 use crate::normal::{Fingerprint, Normaliser};
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Maximum length of a stored normal form, in bytes; longer ones are truncated. It is only displayed.
+/// Maximum length of a stored normal form, in bytes. Longer ones are truncated, since they are only
+/// displayed.
 const MAX_STORED_TEXT_BYTES: usize = 1_024;
-/// Approximate size of an entry without its texts, in bytes: slots, queues, ghosts, vectors.
+/// Approximate size of an entry in slots, queues, ghosts and vectors without its strings, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 512;
-/// Approximate size of a name without its text, in bytes.
+/// Approximate size of a name without its characters, in bytes.
 const NAME_OVERHEAD_BYTES: usize = 32;
 
-/// A statement read once: its fingerprint, its normal form and its facts.
+/// An analysed statement: its fingerprint, its normal form and its facts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FingerprintedStatement {
     /// XXH3-64 of the normal form, written as 16 hexadecimal digits.
     #[serde(serialize_with = "hex")]
     pub fingerprint: Fingerprint,
-    /// Its normal form, truncated at 1,024 bytes.
+    /// Normal form, truncated to at most 1,024 bytes.
     pub text: String,
-    /// Its facts. Data sets and tables are part of the normal form, so all statements of one fingerprint share them.
+    /// Facts of the statement. Data sets and tables are part of the normal form, so all statements with one
+    /// fingerprint share them.
     pub facts: StatementFacts,
 }
 
@@ -30,6 +32,7 @@
 }
 
 impl FingerprintedStatement {
+    /// Approximate size in the cache, in bytes.
     fn bytes(&self) -> usize {
         let facts = &self.facts;
         let names = facts.reads.iter().chain(&facts.writes).chain(&facts.calls);
@@ -39,7 +42,7 @@
     }
 }
 
-/// Fingerprinted statements, bounded, by fingerprint.
+/// A bounded cache of analysed statements.
 #[derive(Debug)]
 pub struct StatementCache {
     normaliser: Normaliser,
@@ -52,7 +55,8 @@
         StatementCache { normaliser: Normaliser::default(), cache: Cache::new(bounds) }
     }
 
-    /// The fingerprint and facts of a statement. One that was seen costs a pass over its bytes; a new one is read.
+    /// The fingerprint and facts of a statement. A cached one costs only one pass over the bytes of the
+    /// statement; otherwise the statement is analysed.
     pub fn get_or_read(&mut self, statement: &str) -> Rc<FingerprintedStatement> {
         let fingerprint = self.normaliser.fingerprint(statement);
         let is_complete = self.normaliser.is_complete();
@@ -64,9 +68,13 @@
             let end = (0..=MAX_STORED_TEXT_BYTES).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
             text = &text[..end];
         }
-        let entry =
-            Rc::new(FingerprintedStatement { fingerprint, text: text.to_owned(), facts: read(statement) });
-        // A statement that was truncated shares its fingerprint with others that begin alike: it is not stored.
+        let entry = Rc::new(FingerprintedStatement {
+            fingerprint,
+            text: text.to_owned(),
+            facts: read_statement(statement),
+        });
+        // A statement that is too long shares its fingerprint with others that have the same beginning, so it
+        // is not stored.
         if is_complete {
             self.cache.put(fingerprint, Rc::clone(&entry), entry.bytes());
         }
--- a/crates/query-fingerprint/tests/cache.rs
+++ b/crates/query-fingerprint/tests/cache.rs
@@ -1,4 +1,4 @@
-//! The S3-FIFO cache: resistance to scans, and entries that exceed its bounds.
+//! Resistance of the S3-FIFO cache to scans, and entries that exceed its bounds.
 
 use sprucelink_query_fingerprint::cache::{Bounds, Cache};
 
@@ -16,12 +16,12 @@
         if cache.get(key).is_none() {
             cache.put(key, 0, 10);
         }
-        // What is used goes on being used, now and then.
+        // Entries that were read before the scan are still read now and then.
         if key % 40 == 0 {
             cache.get(key / 40 % 60);
         }
     }
-    let kept = (0..60).filter(|k| cache.peek(*k).is_some()).count();
+    let kept = (0..60).filter(|key| cache.peek(*key).is_some()).count();
     assert!(kept >= 55, "{kept} of 60");
 }
 
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -1,9 +1,11 @@
-//! The corpus: every statement has the expected facts, other spellings have the same fingerprint, and no two different
-//! statements share one.
+//! The statements of `corpus.txt` have the expected facts, all spellings of a statement have the same
+//! fingerprint, and different statements have different fingerprints.
 
 use proptest::prelude::*;
-use sprucelink_query_fingerprint::facts::{data_set, named, read, StatementFacts, StatementKind};
-use sprucelink_query_fingerprint::lex::{token, tokens};
+use sprucelink_query_fingerprint::facts::{
+    data_set, qualified_tables, read_statement, StatementFacts, StatementKind,
+};
+use sprucelink_query_fingerprint::lex::{token, tokens, TokenKind};
 use sprucelink_query_fingerprint::normal::{Normaliser, MAX_TEXT_BYTES};
 use std::collections::BTreeMap;
 
@@ -19,76 +21,81 @@
     ("unknown", StatementKind::Unknown),
 ];
 
+/// A statement of the corpus with its expected facts.
 struct Entry {
     kind: StatementKind,
-    sets: Vec<u64>,
+    data_sets: Vec<u64>,
+    /// Properties, each as a letter; see [`flags`].
     flags: String,
     /// The statement and other spellings of it.
-    texts: Vec<String>,
+    spellings: Vec<String>,
 }
 
 fn corpus() -> Vec<Entry> {
-    let mut all: Vec<Entry> = Vec::new();
-    for line in include_str!("corpus.txt").lines().filter(|l| !l.is_empty() && !l.starts_with('#')) {
+    let mut entries: Vec<Entry> = Vec::new();
+    for line in include_str!("corpus.txt").lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
         let parts: Vec<&str> = line.splitn(4, " | ").collect();
-        let kind = KINDS.iter().find(|k| k.0 == parts[0]).filter(|_| parts.len() == 4);
+        let kind = KINDS.iter().find(|(name, _)| *name == parts[0]).filter(|_| parts.len() == 4);
         if let Some((_, kind)) = kind {
-            let sets = parts[1].split(',').filter_map(|n| n.parse().ok()).collect();
-            let (flags, texts) = (parts[2].trim_matches('-').to_owned(), vec![parts[3].to_owned()]);
-            all.push(Entry { kind: *kind, sets, flags, texts });
+            let data_sets = parts[1].split(',').filter_map(|number| number.parse().ok()).collect();
+            let (flags, spellings) = (parts[2].trim_matches('-').to_owned(), vec![parts[3].to_owned()]);
+            entries.push(Entry { kind: *kind, data_sets, flags, spellings });
             continue;
         }
-        let entry = all.last_mut().expect("a statement before");
+        let entry = entries.last_mut().expect("a previous statement");
         match line.strip_prefix("~ ") {
-            Some(spelling) => entry.texts.push(spelling.to_owned()),
-            // A spelling of several lines.
+            Some(spelling) => entry.spellings.push(spelling.to_owned()),
+            // The spelling continues on another line.
             None => {
-                let last = entry.texts.last_mut().expect("one");
+                let last = entry.spellings.last_mut().expect("a spelling");
                 last.push('\n');
                 last.push_str(line);
             }
         }
     }
-    all
+    entries
 }
 
-fn flags(f: &StatementFacts) -> String {
-    let all = [
-        (f.may_write, 'w'),
-        (f.load, 'l'),
-        (f.locks, 'k'),
-        (f.aggregates, 'a'),
-        (f.sorts, 's'),
-        (f.limit, 'm'),
-        (f.joins > 0, 'j'),
+/// The properties of a statement, each as a letter as in the corpus.
+fn flags(facts: &StatementFacts) -> String {
+    let flags = [
+        (facts.may_write, 'w'),
+        (facts.load, 'l'),
+        (facts.locks, 'k'),
+        (facts.aggregates, 'a'),
+        (facts.sorts, 's'),
+        (facts.limit, 'm'),
+        (facts.joins > 0, 'j'),
     ];
-    all.iter().filter(|a| a.0).map(|a| a.1).collect()
+    flags.iter().filter(|(is_set, _)| *is_set).map(|(_, letter)| letter).collect()
 }
 
 fn sorted(text: &str) -> Vec<char> {
-    let mut all: Vec<char> = text.chars().collect();
-    all.sort_unstable();
-    all
+    let mut letters: Vec<char> = text.chars().collect();
+    letters.sort_unstable();
+    letters
 }
 
 #[test]
 fn corpus_statement_has_the_expected_facts_in_every_spelling() {
     let mut wrong = Vec::new();
-    for e in corpus() {
-        for text in &e.texts {
-            let f = read(text);
-            if (f.kind, &f.data_sets) != (e.kind, &e.sets) || sorted(&flags(&f)) != sorted(&e.flags) {
+    for entry in corpus() {
+        for spelling in &entry.spellings {
+            let facts = read_statement(spelling);
+            if (facts.kind, &facts.data_sets) != (entry.kind, &entry.data_sets)
+                || sorted(&flags(&facts)) != sorted(&entry.flags)
+            {
                 wrong.push(format!(
-                    "{text}\n  {:?} {:?} {:?}, not {:?} {:?} {:?}",
-                    f.kind,
-                    f.data_sets,
-                    flags(&f),
-                    e.kind,
-                    e.sets,
-                    e.flags
+                    "{spelling}\n  {:?} {:?} {:?}, expected {:?} {:?} {:?}",
+                    facts.kind,
+                    facts.data_sets,
+                    flags(&facts),
+                    entry.kind,
+                    entry.data_sets,
+                    entry.flags
                 ));
             }
-            assert_eq!(f.is_complete, f.kind != StatementKind::Unknown, "{text}");
+            assert_eq!(facts.is_complete, facts.kind != StatementKind::Unknown, "{spelling}");
         }
     }
     assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
@@ -96,26 +103,26 @@
 
 #[test]
 fn spellings_share_a_fingerprint_and_different_statements_never_do() {
-    let (mut n, mut seen, mut wrong) = (Normaliser::default(), BTreeMap::new(), Vec::new());
-    for e in corpus() {
-        let first = n.fingerprint(&e.texts[0]);
-        let normal = n.text().to_owned();
-        for text in &e.texts[1..] {
-            if n.fingerprint(text) != first {
-                wrong.push(format!("{text}\n  {}\n  {normal}", n.text()));
+    let (mut normaliser, mut statements, mut wrong) = (Normaliser::default(), BTreeMap::new(), Vec::new());
+    for entry in corpus() {
+        let fingerprint = normaliser.fingerprint(&entry.spellings[0]);
+        let normal_form = normaliser.text().to_owned();
+        for spelling in &entry.spellings[1..] {
+            if normaliser.fingerprint(spelling) != fingerprint {
+                wrong.push(format!("{spelling}\n  {}\n  {normal_form}", normaliser.text()));
             }
         }
-        if let Some(other) = seen.insert(first, e.texts[0].clone()) {
-            wrong.push(format!("one shape: {other}\n  and {}\n  {normal}", e.texts[0]));
+        if let Some(other) = statements.insert(fingerprint, entry.spellings[0].clone()) {
+            wrong.push(format!("same fingerprint: {other}\n  and {}\n  {normal_form}", entry.spellings[0]));
         }
     }
     assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// Any statement of the corpus, and a way to write it otherwise.
+/// A statement of the corpus, and another spelling of it with other white space, comments and case.
 fn respelled() -> impl Strategy<Value = (String, String)> {
-    let texts: Vec<String> = corpus().into_iter().flat_map(|e| e.texts).collect();
-    let blank = prop::sample::select(vec![
+    let texts: Vec<String> = corpus().into_iter().flat_map(|entry| entry.spellings).collect();
+    let separator = prop::sample::select(vec![
         " ",
         "\n",
         "\t ",
@@ -127,23 +134,28 @@
         "\u{feff}",
         " \u{2028}",
     ]);
-    (prop::sample::select(texts), prop::collection::vec((blank, any::<bool>()), 8)).prop_map(
-        |(text, ways)| {
+    (prop::sample::select(texts), prop::collection::vec((separator, any::<bool>()), 8)).prop_map(
+        |(text, styles)| {
             let mut lexed = Vec::new();
             assert!(tokens(&text, 10_000, &mut lexed));
             let mut out = String::new();
-            for (i, t) in lexed.iter().enumerate() {
-                let raw = &text[t.at..t.end];
-                let (blank, upper) = ways[i % ways.len()];
-                let glued = i > 0 && lexed[i - 1].end == t.at;
-                // Where there was space there may be other space; where there was none, nothing is put: `a.b`, `::`.
-                if !glued {
-                    // Behind an operator a comment would be another operator, or another comment.
-                    out.push_str(if blank.starts_with(['-', '/']) { " " } else { "" });
-                    out.push_str(blank);
+            for (index, token) in lexed.iter().enumerate() {
+                let raw = &text[token.start..token.end];
+                let (separator, is_upper_case) = styles[index % styles.len()];
+                let is_adjacent = index > 0 && lexed[index - 1].end == token.start;
+                // White space is replaced, but none is added between adjacent tokens such as `a.b` and `::`.
+                if !is_adjacent {
+                    // Directly after an operator, a comment would be read as part of the operator or as
+                    // another comment.
+                    out.push_str(if separator.starts_with(['-', '/']) { " " } else { "" });
+                    out.push_str(separator);
                 }
-                let word = t.kind == sprucelink_query_fingerprint::lex::TokenKind::Word && raw.is_ascii();
-                out.push_str(&if word && upper { raw.to_ascii_uppercase() } else { raw.to_owned() });
+                let is_word = token.kind == TokenKind::Word && raw.is_ascii();
+                out.push_str(&if is_word && is_upper_case {
+                    raw.to_ascii_uppercase()
+                } else {
+                    raw.to_owned()
+                });
             }
             (text, out)
         },
@@ -155,86 +167,88 @@
 
     #[test]
     fn another_spelling_never_changes_the_fingerprint((text, other) in respelled()) {
-        let mut n = Normaliser::default();
-        let first = n.fingerprint(&text);
-        let normal = n.text().to_owned();
-        prop_assert_eq!(n.fingerprint(&other), first, "{}\n{}\n{}", other, n.text(), normal);
+        let mut normaliser = Normaliser::default();
+        let fingerprint = normaliser.fingerprint(&text);
+        let normal_form = normaliser.text().to_owned();
+        prop_assert_eq!(normaliser.fingerprint(&other), fingerprint, "{}\n{}\n{}", other, normaliser.text(), normal_form);
     }
 
-    /// The lexer and the parser agree on data sets wherever the parser reads the statement whole.
+    /// The parser finds all data sets that the lexer finds, if it parses the statement completely.
     #[test]
-    fn lexer_and_reader_agree_on_data_sets((text, other) in respelled()) {
-        let f = read(&other);
-        prop_assert_eq!(&f.data_sets, &read(&text).data_sets);
-        if f.is_complete {
+    fn lexer_and_parser_agree_on_data_sets((text, other) in respelled()) {
+        let facts = read_statement(&other);
+        prop_assert_eq!(&facts.data_sets, &read_statement(&text).data_sets);
+        if facts.is_complete {
             let mut lexed = Vec::new();
             tokens(&other, 10_000, &mut lexed);
-            for set in named(&other, &lexed).iter().filter_map(|table| data_set(&table.schema)) {
-                prop_assert!(f.data_sets.contains(&set), "{set}: {other}");
+            for number in qualified_tables(&other, &lexed).iter().filter_map(|table| data_set(&table.schema)) {
+                prop_assert!(facts.data_sets.contains(&number), "{number}: {other}");
             }
         }
     }
 
-    /// Any text, cut anywhere: nothing panics, and every byte belongs to one token.
+    /// Any text, truncated anywhere, is read without a panic, and every byte belongs to one token.
     #[test]
     fn any_text_is_tokenised_completely_without_panic(text in "\\PC{0,200}", cut in 0_usize..200) {
-        let cut = (0..=cut.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
+        let cut = (0..=cut.min(text.len())).rev().find(|index| text.is_char_boundary(*index)).unwrap_or(0);
         let text = &text[..cut];
-        let mut at = 0;
-        while let Some(t) = token(text, at) {
-            prop_assert!(t.at == at && t.end > at && text.is_char_boundary(t.end));
-            at = t.end;
+        let mut offset = 0;
+        while let Some(token) = token(text, offset) {
+            prop_assert!(token.start == offset && token.end > offset && text.is_char_boundary(token.end));
+            offset = token.end;
         }
-        prop_assert_eq!(at, text.len());
+        prop_assert_eq!(offset, text.len());
         Normaliser::default().fingerprint(text);
-        read(text);
+        read_statement(text);
     }
 
-    /// A statement of the corpus cut anywhere, or with a byte changed.
+    /// A statement of the corpus is read without a panic if it is truncated anywhere or a character is
+    /// inserted. A statement that cannot be parsed counts as one that may write and load.
     #[test]
-    fn truncated_or_altered_statement_is_read_without_panic((text, _) in respelled(), cut in 0_usize..400, with in "\\PC") {
-        let cut = (0..=cut.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
-        read(&text[..cut]);
-        let altered = format!("{}{with}{}", &text[..cut], &text[cut..]);
+    fn truncated_or_altered_statement_is_read_without_panic((text, _) in respelled(), cut in 0_usize..400, inserted in "\\PC") {
+        let cut = (0..=cut.min(text.len())).rev().find(|index| text.is_char_boundary(*index)).unwrap_or(0);
+        read_statement(&text[..cut]);
+        let altered = format!("{}{inserted}{}", &text[..cut], &text[cut..]);
         Normaliser::default().fingerprint(&altered);
-        let f = read(&altered);
-        prop_assert!(f.is_complete || f.may_write && f.load, "unknown is the careful side");
+        let facts = read_statement(&altered);
+        prop_assert!(facts.is_complete || facts.may_write && facts.load, "an unknown statement counts as a load");
     }
 }
 
-/// What nests or goes on without end costs no stack and little time, and is unknown.
+/// Deeply nested or very long statements must not overflow the stack or take long; they are of unknown kind.
 #[test]
-fn deep_or_long_statement_is_unknown_and_costs_no_stack() {
-    let deep = |open: &str, close: &str, n: usize| {
-        format!("SELECT {}1{} FROM rates_17.lanes", open.repeat(n), close.repeat(n))
+fn deep_or_long_statement_is_unknown_and_does_not_overflow_the_stack() {
+    let nested = |open: &str, close: &str, depth: usize| {
+        format!("SELECT {}1{} FROM rates_17.lanes", open.repeat(depth), close.repeat(depth))
     };
     for (text, is_complete) in [
-        (deep("(", ")", 20), true),
-        (deep("(", ")", 5_000), false),
-        (deep("[", "", 3_000), false),
-        (deep("- ", "", 3_000), false),
-        (deep("NOT ", "", 1_500), false),
-        (deep("CASE WHEN a THEN ", " END", 500), false),
+        (nested("(", ")", 20), true),
+        (nested("(", ")", 5_000), false),
+        (nested("[", "", 3_000), false),
+        (nested("- ", "", 3_000), false),
+        (nested("NOT ", "", 1_500), false),
+        (nested("CASE WHEN a THEN ", " END", 500), false),
         (format!("SELECT 1{} FROM rates_17.lanes", " + 1".repeat(900)), true),
         (format!("SELECT 1{} FROM rates_17.lanes", " + 1".repeat(20_000)), false),
         (format!("{} SELECT 1 FROM rates_17.lanes", "/*".repeat(20_000)), false),
         (format!("SELECT '{}", "'".repeat(20_001)), false),
     ] {
-        let f = read(&text);
-        assert_eq!(f.is_complete, is_complete, "{}", &text[..60]);
-        assert!(is_complete || f.may_write, "{}", &text[..60]);
-        let mut n = Normaliser::default();
-        n.fingerprint(&text);
+        let facts = read_statement(&text);
+        assert_eq!(facts.is_complete, is_complete, "{}", &text[..60]);
+        assert!(is_complete || facts.may_write, "{}", &text[..60]);
+        let mut normaliser = Normaliser::default();
+        normaliser.fingerprint(&text);
     }
-    let mut n = Normaliser::default();
+    let mut normaliser = Normaliser::default();
     let long = format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(MAX_TEXT_BYTES));
-    n.fingerprint(&long);
-    assert!(!n.is_complete());
-    // Lists of any length that fit have one shape.
-    let list = |k: usize| format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(k));
-    assert_eq!(n.fingerprint(&list(0)), n.fingerprint(&list(7_000)));
+    normaliser.fingerprint(&long);
+    assert!(!normaliser.is_complete());
+    // Statements with lists of any length have the same fingerprint, as long as they are within the maximum
+    // length.
+    let list = |values: usize| format!("SELECT 1 FROM rates_17.lanes WHERE a IN ({}1)", "1,".repeat(values));
+    assert_eq!(normaliser.fingerprint(&list(0)), normaliser.fingerprint(&list(7_000)));
     assert_eq!(
-        read(&list(5_000)).data_sets,
+        read_statement(&list(5_000)).data_sets,
         [17],
         "the data set is known even if the statement is too long for the parser"
     );
--- a/crates/query-fingerprint/tests/retry_guard.rs
+++ b/crates/query-fingerprint/tests/retry_guard.rs
@@ -1,16 +1,15 @@
-//! The decision of the retry guard for reading, writing and unreadable statements.
+//! Decisions of the retry guard for statements that read, that write and that cannot be parsed.
 
-use sprucelink_query_fingerprint::facts::read;
-use sprucelink_query_fingerprint::retry_guard::{guard, DeclaredEffect, OnMismatch, RetryDecision};
+use sprucelink_query_fingerprint::facts::read_statement;
+use sprucelink_query_fingerprint::retry_guard::{decide_retry, DeclaredEffect, OnMismatch, RetryDecision};
 
 #[test]
-fn writing_statement_in_safe_class_is_sent_once_or_rejected() {
-    let facts = |sql: &str| read(sql);
-    let (reads, writes) =
-        (facts("SELECT a FROM x_1.t"), facts("WITH d AS (DELETE FROM x_1.t RETURNING a) SELECT a FROM d"));
-    let unknown = facts("SELECT a FROM x_1.t ((");
+fn writing_statement_in_safe_class_is_trusted_sent_once_or_rejected() {
+    let reads = read_statement("SELECT a FROM x_1.t");
+    let writes = read_statement("WITH d AS (DELETE FROM x_1.t RETURNING a) SELECT a FROM d");
+    let unknown = read_statement("SELECT a FROM x_1.t ((");
     use OnMismatch::{Once, Refuse, Trust};
-    for (f, on, decision) in [
+    for (facts, on_mismatch, decision) in [
         (&reads, Refuse, RetryDecision::AsDeclared),
         (&writes, Trust, RetryDecision::AsDeclared),
         (&writes, Once, RetryDecision::Once),
@@ -18,7 +17,11 @@
         (&unknown, Refuse, RetryDecision::Once),
         (&unknown, Trust, RetryDecision::AsDeclared),
     ] {
-        assert_eq!(guard(f, DeclaredEffect::Safe, on), decision, "{f:?} {on:?}");
-        assert_eq!(guard(f, DeclaredEffect::Keyed, on), RetryDecision::AsDeclared);
+        assert_eq!(
+            decide_retry(facts, DeclaredEffect::Safe, on_mismatch),
+            decision,
+            "{facts:?} {on_mismatch:?}"
+        );
+        assert_eq!(decide_retry(facts, DeclaredEffect::Keyed, on_mismatch), RetryDecision::AsDeclared);
     }
 }
--- a/crates/query-fingerprint/tests/statement_cache.rs
+++ b/crates/query-fingerprint/tests/statement_cache.rs
@@ -1,11 +1,12 @@
-//! The statement cache under many distinct statements and under a skewed stream.
+//! The statement cache with many distinct statements and with a skewed sequence of statements.
 
 use sprucelink_query_fingerprint::cache::Bounds;
 use sprucelink_query_fingerprint::statement_cache::StatementCache;
 
-/// A client that sends a million statements, each once, stays within the bounds and flushes nothing that is used.
+/// A client that sends 20,000 statements once each must neither exceed the bounds nor evict statements that
+/// are in use.
 #[test]
-fn unlimited_distinct_statements_stay_within_the_bounds() {
+fn many_distinct_statements_stay_within_the_bounds_and_keep_used_entries() {
     let bounds = Bounds { entries: 512, bytes: 512 * 1024 };
     let mut statements = StatementCache::new(bounds);
     let used: Vec<String> = (0..40).map(|n| format!("SELECT a{n} FROM x_{n}.t WHERE b = 1")).collect();
@@ -26,30 +27,30 @@
     assert!(after.hits - before.hits >= 1_990, "{} of 2,000", after.hits - before.hits);
 }
 
-/// A skewed stream of 100,000 with a fifth of one-off statements: of the repeatable ones over 99% are hits, but
-/// for each one's first.
+/// In a skewed sequence of 100,000 statements a fifth are sent only once. More than 99% of the others must be
+/// hits, not counting the first occurrence of each form.
 #[test]
-fn skewed_stream_with_one_off_statements_keeps_a_high_hit_rate() {
+fn skewed_sequence_with_one_off_statements_has_a_high_hit_rate() {
     let mut statements = StatementCache::new(Bounds { entries: 1_024, bytes: 4 << 20 });
-    let (mut dice, mut repeatable, mut hits, mut seen) =
+    let (mut random, mut repeated, mut hits, mut known_forms) =
         (7_u64, 0_u32, 0_u32, std::collections::BTreeSet::new());
     for n in 0..100_000_u32 {
-        dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let unit = (dice >> 11) as f64 / (1_u64 << 53) as f64;
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let unit = (random >> 11) as f64 / (1_u64 << 53) as f64;
         if n % 5 == 0 {
             statements.get_or_read(&format!("SELECT once{n} FROM x_1.t"));
             continue;
         }
-        // Five hundred forms, the first of them asked for most: Zipf's law, about.
+        // Five hundred forms, approximately with a Zipf distribution.
         let form = (500.0_f64.powf(unit) - 1.0) as u32;
         let before = statements.counters().hits;
         statements.get_or_read(&format!("SELECT a{form} FROM x_1.t WHERE b = {n}"));
-        if seen.insert(form) {
+        if known_forms.insert(form) {
             continue;
         }
-        repeatable += 1;
+        repeated += 1;
         hits += u32::from(statements.counters().hits > before);
     }
-    let rate = f64::from(hits) / f64::from(repeatable);
+    let rate = f64::from(hits) / f64::from(repeated);
     assert!(rate > 0.99, "{rate}");
 }
