--- a/crates/capture/src/codec.rs
+++ b/crates/capture/src/codec.rs
@@ -1,8 +1,8 @@
 //! Converts headers, inputs and actions to the protobuf messages of the file format, and back.
 //!
-//! The names of the format (`proto/capture.proto`) are used only in this module; the rest of the crate uses
-//! the policy's terms. Every number keeps its exact bits. A message that lacks a field, or holds a value that
-//! this build does not know, gives a [`DecodeError`].
+//! This module translates between the names of the format (`proto/capture.proto`) and the policy's terms.
+//! Every number keeps its exact bits. A message that lacks a field, or holds a value that this build does not
+//! know, gives a [`DecodeError`].
 
 mod actions;
 mod headers;
--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -179,7 +179,7 @@
     /// The path of the folder is empty.
     #[error("dir: the path is empty")]
     NoDirectory,
-    /// A segment may be larger than all files together.
+    /// The configured size of a segment exceeds that of all files together.
     #[error("segment_mb: {segment_mb} is more than ring_mb, {ring_mb}")]
     SegmentExceedsRing {
         /// Size of a segment, in MB.
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -49,8 +49,8 @@
     pub lost: u64,
 }
 
-/// Records the events that a policy is given and its answers. Dropping it writes the rest of the queue and
-/// closes the segment.
+/// Records the events that a policy is given and its answers. Dropping it closes the segment and waits a
+/// limited time for the writer.
 pub struct Recorder {
     ring: Ring,
     answers: AnswerFormat,
--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -87,7 +87,7 @@
 }
 
 /// The data set of a schema: the number after the last underscore of its name. `None` if there is no such
-/// number, or if the name without the number is `staging`.
+/// number, or if the name before it is empty or `staging`.
 pub fn data_set(schema: &str) -> Option<u64> {
     let (name, digits) = schema.rsplit_once('_')?;
     let is_number = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
@@ -110,7 +110,7 @@
 }
 
 /// The statement without comments and with a single ASCII space for any white space, since the parser accepts
-/// fewer kinds of white space than PostgreSQL.
+/// fewer kinds of white space than the lexer.
 fn normalise_spaces(statement: &str, lexed: &[Token]) -> String {
     let mut normalised = String::with_capacity(statement.len());
     let mut previous_end = 0;
--- a/crates/query-fingerprint/src/normal/aliases.rs
+++ b/crates/query-fingerprint/src/normal/aliases.rs
@@ -159,18 +159,18 @@
     finder.aliases
 }
 
-/// The state of one pass over a statement's tokens.
+/// State of one pass over the tokens of a statement.
 struct AliasFinder<'a> {
     parts: &'a [SourceToken<'a>],
     aliases: Aliases,
-    /// For each open bracket, whether it is that of a cast.
+    /// For each open bracket, whether it holds the arguments of a cast.
     open_casts: Vec<bool>,
-    /// Whether the pass is in a FROM list: of the statement, then of the content of each open bracket.
+    /// Whether the current token is in a FROM list: at the top level, then inside each open bracket.
     in_from: Vec<bool>,
 }
 
 impl AliasFinder<'_> {
-    /// Handles the token at `index`, perhaps with some behind it; returns the index of the last one handled.
+    /// Handles the token at `index` and possibly some after it. Returns the index of the last token handled.
     fn step(&mut self, index: usize) -> usize {
         let part = &self.parts[index];
         if part.is_symbol("(") {
