--- a/crates/cordon/tests/bounds.rs
+++ b/crates/cordon/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Limits, and what happens at each.
+//! Tests of the behaviour at each limit.
 
 use sprucelink_cordon::{
     Cause, CordonError, CordonLimits, CordonOutcome, CordonRequest, CordonState, Target, TimeDelta,
@@ -11,7 +11,7 @@
     Target::Engine(id.into())
 }
 
-/// A state with limits that a few calls reach.
+/// A state with limits so low that a few calls reach them.
 fn small_state() -> CordonState {
     CordonState::new(CordonLimits {
         max_known_ids: 8,
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn cordon_is_rejected_at_the_limit_and_a_repeat_is_accepted() {
+fn cordon_is_rejected_at_the_limit_but_a_repeat_is_accepted() {
     let mut state = small_state();
-    ["a", "b", "c", "d"].iter().for_each(|id| state.note_listed(id));
+    ["a", "b", "c", "d"].iter().for_each(|id| state.mark_listed(id));
     for id in ["a", "b", "c"] {
         assert_eq!(state.cordon(NOW, &engine(id), CordonRequest::Operator, ""), Ok(CordonOutcome::Cordoned));
     }
@@ -45,13 +45,13 @@
 #[test]
 fn cordon_is_rejected_when_id_bytes_are_used_up() {
     let mut state = small_state();
-    let long = "x".repeat(15);
-    let other = "y".repeat(15);
-    state.note_listed(&long);
-    state.note_listed(&other);
-    state.cordon(NOW, &engine(&long), CordonRequest::Operator, "").expect("fits");
+    let first = "x".repeat(15);
+    let second = "y".repeat(15);
+    state.mark_listed(&first);
+    state.mark_listed(&second);
+    state.cordon(NOW, &engine(&first), CordonRequest::Operator, "").expect("fits");
     assert_eq!(
-        state.cordon(NOW, &engine(&other), CordonRequest::Operator, ""),
+        state.cordon(NOW, &engine(&second), CordonRequest::Operator, ""),
         Err(CordonError::TooManyCordons)
     );
     assert_eq!(
@@ -64,10 +64,10 @@
 #[test]
 fn tombstone_of_the_lowest_version_is_evicted_first() {
     let mut state = small_state();
-    for (n, id) in ["a", "b", "c"].iter().enumerate() {
-        state.note_listed(id);
+    for (index, id) in ["a", "b", "c"].iter().enumerate() {
+        state.mark_listed(id);
         state
-            .uncordon(NOW + TimeDelta::from_micros(n as i64), &engine(id), Cause::Operator)
+            .uncordon(NOW + TimeDelta::from_micros(index as i64), &engine(id), Cause::Operator)
             .expect("accepted");
     }
     let retained: Vec<Target> = state.export_records().into_iter().map(|record| record.target).collect();
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn merge_over_the_limit_reports_how_many_records_it_left_out() {
+fn merge_over_the_limit_reports_the_number_of_records_not_merged() {
     let mut large = CordonState::new(CordonLimits::default());
-    for i in 0..5 {
-        large.note_listed(&format!("{i}"));
-        large.cordon(NOW, &engine(&format!("{i}")), CordonRequest::Operator, "").expect("accepted");
+    for index in 0..5 {
+        large.mark_listed(&format!("{index}"));
+        large.cordon(NOW, &engine(&format!("{index}")), CordonRequest::Operator, "").expect("accepted");
     }
     let mut state = small_state();
     let result = state.merge_records(NOW, &large.export_records());
@@ -92,14 +92,14 @@
 fn invalid_targets_and_leases_are_rejected_and_long_reasons_truncated() {
     let mut state = CordonState::new(CordonLimits::default());
     let longest = "e".repeat(MAX_ENGINE_ID_BYTES);
-    state.note_listed(&longest);
-    state.note_listed("e");
+    state.mark_listed(&longest);
+    state.mark_listed("e");
     assert_eq!(
         state.cordon(NOW, &engine(&longest), CordonRequest::Operator, ""),
         Ok(CordonOutcome::Cordoned)
     );
     for id in ["", "a\nb", &"e".repeat(MAX_ENGINE_ID_BYTES + 1)] {
-        state.note_listed(id);
+        state.mark_listed(id);
         assert_eq!(
             state.cordon(NOW, &engine(id), CordonRequest::Operator, ""),
             Err(CordonError::InvalidTarget)
@@ -125,11 +125,12 @@
     );
 }
 
-/// An engine is cordoned twice, restarted meanwhile, and uncordoned once.
+/// An engine is cordoned by two causes, leaves the endpoint list and returns, and is uncordoned once for each
+/// cause.
 #[test]
-fn cordon_lasts_until_uncordoned_whatever_the_list_says() {
+fn cordon_lasts_until_uncordoned_regardless_of_the_endpoint_list() {
     let mut state = CordonState::new(CordonLimits::default());
-    state.note_listed("e");
+    state.mark_listed("e");
     assert_eq!(state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"), Ok(CordonOutcome::Cordoned));
     let permit = CordonRequest::Fleet { permit: 3, lease_expires_at: NOW + TimeDelta::from_micros(1_000) };
     assert_eq!(state.cordon(NOW, &engine("e"), permit, "release"), Ok(CordonOutcome::AlreadyCordoned));
@@ -137,32 +138,32 @@
         state.cordon(NOW, &engine("e"), CordonRequest::Operator, "swap"),
         Ok(CordonOutcome::AlreadyCordoned)
     );
-    state.note_unlisted("e");
+    state.mark_unlisted("e");
     assert!(state.is_engine_cordoned("e") && state.cordoned_engine_count() == 1);
-    state.note_listed("e");
+    state.mark_listed("e");
     assert!(state.is_engine_cordoned("e"));
     let outcome = state.uncordon(NOW, &engine("e"), Cause::Operator);
     assert_eq!(
         outcome,
         Ok(CordonOutcome::StillCordoned { cause: Cause::Fleet { permit: 3 } }),
-        "the fleet's stays active"
+        "the fleet's cordon stays active"
     );
-    state.note_unlisted("e");
+    state.mark_unlisted("e");
     assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Fleet { permit: 3 }), Ok(CordonOutcome::Uncordoned));
     assert_eq!(state.uncordon(NOW, &engine("e"), Cause::Operator), Ok(CordonOutcome::NotCordoned));
     assert!(!state.is_engine_cordoned("e") && state.cordoned_engine_count() == 0);
 }
 
-/// A cordoned id is never evicted, and uncordoning it is accepted however long ago it was listed.
+/// A cordoned id is never evicted, and uncordoning it is accepted no matter how long ago it was listed.
 #[test]
 fn cordoned_id_is_remembered_past_the_limit() {
     let mut state = small_state();
-    state.note_listed("e");
+    state.mark_listed("e");
     state.cordon(NOW, &engine("e"), CordonRequest::Operator, "").expect("accepted");
-    state.note_unlisted("e");
-    for i in 0..50 {
-        state.note_listed(&format!("{i}"));
-        state.note_unlisted(&format!("{i}"));
+    state.mark_unlisted("e");
+    for index in 0..50 {
+        state.mark_listed(&format!("{index}"));
+        state.mark_unlisted(&format!("{index}"));
     }
     assert!(state.was_ever_listed("e") && !state.was_ever_listed("0") && state.was_ever_listed("49"));
     assert_eq!(state.sizes().known_ids, 8);
