--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -89,7 +89,7 @@
     usage: &ReaderUsage,
     directions: Directions,
 ) -> Vec<Finding> {
-    let mut found = history(&[old], new);
+    let mut found = history_findings(&[old], new);
     if directions.down {
         found.extend(read_by(new, old, usage, Direction::Down));
     }
@@ -102,7 +102,7 @@
 
 /// Findings of the history rules for a new schema after all versions `before` it, oldest first.
 #[must_use]
-pub fn history(before: &[&Schema], new: &Schema) -> Vec<Finding> {
+pub fn history_findings(before: &[&Schema], new: &Schema) -> Vec<Finding> {
     let mut symbol_history = SymbolHistory::default();
     before.iter().for_each(|schema| symbol_history.absorb(&schema.model));
     symbol_history.check(&new.model)
--- a/crates/schema-compat/tests/common/mod.rs
+++ b/crates/schema-compat/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod edits;
 pub mod oracle;
 
-use sprucelink_schema_compat::check::history;
+use sprucelink_schema_compat::check::history_findings;
 use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Schema};
 
 pub fn schema(body: &str) -> Schema {
@@ -53,7 +53,7 @@
         let mut found = match self.direction.as_str() {
             "down" => check_findings(&old[0], new, &self.usage, Directions::DOWN),
             "up" => check_findings(&old[0], new, &self.usage, Directions::UP),
-            _ => return history(&old.iter().collect::<Vec<_>>(), new),
+            _ => return history_findings(&old.iter().collect::<Vec<_>>(), new),
         };
         // History's rules have cases of their own.
         found.retain(|finding| finding.direction.name() != "history");
