--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks whether a change of schema is compatible with the readers of either version.
+//! Checks whether a schema change is compatible with the readers of both versions.
 
 use crate::comparison::compare;
 use crate::findings::findings_for_usage;
@@ -10,21 +10,22 @@
 use crate::translate::Translation;
 use crate::usage::ReaderUsage;
 
-/// Which of two versions writes and which reads.
+/// The directions in which a schema change is checked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Directions {
-    /// The new version writes, the old one reads: publishers go first.
+    /// Checks records of the new version against readers of the old one: publishers are upgraded first.
     pub down: bool,
-    /// The old version writes or wrote, the new one reads: history is replayed, or old publishers continue beside new ones.
+    /// Checks records of the old version against readers of the new one: history is replayed, or old
+    /// publishers continue beside new ones.
     pub up: bool,
 }
 
 impl Directions {
-    /// Both.
+    /// Checks both directions.
     pub const BOTH: Self = Self { down: true, up: true };
-    /// New writers, old readers.
+    /// Checks new writers against old readers only.
     pub const DOWN: Self = Self { down: true, up: false };
-    /// Old writers, new readers.
+    /// Checks old writers against new readers only.
     pub const UP: Self = Self { down: false, up: true };
 }
 
@@ -35,12 +36,13 @@
     Compatible,
     /// Readers need translated records.
     Translatable(Box<Translations>),
-    /// Readers break or a history rule is violated: up to [`crate::limits::MAX_VIOLATIONS`] breaking findings.
+    /// Readers break or a history rule is violated: up to [`crate::limits::MAX_VIOLATIONS`] breaking
+    /// findings.
     Rejected(Vec<Finding>),
 }
 
 impl Compatibility {
-    /// `compatible`, `translatable` or `rejected`.
+    /// The name of the result: `compatible`, `translatable` or `rejected`.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -54,20 +56,21 @@
 /// The translations between two versions.
 #[derive(Clone, Debug)]
 pub struct Translations {
-    /// From the new version to the old.
+    /// Translates records of the new version into the old one.
     pub down: Translation,
-    /// From the old version to the new.
+    /// Translates records of the old version into the new one.
     pub up: Translation,
 }
 
-/// The highest severity of the findings.
+/// The highest severity of the findings; [`Severity::Note`] if there are none.
 #[must_use]
 pub fn worst_severity(findings: &[Finding]) -> Severity {
     findings.iter().map(|finding| finding.severity).max().unwrap_or(Severity::Note)
 }
 
-/// Checks the change from `old` to `new`. Where the new version writes, readers use `usage` of `old`; where the old one
-/// writes, readers are assumed to use all of `new`, with the encoding and tolerance of `usage`.
+/// Checks the change from `old` to `new`. Readers of records that the new version writes use the parts of
+/// `old` that `usage` declares; readers of records that the old version writes are assumed to use all of
+/// `new`, with the encoding and tolerance of `usage`.
 #[must_use]
 pub fn check(old: &Schema, new: &Schema, usage: &ReaderUsage, directions: Directions) -> Compatibility {
     let findings = check_findings(old, new, usage, directions);
@@ -77,7 +80,7 @@
             down: Translation::between(new, old, Direction::Down),
             up: Translation::between(old, new, Direction::Up),
         })),
-        Severity::Break => Compatibility::Rejected(breaks(findings)),
+        Severity::Break => Compatibility::Rejected(breaking_findings(findings)),
     }
 }
 
@@ -89,15 +92,15 @@
     usage: &ReaderUsage,
     directions: Directions,
 ) -> Vec<Finding> {
-    let mut found = history_findings(&[old], new);
+    let mut findings = history_findings(&[old], new);
     if directions.down {
-        found.extend(read_by(new, old, usage, Direction::Down));
+        findings.extend(reader_findings(new, old, usage, Direction::Down));
     }
     if directions.up {
-        let future = ReaderUsage { paths: None, ..usage.clone() };
-        found.extend(read_by(old, new, &future, Direction::Up));
+        let new_usage = ReaderUsage { paths: None, ..usage.clone() };
+        findings.extend(reader_findings(old, new, &new_usage, Direction::Up));
     }
-    found
+    findings
 }
 
 /// Findings of the history rules for a new schema after all versions `before` it, oldest first.
@@ -108,23 +111,23 @@
     symbol_history.check(&new.model)
 }
 
-/// Findings for a reader of `reader` with `usage` that gets records of `writer`. If a translation is needed, it is run on
-/// sample records as well.
-pub(crate) fn read_by(
+/// Findings for a reader of version `reader` with `usage` that receives records of version `writer`. If a
+/// translation is needed, it is also run on sample records.
+pub(crate) fn reader_findings(
     writer: &Schema,
     reader: &Schema,
     usage: &ReaderUsage,
     direction: Direction,
 ) -> Vec<Finding> {
     let pair = compare(&writer.model, &reader.model, direction);
-    let mut found = findings_for_usage(&pair, &reader.model, usage);
-    if worst_severity(&found) == Severity::Translate {
+    let mut findings = findings_for_usage(&pair, &reader.model, usage);
+    if worst_severity(&findings) == Severity::Translate {
         let translation = Translation::of(&pair, reader);
         let opposite = if direction == Direction::Down { Direction::Up } else { Direction::Down };
         let inverse = Translation::between(reader, writer, opposite);
-        found.extend(test_translation(&translation, &inverse, writer, direction));
+        findings.extend(test_translation(&translation, &inverse, writer, direction));
     }
-    found
+    findings
 }
 
 /// Runs a translation and its inverse on samples of every record; returns the first failure.
@@ -137,12 +140,12 @@
     for name in writer.records() {
         for seed in 0..SAMPLES_PER_RECORD {
             let Some(record) = sample(writer, name, seed) else { continue };
-            let failed = match translation.run(&record) {
+            let failure = match translation.run(&record) {
                 Ok(None) => None,
-                Ok(Some(read)) => inverse.run(&read).err().map(|error| format!("on the way back: {error}")),
+                Ok(Some(read)) => inverse.run(&read).err().map(|error| format!("translating back: {error}")),
                 Err(error) => Some(error.to_string()),
             };
-            if let Some(detail) = failed {
+            if let Some(detail) = failure {
                 return Some(Finding {
                     rule: Rule::TranslationFailed,
                     path: name.to_string(),
@@ -156,7 +159,7 @@
     None
 }
 
-fn breaks(mut findings: Vec<Finding>) -> Vec<Finding> {
+fn breaking_findings(mut findings: Vec<Finding>) -> Vec<Finding> {
     findings.retain(|finding| finding.severity == Severity::Break);
     findings.truncate(crate::limits::MAX_VIOLATIONS);
     findings
--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -1,4 +1,4 @@
-//! Constraints of a field beside its type: ranges, lengths, presence, defaults and oneofs.
+//! Compares the constraints of a field other than its type: ranges, lengths, presence, defaults and oneofs.
 
 use super::context::ComparisonContext;
 use super::conversion::FieldStep;
@@ -15,36 +15,37 @@
     differences: &mut DifferenceList,
 ) {
     let down = direction == Direction::Down;
-    let text = |bound: Option<String>| bound.unwrap_or_else(|| "without bound".into());
+    let or_unbounded = |bound: Option<String>| bound.unwrap_or_else(|| "unbounded".into());
     let (low, high) = match from.integer_range() {
         Some((low, high)) => (Some(low), Some(high)),
         None => (from.min.map(i128::from), from.max.map(i128::from)),
     };
-    let under = to.min.is_some_and(|min| low.is_none_or(|low| low < i128::from(min)));
-    let over = to.max.is_some_and(|max| high.is_none_or(|high| high > i128::from(max)));
-    if under || over {
+    let below_min = to.min.is_some_and(|min| low.is_none_or(|low| low < i128::from(min)));
+    let above_max = to.max.is_some_and(|max| high.is_none_or(|high| high > i128::from(max)));
+    if below_min || above_max {
         let rule = if down { Rule::RangeWidened } else { Rule::RangeNarrowed };
-        let show = |bound: Option<i128>| text(bound.map(|bound| bound.to_string()));
+        let format_bound = |bound: Option<i128>| or_unbounded(bound.map(|bound| bound.to_string()));
         let detail = format!(
             "{} to {} written, {} to {} read",
-            show(low),
-            show(high),
-            show(to.min.map(i128::from)),
-            show(to.max.map(i128::from))
+            format_bound(low),
+            format_bound(high),
+            format_bound(to.min.map(i128::from)),
+            format_bound(to.max.map(i128::from))
         );
         differences.add(rule, Impact::Break, Impact::Nothing, detail);
     }
-    let short = to.min_length.unwrap_or(0) > from.min_length.unwrap_or(0);
-    let long = to.max_length.is_some_and(|high| from.max_length.is_none_or(|written| written > high));
-    if short || long {
+    let below_min_length = to.min_length.unwrap_or(0) > from.min_length.unwrap_or(0);
+    let above_max_length =
+        to.max_length.is_some_and(|high| from.max_length.is_none_or(|written| written > high));
+    if below_min_length || above_max_length {
         let rule = if down { Rule::LengthWidened } else { Rule::LengthNarrowed };
-        let show = |bound: Option<u64>| text(bound.map(|bound| bound.to_string()));
+        let format_bound = |bound: Option<u64>| or_unbounded(bound.map(|bound| bound.to_string()));
         let detail = format!(
             "length {} to {} written, {} to {} read",
             from.min_length.unwrap_or(0),
-            show(from.max_length),
+            format_bound(from.max_length),
             to.min_length.unwrap_or(0),
-            show(to.max_length)
+            format_bound(to.max_length)
         );
         differences.add(rule, Impact::Break, Impact::Nothing, detail);
     }
@@ -61,11 +62,11 @@
         return;
     }
     if to.required && !from.required {
-        let effect = if from.kind.is_message() { Impact::Break } else { Impact::Translate };
+        let impact = if from.kind.is_message() { Impact::Break } else { Impact::Translate };
         differences.add(
             Rule::FieldNeededMissing,
-            effect,
-            effect,
+            impact,
+            impact,
             "may be absent, and its reader requires it".into(),
         );
         step.fill = true;
@@ -74,12 +75,15 @@
         return;
     }
     if !from.explicit && to.explicit {
-        let detail = "its writer leaves the default out, its reader tells absent from default".into();
+        let detail = "its writer omits the default, its reader distinguishes absent from default".into();
         differences.add(Rule::PresenceChanged, Impact::Translate, Impact::Nothing, detail);
         step.fill = true;
     }
     if from.default != to.default {
-        let detail = format!("absent stands for {:?} written, {:?} read", from.default, to.default);
+        let detail = format!(
+            "an absent field means {:?} to its writer and {:?} to its reader",
+            from.default, to.default
+        );
         differences.add(Rule::DefaultChanged, Impact::Translate, Impact::Nothing, detail);
         step.fill = true;
     }
@@ -96,24 +100,28 @@
 ) {
     let Some(oneof) = to.oneof else { return };
     let members = || reader.fields.values().filter(move |field| field.oneof == Some(oneof));
-    let written = || members().filter_map(|member| context.counterpart(writer, member));
-    for other in written().filter(|other| other.number != from.number) {
+    let written_members = || members().filter_map(|member| context.counterpart(writer, member));
+    for other in written_members().filter(|other| other.number != from.number) {
         if from.oneof.is_none() || other.oneof != from.oneof {
-            let detail = format!("may be written together with {}, is read as one of the two", other.name);
+            let detail = format!(
+                "may be written together with {}, its reader retains only one of the two",
+                other.name
+            );
             differences.add(Rule::OneofJoined, Impact::Break, Impact::Note, detail);
             return;
         }
     }
     let Some(from_oneof) = from.oneof else { return };
-    let known: Vec<u32> = written().map(|field| field.number).collect();
-    let is_unknown = |field: &&Field| field.oneof == Some(from_oneof) && !known.contains(&field.number);
+    let known_numbers: Vec<u32> = written_members().map(|field| field.number).collect();
+    let is_unknown =
+        |field: &&Field| field.oneof == Some(from_oneof) && !known_numbers.contains(&field.number);
     if let Some(unknown) = writer.fields.values().find(is_unknown) {
-        let one = &reader.oneofs[oneof];
+        let reader_oneof = &reader.oneofs[oneof];
         differences.differences.push(Difference {
             rule: Rule::OneofMemberUnknown,
-            used: enum_values::unknown_impact(one.unknown),
+            used: enum_values::unknown_impact(reader_oneof.unknown),
             unused: Impact::Nothing,
-            at: Some(one.name.clone()),
+            element: Some(reader_oneof.name.clone()),
             detail: format!("{} may be written, its reader does not know it", unknown.name),
         });
     }
--- a/crates/schema-compat/src/comparison/context.rs
+++ b/crates/schema-compat/src/comparison/context.rs
@@ -1,17 +1,20 @@
-//! The state of a running comparison: which pairs of messages are queued, and which fields correspond.
+//! State of a running comparison: the queued pairs of messages, and which fields correspond.
 
 use crate::limits::MAX_MESSAGE_PAIRS;
 use crate::model::{Field, Message, Model};
 use crate::rules::Direction;
 use std::collections::HashMap;
 
-/// The two schemas under comparison and the pairs of messages met so far.
+/// The two schemas under comparison and the pairs of messages encountered so far.
 pub(crate) struct ComparisonContext<'a> {
     pub(crate) writer: &'a Model,
     pub(crate) reader: &'a Model,
     pub(crate) direction: Direction,
+    /// Index in `pairs` of each pair of a writer's and a reader's message.
     indexes: HashMap<(usize, usize), usize>,
+    /// Indexes of a writer's and a reader's message in their models, in the order of discovery.
     pub(crate) pairs: Vec<(usize, usize)>,
+    /// Whether a pair was left out because of [`MAX_MESSAGE_PAIRS`].
     pub(crate) exceeded: bool,
 }
 
@@ -36,22 +39,25 @@
         index
     }
 
-    /// Whether a writer's field is, by name, what the reader calls so.
+    /// Whether two fields are the same by name: the newer field has the older one's name or declares it as a
+    /// former one.
     fn is_same_field(&self, writer: &Field, reader: &Field) -> bool {
         match self.direction {
-            Direction::Down => writer.was(&reader.name),
-            _ => reader.was(&writer.name),
+            Direction::Down => writer.has_or_had_name(&reader.name),
+            _ => reader.has_or_had_name(&writer.name),
         }
     }
 
-    /// The writer's field that corresponds to the reader's: by number and name, or by a number declared as former.
+    /// The writer's field that corresponds to the reader's: by number and name, or by a number declared as
+    /// former.
     pub(crate) fn counterpart<'m>(&self, writer: &'m Message, reader: &Field) -> Option<&'m Field> {
-        let moved = |field: &&Field| match self.direction {
+        let is_renumbered = |field: &&Field| match self.direction {
             Direction::Down => field.former_numbers.contains(&reader.number),
             _ => reader.former_numbers.contains(&field.number),
         };
         let by_number = writer.fields.get(&reader.number).filter(|field| self.is_same_field(field, reader));
-        by_number
-            .or_else(|| writer.fields.values().filter(moved).find(|field| self.is_same_field(field, reader)))
+        by_number.or_else(|| {
+            writer.fields.values().filter(is_renumbered).find(|field| self.is_same_field(field, reader))
+        })
     }
 }
--- a/crates/schema-compat/src/comparison/conversion.rs
+++ b/crates/schema-compat/src/comparison/conversion.rs
@@ -1,40 +1,41 @@
-//! What a translation does to the fields and values of one message, as the comparison found it necessary.
+//! The steps of a translation: the conversions of one message's fields and values, as determined by the
+//! comparison.
 
-/// What is done with one value.
+/// Conversion of one value.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) enum ValueConversion {
     Keep,
-    /// Into the reader's type, exactly.
+    /// Converts the value exactly into the reader's type.
     Convert,
-    /// Enum numbers that the reader does not know, and what it gets for them.
+    /// Replaces enum numbers that the reader does not know: pairs of the written number and its replacement.
     Enum(Vec<(i32, i32)>),
-    /// A message, by the node of its pair.
+    /// Translates a message: index of its pair of messages.
     Child(usize),
 }
 
-/// What is done with one field.
+/// Conversion of one field.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) enum FieldConversion {
     Keep,
-    /// The reader could not decode it.
+    /// Drops the written field, which the reader could not decode.
     Drop,
-    /// Always this value, given as text.
+    /// Sets this value, given as text, whatever the record holds.
     Default(String),
     Value(ValueConversion),
-    /// A list of the one value.
+    /// Converts a single value to a list of one.
     Wrap(ValueConversion),
-    /// Keys and values of a map.
+    /// Converts the keys and the values of a map.
     Map(ValueConversion, ValueConversion),
 }
 
-/// One field of the reader.
+/// Translation step for one field of the reader.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct FieldStep {
-    /// The writer's number.
+    /// The writer's field number; `None` if the writer has no counterpart.
     pub(crate) from: Option<u32>,
-    /// The reader's.
+    /// The reader's field number.
     pub(crate) to: u32,
-    /// An absent field is written as the writer's default.
+    /// Whether an absent field is filled in with the writer's default.
     pub(crate) fill: bool,
     pub(crate) conversion: FieldConversion,
 }
--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -1,4 +1,4 @@
-//! The result of a comparison: what differs between a writer's and a reader's schema.
+//! The result of a comparison: the differences between a writer's and a reader's schema.
 
 use super::conversion::FieldStep;
 use crate::rules::{Direction, Rule};
@@ -22,10 +22,10 @@
     pub(crate) rule: Rule,
     /// The effect on a reader that uses the field.
     pub(crate) used: Impact,
-    /// The effect on a reader that only decodes past it.
+    /// The effect on a reader that decodes the field without using it.
     pub(crate) unused: Impact,
-    /// The last step of its path, if it is not the field's own.
-    pub(crate) at: Option<String>,
+    /// Name of the enum value or oneof that differs; `None` if the field or message itself differs.
+    pub(crate) element: Option<String>,
     pub(crate) detail: String,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct FieldComparison {
     pub(crate) name: String,
-    /// Counts as used whatever the reader declares.
+    /// Whether the field counts as used even if the reader does not declare it.
     pub(crate) needed: bool,
     pub(crate) differences: Vec<Difference>,
     /// Index of the pair of messages that the fields hold.
@@ -43,18 +43,21 @@
 /// A reader's message compared with a writer's.
 #[derive(Clone, Debug)]
 pub(crate) struct MessageComparison {
-    /// The reader's message.
+    /// Index of the reader's message in its model.
     pub(crate) reader: usize,
     pub(crate) differences: Vec<Difference>,
     pub(crate) fields: Vec<FieldComparison>,
     pub(crate) steps: Vec<FieldStep>,
 }
 
-/// A published message: the writer's and the reader's names, and where they are compared.
+/// Comparison of a published message.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordComparison {
+    /// The writer's message name; `None` if the writer does not publish the message.
     pub(crate) writer: Option<String>,
+    /// The reader's message name.
     pub(crate) reader: String,
+    /// Index of the pair of messages.
     pub(crate) node: Option<usize>,
     pub(crate) differences: Vec<Difference>,
 }
@@ -63,12 +66,13 @@
 pub(crate) struct SchemaComparison {
     pub(crate) direction: Direction,
     pub(crate) roots: Vec<RecordComparison>,
+    /// Comparisons by index of the pair of messages.
     pub(crate) nodes: Vec<MessageComparison>,
-    /// The comparison was stopped at a limit and proves nothing.
+    /// Whether the comparison stopped at a limit, so that the absence of differences proves nothing.
     pub(crate) exceeded: bool,
 }
 
-/// The differences of one field.
+/// Collects the differences of one field.
 #[derive(Default)]
 pub(crate) struct DifferenceList {
     pub(crate) differences: Vec<Difference>,
@@ -76,6 +80,6 @@
 
 impl DifferenceList {
     pub(crate) fn add(&mut self, rule: Rule, used: Impact, unused: Impact, detail: String) {
-        self.differences.push(Difference { rule, used, unused, at: None, detail });
+        self.differences.push(Difference { rule, used, unused, element: None, detail });
     }
 }
--- a/crates/schema-compat/src/comparison/field.rs
+++ b/crates/schema-compat/src/comparison/field.rs
@@ -8,7 +8,7 @@
 use crate::model::{Field, Message};
 use crate::rules::{Direction, Rule};
 
-/// Compares the reader's field `to` with what the writer's message has for it.
+/// Compares the reader's field `to` with its counterpart in the writer's message, if there is one.
 pub(crate) fn compare(
     context: &mut ComparisonContext,
     writer: &Message,
@@ -34,7 +34,7 @@
     }
     let is_default_declared = step.conversion != FieldConversion::Keep;
     if counterpart.is_none() && !is_default_declared && writer.fields.contains_key(&to.number) {
-        // The writer's field of this number is another one: the reader must not decode it.
+        // The writer uses this number for a different field, which the reader must not decode.
         step.from = Some(to.number);
         step.fill = false;
         step.conversion = FieldConversion::Drop;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Handles a field for which the writer has no counterpart.
+/// Compares a field for which the writer has no counterpart.
 fn compare_missing(
     context: &ComparisonContext,
     writer: &Message,
@@ -72,8 +72,8 @@
         differences.add(Rule::FieldNumberReused, Impact::Break, Impact::Break, detail);
         return;
     }
-    if let Some(moved) = writer.field_named(&to.name) {
-        let detail = format!("number {} is written for {}, not declared", moved.number, to.number);
+    if let Some(renumbered) = writer.field_named(&to.name) {
+        let detail = format!("number {} is written for {}, not declared", renumbered.number, to.number);
         differences.add(Rule::FieldRenumbered, Impact::Break, Impact::Note, detail);
         return;
     }
--- a/crates/schema-compat/src/comparison/field_values.rs
+++ b/crates/schema-compat/src/comparison/field_values.rs
@@ -1,4 +1,4 @@
-//! Types and cardinalities of a writer's and a reader's field, and the conversion between them.
+//! Compares the types and cardinalities of a writer's and a reader's field and determines the conversion.
 
 use super::context::ComparisonContext;
 use super::conversion::{FieldConversion, FieldStep, ValueConversion};
@@ -42,7 +42,7 @@
     };
     let child = child_of(&conversion);
     step.conversion = if becomes_list(from, to) {
-        step.fill = note_list_of_one(from, differences);
+        step.fill = report_list_of_one(from, differences);
         FieldConversion::Wrap(conversion)
     } else if conversion == ValueConversion::Keep {
         FieldConversion::Keep
@@ -78,8 +78,9 @@
 }
 
 /// Reports a single value that is read as a list of one; returns whether an absent value has to be filled in.
-fn note_list_of_one(from: &Field, differences: &mut DifferenceList) -> bool {
-    // Such a writer does not encode the default: the list of one value must not become empty.
+fn report_list_of_one(from: &Field, differences: &mut DifferenceList) -> bool {
+    // A writer without explicit presence does not encode the default: the list of one value must not become
+    // empty.
     let omits_default = !from.explicit && !from.kind.is_message();
     let used = if omits_default { Impact::Translate } else { Impact::Note };
     let detail = "one written, read as a list of one".into();
@@ -122,7 +123,7 @@
 ) -> Result<ValueConversion, IncompatibleTypes> {
     let detail = format!("{} written, {} read", from.kind.name(), to.kind.name());
     let mut add = |used, unused, detail| {
-        differences.push(Difference { rule: Rule::TypeReencoded, used, unused, at: None, detail });
+        differences.push(Difference { rule: Rule::TypeReencoded, used, unused, element: None, detail });
     };
     match fit(from.kind, written_domain(context, from), to.kind) {
         TypeFit::Same if from.kind == to.kind => Ok(ValueConversion::Keep),
--- a/crates/schema-compat/src/comparison/mod.rs
+++ b/crates/schema-compat/src/comparison/mod.rs
@@ -1,7 +1,9 @@
-//! A writer's schema compared with a reader's, field by field, whatever a particular reader uses of it.
+//! Compares a writer's schema with a reader's, field by field, independently of the fields that a reader
+//! uses.
 //!
-//! Messages correspond as on the wire: by the fields that hold them and by number, not by name. Each pair of messages is
-//! compared once, so that recursive types terminate; [`MAX_MESSAGE_PAIRS`](crate::limits::MAX_MESSAGE_PAIRS) bounds the rest.
+//! Messages correspond as on the wire: by the fields that hold them and by number, not by name. Each pair of
+//! messages is compared once, so that recursive types terminate;
+//! [`MAX_MESSAGE_PAIRS`](crate::limits::MAX_MESSAGE_PAIRS) bounds the number of pairs.
 
 mod constraints;
 mod context;
@@ -28,7 +30,7 @@
             rule: Rule::MeaningChanged,
             used: Impact::Break,
             unused: Impact::Note,
-            at: None,
+            element: None,
             detail: format!(
                 "message means {} to its writer and {} to its reader",
                 writer.meaning, reader.meaning
@@ -36,9 +38,12 @@
         });
     }
     for field in reader.fields.values() {
-        let (pair, step) = field::compare(context, writer, reader, field);
-        if pair.child.is_some() || pair.needed || !pair.differences.is_empty() {
-            comparison.fields.push(pair);
+        let (field_comparison, step) = field::compare(context, writer, reader, field);
+        if field_comparison.child.is_some()
+            || field_comparison.needed
+            || !field_comparison.differences.is_empty()
+        {
+            comparison.fields.push(field_comparison);
         }
         if step.conversion != FieldConversion::Keep
             || step.fill
@@ -50,7 +55,7 @@
     comparison
 }
 
-/// Compares what `writer` writes with what `reader` reads.
+/// Compares the records that `writer` writes with those that `reader` reads.
 pub(crate) fn compare(writer: &Model, reader: &Model, direction: Direction) -> SchemaComparison {
     let mut context = ComparisonContext::new(writer, reader, direction);
     let roots = reader.roots.iter().map(|&message| compare_record(&mut context, message)).collect();
@@ -67,20 +72,20 @@
     let read = &context.reader.messages[reader];
     let written = context.writer.message_named(&read.name).or_else(|| match context.direction {
         Direction::Down => {
-            let was = |one: &usize| context.writer.messages[*one].former_names.contains(&read.name);
-            context.writer.roots.iter().copied().find(was)
+            let had_name = |one: &usize| context.writer.messages[*one].former_names.contains(&read.name);
+            context.writer.roots.iter().copied().find(had_name)
         }
         _ => read.former_names.iter().find_map(|name| context.writer.message_named(name)),
     });
     let mut differences = Vec::new();
     let mut add = |rule, used, detail| {
-        differences.push(Difference { rule, used, unused: Impact::Note, at: None, detail })
+        differences.push(Difference { rule, used, unused: Impact::Note, element: None, detail })
     };
     let Some(written) = written else {
         if context.direction == Direction::Down {
-            let short = |name: &str| name.rsplit('.').next().unwrap_or_default().to_string();
-            let moved = context.writer.roots.iter().map(|&one| &context.writer.messages[one].name);
-            match moved.clone().find(|name| short(name) == short(&read.name)) {
+            let simple_name = |name: &str| name.rsplit('.').next().unwrap_or_default().to_string();
+            let written_names = context.writer.roots.iter().map(|&one| &context.writer.messages[one].name);
+            match written_names.clone().find(|name| simple_name(name) == simple_name(&read.name)) {
                 Some(name) => add(Rule::PackageRenamed, Impact::Break, format!("now {name}, not declared")),
                 None => add(Rule::MessageRemovedInUse, Impact::Break, "no longer published".into()),
             }
@@ -93,7 +98,7 @@
             rule: Rule::MessageRenamed,
             used: Impact::Translate,
             unused: Impact::Translate,
-            at: None,
+            element: None,
             detail: format!("written as {name}"),
         });
     }
--- a/crates/schema-compat/src/findings.rs
+++ b/crates/schema-compat/src/findings.rs
@@ -1,4 +1,4 @@
-//! Evaluates a comparison for one reader, by what that reader uses.
+//! Evaluates a comparison for one reader, according to the fields that the reader uses.
 
 use crate::comparison::difference::{Difference, Impact, SchemaComparison};
 use crate::limits::MAX_VISITED_PLACES;
@@ -7,11 +7,11 @@
 use crate::usage::{ReaderUsage, RecordEncoding, UsageNode, UsageTree};
 use std::collections::{BTreeSet, HashSet};
 
-/// Collects findings, each rule, path and detail once.
+/// Collects findings, each combination of rule, path and detail once.
 struct FindingCollector<'a> {
     comparison: &'a SchemaComparison,
     usage: &'a ReaderUsage,
-    found: Vec<Finding>,
+    findings: Vec<Finding>,
     reported: BTreeSet<(Rule, String, String)>,
 }
 
@@ -19,7 +19,7 @@
 struct Place {
     /// Index of the pair of messages.
     node: usize,
-    /// What the reader uses there.
+    /// The reader's use of the message.
     usage: UsageNode,
     path: String,
 }
@@ -31,25 +31,25 @@
         let node = &comparison.nodes[place.node];
         let is_used = place.usage != UsageNode::Unused;
         let separator = if place.path.contains('/') { '.' } else { '/' };
-        let holder = format!("{}{separator}", place.path);
+        let path_prefix = format!("{}{separator}", place.path);
         for name in tree.fields(place.usage) {
             if reader.messages[node.reader].field_named(name).is_none() {
                 let detail = "no such field in the reader's version";
-                self.report(Rule::UseUnknown, format!("{holder}{name}"), Severity::Break, detail);
+                self.report(Rule::UseUnknown, format!("{path_prefix}{name}"), Severity::Break, detail);
             }
         }
         for difference in &node.differences {
-            self.add_difference(difference, is_used, &place.path, &holder);
+            self.add_difference(difference, is_used, &place.path, &path_prefix);
         }
         for field in &node.fields {
-            // Needed only where the message that holds it is read at all.
+            // A needed field counts as used only where the reader uses the message that holds it.
             let usage = match tree.field(place.usage, &field.name) {
                 UsageNode::Unused if field.needed && is_used => UsageNode::All,
                 declared => declared,
             };
-            let path = format!("{holder}{}", field.name);
+            let path = format!("{path_prefix}{}", field.name);
             for difference in &field.differences {
-                self.add_difference(difference, usage != UsageNode::Unused, &path, &holder);
+                self.add_difference(difference, usage != UsageNode::Unused, &path, &path_prefix);
             }
             if let Some(child) = field.child {
                 pending.push(Place { node: child, usage, path });
@@ -58,7 +58,7 @@
     }
 
     /// Reports a difference with the severity that it has for this reader.
-    fn add_difference(&mut self, difference: &Difference, used: bool, path: &str, holder: &str) {
+    fn add_difference(&mut self, difference: &Difference, used: bool, path: &str, path_prefix: &str) {
         let severity = match if used { difference.used } else { difference.unused } {
             Impact::Nothing => return,
             Impact::Note => Severity::Note,
@@ -68,9 +68,9 @@
             Impact::Intolerant if self.usage.tolerant => Severity::Note,
             Impact::Intolerant | Impact::Break => Severity::Break,
         };
-        let path = match &difference.at {
-            Some(at) if difference.rule == Rule::OneofMemberUnknown => format!("{holder}{at}"),
-            Some(at) => format!("{path}#{at}"),
+        let path = match &difference.element {
+            Some(element) if difference.rule == Rule::OneofMemberUnknown => format!("{path_prefix}{element}"),
+            Some(element) => format!("{path}#{element}"),
             None => path.to_string(),
         };
         self.report(difference.rule, path, severity, &difference.detail);
@@ -79,7 +79,7 @@
     fn report(&mut self, rule: Rule, path: String, severity: Severity, detail: &str) {
         if self.reported.insert((rule, path.clone(), detail.to_string())) {
             let direction = self.comparison.direction;
-            self.found.push(Finding { rule, path, direction, severity, detail: detail.to_string() });
+            self.findings.push(Finding { rule, path, direction, severity, detail: detail.to_string() });
         }
     }
 }
@@ -91,7 +91,8 @@
     usage: &ReaderUsage,
 ) -> Vec<Finding> {
     let tree = UsageTree::of(usage);
-    let mut collector = FindingCollector { comparison, usage, found: Vec::new(), reported: BTreeSet::new() };
+    let mut collector =
+        FindingCollector { comparison, usage, findings: Vec::new(), reported: BTreeSet::new() };
     let mut visited: HashSet<(usize, UsageNode)> = HashSet::new();
     let mut pending: Vec<Place> = Vec::new();
     if comparison.exceeded {
@@ -99,7 +100,7 @@
             Rule::BoundExceeded,
             "".into(),
             Severity::Break,
-            "more pairs of messages than are compared",
+            "the comparison exceeds the limit of message pairs",
         );
     }
     for root in tree.roots().filter(|name| reader.message_named(name).is_none()) {
@@ -124,12 +125,12 @@
             continue;
         }
         if visited.len() > MAX_VISITED_PLACES {
-            let detail = "more places than are judged";
+            let detail = "the traversal exceeds the limit of visited places";
             collector.report(Rule::BoundExceeded, place.path, Severity::Break, detail);
             break;
         }
         collector.visit(&place, &tree, reader, &mut pending);
     }
-    collector.found.sort();
-    collector.found
+    collector.findings.sort();
+    collector.findings
 }
--- a/crates/schema-compat/src/model/mod.rs
+++ b/crates/schema-compat/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The input of the rules: descriptors and options in one flat form, within bounds.
+//! The model that the rules evaluate: descriptors and options in one flat form, within the limits.
 
 mod builder;
 
@@ -35,13 +35,13 @@
     pub(crate) name: String,
     pub(crate) kind: FieldType,
     pub(crate) cardinality: FieldCardinality,
-    /// Explicit presence: an absent field differs from one that is set to the default.
+    /// Whether the field has explicit presence: an absent field differs from one that is set to the default.
     pub(crate) explicit: bool,
     pub(crate) required: bool,
     pub(crate) packed: bool,
     /// Index into the message's real oneofs.
     pub(crate) oneof: Option<usize>,
-    /// The default in canonical text.
+    /// Canonical text of the default value.
     pub(crate) default: String,
     pub(crate) meaning: u32,
     pub(crate) min: Option<i64>,
@@ -55,12 +55,12 @@
 }
 
 impl Field {
-    /// Whether this field, by its name or a declared former one, is what an older version calls `name`.
-    pub(crate) fn was(&self, name: &str) -> bool {
+    /// Whether `name` is this field's name or a declared former one.
+    pub(crate) fn has_or_had_name(&self, name: &str) -> bool {
         self.name == name || self.former_names.iter().any(|former| former == name)
     }
 
-    /// How it is encoded.
+    /// The field's encoding on the wire.
     pub(crate) fn encoding(&self) -> FieldEncoding {
         FieldEncoding {
             field_type: self.kind,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The lowest and highest integer that a writer of this field writes; `None` if it does not hold integers.
+    /// The lowest and highest integer that a writer of this field writes; `None` if it does not hold
+    /// integers.
     pub(crate) fn integer_range(&self) -> Option<(i128, i128)> {
         match self.kind.domain() {
             ValueDomain::Integer(low, high) => Some((
@@ -90,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub(crate) name: String,
-    /// By number.
+    /// Fields by number.
     pub(crate) fields: BTreeMap<u32, Field>,
     pub(crate) oneofs: Vec<Oneof>,
     /// First and last number, both included.
@@ -98,10 +99,11 @@
     pub(crate) reserved_names: BTreeSet<String>,
     pub(crate) meaning: u32,
     pub(crate) former_names: Vec<String>,
-    /// Fields of earlier versions, and the text of the value that replaces them.
+    /// Names of fields of earlier versions, with the text of the value that replaces each.
     pub(crate) removed: BTreeMap<String, String>,
+    /// Whether the schema's options mark the message as a published record.
     record: bool,
-    /// Declared by the publisher: neither bundled with protobuf nor a map entry.
+    /// Whether the publisher declares the message: it is neither bundled with protobuf nor a map entry.
     own: bool,
 }
 
@@ -131,14 +133,14 @@
     /// First and last number, both included.
     pub(crate) reserved: Vec<(i32, i32)>,
     pub(crate) reserved_names: BTreeSet<String>,
-    /// A reader treats numbers that it does not know as absent (proto2).
+    /// Whether a reader treats unknown numbers as absent (proto2).
     pub(crate) closed: bool,
     pub(crate) unknown: UnknownValuePolicy,
     pub(crate) removed: BTreeMap<String, String>,
 }
 
 impl Enum {
-    pub(crate) fn named(&self, name: &str) -> Option<&EnumValue> {
+    pub(crate) fn value_named(&self, name: &str) -> Option<&EnumValue> {
         self.values.iter().find(|value| value.name == name)
     }
 }
@@ -147,8 +149,9 @@
 pub(crate) struct Model {
     pub(crate) messages: Vec<Message>,
     pub(crate) enums: Vec<Enum>,
+    /// Indexes of messages by full name.
     pub(crate) by_name: BTreeMap<String, usize>,
-    /// Messages that are published themselves, not only as parts of others.
+    /// Indexes of the messages that are published themselves, not only as parts of others.
     pub(crate) roots: Vec<usize>,
 }
 
@@ -157,21 +160,22 @@
         self.by_name.get(name).copied()
     }
 
-    /// Marked messages; without marks those that no other message refers to; where all are referred to, all.
+    /// The messages marked as records. If none is marked: those that no other message refers to, or all
+    /// messages if every one is referred to.
     fn find_roots(&self) -> Vec<usize> {
-        let own = || (0..self.messages.len()).filter(|&at| self.messages[at].own);
-        let marked: Vec<usize> = own().filter(|&at| self.messages[at].record).collect();
+        let own = || (0..self.messages.len()).filter(|&index| self.messages[index].own);
+        let marked: Vec<usize> = own().filter(|&index| self.messages[index].record).collect();
         if !marked.is_empty() {
             return marked;
         }
         let referenced: BTreeSet<usize> = (0..self.messages.len())
             .flat_map(|holder| self.messages[holder].fields.values().map(move |field| (holder, field.kind)))
             .filter_map(|(holder, kind)| match kind {
-                FieldType::Message(at) | FieldType::Group(at) if at != holder => Some(at),
+                FieldType::Message(index) | FieldType::Group(index) if index != holder => Some(index),
                 _ => None,
             })
             .collect();
-        let unreferenced: Vec<usize> = own().filter(|at| !referenced.contains(at)).collect();
+        let unreferenced: Vec<usize> = own().filter(|index| !referenced.contains(index)).collect();
         if unreferenced.is_empty() {
             own().collect()
         } else {
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -4,7 +4,7 @@
 use super::translations::direction;
 use super::violation_set::ViolationSet;
 use super::{CommandOutcome, CommandRejection, InvalidCommand, Registry, RegistryCommand, Subscription};
-use crate::check::read_by;
+use crate::check::reader_findings;
 use crate::limits::{LEASE_MARGIN_MS, MAX_LEASE_MS, MAX_NAME_BYTES, MAX_SUBSCRIBERS, MIN_LEASE_MS};
 use crate::rules::Direction;
 use crate::usage::ReaderUsage;
@@ -28,8 +28,8 @@
         Self::default()
     }
 
-    /// Applies one command at the journal's time `now_ms`, the time in the journal's entry. A time before one already
-    /// seen counts as that one. A rejected command leaves the state unchanged.
+    /// Applies one command at the journal's time `now_ms`, the time in the journal's entry. A time before one
+    /// already seen counts as that one. A rejected command leaves the state unchanged.
     pub fn apply(&mut self, now_ms: u64, command: RegistryCommand) -> CommandOutcome {
         self.apply_prepared(now_ms, PreparedCommand { command, schema: None })
     }
@@ -74,14 +74,14 @@
         if !self.subscriptions.contains_key(&key) && self.subscriptions.len() >= MAX_SUBSCRIBERS {
             return Err(limit_reached("subscribers", MAX_SUBSCRIBERS));
         }
-        // No schema in force breaks an existing subscription, so that an equal one needs no check: hundreds of subscribers
-        // reconnect at once when a manager fails.
+        // No schema in force breaks an existing subscription, so that an equal one needs no check: hundreds
+        // of subscribers reconnect at once when a manager fails.
         if !self.readers(&name).any(|(_, other)| other.version == version && other.usage == usage) {
             let mut violations = ViolationSet::default();
             // Its own version as well: the paths that it declares must exist there.
-            violations.add(&read_by(reader, reader, &usage, Direction::Down), &[&subscriber]);
+            violations.add(&reader_findings(reader, reader, &usage, Direction::Down), &[&subscriber]);
             for (written, one) in publisher.written().filter(|(written, _)| *written != version) {
-                let found = read_by(&one.schema, reader, &usage, direction(written, version));
+                let found = reader_findings(&one.schema, reader, &usage, direction(written, version));
                 violations.add(&found, &[&format!("{subscriber} at records of version {written}")]);
             }
             if let Some(rejection) = violations.into_rejection() {
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -5,7 +5,7 @@
 use super::translations::direction;
 use super::violation_set::ViolationSet;
 use super::{CommandOutcome, CommandRejection, InvalidCommand, Publisher, Registry, SchemaVersion};
-use crate::check::read_by;
+use crate::check::reader_findings;
 use crate::declaration::MigrationDeclaration;
 use crate::limits::{MAX_HISTORY_SYMBOLS, MAX_PUBLISHERS, MAX_VERSIONS};
 use crate::rules::Direction;
@@ -94,7 +94,7 @@
         if replayed {
             let usage = ReaderUsage::all().tolerant();
             for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let found = read_by(&one.schema, schema, &usage, Direction::Up);
+                let found = reader_findings(&one.schema, schema, &usage, Direction::Up);
                 let readers = format!("readers of version {version} at records of version {old}");
                 violations.add(&found, &[&readers]);
             }
@@ -120,7 +120,7 @@
             else {
                 continue;
             };
-            let findings = read_by(schema, &reader.schema, usage, direction(version, read_version));
+            let findings = reader_findings(schema, &reader.schema, usage, direction(version, read_version));
             violations.add(&findings, &subscribers);
         }
     }
