--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -1,5 +1,5 @@
-//! The cost of checks: `cargo run --release -p sprucelink-schema-compat --example measure`. Each figure is the minimum of
-//! several runs, because other load on the machine lengthens the rest.
+//! The cost of checks: `cargo run --release -p sprucelink-schema-compat --example measure`. Each figure is
+//! the minimum of several runs, because other load on the machine lengthens the rest.
 
 use sprucelink_schema_compat::check::{check, Directions};
 use sprucelink_schema_compat::rules::Direction;
@@ -14,8 +14,8 @@
 /// Number of subscribers: the registry's bound.
 const SUBSCRIBERS: u32 = 4_096;
 
-/// A record of 200 fields in ten messages; each version adds a field, the last an enum's value that old readers need
-/// translated.
+/// A record of 200 fields in ten messages; each version adds a field, the last an enum's value that old
+/// readers need translated.
 fn text(version: u32, last: bool) -> String {
     let mut text =
         "syntax = \"proto3\"; package m; import \"sprucelink/compat.proto\";\nmessage R {\n".to_string();
--- a/crates/schema-compat/src/declaration.rs
+++ b/crates/schema-compat/src/declaration.rs
@@ -1,5 +1,5 @@
-//! Migration declarations that accompany a schema: equivalent to the options in `.proto` text, for schemas whose text
-//! cannot be edited.
+//! Migration declarations that accompany a schema: equivalent to the options in `.proto` text, for schemas
+//! whose text cannot be edited.
 
 use crate::error::{check_limit, DeclarationError, SchemaError};
 use crate::limits::{MAX_DECLARATIONS, MAX_DECLARATION_BYTES};
@@ -77,11 +77,12 @@
 }
 
 impl Schema {
-    /// The same schema with declarations applied. The digest is unchanged: it identifies what publishers write.
+    /// The same schema with declarations applied. The digest is unchanged: it identifies what publishers
+    /// write.
     ///
     /// # Errors
-    /// A declaration that names a message, field or enum that the schema does not have; more than [`MAX_DECLARATIONS`], or
-    /// a text longer than [`MAX_DECLARATION_BYTES`] bytes.
+    /// A declaration that names a message, field or enum that the schema does not have; more than
+    /// [`MAX_DECLARATIONS`], or a text longer than [`MAX_DECLARATION_BYTES`] bytes.
     pub fn declare(mut self, declared: &[MigrationDeclaration]) -> Result<Self, SchemaError> {
         check_limit("declarations", declared.len(), MAX_DECLARATIONS)?;
         for one in declared {
--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -81,7 +81,8 @@
         text
     }
 
-    /// One JSON object: `verdict`, `old`, `new`, `findings` of `severity`, `rule`, `path`, `direction`, `detail`.
+    /// One JSON object: `verdict`, `old`, `new`, `findings` of `severity`, `rule`, `path`, `direction`,
+    /// `detail`.
     #[must_use]
     pub fn json(&self) -> String {
         let findings: Vec<_> = (self.findings.iter())
--- a/crates/schema-compat/src/field_type.rs
+++ b/crates/schema-compat/src/field_type.rs
@@ -1,10 +1,11 @@
 //! Field types: which share a wire encoding, and which values they can hold.
 //!
-//! The wire's classes are those of protobuf's encoding page. Two types that share a class decode each other's bytes;
-//! whether the value survives is a question of domains: `int32`, `uint32`, `int64`, `uint64`, `bool` and enums are all
-//! plain varints (a negative `int32` is written as ten bytes, so that it reads as the same `int64`), `sint32` and
-//! `sint64` are zigzag varints that a plain reader decodes as other numbers, `float` and `fixed32` share four bytes and
-//! nothing else, `string` and `bytes` share all but the guarantee of UTF-8.
+//! The wire's classes are those of protobuf's encoding page. Two types that share a class decode each other's
+//! bytes; whether the value survives is a question of domains: `int32`, `uint32`, `int64`, `uint64`, `bool`
+//! and enums are all plain varints (a negative `int32` is written as ten bytes, so that it reads as the same
+//! `int64`), `sint32` and `sint64` are zigzag varints that a plain reader decodes as other numbers, `float`
+//! and `fixed32` share four bytes and nothing else, `string` and `bytes` share all but the guarantee of
+//! UTF-8.
 
 /// A field's type.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -174,10 +175,12 @@
 
 /// Largest integer up to which a `float` represents every integer exactly (IEEE 754: 24 bits of significand).
 const MAX_EXACT_FLOAT_INTEGER: i128 = 1 << 24;
-/// Largest integer up to which a `double` represents every integer exactly (IEEE 754: 53 bits of significand).
+/// Largest integer up to which a `double` represents every integer exactly (IEEE 754: 53 bits of
+/// significand).
 const MAX_EXACT_DOUBLE_INTEGER: i128 = 1 << 53;
 
-/// How values of `writer` (narrowed to `from`) reach a reader of type `reader`. Messages are compared elsewhere.
+/// How values of `writer` (narrowed to `from`) reach a reader of type `reader`. Messages are compared
+/// elsewhere.
 pub(crate) fn fit(writer: FieldType, from: ValueDomain, reader: FieldType) -> TypeFit {
     let same_bytes = writer.class() == reader.class();
     let contained = match (from, reader.domain()) {
@@ -216,8 +219,8 @@
     pub(crate) is_packed: bool,
 }
 
-/// Whether a strict reader can decode whatever bytes a writer's field has. A strict reader fails the complete record on a
-/// wrong wire type or on bytes that are no UTF-8, as prost does.
+/// Whether a strict reader can decode whatever bytes a writer's field has. A strict reader fails the complete
+/// record on a wrong wire type or on bytes that are no UTF-8, as prost does.
 pub(crate) fn decodes(writer: FieldEncoding, reader: FieldEncoding) -> bool {
     let written = writer.field_type;
     let read = reader.field_type;
--- a/crates/schema-compat/src/lib.rs
+++ b/crates/schema-compat/src/lib.rs
@@ -1,10 +1,10 @@
 //! Schema compatibility: whether a publisher may change its schema while subscribers read it.
 //!
-//! A schema is a set of protobuf descriptors. [`check`](check::check) compares two of them for readers that use all or
-//! part of one; the result is *compatible*, *translatable* with a [`Translation`] of the writer's records into the
-//! reader's version, or *rejected* with path, rule and affected readers. [`Registry`] is a replicated state machine: it
-//! checks a proposed schema against every subscriber that holds a lease, and a new subscriber against every schema in
-//! force, within the journal entry that changes the state.
+//! A schema is a set of protobuf descriptors. [`check`](check::check) compares two of them for readers that
+//! use all or part of one; the result is *compatible*, *translatable* with a [`Translation`] of the writer's
+//! records into the reader's version, or *rejected* with path, rule and affected readers. [`Registry`] is a
+//! replicated state machine: it checks a proposed schema against every subscriber that holds a lease, and a
+//! new subscriber against every schema in force, within the journal entry that changes the state.
 //!
 //! The crate performs no input or output; time is an argument, and equal journals give equal states.
 //!
--- a/crates/schema-compat/src/limits.rs
+++ b/crates/schema-compat/src/limits.rs
@@ -1,6 +1,7 @@
 //! The limits of this crate. Exceeding one is an error or a rejection that names the limit.
 
-/// Bytes of `.proto` text, or of a descriptor set, that one schema may have. The fleet's own records need some 10 KB.
+/// Bytes of `.proto` text, or of a descriptor set, that one schema may have. The fleet's own records need
+/// some 10 KB.
 pub const MAX_SCHEMA_BYTES: usize = 256 * 1024;
 /// Files of one schema, without those that protobuf and this crate bring.
 pub const MAX_FILES: usize = 32;
@@ -12,11 +13,13 @@
 pub const MAX_FIELDS: usize = 4_096;
 /// Values of all enums of one schema.
 pub const MAX_ENUM_VALUES: usize = 4_096;
-/// Brackets open at once in `.proto` text, and messages declared within each other: the compiler recurses on both.
+/// Brackets open at once in `.proto` text, and messages declared within each other: the compiler recurses on
+/// both.
 pub const MAX_NESTING: usize = 16;
 /// Bytes of a full name.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Pairs of messages that one comparison visits: recursive types terminate on their own, this bounds the rest.
+/// Pairs of messages that one comparison visits: recursive types terminate on their own, this bounds the
+/// rest.
 pub const MAX_MESSAGE_PAIRS: usize = 4_096;
 /// Pairs of messages, each as one reader uses it, that one evaluation visits.
 pub const MAX_VISITED_PLACES: usize = 16_384;
@@ -51,9 +54,9 @@
 pub const MIN_LEASE_MS: u64 = 5_000;
 /// Longest lease, in ms: an unreachable subscriber of an old version blocks a change for at most this long.
 pub const MAX_LEASE_MS: u64 = 3_600_000;
-/// Grace period after a lease's end before it may be expired, in ms: covers the clock drift between two managers over
-/// the longest lease (500 ppm is 1.8 s) and a renewal that is still in flight.
+/// Grace period after a lease's end before it may be expired, in ms: covers the clock drift between two
+/// managers over the longest lease (500 ppm is 1.8 s) and a renewal that is still in flight.
 pub const LEASE_MARGIN_MS: u64 = 5_000;
-/// The edition of the rules. Replicas with different rules would derive different states from one journal: every change
-/// of a rule increments it, and a snapshot of another edition is rejected.
+/// The edition of the rules. Replicas with different rules would derive different states from one journal:
+/// every change of a rule increments it, and a snapshot of another edition is rejected.
 pub const RULES_EDITION: u32 = 1;
--- a/crates/schema-compat/src/registry/codec.rs
+++ b/crates/schema-compat/src/registry/codec.rs
@@ -190,7 +190,8 @@
     /// A command from the journal's bytes.
     ///
     /// # Errors
-    /// Bytes over [`MAX_COMMAND_BYTES`], that are not a command, or of a kind that this program does not know.
+    /// Bytes over [`MAX_COMMAND_BYTES`], that are not a command, or of a kind that this program does not
+    /// know.
     pub fn decode(bytes: &[u8]) -> Result<Self, CommandDecodeError> {
         if bytes.len() > MAX_COMMAND_BYTES {
             return Err(CommandDecodeError::TooLarge { bytes: bytes.len() });
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -1,9 +1,9 @@
 //! The replicated registry: schemas in force, the versions that subscribers read, and their leases.
 //!
-//! Every change is one [`RegistryCommand`] in the journal. [`Registry::apply`] checks and changes the state in one step:
-//! a schema is checked against exactly the subscriptions at its position in the journal, and a subscription against
-//! exactly the schemas in force there, whichever comes first. Invariant after every command: no schema in force breaks a
-//! subscriber in the state.
+//! Every change is one [`RegistryCommand`] in the journal. [`Registry::apply`] checks and changes the state
+//! in one step: a schema is checked against exactly the subscriptions at its position in the journal, and a
+//! subscription against exactly the schemas in force there, whichever comes first. Invariant after every
+//! command: no schema in force breaks a subscriber in the state.
 
 mod apply;
 pub mod codec;
@@ -33,8 +33,9 @@
 /// One change of the registry, as encoded in the journal ([`codec`]).
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RegistryCommand {
-    /// A publisher proposes a schema. Once accepted, it is in force beside the earlier ones until withdrawn. Proposing
-    /// the same schema and declarations again is idempotent while it is in force; after a withdrawal it is checked again.
+    /// A publisher proposes a schema. Once accepted, it is in force beside the earlier ones until withdrawn.
+    /// Proposing the same schema and declarations again is idempotent while it is in force; after a
+    /// withdrawal it is checked again.
     Propose {
         /// The publisher.
         publisher: String,
@@ -42,11 +43,12 @@
         schema: Vec<u8>,
         /// Declarations in addition to the schema's own options.
         translations: Vec<MigrationDeclaration>,
-        /// Whether records of all versions are retained and replayed to later readers; fixed by the first proposal.
+        /// Whether records of all versions are retained and replayed to later readers; fixed by the first
+        /// proposal.
         replayed: bool,
     },
-    /// A subscriber begins to read a version. If accepted, it replaces the subscriber's earlier subscription to the
-    /// publisher.
+    /// A subscriber begins to read a version. If accepted, it replaces the subscriber's earlier subscription
+    /// to the publisher.
     Subscribe {
         /// The subscriber.
         subscriber: String,
@@ -87,7 +89,8 @@
         /// The version.
         version: u32,
     },
-    /// Removes a withdrawn version of which no records are retained. Its numbers and names stay in the symbol history.
+    /// Removes a withdrawn version of which no records are retained. Its numbers and names stay in the symbol
+    /// history.
     Retire {
         /// The publisher.
         publisher: String,
@@ -242,8 +245,8 @@
     pub(crate) until_ms: u64,
 }
 
-/// The registry's state. Equal journals give equal registries, on every machine and in every process of the same
-/// [`crate::limits::RULES_EDITION`].
+/// The registry's state. Equal journals give equal registries, on every machine and in every process of the
+/// same [`crate::limits::RULES_EDITION`].
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     /// Shared copy-on-write between clones, so that a snapshot can be written from a clone.
--- a/crates/schema-compat/src/registry/prepared.rs
+++ b/crates/schema-compat/src/registry/prepared.rs
@@ -14,8 +14,8 @@
     schema.map(Arc::new)
 }
 
-/// A command whose schema, if it has one, is already read. Reading takes most of a proposal's time and needs no state, so
-/// that it can be done on another thread, and once for several registries.
+/// A command whose schema, if it has one, is already read. Reading takes most of a proposal's time and needs
+/// no state, so that it can be done on another thread, and once for several registries.
 #[derive(Clone, Debug)]
 pub struct PreparedCommand {
     pub(super) command: RegistryCommand,
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -75,8 +75,8 @@
         Some(&self.publishers.get(publisher)?.versions.get(&version)?.schema)
     }
 
-    /// The translation of records written by `from_version` for subscribers of `to_version`. None: no translation is
-    /// needed, or nobody is subscribed to that version.
+    /// The translation of records written by `from_version` for subscribers of `to_version`. None: no
+    /// translation is needed, or nobody is subscribed to that version.
     #[must_use]
     pub fn translation(&self, publisher: &str, from_version: u32, to_version: u32) -> Option<&Translation> {
         self.translations.get(&(publisher.to_string(), from_version, to_version))?.as_deref()
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -4,7 +4,8 @@
 
 macro_rules! rules {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// A rule. Its name is stable: logs, settings and operators speak of it by name (`docs/operators/schema-compat.md`).
+        /// A rule. Its name is stable: logs, settings and operators speak of it by name
+        /// (`docs/operators/schema-compat.md`).
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
         pub enum Rule { $($(#[$doc])* $variant,)* }
 
@@ -169,7 +170,8 @@
     pub path: String,
     /// The rule.
     pub rule: Rule,
-    /// Readers that would break: up to [`crate::limits::MAX_NAMED_READERS`] subscriber names, or the description of a version.
+    /// Readers that would break: up to [`crate::limits::MAX_NAMED_READERS`] subscriber names, or the
+    /// description of a version.
     pub affected: Vec<String>,
     /// How many readers would break.
     pub affected_count: usize,
--- a/crates/schema-compat/src/sample.rs
+++ b/crates/schema-compat/src/sample.rs
@@ -8,8 +8,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, HashMap};
 
-/// A record of the message `name`; the same seed gives the same record. None if the schema has no such message. Messages
-/// are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper ones stay absent, also where a reader needs them.
+/// A record of the message `name`; the same seed gives the same record. None if the schema has no such
+/// message. Messages are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper ones stay absent, also where a
+/// reader needs them.
 #[must_use]
 pub fn sample(schema: &Schema, name: &str, seed: u64) -> Option<DynamicMessage> {
     let descriptor = schema.message(name)?;
@@ -43,7 +44,8 @@
                 FieldCardinality::Map => self.map(&to, field, count, depth),
             };
             if let Some(value) = value {
-                // A value that does not fit its field would be a defect of this generator; the field stays absent.
+                // A value that does not fit its field would be a defect of this generator; the field stays
+                // absent.
                 let _ = made.try_set_field(&to, value);
             }
         }
--- a/crates/schema-compat/src/schema/bundled.rs
+++ b/crates/schema-compat/src/schema/bundled.rs
@@ -53,7 +53,8 @@
 }
 
 impl BundledFiles {
-    /// The bundled files that these imports need, transitively, each after its own imports; `but` excludes files.
+    /// The bundled files that these imports need, transitively, each after its own imports; `but` excludes
+    /// files.
     pub(super) fn needed(
         &self,
         imports: impl Iterator<Item = String>,
--- a/crates/schema-compat/src/schema/descriptor_set.rs
+++ b/crates/schema-compat/src/schema/descriptor_set.rs
@@ -34,8 +34,8 @@
         .map_err(|error| SchemaError::Descriptor(error.to_string()))
 }
 
-/// A pool of the files without the import of this crate's options, which would take most of a schema's memory. None if
-/// the files refer to their imports by index.
+/// A pool of the files without the import of this crate's options, which would take most of a schema's
+/// memory. None if the files refer to their imports by index.
 pub(super) fn pool_without_options(
     base: &BundledFiles,
     own: &[(String, DynamicMessage)],
--- a/crates/schema-compat/src/schema/mod.rs
+++ b/crates/schema-compat/src/schema/mod.rs
@@ -17,8 +17,9 @@
 
 pub use bundled::{OPTIONS_FILE, OPTIONS_TEXT};
 
-/// Identifies a schema: SHA-256 over its files' descriptors in order of their names, without source positions and without
-/// the files that protobuf and this crate bring. The same text compiled by another compiler may have another digest.
+/// Identifies a schema: SHA-256 over its files' descriptors in order of their names, without source positions
+/// and without the files that protobuf and this crate bring. The same text compiled by another compiler may
+/// have another digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 32]);
 
@@ -66,7 +67,8 @@
         if bundled.files.contains_key(&name) {
             continue;
         }
-        // The descriptor library accepts neither: it panics on another syntax and fails on a second file of the same name.
+        // The descriptor library accepts neither: it panics on another syntax and fails on a second file of
+        // the same name.
         if !["", "proto2", "proto3"].contains(&syntax.as_str()) {
             return Err(invalid(format!("file {name} has syntax {syntax}, proto2 and proto3 are taken")));
         }
@@ -90,8 +92,8 @@
         Self::from_texts(&[("schema.proto", text)])
     }
 
-    /// A schema of several files' texts, each with the name by which the others import it. Imports of protobuf's own
-    /// files and of [`OPTIONS_FILE`] need not be given.
+    /// A schema of several files' texts, each with the name by which the others import it. Imports of
+    /// protobuf's own files and of [`OPTIONS_FILE`] need not be given.
     ///
     /// # Errors
     /// A text that does not compile, with file and line; a limit that is exceeded.
--- a/crates/schema-compat/src/schema_options.rs
+++ b/crates/schema-compat/src/schema_options.rs
@@ -1,4 +1,5 @@
-//! Reads this crate's options from descriptors. An option that is absent or of another type counts as not given.
+//! Reads this crate's options from descriptors. An option that is absent or of another type counts as not
+//! given.
 
 use crate::error::SchemaError;
 use prost_reflect::{DescriptorPool, DynamicMessage, ExtensionDescriptor, Value};
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -1,5 +1,5 @@
-//! The numbers and names that any version of a publisher has used or reserved. It outlives the versions themselves, so
-//! that a retired number is never reused.
+//! The numbers and names that any version of a publisher has used or reserved. It outlives the versions
+//! themselves, so that a retired number is never reused.
 
 use crate::model::{Enum, Message, Model};
 use crate::rules::{Direction, Finding, Rule, Severity};
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -1,9 +1,9 @@
 //! Translates records of one schema version into another.
 //!
-//! Guarantees, which the tests check: (1) a field that neither a rule nor a declaration touches comes out as it went in,
-//! at every depth; (2) what the reader's version does not know stays as unknown fields, so that the way back restores it;
-//! (3) a converted value comes out exactly or the translation fails, it is never rounded or cut; (4) dropped fields,
-//! mapped enum values and filled-in defaults do not come back.
+//! Guarantees, which the tests check: (1) a field that neither a rule nor a declaration touches comes out as
+//! it went in, at every depth; (2) what the reader's version does not know stays as unknown fields, so that
+//! the way back restores it; (3) a converted value comes out exactly or the translation fails, it is never
+//! rounded or cut; (4) dropped fields, mapped enum values and filled-in defaults do not come back.
 
 use crate::comparison::compare;
 use crate::comparison::conversion::{FieldConversion, FieldStep, ValueConversion};
@@ -28,8 +28,8 @@
     pub detail: String,
 }
 
-/// Turns records of a writer's version into records of a reader's. The same for all readers of that version, whatever
-/// they use of it: fields that cannot be brought over are left out, and who uses them was refused.
+/// Turns records of a writer's version into records of a reader's. The same for all readers of that version,
+/// whatever they use of it: fields that cannot be brought over are left out, and who uses them was refused.
 #[derive(Clone, Debug)]
 pub struct Translation {
     /// By the writer's name: the reader's descriptor and the node.
@@ -47,7 +47,8 @@
 
     pub(crate) fn of(pair: &SchemaComparison, reader: &Schema) -> Self {
         let mut nodes: Vec<Vec<FieldStep>> = pair.nodes.iter().map(|node| node.steps.clone()).collect();
-        // Fields whose messages need nothing below need nothing: until no more are found, for types may be recursive.
+        // Fields whose messages need nothing below need nothing: until no more are found, for types may be
+        // recursive.
         let mut busy: Vec<bool> =
             nodes.iter().map(|steps| steps.iter().any(|step| child(step).is_none())).collect();
         loop {
@@ -130,7 +131,8 @@
             let value = value.ok_or_else(not_representable)?;
             set.push((field, value));
         }
-        // What is left goes as bytes: fields of the reader's find their place, all others stay as unknown ones.
+        // What is left goes as bytes: fields of the reader's find their place, all others stay as unknown
+        // ones.
         let mut out = DynamicMessage::decode(to.clone(), from.encode_to_vec().as_slice())
             .map_err(|error| wrong("", error.to_string()))?;
         for (field, value) in set {
@@ -163,7 +165,8 @@
         }
     }
 
-    /// A map whose keys and values have the reader's types. None: some key or value cannot be represented there.
+    /// A map whose keys and values have the reader's types. None: some key or value cannot be represented
+    /// there.
     fn map_value(
         &self,
         conversion: &ValueConversion,
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -14,14 +14,16 @@
     Json,
 }
 
-/// What a reader uses: everything in its version, or only the named paths. Fields marked `needed` are always used.
+/// What a reader uses: everything in its version, or only the named paths. Fields marked `needed` are always
+/// used.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ReaderUsage {
-    /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without fields stands
-    /// for the complete message, one that ends at a field of message type for all fields below it; map entries are not a step of their own
-    /// (`fleet.View/members.zone`). None: everything.
+    /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without
+    /// fields stands for the complete message, one that ends at a field of message type for all fields below
+    /// it; map entries are not a step of their own (`fleet.View/members.zone`). None: everything.
     pub paths: Option<BTreeSet<String>>,
-    /// Whether the reader tolerates unknown values of an open enum or a oneof where the schema does not specify it.
+    /// Whether the reader tolerates unknown values of an open enum or a oneof where the schema does not
+    /// specify it.
     pub tolerant: bool,
     /// The encoding of the records.
     pub encoding: RecordEncoding,
--- a/crates/schema-compat/tests/common/oracle.rs
+++ b/crates/schema-compat/tests/common/oracle.rs
@@ -123,7 +123,8 @@
     }
 }
 
-/// Exact for what samples hold: whole numbers beyond 53 bits are told apart by their digits where both are whole.
+/// Exact for what samples hold: whole numbers beyond 53 bits are told apart by their digits where both are
+/// whole.
 fn number(value: &Value) -> Option<f64> {
     Some(match value {
         Value::Bool(one) => f64::from(u8::from(*one)),
--- a/crates/schema-compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -81,7 +81,8 @@
     assert!(failed(&" ".repeat(300_000)).contains("bytes of text"));
     assert!(failed("syntax = \"proto3\"; message R { missing.Type a = 1; }").contains("does not compile"));
     assert!(failed("syntax = \"proto3\"; enum E { Z = 0; }").contains("no message"));
-    // Malformed bytes: every truncation and every changed byte of a valid set gives an error or a schema, never a panic.
+    // Malformed bytes: every truncation and every changed byte of a valid set gives an error or a schema,
+    // never a panic.
     let body = "message R { map<string, E> a = 1; oneof o { R r = 2; int64 n = 3; } optional bytes b = 4 [(f).min_length = 1];
         message In { repeated double d = 1; reserved 3; } In in = 5; } enum E { Z = 0; reserved 4; }";
     let set = schema(body).to_set().to_vec();
--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Explores all interleavings of three subscribers, three versions, two changes, crashes, leases and a leader with a wrong
-//! clock. The assertions are on what subscribers believe, not on what the registry reports.
+//! Explores all interleavings of three subscribers, three versions, two changes, crashes, leases and a leader
+//! with a wrong clock. The assertions are on what subscribers believe, not on what the registry reports.
 
 mod common;
 
@@ -12,8 +12,9 @@
 /// One step of time, in ms: a lease is one, its margin another.
 const TICK: u64 = LEASE_MARGIN_MS;
 
-/// Which reader of which version each schema breaks, written down by hand. Readers 0 and 1 use everything, reader 2 only
-/// `a`, from version 2 on `c` too. B removes `b`, C changes what `a` means: C breaks everybody before it.
+/// Which reader of which version each schema breaks, written down by hand. Readers 0 and 1 use everything,
+/// reader 2 only `a`, from version 2 on `c` too. B removes `b`, C changes what `a` means: C breaks everybody
+/// before it.
 const BREAKS: [(u32, u32, [bool; 3]); 6] = [
     (2, 1, [true, true, false]),
     (3, 1, [true, true, true]),
@@ -113,7 +114,8 @@
         }
     }
 
-    /// What the future depends on: time as what is left of leases, the two readers that use all in either order.
+    /// What the future depends on: time as what is left of leases, the two readers that use all in either
+    /// order.
     fn key(&self, world: &World) -> Vec<u8> {
         // Beyond a lease and its margin, longer is no other.
         let left = |until: u64| (until + TICK).saturating_sub(world.now) / TICK;
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Generated pairs of schemas and records: the guarantees of a compatibility result, checked on what a reader gets.
+//! Generated pairs of schemas and records: the guarantees of a compatibility result, checked on what a reader
+//! gets.
 
 mod common;
 
@@ -136,7 +137,8 @@
                 |what: &str| Err(TestCaseError::fail(format!("{what}\n{}--\n{}", old.body(), new.body())));
             if verdict == Severity::Note {
                 compatible.set(compatible.get() + 1);
-                // An old process that reads and forwards a record preserves everything, unknown fields included.
+                // An old process that reads and forwards a record preserves everything, unknown fields
+                // included.
                 let onward = read(&down.writer, &read(&down.reader, &record).unwrap()).unwrap();
                 if onward.encode_to_vec() != record.encode_to_vec() {
                     return fail("changed by an old process that passed it on");
