--- a/crates/schema-compat/src/convert.rs
+++ b/crates/schema-compat/src/convert.rs
@@ -2,7 +2,7 @@
 
 use prost_reflect::{EnumDescriptor, Kind, MapKey, Value};
 
-/// The value cannot be represented in the requested type.
+/// Error: the value cannot be represented in the requested type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NotRepresentable;
 
@@ -41,7 +41,7 @@
         Kind::Uint32 | Kind::Fixed32 => Value::U32(number.try_into().map_err(out_of_range)?),
         Kind::Uint64 | Kind::Fixed64 => Value::U64(number.try_into().map_err(out_of_range)?),
         Kind::Enum(_) => Value::EnumNumber(number.try_into().map_err(out_of_range)?),
-        // Only exact conversions: a rounded number would be another value.
+        // Only exact conversions: a rounded number would be a different value.
         Kind::Float if (number as f32) as i128 == number => Value::F32(number as f32),
         Kind::Double if (number as f64) as i128 == number => Value::F64(number as f64),
         _ => return Err(NotRepresentable),
--- a/crates/schema-compat/src/declaration.rs
+++ b/crates/schema-compat/src/declaration.rs
@@ -6,65 +6,65 @@
 use crate::model::{Enum, Field, Message, Model};
 use crate::schema::Schema;
 
-/// One declaration. Names are of the new schema, full ones for messages and enums.
+/// A migration declaration. Names refer to the new schema; messages and enums have their full names.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum MigrationDeclaration {
     /// A published message had another full name.
     MessageRenamed {
-        /// The message.
+        /// Full name of the message.
         message: String,
         /// Its former full name.
         former_name: String,
     },
     /// A field had another name.
     FieldRenamed {
-        /// The message.
+        /// Full name of the message.
         message: String,
-        /// The field.
+        /// Name of the field.
         field: String,
         /// Its former name.
         former_name: String,
     },
     /// A field had another number.
     FieldRenumbered {
-        /// The message.
+        /// Full name of the message.
         message: String,
-        /// The field.
+        /// Name of the field.
         field: String,
         /// Its former number.
         number: u32,
     },
-    /// Old readers of a removed field get this value.
+    /// Old readers of a removed field get the given value.
     RemovedFieldDefault {
-        /// The message.
+        /// Full name of the message.
         message: String,
-        /// The removed field.
+        /// Name of the removed field.
         field: String,
-        /// The value's text.
+        /// Text of the value.
         value: String,
     },
-    /// New readers get this value for a field in records older than it.
+    /// New readers get the given value for a field that older records lack.
     AddedFieldDefault {
-        /// The message.
+        /// Full name of the message.
         message: String,
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// The value's text.
+        /// Text of the value.
         value: String,
     },
-    /// Readers that do not know an enum's value, be it new or removed, get another.
+    /// Readers that do not know a new or removed enum value get another value.
     EnumValueFallback {
-        /// The enum.
+        /// Full name of the enum.
         enumeration: String,
-        /// The value that they do not know.
+        /// Name of the value that they do not know.
         value: String,
-        /// The value that they get instead.
+        /// Name of the value that they get instead.
         reads_as: String,
     },
 }
 
 impl MigrationDeclaration {
-    fn texts(&self) -> [&str; 3] {
+    fn strings(&self) -> [&str; 3] {
         match self {
             Self::MessageRenamed { message, former_name } => [message, former_name, ""],
             Self::FieldRenamed { message, field, former_name } => [message, field, former_name],
@@ -85,11 +85,11 @@
     /// [`MAX_DECLARATIONS`], or a text longer than [`MAX_DECLARATION_BYTES`] bytes.
     pub fn declare(mut self, declared: &[MigrationDeclaration]) -> Result<Self, SchemaError> {
         check_limit("declarations", declared.len(), MAX_DECLARATIONS)?;
-        for one in declared {
-            for text in one.texts() {
+        for declaration in declared {
+            for text in declaration.strings() {
                 check_limit("bytes in a declaration", text.len(), MAX_DECLARATION_BYTES)?;
             }
-            self.model.declare(one)?;
+            self.model.declare(declaration)?;
         }
         Ok(self)
     }
--- a/crates/schema-compat/src/error.rs
+++ b/crates/schema-compat/src/error.rs
@@ -12,24 +12,24 @@
     #[error("schema's descriptors are invalid: {0}")]
     Descriptor(String),
     /// A limit of [`crate::limits`] is exceeded.
-    #[error("schema has {actual} {what}, at most {limit} are taken")]
+    #[error("schema has {actual} {what}, at most {limit} are allowed")]
     LimitExceeded {
-        /// What there is too much of.
+        /// The counted quantity, in the plural: `fields`, `bytes of text`.
         what: &'static str,
-        /// How much there is.
+        /// The schema's count.
         actual: usize,
-        /// How much there may be.
+        /// The largest count allowed.
         limit: usize,
     },
-    /// The schema has no message that could be published.
+    /// The schema declares no message, so that there is nothing to publish.
     #[error("schema has no message")]
     Empty,
-    /// A declaration names something that the schema does not have.
-    #[error("schema's declarations: {0}")]
+    /// A migration declaration names something that the schema does not have.
+    #[error("invalid migration declaration: {0}")]
     Declaration(#[from] DeclarationError),
 }
 
-/// What a [`MigrationDeclaration`](crate::MigrationDeclaration) names although the schema does not have it.
+/// A name in a [`MigrationDeclaration`](crate::MigrationDeclaration) that the schema does not have.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeclarationError {
     /// No message of this full name.
--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -9,12 +9,12 @@
 use std::fmt::Write as _;
 use thiserror::Error;
 
-/// The report on a change.
+/// The compatibility report on a schema change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompatibilityReport {
-    /// The old schema.
+    /// Digest of the old schema.
     pub old: Digest,
-    /// The new schema.
+    /// Digest of the new schema.
     pub new: Digest,
     /// The highest severity of the findings.
     pub severity: Severity,
@@ -25,8 +25,8 @@
 /// Why a change cannot be explained.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ExplainError {
-    /// The declaration of use exceeds a limit.
-    #[error("schema's declarations: {0}")]
+    /// The usage declaration exceeds a limit.
+    #[error("invalid usage declaration: {0}")]
     Usage(#[from] UsageError),
     /// The old text is not a valid schema.
     #[error(transparent)]
@@ -36,10 +36,11 @@
     NewSchema(SchemaError),
 }
 
-/// Compares the change from one text to another, in both directions, for readers with `usage` of the old one.
+/// Checks the change from one schema text to another, in both directions, for readers with `usage` of the old
+/// one.
 ///
 /// # Errors
-/// The text that is not a valid schema, or a usage declaration over a limit.
+/// A text is not a valid schema, or the usage declaration exceeds a limit.
 pub fn explain(
     old_text: &str,
     new_text: &str,
@@ -59,7 +60,7 @@
 }
 
 impl CompatibilityReport {
-    /// `compatible`, `translatable` or `rejected`.
+    /// The name of the result: `compatible`, `translatable` or `rejected`.
     #[must_use]
     pub fn compatibility_name(&self) -> &'static str {
         match self.severity {
@@ -72,8 +73,13 @@
     /// A summary line, then one line per finding.
     #[must_use]
     pub fn text(&self) -> String {
-        let short = |digest: Digest| digest.to_string().chars().take(12).collect::<String>();
-        let mut text = format!("{}: {} to {}\n", self.compatibility_name(), short(self.old), short(self.new));
+        let short_digest = |digest: Digest| digest.to_string().chars().take(12).collect::<String>();
+        let mut text = format!(
+            "{}: {} to {}\n",
+            self.compatibility_name(),
+            short_digest(self.old),
+            short_digest(self.new)
+        );
         for finding in &self.findings {
             // Writing to a String does not fail.
             let _ = writeln!(text, "  {finding}");
--- a/crates/schema-compat/src/field_type.rs
+++ b/crates/schema-compat/src/field_type.rs
@@ -1,10 +1,10 @@
-//! Field types: which share a wire encoding, and which values they can hold.
+//! Field types: which of them share a wire encoding, and which values they can hold.
 //!
-//! The wire's classes are those of protobuf's encoding page. Two types that share a class decode each other's
-//! bytes; whether the value survives is a question of domains: `int32`, `uint32`, `int64`, `uint64`, `bool`
+//! The wire classes follow protobuf's encoding page. Two types that share a class decode each other's
+//! bytes; whether the value is preserved depends on the domains: `int32`, `uint32`, `int64`, `uint64`, `bool`
 //! and enums are all plain varints (a negative `int32` is written as ten bytes, so that it reads as the same
 //! `int64`), `sint32` and `sint64` are zigzag varints that a plain reader decodes as other numbers, `float`
-//! and `fixed32` share four bytes and nothing else, `string` and `bytes` share all but the guarantee of
+//! and `fixed32` share only the width of four bytes, `string` and `bytes` differ only in the guarantee of
 //! UTF-8.
 
 /// A field's type.
@@ -33,7 +33,7 @@
     Enum(usize),
 }
 
-/// Types that write equal values as equal bytes.
+/// A class of types that encode equal values as equal bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum WireClass {
     Varint,
@@ -47,7 +47,7 @@
     Group,
 }
 
-/// The three bits of a tag.
+/// The wire type, held in the low three bits of a tag.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum WireType {
     Varint,
@@ -57,7 +57,7 @@
     I32,
 }
 
-/// What a value can be.
+/// The set of values that a type can hold.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum ValueDomain {
     /// Integers from the first to the last, both included.
@@ -122,7 +122,8 @@
         }
     }
 
-    /// What the type alone lets a value be. Enums: whatever an `int32` holds, for the caller to narrow.
+    /// The values that the type alone allows. For an enum, this is the range of `int32`, which the caller
+    /// narrows.
     pub(crate) fn domain(self) -> ValueDomain {
         match self {
             FieldType::Int32 | FieldType::Sint32 | FieldType::Sfixed32 | FieldType::Enum(_) => {
@@ -154,8 +155,8 @@
         matches!(self, FieldType::Message(_) | FieldType::Group(_))
     }
 
-    /// Scalars that a repeated field may pack, and enums.
-    pub(crate) fn packs(self) -> bool {
+    /// Whether a repeated field of this type may be packed: scalars other than `string` and `bytes`, and enums.
+    pub(crate) fn is_packable(self) -> bool {
         !matches!(self.wire_type(), WireType::Len | WireType::Group)
     }
 }
@@ -179,12 +180,11 @@
 /// significand).
 const MAX_EXACT_DOUBLE_INTEGER: i128 = 1 << 53;
 
-/// How values of `writer` (narrowed to `from`) reach a reader of type `reader`. Messages are compared
-/// elsewhere.
+/// How values of type `writer`, narrowed to `from`, fit the type `reader`. Messages are compared elsewhere.
 pub(crate) fn fit(writer: FieldType, from: ValueDomain, reader: FieldType) -> TypeFit {
     let same_bytes = writer.class() == reader.class();
     let contained = match (from, reader.domain()) {
-        // A number does not determine which value of an enum it means.
+        // An integer does not determine which enum value is meant.
         (ValueDomain::Integer(..), _) if matches!(reader, FieldType::Enum(_)) => return TypeFit::Unrelated,
         (ValueDomain::Integer(low, high), ValueDomain::Integer(lower, upper)) => {
             lower <= low && high <= upper
@@ -209,25 +209,25 @@
     }
 }
 
-/// How a field is encoded.
+/// The wire encoding of a field.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct FieldEncoding {
     pub(crate) field_type: FieldType,
-    /// Whether it is a list or a map.
+    /// Whether the field is a list or a map.
     pub(crate) is_repeated: bool,
-    /// Whether a writer packs its elements; readers accept both forms.
+    /// Whether a writer packs the elements; readers accept both forms.
     pub(crate) is_packed: bool,
 }
 
 /// Whether a strict reader can decode whatever bytes a writer's field has. A strict reader fails the complete
-/// record on a wrong wire type or on bytes that are no UTF-8, as prost does.
+/// record on a wrong wire type or on bytes that are not UTF-8, as prost does.
 pub(crate) fn decodes(writer: FieldEncoding, reader: FieldEncoding) -> bool {
     let written = writer.field_type;
     let read = reader.field_type;
-    if writer.is_repeated && writer.is_packed && written.packs() {
+    if writer.is_repeated && writer.is_packed && written.is_packable() {
         return match read {
             FieldType::Bytes => true,
-            _ => reader.is_repeated && read.packs() && read.wire_type() == written.wire_type(),
+            _ => reader.is_repeated && read.is_packable() && read.wire_type() == written.wire_type(),
         };
     }
     if written.wire_type() != read.wire_type() {
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -1,10 +1,10 @@
-//! The rules by name, and the findings and violations that name them.
+//! The rules and their stable names, and the findings and violations that refer to them.
 
 use std::fmt;
 
 macro_rules! rules {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// A rule. Its name is stable: logs, settings and operators speak of it by name
+        /// A rule. Its name is stable: logs, settings and operators refer to it by name
         /// (`docs/operators/schema-compat.md`).
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
         pub enum Rule { $($(#[$doc])* $variant,)* }
@@ -23,25 +23,25 @@
 }
 
 rules! {
-    /// A field that readers use is gone.
+    /// A field that readers use was removed.
     FieldRemovedInUse = "FIELD_REMOVED_IN_USE",
-    /// A field has another number than before.
+    /// A field's number changed.
     FieldRenumbered = "FIELD_RENUMBERED",
-    /// A number is given to another field than the one that had it in any version.
+    /// A number that a field had in any version is reused for another field.
     FieldNumberReused = "FIELD_NUMBER_REUSED",
-    /// A name that a removed field had comes back under another number.
+    /// A removed field's name is reused with another number.
     FieldNameReused = "FIELD_NAME_REUSED",
-    /// A field has another name, declared.
+    /// A field or enum value has another name, as declared.
     FieldRenamed = "FIELD_RENAMED",
-    /// A field that readers cannot do without may be absent in what is written.
+    /// A field that readers need may be absent from written records.
     FieldNeededMissing = "FIELD_NEEDED_MISSING",
-    /// Types that have nothing in common, or only bytes.
+    /// The types have nothing in common, or only their encoding.
     TypeChanged = "TYPE_CHANGED",
     /// Some values of the written type cannot be represented in the read one.
     TypeNarrowed = "TYPE_NARROWED",
     /// Every value can be represented, but is encoded differently.
     TypeReencoded = "TYPE_REENCODED",
-    /// One value, many, or a map.
+    /// A field changed between a single value, a list and a map.
     CardinalityChanged = "CARDINALITY_CHANGED",
     /// Readers distinguish an absent field from the default, writers do not.
     PresenceChanged = "PRESENCE_CHANGED",
@@ -51,41 +51,41 @@
     OneofJoined = "ONEOF_JOINED",
     /// A oneof may hold a member that readers do not know.
     OneofMemberUnknown = "ONEOF_MEMBER_UNKNOWN",
-    /// New values lie outside of what old readers were promised.
+    /// New values may lie outside the range that old readers' version declares.
     RangeWidened = "RANGE_WIDENED",
-    /// Old values lie outside of what new readers are promised.
+    /// Old values may lie outside the range that new readers' version declares.
     RangeNarrowed = "RANGE_NARROWED",
-    /// New lengths lie outside of what old readers were promised.
+    /// New lengths may lie outside the range that old readers' version declares.
     LengthWidened = "LENGTH_WIDENED",
-    /// Old lengths lie outside of what new readers are promised.
+    /// Old lengths may lie outside the range that new readers' version declares.
     LengthNarrowed = "LENGTH_NARROWED",
     /// A number that some version reserved is used.
     ReservedNumberUsed = "RESERVED_NUMBER_USED",
     /// A name that some version reserved is used.
     ReservedNameUsed = "RESERVED_NAME_USED",
-    /// A reservation is gone.
+    /// A reservation of an earlier version was removed.
     ReservedDropped = "RESERVED_DROPPED",
     /// Old readers do not know an enum's new value.
     EnumValueAdded = "ENUM_VALUE_ADDED",
     /// New readers do not know a value that old records hold.
     EnumValueRemoved = "ENUM_VALUE_REMOVED",
-    /// An enum's number means another value.
+    /// An enum number stands for another value than before.
     EnumNumberReused = "ENUM_NUMBER_REUSED",
-    /// An enum's value has another number.
+    /// An enum value's number changed.
     EnumValueRenumbered = "ENUM_VALUE_RENUMBERED",
-    /// The publisher marked that the meaning changed.
+    /// The publisher declares that the meaning changed.
     MeaningChanged = "MEANING_CHANGED",
-    /// A published message is gone.
+    /// A message that readers use is no longer published.
     MessageRemovedInUse = "MESSAGE_REMOVED_IN_USE",
-    /// A published message has another name, declared.
+    /// A published message has another name, as declared.
     MessageRenamed = "MESSAGE_RENAMED",
-    /// A published message is in another package, not declared.
+    /// A published message moved to another package without a declaration.
     PackageRenamed = "PACKAGE_RENAMED",
-    /// A reader's declaration names what its version does not have.
+    /// A reader's usage declaration names a message or field that its version does not have.
     UseUnknown = "USE_UNKNOWN",
     /// The translation failed on a sample record.
     TranslationFailed = "TRANSLATION_FAILED",
-    /// The comparison would exceed a limit: counts as a break.
+    /// The comparison would exceed a limit, which counts as a break.
     BoundExceeded = "BOUND_EXCEEDED",
 }
 
@@ -95,19 +95,19 @@
     }
 }
 
-/// Who writes and who reads.
+/// Which of two versions writes and which reads.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Direction {
     /// The newer version writes, the older reads.
     Down,
     /// The older version writes (or wrote), the newer reads.
     Up,
-    /// Neither: the new schema against all that were before it.
+    /// The new schema is checked against all earlier ones, whoever reads.
     History,
 }
 
 impl Direction {
-    /// `down`, `up` or `history`.
+    /// The stable name: `down`, `up` or `history`.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -118,19 +118,19 @@
     }
 }
 
-/// The severity of a finding; the most severe one decides.
+/// The severity of a finding; the most severe finding determines the result of a check.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Severity {
     /// Informational: no reader breaks.
     Note,
     /// The reader needs a translation.
     Translate,
-    /// Breaks the reader.
+    /// The reader breaks.
     Break,
 }
 
 impl Severity {
-    /// `note`, `translate` or `break`.
+    /// The stable name: `note`, `translate` or `break`.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -146,11 +146,11 @@
 pub struct Finding {
     /// The rule.
     pub rule: Rule,
-    /// Where: `package.Message/field.field`, in the reader's names.
+    /// Path `package.Message/field.field`, in the reader's names.
     pub path: String,
-    /// Who writes and who reads.
+    /// The direction in which the finding applies.
     pub direction: Direction,
-    /// Its severity.
+    /// The effect on readers.
     pub severity: Severity,
     /// Description of the finding.
     pub detail: String,
@@ -166,14 +166,14 @@
 /// A rule that a rejected change or subscriber violates, with the readers that would break.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Violation {
-    /// Where, as in [`Finding::path`].
+    /// Path as in [`Finding::path`].
     pub path: String,
     /// The rule.
     pub rule: Rule,
     /// Readers that would break: up to [`crate::limits::MAX_NAMED_READERS`] subscriber names, or the
     /// description of a version.
     pub affected: Vec<String>,
-    /// How many readers would break.
+    /// Number of readers that would break; may exceed the number of names in `affected`.
     pub affected_count: usize,
     /// Description of the finding.
     pub detail: String,
