--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -107,7 +107,7 @@
 #[must_use]
 pub fn history_findings(before: &[&Schema], new: &Schema) -> Vec<Finding> {
     let mut symbol_history = SymbolHistory::default();
-    before.iter().for_each(|schema| symbol_history.absorb(&schema.model));
+    before.iter().for_each(|schema| symbol_history.record(&schema.model));
     symbol_history.check(&new.model)
 }
 
@@ -122,7 +122,7 @@
     let pair = compare(&writer.model, &reader.model, direction);
     let mut findings = findings_for_usage(&pair, &reader.model, usage);
     if worst_severity(&findings) == Severity::Translate {
-        let translation = Translation::of(&pair, reader);
+        let translation = Translation::from_comparison(&pair, reader);
         let opposite = if direction == Direction::Down { Direction::Up } else { Direction::Down };
         let inverse = Translation::between(reader, writer, opposite);
         findings.extend(test_translation(&translation, &inverse, writer, direction));
--- a/crates/schema-compat/src/field_type.rs
+++ b/crates/schema-compat/src/field_type.rs
@@ -155,7 +155,8 @@
         matches!(self, FieldType::Message(_) | FieldType::Group(_))
     }
 
-    /// Whether a repeated field of this type may be packed: scalars other than `string` and `bytes`, and enums.
+    /// Whether a repeated field of this type may be packed: scalars other than `string` and `bytes`, and
+    /// enums.
     pub(crate) fn is_packable(self) -> bool {
         !matches!(self.wire_type(), WireType::Len | WireType::Group)
     }
--- a/crates/schema-compat/src/findings.rs
+++ b/crates/schema-compat/src/findings.rs
@@ -90,7 +90,7 @@
     reader: &Model,
     usage: &ReaderUsage,
 ) -> Vec<Finding> {
-    let tree = UsageTree::of(usage);
+    let tree = UsageTree::from_usage(usage);
     let mut collector =
         FindingCollector { comparison, usage, findings: Vec::new(), reported: BTreeSet::new() };
     let mut visited: HashSet<(usize, UsageNode)> = HashSet::new();
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -129,7 +129,7 @@
 /// The publisher's symbol history with the schema's numbers and names.
 fn extended_history(publisher: &Publisher, schema: &Schema) -> Result<SymbolHistory, CommandRejection> {
     let mut symbol_history = publisher.symbol_history.clone();
-    symbol_history.absorb(&schema.model);
+    symbol_history.record(&schema.model);
     if symbol_history.size() > MAX_HISTORY_SYMBOLS {
         return Err(limit_reached("numbers and names of a publisher", MAX_HISTORY_SYMBOLS));
     }
--- a/crates/schema-compat/src/sample.rs
+++ b/crates/schema-compat/src/sample.rs
@@ -1,4 +1,5 @@
-//! Sample records, generated from a seed within the declared ranges of a schema and mostly near their ends.
+//! Sample records, generated from a seed within the declared ranges of a schema and mostly near the ends of
+//! the ranges.
 
 use crate::limits::{MAX_SAMPLE_DEPTH, MAX_SAMPLE_TEXT_BYTES};
 use crate::model::{Field, FieldCardinality, Model, MAP_KEY_NUMBER, MAP_VALUE_NUMBER};
@@ -9,14 +10,14 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// A record of the message `name`; the same seed gives the same record. None if the schema has no such
-/// message. Messages are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper ones stay absent, also where a
+/// message. Messages are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper ones stay absent, even where a
 /// reader needs them.
 #[must_use]
 pub fn sample(schema: &Schema, name: &str, seed: u64) -> Option<DynamicMessage> {
     let descriptor = schema.message(name)?;
-    let at = schema.model.message_named(name)?;
+    let message_index = schema.model.message_named(name)?;
     let mut generator = RecordGenerator { model: &schema.model, random: ChaCha8Rng::seed_from_u64(seed) };
-    Some(generator.message(&descriptor, at, MAX_SAMPLE_DEPTH))
+    Some(generator.message(&descriptor, message_index, MAX_SAMPLE_DEPTH))
 }
 
 struct RecordGenerator<'a> {
@@ -25,14 +26,19 @@
 }
 
 impl RecordGenerator<'_> {
-    fn message(&mut self, descriptor: &MessageDescriptor, at: usize, depth: usize) -> DynamicMessage {
-        let mut made = DynamicMessage::new(descriptor.clone());
-        let mut taken: BTreeSet<usize> = BTreeSet::new();
-        for field in self.model.messages[at].fields.values() {
+    fn message(
+        &mut self,
+        descriptor: &MessageDescriptor,
+        message_index: usize,
+        depth: usize,
+    ) -> DynamicMessage {
+        let mut record = DynamicMessage::new(descriptor.clone());
+        let mut set_oneofs: BTreeSet<usize> = BTreeSet::new();
+        for field in self.model.messages[message_index].fields.values() {
             let Some(to) = descriptor.get_field(field.number) else { continue };
             let present = field.required || self.random.gen_bool(0.8);
-            let deep = depth == 0 && field.kind.message_index().is_some();
-            if !present || deep || field.oneof.is_some_and(|oneof| !taken.insert(oneof)) {
+            let too_deep = depth == 0 && field.kind.message_index().is_some();
+            if !present || too_deep || field.oneof.is_some_and(|oneof| !set_oneofs.insert(oneof)) {
                 continue;
             }
             let count = self.between(field.min_length.unwrap_or(0), field.max_length.unwrap_or(3), 3);
@@ -46,10 +52,10 @@
             if let Some(value) = value {
                 // A value that does not fit its field would be a defect of this generator; the field stays
                 // absent.
-                let _ = made.try_set_field(&to, value);
+                let _ = record.try_set_field(&to, value);
             }
         }
-        made
+        record
     }
 
     fn map(&mut self, to: &FieldDescriptor, field: &Field, count: u64, depth: usize) -> Option<Value> {
@@ -68,8 +74,8 @@
 
     fn value(&mut self, to: &FieldDescriptor, field: &Field, depth: usize) -> Option<Value> {
         if let Some((low, high)) = field.integer_range() {
-            if let Kind::Enum(one) = to.kind() {
-                let values: Vec<i32> = one.values().map(|value| value.number()).collect();
+            if let Kind::Enum(descriptor) = to.kind() {
+                let values: Vec<i32> = descriptor.values().map(|value| value.number()).collect();
                 return Some(Value::EnumNumber(values[self.random.gen_range(0..values.len())]));
             }
             let number = self.integer(low, high);
@@ -89,25 +95,25 @@
                 self.random.fill_bytes(&mut bytes);
                 Value::Bytes(bytes.into())
             }
-            Kind::Message(below) => {
-                Value::Message(self.message(&below, field.kind.message_index()?, depth.checked_sub(1)?))
+            Kind::Message(nested) => {
+                Value::Message(self.message(&nested, field.kind.message_index()?, depth.checked_sub(1)?))
             }
             _ => return None,
         })
     }
 
     fn length(&mut self, field: &Field) -> u64 {
-        // The lengths of a repeated field are of its list, not of its entries.
-        let one = field.cardinality == FieldCardinality::Singular;
-        let low = field.min_length.filter(|_| one).unwrap_or(0);
+        // The declared lengths of a repeated field apply to its list, not to its elements.
+        let is_singular = field.cardinality == FieldCardinality::Singular;
+        let low = field.min_length.filter(|_| is_singular).unwrap_or(0);
         self.between(
             low,
-            field.max_length.filter(|_| one).unwrap_or(MAX_SAMPLE_TEXT_BYTES),
+            field.max_length.filter(|_| is_singular).unwrap_or(MAX_SAMPLE_TEXT_BYTES),
             MAX_SAMPLE_TEXT_BYTES,
         )
     }
 
-    /// From `low` to `high`, but no more than `span` above `low`.
+    /// A random number from `low` to `high`, but at most `low + span`.
     fn between(&mut self, low: u64, high: u64, span: u64) -> u64 {
         let high = high.min(low.saturating_add(span)).max(low);
         self.random.gen_range(low..=high)
--- a/crates/schema-compat/src/schema/bundled.rs
+++ b/crates/schema-compat/src/schema/bundled.rs
@@ -1,4 +1,4 @@
-//! The `.proto` files that protobuf and this crate bring, and the compiler that knows them.
+//! The `.proto` files bundled with protobuf and this crate, and a compiler that can import them.
 
 use crate::error::SchemaError;
 use prost_reflect::DescriptorPool;
@@ -25,23 +25,23 @@
     "wrappers",
 ];
 
-/// The files that protobuf and this crate bring.
+/// The files bundled with protobuf and this crate.
 pub(super) struct BundledFiles {
-    /// Those that every schema's options need.
+    /// The files that every schema's options need.
     pub(super) pool: DescriptorPool,
-    /// All of them by name: bytes, and what they import.
+    /// All bundled files by name: encoded bytes, and names of their imports.
     pub(super) files: BTreeMap<String, (Vec<u8>, Vec<String>)>,
 }
 
 /// The bundled files, compiled once per process.
 pub(super) fn bundled_files() -> Result<&'static BundledFiles, SchemaError> {
-    static BASE: OnceLock<Result<BundledFiles, SchemaError>> = OnceLock::new();
-    let made = BASE.get_or_init(|| {
-        let wrong = |error: protox::Error| SchemaError::Compile(error.to_string());
+    static BUNDLED: OnceLock<Result<BundledFiles, SchemaError>> = OnceLock::new();
+    let bundled = BUNDLED.get_or_init(|| {
+        let compile_error = |error: protox::Error| SchemaError::Compile(error.to_string());
         let mut compiler = compiler(&BTreeMap::new());
-        let pool = compiler.open_file(OPTIONS_FILE).map_err(wrong)?.descriptor_pool();
+        let pool = compiler.open_file(OPTIONS_FILE).map_err(compile_error)?.descriptor_pool();
         for name in GOOGLE_FILES {
-            compiler.open_file(format!("google/protobuf/{name}.proto")).map_err(wrong)?;
+            compiler.open_file(format!("google/protobuf/{name}.proto")).map_err(compile_error)?;
         }
         let file = |file: prost_reflect::FileDescriptor| {
             let imports = file.dependencies().map(|one| one.name().to_string()).collect();
@@ -49,33 +49,35 @@
         };
         Ok(BundledFiles { pool, files: compiler.descriptor_pool().files().map(file).collect() })
     });
-    made.as_ref().map_err(Clone::clone)
+    bundled.as_ref().map_err(Clone::clone)
 }
 
 impl BundledFiles {
-    /// The bundled files that these imports need, transitively, each after its own imports; `but` excludes
-    /// files.
+    /// The bundled files that these imports need, transitively, each after its own imports; files for which
+    /// `is_excluded` holds are left out.
     pub(super) fn needed(
         &self,
         imports: impl Iterator<Item = String>,
-        but: &dyn Fn(&str) -> bool,
+        is_excluded: &dyn Fn(&str) -> bool,
     ) -> Vec<Vec<u8>> {
         let mut order: Vec<&String> = Vec::new();
-        let mut todo: Vec<String> = imports.collect();
-        while let Some(name) = todo.pop() {
-            let Some((name, (_, below))) = self.files.get_key_value(&name).filter(|_| !but(&name)) else {
+        let mut pending: Vec<String> = imports.collect();
+        while let Some(name) = pending.pop() {
+            let Some((name, (_, file_imports))) =
+                self.files.get_key_value(&name).filter(|_| !is_excluded(&name))
+            else {
                 continue;
             };
             // Imported again at a deeper level: move it to the end, so that the reversed order puts it first.
             order.retain(|known| *known != name);
             order.push(name);
-            todo.extend(below.iter().cloned());
+            pending.extend(file_imports.iter().cloned());
         }
         order.iter().rev().map(|name| self.files[*name].0.clone()).collect()
     }
 }
 
-/// Resolves the given texts and this crate's options.
+/// Resolves imports to the given texts and this crate's options.
 struct TextResolver(BTreeMap<String, String>);
 
 impl FileResolver for TextResolver {
@@ -88,7 +90,7 @@
     }
 }
 
-/// A compiler of these texts by file name, with the bundled files to import.
+/// A compiler for the given texts by file name, which can import the bundled files.
 pub(super) fn compiler(texts: &BTreeMap<String, String>) -> protox::Compiler {
     let mut resolver = ChainFileResolver::new();
     resolver.add(TextResolver(texts.clone()));
--- a/crates/schema-compat/src/schema/descriptor_set.rs
+++ b/crates/schema-compat/src/schema/descriptor_set.rs
@@ -1,4 +1,4 @@
-//! Encoded descriptor sets: their raw form, imports, and pools made of them.
+//! Encoded descriptor sets: their raw form, their imports, and descriptor pools built from them.
 
 use super::bundled::{BundledFiles, OPTIONS_FILE};
 use crate::error::SchemaError;
@@ -37,14 +37,14 @@
 /// A pool of the files without the import of this crate's options, which would take most of a schema's
 /// memory. None if the files refer to their imports by index.
 pub(super) fn pool_without_options(
-    base: &BundledFiles,
+    bundled: &BundledFiles,
     own: &[(String, DynamicMessage)],
 ) -> Option<DescriptorPool> {
     let mut files = Vec::new();
     let mut needed = Vec::new();
     for (_, file) in own {
         let mut file = file.clone();
-        // Their values are indices into the imports, which would become wrong.
+        // These fields hold indexes into the imports, which would become wrong.
         if file.has_field_by_name("public_dependency") || file.has_field_by_name("weak_dependency") {
             return None;
         }
@@ -54,7 +54,7 @@
         files.push(file.encode_to_vec());
     }
     let mut pool = DescriptorPool::new();
-    let mut all = base.needed(needed.into_iter(), &|name| name == OPTIONS_FILE);
+    let mut all = bundled.needed(needed.into_iter(), &|name| name == OPTIONS_FILE);
     all.extend(files);
     add_files(&mut pool, all).ok().map(|()| pool)
 }
--- a/crates/schema-compat/src/schema/mod.rs
+++ b/crates/schema-compat/src/schema/mod.rs
@@ -18,7 +18,7 @@
 pub use bundled::{OPTIONS_FILE, OPTIONS_TEXT};
 
 /// Identifies a schema: SHA-256 over its files' descriptors in order of their names, without source positions
-/// and without the files that protobuf and this crate bring. The same text compiled by another compiler may
+/// and without the files bundled with protobuf and this crate. The same text compiled by another compiler may
 /// have another digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 32]);
@@ -35,7 +35,7 @@
     }
 }
 
-/// A publisher's schema. Cheap to clone in its descriptors, not in its model.
+/// A publisher's schema. A clone shares the descriptors and copies the model.
 #[derive(Clone)]
 pub struct Schema {
     pool: DescriptorPool,
@@ -55,8 +55,8 @@
     bundled: &BundledFiles,
     set: &RawDescriptorSet,
 ) -> Result<Vec<(String, DynamicMessage)>, SchemaError> {
-    let invalid = |why: String| SchemaError::Descriptor(why);
-    let file_form = bundled
+    let invalid = |reason: String| SchemaError::Descriptor(reason);
+    let file_descriptor = bundled
         .pool
         .get_message_by_name("google.protobuf.FileDescriptorProto")
         .ok_or_else(|| invalid("descriptor.proto lacks FileDescriptorProto".into()))?;
@@ -70,12 +70,12 @@
         // The descriptor library accepts neither: it panics on another syntax and fails on a second file of
         // the same name.
         if !["", "proto2", "proto3"].contains(&syntax.as_str()) {
-            return Err(invalid(format!("file {name} has syntax {syntax}, proto2 and proto3 are taken")));
+            return Err(invalid(format!("file {name} has syntax {syntax}, expected proto2 or proto3")));
         }
         if own.iter().any(|(known, _)| *known == name) {
             return Err(invalid(format!("two files are named {name}")));
         }
-        let mut file = DynamicMessage::decode(file_form.clone(), raw.as_slice())
+        let mut file = DynamicMessage::decode(file_descriptor.clone(), raw.as_slice())
             .map_err(|error| invalid(error.to_string()))?;
         file.clear_field_by_name("source_code_info");
         own.push((name, file));
@@ -84,7 +84,7 @@
 }
 
 impl Schema {
-    /// A schema of one file's text.
+    /// Compiles a schema from the text of one file.
     ///
     /// # Errors
     /// As [`Schema::from_texts`].
@@ -92,8 +92,8 @@
         Self::from_texts(&[("schema.proto", text)])
     }
 
-    /// A schema of several files' texts, each with the name by which the others import it. Imports of
-    /// protobuf's own files and of [`OPTIONS_FILE`] need not be given.
+    /// Compiles a schema from the texts of several files, each with the name by which the others import it.
+    /// Imports of protobuf's own files and of [`OPTIONS_FILE`] need not be given.
     ///
     /// # Errors
     /// A text that does not compile, with file and line; a limit that is exceeded.
@@ -111,18 +111,18 @@
         Self::from_set(&compiler.encode_file_descriptor_set())
     }
 
-    /// A schema of an encoded `google.protobuf.FileDescriptorSet`, with or without its imports.
+    /// Decodes a schema from an encoded `google.protobuf.FileDescriptorSet`, with or without its imports.
     ///
     /// # Errors
     /// Bytes that are not a valid set; a limit that is exceeded.
     pub fn from_set(bytes: &[u8]) -> Result<Self, SchemaError> {
-        let invalid = |why: String| SchemaError::Descriptor(why);
+        let invalid = |reason: String| SchemaError::Descriptor(reason);
         check_limit("bytes of descriptors", bytes.len(), 4 * MAX_SCHEMA_BYTES)?;
         let set = RawDescriptorSet::decode(bytes).map_err(|error| invalid(error.to_string()))?;
         let bundled = bundled_files()?;
         let mut own = own_files(bundled, &set)?;
         check_limit("files", own.len(), MAX_FILES)?;
-        own.sort_by(|one, other| one.0.cmp(&other.0));
+        own.sort_by(|left, right| left.0.cmp(&right.0));
         let encoded = || own.iter().map(|(_, file)| file.encode_to_vec());
         let bytes = RawDescriptorSet { file: encoded().collect() }.encode_to_vec();
         check_limit("bytes of descriptors", bytes.len(), MAX_SCHEMA_BYTES)?;
@@ -132,13 +132,13 @@
         let mut pool = bundled.pool.clone();
         add_files(&mut pool, all)?;
         let names: Vec<String> = own.iter().map(|(name, _)| name.clone()).collect();
-        let model = Model::of(&pool, &names)?;
+        let model = Model::from_pool(&pool, &names)?;
         let digest = Self::digest_of(&bytes);
         let pool = pool_without_options(bundled, &own).unwrap_or(pool);
         Ok(Self { pool, bytes, digest, model })
     }
 
-    /// The digest that a set would have if it is one that [`Schema::to_set`] gave.
+    /// The digest of the schema that an encoded set holds, provided that [`Schema::to_set`] returned the set.
     pub(crate) fn digest_of(set: &[u8]) -> Digest {
         Digest(Sha256::digest(set).into())
     }
--- a/crates/schema-compat/src/schema/nesting.rs
+++ b/crates/schema-compat/src/schema/nesting.rs
@@ -1,11 +1,11 @@
-//! How deeply the brackets of a `.proto` text nest, measured before the recursive compiler is given it.
+//! Nesting depth of the brackets in a `.proto` text, measured before the text reaches the recursive compiler.
 
 /// The greatest number of brackets open at once, outside of quotes and comments.
 pub(super) fn max_nesting(text: &str) -> usize {
     let mut depth = 0usize;
     let mut max_depth = 0usize;
-    let mut rest = text.bytes().peekable();
-    while let Some(byte) = rest.next() {
+    let mut bytes = text.bytes().peekable();
+    while let Some(byte) = bytes.next() {
         match byte {
             b'{' | b'[' | b'(' | b'<' => {
                 depth += 1;
@@ -13,19 +13,19 @@
             }
             b'}' | b']' | b')' | b'>' => depth = depth.saturating_sub(1),
             b'"' | b'\'' => {
-                while let Some(inner) = rest.next() {
+                while let Some(inner) = bytes.next() {
                     match inner {
-                        b'\\' => _ = rest.next(),
+                        b'\\' => _ = bytes.next(),
                         _ if inner == byte || inner == b'\n' => break,
                         _ => {}
                     }
                 }
             }
-            b'/' if rest.peek() == Some(&b'/') => while rest.next().is_some_and(|inner| inner != b'\n') {},
-            b'/' if rest.peek() == Some(&b'*') => {
-                rest.next();
+            b'/' if bytes.peek() == Some(&b'/') => while bytes.next().is_some_and(|inner| inner != b'\n') {},
+            b'/' if bytes.peek() == Some(&b'*') => {
+                bytes.next();
                 let mut last = 0;
-                for inner in rest.by_ref() {
+                for inner in bytes.by_ref() {
                     if last == b'*' && inner == b'/' {
                         break;
                     }
--- a/crates/schema-compat/src/schema_options.rs
+++ b/crates/schema-compat/src/schema_options.rs
@@ -1,5 +1,4 @@
-//! Reads this crate's options from descriptors. An option that is absent or of another type counts as not
-//! given.
+//! Reads this crate's options from descriptors. An option that is absent or of another type counts as absent.
 
 use crate::error::SchemaError;
 use prost_reflect::{DescriptorPool, DynamicMessage, ExtensionDescriptor, Value};
@@ -23,7 +22,7 @@
 }
 
 impl OptionExtensions {
-    pub(crate) fn of(pool: &DescriptorPool) -> Result<Self, SchemaError> {
+    pub(crate) fn from_pool(pool: &DescriptorPool) -> Result<Self, SchemaError> {
         let find = |name: &str| {
             pool.get_extension_by_name(&format!("sprucelink.compat.{name}"))
                 .ok_or_else(|| SchemaError::Descriptor(format!("option {name} is missing")))
@@ -38,18 +37,19 @@
     }
 }
 
-/// The value of one option message; none if the option is not given.
+/// The value of one option message; `None` if the option is absent.
 pub(crate) struct OptionValues(Option<DynamicMessage>);
 
 impl OptionValues {
-    pub(crate) fn of(options: &DynamicMessage, extension: &ExtensionDescriptor) -> Self {
+    pub(crate) fn from_options(options: &DynamicMessage, extension: &ExtensionDescriptor) -> Self {
         if !options.has_extension(extension) {
             return Self(None);
         }
         Self(options.get_extension(extension).as_message().cloned())
     }
 
-    fn given(&self, name: &str) -> Option<Value> {
+    /// The value of the option message's field, if it is set.
+    fn field(&self, name: &str) -> Option<Value> {
         let message = self.0.as_ref()?;
         message
             .has_field_by_name(name)
@@ -57,38 +57,38 @@
     }
 
     pub(crate) fn number(&self, name: &str) -> u32 {
-        self.given(name).and_then(|value| value.as_u32()).unwrap_or(0)
+        self.field(name).and_then(|value| value.as_u32()).unwrap_or(0)
     }
 
     pub(crate) fn signed(&self, name: &str) -> Option<i64> {
-        self.given(name)?.as_i64()
+        self.field(name)?.as_i64()
     }
 
     pub(crate) fn length(&self, name: &str) -> Option<u64> {
-        self.given(name)?.as_u64()
+        self.field(name)?.as_u64()
     }
 
     pub(crate) fn flag(&self, name: &str) -> bool {
-        self.given(name).and_then(|value| value.as_bool()).unwrap_or(false)
+        self.field(name).and_then(|value| value.as_bool()).unwrap_or(false)
     }
 
-    pub(crate) fn text(&self, name: &str) -> Option<String> {
-        self.given(name)?.as_str().map(str::to_string)
+    pub(crate) fn string(&self, name: &str) -> Option<String> {
+        self.field(name)?.as_str().map(str::to_string)
     }
 
-    pub(crate) fn texts(&self, name: &str) -> Vec<String> {
-        let Some(Value::List(list)) = self.given(name) else { return Vec::new() };
+    pub(crate) fn strings(&self, name: &str) -> Vec<String> {
+        let Some(Value::List(list)) = self.field(name) else { return Vec::new() };
         list.iter().filter_map(|value| value.as_str().map(str::to_string)).collect()
     }
 
     pub(crate) fn numbers(&self, name: &str) -> Vec<u32> {
-        let Some(Value::List(list)) = self.given(name) else { return Vec::new() };
+        let Some(Value::List(list)) = self.field(name) else { return Vec::new() };
         list.iter().filter_map(Value::as_u32).collect()
     }
 
     /// Removed names and their replacement values.
     pub(crate) fn removed(&self) -> Vec<(String, String)> {
-        let Some(Value::List(list)) = self.given("removed") else { return Vec::new() };
+        let Some(Value::List(list)) = self.field("removed") else { return Vec::new() };
         let text = |entry: &DynamicMessage, name: &str| {
             entry
                 .get_field_by_name(name)
@@ -101,8 +101,8 @@
             .collect()
     }
 
-    pub(crate) fn unknown(&self) -> UnknownValuePolicy {
-        match self.given("unknown").and_then(|value| value.as_enum_number()) {
+    pub(crate) fn unknown_value_policy(&self) -> UnknownValuePolicy {
+        match self.field("unknown").and_then(|value| value.as_enum_number()) {
             Some(1) => UnknownValuePolicy::Accepted,
             Some(2) => UnknownValuePolicy::Rejected,
             _ => UnknownValuePolicy::Unstated,
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -1,19 +1,19 @@
-//! The numbers and names that any version of a publisher has used or reserved. It outlives the versions
-//! themselves, so that a retired number is never reused.
+//! The numbers and names that any version of a publisher has used or reserved. The history outlives the
+//! versions themselves, so that a retired number is never reused.
 
 use crate::model::{Enum, Message, Model};
 use crate::rules::{Direction, Finding, Rule, Severity};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One message's or enum's history.
+/// The history of one message or enum.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct TypeHistory {
-    /// Every name that a number had.
+    /// Every name that each number had.
     pub(crate) names: BTreeMap<i64, BTreeSet<String>>,
     /// Reserved ranges: first and last number, both included.
     pub(crate) reserved: BTreeSet<(i64, i64)>,
     pub(crate) reserved_names: BTreeSet<String>,
-    /// Names in the version recorded last.
+    /// Names of members in the version recorded last.
     pub(crate) present: BTreeSet<String>,
 }
 
@@ -26,11 +26,11 @@
 /// The numbers, names and reservations of a message or an enum in a common form.
 struct TypeSymbols<'m> {
     name: &'m str,
-    former: &'m [String],
+    former_names: &'m [String],
     members: Vec<Member<'m>>,
     reserved: Vec<(i64, i64)>,
     reserved_names: &'m BTreeSet<String>,
-    /// The rule for a number that stood for another member.
+    /// The rule for a number that belonged to another member.
     number_reused: Rule,
     /// The rule for a member that had another number.
     renumbered: Rule,
@@ -60,7 +60,7 @@
 fn message_symbols(message: &Message) -> TypeSymbols<'_> {
     TypeSymbols {
         name: &message.name,
-        former: &message.former_names,
+        former_names: &message.former_names,
         members: (message.fields.values())
             .map(|field| Member {
                 number: i64::from(field.number),
@@ -79,7 +79,7 @@
 fn enum_symbols(one: &Enum) -> TypeSymbols<'_> {
     TypeSymbols {
         name: &one.name,
-        former: &[],
+        former_names: &[],
         members: (one.values.iter())
             .map(|value| Member {
                 number: i64::from(value.number),
@@ -111,11 +111,11 @@
     }
 
     /// Records the numbers and names of a version.
-    pub(crate) fn absorb(&mut self, model: &Model) {
+    pub(crate) fn record(&mut self, model: &Model) {
         for symbols in all_symbols(model) {
             // A renamed message inherits the history of its former name.
             let inherited: Vec<TypeHistory> =
-                symbols.former.iter().filter_map(|name| self.entries.get(name)).cloned().collect();
+                symbols.former_names.iter().filter_map(|name| self.entries.get(name)).cloned().collect();
             let entry = self.entries.entry(symbols.name.to_string()).or_default();
             for old in inherited {
                 entry.reserved.extend(old.reserved);
@@ -135,16 +135,17 @@
 
     /// Findings for numbers and names of a new version that earlier ones used or reserved otherwise.
     pub(crate) fn check(&self, model: &Model) -> Vec<Finding> {
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         for symbols in all_symbols(model) {
-            let entries = std::iter::once(symbols.name).chain(symbols.former.iter().map(String::as_str));
+            let entries =
+                std::iter::once(symbols.name).chain(symbols.former_names.iter().map(String::as_str));
             for entry in entries.filter_map(|name| self.entries.get(name)) {
-                entry.check(&symbols, &mut found);
+                entry.check(&symbols, &mut findings);
             }
         }
-        found.sort();
-        found.dedup();
-        found
+        findings.sort();
+        findings.dedup();
+        findings
     }
 }
 
@@ -156,48 +157,48 @@
 }
 
 impl TypeHistory {
-    fn check(&self, symbols: &TypeSymbols, found: &mut Vec<Finding>) {
+    fn check(&self, symbols: &TypeSymbols, findings: &mut Vec<Finding>) {
         for member in &symbols.members {
-            self.check_reservations(symbols, member, found);
-            self.check_reuse(symbols, member, found);
+            self.check_reservations(symbols, member, findings);
+            self.check_reuse(symbols, member, findings);
         }
         for &(first, last) in &self.reserved {
             if !symbols.reserves(first, last) {
                 let detail = format!("{first} to {last} were reserved");
-                found.push(finding(symbols, Rule::ReservedDropped, "", detail));
+                findings.push(finding(symbols, Rule::ReservedDropped, "", detail));
             }
         }
         for name in self.reserved_names.difference(symbols.reserved_names) {
             let detail = format!("the name {name} was reserved");
-            found.push(finding(symbols, Rule::ReservedDropped, "", detail));
+            findings.push(finding(symbols, Rule::ReservedDropped, "", detail));
         }
     }
 
     /// A member must not use a number or a name that some version reserved.
-    fn check_reservations(&self, symbols: &TypeSymbols, member: &Member, found: &mut Vec<Finding>) {
+    fn check_reservations(&self, symbols: &TypeSymbols, member: &Member, findings: &mut Vec<Finding>) {
         let number = member.number;
         if self.reserved.iter().any(|&(first, last)| first <= number && number <= last) {
             let detail = format!("number {number} was reserved");
-            found.push(finding(symbols, Rule::ReservedNumberUsed, member.name, detail));
+            findings.push(finding(symbols, Rule::ReservedNumberUsed, member.name, detail));
         }
         if self.reserved_names.contains(member.name) {
             let detail = "the name was reserved".to_string();
-            found.push(finding(symbols, Rule::ReservedNameUsed, member.name, detail));
+            findings.push(finding(symbols, Rule::ReservedNameUsed, member.name, detail));
         }
     }
 
     /// A number must keep its name, and a name its number, unless the change is declared.
-    fn check_reuse(&self, symbols: &TypeSymbols, member: &Member, found: &mut Vec<Finding>) {
+    fn check_reuse(&self, symbols: &TypeSymbols, member: &Member, findings: &mut Vec<Finding>) {
         let number = member.number;
         let is_known = |name: &String| name == member.name || member.former_names.contains(name);
         let other_name = self.names.get(&number).and_then(|names| names.iter().find(|name| !is_known(name)));
         if let Some(other_name) = other_name {
-            // Aliases of an enum share one number.
+            // Aliases of an enum value share one number.
             let is_alias =
                 symbols.members.iter().any(|one| one.number == number && one.name == other_name.as_str());
             if !is_alias {
                 let detail = format!("number {number} was {other_name}");
-                found.push(finding(symbols, symbols.number_reused, member.name, detail));
+                findings.push(finding(symbols, symbols.number_reused, member.name, detail));
             }
         }
         let is_declared =
@@ -208,7 +209,7 @@
             let is_present = self.present.contains(member.name);
             let rule = if is_present { symbols.renumbered } else { Rule::FieldNameReused };
             let detail = format!("had number {old}, now {number}");
-            found.push(finding(symbols, rule, member.name, detail));
+            findings.push(finding(symbols, rule, member.name, detail));
         }
     }
 }
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -1,9 +1,10 @@
 //! Translates records of one schema version into another.
 //!
-//! Guarantees, which the tests check: (1) a field that neither a rule nor a declaration touches comes out as
-//! it went in, at every depth; (2) what the reader's version does not know stays as unknown fields, so that
-//! the way back restores it; (3) a converted value comes out exactly or the translation fails, it is never
-//! rounded or cut; (4) dropped fields, mapped enum values and filled-in defaults do not come back.
+//! Guarantees, which the tests check: (1) a field that neither a rule nor a declaration touches is unchanged,
+//! at every depth; (2) data that the reader's version does not know is kept as unknown fields, so that
+//! translating back restores it; (3) a value is converted exactly or the translation fails; it is never
+//! rounded or truncated; (4) dropped fields, mapped enum values and filled-in defaults are not restored by
+//! translating back.
 
 use crate::comparison::compare;
 use crate::comparison::conversion::{FieldConversion, FieldStep, ValueConversion};
@@ -22,18 +23,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {detail}")]
 pub struct TranslateError {
-    /// The reader's field.
+    /// Path of the reader's field.
     pub path: String,
-    /// What went wrong.
+    /// Cause of the failure.
     pub detail: String,
 }
 
-/// Turns records of a writer's version into records of a reader's. The same for all readers of that version,
-/// whatever they use of it: fields that cannot be brought over are left out, and who uses them was refused.
+/// Translates records of a writer's version into a reader's version. It is the same for all readers of that
+/// version, whatever they use of it: fields that cannot be converted are left out, and readers that use them
+/// were rejected.
 #[derive(Clone, Debug)]
 pub struct Translation {
-    /// By the writer's name: the reader's descriptor and the node.
+    /// The reader's descriptor and the index in `nodes`, by the writer's message name.
     roots: BTreeMap<String, (MessageDescriptor, usize)>,
+    /// Steps by index of the pair of messages.
     nodes: Vec<Vec<FieldStep>>,
     changes: bool,
 }
@@ -42,28 +45,31 @@
     /// The translation from `writer` to `reader`; `direction` gives which of them is the newer.
     #[must_use]
     pub fn between(writer: &Schema, reader: &Schema, direction: Direction) -> Self {
-        Self::of(&compare(&writer.model, &reader.model, direction), reader)
+        Self::from_comparison(&compare(&writer.model, &reader.model, direction), reader)
     }
 
-    pub(crate) fn of(pair: &SchemaComparison, reader: &Schema) -> Self {
+    pub(crate) fn from_comparison(pair: &SchemaComparison, reader: &Schema) -> Self {
         let mut nodes: Vec<Vec<FieldStep>> = pair.nodes.iter().map(|node| node.steps.clone()).collect();
-        // Fields whose messages need nothing below need nothing: until no more are found, for types may be
-        // recursive.
-        let mut busy: Vec<bool> =
-            nodes.iter().map(|steps| steps.iter().any(|step| child(step).is_none())).collect();
+        // A field whose message needs no translation at any depth needs no step. Repeats until nothing
+        // changes, because types may be recursive.
+        let mut has_work: Vec<bool> =
+            nodes.iter().map(|steps| steps.iter().any(|step| child_node(step).is_none())).collect();
         loop {
             let next: Vec<bool> = (0..nodes.len())
-                .map(|at| {
-                    busy[at] || nodes[at].iter().any(|step| child(step).is_some_and(|below| busy[below]))
+                .map(|index| {
+                    has_work[index]
+                        || nodes[index]
+                            .iter()
+                            .any(|step| child_node(step).is_some_and(|child| has_work[child]))
                 })
                 .collect();
-            if next == busy {
+            if next == has_work {
                 break;
             }
-            busy = next;
+            has_work = next;
         }
         for steps in &mut nodes {
-            steps.retain(|step| child(step).is_none_or(|below| busy[below]));
+            steps.retain(|step| child_node(step).is_none_or(|child| has_work[child]));
         }
         let mut roots = BTreeMap::new();
         let mut changes = false;
@@ -73,22 +79,22 @@
             else {
                 continue;
             };
-            changes |= busy[node] || *written != root.reader;
+            changes |= has_work[node] || *written != root.reader;
             roots.insert(written.clone(), (descriptor, node));
         }
         Self { roots, nodes, changes }
     }
 
-    /// Whether any record comes out as other bytes than it went in, or under another name.
+    /// Whether the translation may change any record's bytes or message name.
     #[must_use]
     pub fn changes(&self) -> bool {
         self.changes
     }
 
-    /// The record in the reader's version; none if that version has no such record.
+    /// The record in the reader's version; `None` if that version does not have the record's message.
     ///
     /// # Errors
-    /// A value that has no like in the reader's type; a record of other descriptors than the writer's.
+    /// A value cannot be represented in the reader's type, or the record's descriptors are not the writer's.
     pub fn run(&self, record: &DynamicMessage) -> Result<Option<DynamicMessage>, TranslateError> {
         let Some((descriptor, node)) = self.roots.get(record.descriptor().full_name()) else {
             return Ok(None);
@@ -102,16 +108,19 @@
         mut from: DynamicMessage,
         to: &MessageDescriptor,
     ) -> Result<DynamicMessage, TranslateError> {
-        let wrong = |field: &str, detail: String| TranslateError {
+        let translate_error = |field: &str, detail: String| TranslateError {
             path: format!("{}/{field}", to.full_name()),
             detail,
         };
-        let mut set: Vec<(FieldDescriptor, Value)> = Vec::new();
+        let mut converted_fields: Vec<(FieldDescriptor, Value)> = Vec::new();
         for step in &self.nodes[node] {
-            let field = to.get_field(step.to).ok_or_else(|| wrong("", format!("no field {}", step.to)))?;
-            let not_representable = || wrong(field.name(), "no such value in the reader's type".into());
+            let field =
+                to.get_field(step.to).ok_or_else(|| translate_error("", format!("no field {}", step.to)))?;
+            let not_representable =
+                || translate_error(field.name(), "no such value in the reader's type".into());
             if let FieldConversion::Default(text) = &step.conversion {
-                set.push((field.clone(), parse(text, &field.kind()).map_err(|_| not_representable())?));
+                converted_fields
+                    .push((field.clone(), parse(text, &field.kind()).map_err(|_| not_representable())?));
                 continue;
             }
             let Some(written) = step.from.and_then(|number| from.descriptor().get_field(number)) else {
@@ -124,25 +133,25 @@
             let value = if from.has_field(&written) {
                 from.take_field(&written)
             } else {
-                (step.fill && unset(&from, &written)).then(|| written.default_value())
+                (step.fill && can_fill(&from, &written)).then(|| written.default_value())
             };
             let Some(value) = value else { continue };
             let value = self.field_value(&step.conversion, value, &field.kind())?;
             let value = value.ok_or_else(not_representable)?;
-            set.push((field, value));
+            converted_fields.push((field, value));
         }
-        // What is left goes as bytes: fields of the reader's find their place, all others stay as unknown
-        // ones.
+        // The remaining fields are copied as bytes: fields that the reader has are decoded, all others are
+        // kept as unknown fields.
         let mut out = DynamicMessage::decode(to.clone(), from.encode_to_vec().as_slice())
-            .map_err(|error| wrong("", error.to_string()))?;
-        for (field, value) in set {
+            .map_err(|error| translate_error("", error.to_string()))?;
+        for (field, value) in converted_fields {
             let name = field.name().to_string();
-            out.try_set_field(&field, value).map_err(|error| wrong(&name, error.to_string()))?;
+            out.try_set_field(&field, value).map_err(|error| translate_error(&name, error.to_string()))?;
         }
         Ok(out)
     }
 
-    /// The value of a complete field in the reader's type. None: it cannot be represented there.
+    /// The value of a complete field in the reader's type. None: it cannot be represented in it.
     fn field_value(
         &self,
         conversion: &FieldConversion,
@@ -185,7 +194,7 @@
         Ok(Some(Value::Map(converted)))
     }
 
-    /// A single value in the reader's type. None: it cannot be represented there.
+    /// A single value in the reader's type. None: it cannot be represented in it.
     fn value(
         &self,
         conversion: &ValueConversion,
@@ -194,7 +203,7 @@
     ) -> Result<Option<Value>, TranslateError> {
         Ok(match (conversion, value) {
             (ValueConversion::Keep, Value::Message(message)) => Some(Value::Message(message)),
-            // Types of the same class may still be of another width in memory.
+            // Types of the same wire class may differ in their width in memory.
             (ValueConversion::Keep | ValueConversion::Convert, value) => convert(&value, kind).ok(),
             (ValueConversion::Enum(map), Value::EnumNumber(number)) => {
                 let known = map.iter().find(|(from, _)| *from == number).map_or(number, |(_, to)| *to);
@@ -209,22 +218,22 @@
     }
 }
 
-/// Whether an absent field may be filled in: not where another member of its oneof is set.
-fn unset(from: &DynamicMessage, field: &FieldDescriptor) -> bool {
+/// Whether an absent field may be filled in: no member of its oneof is set.
+fn can_fill(from: &DynamicMessage, field: &FieldDescriptor) -> bool {
     match field.containing_oneof() {
         Some(oneof) if !oneof.is_synthetic() => !oneof.fields().any(|member| from.has_field(&member)),
         _ => true,
     }
 }
 
-/// The node that a step only hands on to.
-fn child(step: &FieldStep) -> Option<usize> {
+/// The index of the child message's node, if the step only translates that message.
+fn child_node(step: &FieldStep) -> Option<usize> {
     match &step.conversion {
-        FieldConversion::Value(ValueConversion::Child(at))
-        | FieldConversion::Map(ValueConversion::Keep, ValueConversion::Child(at))
+        FieldConversion::Value(ValueConversion::Child(index))
+        | FieldConversion::Map(ValueConversion::Keep, ValueConversion::Child(index))
             if !step.fill && step.from == Some(step.to) =>
         {
-            Some(*at)
+            Some(*index)
         }
         _ => None,
     }
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -14,13 +14,13 @@
     Json,
 }
 
-/// What a reader uses: everything in its version, or only the named paths. Fields marked `needed` are always
-/// used.
+/// The parts of its schema version that a reader uses: everything, or only the named paths. Fields marked
+/// `needed` are always used.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ReaderUsage {
     /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without
     /// fields stands for the complete message, one that ends at a field of message type for all fields below
-    /// it; map entries are not a step of their own (`fleet.View/members.zone`). None: everything.
+    /// it; a map entry is not a separate step (`fleet.View/members.zone`). `None`: everything.
     pub paths: Option<BTreeSet<String>>,
     /// Whether the reader tolerates unknown values of an open enum or a oneof where the schema does not
     /// specify it.
@@ -30,25 +30,25 @@
 }
 
 impl ReaderUsage {
-    /// A reader of everything, in binary form, that fails on unknown values.
+    /// Usage of a reader that uses everything, in binary form, and fails on unknown values.
     #[must_use]
     pub fn all() -> Self {
         Self::default()
     }
 
-    /// A reader of some paths, otherwise as [`ReaderUsage::all`].
+    /// Usage of a reader that uses only the given paths, otherwise as [`ReaderUsage::all`].
     #[must_use]
     pub fn of(paths: &[&str]) -> Self {
         Self { paths: Some(paths.iter().map(|path| path.to_string()).collect()), ..Self::default() }
     }
 
-    /// The same reader, tolerating unknown values.
+    /// The same usage by a reader that tolerates unknown values.
     #[must_use]
     pub fn tolerant(self) -> Self {
         Self { tolerant: true, ..self }
     }
 
-    /// The same reader, of records in JSON.
+    /// The same usage by a reader of records in JSON.
     #[must_use]
     pub fn json(self) -> Self {
         Self { encoding: RecordEncoding::Json, ..self }
@@ -74,75 +74,78 @@
     }
 }
 
-/// How many characters of an overlong path its error shows.
+/// Number of characters of an overlong path that its error shows.
 const SHOWN_PATH_CHARS: usize = 80;
 
-/// Why a declaration of use is rejected.
+/// Why a usage declaration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UsageError {
     /// More paths than [`MAX_USAGE_PATHS`].
-    #[error("{count} paths of use, at most {MAX_USAGE_PATHS} are taken")]
+    #[error("usage declaration has {count} paths, at most {MAX_USAGE_PATHS} are allowed")]
     TooManyPaths {
-        /// How many there are.
+        /// Number of declared paths.
         count: usize,
     },
     /// A path with more steps than [`MAX_PATH_STEPS`].
-    #[error("path of use {start} is longer than {MAX_PATH_STEPS} steps")]
+    #[error("usage path {start} is longer than {MAX_PATH_STEPS} steps")]
     PathTooLong {
         /// The first characters of the path.
         start: String,
     },
 }
 
-/// What a reader uses at one place of a traversal.
+/// A reader's use of one message or field during a traversal.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub(crate) enum UsageNode {
     Unused,
     All,
-    /// Some fields: index into the parts of the tree.
+    /// The reader uses some fields: index into the parts of the tree.
     Part(usize),
 }
 
 /// The paths of a usage declaration as a tree, for traversal alongside a schema.
 pub(crate) struct UsageTree {
+    /// Uses by field name, for each message of which some fields are used.
     parts: Vec<BTreeMap<String, UsageNode>>,
+    /// Uses by message name.
     roots: BTreeMap<String, UsageNode>,
+    /// Whether the reader uses everything.
     all: bool,
 }
 
 impl UsageTree {
-    pub(crate) fn of(usage: &ReaderUsage) -> Self {
+    pub(crate) fn from_usage(usage: &ReaderUsage) -> Self {
         let mut tree = Self { parts: Vec::new(), roots: BTreeMap::new(), all: usage.paths.is_none() };
         for path in usage.paths.iter().flatten() {
             let (root, fields) = path.split_once('/').unwrap_or((path, ""));
             let mut steps = fields.split('.').filter(|step| !step.is_empty()).peekable();
             let first = tree.roots.get(root).copied();
-            let mut here = match (first, steps.peek()) {
+            let mut current = match (first, steps.peek()) {
                 (Some(UsageNode::All), _) => continue,
                 (_, None) => {
                     tree.roots.insert(root.to_string(), UsageNode::All);
                     continue;
                 }
-                (Some(UsageNode::Part(at)), _) => at,
+                (Some(UsageNode::Part(part)), _) => part,
                 _ => {
-                    let at = tree.part();
-                    tree.roots.insert(root.to_string(), UsageNode::Part(at));
-                    at
+                    let part = tree.add_part();
+                    tree.roots.insert(root.to_string(), UsageNode::Part(part));
+                    part
                 }
             };
             while let Some(step) = steps.next() {
-                let below = tree.parts[here].get(step).copied();
-                here = match (below, steps.peek()) {
+                let child = tree.parts[current].get(step).copied();
+                current = match (child, steps.peek()) {
                     (Some(UsageNode::All), _) => break,
                     (_, None) => {
-                        tree.parts[here].insert(step.to_string(), UsageNode::All);
+                        tree.parts[current].insert(step.to_string(), UsageNode::All);
                         break;
                     }
-                    (Some(UsageNode::Part(at)), _) => at,
+                    (Some(UsageNode::Part(part)), _) => part,
                     _ => {
-                        let at = tree.part();
-                        tree.parts[here].insert(step.to_string(), UsageNode::Part(at));
-                        at
+                        let part = tree.add_part();
+                        tree.parts[current].insert(step.to_string(), UsageNode::Part(part));
+                        part
                     }
                 };
             }
@@ -150,7 +153,7 @@
         tree
     }
 
-    fn part(&mut self) -> usize {
+    fn add_part(&mut self) -> usize {
         self.parts.push(BTreeMap::new());
         self.parts.len() - 1
     }
@@ -162,8 +165,8 @@
         self.roots.get(message).copied().unwrap_or(UsageNode::Unused)
     }
 
-    pub(crate) fn field(&self, at: UsageNode, field: &str) -> UsageNode {
-        match at {
+    pub(crate) fn field(&self, message: UsageNode, field: &str) -> UsageNode {
+        match message {
             UsageNode::Part(part) => self.parts[part].get(field).copied().unwrap_or(UsageNode::Unused),
             other => other,
         }
@@ -174,9 +177,9 @@
         self.roots.keys()
     }
 
-    /// The declared field names at one place.
-    pub(crate) fn fields(&self, at: UsageNode) -> impl Iterator<Item = &String> {
-        let part = match at {
+    /// The declared field names of one message.
+    pub(crate) fn fields(&self, message: UsageNode) -> impl Iterator<Item = &String> {
+        let part = match message {
             UsageNode::Part(part) => self.parts.get(part),
             _ => None,
         };
