--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -28,16 +28,16 @@
         Self::default()
     }
 
-    /// Applies one command at the journal's time `now_ms`, the time in the journal's entry. A time before one
-    /// already seen counts as that one. A rejected command leaves the state unchanged.
+    /// Applies one command at the journal's time `now_ms`, the time in the journal's entry. A time earlier
+    /// than the latest one seen counts as the latest. A rejected command leaves the state unchanged.
     pub fn apply(&mut self, now_ms: u64, command: RegistryCommand) -> CommandOutcome {
         self.apply_prepared(now_ms, PreparedCommand { command, schema: None })
     }
 
-    /// As [`Registry::apply`], with the schema already read.
+    /// Applies a command as [`Registry::apply`] does, with the schema already decoded.
     pub fn apply_prepared(&mut self, now_ms: u64, prepared: PreparedCommand) -> CommandOutcome {
         self.now_ms = self.now_ms.max(now_ms);
-        let done = match prepared.command {
+        let result = match prepared.command {
             RegistryCommand::Propose { publisher, schema, translations, replayed } => {
                 self.propose(publisher, &schema, prepared.schema, translations, replayed)
             }
@@ -52,7 +52,7 @@
             RegistryCommand::Withdraw { publisher, version } => self.withdraw(&publisher, version),
             RegistryCommand::Retire { publisher, version } => self.retire(&publisher, version),
         };
-        done.unwrap_or_else(CommandOutcome::Rejected)
+        result.unwrap_or_else(CommandOutcome::Rejected)
     }
 
     fn subscribe(
@@ -78,11 +78,11 @@
         // of subscribers reconnect at once when a manager fails.
         if !self.readers(&name).any(|(_, other)| other.version == version && other.usage == usage) {
             let mut violations = ViolationSet::default();
-            // Its own version as well: the paths that it declares must exist there.
+            // The subscriber's own version is checked as well: the declared paths must exist in it.
             violations.add(&reader_findings(reader, reader, &usage, Direction::Down), &[&subscriber]);
-            for (written, one) in publisher.written().filter(|(written, _)| *written != version) {
-                let found = reader_findings(&one.schema, reader, &usage, direction(written, version));
-                violations.add(&found, &[&format!("{subscriber} at records of version {written}")]);
+            for (written, one) in publisher.written_versions().filter(|(written, _)| *written != version) {
+                let findings = reader_findings(&one.schema, reader, &usage, direction(written, version));
+                violations.add(&findings, &[&format!("{subscriber} reading records of version {written}")]);
             }
             if let Some(rejection) = violations.into_rejection() {
                 return Err(rejection);
@@ -94,12 +94,12 @@
         if !was_read || previous.is_some_and(|previous| previous.version != version) {
             self.refresh_translations(&name);
         }
-        let to = |((publisher, from, to), one): (&(String, u32, u32), &Option<_>)| {
-            (*publisher == name && *to == version && one.is_some()).then_some(*from)
+        let writer_version = |((publisher, from, to), translation): (&(String, u32, u32), &Option<_>)| {
+            (*publisher == name && *to == version && translation.is_some()).then_some(*from)
         };
         Ok(CommandOutcome::Subscribed {
             until_ms,
-            translated: self.translations.iter().filter_map(to).collect(),
+            translated: self.translations.iter().filter_map(writer_version).collect(),
         })
     }
 
--- a/crates/schema-compat/src/registry/codec.rs
+++ b/crates/schema-compat/src/registry/codec.rs
@@ -10,33 +10,33 @@
 /// Maximum bytes of a command: those of a schema, and 256 for each declaration.
 pub const MAX_COMMAND_BYTES: usize = MAX_SCHEMA_BYTES + MAX_DECLARATIONS * 256;
 
-/// Why bytes are not a command.
+/// Why bytes cannot be decoded as a command.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum CommandDecodeError {
     /// More bytes than [`MAX_COMMAND_BYTES`].
-    #[error("op of {bytes} bytes, at most {MAX_COMMAND_BYTES} are taken")]
+    #[error("command of {bytes} bytes, at most {MAX_COMMAND_BYTES} are allowed")]
     TooLarge {
-        /// How many there are.
+        /// Size of the encoded command.
         bytes: usize,
     },
     /// The bytes are not a protobuf message of a command.
-    #[error("op: {0}")]
+    #[error("invalid command: {0}")]
     Malformed(#[from] prost::DecodeError),
     /// A command kind that this program does not know.
-    #[error("op of unknown kind {0}")]
+    #[error("command of unknown kind {0}")]
     UnknownCommandKind(u32),
     /// A declaration kind that this program does not know.
     #[error("declaration of unknown kind {0}")]
     UnknownDeclarationKind(u32),
-    /// A subscription that does not say what it uses.
-    #[error("subscription without uses")]
+    /// A subscription without a usage declaration.
+    #[error("subscription without a usage declaration")]
     MissingUsage,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct UsageRecord {
     #[prost(bool, tag = "1")]
-    some: bool,
+    has_paths: bool,
     #[prost(string, repeated, tag = "2")]
     paths: Vec<String>,
     #[prost(bool, tag = "3")]
@@ -45,7 +45,7 @@
     json: bool,
 }
 
-/// The common form of all declarations: a kind and the values that it needs.
+/// The common form of all declarations: a kind and the values that the kind needs.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct DeclarationRecord {
     #[prost(uint32, tag = "1")]
@@ -85,7 +85,7 @@
 impl From<&ReaderUsage> for UsageRecord {
     fn from(usage: &ReaderUsage) -> Self {
         Self {
-            some: usage.paths.is_some(),
+            has_paths: usage.paths.is_some(),
             paths: usage.paths.iter().flatten().cloned().collect(),
             tolerant: usage.tolerant,
             json: usage.encoding == RecordEncoding::Json,
@@ -96,7 +96,7 @@
 impl From<UsageRecord> for ReaderUsage {
     fn from(record: UsageRecord) -> Self {
         Self {
-            paths: record.some.then(|| record.paths.into_iter().collect()),
+            paths: record.has_paths.then(|| record.paths.into_iter().collect()),
             tolerant: record.tolerant,
             encoding: if record.json { RecordEncoding::Json } else { RecordEncoding::Binary },
         }
@@ -151,7 +151,7 @@
 }
 
 impl RegistryCommand {
-    /// The command as bytes for the journal.
+    /// Encodes the command for the journal.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let named = |kind, publisher: &String, subscriber: &String| CommandRecord {
@@ -160,13 +160,13 @@
             subscriber: subscriber.clone(),
             ..CommandRecord::default()
         };
-        let nobody = String::new();
+        let no_subscriber = String::new();
         let record = match self {
             RegistryCommand::Propose { publisher, schema, translations, replayed } => CommandRecord {
                 schema: schema.clone(),
                 translations: translations.iter().map(DeclarationRecord::from).collect(),
                 replayed: *replayed,
-                ..named(1, publisher, &nobody)
+                ..named(1, publisher, &no_subscriber)
             },
             RegistryCommand::Subscribe { subscriber, publisher, version, usage, lease_ms } => CommandRecord {
                 version: *version,
@@ -178,16 +178,16 @@
             RegistryCommand::Unsubscribe { subscriber, publisher } => named(4, publisher, subscriber),
             RegistryCommand::ExpireLease { subscriber, publisher } => named(5, publisher, subscriber),
             RegistryCommand::Withdraw { publisher, version } => {
-                CommandRecord { version: *version, ..named(6, publisher, &nobody) }
+                CommandRecord { version: *version, ..named(6, publisher, &no_subscriber) }
             }
             RegistryCommand::Retire { publisher, version } => {
-                CommandRecord { version: *version, ..named(7, publisher, &nobody) }
+                CommandRecord { version: *version, ..named(7, publisher, &no_subscriber) }
             }
         };
         record.encode_to_vec()
     }
 
-    /// A command from the journal's bytes.
+    /// Decodes a command from the journal's bytes.
     ///
     /// # Errors
     /// Bytes over [`MAX_COMMAND_BYTES`], that are not a command, or of a kind that this program does not
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -52,11 +52,11 @@
     Subscribe {
         /// The subscriber.
         subscriber: String,
-        /// Whose records it reads.
+        /// The publisher whose records it reads.
         publisher: String,
         /// The version that it reads, by its number in the registry.
         version: u32,
-        /// What it uses of that version.
+        /// The parts of that version that it uses.
         usage: ReaderUsage,
         /// Duration of the lease, in ms.
         lease_ms: u64,
@@ -89,8 +89,8 @@
         /// The version.
         version: u32,
     },
-    /// Removes a withdrawn version of which no records are retained. Its numbers and names stay in the symbol
-    /// history.
+    /// Removes a withdrawn version of which no records are retained. Its numbers and names stay in
+    /// the symbol history.
     Retire {
         /// The publisher.
         publisher: String,
@@ -106,22 +106,22 @@
     Accepted {
         /// The number of the version.
         version: u32,
-        /// Subscribed versions whose readers get translated records of it.
+        /// Subscribed versions whose readers receive translated records of the accepted version.
         translated: Vec<u32>,
     },
     /// The subscription is active.
     Subscribed {
         /// End of the lease by the journal's time, in ms; the margin comes on top.
         until_ms: u64,
-        /// Versions in force whose records it gets translated.
+        /// Versions in force whose records the subscriber receives translated.
         translated: Vec<u32>,
     },
     /// The lease is renewed.
     Renewed {
-        /// By the journal's time, in ms.
+        /// End of the lease by the journal's time, in ms.
         until_ms: u64,
     },
-    /// Unsubscribed, lease expired, withdrawn or retired.
+    /// The command unsubscribed, expired a lease, withdrew or retired as requested.
     Done,
     /// Rejected; the state is unchanged.
     Rejected(CommandRejection),
@@ -135,7 +135,7 @@
     BreaksReaders {
         /// Up to [`crate::limits::MAX_VIOLATIONS`] of the violations.
         violations: Vec<Violation>,
-        /// How many there were.
+        /// Total number of violations.
         count: usize,
     },
     /// The command itself is invalid.
@@ -147,24 +147,24 @@
     /// The publisher has no such version, or it was retired.
     #[error("no such version")]
     UnknownVersion,
-    /// No such subscriber: its lease has expired, and it must subscribe again.
-    #[error("no such subscriber, its lease has ended")]
+    /// No such subscriber. If its lease has expired, it must subscribe again.
+    #[error("no such subscriber, or its lease has expired")]
     UnknownSubscriber,
     /// The lease and its margin have not expired.
-    #[error("the lease runs until {until_ms}")]
+    #[error("the lease and its margin run until {until_ms} ms")]
     LeaseNotExpired {
-        /// By the journal's time, in ms.
+        /// End of the lease and its margin by the journal's time, in ms.
         until_ms: u64,
     },
     /// A version in force, or with subscribers, cannot be retired.
     #[error("the version is in use")]
     InUse,
     /// A limit of the registry is reached.
-    #[error("no room for more {what}, {limit} is the bound")]
+    #[error("limit reached: at most {limit} {what}")]
     LimitReached {
-        /// What there are too many of.
+        /// The counted items, in the plural.
         what: &'static str,
-        /// How many there may be.
+        /// The largest number allowed.
         limit: usize,
     },
 }
@@ -173,13 +173,13 @@
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum InvalidCommand {
     /// The name of a publisher or subscriber is empty, too long, or has control characters.
-    #[error("a name needs 1 to {MAX_NAME_BYTES} bytes without control characters")]
+    #[error("a name must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     Name,
     /// The lease is shorter than [`MIN_LEASE_MS`] or longer than [`MAX_LEASE_MS`].
-    #[error("a lease is {MIN_LEASE_MS} to {MAX_LEASE_MS} ms")]
+    #[error("a lease must last {MIN_LEASE_MS} to {MAX_LEASE_MS} ms")]
     LeaseOutOfRange,
-    /// The publisher's first proposal said otherwise whether records are replayed.
-    #[error("whether records are replayed is said once, by the first proposal")]
+    /// The proposal's `replayed` differs from that of the publisher's first proposal.
+    #[error("the first proposal determines whether records are replayed, and it cannot be changed")]
     ReplayChanged,
     /// The same schema was accepted with other declarations.
     #[error("this schema was accepted with other declarations")]
@@ -187,13 +187,13 @@
     /// The schema or one of its declarations is invalid.
     #[error(transparent)]
     Schema(#[from] SchemaError),
-    /// The declaration of use exceeds a limit.
+    /// The usage declaration exceeds a limit.
     #[error(transparent)]
     Usage(#[from] UsageError),
 }
 
 fn format_violations(violations: &[Violation], count: usize) -> String {
-    let mut text = format!("{count} reasons");
+    let mut text = format!("{count} violations");
     for violation in violations {
         text.push_str("; ");
         text.push_str(&violation.to_string());
@@ -211,7 +211,7 @@
     pub(crate) in_force: bool,
 }
 
-/// One publisher.
+/// The state of one publisher.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Publisher {
     pub(crate) replayed: bool,
@@ -223,7 +223,7 @@
 
 impl Publisher {
     /// Versions whose records a reader may receive.
-    pub(crate) fn written(&self) -> impl Iterator<Item = (u32, &SchemaVersion)> {
+    pub(crate) fn written_versions(&self) -> impl Iterator<Item = (u32, &SchemaVersion)> {
         let replayed = self.replayed;
         self.versions
             .iter()
@@ -236,7 +236,7 @@
     }
 }
 
-/// One subscription.
+/// A subscriber's subscription to a publisher.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(crate) struct Subscription {
     pub(crate) version: u32,
@@ -251,10 +251,11 @@
 pub struct Registry {
     /// Shared copy-on-write between clones, so that a snapshot can be written from a clone.
     pub(crate) publishers: BTreeMap<String, Arc<Publisher>>,
-    /// By publisher and subscriber.
+    /// Subscriptions by publisher and subscriber.
     pub(crate) subscriptions: BTreeMap<(String, String), Subscription>,
-    /// The latest time of the journal that was seen: it never runs backwards.
+    /// The latest time seen in the journal, in ms; it never decreases.
     pub(crate) now_ms: u64,
-    /// Derived state: by publisher, writer's version and reader's version. None: records need no translation.
+    /// Derived state: translations by publisher, writer's version and reader's version; `None` if records
+    /// need no translation.
     pub(crate) translations: BTreeMap<(String, u32, u32), Option<Arc<Translation>>>,
 }
--- a/crates/schema-compat/src/registry/prepared.rs
+++ b/crates/schema-compat/src/registry/prepared.rs
@@ -1,4 +1,4 @@
-//! Commands whose schema is read before they are applied.
+//! Commands whose schema is decoded before they are applied.
 
 use super::RegistryCommand;
 use crate::declaration::MigrationDeclaration;
@@ -9,13 +9,13 @@
 /// A proposal's schema with its declarations applied.
 pub(super) type SchemaResult = Result<Arc<Schema>, SchemaError>;
 
-pub(super) fn read_schema(set: &[u8], declared: &[MigrationDeclaration]) -> SchemaResult {
+pub(super) fn decode_schema(set: &[u8], declared: &[MigrationDeclaration]) -> SchemaResult {
     let schema = Schema::from_set(set).and_then(|schema| schema.declare(declared));
     schema.map(Arc::new)
 }
 
-/// A command whose schema, if it has one, is already read. Reading takes most of a proposal's time and needs
-/// no state, so that it can be done on another thread, and once for several registries.
+/// A command whose schema, if it has one, is already decoded. Decoding takes most of a proposal's time and
+/// needs no state, so that it can be done on another thread, and once for several registries.
 #[derive(Clone, Debug)]
 pub struct PreparedCommand {
     pub(super) command: RegistryCommand,
@@ -23,11 +23,13 @@
 }
 
 impl RegistryCommand {
-    /// Reads the command's schema.
+    /// Decodes the command's schema.
     #[must_use]
     pub fn prepare(self) -> PreparedCommand {
         let schema = match &self {
-            RegistryCommand::Propose { schema, translations, .. } => Some(read_schema(schema, translations)),
+            RegistryCommand::Propose { schema, translations, .. } => {
+                Some(decode_schema(schema, translations))
+            }
             _ => None,
         };
         PreparedCommand { command: self, schema }
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -1,7 +1,7 @@
 //! Applies a proposal: checks the schema against history, readers and replayed records, and puts it in force.
 
 use super::apply::{check_name, limit_reached};
-use super::prepared::{read_schema, SchemaResult};
+use super::prepared::{decode_schema, SchemaResult};
 use super::translations::direction;
 use super::violation_set::ViolationSet;
 use super::{CommandOutcome, CommandRejection, InvalidCommand, Publisher, Registry, SchemaVersion};
@@ -20,7 +20,7 @@
         &mut self,
         name: String,
         set: &[u8],
-        read: Option<SchemaResult>,
+        prepared: Option<SchemaResult>,
         declared: Vec<MigrationDeclaration>,
         replayed: bool,
     ) -> Result<CommandOutcome, CommandRejection> {
@@ -29,27 +29,30 @@
         self.check_publisher(known.map(Arc::as_ref), replayed)?;
         let empty = Publisher::default();
         let publisher = known.map_or(&empty, Arc::as_ref);
-        // Every process of a release proposes the same bytes: a known digest is not read again.
+        // Every process of a release proposes the same bytes: a schema of a known digest is not
+        // decoded again.
         let known_version = publisher.version_of(Schema::digest_of(set));
         let schema = match known_version {
             Some(version) => publisher.versions[&version].schema.clone(),
-            None => read.unwrap_or_else(|| read_schema(set, &declared)).map_err(InvalidCommand::from)?,
+            None => {
+                prepared.unwrap_or_else(|| decode_schema(set, &declared)).map_err(InvalidCommand::from)?
+            }
         };
-        let same = publisher.version_of(schema.digest());
-        if same.is_some_and(|version| publisher.versions[&version].declared != declared) {
+        let same_version = publisher.version_of(schema.digest());
+        if same_version.is_some_and(|version| publisher.versions[&version].declared != declared) {
             return Err(InvalidCommand::DeclarationsChanged.into());
         }
-        if let Some(version) = same.filter(|version| publisher.versions[version].in_force) {
+        if let Some(version) = same_version.filter(|version| publisher.versions[version].in_force) {
             return Ok(CommandOutcome::Accepted {
                 version,
                 translated: self.translated_from(&name, version),
             });
         }
-        if same.is_none() && publisher.versions.len() >= MAX_VERSIONS {
-            return Err(limit_reached("versions of a publisher: retire old ones", MAX_VERSIONS));
+        if same_version.is_none() && publisher.versions.len() >= MAX_VERSIONS {
+            return Err(limit_reached("versions of a publisher (retire old ones)", MAX_VERSIONS));
         }
-        let version = same.unwrap_or(publisher.newest + 1);
-        let is_new = same.is_none();
+        let version = same_version.unwrap_or(publisher.newest + 1);
+        let is_new = same_version.is_none();
         let violations = self.check_proposal(&name, publisher, version, is_new, &schema, replayed);
         if let Some(rejection) = violations.into_rejection() {
             return Err(rejection);
@@ -64,7 +67,7 @@
         Ok(CommandOutcome::Accepted { version, translated: self.translated_from(&name, version) })
     }
 
-    /// Whether the publisher may propose at all; `known` is `None` for a new one.
+    /// Checks that the publisher may propose at all; `known` is `None` for a new publisher.
     fn check_publisher(&self, known: Option<&Publisher>, replayed: bool) -> Result<(), CommandRejection> {
         match known {
             None if self.publishers.len() >= MAX_PUBLISHERS => {
@@ -94,9 +97,9 @@
         if replayed {
             let usage = ReaderUsage::all().tolerant();
             for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let found = reader_findings(&one.schema, schema, &usage, Direction::Up);
-                let readers = format!("readers of version {version} at records of version {old}");
-                violations.add(&found, &[&readers]);
+                let findings = reader_findings(&one.schema, schema, &usage, Direction::Up);
+                let readers = format!("readers of version {version} reading records of version {old}");
+                violations.add(&findings, &[&readers]);
             }
         }
         violations
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -9,33 +9,33 @@
 /// Why a schema must not be published.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum PublishError {
-    /// The publisher never proposed anything.
+    /// No schema of this publisher was ever accepted.
     #[error("no schema of this publisher was accepted")]
     UnknownPublisher,
     /// This schema was never accepted, or is retired.
     #[error("this schema was not accepted")]
     NeverAccepted,
-    /// The schema was withdrawn; the number of its version.
+    /// The schema was withdrawn. Holds its version number.
     #[error("this schema was withdrawn (version {0})")]
     Withdrawn(u32),
 }
 
-/// A version, as an operator sees it.
+/// A schema version, as reported to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct VersionInfo {
     /// The publisher.
     pub publisher: String,
     /// The version.
     pub version: u32,
-    /// Its schema.
+    /// Digest of its schema.
     pub digest: Digest,
     /// Whether it may be published.
     pub in_force: bool,
-    /// How many subscribers read it.
+    /// Number of subscribers that read the version.
     pub subscribers: usize,
 }
 
-/// A subscriber, as an operator sees it.
+/// A subscription, as reported to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SubscriberInfo {
     /// The subscriber.
@@ -75,7 +75,7 @@
         Some(&self.publishers.get(publisher)?.versions.get(&version)?.schema)
     }
 
-    /// The translation of records written by `from_version` for subscribers of `to_version`. None: no
+    /// The translation of records written by `from_version` for subscribers of `to_version`. `None` if no
     /// translation is needed, or nobody is subscribed to that version.
     #[must_use]
     pub fn translation(&self, publisher: &str, from_version: u32, to_version: u32) -> Option<&Translation> {
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why bytes are not a snapshot of this registry.
+/// Why bytes cannot be decoded as a snapshot of the registry.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum SnapshotError {
-    /// Written by a manager whose rules are of another edition.
-    #[error("snapshot by rules of edition {theirs}, here {ours}")]
+    /// The snapshot was written by a manager with another edition of the rules.
+    #[error("snapshot has rules edition {theirs}, expected edition {ours}")]
     Edition {
         /// The snapshot's edition.
         theirs: u32,
@@ -26,10 +26,10 @@
     #[error("snapshot: {0}")]
     Malformed(#[from] prost::DecodeError),
     /// More publishers or subscribers than the registry's limits.
-    #[error("snapshot: more publishers or subscribers than there may be")]
+    #[error("snapshot: more publishers or subscribers than the limits allow")]
     TooManyEntries,
     /// A publisher has more versions, or more numbers and names, than its limits.
-    #[error("snapshot: publisher {publisher} is over its bounds")]
+    #[error("snapshot: publisher {publisher} exceeds its limits")]
     PublisherTooLarge {
         /// Name of the publisher.
         publisher: String,
@@ -44,19 +44,19 @@
         publisher: String,
         /// Number of the version.
         version: u32,
-        /// What is wrong with the schema.
+        /// Cause of the failure.
         source: SchemaError,
     },
     /// A subscription names a version that the snapshot does not have.
-    #[error("snapshot: {subscriber} speaks a version of {publisher} that is not there")]
+    #[error("snapshot: {subscriber} reads a version of {publisher} that the snapshot does not have")]
     UnknownVersion {
         /// Name of the subscriber.
         subscriber: String,
         /// Name of the publisher.
         publisher: String,
     },
-    /// A subscription does not say what it uses.
-    #[error("snapshot: subscription without uses")]
+    /// A subscription has no usage declaration.
+    #[error("snapshot: subscription without a usage declaration")]
     MissingUsage,
 }
 
@@ -138,7 +138,7 @@
 }
 
 impl TypeHistoryRecord {
-    fn of(name: &str, entry: &TypeHistory) -> Self {
+    fn from_entry(name: &str, entry: &TypeHistory) -> Self {
         Self {
             name: name.to_string(),
             numbers: (entry.names.iter())
@@ -150,7 +150,7 @@
         }
     }
 
-    fn entry(self) -> (String, TypeHistory) {
+    fn into_entry(self) -> (String, TypeHistory) {
         let entry = TypeHistory {
             names: self
                 .numbers
@@ -166,12 +166,13 @@
 }
 
 impl PublisherRecord {
-    fn publisher(self) -> Result<(String, Publisher), SnapshotError> {
-        let mut made = Publisher { replayed: self.replayed, newest: self.newest, ..Publisher::default() };
-        made.symbol_history = SymbolHistory {
-            entries: self.symbol_history.into_iter().map(TypeHistoryRecord::entry).collect(),
+    fn into_publisher(self) -> Result<(String, Publisher), SnapshotError> {
+        let mut publisher =
+            Publisher { replayed: self.replayed, newest: self.newest, ..Publisher::default() };
+        publisher.symbol_history = SymbolHistory {
+            entries: self.symbol_history.into_iter().map(TypeHistoryRecord::into_entry).collect(),
         };
-        if self.versions.len() > MAX_VERSIONS || made.symbol_history.size() > MAX_HISTORY_SYMBOLS {
+        if self.versions.len() > MAX_VERSIONS || publisher.symbol_history.size() > MAX_HISTORY_SYMBOLS {
             return Err(SnapshotError::PublisherTooLarge { publisher: self.name });
         }
         for record in self.versions {
@@ -184,17 +185,17 @@
                     version: record.number,
                     source,
                 })?;
-            made.versions.insert(
+            publisher.versions.insert(
                 record.number,
                 SchemaVersion { schema: Arc::new(schema), declared, in_force: record.in_force },
             );
         }
-        Ok((self.name, made))
+        Ok((self.name, publisher))
     }
 }
 
 impl Registry {
-    /// The state as bytes; equal states give equal bytes.
+    /// Encodes the state; equal states give equal bytes.
     #[must_use]
     pub fn export(&self) -> Vec<u8> {
         let publisher = |(name, one): (&String, &Arc<Publisher>)| PublisherRecord {
@@ -213,7 +214,7 @@
                 .symbol_history
                 .entries
                 .iter()
-                .map(|(name, entry)| TypeHistoryRecord::of(name, entry))
+                .map(|(name, entry)| TypeHistoryRecord::from_entry(name, entry))
                 .collect(),
         };
         let subscription =
@@ -237,7 +238,7 @@
     /// Decodes a state from the bytes of [`Registry::export`].
     ///
     /// # Errors
-    /// Another edition of the rules; invalid bytes; an exceeded limit.
+    /// The snapshot has another edition of the rules, is invalid, or exceeds a limit.
     pub fn import(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let state = StateRecord::decode(bytes)?;
         if state.edition != RULES_EDITION {
@@ -246,14 +247,14 @@
         if state.publishers.len() > MAX_PUBLISHERS || state.subscriptions.len() > MAX_SUBSCRIBERS {
             return Err(SnapshotError::TooManyEntries);
         }
-        let mut made = Self { now_ms: state.now_ms, ..Self::default() };
+        let mut registry = Self { now_ms: state.now_ms, ..Self::default() };
         for record in state.publishers {
-            let (name, publisher) = record.publisher()?;
-            made.publishers.insert(name, Arc::new(publisher));
+            let (name, publisher) = record.into_publisher()?;
+            registry.publishers.insert(name, Arc::new(publisher));
         }
         for record in state.subscriptions {
             let known =
-                made.publishers.get(&record.publisher).and_then(|one| one.versions.get(&record.version));
+                registry.publishers.get(&record.publisher).and_then(|one| one.versions.get(&record.version));
             if known.is_none() {
                 return Err(SnapshotError::UnknownVersion {
                     subscriber: record.subscriber,
@@ -263,11 +264,11 @@
             let usage = record.usage.ok_or(SnapshotError::MissingUsage)?.into();
             let SubscriptionRecord { publisher, subscriber, version, lease_ms, until_ms, .. } = record;
             let subscription = Subscription { version, usage, lease_ms, until_ms };
-            made.subscriptions.insert((publisher, subscriber), subscription);
+            registry.subscriptions.insert((publisher, subscriber), subscription);
         }
-        let names: Vec<String> = made.publishers.keys().cloned().collect();
-        names.iter().for_each(|name| made.refresh_translations(name));
-        Ok(made)
+        let names: Vec<String> = registry.publishers.keys().cloned().collect();
+        names.iter().for_each(|name| registry.refresh_translations(name));
+        Ok(registry)
     }
 
     /// The digest of the state: SHA-256 over [`Registry::export`].
--- a/crates/schema-compat/src/registry/translations.rs
+++ b/crates/schema-compat/src/registry/translations.rs
@@ -12,18 +12,19 @@
         &'a self,
         publisher: &'a str,
     ) -> impl Iterator<Item = (&'a str, &'a Subscription)> {
-        let all = self.subscriptions.range((publisher.to_string(), String::new())..);
-        let of_publisher = all.take_while(move |((name, _), _)| name == publisher);
-        of_publisher.map(|((_, subscriber), subscription)| (subscriber.as_str(), subscription))
+        let subscriptions = self.subscriptions.range((publisher.to_string(), String::new())..);
+        let publisher_subscriptions = subscriptions.take_while(move |((name, _), _)| name == publisher);
+        publisher_subscriptions.map(|((_, subscriber), subscription)| (subscriber.as_str(), subscription))
     }
 
-    /// Updates the translations of one publisher to those that its subscribers need.
+    /// Updates the translations of one publisher to those that its subscribers need; existing ones are
+    /// reused.
     pub(crate) fn refresh_translations(&mut self, name: &str) {
         let Some(publisher) = self.publishers.get(name) else { return };
         let read_versions: BTreeSet<u32> =
             self.readers(name).map(|(_, subscription)| subscription.version).collect();
         let mut wanted = BTreeSet::new();
-        for (from, _) in publisher.written() {
+        for (from, _) in publisher.written_versions() {
             wanted.extend(read_versions.iter().filter(|&&to| to != from).map(|&to| (from, to)));
         }
         let mut existing: BTreeMap<(u32, u32), Option<Arc<Translation>>> = BTreeMap::new();
@@ -47,12 +48,12 @@
         }
     }
 
-    /// The versions whose readers get translated records of `version`.
+    /// The versions whose readers receive translated records of `version`.
     pub(super) fn translated_from(&self, name: &str, version: u32) -> Vec<u32> {
-        let from = |((publisher, from, to), one): (&(String, u32, u32), &Option<_>)| {
-            (publisher == name && *from == version && one.is_some()).then_some(*to)
+        let reader_version = |((publisher, from, to), translation): (&(String, u32, u32), &Option<_>)| {
+            (publisher == name && *from == version && translation.is_some()).then_some(*to)
         };
-        self.translations.iter().filter_map(from).collect()
+        self.translations.iter().filter_map(reader_version).collect()
     }
 }
 
--- a/crates/schema-compat/src/registry/violation_set.rs
+++ b/crates/schema-compat/src/registry/violation_set.rs
@@ -1,11 +1,11 @@
-//! Collects breaking findings into the violations of a rejection.
+//! Collects breaking findings as the violations of a rejection.
 
 use super::CommandRejection;
 use crate::limits::{MAX_NAMED_READERS, MAX_VIOLATIONS};
 use crate::rules::{Finding, Rule, Severity, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What distinguishes two violations, in the order in which they are reported.
+/// Identity of a violation. Violations are reported in the order of their keys.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ViolationKey {
     rule: Rule,
@@ -13,11 +13,12 @@
     detail: String,
 }
 
-/// The readers that would break.
+/// The readers that a violation would break.
 #[derive(Default)]
 struct AffectedReaders {
     /// Their names, at most [`MAX_NAMED_READERS`].
     names: BTreeSet<String>,
+    /// Number of all readers, including those not named.
     count: usize,
 }
 
@@ -30,9 +31,9 @@
 impl ViolationSet {
     /// Adds the breaking findings for these readers; returns whether there were any.
     pub(super) fn add(&mut self, findings: &[Finding], readers: &[&str]) -> bool {
-        let mut any = false;
+        let mut found_any = false;
         for finding in findings.iter().filter(|finding| finding.severity == Severity::Break) {
-            any = true;
+            found_any = true;
             let key = ViolationKey {
                 rule: finding.rule,
                 path: finding.path.clone(),
@@ -43,7 +44,7 @@
             let remaining = MAX_NAMED_READERS.saturating_sub(affected.names.len());
             affected.names.extend(readers.iter().take(remaining).map(|name| name.to_string()));
         }
-        any
+        found_any
     }
 
     pub(super) fn into_rejection(self) -> Option<CommandRejection> {
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -151,7 +151,7 @@
         Ok(out)
     }
 
-    /// The value of a complete field in the reader's type. None: it cannot be represented in it.
+    /// The value of a complete field in the reader's type. `None` if it cannot be represented in it.
     fn field_value(
         &self,
         conversion: &FieldConversion,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A map whose keys and values have the reader's types. None: some key or value cannot be represented
+    /// A map whose keys and values have the reader's types. `None` if some key or value cannot be represented
     /// there.
     fn map_value(
         &self,
@@ -194,7 +194,7 @@
         Ok(Some(Value::Map(converted)))
     }
 
-    /// A single value in the reader's type. None: it cannot be represented in it.
+    /// A single value in the reader's type. `None` if it cannot be represented in it.
     fn value(
         &self,
         conversion: &ValueConversion,
