--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -72,7 +72,7 @@
     RegistryCommand::Propose {
         publisher: PUBLISHER.into(),
         schema: schema.to_set().to_vec(),
-        translations: vec![],
+        declarations: vec![],
         replayed: false,
     }
 }
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -38,8 +38,8 @@
     pub fn apply_prepared(&mut self, now_ms: u64, prepared: PreparedCommand) -> CommandOutcome {
         self.now_ms = self.now_ms.max(now_ms);
         let result = match prepared.command {
-            RegistryCommand::Propose { publisher, schema, translations, replayed } => {
-                self.propose(publisher, &schema, prepared.schema, translations, replayed)
+            RegistryCommand::Propose { publisher, schema, declarations, replayed } => {
+                self.propose(publisher, &schema, prepared.schema, declarations, replayed)
             }
             RegistryCommand::Subscribe { subscriber, publisher, version, usage, lease_ms } => {
                 self.subscribe(subscriber, publisher, version, usage, lease_ms)
--- a/crates/schema-compat/src/registry/codec.rs
+++ b/crates/schema-compat/src/registry/codec.rs
@@ -73,7 +73,7 @@
     #[prost(bytes = "vec", tag = "5")]
     schema: Vec<u8>,
     #[prost(message, repeated, tag = "6")]
-    translations: Vec<DeclarationRecord>,
+    declarations: Vec<DeclarationRecord>,
     #[prost(bool, tag = "7")]
     replayed: bool,
     #[prost(message, optional, tag = "8")]
@@ -162,9 +162,9 @@
         };
         let no_subscriber = String::new();
         let record = match self {
-            RegistryCommand::Propose { publisher, schema, translations, replayed } => CommandRecord {
+            RegistryCommand::Propose { publisher, schema, declarations, replayed } => CommandRecord {
                 schema: schema.clone(),
-                translations: translations.iter().map(DeclarationRecord::from).collect(),
+                declarations: declarations.iter().map(DeclarationRecord::from).collect(),
                 replayed: *replayed,
                 ..named(1, publisher, &no_subscriber)
             },
@@ -202,8 +202,8 @@
             1 => RegistryCommand::Propose {
                 publisher,
                 schema,
-                translations: record
-                    .translations
+                declarations: record
+                    .declarations
                     .into_iter()
                     .map(decode_declaration)
                     .collect::<Result<_, _>>()?,
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -42,7 +42,7 @@
         /// An encoded `FileDescriptorSet`, as [`Schema::to_set`] gives it.
         schema: Vec<u8>,
         /// Declarations in addition to the schema's own options.
-        translations: Vec<MigrationDeclaration>,
+        declarations: Vec<MigrationDeclaration>,
         /// Whether records of all versions are retained and replayed to later readers; fixed by the first
         /// proposal.
         replayed: bool,
--- a/crates/schema-compat/src/registry/prepared.rs
+++ b/crates/schema-compat/src/registry/prepared.rs
@@ -27,8 +27,8 @@
     #[must_use]
     pub fn prepare(self) -> PreparedCommand {
         let schema = match &self {
-            RegistryCommand::Propose { schema, translations, .. } => {
-                Some(decode_schema(schema, translations))
+            RegistryCommand::Propose { schema, declarations, .. } => {
+                Some(decode_schema(schema, declarations))
             }
             _ => None,
         };
--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -87,7 +87,7 @@
         let propose = |schema: &Schema| RegistryCommand::Propose {
             publisher: list(),
             schema: schema.to_set().to_vec(),
-            translations: vec![],
+            declarations: vec![],
             replayed: false,
         };
         let proposals = schemas.iter().map(|schema| propose(schema).prepare()).collect();
--- a/crates/schema-compat/tests/registry.rs
+++ b/crates/schema-compat/tests/registry.rs
@@ -15,7 +15,7 @@
     RegistryCommand::Propose {
         publisher: "list".into(),
         schema: schema.to_set().to_vec(),
-        translations: vec![],
+        declarations: vec![],
         replayed: false,
     }
 }
@@ -123,7 +123,7 @@
     registry.apply(0, propose(&old));
     registry.apply(0, subscribe("desk", 1, "all"));
     assert_eq!(rules(&registry.apply(1, propose(&new)))[0].0, Rule::EnumValueAdded);
-    let translations = vec![MigrationDeclaration::EnumValueFallback {
+    let declarations = vec![MigrationDeclaration::EnumValueFallback {
         enumeration: "t.E".into(),
         value: "DRAINED".into(),
         reads_as: "OUT".into(),
@@ -131,7 +131,7 @@
     let proposal = RegistryCommand::Propose {
         publisher: "list".into(),
         schema: new.to_set().to_vec(),
-        translations,
+        declarations,
         replayed: false,
     };
     assert_eq!(
@@ -201,7 +201,7 @@
         let ask = |schema: &Schema| RegistryCommand::Propose {
             publisher: "list".into(),
             schema: schema.to_set().to_vec(),
-            translations: vec![],
+            declarations: vec![],
             replayed,
         };
         registry.apply(0, ask(&wide));
@@ -221,7 +221,7 @@
         let other = RegistryCommand::Propose {
             publisher: "list".into(),
             schema: vec![],
-            translations: vec![],
+            declarations: vec![],
             replayed: !replayed,
         };
         assert!(matches!(registry.apply(3, other), CommandOutcome::Rejected(CommandRejection::Invalid(_))));
@@ -314,7 +314,7 @@
         RegistryCommand::Propose {
             publisher: publisher.clone(),
             schema: set,
-            translations: declared,
+            declarations: declared,
             replayed: false,
         },
         RegistryCommand::Subscribe {
