--- a/crates/schema-compat/tests/common/mod.rs
+++ b/crates/schema-compat/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: the corpus, and an own view of what a reader gets, told apart from the rules.
+//! Helpers shared by the tests: the corpus, generated edits, and an oracle that is independent of the rules.
 #![allow(dead_code, missing_docs)]
 
 pub mod edits;
@@ -7,34 +7,37 @@
 use sprucelink_schema_compat::check::history_findings;
 use sprucelink_schema_compat::{check_findings, Directions, Finding, ReaderUsage, Schema};
 
+/// Compiles a schema from a proto3 body in package `t`, or from a full text. `(f)`, `(m)`, `(o)`, `(e)` and
+/// `(v)` stand for this crate's options.
 pub fn schema(body: &str) -> Schema {
-    let full = if body.trim_start().starts_with("syntax") {
+    let text = if body.trim_start().starts_with("syntax") {
         body.to_string()
     } else {
         format!("syntax = \"proto3\"; package t; import \"sprucelink/compat.proto\";\n{body}")
     };
-    let short =
+    let abbreviations =
         [("(f)", "field"), ("(m)", "message"), ("(o)", "oneof"), ("(e)", "enumeration"), ("(v)", "value")];
-    let full = short
+    let text = abbreviations
         .iter()
-        .fold(full, |text, (short, long)| text.replace(short, &format!("(sprucelink.compat.{long})")));
-    Schema::from_text(&full).unwrap_or_else(|error| panic!("{error}\n{full}"))
+        .fold(text, |text, (short, long)| text.replace(short, &format!("(sprucelink.compat.{long})")));
+    Schema::from_text(&text).unwrap_or_else(|error| panic!("{error}\n{text}"))
 }
 
+/// A usage declaration from the corpus: `all` or paths, optionally with `tolerant` or `json`.
 pub fn usage(text: &str) -> ReaderUsage {
     let mut words: Vec<&str> = text.split_whitespace().collect();
-    let mut take = |word: &str| {
-        let had = words.contains(&word);
+    let mut take_word = |word: &str| {
+        let is_present = words.contains(&word);
         words.retain(|one| *one != word);
-        had
+        is_present
     };
-    let (tolerant, json, all) = (take("tolerant"), take("json"), take("all"));
-    let made = if all { ReaderUsage::all() } else { ReaderUsage::of(&words) };
-    let made = if tolerant { made.tolerant() } else { made };
+    let (tolerant, json, all) = (take_word("tolerant"), take_word("json"), take_word("all"));
+    let usage = if all { ReaderUsage::all() } else { ReaderUsage::of(&words) };
+    let usage = if tolerant { usage.tolerant() } else { usage };
     if json {
-        made.json()
+        usage.json()
     } else {
-        made
+        usage
     }
 }
 
@@ -50,14 +53,14 @@
     pub fn findings(&self) -> Vec<Finding> {
         let schemas: Vec<Schema> = self.bodies.iter().map(|body| schema(body)).collect();
         let (new, old) = schemas.split_last().unwrap();
-        let mut found = match self.direction.as_str() {
+        let mut findings = match self.direction.as_str() {
             "down" => check_findings(&old[0], new, &self.usage, Directions::DOWN),
             "up" => check_findings(&old[0], new, &self.usage, Directions::UP),
             _ => return history_findings(&old.iter().collect::<Vec<_>>(), new),
         };
-        // History's rules have cases of their own.
-        found.retain(|finding| finding.direction.name() != "history");
-        found
+        // The history rules have cases of their own.
+        findings.retain(|finding| finding.direction.name() != "history");
+        findings
     }
 }
 
--- a/crates/schema-compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -1,4 +1,4 @@
-//! Hand-written schema pairs for each rule; disabling a rule must change the results of its cases.
+//! Hand-written schema pairs for each rule. Disabling a rule must change the results of its cases.
 
 mod common;
 
@@ -16,81 +16,91 @@
     }
 }
 
-/// The cases that give an unexpected result when one rule is disabled.
-fn wrong(off: Option<Rule>) -> Vec<String> {
-    static JUDGED: LazyLock<Vec<(Case, Vec<Finding>)>> = LazyLock::new(|| {
-        corpus().into_iter().map(|case| (case.findings(), case)).map(|(f, c)| (c, f)).collect()
+/// The cases that give an unexpected result, with all rules or with one rule disabled.
+fn unexpected_results(disabled: Option<Rule>) -> Vec<String> {
+    static CHECKED: LazyLock<Vec<(Case, Vec<Finding>)>> = LazyLock::new(|| {
+        corpus()
+            .into_iter()
+            .map(|case| (case.findings(), case))
+            .map(|(findings, case)| (case, findings))
+            .collect()
     });
-    let mut wrong = Vec::new();
-    for (case, found) in JUDGED.iter() {
+    let mut unexpected = Vec::new();
+    for (case, found) in CHECKED.iter() {
         let mut found = found.clone();
-        found.retain(|finding| Some(finding.rule) != off);
+        found.retain(|finding| Some(finding.rule) != disabled);
         let named = found.iter().any(|finding| finding.rule.name() == case.rule);
         if verdict(&found) != case.verdict || (case.verdict != "compatible" && !named) {
-            wrong.push(format!("{} {} {}: {found:#?}", case.rule, case.direction, case.bodies.join("--")));
+            unexpected.push(format!(
+                "{} {} {}: {found:#?}",
+                case.rule,
+                case.direction,
+                case.bodies.join("--")
+            ));
         }
     }
-    wrong
+    unexpected
 }
 
 #[test]
 fn corpus_case_gives_expected_compatibility() {
-    let wrong = wrong(None);
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    let unexpected = unexpected_results(None);
+    assert!(unexpected.is_empty(), "{}", unexpected.join("\n"));
 }
 
 #[test]
 fn disabled_rule_changes_the_result_of_its_cases() {
     for &rule in Rule::ALL.iter().filter(|&&rule| rule != Rule::BoundExceeded) {
-        let own =
+        let breaking =
             corpus().iter().filter(|case| case.rule == rule.name() && case.verdict != "compatible").count();
-        let near =
+        let compatible =
             corpus().iter().filter(|case| case.rule == rule.name() && case.verdict == "compatible").count();
-        assert!(own > 0, "{rule} has no case");
-        // What is reserved, removed or wrongly declared has its near case with the rule beside it.
-        let paired =
+        assert!(breaking > 0, "{rule} has no case that it rejects or translates");
+        // The compatible counterparts of these rules' cases are listed under a related rule.
+        let covered_by_related_rule =
             [Rule::ReservedNameUsed, Rule::ReservedDropped, Rule::TranslationFailed, Rule::FieldRenumbered];
-        assert!(near > 0 || paired.contains(&rule), "{rule} has no case that it lets through");
-        let noticed = wrong(Some(rule)).iter().filter(|case| case.starts_with(rule.name())).count();
-        assert_eq!(noticed, own, "{rule}: cases that do not notice that it is off");
+        assert!(compatible > 0 || covered_by_related_rule.contains(&rule), "{rule} has no compatible case");
+        let changed =
+            unexpected_results(Some(rule)).iter().filter(|case| case.starts_with(rule.name())).count();
+        assert_eq!(changed, breaking, "{rule}: disabling it does not change all of its cases");
     }
 }
 
 #[test]
 fn comparison_over_pair_limit_is_rejected() {
-    // Two rings of messages, of 64 and of 67: their fields meet in 4,288 pairs.
-    let ring = |size: usize| {
-        let one = |at: usize| format!("message M{at} {{ M{} next = 1; }}\n", (at + 1) % size);
-        let marked = "message R { option (m).record = true; M0 first = 1; }\n";
-        schema(&(marked.to_string() + &(0..size).map(one).collect::<String>()))
+    // Two cycles of 64 and of 67 message types: following their fields visits 64 * 67 = 4,288 pairs.
+    let cycle = |size: usize| {
+        let message = |index: usize| format!("message M{index} {{ M{} next = 1; }}\n", (index + 1) % size);
+        let record = "message R { option (m).record = true; M0 first = 1; }\n";
+        schema(&(record.to_string() + &(0..size).map(message).collect::<String>()))
     };
-    let found = check_findings(&ring(64), &ring(67), &ReaderUsage::all(), Directions::DOWN);
+    let found = check_findings(&cycle(64), &cycle(67), &ReaderUsage::all(), Directions::DOWN);
     assert!(found.iter().any(|finding| finding.rule == Rule::BoundExceeded), "{found:?}");
-    let found = check_findings(&ring(8), &ring(9), &ReaderUsage::all(), Directions::BOTH);
+    let found = check_findings(&cycle(8), &cycle(9), &ReaderUsage::all(), Directions::BOTH);
     assert_eq!(verdict(&found), "compatible", "{found:?}");
 }
 
 #[test]
 fn schema_over_limit_or_malformed_gives_error() {
     use sprucelink_schema_compat::Schema;
-    let failed = |text: &str| Schema::from_text(text).map(|_| ()).unwrap_err().to_string();
+    let error = |text: &str| Schema::from_text(text).map(|_| ()).unwrap_err().to_string();
     let fields: String = (1..=5000).map(|n| format!("int32 f{n} = {n};\n")).collect();
-    assert!(failed(&format!("syntax = \"proto3\"; message R {{ {fields} }}")).contains("5000 fields"));
+    assert!(error(&format!("syntax = \"proto3\"; message R {{ {fields} }}")).contains("5000 fields"));
     let nested = "message A { ".repeat(500) + &"}".repeat(500);
-    assert!(failed(&format!("syntax = \"proto3\"; {nested}")).contains("brackets open at once"));
-    assert!(failed(&" ".repeat(300_000)).contains("bytes of text"));
-    assert!(failed("syntax = \"proto3\"; message R { missing.Type a = 1; }").contains("does not compile"));
-    assert!(failed("syntax = \"proto3\"; enum E { Z = 0; }").contains("no message"));
+    assert!(error(&format!("syntax = \"proto3\"; {nested}")).contains("brackets open at once"));
+    assert!(error(&" ".repeat(300_000)).contains("bytes of text"));
+    assert!(error("syntax = \"proto3\"; message R { missing.Type a = 1; }").contains("does not compile"));
+    assert!(error("syntax = \"proto3\"; enum E { Z = 0; }").contains("no message"));
     // Malformed bytes: every truncation and every changed byte of a valid set gives an error or a schema,
     // never a panic.
     let body = "message R { map<string, E> a = 1; oneof o { R r = 2; int64 n = 3; } optional bytes b = 4 [(f).min_length = 1];
         message In { repeated double d = 1; reserved 3; } In in = 5; } enum E { Z = 0; reserved 4; }";
     let set = schema(body).to_set().to_vec();
-    for at in 0..set.len() {
-        let _ = Schema::from_set(&set[..at]);
-        for other in [set[at].wrapping_add(1), 0, 0xff] {
+    for position in 0..set.len() {
+        let _ = Schema::from_set(&set[..position]);
+        for byte in [set[position].wrapping_add(1), 0, 0xff] {
             let mut changed = set.clone();
-            changed[at] = other;
+            changed[position] = byte;
             let _ = Schema::from_set(&changed);
         }
     }
@@ -122,19 +132,19 @@
             reads_as: text("Z"),
         },
     ];
-    let with = |declared: &[MigrationDeclaration]| {
+    let verdict_with = |declared: &[MigrationDeclaration]| {
         let new = new.clone().declare(declared).unwrap();
         verdict(&check_findings(&old, &new, &ReaderUsage::all(), Directions::DOWN))
     };
-    assert_eq!(with(&declared), "translatable");
+    assert_eq!(verdict_with(&declared), "translatable");
     for left_out in 0..declared.len() {
         let mut fewer = declared.to_vec();
         fewer.remove(left_out);
-        assert_eq!(with(&fewer), "rejected", "without {:?}", declared[left_out]);
+        assert_eq!(verdict_with(&fewer), "rejected", "without {:?}", declared[left_out]);
     }
-    let nowhere =
+    let unknown_field =
         MigrationDeclaration::AddedFieldDefault { message, field: text("nowhere"), value: text("1") };
-    assert!(new.clone().declare(&[nowhere]).unwrap_err().to_string().contains("no field nowhere"));
+    assert!(new.clone().declare(&[unknown_field]).unwrap_err().to_string().contains("no field nowhere"));
 }
 
 #[test]
--- a/crates/schema-compat/tests/registry.rs
+++ b/crates/schema-compat/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry command by command: which checks apply, leases, limits, snapshots.
+//! Tests each registry command: the checks that apply, leases, limits and snapshots.
 
 mod common;
 
@@ -9,7 +9,7 @@
     CommandOutcome, MigrationDeclaration, Registry, RegistryCommand, Rule, Schema,
 };
 
-const LEASE: u64 = 10_000;
+const LEASE_MS: u64 = 10_000;
 
 fn propose(schema: &Schema) -> RegistryCommand {
     RegistryCommand::Propose {
@@ -20,99 +20,106 @@
     }
 }
 
-fn subscribe(who: &str, version: u32, used: &str) -> RegistryCommand {
-    let (subscriber, publisher) = (who.to_string(), "list".to_string());
-    RegistryCommand::Subscribe { subscriber, publisher, version, usage: usage(used), lease_ms: LEASE }
+fn subscribe(subscriber: &str, version: u32, used: &str) -> RegistryCommand {
+    let (subscriber, publisher) = names(subscriber);
+    RegistryCommand::Subscribe { subscriber, publisher, version, usage: usage(used), lease_ms: LEASE_MS }
 }
 
-fn named(who: &str) -> (String, String) {
-    (who.to_string(), "list".to_string())
+/// The names of a subscriber and of the publisher.
+fn names(subscriber: &str) -> (String, String) {
+    (subscriber.to_string(), "list".to_string())
 }
 
-fn rules(outcome: &CommandOutcome) -> Vec<(Rule, Vec<String>)> {
+/// The violated rules of a rejection, each with the readers that it would break.
+fn violated_rules(outcome: &CommandOutcome) -> Vec<(Rule, Vec<String>)> {
     match outcome {
         CommandOutcome::Rejected(CommandRejection::BreaksReaders { violations, .. }) => {
             violations.iter().map(|violation| (violation.rule, violation.affected.clone())).collect()
         }
-        other => panic!("not refused for breaks: {other:?}"),
+        other => panic!("not rejected for breaking readers: {other:?}"),
     }
 }
 
-fn accepted(outcome: CommandOutcome) -> u32 {
+/// The version number of an accepted proposal.
+fn accepted_version(outcome: CommandOutcome) -> u32 {
     match outcome {
         CommandOutcome::Accepted { version, .. } => version,
         other => panic!("not accepted: {other:?}"),
     }
 }
 
-const A: &str = "message R { int32 a = 1; int32 b = 2; }";
-const B: &str = "message R { int32 a = 1; reserved 2; }";
-const C: &str = "message R { int32 a = 1; string c = 3; reserved 2; }";
+const A_AND_B: &str = "message R { int32 a = 1; int32 b = 2; }";
+const B_REMOVED: &str = "message R { int32 a = 1; reserved 2; }";
+const B_REMOVED_C_ADDED: &str = "message R { int32 a = 1; string c = 3; reserved 2; }";
 
 #[test]
 fn breaking_change_and_subscriber_are_checked_in_either_order() {
-    let (a, b) = (schema(A), schema(B));
+    let (old, new) = (schema(A_AND_B), schema(B_REMOVED));
     let mut first = Registry::new();
-    assert_eq!(first.may_publish("list", a.digest()), Err(PublishError::UnknownPublisher));
-    assert_eq!(accepted(first.apply(0, propose(&a))), 1);
+    assert_eq!(first.may_publish("list", old.digest()), Err(PublishError::UnknownPublisher));
+    assert_eq!(accepted_version(first.apply(0, propose(&old))), 1);
     let mut second = first.clone();
     assert!(matches!(
         first.apply(1, subscribe("old", 1, "all")),
         CommandOutcome::Subscribed { until_ms: 10_001, .. }
     ));
-    let broken = rules(&first.apply(2, propose(&b)));
-    assert_eq!(broken, [(Rule::FieldRemovedInUse, vec!["old".to_string()])]);
-    assert_eq!(first.may_publish("list", b.digest()), Err(PublishError::NeverAccepted));
-    assert_eq!(accepted(second.apply(1, propose(&b))), 2);
-    let broken = rules(&second.apply(2, subscribe("old", 1, "all")));
-    assert_eq!(broken[0].0, Rule::FieldRemovedInUse);
+    let violated = violated_rules(&first.apply(2, propose(&new)));
+    assert_eq!(violated, [(Rule::FieldRemovedInUse, vec!["old".to_string()])]);
+    assert_eq!(first.may_publish("list", new.digest()), Err(PublishError::NeverAccepted));
+    assert_eq!(accepted_version(second.apply(1, propose(&new))), 2);
+    let violated = violated_rules(&second.apply(2, subscribe("old", 1, "all")));
+    assert_eq!(violated[0].0, Rule::FieldRemovedInUse);
     // A subscriber that does not use the field is accepted in either order.
     assert!(matches!(second.apply(3, subscribe("old", 1, "t.R/a")), CommandOutcome::Subscribed { .. }));
-    // A withdrawn change blocks nobody; proposed again, it is checked again.
+    // A withdrawn version blocks no subscriber; when it is proposed again, it is checked again.
     second.apply(4, RegistryCommand::Withdraw { publisher: "list".into(), version: 2 });
-    assert_eq!(second.may_publish("list", b.digest()), Err(PublishError::Withdrawn(2)));
+    assert_eq!(second.may_publish("list", new.digest()), Err(PublishError::Withdrawn(2)));
     assert!(matches!(second.apply(5, subscribe("whole", 1, "all")), CommandOutcome::Subscribed { .. }));
-    assert_eq!(rules(&second.apply(6, propose(&b)))[0].1, ["whole"]);
+    assert_eq!(violated_rules(&second.apply(6, propose(&new)))[0].1, ["whole"]);
 }
 
 #[test]
 fn subscriber_blocks_change_until_lease_and_margin_expire() {
     let mut registry = Registry::new();
-    registry.apply(0, propose(&schema(A)));
+    registry.apply(0, propose(&schema(A_AND_B)));
     registry.apply(1_000, subscribe("old", 1, "all"));
-    let (subscriber, publisher) = named("old");
-    let ended =
+    let (subscriber, publisher) = names("old");
+    let expire =
         || RegistryCommand::ExpireLease { subscriber: subscriber.clone(), publisher: publisher.clone() };
-    let over = 1_000 + LEASE + LEASE_MARGIN_MS;
+    let expiry_ms = 1_000 + LEASE_MS + LEASE_MARGIN_MS;
     assert_eq!(
-        registry.apply(over - 1, ended()),
-        CommandOutcome::Rejected(CommandRejection::LeaseNotExpired { until_ms: over })
+        registry.apply(expiry_ms - 1, expire()),
+        CommandOutcome::Rejected(CommandRejection::LeaseNotExpired { until_ms: expiry_ms })
     );
-    assert_eq!(registry.expired_leases(over - 1).count(), 0);
-    assert_eq!(registry.expired_leases(over).count(), 1);
-    assert!(matches!(registry.apply(over - 1, propose(&schema(B))), CommandOutcome::Rejected(_)));
+    assert_eq!(registry.expired_leases(expiry_ms - 1).count(), 0);
+    assert_eq!(registry.expired_leases(expiry_ms).count(), 1);
+    assert!(matches!(
+        registry.apply(expiry_ms - 1, propose(&schema(B_REMOVED))),
+        CommandOutcome::Rejected(_)
+    ));
     // A renewal that precedes the expiry in the journal makes the expiry stale.
     let renewed = registry.apply(
-        over - 1,
+        expiry_ms - 1,
         RegistryCommand::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() },
     );
-    assert_eq!(renewed, CommandOutcome::Renewed { until_ms: over - 1 + LEASE });
+    assert_eq!(renewed, CommandOutcome::Renewed { until_ms: expiry_ms - 1 + LEASE_MS });
     assert!(matches!(
-        registry.apply(over, ended()),
+        registry.apply(expiry_ms, expire()),
         CommandOutcome::Rejected(CommandRejection::LeaseNotExpired { .. })
     ));
     // A leader whose clock runs backwards neither expires a lease early nor shortens it.
     assert!(matches!(
-        registry.apply(5, ended()),
+        registry.apply(5, expire()),
         CommandOutcome::Rejected(CommandRejection::LeaseNotExpired { .. })
     ));
-    let back = registry
+    let renewed_again = registry
         .apply(5, RegistryCommand::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() });
-    assert_eq!(back, CommandOutcome::Renewed { until_ms: over + LEASE });
-    assert_eq!(registry.apply(over + LEASE + LEASE_MARGIN_MS, ended()), CommandOutcome::Done);
-    assert_eq!(accepted(registry.apply(over + 2 * LEASE, propose(&schema(B)))), 2);
-    let gone = registry.apply(over + 2 * LEASE, RegistryCommand::Renew { subscriber, publisher });
-    assert_eq!(gone, CommandOutcome::Rejected(CommandRejection::UnknownSubscriber));
+    assert_eq!(renewed_again, CommandOutcome::Renewed { until_ms: expiry_ms + LEASE_MS });
+    assert_eq!(registry.apply(expiry_ms + LEASE_MS + LEASE_MARGIN_MS, expire()), CommandOutcome::Done);
+    assert_eq!(accepted_version(registry.apply(expiry_ms + 2 * LEASE_MS, propose(&schema(B_REMOVED)))), 2);
+    let after_expiry =
+        registry.apply(expiry_ms + 2 * LEASE_MS, RegistryCommand::Renew { subscriber, publisher });
+    assert_eq!(after_expiry, CommandOutcome::Rejected(CommandRejection::UnknownSubscriber));
 }
 
 #[test]
@@ -122,7 +129,7 @@
     let mut registry = Registry::new();
     registry.apply(0, propose(&old));
     registry.apply(0, subscribe("desk", 1, "all"));
-    assert_eq!(rules(&registry.apply(1, propose(&new)))[0].0, Rule::EnumValueAdded);
+    assert_eq!(violated_rules(&registry.apply(1, propose(&new)))[0].0, Rule::EnumValueAdded);
     let declarations = vec![MigrationDeclaration::EnumValueFallback {
         enumeration: "t.E".into(),
         value: "DRAINED".into(),
@@ -143,13 +150,13 @@
     let read = registry.translation("list", 2, 1).unwrap().run(&record).unwrap().unwrap();
     assert_eq!(read.get_field_by_name("e").unwrap().as_enum_number(), Some(1));
     assert!(registry.translation("list", 1, 2).is_none(), "nobody reads version 2");
-    // The same schema with other declarations would change what was judged.
+    // Accepting the same schema with other declarations would invalidate the earlier check.
     assert!(matches!(
         registry.apply(2, propose(&new)),
         CommandOutcome::Rejected(CommandRejection::Invalid(_))
     ));
     assert_eq!(registry.apply(2, proposal), CommandOutcome::Accepted { version: 2, translated: vec![1] });
-    let (subscriber, publisher) = named("desk");
+    let (subscriber, publisher) = names("desk");
     registry.apply(3, RegistryCommand::Unsubscribe { subscriber, publisher });
     assert!(registry.translation("list", 2, 1).is_none());
 }
@@ -157,21 +164,23 @@
 #[test]
 fn proposal_is_checked_against_all_versions_in_use_and_history() {
     let mut registry = Registry::new();
-    for body in [A, C] {
+    for body in [A_AND_B, B_REMOVED_C_ADDED] {
         registry.apply(0, propose(&schema(body)));
     }
-    // The newest is C; the oldest reader decides all the same.
+    // The newest version removes `b` and adds `c`; the reader of the oldest version is checked all the same.
     registry.apply(1, subscribe("oldest", 1, "t.R/a"));
     let renamed =
         schema("message R { int32 z = 1 [(f) = { former_names: \"a\" }]; string c = 3; reserved 2; }");
-    assert_eq!(accepted(registry.apply(2, propose(&renamed))), 3);
-    let broken = rules(&registry.apply(2, propose(&schema("message R { string c = 3; reserved 1, 2; }"))));
-    assert_eq!(broken, [(Rule::FieldRemovedInUse, vec!["oldest".to_string()])]);
-    // What version 2 reserved stays reserved, though version 1 had it just so.
-    let broken =
-        rules(&registry.apply(2, propose(&schema("message R { int32 a = 1; int32 b = 2; string c = 3; }"))));
-    assert!(broken.contains(&(Rule::ReservedNumberUsed, vec!["history".to_string()])), "{broken:?}");
-    // Retired versions leave their numbers behind.
+    assert_eq!(accepted_version(registry.apply(2, propose(&renamed))), 3);
+    let violated =
+        violated_rules(&registry.apply(2, propose(&schema("message R { string c = 3; reserved 1, 2; }"))));
+    assert_eq!(violated, [(Rule::FieldRemovedInUse, vec!["oldest".to_string()])]);
+    // A number that version 2 reserved stays reserved, although version 1 used it for the same field.
+    let violated = violated_rules(
+        &registry.apply(2, propose(&schema("message R { int32 a = 1; int32 b = 2; string c = 3; }"))),
+    );
+    assert!(violated.contains(&(Rule::ReservedNumberUsed, vec!["history".to_string()])), "{violated:?}");
+    // The numbers of retired versions stay in the history.
     for version in [2, 3] {
         assert_eq!(
             registry.apply(3, RegistryCommand::Retire { publisher: "list".into(), version }),
@@ -183,13 +192,13 @@
             CommandOutcome::Done
         );
     }
-    let broken = rules(&registry.apply(
+    let violated = violated_rules(&registry.apply(
         4,
         propose(&schema(
             "message R { int32 z = 1 [(f) = { former_names: \"a\" }]; int32 d = 3; reserved 2; }",
         )),
     ));
-    assert_eq!(broken, [(Rule::FieldNumberReused, vec!["history".to_string()])]);
+    assert_eq!(violated, [(Rule::FieldNumberReused, vec!["history".to_string()])]);
 }
 
 #[test]
@@ -198,25 +207,26 @@
     let narrow = schema("message R { int32 a = 1 [(f) = { min: 0 }]; }");
     for replayed in [false, true] {
         let mut registry = Registry::new();
-        let ask = |schema: &Schema| RegistryCommand::Propose {
+        let proposal = |schema: &Schema| RegistryCommand::Propose {
             publisher: "list".into(),
             schema: schema.to_set().to_vec(),
             declarations: vec![],
             replayed,
         };
-        registry.apply(0, ask(&wide));
+        registry.apply(0, proposal(&wide));
         registry.apply(0, RegistryCommand::Withdraw { publisher: "list".into(), version: 1 });
-        let outcome = registry.apply(1, ask(&narrow));
+        let outcome = registry.apply(1, proposal(&narrow));
         if replayed {
-            assert_eq!(rules(&outcome)[0].0, Rule::RangeNarrowed);
+            assert_eq!(violated_rules(&outcome)[0].0, Rule::RangeNarrowed);
         } else {
-            assert_eq!(accepted(outcome), 2);
-            // Once records of the first version may be met again, no reader of the second may stand.
+            assert_eq!(accepted_version(outcome), 2);
+            // A reader of the second version prevents the first from coming into force again, because records
+            // of the first may lie outside the second's range.
             assert!(matches!(
                 registry.apply(2, subscribe("new", 2, "all")),
                 CommandOutcome::Subscribed { .. }
             ));
-            assert_eq!(rules(&registry.apply(2, ask(&wide)))[0].0, Rule::RangeNarrowed);
+            assert_eq!(violated_rules(&registry.apply(2, proposal(&wide)))[0].0, Rule::RangeNarrowed);
         }
         let other = RegistryCommand::Propose {
             publisher: "list".into(),
@@ -234,7 +244,7 @@
     let fields = |count: usize| (1..=count).map(|n| format!("int32 f{n} = {n};")).collect::<String>();
     for count in 1..=MAX_VERSIONS {
         let body = format!("message R {{ {} }}", fields(count));
-        assert_eq!(accepted(registry.apply(0, propose(&schema(&body)))) as usize, count);
+        assert_eq!(accepted_version(registry.apply(0, propose(&schema(&body)))) as usize, count);
     }
     let more = schema(&format!("message R {{ {} }}", fields(MAX_VERSIONS + 1)));
     assert!(matches!(
@@ -243,15 +253,15 @@
     ));
     registry.apply(0, RegistryCommand::Withdraw { publisher: "list".into(), version: 1 });
     registry.apply(0, RegistryCommand::Retire { publisher: "list".into(), version: 1 });
-    assert_eq!(accepted(registry.apply(0, propose(&more))) as usize, MAX_VERSIONS + 1);
-    let short = RegistryCommand::Subscribe {
+    assert_eq!(accepted_version(registry.apply(0, propose(&more))) as usize, MAX_VERSIONS + 1);
+    let short_lease = RegistryCommand::Subscribe {
         subscriber: "s".into(),
         publisher: "list".into(),
         version: 2,
         usage: usage("all"),
         lease_ms: MIN_LEASE_MS - 1,
     };
-    assert!(matches!(registry.apply(0, short), CommandOutcome::Rejected(CommandRejection::Invalid(_))));
+    assert!(matches!(registry.apply(0, short_lease), CommandOutcome::Rejected(CommandRejection::Invalid(_))));
     for version in [1, 999] {
         let outcome = registry.apply(0, subscribe("s", version, "all"));
         assert_eq!(outcome, CommandOutcome::Rejected(CommandRejection::UnknownVersion));
@@ -261,23 +271,23 @@
         CommandOutcome::Rejected(CommandRejection::Invalid(_))
     ));
 
-    let mut crowd = Registry::new();
-    crowd.apply(0, propose(&schema(A)));
+    let mut full_registry = Registry::new();
+    full_registry.apply(0, propose(&schema(A_AND_B)));
     for n in 0..MAX_SUBSCRIBERS {
         assert!(matches!(
-            crowd.apply(0, subscribe(&format!("s{n}"), 1, "all")),
+            full_registry.apply(0, subscribe(&format!("s{n}"), 1, "all")),
             CommandOutcome::Subscribed { .. }
         ));
     }
-    let outcome = crowd.apply(0, subscribe("one more", 1, "all"));
+    let outcome = full_registry.apply(0, subscribe("one more", 1, "all"));
     assert!(matches!(
         outcome,
         CommandOutcome::Rejected(CommandRejection::LimitReached { limit: MAX_SUBSCRIBERS, .. })
     ));
     // Existing subscribers can still change; a rejection names some of them and counts all.
-    assert!(matches!(crowd.apply(0, subscribe("s7", 1, "t.R/a")), CommandOutcome::Subscribed { .. }));
+    assert!(matches!(full_registry.apply(0, subscribe("s7", 1, "t.R/a")), CommandOutcome::Subscribed { .. }));
     let CommandOutcome::Rejected(CommandRejection::BreaksReaders { violations, .. }) =
-        crowd.apply(0, propose(&schema(B)))
+        full_registry.apply(0, propose(&schema(B_REMOVED)))
     else {
         panic!()
     };
@@ -289,7 +299,7 @@
 fn snapshots_and_commands_round_trip_through_encoding() {
     let mut registry = Registry::new();
     let used = usage("tolerant json t.R/a");
-    let (subscriber, publisher) = named("old");
+    let (subscriber, publisher) = names("old");
     let declared = vec![
         MigrationDeclaration::FieldRenamed {
             message: "t.R".into(),
@@ -322,7 +332,7 @@
             publisher: publisher.clone(),
             version: 1,
             usage: used,
-            lease_ms: LEASE,
+            lease_ms: LEASE_MS,
         },
         propose(&schema("message R { int32 a = 1; E e = 4; int32 d = 3; reserved 2; } enum E { Z = 0; }")),
         RegistryCommand::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() },
@@ -331,27 +341,27 @@
         RegistryCommand::ExpireLease { subscriber: subscriber.clone(), publisher: publisher.clone() },
         RegistryCommand::Unsubscribe { subscriber, publisher },
     ];
-    for (at, command) in commands.iter().enumerate() {
+    for (time_ms, command) in commands.iter().enumerate() {
         let read = RegistryCommand::decode(&command.encode()).unwrap();
         assert_eq!(read, *command);
         // A follower that starts from a snapshot at any position reaches the same state.
         let mut follower = Registry::import(&registry.export()).unwrap();
         assert_eq!(
-            follower.apply(at as u64, read),
-            registry.apply(at as u64, command.clone()),
+            follower.apply(time_ms as u64, read),
+            registry.apply(time_ms as u64, command.clone()),
             "{command:?}"
         );
         assert_eq!(follower.digest(), registry.digest(), "{command:?}");
-        let names =
+        let infos =
             |one: &Registry| (one.versions().collect::<Vec<_>>(), one.subscribers().collect::<Vec<_>>());
-        assert_eq!(names(&follower), names(&registry));
+        assert_eq!(infos(&follower), infos(&registry));
     }
     let bytes = registry.export();
-    for at in 0..bytes.len() {
-        let _ = Registry::import(&bytes[..at]);
+    for length in 0..bytes.len() {
+        let _ = Registry::import(&bytes[..length]);
     }
-    let mut other = bytes;
-    other[1] = 77;
-    assert!(Registry::import(&other).unwrap_err().to_string().contains("edition 77"));
+    let mut other_edition = bytes;
+    other_edition[1] = 77;
+    assert!(Registry::import(&other_edition).unwrap_err().to_string().contains("edition 77"));
     assert!(RegistryCommand::decode(&[8, 99]).unwrap_err().to_string().contains("unknown kind 99"));
 }
