--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -1,5 +1,5 @@
-//! The cost of checks: `cargo run --release -p sprucelink-schema-compat --example measure`. Each figure is
-//! the minimum of several runs, because other load on the machine lengthens the rest.
+//! Measures the cost of checks: `cargo run --release -p sprucelink-schema-compat --example measure`. Each
+//! figure is the minimum of several runs, because other load on the machine lengthens the rest.
 
 use sprucelink_schema_compat::check::{check, Directions};
 use sprucelink_schema_compat::rules::Direction;
@@ -7,15 +7,15 @@
 use sprucelink_schema_compat::{CommandOutcome, ReaderUsage, Registry, RegistryCommand, Schema, Translation};
 use std::time::{Duration, Instant};
 
-/// Number of versions in force at the end: the registry's bound.
+/// Number of versions in force at the end: the registry's limit.
 const VERSIONS: u32 = 64;
 /// Number of fields of a record, over all its messages.
 const FIELDS: u32 = 200;
-/// Number of subscribers: the registry's bound.
+/// Number of subscribers: the registry's limit.
 const SUBSCRIBERS: u32 = 4_096;
 
-/// A record of 200 fields in ten messages; each version adds a field, the last an enum's value that old
-/// readers need translated.
+/// A record of 200 fields in ten messages; each version adds a field, the last one adds an enum value that
+/// old readers need translated.
 fn text(version: u32, last: bool) -> String {
     let mut text =
         "syntax = \"proto3\"; package m; import \"sprucelink/compat.proto\";\nmessage R {\n".to_string();
@@ -56,8 +56,8 @@
         .unwrap_or_default()
 }
 
-/// Resident memory in KB, where the system reports it.
-fn resident() -> u64 {
+/// Resident memory in KB; 0 if the system does not report it.
+fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).unwrap_or(0)
@@ -87,7 +87,7 @@
     }
 }
 
-/// A registry at its bounds: all versions but the last in force, each in use by some of the subscribers.
+/// A registry at its limits: all versions but the last in force, each in use by some of the subscribers.
 fn full_registry(schemas: &[Schema]) -> Registry {
     let mut registry = Registry::new();
     for schema in &schemas[..VERSIONS as usize - 1] {
@@ -107,9 +107,9 @@
     println!("schema: {} bytes of descriptors", first.to_set().len());
     println!("compile its text: {:?}", shortest_of(20, || Schema::from_text(&text(0, false))));
     println!("read its descriptors: {:?}", shortest_of(20, || Schema::from_set(first.to_set())));
-    let before = resident();
+    let before = resident_kb();
     let copies: Vec<Schema> = (0..256).filter_map(|_| Schema::from_set(first.to_set()).ok()).collect();
-    println!("memory of a schema: {} KB", resident().saturating_sub(before) / copies.len() as u64);
+    println!("memory of a schema: {} KB", resident_kb().saturating_sub(before) / copies.len() as u64);
     println!(
         "check of one pair, both ways: {:?}",
         shortest_of(20, || check(first, last, &ReaderUsage::all(), Directions::BOTH))
@@ -151,5 +151,5 @@
     if let Some(record) = sample(last, "m.R", 1) {
         println!("a record of 200 fields translated: {:?}", shortest_of(200, || translation.run(&record)));
     }
-    println!("memory in all: {} KB", resident());
+    println!("memory in all: {} KB", resident_kb());
 }
--- a/crates/schema-compat/tests/common/edits.rs
+++ b/crates/schema-compat/tests/common/edits.rs
@@ -1,76 +1,87 @@
-//! Schemas as lists of fields with an identity of their own, and scripts that edit them.
+//! Generated schemas, whose fields keep an identity across changes, and random edit scripts that change them.
 
 use proptest::prelude::*;
 
-pub const TYPES: [&str; 17] = [
+pub const TYPE_NAMES: [&str; 17] = [
     "int32", "int64", "uint32", "uint64", "sint32", "sint64", "bool", "fixed32", "sfixed32", "fixed64",
     "float", "double", "string", "bytes", "E", "N", "int32",
 ];
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    /// What it is, whatever it is called and numbered.
+    /// Identity of the field, independent of its name and number.
     pub id: u32,
     pub name: String,
     pub number: u32,
-    pub ty: usize,
-    /// Implicit, optional, repeated.
+    pub type_index: usize,
+    /// Index of the label: 0 for implicit presence, 1 for `optional`, 2 for `repeated`.
     pub label: usize,
     pub max: Option<i64>,
-    pub former: Option<String>,
+    pub former_name: Option<String>,
     pub former_number: Option<u32>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Shape {
-    /// R's and N's.
+pub struct GeneratedSchema {
+    /// Fields of the messages `R` and `N`.
     pub fields: [Vec<Field>; 2],
+    /// Declared removed fields of `R` and `N`, each with the value that replaces it.
     pub removed: [Vec<(String, String)>; 2],
-    /// Number, and what it reads as for those who do not know it.
+    /// Numbers of the enum `E`, each with whether it declares `V0` as its value for readers that do not know
+    /// it.
     pub values: Vec<(i32, bool)>,
+    /// Removed numbers of `E` that are declared to read as `V0`.
     pub removed_values: Vec<i32>,
-    pub next: u32,
+    /// The next unused identity, field number and enum number.
+    pub next_id: u32,
 }
 
 #[derive(Clone, Debug)]
 pub enum Edit {
-    Add { at: usize, ty: usize, label: usize },
-    Remove { at: usize, which: usize, reads_as: bool },
-    Type { at: usize, which: usize, ty: usize },
-    Renumber { at: usize, which: usize, declared: bool },
-    Rename { at: usize, which: usize, declared: bool },
-    Label { at: usize, which: usize, label: usize },
-    Max { at: usize, which: usize, max: Option<i64> },
+    Add { message_index: usize, type_index: usize, label: usize },
+    Remove { message_index: usize, field_index: usize, reads_as: bool },
+    Type { message_index: usize, field_index: usize, type_index: usize },
+    Renumber { message_index: usize, field_index: usize, declared: bool },
+    Rename { message_index: usize, field_index: usize, declared: bool },
+    Label { message_index: usize, field_index: usize, label: usize },
+    Max { message_index: usize, field_index: usize, max: Option<i64> },
     AddValue { reads_as: bool },
     RemoveValue { reads_as: bool },
 }
 
-impl Shape {
+impl GeneratedSchema {
     #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
     pub fn apply(&mut self, edit: &Edit) {
-        let next = self.next;
-        self.next += 1;
-        let pick = |fields: &mut Vec<Field>, which: usize| (!fields.is_empty()).then(|| which % fields.len());
+        let next_id = self.next_id;
+        self.next_id += 1;
+        let pick = |fields: &mut Vec<Field>, field_index: usize| {
+            (!fields.is_empty()).then(|| field_index % fields.len())
+        };
         match *edit {
-            Edit::Add { at, ty, label } => self.fields[at].push(Field {
-                id: next,
-                name: format!("f{next}"),
-                number: next,
-                ty,
+            Edit::Add { message_index, type_index, label } => self.fields[message_index].push(Field {
+                id: next_id,
+                name: format!("f{next_id}"),
+                number: next_id,
+                type_index,
                 label,
                 max: None,
-                former: None,
+                former_name: None,
                 former_number: None,
             }),
-            Edit::Remove { at, which, reads_as } => {
-                if let Some(which) = pick(&mut self.fields[at], which) {
-                    let gone = self.fields[at].remove(which);
-                    if reads_as && gone.label < 2 && gone.ty < 12 && self.removed[at].is_empty() {
-                        self.removed[at].push((gone.name, if gone.ty == 6 { "false" } else { "0" }.into()));
+            Edit::Remove { message_index, field_index, reads_as } => {
+                if let Some(field_index) = pick(&mut self.fields[message_index], field_index) {
+                    let removed = self.fields[message_index].remove(field_index);
+                    if reads_as
+                        && removed.label < 2
+                        && removed.type_index < 12
+                        && self.removed[message_index].is_empty()
+                    {
+                        self.removed[message_index]
+                            .push((removed.name, if removed.type_index == 6 { "false" } else { "0" }.into()));
                     }
                 }
             }
-            Edit::AddValue { reads_as } => self.values.push((next as i32, reads_as)),
+            Edit::AddValue { reads_as } => self.values.push((next_id as i32, reads_as)),
             Edit::RemoveValue { reads_as } => {
                 if self.values.len() > 1 {
                     let (number, _) = self.values.remove(1);
@@ -79,47 +90,54 @@
                     }
                 }
             }
-            Edit::Type { at, which, .. }
-            | Edit::Renumber { at, which, .. }
-            | Edit::Rename { at, which, .. }
-            | Edit::Label { at, which, .. }
-            | Edit::Max { at, which, .. } => {
-                let Some(which) = pick(&mut self.fields[at], which) else { return };
-                let field = &mut self.fields[at][which];
+            Edit::Type { message_index, field_index, .. }
+            | Edit::Renumber { message_index, field_index, .. }
+            | Edit::Rename { message_index, field_index, .. }
+            | Edit::Label { message_index, field_index, .. }
+            | Edit::Max { message_index, field_index, .. } => {
+                let Some(field_index) = pick(&mut self.fields[message_index], field_index) else { return };
+                let field = &mut self.fields[message_index][field_index];
                 match *edit {
-                    Edit::Type { ty, .. } => (field.ty, field.max) = (ty, None),
+                    Edit::Type { type_index, .. } => (field.type_index, field.max) = (type_index, None),
                     Edit::Renumber { declared, .. } => {
                         field.former_number = declared.then_some(field.number);
-                        field.number = next;
+                        field.number = next_id;
                     }
                     Edit::Rename { declared, .. } => {
-                        field.former = declared.then(|| field.name.clone());
-                        field.name = format!("f{next}");
+                        field.former_name = declared.then(|| field.name.clone());
+                        field.name = format!("f{next_id}");
                     }
                     Edit::Label { label, .. } => field.label = label,
-                    Edit::Max { max, .. } if field.ty < 6 => field.max = max,
+                    Edit::Max { max, .. } if field.type_index < 6 => field.max = max,
                     _ => {}
                 }
             }
         }
     }
 
-    /// The `.proto` body.
+    /// The body of the `.proto` text.
     pub fn body(&self) -> String {
-        let message = |name: &str, at: usize| {
+        let message = |name: &str, message_index: usize| {
             let mut text = format!("message {name} {{\n");
-            for (name, reads_as) in &self.removed[at] {
-                let said = format!("removed: {{ name: \"{name}\" reads_as: \"{reads_as}\" }}");
-                text += &format!("option (m) = {{ {said} }};\n");
+            for (name, reads_as) in &self.removed[message_index] {
+                let option = format!("removed: {{ name: \"{name}\" reads_as: \"{reads_as}\" }}");
+                text += &format!("option (m) = {{ {option} }};\n");
             }
-            for field in &self.fields[at] {
-                let mut said = String::new();
-                field.max.iter().for_each(|max| said += &format!("max: {max} "));
-                field.former.iter().for_each(|name| said += &format!("former_names: \"{name}\" "));
-                field.former_number.iter().for_each(|number| said += &format!("former_numbers: {number} "));
-                let options = if said.is_empty() { said } else { format!(" [(f) = {{ {said} }}]") };
+            for field in &self.fields[message_index] {
+                let mut declared = String::new();
+                field.max.iter().for_each(|max| declared += &format!("max: {max} "));
+                field.former_name.iter().for_each(|name| declared += &format!("former_names: \"{name}\" "));
+                field
+                    .former_number
+                    .iter()
+                    .for_each(|number| declared += &format!("former_numbers: {number} "));
+                let options =
+                    if declared.is_empty() { declared } else { format!(" [(f) = {{ {declared} }}]") };
                 let label = ["", "optional ", "repeated "][field.label];
-                text += &format!("{label}{} {} = {}{options};\n", TYPES[field.ty], field.name, field.number);
+                text += &format!(
+                    "{label}{} {} = {}{options};\n",
+                    TYPE_NAMES[field.type_index], field.name, field.number
+                );
             }
             text + "}\n"
         };
@@ -136,34 +154,49 @@
 }
 
 fn edit() -> impl Strategy<Value = Edit> {
-    let (at, which, ty, label) = (0..2usize, 0..8usize, 0..TYPES.len(), 0..3usize);
+    let (message_index, field_index, type_index, label) =
+        (0..2usize, 0..8usize, 0..TYPE_NAMES.len(), 0..3usize);
     prop_oneof![
-        1 => (at.clone(), ty.clone(), label.clone()).prop_map(|(at, ty, label)| Edit::Add { at, ty, label }),
-        1 => (at.clone(), which.clone(), any::<bool>())
-            .prop_map(|(at, which, reads_as)| Edit::Remove { at, which, reads_as }),
-        3 => (at.clone(), which.clone(), ty).prop_map(|(at, which, ty)| Edit::Type { at, which, ty }),
-        1 => (at.clone(), which.clone(), any::<bool>())
-            .prop_map(|(at, which, declared)| Edit::Renumber { at, which, declared }),
-        1 => (at.clone(), which.clone(), any::<bool>())
-            .prop_map(|(at, which, declared)| Edit::Rename { at, which, declared }),
-        2 => (at.clone(), which.clone(), label).prop_map(|(at, which, label)| Edit::Label { at, which, label }),
-        1 => (at, which, proptest::option::of(0..200i64)).prop_map(|(at, which, max)| Edit::Max { at, which, max }),
+        1 => (message_index.clone(), type_index.clone(), label.clone())
+            .prop_map(|(message_index, type_index, label)| Edit::Add { message_index, type_index, label }),
+        1 => (message_index.clone(), field_index.clone(), any::<bool>()).prop_map(
+            |(message_index, field_index, reads_as)| Edit::Remove { message_index, field_index, reads_as }
+        ),
+        3 => (message_index.clone(), field_index.clone(), type_index).prop_map(
+            |(message_index, field_index, type_index)| Edit::Type { message_index, field_index, type_index }
+        ),
+        1 => (message_index.clone(), field_index.clone(), any::<bool>()).prop_map(
+            |(message_index, field_index, declared)| Edit::Renumber { message_index, field_index, declared }
+        ),
+        1 => (message_index.clone(), field_index.clone(), any::<bool>()).prop_map(
+            |(message_index, field_index, declared)| Edit::Rename { message_index, field_index, declared }
+        ),
+        2 => (message_index.clone(), field_index.clone(), label).prop_map(
+            |(message_index, field_index, label)| Edit::Label { message_index, field_index, label }
+        ),
+        1 => (message_index, field_index, proptest::option::of(0..200i64))
+            .prop_map(|(message_index, field_index, max)| Edit::Max { message_index, field_index, max }),
         1 => any::<bool>().prop_map(|reads_as| Edit::AddValue { reads_as }),
         1 => any::<bool>().prop_map(|reads_as| Edit::RemoveValue { reads_as }),
     ]
 }
 
-/// A shape and what a short script makes of it.
-pub fn pair() -> impl Strategy<Value = (Shape, Shape)> {
-    let add = (0..2usize, 0..TYPES.len(), 0..3usize).prop_map(|(at, ty, label)| Edit::Add { at, ty, label });
-    let max = (0..2usize, 0..8usize, 0..200i64).prop_map(|(at, which, max)| Edit::Max {
-        at,
-        which,
+/// An old schema and the result of applying a short random script of edits to it.
+pub fn pair() -> impl Strategy<Value = (GeneratedSchema, GeneratedSchema)> {
+    let add = (0..2usize, 0..TYPE_NAMES.len(), 0..3usize)
+        .prop_map(|(message_index, type_index, label)| Edit::Add { message_index, type_index, label });
+    let max = (0..2usize, 0..8usize, 0..200i64).prop_map(|(message_index, field_index, max)| Edit::Max {
+        message_index,
+        field_index,
         max: Some(max),
     });
     let start = proptest::collection::vec(prop_oneof![4 => add, 1 => max], 2..10);
     (start, proptest::collection::vec(edit(), 1..4)).prop_map(|(start, script)| {
-        let mut old = Shape { values: vec![(0, false), (1, false)], next: 2, ..Shape::default() };
+        let mut old = GeneratedSchema {
+            values: vec![(0, false), (1, false)],
+            next_id: 2,
+            ..GeneratedSchema::default()
+        };
         start.iter().for_each(|edit| old.apply(edit));
         let mut new = old.clone();
         script.iter().for_each(|edit| new.apply(edit));
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -1,9 +1,9 @@
-//! Generated pairs of schemas and records: the guarantees of a compatibility result, checked on what a reader
-//! gets.
+//! Property tests on generated pairs of schemas and records: the guarantees of a compatibility result, checked
+//! on the records that a reader receives.
 
 mod common;
 
-use common::edits::{pair, Shape};
+use common::edits::{pair, GeneratedSchema};
 use common::oracle::Oracle;
 use common::schema;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -32,8 +32,8 @@
     direction: Direction,
 }
 
-/// The change judged in one direction, without history's rules: they hold whatever a reader sees.
-fn judged(old: &Shape, new: &Shape, usage: &ReaderUsage, down: bool) -> Pair {
+/// Checks a change in one direction, without the history rules, which apply whatever a reader receives.
+fn check_pair(old: &GeneratedSchema, new: &GeneratedSchema, usage: &ReaderUsage, down: bool) -> Pair {
     let (old, new) = (schema(&old.body()), schema(&new.body()));
     let directions = if down { Directions::DOWN } else { Directions::UP };
     let mut findings = check_findings(&old, &new, usage, directions);
@@ -42,22 +42,23 @@
     Pair { writer, reader, findings, direction: if down { Direction::Down } else { Direction::Up } }
 }
 
-/// A break that lies in what was said of a field, not in its values.
-fn by_word_only(finding: &Finding) -> bool {
+/// Whether a finding needs no witness: it is not a break, or the break lies in the field's declaration and
+/// not in its values.
+fn needs_no_witness(finding: &Finding) -> bool {
     finding.severity != Severity::Break || finding.rule == Rule::FieldNumberReused
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn compatible_change_loses_nothing_and_rejected_change_has_a_witness() {
-    let mut seen: BTreeMap<(Severity, bool), u32> = BTreeMap::new();
+    let mut verdict_counts: BTreeMap<(Severity, bool), u32> = BTreeMap::new();
     let strategy = (pair(), proptest::prelude::any::<bool>(), proptest::option::of(0..64u64));
-    let counted = std::cell::RefCell::new(&mut seen);
-    let check = |((old, new), down, mask): ((Shape, Shape), bool, Option<u64>)| {
+    let counted = std::cell::RefCell::new(&mut verdict_counts);
+    let check = |((old, new), down, mask): ((GeneratedSchema, GeneratedSchema), bool, Option<u64>)| {
         let used = mask.filter(|_| down).map(|mask| {
             let fields = old.fields[0].iter().chain(&old.fields[1]);
             fields
-                .filter(|field| mask >> (field.id % 6) & 1 == 1 && field.ty != 15)
+                .filter(|field| mask >> (field.id % 6) & 1 == 1 && field.type_index != 15)
                 .map(|field| field.id)
                 .collect()
         });
@@ -65,30 +66,30 @@
             None => ReaderUsage::all(),
             Some(used) => {
                 let used: &std::collections::BTreeSet<u32> = used;
-                let path = |top: &str, at: usize| {
-                    let all = old.fields[at].iter().filter(|field| used.contains(&field.id));
+                let path = |top: &str, message_index: usize| {
+                    let all = old.fields[message_index].iter().filter(|field| used.contains(&field.id));
                     all.map(|field| format!("t.Top/{top}.{}", field.name)).collect::<Vec<_>>()
                 };
                 let paths = path("r", 0).into_iter().chain(path("n", 1));
                 ReaderUsage { paths: Some(paths.collect()), ..ReaderUsage::all() }
             }
         };
-        let pair = judged(&old, &new, &usage, down);
+        let pair = check_pair(&old, &new, &usage, down);
         let (writer, reader) = if down { (&new, &old) } else { (&old, &new) };
         let verdict = worst_severity(&pair.findings);
         *counted.borrow_mut().entry((verdict, down)).or_default() += 1;
         let oracle = Oracle { writer, reader, used, down, translated: verdict == Severity::Translate };
         let translation = Translation::between(&pair.writer, &pair.reader, pair.direction);
-        let lost = |seed: u64| {
+        let loss_for_seed = |seed: u64| {
             let record = sample(&pair.writer, "t.Top", seed).unwrap();
-            let got = match verdict {
+            let received = match verdict {
                 Severity::Translate => {
                     translation.run(&record).map(Option::unwrap).map_err(|error| error.to_string())
                 }
                 _ => read(&pair.reader, &record),
             };
-            match got {
-                Ok(got) => oracle.loss(&record, &got),
+            match received {
+                Ok(received) => oracle.loss(&record, &received),
                 Err(error) => Some(error),
             }
         };
@@ -101,36 +102,38 @@
             )))
         };
         if verdict < Severity::Break {
-            return match (0..12).find_map(lost) {
-                Some(loss) => fail(format!("{verdict:?}, and lost: {loss}")),
+            return match (0..12).find_map(loss_for_seed) {
+                Some(loss) => fail(format!("{verdict:?} change loses data: {loss}")),
                 None => Ok(()),
             };
         }
-        if !pair.findings.iter().all(by_word_only) && (0..400).find_map(lost).is_none() {
+        if !pair.findings.iter().all(needs_no_witness) && (0..400).find_map(loss_for_seed).is_none() {
             return fail("rejected without a witness".into());
         }
         Ok(())
     };
     runner(600).run(&strategy, check).unwrap_or_else(|error| panic!("{error}"));
-    println!("verdicts by direction (down: true): {seen:?}");
+    println!("verdicts by direction (down: true): {verdict_counts:?}");
     assert!(
-        seen.len() == 6 && seen.values().all(|&count| count >= 20),
-        "the generator is lopsided: {seen:?}"
+        verdict_counts.len() == 6 && verdict_counts.values().all(|&count| count >= 20),
+        "the generator is unbalanced: {verdict_counts:?}"
     );
 }
 
 #[test]
 fn translation_round_trip_preserves_untouched_fields() {
     let compatible = std::cell::Cell::new(0);
-    let check = |(old, new): (Shape, Shape)| {
-        let (down, up) =
-            (judged(&old, &new, &ReaderUsage::all(), true), judged(&old, &new, &ReaderUsage::all(), false));
+    let check = |(old, new): (GeneratedSchema, GeneratedSchema)| {
+        let (down, up) = (
+            check_pair(&old, &new, &ReaderUsage::all(), true),
+            check_pair(&old, &new, &ReaderUsage::all(), false),
+        );
         let verdict = worst_severity(&down.findings).max(worst_severity(&up.findings));
         if verdict == Severity::Break {
             return Ok(());
         }
-        let there = Translation::between(&down.writer, &down.reader, Direction::Down);
-        let back = Translation::between(&up.writer, &up.reader, Direction::Up);
+        let down_translation = Translation::between(&down.writer, &down.reader, Direction::Down);
+        let up_translation = Translation::between(&up.writer, &up.reader, Direction::Up);
         for seed in 0..8 {
             let record = sample(&down.writer, "t.Top", seed).unwrap();
             let fail =
@@ -139,21 +142,22 @@
                 compatible.set(compatible.get() + 1);
                 // An old process that reads and forwards a record preserves everything, unknown fields
                 // included.
-                let onward = read(&down.writer, &read(&down.reader, &record).unwrap()).unwrap();
-                if onward.encode_to_vec() != record.encode_to_vec() {
-                    return fail("changed by an old process that passed it on");
+                let forwarded = read(&down.writer, &read(&down.reader, &record).unwrap()).unwrap();
+                if forwarded.encode_to_vec() != record.encode_to_vec() {
+                    return fail("changed by an old process that forwarded it");
                 }
                 continue;
             }
-            let returned = back.run(&there.run(&record).unwrap().unwrap()).unwrap().unwrap();
+            let returned =
+                up_translation.run(&down_translation.run(&record).unwrap().unwrap()).unwrap().unwrap();
             let part = |of: &DynamicMessage| of.get_field_by_name("r").unwrap().as_message().unwrap().clone();
             for field in &new.fields[0] {
                 let before = old.fields[0].iter().find(|one| one.id == field.id);
-                let untouched = before.is_none_or(|before| before == field) && field.ty < 14;
+                let untouched = before.is_none_or(|before| before == field) && field.type_index < 14;
                 let value =
                     |of: &DynamicMessage| part(of).get_field_by_name(&field.name).unwrap().into_owned();
                 if untouched && value(&record) != value(&returned) {
-                    return fail(&format!("{} did not come back", field.name));
+                    return fail(&format!("{} was not restored", field.name));
                 }
             }
         }
--- a/crates/schema-compat/tests/translate.rs
+++ b/crates/schema-compat/tests/translate.rs
@@ -9,9 +9,9 @@
 use std::collections::HashMap;
 
 fn record(schema: &Schema, name: &str, fields: &[(&str, Value)]) -> DynamicMessage {
-    let mut made = DynamicMessage::new(schema.message(name).unwrap());
-    fields.iter().for_each(|(name, value)| made.set_field_by_name(name, value.clone()));
-    made
+    let mut record = DynamicMessage::new(schema.message(name).unwrap());
+    fields.iter().for_each(|(name, value)| record.set_field_by_name(name, value.clone()));
+    record
 }
 
 const OLD: &str =
@@ -69,13 +69,13 @@
 
 #[test]
 fn value_not_representable_is_an_error_and_never_truncated() {
-    // As it would be if a publisher wrote what its schema's range rules out.
+    // A publisher violates its schema by writing values outside the declared range.
     let old = schema("message R { sint32 a = 1; }");
     let new = schema("message R { int64 a = 1 [(f) = { min: 0 max: 9 }]; }");
     let translation = Translation::between(&new, &old, Direction::Down);
     let run = |number: i64| translation.run(&record(&new, "t.R", &[("a", Value::I64(number))]));
     assert_eq!(run(9).unwrap().unwrap().get_field_by_name("a").unwrap().as_i32(), Some(9));
     assert_eq!(run(1 << 40).unwrap_err().to_string(), "t.R/a: no such value in the reader's type");
-    let stranger = schema("message Q { int32 a = 1; }");
-    assert!(translation.run(&record(&stranger, "t.Q", &[])).unwrap().is_none());
+    let unrelated = schema("message Q { int32 a = 1; }");
+    assert!(translation.run(&record(&unrelated, "t.Q", &[])).unwrap().is_none());
 }
