--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -9,12 +9,13 @@
 use sprucelink_schema_compat::{CommandOutcome, Registry, RegistryCommand, Schema};
 use std::collections::{HashMap, HashSet};
 
-/// One step of time, in ms: a lease is one, its margin another.
-const TICK: u64 = LEASE_MARGIN_MS;
+/// One step of time. A lease lasts one tick, its margin another.
+const TICK_MS: u64 = LEASE_MARGIN_MS;
 
-/// Which reader of which version each schema breaks, written down by hand. Readers 0 and 1 use everything,
-/// reader 2 only `a`, from version 2 on `c` too. B removes `b`, C changes what `a` means: C breaks everybody
-/// before it.
+/// The expected breaks, written by hand: the body written, the body read, and whether each of the three
+/// readers breaks. Bodies A, B and C have the numbers 1 to 3. Readers 0 and 1 use everything; reader 2 uses
+/// only `a` of A, and everything (`a` and `c`) from B on. B removes `b`. C changes the meaning of `a` and
+/// breaks all readers of A and B.
 const BREAKS: [(u32, u32, [bool; 3]); 6] = [
     (2, 1, [true, true, false]),
     (3, 1, [true, true, true]),
@@ -24,49 +25,48 @@
     (2, 3, [true, true, true]),
 ];
 
+/// Bodies of the three versions, A, B and C.
 const BODIES: [&str; 3] = [
     "message R { int32 a = 1; int32 b = 2; }",
     "message R { int32 a = 1; int32 c = 3; reserved 2; }",
     "message R { int32 a = 1 [(f).meaning = 1]; int32 c = 3; reserved 2; }",
 ];
 
-/// What a subscriber believes: the version that it reads, and the end of its lease.
+/// A subscriber's own view of its subscription.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Mind {
-    Out,
-    In {
-        version: u32,
-        until: u64,
-    },
-    /// Like the one before, but it does not renew: out of sight, it reads on until its lease ends.
-    Asleep {
-        version: u32,
-        until: u64,
-    },
+enum SubscriberView {
+    /// Not subscribed.
+    Unsubscribed,
+    /// Reads a version and renews its lease.
+    Active { version: u32, until: u64 },
+    /// Does not renew its lease any more, but continues to read until the lease ends.
+    Suspended { version: u32, until: u64 },
 }
 
-/// Faults of a registry; the exploration must detect each.
+/// Faults of a registry. The exploration must detect each of them.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     None,
-    /// Judges a change at one position and makes it at a later one.
-    JudgedBefore,
-    /// Trusts a leader's claim that a lease has expired.
-    LeaseByWord,
-    /// Looks at the newest version only when a subscriber comes.
+    /// Checks a change at one position of the journal and applies it at a later one.
+    StaleCheck,
+    /// Accepts a leader's claim that a lease has expired without checking the lease.
+    UncheckedExpiry,
+    /// Checks a new subscriber against the newest version only.
     NewestOnly,
 }
 
 #[derive(Clone)]
 struct World {
     registry: Registry,
-    minds: [Mind; 3],
-    now: u64,
-    /// A change that was judged and not yet made, for [`Fault::JudgedBefore`].
+    /// The subscribers' own views, by subscriber index.
+    views: [SubscriberView; 3],
+    now_ms: u64,
+    /// The registry after a change that was checked but not yet applied, for [`Fault::StaleCheck`].
     pending: Option<Registry>,
 }
 
-fn list() -> String {
+/// Name of the only publisher.
+fn publisher_name() -> String {
     "list".into()
 }
 
@@ -74,8 +74,8 @@
     fault: Fault,
     schemas: Vec<Schema>,
     proposals: Vec<PreparedCommand>,
-    /// By state: the steps left are the same whatever way led to it.
-    seen: HashSet<Vec<u8>>,
+    /// Keys of the visited states: the possible steps depend only on the state.
+    visited: HashSet<Vec<u8>>,
     transitions: u64,
     outcomes: HashMap<&'static str, u64>,
     violations: u64,
@@ -85,14 +85,14 @@
     fn new(fault: Fault) -> Self {
         let schemas = BODIES.map(schema).to_vec();
         let propose = |schema: &Schema| RegistryCommand::Propose {
-            publisher: list(),
+            publisher: publisher_name(),
             schema: schema.to_set().to_vec(),
             declarations: vec![],
             replayed: false,
         };
         let proposals = schemas.iter().map(|schema| propose(schema).prepare()).collect();
-        let (seen, outcomes) = (HashSet::new(), HashMap::new());
-        Self { fault, schemas, proposals, seen, transitions: 0, outcomes, violations: 0 }
+        let (visited, outcomes) = (HashSet::new(), HashMap::new());
+        Self { fault, schemas, proposals, visited, transitions: 0, outcomes, violations: 0 }
     }
 
     fn run(&mut self) {
@@ -101,57 +101,65 @@
             registry.apply_prepared(0, self.proposals[0].clone()),
             CommandOutcome::Accepted { version: 1, .. }
         ));
-        let mut todo = vec![World { registry, minds: [Mind::Out; 3], now: 0, pending: None }];
-        while let Some(world) = todo.pop() {
-            if !self.seen.insert(self.key(&world)) {
+        let mut stack =
+            vec![World { registry, views: [SubscriberView::Unsubscribed; 3], now_ms: 0, pending: None }];
+        while let Some(world) = stack.pop() {
+            if !self.visited.insert(self.key(&world)) {
                 continue;
             }
             self.check(&world);
             if self.violations > 0 && self.fault != Fault::None {
                 return;
             }
-            self.steps(&world, &mut todo);
+            self.push_successors(&world, &mut stack);
         }
     }
 
-    /// What the future depends on: time as what is left of leases, the two readers that use all in either
-    /// order.
+    /// The part of the state that determines later steps: time as the ticks left of each lease, and the two
+    /// readers that use everything in either order.
     fn key(&self, world: &World) -> Vec<u8> {
-        // Beyond a lease and its margin, longer is no other.
-        let left = |until: u64| (until + TICK).saturating_sub(world.now) / TICK;
+        // After the end of a lease and its margin, the time since then makes no difference.
+        let ticks_left = |until: u64| (until + TICK_MS).saturating_sub(world.now_ms) / TICK_MS;
         let registry = |registry: &Registry| {
             let versions: Vec<_> =
                 registry.versions().map(|one| (one.version, self.body(one.digest), one.in_force)).collect();
             let held: Vec<_> = (0..3)
-                .map(|n| registry.subscribers().find(|one| one.subscriber == format!("s{n}")))
-                .map(|one| one.map(|one| (one.version, left(one.until_ms))))
+                .map(|subscriber_index| {
+                    registry.subscribers().find(|one| one.subscriber == format!("s{subscriber_index}"))
+                })
+                .map(|one| one.map(|one| (one.version, ticks_left(one.until_ms))))
                 .collect();
             (versions, held)
         };
         let (versions, held) = registry(&world.registry);
-        let mind = |n: usize| match world.minds[n] {
-            Mind::In { version, until } => (1, version, left(until)),
-            Mind::Asleep { version, until } => (2, version, left(until)),
-            Mind::Out => (0, 0, 0),
+        let view = |subscriber_index: usize| match world.views[subscriber_index] {
+            SubscriberView::Active { version, until } => (1, version, ticks_left(until)),
+            SubscriberView::Suspended { version, until } => (2, version, ticks_left(until)),
+            SubscriberView::Unsubscribed => (0, 0, 0),
         };
         let pending = world.pending.as_ref().map(registry);
-        let mut like: Vec<_> =
-            (0..2).map(|n| (held[n], mind(n), pending.as_ref().map(|one| one.1[n]))).collect();
-        like.sort();
-        format!("{versions:?}{like:?}{:?}{:?}{pending:?}", held[2], mind(2)).into_bytes()
+        let mut interchangeable: Vec<_> = (0..2)
+            .map(|index| (held[index], view(index), pending.as_ref().map(|one| one.1[index])))
+            .collect();
+        interchangeable.sort();
+        format!("{versions:?}{interchangeable:?}{:?}{:?}{pending:?}", held[2], view(2)).into_bytes()
     }
 
-    /// The schemas that publishers write, against the subscribers that read.
+    /// Counts the subscribers with a running lease that a schema in force breaks.
     fn check(&mut self, world: &World) {
         for schema_version in world.registry.versions().filter(|one| one.in_force) {
-            // Versions are numbered as they are accepted: which body it is, its digest says.
+            // Versions are numbered in the order of acceptance: the digest tells which body this is.
             let body = self.body(schema_version.digest);
-            for (reader, mind) in world.minds.iter().enumerate() {
-                let (Mind::In { version, until } | Mind::Asleep { version, until }) = *mind else { continue };
+            for (reader, view) in world.views.iter().enumerate() {
+                let (SubscriberView::Active { version, until }
+                | SubscriberView::Suspended { version, until }) = *view
+                else {
+                    continue;
+                };
                 let reads =
                     world.registry.schema("list", version).map_or(0, |schema| self.body(schema.digest()));
                 let breaks = BREAKS.iter().find(|(writes, of, _)| (*writes, *of) == (body, reads));
-                if world.now <= until && breaks.is_some_and(|(.., who)| who[reader]) {
+                if world.now_ms <= until && breaks.is_some_and(|(.., who)| who[reader]) {
                     self.violations += 1;
                 }
             }
@@ -168,9 +176,9 @@
 
     fn apply_prepared(&mut self, world: &World, command: PreparedCommand) -> (World, CommandOutcome) {
         let mut next = world.clone();
-        let outcome = next.registry.apply_prepared(world.now, command);
+        let outcome = next.registry.apply_prepared(world.now_ms, command);
         let name = match &outcome {
-            CommandOutcome::Rejected(_) => "refused",
+            CommandOutcome::Rejected(_) => "rejected",
             CommandOutcome::Accepted { .. } => "accepted",
             CommandOutcome::Subscribed { .. } => "subscribed",
             CommandOutcome::Renewed { .. } => "renewed",
@@ -180,121 +188,129 @@
         (next, outcome)
     }
 
-    fn steps(&mut self, world: &World, todo: &mut Vec<World>) {
-        let before = todo.len();
-        let mut later = World { now: world.now + TICK, ..world.clone() };
-        for mind in &mut later.minds {
-            // It wakes to a lease that is over, and begins anew.
-            if matches!(mind, Mind::Asleep { until, .. } if *until < later.now) {
-                *mind = Mind::Out;
+    fn push_successors(&mut self, world: &World, stack: &mut Vec<World>) {
+        let before = stack.len();
+        let mut later = World { now_ms: world.now_ms + TICK_MS, ..world.clone() };
+        for view in &mut later.views {
+            // A suspended subscriber whose lease has ended must subscribe again.
+            if matches!(view, SubscriberView::Suspended { until, .. } if *until < later.now_ms) {
+                *view = SubscriberView::Unsubscribed;
             }
         }
-        todo.push(later);
+        stack.push(later);
         if let Some(pending) = &world.pending {
-            // What was judged is made, upon whoever came since.
+            // Applies the checked change on top of the subscriptions made since the check.
             let mut registry = Registry::import(&pending.export()).unwrap();
-            for (n, mind) in world.minds.iter().enumerate() {
-                if let Mind::In { version, .. } = mind {
-                    registry.apply(world.now, self.subscription(n, *version));
+            for (subscriber_index, view) in world.views.iter().enumerate() {
+                if let SubscriberView::Active { version, .. } = view {
+                    registry.apply(world.now_ms, self.subscription(subscriber_index, *version));
                 }
             }
-            todo.push(World { registry, pending: None, ..world.clone() });
+            stack.push(World { registry, pending: None, ..world.clone() });
         }
         for version in [2, 3] {
             let (next, outcome) = self.apply_prepared(world, self.proposals[version - 1].clone());
             if !matches!(outcome, CommandOutcome::Accepted { .. }) {
                 continue;
             }
-            if self.fault == Fault::JudgedBefore {
-                todo.push(World { pending: Some(next.registry), ..world.clone() });
+            if self.fault == Fault::StaleCheck {
+                stack.push(World { pending: Some(next.registry), ..world.clone() });
             } else {
-                todo.push(next);
+                stack.push(next);
             }
         }
         for schema_version in world.registry.versions().filter(|one| one.in_force) {
-            todo.push(
+            stack.push(
                 self.apply(
                     world,
-                    RegistryCommand::Withdraw { publisher: list(), version: schema_version.version },
+                    RegistryCommand::Withdraw {
+                        publisher: publisher_name(),
+                        version: schema_version.version,
+                    },
                 )
                 .0,
             );
         }
-        for n in 0..3 {
-            self.subscriber(world, n, todo);
+        for subscriber_index in 0..3 {
+            self.push_subscriber_steps(world, subscriber_index, stack);
         }
-        self.transitions += (todo.len() - before) as u64;
+        self.transitions += (stack.len() - before) as u64;
     }
 
-    fn subscription(&self, n: usize, version: u32) -> RegistryCommand {
-        let used = if n < 2 || version > 1 { "all" } else { "t.R/a" };
+    fn subscription(&self, subscriber_index: usize, version: u32) -> RegistryCommand {
+        let used = if subscriber_index < 2 || version > 1 { "all" } else { "t.R/a" };
         RegistryCommand::Subscribe {
-            subscriber: format!("s{n}"),
-            publisher: list(),
+            subscriber: format!("s{subscriber_index}"),
+            publisher: publisher_name(),
             version,
             usage: usage(used),
-            lease_ms: TICK,
+            lease_ms: TICK_MS,
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-    fn subscriber(&mut self, world: &World, n: usize, todo: &mut Vec<World>) {
-        let (subscriber, publisher) = (format!("s{n}"), list());
-        match world.minds[n] {
-            Mind::Out => {
+    fn push_subscriber_steps(&mut self, world: &World, subscriber_index: usize, stack: &mut Vec<World>) {
+        let (subscriber, publisher) = (format!("s{subscriber_index}"), publisher_name());
+        match world.views[subscriber_index] {
+            SubscriberView::Unsubscribed => {
                 for schema_version in world.registry.versions().collect::<Vec<_>>() {
                     let (mut next, mut outcome) =
-                        self.apply(world, self.subscription(n, schema_version.version));
+                        self.apply(world, self.subscription(subscriber_index, schema_version.version));
                     if self.fault == Fault::NewestOnly && matches!(outcome, CommandOutcome::Rejected(_)) {
-                        // As it would be with nothing but the newest version and its own in force.
+                        // Repeats the check with no other version than the newest and the subscriber's own in
+                        // force.
                         let newest = world.registry.versions().map(|one| one.version).max().unwrap();
-                        let mut alone = world.clone();
+                        let mut newest_only = world.clone();
                         for other in 1..newest {
-                            alone.registry.apply(
-                                world.now,
-                                RegistryCommand::Withdraw { publisher: list(), version: other },
+                            newest_only.registry.apply(
+                                world.now_ms,
+                                RegistryCommand::Withdraw { publisher: publisher_name(), version: other },
                             );
                         }
-                        outcome =
-                            alone.registry.apply(world.now, self.subscription(n, schema_version.version));
+                        outcome = newest_only
+                            .registry
+                            .apply(world.now_ms, self.subscription(subscriber_index, schema_version.version));
                         next = world.clone();
                     }
                     if let CommandOutcome::Subscribed { until_ms, .. } = outcome {
-                        next.minds[n] = Mind::In { version: schema_version.version, until: until_ms };
-                        todo.push(next);
+                        next.views[subscriber_index] =
+                            SubscriberView::Active { version: schema_version.version, until: until_ms };
+                        stack.push(next);
                     }
                 }
             }
-            Mind::In { version, until } => {
-                let mut asleep = world.clone();
-                asleep.minds[n] = Mind::Asleep { version, until };
-                todo.push(asleep);
+            SubscriberView::Active { version, until } => {
+                let mut suspended = world.clone();
+                suspended.views[subscriber_index] = SubscriberView::Suspended { version, until };
+                stack.push(suspended);
                 let renew =
                     RegistryCommand::Renew { subscriber: subscriber.clone(), publisher: publisher.clone() };
                 let (mut next, outcome) = self.apply(world, renew);
-                next.minds[n] = match outcome {
-                    CommandOutcome::Renewed { until_ms } => Mind::In { version, until: until_ms },
-                    _ => Mind::Out,
+                next.views[subscriber_index] = match outcome {
+                    CommandOutcome::Renewed { until_ms } => {
+                        SubscriberView::Active { version, until: until_ms }
+                    }
+                    _ => SubscriberView::Unsubscribed,
                 };
-                todo.push(next);
-                let leave = RegistryCommand::Unsubscribe {
+                stack.push(next);
+                let unsubscribe = RegistryCommand::Unsubscribe {
                     subscriber: subscriber.clone(),
                     publisher: publisher.clone(),
                 };
-                let (mut next, _) = self.apply(world, leave);
-                next.minds[n] = Mind::Out;
-                todo.push(next);
+                let (mut next, _) = self.apply(world, unsubscribe);
+                next.views[subscriber_index] = SubscriberView::Unsubscribed;
+                stack.push(next);
             }
-            Mind::Asleep { .. } => {}
+            SubscriberView::Suspended { .. } => {}
         }
-        // A leader may propose the end at any time, whatever its clock.
+        // A leader may propose the expiry at any time, since its clock may be wrong.
         if world.registry.subscribed("list", &subscriber).is_some() {
-            let command = if self.fault == Fault::LeaseByWord {
+            let command = if self.fault == Fault::UncheckedExpiry {
                 RegistryCommand::Unsubscribe { subscriber, publisher }
             } else {
                 RegistryCommand::ExpireLease { subscriber, publisher }
             };
-            todo.push(self.apply(world, command).0);
+            stack.push(self.apply(world, command).0);
         }
     }
 }
@@ -305,22 +321,22 @@
     explorer.run();
     println!(
         "{} states, {} transitions, outcomes {:?}",
-        explorer.seen.len(),
+        explorer.visited.len(),
         explorer.transitions,
         explorer.outcomes
     );
     assert_eq!(explorer.violations, 0);
     // Guards against a vacuous exploration: every outcome occurred.
-    for outcome in ["refused", "accepted", "subscribed", "renewed", "done"] {
+    for outcome in ["rejected", "accepted", "subscribed", "renewed", "done"] {
         assert!(explorer.outcomes.get(outcome).is_some_and(|&count| count > 100), "{outcome}");
     }
 }
 
 #[test]
 fn each_faulty_registry_is_detected() {
-    for fault in [Fault::JudgedBefore, Fault::LeaseByWord, Fault::NewestOnly] {
+    for fault in [Fault::StaleCheck, Fault::UncheckedExpiry, Fault::NewestOnly] {
         let mut explorer = Explorer::new(fault);
         explorer.run();
-        assert!(explorer.violations > 0, "{fault:?} passed {} states", explorer.seen.len());
+        assert!(explorer.violations > 0, "{fault:?} passed {} states", explorer.visited.len());
     }
 }
