--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -92,13 +92,13 @@
     #[must_use]
     pub fn json(&self) -> String {
         let findings: Vec<_> = (self.findings.iter())
-            .map(|one| {
+            .map(|finding| {
                 json!({
-                    "severity": one.severity.name(),
-                    "rule": one.rule.name(),
-                    "path": one.path,
-                    "direction": one.direction.name(),
-                    "detail": one.detail,
+                    "severity": finding.severity.name(),
+                    "rule": finding.rule.name(),
+                    "path": finding.path,
+                    "direction": finding.direction.name(),
+                    "detail": finding.detail,
                 })
             })
             .collect();
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -80,8 +80,8 @@
             let mut violations = ViolationSet::default();
             // The subscriber's own version is checked as well: the declared paths must exist in it.
             violations.add(&reader_findings(reader, reader, &usage, Direction::Down), &[&subscriber]);
-            for (written, one) in publisher.written_versions().filter(|(written, _)| *written != version) {
-                let findings = reader_findings(&one.schema, reader, &usage, direction(written, version));
+            for (written, writer) in publisher.written_versions().filter(|(written, _)| *written != version) {
+                let findings = reader_findings(&writer.schema, reader, &usage, direction(written, version));
                 violations.add(&findings, &[&format!("{subscriber} reading records of version {written}")]);
             }
             if let Some(rejection) = violations.into_rejection() {
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -37,7 +37,7 @@
     /// Proposing the same schema and declarations again is idempotent while it is in force; after a
     /// withdrawal it is checked again.
     Propose {
-        /// The publisher.
+        /// Name of the publisher.
         publisher: String,
         /// An encoded `FileDescriptorSet`, as [`Schema::to_set`] gives it.
         schema: Vec<u8>,
@@ -50,7 +50,7 @@
     /// A subscriber begins to read a version. If accepted, it replaces the subscriber's earlier subscription
     /// to the publisher.
     Subscribe {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
         /// The publisher whose records it reads.
         publisher: String,
@@ -63,38 +63,38 @@
     },
     /// Renews the lease of a subscriber.
     Renew {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The publisher.
+        /// Name of the publisher.
         publisher: String,
     },
     /// The subscriber ends its subscription.
     Unsubscribe {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The publisher.
+        /// Name of the publisher.
         publisher: String,
     },
     /// A leader considers a lease and its margin expired. Rejected while they are not, by the journal's time.
     ExpireLease {
-        /// The subscriber.
+        /// Name of the subscriber.
         subscriber: String,
-        /// The publisher.
+        /// Name of the publisher.
         publisher: String,
     },
     /// The version is no longer published.
     Withdraw {
-        /// The publisher.
+        /// Name of the publisher.
         publisher: String,
-        /// The version.
+        /// Number of the version.
         version: u32,
     },
     /// Removes a withdrawn version of which no records are retained. Its numbers and names stay in
     /// the symbol history.
     Retire {
-        /// The publisher.
+        /// Name of the publisher.
         publisher: String,
-        /// The version.
+        /// Number of the version.
         version: u32,
     },
 }
@@ -104,7 +104,7 @@
 pub enum CommandOutcome {
     /// The schema is in force.
     Accepted {
-        /// The number of the version.
+        /// Number of the version.
         version: u32,
         /// Subscribed versions whose readers receive translated records of the accepted version.
         translated: Vec<u32>,
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -96,8 +96,8 @@
         self.check_readers(name, publisher, version, schema, &mut violations);
         if replayed {
             let usage = ReaderUsage::all().tolerant();
-            for (&old, one) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let findings = reader_findings(&one.schema, schema, &usage, Direction::Up);
+            for (&old, writer) in publisher.versions.iter().filter(|(&old, _)| old < version) {
+                let findings = reader_findings(&writer.schema, schema, &usage, Direction::Up);
                 let readers = format!("readers of version {version} reading records of version {old}");
                 violations.add(&findings, &[&readers]);
             }
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -23,9 +23,9 @@
 /// A schema version, as reported to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct VersionInfo {
-    /// The publisher.
+    /// Name of the publisher.
     pub publisher: String,
-    /// The version.
+    /// Number of the version.
     pub version: u32,
     /// Digest of its schema.
     pub digest: Digest,
@@ -38,9 +38,9 @@
 /// A subscription, as reported to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SubscriberInfo {
-    /// The subscriber.
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// The publisher.
+    /// Name of the publisher.
     pub publisher: String,
     /// The version that it reads.
     pub version: u32,
@@ -109,11 +109,11 @@
     /// All versions, by publisher and number.
     pub fn versions(&self) -> impl Iterator<Item = VersionInfo> + '_ {
         self.publishers.iter().flat_map(move |(name, publisher)| {
-            publisher.versions.iter().map(move |(&version, one)| VersionInfo {
+            publisher.versions.iter().map(move |(&version, stored)| VersionInfo {
                 publisher: name.clone(),
                 version,
-                digest: one.schema.digest(),
-                in_force: one.in_force,
+                digest: stored.schema.digest(),
+                in_force: stored.in_force,
                 subscribers: self
                     .readers(name)
                     .filter(|(_, subscription)| subscription.version == version)
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -198,11 +198,11 @@
     /// Encodes the state; equal states give equal bytes.
     #[must_use]
     pub fn export(&self) -> Vec<u8> {
-        let publisher = |(name, one): (&String, &Arc<Publisher>)| PublisherRecord {
+        let publisher = |(name, stored): (&String, &Arc<Publisher>)| PublisherRecord {
             name: name.clone(),
-            replayed: one.replayed,
-            newest: one.newest,
-            versions: (one.versions.iter())
+            replayed: stored.replayed,
+            newest: stored.newest,
+            versions: (stored.versions.iter())
                 .map(|(&number, version)| VersionRecord {
                     number,
                     schema: version.schema.to_set().to_vec(),
@@ -210,7 +210,7 @@
                     in_force: version.in_force,
                 })
                 .collect(),
-            symbol_history: one
+            symbol_history: stored
                 .symbol_history
                 .entries
                 .iter()
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -144,7 +144,7 @@
 /// One finding of a comparison.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Finding {
-    /// The rule.
+    /// The rule that produced the finding.
     pub rule: Rule,
     /// Path `package.Message/field.field`, in the reader's names.
     pub path: String,
@@ -168,7 +168,7 @@
 pub struct Violation {
     /// Path as in [`Finding::path`].
     pub path: String,
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// Readers that would break: up to [`crate::limits::MAX_NAMED_READERS`] subscriber names, or the
     /// description of a version.
--- a/crates/schema-compat/src/schema_options.rs
+++ b/crates/schema-compat/src/schema_options.rs
@@ -1,4 +1,4 @@
-//! Reads this crate's options from descriptors. An option that is absent or of another type counts as absent.
+//! Reads this crate's options from descriptors. An option of an unexpected type counts as absent.
 
 use crate::error::SchemaError;
 use prost_reflect::{DescriptorPool, DynamicMessage, ExtensionDescriptor, Value};
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -76,11 +76,11 @@
     }
 }
 
-fn enum_symbols(one: &Enum) -> TypeSymbols<'_> {
+fn enum_symbols(enumeration: &Enum) -> TypeSymbols<'_> {
     TypeSymbols {
-        name: &one.name,
+        name: &enumeration.name,
         former_names: &[],
-        members: (one.values.iter())
+        members: (enumeration.values.iter())
             .map(|value| Member {
                 number: i64::from(value.number),
                 name: &value.name,
@@ -88,8 +88,12 @@
                 former_numbers: &[],
             })
             .collect(),
-        reserved: one.reserved.iter().map(|&(first, last)| (i64::from(first), i64::from(last))).collect(),
-        reserved_names: &one.reserved_names,
+        reserved: enumeration
+            .reserved
+            .iter()
+            .map(|&(first, last)| (i64::from(first), i64::from(last)))
+            .collect(),
+        reserved_names: &enumeration.reserved_names,
         number_reused: Rule::EnumNumberReused,
         renumbered: Rule::EnumValueRenumbered,
     }
@@ -102,10 +106,10 @@
 impl SymbolHistory {
     /// The number of numbers and names recorded.
     pub(crate) fn size(&self) -> usize {
-        let entry = |one: &TypeHistory| {
-            1 + one.reserved.len()
-                + one.reserved_names.len()
-                + one.names.values().map(BTreeSet::len).sum::<usize>()
+        let entry = |history: &TypeHistory| {
+            1 + history.reserved.len()
+                + history.reserved_names.len()
+                + history.names.values().map(BTreeSet::len).sum::<usize>()
         };
         self.entries.values().map(entry).sum()
     }
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -42,7 +42,7 @@
 }
 
 impl Translation {
-    /// The translation from `writer` to `reader`; `direction` gives which of them is the newer.
+    /// The translation from `writer` to `reader`; `direction` tells which of the two is newer.
     #[must_use]
     pub fn between(writer: &Schema, reader: &Schema, direction: Direction) -> Self {
         Self::from_comparison(&compare(&writer.model, &reader.model, direction), reader)
@@ -151,7 +151,7 @@
         Ok(out)
     }
 
-    /// The value of a complete field in the reader's type. `None` if it cannot be represented in it.
+    /// The value of a complete field in the reader's type; `None` if that type cannot represent it.
     fn field_value(
         &self,
         conversion: &FieldConversion,
@@ -174,8 +174,8 @@
         }
     }
 
-    /// A map whose keys and values have the reader's types. `None` if some key or value cannot be represented
-    /// there.
+    /// A map whose keys and values have the reader's types; `None` if they cannot represent some key or
+    /// value.
     fn map_value(
         &self,
         conversion: &ValueConversion,
@@ -194,7 +194,7 @@
         Ok(Some(Value::Map(converted)))
     }
 
-    /// A single value in the reader's type. `None` if it cannot be represented in it.
+    /// A single value in the reader's type; `None` if that type cannot represent it.
     fn value(
         &self,
         conversion: &ValueConversion,
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Property tests on generated pairs of schemas and records: the guarantees of a compatibility result, checked
-//! on the records that a reader receives.
+//! Property tests on generated pairs of schemas and records: the guarantees of a compatibility result,
+//! checked on the records that a reader receives.
 
 mod common;
 
