--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -9,38 +9,38 @@
 /// Why a schema must not be published.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub enum PublishError {
-    /// The publisher never proposed anything.
+    /// No schema of this publisher was ever accepted.
     #[error("no schema of this publisher was accepted")]
     UnknownPublisher,
     /// This schema was never accepted, or is retired.
     #[error("this schema was not accepted")]
     NeverAccepted,
-    /// The schema was withdrawn; the number of its version.
+    /// The schema was withdrawn. Holds its version number.
     #[error("this schema was withdrawn (version {0})")]
     Withdrawn(u32),
 }
 
-/// A version, as an operator sees it.
+/// A schema version, as reported to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct VersionInfo {
-    /// The publisher.
+    /// Name of the publisher.
     pub publisher: String,
-    /// The version.
+    /// Number of the version.
     pub version: u32,
-    /// Its schema.
+    /// Digest of its schema.
     pub digest: Digest,
     /// Whether it may be published.
     pub in_force: bool,
-    /// How many subscribers read it.
+    /// Number of subscribers that read the version.
     pub subscribers: usize,
 }
 
-/// A subscriber, as an operator sees it.
+/// A subscription, as reported to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SubscriberInfo {
-    /// The subscriber.
+    /// Name of the subscriber.
     pub subscriber: String,
-    /// The publisher.
+    /// Name of the publisher.
     pub publisher: String,
     /// The version that it reads.
     pub version: u32,
@@ -75,8 +75,8 @@
         Some(&self.publishers.get(publisher)?.versions.get(&version)?.schema)
     }
 
-    /// The translation of records written by `from_version` for subscribers of `to_version`. None: no translation is
-    /// needed, or nobody is subscribed to that version.
+    /// The translation of records written by `from_version` for subscribers of `to_version`. `None` if no
+    /// translation is needed, or nobody is subscribed to that version.
     #[must_use]
     pub fn translation(&self, publisher: &str, from_version: u32, to_version: u32) -> Option<&Translation> {
         self.translations.get(&(publisher.to_string(), from_version, to_version))?.as_deref()
@@ -109,11 +109,11 @@
     /// All versions, by publisher and number.
     pub fn versions(&self) -> impl Iterator<Item = VersionInfo> + '_ {
         self.publishers.iter().flat_map(move |(name, publisher)| {
-            publisher.versions.iter().map(move |(&version, one)| VersionInfo {
+            publisher.versions.iter().map(move |(&version, stored)| VersionInfo {
                 publisher: name.clone(),
                 version,
-                digest: one.schema.digest(),
-                in_force: one.in_force,
+                digest: stored.schema.digest(),
+                in_force: stored.in_force,
                 subscribers: self
                     .readers(name)
                     .filter(|(_, subscription)| subscription.version == version)
