--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -109,7 +109,7 @@
     assert!(got.agreed(0.0, 4.0).is_some());
     assert_eq!(count_lines(&got, "membership changed ", " change=died "), 0);
     assert!(
-        count_lines(&got, "membership datagram rejected", "error=\"its checksum") > 0,
+        count_lines(&got, "membership datagram rejected", "error=\"the checksum") > 0,
         "corrupted ones are logged"
     );
 }
