--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of the platform's front: PostgreSQL 3.0, simple queries, one request on one connection each, sent
-//! when it is due whether earlier ones were answered or not (open loop).
+//! Clients of the platform's front: PostgreSQL 3.0, simple queries, one connection per request. A request is
+//! sent when it is due, whether or not earlier ones were answered (open loop).
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,37 +8,37 @@
 use tokio::time::timeout;
 
 /// Longest message of an answer that is read, in bytes.
-const MAX_MESSAGE: usize = 1 << 20;
-/// An answer that comes later than this after the request's time is lost.
-const LATE: Duration = Duration::from_millis(500);
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Time after the request's timeout at which the client gives up waiting; the request then counts as lost.
+const TIMEOUT_GRACE: Duration = Duration::from_millis(500);
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// All rows came.
+    /// The manager sent a complete result.
     Served,
-    /// An error that says a repeat is harmless.
+    /// The manager answered with an error after which a retry is safe.
     Refused,
-    /// Any other error.
+    /// The manager answered with any other error.
     Failed,
-    /// No connection came up: nobody took it.
+    /// The request could not be sent: no connection was established, or it ended at once.
     NotTaken,
-    /// The connection ended, or the time and half a second more ran out, without a whole answer.
+    /// No complete answer before the connection ended or the timeout and a grace of 500 ms were over.
     Lost,
 }
 
 /// A request of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// Its id, new with every request.
+    /// Id of the request; contains the index of the manager, see [`crate::ledger::request_id`].
     pub id: u64,
-    /// A load of two threads, or a light query.
+    /// Whether the request is a load with two threads, rather than a light query.
     pub heavy: bool,
-    /// Its key, for loads.
+    /// Idempotency key of a load; light queries have none.
     pub key: u64,
     /// The client's estimate of the work on one core, in milliseconds; 0: the request carries none.
     pub ms: f64,
-    /// How long the client waits.
+    /// The timeout that the request carries.
     pub timeout: Duration,
 }
 
@@ -75,16 +75,17 @@
     std::str::from_utf8(&field[1..]).ok()
 }
 
-async fn answer(stream: &mut TcpStream) -> Option<RequestOutcome> {
+/// Reads an answer to its end; `None` if the connection ends before, or a message is invalid or too long.
+async fn read_answer(stream: &mut TcpStream) -> Option<RequestOutcome> {
     let mut rows = false;
     let mut outcome = None;
     let mut ready = 0;
-    // Two ReadyForQuery: one after the start-up, one after the answer.
+    // There are two ReadyForQuery messages: one after the start-up, one after the answer.
     while ready < 2 {
         let mut head = [0u8; 5];
         stream.read_exact(&mut head).await.ok()?;
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; len.checked_sub(4).filter(|l| *l <= MAX_MESSAGE)?];
+        let mut body = vec![0; len.checked_sub(4).filter(|l| *l <= MAX_MESSAGE_BYTES)?];
         stream.read_exact(&mut body).await.ok()?;
         match head[0] {
             b'D' => rows = true,
@@ -92,9 +93,10 @@
             b'C' => outcome = Some(RequestOutcome::Failed),
             b'E' => {
                 let state = sqlstate(&body).unwrap_or("");
-                let harmless = state.starts_with("53") || state == "57P03";
-                outcome = Some(if harmless { RequestOutcome::Refused } else { RequestOutcome::Failed });
-                // A front that refuses a connection says so and closes it.
+                let is_retry_safe = state.starts_with("53") || state == "57P03";
+                outcome = Some(if is_retry_safe { RequestOutcome::Refused } else { RequestOutcome::Failed });
+                // An error before the first ReadyForQuery rejects the connection, which the front then
+                // closes.
                 if ready == 0 {
                     return outcome;
                 }
@@ -106,30 +108,31 @@
     outcome
 }
 
-/// Sends one request to a manager and waits for its end: its outcome and its latency.
-pub async fn send(at: SocketAddr, request: ClientRequest) -> (RequestOutcome, Duration) {
-    let begun = Instant::now();
+/// Sends one request to a manager and returns its outcome and latency.
+pub async fn send(address: SocketAddr, request: ClientRequest) -> (RequestOutcome, Duration) {
+    let started = Instant::now();
     let exchange = async {
-        let Ok(mut stream) = TcpStream::connect(at).await else { return RequestOutcome::NotTaken };
+        let Ok(mut stream) = TcpStream::connect(address).await else { return RequestOutcome::NotTaken };
         let _ = stream.set_nodelay(true);
         if stream.write_all(&encode(&request)).await.is_err() {
             return RequestOutcome::NotTaken;
         }
-        answer(&mut stream).await.unwrap_or(RequestOutcome::Lost)
+        read_answer(&mut stream).await.unwrap_or(RequestOutcome::Lost)
     };
-    let outcome = timeout(request.timeout + LATE, exchange).await.unwrap_or(RequestOutcome::Lost);
-    (outcome, begun.elapsed())
+    let outcome = timeout(request.timeout + TIMEOUT_GRACE, exchange).await.unwrap_or(RequestOutcome::Lost);
+    (outcome, started.elapsed())
 }
 
-/// Sends one light query and says whether it was served, from outside the rig's tasks. It waits five seconds.
+/// Sends one light query with a timeout of five seconds and returns whether it was served. Blocks the caller,
+/// so it must not be called from an asynchronous task.
 ///
 /// # Errors
-/// Where no connection came up, or it ended without a whole answer.
-pub fn query_once(at: SocketAddr, id: u64) -> std::io::Result<bool> {
+/// If no connection was established, or no complete answer arrived.
+pub fn query_once(address: SocketAddr, id: u64) -> std::io::Result<bool> {
     let request = ClientRequest { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
-    match crate::runtime().block_on(send(at, request)).0 {
-        RequestOutcome::NotTaken => Err(std::io::Error::other("no connection came up")),
-        RequestOutcome::Lost => Err(std::io::Error::other("no whole answer came")),
+    match crate::runtime().block_on(send(address, request)).0 {
+        RequestOutcome::NotTaken => Err(std::io::Error::other("no connection established")),
+        RequestOutcome::Lost => Err(std::io::Error::other("no complete answer")),
         outcome => Ok(outcome == RequestOutcome::Served),
     }
 }
--- a/crates/cluster-harness/src/counter.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -1,31 +1,32 @@
-//! Events counted by when they came, shared between the stand-ins and whoever reads the figures.
+//! Counts events with their times. The stand-ins record them, the figures of a run are computed from them.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Events whose time is kept; further ones are only counted. A run of ten minutes at 10,000 a second fits.
+/// Maximum number of events whose time is kept; further ones are only counted. Enough for a run of ten
+/// minutes at 10,000 events per second.
 const MAX_EVENTS: usize = 6_000_000;
 
-/// Events by when they came, counted from a start.
+/// Counted events with their times.
 #[derive(Clone, Debug, Default)]
 pub struct Counted {
-    /// When each event came, since the start.
+    /// Time of each event since the start of the run.
     pub at: Vec<Duration>,
-    /// Events that came when no more were dated.
+    /// Number of events whose time was not kept.
     pub undated: u64,
 }
 
 impl Counted {
-    /// Notes one event that came at `t`, counted from `start`.
-    pub fn note(&mut self, start: Instant, t: Instant) {
+    /// Records an event at `time`; its time is kept relative to `start`.
+    pub fn record(&mut self, start: Instant, time: Instant) {
         if self.at.len() < MAX_EVENTS {
-            self.at.push(t.saturating_duration_since(start));
+            self.at.push(time.saturating_duration_since(start));
         } else {
             self.undated += 1;
         }
     }
 
-    /// The most events in any window of `width`, sliding event by event; windows are half open.
+    /// The maximum number of events in any half-open window of `width`.
     pub fn peak(&self, width: Duration) -> usize {
         let mut at = self.at.clone();
         at.sort_unstable();
@@ -40,12 +41,13 @@
         max
     }
 
-    /// Events from `from` up to `to`, without its end.
+    /// Number of events from `from` up to but excluding `to`.
     pub fn within(&self, from: Duration, to: Duration) -> usize {
         self.at.iter().filter(|t| (from..to).contains(*t)).count()
     }
 
-    /// Events in `n` buckets of `width` from the start; what came later is in the last.
+    /// Number of events in each of `n` buckets of `width` from the start; the last bucket includes all later
+    /// events.
     pub fn buckets(&self, width: Duration, n: usize) -> Vec<u32> {
         let mut out = vec![0; n.max(1)];
         for t in &self.at {
@@ -55,34 +57,34 @@
         out
     }
 
-    /// Takes in the events of another count.
+    /// Adds the events of another count.
     pub fn add(&mut self, other: &Counted) {
         self.at.extend_from_slice(&other.at);
         self.undated += other.undated;
     }
 }
 
-/// A count that many tasks note in. A panic of one does not stop the others from counting.
+/// A count that is shared by many tasks. A panic of one task doesn't stop the others from counting.
 #[derive(Clone, Debug, Default)]
 pub struct Counter(Arc<Mutex<Counted>>);
 
 impl Counter {
-    /// Notes one event that comes now.
-    pub fn note(&self, start: Instant) {
-        self.lock(|c| c.note(start, Instant::now()));
+    /// Records an event with the current time.
+    pub fn record(&self, start: Instant) {
+        self.lock(|c| c.record(start, Instant::now()));
     }
 
-    /// The events so far.
+    /// A copy of the events so far.
     pub fn read(&self) -> Counted {
         self.lock(|c| c.clone())
     }
 
-    /// Events so far.
+    /// Number of events so far whose time was kept.
     pub fn len(&self) -> usize {
         self.lock(|c| c.at.len())
     }
 
-    /// Whether none came yet.
+    /// Whether there were no events yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -1,9 +1,10 @@
-//! A stand-in engine that counts every connection and every thread put to work on it. It answers `do` with one
-//! page after the work's time on its cores, shared by all that run; `ping` with `green`; what it cannot read
-//! closes the connection, as the engines' wire says. Started cold it bears a share of its cores only, and what is
-//! sent beyond the cold budget in one span pushes it over: it drops all connections and refuses for a while.
+//! A stand-in engine that counts every connection and every thread of work sent to it. It answers `do` with
+//! one page after the time that the work takes on its cores, which all running queries share, and `ping` with
+//! `green`; a command that it cannot read closes the connection, as in the engines' protocol. A cold engine
+//! starts with a fraction of its cores, and falls over if more work than its cold budget is sent within one
+//! span: it drops all connections and refuses new ones for a while.
 //!
-//! Left out, and said in docs/design/cold-start.md: memory, pages, priorities, notes, data sets.
+//! Not simulated (see docs/design/cold-start.md): memory, pages, priorities, progress notes, data sets.
 
 mod machine;
 mod wire;
@@ -24,13 +25,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
-use wire::{array, command};
+use wire::{array, read_command};
 
-/// Connections that an engine holds open; further ones are closed at once.
+/// Maximum number of open connections of an engine; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 5_000;
 
 struct Shared {
-    number: usize,
+    /// Index of the engine in the run.
+    index: usize,
     start: Instant,
     machine: Mutex<Machine>,
     dials: Counter,
@@ -38,14 +40,14 @@
     ledger: Ledger,
     history: Recorder,
     connections: AtomicUsize,
-    next: AtomicU64,
-    /// Raised when all connections are to end: a fall, or the engine's end.
-    ends: watch::Sender<u64>,
+    next_connection: AtomicU64,
+    /// Incremented when all connections end: the engine falls over, restarts or stops.
+    disconnects: watch::Sender<u64>,
 }
 
 impl Shared {
-    fn name(&self) -> String {
-        name_of(self.number)
+    fn id(&self) -> String {
+        engine_id(self.index)
     }
 
     fn machine<T>(&self, f: impl FnOnce(&mut Machine) -> T) -> T {
@@ -53,25 +55,26 @@
     }
 }
 
-/// The id of a rig's engine, by its number.
-pub fn name_of(number: usize) -> String {
-    format!("s-{number:04}")
+/// The id of an engine, by its index in the run.
+pub fn engine_id(index: usize) -> String {
+    format!("s-{index:04}")
 }
 
 /// An engine, running on a port of its own until it is stopped or the process ends.
 pub struct CountingEngine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Every connection made to it, when it came.
+    /// Connections to the engine, including refused ones.
     pub dials: Counter,
-    /// Every `do`, when it came.
+    /// `do` commands that the engine received.
     pub work: Counter,
     shared: Arc<Shared>,
     listening: tokio::task::JoinHandle<()>,
 }
 
 impl CountingEngine {
-    /// Starts one that answers at once, on a loopback port the kernel chooses.
+    /// Starts a warm engine that answers at once, on a loopback port that the kernel chooses; times are
+    /// counted from `start`.
     ///
     /// # Errors
     /// Those of binding a loopback port.
@@ -79,13 +82,14 @@
         CountingEngine::start_as(Spec::default(), 0, Ledger::default(), Recorder::default(), start)
     }
 
-    /// Starts engine `number` of a rig, which writes what reaches it in `ledger` and in `history`.
+    /// Starts the engine of this index in a run; it records the attempts that reach it in `ledger` and its
+    /// connections and commands in `history`.
     ///
     /// # Errors
     /// Those of binding a loopback port.
     pub fn start_as(
         spec: Spec,
-        number: usize,
+        index: usize,
         ledger: Ledger,
         history: Recorder,
         start: Instant,
@@ -94,7 +98,7 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            number,
+            index,
             start,
             machine: Mutex::new(Machine::new(spec, Instant::now())),
             dials: Counter::default(),
@@ -102,22 +106,22 @@
             ledger,
             history,
             connections: AtomicUsize::new(0),
-            next: AtomicU64::new(0),
-            ends: watch::channel(0).0,
+            next_connection: AtomicU64::new(0),
+            disconnects: watch::channel(0).0,
         });
         let engine = Arc::clone(&shared);
         let listening = runtime().spawn(async move {
             let Ok(listener) = TcpListener::from_std(listener) else { return };
             while let Ok((stream, _)) = listener.accept().await {
-                engine.dials.note(engine.start);
-                let down = engine.machine(|m| m.down(Instant::now()));
+                engine.dials.record(engine.start);
+                let down = engine.machine(|m| m.is_down(Instant::now()));
                 if down || engine.connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                     continue;
                 }
                 engine.connections.fetch_add(1, Ordering::Relaxed);
                 let engine = Arc::clone(&engine);
                 tokio::spawn(async move {
-                    connection(&engine, stream).await;
+                    serve_connection(&engine, stream).await;
                     engine.connections.fetch_sub(1, Ordering::Relaxed);
                 });
             }
@@ -127,60 +131,61 @@
         Ok(CountingEngine { address, dials, work, shared, listening })
     }
 
-    /// Ends it as a process dies: the port closes, every connection ends.
+    /// Stops the engine as if its process had died: the port and all connections are closed.
     pub fn stop(&self) {
         self.listening.abort();
-        self.shared.ends.send_modify(|n| *n += 1);
+        self.shared.disconnects.send_modify(|n| *n += 1);
     }
 
-    /// Restarts it on its port: all connections end, and it is in slow start.
+    /// Restarts the engine on its port: all connections end, and a slow start of `cold_for` seconds begins.
     pub fn restart_cold(&self, cold_for: f64) {
         self.shared.machine(|m| {
             let max_threads = m.max_threads;
             *m = Machine::new(Spec { cold_for, ..m.spec }, Instant::now());
             m.max_threads = max_threads;
         });
-        self.shared.ends.send_modify(|n| *n += 1);
+        self.shared.disconnects.send_modify(|n| *n += 1);
     }
 
-    /// Threads at work at most so far.
+    /// Highest number of threads at work at a time so far.
     pub fn max_threads(&self) -> f64 {
         self.shared.machine(|m| m.max_threads)
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::Relaxed)
     }
 }
 
-async fn connection(engine: &Arc<Shared>, stream: TcpStream) {
-    let connection = engine.next.fetch_add(1, Ordering::Relaxed);
-    engine.history.note_engine(|| Event::Connected { engine: engine.name(), connection });
+async fn serve_connection(engine: &Arc<Shared>, stream: TcpStream) {
+    let connection = engine.next_connection.fetch_add(1, Ordering::Relaxed);
+    engine.history.record_engine(|| Event::Connected { engine: engine.id(), connection });
     let _ = stream.set_nodelay(true);
     let (reader, mut writer) = stream.into_split();
     let (answers, mut outbox) = mpsc::unbounded_channel::<Vec<u8>>();
-    // What is open here: its threads, and a switch that calls it off.
-    let open: Arc<Mutex<BTreeMap<u64, f64>>> = Arc::default();
-    let mut ends = engine.ends.subscribe();
+    // Threads of the queries in flight on this connection, by request id; removing an entry cancels its
+    // query.
+    let in_flight: Arc<Mutex<BTreeMap<u64, f64>>> = Arc::default();
+    let mut disconnects = engine.disconnects.subscribe();
     let mut input = BufReader::new(reader);
     let reading = async {
-        while let Some(parts) = command(&mut input).await {
+        while let Some(parts) = read_command(&mut input).await {
             let id = parts.get(1).and_then(|p| std::str::from_utf8(p).ok());
             let id = id.and_then(|t| u64::from_str_radix(t, 16).ok());
-            engine.history.note_engine(|| Event::Command {
-                engine: engine.name(),
+            engine.history.record_engine(|| Event::Command {
+                engine: engine.id(),
                 connection,
                 word: parts.first().map_or(String::new(), |name| command_name(name)),
                 manager: id.map(|id| format!("n{}", manager_of(id))),
             });
             match (parts.first().map(Vec::as_slice), id) {
                 (Some(b"do"), Some(id)) if parts.len() == 4 => {
-                    if !begin(engine, connection, id, &parts[2], &open, &answers) {
+                    if !start_query(engine, connection, id, &parts[2], &in_flight, &answers) {
                         return;
                     }
                 }
-                (Some(b"undo"), Some(id)) => end(engine, connection, id, &open),
+                (Some(b"undo"), Some(id)) => end_query(engine, connection, id, &in_flight),
                 (Some(b"ping"), _) if parts.len() >= 2 => {
                     let _ = answers.send(array(&[&parts[1], b"green", b"-"]));
                 }
@@ -191,7 +196,7 @@
     };
     tokio::select! {
         () = reading => {}
-        _ = ends.changed() => {}
+        _ = disconnects.changed() => {}
         () = async {
             while let Some(answer) = outbox.recv().await {
                 if writer.write_all(&answer).await.is_err() {
@@ -200,60 +205,62 @@
             }
         } => {}
     }
-    let left: Vec<u64> = open.lock().unwrap_or_else(PoisonError::into_inner).keys().copied().collect();
-    left.iter().for_each(|id| end(engine, connection, *id, &open));
-    engine.history.note_engine(|| Event::Disconnected { engine: engine.name(), connection });
+    let remaining: Vec<u64> =
+        in_flight.lock().unwrap_or_else(PoisonError::into_inner).keys().copied().collect();
+    remaining.iter().for_each(|id| end_query(engine, connection, *id, &in_flight));
+    engine.history.record_engine(|| Event::Disconnected { engine: engine.id(), connection });
 }
 
-/// A command's name as the history records it, cut after 16 bytes: longer than any name.
+/// A command's name as the history records it, cut after 16 bytes, which is longer than any valid name.
 fn command_name(bytes: &[u8]) -> String {
     String::from_utf8_lossy(&bytes[..bytes.len().min(16)]).into_owned()
 }
 
-/// Ends what is open under an id on a connection, once.
-fn end(engine: &Shared, connection: u64, id: u64, open: &Mutex<BTreeMap<u64, f64>>) {
-    let threads = open.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
+/// Ends the query of a request id on a connection, if it is in flight: it is answered, cancelled or
+/// disconnected.
+fn end_query(engine: &Shared, connection: u64, id: u64, in_flight: &Mutex<BTreeMap<u64, f64>>) {
+    let threads = in_flight.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
     if let Some(threads) = threads {
         engine.machine(|m| m.release(threads));
-        engine.ledger.over(id, engine.number, connection);
+        engine.ledger.record_end(id, engine.index, connection);
     }
 }
 
-/// Takes a query: false if this pushed the engine over.
-fn begin(
+/// Starts a query, and answers it when its run time is over; false if it made the engine fall over.
+fn start_query(
     engine: &Arc<Shared>,
     connection: u64,
     id: u64,
     fields: &[u8],
-    open: &Arc<Mutex<BTreeMap<u64, f64>>>,
+    in_flight: &Arc<Mutex<BTreeMap<u64, f64>>>,
     answers: &mpsc::UnboundedSender<Vec<u8>>,
 ) -> bool {
     let now = Instant::now();
-    engine.work.note(engine.start);
-    engine.ledger.reached(id, engine.number, connection, now);
+    engine.work.record(engine.start);
+    engine.ledger.record_attempt(id, engine.index, connection, now);
     let heavy = fields.windows(17).any(|w| w == b"class=tariff-load");
     let spec = engine.machine(|m| m.spec);
     let (work, threads) = if heavy { (spec.heavy, 2.0) } else { (spec.light, 1.0) };
-    let Some(runs) = engine.machine(|m| m.take(now, work, threads)) else {
-        engine.ledger.fell();
-        engine.ledger.over(id, engine.number, connection);
-        engine.ends.send_modify(|n| *n += 1);
+    let Some(run_time) = engine.machine(|m| m.start_query(now, work, threads)) else {
+        engine.ledger.record_fall();
+        engine.ledger.record_end(id, engine.index, connection);
+        engine.disconnects.send_modify(|n| *n += 1);
         return false;
     };
-    open.lock().unwrap_or_else(PoisonError::into_inner).insert(id, threads);
+    in_flight.lock().unwrap_or_else(PoisonError::into_inner).insert(id, threads);
     let engine = Arc::clone(engine);
-    let open = Arc::clone(open);
+    let in_flight = Arc::clone(in_flight);
     let answers = answers.clone();
     tokio::spawn(async move {
-        if runs > Duration::ZERO {
-            sleep(runs).await;
+        if run_time > Duration::ZERO {
+            sleep(run_time).await;
         }
-        if !open.lock().unwrap_or_else(PoisonError::into_inner).contains_key(&id) {
+        if !in_flight.lock().unwrap_or_else(PoisonError::into_inner).contains_key(&id) {
             return;
         }
-        end(&engine, connection, id, &open);
-        let left = engine.machine(|m| m.queries());
-        let fields = format!("batches=1,cpu={:.1},used=1.0,stats=rif:{left}", work * 1e3);
+        end_query(&engine, connection, id, &in_flight);
+        let queries = engine.machine(|m| m.queries());
+        let fields = format!("batches=1,cpu={:.1},used=1.0,stats=rif:{queries}", work * 1e3);
         let name = format!("{id:016x}");
         let _ = answers.send(array(&[name.as_bytes(), b"served", fields.as_bytes(), b"a\tb\tc\n"]));
     });
--- a/crates/cluster-harness/src/fault_proxy/mod.rs
+++ b/crates/cluster-harness/src/fault_proxy/mod.rs
@@ -1,16 +1,18 @@
-//! A fault proxy on loopback: TCP and UDP between groups of processes, with faults on command.
+//! A fault proxy on loopback: forwards TCP and UDP between groups of processes and injects faults.
 //!
-//! Every path goes from a *group* to a *group* (names such as `a`, `b`, `lists`, `engines`), one way each: a
-//! rule on `a -> lists` leaves `lists -> a` as it is, so that one-way loss and half-open connections can be
-//! made. [`Faults`] holds the rules; [`tcp`](fn@tcp) opens a listener that leads one group to one target; a [`UdpNet`]
-//! gives each member an address of its own, so that what arrives shows the sender's.
+//! Rules apply to one direction between two *groups* (names such as `a`, `b`, `lists`, `engines`): a rule on
+//! `a -> lists` doesn't change `lists -> a`, which allows one-way loss and half-open connections. [`Faults`]
+//! holds the rules; [`tcp`](fn@tcp) opens a listener that forwards one group's connections to one target; a
+//! [`UdpNet`] gives each member an address of its own, so that a receiver sees the sender's address in the
+//! proxy.
 //!
-//! A party may be named itself and have a group as its *home*: a rule for the very two comes before one for a party
-//! and a group, and that before one for two groups.
+//! A single party, such as a manager, can have rules of its own and belong to a group. A rule for two parties
+//! takes precedence over one for a party and a group, and that over one for two groups.
 //!
-//! What loopback cannot show: the kernel accepts a TCP connection before the fault proxy can hold it back, so in a
-//! partition a connection comes up and then says nothing; a real one would not come up. And with one way parted
-//! what goes the other way arrives for good, where in a real network it would end for want of acknowledgements.
+//! Differences from a real network: the kernel accepts a TCP connection before the fault proxy can hold it
+//! back, so in a partition a connection is established and then carries nothing, where a real one would not
+//! be established. And in a one-way partition data keeps arriving in the other direction, where a real
+//! connection would time out for lack of acknowledgements.
 
 mod tcp;
 #[cfg(test)]
@@ -29,30 +31,32 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Bytes carried at a time, each way; a datagram is no longer.
+/// Bytes forwarded at a time in each direction; also the longest datagram.
 const CHUNK: usize = 16 * 1024;
-/// Pieces a second into which a rate-limited route divides its data, so that it does not go in bursts.
-const SLOW_PIECES_PER_SECOND: f64 = 20.0;
+/// Chunks per second into which a rate-limited route divides its data, so that it isn't sent in bursts.
+const RATE_LIMITED_CHUNKS_PER_SECOND: f64 = 20.0;
 
-/// What happens to what goes one way between two groups.
+/// Faults of the traffic in one direction between two groups. Data is forwarded, and delayed or corrupted, in
+/// chunks of up to 16 KiB.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rule {
-    /// Each piece is held for so long, in milliseconds; 0 to 60,000.
+    /// Delay of each chunk or datagram, in milliseconds; 0 to 60,000.
     pub delay_ms: f64,
-    /// And for up to so much longer, drawn evenly.
+    /// Maximum additional delay, in milliseconds, drawn from a uniform distribution; 0 to 60,000.
     pub jitter_ms: f64,
-    /// Share of datagrams that are dropped; TCP has no loss of its own here.
+    /// Fraction of datagrams that are dropped, 0 to 1; TCP data is never dropped.
     pub drop: f64,
-    /// Share of pieces in which one byte is changed.
+    /// Fraction of chunks and datagrams in which one byte is corrupted; 0 to 1.
     pub garble: f64,
-    /// Nothing passes; what comes waits (TCP) or is dropped (UDP) until the rule is lifted.
+    /// Nothing is forwarded: TCP data waits until the rule is removed, datagrams are dropped.
     pub partition: bool,
     /// New TCP connections are closed at once.
     pub refuse: bool,
-    /// New TCP connections are accepted and never forwarded. Open connections go on.
+    /// New TCP connections are accepted and never forwarded. Open connections are not affected.
     pub blackhole: bool,
-    /// Bytes a second that pass, all connections and datagrams between the two together; 0: no bound. At most 1e9.
+    /// Maximum rate of all connections and datagrams on the route together, in bytes per second; 0: no limit.
+    /// At most 1e9.
     pub bytes_s: f64,
 }
 
@@ -72,10 +76,10 @@
 }
 
 impl Rule {
-    /// What is wrong with the figures, if anything.
+    /// Checks that all figures lie within their ranges.
     ///
     /// # Errors
-    /// The field and its range.
+    /// The first field out of range, and its range.
     pub fn check(&self) -> Result<(), InvalidField> {
         check_range("delay_ms", self.delay_ms, 0.0, 60_000.0)?;
         check_range("jitter_ms", self.jitter_ms, 0.0, 60_000.0)?;
@@ -84,61 +88,63 @@
         check_range("bytes_s", self.bytes_s, 0.0, 1e9)
     }
 
-    /// Whether it keeps a party from being served: nothing passes, or nothing new.
-    pub fn silences(&self) -> bool {
+    /// Whether the rule blocks all traffic, or all new connections.
+    pub fn blocks_connections(&self) -> bool {
         self.partition || self.blackhole || self.refuse
     }
 
-    /// Bytes that are carried at a time under it.
-    fn piece(&self) -> usize {
+    /// Maximum number of bytes that are forwarded at a time.
+    fn chunk_size(&self) -> usize {
         match self.bytes_s > 0.0 {
-            true => ((self.bytes_s / SLOW_PIECES_PER_SECOND) as usize).clamp(1, CHUNK),
+            true => ((self.bytes_s / RATE_LIMITED_CHUNKS_PER_SECOND) as usize).clamp(1, CHUNK),
             false => CHUNK,
         }
     }
 }
 
-/// One-off faults of connections that are open.
+/// One-time faults of open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectionCut {
-    /// Both ways end.
+    /// Both directions are closed.
     Close,
-    /// This way ends, the other stays open.
+    /// This direction is closed, the other stays open.
     HalfClose,
-    /// Both ways end by a reset (RST): what was on its way is lost.
+    /// The connection is reset (RST): data in flight is lost.
     Reset,
 }
 
-type Pair = (String, String);
+/// A source and a destination.
+type Route = (String, String);
 
 #[derive(Default)]
 struct Table {
-    rules: HashMap<Pair, Rule>,
-    /// The last cut of each pair, by its number among all.
-    cuts: HashMap<Pair, (u64, ConnectionCut)>,
-    cuts_made: u64,
+    rules: HashMap<Route, Rule>,
+    /// The last cut on each route, with its sequence number over all routes.
+    cuts: HashMap<Route, (u64, ConnectionCut)>,
+    /// Sequence number of the last cut; 0 if there was none.
+    last_cut: u64,
     /// The group that a party belongs to.
-    homes: HashMap<String, String>,
-    /// When the route between a pair is free again, where a rule limits its rate.
-    taken: HashMap<Pair, Instant>,
+    groups: HashMap<String, String>,
+    /// Time at which a route with a rate limit is free again.
+    busy_until: HashMap<Route, Instant>,
 }
 
 impl Table {
-    /// The pairs under which a rule for two parties may stand, the nearest first.
-    fn pairs(&self, from: &str, to: &str) -> Vec<Pair> {
-        let home = |name: &str| self.homes.get(name).cloned();
-        let from_home = home(from);
-        let to_home = home(to);
+    /// The routes whose rules apply between two parties, the most specific first.
+    fn applicable_routes(&self, from: &str, to: &str) -> Vec<Route> {
+        let group = |name: &str| self.groups.get(name).cloned();
+        let from_group = group(from);
+        let to_group = group(to);
         let mut all = vec![(from.to_owned(), to.to_owned())];
-        all.extend(to_home.iter().map(|t| (from.to_owned(), t.clone())));
-        all.extend(from_home.iter().map(|f| (f.clone(), to.to_owned())));
-        all.extend(from_home.iter().zip(&to_home).map(|(f, t)| (f.clone(), t.clone())));
+        all.extend(to_group.iter().map(|t| (from.to_owned(), t.clone())));
+        all.extend(from_group.iter().map(|f| (f.clone(), to.to_owned())));
+        all.extend(from_group.iter().zip(&to_group).map(|(f, t)| (f.clone(), t.clone())));
         all
     }
 }
 
-/// The rules, shared by all paths of a rig.
+/// The rules, shared by all paths of a run.
 #[derive(Clone)]
 pub struct Faults {
     table: Arc<Mutex<Table>>,
@@ -147,7 +153,7 @@
 }
 
 impl Faults {
-    /// No fault yet; `seed` for what is drawn.
+    /// No rules yet; `seed` determines the random drops, delays and corruptions.
     pub fn new(seed: u64) -> Faults {
         Faults {
             table: Arc::default(),
@@ -160,84 +166,87 @@
         f(&mut self.table.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// From now on what goes from one group to another goes by `rule`.
-    pub fn set(&self, from: &str, to: &str, rule: Rule) {
+    /// Sets the rule from one party or group to another, for open and new connections.
+    pub fn set_rule(&self, from: &str, to: &str, rule: Rule) {
         self.table(|t| _ = t.rules.insert((from.to_owned(), to.to_owned()), rule));
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// From now on there is no rule of its own from one group to another.
-    pub fn lift(&self, from: &str, to: &str) {
+    /// Removes the rule from one party or group to another; less specific rules apply again.
+    pub fn remove_rule(&self, from: &str, to: &str) {
         self.table(|t| _ = t.rules.remove(&(from.to_owned(), to.to_owned())));
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Nothing passes between two groups any more, or all does again.
-    pub fn part(&self, a: &str, b: &str, parted: bool) {
-        let rule = Rule { partition: parted, ..Rule::default() };
-        self.set(a, b, rule);
-        self.set(b, a, rule);
+    /// Starts or ends a partition in both directions between two groups; replaces their rules.
+    pub fn set_partition(&self, a: &str, b: &str, partitioned: bool) {
+        let rule = Rule { partition: partitioned, ..Rule::default() };
+        self.set_rule(a, b, rule);
+        self.set_rule(b, a, rule);
     }
 
-    /// A party belongs to a group: rules for the group are for it, too.
-    pub fn home(&self, party: &str, group: &str) {
-        self.table(|t| _ = t.homes.insert(party.to_owned(), group.to_owned()));
+    /// Sets the group of a party: the group's rules apply to the party, too.
+    pub fn set_group(&self, party: &str, group: &str) {
+        self.table(|t| _ = t.groups.insert(party.to_owned(), group.to_owned()));
     }
 
-    /// Every TCP connection that is open from one group to another is cut.
+    /// Cuts every open TCP connection from one party or group to another.
     pub fn cut(&self, from: &str, to: &str, how: ConnectionCut) {
         self.table(|t| {
-            t.cuts_made += 1;
-            t.cuts.insert((from.to_owned(), to.to_owned()), (t.cuts_made, how));
+            t.last_cut += 1;
+            t.cuts.insert((from.to_owned(), to.to_owned()), (t.last_cut, how));
         });
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// All rules are lifted.
+    /// Removes all rules.
     pub fn heal(&self) {
         self.table(|t| t.rules.clear());
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// The rule in force.
+    /// The rule in force from one party to another.
     pub fn rule(&self, from: &str, to: &str) -> Rule {
         self.table(|t| {
-            // Most of a run has none, and every piece that is carried asks.
+            // Fast path: there are no rules for most of a run, and this is called for every forwarded chunk.
             if t.rules.is_empty() {
                 return Rule::default();
             }
-            let found = t.pairs(from, to).into_iter().find_map(|p| t.rules.get(&p).copied());
+            let found =
+                t.applicable_routes(from, to).into_iter().find_map(|route| t.rules.get(&route).copied());
             found.unwrap_or_default()
         })
     }
 
-    /// The last cut that is for two parties: its number, 0 for none, and how.
-    fn cuts(&self, from: &str, to: &str) -> (u64, Option<ConnectionCut>) {
+    /// The last cut that applies from one party to another, with its sequence number; 0 if there was none.
+    fn last_cut(&self, from: &str, to: &str) -> (u64, Option<ConnectionCut>) {
         self.table(|t| {
             if t.cuts.is_empty() {
                 return (0, None);
             }
-            let last = t.pairs(from, to).into_iter().filter_map(|p| t.cuts.get(&p)).max_by_key(|c| c.0);
-            last.map_or((0, None), |(n, how)| (*n, Some(*how)))
+            let routes = t.applicable_routes(from, to).into_iter();
+            let last = routes.filter_map(|route| t.cuts.get(&route)).max_by_key(|cut| cut.0);
+            last.map_or((0, None), |(number, how)| (*number, Some(*how)))
         })
     }
 
-    /// The last cut that is for two parties, unless it is the one numbered `known`.
+    /// The last cut that applies from one party to another, unless it is the one numbered `known`.
     fn cut_since(&self, from: &str, to: &str, known: u64) -> Option<ConnectionCut> {
-        let (number, cut) = self.cuts(from, to);
+        let (number, cut) = self.last_cut(from, to);
         cut.filter(|_| number != known)
     }
 
-    /// How long `n` bytes that are sent now take at the rule's rate, behind the bytes before them.
+    /// Time until `n` bytes that are sent now have been transmitted at the rule's rate, after those queued
+    /// before them.
     fn transmission_delay(&self, from: &str, to: &str, rule: &Rule, n: usize) -> Duration {
         if rule.bytes_s <= 0.0 {
             return Duration::ZERO;
         }
         let now = Instant::now();
         self.table(|t| {
-            let free = t.taken.entry((from.to_owned(), to.to_owned())).or_insert(now);
-            *free = (*free).max(now) + Duration::from_secs_f64(n as f64 / rule.bytes_s);
-            *free - now
+            let busy_until = t.busy_until.entry((from.to_owned(), to.to_owned())).or_insert(now);
+            *busy_until = (*busy_until).max(now) + Duration::from_secs_f64(n as f64 / rule.bytes_s);
+            *busy_until - now
         })
     }
 
@@ -250,10 +259,11 @@
         Duration::from_secs_f64((rule.delay_ms + jitter) / 1_000.0)
     }
 
-    fn garble(&self, rule: &Rule, piece: &mut [u8]) {
-        if rule.garble > 0.0 && !piece.is_empty() && self.draw(|r| r.gen_bool(rule.garble)) {
-            let (at, flip) = self.draw(|r| (r.gen_range(0..piece.len()), r.gen_range(1..=255u8)));
-            piece[at] ^= flip;
+    /// Corrupts one byte of a chunk, with the rule's probability.
+    fn garble(&self, rule: &Rule, chunk: &mut [u8]) {
+        if rule.garble > 0.0 && !chunk.is_empty() && self.draw(|r| r.gen_bool(rule.garble)) {
+            let (position, mask) = self.draw(|r| (r.gen_range(0..chunk.len()), r.gen_range(1..=255u8)));
+            chunk[position] ^= mask;
         }
     }
 }
--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP between groups.
+//! Forwards TCP connections between groups.
 
 use super::{ConnectionCut, Faults, CHUNK};
 use crate::runtime;
@@ -9,12 +9,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Time for which a connection of a black hole is kept open: as long as the longest run.
+/// Time for which a blackholed connection is kept open: as long as the longest run.
 const MAX_BLACKHOLE_TIME: Duration = Duration::from_secs(600);
 
-/// A path from one group to one target: connections to the returned address lead to `target`.
+/// A path from one group to one target: connections to `address` are forwarded to the target. Dropping the
+/// path closes its listener; open connections stay.
 pub struct TcpPath {
-    /// Where the group connects.
+    /// Address to which the group connects.
     pub address: SocketAddr,
     listening: tokio::task::JoinHandle<()>,
 }
@@ -25,10 +26,10 @@
     }
 }
 
-/// The address that a path leads to; `None` until the process has logged where it listens.
+/// The address to which a path forwards; `None` until the process has logged its listen address.
 pub type Target = Arc<Mutex<Option<SocketAddr>>>;
 
-/// Opens a path from `from` to `target`, which counts as of group `to`.
+/// Opens a path from `from` to `target`, a member of the party or group `to`.
 ///
 /// # Errors
 /// Those of binding a loopback port.
@@ -36,7 +37,7 @@
     tcp_to(faults, from, to, Arc::new(Mutex::new(Some(target))))
 }
 
-/// As [`tcp`], to where `target` says when a connection comes; it is closed where that is nowhere.
+/// As [`tcp`], with a target that is read at each new connection, which is closed if there is no target.
 ///
 /// # Errors
 /// Those of binding a loopback port.
@@ -58,30 +59,32 @@
             let to = to.clone();
             tokio::spawn(async move {
                 if rule.blackhole {
-                    return swallow(client).await;
+                    return hold_blackholed(client).await;
                 }
                 let Ok(server) = TcpStream::connect(target).await else { return };
-                carry(&faults, &from, &to, client, server).await;
+                forward(&faults, &from, &to, client, server).await;
             });
         }
     });
     Ok(TcpPath { address, listening })
 }
 
-/// A connection that leads nowhere: it is held, and nothing of it is read, until its client lets go.
-async fn swallow(client: TcpStream) {
+/// Holds a blackholed connection open, without reading from it, until its client resets it or the time is
+/// over.
+async fn hold_blackholed(client: TcpStream) {
     let _ = timeout(MAX_BLACKHOLE_TIME, client.ready(Interest::ERROR)).await;
 }
 
-async fn carry(faults: &Faults, from: &str, to: &str, mut client: TcpStream, mut server: TcpStream) {
+async fn forward(faults: &Faults, from: &str, to: &str, mut client: TcpStream, mut server: TcpStream) {
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
-    if joined(faults, from, to, &mut client, &mut server).await == StreamEnd::Reset {
+    if forward_both(faults, from, to, &mut client, &mut server).await == StreamEnd::Reset {
+        // With a linger time of zero the kernel sends RST when the sockets are dropped.
         let _ = (client.set_zero_linger(), server.set_zero_linger());
     }
 }
 
 /// Forwards both directions until both have ended, or one was cut or failed.
-async fn joined(
+async fn forward_both(
     faults: &Faults,
     from: &str,
     to: &str,
@@ -90,32 +93,33 @@
 ) -> StreamEnd {
     let (client_in, client_out) = client.split();
     let (server_in, server_out) = server.split();
-    let there = pump(faults, from, to, client_in, server_out);
-    let back = pump(faults, to, from, server_in, client_out);
-    tokio::pin!(there, back);
-    let mut there_over = false;
-    let mut back_over = false;
-    while !(there_over && back_over) {
+    let to_server = pump(faults, from, to, client_in, server_out);
+    let to_client = pump(faults, to, from, server_in, client_out);
+    tokio::pin!(to_server, to_client);
+    let mut to_server_ended = false;
+    let mut to_client_ended = false;
+    while !(to_server_ended && to_client_ended) {
         // A direction that ended in order leaves the other open; one that was cut or failed ends both.
-        let ended = tokio::select! {
-            e = &mut there, if !there_over => { there_over = true; e }
-            e = &mut back, if !back_over => { back_over = true; e }
+        let end = tokio::select! {
+            end = &mut to_server, if !to_server_ended => { to_server_ended = true; end }
+            end = &mut to_client, if !to_client_ended => { to_client_ended = true; end }
         };
-        if ended != StreamEnd::Ended {
-            return ended;
+        if end != StreamEnd::Ended {
+            return end;
         }
     }
     StreamEnd::Ended
 }
 
-/// Passes the end of one direction on.
+/// Forwards the end of one direction (FIN).
 async fn end_output<W: AsyncWriteExt + Unpin>(output: &mut W) -> StreamEnd {
-    // A peer that is gone already needs no end.
+    // An error means that the peer has already closed the connection.
     let _ = output.shutdown().await;
     StreamEnd::Ended
 }
 
-/// Waits for the next change of the faults; how the connection ends, if a cut or the end of the rig ends it.
+/// Waits in a partition for the next change of the faults. Returns how the connection ends, if a cut or the
+/// end of the run ends it.
 async fn wait_in_partition(
     cut: Option<ConnectionCut>,
     changed: &mut tokio::sync::watch::Receiver<u64>,
@@ -130,32 +134,32 @@
 /// How one direction of a connection ended.
 #[derive(PartialEq, Eq)]
 enum StreamEnd {
-    /// In order: the other direction stays open.
+    /// Closed in order: the other direction stays open.
     Ended,
-    /// By a failure or a cut: both directions end.
+    /// Ended by a failure or a cut: both directions end.
     Broken,
-    /// By a cut that resets the connection.
+    /// Ended by a cut that resets the connection.
     Reset,
 }
 
-/// What ended a read, or what it returned.
+/// Outcome of a read.
 enum Read {
-    /// So many bytes came; 0: the sender has ended this direction.
+    /// Number of bytes that were read; 0 if the sender has closed this direction.
     Bytes(usize),
-    /// The faults changed meanwhile.
+    /// The faults changed before data arrived.
     FaultsChanged,
-    /// The connection failed, or the rig has ended.
+    /// The connection failed, or the run has ended.
     Failed,
 }
 
-/// Reads the next piece, unless the faults change first.
-async fn read_piece<R: AsyncReadExt + Unpin>(
+/// Reads the next chunk, unless the faults change first.
+async fn read_chunk<R: AsyncReadExt + Unpin>(
     input: &mut R,
-    piece: &mut [u8],
+    chunk: &mut [u8],
     changed: &mut tokio::sync::watch::Receiver<u64>,
 ) -> Read {
     tokio::select! {
-        read = input.read(piece) => read.map_or(Read::Failed, Read::Bytes),
+        read = input.read(chunk) => read.map_or(Read::Failed, Read::Bytes),
         change = changed.changed() => match change {
             Ok(()) => Read::FaultsChanged,
             Err(_) => Read::Failed,
@@ -170,8 +174,9 @@
     W: AsyncWriteExt + Unpin,
 {
     let mut changed = faults.changed.subscribe();
-    let first = faults.cuts(from, to).0;
-    let cut = || faults.cut_since(from, to, first);
+    // Cuts apply to open connections only: earlier ones are ignored.
+    let earlier_cut = faults.last_cut(from, to).0;
+    let cut = || faults.cut_since(from, to, earlier_cut);
     let mut bytes = vec![0u8; CHUNK];
     loop {
         match cut() {
@@ -186,8 +191,8 @@
             }
             continue;
         }
-        let piece = faults.rule(from, to).piece();
-        let n = match read_piece(&mut input, &mut bytes[..piece], &mut changed).await {
+        let chunk_size = faults.rule(from, to).chunk_size();
+        let n = match read_chunk(&mut input, &mut bytes[..chunk_size], &mut changed).await {
             Read::Bytes(0) => return end_output(&mut output).await,
             Read::Bytes(n) => n,
             Read::FaultsChanged => continue,
--- a/crates/cluster-harness/src/fault_proxy/udp.rs
+++ b/crates/cluster-harness/src/fault_proxy/udp.rs
@@ -1,4 +1,4 @@
-//! UDP between members.
+//! Forwards UDP datagrams between members.
 
 use super::{Faults, CHUNK};
 use crate::runtime;
@@ -10,27 +10,29 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Instant};
 
-/// Datagrams that are delayed at once on one path; further ones are dropped.
-const MAX_WAITING: usize = 4_096;
-/// Members of one UDP net.
+/// Maximum number of delayed datagrams to one member at a time; further ones are dropped.
+const MAX_DELAYED: usize = 4_096;
+/// Maximum number of members of a UDP net.
 const MAX_MEMBERS: usize = 2_000;
 
 struct Member {
-    /// Its name in the fault proxy's rules: its own, or its group's.
+    /// Name in the fault proxy's rules: the member's own, or its group's.
     group: String,
-    /// Where it sends and receives, once that is known.
-    real: Mutex<Option<SocketAddr>>,
+    /// Address of the member's own socket, once it is known.
+    local_address: Mutex<Option<SocketAddr>>,
+    /// The proxy's socket for the member.
     socket: Arc<UdpSocket>,
 }
 
-/// UDP between members, each of which has an address in the fault proxy: what one sends to another's address
-/// arrives from the sender's own, by the rules between their groups. What comes from nobody is dropped.
+/// A network of members that exchange datagrams through the fault proxy. Each member has an address in the
+/// proxy; a datagram to it is forwarded to the member from the sender's address in the proxy, by the rule
+/// between their groups. Datagrams from unknown senders are dropped.
 #[derive(Clone)]
 pub struct UdpNet {
     faults: Faults,
-    /// By the address where others reach them.
+    /// Members by their address in the proxy.
     reserved: Arc<Mutex<HashMap<SocketAddr, Arc<Member>>>>,
-    /// By where they send and receive.
+    /// Members by the address of their own socket.
     members: Arc<Mutex<HashMap<SocketAddr, Arc<Member>>>>,
 }
 
@@ -40,17 +42,18 @@
         UdpNet { faults: faults.clone(), reserved: Arc::default(), members: Arc::default() }
     }
 
-    /// Takes in a member of a group that sends and receives at `real`: the address at which others reach it.
+    /// Adds a member of a group whose own socket is at `local_address`, and returns its address in the proxy.
     ///
     /// # Errors
-    /// Those of binding a loopback port, and where the net is full.
-    pub fn join(&self, group: &str, real: SocketAddr) -> std::io::Result<SocketAddr> {
+    /// If a loopback port can't be bound or the net is full.
+    pub fn join(&self, group: &str, local_address: SocketAddr) -> std::io::Result<SocketAddr> {
         let address = self.reserve(group)?;
-        self.bind(address, real);
+        self.bind(address, local_address);
         Ok(address)
     }
 
-    /// A member's address, kept for one whose own is not known yet: what is sent there meanwhile is dropped.
+    /// Reserves an address in the proxy for a member whose own address is not known yet. Datagrams to it are
+    /// dropped until [`UdpNet::bind`].
     ///
     /// # Errors
     /// As for [`UdpNet::join`].
@@ -62,7 +65,7 @@
             let _entered = runtime().enter();
             Arc::new(UdpSocket::from_std(socket)?)
         };
-        let member = Arc::new(Member { group: group.to_owned(), real: Mutex::new(None), socket });
+        let member = Arc::new(Member { group: group.to_owned(), local_address: Mutex::new(None), socket });
         {
             let mut reserved = self.reserved.lock().unwrap_or_else(PoisonError::into_inner);
             if reserved.len() >= MAX_MEMBERS {
@@ -75,45 +78,45 @@
         Ok(address)
     }
 
-    /// From now on the member at a reserved address sends and receives at `real`; where it did before is nobody's.
-    pub fn bind(&self, address: SocketAddr, real: SocketAddr) {
+    /// Sets the address of the own socket of the member at a reserved address, in place of an earlier one.
+    pub fn bind(&self, address: SocketAddr, local_address: SocketAddr) {
         let reserved = self.reserved.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(member) = reserved.get(&address) else { return };
-        let old = member.real.lock().unwrap_or_else(PoisonError::into_inner).replace(real);
+        let old = member.local_address.lock().unwrap_or_else(PoisonError::into_inner).replace(local_address);
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         old.map(|old| members.remove(&old));
-        members.insert(real, Arc::clone(member));
+        members.insert(local_address, Arc::clone(member));
     }
 
-    /// Carries what is sent to one member's address.
+    /// Forwards the datagrams that are sent to one member's address in the proxy.
     async fn relay(&self, to: &Arc<Member>) {
         let mut bytes = vec![0u8; CHUNK];
-        let waiting = Arc::new(tokio::sync::Semaphore::new(MAX_WAITING));
+        let delayed = Arc::new(tokio::sync::Semaphore::new(MAX_DELAYED));
         loop {
             let Ok((n, source)) = to.socket.recv_from(&mut bytes).await else { continue };
             let members = || self.members.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(from) = members().get(&source).cloned() else { continue };
-            let real = *to.real.lock().unwrap_or_else(PoisonError::into_inner);
-            let Some(real) = real else { continue };
+            let destination = *to.local_address.lock().unwrap_or_else(PoisonError::into_inner);
+            let Some(destination) = destination else { continue };
             let rule = self.faults.rule(&from.group, &to.group);
             let lost = rule.partition || rule.drop > 0.0 && self.faults.draw(|r| r.gen_bool(rule.drop));
             if lost {
                 continue;
             }
-            let mut piece = bytes[..n].to_vec();
-            self.faults.garble(&rule, &mut piece);
+            let mut datagram = bytes[..n].to_vec();
+            self.faults.garble(&rule, &mut datagram);
             let delay =
                 self.faults.delay(&rule) + self.faults.transmission_delay(&from.group, &to.group, &rule, n);
             if delay == Duration::ZERO {
-                let _ = from.socket.send_to(&piece, real).await;
+                let _ = from.socket.send_to(&datagram, destination).await;
                 continue;
             }
-            let Ok(place) = Arc::clone(&waiting).try_acquire_owned() else { continue };
-            let at = Instant::now() + delay;
+            let Ok(permit) = Arc::clone(&delayed).try_acquire_owned() else { continue };
+            let due = Instant::now() + delay;
             tokio::spawn(async move {
-                sleep_until(at).await;
-                let _ = from.socket.send_to(&piece, real).await;
-                drop(place);
+                sleep_until(due).await;
+                let _ = from.socket.send_to(&datagram, destination).await;
+                drop(permit);
             });
         }
     }
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -1,6 +1,6 @@
-//! The history of a run: what processes did, seen from outside, one JSON line each, timed by the rig's one clock. The
-//! file has a bound; what would go beyond it is not written and the run fails for it, since a judgement of half a
-//! history is none.
+//! The history of a run: what processes did as seen from outside, one event per JSON line, timed by the
+//! harness's clock. The file has a maximum size. An event beyond it is not written and the run fails, since
+//! an incomplete history can't be checked.
 
 use sprucelink_history_checker::event::{Event, HistoryEntry};
 use sprucelink_history_checker::read::parse_history;
@@ -19,10 +19,10 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system answered.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// A line of the file is no entry of a history.
+    /// A line of the file is not a valid entry.
     #[error("{}: {}", path.display(), error_chain(source))]
     Parse {
         /// The file.
@@ -31,43 +31,45 @@
         source: sprucelink_history_checker::read::HistoryError,
     },
     /// Recording stopped before the run did.
-    #[error("the history was cut: {0}")]
+    #[error("incomplete history: {0}")]
     Incomplete(#[source] RecordingStopped),
 }
 
-/// Why nothing more is recorded.
+/// Why recording stopped.
 #[derive(Debug, Error)]
 pub enum RecordingStopped {
     /// An entry could not be encoded.
     #[error("{0}")]
     Encode(#[source] serde_json::Error),
-    /// The file has reached its bound.
-    #[error("it is full (history.most_mb)")]
+    /// The file has reached its maximum size.
+    #[error("the file is full (history.most_mb)")]
     Full,
     /// The file could not be written.
     #[error("{0}")]
     Write(#[source] std::io::Error),
     /// The history was ended.
-    #[error("it has ended")]
+    #[error("the history has ended")]
     Ended,
 }
 
 /// The file's name in a run's folder.
 pub const NAME: &str = "history.jsonl";
 /// Size of the write buffer, in bytes.
-const BUFFER: usize = 1 << 20;
-/// Bytes that the history keeps of a record's data, for its readers; the checker compares the digest.
+const BUFFER_BYTES: usize = 1 << 20;
+/// Maximum length of a record's data in the history, in bytes. The data is for human readers; the checker
+/// compares the digest.
 pub const MAX_DATA_BYTES: usize = 1_024;
 
 struct RecorderState {
     file: BufWriter<File>,
     start: Instant,
     remaining_bytes: u64,
-    /// Why no more is written, if so.
-    cut: Option<RecordingStopped>,
+    /// Why recording stopped, if it has.
+    stopped: Option<RecordingStopped>,
 }
 
-/// Where stand-ins note what they see; one that records nothing takes all and keeps none.
+/// The recorder of a history, shared by the harness and its stand-ins. The default recorder discards all
+/// events.
 #[derive(Clone, Default)]
 pub struct Recorder {
     inner: Option<Arc<Mutex<RecorderState>>>,
@@ -75,60 +77,61 @@
 }
 
 impl Recorder {
-    /// A recorder into `dir`'s [`NAME`], of at most `most` bytes, with times from `start` on; `engines`: connections and
-    /// commands at engines, too.
+    /// Creates the file [`NAME`] in `dir`, of at most `max_bytes` bytes, with times since `start`. With
+    /// `engines` it contains the connections and commands at engines, too.
     ///
     /// # Errors
-    /// Those of making the file.
-    pub fn start(dir: &Path, start: Instant, most: u64, engines: bool) -> std::io::Result<Recorder> {
-        let file = BufWriter::with_capacity(BUFFER, File::create(dir.join(NAME))?);
-        let inner = RecorderState { file, start, remaining_bytes: most, cut: None };
+    /// Those of creating the file.
+    pub fn start(dir: &Path, start: Instant, max_bytes: u64, engines: bool) -> std::io::Result<Recorder> {
+        let file = BufWriter::with_capacity(BUFFER_BYTES, File::create(dir.join(NAME))?);
+        let inner = RecorderState { file, start, remaining_bytes: max_bytes, stopped: None };
         Ok(Recorder { inner: Some(Arc::new(Mutex::new(inner))), engines })
     }
 
-    /// Whether anything is recorded.
-    pub fn on(&self) -> bool {
+    /// Whether events are recorded, rather than discarded.
+    pub fn is_enabled(&self) -> bool {
         self.inner.is_some()
     }
 
-    /// Records an event with the present time; times ascend with the lines.
-    pub fn note(&self, event: Event) {
+    /// Records an event with the current time; the times of the lines ascend.
+    pub fn record(&self, event: Event) {
         let Some(inner) = &self.inner else { return };
-        let mut i = inner.lock().unwrap_or_else(PoisonError::into_inner);
-        if i.cut.is_some() {
+        let mut state = inner.lock().unwrap_or_else(PoisonError::into_inner);
+        if state.stopped.is_some() {
             return;
         }
-        // The cast holds for half a million years.
-        let at_us = i.start.elapsed().as_micros() as u64;
+        // The cast doesn't truncate for half a million years.
+        let at_us = state.start.elapsed().as_micros() as u64;
         let line = serde_json::to_string(&HistoryEntry { at_us, event }).map_err(RecordingStopped::Encode);
         let written = line.and_then(|line| {
-            let need = line.len() as u64 + 1;
-            let remaining = i.remaining_bytes.checked_sub(need).ok_or(RecordingStopped::Full)?;
-            i.remaining_bytes = remaining;
-            i.file
+            let needed = line.len() as u64 + 1;
+            let remaining = state.remaining_bytes.checked_sub(needed).ok_or(RecordingStopped::Full)?;
+            state.remaining_bytes = remaining;
+            state
+                .file
                 .write_all(line.as_bytes())
-                .and_then(|()| i.file.write_all(b"\n"))
+                .and_then(|()| state.file.write_all(b"\n"))
                 .map_err(RecordingStopped::Write)
         });
-        i.cut = written.err();
+        state.stopped = written.err();
     }
 
-    /// Notes what an engine sees, where that is recorded.
-    pub fn note_engine(&self, event: impl FnOnce() -> Event) {
-        if self.engines && self.on() {
-            self.note(event());
+    /// Records an event at an engine, if the history contains those.
+    pub fn record_engine(&self, event: impl FnOnce() -> Event) {
+        if self.engines && self.is_enabled() {
+            self.record(event());
         }
     }
 
-    /// Ends the history: its lines are in the file, and what comes later is not written.
+    /// Ends the history: writes its lines to the file, and discards later events.
     ///
     /// # Errors
-    /// Where it is not whole.
+    /// If recording stopped before, or the file could not be written.
     pub fn end(&self) -> Result<(), HistoryError> {
         let Some(inner) = &self.inner else { return Ok(()) };
-        let mut i = inner.lock().unwrap_or_else(PoisonError::into_inner);
-        let flushed = i.file.flush().map_err(RecordingStopped::Write);
-        match i.cut.replace(RecordingStopped::Ended) {
+        let mut state = inner.lock().unwrap_or_else(PoisonError::into_inner);
+        let flushed = state.file.flush().map_err(RecordingStopped::Write);
+        match state.stopped.replace(RecordingStopped::Ended) {
             Some(reason) => Err(HistoryError::Incomplete(reason)),
             None => flushed.map_err(HistoryError::Incomplete),
         }
@@ -141,10 +144,10 @@
     sources.fold(error.to_string(), |chain, source| format!("{chain}: {source}"))
 }
 
-/// Reads a history's file.
+/// Reads a history from its file.
 ///
 /// # Errors
-/// Its path, and the line and what is wrong with it.
+/// If the file can't be read, or one of its lines is not a valid entry.
 pub fn read(path: &Path) -> Result<Vec<HistoryEntry>, HistoryError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| HistoryError::Read { path: path.to_owned(), source })?;
--- a/crates/cluster-harness/src/http.rs
+++ b/crates/cluster-harness/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls of managers' ports over HTTP/1.1, bounded in time and length.
+//! HTTP/1.1 calls to managers' ports, bounded in time and length.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -19,7 +19,7 @@
     /// The connection could not be used for HTTP.
     #[error("{0}")]
     Handshake(#[source] hyper::Error),
-    /// The request was sent and no answer came.
+    /// The request was sent but got no answer.
     #[error("no answer: {0}")]
     Request(#[source] hyper::Error),
     /// The method or path of the request is invalid.
@@ -28,57 +28,61 @@
     /// The body broke off or is too long.
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The head of the answer did not come in time.
+    /// The head of the answer did not arrive in time.
     #[error("no answer in time")]
     HeadTimeout,
-    /// The complete answer did not come in time.
+    /// The complete answer did not arrive in time.
     #[error("no whole answer in time")]
     CallTimeout,
 }
 
-/// Time within which a connection and the head of an answer must be there.
+/// Timeout of the connection and the head of the answer together.
 const MAX_HEAD_TIME: Duration = Duration::from_secs(5);
-/// Time within which a call must be answered completely.
+/// Timeout of a call, from the connection to the complete answer.
 const MAX_CALL_TIME: Duration = Duration::from_secs(10);
 /// Longest body of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Connects, sends a request and returns the head of the answer; the body follows as it is read. The connection ends with the body.
+/// Connects, sends a request and returns the answer after its head has arrived; the caller reads the body.
+/// The connection is closed after the body.
 ///
 /// # Errors
 /// The step that failed or timed out.
-pub async fn send(at: SocketAddr, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
+pub async fn send(
+    address: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Result<Response<Incoming>, HttpError> {
     let exchange = async {
-        let stream = TcpStream::connect(at).await.map_err(HttpError::Connect)?;
+        let stream = TcpStream::connect(address).await.map_err(HttpError::Connect)?;
         let _ = stream.set_nodelay(true);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
             .map_err(HttpError::Handshake)?;
-        // It ends by itself when the answer's body is dropped or over.
+        // The task ends when the answer's body has ended or is dropped.
         tokio::spawn(connection);
         sender.send_request(request).await.map_err(HttpError::Request)
     };
     timeout(MAX_HEAD_TIME, exchange).await.unwrap_or_else(|_| Err(HttpError::HeadTimeout))
 }
 
-/// A whole call: the status and the body as text.
+/// Makes a call, with a body in JSON if there is one, and returns the answer's status and body.
 ///
 /// # Errors
-/// As for [`send`], and where the answer is too long.
+/// As for [`send`], and if the request is invalid or the answer's body is incomplete or too long.
 pub async fn call(
-    at: SocketAddr,
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: Option<String>,
 ) -> Result<(u16, String), HttpError> {
-    let request = Request::builder().method(method).uri(path).header("host", at.to_string());
+    let request = Request::builder().method(method).uri(path).header("host", address.to_string());
     let request = match &body {
         Some(_) => request.header("content-type", "application/json"),
         None => request,
     };
     let request = request.body(Full::from(body.unwrap_or_default()))?;
     let exchange = async {
-        let answer = send(at, request).await?;
+        let answer = send(address, request).await?;
         let status = answer.status().as_u16();
         let body =
             Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await.map_err(HttpError::Body)?;
--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -1,70 +1,76 @@
-//! What passed on the engines' wires, held against the operators' rules: at most one attempt out, drains
-//! heeded, cold engines not pushed over. Engines write in it; the run reads it at its end.
+//! The attempts that reached the engines, and counts of those that broke a rule of the operators: at most one
+//! attempt of a request in flight, no attempts to draining engines, no overload of cold engines. Engines
+//! record in the ledger; the run reads it at its end.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A send may reach a draining engine for so long after the drain was told (the settings' grace of 500 ms,
-/// and the protocol's 50 ms).
+/// Time after the publication of a drain during which attempts may still reach the engine: the settings'
+/// `drainGrace` of 500 ms and the protocol's 50 ms.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(550);
-/// Requests in flight that the ledger follows; further ones are not checked for second attempts.
-const MAX_OPEN: usize = 200_000;
-/// Request ids that the ledger remembers; further ones count as first attempts.
-const MAX_SEEN: usize = 3_000_000;
-
-/// Counts of what broke a rule, and of what is priced.
+/// Maximum number of requests in flight that the ledger tracks; further ones are not checked for second
+/// attempts.
+const MAX_IN_FLIGHT: usize = 200_000;
+/// Maximum number of request ids that the ledger remembers; attempts of further requests count as first
+/// attempts.
+const MAX_KNOWN_REQUESTS: usize = 3_000_000;
+
+/// Counts of attempts, and of those that broke a rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Breaches {
-    /// Attempts that reached an engine while another attempt of the same request was out.
+    /// Attempts that reached an engine while another attempt of the same request was in flight.
     pub second_attempts: u64,
-    /// Attempts that reached an engine later than the grace after its drain was told.
+    /// Attempts that reached a draining engine after the grace period.
     pub after_drain: u64,
-    /// Cold engines that fell over.
+    /// Falls of cold engines under too much work.
     pub pushed_over: u64,
-    /// Attempts that reached an engine in all.
+    /// All attempts that reached an engine.
     pub attempts: u64,
-    /// Of these, further attempts of a request.
+    /// Attempts other than the first of their request.
     pub further: u64,
 }
 
-/// Attempts whose time, manager and engine are kept; further ones are only counted.
+/// Maximum number of attempts whose time, manager and engine are kept; further ones are only counted.
 const MAX_SENDS: usize = 2_000_000;
-/// Bits of a request id below the number of the manager that the request was sent to.
+/// Number of low bits of a request id that are random; the bits above hold the index of the manager.
 const MANAGER_SHIFT: u32 = 54;
 
-/// The id of a request that is asked of a manager, from something drawn.
-pub fn request_id(manager: usize, drawn: u64) -> u64 {
-    (manager as u64) << MANAGER_SHIFT | drawn >> (64 - MANAGER_SHIFT)
+/// The id of a request of the clients of a manager, from a random number.
+pub fn request_id(manager: usize, random: u64) -> u64 {
+    (manager as u64) << MANAGER_SHIFT | random >> (64 - MANAGER_SHIFT)
 }
 
-/// The manager that a request was asked of, by its id.
+/// The index of the manager whose clients sent a request, by the request's id.
 pub fn manager_of(id: u64) -> u16 {
     (id >> MANAGER_SHIFT) as u16
 }
 
-/// An attempt that reached an engine: when since the start, of which manager, at which engine.
+/// An attempt that reached an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
-    /// When.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// The manager, by number.
+    /// Index of the manager whose clients sent the request.
     pub manager: u16,
-    /// The engine, by number.
+    /// Index of the engine.
     pub engine: u16,
 }
 
 #[derive(Default)]
 struct LedgerState {
+    /// Start of the run; attempts are not kept before it is set.
     start: Option<Instant>,
     sends: Vec<Sent>,
-    out: HashMap<u64, (usize, u64)>,
-    seen: HashSet<u64>,
+    /// Engine and connection of the last attempt of each request in flight.
+    in_flight: HashMap<u64, (usize, u64)>,
+    known_requests: HashSet<u64>,
+    /// Time at which the drain of an engine was published.
     draining: HashMap<usize, Instant>,
     counts: Breaches,
 }
 
-/// The ledger, shared by all engines of a rig.
+/// The ledger, shared by all engines of a run.
 #[derive(Clone)]
 pub struct Ledger {
     state: Arc<Mutex<LedgerState>>,
@@ -78,7 +84,7 @@
 }
 
 impl Ledger {
-    /// A ledger that counts sends later than `grace` after a drain was told.
+    /// A ledger in which an attempt may reach a draining engine until `grace` after the drain's publication.
     pub fn with_grace(grace: Duration) -> Ledger {
         Ledger { state: Arc::default(), drain_grace: grace }
     }
@@ -87,23 +93,23 @@
         f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// From now on sends are dated, from `start`.
-    pub fn date(&self, start: Instant) {
+    /// Keeps the attempts from now on, with their times since `start`.
+    pub fn keep_attempts(&self, start: Instant) {
         self.with(|l| l.start = Some(start));
     }
 
-    /// The sends dated so far.
+    /// The attempts kept so far.
     pub fn sends(&self) -> Vec<Sent> {
         self.with(|l| l.sends.clone())
     }
 
-    /// A drain of `engine` was told.
-    pub fn drained(&self, engine: usize, at: Instant) {
+    /// Records that the drain of `engine` was published; only its first drain counts.
+    pub fn record_drain(&self, engine: usize, at: Instant) {
         self.with(|l| _ = l.draining.entry(engine).or_insert(at));
     }
 
-    /// A request reached `engine` on one of its connections.
-    pub fn reached(&self, request: u64, engine: usize, connection: u64, at: Instant) {
+    /// Records an attempt that reached `engine` on one of its connections.
+    pub fn record_attempt(&self, request: u64, engine: usize, connection: u64, at: Instant) {
         self.with(|l| {
             l.counts.attempts += 1;
             if let Some(start) = l.start.filter(|_| l.sends.len() < MAX_SENDS) {
@@ -111,31 +117,32 @@
                 let engine = engine as u16;
                 l.sends.push(Sent { at: at.saturating_duration_since(start), manager, engine });
             }
-            let first = l.seen.len() >= MAX_SEEN || l.seen.insert(request);
+            let first = l.known_requests.len() >= MAX_KNOWN_REQUESTS || l.known_requests.insert(request);
             l.counts.further += u64::from(!first);
-            l.counts.second_attempts += u64::from(l.out.contains_key(&request));
+            l.counts.second_attempts += u64::from(l.in_flight.contains_key(&request));
             let late = l
                 .draining
                 .get(&engine)
-                .is_some_and(|told| at.saturating_duration_since(*told) > self.drain_grace);
+                .is_some_and(|published| at.saturating_duration_since(*published) > self.drain_grace);
             l.counts.after_drain += u64::from(late);
-            if l.out.len() < MAX_OPEN {
-                l.out.insert(request, (engine, connection));
+            if l.in_flight.len() < MAX_IN_FLIGHT {
+                l.in_flight.insert(request, (engine, connection));
             }
         });
     }
 
-    /// The attempt of a request on a connection is over there: answered, called off, or its connection ended.
-    pub fn over(&self, request: u64, engine: usize, connection: u64) {
+    /// Records the end of a request's attempt on a connection: it was answered or cancelled, or its
+    /// connection ended.
+    pub fn record_end(&self, request: u64, engine: usize, connection: u64) {
         self.with(|l| {
-            if l.out.get(&request) == Some(&(engine, connection)) {
-                l.out.remove(&request);
+            if l.in_flight.get(&request) == Some(&(engine, connection)) {
+                l.in_flight.remove(&request);
             }
         });
     }
 
-    /// A cold engine fell over.
-    pub fn fell(&self) {
+    /// Records that a cold engine fell over.
+    pub fn record_fall(&self) {
         self.with(|l| l.counts.pushed_over += 1);
     }
 
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -1,7 +1,7 @@
-//! A stand-in list service: the control feed's wire (`GET /v1/events`, server-sent events), a comment each
-//! second, every call counted. It keeps every event told and sends a call those after its `Last-Event-ID`. On
-//! command it refuses (503) or stalls (takes the call and says nothing), and it tells whatever list it is given,
-//! older and contradictory ones too.
+//! A stand-in list service with the protocol of the control feed (`GET /v1/events`, server-sent events, a
+//! comment each second). It counts every call, keeps every published event and answers a call with the events
+//! after its `Last-Event-ID`. On command it refuses calls (503) or stalls them (accepts them without an
+//! answer). It publishes any list, also older and contradictory ones.
 
 use crate::counter::Counter;
 use crate::history::Recorder;
@@ -17,37 +17,37 @@
 
 /// Longest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
-/// Time within which the head of a request must be there.
+/// Time within which the complete head of a request must have arrived.
 const MAX_HEAD_TIME: Duration = Duration::from_secs(5);
-/// Events that the service keeps; a further one is an error.
+/// Maximum number of events that the service keeps; a further one is an error.
 const MAX_EVENTS: usize = 10_000;
-/// Longest watch request; the manager then sends another.
+/// Longest duration of a watch request; the manager then sends another one.
 const MAX_CALL_TIME: Duration = Duration::from_secs(60);
 /// Longest time for which a request is left without an answer in [`DiscoveryMode::Stalling`].
 const MAX_STALL_TIME: Duration = Duration::from_secs(30);
 
-/// The service has no room for a further event.
+/// The service has reached its limit of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a list service tells at most {MAX_EVENTS} events")]
+#[error("too many list events: at most {MAX_EVENTS} per list service")]
 pub struct TooManyEvents;
 
 /// How the service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It serves.
+    /// The service answers with the events, and sends new ones as they are published.
     Serving = 0,
-    /// It answers 503 at once, and ends the calls that are open.
+    /// The service answers 503 at once, and ends the open calls.
     Refusing = 1,
-    /// It takes the call and says nothing; calls that are open fall silent.
+    /// The service accepts calls without an answer, and sends nothing on open calls.
     Stalling = 2,
 }
 
-/// What calls look at: the mode, and how many events there are.
+/// The state that calls watch: the mode, and the number of events.
 type State = (DiscoveryMode, usize);
 
-/// What all calls of a service share.
+/// State that all calls of a service share.
 struct Shared {
-    /// The party that the service is for.
+    /// Name of the party that the service is for.
     name: String,
     start: Instant,
     calls: Counter,
@@ -57,17 +57,17 @@
 
 /// The service, running on a port of its own until the process ends.
 pub struct ListService {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
-    /// Every call, when it came.
+    /// Calls to the service.
     pub calls: Counter,
     state: watch::Sender<State>,
     events: Arc<Mutex<Vec<String>>>,
 }
 
 impl ListService {
-    /// Starts it on a loopback port the kernel chooses, with `first` (an event's JSON, numbered 1) to tell.
-    /// Calls are counted from `start`.
+    /// Starts a service on a loopback port that the kernel chooses, with `first` (JSON) as event 1. The times
+    /// of calls are counted from `start`.
     ///
     /// # Errors
     /// Those of binding a loopback port.
@@ -75,7 +75,7 @@
         ListService::start_as(first, start, "", Recorder::default())
     }
 
-    /// As [`ListService::start`], for the party of this name; each call is noted in `history`.
+    /// As [`ListService::start`], for the party of this name; each call is recorded in `history`.
     ///
     /// # Errors
     /// Those of binding a loopback port.
@@ -111,37 +111,38 @@
         Ok(ListService { address, calls, state, events })
     }
 
-    /// From now on calls are answered so.
+    /// Sets the mode for open and new calls.
     pub fn set_discovery_mode(&self, mode: DiscoveryMode) {
         self.state.send_modify(|s| s.0 = mode);
     }
 
-    /// Tells one more event: `json` gets the event's number, the count of all events told so far.
+    /// Publishes an event, whose JSON `json` returns for the event's number, and returns the number. Events
+    /// are numbered from 1 on.
     ///
     /// # Errors
-    /// Where the bound on events is reached.
-    pub fn tell(&self, json: impl FnOnce(u64) -> String) -> Result<u64, TooManyEvents> {
-        let n = {
+    /// If the limit of events is reached.
+    pub fn publish(&self, json: impl FnOnce(u64) -> String) -> Result<u64, TooManyEvents> {
+        let number = {
             let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
             if events.len() >= MAX_EVENTS {
                 return Err(TooManyEvents);
             }
-            let n = events.len() as u64 + 1;
-            events.push(json(n));
-            n
+            let number = events.len() as u64 + 1;
+            events.push(json(number));
+            number
         };
-        self.state.send_modify(|s| s.1 = n as usize);
-        Ok(n)
+        self.state.send_modify(|s| s.1 = number as usize);
+        Ok(number)
     }
 
-    /// All events told so far, as a manager's configuration words them (`known`).
+    /// The number of events so far and the events, for `known` of a manager's configuration.
     pub fn known(&self) -> (u64, String) {
         let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         (events.len() as u64, events.join(","))
     }
 }
 
-async fn head(stream: &mut TcpStream) -> Option<String> {
+async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     let mut bytes = [0u8; 1024];
     while !head.windows(4).any(|w| w == b"\r\n\r\n") {
@@ -154,7 +155,7 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The word that a history has for the answer to a poll.
+/// The name of a mode in the history's record of a call.
 fn answer_name(mode: DiscoveryMode) -> &'static str {
     match mode {
         DiscoveryMode::Serving => "serving",
@@ -163,7 +164,7 @@
     }
 }
 
-/// Appends the events from `first` up to `end`, and returns the position behind the last one.
+/// Appends the events from index `first` up to `end`, and returns the index after the last one.
 fn append_events(out: &mut String, events: &Mutex<Vec<String>>, first: usize, end: usize) -> usize {
     let events = events.lock().unwrap_or_else(PoisonError::into_inner);
     let mut position = first;
@@ -174,13 +175,13 @@
     position
 }
 
-/// Counts and records a call; how many events the caller already has.
-fn note_call(shared: &Shared, head: &str, mode: DiscoveryMode) -> usize {
-    shared.calls.note(shared.start);
+/// Counts and records a call, and returns the number of events that the caller already has.
+fn record_call(shared: &Shared, head: &str, mode: DiscoveryMode) -> usize {
+    shared.calls.record(shared.start);
     let cursor =
         head.lines().find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id:").map(str::to_owned));
     let cursor = cursor.map(|value| value.trim().to_owned());
-    shared.history.note(Event::ListCall {
+    shared.history.record(Event::ListCall {
         service: shared.name.clone(),
         cursor: cursor.clone(),
         answer: answer_name(mode).to_owned(),
@@ -188,14 +189,14 @@
     cursor.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-/// Answers one call until it ends; `None` where it broke off.
+/// Answers one call until it ends; `None` if it ended early.
 async fn serve(mut stream: TcpStream, shared: &Shared, mut state: watch::Receiver<State>) -> Option<()> {
-    let head = timeout(MAX_HEAD_TIME, head(&mut stream)).await.ok()??;
+    let head = timeout(MAX_HEAD_TIME, read_head(&mut stream)).await.ok()??;
     let mode = state.borrow().0;
-    let mut sent = note_call(shared, &head, mode);
+    let mut sent = record_call(shared, &head, mode);
     let mut opened = false;
     loop {
-        let (mode, n) = *state.borrow_and_update();
+        let (mode, events) = *state.borrow_and_update();
         match mode {
             DiscoveryMode::Refusing if opened => return None,
             DiscoveryMode::Refusing => {
@@ -204,7 +205,7 @@
                 return stream.write_all(refusal).await.ok();
             }
             DiscoveryMode::Stalling => {
-                // Silent until its mode changes; a caller that gives up is noticed then.
+                // No answer until the mode changes; a closed connection is only detected then.
                 timeout(MAX_STALL_TIME, state.changed()).await.ok()?.ok()?;
                 continue;
             }
@@ -214,7 +215,7 @@
         if !std::mem::replace(&mut opened, true) {
             out.push_str("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         }
-        sent = append_events(&mut out, &shared.events, sent, n);
+        sent = append_events(&mut out, &shared.events, sent, events);
         if out.is_empty() {
             out.push_str(": still here\n\n");
         }
--- a/crates/cluster-harness/src/procs.rs
+++ b/crates/cluster-harness/src/procs.rs
@@ -11,16 +11,16 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Managers of one run: each is a process with its descriptors and a log.
+/// Maximum number of managers of a run: each is a process with its descriptors and a log.
 pub const MAX_MANAGERS: usize = 1_000;
 
-/// Bytes that are read of a log.
+/// Maximum number of bytes that are read of a log.
 const MAX_LOG_BYTES: u64 = 4 << 20;
-/// Bytes that [`Tail::new_lines`] reads of a log at a time.
+/// Maximum number of bytes that [`Tail::new_lines`] reads of a log at a time.
 pub const MAX_NEW_BYTES: u64 = 1 << 20;
 
-/// The settings of the rig's deployment for `managers` managers: two classes, two tenants, engines of 8
-/// cores, as the platform words them.
+/// The settings of the harness's deployment for `managers` managers, in the platform's format: two classes,
+/// two tenants, engines of 8 cores.
 pub fn settings(managers: usize) -> String {
     format!(
         r#"{{"kindOfService":"queries","zones":["hall-a","hall-b"],"shapes":["std"],"siblings":{managers},
@@ -37,29 +37,30 @@
     )
 }
 
-/// One engine as a list event words it.
+/// One engine in an event of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Its id.
+    /// Id of the engine.
     pub id: String,
-    /// Where it is reached.
-    pub at: SocketAddr,
-    /// Its zone.
+    /// Address at which the recipients of the event reach the engine.
+    pub address: SocketAddr,
+    /// Zone of the engine.
     pub zone: String,
     /// `ready`, `draining` or `gone`.
     pub phase: &'static str,
-    /// Unix milliseconds of a late start, or 0.
+    /// Unix milliseconds of a cold start, or 0.
     pub since_ms: u128,
 }
 
-/// A list event: its number, its revision, whether it is whole, and what it names.
+/// An endpoint list event as JSON: its number, the list's revision, whether it is complete (a snapshot), and
+/// its rows.
 pub fn event(n: u64, revision: u64, complete: bool, rows: &[Row]) -> String {
     let rows: Vec<String> = rows
         .iter()
         .map(|r| {
-            let Row { id, at, zone, phase, since_ms } = r;
+            let Row { id, address, zone, phase, since_ms } = r;
             format!(
-                r#"{{"id":"{id}","host_port":"{at}","locality":"{zone}","flavor":"std","cell":0,"phase":"{phase}","size":8,"up_since_ms":{since_ms}}}"#
+                r#"{{"id":"{id}","host_port":"{address}","locality":"{zone}","flavor":"std","cell":0,"phase":"{phase}","size":8,"up_since_ms":{since_ms}}}"#
             )
         })
         .collect();
@@ -67,11 +68,11 @@
     format!(r#"{{"n":{n},"members":{{"revision":{revision},"complete":{complete},"members":[{rows}]}}}}"#)
 }
 
-/// The list event (number 1, whole) that names these engines, all ready, in hall-a.
+/// The complete endpoint list event of number 1 with these engines, all ready, in hall-a.
 pub fn list(engines: &[(String, SocketAddr)]) -> String {
-    let row = |(id, at): &(String, SocketAddr)| Row {
+    let row = |(id, address): &(String, SocketAddr)| Row {
         id: id.clone(),
-        at: *at,
+        address: *address,
         zone: "hall-a".into(),
         phase: "ready",
         since_ms: 0,
@@ -79,53 +80,54 @@
     event(1, 1, true, &engines.iter().map(row).collect::<Vec<_>>())
 }
 
-/// A manager's configuration, as the platform gives it: `known` is the feed's events so far and how many.
+/// A manager's configuration in the platform's format; `known` is the number of the feed's events so far, and
+/// the events.
 pub fn config(name: &str, seed: u64, feed: SocketAddr, known: &(u64, String), settings: &str) -> String {
-    let (n, events) = known;
+    let (count, events) = known;
     format!(
         r#"{{"name":"{name}","listen":"127.0.0.1:0","seed":"{seed:016x}","feed":"{feed}",
- "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{{"n":{n},"events":[{events}]}},"settings":{settings}}}"#
+ "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{{"n":{count},"events":[{events}]}},"settings":{settings}}}"#
     )
 }
 
 /// How a process ended: its exit status, or the signal that ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessExit {
-    /// Its status.
+    /// Exit status; absent if a signal ended the process.
     pub status: Option<i32>,
-    /// The signal.
+    /// Number of the signal that ended the process; absent if it exited.
     pub signal: Option<i32>,
 }
 
-/// One manager: its process and where its log goes.
+/// One manager: its process, configuration file and log file.
 pub struct Manager {
-    /// Its name, the same after a restart.
+    /// Name of the manager, the same after a restart.
     pub name: String,
-    /// Further arguments of `serve`, from its next start on.
+    /// Further arguments of `serve`, from the next start on.
     pub args: Vec<String>,
     child: Option<Child>,
     log: PathBuf,
     config: PathBuf,
-    /// Starts so far.
+    /// Number of starts so far.
     pub starts: u32,
 }
 
-/// The managers of one rig.
+/// The managers of one run.
 pub struct Fleet {
     program: PathBuf,
     dir: PathBuf,
-    /// Every manager started, in order.
+    /// Every manager that was started, by index.
     pub managers: Vec<Manager>,
 }
 
 impl Fleet {
-    /// A fleet of `program`'s processes, with their files in `dir`.
+    /// An empty fleet of processes of `program`, with their files in `dir`, which is created.
     pub fn new(program: &Path, dir: &Path) -> std::io::Result<Fleet> {
         std::fs::create_dir_all(dir)?;
         Ok(Fleet { program: program.to_owned(), dir: dir.to_owned(), managers: Vec::new() })
     }
 
-    /// Starts a manager with a configuration and further arguments of `serve`; its number.
+    /// Starts a manager with a configuration and further arguments of `serve`, and returns its index.
     pub fn start(&mut self, name: &str, config: &str, args: &[String]) -> std::io::Result<usize> {
         if self.managers.len() >= MAX_MANAGERS {
             return Err(std::io::Error::other(format!("at most {MAX_MANAGERS} managers")));
@@ -133,10 +135,10 @@
         let path = self.dir.join(format!("{name}.json"));
         std::fs::write(&path, config)?;
         let log = self.dir.join(format!("{name}.log"));
-        let mut m =
+        let mut manager =
             Manager { name: name.to_owned(), args: args.to_vec(), child: None, log, config: path, starts: 0 };
-        spawn(&self.program, &mut m)?;
-        self.managers.push(m);
+        spawn(&self.program, &mut manager)?;
+        self.managers.push(manager);
         Ok(self.managers.len() - 1)
     }
 
@@ -148,10 +150,10 @@
         }
     }
 
-    /// Kills manager `i` outright, if it runs, and waits for its end.
+    /// Kills manager `i` (SIGKILL), if it runs, and waits for its exit.
     pub fn kill(&mut self, i: usize) {
-        if let Some(m) = self.managers.get_mut(i) {
-            end(m);
+        if let Some(manager) = self.managers.get_mut(i) {
+            kill_and_wait(manager);
         }
     }
 
@@ -160,14 +162,14 @@
     /// # Errors
     /// Those of writing its files and of starting it.
     pub fn restart(&mut self, i: usize, config: &str) -> std::io::Result<()> {
-        let Some(m) = self.managers.get_mut(i) else { return Ok(()) };
-        end(m);
-        std::fs::write(&m.config, config)?;
-        spawn(&self.program, m)
+        let Some(manager) = self.managers.get_mut(i) else { return Ok(()) };
+        kill_and_wait(manager);
+        std::fs::write(&manager.config, config)?;
+        spawn(&self.program, manager)
     }
 
-    /// How manager `i` ended, if it has by itself.
-    pub fn ended(&mut self, i: usize) -> Option<ProcessExit> {
+    /// How manager `i`'s process exited; `None` while it runs, and if this fleet killed it.
+    pub fn exited(&mut self, i: usize) -> Option<ProcessExit> {
         let child = self.managers.get_mut(i)?.child.as_mut()?;
         let status = child.try_wait().ok().flatten()?;
         Some(ProcessExit { status: status.code(), signal: status.signal() })
@@ -177,29 +179,31 @@
     pub fn cpu(&self, i: usize) -> Option<f64> {
         let pid = self.managers.get(i)?.child.as_ref()?.id();
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // Behind the name in parentheses: the 12th and 13th fields are user and system time, in ticks (proc(5)).
+        // After the name in parentheses, the 12th and 13th fields are user and system time, in ticks
+        // (proc(5)).
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
-        let a_second = nix::unistd::sysconf(nix::unistd::SysconfVar::CLK_TCK).ok()??;
-        Some(ticks / a_second as f64)
+        let ticks_per_second = nix::unistd::sysconf(nix::unistd::SysconfVar::CLK_TCK).ok()??;
+        Some(ticks / ticks_per_second as f64)
     }
 
-    /// Whether manager `i` has a process of its own that this rig has not seen end.
+    /// Whether manager `i` has a process that this fleet has not killed; one that exited by itself counts,
+    /// too.
     pub fn runs(&self, i: usize) -> bool {
         self.managers.get(i).is_some_and(|m| m.child.is_some())
     }
 
-    /// Where manager `i` keeps what outlives its process: a folder of its own, there from its first start on.
+    /// The folder with manager `i`'s files that outlive its process; the run creates it at the first start.
     pub fn folder(&self, i: usize) -> PathBuf {
         self.dir.join(format!("n{i}"))
     }
 
-    /// The file that manager `i`'s log of this start goes to.
+    /// The log file of manager `i`, truncated at each start.
     pub fn log_file(&self, i: usize) -> Option<&Path> {
         self.managers.get(i).map(|m| m.log.as_path())
     }
 
-    /// Manager `i`'s log of this start, up to [`MAX_LOG_BYTES`] bytes of it.
+    /// Manager `i`'s log since its last start, at most the first [`MAX_LOG_BYTES`] bytes.
     pub fn log(&self, i: usize) -> String {
         let mut log = Vec::new();
         let read =
@@ -207,12 +211,12 @@
         read.map_or_else(|_| String::new(), |_| String::from_utf8_lossy(&log).into_owned())
     }
 
-    /// Whether manager `i`'s log of this start holds `text`.
-    pub fn said(&self, i: usize, text: &str) -> bool {
+    /// Whether manager `i`'s log since its last start contains `text`.
+    pub fn log_contains(&self, i: usize, text: &str) -> bool {
         self.log(i).contains(text)
     }
 
-    /// Where manager `i` serves, once its log says so.
+    /// The address at which manager `i` serves clients, once its log shows it.
     pub fn serving(&self, i: usize) -> Option<SocketAddr> {
         let log = self.log(i);
         log.lines()
@@ -222,40 +226,43 @@
             .ok()
     }
 
-    /// Waits until every manager's log holds `text`, up to `most`; how many did.
-    pub fn wait_all(&self, text: &str, most: Duration) -> usize {
-        let until = Instant::now() + most;
+    /// Waits at most `timeout` until every manager's log contains `text`, and returns the number of managers
+    /// whose log does.
+    pub fn wait_all(&self, text: &str, timeout: Duration) -> usize {
+        let deadline = Instant::now() + timeout;
         loop {
-            let n = (0..self.managers.len()).filter(|i| self.said(*i, text)).count();
-            if n == self.managers.len() || Instant::now() >= until {
-                return n;
+            let count = (0..self.managers.len()).filter(|i| self.log_contains(*i, text)).count();
+            if count == self.managers.len() || Instant::now() >= deadline {
+                return count;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Kills every manager that runs, and waits for each.
+    /// Kills every manager that runs (SIGKILL), and waits for their exits.
     pub fn end_all(&mut self) {
-        self.managers.iter_mut().for_each(end);
+        self.managers.iter_mut().for_each(kill_and_wait);
     }
 }
 
-/// Reads a log as it grows: each whole line once.
+/// Reads a log as it grows: each complete line once.
 pub struct Tail {
     file: File,
+    /// Bytes after the last complete line.
     part: Vec<u8>,
 }
 
 impl Tail {
-    /// Begins at a log's beginning.
+    /// Opens a log and starts at its beginning.
     ///
     /// # Errors
-    /// Those of opening it.
+    /// Those of opening the file.
     pub fn open(log: &Path) -> std::io::Result<Tail> {
         Ok(Tail { file: File::open(log)?, part: Vec::new() })
     }
 
-    /// The lines that came since the last look, at most [`MAX_NEW_BYTES`] bytes of them; a longer line is cut there.
+    /// The complete lines that were added since the last call, from at most [`MAX_NEW_BYTES`] bytes; a longer
+    /// line is split there.
     pub fn new_lines(&mut self) -> Vec<String> {
         let read = std::io::Read::by_ref(&mut self.file).take(MAX_NEW_BYTES).read_to_end(&mut self.part);
         if !matches!(read, Ok(n) if n > 0) {
@@ -277,24 +284,24 @@
     }
 }
 
-fn spawn(program: &Path, m: &mut Manager) -> std::io::Result<()> {
-    let log = File::create(&m.log)?;
+fn spawn(program: &Path, manager: &mut Manager) -> std::io::Result<()> {
+    let log = File::create(&manager.log)?;
     let child = Command::new(program)
         .arg("serve")
         .arg("--config")
-        .arg(&m.config)
-        .args(&m.args)
+        .arg(&manager.config)
+        .args(&manager.args)
         .stdin(Stdio::null())
         .stdout(log.try_clone()?)
         .stderr(log)
         .spawn()?;
-    m.child = Some(child);
-    m.starts += 1;
+    manager.child = Some(child);
+    manager.starts += 1;
     Ok(())
 }
 
-fn end(m: &mut Manager) {
-    if let Some(mut child) = m.child.take() {
+fn kill_and_wait(manager: &mut Manager) {
+    if let Some(mut child) = manager.child.take() {
         let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGKILL);
         let _ = child.wait();
     }
--- a/crates/cluster-harness/src/run/error.rs
+++ b/crates/cluster-harness/src/run/error.rs
@@ -1,4 +1,4 @@
-//! Why a run could not be carried out.
+//! Errors of a run.
 
 use crate::history::HistoryError;
 use crate::lists::TooManyEvents;
@@ -16,9 +16,9 @@
     /// A file, a socket or a process failed.
     #[error("{what}: {source}")]
     Io {
-        /// What was being made, read or started.
+        /// The file, socket or process that was being created, read or started.
         what: String,
-        /// What the system answered.
+        /// The error from the operating system.
         source: std::io::Error,
     },
     /// A manager could not be signalled.
@@ -30,51 +30,51 @@
     /// A file for a manager could not be encoded.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
-    /// A list service has no room for a further event.
+    /// A list service has reached its limit of events.
     #[error(transparent)]
     TooManyEvents(#[from] TooManyEvents),
     /// The history is incomplete or unreadable.
     #[error(transparent)]
     History(#[from] HistoryError),
-    /// The version that a manager asks for has no valid name.
-    #[error("{}: no version's name", path.display())]
+    /// The version that a manager requests has an invalid name.
+    #[error("{}: invalid version name: expected 1 to 64 letters, digits, '.', '_' or '-'", path.display())]
     InvalidVersion {
-        /// The file that names it.
+        /// The file that holds the name.
         path: PathBuf,
     },
-    /// Too many actions wait for their time.
-    #[error("at most {max} acts wait for their time")]
+    /// Too many actions after failpoint faults are pending.
+    #[error("too many pending actions: at most {max}")]
     TooManyPendingActions {
-        /// The bound on them.
+        /// Maximum number of pending actions.
         max: usize,
     },
-    /// A step needs a manager that is down, and it runs.
-    #[error("{step}: n{manager} runs; kill it in a step before")]
+    /// A step needs a manager that is down, but the manager is running.
+    #[error("{step}: n{manager} is running; kill it in an earlier step")]
     ManagerRuns {
         /// The step's name.
         step: &'static str,
-        /// The manager's number.
+        /// The manager's index.
         manager: usize,
     },
     /// A folder is too large to be copied.
-    #[error("{}: over {max_files} files or {max_bytes} bytes", path.display())]
+    #[error("{}: too large to copy: over {max_files} files or {max_bytes} bytes", path.display())]
     FolderTooLarge {
         /// The folder.
         path: PathBuf,
-        /// Files of a copy, at most.
+        /// Maximum number of files of a copy.
         max_files: usize,
-        /// Bytes of a copy, at most.
+        /// Maximum size of a copy, all files together, in bytes.
         max_bytes: u64,
     },
 }
 
 impl RunError {
-    /// Names what was being made, read or started when the system answered with an error.
+    /// Wraps an I/O error with a name of what was being created, read or started.
     pub(super) fn io(what: &str) -> impl FnOnce(std::io::Error) -> RunError + '_ {
         move |source| RunError::Io { what: what.to_owned(), source }
     }
 
-    /// As [`RunError::io`], with the path of the file.
+    /// Wraps an I/O error with the path of the file.
     pub(super) fn io_at(path: &Path) -> impl FnOnce(std::io::Error) -> RunError + '_ {
         move |source| RunError::Io { what: path.display().to_string(), source }
     }
--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of processes that reach a failpoint, and the actions that follow later.
+//! Faults injected into processes that reach a failpoint, and the actions that are due some time after them.
 
 use super::{ProcessState, Rig, RunError};
 use crate::scenario::{Action, FailpointFault, ManagerSelector, ProcessFault, Scenario};
@@ -8,13 +8,13 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Actions that wait for their time after a failpoint fault.
+/// Maximum number of pending actions after failpoint faults.
 const MAX_PENDING_ACTIONS: usize = 1_000;
 
-/// A fault and the managers that have yet to reach its failpoint.
+/// A fault and the managers that have yet to reach its failpoint, by index.
 struct ArmedFault {
     fault: FailpointFault,
-    left: BTreeSet<usize>,
+    managers: BTreeSet<usize>,
 }
 
 /// All failpoint faults of a run.
@@ -22,44 +22,47 @@
 pub(super) struct FailpointFaults(Vec<ArmedFault>);
 
 impl FailpointFaults {
-    /// The failpoint faults of a scenario; managers that are drawn at random are drawn now.
+    /// Arms the failpoint faults of a scenario; managers that are selected at random are drawn now.
     pub(super) fn new(scenario: &Scenario) -> FailpointFaults {
-        let one = |(k, fault): (usize, &FailpointFault)| {
-            let left = fault.managers.select(scenario, 1 << 40 | k as u64).into_iter().collect();
-            ArmedFault { fault: fault.clone(), left }
+        let arm = |(k, fault): (usize, &FailpointFault)| {
+            let managers = fault.managers.select(scenario, 1 << 40 | k as u64).into_iter().collect();
+            ArmedFault { fault: fault.clone(), managers }
         };
-        FailpointFaults(scenario.failpoint_faults.iter().enumerate().map(one).collect())
+        FailpointFaults(scenario.failpoint_faults.iter().enumerate().map(arm).collect())
     }
 
     /// The failpoints that are armed in manager `i`'s next process.
     pub(super) fn armed(&self, i: usize) -> Failpoints {
-        let own: Vec<&ArmedFault> = self.0.iter().filter(|w| w.left.contains(&i)).collect();
-        let wait_ms = own.iter().map(|w| w.fault.wait_ms).max().unwrap_or(Failpoints::default().wait_ms);
-        Failpoints { arm: own.iter().map(|w| (w.fault.point.clone(), w.fault.pass)).collect(), wait_ms }
+        let own: Vec<&ArmedFault> = self.0.iter().filter(|armed| armed.managers.contains(&i)).collect();
+        let wait_ms =
+            own.iter().map(|armed| armed.fault.wait_ms).max().unwrap_or(Failpoints::default().wait_ms);
+        let arm = own.iter().map(|armed| (armed.fault.point.clone(), armed.fault.pass)).collect();
+        Failpoints { arm, wait_ms }
     }
 
     /// Whether manager `i` has yet to reach a failpoint.
     fn awaits(&self, i: usize) -> bool {
-        self.0.iter().any(|w| w.left.contains(&i))
+        self.0.iter().any(|armed| armed.managers.contains(&i))
     }
 
-    /// Removes and returns the fault of manager `i` at a failpoint that it has reached.
+    /// Disarms and returns the fault of manager `i` at a failpoint that it has reached.
     fn take(&mut self, i: usize, point: &str) -> Option<FailpointFault> {
-        let w = self.0.iter_mut().find(|w| w.fault.point == point && w.left.contains(&i))?;
-        w.left.remove(&i);
-        if w.fault.only_one {
-            w.left.clear();
+        let armed =
+            self.0.iter_mut().find(|armed| armed.fault.point == point && armed.managers.contains(&i))?;
+        armed.managers.remove(&i);
+        if armed.fault.only_one {
+            armed.managers.clear();
         }
-        Some(w.fault.clone())
+        Some(armed.fault.clone())
     }
 }
 
 impl Rig<'_> {
-    /// Reads ports and failpoints from the logs, and injects the faults at once.
+    /// Reads new log lines for ports and reached failpoints, and injects the failpoints' faults at once.
     pub(super) fn read_logs(&mut self) -> Result<(), RunError> {
         for i in 0..self.procs.len() {
-            let wanted = !self.procs[i].unbound.is_empty() || self.failpoint_faults.awaits(i);
-            let Some(tail) = self.procs[i].tail.as_mut().filter(|_| wanted) else { continue };
+            let needs_log = !self.procs[i].unbound.is_empty() || self.failpoint_faults.awaits(i);
+            let Some(tail) = self.procs[i].tail.as_mut().filter(|_| needs_log) else { continue };
             for line in tail.new_lines() {
                 if let Some(point) = line.trim().strip_prefix(sprucelink_failpoints::HIT_LINE_PREFIX) {
                     self.inject(i, point)?;
@@ -71,24 +74,24 @@
         Ok(())
     }
 
-    /// A line may say where the process listens.
+    /// Connects the ports whose listen addresses a log line contains.
     fn find_ports(&mut self, i: usize, line: &str) {
         let ports = &self.scenario.ports;
         let peers = &self.peers;
         self.procs[i].unbound.retain(|p| {
             let rest = line.split_once(ports[*p].said.as_str()).map(|(_, rest)| rest);
-            let real = rest.and_then(|r| r.split([',', ' ', '"']).next()).and_then(|a| a.parse().ok());
-            if real.is_some() {
-                peers.bind(&ports[*p].name, i, real);
+            let address = rest.and_then(|r| r.split([',', ' ', '"']).next()).and_then(|a| a.parse().ok());
+            if address.is_some() {
+                peers.bind(&ports[*p].name, i, address);
             }
-            real.is_none()
+            address.is_none()
         });
     }
 
     fn inject(&mut self, i: usize, point: &str) -> Result<(), RunError> {
         let Some(fault) = self.failpoint_faults.take(i, point) else { return Ok(()) };
-        self.history.note(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
-        let back = match fault.fault {
+        self.history.record(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
+        let recovery = match fault.fault {
             ProcessFault::Kill => {
                 self.kill(i);
                 Action::Restart(ManagerSelector::single(i))
@@ -102,24 +105,24 @@
             if self.pending.len() >= MAX_PENDING_ACTIONS {
                 return Err(RunError::TooManyPendingActions { max: MAX_PENDING_ACTIONS });
             }
-            self.pending.push((Instant::now() + Duration::from_secs_f64(ms / 1e3), back));
+            self.pending.push((Instant::now() + Duration::from_secs_f64(ms / 1e3), recovery));
         }
         fault.further_actions.iter().try_for_each(|action| self.perform(action))
     }
 
-    /// Stops manager `i` (SIGSTOP), whatever it is at.
+    /// Stops manager `i` (SIGSTOP), whatever its state.
     pub(super) fn pause(&mut self, i: usize) -> Result<(), RunError> {
         self.mark_unavailable(i);
         self.fleet.signal(i, Signal::SIGSTOP)?;
         self.process_states[i] = ProcessState::Paused;
-        self.history.note(Event::Suspended { process: format!("n{i}") });
+        self.history.record(Event::Suspended { process: format!("n{i}") });
         Ok(())
     }
 
-    /// Lets manager `i` go on, if it is stopped.
+    /// Resumes manager `i` (SIGCONT), if it is stopped.
     pub(super) fn resume(&mut self, i: usize) -> Result<(), RunError> {
         if self.process_states[i] == ProcessState::Paused {
-            self.history.note(Event::Resumed { process: format!("n{i}") });
+            self.history.record(Event::Resumed { process: format!("n{i}") });
             self.fleet.signal(i, Signal::SIGCONT)?;
             self.process_states[i] = ProcessState::Starting;
         }
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep_until;
 
-/// Further managers that a client tries when its own is down.
+/// Maximum number of further managers that a client tries when its own is down.
 const MAX_ALTERNATIVES: usize = 8;
-/// Requests in flight at one manager; while it has more, no further ones are sent.
+/// Maximum number of requests in flight at one manager; while it has more, clients send it no further ones.
 const MAX_OPEN: usize = 2_000;
 
-/// Where a manager takes new requests now.
+/// The address at which a manager accepts new requests now; `None` while it accepts none.
 fn open_address(availability: &Mutex<Availability>) -> Option<SocketAddr> {
     let availability = availability.lock().unwrap_or_else(PoisonError::into_inner);
     availability.address.filter(|_| availability.until.is_none_or(|u| Instant::now() < u))
@@ -25,10 +25,10 @@
 
 /// The clients of one manager: a Poisson stream of requests.
 struct ClientStream {
-    /// The manager's number.
+    /// The manager's index.
     manager: usize,
     own: Arc<Mutex<Availability>>,
-    /// The managers that take over while the own one is down; empty where clients do not follow.
+    /// The managers that take over while the own one is down; empty where clients do not fail over.
     alternatives: Vec<Weak<Mutex<Availability>>>,
     completed: Arc<Mutex<Vec<CompletedRequest>>>,
     start: Instant,
@@ -41,7 +41,7 @@
 }
 
 impl ClientStream {
-    /// Sends requests when they are due, until the end of the run; answers are not waited for.
+    /// Sends requests when they are due, until the end of the run, without waiting for the answers.
     async fn run(mut self) {
         let mut due = self.start;
         loop {
@@ -69,7 +69,7 @@
         ClientRequest { id, heavy, key, ms, timeout: Duration::from_secs_f64(self.load.timeout_ms / 1e3) }
     }
 
-    /// The own manager while it takes requests, else one drawn at random, which may be down as well.
+    /// The own manager while it accepts requests, else one drawn at random, which may be down as well.
     fn choose_manager(&mut self) -> Arc<Mutex<Availability>> {
         let mut target = Arc::clone(&self.own);
         for _ in 0..MAX_ALTERNATIVES {
@@ -121,7 +121,7 @@
             manager,
             own: Arc::clone(&self.availability[manager]),
             alternatives,
-            completed: Arc::clone(&self.ended),
+            completed: Arc::clone(&self.completed),
             start: self.start,
             end: self.start + Duration::from_secs_f64(self.scenario.seconds),
             mean_interval: self.scenario.managers as f64 / load.rate,
@@ -132,7 +132,7 @@
     }
 
     /// Requests in flight: each holds a reference to its manager's availability.
-    pub(super) fn open(&self) -> usize {
+    pub(super) fn requests_in_flight(&self) -> usize {
         self.availability.iter().map(|manager| Arc::strong_count(manager).saturating_sub(1)).sum()
     }
 }
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -1,5 +1,5 @@
-//! Carries a scenario out: starts the stand-ins and the processes, does the steps when they are due, lets
-//! clients ask, and gathers what was counted. It ends every process it started, also when it fails half way.
+//! Runs a scenario: starts the stand-ins and the processes, performs the steps when they are due, runs the
+//! clients and collects the counts. It ends every process that it started, also when the run fails half way.
 
 mod calls;
 mod error;
@@ -37,15 +37,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Interval at which due steps, failpoints and open requests are checked.
+/// Interval at which due steps, failpoints and requests in flight are checked.
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval at which the logs of starting managers are read.
 const LOG_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What to run, besides the scenario.
+/// The program under test.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program.
+    /// The executable.
     pub path: PathBuf,
     /// Further arguments of `serve`.
     pub args: Vec<String>,
@@ -56,24 +56,24 @@
 /// Whether clients send requests to a manager.
 #[derive(Default)]
 struct Availability {
-    /// Where the manager serves; `None` while it is down or paused.
+    /// Address at which the manager serves; `None` while it is down or paused.
     address: Option<SocketAddr>,
-    /// When clients stop sending to it, after SIGTERM.
+    /// Time after SIGTERM at which clients stop sending to the manager.
     until: Option<Instant>,
-    /// When it last became unavailable: requests due before may be lost.
+    /// Time at which the manager last became unavailable: requests that were due before may be lost.
     unavailable_since: Option<Instant>,
 }
 
-/// What the rig knows of a manager's process.
+/// State of a manager's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     NotStarted,
     Starting,
     Up,
-    /// It got SIGTERM at this instant.
+    /// The process got SIGTERM at this instant.
     Terminating(Instant),
     Paused,
-    /// It has exited by itself and is restarted at this instant.
+    /// The process has exited by itself and is restarted at this instant.
     RestartPending(Instant),
     Down,
 }
@@ -81,19 +81,21 @@
 struct Engine {
     id: String,
     run: Option<CountingEngine>,
-    /// Where each party reaches it.
-    at: Vec<SocketAddr>,
+    /// The address at which each party reaches the engine.
+    addresses: Vec<SocketAddr>,
     paths: Vec<TcpPath>,
+    /// Phase on the endpoint list: `ready`, `draining` or `gone`.
     phase: &'static str,
+    /// Unix milliseconds of a cold start, or 0.
     since_ms: u128,
 }
 
 /// A completed request.
 struct CompletedRequest {
-    /// When it was due, since the start of the run.
+    /// Time at which the request was due, since the start of the run.
     due: Duration,
     outcome: RequestOutcome,
-    /// Its manager was killed or stopped after the request was due.
+    /// Whether the manager was killed or stopped after the request was due.
     manager_failed: bool,
     latency: Duration,
 }
@@ -108,7 +110,9 @@
     lists: Vec<ListService>,
     /// Paths to the list services, which close when they are dropped.
     list_paths: Vec<TcpPath>,
+    /// The address at which each party reaches its list service.
     feeds: Vec<SocketAddr>,
+    /// Revision of the endpoint list.
     revision: u64,
     fleet: Fleet,
     process_states: Vec<ProcessState>,
@@ -116,26 +120,29 @@
     up_once: Vec<bool>,
     crashed: usize,
     settings: String,
-    /// Where managers reach each other, and where each listens itself.
-    net: UdpNet,
-    members: Vec<SocketAddr>,
-    real: Vec<Option<SocketAddr>>,
+    /// The fault proxy between the managers' membership ports.
+    membership_net: UdpNet,
+    /// The addresses in the fault proxy at which managers reach each other's membership ports.
+    membership_addresses: Vec<SocketAddr>,
+    /// The addresses on which the managers themselves listen for membership messages, once their logs show
+    /// them.
+    membership_listeners: Vec<Option<SocketAddr>>,
     views: Vec<Views>,
-    ended: Arc<Mutex<Vec<CompletedRequest>>>,
+    completed: Arc<Mutex<Vec<CompletedRequest>>>,
     /// The parties into which the fault proxy divides the managers.
     parties: Vec<String>,
     history: Recorder,
     peers: Peers,
     procs: Vec<Proc>,
     failpoint_faults: FailpointFaults,
-    /// Actions that follow failpoint faults, and when they are due.
+    /// Actions that follow failpoint faults, and the times at which they are due.
     pending: Vec<(Instant, Action)>,
     subscribers: Option<Subscribers>,
-    /// Routes on which a rule lets nothing pass.
-    silenced: BTreeSet<(String, String)>,
-    /// Calls made so far, by the operation's name.
+    /// Routes on which a rule blocks traffic or new connections.
+    blocked_routes: BTreeSet<(String, String)>,
+    /// Number of calls made so far, by the operation's name.
     ops: BTreeMap<String, u64>,
-    /// Random draws of managers so far.
+    /// Number of random draws of managers so far.
     draws: u64,
 }
 
@@ -143,46 +150,47 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis())
 }
 
-/// Carries a scenario out with a program.
+/// Runs a scenario with a program.
 ///
 /// # Errors
-/// Where a stand-in, a file or a process could not be started.
+/// If the scenario is invalid, a stand-in, a file or a process fails, or the history is incomplete.
 pub fn run(scenario: &Scenario, program: &Program) -> Result<Outcome, RunError> {
     scenario.check()?;
-    let began = unix_ms() as f64 / 1e3;
+    let start_unix_s = unix_ms() as f64 / 1e3;
     let mut rig = Rig::new(scenario, program)?;
     let mut timeline = rig.timeline();
-    let load = rig.start_clients();
-    let done = rig.play(&mut timeline);
-    load.iter().for_each(|t| t.abort());
+    let clients = rig.start_clients();
+    let played = rig.play(&mut timeline);
+    clients.iter().for_each(|t| t.abort());
     // Each request ends within its timeout and a second; do not wait longer.
-    let last = Duration::from_secs_f64(scenario.load.timeout_ms / 1e3) + Duration::from_secs(1);
-    let until = Instant::now() + last;
-    while done.is_ok() && rig.open() > 0 && Instant::now() < until {
+    let max_wait = Duration::from_secs_f64(scenario.load.timeout_ms / 1e3) + Duration::from_secs(1);
+    let deadline = Instant::now() + max_wait;
+    while played.is_ok() && rig.requests_in_flight() > 0 && Instant::now() < deadline {
         rig.observe_processes();
         std::thread::sleep(STEP_INTERVAL);
     }
     let logs = (0..rig.fleet.managers.len()).map(|i| rig.fleet.log(i)).collect();
-    let used: Vec<f64> = (0..rig.fleet.managers.len()).filter_map(|i| rig.fleet.cpu(i)).collect();
-    let cpu = used.iter().sum::<f64>() / used.len().max(1) as f64;
-    // The run is over: exits from here on do not belong into the history.
+    let cpu_seconds: Vec<f64> = (0..rig.fleet.managers.len()).filter_map(|i| rig.fleet.cpu(i)).collect();
+    let mean_cpu_seconds = cpu_seconds.iter().sum::<f64>() / cpu_seconds.len().max(1) as f64;
+    // The run is over: exits from here on do not belong in the history.
     rig.subscribers = None;
     let recorded = rig.history.end();
     rig.fleet.end_all();
-    done?;
+    played?;
     recorded?;
-    let mut got = rig.outcome(logs);
-    got.judge(scenario, &program.dir)?;
-    got.report.cpu_s = cpu;
+    let mut outcome = rig.outcome(logs);
+    outcome.check_history(scenario, &program.dir)?;
+    outcome.report.cpu_s = mean_cpu_seconds;
     if let Some(watch) = &scenario.watch {
-        got.watched(scenario, watch, began);
+        outcome.fill_watch_figures(scenario, watch, start_unix_s);
     }
-    got.report.crossing = got.crossing(scenario, 0.0, scenario.seconds);
-    got.report.agreed_s = got.agreed(0.0, scenario.seconds).unwrap_or(f64::NAN);
-    Ok(got)
+    outcome.report.crossing = outcome.crossing(scenario, 0.0, scenario.seconds);
+    outcome.report.agreed_s = outcome.agreed(0.0, scenario.seconds).unwrap_or(f64::NAN);
+    Ok(outcome)
 }
 
 impl Rig<'_> {
+    /// Performs the timeline and observes the processes until the end of the run.
     fn play(&mut self, timeline: &mut Vec<(Duration, Action)>) -> Result<(), RunError> {
         let end = Duration::from_secs_f64(self.scenario.seconds);
         let mut next_logs = Instant::now();
@@ -210,12 +218,13 @@
     }
 }
 
-/// A folder of the rig's own for configurations and logs, under the system's folder for such.
+/// Path of a folder for configurations and logs, under the system's temporary folder and unique to this
+/// process.
 pub fn scratch(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("sprucelink-cluster-harness-{}-{name}", std::process::id()))
 }
 
-/// Removes a folder of [`scratch`], whatever became of it.
+/// Removes a folder of [`scratch`]; errors are ignored, also that it does not exist.
 pub fn clear(dir: &Path) {
     let _ = std::fs::remove_dir_all(dir);
 }
--- a/crates/cluster-harness/src/run/partitions.rs
+++ b/crates/cluster-harness/src/run/partitions.rs
@@ -1,4 +1,5 @@
-//! Faults on the routes between parties, and the engines that they keep from serving.
+//! Network faults on the routes between parties, and the history's record of the engines that they affect. A
+//! party is a group of managers, a manager, the engines of a zone, the list services or the subscribers.
 
 use super::Rig;
 use crate::fault_proxy::Rule;
@@ -6,28 +7,28 @@
 use sprucelink_history_checker::event::Event;
 
 impl Rig<'_> {
-    /// The routes between two parties; `engines` stands for the engines of all zones.
+    /// The routes from one party to another; `engines` stands for the engines of all zones.
     pub(super) fn routes(&self, from: &str, to: &str) -> Vec<(String, String)> {
-        let all = |name: &str| -> Vec<String> {
+        let expand = |name: &str| -> Vec<String> {
             match name {
-                "engines" => ZONES[..self.scenario.zones].iter().map(|h| (*h).to_owned()).collect(),
-                one => vec![one.to_owned()],
+                "engines" => ZONES[..self.scenario.zones].iter().map(|zone| (*zone).to_owned()).collect(),
+                party => vec![party.to_owned()],
             }
         };
-        let to = all(to);
-        all(from).into_iter().flat_map(|f| to.iter().map(move |t| (f.clone(), t.clone()))).collect()
+        let to = expand(to);
+        expand(from).into_iter().flat_map(|f| to.iter().map(move |t| (f.clone(), t.clone()))).collect()
     }
 
     /// Sets the rule from one party to another.
     pub(super) fn set_rule(&mut self, from: &str, to: &str, rule: Rule) {
         for (from, to) in self.routes(from, to) {
-            self.faults.set(&from, &to, rule);
-            self.silence(from, to, rule.silences());
+            self.faults.set_rule(&from, &to, rule);
+            self.set_blocked(from, to, rule.blocks_connections());
         }
     }
 
     /// Starts or ends a partition between two sides.
-    pub(super) fn set_partition(&mut self, sides: &Sides, parted: bool) {
+    pub(super) fn set_partition(&mut self, sides: &Sides, partitioned: bool) {
         let rule = Rule {
             partition: true,
             refuse: sides.new == NewConnections::Refuse,
@@ -38,13 +39,13 @@
             for b in &sides.to {
                 let back = (!sides.one_way).then_some((b, a));
                 for (from, to) in [(a, b)].into_iter().chain(back) {
-                    if parted {
+                    if partitioned {
                         self.set_rule(from, to, rule);
                         continue;
                     }
                     for (from, to) in self.routes(from, to) {
-                        self.faults.lift(&from, &to);
-                        self.silence(from, to, false);
+                        self.faults.remove_rule(&from, &to);
+                        self.set_blocked(from, to, false);
                     }
                 }
             }
@@ -54,33 +55,37 @@
     /// Removes all rules.
     pub(super) fn heal(&mut self) {
         self.faults.heal();
-        for (from, to) in std::mem::take(&mut self.silenced) {
-            self.note_engines(&from, &to, false);
+        for (from, to) in std::mem::take(&mut self.blocked_routes) {
+            self.record_engine_faults(&from, &to, false);
         }
     }
 
-    /// Notes that a route is silent, or is no longer.
-    fn silence(&mut self, from: String, to: String, silent: bool) {
+    /// Marks a route as blocked or open, and records a change in the history.
+    fn set_blocked(&mut self, from: String, to: String, blocked: bool) {
         let route = (from, to);
-        let changed = if silent { self.silenced.insert(route.clone()) } else { self.silenced.remove(&route) };
+        let changed = if blocked {
+            self.blocked_routes.insert(route.clone())
+        } else {
+            self.blocked_routes.remove(&route)
+        };
         if changed {
-            self.note_engines(&route.0, &route.1, silent);
+            self.record_engine_faults(&route.0, &route.1, blocked);
         }
     }
 
-    /// Records that the engines at either end of a route are kept from serving, or no longer.
-    fn note_engines(&self, from: &str, to: &str, silent: bool) {
+    /// Records that a fault of the engines at either end of a route began or ended.
+    fn record_engine_faults(&self, from: &str, to: &str, blocked: bool) {
         for party in [from, to] {
             let Some(zone) = ZONES.iter().position(|name| *name == party) else { continue };
-            let here = self.engines.iter().enumerate().filter(|(i, _)| i % self.scenario.zones == zone);
-            let on = here.map(|(_, e)| e.id.clone()).collect();
-            self.history.note(if silent { Event::FaultBegan { on } } else { Event::FaultEnded { on } });
+            let in_zone = self.engines.iter().enumerate().filter(|(i, _)| i % self.scenario.zones == zone);
+            let on = in_zone.map(|(_, e)| e.id.clone()).collect();
+            self.history.record(if blocked { Event::FaultBegan { on } } else { Event::FaultEnded { on } });
         }
     }
 
-    /// Records that engines are kept from serving for good.
-    pub(super) fn note_engine_fault(&self, engines: &[usize]) {
+    /// Records that engines are out of service for the rest of the run.
+    pub(super) fn record_permanent_fault(&self, engines: &[usize]) {
         let on = engines.iter().map(|i| self.engines[*i].id.clone()).collect();
-        self.history.note(Event::FaultBegan { on });
+        self.history.record(Event::FaultBegan { on });
     }
 }
--- a/crates/cluster-harness/src/run/peers.rs
+++ b/crates/cluster-harness/src/run/peers.rs
@@ -1,4 +1,4 @@
-//! The managers' TCP ports: where each party reaches each of them through the fault proxy.
+//! The managers' TCP ports, and the addresses in the fault proxy at which each party reaches them.
 
 use super::RunError;
 use crate::fault_proxy::{tcp_to, Faults, Target, TcpPath};
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::sync::PoisonError;
 
-/// The stand-in subscribers' name in the fault proxy.
+/// Name of the stand-in subscribers as a party of the fault proxy.
 pub(super) const SUBSCRIBERS: &str = "subscribers";
 
 /// One port of all managers.
 struct Port {
-    /// Where each manager listens itself, once its log says so.
+    /// The address on which each manager itself listens, once its log shows it.
     targets: Vec<Target>,
-    /// Where each party reaches each manager.
-    at: Vec<Vec<SocketAddr>>,
+    /// The address at which each party reaches each manager, by party and manager.
+    addresses: Vec<Vec<SocketAddr>>,
 }
 
 /// All ports of all managers.
 #[derive(Default)]
 pub(super) struct Peers {
     ports: BTreeMap<String, Port>,
-    /// Parties that reach managers, in the order of their numbers.
+    /// Parties that connect to managers; their order is that of [`Port::addresses`].
     sources: Vec<String>,
     /// Paths through the fault proxy, which close when they are dropped.
     _paths: Vec<TcpPath>,
@@ -38,40 +38,41 @@
         let mut peers = Peers { sources, ..Peers::default() };
         for port in &scenario.ports {
             let targets: Vec<Target> = (0..scenario.managers).map(|_| Target::default()).collect();
-            let mut at = Vec::new();
+            let mut addresses = Vec::new();
             for from in &peers.sources {
                 let mut row = Vec::new();
                 for (i, target) in targets.iter().enumerate() {
                     let path = tcp_to(faults, from, &format!("n{i}"), Target::clone(target));
-                    let path = path.map_err(RunError::io("fault middle"))?;
+                    let path = path.map_err(RunError::io("fault proxy"))?;
                     row.push(path.address);
                     peers._paths.push(path);
                 }
-                at.push(row);
+                addresses.push(row);
             }
-            peers.ports.insert(port.name.clone(), Port { targets, at });
+            peers.ports.insert(port.name.clone(), Port { targets, addresses });
         }
-        (0..scenario.managers).for_each(|i| faults.home(&format!("n{i}"), GROUPS[scenario.group_of(i)]));
+        (0..scenario.managers).for_each(|i| faults.set_group(&format!("n{i}"), GROUPS[scenario.group_of(i)]));
         Ok(peers)
     }
 
-    /// From now on manager `i` listens there, or nowhere.
-    pub(super) fn bind(&self, port: &str, i: usize, real: Option<SocketAddr>) {
+    /// Sets the address on which manager `i` listens; `None` while it is down.
+    pub(super) fn bind(&self, port: &str, i: usize, address: Option<SocketAddr>) {
         if let Some(target) = self.ports.get(port).and_then(|p| p.targets.get(i)) {
-            *target.lock().unwrap_or_else(PoisonError::into_inner) = real;
+            *target.lock().unwrap_or_else(PoisonError::into_inner) = address;
         }
     }
 
-    /// Where manager `i` listens itself.
-    pub(super) fn real(&self, port: &str, i: usize) -> Option<SocketAddr> {
+    /// The address on which manager `i` itself listens, which bypasses the fault proxy; `None` until its log
+    /// shows it.
+    pub(super) fn listen_address(&self, port: &str, i: usize) -> Option<SocketAddr> {
         let target = self.ports.get(port)?.targets.get(i)?;
         *target.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Names and addresses of all managers at a port, as a party reaches them.
-    pub(super) fn seen(&self, port: &str, party: &str) -> Vec<(String, SocketAddr)> {
+    /// Names of all managers and the addresses at which a party reaches them at a port.
+    pub(super) fn addresses_for(&self, port: &str, party: &str) -> Vec<(String, SocketAddr)> {
         let from = self.sources.iter().position(|s| s == party);
-        let row = from.and_then(|from| self.ports.get(port)?.at.get(from));
-        row.into_iter().flatten().enumerate().map(|(i, at)| (format!("n{i}"), *at)).collect()
+        let row = from.and_then(|from| self.ports.get(port)?.addresses.get(from));
+        row.into_iter().flatten().enumerate().map(|(i, address)| (format!("n{i}"), *address)).collect()
     }
 }
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -1,4 +1,4 @@
-//! A manager's process: its folder and files, its start and its exit, and their entries in the history.
+//! A manager's process: its folder and files, its starts and exits, and the history's record of them.
 
 use super::{ProcessState, Rig, RunError};
 use crate::procs::{ProcessExit, Tail};
@@ -8,28 +8,28 @@
 use sprucelink_history_checker::event::{Event, ExitCause};
 use std::path::Path;
 
-/// The file in a process's folder that names the version its supervisor is to start next.
+/// File in a process's folder with the name of the version that its supervisor starts next.
 pub const NEXT_VERSION_FILE: &str = "next-version";
 /// Longest name of a version, in bytes.
 const MAX_VERSION_BYTES: usize = 64;
-/// Files of a folder that is copied.
+/// Maximum number of files in a folder that is copied.
 const MAX_COPIED_FILES: usize = 1_000;
-/// Bytes of a folder that is copied, all files together.
+/// Maximum size of a folder that is copied, all files together, in bytes.
 const MAX_COPIED_BYTES: u64 = 256 << 20;
 
-/// What the rig keeps of one manager beside its process.
+/// State of one manager that outlives its processes.
 pub(super) struct Proc {
-    /// The version it is started as.
+    /// The version as which the manager is started.
     pub(super) version: String,
-    /// Whether it runs, by the history.
+    /// Whether the history holds a start of the process without an exit.
     pub(super) alive: bool,
-    /// How often the supervisor brought it back.
-    pub(super) brought_back: usize,
-    /// Its log as it grows, where something is looked for there.
+    /// Number of restarts by the supervisor so far.
+    pub(super) supervised_restarts: usize,
+    /// Reader of the process's log; absent where no ports or failpoints are read from it.
     pub(super) tail: Option<Tail>,
-    /// Ports whose address its log has not told yet, by their place among the scenario's.
+    /// Ports whose address the log has not shown yet, by index in the scenario's `ports`.
     pub(super) unbound: Vec<usize>,
-    /// Faults of the disk under its store, from its next start on.
+    /// Faults of the disk under the manager's store, from its next start on.
     pub(super) disk: DiskFaults,
 }
 
@@ -37,12 +37,12 @@
     pub(super) fn new(version: &str) -> Proc {
         let version = version.to_owned();
         let disk = DiskFaults::default();
-        Proc { version, alive: false, brought_back: 0, tail: None, unbound: Vec::new(), disk }
+        Proc { version, alive: false, supervised_restarts: 0, tail: None, unbound: Vec::new(), disk }
     }
 }
 
 impl Rig<'_> {
-    /// Starts manager `i`; a running one is killed first.
+    /// Starts manager `i`, with an empty folder if `emptied`; a running one is killed first.
     pub(super) fn start_manager(&mut self, i: usize, emptied: bool) -> Result<(), RunError> {
         self.kill(i);
         self.process_states[i] = ProcessState::Starting;
@@ -50,12 +50,12 @@
         if emptied {
             match std::fs::remove_dir_all(&folder) {
                 Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
-                    return Err(RunError::io("a folder")(e))
+                    return Err(RunError::io("manager folder")(e))
                 }
                 _ => {}
             }
         }
-        std::fs::create_dir_all(&folder).map_err(RunError::io("a folder"))?;
+        std::fs::create_dir_all(&folder).map_err(RunError::io("manager folder"))?;
         self.scenario.ports.iter().for_each(|p| self.peers.bind(&p.name, i, None));
         let values = self.values(i);
         for (name, value) in &self.scenario.files {
@@ -68,22 +68,22 @@
         for arg in &self.scenario.args {
             args.push(values.fill(arg)?);
         }
-        self.real[i] = None;
+        self.membership_listeners[i] = None;
         if let Some(m) = self.fleet.managers.get_mut(i) {
             m.args = args;
             self.fleet.restart(i, &config).map_err(RunError::io("restart"))?;
         } else {
             self.fleet.start(&format!("n{i}"), &config, &args).map_err(RunError::io("start"))?;
         }
-        let looked_for = !self.scenario.ports.is_empty() || !self.scenario.failpoint_faults.is_empty();
-        let tail = self.fleet.log_file(i).filter(|_| looked_for).map(Tail::open).transpose();
-        let p = &mut self.procs[i];
-        p.tail = tail.map_err(RunError::io("a log"))?;
-        p.unbound = (0..self.scenario.ports.len()).collect();
-        p.alive = true;
+        let needs_log = !self.scenario.ports.is_empty() || !self.scenario.failpoint_faults.is_empty();
+        let tail = self.fleet.log_file(i).filter(|_| needs_log).map(Tail::open).transpose();
+        let proc = &mut self.procs[i];
+        proc.tail = tail.map_err(RunError::io("manager log"))?;
+        proc.unbound = (0..self.scenario.ports.len()).collect();
+        proc.alive = true;
         let process = format!("n{i}");
-        let version = p.version.clone();
-        self.history.note(Event::Started {
+        let version = proc.version.clone();
+        self.history.record(Event::Started {
             process,
             version,
             clock_offset_ms: self.scenario.clock_of(i),
@@ -92,31 +92,37 @@
         Ok(())
     }
 
-    /// Kills manager `i`, if it runs; clients send nothing more to it.
+    /// Kills manager `i` (SIGKILL), if it runs; clients stop sending to it.
     pub(super) fn kill(&mut self, i: usize) {
         self.mark_unavailable(i);
         self.fleet.kill(i);
-        self.note_exit(i, ProcessExit { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
+        self.record_exit(i, ProcessExit { status: None, signal: Some(9) }, ExitCause::Nemesis, None);
         self.process_states[i] = ProcessState::Down;
     }
 
     /// Records the exit of a process, once.
-    pub(super) fn note_exit(&mut self, i: usize, how: ProcessExit, cause: ExitCause, next: Option<String>) {
+    pub(super) fn record_exit(
+        &mut self,
+        i: usize,
+        exit: ProcessExit,
+        cause: ExitCause,
+        next: Option<String>,
+    ) {
         if std::mem::take(&mut self.procs[i].alive) {
             let process = format!("n{i}");
-            let ProcessExit { status, signal } = how;
-            self.history.note(Event::Exited { process, status, signal, cause, next });
+            let ProcessExit { status, signal } = exit;
+            self.history.record(Event::Exited { process, status, signal, cause, next });
         }
     }
 
-    /// The version that a process has named for its next start.
+    /// Reads the name of the version that a process requests for its next start.
     pub(super) fn next_version(&self, i: usize) -> Result<String, RunError> {
         let path = self.fleet.folder(i).join(NEXT_VERSION_FILE);
         let text = std::fs::read_to_string(&path).map_err(RunError::io_at(&path))?;
         let name = text.trim();
-        let sign = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-        let good = !name.is_empty() && name.len() <= MAX_VERSION_BYTES && name.chars().all(sign);
-        match good {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+        let is_valid = !name.is_empty() && name.len() <= MAX_VERSION_BYTES && name.chars().all(is_allowed);
+        match is_valid {
             true => Ok(name.to_owned()),
             false => Err(RunError::InvalidVersion { path }),
         }
@@ -137,13 +143,15 @@
             ("clock_offset_ms", self.scenario.clock_of(i).to_string()),
         ];
         let party = &self.parties[self.scenario.party_of(i)];
-        let seen =
-            |name: &str| self.peers.seen(name, party).into_iter().map(|(n, a)| (n, a.to_string())).collect();
-        let peers = self.scenario.ports.iter().map(|p| (p.name.clone(), seen(&p.name))).collect();
+        let addresses = |port: &str| {
+            self.peers.addresses_for(port, party).into_iter().map(|(n, a)| (n, a.to_string())).collect()
+        };
+        let peers = self.scenario.ports.iter().map(|p| (p.name.clone(), addresses(&p.name))).collect();
         Values { variables: variables.into(), peers }
     }
 
-    /// Writes the process's faults, failpoints and disk faults, into its folder; without faults there is no such file.
+    /// Writes the process's fault file (failpoints and disk faults) into its folder, or removes it if there
+    /// are no faults.
     fn write_faults(&self, i: usize, folder: &Path) -> Result<(), RunError> {
         let faults = FaultFile { points: self.failpoint_faults.armed(i), disk: self.procs[i].disk };
         let path = folder.join(fault_file::FILE_NAME);
@@ -166,61 +174,62 @@
         }
     }
 
-    /// A file of manager `i`'s folder loses its last bytes.
+    /// Truncates a file in manager `i`'s folder by its last `bytes` bytes, as a torn write leaves it.
     pub(super) fn tear(&self, i: usize, file: &str, bytes: u64) -> Result<(), RunError> {
         self.must_be_down(i, "tear")?;
         let path = self.fleet.folder(i).join(file);
-        let torn = std::fs::OpenOptions::new().write(true).open(&path).and_then(|f| {
+        let truncated = std::fs::OpenOptions::new().write(true).open(&path).and_then(|f| {
             let len = f.metadata()?.len();
             f.set_len(len.saturating_sub(bytes))
         });
-        torn.map_err(RunError::io(&format!("tear {}", path.display())))
+        truncated.map_err(RunError::io(&format!("tear {}", path.display())))
     }
 
-    /// Copies manager `i`'s folder; a process that runs is stopped meanwhile, so that the copy is of one moment.
-    pub(super) fn keep_copy(&self, i: usize) -> Result<(), RunError> {
+    /// Copies manager `i`'s folder. A running process is stopped meanwhile, so that the copy is a consistent
+    /// snapshot.
+    pub(super) fn copy_folder(&self, i: usize) -> Result<(), RunError> {
         use nix::sys::signal::Signal;
-        let runs = self.procs[i].alive && self.process_states[i] != ProcessState::Paused;
-        if runs {
+        let is_running = self.procs[i].alive && self.process_states[i] != ProcessState::Paused;
+        if is_running {
             self.fleet.signal(i, Signal::SIGSTOP)?;
         }
-        let copied = replace(&self.fleet.folder(i), &self.copy_of(i));
-        if runs {
+        let copied = replace_folder(&self.fleet.folder(i), &self.folder_copy(i));
+        if is_running {
             self.fleet.signal(i, Signal::SIGCONT)?;
         }
         copied
     }
 
-    /// Manager `i`'s folder is as it was when it was copied.
-    pub(super) fn put_back(&self, i: usize) -> Result<(), RunError> {
+    /// Restores manager `i`'s folder from its copy.
+    pub(super) fn restore_folder(&self, i: usize) -> Result<(), RunError> {
         self.must_be_down(i, "put_back")?;
-        replace(&self.copy_of(i), &self.fleet.folder(i))
+        replace_folder(&self.folder_copy(i), &self.fleet.folder(i))
     }
 
-    fn copy_of(&self, i: usize) -> std::path::PathBuf {
+    fn folder_copy(&self, i: usize) -> std::path::PathBuf {
         self.program.dir.join(format!("n{i}.copy"))
     }
 }
 
-/// A folder's files, its folders' too, in place of another folder.
-fn replace(from: &Path, to: &Path) -> Result<(), RunError> {
+/// Replaces the folder `to` by a recursive copy of `from`.
+fn replace_folder(from: &Path, to: &Path) -> Result<(), RunError> {
     match std::fs::remove_dir_all(to) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(RunError::io_at(to)(e)),
         _ => {}
     }
-    let mut open = vec![(from.to_owned(), to.to_owned())];
+    let mut pending = vec![(from.to_owned(), to.to_owned())];
     let mut files = 0;
     let mut bytes = 0;
-    while let Some((from, to)) = open.pop() {
+    while let Some((from, to)) = pending.pop() {
         std::fs::create_dir_all(&to).map_err(RunError::io_at(&to))?;
         for entry in std::fs::read_dir(&from).map_err(RunError::io_at(&from))? {
             let entry = entry.map_err(RunError::io_at(&from))?;
-            let here = entry.path();
-            let there = to.join(entry.file_name());
-            let meta = entry.metadata().map_err(RunError::io_at(&here))?;
+            let source = entry.path();
+            let destination = to.join(entry.file_name());
+            let meta = entry.metadata().map_err(RunError::io_at(&source))?;
             files += 1;
             if meta.is_dir() {
-                open.push((here, there));
+                pending.push((source, destination));
             } else {
                 bytes += meta.len();
                 if files > MAX_COPIED_FILES || bytes > MAX_COPIED_BYTES {
@@ -230,7 +239,7 @@
                         max_bytes: MAX_COPIED_BYTES,
                     });
                 }
-                std::fs::copy(&here, &there).map_err(RunError::io_at(&here))?;
+                std::fs::copy(&source, &destination).map_err(RunError::io_at(&source))?;
             }
         }
     }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -1,10 +1,10 @@
-//! The stand-ins and files of a run before it begins, and engines that come later.
+//! Creates the stand-ins and the files of a run, and engines that are added later.
 
 use super::failpoint_faults::FailpointFaults;
 use super::peers::{Peers, SUBSCRIBERS};
 use super::process::Proc;
 use super::{unix_ms, Engine, ProcessState, Program, Rig, RunError};
-use crate::engines::{name_of, CountingEngine, Spec};
+use crate::engines::{engine_id, CountingEngine, Spec};
 use crate::fault_proxy::{self, Faults, UdpNet};
 use crate::history::Recorder;
 use crate::ledger::Ledger;
@@ -13,20 +13,20 @@
 use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, ZONES};
 use crate::subscribers::Subscribers;
 use sprucelink_history_checker::event::{Event, FleetMember};
-use sprucelink_membership::MembershipConfig as Membership;
+use sprucelink_membership::MembershipConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Duration of an engine's slow start, in seconds; the managers' settings say the same.
+/// Duration of an engine's slow start, in seconds; the same as `cold` in the managers' settings.
 pub(super) const COLD_FOR: f64 = 15.0;
 /// Factor by which a query takes longer on a slow engine.
 const SLOW_FACTOR: f64 = 10.0;
-/// Managers that all others have as seeds of the membership.
+/// Number of managers that all managers have as seeds of the membership.
 const SEEDS: usize = 3;
 
-/// The history that the scenario asks for; one that records nothing if it asks for none.
+/// Starts the history that the scenario asks for; the recorder records nothing if it asks for none.
 fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, RunError> {
     if !scenario.records() {
         return Ok(Recorder::default());
@@ -45,8 +45,8 @@
     pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, RunError> {
         let start = Instant::now();
         let faults = Faults::new(scenario.seed);
-        let fleet = Fleet::new(&program.path, &program.dir).map_err(RunError::io("the rig's folder"))?;
-        let n = scenario.managers;
+        let fleet = Fleet::new(&program.path, &program.dir).map_err(RunError::io("the harness's folder"))?;
+        let managers = scenario.managers;
         let history = start_history(scenario, program, start)?;
         let peers = Peers::new(scenario, &faults)?;
         let mut rig = Rig {
@@ -61,38 +61,38 @@
             feeds: Vec::new(),
             revision: 1,
             fleet,
-            process_states: vec![ProcessState::NotStarted; n],
-            availability: (0..n).map(|_| Arc::default()).collect(),
-            up_once: vec![false; n],
+            process_states: vec![ProcessState::NotStarted; managers],
+            availability: (0..managers).map(|_| Arc::default()).collect(),
+            up_once: vec![false; managers],
             crashed: 0,
             settings: settings_of(scenario),
-            net: UdpNet::new(&Faults::new(0)),
-            members: Vec::new(),
-            real: vec![None; n],
+            membership_net: UdpNet::new(&Faults::new(0)),
+            membership_addresses: Vec::new(),
+            membership_listeners: vec![None; managers],
             views: Vec::new(),
-            ended: Arc::default(),
+            completed: Arc::default(),
             parties: scenario.parties(),
             history,
             peers,
-            procs: (0..n).map(|_| Proc::new(&scenario.version)).collect(),
+            procs: (0..managers).map(|_| Proc::new(&scenario.version)).collect(),
             failpoint_faults: FailpointFaults::new(scenario),
             pending: Vec::new(),
             subscribers: None,
-            silenced: BTreeSet::new(),
+            blocked_routes: BTreeSet::new(),
             ops: BTreeMap::new(),
             draws: 0,
         };
-        rig.note_run();
+        rig.record_run_start();
         rig.start_engines()?;
         rig.start_list_services()?;
-        rig.ledger.date(start);
+        rig.ledger.keep_attempts(start);
         rig.set_lists(scenario.lists);
-        rig.reserve_members()?;
+        rig.reserve_membership_addresses()?;
         rig.start_subscribers();
         Ok(rig)
     }
 
-    /// The engines that are there from the beginning; the last ones are listed and do not run.
+    /// Starts the initial engines; the last `missing` ones are on the endpoint list but do not run.
     fn start_engines(&mut self) -> Result<(), RunError> {
         let Engines { count, cold, missing, .. } = self.scenario.engines;
         for i in 0..count {
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// One list service for each group of managers, behind the fault proxy where the scenario has one.
+    /// Starts one list service for each party of managers, behind the fault proxy where the scenario uses it.
     fn start_list_services(&mut self) -> Result<(), RunError> {
         for (party, name) in self.scenario.parties().iter().enumerate() {
             let first = procs::event(1, 1, true, &self.rows(party));
@@ -113,7 +113,7 @@
             let mut feed = service.address;
             if self.scenario.uses_fault_proxy() {
                 let path = fault_proxy::tcp(&self.faults, name, "lists", feed)
-                    .map_err(RunError::io("fault middle"))?;
+                    .map_err(RunError::io("fault proxy"))?;
                 feed = path.address;
                 self.list_paths.push(path);
             }
@@ -123,33 +123,35 @@
         Ok(())
     }
 
-    /// The managers' addresses for membership messages, where the scenario has membership.
-    fn reserve_members(&mut self) -> Result<(), RunError> {
+    /// Reserves the managers' addresses for membership messages in the fault proxy, where the scenario has
+    /// membership.
+    fn reserve_membership_addresses(&mut self) -> Result<(), RunError> {
         if self.scenario.membership.is_none() {
             return Ok(());
         }
-        self.net = UdpNet::new(&self.faults);
+        self.membership_net = UdpNet::new(&self.faults);
         for i in 0..self.scenario.managers {
-            self.members.push(self.net.reserve(&format!("n{i}")).map_err(RunError::io("fault middle"))?);
+            let address = self.membership_net.reserve(&format!("n{i}"));
+            self.membership_addresses.push(address.map_err(RunError::io("fault proxy"))?);
         }
         Ok(())
     }
 
-    /// The subscribers, each connected to the managers that the scenario allows them.
+    /// Starts the subscribers, which connect to the managers that the scenario selects for them.
     fn start_subscribers(&mut self) {
         let spec = &self.scenario.subscribers;
         if spec.count == 0 {
             return;
         }
         let allowed: Option<Vec<usize>> = spec.to.as_ref().map(|to| self.select_managers(to));
-        let all = self.peers.seen(&spec.port, SUBSCRIBERS).into_iter().enumerate();
+        let all = self.peers.addresses_for(&spec.port, SUBSCRIBERS).into_iter().enumerate();
         let to =
             all.filter(|(i, _)| allowed.as_ref().is_none_or(|a| a.contains(i))).map(|(_, m)| m).collect();
         self.subscribers = Some(Subscribers::start(self.scenario, self.start, to, self.history.clone()));
     }
 
-    /// The history's first line.
-    fn note_run(&self) {
+    /// Writes the history's first line.
+    fn record_run_start(&self) {
         let manager = |i: usize| {
             let group = self.scenario.group_of(i);
             FleetMember { name: format!("n{i}"), zone: ZONES[group].into(), pool: GROUPS[group].into() }
@@ -158,42 +160,42 @@
         let engines = Vec::new();
         let scenario = self.scenario.name.clone();
         let seed = self.scenario.seed;
-        self.history.note(Event::RunStarted { scenario, seed, managers, engines });
+        self.history.record(Event::RunStarted { scenario, seed, managers, engines });
     }
 
     pub(super) fn add_engine(&mut self, cold: bool) -> Result<(), RunError> {
-        let e = &self.scenario.engines;
-        let times = if self.engines.len() < e.slow { SLOW_FACTOR } else { 1.0 };
-        let light = times * e.light_ms / 1e3;
-        let heavy = times * e.heavy_ms / 1e3;
+        let engines = &self.scenario.engines;
+        let factor = if self.engines.len() < engines.slow { SLOW_FACTOR } else { 1.0 };
+        let light = factor * engines.light_ms / 1e3;
+        let heavy = factor * engines.heavy_ms / 1e3;
         let cold_for = if cold { COLD_FOR } else { 0.0 };
-        let spec = Spec { cores: e.cores, light, heavy, cold_for, ..Spec::default() };
-        let number = self.engines.len();
+        let spec = Spec { cores: engines.cores, light, heavy, cold_for, ..Spec::default() };
+        let index = self.engines.len();
         let ledger = self.ledger.clone();
         let history = self.history.clone();
-        let run = CountingEngine::start_as(spec, number, ledger, history, self.start)
+        let run = CountingEngine::start_as(spec, index, ledger, history, self.start)
             .map_err(RunError::io("engine"))?;
-        let mut at = vec![run.address; self.parties.len()];
+        let mut addresses = vec![run.address; self.parties.len()];
         let mut paths = Vec::new();
         if self.scenario.uses_fault_proxy() {
-            for (party, at) in at.iter_mut().enumerate() {
+            for (party, address) in addresses.iter_mut().enumerate() {
                 let path = fault_proxy::tcp(
                     &self.faults,
                     &self.parties[party],
-                    ZONES[number % self.scenario.zones],
+                    ZONES[index % self.scenario.zones],
                     run.address,
                 );
-                let path = path.map_err(RunError::io("fault middle"))?;
-                *at = path.address;
+                let path = path.map_err(RunError::io("fault proxy"))?;
+                *address = path.address;
                 paths.push(path);
             }
         }
         let since_ms = if cold { unix_ms() } else { 0 };
-        let id = name_of(number);
+        let id = engine_id(index);
         let name = id.clone();
-        let zone = ZONES[number % self.scenario.zones].into();
-        self.history.note(Event::EngineAdded(FleetMember { name, zone, pool: "std".into() }));
-        self.engines.push(Engine { id, run: Some(run), at, paths, phase: "ready", since_ms });
+        let zone = ZONES[index % self.scenario.zones].into();
+        self.history.record(Event::EngineAdded(FleetMember { name, zone, pool: "std".into() }));
+        self.engines.push(Engine { id, run: Some(run), addresses, paths, phase: "ready", since_ms });
         Ok(())
     }
 
@@ -205,29 +207,35 @@
         }
     }
 
-    /// The engines as a party's list names them.
+    /// The endpoint list's rows of all engines, with the addresses for a party.
     pub(super) fn rows(&self, party: usize) -> Vec<Row> {
         (0..self.engines.len()).map(|i| self.row(party, i)).collect()
     }
 
     pub(super) fn row(&self, party: usize, i: usize) -> Row {
-        let e = &self.engines[i];
+        let engine = &self.engines[i];
         let zone = ZONES[i % self.scenario.zones].into();
-        Row { id: e.id.clone(), at: e.at[party], zone, phase: e.phase, since_ms: e.since_ms }
+        Row {
+            id: engine.id.clone(),
+            address: engine.addresses[party],
+            zone,
+            phase: engine.phase,
+            since_ms: engine.since_ms,
+        }
     }
 
-    /// Tells every party what changed.
-    pub(super) fn tell(&mut self, changed: &[usize]) -> Result<(), RunError> {
+    /// Publishes the rows of changed engines on every list service, under the next revision.
+    pub(super) fn publish_engines(&mut self, changed: &[usize]) -> Result<(), RunError> {
         self.revision += 1;
-        for group in 0..self.lists.len() {
-            let rows: Vec<Row> = changed.iter().map(|i| self.row(group, *i)).collect();
-            self.lists[group].tell(|n| procs::event(n, self.revision, false, &rows))?;
+        for party in 0..self.lists.len() {
+            let rows: Vec<Row> = changed.iter().map(|i| self.row(party, *i)).collect();
+            self.lists[party].publish(|n| procs::event(n, self.revision, false, &rows))?;
         }
         Ok(())
     }
 
-    pub(super) fn set_lists(&self, how: Lists) {
-        let mode = match how {
+    pub(super) fn set_lists(&self, lists: Lists) {
+        let mode = match lists {
             Lists::Serve => DiscoveryMode::Serving,
             Lists::Refuse => DiscoveryMode::Refusing,
             Lists::Stall => DiscoveryMode::Stalling,
@@ -235,7 +243,7 @@
         self.lists.iter().for_each(|l| l.set_discovery_mode(mode));
     }
 
-    /// The seed of manager `i`'s process, by the number of its earlier starts.
+    /// The seed of manager `i`'s process after `starts` earlier starts.
     pub(super) fn seed(&self, i: usize, starts: u32) -> u64 {
         self.scenario.seed.wrapping_mul(1_000_003) ^ (i as u64) << 16 ^ u64::from(starts)
     }
@@ -247,14 +255,14 @@
         let seed = self.seed(i, starts);
         let known = self.lists[party].known();
         let settings = match self.scenario.zone_aware {
-            // The zone by number, as the platform words it.
+            // The zone's index, in the platform's format.
             true => self.settings.replacen('{', &format!("{{\"az\":{group},"), 1),
             false => self.settings.clone(),
         };
         procs::config(&format!("n{i}"), seed, self.feeds[party], &known, &settings)
     }
 
-    /// A manager's arguments: its own file of the membership among them, where the fleet keeps a view.
+    /// A manager's further arguments of `serve`; writes the failover and membership files that they name.
     pub(super) fn args(&self, i: usize) -> Result<Vec<String>, RunError> {
         let mut args = self.program.args.clone();
         if let Some(failover) = &self.scenario.failover {
@@ -262,19 +270,19 @@
             std::fs::write(&file, failover.to_string()).map_err(RunError::io("failover"))?;
             args.extend(["--failover".to_owned(), file.display().to_string()]);
         }
-        if let Some(m) = &self.scenario.membership {
-            let set = Membership {
+        if let Some(membership) = &self.scenario.membership {
+            let config = MembershipConfig {
                 enabled: true,
                 listen: "127.0.0.1:0".into(),
-                advertise: Some(self.members[i].to_string()),
-                seeds: self.members.iter().take(SEEDS).map(SocketAddr::to_string).collect(),
+                advertise: Some(self.membership_addresses[i].to_string()),
+                seeds: self.membership_addresses.iter().take(SEEDS).map(SocketAddr::to_string).collect(),
                 zone: ZONES[self.scenario.group_of(i)].into(),
                 region: "rig".into(),
-                protocol: m.protocol,
-                share: m.share,
+                protocol: membership.protocol,
+                share: membership.share,
             };
             let file = self.program.dir.join(format!("n{i}.membership.json5"));
-            let text = serde_json::to_string(&set)?;
+            let text = serde_json::to_string(&config)?;
             std::fs::write(&file, text).map_err(RunError::io("membership"))?;
             args.extend(["--membership".to_owned(), file.display().to_string()]);
         }
--- a/crates/cluster-harness/src/run/supervision.rs
+++ b/crates/cluster-harness/src/run/supervision.rs
@@ -6,9 +6,10 @@
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
-/// Time after SIGTERM for which clients go on sending to a manager, as the platform does for 0.2 to 0.4 s.
+/// Time after SIGTERM for which clients keep sending to a manager; the platform's clients do so for 0.2 to
+/// 0.4 s.
 pub(super) const CLIENT_GRACE: Duration = Duration::from_millis(300);
-/// A manager that is still running this long after SIGTERM is killed; longer than any deadline of the settings.
+/// Time after SIGTERM at which a manager that still runs is killed; longer than any deadline in the settings.
 const MAX_SHUTDOWN_TIME: Duration = Duration::from_secs(30);
 
 impl Rig<'_> {
@@ -16,7 +17,7 @@
         update(&mut self.availability[i].lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Clients send nothing more to manager `i`, and its requests in flight may be lost.
+    /// Stops the clients of manager `i` from sending to it; its requests in flight may be lost.
     pub(super) fn mark_unavailable(&self, i: usize) {
         self.update_availability(i, |availability| {
             availability.address = None;
@@ -25,54 +26,54 @@
         });
     }
 
-    /// Notes which managers are ready, and which have exited by themselves.
+    /// Detects managers that have become ready or have exited by themselves.
     pub(super) fn observe_processes(&mut self) {
         for i in 0..self.fleet.managers.len() {
             match self.process_states[i] {
                 ProcessState::Starting => {
-                    if let Some(at) = self.fleet.serving(i) {
+                    if let Some(address) = self.fleet.serving(i) {
                         self.update_availability(i, |availability| {
-                            availability.address = Some(at);
+                            availability.address = Some(address);
                             availability.until = None;
                         });
                         self.process_states[i] = ProcessState::Up;
                         self.up_once[i] = true;
-                        self.history.note(Event::Ready { process: format!("n{i}") });
-                        self.bind(i);
+                        self.history.record(Event::Ready { process: format!("n{i}") });
+                        self.bind_membership(i);
                     }
                 }
                 ProcessState::Up => {}
                 _ => continue,
             }
-            if let Some(how) = self.fleet.ended(i) {
-                self.handle_exit(i, how);
+            if let Some(exit) = self.fleet.exited(i) {
+                self.handle_exit(i, exit);
             }
         }
     }
 
-    /// A process has exited by itself: its restart is scheduled where the supervisor restarts it.
-    fn handle_exit(&mut self, i: usize, how: ProcessExit) {
+    /// Handles the exit of a process by itself, and schedules its restart where the supervisor restarts it.
+    fn handle_exit(&mut self, i: usize, exit: ProcessExit) {
         self.mark_unavailable(i);
-        let requests_version = how.status == Some(EXIT_STATUS_NEXT_VERSION);
+        let requests_version = exit.status == Some(EXIT_STATUS_NEXT_VERSION);
         let next = if requests_version { self.next_version(i).ok() } else { None };
-        self.note_exit(i, how, ExitCause::Own, next.clone());
+        self.record_exit(i, exit, ExitCause::Own, next.clone());
         let supervise = self.scenario.supervise;
-        let back = next.is_some() || supervise.crashed;
-        // A process that asks for another version and names none has crashed, too.
+        let restarts = next.is_some() || supervise.crashed;
+        // A process that requests another version without naming a valid one counts as crashed, too.
         self.crashed += usize::from(next.is_none());
         self.procs[i].version = next.unwrap_or(std::mem::take(&mut self.procs[i].version));
         self.process_states[i] = ProcessState::Down;
-        if back && self.procs[i].brought_back < supervise.max_restarts {
-            self.procs[i].brought_back += 1;
+        if restarts && self.procs[i].supervised_restarts < supervise.max_restarts {
+            self.procs[i].supervised_restarts += 1;
             self.process_states[i] = ProcessState::RestartPending(
                 Instant::now() + Duration::from_secs_f64(supervise.back_ms / 1e3),
             );
         }
     }
 
-    /// Tells the fault proxy the address on which a ready manager listens for membership messages.
-    pub(super) fn bind(&mut self, i: usize) {
-        if self.members.is_empty() {
+    /// Sets in the fault proxy the address on which a ready manager listens for membership messages.
+    pub(super) fn bind_membership(&mut self, i: usize) {
+        if self.membership_addresses.is_empty() {
             return;
         }
         let log = self.fleet.log(i);
@@ -80,10 +81,10 @@
             .lines()
             .find_map(|l| l.split_once("membership listening local_address="))
             .map(|(_, rest)| rest);
-        let real = line.and_then(|l| l.split([',', ' ']).next()).and_then(|a| a.parse().ok());
-        if let Some(real) = real {
-            self.real[i] = Some(real);
-            self.net.bind(self.members[i], real);
+        let address = line.and_then(|l| l.split([',', ' ']).next()).and_then(|a| a.parse().ok());
+        if let Some(address) = address {
+            self.membership_listeners[i] = Some(address);
+            self.membership_net.bind(self.membership_addresses[i], address);
         }
     }
 
@@ -98,13 +99,13 @@
                 }
                 _ => continue,
             };
-            match self.fleet.ended(i) {
-                Some(how) => {
-                    self.crashed += usize::from(how.status != Some(0));
-                    self.note_exit(i, how, ExitCause::Nemesis, None);
+            match self.fleet.exited(i) {
+                Some(exit) => {
+                    self.crashed += usize::from(exit.status != Some(0));
+                    self.record_exit(i, exit, ExitCause::Nemesis, None);
                     self.start_manager(i, false)?;
                 }
-                // It hangs, which counts as a crash.
+                // A hang in the shutdown counts as a crash.
                 None if since.elapsed() > MAX_SHUTDOWN_TIME => {
                     self.crashed += 1;
                     self.start_manager(i, false)?;
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -8,24 +8,24 @@
 
 /// Interval between two rounds of polling the managers for their views.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Threads that poll managers at once.
+/// Number of threads that poll managers concurrently.
 const POLL_THREADS: usize = 8;
-/// Rounds of polling that are kept.
+/// Maximum number of rounds of polling that are kept.
 const MAX_VIEWS: usize = 10_000;
 
-/// The members that a manager has as alive or suspect, itself included; `None` where it did not answer.
-fn query_view(real: SocketAddr) -> Option<BTreeSet<String>> {
-    let all = sprucelink_membership::query_members(real).ok()?;
-    let here = |m: &Member| matches!(m.state, MemberState::Alive | MemberState::Suspect);
-    Some(all.into_iter().filter(here).map(|m| m.name).collect())
+/// The members that a manager's view holds as alive or suspect, itself included; `None` if it did not answer.
+fn query_view(address: SocketAddr) -> Option<BTreeSet<String>> {
+    let all = sprucelink_membership::query_members(address).ok()?;
+    let is_present = |m: &Member| matches!(m.state, MemberState::Alive | MemberState::Suspect);
+    Some(all.into_iter().filter(is_present).map(|m| m.name).collect())
 }
 
 impl Rig<'_> {
-    /// Polls every ready manager for its view.
+    /// Polls every ready manager for its view, and compares the views with the ready managers.
     pub(super) fn poll_views(&mut self) {
-        let ready: Vec<(usize, SocketAddr)> = (0..self.members.len())
+        let ready: Vec<(usize, SocketAddr)> = (0..self.membership_addresses.len())
             .filter(|i| self.process_states[*i] == ProcessState::Up)
-            .filter_map(|i| Some((i, self.real[i]?)))
+            .filter_map(|i| Some((i, self.membership_listeners[i]?)))
             .collect();
         let at = self.start.elapsed().as_secs_f64();
         let names: BTreeSet<String> = ready.iter().map(|(i, _)| format!("n{i}")).collect();
@@ -34,7 +34,9 @@
             let threads: Vec<_> = chunks
                 .into_iter()
                 .map(|chunk| {
-                    scope.spawn(move || chunk.iter().map(|(_, real)| query_view(*real)).collect::<Vec<_>>())
+                    scope.spawn(move || {
+                        chunk.iter().map(|(_, address)| query_view(*address)).collect::<Vec<_>>()
+                    })
                 })
                 .collect();
             threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
@@ -43,8 +45,8 @@
         let row = Views {
             at,
             polled: views.len(),
-            right: views.iter().filter(|h| **h == names).count(),
-            wrong: views.iter().map(|h| h.symmetric_difference(&names).count()).sum(),
+            right: views.iter().filter(|view| **view == names).count(),
+            wrong: views.iter().map(|view| view.symmetric_difference(&names).count()).sum(),
             different: views.iter().collect::<BTreeSet<_>>().len(),
         };
         if self.views.len() < MAX_VIEWS {
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -1,5 +1,7 @@
-//! Stand-in subscribers: up to 300 connections for server-sent events over the managers' ports, each with a cursor of
-//! its own. What they read goes into the history. [`reader`] and [`marks`] decide, [`sse`] reads, this file connects.
+//! Stand-in subscribers: up to 300 connections for server-sent events to the managers' ports, each with a
+//! cursor of its own. The records that they read go into the history. This module makes the connections,
+//! [`sse`] parses the streams, [`reader`] holds the state of a subscriber, and [`marks`] finds the records
+//! with a meaning for the checker.
 
 pub mod marks;
 pub mod reader;
@@ -23,28 +25,31 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Commands queued for a subscriber; one that falls behind further misses the oldest.
-const MAX_ORDERS: usize = 64;
-/// The status that says of a cursor that it leads nowhere any more (RFC 9110, 410 Gone): the state is given up with it.
+/// Commands queued for a subscriber; one that falls further behind misses the oldest.
+const MAX_COMMANDS: usize = 64;
+/// Status of an answer to a cursor that is no longer valid (RFC 9110, 410 Gone): the subscriber drops its
+/// cursor and state.
 const GONE: u16 = 410;
 
-/// Marks that are remembered, so that each is noted once; further ones are noted by every subscriber that reads them.
-const MAX_MARKED: usize = 100_000;
+/// Marks that are remembered, so that each is recorded once; further ones are recorded by every subscriber
+/// that reads them.
+const MAX_RECORDED_MARKS: usize = 100_000;
 
 struct Shared {
     spec: Spec,
     seed: u64,
-    /// Names and addresses of the managers they go to.
+    /// Names and addresses of the managers to which subscribers connect.
     managers: Vec<(String, SocketAddr)>,
     history: Recorder,
-    /// Marks that are in the history already: each subscriber reads the same halt.
-    marked: Mutex<BTreeSet<String>>,
+    /// Marks that are in the history already: all subscribers read the same halt.
+    recorded_marks: Mutex<BTreeSet<String>>,
 }
 
-/// All stand-in subscribers of a run; they end when this is dropped.
+/// All stand-in subscribers of a run; they stop when this is dropped.
 pub struct Subscribers {
-    orders: broadcast::Sender<(u64, SubscriberAction)>,
-    given: u64,
+    commands: broadcast::Sender<(u64, SubscriberAction)>,
+    /// Number of commands sent so far.
+    commands_sent: u64,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
@@ -55,7 +60,7 @@
 }
 
 impl Subscribers {
-    /// Sets them going: the first at its time after `start`, which go to these managers.
+    /// Starts the scenario's subscribers, which connect to these managers, at their times after `start`.
     pub fn start(
         scenario: &Scenario,
         start: Instant,
@@ -63,34 +68,34 @@
         history: Recorder,
     ) -> Subscribers {
         let spec = scenario.subscribers.clone();
-        let (orders, _) = broadcast::channel(MAX_ORDERS);
+        let (commands, _) = broadcast::channel(MAX_COMMANDS);
         let count = spec.count;
-        let apart = spec.over_ms / 1e3 / spec.count.max(1) as f64;
+        let interval = spec.over_ms / 1e3 / spec.count.max(1) as f64;
         let first = start + Duration::from_secs_f64(spec.at);
-        let shared =
-            Arc::new(Shared { spec, seed: scenario.seed, managers, history, marked: Mutex::default() });
-        let one = |number: usize| {
+        let recorded_marks = Mutex::default();
+        let shared = Arc::new(Shared { spec, seed: scenario.seed, managers, history, recorded_marks });
+        let spawn = |index: usize| {
             let shared = Arc::clone(&shared);
-            let orders = orders.subscribe();
-            let due = first + Duration::from_secs_f64(apart * number as f64);
+            let commands = commands.subscribe();
+            let due = first + Duration::from_secs_f64(interval * index as f64);
             runtime().spawn(async move {
                 sleep_until(due.into()).await;
-                run_subscriber(&shared, number, orders).await;
+                run_subscriber(&shared, index, commands).await;
             })
         };
-        let tasks = (0..count).map(one).collect();
-        Subscribers { orders, given: 0, tasks }
+        let tasks = (0..count).map(spawn).collect();
+        Subscribers { commands, commands_sent: 0, tasks }
     }
 
-    /// Something happens to them.
-    pub fn order(&mut self, what: SubscriberAction) {
-        self.given += 1;
-        // Without subscribers nobody receives it, which is no error.
-        let _ = self.orders.send((self.given, what));
+    /// Sends a command to all subscribers; each applies it if it is among the drawn fraction.
+    pub fn command(&mut self, action: SubscriberAction) {
+        self.commands_sent += 1;
+        // Sending fails if there are no receivers, which is not an error here.
+        let _ = self.commands.send((self.commands_sent, action));
     }
 }
 
-/// Why a stream cannot be read on.
+/// Why reading a stream ended.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
     /// An event exceeds its bound.
@@ -101,77 +106,86 @@
     InvalidCursor(#[from] reader::InvalidEventCursor),
 }
 
-/// Why a connection is over, and what comes next.
+/// Why a connection ended, which determines how the subscriber reconnects.
 enum Disconnect {
-    /// It comes back to another manager after its backoff.
+    /// The connection was lost, for this reason: the subscriber connects to another manager after its
+    /// backoff.
     Lost(String),
-    /// It goes to another manager at once.
+    /// The subscriber leaves for another manager at once.
     Hopped,
-    /// As lost, and its cursor is nothing any more.
-    Forgotten(String),
+    /// As [`Disconnect::Lost`], and the subscriber's cursor is no longer valid.
+    CursorGone(String),
 }
 
 async fn run_subscriber(
     shared: &Shared,
-    number: usize,
-    mut orders: broadcast::Receiver<(u64, SubscriberAction)>,
+    index: usize,
+    mut commands: broadcast::Receiver<(u64, SubscriberAction)>,
 ) {
-    let mut reader = Reader::new(&shared.spec, number, shared.seed);
-    let mut slow = 0.0;
-    let all = shared.managers.len();
-    if all == 0 {
+    let mut reader = Reader::new(&shared.spec, index, shared.seed);
+    let mut bytes_per_second = 0.0;
+    let managers = shared.managers.len();
+    if managers == 0 {
         return;
     }
     loop {
-        let (manager, at) = shared.managers[reader.at % all].clone();
-        let disconnect = read_stream(shared, &mut reader, &mut orders, &mut slow, &manager, at).await;
-        let (why, wait) = match disconnect {
-            Disconnect::Lost(why) => (why, reader.wait()),
+        let (manager, address) = shared.managers[reader.manager % managers].clone();
+        let disconnect =
+            read_stream(shared, &mut reader, &mut commands, &mut bytes_per_second, &manager, address).await;
+        let (why, delay) = match disconnect {
+            Disconnect::Lost(why) => (why, reader.reconnect_delay()),
             Disconnect::Hopped => ("left for another".into(), Duration::ZERO),
-            Disconnect::Forgotten(why) => {
-                reader.forget();
-                (why, reader.wait())
+            Disconnect::CursorGone(why) => {
+                reader.reset_cursor();
+                (why, reader.reconnect_delay())
             }
         };
-        shared.history.note(Event::SubscriberDisconnected { subscriber: reader.name.clone(), manager, why });
-        reader.hop(all);
-        sleep(wait).await;
+        shared.history.record(Event::SubscriberDisconnected {
+            subscriber: reader.name.clone(),
+            manager,
+            why,
+        });
+        reader.hop(managers);
+        sleep(delay).await;
     }
 }
 
-/// Requests the stream from the reader's cursor on; an answer without one ends the visit.
-async fn open_stream(reader: &Reader<'_>, at: SocketAddr) -> Result<Incoming, Disconnect> {
+/// Requests the stream from the reader's cursor on; an answer without a stream ends the connection.
+async fn open_stream(reader: &Reader<'_>, address: SocketAddr) -> Result<Incoming, Disconnect> {
     let request =
-        Request::get(reader.path()).header("host", at.to_string()).header("accept", "text/event-stream");
+        Request::get(reader.path()).header("host", address.to_string()).header("accept", "text/event-stream");
     let request = match reader.cursor {
         Some(c) => request.header("last-event-id", c.to_string()),
         None => request,
     };
     let request =
         request.body(Full::<Bytes>::default()).map_err(|_| Disconnect::Lost("no request".into()))?;
-    let answer = http::send(at, request).await.map_err(|error| Disconnect::Lost(error.to_string()))?;
+    let answer = http::send(address, request).await.map_err(|error| Disconnect::Lost(error.to_string()))?;
     match answer.status().as_u16() {
         200 => Ok(answer.into_body()),
-        GONE => Err(Disconnect::Forgotten("status 410".into())),
+        GONE => Err(Disconnect::CursorGone("status 410".into())),
         other => Err(Disconnect::Lost(format!("status {other}"))),
     }
 }
 
-/// Applies an order to a subscriber, if it is among those that the order is for; why its connection ends, if it does.
-fn apply_order(
+/// Applies a command to a subscriber, if it is among the fraction that the command is for. Returns why its
+/// connection ends, if it does.
+fn apply_command(
     shared: &Shared,
     reader: &Reader<'_>,
     number: u64,
-    order: SubscriberAction,
-    slow: &mut f64,
+    command: SubscriberAction,
+    bytes_per_second: &mut f64,
 ) -> Option<Disconnect> {
-    match order {
-        SubscriberAction::Drop(share) if reader.among(share, number, shared.seed) => {
+    match command {
+        SubscriberAction::Drop(share) if reader.is_selected(share, number, shared.seed) => {
             Some(Disconnect::Lost("dropped".into()))
         }
-        SubscriberAction::Hop(share) if reader.among(share, number, shared.seed) => Some(Disconnect::Hopped),
-        SubscriberAction::Slow { share, bytes_s } if reader.among(share, number, shared.seed) => {
-            *slow = bytes_s;
+        SubscriberAction::Hop(share) if reader.is_selected(share, number, shared.seed) => {
+            Some(Disconnect::Hopped)
+        }
+        SubscriberAction::Slow { share, bytes_s } if reader.is_selected(share, number, shared.seed) => {
+            *bytes_per_second = bytes_s;
             None
         }
         _ => None,
@@ -190,20 +204,20 @@
     }
 }
 
-/// One connection, from its beginning to its end.
+/// Connects a subscriber to a manager and reads the stream until the connection ends; returns why it ended.
 async fn read_stream(
     shared: &Shared,
     reader: &mut Reader<'_>,
-    orders: &mut broadcast::Receiver<(u64, SubscriberAction)>,
-    slow: &mut f64,
+    commands: &mut broadcast::Receiver<(u64, SubscriberAction)>,
+    bytes_per_second: &mut f64,
     manager: &str,
-    at: SocketAddr,
+    address: SocketAddr,
 ) -> Disconnect {
-    let mut body = match open_stream(reader, at).await {
+    let mut body = match open_stream(reader, address).await {
         Ok(body) => body,
         Err(disconnect) => return disconnect,
     };
-    shared.history.note(Event::SubscriberConnected {
+    shared.history.record(Event::SubscriberConnected {
         subscriber: reader.name.clone(),
         manager: manager.to_owned(),
         cursor: reader.cursor,
@@ -211,45 +225,51 @@
         filter: reader.filter.clone(),
     });
     let mut stream = sse::Stream::default();
-    let silent = Duration::from_secs_f64(shared.spec.silent_ms / 1e3);
-    let leaves = reader.stay().map(|stay| Instant::now() + stay);
-    let mut rests = Instant::now();
+    let max_silence = Duration::from_secs_f64(shared.spec.silent_ms / 1e3);
+    let hops_at = reader.time_to_hop().map(|time| Instant::now() + time);
+    let mut next_read = Instant::now();
     loop {
-        let next = async {
-            sleep_until(rests.into()).await;
-            timeout(silent, body.frame()).await
+        let next_frame = async {
+            sleep_until(next_read.into()).await;
+            timeout(max_silence, body.frame()).await
         };
         tokio::select! {
-            frame = next => {
+            frame = next_frame => {
                 let bytes = match frame_data(frame) {
                     Ok(bytes) => bytes,
                     Err(disconnect) => return disconnect,
                 };
-                if let Err(e) = read(shared, reader, &mut stream, manager, &bytes) {
-                    return Disconnect::Lost(e.to_string());
+                if let Err(error) = process_bytes(shared, reader, &mut stream, manager, &bytes) {
+                    return Disconnect::Lost(error.to_string());
                 }
-                rests = Instant::now() + pause(bytes.len(), *slow);
+                next_read = Instant::now() + read_time(bytes.len(), *bytes_per_second);
             }
-            order = orders.recv() => {
-                let Ok((number, order)) = order else { continue };
-                if let Some(disconnect) = apply_order(shared, reader, number, order, slow) {
+            command = commands.recv() => {
+                let Ok((number, command)) = command else { continue };
+                if let Some(disconnect) = apply_command(shared, reader, number, command, bytes_per_second) {
                     return disconnect;
                 }
             }
-            () = sleep_until(leaves.unwrap_or(rests + silent * 10).into()), if leaves.is_some() => return Disconnect::Hopped,
+            () = sleep_until(hops_at.unwrap_or(next_read + max_silence * 10).into()), if hops_at.is_some() => {
+                return Disconnect::Hopped;
+            }
         }
     }
 }
 
-/// How long a subscriber takes for these bytes at its rate; a rate of 0 is no limit.
-fn pause(bytes: usize, a_second: f64) -> Duration {
-    match a_second > 0.0 {
-        true => Duration::from_secs_f64((bytes as f64 / a_second).min(600.0)).max(Duration::from_micros(1)),
+/// Time that a subscriber takes to read these bytes at its rate; a rate of 0 is no limit.
+fn read_time(bytes: usize, bytes_per_second: f64) -> Duration {
+    match bytes_per_second > 0.0 {
+        true => {
+            let seconds = (bytes as f64 / bytes_per_second).min(600.0);
+            Duration::from_secs_f64(seconds).max(Duration::from_micros(1))
+        }
         false => Duration::ZERO,
     }
 }
 
-fn read(
+/// Parses received bytes and records the events that they complete.
+fn process_bytes(
     shared: &Shared,
     reader: &mut Reader<'_>,
     stream: &mut sse::Stream,
@@ -258,19 +278,20 @@
 ) -> Result<(), StreamError> {
     for item in stream.push(bytes)? {
         let cursor = reader.cursor;
-        for event in reader.take(manager, item)? {
-            let mark = matches!(
+        for event in reader.process(manager, item)? {
+            let is_mark = matches!(
                 event,
                 Event::Halted { .. } | Event::HaltLifted { .. } | Event::SchemaActivated { .. }
             );
-            // A mark is noted where it is read first, by its record's place.
-            let place = || format!("{:?} {:?}", reader.cursor.or(cursor), std::mem::discriminant(&event));
-            let first = || {
-                let mut marked = shared.marked.lock().unwrap_or_else(PoisonError::into_inner);
-                marked.len() >= MAX_MARKED || marked.insert(place())
+            // All subscribers read the same marks: each is recorded once, identified by its record's cursor
+            // and kind.
+            let mark_id = || format!("{:?} {:?}", reader.cursor.or(cursor), std::mem::discriminant(&event));
+            let is_first = || {
+                let mut recorded = shared.recorded_marks.lock().unwrap_or_else(PoisonError::into_inner);
+                recorded.len() >= MAX_RECORDED_MARKS || recorded.insert(mark_id())
             };
-            if !mark || first() {
-                shared.history.note(event);
+            if !is_mark || is_first() {
+                shared.history.record(event);
             }
         }
     }
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -1,7 +1,7 @@
-//! What a subscriber makes of what it reads, without input or output: its cursor, kept with its state, what goes into
-//! the history, where it goes next and when.
+//! The state of a subscriber, without I/O: its cursor, the history events of the stream's events, and to
+//! which manager it connects next and when.
 
-use super::marks::Marked;
+use super::marks::KnownReleases;
 use super::sse::StreamItem;
 use crate::history::MAX_DATA_BYTES;
 use crate::scenario::Subscribers as Spec;
@@ -12,7 +12,7 @@
 use sprucelink_history_checker::event::Event;
 use std::time::Duration;
 
-/// An event's id is no cursor.
+/// The id of an event is not a valid cursor.
 #[derive(Debug, thiserror::Error)]
 #[error("event {event:?}: {source}")]
 pub struct InvalidEventCursor {
@@ -21,62 +21,69 @@
     source: ParseCursorError,
 }
 
-/// The name of an event that stands for all records up to its id.
+/// Name of an event that holds the state after all records up to its id.
 const SNAPSHOT: &str = "snapshot";
-/// A `retry` longer than this is taken as this: a manager cannot send a subscriber away for good.
+/// Maximum retry time. A longer `retry` is reduced to it, so that a manager can't keep a subscriber away for
+/// good.
 const MAX_RETRY: Duration = Duration::from_secs(60);
 
 /// One subscriber.
 #[derive(Debug)]
 pub struct Reader<'a> {
     spec: &'a Spec,
-    number: usize,
+    index: usize,
     rng: ChaCha8Rng,
-    /// Its name.
+    /// Name of the subscriber in the history and in requests.
     pub name: String,
-    /// The protocol version it speaks.
+    /// Protocol version of the subscriber.
     pub version: String,
-    /// Its filter; empty: none.
+    /// Filter in the requested path; empty: none.
     pub filter: String,
-    /// Where it stands; kept with its state, so that both are of one moment.
+    /// Cursor of the last event; absent before the first one. It is kept together with the state, so that
+    /// both are consistent.
     pub cursor: Option<Cursor>,
-    /// The manager it goes to, by its number among those it may go to.
-    pub at: usize,
+    /// Index of the manager to connect to, among those that subscribers may use.
+    pub manager: usize,
     retry: Duration,
-    marks: Marked,
+    releases: KnownReleases,
 }
 
 impl<'a> Reader<'a> {
-    /// Subscriber `number` of a run with `seed`: its version, filter and first manager by its number.
-    pub fn new(spec: &'a Spec, number: usize, seed: u64) -> Reader<'a> {
-        let turn = |all: &[String]| all.get(number % all.len().max(1)).cloned().unwrap_or_default();
+    /// The subscriber of this index in a run with `seed`; the index determines its version, filter and first
+    /// manager.
+    pub fn new(spec: &'a Spec, index: usize, seed: u64) -> Reader<'a> {
+        let round_robin = |all: &[String]| all.get(index % all.len().max(1)).cloned().unwrap_or_default();
         Reader {
             spec,
-            number,
-            rng: ChaCha8Rng::seed_from_u64(seed ^ 0x5b5 << 44 ^ number as u64),
-            name: format!("sub{number}"),
-            version: turn(&spec.versions),
-            // Versions and filters in turn, but not the same filter always with one version.
-            filter: turn(&spec.filters[number / spec.versions.len().max(1) % spec.filters.len().max(1)..]),
+            index,
+            rng: ChaCha8Rng::seed_from_u64(seed ^ 0x5b5 << 44 ^ index as u64),
+            name: format!("sub{index}"),
+            version: round_robin(&spec.versions),
+            // Versions and filters are assigned in turn; the offset avoids pairing each version with one
+            // filter only.
+            filter: round_robin(
+                &spec.filters[index / spec.versions.len().max(1) % spec.filters.len().max(1)..],
+            ),
             cursor: None,
-            at: number,
+            manager: index,
             retry: Duration::from_secs_f64(spec.retry_ms / 1e3),
-            marks: Marked::default(),
+            releases: KnownReleases::default(),
         }
     }
 
-    /// The path it asks for.
+    /// The path to request, with its placeholders filled.
     pub fn path(&self) -> String {
         let path = self.spec.path.replace("{version}", &self.version);
         let path = path.replace("{filter}", &self.filter).replace("{subscriber}", &self.name);
         path.trim_end_matches(['&', '?']).to_owned()
     }
 
-    /// Takes in what a manager told: what the history notes of it.
+    /// Processes an item of a manager's stream: advances the cursor or sets the retry time. Returns the
+    /// events for the history.
     ///
     /// # Errors
-    /// Where an event has no cursor for an id: nothing can be resumed behind it.
-    pub fn take(&mut self, manager: &str, item: StreamItem) -> Result<Vec<Event>, InvalidEventCursor> {
+    /// If the id of an event is not a cursor: the subscriber could not resume after it.
+    pub fn process(&mut self, manager: &str, item: StreamItem) -> Result<Vec<Event>, InvalidEventCursor> {
         let (name, id, data) = match item {
             StreamItem::Retry(ms) => {
                 self.retry = Duration::from_millis(ms).min(MAX_RETRY);
@@ -87,7 +94,7 @@
         let cursor: Cursor =
             id.parse().map_err(|source| InvalidEventCursor { event: name.clone(), source })?;
         let value: Option<Value> = serde_json::from_str(&data).ok();
-        let text = |at: &str| value.as_ref().and_then(|v| v.pointer(at)).and_then(Value::as_str);
+        let text = |pointer: &str| value.as_ref().and_then(|v| v.pointer(pointer)).and_then(Value::as_str);
         let subscriber = self.name.clone();
         let manager = manager.to_owned();
         let digest = digest(value.as_ref(), &data, &self.spec.prev_at);
@@ -108,53 +115,55 @@
         };
         let prev = text(&self.spec.prev_at).and_then(|p| p.parse().ok());
         let op = text(&self.spec.op_at).map(str::to_owned);
-        let mut all = value.as_ref().map_or(Vec::new(), |v| self.marks.read(&self.spec.marks, &name, v));
+        let mut events =
+            value.as_ref().map_or(Vec::new(), |v| self.releases.events_of(&self.spec.marks, &name, v));
         let mut data = data;
         if data.len() > MAX_DATA_BYTES {
             let end = (0..=MAX_DATA_BYTES).rev().find(|i| data.is_char_boundary(*i)).unwrap_or(0);
             data.truncate(end);
         }
-        all.insert(
+        events.insert(
             0,
             Event::Record { subscriber, manager, cursor, prev, name, digest, data, op, unreadable },
         );
-        Ok(all)
+        Ok(events)
     }
 
     /// Drops the cursor, after a manager has answered that it is no longer valid.
-    pub fn forget(&mut self) {
+    pub fn reset_cursor(&mut self) {
         self.cursor = None;
     }
 
-    /// Goes to another manager, drawn, of `managers`.
+    /// Selects another of `managers` managers at random.
     pub fn hop(&mut self, managers: usize) {
-        let at = self.at % managers.max(1);
+        let current = self.manager % managers.max(1);
         if managers > 1 {
-            self.at = (at + self.rng.gen_range(1..managers)) % managers;
+            self.manager = (current + self.rng.gen_range(1..managers)) % managers;
         }
     }
 
-    /// Time until it reconnects: 0.5 to 1.5 times the retry time, drawn at random.
-    pub fn wait(&mut self) -> Duration {
+    /// Time until the subscriber reconnects: 0.5 to 1.5 times the retry time, drawn at random.
+    pub fn reconnect_delay(&mut self) -> Duration {
         self.retry.mul_f64(self.rng.gen_range(0.5..1.5))
     }
 
-    /// How long it stays before it leaves by itself; none: for ever.
-    pub fn stay(&mut self) -> Option<Duration> {
+    /// Time until the subscriber leaves a manager by itself, drawn at random; `None`: never.
+    pub fn time_to_hop(&mut self) -> Option<Duration> {
         let mean = self.spec.hop_s;
-        // An exponential gap; the draw is never zero.
+        // Exponentially distributed; the argument of the logarithm is never zero.
         (mean > 0.0).then(|| Duration::from_secs_f64(-(1.0 - self.rng.gen::<f64>()).ln() * mean))
     }
 
-    /// Whether it is in a random fraction of the subscribers; each order of a run draws its own.
-    pub fn among(&self, share: f64, order: u64, seed: u64) -> bool {
-        let drawn = ChaCha8Rng::seed_from_u64(seed ^ order << 20 ^ self.number as u64).gen::<f64>();
+    /// Whether the subscriber is in the random fraction `share` of the subscribers, drawn anew for each
+    /// command of a run.
+    pub fn is_selected(&self, share: f64, command: u64, seed: u64) -> bool {
+        let drawn = ChaCha8Rng::seed_from_u64(seed ^ command << 20 ^ self.index as u64).gen::<f64>();
         drawn < share
     }
 }
 
-/// What stands for a record's content: a checksum (CRC-32) and length of its JSON with keys in order, without the
-/// position before it, which differs by filter.
+/// Digest of a record's content: the checksum (CRC-32) and length of its JSON with sorted keys, without the
+/// position before the record, which depends on the filter.
 fn digest(value: Option<&Value>, data: &str, prev_at: &str) -> String {
     let mut text = data.to_owned();
     if let Some(mut v) = value.cloned() {
