--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -1,5 +1,5 @@
-//! Server-sent events, read piece by piece as WHATWG's HTML standard words them ("Interpreting an event stream"):
-//! lines end in LF, CR or both; an event is over at an empty line; one without data is none.
+//! An incremental parser of server-sent events (WHATWG HTML standard, "Interpreting an event stream"): lines
+//! end in LF, CR or both; an empty line ends an event; an event without data is ignored.
 
 /// Longest event, all its lines together, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
@@ -9,28 +9,29 @@
 #[error("an event of over {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// What a stream tells.
+/// An item of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// An event.
     Event {
-        /// Its name; empty where none was told.
+        /// Name of the event; empty if the event has none.
         name: String,
-        /// The stream's last id by then.
+        /// The last id of the stream, which may be that of an earlier event; empty if there was none.
         id: String,
-        /// Its data, lines joined.
+        /// The event's data, with its lines joined by LF.
         data: String,
     },
-    /// How long to wait before coming back, in milliseconds.
+    /// Delay before the client reconnects, in milliseconds.
     Retry(u64),
 }
 
-/// Reads a stream.
+/// State of the parser.
 #[derive(Debug, Default)]
 pub struct Stream {
     line: Vec<u8>,
     after_cr: bool,
-    begun: bool,
+    /// Whether the first line has been read.
+    started: bool,
     name: String,
     id: String,
     data: String,
@@ -38,16 +39,16 @@
 }
 
 impl Stream {
-    /// Takes the next bytes in and gives what they complete.
+    /// Parses the next bytes and returns the items that they complete.
     ///
     /// # Errors
-    /// Where an event is over [`MAX_EVENT_BYTES`]: the stream cannot be read on.
+    /// If an event exceeds [`MAX_EVENT_BYTES`]; the stream can't be read any further.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<StreamItem>, EventTooLong> {
         let mut out = Vec::new();
         for b in bytes {
-            let behind_cr = std::mem::replace(&mut self.after_cr, *b == b'\r');
+            let after_cr = std::mem::replace(&mut self.after_cr, *b == b'\r');
             match b {
-                b'\n' if behind_cr => {}
+                b'\n' if after_cr => {}
                 b'\n' | b'\r' => {
                     let line = std::mem::take(&mut self.line);
                     self.end_line(&line, &mut out);
@@ -63,8 +64,8 @@
 
     fn end_line(&mut self, line: &[u8], out: &mut Vec<StreamItem>) {
         let text = String::from_utf8_lossy(line);
-        // One byte order mark may lead the stream.
-        let text = if std::mem::replace(&mut self.begun, true) {
+        // The stream may begin with a byte order mark.
+        let text = if std::mem::replace(&mut self.started, true) {
             &*text
         } else {
             text.trim_start_matches('\u{feff}')
@@ -92,7 +93,7 @@
             "retry" if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) => {
                 out.extend(value.parse().ok().map(StreamItem::Retry));
             }
-            // Comments (no name before the colon) and fields that are not known.
+            // Comments (no name before the colon) and unknown fields.
             _ => {}
         }
     }
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -1,9 +1,10 @@
-//! Templates in a scenario's arguments, files and calls: `{name}`, `{number}`, `{group}`, `{zone}`, `{folder}`,
-//! `{version}`, `{seed}`, `{clock_offset_ms}`, `{op}`, and of a port by its name `{peers:PORT}` (`n0=ADDRESS,n1=...`),
-//! `{peers_json:PORT}` (a list of `{name, address}`) and `{at:PORT:NAME}`. What is no `{word}` stays as it is.
+//! Templates in a scenario's arguments, files and calls: `{name}`, `{number}`, `{group}`, `{zone}`,
+//! `{folder}`, `{version}`, `{seed}`, `{clock_offset_ms}`, `{op}`, and for a port `{peers:PORT}`
+//! (`n0=ADDRESS,n1=...`), `{peers_json:PORT}` (a list of `{name, address}`) and `{at:PORT:NAME}` (one
+//! manager's address). Other text in braces is left as it is.
 //!
-//! In a file a text that is nothing but `{number}`, `{seed}`, `{clock_offset_ms}` or `{peers_json:PORT}` becomes a
-//! number, or the list.
+//! In JSON values, a string that consists of `{number}`, `{seed}`, `{clock_offset_ms}` or `{peers_json:PORT}`
+//! alone becomes a number, or the list.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -12,37 +13,37 @@
 /// Why a template cannot be filled.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TemplateError {
-    /// The template is unknown, or its port is.
-    #[error("no template {{{0}}}, or no such port")]
+    /// The template or its port is unknown.
+    #[error("unknown template {{{0}}}, or unknown port in it")]
     Unknown(String),
     /// The template has no value in this place.
-    #[error("nothing stands for {{{0}}} here")]
+    #[error("the template {{{0}}} has no value here")]
     NoValue(String),
     /// The scenario declares no such port.
-    #[error("no port {0:?}")]
+    #[error("unknown port {0:?}")]
     UnknownPort(String),
 }
 
-/// What stands for a manager's templates.
+/// The values of a manager's templates.
 #[derive(Clone, Debug, Default)]
 pub struct Values {
-    /// By name.
+    /// Values of the templates without arguments, by name.
     pub variables: BTreeMap<&'static str, String>,
-    /// Where this manager reaches the others, by port: names and addresses.
+    /// Names and addresses of all managers as this manager reaches them, by port.
     pub peers: BTreeMap<String, Vec<(String, String)>>,
 }
 
 /// Templates without arguments.
 const VARIABLES: [&str; 9] =
     ["name", "number", "group", "zone", "folder", "version", "seed", "clock_offset_ms", "op"];
-/// Templates that become numbers where a text is nothing else.
+/// Templates that become numbers in a string that contains nothing else.
 const NUMERIC_VARIABLES: [&str; 3] = ["number", "seed", "clock_offset_ms"];
 
-/// The template at the head of a text that begins with a brace: its inside and what follows.
-fn template(text: &str) -> Option<(&str, &str)> {
+/// Splits a text that begins with a template into the text between the braces and the text after them.
+fn split_template(text: &str) -> Option<(&str, &str)> {
     let (inside, rest) = text.strip_prefix('{')?.split_once('}')?;
-    let sign = |c: char| c.is_ascii_alphanumeric() || "_:-.".contains(c);
-    (inside.starts_with(|c: char| c.is_ascii_lowercase()) && inside.chars().all(sign))
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "_:-.".contains(c);
+    (inside.starts_with(|c: char| c.is_ascii_lowercase()) && inside.chars().all(is_allowed))
         .then_some((inside, rest))
 }
 
@@ -53,13 +54,13 @@
 ) -> Result<String, TemplateError> {
     let mut out = String::new();
     let mut rest = text;
-    while let Some(at) = rest.find('{') {
-        out.push_str(&rest[..at]);
-        rest = &rest[at..];
-        match template(rest) {
-            Some((inside, behind)) => {
+    while let Some(start) = rest.find('{') {
+        out.push_str(&rest[..start]);
+        rest = &rest[start..];
+        match split_template(rest) {
+            Some((inside, after)) => {
                 out.push_str(&value_of(inside)?);
-                rest = behind;
+                rest = after;
             }
             None => {
                 out.push('{');
@@ -71,10 +72,11 @@
     Ok(out)
 }
 
-/// Whether a text's templates are known, and their ports.
+/// Checks that a text's templates and their ports are known; `port` tells whether the scenario declares a
+/// port.
 ///
 /// # Errors
-/// The template.
+/// The first unknown template.
 pub fn check(text: &str, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     let known = |inside: &str| {
         let mut parts = inside.split(':');
@@ -92,10 +94,10 @@
     replace(text, value_of).map(|_| ())
 }
 
-/// As [`check`], of every text in a value.
+/// As [`check`], for every string in a JSON value.
 ///
 /// # Errors
-/// The template.
+/// The first unknown template.
 pub fn check_value(value: &Value, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     match value {
         Value::String(text) => check(text, port),
@@ -107,7 +109,7 @@
 
 impl Values {
     fn value_of(&self, inside: &str) -> Result<String, TemplateError> {
-        let known = || {
+        let value = || {
             if let Some(value) = self.variables.get(inside) {
                 return Some(value.clone());
             }
@@ -118,39 +120,39 @@
                         self.peers.get(port)?.iter().map(|(n, a)| format!("{n}={a}")).collect();
                     Some(all.join(","))
                 }
-                ("peers_json", _) => Some(self.list(port)?.to_string()),
+                ("peers_json", _) => Some(self.peers_json(port)?.to_string()),
                 ("at", Some((port, name))) => {
                     Some(self.peers.get(port)?.iter().find(|(n, _)| n == name)?.1.clone())
                 }
                 _ => None,
             }
         };
-        known().ok_or_else(|| TemplateError::NoValue(inside.to_owned()))
+        value().ok_or_else(|| TemplateError::NoValue(inside.to_owned()))
     }
 
-    fn list(&self, port: &str) -> Option<Value> {
+    fn peers_json(&self, port: &str) -> Option<Value> {
         let all = self.peers.get(port)?;
         Some(all.iter().map(|(n, a)| json!({ "name": n, "address": a })).collect())
     }
 
-    /// A text with its templates filled.
+    /// Replaces the templates in a text by their values.
     ///
     /// # Errors
-    /// A template that nothing stands for.
+    /// The first template without a value.
     pub fn fill(&self, text: &str) -> Result<String, TemplateError> {
         replace(text, |inside| self.value_of(inside))
     }
 
-    /// A value with the templates of all its texts filled.
+    /// Replaces the templates in all strings of a JSON value by their values.
     ///
     /// # Errors
     /// As for [`Values::fill`].
     pub fn fill_value(&self, value: &Value) -> Result<Value, TemplateError> {
         Ok(match value {
-            Value::String(text) => match template(text) {
+            Value::String(text) => match split_template(text) {
                 Some((word, "")) if NUMERIC_VARIABLES.contains(&word) => {
                     let filled = self.value_of(word)?;
-                    // A seed may be over what a signed number holds.
+                    // A seed may exceed the range of i64.
                     let number = filled
                         .parse::<i64>()
                         .map(Value::from)
@@ -159,7 +161,7 @@
                 }
                 Some((word, "")) if word.starts_with("peers_json:") => {
                     let port = word.trim_start_matches("peers_json:");
-                    self.list(port).ok_or_else(|| TemplateError::UnknownPort(port.to_owned()))?
+                    self.peers_json(port).ok_or_else(|| TemplateError::UnknownPort(port.to_owned()))?
                 }
                 _ => Value::String(self.fill(text)?),
             },
