--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a manager, for the rig's own tests: it fans a journal out, leaves for another version as planned, and
-//! tells points. The journal is one file that the process `n0` writes and all others read, so nothing of agreement is in
-//! it. The plan names a rule that it breaks.
+//! A stand-in for a manager in the harness's own tests: it sends a journal to subscribers, exits for another
+//! version as planned, and passes failpoints. The journal is a single file that the process `n0` writes and
+//! all others read, so there is no consensus protocol. The plan can name a rule that the process violates.
 
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -12,9 +12,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between two looks at the journal, and between two records.
-const LOOK: Duration = Duration::from_millis(10);
-const PACE: Duration = Duration::from_millis(50);
+/// Interval at which the journal is read for new records.
+const READ_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which records are written.
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -23,45 +24,47 @@
     folder: PathBuf,
     version: String,
     clock_offset_ms: i64,
-    /// By process: milliseconds of its first version's life after which it asks for the next.
+    /// Milliseconds after which a process requests its next version, by process; only in version `v1`.
     #[serde(default)]
     out_ms: BTreeMap<String, u64>,
-    /// The version it asks for; empty: it names none.
+    /// The version that processes request; empty: they exit without naming one.
     #[serde(default)]
     next: String,
-    /// The record at which `n0` writes a halt of the next version; 0: never.
+    /// Number of the record that is a halt of the next version; 0: none.
     #[serde(default)]
     halt_at: usize,
-    /// What it does wrong, and which process does; empty: all.
+    /// The violation: `skip`, `repeat`, `strip`, `reword`, `early` or `lose`; empty: none.
     #[serde(default, rename = "plant")]
     violation: String,
+    /// The process that commits the violation; empty: all of them.
     #[serde(default, rename = "plant_at")]
     violating_process: String,
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args: Vec<String> = std::env::args().collect();
-    let at = args.iter().position(|a| a == "--plan").ok_or("which --plan?")?;
-    let mut plan: Plan = json5::from_str(&std::fs::read_to_string(args.get(at + 1).ok_or("which plan?")?)?)?;
+    let at = args.iter().position(|a| a == "--plan").ok_or("--plan is missing")?;
+    let mut plan: Plan =
+        json5::from_str(&std::fs::read_to_string(args.get(at + 1).ok_or("--plan: expected a file")?)?)?;
     if !plan.violating_process.is_empty() && plan.violating_process != plan.name {
         plan.violation.clear();
     }
     let faults = sprucelink_failpoints::load_and_arm(&plan.folder)?;
     println!("version {}, clock off by {} ms", plan.version, plan.clock_offset_ms);
-    store(&plan.folder, faults.disk);
+    write_store(&plan.folder, faults.disk);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     println!("fanout on {}", listener.local_addr()?);
     println!("accepting connections front=platform address={}", listener.local_addr()?);
-    let journal = plan.folder.parent().ok_or("no folder above")?.join("journal.jsonl");
+    let journal = plan.folder.parent().ok_or("the folder has no parent")?.join("journal.jsonl");
     let plan = Arc::new(plan);
     if plan.name == "n0" {
         let plan = Arc::clone(&plan);
         let journal = journal.clone();
-        std::thread::spawn(move || publish(&plan, &journal));
+        std::thread::spawn(move || write_records(&plan, &journal));
     }
     if let Some(ms) = plan.out_ms.get(&plan.name).copied().filter(|_| plan.version == "v1") {
         let plan = Arc::clone(&plan);
-        std::thread::spawn(move || leave(&plan, ms));
+        std::thread::spawn(move || exit_for_next_version(&plan, ms));
     }
     for stream in listener.incoming() {
         let plan = Arc::clone(&plan);
@@ -71,26 +74,26 @@
     Ok(())
 }
 
-/// A store of eight bytes a start, three writes of which pass a faulty disk.
-fn store(folder: &Path, fault: sprucelink_failpoints::fault_file::DiskFaults) {
+/// Appends 24 bytes to the process's store, in three writes through a simulated faulty disk.
+fn write_store(folder: &Path, fault: sprucelink_failpoints::fault_file::DiskFaults) {
     let path = folder.join("store");
-    let held = std::fs::metadata(&path).map_or(0, |m| m.len());
-    println!("store held {held} bytes");
+    let len = std::fs::metadata(&path).map_or(0, |m| m.len());
+    println!("store held {len} bytes");
     let Ok(mut file) = std::fs::OpenOptions::new().create(true).append(true).open(&path) else { return };
-    let mut seam = FaultyDisk::new(fault);
+    let mut disk = FaultyDisk::new(fault);
     for k in 0..3 {
-        let writes = match seam.write(held + 8 * k, b"12345678") {
+        let writes = match disk.write(len + 8 * k, b"12345678") {
             Ok(writes) => writes,
-            Err(refused) => {
-                println!("store: {}", refused.to_io_error());
-                refused.partial
+            Err(error) => {
+                println!("store: {}", error.to_io_error());
+                error.partial
             }
         };
         writes.iter().for_each(|w| _ = file.write_all(&w.bytes));
     }
 }
 
-fn leave(plan: &Plan, ms: u64) {
+fn exit_for_next_version(plan: &Plan, ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
     sprucelink_failpoints::hit("standin.permit");
     println!("beyond the point");
@@ -100,32 +103,32 @@
     std::process::exit(75);
 }
 
-fn lines(journal: &Path) -> usize {
+fn count_lines(journal: &Path) -> usize {
     std::fs::read_to_string(journal).map_or(0, |t| t.lines().count())
 }
 
-/// Appends one record; its place is its line.
+/// Appends a record and returns its number, which is that of its line.
 fn append(journal: &Path, name: &str, mut value: Value) -> usize {
-    let n = lines(journal) + 1;
+    let n = count_lines(journal) + 1;
     value["n"] = json!(n);
     let file = std::fs::OpenOptions::new().create(true).append(true).open(journal);
     let _ = file.and_then(|mut f| f.write_all(format!("{name} {value}\n").as_bytes()));
     n
 }
 
-fn publish(plan: &Plan, journal: &Path) {
+fn write_records(plan: &Plan, journal: &Path) {
     loop {
-        let n = lines(journal) + 1;
+        let n = count_lines(journal) + 1;
         match n == plan.halt_at {
             true => append(journal, "halt", json!({ "id": "h1", "to": plan.next })),
             false => append(journal, ["note", "permit"][n % 2], json!({})),
         };
-        // Operations wait in a folder of their own until they are written.
+        // Acknowledged operations are stored in a folder of their own until their records are written.
         for op in std::fs::read_dir(journal.with_extension("ops")).into_iter().flatten().flatten() {
             append(journal, "operation", json!({ "op": op.file_name().to_string_lossy() }));
             let _ = std::fs::remove_file(op.path());
         }
-        std::thread::sleep(PACE);
+        std::thread::sleep(WRITE_INTERVAL);
     }
 }
 
@@ -146,17 +149,17 @@
         }
         return stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}");
     }
-    let last = head
+    let last_event_id = head
         .lines()
         .find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id: 1:").map(str::to_owned));
-    let sent: usize = last.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
+    let sent: usize = last_event_id.and_then(|v| v.trim().parse().ok()).unwrap_or(0);
     stream.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nretry: 100\n\n",
     )?;
     send_records(stream, plan, journal, sent, first.contains("kind=permit"))
 }
 
-/// Sends each record of the journal from the one numbered `sent` on, as it is written.
+/// Sends each record of the journal after the one numbered `sent`, as it is written.
 fn send_records(
     mut stream: TcpStream,
     plan: &Plan,
@@ -165,40 +168,40 @@
     only_permits: bool,
 ) -> std::io::Result<()> {
     let mut file = None;
-    let mut line_no = 0;
-    let mut part = String::new();
+    let mut line_number = 0;
+    let mut unparsed = String::new();
     let mut next_comment = Instant::now();
     loop {
         if file.is_none() {
             file = std::fs::File::open(journal).ok();
         }
         if let Some(f) = &mut file {
-            f.read_to_string(&mut part)?;
+            f.read_to_string(&mut unparsed)?;
         }
-        while let Some((line, rest)) = part.split_once('\n') {
+        while let Some((line, rest)) = unparsed.split_once('\n') {
             let line = line.to_owned();
             let rest = rest.to_owned();
-            part = rest;
-            line_no += 1;
+            unparsed = rest;
+            line_number += 1;
             let (name, data) = line.split_once(' ').unwrap_or(("", "{}"));
-            if line_no <= sent || only_permits && name != "permit" {
+            if line_number <= sent || only_permits && name != "permit" {
                 continue;
             }
-            for event in events(plan, name, data, line_no, sent) {
+            for event in events_of_record(plan, name, data, line_number, sent) {
                 stream.write_all(event.as_bytes())?;
             }
-            sent = line_no;
+            sent = line_number;
         }
         if next_comment.elapsed() > Duration::from_millis(500) {
             next_comment = Instant::now();
             stream.write_all(b": here\n\n")?;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(READ_INTERVAL);
     }
 }
 
-/// The events of a record; every tenth breaks the rule that the plan names.
-fn events(plan: &Plan, name: &str, data: &str, n: usize, sent: usize) -> Vec<String> {
+/// The events of a record; in every tenth record they contain the plan's violation.
+fn events_of_record(plan: &Plan, name: &str, data: &str, n: usize, sent: usize) -> Vec<String> {
     let mut value: Value = serde_json::from_str(data).unwrap_or_default();
     value["prev"] = json!(format!("1:{sent}"));
     let violates = n % 10 == 5;
@@ -209,12 +212,12 @@
         _ => {}
     }
     let event = |n: usize, v: &Value| format!("id: 1:{n}\nevent: {name}\ndata: {v}\n\n");
-    let mut all = vec![event(n, &value)];
+    let mut events = vec![event(n, &value)];
     if violates && plan.violation == "repeat" {
-        all.push(event(n, &value));
+        events.push(event(n, &value));
     }
     if violates && plan.violation == "early" {
-        all.push(event(n + 1, &json!({ "prev": format!("1:{n}"), "n": "never" })));
+        events.push(event(n + 1, &json!({ "prev": format!("1:{n}"), "n": "never" })));
     }
-    all
+    events
 }
--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -1,5 +1,5 @@
-//! `sprucelink-cluster-harness`: carries out scenarios of many processes of the program failing together, and gives the
-//! figures as a table and the course as a chart.
+//! `sprucelink-cluster-harness`: runs scenarios of correlated failures of many processes of the program, and
+//! reports the figures as a table and their course as a chart.
 
 use lexopt::prelude::{Long, Short, Value, ValueExt as _};
 use sprucelink_cluster_harness::history;
@@ -47,21 +47,21 @@
     Help,
     #[error(transparent)]
     Syntax(#[from] lexopt::Error),
-    #[error("--{option}: {min} to {max}")]
+    #[error("--{option}: expected {min} to {max}")]
     OutOfRange { option: &'static str, min: String, max: String },
-    #[error("--share: none, ration, parts or all, not {0:?}")]
+    #[error("--share: expected none, ration, parts or all, found {0:?}")]
     UnknownShare(String),
-    #[error("--format: csv or json, not {0:?}")]
+    #[error("--format: expected csv or json, found {0:?}")]
     UnknownFormat(String),
-    #[error("--failover: on or off, not {0:?}")]
+    #[error("--failover: expected on or off, found {0:?}")]
     UnknownFailover(String),
-    #[error("which SCENARIO.json5 and HISTORY.jsonl?")]
+    #[error("expected SCENARIO.json5 and at least one HISTORY.jsonl")]
     NoScenarioAndHistory,
-    #[error("which SCENARIO.json5?")]
+    #[error("expected SCENARIO.json5: one for run, at least one for check")]
     NoScenario,
-    #[error("no command {0:?}")]
+    #[error("unknown command {0:?}: expected run, check or judge")]
     UnknownCommand(String),
-    #[error("which command?")]
+    #[error("no command: expected run, check or judge")]
     NoCommand,
 }
 
@@ -74,30 +74,31 @@
     Parse { path: PathBuf, source: ScenarioError },
 }
 
-/// Why a run could not be carried out, or its results not be left where they were asked for.
+/// Why a run failed, or its results could not be written.
 #[derive(Debug, Error)]
 enum HarnessError {
     #[error(transparent)]
     Run(#[from] RunError),
     #[error(transparent)]
     Chart(#[from] ChartError),
-    #[error("--history: the scenario records none")]
+    #[error("--history: the scenario records no history")]
     NoHistory,
     #[error("{}: {source}", path.display())]
     Io { path: PathBuf, source: std::io::Error },
 }
 
 impl HarnessError {
-    /// Names the file that the system answered an error for.
+    /// Wraps an I/O error with the path of the file.
     fn io(path: &Path) -> impl FnOnce(std::io::Error) -> HarnessError + '_ {
         move |source| HarnessError::Io { path: path.to_owned(), source }
     }
 }
 
-/// What the command line asks for.
+/// The parsed command line.
 struct Options {
     files: Vec<PathBuf>,
-    settings: Vec<Option<String>>,
+    /// The cold start's settings file of each run; `None`: no cold start.
+    cold_starts: Vec<Option<String>>,
     managers: Option<usize>,
     rate: Option<f64>,
     seed: Option<u64>,
@@ -106,6 +107,7 @@
     json: bool,
     program: PathBuf,
     logs: Option<PathBuf>,
+    /// Whether the fleet pools its retry budgets, and whether it divides slow-start parts by live members.
     share: Option<(bool, bool)>,
     no_failover: bool,
     args: Vec<String>,
@@ -120,30 +122,26 @@
     Judge,
 }
 
-fn text(p: &mut lexopt::Parser) -> Result<String, CommandLineError> {
-    Ok(p.value()?.string()?)
+fn text(parser: &mut lexopt::Parser) -> Result<String, CommandLineError> {
+    Ok(parser.value()?.string()?)
 }
 
-/// The option's value as a number within `low` and `high`; the error names the option and its range.
+/// The option's value as a number from `min` to `max`; the error contains the option and its range.
 fn number<T: std::str::FromStr + PartialOrd + std::fmt::Display>(
-    p: &mut lexopt::Parser,
-    name: &'static str,
-    low: T,
-    high: T,
+    parser: &mut lexopt::Parser,
+    option: &'static str,
+    min: T,
+    max: T,
 ) -> Result<T, CommandLineError> {
-    let v = text(p)?.parse::<T>().ok().filter(|v| *v >= low && *v <= high);
-    v.ok_or_else(|| CommandLineError::OutOfRange {
-        option: name,
-        min: low.to_string(),
-        max: high.to_string(),
-    })
+    let value = text(parser)?.parse::<T>().ok().filter(|v| *v >= min && *v <= max);
+    value.ok_or_else(|| CommandLineError::OutOfRange { option, min: min.to_string(), max: max.to_string() })
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
             files: Vec::new(),
-            settings: vec![None],
+            cold_starts: vec![None],
             managers: None,
             rate: None,
             seed: None,
@@ -161,7 +159,7 @@
     }
 }
 
-/// What of the fleet's budgets `--share` pools: retries, slow-start parts.
+/// Parses `--share`: whether the fleet shares retry budgets, and whether it shares slow-start parts.
 fn parse_share(word: &str) -> Result<(bool, bool), CommandLineError> {
     match word {
         "none" => Ok((false, false)),
@@ -173,33 +171,33 @@
 }
 
 fn parse() -> Result<Options, CommandLineError> {
-    let mut p = lexopt::Parser::from_env();
+    let mut parser = lexopt::Parser::from_env();
     let mut options = Options::default();
     let mut command: Option<String> = None;
-    while let Some(arg) = p.next()? {
+    while let Some(arg) = parser.next()? {
         match arg {
-            Long("cold-start") => options.settings = vec![Some(text(&mut p)?)],
-            Long("pair") => options.settings = vec![None, Some(text(&mut p)?)],
-            Long("managers") => options.managers = Some(number(&mut p, "managers", 1, 1_000)?),
-            Long("rate") => options.rate = Some(number(&mut p, "rate", 0.0, 5_000.0)?),
-            Long("seed") => options.seed = Some(number(&mut p, "seed", 0, u64::MAX)?),
-            Long("repeat") => options.repeat = number(&mut p, "repeat", 1, 50)?,
-            Long("out") => options.out = Some(text(&mut p)?.into()),
-            Long("format") => match text(&mut p)?.as_str() {
+            Long("cold-start") => options.cold_starts = vec![Some(text(&mut parser)?)],
+            Long("pair") => options.cold_starts = vec![None, Some(text(&mut parser)?)],
+            Long("managers") => options.managers = Some(number(&mut parser, "managers", 1, 1_000)?),
+            Long("rate") => options.rate = Some(number(&mut parser, "rate", 0.0, 5_000.0)?),
+            Long("seed") => options.seed = Some(number(&mut parser, "seed", 0, u64::MAX)?),
+            Long("repeat") => options.repeat = number(&mut parser, "repeat", 1, 50)?,
+            Long("out") => options.out = Some(text(&mut parser)?.into()),
+            Long("format") => match text(&mut parser)?.as_str() {
                 "csv" => options.json = false,
                 "json" => options.json = true,
                 other => return Err(CommandLineError::UnknownFormat(other.to_owned())),
             },
-            Long("program") => options.program = text(&mut p)?.into(),
-            Long("keep-logs") => options.logs = Some(text(&mut p)?.into()),
-            Long("history") => options.history = Some(text(&mut p)?.into()),
-            Long("arg") if options.args.len() < 32 => options.args.push(text(&mut p)?),
-            Long("failover") => match text(&mut p)?.as_str() {
+            Long("program") => options.program = text(&mut parser)?.into(),
+            Long("keep-logs") => options.logs = Some(text(&mut parser)?.into()),
+            Long("history") => options.history = Some(text(&mut parser)?.into()),
+            Long("arg") if options.args.len() < 32 => options.args.push(text(&mut parser)?),
+            Long("failover") => match text(&mut parser)?.as_str() {
                 "on" => options.no_failover = false,
                 "off" => options.no_failover = true,
                 other => return Err(CommandLineError::UnknownFailover(other.to_owned())),
             },
-            Long("share") => options.share = Some(parse_share(&text(&mut p)?)?),
+            Long("share") => options.share = Some(parse_share(&text(&mut parser)?)?),
             Long("help") | Short('h') => return Err(CommandLineError::Help),
             Value(v) if command.is_none() => command = Some(v.string()?),
             Value(v) => options.files.push(v.into()),
@@ -209,7 +207,7 @@
     with_command(options, command.as_deref())
 }
 
-/// The command, with as many files as it takes.
+/// Sets the command, after a check of its number of files.
 fn with_command(options: Options, command: Option<&str>) -> Result<Options, CommandLineError> {
     match command {
         Some("run") if options.files.len() == 1 => Ok(options),
@@ -232,11 +230,11 @@
     let options = match parse() {
         Ok(options) => options,
         Err(CommandLineError::Help) => return print!("{USAGE}"),
-        Err(e) => bad(&format!("{e}\n\n{USAGE}")),
+        Err(e) => exit_invalid(&format!("{e}\n\n{USAGE}")),
     };
     let files = if options.command == Command::Judge { &options.files[..1] } else { &options.files[..] };
     let scenarios: Vec<Scenario> =
-        files.iter().map(|f| read(f)).map(|s| s.unwrap_or_else(|e| bad(&e.to_string()))).collect();
+        files.iter().map(|f| read(f)).map(|s| s.unwrap_or_else(|e| exit_invalid(&e.to_string()))).collect();
     if options.command == Command::Judge {
         return judge(&scenarios[0], &options.files[1..]);
     }
@@ -265,8 +263,8 @@
     if options.history.is_some() {
         scenario.history.get_or_insert_default();
     }
-    scenario.check().unwrap_or_else(|e| bad(&e.to_string()));
-    match carry_out(&options, &scenario) {
+    scenario.check().unwrap_or_else(|e| exit_invalid(&e.to_string()));
+    match run_scenario(&options, &scenario) {
         Ok(true) => {}
         Ok(false) => std::process::exit(3),
         Err(e) => {
@@ -276,94 +274,97 @@
     }
 }
 
-/// Tells what a verdict found, on standard error; whether no rule was broken.
-fn tell(verdict: &CheckReport) -> bool {
-    for (name, found) in &verdict.invariants {
-        for v in &found.violations {
-            eprintln!("{name}: {:.6} s: {}", v.at_us as f64 / 1e6, v.what);
+/// Prints the violations of a history on standard error; returns whether there are none.
+fn print_verdict(verdict: &CheckReport) -> bool {
+    for (name, findings) in &verdict.invariants {
+        for violation in &findings.violations {
+            eprintln!("{name}: {:.6} s: {}", violation.at_us as f64 / 1e6, violation.what);
         }
-        if found.dropped > 0 {
-            eprintln!("{name}: {} more", found.dropped);
+        if findings.dropped > 0 {
+            eprintln!("{name}: {} more", findings.dropped);
         }
     }
-    let seen: Vec<String> =
+    let examined: Vec<String> =
         verdict.invariants.iter().map(|(name, f)| format!("{name} {}", f.examined)).collect();
-    eprintln!("judged: {}", seen.join(", "));
+    eprintln!("judged: {}", examined.join(", "));
     verdict.is_passed()
 }
 
 fn judge(scenario: &Scenario, files: &[PathBuf]) {
-    let Some(terms) = &scenario.check else { bad("the scenario has no `check`") };
+    let Some(config) = &scenario.check else { exit_invalid("the scenario has no `check`") };
     let mut passed = true;
     for file in files {
-        let lines = history::read(file).unwrap_or_else(|e| bad(&e.to_string()));
+        let lines = history::read(file).unwrap_or_else(|e| exit_invalid(&e.to_string()));
         println!("{}: {} lines", file.display(), lines.len());
-        passed &= tell(&sprucelink_history_checker::check(&lines, terms));
+        passed &= print_verdict(&sprucelink_history_checker::check(&lines, config));
     }
     if !passed {
         std::process::exit(3);
     }
 }
 
-fn bad(why: &str) -> ! {
+/// Exits with the status for an invalid command line or scenario.
+fn exit_invalid(why: &str) -> ! {
     eprintln!("sprucelink-cluster-harness: {why}");
     std::process::exit(2)
 }
 
-/// Whether no rule was broken in any run.
-fn carry_out(options: &Options, scenario: &Scenario) -> Result<bool, HarnessError> {
+/// Runs the scenario as the options say; returns whether no run violated an invariant of the journal.
+fn run_scenario(options: &Options, scenario: &Scenario) -> Result<bool, HarnessError> {
     let mut passed = true;
     if !options.json {
         println!("{},seed", Report::head());
     }
     for k in 0..options.repeat {
         let scenario = Scenario { seed: scenario.seed + k, ..scenario.clone() };
-        for settings in &options.settings {
+        for cold_start in &options.cold_starts {
             let mut args = options.args.clone();
-            args.extend(settings.iter().flat_map(|f| ["--cold-start".to_owned(), f.clone()]));
+            args.extend(cold_start.iter().flat_map(|f| ["--cold-start".to_owned(), f.clone()]));
             let dir = options.logs.clone().unwrap_or_else(|| run::scratch(&scenario.name));
             let program = Program { path: options.program.clone(), args, dir: dir.clone() };
-            let got = run::run(&scenario, &program);
-            let how = if settings.is_some() { "on" } else { "off" };
-            if let (Some(out), Ok(got)) = (&options.history, &got) {
-                keep(got, &out.join(format!("{}-{}-{how}.jsonl", scenario.name, scenario.seed)))?;
+            let result = run::run(&scenario, &program);
+            let how = if cold_start.is_some() { "on" } else { "off" };
+            if let (Some(out), Ok(outcome)) = (&options.history, &result) {
+                let file = out.join(format!("{}-{}-{how}.jsonl", scenario.name, scenario.seed));
+                copy_history(outcome, &file)?;
             }
             if options.logs.is_none() {
                 run::clear(&dir);
             }
-            let got = got?;
-            passed &= got.verdict.as_ref().is_none_or(tell);
+            let outcome = result?;
+            passed &= outcome.verdict.as_ref().is_none_or(print_verdict);
             match options.json {
-                true => println!("{}", got.report.json()),
-                false => println!("{},{}", got.report.line(), scenario.seed),
+                true => println!("{}", outcome.report.json()),
+                false => println!("{},{}", outcome.report.line(), scenario.seed),
             }
             if let Some(out) = &options.out {
                 std::fs::create_dir_all(out).map_err(HarnessError::io(out))?;
                 let file = out.join(format!("{}-{}-{how}.svg", scenario.name, scenario.managers));
-                draw(&file, &scenario, how, &got)?;
+                draw(&file, &scenario, how, &outcome)?;
             }
         }
     }
     Ok(passed)
 }
 
-/// Leaves a run's history there.
-fn keep(got: &Outcome, file: &Path) -> Result<(), HarnessError> {
-    let Some(from) = &got.history else { return Err(HarnessError::NoHistory) };
+/// Copies a run's history to a file, whose folder is created.
+fn copy_history(outcome: &Outcome, file: &Path) -> Result<(), HarnessError> {
+    let Some(from) = &outcome.history else { return Err(HarnessError::NoHistory) };
     file.parent().map_or(Ok(()), std::fs::create_dir_all).map_err(HarnessError::io(file))?;
     std::fs::copy(from, file).map(|_| ()).map_err(HarnessError::io(file))
 }
 
-/// Managers asked, those whose view is right, and different views, each bucket with what was last seen.
-fn views(got: &Outcome) -> Vec<Series<'static>> {
-    let n = got.calls.len();
-    let at = |i: usize| {
+/// The chart's lines of polled managers, managers with a right view and distinct views; each bucket shows the
+/// last poll up to its end.
+fn view_series(outcome: &Outcome) -> Vec<Series<'static>> {
+    let buckets = outcome.calls.len();
+    let last_poll = |i: usize| {
         let end = (i + 1) as f64 * BUCKET.as_secs_f64();
-        got.views.iter().rfind(|v| v.at < end)
+        outcome.views.iter().rfind(|v| v.at < end)
     };
-    let series = |name, of: fn(&Views) -> usize| Series {
+    let series = |name, count: fn(&Views) -> usize| Series {
         name,
-        values: (0..n).map(|i| at(i).map_or(0.0, |v| of(v) as f64)).collect(),
+        values: (0..buckets).map(|i| last_poll(i).map_or(0.0, |v| count(v) as f64)).collect(),
     };
     vec![
         series("managers asked", |v| v.polled),
@@ -372,20 +373,21 @@
     ]
 }
 
-fn draw(file: &Path, scenario: &Scenario, how: &str, got: &Outcome) -> Result<(), HarnessError> {
+fn draw(file: &Path, scenario: &Scenario, how: &str, outcome: &Outcome) -> Result<(), HarnessError> {
     let line = |name, values: &[u32]| Series { name, values: values.iter().map(|v| f64::from(*v)).collect() };
-    let r = &got.requests;
-    let requests = vec![
-        line("asked", &r.issued),
-        line("served", &r.served),
-        line("refused", &r.refused),
-        line("failed, lost", &r.bad),
+    let requests = &outcome.requests;
+    let request_lines = vec![
+        line("asked", &requests.issued),
+        line("served", &requests.served),
+        line("refused", &requests.refused),
+        line("failed, lost", &requests.bad),
     ];
-    let sums = vec![line("list calls", &got.calls), line("dials", &got.dials)];
+    let connection_lines = vec![line("list calls", &outcome.calls), line("dials", &outcome.dials)];
     let title = format!("{}: {} managers, cold start {how}", scenario.name, scenario.managers);
-    let mut panels = vec![("requests in 250 ms", requests), ("calls and dials in 250 ms", sums)];
-    if !got.views.is_empty() {
-        panels.push(("views of the fleet", views(got)));
+    let mut panels =
+        vec![("requests in 250 ms", request_lines), ("calls and dials in 250 ms", connection_lines)];
+    if !outcome.views.is_empty() {
+        panels.push(("views of the fleet", view_series(outcome)));
     }
     Ok(chart(file, &title, &panels)?)
 }
--- a/crates/cluster-harness/src/procs.rs
+++ b/crates/cluster-harness/src/procs.rs
@@ -1,5 +1,5 @@
 //! Processes of the real program: started with a configuration of their own, signalled and restarted by
-//! their own ids only, and all ended when the rig ends.
+//! their own ids only, and all killed when the fleet is dropped.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run gives: one row of figures (CSV or JSON) and one chart (SVG) over its time.
+//! The report of a run: one row of figures (CSV or JSON) and one chart (SVG) over the time of the run.
 
 use crate::ledger::Breaches;
 use plotters::prelude::{
@@ -9,138 +9,145 @@
 
 /// Width of the buckets of charts and of [`Outcomes`].
 pub const BUCKET: Duration = Duration::from_millis(250);
-/// Fraction of the requests that must be served, from then on, for a start to be over.
+/// Fraction of the requests that must be served from a time on for the start of the fleet to be over.
 pub const SERVING: f64 = 0.95;
 
-/// Requests by what became of them, in buckets of when they were due.
+/// Numbers of requests by outcome, in buckets of [`BUCKET`] by the times at which they were due. Requests
+/// whose manager was killed or stopped meanwhile are left out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcomes {
-    /// Sent by clients.
+    /// Requests sent by clients.
     pub issued: Vec<u32>,
-    /// Served.
+    /// Requests with a complete result.
     pub served: Vec<u32>,
-    /// Refused.
+    /// Requests with an error after which a retry is safe.
     pub refused: Vec<u32>,
-    /// Failed, lost or not taken.
+    /// Requests that failed, were lost or could not be sent.
     pub bad: Vec<u32>,
 }
 
 impl Outcomes {
-    /// Fraction of the requests served from one time up to another, in seconds.
+    /// Fraction of the requests due between `from` and `to`, in seconds, that were served.
     pub fn served_share(&self, from: f64, to: f64) -> f64 {
         let within = |i: &usize| (from..to).contains(&(*i as f64 * BUCKET.as_secs_f64()));
-        let sum = |of: &[u32]| (0..of.len()).filter(within).map(|i| f64::from(of[i])).sum::<f64>();
+        let sum =
+            |counts: &[u32]| (0..counts.len()).filter(within).map(|i| f64::from(counts[i])).sum::<f64>();
         sum(&self.served) / sum(&self.issued).max(1.0)
     }
 
-    /// Seconds from the start to the end of the last bucket in which less than [`SERVING`] of the requests was
-    /// served; 0 if there was none. Buckets with fewer than `least` requests are joined with those that follow.
-    pub fn seconds_to_serving(&self, least: u32) -> f64 {
+    /// Seconds from the start to the end of the last bucket in which less than [`SERVING`] of the requests
+    /// were served; 0 if there was none. Buckets with fewer than `min_requests` are joined with the following
+    /// ones.
+    pub fn seconds_to_serving(&self, min_requests: u32) -> f64 {
         let mut issued = 0;
         let mut served = 0;
-        let mut late = 0;
+        let mut buckets = 0;
         for i in 0..self.issued.len() {
             issued += self.issued[i];
             served += self.served[i];
-            if issued >= least.max(1) {
+            if issued >= min_requests.max(1) {
                 if f64::from(served) < SERVING * f64::from(issued) {
-                    late = i + 1;
+                    buckets = i + 1;
                 }
                 issued = 0;
                 served = 0;
             }
         }
-        late as f64 * BUCKET.as_secs_f64()
+        buckets as f64 * BUCKET.as_secs_f64()
     }
 }
 
 /// The figures of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Whether the cold start was on.
+    /// Whether the managers ran with settings of the cold start.
     pub cold_start: bool,
-    /// Managers.
+    /// Number of managers.
     pub managers: usize,
-    /// Managers that came up at least once.
+    /// Managers that were ready at least once.
     pub up: usize,
-    /// Managers that ended by themselves without being asked to.
+    /// Processes that crashed: they exited by themselves without naming a next version, or failed to exit in
+    /// order after SIGTERM.
     pub crashed: usize,
     /// Requests that clients sent.
     pub issued: u64,
-    /// Served.
+    /// Requests with a complete result.
     pub served: u64,
-    /// Refused.
+    /// Requests with an error after which a retry is safe.
     pub refused: u64,
-    /// Failed.
+    /// Requests with any other error.
     pub failed: u64,
-    /// Taken and never answered whole, by a manager that was not killed.
+    /// Requests sent to a manager that was not killed or stopped, without a complete answer.
     pub lost: u64,
-    /// Open at a manager when it was killed or stopped.
+    /// Requests without a complete answer whose manager was killed or stopped after they were due.
     pub died: u64,
-    /// No connection came up.
+    /// Requests that could not be sent.
     pub not_taken: u64,
-    /// Latency of what was served, in milliseconds: median and 99th percentile.
+    /// Median latency of the served requests, in milliseconds.
     pub p50_ms: f64,
-    /// As above.
+    /// 99th percentile of the latency of the served requests, in milliseconds.
     pub p99_ms: f64,
-    /// Seconds until 95% of the requests are served, from then on.
+    /// Seconds until 95% of the requests are served from then on.
     pub serving_s: f64,
-    /// Calls of the list service: all, most in 100 ms, most in 1 s, a second in the last third.
+    /// Calls to the list services.
     pub calls: usize,
-    /// As above.
+    /// Maximum number of calls to the list services in 100 ms.
     pub calls_100ms: usize,
-    /// As above.
+    /// Maximum number of calls to the list services in 1 s.
     pub calls_1s: usize,
-    /// As above.
+    /// Calls to the list services per second in the last third of the run.
     pub calls_steady: f64,
-    /// Connections to engines: all, most in 100 ms, most in 1 s, most to one engine in 100 ms.
+    /// Connections to engines.
     pub dials: usize,
-    /// As above.
+    /// Maximum number of connections to engines in 100 ms.
     pub dials_100ms: usize,
-    /// As above.
+    /// Maximum number of connections to engines in 1 s.
     pub dials_1s: usize,
-    /// As above.
+    /// Maximum number of connections to one engine in 100 ms.
     pub dials_engine_100ms: usize,
-    /// Threads at work on one engine at most.
+    /// Maximum number of threads at work on one engine at a time.
     pub max_threads: f64,
-    /// Fraction of attempts that crossed zones; 0 where managers do not know their zone.
+    /// Fraction of the attempts that crossed zones; 0 where managers do not know their zone.
     pub crossing: f64,
-    /// Of the zone that the run is about: attempts that crossed zones before it was lost, as a share.
+    /// Fraction of the attempts that crossed zones before the watched zone was lost, from second 1 on.
     pub crossed_before: f64,
-    /// Seconds from its loss until 95% of the managers that had sent there sent elsewhere; none if they never did. By
-    /// what reached engines: where a partition lets nothing through, it says nothing.
+    /// Seconds from the loss of the watched zone until 95% of the managers that had sent there sent
+    /// elsewhere; NaN if it can't be determined. Computed from the attempts that reached engines, so it is
+    /// meaningless if a partition blocks the attempts.
     pub left_s: f64,
-    /// Fraction of the requests served while it was away, and in the 10 s after its return.
+    /// Fraction of the requests that were served while the watched zone was lost.
     pub served_away: f64,
-    /// As above.
+    /// Fraction of the requests that were served in the 10 s after the watched zone came back.
     pub served_back: f64,
-    /// Share of its own managers' attempts that went to it in the first second of its return, and in the last 5 s.
+    /// Fraction of the attempts of the watched zone's own managers that went to their zone in the first
+    /// second after it came back.
     pub home_first: f64,
-    /// As above.
+    /// Fraction of the attempts of the watched zone's own managers that went to their zone in the last 5 s of
+    /// the run.
     pub home_last: f64,
-    /// Managers that said that it is lost, and seconds until half and 95% of them had.
+    /// Managers that logged the ejection of the watched zone.
     pub said_lost: usize,
-    /// As above.
+    /// Seconds from the loss of the watched zone until half of these managers had logged it.
     pub said_p50_s: f64,
-    /// As above.
+    /// Seconds from the loss of the watched zone until 95% of these managers had logged it.
     pub said_p95_s: f64,
-    /// Processor time of a manager's process, in seconds, in the mean of those that run at the end.
+    /// Processor time of a manager's process, in seconds; the mean over the processes at the end of the run.
     pub cpu_s: f64,
-    /// Seconds from the start until all views of the fleet were right for good; none if they were not at the end, 0
-    /// where none are kept.
+    /// Seconds from the start until all views of the fleet were right for the rest of the run; NaN if they
+    /// were not right at the end, or in a run without membership.
     pub agreed_s: f64,
-    /// What the engines saw.
+    /// Attempts that reached engines, and those that broke a rule.
     pub breaches: Breaches,
-    /// Rules of the journal that the checker found broken; none where no history was judged.
+    /// Violations of the journal's invariants that the checker found; absent if no history was checked.
     pub violations: Option<usize>,
 }
 
 impl Report {
-    /// The figures by name, in the table's order.
+    /// The figures as texts with their column names, in the order of the table.
     pub fn fields(&self) -> Vec<(&'static str, String)> {
-        let b = &self.breaches;
+        let breaches = &self.breaches;
         vec![
             ("scenario", self.scenario.clone()),
             ("cold_start", if self.cold_start { "on" } else { "off" }.to_owned()),
@@ -178,33 +185,33 @@
             ("said_p95_s", format!("{:.2}", self.said_p95_s)),
             ("cpu_s", format!("{:.2}", self.cpu_s)),
             ("agreed_s", format!("{:.2}", self.agreed_s)),
-            ("attempts", b.attempts.to_string()),
-            ("further", b.further.to_string()),
-            ("second_attempts", b.second_attempts.to_string()),
-            ("after_drain", b.after_drain.to_string()),
-            ("pushed_over", b.pushed_over.to_string()),
+            ("attempts", breaches.attempts.to_string()),
+            ("further", breaches.further.to_string()),
+            ("second_attempts", breaches.second_attempts.to_string()),
+            ("after_drain", breaches.after_drain.to_string()),
+            ("pushed_over", breaches.pushed_over.to_string()),
             ("violations", self.violations.map_or("-".to_owned(), |n| n.to_string())),
         ]
     }
 
-    /// The table's head, for CSV.
+    /// The header line of the CSV table.
     pub fn head() -> String {
         let names: Vec<&str> = Report::default().fields().iter().map(|f| f.0).collect();
         names.join(",")
     }
 
-    /// Its line, for CSV: names hold no commas.
+    /// The report's line of the CSV table. Nothing is quoted, since scenario names contain no commas.
     pub fn line(&self) -> String {
         let values: Vec<String> = self.fields().into_iter().map(|f| f.1).collect();
         values.join(",")
     }
 
-    /// As a JSON object: figures as numbers, names as strings.
+    /// The report as a JSON object, with figures as numbers and other values as strings.
     pub fn json(&self) -> String {
-        let value =
+        let to_json =
             |v: &str| v.parse::<f64>().map_or_else(|_| serde_json::Value::from(v), serde_json::Value::from);
         let map: serde_json::Map<String, serde_json::Value> =
-            self.fields().iter().map(|(name, v)| ((*name).to_owned(), value(v))).collect();
+            self.fields().iter().map(|(name, v)| ((*name).to_owned(), to_json(v))).collect();
         serde_json::Value::from(map).to_string()
     }
 }
@@ -215,22 +222,22 @@
 pub struct ChartError {
     /// The chart's file.
     pub path: PathBuf,
-    /// What went wrong.
+    /// The error of the drawing library or the file.
     pub source: Box<dyn std::error::Error>,
 }
 
 /// A line of a chart.
 pub struct Series<'a> {
-    /// What it shows.
+    /// Label of the line in the legend.
     pub name: &'a str,
-    /// By bucket.
+    /// Values by bucket of [`BUCKET`].
     pub values: Vec<f64>,
 }
 
-/// Draws lines over time in buckets of [`BUCKET`], one panel below the other.
+/// Draws panels of lines over time as an SVG file, one panel below the other.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// If the chart can't be drawn or the file can't be written.
 pub fn chart(path: &Path, title: &str, panels: &[(&str, Vec<Series<'_>>)]) -> Result<(), ChartError> {
     draw(path, title, panels).map_err(|source| ChartError { path: path.to_owned(), source })
 }
@@ -240,7 +247,7 @@
     title: &str,
     panels: &[(&str, Vec<Series<'_>>)],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    /// Colours of a panel's lines, in their order.
+    /// Colours of a panel's lines, in order; further lines are not drawn.
     const COLOURS: [RGBColor; 6] = [
         RGBColor(31, 119, 180),
         RGBColor(214, 39, 40),
@@ -253,15 +260,15 @@
     root.fill(&WHITE)?;
     let root = root.titled(title, ("sans-serif", 18))?;
     for (area, (name, lines)) in root.split_evenly((panels.len(), 1)).iter().zip(panels) {
-        let n = lines.iter().map(|l| l.values.len()).max().unwrap_or(1);
-        let top = lines.iter().flat_map(|l| &l.values).fold(1.0f64, |a, b| a.max(*b));
-        let seconds = n as f64 * BUCKET.as_secs_f64();
+        let buckets = lines.iter().map(|l| l.values.len()).max().unwrap_or(1);
+        let max_value = lines.iter().flat_map(|l| &l.values).fold(1.0f64, |a, b| a.max(*b));
+        let seconds = buckets as f64 * BUCKET.as_secs_f64();
         let mut chart = ChartBuilder::on(area)
             .caption(*name, ("sans-serif", 14))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..seconds, 0.0..top * 1.05)?;
+            .build_cartesian_2d(0.0..seconds, 0.0..max_value * 1.05)?;
         chart.configure_mesh().x_desc("s").light_line_style(WHITE).draw()?;
         for (line, colour) in lines.iter().zip(COLOURS) {
             let points = line.values.iter().enumerate().map(|(i, v)| (i as f64 * BUCKET.as_secs_f64(), *v));
--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -1,6 +1,6 @@
 //! An operator's HTTP calls to managers: each is made once, and its outcome is recorded in the history.
 
-use super::{Rig, RunError};
+use super::{Harness, RunError};
 use crate::history::Recorder;
 use crate::http::{self, HttpError};
 use crate::runtime;
@@ -20,7 +20,7 @@
     Http(HttpError),
 }
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// Makes a call to each selected manager, without waiting for the answers.
     pub(super) fn call(&mut self, call: &Call) -> Result<(), RunError> {
         for i in self.select_managers(&call.to) {
--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -1,6 +1,6 @@
 //! Faults injected into processes that reach a failpoint, and the actions that are due some time after them.
 
-use super::{ProcessState, Rig, RunError};
+use super::{Harness, ProcessState, RunError};
 use crate::scenario::{Action, FailpointFault, ManagerSelector, ProcessFault, Scenario};
 use nix::sys::signal::Signal;
 use sprucelink_failpoints::fault_file::Failpoints;
@@ -57,7 +57,7 @@
     }
 }
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// Reads new log lines for ports and reached failpoints, and injects the failpoints' faults at once.
     pub(super) fn read_logs(&mut self) -> Result<(), RunError> {
         for i in 0..self.procs.len() {
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -1,6 +1,6 @@
 //! A run's figures, computed from the counts of the stand-ins and clients.
 
-use super::{Outcome, Rig};
+use super::{Harness, Outcome};
 use crate::client::RequestOutcome;
 use crate::counter::Counted;
 use crate::report::{Outcomes, Report, BUCKET};
@@ -13,7 +13,7 @@
 /// The longer window in which peaks of polls and connections are counted.
 const PEAK_1S: Duration = Duration::from_secs(1);
 
-impl Rig<'_> {
+impl Harness<'_> {
     pub(super) fn outcome(&self, logs: Vec<String>) -> Outcome {
         let buckets = (self.scenario.seconds / BUCKET.as_secs_f64()).ceil() as usize;
         let zeros = || vec![0u32; buckets];
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -1,6 +1,6 @@
 //! The clients that send requests during a run.
 
-use super::{Availability, CompletedRequest, Rig};
+use super::{Availability, CompletedRequest, Harness};
 use crate::client::{self, ClientRequest};
 use crate::ledger::request_id;
 use crate::runtime;
@@ -102,7 +102,7 @@
     }
 }
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// Starts the clients: each manager gets a Poisson stream of requests of its own.
     pub(super) fn start_clients(&self) -> Vec<tokio::task::JoinHandle<()>> {
         if self.scenario.load.rate <= 0.0 {
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -100,7 +100,8 @@
     latency: Duration,
 }
 
-struct Rig<'a> {
+/// The state of a run.
+struct Harness<'a> {
     scenario: &'a Scenario,
     program: &'a Program,
     start: Instant,
@@ -157,28 +158,29 @@
 pub fn run(scenario: &Scenario, program: &Program) -> Result<Outcome, RunError> {
     scenario.check()?;
     let start_unix_s = unix_ms() as f64 / 1e3;
-    let mut rig = Rig::new(scenario, program)?;
-    let mut timeline = rig.timeline();
-    let clients = rig.start_clients();
-    let played = rig.play(&mut timeline);
+    let mut harness = Harness::new(scenario, program)?;
+    let mut timeline = harness.timeline();
+    let clients = harness.start_clients();
+    let played = harness.play(&mut timeline);
     clients.iter().for_each(|t| t.abort());
     // Each request ends within its timeout and a second; do not wait longer.
     let max_wait = Duration::from_secs_f64(scenario.load.timeout_ms / 1e3) + Duration::from_secs(1);
     let deadline = Instant::now() + max_wait;
-    while played.is_ok() && rig.requests_in_flight() > 0 && Instant::now() < deadline {
-        rig.observe_processes();
+    while played.is_ok() && harness.requests_in_flight() > 0 && Instant::now() < deadline {
+        harness.observe_processes();
         std::thread::sleep(STEP_INTERVAL);
     }
-    let logs = (0..rig.fleet.managers.len()).map(|i| rig.fleet.log(i)).collect();
-    let cpu_seconds: Vec<f64> = (0..rig.fleet.managers.len()).filter_map(|i| rig.fleet.cpu(i)).collect();
+    let logs = (0..harness.fleet.managers.len()).map(|i| harness.fleet.log(i)).collect();
+    let cpu_seconds: Vec<f64> =
+        (0..harness.fleet.managers.len()).filter_map(|i| harness.fleet.cpu(i)).collect();
     let mean_cpu_seconds = cpu_seconds.iter().sum::<f64>() / cpu_seconds.len().max(1) as f64;
     // The run is over: exits from here on do not belong in the history.
-    rig.subscribers = None;
-    let recorded = rig.history.end();
-    rig.fleet.end_all();
+    harness.subscribers = None;
+    let recorded = harness.history.end();
+    harness.fleet.end_all();
     played?;
     recorded?;
-    let mut outcome = rig.outcome(logs);
+    let mut outcome = harness.outcome(logs);
     outcome.check_history(scenario, &program.dir)?;
     outcome.report.cpu_s = mean_cpu_seconds;
     if let Some(watch) = &scenario.watch {
@@ -189,7 +191,7 @@
     Ok(outcome)
 }
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// Performs the timeline and observes the processes until the end of the run.
     fn play(&mut self, timeline: &mut Vec<(Duration, Action)>) -> Result<(), RunError> {
         let end = Duration::from_secs_f64(self.scenario.seconds);
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -50,7 +50,7 @@
 impl Outcome {
     /// Checks the history against the invariants of the scenario's `check` section.
     pub(super) fn check_history(&mut self, scenario: &Scenario, dir: &Path) -> Result<(), RunError> {
-        if !scenario.records() {
+        if !scenario.records_history() {
             return Ok(());
         }
         let path = dir.join(history::NAME);
--- a/crates/cluster-harness/src/run/partitions.rs
+++ b/crates/cluster-harness/src/run/partitions.rs
@@ -1,12 +1,12 @@
 //! Network faults on the routes between parties, and the history's record of the engines that they affect. A
 //! party is a group of managers, a manager, the engines of a zone, the list services or the subscribers.
 
-use super::Rig;
+use super::Harness;
 use crate::fault_proxy::Rule;
 use crate::scenario::{NewConnections, Sides, ZONES};
 use sprucelink_history_checker::event::Event;
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// The routes from one party to another; `engines` stands for the engines of all zones.
     pub(super) fn routes(&self, from: &str, to: &str) -> Vec<(String, String)> {
         let expand = |name: &str| -> Vec<String> {
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -1,6 +1,6 @@
 //! A manager's process: its folder and files, its starts and exits, and the history's record of them.
 
-use super::{ProcessState, Rig, RunError};
+use super::{Harness, ProcessState, RunError};
 use crate::procs::{ProcessExit, Tail};
 use crate::scenario::{GROUPS, ZONES};
 use crate::template::Values;
@@ -41,7 +41,7 @@
     }
 }
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// Starts manager `i`, with an empty folder if `emptied`; a running one is killed first.
     pub(super) fn start_manager(&mut self, i: usize, emptied: bool) -> Result<(), RunError> {
         self.kill(i);
@@ -86,7 +86,7 @@
         self.history.record(Event::Started {
             process,
             version,
-            clock_offset_ms: self.scenario.clock_of(i),
+            clock_offset_ms: self.scenario.clock_offset_ms(i),
             emptied,
         });
         Ok(())
@@ -140,7 +140,7 @@
             ("folder", self.fleet.folder(i).display().to_string()),
             ("version", self.procs[i].version.clone()),
             ("seed", self.seed(i, starts).to_string()),
-            ("clock_offset_ms", self.scenario.clock_of(i).to_string()),
+            ("clock_offset_ms", self.scenario.clock_offset_ms(i).to_string()),
         ];
         let party = &self.parties[self.scenario.party_of(i)];
         let addresses = |port: &str| {
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -3,7 +3,7 @@
 use super::failpoint_faults::FailpointFaults;
 use super::peers::{Peers, SUBSCRIBERS};
 use super::process::Proc;
-use super::{unix_ms, Engine, ProcessState, Program, Rig, RunError};
+use super::{unix_ms, Engine, Harness, ProcessState, Program, RunError};
 use crate::engines::{engine_id, CountingEngine, Spec};
 use crate::fault_proxy::{self, Faults, UdpNet};
 use crate::history::Recorder;
@@ -28,7 +28,7 @@
 
 /// Starts the history that the scenario asks for; the recorder records nothing if it asks for none.
 fn start_history(scenario: &Scenario, program: &Program, start: Instant) -> Result<Recorder, RunError> {
-    if !scenario.records() {
+    if !scenario.records_history() {
         return Ok(Recorder::default());
     }
     let History { engines, max_mb } = scenario.history.unwrap_or_default();
@@ -41,15 +41,15 @@
     procs::settings(scenario.managers).replace(r#""zones":["hall-a","hall-b"]"#, &zones)
 }
 
-impl<'a> Rig<'a> {
-    pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Rig<'a>, RunError> {
+impl<'a> Harness<'a> {
+    pub(super) fn new(scenario: &'a Scenario, program: &'a Program) -> Result<Harness<'a>, RunError> {
         let start = Instant::now();
         let faults = Faults::new(scenario.seed);
         let fleet = Fleet::new(&program.path, &program.dir).map_err(RunError::io("the harness's folder"))?;
         let managers = scenario.managers;
         let history = start_history(scenario, program, start)?;
         let peers = Peers::new(scenario, &faults)?;
-        let mut rig = Rig {
+        let mut harness = Harness {
             scenario,
             program,
             start,
@@ -82,14 +82,14 @@
             ops: BTreeMap::new(),
             draws: 0,
         };
-        rig.record_run_start();
-        rig.start_engines()?;
-        rig.start_list_services()?;
-        rig.ledger.keep_attempts(start);
-        rig.set_lists(scenario.lists);
-        rig.reserve_membership_addresses()?;
-        rig.start_subscribers();
-        Ok(rig)
+        harness.record_run_start();
+        harness.start_engines()?;
+        harness.start_list_services()?;
+        harness.ledger.keep_attempts(start);
+        harness.set_lists(scenario.lists);
+        harness.reserve_membership_addresses()?;
+        harness.start_subscribers();
+        Ok(harness)
     }
 
     /// Starts the initial engines; the last `missing` ones are on the endpoint list but do not run.
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -2,7 +2,7 @@
 
 use super::setup::COLD_FOR;
 use super::supervision::CLIENT_GRACE;
-use super::{unix_ms, ProcessState, Rig, RunError};
+use super::{unix_ms, Harness, ProcessState, RunError};
 use crate::procs::{self, Row};
 use crate::scenario::{Action, FleetRange, ManagerSelector, ZONES};
 use nix::sys::signal::Signal;
@@ -14,7 +14,7 @@
 /// Bytes of an action's text that the history keeps.
 const MAX_ACTION_BYTES: usize = 400;
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// The starts and the steps, the last due first, with one entry for each manager that a step applies to.
     pub(super) fn timeline(&self) -> Vec<(Duration, Action)> {
         let mut all = Vec::new();
--- a/crates/cluster-harness/src/run/supervision.rs
+++ b/crates/cluster-harness/src/run/supervision.rs
@@ -1,6 +1,6 @@
 //! Supervision of the managers' processes: readiness, exits and restarts.
 
-use super::{Availability, ProcessState, Rig, RunError};
+use super::{Availability, Harness, ProcessState, RunError};
 use crate::procs::ProcessExit;
 use sprucelink_history_checker::event::{Event, ExitCause, EXIT_STATUS_NEXT_VERSION};
 use std::sync::PoisonError;
@@ -12,7 +12,7 @@
 /// Time after SIGTERM at which a manager that still runs is killed; longer than any deadline in the settings.
 const MAX_SHUTDOWN_TIME: Duration = Duration::from_secs(30);
 
-impl Rig<'_> {
+impl Harness<'_> {
     pub(super) fn update_availability(&self, i: usize, update: impl FnOnce(&mut Availability)) {
         update(&mut self.availability[i].lock().unwrap_or_else(PoisonError::into_inner));
     }
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -1,6 +1,6 @@
 //! The managers' views of the fleet, polled during a run.
 
-use super::{ProcessState, Rig, Views};
+use super::{Harness, ProcessState, Views};
 use sprucelink_membership::{Member, MemberState};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     Some(all.into_iter().filter(is_present).map(|m| m.name).collect())
 }
 
-impl Rig<'_> {
+impl Harness<'_> {
     /// Polls every ready manager for its view, and compares the views with the ready managers.
     pub(super) fn poll_views(&mut self) {
         let ready: Vec<(usize, SocketAddr)> = (0..self.membership_addresses.len())
--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -1,4 +1,4 @@
-//! What happens in a run: the steps, their actions and the managers that they apply to.
+//! The steps of a run: their times, their actions and the managers or engines that they apply to.
 
 use super::{InvalidScenario, Scenario, GROUPS};
 use crate::fault_proxy::{ConnectionCut, Rule};
@@ -11,23 +11,23 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Repetitions of a step.
+/// Maximum number of repetitions of a step.
 pub(super) const MAX_TIMES: usize = 1_000;
 
-/// A range of the managers or engines, in fractions of their number; `to` is excluded.
+/// A range of the managers or engines by index, in fractions of their number; `to` is excluded.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetRange {
-    /// Where it begins; 0 to 1.
+    /// Start of the range; 0 to 1.
     pub from: f64,
-    /// Where it ends; `from` to 1.
+    /// End of the range; `from` to 1.
     pub to: f64,
-    /// The action is spread evenly over this time, in milliseconds; 0 to 60,000.
+    /// Time over which the action is spread evenly, in milliseconds; 0 to 60,000.
     #[serde(default)]
     pub over_ms: f64,
 }
 
-/// A history holds an action's debug form, in which a range is called `Part`.
+/// Histories contain the Debug text of actions, in which a range is called `Part`.
 impl fmt::Debug for FleetRange {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
@@ -40,41 +40,41 @@
 }
 
 impl FleetRange {
-    /// The indices that it covers, of `n`.
+    /// The indices in the range, of `n` managers or engines.
     pub fn indices(&self, n: usize) -> std::ops::Range<usize> {
-        let at = |share: f64| ((share * n as f64).round() as usize).min(n);
-        at(self.from)..at(self.to)
+        let index = |fraction: f64| ((fraction * n as f64).round() as usize).min(n);
+        index(self.from)..index(self.to)
     }
 
     pub(super) fn check(&self) -> Result<(), InvalidScenario> {
-        let good = self.from >= 0.0 && self.to >= self.from && self.to <= 1.0;
-        if !good {
+        let is_valid = self.from >= 0.0 && self.to >= self.from && self.to <= 1.0;
+        if !is_valid {
             return Err(InvalidScenario::UnorderedFractions { from: self.from, to: self.to });
         }
         Ok(check_range("over_ms", self.over_ms, 0.0, 60_000.0)?)
     }
 }
 
-/// Selects managers in one of four ways: a fraction of them (`from`, `to`), `names`, a `group`, or a number `drawn` at
-/// random by the scenario's seed, again for each time.
+/// Selects managers in one of four ways: a range of them (`from`, `to`), by `names`, by `group`, or a number
+/// of them `drawn` at random by the scenario's seed, anew at each use.
 #[derive(Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ManagerSelector {
-    /// Where the fraction begins; 0 to 1.
+    /// Start of the range, as a fraction of the managers; 0 to 1.
     pub from: Option<f64>,
-    /// Where it ends; `from` to 1.
+    /// End of the range, as a fraction of the managers; `from` to 1.
     pub to: Option<f64>,
-    /// Names: `n0`, `n1`, ...
+    /// Names of managers: `n0`, `n1`, ...
     pub names: Option<Vec<String>>,
-    /// A group: `a`, `b`, ...
+    /// Name of a group: `a`, `b`, ...
     pub group: Option<String>,
-    /// How many are drawn at random.
+    /// Number of managers that are drawn at random.
     pub drawn: Option<usize>,
-    /// The action is spread evenly over this time, in milliseconds; 0 to 60,000.
+    /// Time over which the action is spread evenly, in milliseconds; 0 to 60,000.
     pub over_ms: f64,
 }
 
-/// A history holds an action's debug form, in which a selector is called `Who`.
+/// Histories contain the Debug text of actions, in which a selector is called `Who`.
 impl fmt::Debug for ManagerSelector {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
@@ -90,30 +90,32 @@
 }
 
 impl From<FleetRange> for ManagerSelector {
-    fn from(p: FleetRange) -> ManagerSelector {
+    fn from(range: FleetRange) -> ManagerSelector {
         ManagerSelector {
-            from: Some(p.from),
-            to: Some(p.to),
-            over_ms: p.over_ms,
+            from: Some(range.from),
+            to: Some(range.to),
+            over_ms: range.over_ms,
             ..ManagerSelector::default()
         }
     }
 }
 
 impl ManagerSelector {
-    /// A single manager.
+    /// Selects the manager of index `i`.
     pub fn single(i: usize) -> ManagerSelector {
         ManagerSelector { names: Some(vec![format!("n{i}")]), ..ManagerSelector::default() }
     }
 
-    /// The managers' numbers, without duplicates; `draw` distinguishes one random draw from another.
+    /// The managers' indices, without duplicates. A random selection depends on the scenario's seed and on
+    /// `draw`, which distinguishes one draw of a run from another.
     pub fn select(&self, scenario: &Scenario, draw: u64) -> Vec<usize> {
         let n = scenario.managers;
         if let Some(names) = &self.names {
-            let mut all: Vec<usize> = names.iter().filter_map(|name| scenario.number_of(name)).collect();
-            let mut seen = std::collections::BTreeSet::new();
-            all.retain(|i| seen.insert(*i));
-            return all;
+            let mut indices: Vec<usize> =
+                names.iter().filter_map(|name| scenario.manager_index(name)).collect();
+            let mut known = std::collections::BTreeSet::new();
+            indices.retain(|i| known.insert(*i));
+            return indices;
         }
         if let Some(group) = &self.group {
             return (0..n).filter(|i| GROUPS[scenario.group_of(*i)] == group).collect();
@@ -138,67 +140,68 @@
             let to = self.to.unwrap_or(1.0);
             return FleetRange { from, to, over_ms: self.over_ms }.check();
         }
-        if let Some(bad) = self.names.iter().flatten().find(|n| scenario.number_of(n).is_none()) {
-            return Err(InvalidScenario::UnknownManager { name: bad.clone(), last: scenario.managers - 1 });
+        if let Some(name) = self.names.iter().flatten().find(|n| scenario.manager_index(n).is_none()) {
+            return Err(InvalidScenario::UnknownManager { name: name.clone(), last: scenario.managers - 1 });
         }
-        if let Some(g) = self.group.as_ref().filter(|g| !scenario.groups_named().any(|n| n == g.as_str())) {
-            return Err(InvalidScenario::UnknownManagerGroup(g.clone()));
+        if let Some(group) = self.group.as_ref().filter(|g| !scenario.group_names().any(|n| n == g.as_str()))
+        {
+            return Err(InvalidScenario::UnknownManagerGroup(group.clone()));
         }
         Ok(check_range("drawn", self.drawn.unwrap_or(1) as f64, 1.0, scenario.managers as f64)?)
     }
 }
 
-/// How the list service answers.
+/// How the list service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lists {
-    /// It serves.
+    /// The service sends the list and its changes.
     Serve,
-    /// It answers 503.
+    /// The service answers 503.
     Refuse,
-    /// It takes calls and says nothing.
+    /// The service accepts calls without an answer.
     Stall,
 }
 
-/// Two sides between which the fault proxy lets nothing pass, or lets pass again.
+/// The two sides of a partition.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sides {
     /// The parties of one side: groups, managers by name, `lists`, `engines`, a zone, `subscribers`.
     pub from: Vec<String>,
-    /// Those of the other; who is in neither reaches both.
+    /// The parties of the other side. A party on neither side reaches both.
     pub to: Vec<String>,
-    /// Only from the first side to the second; else both ways.
+    /// The partition blocks traffic from the first side to the second only; else it blocks both directions.
     #[serde(default)]
     pub one_way: bool,
-    /// What a parted side's new TCP connections meet: they come up and say nothing (`hold`, until it is over; the
-    /// default), lead nowhere for good (`blackhole`) or are closed (`refuse`).
+    /// Fate of new TCP connections during the partition.
     #[serde(default)]
     pub new: NewConnections,
 }
 
-/// What new TCP connections meet in a partition.
+/// Fate of new TCP connections in a partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NewConnections {
-    /// They come up and are carried once it is over.
+    /// They are established, and their data is forwarded after the partition's end.
     #[default]
     Hold,
-    /// They come up and are never carried.
+    /// They are established, and their data is never forwarded.
     Blackhole,
     /// They are closed.
     Refuse,
 }
 
-/// A call to managers: an operator's word, recorded as acknowledged when it is answered so.
+/// An operator's HTTP call to managers. Its operation is recorded as acknowledged if the answer's status is
+/// 2xx.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// Whom; each gets a call of its own.
+    /// The managers; each gets a call of its own.
     pub to: ManagerSelector,
-    /// The port, by its name among the scenario's.
+    /// Name of the port, one of the scenario's `ports`.
     pub port: String,
-    /// The method.
+    /// HTTP method; `POST` if absent.
     #[serde(default = "post")]
     pub method: String,
     /// The path, with the templates of `files` and `{op}`.
@@ -206,9 +209,10 @@
     /// The body, with the same templates; null: none.
     #[serde(default)]
     pub body: serde_json::Value,
-    /// The operation's name, recorded as `NAME-K` for its K-th call, from 0 on; absent: nothing is recorded.
+    /// Name of the operation, recorded as `NAME-K` for its K-th call, from 0 on; absent: no operation is
+    /// recorded.
     pub op: Option<String>,
-    /// Where the answer, a JSON object, tells the operation's cursor.
+    /// JSON pointer to the operation's cursor in the answer.
     #[serde(default)]
     pub cursor_at: Option<String>,
 }
@@ -217,32 +221,32 @@
     "POST".into()
 }
 
-/// What happens to stand-in subscribers.
+/// An action on a random fraction of the stand-in subscribers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubscriberAction {
-    /// A share of them lose their connections at once, and come back by their backoff: 0 to 1.
+    /// This fraction (0 to 1) of them lose their connections at once, and reconnect after their backoff.
     Drop(f64),
-    /// A share of them go to another manager at once, without waiting: 0 to 1.
+    /// This fraction (0 to 1) of them move to another manager at once, without a backoff.
     Hop(f64),
     /// A fraction of them read at a limited rate from now on.
     Slow {
-        /// Which share; 0 to 1.
+        /// The fraction; 0 to 1.
         share: f64,
-        /// Bytes a second; 0: no limit.
+        /// Maximum rate in bytes per second; 0: no limit.
         bytes_s: f64,
     },
 }
 
-/// What a step does.
+/// An action of a step.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Managers are killed outright (SIGKILL).
+    /// Managers are killed (SIGKILL).
     Kill(ManagerSelector),
     /// Managers are restarted, killed first where they run, with their folders as they are.
     Restart(ManagerSelector),
-    /// As `restart`, with their folders emptied.
+    /// As [`Action::Restart`], with their folders emptied.
     RestartEmpty(ManagerSelector),
     /// Managers get SIGTERM and are restarted once they have exited.
     Roll(ManagerSelector),
@@ -250,69 +254,72 @@
     Pause(ManagerSelector),
     /// Managers are resumed (SIGCONT).
     Resume(ManagerSelector),
-    /// From their next start on managers' stores have these faults.
+    /// Managers' stores have these disk faults from their next start on.
     Disk {
-        /// Whose.
+        /// The managers.
         who: ManagerSelector,
-        /// Which.
+        /// The faults.
         fault: DiskFaults,
     },
-    /// A file in managers' folders loses its last bytes, as a torn write leaves it. They must be down.
+    /// A file in managers' folders loses its last bytes, as a torn write leaves it. The managers must be
+    /// down.
     Tear {
-        /// Whose.
+        /// The managers.
         who: ManagerSelector,
-        /// The file, by its path in the folder.
+        /// Name of the file in the folder.
         file: String,
-        /// How many; at most the file's length.
+        /// Number of bytes; a shorter file is emptied.
         bytes: u64,
     },
-    /// Managers' folders are copied, each stopped for that moment, in place of an earlier copy.
+    /// Managers' folders are copied, each manager stopped meanwhile; a copy replaces an earlier one.
     KeepCopy(ManagerSelector),
-    /// Managers' folders are as they were when copied: what was acknowledged since is lost. They must be down.
+    /// Managers' folders are restored from their copies: operations acknowledged since are lost. The managers
+    /// must be down.
     PutBack(ManagerSelector),
-    /// The list service answers so from now on.
+    /// The list services answer in this way from now on.
     Lists(Lists),
-    /// New engines come under new ids, cold, and the list tells them.
+    /// This number of new engines start cold, under new ids, and are published on the endpoint list.
     EnginesCome(usize),
-    /// The list tells that engines drain, by their number among all so far.
+    /// Engines are published as draining; the range is by index among all engines so far, also in the next
+    /// actions.
     EnginesDrain(FleetRange),
-    /// Engines end and the list tells it.
+    /// Engines are published as gone and stop.
     EnginesGo(FleetRange),
-    /// Engines end and nobody tells it.
+    /// Engines stop and stay on the endpoint list.
     EnginesVanish(FleetRange),
-    /// The engines of a zone restart under their ids, in slow start, and the endpoint list says so.
+    /// The engines of a zone restart under their ids, in slow start, and the endpoint list shows it.
     ZoneCold(String),
-    /// The list service tells the first list again, as whole and under its old revision.
+    /// The list services publish the initial list again, as a complete list of revision 1.
     OlderList,
-    /// The list service tells, in one event, that the first engine drains and that it is ready.
+    /// The list services publish an event with the first engine both as draining and as ready.
     ContradictoryList,
-    /// What goes from one party to another goes by this rule.
+    /// Sets the fault proxy's rule from one party to another.
     Fault {
-        /// The party from which.
+        /// The sending party.
         from: String,
-        /// The party to which.
+        /// The receiving party.
         to: String,
-        /// The rule.
+        /// The rule; it replaces an earlier one.
         rule: Rule,
     },
-    /// Nothing passes between two sides.
+    /// Starts a partition between two sides.
     Part(Sides),
-    /// All passes again between two sides, whatever rule there was.
+    /// Ends a partition: removes all rules between two sides.
     Join(Sides),
-    /// Open connections from one party to another are cut.
+    /// Cuts open connections from one party to another.
     Cut {
-        /// The party from which.
+        /// The party that made the connections.
         from: String,
-        /// The party to which.
+        /// The party that accepted the connections.
         to: String,
-        /// How.
+        /// The way in which they are cut.
         how: ConnectionCut,
     },
-    /// All rules of the fault proxy are lifted.
+    /// Removes all rules of the fault proxy.
     Heal,
-    /// Managers are called.
+    /// An HTTP call to managers.
     Call(Call),
-    /// Something happens to the stand-in subscribers.
+    /// An action on the stand-in subscribers.
     Subscribers(SubscriberAction),
 }
 
@@ -322,13 +329,13 @@
 pub struct Step {
     /// Seconds after the first start.
     pub at: f64,
-    /// How often the action is performed.
+    /// Number of times that the action is performed.
     #[serde(default = "once")]
     pub times: usize,
-    /// Seconds from one time to the next.
+    /// Interval between two repetitions, in seconds.
     #[serde(default)]
     pub every: f64,
-    /// Longest random delay of each time, in seconds, drawn by the seed.
+    /// Maximum random delay of each repetition, in seconds, drawn by the seed.
     #[serde(default)]
     pub spread: f64,
     /// The action.
@@ -340,13 +347,13 @@
     1
 }
 
-/// What happens to a process that reaches a failpoint.
+/// The fault that is injected into a process at a failpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessFault {
-    /// It is killed (SIGKILL).
+    /// The process is killed (SIGKILL).
     Kill,
-    /// It is stopped (SIGSTOP).
+    /// The process is stopped (SIGSTOP).
     Stop,
 }
 
@@ -354,38 +361,38 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailpointFault {
-    /// The failpoint.
+    /// Name of the failpoint.
     pub point: String,
-    /// The managers; each once.
+    /// The managers; the fault occurs at most once in each.
     #[serde(rename = "who")]
     pub managers: ManagerSelector,
-    /// At which pass of the failpoint in one process, from 1 on.
-    #[serde(default = "first")]
+    /// The pass of the failpoint in one process at which the fault occurs, from 1 on.
+    #[serde(default = "first_pass")]
     pub pass: u32,
-    /// Only the first of them that reaches it has the fault.
+    /// The fault occurs only in the first of the managers that reaches the failpoint.
     #[serde(default)]
     pub only_one: bool,
-    /// What happens to the process.
+    /// The fault.
     #[serde(rename = "do")]
     pub fault: ProcessFault,
-    /// Milliseconds after which it is restarted or resumed; absent: never. 0 to 600,000.
+    /// Milliseconds after which the process is restarted or resumed; absent: never. 0 to 600,000.
     #[serde(rename = "back_ms")]
     pub resume_ms: Option<f64>,
-    /// Further actions at the moment of the fault.
+    /// Further actions, performed at once after the fault.
     #[serde(default, rename = "also")]
     pub further_actions: Vec<Action>,
-    /// How long a process waits at the failpoint, in milliseconds; 0 to 10,000.
-    #[serde(default = "wait")]
+    /// Time that a process waits at the failpoint for the fault, in milliseconds; 0 to 10,000.
+    #[serde(default = "default_wait_ms")]
     pub wait_ms: u64,
 }
 
-fn first() -> u32 {
+fn first_pass() -> u32 {
     1
 }
 
-fn wait() -> u64 {
+fn default_wait_ms() -> u64 {
     2_000
 }
 
-/// Clock offsets in milliseconds, by a manager's name or a group's.
+/// Clock offsets in milliseconds, by the name of a manager or group.
 pub type Clocks = BTreeMap<String, i64>;
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -1,4 +1,5 @@
-//! What a scenario may say: every count, time and name is held against its bound, and an error names its path.
+//! Validation of scenarios: every count, time and name is checked against its limits, and an error contains
+//! the field's path.
 
 use super::actions::MAX_TIMES;
 use super::{
@@ -10,21 +11,21 @@
 use sprucelink_failpoints::fault_file::{Failpoints, FaultFile};
 use sprucelink_settings::check_range;
 
-/// Steps of a scenario.
+/// Maximum number of steps of a scenario.
 const MAX_STEPS: usize = 200;
-/// Faults at failpoints of a scenario.
+/// Maximum number of failpoint faults of a scenario.
 const MAX_FAILPOINT_FAULTS: usize = 16;
-/// TCP ports of a manager.
+/// Maximum number of TCP ports of a manager.
 const MAX_PORTS: usize = 4;
-/// Files that are written into a manager's folder.
+/// Maximum number of files that are written into a manager's folder.
 const MAX_FILES: usize = 8;
-/// Further arguments of a manager's process.
+/// Maximum number of further arguments of a manager's process.
 const MAX_ARGS: usize = 32;
-/// Further actions of one fault at a failpoint.
+/// Maximum number of further actions of one failpoint fault.
 const MAX_FURTHER_ACTIONS: usize = 8;
 /// Largest clock offset, ahead or behind: a day, in milliseconds.
 const MAX_CLOCK_OFFSET_MS: i64 = 86_400_000;
-/// Entries of each list of the subscribers' section: versions, filters, pointers.
+/// Maximum number of entries of each list in the subscribers' section: versions, filters, pointers.
 const MAX_LIST_ENTRIES: usize = 64;
 
 fn check_name(path: &str, name: &str) -> Result<(), InvalidScenario> {
@@ -36,20 +37,21 @@
         .ok_or_else(|| InvalidScenario::InvalidName { path: path.to_owned(), name: name.to_owned() })
 }
 
-fn pointer(what: &str, p: &str) -> Result<(), InvalidScenario> {
-    let good = p.starts_with('/') && p.len() <= 128;
-    good.then_some(())
-        .ok_or_else(|| InvalidScenario::InvalidPointer { path: what.to_owned(), pointer: p.to_owned() })
+fn check_pointer(path: &str, pointer: &str) -> Result<(), InvalidScenario> {
+    let is_valid = pointer.starts_with('/') && pointer.len() <= 128;
+    is_valid
+        .then_some(())
+        .ok_or_else(|| InvalidScenario::InvalidPointer { path: path.to_owned(), pointer: pointer.to_owned() })
 }
 
 impl Scenario {
-    /// What is wrong with it, if anything, by path.
+    /// Validates the scenario.
     ///
     /// # Errors
-    /// The field and rule.
+    /// The path of the first invalid field, and the rule that it violates.
     pub fn check(&self) -> Result<(), InvalidScenario> {
-        let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        if self.name.is_empty() || self.name.len() > 64 || !self.name.chars().all(plain) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        if self.name.is_empty() || self.name.len() > 64 || !self.name.chars().all(is_allowed) {
             return Err(InvalidScenario::InvalidScenarioName(self.name.clone()));
         }
         let max_managers = if self.pairs { MAX_PAIRED_MANAGERS } else { MAX_MANAGERS };
@@ -87,12 +89,12 @@
 
     fn check_engines(&self) -> Result<(), InvalidScenario> {
         let e = &self.engines;
-        let come: usize = self
+        let added: usize = self
             .steps
             .iter()
             .map(|s| if let Action::EnginesCome(n) = s.action { n.saturating_mul(s.times) } else { 0 })
             .sum();
-        check_range("engines.count", e.count.saturating_add(come) as f64, 1.0, MAX_ENGINES as f64)?;
+        check_range("engines.count", e.count.saturating_add(added) as f64, 1.0, MAX_ENGINES as f64)?;
         check_range("engines.cold", e.cold as f64, 0.0, e.count as f64)?;
         check_range("engines.missing", e.missing as f64, 0.0, e.count as f64)?;
         check_range("engines.slow", e.slow as f64, 0.0, e.count as f64)?;
@@ -106,11 +108,11 @@
         if self.zone_aware && self.groups.len() > self.zones {
             return Err(InvalidScenario::MoreGroupsThanZones);
         }
-        if let Some(w) = &self.watch {
-            let known = ZONES[..self.zones].contains(&w.zone.as_str());
-            known.then_some(()).ok_or_else(|| InvalidScenario::UnknownWatchZone(w.zone.clone()))?;
-            check_range("watch.from", w.from, 0.0, self.seconds)?;
-            check_range("watch.to", w.to, w.from, self.seconds)?;
+        if let Some(watch) = &self.watch {
+            let known = ZONES[..self.zones].contains(&watch.zone.as_str());
+            known.then_some(()).ok_or_else(|| InvalidScenario::UnknownWatchZone(watch.zone.clone()))?;
+            check_range("watch.from", watch.from, 0.0, self.seconds)?;
+            check_range("watch.to", watch.to, watch.from, self.seconds)?;
         }
         Ok(())
     }
@@ -126,18 +128,18 @@
         }
         check_range("files", self.files.len() as f64, 0.0, MAX_FILES as f64)?;
         check_range("args", self.args.len() as f64, 0.0, MAX_ARGS as f64)?;
-        let port = |name: &str| self.ports.iter().any(|p| p.name == name);
+        let is_port = |name: &str| self.ports.iter().any(|p| p.name == name);
         for (name, value) in &self.files {
             check_name("files", name)?;
-            template::check_value(value, &port)
+            template::check_value(value, &is_port)
                 .map_err(InvalidScenario::template(format!("files.{name}")))?;
         }
         for arg in &self.args {
-            template::check(arg, &port).map_err(InvalidScenario::template("args"))?;
+            template::check(arg, &is_port).map_err(InvalidScenario::template("args"))?;
         }
-        for (who, ms) in &self.clocks {
-            let known = self.number_of(who).is_some() || self.groups_named().any(|g| g == who);
-            known.then_some(()).ok_or_else(|| InvalidScenario::UnknownClock(who.clone()))?;
+        for (name, ms) in &self.clocks {
+            let known = self.manager_index(name).is_some() || self.group_names().any(|g| g == name);
+            known.then_some(()).ok_or_else(|| InvalidScenario::UnknownClock(name.clone()))?;
             check_range("clocks", *ms as f64, -MAX_CLOCK_OFFSET_MS as f64, MAX_CLOCK_OFFSET_MS as f64)?;
         }
         check_range("supervise.back_ms", self.supervise.back_ms, 0.0, 60_000.0)?;
@@ -158,35 +160,38 @@
         self.check_action(&step.action)
     }
 
-    fn party(&self, name: &String) -> Result<(), InvalidScenario> {
-        let managers = self.groups_named().any(|g| g == name);
-        let zone = ZONES[..self.zones.min(ZONES.len())].contains(&name.as_str());
-        let one = self.number_of(name).is_some() && (self.pairs || self.membership.is_some());
-        let subscribers = name == "subscribers" && self.subscribers.count > 0;
-        let named = managers || zone || one || subscribers || name == "lists" || name == "engines";
-        named.then_some(()).ok_or_else(|| InvalidScenario::UnknownParty(name.clone()))
+    fn check_party(&self, name: &String) -> Result<(), InvalidScenario> {
+        let is_group = self.group_names().any(|g| g == name);
+        let is_zone = ZONES[..self.zones.min(ZONES.len())].contains(&name.as_str());
+        let is_manager = self.manager_index(name).is_some() && (self.pairs || self.membership.is_some());
+        let is_subscribers = name == "subscribers" && self.subscribers.count > 0;
+        let is_party =
+            is_group || is_zone || is_manager || is_subscribers || name == "lists" || name == "engines";
+        is_party.then_some(()).ok_or_else(|| InvalidScenario::UnknownParty(name.clone()))
     }
 
     fn check_sides(&self, sides: &Sides) -> Result<(), InvalidScenario> {
-        for (what, side) in [("from", &sides.from), ("to", &sides.to)] {
-            check_range(what, side.len() as f64, 1.0, MAX_PAIRED_MANAGERS as f64)?;
-            side.iter().try_for_each(|g| self.party(g))?;
+        for (field, side) in [("from", &sides.from), ("to", &sides.to)] {
+            check_range(field, side.len() as f64, 1.0, MAX_PAIRED_MANAGERS as f64)?;
+            side.iter().try_for_each(|party| self.check_party(party))?;
         }
-        match sides.from.iter().find(|g| sides.to.contains(g)) {
-            Some(g) => Err(InvalidScenario::OnBothSides(g.clone())),
+        match sides.from.iter().find(|party| sides.to.contains(party)) {
+            Some(party) => Err(InvalidScenario::OnBothSides(party.clone())),
             None => Ok(()),
         }
     }
 
     fn check_call(&self, call: &Call) -> Result<(), InvalidScenario> {
         call.to.check(self).map_err(|e| e.at("call.to"))?;
-        let port = |name: &str| self.ports.iter().any(|p| p.name == name);
-        port(&call.port).then_some(()).ok_or_else(|| InvalidScenario::UnknownCallPort(call.port.clone()))?;
+        let is_port = |name: &str| self.ports.iter().any(|p| p.name == name);
+        is_port(&call.port)
+            .then_some(())
+            .ok_or_else(|| InvalidScenario::UnknownCallPort(call.port.clone()))?;
         check_name("call.method", &call.method)?;
-        template::check(&call.path, &port).map_err(InvalidScenario::template("call.path"))?;
-        template::check_value(&call.body, &port).map_err(InvalidScenario::template("call.body"))?;
+        template::check(&call.path, &is_port).map_err(InvalidScenario::template("call.path"))?;
+        template::check_value(&call.body, &is_port).map_err(InvalidScenario::template("call.body"))?;
         call.op.as_ref().map_or(Ok(()), |op| check_name("call.op", op))?;
-        call.cursor_at.as_ref().map_or(Ok(()), |p| pointer("call.cursor_at", p))
+        call.cursor_at.as_ref().map_or(Ok(()), |p| check_pointer("call.cursor_at", p))
     }
 
     fn check_action(&self, action: &Action) -> Result<(), InvalidScenario> {
@@ -207,16 +212,16 @@
             }
             Action::EnginesDrain(p) | Action::EnginesGo(p) | Action::EnginesVanish(p) => p.check(),
             Action::Fault { from, to, rule } => {
-                self.party(from)?;
-                self.party(to)?;
+                self.check_party(from)?;
+                self.check_party(to)?;
                 Ok(rule.check()?)
             }
             Action::Part(sides) | Action::Join(sides) => self.check_sides(sides),
             Action::Cut { from, to, .. } => {
-                self.party(from)?;
-                self.party(to)
+                self.check_party(from)?;
+                self.check_party(to)
             }
-            Action::ZoneCold(zone) => self.party(zone),
+            Action::ZoneCold(zone) => self.check_party(zone),
             Action::Call(call) => self.check_call(call),
             Action::Subscribers(s) => match s {
                 SubscriberAction::Drop(share) | SubscriberAction::Hop(share) => {
@@ -261,24 +266,24 @@
         s.to.as_ref().map_or(Ok(()), |w| w.check(self).map_err(|e| e.at("to")))?;
         if s.count > 0 {
             check_range("at", s.at, 0.0, self.seconds)?;
-            let port = self.ports.iter().any(|p| p.name == s.port);
-            port.then_some(()).ok_or_else(|| InvalidScenario::UnknownSubscriberPort(s.port.clone()))?;
+            let is_port = self.ports.iter().any(|p| p.name == s.port);
+            is_port.then_some(()).ok_or_else(|| InvalidScenario::UnknownSubscriberPort(s.port.clone()))?;
         }
         if !s.path.starts_with('/') || s.path.chars().any(|c| c.is_whitespace() || c.is_control()) {
             return Err(InvalidScenario::InvalidSubscriberPath(s.path.clone()));
         }
-        pointer("prev_at", &s.prev_at)?;
-        pointer("op_at", &s.op_at)?;
+        check_pointer("prev_at", &s.prev_at)?;
+        check_pointer("op_at", &s.op_at)?;
         let needs = || s.needs.values().flat_map(|n| n.values()).flatten();
         check_range("needs", needs().count() as f64, 0.0, MAX_LIST_ENTRIES as f64)?;
-        needs().try_for_each(|p| pointer("needs", p))?;
-        let m = &s.marks;
-        check_range("marks.only", m.only.len() as f64, 0.0, MAX_LIST_ENTRIES as f64)?;
-        let only = m.only.keys().chain(m.release.iter().flat_map(|r| [&r.id, &r.version]));
+        needs().try_for_each(|p| check_pointer("needs", p))?;
+        let marks = &s.marks;
+        check_range("marks.only", marks.only.len() as f64, 0.0, MAX_LIST_ENTRIES as f64)?;
+        let only = marks.only.keys().chain(marks.release.iter().flat_map(|r| [&r.id, &r.version]));
         let halt =
-            m.halt.iter().flat_map(|h| [Some(&h.id), h.version.as_ref(), h.release.as_ref()]).flatten();
-        let over = m.halt_over.iter().map(|h| &h.id);
-        let schema = m.schema.iter().flat_map(|s| [&s.publisher, &s.reads]);
-        only.chain(halt).chain(over).chain(schema).try_for_each(|p| pointer("marks", p))
+            marks.halt.iter().flat_map(|h| [Some(&h.id), h.version.as_ref(), h.release.as_ref()]).flatten();
+        let halt_over = marks.halt_over.iter().map(|h| &h.id);
+        let schema = marks.schema.iter().flat_map(|s| [&s.publisher, &s.reads]);
+        only.chain(halt).chain(halt_over).chain(schema).try_for_each(|p| check_pointer("marks", p))
     }
 }
--- a/crates/cluster-harness/src/scenario/error.rs
+++ b/crates/cluster-harness/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario was rejected.
+//! Errors of scenarios.
 
 use crate::template::TemplateError;
 use sprucelink_failpoints::fault_file::FaultFileError;
@@ -31,15 +31,15 @@
     At {
         /// The part's path.
         path: String,
-        /// The rule.
+        /// The violation in the part.
         source: Box<InvalidScenario>,
     },
     /// A template is unknown or names an unknown port.
     #[error("{path}: {source}")]
     Template {
-        /// The path of the text that holds it.
+        /// Path of the text that contains the template.
         path: String,
-        /// The template.
+        /// The error of the template.
         source: TemplateError,
     },
     /// The history checker's configuration breaks a rule.
@@ -48,19 +48,19 @@
     /// The subscribers' section breaks a rule.
     #[error("subscribers.{0}")]
     Subscribers(#[source] Box<InvalidScenario>),
-    /// The scenario's own name is empty, too long or holds other characters.
-    #[error("name: letters, digits, '-' and '_', 1 to 64 of them, is {0:?}")]
+    /// The scenario's own name is empty, too long or contains other characters.
+    #[error("name: expected 1 to 64 letters, digits, '-' or '_', found {0:?}")]
     InvalidScenarioName(String),
-    /// A name is empty, too long or holds other characters.
-    #[error("{path}: letters, digits, '.', '-' and '_', 1 to 64, not {name:?}")]
+    /// A name is empty, too long, contains other characters or begins with a dot.
+    #[error("{path}: expected 1 to 64 letters, digits, '.', '-' or '_', not '.' first, found {name:?}")]
     InvalidName {
         /// The name's path.
         path: String,
         /// The name.
         name: String,
     },
-    /// A text is no JSON pointer, or too long.
-    #[error("{path}: a JSON pointer such as /prev, not {pointer:?}")]
+    /// A text is not a JSON pointer, or too long.
+    #[error("{path}: expected a JSON pointer such as /prev, of at most 128 bytes, found {pointer:?}")]
     InvalidPointer {
         /// The pointer's path.
         path: String,
@@ -68,66 +68,68 @@
         pointer: String,
     },
     /// A range of the fleet lies outside 0 to 1, or ends before it begins.
-    #[error("must lie within 0 and 1, in order, is {from} to {to}")]
+    #[error("expected fractions from 0 to 1, in order, found {from} to {to}")]
     UnorderedFractions {
-        /// Where it begins, as a fraction of the fleet.
+        /// Start of the range, as a fraction of the fleet.
         from: f64,
-        /// Where it ends, as a fraction of the fleet.
+        /// End of the range, as a fraction of the fleet.
         to: f64,
     },
     /// Managers are selected in no way or in several.
-    #[error("on whom? one of from and to, names, group, drawn")]
+    #[error("expected exactly one selection of managers: from and to, names, group or drawn")]
     NotOneSelector,
     /// No manager has this name.
-    #[error("{name:?} is no manager: n0 to n{last}")]
+    #[error("unknown manager {name:?}: expected n0 to n{last}")]
     UnknownManager {
         /// The name.
         name: String,
-        /// The number of the last manager.
+        /// The index of the last manager.
         last: usize,
     },
     /// No group of managers has this name.
-    #[error("{0:?} is no group of managers")]
+    #[error("unknown group of managers {0:?}")]
     UnknownManagerGroup(String),
-    /// Managers are to know their zones, and there are fewer zones than groups.
+    /// Managers are to know their zones, but there are fewer zones than groups.
     #[error("told_zone: there are more groups than zones")]
     MoreGroupsThanZones,
     /// The zone that the figures are about does not exist.
-    #[error("watch.zone: {0:?} is no zone")]
+    #[error("watch.zone: unknown zone {0:?}")]
     UnknownWatchZone(String),
     /// The log text that precedes a port's address is empty or too long.
-    #[error("ports: said: 1 to 64 letters")]
+    #[error("ports: said: expected 1 to 64 bytes")]
     InvalidPortLogText,
     /// A clock offset is given for a name that is neither a manager nor a group.
-    #[error("clocks: {0:?} is no manager and no group")]
+    #[error("clocks: unknown manager or group {0:?}")]
     UnknownClock(String),
     /// No party of the fault proxy has this name.
     #[error(
-        "{0:?} is no group: a, b, ... of `groups`, lists, engines, hall-a, ...; n0, ... with `pairs` or \
-         `membership`, subscribers where there are some"
+        "unknown party {0:?}: expected a group (a, b, ... of `groups`), lists, engines, a zone (hall-a, ...), \
+         a manager (n0, ...; with `pairs` or `membership`) or subscribers (where there are some)"
     )]
     UnknownParty(String),
-    /// A party stands on both sides of a partition.
+    /// A party is on both sides of a partition.
     #[error("{0:?} is on both sides")]
     OnBothSides(String),
     /// A call goes to a port that the scenario does not declare.
-    #[error("call.port: no port {0:?}")]
+    #[error("call.port: unknown port {0:?}")]
     UnknownCallPort(String),
     /// The subscribers connect to a port that the scenario does not declare.
-    #[error("port: no port {0:?} among `ports`")]
+    #[error("port: unknown port {0:?}, not one of `ports`")]
     UnknownSubscriberPort(String),
-    /// The path that subscribers request is not one.
-    #[error("path: begins with / and holds no blanks, not {0:?}")]
+    /// The path that subscribers request is invalid.
+    #[error(
+        "path: expected a path that begins with / and contains no blanks or control characters, found {0:?}"
+    )]
     InvalidSubscriberPath(String),
 }
 
 impl InvalidScenario {
-    /// The same violation as seen from the part at `path`.
+    /// Adds the path of the part that contains the violation.
     pub(super) fn at(self, path: impl Into<String>) -> InvalidScenario {
         InvalidScenario::At { path: path.into(), source: Box::new(self) }
     }
 
-    /// Names the text at `path` as the one that holds a wrong template.
+    /// Wraps the error of a template with the path of the text that contains it.
     pub(super) fn template(path: impl Into<String>) -> impl FnOnce(TemplateError) -> InvalidScenario {
         let path = path.into();
         move |source| InvalidScenario::Template { path, source }
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! What a run does, as a JSON5 file: how many managers and engines, what clients ask, and the steps in which
-//! things happen. A field that is not known is refused by name; every count and time has a bound.
+//! The description of a run in a JSON5 file: the managers and engines, the clients' load, and the steps of
+//! the run. Unknown fields are rejected by name; every count and time has a limit.
 //!
-//! [`actions`] holds what happens, [`parts`] what there is.
+//! [`actions`] contains the steps and their actions, [`parts`] the other sections.
 
 pub mod actions;
 mod check;
@@ -16,7 +16,7 @@
 };
 pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
-    Engines, HaltMark, History, Load, Marks, Membership, OverMark, Port, ReleaseMark, SchemaMark,
+    Engines, HaltMark, HaltOverMark, History, Load, Marks, Membership, Port, ReleaseMark, SchemaMark,
     Subscribers, Supervise, Watch,
 };
 
@@ -25,79 +25,83 @@
 use sprucelink_history_checker::config::CheckConfig;
 use std::collections::BTreeMap;
 
-/// Engines of a run, those that are added later included.
+/// Maximum number of engines of a run, including those that are added later.
 pub const MAX_ENGINES: usize = 200;
 /// Longest run, in seconds.
 pub const MAX_RUN_SECONDS: f64 = 600.0;
-/// Stand-in subscribers of a run.
+/// Maximum number of stand-in subscribers of a run.
 pub const MAX_SUBSCRIBERS: usize = 300;
-/// Managers of a run in which each is a party of its own in the fault proxy: every two need a path for each port.
+/// Maximum number of managers of a run in which each is a party of its own in the fault proxy: each pair of
+/// managers needs a path for each port.
 pub const MAX_PAIRED_MANAGERS: usize = 32;
-/// Zones of engines, by name. Managers that know their zone are in the first as group `a`, in the second as `b`, ...
+/// Names of the zones of engines. Managers that know their zone are in the first one in group `a`, in the
+/// second one in group `b`, ...
 pub const ZONES: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
-/// Groups of managers, by name.
+/// Names of the groups of managers.
 pub const GROUPS: [&str; 4] = ["a", "b", "c", "d"];
 
-/// A run.
+/// The description of a run.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// Its name, in tables and file names.
+    /// Name of the scenario in tables and file names.
     pub name: String,
-    /// Managers.
+    /// Number of managers.
     pub managers: usize,
-    /// They start one after the other over this time, in milliseconds; 0: at once.
+    /// Time over which the managers start one after the other, in milliseconds; 0: all at once.
     pub start_over_ms: f64,
-    /// Shares of the managers by group (`a`, `b`, ...); with more than one, or with faults, all goes through the
-    /// fault proxy.
+    /// Fractions of the managers in the groups `a`, `b`, ...; they add up to 1. With more than one group, or
+    /// with network faults, all traffic goes through the fault proxy.
     pub groups: Vec<f64>,
     /// The engines at the start.
     pub engines: Engines,
-    /// Zones over which engines are spread in turn; 1 to 4.
+    /// Number of zones, to which engines are assigned in turn; 1 to 4.
     pub zones: usize,
-    /// Managers know their zone: that of their group.
+    /// Managers know their zone, which is that of their group.
     #[serde(rename = "told_zone")]
     pub zone_aware: bool,
-    /// The zone that the run is about, and when it is away.
+    /// The zone that the run is about, and the time for which it is lost.
     pub watch: Option<Watch>,
-    /// Settings of failover between zones, as their JSON5 words them; absent: it is off.
+    /// Settings of the failover between zones, in the format of their file; absent: failover is off.
     pub failover: Option<serde_json::Value>,
-    /// Managers keep a view of the fleet, by UDP through the fault proxy; absent: they do not talk.
+    /// Managers keep a view of the fleet, by UDP through the fault proxy; absent: no membership.
     pub membership: Option<Membership>,
-    /// What clients ask.
+    /// The clients' load.
     pub load: Load,
-    /// How the list service answers at first.
+    /// How the list services answer at the start.
     pub lists: Lists,
-    /// How long it lasts, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: f64,
-    /// A send to a draining engine later than this after its drain was told breaks the rule, in milliseconds; 0 to
-    /// 60,000. The protocol's is 550; tests on busy machines take more.
+    /// Time after the publication of a drain during which attempts may still reach the engine, in
+    /// milliseconds; 0 to 60,000. The protocol's value is 550; tests on busy machines need more.
     pub drain_grace_ms: f64,
-    /// For all that is drawn.
+    /// Seed of everything that is drawn at random.
     pub seed: u64,
-    /// What happens.
+    /// The steps of the run.
     pub steps: Vec<Step>,
-    /// The version under which managers are started at first.
+    /// The version as which managers are started at first.
     pub version: String,
-    /// Each manager is a party of its own in the fault proxy, so that ways between two of them can have rules; at most
-    /// [`MAX_PAIRED_MANAGERS`] managers then. UDP has them always.
+    /// Each manager is a party of its own in the fault proxy, so that routes between two managers can have
+    /// rules. There may be at most [`MAX_PAIRED_MANAGERS`] managers then. For UDP each manager always is a
+    /// party of its own.
     pub pairs: bool,
     /// TCP ports that managers open for one another and for subscribers; at most 4.
     pub ports: Vec<Port>,
-    /// Files written into each manager's folder at each start, by name, as JSON with templates in their texts.
+    /// Files that are written into each manager's folder at each start, by name: JSON with templates in its
+    /// strings.
     pub files: BTreeMap<String, serde_json::Value>,
     /// Further arguments of `serve`, with templates.
     pub args: Vec<String>,
-    /// Clock offsets in milliseconds, by a manager's name or a group's: `{clock_offset_ms}` in templates.
+    /// Clock offsets in milliseconds, by the name of a manager or group; the template `{clock_offset_ms}`.
     pub clocks: Clocks,
-    /// What is done with processes that end by themselves.
+    /// Restarts of processes that end by themselves.
     pub supervise: Supervise,
     /// Faults of managers that reach a failpoint.
     #[serde(rename = "strikes")]
     pub failpoint_faults: Vec<FailpointFault>,
-    /// A history is recorded; absent: only where `check` is there.
+    /// The recorded history; absent: a history with the defaults is recorded if `check` is present.
     pub history: Option<History>,
-    /// What the history is held against; absent: it is not.
+    /// Configuration of the history checker; absent: the history is not checked.
     pub check: Option<CheckConfig>,
     /// Stand-in subscribers.
     pub subscribers: Subscribers,
@@ -138,17 +142,17 @@
 }
 
 impl Scenario {
-    /// Reads a scenario from a JSON5 text.
+    /// Parses and validates a scenario in JSON5.
     ///
     /// # Errors
-    /// The line and field, or the field and rule.
+    /// The line and field of a syntax error, or the invalid field and the rule that it violates.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
-        let set: Scenario = json5::from_str(text)?;
-        set.check()?;
-        Ok(set)
+        let scenario: Scenario = json5::from_str(text)?;
+        scenario.check()?;
+        Ok(scenario)
     }
 
-    /// Whether what managers do goes through the fault proxy.
+    /// Whether the managers' connections to engines and list services go through the fault proxy.
     pub fn uses_fault_proxy(&self) -> bool {
         let is_network_fault =
             |action: &Action| matches!(action, Action::Fault { .. } | Action::Cut { .. } | Action::Part(_));
@@ -157,38 +161,39 @@
         self.groups.len() > 1 || self.pairs || in_steps.chain(at_failpoints).any(is_network_fault)
     }
 
-    /// The names of the groups of managers.
-    pub fn groups_named(&self) -> impl Iterator<Item = &'static str> + '_ {
+    /// The names of the scenario's groups of managers.
+    pub fn group_names(&self) -> impl Iterator<Item = &'static str> + '_ {
         GROUPS.iter().take(self.groups.len()).copied()
     }
 
-    /// The number of the manager of this name, if there is one.
-    pub fn number_of(&self, name: &str) -> Option<usize> {
+    /// The index of the manager of this name, if there is one.
+    pub fn manager_index(&self, name: &str) -> Option<usize> {
         let i: usize = name.strip_prefix('n')?.parse().ok()?;
-        // No leading zeros or signs: one manager has one name.
+        // Leading zeros and signs are rejected, so that each manager has a single name.
         (i < self.managers && name == format!("n{i}")).then_some(i)
     }
 
-    /// The offset of manager `i`'s clock, in milliseconds: its own, or its group's.
-    pub fn clock_of(&self, i: usize) -> i64 {
+    /// The offset of manager `i`'s clock, in milliseconds: its own, else its group's, else 0.
+    pub fn clock_offset_ms(&self, i: usize) -> i64 {
         let own = self.clocks.get(&format!("n{i}"));
         own.or_else(|| self.clocks.get(GROUPS[self.group_of(i)])).copied().unwrap_or(0)
     }
 
     /// Whether a history is recorded.
-    pub fn records(&self) -> bool {
+    pub fn records_history(&self) -> bool {
         self.history.is_some() || self.check.is_some()
     }
 
-    /// The parties that the fault proxy tells apart among managers: each by its name with `pairs`, else the groups.
+    /// The names of the managers' parties in the fault proxy: those of the managers with `pairs`, else of the
+    /// groups.
     pub fn parties(&self) -> Vec<String> {
         match self.pairs {
             true => (0..self.managers).map(|i| format!("n{i}")).collect(),
-            false => self.groups_named().map(str::to_owned).collect(),
+            false => self.group_names().map(str::to_owned).collect(),
         }
     }
 
-    /// The number of manager `i`'s party among them.
+    /// The index of manager `i`'s party in [`Scenario::parties`].
     pub fn party_of(&self, i: usize) -> usize {
         if self.pairs {
             i
@@ -197,14 +202,14 @@
         }
     }
 
-    /// The group of manager `i`, by its number.
+    /// The index of manager `i`'s group.
     pub fn group_of(&self, i: usize) -> usize {
-        let place = (i as f64 + 0.5) / self.managers as f64;
-        let mut upto = 0.0;
-        let ends = self.groups.iter().map(|share| {
-            upto += share;
-            upto
+        let position = (i as f64 + 0.5) / self.managers as f64;
+        let mut sum = 0.0;
+        let ends = self.groups.iter().map(|fraction| {
+            sum += fraction;
+            sum
         });
-        ends.take(self.groups.len() - 1).filter(|end| place >= *end).count()
+        ends.take(self.groups.len() - 1).filter(|end| position >= *end).count()
     }
 }
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -5,15 +5,15 @@
 use sprucelink_membership::{ProtocolConfig, SharingConfig};
 use std::collections::BTreeMap;
 
-/// A zone that a run is about: what the table says of it.
+/// The zone that a run is about, for the report's figures on its loss.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Watch {
     /// The zone.
     pub zone: String,
-    /// When it is lost, in seconds.
+    /// Time at which the zone is lost, in seconds.
     pub from: f64,
-    /// When it comes back.
+    /// Time at which the zone comes back, in seconds.
     pub to: f64,
 }
 
@@ -21,19 +21,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Engines {
-    /// How many.
+    /// Number of engines.
     pub count: usize,
-    /// How many of them are in slow start when the run begins.
+    /// Number of engines, the first ones, that are in slow start when the run begins.
     pub cold: usize,
-    /// How many of them, the last ones, are on the endpoint list but do not run.
+    /// Number of engines, the last ones, that are on the endpoint list but do not run.
     pub missing: usize,
-    /// How many of them, the first ones, are slower by a factor of ten.
+    /// Number of engines, the first ones, that are slower by a factor of ten.
     pub slow: usize,
-    /// Cores of each.
+    /// Cores of each engine.
     pub cores: f64,
     /// Work of a light query on one core, in milliseconds.
     pub light_ms: f64,
-    /// Work of a load, in milliseconds.
+    /// Work of a load on one core, in milliseconds.
     pub heavy_ms: f64,
 }
 
@@ -43,17 +43,18 @@
     }
 }
 
-/// What clients ask.
+/// The clients' load.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second of the whole fleet, spread evenly over the managers; 0 to 5,000.
+    /// Requests per second to the whole fleet, spread evenly over the managers; 0 to 5,000.
     pub rate: f64,
-    /// Share of them that are loads.
+    /// Fraction of the requests that are loads; 0 to 1.
     pub heavy: f64,
-    /// How long clients wait, in milliseconds; 100 to 20,000.
+    /// Timeout of a request, in milliseconds; 100 to 20,000.
     pub timeout_ms: f64,
-    /// While a manager is down, each request of its clients goes to another at random; else it is not sent.
+    /// While a manager is down, its clients send each request to another manager at random; else they send
+    /// none.
     pub follow: bool,
 }
 
@@ -67,31 +68,31 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
-    /// The protocol's figures.
+    /// Settings of the membership protocol.
     pub protocol: ProtocolConfig,
-    /// What is shared.
+    /// Budgets that the fleet shares.
     pub share: SharingConfig,
 }
 
-/// A TCP port that every manager opens, and through which others reach it by the fault proxy.
+/// A TCP port that every manager opens, and at which others reach it through the fault proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Port {
-    /// Its name, in templates.
+    /// Name of the port in templates.
     pub name: String,
-    /// What its log says before the address, such as `council on `.
+    /// Text before the port's address in the manager's log, such as `council on `.
     pub said: String,
 }
 
-/// What the rig does with a process that has ended by itself.
+/// Restarts of processes that have ended by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Supervise {
-    /// Crashed processes are restarted, too; else only those that request another version (status 75).
+    /// Crashed processes are restarted, too; else only those that request another version (exit status 75).
     pub crashed: bool,
     /// Delay of a restart, in milliseconds; 0 to 60,000.
     pub back_ms: f64,
-    /// Restarts of one manager in a run; after them it stays down. 0 to 1,000.
+    /// Maximum number of restarts of one manager in a run; after them it stays down. 0 to 1,000.
     #[serde(rename = "most")]
     pub max_restarts: usize,
 }
@@ -102,13 +103,13 @@
     }
 }
 
-/// What the history holds, beside what processes did.
+/// Content and size of the history, which always contains the events of processes.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct History {
-    /// Every connection and command at the engines.
+    /// Whether the history contains every connection and command at the engines, too.
     pub engines: bool,
-    /// Its maximum length in MB (1 to 1,024); a run that would write more fails.
+    /// Maximum size of the file, in MB of 2^20 bytes; 1 to 1,024. A run that would write more fails.
     #[serde(rename = "most_mb")]
     pub max_mb: u64,
 }
@@ -123,35 +124,36 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Subscribers {
-    /// How many; 0 to 300.
+    /// Number of subscribers; 0 to 300.
     pub count: usize,
-    /// They come one after the other over this time, in milliseconds, from `at` seconds on.
+    /// Time over which the subscribers start one after the other, in milliseconds.
     pub over_ms: f64,
-    /// When the first comes, in seconds.
+    /// Time at which the first subscriber starts, in seconds.
     pub at: f64,
-    /// The managers' port, by its name among the scenario's.
+    /// Name of the managers' port, one of the scenario's `ports`.
     pub port: String,
-    /// The path asked for, with `{version}`, `{filter}` and `{subscriber}`.
+    /// The requested path, with the placeholders `{version}`, `{filter}` and `{subscriber}`.
     pub path: String,
-    /// Protocol versions, over the subscribers in turn.
+    /// Protocol versions, assigned to the subscribers in turn.
     pub versions: Vec<String>,
-    /// Filters, over the subscribers in turn; empty: none.
+    /// Filters, assigned to the subscribers in turn; an empty one means no filter.
     pub filters: Vec<String>,
-    /// The managers they go to; absent: all.
+    /// The managers to which subscribers connect; absent: all.
     pub to: Option<ManagerSelector>,
     /// Mean time after which a subscriber moves to another manager, in seconds; 0: never.
     pub hop_s: f64,
-    /// Time until they reconnect, in milliseconds, until the stream sets it (`retry`); each time 0.5 to 1.5 times that.
+    /// Time until a subscriber reconnects, in milliseconds; the stream can change it (`retry`). Each delay is
+    /// drawn from 0.5 to 1.5 times this.
     pub retry_ms: f64,
-    /// Silence after which they take a connection as dead, in milliseconds.
+    /// Time without data after which a subscriber considers its connection dead, in milliseconds.
     pub silent_ms: f64,
-    /// Where a record's data, a JSON object, holds the position before it.
+    /// JSON pointer to the position before a record, in the record's data.
     pub prev_at: String,
-    /// And the operation that it carries out.
+    /// JSON pointer to the operation that a record carries out, in the record's data.
     pub op_at: String,
-    /// What a version must find in records, as JSON pointers by version and record name: else it cannot read them.
+    /// JSON pointers to the fields that a version needs to read a record, by version and record name.
     pub needs: BTreeMap<String, BTreeMap<String, Vec<String>>>,
-    /// Record names that mean something to the checker.
+    /// Records that have a meaning for the checker.
     pub marks: Marks,
 }
 
@@ -177,68 +179,70 @@
     }
 }
 
-/// Records that mean something to the checker; absent ones are not looked for.
+/// Records that have a meaning for the checker. Kinds of records that are absent here are not searched for.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Marks {
-    /// Only records where all these pointers hold these values count; null: nothing is there.
+    /// Values that a record must have at JSON pointers to be considered; null: the value must be null or
+    /// absent.
     pub only: BTreeMap<String, serde_json::Value>,
-    /// A release's beginning.
+    /// Records of the start of a release.
     pub release: Option<ReleaseMark>,
-    /// A halt.
+    /// Records of a halt.
     pub halt: Option<HaltMark>,
-    /// A halt's end.
-    pub halt_over: Option<OverMark>,
-    /// A schema.
+    /// Records of the end of a halt.
+    pub halt_over: Option<HaltOverMark>,
+    /// Records of a schema's activation.
     pub schema: Option<SchemaMark>,
 }
 
-/// How a record tells that a release begins.
+/// Name and fields of the record of the start of a release.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReleaseMark {
     /// The record's name.
     pub record: String,
-    /// Where it tells the release's id, as a JSON pointer to a text or a number.
+    /// JSON pointer to the release's id, a string or a number.
     pub id: String,
-    /// Where it tells the version that is released.
+    /// JSON pointer to the version that is released.
     pub version: String,
 }
 
-/// How a record tells a halt.
+/// Name and fields of the record of a halt.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HaltMark {
     /// The record's name.
     pub record: String,
-    /// Where it tells its id.
+    /// JSON pointer to the halt's id.
     pub id: String,
-    /// Where it tells the version whose release is halted.
+    /// JSON pointer to the version whose release is halted.
     #[serde(default)]
     pub version: Option<String>,
-    /// Or where it tells the release; with neither it is a halt of all.
+    /// JSON pointer to the id of the halted release, used if `version` is absent. With neither, all releases
+    /// are halted.
     #[serde(default)]
     pub release: Option<String>,
 }
 
-/// How a record tells a halt's end.
+/// Name and fields of the record of the end of a halt.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OverMark {
+pub struct HaltOverMark {
     /// The record's name.
     pub record: String,
-    /// Where it tells the halt's id.
+    /// JSON pointer to the halt's id.
     pub id: String,
 }
 
-/// How a record tells a schema.
+/// Name and fields of the record of a schema's activation.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SchemaMark {
     /// The record's name.
     pub record: String,
-    /// Where it tells the publisher.
+    /// JSON pointer to the publisher.
     pub publisher: String,
-    /// Where it tells the list of subscribers' versions that can read it.
+    /// JSON pointer to the list of subscribers' versions that can read the schema.
     pub reads: String,
 }
--- a/crates/cluster-harness/src/scenario/tests.rs
+++ b/crates/cluster-harness/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! What is read and what is refused.
+//! Tests of parsing, validation and selection.
 
 use super::*;
 
@@ -19,29 +19,30 @@
 }
 
 #[test]
-fn what_cannot_be_meant_is_named() {
-    let wrong = |text: &str| Scenario::parse(text).unwrap_err().to_string();
-    assert!(wrong("{ managrs: 3 }").contains("managrs"));
-    assert!(wrong("{ managers: 100000 }").contains("managers"));
-    assert!(wrong("{ seconds: 1, steps: [ { at: 5, do: 'heal' } ] }").contains("steps[0]: at"));
-    assert!(wrong("{ steps: [ { at: 5, do: { kill: { from: 0.5, to: 0.2 } } } ] }").contains("in order"));
-    assert!(wrong("{ groups: [0.5, 0.2] }").contains("groups"));
-    assert!(wrong("{ name: '../x' }").contains("name"));
-    let e = wrong("{ steps: [ { at: 1, do: { cut: { from: 'b', to: 'lists', how: 'close' } } } ] }");
-    assert!(e.contains("\"b\" is no group"), "{e}");
+fn errors_name_the_invalid_field() {
+    let error = |text: &str| Scenario::parse(text).unwrap_err().to_string();
+    assert!(error("{ managrs: 3 }").contains("managrs"));
+    assert!(error("{ managers: 100000 }").contains("managers"));
+    assert!(error("{ seconds: 1, steps: [ { at: 5, do: 'heal' } ] }").contains("steps[0]: at"));
+    assert!(error("{ steps: [ { at: 5, do: { kill: { from: 0.5, to: 0.2 } } } ] }").contains("in order"));
+    assert!(error("{ groups: [0.5, 0.2] }").contains("groups"));
+    assert!(error("{ name: '../x' }").contains("name"));
+    let e = error("{ steps: [ { at: 1, do: { cut: { from: 'b', to: 'lists', how: 'close' } } } ] }");
+    assert!(e.contains("unknown party \"b\""), "{e}");
 }
+
 #[test]
-fn whom_is_told_in_one_way_and_drawn_by_the_seed() {
+fn managers_are_selected_in_exactly_one_way_and_drawn_by_the_seed() {
     let s = Scenario::parse("{ managers: 8, groups: [0.5, 0.5] }").expect("read");
-    let who = |text: &str| json5::from_str::<ManagerSelector>(text).expect("read");
-    assert_eq!(who("{ names: ['n7', 'n0', 'n7'] }").select(&s, 0), [7, 0]);
-    assert_eq!(who("{ group: 'b' }").select(&s, 0), [4, 5, 6, 7]);
-    assert_eq!(who("{ from: 0.25, to: 0.5 }").select(&s, 0), [2, 3]);
-    let drawn = who("{ drawn: 3 }");
-    assert_eq!(drawn.select(&s, 1), drawn.select(&s, 1), "the same each run");
-    let times: std::collections::BTreeSet<Vec<usize>> = (0..20).map(|k| drawn.select(&s, k)).collect();
-    assert!(times.len() > 5, "and other ones each time");
-    for bad in [
+    let selector = |text: &str| json5::from_str::<ManagerSelector>(text).expect("read");
+    assert_eq!(selector("{ names: ['n7', 'n0', 'n7'] }").select(&s, 0), [7, 0]);
+    assert_eq!(selector("{ group: 'b' }").select(&s, 0), [4, 5, 6, 7]);
+    assert_eq!(selector("{ from: 0.25, to: 0.5 }").select(&s, 0), [2, 3]);
+    let drawn = selector("{ drawn: 3 }");
+    assert_eq!(drawn.select(&s, 1), drawn.select(&s, 1), "the same in each run");
+    let selections: std::collections::BTreeSet<Vec<usize>> = (0..20).map(|k| drawn.select(&s, k)).collect();
+    assert!(selections.len() > 5, "different managers for different draws");
+    for invalid in [
         "{}",
         "{ names: ['n8'] }",
         "{ names: ['n01'] }",
@@ -49,13 +50,13 @@
         "{ drawn: 9 }",
         "{ group: 'a', drawn: 1 }",
     ] {
-        assert!(who(bad).check(&s).is_err(), "{bad}");
+        assert!(selector(invalid).check(&s).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn faults_of_processes_are_checked_by_path() {
-    let good = "{ managers: 5, groups: [0.6, 0.4], pairs: true, seconds: 20, clocks: { n1: -500, b: 3000 },
+fn invalid_process_faults_are_reported_with_their_path() {
+    let valid = "{ managers: 5, groups: [0.6, 0.4], pairs: true, seconds: 20, clocks: { n1: -500, b: 3000 },
         ports: [ { name: 'fanout', said: 'fanout on ' } ], args: ['--fleet', '{folder}/fleet.json5'],
         files: { 'fleet.json5': { peers: '{peers_json:fanout}', offset: '{clock_offset_ms}' } },
         strikes: [ { point: 'vote.unsynced', who: { names: ['n0'] }, do: 'kill', back_ms: 300,
@@ -65,10 +66,10 @@
         steps: [ { at: 1, every: 2, times: 3, spread: 0.5, do: { restart_empty: { drawn: 1 } } },
                  { at: 2, do: { disk: { who: { group: 'a' }, fault: { hold_back: 2 } } } },
                  { at: 3, do: { subscribers: { drop: 0.5 } } } ] }";
-    let s = Scenario::parse(good).expect("read");
-    assert_eq!((s.clock_of(0), s.clock_of(1), s.clock_of(4)), (0, -500, 3000));
-    assert!(s.uses_fault_proxy() && s.records());
-    for (from, to, named) in [
+    let s = Scenario::parse(valid).expect("read");
+    assert_eq!((s.clock_offset_ms(0), s.clock_offset_ms(1), s.clock_offset_ms(4)), (0, -500, 3000));
+    assert!(s.uses_fault_proxy() && s.records_history());
+    for (from, to, expected) in [
         ("'n2', 'b'", "'n1'", "on both sides"),
         ("n1: -500", "n9: 1", "clocks"),
         ("peers_json:fanout", "peers_json:council", "files.fleet.json5"),
@@ -81,14 +82,14 @@
         ("name: 'fanout'", "name: 'council'", "files"),
         ("count: 20", "count: 301", "subscribers.count"),
     ] {
-        let e = Scenario::parse(&good.replace(from, to)).unwrap_err().to_string();
-        assert!(e.contains(named), "{to}: {e}");
+        let e = Scenario::parse(&valid.replace(from, to)).unwrap_err().to_string();
+        assert!(e.contains(expected), "{to}: {e}");
     }
 }
 
-/// A history holds this text, and readers of kept histories look for it.
+/// Histories contain this text, and readers of stored histories search for it.
 #[test]
-fn the_debug_form_of_actions_stays_as_histories_hold_it() {
+fn the_debug_text_of_actions_is_that_of_stored_histories() {
     assert_eq!(
         format!("{:?}", Action::Kill(ManagerSelector::single(1))),
         r#"Kill(Who { from: None, to: None, names: Some(["n1"]), group: None, drawn: None, over_ms: 0.0 })"#
--- a/crates/cluster-harness/tests/injected_violations.rs
+++ b/crates/cluster-harness/tests/injected_violations.rs
@@ -1,5 +1,6 @@
-//! The rig on a stand-in for managers: its faults do what they say, a run without a broken rule passes, and one with a
-//! rule broken by an injected violation fails for it.
+//! Tests of the harness with a stand-in for managers: faults have their described effect, a run without
+//! violations passes the checker, and a run with an injected violation fails it.
+
 use sprucelink_cluster_harness::history;
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
@@ -9,19 +10,20 @@
 };
 use std::path::Path;
 
-/// The stand-in, built beside the rig: `cargo test` builds examples.
+/// The stand-in, in the target folder of the harness: `cargo test` builds examples.
 fn program(dir: &Path) -> Program {
-    let fleet = Path::new(env!("CARGO_BIN_EXE_sprucelink-cluster-harness"));
-    let path = fleet.with_file_name("examples").join("standin");
+    let harness = Path::new(env!("CARGO_BIN_EXE_sprucelink-cluster-harness"));
+    let path = harness.with_file_name("examples").join("standin");
     assert!(
         path.exists(),
-        "{} is not there: cargo build -p sprucelink-cluster-harness --examples",
+        "{} does not exist: cargo build -p sprucelink-cluster-harness --examples",
         path.display()
     );
     Program { path, args: Vec::new(), dir: dir.to_owned() }
 }
 
-/// Three managers, subscribers of two versions, one budget; `plan`: what is in the stand-ins' plan besides.
+/// Runs a scenario of three managers, subscribers of two versions and a budget of one. `plan` contains
+/// further fields of the stand-ins' plan, `more` further fields of the scenario.
 fn play(name: &str, plan: &str, more: &str) -> (Outcome, Vec<HistoryEntry>) {
     let text = format!(
         "{{ name: '{name}', managers: 3, pairs: true, seconds: 8, load: {{ rate: 0 }}, engines: {{ count: 1 }},
@@ -37,24 +39,25 @@
     );
     let scenario = Scenario::parse(&text).expect("a scenario");
     let dir = run::scratch(name);
-    let got = run::run(&scenario, &program(&dir)).expect("carried out");
-    let lines = history::read(got.history.as_ref().expect("a history")).expect("read");
+    let outcome = run::run(&scenario, &program(&dir)).expect("completed");
+    let lines = history::read(outcome.history.as_ref().expect("a history")).expect("read");
     run::clear(&dir);
-    let verdict = got.verdict.as_ref().expect("judged");
+    let verdict = outcome.verdict.as_ref().expect("checked");
     verdict.violations().take(3).for_each(|v| eprintln!("{name}: {v:?}"));
-    (got, lines)
+    (outcome, lines)
 }
 
-fn seen(got: &Outcome, rule: &str) -> u64 {
-    got.verdict.as_ref().expect("judged").examined(rule)
+/// Number of facts that the checker examined for an invariant.
+fn examined(outcome: &Outcome, rule: &str) -> u64 {
+    outcome.verdict.as_ref().expect("checked").examined(rule)
 }
 
-/// Whether just the rules named are broken.
-fn breaks(name: &str, plan: &str, more: &str, rules: &[&str]) {
-    let (got, _) = play(name, plan, more);
-    let verdict = got.verdict.expect("judged");
+/// Asserts that a run violates these invariants and no others.
+fn assert_violates(name: &str, plan: &str, more: &str, rules: &[&str]) {
+    let (outcome, _) = play(name, plan, more);
+    let verdict = outcome.verdict.expect("checked");
     for rule in rules {
-        assert!(verdict.is_violated(rule), "{name}: {rule} is not broken");
+        assert!(verdict.is_violated(rule), "{name}: {rule} is not violated");
     }
     assert!(
         verdict.invariants.iter().all(|(n, f)| f.violations.is_empty() || rules.contains(n)),
@@ -62,10 +65,11 @@
     );
 }
 
-/// Kills, stops, partitions, storms and hops, and a release in order: no rule is broken, and each had something to judge.
+/// A run with kills, stops, partitions, reconnect storms, hops and an orderly release: no invariant is
+/// violated, and each of them has examined at least one fact.
 #[test]
-fn a_run_full_of_faults_in_which_no_rule_is_broken_passes() {
-    let (got, lines) = play(
+fn a_run_with_faults_and_without_violations_passes() {
+    let (outcome, lines) = play(
         "rig-good",
         "next: 'v2', out_ms: { n0: 900, n1: 3800, n2: 5600 }",
         "strikes: [ { point: 'standin.permit', who: { names: ['n0'] }, do: 'kill', back_ms: 300 },
@@ -77,69 +81,77 @@
                   { at: 2.7, do: { cut: { from: 'subscribers', to: 'n1', how: 'reset' } } },
                   { at: 5.2, do: { call: { to: { names: ['n1'] }, port: 'fanout', path: '/v1/op/{op}', op: 'o' } } } ]",
     );
-    assert_eq!(got.report.violations, Some(0));
-    assert_eq!(got.report.up, 3);
+    assert_eq!(outcome.report.violations, Some(0));
+    assert_eq!(outcome.report.up, 3);
     for rule in
         [agreement::NAME, budget::NAME, schema::NAME, order::NAME, uncommitted::NAME, acknowledged::NAME]
     {
-        assert!(seen(&got, rule) > 0, "{rule} had nothing to judge");
+        assert!(examined(&outcome, rule) > 0, "{rule} examined nothing");
     }
-    assert!(seen(&got, order::NAME) > 100, "{} records", seen(&got, order::NAME));
-    // n0 is killed exactly where it waits, and so is not beyond it; n1 comes back as what it asked for.
-    let at = |what: &dyn Fn(&Event) -> bool| lines.iter().position(|l| what(&l.event));
-    let named = |p: &str, name: &str| p == name;
-    let point =
-        at(&|e| matches!(e, Event::FailpointHit { process, .. } if named(process, "n0"))).expect("a point");
-    let killed = at(
-        &|e| matches!(e, Event::Exited { process, signal: Some(9), cause: ExitCause::Nemesis, .. } if named(process, "n0")),
-    );
-    assert!(killed.expect("killed") > point);
-    let left = at(
-        &|e| matches!(e, Event::Exited { process, status: Some(75), next: Some(v), .. } if named(process, "n1") && v == "v2"),
+    assert!(examined(&outcome, order::NAME) > 100, "{} records", examined(&outcome, order::NAME));
+    // n0 is killed while it waits at the failpoint; n1 is restarted as the version that it requested.
+    let position = |matches: &dyn Fn(&Event) -> bool| lines.iter().position(|l| matches(&l.event));
+    let failpoint = position(&|e| matches!(e, Event::FailpointHit { process, .. } if process == "n0"))
+        .expect("a failpoint hit");
+    let killed = position(
+        &|e| matches!(e, Event::Exited { process, signal: Some(9), cause: ExitCause::Nemesis, .. } if process == "n0"),
     );
-    let back = at(
-        &|e| matches!(e, Event::Started { process, version, .. } if named(process, "n1") && version == "v2"),
+    assert!(killed.expect("killed") > failpoint);
+    let exited = position(
+        &|e| matches!(e, Event::Exited { process, status: Some(75), next: Some(v), .. } if process == "n1" && v == "v2"),
     );
-    assert!(left.expect("left") < back.expect("back"));
-    assert!(at(&|e| matches!(e, Event::Suspended { process } if named(process, "n2"))).is_some());
-    assert!(at(&|e| matches!(e, Event::Resumed { process } if named(process, "n2"))).is_some());
-    assert!(
-        at(&|e| matches!(e, Event::SubscriberDisconnected { why, .. } if why.contains("dropped"))).is_some()
+    let restarted = position(
+        &|e| matches!(e, Event::Started { process, version, .. } if process == "n1" && version == "v2"),
     );
+    assert!(exited.expect("exited") < restarted.expect("restarted"));
+    assert!(position(&|e| matches!(e, Event::Suspended { process } if process == "n2")).is_some());
+    assert!(position(&|e| matches!(e, Event::Resumed { process } if process == "n2")).is_some());
+    assert!(position(&|e| matches!(e, Event::SubscriberDisconnected { why, .. } if why.contains("dropped")))
+        .is_some());
 }
 
-/// What managers tell subscribers, broken in each way by one of them or by all.
+/// Wrong records sent to subscribers, by one manager or by all: left out, repeated, incomplete, changed,
+/// uncommitted.
 #[test]
-fn records_that_one_manager_tells_wrongly_fail_the_run() {
-    let told_wrongly = [agreement::NAME, uncommitted::NAME];
+fn runs_with_wrong_records_violate_the_invariants_of_subscribers() {
+    let divergence = [agreement::NAME, uncommitted::NAME];
     std::thread::scope(|s| {
-        s.spawn(|| breaks("rig-skip", "plant: 'skip', plant_at: 'n1'", "", &[order::NAME]));
-        s.spawn(|| breaks("rig-repeat", "plant: 'repeat', plant_at: 'n1'", "", &[order::NAME]));
-        s.spawn(|| breaks("rig-strip", "plant: 'strip'", "", &[schema::NAME]));
-        s.spawn(|| breaks("rig-reword", "plant: 'reword', plant_at: 'n1'", "", &told_wrongly));
+        s.spawn(|| assert_violates("rig-skip", "plant: 'skip', plant_at: 'n1'", "", &[order::NAME]));
+        s.spawn(|| assert_violates("rig-repeat", "plant: 'repeat', plant_at: 'n1'", "", &[order::NAME]));
+        s.spawn(|| assert_violates("rig-strip", "plant: 'strip'", "", &[schema::NAME]));
+        s.spawn(|| assert_violates("rig-reword", "plant: 'reword', plant_at: 'n1'", "", &divergence));
         let early = [agreement::NAME, uncommitted::NAME, order::NAME];
-        s.spawn(move || breaks("rig-early", "plant: 'early', plant_at: 'n1'", "", &early));
+        s.spawn(move || assert_violates("rig-early", "plant: 'early', plant_at: 'n1'", "", &early));
     });
 }
 
-/// What managers do: two out at once, one out for a halted release, an operation acknowledged and dropped.
+/// Wrong behaviour of managers: two out at once, one out for a halted release, an acknowledged operation
+/// lost.
 #[test]
-fn outages_and_acknowledgements_that_break_a_rule_fail_the_run() {
+fn runs_with_excess_outages_or_lost_operations_violate_the_invariants_of_managers() {
     std::thread::scope(|s| {
-        s.spawn(|| breaks("rig-two-out", "next: 'v2', out_ms: { n1: 1500, n2: 1500 }", "", &[budget::NAME]));
-        // A crash in the fault proxy of a permit breaks nothing; a permit in the fault proxy of a crash does.
+        s.spawn(|| {
+            assert_violates("rig-two-out", "next: 'v2', out_ms: { n1: 1500, n2: 1500 }", "", &[budget::NAME])
+        });
+        // A crash during a permitted outage violates nothing; a permitted outage during a crash does.
         let crash = "steps: [ { at: 1.2, do: { kill: { names: ['n2'] } } } ]";
-        s.spawn(move || breaks("rig-crash", "next: 'v2', out_ms: { n1: 2500 }", crash, &[budget::NAME]));
-        s.spawn(|| breaks("rig-halt", "next: 'v2', halt_at: 10, out_ms: { n1: 2500 }", "", &[halt::NAME]));
+        s.spawn(move || {
+            assert_violates("rig-crash", "next: 'v2', out_ms: { n1: 2500 }", crash, &[budget::NAME])
+        });
+        s.spawn(|| {
+            assert_violates("rig-halt", "next: 'v2', halt_at: 10, out_ms: { n1: 2500 }", "", &[halt::NAME])
+        });
         let call = "steps: [ { at: 2, do: { call: { to: { names: ['n1'] }, port: 'fanout', path: '/v1/op/{op}', op: 'o' } } } ]";
-        s.spawn(move || breaks("rig-lose", "plant: 'lose', plant_at: 'n1'", call, &[acknowledged::NAME]));
+        s.spawn(move || {
+            assert_violates("rig-lose", "plant: 'lose', plant_at: 'n1'", call, &[acknowledged::NAME])
+        });
     });
 }
 
-/// Folders, disks and clocks: what each start finds is in its log.
+/// Each start of the stand-in logs the size of its store and its clock offset.
 #[test]
-fn folders_disks_and_clocks_are_as_the_scenario_says() {
-    let (got, lines) = play(
+fn copies_disk_faults_and_clock_offsets_take_effect() {
+    let (outcome, lines) = play(
         "rig-disk",
         "",
         "clocks: { n0: -1500, a: 20 },
@@ -151,29 +163,31 @@
                   { at: 2.8, do: { tear: { who: { names: ['n2'] }, file: 'store', bytes: 3 } } },
                   { at: 3.2, do: { restart: { from: 0, to: 1 } } } ]",
     );
-    let held = |i: usize, what: &str| assert!(got.logs[i].contains(what), "n{i}: {what}: {}", got.logs[i]);
-    // 24 bytes a start; the last of the second start's three writes was held back, and lost.
-    held(0, "store held 40 bytes");
-    held(1, "store held 44 bytes");
-    held(1, "no space left");
-    // One start's, put back, less three.
-    held(2, "store held 21 bytes");
-    held(0, "clock off by -1500 ms");
-    held(1, "clock off by 20 ms");
+    let assert_logged =
+        |i: usize, text: &str| assert!(outcome.logs[i].contains(text), "n{i}: {text}: {}", outcome.logs[i]);
+    // Each start writes 24 bytes; the last of the second start's three writes was held back, and lost.
+    assert_logged(0, "store held 40 bytes");
+    assert_logged(1, "store held 44 bytes");
+    assert_logged(1, "no space left");
+    // The 24 bytes of one start were restored from the copy, then truncated by 3.
+    assert_logged(2, "store held 21 bytes");
+    assert_logged(0, "clock off by -1500 ms");
+    assert_logged(1, "clock off by 20 ms");
     let starts = lines.iter().filter(|l| matches!(l.event, Event::Started { emptied: false, .. })).count();
     assert_eq!(starts, 9);
 }
 
-/// A process that asks for another version without naming one has crashed, and an emptied folder is empty.
+/// A process that requests another version without naming one counts as crashed and is not restarted;
+/// `restart_empty` empties the folder.
 #[test]
-fn a_process_that_names_no_version_crashes_and_an_emptied_folder_is_empty() {
-    let (got, lines) = play(
+fn a_process_that_names_no_version_has_crashed_and_restart_empty_empties_the_folder() {
+    let (outcome, lines) = play(
         "rig-nameless",
         "out_ms: { n1: 900 }",
         "steps: [ { at: 2, do: { restart_empty: { names: ['n2'] } } } ]",
     );
-    assert_eq!(got.report.crashed, 1);
-    assert!(got.logs[2].contains("store held 0 bytes"), "{}", got.logs[2]);
+    assert_eq!(outcome.report.crashed, 1);
+    assert!(outcome.logs[2].contains("store held 0 bytes"), "{}", outcome.logs[2]);
     let of_n1 = |l: &&HistoryEntry| matches!(&l.event, Event::Started { process, .. } if process == "n1");
-    assert_eq!(lines.iter().filter(of_n1).count(), 1, "it stays down");
+    assert_eq!(lines.iter().filter(of_n1).count(), 1, "n1 stays down");
 }
