--- a/crates/capture/src/explain/moment.rs
+++ b/crates/capture/src/explain/moment.rs
@@ -35,7 +35,7 @@
         let overview = step.policy.overview();
         let text = describe_overview(&overview);
         self.add_line(now, text, json!({"kind": "overview", "overview": overview}));
-        for engine in step.policy.engine_views().into_iter().filter(|engine| !engine.withdrawn) {
+        for engine in step.policy.engine_views().into_iter().filter(|engine| !engine.gone) {
             let name = self.engines.describe(engine.engine);
             let text = format!("engine {name}: {}", describe_engine_state(&engine));
             self.add_line(now, text, json!({"kind": "belief", "belief": engine}));
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -16,8 +16,7 @@
     /// Whether the endpoint list has the engine as ready.
     pub listed: bool,
     /// Whether the endpoint list has the engine as gone.
-    #[serde(rename = "gone")]
-    pub withdrawn: bool,
+    pub gone: bool,
     /// Number of its zone, by the endpoint list.
     pub zone: u32,
     /// Machine kind: index in [`Settings::kind_cores`](crate::Settings::kind_cores).
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -172,7 +172,7 @@
     pub(crate) fn to_stored(&self) -> StoredEngine {
         let mut stored = StoredEngine {
             listed: self.is_listed,
-            withdrawn: self.is_gone,
+            gone: self.is_gone,
             zone: self.zone,
             kind: self.kind,
             cell: self.cell,
@@ -193,7 +193,7 @@
     pub(crate) fn from_stored(mut stored: StoredEngine) -> Engine {
         Engine {
             is_listed: stored.listed,
-            is_gone: stored.withdrawn,
+            is_gone: stored.gone,
             zone: stored.zone,
             kind: stored.kind,
             cell: stored.cell,
--- a/crates/policy/src/policy/views.rs
+++ b/crates/policy/src/policy/views.rs
@@ -89,7 +89,7 @@
     EngineView {
         engine: id.0,
         listed: engine.is_listed(),
-        withdrawn: engine.is_gone(),
+        gone: engine.is_gone(),
         zone: engine.zone(),
         kind: engine.kind(),
         cores: engine.cores(),
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -111,8 +111,7 @@
 #[serde(default)]
 pub(crate) struct StoredEngine {
     pub(crate) listed: bool,
-    #[serde(rename = "gone")]
-    pub(crate) withdrawn: bool,
+    pub(crate) gone: bool,
     pub(crate) zone: u32,
     pub(crate) kind: u32,
     pub(crate) cell: u32,
