--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -72,7 +72,7 @@
 
     /// Whether a retry at `now` cannot take effect a second time. `may_have_run_since`: time at which the
     /// first attempt that may have run was sent; `None` if none may have run.
-    pub fn may_run_again(&self, now: Timestamp, may_have_run_since: Option<Timestamp>) -> bool {
+    pub fn is_retry_harmless(&self, now: Timestamp, may_have_run_since: Option<Timestamp>) -> bool {
         let Some(since) = may_have_run_since else { return true };
         match self.effect {
             Effect::Safe => true,
@@ -83,7 +83,7 @@
 
     /// Decides whether a further attempt may be sent at `now`, without regard to the retry budget.
     pub fn decide(&self, now: Timestamp, history: &AttemptHistory, max_attempts: u32) -> RetryDecision {
-        if !self.may_run_again(now, history.may_have_run_since) {
+        if !self.is_retry_harmless(now, history.may_have_run_since) {
             return match self.effect {
                 Effect::Keyed => RetryDecision::DedupWindowPassed,
                 Effect::Safe | Effect::Unsafe => RetryDecision::MayRunTwice,
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -7,7 +7,7 @@
 //! The policy selected the engine some time ago. Since then the attempt may have waited for its connection,
 //! for a slow peer, or for the processor. Five rules are therefore checked again on the current state: the
 //! request is open, the deadline has not passed, the engine is ready, the class allows a retry
-//! ([`RetryRule::may_run_again`]), and the retry budget has capacity ([`RetryBudgetSettings::has_capacity`]).
+//! ([`RetryRule::is_retry_harmless`]), and the retry budget has capacity ([`RetryBudgetSettings::has_capacity`]).
 //! The other rules are checked only when the engine is selected: number of attempts, deduplication group,
 //! slow start, health. An attempt that fails a check is withdrawn; it was never sent, so its request loses
 //! nothing but time.
@@ -141,7 +141,7 @@
 
     fn is_retryable(&self, now: Timestamp, attempt: &OutgoingAttempt) -> bool {
         let rule = self.retry_rules.get(attempt.class);
-        rule.is_none_or(|rule| rule.may_run_again(now, attempt.may_have_run_since))
+        rule.is_none_or(|rule| rule.is_retry_harmless(now, attempt.may_have_run_since))
     }
 
     /// Whether a further retry stays within the budget. In the slot in which the window starts, retries are
