--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -11,8 +11,8 @@
 use sprucelink_stable_hash::SplitMix64;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Number of table groups last sent to an engine that are assumed to be in its cache: engines do not report
-/// them.
+/// Number of table groups, those of the last requests to an engine, that are assumed to be in its cache:
+/// engines do not report them.
 const CACHED_TABLE_GROUPS: usize = 4;
 
 /// The record of one engine.
@@ -30,7 +30,7 @@
     own_threads: f64,
     own_attempts: u32,
     last_send: Option<Timestamp>,
-    recent_tables: RecentSet,
+    recent_table_groups: RecentSet,
     pub(crate) load: EngineLoad,
     pub(crate) health: EngineHealth,
     pub(crate) slow_start: SlowStartBudget,
@@ -83,9 +83,9 @@
         self.last_send
     }
 
-    /// Whether the engine was recently sent requests on these tables.
+    /// Whether the engine was recently sent requests on this table group, which it probably has in its cache.
     pub(crate) fn has_cached(&self, table_group: u64) -> bool {
-        self.recent_tables.contains(table_group)
+        self.recent_table_groups.contains(table_group)
     }
 
     /// An attempt is sent to the engine. `charge`: work charged to the slow-start budget, thread-seconds.
@@ -102,7 +102,7 @@
         self.last_send = Some(now);
         self.own_threads += threads;
         self.own_attempts += 1;
-        self.recent_tables.touch(table_group, CACHED_TABLE_GROUPS);
+        self.recent_table_groups.touch(table_group, CACHED_TABLE_GROUPS);
     }
 
     /// An attempt on the engine has ended.
@@ -128,8 +128,8 @@
     }
 
     /// Resets the record of an engine that is listed again after the list had it as gone. Another engine may
-    /// now have its number, so that only the attempts in flight are still valid. It may also be the same
-    /// engine, after a delayed list, so that the work sent in the slow-start window still counts.
+    /// now have its number, so that only the attempts in flight are still valid. Or the same engine has it,
+    /// after a delayed list, so that the work sent in the slow-start window still counts.
     fn reset_except_sends(&mut self) {
         let earlier = std::mem::take(self);
         self.own_threads = earlier.own_threads;
@@ -142,8 +142,8 @@
         self.is_listed = false;
     }
 
-    /// Applies the engine's entry of the endpoint list; `true` if the engine has a new process.
-    pub(crate) fn update(
+    /// Applies the engine's entry of the endpoint list. Returns `true` if the engine has a new process.
+    pub(crate) fn apply_entry(
         &mut self,
         now: Timestamp,
         entry: &EngineEntry,
@@ -157,8 +157,8 @@
         let is_new_process = entry.since > self.started_at;
         if is_new_process {
             self.health.reset_for_new_process(now);
-            self.recent_tables.clear();
-            self.slow_start.draw_sender(now, settings, random);
+            self.recent_table_groups.clear();
+            self.slow_start.draw_number(now, settings, random);
         }
         self.is_listed = entry.state == EngineState::Ready;
         self.zone = entry.zone;
@@ -181,7 +181,7 @@
             threads: self.own_threads,
             in_flight: self.own_attempts,
             last_send: self.last_send,
-            recent_tables: self.recent_tables.clone(),
+            recent_table_groups: self.recent_table_groups.clone(),
             ..StoredEngine::default()
         };
         self.load.store(&mut stored);
@@ -202,7 +202,7 @@
             own_threads: stored.threads,
             own_attempts: stored.in_flight,
             last_send: stored.last_send,
-            recent_tables: std::mem::take(&mut stored.recent_tables),
+            recent_table_groups: std::mem::take(&mut stored.recent_table_groups),
             load: EngineLoad::restore(&stored),
             health: EngineHealth::restore(&stored),
             slow_start: SlowStartBudget::restore(&mut stored),
--- a/crates/policy/src/engine_eligibility.rs
+++ b/crates/policy/src/engine_eligibility.rs
@@ -21,7 +21,7 @@
     if !is_placement_allowed(class, engine.kind(), engine.zone()) {
         return Some(IneligibleReason::WrongPlacement);
     }
-    let first = request.may_have_run.map(|(_, first)| &fleet.engines[first]);
+    let first = request.first_may_have_run.map(|(_, engine)| &fleet.engines[engine]);
     if !is_retry_deduplicated(class, first, engine) {
         return Some(IneligibleReason::OutsideDedupGroup);
     }
@@ -43,7 +43,7 @@
 }
 
 /// Whether an engine would recognise a retry of the first attempt that may have run, on the engine `first`,
-/// by its idempotency key. Classes without keys are not deduplicated and don't need to be.
+/// by its idempotency key. Retries of classes without keys need no deduplication.
 fn is_retry_deduplicated(class: &ClassSettings, first: Option<&Engine>, engine: &Engine) -> bool {
     let Some(first) = first.filter(|_| class.effect == Effect::Keyed) else { return true };
     let locality = |engine: &Engine| Locality { zone: engine.zone(), cell: engine.cell() };
--- a/crates/policy/src/engine_table.rs
+++ b/crates/policy/src/engine_table.rs
@@ -38,13 +38,13 @@
         self.engines.iter().enumerate().map(|(index, engine)| (EngineId(index as u32), engine))
     }
 
-    /// Every engine with its number, in the order of the numbers.
+    /// Like [`iter`](Self::iter), with mutable engines.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (EngineId, &mut Engine)> {
         self.engines.iter_mut().enumerate().map(|(index, engine)| (EngineId(index as u32), engine))
     }
 
     /// Applies an update of the endpoint list.
-    pub(crate) fn update(
+    pub(crate) fn apply_endpoint_update(
         &mut self,
         now: Timestamp,
         kind: EndpointUpdate,
@@ -58,13 +58,13 @@
             self.engines.iter_mut().for_each(Engine::unlist);
         }
         for entry in entries {
-            self.update_entry(now, entry, settings, outliers, random);
+            self.apply_entry(now, entry, settings, outliers, random);
         }
         let ready = self.engines.iter().filter(|engine| engine.is_listed());
         self.ready_cores = ready.map(Engine::cores).sum();
     }
 
-    fn update_entry(
+    fn apply_entry(
         &mut self,
         now: Timestamp,
         entry: &EngineEntry,
@@ -74,7 +74,7 @@
     ) {
         let index = entry.engine.0 as usize;
         self.engines.resize_with(self.engines.len().max(index + 1), Engine::default);
-        let is_new_process = self.engines[index].update(now, entry, settings, random);
+        let is_new_process = self.engines[index].apply_entry(now, entry, settings, random);
         if is_new_process {
             outliers.record_response(now, entry.zone);
         }
--- a/crates/policy/src/level_price.rs
+++ b/crates/policy/src/level_price.rs
@@ -5,13 +5,14 @@
 use sprucelink_rate_limits::MovingAverage;
 use sprucelink_time::TimeDelta;
 
-/// Weight of the new price in the price that applies (alpha of the paper's eq. 7).
+/// Weight of the newly calculated price in the moving average that is charged (alpha in eq. 7 of Konana et
+/// al.).
 const PRICE_WEIGHT: f64 = 0.1;
 /// Weight of one interval in a level's admitted rate.
 const RATE_WEIGHT: f64 = 0.2;
 /// Weight of one answer in a level's expected wait.
 const WAIT_WEIGHT: f64 = 0.2;
-/// Factor on the expected wait of an unobserved level after an interval with full evidence from others.
+/// Factor on the expected wait of a level that was not observed, after an interval with an evidence of 1.
 const WAIT_DECAY: f64 = 0.5;
 
 /// Pricing state of one class at one level.
@@ -60,16 +61,16 @@
         self.wait_secs = self.wait_secs.min(max_secs);
     }
 
-    /// Moves the price towards the new one (eq. 7).
+    /// Moves the price towards the newly calculated one (eq. 7).
     pub(crate) fn update_price(&mut self, new_price: f64) {
         self.price += PRICE_WEIGHT * (new_price - self.price);
     }
 
-    /// Ends a pricing interval. `evidence`: from 0, no wait of any class was observed in it, to 1, enough
-    /// were.
+    /// Ends a pricing interval. `evidence`: waits observed in the interval over all classes and levels,
+    /// relative to the number at which unobserved waits decay in full; 0 to 1.
     ///
-    /// Departure from the paper: an unobserved wait decays only to the extent that others were observed,
-    /// because an interval without answers has no information.
+    /// Departure from Konana et al.: the wait of a level without observations decays only to the extent of
+    /// the evidence, because an interval without answers has no information.
     pub(crate) fn end_interval(&mut self, interval: TimeDelta, evidence: f64) {
         let rate = f64::from(self.admitted) / interval.as_secs_f64();
         self.admitted_rate.update(rate, RATE_WEIGHT);
@@ -81,7 +82,7 @@
     pub(crate) fn to_stored(self) -> StoredLevel {
         StoredLevel {
             price: self.price,
-            arrival_rate: self.admitted_rate,
+            admitted_rate: self.admitted_rate,
             wait: self.wait_secs,
             admitted: self.admitted,
             observed: self.is_observed,
@@ -91,7 +92,7 @@
     pub(crate) fn from_stored(stored: StoredLevel) -> LevelPrice {
         LevelPrice {
             price: stored.price,
-            admitted_rate: stored.arrival_rate,
+            admitted_rate: stored.admitted_rate,
             wait_secs: stored.wait,
             admitted: stored.admitted,
             is_observed: stored.observed,
--- a/crates/policy/src/outlier_detection/tests.rs
+++ b/crates/policy/src/outlier_detection/tests.rs
@@ -37,7 +37,7 @@
     let mut outliers = OutlierDetector::new();
     record_ended_attempt(&mut outliers, 1, at_millis(100), Outcome::ConnectFailed);
     record_ended_attempt(&mut outliers, 1, at_millis(200), Outcome::ConnectFailed);
-    assert_eq!(outliers.next_trial_of_unreachable(ZONE), None, "the same engine twice");
+    assert_eq!(outliers.next_trial_of_unreachable(ZONE), None, "only one engine is silent");
     record_ended_attempt(&mut outliers, 2, at_millis(300), Outcome::ConnectFailed);
     assert_eq!(
         outliers.next_trial_of_unreachable(ZONE),
@@ -86,7 +86,7 @@
     };
     let entries = [entry(0), entry(1)];
     let settings = Settings::default();
-    engines.update(
+    engines.apply_endpoint_update(
         at_millis(0),
         EndpointUpdate::Complete,
         &entries,
--- a/crates/policy/src/own_load.rs
+++ b/crates/policy/src/own_load.rs
@@ -9,8 +9,8 @@
 const HALF_VISIBLE_CORES: f64 = 4.0;
 /// Cores of other managers' shares that are assumed to serve this manager's queue as well.
 const SHARED_CORES: f64 = 4.0;
-/// Work that sets the averaging time of the own load, thread-seconds: the time that the manager's share of
-/// the cores takes for it.
+/// Averaging time of the own load, as the work that this manager's share of the cores processes in that time;
+/// thread-seconds.
 const LOAD_AVERAGE_WORK: f64 = 10.0;
 
 /// This manager's equal share of the ready engines' cores.
@@ -27,7 +27,8 @@
         (self.ready_cores / self.managers).max(1.0)
     }
 
-    /// Fraction of the fleet's load that the own load shows, 0 to 1; small for a small share.
+    /// Load visibility: fraction of the fleet's load that the own load shows, 0 to 1; small for a small
+    /// share.
     pub(crate) fn load_visibility(self) -> f64 {
         self.cores() / (self.cores() + HALF_VISIBLE_CORES)
     }
@@ -82,11 +83,11 @@
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
         stored.own_threads = self.threads;
-        stored.threads_above = self.average_from_level;
+        stored.average_from_level = self.average_from_level;
     }
 
     pub(crate) fn restore(stored: &StoredPolicy) -> OwnLoad {
-        OwnLoad { threads: stored.own_threads, average_from_level: stored.threads_above }
+        OwnLoad { threads: stored.own_threads, average_from_level: stored.average_from_level }
     }
 }
 
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -84,7 +84,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == number) else { return };
         if !ended.outcome.never_ran() {
-            request.may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
+            request.first_may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
         }
         request.errors += u32::from(ended.outcome == Outcome::EngineError);
         request.is_answered |= ended.is_request_over;
@@ -136,15 +136,15 @@
                 let unloaded_secs = self.estimates[class].unloaded_latency_secs(cost, threads);
                 self.prices.record_wait(class, level, (age_secs - unloaded_secs).max(0.0));
             }
-            // Only an attempt whose deadline passed before the request got a response: a request that got its
-            // final response 50 ms before the deadline (`RESPONSE_MARGIN`) has its attempt cancelled, and no
-            // wait is learned.
+            // An attempt times out only if the deadline passes before the request gets a response. A request
+            // that gets its final response 50 ms before the deadline (`RESPONSE_MARGIN`) has its attempt
+            // cancelled, and no wait is learned.
             Outcome::TimedOut => self.prices.record_wait(class, level, age_secs),
             _ => {}
         }
     }
 
-    /// Learns from an answer: its class's work, memory and latency, and its engine's health.
+    /// Learns from an answer the work, memory and latency of its class, and the health of its engine.
     fn record_answer(
         &mut self,
         class: usize,
@@ -167,7 +167,7 @@
         grant.record_answer();
         let engine = &mut self.engines[attempt.engine];
         engine.health.record_answer(self.now);
-        // A load waits for the locks of its tables, so its latency says nothing about the engine.
+        // A query that loads tables waits for their locks, so its latency says nothing about the engine.
         if !settings.loads_tables {
             engine.health.record_latency(latency_secs / attempt.expected_latency_secs);
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -14,15 +14,16 @@
 use crate::slow_start::SlowStartLimits;
 use sprucelink_time::TimeDelta;
 
-/// Maximum number of queued requests that are tried after one event; the others wait for the next event.
-const MAX_TRIED_PER_EVENT: usize = 200;
+/// Maximum number of queued requests that are considered for dispatch after one event; further requests wait
+/// for the next event.
+const MAX_CONSIDERED_PER_EVENT: usize = 200;
 /// Minimum expected latency of an attempt, seconds.
 const MIN_EXPECTED_LATENCY_SECS: f64 = 0.05;
 
 impl Policy {
     /// Sends queued requests for which engines have capacity, in the order of the queue.
     pub(super) fn dispatch_queued(&mut self, out: &mut Vec<Action>) {
-        for (position, id) in self.queue.first(MAX_TRIED_PER_EVENT) {
+        for (position, id) in self.queue.first(MAX_CONSIDERED_PER_EVENT) {
             self.try_dispatch(position, id, out);
         }
     }
@@ -35,7 +36,8 @@
     }
 
     fn try_dispatch(&mut self, position: QueuePosition, id: RequestId, out: &mut Vec<Action>) {
-        // Drawn in any case, so that the random numbers of other requests do not depend on this one.
+        // The number is drawn even if it is not used, so that those of other requests do not depend on this
+        // one.
         let random_unit = self.random.next_unit();
         let Some(request) = self.requests.get(&id) else { return };
         if !self.is_next_of_key(id, request) || !self.is_within_retry_budget(request) {
@@ -155,7 +157,7 @@
     pub(super) fn respond(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
         self.explain_response(id, out);
-        let may_have_run = request.in_flight.is_some() || request.may_have_run.is_some();
+        let may_have_run = request.in_flight.is_some() || request.first_may_have_run.is_some();
         let response = FinalResponse::choose(&self.settings.classes[request.class], may_have_run);
         out.push(response.into_action(id, self.retry_after(request)));
         self.finish(id, out);
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -16,7 +16,7 @@
             return;
         }
         let Policy { engines, outliers, random, settings, .. } = self;
-        engines.update(self.now, kind, entries, settings, outliers, random);
+        engines.apply_endpoint_update(self.now, kind, entries, settings, outliers, random);
     }
 
     pub(super) fn on_probe_end(&mut self, engine: EngineId, outcome: Outcome, report: &LoadReport) {
--- a/crates/policy/src/policy/ticks.rs
+++ b/crates/policy/src/policy/ticks.rs
@@ -33,11 +33,11 @@
         for (_, engine) in self.engines.iter_mut() {
             let own_threads = engine.own_threads();
             engine.load.update_average(own_threads);
-            engine.slow_start.redraw_sender_if_due(self.now, &self.settings, &mut self.random);
+            engine.slow_start.redraw_number_if_due(self.now, &self.settings, &mut self.random);
         }
     }
 
-    /// Own threads in flight at each level and above.
+    /// Threads of this manager's attempts in flight at each level and above.
     fn threads_from_level(&self) -> [f64; LEVELS] {
         let mut threads_from_level = [0.0; LEVELS];
         for request in self.requests.values().filter(|request| request.in_flight.is_some()) {
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -14,9 +14,9 @@
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
     pub(crate) number: u32,
-    /// Time at which the policy sent it; its first byte may be sent later.
+    /// Time at which the policy sent the attempt; its first byte may be sent later.
     pub(crate) sent_at: Timestamp,
-    /// Time of its last progress note, or of its send if there was none.
+    /// Time of the last progress note, or of the send if there was no note.
     pub(crate) last_progress: Timestamp,
     pub(crate) expected_latency_secs: f64,
     pub(crate) is_cancelled: bool,
@@ -27,20 +27,21 @@
 /// A request without a final response, or with an attempt still in flight.
 #[derive(Clone)]
 pub(crate) struct Request {
-    /// Index of its class.
+    /// Index of the request's class.
     pub(crate) class: usize,
-    /// Orders it among the requests of its level.
+    /// Number in the order of arrival, which orders the requests of one level.
     pub(crate) sequence: u64,
     pub(crate) arrived: Timestamp,
     pub(crate) deadline: Timestamp,
-    /// Value of an answer within the objective (the paper's term).
+    /// Value of an answer within the latency objective (the value of Konana et al.); lower for a request
+    /// beyond its tenant's quota.
     pub(crate) value: f64,
     /// Estimated work, thread-seconds.
     pub(crate) cost: f64,
     /// Estimated memory, MB.
     pub(crate) memory_mb: Option<f64>,
     pub(crate) table_group: u64,
-    /// Its idempotency key, if its class is ordered by key.
+    /// Idempotency key; `None` unless the class is ordered by key.
     pub(crate) key: Option<String>,
     pub(crate) level: usize,
     /// Attempts sent so far.
@@ -48,16 +49,16 @@
     /// Attempts that ended with an engine's error.
     pub(crate) errors: u32,
     /// Send time and engine of the first attempt that may have run.
-    pub(crate) may_have_run: Option<(Timestamp, EngineId)>,
+    pub(crate) first_may_have_run: Option<(Timestamp, EngineId)>,
     pub(crate) in_flight: Option<Attempt>,
     pub(crate) last_engine: Option<EngineId>,
-    /// Time until which it waits for the load probes that were sent for it.
+    /// Time until which the request waits for the load probes that were sent for it.
     pub(crate) probes_until: Timestamp,
-    /// The engines sampled for it; if empty, it chooses among all engines.
+    /// Engines sampled for the request; if empty, it may be sent to any engine.
     pub(crate) candidates: Vec<EngineId>,
     /// Time at which the candidates were sampled.
     pub(crate) sampled_at: Timestamp,
-    /// Whether it has its final response.
+    /// Whether the request has its final response.
     pub(crate) is_answered: bool,
 }
 
@@ -77,7 +78,7 @@
             level: 0,
             attempts: 0,
             errors: 0,
-            may_have_run: None,
+            first_may_have_run: None,
             in_flight: None,
             last_engine: None,
             probes_until: now,
@@ -87,17 +88,17 @@
         }
     }
 
-    /// Its earlier attempts and deadline, as the retry rule needs them.
+    /// Earlier attempts and deadline of the request, as the retry rule needs them.
     pub(crate) fn history(&self) -> AttemptHistory {
         AttemptHistory {
             attempts: self.attempts,
             is_in_flight: self.in_flight.is_some(),
-            may_have_run_since: self.may_have_run.map(|(sent_at, _)| sent_at),
+            may_have_run_since: self.first_may_have_run.map(|(sent_at, _)| sent_at),
             deadline: self.deadline,
         }
     }
 
-    /// Seconds since its arrival.
+    /// Seconds since the request arrived.
     pub(crate) fn age_secs(&self, now: Timestamp) -> f64 {
         (now - self.arrived).as_secs_f64()
     }
--- a/crates/policy/src/request_queue.rs
+++ b/crates/policy/src/request_queue.rs
@@ -8,16 +8,17 @@
 use sprucelink_time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request's place in the queue: higher levels first, then in order of arrival.
+/// A request's position in the queue: higher levels first, then in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
-    levels_below_top: usize,
+    /// `LEVELS` minus the priority level, so that higher levels come first.
+    inverse_level: usize,
     sequence: u64,
 }
 
 impl QueuePosition {
     pub(crate) fn of(request: &Request) -> QueuePosition {
-        QueuePosition { levels_below_top: LEVELS - request.level, sequence: request.sequence }
+        QueuePosition { inverse_level: LEVELS - request.level, sequence: request.sequence }
     }
 }
 
@@ -50,7 +51,7 @@
         self.waiting.contains_key(&position)
     }
 
-    /// The first `count` requests, next one first.
+    /// The first `count` requests in the order of the queue.
     pub(crate) fn first(&self, count: usize) -> Vec<(QueuePosition, RequestId)> {
         self.waiting.iter().take(count).map(|(position, id)| (*position, *id)).collect()
     }
@@ -83,18 +84,18 @@
 
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
         stored.queued_work = self.queued_work;
-        stored.last_sequence = self.last_sequence;
-        let to_pair = |position: &QueuePosition| (position.levels_below_top, position.sequence);
+        stored.last_request_sequence = self.last_sequence;
+        let to_pair = |position: &QueuePosition| (position.inverse_level, position.sequence);
         stored.queue = self.waiting.iter().map(|(position, id)| (to_pair(position), *id)).collect();
     }
 
     pub(crate) fn restore(stored: &mut StoredPolicy) -> RequestQueue {
         let waiting = std::mem::take(&mut stored.queue).into_iter();
-        let from_pair = |(levels_below_top, sequence)| QueuePosition { levels_below_top, sequence };
+        let from_pair = |(inverse_level, sequence)| QueuePosition { inverse_level, sequence };
         RequestQueue {
             waiting: waiting.map(|(pair, id)| (from_pair(pair), id)).collect(),
             queued_work: stored.queued_work,
-            last_sequence: stored.last_sequence,
+            last_sequence: stored.last_request_sequence,
         }
     }
 }
@@ -102,13 +103,13 @@
 /// Open requests with the same idempotency key.
 #[derive(Clone, Default)]
 struct KeyQueue {
-    /// In order of arrival; the first may be in flight.
+    /// The requests in order of arrival; the first may be in flight.
     open: VecDeque<RequestId>,
     /// No request with the key is sent before this time.
     blocked_until: Timestamp,
 }
 
-/// Runs requests with the same idempotency key one at a time, in order of arrival.
+/// The order in which requests with the same idempotency key may be sent: one at a time, in order of arrival.
 #[derive(Clone, Default)]
 pub(crate) struct KeyOrder {
     keys: BTreeMap<String, KeyQueue>,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Blocks requests with this key until `until`, because an attempt may still run on its engine.
+    /// Blocks requests with this key until `until`, because an ended attempt may still run on its engine.
     pub(crate) fn block(&mut self, key: &str, until: Timestamp) {
         if let Some(queue) = self.keys.get_mut(key) {
             queue.blocked_until = until;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -9,18 +9,18 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 
 /// Fraction of the listed cores that counts as capacity: machines may be slow, and cores are never all busy.
-const USABLE_CORES: f64 = 0.56;
-/// Weight of the prior of a class's charge, in samples of the estimate, on a manager that started recently.
+const USABLE_CORE_FRACTION: f64 = 0.56;
+/// Weight of the full cost in a class's charge on a manager that started recently, in cost samples.
 const PRIOR_SAMPLES: f64 = 1.0;
-/// Fraction of the budget that is given to sampled managers where no query fits a manager's part of it.
+/// Fraction of a manager's part of the budget for a query of a sampled manager, if no class's queries fit.
 const SAMPLED_FRACTION_WITHOUT_FITTING: f64 = 0.7;
-/// Fraction of the budget for queries that fit it, where other queries do not.
+/// Fraction of a manager's part for queries that fit it, if only some classes' queries do.
 const FITTING_FRACTION: f64 = 0.75;
-/// Fraction of the budget that is given to sampled managers for queries that do not fit, where others do.
+/// Fraction of a manager's part for a query of a sampled manager, if only some classes' queries fit.
 const SAMPLED_FRACTION_WITH_FITTING: f64 = 0.35;
-/// A sampled manager may send a query if the budget of all managers is at least this many times its charge.
+/// A sampled manager may send a query only if the budget of all managers has room for this many such queries.
 const MIN_QUERIES_IN_FLEET_BUDGET: f64 = 4.0;
-/// Fraction of its budget that a manager uses in its first window: it does not know what it sent earlier.
+/// Fraction of its budget that a manager uses in its first window: what it sent before a restart is unknown.
 const FIRST_WINDOW_FRACTION: f64 = 0.5;
 
 /// Fraction of its capacity that an engine has: linear from the initial fraction to 1 over the slow start.
@@ -55,12 +55,12 @@
     max_charge: f64,
 }
 
-/// A manager's budget for one engine and window, divided by the queries that may use it; thread-seconds.
+/// A manager's budget for one engine and window, divided between two kinds of queries; thread-seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct BudgetParts {
-    /// Budget for queries whose charges fit it in sum.
+    /// Budget for any number of queries, as long as the sum of their charges is within it.
     fitting: f64,
-    /// Budget for one query of a sampled manager.
+    /// Budget for one query that does not fit, if this manager is sampled.
     sampled: f64,
 }
 
@@ -97,7 +97,7 @@
         let capacity_fraction = capacity_fraction(self.now, started_at, self.settings);
         let secs_per_core = self.settings.slow_start_multiple * capacity_fraction * window.as_secs_f64();
         let managers = f64::from(self.settings.gateways);
-        secs_per_core * cores * USABLE_CORES * self.usable_fraction() / managers
+        secs_per_core * cores * USABLE_CORE_FRACTION * self.usable_fraction() / managers
     }
 
     /// Fraction of its budget that a manager uses, by its own age: it may have used some of the budget
@@ -153,7 +153,7 @@
         let fits = spent + charge <= parts.fitting;
         let fleet_budget = budget * f64::from(self.settings.gateways);
         let is_light = charge * MIN_QUERIES_IN_FLEET_BUDGET <= fleet_budget;
-        let is_sampled_sender = || spent <= 0.0 && usage.sender_draw * charge < parts.sampled;
+        let is_sampled_sender = || spent <= 0.0 && usage.sender_number * charge < parts.sampled;
         fits || (is_light && is_sampled_sender())
     }
 }
@@ -165,8 +165,8 @@
     charges: SumWindow,
     /// A random number from 0 to 1, drawn for each window: the manager may send if the number is below the
     /// fraction of managers that may send.
-    sender_draw: f64,
-    next_sender_draw: Timestamp,
+    sender_number: f64,
+    next_draw: Timestamp,
 }
 
 impl SlowStartBudget {
@@ -185,34 +185,34 @@
     }
 
     /// Draws the random number for the window that starts now.
-    pub(crate) fn draw_sender(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
-        self.sender_draw = random.next_unit();
-        self.next_sender_draw = now + settings.slow_start_window;
+    pub(crate) fn draw_number(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
+        self.sender_number = random.next_unit();
+        self.next_draw = now + settings.slow_start_window;
     }
 
     /// Draws a new random number once the window of the last one has passed.
-    pub(crate) fn redraw_sender_if_due(
+    pub(crate) fn redraw_number_if_due(
         &mut self,
         now: Timestamp,
         settings: &Settings,
         random: &mut SplitMix64,
     ) {
-        if now >= self.next_sender_draw {
-            self.draw_sender(now, settings, random);
+        if now >= self.next_draw {
+            self.draw_number(now, settings, random);
         }
     }
 
     pub(crate) fn store(&self, stored: &mut StoredEngine) {
         stored.recent_charges = self.charges.clone();
-        stored.lottery = self.sender_draw;
-        stored.next_lottery = self.next_sender_draw;
+        stored.sender_number = self.sender_number;
+        stored.next_sender_draw = self.next_draw;
     }
 
     pub(crate) fn restore(stored: &mut StoredEngine) -> SlowStartBudget {
         SlowStartBudget {
             charges: std::mem::take(&mut stored.recent_charges),
-            sender_draw: stored.lottery,
-            next_sender_draw: stored.next_lottery,
+            sender_number: stored.sender_number,
+            next_draw: stored.next_sender_draw,
         }
     }
 }
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -79,7 +79,7 @@
     let mut usage = SlowStartBudget::default();
     let mut senders = 0;
     for _ in 0..10_000 {
-        usage.draw_sender(at_millis(100_000), &settings, &mut random);
+        usage.draw_number(at_millis(100_000), &settings, &mut random);
         senders += u32::from(limits.allows(light, CORES, started_at, &usage));
     }
     let expected = fraction * 10_000.0;
@@ -99,7 +99,7 @@
     let mut usage = SlowStartBudget::default();
     let mut senders = 0;
     for _ in 0..10_000 {
-        usage.draw_sender(at_millis(100_000), &settings, &mut random);
+        usage.draw_number(at_millis(100_000), &settings, &mut random);
         assert!(limits.allows(light, cores, started_at, &usage));
         senders += u32::from(limits.allows(heavy, cores, started_at, &usage));
     }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The stored form of the module's state: the names under which captures hold it. It neither decides nor
-//! learns.
+//! The stored form of the module's state: the names under which captures hold it. This module neither
+//! decides nor learns.
 //!
 //! The names of the state in old captures appear only here, as `serde(rename)`; each module of the state
 //! converts its own fields. The order of the fields and their stored names must not change. Units are those
@@ -32,13 +32,13 @@
     #[serde(rename = "held")]
     pub(crate) queued_work: [f64; 4],
     #[serde(rename = "above")]
-    pub(crate) threads_above: [MovingAverage; 4],
+    pub(crate) average_from_level: [MovingAverage; 4],
     #[serde(rename = "outcomes")]
     pub(crate) recent_waits: u32,
     #[serde(rename = "armed")]
     pub(crate) timer_armed: bool,
     #[serde(rename = "seq")]
-    pub(crate) last_sequence: u64,
+    pub(crate) last_request_sequence: u64,
     #[serde(rename = "next_tolls")]
     pub(crate) next_pricing: Timestamp,
     #[serde(rename = "ask_again")]
@@ -69,7 +69,7 @@
     pub(crate) recent_retries: EventWindow,
 }
 
-/// Learned state of a class.
+/// Learned costs, latencies, memory use and prices of a class.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredClass {
@@ -93,20 +93,20 @@
     pub(crate) grant: f64,
 }
 
-/// A class at one priority level.
+/// Pricing state of a class at one priority level.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredLevel {
     pub(crate) price: f64,
     #[serde(rename = "rate")]
-    pub(crate) arrival_rate: MovingAverage,
+    pub(crate) admitted_rate: MovingAverage,
     pub(crate) wait: f64,
     pub(crate) admitted: u32,
     #[serde(rename = "fresh")]
     pub(crate) observed: bool,
 }
 
-/// State of an engine.
+/// Stored form of an engine's record.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredEngine {
@@ -152,16 +152,16 @@
     #[serde(rename = "distrusted")]
     pub(crate) ejected: bool,
     #[serde(rename = "lot")]
-    pub(crate) lottery: f64,
+    pub(crate) sender_number: f64,
     #[serde(rename = "next_lot")]
-    pub(crate) next_lottery: Timestamp,
+    pub(crate) next_sender_draw: Timestamp,
     #[serde(rename = "charges")]
     pub(crate) recent_charges: SumWindow,
     #[serde(rename = "warm")]
-    pub(crate) recent_tables: RecentSet,
+    pub(crate) recent_table_groups: RecentSet,
 }
 
-/// State of a zone.
+/// Stored form of a zone's reachability.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredZone {
@@ -175,7 +175,7 @@
     pub(crate) next_trial: Timestamp,
 }
 
-/// Open requests with the same idempotency key.
+/// Stored form of the open requests with the same idempotency key.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StoredKeyQueue {
--- a/crates/policy/src/snapshot/requests.rs
+++ b/crates/policy/src/snapshot/requests.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use sprucelink_time::Timestamp;
 
-/// An open request.
+/// Stored form of an open request.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct StoredRequest {
     pub(crate) class: usize,
@@ -38,7 +38,7 @@
     pub(crate) answered: bool,
 }
 
-/// An attempt in flight.
+/// Stored form of an attempt in flight.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct StoredAttempt {
     pub(crate) engine: EngineId,
@@ -68,7 +68,7 @@
             level: request.level,
             attempts: request.attempts,
             errors: request.errors,
-            may_have_run: request.may_have_run,
+            may_have_run: request.first_may_have_run,
             in_flight: request.in_flight.as_ref().map(StoredAttempt::from),
             last_engine: request.last_engine,
             probes_until: request.probes_until,
@@ -94,7 +94,7 @@
             level: stored.level,
             attempts: stored.attempts,
             errors: stored.errors,
-            may_have_run: stored.may_have_run,
+            first_may_have_run: stored.may_have_run,
             in_flight: stored.in_flight.map(Attempt::from),
             last_engine: stored.last_engine,
             probes_until: stored.probes_until,
