--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -9,42 +9,42 @@
 pub enum Action {
     /// Send an attempt of the request to an engine.
     ForwardAttempt {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`](crate::Arrival).
         id: RequestId,
         /// Always absent, since the client's deadline applies; kept for the simulator's wire protocol and for
         /// captures.
         timeout: Option<TimeDelta>,
-        /// The engine.
+        /// Engine to which the attempt is sent.
         engine: EngineId,
     },
     /// Set the memory grant and level of a request, for its next attempt and the one in flight.
     SetExecutionTerms {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`](crate::Arrival).
         id: RequestId,
         /// Memory in MB; the engine chooses if absent.
         grant_mb: Option<f64>,
-        /// Priority level.
+        /// Priority level at which engines run the attempts.
         level: Level,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         id: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Give the final response rejected: a retry by the client does no harm.
+    /// Give the final response that the request is rejected: a retry by the client does no harm.
     Reject {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`](crate::Arrival).
         id: RequestId,
-        /// Retry-After, if one is given.
+        /// Time after which the client may retry; `None` if the response has no Retry-After.
         retry_after: Option<TimeDelta>,
     },
-    /// Give the final response failed: the request may have executed.
+    /// Give the final response that the request failed: it may have executed.
     Fail {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`](crate::Arrival).
         id: RequestId,
-        /// Retry-After, if one is given.
+        /// Time after which the client may retry; `None` if the response has no Retry-After.
         retry_after: Option<TimeDelta>,
     },
     /// Set a timer.
@@ -56,12 +56,13 @@
     },
     /// Send a load probe to an engine.
     Probe {
-        /// The engine.
+        /// Engine to which the probe is sent.
         engine: EngineId,
     },
-    /// Send a message to all other managers.
+    /// Send a message to all other managers. No rule gives this action; it is kept for the simulator's wire
+    /// protocol and for captures.
     BroadcastToPeers {
-        /// The message.
+        /// Message in a format of the module's choice.
         message: Vec<u8>,
     },
     /// Request the endpoint list and, from now on, its changes.
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -28,13 +28,14 @@
     /// Number of this manager's attempts in flight on the engine.
     #[serde(rename = "flying")]
     pub attempts_in_flight: u32,
-    /// Threads of other managers on the engine by the last report.
+    /// Threads of other managers on the engine according to the last report.
     #[serde(rename = "others")]
     pub others_threads: f64,
-    /// Queries that waited for memory on the engine by the last report.
+    /// Queries that waited for memory on the engine according to the last report.
     #[serde(rename = "waiting")]
     pub queries_waiting_for_memory: f64,
-    /// The last report had no number of queries, only the fraction of busy cores, and that was nearly all.
+    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
+    /// cores were busy.
     #[serde(rename = "full")]
     pub saturated: bool,
     /// Seconds since the last load report; `None` if there was none.
@@ -42,7 +43,9 @@
     /// Weight of the last load report, which falls from 1 towards 0 with its age.
     #[serde(rename = "trust_in_report")]
     pub report_weight: f64,
-    /// Mean threads of other managers on an engine with the same cores and start.
+    /// Threads that the other managers are expected to have in flight on the engine, without regard to its
+    /// last report: the fleet's mean per core times the engine's cores, its capacity fraction, and the
+    /// fraction of managers that may send to it.
     #[serde(rename = "usual")]
     pub mean_others_threads: f64,
     /// Estimated threads of all managers on the engine.
@@ -58,12 +61,12 @@
     /// Fraction of recent attempts that failed.
     #[serde(rename = "failing")]
     pub failure_rate: f64,
-    /// The engine accepts requests and answers none.
+    /// Whether the engine accepts requests but answers none.
     #[serde(rename = "silent")]
     pub unresponsive: bool,
     /// Attempts of this manager on the engine that are overdue, as of the last tick.
     pub overdue: u32,
-    /// The engine gets only a trial at intervals, unless no eligible engine is healthy.
+    /// Whether the engine gets only a trial at intervals, unless no eligible engine is healthy.
     #[serde(rename = "distrusted")]
     pub ejected: bool,
     /// Remaining backoff, seconds.
@@ -77,9 +80,9 @@
 /// The state of an open request, as this manager's decision module has it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OpenRequest {
-    /// Id given in its [`Arrival`](crate::Arrival).
+    /// Id of the request, as in its [`Arrival`](crate::Arrival).
     pub id: RequestId,
-    /// Time at which its client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
     /// Number of attempts sent so far.
     pub attempts: u32,
@@ -88,7 +91,7 @@
     pub in_flight: Option<(u32, EngineId)>,
     /// Current priority level, 0 (lowest) to 3.
     pub level: u8,
-    /// Whether its final response was given or has begun.
+    /// Whether the final response was given or has begun.
     pub answered: bool,
 }
 
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,4 +1,5 @@
-//! Events: the inputs that a manager reports to the decision module. Times are on the caller's clock.
+//! Events: the inputs that a manager reports to the decision module. Timestamps are on the clock
+//! of the caller of [`Policy::handle`](crate::Policy::handle).
 
 use crate::ids::{ClassId, EngineId, RequestId};
 use serde::{Deserialize, Serialize};
@@ -28,7 +29,7 @@
     pub cell: u32,
     /// Whether the engine accepts requests.
     pub state: EngineState,
-    /// Start time of its process; `None` if the process did not start recently.
+    /// Start time of the engine's process; `None` if the process did not start recently.
     pub since: Option<Timestamp>,
 }
 
@@ -69,7 +70,7 @@
 /// Outcome of an attempt or a load probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The engine served the request.
+    /// The engine answered the request or the probe.
     #[serde(rename = "Delivered")]
     Succeeded,
     /// The engine responded with an error; the attempt may have executed.
@@ -85,10 +86,10 @@
     /// No connection could be opened; never executed.
     #[serde(rename = "DialFailed")]
     ConnectFailed,
-    /// The connection broke; it may have executed.
+    /// The connection broke; the attempt may have executed.
     #[serde(rename = "Dropped")]
     ConnectionLost,
-    /// The manager cancelled the attempt; it may have executed.
+    /// The manager cancelled the attempt, which may have executed.
     #[serde(rename = "Revoked")]
     Cancelled,
     /// The attempt was never sent.
@@ -130,7 +131,7 @@
 pub struct Arrival {
     /// Id chosen by the caller, unique while its manager runs.
     pub id: RequestId,
-    /// Class of the request.
+    /// Class of the request: index in [`Settings::classes`](crate::Settings::classes).
     pub class: ClassId,
     /// Tenant of the client: index in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
@@ -152,7 +153,8 @@
     /// An update of the endpoint list.
     #[serde(rename = "List")]
     EndpointsChanged {
-        /// Kind of the update.
+        /// What `entries` holds: the complete list, the list as last cached, only changes, or nothing because
+        /// a request for the list failed.
         kind: EndpointUpdate,
         /// Entries of the engines that the update covers.
         entries: Vec<EngineEntry>,
@@ -163,27 +165,27 @@
     /// A streamed answer began: part of it has reached the client, so that the request is no longer retried.
     #[serde(rename = "Started")]
     ResponseStarted {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`].
         id: RequestId,
     },
     /// An engine sent a progress note on a running attempt.
     #[serde(rename = "Noted")]
     ProgressReported {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// The progress note.
+        /// Progress of the query, or the reason why it waits or spills.
         note: ProgressNote,
     },
     /// An attempt ended.
     #[serde(rename = "Ended")]
     AttemptEnded {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// Outcome of the attempt.
+        /// Whether the engine answered the request, and otherwise why the attempt ended.
         outcome: Outcome,
         /// Time since the attempt was sent.
         latency: TimeDelta,
@@ -198,7 +200,7 @@
     /// The client cancelled or disconnected.
     #[serde(rename = "GivenUp")]
     RequestAbandoned {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`].
         id: RequestId,
     },
     /// A timer is due.
@@ -211,7 +213,7 @@
     ProbeCompleted {
         /// The engine that was probed.
         engine: EngineId,
-        /// Outcome of the probe.
+        /// Whether the engine answered the probe, and otherwise why the probe failed.
         outcome: Outcome,
         /// Load report in the answer; empty if there was no answer.
         report: LoadReport,
@@ -221,7 +223,7 @@
     PeerMessageReceived {
         /// Number of the sending manager.
         from: u32,
-        /// The message; the module ignores it.
+        /// Message in the format of its sender; the module ignores it.
         message: Vec<u8>,
     },
     /// The fleet changed, by gossip: the number of managers that share budgets, and the retries that the
@@ -230,11 +232,11 @@
     FleetChanged {
         /// Managers that share the capacity, this one included; in a hot restart each process counts.
         gateways: u32,
-        /// Retries that the other managers leave to this one.
+        /// Retries per window of the retry budget that the other managers leave to this one.
         #[serde(rename = "spare")]
         spare_retries: f64,
     },
-    /// Zone failover changed the weights of the zones in the draw of an engine, by zone number.
+    /// Zone failover changed the weights of the zones in engine selection. Indexed by zone number.
     #[serde(rename = "Zones")]
     ZoneWeightsChanged(Vec<f64>),
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Processes one event and appends the resulting actions to `out`. A `now` before that of an earlier
-    /// event counts as the latter.
+    /// Processes one event and appends the resulting actions to `out`. If `now` is before the time of an
+    /// earlier event, the latest of those times is used instead.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.is_timer_started {
--- a/crates/policy/src/policy/views.rs
+++ b/crates/policy/src/policy/views.rs
@@ -55,13 +55,13 @@
         self.requests.iter().map(open_request).collect()
     }
 
-    /// Every engine, by number.
+    /// The state of every engine, in the order of their numbers.
     pub fn engine_views(&self) -> Vec<EngineView> {
         let fleet = self.fleet();
         self.engines.iter().map(|(id, engine)| engine_view(&fleet, id, engine)).collect()
     }
 
-    /// One engine; `None` if the endpoint list never had it.
+    /// The state of one engine; `None` if the endpoint list never had it.
     pub fn engine_view(&self, id: EngineId) -> Option<EngineView> {
         Some(engine_view(&self.fleet(), id, self.engines.get(id)?))
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,5 +1,5 @@
 //! The settings of a manager. Durations are in whole microseconds, work in thread-seconds, memory in MB, and
-//! value in the unit of the service's score.
+//! value in the unit of the service's score, which is that of [`ClassSettings::value`].
 
 use serde::{Deserialize, Serialize};
 use sprucelink_time::TimeDelta;
@@ -26,10 +26,10 @@
     Cell,
 }
 
-/// One class of requests.
+/// Settings of one class of requests.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ClassSettings {
-    /// Value of one request answered in time (the paper's term).
+    /// Value of one request answered within its latency objective (the value of Konana et al.).
     #[serde(rename = "worth")]
     pub value: f64,
     /// Fraction of the value that a late answer still earns, 0 to 1.
@@ -41,20 +41,22 @@
     /// The objective is extended by this factor times the request's work divided by its threads.
     #[serde(rename = "aim_stretch")]
     pub objective_per_work: f64,
-    /// Maximum time that a client waits.
+    /// Maximum time that a client of the class waits for its answer, from the arrival of its request.
     pub deadline: TimeDelta,
-    /// Idempotency of the class.
+    /// Whether a retry of a request may take effect a second time.
     pub effect: Effect,
     /// For keyed classes: engines among which retries are deduplicated.
     pub group: DedupGroup,
-    /// For keyed classes: time within which retries are deduplicated.
+    /// For keyed classes: time within which engines deduplicate retries, counted from the send of the first
+    /// attempt that may have run.
     pub repeat_window: TimeDelta,
-    /// Whether requests with the same key run one at a time, in order of arrival.
+    /// Whether requests with the same idempotency key run one at a time, in order of arrival.
     #[serde(rename = "in_turn")]
     pub ordered_by_key: bool,
     /// Threads that a query of the class runs on.
     pub threads: f64,
-    /// Whether the query is a load, which locks its group of tables on its engine while it runs.
+    /// Whether queries of the class load tables; such a query locks its table group on its engine while it
+    /// runs.
     #[serde(rename = "load")]
     pub loads_tables: bool,
     /// Machine kinds that may run the class; all if absent.
@@ -66,7 +68,7 @@
 /// A tenant's quota.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct TenantSettings {
-    /// Requests per second, over all managers.
+    /// Requests per second of the tenant, over all managers. Requests beyond the quota have a lower value.
     pub quota_per_s: f64,
 }
 
@@ -99,10 +101,10 @@
     /// Length of the sliding window.
     #[serde(rename = "span")]
     pub window: TimeDelta,
-    /// Retries allowed in a window whatever the number of requests.
+    /// Retries allowed in a window regardless of the number of requests.
     #[serde(rename = "free")]
     pub free_retries: f64,
-    /// Retries allowed for each request received.
+    /// Retries allowed for each request received in the window.
     #[serde(rename = "share")]
     pub retries_per_request: f64,
 }
@@ -134,23 +136,24 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Settings {
-    /// Request classes.
+    /// Request classes, indexed by [`ClassId`](crate::ClassId).
     pub classes: Vec<ClassSettings>,
-    /// Tenants, if any.
+    /// Tenants with a quota, indexed by [`Arrival::tenant`](crate::Arrival::tenant). Other tenants have no
+    /// quota.
     pub tenants: Vec<TenantSettings>,
     /// Factor on the value of a request beyond its tenant's quota.
     #[serde(rename = "over_share_worth")]
     pub over_quota_value_factor: f64,
     /// Managers that share the fleet's capacity, this one included; in a hot restart each process counts.
     pub gateways: u32,
-    /// This manager's index among these managers. Kept for captures; no rule reads it.
+    /// This manager's index among the managers that share the capacity. Kept for captures; no rule reads it.
     pub position: u32,
     /// Whether the endpoint list is sent only in answer to a poll.
     #[serde(rename = "must_ask")]
     pub must_poll_endpoints: bool,
     /// How engines report their load.
     pub report_via: ReportVia,
-    /// Whether load reports have the queries in progress or the busy cores.
+    /// Whether load reports have the number of queries in progress or the fraction of busy cores.
     pub reports_load: bool,
     /// Cores of an engine, by machine kind.
     pub kind_cores: Vec<f64>,
@@ -168,7 +171,7 @@
     /// Whether answers report the work and memory that a query used. Kept for captures; no rule reads it.
     #[serde(rename = "tells_cost")]
     pub reports_cost: bool,
-    /// Whether attempts can be cancelled.
+    /// Whether attempts can be cancelled on engines.
     pub cancel: bool,
     /// Whether load probes may be sent.
     pub probes: bool,
@@ -181,47 +184,49 @@
     pub max_retry_after: TimeDelta,
     /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Time within which attempts on a draining engine must end.
+    /// Time after a drain notice within which managers must stop sending attempts to the engine. No rule
+    /// reads it: nothing is sent to a draining engine.
     pub drain_grace: TimeDelta,
     /// An engine in slow start fails when it is sent more than this multiple of its capacity in one window.
     #[serde(rename = "fall_multiple")]
     pub slow_start_multiple: f64,
-    /// Length of that window: an engine fails when it is overloaded for this long, so budgets are given per
-    /// window.
+    /// Length of the window of `slow_start_multiple`: an engine fails when it is overloaded for this long, so
+    /// slow-start budgets are given per window.
     #[serde(rename = "fall_span")]
     pub slow_start_window: TimeDelta,
     /// Fraction of its capacity that an engine has at its start.
     #[serde(rename = "start_share")]
     pub initial_capacity_fraction: f64,
-    /// Length of the slow start.
+    /// Length of the slow start: time from the start of an engine until it has its full capacity.
     #[serde(rename = "cold_for")]
     pub slow_start_duration: TimeDelta,
-    /// How a manager that just started raises its part of a starting engine's budget; `None`: it uses half of
-    /// its part for one `slow_start_window`.
+    /// How a manager that just started raises its part of a starting engine's budget. `None`: during its
+    /// first `slow_start_window` the manager uses half of its part, and then all of it.
     #[serde(rename = "cold_ramp")]
     pub restart_ramp: Option<RestartRamp>,
-    /// Time for which a key is blocked after the end of an attempt that may still run.
+    /// Time for which requests with the same idempotency key are held back after an attempt that has ended
+    /// for this manager but may still run on its engine.
     #[serde(rename = "order_settle")]
     pub key_settle_time: TimeDelta,
-    /// The retry budget, if there is one.
+    /// The retry budget; `None` if the number of retries is not limited.
     #[serde(rename = "attempt_budget")]
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Retries beyond its own budget that other managers leave to this one, where the fleet shares its
-    /// budgets.
+    /// Retries per window that this manager may send beyond its own retry budget, because other managers
+    /// leave them unused; 0 unless the managers share their budgets.
     #[serde(rename = "spare")]
     pub spare_retries: f64,
-    /// Price of one load probe, in the value of one query.
+    /// Price of one load probe, as a fraction of the value of one query.
     pub probe_price: f64,
     /// Number of this manager's zone; `None` if it is not configured.
     pub zone: Option<u32>,
     /// Weights of zones in the selection of engines, by zone number, where failover between zones is on; a
     /// zone that is not in the list has weight 1.
     pub zone_weights: Vec<f64>,
-    /// Price of one attempt in another zone, in the value of one query.
+    /// Price of one attempt in another zone, as a fraction of the value of one query.
     pub cross_zone_price: f64,
-    /// Price of one new connection, in the value of one query.
+    /// Price of one new connection, as a fraction of the value of one query.
     pub handshake_price: f64,
-    /// Idle timeout of a connection.
+    /// Time after which an idle connection to an engine is closed.
     #[serde(rename = "idle")]
     pub idle_timeout: TimeDelta,
 }
@@ -234,7 +239,8 @@
 }
 
 impl Default for Settings {
-    /// One manager without classes: nothing is allowed beyond plain sends, and no rule has a limit.
+    /// One manager without classes or tenants. Each request has one plain attempt, without level, memory
+    /// grant, load probe or cancellation, and no rule has a limit.
     fn default() -> Settings {
         Settings {
             classes: Vec::new(),
