--- a/crates/policy/src/candidate_sampling.rs
+++ b/crates/policy/src/candidate_sampling.rs
@@ -9,7 +9,7 @@
 use sprucelink_stable_hash::SplitMix64;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Minimum weight of a load report whose engine needs no probe.
+/// Minimum weight of an engine's load report for which the engine is not probed.
 const FRESH_REPORT_WEIGHT: f64 = 0.7;
 /// Time after which a query that is still queued gets a new sample of engines.
 const SAMPLE_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
@@ -54,7 +54,7 @@
     now > sampled_at + SAMPLE_INTERVAL
 }
 
-/// The more managers choose at the same time, the fewer candidates each gets.
+/// Number of candidates: the more managers choose at the same time, the fewer candidates each manager gets.
 fn sample_size(engines: usize, managers: f64) -> usize {
     MIN_CANDIDATES.max((engines as f64 / managers.sqrt()) as usize)
 }
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -19,10 +19,10 @@
 const CONNECT_FAILURES_FOR_RESTART: u32 = 2;
 /// Backoff after an engine rejected a request because it was overloaded.
 const OVERLOAD_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
-/// Weight of a failure in an engine's failure rate.
+/// Weight of a failed attempt in an engine's failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// Weight of a success in an engine's failure rate; greater than that of a failure, so that an engine
-/// recovers quickly.
+/// Weight of a successful attempt in an engine's failure rate; greater than that of a failed one, so that an
+/// engine recovers quickly.
 const SUCCESS_WEIGHT: f64 = 0.3;
 /// An engine more than this many times slower than the median is ejected.
 const MAX_SLOWNESS: f64 = 3.5;
@@ -46,7 +46,7 @@
     /// Failed connections in a row.
     connect_failures: u32,
     slowness: EngineSlowness,
-    /// The engine accepts requests and answers none.
+    /// Whether the engine accepts requests but answers none.
     is_unresponsive: bool,
     /// Overdue attempts of this manager on the engine, counted at each tick.
     overdue_attempts: u32,
@@ -96,8 +96,8 @@
         self.backoff_until = now;
     }
 
-    /// An attempt is sent to the engine. `was_idle`: no other attempt was in flight, so that its silence
-    /// counts from now.
+    /// An attempt is sent to the engine. `was_idle`: no other attempt was in flight, so that the engine's
+    /// silence is measured from now.
     pub(crate) fn record_send(&mut self, now: Timestamp, was_idle: bool) {
         if was_idle {
             self.last_response = now;
@@ -125,7 +125,7 @@
         self.last_response = now;
     }
 
-    /// Learns from an answer. `latency_ratio`: its latency as a multiple of the expected one.
+    /// Learns from an answer. `latency_ratio`: actual latency as a multiple of the expected latency.
     pub(crate) fn record_latency(&mut self, latency_ratio: f64) {
         self.slowness.record(latency_ratio);
     }
@@ -155,8 +155,8 @@
         self.overdue_attempts = 0;
     }
 
-    /// Counts an attempt on the engine if it is overdue. `true` if that also counts as an outcome: at 3, 6,
-    /// 12 times the expected latency, and so on.
+    /// Counts an attempt on the engine if it is overdue. Returns `true` if the attempt counts as an outcome
+    /// now: at 3, 6, 12 times the expected latency, and so on.
     pub(crate) fn record_overdue(&mut self, now: Timestamp, attempt: &mut Attempt) -> bool {
         let ratio = (now - attempt.sent_at).as_secs_f64() / attempt.expected_latency_secs;
         self.overdue_attempts += u32::from(ratio > OVERDUE_MULTIPLE);
@@ -169,8 +169,8 @@
     }
 
     /// Ejects the engine if it is down, unresponsive, failing or far slower than the median, and readmits it
-    /// otherwise; `true` if its state changed. To be readmitted, an engine must do clearly better than the
-    /// bounds of ejection.
+    /// otherwise. Returns `true` if the engine was ejected or readmitted. To be readmitted, an engine must do
+    /// clearly better than the bounds of ejection.
     pub(crate) fn update_ejection(
         &mut self,
         now: Timestamp,
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -9,7 +9,7 @@
 
 /// Seconds in which the weight of an engine's load report falls to 1/e.
 pub(crate) const REPORT_DECAY_SECS: f64 = 4.0;
-/// Fraction of busy cores above which a report of cores alone does not show how many threads wait for them.
+/// Fraction of busy cores above which a report of busy cores does not show how many threads wait for cores.
 const SATURATED_CORE_FRACTION: f64 = 0.85;
 /// Threads per core assumed on an engine that rejected a request or does not answer.
 const FULL_THREADS_PER_CORE: f64 = 4.0;
@@ -21,31 +21,32 @@
 /// The load of one engine that other managers cause.
 #[derive(Clone, Default)]
 pub(crate) struct EngineLoad {
-    /// Threads of other managers by the last report.
+    /// Threads of other managers according to the last report.
     others_threads: f64,
     /// Time of the last report, or of the last event after which the engine was assumed to be full.
     reported_at: Option<Timestamp>,
-    /// Queries that wait for memory by the last report.
+    /// Queries that wait for memory according to the last report.
     queries_waiting: f64,
-    /// The last report had no number of queries, only the fraction of busy cores, and that was nearly all.
+    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
+    /// cores were busy.
     is_saturated: bool,
     /// Own threads on the engine, averaged over ticks because reports lag behind.
     average_own_threads: MovingAverage,
 }
 
 impl EngineLoad {
-    /// Threads of other managers by the last report.
+    /// Threads of other managers according to the last report.
     pub(crate) fn others_threads(&self) -> f64 {
         self.others_threads
     }
 
-    /// Queries that wait for memory by the last report.
+    /// Queries that wait for memory according to the last report.
     pub(crate) fn queries_waiting(&self) -> f64 {
         self.queries_waiting
     }
 
-    /// Whether the last report had no number of queries, only the fraction of busy cores, and that was nearly
-    /// all.
+    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
+    /// cores were busy.
     pub(crate) fn is_saturated(&self) -> bool {
         self.is_saturated
     }
@@ -65,14 +66,16 @@
         self.average_own_threads.update(own_threads, OWN_THREADS_WEIGHT);
     }
 
-    /// The engine has rejected a request because of overload or let a load probe time out: it counts as full.
+    /// The engine has rejected a request because of overload, or a load probe timed out: the engine counts as
+    /// full.
     pub(crate) fn assume_full(&mut self, now: Timestamp, cores: f64) {
         self.others_threads = FULL_THREADS_PER_CORE * cores;
         self.reported_at = Some(now);
     }
 
-    /// An attempt on the engine is overdue: it counts as full unless its last report is recent. An engine
-    /// that answers nothing reports nothing either, and would otherwise count as one of mean load.
+    /// An attempt on the engine is overdue: the engine counts as full unless its last report is recent. An
+    /// engine that answers nothing reports nothing either, and would otherwise be assumed to have the mean
+    /// load.
     pub(crate) fn assume_full_unless_reported(&mut self, now: Timestamp, cores: f64) {
         if self.reported_at.is_none_or(|time| now - time > MAX_TRUSTED_REPORT_AGE) {
             self.others_threads = self.others_threads.max(FULL_THREADS_PER_CORE * cores);
@@ -120,11 +123,11 @@
     }
 }
 
-/// Estimated threads on an engine: own threads, and those of other managers by the last report, which fades
-/// into the mean as it ages.
+/// Estimated threads on an engine: own threads, and threads of other managers according to the last report,
+/// which the mean replaces gradually as the report ages.
 ///
-/// `mean_of_others`: mean threads of other managers on a similar engine; `even_of_others`: the same if every
-/// manager has as many threads in flight as this one.
+/// `mean_of_others`: threads of other managers that are expected without a report; `even_of_others`: threads
+/// of other managers if every manager had as many in flight as this one.
 pub(crate) fn estimated_threads(
     own_threads: f64,
     mean_of_others: f64,
--- a/crates/policy/src/engine_slowness.rs
+++ b/crates/policy/src/engine_slowness.rs
@@ -3,11 +3,11 @@
 use crate::snapshot::StoredEngine;
 use sprucelink_rate_limits::update_mean;
 
-/// Minimum weight of one outcome in the slowness.
+/// Minimum weight of one outcome in the mean; the first outcomes have equal weights.
 const SLOWNESS_WEIGHT: f64 = 0.1;
-/// Lower bound of the latency ratio that an outcome counts as.
+/// Lower bound to which the latency ratio of an outcome is clamped.
 const MIN_LATENCY_RATIO: f64 = 0.05;
-/// Upper bound of the latency ratio that an outcome counts as.
+/// Upper bound to which the latency ratio of an outcome is clamped.
 const MAX_LATENCY_RATIO: f64 = 50.0;
 /// Minimum number of outcomes for an engine's slowness to be known.
 const MIN_SLOWNESS_SAMPLES: u32 = 6;
@@ -20,14 +20,14 @@
 }
 
 impl EngineSlowness {
-    /// Learns from an answer or an overdue attempt. `latency_ratio`: its latency as a multiple of the
-    /// expected one.
+    /// Learns from an answer or an overdue attempt. `latency_ratio`: latency, or age of the overdue attempt,
+    /// as a multiple of the expected latency.
     pub(crate) fn record(&mut self, latency_ratio: f64) {
         let sample = latency_ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO).ln();
         update_mean(&mut self.mean_log_ratio, &mut self.samples, sample, SLOWNESS_WEIGHT);
     }
 
-    /// The mean logarithm; `None` until there are enough outcomes.
+    /// The mean logarithm; `None` until there are [`MIN_SLOWNESS_SAMPLES`] outcomes.
     pub(crate) fn known_log_ratio(self) -> Option<f64> {
         (self.samples >= MIN_SLOWNESS_SAMPLES).then_some(self.mean_log_ratio)
     }
--- a/crates/policy/src/engine_weight.rs
+++ b/crates/policy/src/engine_weight.rs
@@ -9,9 +9,10 @@
 
 /// Exponent of the load factor for one thread per core: a twelfth of a thread per core halves the weight.
 const LOAD_EXPONENT: f64 = 8.0;
-/// Threads per core that a price of one query's value counts as where none of the fleet's load is visible.
+/// Threads per core to which a price of one query's value is equivalent if none of the fleet's load is
+/// visible.
 const PRICE_AS_THREADS_PER_CORE: f64 = 17.0;
-/// Minimum success rate assumed of an engine, so that one that always fails can still be drawn.
+/// Lower bound of an engine's success rate, so that an engine that always fails can still be drawn.
 const MIN_SUCCESS_RATE: f64 = 0.01;
 /// Factor for an engine that was recently sent requests that read the same tables.
 const CACHED_FACTOR: f64 = 1.6;
@@ -54,8 +55,8 @@
     }
 }
 
-/// Falls steeply with the load, in threads per core, so that nearly all requests go to the least loaded
-/// engines, but not those of all managers to the same one.
+/// The load factor. It falls steeply with the load, so that nearly all requests go to the least loaded
+/// engines, but the managers do not all choose the same engine.
 fn load_factor(threads_per_core: f64) -> f64 {
     (-LOAD_EXPONENT * threads_per_core).exp()
 }
@@ -66,8 +67,8 @@
     (success_rate / relative_slowness.max(1.0)).powi(2)
 }
 
-/// Nearly excludes the engine of the last attempt, and an engine where a load of the same tables holds their
-/// lock.
+/// Nearly excludes the engine of the last attempt, and an engine on which another query that loads these
+/// tables holds their lock.
 fn avoidance_factor(had_last_attempt: bool, loads_same_tables: bool) -> f64 {
     if had_last_attempt || loads_same_tables {
         AVOIDED_FACTOR
@@ -85,8 +86,8 @@
     fleet.utilisation(engine) + request_load + price_as_load
 }
 
-/// The price of sending an attempt to an engine, in values of one query: for crossing into another zone, and
-/// for a handshake if no connection to the engine is open.
+/// The price of sending an attempt to an engine, as a fraction of the value of one query: for crossing
+/// into another zone, and for a handshake if no connection to the engine is open.
 fn price_of_use(now: Timestamp, settings: &Settings, engine: &Engine) -> f64 {
     let is_in_other_zone = settings.zone.is_some_and(|zone| zone != engine.zone());
     let is_idle_connection_closed = engine.last_send().is_none_or(|time| now - time >= settings.idle_timeout);
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -50,14 +50,16 @@
         engine.load.report_weight(self.now)
     }
 
-    /// Mean threads of other managers on an engine with the same cores and start.
+    /// Threads that the other managers are expected to have in flight on the engine, without regard to its
+    /// last report: the fleet's mean per core times the engine's cores, its capacity fraction, and the
+    /// fraction of managers that may send to it.
     pub(crate) fn mean_of_others(&self, engine: &Engine) -> f64 {
         let fraction = self.capacity_fraction(engine);
         let sender_fraction = self.slow_start.sender_fraction(engine.cores(), engine.started_at());
         self.mean_load.others_per_core * engine.cores() * fraction * sender_fraction
     }
 
-    /// Estimated threads on an engine.
+    /// Estimated threads of all managers on an engine.
     pub(crate) fn estimated_threads(&self, engine: &Engine) -> f64 {
         estimated_threads(
             engine.own_threads(),
--- a/crates/policy/src/load_estimate.rs
+++ b/crates/policy/src/load_estimate.rs
@@ -12,8 +12,7 @@
 const MEAN_DECAY_SECS: f64 = 2.0 * REPORT_DECAY_SECS;
 /// Weight of one report in the mean load of the fleet.
 const REPORT_WEIGHT: f64 = 0.1;
-/// Seconds that each class counts as having run, in the mean threads of a query, before any attempt has
-/// ended.
+/// Initial weight of each class in the mean threads of a query, in seconds of running time.
 const PRIOR_RUN_SECS: f64 = 2.0;
 
 /// Threads per core of other managers on an engine without a load report.
@@ -21,8 +20,8 @@
 pub(crate) struct MeanLoad {
     /// Threads per core if every manager has as many threads in flight as this one.
     pub(crate) even_per_core: f64,
-    /// Threads per core by the reports of all engines, which fade into the even load multiplied by the load
-    /// visibility.
+    /// Threads per core by the reports of all engines. As the last report ages, they are replaced gradually
+    /// by the even load times the load visibility.
     pub(crate) others_per_core: f64,
 }
 
@@ -70,8 +69,8 @@
         MeanLoad { even_per_core, others_per_core }
     }
 
-    /// Records an engine's load report. One without queries in flight and busy cores leaves the mean load as
-    /// it is.
+    /// Records an engine's load report. A report that has neither the number of queries nor the fraction of
+    /// busy cores leaves the mean load unchanged.
     pub(crate) fn record_report(
         &mut self,
         now: Timestamp,
@@ -80,7 +79,7 @@
         mean_load: MeanLoad,
         engine: &mut EngineLoad,
     ) {
-        // Engines report queries, the estimate counts threads.
+        // Engines report a number of queries; the load estimate is in threads.
         let threads_per_query = self.thread_seconds / self.query_seconds.max(1e-6);
         let threads_of_queries = report.queries_in_flight.map(|queries| queries * threads_per_query);
         let busy_cores = report.busy_core_fraction.map(|fraction| fraction * cores);
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -13,8 +13,8 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Progress notes that an attempt may miss before it counts as silence of its zone. The core stops
-/// sending attempts on a connection after more of them (`src/core/engine_connection.rs`).
+/// Progress notes that an attempt may miss before it counts as silence of its zone. The core allows more
+/// missed notes before it stops sending attempts on a connection (`src/core/engine_connection.rs`).
 const MAX_MISSED_PROGRESS_NOTES: f64 = 1.5;
 /// Minimum number of silent engines for their zone to count as unreachable.
 const MIN_SILENT_ENGINES: usize = 2;
@@ -30,9 +30,9 @@
     last_response: Timestamp,
     /// Engines that have not responded to attempts sent after `last_response`.
     silent_engines: BTreeSet<u32>,
-    /// At least [`MIN_SILENT_ENGINES`] engines have been silent since the last response.
+    /// Whether at least [`MIN_SILENT_ENGINES`] engines have been silent since the last response.
     is_unreachable: bool,
-    /// Earliest time of the next trial on any of its engines.
+    /// Earliest time of the next trial on any engine of the zone.
     next_trial: Timestamp,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// The health of zones, and the slowness of the median engine.
+/// The reachability of zones, and the slowness of the median engine.
 #[derive(Clone, Default)]
 pub(crate) struct OutlierDetector {
     zones: BTreeMap<u32, ZoneReachability>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Ejects and readmits engines, at a tick. `progress_interval`: time between progress notes, zero where
+    /// Ejects and readmits engines, at a tick. `progress_interval`: time between progress notes, zero if
     /// engines send none.
     pub(crate) fn update(
         &mut self,
