--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -10,9 +10,11 @@
 /// Whether a request is admitted, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// Admitted: cores are free and the answer is expected in time, so the request delays no other.
+    /// Admitted: this manager has free cores or the selected engine is idle, and the answer is expected in
+    /// time, so the request delays no other request.
     AdmittedForFreeCapacity,
-    /// Admitted: the net value of the answer is at least the price, the delay that it causes others.
+    /// Admitted: the net value of the answer is at least the price for the delay that it causes other
+    /// requests.
     AdmittedForValue,
     /// Rejected: the net value of the answer is less than the price.
     RejectedForPrice,
--- a/crates/policy/src/answer_value.rs
+++ b/crates/policy/src/answer_value.rs
@@ -49,8 +49,8 @@
         self.value * if self.is_late(latency_secs) { late_fraction } else { 1.0 }
     }
 
-    /// Value of an answer with this latency less the delay cost. The paper's footnote 8 allows the step at
-    /// the objective.
+    /// Value of an answer with this latency less the delay cost. Footnote 8 of Konana et al. allows the
+    /// step at the objective.
     pub(crate) fn net(&self, latency_secs: f64) -> f64 {
         self.gross(latency_secs) - self.value / self.class_deadline_secs * latency_secs
     }
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -9,10 +9,10 @@
 const RAISE_AFTER_OBJECTIVE: [f64; 2] = [0.35, 0.6];
 /// Multiple of its expected latency after which an attempt without progress counts as lost.
 const LOST_MULTIPLE: f64 = 5.0;
-/// Multiple of a new attempt's latency that the remaining time of a running attempt must exceed before a new
-/// attempt replaces it.
+/// A running attempt is replaced only if its remaining time exceeds this multiple of the longer of its own
+/// expected latency and that of a new attempt.
 const RESTART_MULTIPLE: f64 = 3.0;
-/// Smaller fractions done count as this one where the remaining time is extrapolated.
+/// Lower bound of the fraction done from which the remaining time of an attempt is extrapolated.
 const MIN_FRACTION_DONE: f64 = 0.01;
 
 /// Result of the review of an open request.
@@ -20,11 +20,11 @@
 pub(crate) enum ReviewDecision {
     /// The request is left as it is.
     Keep,
-    /// Its attempt is cancelled, and a new one may be sent for the request.
+    /// The request's attempt is cancelled, and a new attempt may be sent.
     CancelAttempt,
-    /// Its attempt runs at this level from now on.
+    /// The request's attempt runs at this level from now on.
     RaiseLevel(usize),
-    /// It gets its final response.
+    /// The request gets its final response.
     Respond,
 }
 
@@ -57,7 +57,7 @@
     if is_stuck(attempt) && may_retry() {
         return ReviewDecision::CancelAttempt;
     }
-    // A request that is late would otherwise starve behind those of higher levels on its engine.
+    // A late request would otherwise starve behind requests of higher levels on its engine.
     let level = level_by_age(attempt.request_age_secs / attempt.objective_secs, load_visibility);
     if engines_obey_levels && level > attempt.level {
         return ReviewDecision::RaiseLevel(level);
@@ -75,27 +75,27 @@
 }
 
 /// The level of a running request by the fraction of its latency objective that has passed. A request that
-/// has missed its objective is not raised, because it would delay others for nothing.
-fn level_by_age(objective_passed: f64, load_visibility: f64) -> usize {
+/// has missed its objective is not raised, because it would delay other requests for nothing.
+fn level_by_age(passed_fraction: f64, load_visibility: f64) -> usize {
     let is_reached =
-        |fraction: &&f64| objective_passed * load_visibility > **fraction && objective_passed < 1.0;
+        |fraction: &&f64| passed_fraction * load_visibility > **fraction && passed_fraction < 1.0;
     RAISE_AFTER_OBJECTIVE.iter().filter(is_reached).count()
 }
 
-/// Reviews a queued request that may still be sent. `expected_secs`: time from its arrival to its answer if
-/// it is sent now. `price` is called only without free cores, and only if the answer would be late.
+/// Reviews a queued request that may still be sent. `expected_total_secs`: time from its arrival to its
+/// answer if it is sent now. `price` is called only without free cores, and only if the answer would be late.
 pub(crate) fn review_queued(
     value: &AnswerValue,
-    expected_secs: f64,
+    expected_total_secs: f64,
     has_free_cores: bool,
     price: impl FnOnce() -> f64,
 ) -> ReviewDecision {
     // While cores are free, an answer of any value is worth waiting for: a late answer is better than none.
     let is_value_left = if has_free_cores {
-        value.gross(expected_secs) > 0.0
+        value.gross(expected_total_secs) > 0.0
     } else {
-        let price = if value.is_late(expected_secs) { price() } else { 0.0 };
-        value.net(expected_secs) >= price
+        let price = if value.is_late(expected_total_secs) { price() } else { 0.0 };
+        value.net(expected_total_secs) >= price
     };
     match is_value_left {
         true => ReviewDecision::Keep,
--- a/crates/policy/src/class_estimates.rs
+++ b/crates/policy/src/class_estimates.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of estimates that count in a class's mean cost; later ones replace earlier ones gradually.
 const MAX_COST_SAMPLES: u32 = 200;
-/// Mean cost before the first estimate, as a fraction of the latency objective on all of the query's threads.
+/// Mean cost before the first estimate, as a fraction of the latency objective times the query's threads.
 const INITIAL_COST_FRACTION: f64 = 0.25;
 /// Minimum mean cost before the first estimate, thread-seconds.
 const MIN_INITIAL_COST: f64 = 1e-3;
@@ -15,18 +15,18 @@
 const WORK_RATIO_WEIGHT: f64 = 0.02;
 /// Maximum ratio of reported to estimated work that counts.
 const MAX_WORK_RATIO: f64 = 4.0;
-/// Weight of one answer in the current ratio of latency to estimate.
+/// Weight of one answer in the ratio of latency times threads to the estimated cost, at the current load.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// Maximum ratio of latency to estimate that counts.
+/// Maximum ratio of latency times threads to the estimated cost that counts.
 const MAX_LATENCY_RATIO: f64 = 20.0;
-/// Ratio of latency to estimate before the first answer.
+/// Initial ratio of latency times threads to the estimated cost, at the current load.
 const INITIAL_LATENCY_RATIO: f64 = 2.0;
-/// Ratio of latency to estimate on an engine without load, before the first answer.
+/// Initial ratio of latency times threads to the estimated cost, on an engine without load.
 const INITIAL_UNLOADED_RATIO: f64 = 1.0;
-/// Factor on the unloaded ratio for an answer that is slower than it; with [`QUANTILE_DOWN`], one quicker
+/// Factor on the unloaded ratio after an answer with a higher ratio. With [`QUANTILE_DOWN`], one quicker
 /// answer weighs as much as three slower ones, so the ratio settles near the lower quartile.
 const QUANTILE_UP: f64 = 1.01;
-/// Factor on the unloaded ratio for an answer that is quicker than it.
+/// Factor on the unloaded ratio after an answer whose ratio is not higher.
 const QUANTILE_DOWN: f64 = 0.97;
 
 /// The learned costs and latencies of one class. Ratios are relative to a request's estimated cost.
@@ -35,11 +35,12 @@
     /// Mean of the estimated costs, thread-seconds.
     mean_cost: f64,
     cost_samples: u32,
-    /// Ratio of the work reported in answers to the estimate.
+    /// Moving average of the ratio of the work reported in answers to the estimated work.
     work_ratio: MovingAverage,
-    /// Ratio of latency times threads to the estimate, at the lower quartile: as on an engine without load.
+    /// Lower quartile of the ratio of latency times threads to the estimated cost: as on an engine without
+    /// load.
     unloaded_ratio: f64,
-    /// Moving average of the same ratio: at the current load.
+    /// Moving average of the ratio of latency times threads to the estimated cost: at the current load.
     latency_ratio: MovingAverage,
 }
 
@@ -91,7 +92,7 @@
         self.work_ratio.update((reported / estimated).min(MAX_WORK_RATIO), WORK_RATIO_WEIGHT);
     }
 
-    /// Learns from the latency of an answer to a request of this estimated cost.
+    /// Learns from the latency of an answer to a request of this estimated cost (thread-seconds).
     pub(crate) fn record_latency(&mut self, latency_secs: f64, threads: f64, cost: f64) {
         let ratio = latency_secs * threads / cost.max(1e-6);
         self.latency_ratio.update(ratio.min(MAX_LATENCY_RATIO), LATENCY_WEIGHT);
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -5,8 +5,8 @@
 use crate::snapshot::StoredClass;
 use sprucelink_rate_limits::update_mean_and_variance;
 
-/// Increase of the grant after a note that all of the estimated memory was missing, as a fraction of the
-/// estimate.
+/// Increase of the grant after a spill note that reports the whole estimate as missing, as a fraction of the
+/// estimate. A note that reports less increases the grant in proportion.
 const SPILL_INCREASE: f64 = 0.1;
 /// Grant before the first answer or note, as a fraction of the estimate.
 const INITIAL_GRANT: f64 = 1.15;
@@ -18,12 +18,14 @@
 const MAX_MEMORY_SAMPLES: u32 = 50;
 /// Variance of the logarithm of memory used over estimated, before the first answer.
 const INITIAL_MEMORY_VARIANCE: f64 = 0.25;
-/// Standard deviations by which a grant exceeds the mean where a query waits while memory is short.
+/// Standard deviations of the log ratio that a grant adds to the mean, on engines where a query waits while
+/// memory is short.
 const DEVIATIONS_WHERE_QUERIES_WAIT: f64 = 0.5;
-/// Standard deviations by which a grant exceeds the mean where a query gets less memory than granted and
-/// spills.
+/// Standard deviations of the log ratio that a grant adds to the mean, on engines where a query gets less
+/// memory than granted and spills.
 const DEVIATIONS_WHERE_GRANTS_SHRINK: f64 = 0.7;
-/// Standard deviations by which a grant exceeds the mean where all queries slow down once memory is short.
+/// Standard deviations of the log ratio that a grant adds to the mean, on engines that page when memory is
+/// short, which slows down all queries.
 const DEVIATIONS_WHERE_ENGINES_PAGE: f64 = 2.0;
 
 /// Learns how much memory queries of one class use, relative to their estimates.
@@ -70,7 +72,7 @@
         self.ratio_from_spills = (self.ratio_from_spills - GRANT_DECAY).max(MIN_GRANT);
     }
 
-    /// The memory to grant, MB: the more harm a shortage does on these engines, the further above the mean.
+    /// The memory to grant, MB: the mean use and a margin that grows with the harm of a shortage.
     pub(crate) fn grant_mb(&self, estimated_mb: f64, shortage: MemoryShort) -> f64 {
         let deviations = match shortage {
             MemoryShort::Waits => DEVIATIONS_WHERE_QUERIES_WAIT,
--- a/crates/policy/src/policy/explanations.rs
+++ b/crates/policy/src/policy/explanations.rs
@@ -29,7 +29,7 @@
     ) {
         let Some(request) = self.request_to_explain(id) else { return };
         let value = self.answer_value(request);
-        push(
+        push_reason(
             out,
             Reason::Priced {
                 id,
@@ -53,10 +53,10 @@
         let Some(request) = self.request_to_explain(id) else { return };
         let fleet = self.fleet();
         let preference = Preference::of(&fleet, request);
-        let listed = self.engines.iter().filter(|(_, engine)| !engine.is_gone());
+        let not_gone = self.engines.iter().filter(|(_, engine)| !engine.is_gone());
         let candidates =
-            listed.map(|(id, engine)| candidate(&fleet, request, &preference, id, engine)).collect();
-        push(
+            not_gone.map(|(id, engine)| candidate(&fleet, request, &preference, id, engine)).collect();
+        push_reason(
             out,
             Reason::Drawn {
                 id,
@@ -71,8 +71,8 @@
     /// Explains why a request is rejected or failed.
     pub(super) fn explain_response(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.request_to_explain(id) else { return };
-        let expected_secs = request.age_secs(self.now) + self.expected_latency_secs(request);
-        push(
+        let expected_total_secs = request.age_secs(self.now) + self.expected_latency_secs(request);
+        push_reason(
             out,
             Reason::Answered {
                 id,
@@ -81,8 +81,8 @@
                 time_left: (request.deadline - self.now).as_secs_f64(),
                 retry_allowed: self.decide_retry(request).is_allowed(),
                 has_retry_budget: self.has_retry_budget(),
-                expected_total_time: expected_secs,
-                net_value: self.answer_value(request).net(expected_secs),
+                expected_total_time: expected_total_secs,
+                net_value: self.answer_value(request).net(expected_total_secs),
                 price: self.quote(request).price,
                 queue_delay: self.queue_delay_secs(),
             },
@@ -92,7 +92,7 @@
     pub(super) fn explain_cancellation(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.request_to_explain(id) else { return };
         let Some(attempt) = &request.in_flight else { return };
-        push(
+        push_reason(
             out,
             Reason::Cancelled {
                 id,
@@ -108,11 +108,11 @@
     }
 }
 
-fn push(out: &mut Vec<Action>, reason: Reason) {
+fn push_reason(out: &mut Vec<Action>, reason: Reason) {
     out.push(Action::Explain(Box::new(reason)));
 }
 
-/// Which engines a selection prefers, as far as there are such engines.
+/// Preferences of a selection among the eligible engines; each applies only if it leaves an engine.
 struct Preference {
     /// Only healthy engines are selected.
     only_healthy: bool,
--- a/crates/policy/src/policy/review.rs
+++ b/crates/policy/src/policy/review.rs
@@ -8,8 +8,8 @@
 use crate::request::{Attempt, Request};
 
 impl Policy {
-    /// Responds to requests that are due or not worth their price, cancels stuck attempts, and raises the
-    /// level of late ones.
+    /// Responds to requests whose deadline is near or whose answer is not worth its price, cancels stuck
+    /// attempts, and raises the level of late requests.
     pub(super) fn review_requests(&mut self, out: &mut Vec<Action>) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         let has_free_cores = self.free_capacity().has_free_cores();
@@ -39,9 +39,9 @@
         if !self.decide_retry(request).is_allowed() {
             return ReviewDecision::Respond;
         }
-        let expected_secs = request.age_secs(self.now) + self.expected_latency_secs(request);
+        let expected_total_secs = request.age_secs(self.now) + self.expected_latency_secs(request);
         let price = || self.quote(request).price;
-        review_queued(&self.answer_value(request), expected_secs, has_free_cores, price)
+        review_queued(&self.answer_value(request), expected_total_secs, has_free_cores, price)
     }
 
     /// An attempt in flight as the review rules need it.
--- a/crates/policy/src/pricing.rs
+++ b/crates/policy/src/pricing.rs
@@ -1,5 +1,6 @@
-//! Pricing: the price of a request at each priority level for the delay that it causes others, and its
-//! expected wait at that level, from admitted rates, learned waits, threads in flight by level, and cores.
+//! Pricing: the price of a request at each priority level for the delay that it causes other requests, and
+//! its expected wait at that level, from admitted rates, learned waits, threads in flight by level, and
+//! cores.
 //!
 //! After Konana et al., sections 3.2 to 3.4. Comments give the paper's symbols.
 
@@ -14,20 +15,20 @@
 pub(crate) const LEVELS: usize = 4;
 /// Time between two updates of the prices.
 pub(crate) const PRICING_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
-/// Minimum class deadline that the delay cost is calculated with, seconds.
+/// Lower bound of a class's deadline in the calculation of its delay cost, seconds.
 pub(crate) const MIN_DEADLINE_SECS: f64 = 1e-3;
 /// Number of waits learned in an interval at which unobserved waits decay in full.
 const FULL_EVIDENCE_WAITS: f64 = 10.0;
 /// Maximum utilisation in the slope of the delay, which grows without bound as utilisation approaches 1.
 const MAX_SLOPE_UTILISATION: f64 = 0.9;
 
-/// Price quote of a request: the level with the lowest total cost for it.
+/// Price quote of a request, at the level where the sum of its delay cost and price is lowest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PriceQuote {
     pub(crate) level: usize,
     /// Expected time to the answer, seconds (the paper's tau).
     pub(crate) expected_secs: f64,
-    /// Price for the delay that it causes others, in value (the paper's toll).
+    /// Price for the delay that the request causes other requests, in value (the paper's toll).
     pub(crate) price: f64,
 }
 
@@ -140,9 +141,9 @@
         }
     }
 
-    /// Cost of one more thread-second per second at a level to the requests that wait there, in value (eq.
-    /// 6): the mean wait times the slope of the delay, at the utilisation by that level and above, times the
-    /// value lost per second.
+    /// Cost of one more thread-second per second at a level to the requests that wait at that level, in value
+    /// (eq. 6): the mean wait times the slope of the delay, at the utilisation by this level and above, times
+    /// the value lost per second.
     fn marginal_delay_cost(
         &self,
         level: usize,
--- a/crates/policy/src/probe_credit.rs
+++ b/crates/policy/src/probe_credit.rs
@@ -3,11 +3,11 @@
 use crate::settings::{ClassSettings, Settings};
 use crate::snapshot::StoredPolicy;
 
-/// Value spent on load probes, as a fraction of the value of all requests.
+/// Value that may be spent on load probes, as a fraction of the value of all requests.
 const PROBE_BUDGET: f64 = 0.01;
 /// Minimum number of engines that a query of several threads chooses among.
 pub(crate) const MIN_CANDIDATES: usize = 2;
-/// Limit on unused probes, in samples of [`MIN_CANDIDATES`] engines.
+/// Maximum credit that requests can save up, in samples of [`MIN_CANDIDATES`] engines.
 const MAX_SAVED_SAMPLES: f64 = 4.0;
 
 /// The load probes that requests have earned and that were not sent yet.
@@ -17,8 +17,8 @@
 }
 
 impl ProbeCredit {
-    /// A request has arrived: it earns probes, the more the cheaper they are, up to a sample of
-    /// [`MIN_CANDIDATES`], which is what it could use.
+    /// Adds the probes that an arrived request earns: [`PROBE_BUDGET`] divided by the price of a probe, at
+    /// most [`MIN_CANDIDATES`], since one request uses no more.
     pub(crate) fn earn(&mut self, probe_price: f64) {
         let min_candidates = MIN_CANDIDATES as f64;
         let earned = PROBE_BUDGET / probe_price.max(PROBE_BUDGET / min_candidates);
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -34,7 +34,7 @@
 /// Whether a further attempt is allowed, and otherwise the reason why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// The attempt is allowed.
+    /// A further attempt may be sent, as far as the retry budget allows.
     Allowed,
     /// The request is not idempotent, and an earlier attempt may run or have run.
     MayRunTwice,
@@ -47,7 +47,7 @@
 }
 
 impl RetryDecision {
-    /// Whether the attempt is allowed.
+    /// Whether the decision is [`Allowed`](Self::Allowed).
     pub fn is_allowed(self) -> bool {
         self == RetryDecision::Allowed
     }
@@ -59,13 +59,13 @@
         RetryRule { effect: class.effect, dedup_window: class.repeat_window }
     }
 
-    /// Idempotency of the class.
+    /// Whether a retry of a request may take effect a second time.
     pub fn effect(&self) -> Effect {
         self.effect
     }
 
-    /// For keyed classes: time after the first attempt that may have run within which engines deduplicate a
-    /// retry.
+    /// For keyed classes: time within which engines deduplicate retries, counted from the send of the first
+    /// attempt that may have run.
     pub fn dedup_window(&self) -> TimeDelta {
         self.dedup_window
     }
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -6,7 +6,8 @@
 use sprucelink_rate_limits::TokenBucket;
 use sprucelink_time::Timestamp;
 
-/// Minimum depth of a tenant's token bucket, in requests; otherwise the depth is one second of the quota.
+/// Minimum depth of a tenant's token bucket, in requests. A bucket is as deep as one second of this manager's
+/// part of the quota, if that is more.
 const MIN_BURST_REQUESTS: f64 = 6.0;
 
 /// Whether a request is within its tenant's quota.
@@ -19,7 +20,7 @@
     OverQuota,
 }
 
-/// A token bucket for each tenant.
+/// The token bucket of each tenant with a quota, by tenant index.
 #[derive(Clone, Default)]
 pub(crate) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
@@ -30,7 +31,8 @@
         TenantQuotas { buckets: vec![TokenBucket::default(); tenants] }
     }
 
-    /// Takes a token for a request of the tenant. A tenant without settings has no quota.
+    /// Takes a token for a request of the tenant. A tenant without settings has no quota. `managers`: number
+    /// of managers among which the quota is divided.
     pub(crate) fn take(
         &mut self,
         now: Timestamp,
