--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -1,10 +1,10 @@
 //! Slow start over a whole fleet: the work that all processes of all managers together send to a starting
 //! engine in one slow-start window, counted in requests of mean work, as the operators count it. For a budget
-//! of N requests, an excess of up to 2 root N + 2 counts as chance.
+//! of N requests, an excess of up to 2 √N + 2 counts as chance.
 //!
 //! The engine is the only one listed and reports in each answer that it is idle, and every process has
-//! requests of every class queued at all times: only the slow-start budget limits what is sent. The sums are
-//! therefore an upper bound for any load and any selection of engines.
+//! requests of every class queued at all times: only the slow-start budget limits what is sent. The work per
+//! window is therefore an upper bound for any load and any selection of engines.
 mod common;
 use common::class;
 use sprucelink_policy::Policy;
@@ -21,8 +21,8 @@
 
 /// A request class of the simulated site.
 struct SiteClass {
-    /// Share of the requests, relative to those of the other classes.
-    share: f64,
+    /// Weight of the class in the random choice of a request's class.
+    weight: f64,
     /// Mean work, thread-seconds.
     mean_work: f64,
     /// Coefficient of variation of the work.
@@ -32,10 +32,10 @@
     effect: Effect,
 }
 
-/// Lookups, reports and loads, each with the middle of the site's ranges.
+/// Lookups, reports and loads. Each figure is the middle of the range that the site gives for it.
 const SITE_CLASSES: [SiteClass; 3] = [
     SiteClass {
-        share: 14.0,
+        weight: 14.0,
         mean_work: 0.245,
         work_variation: 1.0,
         threads: 1.0,
@@ -43,7 +43,7 @@
         effect: Effect::Safe,
     },
     SiteClass {
-        share: 2.5,
+        weight: 2.5,
         mean_work: 4.1,
         work_variation: 1.6,
         threads: 3.0,
@@ -51,7 +51,7 @@
         effect: Effect::Safe,
     },
     SiteClass {
-        share: 0.9,
+        weight: 0.9,
         mean_work: 3.9,
         work_variation: 0.7,
         threads: 2.0,
@@ -101,17 +101,17 @@
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         ((self.0 >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
-    fn class(&mut self) -> usize {
-        let mut remaining = self.unit() * SITE_CLASSES.iter().map(|class| class.share).sum::<f64>();
+    fn draw_class(&mut self) -> usize {
+        let mut remaining = self.unit() * SITE_CLASSES.iter().map(|class| class.weight).sum::<f64>();
         let drawn = SITE_CLASSES.iter().position(|class| {
-            remaining -= class.share;
+            remaining -= class.weight;
             remaining <= 0.0
         });
         drawn.unwrap_or(0)
     }
     /// Work of one request: lognormal with the mean and coefficient of variation of the class, from a normal
     /// number by the Box-Muller transform.
-    fn work(&mut self, class: &SiteClass) -> f64 {
+    fn draw_work(&mut self, class: &SiteClass) -> f64 {
         let normal = (-2.0 * self.unit().ln()).sqrt() * (std::f64::consts::TAU * self.unit()).cos();
         let log_variance = (1.0 + class.work_variation * class.work_variation).ln();
         class.mean_work * (log_variance.sqrt() * normal - log_variance / 2.0).exp()
@@ -126,7 +126,7 @@
     /// All managers start at the same time as the engine, and know nothing but the settings.
     NewlyStarted,
     /// Every manager has served 150 requests, and seven in ten are killed and restarted one second after the
-    /// engine's start: they have lost the record of what they sent, and the engine still has that work.
+    /// engine's start: their record of what they sent is lost, but the engine still has that work.
     Mixed,
     /// As [`Settled`](Self::Settled), but every other manager is notified at a random time from 0.5 to 3 s
     /// after the start. Until then it does not know the engine.
@@ -139,7 +139,8 @@
     /// knows of no other process and divides the budget by the number of managers configured
     /// (`src/run/hot_restart_driver.rs`). From 0.1 to 0.5 s later the first process is notified that its part
     /// is halved, and keeps serving its sessions. Four seconds after the start of the engine half of the
-    /// second processes die; the first process is notified of that more than one slow-start window later.
+    /// second processes are killed; the first process is notified of that more than one slow-start window
+    /// later.
     Upgrade,
 }
 
@@ -162,12 +163,12 @@
 enum ProcessEvent {
     /// The process is notified of the engine's start.
     Notified,
-    /// The process is killed and restarted.
-    Restart,
+    /// The process is killed and restarted at once, without its state.
+    KillAndRestart,
     /// The process starts; until now it did not exist.
     Start,
-    /// The process dies and is not restarted.
-    Die,
+    /// The process is killed and not restarted.
+    Kill,
     /// The process is notified of the number of processes among which the slow-start budget is divided.
     BudgetDivided(u32),
 }
@@ -188,11 +189,12 @@
     untried_requests: usize,
     /// Whether the request has no first attempt yet, by id.
     is_untried: Vec<bool>,
+    /// Events to come, by time.
     events: VecDeque<(Timestamp, ProcessEvent)>,
 }
 
-/// The engine under test. Unless the case is a restart of it, `EngineId(0)` stands for the warm engines
-/// before it starts.
+/// The engine under test. Before it starts, `EngineId(0)` stands for the warm engines of the fleet, except in
+/// [`FleetState::NotifiedLateOfRestart`].
 const STARTING_ENGINE: EngineId = EngineId(1);
 
 impl Process {
@@ -242,8 +244,8 @@
 
     /// Submits one request of a random class. `bias`: ratio of its estimated to its actual work.
     fn submit(&mut self, now: Timestamp, bias: f64, is_down: bool, sent_classes: &mut Vec<usize>) {
-        let class = self.random.class();
-        let work = self.random.work(&SITE_CLASSES[class]);
+        let class = self.random.draw_class();
+        let work = self.random.draw_work(&SITE_CLASSES[class]);
         let id = RequestId(self.next_id);
         self.next_id += 1;
         self.classes.push(class);
@@ -297,20 +299,19 @@
     }
 }
 
-/// The work that the fleet sent to the engine, over all simulated windows, which end before its slow start
-/// does.
+/// Maximum and mean, over the simulated windows, of the work that the fleet sent to the starting engine. N is
+/// the budget of a window in requests of mean work. All windows lie within the engine's slow start.
 #[derive(Default)]
-struct WindowSums {
-    /// Maximum over the windows of the work divided by the bound, N + 2 root N + 2; at most 1 where the rule
-    /// holds.
+struct WindowStatistics {
+    /// Maximum over the windows of the work divided by the bound, N + 2 √N + 2; at most 1 if the rule holds.
     max_over_bound: f64,
     /// Work in the window of that maximum, in requests of mean work.
     work_at_max: f64,
     /// N of that window.
     budget_at_max: f64,
-    /// Begin of that window, in seconds after the start of the engine.
+    /// Start of that window, in seconds after the start of the engine.
     start_secs_of_max: f64,
-    /// Mean over the windows of the work divided by N, from when all managers are notified.
+    /// Mean of the work divided by N, over the windows after all managers are notified.
     mean_over_budget: f64,
 }
 
@@ -319,31 +320,32 @@
     state: FleetState,
     manager: usize,
     gateways: u32,
-    since: Timestamp,
+    engine_start: Timestamp,
     random: &mut Random,
 ) -> [VecDeque<(Timestamp, ProcessEvent)>; 2] {
     let mut random_time =
-        |min: f64, max: f64| since + TimeDelta::from_secs_f64(min + (max - min) * random.unit());
-    let notified = (since, ProcessEvent::Notified);
+        |min: f64, max: f64| engine_start + TimeDelta::from_secs_f64(min + (max - min) * random.unit());
+    let notified = (engine_start, ProcessEvent::Notified);
     let (first, second) = match state {
         FleetState::Settled | FleetState::NewlyStarted => (vec![notified], vec![]),
-        FleetState::Mixed if manager % 10 < 7 => {
-            (vec![notified, (since + TimeDelta::from_micros(1_000_000), ProcessEvent::Restart)], vec![])
-        }
+        FleetState::Mixed if manager % 10 < 7 => (
+            vec![notified, (engine_start + TimeDelta::from_micros(1_000_000), ProcessEvent::KillAndRestart)],
+            vec![],
+        ),
         FleetState::Mixed => (vec![notified], vec![]),
         FleetState::NotifiedLate | FleetState::NotifiedLateOfRestart if manager % 2 == 1 => {
             (vec![(random_time(0.5, MAX_NOTIFICATION_DELAY.as_secs_f64()), ProcessEvent::Notified)], vec![])
         }
         FleetState::NotifiedLate | FleetState::NotifiedLateOfRestart => (vec![notified], vec![]),
         FleetState::Upgrade => {
-            let (start, notification_delay) = (random_time(0.0, 1.0), random_time(0.1, 0.5) - since);
+            let (start, notification_delay) = (random_time(0.0, 1.0), random_time(0.1, 0.5) - engine_start);
             let (mut first, mut second) = (
                 vec![notified, (start + notification_delay, ProcessEvent::BudgetDivided(2 * gateways))],
                 vec![(start, ProcessEvent::Start)],
             );
             if manager % 2 == 1 {
-                let death = since + TimeDelta::from_micros(4_000_000);
-                second.push((death, ProcessEvent::Die));
+                let death = engine_start + TimeDelta::from_micros(4_000_000);
+                second.push((death, ProcessEvent::Kill));
                 first.push((
                     death + notification_delay + TimeDelta::from_micros(2_000_000),
                     ProcessEvent::BudgetDivided(gateways),
@@ -355,20 +357,21 @@
     [first.into(), second.into()]
 }
 
-/// Simulates `secs` from the engine's start.
+/// Simulates a fleet in one state until `secs` seconds after the engine's start. `bias`: ratio of the
+/// estimated to the actual work of requests.
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-fn simulate(gateways: u32, state: FleetState, bias: f64, secs: f64, seed: u64) -> WindowSums {
+fn simulate(gateways: u32, state: FleetState, bias: f64, secs: f64, seed: u64) -> WindowStatistics {
     let settings = settings(gateways);
     let seed = seed << 32;
     let mut processes: Vec<Process> =
         (0..gateways).map(|index| Process::new(&settings, seed + 77 + u64::from(index), START)).collect();
-    let entry = |engine: EngineId, since: Option<Timestamp>| EngineEntry {
+    let entry = |engine: EngineId, started_at: Option<Timestamp>| EngineEntry {
         engine,
         zone: 0,
         kind: 0,
         cell: 0,
         state: EngineState::Ready,
-        since,
+        since: started_at,
     };
     let is_restart = state == FleetState::NotifiedLateOfRestart;
     let mut now = START;
@@ -394,10 +397,10 @@
             processes.iter_mut().for_each(|process| process.tick(now, bias, true, &mut ignored_classes));
         }
     }
-    let since = now;
+    let engine_start = now;
     let mut random = Random(seed ^ 0xfa7e);
     for index in 0..processes.len() {
-        let [first, second] = events_of_manager(state, index, gateways, since, &mut random);
+        let [first, second] = events_of_manager(state, index, gateways, engine_start, &mut random);
         processes[index].events = first;
         if !second.is_empty() {
             let mut process = Process::new(&settings, seed + 9_000 + index as u64, now);
@@ -405,11 +408,11 @@
             processes.push(process);
         }
     }
-    let mean_work = SITE_CLASSES.iter().map(|class| class.share * class.mean_work).sum::<f64>()
-        / SITE_CLASSES.iter().map(|class| class.share).sum::<f64>();
+    let mean_work = SITE_CLASSES.iter().map(|class| class.weight * class.mean_work).sum::<f64>()
+        / SITE_CLASSES.iter().map(|class| class.weight).sum::<f64>();
     // Work sent in each tick, in requests of mean work.
     let mut work_by_tick: Vec<f64> = Vec::new();
-    while now < since + TimeDelta::from_secs_f64(secs) {
+    while now < engine_start + TimeDelta::from_secs_f64(secs) {
         let mut sent_classes = Vec::new();
         for (index, process) in processes.iter_mut().enumerate() {
             while let Some((_, process_event)) =
@@ -418,7 +421,7 @@
                 process.events.pop_front();
                 let list = |kind| Event::EndpointsChanged {
                     kind,
-                    entries: vec![entry(STARTING_ENGINE, Some(since))],
+                    entries: vec![entry(STARTING_ENGINE, Some(engine_start))],
                 };
                 let kind = if state == FleetState::NewlyStarted {
                     EndpointUpdate::Remembered
@@ -427,13 +430,13 @@
                 };
                 match process_event {
                     ProcessEvent::Notified => process.handle(now, list(kind), false, &mut sent_classes),
-                    ProcessEvent::Restart | ProcessEvent::Start => {
+                    ProcessEvent::KillAndRestart | ProcessEvent::Start => {
                         let events = std::mem::take(&mut process.events);
                         let restarted = Process::new(&settings, seed + 7_000 + index as u64, now);
                         *process = Process { events, ..restarted };
                         process.handle(now, list(EndpointUpdate::Remembered), false, &mut sent_classes);
                     }
-                    ProcessEvent::Die => process.is_running = false,
+                    ProcessEvent::Kill => process.is_running = false,
                     ProcessEvent::BudgetDivided(processes) => process.handle(
                         now,
                         Event::FleetChanged { gateways: processes, spare_retries: 0.0 },
@@ -463,59 +466,60 @@
     let ticks_per_window = (settings.slow_start_window.as_micros() / TICK.as_micros()) as usize;
     let is_notified_late = matches!(state, FleetState::NotifiedLate | FleetState::NotifiedLateOfRestart);
     let all_notified = if is_notified_late { MAX_NOTIFICATION_DELAY } else { TimeDelta::ZERO };
-    let mut sums = WindowSums::default();
+    let mut statistics = WindowStatistics::default();
     let mut windows = 0.0;
     for (first_tick, window) in work_by_tick.windows(ticks_per_window).enumerate() {
         let start = TimeDelta::from_micros(first_tick as i64 * TICK.as_micros());
         let work = window.iter().sum::<f64>();
-        // The budget at the begin of the window is the minimum over the window.
+        // The budget at the start of the window is the minimum over the window.
         let budget = window_budget(start);
         let over_bound = work / (budget + 2.0 * budget.sqrt() + 2.0);
-        if over_bound > sums.max_over_bound {
-            (sums.max_over_bound, sums.work_at_max) = (over_bound, work);
-            (sums.budget_at_max, sums.start_secs_of_max) = (budget, start.as_secs_f64());
+        if over_bound > statistics.max_over_bound {
+            (statistics.max_over_bound, statistics.work_at_max) = (over_bound, work);
+            (statistics.budget_at_max, statistics.start_secs_of_max) = (budget, start.as_secs_f64());
         }
         if start >= all_notified {
-            sums.mean_over_budget += work / budget;
+            statistics.mean_over_budget += work / budget;
             windows += 1.0;
         }
     }
-    sums.mean_over_budget /= windows;
-    sums
+    statistics.mean_over_budget /= windows;
+    statistics
 }
 
-/// Simulates a fleet in one state, with estimates that are `bias` times the actual work, and prints the sums.
-fn simulate_and_print(gateways: u32, state: FleetState, bias: f64, secs: f64, seed: u64) -> WindowSums {
-    let sums = simulate(gateways, state, bias, secs, seed);
+/// Simulates as [`simulate`] does, and prints the statistics.
+fn simulate_and_print(gateways: u32, state: FleetState, bias: f64, secs: f64, seed: u64) -> WindowStatistics {
+    let statistics = simulate(gateways, state, bias, secs, seed);
     println!(
-        "{state:?}, {gateways} managers, estimates of {bias}, seed {seed}: at most {:.1} requests of mean work in one \
-         window, where N was {:.1}, {:.1} s after the start, {:.2} of the bound; {:.2} of N in the mean",
-        sums.work_at_max,
-        sums.budget_at_max,
-        sums.start_secs_of_max,
-        sums.max_over_bound,
-        sums.mean_over_budget
+        "{state:?}, {gateways} managers, estimates of {bias}, seed {seed}: at most {:.1} requests of mean \
+         work in one window, where N was {:.1}, {:.1} s after the start, {:.2} of the bound; {:.2} of N in \
+         the mean",
+        statistics.work_at_max,
+        statistics.budget_at_max,
+        statistics.start_secs_of_max,
+        statistics.max_over_bound,
+        statistics.mean_over_budget
     );
-    sums
+    statistics
 }
 
-/// Checks the operators' bound in all states, with unbiased estimates, and that the engine is not idle
-/// either.
+/// Checks in all fleet states, with unbiased estimates, that the work stays within the operators' bound and
+/// that the engine is not idle.
 fn check_fleet(gateways: u32, secs: f64, seeds: u64) {
     let mut violations = Vec::new();
     for state in FLEET_STATES {
         for seed in 0..seeds {
-            let sums = simulate_and_print(gateways, state, 1.0, secs, seed);
-            if sums.max_over_bound > 1.0 {
+            let statistics = simulate_and_print(gateways, state, 1.0, secs, seed);
+            if statistics.max_over_bound > 1.0 {
                 violations.push(format!(
                     "{state:?}, seed {seed}: {:.1} requests of mean work where N was {:.1}",
-                    sums.work_at_max, sums.budget_at_max
+                    statistics.work_at_max, statistics.budget_at_max
                 ));
             }
-            if sums.mean_over_budget <= 0.3 {
+            if statistics.mean_over_budget <= 0.3 {
                 violations.push(format!(
                     "{state:?}, seed {seed}: the engine is idle, {:.2} of N in the mean",
-                    sums.mean_over_budget
+                    statistics.mean_over_budget
                 ));
             }
         }
@@ -549,7 +553,7 @@
 }
 
 /// A measurement without an assertion, to run by hand: how far the estimates of all classes may be too low
-/// before the sum exceeds the bound.
+/// before the work in a window exceeds the bound.
 /// `cargo test --release -p sprucelink-policy --test cold_fleet -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement, run by hand"]
