--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -1,33 +1,34 @@
-//! Regression tests, one for each failure that was found, and tests of the normal path.
+//! Regression tests, one for each failure that was found, and tests of the normal path. Comments in the past
+//! tense describe the failure that a test guards against.
 mod common;
 use common::*;
 use sprucelink_policy::*;
 
-/// Submits requests one after the other, each over before the next. Attempts on the engine end with the
-/// outcome, all others succeed. Returns the number of attempts on the engine.
+/// Submits requests one after another. Attempts on `engine` end with `outcome`, attempts on other engines
+/// succeed. Returns the number of attempts on `engine`.
 fn count_attempts_on(manager: &mut TestManager, engine: u32, requests: usize, outcome: Outcome) -> usize {
-    let mut hits = 0;
+    let mut sends = 0;
     for _ in 0..requests {
         let (id, out) = manager.submit(0, 0.1, None);
         let target = forwarded(&out)[0].1;
         manager.now = manager.now + TimeDelta::from_micros(10_000);
         if target == EngineId(engine) {
-            hits += 1;
+            sends += 1;
             manager.end_attempt(id, 0, outcome);
             manager.handle(Event::RequestAbandoned { id });
         } else {
             manager.end_attempt(id, 0, Outcome::Succeeded);
         }
     }
-    hits
+    sends
 }
 
 #[test]
 fn engine_that_fails_at_once_does_not_attract_traffic() {
     let mut manager = TestManager::new(settings(vec![class(Effect::Unsafe)]), 4);
     count_attempts_on(&mut manager, 2, 80, Outcome::EngineError);
-    let hits = count_attempts_on(&mut manager, 2, 100, Outcome::EngineError);
-    assert!(hits <= 5, "{hits} of 100");
+    let sends = count_attempts_on(&mut manager, 2, 100, Outcome::EngineError);
+    assert!(sends <= 5, "{sends} of 100");
 }
 
 /// Dozens of requests that no engine could execute had six attempts each: they used up most of the retry
@@ -78,19 +79,19 @@
 #[test]
 fn unresponsive_engine_gets_only_trials() {
     let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 3);
-    let mut late_hits = 0;
-    for i in 0..300 {
+    let mut late_sends = 0;
+    for index in 0..300 {
         let (id, out) = manager.submit(0, 0.1, None);
         let target = forwarded(&out).first().map(|sent| sent.1);
         if target.is_some_and(|engine| engine != EngineId(1)) {
             manager.end_attempt(id, 0, Outcome::Succeeded);
-        } else if i >= 150 {
-            late_hits += 1;
+        } else if index >= 150 {
+            late_sends += 1;
         }
         manager.advance(0.02);
     }
     // The last 150 requests take three seconds. By its estimated load alone the engine would be filled up.
-    assert!(late_hits <= 4, "{late_hits} sends");
+    assert!(late_sends <= 4, "{late_sends} sends");
 }
 
 /// The last level that one of `gateways` managers gives a single query within the first 1.9 s of its latency
@@ -183,10 +184,10 @@
     let run = || {
         let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 5);
         let mut actions = Vec::new();
-        for i in 0..100 {
+        for index in 0..100 {
             let (id, out) = manager.submit(0, 0.1, None);
             actions.extend(out);
-            if i % 3 != 0 {
+            if index % 3 != 0 {
                 actions.extend(manager.end_attempt(id, 0, Outcome::Succeeded));
             }
             actions.extend(manager.advance(0.02));
@@ -241,8 +242,8 @@
     assert_eq!(engines.len(), 4, "loads on one engine would wait for the lock of each other");
 }
 
-/// An engine rejects the request of one of hundreds of managers: the manager sends it no further ones,
-/// although it has no attempt in flight there.
+/// After an engine has rejected a request of one of hundreds of managers, this manager sends it no further
+/// requests, although the manager has no attempt in flight on the engine.
 #[test]
 fn full_engine_is_avoided_by_a_manager_without_attempts_on_it() {
     let settings = Settings { gateways: 200, ..settings(vec![class(Effect::Safe)]) };
@@ -298,7 +299,7 @@
     let (answered, out) = manager.submit(0, 0.1, None);
     let other = forwarded(&out)[0].1;
     assert_ne!(other, overloaded);
-    // A fresh load report counts for more than an attempt in flight, however long that takes.
+    // A fresh load report counts for more than an attempt in flight, even if the attempt is overdue.
     manager.succeed(answered, 0.0);
     let reported = manager.policy.engine_view(other).expect("the engine is listed").utilisation;
     assert!(reported < 1.0, "{reported} threads per core");
@@ -327,8 +328,8 @@
     sent
 }
 
-/// When a zone failed in a fleet of 61 managers, each manager learned it engine by engine over five seconds,
-/// at the cost of one or two attempts on each of 17 engines.
+/// When a zone failed in a fleet of 61 managers, each manager detected it engine by engine over five
+/// seconds, at the cost of one or two attempts on each of 17 engines.
 #[test]
 fn zone_is_unreachable_once_two_of_its_engines_are_silent() {
     let mut settings = settings(vec![class(Effect::Unsafe)]);
@@ -351,8 +352,9 @@
     assert_eq!(ejected(&manager), 3, "including the engine that was sent nothing");
     // A new process of one of its engines, by the endpoint list, makes the zone reachable again.
     manager.now = manager.now + TimeDelta::from_micros(20_000);
-    let since = Some(manager.now);
-    manager.change_endpoints(EndpointUpdate::Changes, vec![EngineEntry { since, ..zone_entry(0) }]);
+    let started_at = Some(manager.now);
+    manager
+        .change_endpoints(EndpointUpdate::Changes, vec![EngineEntry { since: started_at, ..zone_entry(0) }]);
     manager.advance(0.02);
     assert!(!manager.policy.engine_view(EngineId(0)).unwrap().ejected);
 }
@@ -386,7 +388,7 @@
     let (in_own_zone, engines) = attempts_in_own_zone_and_engines(base.clone(), 0.0);
     assert!(
         (70..130).contains(&in_own_zone) && engines == 20,
-        "without prices: {in_own_zone} attempts in the own zone, {engines} engines"
+        "without prices: {in_own_zone} attempts in the manager's own zone, {engines} engines"
     );
     let with_zone_price = Settings { cross_zone_price: 0.04, ..base.clone() };
     assert!(
@@ -400,8 +402,8 @@
         "{:?}",
         attempts_in_own_zone_and_engines(with_handshake_price, 0.0)
     );
-    // Load outweighs the price: the engines of the own zone, of eight cores each, have five queries in
-    // flight.
+    // Load outweighs the price: the engines of the manager's own zone have eight cores each and five queries
+    // in flight.
     assert!(
         attempts_in_own_zone_and_engines(with_zone_price.clone(), 5.0).0 < 120,
         "{:?}",
@@ -423,7 +425,7 @@
     assert_eq!(forwarded(&manager.end_attempt(first, 0, Outcome::Succeeded))[0].0, second);
 }
 
-/// A load report must neither repel nor attract requests for good.
+/// An old load report must neither keep requests away from its engine nor attract them permanently.
 #[test]
 fn old_report_of_a_full_engine_loses_its_weight() {
     let settings = Settings { gateways: 200, ..settings(vec![class(Effect::Safe)]) };
@@ -433,13 +435,13 @@
     manager.end_attempt(id, 0, Outcome::RejectedByEngine);
     manager.end_attempt(id, 1, Outcome::Succeeded);
     manager.advance(30.0);
-    let mut hits = 0;
+    let mut sends = 0;
     for _ in 0..40 {
         let (id, out) = manager.submit(0, 0.1, None);
-        hits += usize::from(forwarded(&out)[0].1 == full);
+        sends += usize::from(forwarded(&out)[0].1 == full);
         manager.end_attempt(id, 0, Outcome::Succeeded);
     }
-    assert!(hits >= 8, "{hits} of 40 on one of two engines");
+    assert!(sends >= 8, "{sends} of 40 on one of two engines");
 }
 
 /// With hundreds of managers a tenant's quota on each is below one request per second: a random burst must
@@ -571,12 +573,12 @@
     assert!(forwarded(&manager.advance(0.1)).is_empty(), "no engine is known to have capacity");
 }
 
-/// Replaced engines looked idle to all managers when their slow start ended, and every manager sent them its
-/// heavy queries.
+/// An engine that had replaced another one looked idle to all managers when its slow start ended, and every
+/// manager sent its heavy queries to it.
 #[test]
 fn idle_engine_is_not_filled_by_all_managers_at_once() {
     let settings = Settings { probes: false, ..many_managers_with_probes() };
-    let mut hits = 0;
+    let mut sends = 0;
     for seed in 0..60 {
         let mut manager = TestManager::seeded(settings.clone(), seed, 30);
         for _ in 0..200 {
@@ -584,10 +586,10 @@
             let idle = forwarded(&out)[0].1 == EngineId(7);
             manager.succeed(id, if idle { 0.0 } else { 9.0 });
         }
-        hits +=
+        sends +=
             forwarded(&manager.submit(1, 0.2, None).1).iter().filter(|sent| sent.1 == EngineId(7)).count();
     }
-    assert!((1..20).contains(&hits), "{hits} of 60 managers chose the idle engine at the same moment");
+    assert!((1..20).contains(&sends), "{sends} of 60 managers chose the idle engine at the same moment");
 }
 
 /// Few managers were sampled as senders to a starting engine, and most of those did not have the engine among
@@ -595,7 +597,7 @@
 #[test]
 fn starting_engine_with_budget_is_a_candidate_of_every_manager() {
     let settings = Settings { probes: false, gateways: 30, ..many_managers_with_probes() };
-    let mut hits = 0;
+    let mut sends = 0;
     for seed in 0..200 {
         let mut manager = TestManager::seeded(settings.clone(), seed, 30);
         manager.advance(4.0);
@@ -608,8 +610,8 @@
         for engine in 0..31 {
             manager.complete_probe(EngineId(engine), if engine < 30 { 60.0 } else { 0.0 });
         }
-        hits +=
+        sends +=
             forwarded(&manager.submit(1, 0.3, None).1).iter().filter(|sent| sent.1 == EngineId(30)).count();
     }
-    assert!(hits > 50, "{hits} of 200 managers used the starting engine");
+    assert!(sends > 50, "{sends} of 200 managers used the starting engine");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -73,8 +73,8 @@
 fn starting_engine_is_sent_no_more_than_its_slow_start_budget() {
     let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 0);
     manager.advance(2.0);
-    let since = Some(manager.now);
-    manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
+    let started_at = Some(manager.now);
+    manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since: started_at, ..entry(0) }]);
     let mut out = Vec::new();
     for _ in 0..200 {
         out.extend(manager.submit(0, 0.5, None).1);
@@ -89,8 +89,9 @@
     let count_sends = |wait_secs: f64| {
         let mut manager = TestManager::new(settings(vec![class(Effect::Safe)]), 0);
         manager.advance(wait_secs);
-        let since = Some(manager.now);
-        manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
+        let started_at = Some(manager.now);
+        manager
+            .change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since: started_at, ..entry(0) }]);
         (0..100).map(|_| forwarded(&manager.submit(0, 0.5, None).1).len()).sum::<usize>()
     };
     assert!(count_sends(0.0) < count_sends(2.0));
@@ -105,8 +106,9 @@
         let settings = Settings { restart_ramp, ..settings(vec![class(Effect::Safe)]) };
         let mut manager = TestManager::new(settings, 0);
         manager.advance(wait_secs);
-        let since = Some(manager.now);
-        manager.change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since, ..entry(0) }]);
+        let started_at = Some(manager.now);
+        manager
+            .change_endpoints(EndpointUpdate::Complete, vec![EngineEntry { since: started_at, ..entry(0) }]);
         let mut sends = 0;
         for _ in 0..400 {
             let (id, out) = manager.submit(0, 0.02, None);
@@ -182,9 +184,9 @@
     assert_eq!(retries, 3, "two free retries and a tenth of ten requests");
 }
 
-/// The budget limits all managers together: where an even part of it is less than one query, only a sample of
-/// the managers uses it. The endpoint list reaches all managers at once; each has one query at that instant
-/// and a few per second afterwards.
+/// The budget limits all managers together: if an equal part of it is less than one query, only a sample of
+/// the managers uses the budget. The endpoint list reaches all managers at once; each has one query at that
+/// instant and a few per second afterwards.
 #[test]
 fn many_managers_share_the_budget_of_a_starting_engine() {
     let (manager_count, cost) = (250, 0.2);
@@ -208,8 +210,8 @@
             send_times.extend(forwarded(&out).iter().map(|_| manager.now));
         }
     }
-    // At its start the engine has three tenths of eight cores, 85% busy; twice that for one second overloads
-    // it.
+    // At its start the engine has three tenths of eight cores, of which 85% counts as capacity; twice that
+    // work within one second overloads it.
     let capacity = 0.3 * 8.0 * 0.85;
     let work_per_window = (0..150).map(|k| start + TimeDelta::from_micros(20_000 * k)).map(|from| {
         let until = from + TimeDelta::from_micros(1_000_000);
@@ -304,7 +306,8 @@
             sends += forwarded(&manager.submit(0, if query % 6 == 5 { 1.1 } else { 0.02 }, None).1).len();
         }
     }
-    // Twice three tenths of eight cores, 85% busy, for one second, in queries of mean cost.
+    // Twice three tenths of eight cores, of which 85% counts as capacity, for one second; in queries of mean
+    // cost.
     let max_sends = 2.0 * 0.3 * 8.0 * 0.85 / 0.2;
     assert!(
         sends >= 1 && f64::from(sends as u32) < max_sends,
