--- a/crates/policy/benches/event.rs
+++ b/crates/policy/benches/event.rs
@@ -1,5 +1,5 @@
-//! Time that the decision module takes for an event, by number of engines: the project's baseline. Run with
-//! `cargo bench -p sprucelink-policy`.
+//! Benchmark: time that the decision module takes per event, by number of engines. The results are the
+//! project's baseline for this time. Run with `cargo bench -p sprucelink-policy`.
 #![allow(missing_docs, reason = "criterion's macros generate functions without documentation")]
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
--- a/crates/policy/src/slow_start/tests.rs
+++ b/crates/policy/src/slow_start/tests.rs
@@ -48,7 +48,7 @@
     let settings = settings(1);
     let (limits, [light, heavy]) = limits(&settings);
     let started_at = Some(at_millis(100_000));
-    // Two times a tenth of ten cores for one second, of which 0.56 is usable.
+    // `slow_start_multiple` 2 x a tenth of ten cores x 1 s x `USABLE_CORE_FRACTION` 0.56.
     assert!((limits.budget(CORES, started_at) - 1.12).abs() < 1e-12);
     let mut usage = SlowStartBudget::default();
     assert!(
--- a/crates/policy/tests/policy_size.rs
+++ b/crates/policy/tests/policy_size.rs
@@ -202,8 +202,8 @@
     function.signature.contains("&mut") || deciding_tokens.iter().any(|token| function.body.contains(token))
 }
 
-/// Every file of the module is either listed as policy, or only records, shows or names things; each of the
-/// latter is checked by a rule of its own.
+/// Every file of the module is either listed as policy, or has only records, views or names. The files that
+/// are not listed are checked one by one.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn every_file_that_learns_or_decides_is_listed() {
@@ -213,7 +213,7 @@
     for file in &listed {
         assert!(files.contains(file), "{file} is listed, but is not a file of the module");
     }
-    let deciding_text: String = listed.iter().map(|file| read_file(file)).collect();
+    let text_of_listed_files: String = listed.iter().map(|file| read_file(file)).collect();
     for file in files.iter().filter(|file| !listed.contains(file)) {
         let text = read_file(file);
         let functions = functions(file, &text);
@@ -249,7 +249,7 @@
             | "crates/policy/src/policy/views.rs" => {
                 assert_eq!(consts, 0, "{file}: a constant");
                 let is_called =
-                    |function: &&Function| deciding_text.contains(&format!(".{}(", function.name));
+                    |function: &&Function| text_of_listed_files.contains(&format!(".{}(", function.name));
                 for function in functions.iter().filter(is_called) {
                     let has_no_effect =
                         !function.signature.contains("->") && !function.signature.contains("&mut self");
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -158,7 +158,8 @@
 
     fn check_slow_start(&mut self, now: Timestamp, id: RequestId, engine: EngineId) {
         let entry = self.entry(engine);
-        let Some(since) = entry.since.filter(|since| now - *since < self.settings.slow_start_duration) else {
+        let Some(started_at) = entry.since.filter(|time| now - *time < self.settings.slow_start_duration)
+        else {
             return;
         };
         let cost = COSTS[self.requests[&id].class];
@@ -167,17 +168,19 @@
         self.starting_sends.push((now, engine, cost));
         let recent = self.starting_sends.iter().filter(|send| send.1 == engine && now - send.0 < window);
         let sent_work: f64 = recent.map(|send| send.2).sum();
-        let capacity_gain = (now - since).as_secs_f64() / self.settings.slow_start_duration.as_secs_f64()
+        let capacity_gain = (now - started_at).as_secs_f64()
+            / self.settings.slow_start_duration.as_secs_f64()
             * (1.0 - self.settings.initial_capacity_fraction);
         let capacity =
             (self.settings.initial_capacity_fraction + capacity_gain) * full_capacity * window.as_secs_f64();
-        // One of many managers stays within its part of the budget, or sends one query where that part is
-        // less.
+        // One of many managers stays within its part of the budget, or sends one query if its part is smaller
+        // than that query.
         let budget_part = self.settings.slow_start_multiple * capacity / f64::from(self.settings.gateways);
         assert!(sent_work <= budget_part.max(cost), "a starting engine is not overloaded");
     }
 }
 
+/// Runs random events with random settings. Returns the number of attempts sent.
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn run_random_events(seed: u64) -> usize {
     let mut random = Random(seed);
@@ -305,13 +308,13 @@
             let out = manager.end_attempt(id, attempt, outcome);
             checker.check(now, &out);
         }
-        let waiting: Vec<RequestId> = checker
+        let unanswered: Vec<RequestId> = checker
             .requests
             .iter()
             .filter(|entry| entry.1.final_responses == 0)
             .map(|entry| *entry.0)
             .collect();
-        if let Some(id) = waiting.first().filter(|_| random.one_in(15)) {
+        if let Some(id) = unanswered.first().filter(|_| random.one_in(15)) {
             let request = checker.requests.get_mut(id).expect("a known request");
             (request.final_responses, request.responded_at) = (1, Some(manager.now));
             let out = manager.handle(Event::RequestAbandoned { id: *id });
@@ -333,7 +336,7 @@
         checker.check(manager.now, &out);
     }
     for (id, request) in &checker.requests {
-        assert_eq!(request.final_responses, 1, "{id:?} has one response");
+        assert_eq!(request.final_responses, 1, "{id:?} has one final response");
         let is_in_time = request.responded_at.is_some_and(|time| time < request.deadline);
         assert!(is_in_time, "{id:?} has its response before its deadline");
     }
@@ -417,7 +420,10 @@
         let out = manager.handle(Event::Timer { token: 0 });
         checker.check(manager.now, &out);
     }
-    assert!(checker.requests.values().all(|request| request.final_responses == 1), "each has one response");
+    assert!(
+        checker.requests.values().all(|request| request.final_responses == 1),
+        "each request has one final response"
+    );
     (checker.sends, checker.keyed_retries)
 }
 
--- a/crates/policy/tests/recorded_decisions.rs
+++ b/crates/policy/tests/recorded_decisions.rs
@@ -145,6 +145,7 @@
     in_flight: BTreeMap<RequestId, (u32, EngineId, Timestamp)>,
     /// Number of the next attempt of each request.
     next_attempt: BTreeMap<RequestId, u32>,
+    /// Number of requests submitted so far; the last one has this id.
     requests: u64,
     /// The engine that fails more often and answers later than the others.
     impaired_engine: Option<EngineId>,
@@ -300,8 +301,8 @@
         }
         if self.random.one_in(20) {
             let id = RequestId(1 + self.random.below(self.requests.max(1)));
-            let is_started = self.random.one_in(2);
-            self.handle(if is_started {
+            let response_starts = self.random.one_in(2);
+            self.handle(if response_starts {
                 Event::ResponseStarted { id }
             } else {
                 Event::RequestAbandoned { id }
