--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -43,8 +43,8 @@
 }
 
 /// Decides whether to admit a request. `engine_utilisation` returns the threads per core on the engine that
-/// would be selected for it, or `None` without such an engine; it is called only if the decision depends on
-/// it.
+/// would be selected for the request, or `None` if no engine would be selected. It is called only if the
+/// decision depends on its result.
 pub(crate) fn decide(
     quote: &PriceQuote,
     value: &AnswerValue,
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -18,9 +18,9 @@
 /// The record of one engine.
 #[derive(Clone, Default)]
 pub(crate) struct Engine {
-    /// The endpoint list has the engine as ready.
+    /// Whether the endpoint list has the engine as ready.
     is_listed: bool,
-    /// The endpoint list has the engine as gone.
+    /// Whether the endpoint list has the engine as gone.
     is_gone: bool,
     zone: u32,
     kind: u32,
@@ -63,7 +63,7 @@
         self.cores
     }
 
-    /// Start of the latest slow start; `None` if there was none.
+    /// Start of the latest slow start; `None` if the engine was never in slow start.
     pub(crate) fn started_at(&self) -> Option<Timestamp> {
         self.started_at
     }
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -11,7 +11,7 @@
 pub(crate) const TRIAL_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
 /// An attempt in flight for more than this many times its expected latency is overdue.
 pub(crate) const OVERDUE_MULTIPLE: f64 = 3.0;
-/// Backoff after the first of several failed connections in a row; doubles with each further one.
+/// Backoff after the first of several failed connections in a row; doubles with each further failure.
 const CONNECT_BACKOFF: TimeDelta = TimeDelta::from_millis(500);
 /// Maximum number of doublings of [`CONNECT_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
@@ -52,7 +52,7 @@
     overdue_attempts: u32,
     /// Fraction of recent attempts that failed.
     failure_rate: MovingAverage,
-    /// The engine gets only a trial at intervals, unless no eligible engine is healthy.
+    /// Whether the engine gets only a trial at intervals, unless no eligible engine is healthy.
     is_ejected: bool,
 }
 
@@ -130,8 +130,8 @@
         self.slowness.record(latency_ratio);
     }
 
-    /// A connection to the engine failed: starts a backoff, longer each time. Further failures within a
-    /// backoff are not counted.
+    /// A connection to the engine failed: starts a backoff, which is longer after each failure in a row.
+    /// Further failures within a backoff are not counted.
     pub(crate) fn record_connect_failure(&mut self, now: Timestamp) {
         if now >= self.backoff_until {
             let doublings = self.connect_failures.min(MAX_BACKOFF_DOUBLINGS);
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -33,7 +33,7 @@
     pub since: Option<Timestamp>,
 }
 
-/// Kind of an update of the endpoint list.
+/// What an update of the endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointUpdate {
     /// Only the entries that changed.
@@ -50,19 +50,19 @@
 /// A load report of an engine. Figures that the engine does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Queries in progress.
+    /// Number of queries in progress on the engine.
     #[serde(rename = "in_hand")]
     pub queries_in_flight: Option<f64>,
-    /// Queries waiting for memory.
+    /// Number of queries on the engine that wait for memory.
     #[serde(rename = "waiting")]
     pub queries_waiting_for_memory: Option<f64>,
-    /// Fraction of the cores in use, 0 to 1.
+    /// Fraction of the engine's cores in use, 0 to 1.
     #[serde(rename = "busy")]
     pub busy_core_fraction: Option<f64>,
-    /// Fraction of the memory granted, 0 to 1.
+    /// Fraction of the engine's memory that is granted to queries, 0 to 1.
     #[serde(rename = "memory")]
     pub granted_memory_fraction: Option<f64>,
-    /// Fraction of the disks in use, 0 to 1.
+    /// Fraction of the engine's disks in use, 0 to 1.
     #[serde(rename = "disks")]
     pub busy_disk_fraction: Option<f64>,
 }
@@ -76,14 +76,14 @@
     /// The engine responded with an error; the attempt may have executed.
     #[serde(rename = "Error")]
     EngineError,
-    /// The engine rejected the attempt because it was at its limit; never executed.
+    /// The engine rejected the attempt because it was at its limit; the attempt never executed.
     #[serde(rename = "Shed")]
     RejectedByEngine,
     /// The client's deadline passed without a response; the attempt may have executed or may still execute.
-    /// Attempts have no timeout of their own: one that is stuck is cancelled, and a retry may follow.
+    /// Attempts have no timeout of their own: a stuck attempt is cancelled, and a retry may follow.
     #[serde(rename = "Expired")]
     TimedOut,
-    /// No connection could be opened; never executed.
+    /// No connection could be opened; the attempt never executed.
     #[serde(rename = "DialFailed")]
     ConnectFailed,
     /// The connection broke; the attempt may have executed.
@@ -107,9 +107,9 @@
 /// Resources that a query used, as reported in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueryCost {
-    /// Work in thread-seconds.
+    /// Work of the query in thread-seconds.
     pub work: f64,
-    /// Memory in MB.
+    /// Memory that the query used, in MB.
     pub memory_mb: f64,
 }
 
@@ -129,7 +129,7 @@
 /// A request as it arrives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Id chosen by the caller, unique while its manager runs.
+    /// Id chosen by the caller, unique while the manager runs.
     pub id: RequestId,
     /// Class of the request: index in [`Settings::classes`](crate::Settings::classes).
     pub class: ClassId,
@@ -197,7 +197,7 @@
         /// Load report that came with the answer; empty if there was none.
         report: LoadReport,
     },
-    /// The client cancelled or disconnected.
+    /// The client cancelled its request or disconnected.
     #[serde(rename = "GivenUp")]
     RequestAbandoned {
         /// Id of the request, as in its [`Arrival`].
--- a/crates/policy/src/level_price.rs
+++ b/crates/policy/src/level_price.rs
@@ -56,7 +56,7 @@
         self.is_observed = true;
     }
 
-    /// Limits the expected wait to that of a level below, since engines serve this level first.
+    /// Limits the expected wait to the wait of a lower level, since engines serve this level first.
     pub(crate) fn limit_wait(&mut self, max_secs: f64) {
         self.wait_secs = self.wait_secs.min(max_secs);
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,8 +6,8 @@
 //! A request is priced (`pricing`) and admitted or rejected (`admission`), queued (`request_queue`), and sent
 //! to an engine drawn for it (`engine_eligibility`, `engine_selection`, `engine_weight`) as soon as one has
 //! capacity. The end of an attempt leads to a retry or a response (`attempt_outcome`, `retry`,
-//! `final_response`); every tick reviews what is open (`cancellation`). `docs/ARCHITECTURE.md` has a table of
-//! all rules.
+//! `final_response`); every tick reviews all open requests (`cancellation`). `docs/ARCHITECTURE.md` has a
+//! table of all rules.
 //!
 //! Every file that learns or decides is named under `policy` in `deploy/balancer.toml`.
 
@@ -63,7 +63,7 @@
 pub use sprucelink_time::{TimeDelta, Timestamp};
 
 /// The source text that decisions depend on: the files of this crate and of the data structures that it uses.
-/// Captures identify the version of the module by a hash of it.
+/// Captures identify the version of the module by a hash of this text.
 pub const SOURCES: [&str; 52] = [
     include_str!("actions.rs"),
     include_str!("admission.rs"),
--- a/crates/policy/src/load_estimate.rs
+++ b/crates/policy/src/load_estimate.rs
@@ -60,7 +60,7 @@
         self.query_seconds += latency_secs;
     }
 
-    /// The mean load at this moment.
+    /// The mean load at `now`.
     pub(crate) fn mean_load(&self, now: Timestamp, own_load: &OwnLoad, share: FleetShare) -> MeanLoad {
         let even_per_core = (share.managers - 1.0) * own_load.average_threads() / share.ready_cores.max(1.0);
         let weight = (-(now - self.last_report).as_secs_f64() / MEAN_DECAY_SECS).exp();
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -35,7 +35,7 @@
     samples: u32,
     /// Mean natural logarithm of the ratio of memory used to the estimate.
     mean_log_ratio: f64,
-    /// Variance of that logarithm.
+    /// Variance of the natural logarithm of the ratio of memory used to the estimate.
     log_ratio_variance: f64,
     /// Ratio of grant to estimate learned from spills; used until answers report the memory used.
     ratio_from_spills: f64,
@@ -67,12 +67,14 @@
         self.ratio_from_spills += SPILL_INCREASE * (missing_mb / estimated_mb.max(1.0)).min(1.0);
     }
 
-    /// Learns from an answer: the grant falls slightly, so that it declines while there are no spills.
+    /// Lowers the grant learned from spills slightly after an answer, so that it declines while there are no
+    /// spills.
     pub(crate) fn record_answer(&mut self) {
         self.ratio_from_spills = (self.ratio_from_spills - GRANT_DECAY).max(MIN_GRANT);
     }
 
-    /// The memory to grant, MB: the mean use and a margin that grows with the harm of a shortage.
+    /// The memory to grant, MB: the mean use and a margin that grows with the harm of a shortage; before the
+    /// first report of memory use, the grant learned from spills.
     pub(crate) fn grant_mb(&self, estimated_mb: f64, shortage: MemoryShort) -> f64 {
         let deviations = match shortage {
             MemoryShort::Waits => DEVIATIONS_WHERE_QUERIES_WAIT,
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -22,8 +22,8 @@
 const MIN_ENGINES_FOR_MEDIAN: usize = 3;
 
 /// Whether a zone answers this manager. If it does not, its engines are ejected at once. Zone failover
-/// (`crates/zone-failover`) judges zones independently of this and more slowly, and changes only their
-/// weights.
+/// (`crates/zone-failover`) judges zones independently of this module and more slowly, and changes only
+/// their weights.
 #[derive(Clone, Default)]
 struct ZoneReachability {
     /// Time of the last response of any engine in the zone.
@@ -62,7 +62,8 @@
 }
 
 impl OutlierDetector {
-    /// Until the first tick, engines are compared with one that has exactly the expected latencies.
+    /// Until the first tick, engines are compared with an engine whose latencies are exactly the expected
+    /// ones.
     pub(crate) fn new() -> OutlierDetector {
         OutlierDetector { zones: BTreeMap::new(), median_log_slowness: Some(0.0) }
     }
--- a/crates/policy/src/policy/arrivals.rs
+++ b/crates/policy/src/policy/arrivals.rs
@@ -87,7 +87,7 @@
         admission::decide(quote, &value, secs_to_deadline, self.free_capacity(), engine_utilisation)
     }
 
-    /// The current price quote of a request, at its cheapest level.
+    /// The current price quote of a request, at the level with the lowest sum of delay cost and price.
     pub(super) fn quote(&self, request: &Request) -> PriceQuote {
         self.prices.cheapest_level(
             request.class,
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -16,9 +16,9 @@
     pub(super) latency: TimeDelta,
     /// Whether the request is over: its client has the response, or has disconnected.
     pub(super) is_request_over: bool,
-    /// Resources that the attempt used, if reported.
+    /// Resources that the attempt used; `None` if the engine reported none.
     pub(super) query_cost: Option<QueryCost>,
-    /// Load report of the engine.
+    /// Load report that came with the answer; empty if there was none.
     pub(super) report: LoadReport,
 }
 
@@ -88,7 +88,8 @@
         }
         request.errors += u32::from(ended.outcome == Outcome::EngineError);
         request.is_answered |= ended.is_request_over;
-        // Takes effect in the simulator only: the program passes requests to its policy without a key.
+        // The block takes effect in the simulator only: the program passes requests to its policy without a
+        // key.
         if let Some(key) = request.key.as_ref().filter(|_| may_still_run(ended.outcome)) {
             self.key_order.block(key, self.now + self.settings.key_settle_time);
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -36,8 +36,8 @@
     }
 
     fn try_dispatch(&mut self, position: QueuePosition, id: RequestId, out: &mut Vec<Action>) {
-        // The number is drawn even if it is not used, so that those of other requests do not depend on this
-        // one.
+        // The number is drawn even if it is not used, so that the random numbers of other requests do not
+        // depend on this request.
         let random_unit = self.random.next_unit();
         let Some(request) = self.requests.get(&id) else { return };
         if !self.is_next_of_key(id, request) || !self.is_within_retry_budget(request) {
@@ -76,7 +76,7 @@
         rule.decide(self.now, &request.history(), self.settings.max_attempts)
     }
 
-    /// Whether the request may have another attempt now.
+    /// Whether the retry rule and the retry budget allow a further attempt of the request now.
     pub(super) fn may_retry_now(&self, request: &Request) -> bool {
         self.decide_retry(request).is_allowed() && self.has_retry_budget()
     }
@@ -91,7 +91,8 @@
             && is_eligible(&self.fleet(), request, &self.engines[engine])
     }
 
-    /// Sends an attempt to an engine; `false` if a rule forbids it. Every attempt is sent by this function.
+    /// Sends an attempt to an engine. Returns `false` if a rule forbids the attempt. Every attempt is sent by
+    /// this function.
     fn send(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         if !self.may_send(id, request, engine) {
@@ -153,7 +154,7 @@
         self.share().delay_secs(self.queue.total_queued_work())
     }
 
-    /// Gives a request its final response, if it has none.
+    /// Gives a request its final response, unless the request has one.
     pub(super) fn respond(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
         self.explain_response(id, out);
--- a/crates/policy/src/pricing.rs
+++ b/crates/policy/src/pricing.rs
@@ -11,7 +11,7 @@
 use crate::snapshot::{StoredClass, StoredPolicy};
 use sprucelink_time::TimeDelta;
 
-/// Priority levels of the engines, 0 (lowest) to 3.
+/// Number of priority levels of the engines. The levels are 0 (lowest) to 3.
 pub(crate) const LEVELS: usize = 4;
 /// Time between two updates of the prices.
 pub(crate) const PRICING_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
@@ -68,7 +68,7 @@
 
     /// Learns from the wait of one request.
     ///
-    /// Departure from the paper: the waits of higher levels are limited to that of this level, because
+    /// Departure from the paper: the waits of higher levels are limited to the wait of this level, because
     /// engines serve them first, and an outdated wait would otherwise keep light requests at a low level.
     pub(crate) fn record_wait(&mut self, class: usize, level: usize, wait_secs: f64) {
         self.recent_waits += 1;
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -90,7 +90,7 @@
         #[serde(rename = "jam")]
         queue_delay: f64,
     },
-    /// An attempt is to be cancelled. Given also where attempts cannot be cancelled.
+    /// An attempt is to be cancelled. Given even if attempts cannot be cancelled on engines.
     Cancelled {
         /// Id of the request that the attempt belongs to.
         id: RequestId,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -114,9 +114,9 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct RestartRamp {
-    /// The fraction at the manager's start.
+    /// Fraction at the manager's start.
     pub initial_fraction: f64,
-    /// Seconds in which the fraction would rise by one; it is one at most.
+    /// Seconds in which the fraction rises by 1. The fraction is limited to 1.
     pub secs_to_rise_by_one: f64,
 }
 
