--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -182,7 +182,7 @@
     /// Class of each request, by id.
     classes: Vec<usize>,
     /// Actual work of each request in thread-seconds, by id.
-    works: Vec<f64>,
+    actual_work: Vec<f64>,
     /// Attempts in flight by time of their end, with request, number and outcome.
     in_flight: VecDeque<(Timestamp, RequestId, u32, Outcome)>,
     /// Number of requests without a first attempt.
@@ -205,7 +205,7 @@
             is_running: true,
             next_id: 0,
             classes: Vec::new(),
-            works: Vec::new(),
+            actual_work: Vec::new(),
             in_flight: VecDeque::new(),
             untried_requests: 0,
             is_untried: Vec::new(),
@@ -215,13 +215,13 @@
 
     /// Passes an event to the policy and adds the classes of the requests sent to the starting engine to
     /// `sent_classes`. While that engine is down, it refuses connections.
-    fn handle(&mut self, now: Timestamp, event: Event, is_down: bool, sent_classes: &mut Vec<usize>) {
+    fn handle(&mut self, now: Timestamp, event: Event, is_engine_down: bool, sent_classes: &mut Vec<usize>) {
         let mut out = Vec::new();
         self.policy.handle(now, event, &mut out);
         for action in out {
             match action {
                 Action::ForwardAttempt { id, engine, .. } => {
-                    let is_refused = is_down && engine == STARTING_ENGINE;
+                    let is_refused = is_engine_down && engine == STARTING_ENGINE;
                     if engine == STARTING_ENGINE && !is_refused {
                         sent_classes.push(self.classes[id.0 as usize]);
                     }
@@ -243,13 +243,13 @@
     }
 
     /// Submits one request of a random class. `bias`: ratio of its estimated to its actual work.
-    fn submit(&mut self, now: Timestamp, bias: f64, is_down: bool, sent_classes: &mut Vec<usize>) {
+    fn submit(&mut self, now: Timestamp, bias: f64, is_engine_down: bool, sent_classes: &mut Vec<usize>) {
         let class = self.random.draw_class();
         let work = self.random.draw_work(&SITE_CLASSES[class]);
         let id = RequestId(self.next_id);
         self.next_id += 1;
         self.classes.push(class);
-        self.works.push(work);
+        self.actual_work.push(work);
         self.untried_requests += 1;
         self.is_untried.push(true);
         let arrival = Arrival {
@@ -262,16 +262,16 @@
             memory_mb: None,
             key: None,
         };
-        self.handle(now, Event::RequestArrived(arrival), is_down, sent_classes);
+        self.handle(now, Event::RequestArrived(arrival), is_engine_down, sent_classes);
     }
 
     /// Completes the attempts that are due; their load reports have no queries in flight.
-    fn complete_due_attempts(&mut self, now: Timestamp, is_down: bool, sent_classes: &mut Vec<usize>) {
+    fn complete_due_attempts(&mut self, now: Timestamp, is_engine_down: bool, sent_classes: &mut Vec<usize>) {
         while let Some((_, id, attempt, outcome)) =
             self.in_flight.front().copied().filter(|attempt| attempt.0 <= now)
         {
             self.in_flight.pop_front();
-            let work = self.works[id.0 as usize];
+            let work = self.actual_work[id.0 as usize];
             let is_success = outcome == Outcome::Succeeded;
             let event = Event::AttemptEnded {
                 id,
@@ -282,20 +282,20 @@
                 query_cost: is_success.then_some(QueryCost { work, memory_mb: 0.0 }),
                 report: LoadReport { queries_in_flight: is_success.then_some(0.0), ..LoadReport::default() },
             };
-            self.handle(now, event, is_down, sent_classes);
+            self.handle(now, event, is_engine_down, sent_classes);
         }
     }
 
     /// Runs one tick: completes attempts that are due, submits requests until enough of every class are
     /// queued, and passes the module's timer event.
-    fn tick(&mut self, now: Timestamp, bias: f64, is_down: bool, sent_classes: &mut Vec<usize>) {
-        self.complete_due_attempts(now, is_down, sent_classes);
+    fn tick(&mut self, now: Timestamp, bias: f64, is_engine_down: bool, sent_classes: &mut Vec<usize>) {
+        self.complete_due_attempts(now, is_engine_down, sent_classes);
         // A process that knows no engine rejects requests at once, so the number of submissions per tick is
         // bounded.
         for _ in self.untried_requests..12 {
-            self.submit(now, bias, is_down, sent_classes);
+            self.submit(now, bias, is_engine_down, sent_classes);
         }
-        self.handle(now, Event::Timer { token: 0 }, is_down, sent_classes);
+        self.handle(now, Event::Timer { token: 0 }, is_engine_down, sent_classes);
     }
 }
 
