--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -10,9 +10,11 @@
 /// Whether a request is admitted, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// Admitted: cores are free and the answer is expected in time, so the request delays no other.
+    /// Admitted: this manager has free cores or the selected engine is idle, and the answer is expected in
+    /// time, so the request delays no other request.
     AdmittedForFreeCapacity,
-    /// Admitted: the net value of the answer is at least the price, the delay that it causes others.
+    /// Admitted: the net value of the answer is at least the price for the delay that it causes other
+    /// requests.
     AdmittedForValue,
     /// Rejected: the net value of the answer is less than the price.
     RejectedForPrice,
@@ -41,8 +43,8 @@
 }
 
 /// Decides whether to admit a request. `engine_utilisation` returns the threads per core on the engine that
-/// would be selected for it, or `None` without such an engine; it is called only if the decision depends on
-/// it.
+/// would be selected for the request, or `None` if no engine would be selected. It is called only if the
+/// decision depends on its result.
 pub(crate) fn decide(
     quote: &PriceQuote,
     value: &AnswerValue,
