--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use support::timed_engine::{look_up, TimedEngine, BUSY};
+use support::timed_engine::{lookup_sql, TimedEngine, BUSY};
 use support::*;
 
 /// Runs the program to its end: exit status, standard output, standard error.
@@ -21,20 +21,20 @@
 }
 
 fn ask(program: &Program, from: u64, n: u64) -> usize {
-    let mut raw = Raw::connect(program.platform);
-    (from..from + n).map(|id| rows(&raw.ask(&look_up(id, 5))).len()).sum()
+    let mut raw = RawClient::connect(program.platform);
+    (from..from + n).map(|id| rows(&raw.ask(&lookup_sql(id, 5))).len()).sum()
 }
 
 /// Ten replays in ten processes give the same answers, and the story of a request can be asked for.
 #[test]
 fn recorded_run_replays_identically_in_every_process() {
-    let (a, b, dir) = (TimedEngine::start(), TimedEngine::start(), scratch());
+    let (a, b, dir) = (TimedEngine::start(), TimedEngine::start(), scratch_dir());
     let path = dir.to_str().expect("text");
     let engines = [("s-1", a.address), ("s-2", b.address)];
     let mut program = Program::launch(&engines, None, None, (192, 1024), BUSY, &["--capture", path]);
     assert_eq!(ask(&program, 1, 60), 60);
     program.terminate();
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
     let first = tool(&["replay", path, "--times", "3", "--json"]);
     assert_eq!((first.0, first.2.as_str()), (0, ""), "{}", first.1);
     let json: serde_json::Value = serde_json::from_str(&first.1).expect("JSON");
@@ -76,13 +76,13 @@
 /// A crash loses what was not handed over yet, and nothing else.
 #[test]
 fn truncated_or_damaged_capture_replays_up_to_the_fault_and_reports_it() {
-    let (a, dir) = (TimedEngine::start(), scratch());
+    let (a, dir) = (TimedEngine::start(), scratch_dir());
     let path = dir.to_str().expect("text");
     let mut program =
         Program::launch(&[("s-1", a.address)], None, None, (192, 1024), BUSY, &["--capture", path]);
     assert_eq!(ask(&program, 1, 40), 40);
     // Until a block has been written behind head and checkpoint.
-    until(|| {
+    wait_until(|| {
         let (_, text, _) = tool(&["capture", "show", path, "--json"]);
         let shown: serde_json::Value = serde_json::from_str(&text).ok()?;
         (shown["segments"][0]["events"]["arrived"].as_u64()? >= 40).then_some(())
@@ -110,7 +110,7 @@
 
 #[test]
 fn unusable_capture_folder_does_not_stop_serving() {
-    let (a, dir) = (TimedEngine::start(), scratch());
+    let (a, dir) = (TimedEngine::start(), scratch_dir());
     let file = dir.join("file");
     std::fs::write(&file, "no folder").expect("written");
     let path = file.join("below");
@@ -119,12 +119,12 @@
     program.wait_line("capture not written");
     assert_eq!(ask(&program, 1, 30), 30);
     program.terminate();
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn invalid_recorder_settings_are_rejected_at_start() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let (config, recorder) = (dir.join("c.json"), dir.join("r.json5"));
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":1,"known":{{"n":1,"events":[{}]}},"settings":{BUSY}}}"#,
--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -17,7 +17,7 @@
 }
 
 fn program(authority: &Authority, challenges: SocketAddr, store: Option<&std::path::Path>) -> Program {
-    let dir = scratch();
+    let dir = scratch_dir();
     let root = dir.join("root.pem");
     std::fs::write(&root, &authority.root).expect("written");
     let store = store.map_or(String::new(), |s| format!(r#""store":"{}","#, s.display()));
@@ -32,7 +32,7 @@
 }
 
 fn secure(program: &Program, authority: &Authority) -> Tls {
-    authority.secure(Raw::open(program.second.expect("on")).stream, NAME, &startup())
+    authority.secure(RawClient::open(program.second.expect("on")).stream, NAME, &startup())
 }
 
 fn ask(tls: &mut Tls) -> String {
@@ -49,9 +49,9 @@
     let program = program(&authority, challenges, None);
     program.wait_line("certificate renewed");
     let mut first = secure(&program, &authority);
-    until(|| (authority.signed() >= 3).then_some(()));
+    wait_until(|| (authority.signed() >= 3).then_some(()));
     assert_eq!(ask(&mut first), "IZ", "the session outlived two renewals");
-    until(|| {
+    wait_until(|| {
         (program.lines().iter().filter(|l| l.contains("certificate renewed")).count() >= 3).then_some(())
     });
     let second = secure(&program, &authority);
@@ -66,11 +66,11 @@
 fn rejected_renewal_backs_off_while_the_old_certificate_serves() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(60), challenges);
-    let store = scratch();
+    let store = scratch_dir();
     let mut first = program(&authority, challenges, Some(&store));
     first.wait_line("certificate renewed");
     first.terminate();
-    assert_eq!(first.ended(), Some(0));
+    assert_eq!(first.wait_for_exit(), Some(0));
     // The stored certificate is loaded: the next start needs no order.
     let kept = program(&authority, challenges, Some(&store));
     kept.wait_line("certificate loaded");
@@ -78,14 +78,14 @@
     assert_eq!((authority.signed(), authority.accounts()), (1, 1));
     drop(kept);
     // No stored certificate, and orders are rejected: no session, but no crash either.
-    authority.refuse(true);
+    authority.set_rejects_orders(true);
     let mut bare = program(&authority, challenges, None);
-    until(|| (authority.refused() >= 4).then_some(()));
+    wait_until(|| (authority.rejected_orders() >= 4).then_some(()));
     assert!(bare.running());
-    let mut raw = Raw::open(bare.second.expect("on"));
+    let mut raw = RawClient::open(bare.second.expect("on"));
     raw.send(&startup());
     let message = raw.message().expect("an answer");
-    assert_eq!(error(&[message])[0], "57P03", "there is no certificate yet");
+    assert_eq!(error_fields(&[message])[0], "57P03", "there is no certificate yet");
     let rests: Vec<String> = bare
         .lines()
         .iter()
@@ -94,12 +94,12 @@
         .map(str::to_owned)
         .collect();
     assert_eq!(rests[..3], ["0.1", "0.2", "0.4"], "the rests grow up to their most");
-    authority.refuse(false);
+    authority.set_rejects_orders(false);
     bare.wait_line("certificate renewed");
     assert_eq!(ask(&mut secure(&bare, &authority)), "IZ");
-    let mut plain = Raw::open(bare.second.expect("on"));
+    let mut plain = RawClient::open(bare.second.expect("on"));
     plain.send(&startup());
-    assert_eq!(error(&[plain.message().expect("an answer")])[0], "28000", "sessions must use TLS");
+    assert_eq!(error_fields(&[plain.message().expect("an answer")])[0], "28000", "sessions must use TLS");
     let _ = std::fs::remove_dir_all(store);
 }
 
@@ -110,12 +110,12 @@
     let authority = Authority::start(Duration::from_secs(45), challenges);
     let program = program(&authority, challenges, None);
     program.wait_line("certificate renewed");
-    authority.refuse(true);
+    authority.set_rejects_orders(true);
     // Due after two thirds of its lifetime: after 30 s, with 15 s left.
-    until(|| (authority.refused() >= 2).then_some(()));
+    wait_until(|| (authority.rejected_orders() >= 2).then_some(()));
     assert_eq!(ask(&mut secure(&program, &authority)), "IZ");
-    authority.refuse(false);
-    until(|| (authority.signed() >= 2).then_some(()));
+    authority.set_rejects_orders(false);
+    wait_until(|| (authority.signed() >= 2).then_some(()));
 }
 
 /// The folder cannot be written for a while. The certificate serves meanwhile, and is on disk once the folder can be written:
@@ -124,7 +124,7 @@
 fn certificate_that_could_not_be_saved_is_saved_later() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(600), challenges);
-    let store = scratch();
+    let store = scratch_dir();
     // Drafts are written under these names; a folder there makes that fail, also for root.
     let blocked = ["certificate.new", "account.new"].map(|name| store.join(name));
     blocked.iter().for_each(|path| std::fs::create_dir(path).expect("made"));
@@ -132,6 +132,6 @@
     program.wait_line("certificate not saved");
     assert_eq!(ask(&mut secure(&program, &authority)), "IZ");
     blocked.iter().for_each(|path| std::fs::remove_dir(path).expect("removed"));
-    until(|| store.join("certificate.pem").exists().then_some(()));
+    wait_until(|| store.join("certificate.pem").exists().then_some(()));
     assert_eq!(authority.signed(), 1);
 }
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -11,7 +11,7 @@
 /// The program with a second front whose authority cannot be reached: it retries, and the listener is open. Its address
 /// was free a moment ago: the program needs one in its configuration.
 fn program(engine: &Engine) -> (Program, SocketAddr) {
-    let dir = scratch();
+    let dir = scratch_dir();
     let free = || TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let (challenges, nobody) = (free(), free());
     let operator = format!(
@@ -26,7 +26,7 @@
 
 fn open(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     stream
 }
 
@@ -86,9 +86,9 @@
 fn flood_of_challenge_requests_harms_no_valid_request_or_session() {
     let engine = Engine::echo();
     let (program, at) = program(&engine);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     let before = descriptors(program.id());
-    let watched = DescriptorWatch::process(program.id());
+    let watched = DescriptorWatch::start(program.id());
     let mut held = Vec::new();
     for i in 1..=300 {
         let mut caller = open(at);
@@ -105,7 +105,7 @@
             assert_eq!(rows(&raw.ask(&sql)).len(), 1);
         }
     }
-    let most = watched.most();
+    let most = watched.peak();
     // Sixteen requests and the one just accepted; two connections to the authority; one to the engine.
     assert!(most <= before + 16 + 1 + 2 + 1, "{most} descriptors, {before} before");
     drop(held);
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -11,7 +11,7 @@
 
 /// The variables under which a program's wall clock steps.
 fn stepping(steps: &[ClockStep]) -> Vec<(&'static str, String)> {
-    let library = sprucelink_fault_soak::shim::build(&scratch()).expect("compiled");
+    let library = sprucelink_fault_soak::shim::build(&scratch_dir()).expect("compiled");
     let steps: Vec<String> =
         steps.iter().map(|step| format!("step={}:{}", step.at_ms, step.ahead_ms)).collect();
     let library = library.to_str().expect("a name in UTF-8").to_owned();
@@ -38,14 +38,14 @@
     let vars: Vec<(&str, &str)> = vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
     let engines = [("s-1", known.address)];
     let program = Program::launch_in(&vars, None, &engines, Some(&feed), None, (192, 1024), settings, &[]);
-    until(|| (feed.listening() > 0).then_some(()));
+    wait_until(|| (feed.open_calls() > 0).then_some(()));
     let up_since_ms = wall_ms(&[]);
     let pause = u64::try_from(step.at_ms + 300 - monotonic_ms()).expect("the step is to come");
     std::thread::sleep(Duration::from_millis(pause));
     feed.send(started(2, "s-2", fresh.address, up_since_ms));
     program.wait_line("engine_id=s-2 phase=Ready");
     std::thread::sleep(wait);
-    let mut client = Raw::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     let begun = Instant::now();
     for id in 1..=100 {
         let sql = format!(
@@ -54,7 +54,7 @@
         let _ = client.ask(&sql);
     }
     assert!(begun.elapsed() < Duration::from_millis(1_900), "{:?}: no window of slow start", begun.elapsed());
-    fresh.seen("do").len()
+    fresh.received("do").len()
 }
 
 /// N is 2.5 x 0.3 x 64 cores x 2 s over 10 s: about 10, and 20 with its root.
@@ -76,7 +76,7 @@
 fn both_know_each_other(ahead_ms: i64) {
     let engine = Engine::echo();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let folder = scratch();
+    let folder = scratch_dir();
     let step = ClockStep { at_ms: monotonic_ms() + 1_500, ahead_ms };
     let vars = stepping(&[step]);
     let mut all: Vec<(&str, &str)> = vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -16,7 +16,7 @@
 }
 
 fn cold_file(text: &str) -> String {
-    let path = scratch().join("cold-start.json5");
+    let path = scratch_dir().join("cold-start.json5");
     std::fs::write(&path, text).expect("written");
     path.display().to_string()
 }
@@ -28,7 +28,7 @@
     let feed = refusing_feed();
     program.reload(&program.config_with_feed(feed.address));
     let calls = || feed.calls.read().at;
-    let first = until(|| calls().first().copied());
+    let first = wait_until(|| calls().first().copied());
     thread::sleep(span);
     calls().iter().filter(|t| **t - first < span).count()
 }
@@ -63,7 +63,7 @@
     let line = program.wait_line("manager is ready after_s=");
     assert!(line.contains("feed_answered=true") || line.contains("feed_answered=false"), "{line}");
     assert!(line.contains(" engines=1 "), "{line}");
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     let got = raw.ask(
         "/* kind=lane-rate,req=0000000000000001,timeout=20000,owner=sud */ SELECT a FROM sales_17.orders",
     );
@@ -76,7 +76,7 @@
 fn invalid_startup_settings_are_rejected_by_name() {
     let engine = Engine::echo();
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let config = scratch().join("config.json");
+    let config = scratch_dir().join("config.json");
     std::fs::write(&config, program.config_with_feed("127.0.0.1:9".parse().expect("an address")))
         .expect("written");
     let check = |text: &str| {
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use support::admin_client::figure;
+use support::admin_client::metric;
 use support::*;
 
 const OPERATOR: &str = r#"{"listen":"127.0.0.1:0","default_tenant":"sud"}"#;
@@ -84,13 +84,13 @@
     Program::launch_in(&vars, None, engines, feed, Some(operator), (192, 1024), SETTINGS, &[])
 }
 
-fn figures(program: &Program, name: &str) -> u64 {
-    figure(program.operators.expect("an address"), name)
+fn program_metric(program: &Program, name: &str) -> u64 {
+    metric(program.operators.expect("an address"), name)
 }
 
 /// A session whose writes time out within the test.
-fn session(program: &Program, side: Side) -> Raw {
-    let raw = Raw::connect(side.address(program));
+fn session(program: &Program, side: Side) -> RawClient {
+    let raw = RawClient::connect(side.address(program));
     raw.stream.set_write_timeout(Some(Duration::from_secs(20))).expect("set");
     raw
 }
@@ -107,11 +107,11 @@
 
 /// Waits until the program has read all that was written to it, also the end of the stream: both the send queue of one
 /// end and the receive queue of the other are empty.
-fn all_read(raw: &Raw) {
+fn all_read(raw: &RawClient) {
     let (ours, theirs) = (raw.stream.local_addr(), raw.stream.peer_addr());
     let ends = [ours.expect("an address").port(), theirs.expect("an address").port()];
     let port = |field: &str| u16::from_str_radix(field.rsplit(':').next().expect("a port"), 16).expect("hex");
-    until(|| {
+    wait_until(|| {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
         let lines = table.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
         let (mut sent, mut got) = (None, None);
@@ -136,16 +136,16 @@
 /// The first command of a kind on each request.
 fn firsts(engine: &Engine, word: &str) -> Vec<ReceivedCommand> {
     let mut ids = std::collections::BTreeSet::new();
-    engine.seen(word).into_iter().filter(|s| ids.insert(s.parts[1].clone())).collect()
+    engine.received(word).into_iter().filter(|s| ids.insert(s.parts[1].clone())).collect()
 }
 
 /// Waits for a command of a kind on so many requests.
 fn wait_firsts(engine: &Engine, word: &str, n: usize) {
-    until(|| (firsts(engine, word).len() >= n).then_some(()));
+    wait_until(|| (firsts(engine, word).len() >= n).then_some(()));
 }
 
-fn selected(seen: &ReceivedCommand) -> &str {
-    seen.parts[3].split(' ').nth(1).unwrap_or_default()
+fn selected(command: &ReceivedCommand) -> &str {
+    command.parts[3].split(' ').nth(1).unwrap_or_default()
 }
 
 fn row(what: &str) -> Reply {
@@ -154,12 +154,12 @@
 
 /// An engine that answers every request with what it selects.
 fn engine() -> Engine {
-    Engine::start(|seen| row(selected(seen)))
+    Engine::start(|command| row(selected(command)))
 }
 
 /// The client leaves behind more bytes than its session may buffer. Returns once the manager has seen it.
-fn go(program: &Program, side: Side, way: Way, mut raw: Raw) {
-    let gone = figures(program, "abandoned");
+fn go(program: &Program, side: Side, way: Way, mut raw: RawClient) {
+    let gone = program_metric(program, "abandoned");
     let sent = raw.stream.write_all(&side.pile(way != Way::Cancel));
     assert!(sent.is_ok(), "{side:?} {way:?}: the front reads on: {sent:?}");
     match way {
@@ -169,20 +169,20 @@
             all_read(&raw);
             raw.cancel(side.address(program));
             let first = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E').expect("an error");
-            assert_eq!(error(&[first])[0], "57014", "{side:?}");
+            assert_eq!(error_fields(&[first])[0], "57014", "{side:?}");
             let last = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E').expect("a last word");
-            let [code, message, _, hint] = error(&[last]);
+            let [code, message, _, hint] = error_fields(&[last]);
             assert_eq!(code, "54000", "{side:?}: {message}");
             assert!(message.contains(&side.bound().to_string()) && !hint.is_empty(), "{message}");
             assert!(raw.message().is_none());
             return;
         }
     }
-    until(|| (figures(program, "abandoned") == gone + 1).then_some(()));
+    wait_until(|| (program_metric(program, "abandoned") == gone + 1).then_some(()));
 }
 
 /// Another client, whose session was open all the time, is served, and its request is the only one that was sent since.
-fn only_later(side: Side, way: Way, engine: &Engine, mut other: Raw, before: &[&str]) {
+fn only_later(side: Side, way: Way, engine: &Engine, mut other: RawClient, before: &[&str]) {
     other.send(&side.request(7, "later", 1));
     assert_eq!(rows(&other.until_ready()), ["later|b|c"], "{side:?} {way:?}");
     assert_eq!(asked(engine), [before, &["later"]].concat(), "{side:?} {way:?}");
@@ -201,7 +201,7 @@
         let program = program(&[], Some(&feed), OPERATOR);
         let (mut raw, other) = (session(&program, side), session(&program, side));
         raw.send(&side.request(1, "gone", 1));
-        until(|| (figures(&program, "outstanding") == 1).then_some(()));
+        wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
         go(&program, side, way, raw);
         feed.send(list(2, false, &[("s-1", engine.address, "ready")]));
         program.wait_line("engine_id=s-1 phase=Ready");
@@ -217,9 +217,9 @@
         let program = program(&[("s-1", late.address)], None, OPERATOR);
         let (mut raw, other) = (session(&program, side), session(&program, side));
         raw.send(&side.request(1, "gone", 1));
-        until(|| (figures(&program, "outstanding") == 1).then_some(()));
+        wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
         go(&program, side, way, raw);
-        let engine = late.open(|seen| row(selected(seen)));
+        let engine = late.open(|command| row(selected(command)));
         only_later(side, way, &engine, other, &[]);
     });
 }
@@ -231,17 +231,17 @@
         let drained = Arc::new(AtomicBool::new(false));
         let cue = Arc::clone(&drained);
         // The marker request is answered directly after the rejection: its answer shows that the rejection was read.
-        let first = Engine::start(move |seen| {
-            if selected(seen) == "marker" {
+        let first = Engine::start(move |command| {
+            if selected(command) == "marker" {
                 return Reply::Hold;
             }
-            until(|| cue.load(Ordering::SeqCst).then_some(()));
+            wait_until(|| cue.load(Ordering::SeqCst).then_some(()));
             let marker = format!("{:016x}", 9);
             let parts = |parts: &[&str]| {
                 let each: String = parts.iter().map(|p| format!("${}\r\n{p}\r\n", p.len())).collect();
                 format!("*{}\r\n{each}", parts.len())
             };
-            let word = parts(&[&seen.parts[1], "overload", "-", ""]);
+            let word = parts(&[&command.parts[1], "overload", "-", ""]);
             Reply::Raw(word + &parts(&[&marker, "served", "batches=1,cpu=5", "marker\tb\tc\n"]))
         });
         let (second, feed) = (engine(), Feed::start());
@@ -257,14 +257,14 @@
         program.wait_line("engine_id=s-1 phase=Draining");
         drained.store(true, Ordering::SeqCst);
         assert_eq!(rows(&marker.until_ready()), ["marker|b|c"]);
-        assert_eq!(figures(&program, "outstanding"), 1, "it waits for a further attempt");
+        assert_eq!(program_metric(&program, "outstanding"), 1, "it waits for a further attempt");
         go(&program, side, way, raw);
-        let before = first.seen("do").len();
+        let before = first.received("do").len();
         feed.send(list(3, false, &[("s-2", second.address, "ready")]));
         program.wait_line("engine_id=s-2 phase=Ready");
         only_later(side, way, &second, other, &[]);
         assert_eq!(asked(&first), ["marker", "gone"]);
-        assert_eq!(first.seen("do").len(), before, "no further attempt once it had gone");
+        assert_eq!(first.received("do").len(), before, "no further attempt once it had gone");
     });
 }
 
@@ -272,11 +272,13 @@
 #[test]
 fn disconnect_under_tls_is_seen_behind_unread_bytes() {
     let engine =
-        Engine::start(|seen| if selected(seen) == "gone" { Reply::Hold } else { row(selected(seen)) });
+        Engine::start(
+            |command| if selected(command) == "gone" { Reply::Hold } else { row(selected(command)) },
+        );
     // A port that was free a moment ago: the program needs one in its configuration.
     let challenges = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let authority = Authority::start(Duration::from_secs(600), challenges);
-    let root = scratch().join("root.pem");
+    let root = scratch_dir().join("root.pem");
     std::fs::write(&root, &authority.root).expect("written");
     let operator = format!(
         r#"{{"listen":"127.0.0.1:0","tls":"required","default_tenant":"sud","acme":{{
@@ -297,7 +299,7 @@
             _ => drop(tls),
         }
         wait_firsts(&engine, "undo", n);
-        until(|| (figures(&program, "abandoned") == n as u64).then_some(()));
+        wait_until(|| (program_metric(&program, "abandoned") == n as u64).then_some(()));
     }
     assert_eq!(asked(&engine), ["gone", "gone"]);
 }
@@ -305,7 +307,7 @@
 const NAME: &str = "pg.fret-atlas.test";
 
 fn secure(program: &Program, authority: &Authority) -> Tls {
-    let stream = Raw::open(program.second.expect("on")).stream;
+    let stream = RawClient::open(program.second.expect("on")).stream;
     stream.set_write_timeout(Some(Duration::from_secs(20))).expect("set");
     authority.secure(stream, NAME, &startup())
 }
@@ -317,9 +319,9 @@
     for side in SIDES {
         let release = Arc::new(AtomicBool::new(false));
         let go = Arc::clone(&release);
-        let engine = Engine::start(move |seen| {
-            until(|| go.load(Ordering::SeqCst).then_some(()));
-            row(selected(seen))
+        let engine = Engine::start(move |command| {
+            wait_until(|| go.load(Ordering::SeqCst).then_some(()));
+            row(selected(command))
         });
         let program = program(&[("s-1", engine.address)], None, OPERATOR);
         let mut raw = session(&program, side);
@@ -338,7 +340,7 @@
         let bytes = |n: usize| all[1..=n].iter().map(Vec::len).sum::<usize>();
         assert!(bytes(served.len() - 1) <= side.bound(), "{side:?}: {} served", served.len());
         assert!(bytes(served.len()) > side.bound(), "{side:?}: {} served", served.len());
-        let [code, message, ..] = error(&got);
+        let [code, message, ..] = error_fields(&got);
         assert_eq!(code, "54000", "{side:?}: {message}");
         assert!(message.contains(&side.bound().to_string()), "{message}");
         assert_eq!(asked(&engine).len(), served.len(), "nothing else was asked for");
@@ -358,16 +360,16 @@
         let mut raw = session(&program, Side::Second);
         raw.send(&Side::Second.request(1, "gone", 1));
         // It does not matter whether it has reached the engine.
-        until(|| (figures(&program, "outstanding") == open).then_some(()));
+        wait_until(|| (program_metric(&program, "outstanding") == open).then_some(()));
         raw.send(&Side::Second.pile(false));
         all_read(&raw);
         raw
     };
-    let end = |mut raw: Raw| {
+    let end = |mut raw: RawClient| {
         raw.cancel(to);
         let all: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
         let errors = all.into_iter().filter(|m| m.0 == b'E');
-        errors.map(|m| error(&[m])[0].clone()).collect::<Vec<_>>()
+        errors.map(|m| error_fields(&[m])[0].clone()).collect::<Vec<_>>()
     };
     let (first, second) = (begin(1), begin(2));
     assert_eq!(end(second), ["57014", "53200"]);
@@ -388,7 +390,9 @@
 fn flooding_sessions_hold_bounded_memory_and_are_ended() {
     const FLOOD: usize = 40 << 20;
     let engine =
-        Engine::start(|seen| if selected(seen) == "gone" { Reply::Hold } else { row(selected(seen)) });
+        Engine::start(
+            |command| if selected(command) == "gone" { Reply::Hold } else { row(selected(command)) },
+        );
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
     let mut other = session(&program, Side::Platform);
     let before = resident(&program);
@@ -407,7 +411,7 @@
                     }
                     // The front reads more than it discards behind a request: it lingers after its final error.
                     let last = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E');
-                    error(&[last.expect("a last word")])[0].clone()
+                    error_fields(&[last.expect("a last word")])[0].clone()
                 })
             })
             .collect();
@@ -426,7 +430,7 @@
         watch.join().expect("watched");
         assert_eq!(words, ["54000"; 8]);
     });
-    assert_eq!(figures(&program, "outstanding"), 0, "their requests were called off");
+    assert_eq!(program_metric(&program, "outstanding"), 0, "their requests were called off");
     let grown = most.load(Ordering::SeqCst).saturating_sub(before);
     eprintln!("resident memory grew by {} KiB at most", grown >> 10);
     // Four sessions of the second front hold 1 MiB each, four of the platform's 64 KiB; at least 128 MiB were sent.
@@ -449,8 +453,8 @@
 }
 
 /// Sends a CancelRequest and waits until the program has read it.
-fn heard(raw: &Raw, to: SocketAddr) {
-    let mut other = Raw::open(to);
+fn heard(raw: &RawClient, to: SocketAddr) {
+    let mut other = RawClient::open(to);
     other.send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &raw.key].concat());
     assert!(other.message().is_none(), "no word is owed");
 }
@@ -472,13 +476,13 @@
     stuck(&engine);
     heard(&raw, Side::Second.address(&program));
     let got = raw.until_ready();
-    let [code, message, ..] = error(&got);
+    let [code, message, ..] = error_fields(&got);
     assert_eq!((code.as_str(), message.as_str()), ("57014", "canceled at the client's request"));
-    let served = kinds(&got).matches('C').count();
+    let served = message_types(&got).matches('C').count();
     assert!(served < batch, "{served} served");
     let begun = asked(&engine).len();
     assert!(begun <= served + 1, "{begun} begun, {served} served, one of them called off");
-    assert_eq!(kinds(&raw.ask("")), "IZ", "the session goes on");
+    assert_eq!(message_types(&raw.ask("")), "IZ", "the session goes on");
 }
 
 /// A client's end arrives while its session is blocked writing an answer. Once the client has read it, nothing more of
@@ -499,21 +503,21 @@
     // Shut, not closed: a close with an answer unread would send a reset, which is seen by itself.
     raw.stream.shutdown(std::net::Shutdown::Write).expect("shut");
     all_read(&raw);
-    until(|| (figures(&program, "outstanding") == 0).then_some(()));
-    let begun = engine.seen("do").len();
+    wait_until(|| (program_metric(&program, "outstanding") == 0).then_some(()));
+    let begun = engine.received("do").len();
     let got: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
-    assert_eq!(kinds(&got).matches('E').count(), 0);
+    assert_eq!(message_types(&got).matches('E').count(), 0);
     assert!(begun < 400, "{begun} begun");
-    assert_eq!(engine.seen("do").len(), begun, "nothing began once its end was read");
+    assert_eq!(engine.received("do").len(), begun, "nothing began once its end was read");
 }
 
 /// Waits until no request has arrived for long: more has been answered then than the system buffers for a client that
 /// does not read.
 fn stuck(engine: &Engine) {
     let mut last = 0;
-    until(|| {
+    wait_until(|| {
         thread::sleep(Duration::from_millis(300));
-        let now = engine.seen("do").len();
+        let now = engine.received("do").len();
         (std::mem::replace(&mut last, now) == now && now > 0).then_some(())
     });
 }
@@ -528,11 +532,11 @@
     let mut raw = session(&program, Side::Second);
     raw.send(&Side::Second.request(1, "gone", 1));
     engine.wait_for("do", 1);
-    let mut turned_away = Raw::open(to);
+    let mut turned_away = RawClient::open(to);
     turned_away.send(&startup());
-    assert_eq!(error(&[turned_away.message().expect("a word")])[0], "53300");
+    assert_eq!(error_fields(&[turned_away.message().expect("a word")])[0], "53300");
     heard(&raw, to);
-    assert_eq!(error(&raw.until_ready())[0], "57014");
+    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
     engine.wait_for("undo", 1);
 }
 
@@ -547,8 +551,8 @@
     let engine = Engine::start(|_| Reply::Hold);
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
     for side in SIDES {
-        let mut all: Vec<(Raw, Raw)> =
-            (0..16).map(|_| (session(&program, side), Raw::open(side.address(&program)))).collect();
+        let mut all: Vec<(RawClient, RawClient)> =
+            (0..16).map(|_| (session(&program, side), RawClient::open(side.address(&program)))).collect();
         signal(&program, "-STOP");
         for (n, (raw, other)) in all.iter_mut().enumerate() {
             raw.send(&side.request(n as u64, "gone", 1));
@@ -556,7 +560,7 @@
         }
         signal(&program, "-CONT");
         for (raw, _) in &mut all {
-            assert_eq!(error(&raw.until_ready())[1], "canceled at the client's request", "{side:?}");
+            assert_eq!(error_fields(&raw.until_ready())[1], "canceled at the client's request", "{side:?}");
         }
     }
 }
@@ -568,7 +572,7 @@
     let engine = engine();
     let program = program(&[("s-1", engine.address)], None, OPERATOR);
     for side in SIDES {
-        let mut left: Vec<Raw> = (0..8).map(|_| session(&program, side)).collect();
+        let mut left: Vec<RawClient> = (0..8).map(|_| session(&program, side)).collect();
         let mut other = session(&program, side);
         signal(&program, "-STOP");
         for raw in &mut left {
@@ -578,16 +582,20 @@
         left.iter().for_each(|raw| raw.stream.shutdown(std::net::Shutdown::Write).expect("shut"));
         signal(&program, "-CONT");
         for raw in &mut left {
-            assert_eq!(kinds(&raw.until_ready()), "IZ", "what needs no engine is answered");
+            assert_eq!(message_types(&raw.until_ready()), "IZ", "what needs no engine is answered");
             let rest: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
             // On the second front Parse and Bind, which are no requests, are still handled.
-            assert_eq!(kinds(&rest), if side == Side::Second { "12" } else { "" }, "{side:?}: it has gone");
+            assert_eq!(
+                message_types(&rest),
+                if side == Side::Second { "12" } else { "" },
+                "{side:?}: it has gone"
+            );
         }
         other.send(&side.request(7, "later", 1));
         assert_eq!(rows(&other.until_ready()), ["later|b|c"]);
     }
     assert_eq!(asked(&engine), ["later"; 2]);
-    assert_eq!(figures(&program, "abandoned"), 0, "none of them was taken");
+    assert_eq!(program_metric(&program, "abandoned"), 0, "none of them was taken");
 }
 
 /// However many sessions end at a time, no connection is closed with unread input: a reset could destroy the final
@@ -595,13 +603,13 @@
 #[test]
 fn many_simultaneous_closes_all_deliver_the_final_error_and_a_clean_end() {
     let program = Program::start(&[], None, None);
-    let mut all: Vec<Raw> = (0..100).map(|_| Raw::connect(program.platform)).collect();
+    let mut all: Vec<RawClient> = (0..100).map(|_| RawClient::connect(program.platform)).collect();
     signal(&program, "-STOP");
     let bad = [&[b'Q', 0xff, 0xff, 0xff, 0xff][..], &vec![b'x'; 90_000]].concat();
     all.iter_mut().for_each(|raw| raw.send(&bad));
     signal(&program, "-CONT");
     for (n, raw) in all.iter_mut().enumerate() {
-        assert_eq!(error(&[raw.message().expect("a last word")])[0], "08P01", "session {n}");
+        assert_eq!(error_fields(&[raw.message().expect("a last word")])[0], "08P01", "session {n}");
         let end = raw.stream.read(&mut [0]).map_err(|e| e.kind());
         assert!(matches!(end, Ok(0)), "session {n}: {end:?}, {:?} is a reset", ErrorKind::ConnectionReset);
     }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::admin_client::*;
-use support::resource_limits::{descriptors, DescriptorWatch, DiscoveryMode, FeedGate};
+use support::resource_limits::{descriptors, DescriptorWatch, DiscoveryMode, FeedProxy};
 use support::*;
 
 fn sql(req: u64, text: &str) -> String {
@@ -18,12 +18,12 @@
 
 /// So many connections each that send nothing, that send a part of a start-up packet, that open a session and stay
 /// idle, and that send a part of a message, in turns.
-fn flood(to: SocketAddr, each: usize) -> Vec<Raw> {
+fn flood(to: SocketAddr, each: usize) -> Vec<RawClient> {
     let half = query(&sql(1 << 40, "half"));
     let says = [vec![], startup()[..9].to_vec(), startup(), [startup(), half[..20].to_vec()].concat()];
     let mut all = Vec::new();
     for bytes in (0..each).flat_map(|_| &says) {
-        let mut raw = Raw::open(to);
+        let mut raw = RawClient::open(to);
         // A write error means that the connection was evicted already.
         let _ = std::io::Write::write_all(&mut raw.stream, bytes);
         all.push(raw);
@@ -32,21 +32,25 @@
 }
 
 /// Sends a request, and is served one row.
-fn is_served(raw: &mut Raw, req: u64, text: &str) {
+fn is_served(raw: &mut RawClient, req: u64, text: &str) {
     let got = raw.ask(&sql(req, text));
-    assert!(kinds(&got).starts_with('T') && rows(&got).len() == 1, "request {req}: {:?}", error(&got));
+    assert!(
+        message_types(&got).starts_with('T') && rows(&got).len() == 1,
+        "request {req}: {:?}",
+        error_fields(&got)
+    );
 }
 
 /// Opens sessions, each with a request that its engine holds back, until one is rejected: the rejection is the last.
-fn fill_with_busy(to: SocketAddr, most: usize) -> (Vec<(u64, Raw)>, [String; 4]) {
+fn fill_with_busy(to: SocketAddr, most: usize) -> (Vec<(u64, RawClient)>, [String; 4]) {
     let mut busy = Vec::new();
     for i in (0..most as u64).map(|i| 1_000 + i) {
-        let mut raw = Raw::open(to);
+        let mut raw = RawClient::open(to);
         raw.send(&startup());
         let first = raw.message().expect("a word");
         if first.0 == b'E' {
             assert!(raw.message().is_none(), "a refusal is the last word");
-            return (busy, error(&[first]));
+            return (busy, error_fields(&[first]));
         }
         let rest = raw.until_ready();
         raw.key = rest.into_iter().find(|m| m.0 == b'K').expect("a key").1;
@@ -61,22 +65,22 @@
 fn idle_clients_take_nobody_elses(limit: usize, sessions: usize) {
     let cut = Arc::new(AtomicBool::new(false));
     let once = Arc::clone(&cut);
-    let a = Engine::start(move |seen| match seen.parts[3].as_str() {
+    let a = Engine::start(move |command| match command.parts[3].as_str() {
         text if text.contains("hold") => Reply::Hold,
-        text if text.contains("cut") && !once.swap(true, Ordering::SeqCst) => Reply::Cut,
+        text if text.contains("cut") && !once.swap(true, Ordering::SeqCst) => Reply::Disconnect,
         _ => Reply::Pages(vec!["a\tb\tc\n".into()]),
     });
     let b = Engine::echo();
     let feed = Feed::start();
-    let door = FeedGate::before(feed.address, DiscoveryMode::Down);
-    let config = resource_limits::config(&[("s-1", a.address)], Some(door.address), limit, SETTINGS);
+    let feed_proxy = FeedProxy::start(feed.address, DiscoveryMode::Down);
+    let config = resource_limits::config(&[("s-1", a.address)], Some(feed_proxy.address), limit, SETTINGS);
     let mut program = resource_limits::start(&config, Some(limit), &[]);
     let (to, operators, process) = (program.platform, program.operators.expect("an address"), program.id());
-    let mut served = Raw::connect(to);
+    let mut served = RawClient::connect(to);
     is_served(&mut served, 1, "a");
-    until(|| (door.calls() >= 2).then_some(()));
+    wait_until(|| (feed_proxy.calls() >= 2).then_some(()));
     let before = descriptors(process);
-    let watched = DescriptorWatch::process(process);
+    let watched = DescriptorWatch::start(process);
 
     let mut idlers = flood(to, limit / 2);
     is_served(&mut served, 2, "a");
@@ -84,8 +88,8 @@
     is_served(&mut served, 3, "cut");
     assert!(cut.load(Ordering::SeqCst), "the old one broke");
     assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
-    let called = door.calls();
-    until(|| (door.calls() > called).then_some(()));
+    let called = feed_proxy.calls();
+    wait_until(|| (feed_proxy.calls() > called).then_some(()));
 
     // Sessions with requests evict the idle ones, one after the other, until none is left.
     let (mut busy, refusal) = fill_with_busy(to, limit);
@@ -100,26 +104,26 @@
     let at = busy.iter().position(|b| b.0 == out).expect("its session");
     let (_, mut one) = busy.swap_remove(at);
     one.cancel(to);
-    assert_eq!(error(&one.until_ready())[0], "57014");
+    assert_eq!(error_fields(&one.until_ready())[0], "57014");
     // The session may have been evicted for a new connection since: it was idle.
     drop(one);
 
     // The feed returns, with one engine more and one less.
-    door.set(DiscoveryMode::Up);
+    feed_proxy.set(DiscoveryMode::Up);
     feed.send(list(1, true, &[("s-1", a.address, "ready")]));
     feed.send(list(2, false, &[("s-2", b.address, "ready"), ("s-1", a.address, "draining")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     program.wait_line("engine_id=s-1 phase=Draining");
-    let mut newcomer = Raw::connect(to);
+    let mut newcomer = RawClient::connect(to);
     is_served(&mut newcomer, 4, "b");
     // Besides those that the other engine held, and that may go on there.
-    assert_eq!(b.seen("do").iter().filter(|s| s.parts[3].contains("SELECT b")).count(), 1);
+    assert_eq!(b.received("do").iter().filter(|s| s.parts[3].contains("SELECT b")).count(), 1);
 
     // All clients leave, and all is as before.
     drop((idlers, busy, newcomer));
-    until(|| (descriptors(process) <= before + 3).then_some(()));
-    let most = watched.most();
-    let mut after: Vec<Raw> = (0..5).map(|_| Raw::connect(to)).collect();
+    wait_until(|| (descriptors(process) <= before + 3).then_some(()));
+    let most = watched.peak();
+    let mut after: Vec<RawClient> = (0..5).map(|_| RawClient::connect(to)).collect();
     for (i, raw) in after.iter_mut().enumerate() {
         is_served(raw, 10 + i as u64, "c");
     }
@@ -145,23 +149,23 @@
 fn descriptors_stay_within_the_configured_limit() {
     let engine = Engine::echo();
     let second = r#"{"listen":"127.0.0.1:0","max_sessions":16,"default_class":"lane-rate"}"#;
-    let file = scratch().join("operator.json");
+    let file = scratch_dir().join("operator.json");
     std::fs::write(&file, second).expect("written");
     let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
     let program = resource_limits::start(&config, None, &["--operator", file.to_str().expect("text")]);
     let (to, second) = (program.platform, program.second.expect("on"));
     let operators = program.operators.expect("an address");
-    let watched = DescriptorWatch::process(program.id());
+    let watched = DescriptorWatch::start(program.id());
     let mut idlers = Vec::new();
     for _ in 0..4 {
         idlers.extend(flood(to, 32));
         idlers.extend(flood(second, 32));
-        idlers.extend((0..32).map(|_| Raw::open(operators)));
-        let mut raw = Raw::connect(to);
+        idlers.extend((0..32).map(|_| RawClient::open(operators)));
+        let mut raw = RawClient::connect(to);
         is_served(&mut raw, idlers.len() as u64, "a");
         assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
     }
-    let most = watched.most();
+    let most = watched.peak();
     assert!((64..=128).contains(&most), "{most} of 128");
     eprintln!("{most} descriptors at most of 128 told");
 }
@@ -173,18 +177,18 @@
     let engine = Engine::echo();
     let config = resource_limits::config(&[("s-1", engine.address)], None, 1024, SETTINGS);
     let mut program = resource_limits::start(&config, Some(64), &[]);
-    let mut served = Raw::connect(program.platform);
+    let mut served = RawClient::connect(program.platform);
     is_served(&mut served, 1, "a");
-    let idlers: Vec<Raw> = (0..200).map(|_| Raw::open(program.platform)).collect();
+    let idlers: Vec<RawClient> = (0..200).map(|_| RawClient::open(program.platform)).collect();
     program.wait_line("accept failed");
     // After some tens of failed accepts the new connections have been evicted, and their descriptors are free.
     std::thread::sleep(Duration::from_millis(500));
     is_served(&mut served, 2, "a");
-    let mut newcomer = Raw::connect(program.platform);
+    let mut newcomer = RawClient::connect(program.platform);
     is_served(&mut newcomer, 3, "a");
     drop(idlers);
-    until(|| (descriptors(program.id()) < 40).then_some(()));
-    is_served(&mut Raw::connect(program.platform), 4, "a");
+    wait_until(|| (descriptors(program.id()) < 40).then_some(()));
+    is_served(&mut RawClient::connect(program.platform), 4, "a");
     assert!(program.running());
     // About fifty fail each second, and one in five seconds is logged.
     let lines = program.lines().iter().filter(|l| l.contains("accept failed")).count();
@@ -197,9 +201,9 @@
     let engine = Engine::echo();
     let config = resource_limits::config(&[("s-1", engine.address)], None, 64, SETTINGS);
     let program = resource_limits::start(&config, Some(64), &[]);
-    let mut served = Raw::connect(program.platform);
+    let mut served = RawClient::connect(program.platform);
     for i in 0..400 {
-        let mut raw = Raw::open(program.platform);
+        let mut raw = RawClient::open(program.platform);
         // Closing with unread input sends a reset, and half of the connections end before they sent anything.
         if i % 2 == 0 {
             raw.send(&startup());
@@ -209,8 +213,8 @@
             is_served(&mut served, i + 1, "a");
         }
     }
-    until(|| (descriptors(program.id()) < 30).then_some(()));
-    is_served(&mut Raw::connect(program.platform), 9_999, "a");
+    wait_until(|| (descriptors(program.id()) < 30).then_some(()));
+    is_served(&mut RawClient::connect(program.platform), 9_999, "a");
 }
 
 /// CancelRequests are accepted also when all slots are occupied. A silent connection there gets an error before it is
@@ -218,26 +222,26 @@
 #[test]
 fn cancel_is_accepted_and_rejection_delivered_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
-    let file = scratch().join("operator.json");
+    let file = scratch_dir().join("operator.json");
     std::fs::write(&file, r#"{"listen":"127.0.0.1:0","max_sessions":1,"default_class":"lane-rate"}"#)
         .expect("written");
     let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
     let program = resource_limits::start(&config, Some(128), &["--operator", file.to_str().expect("text")]);
     let second = program.second.expect("on");
-    let mut raw = Raw::connect(second);
+    let mut raw = RawClient::connect(second);
     raw.send(&query(&sql(1, "hold")));
     engine.wait_for("do", 1);
-    let mut silent = Raw::open(second);
+    let mut silent = RawClient::open(second);
     for _ in 0..3 {
-        let mut newcomer = Raw::open(second);
+        let mut newcomer = RawClient::open(second);
         newcomer.send(&startup());
-        assert_eq!(error(&[newcomer.message().expect("a word")])[0], "53300");
+        assert_eq!(error_fields(&[newcomer.message().expect("a word")])[0], "53300");
         assert!(newcomer.message().is_none());
     }
     raw.cancel(second);
-    assert_eq!(error(&raw.until_ready())[0], "57014");
-    assert_eq!(error(&[silent.message().expect("a word")])[0], "53300");
+    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
+    assert_eq!(error_fields(&[silent.message().expect("a word")])[0], "53300");
     assert!(silent.message().is_none());
     // The first session sent no request and stays: idle sessions that hold state are not evicted.
-    assert_eq!(kinds(&raw.ask("")), "IZ");
+    assert_eq!(message_types(&raw.ask("")), "IZ");
 }
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -48,7 +48,7 @@
             assert_eq!(text, format!("SELECT price FROM rates_3.lanes WHERE lane = 'o''lane {i}'"));
         }
     });
-    let sent: Vec<ReceivedCommand> = [a.seen("do"), b.seen("do")].concat();
+    let sent: Vec<ReceivedCommand> = [a.received("do"), b.received("do")].concat();
     let ids: BTreeSet<&str> = sent.iter().map(|s| s.parts[1].as_str()).collect();
     assert_eq!((sent.len(), ids.len()), (1000, 1000), "one attempt and one id for each");
 }
@@ -69,18 +69,18 @@
         let numeric = numeric.expect("prepared");
         assert_eq!(numeric.params(), [Type::JSONB]);
     });
-    let wait: u64 = engine.seen("do")[0].field("wait").expect("a wait").parse().expect("a number");
+    let wait: u64 = engine.received("do")[0].field("wait").expect("a wait").parse().expect("a number");
     assert!(wait <= 9000, "the bound time-out is the deadline: {wait}");
     // The binary form of jsonb begins with a version byte, which is not supported.
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     let mut types = b"\0SELECT $1\0\0\x01".to_vec();
     types.extend_from_slice(&3802u32.to_be_bytes());
     let mut values = b"\0\0\0\x01\0\x01\0\x01".to_vec();
     values.extend_from_slice(&[0, 0, 0, 3, 1, b'{', b'}', 0, 0]);
     raw.send(&[framed(b'P', &types), framed(b'B', &values), execute("", 0), sync()].concat());
     let got = raw.until_ready();
-    assert_eq!(kinds(&got), "1EZ", "skips to Sync after the error");
-    assert_eq!(error(&got)[0], "0A000");
+    assert_eq!(message_types(&got), "1EZ", "skips to Sync after the error");
+    assert_eq!(error_fields(&got)[0], "0A000");
 }
 
 /// A portal that was not executed is no request: it holds no engine and survives a drain.
@@ -89,15 +89,15 @@
     let (old, new, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", old.address)], Some(&feed), Some(OPERATOR));
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     raw.send(&[parse("st", LANE), bind("po", "st", &["a"]), sync()].concat());
-    assert_eq!(kinds(&raw.until_ready()), "12Z");
+    assert_eq!(message_types(&raw.until_ready()), "12Z");
     feed.send(list(2, false, &[("s-1", old.address, "draining"), ("s-2", new.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     raw.send(&[execute("po", 0), sync()].concat());
     let got = raw.until_ready();
-    assert_eq!(kinds(&got), "DCZ");
-    assert_eq!((old.seen("do").len(), new.seen("do").len()), (0, 1));
+    assert_eq!(message_types(&got), "DCZ");
+    assert_eq!((old.received("do").len(), new.received("do").len()), (0, 1));
 }
 
 /// A batch is cut at each message boundary: submitted requests end once, and others are never sent.
@@ -110,8 +110,8 @@
         .chain([sync()])
         .collect();
     for cut in 0..=batch.len() {
-        let mut raw = Raw::connect(second(&program));
-        let before = engine.seen("do").len();
+        let mut raw = RawClient::connect(second(&program));
+        let before = engine.received("do").len();
         raw.send(&batch[..cut].concat());
         raw.send(&framed(b'H', b""));
         let executes = cut / 3;
@@ -121,11 +121,11 @@
             answers += usize::from(raw.message().expect("an answer").0 == b'C');
         }
         drop(raw);
-        let mut after = Raw::connect(second(&program));
-        assert_eq!(kinds(&after.ask("")), "IZ");
-        assert_eq!(engine.seen("do").len() - before, executes, "cut behind message {cut}");
+        let mut after = RawClient::connect(second(&program));
+        assert_eq!(message_types(&after.ask("")), "IZ");
+        assert_eq!(engine.received("do").len() - before, executes, "cut behind message {cut}");
     }
-    assert!(engine.seen("undo").is_empty());
+    assert!(engine.received("undo").is_empty());
 }
 
 /// The client leaves while its request is in flight: it is cancelled at its engine, and the rest of the batch is never
@@ -134,14 +134,14 @@
 fn batch_of_a_departed_client_is_cancelled() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     let one = [parse("", LANE), bind("", "", &["x"]), execute("", 0)].concat();
     raw.send(&[&one[..], &one[..], &sync()].concat());
     let sent = engine.wait_for("do", 1);
     drop(raw);
     let undone = engine.wait_for("undo", 1);
     assert_eq!(undone[0].parts[1], sent[0].parts[1]);
-    assert_eq!(engine.seen("do").len(), 1, "the second Execute was never taken");
+    assert_eq!(engine.received("do").len(), 1, "the second Execute was never taken");
 }
 
 #[test]
@@ -149,33 +149,33 @@
     let pages = || vec!["1\ta\tb\n2\ta\tb\n".into(), "3\ta\tb\n".into(), "4\ta\tb\n5\ta\tb\n".into()];
     let engine = Engine::start(move |_| Reply::Pages(pages()));
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     raw.send(&[parse("", LANE), bind("p", "", &["x"]), execute("p", 2), execute("p", 2), sync()].concat());
     let got = raw.until_ready();
-    assert_eq!(kinds(&got), "12DDsDDsZ");
+    assert_eq!(message_types(&got), "12DDsDDsZ");
     assert_eq!(rows(&got), ["1|a|b", "2|a|b", "3|a|b", "4|a|b"]);
     raw.send(&[execute("p", 0), execute("p", 0), sync()].concat());
     let got = raw.until_ready();
-    assert_eq!((kinds(&got).as_str(), rows(&got)), ("DCCZ", vec!["5|a|b".to_owned()]));
-    assert_eq!(engine.seen("do").len(), 1, "further rows are no further request");
+    assert_eq!((message_types(&got).as_str(), rows(&got)), ("DCCZ", vec!["5|a|b".to_owned()]));
+    assert_eq!(engine.received("do").len(), 1, "further rows are no further request");
 }
 
 /// A lost page may be retried, since no row was sent to the client: it gets one complete answer.
 #[test]
 fn engine_lost_within_its_answer_causes_a_retry() {
-    let broken = Engine::start(|_| Reply::CutMidAnswer("half\ta\tb\n".into()));
+    let broken = Engine::start(|_| Reply::DisconnectMidAnswer("half\ta\tb\n".into()));
     let program = start(&[&broken]);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
     let got = raw.until_ready();
     // One engine, which never sends the second page: retried within the retry budget, then failed.
-    assert_eq!(kinds(&got), "12EZ");
+    assert_eq!(message_types(&got), "12EZ");
     assert!(rows(&got).is_empty(), "a row of half a result went out");
-    let tries = broken.seen("do");
+    let tries = broken.received("do");
     assert!((2..=6).contains(&tries.len()), "{} attempts", tries.len());
     let ids: BTreeSet<&str> = tries.iter().map(|s| s.parts[1].as_str()).collect();
     assert_eq!(ids.len(), 1, "the attempts of one request have one id");
-    let [code, _, detail, hint] = error(&got);
+    let [code, _, detail, hint] = error_fields(&got);
     assert!(["53400", "08006", "58000"].contains(&code.as_str()), "{code}");
     assert!(detail.starts_with("retry_after_ms=") && hint.starts_with("Come back in "), "{detail} {hint}");
 }
@@ -186,25 +186,25 @@
     use std::sync::atomic::{AtomicBool, Ordering};
     static LOST: AtomicBool = AtomicBool::new(false);
     let engine = Engine::start(|_| match LOST.swap(true, Ordering::SeqCst) {
-        false => Reply::CutMidAnswer("old\ta\tb\n".into()),
+        false => Reply::DisconnectMidAnswer("old\ta\tb\n".into()),
         true => Reply::Pages(vec!["1\ta\tb\n".into(), "2\ta\tb\n".into()]),
     });
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
     let got = raw.until_ready();
-    assert_eq!((kinds(&got).as_str(), rows(&got)), ("12DDCZ", vec!["1|a|b".into(), "2|a|b".into()]));
-    assert_eq!(engine.seen("do").len(), 2);
+    assert_eq!((message_types(&got).as_str(), rows(&got)), ("12DDCZ", vec!["1|a|b".into(), "2|a|b".into()]));
+    assert_eq!(engine.received("do").len(), 2);
 }
 
 /// Sessions above the configured maximum are rejected, with the time after which to retry.
 #[test]
 fn session_above_the_limit_is_rejected() {
     let program = Program::start(&[], None, Some(r#"{"listen":"127.0.0.1:0","max_sessions":1}"#));
-    let first = Raw::connect(second(&program));
-    let mut other = Raw::open(second(&program));
+    let first = RawClient::connect(second(&program));
+    let mut other = RawClient::open(second(&program));
     other.send(&startup());
-    let [code, _, detail, hint] = error(&[other.message().expect("an answer")]);
+    let [code, _, detail, hint] = error_fields(&[other.message().expect("an answer")]);
     assert_eq!(
         (code.as_str(), detail.as_str(), hint.as_str()),
         ("53300", "retry_after_ms=1000", "Come back in 1000 ms.")
@@ -216,14 +216,14 @@
 fn cancel_request_cancels_the_open_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
     let sent = engine.wait_for("do", 1);
     raw.cancel(second(&program));
     let got = raw.until_ready();
-    assert_eq!((kinds(&got).as_str(), error(&got)[0].as_str()), ("12EZ", "57014"));
+    assert_eq!((message_types(&got).as_str(), error_fields(&got)[0].as_str()), ("12EZ", "57014"));
     assert_eq!(engine.wait_for("undo", 1)[0].parts[1], sent[0].parts[1]);
-    assert_eq!(kinds(&raw.ask("")), "IZ", "the session goes on");
+    assert_eq!(message_types(&raw.ask("")), "IZ", "the session goes on");
 }
 
 /// The retry budget of 5 s, counted at the engines: 3 retries and a tenth of the admitted requests.
@@ -232,15 +232,20 @@
     let (a, b) = (Engine::start(|_| Reply::Word("crashed")), Engine::start(|_| Reply::Word("crashed")));
     let program = start(&[&a, &b]);
     let (began, asked) = (Instant::now(), 60);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     raw.send(&parse("st", &LANE.replace("kind=lane-rate", "kind=lane-rate,ms=5,timeout=200")));
     for _ in 0..asked {
         raw.send(&[bind("", "st", &["x"]), execute("", 0), sync()].concat());
         let got = raw.until_ready();
-        assert_eq!(kinds(&got).matches('E').count(), 1, "one final answer each: {}", kinds(&got));
+        assert_eq!(
+            message_types(&got).matches('E').count(),
+            1,
+            "one final answer each: {}",
+            message_types(&got)
+        );
     }
     let windows = 1 + began.elapsed().as_secs() as usize / 5;
-    let sent: Vec<ReceivedCommand> = [a.seen("do"), b.seen("do")].concat();
+    let sent: Vec<ReceivedCommand> = [a.received("do"), b.received("do")].concat();
     let firsts = sent.iter().map(|s| s.parts[1].as_str()).collect::<BTreeSet<_>>().len();
     let further = sent.len() - firsts;
     assert!(firsts <= asked && further > 0, "{firsts} first, {further} further");
@@ -252,44 +257,44 @@
 fn each_request_of_a_keyed_class_carries_its_own_key() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
-    let run = |raw: &mut Raw, sql: &str, values: &[&str], times: usize| {
+    let mut raw = RawClient::connect(second(&program));
+    let run = |raw: &mut RawClient, sql: &str, values: &[&str], times: usize| {
         raw.send(&parse("", sql));
         (0..times).for_each(|_| raw.send(&[bind("", "", values), execute("", 0)].concat()));
         raw.send(&sync());
-        assert!(!kinds(&raw.until_ready()).contains('E'));
+        assert!(!message_types(&raw.until_ready()).contains('E'));
     };
     run(&mut raw, "/* kind=tariff-load */ INSERT INTO t_1.x VALUES ($1)", &["v"], 2);
     run(&mut raw, "/* kind=tariff-load,opkey=$2 */ INSERT INTO t_1.x VALUES ($1)", &["v", "k-1"], 2);
     run(&mut raw, "/* kind=tariff-load,opkey=k-2 */ INSERT INTO t_1.x VALUES ($1)", &["v"], 2);
     let keys: Vec<String> =
-        engine.seen("do").iter().map(|s| s.field("once").expect("a key").to_owned()).collect();
+        engine.received("do").iter().map(|s| s.field("once").expect("a key").to_owned()).collect();
     assert_eq!(keys[2..5], ["k-1", "k-1", "k-2"]);
     assert_ne!(keys[0], keys[1], "each Execute has its own");
     assert_ne!(keys[5], "k-2", "a key written into the text serves one request");
     run(&mut raw, "/* kind=lane-rate */ SELECT 1 FROM t_1.x", &[], 1);
-    assert_eq!(engine.seen("do")[6].field("once"), None);
+    assert_eq!(engine.received("do")[6].field("once"), None);
 }
 
 #[test]
 fn timeout_is_that_of_the_field_then_the_session_then_the_class() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
-    assert_eq!(kinds(&raw.ask("SET statement_timeout = '400ms'")), "CZ");
+    let mut raw = RawClient::connect(second(&program));
+    assert_eq!(message_types(&raw.ask("SET statement_timeout = '400ms'")), "CZ");
     let got = raw.ask("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b");
-    assert_eq!(error(&got)[0], "57014");
+    assert_eq!(error_fields(&got)[0], "57014");
     let got = raw.ask("/* kind=lane-rate,ms=5,timeout=250 */ SELECT 1 FROM a_1.b");
-    assert_eq!(error(&got)[0], "57014");
-    assert_eq!(kinds(&raw.ask("SET statement_timeout TO DEFAULT")), "CZ");
+    assert_eq!(error_fields(&got)[0], "57014");
+    assert_eq!(message_types(&raw.ask("SET statement_timeout TO DEFAULT")), "CZ");
     raw.send(&query("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b"));
     // The first attempt of each: an engine that does not answer may be retried.
     let firsts = || {
         let mut ids = BTreeSet::new();
-        let sent = engine.seen("do").into_iter().filter(|s| ids.insert(s.parts[1].clone()));
+        let sent = engine.received("do").into_iter().filter(|s| ids.insert(s.parts[1].clone()));
         sent.map(|s| s.field("wait").expect("a wait").parse().expect("a number")).collect::<Vec<u64>>()
     };
-    let waits = until(|| Some(firsts()).filter(|w| w.len() == 3));
+    let waits = wait_until(|| Some(firsts()).filter(|w| w.len() == 3));
     assert!(waits[0] <= 400 && waits[1] <= 250, "{waits:?}");
     assert!(waits[2] > 400 && waits[2] <= 30_000, "the class's own: {waits:?}");
 }
@@ -298,24 +303,28 @@
 fn unsupported_statements_are_rejected_without_a_request() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    let mut raw = Raw::connect(second(&program));
+    let mut raw = RawClient::connect(second(&program));
     for sql in
         ["BEGIN", "COPY t FROM STDIN", "SET search_path = x", "SELECT 1; SELECT 2", "DECLARE c CURSOR FOR x"]
     {
-        assert_eq!(error(&raw.ask(sql))[0], "0A000", "{sql}");
+        assert_eq!(error_fields(&raw.ask(sql))[0], "0A000", "{sql}");
     }
-    assert_eq!(error(&raw.ask("SELECT 1"))[0], "08P01", "no class is named, and the file gives none");
+    assert_eq!(error_fields(&raw.ask("SELECT 1"))[0], "08P01", "no class is named, and the file gives none");
     raw.send(&[bind("", "nil", &[]), parse("", "SELECT"), execute("", 0), sync()].concat());
     let got = raw.until_ready();
-    assert_eq!((kinds(&got).as_str(), error(&got)[0].as_str()), ("EZ", "26000"), "skips to Sync");
+    assert_eq!(
+        (message_types(&got).as_str(), error_fields(&got)[0].as_str()),
+        ("EZ", "26000"),
+        "skips to Sync"
+    );
     raw.send(&[execute("nil", 0), sync()].concat());
-    assert_eq!(error(&raw.until_ready())[0], "34000");
+    assert_eq!(error_fields(&raw.until_ready())[0], "34000");
     raw.send(&[parse("a", LANE), bind("p", "a", &[]), sync()].concat());
     let got = raw.until_ready();
-    assert!(error(&got)[1].contains("parameter count"), "{:?}", error(&got));
+    assert!(error_fields(&got)[1].contains("parameter count"), "{:?}", error_fields(&got));
     raw.send(&[parse("a", LANE), sync()].concat());
-    assert_eq!(error(&raw.until_ready())[0], "42P05");
-    assert!(engine.seen("do").is_empty());
+    assert_eq!(error_fields(&raw.until_ready())[0], "42P05");
+    assert!(engine.received("do").is_empty());
 }
 
 /// Random bytes and messages out of order, from fixed seeds: no input ends the process, and another session goes on.
@@ -323,11 +332,11 @@
 fn random_input_does_not_end_the_process() {
     let engine = Engine::echo();
     let mut program = start(&[&engine]);
-    let mut good = Raw::connect(second(&program));
+    let mut good = RawClient::connect(second(&program));
     let mut gen = quickcheck::Gen::from_size_and_seed(40, 11);
     let mut bytes = move || <Vec<u8> as quickcheck::Arbitrary>::arbitrary(&mut gen);
     for i in 0..120 {
-        let mut raw = Raw::open(second(&program));
+        let mut raw = RawClient::open(second(&program));
         if i % 3 > 0 {
             raw.send(&startup());
         }
@@ -345,7 +354,7 @@
     good.send(&[framed(b'C', b"Sst\0"), execute("po", 0), sync()].concat());
     let got = good.until_ready();
     assert_eq!(
-        (kinds(&got).as_str(), error(&got)[0].as_str()),
+        (message_types(&got).as_str(), error_fields(&got)[0].as_str()),
         ("12DC3EZ", "34000"),
         "portals go with their statement"
     );
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -63,7 +63,7 @@
 
     /// The number that the next call asks for events after.
     fn asked(&self) -> u64 {
-        let head = self.heads.recv_timeout(PATIENCE).expect("a call");
+        let head = self.heads.recv_timeout(WAIT_TIMEOUT).expect("a call");
         assert_eq!(head[0], "GET /v1/events HTTP/1.1");
         let field = |name: &str| {
             head.iter().filter_map(|l| l.split_once(": ")).find(|(n, _)| n.eq_ignore_ascii_case(name))
@@ -160,10 +160,10 @@
         feed.answer(script);
         assert_eq!(feed.asked(), i as u64 + 1);
         let lost = |l: &String| l.contains("feed lost error=");
-        let line = until(|| program.lines().iter().filter(|l| lost(l)).nth(2 * i).cloned());
+        let line = wait_until(|| program.lines().iter().filter(|l| lost(l)).nth(2 * i).cloned());
         assert!(line.contains(why), "script {i}: {line}");
         feed.answer(closes(&format!("{PLAIN}{}", event(i + 2))));
         assert_eq!(feed.asked(), i as u64 + 1);
-        until(|| program.lines().iter().filter(|l| lost(l)).nth(2 * i + 1).cloned());
+        wait_until(|| program.lines().iter().filter(|l| lost(l)).nth(2 * i + 1).cloned());
     }
 }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -64,7 +64,7 @@
     );
 }
 
-/// A zone's engines fall silent for everybody and come back cold: its managers send next door, within their region,
+/// A zone's engines fall silent for everybody and come back cold: its managers send next feed_proxy, within their region,
 /// the list knowing nothing of it, and come back by and by.
 #[test]
 fn a_lost_zone_is_left_for_its_neighbour_and_comes_back_gradually() {
@@ -77,7 +77,7 @@
     let (there, all) = got.sent(&lost, 1, 1, 7.0, 11.0);
     assert!(all > 50 && there * 10 < all, "{there} of {all} still went to the lost zone");
     let (near, _) = got.sent(&lost, 1, 0, 7.0, 11.0);
-    assert!(near * 10 > all * 7, "{near} of {all} went next door");
+    assert!(near * 10 > all * 7, "{near} of {all} went next feed_proxy");
     let (first, of) = got.sent(&lost, 1, 1, 11.0, 12.5);
     assert!(first * 2 < of, "{first} of {of} at once onto a cold zone");
     let (home, of) = got.sent(&lost, 1, 1, 26.0, 30.0);
@@ -166,7 +166,7 @@
 }
 
 /// One manager alone cannot reach a zone, its own, while the others do: with a view of the fleet nobody takes the zone
-/// for lost, and the one goes next door all the same, for its own engines are silent to it.
+/// for lost, and the one goes next feed_proxy all the same, for its own engines are silent to it.
 #[test]
 fn a_single_false_alarm_moves_nobody() {
     let text = format!(
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -2,7 +2,7 @@
 //! configuration that will not do. Help texts and the wording of other messages are free.
 mod support;
 
-use support::{golden, scratch};
+use support::{golden, scratch_dir};
 
 /// Every sub-command with the arguments that it needs. `{...}` are paths, see [`Place`].
 const COMMANDS: [(&str, &[&str]); 11] = [
@@ -100,7 +100,7 @@
 
 impl Place {
     fn new() -> Place {
-        let dir = scratch();
+        let dir = scratch_dir();
         let config = std::fs::read_to_string(golden::path("settings/platform.json")).expect("a document");
         std::fs::write(dir.join("config.json"), config).expect("written");
         std::fs::write(dir.join("operator.json"), r#"{"listen":"127.0.0.1:0"}"#).expect("written");
@@ -162,7 +162,7 @@
         let threads: Vec<_> = COMMANDS.iter().map(|command| scope.spawn(move || row(command))).collect();
         threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
     });
-    golden::hold("cli-options.txt", &all.concat());
+    golden::assert_matches("cli-options.txt", &all.concat());
 }
 
 /// Exit status of command lines that will not do, and whether the option at fault is named.
@@ -195,7 +195,7 @@
             if named { " by name" } else { "" }
         ));
     }
-    golden::hold("cli-bad.txt", &lines);
+    golden::assert_matches("cli-bad.txt", &lines);
 }
 
 /// The help of each sub-command names its options, and the overview names all sub-commands.
@@ -222,7 +222,7 @@
     assert_eq!(place.run(&["-V"], &[]), (status, version, String::new()));
     assert_eq!(place.run(&["--help"], &[]), (0, overview.clone(), String::new()));
     assert_eq!(place.run(&["-h"], &[]), (0, overview, String::new()));
-    golden::hold("cli-help.txt", &lines);
+    golden::assert_matches("cli-help.txt", &lines);
 }
 
 /// What is wrong with a configuration, in full: operators and their scripts read these lines.
@@ -293,7 +293,7 @@
     let args = ["check", "--config", "{dir}/bad.json", "--operator", "{operator}"];
     let (status, _, why) = place.run(&args, &[]);
     lines.push_str(&format!("too few descriptors for the second front: {status} {}\n", place.reason(&why)));
-    golden::hold("cli-reasons.txt", &lines);
+    golden::assert_matches("cli-reasons.txt", &lines);
 }
 
 #[test]
@@ -319,5 +319,5 @@
     }
     let (status, _, why) = place.run(&["check"], &[]);
     lines.push_str(&format!("none: {status} {}\n", place.reason(&why)));
-    golden::hold("cli-environment.txt", &lines);
+    golden::assert_matches("cli-environment.txt", &lines);
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 use support::golden::{self, run};
-use support::scratch;
+use support::scratch_dir;
 
 /// Each capture with a request of it.
 const CAPTURES: [(&str, &str); 5] = [
@@ -77,7 +77,7 @@
             text.push_str(&format!("{args}: {status}\n{}\n", masked(lines).join("\n")));
         }
     }
-    golden::hold("captures.txt", &text);
+    golden::assert_matches("captures.txt", &text);
 }
 
 #[test]
@@ -95,13 +95,13 @@
             }
         }
     }
-    golden::hold("explanations.txt", &text);
+    golden::assert_matches("explanations.txt", &text);
 }
 
 /// A case that the program of before cut out of a capture is read as one of today's, and holds what it held.
 #[test]
 fn a_case_is_cut_as_before_and_cases_of_before_are_read() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let out = dir.join("cut.slc");
     let out = out.to_str().expect("text");
     let path = capture("drain-edge");
@@ -130,6 +130,6 @@
     };
     let text = shown(before.to_str().expect("text"));
     assert_eq!(shown(out), text, "the case cut now and the one cut before");
-    golden::hold("cut.txt", &(text + "\n"));
+    golden::assert_matches("cut.txt", &(text + "\n"));
     drop(std::fs::remove_dir_all(dir));
 }
--- a/tests/golden_settings.rs
+++ b/tests/golden_settings.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
-use support::{golden, scratch};
+use support::{golden, scratch_dir};
 
 /// The settings files: name of the golden document and the option that reads it.
 const FILES: [(&str, &str); 5] = [
@@ -141,7 +141,7 @@
 
 #[test]
 fn each_key_of_a_settings_file_is_taken_under_its_old_name_in_its_old_range() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let config = written(&dir, "platform.json", &document("platform", &dir));
     let config = config.to_str().expect("text");
     let mut lines = Vec::new();
@@ -154,24 +154,24 @@
         assert_eq!(golden::run(&whole, &[]).0, 0, "{name} as it is");
         lines.extend(statuses(&dir, name, &document, &args));
     }
-    golden::hold("settings-files.txt", &(lines.join("\n") + "\n"));
+    golden::assert_matches("settings-files.txt", &(lines.join("\n") + "\n"));
     drop(std::fs::remove_dir_all(dir));
 }
 
 #[test]
 fn each_key_of_the_platforms_configuration_is_read_under_its_name() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let document = document("platform", &dir);
     let args = |file: &str| ["check", "--config", file].map(str::to_owned).to_vec();
     let lines = statuses(&dir, "platform", &document, &args);
-    golden::hold("platform-keys.txt", &(lines.join("\n") + "\n"));
+    golden::assert_matches("platform-keys.txt", &(lines.join("\n") + "\n"));
     drop(std::fs::remove_dir_all(dir));
 }
 
 /// `check` accepts each settings file in `deploy/`, those of today and those of before.
 #[test]
 fn shipped_settings_files_pass_the_check() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let config = written(&dir, "platform.json", &document("platform", &dir));
     let config = config.to_str().expect("text");
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct Transcript {
     text: String,
-    engine_seen: usize,
+    engine_received: usize,
 }
 
 impl Transcript {
@@ -38,7 +38,7 @@
         self.text.push_str(&format!("-- {text}\n"));
     }
 
-    fn send(&mut self, client: &mut Raw, bytes: &[u8]) {
+    fn send(&mut self, client: &mut RawClient, bytes: &[u8]) {
         self.line("client >", bytes);
         client.send(bytes);
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn until_ready(&mut self, client: &mut Raw) {
+    fn until_ready(&mut self, client: &mut RawClient) {
         loop {
             let message = client.message();
             let last = message.as_ref().is_none_or(|m| m.0 == b'Z');
@@ -64,22 +64,22 @@
     }
 
     /// Sends a message and reads the answer up to ReadyForQuery.
-    fn ask(&mut self, client: &mut Raw, bytes: &[u8]) {
+    fn ask(&mut self, client: &mut RawClient, bytes: &[u8]) {
         self.send(client, bytes);
         self.until_ready(client);
     }
 
     /// What the engine was sent since the last time.
     fn engine(&mut self, engine: &Engine) {
-        for seen in engine.all_seen().into_iter().skip(self.engine_seen) {
-            self.engine_seen += 1;
+        for command in engine.all_received().into_iter().skip(self.engine_received) {
+            self.engine_received += 1;
             // Waits shrink, priorities and grants follow the load of the moment.
             let mask = |part: &String| {
                 let masked =
                     ["wait=", "nice=", "mb="].iter().fold(part.clone(), |p, name| mask_number(&p, name));
                 format!("{masked:?}")
             };
-            let parts: Vec<String> = seen.parts.iter().map(mask).collect();
+            let parts: Vec<String> = command.parts.iter().map(mask).collect();
             self.line("engine <", parts.join(" ").as_bytes());
         }
     }
@@ -92,7 +92,7 @@
 
 /// A stand-in engine whose answer depends on the request's last digit.
 fn engine() -> Engine {
-    Engine::start(|seen| match seen.parts[1].as_bytes().last() {
+    Engine::start(|command| match command.parts[1].as_bytes().last() {
         Some(b'c') => Reply::Hold,
         Some(b'2') => {
             Reply::Pages(vec!["1\t'a'\t\\N\n2\tb\t\u{e9}\n".into(), "3\t\t\n".into(), String::new()])
@@ -101,8 +101,8 @@
     })
 }
 
-fn open(transcript: &mut Transcript, at: SocketAddr, opening: &[u8]) -> Raw {
-    let mut client = Raw::open(at);
+fn open(transcript: &mut Transcript, at: SocketAddr, opening: &[u8]) -> RawClient {
+    let mut client = RawClient::open(at);
     transcript.send(&mut client, opening);
     client
 }
@@ -112,7 +112,7 @@
 }
 
 /// Openings: encryption, versions and options of the protocol, a cancel for nobody.
-fn openings(transcript: &mut Transcript, at: SocketAddr) -> Raw {
+fn openings(transcript: &mut Transcript, at: SocketAddr) -> RawClient {
     for code in [80_877_104, 80_877_103] {
         let mut client = open(transcript, at, &opening(code, b""));
         let mut byte = [0];
@@ -194,7 +194,7 @@
 
     t.note("cancelled");
     t.send(&mut client, &sql("lane-rate", 0x2c, ",ms=5"));
-    until(|| engine.seen("do").iter().any(|seen| seen.parts[1].ends_with("2c")).then_some(()));
+    wait_until(|| engine.received("do").iter().any(|command| command.parts[1].ends_with("2c")).then_some(()));
     client.cancel(program.platform);
     t.until_ready(&mut client);
     engine.wait_for("undo", 1);
@@ -211,7 +211,7 @@
     t.send(&mut client, &framed(b'X', b""));
     let last = client.message();
     t.message(last);
-    let mut client = Raw::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     t.send(&mut client, &[b'Q', 0xff, 0xff, 0xff, 0xff]);
     for _ in 0..2 {
         let message = client.message();
@@ -223,7 +223,7 @@
 
 #[test]
 fn a_conversation_on_the_platforms_front_has_the_bytes_of_before() {
-    golden::hold("wire-platform.txt", &platform().text);
+    golden::assert_matches("wire-platform.txt", &platform().text);
 }
 
 const LANE: &str = "/* kind=lane-rate,ms=5 */ SELECT price FROM rates_3.lanes WHERE lane = $1";
@@ -254,8 +254,9 @@
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn a_conversation_on_the_second_front_has_the_bytes_of_before() {
     let holds = std::sync::atomic::AtomicBool::new(false);
-    let engine = Engine::start(move |seen| {
-        let held = seen.parts[3].contains("hold") && !holds.swap(true, std::sync::atomic::Ordering::SeqCst);
+    let engine = Engine::start(move |command| {
+        let held =
+            command.parts[3].contains("hold") && !holds.swap(true, std::sync::atomic::Ordering::SeqCst);
         match held {
             true => Reply::Hold,
             false => Reply::Pages(vec!["1\ta\tb\n2\ta\tb\n".into(), "3\ta\tb\n".into()]),
@@ -312,7 +313,7 @@
     t.until_ready(&mut client);
     engine.wait_for("undo", 1);
     t.engine(&engine);
-    golden::hold("wire-second-front.txt", &name_drawn(&transcript.text));
+    golden::assert_matches("wire-second-front.txt", &name_drawn(&transcript.text));
 }
 
 /// Calls to the operators' address: status, headers and body. Times and figures that differ from run to run are masked.
@@ -321,7 +322,7 @@
     let engine = engine();
     let program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let at = program.operators.expect("an address");
-    let mut client = Raw::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     client.ask(std::str::from_utf8(&sql("lane-rate", 1, "")[5..]).expect("text").trim_end_matches('\0'));
     let long = format!("/admin/{}", "x".repeat(20_000));
     let body = "x".repeat(100_000);
@@ -360,5 +361,5 @@
     }
     let (_, stats) = call(at, "GET", "/admin/stats", "");
     text.push_str(&stats);
-    golden::hold("operators.txt", &text);
+    golden::assert_matches("operators.txt", &text);
 }
--- a/tests/measure_capture.rs
+++ b/tests/measure_capture.rs
@@ -28,7 +28,7 @@
     let ids: Vec<String> = (1..=8).map(|n| format!("s-{n}")).collect();
     let named: Vec<(&str, std::net::SocketAddr)> =
         ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
-    let dir = scratch();
+    let dir = scratch_dir();
     let more = ["--capture", dir.to_str().expect("text")];
     let more = if capture { &more[..] } else { &[] };
     let mut program = Program::launch(&named, None, None, (192, 1024), BUSY, more);
@@ -37,9 +37,9 @@
         let all: Vec<_> = (0..SESSIONS)
             .map(|s| {
                 thread::spawn(move || {
-                    let mut raw = Raw::connect(to);
+                    let mut raw = RawClient::connect(to);
                     for k in 0..n {
-                        let sql = support::timed_engine::look_up((s << 40) + from + k, 5);
+                        let sql = support::timed_engine::lookup_sql((s << 40) + from + k, 5);
                         assert_eq!(rows(&raw.ask(&sql)).len(), 1);
                     }
                 })
@@ -52,7 +52,7 @@
     ask(1_000, REQUESTS);
     let after = cpu(&program);
     program.terminate();
-    program.ended();
+    program.wait_for_exit();
     let bytes: u64 = std::fs::read_dir(&dir)
         .expect("read")
         .map(|e| e.expect("a file").metadata().expect("read").len())
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -46,7 +46,7 @@
 /// A fresh copy of a program's file: how much of it a process holds resident goes by how the file lies in the page
 /// cache, and that by how and when it was written.
 fn copied(path: &str) -> std::path::PathBuf {
-    let copy = scratch().join("program");
+    let copy = scratch_dir().join("program");
     std::fs::write(&copy, std::fs::read(path).expect("read")).expect("written");
     std::fs::set_permissions(&copy, std::fs::Permissions::from_mode(0o755)).expect("set");
     copy
@@ -63,16 +63,16 @@
     let whole: Vec<_> = named.iter().map(|(id, at)| (*id, *at, "ready")).collect();
     feed.send(list(1, true, &whole));
     let mut program = Program::launch(&named, Some(&feed), None, (32, 1024), BUSY, &[]);
-    until(|| (feed.listening() > 0).then_some(()));
+    wait_until(|| (feed.open_calls() > 0).then_some(()));
     thread::sleep(Duration::from_millis(300));
     let start = [cpu(&program), memory(&program, "VmRSS"), memory(&program, "RssAnon")];
     let to = program.platform;
     let ask = |from: u64, n: u64| {
         let all = (0..SESSIONS).map(|s| {
             thread::spawn(move || {
-                let mut raw = Raw::connect(to);
+                let mut raw = RawClient::connect(to);
                 for k in 0..n {
-                    let sql = support::timed_engine::look_up((s << 40) + from + k, 5);
+                    let sql = support::timed_engine::lookup_sql((s << 40) + from + k, 5);
                     assert_eq!(rows(&raw.ask(&sql)).len(), 1);
                 }
             })
@@ -89,7 +89,7 @@
     let told = cpu(&program);
     let end = [memory(&program, "VmRSS"), memory(&program, "RssAnon"), memory(&program, "VmHWM")];
     program.terminate();
-    program.ended();
+    program.wait_for_exit();
     std::fs::remove_dir_all(file.parent().expect("a folder")).expect("removed");
     let a_request = (asked - before) / (SESSIONS * REQUESTS) as f64;
     let an_event = (told - asked) / EVENTS as f64;
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn health_and_metrics_report_served_requests() {
-    let engine = Engine::start(|seen| match seen.parts[1].ends_with('f') {
-        _ if seen.parts[1].ends_with('e') => Reply::Hold,
+    let engine = Engine::start(|command| match command.parts[1].ends_with('f') {
+        _ if command.parts[1].ends_with('e') => Reply::Hold,
         true => Reply::Word("crashed"),
         false => Reply::Pages(vec!["a\tb\tc\n".into()]),
     });
@@ -22,34 +22,34 @@
     let at = program.operators.expect("an address");
     assert_eq!(call(at, "GET", "/admin/health", "").0, 200);
     let names = ["results.lane-rate.succeeded", "results.tariff-load.declined", "forwards", "outstanding"];
-    assert!(names.iter().all(|n| figure(at, n) == 0), "counts start at 0");
-    let mut raw = Raw::connect(program.platform);
+    assert!(names.iter().all(|n| metric(at, n) == 0), "counts start at 0");
+    let mut raw = RawClient::connect(program.platform);
     (1..=7).for_each(|req| assert_eq!(rows(&raw.ask(&sql(req))).len(), 1));
     // It cannot be served in time: rejected at once.
     let heavy = sql(8).replace("ms=5", "ms=600000");
-    assert_eq!(error(&raw.ask(&heavy))[0], "53400");
-    assert_eq!(figure(at, "results.lane-rate.succeeded"), 7);
-    assert_eq!(figure(at, "results.lane-rate.declined"), 1);
-    assert_eq!(figure(at, "forwards"), 7);
+    assert_eq!(error_fields(&raw.ask(&heavy))[0], "53400");
+    assert_eq!(metric(at, "results.lane-rate.succeeded"), 7);
+    assert_eq!(metric(at, "results.lane-rate.declined"), 1);
+    assert_eq!(metric(at, "forwards"), 7);
     // A client that cancels its request gets an error, and one that leaves gets nothing.
-    let aborted = figure(at, "results.lane-rate.aborted");
-    let mut other = Raw::connect(program.platform);
+    let aborted = metric(at, "results.lane-rate.aborted");
+    let mut other = RawClient::connect(program.platform);
     other.send(&query(&sql(14)));
     engine.wait_for("do", 8);
     other.cancel(program.platform);
-    assert_eq!(error(&other.until_ready())[0], "57014");
-    assert_eq!(figure(at, "results.lane-rate.aborted"), aborted + 1);
+    assert_eq!(error_fields(&other.until_ready())[0], "57014");
+    assert_eq!(metric(at, "results.lane-rate.aborted"), aborted + 1);
     other.send(&query(&sql(30)));
     engine.wait_for("do", 9);
     drop(other);
-    until(|| (figure(at, "abandoned") == 1).then_some(()));
+    wait_until(|| (metric(at, "abandoned") == 1).then_some(()));
     // The engine fails each of the attempts, of which the class allows six.
-    assert_eq!(error(&raw.ask(&sql(15)))[0].len(), 5);
-    let seen = engine.seen("do").len() as u64;
-    assert_eq!(figure(at, "forwards"), seen);
-    let ended = ["declined", "aborted"].map(|e| figure(at, &format!("results.lane-rate.{e}")));
+    assert_eq!(error_fields(&raw.ask(&sql(15)))[0].len(), 5);
+    let seen = engine.received("do").len() as u64;
+    assert_eq!(metric(at, "forwards"), seen);
+    let ended = ["declined", "aborted"].map(|e| metric(at, &format!("results.lane-rate.{e}")));
     assert_eq!(ended.iter().sum::<u64>(), 3);
-    assert_eq!((figure(at, "outstanding"), figure(at, "discovered")), (0, 1));
+    assert_eq!((metric(at, "outstanding"), metric(at, "discovered")), (0, 1));
 }
 
 #[test]
@@ -59,17 +59,21 @@
     let program =
         Program::with_operators(&[("s-1", one.address), ("s-2", two.address)], Some(&feed), SETTINGS);
     let at = program.operators.expect("an address");
-    assert_eq!(call(at, "POST", "/admin/cordon", &target("s-9")).0, 404, "it was never listed");
-    assert_eq!(call(at, "POST", "/admin/uncordon", &target("s-9")).0, 404);
+    assert_eq!(call(at, "POST", "/admin/cordon", &target_body("s-9")).0, 404, "it was never listed");
+    assert_eq!(call(at, "POST", "/admin/uncordon", &target_body("s-9")).0, 404);
     assert_eq!(call(at, "POST", "/admin/cordon", "{").0, 400);
     for _ in 0..3 {
-        assert_eq!(call(at, "POST", "/admin/cordon", &target("s-1")).0, 200, "it may come more than once");
+        assert_eq!(
+            call(at, "POST", "/admin/cordon", &target_body("s-1")).0,
+            200,
+            "it may come more than once"
+        );
     }
-    assert_eq!((figure(at, "discovered"), figure(at, "ejected")), (2, 1));
+    assert_eq!((metric(at, "discovered"), metric(at, "ejected")), (2, 1));
     // The list removes the engine, adds it again, and is sent completely.
     let (id, address) = ("s-1", one.address);
     let events = [(false, "draining"), (false, "gone"), (false, "ready"), (true, "ready")];
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     let mut req = 0;
     let mut ask = |n: u64| {
         for _ in 0..n {
@@ -84,12 +88,12 @@
         program.wait_line(&wanted);
         ask(20);
     }
-    assert_eq!(one.seen("do").len(), 0);
-    assert_eq!(call(at, "POST", "/admin/uncordon", &target("s-1")).0, 200, "one call back ends it");
-    assert_eq!(figure(at, "ejected"), 0);
-    until(|| {
+    assert_eq!(one.received("do").len(), 0);
+    assert_eq!(call(at, "POST", "/admin/uncordon", &target_body("s-1")).0, 200, "one call back ends it");
+    assert_eq!(metric(at, "ejected"), 0);
+    wait_until(|| {
         ask(5);
-        (!one.seen("do").is_empty()).then_some(())
+        (!one.received("do").is_empty()).then_some(())
     });
 }
 
@@ -113,7 +117,7 @@
         stream
     };
     let mut held: Vec<TcpStream> = (0..48).map(bad).collect();
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     let begin = Instant::now();
     let mut slowest = Duration::ZERO;
     for req in 1..=100 {
@@ -124,7 +128,7 @@
         held.push(bad(req as usize));
     }
     assert!(slowest < Duration::from_secs(10), "{slowest:?} of {:?}", begin.elapsed());
-    assert_eq!(figure(at, "results.lane-rate.succeeded"), 100);
+    assert_eq!(metric(at, "results.lane-rate.succeeded"), 100);
     let long = format!("/admin/{}", "x".repeat(20_000));
     assert!([414, 431, 400].contains(&call(at, "GET", &long, "").0));
     assert_eq!(call(at, "GET", "/admin/nothing", "").0, 404);
@@ -138,7 +142,7 @@
     let engine = Engine::echo();
     let mut program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let at = program.operators.expect("an address");
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     assert_eq!(rows(&raw.ask(&sql(1))).len(), 1);
     let before = resource_limits::descriptors(program.id());
     let says: [&[u8]; 5] = [
@@ -158,7 +162,7 @@
             assert_eq!(rows(&raw.ask(&sql(req))).len(), 1);
         }
     }
-    until(|| (resource_limits::descriptors(program.id()) <= before + 1).then_some(()));
+    wait_until(|| (resource_limits::descriptors(program.id()) <= before + 1).then_some(()));
     assert_eq!(call(at, "GET", "/admin/health", "").0, 200);
     assert!(program.running());
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -15,13 +15,13 @@
     let page = |n: usize| (0..40).map(|i| format!("{n}\t{i}\t'quoted' \u{e9}\n")).collect::<String>();
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(page).collect()));
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     let got = raw.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
     let wanted: Vec<String> =
         (0..8).flat_map(|n| (0..40).map(move |i| format!("{n}|{i}|'quoted' \u{e9}"))).collect();
     assert_eq!(rows(&got), wanted);
-    assert_eq!(kinds(&got).replace('D', ""), "TCZ");
-    let sent = &engine.seen("do")[0];
+    assert_eq!(message_types(&got).replace('D', ""), "TCZ");
+    let sent = &engine.received("do")[0];
     assert_eq!(
         (sent.parts[1].as_str(), sent.parts[3].as_str()),
         ("9b1f03aa5c7e2d41", "SELECT a FROM sales_17.orders")
@@ -29,7 +29,7 @@
     assert_eq!((sent.field("class"), sent.field("once")), (Some("tariff-load"), Some("5c0f6e")));
     let number = |name: &str| sent.field(name).expect(name).parse::<u64>().expect("a number");
     assert!(number("wait") <= 20_000 && number("mb") >= 96 && number("nice") <= 3);
-    let pages: Vec<String> = engine.seen("page").iter().map(|s| s.parts[2].clone()).collect();
+    let pages: Vec<String> = engine.received("page").iter().map(|s| s.parts[2].clone()).collect();
     assert_eq!(pages, ["1", "2", "3", "4", "5", "6", "7"]);
 }
 
@@ -37,7 +37,7 @@
 fn query_directly_after_the_startup_packet_is_answered() {
     let engine = Engine::echo();
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::open(program.platform);
+    let mut raw = RawClient::open(program.platform);
     let encryption =
         [80_877_104u32, 80_877_103].map(|code| [8u32.to_be_bytes(), code.to_be_bytes()].concat());
     for packet in encryption {
@@ -47,9 +47,9 @@
         assert_eq!(word, *b"N");
     }
     raw.send(&[startup(), query(""), query(" ;\n"), query(&sql("lane-rate", 1, ""))].concat());
-    assert!(kinds(&raw.until_ready()).starts_with("RS"));
-    assert_eq!(kinds(&raw.until_ready()), "IZ", "the front's sign of life");
-    assert_eq!(kinds(&raw.until_ready()), "IZ");
+    assert!(message_types(&raw.until_ready()).starts_with("RS"));
+    assert_eq!(message_types(&raw.until_ready()), "IZ", "the front's sign of life");
+    assert_eq!(message_types(&raw.until_ready()), "IZ");
     assert_eq!(rows(&raw.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
 }
 
@@ -58,7 +58,7 @@
 fn malformed_message_gets_an_error_that_names_the_field() {
     let engine = Engine::echo();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut good = Raw::connect(program.platform);
+    let mut good = RawClient::connect(program.platform);
     for (text, name) in [
         ("/* kind=lane-rate,req=12,timeout=5 */ SELECT 1".to_owned(), "req"),
         (sql("lane-rate", 1, ",ms=x"), "ms"),
@@ -80,34 +80,34 @@
         ),
     ] {
         let got = good.ask(&text);
-        let [code, message, _, _] = error(&got);
-        assert_eq!((kinds(&got).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
+        let [code, message, _, _] = error_fields(&got);
+        assert_eq!((message_types(&got).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
         assert!(message.contains(&format!("field {name} ")), "{text}: {message}");
     }
     // A query without its zero byte: the next message is read behind it.
     good.send(&framed(b'Q', b"no end"));
-    assert!(error(&good.until_ready())[1].contains("field query"));
+    assert!(error_fields(&good.until_ready())[1].contains("field query"));
     // Extended queries are not supported here: one error, then nothing up to Sync.
     good.send(&[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
     let got = good.until_ready();
-    assert_eq!((kinds(&got).as_str(), error(&got)[0].as_str()), ("EZ", "0A000"));
+    assert_eq!((message_types(&got).as_str(), error_fields(&got)[0].as_str()), ("EZ", "0A000"));
     // A length that no message can have: the session ends with an error.
-    let mut bad = Raw::connect(program.platform);
+    let mut bad = RawClient::connect(program.platform);
     bad.send(&[b'Q', 0xff, 0xff, 0xff, 0xff]);
     let last = bad.message().expect("a last word");
-    assert_eq!(error(&[last])[0], "08P01");
+    assert_eq!(error_fields(&[last])[0], "08P01");
     assert!(bad.message().is_none());
-    let mut wrong = Raw::open(program.platform);
+    let mut wrong = RawClient::open(program.platform);
     wrong.send(&[0, 0, 0, 8, 0, 2, 0, 0]);
-    assert!(error(&[wrong.message().expect("a last word")])[1].contains("field version"));
+    assert!(error_fields(&[wrong.message().expect("a last word")])[1].contains("field version"));
     assert_eq!(rows(&good.ask(&sql("lane-rate", 2, ""))).len(), 1);
     // Several statements in one text: only the first would be answered.
     let several = good.ask(&format!("{}; DROP TABLE staging.batch", sql("lane-rate", 3, "")));
-    assert_eq!(error(&several)[0], "0A000");
+    assert_eq!(error_fields(&several)[0], "0A000");
     // An id that was used before, with another statement.
     let again = good.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
-    assert_eq!(error(&again)[0], "42710");
-    assert_eq!(engine.seen("do").len(), 1, "nothing malformed was sent on");
+    assert_eq!(error_fields(&again)[0], "42710");
+    assert_eq!(engine.received("do").len(), 1, "nothing malformed was sent on");
     assert!(program.running());
 }
 
@@ -115,10 +115,10 @@
 #[test]
 fn rejection_is_immediate_and_carries_retry_after() {
     let program = Program::start(&[], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     // Ten minutes of work that the client wants within twenty seconds: it cannot be served in time.
     let got = raw.ask(&sql("lane-rate", 1, ",ms=600000"));
-    let [code, _, detail, hint] = error(&got);
+    let [code, _, detail, hint] = error_fields(&got);
     assert!(code.starts_with("53"), "{code}");
     let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("for programs").parse().expect("a number");
     assert!((1..=2_000).contains(&ms), "within limits.maxRetryAfter: {ms}");
@@ -129,11 +129,11 @@
 fn cancel_or_disconnect_cancels_the_platform_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
     raw.cancel(program.platform);
-    assert_eq!(error(&raw.until_ready())[0], "57014");
+    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
     assert_eq!(engine.wait_for("undo", 1)[0].parts[1], format!("{:016x}", 1));
     raw.send(&query(&sql("lane-rate", 2, "")));
     engine.wait_for("do", 2);
@@ -146,16 +146,16 @@
 fn garbled_answer_is_retried_on_another_engine() {
     use std::sync::atomic::{AtomicUsize, Ordering};
     static TRIES: AtomicUsize = AtomicUsize::new(0);
-    let engine = Engine::start(|seen| match TRIES.fetch_add(1, Ordering::SeqCst) {
-        0 => Reply::Cut,
+    let engine = Engine::start(|command| match TRIES.fetch_add(1, Ordering::SeqCst) {
+        0 => Reply::Disconnect,
         1 => Reply::Word("overload"),
         2 => Reply::Pages(vec!["x".repeat(7_000)]),
-        _ => Reply::Pages(vec![format!("{}\tb\tc\n", seen.parts[1])]),
+        _ => Reply::Pages(vec![format!("{}\tb\tc\n", command.parts[1])]),
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     assert_eq!(rows(&raw.ask(&sql("lane-rate", 7, ""))), [format!("{:016x}|b|c", 7)]);
-    assert_eq!(engine.seen("do").len(), 4);
+    assert_eq!(engine.received("do").len(), 4);
     program.wait_line("unreadable: field body");
 }
 
@@ -192,7 +192,7 @@
             bad.map_or_else(|| Reply::Pages(vec!["good\tb\tc\n".into()]), |b| Reply::Raw(b.clone()))
         });
         let program = Program::start(&[("s-1", engine.address)], None, None);
-        let mut raw = Raw::connect(program.platform);
+        let mut raw = RawClient::connect(program.platform);
         for (id, text) in malformed.iter().enumerate() {
             assert_eq!(rows(&raw.ask(&sql("lane-rate", id as u64, ""))), ["good|b|c"], "{text}");
         }
@@ -211,12 +211,12 @@
         Reply::Raw([other.as_str(), &good, &good, &other].concat())
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     for i in 1..30 {
         assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))), ["a|b|c"]);
     }
-    assert_eq!(engine.seen("do").len(), 29, "each was sent once");
-    assert_eq!(engine.seen("page").len() + engine.seen("forget").len(), 0);
+    assert_eq!(engine.received("do").len(), 29, "each was sent once");
+    assert_eq!(engine.received("page").len() + engine.received("forget").len(), 0);
     assert!(program.lines().iter().all(|l| !l.contains("engine connection lost")), "the connection stays");
 }
 
@@ -227,18 +227,18 @@
     let (a, b, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send(list(1, true, &[("s-1", a.address, "ready")]));
     let program = Program::start(&[("s-1", a.address)], Some(&feed), None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
     feed.send(list(2, false, &[("s-2", b.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
-    feed.cut();
-    until(|| (feed.calls.lock().expect("unpoisoned").len() >= 2).then_some(()));
+    feed.close_calls();
+    wait_until(|| (feed.calls.lock().expect("unpoisoned").len() >= 2).then_some(()));
     feed.send(list(3, false, &[("s-1", a.address, "draining")]));
     program.wait_line("engine_id=s-1 phase=Draining");
     for i in 2..30 {
         assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))).len(), 1);
     }
-    assert_eq!((a.seen("do").len(), b.seen("do").len()), (1, 28));
+    assert_eq!((a.received("do").len(), b.received("do").len()), (1, 28));
     let calls = feed.calls.lock().expect("unpoisoned").clone();
     assert_eq!(calls[..2], [1, 2], "each call goes on from the last event read");
     let news = program.lines().iter().filter(|l| l.contains("engine_id=s-1 phase=Ready")).count();
@@ -250,20 +250,20 @@
 #[test]
 fn silent_and_idle_connections_are_evicted_for_active_ones() {
     let engine = Engine::echo();
-    let program = Program::limited(&[("s-1", engine.address)], None, None, 16, 96);
-    let mut kept: Vec<Raw> = Vec::new();
+    let program = Program::start_limited(&[("s-1", engine.address)], None, None, 16, 96);
+    let mut kept: Vec<RawClient> = Vec::new();
     for id in 1..120 {
-        let mut raw = Raw::connect(program.platform);
+        let mut raw = RawClient::connect(program.platform);
         assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
         kept.push(raw);
     }
     assert!(kept[0].message().is_none(), "the longest idle was let go");
     kept[118].ask(&sql("lane-rate", 119 + 1, ""));
-    let silent: Vec<Raw> = (0..200).map(|_| Raw::open(program.platform)).collect();
+    let silent: Vec<RawClient> = (0..200).map(|_| RawClient::open(program.platform)).collect();
     // Connections within their grace period are not evicted.
     std::thread::sleep(Duration::from_millis(100));
     for id in 200..240 {
-        let mut raw = Raw::connect(program.platform);
+        let mut raw = RawClient::connect(program.platform);
         assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
     }
     drop(silent);
@@ -274,12 +274,12 @@
 fn incomplete_message_times_out_with_an_error() {
     let program = Program::start(&[], None, None);
     let at = Instant::now();
-    let (mut silent, mut half) = (Raw::open(program.platform), Raw::open(program.platform));
-    let mut message = Raw::connect(program.platform);
+    let (mut silent, mut half) = (RawClient::open(program.platform), RawClient::open(program.platform));
+    let mut message = RawClient::connect(program.platform);
     half.send(&startup()[..9]);
     message.send(&query(&sql("lane-rate", 1, ""))[..20]);
     for (raw, name) in [(&mut silent, "start-up"), (&mut half, "start-up"), (&mut message, "length")] {
-        let text = &error(&[raw.message().expect("a last word")])[1];
+        let text = &error_fields(&[raw.message().expect("a last word")])[1];
         assert!(text.contains(&format!("field {name}")), "{text}");
         assert!(raw.message().is_none());
     }
@@ -290,12 +290,12 @@
 #[test]
 fn oversized_message_sender_receives_its_error() {
     let program = Program::start(&[], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     let mut message = vec![b'x'; 60 << 20];
     message[..5].copy_from_slice(&[b'Q', 0x03, 0x93, 0x87, 0x00]);
     raw.send(&message);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(error(&[raw.message().expect("a last word")])[1].contains("field length"));
+    assert!(error_fields(&[raw.message().expect("a last word")])[1].contains("field length"));
     assert!(raw.message().is_none());
 }
 
@@ -337,7 +337,7 @@
         feed.send("{\"n\":2}");
     }
     let mut program = Program::start(&[("s-1", engine.address)], Some(&old), None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
     // A file that cannot be read changes nothing, and is logged.
@@ -350,7 +350,7 @@
     program.wait_line("engine_id=s-2 phase=Ready");
     assert_eq!(new.calls.lock().expect("unpoisoned")[0], 2, "it goes on from the last event read");
     assert_eq!(old.calls.lock().expect("unpoisoned").len(), 1, "the old one is not called again");
-    until(|| (old.listening() == 0).then_some(()));
+    wait_until(|| (old.open_calls() == 0).then_some(()));
     release.store(true, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(rows(&raw.until_ready()).len(), 1);
     assert!(program.running());
@@ -362,7 +362,7 @@
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
     feed.send(list(2, false, &[("s-1", engine.address, "gone"), ("s-9", engine.address, "ready")]));
     program.wait_line("engine_id=s-9 phase=Ready");
@@ -372,12 +372,12 @@
 /// SIGTERM: admitted requests are answered, those that still arrive are served, and the exit code is 0.
 #[test]
 fn stop_answers_admitted_requests_and_exits_with_0() {
-    let engine = Engine::start(|seen| {
-        std::thread::sleep(Duration::from_millis(if seen.parts[1].ends_with('1') { 1_500 } else { 0 }));
+    let engine = Engine::start(|command| {
+        std::thread::sleep(Duration::from_millis(if command.parts[1].ends_with('1') { 1_500 } else { 0 }));
         Reply::Pages(vec!["a\tb\tc\n".into()])
     });
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let (mut slow, mut idle) = (Raw::connect(program.platform), Raw::connect(program.platform));
+    let (mut slow, mut idle) = (RawClient::connect(program.platform), RawClient::connect(program.platform));
     slow.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
     program.terminate();
@@ -391,7 +391,7 @@
     }
     assert_eq!(rows(&slow.until_ready()).len(), 1);
     assert!(slow.message().is_none() && idle.message().is_none());
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
 }
 
 fn run(args: &[&str]) -> (Option<i32>, String) {
@@ -402,7 +402,7 @@
 
 #[test]
 fn invalid_command_line_or_configuration_exits_with_2_and_a_message() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let file = |name: &str, text: &str| {
         let path = dir.join(name);
         std::fs::write(&path, text).expect("written");
@@ -446,16 +446,16 @@
 fn answered_request_is_not_sent_when_its_connection_opens_late() {
     let late = DelayedListener::listen();
     let program = Program::start(&[("s-1", late.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     // A request that the policy rejects.
     let short = sql("lane-rate", 1, "").replace("timeout=20000", "timeout=400");
-    assert_eq!(kinds(&raw.ask(&short)), "EZ", "nobody could answer it");
+    assert_eq!(message_types(&raw.ask(&short)), "EZ", "nobody could answer it");
     // A request whose client leaves.
-    let mut gone = Raw::connect(program.platform);
+    let mut gone = RawClient::connect(program.platform);
     gone.send(&query(&sql("lane-rate", 2, "")));
     drop(gone);
     for _ in 0..3 {
-        assert_eq!(kinds(&raw.ask("")), "IZ", "by now its end has been read");
+        assert_eq!(message_types(&raw.ask("")), "IZ", "by now its end has been read");
     }
     let engine = late.open(|_| Reply::Hold);
     raw.send(&query(&sql("lane-rate", 3, "")));
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -7,7 +7,7 @@
 use std::sync::Barrier;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::resource_limits::{DiscoveryMode, FeedGate};
+use support::resource_limits::{DiscoveryMode, FeedProxy};
 use support::*;
 
 /// The operators' bound.
@@ -23,7 +23,7 @@
 fn start(config: &str, more: &[&str]) -> (Program, Duration) {
     let begin = Instant::now();
     let program = resource_limits::start(config, None, more);
-    assert_eq!(kinds(&Raw::connect(program.platform).ask("")), "IZ");
+    assert_eq!(message_types(&RawClient::connect(program.platform).ask("")), "IZ");
     (program, begin.elapsed())
 }
 
@@ -55,13 +55,14 @@
 /// With a feed that takes calls and does no more than this.
 fn is_ready_behind(discovery: DiscoveryMode) {
     let engine = Engine::echo();
-    let door = FeedGate::before(refusing(), discovery);
-    let config = resource_limits::config(&[("s-1", engine.address)], Some(door.address), 1024, SETTINGS);
+    let feed_proxy = FeedProxy::start(refusing(), discovery);
+    let config =
+        resource_limits::config(&[("s-1", engine.address)], Some(feed_proxy.address), 1024, SETTINGS);
     // A program that is ended as soon as it is ready may not have polled the feed yet: the poll is awaited before.
     let mut starts = 0;
     is_ready_and(&config, || {
         starts += 1;
-        until(|| (door.calls() >= starts).then_some(()));
+        wait_until(|| (feed_proxy.calls() >= starts).then_some(()));
     });
 }
 
@@ -86,14 +87,14 @@
         let (program, after) = start(&config, more);
         assert!(after < READY, "{after:?} with {more:?}");
         // Requests that wait for those engines keep nobody's sign of life waiting.
-        let mut waiting: Vec<Raw> = (0..8).map(|_| Raw::connect(program.platform)).collect();
+        let mut waiting: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
         for (i, raw) in (1u64..).zip(&mut waiting) {
             raw.send(&query(&format!(
                 "/* kind=lane-rate,req={i:016x},timeout=20000,owner=sud,ms=5 */ SELECT a FROM b"
             )));
         }
         let asked = Instant::now();
-        assert_eq!(kinds(&Raw::connect(program.platform).ask("")), "IZ");
+        assert_eq!(message_types(&RawClient::connect(program.platform).ask("")), "IZ");
         assert!(asked.elapsed() < READY, "{:?}", asked.elapsed());
     }
 }
@@ -129,7 +130,7 @@
     let (mut program, _) = start(&config, OPTIONS[0]);
     let listen = program.platform.to_string();
     for round in 1..=5 {
-        let mut clients: Vec<Raw> = (0..8).map(|_| Raw::connect(program.platform)).collect();
+        let mut clients: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
         program.kill();
         assert!(clients.iter_mut().all(|raw| raw.message().is_none()), "killed");
         let more = [OPTIONS[round % 2], &["--listen", listen.as_str()]].concat();
@@ -158,7 +159,7 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn unusable_file_is_reported_by_name_with_exit_status_2() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let put = |name: &str, bytes: &[u8]| {
         let path = dir.join(name);
         std::fs::write(&path, bytes).expect("written");
@@ -220,7 +221,7 @@
 /// Each of the addresses that are listened on, held by another.
 #[test]
 fn an_address_in_use_is_said_plainly_and_ends_with_1() {
-    let dir = scratch();
+    let dir = scratch_dir();
     let held = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = held.local_addr().expect("an address").to_string();
     let put = |name: &str, text: String| {
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use support::timed_engine::{look_up, TimedEngine, BUSY};
+use support::timed_engine::{lookup_sql, TimedEngine, BUSY};
 use support::*;
 
 /// Sessions that ask; more requests at a time wait for one of them.
@@ -44,11 +44,11 @@
         for _ in 0..SESSIONS {
             let (asked, served, to) = (Arc::clone(&asked), Arc::clone(&served), program.platform);
             thread::spawn(move || {
-                let mut raw = Raw::connect(to);
+                let mut raw = RawClient::connect(to);
                 loop {
                     let next = asked.lock().expect("unpoisoned").recv();
                     let Ok((id, ms)) = next else { return };
-                    let got = raw.ask(&look_up(id, ms));
+                    let got = raw.ask(&lookup_sql(id, ms));
                     served.fetch_add(usize::from(!rows(&got).is_empty()), Ordering::SeqCst);
                 }
             });
@@ -90,7 +90,7 @@
             self.served.load(Ordering::SeqCst)
         );
         self.program.terminate();
-        assert_eq!(self.program.ended(), Some(0));
+        assert_eq!(self.program.wait_for_exit(), Some(0));
     }
 }
 
@@ -101,9 +101,9 @@
     let run = Run::start("a-fifth-slows", 5);
     run.load(90, 5.0);
     run.moment("engine s-2 slows");
-    run.engines[1].slow(6.0);
+    run.engines[1].set_slowdown(6.0);
     run.load(90, 8.0);
-    run.engines[1].slow(1.0);
+    run.engines[1].set_slowdown(1.0);
     run.load(90, 5.0);
     run.end();
 }
@@ -141,7 +141,7 @@
     let run = Run::start("engine-dies", 4);
     run.load(100, 4.0);
     run.moment("engine s-1 dies");
-    run.engines[0].die();
+    run.engines[0].crash();
     run.load(100, 1.0);
     run.feed.send(list(2, false, &[("s-1", run.engines[0].address, "gone")]));
     run.load(100, 4.0);
@@ -157,7 +157,7 @@
     run.moment("connections begin to break");
     for n in 0..24 {
         run.load(100, 0.25);
-        run.engines[n % 4].cut();
+        run.engines[n % 4].close_connections();
     }
     run.load(100, 2.0);
     run.end();
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -34,7 +34,7 @@
     let engine = TimedEngine::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let next = AtomicU64::new(1);
-    let mut open: Vec<Raw> = (0..8).map(|_| Raw::connect(program.platform)).collect();
+    let mut open: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
     assert!(open
         .iter_mut()
         .all(|raw| rows(&raw.ask(&sql(next.fetch_add(1, Ordering::SeqCst), 1))).len() == 1));
@@ -67,7 +67,7 @@
                     return (0, Duration::ZERO);
                 }
                 let id = next.fetch_add(1, Ordering::SeqCst);
-                let mut raw = Raw::open(platform);
+                let mut raw = RawClient::open(platform);
                 raw.send(&[startup(), query(&sql(id, 200))].concat());
                 let last = at.elapsed();
                 raw.until_ready();
@@ -78,7 +78,7 @@
         let all: Vec<_> = on_open.chain(on_new).collect();
         all.into_iter().map(|t| t.join().expect("answered")).collect()
     });
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
     let last = answered.iter().map(|a| a.1).max().unwrap_or_default();
     eprintln!(
         "{} answered, the last sent {last:?} after the signal",
@@ -93,13 +93,13 @@
 fn input_received_while_the_process_was_suspended_is_answered() {
     let engine = TimedEngine::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut open: Vec<Raw> = (0..16).map(|_| Raw::connect(program.platform)).collect();
+    let mut open: Vec<RawClient> = (0..16).map(|_| RawClient::connect(program.platform)).collect();
     let at = Instant::now();
     program.terminate();
     program.wait_line("stopping open_requests=");
     thread::sleep(Duration::from_millis(200));
     signal(&program, "-STOP");
-    let mut new: Vec<Raw> = (0..4).map(|_| Raw::open(program.platform)).collect();
+    let mut new: Vec<RawClient> = (0..4).map(|_| RawClient::open(program.platform)).collect();
     for (i, raw) in new.iter_mut().enumerate() {
         raw.send(&[startup(), query(&sql(1_000 + i as u64, 1))].concat());
     }
@@ -118,11 +118,11 @@
     } else {
         eprintln!("shows nothing: sent {sent:?} after the signal");
     }
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
 }
 
 /// Rows read up to so many ReadyForQuery, or to the end of the connection.
-fn answers(raw: &mut Raw, mut ready: usize) -> usize {
+fn answers(raw: &mut RawClient, mut ready: usize) -> usize {
     let mut got = Vec::new();
     while ready > 0 {
         let Some(message) = raw.message() else { break };
@@ -133,12 +133,12 @@
 }
 
 /// A program that was stopped while a request of 1.5 s is in flight, and that request's client.
-fn stopped_with_one_out() -> (TimedEngine, Program, Raw) {
+fn stopped_with_one_out() -> (TimedEngine, Program, RawClient) {
     let engine = TimedEngine::start();
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql(1, 1_500)));
-    until(|| (engine.queries_in_flight() == 1).then_some(()));
+    wait_until(|| (engine.queries_in_flight() == 1).then_some(()));
     program.terminate();
     (engine, program, raw)
 }
@@ -152,7 +152,7 @@
     // An error here means that the close came first.
     let _ = raw.stream.write_all(&query(&sql(2, 1)));
     assert!(raw.message().is_none(), "nothing behind the last answer");
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(engine.served(), 1);
 }
 
@@ -162,15 +162,15 @@
 fn unfinishable_request_gets_an_error_before_the_kill() {
     let engine = Engine::start(|_| Reply::Hold);
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql(1, 1).replace("timeout=20000", "timeout=60000")));
     engine.wait_for("do", 1);
     let at = Instant::now();
     program.terminate();
     let got = raw.until_ready();
-    assert_eq!(error(&got)[0], "40003", "it may have run");
+    assert_eq!(error_fields(&got)[0], "40003", "it may have run");
     let after = at.elapsed();
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
     // Never earlier than others may still be answered.
     assert!(after > Duration::from_secs(3), "{after:?}");
     engine.wait_for("undo", 1);
@@ -182,7 +182,7 @@
 fn request_during_a_stop_gets_the_remaining_time() {
     let engine = Engine::start(|_| Reply::Hold);
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     program.terminate();
     program.wait_line("stopping open_requests=");
     raw.send(&query(&sql(1, 1)));
@@ -190,8 +190,12 @@
     let wait: u64 = seen[0].field("wait").and_then(|w| w.parse().ok()).expect("a figure");
     assert!(wait <= 3_450, "its engine is told to go on for {wait} ms");
     let got = raw.until_ready();
-    assert!(["40003", "53000", "53400", "57014"].contains(&error(&got)[0].as_str()), "{:?}", error(&got));
-    assert_eq!(program.ended(), Some(0));
+    assert!(
+        ["40003", "53000", "53400", "57014"].contains(&error_fields(&got)[0].as_str()),
+        "{:?}",
+        error_fields(&got)
+    );
+    assert_eq!(program.wait_for_exit(), Some(0));
 }
 
 /// Signals that stop and reload the process have no effect while it stops.
@@ -200,7 +204,7 @@
     let engine = Engine::start(|_| Reply::Hold);
     let feed = Feed::start();
     let mut program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
-    let mut raw = Raw::connect(program.platform);
+    let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql(1, 1)));
     engine.wait_for("do", 1);
     program.terminate();
@@ -209,8 +213,8 @@
         signal(&program, name);
     }
     let got = raw.until_ready();
-    assert_eq!(error(&got)[0], "40003", "it may have run");
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(error_fields(&got)[0], "40003", "it may have run");
+    assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(program.lines().iter().filter(|l| l.ends_with(" stopping open_requests=1")).count(), 1);
 }
 
@@ -221,7 +225,7 @@
     let (engine, mut program, mut raw) = stopped_with_one_out();
     // All of it has arrived, and is unread.
     let mut seen = [0; 4096];
-    until(|| {
+    wait_until(|| {
         let n = raw.stream.peek(&mut seen).expect("peeked");
         seen[..n].windows(6).any(|w| w == b"Z\0\0\0\x05I").then_some(())
     });
@@ -240,6 +244,6 @@
         eprintln!("shows nothing: {gap:?} between two writes");
     }
     drop(raw);
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(engine.served(), 1);
 }
--- a/tests/support/admin_client.rs
+++ b/tests/support/admin_client.rs
@@ -1,13 +1,13 @@
 //! Calls to the admin address.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// One call: its status and body.
+/// Makes one call and returns its status and body.
 pub fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(to).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
     let head = format!("{method} {path} HTTP/1.1\r\nHost: wm\r\nContent-Length: {}\r\n\r\n", body.len());
     stream.write_all(format!("{head}{body}").as_bytes()).expect("written");
     let mut text = String::new();
@@ -16,13 +16,15 @@
     (status, text.split_once("\r\n\r\n").expect("a head").1.to_owned())
 }
 
-pub fn figure(to: SocketAddr, name: &str) -> u64 {
+/// Reads a metric from `/admin/stats`.
+pub fn metric(to: SocketAddr, name: &str) -> u64 {
     let (status, body) = call(to, "GET", "/admin/stats", "");
     assert_eq!(status, 200);
     let line = body.lines().find_map(|l| l.strip_prefix(&format!("edge.{name}=")));
     line.unwrap_or_else(|| panic!("no {name} in {body}")).parse().expect("a number")
 }
 
-pub fn target(id: &str) -> String {
+/// Body of a cordon or uncordon call for an engine.
+pub fn target_body(id: &str) -> String {
     format!(r#"{{"target":"{id}"}}"#)
 }
--- a/tests/support/authority.rs
+++ b/tests/support/authority.rs
@@ -1,5 +1,5 @@
-//! A stand-in ACME authority (RFC 8555) on loopback: it verifies signatures, nonces, addresses and
-//! challenges, signs certificates of any life, and can be told to refuse.
+//! A stand-in ACME authority (RFC 8555) on loopback: it verifies signatures, nonces, URLs and challenges,
+//! signs certificates with any lifetime, and can reject orders.
 #![allow(dead_code)]
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD as B64;
@@ -16,30 +16,30 @@
 use tokio_rustls::rustls::pki_types::{CertificateDer, PrivatePkcs8KeyDer, ServerName};
 use tokio_rustls::rustls::{self, ClientConnection, RootCertStore, ServerConnection, StreamOwned};
 
-/// A client's connection under TLS.
+/// A client's TLS connection.
 pub type Tls = StreamOwned<ClientConnection, TcpStream>;
 
-/// Reads up to ReadyForQuery: the types of the messages.
+/// Reads messages up to ReadyForQuery and returns their types.
 pub fn until_ready(tls: &mut Tls) -> String {
-    let mut kinds = String::new();
-    while !kinds.ends_with('Z') {
+    let mut types = String::new();
+    while !types.ends_with('Z') {
         let mut head = [0; 5];
         tls.read_exact(&mut head).expect("a message");
         let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
         tls.read_exact(&mut body).expect("its body");
-        kinds.push(char::from(head[0]));
+        types.push(char::from(head[0]));
     }
-    kinds
+    types
 }
 
 impl Authority {
-    /// Opens TLS as a PostgreSQL client does, trusts this authority's root only, and sends `startup`; up to
-    /// ReadyForQuery.
+    /// Opens TLS as a PostgreSQL client that trusts only this authority's root, sends `startup`, and reads up
+    /// to ReadyForQuery.
     pub fn secure(&self, mut stream: TcpStream, name: &'static str, startup: &[u8]) -> Tls {
         stream.write_all(&[&8u32.to_be_bytes()[..], &80_877_103u32.to_be_bytes()].concat()).expect("written");
-        let mut word = [0];
-        stream.read_exact(&mut word).expect("an answer");
-        assert_eq!(word, *b"S", "TLS is offered");
+        let mut reply = [0];
+        stream.read_exact(&mut reply).expect("an answer");
+        assert_eq!(reply, *b"S", "TLS is offered");
         let mut roots = RootCertStore::empty();
         roots.add(self.root_der.clone()).expect("a root");
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -51,7 +51,7 @@
         let name = ServerName::try_from(name).expect("a name");
         let session = ClientConnection::new(Arc::new(config), name).expect("a session");
         let mut tls = StreamOwned::new(session, stream);
-        tls.write_all(startup).expect("the certificate holds");
+        tls.write_all(startup).expect("the certificate is valid");
         until_ready(&mut tls);
         tls
     }
@@ -60,19 +60,20 @@
 #[derive(Default)]
 struct State {
     nonces: BTreeSet<String>,
+    /// Number of nonces issued.
     next: u64,
-    /// Accounts: their keys, by address.
+    /// Account keys by account URL.
     accounts: BTreeMap<String, Value>,
-    /// Orders: names, status and certificate.
+    /// Names, status and certificate of each order.
     orders: Vec<(Vec<String>, &'static str, String)>,
-    refusing: bool,
-    refused: usize,
+    rejects_orders: bool,
+    rejected_orders: usize,
     faults: Vec<String>,
 }
 
 pub struct Authority {
     pub directory: String,
-    /// The root of the authority's own address and of what it signs, as PEM.
+    /// Root certificate of the authority's own endpoint and of the certificates that it signs, as PEM.
     pub root: String,
     pub root_der: CertificateDer<'static>,
     state: Arc<Mutex<State>>,
@@ -80,15 +81,16 @@
 
 struct Shared {
     base: String,
-    life: Duration,
+    lifetime: Duration,
     challenges: SocketAddr,
     issuer: Issuer<'static, KeyPair>,
     state: Arc<Mutex<State>>,
 }
 
 impl Authority {
-    /// Starts one whose certificates live so long and which asks its questions at an address.
-    pub fn start(life: Duration, challenges: SocketAddr) -> Authority {
+    /// Starts an authority whose certificates have this lifetime, and which validates http-01 challenges at
+    /// `challenges`.
+    pub fn start(lifetime: Duration, challenges: SocketAddr) -> Authority {
         let key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -111,7 +113,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let base = format!("https://{}", listener.local_addr().expect("an address"));
         let shared =
-            Arc::new(Shared { base: base.clone(), life, challenges, issuer, state: Arc::clone(&state) });
+            Arc::new(Shared { base: base.clone(), lifetime, challenges, issuer, state: Arc::clone(&state) });
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (shared, config) = (Arc::clone(&shared), Arc::clone(&config));
@@ -129,21 +131,22 @@
         }
     }
 
-    pub fn refuse(&self, refusing: bool) {
-        self.state.lock().expect("unpoisoned").refusing = refusing;
+    /// Sets whether new orders are rejected.
+    pub fn set_rejects_orders(&self, rejects_orders: bool) {
+        self.state.lock().expect("unpoisoned").rejects_orders = rejects_orders;
     }
-    /// Orders refused so far.
-    pub fn refused(&self) -> usize {
-        self.state.lock().expect("unpoisoned").refused
+    /// Number of orders rejected so far.
+    pub fn rejected_orders(&self) -> usize {
+        self.state.lock().expect("unpoisoned").rejected_orders
     }
-    /// Certificates signed so far.
+    /// Number of certificates signed so far.
     pub fn signed(&self) -> usize {
         self.state.lock().expect("unpoisoned").orders.iter().filter(|o| o.1 == "valid").count()
     }
     pub fn accounts(&self) -> usize {
         self.state.lock().expect("unpoisoned").accounts.len()
     }
-    /// What was wrong with what it was sent.
+    /// Reasons for which requests were rejected as invalid.
     pub fn faults(&self) -> Vec<String> {
         self.state.lock().expect("unpoisoned").faults.clone()
     }
@@ -172,13 +175,13 @@
     }
     let (status, location, body) = match (method.as_str(), path.as_str()) {
         (_, "/directory") => {
-            let at = |p: &str| format!("{}/{p}", shared.base);
-            let all = json!({"newNonce": at("nonce"), "newAccount": at("account"), "newOrder": at("order"),
-                "revokeCert": at("revoke"), "keyChange": at("change")});
-            (200, None, all)
+            let url = |p: &str| format!("{}/{p}", shared.base);
+            let directory = json!({"newNonce": url("nonce"), "newAccount": url("account"), "newOrder": url("order"),
+                "revokeCert": url("revoke"), "keyChange": url("change")});
+            (200, None, directory)
         }
         (_, "/nonce") => (200, None, Value::Null),
-        ("POST", path) => signed(shared, path, &body).unwrap_or_else(|(kind, why)| {
+        ("POST", path) => handle_signed(shared, path, &body).unwrap_or_else(|(kind, why)| {
             shared.state.lock().expect("unpoisoned").faults.push(why.clone());
             (400, None, json!({"type": format!("urn:ietf:params:acme:error:{kind}"), "detail": why}))
         }),
@@ -213,54 +216,55 @@
     B64.decode(v.as_str().unwrap_or("")).map_err(|_| ("malformed", "a part is not base64url".into()))
 }
 
-/// Verifies a JWS and does what it asks for.
+/// Verifies a JWS and carries out its request.
 #[expect(clippy::too_many_lines, reason = "a stand-in answers each step of its protocol in one place")]
-fn signed(shared: &Shared, path: &str, body: &[u8]) -> Result<Reply, (&'static str, String)> {
-    let bad = |kind: &'static str, why: &str| (kind, why.to_owned());
-    let jws: Value = serde_json::from_slice(body).map_err(|_| bad("malformed", "no JSON"))?;
-    let head: Value =
-        serde_json::from_slice(&decoded(&jws["protected"])?).map_err(|_| bad("malformed", "no header"))?;
+fn handle_signed(shared: &Shared, path: &str, body: &[u8]) -> Result<Reply, (&'static str, String)> {
+    let problem = |kind: &'static str, why: &str| (kind, why.to_owned());
+    let jws: Value =
+        serde_json::from_slice(body).map_err(|_| problem("malformed", "the body is not JSON"))?;
+    let head: Value = serde_json::from_slice(&decoded(&jws["protected"])?)
+        .map_err(|_| problem("malformed", "the protected header is not JSON"))?;
     let payload = decoded(&jws["payload"])?;
     let payload: Value = serde_json::from_slice(&payload).unwrap_or(Value::Null);
     let mut state = shared.state.lock().expect("unpoisoned");
     let key = match (head["kid"].as_str(), path) {
         (Some(kid), _) => {
-            state.accounts.get(kid).cloned().ok_or_else(|| bad("accountDoesNotExist", "no account"))?
+            state.accounts.get(kid).cloned().ok_or_else(|| problem("accountDoesNotExist", "no account"))?
         }
         (None, "/account") => head["jwk"].clone(),
-        _ => return Err(bad("malformed", "neither kid nor jwk")),
+        _ => return Err(problem("malformed", "neither kid nor jwk")),
     };
     let point = [vec![4], decoded(&key["x"])?, decoded(&key["y"])?].concat();
     let message =
         format!("{}.{}", jws["protected"].as_str().unwrap_or(""), jws["payload"].as_str().unwrap_or(""));
     signature::UnparsedPublicKey::new(&signature::ECDSA_P256_SHA256_FIXED, point)
         .verify(message.as_bytes(), &decoded(&jws["signature"])?)
-        .map_err(|_| bad("malformed", "the signature is wrong"))?;
+        .map_err(|_| problem("malformed", "the signature is wrong"))?;
     if head["alg"] != "ES256" || head["url"] != format!("{}{path}", shared.base) {
-        return Err(bad("unauthorized", "the header is for something else"));
+        return Err(problem("unauthorized", "the header names another algorithm or URL"));
     }
     if !state.nonces.remove(head["nonce"].as_str().unwrap_or("")) {
-        return Err(bad("badNonce", "the nonce is not fresh"));
+        return Err(problem("badNonce", "the nonce is not fresh"));
     }
-    let at = |p: String| format!("{}/{p}", shared.base);
+    let url = |p: String| format!("{}/{p}", shared.base);
     let n = path.rsplit('/').next().and_then(|n| n.parse::<usize>().ok());
     let order = |state: &State, n: usize| {
         let (names, status, _) = &state.orders[n];
         let ids: Vec<Value> = names.iter().map(|v| json!({"type": "dns", "value": v})).collect();
-        let certificate = (*status == "valid").then(|| at(format!("certificate/{n}")));
-        json!({"status": status, "identifiers": ids, "authorizations": [at(format!("authorization/{n}"))],
-            "finalize": at(format!("finalize/{n}")), "certificate": certificate})
+        let certificate = (*status == "valid").then(|| url(format!("certificate/{n}")));
+        json!({"status": status, "identifiers": ids, "authorizations": [url(format!("authorization/{n}"))],
+            "finalize": url(format!("finalize/{n}")), "certificate": certificate})
     };
-    let place = path.trim_start_matches('/').split('/').next().unwrap_or("");
-    Ok(match (place, n.filter(|n| *n < state.orders.len())) {
+    let resource = path.trim_start_matches('/').split('/').next().unwrap_or("");
+    Ok(match (resource, n.filter(|n| *n < state.orders.len())) {
         ("account", _) => {
-            let kid = at(format!("account/{}", state.accounts.len()));
+            let kid = url(format!("account/{}", state.accounts.len()));
             state.accounts.insert(kid.clone(), key);
             (201, Some(kid), json!({"status": "valid"}))
         }
         ("order", None) => {
-            if state.refusing {
-                state.refused += 1;
+            if state.rejects_orders {
+                state.rejected_orders += 1;
                 let kind = "urn:ietf:params:acme:error:rateLimited";
                 return Ok((429, None, json!({"type": kind, "detail": "too many orders"})));
             }
@@ -268,12 +272,12 @@
             let names = names.iter().filter_map(|i| Some(i["value"].as_str()?.to_owned())).collect();
             state.orders.push((names, "pending", String::new()));
             let n = state.orders.len() - 1;
-            (201, Some(at(format!("order/{n}"))), order(&state, n))
+            (201, Some(url(format!("order/{n}"))), order(&state, n))
         }
         ("order", Some(n)) => (200, None, order(&state, n)),
         ("authorization", Some(n)) => {
             let status = if state.orders[n].1 == "pending" { "pending" } else { "valid" };
-            let challenge = json!({"type": "http-01", "url": at(format!("challenge/{n}")), "token": token(n),
+            let challenge = json!({"type": "http-01", "url": url(format!("challenge/{n}")), "token": token(n),
                 "status": status});
             let id = json!({"type": "dns", "value": state.orders[n].0[0]});
             (200, None, json!({"identifier": id, "status": status, "challenges": [challenge]}))
@@ -281,28 +285,28 @@
         ("challenge", Some(n)) => {
             let (crv, x, y) = (key["crv"].clone(), key["x"].clone(), key["y"].clone());
             let canonical = format!(r#"{{"crv":{crv},"kty":"EC","x":{x},"y":{y}}}"#);
-            let thumb = B64.encode(digest::digest(&digest::SHA256, canonical.as_bytes()));
-            let told = ask(shared.challenges, &token(n));
-            if told.as_deref() != Some(&format!("{}.{thumb}", token(n))) {
+            let thumbprint = B64.encode(digest::digest(&digest::SHA256, canonical.as_bytes()));
+            let response = fetch_challenge(shared.challenges, &token(n));
+            if response.as_deref() != Some(&format!("{}.{thumbprint}", token(n))) {
                 state.orders[n].1 = "invalid";
-                return Err(("unauthorized", format!("the challenge was answered with {told:?}")));
+                return Err(("unauthorized", format!("the challenge was answered with {response:?}")));
             }
             state.orders[n].1 = "ready";
             (
                 200,
                 None,
-                json!({"type": "http-01", "url": at(format!("challenge/{n}")), "token": token(n),
+                json!({"type": "http-01", "url": url(format!("challenge/{n}")), "token": token(n),
                 "status": "valid"}),
             )
         }
         ("finalize", Some(n)) => {
             if state.orders[n].1 != "ready" {
-                return Err(bad("orderNotReady", "nothing was proven"));
+                return Err(problem("orderNotReady", "no challenge was validated"));
             }
             let der = decoded(&payload["csr"])?;
             let csr = CertificateSigningRequestParams::from_der(&der.into());
-            let mut csr = csr.map_err(|_| bad("badCSR", "the request is unreadable"))?;
-            let asked: Vec<String> = csr
+            let mut csr = csr.map_err(|_| problem("badCSR", "the request can't be parsed"))?;
+            let requested: Vec<String> = csr
                 .params
                 .subject_alt_names
                 .iter()
@@ -311,12 +315,14 @@
                     _ => None,
                 })
                 .collect();
-            if asked != state.orders[n].0 {
-                return Err(("badCSR", format!("it asks for {asked:?}")));
+            if requested != state.orders[n].0 {
+                return Err(("badCSR", format!("the request names {requested:?}")));
             }
             csr.params.not_before = time::OffsetDateTime::now_utc() - Duration::from_secs(1);
-            csr.params.not_after = time::OffsetDateTime::now_utc() + shared.life;
-            let signed = csr.signed_by(&shared.issuer).map_err(|_| bad("badCSR", "it can't be signed"))?;
+            csr.params.not_after = time::OffsetDateTime::now_utc() + shared.lifetime;
+            let signed = csr
+                .signed_by(&shared.issuer)
+                .map_err(|_| problem("badCSR", "the request can't be signed"))?;
             (state.orders[n].1, state.orders[n].2) = ("valid", signed.pem());
             (200, None, order(&state, n))
         }
@@ -329,8 +335,8 @@
     B64.encode(format!("token-number-{n}"))
 }
 
-/// Asks the question of http-01.
-fn ask(at: SocketAddr, token: &str) -> Option<String> {
+/// Fetches the response to an http-01 challenge.
+fn fetch_challenge(at: SocketAddr, token: &str) -> Option<String> {
     let mut stream = TcpStream::connect(at).ok()?;
     write!(stream, "GET /.well-known/acme-challenge/{token} HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
     let mut text = String::new();
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -1,27 +1,29 @@
-//! Golden files: what the program of before the readability work wrote, to which the present one is held.
+//! Golden files: output of the program before the readability work, with which the present output is
+//! compared.
 //!
-//! `GOLDEN_WRITE=1` with `SPRUCELINK_PROGRAM` set to another program's file writes the golden files anew from that
-//! program. Such a run fails every test that wrote, so that it can't be taken for a check.
+//! `GOLDEN_WRITE=1` with `SPRUCELINK_PROGRAM` set to another program's file rewrites the golden files from
+//! that program's output. Such a run fails every test that wrote a file, so that it can't be mistaken for a
+//! check.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A golden file's path.
+/// Path of a golden file.
 pub fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Whether the golden files are written anew, from another program.
+/// Whether this run rewrites the golden files from another program's output.
 pub fn is_writing() -> bool {
     ["GOLDEN_WRITE", "SPRUCELINK_PROGRAM"].iter().all(|name| std::env::var_os(name).is_some())
 }
 
-/// Holds a text to a golden file, line by line. Called once a test.
-pub fn hold(name: &str, got: &str) {
+/// Compares a text with a golden file, line by line. Called once per test.
+pub fn assert_matches(name: &str, got: &str) {
     let path = path(name);
     if is_writing() {
         std::fs::write(&path, got).expect("written");
-        panic!("tests/golden/{name} was written anew and nothing was checked");
+        panic!("tests/golden/{name} was rewritten and nothing was checked");
     }
     let expected = std::fs::read_to_string(&path).expect("a golden file");
     for (number, (expected, got)) in expected.lines().zip(got.lines()).enumerate() {
@@ -30,9 +32,9 @@
     assert_eq!(got.lines().count(), expected.lines().count(), "lines of tests/golden/{name}");
 }
 
-/// One run of the program to its end: exit status, standard output, standard error.
+/// Runs the program to its end and returns its exit status, standard output and standard error.
 pub fn run(args: &[&str], vars: &[(&str, &str)]) -> (i32, String, String) {
-    let mut command = Command::new(super::program());
+    let mut command = Command::new(super::program_path());
     for name in ["EDGE_CONFIG", "EDGE_OPERATOR", "EDGE_FD"] {
         command.env_remove(name);
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the socket tests share: stand-in engines, a stand-in feed, the program itself and a client
-//! that speaks raw bytes. Everything is on loopback, on ports that the kernel chooses.
+//! Shared by the socket tests: stand-in engines, a stand-in control feed, the program itself and a client
+//! that sends raw bytes. All sockets are on loopback, on ports that the kernel chooses.
 #![allow(dead_code)]
 
 pub mod admin_client;
@@ -17,13 +17,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what must come; never for what must not.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of waits for an expected event. Never used to show that an event doesn't happen.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One command as an engine saw it.
+/// A command that an engine received.
 #[derive(Clone, Debug)]
 pub struct ReceivedCommand {
-    pub at: Instant,
+    pub received_at: Instant,
+    /// Command word, request id, fields and statement for `do`.
     pub parts: Vec<String>,
 }
 
@@ -33,74 +34,77 @@
     }
 }
 
-/// What a stand-in engine does with a request.
+/// How a stand-in engine responds to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Serves these pages.
+    /// Serves a result that consists of these pages.
     Pages(Vec<String>),
-    /// Says nothing, ever.
+    /// Never answers.
     Hold,
-    /// One word without a body.
+    /// Sends an answer of this status word, without a body.
     Word(&'static str),
-    /// These bytes, with the request's id for each `@`.
+    /// Sends these bytes, with each `@` replaced by the request's id.
     Raw(String),
     /// Closes the connection.
-    Cut,
-    /// Says that there are two pages and closes the connection when asked for the second.
-    CutMidAnswer(String),
+    Disconnect,
+    /// Announces two pages, sends this first one, and closes the connection when the second is requested.
+    DisconnectMidAnswer(String),
 }
 
 /// A stand-in engine.
 pub struct Engine {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<ReceivedCommand>>>,
+    commands: Arc<Mutex<Vec<ReceivedCommand>>>,
 }
 
 impl Engine {
     pub fn start(reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static) -> Engine {
-        Engine::behind(TcpListener::bind("127.0.0.1:0").expect("a port"), reply)
+        Engine::on_listener(TcpListener::bind("127.0.0.1:0").expect("a port"), reply)
     }
 
-    /// One that takes what comes to this listener.
-    fn behind(
+    /// Starts an engine on an existing listener.
+    fn on_listener(
         listener: TcpListener,
         reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static,
     ) -> Engine {
         let address = listener.local_addr().expect("an address");
-        let seen: Arc<Mutex<Vec<ReceivedCommand>>> = Arc::default();
-        let (log, reply) = (Arc::clone(&seen), Arc::new(reply));
+        let commands: Arc<Mutex<Vec<ReceivedCommand>>> = Arc::default();
+        let (log, reply) = (Arc::clone(&commands), Arc::new(reply));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (log, reply) = (Arc::clone(&log), Arc::clone(&reply));
                 thread::spawn(move || serve_engine(stream, &log, &*reply));
             }
         });
-        Engine { address, seen }
+        Engine { address, commands }
     }
 
-    /// One that serves one row to every request: its statement.
+    /// Starts an engine that answers every request with one row whose first column is the statement.
     pub fn echo() -> Engine {
-        Engine::start(|seen| Reply::Pages(vec![format!("{}\tb\tc\n", seen.parts[3])]))
+        Engine::start(|command| Reply::Pages(vec![format!("{}\tb\tc\n", command.parts[3])]))
     }
 
-    /// The commands of a word that it saw.
-    pub fn seen(&self, word: &str) -> Vec<ReceivedCommand> {
-        let seen = self.seen.lock().expect("unpoisoned");
-        seen.iter().filter(|s| s.parts[0] == word).cloned().collect()
+    /// Commands with this word that the engine received, in order.
+    pub fn received(&self, word: &str) -> Vec<ReceivedCommand> {
+        let commands = self.commands.lock().expect("unpoisoned");
+        commands.iter().filter(|c| c.parts[0] == word).cloned().collect()
     }
 
-    /// All commands that it saw, in order.
-    pub fn all_seen(&self) -> Vec<ReceivedCommand> {
-        self.seen.lock().expect("unpoisoned").clone()
+    /// All commands that the engine received, in order.
+    pub fn all_received(&self) -> Vec<ReceivedCommand> {
+        self.commands.lock().expect("unpoisoned").clone()
     }
 
-    /// Waits until it has seen so many of a word.
-    pub fn wait_for(&self, word: &str, n: usize) -> Vec<ReceivedCommand> {
-        until(|| Some(self.seen(word)).filter(|s| s.len() >= n))
+    /// Waits until the engine has received `count` commands with this word, and returns them.
+    pub fn wait_for(&self, word: &str, count: usize) -> Vec<ReceivedCommand> {
+        wait_until(|| Some(self.received(word)).filter(|s| s.len() >= count))
     }
 }
 
-/// A stand-in engine whose machine takes no connection yet: those that come wait in the network.
+/// A listener that doesn't accept: its backlog is full, so that connections to it stay in SYN_SENT until
+/// [`open`].
+///
+/// [`open`]: DelayedListener::open
 pub struct DelayedListener {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -117,41 +121,41 @@
         });
         listener.set_nonblocking(false).expect("set");
         let address = listener.local_addr().expect("an address");
-        // Until one more does not come up: the queue is full then.
+        // Fills the accept queue: it is full when a further connection isn't established.
         let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
         let filler = (0..16).map_while(fill).collect::<Vec<_>>();
-        assert!((1..16).contains(&filler.len()), "{} came up", filler.len());
+        assert!((1..16).contains(&filler.len()), "{} connections filled the accept queue", filler.len());
         DelayedListener { address, listener, _filler: filler }
     }
 
-    /// From now on it takes them.
+    /// Starts an engine that accepts the waiting connections.
     pub fn open(self, reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static) -> Engine {
-        Engine::behind(self.listener, reply)
+        Engine::on_listener(self.listener, reply)
     }
 }
 
-/// Waits for something to hold.
-pub fn until<T>(mut found: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls until `found` returns a value. Panics after [`WAIT_TIMEOUT`].
+pub fn wait_until<T>(mut found: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(t) = found() {
-            return t;
+        if let Some(value) = found() {
+            return value;
         }
-        assert!(Instant::now() < end, "it never came");
+        assert!(Instant::now() < end, "the awaited condition wasn't met within {WAIT_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 fn read_command(from: &mut impl BufRead) -> Option<Vec<String>> {
-    let number = |mark: char, from: &mut dyn BufRead| -> Option<usize> {
+    let read_number = |prefix: char, from: &mut dyn BufRead| -> Option<usize> {
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|n| *n > 0)?;
-        line.trim_end().strip_prefix(mark)?.parse().ok()
+        line.trim_end().strip_prefix(prefix)?.parse().ok()
     };
-    let count = number('*', from)?;
+    let count = read_number('*', from)?;
     (0..count)
         .map(|_| {
-            let len = number('$', from)?;
+            let len = read_number('$', from)?;
             let mut bytes = vec![0; len + 2];
             from.read_exact(&mut bytes).ok()?;
             bytes.truncate(len);
@@ -163,7 +167,7 @@
 fn answer(to: &mut TcpStream, parts: &[&str]) {
     let mut out = format!("*{}\r\n", parts.len());
     parts.iter().for_each(|p| out.push_str(&format!("${}\r\n{p}\r\n", p.len())));
-    // The other side may have gone: the test sees that by itself.
+    // Errors are ignored: a test that needs the connection notices a lost one by itself.
     let _ = to.write_all(out.as_bytes());
 }
 
@@ -176,26 +180,26 @@
     let mut input = BufReader::new(stream);
     let mut pages: std::collections::BTreeMap<String, Vec<String>> = Default::default();
     while let Some(parts) = read_command(&mut input) {
-        let seen = ReceivedCommand { at: Instant::now(), parts };
-        log.lock().expect("unpoisoned").push(seen.clone());
-        let id = seen.parts.get(1).cloned().unwrap_or_default();
-        match seen.parts[0].as_str() {
-            "do" => match reply(&seen) {
-                Reply::Pages(all) => {
-                    let fields = format!("batches={},cpu=5,used=8,stats=inflight:1;queue:0", all.len());
-                    answer(&mut out, &[&id, "served", &fields, &all[0]]);
-                    pages.insert(id, all);
+        let command = ReceivedCommand { received_at: Instant::now(), parts };
+        log.lock().expect("unpoisoned").push(command.clone());
+        let id = command.parts.get(1).cloned().unwrap_or_default();
+        match command.parts[0].as_str() {
+            "do" => match reply(&command) {
+                Reply::Pages(result) => {
+                    let fields = format!("batches={},cpu=5,used=8,stats=inflight:1;queue:0", result.len());
+                    answer(&mut out, &[&id, "served", &fields, &result[0]]);
+                    pages.insert(id, result);
                 }
                 Reply::Hold => {}
                 Reply::Word(word) => answer(&mut out, &[&id, word, "-", ""]),
                 Reply::Raw(text) => drop(out.write_all(text.replace('@', &id).as_bytes())),
-                Reply::Cut => break,
-                Reply::CutMidAnswer(first) => answer(&mut out, &[&id, "served", "batches=2", &first]),
+                Reply::Disconnect => break,
+                Reply::DisconnectMidAnswer(first) => answer(&mut out, &[&id, "served", "batches=2", &first]),
             },
             "page" => {
-                let n: usize = seen.parts[2].parse().expect("a page's number");
-                let Some(body) = pages.get(&id).and_then(|p| p.get(n)) else { break };
-                answer(&mut out, &[&id, "rows", &format!("batch={n}"), body]);
+                let index: usize = command.parts[2].parse().expect("a page index");
+                let Some(body) = pages.get(&id).and_then(|p| p.get(index)) else { break };
+                answer(&mut out, &[&id, "rows", &format!("batch={index}"), body]);
             }
             _ => {}
         }
@@ -203,13 +207,16 @@
     let _ = out.shutdown(std::net::Shutdown::Both);
 }
 
-/// A stand-in control feed: sends what it is told to, and notes the event each call goes on from.
+/// A stand-in control feed: sends the events that the test adds.
 pub struct Feed {
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
+    /// `Last-Event-ID` of every call so far.
     pub calls: Arc<Mutex<Vec<u64>>>,
-    cuts: Arc<AtomicU64>,
-    open: Arc<AtomicU64>,
+    /// Incremented to close all open calls.
+    close_generation: Arc<AtomicU64>,
+    open_calls: Arc<AtomicU64>,
+    /// Number of an event, and the text that the first call to reach it gets in its place.
     malformed: Arc<Mutex<Option<(usize, String)>>>,
 }
 
@@ -219,68 +226,68 @@
         let address = listener.local_addr().expect("an address");
         let events: Arc<Mutex<Vec<String>>> = Arc::default();
         let calls: Arc<Mutex<Vec<u64>>> = Arc::default();
-        let cuts: Arc<AtomicU64> = Arc::default();
-        let open: Arc<AtomicU64> = Arc::default();
-        let (log, all, cut) = (Arc::clone(&calls), Arc::clone(&events), Arc::clone(&cuts));
-        let held = Arc::clone(&open);
+        let close_generation: Arc<AtomicU64> = Arc::default();
+        let open_calls: Arc<AtomicU64> = Arc::default();
+        let (log, all, generation) = (Arc::clone(&calls), Arc::clone(&events), Arc::clone(&close_generation));
+        let open = Arc::clone(&open_calls);
         let malformed: Arc<Mutex<Option<(usize, String)>>> = Arc::default();
-        let overlay = Arc::clone(&malformed);
+        let replacement = Arc::clone(&malformed);
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut input = BufReader::new(stream.try_clone().expect("a second handle"));
-                let mut last = 0;
+                let mut last_event = 0;
                 for line in input.by_ref().lines().map_while(Result::ok).take_while(|l| !l.is_empty()) {
-                    let value = line.to_ascii_lowercase();
-                    if let Some(n) = value.strip_prefix("last-event-id:") {
-                        last = n.trim().parse().expect("a number");
+                    let header = line.to_ascii_lowercase();
+                    if let Some(n) = header.strip_prefix("last-event-id:") {
+                        last_event = n.trim().parse().expect("a number");
                     }
                 }
-                log.lock().expect("unpoisoned").push(last);
-                let (all, cut) = (Arc::clone(&all), Arc::clone(&cut));
-                let before = cut.load(Ordering::SeqCst);
-                let held = Arc::clone(&held);
-                let overlay = Arc::clone(&overlay);
-                held.fetch_add(1, Ordering::SeqCst);
+                log.lock().expect("unpoisoned").push(last_event);
+                let (all, generation) = (Arc::clone(&all), Arc::clone(&generation));
+                let opened_in = generation.load(Ordering::SeqCst);
+                let open = Arc::clone(&open);
+                let replacement = Arc::clone(&replacement);
+                open.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
                     let mut alive = stream.write_all(head.as_bytes()).is_ok();
-                    // One event more than was asked for: a repeat must be passed over.
-                    let mut next = last.saturating_sub(1) as usize;
+                    // Repeats the last event that the caller has: it must ignore the repeat.
+                    let mut next = last_event.saturating_sub(1) as usize;
                     while alive {
                         let fresh = all.lock().expect("unpoisoned")[next..].to_vec();
                         for data in fresh {
                             next += 1;
-                            let other = overlay.lock().expect("unpoisoned").take_if(|o| o.0 == next);
-                            let data = other.map_or(data, |o| o.1);
+                            let malformed = replacement.lock().expect("unpoisoned").take_if(|r| r.0 == next);
+                            let data = malformed.map_or(data, |r| r.1);
                             alive &= write!(stream, "id: {next}\ndata: {data}\n\n").is_ok();
                         }
-                        alive &= cut.load(Ordering::SeqCst) == before;
+                        alive &= generation.load(Ordering::SeqCst) == opened_in;
                         alive &= write!(stream, ": still here\n\n").is_ok();
                         thread::sleep(Duration::from_millis(20));
                     }
                     let _ = stream.shutdown(std::net::Shutdown::Both);
-                    held.fetch_sub(1, Ordering::SeqCst);
+                    open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
-        Feed { address, events, calls, cuts, open, malformed }
+        Feed { address, events, calls, close_generation, open_calls, malformed }
     }
 
-    /// Calls that are open.
-    pub fn listening(&self) -> u64 {
-        self.open.load(Ordering::SeqCst)
+    /// Number of open calls.
+    pub fn open_calls(&self) -> u64 {
+        self.open_calls.load(Ordering::SeqCst)
     }
 
-    /// Sends an event that the first call to get it gets as another text.
+    /// Sends an event that the first call to reach it gets as `malformed`, and later calls as `event`.
     pub fn send_malformed_once(&self, event: impl Into<String>, malformed: impl Into<String>) {
         let mut events = self.events.lock().expect("unpoisoned");
         *self.malformed.lock().expect("unpoisoned") = Some((events.len() + 1, malformed.into()));
         events.push(event.into());
     }
 
-    /// Ends every call.
-    pub fn cut(&self) {
-        self.cuts.fetch_add(1, Ordering::SeqCst);
+    /// Closes every open call.
+    pub fn close_calls(&self) {
+        self.close_generation.fetch_add(1, Ordering::SeqCst);
     }
 
     pub fn send(&self, event: impl Into<String>) {
@@ -288,7 +295,8 @@
     }
 }
 
-/// An event of the list of engines: numbers, ids, addresses and states.
+/// Data of an endpoint list event: `n` is both the event's number and the list's revision; each engine is
+/// given by id, address and phase.
 pub fn list(n: usize, complete: bool, engines: &[(&str, SocketAddr, &str)]) -> String {
     let row = |(id, address, phase): &(&str, SocketAddr, &str)| {
         format!(
@@ -302,7 +310,7 @@
     )
 }
 
-/// The configuration's settings, with two classes: lane-rate is safe, tariff-load keyed.
+/// Settings with two classes: `lane-rate` may always be retried, `tariff-load` with an idempotency key.
 pub const SETTINGS: &str = r#"{"kindOfService":"queries","zones":["hall-a","hall-b"],"shapes":["std"],"siblings":1,
  "profiles":[
   {"name":"lane-rate","value":1.0,"aim":20.0,"deadline":30.0,"effect":"read_like","dedupScope":"all"},
@@ -315,39 +323,43 @@
  "invariants":{"budgetShare":0.1,"freeResends":3.0,"ratioSpan":5.0,"drainGrace":0.5,"fallMultiple":2.5,
   "overloadFor":2.0,"startCapacity":0.3,"cold":15.0}}"#;
 
-/// The program, running.
+/// A running process of the program.
 pub struct Program {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
+    /// Address of the platform's front.
     pub platform: SocketAddr,
+    /// Address of the second front, if it is on.
     pub second: Option<SocketAddr>,
+    /// Address for admin calls, if it is open.
     pub operators: Option<SocketAddr>,
     dir: std::path::PathBuf,
 }
 
-static DIRS: AtomicU64 = AtomicU64::new(0);
+static NEXT_DIR: AtomicU64 = AtomicU64::new(0);
 
-/// The program's file: this build's, or another that is measured against it.
-pub fn program() -> std::ffi::OsString {
+/// Path of the program under test: this build's, or that in `SPRUCELINK_PROGRAM`.
+pub fn program_path() -> std::ffi::OsString {
     std::env::var_os("SPRUCELINK_PROGRAM").unwrap_or_else(|| env!("CARGO_BIN_EXE_sprucelink").into())
 }
 
-/// A folder of this test's own.
-pub fn scratch() -> std::path::PathBuf {
-    let n = DIRS.fetch_add(1, Ordering::Relaxed);
+/// Creates an empty folder for this test.
+pub fn scratch_dir() -> std::path::PathBuf {
+    let n = NEXT_DIR.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("sprucelink-test-{}-{n}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     dir
 }
 
 impl Program {
-    /// Starts it with these engines, by id, and the second front if there is an operator's file.
+    /// Starts the program with these engines, by id, and with the second front if there is an operator's
+    /// file.
     pub fn start(engines: &[(&str, SocketAddr)], feed: Option<&Feed>, operator: Option<&str>) -> Program {
-        Program::limited(engines, feed, operator, 192, 1024)
+        Program::start_limited(engines, feed, operator, 192, 1024)
     }
 
-    /// The same with so many megabytes and descriptors.
-    pub fn limited(
+    /// As [`Program::start`], with these limits on memory (megabytes) and descriptors.
+    pub fn start_limited(
         engines: &[(&str, SocketAddr)],
         feed: Option<&Feed>,
         operator: Option<&str>,
@@ -357,33 +369,40 @@
         Program::launch(engines, feed, operator, (memory_mb, sockets), SETTINGS, &[])
     }
 
-    /// The same with the operators' address open.
+    /// As [`Program::start`], with the operators' address open.
     pub fn with_operators(engines: &[(&str, SocketAddr)], feed: Option<&Feed>, settings: &str) -> Program {
         let vars = [("EDGE_OPERATOR", "127.0.0.1:0")];
         Program::launch_in(&vars, None, engines, feed, None, (192, 1024), settings, &[])
     }
 
-    /// The same with other settings and further arguments.
+    /// As [`Program::start`], with limits on memory (megabytes) and descriptors, settings and further
+    /// arguments.
     pub fn launch(
         engines: &[(&str, SocketAddr)],
         feed: Option<&Feed>,
         operator: Option<&str>,
         limits: (usize, usize),
         settings: &str,
-        more: &[&str],
+        extra_args: &[&str],
     ) -> Program {
-        Program::launch_in(&[], None, engines, feed, operator, limits, settings, more)
+        Program::launch_in(&[], None, engines, feed, operator, limits, settings, extra_args)
     }
 
-    /// One process of several on a listening socket that the platform holds, in the folder that they share.
-    pub fn beside(listener: &TcpListener, folder: &Path, engines: &[(&str, SocketAddr)]) -> Program {
+    /// Starts one of several processes that accept on the same inherited listening socket and share a state
+    /// folder.
+    pub fn start_on_shared_listener(
+        listener: &TcpListener,
+        folder: &Path,
+        engines: &[(&str, SocketAddr)],
+    ) -> Program {
         let folder = folder.to_str().expect("a name in UTF-8");
         let vars = [("EDGE_OPERATOR", "127.0.0.1:0"), ("EDGE_FD", "5"), ("TMPDIR", folder)];
         Program::launch_in(&vars, Some(listener), engines, None, None, (192, 1024), SETTINGS, &[])
     }
 
-    /// The same in an environment with these variables besides, and with a listening socket as descriptor 5.
-    #[allow(clippy::too_many_arguments, reason = "each caller above names what it gives")]
+    /// As [`Program::launch`], with these additional environment variables and an inherited listening socket
+    /// as descriptor 5.
+    #[allow(clippy::too_many_arguments, reason = "the functions above name their arguments")]
     pub fn launch_in(
         vars: &[(&str, &str)],
         inherited: Option<&TcpListener>,
@@ -392,10 +411,10 @@
         operator: Option<&str>,
         (memory_mb, sockets): (usize, usize),
         settings: &str,
-        more: &[&str],
+        extra_args: &[&str],
     ) -> Program {
-        let dir = scratch();
-        let ready: Vec<_> = engines.iter().map(|(id, at)| (*id, *at, "ready")).collect();
+        let dir = scratch_dir();
+        let ready: Vec<_> = engines.iter().map(|(id, address)| (*id, *address, "ready")).collect();
         let feed = feed.map_or(String::new(), |f| format!(r#""feed":"{}","#, f.address));
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"00000000000000aa",{feed}
@@ -404,8 +423,8 @@
             list(1, true, &ready)
         );
         std::fs::write(dir.join("config.json"), config).expect("written");
-        let mut command = Command::new(program());
-        command.arg("serve").arg("--config").arg(dir.join("config.json")).args(more);
+        let mut command = Command::new(program_path());
+        command.arg("serve").arg("--config").arg(dir.join("config.json")).args(extra_args);
         if let Some(listener) = inherited {
             let parent_fd = listener.try_clone().expect("a second handle").into();
             command.fd_mappings(vec![FdMapping { parent_fd, child_fd: 5 }]).expect("a mapping");
@@ -417,13 +436,13 @@
         }
         let mut program = Program::spawn(command, dir);
         program.platform = program.front_address("platform");
-        let called = vars.iter().any(|v| v.0 == "EDGE_OPERATOR");
-        program.operators = called.then(|| program.admin_address());
+        let has_admin_address = vars.iter().any(|v| v.0 == "EDGE_OPERATOR");
+        program.operators = has_admin_address.then(|| program.admin_address());
         program.second = operator.map(|_| program.front_address("second"));
         program
     }
 
-    /// Starts a command and keeps its log lines; its addresses are not known yet.
+    /// Starts a command and collects its log lines. The caller sets the addresses.
     fn spawn(mut command: Command, dir: std::path::PathBuf) -> Program {
         let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("started");
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -437,48 +456,47 @@
                 }
             });
         }
-        let any = "127.0.0.1:0".parse().expect("an address");
-        Program { child, lines, platform: any, second: None, operators: None, dir }
+        let unknown = "127.0.0.1:0".parse().expect("an address");
+        Program { child, lines, platform: unknown, second: None, operators: None, dir }
     }
 
-    /// Waits until a front accepts connections; its address.
+    /// Waits until a front accepts connections, and returns its address.
     pub fn front_address(&self, front: &str) -> SocketAddr {
         let (text, json) = (format!("front={front} "), format!("\"front\":\"{front}\""));
-        let is_its =
+        let is_listening =
             |l: &&String| l.contains("accepting connections") && (l.contains(&text) || l.contains(&json));
-        logged_address(&until(|| self.lines().iter().find(is_its).cloned()))
+        logged_address(&wait_until(|| self.lines().iter().find(is_listening).cloned()))
     }
 
-    /// Waits until admin calls are accepted; their address.
+    /// Waits until admin calls are accepted, and returns their address.
     pub fn admin_address(&self) -> SocketAddr {
         logged_address(&self.wait_line("admin server listening"))
     }
 
-    /// Waits for a log line that holds a text.
+    /// Waits for a log line that contains a text.
     pub fn wait_line(&self, text: &str) -> String {
-        until(|| self.lines.lock().expect("unpoisoned").iter().find(|l| l.contains(text)).cloned())
+        wait_until(|| self.lines.lock().expect("unpoisoned").iter().find(|l| l.contains(text)).cloned())
     }
 
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().expect("unpoisoned").clone()
     }
 
-    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Puts another text in the configuration's place and sends SIGHUP.
+    /// Replaces the configuration file's text and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.dir.join("config.json"), config).expect("written");
         self.signal("-HUP");
     }
 
-    /// The configuration's text, with its feed at another address.
-    pub fn config_with_feed(&self, at: SocketAddr) -> String {
+    /// The configuration file's text with another feed address.
+    pub fn config_with_feed(&self, feed: SocketAddr) -> String {
         let text = std::fs::read_to_string(self.dir.join("config.json")).expect("read");
         let mut json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-        json["feed"] = at.to_string().into();
+        json["feed"] = feed.to_string().into();
         json.to_string()
     }
 
@@ -487,20 +505,20 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
     }
 
-    /// Ends it as a crash would.
+    /// Sends SIGKILL, as a crash, and waits for the process's end.
     pub fn kill(&mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("waited");
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for its end: the exit status.
-    pub fn ended(&mut self) -> Option<i32> {
-        until(|| self.child.try_wait().expect("waited")).code()
+    /// Waits until the process ends, and returns its exit status; `None` if a signal ended it.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        wait_until(|| self.child.try_wait().expect("waited")).code()
     }
 
     pub fn running(&mut self) -> bool {
@@ -508,7 +526,7 @@
     }
 }
 
-/// The address that a log line holds as its field `address`, in either format.
+/// The field `address` of a log line, in text or JSON format.
 fn logged_address(line: &str) -> SocketAddr {
     let json: Option<serde_json::Value> =
         serde_json::from_str(line).ok().filter(serde_json::Value::is_object);
@@ -527,12 +545,13 @@
     }
 }
 
-/// One message of the program: its type and its body.
+/// A message of the PostgreSQL protocol: its type and its body.
 pub type Message = (u8, Vec<u8>);
 
-/// A client that speaks raw bytes.
-pub struct Raw {
+/// A client that sends raw bytes.
+pub struct RawClient {
     pub stream: TcpStream,
+    /// Body of the session's BackendKeyData, for CancelRequests.
     pub key: Vec<u8>,
 }
 
@@ -577,16 +596,16 @@
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-impl Raw {
-    /// Connects without a word.
-    pub fn open(to: SocketAddr) -> Raw {
+impl RawClient {
+    /// Connects without sending a start-up packet.
+    pub fn open(to: SocketAddr) -> RawClient {
         let stream = TcpStream::connect(to).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
-        Raw { stream, key: Vec::new() }
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
+        RawClient { stream, key: Vec::new() }
     }
     /// Connects and starts a session.
-    pub fn connect(to: SocketAddr) -> Raw {
-        let mut raw = Raw::open(to);
+    pub fn connect(to: SocketAddr) -> RawClient {
+        let mut raw = RawClient::open(to);
         raw.send(&startup());
         let start = raw.until_ready();
         raw.key = start.into_iter().find(|m| m.0 == b'K').expect("a key").1;
@@ -595,7 +614,7 @@
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
-    /// The next message; `None` at the end.
+    /// Reads the next message; `None` at the end of the connection.
     pub fn message(&mut self) -> Option<Message> {
         let mut head = [0; 5];
         self.stream.read_exact(&mut head).ok()?;
@@ -604,7 +623,7 @@
         self.stream.read_exact(&mut body).ok()?;
         Some((head[0], body))
     }
-    /// All messages up to ReadyForQuery.
+    /// Reads all messages up to ReadyForQuery.
     pub fn until_ready(&mut self) -> Vec<Message> {
         let mut all = Vec::new();
         loop {
@@ -614,24 +633,25 @@
             }
         }
     }
+    /// Sends a simple query and reads its answer up to ReadyForQuery.
     pub fn ask(&mut self, sql: &str) -> Vec<Message> {
         self.send(&query(sql));
         self.until_ready()
     }
-    /// Asks for this session's request to be given up.
+    /// Sends a CancelRequest for this session on a new connection.
     pub fn cancel(&self, to: SocketAddr) {
-        let mut other = Raw::open(to);
-        other.send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &self.key].concat());
+        let mut cancel_connection = RawClient::open(to);
+        cancel_connection.send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &self.key].concat());
     }
 }
 
-/// The types of messages, as text.
-pub fn kinds(messages: &[Message]) -> String {
+/// Types of messages, one character each.
+pub fn message_types(messages: &[Message]) -> String {
     messages.iter().map(|m| char::from(m.0)).collect()
 }
 
 /// The fields of the first error among messages: code, message, detail and hint.
-pub fn error(messages: &[Message]) -> [String; 4] {
+pub fn error_fields(messages: &[Message]) -> [String; 4] {
     let body = &messages.iter().find(|m| m.0 == b'E').expect("an error").1;
     let fields: Vec<(u8, String)> = body
         .split(|b| *b == 0)
@@ -645,11 +665,12 @@
 /// The rows among messages, columns joined by `|`.
 pub fn rows(messages: &[Message]) -> Vec<String> {
     let row = |body: &[u8]| {
-        let (mut at, mut columns) = (2, Vec::new());
-        while at < body.len() {
-            let len = u32::from_be_bytes([body[at], body[at + 1], body[at + 2], body[at + 3]]) as usize;
-            columns.push(String::from_utf8_lossy(&body[at + 4..at + 4 + len]).into_owned());
-            at += 4 + len;
+        let (mut offset, mut columns) = (2, Vec::new());
+        while offset < body.len() {
+            let length = &body[offset..offset + 4];
+            let len = u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize;
+            columns.push(String::from_utf8_lossy(&body[offset + 4..offset + 4 + len]).into_owned());
+            offset += 4 + len;
         }
         columns.join("|")
     };
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -36,7 +36,7 @@
 }
 
 /// Whether the other side has closed an idle connection.
-fn is_closed(raw: &Raw) -> bool {
+fn is_closed(raw: &RawClient) -> bool {
     raw.stream.set_nonblocking(true).expect("set");
     let is_closed =
         !matches!(raw.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
@@ -47,13 +47,13 @@
 /// A client like the platform's: it sends requests one after the other on a connection that it keeps for some time, and
 /// checks whether that was closed before it sends the next.
 fn client(to: SocketAddr, seen: &ObservedEnds, next: &AtomicU64, stop: &AtomicBool) {
-    let mut raw: Option<Raw> = None;
+    let mut raw: Option<RawClient> = None;
     while !stop.load(Ordering::SeqCst) {
         let id = next.fetch_add(1, Ordering::SeqCst);
         let mut is_retry = false;
         loop {
             raw = raw.take_if(|raw| !is_closed(raw));
-            let connection = raw.get_or_insert_with(|| Raw::connect(to));
+            let connection = raw.get_or_insert_with(|| RawClient::connect(to));
             let sent = std::io::Write::write_all(&mut connection.stream, &query(&sql(id, 10)));
             let mut got = Vec::new();
             while sent.is_ok() {
@@ -65,11 +65,15 @@
                     break;
                 }
             }
-            match kinds(&got).chars().next() {
+            match message_types(&got).chars().next() {
                 Some('T') => seen.served.fetch_add(1, Ordering::SeqCst),
                 Some('E') => seen.rejected.fetch_add(1, Ordering::SeqCst),
                 _ => {
-                    assert!(got.is_empty() && !is_retry, "request {id} was left with {:?}", kinds(&got));
+                    assert!(
+                        got.is_empty() && !is_retry,
+                        "request {id} was left with {:?}",
+                        message_types(&got)
+                    );
                     is_retry = true;
                     seen.crossed.fetch_add(1, Ordering::SeqCst);
                     raw = None;
@@ -91,28 +95,28 @@
     let ids = ["s-1", "s-2", "s-3"];
     let at: Vec<(&str, SocketAddr)> = ids.iter().zip(&engines).map(|(id, e)| (*id, e.address)).collect();
     let (listener, to) = shared_listener();
-    let folder = scratch();
-    let mut serving = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&serving).then_some(()));
+    let folder = scratch_dir();
+    let mut serving = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&serving).then_some(()));
     let (seen, next, stop) = (ObservedEnds::default(), AtomicU64::new(1), AtomicBool::new(false));
     thread::scope(|scope| {
         (0..12).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
         for round in 1..=3u64 {
-            until(|| (seen.served.load(Ordering::SeqCst) >= round * 300).then_some(()));
-            let successor = Program::beside(&listener, &folder, &at);
-            until(|| healthy(&successor).then_some(()));
+            wait_until(|| (seen.served.load(Ordering::SeqCst) >= round * 300).then_some(()));
+            let successor = Program::start_on_shared_listener(&listener, &folder, &at);
+            wait_until(|| healthy(&successor).then_some(()));
             serving.terminate();
-            assert_eq!(serving.ended(), Some(0), "the old process ends by itself");
+            assert_eq!(serving.wait_for_exit(), Some(0), "the old process ends by itself");
             serving = successor;
         }
-        until(|| (seen.served.load(Ordering::SeqCst) >= 1_200).then_some(()));
+        wait_until(|| (seen.served.load(Ordering::SeqCst) >= 1_200).then_some(()));
         stop.store(true, Ordering::SeqCst);
     });
     let crossed = seen.crossed.load(Ordering::SeqCst);
     eprintln!("{} served, {crossed} crossed a close", seen.served.load(Ordering::SeqCst));
     assert_eq!(seen.rejected.load(Ordering::SeqCst), 0);
     assert!(crossed <= 12, "{crossed} requests crossed a close, of twelve clients in three hot restarts");
-    assert_eq!(figure(serving.operators.expect("an address"), "outstanding"), 0);
+    assert_eq!(metric(serving.operators.expect("an address"), "outstanding"), 0);
 }
 
 /// A cordon made at either process is in force in both, in their successor, and in one that starts after all have ended;
@@ -122,40 +126,40 @@
     let (out, other) = (Engine::echo(), Engine::echo());
     let at = [("s-1", out.address), ("s-2", other.address)];
     let (listener, to) = shared_listener();
-    let folder = scratch();
-    let mut first = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&first).then_some(()));
+    let folder = scratch_dir();
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&first).then_some(()));
     let operators = |p: &Program| p.operators.expect("an address");
-    assert_eq!(call(operators(&first), "POST", "/admin/cordon", &target("s-1")).0, 200);
-    let second = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&second).then_some(()));
-    assert_eq!(figure(operators(&second), "ejected"), 1, "before its first request");
+    assert_eq!(call(operators(&first), "POST", "/admin/cordon", &target_body("s-1")).0, 200);
+    let second = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&second).then_some(()));
+    assert_eq!(metric(operators(&second), "ejected"), 1, "before its first request");
     let mut next = 0;
     let mut ask = |n: u64| {
         for _ in 0..n {
             next += 1;
-            let mut raw = Raw::connect(to);
+            let mut raw = RawClient::connect(to);
             assert_eq!(rows(&raw.ask(&sql(next, 1))).len(), 1);
         }
     };
     ask(30);
     first.terminate();
     ask(30);
-    assert_eq!(first.ended(), Some(0));
+    assert_eq!(first.wait_for_exit(), Some(0));
     // It is killed without a successor: its file stays.
     drop(second);
-    let third = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&third).then_some(()));
+    let third = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&third).then_some(()));
     ask(30);
-    assert_eq!(out.seen("do").len(), 0);
+    assert_eq!(out.received("do").len(), 0);
     // An uncordon at the new process takes effect in the old one, too.
-    let fourth = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&fourth).then_some(()));
-    assert_eq!(call(operators(&fourth), "POST", "/admin/uncordon", &target("s-1")).0, 200);
-    until(|| (figure(operators(&third), "ejected") == 0).then_some(()));
-    until(|| {
+    let fourth = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&fourth).then_some(()));
+    assert_eq!(call(operators(&fourth), "POST", "/admin/uncordon", &target_body("s-1")).0, 200);
+    wait_until(|| (metric(operators(&third), "ejected") == 0).then_some(()));
+    wait_until(|| {
         ask(5);
-        (!out.seen("do").is_empty()).then_some(())
+        (!out.received("do").is_empty()).then_some(())
     });
 }
 
@@ -165,23 +169,23 @@
     let engine = TimedEngine::start();
     let at = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
-    let folder = scratch();
-    let mut first = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&first).then_some(()));
+    let folder = scratch_dir();
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&first).then_some(()));
     let (seen, next, stop) = (ObservedEnds::default(), AtomicU64::new(1), AtomicBool::new(false));
     thread::scope(|scope| {
         (0..4).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
         let served = |more: u64| {
             let from = seen.served.load(Ordering::SeqCst);
-            until(|| (seen.served.load(Ordering::SeqCst) >= from + more).then_some(()));
+            wait_until(|| (seen.served.load(Ordering::SeqCst) >= from + more).then_some(()));
         };
         served(100);
         // It listens, and has not yet answered a health check.
-        let mut early = Program::beside(&listener, &folder, &at);
+        let mut early = Program::start_on_shared_listener(&listener, &folder, &at);
         early.kill();
         served(100);
-        let mut late = Program::beside(&listener, &folder, &at);
-        until(|| healthy(&late).then_some(()));
+        let mut late = Program::start_on_shared_listener(&listener, &folder, &at);
+        wait_until(|| healthy(&late).then_some(()));
         first.wait_line("hot restart phase changed phase=ServingBesideSuccessor");
         // Its requests are lost with it, which its clients see as a closed connection: they retry.
         late.kill();
@@ -191,7 +195,7 @@
     });
     assert!(first.running() && healthy(&first));
     first.terminate();
-    assert_eq!(first.ended(), Some(0));
+    assert_eq!(first.wait_for_exit(), Some(0));
 }
 
 /// The old process is killed in the middle of a hot restart: the new one goes on serving alone.
@@ -200,15 +204,15 @@
     let engine = TimedEngine::start();
     let at = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
-    let folder = scratch();
-    let mut first = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&first).then_some(()));
-    let mut raw = Raw::connect(to);
+    let folder = scratch_dir();
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&first).then_some(()));
+    let mut raw = RawClient::connect(to);
     assert_eq!(rows(&raw.ask(&sql(1, 1))).len(), 1);
-    let successor = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&successor).then_some(()));
+    let successor = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&successor).then_some(()));
     first.kill();
-    let mut raw = Raw::connect(to);
+    let mut raw = RawClient::connect(to);
     assert_eq!(rows(&raw.ask(&sql(2, 1))).len(), 1);
     successor.wait_line("hot restart process is unresponsive remaining_processes=0 ");
     assert!(successor
@@ -223,11 +227,11 @@
     let engine = Engine::echo();
     let at = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
-    let folder = scratch();
-    let mut first = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&first).then_some(()));
+    let folder = scratch_dir();
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&first).then_some(()));
     first.terminate();
-    assert_eq!(first.ended(), Some(0));
+    assert_eq!(first.wait_for_exit(), Some(0));
     let left: Vec<_> = std::fs::read_dir(&folder).expect("read").flatten().map(|f| f.path()).collect();
     assert_eq!(left.len(), 1, "{left:?}");
     let mut bytes = std::fs::read(&left[0]).expect("read");
@@ -235,9 +239,9 @@
     bytes[middle] ^= 0x10;
     std::fs::write(&left[0], bytes).expect("written");
     std::fs::write(folder.join("notes.txt"), "not of this program").expect("written");
-    let second = Program::beside(&listener, &folder, &at);
-    until(|| healthy(&second).then_some(()));
+    let second = Program::start_on_shared_listener(&listener, &folder, &at);
+    wait_until(|| healthy(&second).then_some(()));
     second.wait_line("reason=\"damaged: ");
-    assert_eq!(rows(&Raw::connect(to).ask(&sql(1, 1))).len(), 1);
+    assert_eq!(rows(&RawClient::connect(to).ask(&sql(1, 1))).len(), 1);
     assert!(folder.join("notes.txt").exists());
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 use std::time::Duration;
-use support::admin_client::figure;
+use support::admin_client::metric;
 use support::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -41,7 +41,7 @@
 
     /// The next call: the number after which it asks for events, and its connection.
     fn call(&self) -> (u64, TcpStream) {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+        self.calls.recv_timeout(WAIT_TIMEOUT).expect("a call")
     }
 
     /// The next call, answered with these bytes.
@@ -301,16 +301,20 @@
     let operators = program.operators.expect("an address");
     program.reload(&program.config_with_feed(feed.address));
     let (_, mut stream) = feed.answer(": here\n\n");
-    let mut client = Raw::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     client.send(&query(&sql(1)));
     // It was drawn for s-1, the only engine, when it was taken, and waits for the connection.
-    until(|| (figure(operators, "outstanding") == 1).then_some(()));
+    wait_until(|| (metric(operators, "outstanding") == 1).then_some(()));
     let whole = list(2, true, &[("s-2", next.address, "ready")]);
     say(&mut stream, sent(2, &whole));
     program.wait_line("engine_id=s-2 phase=Ready");
     let old = late.open(|_| Reply::Pages(vec!["a\tb\tc\n".into()]));
     assert_eq!(rows(&client.until_ready()).len(), 1);
-    assert_eq!((old.seen("do").len(), next.seen("do").len()), (0, 1), "it went to the engine that is left");
+    assert_eq!(
+        (old.received("do").len(), next.received("do").len()),
+        (0, 1),
+        "it went to the engine that is left"
+    );
     assert_eq!(count(&program, "engine_id=s-1 phase=Gone"), 1);
 }
 
@@ -327,11 +331,11 @@
     ];
     let (_, _stream) = feed.answer(sent(2, &list(2, false, &rows_of)));
     program.wait_line("engine_id=s-2 phase=Ready");
-    let mut client = Raw::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     for id in 1..20 {
         assert_eq!(rows(&client.ask(&sql(id))).len(), 1);
     }
-    assert_eq!((engine.seen("do").len(), next.seen("do").len()), (0, 19));
+    assert_eq!((engine.received("do").len(), next.received("do").len()), (0, 19));
 }
 
 // ---- The feed moves ------------------------------------------------------------------------
@@ -385,7 +389,7 @@
     fn reader(&self) -> std::fs::File {
         use std::os::unix::fs::OpenOptionsExt;
         let open = || std::fs::OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(&self.file).ok();
-        until(open)
+        wait_until(open)
     }
 }
 
@@ -405,7 +409,7 @@
     std::fs::rename(held.file.with_extension("next"), &held.file).expect("renamed");
     held.hang_up();
     held.hang_up();
-    let (_, mut client) = (reader.write_all(first.as_bytes()), Raw::connect(program.platform));
+    let (_, mut client) = (reader.write_all(first.as_bytes()), RawClient::connect(program.platform));
     drop(reader);
     program.wait_line(&format!("configuration reloaded feed_address={}", old.address));
     program.wait_line(&format!("configuration reloaded feed_address={}", new.address));
@@ -423,9 +427,9 @@
     let held = Held::hold(&program);
     let reader = held.reader();
     // Served meanwhile.
-    assert_eq!(kinds(&Raw::connect(program.platform).ask("")), "IZ");
+    assert_eq!(message_types(&RawClient::connect(program.platform).ask("")), "IZ");
     program.terminate();
-    assert_eq!(program.ended(), Some(0));
+    assert_eq!(program.wait_for_exit(), Some(0));
     drop(reader);
 }
 
@@ -443,7 +447,7 @@
     }
     // So does the same address: the call that is open goes on.
     program.reload(&good);
-    until(|| (count(&program, "configuration reloaded") == 2).then_some(()));
+    wait_until(|| (count(&program, "configuration reloaded") == 2).then_some(()));
     say(&mut stream, told(2, "s-1", "draining"));
     program.wait_line("engine_id=s-1 phase=Draining");
     assert_eq!(count(&program, "feed lost"), 0);
