--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -1,4 +1,4 @@
-//! Certificates by ACME, from a stand-in authority, for the second front.
+//! ACME certificates of the second front, from a stand-in authority.
 #[path = "support/authority.rs"]
 mod authority;
 mod support;
@@ -11,7 +11,7 @@
 
 const NAME: &str = "pg.fret-atlas.test";
 
-/// A port that was free a moment ago: the program needs one in its configuration.
+/// A port that was free a moment ago: the program needs a fixed one in its configuration.
 fn free_port() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address")
 }
@@ -40,8 +40,8 @@
     until_ready(tls)
 }
 
-/// A certificate of 15 seconds is renewed before it expires, again and again, and a session that was started under the
-/// first one goes on.
+/// Certificates with a lifetime of 15 s are renewed before they expire, and a session started under the first
+/// one continues.
 #[test]
 fn certificate_is_renewed_before_expiry_and_sessions_continue() {
     let challenges = free_port();
@@ -50,18 +50,18 @@
     program.wait_line("certificate renewed");
     let mut first = secure(&program, &authority);
     wait_until(|| (authority.signed() >= 3).then_some(()));
-    assert_eq!(ask(&mut first), "IZ", "the session outlived two renewals");
+    assert_eq!(ask(&mut first), "IZ", "the session continues after two renewals");
     wait_until(|| {
         (program.lines().iter().filter(|l| l.contains("certificate renewed")).count() >= 3).then_some(())
     });
     let second = secure(&program, &authority);
     let leaf = |tls: &Tls| tls.conn.peer_certificates().expect("certificates")[0].clone();
-    assert_ne!(leaf(&first), leaf(&second), "new sessions see the new certificate");
-    assert_eq!(authority.faults(), Vec::<String>::new(), "signatures, nonces and challenges held");
+    assert_ne!(leaf(&first), leaf(&second), "new sessions get the new certificate");
+    assert_eq!(authority.faults(), Vec::<String>::new(), "all signatures, nonces and challenges were valid");
 }
 
-/// The authority rejects orders: the old certificate stays in use, attempts are made with growing backoff, and the
-/// renewal succeeds once orders are accepted.
+/// While the authority rejects orders, the stored certificate serves and renewal is retried with growing
+/// backoff; it succeeds once orders are accepted.
 #[test]
 fn rejected_renewal_backs_off_while_the_old_certificate_serves() {
     let challenges = free_port();
@@ -72,38 +72,38 @@
     first.terminate();
     assert_eq!(first.wait_for_exit(), Some(0));
     // The stored certificate is loaded: the next start needs no order.
-    let kept = program(&authority, challenges, Some(&store));
-    kept.wait_line("certificate loaded");
-    assert_eq!(ask(&mut secure(&kept, &authority)), "IZ");
+    let restarted = program(&authority, challenges, Some(&store));
+    restarted.wait_line("certificate loaded");
+    assert_eq!(ask(&mut secure(&restarted, &authority)), "IZ");
     assert_eq!((authority.signed(), authority.accounts()), (1, 1));
-    drop(kept);
+    drop(restarted);
     // No stored certificate, and orders are rejected: no session, but no crash either.
     authority.set_rejects_orders(true);
-    let mut bare = program(&authority, challenges, None);
+    let mut without_certificate = program(&authority, challenges, None);
     wait_until(|| (authority.rejected_orders() >= 4).then_some(()));
-    assert!(bare.running());
-    let mut raw = RawClient::open(bare.second.expect("on"));
+    assert!(without_certificate.running());
+    let mut raw = RawClient::open(without_certificate.second.expect("on"));
     raw.send(&startup());
     let message = raw.message().expect("an answer");
     assert_eq!(error_fields(&[message])[0], "57P03", "there is no certificate yet");
-    let rests: Vec<String> = bare
+    let delays: Vec<String> = without_certificate
         .lines()
         .iter()
         .filter_map(|l| l.split("certificate not renewed retry_after_s=").nth(1))
         .filter_map(|rest| rest.split(' ').next())
         .map(str::to_owned)
         .collect();
-    assert_eq!(rests[..3], ["0.1", "0.2", "0.4"], "the rests grow up to their most");
+    assert_eq!(delays[..3], ["0.1", "0.2", "0.4"], "the retry delay doubles up to its maximum");
     authority.set_rejects_orders(false);
-    bare.wait_line("certificate renewed");
-    assert_eq!(ask(&mut secure(&bare, &authority)), "IZ");
-    let mut plain = RawClient::open(bare.second.expect("on"));
+    without_certificate.wait_line("certificate renewed");
+    assert_eq!(ask(&mut secure(&without_certificate, &authority)), "IZ");
+    let mut plain = RawClient::open(without_certificate.second.expect("on"));
     plain.send(&startup());
     assert_eq!(error_fields(&[plain.message().expect("an answer")])[0], "28000", "sessions must use TLS");
     let _ = std::fs::remove_dir_all(store);
 }
 
-/// The old certificate stays in use while its renewal is rejected.
+/// The old certificate is valid for longer than its renewal is rejected.
 #[test]
 fn sessions_start_under_the_old_certificate_while_renewal_is_rejected() {
     let challenges = free_port();
@@ -111,21 +111,21 @@
     let program = program(&authority, challenges, None);
     program.wait_line("certificate renewed");
     authority.set_rejects_orders(true);
-    // Due after two thirds of its lifetime: after 30 s, with 15 s left.
+    // Renewal is due after two thirds of the lifetime: after 30 s, with 15 s left.
     wait_until(|| (authority.rejected_orders() >= 2).then_some(()));
     assert_eq!(ask(&mut secure(&program, &authority)), "IZ");
     authority.set_rejects_orders(false);
     wait_until(|| (authority.signed() >= 2).then_some(()));
 }
 
-/// The folder cannot be written for a while. The certificate serves meanwhile, and is on disk once the folder can be written:
-/// the next start must not order again.
+/// While the folder cannot be written, the certificate serves from memory. It is saved once the folder can be
+/// written: the next start must not order again.
 #[test]
 fn certificate_that_could_not_be_saved_is_saved_later() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(600), challenges);
     let store = scratch_dir();
-    // Drafts are written under these names; a folder there makes that fail, also for root.
+    // Temporary files have these names; a folder in their place makes the write fail, also for root.
     let blocked = ["certificate.new", "account.new"].map(|name| store.join(name));
     blocked.iter().for_each(|path| std::fs::create_dir(path).expect("made"));
     let program = program(&authority, challenges, Some(&store));
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -1,4 +1,5 @@
-//! The wall clock steps while the program runs: what counts is real time, within a process and between two.
+//! Steps of the wall clock while the program runs: durations are measured in elapsed time, within a process
+//! and between the processes of a hot restart.
 
 mod support;
 
@@ -9,8 +10,8 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// The variables under which a program's wall clock steps.
-fn stepping(steps: &[ClockStep]) -> Vec<(&'static str, String)> {
+/// Environment variables that make a program's wall clock step.
+fn clock_step_variables(steps: &[ClockStep]) -> Vec<(&'static str, String)> {
     let library = sprucelink_fault_soak::shim::build(&scratch_dir()).expect("compiled");
     let steps: Vec<String> =
         steps.iter().map(|step| format!("step={}:{}", step.at_ms, step.ahead_ms)).collect();
@@ -18,8 +19,8 @@
     vec![("LD_PRELOAD", library), ("SYSCALL_FAULTS", steps.join(","))]
 }
 
-/// A list event that names one more engine, which started at this Unix millisecond.
-fn started(n: usize, id: &str, address: SocketAddr, up_since_ms: i64) -> String {
+/// A list event that adds an engine with this start time, in Unix milliseconds.
+fn engine_started_event(n: usize, id: &str, address: SocketAddr, up_since_ms: i64) -> String {
     format!(
         r#"{{"n":{n},"members":{{"revision":{n},"complete":false,"members":[{{"id":"{id}","host_port":"{address}",
 "locality":"hall-a","flavor":"std","cell":0,"phase":"ready","size":1,"up_since_ms":{up_since_ms}}}]}}}}"#
@@ -27,68 +28,72 @@
     .replace('\n', "")
 }
 
-/// How many of 100 requests an engine gets that started just before the step, and is listed behind it. Each is estimated at
-/// 10 s of work: by the settings, some ten fit its slow start.
+/// Counts how many of 100 requests go to an engine that started just before the step and is listed after it.
+/// Each request is estimated at 10 s of work: by the settings, about ten fit the engine's slow start.
 fn sends_to_an_engine_started_before_a_step(ahead_ms: i64, settings: &str, wait: Duration) -> usize {
-    let (known, fresh) = (Engine::echo(), Engine::echo());
+    let (old, new) = (Engine::echo(), Engine::echo());
     let feed = Feed::start();
-    feed.send(list(1, true, &[("s-1", known.address, "ready")]));
+    feed.send(list(1, true, &[("s-1", old.address, "ready")]));
     let step = ClockStep { at_ms: monotonic_ms() + 1_500, ahead_ms };
-    let vars = stepping(&[step]);
+    let vars = clock_step_variables(&[step]);
     let vars: Vec<(&str, &str)> = vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
-    let engines = [("s-1", known.address)];
+    let engines = [("s-1", old.address)];
     let program = Program::launch_in(&vars, None, &engines, Some(&feed), None, (192, 1024), settings, &[]);
     wait_until(|| (feed.open_calls() > 0).then_some(()));
     let up_since_ms = wall_ms(&[]);
-    let pause = u64::try_from(step.at_ms + 300 - monotonic_ms()).expect("the step is to come");
+    let pause = u64::try_from(step.at_ms + 300 - monotonic_ms()).expect("the clock has not stepped yet");
     std::thread::sleep(Duration::from_millis(pause));
-    feed.send(started(2, "s-2", fresh.address, up_since_ms));
+    feed.send(engine_started_event(2, "s-2", new.address, up_since_ms));
     program.wait_line("engine_id=s-2 phase=Ready");
     std::thread::sleep(wait);
     let mut client = RawClient::connect(program.platform);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for id in 1..=100 {
         let sql = format!(
             "/* kind=lane-rate,req={id:016x},timeout=28000,owner=sud,ms=10000 */ SELECT 1 FROM a_1.b"
         );
         let _ = client.ask(&sql);
     }
-    assert!(begun.elapsed() < Duration::from_millis(1_900), "{:?}: no window of slow start", begun.elapsed());
-    fresh.received("do").len()
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < Duration::from_millis(1_900), "{elapsed:?} exceeds one window of slow start");
+    new.received("do").len()
 }
 
-/// N is 2.5 x 0.3 x 64 cores x 2 s over 10 s: about 10, and 20 with its root.
+/// The slow-start limit N is 2.5 x 0.3 x 64 cores x 2 s / 10 s, about 10; with the tolerance (a multiple of
+/// the root of N) 20.
 #[test]
 fn engine_started_before_a_step_forward_is_in_slow_start() {
     let sends = sends_to_an_engine_started_before_a_step(HOUR_MS, SETTINGS, Duration::ZERO);
     assert!(sends <= 20, "{sends} of 100 went to a cold engine");
 }
 
-/// With a slow start of 2 s the engine is warm by then, whatever the wall clock says.
+/// With a slow start of 2 s the engine is warm when the requests arrive, whatever the wall clock shows.
 #[test]
 fn engine_started_before_a_step_back_leaves_slow_start_in_time() {
     let settings = SETTINGS.replace(r#""cold":15.0"#, r#""cold":2.0"#);
     let sends = sends_to_an_engine_started_before_a_step(-HOUR_MS, &settings, Duration::from_millis(2_500));
-    assert!(sends >= 30, "{sends} of 100 went to an engine that is warm");
+    assert!(sends >= 30, "only {sends} of 100 went to a warm engine");
 }
 
-/// Two processes of a hot restart that the step lies between: each knows that the other lives.
-fn both_know_each_other(ahead_ms: i64) {
+/// Starts the old process of a hot restart before the step and the new one after it, and checks that each
+/// recognises the other as alive.
+fn check_hot_restart_across_step(ahead_ms: i64) {
     let engine = Engine::echo();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let folder = scratch_dir();
     let step = ClockStep { at_ms: monotonic_ms() + 1_500, ahead_ms };
-    let vars = stepping(&[step]);
-    let mut all: Vec<(&str, &str)> = vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
-    all.extend([("EDGE_OPERATOR", "127.0.0.1:0"), ("EDGE_FD", "5")]);
-    all.push(("TMPDIR", folder.to_str().expect("a name in UTF-8")));
+    let vars = clock_step_variables(&[step]);
+    let mut environment: Vec<(&str, &str)> =
+        vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
+    environment.extend([("EDGE_OPERATOR", "127.0.0.1:0"), ("EDGE_FD", "5")]);
+    environment.push(("TMPDIR", folder.to_str().expect("a name in UTF-8")));
     let start = || {
         let engines = [("s-1", engine.address)];
-        Program::launch_in(&all, Some(&listener), &engines, None, None, (192, 1024), SETTINGS, &[])
+        Program::launch_in(&environment, Some(&listener), &engines, None, None, (192, 1024), SETTINGS, &[])
     };
     let old = start();
     old.wait_line("phase=Serving ");
-    let pause = u64::try_from(step.at_ms + 300 - monotonic_ms()).expect("the step is to come");
+    let pause = u64::try_from(step.at_ms + 300 - monotonic_ms()).expect("the clock has not stepped yet");
     std::thread::sleep(Duration::from_millis(pause));
     let new = start();
     new.wait_line("phase=Serving budget_parts=2");
@@ -98,11 +103,11 @@
 }
 
 #[test]
-fn processes_of_a_hot_restart_know_each_other_over_a_step_forward() {
-    both_know_each_other(HOUR_MS);
+fn processes_of_a_hot_restart_recognise_each_other_across_a_step_forward() {
+    check_hot_restart_across_step(HOUR_MS);
 }
 
 #[test]
-fn processes_of_a_hot_restart_know_each_other_over_a_step_back() {
-    both_know_each_other(-HOUR_MS);
+fn processes_of_a_hot_restart_recognise_each_other_across_a_step_back() {
+    check_hot_restart_across_step(-HOUR_MS);
 }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The wire: what is read, what is written, what is malformed, and the adapter on a transcript.
+//! The simulator adapter's line protocol: parsing, printing, malformed lines, and the adapter run on a
+//! transcript.
 use sprucelink::simulator::codec::{parse_line, print_action, Line};
 use sprucelink_policy::*;
 use std::io::Write;
@@ -13,29 +14,33 @@
 
 #[test]
 fn arrival_and_attempt_end_are_parsed() {
-    let Event::RequestArrived(a) =
+    let Event::RequestArrived(request) =
         event("INCOMING\trouter_0\t00000000000000ff\t1\t0\t7\t2.5\t2\t0.25\tt/k\t1\t384")
     else {
         panic!()
     };
-    assert_eq!((a.id, a.class, a.tenant, a.tables), (RequestId(255), ClassId(2), 1, 7));
     assert_eq!(
-        (a.time_left, a.cost, a.memory_mb),
+        (request.id, request.class, request.tenant, request.tables),
+        (RequestId(255), ClassId(2), 1, 7)
+    );
+    assert_eq!(
+        (request.time_left, request.cost, request.memory_mb),
         (TimeDelta::from_micros(2_500_000), Some(0.25), Some(384.0))
     );
-    assert_eq!(a.key.as_deref(), Some("t/k"));
-    let Event::RequestArrived(a) = event("INCOMING\trouter_0\t00000000000000ff\t-\t0\t7\t2.5\t0\t-\t-\t0\t0")
+    assert_eq!(request.key.as_deref(), Some("t/k"));
+    let Event::RequestArrived(request) =
+        event("INCOMING\trouter_0\t00000000000000ff\t-\t0\t7\t2.5\t0\t-\t-\t0\t0")
     else {
         panic!()
     };
-    assert_eq!((a.cost, a.memory_mb, a.key), (None, None, None));
+    assert_eq!((request.cost, request.memory_mb, request.key), (None, None, None));
 
     let line = "ENDED\trouter_0\t00000000000000ff\t0\te:1\tdelivered\t0.0185\t1\t69728\trif:7,x0:0.4,new:3";
     let Event::AttemptEnded { outcome, latency, complete, query_cost, report, .. } = event(line) else {
         panic!()
     };
     assert_eq!((outcome, latency, complete), (Outcome::Succeeded, TimeDelta::from_micros(18_500), true));
-    let query_cost = query_cost.expect("a bill");
+    let query_cost = query_cost.expect("a query cost");
     assert_eq!((query_cost.work, query_cost.memory_mb), (0.017, 384.0));
     assert_eq!(
         (report.queries_in_flight, report.granted_memory_fraction, report.busy_core_fraction),
@@ -45,7 +50,7 @@
 
 #[test]
 fn every_disposition_is_parsed() {
-    let all = [
+    let dispositions = [
         ("delivered", Outcome::Succeeded),
         ("app_error", Outcome::EngineError),
         ("shed", Outcome::RejectedByEngine),
@@ -55,15 +60,15 @@
         ("revoked", Outcome::Cancelled),
         ("unused", Outcome::NeverSent),
     ];
-    for (word, want) in all {
+    for (word, expected) in dispositions {
         let line = format!("ENDED\trouter_0\t00000000000000ff\t0\te:1\t{word}\t0.1\t0\t-\t-");
         let Event::AttemptEnded { outcome, query_cost, .. } = event(&line) else { panic!() };
-        assert_eq!((outcome, query_cost.is_none()), (want, true));
+        assert_eq!((outcome, query_cost.is_none()), (expected, true));
     }
 }
 
 #[test]
-fn notes_are_parsed() {
+fn progress_notes_are_parsed() {
     let note = |topic, value| {
         let line = format!("UPDATE_OF\trouter_0\t00000000000000ff\t0\te:1\t{topic}\t{value}");
         let Event::ProgressReported { note, .. } = event(&line) else { panic!() };
@@ -82,17 +87,20 @@
                 profiles.0.dedupScope=zone\tprofiles.0.deadline=6.0\tprofiles.0.allowedOn=0,2\t\
                 specifics.classThreads=4\tspecifics.sizeCores=12,8\tinvariants.ratioSpan=5.0\t\
                 invariants.budgetShare=0.1\tinvariants.freeResends=2.0\tloadReport.via=pull";
-    let Ok(Some(Line::Start { seed: 5, settings: set, .. })) = parse_line(line) else { panic!() };
-    let c = &set.classes[0];
-    assert_eq!((c.effect, c.group, c.threads), (Effect::Keyed, DedupGroup::Zone, 4.0));
-    assert_eq!((c.kinds.as_deref(), c.zones.is_none()), (Some(&[0, 2][..]), true));
-    assert_eq!((set.gateways, set.kind_cores.clone()), (2, vec![12.0, 8.0]));
-    assert_eq!((set.report_via, set.retry_budget.map(|b| b.free_retries)), (ReportVia::Probes, Some(2.0)));
-    assert!(!set.must_poll_endpoints && !set.probes);
+    let Ok(Some(Line::Start { seed: 5, settings, .. })) = parse_line(line) else { panic!() };
+    let class = &settings.classes[0];
+    assert_eq!((class.effect, class.group, class.threads), (Effect::Keyed, DedupGroup::Zone, 4.0));
+    assert_eq!((class.kinds.as_deref(), class.zones.is_none()), (Some(&[0, 2][..]), true));
+    assert_eq!((settings.gateways, settings.kind_cores.clone()), (2, vec![12.0, 8.0]));
+    assert_eq!(
+        (settings.report_via, settings.retry_budget.map(|b| b.free_retries)),
+        (ReportVia::Probes, Some(2.0))
+    );
+    assert!(!settings.must_poll_endpoints && !settings.probes);
 }
 
 #[test]
-fn malformed_line_is_rejected_by_field() {
+fn malformed_line_is_rejected_with_the_field_name() {
     for (line, field) in [
         ("INCOMING\trouter_0\tzz\t0\t0\t1\t2\t0\t-\t-\t0\t0", "id"),
         ("INCOMING\trouter_0\t00000000000000ff\t0\t0\t1\t-\t0\t-\t-\t0\t0", "timeLeft"),
@@ -109,28 +117,28 @@
 #[test]
 fn actions_are_printed() {
     let id = RequestId(255);
-    let write = |a: &Action| {
-        let mut out = String::new();
-        print_action(&mut out, "router_0", a, |_| "e:1");
-        out
+    let print = |action: &Action| {
+        let mut line = String::new();
+        print_action(&mut line, "router_0", action, |_| "e:1");
+        line
     };
     let send =
         Action::ForwardAttempt { id, timeout: Some(TimeDelta::from_micros(80_000)), engine: EngineId(0) };
-    assert_eq!(write(&send), "SEND\trouter_0\t00000000000000ff\t0.080000\te:1\n");
+    assert_eq!(print(&send), "SEND\trouter_0\t00000000000000ff\t0.080000\te:1\n");
     let terms = Action::SetExecutionTerms { id, grant_mb: None, level: Level(3) };
-    assert_eq!(write(&terms), "TUNE\trouter_0\t00000000000000ff\t0\t3\n");
-    assert_eq!(write(&Action::Cancel { id, attempt: 1 }), "CALL_OFF\trouter_0\t00000000000000ff\t1\n");
-    assert_eq!(write(&Action::Reject { id, retry_after: None }), "DECLINE\trouter_0\t00000000000000ff\t0\n");
-    assert_eq!(write(&Action::Fail { id, retry_after: None }), "END_FAILED\trouter_0\t00000000000000ff\n");
+    assert_eq!(print(&terms), "TUNE\trouter_0\t00000000000000ff\t0\t3\n");
+    assert_eq!(print(&Action::Cancel { id, attempt: 1 }), "CALL_OFF\trouter_0\t00000000000000ff\t1\n");
+    assert_eq!(print(&Action::Reject { id, retry_after: None }), "DECLINE\trouter_0\t00000000000000ff\t0\n");
+    assert_eq!(print(&Action::Fail { id, retry_after: None }), "END_FAILED\trouter_0\t00000000000000ff\n");
     let timer = Action::StartTimer { delay: TimeDelta::from_micros(20_000), token: 3 };
-    assert_eq!(write(&timer), "REMIND\trouter_0\t0.020000\t3\n");
-    assert_eq!(write(&Action::Probe { engine: EngineId(0) }), "TOUCH\trouter_0\te:1\n");
-    assert_eq!(write(&Action::BroadcastToPeers { message: vec![1, 255] }), "PUBLISH\trouter_0\tall\t01ff\n");
-    assert_eq!(write(&Action::WatchEndpoints), "KEEP_INFORMED\trouter_0\t1\n");
-    assert_eq!(write(&Action::Log("a\tb".into())), "NOTE_DOWN\trouter_0\ta b\n");
+    assert_eq!(print(&timer), "REMIND\trouter_0\t0.020000\t3\n");
+    assert_eq!(print(&Action::Probe { engine: EngineId(0) }), "TOUCH\trouter_0\te:1\n");
+    assert_eq!(print(&Action::BroadcastToPeers { message: vec![1, 255] }), "PUBLISH\trouter_0\tall\t01ff\n");
+    assert_eq!(print(&Action::WatchEndpoints), "KEEP_INFORMED\trouter_0\t1\n");
+    assert_eq!(print(&Action::Log("a\tb".into())), "NOTE_DOWN\trouter_0\ta b\n");
 }
 
-/// Runs the adapter on an input: whether it succeeded, standard output, standard error.
+/// Runs the adapter on an input and returns whether it succeeded, its standard output and its standard error.
 fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sprucelink-simhost"))
         .stdin(Stdio::piped())
@@ -138,24 +146,24 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("it reads");
-    let out = child.wait_with_output().expect("it ends");
+    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("the adapter reads its input");
+    let out = child.wait_with_output().expect("the adapter ends");
     let text = |b: Vec<u8>| String::from_utf8(b).expect("text");
     (out.status.success(), text(out.stdout), text(out.stderr))
 }
 
-fn init(who: &str) -> String {
+fn init(instance: &str) -> String {
     format!(
-        "INIT\t{who}\t9\tsiblings=1\tprofiles.count=1\tprofiles.0.effect=read_like\tprofiles.0.aim=1.0\t\
+        "INIT\t{instance}\t9\tsiblings=1\tprofiles.count=1\tprofiles.0.effect=read_like\tprofiles.0.aim=1.0\t\
          profiles.0.deadline=5.0\tlimits.maxAttempts=2\tlimits.cancel=true\tspecifics.priorities=true\t\
          specifics.sizeCores=8\n"
     )
 }
 
-fn traffic(who: &str) -> String {
-    let mut text = format!("MEMBERS\t{who}\tremembered\t1\t0\n");
+fn traffic(instance: &str) -> String {
+    let mut text = format!("MEMBERS\t{instance}\tremembered\t1\t0\n");
     for i in 0..20 {
-        text += &format!("INCOMING\t{who}\t{i:016x}\t0\t0\t{i}\t5.0\t0\t0.1\t-\t0\t0\n");
+        text += &format!("INCOMING\t{instance}\t{i:016x}\t0\t0\t{i}\t5.0\t0\t0.1\t-\t0\t0\n");
     }
     text
 }
@@ -164,7 +172,7 @@
                     ENGINE\te:3\t0\t0\t0\todd_state\t1\t-\n";
 
 #[test]
-fn transcript_is_answered_batch_by_batch() {
+fn each_batch_of_a_transcript_is_answered() {
     let text = format!("CLOCK\t5.0\t1\nCOMMIT\nCLOCK\t5.1\t2\n{}{POOL}", init("router_0"))
         + &traffic("router_0")
         + "COMMIT\nCLOCK\t5.2\t3\nHALT\trouter_0\nDUE\trouter_0\t0\nCOMMIT\n";
@@ -175,8 +183,8 @@
 }
 
 #[test]
-fn instance_acts_alike_alone_and_beside_another() {
-    let of = |out: &str| -> Vec<String> {
+fn instance_acts_the_same_alone_and_beside_another() {
+    let own_lines = |out: &str| -> Vec<String> {
         out.lines().filter(|l| l.contains("\trouter_0\t")).map(str::to_owned).collect()
     };
     let alone = format!("CLOCK\t5.0\t1\n{}{POOL}{}COMMIT\n", init("router_0"), traffic("router_0"));
@@ -184,9 +192,10 @@
     let both = format!("CLOCK\t5.0\t1\n{}{other}{}{POOL}", init("router_1"), init("router_0"))
         + &traffic("router_0")
         + "COMMIT\n";
-    let (one, two) = (of(&run_adapter(&alone).1), of(&run_adapter(&both).1));
-    assert!(one.len() > 20);
-    assert_eq!(one, two);
+    let (actions_alone, actions_beside) =
+        (own_lines(&run_adapter(&alone).1), own_lines(&run_adapter(&both).1));
+    assert!(actions_alone.len() > 20);
+    assert_eq!(actions_alone, actions_beside);
 }
 
 #[test]
@@ -195,5 +204,5 @@
     assert!(!ok);
     assert!(err.contains("line 2") && err.contains("randomSeed"), "{err}");
     let (ok, out, _) = run_adapter("");
-    assert!(ok && out.is_empty(), "end of input is no error");
+    assert!(ok && out.is_empty(), "empty input is not an error");
 }
