--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -10,33 +10,34 @@
 
 fn start(engines: &[&Engine]) -> Program {
     let ids = ["s-1", "s-2", "s-3"];
-    let named: Vec<_> = engines.iter().enumerate().map(|(i, e)| (ids[i], e.address)).collect();
-    Program::start(&named, None, Some(OPERATOR))
+    let engines_by_id: Vec<_> = engines.iter().enumerate().map(|(i, e)| (ids[i], e.address)).collect();
+    Program::start(&engines_by_id, None, Some(OPERATOR))
 }
 
-fn second(program: &Program) -> std::net::SocketAddr {
+fn second_front(program: &Program) -> std::net::SocketAddr {
     program.second.expect("the second front is on")
 }
 
 async fn client(program: &Program) -> tokio_postgres::Client {
-    let at = second(program);
-    let to = format!("host={} port={} user=desk dbname=core sslmode=disable", at.ip(), at.port());
-    let (client, connection) = tokio_postgres::connect(&to, tokio_postgres::NoTls).await.expect("connected");
+    let address = second_front(program);
+    let config =
+        format!("host={} port={} user=desk dbname=core sslmode=disable", address.ip(), address.port());
+    let (client, connection) =
+        tokio_postgres::connect(&config, tokio_postgres::NoTls).await.expect("connected");
     tokio::spawn(connection);
     client
 }
 
-fn block<T>(test: impl std::future::Future<Output = T>) -> T {
+fn block_on<T>(test: impl std::future::Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(test)
 }
 
-/// A statement is prepared once and bound a thousand times. Every Execute is a request with an id of its own, and is
-/// answered once and correctly.
+/// Every Execute of a prepared statement is a request with its own id, and is answered once and correctly.
 #[test]
 fn statement_prepared_once_can_be_bound_a_thousand_times() {
-    let (a, b) = (Engine::echo(), Engine::echo());
-    let program = start(&[&a, &b]);
-    block(async {
+    let (first, second) = (Engine::echo(), Engine::echo());
+    let program = start(&[&first, &second]);
+    block_on(async {
         let client = client(&program).await;
         let statement = client.prepare(LANE).await.expect("prepared");
         assert_eq!(statement.columns().len(), 3);
@@ -48,16 +49,16 @@
             assert_eq!(text, format!("SELECT price FROM rates_3.lanes WHERE lane = 'o''lane {i}'"));
         }
     });
-    let sent: Vec<ReceivedCommand> = [a.received("do"), b.received("do")].concat();
-    let ids: BTreeSet<&str> = sent.iter().map(|s| s.parts[1].as_str()).collect();
-    assert_eq!((sent.len(), ids.len()), (1000, 1000), "one attempt and one id for each");
+    let attempts: Vec<ReceivedCommand> = [first.received("do"), second.received("do")].concat();
+    let ids: BTreeSet<&str> = attempts.iter().map(|c| c.parts[1].as_str()).collect();
+    assert_eq!((attempts.len(), ids.len()), (1000, 1000), "one attempt and one id for each Execute");
 }
 
 #[test]
 fn binary_parameters_reach_the_engine_as_literals() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    block(async {
+    block_on(async {
         let client = client(&program).await;
         use tokio_postgres::types::Type;
         let sql = "/* kind=lane-rate,timeout=$4 */ SELECT $1, $2, $3";
@@ -65,144 +66,150 @@
         let statement = client.prepare_typed(sql, &types).await.expect("prepared");
         let rows = client.query(&statement, &[&-7i32, &true, &2.5f64, &"9000"]).await.expect("served");
         assert_eq!(rows[0].get::<_, &str>(0), "SELECT (-7), TRUE, 2.5");
-        let numeric = client.prepare_typed("/* kind=lane-rate */ SELECT $1", &[Type::JSONB]).await;
-        let numeric = numeric.expect("prepared");
-        assert_eq!(numeric.params(), [Type::JSONB]);
+        let statement = client.prepare_typed("/* kind=lane-rate */ SELECT $1", &[Type::JSONB]).await;
+        let statement = statement.expect("prepared");
+        assert_eq!(statement.params(), [Type::JSONB]);
     });
     let wait: u64 = engine.received("do")[0].field("wait").expect("a wait").parse().expect("a number");
-    assert!(wait <= 9000, "the bound time-out is the deadline: {wait}");
+    assert!(wait <= 9000, "the deadline is the timeout that was bound as a parameter: {wait}");
     // The binary form of jsonb begins with a version byte, which is not supported.
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     let mut types = b"\0SELECT $1\0\0\x01".to_vec();
     types.extend_from_slice(&3802u32.to_be_bytes());
     let mut values = b"\0\0\0\x01\0\x01\0\x01".to_vec();
     values.extend_from_slice(&[0, 0, 0, 3, 1, b'{', b'}', 0, 0]);
     raw.send(&[framed(b'P', &types), framed(b'B', &values), execute("", 0), sync()].concat());
-    let got = raw.until_ready();
-    assert_eq!(message_types(&got), "1EZ", "skips to Sync after the error");
-    assert_eq!(error_fields(&got)[0], "0A000");
+    let messages = raw.until_ready();
+    assert_eq!(message_types(&messages), "1EZ", "skips to Sync after the error");
+    assert_eq!(error_fields(&messages)[0], "0A000");
 }
 
-/// A portal that was not executed is no request: it holds no engine and survives a drain.
+/// A portal that was not executed is not a request: it isn't tied to an engine and survives a drain.
 #[test]
 fn portal_bound_before_a_drain_runs_on_another_engine() {
     let (old, new, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", old.address)], Some(&feed), Some(OPERATOR));
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     raw.send(&[parse("st", LANE), bind("po", "st", &["a"]), sync()].concat());
     assert_eq!(message_types(&raw.until_ready()), "12Z");
     feed.send(list(2, false, &[("s-1", old.address, "draining"), ("s-2", new.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     raw.send(&[execute("po", 0), sync()].concat());
-    let got = raw.until_ready();
-    assert_eq!(message_types(&got), "DCZ");
+    let messages = raw.until_ready();
+    assert_eq!(message_types(&messages), "DCZ");
     assert_eq!((old.received("do").len(), new.received("do").len()), (0, 1));
 }
 
-/// A batch is cut at each message boundary: submitted requests end once, and others are never sent.
+/// A batch ends at each message boundary in turn: each submitted request is answered once, and the others are
+/// never sent.
 #[test]
-fn batch_cut_at_any_message_boundary_is_answered() {
+fn batch_truncated_at_any_message_boundary_is_answered() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
     let batch: Vec<Vec<u8>> = (0..3)
         .flat_map(|i| [parse("", LANE), bind("", "", &[&format!("lane{i}")]), execute("", 0)])
         .chain([sync()])
         .collect();
-    for cut in 0..=batch.len() {
-        let mut raw = RawClient::connect(second(&program));
+    for length in 0..=batch.len() {
+        let mut raw = RawClient::connect(second_front(&program));
         let before = engine.received("do").len();
-        raw.send(&batch[..cut].concat());
+        raw.send(&batch[..length].concat());
         raw.send(&framed(b'H', b""));
-        let executes = cut / 3;
-        // Flush returns the answers: so many requests were submitted, and each ended once.
+        let executes = length / 3;
+        // Flush returns the answers: each submitted request is answered once.
         let mut answers = 0;
         while answers < executes {
             answers += usize::from(raw.message().expect("an answer").0 == b'C');
         }
         drop(raw);
-        let mut after = RawClient::connect(second(&program));
-        assert_eq!(message_types(&after.ask("")), "IZ");
-        assert_eq!(engine.received("do").len() - before, executes, "cut behind message {cut}");
+        let mut other = RawClient::connect(second_front(&program));
+        assert_eq!(message_types(&other.ask("")), "IZ");
+        assert_eq!(engine.received("do").len() - before, executes, "truncated after message {length}");
     }
     assert!(engine.received("undo").is_empty());
 }
 
-/// The client leaves while its request is in flight: it is cancelled at its engine, and the rest of the batch is never
-/// sent.
+/// The client leaves while a request is in flight: the request is cancelled at its engine, and the rest of
+/// the batch is never sent.
 #[test]
 fn batch_of_a_departed_client_is_cancelled() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
-    let one = [parse("", LANE), bind("", "", &["x"]), execute("", 0)].concat();
-    raw.send(&[&one[..], &one[..], &sync()].concat());
+    let mut raw = RawClient::connect(second_front(&program));
+    let request = [parse("", LANE), bind("", "", &["x"]), execute("", 0)].concat();
+    raw.send(&[&request[..], &request[..], &sync()].concat());
     let sent = engine.wait_for("do", 1);
     drop(raw);
     let undone = engine.wait_for("undo", 1);
     assert_eq!(undone[0].parts[1], sent[0].parts[1]);
-    assert_eq!(engine.received("do").len(), 1, "the second Execute was never taken");
+    assert_eq!(engine.received("do").len(), 1, "the second Execute was never sent");
 }
 
 #[test]
-fn rows_are_fetched_by_the_clients_row_limit() {
+fn each_execute_returns_at_most_the_clients_row_limit() {
     let pages = || vec!["1\ta\tb\n2\ta\tb\n".into(), "3\ta\tb\n".into(), "4\ta\tb\n5\ta\tb\n".into()];
     let engine = Engine::start(move |_| Reply::Pages(pages()));
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     raw.send(&[parse("", LANE), bind("p", "", &["x"]), execute("p", 2), execute("p", 2), sync()].concat());
-    let got = raw.until_ready();
-    assert_eq!(message_types(&got), "12DDsDDsZ");
-    assert_eq!(rows(&got), ["1|a|b", "2|a|b", "3|a|b", "4|a|b"]);
+    let messages = raw.until_ready();
+    assert_eq!(message_types(&messages), "12DDsDDsZ");
+    assert_eq!(rows(&messages), ["1|a|b", "2|a|b", "3|a|b", "4|a|b"]);
     raw.send(&[execute("p", 0), execute("p", 0), sync()].concat());
-    let got = raw.until_ready();
-    assert_eq!((message_types(&got).as_str(), rows(&got)), ("DCCZ", vec!["5|a|b".to_owned()]));
-    assert_eq!(engine.received("do").len(), 1, "further rows are no further request");
+    let messages = raw.until_ready();
+    assert_eq!((message_types(&messages).as_str(), rows(&messages)), ("DCCZ", vec!["5|a|b".to_owned()]));
+    assert_eq!(engine.received("do").len(), 1, "fetching further rows is not another request");
 }
 
-/// A lost page may be retried, since no row was sent to the client: it gets one complete answer.
+/// A request whose engine disconnects within its answer may be retried, since no row was sent to the client
+/// yet.
 #[test]
 fn engine_lost_within_its_answer_causes_a_retry() {
     let broken = Engine::start(|_| Reply::DisconnectMidAnswer("half\ta\tb\n".into()));
     let program = start(&[&broken]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
-    let got = raw.until_ready();
-    // One engine, which never sends the second page: retried within the retry budget, then failed.
-    assert_eq!(message_types(&got), "12EZ");
-    assert!(rows(&got).is_empty(), "a row of half a result went out");
-    let tries = broken.received("do");
-    assert!((2..=6).contains(&tries.len()), "{} attempts", tries.len());
-    let ids: BTreeSet<&str> = tries.iter().map(|s| s.parts[1].as_str()).collect();
+    let messages = raw.until_ready();
+    // The only engine never sends the second page: the request is retried within the retry budget, then
+    // fails.
+    assert_eq!(message_types(&messages), "12EZ");
+    assert!(rows(&messages).is_empty(), "a row of an incomplete result was sent to the client");
+    let attempts = broken.received("do");
+    assert!((2..=6).contains(&attempts.len()), "{} attempts", attempts.len());
+    let ids: BTreeSet<&str> = attempts.iter().map(|c| c.parts[1].as_str()).collect();
     assert_eq!(ids.len(), 1, "the attempts of one request have one id");
-    let [code, _, detail, hint] = error_fields(&got);
+    let [code, _, detail, hint] = error_fields(&messages);
     assert!(["53400", "08006", "58000"].contains(&code.as_str()), "{code}");
     assert!(detail.starts_with("retry_after_ms=") && hint.starts_with("Come back in "), "{detail} {hint}");
 }
 
-/// The same with an engine that recovers: one complete answer.
+/// The engine disconnects within its first answer only: the client gets one complete answer.
 #[test]
-fn lost_page_is_fetched_by_a_retry() {
+fn result_with_a_lost_page_is_fetched_by_a_retry() {
     use std::sync::atomic::{AtomicBool, Ordering};
-    static LOST: AtomicBool = AtomicBool::new(false);
-    let engine = Engine::start(|_| match LOST.swap(true, Ordering::SeqCst) {
+    static DISCONNECTED: AtomicBool = AtomicBool::new(false);
+    let engine = Engine::start(|_| match DISCONNECTED.swap(true, Ordering::SeqCst) {
         false => Reply::DisconnectMidAnswer("old\ta\tb\n".into()),
         true => Reply::Pages(vec!["1\ta\tb\n".into(), "2\ta\tb\n".into()]),
     });
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
-    let got = raw.until_ready();
-    assert_eq!((message_types(&got).as_str(), rows(&got)), ("12DDCZ", vec!["1|a|b".into(), "2|a|b".into()]));
+    let messages = raw.until_ready();
+    assert_eq!(
+        (message_types(&messages).as_str(), rows(&messages)),
+        ("12DDCZ", vec!["1|a|b".into(), "2|a|b".into()])
+    );
     assert_eq!(engine.received("do").len(), 2);
 }
 
-/// Sessions above the configured maximum are rejected, with the time after which to retry.
+/// Sessions above the configured maximum are rejected with a retry delay.
 #[test]
 fn session_above_the_limit_is_rejected() {
     let program = Program::start(&[], None, Some(r#"{"listen":"127.0.0.1:0","max_sessions":1}"#));
-    let first = RawClient::connect(second(&program));
-    let mut other = RawClient::open(second(&program));
+    let first = RawClient::connect(second_front(&program));
+    let mut other = RawClient::open(second_front(&program));
     other.send(&startup());
     let [code, _, detail, hint] = error_fields(&[other.message().expect("an answer")]);
     assert_eq!(
@@ -216,48 +223,51 @@
 fn cancel_request_cancels_the_open_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
     let sent = engine.wait_for("do", 1);
-    raw.cancel(second(&program));
-    let got = raw.until_ready();
-    assert_eq!((message_types(&got).as_str(), error_fields(&got)[0].as_str()), ("12EZ", "57014"));
+    raw.cancel(second_front(&program));
+    let messages = raw.until_ready();
+    assert_eq!((message_types(&messages).as_str(), error_fields(&messages)[0].as_str()), ("12EZ", "57014"));
     assert_eq!(engine.wait_for("undo", 1)[0].parts[1], sent[0].parts[1]);
-    assert_eq!(message_types(&raw.ask("")), "IZ", "the session goes on");
+    assert_eq!(message_types(&raw.ask("")), "IZ", "the session continues");
 }
 
-/// The retry budget of 5 s, counted at the engines: 3 retries and a tenth of the admitted requests.
+/// The retry budget of each 5 s window, counted at the engines: 3 retries plus a tenth of the admitted
+/// requests.
 #[test]
-fn retries_keep_to_the_retry_budget() {
-    let (a, b) = (Engine::start(|_| Reply::Word("crashed")), Engine::start(|_| Reply::Word("crashed")));
-    let program = start(&[&a, &b]);
-    let (began, asked) = (Instant::now(), 60);
-    let mut raw = RawClient::connect(second(&program));
+fn retries_stay_within_the_retry_budget() {
+    let (first, second) =
+        (Engine::start(|_| Reply::Word("crashed")), Engine::start(|_| Reply::Word("crashed")));
+    let program = start(&[&first, &second]);
+    let (started_at, requests) = (Instant::now(), 60);
+    let mut raw = RawClient::connect(second_front(&program));
     raw.send(&parse("st", &LANE.replace("kind=lane-rate", "kind=lane-rate,ms=5,timeout=200")));
-    for _ in 0..asked {
+    for _ in 0..requests {
         raw.send(&[bind("", "st", &["x"]), execute("", 0), sync()].concat());
-        let got = raw.until_ready();
+        let messages = raw.until_ready();
         assert_eq!(
-            message_types(&got).matches('E').count(),
+            message_types(&messages).matches('E').count(),
             1,
-            "one final answer each: {}",
-            message_types(&got)
+            "one final answer for each request: {}",
+            message_types(&messages)
         );
     }
-    let windows = 1 + began.elapsed().as_secs() as usize / 5;
-    let sent: Vec<ReceivedCommand> = [a.received("do"), b.received("do")].concat();
-    let firsts = sent.iter().map(|s| s.parts[1].as_str()).collect::<BTreeSet<_>>().len();
-    let further = sent.len() - firsts;
-    assert!(firsts <= asked && further > 0, "{firsts} first, {further} further");
-    assert!(further <= 3 * windows + asked / 10, "{further} further attempts for {asked} requests");
+    let windows = 1 + started_at.elapsed().as_secs() as usize / 5;
+    let attempts: Vec<ReceivedCommand> = [first.received("do"), second.received("do")].concat();
+    let first_attempts = attempts.iter().map(|c| c.parts[1].as_str()).collect::<BTreeSet<_>>().len();
+    let retries = attempts.len() - first_attempts;
+    assert!(first_attempts <= requests && retries > 0, "{first_attempts} first attempts, {retries} retries");
+    assert!(retries <= 3 * windows + requests / 10, "{retries} retries for {requests} requests");
 }
 
-/// Every request of a load class has a key of its own, and a key that the client gives is forwarded unchanged.
+/// Every request of a class with idempotency keys has its own key, and a key that the client gives is
+/// forwarded unchanged.
 #[test]
 fn each_request_of_a_keyed_class_carries_its_own_key() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     let run = |raw: &mut RawClient, sql: &str, values: &[&str], times: usize| {
         raw.send(&parse("", sql));
         (0..times).for_each(|_| raw.send(&[bind("", "", values), execute("", 0)].concat()));
@@ -270,93 +280,100 @@
     let keys: Vec<String> =
         engine.received("do").iter().map(|s| s.field("once").expect("a key").to_owned()).collect();
     assert_eq!(keys[2..5], ["k-1", "k-1", "k-2"]);
-    assert_ne!(keys[0], keys[1], "each Execute has its own");
-    assert_ne!(keys[5], "k-2", "a key written into the text serves one request");
+    assert_ne!(keys[0], keys[1], "each Execute has its own key");
+    assert_ne!(keys[5], "k-2", "a key in the statement's text is used for one request only");
     run(&mut raw, "/* kind=lane-rate */ SELECT 1 FROM t_1.x", &[], 1);
     assert_eq!(engine.received("do")[6].field("once"), None);
 }
 
 #[test]
-fn timeout_is_that_of_the_field_then_the_session_then_the_class() {
+fn timeout_is_taken_from_the_field_then_the_session_then_the_class() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     assert_eq!(message_types(&raw.ask("SET statement_timeout = '400ms'")), "CZ");
-    let got = raw.ask("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b");
-    assert_eq!(error_fields(&got)[0], "57014");
-    let got = raw.ask("/* kind=lane-rate,ms=5,timeout=250 */ SELECT 1 FROM a_1.b");
-    assert_eq!(error_fields(&got)[0], "57014");
+    let messages = raw.ask("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b");
+    assert_eq!(error_fields(&messages)[0], "57014");
+    let messages = raw.ask("/* kind=lane-rate,ms=5,timeout=250 */ SELECT 1 FROM a_1.b");
+    assert_eq!(error_fields(&messages)[0], "57014");
     assert_eq!(message_types(&raw.ask("SET statement_timeout TO DEFAULT")), "CZ");
     raw.send(&query("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b"));
-    // The first attempt of each: an engine that does not answer may be retried.
-    let firsts = || {
+    // The first attempt of each request: a request that its engine does not answer may be retried.
+    let first_waits = || {
         let mut ids = BTreeSet::new();
-        let sent = engine.received("do").into_iter().filter(|s| ids.insert(s.parts[1].clone()));
-        sent.map(|s| s.field("wait").expect("a wait").parse().expect("a number")).collect::<Vec<u64>>()
+        let first_attempts = engine.received("do").into_iter().filter(|c| ids.insert(c.parts[1].clone()));
+        first_attempts
+            .map(|c| c.field("wait").expect("a wait").parse().expect("a number"))
+            .collect::<Vec<u64>>()
     };
-    let waits = wait_until(|| Some(firsts()).filter(|w| w.len() == 3));
+    let waits = wait_until(|| Some(first_waits()).filter(|w| w.len() == 3));
     assert!(waits[0] <= 400 && waits[1] <= 250, "{waits:?}");
-    assert!(waits[2] > 400 && waits[2] <= 30_000, "the class's own: {waits:?}");
+    assert!(waits[2] > 400 && waits[2] <= 30_000, "the class's timeout: {waits:?}");
 }
 
 #[test]
-fn unsupported_statements_are_rejected_without_a_request() {
+fn unsupported_statements_are_rejected_without_a_request_to_an_engine() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second(&program));
+    let mut raw = RawClient::connect(second_front(&program));
     for sql in
         ["BEGIN", "COPY t FROM STDIN", "SET search_path = x", "SELECT 1; SELECT 2", "DECLARE c CURSOR FOR x"]
     {
         assert_eq!(error_fields(&raw.ask(sql))[0], "0A000", "{sql}");
     }
-    assert_eq!(error_fields(&raw.ask("SELECT 1"))[0], "08P01", "no class is named, and the file gives none");
+    assert_eq!(
+        error_fields(&raw.ask("SELECT 1"))[0],
+        "08P01",
+        "neither the statement nor the operator's file names a class"
+    );
     raw.send(&[bind("", "nil", &[]), parse("", "SELECT"), execute("", 0), sync()].concat());
-    let got = raw.until_ready();
+    let messages = raw.until_ready();
     assert_eq!(
-        (message_types(&got).as_str(), error_fields(&got)[0].as_str()),
+        (message_types(&messages).as_str(), error_fields(&messages)[0].as_str()),
         ("EZ", "26000"),
         "skips to Sync"
     );
     raw.send(&[execute("nil", 0), sync()].concat());
     assert_eq!(error_fields(&raw.until_ready())[0], "34000");
     raw.send(&[parse("a", LANE), bind("p", "a", &[]), sync()].concat());
-    let got = raw.until_ready();
-    assert!(error_fields(&got)[1].contains("parameter count"), "{:?}", error_fields(&got));
+    let messages = raw.until_ready();
+    assert!(error_fields(&messages)[1].contains("parameter count"), "{:?}", error_fields(&messages));
     raw.send(&[parse("a", LANE), sync()].concat());
     assert_eq!(error_fields(&raw.until_ready())[0], "42P05");
     assert!(engine.received("do").is_empty());
 }
 
-/// Random bytes and messages out of order, from fixed seeds: no input ends the process, and another session goes on.
+/// Random bytes and messages out of order, from a fixed seed, neither end the process nor affect another
+/// session.
 #[test]
 fn random_input_does_not_end_the_process() {
     let engine = Engine::echo();
     let mut program = start(&[&engine]);
-    let mut good = RawClient::connect(second(&program));
+    let mut other = RawClient::connect(second_front(&program));
     let mut gen = quickcheck::Gen::from_size_and_seed(40, 11);
     let mut bytes = move || <Vec<u8> as quickcheck::Arbitrary>::arbitrary(&mut gen);
     for i in 0..120 {
-        let mut raw = RawClient::open(second(&program));
+        let mut raw = RawClient::open(second_front(&program));
         if i % 3 > 0 {
             raw.send(&startup());
         }
         for tag in bytes().into_iter().take(12) {
-            // Every second one has the frame of a message, with a known type.
-            let noise = bytes();
-            let known = b"QPBDECHSXFdcfp"[usize::from(tag) % 14];
-            let message = if tag % 2 == 0 { framed(known, &noise) } else { noise };
+            // Every second input is framed as a message of a known type.
+            let body = bytes();
+            let known_type = b"QPBDECHSXFdcfp"[usize::from(tag) % 14];
+            let message = if tag % 2 == 0 { framed(known_type, &body) } else { body };
             if std::io::Write::write_all(&mut raw.stream, &message).is_err() {
                 break;
             }
         }
     }
-    good.send(&[parse("st", LANE), bind("po", "st", &["x"]), execute("po", 0)].concat());
-    good.send(&[framed(b'C', b"Sst\0"), execute("po", 0), sync()].concat());
-    let got = good.until_ready();
+    other.send(&[parse("st", LANE), bind("po", "st", &["x"]), execute("po", 0)].concat());
+    other.send(&[framed(b'C', b"Sst\0"), execute("po", 0), sync()].concat());
+    let messages = other.until_ready();
     assert_eq!(
-        (message_types(&got).as_str(), error_fields(&got)[0].as_str()),
+        (message_types(&messages).as_str(), error_fields(&messages)[0].as_str()),
         ("12DC3EZ", "34000"),
-        "portals go with their statement"
+        "closing a statement closes its portals"
     );
     assert!(program.running() && !program.lines().iter().any(|l| l.contains("panicked")));
 }
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -1,5 +1,5 @@
-//! The control feed's follower against feeds that answer in every way: cut at any byte, chunked or not, broken off,
-//! silent, garbled, without end.
+//! The control feed's client against feeds whose responses are split at any byte, chunked or not, truncated,
+//! silent, malformed or endless.
 mod support;
 
 use quickcheck::{Arbitrary, Gen};
@@ -9,32 +9,34 @@
 use std::thread;
 use support::*;
 
-/// What the feed does with one call: it writes these pieces, each by itself, and then closes or falls silent.
+/// The response to one call: the pieces are written one at a time, then the connection is closed or stays
+/// silent.
 struct Script {
     pieces: Vec<Vec<u8>>,
     closes: bool,
 }
 
-fn closes(text: &str) -> Script {
+/// A response that is written at once and followed by a close.
+fn closing(text: &str) -> Script {
     Script { pieces: vec![text.as_bytes().to_vec()], closes: true }
 }
 
-/// A feed that answers each call by the next script; without one it waits for it.
-struct Scripted {
+/// A feed that answers each call with the next script, for which it waits.
+struct ScriptedFeed {
     address: SocketAddr,
     scripts: Sender<Script>,
-    /// The head of every call.
+    /// Lines of the request head of every call.
     heads: Receiver<Vec<String>>,
 }
 
-impl Scripted {
-    fn start() -> Scripted {
+impl ScriptedFeed {
+    fn start() -> ScriptedFeed {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (scripts, next) = channel::<Script>();
-        let (tell, heads) = channel();
+        let (head_sender, heads) = channel();
         thread::spawn(move || {
-            let mut silent = Vec::new();
+            let mut silent_connections = Vec::new();
             for mut stream in listener.incoming().flatten() {
                 let input = BufReader::new(stream.try_clone().expect("a second handle"));
                 let head = input.lines().map_while(Result::ok).take_while(|l| !l.is_empty()).collect();
@@ -44,25 +46,25 @@
                     thread::yield_now();
                     stream.write_all(piece)
                 });
-                // A caller that hung up has had enough: what it thinks of the script the test sees.
+                // The caller may have disconnected: the test checks its reaction.
                 drop(written);
-                let _ = tell.send(head);
+                let _ = head_sender.send(head);
                 if script.closes {
                     let _ = stream.shutdown(Shutdown::Both);
                 } else {
-                    silent.push(stream);
+                    silent_connections.push(stream);
                 }
             }
         });
-        Scripted { address, scripts, heads }
+        ScriptedFeed { address, scripts, heads }
     }
 
     fn answer(&self, script: Script) {
         self.scripts.send(script).expect("the feed runs");
     }
 
-    /// The number that the next call asks for events after.
-    fn asked(&self) -> u64 {
+    /// The Last-Event-ID of the next call, whose other headers are checked.
+    fn next_call(&self) -> u64 {
         let head = self.heads.recv_timeout(WAIT_TIMEOUT).expect("a call");
         assert_eq!(head[0], "GET /v1/events HTTP/1.1");
         let field = |name: &str| {
@@ -74,7 +76,7 @@
     }
 }
 
-fn start(feed: &Scripted) -> Program {
+fn start(feed: &ScriptedFeed) -> Program {
     let program = Program::start(&[("s-1", "127.0.0.1:9".parse().expect("an address"))], None, None);
     program.reload(&program.config_with_feed(feed.address));
     program
@@ -93,77 +95,79 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Parts of a text, cut at random places from a fixed seed.
-fn cut(gen: &mut Gen, text: &str) -> Vec<String> {
+/// Splits a text at random places from a fixed seed.
+fn split(gen: &mut Gen, text: &str) -> Vec<String> {
     let (mut parts, mut rest) = (Vec::new(), text);
     while !rest.is_empty() {
-        let (part, more) = rest.split_at((usize::arbitrary(gen) % 40 + 1).min(rest.len()));
+        let (part, remainder) = rest.split_at((usize::arbitrary(gen) % 40 + 1).min(rest.len()));
         parts.push(part.to_owned());
-        rest = more;
+        rest = remainder;
     }
     parts
 }
 
-/// Twenty calls, each with one event more than the last, one repeated, a half one, and all cut anywhere.
+/// Each of twenty responses has a repeated event, a new one and an incomplete one, and is split at random
+/// places.
 #[test]
 fn feed_split_at_any_byte_is_read_chunked_or_not() {
-    let (feed, mut gen) = (Scripted::start(), Gen::from_size_and_seed(64, 9));
+    let (feed, mut gen) = (ScriptedFeed::start(), Gen::from_size_and_seed(64, 9));
     let program = start(&feed);
     for n in 2..22 {
         let text = format!(": hello\n\n{}{}{}", event(n - 1), event(n), &event(n + 1)[..60]);
         let whole = if n % 2 == 0 {
-            let chunks: String = cut(&mut gen, &text).iter().map(|part| chunk(part)).collect();
-            // Some of these answers end by their own word, others break off.
+            let chunks: String = split(&mut gen, &text).iter().map(|part| chunk(part)).collect();
+            // Some of the responses end with the last chunk, others are truncated.
             format!("{CHUNKED}{chunks}{}", if n % 4 == 0 { "0\r\n\r\n" } else { "" })
         } else {
             format!("{PLAIN}{text}")
         };
-        let pieces = cut(&mut gen, &whole).into_iter().map(String::into_bytes).collect();
+        let pieces = split(&mut gen, &whole).into_iter().map(String::into_bytes).collect();
         feed.answer(Script { pieces, closes: true });
-        assert_eq!(feed.asked(), n as u64 - 1, "what came after the last whole event is asked for");
+        assert_eq!(feed.next_call(), n as u64 - 1, "events after the last complete one are requested");
         program.wait_line(&format!("engine_id=s-{n} phase=Ready"));
     }
-    let named = |n: usize| {
+    let count_lines = |n: usize| {
         let text = format!("engine_id=s-{n} phase=Ready");
         program.lines().iter().filter(|l| l.contains(&text)).count()
     };
-    assert!((2..22).all(|n| named(n) == 1), "a repeated event is passed over");
+    assert!((2..22).all(|n| count_lines(n) == 1), "repeated events are ignored");
 }
 
-/// Whatever a feed answers, the next call goes on after the last event read, and the log says why.
+/// Whatever a feed answers, the next call requests the events after the last one that was read, and the
+/// reason is logged.
 #[test]
 fn feed_with_an_invalid_response_is_polled_again() {
-    let feed = Scripted::start();
+    let feed = ScriptedFeed::start();
     let program = start(&feed);
     let long = "x".repeat(2 << 20);
-    let gone = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    for (i, (script, why)) in [
-        (closes(""), "feed lost error="),
-        (closes(gone), "feed lost error=\"field status is not 200: 503"),
+    let unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    for (i, (script, reason)) in [
+        (closing(""), "feed lost error="),
+        (closing(unavailable), "feed lost error=\"field status is not 200: 503"),
         (
-            closes("HTTP/1.1 302 Found\r\nLocation: /\r\n\r\n"),
+            closing("HTTP/1.1 302 Found\r\nLocation: /\r\n\r\n"),
             "feed lost error=\"field status is not 200: 302",
         ),
-        (closes("HTTP/1.1 200 OK\r\nContent-Ty"), "feed lost error="),
-        (closes("SSH-2.0-x\r\n\r\n"), "feed lost error="),
-        (closes(&format!("HTTP/1.1 200 OK\r\nX: {long}")), "feed lost error=\"message head is too large"),
-        (closes(&format!("{PLAIN}data: {long}")), "feed lost error=\"field data is too long"),
-        (closes(&format!("{CHUNKED}zz\r\n")), "feed lost error="),
-        (closes(&format!("{CHUNKED}{}ffff\r\nid: 9\nda", chunk(": hello\n\n"))), "feed lost error="),
-        (closes(&format!("{PLAIN}id: 9\ndata: {{")), "feed lost error=\"ended by the other side\""),
-        (Script { closes: false, ..closes("") }, "feed lost error=silent"),
-        (Script { closes: false, ..closes(&format!("{CHUNKED}5\r\n:")) }, "feed lost error=silent"),
+        (closing("HTTP/1.1 200 OK\r\nContent-Ty"), "feed lost error="),
+        (closing("SSH-2.0-x\r\n\r\n"), "feed lost error="),
+        (closing(&format!("HTTP/1.1 200 OK\r\nX: {long}")), "feed lost error=\"message head is too large"),
+        (closing(&format!("{PLAIN}data: {long}")), "feed lost error=\"field data is too long"),
+        (closing(&format!("{CHUNKED}zz\r\n")), "feed lost error="),
+        (closing(&format!("{CHUNKED}{}ffff\r\nid: 9\nda", chunk(": hello\n\n"))), "feed lost error="),
+        (closing(&format!("{PLAIN}id: 9\ndata: {{")), "feed lost error=\"ended by the other side\""),
+        (Script { closes: false, ..closing("") }, "feed lost error=silent"),
+        (Script { closes: false, ..closing(&format!("{CHUNKED}5\r\n:")) }, "feed lost error=silent"),
     ]
     .into_iter()
     .enumerate()
     {
         feed.answer(script);
-        assert_eq!(feed.asked(), i as u64 + 1);
-        let lost = |l: &String| l.contains("feed lost error=");
-        let line = wait_until(|| program.lines().iter().filter(|l| lost(l)).nth(2 * i).cloned());
-        assert!(line.contains(why), "script {i}: {line}");
-        feed.answer(closes(&format!("{PLAIN}{}", event(i + 2))));
-        assert_eq!(feed.asked(), i as u64 + 1);
-        wait_until(|| program.lines().iter().filter(|l| lost(l)).nth(2 * i + 1).cloned());
+        assert_eq!(feed.next_call(), i as u64 + 1);
+        let is_lost = |l: &String| l.contains("feed lost error=");
+        let line = wait_until(|| program.lines().iter().filter(|l| is_lost(l)).nth(2 * i).cloned());
+        assert!(line.contains(reason), "script {i}: {line}");
+        feed.answer(closing(&format!("{PLAIN}{}", event(i + 2))));
+        assert_eq!(feed.next_call(), i as u64 + 1);
+        wait_until(|| program.lines().iter().filter(|l| is_lost(l)).nth(2 * i + 1).cloned());
     }
 }
