--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -1,12 +1,12 @@
-//! Golden: sub-commands, options, exit codes, environment variables, and the reasons that are given for a
-//! configuration that will not do. Help texts and the wording of other messages are free.
+//! Golden files of the command line: subcommands, options, exit codes, environment variables, and the error
+//! texts for invalid configurations. Help texts and the wording of other messages may change.
 mod support;
 
 use support::{golden, scratch_dir};
 
-/// Every sub-command with the arguments that it needs. `{...}` are paths, see [`Place`].
+/// Every subcommand with its required arguments. `{...}` are placeholders of paths, see [`CommandLines`].
 const COMMANDS: [(&str, &[&str]); 11] = [
-    // A configuration that is not there ends `serve` behind the command line and before it serves.
+    // A missing configuration ends `serve` after the command line is parsed and before it serves.
     ("serve", &["--config", "{none}"]),
     ("check", &["--config", "{config}"]),
     ("replay", &["{capture}"]),
@@ -20,7 +20,7 @@
     ("help", &[]),
 ];
 
-/// Every option with a value that it takes.
+/// Every option with a valid value.
 const OPTIONS: [(&str, Option<&str>); 25] = [
     ("--config", Some("{config}")),
     ("--listen", Some("127.0.0.1:0")),
@@ -49,8 +49,8 @@
     ("--nonsense", None),
 ];
 
-/// Option and value, each refused, with a command that knows the option.
-const BAD_VALUES: [(&str, &str, &str); 17] = [
+/// Invalid values: a command that has the option, the option and the value.
+const INVALID_VALUES: [(&str, &str, &str); 17] = [
     ("replay", "--times", "0"),
     ("replay", "--times", "10001"),
     ("replay", "--from", "noon"),
@@ -70,8 +70,8 @@
     ("serve", "--log-format", "xml"),
 ];
 
-/// Words that are no command line, or one that lacks something.
-const BAD_LINES: [&[&str]; 19] = [
+/// Command lines that are invalid or incomplete.
+const INVALID_COMMAND_LINES: [&[&str]; 19] = [
     &[],
     &["sevre"],
     &["capture"],
@@ -93,20 +93,21 @@
     &["help", "sevre"],
 ];
 
-/// Where the placeholders of command lines lead.
-struct Place {
+/// Runs command lines with their placeholders replaced by paths of a temporary folder and the repository.
+struct CommandLines {
     dir: std::path::PathBuf,
 }
 
-impl Place {
-    fn new() -> Place {
+impl CommandLines {
+    fn new() -> CommandLines {
         let dir = scratch_dir();
         let config = std::fs::read_to_string(golden::path("settings/platform.json")).expect("a document");
         std::fs::write(dir.join("config.json"), config).expect("written");
         std::fs::write(dir.join("operator.json"), r#"{"listen":"127.0.0.1:0"}"#).expect("written");
-        Place { dir }
+        CommandLines { dir }
     }
 
+    /// Replaces the placeholders in a text.
     fn fill(&self, text: &str) -> String {
         let (root, dir) = (env!("CARGO_MANIFEST_DIR"), self.dir.to_str().expect("text"));
         text.replace("{config}", &format!("{dir}/config.json"))
@@ -120,76 +121,78 @@
     fn run(&self, args: &[&str], vars: &[(&str, &str)]) -> (i32, String, String) {
         let args: Vec<String> = args.iter().map(|arg| self.fill(arg)).collect();
         let args: Vec<&str> = args.iter().map(String::as_str).collect();
-        let (status, out, why) = golden::run(&args, vars);
-        assert!(!why.contains("panicked"), "{args:?}: {why}");
-        (status, out, why)
+        let (status, out, stderr) = golden::run(&args, vars);
+        assert!(!stderr.contains("panicked"), "{args:?}: {stderr}");
+        (status, out, stderr)
     }
 
-    /// The reason, without what leads to this test's folder.
-    fn reason(&self, why: &str) -> String {
-        let first = why.lines().next().unwrap_or_default();
+    /// The first line of an error output, without the path of the temporary folder.
+    fn reason(&self, stderr: &str) -> String {
+        let first = stderr.lines().next().unwrap_or_default();
         first.replace(&format!("{}/", self.dir.to_str().expect("text")), "")
     }
 }
 
-impl Drop for Place {
+impl Drop for CommandLines {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.dir));
     }
 }
 
-/// Exit status of every option on every sub-command, and whether a refusal names the option.
+/// Exit status of every option with every subcommand, and whether an error names the option.
 #[test]
-fn options_are_taken_or_refused_by_each_sub_command_as_before() {
-    let place = Place::new();
-    let row = |(command, needed): &(&str, &[&str])| {
+fn each_subcommand_accepts_or_rejects_each_option_as_before() {
+    let command_lines = CommandLines::new();
+    let check_options = |(command, required): &(&str, &[&str])| {
         let mut lines = String::new();
-        let words: Vec<&str> = command.split(' ').chain(needed.iter().copied()).collect();
-        lines.push_str(&format!("{command}: {}\n", place.run(&words, &[]).0));
+        let words: Vec<&str> = command.split(' ').chain(required.iter().copied()).collect();
+        lines.push_str(&format!("{command}: {}\n", command_lines.run(&words, &[]).0));
         for (option, value) in OPTIONS {
-            // Before the arguments that it needs: a repeated option's last value counts, and `serve` must not serve.
+            // Before the required arguments: the last value of a repeated option counts, and `serve` must not
+            // serve.
             let mut args: Vec<&str> = command.split(' ').chain([option]).chain(value).collect();
-            args.extend(*needed);
-            let (status, _, why) = place.run(&args, &[]);
-            // The usage that follows a refusal names every option.
-            let named = why.lines().next().unwrap_or_default().contains(&format!("{option}'"));
+            args.extend(*required);
+            let (status, _, stderr) = command_lines.run(&args, &[]);
+            // Only the first line: the usage that follows an error names every option.
+            let named = stderr.lines().next().unwrap_or_default().contains(&format!("{option}'"));
             lines.push_str(&format!("{command} {option}: {status}{}\n", if named { " refused" } else { "" }));
         }
         lines
     };
-    let row = &row;
-    let all: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = COMMANDS.iter().map(|command| scope.spawn(move || row(command))).collect();
+    let check_options = &check_options;
+    let lines: Vec<String> = std::thread::scope(|scope| {
+        let threads: Vec<_> =
+            COMMANDS.iter().map(|command| scope.spawn(move || check_options(command))).collect();
         threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
     });
-    golden::assert_matches("cli-options.txt", &all.concat());
+    golden::assert_matches("cli-options.txt", &lines.concat());
 }
 
-/// Exit status of command lines that will not do, and whether the option at fault is named.
+/// Exit status of invalid command lines, and whether the error names the option at fault.
 #[test]
-fn bad_command_lines_end_as_before() {
-    let place = Place::new();
+fn invalid_command_lines_are_rejected_as_before() {
+    let command_lines = CommandLines::new();
     let mut lines = String::new();
-    for (command, option, value) in BAD_VALUES {
-        let needed = COMMANDS.iter().find(|c| c.0 == command).expect("a command").1;
-        let first = needed.iter().take(usize::from(needed[0].starts_with('{')));
+    for (command, option, value) in INVALID_VALUES {
+        let required = COMMANDS.iter().find(|c| c.0 == command).expect("a command").1;
+        let first = required.iter().take(usize::from(required[0].starts_with('{')));
         let mut args: Vec<&str> = command.split(' ').chain(first.copied()).collect();
         args.extend([option, value]);
-        let (status, _, why) = place.run(&args, &[]);
-        let named = why.lines().next().unwrap_or_default().contains(option);
+        let (status, _, stderr) = command_lines.run(&args, &[]);
+        let named = stderr.lines().next().unwrap_or_default().contains(option);
         lines.push_str(&format!(
             "{command} {option} {value}: {status}{}\n",
             if named { " by name" } else { "" }
         ));
     }
-    for line in BAD_LINES {
-        lines.push_str(&format!("{line:?}: {}\n", place.run(line, &[]).0));
+    for line in INVALID_COMMAND_LINES {
+        lines.push_str(&format!("{line:?}: {}\n", command_lines.run(line, &[]).0));
     }
-    for (command, needed) in &COMMANDS[2..7] {
-        let args: Vec<&str> = command.split(' ').chain(needed.iter().copied()).collect();
+    for (command, required) in &COMMANDS[2..7] {
+        let args: Vec<&str> = command.split(' ').chain(required.iter().copied()).collect();
         let args: Vec<&str> = args.iter().map(|a| if *a == "{capture}" { "{none}" } else { a }).collect();
-        let (status, _, why) = place.run(&args, &[]);
-        let named = why.contains("none.json");
+        let (status, _, stderr) = command_lines.run(&args, &[]);
+        let named = stderr.contains("none.json");
         lines.push_str(&format!(
             "{command} of a missing file: {status}{}\n",
             if named { " by name" } else { "" }
@@ -198,16 +201,16 @@
     golden::assert_matches("cli-bad.txt", &lines);
 }
 
-/// The help of each sub-command names its options, and the overview names all sub-commands.
+/// The help of each subcommand names its options, and the overview names all subcommands.
 #[test]
-fn help_names_every_sub_command_and_option() {
-    let place = Place::new();
+fn help_names_every_subcommand_and_option() {
+    let command_lines = CommandLines::new();
     let mut lines = String::new();
-    let (_, overview, _) = place.run(&["help"], &[]);
+    let (_, overview, _) = command_lines.run(&["help"], &[]);
     for (command, _) in COMMANDS {
         let named = overview.contains(&format!("sprucelink {command}"));
         let words: Vec<&str> = ["help"].into_iter().chain(command.split(' ')).collect();
-        let (status, text, _) = place.run(&words, &[]);
+        let (status, text, _) = command_lines.run(&words, &[]);
         let mut options: Vec<&str> =
             OPTIONS.iter().map(|o| o.0).chain(["--request", "--engine", "--at"]).collect();
         options.retain(|option| {
@@ -216,20 +219,20 @@
         });
         lines.push_str(&format!("{command}: {status} {named} {options:?}\n"));
     }
-    let (status, version, _) = place.run(&["version"], &[]);
+    let (status, version, _) = command_lines.run(&["version"], &[]);
     lines.push_str(&format!("{status} {version}"));
-    assert_eq!(place.run(&["--version"], &[]), (status, version.clone(), String::new()));
-    assert_eq!(place.run(&["-V"], &[]), (status, version, String::new()));
-    assert_eq!(place.run(&["--help"], &[]), (0, overview.clone(), String::new()));
-    assert_eq!(place.run(&["-h"], &[]), (0, overview, String::new()));
+    assert_eq!(command_lines.run(&["--version"], &[]), (status, version.clone(), String::new()));
+    assert_eq!(command_lines.run(&["-V"], &[]), (status, version, String::new()));
+    assert_eq!(command_lines.run(&["--help"], &[]), (0, overview.clone(), String::new()));
+    assert_eq!(command_lines.run(&["-h"], &[]), (0, overview, String::new()));
     golden::assert_matches("cli-help.txt", &lines);
 }
 
-/// What is wrong with a configuration, in full: operators and their scripts read these lines.
+/// Complete error texts for invalid configurations: operators and their scripts read these lines.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-fn bad_configurations_end_with_2_and_their_reasons() {
-    let place = Place::new();
+fn invalid_configurations_exit_with_2_and_a_reason() {
+    let command_lines = CommandLines::new();
     let head = r#""listen":"127.0.0.1:0","seed":"0a""#;
     let configurations = [
         "".to_owned(),
@@ -252,10 +255,13 @@
     ];
     let mut lines = String::new();
     for (number, text) in configurations.iter().enumerate() {
-        std::fs::write(place.dir.join("bad.json"), text).expect("written");
+        std::fs::write(command_lines.dir.join("bad.json"), text).expect("written");
         for command in ["check", "serve"] {
-            let (status, _, why) = place.run(&[command, "--config", "{dir}/bad.json"], &[]);
-            lines.push_str(&format!("configuration {number}, {command}: {status} {}\n", place.reason(&why)));
+            let (status, _, stderr) = command_lines.run(&[command, "--config", "{dir}/bad.json"], &[]);
+            lines.push_str(&format!(
+                "configuration {number}, {command}: {status} {}\n",
+                command_lines.reason(&stderr)
+            ));
         }
     }
     let head = r#""listen":"127.0.0.1:0""#;
@@ -278,28 +284,31 @@
         format!(r#"{{{head},"acme":{{"directory":"https://x","names":["a"],"retry":1}}}}"#),
     ];
     for (number, text) in fronts.iter().enumerate() {
-        std::fs::write(place.dir.join("bad.json"), text).expect("written");
+        std::fs::write(command_lines.dir.join("bad.json"), text).expect("written");
         let args = ["check", "--config", "{config}", "--operator", "{dir}/bad.json"];
-        let (status, _, why) = place.run(&args, &[]);
-        lines.push_str(&format!("second front {number}: {status} {}\n", place.reason(&why)));
+        let (status, _, stderr) = command_lines.run(&args, &[]);
+        lines.push_str(&format!("second front {number}: {status} {}\n", command_lines.reason(&stderr)));
     }
     for option in ["--config", "--operator", "--recorder", "--cold-start", "--membership", "--failover"] {
         let args = ["check", "--config", "{config}", option, "{none}"];
-        let (status, _, why) = place.run(&args, &[]);
-        lines.push_str(&format!("{option} of a missing file: {status} {}\n", place.reason(&why)));
+        let (status, _, stderr) = command_lines.run(&args, &[]);
+        lines.push_str(&format!("{option} of a missing file: {status} {}\n", command_lines.reason(&stderr)));
     }
     let few = format!(r#"{{{head},"seed":1,"limits":{{"sockets":40}},"settings":{{}}}}"#);
-    std::fs::write(place.dir.join("bad.json"), few).expect("written");
+    std::fs::write(command_lines.dir.join("bad.json"), few).expect("written");
     let args = ["check", "--config", "{dir}/bad.json", "--operator", "{operator}"];
-    let (status, _, why) = place.run(&args, &[]);
-    lines.push_str(&format!("too few descriptors for the second front: {status} {}\n", place.reason(&why)));
+    let (status, _, stderr) = command_lines.run(&args, &[]);
+    lines.push_str(&format!(
+        "too few descriptors for the second front: {status} {}\n",
+        command_lines.reason(&stderr)
+    ));
     golden::assert_matches("cli-reasons.txt", &lines);
 }
 
 #[test]
 fn environment_variables_are_read_as_before() {
-    let place = Place::new();
-    let config = place.fill("{config}");
+    let command_lines = CommandLines::new();
+    let config = command_lines.fill("{config}");
     let mut lines = String::new();
     for (name, value) in [
         ("EDGE_CONFIG", config.as_str()),
@@ -313,11 +322,11 @@
         ("EDGE_FD", "five"),
     ] {
         let vars = [("EDGE_CONFIG", config.as_str()), (name, value)];
-        let (status, _, why) = place.run(&["check"], &vars);
+        let (status, _, stderr) = command_lines.run(&["check"], &vars);
         let value = value.replace(&config, "CONFIG");
-        lines.push_str(&format!("{name}={value}: {status} {}\n", place.reason(&why)));
+        lines.push_str(&format!("{name}={value}: {status} {}\n", command_lines.reason(&stderr)));
     }
-    let (status, _, why) = place.run(&["check"], &[]);
-    lines.push_str(&format!("none: {status} {}\n", place.reason(&why)));
+    let (status, _, stderr) = command_lines.run(&["check"], &[]);
+    lines.push_str(&format!("none: {status} {}\n", command_lines.reason(&stderr)));
     golden::assert_matches("cli-environment.txt", &lines);
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,12 +1,13 @@
-//! Golden: captures of before the readability work are replayed, listed, checked and explained with the same answers.
-//! Texts for people are free; what programs read, the JSON form, is held. Masked: paths, builds and times taken.
+//! Golden files of captures: captures of an earlier version are replayed, listed, verified and explained with
+//! the same answers. The JSON output, which programs read, is compared, with paths, builds and durations
+//! masked; texts for people may change.
 mod support;
 
 use serde_json::{json, Value};
 use support::golden::{self, run};
 use support::scratch_dir;
 
-/// Each capture with a request of it.
+/// Each capture with the id of one of its requests.
 const CAPTURES: [(&str, &str); 5] = [
     ("a-fifth-slows", "24f"),
     ("burst", "17b"),
@@ -19,16 +20,16 @@
     format!("{}/captures/{name}.slc", env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The JSON values that a call gives, one a line, and its exit status.
-fn ask(args: &[&str]) -> (i32, Vec<Value>) {
-    let (status, out, why) = run(args, &[]);
+/// Runs the program and returns its exit status and the JSON value of each output line.
+fn run_json(args: &[&str]) -> (i32, Vec<Value>) {
+    let (status, out, stderr) = run(args, &[]);
     let lines: Vec<Value> =
-        out.lines().map(|line| serde_json::from_str(line).expect("an object a line")).collect();
-    assert!(!lines.is_empty(), "{args:?}: {why}");
+        out.lines().map(|line| serde_json::from_str(line).expect("one object per line")).collect();
+    assert!(!lines.is_empty(), "{args:?}: {stderr}");
     (status, lines)
 }
 
-/// Takes away what differs from build to build and from run to run.
+/// Removes values that differ between builds and between runs.
 fn mask(value: &mut Value) {
     let Value::Object(map) = value else {
         value.as_array_mut().into_iter().flatten().for_each(mask);
@@ -37,7 +38,7 @@
     for key in ["file", "case", "other_build", "took_s", "text"] {
         map.remove(key);
     }
-    // The first divergence in words.
+    // The description of the first divergence.
     if map.contains_key("expected") {
         for key in ["event", "expected", "got"] {
             map.remove(key);
@@ -51,14 +52,14 @@
     lines.iter().map(Value::to_string).collect()
 }
 
-/// FNV-1a over lines: holds answers that are too long to keep.
+/// FNV-1a hash of lines, for answers that are too long to store.
 fn digest(lines: &[String]) -> u64 {
     let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 #[test]
-fn captures_of_before_are_replayed_and_listed_with_the_same_answers() {
+fn earlier_captures_are_replayed_and_listed_with_the_same_answers() {
     let mut text = String::new();
     for (name, _) in CAPTURES {
         let path = capture(name);
@@ -72,7 +73,7 @@
             &["capture", "verify", &path, "--json"],
         ];
         for args in calls {
-            let (status, lines) = ask(args);
+            let (status, lines) = run_json(args);
             let args = args.join(" ").replace(&path, name);
             text.push_str(&format!("{args}: {status}\n{}\n", masked(lines).join("\n")));
         }
@@ -81,12 +82,12 @@
 }
 
 #[test]
-fn captures_of_before_are_explained_with_the_same_answers() {
+fn earlier_captures_are_explained_with_the_same_answers() {
     let mut text = String::new();
     for (name, request) in CAPTURES {
         let path = capture(name);
         for question in [["--request", request], ["--engine", "#1"], ["--engine", "s-1"], ["--at", "+1"]] {
-            let (status, lines) = ask(&["explain", &path, question[0], question[1], "--json"]);
+            let (status, lines) = run_json(&["explain", &path, question[0], question[1], "--json"]);
             let lines = masked(lines);
             let (count, digest) = (lines.len(), digest(&lines));
             text.push_str(&format!("{name} {question:?}: {status}, {count} lines, digest {digest:016x}\n"));
@@ -98,9 +99,9 @@
     golden::assert_matches("explanations.txt", &text);
 }
 
-/// A case that the program of before cut out of a capture is read as one of today's, and holds what it held.
+/// A case cut by an earlier program and one cut by the present program give the same answers.
 #[test]
-fn a_case_is_cut_as_before_and_cases_of_before_are_read() {
+fn case_is_cut_as_before_and_earlier_cases_are_read() {
     let dir = scratch_dir();
     let out = dir.join("cut.slc");
     let out = out.to_str().expect("text");
@@ -109,27 +110,27 @@
     let cut = ["capture", "cut", &path, "--around", "+0.5", "--before", "0.1", "--after", "0.1"];
     let holds = ["--holds", "drain", "--holds", "one_out", "--holds", rule, "--note", "a note", "--out", out];
     assert_eq!(run(&[&cut[..], &holds[..]].concat(), &[]).0, 0);
-    let before = golden::path("cut.slc");
+    let earlier_case = golden::path("cut.slc");
     if golden::is_writing() {
-        std::fs::copy(out, &before).expect("copied");
+        std::fs::copy(out, &earlier_case).expect("copied");
     }
-    let shown = |path: &str| {
-        let mut all = Vec::new();
+    let answers = |path: &str| {
+        let mut answers = Vec::new();
         for args in [&["capture", "show", path, "--json"][..], &["capture", "verify", path, "--json"]] {
-            let (status, mut lines) = ask(args);
-            // The build that wrote it.
+            let (status, mut lines) = run_json(args);
+            // Masks the build that wrote the case.
             if let Some(segment) = lines[0].pointer_mut("/segments/0").and_then(Value::as_object_mut) {
                 segment.insert("build".to_owned(), json!(null));
                 segment.insert("module".to_owned(), json!(null));
             }
-            all.push(format!("{status} {}", masked(lines).join("\n")));
+            answers.push(format!("{status} {}", masked(lines).join("\n")));
         }
-        let (status, lines) = ask(&["replay", path, "--json"]);
-        all.push(format!("{status} {}", masked(lines).join("\n")));
-        all.join("\n")
+        let (status, lines) = run_json(&["replay", path, "--json"]);
+        answers.push(format!("{status} {}", masked(lines).join("\n")));
+        answers.join("\n")
     };
-    let text = shown(before.to_str().expect("text"));
-    assert_eq!(shown(out), text, "the case cut now and the one cut before");
+    let text = answers(earlier_case.to_str().expect("text"));
+    assert_eq!(answers(out), text, "the case cut now and the earlier one");
     golden::assert_matches("cut.txt", &(text + "\n"));
     drop(std::fs::remove_dir_all(dir));
 }
--- a/tests/golden_settings.rs
+++ b/tests/golden_settings.rs
@@ -1,12 +1,13 @@
-//! Golden: every key of the settings files and of the platform's configuration, under the name it had before the
-//! readability work. A renamed field must still take its old name, and hold the value to the same range.
+//! Golden files of settings: every key of the settings files and of the platform's configuration keeps the
+//! name that it had in earlier versions. A renamed field must still be read under its old name, with the same
+//! range of values.
 mod support;
 
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use support::{golden, scratch_dir};
 
-/// The settings files: name of the golden document and the option that reads it.
+/// Settings files: name of the golden document, and the option that reads it.
 const FILES: [(&str, &str); 5] = [
     ("capture", "--recorder"),
     ("cold-start", "--cold-start"),
@@ -15,7 +16,7 @@
     ("second-front", "--operator"),
 ];
 
-/// The golden document of a file, with paths that exist here.
+/// The golden document of a settings file, with its paths replaced by existing ones.
 fn document(name: &str, dir: &Path) -> Value {
     let text = std::fs::read_to_string(golden::path(&format!("settings/{name}.json"))).expect("a document");
     let dir = dir.to_str().expect("text");
@@ -25,15 +26,15 @@
     serde_json::from_str(&text).expect("JSON")
 }
 
-/// A step on the way to a value.
+/// One component of the path to a value.
 #[derive(Clone)]
 enum Step {
     Key(String),
     Index(usize),
 }
 
-/// A path as errors write it.
-fn shown(path: &[Step]) -> String {
+/// A path in the notation of error messages.
+fn path_text(path: &[Step]) -> String {
     let mut text = String::new();
     for step in path {
         match step {
@@ -45,113 +46,120 @@
     text
 }
 
-/// All values under a key, those of the first element of each list among them.
-fn paths(value: &Value, path: &[Step], all: &mut Vec<Vec<Step>>) {
-    let mut below = |step: Step, value: &Value| {
+/// Collects the paths of all values below `path`; in lists, those of the first element.
+fn collect_paths(value: &Value, path: &[Step], all: &mut Vec<Vec<Step>>) {
+    let mut visit = |step: Step, value: &Value| {
         let path = [path, &[step]].concat();
         all.push(path.clone());
-        paths(value, &path, all);
+        collect_paths(value, &path, all);
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| below(Step::Key(key.clone()), value)),
-        Value::Array(list) => list.iter().take(1).for_each(|value| below(Step::Index(0), value)),
+        Value::Object(map) => map.iter().for_each(|(key, value)| visit(Step::Key(key.clone()), value)),
+        Value::Array(list) => list.iter().take(1).for_each(|value| visit(Step::Index(0), value)),
         _ => {}
     }
 }
 
-fn at<'a>(value: &'a mut Value, path: &[Step]) -> &'a mut Value {
+/// The value at a path.
+fn value_at<'a>(value: &'a mut Value, path: &[Step]) -> &'a mut Value {
     path.iter().fold(value, |value, step| match step {
         Step::Key(key) => &mut value[key.as_str()],
         Step::Index(index) => &mut value[*index],
     })
 }
 
-/// A document with one value changed in each way: type, then figures in and out of ranges, then without it.
+/// Copies of a document with one value changed in each way: another type, null, numbers inside and outside of
+/// ranges, key absent and misspelt.
 fn changes(document: &Value, path: &[Step]) -> Vec<(&'static str, Value)> {
     let mut changed = Vec::new();
-    let mut with = |name, value: Value| {
-        let mut other = document.clone();
-        *at(&mut other, path) = value;
-        changed.push((name, other));
+    let mut add = |change, value: Value| {
+        let mut copy = document.clone();
+        *value_at(&mut copy, path) = value;
+        changed.push((change, copy));
     };
-    let mut old = document.clone();
-    match at(&mut old, path) {
-        Value::Object(_) | Value::Array(_) => with("type", json!(7)),
-        _ => with("type", json!({ "not": "this" })),
+    let mut original = document.clone();
+    match value_at(&mut original, path) {
+        Value::Object(_) | Value::Array(_) => add("type", json!(7)),
+        _ => add("type", json!({ "not": "this" })),
     }
-    with("null", Value::Null);
-    if at(&mut old, path).is_number() {
-        for (name, figure) in [("-1", -1.0), ("0.5", 0.5), ("1.5", 1.5), ("1e300", 1e300)] {
-            with(name, json!(figure));
+    add("null", Value::Null);
+    if value_at(&mut original, path).is_number() {
+        for (change, number) in [("-1", -1.0), ("0.5", 0.5), ("1.5", 1.5), ("1e300", 1e300)] {
+            add(change, json!(number));
         }
-        with("0", json!(0));
-        with("70000", json!(70_000));
+        add("0", json!(0));
+        add("70000", json!(70_000));
     }
     let (last, parent) = path.split_last().expect("a path");
     if let Step::Key(key) = last {
-        let mut other = document.clone();
-        let map = at(&mut other, parent).as_object_mut().expect("a map");
+        let mut copy = document.clone();
+        let map = value_at(&mut copy, parent).as_object_mut().expect("a map");
         let value = map.remove(key).expect("a value");
-        changed.push(("absent", other.clone()));
-        at(&mut other, parent)[format!("{key}_other")] = value;
-        changed.push(("misspelt", other));
+        changed.push(("absent", copy.clone()));
+        value_at(&mut copy, parent)[format!("{key}_other")] = value;
+        changed.push(("misspelt", copy));
     }
     changed
 }
 
-/// Statuses of `check` for each change of a file's values, a line for each value.
+/// Exit statuses of `check` for each change of each value of a document, one line per value.
 fn statuses(
     dir: &Path,
     name: &str,
     document: &Value,
     args: &(dyn Fn(&str) -> Vec<String> + Sync),
 ) -> Vec<String> {
-    let mut all = Vec::new();
-    paths(document, &[], &mut all);
-    let one = |path: &Vec<Step>| {
-        let place = shown(path);
-        let mut line = format!("{name} {place}:");
-        for (change, other) in changes(document, path) {
-            let file = dir.join(format!("{name} {place} {change}.json"));
-            std::fs::write(&file, other.to_string()).expect("written");
+    let mut paths = Vec::new();
+    collect_paths(document, &[], &mut paths);
+    let check_value = |path: &Vec<Step>| {
+        let key = path_text(path);
+        let mut line = format!("{name} {key}:");
+        for (change, changed) in changes(document, path) {
+            let file = dir.join(format!("{name} {key} {change}.json"));
+            std::fs::write(&file, changed.to_string()).expect("written");
             let args = args(file.to_str().expect("text"));
             let args: Vec<&str> = args.iter().map(String::as_str).collect();
-            let (status, _, why) = golden::run(&args, &[]);
-            assert!(!why.contains("panicked") && (status == 0) == why.is_empty(), "{line} {change}: {why}");
-            // The platform's names are fixed: errors of type give the path.
-            let named = name == "platform" && change == "type" && why.contains(&format!(" {place}: "));
+            let (status, _, stderr) = golden::run(&args, &[]);
+            assert!(
+                !stderr.contains("panicked") && (status == 0) == stderr.is_empty(),
+                "{line} {change}: {stderr}"
+            );
+            // The platform's keys are fixed: errors about a value's type name its path.
+            let named = name == "platform" && change == "type" && stderr.contains(&format!(" {key}: "));
             line.push_str(&format!(" {change}={status}{}", if named { " by name" } else { "" }));
         }
         line
     };
-    let parts: Vec<&[Vec<Step>]> = all.chunks(all.len().div_ceil(4)).collect();
+    let parts: Vec<&[Vec<Step>]> = paths.chunks(paths.len().div_ceil(4)).collect();
     std::thread::scope(|scope| {
-        let one = &one;
-        let threads: Vec<_> =
-            parts.iter().map(|part| scope.spawn(move || part.iter().map(one).collect::<Vec<_>>())).collect();
+        let check_value = &check_value;
+        let threads: Vec<_> = parts
+            .iter()
+            .map(|part| scope.spawn(move || part.iter().map(check_value).collect::<Vec<_>>()))
+            .collect();
         threads.into_iter().flat_map(|thread| thread.join().expect("no panic")).collect()
     })
 }
 
-fn written(dir: &Path, name: &str, document: &Value) -> PathBuf {
+fn write_document(dir: &Path, name: &str, document: &Value) -> PathBuf {
     let path = dir.join(name);
     std::fs::write(&path, document.to_string()).expect("written");
     path
 }
 
 #[test]
-fn each_key_of_a_settings_file_is_taken_under_its_old_name_in_its_old_range() {
+fn each_key_of_a_settings_file_keeps_its_name_and_range() {
     let dir = scratch_dir();
-    let config = written(&dir, "platform.json", &document("platform", &dir));
+    let config = write_document(&dir, "platform.json", &document("platform", &dir));
     let config = config.to_str().expect("text");
     let mut lines = Vec::new();
     for (name, option) in FILES {
         let document = document(name, &dir);
         let args = |file: &str| ["check", "--config", config, option, file].map(str::to_owned).to_vec();
-        let whole = written(&dir, &format!("{name}.json"), &document);
-        let whole = args(whole.to_str().expect("text"));
-        let whole: Vec<&str> = whole.iter().map(String::as_str).collect();
-        assert_eq!(golden::run(&whole, &[]).0, 0, "{name} as it is");
+        let unchanged = write_document(&dir, &format!("{name}.json"), &document);
+        let unchanged = args(unchanged.to_str().expect("text"));
+        let unchanged: Vec<&str> = unchanged.iter().map(String::as_str).collect();
+        assert_eq!(golden::run(&unchanged, &[]).0, 0, "{name} without a change");
         lines.extend(statuses(&dir, name, &document, &args));
     }
     golden::assert_matches("settings-files.txt", &(lines.join("\n") + "\n"));
@@ -159,7 +167,7 @@
 }
 
 #[test]
-fn each_key_of_the_platforms_configuration_is_read_under_its_name() {
+fn each_key_of_the_platforms_configuration_keeps_its_name() {
     let dir = scratch_dir();
     let document = document("platform", &dir);
     let args = |file: &str| ["check", "--config", file].map(str::to_owned).to_vec();
@@ -168,11 +176,11 @@
     drop(std::fs::remove_dir_all(dir));
 }
 
-/// `check` accepts each settings file in `deploy/`, those of today and those of before.
+/// `check` accepts each settings file in `deploy/`, the present and the earlier versions.
 #[test]
 fn shipped_settings_files_pass_the_check() {
     let dir = scratch_dir();
-    let config = written(&dir, "platform.json", &document("platform", &dir));
+    let config = write_document(&dir, "platform.json", &document("platform", &dir));
     let config = config.to_str().expect("text");
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     for (option, file) in [
@@ -184,14 +192,15 @@
     ] {
         for path in [deploy.join(file), golden::path("settings").join(file)] {
             let path = path.to_str().expect("text");
-            let (status, _, why) = golden::run(&["check", "--config", config, option, path], &[]);
-            assert_eq!((status, why.as_str()), (0, ""), "{path}");
+            let (status, _, stderr) = golden::run(&["check", "--config", config, option, path], &[]);
+            assert_eq!((status, stderr.as_str()), (0, ""), "{path}");
         }
     }
-    // The second front's file names paths of its own machine, and everything before them is accepted.
+    // The second front's file has paths that exist only where it is deployed; everything before them is
+    // accepted.
     let second = deploy.join("second-front.json");
     let second = second.to_str().expect("text");
-    let (status, _, why) = golden::run(&["check", "--config", config, "--operator", second], &[]);
-    assert!(status == 2 && why.contains("acme.trust_root: does not exist"), "{why}");
+    let (status, _, stderr) = golden::run(&["check", "--config", config, "--operator", second], &[]);
+    assert!(status == 2 && stderr.contains("acme.trust_root: does not exist"), "{stderr}");
     drop(std::fs::remove_dir_all(dir));
 }
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -1,25 +1,26 @@
-//! Golden: conversations with clients and engines, byte for byte, and calls to the operators' address. Only what is
-//! random is masked: process ids and secrets, ids and keys that the program draws, and times.
+//! Golden files of the wire protocols: conversations with clients and engines, byte for byte, and calls to
+//! the operators' address. Only random values are masked: process ids and secrets, ids and keys that the
+//! program generates, and times.
 mod support;
 
 use std::net::SocketAddr;
 use support::admin_client::call;
 use support::*;
 
-/// Masks the digits behind a text.
-fn mask_number(text: &str, before: &str) -> String {
-    let mut parts = text.split(before);
+/// Replaces the digits after each `prefix` by `#`.
+fn mask_number(text: &str, prefix: &str) -> String {
+    let mut parts = text.split(prefix);
     let mut masked = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         let rest = part.trim_start_matches(|c: char| c.is_ascii_digit());
-        masked.push_str(before);
+        masked.push_str(prefix);
         masked.push_str(if rest.len() < part.len() { "#" } else { "" });
         masked.push_str(rest);
     }
     masked
 }
 
-/// A conversation as it is written down: one line a message.
+/// Record of a conversation, one line per message.
 #[derive(Default)]
 struct Transcript {
     text: String,
@@ -27,14 +28,14 @@
 }
 
 impl Transcript {
-    fn line(&mut self, who: &str, bytes: &[u8]) {
+    fn line(&mut self, sender: &str, bytes: &[u8]) {
         let text = bytes.escape_ascii().to_string();
         let text = mask_number(&mask_number(&text, "retry_after_ms="), "Come back in ");
-        println!("{who} {text}");
-        self.text.push_str(&format!("{who} {text}\n"));
+        println!("{sender} {text}");
+        self.text.push_str(&format!("{sender} {text}\n"));
     }
 
-    fn note(&mut self, text: &str) {
+    fn heading(&mut self, text: &str) {
         self.text.push_str(&format!("-- {text}\n"));
     }
 
@@ -45,7 +46,7 @@
 
     fn message(&mut self, message: Option<Message>) {
         match message {
-            // The process id and secret of a session.
+            // BackendKeyData: process id and secret of a session.
             Some((b'K', body)) => self.line("client <", format!("K {} random bytes", body.len()).as_bytes()),
             Some((tag, body)) => self.line("client <", &framed(tag, &body)),
             None => self.line("client <", b"(end)"),
@@ -55,9 +56,9 @@
     fn until_ready(&mut self, client: &mut RawClient) {
         loop {
             let message = client.message();
-            let last = message.as_ref().is_none_or(|m| m.0 == b'Z');
+            let is_last = message.as_ref().is_none_or(|m| m.0 == b'Z');
             self.message(message);
-            if last {
+            if is_last {
                 return;
             }
         }
@@ -69,11 +70,11 @@
         self.until_ready(client);
     }
 
-    /// What the engine was sent since the last time.
-    fn engine(&mut self, engine: &Engine) {
+    /// Records the commands that the engine received since the last call.
+    fn engine_commands(&mut self, engine: &Engine) {
         for command in engine.all_received().into_iter().skip(self.engine_received) {
             self.engine_received += 1;
-            // Waits shrink, priorities and grants follow the load of the moment.
+            // Masked: waits, which shrink, and priorities and grants, which depend on the load.
             let mask = |part: &String| {
                 let masked =
                     ["wait=", "nice=", "mb="].iter().fold(part.clone(), |p, name| mask_number(&p, name));
@@ -90,7 +91,7 @@
     query(&format!("/* {head}{more} */ SELECT a FROM sales_17.orders"))
 }
 
-/// A stand-in engine whose answer depends on the request's last digit.
+/// A stand-in engine whose answer depends on the last digit of the request id.
 fn engine() -> Engine {
     Engine::start(|command| match command.parts[1].as_bytes().last() {
         Some(b'c') => Reply::Hold,
@@ -111,7 +112,8 @@
     [&(rest.len() as u32 + 8).to_be_bytes()[..], &code.to_be_bytes(), rest].concat()
 }
 
-/// Openings: encryption, versions and options of the protocol, a cancel for nobody.
+/// Opens connections with requests for encryption, several protocol versions and options, and a CancelRequest
+/// for no session; returns the client of the last one.
 fn openings(transcript: &mut Transcript, at: SocketAddr) -> RawClient {
     for code in [80_877_104, 80_877_103] {
         let mut client = open(transcript, at, &opening(code, b""));
@@ -127,9 +129,9 @@
     ] {
         let mut client = open(transcript, at, &opening(code, rest));
         let message = client.message();
-        let ended = message.is_none();
+        let is_end = message.is_none();
         transcript.message(message);
-        if !ended {
+        if !is_end {
             let message = client.message();
             transcript.message(message);
         }
@@ -148,22 +150,23 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-fn platform() -> Transcript {
+/// A conversation on the platform's front.
+fn platform_conversation() -> Transcript {
     let engine = engine();
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut transcript = Transcript::default();
     let t = &mut transcript;
     let mut client = openings(t, program.platform);
 
-    t.note("served");
+    t.heading("served");
     t.ask(&mut client, &query(""));
     t.ask(&mut client, &sql("lane-rate", 1, ",ms=820.0,heap_mb=96"));
     t.ask(&mut client, &sql("lane-rate", 2, ""));
     engine.wait_for("page", 2);
     t.ask(&mut client, &sql("tariff-load", 3, ",opkey=5c0f6e,resent=1,unknown=x"));
-    t.engine(&engine);
+    t.engine_commands(&engine);
 
-    t.note("rejected by the field");
+    t.heading("rejected by the field");
     for text in [
         "/* kind=lane-rate,req=12,timeout=5 */ SELECT 1",
         "SELECT 1",
@@ -184,30 +187,31 @@
     t.ask(&mut client, &framed(b'Q', b"no end"));
     t.ask(&mut client, &query("/* kind=lane-rate,req=0000000000000011 */ SELECT 1; DROP TABLE a.b"));
 
-    t.note("a request's id a second time: another statement, then the same");
-    let other = String::from_utf8(sql("lane-rate", 1, "")).expect("text").replace("orders", "weight");
-    t.ask(&mut client, other.as_bytes());
+    t.heading("a request's id a second time: another statement, then the same");
+    let other_statement =
+        String::from_utf8(sql("lane-rate", 1, "")).expect("text").replace("orders", "weight");
+    t.ask(&mut client, other_statement.as_bytes());
     t.ask(&mut client, &sql("lane-rate", 1, ",ms=820.0,heap_mb=96"));
 
-    t.note("refused for load, with when to come back");
+    t.heading("refused for load, with when to come back");
     t.ask(&mut client, &sql("lane-rate", 0x20, ",ms=600000"));
 
-    t.note("cancelled");
+    t.heading("cancelled");
     t.send(&mut client, &sql("lane-rate", 0x2c, ",ms=5"));
     wait_until(|| engine.received("do").iter().any(|command| command.parts[1].ends_with("2c")).then_some(()));
     client.cancel(program.platform);
     t.until_ready(&mut client);
     engine.wait_for("undo", 1);
-    t.engine(&engine);
+    t.engine_commands(&engine);
 
-    t.note("messages that are not spoken here");
+    t.heading("messages that are not spoken here");
     t.ask(&mut client, &[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
     t.ask(&mut client, &[framed(b'F', b"\0\0\0\x01"), sync()].concat());
     t.ask(&mut client, &sync());
     t.ask(&mut client, &[framed(b'p', b"secret\0"), sync()].concat());
     t.ask(&mut client, &query("SELECT 1"));
 
-    t.note("the end, asked for and forced");
+    t.heading("the end, asked for and forced");
     t.send(&mut client, &framed(b'X', b""));
     let last = client.message();
     t.message(last);
@@ -217,47 +221,47 @@
         let message = client.message();
         t.message(message);
     }
-    t.engine(&engine);
+    t.engine_commands(&engine);
     transcript
 }
 
 #[test]
-fn a_conversation_on_the_platforms_front_has_the_bytes_of_before() {
-    golden::assert_matches("wire-platform.txt", &platform().text);
+fn conversation_on_the_platforms_front_has_the_same_bytes_as_before() {
+    golden::assert_matches("wire-platform.txt", &platform_conversation().text);
 }
 
 const LANE: &str = "/* kind=lane-rate,ms=5 */ SELECT price FROM rates_3.lanes WHERE lane = $1";
 
-fn describe(kind: u8, name: &str) -> Vec<u8> {
-    framed(b'D', &[&[kind], name.as_bytes(), b"\0"].concat())
+fn describe(object_type: u8, name: &str) -> Vec<u8> {
+    framed(b'D', &[&[object_type], name.as_bytes(), b"\0"].concat())
 }
 
-/// Names what the program drew: request ids and keys, in the order in which they came.
-fn name_drawn(text: &str) -> String {
-    let mut drawn: Vec<&str> = Vec::new();
+/// Replaces generated request ids and keys by names, numbered in the order in which they first occur.
+fn mask_generated(text: &str) -> String {
+    let mut generated: Vec<&str> = Vec::new();
     let quoted = text.lines().filter(|l| l.starts_with("engine <")).flat_map(|l| l.split('"'));
     for part in quoted.flat_map(|part| part.split(['=', ',', '\\'])) {
-        let hex = part.bytes().all(|b| b.is_ascii_hexdigit());
-        if hex && [16, 32].contains(&part.len()) && !drawn.contains(&part) {
-            drawn.push(part);
+        let is_hex = part.bytes().all(|b| b.is_ascii_hexdigit());
+        if is_hex && [16, 32].contains(&part.len()) && !generated.contains(&part) {
+            generated.push(part);
         }
     }
-    let mut named = text.to_owned();
-    drawn.sort_by_key(|part| std::cmp::Reverse((part.len(), text.find(part).map(std::cmp::Reverse))));
-    for (number, part) in drawn.iter().enumerate() {
-        named = named.replace(part, &format!("drawn-{}-{number}", part.len()));
+    let mut masked = text.to_owned();
+    generated.sort_by_key(|part| std::cmp::Reverse((part.len(), text.find(part).map(std::cmp::Reverse))));
+    for (number, part) in generated.iter().enumerate() {
+        masked = masked.replace(part, &format!("drawn-{}-{number}", part.len()));
     }
-    named
+    masked
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-fn a_conversation_on_the_second_front_has_the_bytes_of_before() {
-    let holds = std::sync::atomic::AtomicBool::new(false);
+fn conversation_on_the_second_front_has_the_same_bytes_as_before() {
+    let has_held = std::sync::atomic::AtomicBool::new(false);
     let engine = Engine::start(move |command| {
-        let held =
-            command.parts[3].contains("hold") && !holds.swap(true, std::sync::atomic::Ordering::SeqCst);
-        match held {
+        let is_held =
+            command.parts[3].contains("hold") && !has_held.swap(true, std::sync::atomic::Ordering::SeqCst);
+        match is_held {
             true => Reply::Hold,
             false => Reply::Pages(vec!["1\ta\tb\n2\ta\tb\n".into(), "3\ta\tb\n".into()]),
         }
@@ -269,7 +273,7 @@
     let t = &mut transcript;
     let mut client = openings(t, at);
 
-    t.note("prepared, described, bound, executed in parts, closed");
+    t.heading("prepared, described, bound, executed in parts, closed");
     t.ask(&mut client, &[parse("st", LANE), describe(b'S', "st"), sync()].concat());
     let bound = bind("po", "st", &["o'lane"]);
     t.ask(&mut client, &[bound, describe(b'P', "po"), execute("po", 2), sync()].concat());
@@ -279,9 +283,9 @@
         &[framed(b'C', b"Ppo\0"), framed(b'C', b"Sst\0"), framed(b'C', b"Snil\0"), sync()].concat(),
     );
     engine.wait_for("page", 1);
-    t.engine(&engine);
+    t.engine_commands(&engine);
 
-    t.note("simple queries, settings, a keyed class with a key drawn here");
+    t.heading("simple queries, settings, a keyed class with a key drawn here");
     t.ask(&mut client, &query(""));
     t.ask(&mut client, &query("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b"));
     t.ask(&mut client, &query("/* kind=tariff-load,ms=5 */ INSERT INTO t_1.x VALUES (1)"));
@@ -291,9 +295,9 @@
         t.ask(&mut client, &query(text));
     }
     engine.wait_for("page", 4);
-    t.engine(&engine);
+    t.engine_commands(&engine);
 
-    t.note("not supported, not there, there already");
+    t.heading("not supported, not there, there already");
     for text in ["BEGIN", "COPY t FROM STDIN", "SELECT 1; SELECT 2", "DECLARE c CURSOR FOR x", "SELECT 1"] {
         t.ask(&mut client, &query(text));
     }
@@ -305,20 +309,20 @@
     t.ask(&mut client, &[parse("a", LANE), sync()].concat());
     t.ask(&mut client, &[framed(b'F', b"\0\0\0\x01"), sync()].concat());
 
-    t.note("cancelled");
+    t.heading("cancelled");
     let hold = "/* kind=lane-rate,ms=5 */ SELECT hold FROM a_1.b";
     t.send(&mut client, &[parse("", hold), bind("", "", &[]), execute("", 0), sync()].concat());
     engine.wait_for("do", 5);
     client.cancel(at);
     t.until_ready(&mut client);
     engine.wait_for("undo", 1);
-    t.engine(&engine);
-    golden::assert_matches("wire-second-front.txt", &name_drawn(&transcript.text));
+    t.engine_commands(&engine);
+    golden::assert_matches("wire-second-front.txt", &mask_generated(&transcript.text));
 }
 
-/// Calls to the operators' address: status, headers and body. Times and figures that differ from run to run are masked.
+/// Calls to the operators' address: status and body.
 #[test]
-fn calls_of_operators_are_answered_as_before() {
+fn admin_calls_are_answered_as_before() {
     let engine = engine();
     let program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let at = program.operators.expect("an address");
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -1,6 +1,5 @@
-//! Two programs side by side, one build against another, as ratios in one run: processor time at a start, a
-//! request and an event of the control feed, and memory at a start and after the load. Not part of the suite:
-//! `SPRUCELINK_BEFORE=PATH SPRUCELINK_AFTER=PATH cargo test --test measure_plumbing -- --ignored --nocapture`.
+//! Compares two builds of the program, as ratios within one run: processor time of a start, a request and a
+//! control feed event, and memory after the start and after the load. Not part of the suite:
 mod support;
 
 use std::os::unix::fs::PermissionsExt;
@@ -15,112 +14,113 @@
 const EVENTS: usize = 400;
 
 /// Processor time of the whole process so far, in microseconds.
-fn cpu(program: &Program) -> f64 {
+fn processor_time(program: &Program) -> f64 {
     let root = format!("/proc/{}/task", program.id());
     let tasks = std::fs::read_dir(&root).expect("read").map(|e| e.expect("a task").path());
-    let one = |task: std::path::PathBuf| -> f64 {
+    let task_time = |task: std::path::PathBuf| -> f64 {
         let text = std::fs::read_to_string(task.join("schedstat")).unwrap_or_default();
         text.split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0.0)
     };
-    tasks.map(one).sum::<f64>() / 1e3
+    tasks.map(task_time).sum::<f64>() / 1e3
 }
 
-/// Memory in KiB by a name of `/proc/ID/status`.
+/// Memory in KiB, by the name of a field in `/proc/PID/status`.
 fn memory(program: &Program, name: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{}/status", program.id())).expect("read");
     let line = text.lines().find(|l| l.starts_with(name)).expect("a line");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
 }
 
-const FIGURES: [&str; 8] = [
-    "start: us of processor",
-    "start: KiB resident",
-    "start: KiB of it not in files",
-    "us of processor a request",
-    "us of processor an event of the feed",
-    "after the load: KiB resident",
-    "after the load: KiB of it not in files",
-    "peak KiB resident",
+const METRICS: [&str; 8] = [
+    "start: processor time, us",
+    "start: resident memory, KiB",
+    "start: resident anonymous memory, KiB",
+    "processor time per request, us",
+    "processor time per feed event, us",
+    "after the load: resident memory, KiB",
+    "after the load: resident anonymous memory, KiB",
+    "peak resident memory, KiB",
 ];
 
-/// A fresh copy of a program's file: how much of it a process holds resident goes by how the file lies in the page
-/// cache, and that by how and when it was written.
-fn copied(path: &str) -> std::path::PathBuf {
+/// A fresh copy of a program's file. How much of the file a process has resident depends on how the file lies
+/// in the page cache, which depends on how and when it was written.
+fn fresh_copy(path: &str) -> std::path::PathBuf {
     let copy = scratch_dir().join("program");
     std::fs::write(&copy, std::fs::read(path).expect("read")).expect("written");
     std::fs::set_permissions(&copy, std::fs::Permissions::from_mode(0o755)).expect("set");
     copy
 }
 
-/// One program's figures, under a limit of 32 MB.
-fn round(path: &str) -> [f64; 8] {
-    let file = copied(path);
+/// Measures one program under a memory limit of 32 MB. The results are in the order of [`METRICS`].
+fn measure(path: &str) -> [f64; 8] {
+    let file = fresh_copy(path);
     std::env::set_var("SPRUCELINK_PROGRAM", &file);
     let engines: Vec<Engine> = (0..8).map(|_| Engine::echo()).collect();
     let ids: Vec<String> = (1..=8).map(|n| format!("s-{n}")).collect();
-    let named: Vec<_> = ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
+    let engines_by_id: Vec<_> =
+        ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
     let feed = Feed::start();
-    let whole: Vec<_> = named.iter().map(|(id, at)| (*id, *at, "ready")).collect();
-    feed.send(list(1, true, &whole));
-    let mut program = Program::launch(&named, Some(&feed), None, (32, 1024), BUSY, &[]);
+    let listed: Vec<_> = engines_by_id.iter().map(|(id, address)| (*id, *address, "ready")).collect();
+    feed.send(list(1, true, &listed));
+    let mut program = Program::launch(&engines_by_id, Some(&feed), None, (32, 1024), BUSY, &[]);
     wait_until(|| (feed.open_calls() > 0).then_some(()));
     thread::sleep(Duration::from_millis(300));
-    let start = [cpu(&program), memory(&program, "VmRSS"), memory(&program, "RssAnon")];
+    let start = [processor_time(&program), memory(&program, "VmRSS"), memory(&program, "RssAnon")];
     let to = program.platform;
-    let ask = |from: u64, n: u64| {
-        let all = (0..SESSIONS).map(|s| {
+    let send_requests = |first_id: u64, count: u64| {
+        let threads = (0..SESSIONS).map(|s| {
             thread::spawn(move || {
                 let mut raw = RawClient::connect(to);
-                for k in 0..n {
-                    let sql = support::timed_engine::lookup_sql((s << 40) + from + k, 5);
+                for k in 0..count {
+                    let sql = support::timed_engine::lookup_sql((s << 40) + first_id + k, 5);
                     assert_eq!(rows(&raw.ask(&sql)).len(), 1);
                 }
             })
         });
-        all.collect::<Vec<_>>().into_iter().for_each(|t| t.join().expect("asked"));
+        threads.collect::<Vec<_>>().into_iter().for_each(|t| t.join().expect("served"));
     };
-    ask(0, 100);
-    let before = cpu(&program);
-    ask(1_000, REQUESTS);
-    let asked = cpu(&program);
-    (0..EVENTS).for_each(|n| feed.send(list(n + 2, false, &whole[..1])));
+    send_requests(0, 100);
+    let before_requests = processor_time(&program);
+    send_requests(1_000, REQUESTS);
+    let before_events = processor_time(&program);
+    (0..EVENTS).for_each(|n| feed.send(list(n + 2, false, &listed[..1])));
     feed.send(list(EVENTS + 2, false, &[("s-last", engines[0].address, "ready")]));
     program.wait_line("engine_id=s-last phase=Ready");
-    let told = cpu(&program);
+    let after_events = processor_time(&program);
     let end = [memory(&program, "VmRSS"), memory(&program, "RssAnon"), memory(&program, "VmHWM")];
     program.terminate();
     program.wait_for_exit();
     std::fs::remove_dir_all(file.parent().expect("a folder")).expect("removed");
-    let a_request = (asked - before) / (SESSIONS * REQUESTS) as f64;
-    let an_event = (told - asked) / EVENTS as f64;
-    [start[0], start[1], start[2], a_request, an_event, end[0], end[1], end[2]]
+    let per_request = (before_events - before_requests) / (SESSIONS * REQUESTS) as f64;
+    let per_event = (after_events - before_events) / EVENTS as f64;
+    [start[0], start[1], start[2], per_request, per_event, end[0], end[1], end[2]]
 }
 
 #[test]
 #[ignore = "measures for about a minute"]
-fn one_build_against_another() {
-    let path = |name: &str| std::env::var(name).unwrap_or_else(|_| panic!("{name} names a program"));
+fn compare_two_builds() {
+    let path = |name: &str| std::env::var(name).unwrap_or_else(|_| panic!("{name} must name a program"));
     let (before, after) = (path("SPRUCELINK_BEFORE"), path("SPRUCELINK_AFTER"));
-    let mut all: Vec<[[f64; 8]; 2]> = Vec::new();
+    let mut rounds: Vec<[[f64; 8]; 2]> = Vec::new();
     for n in 0..ROUNDS {
-        // The order changes from round to round, so that warming up favours neither.
-        all.push(if n % 2 == 0 {
-            let first = round(&before);
-            [first, round(&after)]
+        // The order alternates between rounds, so that warming up favours neither.
+        rounds.push(if n % 2 == 0 {
+            let first = measure(&before);
+            [first, measure(&after)]
         } else {
-            let first = round(&after);
-            [round(&before), first]
+            let first = measure(&after);
+            [measure(&before), first]
         });
     }
-    let middle = |mut v: Vec<f64>| {
-        v.sort_by(f64::total_cmp);
-        (v[v.len() / 2], v[0], v[v.len() - 1])
+    let median_and_range = |mut values: Vec<f64>| {
+        values.sort_by(f64::total_cmp);
+        (values[values.len() / 2], values[0], values[values.len() - 1])
     };
-    println!("| figure | before | after | after against before (least to most of {ROUNDS} pairs) |");
+    println!("| metric | before | after | after relative to before (minimum to maximum of {ROUNDS} pairs) |");
     println!("| --- | --- | --- | --- |");
-    for (i, name) in FIGURES.iter().enumerate() {
-        let of = |side: usize| middle(all.iter().map(|r| r[side][i]).collect()).0;
-        let (ratio, least, most) = middle(all.iter().map(|r| r[1][i] / r[0][i]).collect());
-        println!("| {name} | {:.1} | {:.1} | {ratio:.3} ({least:.3} to {most:.3}) |", of(0), of(1));
+    for (i, name) in METRICS.iter().enumerate() {
+        let median = |build: usize| median_and_range(rounds.iter().map(|r| r[build][i]).collect()).0;
+        let (ratio, min, max) = median_and_range(rounds.iter().map(|r| r[1][i] / r[0][i]).collect());
+        println!("| {name} | {:.1} | {:.1} | {ratio:.3} ({min:.3} to {max:.3}) |", median(0), median(1));
     }
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,25 +1,26 @@
-//! The codecs on valid input cut at random and on random bytes, from fixed seeds.
+//! Property tests of the codecs, with valid input truncated at any byte and with random bytes, from fixed
+//! seeds.
 
 use quickcheck::{Arbitrary, Gen};
 use sprucelink::proto::engine_command::QueryFields;
 use sprucelink::proto::{engine_answer, events, fields, literal, pg, resp, sse, tables};
 
-/// Checks a property on 2,000 values that are the same in every run.
+/// Checks a property with 2,000 values that are the same in every run.
 fn check<A: Arbitrary + std::fmt::Debug>(seed: u64, property: fn(A) -> bool) {
     let mut gen = Gen::from_size_and_seed(64, seed);
     for _ in 0..2_000 {
         let value = A::arbitrary(&mut gen);
-        let shown = format!("{value:?}");
-        assert!(property(value), "does not hold for {shown}");
+        let description = format!("{value:?}");
+        assert!(property(value), "the property does not hold for {description}");
     }
 }
 
-/// Random bytes mixed with pieces of what the parsers accept.
+/// Random bytes mixed with fragments that the parsers accept.
 #[derive(Clone, Debug)]
 struct Noise(Vec<u8>);
 impl Arbitrary for Noise {
     fn arbitrary(g: &mut Gen) -> Noise {
-        let words: [&[u8]; 22] = [
+        let fragments: [&[u8]; 22] = [
             b"*2\r\n",
             b"$3\r\n",
             b"abc\r\n",
@@ -45,8 +46,8 @@
         ];
         let mut out = Vec::new();
         for _ in 0..usize::arbitrary(g) % 12 {
-            match g.choose(&words) {
-                Some(word) if bool::arbitrary(g) => out.extend_from_slice(word),
+            match g.choose(&fragments) {
+                Some(fragment) if bool::arbitrary(g) => out.extend_from_slice(fragment),
                 _ => out.push(u8::arbitrary(g)),
             }
         }
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn random_bytes_panic_no_parser() {
+fn random_bytes_cause_no_parser_to_panic() {
     check(1, |Noise(bytes): Noise| {
         if let Ok(Some(array)) = resp::read_array(&bytes, 64) {
             assert!(array.length <= bytes.len() && array.length <= 64);
@@ -80,7 +81,7 @@
     });
 }
 
-/// The tokens of a statement, joined, are the statement.
+/// A statement without parameters is returned unchanged.
 #[test]
 fn substitution_without_parameters_is_the_identity() {
     check(2, |Noise(bytes): Noise| {
@@ -96,27 +97,28 @@
     out
 }
 
-/// An array that is cut anywhere needs more bytes; a complete one is what was written, whatever follows it.
+/// An array truncated at any byte needs more input; a complete one is read as it was written, whatever
+/// follows it.
 #[test]
-fn cut_arrays_are_incomplete() {
+fn truncated_arrays_are_incomplete() {
     check(3, |parts: Vec<String>| {
         let parts = &parts[..parts.len().min(8)];
         let bytes = command(parts);
         if parts.is_empty() {
             return resp::read_array(&bytes, 1 << 20).is_err();
         }
-        let cut = |n: usize| matches!(resp::read_array(&bytes[..n], 1 << 20), Ok(None));
-        let more = [&bytes[..], b"*9"].concat();
-        let read = resp::read_array(&more, 1 << 20).expect("legal").expect("complete");
-        (0..bytes.len()).all(cut)
+        let is_incomplete = |n: usize| matches!(resp::read_array(&bytes[..n], 1 << 20), Ok(None));
+        let with_following = [&bytes[..], b"*9"].concat();
+        let read = resp::read_array(&with_following, 1 << 20).expect("valid input").expect("complete");
+        (0..bytes.len()).all(is_incomplete)
             && read.length == bytes.len()
             && read.parts.iter().zip(parts).all(|(a, b)| *a == b.as_bytes())
     });
 }
 
-/// A message that is cut anywhere needs more bytes, and is never read as another message.
+/// A message truncated at any byte needs more input, and is never read as another message.
 #[test]
-fn cut_client_messages_are_incomplete() {
+fn truncated_client_messages_are_incomplete() {
     check(4, |(name, sql, values): (String, String, Vec<Option<Vec<u8>>>)| {
         let (name, sql) = (name.replace('\0', ""), sql.replace('\0', ""));
         let mut body = format!("{name}\0{sql}\0").into_bytes();
@@ -128,16 +130,16 @@
         }
         body.extend_from_slice(&[0, 0]);
         let bytes = [&b"B"[..], &(body.len() as u32 + 4).to_be_bytes(), &body].concat();
-        let cut = |n: usize| matches!(pg::read_message(&bytes[..n], 1 << 20), Ok(None));
-        let whole = pg::read_message(&bytes, 1 << 20).expect("legal").expect("complete");
+        let is_incomplete = |n: usize| matches!(pg::read_message(&bytes[..n], 1 << 20), Ok(None));
+        let complete = pg::read_message(&bytes, 1 << 20).expect("valid input").expect("complete");
         let values: Vec<Option<&[u8]>> = values.iter().map(|v| v.as_deref()).collect();
         let (formats, result_formats) = (Vec::new(), Vec::new());
-        let wanted = pg::Message::Bind { portal: &name, statement: &sql, formats, values, result_formats };
-        (0..bytes.len()).all(cut) && whole == (wanted, bytes.len())
+        let expected = pg::Message::Bind { portal: &name, statement: &sql, formats, values, result_formats };
+        (0..bytes.len()).all(is_incomplete) && complete == (expected, bytes.len())
     });
 }
 
-/// A feed gives the same events in whatever pieces it is read.
+/// The decoder returns the same events for any division of the input into pieces.
 #[test]
 fn feed_events_do_not_depend_on_piece_sizes() {
     check(5, |sizes: Vec<u8>| {
@@ -145,25 +147,25 @@
             b": hello\n\nid: 41\ndata: {\"a\":\r\ndata: 1}\n\n: still here\n\nid:42\ndata:x\n\nid: 43\n";
         let (mut decoder, mut out) = (sse::Decoder::default(), Vec::new());
         for n in sizes.iter().map(|n| usize::from(*n) % 13 + 1).chain([usize::MAX]) {
-            let (piece, more) = rest.split_at(n.min(rest.len()));
-            decoder.decode(piece, &mut out).expect("legal");
-            rest = more;
+            let (piece, remainder) = rest.split_at(n.min(rest.len()));
+            decoder.decode(piece, &mut out).expect("valid input");
+            rest = remainder;
         }
-        let sent = |id, data: &str| sse::ServerSentEvent { id: Some(id), data: data.into() };
-        out == [sent(41, "{\"a\":\n1}"), sent(42, "x")]
+        let event = |id, data: &str| sse::ServerSentEvent { id: Some(id), data: data.into() };
+        out == [event(41, "{\"a\":\n1}"), event(42, "x")]
     });
 }
 
-/// A feed that never ends a line or an event is rejected before it fills the memory.
+/// A line or event without an end is rejected before it exhausts memory.
 #[test]
 fn endless_event_is_rejected() {
     for line in ["x", "data: 0123456789abcdef\n"] {
         let (mut decoder, mut out) = (sse::Decoder::default(), Vec::new());
         let piece = line.repeat(8_192 / line.len()).into_bytes();
-        let took = (0..).take_while(|_| decoder.decode(&piece, &mut out).is_ok()).count() * piece.len();
+        let accepted = (0..).take_while(|_| decoder.decode(&piece, &mut out).is_ok()).count() * piece.len();
         assert!(
-            (sse::MAX_EVENT_BYTES / 2..2 * sse::MAX_EVENT_BYTES).contains(&took) && out.is_empty(),
-            "{took} bytes"
+            (sse::MAX_EVENT_BYTES / 2..2 * sse::MAX_EVENT_BYTES).contains(&accepted) && out.is_empty(),
+            "{accepted} bytes accepted"
         );
     }
 }
@@ -189,16 +191,19 @@
 }
 
 #[test]
-fn fields_are_read_from_the_first_comment_alone() {
+fn fields_are_read_only_from_the_first_comment() {
     let text = "/* kind=report,req=9b1f03aa5c7e2d41,timeout=1500,ms=820.0,heap_mb=96 */ SELECT day";
-    let (f, statement) = fields::split(text).expect("legal");
+    let (fields, statement) = fields::split(text).expect("valid input");
     assert_eq!(
-        (f.class.as_deref(), f.request_id, f.timeout_ms),
+        (fields.class.as_deref(), fields.request_id, fields.timeout_ms),
         (Some("report"), Some(0x9b1f_03aa_5c7e_2d41), Some(1500))
     );
-    assert_eq!((f.work_ms, f.memory_mb, statement), (Some(820.0), Some(96.0), "SELECT day"));
-    let own = "/* a note, of mine */ SELECT 1";
-    assert_eq!(fields::split(own).expect("legal"), (fields::Fields::default(), own));
+    assert_eq!((fields.work_ms, fields.memory_mb, statement), (Some(820.0), Some(96.0), "SELECT day"));
+    let without_fields = "/* a note, of mine */ SELECT 1";
+    assert_eq!(
+        fields::split(without_fields).expect("valid input"),
+        (fields::Fields::default(), without_fields)
+    );
     for (text, name) in [
         ("/* req=12 */ x", "req"),
         ("/* timeout=-1 */ x", "timeout"),
@@ -206,12 +211,13 @@
         ("/* kind=a", "comment"),
         ("/* opkey=a;b,opkey= */ x", "opkey"),
     ] {
-        let e = fields::split(text).expect_err("malformed");
-        assert!(e.to_string().contains(name), "{text}: {e}");
+        let error = fields::split(text).expect_err("malformed");
+        assert!(error.to_string().contains(name), "{text}: {error}");
     }
 }
 
-/// Clients, engines' operators and log readers know these texts: they do not change with the types behind them.
+/// Clients, operators of engines and log readers rely on these texts: they must not change when the error
+/// types change.
 #[test]
 fn error_texts_are_those_of_earlier_releases() {
     use engine_answer::EngineAnswerError;
@@ -254,8 +260,8 @@
         (EngineAnswerError::InvalidPage.to_string(), "field body is no page of whole rows"),
         (EngineAnswerError::ResultTooLong.to_string(), "field body makes the result longer than any may be"),
     ];
-    for (text, wanted) in texts {
-        assert_eq!(text, wanted);
+    for (text, expected) in texts {
+        assert_eq!(text, expected);
     }
     let error = pg::ErrorResponse::from(PgError::UnknownObjectKind);
     assert_eq!(
@@ -274,8 +280,8 @@
         ("\u{fffd}", "field data is not UTF-8"),
         ("{", "field data is not JSON: EOF while parsing an object at line 1 column 1"),
     ];
-    for (text, wanted) in events {
-        assert_eq!(events::parse(text).expect_err(text).to_string(), wanted);
+    for (text, expected) in events {
+        assert_eq!(events::parse(text).expect_err(text).to_string(), expected);
     }
     let arrays: [(&[u8], &str); 6] = [
         (b"*0\r\n", "field array has no legal number of parts"),
@@ -285,26 +291,26 @@
         (b"*12345678\r\n", "field length is too long"),
         (b"*x\r\n", "field length is not a number"),
     ];
-    for (bytes, wanted) in arrays {
-        assert_eq!(resp::read_array(bytes, 64).expect_err(wanted).to_string(), wanted);
+    for (bytes, expected) in arrays {
+        assert_eq!(resp::read_array(bytes, 64).expect_err(expected).to_string(), expected);
     }
 }
 
 #[test]
 fn query_fields_are_written_in_the_engines_form() {
-    let least = QueryFields {
+    let minimal = QueryFields {
         class: "lane-rate",
         time_left_ms: -5,
         idempotency_key: None,
         memory_grant_mb: None,
         priority: 3,
     };
-    assert_eq!(least.to_string(), "class=lane-rate,wait=1,nice=3");
+    assert_eq!(minimal.to_string(), "class=lane-rate,wait=1,nice=3");
     let full = QueryFields {
         time_left_ms: 1_500,
         idempotency_key: Some("5c0f6e"),
         memory_grant_mb: Some(0.25),
-        ..least
+        ..minimal
     };
     assert_eq!(full.to_string(), "class=lane-rate,wait=1500,once=5c0f6e,mb=1,nice=3");
     let granted = QueryFields { memory_grant_mb: Some(95.5), ..full };
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -1,5 +1,4 @@
-//! Golden files: output of the program before the readability work, with which the present output is
-//! compared.
+//! Golden files: output of an earlier version of the program, with which the present output is compared.
 //!
 //! `GOLDEN_WRITE=1` with `SPRUCELINK_PROGRAM` set to another program's file rewrites the golden files from
 //! that program's output. Such a run fails every test that wrote a file, so that it can't be mistaken for a
