--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The program on sockets: the platform's front, the engines' protocol, the feed, start and stop.
+//! The program on sockets: the platform's front, the engine protocol, the control feed, start and stop.
 mod support;
 
 use std::io::Write;
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-fn sql(class: &str, req: u64, more: &str) -> String {
-    format!("/* kind={class},req={req:016x},timeout=20000,owner=sud{more} */ SELECT a FROM sales_17.orders")
+fn sql(class: &str, req: u64, extra: &str) -> String {
+    format!("/* kind={class},req={req:016x},timeout=20000,owner=sud{extra} */ SELECT a FROM sales_17.orders")
 }
 
 #[test]
@@ -16,11 +16,11 @@
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(page).collect()));
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = RawClient::connect(program.platform);
-    let got = raw.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
-    let wanted: Vec<String> =
+    let answer = raw.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
+    let expected: Vec<String> =
         (0..8).flat_map(|n| (0..40).map(move |i| format!("{n}|{i}|'quoted' \u{e9}"))).collect();
-    assert_eq!(rows(&got), wanted);
-    assert_eq!(message_types(&got).replace('D', ""), "TCZ");
+    assert_eq!(rows(&answer), expected);
+    assert_eq!(message_types(&answer).replace('D', ""), "TCZ");
     let sent = &engine.received("do")[0];
     assert_eq!(
         (sent.parts[1].as_str(), sent.parts[3].as_str()),
@@ -42,23 +42,23 @@
         [80_877_104u32, 80_877_103].map(|code| [8u32.to_be_bytes(), code.to_be_bytes()].concat());
     for packet in encryption {
         raw.send(&packet);
-        let mut word = [0];
-        std::io::Read::read_exact(&mut raw.stream, &mut word).expect("an answer");
-        assert_eq!(word, *b"N");
+        let mut reply = [0];
+        std::io::Read::read_exact(&mut raw.stream, &mut reply).expect("an answer");
+        assert_eq!(reply, *b"N");
     }
     raw.send(&[startup(), query(""), query(" ;\n"), query(&sql("lane-rate", 1, ""))].concat());
     assert!(message_types(&raw.until_ready()).starts_with("RS"));
-    assert_eq!(message_types(&raw.until_ready()), "IZ", "the front's sign of life");
+    assert_eq!(message_types(&raw.until_ready()), "IZ", "the platform's health check");
     assert_eq!(message_types(&raw.until_ready()), "IZ");
     assert_eq!(rows(&raw.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
 }
 
-/// Malformed input harms its own session only, and the error names the field.
+/// Malformed input affects its own session only, and the error names the field.
 #[test]
 fn malformed_message_gets_an_error_that_names_the_field() {
     let engine = Engine::echo();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut good = RawClient::connect(program.platform);
+    let mut session = RawClient::connect(program.platform);
     for (text, name) in [
         ("/* kind=lane-rate,req=12,timeout=5 */ SELECT 1".to_owned(), "req"),
         (sql("lane-rate", 1, ",ms=x"), "ms"),
@@ -79,46 +79,46 @@
             "timeout",
         ),
     ] {
-        let got = good.ask(&text);
-        let [code, message, _, _] = error_fields(&got);
-        assert_eq!((message_types(&got).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
+        let answer = session.ask(&text);
+        let [code, message, _, _] = error_fields(&answer);
+        assert_eq!((message_types(&answer).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
         assert!(message.contains(&format!("field {name} ")), "{text}: {message}");
     }
-    // A query without its zero byte: the next message is read behind it.
-    good.send(&framed(b'Q', b"no end"));
-    assert!(error_fields(&good.until_ready())[1].contains("field query"));
-    // Extended queries are not supported here: one error, then nothing up to Sync.
-    good.send(&[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
-    let got = good.until_ready();
-    assert_eq!((message_types(&got).as_str(), error_fields(&got)[0].as_str()), ("EZ", "0A000"));
+    // A query without its final zero byte: the session continues with the next message.
+    session.send(&framed(b'Q', b"no end"));
+    assert!(error_fields(&session.until_ready())[1].contains("field query"));
+    // Extended queries are not supported on this front: one error, then messages are skipped up to Sync.
+    session.send(&[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
+    let answer = session.until_ready();
+    assert_eq!((message_types(&answer).as_str(), error_fields(&answer)[0].as_str()), ("EZ", "0A000"));
     // A length that no message can have: the session ends with an error.
-    let mut bad = RawClient::connect(program.platform);
-    bad.send(&[b'Q', 0xff, 0xff, 0xff, 0xff]);
-    let last = bad.message().expect("a last word");
+    let mut invalid_length = RawClient::connect(program.platform);
+    invalid_length.send(&[b'Q', 0xff, 0xff, 0xff, 0xff]);
+    let last = invalid_length.message().expect("a final error");
     assert_eq!(error_fields(&[last])[0], "08P01");
-    assert!(bad.message().is_none());
-    let mut wrong = RawClient::open(program.platform);
-    wrong.send(&[0, 0, 0, 8, 0, 2, 0, 0]);
-    assert!(error_fields(&[wrong.message().expect("a last word")])[1].contains("field version"));
-    assert_eq!(rows(&good.ask(&sql("lane-rate", 2, ""))).len(), 1);
-    // Several statements in one text: only the first would be answered.
-    let several = good.ask(&format!("{}; DROP TABLE staging.batch", sql("lane-rate", 3, "")));
+    assert!(invalid_length.message().is_none());
+    let mut old_version = RawClient::open(program.platform);
+    old_version.send(&[0, 0, 0, 8, 0, 2, 0, 0]);
+    assert!(error_fields(&[old_version.message().expect("a final error")])[1].contains("field version"));
+    assert_eq!(rows(&session.ask(&sql("lane-rate", 2, ""))).len(), 1);
+    // Several statements in one query are rejected: only the first would be answered.
+    let several = session.ask(&format!("{}; DROP TABLE staging.batch", sql("lane-rate", 3, "")));
     assert_eq!(error_fields(&several)[0], "0A000");
-    // An id that was used before, with another statement.
-    let again = good.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
-    assert_eq!(error_fields(&again)[0], "42710");
-    assert_eq!(engine.received("do").len(), 1, "nothing malformed was sent on");
+    // A request id that was used before, with another statement.
+    let reused_id = session.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
+    assert_eq!(error_fields(&reused_id)[0], "42710");
+    assert_eq!(engine.received("do").len(), 1, "no malformed request was forwarded");
     assert!(program.running());
 }
 
-/// A rejected request is answered at once, with the time after which to retry.
+/// A rejected request is answered at once with a retry delay.
 #[test]
 fn rejection_is_immediate_and_carries_retry_after() {
     let program = Program::start(&[], None, None);
     let mut raw = RawClient::connect(program.platform);
-    // Ten minutes of work that the client wants within twenty seconds: it cannot be served in time.
-    let got = raw.ask(&sql("lane-rate", 1, ",ms=600000"));
-    let [code, _, detail, hint] = error_fields(&got);
+    // Ten minutes of work with a deadline of twenty seconds cannot be served in time.
+    let answer = raw.ask(&sql("lane-rate", 1, ",ms=600000"));
+    let [code, _, detail, hint] = error_fields(&answer);
     assert!(code.starts_with("53"), "{code}");
     let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("for programs").parse().expect("a number");
     assert!((1..=2_000).contains(&ms), "within limits.maxRetryAfter: {ms}");
@@ -141,12 +141,12 @@
     assert_eq!(engine.wait_for("undo", 2)[1].parts[1], format!("{:016x}", 2));
 }
 
-/// An engine that sends garbage loses its connection, and each request one attempt.
+/// A malformed answer closes the engine's connection and ends one attempt of each request on it.
 #[test]
-fn garbled_answer_is_retried_on_another_engine() {
+fn malformed_answer_is_retried() {
     use std::sync::atomic::{AtomicUsize, Ordering};
-    static TRIES: AtomicUsize = AtomicUsize::new(0);
-    let engine = Engine::start(|command| match TRIES.fetch_add(1, Ordering::SeqCst) {
+    static ATTEMPTS: AtomicUsize = AtomicUsize::new(0);
+    let engine = Engine::start(|command| match ATTEMPTS.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Disconnect,
         1 => Reply::Word("overload"),
         2 => Reply::Pages(vec!["x".repeat(7_000)]),
@@ -159,37 +159,38 @@
     program.wait_line("unreadable: field body");
 }
 
-fn bulks(parts: &[&str]) -> String {
-    let each: String =
+/// Encodes an array of bulk strings, in which each `@` stands for a request id of 16 characters.
+fn encode_array(parts: &[&str]) -> String {
+    let encoded: String =
         parts.iter().map(|p| format!("${}\r\n{p}\r\n", p.replace('@', &"0".repeat(16)).len())).collect();
-    format!("*{}\r\n{each}", parts.len())
+    format!("*{}\r\n{encoded}", parts.len())
 }
 
-/// Nothing malformed reaches a client: the request is retried where its class allows it, the connection is closed, and
-/// valid answers after it are served. Engines are not ejected for it.
+/// A malformed answer never reaches a client: its connection is closed, the request is retried if its class
+/// allows it, and later valid answers are served. The engine is not ejected.
 #[test]
 fn malformed_answers_are_retried_and_never_delivered() {
     use std::sync::atomic::{AtomicUsize, Ordering};
     let malformed = [
-        bulks(&["@", "served", "batches=x,cpu=5", "a\tb\tc\n"]),
-        bulks(&["@", "served", "cpu=5", "a\tb\tc\n"]),
-        bulks(&["@", "served", "batches=1,cpu=nan", "a\tb\tc\n"]),
-        bulks(&["@", "served", "batches=1,stats=inflight:?", "a\tb\tc\n"]),
-        bulks(&["@", "served", "batches=1", "a\tb\tc\na\tb"]),
-        bulks(&["@", "served", "batches=1", "a\tb\n"]),
-        bulks(&["@", "served", "batches=1", "a\tb\tc\n"]).replace("$6\r\na", "$9\r\na"),
-        bulks(&["@", "sreved", "batches=1", "a\tb\tc\n"]),
+        encode_array(&["@", "served", "batches=x,cpu=5", "a\tb\tc\n"]),
+        encode_array(&["@", "served", "cpu=5", "a\tb\tc\n"]),
+        encode_array(&["@", "served", "batches=1,cpu=nan", "a\tb\tc\n"]),
+        encode_array(&["@", "served", "batches=1,stats=inflight:?", "a\tb\tc\n"]),
+        encode_array(&["@", "served", "batches=1", "a\tb\tc\na\tb"]),
+        encode_array(&["@", "served", "batches=1", "a\tb\n"]),
+        encode_array(&["@", "served", "batches=1", "a\tb\tc\n"]).replace("$6\r\na", "$9\r\na"),
+        encode_array(&["@", "sreved", "batches=1", "a\tb\tc\n"]),
         "*4\r\n$16\r\n@\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$3221225472\r\n".into(),
         "*4\r\n$16\r\n@\r\n$6\r\nser".into(),
     ];
-    // Three for each program: its retry budget.
+    // Three for each process, which is its retry budget.
     for malformed in malformed.chunks(3) {
-        let (all, tries) = (malformed.to_vec(), AtomicUsize::new(0));
-        // Every second answer is malformed, each in another way.
+        let (answers, attempts) = (malformed.to_vec(), AtomicUsize::new(0));
+        // Every second answer is malformed, each in a different way.
         let engine = Engine::start(move |_| {
-            let n = tries.fetch_add(1, Ordering::SeqCst);
-            let bad = all.get(n / 2).filter(|_| n % 2 == 0);
-            bad.map_or_else(|| Reply::Pages(vec!["good\tb\tc\n".into()]), |b| Reply::Raw(b.clone()))
+            let n = attempts.fetch_add(1, Ordering::SeqCst);
+            let malformed = answers.get(n / 2).filter(|_| n % 2 == 0);
+            malformed.map_or_else(|| Reply::Pages(vec!["good\tb\tc\n".into()]), |m| Reply::Raw(m.clone()))
         });
         let program = Program::start(&[("s-1", engine.address)], None, None);
         let mut raw = RawClient::connect(program.platform);
@@ -198,7 +199,7 @@
         }
         let lines = program.lines();
         assert_eq!(lines.iter().filter(|l| l.contains("unreadable")).count(), malformed.len());
-        assert!(lines.iter().all(|l| !l.contains("distrusted")), "no engine is left out for it");
+        assert!(lines.iter().all(|l| !l.contains("distrusted")), "no engine is ejected");
     }
 }
 
@@ -206,59 +207,61 @@
 #[test]
 fn unexpected_answers_are_ignored() {
     let engine = Engine::start(|_| {
-        let good = bulks(&["@", "served", "batches=1", "a\tb\tc\n"]);
-        let other = bulks(&["0123456789abcdef", "served", "-", "x"]);
-        Reply::Raw([other.as_str(), &good, &good, &other].concat())
+        let valid = encode_array(&["@", "served", "batches=1", "a\tb\tc\n"]);
+        let unknown = encode_array(&["0123456789abcdef", "served", "-", "x"]);
+        Reply::Raw([unknown.as_str(), &valid, &valid, &unknown].concat())
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = RawClient::connect(program.platform);
     for i in 1..30 {
         assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))), ["a|b|c"]);
     }
-    assert_eq!(engine.received("do").len(), 29, "each was sent once");
+    assert_eq!(engine.received("do").len(), 29, "each request was sent once");
     assert_eq!(engine.received("page").len() + engine.received("forget").len(), 0);
-    assert!(program.lines().iter().all(|l| !l.contains("engine connection lost")), "the connection stays");
+    assert!(
+        program.lines().iter().all(|l| !l.contains("engine connection lost")),
+        "the connection stays open"
+    );
 }
 
-/// The feed is resumed after its connection was cut, repeated events are ignored, and a draining engine gets no new
-/// requests.
+/// After a lost connection the feed is resumed, repeated events are ignored, and a draining engine gets no
+/// new requests.
 #[test]
 fn feed_is_resumed_after_a_disconnect() {
-    let (a, b, feed) = (Engine::echo(), Engine::echo(), Feed::start());
-    feed.send(list(1, true, &[("s-1", a.address, "ready")]));
-    let program = Program::start(&[("s-1", a.address)], Some(&feed), None);
+    let (first, second, feed) = (Engine::echo(), Engine::echo(), Feed::start());
+    feed.send(list(1, true, &[("s-1", first.address, "ready")]));
+    let program = Program::start(&[("s-1", first.address)], Some(&feed), None);
     let mut raw = RawClient::connect(program.platform);
     assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
-    feed.send(list(2, false, &[("s-2", b.address, "ready")]));
+    feed.send(list(2, false, &[("s-2", second.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     feed.close_calls();
     wait_until(|| (feed.calls.lock().expect("unpoisoned").len() >= 2).then_some(()));
-    feed.send(list(3, false, &[("s-1", a.address, "draining")]));
+    feed.send(list(3, false, &[("s-1", first.address, "draining")]));
     program.wait_line("engine_id=s-1 phase=Draining");
     for i in 2..30 {
         assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))).len(), 1);
     }
-    assert_eq!((a.received("do").len(), b.received("do").len()), (1, 28));
+    assert_eq!((first.received("do").len(), second.received("do").len()), (1, 28));
     let calls = feed.calls.lock().expect("unpoisoned").clone();
-    assert_eq!(calls[..2], [1, 2], "each call goes on from the last event read");
-    let news = program.lines().iter().filter(|l| l.contains("engine_id=s-1 phase=Ready")).count();
-    assert_eq!(news, 1, "the repeat was passed over");
+    assert_eq!(calls[..2], [1, 2], "each call requests the events after the last one read");
+    let updates = program.lines().iter().filter(|l| l.contains("engine_id=s-1 phase=Ready")).count();
+    assert_eq!(updates, 1, "the repeated event was ignored");
 }
 
-/// Connections without a session, and sessions that sent one request and stay, must not take all slots: new clients
-/// would be rejected.
+/// Connections without a session and idle sessions must not keep all slots, or new clients would be rejected.
 #[test]
 fn silent_and_idle_connections_are_evicted_for_active_ones() {
     let engine = Engine::echo();
     let program = Program::start_limited(&[("s-1", engine.address)], None, None, 16, 96);
-    let mut kept: Vec<RawClient> = Vec::new();
+    let mut sessions: Vec<RawClient> = Vec::new();
     for id in 1..120 {
         let mut raw = RawClient::connect(program.platform);
         assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
-        kept.push(raw);
+        sessions.push(raw);
     }
-    assert!(kept[0].message().is_none(), "the longest idle was let go");
-    kept[118].ask(&sql("lane-rate", 119 + 1, ""));
+    assert!(sessions[0].message().is_none(), "the session idle for longest was evicted");
+    sessions[118].ask(&sql("lane-rate", 119 + 1, ""));
     let silent: Vec<RawClient> = (0..200).map(|_| RawClient::open(program.platform)).collect();
     // Connections within their grace period are not evicted.
     std::thread::sleep(Duration::from_millis(100));
@@ -269,24 +272,27 @@
     drop(silent);
 }
 
-/// An incomplete message does not hold a slot and a buffer for ever, and its sender gets an error.
+/// An incomplete message must not keep a slot and a buffer for ever; its sender gets an error.
 #[test]
 fn incomplete_message_times_out_with_an_error() {
     let program = Program::start(&[], None, None);
-    let at = Instant::now();
-    let (mut silent, mut half) = (RawClient::open(program.platform), RawClient::open(program.platform));
-    let mut message = RawClient::connect(program.platform);
-    half.send(&startup()[..9]);
-    message.send(&query(&sql("lane-rate", 1, ""))[..20]);
-    for (raw, name) in [(&mut silent, "start-up"), (&mut half, "start-up"), (&mut message, "length")] {
-        let text = &error_fields(&[raw.message().expect("a last word")])[1];
+    let started_at = Instant::now();
+    let (mut silent, mut partial_startup) =
+        (RawClient::open(program.platform), RawClient::open(program.platform));
+    let mut partial_message = RawClient::connect(program.platform);
+    partial_startup.send(&startup()[..9]);
+    partial_message.send(&query(&sql("lane-rate", 1, ""))[..20]);
+    for (raw, name) in
+        [(&mut silent, "start-up"), (&mut partial_startup, "start-up"), (&mut partial_message, "length")]
+    {
+        let text = &error_fields(&[raw.message().expect("a final error")])[1];
         assert!(text.contains(&format!("field {name}")), "{text}");
         assert!(raw.message().is_none());
     }
-    assert!(at.elapsed() >= Duration::from_millis(1_500), "not before its time");
+    assert!(started_at.elapsed() >= Duration::from_millis(1_500), "not before the timeout");
 }
 
-/// Closing a socket with unread input sends a reset, which could destroy the final error.
+/// Closing a socket with unread input would send a reset, which could destroy the final error.
 #[test]
 fn oversized_message_sender_receives_its_error() {
     let program = Program::start(&[], None, None);
@@ -295,18 +301,18 @@
     message[..5].copy_from_slice(&[b'Q', 0x03, 0x93, 0x87, 0x00]);
     raw.send(&message);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(error_fields(&[raw.message().expect("a last word")])[1].contains("field length"));
+    assert!(error_fields(&[raw.message().expect("a final error")])[1].contains("field length"));
     assert!(raw.message().is_none());
 }
 
-/// A damaged event must not be lost, since it may be a drain: it is requested again. One that stays damaged is finally
-/// skipped.
+/// A damaged event must not be lost, since it may announce a drain: it is requested again. An event that
+/// stays damaged is finally skipped.
 #[test]
 fn unreadable_event_is_requested_again_and_finally_skipped() {
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
-    let drains = list(2, false, &[("s-1", engine.address, "draining")]);
-    feed.send_malformed_once(&drains, &drains[..drains.len() / 2]);
+    let drain = list(2, false, &[("s-1", engine.address, "draining")]);
+    feed.send_malformed_once(&drain, &drain[..drain.len() / 2]);
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
     program.wait_line("an event could not be read");
     program.wait_line("engine_id=s-1 phase=Draining");
@@ -315,18 +321,18 @@
     feed.send(list(4, false, &[("s-2", engine.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     let calls = feed.calls.lock().expect("unpoisoned").clone();
-    let from = |n: u64| calls.iter().filter(|c| **c == n).count();
-    assert!(from(1) == 2 && from(2) == 3, "{calls:?}");
+    let calls_after = |n: u64| calls.iter().filter(|c| **c == n).count();
+    assert!(calls_after(1) == 2 && calls_after(2) == 3, "{calls:?}");
 }
 
-/// SIGHUP moves the feed and nothing else: the event after the last one that was read is requested at the new address,
-/// the old feed's connection is closed, and all other connections stay open.
+/// SIGHUP changes only the feed: the events after the last one read are requested at the new address, the old
+/// feed's connection is closed, and all other connections stay open.
 #[test]
 fn sighup_moves_the_feed_and_changes_nothing_else() {
     let release = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let go = std::sync::Arc::clone(&release);
+    let is_released = std::sync::Arc::clone(&release);
     let engine = Engine::start(move |_| {
-        while !go.load(std::sync::atomic::Ordering::SeqCst) {
+        while !is_released.load(std::sync::atomic::Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(2));
         }
         Reply::Pages(vec!["a\tb\tc\n".into()])
@@ -340,23 +346,27 @@
     let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
-    // A file that cannot be read changes nothing, and is logged.
-    let good = program.config_with_feed(new.address);
-    program.reload(&good[..good.len() / 2]);
+    // A configuration that cannot be parsed changes nothing, and is logged.
+    let config = program.config_with_feed(new.address);
+    program.reload(&config[..config.len() / 2]);
     program.wait_line("configuration not reloaded");
-    program.reload(&good);
+    program.reload(&config);
     program.wait_line("configuration reloaded");
     new.send(list(3, false, &[("s-2", engine.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
-    assert_eq!(new.calls.lock().expect("unpoisoned")[0], 2, "it goes on from the last event read");
-    assert_eq!(old.calls.lock().expect("unpoisoned").len(), 1, "the old one is not called again");
+    assert_eq!(
+        new.calls.lock().expect("unpoisoned")[0],
+        2,
+        "the new feed is asked for the events after the last one read"
+    );
+    assert_eq!(old.calls.lock().expect("unpoisoned").len(), 1, "the old feed is not called again");
     wait_until(|| (old.open_calls() == 0).then_some(()));
     release.store(true, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(rows(&raw.until_ready()).len(), 1);
     assert!(program.running());
 }
 
-/// An address is reused: requests for the new engine are not sent on connections to the old one.
+/// When an address is reused, requests for the new engine are not sent on connections to the old one.
 #[test]
 fn new_engine_at_a_reused_address_is_dialed_again() {
     let (engine, feed) = (Engine::echo(), Feed::start());
@@ -381,13 +391,14 @@
     slow.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
     program.terminate();
-    let at = Instant::now();
+    let terminated_at = Instant::now();
     program.wait_line("stopping open_requests=");
     if idle.stream.write_all(&query("")).is_ok() {
-        let got = idle.message().map(|m| m.0);
-        // Requests still arrive for 0.6 s; on a machine that took longer to get here this shows nothing.
-        assert!(got == Some(b'I') || at.elapsed() > Duration::from_millis(500), "{got:?}");
-        assert!(got.is_none() || idle.message().map(|m| m.0) == Some(b'Z'));
+        let answer = idle.message().map(|m| m.0);
+        // Requests are served for another 0.6 s; on a machine that took longer to get here this checks
+        // nothing.
+        assert!(answer == Some(b'I') || terminated_at.elapsed() > Duration::from_millis(500), "{answer:?}");
+        assert!(answer.is_none() || idle.message().map(|m| m.0) == Some(b'Z'));
     }
     assert_eq!(rows(&slow.until_ready()).len(), 1);
     assert!(slow.message().is_none() && idle.message().is_none());
@@ -408,58 +419,62 @@
         std::fs::write(&path, text).expect("written");
         path.to_str().expect("text").to_owned()
     };
-    let good = format!(r#"{{"listen":"127.0.0.1:0","seed":"0a","settings":{SETTINGS}}}"#);
-    let good = file("good.json", &good);
-    let deep = file("deep.json", &"[".repeat(100_000));
-    let number =
+    let valid = format!(r#"{{"listen":"127.0.0.1:0","seed":"0a","settings":{SETTINGS}}}"#);
+    let valid = file("good.json", &valid);
+    let deeply_nested = file("deep.json", &"[".repeat(100_000));
+    let invalid_number =
         file("number.json", r#"{"listen":"127.0.0.1:0","seed":"0a","settings":{"overShareWorth":"x"}}"#);
-    let bare = file("bare.json", r#"{"listen":"x","seed":"0a","settings":{}}"#);
+    let invalid_listen = file("bare.json", r#"{"listen":"x","seed":"0a","settings":{}}"#);
     let operator = file("operator.json", r#"{"listen":"127.0.0.1:0","lisen":1}"#);
-    for (args, says) in [
+    for (args, message) in [
         (vec![], "a command is missing"),
         (vec!["sevre"], "no such command: sevre"),
         (vec!["serve", "--confg", "x"], "--confg"),
         (vec!["serve"], "EDGE_CONFIG"),
         (vec!["check", "--config", "/nonexistent"], "/nonexistent"),
         (
-            vec!["check", "--config", &deep],
+            vec!["check", "--config", &deeply_nested],
             "deep.json: line 1, column 0: invalid type: sequence, expected an object",
         ),
-        (vec!["check", "--config", &number], "number.json: line 1, column 68: settings.overShareWorth: "),
-        (vec!["serve", "--config", &bare], "bare.json: line 1, column 13: listen: "),
-        (vec!["check", "--config", &good, "--operator", &operator], "lisen: is not known"),
+        (
+            vec!["check", "--config", &invalid_number],
+            "number.json: line 1, column 68: settings.overShareWorth: ",
+        ),
+        (vec!["serve", "--config", &invalid_listen], "bare.json: line 1, column 13: listen: "),
+        (vec!["check", "--config", &valid, "--operator", &operator], "lisen: is not known"),
     ] {
         let (status, text) = run(&args);
         assert_eq!(status, Some(2), "{args:?}: {text}");
-        assert!(text.contains(says) && !text.contains("panicked"), "{args:?}: {text}");
+        assert!(text.contains(message) && !text.contains("panicked"), "{args:?}: {text}");
     }
-    assert_eq!(run(&["check", "--config", &good]).0, Some(0));
+    assert_eq!(run(&["check", "--config", &valid]).0, Some(0));
     let (status, text) = run(&["version"]);
     assert_eq!((status, text.trim()), (Some(0), concat!("sprucelink ", env!("CARGO_PKG_VERSION"))));
     assert!(run(&["help"]).1.contains("usage:"));
     drop(std::fs::remove_dir_all(dir));
 }
 
-/// A request must not be sent on a connection that is established after the request was answered. The engine's queue of
-/// connections is full, so that the program's own is established only when this test accepts them.
+/// A request must not be sent on a connection that is established after the request was answered. The
+/// engine's accept queue is full, so that the program's connection is established only when this test accepts
+/// connections.
 #[test]
 fn answered_request_is_not_sent_when_its_connection_opens_late() {
-    let late = DelayedListener::listen();
-    let program = Program::start(&[("s-1", late.address)], None, None);
+    let listener = DelayedListener::listen();
+    let program = Program::start(&[("s-1", listener.address)], None, None);
     let mut raw = RawClient::connect(program.platform);
     // A request that the policy rejects.
     let short = sql("lane-rate", 1, "").replace("timeout=20000", "timeout=400");
-    assert_eq!(message_types(&raw.ask(&short)), "EZ", "nobody could answer it");
+    assert_eq!(message_types(&raw.ask(&short)), "EZ", "no engine could answer it in time");
     // A request whose client leaves.
-    let mut gone = RawClient::connect(program.platform);
-    gone.send(&query(&sql("lane-rate", 2, "")));
-    drop(gone);
+    let mut departed = RawClient::connect(program.platform);
+    departed.send(&query(&sql("lane-rate", 2, "")));
+    drop(departed);
     for _ in 0..3 {
-        assert_eq!(message_types(&raw.ask("")), "IZ", "by now its end has been read");
+        assert_eq!(message_types(&raw.ask("")), "IZ", "the client's end has been read by then");
     }
-    let engine = late.open(|_| Reply::Hold);
+    let engine = listener.open(|_| Reply::Hold);
     raw.send(&query(&sql("lane-rate", 3, "")));
-    // It shares the connection: what was sent before it would have arrived before it.
-    let seen = engine.wait_for("do", 1);
-    assert_eq!(seen[0].parts[1], format!("{:016x}", 3), "{seen:?}");
+    // The requests share the connection: an earlier request would have arrived first.
+    let commands = engine.wait_for("do", 1);
+    assert_eq!(commands[0].parts[1], format!("{:016x}", 3), "{commands:?}");
 }
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -1,6 +1,6 @@
-//! Records the runs that the cases in `captures/` are cut from: the program against timed stand-ins, in real time.
-//! Not part of the suite: `cargo test --release --test record_cases -- --ignored --nocapture --test-threads 1`
-//! leaves one folder a run under `target/cases/`, and says the moment to cut around.
+//! Records the runs that the cases in `captures/` are cut from: the program with timed stand-in engines, in
+//! real time. Not part of the suite. `cargo test --release --test record_cases -- --ignored --nocapture
+//! --test-threads 1` writes one folder per run under `target/cases/`, and prints the moment to cut around.
 mod support;
 
 use std::path::Path;
@@ -12,17 +12,18 @@
 use support::timed_engine::{lookup_sql, TimedEngine, BUSY};
 use support::*;
 
-/// Sessions that ask; more requests at a time wait for one of them.
+/// Sessions that send requests; further requests wait until a session is free.
 const SESSIONS: usize = 96;
 
 struct Run {
     engines: Vec<TimedEngine>,
     feed: Feed,
     program: Program,
-    asks: SyncSender<(u64, u64)>,
-    next: AtomicU64,
+    /// Queue of request ids and their work in milliseconds.
+    requests: SyncSender<(u64, u64)>,
+    next_id: AtomicU64,
     served: Arc<AtomicUsize>,
-    began: Instant,
+    started_at: Instant,
     dir: std::path::PathBuf,
 }
 
@@ -32,61 +33,62 @@
         let _ = std::fs::remove_dir_all(&dir);
         let engines: Vec<TimedEngine> = (0..engines).map(|_| TimedEngine::start()).collect();
         let ids: Vec<String> = (1..=engines.len()).map(|n| format!("s-{n}")).collect();
-        let named: Vec<(&str, std::net::SocketAddr)> =
+        let engines_by_id: Vec<(&str, std::net::SocketAddr)> =
             ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
         let feed = Feed::start();
-        let ready: Vec<_> = named.iter().map(|(id, at)| (*id, *at, "ready")).collect();
+        let ready: Vec<_> = engines_by_id.iter().map(|(id, address)| (*id, *address, "ready")).collect();
         feed.send(list(1, true, &ready));
-        let more = ["--capture", dir.to_str().expect("text")];
-        let program = Program::launch(&named, Some(&feed), None, (192, 1024), BUSY, &more);
-        let (asks, asked) = sync_channel::<(u64, u64)>(10_000);
-        let (asked, served) = (Arc::new(Mutex::new(asked)), Arc::<AtomicUsize>::default());
+        let args = ["--capture", dir.to_str().expect("text")];
+        let program = Program::launch(&engines_by_id, Some(&feed), None, (192, 1024), BUSY, &args);
+        let (requests, queue) = sync_channel::<(u64, u64)>(10_000);
+        let (queue, served) = (Arc::new(Mutex::new(queue)), Arc::<AtomicUsize>::default());
         for _ in 0..SESSIONS {
-            let (asked, served, to) = (Arc::clone(&asked), Arc::clone(&served), program.platform);
+            let (queue, served, to) = (Arc::clone(&queue), Arc::clone(&served), program.platform);
             thread::spawn(move || {
                 let mut raw = RawClient::connect(to);
                 loop {
-                    let next = asked.lock().expect("unpoisoned").recv();
+                    let next = queue.lock().expect("unpoisoned").recv();
                     let Ok((id, ms)) = next else { return };
-                    let got = raw.ask(&lookup_sql(id, ms));
-                    served.fetch_add(usize::from(!rows(&got).is_empty()), Ordering::SeqCst);
+                    let answer = raw.ask(&lookup_sql(id, ms));
+                    served.fetch_add(usize::from(!rows(&answer).is_empty()), Ordering::SeqCst);
                 }
             });
         }
-        let (next, began) = (AtomicU64::new(1), Instant::now());
-        Run { engines, feed, program, asks, next, served, began, dir }
+        let (next_id, started_at) = (AtomicU64::new(1), Instant::now());
+        Run { engines, feed, program, requests, next_id, served, started_at, dir }
     }
 
-    /// One request, of work between 160 and 330 ms.
-    fn ask(&self) {
-        let id = self.next.fetch_add(1, Ordering::SeqCst);
-        self.asks.send((id, 160 + id * 7919 % 170)).expect("taken");
+    /// Queues one request with 160 to 330 ms of work.
+    fn send_request(&self) {
+        let id = self.next_id.fetch_add(1, Ordering::SeqCst);
+        self.requests.send((id, 160 + id * 7919 % 170)).expect("queued");
     }
 
-    /// Requests at an even pace, so many a second, for so long.
-    fn load(&self, rate: u64, secs: f64) {
+    /// Sends `rate` requests per second at an even pace for `seconds`.
+    fn load(&self, rate: u64, seconds: f64) {
         let start = Instant::now();
-        for n in 0..(rate as f64 * secs) as u64 {
+        for n in 0..(rate as f64 * seconds) as u64 {
             let due = Duration::from_micros(n * 1_000_000 / rate);
             thread::sleep(due.saturating_sub(start.elapsed()));
-            self.ask();
+            self.send_request();
         }
     }
 
-    fn moment(&self, what: &str) {
+    /// Prints the time of an event, around which a case is cut.
+    fn print_moment(&self, event: &str) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs_f64();
         println!(
-            "{}: {what} at {unix:.6}, {:.2} s in",
+            "{}: {event} at {unix:.6}, {:.2} s after the start",
             self.dir.display(),
-            self.began.elapsed().as_secs_f64()
+            self.started_at.elapsed().as_secs_f64()
         );
     }
 
     fn end(mut self) {
         thread::sleep(Duration::from_secs(2));
         println!(
-            "{} asked, {} served",
-            self.next.load(Ordering::SeqCst) - 1,
+            "{} sent, {} served",
+            self.next_id.load(Ordering::SeqCst) - 1,
             self.served.load(Ordering::SeqCst)
         );
         self.program.terminate();
@@ -94,13 +96,13 @@
     }
 }
 
-/// A fifth of the engines slows at once: one of five, six times, under a load that the others can carry.
+/// One of five engines suddenly becomes six times slower, under a load that the others can serve.
 #[test]
 #[ignore = "records a run in real time"]
-fn a_fifth_slows() {
+fn one_of_five_engines_slows() {
     let run = Run::start("a-fifth-slows", 5);
     run.load(90, 5.0);
-    run.moment("engine s-2 slows");
+    run.print_moment("engine s-2 slows");
     run.engines[1].set_slowdown(6.0);
     run.load(90, 8.0);
     run.engines[1].set_slowdown(1.0);
@@ -108,39 +110,39 @@
     run.end();
 }
 
-/// An engine drains under load, and requests come every quarter of a millisecond around the end of its grace.
+/// An engine drains under load, and requests arrive every 0.25 ms around the end of its grace period.
 #[test]
 #[ignore = "records a run in real time"]
-fn a_drain_and_what_comes_at_the_end_of_its_grace() {
+fn requests_arrive_around_the_end_of_a_drain_grace_period() {
     let run = Run::start("drain-edge", 4);
     run.load(90, 4.0);
-    let at = run.engines[2].address;
-    run.moment("engine s-3 drains");
-    run.feed.send(list(2, false, &[("s-3", at, "draining")]));
+    let address = run.engines[2].address;
+    run.print_moment("engine s-3 drains");
+    run.feed.send(list(2, false, &[("s-3", address, "draining")]));
     run.program.wait_line("engine_id=s-3 phase=Draining");
-    let told = Instant::now();
+    let drained_at = Instant::now();
     run.load(90, 0.46);
-    while told.elapsed() < Duration::from_millis(485) {
+    while drained_at.elapsed() < Duration::from_millis(485) {
         thread::sleep(Duration::from_micros(200));
     }
     for n in 0..120_u64 {
         let due = Duration::from_micros(485_000 + n * 250);
-        while told.elapsed() < due {
+        while drained_at.elapsed() < due {
             std::hint::spin_loop();
         }
-        run.ask();
+        run.send_request();
     }
     run.load(60, 2.0);
     run.end();
 }
 
-/// An engine's process dies under load and the feed says so a second later.
+/// An engine's process dies under load, and the feed lists it as gone a second later.
 #[test]
 #[ignore = "records a run in real time"]
-fn an_engine_dies() {
+fn engine_dies() {
     let run = Run::start("engine-dies", 4);
     run.load(100, 4.0);
-    run.moment("engine s-1 dies");
+    run.print_moment("engine s-1 dies");
     run.engines[0].crash();
     run.load(100, 1.0);
     run.feed.send(list(2, false, &[("s-1", run.engines[0].address, "gone")]));
@@ -148,13 +150,13 @@
     run.end();
 }
 
-/// Every engine's connections break again and again: many more further attempts are wanted than the ration has.
+/// Connections to every engine break repeatedly: many more retries are wanted than the retry budget allows.
 #[test]
 #[ignore = "records a run in real time"]
 fn connections_break() {
     let run = Run::start("connections-break", 4);
     run.load(100, 5.5);
-    run.moment("connections begin to break");
+    run.print_moment("connections begin to break");
     for n in 0..24 {
         run.load(100, 0.25);
         run.engines[n % 4].close_connections();
@@ -163,13 +165,13 @@
     run.end();
 }
 
-/// Four times what the engines can do comes for three seconds.
+/// A load of four times the engines' capacity for three seconds.
 #[test]
 #[ignore = "records a run in real time"]
-fn a_burst() {
+fn burst_above_capacity() {
     let run = Run::start("burst", 2);
     run.load(60, 3.0);
-    run.moment("the burst begins");
+    run.print_moment("the burst begins");
     run.load(600, 3.0);
     run.load(60, 3.0);
     run.end();
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,11 +1,12 @@
-//! A short run of the fault soak: real processes whose system calls fail, stopped, killed and reloaded while clients and
-//! engines misbehave. The long form is `sprucelink-fault-soak` (docs/operators/fault-soak.md).
+//! A short run of the fault soak: processes whose system calls fail, and which are stopped, killed and
+//! reloaded while clients and engines misbehave. Long runs use `sprucelink-fault-soak`
+//! (docs/operators/fault-soak.md).
 
 use sprucelink_fault_soak::soak::{run, SoakConfig};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A seed that draws every kind of failing system call, with steps of the wall clock.
+/// A seed that selects every kind of system call failure and steps of the wall clock.
 const SEED: u64 = 7;
 
 #[test]
@@ -22,9 +23,14 @@
         arguments: Vec::new(),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let report = runtime.expect("threads").block_on(run(config)).expect("carried out");
+    let report = runtime.expect("a runtime").block_on(run(config)).expect("carried out");
     std::fs::remove_dir_all(folder).expect("removed");
     assert!(report.attempts > 300, "{} attempts", report.attempts);
-    let shown: Vec<String> = report.violations.iter().take(20).map(|v| format!("{v:?}")).collect();
-    assert!(report.violations.is_empty(), "{} violations:\n{}", report.violations.len(), shown.join("\n"));
+    let descriptions: Vec<String> = report.violations.iter().take(20).map(|v| format!("{v:?}")).collect();
+    assert!(
+        report.violations.is_empty(),
+        "{} violations:\n{}",
+        report.violations.len(),
+        descriptions.join("\n")
+    );
 }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! After SIGTERM: new connections arrive for another 0.2 to 0.4 s, requests on open ones for another 0.2 s, and each of
-//! them is answered; sessions end after their last answer.
+//! Stops by SIGTERM: the platform opens new connections for another 0.2 to 0.4 s and sends requests on open
+//! ones for another 0.2 s. Each of these requests is answered, and sessions end after their last answer.
 mod support;
 
 use std::io::Write;
@@ -10,11 +10,12 @@
 use support::timed_engine::TimedEngine;
 use support::*;
 
-/// The last moment after SIGTERM at which the platform opens a connection, and sends a request on an open one.
+/// Time after SIGTERM until which the platform may open a connection, and until which it may send a request
+/// on an open one.
 const LAST_CONNECTION: Duration = Duration::from_millis(400);
 const LAST_REQUEST: Duration = Duration::from_millis(600);
-/// A test that was delayed itself sends nothing later than this before those moments: what it sends has to be in time.
-const SURE: Duration = Duration::from_millis(10);
+/// Margin before these times in which a test sends nothing, so that a delayed test does not send too late.
+const SAFETY_MARGIN: Duration = Duration::from_millis(10);
 
 fn sql(req: u64, ms: u64) -> String {
     format!("/* kind=lane-rate,req={req:016x},timeout=20000,owner=sud,ms={ms} */ SELECT a FROM sales_17.orders WHERE ms = {ms}")
@@ -25,58 +26,58 @@
     assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
 }
 
-/// Clients that go on as the platform does: eight on connections that were open before, and new ones, each with its
-/// first request directly after the start-up packet. Requests take 200 ms, so the last of them are in flight when the
-/// program stops listening.
+/// Clients continue after SIGTERM as the platform does: eight on connections that were open before, and eight
+/// on new connections, each with its first request directly after the start-up packet. Requests take 200 ms,
+/// so that the last ones are in flight when the program stops listening.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn input_arriving_after_a_stop_is_answered() {
     let engine = TimedEngine::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let next = AtomicU64::new(1);
+    let next_id = AtomicU64::new(1);
     let mut open: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
     assert!(open
         .iter_mut()
-        .all(|raw| rows(&raw.ask(&sql(next.fetch_add(1, Ordering::SeqCst), 1))).len() == 1));
-    let at = Instant::now();
+        .all(|raw| rows(&raw.ask(&sql(next_id.fetch_add(1, Ordering::SeqCst), 1))).len() == 1));
+    let terminated_at = Instant::now();
     program.terminate();
-    let (platform, next) = (program.platform, &next);
+    let (platform, next_id) = (program.platform, &next_id);
     let answered: Vec<(usize, Duration)> = thread::scope(|scope| {
         let on_open = open.into_iter().zip(0u64..).map(|(mut raw, k)| {
             scope.spawn(move || {
                 thread::sleep(Duration::from_millis(24 * k));
-                let (mut n, mut last) = (0, Duration::ZERO);
-                while at.elapsed() + SURE < LAST_REQUEST {
-                    let id = next.fetch_add(1, Ordering::SeqCst);
+                let (mut count, mut last) = (0, Duration::ZERO);
+                while terminated_at.elapsed() + SAFETY_MARGIN < LAST_REQUEST {
+                    let id = next_id.fetch_add(1, Ordering::SeqCst);
                     raw.send(&query(&sql(id, 200)));
-                    last = at.elapsed();
+                    last = terminated_at.elapsed();
                     assert_eq!(
                         rows(&raw.until_ready()).len(),
                         1,
-                        "request {id} of {last:?} after the signal"
+                        "request {id}, sent {last:?} after the signal"
                     );
-                    n += 1;
+                    count += 1;
                 }
-                (n, last)
+                (count, last)
             })
         });
         let on_new = (0..8).map(|k| {
             scope.spawn(move || {
                 thread::sleep(Duration::from_millis(48 * k));
-                if at.elapsed() + SURE >= LAST_CONNECTION {
+                if terminated_at.elapsed() + SAFETY_MARGIN >= LAST_CONNECTION {
                     return (0, Duration::ZERO);
                 }
-                let id = next.fetch_add(1, Ordering::SeqCst);
+                let id = next_id.fetch_add(1, Ordering::SeqCst);
                 let mut raw = RawClient::open(platform);
                 raw.send(&[startup(), query(&sql(id, 200))].concat());
-                let last = at.elapsed();
+                let last = terminated_at.elapsed();
                 raw.until_ready();
-                assert_eq!(rows(&raw.until_ready()).len(), 1, "connection of {last:?} after the signal");
+                assert_eq!(rows(&raw.until_ready()).len(), 1, "connection opened {last:?} after the signal");
                 (1, last)
             })
         });
-        let all: Vec<_> = on_open.chain(on_new).collect();
-        all.into_iter().map(|t| t.join().expect("answered")).collect()
+        let threads: Vec<_> = on_open.chain(on_new).collect();
+        threads.into_iter().map(|t| t.join().expect("answered")).collect()
     });
     assert_eq!(program.wait_for_exit(), Some(0));
     let last = answered.iter().map(|a| a.1).max().unwrap_or_default();
@@ -87,14 +88,14 @@
     assert!(program.lines().iter().any(|l| l.ends_with(" stopped open_requests=0")), "{:?}", program.lines());
 }
 
-/// The process is suspended from before the last requests arrive until after it would have stopped listening: what was
-/// written to its connections meanwhile was accepted, and is owed an answer.
+/// The process is suspended from before the last requests arrive until after it would have stopped listening.
+/// Input that its connections received meanwhile was accepted by the kernel and must be answered.
 #[test]
 fn input_received_while_the_process_was_suspended_is_answered() {
     let engine = TimedEngine::start();
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
     let mut open: Vec<RawClient> = (0..16).map(|_| RawClient::connect(program.platform)).collect();
-    let at = Instant::now();
+    let terminated_at = Instant::now();
     program.terminate();
     program.wait_line("stopping open_requests=");
     thread::sleep(Duration::from_millis(200));
@@ -106,34 +107,34 @@
     for (i, raw) in open.iter_mut().enumerate() {
         raw.send(&query(&sql(1 + i as u64, 1)));
     }
-    let sent = at.elapsed();
+    let sent_after = terminated_at.elapsed();
     thread::sleep(Duration::from_millis(1_000));
     signal(&program, "-CONT");
-    // On a machine that took longer to get here this shows nothing.
-    if sent + SURE < LAST_CONNECTION {
-        let got: Vec<usize> = open.iter_mut().map(|raw| answers(raw, 1)).collect();
-        assert_eq!(got, vec![1; 16], "on connections that were open");
-        let got: Vec<usize> = new.iter_mut().map(|raw| answers(raw, 2)).collect();
-        assert_eq!(got, vec![1; 4], "on new connections");
+    // On a machine that took longer to get here this checks nothing.
+    if sent_after + SAFETY_MARGIN < LAST_CONNECTION {
+        let answered: Vec<usize> = open.iter_mut().map(|raw| count_rows(raw, 1)).collect();
+        assert_eq!(answered, vec![1; 16], "on connections that were open");
+        let answered: Vec<usize> = new.iter_mut().map(|raw| count_rows(raw, 2)).collect();
+        assert_eq!(answered, vec![1; 4], "on new connections");
     } else {
-        eprintln!("shows nothing: sent {sent:?} after the signal");
+        eprintln!("nothing checked: sent {sent_after:?} after the signal");
     }
     assert_eq!(program.wait_for_exit(), Some(0));
 }
 
-/// Rows read up to so many ReadyForQuery, or to the end of the connection.
-fn answers(raw: &mut RawClient, mut ready: usize) -> usize {
-    let mut got = Vec::new();
-    while ready > 0 {
+/// Number of rows read up to the `ready_count`th ReadyForQuery, or to the end of the connection.
+fn count_rows(raw: &mut RawClient, mut ready_count: usize) -> usize {
+    let mut messages = Vec::new();
+    while ready_count > 0 {
         let Some(message) = raw.message() else { break };
-        ready -= usize::from(message.0 == b'Z');
-        got.push(message);
+        ready_count -= usize::from(message.0 == b'Z');
+        messages.push(message);
     }
-    rows(&got).len()
+    rows(&messages).len()
 }
 
-/// A program that was stopped while a request of 1.5 s is in flight, and that request's client.
-fn stopped_with_one_out() -> (TimedEngine, Program, RawClient) {
+/// Stops a program while a request of 1.5 s is in flight; also returns that request's client.
+fn stopped_with_one_in_flight() -> (TimedEngine, Program, RawClient) {
     let engine = TimedEngine::start();
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut raw = RawClient::connect(program.platform);
@@ -143,21 +144,22 @@
     (engine, program, raw)
 }
 
-/// A session whose request is in flight when the program stops listening gets its complete answer, and then the end. A
-/// request that it sends at that moment crosses the close, which the platform handles.
+/// A session whose request is in flight when the program stops listening gets its complete answer, then the
+/// connection is closed. A request that the client sends at that moment crosses the close, which the platform
+/// handles.
 #[test]
 fn session_ends_after_its_last_answer() {
-    let (engine, mut program, mut raw) = stopped_with_one_out();
+    let (engine, mut program, mut raw) = stopped_with_one_in_flight();
     assert_eq!(rows(&raw.until_ready()).len(), 1);
-    // An error here means that the close came first.
+    // An error means that the connection was closed before the write.
     let _ = raw.stream.write_all(&query(&sql(2, 1)));
-    assert!(raw.message().is_none(), "nothing behind the last answer");
+    assert!(raw.message().is_none(), "nothing follows the last answer");
     assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(engine.served(), 1);
 }
 
-/// A request whose deadline is after the time at which the platform kills the process: it is ended before that, with an
-/// error that says whether a retry is safe, and the program exits by itself.
+/// A request whose deadline is after the time at which the platform kills the process is ended before that
+/// time with an error that tells whether a retry is safe, and the program exits by itself.
 #[test]
 fn unfinishable_request_gets_an_error_before_the_kill() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -165,19 +167,19 @@
     let mut raw = RawClient::connect(program.platform);
     raw.send(&query(&sql(1, 1).replace("timeout=20000", "timeout=60000")));
     engine.wait_for("do", 1);
-    let at = Instant::now();
+    let terminated_at = Instant::now();
     program.terminate();
-    let got = raw.until_ready();
-    assert_eq!(error_fields(&got)[0], "40003", "it may have run");
-    let after = at.elapsed();
+    let answer = raw.until_ready();
+    assert_eq!(error_fields(&answer)[0], "40003", "it may have run");
+    let after = terminated_at.elapsed();
     assert_eq!(program.wait_for_exit(), Some(0));
-    // Never earlier than others may still be answered.
+    // Not while other requests may still be answered.
     assert!(after > Duration::from_secs(3), "{after:?}");
     engine.wait_for("undo", 1);
 }
 
-/// A request that arrives during the stop, whose client would wait for longer than the process lives: its engine gets
-/// only the time that is left, and its client gets the error before the kill.
+/// A request that arrives during the stop with a deadline after the process's end: its engine gets only the
+/// remaining time, and its client gets an error before the kill.
 #[test]
 fn request_during_a_stop_gets_the_remaining_time() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -186,19 +188,19 @@
     program.terminate();
     program.wait_line("stopping open_requests=");
     raw.send(&query(&sql(1, 1)));
-    let seen = engine.wait_for("do", 1);
-    let wait: u64 = seen[0].field("wait").and_then(|w| w.parse().ok()).expect("a figure");
-    assert!(wait <= 3_450, "its engine is told to go on for {wait} ms");
-    let got = raw.until_ready();
+    let commands = engine.wait_for("do", 1);
+    let wait: u64 = commands[0].field("wait").and_then(|w| w.parse().ok()).expect("a number");
+    assert!(wait <= 3_450, "its engine gets a deadline of {wait} ms");
+    let answer = raw.until_ready();
     assert!(
-        ["40003", "53000", "53400", "57014"].contains(&error_fields(&got)[0].as_str()),
+        ["40003", "53000", "53400", "57014"].contains(&error_fields(&answer)[0].as_str()),
         "{:?}",
-        error_fields(&got)
+        error_fields(&answer)
     );
     assert_eq!(program.wait_for_exit(), Some(0));
 }
 
-/// Signals that stop and reload the process have no effect while it stops.
+/// Signals to stop or reload have no effect while the process stops.
 #[test]
 fn signals_during_a_stop_have_no_effect() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -212,36 +214,36 @@
     for name in ["-TERM", "-HUP", "-INT", "-TERM"] {
         signal(&program, name);
     }
-    let got = raw.until_ready();
-    assert_eq!(error_fields(&got)[0], "40003", "it may have run");
+    let answer = raw.until_ready();
+    assert_eq!(error_fields(&answer)[0], "40003", "it may have run");
     assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(program.lines().iter().filter(|l| l.ends_with(" stopping open_requests=1")).count(), 1);
 }
 
-/// A client has not read its last answer and goes on writing. If its connection were closed with unread input it would
-/// be reset, and the answer lost.
+/// A client has not read its last answer and continues to write. If its connection were closed with unread
+/// input, it would be reset and the answer lost.
 #[test]
 fn last_answer_is_delivered_to_a_client_that_still_writes() {
-    let (engine, mut program, mut raw) = stopped_with_one_out();
-    // All of it has arrived, and is unread.
-    let mut seen = [0; 4096];
+    let (engine, mut program, mut raw) = stopped_with_one_in_flight();
+    // The complete answer has arrived, and is unread.
+    let mut peeked = [0; 4096];
     wait_until(|| {
-        let n = raw.stream.peek(&mut seen).expect("peeked");
-        seen[..n].windows(6).any(|w| w == b"Z\0\0\0\x05I").then_some(())
+        let n = raw.stream.peek(&mut peeked).expect("peeked");
+        peeked[..n].windows(6).any(|w| w == b"Z\0\0\0\x05I").then_some(())
     });
-    let (mut last, mut gap) = (Instant::now(), Duration::ZERO);
+    let (mut last_write, mut longest_gap) = (Instant::now(), Duration::ZERO);
     for n in 0..40 {
         let written = raw.stream.write_all(&query(&sql(2 + n, 1)));
-        assert!(written.is_ok(), "write {n} met a reset: {written:?}");
+        assert!(written.is_ok(), "write {n} failed by a reset: {written:?}");
         thread::sleep(Duration::from_millis(10));
-        gap = gap.max(last.elapsed());
-        last = Instant::now();
+        longest_gap = longest_gap.max(last_write.elapsed());
+        last_write = Instant::now();
     }
-    if gap < Duration::from_millis(250) {
+    if longest_gap < Duration::from_millis(250) {
         assert_eq!(rows(&raw.until_ready()).len(), 1);
-        assert!(raw.message().is_none(), "nothing behind the last answer");
+        assert!(raw.message().is_none(), "nothing follows the last answer");
     } else {
-        eprintln!("shows nothing: {gap:?} between two writes");
+        eprintln!("nothing checked: {longest_gap:?} between two writes");
     }
     drop(raw);
     assert_eq!(program.wait_for_exit(), Some(0));
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
-//! Hot restarts: a second process beside the first, on the listening socket that the platform holds and in the folder that
-//! both share. No request is rejected, cordons stay in force, and a process that dies in the middle loses no more than
-//! its own requests.
+//! Hot restarts: a second process starts beside the first, with the same inherited listening socket and state
+//! folder. No request is rejected, cordons stay in force, and a process that dies during the restart loses
+//! only its own requests.
 mod support;
 
 use std::net::{SocketAddr, TcpListener};
@@ -18,24 +18,24 @@
 /// A listening socket that only the programs accept on.
 fn shared_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
-    (listener, at)
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
 }
 
-fn healthy(program: &Program) -> bool {
-    program.operators.is_some_and(|at| call(at, "GET", "/admin/health", "").0 == 200)
+fn is_healthy(program: &Program) -> bool {
+    program.operators.is_some_and(|admin| call(admin, "GET", "/admin/health", "").0 == 200)
 }
 
-/// Counts of responses that clients received.
+/// Numbers of requests by outcome, as clients observed it.
 #[derive(Default)]
-struct ObservedEnds {
+struct OutcomeCounts {
     served: AtomicU64,
     rejected: AtomicU64,
-    /// Requests whose connection was closed without a response: retried once on a new one, as the platform does.
-    crossed: AtomicU64,
+    /// Requests that crossed the close of their connection: retried once on a new one, as the platform does.
+    crossed_close: AtomicU64,
 }
 
-/// Whether the other side has closed an idle connection.
+/// Whether the program has closed an idle connection.
 fn is_closed(raw: &RawClient) -> bool {
     raw.stream.set_nonblocking(true).expect("set");
     let is_closed =
@@ -44,38 +44,38 @@
     is_closed
 }
 
-/// A client like the platform's: it sends requests one after the other on a connection that it keeps for some time, and
-/// checks whether that was closed before it sends the next.
-fn client(to: SocketAddr, seen: &ObservedEnds, next: &AtomicU64, stop: &AtomicBool) {
+/// Sends requests as the platform's clients do: one after the other on a connection that is kept for some
+/// time, and checked for a close before each request.
+fn run_client(to: SocketAddr, outcomes: &OutcomeCounts, next_id: &AtomicU64, stop: &AtomicBool) {
     let mut raw: Option<RawClient> = None;
     while !stop.load(Ordering::SeqCst) {
-        let id = next.fetch_add(1, Ordering::SeqCst);
+        let id = next_id.fetch_add(1, Ordering::SeqCst);
         let mut is_retry = false;
         loop {
             raw = raw.take_if(|raw| !is_closed(raw));
             let connection = raw.get_or_insert_with(|| RawClient::connect(to));
             let sent = std::io::Write::write_all(&mut connection.stream, &query(&sql(id, 10)));
-            let mut got = Vec::new();
+            let mut messages = Vec::new();
             while sent.is_ok() {
                 match connection.message() {
-                    Some(message) => got.push(message),
+                    Some(message) => messages.push(message),
                     None => break,
                 }
-                if got.last().is_some_and(|m| m.0 == b'Z') {
+                if messages.last().is_some_and(|m| m.0 == b'Z') {
                     break;
                 }
             }
-            match message_types(&got).chars().next() {
-                Some('T') => seen.served.fetch_add(1, Ordering::SeqCst),
-                Some('E') => seen.rejected.fetch_add(1, Ordering::SeqCst),
+            match message_types(&messages).chars().next() {
+                Some('T') => outcomes.served.fetch_add(1, Ordering::SeqCst),
+                Some('E') => outcomes.rejected.fetch_add(1, Ordering::SeqCst),
                 _ => {
                     assert!(
-                        got.is_empty() && !is_retry,
-                        "request {id} was left with {:?}",
-                        message_types(&got)
+                        messages.is_empty() && !is_retry,
+                        "request {id} got only {:?}",
+                        message_types(&messages)
                     );
                     is_retry = true;
-                    seen.crossed.fetch_add(1, Ordering::SeqCst);
+                    outcomes.crossed_close.fetch_add(1, Ordering::SeqCst);
                     raw = None;
                     continue;
                 }
@@ -83,134 +83,136 @@
             break;
         }
         thread::sleep(Duration::from_millis(3 + id % 7));
-        // A new connection now and then.
+        // Opens a new connection from time to time.
         raw = raw.take_if(|_| !id.is_multiple_of(23));
     }
 }
 
-/// Three hot restarts in a row under load. No request is left without a response; at most a few cross a close.
+/// Three consecutive hot restarts under load. Every request gets a response; at most a few cross a close and
+/// are retried.
 #[test]
 fn no_request_is_rejected_or_lost_in_hot_restarts_under_load() {
     let engines: Vec<TimedEngine> = (0..3).map(|_| TimedEngine::start()).collect();
     let ids = ["s-1", "s-2", "s-3"];
-    let at: Vec<(&str, SocketAddr)> = ids.iter().zip(&engines).map(|(id, e)| (*id, e.address)).collect();
+    let engines_by_id: Vec<(&str, SocketAddr)> =
+        ids.iter().zip(&engines).map(|(id, e)| (*id, e.address)).collect();
     let (listener, to) = shared_listener();
     let folder = scratch_dir();
-    let mut serving = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&serving).then_some(()));
-    let (seen, next, stop) = (ObservedEnds::default(), AtomicU64::new(1), AtomicBool::new(false));
+    let mut serving = Program::start_on_shared_listener(&listener, &folder, &engines_by_id);
+    wait_until(|| is_healthy(&serving).then_some(()));
+    let (outcomes, next_id, stop) = (OutcomeCounts::default(), AtomicU64::new(1), AtomicBool::new(false));
     thread::scope(|scope| {
-        (0..12).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
+        (0..12).for_each(|_| drop(scope.spawn(|| run_client(to, &outcomes, &next_id, &stop))));
         for round in 1..=3u64 {
-            wait_until(|| (seen.served.load(Ordering::SeqCst) >= round * 300).then_some(()));
-            let successor = Program::start_on_shared_listener(&listener, &folder, &at);
-            wait_until(|| healthy(&successor).then_some(()));
+            wait_until(|| (outcomes.served.load(Ordering::SeqCst) >= round * 300).then_some(()));
+            let successor = Program::start_on_shared_listener(&listener, &folder, &engines_by_id);
+            wait_until(|| is_healthy(&successor).then_some(()));
             serving.terminate();
             assert_eq!(serving.wait_for_exit(), Some(0), "the old process ends by itself");
             serving = successor;
         }
-        wait_until(|| (seen.served.load(Ordering::SeqCst) >= 1_200).then_some(()));
+        wait_until(|| (outcomes.served.load(Ordering::SeqCst) >= 1_200).then_some(()));
         stop.store(true, Ordering::SeqCst);
     });
-    let crossed = seen.crossed.load(Ordering::SeqCst);
-    eprintln!("{} served, {crossed} crossed a close", seen.served.load(Ordering::SeqCst));
-    assert_eq!(seen.rejected.load(Ordering::SeqCst), 0);
-    assert!(crossed <= 12, "{crossed} requests crossed a close, of twelve clients in three hot restarts");
+    let crossed = outcomes.crossed_close.load(Ordering::SeqCst);
+    eprintln!("{} served, {crossed} crossed a close", outcomes.served.load(Ordering::SeqCst));
+    assert_eq!(outcomes.rejected.load(Ordering::SeqCst), 0);
+    assert!(crossed <= 12, "{crossed} requests of twelve clients crossed a close in three hot restarts");
     assert_eq!(metric(serving.operators.expect("an address"), "outstanding"), 0);
 }
 
-/// A cordon made at either process is in force in both, in their successor, and in one that starts after all have ended;
-/// one uncordon, at any of them, ends it in all.
+/// A cordon made at either process is in force in both, in their successor, and in a process that starts
+/// after all have ended. One uncordon at any process ends it in all.
 #[test]
 fn cordon_is_in_force_in_all_processes_until_uncordoned() {
-    let (out, other) = (Engine::echo(), Engine::echo());
-    let at = [("s-1", out.address), ("s-2", other.address)];
+    let (cordoned, other) = (Engine::echo(), Engine::echo());
+    let engines = [("s-1", cordoned.address), ("s-2", other.address)];
     let (listener, to) = shared_listener();
     let folder = scratch_dir();
-    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&first).then_some(()));
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&first).then_some(()));
     let operators = |p: &Program| p.operators.expect("an address");
     assert_eq!(call(operators(&first), "POST", "/admin/cordon", &target_body("s-1")).0, 200);
-    let second = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&second).then_some(()));
+    let second = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&second).then_some(()));
     assert_eq!(metric(operators(&second), "ejected"), 1, "before its first request");
-    let mut next = 0;
-    let mut ask = |n: u64| {
-        for _ in 0..n {
-            next += 1;
+    let mut next_id = 0;
+    let mut send_requests = |count: u64| {
+        for _ in 0..count {
+            next_id += 1;
             let mut raw = RawClient::connect(to);
-            assert_eq!(rows(&raw.ask(&sql(next, 1))).len(), 1);
+            assert_eq!(rows(&raw.ask(&sql(next_id, 1))).len(), 1);
         }
     };
-    ask(30);
+    send_requests(30);
     first.terminate();
-    ask(30);
+    send_requests(30);
     assert_eq!(first.wait_for_exit(), Some(0));
-    // It is killed without a successor: its file stays.
+    // The process is killed without a successor: its state file stays.
     drop(second);
-    let third = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&third).then_some(()));
-    ask(30);
-    assert_eq!(out.received("do").len(), 0);
+    let third = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&third).then_some(()));
+    send_requests(30);
+    assert_eq!(cordoned.received("do").len(), 0);
     // An uncordon at the new process takes effect in the old one, too.
-    let fourth = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&fourth).then_some(()));
+    let fourth = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&fourth).then_some(()));
     assert_eq!(call(operators(&fourth), "POST", "/admin/uncordon", &target_body("s-1")).0, 200);
     wait_until(|| (metric(operators(&third), "ejected") == 0).then_some(()));
     wait_until(|| {
-        ask(5);
-        (!out.received("do").is_empty()).then_some(())
+        send_requests(5);
+        (!cordoned.received("do").is_empty()).then_some(())
     });
 }
 
-/// A new process that dies before it is healthy, and one that dies after: the old process goes on serving.
+/// The new process dies before it is healthy, and another one after: the old process continues to serve.
 #[test]
-fn old_process_goes_on_serving_when_the_new_one_dies() {
+fn old_process_continues_to_serve_when_the_new_one_dies() {
     let engine = TimedEngine::start();
-    let at = [("s-1", engine.address)];
+    let engines = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
     let folder = scratch_dir();
-    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&first).then_some(()));
-    let (seen, next, stop) = (ObservedEnds::default(), AtomicU64::new(1), AtomicBool::new(false));
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&first).then_some(()));
+    let (outcomes, next_id, stop) = (OutcomeCounts::default(), AtomicU64::new(1), AtomicBool::new(false));
     thread::scope(|scope| {
-        (0..4).for_each(|_| drop(scope.spawn(|| client(to, &seen, &next, &stop))));
-        let served = |more: u64| {
-            let from = seen.served.load(Ordering::SeqCst);
-            wait_until(|| (seen.served.load(Ordering::SeqCst) >= from + more).then_some(()));
+        (0..4).for_each(|_| drop(scope.spawn(|| run_client(to, &outcomes, &next_id, &stop))));
+        let wait_for_served = |count: u64| {
+            let before = outcomes.served.load(Ordering::SeqCst);
+            wait_until(|| (outcomes.served.load(Ordering::SeqCst) >= before + count).then_some(()));
         };
-        served(100);
-        // It listens, and has not yet answered a health check.
-        let mut early = Program::start_on_shared_listener(&listener, &folder, &at);
+        wait_for_served(100);
+        // The process listens, and has not yet answered a health check.
+        let mut early = Program::start_on_shared_listener(&listener, &folder, &engines);
         early.kill();
-        served(100);
-        let mut late = Program::start_on_shared_listener(&listener, &folder, &at);
-        wait_until(|| healthy(&late).then_some(()));
+        wait_for_served(100);
+        let mut late = Program::start_on_shared_listener(&listener, &folder, &engines);
+        wait_until(|| is_healthy(&late).then_some(()));
         first.wait_line("hot restart phase changed phase=ServingBesideSuccessor");
-        // Its requests are lost with it, which its clients see as a closed connection: they retry.
+        // Requests in flight are lost with the process; their clients see a closed connection and retry.
         late.kill();
         first.wait_line("hot restart process is unresponsive remaining_processes=0 ");
-        served(100);
+        wait_for_served(100);
         stop.store(true, Ordering::SeqCst);
     });
-    assert!(first.running() && healthy(&first));
+    assert!(first.running() && is_healthy(&first));
     first.terminate();
     assert_eq!(first.wait_for_exit(), Some(0));
 }
 
-/// The old process is killed in the middle of a hot restart: the new one goes on serving alone.
+/// The old process is killed during a hot restart: the new one continues to serve alone.
 #[test]
-fn new_process_goes_on_serving_when_the_old_one_dies() {
+fn new_process_continues_to_serve_when_the_old_one_dies() {
     let engine = TimedEngine::start();
-    let at = [("s-1", engine.address)];
+    let engines = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
     let folder = scratch_dir();
-    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&first).then_some(()));
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&first).then_some(()));
     let mut raw = RawClient::connect(to);
     assert_eq!(rows(&raw.ask(&sql(1, 1))).len(), 1);
-    let successor = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&successor).then_some(()));
+    let successor = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&successor).then_some(()));
     first.kill();
     let mut raw = RawClient::connect(to);
     assert_eq!(rows(&raw.ask(&sql(2, 1))).len(), 1);
@@ -225,22 +227,22 @@
 #[test]
 fn damaged_and_foreign_files_are_ignored() {
     let engine = Engine::echo();
-    let at = [("s-1", engine.address)];
+    let engines = [("s-1", engine.address)];
     let (listener, to) = shared_listener();
     let folder = scratch_dir();
-    let mut first = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&first).then_some(()));
+    let mut first = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&first).then_some(()));
     first.terminate();
     assert_eq!(first.wait_for_exit(), Some(0));
-    let left: Vec<_> = std::fs::read_dir(&folder).expect("read").flatten().map(|f| f.path()).collect();
-    assert_eq!(left.len(), 1, "{left:?}");
-    let mut bytes = std::fs::read(&left[0]).expect("read");
+    let files: Vec<_> = std::fs::read_dir(&folder).expect("read").flatten().map(|f| f.path()).collect();
+    assert_eq!(files.len(), 1, "{files:?}");
+    let mut bytes = std::fs::read(&files[0]).expect("read");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0x10;
-    std::fs::write(&left[0], bytes).expect("written");
+    std::fs::write(&files[0], bytes).expect("written");
     std::fs::write(folder.join("notes.txt"), "not of this program").expect("written");
-    let second = Program::start_on_shared_listener(&listener, &folder, &at);
-    wait_until(|| healthy(&second).then_some(()));
+    let second = Program::start_on_shared_listener(&listener, &folder, &engines);
+    wait_until(|| is_healthy(&second).then_some(()));
     second.wait_line("reason=\"damaged: ");
     assert_eq!(rows(&RawClient::connect(to).ask(&sql(1, 1))).len(), 1);
     assert!(folder.join("notes.txt").exists());
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,5 +1,6 @@
-//! Watches of the control feed in every bad order: silent, trickling, moved under way, numbered anew, late or twice. The
-//! feed here does nothing by itself: each call is the test's, which writes its bytes and ends it when it will.
+//! Watches of the control feed under faults: silent or slow responses, changes of the feed during a call,
+//! restarted numbering, and late or repeated events. The feed here does nothing by itself: each call is
+//! handed to the test, which writes its bytes and ends it.
 mod support;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,9 +14,10 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
-/// A feed whose calls the test takes.
+/// A feed that hands its calls to the test.
 struct ScriptedFeed {
     address: SocketAddr,
+    /// Last-Event-ID and connection of each call.
     calls: Receiver<(u64, TcpStream)>,
 }
 
@@ -23,15 +25,15 @@
     fn start() -> ScriptedFeed {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, calls) = channel();
+        let (sender, calls) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let input = BufReader::new(stream.try_clone().expect("a second handle"));
                 let head = input.lines().map_while(Result::ok).take_while(|l| !l.is_empty());
-                let asked = head.filter_map(|l| {
+                let last_event = head.filter_map(|l| {
                     l.to_ascii_lowercase().strip_prefix("last-event-id: ").and_then(|n| n.parse().ok())
                 });
-                if tell.send((asked.last().expect("a number"), stream)).is_err() {
+                if sender.send((last_event.last().expect("a number"), stream)).is_err() {
                     return;
                 }
             }
@@ -39,46 +41,50 @@
         ScriptedFeed { address, calls }
     }
 
-    /// The next call: the number after which it asks for events, and its connection.
-    fn call(&self) -> (u64, TcpStream) {
+    /// Waits for the next call; returns its Last-Event-ID and its connection.
+    fn next_call(&self) -> (u64, TcpStream) {
         self.calls.recv_timeout(WAIT_TIMEOUT).expect("a call")
     }
 
-    /// The next call, answered with these bytes.
+    /// Answers the next call with a response head and these bytes.
     fn answer(&self, bytes: impl AsRef<[u8]>) -> (u64, TcpStream) {
-        let (asked, mut stream) = self.call();
-        say(&mut stream, HEAD);
-        say(&mut stream, bytes);
-        (asked, stream)
+        let (last_event, mut stream) = self.next_call();
+        write(&mut stream, HEAD);
+        write(&mut stream, bytes);
+        (last_event, stream)
     }
 }
 
-/// A caller that hung up has had enough: what it made of it the test sees.
-fn say(to: &mut TcpStream, bytes: impl AsRef<[u8]>) {
+/// Writes to a call. Errors are ignored, since the caller may have disconnected: the test checks its
+/// reaction.
+fn write(to: &mut TcpStream, bytes: impl AsRef<[u8]>) {
     let _ = to.write_all(bytes.as_ref());
 }
 
-fn sent(n: usize, data: &str) -> String {
+/// An event with this number and data.
+fn event(n: usize, data: &str) -> String {
     format!("id: {n}\ndata: {data}\n\n")
 }
 
-fn nowhere() -> SocketAddr {
+/// An address at which no server listens.
+fn unreachable_address() -> SocketAddr {
     "127.0.0.1:9".parse().expect("an address")
 }
 
-/// An event that names one engine, which is nowhere.
-fn told(n: usize, id: &str, phase: &str) -> String {
-    sent(n, &list(n, false, &[(id, nowhere(), phase)]))
+/// An event that lists one engine at an unreachable address.
+fn engine_event(n: usize, id: &str, phase: &str) -> String {
+    event(n, &list(n, false, &[(id, unreachable_address(), phase)]))
 }
 
-/// The program with engine `s-1` by event 1, and its feed here.
+/// Starts the program with engine `s-1`, listed by event 1 of its configuration, and with this feed.
 fn start(feed: &ScriptedFeed) -> Program {
-    let program = Program::start(&[("s-1", nowhere())], None, None);
+    let program = Program::start(&[("s-1", unreachable_address())], None, None);
     program.reload(&program.config_with_feed(feed.address));
     program
 }
 
-fn count(program: &Program, text: &str) -> usize {
+/// Number of log lines that contain a text.
+fn count_lines(program: &Program, text: &str) -> usize {
     program.lines().iter().filter(|l| l.contains(text)).count()
 }
 
@@ -86,370 +92,394 @@
     format!("/* kind=lane-rate,req={id:016x},timeout=20000 */ SELECT price FROM rates_1.lanes")
 }
 
-// ---- What is heard when --------------------------------------------------------------------
+// ---- Timeouts ------------------------------------------------------------------------------
 
-/// Guards the rule on drains: one byte now and then kept a call that told nothing for ever.
+/// Guards against missed drains: a feed that sent one byte now and then, and no event, was never polled
+/// again.
 #[test]
 fn watch_that_only_trickles_is_polled_again() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
     thread::spawn(move || {
-        // Always well within the silence that a watch is granted, and never a whole comment.
+        // Always well within the silence timeout of a watch, and never a complete comment.
         while stream.write_all(b":").is_ok() {
             thread::sleep(Duration::from_millis(300));
         }
     });
-    let (asked, mut again) = feed.answer(told(2, "s-1", "draining"));
-    assert_eq!(asked, 1);
+    let (last_event, mut second) = feed.answer(engine_event(2, "s-1", "draining"));
+    assert_eq!(last_event, 1);
     program.wait_line("engine_id=s-1 phase=Draining");
-    assert_eq!(count(&program, "feed lost error=silent"), 1);
-    say(&mut again, ": here\n\n");
+    assert_eq!(count_lines(&program, "feed lost error=silent"), 1);
+    write(&mut second, ": here\n\n");
 }
 
-/// Guards the rule on drains: a call that nobody answers costs no more than the time of one head.
+/// Guards against missed drains: a call that gets no response must cost no more than the timeout of one
+/// response head.
 #[test]
 fn silent_watch_and_silent_poll_after_it_are_both_cancelled() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, silent) = feed.answer(": here\n\n");
-    let (_, dumb) = feed.call();
-    let (asked, _third) = feed.answer(told(2, "s-1", "draining"));
-    assert_eq!(asked, 1);
+    let (_, unanswered) = feed.next_call();
+    let (last_event, _third) = feed.answer(engine_event(2, "s-1", "draining"));
+    assert_eq!(last_event, 1);
     program.wait_line("engine_id=s-1 phase=Draining");
-    assert_eq!(count(&program, "feed lost error=silent"), 2);
-    // Both were let go: nothing that they still say is read.
-    for mut stream in [silent, dumb] {
+    assert_eq!(count_lines(&program, "feed lost error=silent"), 2);
+    // Both connections were closed by the program.
+    for mut stream in [silent, unanswered] {
         let mut rest = Vec::new();
         assert_eq!(stream.read_to_end(&mut rest).map_err(|e| e.kind()).unwrap_or(0), 0);
     }
 }
 
-// ---- Numbers -------------------------------------------------------------------------------
+// ---- Event numbers -------------------------------------------------------------------------
 
-/// Guards the rule on drains: a feed that counts from 1 again was never heard any more.
+/// Guards against missed drains: after a feed restarted its numbering at 1, its events were ignored.
 #[test]
 fn restarted_event_numbering_is_followed() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let (_, first) = feed.answer(told(40, "s-2", "ready"));
+    let (_, first) = feed.answer(engine_event(40, "s-2", "ready"));
     program.wait_line("engine_id=s-2 phase=Ready");
     drop(first);
-    // The whole list under number 1, of a revision after that of event 40, and what follows on it.
-    let whole = list(41, true, &[("s-2", nowhere(), "ready"), ("s-3", nowhere(), "ready")]);
-    let (asked, second) = feed.answer(
-        [sent(1, &whole.replace("{\"n\":41", "{\"n\":1")), {
-            let drain = list(42, false, &[("s-2", nowhere(), "draining")]);
-            sent(2, &drain.replace("{\"n\":42", "{\"n\":2"))
+    // The complete list under number 1, with a revision after that of event 40, and the event that follows
+    // it.
+    let complete =
+        list(41, true, &[("s-2", unreachable_address(), "ready"), ("s-3", unreachable_address(), "ready")]);
+    let (last_event, second) = feed.answer(
+        [event(1, &complete.replace("{\"n\":41", "{\"n\":1")), {
+            let drain = list(42, false, &[("s-2", unreachable_address(), "draining")]);
+            event(2, &drain.replace("{\"n\":42", "{\"n\":2"))
         }]
         .concat(),
     );
-    assert_eq!(asked, 40);
+    assert_eq!(last_event, 40);
     program.wait_line("engine_id=s-3 phase=Ready");
     program.wait_line("engine_id=s-2 phase=Draining");
     program.wait_line("engine_id=s-1 phase=Gone");
     drop(second);
-    // From there it goes on by the new numbers, and repeats are passed over as ever.
-    let again = sent(1, &whole.replace("{\"n\":41", "{\"n\":1"));
-    let (asked, _third) = feed.answer([again, told(43, "s-4", "ready").replace("43", "3")].concat());
-    assert_eq!(asked, 2);
+    // From then on the new numbers count, and repeated events are ignored as before.
+    let repeated = event(1, &complete.replace("{\"n\":41", "{\"n\":1"));
+    let (last_event, _third) =
+        feed.answer([repeated, engine_event(43, "s-4", "ready").replace("43", "3")].concat());
+    assert_eq!(last_event, 2);
     program.wait_line("engine_id=s-4 phase=Ready");
-    assert_eq!(count(&program, "engine_id=s-3 phase=Ready"), 1);
+    assert_eq!(count_lines(&program, "engine_id=s-3 phase=Ready"), 1);
 }
 
-/// Guards the rule on drains: an event out of its turn was taken for a repeat. It counts for engines of which nothing
-/// later was said, and for no others.
+/// Guards against missed drains: an event out of order was taken for a repeat. It applies to engines for
+/// which no later event was received, and to no others.
 #[test]
 fn late_event_applies_where_no_later_one_was_received() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let both = list(3, false, &[("s-1", nowhere(), "draining"), ("s-2", nowhere(), "ready")]);
+    let both = list(
+        3,
+        false,
+        &[("s-1", unreachable_address(), "draining"), ("s-2", unreachable_address(), "ready")],
+    );
     let (_, first) = feed.answer(
-        [told(2, "s-2", "ready"), told(4, "s-2", "gone"), sent(3, &both), told(5, "s-5", "ready")].concat(),
+        [
+            engine_event(2, "s-2", "ready"),
+            engine_event(4, "s-2", "gone"),
+            event(3, &both),
+            engine_event(5, "s-5", "ready"),
+        ]
+        .concat(),
     );
     program.wait_line("engine_id=s-5 phase=Ready");
-    assert_eq!(count(&program, "engine_id=s-1 phase=Draining"), 1);
-    assert_eq!(count(&program, "engine_id=s-2 phase=Ready"), 1, "event 3 doesn't bring it back");
+    assert_eq!(count_lines(&program, "engine_id=s-1 phase=Draining"), 1);
+    assert_eq!(count_lines(&program, "engine_id=s-2 phase=Ready"), 1, "event 3 does not restore the engine");
     drop(first);
-    assert_eq!(feed.call().0, 5);
+    assert_eq!(feed.next_call().0, 5);
 }
 
-/// Guards against engines that are gone and come back with an old event: a list that names nobody, told twice, is no new
-/// numbering.
+/// Guards against old events that restore engines which are gone: an empty list that is sent twice does not
+/// restart the numbering.
 #[test]
 fn empty_list_starts_no_new_numbering() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let (ready, gone, none) =
-        (told(2, "s-2", "ready"), told(3, "s-2", "gone"), sent(4, &list(4, false, &[])));
-    let (_, first) = feed.answer([&*ready, &gone, &none].concat());
+    let (ready, gone, empty) =
+        (engine_event(2, "s-2", "ready"), engine_event(3, "s-2", "gone"), event(4, &list(4, false, &[])));
+    let (_, first) = feed.answer([&*ready, &gone, &empty].concat());
     program.wait_line("engine_id=s-2 phase=Gone");
     drop(first);
-    let (asked, _second) = feed.answer([&*none, &ready, &told(5, "s-5", "ready")].concat());
-    assert_eq!(asked, 4);
+    let (last_event, _second) = feed.answer([&*empty, &ready, &engine_event(5, "s-5", "ready")].concat());
+    assert_eq!(last_event, 4);
     program.wait_line("engine_id=s-5 phase=Ready");
-    assert_eq!(count(&program, "engine_id=s-2 phase=Ready"), 1);
-    assert_eq!(count(&program, "event numbering restarted"), 0);
+    assert_eq!(count_lines(&program, "engine_id=s-2 phase=Ready"), 1);
+    assert_eq!(count_lines(&program, "event numbering restarted"), 0);
 }
 
-/// Guards the rule on drains: the number in an event's data, where it was not the event's own, let all that came after
-/// pass.
+/// Guards against missed drains: when the number in an event's data differed from the event's id, all later
+/// events were ignored.
 #[test]
 fn event_counts_under_its_own_number() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let other = sent(
+    let other_number = event(
         2,
-        &list(900, false, &[("s-2", nowhere(), "ready")]).replace("\"revision\":900", "\"revision\":2"),
+        &list(900, false, &[("s-2", unreachable_address(), "ready")])
+            .replace("\"revision\":900", "\"revision\":2"),
     );
-    let (_, first) = feed.answer([other, told(3, "s-1", "draining")].concat());
+    let (_, first) = feed.answer([other_number, engine_event(3, "s-1", "draining")].concat());
     program.wait_line("engine_id=s-2 phase=Ready");
     program.wait_line("engine_id=s-1 phase=Draining");
     drop(first);
-    // Without one, that in its data counts.
-    let (asked, second) =
-        feed.answer(format!("data: {}\n\n", list(4, false, &[("s-4", nowhere(), "ready")])));
-    assert_eq!(asked, 3);
+    // For an event without an id, the number in its data counts.
+    let (last_event, second) =
+        feed.answer(format!("data: {}\n\n", list(4, false, &[("s-4", unreachable_address(), "ready")])));
+    assert_eq!(last_event, 3);
     program.wait_line("engine_id=s-4 phase=Ready");
     drop(second);
-    assert_eq!(feed.call().0, 4);
+    assert_eq!(feed.next_call().0, 4);
 }
 
-/// Answers so many calls alike, each of which goes on from the first event.
-fn ask_anew(feed: &ScriptedFeed, answer: &str, calls: usize) {
+/// Gives the same answer to `calls` calls, each of which requests the events after the first.
+fn answer_repeatedly(feed: &ScriptedFeed, answer: &str, calls: usize) {
     for _ in 0..calls {
-        let (asked, stream) = feed.answer(answer);
-        assert_eq!(asked, 1);
+        let (last_event, stream) = feed.answer(answer);
+        assert_eq!(last_event, 1);
         drop(stream);
     }
 }
 
-/// Guards the rule on drains: one number that no feed counts up to let all that came after pass.
+/// Guards against missed drains: after an event number that no feed can reach, all later events were ignored.
 #[test]
 fn implausible_event_number_skips_nothing() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    // It is asked for anew three times, and then passed over; what it is about plays no part.
-    let both = format!(
+    // The event is requested again three times and then skipped, whatever its data.
+    let answer = format!(
         "id: {0}\ndata: {{\"n\":7}}\n\nid: {0}\ndata: {{\"n\":{0}}}\n\n{1}",
         u64::MAX,
-        told(2, "s-1", "draining")
+        engine_event(2, "s-1", "draining")
     );
-    ask_anew(&feed, &both, 4);
+    answer_repeatedly(&feed, &answer, 4);
     program.wait_line("engine_id=s-1 phase=Draining");
-    assert_eq!(feed.call().0, 2);
+    assert_eq!(feed.next_call().0, 2);
 }
 
 // ---- Events that cannot be read ------------------------------------------------------------
 
-/// Guards the rule on drains: two bad events in one answer started each other's count anew, and nothing behind them
-/// was ever read.
+/// Guards against missed drains: two unreadable events in one response reset each other's retry count, so
+/// that no event after them was ever read.
 #[test]
-fn two_unreadable_events_are_both_skipped_in_the_end() {
+fn two_unreadable_events_are_both_finally_skipped() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let bad = format!("data: {{\n\n{}{}", sent(2, "{"), told(3, "s-1", "draining"));
-    // Three calls for each that are given up, and one more that reads them.
-    ask_anew(&feed, &bad, 7);
+    let answer = format!("data: {{\n\n{}{}", event(2, "{"), engine_event(3, "s-1", "draining"));
+    // Each of the two events is requested again three times before it is skipped; one more call reads the
+    // rest.
+    answer_repeatedly(&feed, &answer, 7);
     program.wait_line("engine_id=s-1 phase=Draining");
-    assert_eq!(feed.call().0, 3);
+    assert_eq!(feed.next_call().0, 3);
 }
 
-/// Guards the rule on drains: an event too long to be read came again with every call, and nothing behind it was ever
-/// read.
+/// Guards against missed drains: an event too long to be read was sent again with every call, so that no
+/// event after it was ever read.
 #[test]
-fn oversized_event_is_skipped_in_the_end() {
+fn oversized_event_is_finally_skipped() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
     let long = "x".repeat((1 << 20) + 10);
-    let bad = format!("{}{}", sent(2, &long), told(3, "s-1", "draining"));
+    let answer = format!("{}{}", event(2, &long), engine_event(3, "s-1", "draining"));
     for _ in 0..4 {
-        let (asked, mut stream) = feed.answer(&bad);
-        assert_eq!(asked, 1);
-        // Until it has hung up, or has read it all.
+        let (last_event, mut stream) = feed.answer(&answer);
+        assert_eq!(last_event, 1);
+        // Waits until the program has disconnected or has read everything.
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let _ = stream.read_to_end(&mut Vec::new());
     }
     program.wait_line("engine_id=s-1 phase=Draining");
-    assert_eq!(feed.call().0, 3);
-    assert_eq!(count(&program, "feed event skipped error=\"field data is too long"), 1);
+    assert_eq!(feed.next_call().0, 3);
+    assert_eq!(count_lines(&program, "feed event skipped error=\"field data is too long"), 1);
 }
 
-/// Guards the rule on drains: bytes that are no UTF-8 became another engine's name, and that one's drain was ticked off.
+/// Guards against missed drains: invalid UTF-8 was read as another engine's id, and the drain of the right
+/// engine counted as received.
 #[test]
-fn an_event_that_is_not_utf_8_is_asked_for_anew() {
+fn event_that_is_not_utf_8_is_requested_again() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let mut malformed = told(2, "s-1", "draining").into_bytes();
-    let at = malformed.windows(3).position(|w| w == b"s-1").expect("its name");
-    malformed[at + 1] = 0xff;
+    let mut malformed = engine_event(2, "s-1", "draining").into_bytes();
+    let offset = malformed.windows(3).position(|w| w == b"s-1").expect("the engine's id");
+    malformed[offset + 1] = 0xff;
     let (_, first) = feed.answer(&malformed);
-    let (asked, _second) = feed.answer(told(2, "s-1", "draining"));
-    assert_eq!(asked, 1, "what was malformed on the way may not come so again");
+    let (last_event, _second) = feed.answer(engine_event(2, "s-1", "draining"));
+    assert_eq!(last_event, 1, "an event damaged in transit is requested again");
     program.wait_line("engine_id=s-1 phase=Draining");
     drop(first);
 }
 
-// ---- Lists ---------------------------------------------------------------------------------
+// ---- Endpoint lists ------------------------------------------------------------------------
 
-/// Guards the rule on drains: a whole list that leaves an engine out ends it, and what waited for a connection to it
-/// went out seconds later.
+/// Guards against requests to removed engines: a complete list without an engine removes it, but a request
+/// that waited for a connection to it was sent seconds later.
 #[test]
 fn engine_missing_from_a_full_list_gets_no_new_requests() {
-    let (feed, late, next) = (ScriptedFeed::start(), DelayedListener::listen(), Engine::echo());
-    let program = Program::with_operators(&[("s-1", late.address)], None, SETTINGS);
-    let operators = program.operators.expect("an address");
+    let (feed, removed, remaining) = (ScriptedFeed::start(), DelayedListener::listen(), Engine::echo());
+    let program = Program::with_operators(&[("s-1", removed.address)], None, SETTINGS);
+    let admin = program.operators.expect("an address");
     program.reload(&program.config_with_feed(feed.address));
     let (_, mut stream) = feed.answer(": here\n\n");
     let mut client = RawClient::connect(program.platform);
     client.send(&query(&sql(1)));
-    // It was drawn for s-1, the only engine, when it was taken, and waits for the connection.
-    wait_until(|| (metric(operators, "outstanding") == 1).then_some(()));
-    let whole = list(2, true, &[("s-2", next.address, "ready")]);
-    say(&mut stream, sent(2, &whole));
+    // The request was assigned to s-1, the only engine, when it was admitted, and waits for the connection.
+    wait_until(|| (metric(admin, "outstanding") == 1).then_some(()));
+    let complete = list(2, true, &[("s-2", remaining.address, "ready")]);
+    write(&mut stream, event(2, &complete));
     program.wait_line("engine_id=s-2 phase=Ready");
-    let old = late.open(|_| Reply::Pages(vec!["a\tb\tc\n".into()]));
+    let removed = removed.open(|_| Reply::Pages(vec!["a\tb\tc\n".into()]));
     assert_eq!(rows(&client.until_ready()).len(), 1);
     assert_eq!(
-        (old.received("do").len(), next.received("do").len()),
+        (removed.received("do").len(), remaining.received("do").len()),
         (0, 1),
-        "it went to the engine that is left"
+        "the remaining engine got the request"
     );
-    assert_eq!(count(&program, "engine_id=s-1 phase=Gone"), 1);
+    assert_eq!(count_lines(&program, "engine_id=s-1 phase=Gone"), 1);
 }
 
-/// Guards the rule on drains: of two words on one engine in one list the later counted, whichever it was.
+/// Guards against missed drains: of two entries for one engine in a list the later one applied, whichever it
+/// was.
 #[test]
-fn more_cautious_of_two_entries_for_one_engine_counts() {
-    let (feed, engine, next) = (ScriptedFeed::start(), Engine::echo(), Engine::echo());
-    let program = Program::start(&[("s-1", engine.address)], None, None);
+fn more_restrictive_of_two_entries_for_one_engine_applies() {
+    let (feed, draining, ready) = (ScriptedFeed::start(), Engine::echo(), Engine::echo());
+    let program = Program::start(&[("s-1", draining.address)], None, None);
     program.reload(&program.config_with_feed(feed.address));
-    let rows_of = [
-        ("s-1", engine.address, "draining"),
-        ("s-2", next.address, "ready"),
-        ("s-1", engine.address, "ready"),
+    let entries = [
+        ("s-1", draining.address, "draining"),
+        ("s-2", ready.address, "ready"),
+        ("s-1", draining.address, "ready"),
     ];
-    let (_, _stream) = feed.answer(sent(2, &list(2, false, &rows_of)));
+    let (_, _stream) = feed.answer(event(2, &list(2, false, &entries)));
     program.wait_line("engine_id=s-2 phase=Ready");
     let mut client = RawClient::connect(program.platform);
     for id in 1..20 {
         assert_eq!(rows(&client.ask(&sql(id))).len(), 1);
     }
-    assert_eq!((engine.received("do").len(), next.received("do").len()), (0, 19));
+    assert_eq!((draining.received("do").len(), ready.received("do").len()), (0, 19));
 }
 
-// ---- The feed moves ------------------------------------------------------------------------
+// ---- Changes of the feed's address ---------------------------------------------------------
 
-/// Guards the rule on drains: half an event of the old feed must neither count nor be told twice.
+/// Guards against missed drains: a partial event of the old feed must not count, and must not be applied
+/// twice.
 #[test]
-fn half_an_event_of_the_old_feed_is_not_joined_with_the_new_one() {
+fn partial_event_of_the_old_feed_is_not_joined_with_the_new_one() {
     let (old, new) = (ScriptedFeed::start(), ScriptedFeed::start());
     let program = start(&old);
-    let drain = told(3, "s-1", "draining");
-    let (half, rest) = drain.split_at(drain.len() - 1);
-    let (_, mut first) = old.answer([&told(2, "s-2", "ready"), half].concat());
+    let drain = engine_event(3, "s-1", "draining");
+    let (partial, rest) = drain.split_at(drain.len() - 1);
+    let (_, mut first) = old.answer([&engine_event(2, "s-2", "ready"), partial].concat());
     program.wait_line("engine_id=s-2 phase=Ready");
     program.reload(&program.config_with_feed(new.address));
-    let (asked, mut second) = new.call();
-    assert_eq!(asked, 2, "what came whole of the old one counts, and no more");
-    // The last byte comes only now.
-    say(&mut first, rest);
-    say(&mut second, [HEAD, &drain, &told(4, "s-4", "ready")].concat());
+    let (last_event, mut second) = new.next_call();
+    assert_eq!(last_event, 2, "only complete events of the old feed count");
+    // The last byte of the partial event arrives only now.
+    write(&mut first, rest);
+    write(&mut second, [HEAD, &drain, &engine_event(4, "s-4", "ready")].concat());
     program.wait_line("engine_id=s-4 phase=Ready");
-    assert_eq!(count(&program, "engine_id=s-1 phase=Draining"), 1);
+    assert_eq!(count_lines(&program, "engine_id=s-1 phase=Draining"), 1);
 }
 
-/// The configuration's file of a program, and a pipe in its place: who reads it waits for the test.
-struct Held {
+/// A named pipe in place of a program's configuration file: a reload blocks until the test writes to the
+/// pipe.
+struct BlockedReload {
     file: std::path::PathBuf,
     pipe: std::path::PathBuf,
-    id: String,
+    process_id: String,
 }
 
-impl Held {
-    /// Puts the pipe in the file's place and sends SIGHUP.
-    fn hold(program: &Program) -> Held {
-        let id = program.id().to_string();
-        let line = std::fs::read_to_string(format!("/proc/{id}/cmdline")).expect("read");
-        let mut parts = line.split('\0').skip_while(|p| *p != "--config");
-        let file = std::path::PathBuf::from(parts.nth(1).expect("a file"));
+impl BlockedReload {
+    /// Replaces the configuration file by the pipe and sends SIGHUP.
+    fn start(program: &Program) -> BlockedReload {
+        let process_id = program.id().to_string();
+        let command_line = std::fs::read_to_string(format!("/proc/{process_id}/cmdline")).expect("read");
+        let mut args = command_line.split('\0').skip_while(|a| *a != "--config");
+        let file = std::path::PathBuf::from(args.nth(1).expect("a file"));
         let pipe = file.with_extension("pipe");
         assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo").success());
-        let held = Held { file, pipe, id };
-        std::fs::rename(&held.pipe, &held.file).expect("renamed");
-        held.hang_up();
-        held
+        let reload = BlockedReload { file, pipe, process_id };
+        std::fs::rename(&reload.pipe, &reload.file).expect("renamed");
+        reload.send_sighup();
+        reload
     }
 
-    fn hang_up(&self) {
-        assert!(Command::new("kill").args(["-HUP", &self.id]).status().expect("kill").success());
+    fn send_sighup(&self) {
+        assert!(Command::new("kill").args(["-HUP", &self.process_id]).status().expect("kill").success());
     }
 
-    /// Waits until the program's reader is at the pipe, which only then can be opened for writing at once.
-    fn reader(&self) -> std::fs::File {
+    /// Waits until the program has opened the pipe for reading, and opens it for writing. Without a reader a
+    /// non-blocking open fails.
+    fn open_pipe(&self) -> std::fs::File {
         use std::os::unix::fs::OpenOptionsExt;
         let open = || std::fs::OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(&self.file).ok();
         wait_until(open)
     }
 }
 
-/// Linux's number for it.
+/// The value on Linux.
 const O_NONBLOCK: i32 = 0o4000;
 
-/// Guards moves that follow on each other: while one file is read the next is put in its place, and that one counts.
+/// Guards against losing a SIGHUP during a reload: the file is replaced while it is read, and the new file
+/// must apply.
 #[test]
 fn sighup_during_a_reload_causes_another_reload() {
     let (old, new) = (ScriptedFeed::start(), ScriptedFeed::start());
-    let program = Program::start(&[("s-1", nowhere())], None, None);
+    let program = Program::start(&[("s-1", unreachable_address())], None, None);
     let (first, second) = (program.config_with_feed(old.address), program.config_with_feed(new.address));
-    let held = Held::hold(&program);
-    let mut reader = held.reader();
-    // The reader has the pipe in hand: another file takes its place, and a second signal comes.
-    std::fs::write(held.file.with_extension("next"), second).expect("written");
-    std::fs::rename(held.file.with_extension("next"), &held.file).expect("renamed");
-    held.hang_up();
-    held.hang_up();
-    let (_, mut client) = (reader.write_all(first.as_bytes()), RawClient::connect(program.platform));
-    drop(reader);
+    let reload = BlockedReload::start(&program);
+    let mut pipe = reload.open_pipe();
+    // The program has the pipe open: another file replaces it, and further signals arrive.
+    std::fs::write(reload.file.with_extension("next"), second).expect("written");
+    std::fs::rename(reload.file.with_extension("next"), &reload.file).expect("renamed");
+    reload.send_sighup();
+    reload.send_sighup();
+    let (_, mut client) = (pipe.write_all(first.as_bytes()), RawClient::connect(program.platform));
+    drop(pipe);
     program.wait_line(&format!("configuration reloaded feed_address={}", old.address));
     program.wait_line(&format!("configuration reloaded feed_address={}", new.address));
-    let (asked, _stream) = new.answer(told(2, "s-1", "draining"));
-    assert_eq!(asked, 1);
+    let (last_event, _stream) = new.answer(engine_event(2, "s-1", "draining"));
+    assert_eq!(last_event, 1);
     program.wait_line("engine_id=s-1 phase=Draining");
     client.send(&query(""));
     assert!(client.message().is_some());
 }
 
-/// Guards the stop: a file that cannot be read to its end held the process up when all was answered.
+/// Guards against a stop that waits for a reload: a file that could not be read to its end kept the process
+/// running after everything was answered.
 #[test]
 fn stop_does_not_wait_for_a_reload_in_progress() {
-    let mut program = Program::start(&[("s-1", nowhere())], None, None);
-    let held = Held::hold(&program);
-    let reader = held.reader();
-    // Served meanwhile.
+    let mut program = Program::start(&[("s-1", unreachable_address())], None, None);
+    let reload = BlockedReload::start(&program);
+    let pipe = reload.open_pipe();
+    // Clients are served meanwhile.
     assert_eq!(message_types(&RawClient::connect(program.platform).ask("")), "IZ");
     program.terminate();
     assert_eq!(program.wait_for_exit(), Some(0));
-    drop(reader);
+    drop(pipe);
 }
 
-/// Guards the feed against a file that names none: the old one stays.
+/// Guards against losing the feed when a configuration names no valid address: the old feed stays.
 #[test]
 fn reload_with_an_invalid_feed_address_changes_nothing() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
-    let good = program.config_with_feed(feed.address);
-    for bad in ["", "nowhere", ":7070", "127.0.0.1:0", "127.0.0.1:70707"] {
-        program.reload(&good.replace(&feed.address.to_string(), bad));
-        let quoted = format!("{bad:?}").replace('"', "\\\"");
+    let config = program.config_with_feed(feed.address);
+    for invalid in ["", "nowhere", ":7070", "127.0.0.1:0", "127.0.0.1:70707"] {
+        program.reload(&config.replace(&feed.address.to_string(), invalid));
+        let quoted = format!("{invalid:?}").replace('"', "\\\"");
         program.wait_line(&format!("feed: {quoted} is no address and port"));
     }
-    // So does the same address: the call that is open goes on.
-    program.reload(&good);
-    wait_until(|| (count(&program, "configuration reloaded") == 2).then_some(()));
-    say(&mut stream, told(2, "s-1", "draining"));
+    // The same address changes nothing either: the open call continues.
+    program.reload(&config);
+    wait_until(|| (count_lines(&program, "configuration reloaded") == 2).then_some(()));
+    write(&mut stream, engine_event(2, "s-1", "draining"));
     program.wait_line("engine_id=s-1 phase=Draining");
-    assert_eq!(count(&program, "feed lost"), 0);
-    assert!(feed.calls.try_recv().is_err(), "it was not called again");
+    assert_eq!(count_lines(&program, "feed lost"), 0);
+    assert!(feed.calls.try_recv().is_err(), "the feed was not called again");
 }
