--- a/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
+++ b/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
@@ -101,7 +101,7 @@
             managers: 24,
             engines: 12,
             rate: 300.0,
-            lasts: Duration::from_secs(20),
+            duration: Duration::from_secs(20),
             seed: 1,
             arguments: Vec::new(),
         },
@@ -110,7 +110,7 @@
     while let Some(argument) = parser.next()? {
         match argument {
             Long("seeds") => options.seeds = parse_range(&parser.value()?.string()?)?,
-            Long("seconds") => options.config.lasts = Duration::from_secs(parser.value()?.parse()?),
+            Long("seconds") => options.config.duration = Duration::from_secs(parser.value()?.parse()?),
             Long("managers") => options.config.managers = parser.value()?.parse()?,
             Long("engines") => options.config.engines = parser.value()?.parse()?,
             Long("rate") => options.config.rate = parser.value()?.parse()?,
--- a/crates/fault-soak/src/nemesis.rs
+++ b/crates/fault-soak/src/nemesis.rs
@@ -25,12 +25,12 @@
     /// The feeds of half of the managers send no event.
     SilentFeeds {
         /// For how long.
-        lasts: Duration,
+        duration: Duration,
     },
     /// The feeds of all managers are down.
     FeedsDown {
         /// For how long.
-        lasts: Duration,
+        duration: Duration,
     },
     /// Engines drain, are gone two seconds later, and others come in their place.
     Replace {
@@ -42,7 +42,7 @@
         /// How many.
         engines: usize,
         /// For how long.
-        lasts: Duration,
+        duration: Duration,
     },
     /// All connections to an engine are reset.
     Reset {
@@ -54,12 +54,12 @@
         /// How many.
         engines: usize,
         /// For how long.
-        lasts: Duration,
+        duration: Duration,
     },
     /// Clients send three times as much.
     Burst {
         /// For how long.
-        lasts: Duration,
+        duration: Duration,
     },
 }
 
@@ -73,11 +73,11 @@
 }
 
 /// Draws a plan for a run that lasts so long.
-pub fn draw(rng: &mut ChaCha8Rng, lasts: Duration) -> Plan {
+pub fn draw(rng: &mut ChaCha8Rng, duration: Duration) -> Plan {
     let mut faults = Vec::new();
     // The first seconds are quiet: managers start and learn.
     let mut at = Duration::from_millis(rng.gen_range(1_500..3_000));
-    while at + Duration::from_secs(5) < lasts {
+    while at + Duration::from_secs(5) < duration {
         for _ in 0..rng.gen_range(1..=3) {
             let offset = Duration::from_millis(rng.gen_range(0..400));
             faults.push((at + offset, draw_fault(rng)));
@@ -85,32 +85,32 @@
         at += Duration::from_millis(rng.gen_range(1_000..2_500));
     }
     faults.sort_by_key(|(at, _)| *at);
-    Plan { faults, syscalls: draw_syscalls(rng, lasts) }
+    Plan { faults, syscalls: draw_syscalls(rng, duration) }
 }
 
 fn draw_fault(rng: &mut ChaCha8Rng) -> Fault {
-    let lasts = Duration::from_millis(rng.gen_range(300..3_000));
+    let duration = Duration::from_millis(rng.gen_range(300..3_000));
     let few = rng.gen_range(1..4);
     match rng.gen_range(0..12) {
         0 | 1 => Fault::Terminate { managers: rng.gen_range(1..8) },
         2 => Fault::Kill { managers: few },
         3 | 4 => Fault::Reload,
-        5 => Fault::SilentFeeds { lasts },
-        6 => Fault::FeedsDown { lasts },
+        5 => Fault::SilentFeeds { duration },
+        6 => Fault::FeedsDown { duration },
         7 | 8 => Fault::Replace { engines: few },
-        9 => Fault::Hang { engines: few, lasts },
+        9 => Fault::Hang { engines: few, duration },
         10 => Fault::Reset { engines: few },
         _ => match rng.gen_bool(0.5) {
-            true => Fault::Fail { engines: few, lasts },
-            false => Fault::Burst { lasts },
+            true => Fault::Fail { engines: few, duration },
+            false => Fault::Burst { duration },
         },
     }
 }
 
-fn draw_syscalls(rng: &mut ChaCha8Rng, lasts: Duration) -> SyscallFaults {
+fn draw_syscalls(rng: &mut ChaCha8Rng, duration: Duration) -> SyscallFaults {
     let start = monotonic_ms();
     let mut steps = Vec::new();
-    let run_ms = lasts.as_millis() as i64;
+    let run_ms = duration.as_millis() as i64;
     for _ in 0..rng.gen_range(0..3) {
         let ahead = *[2_000, 30_000, 3_600_000, -2_000, -30_000, -3_600_000].choose(rng).unwrap_or(&2_000);
         steps.push(ClockStep { at_ms: start + rng.gen_range(2_000..run_ms.max(2_001)), ahead_ms: ahead });
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -57,7 +57,7 @@
     /// Clients a second, over all managers.
     pub rate: f64,
     /// How long clients come.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The seed of all draws.
     pub seed: u64,
     /// Further arguments of the program's `serve`.
@@ -113,7 +113,7 @@
 /// A stand-in, a file or a process that cannot be started.
 pub async fn run(config: SoakConfig) -> io::Result<SoakReport> {
     let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
-    let plan = nemesis::draw(&mut rng, config.lasts);
+    let plan = nemesis::draw(&mut rng, config.duration);
     let mut soak = Soak::new(config, &plan, rng).await?;
     let lag = tokio::spawn({
         let world = Arc::clone(&soak.world);
@@ -230,7 +230,7 @@
         let start = Instant::now();
         let mut next_fault = 0;
         let mut next_client = start;
-        while start.elapsed() < self.config.lasts {
+        while start.elapsed() < self.config.duration {
             while plan.faults.get(next_fault).is_some_and(|(at, _)| *at <= start.elapsed()) {
                 self.inject(plan.faults[next_fault].1).await?;
                 next_fault += 1;
@@ -275,22 +275,22 @@
                 }
             }
             Fault::Reload => self.reload()?,
-            Fault::SilentFeeds { lasts } => self.change_feeds(FeedMode::Silent, lasts, 0.5),
-            Fault::FeedsDown { lasts } => self.change_feeds(FeedMode::Down, lasts, 1.0),
+            Fault::SilentFeeds { duration } => self.change_feeds(FeedMode::Silent, duration, 0.5),
+            Fault::FeedsDown { duration } => self.change_feeds(FeedMode::Down, duration, 1.0),
             Fault::Replace { engines } => {
                 for _ in 0..engines {
                     self.replace_engine().await?;
                 }
             }
-            Fault::Hang { engines, lasts } => {
-                self.draw_engines(engines, |engine, _| engine.behave(|b| b.hangs_until = now + lasts));
+            Fault::Hang { engines, duration } => {
+                self.draw_engines(engines, |engine, _| engine.behave(|b| b.hangs_until = now + duration));
             }
             Fault::Reset { engines } => self.draw_engines(engines, |engine, _| engine.reset_connections()),
-            Fault::Fail { engines, lasts } => self.draw_engines(engines, |engine, later| {
+            Fault::Fail { engines, duration } => self.draw_engines(engines, |engine, later| {
                 engine.behave(|b| b.failing = 333);
-                later.push((now + lasts, FollowUp::Heal { id: engine.id.clone() }));
+                later.push((now + duration, FollowUp::Heal { id: engine.id.clone() }));
             }),
-            Fault::Burst { lasts } => self.burst_until = now + lasts,
+            Fault::Burst { duration } => self.burst_until = now + duration,
         }
         Ok(())
     }
@@ -334,13 +334,13 @@
         Ok(())
     }
 
-    fn change_feeds(&mut self, mode: FeedMode, lasts: Duration, share: f64) {
+    fn change_feeds(&mut self, mode: FeedMode, duration: Duration, share: f64) {
         for number in 0..self.managers.len() {
             if self.rng.gen_bool(share) {
                 let side = self.feed_sides[number];
                 self.feeds[number][side].set_mode(mode);
                 let heals = FollowUp::FeedMode { manager: number, side, mode: FeedMode::Serve };
-                self.later.push((Instant::now() + lasts, heals));
+                self.later.push((Instant::now() + duration, heals));
             }
         }
     }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -18,7 +18,7 @@
         managers: 8,
         engines: 6,
         rate: 60.0,
-        lasts: Duration::from_secs(12),
+        duration: Duration::from_secs(12),
         seed: SEED,
         arguments: Vec::new(),
     };
