--- a/crates/fault-soak/shim/syscall_faults.c
+++ b/crates/fault-soak/shim/syscall_faults.c
@@ -1,19 +1,22 @@
-/* Fails system calls of one process as Linux documents that they may fail, and steps its wall clock.
+/* Makes system calls of one process fail in ways that Linux documents, and steps its wall clock.
  *
- * Loaded by LD_PRELOAD into processes that the fault soak starts, and into no others. What fails is told by the environment
- * variable SYSCALL_FAULTS, a list of NAME=VALUE with commas between:
+ * Loaded by LD_PRELOAD only into processes that the fault soak or a test starts. The environment variable
+ * SYSCALL_FAULTS holds the settings, a comma-separated list of NAME=VALUE:
  *
- *   seed=N       of the random numbers
- *   eintr=P      in 1,000 reads and writes of network sockets, and connects: fail with EINTR before anything is done
- *   short=P      in 1,000 reads and writes of sockets: of fewer bytes than asked for
- *   accept=P     in 1,000 accepts: fail with ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO or EHOSTUNREACH
- *   connect=P    in 1,000 connects: fail with EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EAGAIN
- *   socket=P     in 1,000 calls of socket: fail with EMFILE, ENFILE, ENOBUFS or ENOMEM
- *   broken=P     in 10,000 reads of connections that this process made: the connection breaks with ETIMEDOUT or EHOSTUNREACH
- *   config=P     in 1,000 opens of files for reading: fail with EIO or EMFILE
- *   from=T to=T  the span in which anything fails, in milliseconds of CLOCK_MONOTONIC
- *   step=T:S     from T on (milliseconds of CLOCK_MONOTONIC) the wall clock is S milliseconds ahead; up to eight of them, the
- *                last one that has come counts
+ *   seed=N       seed of the random numbers
+ *   eintr=P      reads and writes of network sockets, and connects, per 1,000: fail with EINTR before any
+ *                effect
+ *   short=P      reads and writes of sockets per 1,000: transfer fewer bytes than requested
+ *   accept=P     accepts per 1,000: fail with ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO or
+ *                EHOSTUNREACH
+ *   connect=P    connects per 1,000: fail with EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EAGAIN
+ *   socket=P     calls of socket per 1,000: fail with EMFILE, ENFILE, ENOBUFS or ENOMEM
+ *   broken=P     reads per 10,000 of connections that this process opened: the connection fails with
+ *                ETIMEDOUT or EHOSTUNREACH
+ *   config=P     opens of the configuration file per 1,000: fail with EIO or EMFILE
+ *   from=T to=T  the time in which calls fail, in milliseconds of CLOCK_MONOTONIC
+ *   step=T:S     from T on (milliseconds of CLOCK_MONOTONIC) the wall clock is S milliseconds ahead; of up to
+ *                eight steps the last one that is due applies
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -46,7 +49,7 @@
     int step_count;
 } faults;
 
-/* Descriptors that this process has connected itself. */
+/* Descriptors of connections that this process has opened. */
 static unsigned char is_outgoing[MAX_DESCRIPTORS];
 static pthread_once_t is_loaded = PTHREAD_ONCE_INIT;
 
@@ -92,7 +95,7 @@
     free(copy);
 }
 
-/* xorshift64*; a race between threads only changes what is drawn. */
+/* xorshift64*; a race between threads only changes the random numbers. */
 static uint64_t next_random(void) {
     uint64_t x = faults.random_state;
     x ^= x >> 12;
@@ -110,7 +113,8 @@
     return (int)(next_random() % (uint64_t)out_of) < chance;
 }
 
-/* Sockets between processes: the runtime's own pairs, which wake it for signals, never block and are not interrupted. */
+/* Excludes the runtime's own socket pairs, which wake it for signals: they never block and are not
+ * interrupted. */
 static int is_network_socket(int fd) {
     int domain = 0;
     socklen_t length = sizeof domain;
@@ -126,14 +130,14 @@
     return fail(errors[next_random() % (uint64_t)count]);
 }
 
-/* Whether a call on a socket fails; otherwise how many bytes it may move. */
+/* Returns -1 if a call on a socket must fail; otherwise limits the number of bytes that it may transfer. */
 static int socket_fault(int fd, size_t *length, int is_read) {
     pthread_once(&is_loaded, load);
     if (!is_network_socket(fd)) return 0;
     if (should_fail(faults.eintr, 1000)) return fail(EINTR);
     if (is_read && fd >= 0 && fd < MAX_DESCRIPTORS && is_outgoing[fd] && should_fail(faults.broken, 10000)) {
         static const int errors[] = {ETIMEDOUT, EHOSTUNREACH};
-        /* Both directions are over, as after a real timeout; the peer sees a reset. */
+        /* Ends both directions, as after a real timeout; the peer gets a reset. */
         struct linger reset = {1, 0};
         setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
         shutdown(fd, SHUT_RDWR);
@@ -180,7 +184,7 @@
     if (!next) next = NEXT(writev);
     size_t allowed = 2;
     if (socket_fault(fd, &allowed, 0)) return -1;
-    /* A short one writes the first part alone. */
+    /* A short write transfers only the first part. */
     return next(fd, parts, allowed < 2 && count > 1 ? 1 : count);
 }
 
@@ -228,7 +232,7 @@
     return next(fd, address, length);
 }
 
-/* How far the wall clock is ahead now, in milliseconds. */
+/* Current offset of the wall clock, in milliseconds. */
 static int64_t wall_clock_ahead_ms(void) {
     pthread_once(&is_loaded, load);
     int64_t now = faults.step_count ? monotonic_ms() : 0, ahead = 0;
--- a/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
+++ b/crates/fault-soak/src/bin/sprucelink-fault-soak.rs
@@ -1,4 +1,4 @@
-//! `sprucelink-fault-soak`: runs of many seeds, and what broke the rules in each.
+//! `sprucelink-fault-soak`: runs the fault soak with many seeds and prints the violations of each run.
 
 use lexopt::prelude::{Long, ValueExt as _};
 use sprucelink_fault_soak::judge::count_by_rule;
@@ -7,7 +7,6 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The help text.
 const USAGE: &str = "\
 usage: sprucelink-fault-soak [--seeds FROM..TO] [--seconds N] [--managers N] [--engines N] [--rate R]
                              [--program PATH] [--folder DIR] [--arg ARG]... [--details N]
@@ -28,7 +27,7 @@
 Exit status: 0 no violation, 1 a run could not be carried out, 2 a bad command line, 3 violations.
 ";
 
-/// The command line.
+/// Options of the command line.
 struct Options {
     seeds: std::ops::Range<u64>,
     details: usize,
@@ -51,7 +50,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("no threads: {error}");
+            eprintln!("cannot start the runtime: {error}");
             return ExitCode::from(1);
         }
     };
@@ -125,11 +124,11 @@
     Ok(Some(options))
 }
 
-/// Seeds as `FROM..TO`.
+/// Parses a range of seeds, `FROM..TO`.
 fn parse_range(text: &str) -> Result<std::ops::Range<u64>, lexopt::Error> {
     let bounds = text.split_once("..").and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
     match bounds {
         Some((from, to)) if from < to => Ok(from..to),
-        _ => Err(lexopt::Error::Custom(format!("--seeds: {text:?} is no range FROM..TO").into())),
+        _ => Err(lexopt::Error::Custom(format!("--seeds: invalid range {text:?}: expected FROM..TO").into())),
     }
 }
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of the platform's front: PostgreSQL 3.0, simple queries. Some keep their session, some send many requests at
-//! once, write slowly, leave early or cancel.
+//! Clients of the platform's front (PostgreSQL 3.0, simple queries). Some keep their session, some pipeline
+//! requests, write slowly, leave early or cancel.
 
 use crate::judge::Rule;
 use crate::manager_endpoint::ManagerEndpoint;
@@ -14,14 +14,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An answer that comes later than this after the request's time is lost.
-const LATE: Duration = Duration::from_millis(500);
-/// A client that has cancelled closes its connection after this.
+/// Time after a request's timeout after which a missing answer counts as lost.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Time after which a client that has cancelled closes its connection.
 const CLOSE_AFTER_CANCEL: Duration = Duration::from_millis(500);
-/// Longest message that is read.
+/// Maximum length of a message.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// The error of a session that its manager refused.
-const REFUSED: &str = "refused";
+/// Error text of a session that its manager rejected.
+const REJECTED: &str = "rejected";
 /// Code of a CancelRequest.
 const CANCEL_CODE: u32 = 80_877_102;
 
@@ -36,13 +36,12 @@
 /// How a request ended at its client.
 #[derive(Debug)]
 enum Answer {
-    /// Served: the first column of the only row.
+    /// The request was served; holds the first column of its only row.
     Served(String),
-    /// Refused or failed, with an error.
+    /// The request was rejected or failed with an error.
     Error,
 }
 
-/// One request.
 struct Request {
     id: u64,
     class: usize,
@@ -80,12 +79,12 @@
 }
 
 impl Session {
-    /// Connects and starts a session; `with`: bytes that are sent right behind the start-up.
-    async fn open(address: SocketAddr, with: &[u8]) -> io::Result<Session> {
+    /// Connects and sends the start-up packet, followed by `first_bytes`.
+    async fn open(address: SocketAddr, first_bytes: &[u8]) -> io::Result<Session> {
         let mut stream = TcpStream::connect(address).await?;
         let opened_at = Instant::now();
         stream.set_nodelay(true)?;
-        stream.write_all(&[&startup(), with].concat()).await?;
+        stream.write_all(&[&startup(), first_bytes].concat()).await?;
         Ok(Session { stream, key: Vec::new(), opened_at })
     }
 
@@ -102,12 +101,12 @@
     }
 
     /// Reads up to the first ReadyForQuery.
-    async fn greeted(&mut self) -> io::Result<()> {
+    async fn wait_until_started(&mut self) -> io::Result<()> {
         loop {
             match self.message().await? {
                 (b'K', key) => self.key = key,
                 (b'Z', _) => return Ok(()),
-                (b'E', _) => return Err(io::Error::other(REFUSED)),
+                (b'E', _) => return Err(io::Error::other(REJECTED)),
                 _ => {}
             }
         }
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Whether the manager has closed it while it rested.
+    /// Whether the manager has closed the idle session.
     fn is_closed(&self) -> bool {
         let mut byte = [0];
         self.stream.try_read(&mut byte).is_ok()
@@ -148,29 +147,29 @@
     rng: ChaCha8Rng,
 }
 
-/// What a client does.
+/// Behaviour of a client.
 #[derive(Clone, Copy)]
 enum ClientBehaviour {
-    /// One request on a connection of its own, all written at once.
+    /// Sends one request on a new connection, together with the start-up packet.
     Once,
-    /// Several, one after the other, on one session that rests between them.
-    Rests,
-    /// Several at once, or a little apart, on one session.
+    /// Sends several requests on one session that is idle between them.
+    KeepsSession,
+    /// Sends several requests on one session without waiting for answers.
     Pipelines,
-    /// Its request comes in pieces.
+    /// Sends its request in pieces.
     WritesSlowly,
-    /// Closes its connection while its request is open.
+    /// Closes its connection while its request is in flight.
     Leaves,
-    /// Cancels while its request is open.
+    /// Cancels its request while it is in flight.
     Cancels,
-    /// Sends what cannot be read, or half a request.
+    /// Sends malformed input or an incomplete request.
     Misbehaves,
 }
 
-/// How often a client behaves in each way: weights of the draw.
+/// Weights with which the behaviours are drawn.
 const CLIENT_BEHAVIOURS: [(u32, ClientBehaviour); 7] = [
     (30, ClientBehaviour::Once),
-    (25, ClientBehaviour::Rests),
+    (25, ClientBehaviour::KeepsSession),
     (12, ClientBehaviour::Pipelines),
     (8, ClientBehaviour::WritesSlowly),
     (10, ClientBehaviour::Leaves),
@@ -179,12 +178,12 @@
 ];
 
 impl Client {
-    /// A client that draws from `rng`.
+    /// Creates a client whose behaviour and requests are drawn from `rng`.
     pub fn new(world: &Arc<World>, endpoint: &Arc<ManagerEndpoint>, rng: ChaCha8Rng) -> Client {
         Client { world: Arc::clone(world), endpoint: Arc::clone(endpoint), rng }
     }
 
-    /// Behaves in the drawn way once. Errors that do not concern the manager are ignored.
+    /// Runs a drawn behaviour once. Errors for which the manager is not responsible are ignored.
     pub async fn run(mut self) {
         let total: u32 = CLIENT_BEHAVIOURS.iter().map(|(weight, _)| weight).sum();
         let mut drawn = self.rng.gen_range(0..total);
@@ -198,13 +197,13 @@
         }
         let address = self.endpoint.address;
         match behaviour {
-            ClientBehaviour::Once => self.once(address).await,
-            ClientBehaviour::Rests => self.rests(address).await,
-            ClientBehaviour::Pipelines => self.pipelines(address).await,
-            ClientBehaviour::WritesSlowly => self.writes_slowly(address).await,
-            ClientBehaviour::Leaves => self.leaves(address).await,
-            ClientBehaviour::Cancels => self.cancels(address).await,
-            ClientBehaviour::Misbehaves => self.misbehaves(address).await,
+            ClientBehaviour::Once => self.send_once(address).await,
+            ClientBehaviour::KeepsSession => self.keep_session(address).await,
+            ClientBehaviour::Pipelines => self.pipeline(address).await,
+            ClientBehaviour::WritesSlowly => self.write_slowly(address).await,
+            ClientBehaviour::Leaves => self.leave(address).await,
+            ClientBehaviour::Cancels => self.cancel(address).await,
+            ClientBehaviour::Misbehaves => self.misbehave(address).await,
         }
     }
 
@@ -212,88 +211,89 @@
         self.world.request_sent(request.id, self.endpoint.number, request.class, request.timeout);
     }
 
-    /// Judges how a request ended that was written at `sent`, on a connection that was opened at `opened`.
-    fn judge(
+    /// Checks the result of a request that was sent at `sent_at` on a connection opened at `opened_at`.
+    /// `context` says how it was sent.
+    fn check_result(
         &self,
         request: &Request,
-        (opened, sent): (Instant, Instant),
-        ended: io::Result<Answer>,
-        what: &str,
+        (opened_at, sent_at): (Instant, Instant),
+        result: io::Result<Answer>,
+        context: &str,
     ) {
-        match ended {
+        match result {
             Ok(Answer::Served(column)) if column != format!("{:016x}", request.id) => {
                 let detail =
                     format!("manager {}, request {:016x}: got {column:?}", self.endpoint.number, request.id);
-                self.world.violate(Rule::WrongAnswer, detail);
+                self.world.report_violation(Rule::WrongAnswer, detail);
             }
             Ok(_) => {}
-            // A request that came too late after SIGTERM, or to a process that was killed, needs no answer.
-            Err(_) if !self.endpoint.must_answer(opened, sent) => {}
+            // A request too long after SIGTERM, or to a process that was killed, needs no answer.
+            Err(_) if !self.endpoint.must_answer(opened_at, sent_at) => {}
             Err(error) => {
                 let number = self.endpoint.number;
                 let id = request.id;
-                let took = sent.elapsed();
-                let left = request.timeout;
+                let elapsed = sent_at.elapsed();
+                let timeout = request.timeout;
                 let class = CLASSES[request.class].name;
                 let detail = format!(
-                    "manager {number}, request {id:016x} ({what}, {class}, {left:?}): {error} after {took:?}"
+                    "manager {number}, request {id:016x} ({context}, {class}, {timeout:?}): {error} after {elapsed:?}"
                 );
-                self.world.violate(Rule::Lost, detail);
+                self.world.report_violation(Rule::Lost, detail);
             }
         }
     }
 
     /// Waits for an answer until it counts as lost.
     async fn await_answer(&self, session: &mut Session, request: &Request) -> io::Result<Answer> {
-        let patience = request.timeout + LATE + self.world.lag();
-        timeout(patience, session.answer()).await?
+        let limit = request.timeout + ANSWER_GRACE + self.world.lag();
+        timeout(limit, session.answer()).await?
     }
 
-    /// The same on a connection that was just opened: behind its greeting.
+    /// As [`Client::await_answer`] on a new connection: waits for the start of the session first.
     async fn await_first_answer(&self, session: &mut Session, request: &Request) -> io::Result<Answer> {
-        match timeout(request.timeout + LATE, session.greeted()).await? {
+        match timeout(request.timeout + ANSWER_GRACE, session.wait_until_started()).await? {
             Ok(()) => self.await_answer(session, request).await,
-            // A connection that is refused by an error is answered.
-            Err(error) if error.to_string() == REFUSED => Ok(Answer::Error),
+            // A session that is rejected with an error counts as answered.
+            Err(error) if error.to_string() == REJECTED => Ok(Answer::Error),
             Err(error) => Err(error),
         }
     }
 
-    async fn once(&mut self, address: SocketAddr) {
+    async fn send_once(&mut self, address: SocketAddr) {
         let request = Request::draw(&mut self.rng);
         let Ok(mut session) = Session::open(address, &request.message()).await else { return };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         self.request_sent(&request);
-        let ended = self.await_first_answer(&mut session, &request).await;
-        self.judge(&request, (session.opened_at, sent), ended, "new connection");
+        let result = self.await_first_answer(&mut session, &request).await;
+        self.check_result(&request, (session.opened_at, sent_at), result, "new connection");
     }
 
-    async fn rests(&mut self, address: SocketAddr) {
+    async fn keep_session(&mut self, address: SocketAddr) {
         let Ok(mut session) = Session::open(address, &[]).await else { return };
-        if !matches!(timeout(Duration::from_secs(3), session.greeted()).await, Ok(Ok(()))) {
+        if !matches!(timeout(Duration::from_secs(3), session.wait_until_started()).await, Ok(Ok(()))) {
             return;
         }
         for _ in 0..self.rng.gen_range(2..6) {
-            let rest = Duration::from_millis(self.rng.gen_range(0..1_500));
-            tokio::time::sleep(rest).await;
+            let idle_time = Duration::from_millis(self.rng.gen_range(0..1_500));
+            tokio::time::sleep(idle_time).await;
             if !self.endpoint.takes_requests() || session.is_closed() {
                 return;
             }
             let request = Request::draw(&mut self.rng);
             if session.stream.write_all(&request.message()).await.is_err() {
-                return self.again(address, request).await;
+                return self.retry(address, request).await;
             }
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             self.request_sent(&request);
             match self.await_answer(&mut session, &request).await {
-                // The close crossed the request: it is sent again, once, on a new connection.
-                Err(error) if is_end(&error) && sent.elapsed() < Duration::from_millis(100) => {
-                    return self.again(address, request).await;
+                // The request crossed the close: it is sent once more, on a new connection.
+                Err(error) if is_end(&error) && sent_at.elapsed() < Duration::from_millis(100) => {
+                    return self.retry(address, request).await;
                 }
-                ended => {
-                    let has_ended = ended.is_err();
-                    self.judge(&request, (session.opened_at, sent), ended, "open session");
-                    if has_ended {
+                result => {
+                    let has_failed = result.is_err();
+                    self.check_result(&request, (session.opened_at, sent_at), result, "open session");
+                    if has_failed {
                         return;
                     }
                 }
@@ -301,20 +301,20 @@
         }
     }
 
-    async fn again(&mut self, address: SocketAddr, request: Request) {
+    async fn retry(&mut self, address: SocketAddr, request: Request) {
         if !self.endpoint.takes_connections() {
             return;
         }
         let Ok(mut session) = Session::open(address, &request.message()).await else { return };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         self.request_sent(&request);
-        let ended = self.await_first_answer(&mut session, &request).await;
-        self.judge(&request, (session.opened_at, sent), ended, "sent again");
+        let result = self.await_first_answer(&mut session, &request).await;
+        self.check_result(&request, (session.opened_at, sent_at), result, "sent again");
     }
 
-    async fn pipelines(&mut self, address: SocketAddr) {
+    async fn pipeline(&mut self, address: SocketAddr) {
         let Ok(mut session) = Session::open(address, &[]).await else { return };
-        if !matches!(timeout(Duration::from_secs(3), session.greeted()).await, Ok(Ok(()))) {
+        if !matches!(timeout(Duration::from_secs(3), session.wait_until_started()).await, Ok(Ok(()))) {
             return;
         }
         let mut requests = Vec::new();
@@ -331,19 +331,19 @@
             let pause = self.rng.gen_range(0..400);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        let longest = requests.iter().map(|(request, _)| request.timeout).sum::<Duration>();
-        for (request, sent) in requests {
-            let ended = timeout(longest + LATE, session.answer()).await;
-            let ended = ended.unwrap_or_else(|elapsed| Err(elapsed.into()));
-            let is_over = ended.is_err();
-            self.judge(&request, (session.opened_at, sent), ended, "pipelined");
-            if is_over {
+        let total_timeout = requests.iter().map(|(request, _)| request.timeout).sum::<Duration>();
+        for (request, sent_at) in requests {
+            let result = timeout(total_timeout + ANSWER_GRACE, session.answer()).await;
+            let result = result.unwrap_or_else(|elapsed| Err(elapsed.into()));
+            let has_failed = result.is_err();
+            self.check_result(&request, (session.opened_at, sent_at), result, "pipelined");
+            if has_failed {
                 return;
             }
         }
     }
 
-    async fn writes_slowly(&mut self, address: SocketAddr) {
+    async fn write_slowly(&mut self, address: SocketAddr) {
         let request = Request::draw(&mut self.rng);
         let Ok(mut session) = Session::open(address, &[]).await else { return };
         let message = request.message();
@@ -355,23 +355,24 @@
             let pause = self.rng.gen_range(0..250);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        // The last piece has been out for a pause already: the deadline counts from it, which is the milder way.
-        let sent = Instant::now();
+        // The last piece was sent before the pause, and the deadline counts from after it: this is the less
+        // strict check.
+        let sent_at = Instant::now();
         if !self.endpoint.takes_requests() {
             return;
         }
         self.request_sent(&request);
-        let ended = self.await_first_answer(&mut session, &request).await;
-        self.judge(&request, (session.opened_at, sent), ended, "in pieces");
+        let result = self.await_first_answer(&mut session, &request).await;
+        self.check_result(&request, (session.opened_at, sent_at), result, "in pieces");
     }
 
-    async fn leaves(&mut self, address: SocketAddr) {
+    async fn leave(&mut self, address: SocketAddr) {
         let request = Request::draw(&mut self.rng);
         let Ok(mut session) = Session::open(address, &request.message()).await else { return };
         self.request_sent(&request);
         let stay = Duration::from_millis(self.rng.gen_range(0..400));
         let is_reset = self.rng.gen_bool(0.3);
-        // What comes is read, so that the close is no reset by itself.
+        // Input is read, so that closing the connection does not send a reset.
         let _ = timeout(stay, async { while session.message().await.is_ok() {} }).await;
         if is_reset {
             let _ = session.stream.set_zero_linger();
@@ -380,10 +381,10 @@
         self.world.client_gone(request.id);
     }
 
-    async fn cancels(&mut self, address: SocketAddr) {
+    async fn cancel(&mut self, address: SocketAddr) {
         let request = Request::draw(&mut self.rng);
         let Ok(mut session) = Session::open(address, &[]).await else { return };
-        if !matches!(timeout(Duration::from_secs(3), session.greeted()).await, Ok(Ok(()))) {
+        if !matches!(timeout(Duration::from_secs(3), session.wait_until_started()).await, Ok(Ok(()))) {
             return;
         }
         if session.stream.write_all(&request.message()).await.is_err() {
@@ -391,16 +392,16 @@
         }
         self.request_sent(&request);
         tokio::time::sleep(Duration::from_millis(self.rng.gen_range(0..300))).await;
-        let Ok(mut other) = TcpStream::connect(address).await else { return };
+        let Ok(mut cancel_connection) = TcpStream::connect(address).await else { return };
         let message = [&16u32.to_be_bytes()[..], &CANCEL_CODE.to_be_bytes(), &session.key].concat();
-        if other.write_all(&message).await.is_err() {
+        if cancel_connection.write_all(&message).await.is_err() {
             return;
         }
         self.world.client_gone(request.id);
         let _ = timeout(CLOSE_AFTER_CANCEL, async { while session.message().await.is_ok() {} }).await;
     }
 
-    async fn misbehaves(&mut self, address: SocketAddr) {
+    async fn misbehave(&mut self, address: SocketAddr) {
         let kind = self.rng.gen_range(0..4);
         let message = Request::draw(&mut self.rng).message();
         let bytes: Vec<u8> = match kind {
@@ -417,17 +418,17 @@
     }
 }
 
-/// Whether a connection has ended without an answer.
+/// Whether an error means that the connection ended without an answer.
 fn is_end(error: &io::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionReset, UnexpectedEof};
     matches!(error.kind(), UnexpectedEof | ConnectionReset | BrokenPipe)
 }
 
-/// Whether a manager answers the platform's health check, an empty query.
+/// Whether the manager at this address answers the platform's health check, an empty query.
 pub async fn is_healthy(address: SocketAddr) -> bool {
     let check = async {
         let mut session = Session::open(address, b"Q\0\0\0\x05\0").await?;
-        session.greeted().await?;
+        session.wait_until_started().await?;
         session.message().await
     };
     matches!(timeout(Duration::from_secs(2), check).await, Ok(Ok((b'I', _))))
--- a/crates/fault-soak/src/clock.rs
+++ b/crates/fault-soak/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a run: the monotonic clock of the machine, and a wall clock that steps.
+//! The clocks of a run: the machine's monotonic clock, and a wall clock with steps.
 
 use nix::time::{clock_gettime, ClockId};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,21 +6,21 @@
 /// A step of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockStep {
-    /// When, in milliseconds of the monotonic clock.
+    /// Time of the step on the monotonic clock, in milliseconds.
     pub at_ms: i64,
-    /// How far the wall clock is ahead of the machine's from then on, in milliseconds.
+    /// Offset from the machine's wall clock from then on, in milliseconds.
     pub ahead_ms: i64,
 }
 
-/// The machine's monotonic clock, in milliseconds: the same in all processes.
+/// The machine's monotonic clock in milliseconds, which is the same in all processes.
 pub fn monotonic_ms() -> i64 {
     clock_gettime(ClockId::CLOCK_MONOTONIC).map_or(0, |now| now.tv_sec() * 1_000 + now.tv_nsec() / 1_000_000)
 }
 
 /// The wall clock that the processes under test see, in Unix milliseconds.
 pub fn wall_ms(steps: &[ClockStep]) -> i64 {
-    let machine =
+    let machine_ms =
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as i64);
     let now = monotonic_ms();
-    machine + steps.iter().rev().find(|step| now >= step.at_ms).map_or(0, |step| step.ahead_ms)
+    machine_ms + steps.iter().rev().find(|step| now >= step.at_ms).map_or(0, |step| step.ahead_ms)
 }
--- a/crates/fault-soak/src/engine.rs
+++ b/crates/fault-soak/src/engine.rs
@@ -1,4 +1,5 @@
-//! Stand-in engines: they serve, shed, fail, hang, send malformed answers and reset connections, and report each attempt to the [`World`].
+//! Stand-in engines: they serve, shed, fail, hang, send malformed answers and reset connections, and report
+//! the start and end of each attempt to the [`World`].
 
 use crate::world::World;
 use rand::{Rng, SeedableRng};
@@ -14,25 +15,25 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Longest command that is read.
+/// Maximum length of a command.
 const MAX_COMMAND_BYTES: usize = 256 * 1024;
-/// Mean time that an engine takes for a request.
+/// Mean service time of a request.
 pub const MEAN_WORK: Duration = Duration::from_millis(40);
 
-/// How an engine behaves from now on.
+/// Current behaviour of an engine.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// It answers nothing until then.
+    /// Time until which the engine answers nothing.
     pub hangs_until: Instant,
-    /// In 1,000 requests: answered as failed.
-    pub failing: u32,
-    /// In 1,000 requests: answered as shed.
-    pub shedding: u32,
-    /// In 1,000 answers: malformed, and followed by nothing.
-    pub malformed: u32,
-    /// In 1,000 requests: the connection is reset under it.
-    pub resetting: u32,
-    /// Connections with nothing open are closed after this.
+    /// Requests per 1,000 that are answered as failed.
+    pub failed_per_mille: u32,
+    /// Requests per 1,000 that are answered as shed.
+    pub shed_per_mille: u32,
+    /// Requests per 1,000 whose answer is truncated, so that nothing can follow it on the connection.
+    pub malformed_per_mille: u32,
+    /// Requests per 1,000 whose connection is reset before the answer.
+    pub reset_per_mille: u32,
+    /// Time after which a connection without an open request is closed.
     pub idle_close: Duration,
 }
 
@@ -40,67 +41,68 @@
     fn default() -> Behaviour {
         Behaviour {
             hangs_until: Instant::now(),
-            failing: 5,
-            shedding: 10,
-            malformed: 2,
-            resetting: 2,
+            failed_per_mille: 5,
+            shed_per_mille: 10,
+            malformed_per_mille: 2,
+            reset_per_mille: 2,
             idle_close: Duration::from_secs(4),
         }
     }
 }
 
-/// What the tasks of an engine share.
+/// State shared by the tasks of an engine.
 struct Shared {
     id: String,
     world: Arc<World>,
     behaviour: Mutex<Behaviour>,
-    draws: AtomicU64,
-    /// Changes when every connection is to be reset.
+    /// Seed of the next request's random numbers.
+    next_seed: AtomicU64,
+    /// Changes when all connections must be reset.
     resets: watch::Receiver<u64>,
 }
 
 /// A stand-in engine.
 pub struct Engine {
-    /// Its id in the list.
+    /// Id in the endpoint list.
     pub id: String,
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     resets: watch::Sender<u64>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Engine {
-    /// Starts an engine. `comes_up_after`: connections to it come up only then.
+    /// Starts an engine. Connections to it are established only after `accept_delay`.
     ///
     /// # Errors
-    /// No port, or no connections to fill its queue with.
+    /// Fails if the listener cannot be created.
     pub async fn start(
         id: &str,
         seed: u64,
         world: &Arc<World>,
-        comes_up_after: Duration,
+        accept_delay: Duration,
     ) -> io::Result<Engine> {
-        let is_late = comes_up_after > Duration::ZERO;
+        let is_delayed = accept_delay > Duration::ZERO;
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-        let listener = socket.listen(if is_late { 0 } else { 1_024 })?;
+        let listener = socket.listen(if is_delayed { 0 } else { 1_024 })?;
         let address = listener.local_addr()?;
-        let filler = if is_late { fill_queue(address).await } else { Vec::new() };
-        let (resets, watched) = watch::channel(0);
+        let filler = if is_delayed { fill_accept_queue(address).await } else { Vec::new() };
+        let (resets, reset_receiver) = watch::channel(0);
         let shared = Arc::new(Shared {
             id: id.to_owned(),
             world: Arc::clone(world),
             behaviour: Mutex::new(Behaviour::default()),
-            draws: AtomicU64::new(seed),
-            resets: watched,
+            next_seed: AtomicU64::new(seed),
+            resets: reset_receiver,
         });
-        let accepting = tokio::spawn(accept(listener, filler, comes_up_after, Arc::clone(&shared)));
-        Ok(Engine { id: id.to_owned(), address, shared, resets, accepting })
+        let accept_task = tokio::spawn(accept(listener, filler, accept_delay, Arc::clone(&shared)));
+        Ok(Engine { id: id.to_owned(), address, shared, resets, accept_task })
     }
 
-    /// Changes its behaviour.
-    pub fn behave(&self, change: impl FnOnce(&mut Behaviour)) {
+    /// Changes the behaviour from now on.
+    pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.shared.behaviour.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
@@ -109,15 +111,15 @@
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Ends it: its listener closes, and its connections are reset.
+    /// Stops the engine: closes its listener and resets its connections.
     pub fn stop(self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.reset_connections();
     }
 }
 
-/// Connections that fill the queue of a listener, so that further ones do not come up.
-async fn fill_queue(address: SocketAddr) -> Vec<TcpStream> {
+/// Opens connections until the accept queue of a listener is full, so that further ones are not established.
+async fn fill_accept_queue(address: SocketAddr) -> Vec<TcpStream> {
     let mut filler = Vec::new();
     while filler.len() < 16 {
         let dial = tokio::time::timeout(Duration::from_millis(50), TcpStream::connect(address));
@@ -139,7 +141,7 @@
     }
 }
 
-/// What a request becomes.
+/// How an engine treats a request.
 #[derive(Clone, Copy)]
 enum Reaction {
     Serve,
@@ -150,8 +152,8 @@
 }
 
 impl Shared {
-    fn draw(&self) -> ChaCha8Rng {
-        ChaCha8Rng::seed_from_u64(self.draws.fetch_add(1, Ordering::Relaxed))
+    fn next_rng(&self) -> ChaCha8Rng {
+        ChaCha8Rng::seed_from_u64(self.next_seed.fetch_add(1, Ordering::Relaxed))
     }
 
     fn behaviour(&self) -> Behaviour {
@@ -161,10 +163,10 @@
     fn reaction(&self, rng: &mut ChaCha8Rng) -> Reaction {
         let behaviour = self.behaviour();
         let chances = [
-            (behaviour.failing, Reaction::Fail),
-            (behaviour.shedding, Reaction::Shed),
-            (behaviour.malformed, Reaction::SendMalformed),
-            (behaviour.resetting, Reaction::Reset),
+            (behaviour.failed_per_mille, Reaction::Fail),
+            (behaviour.shed_per_mille, Reaction::Shed),
+            (behaviour.malformed_per_mille, Reaction::SendMalformed),
+            (behaviour.reset_per_mille, Reaction::Reset),
         ];
         let mut drawn = rng.gen_range(0..1_000);
         for (chance, reaction) in chances {
@@ -177,19 +179,19 @@
     }
 }
 
-/// An attempt on a connection.
+/// An attempt in flight on a connection.
 struct OpenAttempt {
-    number: u64,
+    attempt_id: u64,
     work: JoinHandle<()>,
 }
 
-/// What a worker hands to the writer of its connection.
+/// Result that a worker task sends to the task of its connection.
 enum Answer {
-    Bytes { id: u64, number: u64, bytes: Vec<u8>, never_ran: bool },
+    Bytes { request_id: u64, attempt_id: u64, bytes: Vec<u8>, never_ran: bool },
     Reset,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     let _ = stream.set_nodelay(true);
     let mut resets = shared.resets.clone();
@@ -208,11 +210,11 @@
                 }
             }
             Some(answer) = finished.recv() => match answer {
-                Answer::Bytes { id, number, bytes, never_ran } => {
-                    if open.remove(&id).is_none_or(|attempt| attempt.number != number) {
+                Answer::Bytes { request_id, attempt_id, bytes, never_ran } => {
+                    if open.remove(&request_id).is_none_or(|attempt| attempt.attempt_id != attempt_id) {
                         continue;
                     }
-                    shared.world.attempt_ended(id, number, never_ran);
+                    shared.world.attempt_ended(request_id, attempt_id, never_ran);
                     if writer.write_all(&bytes).await.is_err() {
                         break;
                     }
@@ -225,7 +227,7 @@
     }
     for (id, attempt) in open {
         attempt.work.abort();
-        shared.world.attempt_ended(id, attempt.number, false);
+        shared.world.attempt_ended(id, attempt.attempt_id, false);
     }
     if must_reset {
         if let Ok(stream) = reader.reunite(writer) {
@@ -234,7 +236,8 @@
     }
 }
 
-/// Handles the complete commands of the input; false where it cannot be read.
+/// Handles the complete commands of the input. Returns false when the rest exceeds the maximum length of a
+/// command.
 fn handle_input(
     input: &mut Vec<u8>,
     shared: &Arc<Shared>,
@@ -248,14 +251,14 @@
             ("do", Some(id)) if parts.len() >= 4 => {
                 let wait = field(&parts[2], "wait").and_then(|text| text.parse().ok()).unwrap_or(0);
                 let wait = Duration::from_millis(wait);
-                let Some(number) = shared.world.attempt_begun(&shared.id, id, wait) else { continue };
-                let work = tokio::spawn(work(Arc::clone(shared), answers.clone(), id, number));
-                open.insert(id, OpenAttempt { number, work });
+                let Some(attempt_id) = shared.world.attempt_started(&shared.id, id, wait) else { continue };
+                let work = tokio::spawn(work(Arc::clone(shared), answers.clone(), id, attempt_id));
+                open.insert(id, OpenAttempt { attempt_id, work });
             }
             ("undo", Some(id)) => {
                 if let Some(attempt) = open.remove(&id) {
                     attempt.work.abort();
-                    shared.world.attempt_ended(id, attempt.number, false);
+                    shared.world.attempt_ended(id, attempt.attempt_id, false);
                 }
             }
             _ => {}
@@ -264,15 +267,15 @@
     input.len() <= MAX_COMMAND_BYTES
 }
 
-/// Does the work of a request and hands over its answer.
-async fn work(shared: Arc<Shared>, answers: mpsc::UnboundedSender<Answer>, id: u64, number: u64) {
-    let mut rng = shared.draw();
+/// Simulates the work of a request and sends its answer to the connection.
+async fn work(shared: Arc<Shared>, answers: mpsc::UnboundedSender<Answer>, request_id: u64, attempt_id: u64) {
+    let mut rng = shared.next_rng();
     let reaction = shared.reaction(&mut rng);
-    let mut took = MEAN_WORK.mul_f64(-(1.0 - rng.gen::<f64>()).ln().min(5.0));
+    let mut service_time = MEAN_WORK.mul_f64(-(1.0 - rng.gen::<f64>()).ln().min(5.0));
     if matches!(reaction, Reaction::Shed) {
-        took = Duration::from_millis(1);
+        service_time = Duration::from_millis(1);
     }
-    tokio::time::sleep(took).await;
+    tokio::time::sleep(service_time).await;
     loop {
         let hangs_until = shared.behaviour().hangs_until;
         if hangs_until <= Instant::now() {
@@ -280,17 +283,17 @@
         }
         tokio::time::sleep_until(hangs_until.into()).await;
     }
-    let name = format!("{id:016x}");
+    let name = format!("{request_id:016x}");
     let load = "stats=inflight:1;queue:0";
     let bytes = match reaction {
-        Reaction::Serve => command(&[
+        Reaction::Serve => encode_array(&[
             &name,
             "served",
             &format!("batches=1,cpu=40,used=8,{load}"),
             &format!("{name}\tb\tc\n"),
         ]),
-        Reaction::Fail => command(&[&name, "crashed", load, ""]),
-        Reaction::Shed => command(&[&name, "overload", load, ""]),
+        Reaction::Fail => encode_array(&[&name, "crashed", load, ""]),
+        Reaction::Shed => encode_array(&[&name, "overload", load, ""]),
         Reaction::SendMalformed => {
             format!("*4\r\n$16\r\n{name}\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$5000\r\nabc").into_bytes()
         }
@@ -300,16 +303,16 @@
         }
     };
     let never_ran = matches!(reaction, Reaction::Shed);
-    let _ = answers.send(Answer::Bytes { id, number, bytes, never_ran });
+    let _ = answers.send(Answer::Bytes { request_id, attempt_id, bytes, never_ran });
 }
 
-/// The value of a field in `name=value,name=value`.
+/// Value of a field in a list such as `name=value,name=value`.
 fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields.split(',').filter_map(|pair| pair.split_once('=')).find(|pair| pair.0 == name).map(|pair| pair.1)
 }
 
-/// An array of bulk strings.
-fn command(parts: &[&str]) -> Vec<u8> {
+/// Encodes an array of bulk strings.
+fn encode_array(parts: &[&str]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", parts.len()).into_bytes();
     for part in parts {
         bytes.extend_from_slice(format!("${}\r\n{part}\r\n", part.len()).as_bytes());
@@ -317,26 +320,26 @@
     bytes
 }
 
-/// The first complete command of the input, and its length.
+/// Parses the first complete command of the input; also returns its length.
 fn parse_command(input: &[u8]) -> Option<(Vec<String>, usize)> {
-    let mut at = 0;
-    let count = parse_number(input, &mut at)?;
+    let mut offset = 0;
+    let count = parse_number(input, &mut offset)?;
     let mut parts = Vec::new();
     for _ in 0..count {
-        let length = parse_number(input, &mut at)?;
-        let body = input.get(at..at + length)?;
-        input.get(at + length..at + length + 2)?;
+        let length = parse_number(input, &mut offset)?;
+        let body = input.get(offset..offset + length)?;
+        input.get(offset + length..offset + length + 2)?;
         parts.push(String::from_utf8_lossy(body).into_owned());
-        at += length + 2;
+        offset += length + 2;
     }
-    (!parts.is_empty()).then_some((parts, at))
+    (!parts.is_empty()).then_some((parts, offset))
 }
 
-/// The number on a line that begins with a mark, such as `*4`.
-fn parse_number(input: &[u8], at: &mut usize) -> Option<usize> {
-    let line_length = input.get(*at..)?.iter().position(|byte| *byte == b'\r')?;
-    let text = std::str::from_utf8(input.get(*at + 1..*at + line_length)?).ok()?;
-    input.get(*at + line_length + 1)?;
-    *at += line_length + 2;
+/// Parses the number on a line with a one-byte prefix, such as `*4`, and advances `offset` past the line.
+fn parse_number(input: &[u8], offset: &mut usize) -> Option<usize> {
+    let line_length = input.get(*offset..)?.iter().position(|byte| *byte == b'\r')?;
+    let text = std::str::from_utf8(input.get(*offset + 1..*offset + line_length)?).ok()?;
+    input.get(*offset + line_length + 1)?;
+    *offset += line_length + 2;
     text.parse().ok()
 }
--- a/crates/fault-soak/src/feed.rs
+++ b/crates/fault-soak/src/feed.rs
@@ -1,4 +1,5 @@
-//! Stand-in control feeds. Each manager has addresses of its own, so that what it was sent is known; all send the same list.
+//! Stand-in control feeds. Each manager has its own feed addresses, so that the events sent to it are known;
+//! all feeds send the same list.
 
 use crate::world::World;
 use std::io;
@@ -10,26 +11,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A comment comes this often.
+/// Interval between comments on an open call.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest head of a request that is read.
+/// Maximum length of a request head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// What an address of a feed does.
+/// How a feed treats calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum FeedMode {
-    /// It sends events.
+    /// Sends events.
     Serve = 0,
-    /// Connections stay open, and no event is sent.
+    /// Connections stay open and get no events.
     Silent = 1,
     /// Connections are closed at once.
     Down = 2,
-    /// It has moved: open connections are closed, and new ones too.
+    /// The manager's feed is at another address: open and new connections are closed.
     Moved = 3,
 }
 
-/// The list's events so far, in order.
+/// Endpoint list events so far, in order.
 pub struct EventLog {
     world: Arc<World>,
     events: Mutex<Vec<String>>,
@@ -37,12 +38,12 @@
 }
 
 impl EventLog {
-    /// No events.
+    /// Creates a log without events.
     pub fn new(world: &Arc<World>) -> Arc<EventLog> {
         Arc::new(EventLog { world: Arc::clone(world), events: Mutex::default(), count: watch::channel(0).0 })
     }
 
-    /// Adds an event; `text` makes it from its number.
+    /// Adds an event, which `text` creates from its number, and returns the number.
     pub fn push(&self, text: impl FnOnce(u64) -> String) -> u64 {
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         let number = events.len() as u64 + 1;
@@ -52,24 +53,24 @@
         number
     }
 
-    /// All events.
+    /// Texts of all events.
     pub fn all(&self) -> Vec<String> {
         self.events.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// One address of a manager's feed.
+/// A feed of one manager.
 pub struct Feed {
-    /// Where it listens.
+    /// Address that the feed listens on.
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
 }
 
 impl Feed {
-    /// Listens for this manager.
+    /// Starts a feed for this manager.
     ///
     /// # Errors
-    /// No port.
+    /// Fails if no port is free.
     pub async fn start(manager: usize, log: &Arc<EventLog>) -> io::Result<Feed> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -78,7 +79,7 @@
         Ok(Feed { address, mode })
     }
 
-    /// Changes what it does.
+    /// Changes how calls are treated.
     pub fn set_mode(&self, mode: FeedMode) {
         self.mode.store(mode as u8, Ordering::SeqCst);
     }
@@ -117,7 +118,7 @@
     }
 }
 
-/// Writes the events from `next` on, each in two pieces; the number after the last.
+/// Writes the events from `next` on, each in two pieces, and returns the number after the last.
 async fn send_events(
     stream: &mut TcpStream,
     manager: usize,
@@ -137,7 +138,7 @@
     Ok(next)
 }
 
-/// Reads the head of a poll: the last event that the manager has.
+/// Reads the head of a call and returns its Last-Event-ID, 0 without one.
 async fn read_last_event(stream: &mut TcpStream) -> io::Result<u64> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_BYTES {
--- a/crates/fault-soak/src/judge.rs
+++ b/crates/fault-soak/src/judge.rs
@@ -1,4 +1,4 @@
-//! The rules that a run is judged by, and what broke them.
+//! The rules that a run must satisfy, and their violations.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,45 +6,45 @@
 /// A rule of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// An admitted request has one final answer.
+    /// An admitted request gets one final answer.
     Lost,
-    /// An answer holds what an engine made for that request.
+    /// An answer holds the rows that an engine returned for that request.
     WrongAnswer,
-    /// No attempt begins over 0.1 s after its client has gone or cancelled.
+    /// No attempt starts more than 0.1 s after its client left or cancelled.
     SentAfterClientGone,
-    /// The deadline sent to an engine is at most the time that the client has left, with 0.15 s of slack.
+    /// The deadline sent to an engine exceeds the client's remaining time by at most 0.15 s.
     LateDeadline,
-    /// A request has one attempt out at a time.
+    /// A request has at most one attempt in flight.
     ConcurrentAttempts,
-    /// Nothing is sent to an engine 0.5 s after the manager was notified of its drain.
+    /// No attempt is sent to an engine more than 0.5 s after the manager was notified of its drain.
     SentToDraining,
-    /// What may have run is repeated only as its class allows.
+    /// A request that may have run is retried only as its class allows.
     UnsafeRepeat,
-    /// Retries stay within the budget.
+    /// Retries stay within the retry budget.
     RetryBudget,
-    /// An engine in slow start gets N + 3 x root of N + 3 requests at most, or N + 2 x root of N + 2.
+    /// An engine in slow start gets at most N + 3 sqrt(N) + 3 requests for N below 30, or N + 2 sqrt(N) + 2.
     SlowStart,
-    /// A process ends only on SIGTERM, with status 0, and is ready within 10 s of its start.
+    /// A process ends only on SIGTERM, with exit status 0, and is ready within 10 s of its start.
     Crash,
-    /// The program's own invariants hold.
+    /// The program logs no violation of its own invariants and no panic.
     OwnInvariant,
 }
 
-/// One violation.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// What was broken.
+    /// The violated rule.
     pub rule: Rule,
-    /// Since the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// By whom, and the figures.
+    /// Manager, request and measured values.
     pub detail: String,
 }
 
-/// Slack for the time that bytes take through the machine.
+/// Tolerance for the transmission of bytes between processes.
 pub const TRANSIT: Duration = Duration::from_millis(50);
 
-/// The bound on attempts that an engine in slow start gets, where `n` requests of mean work are allowed.
+/// Maximum number of attempts for an engine in slow start, where `n` requests of mean work are allowed.
 pub fn slow_start_bound(n: f64) -> f64 {
     if n < 30.0 {
         n + 3.0 * n.sqrt() + 3.0
@@ -53,8 +53,8 @@
     }
 }
 
-/// The worst excess of retries over the budget in any window of `span`; `None` where there is none. The platform widens the
-/// budget by 15 in 100 and one attempt.
+/// Largest excess of retries over the budget in any window of `span`; `None` without an excess. The platform
+/// tolerates 15 % and one attempt above the budget.
 pub fn retry_excess(
     requests: &[Instant],
     retries: &[Instant],
@@ -65,9 +65,9 @@
     let mut worst: Option<f64> = None;
     for (index, end) in retries.iter().enumerate() {
         let within = |at: &&Instant| **at <= *end && end.saturating_duration_since(**at) <= span;
-        let made = retries[..=index].iter().filter(within).count() as f64;
-        let taken = requests.iter().filter(within).count() as f64;
-        let excess = made - ((free + share * taken) * 1.15 + 1.0);
+        let retry_count = retries[..=index].iter().filter(within).count() as f64;
+        let request_count = requests.iter().filter(within).count() as f64;
+        let excess = retry_count - ((free + share * request_count) * 1.15 + 1.0);
         if excess > 0.0 && worst.is_none_or(|known| excess > known) {
             worst = Some(excess);
         }
@@ -75,7 +75,7 @@
     worst
 }
 
-/// How many violations there are of each rule.
+/// Number of violations of each rule.
 pub fn count_by_rule(violations: &[Violation]) -> BTreeMap<Rule, usize> {
     let mut counts = BTreeMap::new();
     for violation in violations {
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -1,16 +1,17 @@
-//! A soak test under overlapping faults: a few dozen real processes of the program on loopback, stand-ins for their
-//! clients, engines and control feeds, signals, and a library that fails system calls. It is judged from outside, by what
-//! the stand-ins see on their sockets.
+//! A soak test under overlapping faults: several processes of the program on loopback, stand-ins for their
+//! clients, engines and control feeds, signals, and a library that makes system calls fail. The run is
+//! checked from outside, by what the stand-ins observe on their sockets.
 //!
-//! - [`world`]: what is known of every request, engine and manager while a run goes on;
+//! - [`world`]: observations about every request, engine and manager during a run;
 //! - [`engine`], [`feed`], [`client`]: the stand-ins;
-//! - [`manager`]: processes, by their own ids only; [`manager_endpoint`]: what clients know of one;
-//! - [`shim`]: the library in `shim/syscall_faults.c`, and which calls it fails;
-//! - [`nemesis`]: what goes wrong when, drawn from the seed;
-//! - [`judge`]: the rules;
+//! - [`manager`]: the processes under test; [`manager_endpoint`]: a manager's address and state, for its clients;
+//! - [`shim`]: the library in `shim/syscall_faults.c` and its settings;
+//! - [`nemesis`]: the fault schedule, drawn from the seed;
+//! - [`judge`]: the rules and their violations;
 //! - [`soak`]: one run.
 //!
-//! The same seed draws the same faults; what they meet differs from run to run, as on any real machine.
+//! The same seed draws the same faults; their effect differs between runs because processes are scheduled
+//! differently.
 
 pub mod client;
 pub mod clock;
--- a/crates/fault-soak/src/manager.rs
+++ b/crates/fault-soak/src/manager.rs
@@ -1,4 +1,4 @@
-//! The processes under test: started, signalled and ended by their own ids only.
+//! The processes under test, which are started, signalled and ended by their own process ids only.
 
 use crate::client;
 use crate::judge::Rule;
@@ -15,30 +15,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A process that starts must serve within this.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// After SIGTERM a process that has not ended is killed after the longest deadline (3 s at most), and 0.7 s more.
-const END_WITHIN: Duration = Duration::from_millis(3_700);
+/// Time within which a started process must serve.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after SIGTERM after which the platform kills a process: the longest deadline (3 s at most) and
+/// another 0.7 s.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
 
-/// What all managers of a run share.
+/// Settings shared by all managers of a run.
 pub struct Deployment {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// The library of system call faults.
+    /// Path of the library that makes system calls fail.
     pub library: PathBuf,
     /// Folder for configurations, logs and state.
     pub folder: PathBuf,
-    /// The settings, as the platform words them.
+    /// Settings of the configuration, as JSON.
     pub settings: String,
-    /// What fails in every process.
+    /// System call faults of every process.
     pub faults: SyscallFaults,
-    /// Arguments of `serve` besides the configuration.
+    /// Further arguments of `serve`.
     pub arguments: Vec<String>,
 }
 
-/// One manager.
+/// A manager and its current process.
 pub struct Manager {
-    /// What its clients know.
+    /// Address and process states, for its clients.
     pub endpoint: Arc<ManagerEndpoint>,
     name: String,
     child: Option<Child>,
@@ -47,10 +48,10 @@
 }
 
 impl Manager {
-    /// A manager that is not started yet.
+    /// Creates a manager without a process.
     ///
     /// # Errors
-    /// No free port.
+    /// Fails if no port is free.
     pub fn new(number: usize, world: &Arc<World>) -> io::Result<Manager> {
         let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let endpoint = ManagerEndpoint::new(number, address);
@@ -58,10 +59,10 @@
         Ok(Manager { endpoint: Arc::new(endpoint), name, child: None, starts: 0, world: Arc::clone(world) })
     }
 
-    /// Writes its configuration: the feed's address and the list's events so far.
+    /// Writes the configuration with the feed's address and the list events so far.
     ///
     /// # Errors
-    /// A folder that cannot be written.
+    /// Fails if the manager's folder cannot be written.
     pub fn write_config(
         &self,
         deployment: &Deployment,
@@ -91,19 +92,20 @@
         self.folder(deployment).join("config.json")
     }
 
-    /// Where it logs, over all its starts.
+    /// Path of the log of all processes of this manager.
     pub fn log_path(&self, deployment: &Deployment) -> PathBuf {
         deployment.folder.join(format!("{}.log", self.name))
     }
 
-    /// Starts its process, and waits in the background until it serves.
+    /// Starts a process and waits in the background until it serves. Its configuration holds the list events
+    /// up to `last_known`.
     ///
     /// # Errors
-    /// A process that cannot be started.
-    pub fn start(&mut self, deployment: &Deployment, known: u64) -> io::Result<()> {
+    /// Fails if the log cannot be opened or the process cannot be started.
+    pub fn start(&mut self, deployment: &Deployment, last_known: u64) -> io::Result<()> {
         self.starts += 1;
         if self.starts == 1 {
-            // The folder may be that of an earlier run, whose log must not be judged again.
+            // The folder may hold the log of an earlier run, which must not be checked again.
             File::create(self.log_path(deployment))?;
         }
         let log = OpenOptions::new().create(true).append(true).open(self.log_path(deployment))?;
@@ -113,7 +115,7 @@
         command.env("TMPDIR", self.folder(deployment)).env("LD_PRELOAD", &deployment.library);
         command.env(VARIABLE, deployment.faults.to_variable(seed)).env_remove("EDGE_FD");
         command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
-        self.world.manager_started(self.endpoint.number, known);
+        self.world.manager_started(self.endpoint.number, last_known);
         self.child = Some(command.spawn()?);
         let started_at = Instant::now();
         self.endpoint.incarnations().push(Incarnation {
@@ -126,10 +128,10 @@
         let world = Arc::clone(&self.world);
         let starts = self.starts;
         tokio::spawn(async move {
-            let began = Instant::now();
+            let wait_started_at = Instant::now();
             while !client::is_healthy(endpoint.address).await {
-                if began.elapsed() > READY_WITHIN {
-                    return world.violate(
+                if wait_started_at.elapsed() > READY_TIMEOUT {
+                    return world.report_violation(
                         Rule::Crash,
                         format!("manager {}, start {starts}: not ready", endpoint.number),
                     );
@@ -147,24 +149,24 @@
         }
     }
 
-    /// Whether its process runs and has had no SIGTERM.
+    /// Whether the process serves and got no SIGTERM.
     pub fn is_serving(&self) -> bool {
         let serves = |incarnation: Incarnation| incarnation.is_up && incarnation.terminated_at.is_none();
         self.child.is_some() && self.endpoint.incarnation().is_some_and(serves)
     }
 
-    /// Sends SIGHUP.
+    /// Sends SIGHUP, by which the process reads its configuration again.
     pub fn reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM and records the time.
     pub fn terminate(&self) {
         self.endpoint.change(|incarnation| incarnation.terminated_at = Some(Instant::now()));
         self.signal(Signal::SIGTERM);
     }
 
-    /// Sends SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(&mut self) {
         self.endpoint.change(|incarnation| {
             incarnation.is_up = false;
@@ -176,15 +178,16 @@
         }
     }
 
-    /// Looks whether its process has ended, and judges that. True once it has ended after SIGTERM.
+    /// Checks whether the process has ended, and reports an unexpected end as a violation. Kills it if it
+    /// runs for too long after SIGTERM. Returns true once when it has ended after SIGTERM.
     pub fn has_ended(&mut self) -> bool {
         let terminated_at = self.endpoint.incarnation().and_then(|incarnation| incarnation.terminated_at);
         let Some(child) = &mut self.child else { return false };
         let ended = child.try_wait().ok().flatten();
         let number = self.endpoint.number;
         match (ended, terminated_at) {
-            (None, Some(at)) if at.elapsed() > END_WITHIN + self.world.lag() => {
-                // The platform kills it now. What it has not answered is judged as lost.
+            (None, Some(at)) if at.elapsed() > KILL_DELAY + self.world.lag() => {
+                // The platform kills the process at this time. Its unanswered requests count as lost.
                 let mut child = self.child.take();
                 child.iter_mut().for_each(|child| drop(child.kill().and_then(|()| child.wait())));
                 self.endpoint.change(|incarnation| incarnation.is_up = false);
@@ -193,7 +196,7 @@
             (None, _) => false,
             (Some(status), at) => {
                 if at.is_none() || !status.success() {
-                    self.world.violate(Rule::Crash, format!("manager {number} ended with {status}"));
+                    self.world.report_violation(Rule::Crash, format!("manager {number} ended with {status}"));
                 }
                 self.child = None;
                 self.endpoint.change(|incarnation| incarnation.is_up = false);
@@ -209,13 +212,13 @@
     }
 }
 
-/// Lines of a log that tell of a broken invariant or a panic.
+/// Log lines that report a violated invariant or a panic.
 ///
 /// # Errors
-/// A log that cannot be read.
-pub fn alarming_lines(path: &Path) -> io::Result<Vec<String>> {
+/// Fails if the log cannot be read.
+pub fn failure_lines(path: &Path) -> io::Result<Vec<String>> {
     let mut text = String::new();
     io::Read::read_to_string(&mut File::open(path)?, &mut text)?;
-    let is_alarming = |line: &&str| line.contains("invariant violated") || line.contains("panicked");
-    Ok(text.lines().filter(is_alarming).map(str::to_owned).collect())
+    let is_failure = |line: &&str| line.contains("invariant violated") || line.contains("panicked");
+    Ok(text.lines().filter(is_failure).map(str::to_owned).collect())
 }
--- a/crates/fault-soak/src/nemesis.rs
+++ b/crates/fault-soak/src/nemesis.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when: drawn from the seed. Faults come in groups, so that two or three overlap.
+//! The fault schedule of a run, drawn from the seed. Faults occur in groups, so that two or three overlap.
 
 use crate::clock::{monotonic_ms, ClockStep};
 use crate::shim::SyscallFaults;
@@ -7,82 +7,83 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Something that goes wrong. Managers and engines are drawn when it does.
+/// A fault. The affected managers and engines are drawn when it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Managers get SIGTERM, and are started again when they have ended.
+    /// Managers get SIGTERM, and are restarted when they have ended.
     Terminate {
-        /// How many.
+        /// Number of managers.
         managers: usize,
     },
-    /// Managers are killed, and started again.
+    /// Managers are killed and restarted.
     Kill {
-        /// How many.
+        /// Number of managers.
         managers: usize,
     },
-    /// All managers get a new configuration whose feed is elsewhere, and SIGHUP; the old feed closes 1.5 s later.
+    /// All managers get a configuration with another feed address, and SIGHUP; the old feed closes 1.5 s
+    /// later.
     Reload,
-    /// The feeds of half of the managers send no event.
+    /// The feeds of half of the managers send no events.
     SilentFeeds {
-        /// For how long.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// The feeds of all managers are down.
     FeedsDown {
-        /// For how long.
+        /// Duration of the fault.
         duration: Duration,
     },
-    /// Engines drain, are gone two seconds later, and others come in their place.
+    /// Engines drain, are gone two seconds later, and are replaced by cold ones.
     Replace {
-        /// How many.
+        /// Number of engines.
         engines: usize,
     },
     /// Engines answer nothing.
     Hang {
-        /// How many.
+        /// Number of engines.
         engines: usize,
-        /// For how long.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// All connections to an engine are reset.
     Reset {
-        /// How many engines.
+        /// Number of engines.
         engines: usize,
     },
     /// Engines fail a third of their attempts.
     Fail {
-        /// How many.
+        /// Number of engines.
         engines: usize,
-        /// For how long.
+        /// Duration of the fault.
         duration: Duration,
     },
-    /// Clients send three times as much.
+    /// Clients send three times as many requests.
     Burst {
-        /// For how long.
+        /// Duration of the fault.
         duration: Duration,
     },
 }
 
-/// What a run goes through.
+/// Faults of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Faults by when they begin, in order.
+    /// Faults with their start times, in order.
     pub faults: Vec<(Duration, Fault)>,
-    /// What fails in the processes.
+    /// System call faults in the processes.
     pub syscalls: SyscallFaults,
 }
 
-/// Draws a plan for a run that lasts so long.
+/// Draws a plan for a run of this duration.
 pub fn draw(rng: &mut ChaCha8Rng, duration: Duration) -> Plan {
     let mut faults = Vec::new();
-    // The first seconds are quiet: managers start and learn.
-    let mut at = Duration::from_millis(rng.gen_range(1_500..3_000));
-    while at + Duration::from_secs(5) < duration {
+    // No faults in the first seconds: managers start and learn about their engines.
+    let mut group_start = Duration::from_millis(rng.gen_range(1_500..3_000));
+    while group_start + Duration::from_secs(5) < duration {
         for _ in 0..rng.gen_range(1..=3) {
             let offset = Duration::from_millis(rng.gen_range(0..400));
-            faults.push((at + offset, draw_fault(rng)));
+            faults.push((group_start + offset, draw_fault(rng)));
         }
-        at += Duration::from_millis(rng.gen_range(1_000..2_500));
+        group_start += Duration::from_millis(rng.gen_range(1_000..2_500));
     }
     faults.sort_by_key(|(at, _)| *at);
     Plan { faults, syscalls: draw_syscalls(rng, duration) }
@@ -90,18 +91,18 @@
 
 fn draw_fault(rng: &mut ChaCha8Rng) -> Fault {
     let duration = Duration::from_millis(rng.gen_range(300..3_000));
-    let few = rng.gen_range(1..4);
+    let count = rng.gen_range(1..4);
     match rng.gen_range(0..12) {
         0 | 1 => Fault::Terminate { managers: rng.gen_range(1..8) },
-        2 => Fault::Kill { managers: few },
+        2 => Fault::Kill { managers: count },
         3 | 4 => Fault::Reload,
         5 => Fault::SilentFeeds { duration },
         6 => Fault::FeedsDown { duration },
-        7 | 8 => Fault::Replace { engines: few },
-        9 => Fault::Hang { engines: few, duration },
-        10 => Fault::Reset { engines: few },
+        7 | 8 => Fault::Replace { engines: count },
+        9 => Fault::Hang { engines: count, duration },
+        10 => Fault::Reset { engines: count },
         _ => match rng.gen_bool(0.5) {
-            true => Fault::Fail { engines: few, duration },
+            true => Fault::Fail { engines: count, duration },
             false => Fault::Burst { duration },
         },
     }
@@ -116,15 +117,15 @@
         steps.push(ClockStep { at_ms: start + rng.gen_range(2_000..run_ms.max(2_001)), ahead_ms: ahead });
     }
     steps.sort_by_key(|step| step.at_ms);
-    let mut chance = |most: u32| if rng.gen_bool(0.6) { rng.gen_range(1..=most) } else { 0 };
+    let mut rate = |max: u32| if rng.gen_bool(0.6) { rng.gen_range(1..=max) } else { 0 };
     SyscallFaults {
-        interrupted: chance(30),
-        short: chance(200),
-        accept: chance(100),
-        connect: chance(60),
-        socket: chance(30),
-        broken: chance(20),
-        config: chance(400),
+        interrupted: rate(30),
+        short: rate(200),
+        accept: rate(100),
+        connect: rate(60),
+        socket: rate(30),
+        broken: rate(20),
+        config: rate(400),
         steps,
     }
 }
--- a/crates/fault-soak/src/shim.rs
+++ b/crates/fault-soak/src/shim.rs
@@ -1,38 +1,38 @@
-//! The library that fails system calls in the processes under test.
+//! The library that makes system calls fail in the processes under test.
 
 use crate::clock::ClockStep;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The library's source.
+/// C source of the library.
 const SOURCE: &str = include_str!("../shim/syscall_faults.c");
-/// The environment variable that configures its faults.
+/// Environment variable that configures the library.
 pub const VARIABLE: &str = "SYSCALL_FAULTS";
 
-/// How often each call fails, in thousandths; described in `shim/syscall_faults.c`.
+/// Frequencies of system call faults, in calls per 1,000. `shim/syscall_faults.c` describes each fault.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SyscallFaults {
-    /// Reads, writes and connects that a signal interrupts.
+    /// Reads, writes and connects that are interrupted by a signal.
     pub interrupted: u32,
-    /// Reads and writes of fewer bytes than asked for.
+    /// Reads and writes that transfer fewer bytes than requested.
     pub short: u32,
     /// Accepts that fail.
     pub accept: u32,
     /// Connects that fail locally.
     pub connect: u32,
-    /// Sockets that cannot be made.
+    /// Sockets that cannot be created.
     pub socket: u32,
-    /// In ten thousandths: reads on which a connection to an engine or feed breaks.
+    /// Reads per 10,000 on which a connection to an engine or feed fails.
     pub broken: u32,
-    /// Configurations that cannot be opened.
+    /// Opens of the configuration that fail.
     pub config: u32,
     /// Steps of the wall clock, in order.
     pub steps: Vec<ClockStep>,
 }
 
 impl SyscallFaults {
-    /// The text of [`VARIABLE`].
+    /// Value of [`VARIABLE`].
     pub fn to_variable(&self, seed: u64) -> String {
         let mut text = format!(
             "seed={seed},eintr={},short={},accept={},connect={},socket={},broken={},config={}",
@@ -45,10 +45,10 @@
     }
 }
 
-/// Compiles the library into a folder, with the machine's C compiler.
+/// Compiles the library into a folder with the C compiler `cc`, and returns its path.
 ///
 /// # Errors
-/// No compiler, or a folder that cannot be written.
+/// Fails if there is no compiler, it reports an error, or the folder cannot be written.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let source = folder.join("syscall_faults.c");
     let library = folder.join("syscall_faults.so");
@@ -57,6 +57,6 @@
     compiler.args(["-shared", "-fPIC", "-O2", "-o"]).arg(&library).arg(&source).arg("-ldl");
     match compiler.status()?.success() {
         true => Ok(library),
-        false => Err(io::Error::other("cc could not compile the library of system call faults")),
+        false => Err(io::Error::other("cc failed to compile the library of system call faults")),
     }
 }
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -1,11 +1,12 @@
-//! One run: starts the stand-ins and the processes, lets clients ask while faults come, and judges.
+//! One run: starts the stand-ins and the processes, runs clients while faults are injected, and checks the
+//! rules.
 
 use crate::client::Client;
 use crate::clock::wall_ms;
 use crate::engine::{Engine, MEAN_WORK};
 use crate::feed::{EventLog, Feed, FeedMode};
 use crate::judge::{retry_excess, slow_start_bound, Rule, Violation};
-use crate::manager::{alarming_lines, Deployment, Manager};
+use crate::manager::{failure_lines, Deployment, Manager};
 use crate::nemesis::{self, Fault, Plan};
 use crate::shim;
 use crate::world::World;
@@ -18,74 +19,74 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Cores of an engine in the settings.
+/// Cores of each engine in the settings.
 const ENGINE_CORES: f64 = 2.0;
-/// The window in which the load of an engine in slow start is bounded.
+/// Window in which the load of an engine in slow start is limited.
 const SLOW_START_WINDOW: Duration = Duration::from_secs(2);
-/// How long slow start lasts.
+/// Duration of slow start.
 const SLOW_START: Duration = Duration::from_secs(15);
 /// Multiple of its capacity above which an engine in slow start fails.
 const FALL_MULTIPLE: f64 = 2.5;
 /// Fraction of its capacity that an engine starts with.
 const START_CAPACITY: f64 = 0.3;
-/// Retries that a manager may make in each window in any case.
+/// Retries that a manager may always make in each window.
 const FREE_RETRIES: f64 = 3.0;
-/// Further retries allowed for each request of the window.
+/// Further retries allowed per request of the window.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Length of the retry budget's window.
 const RETRY_WINDOW: Duration = Duration::from_secs(5);
-/// An engine that drains is gone after this.
-const DRAIN_LASTS: Duration = Duration::from_secs(2);
-/// The old feed closes this long after SIGHUP.
-const OLD_FEED_LASTS: Duration = Duration::from_millis(1_500);
-/// Between two looks at what is due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// After the last request all answers come within this.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+/// Time after which a draining engine is gone.
+const DRAIN_DURATION: Duration = Duration::from_secs(2);
+/// Time after SIGHUP after which the old feed closes.
+const OLD_FEED_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
+/// Interval between checks for due faults, clients and follow-ups.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time after the last request within which all answers arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What to run.
+/// Configuration of a run.
 #[derive(Clone, Debug)]
 pub struct SoakConfig {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Folder of the run's own, which is made and left.
+    /// Folder of the run, which is created and not removed.
     pub folder: PathBuf,
-    /// Managers and engines.
+    /// Number of managers.
     pub managers: usize,
-    /// Engines.
+    /// Number of stand-in engines.
     pub engines: usize,
-    /// Clients a second, over all managers.
+    /// Clients per second, over all managers.
     pub rate: f64,
-    /// How long clients come.
+    /// Duration of the load.
     pub duration: Duration,
-    /// The seed of all draws.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Further arguments of the program's `serve`.
     pub arguments: Vec<String>,
 }
 
-/// What a run gave.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Requests that were sent, and attempts that engines saw.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Attempts that engines saw.
+    /// Number of attempts that engines received.
     pub attempts: usize,
-    /// What broke the rules.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// Faults that were played.
+    /// Planned faults with their start times.
     pub faults: Vec<(Duration, Fault)>,
-    /// System calls that failed.
+    /// Settings of the system call faults.
     pub syscalls: shim::SyscallFaults,
-    /// The longest delay of this process itself.
+    /// Longest scheduling delay of this process.
     pub longest_lag: Duration,
 }
 
-/// Something that follows a fault.
+/// Action due some time after a fault.
 enum FollowUp {
-    FeedMode { manager: usize, side: usize, mode: FeedMode },
+    FeedMode { manager: usize, feed_index: usize, mode: FeedMode },
     EngineGone { id: String },
-    Heal { id: String },
+    RestoreEngine { id: String },
 }
 
 struct Soak {
@@ -94,14 +95,16 @@
     log: Arc<EventLog>,
     deployment: Deployment,
     managers: Vec<Manager>,
-    /// By manager: two feeds, and which of them its configuration names.
+    /// Two feeds of each manager.
     feeds: Vec<[Feed; 2]>,
-    feed_sides: Vec<usize>,
+    /// Index of the feed that each manager's configuration names.
+    active_feeds: Vec<usize>,
     engines: Vec<Engine>,
     next_engine: usize,
-    later: Vec<(Instant, FollowUp)>,
-    /// Managers that are started again once they have ended.
-    ending: Vec<usize>,
+    /// Pending follow-ups with their due times.
+    follow_ups: Vec<(Instant, FollowUp)>,
+    /// Managers that are restarted when they have ended.
+    terminating: Vec<usize>,
     burst_until: Instant,
     rng: ChaCha8Rng,
     longest_lag: Duration,
@@ -110,20 +113,21 @@
 /// Carries out one run.
 ///
 /// # Errors
-/// A stand-in, a file or a process that cannot be started.
+/// Fails if a stand-in or process cannot be started, or a file cannot be written or read.
 pub async fn run(config: SoakConfig) -> io::Result<SoakReport> {
     let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
     let plan = nemesis::draw(&mut rng, config.duration);
     let mut soak = Soak::new(config, &plan, rng).await?;
-    let lag = tokio::spawn({
+    let lag_task = tokio::spawn({
         let world = Arc::clone(&soak.world);
         async move { world.measure_lag().await }
     });
-    soak.play(&plan).await?;
-    lag.abort();
+    soak.run_plan(&plan).await?;
+    lag_task.abort();
     soak.finish(plan)
 }
 
+/// Settings of the managers' configuration, as JSON.
 fn settings(managers: usize) -> String {
     format!(
         r#"{{"kindOfService":"queries","zones":["hall-a","hall-b"],"shapes":["std"],"siblings":{managers},
@@ -141,21 +145,23 @@
     )
 }
 
-/// Requests of mean work that an engine in slow start may get in its window.
+/// Maximum number of requests of mean work for an engine in slow start within a window.
 fn slow_start_requests() -> f64 {
-    // What it can do at the end of its first window.
-    let share =
+    // Fraction of its capacity that the engine has at the end of its first window.
+    let fraction =
         START_CAPACITY + (1.0 - START_CAPACITY) * SLOW_START_WINDOW.as_secs_f64() / SLOW_START.as_secs_f64();
-    let work = FALL_MULTIPLE * share * ENGINE_CORES * SLOW_START_WINDOW.as_secs_f64();
+    let work = FALL_MULTIPLE * fraction * ENGINE_CORES * SLOW_START_WINDOW.as_secs_f64();
     slow_start_bound(work / MEAN_WORK.as_secs_f64())
 }
 
+/// An engine's entry in a list event.
 fn member(id: &str, address: std::net::SocketAddr, phase: &str, up_since_ms: i64) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"hall-a","flavor":"std","cell":0,"phase":"{phase}","size":2,"up_since_ms":{up_since_ms}}}"#
     )
 }
 
+/// Data of a list event.
 fn event(number: u64, is_complete: bool, members: &[String]) -> String {
     let members = members.join(",");
     format!(
@@ -183,11 +189,11 @@
             deployment,
             managers: Vec::new(),
             feeds: Vec::new(),
-            feed_sides: Vec::new(),
+            active_feeds: Vec::new(),
             engines: Vec::new(),
             next_engine: 0,
-            later: Vec::new(),
-            ending: Vec::new(),
+            follow_ups: Vec::new(),
+            terminating: Vec::new(),
             burst_until: Instant::now(),
             rng,
             longest_lag: Duration::ZERO,
@@ -204,29 +210,30 @@
             let feeds = [Feed::start(number, &soak.log).await?, Feed::start(number, &soak.log).await?];
             feeds[1].set_mode(FeedMode::Moved);
             soak.feeds.push(feeds);
-            soak.feed_sides.push(0);
+            soak.active_feeds.push(0);
             soak.managers.push(Manager::new(number, &soak.world)?);
             soak.start_manager(number)?;
         }
         Ok(soak)
     }
 
-    async fn start_engine(&mut self, comes_up_after: Duration) -> io::Result<Engine> {
+    async fn start_engine(&mut self, accept_delay: Duration) -> io::Result<Engine> {
         self.next_engine += 1;
         let id = format!("s-{:06x}", self.next_engine);
         let seed = self.config.seed.wrapping_mul(31).wrapping_add(self.next_engine as u64 * 1_000_000);
-        Engine::start(&id, seed, &self.world, comes_up_after).await
+        Engine::start(&id, seed, &self.world, accept_delay).await
     }
 
     fn start_manager(&mut self, number: usize) -> io::Result<()> {
         let events = self.log.all();
-        let feed = self.feeds[number][self.feed_sides[number]].address;
+        let feed = self.feeds[number][self.active_feeds[number]].address;
         let manager = &mut self.managers[number];
         manager.write_config(&self.deployment, feed, &events)?;
         manager.start(&self.deployment, events.len() as u64)
     }
 
-    async fn play(&mut self, plan: &Plan) -> io::Result<()> {
+    /// Sends clients and injects faults, then waits for the last answers and ends all processes.
+    async fn run_plan(&mut self, plan: &Plan) -> io::Result<()> {
         let start = Instant::now();
         let mut next_fault = 0;
         let mut next_client = start;
@@ -238,22 +245,24 @@
             while next_client <= Instant::now() {
                 let rate = self.config.rate * if Instant::now() < self.burst_until { 3.0 } else { 1.0 };
                 next_client += Duration::from_secs_f64(-(1.0 - self.rng.gen::<f64>()).ln() / rate);
-                self.send_client();
+                self.start_client();
             }
             self.follow_up()?;
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let last = Instant::now() + LAST_ANSWERS;
-        while Instant::now() < last {
+        let end = Instant::now() + ANSWER_TIMEOUT;
+        while Instant::now() < end {
             self.follow_up()?;
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.end_all().await
     }
 
-    fn send_client(&mut self) {
-        let open: Vec<&Manager> = self.managers.iter().filter(|m| m.endpoint.takes_connections()).collect();
-        let Some(manager) = open.choose(&mut self.rng) else { return };
+    /// Starts a client of a drawn manager that accepts connections.
+    fn start_client(&mut self) {
+        let accepting: Vec<&Manager> =
+            self.managers.iter().filter(|m| m.endpoint.takes_connections()).collect();
+        let Some(manager) = accepting.choose(&mut self.rng) else { return };
         let endpoint = Arc::clone(&manager.endpoint);
         let rng = ChaCha8Rng::seed_from_u64(self.rng.gen());
         tokio::spawn(Client::new(&self.world, &endpoint, rng).run());
@@ -265,7 +274,7 @@
             Fault::Terminate { managers } => {
                 for number in self.draw_serving(managers) {
                     self.managers[number].terminate();
-                    self.ending.push(number);
+                    self.terminating.push(number);
                 }
             }
             Fault::Kill { managers } => {
@@ -283,123 +292,129 @@
                 }
             }
             Fault::Hang { engines, duration } => {
-                self.draw_engines(engines, |engine, _| engine.behave(|b| b.hangs_until = now + duration));
+                self.draw_engines(engines, |engine, _| {
+                    engine.change_behaviour(|b| b.hangs_until = now + duration)
+                });
             }
             Fault::Reset { engines } => self.draw_engines(engines, |engine, _| engine.reset_connections()),
-            Fault::Fail { engines, duration } => self.draw_engines(engines, |engine, later| {
-                engine.behave(|b| b.failing = 333);
-                later.push((now + duration, FollowUp::Heal { id: engine.id.clone() }));
+            Fault::Fail { engines, duration } => self.draw_engines(engines, |engine, follow_ups| {
+                engine.change_behaviour(|b| b.failed_per_mille = 333);
+                follow_ups.push((now + duration, FollowUp::RestoreEngine { id: engine.id.clone() }));
             }),
             Fault::Burst { duration } => self.burst_until = now + duration,
         }
         Ok(())
     }
 
-    /// Managers that serve, drawn.
+    /// Draws up to `count` managers that serve.
     fn draw_serving(&mut self, count: usize) -> Vec<usize> {
         let mut serving: Vec<usize> =
             (0..self.managers.len()).filter(|n| self.managers[*n].is_serving()).collect();
         serving.shuffle(&mut self.rng);
-        // A few always serve.
+        // At least two continue to serve.
         serving.truncate(count.min(serving.len().saturating_sub(2)));
         serving
     }
 
-    fn draw_engines(&mut self, count: usize, mut hit: impl FnMut(&Engine, &mut Vec<(Instant, FollowUp)>)) {
+    /// Draws up to `count` engines and applies a fault to each.
+    fn draw_engines(&mut self, count: usize, mut apply: impl FnMut(&Engine, &mut Vec<(Instant, FollowUp)>)) {
         let drawn: Vec<usize> =
             rand::seq::index::sample(&mut self.rng, self.engines.len(), count.min(self.engines.len()))
                 .into_vec();
         for index in drawn {
-            hit(&self.engines[index], &mut self.later);
+            apply(&self.engines[index], &mut self.follow_ups);
         }
     }
 
-    /// All managers get a configuration whose feed is elsewhere.
+    /// Gives all serving managers a configuration that names their other feed.
     fn reload(&mut self) -> io::Result<()> {
         let events = self.log.all();
         for number in 0..self.managers.len() {
             if !self.managers[number].is_serving() {
                 continue;
             }
-            let old = self.feed_sides[number];
-            let side = 1 - old;
-            self.feed_sides[number] = side;
-            self.feeds[number][side].set_mode(FeedMode::Serve);
-            let feed = self.feeds[number][side].address;
+            let old = self.active_feeds[number];
+            let index = 1 - old;
+            self.active_feeds[number] = index;
+            self.feeds[number][index].set_mode(FeedMode::Serve);
+            let feed = self.feeds[number][index].address;
             self.managers[number].write_config(&self.deployment, feed, &events)?;
             self.managers[number].reload();
-            let moved = FollowUp::FeedMode { manager: number, side: old, mode: FeedMode::Moved };
-            self.later.push((Instant::now() + OLD_FEED_LASTS, moved));
+            let moved = FollowUp::FeedMode { manager: number, feed_index: old, mode: FeedMode::Moved };
+            self.follow_ups.push((Instant::now() + OLD_FEED_CLOSE_DELAY, moved));
         }
         Ok(())
     }
 
-    fn change_feeds(&mut self, mode: FeedMode, duration: Duration, share: f64) {
+    /// Changes the feeds of a fraction of the managers for some time.
+    fn change_feeds(&mut self, mode: FeedMode, duration: Duration, fraction: f64) {
         for number in 0..self.managers.len() {
-            if self.rng.gen_bool(share) {
-                let side = self.feed_sides[number];
-                self.feeds[number][side].set_mode(mode);
-                let heals = FollowUp::FeedMode { manager: number, side, mode: FeedMode::Serve };
-                self.later.push((Instant::now() + duration, heals));
+            if self.rng.gen_bool(fraction) {
+                let feed_index = self.active_feeds[number];
+                self.feeds[number][feed_index].set_mode(mode);
+                let restore = FollowUp::FeedMode { manager: number, feed_index, mode: FeedMode::Serve };
+                self.follow_ups.push((Instant::now() + duration, restore));
             }
         }
     }
 
-    /// An engine drains, and another one starts cold.
+    /// Drains a drawn engine and starts another one, which is cold.
     async fn replace_engine(&mut self) -> io::Result<()> {
         if self.engines.len() <= self.config.engines / 2 {
             return Ok(());
         }
-        let comes_up_after = match self.rng.gen_bool(0.3) {
+        let accept_delay = match self.rng.gen_bool(0.3) {
             true => Duration::from_millis(self.rng.gen_range(300..1_500)),
             false => Duration::ZERO,
         };
-        let fresh = self.start_engine(comes_up_after).await?;
+        let new = self.start_engine(accept_delay).await?;
         let old = self.engines.choose(&mut self.rng).map(|engine| (engine.id.clone(), engine.address));
         let Some((id, address)) = old else { return Ok(()) };
-        let since = wall_ms(&self.world.steps);
+        let up_since_ms = wall_ms(&self.world.steps);
         self.world.engine_started(
-            &fresh.id,
+            &new.id,
             slow_start_requests(),
             SLOW_START_WINDOW,
             Instant::now() + SLOW_START_WINDOW,
         );
-        let entry = member(&fresh.id, fresh.address, "ready", since);
+        let entry = member(&new.id, new.address, "ready", up_since_ms);
         let drained = member(&id, address, "draining", 0);
         let number = self.log.push(|number| event(number, false, &[entry, drained]));
         self.world.engine_listed(&id, false, number);
-        self.engines.push(fresh);
-        self.later.push((Instant::now() + DRAIN_LASTS, FollowUp::EngineGone { id }));
+        self.engines.push(new);
+        self.follow_ups.push((Instant::now() + DRAIN_DURATION, FollowUp::EngineGone { id }));
         Ok(())
     }
 
-    /// Does what follows from faults, and looks after processes that have ended.
+    /// Carries out due follow-ups, and restarts processes that have ended after SIGTERM.
     fn follow_up(&mut self) -> io::Result<()> {
         self.longest_lag = self.longest_lag.max(self.world.lag());
         let now = Instant::now();
-        let (due, later) = std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= now);
-        self.later = later;
+        let (due, pending) = std::mem::take(&mut self.follow_ups).into_iter().partition(|(at, _)| *at <= now);
+        self.follow_ups = pending;
         let due: Vec<(Instant, FollowUp)> = due;
-        for (_, what) in due {
-            match what {
-                // A feed that its manager's configuration names again meanwhile stays.
-                FollowUp::FeedMode { manager, side, mode: FeedMode::Moved }
-                    if self.feed_sides[manager] == side => {}
-                FollowUp::FeedMode { manager, side, mode: FeedMode::Serve }
-                    if self.feed_sides[manager] != side => {}
-                FollowUp::FeedMode { manager, side, mode } => self.feeds[manager][side].set_mode(mode),
+        for (_, follow_up) in due {
+            match follow_up {
+                // A feed that its manager's configuration names again by now stays open.
+                FollowUp::FeedMode { manager, feed_index, mode: FeedMode::Moved }
+                    if self.active_feeds[manager] == feed_index => {}
+                FollowUp::FeedMode { manager, feed_index, mode: FeedMode::Serve }
+                    if self.active_feeds[manager] != feed_index => {}
+                FollowUp::FeedMode { manager, feed_index, mode } => {
+                    self.feeds[manager][feed_index].set_mode(mode);
+                }
                 FollowUp::EngineGone { id } => self.remove_engine(&id),
-                FollowUp::Heal { id } => {
+                FollowUp::RestoreEngine { id } => {
                     if let Some(engine) = self.engines.iter().find(|engine| engine.id == id) {
-                        engine.behave(|behaviour| behaviour.failing = 5);
+                        engine.change_behaviour(|behaviour| behaviour.failed_per_mille = 5);
                     }
                 }
             }
         }
         for number in 0..self.managers.len() {
-            let is_expected = self.ending.contains(&number);
+            let is_expected = self.terminating.contains(&number);
             if self.managers[number].has_ended() && is_expected {
-                self.ending.retain(|other| *other != number);
+                self.terminating.retain(|other| *other != number);
                 self.start_manager(number)?;
             }
         }
@@ -414,33 +429,39 @@
         engine.stop();
     }
 
-    /// Ends every process in order.
+    /// Sends SIGTERM to every serving process and waits until all have ended.
     async fn end_all(&mut self) -> io::Result<()> {
         for manager in self.managers.iter().filter(|manager| manager.is_serving()) {
             manager.terminate();
         }
-        let until = Instant::now() + Duration::from_secs(6);
+        let end = Instant::now() + Duration::from_secs(6);
         let mut running: Vec<usize> = (0..self.managers.len()).collect();
-        while Instant::now() < until && !running.is_empty() {
+        while Instant::now() < end && !running.is_empty() {
             running.retain(|number| !self.managers[*number].has_ended());
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
+    /// Checks the rules that need the whole run, and creates the report.
     fn finish(self, plan: Plan) -> io::Result<SoakReport> {
         self.world.check_overlaps();
         for (manager, requests, retries) in self.world.retry_times() {
             if let Some(excess) =
                 retry_excess(&requests, &retries, FREE_RETRIES, RETRIES_PER_REQUEST, RETRY_WINDOW)
             {
-                self.world.violate(Rule::RetryBudget, format!("manager {manager}: {excess:.1} too many"));
+                self.world.report_violation(
+                    Rule::RetryBudget,
+                    format!("manager {manager}: {excess:.1} retries above the budget"),
+                );
             }
         }
         for manager in &self.managers {
-            for line in alarming_lines(&manager.log_path(&self.deployment))? {
-                self.world
-                    .violate(Rule::OwnInvariant, format!("manager {}: {line}", manager.endpoint.number));
+            for line in failure_lines(&manager.log_path(&self.deployment))? {
+                self.world.report_violation(
+                    Rule::OwnInvariant,
+                    format!("manager {}: {line}", manager.endpoint.number),
+                );
             }
         }
         let (requests, attempts) = self.world.totals();
