--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a complete capture for the sub-commands, and warns of damaged parts.
+//! Reads a whole capture for the sub-commands, and warns about damaged parts.
 
 use super::CaptureError;
 use crate::run::error::{with_causes, BoxError};
@@ -9,25 +9,25 @@
 
 /// A part of a capture that could not be read.
 pub struct Damage {
-    /// The file.
+    /// File with the damage.
     pub file: PathBuf,
-    /// Where it cannot be read, in bytes.
+    /// Offset in bytes at which the file cannot be read.
     pub offset: usize,
-    /// What is wrong there.
+    /// What is wrong at the offset.
     pub reason: String,
 }
 
-/// A capture that was read completely.
+/// The readable segments of a capture, and its damage.
 pub struct Capture {
-    /// Its segments, in order.
+    /// Segments in recording order.
     pub segments: Vec<Segment>,
-    /// What could not be read.
+    /// Parts that could not be read.
     pub damage: Vec<Damage>,
 }
 
 impl Capture {
-    /// Reads a file or a folder of them. Damage, segments that are cut off, and unusable files among several are
-    /// reported on standard error.
+    /// Reads a file, or a folder of files. Damage, truncated segments, and unusable files among several files
+    /// are reported on standard error.
     ///
     /// # Errors
     /// A capture without a single usable segment.
@@ -40,21 +40,21 @@
                 Ok(contents) => capture.append(file, contents),
                 Err(error) => {
                     if files.len() > 1 {
-                        eprintln!("sprucelink: passed over: {}", with_causes(&error));
+                        eprintln!("sprucelink: file skipped: {}", with_causes(&error));
                     }
                     last_error = Some(CaptureError::Library(error.into()));
                 }
             }
         }
         capture.report_damage();
-        capture.report_cut_segments();
+        capture.report_truncated_segments();
         if capture.segments.is_empty() {
             return Err(last_error.unwrap_or(CaptureError::NoSegment));
         }
         Ok(capture)
     }
 
-    /// The time of the first checkpoint.
+    /// Time of the first checkpoint.
     pub fn start(&self) -> Timestamp {
         self.segments.first().map_or(Timestamp::ZERO, |segment| segment.at)
     }
@@ -72,12 +72,12 @@
         }
     }
 
-    fn report_cut_segments(&self) {
+    fn report_truncated_segments(&self) {
         for segment in &self.segments {
             let SegmentEnd::Truncated { inside_frame } = segment.end else { continue };
-            let place = if inside_frame { "inside a frame" } else { "behind a whole frame" };
+            let place = if inside_frame { "inside a frame" } else { "after a complete frame" };
             eprintln!(
-                "sprucelink: {}: segment {} is cut off {place}: {} whole records are used",
+                "sprucelink: {}: segment {} is cut off {place}: {} complete records are used",
                 segment.file.display(),
                 segment.header.number,
                 segment.records.len()
