--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -46,9 +46,9 @@
 #[test]
 fn malformed_challenge_requests_are_answered_or_closed() {
     let engine = Engine::echo();
-    let (mut program, at) = program(&engine);
+    let (mut program, address) = program(&engine);
     let not_found = |text: &str| text.starts_with("HTTP/1.1 404 Not Found\r\n") && text.ends_with("\r\n\r\n");
-    assert!(not_found(&response(at, VALID_REQUEST)));
+    assert!(not_found(&response(address, VALID_REQUEST)));
     for garbage in [
         &b"\r\n\r\n"[..],
         b"\x16\x03\x01garbage\0\xff\xfe\r\n\r\n",
@@ -57,22 +57,22 @@
         b"GET /.well-known/acme-challenge/../../etc/passwd HTTP/1.1\r\n\r\n",
         b"GET \xc3\x28 HTTP/1.1\r\n\r\n",
     ] {
-        assert!(not_found(&response(at, garbage)), "{garbage:?}");
+        assert!(not_found(&response(address, garbage)), "{garbage:?}");
     }
     // Longer than the maximum request length: closed without an answer.
-    assert_eq!(response(at, &[b'x'; 64 * 1024]), "");
+    assert_eq!(response(address, &[b'x'; 64 * 1024]), "");
     // An incomplete request whose sender shuts down its side.
-    let mut incomplete = open(at);
+    let mut incomplete = open(address);
     incomplete.write_all(&VALID_REQUEST[..40]).expect("written");
     incomplete.shutdown(Shutdown::Write).expect("shut");
     assert_eq!(incomplete.read(&mut [0; 16]).expect("an end"), 0);
     // An incomplete request whose sender stays connected: closed by the timeout.
-    let (mut incomplete, started_at) = (open(at), Instant::now());
+    let (mut incomplete, started_at) = (open(address), Instant::now());
     incomplete.write_all(&VALID_REQUEST[..40]).expect("written");
     assert_eq!(incomplete.read(&mut [0; 16]).expect("an end"), 0);
     assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
     // A valid request sent byte by byte is answered.
-    let mut bytewise = open(at);
+    let mut bytewise = open(address);
     bytewise.set_nodelay(true).expect("set");
     VALID_REQUEST.iter().for_each(|b| bytewise.write_all(&[*b]).expect("written"));
     let mut text = String::new();
@@ -86,13 +86,13 @@
 #[test]
 fn flood_of_challenge_requests_affects_no_valid_request_or_session() {
     let engine = Engine::echo();
-    let (program, at) = program(&engine);
+    let (program, address) = program(&engine);
     let mut raw = RawClient::connect(program.platform);
     let before = descriptors(program.id());
     let watched = DescriptorWatch::start(program.id());
     let mut held = Vec::new();
     for i in 1..=300 {
-        let mut caller = open(at);
+        let mut caller = open(address);
         if i % 3 > 0 {
             // The listener may already have closed it in favour of a newer connection.
             let _ = caller.write_all(&VALID_REQUEST[..40]);
@@ -102,7 +102,7 @@
         }
         if i % 30 == 0 {
             assert!(
-                response(at, VALID_REQUEST).starts_with("HTTP/1.1 404"),
+                response(address, VALID_REQUEST).starts_with("HTTP/1.1 404"),
                 "valid request after {i} connections"
             );
             let sql = format!("/* kind=lane-rate,req={i:016x},timeout=20000,owner=sud */ SELECT a FROM b");
@@ -114,5 +114,5 @@
     // engine.
     assert!(peak <= before + 16 + 1 + 2 + 1, "peak of {peak} descriptors, {before} before");
     drop(held);
-    assert!(response(at, VALID_REQUEST).starts_with("HTTP/1.1 404"));
+    assert!(response(address, VALID_REQUEST).starts_with("HTTP/1.1 404"));
 }
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -246,8 +246,8 @@
             wait_until(|| is_drained.load(Ordering::SeqCst).then_some(()));
             let marker = format!("{:016x}", 9);
             let answer = |parts: &[&str]| {
-                let each: String = parts.iter().map(|p| format!("${}\r\n{p}\r\n", p.len())).collect();
-                format!("*{}\r\n{each}", parts.len())
+                let encoded: String = parts.iter().map(|p| format!("${}\r\n{p}\r\n", p.len())).collect();
+                format!("*{}\r\n{encoded}", parts.len())
             };
             let rejection = answer(&[&command.parts[1], "overload", "-", ""]);
             Reply::Raw(rejection + &answer(&[&marker, "served", "batches=1,cpu=5", "marker\tb\tc\n"]))
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -114,14 +114,14 @@
     let program = start(&feed);
     for n in 2..22 {
         let text = format!(": hello\n\n{}{}{}", event(n - 1), event(n), &event(n + 1)[..60]);
-        let whole = if n % 2 == 0 {
+        let response = if n % 2 == 0 {
             let chunks: String = split(&mut gen, &text).iter().map(|part| chunk(part)).collect();
             // Some of the responses end with the last chunk, others are truncated.
             format!("{CHUNKED}{chunks}{}", if n % 4 == 0 { "0\r\n\r\n" } else { "" })
         } else {
             format!("{PLAIN}{text}")
         };
-        let pieces = split(&mut gen, &whole).into_iter().map(String::into_bytes).collect();
+        let pieces = split(&mut gen, &response).into_iter().map(String::into_bytes).collect();
         feed.answer(Script { pieces, closes: true });
         assert_eq!(feed.next_call(), n as u64 - 1, "events after the last complete one are requested");
         program.wait_line(&format!("engine_id=s-{n} phase=Ready"));
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -86,9 +86,9 @@
     }
 }
 
-fn sql(class: &str, req: u64, more: &str) -> Vec<u8> {
+fn sql(class: &str, req: u64, extra: &str) -> Vec<u8> {
     let head = format!("kind={class},req={req:016x},timeout=20000,owner=sud");
-    query(&format!("/* {head}{more} */ SELECT a FROM sales_17.orders"))
+    query(&format!("/* {head}{extra} */ SELECT a FROM sales_17.orders"))
 }
 
 /// A stand-in engine whose answer depends on the last digit of the request id.
@@ -102,8 +102,8 @@
     })
 }
 
-fn open(transcript: &mut Transcript, at: SocketAddr, opening: &[u8]) -> RawClient {
-    let mut client = RawClient::open(at);
+fn open(transcript: &mut Transcript, address: SocketAddr, opening: &[u8]) -> RawClient {
+    let mut client = RawClient::open(address);
     transcript.send(&mut client, opening);
     client
 }
@@ -114,9 +114,9 @@
 
 /// Opens connections with requests for encryption, several protocol versions and options, and a CancelRequest
 /// for no session; returns the client of the last one.
-fn openings(transcript: &mut Transcript, at: SocketAddr) -> RawClient {
+fn openings(transcript: &mut Transcript, address: SocketAddr) -> RawClient {
     for code in [80_877_104, 80_877_103] {
-        let mut client = open(transcript, at, &opening(code, b""));
+        let mut client = open(transcript, address, &opening(code, b""));
         let mut byte = [0];
         std::io::Read::read_exact(&mut client.stream, &mut byte).expect("an answer");
         transcript.line("client <", &byte);
@@ -127,7 +127,7 @@
         (0x0003_0000, b"user\0ap\xff\0\0"),
         (80_877_102, b"\0\0\0\x01\0\0\0\x02"),
     ] {
-        let mut client = open(transcript, at, &opening(code, rest));
+        let mut client = open(transcript, address, &opening(code, rest));
         let message = client.message();
         let is_end = message.is_none();
         transcript.message(message);
@@ -136,9 +136,9 @@
             transcript.message(message);
         }
     }
-    let mut client = open(transcript, at, &opening(0x0003_0002, b"user\0app\0_pq_.more\0on\0\0"));
+    let mut client = open(transcript, address, &opening(0x0003_0002, b"user\0app\0_pq_.more\0on\0\0"));
     transcript.until_ready(&mut client);
-    let mut client = open(transcript, at, &startup());
+    let mut client = open(transcript, address, &startup());
     for _ in 0..2 {
         if client.key.is_empty() {
             let messages = client.until_ready();
@@ -268,10 +268,10 @@
     });
     let operator = r#"{"listen":"127.0.0.1:0","default_tenant":"sud"}"#;
     let program = Program::start(&[("s-1", engine.address)], None, Some(operator));
-    let at = program.second.expect("the second front is on");
+    let address = program.second.expect("the second front is on");
     let mut transcript = Transcript::default();
     let t = &mut transcript;
-    let mut client = openings(t, at);
+    let mut client = openings(t, address);
 
     t.heading("prepared, described, bound, executed in parts, closed");
     t.ask(&mut client, &[parse("st", LANE), describe(b'S', "st"), sync()].concat());
@@ -313,7 +313,7 @@
     let hold = "/* kind=lane-rate,ms=5 */ SELECT hold FROM a_1.b";
     t.send(&mut client, &[parse("", hold), bind("", "", &[]), execute("", 0), sync()].concat());
     engine.wait_for("do", 5);
-    client.cancel(at);
+    client.cancel(address);
     t.until_ready(&mut client);
     engine.wait_for("undo", 1);
     t.engine_commands(&engine);
@@ -325,7 +325,7 @@
 fn admin_calls_are_answered_as_before() {
     let engine = engine();
     let program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
-    let at = program.operators.expect("an address");
+    let admin = program.operators.expect("an address");
     let mut client = RawClient::connect(program.platform);
     client.ask(std::str::from_utf8(&sql("lane-rate", 1, "")[5..]).expect("text").trim_end_matches('\0'));
     let long = format!("/admin/{}", "x".repeat(20_000));
@@ -358,12 +358,12 @@
         ("GET", &long, ""),
     ];
     for (method, path, body) in calls {
-        let (status, answer) = call(at, method, path, body);
+        let (status, answer) = call(admin, method, path, body);
         let path = if path.len() > 100 { "(long)" } else { path };
         let body = if body.len() > 100 { "(long)" } else { body };
         text.push_str(&format!("{method} {path} {body}: {status} {answer:?}\n"));
     }
-    let (_, stats) = call(at, "GET", "/admin/stats", "");
+    let (_, stats) = call(admin, "GET", "/admin/stats", "");
     text.push_str(&stats);
     golden::assert_matches("operators.txt", &text);
 }
--- a/tests/support/authority.rs
+++ b/tests/support/authority.rs
@@ -336,8 +336,8 @@
 }
 
 /// Fetches the response to an http-01 challenge.
-fn fetch_challenge(at: SocketAddr, token: &str) -> Option<String> {
-    let mut stream = TcpStream::connect(at).ok()?;
+fn fetch_challenge(address: SocketAddr, token: &str) -> Option<String> {
+    let mut stream = TcpStream::connect(address).ok()?;
     write!(stream, "GET /.well-known/acme-challenge/{token} HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -18,17 +18,17 @@
 }
 
 /// Compares a text with a golden file, line by line. Called once per test.
-pub fn assert_matches(name: &str, got: &str) {
+pub fn assert_matches(name: &str, actual: &str) {
     let path = path(name);
     if is_writing() {
-        std::fs::write(&path, got).expect("written");
+        std::fs::write(&path, actual).expect("written");
         panic!("tests/golden/{name} was rewritten and nothing was checked");
     }
     let expected = std::fs::read_to_string(&path).expect("a golden file");
-    for (number, (expected, got)) in expected.lines().zip(got.lines()).enumerate() {
-        assert_eq!(got, expected, "tests/golden/{name}, line {}", number + 1);
+    for (number, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, expected, "tests/golden/{name}, line {}", number + 1);
     }
-    assert_eq!(got.lines().count(), expected.lines().count(), "lines of tests/golden/{name}");
+    assert_eq!(actual.lines().count(), expected.lines().count(), "lines of tests/golden/{name}");
 }
 
 /// Runs the program to its end and returns its exit status, standard output and standard error.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -228,7 +228,8 @@
         let calls: Arc<Mutex<Vec<u64>>> = Arc::default();
         let close_generation: Arc<AtomicU64> = Arc::default();
         let open_calls: Arc<AtomicU64> = Arc::default();
-        let (log, all, generation) = (Arc::clone(&calls), Arc::clone(&events), Arc::clone(&close_generation));
+        let (log, sent, generation) =
+            (Arc::clone(&calls), Arc::clone(&events), Arc::clone(&close_generation));
         let open = Arc::clone(&open_calls);
         let malformed: Arc<Mutex<Option<(usize, String)>>> = Arc::default();
         let replacement = Arc::clone(&malformed);
@@ -243,7 +244,7 @@
                     }
                 }
                 log.lock().expect("unpoisoned").push(last_event);
-                let (all, generation) = (Arc::clone(&all), Arc::clone(&generation));
+                let (sent, generation) = (Arc::clone(&sent), Arc::clone(&generation));
                 let opened_in = generation.load(Ordering::SeqCst);
                 let open = Arc::clone(&open);
                 let replacement = Arc::clone(&replacement);
@@ -254,8 +255,8 @@
                     // Repeats the last event that the caller has: it must ignore the repeat.
                     let mut next = last_event.saturating_sub(1) as usize;
                     while alive {
-                        let fresh = all.lock().expect("unpoisoned")[next..].to_vec();
-                        for data in fresh {
+                        let new_events = sent.lock().expect("unpoisoned")[next..].to_vec();
+                        for data in new_events {
                             next += 1;
                             let malformed = replacement.lock().expect("unpoisoned").take_if(|r| r.0 == next);
                             let data = malformed.map_or(data, |r| r.1);
@@ -625,11 +626,11 @@
     }
     /// Reads all messages up to ReadyForQuery.
     pub fn until_ready(&mut self) -> Vec<Message> {
-        let mut all = Vec::new();
+        let mut messages = Vec::new();
         loop {
-            all.push(self.message().expect("a message"));
-            if all.last().is_some_and(|m| m.0 == b'Z') {
-                return all;
+            messages.push(self.message().expect("a message"));
+            if messages.last().is_some_and(|m| m.0 == b'Z') {
+                return messages;
             }
         }
     }
