--- a/crates/hot-restart/src/codec/tests.rs
+++ b/crates/hot-restart/src/codec/tests.rs
@@ -18,7 +18,7 @@
         sequence: 4,
         phase: Phase::Serving,
         phase_since: Timestamp::from_micros(3),
-        shares_with: Vec::new(),
+        sharing_peers: Vec::new(),
         snapshot: StateSnapshot::default(),
     }
 }
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -30,7 +30,7 @@
     #[prost(int64, tag = "8")]
     phase_since: i64,
     #[prost(message, repeated, tag = "9")]
-    shares_with: Vec<ProcessMessage>,
+    sharing_peers: Vec<ProcessMessage>,
     #[prost(message, repeated, tag = "10")]
     cordons: Vec<CordonMessage>,
     #[prost(fixed64, repeated, tag = "11")]
@@ -224,7 +224,7 @@
             sequence: file.sequence,
             phase: PHASES.iter().position(|phase| *phase == file.phase).unwrap_or(0) as u32,
             phase_since: file.phase_since.as_micros(),
-            shares_with: file.shares_with.iter().copied().map(ProcessMessage::from).collect(),
+            sharing_peers: file.sharing_peers.iter().copied().map(ProcessMessage::from).collect(),
             cordons: snapshot.cordons.iter().map(CordonMessage::from).collect(),
             known_ids: snapshot.known_ids.clone(),
             retry_budget: snapshot.retry_budget.iter().map(RetryBudgetMessage::from).collect(),
@@ -247,7 +247,7 @@
         check_bytes("build", &message.build)?;
         check_bytes("boot_id", &message.boot_id)?;
         check_count("ration", message.retry_budget.len(), MAX_BUCKETS, "buckets")?;
-        check_count("room_for", message.shares_with.len(), MAX_SHARING_PEERS, "processes")?;
+        check_count("room_for", message.sharing_peers.len(), MAX_SHARING_PEERS, "processes")?;
         check_count("cold", message.warmup.len(), MAX_WARMING_ENGINES, "engines")?;
         let process = message.process.ok_or(InvalidState::MissingProcess)?;
         let phase = PHASES.get(message.phase as usize).ok_or(InvalidState::UnknownPhase)?;
@@ -274,7 +274,7 @@
             sequence: message.sequence,
             phase: *phase,
             phase_since: Timestamp::from_micros(message.phase_since),
-            shares_with: message.shares_with.into_iter().map(Process::from).collect(),
+            sharing_peers: message.sharing_peers.into_iter().map(Process::from).collect(),
             snapshot,
         })
     }
--- a/crates/hot-restart/src/peer_state.rs
+++ b/crates/hot-restart/src/peer_state.rs
@@ -34,7 +34,7 @@
     /// Phase of the process.
     pub phase: Phase,
     /// Processes with which it shares its budgets.
-    pub shares_with: Vec<Process>,
+    pub sharing_peers: Vec<Process>,
 }
 
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
                 state: PeerState {
                     process: file.process,
                     phase: file.phase,
-                    shares_with: file.shares_with.clone(),
+                    sharing_peers: file.sharing_peers.clone(),
                 },
                 // A file from the future counts as written now: its process times out unless the file
                 // changes.
--- a/crates/hot-restart/src/peer_state/tests.rs
+++ b/crates/hot-restart/src/peer_state/tests.rs
@@ -17,7 +17,7 @@
         sequence: 0,
         phase,
         phase_since: Timestamp::ZERO,
-        shares_with: Vec::new(),
+        sharing_peers: Vec::new(),
         snapshot: StateSnapshot::default(),
     })
 }
--- a/crates/hot-restart/src/phase.rs
+++ b/crates/hot-restart/src/phase.rs
@@ -56,12 +56,12 @@
     pub close_idle_after: Option<TimeDelta>,
     /// Processes with which this process shares its budgets, oldest first. They are written to its file, and
     /// each counts in `budget_parts`.
-    pub shares_with: Vec<Process>,
+    pub sharing_peers: Vec<Process>,
 }
 
 /// The information in the peers' files on which the phase depends.
 struct PeerView {
-    shares_with: Vec<Process>,
+    sharing_peers: Vec<Process>,
     /// Whether a newer process is active.
     has_active_successor: bool,
     /// Whether a newer process serves.
@@ -74,17 +74,17 @@
     fn new(process: Process, peers: &[PeerState]) -> PeerView {
         let others = || peers.iter().filter(|peer| peer.process != process);
         let active = others().filter(|peer| peer.phase.is_active());
-        let mut shares_with: Vec<Process> = active.map(|peer| peer.process).collect();
-        shares_with.sort_unstable();
-        shares_with.truncate(MAX_SHARING_PEERS);
+        let mut sharing_peers: Vec<Process> = active.map(|peer| peer.process).collect();
+        sharing_peers.sort_unstable();
+        sharing_peers.truncate(MAX_SHARING_PEERS);
         // Peers that may spend budgets now, or start to without an acknowledgement by this process: an older
         // process that starts does not wait for a newer one.
         let mut relevant = others().filter(|peer| peer.phase.is_active() || peer.process < process);
         PeerView {
-            has_active_successor: shares_with.last().is_some_and(|newest| *newest > process),
+            has_active_successor: sharing_peers.last().is_some_and(|newest| *newest > process),
             has_serving_successor: peers.iter().any(|peer| peer.process > process && peer.phase.is_serving()),
-            is_acknowledged: relevant.all(|peer| peer.shares_with.contains(&process)),
-            shares_with,
+            is_acknowledged: relevant.all(|peer| peer.sharing_peers.contains(&process)),
+            sharing_peers,
         }
     }
 }
@@ -139,10 +139,10 @@
             since: self.since,
             accepts_connections: self.accepts_connections(now, view.has_serving_successor),
             has_served: self.has_served,
-            budget_parts: view.shares_with.len() as u32 + 1,
+            budget_parts: view.sharing_peers.len() as u32 + 1,
             is_unacknowledged: self.is_unacknowledged,
             close_idle_after: self.close_idle_after(now, view.has_serving_successor),
-            shares_with: view.shares_with,
+            sharing_peers: view.sharing_peers,
         }
     }
 
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -151,7 +151,7 @@
     pub phase_since: Timestamp,
     /// Processes with which the writer shares its budgets, oldest first: the writer spends no more than its
     /// own part.
-    pub shares_with: Vec<Process>,
+    pub sharing_peers: Vec<Process>,
     /// State of other parts of the program.
     pub snapshot: StateSnapshot,
 }
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -35,7 +35,7 @@
 struct WriteAttempt {
     at: Timestamp,
     phase: Phase,
-    shares_with: Vec<Process>,
+    sharing_peers: Vec<Process>,
 }
 
 /// Result of a scan of the folder.
@@ -255,7 +255,7 @@
     /// announced that another process waits for. A failed write is retried after the interval.
     pub fn is_write_due(&self, now: Timestamp) -> bool {
         let Some(last) = &self.last_attempt else { return true };
-        let is_announced = last.phase == self.status.phase && last.shares_with == self.status.shares_with;
+        let is_announced = last.phase == self.status.phase && last.sharing_peers == self.status.sharing_peers;
         !is_announced || now - last.at >= WRITE_INTERVAL || now < last.at
     }
 
@@ -268,7 +268,7 @@
     pub fn write(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
         let status = &self.status;
         self.last_attempt =
-            Some(WriteAttempt { at: now, phase: status.phase, shares_with: status.shares_with.clone() });
+            Some(WriteAttempt { at: now, phase: status.phase, sharing_peers: status.sharing_peers.clone() });
         self.has_announced_serving |= status.has_served;
         self.sequence += 1;
         let encoded = encode(&self.own_file(now, snapshot)).map_err(WriteError::Encode)?;
@@ -289,7 +289,7 @@
             sequence: self.sequence,
             phase: self.status.phase,
             phase_since: self.status.since,
-            shares_with: self.status.shares_with.clone(),
+            sharing_peers: self.status.sharing_peers.clone(),
             snapshot,
         }
     }
--- a/crates/hot-restart/src/usable_state/tests.rs
+++ b/crates/hot-restart/src/usable_state/tests.rs
@@ -32,7 +32,7 @@
         sequence: 1,
         phase: Phase::Draining,
         phase_since: WRITTEN_AT,
-        shares_with: Vec::new(),
+        sharing_peers: Vec::new(),
         snapshot: StateSnapshot {
             known_ids: vec![1, 2, 3],
             retry_budget: retry_budget.to_vec(),
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -29,7 +29,7 @@
         sequence: 36,
         phase: Phase::ServingBesideSuccessor,
         phase_since: Timestamp::from_micros(1_700_000_008_000_000),
-        shares_with: vec![Process {
+        sharing_peers: vec![Process {
             generation: 5,
             started_at: Timestamp::from_micros(1_700_000_008_500_000),
             pid: 78,
--- a/crates/hot-restart/tests/disk.rs
+++ b/crates/hot-restart/tests/disk.rs
@@ -45,7 +45,7 @@
     new.write(set_back_ms(100), StateSnapshot::default()).expect("written");
     assert!(!new.is_healthy());
     assert_eq!(old.scan(set_back_ms(200)).files.len(), 1);
-    assert_eq!(old.step(set_back_ms(200), false, true).shares_with, [new.process()]);
+    assert_eq!(old.step(set_back_ms(200), false, true).sharing_peers, [new.process()]);
     assert!(
         old.is_write_due(set_back_ms(200)),
         "an acknowledgement that the new process waits for is written at once"
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -56,7 +56,7 @@
         sequence: 36,
         phase: Phase::ServingBesideSuccessor,
         phase_since: at(8_000_000),
-        shares_with: vec![process(5), process(6)],
+        sharing_peers: vec![process(5), process(6)],
         snapshot: StateSnapshot {
             cordons: vec![
                 cordon(engine("s-1"), Cause::Operator, true, None, "by the operators' address"),
@@ -98,7 +98,7 @@
         sequence: 1,
         phase,
         phase_since: at(-1),
-        shares_with: Vec::new(),
+        sharing_peers: Vec::new(),
         snapshot: StateSnapshot::default(),
     }
 }
--- a/crates/hot-restart/tests/phase_machine.rs
+++ b/crates/hot-restart/tests/phase_machine.rs
@@ -17,7 +17,7 @@
 
 /// The state of a process with the given status, as other processes read it.
 fn peer_state(process: Process, status: &PhaseStatus) -> PeerState {
-    PeerState { process, phase: status.phase, shares_with: status.shares_with.clone() }
+    PeerState { process, phase: status.phase, sharing_peers: status.sharing_peers.clone() }
 }
 
 /// An old process that serves, a new one that starts, and the state of the old one as the new one reads it.
@@ -40,7 +40,7 @@
         (status.phase, status.since, status.accepts_connections, status.has_served),
         (Phase::Serving, at_ms(50), true, true)
     );
-    assert_eq!((status.budget_parts, status.close_idle_after, status.shares_with), (1, None, Vec::new()));
+    assert_eq!((status.budget_parts, status.close_idle_after, status.sharing_peers), (1, None, Vec::new()));
     // A restart without a successor: new connections are accepted at first, then all idle sessions are
     // closed.
     let status = machine.step(at_ms(1_000), &[], true, true);
@@ -79,7 +79,7 @@
         (old_status.phase, old_status.since, old_status.budget_parts, old_status.accepts_connections),
         (Phase::ServingBesideSuccessor, at_ms(400), 2, true)
     );
-    assert_eq!(old_status.shares_with, [process(2)]);
+    assert_eq!(old_status.sharing_peers, [process(2)]);
     let new_status = new.step(at_ms(500), &[peer_state(process(1), &old_status)], false, true);
     assert_eq!(
         (new_status.phase, new_status.accepts_connections, new_status.has_served, new_status.budget_parts),
@@ -117,11 +117,11 @@
     assert_eq!((old_status.budget_parts, old_status.accepts_connections), (2, true));
     let old_status = old.step(at_ms(2_000), &[], false, true);
     assert_eq!(
-        (old_status.phase, old_status.budget_parts, old_status.accepts_connections, old_status.shares_with),
+        (old_status.phase, old_status.budget_parts, old_status.accepts_connections, old_status.sharing_peers),
         (Phase::Serving, 1, true, Vec::new())
     );
     // A new process that died right after it began to serve.
-    let serving = PeerState { process: process(3), phase: Phase::Serving, shares_with: Vec::new() };
+    let serving = PeerState { process: process(3), phase: Phase::Serving, sharing_peers: Vec::new() };
     assert!(!old.step(at_ms(3_000), &[serving], false, true).accepts_connections);
     assert!(old.step(at_ms(5_000), &[], false, true).accepts_connections);
 }
@@ -161,7 +161,7 @@
             old_status.phase,
             old_status.accepts_connections,
             old_status.close_idle_after,
-            old_status.shares_with.clone()
+            old_status.sharing_peers.clone()
         ),
         (Phase::Draining, true, None, vec![process(2)])
     );
@@ -187,7 +187,7 @@
         |started_at| Process { generation: 1, started_at: Timestamp::from_micros(started_at), pid: 7 };
     let mut first = PhaseMachine::new(first_generation(1), at_ms(0));
     let mut second = PhaseMachine::new(first_generation(2), at_ms(0));
-    let starting = |process| PeerState { process, phase: Phase::Starting, shares_with: Vec::new() };
+    let starting = |process| PeerState { process, phase: Phase::Starting, sharing_peers: Vec::new() };
     let first_status = first.step(at_ms(10), &[starting(first_generation(2))], false, true);
     let second_status = second.step(at_ms(10), &[starting(first_generation(1))], false, true);
     assert_eq!((first_status.phase, second_status.phase), (Phase::Serving, Phase::Ready));
@@ -206,7 +206,7 @@
     let draining = |generation| PeerState {
         process: process(generation),
         phase: Phase::Draining,
-        shares_with: vec![process(generation + 1)],
+        sharing_peers: vec![process(generation + 1)],
     };
     let mut machine = PhaseMachine::new(process(9), at_ms(0));
     assert_eq!(machine.step(at_ms(0), &[draining(8)], false, true).budget_parts, 2);
@@ -214,7 +214,7 @@
     let many_peers: Vec<PeerState> = (10..90).map(draining).collect();
     let status = machine.step(at_ms(0), &many_peers, false, true);
     assert_eq!(
-        (status.budget_parts as usize, status.shares_with.len()),
+        (status.budget_parts as usize, status.sharing_peers.len()),
         (MAX_SHARING_PEERS + 1, MAX_SHARING_PEERS)
     );
 }
