--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -70,7 +70,7 @@
     },
     /// The two lists of a warming engine's buckets (start times and work) differ in length.
     #[error("cold: the numbers of start times and work values differ")]
-    UnevenBuckets,
+    BucketCountsDiffer,
     /// The file's name belongs to a different process, so the file is a copy.
     #[error("process: differs from the process in the file name")]
     OtherProcess,
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -201,7 +201,7 @@
         check_bytes("cold.engine", &message.engine)?;
         check_count("cold.at", message.start.len(), MAX_BUCKETS, "buckets")?;
         if message.start.len() != message.work_ms.len() {
-            return Err(InvalidState::UnevenBuckets);
+            return Err(InvalidState::BucketCountsDiffer);
         }
         let start_and_work = message.start.iter().zip(&message.work_ms);
         let buckets = start_and_work.map(|(start, work_ms)| WarmupBucket {
