--- a/crates/hot-restart/src/codec/tests.rs
+++ b/crates/hot-restart/src/codec/tests.rs
@@ -13,7 +13,7 @@
         instance: Instance { name: name.into(), ..instance() },
         process: Process { generation, started_at: Timestamp::from_micros(1), pid: 2 },
         build: "test".into(),
-        clock: None,
+        clock_reference: None,
         written_at: Timestamp::from_micros(3),
         sequence: 4,
         phase: Phase::Serving,
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -230,8 +230,8 @@
             retry_budget: snapshot.retry_budget.iter().map(RetryBudgetMessage::from).collect(),
             warmup: snapshot.warmup.iter().map(WarmupMessage::from).collect(),
             last_event: snapshot.last_event,
-            clock_offset: file.clock.as_ref().map(|clock| clock.offset.as_micros()),
-            boot_id: file.clock.as_ref().map_or_else(String::new, |clock| clock.boot_id.clone()),
+            clock_offset: file.clock_reference.as_ref().map(|clock| clock.offset.as_micros()),
+            boot_id: file.clock_reference.as_ref().map_or_else(String::new, |clock| clock.boot_id.clone()),
         }
     }
 }
@@ -266,7 +266,7 @@
         let boot_id = message.boot_id;
         let offset = message.clock_offset.map(TimeDelta::from_micros);
         Ok(StateFile {
-            clock: offset.map(|offset| ClockReference { boot_id, offset }),
+            clock_reference: offset.map(|offset| ClockReference { boot_id, offset }),
             instance: Instance { name: message.name, listen: message.listen },
             process: process.into(),
             build: message.build,
--- a/crates/hot-restart/src/peer_state/tests.rs
+++ b/crates/hot-restart/src/peer_state/tests.rs
@@ -12,7 +12,7 @@
         instance: Instance { name: "n".into(), listen: "l".into() },
         process: Process { generation: u64::from(pid), started_at: Timestamp::ZERO, pid },
         build: String::new(),
-        clock: None,
+        clock_reference: None,
         written_at,
         sequence: 0,
         phase,
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -140,7 +140,7 @@
     /// Version of the writing program, for log lines.
     pub build: String,
     /// Clock of the times in the file; `None` if the writer's build does not write it.
-    pub clock: Option<ClockReference>,
+    pub clock_reference: Option<ClockReference>,
     /// Time at which the file was written.
     pub written_at: Timestamp,
     /// Number of this write, counted by the writing process from 1.
@@ -161,7 +161,7 @@
     /// was rebooted since the file was written, the times are not changed: the two processes then have only
     /// the wall clock in common.
     pub fn convert_to_clock(&mut self, reader: Option<&ClockReference>) {
-        let (Some(writer), Some(reader)) = (&self.clock, reader) else { return };
+        let (Some(writer), Some(reader)) = (&self.clock_reference, reader) else { return };
         if writer.boot_id != reader.boot_id {
             return;
         }
@@ -178,6 +178,6 @@
         for bucket in self.snapshot.warmup.iter_mut().flat_map(|load| &mut load.buckets) {
             bucket.start = bucket.start + shift;
         }
-        self.clock = Some(reader.clone());
+        self.clock_reference = Some(reader.clone());
     }
 }
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -73,7 +73,7 @@
     instance: Instance,
     process: Process,
     build: String,
-    clock: Option<ClockReference>,
+    clock_reference: Option<ClockReference>,
     file_name: String,
     peers: PeerTable,
     phase_machine: PhaseMachine,
@@ -99,7 +99,7 @@
     }
 
     /// Like [`StateFileDriver::open`], but converts the times in other processes' files to this process's
-    /// `clock`, so that they are correct even if the wall clock was stepped between the starts of the
+    /// `clock_reference`, so that they are correct even if the wall clock was stepped between the starts of the
     /// processes.
     pub fn open_with_clock(
         folder: F,
@@ -107,7 +107,7 @@
         build: &str,
         pid: u32,
         now: Timestamp,
-        clock: Option<ClockReference>,
+        clock_reference: Option<ClockReference>,
     ) -> (StateFileDriver<F>, FolderScan) {
         let process = Process { generation: 1, started_at: now, pid };
         let mut phase_machine = PhaseMachine::new(process, now);
@@ -115,7 +115,7 @@
             folder,
             process,
             build: build.to_owned(),
-            clock,
+            clock_reference,
             file_name: StateFileName::new(&instance, &process).to_string(),
             instance,
             peers: PeerTable::default(),
@@ -239,7 +239,7 @@
             // A copy under another name would count as a second live process.
             return Err(StateFileError::Invalid(InvalidState::OtherProcess));
         }
-        file.convert_to_clock(self.clock.as_ref());
+        file.convert_to_clock(self.clock_reference.as_ref());
         Ok(file)
     }
 
@@ -284,7 +284,7 @@
             instance: self.instance.clone(),
             process: self.process,
             build: self.build.clone(),
-            clock: self.clock.clone(),
+            clock_reference: self.clock_reference.clone(),
             written_at: now,
             sequence: self.sequence,
             phase: self.status.phase,
--- a/crates/hot-restart/src/usable_state/tests.rs
+++ b/crates/hot-restart/src/usable_state/tests.rs
@@ -27,7 +27,7 @@
         instance: Instance { name: "n".into(), listen: "l".into() },
         process: Process { generation: 1, started_at: Timestamp::ZERO, pid: 1 },
         build: String::new(),
-        clock: None,
+        clock_reference: None,
         written_at: WRITTEN_AT,
         sequence: 1,
         phase: Phase::Draining,
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -24,7 +24,7 @@
             pid: 77,
         },
         build: "sprucelink 0.1.0".into(),
-        clock: None,
+        clock_reference: None,
         written_at: Timestamp::from_micros(1_700_000_009_000_000),
         sequence: 36,
         phase: Phase::ServingBesideSuccessor,
@@ -324,7 +324,7 @@
         entry: leased_entry.clone(),
     };
     let snapshot = StateSnapshot { cordons: vec![cordon], ..StateSnapshot::default() };
-    let file = StateFile { clock: Some(clock("a", 1_000)), ..state_file(snapshot) };
+    let file = StateFile { clock_reference: Some(clock("a", 1_000)), ..state_file(snapshot) };
     let hour = TimeDelta::from_micros(3_600_000_000);
     let mut decoded = decode(&encode(&file).expect("fits").bytes, &instance()).expect("valid");
     assert_eq!(decoded, file);
@@ -338,7 +338,7 @@
         (None, Some(clock("a", 4_600))),
         (Some(clock("a", 1_000)), None),
     ] {
-        let mut converted = StateFile { clock: writer, ..file.clone() };
+        let mut converted = StateFile { clock_reference: writer, ..file.clone() };
         converted.convert_to_clock(reader.as_ref());
         assert_eq!(converted.written_at, file.written_at);
     }
