--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -46,7 +46,7 @@
     /// Messages received.
     pub received: u64,
     /// Direct probes that were not answered in time.
-    pub indirect_probes: u64,
+    pub unanswered_direct_probes: u64,
     /// Suspicions that this member's own probes began.
     pub suspicions: u64,
     /// Accusations of this member that it refuted.
--- a/crates/membership/src/swim/node/probing.rs
+++ b/crates/membership/src/swim/node/probing.rs
@@ -75,7 +75,7 @@
         let mut helpers = self.members.helper_addresses(&target);
         helpers.shuffle(&mut self.rng);
         helpers.truncate(self.config.indirect_probes as usize);
-        self.counters.indirect_probes += 1;
+        self.counters.unanswered_direct_probes += 1;
         self.prober.set_helper_count(helpers.len());
         for helper in helpers {
             self.send(helper, MessageKind::PingRequest { sequence, target: target.clone(), address });
