--- a/crates/membership/examples/model.rs
+++ b/crates/membership/examples/model.rs
@@ -21,8 +21,8 @@
 
 /// A quantile of ascending values; NaN if there are none.
 fn quantile(sorted: &[f64], fraction: f64) -> f64 {
-    let last = sorted.len().saturating_sub(1);
-    let index = ((sorted.len() as f64 * fraction) as usize).min(last);
+    let last_index = sorted.len().saturating_sub(1);
+    let index = ((sorted.len() as f64 * fraction) as usize).min(last_index);
     sorted.get(index).copied().unwrap_or(f64::NAN)
 }
 
@@ -34,21 +34,21 @@
 
 fn measure_traffic(network: &mut SimulatedNetwork) -> Traffic {
     let started_at = network.now;
-    let bytes_before = network.bytes;
-    let messages_before = network.messages;
+    let bytes_before = network.bytes_sent;
+    let messages_before = network.messages_sent;
     network.run_for(60);
     let member_seconds = (network.now - started_at).as_secs_f64() * network.nodes.len() as f64;
     Traffic {
-        bytes: (network.bytes - bytes_before) as f64 / member_seconds,
-        messages: (network.messages - messages_before) as f64 / member_seconds,
+        bytes: (network.bytes_sent - bytes_before) as f64 / member_seconds,
+        messages: (network.messages_sent - messages_before) as f64 / member_seconds,
     }
 }
 
 /// Times from crashes to their reports, in seconds, ascending.
 struct DetectionTimes {
-    /// Until the first member reported the crash.
+    /// Times until the first member reported the crash.
     first_report: Vec<f64>,
-    /// Until the last member reported the crash.
+    /// Times until the last member reported the crash.
     last_report: Vec<f64>,
 }
 
@@ -59,7 +59,7 @@
         let crashed_at = network.now;
         network.crash(index);
         network.run_for(40);
-        let reports = network.events_on(&format!("n{index}"), MembershipEventKind::Died, crashed_at);
+        let reports = network.event_times_about(&format!("n{index}"), MembershipEventKind::Died, crashed_at);
         let seconds = |reported_at: &Timestamp| (*reported_at - crashed_at).as_secs_f64();
         times.first_report.extend(reports.iter().min().map(seconds));
         times.last_report.extend(reports.iter().max().map(seconds));
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -15,14 +15,14 @@
 pub struct ProtocolConfig {
     /// SWIM's protocol period, in which one member is probed, in milliseconds; 50 to 60,000.
     pub period_ms: f64,
-    /// Time-out of a direct probe, after which other members are requested to probe, in milliseconds; 10 to
-    /// `period_ms`.
+    /// Time-out of a direct probe, after which other members are requested to probe the target, in
+    /// milliseconds; 10 to `period_ms`.
     pub timeout_ms: f64,
     /// Number of members that are requested to probe on this member's behalf; 0 to 10 (SWIM's k).
     #[serde(rename = "indirect")]
     pub indirect_probes: u32,
     /// Minimum duration of a suspicion: this many periods, multiplied by the base-10 logarithm of the number
-    /// of live members; 1 to 20.
+    /// of live members (counted as at least 10); 1 to 20.
     #[serde(rename = "suspicion_least")]
     pub suspicion_multiplier: f64,
     /// Maximum duration of a suspicion, which applies while no other member confirms it, as a multiple of the
@@ -36,8 +36,8 @@
     /// (Lifeguard's S).
     #[serde(rename = "health_most")]
     pub max_local_health: u32,
-    /// Number of transmissions of an update, each to a different member: this factor times the base-10
-    /// logarithm of the number of live members; 1 to 20.
+    /// Maximum number of transmissions of an update: this factor times the base-10 logarithm of the number of
+    /// live members, which is rounded up; 1 to 20.
     #[serde(rename = "retransmit")]
     pub retransmit_multiplier: f64,
     /// Interval of gossip rounds, in milliseconds; 20 to 60,000.
@@ -46,12 +46,12 @@
     /// Number of members that each gossip round is sent to; 0 to 10.
     #[serde(rename = "fanout")]
     pub gossip_fanout: u32,
-    /// Interval at which the complete view is compared with one other member's (anti-entropy), in
+    /// Interval at which the complete view is compared with that of another member (anti-entropy), in
     /// milliseconds; 200 to 600,000, with a jitter of ±20%. Every other comparison is with a seed or a dead
     /// member, so that partitioned views merge.
     #[serde(rename = "rejoin_ms")]
     pub anti_entropy_interval_ms: f64,
-    /// Time for which dead members are retained in the view, in seconds; 1 to 86,400.
+    /// Time for which members that died or left are retained in the view, in seconds; 1 to 86,400.
     #[serde(rename = "keep_dead_s")]
     pub dead_retention_s: f64,
 }
@@ -100,8 +100,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SharingConfig {
-    /// Whether the fleet pools its retry budgets: a manager may then use a part of the retries that others
-    /// have left.
+    /// Whether the fleet pools its retry budgets: a manager may then use a part of the retries that other
+    /// managers have left.
     #[serde(rename = "ration")]
     pub pool_retry_budgets: bool,
     /// Whether warm-up budgets, this manager's fraction of cores and tenants' quotas are divided among the
@@ -143,9 +143,9 @@
     pub zone: String,
     /// This manager's region, at most [`MAX_NAME_BYTES`] bytes; empty if it has none.
     pub region: String,
-    /// Parameters of the protocol.
+    /// Timing, fan-out and retransmission parameters of the protocol.
     pub protocol: ProtocolConfig,
-    /// Settings of payloads and shared budgets.
+    /// Settings of published payloads and of budgets that the fleet shares.
     pub share: SharingConfig,
 }
 
--- a/crates/membership/src/decoder.rs
+++ b/crates/membership/src/decoder.rs
@@ -69,6 +69,7 @@
     DecodeError::InvalidField { field }
 }
 
+/// The part of a datagram's body that is not decoded yet.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
--- a/crates/membership/src/gossip_payload.rs
+++ b/crates/membership/src/gossip_payload.rs
@@ -57,9 +57,9 @@
 /// A payload and the generation of the process that published it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedPayload {
-    /// Start time of the process, in Unix milliseconds.
+    /// Generation of the publishing process: its start time in Unix milliseconds.
     pub generation: u64,
-    /// The published payload.
+    /// Newest payload that the process published.
     pub payload: GossipPayload,
 }
 
@@ -89,7 +89,7 @@
         self.payloads.get(member)
     }
 
-    /// Removes the payload of a member.
+    /// Removes the payload of a member. Any payload of the member that is merged later is stored.
     pub fn remove(&mut self, member: &str) {
         self.payloads.remove(member);
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -8,7 +8,7 @@
 pub enum MemberState {
     /// The member answers probes.
     Alive,
-    /// The member did not answer a probe, and may refute the suspicion.
+    /// The member did not answer a probe, and can still refute the suspicion.
     Suspect,
     /// The member did not refute the suspicion before it expired.
     Dead,
@@ -17,7 +17,7 @@
 }
 
 impl MemberState {
-    /// Whether the member counts as part of the fleet.
+    /// Whether the member counts as part of the fleet: it is alive or only suspected.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
@@ -35,7 +35,7 @@
     pub incarnation: u32,
     /// State that the update reports.
     pub state: MemberState,
-    /// Address at which other members reach it.
+    /// Address at which other members reach the member.
     pub address: SocketAddr,
     /// Zone of the member; empty if it has none.
     pub zone: String,
@@ -121,7 +121,7 @@
     },
 }
 
-/// Sender of a message.
+/// Identity of a message's sender, and the address for answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sender {
     /// Name of the sending member.
--- a/crates/membership/src/query_client.rs
+++ b/crates/membership/src/query_client.rs
@@ -9,11 +9,11 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Time-out of one attempt.
+/// Time for which one attempt waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum number of attempts for each page, because datagrams may be lost.
 const MAX_ATTEMPTS: u32 = 5;
-/// Sender name in queries.
+/// Sender name in queries: names must not be empty, and the sender is not a member.
 const CLIENT_NAME: &str = "?";
 
 /// A page of a member's view.
@@ -26,7 +26,7 @@
 /// Queries the member at `address` for all members in its view; the queried member comes first.
 ///
 /// # Errors
-/// An error of the socket, or `TimedOut` if no answer arrived.
+/// An error of the socket, or `TimedOut` if no attempt was answered.
 pub fn query_members(address: SocketAddr) -> io::Result<Vec<Member>> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.connect(address)?;
--- a/crates/membership/src/swim/anti_entropy.rs
+++ b/crates/membership/src/swim/anti_entropy.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct AntiEntropy {
     seeds: Vec<SocketAddr>,
-    next_at: Timestamp,
+    next_comparison_at: Timestamp,
     /// Whether the last comparison was with a seed or a dead member instead of a live one.
     last_was_reconnect: bool,
     view_limiter: ViewRateLimiter,
@@ -49,19 +49,24 @@
 impl AntiEntropy {
     /// Creates a schedule whose first comparison is due now.
     pub(super) fn new(seeds: Vec<SocketAddr>, now: Timestamp) -> AntiEntropy {
-        AntiEntropy { seeds, next_at: now, last_was_reconnect: true, view_limiter: ViewRateLimiter::new(now) }
+        AntiEntropy {
+            seeds,
+            next_comparison_at: now,
+            last_was_reconnect: true,
+            view_limiter: ViewRateLimiter::new(now),
+        }
     }
 
-    pub(super) fn next_at(&self) -> Timestamp {
-        self.next_at
+    pub(super) fn next_comparison_at(&self) -> Timestamp {
+        self.next_comparison_at
     }
 
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
-        now >= self.next_at
+        now >= self.next_comparison_at
     }
 
-    pub(super) fn schedule(&mut self, next_at: Timestamp) {
-        self.next_at = next_at;
+    pub(super) fn schedule(&mut self, next_comparison_at: Timestamp) {
+        self.next_comparison_at = next_comparison_at;
     }
 
     /// Addresses of the peers to compare views with now: alternately a live member, and a seed or dead
--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -9,19 +9,19 @@
 /// Change of a member's state in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipEventKind {
-    /// The member joined, or joined again.
+    /// The member was not in the view and was added.
     Joined,
     /// A new process under the name of a known member replaced the earlier one.
     Restarted,
     /// The member did not answer a probe.
     Suspected,
-    /// The member refuted a suspicion, or was wrongly declared dead.
+    /// The member refuted a suspicion or a declaration of its death.
     Refuted,
     /// The member was declared dead.
     Died,
     /// The member announced that it is leaving, and left.
     Left,
-    /// A later process has this member's own name.
+    /// A later process has this member's own name; this member stops probing.
     Superseded,
 }
 
@@ -38,7 +38,7 @@
     pub reported_by: String,
 }
 
-/// Counters for log lines.
+/// Counters of a member since its creation, for log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Messages put into the outbox.
@@ -49,13 +49,14 @@
     pub unanswered_direct_probes: u64,
     /// Suspicions that this member's own probes began.
     pub suspicions: u64,
-    /// Accusations of this member that it refuted.
+    /// Reports of this member as suspected or dead that it refuted.
     pub refutations: u64,
     /// Number of times that this member detected that its process had been stopped.
     pub stops: u64,
     /// Complete views sent.
     pub views_sent: u64,
-    /// Members ignored because the view held [`crate::swim::MAX_MEMBERS`] members.
+    /// Number of times that a new member was ignored because the view held [`crate::swim::MAX_MEMBERS`]
+    /// members.
     pub members_over_limit: u64,
 }
 
--- a/crates/membership/src/swim/gossip_queue.rs
+++ b/crates/membership/src/swim/gossip_queue.rs
@@ -27,8 +27,8 @@
     transmissions: u32,
 }
 
-/// Queue with at most one state update and one payload update of each member: a newer one replaces an older
-/// one.
+/// Queue with at most one state update and one payload update of each member: an update that is enqueued
+/// replaces the one queued before.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipQueue {
     updates: BTreeMap<UpdateKey, QueuedUpdate>,
@@ -57,9 +57,9 @@
         self.updates.insert(key, QueuedUpdate { update, transmissions: 0 });
     }
 
-    /// Takes the updates for one message that fit into `free_bytes`: states before payloads, and among each
-    /// those with the fewest transmissions first. Each counts as transmitted and is removed from the queue at
-    /// `max_transmissions`.
+    /// Takes the updates for one message that fit into `free_bytes`: states before payloads, and within each
+    /// kind those with the fewest transmissions first. Each update taken counts as transmitted once more, and
+    /// is removed from the queue at `max_transmissions`.
     pub(super) fn take_for_message(&mut self, mut free_bytes: usize, max_transmissions: u32) -> Vec<Update> {
         let mut order: Vec<(bool, u32, UpdateKey)> = Vec::with_capacity(self.updates.len());
         for (key, queued) in &self.updates {
--- a/crates/membership/src/swim/local_member.rs
+++ b/crates/membership/src/swim/local_member.rs
@@ -10,7 +10,7 @@
     pub name: String,
     /// Generation of this process: its start time in Unix milliseconds.
     pub generation: u64,
-    /// Address at which other members reach it.
+    /// Address at which other members reach the member.
     pub address: SocketAddr,
     /// Zone of the member; empty if it has none.
     pub zone: String,
@@ -69,11 +69,11 @@
 
     /// An update that this member is alive.
     pub(super) fn alive_update(&self) -> Update {
-        self.report(self.member_as(MemberState::Alive))
+        self.update_about(self.member_as(MemberState::Alive))
     }
 
     /// An update about a member, reported by this member.
-    pub(super) fn report(&self, member: Member) -> Update {
+    pub(super) fn update_about(&self, member: Member) -> Update {
         Update::Member { member, reported_by: self.identity.name.clone() }
     }
 
@@ -95,8 +95,8 @@
             && member.state != MemberState::Alive
     }
 
-    /// Refutes a false accusation by raising the incarnation above the accused one (SWIM 4.2); returns
-    /// whether it did.
+    /// Refutes an accusation of this process by raising its incarnation above that of the accusation (SWIM
+    /// 4.2). Returns false if the update is not an accusation, is outdated, or this member has left.
     pub(super) fn refute(&mut self, member: &Member) -> bool {
         let is_current = member.incarnation >= self.incarnation;
         if !self.is_accusation(member) || !is_current || self.has_left {
@@ -106,8 +106,8 @@
         true
     }
 
-    /// Processes the generation of a process under this member's name. A later one supersedes this process;
-    /// returns whether it does so for the first time.
+    /// Processes the generation of a process with this member's name: a later process supersedes this one.
+    /// Returns whether this call superseded this process.
     pub(super) fn supersede(&mut self, generation: u64) -> bool {
         let is_new = generation > self.identity.generation && !self.is_superseded;
         self.is_superseded |= is_new;
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -9,10 +9,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of members in the view, including dead ones; further members are ignored.
+/// Maximum number of members in the view, including those that are dead or have left; further members are
+/// ignored.
 pub const MAX_MEMBERS: usize = 4_096;
-/// Time for which gossip is still sent to a dead member, so that a member wrongly declared dead receives and
-/// refutes it.
+/// Time for which gossip is still sent to a dead member, so that a member wrongly declared dead receives the
+/// declaration and refutes it.
 const GOSSIP_TO_DEAD_TIME: TimeDelta = TimeDelta::from_secs(30);
 
 /// An action that follows from a change of the view and that [`super::SwimNode`] performs.
@@ -80,12 +81,12 @@
         self.entries.values().filter(|entry| entry.is_live()).map(|entry| &entry.member)
     }
 
-    /// All members, including dead ones.
+    /// All members, including those that are dead or have left.
     pub(super) fn all(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// Number of all members, including dead ones.
+    /// Number of all members, including those that are dead or have left.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
@@ -183,7 +184,8 @@
                 self.end_membership(now, member, reported_by)
             }
             (MemberState::Suspect | MemberState::Dead, MemberState::Alive) if !is_current => {
-                // Outdated: the reporter missed the refutation, so it is disseminated again.
+                // The update is outdated: its reporter missed the refutation, which is therefore disseminated
+                // again.
                 let refutation = known.clone();
                 vec![ViewAction::Disseminate { member: refutation, reported_by }]
             }
@@ -287,7 +289,7 @@
         ]
     }
 
-    /// Time of the next final probe or expiry of any suspicion; `None` without suspicions.
+    /// Earliest time of a final probe or expiry of any suspicion; `None` without suspicions.
     pub(super) fn next_suspicion_deadline(&self, config: &ProtocolConfig) -> Option<Timestamp> {
         let interval = final_probe_interval(config);
         let suspicions = self.entries.values().filter_map(|entry| entry.suspicion.as_ref());
@@ -333,7 +335,7 @@
         }
     }
 
-    /// Removes members that have been dead for longer than the configured retention.
+    /// Removes members that died or left longer ago than the configured retention.
     pub(super) fn remove_long_dead(&mut self, now: Timestamp, config: &ProtocolConfig) {
         let retention = TimeDelta::from_secs_f64(config.dead_retention_s);
         self.entries.retain(|_, entry| entry.is_live() || now - entry.changed_at <= retention);
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -17,12 +17,13 @@
 //!   ([`crate::MessageKind::Digest`]), alternately with a live member and with a seed or dead member, so that
 //!   partitioned views merge. A death reported in an exchanged view counts as a suspicion, as in memberlist's
 //!   push-pull: the accused member can refute it.
-//! - Final probes: before a suspicion expires, each member that holds it sends it to the suspect itself.
-//!   Updates are sent a bounded number of times, so with datagram loss some members would miss a refutation.
-//!   The answer to an accusation carries the refutation, and outdated updates are answered with the newer
-//!   one.
-//! - A member that was stopped (SIGSTOP, or its machine was suspended) sees time jump: it draws no conclusion
-//!   from missing answers in that time, extends every suspicion by it, and compares views at once.
+//! - Final probes: before a suspicion expires, each member that holds the suspicion reports it to the suspect
+//!   itself. Updates are sent a bounded number of times, so with datagram loss some members would miss a
+//!   refutation. The answer to an accusation carries the refutation, and a member that receives an outdated
+//!   accusation disseminates the refutation again.
+//! - A member that was stopped (SIGSTOP, or its machine was suspended) observes a jump in time: it draws no
+//!   conclusion from answers that are missing since the stop, extends every suspicion by the time of the
+//!   stop, and compares views at once.
 
 mod anti_entropy;
 mod duration;
--- a/crates/membership/src/swim/node.rs
+++ b/crates/membership/src/swim/node.rs
@@ -29,7 +29,7 @@
 /// Number of gossip rounds that a leaving member sends at once.
 const LEAVE_GOSSIP_ROUNDS: usize = 3;
 
-/// A message to send.
+/// A message that the caller encodes and sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
     /// Address of the receiver.
@@ -38,7 +38,8 @@
     pub message: Message,
 }
 
-/// One member of the protocol.
+/// The state machine of one member. It performs no I/O: the caller passes in time and messages and sends the
+/// outbox.
 #[derive(Clone, Debug)]
 pub struct SwimNode {
     config: ProtocolConfig,
@@ -104,7 +105,7 @@
         self.members.live()
     }
 
-    /// All other members of the view, including dead ones.
+    /// All other members of the view, including those that are dead or have left.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.all()
     }
@@ -114,7 +115,8 @@
         self.members.fleet_size()
     }
 
-    /// Digest of the live members, this one included: members with equal digests have equal views.
+    /// Digest of the live members, this one included: members with equal digests know the same live members
+    /// and generations.
     pub fn digest(&self) -> u64 {
         let member_digest =
             |name: &str, generation: u64| stable_hash(&[name.as_bytes(), &generation.to_be_bytes()]);
@@ -155,7 +157,8 @@
 
     /// Latest time at which [`SwimNode::tick`] must be called next.
     pub fn next_deadline(&self) -> Timestamp {
-        let periodic = self.prober.next_deadline().min(self.next_gossip_at).min(self.anti_entropy.next_at());
+        let periodic =
+            self.prober.next_deadline().min(self.next_gossip_at).min(self.anti_entropy.next_comparison_at());
         let suspicion = self.members.next_suspicion_deadline(&self.config);
         suspicion.map_or(periodic, |deadline| deadline.min(periodic))
     }
@@ -201,7 +204,8 @@
         self.counters.received += 1;
         let sender = message.sender;
         if sender.name == self.local.name() {
-            // The message is one of its own that came back, or another process has its name.
+            // The message is one of this member's own that came back, or another process has this member's
+            // name.
             self.check_superseded(now, sender.generation);
             return;
         }
@@ -253,7 +257,8 @@
         }
     }
 
-    /// Recovers after this process was stopped: no conclusions are drawn from answers that are missing since.
+    /// Recovers after this process was stopped: no conclusions are drawn from answers that are missing since
+    /// the stop.
     fn recover_from_stop(&mut self, now: Timestamp, elapsed: TimeDelta) {
         self.counters.stops += 1;
         self.prober.abandon_probes();
--- a/crates/membership/src/swim/node/probing.rs
+++ b/crates/membership/src/swim/node/probing.rs
@@ -38,7 +38,7 @@
         let mut updates = Vec::new();
         if self.members.is_suspected(&target) {
             // Lifeguard's buddy system: the probe of a suspect carries the suspicion ahead of other updates.
-            updates.push(self.local.report(member));
+            updates.push(self.local.update_about(member));
         }
         self.send_with_updates(address, MessageKind::Ping { sequence, target }, updates);
     }
@@ -88,7 +88,7 @@
             let sequence = self.prober.next_sequence();
             let kind = MessageKind::Ping { sequence, target: suspect.name.clone() };
             let address = suspect.address;
-            let accusation = self.local.report(suspect);
+            let accusation = self.local.update_about(suspect);
             self.send_with_updates(address, kind, vec![accusation]);
         }
     }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A duration multiplied according to the local health score.
+    /// Converts milliseconds to a duration, multiplied by 1 + the local health score.
     fn scaled_by_health(&self, ms: f64) -> TimeDelta {
         duration_from_ms(ms * self.local_health.multiplier())
     }
--- a/crates/membership/src/swim/node/sending.rs
+++ b/crates/membership/src/swim/node/sending.rs
@@ -7,8 +7,8 @@
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// Maximum size of a message's updates, in bytes: the rest of the datagram is the header, at most two names
-/// and an address.
+/// Maximum size of a message's updates, in bytes: the remaining 140 bytes of the datagram are for the header,
+/// at most two names and an address.
 pub(super) const MAX_UPDATE_BYTES: usize = MAX_DATAGRAM_BYTES - 140;
 
 impl SwimNode {
@@ -37,7 +37,7 @@
     pub(super) fn answer(&mut self, to: SocketAddr, kind: MessageKind, is_accused: bool) {
         let mut updates = Vec::new();
         if is_accused {
-            updates.push(self.local.report(self.local.member()));
+            updates.push(self.local.update_about(self.local.member()));
         }
         self.send_with_updates(to, kind, updates);
     }
--- a/crates/membership/src/swim/node/updates.rs
+++ b/crates/membership/src/swim/node/updates.rs
@@ -42,8 +42,8 @@
         self.check_superseded(now, member.generation);
         if self.local.refute(member) {
             self.counters.refutations += 1;
-            // Other members did not receive its answers in time, possibly through its own fault (Lifeguard's
-            // local health).
+            // Other members did not receive this member's answers in time, possibly through a fault of this
+            // member (Lifeguard's local health).
             self.local_health.worsen(1);
             self.disseminate_own_state(MemberState::Alive);
         }
--- a/crates/membership/src/swim/node/view_exchange.rs
+++ b/crates/membership/src/swim/node/view_exchange.rs
@@ -45,7 +45,7 @@
         let members: Vec<Member> = self.members().cloned().collect();
         for (index, member) in members.into_iter().enumerate() {
             // Suspicions are reported in this member's name, so that its confirmation counts once.
-            let update = self.local.report(member);
+            let update = self.local.update_about(member);
             let size = encoded_size(&update);
             if size > free_bytes {
                 let full_page = std::mem::take(&mut page);
--- a/crates/membership/src/swim/prober.rs
+++ b/crates/membership/src/swim/prober.rs
@@ -10,20 +10,20 @@
 
 /// Maximum number of probes in flight on behalf of other members; further requests are ignored.
 const MAX_PING_REQUESTS: usize = 256;
-/// Maximum number of times that the probe order is shuffled to find a target: the members left in the first
-/// order may have died since it was shuffled.
+/// Maximum number of times that the probe order is shuffled to find a target: all members left in the
+/// previous order may have died since that order was shuffled.
 const MAX_SHUFFLES: usize = 2;
 
-/// The current probe.
+/// A probe of one member, from its ping to the end of the protocol period.
 #[derive(Clone, Debug)]
 struct Probe {
     target: String,
     target_generation: u64,
     sequence: u32,
-    /// Time at which other members are requested to probe.
+    /// Time at which other members are requested to probe the target.
     indirect_at: Timestamp,
     ends_at: Timestamp,
-    /// Number of members that were requested to probe.
+    /// Number of members that were requested to probe the target.
     helper_count: u32,
     nacks: u32,
     is_acked: bool,
@@ -76,6 +76,7 @@
     pub(super) requester: SocketAddr,
     /// Sequence number of the ping request, which the answer repeats.
     pub(super) requester_sequence: u32,
+    /// Time at which a nack is sent unless the target has answered.
     nack_at: Timestamp,
 }
 
@@ -131,7 +132,8 @@
         self.ping_requests.clear();
     }
 
-    /// The indirect probe that is due if the target has not answered in time and no helper was requested yet.
+    /// The indirect probe that is due: the target has not answered in time, and no helper has been requested
+    /// yet.
     pub(super) fn due_indirect_probe(&self, now: Timestamp) -> Option<IndirectProbe> {
         let is_due =
             |probe: &&Probe| probe.needs_helpers() && now >= probe.indirect_at && now < probe.ends_at;
@@ -139,7 +141,7 @@
         Some(IndirectProbe { target: probe.target.clone(), sequence: probe.sequence })
     }
 
-    /// Sets the number of helpers that were requested to probe.
+    /// Sets the number of helpers that were requested to probe the target.
     pub(super) fn set_helper_count(&mut self, helper_count: usize) {
         let Some(probe) = &mut self.probe else { return };
         probe.helper_count = helper_count as u32;
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -12,7 +12,7 @@
 /// Minimum fleet size, in members, assumed in computing the minimum duration of a suspicion.
 const MIN_FLEET_SIZE: f64 = 10.0;
 
-/// Interval of final probes.
+/// Interval of final probes at the configured probe time-out.
 pub(super) fn final_probe_interval(config: &ProtocolConfig) -> TimeDelta {
     duration_from_ms(config.timeout_ms * FINAL_PROBE_INTERVAL_TIMEOUTS)
 }
@@ -23,9 +23,9 @@
     began_at: Timestamp,
     min_duration: TimeDelta,
     max_duration: TimeDelta,
-    /// Confirmations that bring the duration to its minimum (Lifeguard's k).
+    /// Number of confirmations that reduce the duration to its minimum (Lifeguard's k).
     required_confirmations: u32,
-    /// Names of the members that suspect it, including the first.
+    /// Names of the members that reported the suspicion, including the one that began it.
     reporters: BTreeSet<String>,
     /// Maximum number of reporters; further ones are not counted.
     max_reporters: usize,
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Time at which the suspicion expires: after its maximum duration while one member alone suspects, after
-    /// its minimum once enough others have confirmed, and in between by the logarithm of the number of
-    /// confirmations.
+    /// Time at which the suspicion expires: after its maximum duration while only one member has reported it,
+    /// after its minimum once the required number of other members have confirmed it, and in between by the
+    /// logarithm of the number of confirmations.
     pub(super) fn expires_at(&self) -> Timestamp {
         let required = self.required_confirmations;
         let confirmations = (self.reporters.len().saturating_sub(1) as f64).min(f64::from(required));
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -12,7 +12,7 @@
 
 /// The first bytes of every datagram.
 pub(crate) const MAGIC: [u8; 2] = *b"SL";
-/// Version of the format.
+/// Version of the datagram format.
 pub(crate) const VERSION: u8 = 1;
 /// Offset of the version in a datagram, in bytes.
 pub(crate) const VERSION_OFFSET: usize = 2;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -44,14 +44,14 @@
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Scheduled {
+enum ScheduledEvent {
     /// A tick of a member.
     Tick(usize),
     /// The arrival of a message, by its key, at a member.
     Arrival(u64, usize),
 }
 
-/// Loss of datagrams from one member to another.
+/// Loss of datagrams from one member to another, by their indexes.
 pub struct DirectedLoss {
     pub from: usize,
     pub to: usize,
@@ -69,7 +69,7 @@
     /// The members, `None` while their process does not run.
     pub nodes: Vec<Option<SwimNode>>,
     pub now: Timestamp,
-    /// Fraction of datagrams lost.
+    /// Fraction of datagrams lost, in addition to `directed_loss`.
     pub loss: f64,
     pub delay_micros: RangeInclusive<i64>,
     pub directed_loss: Option<DirectedLoss>,
@@ -79,12 +79,14 @@
     pub is_stopped: Vec<bool>,
     /// Whether messages are encoded and decoded on the way.
     pub uses_codec: bool,
-    pub bytes: u64,
-    pub messages: u64,
+    /// Total size of all datagrams sent, in bytes.
+    pub bytes_sent: u64,
+    /// Number of datagrams sent.
+    pub messages_sent: u64,
     /// Digest of all datagrams sent, in order.
     pub datagram_digest: u64,
     pub events: Vec<ObservedEvent>,
-    queue: BinaryHeap<Reverse<(Timestamp, u64, Scheduled)>>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, ScheduledEvent)>>,
     in_flight: BTreeMap<u64, Message>,
     /// Messages that arrived at stopped members, by member.
     socket_buffers: Vec<Vec<Message>>,
@@ -106,8 +108,8 @@
             partition: None,
             is_stopped: vec![false; members],
             uses_codec: false,
-            bytes: 0,
-            messages: 0,
+            bytes_sent: 0,
+            messages_sent: 0,
             datagram_digest: 0,
             events: Vec::new(),
             queue: BinaryHeap::new(),
@@ -136,7 +138,7 @@
         let rng_seed = self.seed.wrapping_mul(31) ^ (index as u64) << 20 ^ generation;
         self.nodes[index] = Some(SwimNode::new(local, seeds, self.config, rng_seed, self.now));
         self.is_stopped[index] = false;
-        self.schedule(self.now, Scheduled::Tick(index));
+        self.schedule(self.now, ScheduledEvent::Tick(index));
     }
 
     pub fn crash(&mut self, index: usize) {
@@ -148,9 +150,9 @@
         self.last_key
     }
 
-    fn schedule(&mut self, at: Timestamp, scheduled: Scheduled) {
+    fn schedule(&mut self, at: Timestamp, event: ScheduledEvent) {
         let key = self.next_key();
-        self.queue.push(Reverse((at, key, scheduled)));
+        self.queue.push(Reverse((at, key, event)));
     }
 
     /// Whether a datagram is delivered; draws random loss.
@@ -178,14 +180,14 @@
             self.send(index, outgoing);
         }
         let at = deadline.max(self.now + MIN_TICK_INTERVAL);
-        self.schedule(at, Scheduled::Tick(index));
+        self.schedule(at, ScheduledEvent::Tick(index));
     }
 
     fn send(&mut self, from: usize, outgoing: OutgoingMessage) {
         let OutgoingMessage { to, message } = outgoing;
         let bytes = encode(&message).bytes;
-        self.bytes += bytes.len() as u64;
-        self.messages += 1;
+        self.bytes_sent += bytes.len() as u64;
+        self.messages_sent += 1;
         let previous = self.datagram_digest.to_be_bytes();
         self.datagram_digest = stable_hash(&[&previous, to.to_string().as_bytes(), &bytes]);
         let message =
@@ -195,7 +197,7 @@
             let delay = TimeDelta::from_micros(self.rng.gen_range(self.delay_micros.clone()));
             let key = self.next_key();
             self.in_flight.insert(key, message);
-            self.schedule(self.now + delay, Scheduled::Arrival(key, receiver));
+            self.schedule(self.now + delay, ScheduledEvent::Arrival(key, receiver));
         }
     }
 
@@ -215,11 +217,11 @@
     /// Advances time to `until` and processes all events due by then.
     pub fn run(&mut self, until: Timestamp) {
         while self.queue.peek().is_some_and(|Reverse((at, _, _))| *at <= until) {
-            let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = self.now.max(at);
-            match scheduled {
-                Scheduled::Tick(index) => self.tick(index),
-                Scheduled::Arrival(key, index) => self.deliver(key, index),
+            match event {
+                ScheduledEvent::Tick(index) => self.tick(index),
+                ScheduledEvent::Arrival(key, index) => self.deliver(key, index),
             }
         }
         self.now = until;
@@ -278,7 +280,12 @@
     }
 
     /// Times at which members reported an event about the member `name`, from `since` on.
-    pub fn events_on(&self, name: &str, kind: MembershipEventKind, since: Timestamp) -> Vec<Timestamp> {
+    pub fn event_times_about(
+        &self,
+        name: &str,
+        kind: MembershipEventKind,
+        since: Timestamp,
+    ) -> Vec<Timestamp> {
         let events = self.events.iter().map(|observed| &observed.event);
         let matching =
             events.filter(|event| event.member == name && event.kind == kind && event.occurred_at >= since);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -33,7 +33,7 @@
     let since = network.now;
     network.crash(7);
     network.run_for(60);
-    assert_eq!(network.events_on("n7", MembershipEventKind::Died, since).len(), 19);
+    assert_eq!(network.event_times_about("n7", MembershipEventKind::Died, since).len(), 19);
     assert_eq!(
         network.event_count(MembershipEventKind::Died, since),
         19,
@@ -160,7 +160,7 @@
     let since = network.now;
     network.is_stopped[4] = true;
     network.run_for(60);
-    assert_eq!(network.events_on("n4", MembershipEventKind::Died, since).len(), 19);
+    assert_eq!(network.event_times_about("n4", MembershipEventKind::Died, since).len(), 19);
     let resumed_at = network.now;
     network.resume(4);
     network.converge(60).expect("views converge again");
@@ -169,7 +169,7 @@
         0,
         "the resumed member declares no other member dead"
     );
-    assert!(!network.events_on("n4", MembershipEventKind::Refuted, resumed_at).is_empty());
+    assert!(!network.event_times_about("n4", MembershipEventKind::Refuted, resumed_at).is_empty());
     assert_eq!(network.nodes[4].as_ref().expect("the member runs").counters().stops, 1);
 }
 
@@ -182,7 +182,7 @@
     network.run_for(1);
     network.start(5);
     network.converge(60).expect("views converge");
-    assert_eq!(network.events_on("n5", MembershipEventKind::Restarted, since).len(), 19);
+    assert_eq!(network.event_times_about("n5", MembershipEventKind::Restarted, since).len(), 19);
     network.run_for(60);
     assert_eq!(
         network.event_count(MembershipEventKind::Died, since),
@@ -204,7 +204,7 @@
     assert_eq!(
         (
             network.event_count(MembershipEventKind::Died, since),
-            network.events_on("n6", MembershipEventKind::Left, since).len()
+            network.event_times_about("n6", MembershipEventKind::Left, since).len()
         ),
         (0, 19)
     );
@@ -255,7 +255,7 @@
         let mut network = SimulatedNetwork::new(15, ProtocolConfig::default(), 77);
         network.loss = 0.2;
         network.run(Timestamp::from_secs(60));
-        (network.bytes, network.messages, network.events.len())
+        (network.bytes_sent, network.messages_sent, network.events.len())
     };
     assert_eq!(run(), run());
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -112,7 +112,7 @@
         }
         network.run(Timestamp::from_secs(150));
         assert_eq!(
-            (network.bytes, network.messages, network.events.len(), network.datagram_digest),
+            (network.bytes_sent, network.messages_sent, network.events.len(), network.datagram_digest),
             expected,
             "seed {seed}"
         );
