--- a/crates/hot-restart/src/codec/tests.rs
+++ b/crates/hot-restart/src/codec/tests.rs
@@ -55,7 +55,10 @@
     let too_large = vec![0; MAX_FILE_BYTES + 1];
     assert_eq!(decode(&too_large, &instance()), Err(StateFileError::TooLarge { bytes: MAX_FILE_BYTES + 1 }));
     assert!(matches!(decode(b"", &instance()), Err(StateFileError::Damaged(_))));
-    assert!(matches!(decode(b"a text that is no such file", &instance()), Err(StateFileError::Damaged(_))));
+    assert!(matches!(
+        decode(b"a text that is not a state file", &instance()),
+        Err(StateFileError::Damaged(_))
+    ));
 }
 
 /// Newer builds may add fields to the same format version.
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -33,7 +33,8 @@
     /// The file is complete, but has contents that no build of this format writes.
     #[error("invalid: {0}")]
     Invalid(#[source] InvalidState),
-    /// The file is complete, but belongs to another workload manager.
+    /// The file is complete, but was written by a process of another instance: its name or listen address
+    /// differs.
     #[error("written by another manager: {} at {}", .0.name, .0.listen)]
     OtherInstance(Instance),
 }
@@ -60,7 +61,8 @@
     /// The number of the phase is not that of any known phase.
     #[error("phase: unknown phase number")]
     UnknownPhase,
-    /// A cordon record is invalid: no call could have produced it.
+    /// A cordon record is invalid: no call that cordons or uncordons, by an operator or the fleet, could have
+    /// produced it.
     #[error("bans.{index}.{source}")]
     Cordon {
         /// Index of the record in the file.
--- a/crates/hot-restart/src/faulty_folder.rs
+++ b/crates/hot-restart/src/faulty_folder.rs
@@ -15,13 +15,13 @@
     /// The file itself is truncated to this many bytes, and the writer gets no error, as after a machine
     /// crash on a file system without an atomic rename.
     TornFile(usize),
-    /// The file system is full.
+    /// A write fails because the file system is full; no bytes are written.
     NoSpace,
-    /// The temporary file is written, and the rename is denied.
+    /// The temporary file is written, but renaming it fails with a permission error.
     RenameDenied,
     /// A read returns these bytes instead of the file's.
     ForeignBytes(Vec<u8>),
-    /// A read fails.
+    /// A read fails with a permission error.
     Unreadable,
 }
 
--- a/crates/hot-restart/src/peer_state.rs
+++ b/crates/hot-restart/src/peer_state.rs
@@ -13,15 +13,15 @@
 /// longer time-out, connections wait longer after a new process was killed; with a shorter one, a process
 /// that gets no CPU time for a second would count as dead while it is alive.
 pub const PEER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
-/// Time for which a dead process's file is retained; it is also retained until its contents are part of this
-/// process's own file. A process that was only stopped most likely resumes within that time; if it resumes
-/// later it writes its file again.
+/// Time for which a dead process's file is retained; the file is also retained until its contents are part of
+/// this process's own file. A process that was only stopped most likely resumes within that time; a process
+/// that resumes later writes its file again.
 pub const DEAD_FILE_RETENTION: TimeDelta = TimeDelta::from_secs(10);
 /// Time for which a damaged file, or a file whose writer died during the write, is retained unchanged: long
 /// enough to inspect it, and too short for such files to fill a folder that counts as memory.
 pub const DAMAGED_FILE_RETENTION: TimeDelta = TimeDelta::from_secs(60);
 /// Maximum number of files of one instance that are read, newest processes first; further files are ignored.
-/// A hot restart has two files.
+/// During a hot restart there are normally two files, one of each process.
 pub const MAX_PEER_FILES: usize = 16;
 /// Maximum number of files removed after one write, so that removing many files does not delay requests.
 pub const MAX_REMOVALS_PER_WRITE: usize = 4;
@@ -33,7 +33,7 @@
     pub process: Process,
     /// Phase of the process.
     pub phase: Phase,
-    /// Processes with which it shares its budgets.
+    /// Processes with which the process shares its budgets.
     pub sharing_peers: Vec<Process>,
 }
 
@@ -47,9 +47,13 @@
         /// Whether the file's contents are part of this process's own file.
         is_merged: bool,
     },
-    /// A damaged file, or one whose writer died during the write.
-    Damaged { since: Timestamp },
-    /// A complete file of another instance or an unsupported build, which this process must not remove.
+    /// A damaged file, or a temporary file, which is being written or whose writer died during the write.
+    Damaged {
+        /// Time at which this process found the file.
+        since: Timestamp,
+    },
+    /// A file that is not damaged but cannot be used: its format is unsupported, it is invalid or too long,
+    /// or it belongs to another instance whose name has the same hash. This process must not remove it.
     Foreign,
 }
 
@@ -65,7 +69,7 @@
     }
 }
 
-/// The files of this instance that were read, by name.
+/// Files of other processes whose names have this instance's hash, by name.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     files: BTreeMap<String, TrackedFile>,
@@ -81,12 +85,12 @@
                     phase: file.phase,
                     sharing_peers: file.sharing_peers.clone(),
                 },
-                // A file from the future counts as written now: its process times out unless the file
-                // changes.
+                // A file from the future counts as written now: its process times out unless the file changes
+                // again.
                 changed_at: file.written_at.min(now),
                 is_merged: false,
             },
-            // A process whose file cannot be read once stays alive until its time-out.
+            // A process whose file is rejected once still counts as alive until its time-out.
             Err(_) if matches!(self.files.get(name), Some(TrackedFile::Peer { .. })) => return,
             Err(StateFileError::Damaged(_)) => TrackedFile::Damaged { since: now },
             Err(_) => TrackedFile::Foreign,
@@ -104,7 +108,7 @@
         self.files.retain(|name, _| names.contains(name));
     }
 
-    /// Records that this process's own file was written after the contents of all files read had been merged.
+    /// Records that this process's own file was written after the contents of all read files had been merged.
     pub fn record_own_write(&mut self) {
         for tracked in self.files.values_mut() {
             if let TrackedFile::Peer { is_merged, .. } = tracked {
--- a/crates/hot-restart/src/phase.rs
+++ b/crates/hot-restart/src/phase.rs
@@ -95,6 +95,7 @@
     process: Process,
     phase: Phase,
     since: Timestamp,
+    /// Time since which this process has been able to serve, while it has not started to serve.
     ready_since: Option<Timestamp>,
     sigterm_at: Option<Timestamp>,
     has_served: bool,
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -77,7 +77,7 @@
 /// Counters of the retry budget in one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudgetBucket {
-    /// Start of the bucket.
+    /// Start of the bucket, which lasts [`BUCKET_SPAN`].
     pub start: Timestamp,
     /// Number of retries: attempts beyond the first of a request.
     pub retries: u32,
@@ -88,13 +88,13 @@
 /// Work sent to a warming engine in one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupBucket {
-    /// Start of the bucket.
+    /// Start of the bucket, which lasts [`BUCKET_SPAN`].
     pub start: Timestamp,
     /// Work charged to the engine's warm-up budget, in milliseconds of one thread.
     pub work_ms: u32,
 }
 
-/// Work sent to one warming engine recently.
+/// Work sent to one warming engine within the warm-up budget's window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WarmupLoad {
     /// Id of the engine.
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -30,10 +30,11 @@
     is_valid: bool,
 }
 
-/// The last attempt to write the process's own file, and the phase and sharing that it announced.
+/// The last attempt to write the process's own file, with the phase and the processes sharing its budgets
+/// that the file announced.
 #[derive(Clone, Debug)]
 struct WriteAttempt {
-    at: Timestamp,
+    attempted_at: Timestamp,
     phase: Phase,
     sharing_peers: Vec<Process>,
 }
@@ -44,7 +45,7 @@
     /// Files that are new or have changed. All of them must be merged before the process's own file is
     /// written next.
     pub files: Vec<StateFile>,
-    /// Files that are new or have changed and cannot be used: name and reason.
+    /// Name of each file that is new or has changed and cannot be used, with the reason.
     pub rejected: Vec<(String, StateFileError)>,
     /// Errors of the folder; for files that could not be read, the earlier contents stay valid.
     pub folder_errors: Vec<io::Error>,
@@ -147,7 +148,7 @@
         self.peers.live_peers(now)
     }
 
-    /// Whether a health check is to be answered positively: the process serves, and its file announces that
+    /// Whether a health check is to be answered positively: the process serves, and its file announces this
     /// or could not be written. A positive answer leads to SIGTERM for the old process, which must then be
     /// able to read that its successor serves.
     pub fn is_healthy(&self) -> bool {
@@ -251,24 +252,28 @@
         &self.status
     }
 
-    /// Whether the process's own file is to be written: its interval has passed, or a change has not been
-    /// announced that another process waits for. A failed write is retried after the interval.
+    /// Whether the process's own file is to be written: its interval has passed, or the file does not yet
+    /// announce a change that another process waits for. A failed write is retried after the interval.
     pub fn is_write_due(&self, now: Timestamp) -> bool {
         let Some(last) = &self.last_attempt else { return true };
         let is_announced = last.phase == self.status.phase && last.sharing_peers == self.status.sharing_peers;
-        !is_announced || now - last.at >= WRITE_INTERVAL || now < last.at
+        !is_announced || now - last.attempted_at >= WRITE_INTERVAL || now < last.attempted_at
     }
 
-    /// Writes the process's own file, and then removes the files of dead processes. If the result is `Ok`,
-    /// other processes can read a cordon that an operator waits for; otherwise the cordon is only in force in
-    /// this process, and the caller reports that or reverts it.
+    /// Writes the process's own file, and then removes the files of dead processes. After `Ok` other
+    /// processes can read all cordons of the snapshot, so that an operator's call that waits for this can be
+    /// answered. After an error a new cordon is in force in this process only; the caller reports that, or
+    /// reverts the cordon.
     ///
     /// # Errors
     /// The contents do not fit, or the folder returned an error; the previous file is unchanged.
     pub fn write(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
         let status = &self.status;
-        self.last_attempt =
-            Some(WriteAttempt { at: now, phase: status.phase, sharing_peers: status.sharing_peers.clone() });
+        self.last_attempt = Some(WriteAttempt {
+            attempted_at: now,
+            phase: status.phase,
+            sharing_peers: status.sharing_peers.clone(),
+        });
         self.has_announced_serving |= status.has_served;
         self.sequence += 1;
         let encoded = encode(&self.own_file(now, snapshot)).map_err(WriteError::Encode)?;
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -25,9 +25,10 @@
 pub enum FileAge {
     /// The file was written within the longest window of the rules.
     Fresh,
-    /// The file is older: only its cordons and engine ids still apply.
+    /// The file is older than the longest window: only its cordons and engine ids still apply.
     Stale,
-    /// The file is from the future, because the clock was set back since: its counters count as most recent.
+    /// The file is from the future, because the clock was set back after the file was written: its counters
+    /// count as most recent.
     Future,
 }
 
@@ -43,8 +44,8 @@
 }
 
 /// The part of a file that still applies. Counters cover all of the process's last seconds and are not
-/// increments: for each process only the last file counts, and a reader replaces the values from the previous
-/// one.
+/// increments: for each process only the last file counts, and a reader replaces the values from the
+/// process's previous file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsableState {
     /// Process that wrote the file.
@@ -110,8 +111,8 @@
     }
 }
 
-/// The sends within the window. `usable_time` converts the start of a bucket to the time of its sends, or to
-/// `None` if they are outside the window.
+/// The sends within the slow-start window. `usable_time` converts the start of a bucket to the time of its
+/// sends, or to `None` if they are outside the window.
 fn usable_warmup(
     loads: &[WarmupLoad],
     usable_time: impl Fn(Timestamp) -> Option<Timestamp>,
--- a/crates/hot-restart/src/window_counters.rs
+++ b/crates/hot-restart/src/window_counters.rs
@@ -47,7 +47,7 @@
 
 impl WindowCounters {
     /// Creates empty counters with the windows of the retry budget and of the warm-up budget, each limited to
-    /// 15 s.
+    /// 15.5 s.
     pub fn new(retry_budget_span: TimeDelta, warmup_span: TimeDelta) -> WindowCounters {
         WindowCounters {
             retry_budget: slot_window(bounded_span(retry_budget_span)),
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -270,8 +270,8 @@
     );
 }
 
-/// A complete file with a cordon that no call could produce is rejected as a whole; the error names the field
-/// and the rule.
+/// A complete file with a cordon that no call to cordon could produce is rejected as a whole; the error names
+/// the field and the rule.
 #[test]
 fn invalid_cordon_is_rejected_with_its_field() {
     let entry = CordonEntry {
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -43,6 +43,7 @@
     Died,
 }
 
+/// Times are Unix times in microseconds.
 struct SimulatedProcess {
     driver: StateFileDriver<FaultyFolder>,
     folder: FaultyFolder,
@@ -99,6 +100,7 @@
 type AcceptedCall = Option<(i64, bool)>;
 
 pub struct Simulation {
+    /// Unix time in microseconds.
     pub now: i64,
     pub folder: FaultyFolder,
     processes: Vec<SimulatedProcess>,
@@ -106,11 +108,11 @@
     /// Whether processes were paused or folder faults injected: then budget parts may temporarily add up to
     /// more than 1.
     pub has_faults: bool,
-    /// Time since which no process accepts connections although one is able to serve.
+    /// Time (Unix, in microseconds) since which no process accepts connections although one is able to serve.
     unserved_since: Option<i64>,
     pub call_count: usize,
     /// Number of processes that became healthy.
-    pub healthy_reports: usize,
+    pub became_healthy_count: usize,
 }
 
 impl Simulation {
@@ -123,7 +125,7 @@
             has_faults: false,
             unserved_since: None,
             call_count: 0,
-            healthy_reports: 0,
+            became_healthy_count: 0,
         };
         simulation.start(0);
         simulation
@@ -260,7 +262,7 @@
             }
         }
         if let Some(started_at) = newly_healthy {
-            self.healthy_reports += 1;
+            self.became_healthy_count += 1;
             // SIGTERM reaches all older processes some time after the new process is healthy.
             let is_older = |process: &&mut SimulatedProcess| {
                 process.started_at < started_at && process.sigterm_at.is_none()
--- a/crates/hot-restart/tests/simulation.rs
+++ b/crates/hot-restart/tests/simulation.rs
@@ -26,7 +26,7 @@
     ]
 }
 
-/// Also pauses of processes and faults of the folder.
+/// The events of [`faultless_event`], pauses of processes, and faults of the folder.
 fn event_or_fault() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => faultless_event(),
@@ -52,7 +52,7 @@
     // All old processes that received SIGTERM have ended by then. If the new process was killed after it was
     // healthy, no process is left.
     simulation.run(10_000);
-    // The last process must find all accepted calls, and in the end only live processes may have a file.
+    // The last process must apply all accepted calls, and in the end only live processes may have a file.
     if simulation.live_count() == 0 {
         simulation.apply(&Event::Start { ready_after_ms: 100 });
     }
@@ -91,7 +91,7 @@
     }
 }
 
-/// The case described by the platform: an engine is cordoned at the old process, the new process of a first
+/// A case that the platform requires: an engine is cordoned at the old process, the new process of a first
 /// hot restart is killed, a second hot restart completes, and the engine is uncordoned at its new process.
 #[test]
 fn cordon_survives_a_failed_and_a_completed_hot_restart() {
@@ -102,10 +102,10 @@
     simulation.run(250);
     simulation.apply(&Event::Kill { process: 1 });
     simulation.run(3_000);
-    assert_eq!((simulation.live_count(), simulation.healthy_reports), (1, 1));
+    assert_eq!((simulation.live_count(), simulation.became_healthy_count), (1, 1));
     simulation.apply(&Event::Start { ready_after_ms: 200 });
     simulation.run(10_000);
-    assert_eq!((simulation.live_count(), simulation.healthy_reports), (1, 2));
+    assert_eq!((simulation.live_count(), simulation.became_healthy_count), (1, 2));
     simulation.apply(&Event::Call { process: 0, engine: 1, cordon: false });
     simulation.run(1_000);
     assert_eq!(simulation.call_count, 2);
