--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -35,7 +35,7 @@
     /// The process exited by itself: intentionally with status 0 or [`EXIT_STATUS_NEXT_VERSION`], otherwise
     /// by its own fault.
     Own,
-    /// The nemesis killed it or asked it to exit.
+    /// The nemesis (the harness's fault injector) killed the process or requested its exit.
     Nemesis,
 }
 
@@ -66,7 +66,7 @@
     Started {
         /// Name of the process.
         process: String,
-        /// Version as which it was started.
+        /// Version of the program under which the process was started.
         version: String,
         /// Offset of the process's clock from the harness's, in milliseconds.
         clock_offset_ms: i64,
@@ -90,7 +90,7 @@
         signal: Option<i32>,
         /// Cause of the exit.
         cause: ExitCause,
-        /// Version as which the process requested to be started again.
+        /// Version under which the process requested to be started again; `None` if it requested none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         next: Option<String>,
     },
@@ -191,7 +191,7 @@
     Record {
         /// Name of the subscriber.
         subscriber: String,
-        /// Name of the manager that sent it.
+        /// Name of the manager that sent the record.
         manager: String,
         /// Position of the record.
         cursor: Cursor,
@@ -206,7 +206,7 @@
         /// Data of the record, truncated at the recorder's limit.
         #[serde(default)]
         data: String,
-        /// Operation that the record carries out.
+        /// Id of the operation that the record carries out; `None` if it carries out none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         op: Option<String>,
         /// Reason why the subscriber could not decode the record by the rules of its version; `None` if it
@@ -218,7 +218,7 @@
     Snapshot {
         /// Name of the subscriber.
         subscriber: String,
-        /// Name of the manager that sent it.
+        /// Name of the manager that sent the snapshot.
         manager: String,
         /// Last position that the snapshot covers.
         cursor: Cursor,
@@ -244,7 +244,7 @@
         cursor: Cursor,
         /// Digest of the record's content, as in [`Event::Record`] for version "".
         digest: String,
-        /// Operation that the record carries out.
+        /// Id of the operation that the record carries out; `None` if it carries out none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         op: Option<String>,
     },
@@ -253,7 +253,7 @@
     Acknowledged {
         /// Id of the operation.
         op: String,
-        /// Position returned with the acknowledgement.
+        /// Position returned with the acknowledgement; `None` if none was returned.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cursor: Option<Cursor>,
     },
--- a/crates/history-checker/src/invariants/mod.rs
+++ b/crates/history-checker/src/invariants/mod.rs
@@ -16,7 +16,7 @@
 /// The function that checks one invariant.
 pub type CheckFn = fn(&[HistoryEntry], &CheckConfig) -> InvariantReport;
 
-/// All invariants, by their stable names.
+/// Stable name and check of each invariant.
 pub const ALL: [(&str, CheckFn); 7] = [
     (agreement::NAME, agreement::check),
     (budget::NAME, budget::check),
--- a/crates/history-checker/src/invariants/order.rs
+++ b/crates/history-checker/src/invariants/order.rs
@@ -1,7 +1,9 @@
 //! Each subscriber reads every record that passes its filter exactly once and in order, starting from its
-//! cursor. A record's `prev` must be the position read last; without `prev`, positions must be dense. A
-//! snapshot, marked as such, may skip forward but never back. Records that a subscriber reads again because
-//! it resumed from an older cursor are not duplicates: its state is as old as its cursor.
+//! cursor. A record's `prev` must be the position read last. Within an epoch the positions of a subscriber
+//! without a filter must also be dense. A record needs a `prev` if the subscriber has a filter; the first
+//! record of a new epoch needs a `prev` or a snapshot before it. A snapshot, marked as such, may skip forward
+//! but never back. Records that a subscriber reads again because it resumed from an older cursor are not
+//! duplicates: its state is as old as its cursor.
 
 use super::subscribers::SubscriberDeclarations;
 use crate::config::CheckConfig;
--- a/crates/history-checker/src/invariants/schema.rs
+++ b/crates/history-checker/src/invariants/schema.rs
@@ -19,7 +19,8 @@
 }
 
 impl Lease<'_> {
-    /// Whether the lease is valid at `at_us`.
+    /// Whether the subscriber is connected at `at_us` (microseconds of the run), or its connection was closed
+    /// less than the lease time before.
     fn is_valid(&self, at_us: u64, config: &CheckConfig) -> bool {
         self.disconnected_us.is_none_or(|disconnected_us| at_us < disconnected_us + config.lease_ms * 1_000)
     }
--- a/crates/history-checker/src/invariants/uncommitted.rs
+++ b/crates/history-checker/src/invariants/uncommitted.rs
@@ -1,7 +1,7 @@
 //! No subscriber reads an uncommitted record: a record that only one manager sent, and that no other manager
-//! has at its position although another passed the position. A manager passed a position if, without a filter
-//! or in its log as read from outside, it sent the previous record or began directly there, and then
-//! continued with a later record.
+//! has at its position although another passed the position. A manager has passed a position if a gapless
+//! range of its records, sent to a subscriber without a filter or read from its log, begins before the
+//! position and ends after it.
 
 use super::subscribers::SubscriberDeclarations;
 use crate::config::CheckConfig;
--- a/crates/history-checker/src/outages.rs
+++ b/crates/history-checker/src/outages.rs
@@ -23,7 +23,7 @@
     pub to: u64,
     /// Whether the fleet caused the outage.
     pub planned: bool,
-    /// Version as which a manager's process requested to be started again; `None` if it named none.
+    /// Version under which a manager's process requested to be started again; `None` if it named none.
     pub next_version: Option<String>,
 }
 
@@ -52,7 +52,7 @@
 /// All outages of a history, ordered by their start.
 pub fn outages(history: &[HistoryEntry], config: &CheckConfig) -> Vec<Outage> {
     let mut outages = manager_outages(history);
-    outages.extend(injected_faults(history));
+    outages.extend(injected_outages(history));
     if config.quiet_ms > 0 {
         outages.extend(idle_engines(history, config.quiet_ms * 1_000));
     }
@@ -123,7 +123,7 @@
 }
 
 /// Outages of engines that the nemesis caused. Overlapping faults of one engine count as one outage.
-fn injected_faults(history: &[HistoryEntry]) -> Vec<Outage> {
+fn injected_outages(history: &[HistoryEntry]) -> Vec<Outage> {
     /// Start of the first active fault, and the number of active faults.
     struct ActiveFaults {
         from: u64,
@@ -158,7 +158,7 @@
 /// Gaps between an engine's commands that are longer than `threshold_us` and overlap no injected fault. The
 /// time before an engine's first command is not a gap, because the engine has not been used yet.
 fn idle_engines(history: &[HistoryEntry], threshold_us: u64) -> Vec<Outage> {
-    let faults = injected_faults(history);
+    let faults = injected_outages(history);
     let overlaps_fault = |gap: &Outage| {
         faults.iter().any(|fault| fault.member == gap.member && fault.from < gap.to && gap.from < fault.to)
     };
--- a/crates/history-checker/src/report.rs
+++ b/crates/history-checker/src/report.rs
@@ -10,7 +10,7 @@
     pub invariant: &'static str,
     /// Time at which the violation was observed, in microseconds of the run.
     pub at_us: u64,
-    /// What happened, with the names and positions needed to find it in the history.
+    /// Description of the violation, with the names and positions needed to find it in the history.
     pub description: String,
 }
 
--- a/crates/history-checker/tests/common/mod.rs
+++ b/crates/history-checker/tests/common/mod.rs
@@ -7,10 +7,11 @@
     Event, ExitCause, FleetMember, HistoryEntry, EXIT_STATUS_NEXT_VERSION,
 };
 
-const MANAGERS: usize = 4;
-const ENGINES: usize = 3;
+const MANAGER_COUNT: usize = 4;
+const ENGINE_COUNT: usize = 3;
 /// Number of subscribers: the first three read all records, the others use a filter.
-const SUBSCRIBERS: usize = 5;
+const SUBSCRIBER_COUNT: usize = 5;
+/// Time between two steps of a generated history, in microseconds.
 const TICK_US: u64 = 50_000;
 
 /// At most one manager and one engine may be unavailable when a planned outage begins.
@@ -26,7 +27,7 @@
 }
 
 struct Subscriber {
-    /// Index of the manager to which it is connected.
+    /// Index of the manager to which the subscriber is connected.
     manager: usize,
     cursor: Option<Cursor>,
     filter: &'static str,
@@ -44,8 +45,8 @@
     crashed_manager: Option<usize>,
     /// Index of the engine that receives no commands.
     drained_engine: Option<usize>,
-    /// Round-robin state of the choice of a serving manager.
-    last_choice: usize,
+    /// Counter from which the next serving manager is chosen in round-robin order.
+    round_robin_counter: usize,
 }
 
 impl Fleet {
@@ -59,8 +60,9 @@
 
     /// The next manager that serves, in round-robin order.
     fn next_serving_manager(&mut self) -> usize {
-        self.last_choice += 1;
-        let mut candidates = (0..MANAGERS).map(|offset| (self.last_choice + offset) % MANAGERS);
+        self.round_robin_counter += 1;
+        let mut candidates =
+            (0..MANAGER_COUNT).map(|offset| (self.round_robin_counter + offset) % MANAGER_COUNT);
         candidates.find(|manager| !self.is_unavailable(*manager)).expect("a manager serves")
     }
 
@@ -93,7 +95,7 @@
             if cause == ExitCause::Own { (Some(EXIT_STATUS_NEXT_VERSION), None) } else { (None, Some(9)) };
         let next = next.map(str::to_owned);
         self.record(Event::Exited { process: format!("n{manager}"), status, signal, cause, next });
-        (0..SUBSCRIBERS)
+        (0..SUBSCRIBER_COUNT)
             .filter(|index| self.subscribers[*index].manager == manager)
             .collect::<Vec<_>>()
             .into_iter()
@@ -114,7 +116,7 @@
         };
         let name = ["permit", "note"][self.log.len() % 2];
         self.log.push((cursor, name));
-        for index in 0..SUBSCRIBERS {
+        for index in 0..SUBSCRIBER_COUNT {
             let subscriber = &mut self.subscribers[index];
             if !subscriber.filter.is_empty() && subscriber.filter != name {
                 continue;
@@ -140,7 +142,7 @@
     fn tick(&mut self) {
         self.now_us += TICK_US;
         let drained_engine = self.drained_engine;
-        for engine in (0..ENGINES).filter(|engine| drained_engine != Some(*engine)) {
+        for engine in (0..ENGINE_COUNT).filter(|engine| drained_engine != Some(*engine)) {
             self.record(Event::Command {
                 engine: format!("e{engine}"),
                 connection: 1,
@@ -157,20 +159,20 @@
         match choice % 10 {
             0..=3 => self.commit(false),
             4 => self.commit(selection.is_multiple_of(4) && !self.log.is_empty()),
-            5 | 6 => self.reconnect(selection % SUBSCRIBERS),
+            5 | 6 => self.reconnect(selection % SUBSCRIBER_COUNT),
             7 => match self.restarting_manager.take() {
                 Some(manager) => self.become_ready(manager),
                 None if self.crashed_manager.is_none() => {
-                    self.restarting_manager = Some(selection % MANAGERS);
-                    self.exit(selection % MANAGERS, ExitCause::Own, Some(next));
+                    self.restarting_manager = Some(selection % MANAGER_COUNT);
+                    self.exit(selection % MANAGER_COUNT, ExitCause::Own, Some(next));
                 }
                 None => {}
             },
             8 => match self.crashed_manager.take() {
                 Some(manager) => self.become_ready(manager),
-                None if self.restarting_manager != Some(selection % MANAGERS) => {
-                    self.crashed_manager = Some(selection % MANAGERS);
-                    self.exit(selection % MANAGERS, ExitCause::Nemesis, None);
+                None if self.restarting_manager != Some(selection % MANAGER_COUNT) => {
+                    self.crashed_manager = Some(selection % MANAGER_COUNT);
+                    self.exit(selection % MANAGER_COUNT, ExitCause::Nemesis, None);
                 }
                 None => {}
             },
@@ -178,7 +180,7 @@
             // after the halt.
             _ if next != "v2" => {}
             _ => {
-                self.drained_engine = Some(selection % ENGINES);
+                self.drained_engine = Some(selection % ENGINE_COUNT);
                 (0..4).for_each(|_| self.tick());
                 self.drained_engine = None;
                 self.tick();
@@ -191,7 +193,7 @@
 pub fn valid_history(choices: &[u16]) -> Vec<HistoryEntry> {
     let filters = ["", "", "", "permit", "note"];
     let subscribers =
-        (0..SUBSCRIBERS).map(|index| Subscriber { manager: 0, cursor: None, filter: filters[index] });
+        (0..SUBSCRIBER_COUNT).map(|index| Subscriber { manager: 0, cursor: None, filter: filters[index] });
     let mut fleet = Fleet {
         history: Vec::new(),
         now_us: 0,
@@ -200,17 +202,17 @@
         restarting_manager: None,
         crashed_manager: None,
         drained_engine: None,
-        last_choice: 0,
+        round_robin_counter: 0,
     };
     let members = |prefix: &str, count: usize| {
         (0..count)
             .map(|index| FleetMember { name: format!("{prefix}{index}"), ..FleetMember::default() })
             .collect::<Vec<_>>()
     };
-    let (managers, engines) = (members("n", MANAGERS), members("e", ENGINES));
+    let (managers, engines) = (members("n", MANAGER_COUNT), members("e", ENGINE_COUNT));
     fleet.record(Event::RunStarted { scenario: "valid".into(), seed: 1, managers, engines });
-    (0..MANAGERS).for_each(|manager| fleet.become_ready(manager));
-    (0..SUBSCRIBERS).for_each(|index| fleet.connect(index));
+    (0..MANAGER_COUNT).for_each(|manager| fleet.become_ready(manager));
+    (0..SUBSCRIBER_COUNT).for_each(|index| fleet.connect(index));
     fleet.record(Event::SchemaActivated { publisher: "fleet".into(), reads: vec!["1".into(), "2".into()] });
     fleet.commit(false);
     let half = choices.len() / 2;
--- a/crates/history-checker/tests/each_invariant_can_fail.rs
+++ b/crates/history-checker/tests/each_invariant_can_fail.rs
@@ -132,7 +132,8 @@
         (*cursor, *prev) = (Cursor::new(last.epoch, last.index + 1), Some(last));
         digest.push('x');
         let (reader, sender) = (subscriber.clone(), manager.clone());
-        // Another manager must have passed the position at a subscriber that reads all records.
+        // The loss can only be detected if another manager has sent a different record after `last` to
+        // another subscriber, one that reads all records.
         let passes_position = |entry: &HistoryEntry| {
             matches!(&entry.event, Event::Record { subscriber, manager, prev: Some(prev), .. }
                 if *subscriber != reader && *manager != sender && *prev == last
@@ -191,7 +192,7 @@
 fn permit_of_a_halted_release_is_reported() {
     check_injected_fault(halt::NAME, |history, _| {
         let is_halt = |entry: &&HistoryEntry| matches!(entry.event, Event::Halted { .. });
-        // Just after the time in which a permit may still take effect (`halt_ms`).
+        // The first microsecond after the time in which a permit may still take effect (`halt_ms`).
         let Some(forbidden_from_us) = history.iter().find(is_halt).map(|entry| entry.at_us + 200_001) else {
             return false;
         };
@@ -231,7 +232,7 @@
 #[test]
 fn schema_that_excludes_a_leased_version_is_reported() {
     check_injected_fault(schema::NAME, |history, start| {
-        // After the first entries, in which the subscribers connect.
+        // Skips the first entries, in which the subscribers connect.
         let index = start.max(20).min(history.len() - 1);
         let at_us = history[index].at_us;
         history.insert(
