--- a/crates/failpoints/src/error.rs
+++ b/crates/failpoints/src/error.rs
@@ -25,7 +25,7 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// The fault file is malformed or out of range.
+    /// The fault file is malformed, or one of its values is out of range.
     #[error("{} is invalid", path.display())]
     Invalid {
         /// Path of the fault file.
--- a/crates/failpoints/src/fault_file.rs
+++ b/crates/failpoints/src/fault_file.rs
@@ -30,8 +30,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Failpoints {
-    /// For each failpoint, the number of the pass, counted from 1, at which it prints its name and blocks. It
-    /// does so once.
+    /// For each failpoint, the number of the pass, counted from 1, at which the failpoint prints its name and
+    /// blocks. At all other passes it does nothing.
     pub arm: BTreeMap<String, u32>,
     /// Time for which an armed failpoint blocks, in milliseconds; 0 to [`MAX_WAIT_MS`].
     pub wait_ms: u64,
