--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -49,7 +49,7 @@
     /// A cluster of the founders, all started at time 0.
     pub(super) fn new(plan: Plan, seed: u64, make_state_machine: MakeStateMachine<A>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
+        let founders: Vec<MemberId> = (1..=plan.founders).map(|node| MemberId::new(node, 1)).collect();
         let mut hosts = BTreeMap::new();
         for &id in &founders {
             hosts.insert(id.node, Host::new(id, make_state_machine(id), &plan, &mut rng));
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -24,8 +24,8 @@
 /// Parameters of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Number of founders, 3 to 7.
-    pub members: u32,
+    /// Number of members at the start of the run, 3 to 7.
+    pub founders: u32,
     /// Duration of the phase in which faults are injected.
     pub fault_time: TimeDelta,
     /// Duration of the following phase without faults, in which the group has to recover.
@@ -59,7 +59,7 @@
     /// Five members, and 20 s of all faults except those that lose acknowledged writes.
     fn default() -> Self {
         Plan {
-            members: 5,
+            founders: 5,
             fault_time: TimeDelta::from_secs(20),
             recovery_time: TimeDelta::from_secs(20),
             propose_every: TimeDelta::from_millis(50),
@@ -84,31 +84,31 @@
     }
 
     /// All faults except disks that lose acknowledged writes; any number of members may be down at once.
-    pub fn correct_disks(members: u32) -> Plan {
-        Plan { members, ..Plan::default() }
+    pub fn correct_disks(founders: u32) -> Plan {
+        Plan { founders, ..Plan::default() }
     }
 
     /// One disk loses acknowledged writes, and any number of members may be down at once.
-    pub fn one_lying_disk(members: u32) -> Plan {
+    pub fn one_lying_disk(founders: u32) -> Plan {
         let mut faults = Fault::ALL_BUT_LYING_DISKS.to_vec();
         faults.extend([Fault::LyingDisk, Fault::LyingDisk, Fault::BitFlip, Fault::CrashLeader]);
-        Plan { members, lying_disks: 1, faults, ..Plan::default() }
+        Plan { founders, lying_disks: 1, faults, ..Plan::default() }
     }
 
     /// A minority of the disks lose acknowledged writes, while a majority of the members takes part all the
     /// time. Rejoining members wait for that majority (up to 10 min).
-    pub fn minority_lying_disks(members: u32) -> Plan {
-        let minority = (members - 1) / 2;
-        let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_lying_disk(members) };
+    pub fn minority_lying_disks(founders: u32) -> Plan {
+        let minority = (founders - 1) / 2;
+        let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_lying_disk(founders) };
         plan.timing.rejoin_patience = TimeDelta::from_secs(600);
         plan
     }
 
     /// Only the leader crashes, repeatedly, in an otherwise healthy group. Used to measure the time to a new
     /// leader.
-    pub fn leader_crashes(members: u32) -> Plan {
+    pub fn leader_crashes(founders: u32) -> Plan {
         Plan {
-            members,
+            founders,
             fault_time: TimeDelta::from_secs(120),
             fault_every: TimeDelta::from_secs(6),
             faults: vec![Fault::CrashLeader],
