--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -203,7 +203,7 @@
 
     pub(super) fn send(&mut self, frames: Vec<Frame>) {
         for mut frame in frames {
-            if self.plan.has(InjectedBug::NoCrashVectors) {
+            if self.plan.has(InjectedBug::NoBootsInMessages) {
                 frame.0.boots.clear();
             }
             self.checker.check_sent_frame(&frame);
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -14,7 +14,7 @@
     /// A member trusts its disk when it starts: no acknowledgement check and no floors.
     TrustDisk,
     /// Messages don't contain the boots of the members.
-    NoCrashVectors,
+    NoBootsInMessages,
     /// The state machine does not drop duplicates.
     DuplicatesApplied,
     /// A leader accepts forwarded proposals that were sent to the leader of another term.
