--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -14,7 +14,7 @@
     /// The network is partitioned in two.
     Partition,
     /// One link loses all messages, in one direction.
-    OneWay,
+    OneWayLoss,
     /// All incoming links of a member are cut, or all outgoing ones.
     Isolate,
     /// A process is stopped, as by SIGSTOP, and resumes later.
@@ -42,7 +42,7 @@
         Fault::CrashMany,
         Fault::CrashLeader,
         Fault::Partition,
-        Fault::OneWay,
+        Fault::OneWayLoss,
         Fault::Isolate,
         Fault::Stop,
         Fault::SlowLinks,
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -74,7 +74,7 @@
                 inject_crash(cluster, fault, &drawn, &running)
             }
             Fault::BitFlip | Fault::LyingDisk => self.inject_lost_writes(cluster, fault, &drawn),
-            Fault::Partition | Fault::OneWay | Fault::Isolate => {
+            Fault::Partition | Fault::OneWayLoss | Fault::Isolate => {
                 inject_link_fault(cluster, fault, &drawn, &running)
             }
             Fault::Stop | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
@@ -161,7 +161,7 @@
     let target = drawn.target.node;
     let links: Vec<Link> = match fault {
         Fault::Partition => partition(cluster),
-        Fault::OneWay => {
+        Fault::OneWayLoss => {
             let other = running.choose(&mut cluster.rng).map_or(target, |other| other.node);
             vec![Link::new(target, other)]
         }
