--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -108,7 +108,7 @@
 
     /// The running member whose own role is leader; the one with the highest term if there are several.
     pub fn leader(&self) -> Option<MemberId> {
-        let leads = |host: &&Host<A>| host.is_up() && !host.is_stopped && host.role == Some(Role::Leader);
+        let leads = |host: &&Host<A>| host.is_up() && !host.is_paused && host.role == Some(Role::Leader);
         let term = |host: &&Host<A>| host.node.as_ref().map_or(0, |node| node.term());
         self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
     }
@@ -237,7 +237,7 @@
         can_continue
     }
 
-    /// Resumes a stopped process.
+    /// Resumes a paused process.
     pub(super) fn resume(&mut self, id: MemberId) {
         if let Some(host) = self.hosts.get_mut(&id.node) {
             host.resume(self.now, &mut self.rng, &self.plan);
@@ -253,7 +253,7 @@
 
 fn describe_host<A: StateMachine>(host: &Host<A>) -> String {
     let flags =
-        [("stopped", host.is_stopped), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
+        [("paused", host.is_paused), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
     let flags: Vec<&str> = flags.iter().filter(|(_, is_set)| *is_set).map(|(name, _)| *name).collect();
     let node = host.node.as_ref().map_or_else(|| "down".to_owned(), |node| node.describe());
     format!("  {} starts {} {flags:?} {node}\n", host.id, host.starts)
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -17,8 +17,8 @@
     OneWayLoss,
     /// All incoming links of a member are cut, or all outgoing ones.
     Isolate,
-    /// A process is stopped, as by SIGSTOP, and resumes later.
-    Stop,
+    /// A process is paused, as by SIGSTOP, and resumes later.
+    Pause,
     /// The messages to and from a member are ten times slower.
     SlowLinks,
     /// The syncs of a disk take up to a second.
@@ -44,7 +44,7 @@
         Fault::Partition,
         Fault::OneWayLoss,
         Fault::Isolate,
-        Fault::Stop,
+        Fault::Pause,
         Fault::SlowLinks,
         Fault::SlowSync,
         Fault::DiskFull,
@@ -78,7 +78,7 @@
     CrashWithLyingDisk(MemberId),
     /// Cut links deliver messages again.
     RestoreLinks(Vec<Link>),
-    /// A stopped process resumes.
+    /// A paused process resumes.
     Resume(MemberId),
     /// The links of a node have their normal speed again.
     RestoreSpeed(u32),
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -20,7 +20,7 @@
 use sprucelink_wal::{FaultDisk, Faults, Wal, WalError, WriteBatch};
 use std::collections::VecDeque;
 
-/// Largest number of frames that wait for a stopped process, as in its sockets' buffers; further ones are
+/// Largest number of frames that wait for a paused process, as in its sockets' buffers; further ones are
 /// lost.
 const MAX_WAITING_FRAMES: usize = 2000;
 /// Largest offset of a host's clock, milliseconds.
@@ -44,7 +44,7 @@
     snapshot: Snapshot,
 }
 
-/// A frame that waits for a stopped process.
+/// A frame that waits for a paused process.
 struct WaitingFrame {
     from: MemberId,
     frame: Frame,
@@ -61,8 +61,8 @@
     wal: Option<Wal<FaultDisk>>,
     /// The disk, while the process does not run.
     disk: Option<FaultDisk>,
-    /// Whether the process is stopped, as by SIGSTOP: it does nothing, and frames wait.
-    pub is_stopped: bool,
+    /// Whether the process is paused, as by SIGSTOP: it does nothing, and frames wait.
+    pub is_paused: bool,
     waiting_frames: Vec<WaitingFrame>,
     writing: VecDeque<Batch>,
     delayed_frames: VecDeque<DelayedFrames>,
@@ -106,7 +106,7 @@
             node: None,
             wal: None,
             disk: Some(FaultDisk::new(seed)),
-            is_stopped: false,
+            is_paused: false,
             waiting_frames: Vec::new(),
             writing: VecDeque::new(),
             delayed_frames: VecDeque::new(),
@@ -194,7 +194,7 @@
         self.delayed_frames.clear();
         self.delayed_snapshot = None;
         self.sync_due = None;
-        self.is_stopped = false;
+        self.is_paused = false;
     }
 
     /// Flips a bit of the newest segment, at a position drawn from the seed. Has an effect only while the
@@ -209,14 +209,14 @@
 
     pub(super) fn tick(&mut self, now: Timestamp) {
         let local_time = now + self.clock_offset;
-        if let Some(node) = self.node.as_mut().filter(|_| !self.is_stopped) {
+        if let Some(node) = self.node.as_mut().filter(|_| !self.is_paused) {
             node.tick(local_time);
         }
     }
 
     pub(super) fn deliver(&mut self, now: Timestamp, from: MemberId, mut frame: Frame, plan: &Plan) {
         let Some(node) = &mut self.node else { return };
-        if self.is_stopped {
+        if self.is_paused {
             if self.waiting_frames.len() < MAX_WAITING_FRAMES {
                 self.waiting_frames.push(WaitingFrame { from, frame });
             }
@@ -230,9 +230,9 @@
         node.step(now + self.clock_offset, from, frame);
     }
 
-    /// Resumes a stopped process. Whether it reads the clock or its sockets first is drawn from the seed.
+    /// Resumes a paused process. Whether it reads the clock or its sockets first is drawn from the seed.
     pub(super) fn resume(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
-        self.is_stopped = false;
+        self.is_paused = false;
         if rng.gen() {
             self.tick(now);
         }
@@ -244,9 +244,9 @@
     /// Makes a proposal, as the process itself would.
     ///
     /// # Errors
-    /// Those of [`Node::propose`]; `NotLeader` without a leader when the process does not run or is stopped.
+    /// Those of [`Node::propose`]; `NotLeader` without a leader when the process does not run or is paused.
     pub fn propose(&mut self, bytes: Vec<u8>, id: ProposalId) -> Result<(), ProposeError> {
-        let running = self.node.as_mut().filter(|_| !self.is_stopped);
+        let running = self.node.as_mut().filter(|_| !self.is_paused);
         running.map_or(Err(ProposeError::NotLeader { leader: None }), |node| node.propose(bytes, id))
     }
 
@@ -308,7 +308,7 @@
         checker: &mut Checker,
         outgoing: &mut Vec<Frame>,
     ) {
-        if self.is_stopped {
+        if self.is_paused {
             return;
         }
         while let Some(ready) = self.node.as_mut().and_then(Node::ready) {
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -61,7 +61,7 @@
         let until = cluster.now() + draw::duration(&mut cluster.rng, MIN_FAULT_TIME, MAX_FAULT_TIME);
         let hosts = cluster.hosts.values();
         let running: Vec<MemberId> =
-            hosts.filter(|host| host.is_up() && !host.is_stopped).map(|host| host.id).collect();
+            hosts.filter(|host| host.is_up() && !host.is_paused).map(|host| host.id).collect();
         let hosts = cluster.hosts.values();
         let down = hosts.filter(|host| !host.is_excluded() && !host.is_established()).count() as u32;
         let Some(&target) = running.choose(&mut cluster.rng) else { return Vec::new() };
@@ -77,7 +77,7 @@
             Fault::Partition | Fault::OneWayLoss | Fault::Isolate => {
                 inject_link_fault(cluster, fault, &drawn, &running)
             }
-            Fault::Stop | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
+            Fault::Pause | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
                 inject_delay(cluster, fault, &drawn)
             }
             Fault::Replace => {
@@ -197,8 +197,8 @@
 ) -> Vec<ScheduledEnd> {
     let target = drawn.target;
     let end = match fault {
-        Fault::Stop => {
-            cluster.host_mut(target).is_stopped = true;
+        Fault::Pause => {
+            cluster.host_mut(target).is_paused = true;
             FaultEnd::Resume(target)
         }
         Fault::SlowLinks => {
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -22,8 +22,8 @@
 const FIRST_FAULT: TimeDelta = TimeDelta::from_secs(1);
 /// Upper bound of a proposal's length (exclusive), bytes.
 const PROPOSAL_BYTES: usize = 64;
-/// Interval of checking whether a stopped process has resumed, so that its write can complete.
-const STOPPED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
+/// Interval of checking whether a paused process has resumed, so that its write can complete.
+const PAUSED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
 /// Time until a process restarts that could not continue after a failed write.
 const RESTART_AFTER_FAILED_WRITE: TimeDelta = TimeDelta::from_millis(100);
 /// Shortest time until a process restarts that crashed with its lying disk.
@@ -97,11 +97,11 @@
             host.crash(true);
         }
         host.is_disk_lying = false;
-        let is_stopped = host.is_stopped;
+        let is_paused = host.is_paused;
         if loses_writes {
             self.cluster.checker.members_with_lost_writes.insert(id);
         }
-        if is_stopped {
+        if is_paused {
             self.cluster.resume(id);
         }
         self.cluster.start(id);
@@ -148,8 +148,8 @@
         if !self.cluster.is_running(run) {
             return;
         }
-        if self.cluster.host(run.member).is_stopped {
-            self.schedule(STOPPED_SYNC_RETRY, Event::Synced(run));
+        if self.cluster.host(run.member).is_paused {
+            self.schedule(PAUSED_SYNC_RETRY, Event::Synced(run));
             return;
         }
         if self.cluster.complete_write(run.member) {
@@ -202,7 +202,7 @@
                 self.cluster.network.slow_nodes.remove(&node);
             }
             FaultEnd::Resume(id) => {
-                if self.cluster.current_host(id).is_some_and(|host| host.is_stopped) {
+                if self.cluster.current_host(id).is_some_and(|host| host.is_paused) {
                     self.cluster.resume(id);
                 }
             }
