--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(super) struct Nemesis {
     /// Number of disks that may still be made to lose acknowledged writes.
-    lying_disks_left: u32,
+    write_loss_faults_left: u32,
     /// Number of faults injected so far.
     pub injected: u64,
 }
@@ -49,7 +49,7 @@
 
 impl Nemesis {
     pub fn new(plan: &Plan) -> Self {
-        Nemesis { lying_disks_left: plan.lying_disks, injected: 0 }
+        Nemesis { write_loss_faults_left: plan.max_write_loss_faults, injected: 0 }
     }
 
     /// Injects one fault, if the plan and the state of the cluster allow it. Returns the events that end it.
@@ -98,18 +98,18 @@
         fault: Fault,
         drawn: &DrawnFault,
     ) -> Vec<ScheduledEnd> {
-        if self.lying_disks_left == 0 {
+        if self.write_loss_faults_left == 0 {
             return Vec::new();
         }
         let target = drawn.target;
         if fault == Fault::BitFlip && drawn.max_more_down > 0 {
-            self.lying_disks_left -= 1;
+            self.write_loss_faults_left -= 1;
             let ends = crash_all(cluster, vec![target]);
             cluster.host_mut(target).flip_bit();
             return ends;
         }
         if fault == Fault::LyingDisk && !cluster.host(target).has_disk_lied {
-            self.lying_disks_left -= 1;
+            self.write_loss_faults_left -= 1;
             cluster.host_mut(target).is_disk_lying = true;
             return vec![ScheduledEnd { at: drawn.until, end: FaultEnd::CrashWithLyingDisk(target) }];
         }
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -38,7 +38,7 @@
     pub faults: Vec<Fault>,
     /// Number of faults that make a member's disk lose acknowledged writes (lying syncs or a flipped bit); a
     /// disk lies at most once.
-    pub lying_disks: u32,
+    pub max_write_loss_faults: u32,
     /// Number of members that are down or rejoining at which no more are crashed.
     pub max_down: u32,
     /// Fraction of messages that are lost, per mille.
@@ -65,7 +65,7 @@
             propose_every: TimeDelta::from_millis(50),
             fault_every: TimeDelta::from_millis(800),
             faults: Fault::ALL_BUT_LYING_DISKS.to_vec(),
-            lying_disks: 0,
+            max_write_loss_faults: 0,
             max_down: u32::MAX,
             loss_per_mille: 20,
             duplicate_per_mille: 20,
@@ -92,14 +92,15 @@
     pub fn one_lying_disk(founders: u32) -> Plan {
         let mut faults = Fault::ALL_BUT_LYING_DISKS.to_vec();
         faults.extend([Fault::LyingDisk, Fault::LyingDisk, Fault::BitFlip, Fault::CrashLeader]);
-        Plan { founders, lying_disks: 1, faults, ..Plan::default() }
+        Plan { founders, max_write_loss_faults: 1, faults, ..Plan::default() }
     }
 
     /// A minority of the disks lose acknowledged writes, while a majority of the members takes part all the
     /// time. Rejoining members wait for that majority (up to 10 min).
     pub fn minority_lying_disks(founders: u32) -> Plan {
         let minority = (founders - 1) / 2;
-        let mut plan = Plan { lying_disks: minority, max_down: minority, ..Plan::one_lying_disk(founders) };
+        let mut plan =
+            Plan { max_write_loss_faults: minority, max_down: minority, ..Plan::one_lying_disk(founders) };
         plan.timing.rejoin_patience = TimeDelta::from_secs(600);
         plan
     }
