--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -18,7 +18,7 @@
 /// Longest time from the start of a process to its first tick.
 const MAX_FIRST_TICK: TimeDelta = TimeDelta::from_millis(50);
 
-/// Makes the state machine of a host that starts.
+/// Makes the state machine of a host that start_count.
 type MakeStateMachine<A> = Box<dyn Fn(MemberId) -> A + Send>;
 
 /// Hosts, network, time and checker of one run.
@@ -98,7 +98,7 @@
 
     /// Whether this run of a process is still the current one.
     pub(super) fn is_running(&self, run: ProcessRun) -> bool {
-        self.current_host(run.member).is_some_and(|host| host.starts == run.starts && host.is_up())
+        self.current_host(run.member).is_some_and(|host| host.start_count == run.start_count && host.is_up())
     }
 
     /// The members of all hosts.
@@ -127,7 +127,7 @@
             return;
         }
         host.start(self.now, &options, state_machine);
-        let run = ProcessRun { member: id, starts: host.starts };
+        let run = ProcessRun { member: id, start_count: host.start_count };
         let first_tick = draw::duration(&mut self.rng, TimeDelta::from_micros(1), MAX_FIRST_TICK);
         self.queue.push(self.now + first_tick, Event::Tick(run));
         self.process_ready(id);
@@ -190,7 +190,7 @@
         let Some(host) = self.hosts.get_mut(&id.node) else { return };
         let sync_due_before = host.sync_due;
         host.process_ready(self.now, &self.plan, &mut self.rng, &mut self.checker, &mut outgoing);
-        let run = ProcessRun { member: id, starts: host.starts };
+        let run = ProcessRun { member: id, start_count: host.start_count };
         if let Some(at) = host.sync_due.filter(|_| host.sync_due != sync_due_before) {
             self.queue.push(at, Event::Synced(run));
         }
@@ -256,5 +256,5 @@
         [("paused", host.is_paused), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
     let flags: Vec<&str> = flags.iter().filter(|(_, is_set)| *is_set).map(|(name, _)| *name).collect();
     let node = host.node.as_ref().map_or_else(|| "down".to_owned(), |node| node.describe());
-    format!("  {} starts {} {flags:?} {node}\n", host.id, host.starts)
+    format!("  {} start_count {} {flags:?} {node}\n", host.id, host.start_count)
 }
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -12,8 +12,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessRun {
     pub member: MemberId,
-    /// Number of starts of the process up to this run.
-    pub starts: u64,
+    /// Number of start_count of the process up to this run.
+    pub start_count: u64,
 }
 
 /// An event of the simulation.
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -68,8 +68,8 @@
     delayed_frames: VecDeque<DelayedFrames>,
     delayed_snapshot: Option<DelayedSnapshot>,
     applied: u64,
-    /// Number of starts of the process.
-    pub starts: u64,
+    /// Number of start_count of the process.
+    pub start_count: u64,
     /// Why the store could not be opened; the member is then permanently excluded.
     pub store_error: Option<WalError>,
     /// The role that the node last handed out.
@@ -112,7 +112,7 @@
             delayed_frames: VecDeque::new(),
             delayed_snapshot: None,
             applied: 0,
-            starts: 0,
+            start_count: 0,
             store_error: None,
             role: None,
             clock_offset,
@@ -152,7 +152,7 @@
                 return;
             }
         };
-        self.starts += 1;
+        self.start_count += 1;
         self.state_machine = state_machine;
         self.role = None;
         let recovered = store::recover(recovered).expect("the store contains a member's state");
@@ -166,8 +166,8 @@
             contacts: options.contacts.to_vec(),
             timing: options.plan.timing.clone(),
         };
-        let node = Node::new(config, recovered, self.seed ^ self.starts, now + self.clock_offset);
-        let mut node = node.expect("a node starts from a recovered store");
+        let node = Node::new(config, recovered, self.seed ^ self.start_count, now + self.clock_offset);
+        let mut node = node.expect("a node start_count from a recovered store");
         if options.plan.has(InjectedBug::TrustDisk) {
             node.trust_disk();
         }
