--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -18,7 +18,7 @@
 /// Longest time from the start of a process to its first tick.
 const MAX_FIRST_TICK: TimeDelta = TimeDelta::from_millis(50);
 
-/// Makes the state machine of a host that start_count.
+/// Makes the state machine of a host that starts.
 type MakeStateMachine<A> = Box<dyn Fn(MemberId) -> A + Send>;
 
 /// Hosts, network, time and checker of one run.
@@ -256,5 +256,5 @@
         [("paused", host.is_paused), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
     let flags: Vec<&str> = flags.iter().filter(|(_, is_set)| *is_set).map(|(name, _)| *name).collect();
     let node = host.node.as_ref().map_or_else(|| "down".to_owned(), |node| node.describe());
-    format!("  {} start_count {} {flags:?} {node}\n", host.id, host.start_count)
+    format!("  {} starts {} {flags:?} {node}\n", host.id, host.start_count)
 }
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -68,7 +68,7 @@
     delayed_frames: VecDeque<DelayedFrames>,
     delayed_snapshot: Option<DelayedSnapshot>,
     applied: u64,
-    /// Number of start_count of the process.
+    /// Number of starts of the process.
     pub start_count: u64,
     /// Why the store could not be opened; the member is then permanently excluded.
     pub store_error: Option<WalError>,
@@ -167,7 +167,7 @@
             timing: options.plan.timing.clone(),
         };
         let node = Node::new(config, recovered, self.seed ^ self.start_count, now + self.clock_offset);
-        let mut node = node.expect("a node start_count from a recovered store");
+        let mut node = node.expect("a node starts from a recovered store");
         if options.plan.has(InjectedBug::TrustDisk) {
             node.trust_disk();
         }
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -11,7 +11,7 @@
     VoteNotPersisted,
     /// Messages are sent, and a batch counts as written, before it is on disk.
     AckBeforeSync,
-    /// A member trusts its disk when it start_count: no acknowledgement check and no floors.
+    /// A member trusts its disk when it starts: no acknowledgement check and no floors.
     TrustDisk,
     /// Messages don't contain the boots of the members.
     NoBootsInMessages,
