--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -62,7 +62,7 @@
     let state = wire::PersistentState::decode(recovered.state.as_slice()).map_err(StoreError::State)?;
     let snapshot = recovered.snapshot.map(snapshot_from_wal).transpose()?;
     let entries = recovered.entries.into_iter().map(entry_from_wal).collect::<Result<_, _>>()?;
-    Ok(RecoveredState { last_batch: recovered.sequence, state, snapshot, entries })
+    Ok(RecoveredState { last_batch: recovered.last_sequence, state, snapshot, entries })
 }
 
 fn snapshot_from_wal(stored: wal::Snapshot) -> Result<Snapshot, StoreError> {
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -73,7 +73,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct SegmentContent {
     /// Sequence number of the last record.
-    pub sequence: u64,
+    pub last_sequence: u64,
     /// Checksum of the last record.
     pub checksum: u32,
     /// Length of the intact records, bytes.
@@ -101,7 +101,7 @@
             return Err(Corruption::SequenceMismatch { header: record.sequence, payload: batch.sequence });
         }
         self.apply(batch)?;
-        self.sequence = record.sequence;
+        self.last_sequence = record.sequence;
         self.checksum = record.checksum;
         self.length += record.encoded_length() as u64;
         Ok(())
@@ -147,18 +147,18 @@
         let rest = &bytes[offset..];
         let Some(record) = record::decode(rest) else {
             // A record is synced before the next one is written, so nothing intact can follow a torn record.
-            if let Some(later) = find_later_record(rest, content.sequence) {
+            if let Some(later) = find_later_record(rest, content.last_sequence) {
                 let reason = Corruption::DamagedBeforeTail { later };
                 return Err(CorruptRecord { offset: offset as u64, reason });
             }
             content.torn_tail = Some(TornTail {
-                sequence: content.sequence + 1,
+                sequence: content.last_sequence + 1,
                 offset: offset as u64,
                 bytes: rest.len() as u64,
             });
             break;
         };
-        let expected_sequence = if offset == 0 { first_sequence } else { content.sequence + 1 };
+        let expected_sequence = if offset == 0 { first_sequence } else { content.last_sequence + 1 };
         content
             .add_record(&record, expected_sequence)
             .map_err(|reason| CorruptRecord { offset: offset as u64, reason })?;
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Recovered {
     /// Sequence number of the last intact batch; 0 for a new directory.
-    pub sequence: u64,
+    pub last_sequence: u64,
     /// The state in the last intact batch.
     pub state: Vec<u8>,
     /// The last snapshot, if there is one.
@@ -29,8 +29,8 @@
     segment: Option<String>,
     /// Length of the current segment, bytes.
     length: u64,
-    /// Sequence number of the last batch.
-    sequence: u64,
+    /// Sequence number of the last batch; 0 before the first batch.
+    last_sequence: u64,
     /// Checksum of the last record.
     checksum: u32,
 }
@@ -81,11 +81,11 @@
         self.tail = Tail {
             segment: Some(name),
             length: content.length,
-            sequence: content.sequence,
+            last_sequence: content.last_sequence,
             checksum: content.checksum,
         };
         Ok(Recovered {
-            sequence: content.sequence,
+            last_sequence: content.last_sequence,
             state: content.state,
             snapshot: content.snapshot,
             entries: content.entries,
@@ -113,7 +113,7 @@
         if let Some(error) = &self.failure {
             return Err(WalError::Failed(error.clone()));
         }
-        let expected = self.tail.sequence + 1;
+        let expected = self.tail.last_sequence + 1;
         if batch.sequence != expected {
             return Err(WalError::OutOfOrder { expected, found: batch.sequence });
         }
@@ -140,7 +140,7 @@
             return Err(self.fail(error));
         }
         self.tail =
-            Tail { segment: Some(segment), length, sequence: batch.sequence, checksum: record.checksum };
+            Tail { segment: Some(segment), length, last_sequence: batch.sequence, checksum: record.checksum };
         Ok(())
     }
 
@@ -160,7 +160,7 @@
         self.tail = Tail {
             segment: Some(name),
             length: record.bytes.len() as u64,
-            sequence: batch.sequence,
+            last_sequence: batch.sequence,
             checksum: record.checksum,
         };
         if let Some(old_segment) = old_segment {
@@ -193,7 +193,7 @@
 
     /// Sequence number of the last batch on disk.
     pub fn last_sequence(&self) -> u64 {
-        self.tail.sequence
+        self.tail.last_sequence
     }
 
     /// Closes the log and returns its disk.
--- a/crates/wal/tests/golden.rs
+++ b/crates/wal/tests/golden.rs
@@ -66,7 +66,7 @@
 fn first_segment_recovered() -> Recovered {
     let last = Entry { index: 5, term: u64::MAX, data: vec![0, 255, 10] };
     Recovered {
-        sequence: 4,
+        last_sequence: 4,
         state: b"state 4".to_vec(),
         snapshot: None,
         entries: vec![entry(1, 1), entry(2, 1), entry(3, 2), entry(4, 2), last],
@@ -80,7 +80,7 @@
     let snapshot = Snapshot { index: 3, term: 2, data: b"all up to 3".to_vec() };
     let last_of_first_segment = Entry { index: 5, term: u64::MAX, data: vec![0, 255, 10] };
     let expected = Recovered {
-        sequence: 6,
+        last_sequence: 6,
         state: b"last".to_vec(),
         snapshot: Some(snapshot),
         entries: vec![entry(4, 2), last_of_first_segment, entry(6, 9)],
@@ -93,7 +93,7 @@
 fn log_of_an_earlier_release_with_a_torn_last_record_is_truncated_after_the_previous_one() {
     let recovered = recover_copy("torn");
     let expected = Recovered {
-        sequence: 3,
+        last_sequence: 3,
         state: b"state 3".to_vec(),
         entries: first_segment_recovered().entries[..4].to_vec(),
         torn_tail: Some(TornTail { sequence: 4, offset: 230, bytes: 48 }),
--- a/crates/wal/tests/on_disk_format.rs
+++ b/crates/wal/tests/on_disk_format.rs
@@ -48,7 +48,7 @@
     disk.append(SEGMENT, SEGMENT_BYTES).unwrap();
     let (_, recovered) = Wal::open(disk).unwrap();
     let expected = Recovered {
-        sequence: 4,
+        last_sequence: 4,
         state: vec![],
         snapshot: Some(snapshot()),
         entries: vec![entry(3, 2), entry(4, 3), entry(5, 3)],
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -34,7 +34,7 @@
     wal.write(&batch(2, 3, 2)).unwrap(); // entry 3 is overwritten
     drop(wal);
     let (mut wal, recovered) = Wal::open(DirectoryDisk::open(directory.path()).unwrap()).unwrap();
-    assert_eq!((recovered.sequence, recovered.torn_tail), (2, None));
+    assert_eq!((recovered.last_sequence, recovered.torn_tail), (2, None));
     assert_eq!(
         recovered.entries.iter().map(|entry| (entry.index, entry.term)).collect::<Vec<_>>(),
         [(1, 1), (2, 1), (3, 2), (4, 2)]
@@ -53,7 +53,7 @@
     assert_eq!(
         recovered,
         Recovered {
-            sequence: 3,
+            last_sequence: 3,
             state: vec![9],
             snapshot: Some(snapshot),
             entries: vec![last],
@@ -110,12 +110,12 @@
         disk.crash();
         disk.faults = Faults::default();
         let (mut wal, recovered) = Wal::open(disk).unwrap();
-        assert_eq!((recovered.sequence, recovered.entries.len()), (5, 10), "seed {seed}");
+        assert_eq!((recovered.last_sequence, recovered.entries.len()), (5, 10), "seed {seed}");
         torn_tails +=
             usize::from(recovered.torn_tail.is_some_and(|tail| tail.sequence == 6 && tail.bytes > 0));
         wal.write(&batch(6, 11, 1)).unwrap();
         let (_, reopened) = Wal::open(wal.into_disk()).unwrap();
-        assert_eq!((reopened.sequence, reopened.torn_tail, reopened.entries.len()), (6, None, 11));
+        assert_eq!((reopened.last_sequence, reopened.torn_tail, reopened.entries.len()), (6, None, 11));
     }
     assert!(
         torn_tails > 50,
@@ -136,7 +136,7 @@
     assert!(matches!(wal.write(&batch(6, 7, 2)), Err(WalError::OutOfOrder { expected: 4, found: 6 })));
     wal.write(&batch(4, 7, 2)).unwrap();
     let (_, recovered) = Wal::open(wal.into_disk()).unwrap();
-    assert_eq!((recovered.sequence, recovered.entries.len(), recovered.torn_tail), (4, 8, None));
+    assert_eq!((recovered.last_sequence, recovered.entries.len(), recovered.torn_tail), (4, 8, None));
 }
 
 #[test]
@@ -150,7 +150,7 @@
     disk.crash();
     let (_, recovered) = Wal::open(disk).unwrap();
     assert_eq!(
-        (recovered.sequence, recovered.entries.len(), recovered.snapshot),
+        (recovered.last_sequence, recovered.entries.len(), recovered.snapshot),
         (4, 8, None),
         "the batches that the last correct sync covered are recovered"
     );
@@ -196,7 +196,7 @@
         for step in steps {
             let last = model.entries.last().map(|entry| entry.index).or(model.snapshot.as_ref().map(|snapshot| snapshot.index)).unwrap_or(0);
             let lowest = model.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-            let sequence = model.sequence + 1;
+            let sequence = model.last_sequence + 1;
             match step {
                 Step::Append { overwritten, count } => {
                     let first = last.saturating_sub(overwritten).max(lowest) + 1;
@@ -206,14 +206,14 @@
                         model.entries.retain(|entry| entry.index < first);
                     }
                     model.entries.extend(batch.entries);
-                    model.sequence = sequence;
+                    model.last_sequence = sequence;
                     model.state = batch.state;
                 }
                 Step::Snapshot { retained } => {
                     let index = last.saturating_sub(retained).max(lowest);
                     model.snapshot = Some(Snapshot { index, term: sequence, data: vec![sequence as u8; 40] });
                     model.entries.retain(|entry| entry.index > index);
-                    model.sequence = sequence;
+                    model.last_sequence = sequence;
                     model.state = vec![1];
                     let batch = WriteBatch {
                         sequence,
