--- a/crates/consensus/src/node/rejoin_exchange.rs
+++ b/crates/consensus/src/node/rejoin_exchange.rs
@@ -135,7 +135,7 @@
     let membership = Membership::from_wire(response.membership.as_ref()?, &[])?;
     Some(RejoinResponse {
         term: response.term,
-        last: LogPosition::new(response.last_term, response.last_index),
+        last_position: LogPosition::new(response.last_term, response.last_index),
         floors: response.floors.iter().map(floor_from_wire).collect(),
         is_established: response.established,
         is_quarantined: response.quarantined,
@@ -144,9 +144,16 @@
 }
 
 fn floor_to_wire(floor: &LogFloor) -> wire::LogFloor {
-    wire::LogFloor { member: floor.member.raw(), term: floor.last.term, index: floor.last.index }
+    wire::LogFloor {
+        member: floor.member.raw(),
+        term: floor.last_position.term,
+        index: floor.last_position.index,
+    }
 }
 
 fn floor_from_wire(floor: &wire::LogFloor) -> LogFloor {
-    LogFloor { member: MemberId::from_raw(floor.member), last: LogPosition::new(floor.term, floor.index) }
+    LogFloor {
+        member: MemberId::from_raw(floor.member),
+        last_position: LogPosition::new(floor.term, floor.index),
+    }
 }
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -24,7 +24,7 @@
     /// The member that reported its log.
     pub member: MemberId,
     /// Position of the member's last entry.
-    pub last: LogPosition,
+    pub last_position: LogPosition,
 }
 
 /// One member's response to a rejoin request.
@@ -33,7 +33,7 @@
     /// The responding member's term, or its own floor for votes if that is higher.
     pub term: u64,
     /// Position of the responding member's last entry.
-    pub last: LogPosition,
+    pub last_position: LogPosition,
     /// The floors that the responding member took over when it rejoined and has not reached yet.
     pub floors: Vec<LogFloor>,
     /// Whether the responding member is established, which means that it has itself rejoined since its start.
@@ -57,7 +57,7 @@
 impl RejoinFloors {
     /// The furthest of the log floors; zeros when there is none.
     pub fn log(&self) -> LogPosition {
-        self.logs.iter().map(|floor| floor.last).max().unwrap_or_default()
+        self.logs.iter().map(|floor| floor.last_position).max().unwrap_or_default()
     }
 }
 
@@ -127,7 +127,7 @@
     pub fn declare_lost(&mut self, member: MemberId) {
         let response = RejoinResponse {
             term: 0,
-            last: LogPosition::default(),
+            last_position: LogPosition::default(),
             floors: Vec::new(),
             is_established: false,
             is_quarantined: true,
@@ -202,13 +202,14 @@
             // The floor of a member is the furthest position among the one that it reports itself and those
             // that others report for it. A floor for this member itself has no effect if its disk has lost
             // nothing, and is needed if it has.
-            let own_floor = LogFloor { member: from, last: response.last };
+            let own_floor = LogFloor { member: from, last_position: response.last_position };
             for floor in response.floors.iter().chain([&own_floor]) {
-                let furthest = logs.entry(floor.member).or_insert(floor.last);
-                *furthest = floor.last.max(*furthest);
+                let furthest = logs.entry(floor.member).or_insert(floor.last_position);
+                *furthest = floor.last_position.max(*furthest);
             }
         }
-        let logs = logs.into_iter().map(|(member, last)| LogFloor { member, last }).collect();
+        let logs =
+            logs.into_iter().map(|(member, last_position)| LogFloor { member, last_position }).collect();
         RejoinFloors { vote_term, logs }
     }
 }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -29,7 +29,7 @@
 fn rejoin_response(term: u64, last: (u64, u64), is_established: bool) -> RejoinResponse {
     RejoinResponse {
         term,
-        last: LogPosition::new(last.0, last.1),
+        last_position: LogPosition::new(last.0, last.1),
         floors: vec![],
         is_established,
         is_quarantined: false,
@@ -82,7 +82,7 @@
     };
     quorum.add_response(member(2), newer((4, 60)));
     assert_eq!(quorum.outcome(Timestamp::ZERO), None);
-    let floor = LogFloor { member: member(2), last: LogPosition::new(4, 99) };
+    let floor = LogFloor { member: member(2), last_position: LogPosition::new(4, 99) };
     quorum.add_response(member(3), RejoinResponse { floors: vec![floor], ..newer((4, 61)) });
     assert_eq!(
         quorum.outcome(Timestamp::ZERO).unwrap().floors.log(),
