--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -24,15 +24,15 @@
 /// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Time of the violation.
-    pub at: Timestamp,
+    /// Virtual time at which the checker found the violation.
+    pub occurred_at: Timestamp,
     /// The violated invariant, with details.
     pub kind: ViolationKind,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{:.3} s: {}", self.at.as_secs_f64(), self.kind)
+        write!(formatter, "{:.3} s: {}", self.occurred_at.as_secs_f64(), self.kind)
     }
 }
 
@@ -114,7 +114,7 @@
         hosts: String,
     },
     /// A member lacks a committed proposal at the end.
-    #[error("{member} lacks {id:?}, reported as committed at {index}; the last entry is {last}")]
+    #[error("{member} lacks {id:?}, reported as committed at {index}; the last entry is {last_committed}")]
     ProposalLost {
         /// The member.
         member: MemberId,
@@ -123,7 +123,7 @@
         /// The index that was reported.
         index: u64,
         /// Index of the last committed entry.
-        last: u64,
+        last_committed: u64,
     },
     /// A member applied a proposal more than once.
     #[error("{member} applied {id:?} {count} times")]
@@ -193,8 +193,8 @@
 
     /// Records a violation, unless there already is one.
     pub fn fail(&mut self, kind: ViolationKind) {
-        let at = self.now;
-        self.violation.get_or_insert(Violation { at, kind });
+        let occurred_at = self.now;
+        self.violation.get_or_insert(Violation { occurred_at, kind });
     }
 
     /// Checks a role change of a member: a new leader must be the only one of its term and have all committed
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -88,8 +88,8 @@
             let applied = &host.state_machine.applied;
             let mut lost = checker.reported_committed.iter().filter(|(id, _)| !applied.contains_key(id));
             if let Some((&id, &index)) = lost.next() {
-                let last = checker.last_committed();
-                violations.push(ViolationKind::ProposalLost { member, id, index, last });
+                let last_committed = checker.last_committed();
+                violations.push(ViolationKind::ProposalLost { member, id, index, last_committed });
             }
             if let Some((&id, &count)) = applied.iter().find(|(_, &count)| count != 1) {
                 violations.push(ViolationKind::AppliedRepeatedly { member, id, count });
