--- a/crates/wal/examples/append_throughput.rs
+++ b/crates/wal/examples/append_throughput.rs
@@ -9,7 +9,9 @@
 
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const STATE: TableDefinition<u8, &[u8]> = TableDefinition::new("state");
+/// Length of the caller's state in each append, bytes.
 const STATE_BYTES: usize = 300;
+/// Length of the entry in each append, bytes.
 const RECORD_BYTES: usize = 200;
 
 type BoxError = Box<dyn std::error::Error>;
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -6,8 +6,8 @@
 /// Why a file operation failed.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum DiskError {
-    /// There is no space left, a quota is used up, or the file is too large; part of the bytes may be in the
-    /// file.
+    /// There is no space left, a quota is used up, or the file is too large. After an append, part of the
+    /// bytes may be in the file.
     #[error("no space left")]
     NoSpace,
     /// The file does not exist.
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -28,7 +28,7 @@
         #[source]
         reason: Corruption,
     },
-    /// Nothing of the batch is on disk. The batch may be written again; no message that depends on it may be
+    /// No part of the batch is on disk. The batch may be written again; no message that depends on it may be
     /// sent.
     #[error("the write was rejected")]
     WriteRejected(#[source] DiskError),
@@ -43,9 +43,9 @@
     /// The batch's sequence number is not the next one.
     #[error("unexpected batch {found}: the next batch is {expected}")]
     OutOfOrder {
-        /// The expected number.
+        /// Sequence number of the next batch.
         expected: u64,
-        /// The number of the rejected batch.
+        /// Sequence number of the rejected batch.
         found: u64,
     },
 }
--- a/crates/wal/src/fault_disk.rs
+++ b/crates/wal/src/fault_disk.rs
@@ -26,10 +26,11 @@
     synced: Vec<u8>,
 }
 
-/// The active faults. Without any, the disk is correct and loses all unsynced bytes at a crash.
+/// The active faults. Without faults the disk is correct and loses all unsynced bytes at a crash.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Syncs succeed and make nothing durable. The data becomes durable at the next sync after this is unset.
+    /// Syncs succeed and make nothing durable. The data becomes durable at the next sync after this fault is
+    /// unset.
     pub lying_sync: bool,
     /// Appends fail after part of the bytes is written.
     pub disk_full: bool,
@@ -90,8 +91,8 @@
         self.drop_unnamed_files();
     }
 
-    /// Flips one bit of the first `limit` bytes of a file, at a position drawn from the seed. False when
-    /// there is no such byte.
+    /// Flips one bit of the first `limit` bytes of a file, at a position drawn from the seed. Returns false
+    /// when the range is empty or the file does not exist.
     pub fn flip_bit(&mut self, name: &str, limit: u64) -> bool {
         let Some(file) = self.names.get(name).and_then(|id| self.files.get_mut(id)) else { return false };
         let limit = file.synced.len().min(usize::try_from(limit).unwrap_or(usize::MAX));
@@ -132,8 +133,8 @@
     }
 }
 
-/// Appends part of the unsynced bytes of `content` to the `survived` ones; up to a sector of them may be
-/// zero.
+/// Appends part of the unsynced bytes of `content` to `survived`, the bytes that survive a crash; up to a
+/// sector of the appended bytes may be zero.
 fn extend_with_torn_tail(survived: &mut Vec<u8>, content: &[u8], rng: &mut ChaCha8Rng) {
     let synced_length = survived.len();
     if content.len() <= synced_length || !content.starts_with(survived) {
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -18,9 +18,9 @@
     /// The record's sequence number is not the next one.
     #[error("unexpected batch {found}: expected batch {expected}")]
     UnexpectedSequence {
-        /// The expected number.
+        /// Expected sequence number.
         expected: u64,
-        /// The number in the record.
+        /// Sequence number in the record.
         found: u64,
     },
     /// The record does not contain the checksum of the previous record.
@@ -32,9 +32,9 @@
     /// Header and payload have different sequence numbers.
     #[error("the header is of batch {header}, the payload of batch {payload}")]
     SequenceMismatch {
-        /// The number in the header.
+        /// Sequence number in the header.
         header: u64,
-        /// The number in the payload.
+        /// Sequence number in the payload.
         payload: u64,
     },
     /// An entry is neither within the log nor directly after its end.
@@ -78,9 +78,13 @@
     pub checksum: u32,
     /// Length of the intact records, bytes.
     pub length: u64,
+    /// The caller's state in the last record.
     pub state: Vec<u8>,
+    /// The last snapshot.
     pub snapshot: Option<Snapshot>,
+    /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
+    /// The bytes after the intact records, if there are any.
     pub torn_tail: Option<TornTail>,
 }
 
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -3,10 +3,11 @@
 use crate::error::WalError;
 use crate::limits::MAX_FILES;
 
-/// Name of a segment while its first record is being written.
+/// Name of a segment while its first record is being written. It is part of the on-disk format and must not
+/// change.
 pub(crate) const TEMPORARY_NAME: &str = "aside";
 /// Start of a segment's name; [`SEQUENCE_DIGITS`] hexadecimal digits of its first batch's sequence number
-/// follow.
+/// follow. It is part of the on-disk format and must not change.
 pub(crate) const PREFIX: &str = "gen-";
 /// Number of digits in a segment's name.
 const SEQUENCE_DIGITS: usize = 16;
@@ -16,7 +17,7 @@
     format!("{PREFIX}{first_sequence:016x}")
 }
 
-/// The sequence number in a segment's name; `None` when the name is not a segment's.
+/// The sequence number in a segment's name; `None` when the name is not that of a segment.
 fn parse_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PREFIX).filter(|digits| digits.len() == SEQUENCE_DIGITS)?;
     u64::from_str_radix(digits, 16).ok()
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -41,6 +41,7 @@
 pub struct Wal<D> {
     disk: D,
     tail: Tail,
+    /// The error after which every write fails.
     failure: Option<DiskError>,
 }
 
@@ -106,9 +107,9 @@
     /// Writes one batch and syncs it. A message that depends on the batch may be sent only after `Ok`.
     ///
     /// # Errors
-    /// [`WalError::WriteRejected`] and [`WalError::Full`]: nothing was written; a batch with the same number
-    /// may be written again. [`WalError::OutOfOrder`]: the caller passed a wrong number.
-    /// [`WalError::Failed`]: every later call fails too.
+    /// [`WalError::WriteRejected`] and [`WalError::Full`]: nothing was written; a batch with the same
+    /// sequence number may be written again. [`WalError::OutOfOrder`]: the caller passed a wrong sequence
+    /// number. [`WalError::Failed`]: every later call fails too.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), WalError> {
         if let Some(error) = &self.failure {
             return Err(WalError::Failed(error.clone()));
@@ -191,7 +192,7 @@
         self.tail.length
     }
 
-    /// Sequence number of the last batch on disk.
+    /// Sequence number of the last batch on disk; 0 before the first batch.
     pub fn last_sequence(&self) -> u64 {
         self.tail.last_sequence
     }
