--- a/crates/replicated-log/src/entry.rs
+++ b/crates/replicated-log/src/entry.rs
@@ -19,7 +19,7 @@
     /// The bytes are not an encoded entry.
     #[error("undecodable entry")]
     Undecodable(#[source] prost::DecodeError),
-    /// A field that every entry has is missing.
+    /// The named field, which every entry must have, is missing.
     #[error("{0}: missing")]
     MissingField(&'static str),
 }
--- a/crates/replicated-log/src/position.rs
+++ b/crates/replicated-log/src/position.rs
@@ -13,7 +13,7 @@
     pub index: u64,
 }
 
-/// The text is not a valid position.
+/// Error of parsing a text that is not a valid position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid position: expected EPOCH:INDEX, two decimal numbers")]
 pub struct ParsePositionError;
--- a/crates/replicated-log/src/proposal_dedup.rs
+++ b/crates/replicated-log/src/proposal_dedup.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-/// Largest number of origins that are recorded. At this number a new origin evicts the one whose last
-/// proposal is the oldest. The managers and operators of the largest fleet are a few thousand.
+/// Largest number of origins that are recorded. At this number a new origin evicts the origin whose last
+/// proposal is the oldest. The largest fleet has a few thousand managers and operators.
 pub const MAX_ORIGINS: usize = 8_192;
 
 /// Number of sequences below an origin's highest within which duplicates are recognised. A proposer has fewer
@@ -23,7 +23,7 @@
 }
 
 impl OriginWindow {
-    /// Records a sequence; false if it was recorded before, or is below the window.
+    /// Records a sequence. Returns false if it was recorded before, or is below the window.
     fn insert(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let distance = sequence - self.highest;
@@ -55,7 +55,8 @@
     /// Bitset of the sequences below the highest that took effect: bit `n` represents the sequence `n + 1`
     /// below it.
     pub mask: u64,
-    /// Number of the origin's last proposal in the order of all proposals; the lowest one is evicted first.
+    /// Number of the origin's last proposal in the order of all proposals; the origin with the lowest number
+    /// is evicted first.
     pub last_used: u64,
 }
 
@@ -69,7 +70,8 @@
 }
 
 impl ProposalDedup {
-    /// Records a proposal; false if it was recorded before, or is so old that it may have been.
+    /// Records a proposal. Returns false if it was recorded before, or is so old that it may have been
+    /// recorded before.
     pub fn insert(&mut self, origin: &str, sequence: u64) -> bool {
         self.proposal_count += 1;
         if let Some(window) = self.origins.get_mut(origin) {
