--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -25,8 +25,9 @@
     }
 }
 
+/// Totals over the runs of all seeds.
 #[derive(Default)]
-struct Sums {
+struct Totals {
     violations: u64,
     elections: Vec<TimeDelta>,
     outcomes: OutcomeCounts,
@@ -38,7 +39,7 @@
     alarms: BTreeMap<&'static str, u64>,
 }
 
-impl Sums {
+impl Totals {
     fn add(&mut self, seed: u64, report: Report) {
         if let Some(violation) = report.violation {
             println!("seed {seed}: {violation}");
@@ -79,15 +80,15 @@
         );
     }
 
-    /// The quantile of the election times, milliseconds; the times must be sorted.
+    /// The quantile of the election times, in milliseconds; the times must be sorted.
     fn election_quantile(&self, per_mille: usize) -> i64 {
         self.elections.get(self.elections.len() * per_mille / 1000).map_or(0, |time| time.as_millis())
     }
 }
 
-fn run_seeds(plan: &Plan, from: u64, count: u64, threads: u64) -> Sums {
+fn run_seeds(plan: &Plan, from: u64, count: u64, threads: u64) -> Totals {
     let next_seed = AtomicU64::new(from);
-    let sums = Mutex::new(Sums::default());
+    let totals = Mutex::new(Totals::default());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -96,11 +97,11 @@
                     return;
                 }
                 let report = Simulation::run(plan.clone(), seed);
-                sums.lock().unwrap_or_else(PoisonError::into_inner).add(seed, report);
+                totals.lock().unwrap_or_else(PoisonError::into_inner).add(seed, report);
             });
         }
     });
-    sums.into_inner().unwrap_or_else(PoisonError::into_inner)
+    totals.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn main() -> ExitCode {
@@ -111,7 +112,7 @@
         eprintln!("{USAGE}");
         return ExitCode::from(2);
     };
-    let mut sums = run_seeds(&plan, from, count, number(3).unwrap_or(DEFAULT_THREADS));
-    sums.print(count);
-    ExitCode::from(u8::from(sums.violations > 0))
+    let mut totals = run_seeds(&plan, from, count, number(3).unwrap_or(DEFAULT_THREADS));
+    totals.print(count);
+    ExitCode::from(u8::from(totals.violations > 0))
 }
--- a/crates/consensus/src/alarm.rs
+++ b/crates/consensus/src/alarm.rs
@@ -12,16 +12,16 @@
     /// A peer has a different state after the same entry, or a different entry at an index that this member
     /// has committed.
     Diverged {
-        /// The peer that differs.
+        /// The peer whose state or entry differs.
         peer: MemberId,
-        /// Index of the entry.
+        /// Index of the entry after which, or at which, the members differ.
         index: u64,
     },
     /// A peer knows another boot of this member with the same or a higher number. Raised once after a start,
     /// it means that an earlier start did not finish rejoining. Raised repeatedly, it means that another
     /// process runs under this member's id.
     DuplicateInstance {
-        /// The number of the other boot.
+        /// Number of the other boot, as the peer knows it.
         boot: u64,
     },
     /// This leader was not ticked for an election timeout or longer, and stepped down.
@@ -36,21 +36,21 @@
     OperatorOverride,
 }
 
-/// Why a member is quarantined.
+/// How a member was found to have lost acknowledged writes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuarantineReason {
     /// A peer observed that this member acknowledged more than its disk held at its start.
     LostAcknowledgedWrites {
         /// The peer.
         observed_by: MemberId,
-        /// State that the peer observed as acknowledged.
+        /// Highest state that the peer observed this member to acknowledge.
         observed: AckState,
-        /// State that the disk held.
+        /// State that this member's disk held at its start.
         recovered: AckState,
     },
     /// A leader relies on an entry that this member acknowledged and no longer has.
     MissingLogEntry {
-        /// The leader.
+        /// The leader whose message shows the loss.
         leader: MemberId,
         /// Index of the entry that the leader relies on.
         index: u64,
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -55,7 +55,7 @@
     /// Checks that every setting is within its range.
     ///
     /// # Errors
-    /// The first setting out of its range, with the range.
+    /// The first setting that is out of its range, with the range.
     pub fn check(&self) -> Result<(), ConfigError> {
         let min_election_ticks = (3 * i64::from(self.heartbeat_ticks)).max(5);
         check_millis("tick", self.tick, 10..=200)?;
@@ -98,15 +98,15 @@
 /// Configuration of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
-    /// Id of the member itself.
+    /// Id of this member.
     pub member: MemberId,
-    /// The first voters, the same list at each of them. Used only where the store is empty. The list is empty
-    /// at a member that joins an existing group.
+    /// The first voters, the same list at each of them. It is used only if the store is empty. It is empty at
+    /// a member that joins an existing group.
     pub founders: Vec<MemberId>,
     /// The members that a member without a log sends rejoin requests to when it starts: the voters of the
     /// group that it joins.
     pub contacts: Vec<MemberId>,
-    /// Timing of the member.
+    /// Intervals and time-outs of the member.
     pub timing: Timing,
 }
 
@@ -140,7 +140,7 @@
 /// Why a configuration is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// A value out of its range; times in microseconds.
+    /// A setting is out of its range; times are in microseconds.
     #[error("invalid {setting} {value}: expected {low} to {high}")]
     OutOfRange {
         /// The setting's name.
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -61,20 +61,21 @@
     /// The envelope has no body.
     #[error("envelope without a body")]
     EmptyEnvelope,
-    /// The envelope has another protocol version.
+    /// The envelope has a protocol version other than [`VERSION`].
     #[error("unsupported version {0}: expected version {VERSION}")]
     UnsupportedVersion(u32),
-    /// This part of the envelope is over its bound.
+    /// The named part of the envelope exceeds its bound.
     #[error("{0}: bound exceeded")]
     OutOfBounds(&'static str),
 }
 
-/// Decodes frames from bytes as they arrive. After an error it always returns that error.
+/// Decodes frames from bytes as they arrive. After an error the decoder always returns that error.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
     /// Number of bytes at the front of the buffer that are already decoded.
     consumed: usize,
+    /// The error that ended the decoding.
     failure: Option<FrameError>,
 }
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -18,20 +18,20 @@
 //!   that restarts. A member whose disk holds less is quarantined permanently: it neither votes nor
 //!   acknowledges, and has to come back under a new incarnation.
 //! - **Floors and crash vectors.** The responding members may not have received the acknowledgements that
-//!   were lost. So a restarted member takes part only when a majority of the others have sent it their terms
-//!   and last entries. It then votes in no term up to the highest of these terms, votes for no candidate
-//!   whose log is behind the furthest of these entries, and does not campaign before its own log has reached
-//!   that entry ([`rejoin`]). Every message contains the newest boot of each member that its sender knows of;
-//!   a leader that learns of a member's newer boot discards what that member acknowledged before it, and a
-//!   candidate steps down. This is the recovery of Viewstamped Replication Revisited (Liskov, Cowling, 2012)
-//!   as corrected with crash vectors by Michael, Ports, Sharma and Szekeres ("Recovering Shared Objects
-//!   Without Stable Storage", DISC 2017).
+//!   were lost. So a restarted member takes part in the protocol only when a majority of the other members
+//!   have sent it their terms and last entries. It then votes in no term up to the highest of these terms,
+//!   votes for no candidate whose log is behind the furthest of these entries, and does not campaign before
+//!   its own log has reached that entry ([`rejoin`]). Every message contains the newest boot of each member
+//!   that its sender knows of; a leader that learns of a member's newer boot discards what that member
+//!   acknowledged before it, and a candidate steps down. This is the recovery of Viewstamped Replication
+//!   Revisited (Liskov, Cowling, 2012) as corrected with crash vectors by Michael, Ports, Sharma and Szekeres
+//!   ("Recovering Shared Objects Without Stable Storage", DISC 2017).
 //!
 //! The remaining risk: normally only responses of established members count. When too many members have
 //! restarted at once for a majority of established ones, responses of rejoining members count too (at once
 //! when such a majority can't be reached any more, otherwise after [`Timing::rejoin_patience`]). Then one
-//! disk that lost writes is still compensated for, whatever it lost. Two disks that lost the same entry are
-//! not, unless the acknowledgements that a third member observed show the loss.
+//! disk that lost writes is still compensated for, whatever it lost. The loss of one entry by two disks is
+//! not compensated for, unless the acknowledgements that a third member observed show the loss.
 //!
 //! Bounds are in [`limits`]; `docs/design/consensus.md` compares the design options.
 
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -4,13 +4,14 @@
 /// rejected.
 pub const MIN_VOTERS: usize = 3;
 
-/// Largest number of voters: more only slow down the majority. A promotion beyond it is rejected.
+/// Largest number of voters: more voters only slow down the majority. A promotion beyond it is rejected.
 pub const MAX_VOTERS: usize = 7;
 
-/// Largest number of learners: each costs the leader ten heartbeats per second. Another one is rejected.
+/// Largest number of learners: each costs the leader ten heartbeats per second. A further learner is
+/// rejected.
 pub const MAX_LEARNERS: usize = 512;
 
-/// Largest number of nodes whose highest incarnation is remembered. A new node beyond it is rejected.
+/// Largest number of nodes whose highest incarnation is recorded. A new node beyond it is rejected.
 pub const MAX_NODES: usize = 4096;
 
 /// Largest number of peers in the peer table, including removed members that still send. A further peer is
@@ -51,8 +52,8 @@
 /// `TooManyPending` and a follower accepts no entries, until a snapshot is taken.
 pub const MAX_LOG_ENTRIES: u64 = 32 << 10;
 
-/// Largest size of the entries retained in memory and on disk, bytes. The same happens as at
-/// [`MAX_LOG_ENTRIES`].
+/// Largest size of the entries retained in memory and on disk, bytes. At this size proposals and entries are
+/// rejected as at [`MAX_LOG_ENTRIES`].
 pub const MAX_LOG_BYTES: u64 = 16 << 20;
 
 /// Size of the entries since the last snapshot at which a new one is due regardless of their number, bytes.
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -12,23 +12,23 @@
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// Size that an entry counts in addition to its data, bytes.
+/// Size counted for an entry in addition to its data and context, bytes.
 const ENTRY_OVERHEAD_BYTES: u64 = 16;
 
-/// Size that an entry counts in total, bytes.
+/// Size counted for an entry in total, bytes.
 fn entry_bytes(entry: &eraftpb::Entry) -> u64 {
     entry.get_data().len() as u64 + entry.get_context().len() as u64 + ENTRY_OVERHEAD_BYTES
 }
 
-/// Entries, the last snapshot, and the memberships.
+/// The retained entries, the last snapshot, and the memberships since that snapshot.
 #[derive(Debug, Default)]
 pub(crate) struct LogStorage {
     hard_state: HardState,
     snapshot: Option<Snapshot>,
     /// Position of the entry before the first one in `entries`.
-    compacted: LogPosition,
+    compacted_position: LogPosition,
     entries: VecDeque<eraftpb::Entry>,
-    /// Size of all entries, bytes.
+    /// Size of all entries in memory, bytes.
     bytes: u64,
     /// Size of the entries after the snapshot, bytes.
     bytes_after_snapshot: u64,
@@ -52,22 +52,22 @@
 
     /// The position of the last entry.
     pub fn last_position(&self) -> LogPosition {
-        self.entries.back().map_or(self.compacted, |entry| LogPosition::new(entry.term, entry.index))
+        self.entries.back().map_or(self.compacted_position, |entry| LogPosition::new(entry.term, entry.index))
     }
 
     /// The term of a retained entry, or of the last compacted one.
     pub fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.compacted.index {
-            return Some(self.compacted.term);
+        if index == self.compacted_position.index {
+            return Some(self.compacted_position.term);
         }
-        let offset = index.checked_sub(self.compacted.index + 1)?;
+        let offset = index.checked_sub(self.compacted_position.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?).map(|entry| entry.term)
     }
 
     /// Truncates the log at the first of the entries and appends them.
     pub fn append(&mut self, entries: &[eraftpb::Entry]) {
         let Some(first) = entries.first() else { return };
-        let retained = first.index.saturating_sub(self.compacted.index + 1);
+        let retained = first.index.saturating_sub(self.compacted_position.index + 1);
         while self.entries.len() as u64 > retained {
             if let Some(removed) = self.entries.pop_back() {
                 self.subtract_size(&removed);
@@ -100,7 +100,7 @@
         self.entries.clear();
         self.bytes = 0;
         self.bytes_after_snapshot = 0;
-        self.compacted = snapshot.position();
+        self.compacted_position = snapshot.position();
         self.memberships.clear();
         self.memberships.push_back(VersionedMembership {
             index: snapshot.index,
@@ -111,7 +111,7 @@
     }
 
     /// Stores a snapshot that the state machine took after an applied entry, and drops the entries before it
-    /// except for the last [`RETAINED_ENTRIES`]. False when the entry itself is no longer in the log.
+    /// except for the last [`RETAINED_ENTRIES`]. Returns false when the entry itself is no longer in the log.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> bool {
         let Some(term) = self.term_at(index) else { return false };
         while self.memberships.get(1).is_some_and(|later| later.index <= index) {
@@ -128,13 +128,13 @@
     }
 
     fn drop_entries_before(&mut self, index: u64) {
-        while self.compacted.index + RETAINED_ENTRIES < index || self.bytes > MAX_LOG_BYTES / 2 {
-            if self.compacted.index >= index {
+        while self.compacted_position.index + RETAINED_ENTRIES < index || self.bytes > MAX_LOG_BYTES / 2 {
+            if self.compacted_position.index >= index {
                 return;
             }
             let Some(removed) = self.entries.pop_front() else { return };
             self.bytes = self.bytes.saturating_sub(entry_bytes(&removed));
-            self.compacted = LogPosition::new(removed.term, removed.index);
+            self.compacted_position = LogPosition::new(removed.term, removed.index);
         }
     }
 
@@ -214,10 +214,10 @@
         max_size: impl Into<Option<u64>>,
         _context: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.compacted.index {
+        if low <= self.compacted_position.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
-        let skipped = low - self.compacted.index - 1;
+        let skipped = low - self.compacted_position.index - 1;
         let count = high.saturating_sub(low);
         if skipped + count > self.entries.len() as u64 {
             return Err(raft::Error::Store(StorageError::Unavailable));
@@ -234,14 +234,14 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.compacted.index {
+        if index < self.compacted_position.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
         self.term_at(index).ok_or(raft::Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.compacted.index + 1)
+        Ok(self.compacted_position.index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -34,7 +34,7 @@
     /// This incarnation of the node, or a later one, was a member before.
     #[error("this incarnation, or a later one, was a member before")]
     IncarnationReused,
-    /// There are already [`MAX_LEARNERS`].
+    /// There are already [`MAX_LEARNERS`] learners.
     #[error("there are already {MAX_LEARNERS} learners")]
     TooManyLearners,
     /// The incarnations of [`MAX_NODES`] nodes are already recorded, and the node is a new one.
@@ -43,13 +43,13 @@
     /// Only a learner can be promoted.
     #[error("not a learner")]
     NotALearner,
-    /// There are already [`MAX_VOTERS`].
+    /// There are already [`MAX_VOTERS`] voters.
     #[error("there are already {MAX_VOTERS} voters")]
     TooManyVoters,
     /// Only a member can be removed.
     #[error("not a member")]
     NotAMember,
-    /// [`MIN_VOTERS`] have to remain.
+    /// [`MIN_VOTERS`] voters have to remain.
     #[error("{MIN_VOTERS} voters have to remain")]
     TooFewVoters,
 }
@@ -87,12 +87,12 @@
     pub incarnations: BTreeMap<u32, u32>,
 }
 
-/// A membership and the entry that made it effective.
+/// A membership and the index of the entry that made it effective.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct VersionedMembership {
     /// Index of the entry; 0 for the configured contacts.
     pub index: u64,
-    /// The membership.
+    /// The members as of that entry.
     pub membership: Membership,
 }
 
--- a/crates/consensus/src/node/election_timeout.rs
+++ b/crates/consensus/src/node/election_timeout.rs
@@ -5,7 +5,8 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Draws election timeouts from the member's seed. The raft library draws its own from a generator that can't
-/// be seeded, so its timeout is replaced by one of these, which is drawn again whenever term or role change.
+/// be seeded, so its timeout is replaced by a timeout drawn here, which is drawn again whenever the term or
+/// the role changes.
 #[derive(Debug)]
 pub(super) struct ElectionTimeout {
     rng: ChaCha8Rng,
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -38,7 +38,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Phase of a member between its start and taking part in the protocol.
+/// Phase of a member: whether it may take part in the protocol.
 #[derive(Debug)]
 enum Phase {
     /// The member has restarted and waits for the rejoin responses of the other members.
@@ -100,9 +100,9 @@
     digests: StateDigests,
     progress: ApplyProgress,
     leading_since: Option<Timestamp>,
-    /// The role that was last handed out.
+    /// The role, term and leader that were last handed out.
     role: Option<RoleChange>,
-    /// Whether a snapshot was requested from the driver and not yet taken.
+    /// Whether a snapshot was requested from the driver, which has not taken it yet.
     is_snapshot_requested: bool,
     /// Time at which each snapshot in transfer was last sent, by raw member number.
     snapshots_sent_at: BTreeMap<u64, Timestamp>,
--- a/crates/consensus/src/node/peer_liveness.rs
+++ b/crates/consensus/src/node/peer_liveness.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Records a boot of a peer or of this member itself, as known to another member.
+    /// Handles a boot that another member knows of: a boot of a peer, or of this member itself.
     pub(super) fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) {
         if member == self.id {
             let is_other_boot_with_same_number = boot == self.boot && nonce != 0 && nonce != self.nonce;
@@ -42,9 +42,9 @@
             quorum.restart();
             *next_request_at = self.now;
         } else {
-            // The rejoin response with that number was lost. What this boot acknowledged still counts; the
-            // boot only takes a higher number, so that peers accept its frames again. If another process runs
-            // under this member's id, the alarm is raised repeatedly.
+            // The rejoin response that contained that number was lost. What this boot acknowledged still
+            // counts; the boot only takes a higher number, so that peers accept its frames again. If another
+            // process runs under this member's id, the alarm is raised repeatedly.
             self.persistence.is_state_due = true;
             self.raise_alarm(Alarm::DuplicateInstance { boot: known });
         }
--- a/crates/consensus/src/node/persistence.rs
+++ b/crates/consensus/src/node/persistence.rs
@@ -16,26 +16,28 @@
     ack: AckState,
 }
 
-/// Persistence state of a member.
+/// The batches of a member and what they make durable.
 #[derive(Debug)]
 pub(super) struct Persistence {
-    /// State that the disk held at the start.
+    /// The state that this member can have acknowledged before its start, as its disk shows. A peer that
+    /// observed more reveals that the disk lost writes.
     pub recovered: AckState,
-    /// State that is on disk now.
+    /// The state after the last batch on disk: the state that frames acknowledge at once.
     pub durable: AckState,
     /// Number of the last batch handed out.
     pub last_batch: u64,
     in_flight: VecDeque<InFlightBatch>,
     /// Whether the next batch has to contain the snapshot and all entries after it.
     pub is_snapshot_due: bool,
-    /// Whether a batch is due even if the raft library has nothing to write.
+    /// Whether a batch is due because the member's boot number or phase changed, even if the raft library has
+    /// nothing to write.
     pub is_state_due: bool,
     /// Time from which a batch is due if the peer table has changed.
     pub peers_due_at: Timestamp,
 }
 
 impl Persistence {
-    /// Starts with the state that the disk held and the number of the last batch on it.
+    /// Starts with the state that the disk held and the number of the last batch on the disk.
     pub fn new(recovered: AckState, last_batch: u64, peers_due_at: Timestamp) -> Self {
         Persistence {
             recovered,
@@ -62,8 +64,8 @@
         self.in_flight.back().map_or(self.durable, |batch| batch.ack)
     }
 
-    /// Records a batch that is handed out. It makes the raft library's `Ready` number `raft_ready` durable,
-    /// if that is not 0.
+    /// Records a batch that is handed out. The batch makes the raft library's `Ready` number `raft_ready`
+    /// durable, unless that number is 0.
     pub fn batch_handed_out(&mut self, batch: &Batch, last: LogPosition, raft_ready: u64) {
         let ack = AckState {
             writes: batch.number,
@@ -75,8 +77,8 @@
         self.in_flight.push_back(InFlightBatch { number: batch.number, raft_ready, ack });
     }
 
-    /// Attaches a `Ready` of the raft library that has nothing to write to the last batch in flight. False
-    /// when no batch is in flight.
+    /// Attaches a `Ready` of the raft library that has nothing to write to the last batch in flight. Returns
+    /// false when no batch is in flight.
     pub fn attach_to_last(&mut self, raft_ready: u64) -> bool {
         match self.in_flight.back_mut() {
             Some(batch) => {
--- a/crates/consensus/src/node/ready.rs
+++ b/crates/consensus/src/node/ready.rs
@@ -18,6 +18,7 @@
 struct RaftWrites {
     /// Number of the library's `Ready`; 0 when the library had none.
     ready_number: u64,
+    /// Whether the entries or the hard state must be synced.
     must_sync: bool,
     entries: Vec<eraftpb::Entry>,
 }
--- a/crates/consensus/src/node/rejoin_exchange.rs
+++ b/crates/consensus/src/node/rejoin_exchange.rs
@@ -99,7 +99,7 @@
         self.establish(outcome);
     }
 
-    /// Makes this member take part from now on, under the given floors.
+    /// Makes this member take part in the protocol from now on, under the floors of the outcome.
     pub(super) fn establish(&mut self, outcome: RejoinOutcome) {
         if outcome.is_weak {
             self.raise_alarm(Alarm::WeakRejoinQuorum);
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -11,7 +11,7 @@
 /// Replication progress of a member's log, as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberProgress {
-    /// The member.
+    /// Id of the member.
     pub member: MemberId,
     /// Index of the last entry that the member is known to hold.
     pub matched: u64,
--- a/crates/consensus/src/node/step.rs
+++ b/crates/consensus/src/node/step.rs
@@ -79,7 +79,7 @@
             return;
         }
         // The library returns an error for a message that it can't use, such as one from a former member.
-        // There is nothing to do about it.
+        // Such a message needs no further handling.
         let _ = self.raw_node.step(message);
         if !self.floors.logs.is_empty() && self.has_reached_log_floors() {
             self.floors.logs.clear();
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -12,7 +12,7 @@
 struct Peer {
     /// Number of the peer's newest known boot.
     boot: u64,
-    /// Nonce of that boot; 0 when it is not known.
+    /// Nonce of that boot; 0 when the nonce is not known.
     nonce: u64,
     /// Sequence number of the peer's last rejoin request among all requests received; 0 when it has sent none
     /// since this member started.
@@ -26,7 +26,7 @@
 pub(crate) enum BootStatus {
     /// The boot is newer than the known one.
     New,
-    /// The boot is the known one, and repeats its request.
+    /// The boot is the known one; its member repeats the request.
     Known,
     /// The boot is older than the known one, or another boot with the same number.
     Stale {
@@ -39,17 +39,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
     peers: BTreeMap<MemberId, Peer>,
-    /// Number of rejoin requests received.
+    /// Number of rejoin requests received since this member started.
     request_count: u64,
-    /// Whether there are changes that are not yet part of a batch.
+    /// Whether the table has changes that are not yet part of a batch.
     pub has_unsaved_changes: bool,
-    /// Whether a boot was learned from the peer itself. That boot has to be on disk before the response is
-    /// sent.
+    /// Whether the table has to be part of a batch at once: a peer's own rejoin request reported a boot,
+    /// which has to be on disk before the response is sent.
     pub must_save_now: bool,
 }
 
-/// Whether a peer observed that more batches were acknowledged than a disk holds, or that the last one was
-/// different.
+/// Whether a peer observed a member to acknowledge more batches than the member's disk holds, or the same
+/// number of batches with a different state.
 pub(crate) fn is_ahead_of(observed: &AckState, recovered: &AckState) -> bool {
     let differs = observed.writes == recovered.writes && observed.writes > 0 && observed != recovered;
     observed.writes > recovered.writes || differs
@@ -91,7 +91,7 @@
         boot > peer.boot || (boot == peer.boot && is_same_nonce)
     }
 
-    /// Records a boot that any peer reported. True when it is newer than the known one.
+    /// Records a boot that any peer reported. Returns whether the boot is newer than the known one.
     pub fn learn_boot(&mut self, member: MemberId, boot: u64, nonce: u64) -> bool {
         let Some(peer) = self.entry(member) else { return false };
         if boot == peer.boot && peer.nonce == 0 {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Removes a member that has left the group.
+    /// Removes a member that was removed from the group.
     pub fn forget(&mut self, member: MemberId) {
         self.peers.remove(&member);
     }
--- a/crates/consensus/src/pending_proposals.rs
+++ b/crates/consensus/src/pending_proposals.rs
@@ -1,4 +1,4 @@
-//! A member's own proposals until their outcome is known.
+//! A member's own proposals, retained until their outcome is known.
 
 use crate::ids::ProposalId;
 use crate::limits::MAX_PENDING_PROPOSALS;
@@ -10,7 +10,7 @@
 pub enum ProposalOutcome {
     /// The proposal is committed.
     Committed {
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
         /// Index of the proposal's entry in the log.
         index: u64,
@@ -18,13 +18,13 @@
     /// The proposal will never be in the log: it was sent to the leader of one term only, and an entry of a
     /// later term is committed.
     Dropped {
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
     },
     /// The proposal may still be committed. If it is proposed again under the same id, it is applied only
     /// once, however often it is committed.
     Unknown {
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
         /// Why the outcome is not known.
         reason: UnknownReason,
@@ -72,7 +72,7 @@
         self.pending.insert(id, PendingProposal { term, deadline });
     }
 
-    /// The outcomes since the last call.
+    /// Takes the outcomes since the last call.
     pub fn take_outcomes(&mut self) -> Vec<ProposalOutcome> {
         std::mem::take(&mut self.outcomes)
     }
--- a/crates/consensus/src/proposal_dedup.rs
+++ b/crates/consensus/src/proposal_dedup.rs
@@ -26,7 +26,7 @@
     Duplicate,
     /// The sequence is [`SEQUENCE_WINDOW`] or more below its origin's highest, so it is not known whether the
     /// proposal was recorded, and it has to be dropped. A proposer with at most `MAX_PENDING_PROPOSALS` (256)
-    /// pending proposals never gets this for a proposal that was not applied.
+    /// pending proposals never gets this result for a proposal that was not applied.
     TooOld,
     /// The origin is new and [`MAX_ORIGINS`] are recorded, so the proposal has to be dropped. Old origins
     /// should be retired.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("invalid length of {bytes} bytes: expected up to {MAX_ORIGINS} origins of {ORIGIN_BYTES} bytes each")]
 pub struct DedupDecodeError {
-    /// Number of bytes.
+    /// Number of bytes that were to be decoded.
     pub bytes: usize,
 }
 
@@ -125,7 +125,7 @@
         bytes
     }
 
-    /// Decodes what [`ProposalDedup::encode`] returned.
+    /// Decodes a table that [`ProposalDedup::encode`] encoded.
     ///
     /// # Errors
     /// The length is not that of an encoded table.
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -29,8 +29,8 @@
     pub number: u64,
     /// The persistent state other than the log.
     pub state: wire::PersistentState,
-    /// Snapshot that replaces the store's content: afterwards the store holds only it and the entries of this
-    /// batch.
+    /// Snapshot that replaces the store's content: afterwards the store holds only this snapshot and the
+    /// entries of this batch.
     pub snapshot: Option<Snapshot>,
     /// Entries to append; the log is first truncated at the index of the first of them.
     pub entries: Vec<wire::Entry>,
@@ -52,20 +52,20 @@
     pub messages: Vec<Frame>,
     /// Messages that may be sent only when batch `send_after_batch` is on disk.
     pub persisted_messages: Vec<Frame>,
-    /// A snapshot that replaces the applied state.
+    /// A snapshot received from the leader, which replaces the applied state.
     pub snapshot: Option<Snapshot>,
     /// Entries to apply in order.
     pub committed_entries: Vec<CommittedEntry>,
-    /// When not 0: all entries up to this index are handed out. [`crate::Node::applied`] is called with it
-    /// when they are applied.
+    /// When not 0: all entries up to this index are handed out. [`crate::Node::applied`] is called with this
+    /// index when the entries are applied.
     pub apply_through: u64,
-    /// The membership, if it changed.
+    /// The current membership, if it changed since the last `Ready`.
     pub membership: Option<Membership>,
     /// Outcomes of this member's own proposals since the last `Ready`.
     pub outcomes: Vec<ProposalOutcome>,
     /// The member's role, term and leader, if any of them changed.
     pub role: Option<RoleChange>,
-    /// Conditions that an operator should see.
+    /// Alarms raised since the last `Ready`.
     pub alarms: Vec<Alarm>,
     /// Whether the driver should take a snapshot of the applied state and pass it to
     /// [`crate::Node::snapshot_taken`].
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -1,5 +1,5 @@
-//! The rejoin protocol: the responses that a restarted member needs before it takes part, and the
-//! restrictions under which it then takes part.
+//! The rejoin protocol: the responses that a restarted member needs before it takes part in consensus (votes,
+//! acknowledges entries, campaigns), and the restrictions under which it then takes part.
 //!
 //! # Why this compensates for a disk that lost writes
 //!
@@ -18,7 +18,7 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The last entry in a member's log when the member reported it.
+/// The position of the last entry in a member's log when the member reported its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogFloor {
     /// The member that reported its log.
@@ -44,7 +44,7 @@
     pub membership: VersionedMembership,
 }
 
-/// The restrictions under which a member takes part after it has rejoined.
+/// The restrictions on votes and campaigns of a member that has rejoined.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RejoinFloors {
     /// The member does not vote in any term up to this one.
@@ -64,7 +64,7 @@
 /// Outcome of the rejoin protocol for a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinOutcome {
-    /// The restrictions under which the member takes part.
+    /// The restrictions on the member's votes and campaigns.
     pub floors: RejoinFloors,
     /// Whether responses of members that were themselves rejoining had to count.
     pub is_weak: bool,
@@ -75,23 +75,30 @@
 pub struct RejoinQuorum {
     member: MemberId,
     started_at: Timestamp,
+    /// Time after `started_at` from which responses of rejoining members count.
     patience: TimeDelta,
     /// The membership on this member's own disk, or the configured contacts.
-    own: VersionedMembership,
+    own_membership: VersionedMembership,
+    /// The last response of each member.
     responses: BTreeMap<MemberId, RejoinResponse>,
     /// Peers outside the membership that sent a frame: they may know a newer membership.
     unlisted: BTreeSet<MemberId>,
 }
 
 impl RejoinQuorum {
-    /// Starts with no responses; `own` is the membership on this member's own disk, or the configured
-    /// contacts. After `patience`, responses of rejoining members count too.
-    pub fn new(member: MemberId, own: VersionedMembership, now: Timestamp, patience: TimeDelta) -> Self {
+    /// Starts with no responses. `own_membership` is the membership on this member's own disk, or the
+    /// configured contacts. After `patience`, responses of rejoining members count too.
+    pub fn new(
+        member: MemberId,
+        own_membership: VersionedMembership,
+        now: Timestamp,
+        patience: TimeDelta,
+    ) -> Self {
         RejoinQuorum {
             member,
             started_at: now,
             patience,
-            own,
+            own_membership,
             responses: BTreeMap::new(),
             unlisted: BTreeSet::new(),
         }
@@ -116,7 +123,7 @@
     /// Adds a response; it replaces an earlier one of the same member. A response is ignored when its sender
     /// got no request and doesn't know a newer membership.
     pub fn add_response(&mut self, from: MemberId, response: RejoinResponse) {
-        let has_newer_membership = response.membership.index > self.newest().index;
+        let has_newer_membership = response.membership.index > self.newest_membership().index;
         if has_newer_membership || self.request_targets().contains(&from) {
             self.responses.insert(from, response);
         }
@@ -131,7 +138,7 @@
             floors: Vec::new(),
             is_established: false,
             is_quarantined: true,
-            membership: self.own.clone(),
+            membership: self.own_membership.clone(),
         };
         self.add_response(member, response);
         for response in self.responses.values_mut() {
@@ -139,7 +146,7 @@
         }
     }
 
-    /// Discards the response of a member that has restarted since.
+    /// Discards the response of a member that has restarted since it responded.
     pub fn discard_response(&mut self, member: MemberId) {
         self.responses.remove(&member);
     }
@@ -152,14 +159,14 @@
 
     /// The newest membership known, from this member's own disk or from a response. A member that has the
     /// entry of that membership has all entries before it, so older memberships add no information.
-    fn newest(&self) -> &VersionedMembership {
+    fn newest_membership(&self) -> &VersionedMembership {
         let trusted = self.responses.values().filter(|response| !response.is_quarantined);
-        let memberships = trusted.map(|response| &response.membership).chain([&self.own]);
-        memberships.max_by_key(|membership| membership.index).unwrap_or(&self.own)
+        let memberships = trusted.map(|response| &response.membership).chain([&self.own_membership]);
+        memberships.max_by_key(|membership| membership.index).unwrap_or(&self.own_membership)
     }
 
     fn membership(&self) -> &Membership {
-        &self.newest().membership
+        &self.newest_membership().membership
     }
 
     fn other_voters(&self) -> Vec<MemberId> {
@@ -167,7 +174,7 @@
         voters.filter(|&voter| voter != self.member).collect()
     }
 
-    /// The outcome, once enough members have responded.
+    /// The outcome; `None` while too few members have responded.
     pub fn outcome(&self, now: Timestamp) -> Option<RejoinOutcome> {
         let others = self.other_voters();
         let quorum = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -5,7 +5,7 @@
 /// The role of a member in the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// The member has restarted and may not take part yet ([`crate::rejoin`]).
+    /// The member has restarted and may not vote, acknowledge entries or campaign yet ([`crate::rejoin`]).
     Rejoining,
     /// The member was found to have lost acknowledged writes; it is excluded permanently under this
     /// incarnation.
@@ -22,7 +22,7 @@
     Leader,
 }
 
-/// A member's role, its term and the leader that it knows of.
+/// A member's role, its term and the leader that it knows of, after any of them changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoleChange {
     /// The new role.
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -14,11 +14,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Number of newest committed entries that a new leader is checked for.
+/// Number of newest committed entries that a new leader's log is checked for.
 const CHECKED_ENTRIES: usize = 256;
-/// Kind of a vote request on the wire: a vote for the sender itself.
+/// Kind of a vote request on the wire; the request is also the sender's vote for itself.
 const VOTE_REQUEST: u32 = 3;
-/// Kind of a vote response on the wire: a vote for its receiver, unless it rejects.
+/// Kind of a vote response on the wire: a vote for the receiver, unless the response rejects the request.
 const VOTE_RESPONSE: u32 = 4;
 
 /// A violation of an invariant.
@@ -42,23 +42,23 @@
     /// Election safety: two leaders in one term.
     #[error("{first} and {second} both lead in term {term}")]
     TwoLeaders {
-        /// The first leader.
+        /// The member that led first in the term.
         first: MemberId,
-        /// The second leader.
+        /// The member that led later in the same term.
         second: MemberId,
-        /// The term.
+        /// The term that both members led.
         term: u64,
     },
     /// Leader completeness: a new leader lacks a committed entry.
     #[error("{leader} leads in term {term} without entry {index} of term {entry_term}")]
     IncompleteLeader {
-        /// The leader.
+        /// The new leader.
         leader: MemberId,
         /// Term of the leader.
         term: u64,
         /// Index of the committed entry.
         index: u64,
-        /// That entry's term.
+        /// Term of the committed entry.
         entry_term: u64,
     },
     /// State machine safety: two members apply different entries at one index.
@@ -66,45 +66,45 @@
     DivergentEntry {
         /// The member that applied the entry later.
         member: MemberId,
-        /// The index.
+        /// Index of the entry in the log.
         index: u64,
     },
     /// A member reports that a peer's state differs from its own.
     #[error("the states of {member} and {peer} differ after entry {index}")]
     DivergentState {
-        /// The member.
+        /// The member that reports the difference.
         member: MemberId,
-        /// The peer.
+        /// The peer whose state differs.
         peer: MemberId,
-        /// Index of the entry.
+        /// Index of the entry after which the states differ.
         index: u64,
     },
     /// A proposal was reported as dropped and is committed.
     #[error("a proposal reported as dropped is committed: {id:?}")]
     DroppedButCommitted {
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
     },
     /// A proposal was reported as committed and no member has applied it.
     #[error("a proposal reported as committed at {index} was not applied by any member: {id:?}")]
     CommittedButNotApplied {
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
-        /// The index that was reported.
+        /// Log index that was reported for the proposal.
         index: u64,
     },
     /// A quarantined member sends Raft messages.
     #[error("{member} is quarantined and sends Raft messages")]
     QuarantinedMemberActive {
-        /// The member.
+        /// The quarantined member.
         member: MemberId,
     },
     /// A member votes for two candidates in one term.
     #[error("{member} votes twice in term {term}")]
     DoubleVote {
-        /// The member.
+        /// The member that voted twice.
         member: MemberId,
-        /// The term.
+        /// The term of both votes.
         term: u64,
     },
     /// The group has no leader after the recovery time.
@@ -116,11 +116,11 @@
     /// A member lacks a committed proposal at the end.
     #[error("{member} lacks {id:?}, reported as committed at {index}; the last entry is {last_committed}")]
     ProposalLost {
-        /// The member.
+        /// The member that lacks the proposal.
         member: MemberId,
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
-        /// The index that was reported.
+        /// Log index that was reported for the proposal.
         index: u64,
         /// Index of the last committed entry.
         last_committed: u64,
@@ -128,11 +128,11 @@
     /// A member applied a proposal more than once.
     #[error("{member} applied {id:?} {count} times")]
     AppliedRepeatedly {
-        /// The member.
+        /// The member that applied the proposal.
         member: MemberId,
-        /// The proposal.
+        /// Id of the proposal.
         id: ProposalId,
-        /// Number of times that it was applied.
+        /// Number of times that the member applied the proposal.
         count: u32,
     },
 }
@@ -169,11 +169,14 @@
     now: Timestamp,
     /// The first violation, if there was one.
     pub violation: Option<Violation>,
+    /// The first leader of each term.
     leaders: BTreeMap<u64, MemberId>,
+    /// The candidate of each first vote, by its raw member number.
     votes: BTreeMap<VoteKey, u64>,
     /// Members whose disks lost acknowledged writes: each of their boots has one vote per term, and the votes
     /// of older boots don't count.
     pub(super) members_with_lost_writes: BTreeSet<MemberId>,
+    /// The committed entries by index, as they were first applied.
     committed: BTreeMap<u64, AppliedEntry>,
     committed_ids: BTreeSet<ProposalId>,
     /// The proposals that were reported as committed, with the reported index.
@@ -302,7 +305,7 @@
         self.committed_ids.contains(&id)
     }
 
-    /// Index of the last committed proposal.
+    /// Index of the last committed proposal; 0 when there is none.
     pub fn last_committed(&self) -> u64 {
         self.committed.keys().next_back().copied().unwrap_or(0)
     }
--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -18,7 +18,7 @@
 /// Longest time from the start of a process to its first tick.
 const MAX_FIRST_TICK: TimeDelta = TimeDelta::from_millis(50);
 
-/// Makes the state machine of a host that starts.
+/// Makes a new state machine for a host that starts.
 type MakeStateMachine<A> = Box<dyn Fn(MemberId) -> A + Send>;
 
 /// Hosts, network, time and checker of one run.
@@ -133,7 +133,7 @@
         self.process_ready(id);
     }
 
-    /// Crashes a process.
+    /// Crashes a member's process and its machine; with `torn_writes`, unsynced bytes may partly survive.
     pub fn crash(&mut self, id: MemberId, torn_writes: bool) {
         if self.leader() == Some(id) {
             self.leaderless_since = Some(self.now);
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Adds a host for a member that is to join, on a new node or on one whose disk is erased. False when the
-    /// member already has a host.
+    /// Adds a host for a member that is to join, on a new node or on one whose disk is erased. Returns false
+    /// when the member already has a host.
     pub(super) fn add_host(&mut self, id: MemberId, contacts: Vec<MemberId>) -> bool {
         if self.current_host(id).is_some() {
             return false;
@@ -227,7 +227,7 @@
         self.process_ready(to);
     }
 
-    /// Completes or rejects the write in progress of a running process. False when the process can't
+    /// Completes or rejects the write in progress of a running process. Returns false when the process can't
     /// continue.
     pub(super) fn complete_write(&mut self, id: MemberId) -> bool {
         let mut outgoing = Vec::new();
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 struct ScheduledEvent {
-    at: Timestamp,
+    due_at: Timestamp,
     /// Number of the event in the order of scheduling, which is the order of events at the same time.
     sequence: u64,
     event: Event,
@@ -45,7 +45,7 @@
 
 impl ScheduledEvent {
     fn key(&self) -> (Timestamp, u64) {
-        (self.at, self.sequence)
+        (self.due_at, self.sequence)
     }
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The events that have not happened yet.
+/// The scheduled events that have not been handled yet.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -75,16 +75,16 @@
 }
 
 impl EventQueue {
-    pub fn push(&mut self, at: Timestamp, event: Event) {
+    pub fn push(&mut self, due_at: Timestamp, event: Event) {
         self.scheduled_count += 1;
-        self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
+        self.events.push(Reverse(ScheduledEvent { due_at, sequence: self.scheduled_count, event }));
     }
 
     /// Removes the next event, if it is due by `end`.
     pub fn pop_until(&mut self, end: Timestamp) -> Option<(Timestamp, Event)> {
-        if self.events.peek().is_none_or(|Reverse(next)| next.at > end) {
+        if self.events.peek().is_none_or(|Reverse(next)| next.due_at > end) {
             return None;
         }
-        self.events.pop().map(|Reverse(next)| (next.at, next.event))
+        self.events.pop().map(|Reverse(next)| (next.due_at, next.event))
     }
 }
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -13,13 +13,13 @@
     CrashLeader,
     /// The network is partitioned in two.
     Partition,
-    /// One link loses all messages, in one direction.
+    /// All messages from one node to another are lost; the opposite direction works.
     OneWayLoss,
     /// All incoming links of a member are cut, or all outgoing ones.
     Isolate,
     /// A process is paused, as by SIGSTOP, and resumes later.
     Pause,
-    /// The messages to and from a member are ten times slower.
+    /// The messages to and from a member take ten times as long.
     SlowLinks,
     /// The syncs of a disk take up to a second.
     SlowSync,
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -58,15 +58,19 @@
     pub state_machine: A,
     /// The node, while the process runs.
     pub node: Option<Node>,
+    /// The write-ahead log, while the process runs.
     wal: Option<Wal<FaultDisk>>,
     /// The disk, while the process does not run.
     disk: Option<FaultDisk>,
     /// Whether the process is paused, as by SIGSTOP: it does nothing, and frames wait.
     pub is_paused: bool,
+    /// Frames that arrived while the process was paused.
     waiting_frames: Vec<WaitingFrame>,
-    writing: VecDeque<Batch>,
+    /// Batches handed out and not yet on disk, oldest first.
+    unwritten_batches: VecDeque<Batch>,
     delayed_frames: VecDeque<DelayedFrames>,
     delayed_snapshot: Option<DelayedSnapshot>,
+    /// Index up to which all entries are applied.
     applied: u64,
     /// Number of starts of the process.
     pub start_count: u64,
@@ -108,7 +112,7 @@
             disk: Some(FaultDisk::new(seed)),
             is_paused: false,
             waiting_frames: Vec::new(),
-            writing: VecDeque::new(),
+            unwritten_batches: VecDeque::new(),
             delayed_frames: VecDeque::new(),
             delayed_snapshot: None,
             applied: 0,
@@ -130,7 +134,7 @@
         self.node.is_some()
     }
 
-    /// Whether the process runs and its node takes part.
+    /// Whether the process runs and its node has rejoined: it takes part in the protocol.
     pub fn is_established(&self) -> bool {
         self.is_up() && !matches!(self.role, None | Some(Role::Rejoining | Role::Quarantined))
     }
@@ -179,7 +183,7 @@
     pub(super) fn crash(&mut self, torn_writes: bool) {
         let Some(mut wal) = self.wal.take() else { return };
         if torn_writes {
-            if let Some(batch) = self.writing.front() {
+            if let Some(batch) = self.unwritten_batches.front() {
                 wal.disk_mut().faults = Faults { failing_sync: true, torn_writes, ..Faults::default() };
                 let _ = wal.write(&store::to_wal(batch));
             }
@@ -190,7 +194,7 @@
         self.disk = Some(disk);
         self.node = None;
         self.waiting_frames.clear();
-        self.writing.clear();
+        self.unwritten_batches.clear();
         self.delayed_frames.clear();
         self.delayed_snapshot = None;
         self.sync_due = None;
@@ -250,10 +254,10 @@
         running.map_or(Err(ProposeError::NotLeader { leader: None }), |node| node.propose(bytes, id))
     }
 
-    /// Completes or rejects the write in progress. False when the process can't continue.
+    /// Completes or rejects the write in progress. Returns false when the process can't continue.
     pub(super) fn complete_write(&mut self, now: Timestamp, plan: &Plan, outgoing: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
-        let Some(batch) = self.writing.front() else { return true };
+        let Some(batch) = self.unwritten_batches.front() else { return true };
         let number = batch.number;
         let write = self.batch_for_disk(batch, plan);
         let Some(wal) = &mut self.wal else { return true };
@@ -265,7 +269,7 @@
             Err(WalError::WriteRejected(_)) => return true,
             Err(_) => return false,
         }
-        self.writing.pop_front();
+        self.unwritten_batches.pop_front();
         self.batch_on_disk(now, number, outgoing);
         true
     }
@@ -314,7 +318,7 @@
         while let Some(ready) = self.node.as_mut().and_then(Node::ready) {
             self.handle_ready(now, plan, ready, checker, outgoing);
         }
-        if !self.writing.is_empty() && self.sync_due.is_none() {
+        if !self.unwritten_batches.is_empty() && self.sync_due.is_none() {
             let sync_time = if self.is_disk_full {
                 FULL_DISK_RETRY
             } else {
@@ -334,7 +338,7 @@
     ) {
         let acks_early = plan.has(InjectedBug::AckBeforeSync);
         let batch_number = ready.persist.as_ref().map(|batch| batch.number);
-        self.writing.extend(ready.persist.take());
+        self.unwritten_batches.extend(ready.persist.take());
         self.send_or_delay(&mut ready, acks_early, outgoing);
         let has_snapshot = ready.snapshot.is_some();
         if let (Some(snapshot), Some(after_batch)) = (ready.snapshot.take(), batch_number) {
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -11,9 +11,9 @@
 use rand::Rng;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Shortest duration of a fault.
+/// Shortest duration of a fault that lasts.
 const MIN_FAULT_TIME: TimeDelta = TimeDelta::from_millis(50);
-/// Longest duration of a fault.
+/// Longest duration of a fault that lasts.
 const MAX_FAULT_TIME: TimeDelta = TimeDelta::from_millis(3_000);
 /// Shortest time until a crashed process restarts.
 const MIN_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
@@ -24,14 +24,14 @@
 
 /// The end of an injected fault, and its time.
 pub(super) struct ScheduledEnd {
-    pub at: Timestamp,
+    pub ends_at: Timestamp,
     pub end: FaultEnd,
 }
 
 /// Injects the faults of a plan.
 #[derive(Debug)]
 pub(super) struct Nemesis {
-    /// Number of disks that may still be made to lose acknowledged writes.
+    /// Number of faults that make a disk lose acknowledged writes and may still be injected.
     write_loss_faults_left: u32,
     /// Number of faults injected so far.
     pub injected: u64,
@@ -111,7 +111,7 @@
         if fault == Fault::LyingDisk && !cluster.host(target).has_disk_lied {
             self.write_loss_faults_left -= 1;
             cluster.host_mut(target).is_disk_lying = true;
-            return vec![ScheduledEnd { at: drawn.until, end: FaultEnd::CrashWithLyingDisk(target) }];
+            return vec![ScheduledEnd { ends_at: drawn.until, end: FaultEnd::CrashWithLyingDisk(target) }];
         }
         Vec::new()
     }
@@ -146,8 +146,8 @@
     let mut ends = Vec::new();
     for member in members {
         cluster.crash(member, torn_writes);
-        let at = cluster.now() + draw::duration(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
-        ends.push(ScheduledEnd { at, end: FaultEnd::Restart(member) });
+        let ends_at = cluster.now() + draw::duration(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
+        ends.push(ScheduledEnd { ends_at, end: FaultEnd::Restart(member) });
     }
     ends
 }
@@ -172,7 +172,7 @@
         }
     };
     cluster.network.cut_links.extend(&links);
-    vec![ScheduledEnd { at: drawn.until, end: FaultEnd::RestoreLinks(links) }]
+    vec![ScheduledEnd { ends_at: drawn.until, end: FaultEnd::RestoreLinks(links) }]
 }
 
 /// The links between two halves of the nodes, drawn from the seed.
@@ -214,5 +214,5 @@
             FaultEnd::RestoreDisk(target)
         }
     };
-    vec![ScheduledEnd { at: drawn.until, end }]
+    vec![ScheduledEnd { ends_at: drawn.until, end }]
 }
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -36,10 +36,10 @@
     pub fault_every: TimeDelta,
     /// Faults to choose from; a fault that occurs several times is chosen more often.
     pub faults: Vec<Fault>,
-    /// Number of faults that make a member's disk lose acknowledged writes (lying syncs or a flipped bit); a
-    /// disk lies at most once.
+    /// Maximum number of faults that make a disk lose acknowledged writes (lying syncs or a flipped bit).
+    /// Each disk gets lying syncs at most once.
     pub max_write_loss_faults: u32,
-    /// Number of members that are down or rejoining at which no more are crashed.
+    /// Number of members that are down or rejoining at which no further member is crashed.
     pub max_down: u32,
     /// Fraction of messages that are lost, per mille.
     pub loss_per_mille: u32,
@@ -49,9 +49,9 @@
     pub max_delay: TimeDelta,
     /// Longest duration of a sync on a disk without faults.
     pub max_sync_time: TimeDelta,
-    /// Timing of the members.
+    /// Timer intervals and time-outs of the members.
     pub timing: Timing,
-    /// Bugs added on purpose.
+    /// Bugs added to every host on purpose.
     pub bugs: Vec<InjectedBug>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Plan {
-    /// Whether the plan contains a bug.
+    /// Whether `bug` is among the injected bugs.
     pub fn has(&self, bug: InjectedBug) -> bool {
         self.bugs.contains(&bug)
     }
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The same plan with shorter phases and fewer proposals, to run many seeds.
+    /// This plan with shorter phases and fewer proposals, to run many seeds.
     pub fn shorter(self, fault_time: TimeDelta) -> Plan {
         Plan {
             fault_time,
--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -14,8 +14,8 @@
 const NUMBER_BYTES: usize = size_of::<u64>();
 /// Length of the snapshot's fixed part: digest, flag, length of the encoded dedup table.
 const HEADER_BYTES: usize = 3 * NUMBER_BYTES;
-/// Length of one applied proposal in a snapshot: origin, sequence, count.
-const PROPOSAL_BYTES: usize = 3 * NUMBER_BYTES;
+/// Length of the record of one applied proposal in a snapshot: origin, sequence, count.
+const APPLIED_RECORD_BYTES: usize = 3 * NUMBER_BYTES;
 
 /// State machine that only records the applied proposals.
 #[derive(Debug, Clone, Default)]
@@ -82,12 +82,10 @@
         self.digest = read_number(bytes, 0);
         let dedup_end = HEADER_BYTES + read_number(bytes, 2 * NUMBER_BYTES) as usize;
         self.dedup = ProposalDedup::decode(&bytes[HEADER_BYTES..dedup_end]).unwrap_or_default();
-        for proposal in bytes[dedup_end..].chunks_exact(PROPOSAL_BYTES) {
-            let id = ProposalId {
-                origin: read_number(proposal, 0),
-                sequence: read_number(proposal, NUMBER_BYTES),
-            };
-            self.applied.insert(id, read_number(proposal, 2 * NUMBER_BYTES) as u32);
+        for record in bytes[dedup_end..].chunks_exact(APPLIED_RECORD_BYTES) {
+            let id =
+                ProposalId { origin: read_number(record, 0), sequence: read_number(record, NUMBER_BYTES) };
+            self.applied.insert(id, read_number(record, 2 * NUMBER_BYTES) as u32);
         }
     }
 
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -9,7 +9,7 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Time without proposals at the end of a run, in which all members reach the same state.
+/// Time without proposals at the end of a run, in which all members must reach the same state.
 const QUIET_TIME: TimeDelta = TimeDelta::from_secs(3);
 
 /// The result of a run.
@@ -17,7 +17,7 @@
 pub struct Report {
     /// The first violation, if there was one.
     pub violation: Option<Violation>,
-    /// Times from a leader's crash to the next leader.
+    /// For each crash of a leader, the time until there was a leader again.
     pub elections: Vec<TimeDelta>,
     /// Number of proposals by reported outcome.
     pub outcomes: OutcomeCounts,
@@ -33,7 +33,7 @@
     pub alarms: BTreeMap<&'static str, u64>,
     /// Number of members whose store was found damaged.
     pub damaged: u64,
-    /// Index of the last committed proposal.
+    /// Index of the last committed proposal; 0 when there is none.
     pub last_committed: u64,
     /// Whether too many members were permanently excluded at the end for a leader to be elected.
     pub is_unavailable: bool,
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -21,14 +21,14 @@
 /// Time from the start of the run to the first fault.
 const FIRST_FAULT: TimeDelta = TimeDelta::from_secs(1);
 /// Upper bound of a proposal's length (exclusive), bytes.
-const PROPOSAL_BYTES: usize = 64;
+const PROPOSAL_LENGTH_BOUND: usize = 64;
 /// Interval of checking whether a paused process has resumed, so that its write can complete.
 const PAUSED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
-/// Time until a process restarts that could not continue after a failed write.
+/// Time after which a process that could not continue after a failed write restarts.
 const RESTART_AFTER_FAILED_WRITE: TimeDelta = TimeDelta::from_millis(100);
-/// Shortest time until a process restarts that crashed with its lying disk.
+/// Shortest time after which a process that crashed with its lying disk restarts.
 const MIN_LYING_DISK_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
-/// Longest time until a process restarts that crashed with its lying disk.
+/// Longest time after which a process that crashed with its lying disk restarts.
 const MAX_LYING_DISK_DOWN_TIME: TimeDelta = TimeDelta::from_secs(1);
 
 /// One run: a cluster, the nemesis and the operator.
@@ -165,7 +165,7 @@
             return;
         }
         let byte: u8 = self.cluster.rng.gen();
-        let length = self.cluster.rng.gen_range(0..PROPOSAL_BYTES);
+        let length = self.cluster.rng.gen_range(0..PROPOSAL_LENGTH_BOUND);
         self.cluster.propose(vec![byte; length]);
         let next = draw::duration_around(&mut self.cluster.rng, self.cluster.plan.propose_every);
         self.schedule(next, Event::Propose);
@@ -184,7 +184,7 @@
             return;
         }
         for scheduled in self.nemesis.inject(&mut self.cluster, &mut self.operator) {
-            self.cluster.queue.push(scheduled.at, Event::EndFault(scheduled.end));
+            self.cluster.queue.push(scheduled.ends_at, Event::EndFault(scheduled.end));
         }
         let next = draw::duration_around(&mut self.cluster.rng, self.cluster.plan.fault_every);
         self.schedule(next, Event::InjectFault);
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -8,7 +8,7 @@
 pub struct Snapshot {
     /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// That entry's term.
+    /// Term of the last entry that the snapshot covers.
     pub term: u64,
     /// The membership as of that entry.
     pub membership: Membership,
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Arbitrary responses to a rejoining member.
+    /// A rejoining member ignores or handles any response to its request.
     #[test]
     fn rejoining_node_does_not_panic_on_arbitrary_responses(responses in proptest::collection::vec(any::<(u64, u64, u64, u64, bool, bool)>(), 1..20)) {
         let founders = vec![member(1), member(2), member(3)];
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -65,8 +65,8 @@
     for node in 2..=4 {
         quorum.add_response(member(node), rejoin_response(3, (3, 3), node == 2));
     }
-    // One member is established and one has not responded. Three established ones are impossible, so there is
-    // no wait.
+    // Besides this member one member is established, two are rejoining and one has not responded. At most two
+    // can be established, which is not a majority of the four, so there is no wait.
     assert!(quorum.outcome(Timestamp::ZERO).is_some_and(|outcome| outcome.is_weak));
     quorum.add_response(member(3), rejoin_response(3, (3, 3), true));
     assert_eq!(quorum.outcome(seconds(9)), None, "the fifth member may be established");
@@ -128,7 +128,7 @@
     assert_eq!(config(vec![]).check(), Ok(()));
 }
 
-/// A group of three members after four seconds without faults, the last of them without proposals.
+/// A group of three members after four seconds without faults, the last second without proposals.
 struct HealthyGroup {
     cluster: Cluster<ProposalRecorder>,
     leader: MemberId,
