--- a/crates/membership/src/decoder.rs
+++ b/crates/membership/src/decoder.rs
@@ -18,7 +18,7 @@
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The datagram is not of this protocol, or of another version of it.
+    /// The datagram is not of this protocol, or is of another protocol version.
     #[error("not a message of this protocol and version")]
     ForeignProtocol,
     /// The checksum does not match.
--- a/crates/membership/src/gossip_payload.rs
+++ b/crates/membership/src/gossip_payload.rs
@@ -18,7 +18,7 @@
 /// Work that a member sent to a warming engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupWork {
-    /// The engine, by [`engine_hash`].
+    /// Key of the engine ([`engine_hash`]).
     pub engine: u64,
     /// Work sent within the warm-up budget's window, in milliseconds.
     pub work_ms: u32,
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A member as updates describe it.
+/// Description and state of a member, as updates carry them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name of the member; a restart does not change it.
@@ -46,20 +46,20 @@
 /// An update piggybacked on a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// The state of a member.
+    /// A change of a member's state, or a report of its current state.
     Member {
         /// The member and its reported state.
         member: Member,
         /// Name of the member that reported this state first: a suspicion counts each reporter once.
         reported_by: String,
     },
-    /// A member's payload.
+    /// A payload that a member published.
     Payload {
         /// Name of the member that published the payload.
         member: String,
         /// Generation of the publishing process.
         generation: u64,
-        /// The published payload.
+        /// The payload, which contains its version.
         payload: GossipPayload,
     },
 }
@@ -74,9 +74,9 @@
         /// Name of the probed member; a different member at the address does not answer.
         target: String,
     },
-    /// The answer to a probe.
+    /// The answer to a `Ping` or `PingRequest`.
     Ack {
-        /// Sequence number of the probe.
+        /// Sequence number of the answered message.
         sequence: u32,
     },
     /// SWIM's ping-req: a request to probe a member on the sender's behalf, answered by an `Ack` or `Nack`
@@ -139,6 +139,6 @@
     pub sender: Sender,
     /// Kind of the message, with its fields.
     pub kind: MessageKind,
-    /// Updates piggybacked on the message.
+    /// Updates of the view that the message carries in addition to its own fields.
     pub updates: Vec<Update>,
 }
--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -17,7 +17,7 @@
     Suspected,
     /// The member refuted a suspicion or a declaration of its death.
     Refuted,
-    /// The member was declared dead.
+    /// The member's suspicion expired, or another member declared it dead.
     Died,
     /// The member announced that it is leaving, and left.
     Left,
@@ -43,17 +43,17 @@
 pub struct MembershipCounters {
     /// Messages put into the outbox.
     pub sent: u64,
-    /// Messages received.
+    /// Messages received, including those that had no effect.
     pub received: u64,
     /// Direct probes that were not answered in time.
     pub unanswered_direct_probes: u64,
     /// Suspicions that this member's own probes began.
     pub suspicions: u64,
-    /// Reports of this member as suspected or dead that it refuted.
+    /// Reports of this member as suspected, dead or having left that this member refuted.
     pub refutations: u64,
     /// Number of times that this member detected that its process had been stopped.
     pub stops: u64,
-    /// Complete views sent.
+    /// Complete views sent to members whose digest differed.
     pub views_sent: u64,
     /// Number of times that a new member was ignored because the view held [`crate::swim::MAX_MEMBERS`]
     /// members.
--- a/crates/membership/src/swim/local_member.rs
+++ b/crates/membership/src/swim/local_member.rs
@@ -1,4 +1,4 @@
-//! This member: its own description, and its reactions to updates that other members send about it.
+//! This member: its own description, and its reactions to other members' updates about this member.
 
 use crate::message::{Member, MemberState, Sender, Update};
 use std::net::SocketAddr;
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -147,8 +147,8 @@
         reported_by: String,
         config: &ProtocolConfig,
     ) -> Vec<ViewAction> {
-        // Dead members and those that left are not added: their updates only matter to members that knew
-        // them.
+        // Members that are dead or have left are not added: such an update only matters to members whose view
+        // contains its subject.
         if !member.state.is_live() {
             return Vec::new();
         }
--- a/crates/membership/src/swim/node.rs
+++ b/crates/membership/src/swim/node.rs
@@ -130,7 +130,7 @@
         self.local.member()
     }
 
-    /// Payloads of the other members.
+    /// Newest payloads of the other live members.
     pub fn payloads(&self) -> &PayloadTable {
         &self.payloads
     }
--- a/crates/membership/src/swim/node/view_exchange.rs
+++ b/crates/membership/src/swim/node/view_exchange.rs
@@ -29,7 +29,7 @@
     fn send_digest(&mut self, to: SocketAddr, is_reply: bool) {
         let kind =
             MessageKind::Digest { digest: self.digest(), member_count: self.live_count() as u32, is_reply };
-        // Carries this member's own state, by which a member that has just started becomes known.
+        // The message carries this member's own state: a member that has just started becomes known by it.
         let own = self.local.alive_update();
         self.send_with_updates(to, kind, vec![own]);
     }
--- a/crates/membership/src/swim/prober.rs
+++ b/crates/membership/src/swim/prober.rs
@@ -223,7 +223,7 @@
         unanswered
     }
 
-    /// Processes the answer to a probe. If the probe was on another member's behalf, its request is returned.
+    /// Processes the answer to a probe. Returns the request if the probe was on another member's behalf.
     pub(super) fn on_ack(&mut self, sequence: u32) -> Option<PingRequest> {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.is_acked = true;
@@ -231,7 +231,7 @@
         self.ping_requests.remove(&sequence)
     }
 
-    /// Counts the nack of a helper that got no answer from the target either.
+    /// Counts the nack of a helper that also got no answer from the target.
     pub(super) fn on_nack(&mut self, sequence: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.nacks += 1;
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -85,8 +85,8 @@
     network.converge(60).expect("views converge again");
 }
 
-/// All datagrams in one direction are lost: the two members cannot probe each other, but others can on their
-/// behalf.
+/// All datagrams from one member to another are lost: the two members cannot probe each other, but other
+/// members can on their behalf.
 #[test]
 fn one_way_loss_between_two_members_is_bridged_by_indirect_probes() {
     let mut network = converged_network(12, 6);
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
 //! The wire format must not change: datagrams of an earlier release are decoded and encoded bit for bit, and
-//! a simulated run sends the same datagrams as with that release.
+//! a simulated run sends the datagrams that the earlier release sent.
 mod common;
 
 use common::SimulatedNetwork;
