--- a/crates/hot-restart/src/codec.rs
+++ b/crates/hot-restart/src/codec.rs
@@ -40,7 +40,7 @@
     pub ids_left_out: usize,
 }
 
-/// Encodes a state file. If it does not fit, only hashes of engine ids are left out.
+/// Encodes a state file. If the contents do not fit, only hashes of engine ids are left out.
 ///
 /// # Errors
 /// [`StateFileError::TooLarge`] if the contents do not fit even without any hashes.
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -9,10 +9,10 @@
 /// Why the bytes of a state file are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateFileError {
-    /// The file is longer than [`MAX_FILE_BYTES`], so it is not a state file.
+    /// The file is longer than [`MAX_FILE_BYTES`], or its contents would be.
     #[error("{bytes} bytes: at most {MAX_FILE_BYTES} are supported")]
     TooLarge {
-        /// Length of the file in bytes, or a lower bound of it.
+        /// Length of the file in bytes, or a lower bound of the length.
         bytes: usize,
     },
     /// The file is truncated or corrupted, or not a state file at all.
@@ -67,7 +67,7 @@
     Cordon {
         /// Index of the record in the file.
         index: usize,
-        /// The field of the record and the rule that it violates.
+        /// The invalid field of the record and the rule that the field violates.
         source: RecordError,
     },
     /// The two lists of a warming engine's buckets (start times and work) differ in length.
--- a/crates/hot-restart/src/peer_state.rs
+++ b/crates/hot-restart/src/peer_state.rs
@@ -18,7 +18,7 @@
 /// that resumes later writes its file again.
 pub const DEAD_FILE_RETENTION: TimeDelta = TimeDelta::from_secs(10);
 /// Time for which a damaged file, or a file whose writer died during the write, is retained unchanged: long
-/// enough to inspect it, and too short for such files to fill a folder that counts as memory.
+/// enough to inspect the file, and too short for such files to fill a folder that counts as memory.
 pub const DAMAGED_FILE_RETENTION: TimeDelta = TimeDelta::from_secs(60);
 /// Maximum number of files of one instance that are read, newest processes first; further files are ignored.
 /// During a hot restart there are normally two files, one of each process.
@@ -29,9 +29,9 @@
 /// Another live process of this instance, as its file describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerState {
-    /// Identity of the process.
+    /// Generation, start time and pid of the process.
     pub process: Process,
-    /// Phase of the process.
+    /// Phase that the process announced in its file.
     pub phase: Phase,
     /// Processes with which the process shares its budgets.
     pub sharing_peers: Vec<Process>,
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Debug)]
 enum TrackedFile {
-    /// A file that was decoded.
+    /// A file that was decoded at least once.
     Peer {
         state: PeerState,
         /// Time of the last known write, by this process's clock.
--- a/crates/hot-restart/src/phase.rs
+++ b/crates/hot-restart/src/phase.rs
@@ -15,9 +15,9 @@
 use crate::state::{Phase, Process, MAX_SHARING_PEERS};
 use crate::{TimeDelta, Timestamp};
 
-/// Time for which a new process that can serve waits for its peers to share their budgets; then it serves
-/// without their acknowledgement. Peers read files every 100 ms, so a peer that has not acknowledged within
-/// this time is overloaded or stuck, and a hot restart must not wait for it.
+/// Time for which a new process that can serve waits for its peers to share their budgets; after this time
+/// the process serves without their acknowledgement. Peers read files every 100 ms, so a peer that has not
+/// acknowledged within this time is overloaded or stuck, and a hot restart must not wait for it.
 pub const ACK_TIMEOUT: TimeDelta = TimeDelta::from_secs(1);
 /// Time after SIGTERM for which new connections are still accepted while no newer process serves, because
 /// clients still open them.
@@ -33,7 +33,7 @@
 /// The phase of a process, and its permissions in this phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PhaseStatus {
-    /// Current phase of the process.
+    /// Phase of the process after the step.
     pub phase: Phase,
     /// Time at which the phase began.
     pub since: Timestamp,
@@ -46,7 +46,7 @@
     /// Number of processes among which the manager's budgets are divided: this process may spend `1 /
     /// budget_parts` of the warm-up budget and of the manager's fraction of the engines' cores. The fractions
     /// of all live processes that spend budgets add up to at most 1, except while a process has not read
-    /// another's file for [`ACK_TIMEOUT`] or is considered dead while it is alive.
+    /// another's file for [`ACK_TIMEOUT`] or a process is considered dead while it is alive.
     pub budget_parts: u32,
     /// Whether the process started to serve without acknowledgement, because peers did not share their
     /// budgets within [`ACK_TIMEOUT`].
@@ -54,8 +54,8 @@
     /// Idle time after which sessions without an open request are to be closed; `None` if no sessions are to
     /// be closed.
     pub close_idle_after: Option<TimeDelta>,
-    /// Processes with which this process shares its budgets, oldest first. They are written to its file, and
-    /// each counts in `budget_parts`.
+    /// Processes with which this process shares its budgets, oldest first. They are written to this process's
+    /// file, and each counts in `budget_parts`.
     pub sharing_peers: Vec<Process>,
 }
 
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -14,8 +14,9 @@
 /// Maximum number of processes with which budgets are shared; more than one only occurs if hot restarts
 /// overlap.
 pub const MAX_SHARING_PEERS: usize = 15;
-/// Maximum number of engines whose warm-up load is retained. Beyond it the engine that was sent work longest
-/// ago is left out. 64 engines that start within the same two seconds are the majority of the largest fleet.
+/// Maximum number of engines whose warm-up load is retained. Beyond this number the engine that was sent work
+/// longest ago is left out. 64 engines that start within the same two seconds are the majority of the largest
+/// fleet.
 pub const MAX_WARMING_ENGINES: usize = 64;
 
 /// The workload manager to which a process belongs; it is the same for both processes of a hot restart.
@@ -115,8 +116,8 @@
     pub retry_budget: Vec<RetryBudgetBucket>,
     /// Work sent to warming engines, by engine ([`crate::WindowCounters::warmup`]).
     pub warmup: Vec<WarmupLoad>,
-    /// Number of the last endpoint event read. It is for log lines only: each process numbers events from the
-    /// start again.
+    /// Number of the last endpoint event read. It is only for log lines, because each process numbers the
+    /// events anew.
     pub last_event: u64,
 }
 
@@ -139,7 +140,8 @@
     pub process: Process,
     /// Version of the writing program, for log lines.
     pub build: String,
-    /// Clock of the times in the file; `None` if the writer's build does not write it.
+    /// Relation of the times in the file to the machine's monotonic clock; `None` if the writer's build does
+    /// not write it.
     pub clock_reference: Option<ClockReference>,
     /// Time at which the file was written.
     pub written_at: Timestamp,
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -1,4 +1,5 @@
-//! The driver of a process: it writes the process's own state file and scans those of other processes.
+//! The driver of a process: it writes the process's own state file and scans the state files of other
+//! processes.
 
 use crate::codec::{decode, encode};
 use crate::error::{InvalidState, StateFileError, WriteError};
@@ -133,7 +134,7 @@
         (driver, scan)
     }
 
-    /// Identity of this process.
+    /// Generation, start time and pid of this process.
     pub fn process(&self) -> Process {
         self.process
     }
@@ -303,7 +304,7 @@
     /// process, which removes it after merging it.
     ///
     /// # Errors
-    /// As for [`StateFileDriver::write`].
+    /// The same errors as [`StateFileDriver::write`] returns.
     pub fn write_last(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
         self.phase_machine.terminate(now);
         self.status.phase = Phase::Terminated;
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -14,9 +14,9 @@
 /// Durations of the windows over which the rules count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowSpans {
-    /// Window of the retry budget.
+    /// Window over which the retry budget counts retries and admitted requests.
     pub retry_budget: TimeDelta,
-    /// Window of the engines' slow-start budget.
+    /// Window over which the engines' slow-start budget counts work.
     pub slow_start: TimeDelta,
 }
 
--- a/crates/hot-restart/src/window_counters.rs
+++ b/crates/hot-restart/src/window_counters.rs
@@ -25,7 +25,7 @@
     warmup_span: TimeDelta,
     /// Work in milliseconds, by engine id.
     warmup: BTreeMap<String, SlotWindow<u32>>,
-    /// Start of the newest slot.
+    /// Start of the newest slot of any counter; the earliest timestamp before the first count.
     newest_start: Timestamp,
     engines_left_out: u64,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts an admitted request.
+    /// Counts an admitted request, which enlarges the retry budget.
     pub fn count_admitted(&mut self, now: Timestamp) {
         self.follow_clock(now);
         let counts = self.retry_budget.slot_mut(now);
