--- a/crates/failpoints/src/fault_file.rs
+++ b/crates/failpoints/src/fault_file.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Checks the ranges of the armed failpoints.
+    /// Checks the number, names and passes of the failpoints and the time for which they block.
     fn check(&self) -> Result<(), FaultFileError> {
         if self.wait_ms > MAX_WAIT_MS {
             return Err(FaultFileError::WaitTooLong(self.wait_ms));
@@ -91,8 +91,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiskFaults {
-    /// Number of bytes accepted before writes fail; the write that exceeds this capacity is written up to it.
-    /// `None`: no limit.
+    /// Number of bytes accepted before writes fail; the write that exceeds this capacity is written up to the
+    /// capacity. `None` means no limit.
     pub full_after: Option<u64>,
     /// Error of a write that exceeds `full_after`.
     #[serde(rename = "refusal")]
--- a/crates/failpoints/src/faulty_disk.rs
+++ b/crates/failpoints/src/faulty_disk.rs
@@ -19,7 +19,7 @@
 }
 
 impl Write {
-    /// Offset of the end (exclusive).
+    /// Offset of the first byte after the write.
     fn end(&self) -> u64 {
         self.offset + self.bytes.len() as u64
     }
@@ -30,7 +30,7 @@
 pub struct FailedWrite {
     /// Writes that reach the file before the error.
     pub partial: Vec<Write>,
-    /// Kind of the error.
+    /// Kind of the error that the store must return.
     pub kind: DiskErrorKind,
 }
 
--- a/crates/failpoints/tests/faulty_disk.rs
+++ b/crates/failpoints/tests/faulty_disk.rs
@@ -14,8 +14,8 @@
     }
 }
 
-/// Appends three times; returns the contents of the file after a crash, and those that the store read before
-/// it.
+/// Appends three times; returns the contents of the file after a crash, and the contents that the store read
+/// before the crash.
 fn append_three_times(faults: DiskFaults) -> (Vec<u8>, Vec<u8>) {
     let mut disk = FaultyDisk::new(faults);
     let mut file = Vec::new();
--- a/crates/history-checker/src/cursor.rs
+++ b/crates/history-checker/src/cursor.rs
@@ -9,7 +9,7 @@
 /// index 0 is the position before the first record. Positions are ordered by epoch, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cursor {
-    /// Epoch of the log.
+    /// Epoch of the log, which changes when the log is created anew.
     pub epoch: u64,
     /// Index of the record within the epoch.
     pub index: u64,
--- a/crates/history-checker/src/outages.rs
+++ b/crates/history-checker/src/outages.rs
@@ -13,7 +13,7 @@
 /// A period in which a member was unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// Name of the member.
+    /// Name of the unavailable member.
     pub member: String,
     /// Whether the member is a manager or an engine.
     pub kind: MemberKind,
--- a/crates/history-checker/src/report.rs
+++ b/crates/history-checker/src/report.rs
@@ -44,7 +44,7 @@
 }
 
 impl CheckReport {
-    /// Whether no invariant was violated.
+    /// Whether no invariant was violated; also true if an invariant was applied to no case.
     pub fn is_passed(&self) -> bool {
         self.invariants.iter().all(|(_, report)| report.violations.is_empty())
     }
