--- a/crates/consensus/src/alarm.rs
+++ b/crates/consensus/src/alarm.rs
@@ -41,7 +41,7 @@
 pub enum QuarantineReason {
     /// A peer observed that this member acknowledged more than its disk held at its start.
     LostAcknowledgedWrites {
-        /// The peer.
+        /// The peer that observed the acknowledgement.
         observed_by: MemberId,
         /// Highest state that the peer observed this member to acknowledge.
         observed: AckState,
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -111,7 +111,7 @@
 }
 
 impl Config {
-    /// Checks ids, founders and timing.
+    /// Checks the timing, the member ids and the founders.
     ///
     /// # Errors
     /// The first rule that is broken.
@@ -147,9 +147,9 @@
         setting: &'static str,
         /// The rejected value.
         value: i64,
-        /// Lowest value allowed.
+        /// Lowest value allowed, in the unit of `value`.
         low: i64,
-        /// Highest value allowed.
+        /// Highest value allowed, in the unit of `value`.
         high: i64,
     },
     /// Nodes and incarnations count from 1.
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -55,9 +55,9 @@
 /// The term and index of a log entry. Positions are ordered as Raft compares logs: by term, then by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct LogPosition {
-    /// The entry's term.
+    /// Term in which a leader appended the entry.
     pub term: u64,
-    /// The entry's index.
+    /// Index of the entry in the log, from 1; 0 is the position before the first entry.
     pub index: u64,
 }
 
--- a/crates/consensus/src/message_check.rs
+++ b/crates/consensus/src/message_check.rs
@@ -16,8 +16,8 @@
     Accept,
     /// The message is malformed or below a floor, and is dropped.
     Drop,
-    /// The leader relies on an entry that this member must have acknowledged and does not have: the log has
-    /// lost it.
+    /// The leader relies on an entry that this member must have acknowledged and does not have: this member's
+    /// log has lost the entry.
     EntryLost,
     /// The leader has a different entry than this member at this committed index.
     Diverged(u64),
--- a/crates/consensus/src/node/conf_change.rs
+++ b/crates/consensus/src/node/conf_change.rs
@@ -8,7 +8,7 @@
 use prost::Message as _;
 
 impl Node {
-    /// Adds a member without a vote. An incarnation that was a member before is rejected.
+    /// Proposes to add a member without a vote. An incarnation that was a member before is rejected.
     ///
     /// # Errors
     /// The change was not proposed.
@@ -16,8 +16,8 @@
         self.propose_conf_change(ConfChange { kind: ConfChangeKind::AddLearner, member })
     }
 
-    /// Makes a learner a voter. Rejected while the learner lacks more than [`MAX_PROMOTION_LAG`] committed
-    /// entries.
+    /// Proposes to make a learner a voter. Rejected while the learner lacks more than [`MAX_PROMOTION_LAG`]
+    /// committed entries.
     ///
     /// # Errors
     /// The change was not proposed.
@@ -33,7 +33,7 @@
         self.propose_conf_change(ConfChange { kind: ConfChangeKind::Promote, member })
     }
 
-    /// Removes a member permanently: its incarnation can't be added again.
+    /// Proposes to remove a member permanently: its incarnation can't be added again.
     ///
     /// # Errors
     /// The change was not proposed. A leader must transfer its leadership before it can be removed.
--- a/crates/consensus/src/node/election_timeout.rs
+++ b/crates/consensus/src/node/election_timeout.rs
@@ -28,7 +28,7 @@
         ElectionTimeout { rng, shortest, longest, drawn: None }
     }
 
-    /// The timeout for a term and role, in ticks; the same until either changes.
+    /// The timeout for a term and role, in ticks; it stays the same until the term or the role changes.
     pub fn ticks(&mut self, term: u64, role: StateRole) -> usize {
         match self.drawn {
             Some(drawn) if drawn.term == term && drawn.role == role => drawn.ticks,
--- a/crates/consensus/src/node/errors.rs
+++ b/crates/consensus/src/node/errors.rs
@@ -37,7 +37,7 @@
 /// Why a proposal was rejected. It was neither appended nor forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// This member does not lead, and knows of no leader, or is not established.
+    /// This member is rejoining, or it does not lead and knows of no leader.
     #[error("not the leader: {}", describe_leader(.leader))]
     NotLeader {
         /// The leader, if it is known.
@@ -95,7 +95,8 @@
     /// A leader has to transfer its leadership before it is removed.
     #[error("the leader has to transfer its leadership first")]
     RemovesLeader,
-    /// The learner's log is behind.
+    /// The learner lacks more than [`crate::limits::MAX_PROMOTION_LAG`] committed entries, or has not
+    /// acknowledged any entry.
     #[error("the learner lacks {missing_entries} entries")]
     LearnerBehind {
         /// Number of committed entries that the learner lacks.
--- a/crates/consensus/src/node/leadership.rs
+++ b/crates/consensus/src/node/leadership.rs
@@ -19,7 +19,7 @@
     /// after an election timeout.
     ///
     /// # Errors
-    /// This member does not lead, or the other member has no vote.
+    /// This member does not lead, or `to` is this member or has no vote.
     pub fn transfer_leadership(&mut self, to: MemberId) -> Result<(), LeadershipError> {
         if !self.is_leading() {
             return Err(LeadershipError::NotLeader { leader: self.leader() });
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -84,9 +84,9 @@
     election_timeout: ElectionTimeout,
     phase: Phase,
     floors: RejoinFloors,
-    /// Number of this boot.
+    /// Number of this start of the member, counted on its disk.
     boot: u64,
-    /// Random number of this boot.
+    /// Random number of this start, which distinguishes starts with the same number.
     nonce: u64,
     /// The members to send rejoin requests to while the log contains no membership.
     contacts: VersionedMembership,
--- a/crates/consensus/src/node/persistence.rs
+++ b/crates/consensus/src/node/persistence.rs
@@ -27,7 +27,7 @@
     /// Number of the last batch handed out.
     pub last_batch: u64,
     in_flight: VecDeque<InFlightBatch>,
-    /// Whether the next batch has to contain the snapshot and all entries after it.
+    /// Whether the next batch has to contain the snapshot and all entries after the snapshot.
     pub is_snapshot_due: bool,
     /// Whether a batch is due because the member's boot number or phase changed, even if the raft library has
     /// nothing to write.
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Records that a batch and all before it are on disk. Returns the number of the raft library's newest
-    /// `Ready` that this makes durable, or 0.
+    /// Records that a batch and all batches before it are on disk. Returns the number of the raft library's
+    /// newest `Ready` that this makes durable, or 0.
     pub fn batch_on_disk(&mut self, number: u64) -> u64 {
         let mut raft_ready = 0;
         while let Some(batch) = self.in_flight.front().filter(|batch| batch.number <= number) {
--- a/crates/consensus/src/node/propose.rs
+++ b/crates/consensus/src/node/propose.rs
@@ -61,9 +61,9 @@
         self.raw_node.propose(Vec::new(), data).map_err(|_| ProposeError::TooManyPending)
     }
 
-    /// Handles a proposal that another member forwarded. It may be appended only in the term for which it was
-    /// forwarded: so once an entry of a later term is committed, the proposer knows that the proposal will
-    /// never be appended.
+    /// Handles a proposal that another member forwarded. The proposal may be appended only in the term for
+    /// which it was forwarded, so that the proposer knows, once an entry of a later term is committed, that
+    /// the proposal will never be appended.
     pub(super) fn handle_forwarded_proposal(&mut self, from: MemberId, forwarded: ForwardedProposal) {
         let Some(proposal) = forwarded.proposal else { return };
         let reason = if !self.is_leading() || forwarded.term != self.raw_node.raft.term {
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -143,7 +143,7 @@
         self.must_save_now = false;
     }
 
-    /// Records the state that a peer acknowledges, if it is higher than any observed before.
+    /// Records the state that a peer acknowledges, if the state is higher than any observed before.
     pub fn observe_ack(&mut self, member: MemberId, ack: &AckState) {
         let Some(peer) = self.entry(member) else { return };
         if ack.writes > peer.observed_ack.writes {
@@ -170,7 +170,7 @@
         known.take(MAX_BOOTS).map(boot_to_wire).collect()
     }
 
-    /// All boots, for the disk.
+    /// The newest known boots of all peers, for the disk.
     pub fn boots(&self) -> Vec<Boot> {
         self.peers.iter().map(boot_to_wire).collect()
     }
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -16,7 +16,7 @@
     pub index: u64,
     /// Term in which the leader appended the entry.
     pub term: u64,
-    /// Id of the proposal.
+    /// Id that the proposer chose.
     pub id: ProposalId,
     /// Content of the proposal.
     pub bytes: Vec<u8>,
@@ -54,7 +54,7 @@
     pub persisted_messages: Vec<Frame>,
     /// A snapshot received from the leader, which replaces the applied state.
     pub snapshot: Option<Snapshot>,
-    /// Entries to apply in order.
+    /// Committed proposals to apply, in the order of the log.
     pub committed_entries: Vec<CommittedEntry>,
     /// When not 0: all entries up to this index are handed out. [`crate::Node::applied`] is called with this
     /// index when the entries are applied.
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -7,10 +7,11 @@
 //! and that its disk lost the vote or entry. The election or the commit needed a majority, so at least half
 //! of the other voters contributed to it. X gets responses from a majority of the other voters, so from at
 //! least one of these contributors, H. Either H gave its vote or acknowledgement before it responded to X:
-//! then the response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then
-//! H's message shows that X has restarted, and the member that counts votes or acknowledgements drops those
-//! of X. H must not have lost writes itself. That holds for established members, because they have rejoined
-//! in the same way; this is why normally only their responses count.
+//! then the term or last entry in the response covers the vote or acknowledgement, and X takes this term or
+//! entry as its floor. Or H gave it after the response: then H's message shows that X has restarted, and the
+//! member that counts votes or acknowledgements drops those of X. H must not have lost writes itself. That
+//! holds for established members, because they have rejoined in the same way; this is why normally only their
+//! responses count.
 
 use crate::ids::{LogPosition, MemberId};
 use crate::limits::MAX_UNLISTED_PEERS;
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Adds a response; it replaces an earlier one of the same member. A response is ignored when its sender
-    /// got no request and doesn't know a newer membership.
+    /// Adds a response, which replaces an earlier response of the same member. A response is ignored when its
+    /// sender got no request and doesn't know a newer membership.
     pub fn add_response(&mut self, from: MemberId, response: RejoinResponse) {
         let has_newer_membership = response.membership.index > self.newest_membership().index;
         if has_newer_membership || self.request_targets().contains(&from) {
@@ -206,9 +207,9 @@
                 continue;
             }
             vote_term = vote_term.max(response.term);
-            // The floor of a member is the furthest position among the one that it reports itself and those
-            // that others report for it. A floor for this member itself has no effect if its disk has lost
-            // nothing, and is needed if it has.
+            // The floor of a member is the furthest of the position that the member reports itself and the
+            // positions that other members report for it. A floor for this member itself has no effect if its
+            // disk has lost nothing, and is needed if its disk has lost entries.
             let own_floor = LogFloor { member: from, last_position: response.last_position };
             for floor in response.floors.iter().chain([&own_floor]) {
                 let furthest = logs.entry(floor.member).or_insert(floor.last_position);
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -26,7 +26,7 @@
 pub struct Violation {
     /// Virtual time at which the checker found the violation.
     pub occurred_at: Timestamp,
-    /// The violated invariant, with details.
+    /// The violated invariant, with the members, entries and proposals concerned.
     pub kind: ViolationKind,
 }
 
@@ -185,7 +185,7 @@
     quarantined: BTreeSet<MemberId>,
     /// Number of proposals by their reported outcome.
     pub outcomes: OutcomeCounts,
-    /// Number of alarms by kind.
+    /// Number of alarms that members raised, by kind.
     pub alarms: BTreeMap<&'static str, u64>,
 }
 
--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -24,7 +24,7 @@
 /// Hosts, network, time and checker of one run.
 pub struct Cluster<A> {
     pub(super) rng: ChaCha8Rng,
-    /// Parameters of the run.
+    /// Parameters of the run, fixed at its start.
     pub plan: Plan,
     /// The hosts by node, one for each.
     pub hosts: BTreeMap<u32, Host<A>>,
@@ -113,7 +113,8 @@
         self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
     }
 
-    /// Starts a member's process, unless it runs, its store is damaged, or the node has another member.
+    /// Starts a member's process, unless the process runs, its store is damaged, or the node has another
+    /// member.
     pub fn start(&mut self, id: MemberId) {
         let state_machine = (self.make_state_machine)(id);
         let contacts = self.contacts.get(&id.node);
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -19,7 +19,7 @@
 /// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A process is ticked.
+    /// The timers of a process advance.
     Tick(ProcessRun),
     /// A frame arrives at its receiver.
     Deliver(Box<Frame>),
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -274,7 +274,8 @@
         true
     }
 
-    /// The batch as it is written to disk, without the vote if the plan has that bug.
+    /// The batch as it is written to disk; without the vote if the plan has
+    /// [`InjectedBug::VoteNotPersisted`].
     fn batch_for_disk(&self, batch: &Batch, plan: &Plan) -> WriteBatch {
         let mut write = store::to_wal(batch);
         if plan.has(InjectedBug::VoteNotPersisted) {
--- a/crates/consensus/src/sim/mod.rs
+++ b/crates/consensus/src/sim/mod.rs
@@ -5,7 +5,7 @@
 //! [`crate::Node`], a write-ahead log on a disk with faults, and a [`StateMachine`] that applies entries. A
 //! [`Simulation`] drives the cluster: a nemesis injects the faults of the [`Plan`], an operator replaces
 //! members, and a [`Checker`] examines the actions of the hosts and ends the run at the first violation.
-//! Simulators of other crates can use it with a [`StateMachine`] and commands of their own
+//! Simulators of other crates can use this simulator with a [`StateMachine`] and commands of their own
 //! ([`Simulation::run_until`], [`Cluster::host_mut`], [`Cluster::propose`]).
 //!
 //! [`InjectedBug`] adds a bug to the hosts (never to the node) to show that the checker detects it.
--- a/crates/consensus/src/sim/network.rs
+++ b/crates/consensus/src/sim/network.rs
@@ -29,7 +29,7 @@
     loss_per_mille: u32,
     duplicate_per_mille: u32,
     max_delay: TimeDelta,
-    /// Number of messages sent.
+    /// Number of messages sent, including lost ones.
     pub sent: u64,
     /// Number of bytes sent, estimated from one message in sixteen.
     pub bytes: u64,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Arrival times of the copies of a message; empty when it is lost.
+    /// Arrival times of the copies of a message; empty when the message is lost.
     pub(super) fn arrivals(
         &mut self,
         rng: &mut ChaCha8Rng,
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -25,7 +25,7 @@
     pub faults_injected: u64,
     /// Number of members replaced.
     pub replaced: u64,
-    /// Number of messages sent.
+    /// Number of messages sent, including lost ones.
     pub messages: u64,
     /// Size of the messages, bytes, estimated from one in sixteen.
     pub bytes: u64,
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -38,7 +38,7 @@
     nemesis: Nemesis,
     operator: Operator,
     injects_faults: bool,
-    /// Whether proposals are still made.
+    /// Whether proposals are made; the caller may unset it to let the members reach the same state.
     pub is_proposing: bool,
     /// Whether no leader could be elected at the end, because too many members were permanently excluded.
     pub(super) is_unavailable: bool,
@@ -92,8 +92,8 @@
         host.is_disk_full = false;
         let loses_writes = host.is_disk_lying && host.is_up();
         if loses_writes {
-            // From now on the disk syncs correctly. Data that it did not write is lost with the machine's
-            // memory.
+            // From now on the disk syncs correctly. Data that the disk did not write is lost with the
+            // machine's memory.
             host.crash(true);
         }
         host.is_disk_lying = false;
--- a/crates/consensus/src/state_digests.rs
+++ b/crates/consensus/src/state_digests.rs
@@ -20,7 +20,7 @@
         self.digests.push_back(StateDigest { index, digest });
     }
 
-    /// The newest digest.
+    /// The newest digest; `None` before the first one.
     pub fn newest(&self) -> Option<StateDigest> {
         self.digests.back().copied()
     }
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -21,7 +21,7 @@
     /// log's.
     #[error("invalid snapshot at entry {index}")]
     InvalidSnapshot {
-        /// The snapshot's index.
+        /// Index at which the write-ahead log has the snapshot.
         index: u64,
     },
     /// The kind of the entry is missing or unknown.
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -52,7 +52,7 @@
         Outcome { kind: v1::outcome::Kind::Duplicate as i32, ..Outcome::default() }
     }
 
-    /// Whether the entry took effect.
+    /// Whether the entry took effect; false for rejected and duplicate entries.
     pub fn is_applied(&self) -> bool {
         self.kind() == v1::outcome::Kind::Applied
     }
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -13,7 +13,7 @@
     /// The file does not exist.
     #[error("no such file")]
     Missing,
-    /// Any other failure.
+    /// Any other error of the file operation.
     #[error("input or output failed")]
     Io(#[source] Arc<io::Error>),
 }
