--- a/crates/hot-restart/src/peer_state/tests.rs
+++ b/crates/hot-restart/src/peer_state/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::state::{Instance, StateSnapshot};
 
-fn at(seconds: i64) -> Timestamp {
+fn at_seconds(seconds: i64) -> Timestamp {
     Timestamp::from_micros(seconds * 1_000_000)
 }
 
@@ -25,22 +25,22 @@
 #[test]
 fn process_is_alive_while_its_file_changes_and_the_file_is_removable_once_merged() {
     let mut peers = PeerTable::default();
-    peers.record_read(at(100), "a", &file(1, at(100), Phase::Serving));
-    assert_eq!(peers.live_peers(at(100) + PEER_TIMEOUT).len(), 1);
-    let after_timeout = at(100) + PEER_TIMEOUT + TimeDelta::from_micros(1);
+    peers.record_read(at_seconds(100), "a", &file(1, at_seconds(100), Phase::Serving));
+    assert_eq!(peers.live_peers(at_seconds(100) + PEER_TIMEOUT).len(), 1);
+    let after_timeout = at_seconds(100) + PEER_TIMEOUT + TimeDelta::from_micros(1);
     assert!(peers.live_peers(after_timeout).is_empty());
-    let after_retention = at(200);
+    let after_retention = at_seconds(200);
     assert!(peers.removable_files(after_retention).is_empty(), "the file is not merged yet");
     peers.record_own_write();
-    assert!(peers.removable_files(at(100) + DEAD_FILE_RETENTION).is_empty());
+    assert!(peers.removable_files(at_seconds(100) + DEAD_FILE_RETENTION).is_empty());
     assert_eq!(peers.removable_files(after_retention), ["a"]);
     // The process was only stopped, and resumes.
-    peers.record_read(after_retention, "a", &file(1, at(200), Phase::Serving));
+    peers.record_read(after_retention, "a", &file(1, at_seconds(200), Phase::Serving));
     assert_eq!(
         (peers.live_peers(after_retention).len(), peers.removable_files(after_retention).len()),
         (1, 0)
     );
-    peers.record_read(after_retention, "a", &file(1, at(200), Phase::Terminated));
+    peers.record_read(after_retention, "a", &file(1, at_seconds(200), Phase::Terminated));
     assert!(
         peers.live_peers(after_retention).is_empty() && peers.removable_files(after_retention).is_empty()
     );
@@ -58,21 +58,23 @@
 #[test]
 fn process_with_a_file_from_the_future_times_out() {
     let mut peers = PeerTable::default();
-    peers.record_read(at(100), "a", &file(1, at(9_000), Phase::Serving));
-    assert_eq!(peers.live_peers(at(100)).len(), 1);
-    assert!(peers.live_peers(at(102)).is_empty());
+    peers.record_read(at_seconds(100), "a", &file(1, at_seconds(9_000), Phase::Serving));
+    assert_eq!(peers.live_peers(at_seconds(100)).len(), 1);
+    assert!(peers.live_peers(at_seconds(102)).is_empty());
 }
 
 #[test]
 fn damaged_files_are_removable_after_their_retention_and_foreign_ones_never() {
     let mut peers = PeerTable::default();
     let names = ["1", "2", "3", "4", "5", "6"];
-    names.iter().for_each(|name| peers.record_read(at(0), name, &Err(StateFileError::Damaged("truncated"))));
-    peers.record_read(at(0), "7", &Err(StateFileError::NewerFormat { format: 9 }));
-    peers.record_temporary_file(at(0), "8");
-    peers.record_temporary_file(at(50), "8");
-    assert!(peers.removable_files(at(0) + DAMAGED_FILE_RETENTION).is_empty());
-    let after_retention = at(0) + DAMAGED_FILE_RETENTION + TimeDelta::from_micros(1);
+    names
+        .iter()
+        .for_each(|name| peers.record_read(at_seconds(0), name, &Err(StateFileError::Damaged("truncated"))));
+    peers.record_read(at_seconds(0), "7", &Err(StateFileError::NewerFormat { format: 9 }));
+    peers.record_temporary_file(at_seconds(0), "8");
+    peers.record_temporary_file(at_seconds(50), "8");
+    assert!(peers.removable_files(at_seconds(0) + DAMAGED_FILE_RETENTION).is_empty());
+    let after_retention = at_seconds(0) + DAMAGED_FILE_RETENTION + TimeDelta::from_micros(1);
     assert_eq!(
         peers.removable_files(after_retention),
         names[..MAX_REMOVALS_PER_WRITE],
@@ -85,8 +87,8 @@
 #[test]
 fn live_process_whose_file_cannot_be_read_once_stays_alive() {
     let mut peers = PeerTable::default();
-    peers.record_read(at(0), "a", &file(1, at(0), Phase::Serving));
-    peers.record_read(at(1), "a", &Err(StateFileError::Damaged("truncated")));
-    assert_eq!(peers.live_peers(at(1)).len(), 1);
-    assert!(peers.live_peers(at(2)).is_empty());
+    peers.record_read(at_seconds(0), "a", &file(1, at_seconds(0), Phase::Serving));
+    peers.record_read(at_seconds(1), "a", &Err(StateFileError::Damaged("truncated")));
+    assert_eq!(peers.live_peers(at_seconds(1)).len(), 1);
+    assert!(peers.live_peers(at_seconds(2)).is_empty());
 }
--- a/crates/hot-restart/src/window_counters/tests.rs
+++ b/crates/hot-restart/src/window_counters/tests.rs
@@ -7,7 +7,7 @@
 /// One second in microseconds.
 const SECOND: i64 = 1_000 * MILLISECOND;
 
-fn at(micros: i64) -> Timestamp {
+fn at_micros(micros: i64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
@@ -30,7 +30,7 @@
 fn counts_older_than_their_window_are_left_out_and_memory_is_bounded() {
     let mut counters = counters();
     for i in 0..100_000_i64 {
-        let now = at(i * 10 * MILLISECOND);
+        let now = at_micros(i * 10 * MILLISECOND);
         counters.count_admitted(now);
         if i % 10 == 0 {
             counters.count_retry(now);
@@ -39,7 +39,7 @@
         let buckets = counters.retry_budget.len();
         assert!(buckets <= 22 && counters.warmup["e"].len() <= 10, "{buckets} buckets");
     }
-    let now = at(99_999 * 10 * MILLISECOND);
+    let now = at_micros(99_999 * 10 * MILLISECOND);
     let (admitted, retries, work_ms) = totals(&counters, now);
     // Only whole buckets are dropped: up to one bucket (25 events at 10 ms) more than the windows' 500 and
     // 200 events.
@@ -51,9 +51,9 @@
 #[test]
 fn counts_move_back_with_a_clock_that_is_set_back() {
     let mut counters = counters();
-    let now = at(1_000 * SECOND);
+    let now = at_micros(1_000 * SECOND);
     (0..7).for_each(|_| counters.count_retry(now));
-    let set_back = at(10 * SECOND);
+    let set_back = at_micros(10 * SECOND);
     counters.count_retry(set_back);
     counters.count_warmup(set_back, "e", 5);
     assert_eq!(totals(&counters, set_back), (0, 8, 5), "no counts are lost");
@@ -68,10 +68,10 @@
 fn least_recently_used_engine_is_evicted_at_the_limit() {
     let mut counters = counters();
     for i in 0..=MAX_WARMING_ENGINES as i64 {
-        counters.count_warmup(at(i * MILLISECOND), &format!("{i:03}"), 1);
+        counters.count_warmup(at_micros(i * MILLISECOND), &format!("{i:03}"), 1);
     }
-    let loads = counters.warmup(at(MAX_WARMING_ENGINES as i64 * MILLISECOND));
+    let loads = counters.warmup(at_micros(MAX_WARMING_ENGINES as i64 * MILLISECOND));
     assert_eq!((loads.len(), counters.engines_left_out()), (MAX_WARMING_ENGINES, 1));
-    counters.count_warmup(at(60 * SECOND), "new", 1);
+    counters.count_warmup(at_micros(60 * SECOND), "new", 1);
     assert_eq!(counters.engines_left_out(), 1, "an engine with work older than the window is not counted");
 }
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -150,23 +150,23 @@
 }
 
 fn earlier_contents(phase: Phase) -> StateFile {
-    let at = |micros: i64| Timestamp::from_micros(1_700_000_000_000_000 + micros);
+    let at_micros = |micros: i64| Timestamp::from_micros(1_700_000_000_000_000 + micros);
     let record = |target, cause, version, cordoned, lease: Option<i64>, reason: &str| CordonRecord {
         target,
         cause,
         entry: CordonEntry {
             version,
             cordoned,
-            lease_expires_at: lease.map(at),
-            changed_at: at(5),
+            lease_expires_at: lease.map(at_micros),
+            changed_at: at_micros(5),
             reason: reason.into(),
         },
     };
     let engine = |id: &str| Target::Engine(id.into());
     let fleet = Cause::Fleet { permit: 9 };
     let warmup_buckets = vec![
-        WarmupBucket { start: at(250_000), work_ms: 400 },
-        WarmupBucket { start: at(750_000), work_ms: 1 },
+        WarmupBucket { start: at_micros(250_000), work_ms: 400 },
+        WarmupBucket { start: at_micros(750_000), work_ms: 1 },
     ];
     StateFile {
         phase,
@@ -179,8 +179,8 @@
             ],
             known_ids: vec![1, u64::MAX, 3],
             retry_budget: vec![
-                RetryBudgetBucket { start: at(250_000), retries: 2, admitted: 30 },
-                RetryBudgetBucket { start: at(500_000), retries: 0, admitted: 1 },
+                RetryBudgetBucket { start: at_micros(250_000), retries: 2, admitted: 30 },
+                RetryBudgetBucket { start: at_micros(500_000), retries: 0, admitted: 1 },
             ],
             warmup: vec![WarmupLoad { engine: "s-3".into(), buckets: warmup_buckets }],
             last_event: 1234,
@@ -188,7 +188,7 @@
     }
 }
 
-/// This build decodes an earlier release's file, and encodes the same contents as the same bytes.
+/// This build decodes an earlier release's file, and encodes the decoded contents to the file's bytes.
 #[test]
 fn file_of_an_earlier_release_is_decoded_and_encoded_bit_for_bit() {
     let phases = [
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// The last accepted call on an engine: its time, and whether it cordoned the engine. `None` if there was
-/// none, or if the effect of the last call is unknown.
+/// The last accepted call on an engine: its time, and whether it cordoned the engine. `None` if there was no
+/// accepted call, or if the effect of the last call is unknown.
 type AcceptedCall = Option<(i64, bool)>;
 
 pub struct Simulation {
@@ -194,7 +194,8 @@
     }
 
     fn call(&mut self, process_index: u8, engine: usize, cordon: bool) {
-        // Two calls never happen within the same microsecond.
+        // The call count separates calls made at the same simulated time: no two calls happen within one
+        // microsecond.
         let now = self.now + self.call_count as i64;
         let process = self.live_process(process_index);
         let Some(process) = process.filter(|process| process.paused_until <= now) else { return };
@@ -209,7 +210,7 @@
         }
         match process.write(Timestamp::from_micros(now)) {
             WriteOutcome::Written => self.accepted_calls[engine] = Some((now, cordon)),
-            // The process died before it answered: the call accepted before is still in force.
+            // The process died before it answered the call: the previously accepted call is still in force.
             WriteOutcome::Died => process.is_dead = true,
             // The call was not accepted, and its effect is unknown until the next call.
             WriteOutcome::Failed => self.accepted_calls[engine] = None,
--- a/crates/hot-restart/tests/disk.rs
+++ b/crates/hot-restart/tests/disk.rs
@@ -147,8 +147,8 @@
     );
 }
 
-/// Hundreds of managers share one folder, as on a test rig: each opens only the files of its own instance,
-/// and of those only the newest.
+/// Hundreds of managers share one folder, as on a test rig: each process opens only the files of its own
+/// instance, and of these files only the newest.
 #[test]
 fn files_of_other_instances_are_ignored_and_files_of_the_own_instance_are_limited() {
     let dir = tempfile::tempdir().expect("temporary folder");
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -14,12 +14,12 @@
 }
 
 /// The timestamp `micros` microseconds after the first one.
-fn at(micros: i64) -> Timestamp {
+fn at_micros(micros: i64) -> Timestamp {
     Timestamp::from_micros(1_700_000_000_000_000 + micros)
 }
 
 fn process(generation: u64) -> Process {
-    Process { generation, started_at: at(generation as i64), pid: 70 + generation as u32 }
+    Process { generation, started_at: at_micros(generation as i64), pid: 70 + generation as u32 }
 }
 
 fn cordon(
@@ -33,7 +33,7 @@
         version: 1_700_000_000_000_007,
         cordoned,
         lease_expires_at: lease,
-        changed_at: at(7),
+        changed_at: at_micros(7),
         reason: reason.into(),
     };
     CordonRecord { target, cause, entry }
@@ -43,7 +43,7 @@
 fn full_file() -> StateFile {
     let engine = |id: &str| Target::Engine(id.into());
     let retry_bucket = |index: u32| RetryBudgetBucket {
-        start: at(250_000 * i64::from(index)),
+        start: at_micros(250_000 * i64::from(index)),
         retries: index,
         admitted: 100 + 3 * index,
     };
@@ -52,10 +52,10 @@
         process: process(4),
         build: "sprucelink 0.1.0".into(),
         clock_reference: None,
-        written_at: at(9_000_000),
+        written_at: at_micros(9_000_000),
         sequence: 36,
         phase: Phase::ServingBesideSuccessor,
-        phase_since: at(8_000_000),
+        phase_since: at_micros(8_000_000),
         sharing_peers: vec![process(5), process(6)],
         snapshot: StateSnapshot {
             cordons: vec![
@@ -65,10 +65,10 @@
                     engine("s-2"),
                     Cause::Fleet { permit: u64::MAX },
                     true,
-                    Some(at(60_000_000)),
+                    Some(at_micros(60_000_000)),
                     "rollout, é",
                 ),
-                cordon(Target::Manager, Cause::Fleet { permit: 0 }, true, Some(at(1)), "x"),
+                cordon(Target::Manager, Cause::Fleet { permit: 0 }, true, Some(at_micros(1)), "x"),
             ],
             known_ids: vec![0, 1, 0x9b1f_03aa_5c7e_2d41, u64::MAX],
             retry_budget: (0..20).map(retry_bucket).collect(),
@@ -77,8 +77,8 @@
                 WarmupLoad {
                     engine: "s-10".into(),
                     buckets: vec![
-                        WarmupBucket { start: at(250_000), work_ms: 0 },
-                        WarmupBucket { start: at(500_000), work_ms: u32::MAX },
+                        WarmupBucket { start: at_micros(250_000), work_ms: 0 },
+                        WarmupBucket { start: at_micros(500_000), work_ms: u32::MAX },
                     ],
                 },
             ],
@@ -94,10 +94,10 @@
         process: process(1),
         build: String::new(),
         clock_reference: None,
-        written_at: at(0),
+        written_at: at_micros(0),
         sequence: 1,
         phase,
-        phase_since: at(-1),
+        phase_since: at_micros(-1),
         sharing_peers: Vec::new(),
         snapshot: StateSnapshot::default(),
     }
@@ -147,7 +147,7 @@
     let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::copy(golden_folder().join(&name), dir.path().join(&name)).expect("copied");
     let (driver, scan) =
-        StateFileDriver::open(DiskFolder::new(dir.path()), instance(), "test", 7, at(9_100_000));
+        StateFileDriver::open(DiskFolder::new(dir.path()), instance(), "test", 7, at_micros(9_100_000));
     assert_eq!(scan.files, [full_file]);
     assert_eq!(driver.process().generation, 5);
 }
--- a/crates/hot-restart/tests/phase_machine.rs
+++ b/crates/hot-restart/tests/phase_machine.rs
@@ -20,7 +20,8 @@
     PeerState { process, phase: status.phase, sharing_peers: status.sharing_peers.clone() }
 }
 
-/// An old process that serves, a new one that starts, and the state of the old one as the new one reads it.
+/// An old process that serves, a new process that starts, and the old process's state as the new process
+/// reads it.
 fn old_and_new_process() -> (PhaseMachine, PhaseMachine, PeerState) {
     let (mut old, new) = (PhaseMachine::new(process(1), at_ms(0)), PhaseMachine::new(process(2), at_ms(100)));
     let status = old.step(at_ms(0), &[], false, true);
@@ -120,7 +121,7 @@
         (old_status.phase, old_status.budget_parts, old_status.accepts_connections, old_status.sharing_peers),
         (Phase::Serving, 1, true, Vec::new())
     );
-    // A new process that died right after it began to serve.
+    // A newer process dies right after it began to serve: the old process accepts connections again.
     let serving = PeerState { process: process(3), phase: Phase::Serving, sharing_peers: Vec::new() };
     assert!(!old.step(at_ms(3_000), &[serving], false, true).accepts_connections);
     assert!(old.step(at_ms(5_000), &[], false, true).accepts_connections);
--- a/crates/hot-restart/tests/simulation.rs
+++ b/crates/hot-restart/tests/simulation.rs
@@ -130,11 +130,11 @@
     simulation.folder.put(foreign_name, b"contents of another manager");
     let (writer, reader) = (simulation.folder.handle(), simulation.folder.handle());
     let (mut old, _) = open(writer.clone());
-    let at = |ms: i64| sprucelink_hot_restart::Timestamp::from_micros(simulation.now + ms * MILLISECOND);
+    let at_ms = |ms: i64| sprucelink_hot_restart::Timestamp::from_micros(simulation.now + ms * MILLISECOND);
     writer.fail_next(FolderFault::TornFile(40));
-    old.step(at(0), false, true);
-    old.write(at(0), Default::default()).expect("a truncated write returns no error");
-    let mut new = sprucelink_hot_restart::StateFileDriver::open(reader, instance.clone(), "t", 9, at(1)).0;
+    old.step(at_ms(0), false, true);
+    old.write(at_ms(0), Default::default()).expect("a truncated write returns no error");
+    let mut new = sprucelink_hot_restart::StateFileDriver::open(reader, instance.clone(), "t", 9, at_ms(1)).0;
     let name = simulation
         .folder
         .names()
@@ -143,14 +143,14 @@
         .expect("the old process's file");
     assert!(StateFileName::parse(&name).is_some());
     assert_eq!(
-        new.scan(at(100)).rejected.len(),
+        new.scan(at_ms(100)).rejected.len(),
         0,
         "the rejected file was reported at the start and is not reported again"
     );
-    old.write(at(250), Default::default()).expect("written");
-    let scan = new.scan(at(300));
+    old.write(at_ms(250), Default::default()).expect("written");
+    let scan = new.scan(at_ms(300));
     assert_eq!((scan.files.len(), scan.files[0].phase), (1, Phase::Serving));
-    new.step(at(300), false, true);
-    new.write(at(300), Default::default()).expect("written");
+    new.step(at_ms(300), false, true);
+    new.write(at_ms(300), Default::default()).expect("written");
     assert_eq!(simulation.folder.list().expect("listed").len(), 3, "the other manager's file is not removed");
 }
