--- a/crates/failpoints/src/faulty_disk.rs
+++ b/crates/failpoints/src/faulty_disk.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Maximum total size of delayed writes, in bytes; beyond it the oldest writes reach the file.
+/// Maximum total size of delayed writes, in bytes; beyond this size the oldest writes reach the file.
 pub const MAX_DELAYED_BYTES: usize = 16 << 20;
 
 /// Bytes to be written at an offset of a file.
@@ -123,7 +123,7 @@
         FailedWrite { partial, kind: self.faults.write_error }
     }
 
-    /// Delays this write and releases those that are no longer among the latest ones.
+    /// Delays this write and releases the writes that are no longer among the latest `delayed_writes`.
     fn delay_write(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
         self.push_delayed(Write { offset, bytes: bytes.to_vec() });
         let mut released = Vec::new();
--- a/crates/failpoints/src/lib.rs
+++ b/crates/failpoints/src/lib.rs
@@ -1,7 +1,7 @@
 //! Failpoints and disk faults for tests of crash recovery.
 //!
 //! A failpoint is a named place in the program where a crash is most likely to expose a fault, for example
-//! between the decision on a vote and its write to disk. The program marks it by
+//! between the decision on a vote and its write to disk. The program marks the place by
 //! `sprucelink_failpoints::hit("consensus.vote.unsynced")`. If the failpoint is armed, the call prints the
 //! line `point consensus.vote.unsynced` to standard error, flushes, and blocks for a bounded time, so that
 //! the test harness that reads the line can kill the process exactly there.
--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -15,7 +15,7 @@
     pub event: Event,
 }
 
-/// A manager or an engine, with its zone and pool, by which disruption budgets count it.
+/// A manager or an engine, with the zone and pool by which disruption budgets count its outages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetMember {
     /// Name of the member, unique in the run.
--- a/crates/history-checker/src/invariants/agreement.rs
+++ b/crates/history-checker/src/invariants/agreement.rs
@@ -24,7 +24,7 @@
     snapshot_filter: Option<&'a str>,
 }
 
-/// A digest with the manager that sent it and its reader.
+/// A digest, the manager that sent the digested record or snapshot, and its reader.
 #[derive(Clone, Copy)]
 struct Reading<'a> {
     digest: &'a str,
--- a/crates/history-checker/src/invariants/halt.rs
+++ b/crates/history-checker/src/invariants/halt.rs
@@ -55,7 +55,7 @@
     report
 }
 
-/// All halts of a history. A halt is ignored while one with the same id is in force.
+/// All halts of a history. A halt is ignored while another halt with the same id is in force.
 fn halts(history: &[HistoryEntry]) -> Vec<Halt<'_>> {
     let mut halts: Vec<Halt<'_>> = Vec::new();
     for HistoryEntry { at_us, event } in history {
--- a/crates/history-checker/src/invariants/order.rs
+++ b/crates/history-checker/src/invariants/order.rs
@@ -68,8 +68,8 @@
         (Some(last), _) if cursor < last => Some("reordered or duplicate"),
         (Some(last), Some(prev)) if prev > last => Some("gap"),
         (Some(last), Some(prev)) if prev < last => Some("does not follow the record read last"),
-        // Without a filter, positions must be dense even if `prev` names a gap: a manager that reports that
-        // it skipped a record has still skipped it.
+        // Without a filter, positions must be dense even if `prev` names a gap: a manager that reports a
+        // skipped record has still skipped the record.
         (Some(last), _) if !is_filtered && last.epoch == cursor.epoch && !last.is_followed_by(cursor) => {
             Some("gap")
         }
--- a/crates/history-checker/src/invariants/uncommitted.rs
+++ b/crates/history-checker/src/invariants/uncommitted.rs
@@ -138,7 +138,7 @@
     }
 }
 
-/// Extends the last span by a record that directly follows it, or begins a new span.
+/// Extends the last span by a record that directly follows the span, or begins a new span with the record.
 fn extend_spans(spans: &mut Vec<Span>, cursor: Cursor, prev: Option<Cursor>) {
     let follows = |last: Cursor| {
         last.is_followed_by(cursor) || last.index == 0 && cursor.index == 1 || prev == Some(last)
--- a/crates/history-checker/tests/each_invariant_can_fail.rs
+++ b/crates/history-checker/tests/each_invariant_can_fail.rs
@@ -304,7 +304,8 @@
     invariants::NAMES.into_iter().filter(|name| report.is_violated(name)).collect()
 }
 
-/// Handwritten histories with at most one fault each, which must violate only the invariant that covers it.
+/// Handwritten histories with at most one fault each, which must violate only the invariant that covers the
+/// fault.
 #[test]
 fn handwritten_history_violates_only_the_invariant_for_its_fault() {
     let start = [connect("a", "n0", ""), connect("b", "n1", ""), record("a", "n0", "1:1", "x")];
