--- a/crates/consensus/src/convert.rs
+++ b/crates/consensus/src/convert.rs
@@ -23,8 +23,9 @@
     MessageType::MsgRequestPreVoteResponse,
 ];
 
-/// An entry with a membership change contains it in its context, in the wire form. The `raft` crate's own
-/// form in the data is made when the entry is proposed, and is not read anywhere else.
+/// Converts an entry. An entry with a membership change contains the change in its context, in the wire form.
+/// The `raft` crate puts its own form into the data when the entry is proposed; that form is not read
+/// anywhere else.
 pub(crate) fn entry_to_wire(entry: &eraftpb::Entry) -> wire::Entry {
     let is_conf_change = entry.get_entry_type() != EntryType::EntryNormal;
     let data = if is_conf_change { entry.get_context() } else { entry.get_data() };
@@ -81,7 +82,7 @@
         }
     }
 
-    /// `None` when a part is missing or out of bounds.
+    /// Decodes a snapshot; `None` when a part is missing or out of bounds.
     pub(crate) fn from_wire(snapshot: wire::Snapshot) -> Option<Self> {
         let membership = Membership::from_wire(snapshot.membership.as_ref()?, &snapshot.incarnations)?;
         let is_position_valid =
@@ -92,8 +93,8 @@
         Some(Snapshot { index: snapshot.index, term: snapshot.term, membership, data: snapshot.data })
     }
 
-    /// The `raft` crate gets the complete snapshot as opaque data, and the index, term and membership that it
-    /// reads.
+    /// Converts to a snapshot of the `raft` crate, which gets the complete snapshot as opaque data, and the
+    /// index, term and membership that it reads.
     pub(crate) fn to_raft(&self) -> eraftpb::Snapshot {
         let data = self.to_wire().encode_to_vec().into();
         let mut raft_snapshot = eraftpb::Snapshot { data, ..eraftpb::Snapshot::default() };
@@ -104,7 +105,8 @@
         raft_snapshot
     }
 
-    /// `None` when the raft library's snapshot is empty or not one that [`Snapshot::to_raft`] made.
+    /// Restores a snapshot that [`Snapshot::to_raft`] converted; `None` when the raft library's snapshot is
+    /// empty or was not made by that function.
     pub(crate) fn from_raft(snapshot: &eraftpb::Snapshot) -> Option<Self> {
         if snapshot.get_metadata().index == 0 {
             return None;
@@ -113,7 +115,7 @@
     }
 }
 
-/// `None` for a kind that members don't send each other.
+/// Converts a message of the raft library; `None` for a kind that members don't send each other.
 pub(crate) fn message_to_wire(message: &eraftpb::Message) -> Option<wire::RaftMessage> {
     let kind = MESSAGE_KINDS.iter().position(|&kind| kind == message.get_msg_type())?;
     let snapshot = if message.get_msg_type() == MessageType::MsgSnapshot {
@@ -136,7 +138,8 @@
     })
 }
 
-/// `None` for an unknown kind, a number beyond [`MAX_COUNT`], or an invalid snapshot.
+/// Converts a received message; `None` for an unknown kind, a number beyond [`MAX_COUNT`], or an invalid
+/// snapshot.
 pub(crate) fn message_from_wire(
     from: MemberId,
     to: MemberId,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,11 +1,11 @@
 //! Consensus among 3 to 7 managers on an ordered log of opaque proposals.
 //!
-//! [`Node`] is one member's state machine: it is driven by ticks and messages, takes the time as an argument
-//! and its randomness from a seed, and does no input or output. [`Node::ready`] hands out the batch to write
-//! to disk, the messages that may be sent at once or only after that write, and the committed entries. The
-//! protocol is Raft (Ongaro, Ousterhout: "In Search of an Understandable Consensus Algorithm", USENIX ATC
-//! 2014) by the `raft` crate, with pre-vote and check-quorum, one membership change at a time through
-//! learners, and no lease reads: safety does not depend on clocks.
+//! [`Node`] is one member's state machine: ticks and messages drive it, the time is an argument, randomness
+//! comes from a seed, and it does no input or output. [`Node::ready`] hands out the batch to write to disk,
+//! the messages that may be sent at once or only after that write, and the committed entries. The protocol is
+//! Raft (Ongaro, Ousterhout: "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014) by the
+//! `raft` crate, with pre-vote and check-quorum, one membership change at a time through learners, and no
+//! lease reads: safety does not depend on clocks.
 //!
 //! # Disks that lose acknowledged writes
 //!
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -64,7 +64,7 @@
         wire::ConfChange { kind, member: self.member.raw() }
     }
 
-    /// `None` for an unknown kind.
+    /// Decodes a change; `None` for an unknown kind.
     pub(crate) fn from_wire(change: &wire::ConfChange) -> Option<Self> {
         let kind = match change.kind {
             0 => ConfChangeKind::AddLearner,
@@ -183,7 +183,7 @@
         wire::Membership { voters: raw(&self.voters), learners: raw(&self.learners) }
     }
 
-    /// `None` when a list is over its bound, or a member is invalid or appears twice.
+    /// Decodes a membership; `None` when a list exceeds its bound, or a member is invalid or appears twice.
     pub(crate) fn from_wire(membership: &wire::Membership, incarnations: &[u64]) -> Option<Self> {
         let voters = sorted_members(&membership.voters);
         let learners = sorted_members(&membership.learners);
--- a/crates/consensus/src/node/operator.rs
+++ b/crates/consensus/src/node/operator.rs
@@ -28,9 +28,9 @@
     }
 
     /// Operator override: ends the rejoining of this member without floors, or removes the log floors of an
-    /// established member. To be used only where members are permanently lost and this member's disk is known
-    /// to hold everything that the member acknowledged, which rejoining otherwise ensures. Returns false when
-    /// nothing was overridden.
+    /// established member. It may be used only if members are permanently lost and this member's disk is
+    /// known to hold everything that the member acknowledged, which rejoining otherwise ensures. Returns
+    /// false when nothing was overridden.
     pub fn trust_disk(&mut self) -> bool {
         match self.phase {
             Phase::Rejoining { .. } => {
@@ -45,7 +45,7 @@
 
     /// Operator override: declares a member's store permanently lost, so that this member doesn't wait for
     /// its contents. While rejoining, this member counts it as a response; once established, it removes the
-    /// floor that the lost member set. To be used where too few members remain to rejoin by themselves. An
+    /// floor that the lost member set. It may be used if too few members remain to rejoin by themselves. An
     /// entry that only the lost store held is then lost.
     pub fn declare_lost(&mut self, member: MemberId) {
         match &mut self.phase {
--- a/crates/consensus/src/node/ready.rs
+++ b/crates/consensus/src/node/ready.rs
@@ -25,7 +25,7 @@
 
 impl Node {
     /// Hands out the pending work; `None` when there is none, or when [`MAX_BATCHES_IN_FLIGHT`] batches are
-    /// not yet on disk. To be called after every other call until it returns `None`.
+    /// not yet on disk. The driver calls it after every other call until it returns `None`.
     pub fn ready(&mut self) -> Option<Ready> {
         if self.persistence.in_flight() >= MAX_BATCHES_IN_FLIGHT {
             return None;
@@ -185,7 +185,7 @@
     }
 
     /// Whether the driver should take a snapshot. Returns true once per request: it can return true again
-    /// only after the driver has passed a snapshot or one from the leader was installed.
+    /// only after the driver has passed a snapshot, or after a snapshot from the leader was installed.
     fn is_snapshot_due(&mut self) -> bool {
         let storage = self.raw_node.store();
         let snapshot_index = storage.snapshot_index();
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -33,7 +33,7 @@
         self.role.map(|change| change.role)
     }
 
-    /// The leader that this member knows of. A hint: that member may no longer lead.
+    /// The leader that this member knows of. The value is a hint: the member may no longer lead.
     pub fn leader(&self) -> Option<MemberId> {
         if !self.is_established() {
             return None;
@@ -41,8 +41,8 @@
         MemberId::from_raft(self.raw_node.raft.leader_id)
     }
 
-    /// Time for which this member has led, by its own clock; `None` when it doesn't lead. A hint and not a
-    /// lease: another member may lead by now.
+    /// Time for which this member has led, by its own clock; `None` when it doesn't lead. The value is a hint
+    /// and not a lease: another member may lead by now.
     pub fn leading_for(&self, now: Timestamp) -> Option<TimeDelta> {
         self.leading_since.map(|since| (now - since).max(TimeDelta::ZERO))
     }
--- a/crates/consensus/src/pending_proposals.rs
+++ b/crates/consensus/src/pending_proposals.rs
@@ -21,8 +21,8 @@
         /// Id of the proposal.
         id: ProposalId,
     },
-    /// The proposal may still be committed. If it is proposed again under the same id, it is applied only
-    /// once, however often it is committed.
+    /// The proposal may still be committed. A proposal that is proposed again under the same id is applied
+    /// only once, however often it is committed.
     Unknown {
         /// Id of the proposal.
         id: ProposalId,
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -38,7 +38,8 @@
 #[derive(Debug)]
 struct ScheduledEvent {
     due_at: Timestamp,
-    /// Number of the event in the order of scheduling, which is the order of events at the same time.
+    /// Number of the event in the order of scheduling; events that are due at the same time happen in this
+    /// order.
     sequence: u64,
     event: Event,
 }
@@ -80,7 +81,7 @@
         self.events.push(Reverse(ScheduledEvent { due_at, sequence: self.scheduled_count, event }));
     }
 
-    /// Removes the next event, if it is due by `end`.
+    /// Removes and returns the next event, with the time at which it is due; `None` if it is due after `end`.
     pub fn pop_until(&mut self, end: Timestamp) -> Option<(Timestamp, Event)> {
         if self.events.peek().is_none_or(|Reverse(next)| next.due_at > end) {
             return None;
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -36,7 +36,8 @@
 }
 
 impl Fault {
-    /// All faults except those that make a disk lose acknowledged writes, whose number is limited separately.
+    /// All faults except the faults that make a disk lose acknowledged writes: their number is limited
+    /// separately.
     pub const ALL_BUT_LYING_DISKS: [Fault; 12] = [
         Fault::Crash,
         Fault::CrashMany,
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -234,7 +234,8 @@
         node.step(now + self.clock_offset, from, frame);
     }
 
-    /// Resumes a paused process. Whether it reads the clock or its sockets first is drawn from the seed.
+    /// Resumes a paused process. Whether the process reads the clock or its sockets first is drawn from the
+    /// seed.
     pub(super) fn resume(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
         self.is_paused = false;
         if rng.gen() {
--- a/crates/consensus/src/sim/operator.rs
+++ b/crates/consensus/src/sim/operator.rs
@@ -92,8 +92,8 @@
             }
         } else if membership.contains(old) && voters > MIN_VOTERS && (is_old_excluded || voters == MAX_VOTERS)
         {
-            // The old member is removed first if it only makes a majority harder to reach, or if the number
-            // of voters is at its limit.
+            // The old member is removed first if it is excluded and only makes a majority harder to reach, or
+            // if the number of voters is at its limit.
             let _ = node.remove(old);
         } else if !membership.contains(new) {
             let _ = node.add_learner(new);
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -9,7 +9,7 @@
 pub enum InjectedBug {
     /// The vote, and a term above that of the last committed entry, are not written to disk.
     VoteNotPersisted,
-    /// Messages are sent, and a batch counts as written, before it is on disk.
+    /// A batch counts as written, and messages that depend on it are sent, before the batch is on disk.
     AckBeforeSync,
     /// A member trusts its disk when it starts: no acknowledgement check and no floors.
     TrustDisk,
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -28,8 +28,8 @@
         #[source]
         reason: Corruption,
     },
-    /// No part of the batch is on disk. The batch may be written again; no message that depends on it may be
-    /// sent.
+    /// No part of the batch is in the log. The batch may be written again; no message that depends on it may
+    /// be sent.
     #[error("the write was rejected")]
     WriteRejected(#[source] DiskError),
     /// The segment would exceed [`crate::limits::MAX_SEGMENT_BYTES`], or the batch is longer than
