--- a/crates/consensus/src/node/election_timeout.rs
+++ b/crates/consensus/src/node/election_timeout.rs
@@ -5,7 +5,8 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Draws election timeouts from the member's seed. The raft library draws its own from a generator that can't
-/// be seeded, so its timeout is replaced by one of these, which is drawn again whenever term or role change.
+/// be seeded, so its timeout is replaced by a timeout drawn here, which is drawn again whenever the term or
+/// the role changes.
 #[derive(Debug)]
 pub(super) struct ElectionTimeout {
     rng: ChaCha8Rng,
@@ -27,7 +28,7 @@
         ElectionTimeout { rng, shortest, longest, drawn: None }
     }
 
-    /// The timeout for a term and role, in ticks; the same until either changes.
+    /// The timeout for a term and role, in ticks; it stays the same until the term or the role changes.
     pub fn ticks(&mut self, term: u64, role: StateRole) -> usize {
         match self.drawn {
             Some(drawn) if drawn.term == term && drawn.role == role => drawn.ticks,
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -1,5 +1,5 @@
-//! The rejoin protocol: the responses that a restarted member needs before it takes part, and the
-//! restrictions under which it then takes part.
+//! The rejoin protocol: the responses that a restarted member needs before it takes part in consensus (votes,
+//! acknowledges entries, campaigns), and the restrictions under which it then takes part.
 //!
 //! # Why this compensates for a disk that lost writes
 //!
@@ -7,10 +7,11 @@
 //! and that its disk lost the vote or entry. The election or the commit needed a majority, so at least half
 //! of the other voters contributed to it. X gets responses from a majority of the other voters, so from at
 //! least one of these contributors, H. Either H gave its vote or acknowledgement before it responded to X:
-//! then the response's term or last entry covers it, and X takes it as its floor. Or H gave it later: then
-//! H's message shows that X has restarted, and the member that counts votes or acknowledgements drops those
-//! of X. H must not have lost writes itself. That holds for established members, because they have rejoined
-//! in the same way; this is why normally only their responses count.
+//! then the term or last entry in the response covers the vote or acknowledgement, and X takes this term or
+//! entry as its floor. Or H gave it after the response: then H's message shows that X has restarted, and the
+//! member that counts votes or acknowledgements drops those of X. H must not have lost writes itself. That
+//! holds for established members, because they have rejoined in the same way; this is why normally only their
+//! responses count.
 
 use crate::ids::{LogPosition, MemberId};
 use crate::limits::MAX_UNLISTED_PEERS;
@@ -18,13 +19,13 @@
 use sprucelink_time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The last entry in a member's log when the member reported it.
+/// The position of the last entry in a member's log when the member reported its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogFloor {
     /// The member that reported its log.
     pub member: MemberId,
     /// Position of the member's last entry.
-    pub last: LogPosition,
+    pub last_position: LogPosition,
 }
 
 /// One member's response to a rejoin request.
@@ -33,7 +34,7 @@
     /// The responding member's term, or its own floor for votes if that is higher.
     pub term: u64,
     /// Position of the responding member's last entry.
-    pub last: LogPosition,
+    pub last_position: LogPosition,
     /// The floors that the responding member took over when it rejoined and has not reached yet.
     pub floors: Vec<LogFloor>,
     /// Whether the responding member is established, which means that it has itself rejoined since its start.
@@ -44,7 +45,7 @@
     pub membership: VersionedMembership,
 }
 
-/// The restrictions under which a member takes part after it has rejoined.
+/// The restrictions on votes and campaigns of a member that has rejoined.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RejoinFloors {
     /// The member does not vote in any term up to this one.
@@ -57,14 +58,14 @@
 impl RejoinFloors {
     /// The furthest of the log floors; zeros when there is none.
     pub fn log(&self) -> LogPosition {
-        self.logs.iter().map(|floor| floor.last).max().unwrap_or_default()
+        self.logs.iter().map(|floor| floor.last_position).max().unwrap_or_default()
     }
 }
 
 /// Outcome of the rejoin protocol for a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinOutcome {
-    /// The restrictions under which the member takes part.
+    /// The restrictions on the member's votes and campaigns.
     pub floors: RejoinFloors,
     /// Whether responses of members that were themselves rejoining had to count.
     pub is_weak: bool,
@@ -75,23 +76,30 @@
 pub struct RejoinQuorum {
     member: MemberId,
     started_at: Timestamp,
+    /// Time after `started_at` from which responses of rejoining members count.
     patience: TimeDelta,
     /// The membership on this member's own disk, or the configured contacts.
-    own: VersionedMembership,
+    own_membership: VersionedMembership,
+    /// The last response of each member.
     responses: BTreeMap<MemberId, RejoinResponse>,
     /// Peers outside the membership that sent a frame: they may know a newer membership.
     unlisted: BTreeSet<MemberId>,
 }
 
 impl RejoinQuorum {
-    /// Starts with no responses; `own` is the membership on this member's own disk, or the configured
-    /// contacts. After `patience`, responses of rejoining members count too.
-    pub fn new(member: MemberId, own: VersionedMembership, now: Timestamp, patience: TimeDelta) -> Self {
+    /// Starts with no responses. `own_membership` is the membership on this member's own disk, or the
+    /// configured contacts. After `patience`, responses of rejoining members count too.
+    pub fn new(
+        member: MemberId,
+        own_membership: VersionedMembership,
+        now: Timestamp,
+        patience: TimeDelta,
+    ) -> Self {
         RejoinQuorum {
             member,
             started_at: now,
             patience,
-            own,
+            own_membership,
             responses: BTreeMap::new(),
             unlisted: BTreeSet::new(),
         }
@@ -113,10 +121,10 @@
         }
     }
 
-    /// Adds a response; it replaces an earlier one of the same member. A response is ignored when its sender
-    /// got no request and doesn't know a newer membership.
+    /// Adds a response, which replaces an earlier response of the same member. A response is ignored when its
+    /// sender got no request and doesn't know a newer membership.
     pub fn add_response(&mut self, from: MemberId, response: RejoinResponse) {
-        let has_newer_membership = response.membership.index > self.newest().index;
+        let has_newer_membership = response.membership.index > self.newest_membership().index;
         if has_newer_membership || self.request_targets().contains(&from) {
             self.responses.insert(from, response);
         }
@@ -127,11 +135,11 @@
     pub fn declare_lost(&mut self, member: MemberId) {
         let response = RejoinResponse {
             term: 0,
-            last: LogPosition::default(),
+            last_position: LogPosition::default(),
             floors: Vec::new(),
             is_established: false,
             is_quarantined: true,
-            membership: self.own.clone(),
+            membership: self.own_membership.clone(),
         };
         self.add_response(member, response);
         for response in self.responses.values_mut() {
@@ -139,7 +147,7 @@
         }
     }
 
-    /// Discards the response of a member that has restarted since.
+    /// Discards the response of a member that has restarted since it responded.
     pub fn discard_response(&mut self, member: MemberId) {
         self.responses.remove(&member);
     }
@@ -152,14 +160,14 @@
 
     /// The newest membership known, from this member's own disk or from a response. A member that has the
     /// entry of that membership has all entries before it, so older memberships add no information.
-    fn newest(&self) -> &VersionedMembership {
+    fn newest_membership(&self) -> &VersionedMembership {
         let trusted = self.responses.values().filter(|response| !response.is_quarantined);
-        let memberships = trusted.map(|response| &response.membership).chain([&self.own]);
-        memberships.max_by_key(|membership| membership.index).unwrap_or(&self.own)
+        let memberships = trusted.map(|response| &response.membership).chain([&self.own_membership]);
+        memberships.max_by_key(|membership| membership.index).unwrap_or(&self.own_membership)
     }
 
     fn membership(&self) -> &Membership {
-        &self.newest().membership
+        &self.newest_membership().membership
     }
 
     fn other_voters(&self) -> Vec<MemberId> {
@@ -167,7 +175,7 @@
         voters.filter(|&voter| voter != self.member).collect()
     }
 
-    /// The outcome, once enough members have responded.
+    /// The outcome; `None` while too few members have responded.
     pub fn outcome(&self, now: Timestamp) -> Option<RejoinOutcome> {
         let others = self.other_voters();
         let quorum = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
@@ -199,16 +207,17 @@
                 continue;
             }
             vote_term = vote_term.max(response.term);
-            // The floor of a member is the furthest position among the one that it reports itself and those
-            // that others report for it. A floor for this member itself has no effect if its disk has lost
-            // nothing, and is needed if it has.
-            let own_floor = LogFloor { member: from, last: response.last };
+            // The floor of a member is the furthest of the position that the member reports itself and the
+            // positions that other members report for it. A floor for this member itself has no effect if its
+            // disk has lost nothing, and is needed if its disk has lost entries.
+            let own_floor = LogFloor { member: from, last_position: response.last_position };
             for floor in response.floors.iter().chain([&own_floor]) {
-                let furthest = logs.entry(floor.member).or_insert(floor.last);
-                *furthest = floor.last.max(*furthest);
+                let furthest = logs.entry(floor.member).or_insert(floor.last_position);
+                *furthest = floor.last_position.max(*furthest);
             }
         }
-        let logs = logs.into_iter().map(|(member, last)| LogFloor { member, last }).collect();
+        let logs =
+            logs.into_iter().map(|(member, last_position)| LogFloor { member, last_position }).collect();
         RejoinFloors { vote_term, logs }
     }
 }
--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -18,13 +18,13 @@
 /// Longest time from the start of a process to its first tick.
 const MAX_FIRST_TICK: TimeDelta = TimeDelta::from_millis(50);
 
-/// Makes the state machine of a host that starts.
+/// Makes a new state machine for a host that starts.
 type MakeStateMachine<A> = Box<dyn Fn(MemberId) -> A + Send>;
 
 /// Hosts, network, time and checker of one run.
 pub struct Cluster<A> {
     pub(super) rng: ChaCha8Rng,
-    /// Parameters of the run.
+    /// Parameters of the run, fixed at its start.
     pub plan: Plan,
     /// The hosts by node, one for each.
     pub hosts: BTreeMap<u32, Host<A>>,
@@ -49,7 +49,7 @@
     /// A cluster of the founders, all started at time 0.
     pub(super) fn new(plan: Plan, seed: u64, make_state_machine: MakeStateMachine<A>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let founders: Vec<MemberId> = (1..=plan.members).map(|node| MemberId::new(node, 1)).collect();
+        let founders: Vec<MemberId> = (1..=plan.founders).map(|node| MemberId::new(node, 1)).collect();
         let mut hosts = BTreeMap::new();
         for &id in &founders {
             hosts.insert(id.node, Host::new(id, make_state_machine(id), &plan, &mut rng));
@@ -98,7 +98,7 @@
 
     /// Whether this run of a process is still the current one.
     pub(super) fn is_running(&self, run: ProcessRun) -> bool {
-        self.current_host(run.member).is_some_and(|host| host.starts == run.starts && host.is_up())
+        self.current_host(run.member).is_some_and(|host| host.start_count == run.start_count && host.is_up())
     }
 
     /// The members of all hosts.
@@ -108,12 +108,13 @@
 
     /// The running member whose own role is leader; the one with the highest term if there are several.
     pub fn leader(&self) -> Option<MemberId> {
-        let leads = |host: &&Host<A>| host.is_up() && !host.is_stopped && host.role == Some(Role::Leader);
+        let leads = |host: &&Host<A>| host.is_up() && !host.is_paused && host.role == Some(Role::Leader);
         let term = |host: &&Host<A>| host.node.as_ref().map_or(0, |node| node.term());
         self.hosts.values().filter(leads).max_by_key(term).map(|host| host.id)
     }
 
-    /// Starts a member's process, unless it runs, its store is damaged, or the node has another member.
+    /// Starts a member's process, unless the process runs, its store is damaged, or the node has another
+    /// member.
     pub fn start(&mut self, id: MemberId) {
         let state_machine = (self.make_state_machine)(id);
         let contacts = self.contacts.get(&id.node);
@@ -127,13 +128,13 @@
             return;
         }
         host.start(self.now, &options, state_machine);
-        let run = ProcessRun { member: id, starts: host.starts };
+        let run = ProcessRun { member: id, start_count: host.start_count };
         let first_tick = draw::duration(&mut self.rng, TimeDelta::from_micros(1), MAX_FIRST_TICK);
         self.queue.push(self.now + first_tick, Event::Tick(run));
         self.process_ready(id);
     }
 
-    /// Crashes a process.
+    /// Crashes a member's process and its machine; with `torn_writes`, unsynced bytes may partly survive.
     pub fn crash(&mut self, id: MemberId, torn_writes: bool) {
         if self.leader() == Some(id) {
             self.leaderless_since = Some(self.now);
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Adds a host for a member that is to join, on a new node or on one whose disk is erased. False when the
-    /// member already has a host.
+    /// Adds a host for a member that is to join, on a new node or on one whose disk is erased. Returns false
+    /// when the member already has a host.
     pub(super) fn add_host(&mut self, id: MemberId, contacts: Vec<MemberId>) -> bool {
         if self.current_host(id).is_some() {
             return false;
@@ -190,7 +191,7 @@
         let Some(host) = self.hosts.get_mut(&id.node) else { return };
         let sync_due_before = host.sync_due;
         host.process_ready(self.now, &self.plan, &mut self.rng, &mut self.checker, &mut outgoing);
-        let run = ProcessRun { member: id, starts: host.starts };
+        let run = ProcessRun { member: id, start_count: host.start_count };
         if let Some(at) = host.sync_due.filter(|_| host.sync_due != sync_due_before) {
             self.queue.push(at, Event::Synced(run));
         }
@@ -203,7 +204,7 @@
 
     pub(super) fn send(&mut self, frames: Vec<Frame>) {
         for mut frame in frames {
-            if self.plan.has(InjectedBug::NoCrashVectors) {
+            if self.plan.has(InjectedBug::NoBootsInMessages) {
                 frame.0.boots.clear();
             }
             self.checker.check_sent_frame(&frame);
@@ -227,7 +228,7 @@
         self.process_ready(to);
     }
 
-    /// Completes or rejects the write in progress of a running process. False when the process can't
+    /// Completes or rejects the write in progress of a running process. Returns false when the process can't
     /// continue.
     pub(super) fn complete_write(&mut self, id: MemberId) -> bool {
         let mut outgoing = Vec::new();
@@ -237,7 +238,7 @@
         can_continue
     }
 
-    /// Resumes a stopped process.
+    /// Resumes a paused process.
     pub(super) fn resume(&mut self, id: MemberId) {
         if let Some(host) = self.hosts.get_mut(&id.node) {
             host.resume(self.now, &mut self.rng, &self.plan);
@@ -253,8 +254,8 @@
 
 fn describe_host<A: StateMachine>(host: &Host<A>) -> String {
     let flags =
-        [("stopped", host.is_stopped), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
+        [("paused", host.is_paused), ("lied", host.has_disk_lied), ("damaged", host.store_error.is_some())];
     let flags: Vec<&str> = flags.iter().filter(|(_, is_set)| *is_set).map(|(name, _)| *name).collect();
     let node = host.node.as_ref().map_or_else(|| "down".to_owned(), |node| node.describe());
-    format!("  {} starts {} {flags:?} {node}\n", host.id, host.starts)
+    format!("  {} starts {} {flags:?} {node}\n", host.id, host.start_count)
 }
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -13,13 +13,13 @@
 pub(super) struct ProcessRun {
     pub member: MemberId,
     /// Number of starts of the process up to this run.
-    pub starts: u64,
+    pub start_count: u64,
 }
 
 /// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A process is ticked.
+    /// The timers of a process advance.
     Tick(ProcessRun),
     /// A frame arrives at its receiver.
     Deliver(Box<Frame>),
@@ -37,15 +37,16 @@
 
 #[derive(Debug)]
 struct ScheduledEvent {
-    at: Timestamp,
-    /// Number of the event in the order of scheduling, which is the order of events at the same time.
+    due_at: Timestamp,
+    /// Number of the event in the order of scheduling; events that are due at the same time happen in this
+    /// order.
     sequence: u64,
     event: Event,
 }
 
 impl ScheduledEvent {
     fn key(&self) -> (Timestamp, u64) {
-        (self.at, self.sequence)
+        (self.due_at, self.sequence)
     }
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// The events that have not happened yet.
+/// The scheduled events that have not been handled yet.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -75,16 +76,16 @@
 }
 
 impl EventQueue {
-    pub fn push(&mut self, at: Timestamp, event: Event) {
+    pub fn push(&mut self, due_at: Timestamp, event: Event) {
         self.scheduled_count += 1;
-        self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
+        self.events.push(Reverse(ScheduledEvent { due_at, sequence: self.scheduled_count, event }));
     }
 
-    /// Removes the next event, if it is due by `end`.
+    /// Removes and returns the next event, with the time at which it is due; `None` if it is due after `end`.
     pub fn pop_until(&mut self, end: Timestamp) -> Option<(Timestamp, Event)> {
-        if self.events.peek().is_none_or(|Reverse(next)| next.at > end) {
+        if self.events.peek().is_none_or(|Reverse(next)| next.due_at > end) {
             return None;
         }
-        self.events.pop().map(|Reverse(next)| (next.at, next.event))
+        self.events.pop().map(|Reverse(next)| (next.due_at, next.event))
     }
 }
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -13,13 +13,13 @@
     CrashLeader,
     /// The network is partitioned in two.
     Partition,
-    /// One link loses all messages, in one direction.
-    OneWay,
+    /// All messages from one node to another are lost; the opposite direction works.
+    OneWayLoss,
     /// All incoming links of a member are cut, or all outgoing ones.
     Isolate,
-    /// A process is stopped, as by SIGSTOP, and resumes later.
-    Stop,
-    /// The messages to and from a member are ten times slower.
+    /// A process is paused, as by SIGSTOP, and resumes later.
+    Pause,
+    /// The messages to and from a member take ten times as long.
     SlowLinks,
     /// The syncs of a disk take up to a second.
     SlowSync,
@@ -36,15 +36,16 @@
 }
 
 impl Fault {
-    /// All faults except those that make a disk lose acknowledged writes, whose number is limited separately.
+    /// All faults except the faults that make a disk lose acknowledged writes: their number is limited
+    /// separately.
     pub const ALL_BUT_LYING_DISKS: [Fault; 12] = [
         Fault::Crash,
         Fault::CrashMany,
         Fault::CrashLeader,
         Fault::Partition,
-        Fault::OneWay,
+        Fault::OneWayLoss,
         Fault::Isolate,
-        Fault::Stop,
+        Fault::Pause,
         Fault::SlowLinks,
         Fault::SlowSync,
         Fault::DiskFull,
@@ -78,7 +79,7 @@
     CrashWithLyingDisk(MemberId),
     /// Cut links deliver messages again.
     RestoreLinks(Vec<Link>),
-    /// A stopped process resumes.
+    /// A paused process resumes.
     Resume(MemberId),
     /// The links of a node have their normal speed again.
     RestoreSpeed(u32),
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -20,7 +20,7 @@
 use sprucelink_wal::{FaultDisk, Faults, Wal, WalError, WriteBatch};
 use std::collections::VecDeque;
 
-/// Largest number of frames that wait for a stopped process, as in its sockets' buffers; further ones are
+/// Largest number of frames that wait for a paused process, as in its sockets' buffers; further ones are
 /// lost.
 const MAX_WAITING_FRAMES: usize = 2000;
 /// Largest offset of a host's clock, milliseconds.
@@ -44,7 +44,7 @@
     snapshot: Snapshot,
 }
 
-/// A frame that waits for a stopped process.
+/// A frame that waits for a paused process.
 struct WaitingFrame {
     from: MemberId,
     frame: Frame,
@@ -58,18 +58,22 @@
     pub state_machine: A,
     /// The node, while the process runs.
     pub node: Option<Node>,
+    /// The write-ahead log, while the process runs.
     wal: Option<Wal<FaultDisk>>,
     /// The disk, while the process does not run.
     disk: Option<FaultDisk>,
-    /// Whether the process is stopped, as by SIGSTOP: it does nothing, and frames wait.
-    pub is_stopped: bool,
+    /// Whether the process is paused, as by SIGSTOP: it does nothing, and frames wait.
+    pub is_paused: bool,
+    /// Frames that arrived while the process was paused.
     waiting_frames: Vec<WaitingFrame>,
-    writing: VecDeque<Batch>,
+    /// Batches handed out and not yet on disk, oldest first.
+    unwritten_batches: VecDeque<Batch>,
     delayed_frames: VecDeque<DelayedFrames>,
     delayed_snapshot: Option<DelayedSnapshot>,
+    /// Index up to which all entries are applied.
     applied: u64,
     /// Number of starts of the process.
-    pub starts: u64,
+    pub start_count: u64,
     /// Why the store could not be opened; the member is then permanently excluded.
     pub store_error: Option<WalError>,
     /// The role that the node last handed out.
@@ -106,13 +110,13 @@
             node: None,
             wal: None,
             disk: Some(FaultDisk::new(seed)),
-            is_stopped: false,
+            is_paused: false,
             waiting_frames: Vec::new(),
-            writing: VecDeque::new(),
+            unwritten_batches: VecDeque::new(),
             delayed_frames: VecDeque::new(),
             delayed_snapshot: None,
             applied: 0,
-            starts: 0,
+            start_count: 0,
             store_error: None,
             role: None,
             clock_offset,
@@ -130,7 +134,7 @@
         self.node.is_some()
     }
 
-    /// Whether the process runs and its node takes part.
+    /// Whether the process runs and its node has rejoined: it takes part in the protocol.
     pub fn is_established(&self) -> bool {
         self.is_up() && !matches!(self.role, None | Some(Role::Rejoining | Role::Quarantined))
     }
@@ -152,7 +156,7 @@
                 return;
             }
         };
-        self.starts += 1;
+        self.start_count += 1;
         self.state_machine = state_machine;
         self.role = None;
         let recovered = store::recover(recovered).expect("the store contains a member's state");
@@ -166,7 +170,7 @@
             contacts: options.contacts.to_vec(),
             timing: options.plan.timing.clone(),
         };
-        let node = Node::new(config, recovered, self.seed ^ self.starts, now + self.clock_offset);
+        let node = Node::new(config, recovered, self.seed ^ self.start_count, now + self.clock_offset);
         let mut node = node.expect("a node starts from a recovered store");
         if options.plan.has(InjectedBug::TrustDisk) {
             node.trust_disk();
@@ -179,7 +183,7 @@
     pub(super) fn crash(&mut self, torn_writes: bool) {
         let Some(mut wal) = self.wal.take() else { return };
         if torn_writes {
-            if let Some(batch) = self.writing.front() {
+            if let Some(batch) = self.unwritten_batches.front() {
                 wal.disk_mut().faults = Faults { failing_sync: true, torn_writes, ..Faults::default() };
                 let _ = wal.write(&store::to_wal(batch));
             }
@@ -190,11 +194,11 @@
         self.disk = Some(disk);
         self.node = None;
         self.waiting_frames.clear();
-        self.writing.clear();
+        self.unwritten_batches.clear();
         self.delayed_frames.clear();
         self.delayed_snapshot = None;
         self.sync_due = None;
-        self.is_stopped = false;
+        self.is_paused = false;
     }
 
     /// Flips a bit of the newest segment, at a position drawn from the seed. Has an effect only while the
@@ -209,14 +213,14 @@
 
     pub(super) fn tick(&mut self, now: Timestamp) {
         let local_time = now + self.clock_offset;
-        if let Some(node) = self.node.as_mut().filter(|_| !self.is_stopped) {
+        if let Some(node) = self.node.as_mut().filter(|_| !self.is_paused) {
             node.tick(local_time);
         }
     }
 
     pub(super) fn deliver(&mut self, now: Timestamp, from: MemberId, mut frame: Frame, plan: &Plan) {
         let Some(node) = &mut self.node else { return };
-        if self.is_stopped {
+        if self.is_paused {
             if self.waiting_frames.len() < MAX_WAITING_FRAMES {
                 self.waiting_frames.push(WaitingFrame { from, frame });
             }
@@ -230,9 +234,10 @@
         node.step(now + self.clock_offset, from, frame);
     }
 
-    /// Resumes a stopped process. Whether it reads the clock or its sockets first is drawn from the seed.
+    /// Resumes a paused process. Whether the process reads the clock or its sockets first is drawn from the
+    /// seed.
     pub(super) fn resume(&mut self, now: Timestamp, rng: &mut ChaCha8Rng, plan: &Plan) {
-        self.is_stopped = false;
+        self.is_paused = false;
         if rng.gen() {
             self.tick(now);
         }
@@ -244,16 +249,16 @@
     /// Makes a proposal, as the process itself would.
     ///
     /// # Errors
-    /// Those of [`Node::propose`]; `NotLeader` without a leader when the process does not run or is stopped.
+    /// Those of [`Node::propose`]; `NotLeader` without a leader when the process does not run or is paused.
     pub fn propose(&mut self, bytes: Vec<u8>, id: ProposalId) -> Result<(), ProposeError> {
-        let running = self.node.as_mut().filter(|_| !self.is_stopped);
+        let running = self.node.as_mut().filter(|_| !self.is_paused);
         running.map_or(Err(ProposeError::NotLeader { leader: None }), |node| node.propose(bytes, id))
     }
 
-    /// Completes or rejects the write in progress. False when the process can't continue.
+    /// Completes or rejects the write in progress. Returns false when the process can't continue.
     pub(super) fn complete_write(&mut self, now: Timestamp, plan: &Plan, outgoing: &mut Vec<Frame>) -> bool {
         self.sync_due = None;
-        let Some(batch) = self.writing.front() else { return true };
+        let Some(batch) = self.unwritten_batches.front() else { return true };
         let number = batch.number;
         let write = self.batch_for_disk(batch, plan);
         let Some(wal) = &mut self.wal else { return true };
@@ -265,12 +270,13 @@
             Err(WalError::WriteRejected(_)) => return true,
             Err(_) => return false,
         }
-        self.writing.pop_front();
+        self.unwritten_batches.pop_front();
         self.batch_on_disk(now, number, outgoing);
         true
     }
 
-    /// The batch as it is written to disk, without the vote if the plan has that bug.
+    /// The batch as it is written to disk; without the vote if the plan has
+    /// [`InjectedBug::VoteNotPersisted`].
     fn batch_for_disk(&self, batch: &Batch, plan: &Plan) -> WriteBatch {
         let mut write = store::to_wal(batch);
         if plan.has(InjectedBug::VoteNotPersisted) {
@@ -308,13 +314,13 @@
         checker: &mut Checker,
         outgoing: &mut Vec<Frame>,
     ) {
-        if self.is_stopped {
+        if self.is_paused {
             return;
         }
         while let Some(ready) = self.node.as_mut().and_then(Node::ready) {
             self.handle_ready(now, plan, ready, checker, outgoing);
         }
-        if !self.writing.is_empty() && self.sync_due.is_none() {
+        if !self.unwritten_batches.is_empty() && self.sync_due.is_none() {
             let sync_time = if self.is_disk_full {
                 FULL_DISK_RETRY
             } else {
@@ -334,7 +340,7 @@
     ) {
         let acks_early = plan.has(InjectedBug::AckBeforeSync);
         let batch_number = ready.persist.as_ref().map(|batch| batch.number);
-        self.writing.extend(ready.persist.take());
+        self.unwritten_batches.extend(ready.persist.take());
         self.send_or_delay(&mut ready, acks_early, outgoing);
         let has_snapshot = ready.snapshot.is_some();
         if let (Some(snapshot), Some(after_batch)) = (ready.snapshot.take(), batch_number) {
--- a/crates/consensus/src/sim/nemesis.rs
+++ b/crates/consensus/src/sim/nemesis.rs
@@ -11,9 +11,9 @@
 use rand::Rng;
 use sprucelink_time::{TimeDelta, Timestamp};
 
-/// Shortest duration of a fault.
+/// Shortest duration of a fault that lasts.
 const MIN_FAULT_TIME: TimeDelta = TimeDelta::from_millis(50);
-/// Longest duration of a fault.
+/// Longest duration of a fault that lasts.
 const MAX_FAULT_TIME: TimeDelta = TimeDelta::from_millis(3_000);
 /// Shortest time until a crashed process restarts.
 const MIN_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
@@ -24,15 +24,15 @@
 
 /// The end of an injected fault, and its time.
 pub(super) struct ScheduledEnd {
-    pub at: Timestamp,
+    pub ends_at: Timestamp,
     pub end: FaultEnd,
 }
 
 /// Injects the faults of a plan.
 #[derive(Debug)]
 pub(super) struct Nemesis {
-    /// Number of disks that may still be made to lose acknowledged writes.
-    lying_disks_left: u32,
+    /// Number of faults that make a disk lose acknowledged writes and may still be injected.
+    write_loss_faults_left: u32,
     /// Number of faults injected so far.
     pub injected: u64,
 }
@@ -49,7 +49,7 @@
 
 impl Nemesis {
     pub fn new(plan: &Plan) -> Self {
-        Nemesis { lying_disks_left: plan.lying_disks, injected: 0 }
+        Nemesis { write_loss_faults_left: plan.max_write_loss_faults, injected: 0 }
     }
 
     /// Injects one fault, if the plan and the state of the cluster allow it. Returns the events that end it.
@@ -61,7 +61,7 @@
         let until = cluster.now() + draw::duration(&mut cluster.rng, MIN_FAULT_TIME, MAX_FAULT_TIME);
         let hosts = cluster.hosts.values();
         let running: Vec<MemberId> =
-            hosts.filter(|host| host.is_up() && !host.is_stopped).map(|host| host.id).collect();
+            hosts.filter(|host| host.is_up() && !host.is_paused).map(|host| host.id).collect();
         let hosts = cluster.hosts.values();
         let down = hosts.filter(|host| !host.is_excluded() && !host.is_established()).count() as u32;
         let Some(&target) = running.choose(&mut cluster.rng) else { return Vec::new() };
@@ -74,10 +74,10 @@
                 inject_crash(cluster, fault, &drawn, &running)
             }
             Fault::BitFlip | Fault::LyingDisk => self.inject_lost_writes(cluster, fault, &drawn),
-            Fault::Partition | Fault::OneWay | Fault::Isolate => {
+            Fault::Partition | Fault::OneWayLoss | Fault::Isolate => {
                 inject_link_fault(cluster, fault, &drawn, &running)
             }
-            Fault::Stop | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
+            Fault::Pause | Fault::SlowLinks | Fault::SlowSync | Fault::DiskFull => {
                 inject_delay(cluster, fault, &drawn)
             }
             Fault::Replace => {
@@ -98,20 +98,20 @@
         fault: Fault,
         drawn: &DrawnFault,
     ) -> Vec<ScheduledEnd> {
-        if self.lying_disks_left == 0 {
+        if self.write_loss_faults_left == 0 {
             return Vec::new();
         }
         let target = drawn.target;
         if fault == Fault::BitFlip && drawn.max_more_down > 0 {
-            self.lying_disks_left -= 1;
+            self.write_loss_faults_left -= 1;
             let ends = crash_all(cluster, vec![target]);
             cluster.host_mut(target).flip_bit();
             return ends;
         }
         if fault == Fault::LyingDisk && !cluster.host(target).has_disk_lied {
-            self.lying_disks_left -= 1;
+            self.write_loss_faults_left -= 1;
             cluster.host_mut(target).is_disk_lying = true;
-            return vec![ScheduledEnd { at: drawn.until, end: FaultEnd::CrashWithLyingDisk(target) }];
+            return vec![ScheduledEnd { ends_at: drawn.until, end: FaultEnd::CrashWithLyingDisk(target) }];
         }
         Vec::new()
     }
@@ -146,8 +146,8 @@
     let mut ends = Vec::new();
     for member in members {
         cluster.crash(member, torn_writes);
-        let at = cluster.now() + draw::duration(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
-        ends.push(ScheduledEnd { at, end: FaultEnd::Restart(member) });
+        let ends_at = cluster.now() + draw::duration(&mut cluster.rng, MIN_DOWN_TIME, MAX_DOWN_TIME);
+        ends.push(ScheduledEnd { ends_at, end: FaultEnd::Restart(member) });
     }
     ends
 }
@@ -161,7 +161,7 @@
     let target = drawn.target.node;
     let links: Vec<Link> = match fault {
         Fault::Partition => partition(cluster),
-        Fault::OneWay => {
+        Fault::OneWayLoss => {
             let other = running.choose(&mut cluster.rng).map_or(target, |other| other.node);
             vec![Link::new(target, other)]
         }
@@ -172,7 +172,7 @@
         }
     };
     cluster.network.cut_links.extend(&links);
-    vec![ScheduledEnd { at: drawn.until, end: FaultEnd::RestoreLinks(links) }]
+    vec![ScheduledEnd { ends_at: drawn.until, end: FaultEnd::RestoreLinks(links) }]
 }
 
 /// The links between two halves of the nodes, drawn from the seed.
@@ -197,8 +197,8 @@
 ) -> Vec<ScheduledEnd> {
     let target = drawn.target;
     let end = match fault {
-        Fault::Stop => {
-            cluster.host_mut(target).is_stopped = true;
+        Fault::Pause => {
+            cluster.host_mut(target).is_paused = true;
             FaultEnd::Resume(target)
         }
         Fault::SlowLinks => {
@@ -214,5 +214,5 @@
             FaultEnd::RestoreDisk(target)
         }
     };
-    vec![ScheduledEnd { at: drawn.until, end }]
+    vec![ScheduledEnd { ends_at: drawn.until, end }]
 }
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -21,14 +21,14 @@
 /// Time from the start of the run to the first fault.
 const FIRST_FAULT: TimeDelta = TimeDelta::from_secs(1);
 /// Upper bound of a proposal's length (exclusive), bytes.
-const PROPOSAL_BYTES: usize = 64;
-/// Interval of checking whether a stopped process has resumed, so that its write can complete.
-const STOPPED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
-/// Time until a process restarts that could not continue after a failed write.
+const PROPOSAL_LENGTH_BOUND: usize = 64;
+/// Interval of checking whether a paused process has resumed, so that its write can complete.
+const PAUSED_SYNC_RETRY: TimeDelta = TimeDelta::from_millis(10);
+/// Time after which a process that could not continue after a failed write restarts.
 const RESTART_AFTER_FAILED_WRITE: TimeDelta = TimeDelta::from_millis(100);
-/// Shortest time until a process restarts that crashed with its lying disk.
+/// Shortest time after which a process that crashed with its lying disk restarts.
 const MIN_LYING_DISK_DOWN_TIME: TimeDelta = TimeDelta::from_millis(10);
-/// Longest time until a process restarts that crashed with its lying disk.
+/// Longest time after which a process that crashed with its lying disk restarts.
 const MAX_LYING_DISK_DOWN_TIME: TimeDelta = TimeDelta::from_secs(1);
 
 /// One run: a cluster, the nemesis and the operator.
@@ -38,7 +38,7 @@
     nemesis: Nemesis,
     operator: Operator,
     injects_faults: bool,
-    /// Whether proposals are still made.
+    /// Whether proposals are made; the caller may unset it to let the members reach the same state.
     pub is_proposing: bool,
     /// Whether no leader could be elected at the end, because too many members were permanently excluded.
     pub(super) is_unavailable: bool,
@@ -92,16 +92,16 @@
         host.is_disk_full = false;
         let loses_writes = host.is_disk_lying && host.is_up();
         if loses_writes {
-            // From now on the disk syncs correctly. Data that it did not write is lost with the machine's
-            // memory.
+            // From now on the disk syncs correctly. Data that the disk did not write is lost with the
+            // machine's memory.
             host.crash(true);
         }
         host.is_disk_lying = false;
-        let is_stopped = host.is_stopped;
+        let is_paused = host.is_paused;
         if loses_writes {
             self.cluster.checker.members_with_lost_writes.insert(id);
         }
-        if is_stopped {
+        if is_paused {
             self.cluster.resume(id);
         }
         self.cluster.start(id);
@@ -148,8 +148,8 @@
         if !self.cluster.is_running(run) {
             return;
         }
-        if self.cluster.host(run.member).is_stopped {
-            self.schedule(STOPPED_SYNC_RETRY, Event::Synced(run));
+        if self.cluster.host(run.member).is_paused {
+            self.schedule(PAUSED_SYNC_RETRY, Event::Synced(run));
             return;
         }
         if self.cluster.complete_write(run.member) {
@@ -165,7 +165,7 @@
             return;
         }
         let byte: u8 = self.cluster.rng.gen();
-        let length = self.cluster.rng.gen_range(0..PROPOSAL_BYTES);
+        let length = self.cluster.rng.gen_range(0..PROPOSAL_LENGTH_BOUND);
         self.cluster.propose(vec![byte; length]);
         let next = draw::duration_around(&mut self.cluster.rng, self.cluster.plan.propose_every);
         self.schedule(next, Event::Propose);
@@ -184,7 +184,7 @@
             return;
         }
         for scheduled in self.nemesis.inject(&mut self.cluster, &mut self.operator) {
-            self.cluster.queue.push(scheduled.at, Event::EndFault(scheduled.end));
+            self.cluster.queue.push(scheduled.ends_at, Event::EndFault(scheduled.end));
         }
         let next = draw::duration_around(&mut self.cluster.rng, self.cluster.plan.fault_every);
         self.schedule(next, Event::InjectFault);
@@ -202,7 +202,7 @@
                 self.cluster.network.slow_nodes.remove(&node);
             }
             FaultEnd::Resume(id) => {
-                if self.cluster.current_host(id).is_some_and(|host| host.is_stopped) {
+                if self.cluster.current_host(id).is_some_and(|host| host.is_paused) {
                     self.cluster.resume(id);
                 }
             }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -29,7 +29,7 @@
 fn rejoin_response(term: u64, last: (u64, u64), is_established: bool) -> RejoinResponse {
     RejoinResponse {
         term,
-        last: LogPosition::new(last.0, last.1),
+        last_position: LogPosition::new(last.0, last.1),
         floors: vec![],
         is_established,
         is_quarantined: false,
@@ -65,8 +65,8 @@
     for node in 2..=4 {
         quorum.add_response(member(node), rejoin_response(3, (3, 3), node == 2));
     }
-    // One member is established and one has not responded. Three established ones are impossible, so there is
-    // no wait.
+    // Besides this member one member is established, two are rejoining and one has not responded. At most two
+    // can be established, which is not a majority of the four, so there is no wait.
     assert!(quorum.outcome(Timestamp::ZERO).is_some_and(|outcome| outcome.is_weak));
     quorum.add_response(member(3), rejoin_response(3, (3, 3), true));
     assert_eq!(quorum.outcome(seconds(9)), None, "the fifth member may be established");
@@ -82,7 +82,7 @@
     };
     quorum.add_response(member(2), newer((4, 60)));
     assert_eq!(quorum.outcome(Timestamp::ZERO), None);
-    let floor = LogFloor { member: member(2), last: LogPosition::new(4, 99) };
+    let floor = LogFloor { member: member(2), last_position: LogPosition::new(4, 99) };
     quorum.add_response(member(3), RejoinResponse { floors: vec![floor], ..newer((4, 61)) });
     assert_eq!(
         quorum.outcome(Timestamp::ZERO).unwrap().floors.log(),
@@ -128,7 +128,7 @@
     assert_eq!(config(vec![]).check(), Ok(()));
 }
 
-/// A group of three members after four seconds without faults, the last of them without proposals.
+/// A group of three members after four seconds without faults, the last second without proposals.
 struct HealthyGroup {
     cluster: Cluster<ProposalRecorder>,
     leader: MemberId,
--- a/crates/history-checker/src/report.rs
+++ b/crates/history-checker/src/report.rs
@@ -10,7 +10,7 @@
     pub invariant: &'static str,
     /// Time at which the violation was observed, in microseconds of the run.
     pub at_us: u64,
-    /// What happened, with the names and positions needed to find it in the history.
+    /// Description of the violation, with the names and positions needed to find it in the history.
     pub description: String,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl CheckReport {
-    /// Whether no invariant was violated.
+    /// Whether no invariant was violated; also true if an invariant was applied to no case.
     pub fn is_passed(&self) -> bool {
         self.invariants.iter().all(|(_, report)| report.violations.is_empty())
     }
--- a/crates/hot-restart/src/codec/tests.rs
+++ b/crates/hot-restart/src/codec/tests.rs
@@ -13,12 +13,12 @@
         instance: Instance { name: name.into(), ..instance() },
         process: Process { generation, started_at: Timestamp::from_micros(1), pid: 2 },
         build: "test".into(),
-        clock: None,
+        clock_reference: None,
         written_at: Timestamp::from_micros(3),
         sequence: 4,
         phase: Phase::Serving,
         phase_since: Timestamp::from_micros(3),
-        shares_with: Vec::new(),
+        sharing_peers: Vec::new(),
         snapshot: StateSnapshot::default(),
     }
 }
@@ -55,7 +55,10 @@
     let too_large = vec![0; MAX_FILE_BYTES + 1];
     assert_eq!(decode(&too_large, &instance()), Err(StateFileError::TooLarge { bytes: MAX_FILE_BYTES + 1 }));
     assert!(matches!(decode(b"", &instance()), Err(StateFileError::Damaged(_))));
-    assert!(matches!(decode(b"a text that is no such file", &instance()), Err(StateFileError::Damaged(_))));
+    assert!(matches!(
+        decode(b"a text that is not a state file", &instance()),
+        Err(StateFileError::Damaged(_))
+    ));
 }
 
 /// Newer builds may add fields to the same format version.
--- a/crates/hot-restart/src/error.rs
+++ b/crates/hot-restart/src/error.rs
@@ -9,10 +9,10 @@
 /// Why the bytes of a state file are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateFileError {
-    /// The file is longer than [`MAX_FILE_BYTES`], so it is not a state file.
+    /// The file is longer than [`MAX_FILE_BYTES`], or its contents would be.
     #[error("{bytes} bytes: at most {MAX_FILE_BYTES} are supported")]
     TooLarge {
-        /// Length of the file in bytes, or a lower bound of it.
+        /// Length of the file in bytes, or a lower bound of the length.
         bytes: usize,
     },
     /// The file is truncated or corrupted, or not a state file at all.
@@ -33,7 +33,8 @@
     /// The file is complete, but has contents that no build of this format writes.
     #[error("invalid: {0}")]
     Invalid(#[source] InvalidState),
-    /// The file is complete, but belongs to another workload manager.
+    /// The file is complete, but was written by a process of another instance: its name or listen address
+    /// differs.
     #[error("written by another manager: {} at {}", .0.name, .0.listen)]
     OtherInstance(Instance),
 }
@@ -60,17 +61,18 @@
     /// The number of the phase is not that of any known phase.
     #[error("phase: unknown phase number")]
     UnknownPhase,
-    /// A cordon record is invalid: no call could have produced it.
+    /// A cordon record is invalid: no call that cordons or uncordons, by an operator or the fleet, could have
+    /// produced it.
     #[error("bans.{index}.{source}")]
     Cordon {
         /// Index of the record in the file.
         index: usize,
-        /// The field of the record and the rule that it violates.
+        /// The invalid field of the record and the rule that the field violates.
         source: RecordError,
     },
     /// The two lists of a warming engine's buckets (start times and work) differ in length.
     #[error("cold: the numbers of start times and work values differ")]
-    UnevenBuckets,
+    BucketCountsDiffer,
     /// The file's name belongs to a different process, so the file is a copy.
     #[error("process: differs from the process in the file name")]
     OtherProcess,
--- a/crates/hot-restart/src/phase.rs
+++ b/crates/hot-restart/src/phase.rs
@@ -15,9 +15,9 @@
 use crate::state::{Phase, Process, MAX_SHARING_PEERS};
 use crate::{TimeDelta, Timestamp};
 
-/// Time for which a new process that can serve waits for its peers to share their budgets; then it serves
-/// without their acknowledgement. Peers read files every 100 ms, so a peer that has not acknowledged within
-/// this time is overloaded or stuck, and a hot restart must not wait for it.
+/// Time for which a new process that can serve waits for its peers to share their budgets; after this time
+/// the process serves without their acknowledgement. Peers read files every 100 ms, so a peer that has not
+/// acknowledged within this time is overloaded or stuck, and a hot restart must not wait for it.
 pub const ACK_TIMEOUT: TimeDelta = TimeDelta::from_secs(1);
 /// Time after SIGTERM for which new connections are still accepted while no newer process serves, because
 /// clients still open them.
@@ -33,7 +33,7 @@
 /// The phase of a process, and its permissions in this phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PhaseStatus {
-    /// Current phase of the process.
+    /// Phase of the process after the step.
     pub phase: Phase,
     /// Time at which the phase began.
     pub since: Timestamp,
@@ -46,7 +46,7 @@
     /// Number of processes among which the manager's budgets are divided: this process may spend `1 /
     /// budget_parts` of the warm-up budget and of the manager's fraction of the engines' cores. The fractions
     /// of all live processes that spend budgets add up to at most 1, except while a process has not read
-    /// another's file for [`ACK_TIMEOUT`] or is considered dead while it is alive.
+    /// another's file for [`ACK_TIMEOUT`] or a process is considered dead while it is alive.
     pub budget_parts: u32,
     /// Whether the process started to serve without acknowledgement, because peers did not share their
     /// budgets within [`ACK_TIMEOUT`].
@@ -54,14 +54,14 @@
     /// Idle time after which sessions without an open request are to be closed; `None` if no sessions are to
     /// be closed.
     pub close_idle_after: Option<TimeDelta>,
-    /// Processes with which this process shares its budgets, oldest first. They are written to its file, and
-    /// each counts in `budget_parts`.
-    pub shares_with: Vec<Process>,
+    /// Processes with which this process shares its budgets, oldest first. They are written to this process's
+    /// file, and each counts in `budget_parts`.
+    pub sharing_peers: Vec<Process>,
 }
 
 /// The information in the peers' files on which the phase depends.
 struct PeerView {
-    shares_with: Vec<Process>,
+    sharing_peers: Vec<Process>,
     /// Whether a newer process is active.
     has_active_successor: bool,
     /// Whether a newer process serves.
@@ -74,17 +74,17 @@
     fn new(process: Process, peers: &[PeerState]) -> PeerView {
         let others = || peers.iter().filter(|peer| peer.process != process);
         let active = others().filter(|peer| peer.phase.is_active());
-        let mut shares_with: Vec<Process> = active.map(|peer| peer.process).collect();
-        shares_with.sort_unstable();
-        shares_with.truncate(MAX_SHARING_PEERS);
+        let mut sharing_peers: Vec<Process> = active.map(|peer| peer.process).collect();
+        sharing_peers.sort_unstable();
+        sharing_peers.truncate(MAX_SHARING_PEERS);
         // Peers that may spend budgets now, or start to without an acknowledgement by this process: an older
         // process that starts does not wait for a newer one.
         let mut relevant = others().filter(|peer| peer.phase.is_active() || peer.process < process);
         PeerView {
-            has_active_successor: shares_with.last().is_some_and(|newest| *newest > process),
+            has_active_successor: sharing_peers.last().is_some_and(|newest| *newest > process),
             has_serving_successor: peers.iter().any(|peer| peer.process > process && peer.phase.is_serving()),
-            is_acknowledged: relevant.all(|peer| peer.shares_with.contains(&process)),
-            shares_with,
+            is_acknowledged: relevant.all(|peer| peer.sharing_peers.contains(&process)),
+            sharing_peers,
         }
     }
 }
@@ -95,6 +95,7 @@
     process: Process,
     phase: Phase,
     since: Timestamp,
+    /// Time since which this process has been able to serve, while it has not started to serve.
     ready_since: Option<Timestamp>,
     sigterm_at: Option<Timestamp>,
     has_served: bool,
@@ -139,10 +140,10 @@
             since: self.since,
             accepts_connections: self.accepts_connections(now, view.has_serving_successor),
             has_served: self.has_served,
-            budget_parts: view.shares_with.len() as u32 + 1,
+            budget_parts: view.sharing_peers.len() as u32 + 1,
             is_unacknowledged: self.is_unacknowledged,
             close_idle_after: self.close_idle_after(now, view.has_serving_successor),
-            shares_with: view.shares_with,
+            sharing_peers: view.sharing_peers,
         }
     }
 
--- a/crates/hot-restart/src/state.rs
+++ b/crates/hot-restart/src/state.rs
@@ -14,8 +14,9 @@
 /// Maximum number of processes with which budgets are shared; more than one only occurs if hot restarts
 /// overlap.
 pub const MAX_SHARING_PEERS: usize = 15;
-/// Maximum number of engines whose warm-up load is retained. Beyond it the engine that was sent work longest
-/// ago is left out. 64 engines that start within the same two seconds are the majority of the largest fleet.
+/// Maximum number of engines whose warm-up load is retained. Beyond this number the engine that was sent work
+/// longest ago is left out. 64 engines that start within the same two seconds are the majority of the largest
+/// fleet.
 pub const MAX_WARMING_ENGINES: usize = 64;
 
 /// The workload manager to which a process belongs; it is the same for both processes of a hot restart.
@@ -77,7 +78,7 @@
 /// Counters of the retry budget in one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudgetBucket {
-    /// Start of the bucket.
+    /// Start of the bucket, which lasts [`BUCKET_SPAN`].
     pub start: Timestamp,
     /// Number of retries: attempts beyond the first of a request.
     pub retries: u32,
@@ -88,13 +89,13 @@
 /// Work sent to a warming engine in one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupBucket {
-    /// Start of the bucket.
+    /// Start of the bucket, which lasts [`BUCKET_SPAN`].
     pub start: Timestamp,
     /// Work charged to the engine's warm-up budget, in milliseconds of one thread.
     pub work_ms: u32,
 }
 
-/// Work sent to one warming engine recently.
+/// Work sent to one warming engine within the warm-up budget's window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WarmupLoad {
     /// Id of the engine.
@@ -115,8 +116,8 @@
     pub retry_budget: Vec<RetryBudgetBucket>,
     /// Work sent to warming engines, by engine ([`crate::WindowCounters::warmup`]).
     pub warmup: Vec<WarmupLoad>,
-    /// Number of the last endpoint event read. It is for log lines only: each process numbers events from the
-    /// start again.
+    /// Number of the last endpoint event read. It is only for log lines, because each process numbers the
+    /// events anew.
     pub last_event: u64,
 }
 
@@ -139,8 +140,9 @@
     pub process: Process,
     /// Version of the writing program, for log lines.
     pub build: String,
-    /// Clock of the times in the file; `None` if the writer's build does not write it.
-    pub clock: Option<ClockReference>,
+    /// Relation of the times in the file to the machine's monotonic clock; `None` if the writer's build does
+    /// not write it.
+    pub clock_reference: Option<ClockReference>,
     /// Time at which the file was written.
     pub written_at: Timestamp,
     /// Number of this write, counted by the writing process from 1.
@@ -151,7 +153,7 @@
     pub phase_since: Timestamp,
     /// Processes with which the writer shares its budgets, oldest first: the writer spends no more than its
     /// own part.
-    pub shares_with: Vec<Process>,
+    pub sharing_peers: Vec<Process>,
     /// State of other parts of the program.
     pub snapshot: StateSnapshot,
 }
@@ -161,7 +163,7 @@
     /// was rebooted since the file was written, the times are not changed: the two processes then have only
     /// the wall clock in common.
     pub fn convert_to_clock(&mut self, reader: Option<&ClockReference>) {
-        let (Some(writer), Some(reader)) = (&self.clock, reader) else { return };
+        let (Some(writer), Some(reader)) = (&self.clock_reference, reader) else { return };
         if writer.boot_id != reader.boot_id {
             return;
         }
@@ -178,6 +180,6 @@
         for bucket in self.snapshot.warmup.iter_mut().flat_map(|load| &mut load.buckets) {
             bucket.start = bucket.start + shift;
         }
-        self.clock = Some(reader.clone());
+        self.clock_reference = Some(reader.clone());
     }
 }
--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -1,4 +1,5 @@
-//! The driver of a process: it writes the process's own state file and scans those of other processes.
+//! The driver of a process: it writes the process's own state file and scans the state files of other
+//! processes.
 
 use crate::codec::{decode, encode};
 use crate::error::{InvalidState, StateFileError, WriteError};
@@ -30,12 +31,13 @@
     is_valid: bool,
 }
 
-/// The last attempt to write the process's own file, and the phase and sharing that it announced.
+/// The last attempt to write the process's own file, with the phase and the processes sharing its budgets
+/// that the file announced.
 #[derive(Clone, Debug)]
 struct WriteAttempt {
-    at: Timestamp,
+    attempted_at: Timestamp,
     phase: Phase,
-    shares_with: Vec<Process>,
+    sharing_peers: Vec<Process>,
 }
 
 /// Result of a scan of the folder.
@@ -44,7 +46,7 @@
     /// Files that are new or have changed. All of them must be merged before the process's own file is
     /// written next.
     pub files: Vec<StateFile>,
-    /// Files that are new or have changed and cannot be used: name and reason.
+    /// Name of each file that is new or has changed and cannot be used, with the reason.
     pub rejected: Vec<(String, StateFileError)>,
     /// Errors of the folder; for files that could not be read, the earlier contents stay valid.
     pub folder_errors: Vec<io::Error>,
@@ -73,7 +75,7 @@
     instance: Instance,
     process: Process,
     build: String,
-    clock: Option<ClockReference>,
+    clock_reference: Option<ClockReference>,
     file_name: String,
     peers: PeerTable,
     phase_machine: PhaseMachine,
@@ -99,7 +101,7 @@
     }
 
     /// Like [`StateFileDriver::open`], but converts the times in other processes' files to this process's
-    /// `clock`, so that they are correct even if the wall clock was stepped between the starts of the
+    /// `clock_reference`, so that they are correct even if the wall clock was stepped between the starts of the
     /// processes.
     pub fn open_with_clock(
         folder: F,
@@ -107,7 +109,7 @@
         build: &str,
         pid: u32,
         now: Timestamp,
-        clock: Option<ClockReference>,
+        clock_reference: Option<ClockReference>,
     ) -> (StateFileDriver<F>, FolderScan) {
         let process = Process { generation: 1, started_at: now, pid };
         let mut phase_machine = PhaseMachine::new(process, now);
@@ -115,7 +117,7 @@
             folder,
             process,
             build: build.to_owned(),
-            clock,
+            clock_reference,
             file_name: StateFileName::new(&instance, &process).to_string(),
             instance,
             peers: PeerTable::default(),
@@ -132,7 +134,7 @@
         (driver, scan)
     }
 
-    /// Identity of this process.
+    /// Generation, start time and pid of this process.
     pub fn process(&self) -> Process {
         self.process
     }
@@ -147,7 +149,7 @@
         self.peers.live_peers(now)
     }
 
-    /// Whether a health check is to be answered positively: the process serves, and its file announces that
+    /// Whether a health check is to be answered positively: the process serves, and its file announces this
     /// or could not be written. A positive answer leads to SIGTERM for the old process, which must then be
     /// able to read that its successor serves.
     pub fn is_healthy(&self) -> bool {
@@ -239,7 +241,7 @@
             // A copy under another name would count as a second live process.
             return Err(StateFileError::Invalid(InvalidState::OtherProcess));
         }
-        file.convert_to_clock(self.clock.as_ref());
+        file.convert_to_clock(self.clock_reference.as_ref());
         Ok(file)
     }
 
@@ -251,24 +253,28 @@
         &self.status
     }
 
-    /// Whether the process's own file is to be written: its interval has passed, or a change has not been
-    /// announced that another process waits for. A failed write is retried after the interval.
+    /// Whether the process's own file is to be written: its interval has passed, or the file does not yet
+    /// announce a change that another process waits for. A failed write is retried after the interval.
     pub fn is_write_due(&self, now: Timestamp) -> bool {
         let Some(last) = &self.last_attempt else { return true };
-        let is_announced = last.phase == self.status.phase && last.shares_with == self.status.shares_with;
-        !is_announced || now - last.at >= WRITE_INTERVAL || now < last.at
+        let is_announced = last.phase == self.status.phase && last.sharing_peers == self.status.sharing_peers;
+        !is_announced || now - last.attempted_at >= WRITE_INTERVAL || now < last.attempted_at
     }
 
-    /// Writes the process's own file, and then removes the files of dead processes. If the result is `Ok`,
-    /// other processes can read a cordon that an operator waits for; otherwise the cordon is only in force in
-    /// this process, and the caller reports that or reverts it.
+    /// Writes the process's own file, and then removes the files of dead processes. After `Ok` other
+    /// processes can read all cordons of the snapshot, so that an operator's call that waits for this can be
+    /// answered. After an error a new cordon is in force in this process only; the caller reports that, or
+    /// reverts the cordon.
     ///
     /// # Errors
     /// The contents do not fit, or the folder returned an error; the previous file is unchanged.
     pub fn write(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
         let status = &self.status;
-        self.last_attempt =
-            Some(WriteAttempt { at: now, phase: status.phase, shares_with: status.shares_with.clone() });
+        self.last_attempt = Some(WriteAttempt {
+            attempted_at: now,
+            phase: status.phase,
+            sharing_peers: status.sharing_peers.clone(),
+        });
         self.has_announced_serving |= status.has_served;
         self.sequence += 1;
         let encoded = encode(&self.own_file(now, snapshot)).map_err(WriteError::Encode)?;
@@ -284,12 +290,12 @@
             instance: self.instance.clone(),
             process: self.process,
             build: self.build.clone(),
-            clock: self.clock.clone(),
+            clock_reference: self.clock_reference.clone(),
             written_at: now,
             sequence: self.sequence,
             phase: self.status.phase,
             phase_since: self.status.since,
-            shares_with: self.status.shares_with.clone(),
+            sharing_peers: self.status.sharing_peers.clone(),
             snapshot,
         }
     }
@@ -298,7 +304,7 @@
     /// process, which removes it after merging it.
     ///
     /// # Errors
-    /// As for [`StateFileDriver::write`].
+    /// The same errors as [`StateFileDriver::write`] returns.
     pub fn write_last(&mut self, now: Timestamp, snapshot: StateSnapshot) -> Result<WriteReport, WriteError> {
         self.phase_machine.terminate(now);
         self.status.phase = Phase::Terminated;
--- a/crates/hot-restart/src/window_counters.rs
+++ b/crates/hot-restart/src/window_counters.rs
@@ -25,7 +25,7 @@
     warmup_span: TimeDelta,
     /// Work in milliseconds, by engine id.
     warmup: BTreeMap<String, SlotWindow<u32>>,
-    /// Start of the newest slot.
+    /// Start of the newest slot of any counter; the earliest timestamp before the first count.
     newest_start: Timestamp,
     engines_left_out: u64,
 }
@@ -47,7 +47,7 @@
 
 impl WindowCounters {
     /// Creates empty counters with the windows of the retry budget and of the warm-up budget, each limited to
-    /// 15 s.
+    /// 15.5 s.
     pub fn new(retry_budget_span: TimeDelta, warmup_span: TimeDelta) -> WindowCounters {
         WindowCounters {
             retry_budget: slot_window(bounded_span(retry_budget_span)),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts an admitted request.
+    /// Counts an admitted request, which enlarges the retry budget.
     pub fn count_admitted(&mut self, now: Timestamp) {
         self.follow_clock(now);
         let counts = self.retry_budget.slot_mut(now);
--- a/crates/hot-restart/tests/codec.rs
+++ b/crates/hot-restart/tests/codec.rs
@@ -24,12 +24,12 @@
             pid: 77,
         },
         build: "sprucelink 0.1.0".into(),
-        clock: None,
+        clock_reference: None,
         written_at: Timestamp::from_micros(1_700_000_009_000_000),
         sequence: 36,
         phase: Phase::ServingBesideSuccessor,
         phase_since: Timestamp::from_micros(1_700_000_008_000_000),
-        shares_with: vec![Process {
+        sharing_peers: vec![Process {
             generation: 5,
             started_at: Timestamp::from_micros(1_700_000_008_500_000),
             pid: 78,
@@ -150,23 +150,23 @@
 }
 
 fn earlier_contents(phase: Phase) -> StateFile {
-    let at = |micros: i64| Timestamp::from_micros(1_700_000_000_000_000 + micros);
+    let at_micros = |micros: i64| Timestamp::from_micros(1_700_000_000_000_000 + micros);
     let record = |target, cause, version, cordoned, lease: Option<i64>, reason: &str| CordonRecord {
         target,
         cause,
         entry: CordonEntry {
             version,
             cordoned,
-            lease_expires_at: lease.map(at),
-            changed_at: at(5),
+            lease_expires_at: lease.map(at_micros),
+            changed_at: at_micros(5),
             reason: reason.into(),
         },
     };
     let engine = |id: &str| Target::Engine(id.into());
     let fleet = Cause::Fleet { permit: 9 };
     let warmup_buckets = vec![
-        WarmupBucket { start: at(250_000), work_ms: 400 },
-        WarmupBucket { start: at(750_000), work_ms: 1 },
+        WarmupBucket { start: at_micros(250_000), work_ms: 400 },
+        WarmupBucket { start: at_micros(750_000), work_ms: 1 },
     ];
     StateFile {
         phase,
@@ -179,8 +179,8 @@
             ],
             known_ids: vec![1, u64::MAX, 3],
             retry_budget: vec![
-                RetryBudgetBucket { start: at(250_000), retries: 2, admitted: 30 },
-                RetryBudgetBucket { start: at(500_000), retries: 0, admitted: 1 },
+                RetryBudgetBucket { start: at_micros(250_000), retries: 2, admitted: 30 },
+                RetryBudgetBucket { start: at_micros(500_000), retries: 0, admitted: 1 },
             ],
             warmup: vec![WarmupLoad { engine: "s-3".into(), buckets: warmup_buckets }],
             last_event: 1234,
@@ -188,7 +188,7 @@
     }
 }
 
-/// This build decodes an earlier release's file, and encodes the same contents as the same bytes.
+/// This build decodes an earlier release's file, and encodes the decoded contents to the file's bytes.
 #[test]
 fn file_of_an_earlier_release_is_decoded_and_encoded_bit_for_bit() {
     let phases = [
@@ -270,8 +270,8 @@
     );
 }
 
-/// A complete file with a cordon that no call could produce is rejected as a whole; the error names the field
-/// and the rule.
+/// A complete file with a cordon that no call to cordon could produce is rejected as a whole; the error names
+/// the field and the rule.
 #[test]
 fn invalid_cordon_is_rejected_with_its_field() {
     let entry = CordonEntry {
@@ -324,7 +324,7 @@
         entry: leased_entry.clone(),
     };
     let snapshot = StateSnapshot { cordons: vec![cordon], ..StateSnapshot::default() };
-    let file = StateFile { clock: Some(clock("a", 1_000)), ..state_file(snapshot) };
+    let file = StateFile { clock_reference: Some(clock("a", 1_000)), ..state_file(snapshot) };
     let hour = TimeDelta::from_micros(3_600_000_000);
     let mut decoded = decode(&encode(&file).expect("fits").bytes, &instance()).expect("valid");
     assert_eq!(decoded, file);
@@ -338,7 +338,7 @@
         (None, Some(clock("a", 4_600))),
         (Some(clock("a", 1_000)), None),
     ] {
-        let mut converted = StateFile { clock: writer, ..file.clone() };
+        let mut converted = StateFile { clock_reference: writer, ..file.clone() };
         converted.convert_to_clock(reader.as_ref());
         assert_eq!(converted.written_at, file.written_at);
     }
--- a/crates/hot-restart/tests/common/mod.rs
+++ b/crates/hot-restart/tests/common/mod.rs
@@ -43,6 +43,7 @@
     Died,
 }
 
+/// Times are Unix times in microseconds.
 struct SimulatedProcess {
     driver: StateFileDriver<FaultyFolder>,
     folder: FaultyFolder,
@@ -94,11 +95,12 @@
     }
 }
 
-/// The last accepted call on an engine: its time, and whether it cordoned the engine. `None` if there was
-/// none, or if the effect of the last call is unknown.
+/// The last accepted call on an engine: its time, and whether it cordoned the engine. `None` if there was no
+/// accepted call, or if the effect of the last call is unknown.
 type AcceptedCall = Option<(i64, bool)>;
 
 pub struct Simulation {
+    /// Unix time in microseconds.
     pub now: i64,
     pub folder: FaultyFolder,
     processes: Vec<SimulatedProcess>,
@@ -106,11 +108,11 @@
     /// Whether processes were paused or folder faults injected: then budget parts may temporarily add up to
     /// more than 1.
     pub has_faults: bool,
-    /// Time since which no process accepts connections although one is able to serve.
+    /// Time (Unix, in microseconds) since which no process accepts connections although one is able to serve.
     unserved_since: Option<i64>,
     pub call_count: usize,
     /// Number of processes that became healthy.
-    pub healthy_reports: usize,
+    pub became_healthy_count: usize,
 }
 
 impl Simulation {
@@ -123,7 +125,7 @@
             has_faults: false,
             unserved_since: None,
             call_count: 0,
-            healthy_reports: 0,
+            became_healthy_count: 0,
         };
         simulation.start(0);
         simulation
@@ -192,7 +194,8 @@
     }
 
     fn call(&mut self, process_index: u8, engine: usize, cordon: bool) {
-        // Two calls never happen within the same microsecond.
+        // The call count separates calls made at the same simulated time: no two calls happen within one
+        // microsecond.
         let now = self.now + self.call_count as i64;
         let process = self.live_process(process_index);
         let Some(process) = process.filter(|process| process.paused_until <= now) else { return };
@@ -207,7 +210,7 @@
         }
         match process.write(Timestamp::from_micros(now)) {
             WriteOutcome::Written => self.accepted_calls[engine] = Some((now, cordon)),
-            // The process died before it answered: the call accepted before is still in force.
+            // The process died before it answered the call: the previously accepted call is still in force.
             WriteOutcome::Died => process.is_dead = true,
             // The call was not accepted, and its effect is unknown until the next call.
             WriteOutcome::Failed => self.accepted_calls[engine] = None,
@@ -260,7 +263,7 @@
             }
         }
         if let Some(started_at) = newly_healthy {
-            self.healthy_reports += 1;
+            self.became_healthy_count += 1;
             // SIGTERM reaches all older processes some time after the new process is healthy.
             let is_older = |process: &&mut SimulatedProcess| {
                 process.started_at < started_at && process.sigterm_at.is_none()
--- a/crates/hot-restart/tests/disk.rs
+++ b/crates/hot-restart/tests/disk.rs
@@ -45,7 +45,7 @@
     new.write(set_back_ms(100), StateSnapshot::default()).expect("written");
     assert!(!new.is_healthy());
     assert_eq!(old.scan(set_back_ms(200)).files.len(), 1);
-    assert_eq!(old.step(set_back_ms(200), false, true).shares_with, [new.process()]);
+    assert_eq!(old.step(set_back_ms(200), false, true).sharing_peers, [new.process()]);
     assert!(
         old.is_write_due(set_back_ms(200)),
         "an acknowledgement that the new process waits for is written at once"
@@ -147,8 +147,8 @@
     );
 }
 
-/// Hundreds of managers share one folder, as on a test rig: each opens only the files of its own instance,
-/// and of those only the newest.
+/// Hundreds of managers share one folder, as on a test rig: each process opens only the files of its own
+/// instance, and of these files only the newest.
 #[test]
 fn files_of_other_instances_are_ignored_and_files_of_the_own_instance_are_limited() {
     let dir = tempfile::tempdir().expect("temporary folder");
--- a/crates/membership/src/gossip_payload.rs
+++ b/crates/membership/src/gossip_payload.rs
@@ -18,7 +18,7 @@
 /// Work that a member sent to a warming engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupWork {
-    /// The engine, by [`engine_hash`].
+    /// Key of the engine ([`engine_hash`]).
     pub engine: u64,
     /// Work sent within the warm-up budget's window, in milliseconds.
     pub work_ms: u32,
@@ -57,9 +57,9 @@
 /// A payload and the generation of the process that published it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedPayload {
-    /// Start time of the process, in Unix milliseconds.
+    /// Generation of the publishing process: its start time in Unix milliseconds.
     pub generation: u64,
-    /// The published payload.
+    /// Newest payload that the process published.
     pub payload: GossipPayload,
 }
 
@@ -89,7 +89,7 @@
         self.payloads.get(member)
     }
 
-    /// Removes the payload of a member.
+    /// Removes the payload of a member. Any payload of the member that is merged later is stored.
     pub fn remove(&mut self, member: &str) {
         self.payloads.remove(member);
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -8,7 +8,7 @@
 pub enum MemberState {
     /// The member answers probes.
     Alive,
-    /// The member did not answer a probe, and may refute the suspicion.
+    /// The member did not answer a probe, and can still refute the suspicion.
     Suspect,
     /// The member did not refute the suspicion before it expired.
     Dead,
@@ -17,13 +17,13 @@
 }
 
 impl MemberState {
-    /// Whether the member counts as part of the fleet.
+    /// Whether the member counts as part of the fleet: it is alive or only suspected.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// A member as updates describe it.
+/// Description and state of a member, as updates carry them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name of the member; a restart does not change it.
@@ -35,7 +35,7 @@
     pub incarnation: u32,
     /// State that the update reports.
     pub state: MemberState,
-    /// Address at which other members reach it.
+    /// Address at which other members reach the member.
     pub address: SocketAddr,
     /// Zone of the member; empty if it has none.
     pub zone: String,
@@ -46,20 +46,20 @@
 /// An update piggybacked on a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// The state of a member.
+    /// A change of a member's state, or a report of its current state.
     Member {
         /// The member and its reported state.
         member: Member,
         /// Name of the member that reported this state first: a suspicion counts each reporter once.
         reported_by: String,
     },
-    /// A member's payload.
+    /// A payload that a member published.
     Payload {
         /// Name of the member that published the payload.
         member: String,
         /// Generation of the publishing process.
         generation: u64,
-        /// The published payload.
+        /// The payload, which contains its version.
         payload: GossipPayload,
     },
 }
@@ -74,9 +74,9 @@
         /// Name of the probed member; a different member at the address does not answer.
         target: String,
     },
-    /// The answer to a probe.
+    /// The answer to a `Ping` or `PingRequest`.
     Ack {
-        /// Sequence number of the probe.
+        /// Sequence number of the answered message.
         sequence: u32,
     },
     /// SWIM's ping-req: a request to probe a member on the sender's behalf, answered by an `Ack` or `Nack`
@@ -121,7 +121,7 @@
     },
 }
 
-/// Sender of a message.
+/// Identity of a message's sender, and the address for answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sender {
     /// Name of the sending member.
@@ -139,6 +139,6 @@
     pub sender: Sender,
     /// Kind of the message, with its fields.
     pub kind: MessageKind,
-    /// Updates piggybacked on the message.
+    /// Updates of the view that the message carries in addition to its own fields.
     pub updates: Vec<Update>,
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
 //! The wire format must not change: datagrams of an earlier release are decoded and encoded bit for bit, and
-//! a simulated run sends the same datagrams as with that release.
+//! a simulated run sends the datagrams that the earlier release sent.
 mod common;
 
 use common::SimulatedNetwork;
@@ -112,7 +112,7 @@
         }
         network.run(Timestamp::from_secs(150));
         assert_eq!(
-            (network.bytes, network.messages, network.events.len(), network.datagram_digest),
+            (network.bytes_sent, network.messages_sent, network.events.len(), network.datagram_digest),
             expected,
             "seed {seed}"
         );
