--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -115,14 +115,14 @@
 
     /// Records which engines a list names, so that operators can cordon and uncordon them.
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
-        for member in &list.members {
+        for member in &list.endpoints {
             match member.phase {
                 EndpointPhase::Gone => self.cordons.mark_unlisted(&member.id),
                 EndpointPhase::Ready | EndpointPhase::Draining => self.cordons.mark_listed(&member.id),
             }
         }
-        if list.complete {
-            let named: BTreeSet<&str> = list.members.iter().map(|member| member.id.as_str()).collect();
+        if list.is_complete {
+            let named: BTreeSet<&str> = list.endpoints.iter().map(|member| member.id.as_str()).collect();
             let omitted = self.engines.iter().filter(|e| e.is_listed() && !named.contains(e.id.as_str()));
             omitted.for_each(|engine| self.cordons.mark_unlisted(&engine.id));
         }
@@ -133,11 +133,11 @@
         let is_cordoned = |member: &Endpoint| {
             member.phase == EndpointPhase::Ready && self.cordons.is_engine_cordoned(&member.id)
         };
-        if !list.members.iter().any(is_cordoned) {
+        if !list.endpoints.iter().any(is_cordoned) {
             return None;
         }
         let mut effective = list.clone();
-        for member in &mut effective.members {
+        for member in &mut effective.endpoints {
             if is_cordoned(member) {
                 member.phase = EndpointPhase::Draining;
             }
@@ -149,7 +149,7 @@
     fn reapply_entry(&mut self, runtime: &dyn ConnectionRuntime, id: &str) {
         let Some(entry) = self.engines.listed_entry(id) else { return };
         let n = self.engines.last_event();
-        let list = ListEvent { n, revision: 0, complete: false, members: vec![entry] };
+        let list = ListEvent { number: n, revision: 0, is_complete: false, endpoints: vec![entry] };
         let commands = self.apply_members(&list, false);
         self.execute(runtime, commands);
         runtime.wake();
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -53,10 +53,10 @@
     /// engines.
     fn record_event_number(&mut self, list: &ListEvent) {
         self.engines.record_revision(list.revision);
-        for member in &list.members {
+        for member in &list.endpoints {
             let index = self.policy.engine_index(&member.id);
             if let Some(engine) = self.engines.get_mut(index) {
-                engine.last_event = list.n;
+                engine.last_event = list.number;
             }
         }
     }
@@ -67,7 +67,7 @@
         let effective = with_cordons.as_ref().unwrap_or(list);
         let event = PolicyEvent::EndpointList { list: effective, is_cached };
         let mut commands = self.policy.on_event(now(), event);
-        for (entry, listed) in effective.members.iter().zip(&list.members) {
+        for (entry, listed) in effective.endpoints.iter().zip(&list.endpoints) {
             let index = self.policy.engine_index(&entry.id);
             let engine = self.engines.get_or_insert(index);
             engine.listed_entry = Some(listed.clone());
--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -92,7 +92,10 @@
         assert!(unsent.len() > 10, "{} attempts are unsent", unsent.len());
         let address = listeners[0].local_addr().expect("an address").to_string();
         let drain = vec![member("s-1", address, EndpointPhase::Draining, 0)];
-        core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: false, members: drain }, false);
+        core.on_endpoint_list(
+            &ListEvent { number: 2, revision: 0, is_complete: false, endpoints: drain },
+            false,
+        );
         // Only the attempt that was sent in part stays on the connection.
         let partly_sent = connection.unsent_ids();
         assert!(partly_sent.len() <= 1, "{partly_sent:?} of {unsent:?}");
@@ -125,7 +128,10 @@
         let started = (crate::core::unix().as_millis()).max(1);
         let restarted =
             vec![member(&format!("s-{}", first.engine + 1), address, EndpointPhase::Ready, started)];
-        core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: false, members: restarted }, false);
+        core.on_endpoint_list(
+            &ListEvent { number: 2, revision: 0, is_complete: false, endpoints: restarted },
+            false,
+        );
         let next = connection_of(&core, 1).expect("in flight again");
         assert!(!Rc::ptr_eq(&first, &next), "the attempt still waits on the old connection");
         assert!(first.unsent_ids().is_empty() && first.attempt_count() == 0);
@@ -144,7 +150,10 @@
         let other = 1 - first.engine;
         let address = listeners[other].local_addr().expect("an address").to_string();
         let rest = vec![member(&format!("s-{}", other + 1), address, EndpointPhase::Ready, 0)];
-        core.on_endpoint_list(&ListEvent { n: 2, revision: 0, complete: true, members: rest }, false);
+        core.on_endpoint_list(
+            &ListEvent { number: 2, revision: 0, is_complete: true, endpoints: rest },
+            false,
+        );
         assert_eq!(connection_of(&core, 1).expect("in flight again").engine, other);
         assert_eq!(first.attempt_count(), 0);
     });
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -101,13 +101,19 @@
         let member = |id: u64, phase: EndpointPhase| member(&format!("e-{id}"), address.clone(), phase, 0);
         for n in 2..500 {
             let members = vec![member(n - 1, EndpointPhase::Gone), member(n, EndpointPhase::Ready)];
-            core.on_endpoint_list(&ListEvent { n, revision: 0, complete: false, members }, false);
+            core.on_endpoint_list(
+                &ListEvent { number: n, revision: 0, is_complete: false, endpoints: members },
+                false,
+            );
             tokio::time::sleep(Duration::from_micros(10)).await;
         }
         assert!(core.coordinator.borrow().engines.len() < 10, "{}", core.coordinator.borrow().engines.len());
         // A complete list names only one engine: the others are gone, and the named engine is used.
         let members = vec![member(499, EndpointPhase::Ready)];
-        core.on_endpoint_list(&ListEvent { n: 500, revision: 0, complete: true, members }, false);
+        core.on_endpoint_list(
+            &ListEvent { number: 500, revision: 0, is_complete: true, endpoints: members },
+            false,
+        );
         let _handle = core.submit(request(&core, 1)).expect("accepted");
         let mut coordinator = core.coordinator.borrow_mut();
         let engine = coordinator.policy.engine_index("e-499");
@@ -174,13 +180,13 @@
         let address = engines[first].local_addr().expect("an address").to_string();
         let member = member(&format!("s-{}", first + 1), address, EndpointPhase::Draining, 0);
         core.on_endpoint_list(
-            &ListEvent { n: 2, revision: 0, complete: false, members: vec![member] },
+            &ListEvent { number: 2, revision: 0, is_complete: false, endpoints: vec![member] },
             false,
         );
         assert_eq!(engine(&core), 1 - first);
         assert_eq!(core.coordinator.borrow().requests.pending(1).attempts, 2);
         // An event with the same number arrives again after a reconnect and is skipped.
-        let again = ListEvent { n: 2, revision: 0, complete: true, members: Vec::new() };
+        let again = ListEvent { number: 2, revision: 0, is_complete: true, endpoints: Vec::new() };
         core.on_endpoint_list(&again, false);
         assert_eq!(engine(&core), 1 - first);
     });
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -162,7 +162,7 @@
     let last_event = core.last_event();
     match events::parse(&event.data) {
         Ok(Some(mut list)) => {
-            list.n = event.id.unwrap_or(list.n);
+            list.number = event.id.unwrap_or(list.number);
             core.on_endpoint_list(&list, false);
         }
         Ok(None) => event.id.into_iter().for_each(|number| core.skip_event(number)),
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -7,17 +7,17 @@
 /// phase.
 pub(super) fn resolve_duplicates(list: &mut ListEvent) {
     let mut max_severity: BTreeMap<String, u8> = BTreeMap::new();
-    for member in &list.members {
+    for member in &list.endpoints {
         let severity = max_severity.entry(member.id.clone()).or_default();
         *severity = severity_of(member).max(*severity);
     }
-    let mut members: Vec<Endpoint> = list.members.drain(..).rev().collect();
+    let mut members: Vec<Endpoint> = list.endpoints.drain(..).rev().collect();
     members.retain(|member| {
         max_severity.get(&member.id) == Some(&severity_of(member))
             && max_severity.remove(&member.id).is_some()
     });
     members.reverse();
-    list.members = members;
+    list.endpoints = members;
 }
 
 /// The severity of an entry's phase: the higher the severity, the fewer attempts the engine may get.
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -183,8 +183,8 @@
     /// revisions, the feed has restarted its numbering, and every further event would be ignored because of
     /// its number. If it arrives out of order, it applies to the known engines that no later event has named.
     pub(super) fn accept_event(&mut self, list: &ListEvent) -> Option<ListEvent> {
-        if list.n > self.last_event {
-            self.last_event = list.n;
+        if list.number > self.last_event {
+            self.last_event = list.number;
             return Some(list.clone());
         }
         if list.revision > self.revision {
@@ -192,39 +192,44 @@
             return Some(list.clone());
         }
         let is_newer = |member: &Endpoint| {
-            self.engines.iter().any(|engine| engine.id == member.id && engine.last_event < list.n)
+            self.engines.iter().any(|engine| engine.id == member.id && engine.last_event < list.number)
         };
-        let members: Vec<Endpoint> = list.members.iter().filter(|m| is_newer(m)).cloned().collect();
+        let members: Vec<Endpoint> = list.endpoints.iter().filter(|m| is_newer(m)).cloned().collect();
         if members.is_empty() {
             return None;
         }
-        Some(ListEvent { n: list.n, revision: list.revision, complete: false, members })
+        Some(ListEvent {
+            number: list.number,
+            revision: list.revision,
+            is_complete: false,
+            endpoints: members,
+        })
     }
 
     fn restart_numbering(&mut self, list: &ListEvent) {
         warn!(
-            event = list.n,
+            event = list.number,
             last_event = self.last_event,
             revision = list.revision,
             held_revision = self.revision,
             "event numbering restarted by a list of a new revision"
         );
         self.engines.iter_mut().for_each(|engine| engine.last_event = 0);
-        self.last_event = list.n;
+        self.last_event = list.number;
     }
 
     /// Adds an entry with phase gone for each known engine that a complete list omits.
     pub(super) fn add_omitted_as_gone(&self, list: &mut ListEvent) {
-        if !list.complete {
+        if !list.is_complete {
             return;
         }
-        let named: BTreeSet<&str> = list.members.iter().map(|member| member.id.as_str()).collect();
+        let named: BTreeSet<&str> = list.endpoints.iter().map(|member| member.id.as_str()).collect();
         let omitted =
             self.engines.iter().filter(|e| e.removed_at.is_none() && !named.contains(e.id.as_str()));
         let entries = omitted.filter_map(|engine| engine.listed_entry.clone());
         let gone: Vec<Endpoint> =
             entries.map(|entry| Endpoint { phase: EndpointPhase::Gone, ..entry }).collect();
-        list.members.extend(gone);
+        list.endpoints.extend(gone);
     }
 
     /// Records the revision of an applied list, which may name no engine.
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -185,12 +185,12 @@
     }
 
     fn list_event(&mut self, list: &ListEvent, is_cached: bool) -> Event {
-        let kind = match (is_cached, list.complete) {
+        let kind = match (is_cached, list.is_complete) {
             (true, true) => EndpointUpdate::Remembered,
             (false, true) => EndpointUpdate::Complete,
             (_, false) => EndpointUpdate::Changes,
         };
-        let entries = list.members.iter().map(|member| EngineEntry {
+        let entries = list.endpoints.iter().map(|member| EngineEntry {
             engine: EngineId(self.engine_indices.get_or_assign(&member.id)),
             zone: index_of(&self.zones, &member.zone),
             kind: index_of(&self.kinds, &member.kind),
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -102,22 +102,27 @@
     /// contradicts itself; `None` if the whole list may be applied.
     pub(super) fn filter_list(&mut self, list: &ListEvent, now: Timestamp) -> Option<ListEvent> {
         let entries: Vec<(&str, EndpointState)> =
-            list.members.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
-        let decision = self.list_guard.evaluate(now, list.revision, list.complete, &entries);
+            list.endpoints.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
+        let decision = self.list_guard.evaluate(now, list.revision, list.is_complete, &entries);
         if !decision.is_stale && decision.contradictions == 0 {
             return None;
         }
         warn!(
-            event = list.n,
+            event = list.number,
             revision = list.revision,
             held_revision = self.list_guard.revision(),
-            entries = list.members.len(),
+            entries = list.endpoints.len(),
             applied = decision.accepted.len(),
             contradicted = decision.contradictions,
             "endpoint list applied in part"
         );
-        let members = decision.accepted.iter().map(|i| list.members[*i].clone()).collect();
-        Some(ListEvent { n: list.n, revision: list.revision, complete: decision.is_complete, members })
+        let members = decision.accepted.iter().map(|i| list.endpoints[*i].clone()).collect();
+        Some(ListEvent {
+            number: list.number,
+            revision: list.revision,
+            is_complete: decision.is_complete,
+            endpoints: members,
+        })
     }
 }
 
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -72,7 +72,7 @@
         member(&format!("s-{}", i + 1), address, EndpointPhase::Ready, 0)
     };
     let members = listeners.iter().enumerate().map(member_of).collect();
-    core.on_endpoint_list(&ListEvent { n: 1, revision: 0, complete: true, members }, true);
+    core.on_endpoint_list(&ListEvent { number: 1, revision: 0, is_complete: true, endpoints: members }, true);
     (core, listeners)
 }
 
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -101,13 +101,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
     /// Number of the event, counted from 1 since the feed's start.
-    pub n: u64,
+    pub number: u64,
     /// Revision of the list after the event; 0 if the event gives none.
     pub revision: u64,
     /// Whether the event holds the complete list, not only changes.
-    pub complete: bool,
+    pub is_complete: bool,
     /// The endpoints of the complete list, or those that changed.
-    pub members: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// An event in the configuration; `None` if it does not change the endpoint list.
@@ -138,18 +138,18 @@
 /// # Errors
 /// If the value is not an event.
 pub fn decode(value: &Value) -> Result<Option<ListEvent>, EventError> {
-    let n = value[field::NUMBER].as_u64().ok_or(EventError::NoNumber)?;
-    if n > MAX_EVENT_NUMBER {
+    let number = value[field::NUMBER].as_u64().ok_or(EventError::NoNumber)?;
+    if number > MAX_EVENT_NUMBER {
         return Err(EventError::NumberTooLarge);
     }
     let Some(list) = value.get(field::LIST) else { return Ok(None) };
     let entries = list[field::LIST_ENDPOINTS].as_array().ok_or(EventError::NoEndpoints)?;
-    let members = entries.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
+    let endpoints = entries.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
     Ok(Some(ListEvent {
-        n,
+        number,
         revision: list[field::LIST_REVISION].as_u64().unwrap_or(0),
-        complete: list[field::LIST_IS_COMPLETE].as_bool().unwrap_or(false),
-        members,
+        is_complete: list[field::LIST_IS_COMPLETE].as_bool().unwrap_or(false),
+        endpoints,
     }))
 }
 
