--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -9,7 +9,7 @@
 use super::request::format_request_id;
 use super::result_buffer::{ResultSet, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
 use crate::proto::engine_answer::{
-    is_page, AnswerKind, EngineAnswer, EngineAnswerError, LoadStats, QueryCost, UpdateTopic,
+    is_page, AnswerKind, EngineAnswer, EngineAnswerError, EngineLoadReport, QueryCost, UpdateTopic,
 };
 use crate::proto::engine_command as command;
 use sprucelink_policy::{Outcome, TimeDelta, Timestamp};
@@ -113,7 +113,7 @@
     /// The cost of the query, once the engine has reported it.
     pub(super) cost: Option<QueryCost>,
     /// The engine's last load report.
-    pub(super) load_report: LoadStats,
+    pub(super) load_report: EngineLoadReport,
     /// Whether the first page of the result was received.
     pub(super) is_served: bool,
     /// The cancellation in progress; `None` if the attempt is not cancelled.
@@ -139,7 +139,7 @@
             is_authorized: false,
             result: ResultSet::default(),
             cost: None,
-            load_report: LoadStats::default(),
+            load_report: EngineLoadReport::default(),
             is_served: false,
             cancellation: None,
             cancelled_outcome: AttemptOutcome::Cancelled,
@@ -222,7 +222,7 @@
             AnswerKind::Overloaded => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
             AnswerKind::NotRun => Ok(self.on_rejection(AttemptOutcome::NeverRan, answer)),
             AnswerKind::Crashed => {
-                self.load_report = answer.stats;
+                self.load_report = answer.load_report;
                 Ok(AnswerEffect::Ended(AttemptOutcome::EngineError))
             }
             AnswerKind::Completed { pages } => self.on_first_page(pool, id, pages, answer),
@@ -236,7 +236,7 @@
         if self.is_served {
             return AnswerEffect::None;
         }
-        self.load_report = answer.stats;
+        self.load_report = answer.load_report;
         AnswerEffect::Ended(outcome)
     }
 
@@ -258,7 +258,7 @@
         }
         self.check_page(answer.body)?;
         self.is_served = true;
-        self.load_report = answer.stats;
+        self.load_report = answer.load_report;
         self.cost = answer.cost;
         self.result.expect_pages(pages);
         for page in 1..pages {
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -15,7 +15,7 @@
 use crate::core::request::{format_request_id, Response};
 use crate::core::request_table::PendingRequest;
 use crate::core::send_guard::{OutgoingAttempt, SendRejection};
-use crate::proto::engine_answer::{read_answer, AnswerKind, EngineAnswerError, LoadStats, QueryCost};
+use crate::proto::engine_answer::{read_answer, AnswerKind, EngineAnswerError, EngineLoadReport, QueryCost};
 use crate::proto::engine_command::{self, QueryFields};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::rc::Rc;
@@ -36,14 +36,14 @@
     /// The cost of the query, if the engine has reported it.
     cost: Option<QueryCost>,
     /// The engine's last load report on this attempt.
-    load_report: LoadStats,
+    load_report: EngineLoadReport,
 }
 
 impl AttemptEnd {
     /// The end of an attempt that was never queued to a connection.
     fn unsent(attempt: u32, outcome: AttemptOutcome) -> AttemptEnd {
         let latency = TimeDelta::ZERO;
-        AttemptEnd { attempt, outcome, latency, cost: None, load_report: LoadStats::default() }
+        AttemptEnd { attempt, outcome, latency, cost: None, load_report: EngineLoadReport::default() }
     }
 }
 
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -9,7 +9,7 @@
 use super::engine_indices::EngineIndices;
 use super::request::RequestSpec;
 use super::wall_clock::WallClock;
-use crate::proto::engine_answer::{LoadStats, QueryCost, UpdateTopic};
+use crate::proto::engine_answer::{EngineLoadReport, QueryCost, UpdateTopic};
 use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_capture::recorder::{Recorder, RecorderCounters};
 use sprucelink_policy::diagnostics::EngineView;
@@ -294,13 +294,13 @@
 }
 
 /// Converts a load report to the policy's type.
-fn policy_report(stats: &LoadStats) -> LoadReport {
+fn policy_report(report: &EngineLoadReport) -> LoadReport {
     LoadReport {
-        queries_in_flight: stats.in_flight,
-        queries_waiting_for_memory: stats.queued,
-        busy_core_fraction: stats.cpu_utilization,
-        granted_memory_fraction: stats.memory_utilization,
-        busy_disk_fraction: stats.disk_utilization,
+        queries_in_flight: report.in_flight,
+        queries_waiting_for_memory: report.waiting_for_memory,
+        busy_core_fraction: report.cpu_utilization,
+        granted_memory_fraction: report.memory_utilization,
+        busy_disk_fraction: report.disk_utilization,
     }
 }
 
--- a/src/core/policy_driver/messages.rs
+++ b/src/core/policy_driver/messages.rs
@@ -2,7 +2,7 @@
 //! Plain data.
 
 use crate::core::attempt::AttemptOutcome;
-use crate::proto::engine_answer::{LoadStats, QueryCost, UpdateTopic};
+use crate::proto::engine_answer::{EngineLoadReport, QueryCost, UpdateTopic};
 use crate::proto::events::ListEvent;
 use sprucelink_policy::TimeDelta;
 
@@ -42,7 +42,7 @@
         /// The cost of the query, if the engine has reported it.
         cost: Option<QueryCost>,
         /// The engine's last load report on this attempt.
-        load_report: LoadStats,
+        load_report: EngineLoadReport,
     },
     /// The client of a request no longer waits for a response.
     RequestAbandoned {
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -136,11 +136,11 @@
 
 /// The load report of an engine; values that it omits are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadStats {
+pub struct EngineLoadReport {
     /// Number of queries in flight at the engine.
     pub in_flight: Option<f64>,
     /// Number of queries that wait for memory.
-    pub queued: Option<f64>,
+    pub waiting_for_memory: Option<f64>,
     /// Fraction of the cores in use, from 0 to 1.
     pub cpu_utilization: Option<f64>,
     /// Fraction of the memory that is granted, from 0 to 1.
@@ -166,7 +166,7 @@
     /// Kind of the answer, with the values of that kind.
     pub kind: AnswerKind,
     /// The engine's load report; empty if the answer has none.
-    pub stats: LoadStats,
+    pub load_report: EngineLoadReport,
     /// Resources that the query used, if the engine reports them.
     pub cost: Option<QueryCost>,
     /// A page of the result; empty in answers without one.
@@ -180,7 +180,7 @@
     page_number: Option<usize>,
     update_topic: Option<UpdateTopic>,
     update_value: f64,
-    stats: LoadStats,
+    load_report: EngineLoadReport,
     cpu_ms: Option<f64>,
     memory_mb: Option<f64>,
 }
@@ -213,7 +213,7 @@
     };
     let memory_mb = fields.memory_mb.unwrap_or(0.0);
     let cost = fields.cpu_ms.map(|work_ms| QueryCost { work_ms, memory_mb });
-    Ok(EngineAnswer { id, kind, stats: fields.stats, cost, body })
+    Ok(EngineAnswer { id, kind, load_report: fields.load_report, cost, body })
 }
 
 /// Whether a page's body is UTF-8 text in complete rows of [`COLUMNS`] columns, as the engines' protocol
@@ -232,7 +232,7 @@
         match name {
             field::PAGE_COUNT => fields.page_count = Some(read_page_number(field::PAGE_COUNT, value)?),
             field::PAGE_NUMBER => fields.page_number = Some(read_page_number(field::PAGE_NUMBER, value)?),
-            field::LOAD_REPORT => fields.stats = read_stats(value)?,
+            field::LOAD_REPORT => fields.load_report = read_load_report(value)?,
             field::CPU_MS => fields.cpu_ms = Some(read_number(field::CPU_MS, value)?),
             field::MEMORY_MB => fields.memory_mb = Some(read_number(field::MEMORY_MB, value)?),
             field::UPDATE_VALUE => fields.update_value = read_number(field::UPDATE_VALUE, value)?,
@@ -261,9 +261,9 @@
     /// Alias of [`IN_FLIGHT`].
     pub(super) const IN_FLIGHT_ALIAS: &str = "rif";
     /// Queries that wait for memory.
-    pub(super) const QUEUED: &str = "queue";
-    /// Alias of [`QUEUED`].
-    pub(super) const QUEUED_ALIAS: &str = "q";
+    pub(super) const WAITING_FOR_MEMORY: &str = "queue";
+    /// Alias of [`WAITING_FOR_MEMORY`].
+    pub(super) const WAITING_FOR_MEMORY_ALIAS: &str = "q";
     /// Fraction of the cores in use, from 0 to 1.
     pub(super) const CPU_UTILIZATION: &str = "util";
     /// Alias of [`CPU_UTILIZATION`].
@@ -275,21 +275,23 @@
 }
 
 /// Reads a load report, `name:value;name:value`, in the names of both generations of engines.
-fn read_stats(text: &str) -> Result<LoadStats, EngineAnswerError> {
-    let mut stats = LoadStats::default();
+fn read_load_report(text: &str) -> Result<EngineLoadReport, EngineAnswerError> {
+    let mut report = EngineLoadReport::default();
     for pair in split_pairs(text, ';', ':') {
         let (name, value) = pair?;
         let target = match name {
-            load_report::IN_FLIGHT | load_report::IN_FLIGHT_ALIAS => &mut stats.in_flight,
-            load_report::QUEUED | load_report::QUEUED_ALIAS => &mut stats.queued,
-            load_report::CPU_UTILIZATION | load_report::CPU_UTILIZATION_ALIAS => &mut stats.cpu_utilization,
-            load_report::MEMORY_UTILIZATION => &mut stats.memory_utilization,
-            load_report::DISK_UTILIZATION => &mut stats.disk_utilization,
+            load_report::IN_FLIGHT | load_report::IN_FLIGHT_ALIAS => &mut report.in_flight,
+            load_report::WAITING_FOR_MEMORY | load_report::WAITING_FOR_MEMORY_ALIAS => {
+                &mut report.waiting_for_memory
+            }
+            load_report::CPU_UTILIZATION | load_report::CPU_UTILIZATION_ALIAS => &mut report.cpu_utilization,
+            load_report::MEMORY_UTILIZATION => &mut report.memory_utilization,
+            load_report::DISK_UTILIZATION => &mut report.disk_utilization,
             _ => continue,
         };
         *target = Some(read_number(field::LOAD_REPORT, value)?);
     }
-    Ok(stats)
+    Ok(report)
 }
 
 /// Splits a list into names and values.
