--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -9,7 +9,7 @@
 use super::request::format_request_id;
 use super::result_buffer::{ResultSet, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
 use crate::proto::engine_answer::{
-    is_page, AnswerKind, EngineAnswer, EngineAnswerError, EngineLoadReport, QueryCost, UpdateTopic,
+    is_page, AnswerKind, EngineAnswer, EngineAnswerError, EngineLoadReport, NoteTopic, QueryCost,
 };
 use crate::proto::engine_command as command;
 use sprucelink_policy::{Outcome, TimeDelta, Timestamp};
@@ -87,7 +87,7 @@
     /// A progress note.
     Progress {
         /// Topic of the note.
-        topic: UpdateTopic,
+        topic: NoteTopic,
         /// Value of the note; its meaning depends on the topic.
         value: f64,
     },
@@ -216,8 +216,10 @@
         answer: &EngineAnswer,
     ) -> Result<AnswerEffect, EngineAnswerError> {
         match answer.kind {
-            AnswerKind::Update { topic: Some(topic), value } => Ok(AnswerEffect::Progress { topic, value }),
-            AnswerKind::Update { topic: None, .. } | AnswerKind::Pong => Ok(AnswerEffect::None),
+            AnswerKind::ProgressNote { topic: Some(topic), value } => {
+                Ok(AnswerEffect::Progress { topic, value })
+            }
+            AnswerKind::ProgressNote { topic: None, .. } | AnswerKind::Pong => Ok(AnswerEffect::None),
             AnswerKind::Unknown => Err(EngineAnswerError::UnknownWord),
             AnswerKind::Overloaded => Ok(self.on_rejection(AttemptOutcome::Overloaded, answer)),
             AnswerKind::NotRun => Ok(self.on_rejection(AttemptOutcome::NeverRan, answer)),
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -9,7 +9,7 @@
 use super::engine_indices::EngineIndices;
 use super::request::RequestSpec;
 use super::wall_clock::WallClock;
-use crate::proto::engine_answer::{EngineLoadReport, QueryCost, UpdateTopic};
+use crate::proto::engine_answer::{EngineLoadReport, NoteTopic, QueryCost};
 use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_capture::recorder::{Recorder, RecorderCounters};
 use sprucelink_policy::diagnostics::EngineView;
@@ -279,12 +279,12 @@
 
 /// Converts a progress note to the policy's type. The value of a `waiting` note is 1 for memory and 2 for a
 /// load.
-fn progress_note(topic: UpdateTopic, value: f64) -> ProgressNote {
+fn progress_note(topic: NoteTopic, value: f64) -> ProgressNote {
     match topic {
-        UpdateTopic::Progress => ProgressNote::Progress(value),
-        UpdateTopic::MissingMemory => ProgressNote::Spills(value),
-        UpdateTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
-        UpdateTopic::Waiting => ProgressNote::WaitsForMemory,
+        NoteTopic::Progress => ProgressNote::Progress(value),
+        NoteTopic::MissingMemory => ProgressNote::Spills(value),
+        NoteTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
+        NoteTopic::Waiting => ProgressNote::WaitsForMemory,
     }
 }
 
--- a/src/core/policy_driver/messages.rs
+++ b/src/core/policy_driver/messages.rs
@@ -2,7 +2,7 @@
 //! Plain data.
 
 use crate::core::attempt::AttemptOutcome;
-use crate::proto::engine_answer::{EngineLoadReport, QueryCost, UpdateTopic};
+use crate::proto::engine_answer::{EngineLoadReport, NoteTopic, QueryCost};
 use crate::proto::events::ListEvent;
 use sprucelink_policy::TimeDelta;
 
@@ -23,7 +23,7 @@
         /// Number of the attempt among its request's attempts, from 0.
         attempt: u32,
         /// Topic of the note.
-        topic: UpdateTopic,
+        topic: NoteTopic,
         /// Value of the note; its meaning depends on the topic.
         value: f64,
     },
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -20,7 +20,7 @@
     /// The attempt was unknown or cancelled; the query did not run.
     pub(super) const NOT_RUN: &[u8] = b"nobody";
     /// A progress note of a query that is running.
-    pub(super) const UPDATE: &[u8] = b"update";
+    pub(super) const PROGRESS_NOTE: &[u8] = b"update";
     /// A further page of a result.
     pub(super) const PAGE: &[u8] = b"rows";
     /// The answer to a health check.
@@ -41,12 +41,12 @@
     /// Memory that the query used, in MB.
     pub(super) const MEMORY_MB: &str = "used";
     /// Value of a progress note; the note's topic defines its meaning and unit.
-    pub(super) const UPDATE_VALUE: &str = "num";
+    pub(super) const NOTE_VALUE: &str = "num";
     /// Topic of a progress note.
-    pub(super) const UPDATE_TOPIC: &str = "how";
+    pub(super) const NOTE_TOPIC: &str = "how";
 }
 
-/// Values of the field [`field::UPDATE_TOPIC`].
+/// Values of the field [`field::NOTE_TOPIC`].
 mod topic {
     /// Completed fraction of the work, from 0 to 1.
     pub(super) const PROGRESS: &str = "so_far";
@@ -106,9 +106,9 @@
     /// The attempt was unknown or cancelled; the query did not run.
     NotRun,
     /// A progress note: the query is still running.
-    Update {
-        /// Quantity that the update reports; `None` if the topic is unknown.
-        topic: Option<UpdateTopic>,
+    ProgressNote {
+        /// Quantity that the note reports; `None` if the topic is unknown.
+        topic: Option<NoteTopic>,
         /// Value of the quantity, in the unit of the topic.
         value: f64,
     },
@@ -123,9 +123,9 @@
     Unknown,
 }
 
-/// Quantity that an update reports.
+/// Quantity that a progress note reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpdateTopic {
+pub enum NoteTopic {
     /// Completed fraction of the work, from 0 to 1.
     Progress,
     /// Memory that the query lacks, in MB.
@@ -178,8 +178,8 @@
 struct AnswerFields {
     page_count: Option<usize>,
     page_number: Option<usize>,
-    update_topic: Option<UpdateTopic>,
-    update_value: f64,
+    note_topic: Option<NoteTopic>,
+    note_value: f64,
     load_report: EngineLoadReport,
     cpu_ms: Option<f64>,
     memory_mb: Option<f64>,
@@ -203,7 +203,9 @@
         answer_name::OVERLOADED => AnswerKind::Overloaded,
         answer_name::CRASHED => AnswerKind::Crashed,
         answer_name::NOT_RUN => AnswerKind::NotRun,
-        answer_name::UPDATE => AnswerKind::Update { topic: fields.update_topic, value: fields.update_value },
+        answer_name::PROGRESS_NOTE => {
+            AnswerKind::ProgressNote { topic: fields.note_topic, value: fields.note_value }
+        }
         answer_name::PAGE => {
             let number = fields.page_number.ok_or(EngineAnswerError::Missing(field::PAGE_NUMBER))?;
             AnswerKind::Page { number }
@@ -235,20 +237,20 @@
             field::LOAD_REPORT => fields.load_report = read_load_report(value)?,
             field::CPU_MS => fields.cpu_ms = Some(read_number(field::CPU_MS, value)?),
             field::MEMORY_MB => fields.memory_mb = Some(read_number(field::MEMORY_MB, value)?),
-            field::UPDATE_VALUE => fields.update_value = read_number(field::UPDATE_VALUE, value)?,
-            field::UPDATE_TOPIC => fields.update_topic = read_topic(value),
+            field::NOTE_VALUE => fields.note_value = read_number(field::NOTE_VALUE, value)?,
+            field::NOTE_TOPIC => fields.note_topic = read_topic(value),
             _ => {}
         }
     }
     Ok(fields)
 }
 
-/// The topic of an update; `None` if it is unknown.
-fn read_topic(value: &str) -> Option<UpdateTopic> {
+/// The topic of a progress note; `None` if it is unknown.
+fn read_topic(value: &str) -> Option<NoteTopic> {
     match value {
-        topic::PROGRESS => Some(UpdateTopic::Progress),
-        topic::MISSING_MEMORY => Some(UpdateTopic::MissingMemory),
-        topic::WAITING => Some(UpdateTopic::Waiting),
+        topic::PROGRESS => Some(NoteTopic::Progress),
+        topic::MISSING_MEMORY => Some(NoteTopic::MissingMemory),
+        topic::WAITING => Some(NoteTopic::Waiting),
         _ => None,
     }
 }
