--- a/src/front/accept.rs
+++ b/src/front/accept.rs
@@ -11,8 +11,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// Delay after an accept that failed because no descriptor or memory was free, or after several other
-/// failures.
+/// Delay after an accept that failed because no descriptor or memory was free, or after
+/// [`FAILURES_BEFORE_EVICTION`] consecutive failures for another reason.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Consecutive failed accepts before a connection is evicted to free a descriptor or memory. Another process
 /// may free them first.
@@ -50,7 +50,7 @@
             let is_paused = self.is_paused.get();
             let has_capacity = is_paused || self.open_connections.get() < self.config.max_connections();
             if !has_capacity {
-                // A connection without a slot must be closed before the next one is accepted.
+                // One of the connections without a slot must be closed before another connection is accepted.
                 self.sessionless.evict_one();
             }
             tokio::select! {
@@ -81,7 +81,7 @@
         let connection = Rc::clone(self).handle_connection(stream, open_connection);
         drop(tokio::task::spawn_local(connection));
         if self.open_connections.get() >= self.config.max_sessions {
-            // The connection that is evicted for this one is closed before the next is accepted.
+            // Lets a connection that the new one evicts be closed before another connection is accepted.
             tokio::task::yield_now().await;
         }
     }
@@ -90,10 +90,10 @@
     /// the process has fewer descriptors than it was configured for, and only those of clients can be closed.
     async fn wait_after_failure(&self, error: &io::Error, consecutive_failures: u32) {
         if !is_out_of_resources(error) && consecutive_failures < FAILURES_BEFORE_EVICTION {
-            // The new connection failed before it was accepted: the next one may succeed.
+            // The new connection failed before it was accepted; the accept of another one may succeed.
             return tokio::task::yield_now().await;
         }
-        // The connections that were accepted last run first: they may release their descriptors.
+        // The connections that were accepted last run during this delay, and may release their descriptors.
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
         if !is_out_of_resources(error) || consecutive_failures < FAILURES_BEFORE_EVICTION {
             return;
--- a/src/front/client_connection/input.rs
+++ b/src/front/client_connection/input.rs
@@ -15,20 +15,21 @@
 /// Maximum number of bytes that are read for one client before its task yields, so that a flood does not
 /// delay other tasks.
 const MAX_BYTES_PER_TURN: usize = 128 * 1024;
-/// Maximum number of bytes that are discarded after open requests. Beyond it the session is ended together
-/// with its open request: otherwise a client that never stops writing would keep the session forever.
+/// Maximum number of input bytes that are discarded in one session. Beyond it the session ends together with
+/// its open request: otherwise a client that never stops writing would keep the session forever.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    /// Whether more bytes were discarded than a session may send after its open requests.
+    /// Whether the client has sent so much that more than [`MAX_DISCARDED_BYTES`] were discarded.
     pub fn is_flooding(&self) -> bool {
         self.discarded_bytes > MAX_DISCARDED_BYTES
     }
 
-    /// Reads the available bytes that fit the input, and returns their number; 0 at the end of the stream.
+    /// Waits for input, reads the available bytes that fit the input buffer, and returns their number; 0 at
+    /// the end of the stream.
     ///
     /// # Errors
-    /// An error of the stream, which has then ended; or `StorageFull` if the input is full.
+    /// An error of the stream, which has then ended; or `StorageFull` if no byte fits the input buffer.
     pub async fn fill(&mut self) -> io::Result<usize> {
         self.yield_if_due().await;
         poll_fn(|context| match self.free_input_bytes() {
@@ -38,9 +39,9 @@
         .await
     }
 
-    /// Reads ahead while a request is open, and returns the number of bytes; 0 at the end of the stream.
-    /// Bytes beyond the read-ahead limits are discarded, so that the end of the stream is noticed whatever
-    /// precedes it.
+    /// Waits for input while a request is open, and returns the number of bytes read; 0 at the end of the
+    /// stream. Bytes beyond the read-ahead limits are discarded, so that the end of the stream is noticed
+    /// whatever precedes it.
     ///
     /// # Errors
     /// An error of the stream, which has then ended.
@@ -68,8 +69,8 @@
         Ok(true)
     }
 
-    /// Reads the available bytes that fit the input, without waiting; returns whether the stream is known to
-    /// have ended.
+    /// Reads the available bytes that fit the input buffer, without waiting; returns whether the stream is
+    /// known to have ended.
     ///
     /// # Errors
     /// An error of the stream, which has then ended.
@@ -83,8 +84,8 @@
         Ok(self.is_at_end)
     }
 
-    /// Number of bytes that fit the input; 0 while there are bytes that were read ahead, which must follow
-    /// the input in order.
+    /// Number of bytes that fit the input buffer; 0 while there are bytes that were read ahead, which precede
+    /// further input.
     fn free_input_bytes(&self) -> usize {
         if self.read_ahead.is_empty() {
             BUFFER_BYTES.saturating_sub(self.input().len())
@@ -134,7 +135,8 @@
         self.store_ahead(bytes, received);
     }
 
-    /// Stores the bytes that do not fit the input; `received` is the length of the whole read.
+    /// Stores the bytes that do not fit the input buffer as read ahead; `received` is the length of the whole
+    /// read.
     fn store_ahead(&mut self, mut bytes: &[u8], received: usize) {
         while !bytes.is_empty() {
             if let Some(last) = self.read_ahead.back_mut().filter(|buffer| buffer.has_capacity()) {
--- a/src/front/client_connection/mod.rs
+++ b/src/front/client_connection/mod.rs
@@ -41,7 +41,8 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    /// Creates a connection from whose stream nothing was read.
+    /// Creates a connection. No bytes may have been read from `stream` before. Buffers are taken from `pool`,
+    /// and those for reading ahead are counted in `budget`.
     pub fn new(stream: S, pool: BufferPool, budget: Rc<ReadAheadBudget>) -> ClientConnection<S> {
         ClientConnection {
             stream,
@@ -59,22 +60,22 @@
         }
     }
 
-    /// The stream without its buffers.
+    /// Returns the stream; buffered bytes are dropped.
     pub fn into_stream(self) -> S {
         self.stream
     }
 
-    /// The unconsumed bytes of the input buffer.
+    /// The unconsumed bytes of the input buffer, without bytes that were read ahead.
     pub fn input(&self) -> &[u8] {
         self.input.as_ref().map_or(&[], |buffer| &buffer[self.consumed..])
     }
 
-    /// Time at which the last consumed byte arrived, and so the message that is being answered.
+    /// Time at which the last consumed byte arrived: the last byte of the message that is being answered.
     pub fn arrived(&self) -> Timestamp {
         self.arrivals.last_consumed_arrival()
     }
 
-    /// Consumes `count` bytes of the input.
+    /// Removes `count` bytes from the front of the input buffer.
     pub fn consume(&mut self, count: usize) {
         self.consumed += count;
         self.arrivals.record_consumed(count);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Moves bytes that were read ahead to the input, as many as fit; returns whether any were moved.
+    /// Moves bytes that were read ahead to the input buffer, as many as fit; returns whether any were moved.
     pub fn promote_read_ahead(&mut self) -> bool {
         let mut has_promoted = false;
         while let Some(mut ahead) = self.read_ahead.pop_front() {
@@ -100,18 +101,18 @@
         has_promoted
     }
 
-    /// The limit that was exceeded, if bytes were discarded. All buffered bytes were read before the
-    /// discarded ones.
+    /// The limit that was exceeded; `None` if no bytes were discarded. All buffered bytes were read before
+    /// the discarded ones.
     pub fn overrun(&self) -> Option<ReadAheadOverrun> {
         self.overrun
     }
 
-    /// Maximum number of buffered bytes.
+    /// Maximum number of input bytes that are buffered, including those that were read ahead.
     pub fn max_buffered(&self) -> usize {
         self.budget.max_buffered()
     }
 
-    /// Appends as much as fits to the input and returns the rest.
+    /// Appends the bytes that fit to the input buffer, and returns the remaining bytes.
     fn extend_input<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let input = self.input.get_or_insert_with(|| self.pool.get_beyond_limit());
         if !input.has_capacity(bytes.len()) {
--- a/src/front/client_connection/output.rs
+++ b/src/front/client_connection/output.rs
@@ -19,24 +19,25 @@
 /// Maximum number of bytes of one read while lingering.
 const LINGER_CHUNK_BYTES: usize = 32 * 1024;
 
-/// How long a connection lingers after its final message. A socket that is closed with unread input sends a
-/// reset, which may destroy the message if the client writes before it reads.
+/// How long a connection lingers after its final message: its input is read and discarded until the client
+/// closes its side. A socket that is closed with unread input sends a reset, and the client may lose a
+/// message that it has not read yet.
 #[derive(Clone, Copy, Debug)]
 pub struct LingerTimeouts {
-    /// Maximum total time.
+    /// Maximum time from the end of the output to the close.
     pub total: Duration,
     /// Maximum time without any input.
     pub idle: Duration,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
-    /// The output buffer.
+    /// The output buffer; its bytes are sent by [`ClientConnection::flush`].
     pub fn output(&mut self) -> &mut Vec<u8> {
         self.output.get_or_insert_with(|| self.pool.get_beyond_limit())
     }
 
-    /// Writes all output, and reads ahead while the write has to wait: if the client closes its side
-    /// meanwhile, its next request must not be admitted.
+    /// Writes all output. While the write has to wait, further input is read ahead, so that a close by the
+    /// client is noticed before the client's next pipelined request is admitted.
     ///
     /// # Errors
     /// An error of the stream; or `TimedOut` if the client accepts no bytes for 10 s.
@@ -58,7 +59,7 @@
         timeout(WRITE_TIMEOUT, self.stream.flush()).await?
     }
 
-    /// Ensures that `count` more bytes fit the output, and flushes it if necessary.
+    /// Ensures that `count` more bytes fit the output buffer, by flushing the buffer if necessary.
     ///
     /// # Errors
     /// As [`ClientConnection::flush`].
--- a/src/front/client_error.rs
+++ b/src/front/client_error.rs
@@ -8,7 +8,7 @@
 
 /// Retry delay sent when buffers or session slots are exhausted: they become free as requests end.
 const RETRY_AFTER_EXHAUSTION: TimeDelta = TimeDelta::from_secs(1);
-/// Maximum number of characters of a client's text in a message.
+/// Maximum number of characters of a client's text that an error message quotes.
 const MAX_SHOWN_CHARACTERS: usize = 64;
 
 /// Adds the retry delay, as a hint for people and as a detail for programs.
--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -5,7 +5,7 @@
 /// The settings of a request class that the fronts use.
 #[derive(Clone, Debug)]
 pub struct ClassConfig {
-    /// The name that a request gives in its field `kind`.
+    /// Name of the class, which a request gives in its field `kind`.
     pub name: String,
     /// Whether requests of this class carry an idempotency key.
     pub has_idempotency_key: bool,
@@ -22,8 +22,8 @@
     pub tenants: Vec<String>,
     /// Maximum number of connections that hold a slot and have not been evicted.
     pub max_sessions: usize,
-    /// Maximum number of evicted connections, beyond `max_sessions`, that still complete a request or message
-    /// they had begun.
+    /// Maximum number of evicted connections, in addition to `max_sessions`, that still hold a slot to
+    /// complete a request or a message that had begun before the eviction.
     pub max_evicted: usize,
     /// Maximum number of connections without a slot: those in the handshake, those that cancel a request, and
     /// those that are being closed.
@@ -31,11 +31,11 @@
     /// Whether the front accepts the extended query protocol and session settings, and generates request ids
     /// (the operator's front).
     pub extended: bool,
-    /// Whether sessions without TLS are rejected.
+    /// Whether start-up messages outside TLS are rejected.
     pub require_tls: bool,
-    /// Class of a statement that names none; such a statement is rejected if this is `None`.
+    /// Class of a statement whose comment names no class; such a statement is rejected if this is `None`.
     pub default_class: Option<String>,
-    /// Tenant of a statement that names none; the first tenant if this is `None`.
+    /// Tenant of a statement whose comment names no tenant; the first tenant if this is `None`.
     pub default_tenant: Option<String>,
 }
 
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -30,8 +30,9 @@
 /// How long a connection lingers after its final message.
 const LINGER: LingerTimeouts =
     LingerTimeouts { total: Duration::from_secs(4), idle: Duration::from_millis(500) };
-/// How long a connection lingers after its final message where many are closed at a time: input that the
-/// client sent before it saw the end arrives within 50 ms.
+/// How long a connection lingers after its final message if it keeps its slot meanwhile, since too many
+/// connections are being closed. Input that the client sent before it received the message arrives within
+/// 50 ms.
 const SHORT_LINGER: LingerTimeouts =
     LingerTimeouts { total: Duration::from_millis(200), idle: Duration::from_millis(50) };
 /// Time after which a written answer counts as delivered: a later reset of its connection loses nothing.
@@ -41,10 +42,14 @@
 
 impl Front {
     /// Serves a connection to its end.
-    pub(super) async fn handle_connection(self: Rc<Self>, stream: TcpStream, _open: OpenConnection) {
+    pub(super) async fn handle_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        _open_connection: OpenConnection,
+    ) {
         let mut connection = self.buffered(Socket::new(stream));
-        // A CancelRequest needs no slot, and must get through when all are in use: so the first packet of a
-        // connection is read even if there is no slot for it.
+        // A CancelRequest needs no slot, and must be handled even when all slots are in use. So the first
+        // packet of a connection is read even if there is no slot for the connection.
         let slot = self.slots.acquire(EvictionScope::WithoutRequest);
         let guard =
             slot.map_or_else(|| self.enter_sessionless(SessionlessPhase::Handshaking), ConnectionGuard::Slot);
@@ -108,8 +113,9 @@
         }
     }
 
-    /// Acquires a slot for a connection that asked for a session; `None` if there is none. A session that has
-    /// sent requests is evicted for it only if no other connection can be, or after [`SLOT_WAIT`].
+    /// Acquires a slot for a connection that asked for a session; `None` if no slot becomes free and no
+    /// connection can be evicted. A session that has sent requests is evicted only if no other connection can
+    /// be evicted, now or after its grace period, or if [`SLOT_WAIT`] has passed.
     async fn acquire_slot(&self, sessionless: &SessionlessConnection) -> Option<ConnectionSlot> {
         let deadline = now() + SLOT_WAIT;
         loop {
@@ -122,6 +128,7 @@
             }
             let evictable_in = self.slots.time_until_evictable();
             let remaining = deadline - now();
+            // No connection without a request becomes evictable later, and the limits allow an eviction now.
             let is_wait_useless = evictable_in.is_none() && !self.slots.is_at_hard_limit();
             if remaining <= TimeDelta::ZERO || is_wait_useless {
                 return self.slots.acquire(EvictionScope::WithoutOpenRequest);
@@ -143,8 +150,8 @@
         guard: ConnectionGuard,
     ) {
         if error.is_none() && guard.idle_time().is_some_and(|idle| idle >= ANSWER_DELIVERY_TIME) {
-            // A request that arrives now must stay unread: its client then sends it again on another
-            // connection.
+            // A request that arrives now must stay unread: closing a socket with unread input resets the
+            // connection, and the client sends the request again on another connection.
             drop(timeout(FINAL_WRITE_TIMEOUT, connection.close_unread()).await);
             return;
         }
@@ -169,12 +176,13 @@
         }
     }
 
-    /// Returns the guard of a connection while it is closed, and how long it may linger. If there is capacity
-    /// among the connections without a slot, where it can be evicted, its slot is released at once; otherwise
-    /// it keeps the slot and lingers for a shorter time.
+    /// Returns the guard that a connection holds while it is being closed, and how long it may linger. If the
+    /// number of connections without a slot is below its maximum, the connection becomes one of them, which
+    /// can be evicted, and its slot is released at once. Otherwise it keeps the slot and lingers for a
+    /// shorter time.
     fn guard_for_closing(&self, guard: ConnectionGuard) -> (ConnectionGuard, LingerTimeouts) {
         match guard {
-            // No new connection needs its descriptor any more.
+            // The front is closing, so no new connection needs the descriptor.
             guard if self.is_closing.get() => (guard, LINGER),
             ConnectionGuard::Sessionless(sessionless) => {
                 sessionless.set_closing();
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -17,16 +17,17 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// How long a connection is protected from eviction after it was accepted, before the first request of its
-/// session, or within a message: its next bytes are probably in transit.
+/// How long a connection is protected from eviction after it was accepted, after its session started without
+/// a request, or after a part of a message arrived: its next bytes are probably in transit.
 const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
-/// Which connections may be evicted for another.
+/// Connections that may be evicted for a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionScope {
-    /// Connections of which no request has been admitted.
+    /// Connections without a session, and sessions of which no request has been admitted.
     WithoutRequest,
-    /// Also sessions of which requests have been admitted, if no request is open.
+    /// The connections of [`EvictionScope::WithoutRequest`], and sessions of which requests have been
+    /// admitted but none is open.
     WithoutOpenRequest,
 }
 
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Whether the connection becomes evictable for any new connection once its grace period is over.
+    /// Whether the connection is evictable in the scope [`EvictionScope::WithoutRequest`] once its grace
+    /// period is over.
     fn is_evictable_after_grace(&self, may_evict_idle: bool) -> bool {
         match self.activity.get() {
             _ if self.is_evicted.get() => false,
@@ -132,7 +134,8 @@
 }
 
 impl ConnectionSlots {
-    /// Creates `max_slots` slots, and `max_evicted` more that only evicted connections can occupy.
+    /// Creates `max_slots` slots, and `max_evicted` additional ones, which are used while evicted connections
+    /// still hold a slot. `may_evict_idle` is whether sessions can be evicted.
     pub fn new(max_slots: usize, max_evicted: usize, may_evict_idle: bool) -> Rc<ConnectionSlots> {
         Rc::new(ConnectionSlots {
             states: RefCell::default(),
@@ -161,7 +164,7 @@
         Some(ConnectionSlot { slots: Rc::clone(self), number, state })
     }
 
-    /// Whether all slots are in use, including those that only evicted connections can occupy.
+    /// Whether all slots are in use, including the additional ones for evicted connections.
     pub fn is_at_hard_limit(&self) -> bool {
         self.occupied() >= self.max_slots.saturating_add(self.max_evicted)
     }
@@ -181,8 +184,8 @@
         candidate.inspect(|state| state.evict()).is_some()
     }
 
-    /// Time until the next connection without a request becomes evictable, zero if one is now; `None` if
-    /// there is no such connection.
+    /// Time until a connection becomes evictable in the scope [`EvictionScope::WithoutRequest`], zero if one
+    /// is evictable now; `None` if no connection will become evictable.
     pub fn time_until_evictable(&self) -> Option<TimeDelta> {
         let states = self.states.borrow();
         let candidates = states.values().filter(|state| state.is_evictable_after_grace(self.may_evict_idle));
@@ -215,7 +218,7 @@
 }
 
 impl ConnectionSlot {
-    /// Records whether the session has an open request.
+    /// Sets whether the session has an open request; called with `false` when the session starts.
     pub fn set_executing(&self, is_executing: bool) {
         self.set_activity(if is_executing { SlotActivity::Executing } else { SlotActivity::Idle });
     }
--- a/src/front/connection_slots/tests.rs
+++ b/src/front/connection_slots/tests.rs
@@ -26,10 +26,13 @@
     assert!(new_slots[2].is_some() && new_slots[3].is_none(), "only executing and new connections are left");
     drop(new_slots);
     assert!(slots.acquire(WithoutOpenRequest).is_some());
-    let stateful = ConnectionSlots::new(1, 8, false);
-    let idle = stateful.acquire(WithoutOpenRequest).expect("a slot");
-    idle.set_executing(false);
-    assert!(stateful.acquire(WithoutOpenRequest).is_none(), "idle sessions that hold state are not evicted");
+    let slots_of_stateful_sessions = ConnectionSlots::new(1, 8, false);
+    let session_slot = slots_of_stateful_sessions.acquire(WithoutOpenRequest).expect("a slot");
+    session_slot.set_executing(false);
+    assert!(
+        slots_of_stateful_sessions.acquire(WithoutOpenRequest).is_none(),
+        "idle sessions that hold state are not evicted"
+    );
 }
 
 /// An evicted session keeps its slot for seconds if a message is incomplete or a request has just arrived.
--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of bytes of a session's statements and portals.
+/// Maximum total length of the texts of a session's statements and portals, in bytes.
 const MAX_BYTES: usize = 256 * 1024;
-/// Maximum number of a session's statements, and of its portals.
+/// Maximum number of statements of a session; the number of its portals has the same limit.
 const MAX_OBJECTS: usize = 256;
 /// Maximum number of a session's suspended portals, each of which retains a result in memory.
 const MAX_SUSPENDED_PORTALS: usize = 4;
@@ -90,8 +90,8 @@
         Ok(ExtendedAction::None)
     }
 
-    /// Answers a simple query that needs no engine; returns false for one that does. As the protocol
-    /// requires, a simple query closes the unnamed statement and portal.
+    /// Answers a simple query that needs no engine; returns false for a query that needs an engine. As the
+    /// protocol requires, a simple query closes the unnamed statement and portal.
     ///
     /// # Errors
     /// If the statement is not supported.
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Applies a `SET`.
+    /// Applies the effect of a `SET` statement to the session.
     pub(crate) fn apply(&mut self, setting: Setting) {
         match setting {
             Setting::Ignored => {}
@@ -124,11 +124,11 @@
         }
     }
 
-    /// Records that a portal was executed; `next` is the position of the first row that was not sent, if any
-    /// is left.
+    /// Records that a portal was executed; `next` is the position of the first row that was not sent, `None`
+    /// if all rows were sent.
     ///
     /// # Errors
-    /// If too many portals are already suspended; the rows that are left are then lost.
+    /// If too many portals are already suspended. The rows that were not sent are then lost.
     pub(crate) fn finish_execution(
         &mut self,
         name: &str,
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -16,7 +16,7 @@
 /// A prepared statement.
 pub(crate) struct PreparedStatement {
     /// Fields of the statement's comment. A value that begins with `$` refers to a parameter by number.
-    pairs: Vec<(String, String)>,
+    field_pairs: Vec<(String, String)>,
     statement: String,
     /// Object ids of the parameters' types.
     pub(super) types: Vec<u32>,
@@ -29,7 +29,7 @@
 pub(crate) enum PortalState {
     /// The portal has not been run.
     Ready,
-    /// The row limit of an execution was reached, and rows are left.
+    /// The row limit of an execution was reached, and some rows have not been sent.
     Suspended {
         /// The complete result.
         result: ResultSet,
@@ -44,7 +44,7 @@
 pub(crate) struct Portal {
     pub(crate) prepared: Rc<PreparedStatement>,
     /// Fields of the statement's comment, with parameters substituted; `None` for NULL.
-    pairs: Vec<(String, Option<String>)>,
+    field_pairs: Vec<(String, Option<String>)>,
     /// Text of the statement, with parameters substituted.
     pub(crate) statement: String,
     /// Format codes of the result's columns: none, one for all, or one per column.
@@ -59,13 +59,13 @@
     /// If the fields are invalid, the statement is not supported, or it has too many parameters.
     pub(super) fn new(sql: &str, mut types: Vec<u32>) -> Result<PreparedStatement, ErrorResponse> {
         let (comment, statement) = fields::split_comment(sql).map_err(ErrorResponse::from)?;
-        let pairs: Vec<(String, String)> =
+        let field_pairs: Vec<(String, String)> =
             fields::pairs(comment).map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
-        // Values in the text are checked now, and parameters when they are bound.
-        let text_pairs = pairs.iter().filter(|(_, value)| !value.starts_with('$'));
+        // Values in the text are checked now, and values of parameters when they are bound.
+        let text_pairs = field_pairs.iter().filter(|(_, value)| !value.starts_with('$'));
         fields::read(text_pairs.map(|(name, value)| (name.as_str(), value.as_str())))
             .map_err(ErrorResponse::from)?;
-        let references = pairs.iter().filter_map(|(_, value)| value.strip_prefix('$'));
+        let references = field_pairs.iter().filter_map(|(_, value)| value.strip_prefix('$'));
         let max_reference = references.map(|number| number.parse::<usize>().unwrap_or(usize::MAX)).max();
         let count = literal::max_parameter(statement).max(max_reference.unwrap_or(0)).max(types.len());
         if count > MAX_PARAMETERS {
@@ -78,13 +78,13 @@
         }
         let kind = classify(statement)?;
         let statement = statement.to_owned();
-        Ok(PreparedStatement { pairs, statement, types, kind, is_key_used: Cell::new(false) })
+        Ok(PreparedStatement { field_pairs, statement, types, kind, is_key_used: Cell::new(false) })
     }
 
-    /// Bytes of its text.
+    /// Length in bytes of the statement's text and of its fields.
     pub(super) fn size(&self) -> usize {
-        let pairs = self.pairs.iter().map(|(name, value)| name.len() + value.len());
-        self.statement.len() + pairs.sum::<usize>()
+        let field_bytes = self.field_pairs.iter().map(|(name, value)| name.len() + value.len());
+        self.statement.len() + field_bytes.sum::<usize>()
     }
 
     /// Records that a request was served with the idempotency key in the text.
@@ -92,8 +92,8 @@
         self.is_key_used.set(true);
     }
 
-    /// Creates a portal. `formats` and `result_formats` hold no format code, one for all values, or one per
-    /// value.
+    /// Creates a portal. `formats` holds the format codes of the parameters, `result_formats` those of the
+    /// result's columns: no code (all are text), one code for all, or one code each.
     ///
     /// # Errors
     /// If the number of values or formats does not fit the statement, a value does not fit its type, or a
@@ -119,11 +119,14 @@
             parameters.push(literal::parse_parameter(index + 1, *oid, format, *value)?);
         }
         let statement = literal::substitute(&self.statement, &parameters, MAX_STATEMENT_BYTES)?;
-        let pairs =
-            self.pairs.iter().map(|(name, value)| (name.clone(), field_value(value, &parameters))).collect();
+        let field_pairs = self
+            .field_pairs
+            .iter()
+            .map(|(name, value)| (name.clone(), field_value(value, &parameters)))
+            .collect();
         let portal = Portal {
             prepared: Rc::clone(self),
-            pairs,
+            field_pairs,
             statement,
             formats: result_formats,
             state: PortalState::Ready,
@@ -149,17 +152,18 @@
 }
 
 impl Portal {
-    /// The fields of the next request. An idempotency key in the text is omitted once a request was served
-    /// with it: engines would drop the next request as a duplicate.
+    /// The fields of the portal's request. An idempotency key in the text is omitted if a request was already
+    /// served with this key: engines would drop a further request as a duplicate.
     ///
     /// # Errors
     /// If a value does not fit its field.
     pub(crate) fn fields(&self) -> Result<fields::Fields, ErrorResponse> {
-        let present = self.pairs.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_deref()?)));
+        let present =
+            self.field_pairs.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_deref()?)));
         let mut fields = fields::read(present).map_err(ErrorResponse::from)?;
         let is_key_in_text = self
             .prepared
-            .pairs
+            .field_pairs
             .iter()
             .any(|(name, value)| name == fields::name::IDEMPOTENCY_KEY && !value.starts_with('$'));
         if is_key_in_text && self.prepared.is_key_used.get() {
@@ -168,13 +172,13 @@
         Ok(fields)
     }
 
-    /// Bytes of its text.
+    /// Length in bytes of the statement's text with its parameters.
     pub(super) fn size(&self) -> usize {
         self.statement.len()
     }
 
-    /// Takes the portal's state with the rows that are left, and marks the portal as completed. A portal that
-    /// has not been run stays ready: it can be executed again after a rejection.
+    /// Takes the portal's state with the rows that were not sent, and marks the portal as completed. A portal
+    /// that has not been run stays ready: it can be executed again after a rejection.
     pub(crate) fn take_state(&mut self) -> PortalState {
         match self.state {
             PortalState::Ready => PortalState::Ready,
--- a/src/front/extended/statement_kind.rs
+++ b/src/front/extended/statement_kind.rs
@@ -46,7 +46,7 @@
     Empty,
     /// A `SET` that is answered without an engine.
     Set(Setting),
-    /// A request for an engine.
+    /// A statement that an engine runs.
     Query,
 }
 
@@ -101,8 +101,8 @@
     tokens.get(index).map_or(String::new(), |token| token.to_ascii_lowercase())
 }
 
-/// The effect of `SET [SESSION] name { = | TO } value`; `None` for a setting that is not supported, or
-/// another statement.
+/// The effect of `SET [SESSION] name { = | TO } value`; `None` if the setting is not supported, or the
+/// statement is not a `SET`.
 fn parse_set(tokens: &[&str]) -> Result<Option<Setting>, ErrorResponse> {
     if lower_case(tokens, 0) != "set" {
         return Ok(None);
--- a/src/front/extended/statement_timeout.rs
+++ b/src/front/extended/statement_timeout.rs
@@ -3,13 +3,13 @@
 use crate::front::client_error::quoted;
 use crate::proto::pg::ErrorResponse;
 
-/// The setting's name.
+/// Name of the setting, as start-up parameters write it.
 pub(super) const NAME: &str = "statement_timeout";
 /// Maximum time-out, in milliseconds: one day.
 const MAX_TIMEOUT_MS: u64 = 86_400_000;
 
-/// Reads the session's time-out in milliseconds from its start-up parameters; `None` if they set none, 0 or
-/// DEFAULT.
+/// Reads the session's time-out in milliseconds from its start-up parameters; `None` if they set no time-out,
+/// or set it to 0 or DEFAULT.
 ///
 /// # Errors
 /// If a value is not a valid time-out.
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -49,7 +49,7 @@
 pub struct Front {
     /// Core that the front submits requests to.
     pub core: Rc<Core>,
-    /// Configuration of the front.
+    /// Limits, classes and protocol options, unchanged while the front runs.
     pub config: FrontConfig,
     /// Cancel signals of the sessions, by the process id in BackendKeyData.
     sessions: RefCell<BTreeMap<u32, Rc<CancelSignal>>>,
@@ -59,7 +59,8 @@
     read_ahead: Rc<ReadAheadBudget>,
     /// Number of connections whose descriptors are open.
     open_connections: Cell<usize>,
-    /// Notified when a descriptor is closed, or its connection can now be evicted for another.
+    /// Notified when a connection's descriptor is closed, or a connection is counted among those without a
+    /// slot, which can be evicted for a new one.
     descriptor_released: Notify,
     /// Number of connections that are being closed.
     closing_connections: Cell<usize>,
@@ -71,6 +72,7 @@
     end_after_answer: Cell<bool>,
     /// Notified when `is_closing` or `is_paused` changes.
     state_changed: Notify,
+    /// Certificate for TLS handshakes; `None` until one is set.
     tls: RefCell<Option<TlsAcceptor>>,
 }
 
@@ -99,15 +101,16 @@
         })
     }
 
-    /// Sets whether connections are accepted or left in the listener's queue.
+    /// Sets whether new connections are accepted. If not, they are left in the listener's queue, for another
+    /// process to accept.
     pub fn set_accepting(&self, is_accepting: bool) {
         if self.is_paused.replace(!is_accepting) == is_accepting {
             self.state_changed.notify_waiters();
         }
     }
 
-    /// Ends the sessions that have had no open request for `min_idle`, and the others after their next
-    /// answer. A session ends directly after its answer, before its client can send another request.
+    /// Ends the sessions that have had no open request for `min_idle`, and all other sessions after their
+    /// next answer. A session ends directly after its answer, before its client can send another request.
     pub fn drain_sessions(&self, min_idle: TimeDelta) {
         self.end_after_answer.set(true);
         self.slots.evict_idle(min_idle);
@@ -119,12 +122,13 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Sets the certificate for the TLS handshakes that begin from now on.
+    /// Sets the certificate for TLS handshakes that begin after this call. Before the first call no handshake
+    /// is accepted.
     pub fn set_certificate(&self, acceptor: TlsAcceptor) {
         self.tls.replace(Some(acceptor));
     }
 
-    /// Number of connections that hold a slot.
+    /// Number of connections that hold a slot, including evicted ones.
     pub fn occupied_slots(&self) -> usize {
         self.slots.occupied()
     }
--- a/src/front/read_ahead.rs
+++ b/src/front/read_ahead.rs
@@ -8,13 +8,13 @@
 /// Limit on the bytes that the sessions of a front may read ahead, beyond one buffer each.
 #[derive(Debug)]
 pub struct ReadAheadBudget {
-    /// Maximum number of buffers of one session.
+    /// Maximum number of buffers of one session, in addition to its input buffer.
     max_buffers: usize,
-    /// Number of buffers that are free for all sessions.
+    /// Number of buffers that the sessions of the front may still allocate.
     free_buffers: Cell<usize>,
 }
 
-/// Limit that a session has exceeded.
+/// Limit on read-ahead buffers that a session has exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAheadOverrun {
     /// The limit of a single session.
@@ -32,7 +32,8 @@
 }
 
 impl ReadAheadBudget {
-    /// Creates a budget of `max_buffers` per session and `total_buffers` for all sessions.
+    /// Creates a budget of `max_buffers` per session, in addition to its input buffer, and `total_buffers`
+    /// for all sessions of the front.
     pub fn new(max_buffers: usize, total_buffers: usize) -> Rc<ReadAheadBudget> {
         Rc::new(ReadAheadBudget { max_buffers, free_buffers: Cell::new(total_buffers) })
     }
@@ -62,7 +63,7 @@
 }
 
 impl ReadAheadBuffer {
-    /// Appends as much as fits and returns the rest.
+    /// Appends the bytes that fit the buffer, and returns the remaining bytes.
     pub(super) fn append<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         append(&mut self.buffer, bytes)
     }
@@ -85,7 +86,7 @@
     }
 }
 
-/// Appends as much as fits and returns the rest.
+/// Appends the bytes that fit one buffer, and returns the remaining bytes.
 pub(super) fn append<'a>(buffer: &mut Buffer, bytes: &'a [u8]) -> &'a [u8] {
     let free_bytes = BUFFER_BYTES.saturating_sub(buffer.len());
     let (fitting, rest) = bytes.split_at(bytes.len().min(free_bytes));
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -17,7 +17,7 @@
     pub(super) fields: &'a Fields,
     /// Text of the statement without the comment.
     pub(super) statement: &'a str,
-    /// Time at which the statement's time-out begins.
+    /// Time from which the statement's time-out counts.
     pub(super) started: Timestamp,
     /// The session's time-out in milliseconds, if it has one.
     pub(super) session_timeout_ms: Option<u64>,
--- a/src/front/session/execute.rs
+++ b/src/front/session/execute.rs
@@ -62,7 +62,8 @@
     ) -> Result<Option<(ResultSet, RowPosition)>, MessageError> {
         let Some(portal) = self.objects.portals.get_mut(name) else { return Ok(None) };
         if is_cancelled && matches!(portal.state, PortalState::Suspended { .. }) {
-            // The CancelRequest arrived earlier in the batch: it ends the batch here.
+            // The CancelRequest arrived during an earlier message of this batch. A suspended portal submits
+            // no request that could be cancelled, so this message fails instead.
             return Err(cancelled().into());
         }
         match portal.take_state() {
@@ -70,15 +71,16 @@
             PortalState::Suspended { result, next } => return Ok(Some((result, next))),
             PortalState::Ready => {}
         }
-        let fields = portal.fields()?;
-        // A time-out in the fields counts from the arrival of the message. Any other time-out counts from the
-        // start of this execution, so that earlier messages of the batch do not shorten it.
-        let started = if fields.timeout_ms.is_some() { connection.arrived() } else { now() };
+        let request_fields = portal.fields()?;
+        // A time-out in the statement's comment counts from the arrival of the message. A time-out of the
+        // session or the class counts from the start of this execution, so that earlier messages of the batch
+        // do not shorten it.
+        let started = if request_fields.timeout_ms.is_some() { connection.arrived() } else { now() };
         if connection.read_available().await? {
             return Err(session_ended(connection));
         }
         let request = self.front.submit(Submission {
-            fields: &fields,
+            fields: &request_fields,
             statement: &portal.statement,
             started,
             session_timeout_ms: self.objects.statement_timeout_ms,
--- a/src/front/session/input.rs
+++ b/src/front/session/input.rs
@@ -15,7 +15,8 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Session<'_> {
-    /// Provides more input: bytes that were read ahead, or else the next bytes from the client.
+    /// Extends the input buffer by bytes that were read ahead, or else waits for the next bytes from the
+    /// client. The session ends instead if no more input is accepted.
     pub(super) async fn await_input<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
@@ -33,7 +34,7 @@
             self.partial_since = None;
             let has_answered = std::mem::take(&mut self.has_answered);
             let ends_after_answer = has_answered && self.front.end_after_answer.get();
-            // No request is open here, and the client can send its next one on another connection.
+            // No request is open, and the client can send its next request on another connection.
             if self.slot.is_evicted() || ends_after_answer {
                 return Ok(SessionFlow::End(SessionEnd::silent(SessionEndReason::Evicted)));
             }
@@ -77,17 +78,16 @@
         }
     }
 
-    /// The end of an idle session because the process stops. Clients of the platform's front expect no
-    /// message.
+    /// Ends an idle session because the process stops. Clients of the platform's front expect no message.
     fn end_for_stop(&self) -> SessionFlow {
         let error = ErrorResponse::new("57P01", "the server is stopping").hint("Connect again.");
         let error = self.front.config.extended.then_some(error);
         SessionFlow::End(SessionEnd { reason: SessionEndReason::Stopping, error })
     }
 
-    /// Handles a CancelRequest while no request is open. The request that it is for may have been sent before
-    /// it and still be unread, so available input is read first. If there is none, the CancelRequest is for a
-    /// completed request, and must not cancel the next one.
+    /// Handles a CancelRequest while no request is open. The request to cancel may have been sent before the
+    /// CancelRequest and still be unread, so available input is read first. If there is none, the
+    /// CancelRequest is for a completed request, and must not cancel the next request.
     async fn handle_early_cancel<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -57,7 +57,8 @@
     Complete { action: Result<MessageAction, ErrorResponse>, length: usize },
     /// A part of a message, or no input.
     Incomplete,
-    /// The end of the session.
+    /// No further message: the client sent Terminate, or a malformed message after which the start of the
+    /// next message is unknown. The session ends.
     End(SessionEnd),
 }
 
@@ -73,8 +74,8 @@
     }
 }
 
-/// Serves a session to its end, and returns its final error, if there is one. Once its slot is evicted, the
-/// session ends as soon as no request is open.
+/// Serves a session to its end, and returns the final error for the client, if there is one. Once its slot is
+/// evicted, the session ends as soon as no request is open.
 ///
 /// # Errors
 /// An error of the connection.
@@ -129,8 +130,8 @@
         connection: &mut ClientConnection<S>,
     ) -> io::Result<SessionEnd> {
         loop {
-            // Many short messages that were sent at once are handled without waiting for input: other tasks
-            // must run in between.
+            // Many short messages that were sent at once are handled without waiting for input. Consuming the
+            // budget lets other tasks run in between.
             consume_budget().await;
             match self.handle_message(connection).await? {
                 SessionFlow::Continue => {}
@@ -240,8 +241,8 @@
         Ok(())
     }
 
-    /// Writes all output, with ReadyForQuery at its end. A CancelRequest that arrived before it has no
-    /// further effect.
+    /// Appends ReadyForQuery and writes all output. A CancelRequest that arrived before ReadyForQuery was
+    /// written has no further effect.
     async fn write_ready<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut ClientConnection<S>,
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -24,13 +24,14 @@
     pub(super) process_id: u32,
     pub(super) cancel: Rc<CancelSignal>,
     pub(super) slot: &'a ConnectionSlot,
-    /// Time since which the input has ended with an incomplete message.
+    /// Time at which an incomplete message was first found at the end of the input; `None` if there is none.
     pub(super) partial_since: Option<Instant>,
     /// Whether messages are skipped up to the next Sync.
     pub(super) skips_to_sync: bool,
     /// Prepared statements and portals, and the session's settings.
     pub(super) objects: SessionObjects,
-    /// Buffer of the reply to a message, until it fits the output.
+    /// Buffer for the reply to a message before it is moved to the output; empty between messages, and kept
+    /// for its allocation.
     pub(super) scratch: Vec<u8>,
     /// Whether an answer was written since the input was last empty.
     pub(super) has_answered: bool,
@@ -71,7 +72,7 @@
     /// with an error.
     ///
     /// # Errors
-    /// The response if it is not a result, a cancellation, or the end of the session.
+    /// The request was rejected, has failed or was cancelled, or the session ends.
     pub(super) async fn wait_for_response<S: AsyncRead + AsyncWrite + Unpin>(
         &mut self,
         connection: &mut ClientConnection<S>,
--- a/src/front/session_end.rs
+++ b/src/front/session_end.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// The end of a session.
+/// Why a session ends, and its final error.
 #[derive(Debug)]
 pub(super) struct SessionEnd {
     /// Reason why the session ends.
@@ -63,12 +63,12 @@
 }
 
 impl SessionEnd {
-    /// An end without a final error.
+    /// Creates the end of a session without a final error.
     pub(super) fn silent(reason: SessionEndReason) -> SessionEnd {
         SessionEnd { reason, error: None }
     }
 
-    /// An end with a final error.
+    /// Creates the end of a session with a final error.
     pub(super) fn with_error(reason: SessionEndReason, error: ErrorResponse) -> SessionEnd {
         SessionEnd { reason, error: Some(error) }
     }
--- a/src/front/sessionless.rs
+++ b/src/front/sessionless.rs
@@ -1,8 +1,8 @@
-//! Connections without a session slot: new ones, whose first packet may be a CancelRequest that needs none,
-//! and those that are being closed with a final error.
+//! Connections without a session slot: new connections, whose first packet may be a CancelRequest, which
+//! needs no slot, and connections that are being closed with a final error.
 //!
-//! When their number exceeds its maximum, one of them is evicted: first those that are already being closed,
-//! and within a phase the oldest.
+//! When their number exceeds its maximum, one of them is evicted: a connection that is already being closed
+//! if there is one, and within a phase the oldest connection.
 
 use super::connection_slots::ConnectionSlot;
 use sprucelink_time::TimeDelta;
@@ -81,12 +81,12 @@
 }
 
 impl SessionlessConnection {
-    /// Records that the connection is being closed.
+    /// Records that the connection is being closed, so that it is evicted before new connections.
     pub fn set_closing(&self) {
         self.state.phase.set(SessionlessPhase::Closing);
     }
 
-    /// Whether the connection has been evicted; it is closed at once.
+    /// Whether the connection has been evicted, so that it must be closed at once.
     pub fn is_evicted(&self) -> bool {
         self.state.evicted.is_cancelled()
     }
@@ -103,8 +103,8 @@
     }
 }
 
-/// Counts a connection against its limit: every connection holds either a slot or an entry among those
-/// without one.
+/// Counts a connection against a limit: every connection holds either a slot, or an entry among the
+/// connections without a slot.
 #[derive(Debug)]
 pub enum ConnectionGuard {
     /// A slot for a session.
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -37,13 +37,13 @@
     Tls,
 }
 
-/// Outcome of the packets before a session.
+/// Result of handling the packets before a session.
 pub(super) enum StartupOutcome {
     /// The client starts a session.
     Session(SessionStart),
     /// A TLS handshake follows.
     StartTls(TlsAcceptor),
-    /// The connection is closed, after an error if there is one.
+    /// The connection must be closed, after sending the error if there is one.
     Close(Option<ErrorResponse>),
 }
 
